--- a/src/main/java/damsonworks/daemon/SiblingSocket.java
+++ b/src/main/java/cacheproxy/daemon/SiblingSocket.java
@@ -1,20 +1,20 @@
-package damsonworks.daemon;
+package cacheproxy.daemon;
 
-import damsonworks.config.ConfigException;
-import damsonworks.config.DaemonFile;
-import damsonworks.config.SiblingSection;
-import damsonworks.icp.IcpCodec;
-import damsonworks.icp.IcpMessage;
-import damsonworks.icp.IcpMessage.Opcode;
-import damsonworks.limits.TokenBucket;
-import damsonworks.proxy.Core;
-import damsonworks.proxy.Intake;
-import damsonworks.routes.Route;
-import damsonworks.routes.Subject;
-import damsonworks.siblings.DenialWatch;
-import damsonworks.siblings.KeyDigest;
-import damsonworks.siblings.QuestionTable;
-import damsonworks.siblings.SiblingRecord;
+import cacheproxy.config.ConfigException;
+import cacheproxy.config.DaemonConfig;
+import cacheproxy.config.SiblingConfig;
+import cacheproxy.icp.IcpCodec;
+import cacheproxy.icp.IcpMessage;
+import cacheproxy.icp.IcpMessage.Opcode;
+import cacheproxy.limits.TokenBucket;
+import cacheproxy.proxy.EventLoopContext;
+import cacheproxy.proxy.RequestValidator;
+import cacheproxy.routes.Route;
+import cacheproxy.routes.RouteInput;
+import cacheproxy.siblings.DenialLimiter;
+import cacheproxy.siblings.CacheDigest;
+import cacheproxy.siblings.PendingQueries;
+import cacheproxy.siblings.SiblingStats;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.SimpleChannelInboundHandler;
@@ -32,7 +32,7 @@
  * loop only. Bounds: questions at once and a second, answers a second, remembered keys and addresses; an answer is never
  * longer than its question.
  */
-final class SiblingSocket implements Part {
+final class SiblingSocket implements Subsystem {
     /** Servers that the digest tells apart. */
     private static final int MOST_SERVERS = 4096;
     /** Strangers that are remembered for what they were denied. */
@@ -40,32 +40,32 @@
     /** How long answers that come too late are known as such, and measured. */
     private static final double LATE_MS = 2000;
 
-    private final SiblingSection spec;
-    private final Core core;
+    private final SiblingConfig spec;
+    private final EventLoopContext core;
     private final SplittableRandom random;
-    private final KeyDigest digest;
-    private final QuestionTable<InetSocketAddress> questions;
-    private final DenialWatch<InetSocketAddress> denials = new DenialWatch<>(MOST_STRANGERS);
-    private final Map<String, SiblingRecord> records;
-    private final Map<InetSocketAddress, SiblingSection.Sibling> byAddress = new HashMap<>();
+    private final CacheDigest digest;
+    private final PendingQueries<InetSocketAddress> questions;
+    private final DenialLimiter<InetSocketAddress> denials = new DenialLimiter<>(MOST_STRANGERS);
+    private final Map<String, SiblingStats> records;
+    private final Map<InetSocketAddress, SiblingConfig.Sibling> byAddress = new HashMap<>();
     private final Map<Integer, IntConsumer> waiting = new HashMap<>();
     private final TokenBucket questionRate;
     /** Each sibling has one, so that none can use up another's; all strangers share a small one. */
     private final Map<InetSocketAddress, TokenBucket> answerRates = new HashMap<>();
     private final TokenBucket strangersRate;
     /** By whose routes and pools questions are answered. */
-    private Supplier<Generation> generation = () -> null;
+    private Supplier<ConfigSnapshot> generation = () -> null;
     private volatile Channel channel;
     private long malformed;
     private long overRate;
 
-    private SiblingSocket(DaemonFile file, Core core, SiblingSocket before, int seed) {
-        spec = SiblingSection.of(file);
+    private SiblingSocket(DaemonConfig file, EventLoopContext core, SiblingSocket before, int seed) {
+        spec = SiblingConfig.of(file);
         this.core = core;
         random = new SplittableRandom(seed);
-        SiblingSection.Icp icp = spec.icp();
-        digest = new KeyDigest(icp.keys(), icp.holdMs(), MOST_SERVERS);
-        questions = new QuestionTable<>(icp.questions(), LATE_MS, random.nextInt());
+        SiblingConfig.Icp icp = spec.icp();
+        digest = new CacheDigest(icp.keys(), icp.holdMs(), MOST_SERVERS);
+        questions = new PendingQueries<>(icp.questions(), LATE_MS, random.nextInt());
         records = before == null ? new HashMap<>() : before.records;
         questionRate = new TokenBucket(icp.perSecond(), Math.max(1, icp.perSecond() / 10));
         strangersRate = new TokenBucket(Math.max(1, icp.perSecond() / 10), Math.max(1, icp.perSecond() / 100));
@@ -76,9 +76,9 @@
     }
 
     /** Null where the file has no ICP. */
-    static Part open(DaemonFile file, Part before, Core core, int seed, Supplier<Generation> generation) throws ConfigException,
+    static Subsystem open(DaemonConfig file, Subsystem before, EventLoopContext core, int seed, Supplier<ConfigSnapshot> generation) throws ConfigException,
             InterruptedException {
-        if (SiblingSection.of(file).icp() == null) {
+        if (SiblingConfig.of(file).icp() == null) {
             return null;
         }
         SiblingSocket s = bind(file, core, (SiblingSocket) before, seed);
@@ -86,40 +86,40 @@
         return s;
     }
 
-    private static SiblingSocket bind(DaemonFile file, Core core, SiblingSocket before, int seed) throws ConfigException, InterruptedException {
+    private static SiblingSocket bind(DaemonConfig file, EventLoopContext core, SiblingSocket before, int seed) throws ConfigException, InterruptedException {
         SiblingSocket s = new SiblingSocket(file, core, before, seed);
-        if (before != null && Binding.same(before.spec.icp().address(), s.spec.icp().address())) {
+        if (before != null && SocketBinder.same(before.spec.icp().address(), s.spec.icp().address())) {
             before.channel.close().sync(); // there is no second socket at its address
         }
         s.listen(file);
         return s;
     }
 
-    private void listen(DaemonFile asked) throws ConfigException, InterruptedException {
-        channel = Binding.datagrams(core, asked, "icp", spec.icp().address(), IcpMessage.MAX_LENGTH, new Handler());
+    private void listen(DaemonConfig asked) throws ConfigException, InterruptedException {
+        channel = SocketBinder.datagrams(core, asked, "icp", spec.icp().address(), IcpMessage.MAX_LENGTH, new Handler());
     }
 
     @Override
-    public void restore(DaemonFile asked) throws ConfigException, InterruptedException {
+    public void restore(DaemonConfig asked) throws ConfigException, InterruptedException {
         if (!channel.isOpen()) {
             listen(asked);
         }
     }
 
     @Override
-    public boolean fits(DaemonFile other) {
-        return spec.equals(SiblingSection.of(other));
+    public boolean fits(DaemonConfig other) {
+        return spec.equals(SiblingConfig.of(other));
     }
 
     InetSocketAddress address() {
         return (InetSocketAddress) channel.localAddress();
     }
 
-    SiblingRecord record(SiblingSection.Sibling s) {
-        return records.computeIfAbsent(s.name(), n -> new SiblingRecord());
+    SiblingStats record(SiblingConfig.Sibling s) {
+        return records.computeIfAbsent(s.name(), n -> new SiblingStats());
     }
 
-    PoolSiblings of(DaemonFile.Pool pool) {
+    PoolSiblings of(DaemonConfig.Pool pool) {
         return new PoolSiblings(this, pool.siblings().stream().map(spec::sibling).toList(), random.split());
     }
 
@@ -133,14 +133,14 @@
 
     void read(String key, int server, boolean has) {
         if (has) {
-            digest.answered(core.now(), Intake.keyNumber(key), server);
+            digest.answered(core.now(), RequestValidator.keyNumber(key), server);
         } else {
-            digest.gone(Intake.keyNumber(key));
+            digest.gone(RequestValidator.keyNumber(key));
         }
     }
 
     void written(String key) {
-        digest.gone(Intake.keyNumber(key));
+        digest.gone(RequestValidator.keyNumber(key));
     }
 
     void restarted(int server) {
@@ -150,14 +150,14 @@
     // ---- asking
 
     /** Asks; where a bound is reached nothing goes out, and the module goes on when its wait is over. */
-    void ask(String key, List<SiblingSection.Sibling> whom, double waitMs, IntConsumer answer) {
+    void ask(String key, List<SiblingConfig.Sibling> whom, double waitMs, IntConsumer answer) {
         double now = core.now();
         if (!questionRate.take(now)) {
             overRate++;
             return;
         }
         String url = spec.icp().urlPrefix() + key;
-        QuestionTable<InetSocketAddress>.Question q = questions.ask(now, url, whom.stream().map(SiblingSection.Sibling::icp).toList(), waitMs);
+        PendingQueries<InetSocketAddress>.Question q = questions.ask(now, url, whom.stream().map(SiblingConfig.Sibling::icp).toList(), waitMs);
         if (q == null) {
             return;
         }
@@ -166,7 +166,7 @@
             q.end();
             waiting.remove(q.number);
         });
-        for (SiblingSection.Sibling s : whom) {
+        for (SiblingConfig.Sibling s : whom) {
             record(s).asked(now);
             channel.write(new DatagramPacket(IcpCodec.encode(channel.alloc(), IcpMessage.query(q.number, 0, url)), s.icp()));
         }
@@ -175,15 +175,15 @@
 
     private void answered(InetSocketAddress from, IcpMessage m) {
         boolean hit = m.opcode() == Opcode.HIT || m.opcode() == Opcode.HIT_OBJ;
-        QuestionTable.Reply<QuestionTable<InetSocketAddress>.Question> r = questions.answered(core.now(), m.requestNumber(), from, m.url(), hit);
+        PendingQueries.Reply<PendingQueries<InetSocketAddress>.Question> r = questions.answered(core.now(), m.requestNumber(), from, m.url(), hit);
         switch (r.verdict()) {
             case FIRST_HIT, COUNTED, LAST, LATE -> record(byAddress.get(from)).answered(r.elapsedMs(), hit);
             default -> {
                 return; // counted, and no business of any request
             }
         }
-        boolean last = r.verdict() == QuestionTable.Verdict.LAST;
-        if (last || r.verdict() == QuestionTable.Verdict.FIRST_HIT) {
+        boolean last = r.verdict() == PendingQueries.Verdict.LAST;
+        if (last || r.verdict() == PendingQueries.Verdict.FIRST_HIT) {
             IntConsumer answer = waiting.remove(m.requestNumber());
             if (answer != null) {
                 answer.accept(last ? 0 : byAddress.get(from).id());
@@ -201,22 +201,22 @@
         if (denied) {
             return Opcode.DENIED;
         }
-        Generation g = generation.get();
+        ConfigSnapshot g = generation.get();
         String prefix = spec.icp().urlPrefix();
         if (g == null || !query.url().startsWith(prefix)) {
             return Opcode.ERR;
         }
         String key = query.url().substring(prefix.length());
-        Subject s = key.isEmpty() || key.length() > 250 || spec.icp().listener() == null ? null
+        RouteInput s = key.isEmpty() || key.length() > 250 || spec.icp().listener() == null ? null
                 : g.file.keys().subject(spec.icp().listener(), key, 0, 0, false);
         Route route = s == null ? null : g.file.routes().find(s);
         String poolKey = route == null || !(route.action() instanceof Route.ToPools) ? null : route.poolKey(s);
         if (poolKey == null) {
             return Opcode.MISS;
         }
-        PoolRunner pool = g.chain(route).get(0);
+        PoolRuntime pool = g.chain(route).get(0);
         boolean pressed = pool.dispatcher.pressed();
-        long number = Intake.keyNumber(poolKey);
+        long number = RequestValidator.keyNumber(poolKey);
         if (!pressed && digest.holds(core.now(), number)) {
             int server = digest.server(number);
             if (pool.has(server) && pool.dispatcher.sound(server)) {
@@ -267,7 +267,7 @@
     }
 
     /** What became of the datagrams that claimed to be answers. */
-    long count(QuestionTable.Verdict v) {
+    long count(PendingQueries.Verdict v) {
         return questions.count(v);
     }
 }
--- a/src/main/java/damsonworks/daemon/Binding.java
+++ b/src/main/java/cacheproxy/daemon/SocketBinder.java
@@ -1,10 +1,10 @@
-package damsonworks.daemon;
+package cacheproxy.daemon;
 
-import damsonworks.config.Addresses;
-import damsonworks.config.ConfigException;
-import damsonworks.config.DaemonFile;
-import damsonworks.proxy.Core;
-import damsonworks.proxy.Transport;
+import cacheproxy.config.Addresses;
+import cacheproxy.config.ConfigException;
+import cacheproxy.config.DaemonConfig;
+import cacheproxy.proxy.EventLoopContext;
+import cacheproxy.proxy.Transport;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -15,17 +15,17 @@
 import java.util.List;
 
 /** Addresses that parts are bound to; not on the event loop. */
-final class Binding {
-    private Binding() { }
+public final class SocketBinder {
+    private SocketBinder() { }
 
     /** Why an address can't be had, as an error of the file. */
-    static String fault(DaemonFile file, String what, InetSocketAddress at, Throwable cause) {
+    static String fault(DaemonConfig file, String what, InetSocketAddress at, Throwable cause) {
         return file.path() + ":1:1: " + what + " can't be bound to " + Addresses.text(at) + ": "
                 + String.valueOf(cause.getMessage()).lines().findFirst().orElse("");
     }
 
     /** The channel once it is bound; else the exception. */
-    static Channel require(ChannelFuture bound, DaemonFile file, String what, InetSocketAddress at) throws ConfigException, InterruptedException {
+    static Channel require(ChannelFuture bound, DaemonConfig file, String what, InetSocketAddress at) throws ConfigException, InterruptedException {
         if (!bound.await().isSuccess()) {
             throw ConfigException.of(List.of(fault(file, what, at, bound.cause())));
         }
@@ -33,14 +33,14 @@
     }
 
     /** A socket for datagrams of at most so many bytes. */
-    static Channel datagrams(Core core, DaemonFile file, String what, InetSocketAddress at, int longest, ChannelHandler handler)
+    public static Channel datagrams(EventLoopContext core, DaemonConfig file, String what, InetSocketAddress at, int longest, ChannelHandler handler)
             throws ConfigException, InterruptedException {
         return require(new Bootstrap().group(core.loop()).channel(Transport.BEST.datagram())
                 .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(longest + 1)).handler(handler).bind(at), file, what, at);
     }
 
     /** Whether another can't be bound beside one that is bound here. */
-    static boolean same(InetSocketAddress one, InetSocketAddress other) {
+    public static boolean same(InetSocketAddress one, InetSocketAddress other) {
         return one.equals(other) && one.getPort() != 0;
     }
 }
--- a/src/main/java/damsonworks/daemon/Part.java
+++ b/src/main/java/cacheproxy/daemon/Subsystem.java
@@ -1,13 +1,13 @@
-package damsonworks.daemon;
+package cacheproxy.daemon;
 
-import damsonworks.config.ConfigException;
-import damsonworks.config.DaemonFile;
+import cacheproxy.config.ConfigException;
+import cacheproxy.config.DaemonConfig;
 
 /**
  * A subsystem of the daemon. It is opened on a file before anything changes, takes its place with the file's other parts, goes on under
  * later files that it fits, and is replaced by one that was opened on a file that it does not fit. All but opening and restoring on the event loop.
  */
-interface Part {
+public interface Subsystem {
     /** Opens one for a file. */
     interface Opener {
         /**
@@ -17,21 +17,21 @@
          * @param before the one whose place it would take; null: none
          * @return null where the file has no such part
          */
-        Part open(DaemonFile file, Part before) throws ConfigException, InterruptedException;
+        Subsystem open(DaemonConfig file, Subsystem before) throws ConfigException, InterruptedException;
     }
 
     /** Whether it can go on under another file; what may differ it takes from the file in {@link #apply}. */
-    boolean fits(DaemonFile file);
+    boolean fits(DaemonConfig file);
 
     /** The file counts from now on; also called for the one that it was opened on. */
-    default void apply(DaemonFile file) { }
+    default void apply(DaemonConfig file) { }
 
     /**
      * Another that had taken its address is not used after all, so it takes it back. Not on the event loop.
      *
      * @param file any; for the exception
      */
-    default void restore(DaemonFile file) throws ConfigException, InterruptedException { }
+    default void restore(DaemonConfig file) throws ConfigException, InterruptedException { }
 
     /** The process is to end; it goes on for as long as requests are being answered. */
     default void drain() { }
--- a/src/main/java/damsonworks/daemon/FleetWatches.java
+++ b/src/main/java/cacheproxy/daemon/fleet/DelegatedWatches.java
@@ -1,13 +1,16 @@
-package damsonworks.daemon;
+package cacheproxy.daemon.fleet;
+
+import cacheproxy.daemon.ConfigSnapshot;
+import cacheproxy.daemon.PoolRuntime;
 
 import com.google.gson.JsonObject;
-import damsonworks.config.DaemonFile;
-import damsonworks.config.FleetSection;
-import damsonworks.lease.Ids;
-import damsonworks.membership.SharedWatch;
-import damsonworks.membership.WatchWord;
-import damsonworks.proxy.Core;
-import damsonworks.proxy.DiscoveryClient;
+import cacheproxy.config.DaemonConfig;
+import cacheproxy.config.FleetConfig;
+import cacheproxy.fleet.lease.NameHash;
+import cacheproxy.discovery.DelegatedWatch;
+import cacheproxy.discovery.WatchVersionMessage;
+import cacheproxy.proxy.EventLoopContext;
+import cacheproxy.proxy.DiscoveryClient;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -17,20 +20,20 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** Discovery watched by one proxy of a zone for all: carries what {@link SharedWatch} decides, for each pool that follows a list. */
-final class FleetWatches implements FleetUser {
+/** Discovery watched by one proxy of a zone for all: carries what {@link DelegatedWatch} decides, for each pool that follows a list. */
+final class DelegatedWatches implements FleetProtocol {
     static final byte TOPIC = 3;
 
-    private final Core core;
+    private final EventLoopContext core;
     private final Link link;
-    private final Supplier<Generation> generation;
+    private final Supplier<ConfigSnapshot> generation;
     private final SplittableRandom random;
     /** By pool, and by the duty, whose name has the zone in it. */
-    private final Map<String, SharedWatch> watches = new HashMap<>();
-    private final Map<Long, SharedWatch> byDuty = new HashMap<>();
+    private final Map<String, DelegatedWatch> watches = new HashMap<>();
+    private final Map<Long, DelegatedWatch> byDuty = new HashMap<>();
     private List<Long> zone = List.of();
 
-    FleetWatches(Core core, Link link, Supplier<Generation> generation, SplittableRandom random) {
+    DelegatedWatches(EventLoopContext core, Link link, Supplier<ConfigSnapshot> generation, SplittableRandom random) {
         this.core = core;
         this.link = link;
         this.generation = generation;
@@ -43,35 +46,35 @@
     }
 
     @Override
-    public void apply(DaemonFile file, double now) {
-        FleetSection spec = file.part(FleetSection.class);
-        Set<String> wanted = new HashSet<>(spec.watch() == null ? List.of() : FleetPart.watched(file));
+    public void apply(DaemonConfig file, double now) {
+        FleetConfig spec = file.part(FleetConfig.class);
+        Set<String> wanted = new HashSet<>(spec.watch() == null ? List.of() : FleetSubsystem.watched(file));
         for (String pool : List.copyOf(watches.keySet())) {
-            if (!wanted.contains(pool) || !byDuty.containsKey(Ids.of(spec.watchDuty(pool)))) {
+            if (!wanted.contains(pool) || !byDuty.containsKey(NameHash.of(spec.watchDuty(pool)))) {
                 watches.remove(pool);
                 client(pool, c -> c.pace(true));
             }
         }
         byDuty.clear();
         for (String pool : wanted) {
-            SharedWatch.Rules rules = new SharedWatch.Rules(spec.watch().beatMs(), spec.watch().wordMs(), spec.watch().lazyMs(),
+            DelegatedWatch.Rules rules = new DelegatedWatch.Rules(spec.watch().beatMs(), spec.watch().wordMs(), spec.watch().lazyMs(),
                     spec.watch().gatherMs());
             String duty = spec.watchDuty(pool);
-            SharedWatch w = watches.computeIfAbsent(pool, p -> new SharedWatch(link.tenure(duty), rules, random.split(), new Out(p)));
+            DelegatedWatch w = watches.computeIfAbsent(pool, p -> new DelegatedWatch(link.tenure(duty), rules, random.split(), new Out(p)));
             w.use(rules);
-            byDuty.put(Ids.of(duty), w);
+            byDuty.put(NameHash.of(duty), w);
         }
-        zone = spec.names(spec.zone()).stream().map(Ids::of).filter(id -> id != link.me()).toList();
+        zone = spec.names(spec.zone()).stream().map(NameHash::of).filter(id -> id != link.me()).toList();
     }
 
     /** How closely a pool's list is to be watched now. */
     boolean closely(String pool) {
-        SharedWatch w = watches.get(pool);
+        DelegatedWatch w = watches.get(pool);
         return w == null || w.closely(core.now());
     }
 
     void have(String pool, long version) {
-        SharedWatch w = watches.get(pool);
+        DelegatedWatch w = watches.get(pool);
         if (w != null) {
             w.have(core.now(), version);
         }
@@ -79,8 +82,8 @@
 
     @Override
     public void heard(double now, long from, byte[] payload) {
-        WatchWord word = WatchWord.of(payload);
-        SharedWatch w = word == null ? null : byDuty.get(word.duty());
+        WatchVersionMessage word = WatchVersionMessage.of(payload);
+        DelegatedWatch w = word == null ? null : byDuty.get(word.duty());
         if (w != null) {
             w.heard(now, from, word);
         }
@@ -89,7 +92,7 @@
     @Override
     public double tick(double now) {
         double next = Double.POSITIVE_INFINITY;
-        for (SharedWatch w : watches.values()) {
+        for (DelegatedWatch w : watches.values()) {
             next = Math.min(next, w.tick(now));
         }
         return next;
@@ -108,14 +111,14 @@
     }
 
     private void client(String pool, Consumer<DiscoveryClient> act) {
-        Generation g = generation.get();
-        PoolRunner p = g == null ? null : g.pools.get(pool);
+        ConfigSnapshot g = generation.get();
+        PoolRuntime p = g == null ? null : g.pools.get(pool);
         if (p != null && p.discovery() != null) {
             act.accept(p.discovery());
         }
     }
 
-    private final class Out implements SharedWatch.Out {
+    private final class Out implements DelegatedWatch.Out {
         private final String pool;
 
         Out(String pool) {
@@ -123,14 +126,14 @@
         }
 
         @Override
-        public void tell(WatchWord w) {
+        public void tell(WatchVersionMessage w) {
             byte[] bytes = w.bytes();
-            zone.forEach(to -> link.send(to, FleetWatches.this, bytes));
+            zone.forEach(to -> link.send(to, DelegatedWatches.this, bytes));
         }
 
         @Override
-        public void tell(long to, WatchWord w) {
-            link.send(to, FleetWatches.this, w.bytes());
+        public void tell(long to, WatchVersionMessage w) {
+            link.send(to, DelegatedWatches.this, w.bytes());
         }
 
         @Override
--- a/src/main/java/damsonworks/daemon/FleetProbes.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetHealthChecks.java
@@ -1,15 +1,17 @@
-package damsonworks.daemon;
+package cacheproxy.daemon.fleet;
+
+import cacheproxy.daemon.ConfigSnapshot;
 
 import com.google.gson.JsonObject;
-import damsonworks.RoutingApi.Outcome;
-import damsonworks.config.DaemonFile;
-import damsonworks.config.FleetSection;
-import damsonworks.lease.Tenure;
-import damsonworks.proxy.Core;
-import damsonworks.proxy.Dispatcher;
-import damsonworks.trials.TrialDesk;
-import damsonworks.trials.TrialMessage;
-import damsonworks.trials.TrialRules;
+import cacheproxy.policy.PolicyApi.Outcome;
+import cacheproxy.config.DaemonConfig;
+import cacheproxy.config.FleetConfig;
+import cacheproxy.fleet.lease.LeaseHandle;
+import cacheproxy.proxy.EventLoopContext;
+import cacheproxy.proxy.Dispatcher;
+import cacheproxy.fleet.healthcheck.HealthCheckCoordinator;
+import cacheproxy.fleet.healthcheck.HealthCheckMessage;
+import cacheproxy.fleet.healthcheck.HealthCheckTiming;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -17,15 +19,15 @@
 import java.util.Set;
 import java.util.function.Supplier;
 
-/** Tests of servers that seem sick, by one proxy for all: carries what {@link TrialDesk} decides between pools and peers. */
-final class FleetProbes implements FleetUser {
+/** Tests of servers that seem sick, by one proxy for all: carries what {@link HealthCheckCoordinator} decides between pools and peers. */
+final class FleetHealthChecks implements FleetProtocol {
     static final byte TOPIC = 2;
     /** A request that may be a trial is waited for so long: less than the desk waits for the trial's end. */
     private static final double BEGIN_MS = 1.5 * Dispatcher.PROBE_TIMEOUT_MS;
 
-    private final Core core;
+    private final EventLoopContext core;
     private final Link link;
-    private final Supplier<Generation> generation;
+    private final Supplier<ConfigSnapshot> generation;
     private final long numbers;
     /** Pools that wait for word of a server. */
     private final Map<Integer, Set<Dispatcher>> waiting = new HashMap<>();
@@ -36,10 +38,10 @@
     private final Map<Integer, Double> armed = new HashMap<>();
     private boolean requests;
     /** Null while the file has none. */
-    private TrialDesk desk;
+    private HealthCheckCoordinator desk;
 
     /** @param numbers where its questions' numbers begin */
-    FleetProbes(Core core, Link link, Supplier<Generation> generation, long numbers) {
+    FleetHealthChecks(EventLoopContext core, Link link, Supplier<ConfigSnapshot> generation, long numbers) {
         this.core = core;
         this.link = link;
         this.generation = generation;
@@ -52,17 +54,17 @@
     }
 
     @Override
-    public void apply(DaemonFile file, double now) {
-        FleetSection spec = file.part(FleetSection.class);
+    public void apply(DaemonConfig file, double now) {
+        FleetConfig spec = file.part(FleetConfig.class);
         if (spec.probe() == null) {
             close();
             return;
         }
         requests = spec.probe().requests();
-        TrialRules rules = new TrialRules(Dispatcher.PROBE_TIMEOUT_MS, spec.probe().patienceMs(), spec.probe().reuseMs());
-        List<Tenure> shares = spec.probeDuties().stream().map(link::tenure).toList();
+        HealthCheckTiming rules = new HealthCheckTiming(Dispatcher.PROBE_TIMEOUT_MS, spec.probe().patienceMs(), spec.probe().reuseMs());
+        List<LeaseHandle> shares = spec.probeDuties().stream().map(link::tenure).toList();
         if (desk == null) {
-            desk = new TrialDesk(link.me(), numbers, rules, shares, new Out());
+            desk = new HealthCheckCoordinator(link.me(), numbers, rules, shares, new Out());
         } else {
             desk.use(rules, shares);
         }
@@ -123,7 +125,7 @@
 
     @Override
     public void heard(double now, long from, byte[] payload) {
-        TrialMessage m = TrialMessage.of(payload);
+        HealthCheckMessage m = HealthCheckMessage.of(payload);
         if (desk != null && m != null) {
             desk.heard(now, from, m);
         }
@@ -149,7 +151,7 @@
     @Override
     public void tell(JsonObject state) {
         if (desk != null) {
-            TrialDesk.Counts c = desk.counts();
+            HealthCheckCoordinator.Counts c = desk.counts();
             JsonObject o = new JsonObject();
             o.addProperty("own", c.own());
             o.addProperty("for_others", c.forOthers());
@@ -160,10 +162,10 @@
         }
     }
 
-    private final class Out implements TrialDesk.Out {
+    private final class Out implements HealthCheckCoordinator.Out {
         @Override
-        public void send(long to, TrialMessage m) {
-            link.send(to, FleetProbes.this, m.bytes());
+        public void send(long to, HealthCheckMessage m) {
+            link.send(to, FleetHealthChecks.this, m.bytes());
         }
 
         @Override
--- a/src/main/java/damsonworks/daemon/FleetUser.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetProtocol.java
@@ -1,17 +1,17 @@
-package damsonworks.daemon;
+package cacheproxy.daemon.fleet;
 
 import com.google.gson.JsonObject;
-import damsonworks.config.DaemonFile;
-import damsonworks.lease.Tenure;
+import cacheproxy.config.DaemonConfig;
+import cacheproxy.fleet.lease.LeaseHandle;
 
 /** What acts under the program's own duties and talks to its like at the other proxies. On the event loop only. */
-interface FleetUser {
+interface FleetProtocol {
     /** What users have of the fleet. */
     interface Link {
         /** To a peer; to nobody where it is none. */
-        void send(long to, FleetUser from, byte[] payload);
+        void send(long to, FleetProtocol from, byte[] payload);
 
-        Tenure tenure(String duty);
+        LeaseHandle tenure(String duty);
 
         /** This proxy's id among the peers. */
         long me();
@@ -21,7 +21,7 @@
     byte topic();
 
     /** The file counts from now on; the duties that it names are stood for already. */
-    void apply(DaemonFile file, double now);
+    void apply(DaemonConfig file, double now);
 
     void heard(double now, long from, byte[] payload);
 
--- a/src/main/java/damsonworks/daemon/FleetLimits.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetQuotas.java
@@ -1,19 +1,19 @@
-package damsonworks.daemon;
+package cacheproxy.daemon.fleet;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import damsonworks.config.DaemonFile;
-import damsonworks.config.FleetSection;
-import damsonworks.config.LimitsSection;
-import damsonworks.control.Calls.Answer;
-import damsonworks.proxy.Command;
-import damsonworks.proxy.Core;
-import damsonworks.quota.Bounds;
-import damsonworks.quota.Limit;
-import damsonworks.quota.LimitRules;
-import damsonworks.quota.Pocket;
-import damsonworks.quota.Quota;
-import damsonworks.quota.QuotaMessage;
+import cacheproxy.config.DaemonConfig;
+import cacheproxy.config.FleetConfig;
+import cacheproxy.config.LimitsConfig;
+import cacheproxy.control.ControlEndpoints.Answer;
+import cacheproxy.proxy.ClientRequest;
+import cacheproxy.proxy.EventLoopContext;
+import cacheproxy.fleet.quota.OvershootBound;
+import cacheproxy.fleet.quota.QuotaSpec;
+import cacheproxy.fleet.quota.QuotaTiming;
+import cacheproxy.fleet.quota.LocalQuota;
+import cacheproxy.fleet.quota.QuotaManager;
+import cacheproxy.fleet.quota.QuotaMessage;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -23,24 +23,24 @@
 import java.util.SplittableRandom;
 import java.util.function.LongPredicate;
 
-/** The fleet's limits at this proxy: carries what {@link Quota} decides between requests and peers, and tells operators. On the event loop only. */
-final class FleetLimits implements FleetUser {
+/** The fleet's limits at this proxy: carries what {@link QuotaManager} decides between requests and peers, and tells operators. On the event loop only. */
+public final class FleetQuotas implements FleetProtocol {
     static final byte TOPIC = 5;
-    private static final Pocket[] NONE = {};
+    private static final LocalQuota[] NONE = {};
     /** Spent and refused are told over so long. */
     private static final double COUNT_MS = 1000;
 
-    private final Core core;
+    private final EventLoopContext core;
     private final Link link;
     private final SplittableRandom random;
     private final LongPredicate likely;
     private final double startMs;
     /** Null while the file has none. */
-    private Quota quota;
-    private LimitRules rules;
+    private QuotaManager quota;
+    private QuotaTiming rules;
     private int proxies;
     /** By pool, "" for what concerns all: by class and tenant. */
-    private final Map<String, Pocket[][]> pockets = new HashMap<>();
+    private final Map<String, LocalQuota[][]> pockets = new HashMap<>();
     private final Map<String, String> scopes = new HashMap<>();
     private int tenants = 1;
     private boolean hurrying;
@@ -50,7 +50,7 @@
     private final Map<String, Double> alone = new LinkedHashMap<>();
 
     /** @param likely whether a peer may be there */
-    FleetLimits(Core core, Link link, SplittableRandom random, LongPredicate likely) {
+    FleetQuotas(EventLoopContext core, Link link, SplittableRandom random, LongPredicate likely) {
         this.likely = likely;
         this.core = core;
         this.link = link;
@@ -64,27 +64,27 @@
     }
 
     @Override
-    public void apply(DaemonFile file, double now) {
-        FleetSection fleet = file.part(FleetSection.class);
-        LimitsSection spec = fleet.limits();
+    public void apply(DaemonConfig file, double now) {
+        FleetConfig fleet = file.part(FleetConfig.class);
+        LimitsConfig spec = fleet.limits();
         pockets.clear();
         scopes.clear();
         if (spec.limits().isEmpty()) {
             quota = null;
             return;
         }
-        LimitRules figures = new LimitRules(spec.grantMs(), damsonworks.lease.LeaseRules.DRIFT);
+        QuotaTiming figures = new QuotaTiming(spec.grantMs(), cacheproxy.fleet.lease.LeaseTiming.DRIFT);
         if (quota == null || figures.grantMs() != rules.grantMs()) {
             // Other times: what was lent by the old ones is over once the longer of them is, so it begins in silence.
             double from = rules == null ? startMs : now + Math.max(0, rules.grantMs() - figures.grantMs()) * 4;
             rules = figures;
-            quota = new Quota(link.me(), rules, random.split(), from, likely, (to, m) -> link.send(to, this, m.bytes()));
+            quota = new QuotaManager(link.me(), rules, random.split(), from, likely, (to, m) -> link.send(to, this, m.bytes()));
         }
         boolean changing = fleet.peers().stream().anyMatch(p -> p.joining() || p.leaving());
-        boolean owns = fleet.peers().stream().anyMatch(p -> damsonworks.lease.Ids.of(p.name()) == link.me() && !p.joining() && !p.leaving());
+        boolean owns = fleet.peers().stream().anyMatch(p -> cacheproxy.fleet.lease.NameHash.of(p.name()) == link.me() && !p.joining() && !p.leaving());
         proxies = fleet.peers().size();
-        Map<LimitsSection.Limit, List<String>> names = new LinkedHashMap<>();
-        List<Limit> limits = new ArrayList<>();
+        Map<LimitsConfig.Limit, List<String>> names = new LinkedHashMap<>();
+        List<QuotaSpec> limits = new ArrayList<>();
         spec.limits().forEach(l -> names.put(l, new ArrayList<>()));
         names.forEach((l, own) -> {
             if ("*".equals(l.tenant()) && !file.tenants().isEmpty()) {
@@ -98,17 +98,17 @@
             });
         });
         quota.use(limits, spec.duties().stream().map(link::tenure).toList(),
-                fleet.peers().stream().map(p -> damsonworks.lease.Ids.of(p.name())).toList(), proxies, changing, owns, now);
+                fleet.peers().stream().map(p -> cacheproxy.fleet.lease.NameHash.of(p.name())).toList(), proxies, changing, owns, now);
         tenants = Math.max(1, file.tenants().size());
         names.forEach((l, own) -> {
-            Pocket[][] table = pockets.computeIfAbsent(l.pool() == null ? "" : l.pool(), k -> table(file));
+            LocalQuota[][] table = pockets.computeIfAbsent(l.pool() == null ? "" : l.pool(), k -> table(file));
             for (int c = 0; c < file.classes().size(); c++) {
                 for (int t = 0; t < tenants; t++) {
                     boolean mine = (l.serviceClass() == null || file.classIndex(l.serviceClass()) == c)
                             && (l.tenant() == null || l.tenant().equals("*") || file.tenantIndex(l.tenant()) == t);
                     if (mine) {
-                        Pocket[] before = table[c * tenants + t];
-                        Pocket[] more = java.util.Arrays.copyOf(before, before.length + 1);
+                        LocalQuota[] before = table[c * tenants + t];
+                        LocalQuota[] more = java.util.Arrays.copyOf(before, before.length + 1);
                         more[before.length] = quota.pocket(own.get(own.size() > 1 ? t : 0));
                         table[c * tenants + t] = more;
                     }
@@ -117,32 +117,32 @@
         });
     }
 
-    private Pocket[][] table(DaemonFile file) {
-        Pocket[][] table = new Pocket[file.classes().size() * tenants][];
+    private LocalQuota[][] table(DaemonConfig file) {
+        LocalQuota[][] table = new LocalQuota[file.classes().size() * tenants][];
         java.util.Arrays.fill(table, NONE);
         return table;
     }
 
-    private static Limit limit(String name, LimitsSection.Limit l, LimitsSection spec) {
+    private static QuotaSpec limit(String name, LimitsConfig.Limit l, LimitsConfig spec) {
         boolean atOnce = l.atOnce() > 0;
-        return new Limit(name, atOnce, atOnce ? l.atOnce() : l.perSecond(), atOnce ? 0 : l.burst(),
-                Limit.Alone.valueOf(l.whenAlone().toUpperCase(Locale.ROOT)), l.sharePart(), atOnce ? spec.holdMs() : 0);
+        return new QuotaSpec(name, atOnce, atOnce ? l.atOnce() : l.perSecond(), atOnce ? 0 : l.burst(),
+                QuotaSpec.Alone.valueOf(l.whenAlone().toUpperCase(Locale.ROOT)), l.sharePart(), atOnce ? spec.holdMs() : 0);
     }
 
     // ---- requests
 
     /** What a request takes from; empty where no limit concerns it. @param pool "" for the limits that concern all pools */
-    Pocket[] of(String pool, Command c) {
-        Pocket[][] table = pockets.get(pool);
+    public LocalQuota[] of(String pool, ClientRequest c) {
+        LocalQuota[][] table = pockets.get(pool);
         int at = table == null ? 0 : c.serviceClass() * tenants + c.tenant();
         return table == null || at >= table.length ? NONE : table[at];
     }
 
     /** 0: one more may be taken of each; else milliseconds until it is worth coming again. */
-    double ask(Pocket[] of, double now) {
+    public double ask(LocalQuota[] of, double now) {
         double wait = 0;
         boolean hurry = false;
-        for (Pocket p : of) {
+        for (LocalQuota p : of) {
             double own = p.ask(now);
             wait = Math.max(wait, own);
             hurry |= own > 0 && quota != null && quota.hurry(p, now);
@@ -201,7 +201,7 @@
     private void count(double now) {
         double seconds = Math.min(10, (now - countedMs) / 1000);
         countedMs = now;
-        for (Quota.Sight s : quota.sights(now)) {
+        for (QuotaManager.Sight s : quota.sights(now)) {
             long[] c = counted.computeIfAbsent(s.limit().name(), k -> new long[4]);
             c[2] = Math.round((s.spent() - c[0]) / seconds);
             c[3] = Math.round((s.refused() - c[1]) / seconds);
@@ -233,8 +233,8 @@
         return new Answer(200, list.toString());
     }
 
-    private JsonObject json(Quota.Sight s, double now) {
-        Limit l = s.limit();
+    private JsonObject json(QuotaManager.Sight s, double now) {
+        QuotaSpec l = s.limit();
         long[] c = counted.getOrDefault(l.name(), new long[4]);
         JsonObject o = new JsonObject();
         o.addProperty("name", l.name());
@@ -249,8 +249,8 @@
         if (!Double.isNaN(s.aloneSinceMs())) {
             o.addProperty("alone_since_ms", Math.round(now - s.aloneSinceMs()));
         }
-        o.addProperty("over_bound", round(Bounds.over(l, rules, proxies, 1000)));
-        o.addProperty("idle_bound_one_gone", round(Bounds.idle(l, proxies, 1)));
+        o.addProperty("over_bound", round(OvershootBound.over(l, rules, proxies, 1000)));
+        o.addProperty("idle_bound_one_gone", round(OvershootBound.idle(l, proxies, 1)));
         return o;
     }
 
--- a/src/main/java/damsonworks/daemon/FleetPart.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
@@ -1,24 +1,28 @@
-package damsonworks.daemon;
+package cacheproxy.daemon.fleet;
+
+import cacheproxy.daemon.ConfigSnapshot;
+import cacheproxy.daemon.SocketBinder;
+import cacheproxy.daemon.Subsystem;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import damsonworks.RoutingApi.Outcome;
-import damsonworks.config.Addresses;
-import damsonworks.config.ConfigException;
-import damsonworks.config.DaemonFile;
-import damsonworks.config.FleetSection;
-import damsonworks.control.CallHandler;
-import damsonworks.control.Calls.Answer;
-import damsonworks.lease.Duties;
-import damsonworks.lease.Electorate;
-import damsonworks.lease.Ids;
-import damsonworks.lease.LeaseMessage;
-import damsonworks.lease.LeaseRules;
-import damsonworks.lease.LoopHealth;
-import damsonworks.lease.Tenure;
-import damsonworks.peers.Envelope;
-import damsonworks.proxy.Core;
-import damsonworks.proxy.Dispatcher;
+import cacheproxy.policy.PolicyApi.Outcome;
+import cacheproxy.config.Addresses;
+import cacheproxy.config.ConfigException;
+import cacheproxy.config.DaemonConfig;
+import cacheproxy.config.FleetConfig;
+import cacheproxy.control.ControlRequestHandler;
+import cacheproxy.control.ControlEndpoints.Answer;
+import cacheproxy.fleet.lease.LeaseManager;
+import cacheproxy.fleet.lease.VoterSet;
+import cacheproxy.fleet.lease.NameHash;
+import cacheproxy.fleet.lease.LeaseMessage;
+import cacheproxy.fleet.lease.LeaseTiming;
+import cacheproxy.fleet.lease.EventLoopHealth;
+import cacheproxy.fleet.lease.LeaseHandle;
+import cacheproxy.fleet.peer.DatagramEnvelope;
+import cacheproxy.proxy.EventLoopContext;
+import cacheproxy.proxy.Dispatcher;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -40,7 +44,7 @@
  * The socket between the proxies of a fleet, and the duties that one of them holds for all. Decisions are {@code lease}'s and
  * {@code peers}'; this carries messages, calls them in time, and answers operators. On the event loop only.
  */
-final class FleetPart implements Part {
+public final class FleetSubsystem implements Subsystem {
     private static final byte LEASES = 1;
     /** Due times are looked at so often, at the least; by it the loop's lateness is seen, too. */
     private static final double TICK_MS = 20;
@@ -54,22 +58,22 @@
     private static final double ALIVE_MS = 2000;
     private static final int MOST_WATCHED = 256;
 
-    private final Core core;
+    private final EventLoopContext core;
     private final String me;
-    private final LoopHealth health = new LoopHealth(LATE_MS, LATE_OFTEN, LATE_WITHIN_MS);
-    private final Duties duties;
-    private final DutyCalls calls;
-    private final FleetProbes probes;
-    private final FleetWatches watches;
-    private final FleetLists lists;
-    private final FleetMembers members;
-    private final FleetLimits limits;
-    private final List<FleetUser> users;
-    private final Envelope envelope;
+    private final EventLoopHealth health = new EventLoopHealth(LATE_MS, LATE_OFTEN, LATE_WITHIN_MS);
+    private final LeaseManager duties;
+    private final LeaseEndpoints calls;
+    private final FleetHealthChecks probes;
+    private final DelegatedWatches watches;
+    private final PeerListMonitor lists;
+    private final FleetMembership members;
+    private final FleetQuotas limits;
+    private final List<FleetProtocol> users;
+    private final DatagramEnvelope envelope;
     private final Map<Long, InetSocketAddress> addresses = new HashMap<>();
     private final Map<Long, String> names = new HashMap<>();
     private final Map<Long, Double> heardAt = new HashMap<>();
-    private FleetSection spec;
+    private FleetConfig spec;
     private Map<String, Stand> stands = Map.of();
     private volatile Channel channel;
     private double dueMs;
@@ -82,48 +86,48 @@
     private final Set<Long> toldTwins = new HashSet<>();
 
     /** @param silentMs how much longer than for its own longest lease it gives nobody its word */
-    private FleetPart(FleetSection spec, Core core, long seed, double silentMs, Supplier<Generation> generation) {
+    private FleetSubsystem(FleetConfig spec, EventLoopContext core, long seed, double silentMs, Supplier<ConfigSnapshot> generation) {
         this.spec = spec;
         this.core = core;
         me = spec.me();
         double now = core.now();
         SplittableRandom random = new SplittableRandom(seed);
-        duties = new Duties(me, new LeaseRules(spec.longestLeaseMs(), LeaseRules.DRIFT), random.split(), now + silentMs * (1 + LeaseRules.DRIFT),
+        duties = new LeaseManager(me, new LeaseTiming(spec.longestLeaseMs(), LeaseTiming.DRIFT), random.split(), now + silentMs * (1 + LeaseTiming.DRIFT),
                 new Out());
-        calls = new DutyCalls(duties, core::now, Ids.of(me));
+        calls = new LeaseEndpoints(duties, core::now, NameHash.of(me));
         Link link = new Link();
-        probes = new FleetProbes(core, link, generation, random.nextLong());
-        watches = new FleetWatches(core, link, generation, random.split());
-        lists = new FleetLists(core, link, generation);
-        members = new FleetMembers(core, link, random.split());
-        limits = new FleetLimits(core, link, random.split(), members::likely);
+        probes = new FleetHealthChecks(core, link, generation, random.nextLong());
+        watches = new DelegatedWatches(core, link, generation, random.split());
+        lists = new PeerListMonitor(core, link, generation);
+        members = new FleetMembership(core, link, random.split());
+        limits = new FleetQuotas(core, link, random.split(), members::likely);
         users = List.of(probes, watches, lists, members, limits);
-        envelope = new Envelope(Ids.of(me), (long) now, spec.keys().stream().map(k -> k.getBytes(StandardCharsets.UTF_8)).toList(), List.of());
+        envelope = new DatagramEnvelope(NameHash.of(me), (long) now, spec.keys().stream().map(k -> k.getBytes(StandardCharsets.UTF_8)).toList(), List.of());
     }
 
     /** Binds; not on the event loop. */
-    static Part open(DaemonFile file, Part before, Core core, long seed, Supplier<Generation> generation) throws ConfigException, InterruptedException {
-        FleetSection spec = file.part(FleetSection.class);
+    public static Subsystem open(DaemonConfig file, Subsystem before, EventLoopContext core, long seed, Supplier<ConfigSnapshot> generation) throws ConfigException, InterruptedException {
+        FleetConfig spec = file.part(FleetConfig.class);
         if (spec == null) {
             return null;
         }
-        FleetPart old = (FleetPart) before;
-        if (old != null && Binding.same(old.spec.listen(), spec.listen())) {
+        FleetSubsystem old = (FleetSubsystem) before;
+        if (old != null && SocketBinder.same(old.spec.listen(), spec.listen())) {
             old.channel.close().sync(); // there is no second socket at its address
         }
         // What the one before has given its word on may run for its own longest lease.
-        FleetPart part = new FleetPart(spec, core, seed, old == null ? 0 : Math.max(0, old.spec.longestLeaseMs() - spec.longestLeaseMs()),
+        FleetSubsystem part = new FleetSubsystem(spec, core, seed, old == null ? 0 : Math.max(0, old.spec.longestLeaseMs() - spec.longestLeaseMs()),
                 generation);
         part.listen(file);
         return part;
     }
 
-    private void listen(DaemonFile asked) throws ConfigException, InterruptedException {
-        channel = Binding.datagrams(core, asked, "fleet", spec.listen(), Envelope.MOST, new Handler());
+    private void listen(DaemonConfig asked) throws ConfigException, InterruptedException {
+        channel = SocketBinder.datagrams(core, asked, "fleet", spec.listen(), DatagramEnvelope.MOST, new Handler());
     }
 
     @Override
-    public void restore(DaemonFile asked) throws ConfigException, InterruptedException {
+    public void restore(DaemonConfig asked) throws ConfigException, InterruptedException {
         if (!channel.isOpen()) {
             listen(asked);
         }
@@ -131,20 +135,20 @@
 
     /** Peers and duties may change under it; who it is and by what figures it has given its word may not. */
     @Override
-    public boolean fits(DaemonFile file) {
-        FleetSection other = file.part(FleetSection.class);
+    public boolean fits(DaemonConfig file) {
+        FleetConfig other = file.part(FleetConfig.class);
         return other != null && other.me().equals(me) && other.listen().equals(spec.listen()) && other.keys().equals(spec.keys())
                 && other.longestLeaseMs() == spec.longestLeaseMs();
     }
 
     @Override
-    public void apply(DaemonFile file) {
-        spec = file.part(FleetSection.class);
+    public void apply(DaemonConfig file) {
+        spec = file.part(FleetConfig.class);
         addresses.clear();
         names.clear();
         spec.peers().forEach(p -> {
-            addresses.put(Ids.of(p.name()), p.address());
-            names.put(Ids.of(p.name()), p.name());
+            addresses.put(NameHash.of(p.name()), p.address());
+            names.put(NameHash.of(p.name()), p.name());
         });
         envelope.senders(List.copyOf(names.keySet()));
         heardAt.keySet().retainAll(names.keySet());
@@ -153,7 +157,7 @@
         stands.keySet().stream().filter(d -> !wanted.containsKey(d)).forEach(d -> duties.withdraw(d, now));
         stands = wanted;
         duties.tick(now, System.currentTimeMillis());
-        wanted.forEach((name, s) -> duties.stand(name, s.leaseMs, new Electorate(name, spec.names(s.zone), spec.namesBefore(s.zone), s.voters), now));
+        wanted.forEach((name, s) -> duties.stand(name, s.leaseMs, new VoterSet(name, spec.names(s.zone), spec.namesBefore(s.zone), s.voters), now));
         calls.use(names, wanted.keySet());
         users.forEach(u -> u.apply(file, now));
         if (dueMs == 0) {
@@ -165,8 +169,8 @@
     /** What is stood for; @param zone null: by all peers */
     private record Stand(double leaseMs, int voters, String zone) { }
 
-    private static Map<String, Stand> stands(DaemonFile file) {
-        FleetSection f = file.part(FleetSection.class);
+    private static Map<String, Stand> stands(DaemonConfig file) {
+        FleetConfig f = file.part(FleetConfig.class);
         Map<String, Stand> all = new LinkedHashMap<>();
         f.duties().forEach(d -> all.put(d.name(), new Stand(d.leaseMs(), d.voters(), null)));
         f.probeDuties().forEach(d -> all.put(d, new Stand(f.probe().leaseMs(), f.probe().voters(), null)));
@@ -178,8 +182,8 @@
     }
 
     /** Pools that follow a list; beyond the bound each proxy watches by itself. */
-    static List<String> watched(DaemonFile file) {
-        return file.pools().values().stream().filter(p -> p.discovery() != null).map(DaemonFile.Pool::name).limit(MOST_WATCHED).toList();
+    static List<String> watched(DaemonConfig file) {
+        return file.pools().values().stream().filter(p -> p.discovery() != null).map(DaemonConfig.Pool::name).limit(MOST_WATCHED).toList();
     }
 
     private void tick() {
@@ -194,7 +198,7 @@
             duties.able(able, well ? "it reaches no server, and others do" : "its event loop is late", now);
         }
         double next = Math.min(duties.tick(now, System.currentTimeMillis()), now + TICK_MS);
-        for (FleetUser u : users) {
+        for (FleetProtocol u : users) {
             next = Math.min(next, u.tick(now));
         }
         for (long twin : ++ticks % LOOK_TICKS == 0 ? envelope.twins() : List.<Long>of()) {
@@ -210,10 +214,10 @@
     public void drain() {
         draining = true;
         double now = core.now();
-        for (Duties.Sight s : duties.sights(now)) {
+        for (LeaseManager.Sight s : duties.sights(now)) {
             if (s.holding()) {
-                long to = duties.order(s.duty()).stream().filter(p -> p != Ids.of(me) && heardAt.getOrDefault(p, -ALIVE_MS) > now - ALIVE_MS)
-                        .findFirst().orElse(Ids.NOBODY);
+                long to = duties.order(s.duty()).stream().filter(p -> p != NameHash.of(me) && heardAt.getOrDefault(p, -ALIVE_MS) > now - ALIVE_MS)
+                        .findFirst().orElse(NameHash.NOBODY);
                 duties.transfer(s.duty(), to, now, "this process ends");
             }
         }
@@ -233,8 +237,8 @@
     // ---- who acts under duties
 
     /** What answers operators, by the first word of the path. */
-    static Map<String, Supplier<CallHandler>> answers(Supplier<FleetPart> present) {
-        Map<String, Supplier<CallHandler>> answers = new LinkedHashMap<>();
+    public static Map<String, Supplier<ControlRequestHandler>> answers(Supplier<FleetSubsystem> present) {
+        Map<String, Supplier<ControlRequestHandler>> answers = new LinkedHashMap<>();
         answers.put("/duties", () -> present.get() == null ? null : present.get().calls);
         answers.put("/limits", () -> present.get() == null ? null : present.get().limits::call);
         answers.put("/fleet", () -> present.get() == null ? null : present.get()::state);
@@ -262,49 +266,49 @@
     }
 
     /** The fleet's limits at a daemon; null where it is of no fleet. */
-    static FleetLimits limits(FleetPart part) {
+    public static FleetQuotas limits(FleetSubsystem part) {
         return part == null ? null : part.limits;
     }
 
     /** Takes over a test of a server that a pool's module has ordered; false: the pool makes it. */
-    boolean takeProbe(Dispatcher pool, int server) {
+    public boolean takeProbe(Dispatcher pool, int server) {
         return !closed && probes.take(pool, server);
     }
 
     /** Whether a pool's module may send a client's request to a server that seemed sick, as its trial. */
-    boolean mayTry(Dispatcher pool, int server) {
+    public boolean mayTry(Dispatcher pool, int server) {
         return closed || probes.mayTry(pool, server);
     }
 
     /** An attempt of a request has ended. */
-    void attemptEnded(Dispatcher pool, int server, Outcome outcome) {
+    public void attemptEnded(Dispatcher pool, int server, Outcome outcome) {
         probes.attemptEnded(pool, server, outcome);
     }
 
     /** Whether a pool's list is to be watched closely from here. */
-    boolean closely(String pool) {
+    public boolean closely(String pool) {
         return closed || watches.closely(pool);
     }
 
     /** A list has come for a pool. */
-    void have(String pool, long version) {
+    public void have(String pool, long version) {
         watches.have(pool, version);
     }
 
-    private final class Link implements FleetUser.Link {
+    private final class Link implements FleetProtocol.Link {
         @Override
-        public void send(long to, FleetUser from, byte[] payload) {
-            FleetPart.this.send(to, from.topic(), payload);
+        public void send(long to, FleetProtocol from, byte[] payload) {
+            FleetSubsystem.this.send(to, from.topic(), payload);
         }
 
         @Override
-        public Tenure tenure(String duty) {
+        public LeaseHandle tenure(String duty) {
             return duties.tenure(duty);
         }
 
         @Override
         public long me() {
-            return Ids.of(me);
+            return NameHash.of(me);
         }
     }
 
@@ -317,10 +321,10 @@
 
     // ---- messages
 
-    private final class Out implements Duties.Out {
+    private final class Out implements LeaseManager.Out {
         @Override
         public void send(long to, LeaseMessage m) {
-            FleetPart.this.send(to, LEASES, m.bytes());
+            FleetSubsystem.this.send(to, LEASES, m.bytes());
         }
 
         @Override
@@ -351,7 +355,7 @@
             }
             byte[] datagram = ByteBufUtil.getBytes(packet.content());
             // Without keys the address is all that speaks for a sender, so it counts before anything else is believed.
-            Envelope.Opened o = spec.keys().isEmpty() && !packet.sender().equals(addresses.get(Envelope.claimedSender(datagram))) ? null
+            DatagramEnvelope.Opened o = spec.keys().isEmpty() && !packet.sender().equals(addresses.get(DatagramEnvelope.claimedSender(datagram))) ? null
                     : envelope.open(datagram, core.now());
             if (o == null) {
                 refused(packet.sender());
@@ -366,7 +370,7 @@
                 }
                 return;
             }
-            for (FleetUser u : users) {
+            for (FleetProtocol u : users) {
                 if (u.topic() == o.topic()) {
                     u.heard(now, o.sender(), o.payload());
                 }
--- a/src/main/java/damsonworks/daemon/DutyCalls.java
+++ b/src/main/java/cacheproxy/daemon/fleet/LeaseEndpoints.java
@@ -1,11 +1,11 @@
-package damsonworks.daemon;
+package cacheproxy.daemon.fleet;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import damsonworks.control.CallHandler;
-import damsonworks.control.Calls.Answer;
-import damsonworks.lease.Duties;
-import damsonworks.lease.Ids;
+import cacheproxy.control.ControlRequestHandler;
+import cacheproxy.control.ControlEndpoints.Answer;
+import cacheproxy.fleet.lease.LeaseManager;
+import cacheproxy.fleet.lease.NameHash;
 import io.netty.handler.codec.http.QueryStringDecoder;
 import java.util.List;
 import java.util.Map;
@@ -13,14 +13,14 @@
 import java.util.function.DoubleSupplier;
 
 /** What operators ask of duties at the control address. */
-final class DutyCalls implements CallHandler {
-    private final Duties duties;
+final class LeaseEndpoints implements ControlRequestHandler {
+    private final LeaseManager duties;
     private final DoubleSupplier clock;
     private final long me;
     private Map<Long, String> names = Map.of();
     private Set<String> told = Set.of();
 
-    DutyCalls(Duties duties, DoubleSupplier clock, long me) {
+    LeaseEndpoints(LeaseManager duties, DoubleSupplier clock, long me) {
         this.duties = duties;
         this.clock = clock;
         this.me = me;
@@ -53,7 +53,7 @@
         double now = clock.getAsDouble();
         if (transfer) {
             List<String> to = query.parameters().getOrDefault("to", List.of());
-            long id = to.isEmpty() ? Ids.NOBODY : Ids.of(to.get(0));
+            long id = to.isEmpty() ? NameHash.NOBODY : NameHash.of(to.get(0));
             if (!names.containsKey(id) || id == me) {
                 return new Answer(400, "say to=PEER, the name of another proxy");
             }
@@ -67,7 +67,7 @@
     private JsonArray json() {
         JsonArray list = new JsonArray();
         double now = clock.getAsDouble();
-        for (Duties.Sight s : duties.sights(now)) {
+        for (LeaseManager.Sight s : duties.sights(now)) {
             if (!told.contains(s.duty())) {
                 continue;
             }
--- a/src/main/java/damsonworks/daemon/FleetLists.java
+++ b/src/main/java/cacheproxy/daemon/fleet/PeerListMonitor.java
@@ -1,13 +1,15 @@
-package damsonworks.daemon;
+package cacheproxy.daemon.fleet;
+
+import cacheproxy.daemon.ConfigSnapshot;
 
 import com.google.gson.JsonObject;
-import damsonworks.config.DaemonFile;
-import damsonworks.config.FleetSection;
-import damsonworks.lease.Ids;
-import damsonworks.lease.Reach;
-import damsonworks.peers.ListSteps;
-import damsonworks.peers.ListSteps.Standing;
-import damsonworks.proxy.Core;
+import cacheproxy.config.DaemonConfig;
+import cacheproxy.config.FleetConfig;
+import cacheproxy.fleet.lease.NameHash;
+import cacheproxy.fleet.lease.ServerReachability;
+import cacheproxy.fleet.peer.PeerListTransition;
+import cacheproxy.fleet.peer.PeerListTransition.Standing;
+import cacheproxy.proxy.EventLoopContext;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashSet;
@@ -21,7 +23,7 @@
  * Tells the others, one of them a second, by which list of peers this process goes and whether it reaches servers; tells operators of those that
  * go by another list. A process that reaches none where others do is not able to hold duties.
  */
-final class FleetLists implements FleetUser {
+final class PeerListMonitor implements FleetProtocol {
     static final byte TOPIC = 4;
     private static final double EVERY_MS = 1000;
     /** Without a sound server for so long it reaches none; another's word that it does counts for so long. */
@@ -30,11 +32,11 @@
     /** While a file is being taken up by all, they differ for some time. */
     private static final double TELL_AFTER_MS = 10_000;
 
-    private final Core core;
+    private final EventLoopContext core;
     private final Link link;
-    private final Supplier<Generation> generation;
-    private final Reach reach;
-    private final ListSteps steps = new ListSteps();
+    private final Supplier<ConfigSnapshot> generation;
+    private final ServerReachability reach;
+    private final PeerListTransition steps = new PeerListTransition();
     private final Map<Long, String> names = new LinkedHashMap<>();
     private final Map<Long, Double> differsSince = new LinkedHashMap<>();
     private final Set<Long> told = new HashSet<>();
@@ -42,9 +44,9 @@
     private int next;
     private double dueMs = Double.NEGATIVE_INFINITY;
 
-    FleetLists(Core core, Link link, Supplier<Generation> generation) {
+    PeerListMonitor(EventLoopContext core, Link link, Supplier<ConfigSnapshot> generation) {
         this.generation = generation;
-        reach = new Reach(core.now(), OUT_MS, WORD_MS);
+        reach = new ServerReachability(core.now(), OUT_MS, WORD_MS);
         this.core = core;
         this.link = link;
     }
@@ -55,10 +57,10 @@
     }
 
     @Override
-    public void apply(DaemonFile file, double now) {
-        FleetSection spec = file.part(FleetSection.class);
+    public void apply(DaemonConfig file, double now) {
+        FleetConfig spec = file.part(FleetConfig.class);
         names.clear();
-        spec.peers().forEach(p -> names.put(Ids.of(p.name()), p.name()));
+        spec.peers().forEach(p -> names.put(NameHash.of(p.name()), p.name()));
         others = new ArrayList<>(names.keySet());
         others.remove(link.me());
         steps.use(Set.copyOf(spec.names()), Set.copyOf(spec.namesBefore()), Set.copyOf(others));
@@ -68,13 +70,13 @@
 
     @Override
     public void heard(double now, long from, byte[] payload) {
-        if (payload.length != ListSteps.LENGTH + 1) {
+        if (payload.length != PeerListTransition.LENGTH + 1) {
             return;
         }
-        if (payload[ListSteps.LENGTH] == 1) {
+        if (payload[PeerListTransition.LENGTH] == 1) {
             reach.there(now);
         }
-        steps.heard(now, from, Arrays.copyOf(payload, ListSteps.LENGTH));
+        steps.heard(now, from, Arrays.copyOf(payload, PeerListTransition.LENGTH));
         if (steps.of(from, now) != Standing.DIFFERENT) {
             differsSince.remove(from);
             told.remove(from);
@@ -88,14 +90,14 @@
     public double tick(double now) {
         if (now >= dueMs) {
             dueMs = now + EVERY_MS;
-            Generation g = generation.get();
+            ConfigSnapshot g = generation.get();
             boolean reaches = g == null || g.pools.values().stream().anyMatch(p -> p.dispatcher.reachesAny());
             if (reaches) {
                 reach.here(now);
             }
             if (!others.isEmpty()) {
-                byte[] message = Arrays.copyOf(steps.message(), ListSteps.LENGTH + 1);
-                message[ListSteps.LENGTH] = (byte) (reaches ? 1 : 0);
+                byte[] message = Arrays.copyOf(steps.message(), PeerListTransition.LENGTH + 1);
+                message[PeerListTransition.LENGTH] = (byte) (reaches ? 1 : 0);
                 link.send(others.get(next++ % others.size()), this, message);
             }
         }
--- a/src/main/java/damsonworks/daemon/HookRunner.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookExecutor.java
@@ -1,13 +1,13 @@
-package damsonworks.daemon;
-
-import damsonworks.config.HookSection;
-import damsonworks.hooks.HookBreaker;
-import damsonworks.hooks.HookCall;
-import damsonworks.hooks.HookException;
-import damsonworks.hooks.HookInstance;
-import damsonworks.hooks.HookModule;
-import damsonworks.hooks.HookOrders;
-import damsonworks.proxy.Core;
+package cacheproxy.daemon.hooks;
+
+import cacheproxy.config.HookConfig;
+import cacheproxy.hooks.HookBreaker;
+import cacheproxy.hooks.HookCall;
+import cacheproxy.hooks.HookException;
+import cacheproxy.hooks.HookInstance;
+import cacheproxy.hooks.HookModule;
+import cacheproxy.hooks.HookOrders;
+import cacheproxy.proxy.EventLoopContext;
 import java.util.List;
 import java.util.concurrent.ArrayBlockingQueue;
 import java.util.concurrent.CountDownLatch;
@@ -18,12 +18,12 @@
  * A hook at work: its own thread with an instance of its module, and a queue of bounded length, so that no hook waits for
  * another and none for the event loop. A call that is not done in time is answered as failed whatever it still does.
  */
-final class HookRunner {
+public final class HookExecutor {
     /** Deep enough for any honest hook; a module that recurses without end runs into it. */
     private static final long STACK_BYTES = 512 << 10;
     private static final long START_SECONDS = 10;
 
-    final HookSection.Hook spec;
+    public final HookConfig.Hook spec;
     final HookBreaker breaker;
     private final HookModule module;
     private final ArrayBlockingQueue<Task> queue;
@@ -82,7 +82,7 @@
         }
     }
 
-    private HookRunner(HookSection.Hook spec, HookModule module, HookInstance first) {
+    private HookExecutor(HookConfig.Hook spec, HookModule module, HookInstance first) {
         this.spec = spec;
         this.module = module;
         instance = first;
@@ -94,7 +94,7 @@
     }
 
     /** Loads and starts a hook; not on the event loop. {@code on_load} has a thread of its own that is not waited for long. */
-    static HookRunner start(HookSection.Hook spec, byte[] bytes) throws HookException {
+    static HookExecutor start(HookConfig.Hook spec, byte[] bytes) throws HookException {
         HookModule module = HookModule.load(bytes, spec.limits(), spec.config());
         HookInstance[] first = new HookInstance[1];
         HookException[] failed = new HookException[1];
@@ -122,7 +122,7 @@
         if (failed[0] != null) {
             throw failed[0];
         }
-        return new HookRunner(spec, module, first[0]);
+        return new HookExecutor(spec, module, first[0]);
     }
 
     void begin() {
@@ -173,7 +173,7 @@
                 logged(instance == null ? List.of() : instance.lastLog());
                 instance = null; // what it has left behind is in no known state
             } catch (RuntimeException | Error e) {
-                failure = "the host failed: " + HookRunner.text(e);
+                failure = "the host failed: " + HookExecutor.text(e);
                 instance = null;
             }
             boolean first;
@@ -193,7 +193,7 @@
 
     private volatile java.util.function.Consumer<String> log = line -> { };
 
-    void log(Core core) {
+    void log(EventLoopContext core) {
         log = line -> {
             if (core.takesLines()) { // a hook that writes without end would keep the loop busy with lines that it drops
                 core.loop().execute(() -> core.log(line));
@@ -205,7 +205,7 @@
         lines.forEach(l -> log.accept("hook " + spec.name() + ": " + l));
     }
 
-    void stop() {
+    public void stop() {
         stopping = true;
         worker.interrupt();
     }
--- a/src/main/java/damsonworks/daemon/HookedRequest.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookedRequest.java
@@ -1,15 +1,19 @@
-package damsonworks.daemon;
-
-import damsonworks.RoutingApi.ServiceClass;
-import damsonworks.hooks.HookCall;
-import damsonworks.hooks.HookOrders;
-import damsonworks.proxy.Command;
-import damsonworks.proxy.Core;
-import damsonworks.proxy.RequestHandler;
-import damsonworks.proxy.Responder;
-import damsonworks.proxy.Timers;
-import damsonworks.routes.Route;
-import damsonworks.routes.Subject;
+package cacheproxy.daemon.hooks;
+
+import cacheproxy.daemon.ConfigSnapshot;
+import cacheproxy.daemon.ResponseObserver;
+import cacheproxy.daemon.Router;
+
+import cacheproxy.policy.PolicyApi.ServiceClass;
+import cacheproxy.hooks.HookCall;
+import cacheproxy.hooks.HookOrders;
+import cacheproxy.proxy.ClientRequest;
+import cacheproxy.proxy.EventLoopContext;
+import cacheproxy.proxy.RequestHandler;
+import cacheproxy.proxy.Responder;
+import cacheproxy.proxy.TimerWheel;
+import cacheproxy.routes.Route;
+import cacheproxy.routes.RouteInput;
 import java.util.IdentityHashMap;
 import java.util.List;
 import java.util.Map;
@@ -22,44 +26,44 @@
  * other requests. It is in one hand at a time: the loop's at first, then that of the task which is out, whose end is told
  * once, by the hook's thread or, when its time is over, by the loop. Answers and routing are the loop's again.
  */
-final class HookedRequest implements RequestHandler.Handle {
+public final class HookedRequest implements RequestHandler.Handle {
     /** What a hook may take of the time that is left. */
     private static final double PART = 0.5;
     /** A call whose time is over and whose end is just being told elsewhere is looked at again after so long. */
     private static final double LOOK_AGAIN_MS = 1;
 
-    private final Core core;
+    private final EventLoopContext core;
     private final Router router;
-    private final Generation generation;
-    private final List<HookRunner> hooks;
+    private final ConfigSnapshot generation;
+    private final List<HookExecutor> hooks;
     private final String listener;
     private final Responder responder;
     private final int sentClass;
     /** What each of those that want to be told of the answer was asked. */
-    private final Map<HookRunner, HookCall> asked = new IdentityHashMap<>(2);
-    private Command command;
+    private final Map<HookExecutor, HookCall> asked = new IdentityHashMap<>(2);
+    private ClientRequest command;
     private Route named;
     private int at;
     /** The call that is out; its time is watched by the loop. */
-    private volatile HookRunner.Task out;
-    private Timers.Timer watch;
+    private volatile HookExecutor.Task out;
+    private TimerWheel.Timer watch;
     private volatile boolean gone;
     private RequestHandler.Handle routed;
 
-    HookedRequest(Core core, Router router, Generation generation, List<HookRunner> hooks, String listener,
-            Command command, Responder responder) {
+    public HookedRequest(EventLoopContext core, Router router, ConfigSnapshot generation, List<HookExecutor> hooks, String listener,
+            ClientRequest command, Responder responder) {
         this.core = core;
         this.router = router;
         this.generation = generation;
         this.hooks = hooks;
         this.listener = listener;
         this.command = command;
-        this.responder = hooks.stream().anyMatch(HookRunner::wantsAnswers) ? new AnswerTap(responder, this::answered) : responder;
+        this.responder = hooks.stream().anyMatch(HookExecutor::wantsAnswers) ? new ResponseObserver(responder, this::answered) : responder;
         sentClass = command.serviceClass();
         generation.inHand++;
     }
 
-    RequestHandler.Handle start() {
+    public RequestHandler.Handle start() {
         double shortest = hooks.stream().mapToDouble(h -> h.spec.limits().timeMs()).min().orElse(0);
         watch(Math.min(shortest, (command.dueMs() - core.now()) * PART));
         next();
@@ -69,7 +73,7 @@
     /** One timer for all calls: set for the earliest that any may end, and again for the one that is out by then. */
     private void watch(double afterMs) {
         watch = core.after(Math.max(LOOK_AGAIN_MS, afterMs), () -> {
-            HookRunner.Task t = out;
+            HookExecutor.Task t = out;
             double left = t == null ? 0 : t.untilMs - core.now();
             watch(left); // before its end is told, which may be the last
             if (t != null && left <= 0) {
@@ -89,7 +93,7 @@
 
     private void next() {
         while (at < hooks.size()) {
-            HookRunner hook = hooks.get(at);
+            HookExecutor hook = hooks.get(at);
             if (!hook.spec.routes().isEmpty() && !core.loop().inEventLoop()) {
                 core.loop().execute(this::next); // routes are looked up there alone
                 return;
@@ -117,7 +121,7 @@
             if (hook.wantsAnswers()) {
                 asked.put(hook, call);
             }
-            HookRunner.Task task = hook.task(call, now + Math.min(hook.spec.limits().timeMs(), left * PART),
+            HookExecutor.Task task = hook.task(call, now + Math.min(hook.spec.limits().timeMs(), left * PART),
                     (orders, failure, run) -> ended(hook, orders, failure, run));
             out = task;
             if (task.offer()) {
@@ -143,8 +147,8 @@
     }
 
     /** Whether the request would go on one of the hook's routes as it is now. */
-    private boolean applies(HookRunner hook) {
-        Subject s = generation.file.keys().subject(listener, command.key(), command.serviceClass(), command.tenant(),
+    private boolean applies(HookExecutor hook) {
+        RouteInput s = generation.file.keys().subject(listener, command.key(), command.serviceClass(), command.tenant(),
                 command.write());
         Route r = named != null ? named : s == null ? null : generation.file.routes().find(s);
         return r != null && hook.spec.routes().contains(r.name());
@@ -156,7 +160,7 @@
     }
 
     /** Where a hook fails: true if that ends the request. */
-    private boolean failed(HookRunner hook) {
+    private boolean failed(HookExecutor hook) {
         if (hook.spec.refuse()) {
             refuse(hook.spec.refuseMs());
             return true;
@@ -164,14 +168,14 @@
         return false;
     }
 
-    private void note(HookRunner hook, double now, boolean failure, String why) {
+    private void note(HookExecutor hook, double now, boolean failure, String why) {
         if (hook.breaker.ended(now, failure)) {
             onLoop(() -> core.log("hook " + hook.spec.name() + " is switched off for " + Math.round(hook.spec.breakerOffMs())
                     + " ms, as too many calls fail; the last: " + why));
         }
     }
 
-    private void ended(HookRunner hook, HookOrders orders, String failure, boolean run) {
+    private void ended(HookExecutor hook, HookOrders orders, String failure, boolean run) {
         double now = core.now();
         double left = command.dueMs() - now;
         String why = failure != null ? failure : generation.rules.refused(orders, sentClass, (long) Math.max(0, left));
--- a/src/main/java/damsonworks/daemon/Hooks.java
+++ b/src/main/java/cacheproxy/daemon/hooks/Hooks.java
@@ -1,10 +1,10 @@
-package damsonworks.daemon;
+package cacheproxy.daemon.hooks;
 
-import damsonworks.config.ConfigException;
-import damsonworks.config.DaemonFile;
-import damsonworks.config.HookSection;
-import damsonworks.hooks.HookException;
-import damsonworks.hooks.HookModule;
+import cacheproxy.config.ConfigException;
+import cacheproxy.config.DaemonConfig;
+import cacheproxy.config.HookConfig;
+import cacheproxy.hooks.HookException;
+import cacheproxy.hooks.HookModule;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.NoSuchFileException;
@@ -18,12 +18,12 @@
     private Hooks() { }
 
     /** Not on the event loop: reads files and compiles. */
-    static List<HookRunner> load(DaemonFile file) throws ConfigException {
-        List<HookRunner> all = new ArrayList<>();
+    static List<HookExecutor> load(DaemonConfig file) throws ConfigException {
+        List<HookExecutor> all = new ArrayList<>();
         List<String> faults = new ArrayList<>();
-        for (HookSection.Hook h : HookSection.of(file)) {
+        for (HookConfig.Hook h : HookConfig.of(file)) {
             try {
-                all.add(HookRunner.start(h, read(h)));
+                all.add(HookExecutor.start(h, read(h)));
             } catch (HookException e) {
                 faults.add(h.at() + ": hook " + h.name() + " does not load: " + e.getMessage());
             }
@@ -35,11 +35,11 @@
     }
 
     /** Whether all hooks of a file load; the exception has a line for each that does not. */
-    public static void check(DaemonFile file) throws ConfigException {
+    public static void check(DaemonConfig file) throws ConfigException {
         load(file);
     }
 
-    private static byte[] read(HookSection.Hook h) throws HookException {
+    private static byte[] read(HookConfig.Hook h) throws HookException {
         byte[] bytes;
         try {
             if (Files.isDirectory(h.module()) || Files.size(h.module()) > MAX_BYTES) {
--- a/src/main/java/damsonworks/daemon/MemoryKeeper.java
+++ b/src/main/java/cacheproxy/daemon/snapshot/SnapshotSubsystem.java
@@ -1,15 +1,19 @@
-package damsonworks.daemon;
-
-import damsonworks.config.Addresses;
-import damsonworks.config.DaemonFile;
-import damsonworks.config.MemorySection;
-import damsonworks.knowledge.Recollection;
-import damsonworks.limits.Births;
-import damsonworks.memory.MemoryFiles;
-import damsonworks.memory.MemoryWriter;
-import damsonworks.proxy.Core;
-import damsonworks.proxy.DiscoveryClient;
-import damsonworks.proxy.Dispatcher;
+package cacheproxy.daemon.snapshot;
+
+import cacheproxy.daemon.PoolRuntime;
+import cacheproxy.daemon.PoolSettings;
+import cacheproxy.daemon.Subsystem;
+
+import cacheproxy.config.Addresses;
+import cacheproxy.config.DaemonConfig;
+import cacheproxy.config.SnapshotConfig;
+import cacheproxy.snapshot.state.StateSnapshot;
+import cacheproxy.limits.ServerStartTimes;
+import cacheproxy.snapshot.SnapshotStore;
+import cacheproxy.snapshot.SnapshotWriter;
+import cacheproxy.proxy.EventLoopContext;
+import cacheproxy.proxy.DiscoveryClient;
+import cacheproxy.proxy.Dispatcher;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -24,32 +28,32 @@
  * Keeps what the modules learn in a file, where one is configured, and gives it to modules that start. Reading is done before the daemon
  * begins, writing on a thread of its own; the event loop only puts together what is to be written.
  */
-final class MemoryKeeper implements Part {
+public final class SnapshotSubsystem implements Subsystem {
     /** What a last write may take at the end of the process; the clients have had their answers by then. */
     private static final long FINISH_MS = 1000;
     /** A sibling's knowledge is of the same servers, but not from where this proxy stands. */
     static final double SIBLING_TRUST = 0.5;
 
-    private final MemorySection spec;
-    private final Core core;
-    private final IntFunction<Recollection> snapshot;
+    private final SnapshotConfig spec;
+    private final EventLoopContext core;
+    private final IntFunction<StateSnapshot> snapshot;
     /** Null where nothing is written. */
-    private volatile MemoryWriter writer;
-    private MemoryFiles files;
+    private volatile SnapshotWriter writer;
+    private SnapshotStore files;
     private volatile boolean ended;
     /** Null: nothing is remembered. */
-    private Recollection remembered;
+    private StateSnapshot remembered;
     private double trust = 1;
-    private final DaemonFile file;
+    private final DaemonConfig file;
     private Future<?> ticks;
 
-    private MemoryKeeper(DaemonFile file, Core core, IntFunction<Recollection> snapshot, MemoryFiles files) {
-        spec = file.part(MemorySection.class);
+    private SnapshotSubsystem(DaemonConfig file, EventLoopContext core, IntFunction<StateSnapshot> snapshot, SnapshotStore files) {
+        spec = file.part(SnapshotConfig.class);
         this.file = file;
         this.core = core;
         this.snapshot = snapshot;
         this.files = files;
-        MemoryFiles.Found found = files == null ? null : files.read();
+        SnapshotStore.Found found = files == null ? null : files.read();
         if (found != null) {
             found.notes().forEach(n -> core.log("memory: " + n));
             use(found.content(), false, spec.path().toString());
@@ -61,7 +65,7 @@
     }
 
     private void write() {
-        writer = files == null ? null : new MemoryWriter(files, spec.bytesPerSecond(), line -> core.loop().execute(() -> core.log(line)));
+        writer = files == null ? null : new SnapshotWriter(files, spec.bytesPerSecond(), line -> core.loop().execute(() -> core.log(line)));
     }
 
     /**
@@ -70,28 +74,28 @@
      * @param snapshot what is to be remembered, with at most so many hot keys a pool; called on the event loop
      * @param sibling whose memory counts where there is none of one's own; null: nobody's
      */
-    static Part open(DaemonFile file, Part before, Core core, IntFunction<Recollection> snapshot, Path sibling) {
-        MemorySection spec = file.part(MemorySection.class);
+    public static Subsystem open(DaemonConfig file, Subsystem before, EventLoopContext core, IntFunction<StateSnapshot> snapshot, Path sibling) {
+        SnapshotConfig spec = file.part(SnapshotConfig.class);
         if (spec == null && sibling == null) {
             return null;
         }
-        MemoryKeeper old = (MemoryKeeper) before;
+        SnapshotSubsystem old = (SnapshotSubsystem) before;
         if (old != null && spec != null && old.spec != null && old.spec.path().equals(spec.path())) {
             old.end(); // both would write there
         }
-        MemoryKeeper keeper = new MemoryKeeper(file, core, snapshot, spec == null ? null : lock(spec, core));
+        SnapshotSubsystem keeper = new SnapshotSubsystem(file, core, snapshot, spec == null ? null : lock(spec, core));
         keeper.remember(sibling);
         return keeper;
     }
 
     /** Null, and told in the log, where they can't be had. */
-    private static MemoryFiles lock(MemorySection spec, Core core) {
-        MemoryFiles files = MemoryFiles.at(spec.path());
+    private static SnapshotStore lock(SnapshotConfig spec, EventLoopContext core) {
+        SnapshotStore files = SnapshotStore.at(spec.path());
         String why;
         try {
             why = files.lock() ? null : "another process keeps its memory there; give each a path of its own";
         } catch (IOException e) {
-            why = MemoryFiles.reason(e);
+            why = SnapshotStore.reason(e);
         }
         if (why != null) {
             core.log("memory: can't use " + spec.path() + ": " + why + "; goes on without");
@@ -100,12 +104,12 @@
     }
 
     @Override
-    public boolean fits(DaemonFile other) {
-        return java.util.Objects.equals(spec, other.part(MemorySection.class));
+    public boolean fits(DaemonConfig other) {
+        return java.util.Objects.equals(spec, other.part(SnapshotConfig.class));
     }
 
     @Override
-    public void restore(DaemonFile asked) {
+    public void restore(DaemonConfig asked) {
         if (ended && spec != null) {
             ended = false;
             files = lock(spec, core);
@@ -121,7 +125,7 @@
         if (sibling == null) {
             return;
         }
-        MemoryFiles.Found found = MemoryFiles.at(sibling).read();
+        SnapshotStore.Found found = SnapshotStore.at(sibling).read();
         found.notes().forEach(n -> core.log("memory: " + n));
         if (remembered != null) {
             core.log("memory: " + sibling + " is not needed, this proxy's own is there");
@@ -132,7 +136,7 @@
         }
     }
 
-    private void use(Recollection content, boolean another, String path) {
+    private void use(StateSnapshot content, boolean another, String path) {
         String unfit = content == null ? null : content.unfit(file.site().name(), file.site().me(), core.now(), another);
         if (unfit != null) {
             core.log("memory: " + path + " is not used: " + unfit);
@@ -145,39 +149,39 @@
     }
 
     /** What a pool's module is to be given; null: nothing. */
-    Dispatcher.Recollections recollections(DaemonFile of, DaemonFile.Pool pool) {
+    public Dispatcher.Recollections recollections(DaemonConfig of, DaemonConfig.Pool pool) {
         return remembered == null ? null : from(remembered, trust, of, pool);
     }
 
     /** What the module of a pool that is replaced hands to the one that takes its place. */
-    static Dispatcher.Recollections handOver(DaemonFile of, DaemonFile.Pool pool, PoolRunner from, double now) {
-        Recollection r = new Recollection(of.site().name(), of.site().me(), now, 0,
+    public static Dispatcher.Recollections handOver(DaemonConfig of, DaemonConfig.Pool pool, PoolRuntime from, double now) {
+        StateSnapshot r = new StateSnapshot(of.site().name(), of.site().me(), now, 0,
                 Map.of(pool.name(), from.learned(Integer.MAX_VALUE)), List.of());
         return from(r, 1, of, pool);
     }
 
-    private static Dispatcher.Recollections from(Recollection r, double trust, DaemonFile of, DaemonFile.Pool pool) {
+    private static Dispatcher.Recollections from(StateSnapshot r, double trust, DaemonConfig of, DaemonConfig.Pool pool) {
         String keyScheme = PoolSettings.keyScheme(of, pool);
         return (now, servers) -> {
-            List<Recollection.Present> present = new ArrayList<>();
+            List<StateSnapshot.Present> present = new ArrayList<>();
             for (DiscoveryClient.Host h : servers) {
-                present.add(new Recollection.Present(h.member().id(), Addresses.text(h.dial()), h.member().bornMs()));
+                present.add(new StateSnapshot.Present(h.member().id(), Addresses.text(h.dial()), h.member().bornMs()));
             }
             return r.left(pool.name(), keyScheme, now, trust, present);
         };
     }
 
     /** Gives back what is remembered of starts. */
-    void births(Births to, double now) {
+    public void births(ServerStartTimes to, double now) {
         if (remembered != null) {
             remembered.births(now, addresses(file)).forEach(b -> to.recall(b.id(), b.bornMs(), b.down(), now));
         }
     }
 
     /** Where the servers that a file names stand. */
-    static Map<Integer, String> addresses(DaemonFile file) {
+    public static Map<Integer, String> addresses(DaemonConfig file) {
         Map<Integer, String> addresses = new HashMap<>();
-        for (DaemonFile.Pool p : file.pools().values()) {
+        for (DaemonConfig.Pool p : file.pools().values()) {
             PoolSettings.all(p).stream().filter(s -> s.dial() != null).forEach(s -> addresses.put(s.id(), Addresses.text(s.dial())));
         }
         return addresses;
@@ -185,7 +189,7 @@
 
     /** Begins to write, if it has not. */
     @Override
-    public void apply(DaemonFile other) {
+    public void apply(DaemonConfig other) {
         if (writer != null && ticks == null) {
             ticks = core.loop().scheduleWithFixedDelay(this::offer, Math.round(spec.periodMs()),
                     Math.round(spec.periodMs()), TimeUnit.MILLISECONDS);
@@ -199,7 +203,7 @@
     }
 
     /** Files written and bytes in all, for measurements. */
-    long[] written() {
+    public long[] written() {
         return writer == null ? new long[2] : new long[] {writer.writes(), writer.bytes()};
     }
 
@@ -208,7 +212,7 @@
     public void finish() {
         if (writer != null && ticks != null) {
             ticks.cancel(false);
-            Recollection last = core.loop().submit(() -> snapshot.apply(spec.keys())).syncUninterruptibly().getNow();
+            StateSnapshot last = core.loop().submit(() -> snapshot.apply(spec.keys())).syncUninterruptibly().getNow();
             try {
                 writer.finish(last, FINISH_MS);
             } catch (InterruptedException e) {
--- a/src/main/java/damsonworks/membership/SharedWatch.java
+++ b/src/main/java/cacheproxy/discovery/DelegatedWatch.java
@@ -1,7 +1,7 @@
-package damsonworks.membership;
+package cacheproxy.discovery;
 
-import damsonworks.lease.EpochGuard;
-import damsonworks.lease.Tenure;
+import cacheproxy.fleet.lease.FencingTokenCheck;
+import cacheproxy.fleet.lease.LeaseHandle;
 import java.util.SplittableRandom;
 
 /**
@@ -14,7 +14,7 @@
  * beat more; after the holder's end, one and a half times the word's time; where the holder's own watch has fallen silent, or word
  * came late by a link's delay, the time between two rare calls.
  */
-public final class SharedWatch {
+public final class DelegatedWatch {
     /**
      * Times in milliseconds.
      *
@@ -34,9 +34,9 @@
     /** What it orders. */
     public interface Out {
         /** Tells all of the zone. */
-        void tell(WatchWord w);
+        void tell(WatchVersionMessage w);
 
-        void tell(long to, WatchWord w);
+        void tell(long to, WatchVersionMessage w);
 
         /** A call is to be out at all times from now on, or no longer. */
         void closely(boolean on);
@@ -48,10 +48,10 @@
     private static final double SPREAD = 0.5;
     private static final double LAZY_SPREAD = 0.25;
 
-    private final Tenure tenure;
+    private final LeaseHandle tenure;
     private final SplittableRandom random;
     private final Out out;
-    private final EpochGuard guard = new EpochGuard();
+    private final FencingTokenCheck guard = new FencingTokenCheck();
     private final double spread;
     private Rules rules;
     private boolean close = true;
@@ -64,7 +64,7 @@
     private double nextLaterMs = Double.NEGATIVE_INFINITY;
     private double askAtMs = Double.POSITIVE_INFINITY;
 
-    public SharedWatch(Tenure tenure, Rules rules, SplittableRandom random, Out out) {
+    public DelegatedWatch(LeaseHandle tenure, Rules rules, SplittableRandom random, Out out) {
         this.tenure = tenure;
         this.rules = rules;
         this.random = random;
@@ -104,11 +104,11 @@
         long epoch = tenure.permit(now, 0);
         if (epoch >= 0) {
             nextBeatMs = now + rules.beatMs();
-            out.tell(new WatchWord(false, tenure.id(), epoch, ++beats, version));
+            out.tell(new WatchVersionMessage(false, tenure.id(), epoch, ++beats, version));
         }
     }
 
-    public void heard(double now, long from, WatchWord w) {
+    public void heard(double now, long from, WatchVersionMessage w) {
         if (w.duty() != tenure.id()) {
             return;
         }
@@ -130,7 +130,7 @@
             askAtMs = Math.min(askAtMs, now + random.nextDouble() * rules.gatherMs());
         } else if (w.version() < version && now >= nextLaterMs) {
             nextLaterMs = now + rules.beatMs();
-            out.tell(from, new WatchWord(true, w.duty(), 0, 0, version));
+            out.tell(from, new WatchVersionMessage(true, w.duty(), 0, 0, version));
         }
         change(now);
     }
--- a/src/main/java/damsonworks/membership/ListFreshness.java
+++ b/src/main/java/cacheproxy/discovery/DiscoveryPollScheduler.java
@@ -1,4 +1,4 @@
-package damsonworks.membership;
+package cacheproxy.discovery;
 
 import java.util.SplittableRandom;
 
@@ -15,7 +15,7 @@
  *
  * <p>Free of I/O and clocks; times are milliseconds on the caller's clock. Holds a few figures, nothing that grows.
  */
-public final class ListFreshness {
+public final class DiscoveryPollScheduler {
     /** A change counts as told so long after discovery had it and could be reached. */
     public static final double BOUND_MS = 6000;
     /** What a call waits for news: with the limit of one that answers within a second, and another's answer, under the bound. */
@@ -66,7 +66,7 @@
      * @param asked whether discovery is one service for all; else it is an agent of our own machine, which calls cost nothing
      * @param callers how many proxies call it, this one among them
      */
-    public ListFreshness(boolean asked, int callers, SplittableRandom random) {
+    public DiscoveryPollScheduler(boolean asked, int callers, SplittableRandom random) {
         mostRetryMs = asked ? Math.max(LEAST_RETRY_MS, Math.min(MOST_RETRY_MS, RETRY_A_CALLER_MS * callers)) : LEAST_RETRY_MS;
         this.random = random;
     }
--- a/src/main/java/damsonworks/membership/ListDoubt.java
+++ b/src/main/java/cacheproxy/discovery/SilentWatchDetector.java
@@ -1,7 +1,7 @@
-package damsonworks.membership;
+package cacheproxy.discovery;
 
-import damsonworks.RoutingApi.Member;
-import damsonworks.RoutingApi.State;
+import cacheproxy.policy.PolicyApi.Member;
+import cacheproxy.policy.PolicyApi.State;
 import java.util.Collection;
 import java.util.HashSet;
 import java.util.Set;
@@ -14,7 +14,7 @@
  * <ul><li>Servers that are ready on the list and refuse connections. Discovery sees within its notice that a process has
  * ended; where it says nothing for longer, it is not heard. Many at once are hardly chance, and are not waited for that
  * long. Each call that brought no change of theirs doubles the wait for the next, as a server may stay down and listed.
- * <li>Another proxy that has a later version ({@link ListNews}). Each call that does not bring it doubles the wait, and after
+ * <li>Another proxy that has a later version ({@link VersionGossip}). Each call that does not bring it doubles the wait, and after
  * {@link #MOST_CALLS} it is taken for false: then no version is believed for a while, so that a false one costs few calls.
  * </ul>
  *
@@ -22,7 +22,7 @@
  *
  * <p>Holds at most two entries a listed server. Times are milliseconds on the caller's clock.
  */
-public final class ListDoubt {
+public final class SilentWatchDetector {
     /** Calls for a version that only others have. */
     static final int MOST_CALLS = 4;
     /** How often a wait is doubled at most, and for how many notices no version is believed after a false one. */
@@ -52,7 +52,7 @@
      * @param quickMs the same where many have ended, or where another proxy was told
      * @param delayMs added to both: another at each proxy
      */
-    public ListDoubt(double noticeMs, double quickMs, double delayMs) {
+    public SilentWatchDetector(double noticeMs, double quickMs, double delayMs) {
         this.noticeMs = noticeMs;
         this.quickMs = quickMs;
         this.delayMs = delayMs;
--- a/src/main/java/damsonworks/membership/WatchWord.java
+++ b/src/main/java/cacheproxy/discovery/WatchVersionMessage.java
@@ -1,4 +1,4 @@
-package damsonworks.membership;
+package cacheproxy.discovery;
 
 import java.nio.ByteBuffer;
 
@@ -11,7 +11,7 @@
  * @param beat grows with each word under an epoch, so that late ones are known
  * @param version of the list that the sender has
  */
-public record WatchWord(boolean later, long duty, long epoch, long beat, long version) {
+public record WatchVersionMessage(boolean later, long duty, long epoch, long beat, long version) {
     public static final int LENGTH = 33;
 
     public byte[] bytes() {
@@ -19,12 +19,12 @@
     }
 
     /** Null if these bytes are none. */
-    public static WatchWord of(byte[] bytes) {
+    public static WatchVersionMessage of(byte[] bytes) {
         if (bytes.length != LENGTH || bytes[0] < 0 || bytes[0] > 1) {
             return null;
         }
         ByteBuffer b = ByteBuffer.wrap(bytes);
-        WatchWord w = new WatchWord(b.get() == 1, b.getLong(), b.getLong(), b.getLong(), b.getLong());
+        WatchVersionMessage w = new WatchVersionMessage(b.get() == 1, b.getLong(), b.getLong(), b.getLong(), b.getLong());
         return w.epoch < 0 || w.beat < 0 ? null : w;
     }
 }
--- a/src/main/java/damsonworks/eventlog/EventLog.java
+++ b/src/main/java/cacheproxy/eventlog/EventLog.java
@@ -1,4 +1,4 @@
-package damsonworks.eventlog;
+package cacheproxy.eventlog;
 
 import java.io.PrintStream;
 import java.util.ArrayDeque;
--- a/src/main/java/damsonworks/standin/Demo.java
+++ b/src/main/java/cacheproxy/fakes/Demo.java
@@ -1,6 +1,6 @@
-package damsonworks.standin;
+package cacheproxy.fakes;
 
-import damsonworks.standin.LoadClient.Ask;
+import cacheproxy.fakes.LoadClient.Ask;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.List;
@@ -16,7 +16,7 @@
     private Demo() { }
 
     /** A daemon's file for this fleet, on an ephemeral port; every kind of request of the README is in it. */
-    public static String file(StandInFleet fleet) {
+    public static String file(FakeFleet fleet) {
         return String.join("\n", "[site]", "name = \"demo\"", "warm_up_ms = 2000", "",
                 "[[class]]", "name = \"page\"", "effect = \"safe\"", "aim_ms = 250", "deadline_ms = 1000", "",
                 "[[class]]", "name = \"publish\"", "effect = \"keyed\"", "window_ms = 1500", "aim_ms = 500",
@@ -31,11 +31,11 @@
     }
 
     /** As after some hours: the nodes hold nineteen in twenty of the pages, whichever of them is asked. */
-    public static void warm(StandInFleet fleet) {
+    public static void warm(FakeFleet fleet) {
         for (int i = 0; i < KEYS; i++) {
             if (i % 20 != 19) {
                 String key = "page/" + i;
-                byte[] value = StandInOrigin.value(key).getBytes(StandardCharsets.ISO_8859_1);
+                byte[] value = FakeOrigin.value(key).getBytes(StandardCharsets.ISO_8859_1);
                 fleet.nodes.forEach(n -> n.store(key, value));
             }
         }
@@ -51,7 +51,7 @@
             double u = random.nextDouble();
             String key = "page/" + (random.nextInt(10) == 0 ? 0 : (int) (u * u * KEYS));
             if (kind < 95) {
-                asks.add(new Ask(key, "c=page", null, StandInOrigin.value(key)));
+                asks.add(new Ask(key, "c=page", null, FakeOrigin.value(key)));
             } else if (kind < 98) {
                 asks.add(new Ask("submit/" + i, "c=submit", "submit-" + i, null));
             } else {
--- a/src/main/java/damsonworks/standin/Ledger.java
+++ b/src/main/java/cacheproxy/fakes/EffectLedger.java
@@ -1,4 +1,4 @@
-package damsonworks.standin;
+package cacheproxy.fakes;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -8,7 +8,7 @@
  * Counts what has taken effect, at all stand-ins together. A write is known by its idempotency key, or by the
  * client's own mark in the value where it has none. Thread-safe.
  */
-public final class Ledger {
+public final class EffectLedger {
     private final Map<String, Integer> effects = new HashMap<>();
     private Consumer<String> observer = mark -> { };
     private long reads;
--- a/src/main/java/damsonworks/standin/StandInNode.java
+++ b/src/main/java/cacheproxy/fakes/FakeCacheServer.java
@@ -1,4 +1,4 @@
-package damsonworks.standin;
+package cacheproxy.fakes;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -21,20 +21,20 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import damsonworks.proxy.Transport;
+import cacheproxy.proxy.Transport;
 
 /**
  * A cache node on loopback that speaks the meta commands (memcached's protocol.txt, "Meta Commands"): one core, work
  * for each request, stalls, restarts from empty. In a fleet with an origin it only stores; alone it keeps what it is
  * sent.
  */
-public final class StandInNode implements AutoCloseable {
+public final class FakeCacheServer implements AutoCloseable {
     /** Values that it keeps; those longest not read go first. */
     private static final int MOST_VALUES = 100_000;
     private static final int MOST_REPEATS = 100_000;
 
     private final EventLoop loop;
-    private final Ledger ledger;
+    private final EffectLedger ledger;
     private final Map<String, byte[]> values = new LinkedHashMap<>(16, 0.75f, true) {
         private static final long serialVersionUID = 1L;
 
@@ -50,7 +50,7 @@
     private Channel server;
     private int port;
     private Missed missed;
-    private ColdWatch watch;
+    private SlowStartMonitor watch;
     private double workMs;
     private double delayMs;
     private double busyUntilMs;
@@ -64,7 +64,7 @@
 
     /** Told of reads that this node could not answer. */
     interface Missed {
-        void missed(String id, String key, StandInNode node);
+        void missed(String id, String key, FakeCacheServer node);
     }
 
     /** Told of each command that comes, with the request's id; null where it has none. */
@@ -72,15 +72,15 @@
         void arrived(String id);
     }
 
-    private StandInNode(EventLoop loop, Ledger ledger) {
+    private FakeCacheServer(EventLoop loop, EffectLedger ledger) {
         this.loop = loop;
         this.ledger = ledger;
         connections = new DefaultChannelGroup(loop);
     }
 
     /** One that listens on an ephemeral port of 127.0.0.1. */
-    public static StandInNode start(EventLoop loop, Ledger ledger) throws InterruptedException {
-        StandInNode node = new StandInNode(loop, ledger);
+    public static FakeCacheServer start(EventLoop loop, EffectLedger ledger) throws InterruptedException {
+        FakeCacheServer node = new FakeCacheServer(loop, ledger);
         node.listen();
         return node;
     }
@@ -132,24 +132,24 @@
     }
 
     /** Each request takes so long, one after another. */
-    public StandInNode work(double ms) {
+    public FakeCacheServer work(double ms) {
         run(() -> workMs = ms);
         return this;
     }
 
     /** So many commands may wait at once; those beyond are answered that it is busy. */
-    public StandInNode room(int commands) {
+    public FakeCacheServer room(int commands) {
         run(() -> room = commands);
         return this;
     }
 
-    public StandInNode observe(Observer by) {
+    public FakeCacheServer observe(Observer by) {
         run(() -> observer = by);
         return this;
     }
 
     /** Each answer comes so much later; others need not wait for it. */
-    public StandInNode delay(double ms) {
+    public FakeCacheServer delay(double ms) {
         run(() -> delayMs = ms);
         return this;
     }
@@ -184,7 +184,7 @@
     }
 
     /** Watches what it is sent when cold. */
-    public StandInNode watch(ColdWatch by) {
+    public FakeCacheServer watch(SlowStartMonitor by) {
         run(() -> watch = by);
         return this;
     }
@@ -326,7 +326,7 @@
             byte[] kept = values.get(key);
             if (kept == null) {
                 if (missed != null) {
-                    missed.missed(id, key, StandInNode.this);
+                    missed.missed(id, key, FakeCacheServer.this);
                 }
                 say(ctx, "EN" + o + " h0\r\n");
                 return;
--- a/src/main/java/damsonworks/standin/StandInDiscovery.java
+++ b/src/main/java/cacheproxy/fakes/FakeDiscovery.java
@@ -1,8 +1,8 @@
-package damsonworks.standin;
+package cacheproxy.fakes;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import damsonworks.proxy.Transport;
+import cacheproxy.proxy.Transport;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -31,7 +31,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** Discovery on loopback: the whole list, and watches on its changes. */
-public final class StandInDiscovery implements AutoCloseable {
+public final class FakeDiscovery implements AutoCloseable {
     private final EventLoop loop;
     private final Channel server;
     private final ChannelGroup connections;
@@ -45,7 +45,7 @@
 
     private record Watch(ChannelHandlerContext ctx, long since) { }
 
-    private StandInDiscovery(EventLoop loop) throws InterruptedException {
+    private FakeDiscovery(EventLoop loop) throws InterruptedException {
         this.loop = loop;
         connections = new DefaultChannelGroup(loop);
         server = new ServerBootstrap().group(loop).channel(Transport.BEST.server())
@@ -59,8 +59,8 @@
                 }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).sync().channel();
     }
 
-    public static StandInDiscovery start(EventLoop loop) throws InterruptedException {
-        return new StandInDiscovery(loop);
+    public static FakeDiscovery start(EventLoop loop) throws InterruptedException {
+        return new FakeDiscovery(loop);
     }
 
     public String dial() {
--- a/src/main/java/damsonworks/standin/StandInFleet.java
+++ b/src/main/java/cacheproxy/fakes/FakeFleet.java
@@ -1,6 +1,6 @@
-package damsonworks.standin;
+package cacheproxy.fakes;
 
-import damsonworks.proxy.Transport;
+import cacheproxy.proxy.Transport;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import java.util.ArrayList;
@@ -8,20 +8,20 @@
 import java.util.concurrent.TimeUnit;
 
 /** Cache nodes, an origin and discovery on ephemeral ports of 127.0.0.1, on one thread of their own. */
-public final class StandInFleet implements AutoCloseable {
+public final class FakeFleet implements AutoCloseable {
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
     private final EventLoop loop = group.next();
-    public final Ledger ledger = new Ledger();
-    public final List<StandInNode> nodes = new ArrayList<>();
-    public final StandInOrigin origin;
-    public final StandInDiscovery discovery;
+    public final EffectLedger ledger = new EffectLedger();
+    public final List<FakeCacheServer> nodes = new ArrayList<>();
+    public final FakeOrigin origin;
+    public final FakeDiscovery discovery;
 
     /** All listed by discovery, warm, as {@code s-00000001} and so on, and the origin as {@code origin}. */
-    public StandInFleet(int count) throws InterruptedException {
-        origin = StandInOrigin.start(loop, ledger);
-        discovery = StandInDiscovery.start(loop);
+    public FakeFleet(int count) throws InterruptedException {
+        origin = FakeOrigin.start(loop, ledger);
+        discovery = FakeDiscovery.start(loop);
         for (int i = 0; i < count; i++) {
-            nodes.add(StandInNode.start(loop, ledger));
+            nodes.add(FakeCacheServer.start(loop, ledger));
             discovery.put(name(i), nodes.get(i).dial(), "node", "up", 0);
         }
         origin.serves(nodes);
@@ -46,7 +46,7 @@
 
     @Override
     public void close() {
-        nodes.forEach(StandInNode::close);
+        nodes.forEach(FakeCacheServer::close);
         origin.close();
         discovery.close();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
--- a/src/main/java/damsonworks/standin/StandInNginx.java
+++ b/src/main/java/cacheproxy/fakes/FakeNginx.java
@@ -1,4 +1,4 @@
-package damsonworks.standin;
+package cacheproxy.fakes;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -11,14 +11,14 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * An HTTP server on loopback that answers each request with the node that {@link NginxModel} says it goes to, instead
- * of asking that node: headers {@code X-Pool}, {@code X-Node} ({@code -} where any of the pool) and {@code X-Uri}.
+ * An HTTP server on loopback that answers each request with the node that {@link NginxReferenceModel} says it goes to, instead
+ * of asking that node: headers {@code X-Pool}, {@code X-SimulatedServer} ({@code -} where any of the pool) and {@code X-Uri}.
  */
-public final class StandInNginx implements AutoCloseable {
-    private final NginxModel model;
+public final class FakeNginx implements AutoCloseable {
+    private final NginxReferenceModel model;
     private final ServerSocket server;
 
-    public StandInNginx(NginxModel model) throws IOException {
+    public FakeNginx(NginxReferenceModel model) throws IOException {
         this.model = model;
         server = new ServerSocket(0, 16, InetAddress.getLoopbackAddress());
         Thread t = new Thread(this::accept, "stand-in nginx");
@@ -57,7 +57,7 @@
                     }
                 }
                 String[] words = first.split(" ");
-                NginxModel.Answer a = words.length < 2 ? new NginxModel.Answer(400, null, null, null)
+                NginxReferenceModel.Answer a = words.length < 2 ? new NginxReferenceModel.Answer(400, null, null, null)
                         : model.ask(model.firstSocket(), words[0], host, words[1]);
                 String head = a.status() != 0 ? "HTTP/1.1 " + a.status() + " by itself\r\n" : "HTTP/1.1 200 OK\r\nX-Pool: "
                         + a.pool() + "\r\nX-Node: " + (a.node() == null ? "-" : a.node()) + "\r\nX-Uri: " + a.uri() + "\r\n";
--- a/src/main/java/damsonworks/standin/StandInOrigin.java
+++ b/src/main/java/cacheproxy/fakes/FakeOrigin.java
@@ -1,6 +1,6 @@
-package damsonworks.standin;
+package cacheproxy.fakes;
 
-import damsonworks.proxy.Transport;
+import cacheproxy.proxy.Transport;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -37,17 +37,17 @@
  * The origin on loopback, HTTP/1.1: the value of every key is made from it, so that a wrong answer shows; writes are
  * counted in the ledger, repeats of keyed ones dropped. It tells the nodes what they missed.
  */
-public final class StandInOrigin implements AutoCloseable {
+public final class FakeOrigin implements AutoCloseable {
     private static final int MOST_MISSED = 100_000;
 
     private final EventLoop loop;
-    private final Ledger ledger;
+    private final EffectLedger ledger;
     private final ChannelGroup connections;
-    private final Map<String, StandInNode> missedAt = new LinkedHashMap<>() {
+    private final Map<String, FakeCacheServer> missedAt = new LinkedHashMap<>() {
         private static final long serialVersionUID = 1L;
 
         @Override
-        protected boolean removeEldestEntry(Map.Entry<String, StandInNode> eldest) {
+        protected boolean removeEldestEntry(Map.Entry<String, FakeCacheServer> eldest) {
             return size() > MOST_MISSED;
         }
     };
@@ -55,12 +55,12 @@
     private final Map<String, byte[]> written = new HashMap<>();
     private final AtomicInteger fetches = new AtomicInteger();
     private final Channel server;
-    private Iterable<StandInNode> nodes = java.util.List.of();
+    private Iterable<FakeCacheServer> nodes = java.util.List.of();
     private double workMs;
     private boolean mute;
     private boolean declining;
 
-    private StandInOrigin(EventLoop loop, Ledger ledger) throws InterruptedException {
+    private FakeOrigin(EventLoop loop, EffectLedger ledger) throws InterruptedException {
         this.loop = loop;
         this.ledger = ledger;
         connections = new DefaultChannelGroup(loop);
@@ -75,8 +75,8 @@
                 }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).sync().channel();
     }
 
-    public static StandInOrigin start(EventLoop loop, Ledger ledger) throws InterruptedException {
-        return new StandInOrigin(loop, ledger);
+    public static FakeOrigin start(EventLoop loop, EffectLedger ledger) throws InterruptedException {
+        return new FakeOrigin(loop, ledger);
     }
 
     /** The value of a key that has not been written. */
@@ -98,7 +98,7 @@
     }
 
     /** The nodes that it stores missed values at and voids written keys of. */
-    public void serves(Iterable<StandInNode> fleet) {
+    public void serves(Iterable<FakeCacheServer> fleet) {
         loop.submit(() -> {
             nodes = fleet;
             fleet.forEach(n -> n.onMiss((id, key, node) -> loop.execute(() -> missedAt.put(id + " " + key, node))));
@@ -106,7 +106,7 @@
     }
 
     /** Each request takes so long; it does many at once. */
-    public StandInOrigin work(double ms) {
+    public FakeOrigin work(double ms) {
         loop.submit(() -> workMs = ms).syncUninterruptibly();
         return this;
     }
@@ -163,7 +163,7 @@
             } else {
                 fetches.incrementAndGet();
                 answer = written.getOrDefault(key, value(key).getBytes(StandardCharsets.ISO_8859_1));
-                StandInNode node = missedAt.remove(id + " " + key);
+                FakeCacheServer node = missedAt.remove(id + " " + key);
                 if (node != null) {
                     node.store(key, answer);
                 }
--- a/src/main/java/damsonworks/standin/Lines.java
+++ b/src/main/java/cacheproxy/fakes/Lines.java
@@ -1,4 +1,4 @@
-package damsonworks.standin;
+package cacheproxy.fakes;
 
 import io.netty.buffer.ByteBuf;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/damsonworks/standin/LoadClient.java
+++ b/src/main/java/cacheproxy/fakes/LoadClient.java
@@ -1,6 +1,6 @@
-package damsonworks.standin;
+package cacheproxy.fakes;
 
-import damsonworks.proxy.Transport;
+import cacheproxy.proxy.Transport;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
--- a/src/main/java/damsonworks/standin/LossyLink.java
+++ b/src/main/java/cacheproxy/fakes/LossyDatagramLink.java
@@ -1,6 +1,6 @@
-package damsonworks.standin;
+package cacheproxy.fakes;
 
-import damsonworks.proxy.Transport;
+import cacheproxy.proxy.Transport;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
@@ -17,7 +17,7 @@
  * A way for datagrams between two peers that loses, doubles and delays them, by a seed. Each peer knows the other by this one's
  * address on its own side.
  */
-public final class LossyLink implements AutoCloseable {
+public final class LossyDatagramLink implements AutoCloseable {
     private final EventLoop loop;
     private final SplittableRandom random;
     private final double lost;
@@ -35,7 +35,7 @@
      * @param doubled share that come twice
      * @param lateMs those that pass come up to so much later, so that some overtake others
      */
-    public LossyLink(EventLoop loop, InetSocketAddress a, InetSocketAddress b, long seed, double lost, double doubled, double lateMs)
+    public LossyDatagramLink(EventLoop loop, InetSocketAddress a, InetSocketAddress b, long seed, double lost, double doubled, double lateMs)
             throws InterruptedException {
         this.loop = loop;
         random = new SplittableRandom(seed);
--- a/src/main/java/damsonworks/standin/NginxModel.java
+++ b/src/main/java/cacheproxy/fakes/NginxReferenceModel.java
@@ -1,6 +1,6 @@
-package damsonworks.standin;
+package cacheproxy.fakes;
 
-import damsonworks.nginx.Directive;
+import cacheproxy.nginx.Directive;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -18,7 +18,7 @@
  * upstream modules): reads the directives anew for each request, one after another. It shares nothing with the importer
  * but the grammar, so that each can be held against the other. Servers are taken to be well; clients to be unknown.
  */
-public final class NginxModel {
+public final class NginxReferenceModel {
     private static final int MAX_CYCLES = 10;
 
     private final List<Directive> http = new ArrayList<>();
@@ -54,7 +54,7 @@
         Answer over;
     }
 
-    public NginxModel(List<Directive> tree) {
+    public NginxReferenceModel(List<Directive> tree) {
         List<Directive> top = tree;
         List<Directive> found = tree.stream().filter(d -> d.name().equals("http") && d.block() != null).toList();
         if (!found.isEmpty()) {
--- a/src/main/java/damsonworks/standin/ScriptedServer.java
+++ b/src/main/java/cacheproxy/fakes/ScriptedServer.java
@@ -1,4 +1,4 @@
-package damsonworks.standin;
+package cacheproxy.fakes;
 
 import java.io.BufferedInputStream;
 import java.io.ByteArrayOutputStream;
--- a/src/main/java/damsonworks/standin/ColdWatch.java
+++ b/src/main/java/cacheproxy/fakes/SlowStartMonitor.java
@@ -1,4 +1,4 @@
-package damsonworks.standin;
+package cacheproxy.fakes;
 
 import java.util.ArrayDeque;
 
@@ -6,7 +6,7 @@
  * Watches what a freshly started node is sent against what it can do at that moment: the rule that no cold node is
  * pushed over, measured at the node. Times in milliseconds.
  */
-public final class ColdWatch {
+public final class SlowStartMonitor {
     private final double perSecond;
     private final double startCapacity;
     private final double warmUpMs;
@@ -17,7 +17,7 @@
     private int sent;
 
     /** @param perSecond what the node can do when warm */
-    public ColdWatch(double perSecond, double startCapacity, double warmUpMs, double fallMs) {
+    public SlowStartMonitor(double perSecond, double startCapacity, double warmUpMs, double fallMs) {
         this.perSecond = perSecond;
         this.startCapacity = startCapacity;
         this.warmUpMs = warmUpMs;
--- a/src/main/java/damsonworks/rig/AddressSpace.java
+++ b/src/main/java/cacheproxy/faulttest/AddressSpace.java
@@ -1,4 +1,4 @@
-package damsonworks.rig;
+package cacheproxy.faulttest;
 
 import java.io.IOException;
 import java.net.InetAddress;
--- a/src/main/java/damsonworks/rig/ChildFiles.java
+++ b/src/main/java/cacheproxy/faulttest/ChildFiles.java
@@ -1,9 +1,9 @@
-package damsonworks.rig;
+package cacheproxy.faulttest;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import damsonworks.rig.plan.Endpoints;
-import damsonworks.rig.plan.Scenario;
+import cacheproxy.faulttest.scenario.TargetSelector;
+import cacheproxy.faulttest.scenario.Scenario;
 import java.util.List;
 import java.util.function.IntFunction;
 
@@ -14,7 +14,7 @@
 
     private final Scenario s;
     private final AddressSpace space;
-    private final Endpoints names;
+    private final TargetSelector names;
     private final IntFunction<JsonObject> known;
 
     /** @param known the list as it is when a proxy starts */
@@ -31,7 +31,7 @@
 
     private String serve(int proxy, long seed) {
         JsonObject json = new JsonObject();
-        json.addProperty("name", Endpoints.proxy(proxy));
+        json.addProperty("name", TargetSelector.proxy(proxy));
         json.addProperty("listen", AddressSpace.text(space.proxy(proxy, AddressSpace.CLIENTS)));
         json.addProperty("discovery", AddressSpace.text(space.face(proxy, AddressSpace.DISCOVERY)));
         json.addProperty("seed", "%016x".formatted(seed));
@@ -105,7 +105,7 @@
                 "[[pool]]", "name = \"pages\"", "[pool.discovery]", "address = \""
                 + AddressSpace.text(space.face(proxy, AddressSpace.DISCOVERY)) + "\"", "zones = " + zones,
                 "kinds = [\"node\", \"origin\"]", "origin_kind = \"origin\"", "", "[[route]]", "name = \"all\"", "pools = [\"pages\"]", "",
-                replaced(s.old().contains(Endpoints.proxy(proxy)) ? s.oldExtra() : s.extra(), proxy), "");
+                replaced(s.old().contains(TargetSelector.proxy(proxy)) ? s.oldExtra() : s.extra(), proxy), "");
     }
 
     private String serviceClass(String name, String effect, String more) {
@@ -118,12 +118,12 @@
         StringBuilder peers = new StringBuilder();
         if (text.contains("{peers}") || text.contains("{peers-but-last}")) {
             for (int i = 0; i < s.proxies() - (text.contains("{peers}") ? 0 : 1); i++) {
-                peers.append("[[fleet.peer]]\nname = \"").append(Endpoints.proxy(i)).append("\"\naddress = \"")
+                peers.append("[[fleet.peer]]\nname = \"").append(TargetSelector.proxy(i)).append("\"\naddress = \"")
                         .append(AddressSpace.text(space.face(i, AddressSpace.PEERS))).append("\"\nzone = \"")
                         .append(s.zones().get(names.zoneOfProxy(i))).append("\"\n");
             }
         }
-        return text.replace("{me}", Endpoints.proxy(proxy)).replace("{ip}", space.proxy(proxy))
+        return text.replace("{me}", TargetSelector.proxy(proxy)).replace("{ip}", space.proxy(proxy))
                 .replace("{control}", AddressSpace.text(space.proxy(proxy, AddressSpace.CONTROL)))
                 .replace("{listen}", AddressSpace.text(space.proxy(proxy, AddressSpace.PEERS))).replace("{peers}", peers.toString())
                 .replace("{peers-but-last}", peers.toString());
--- a/src/main/java/damsonworks/rig/DatagramRelay.java
+++ b/src/main/java/cacheproxy/faulttest/DatagramRelay.java
@@ -1,7 +1,7 @@
-package damsonworks.rig;
+package cacheproxy.faulttest;
 
-import damsonworks.proxy.Transport;
-import damsonworks.rig.plan.Links;
+import cacheproxy.proxy.Transport;
+import cacheproxy.faulttest.scenario.NetworkLinks;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -31,7 +31,7 @@
     static final int MOST_LATE = 100_000;
 
     private final EventLoop loop;
-    private final Links links;
+    private final NetworkLinks links;
     private final SplittableRandom random;
     private final InetSocketAddress[] proxies;
     private final Channel[] faces;
@@ -45,7 +45,7 @@
     private int late;
 
     /** @param links used on the loop alone */
-    DatagramRelay(EventLoop loop, AddressSpace space, int count, Links links, long seed) throws IOException, InterruptedException {
+    DatagramRelay(EventLoop loop, AddressSpace space, int count, NetworkLinks links, long seed) throws IOException, InterruptedException {
         this.loop = loop;
         this.links = links;
         random = new SplittableRandom(seed);
@@ -92,11 +92,11 @@
     }
 
     private void relay(int from, int to, ByteBuf content) {
-        List<Links.Delivery> deliveries = links.datagram(from, to, random);
+        List<NetworkLinks.Delivery> deliveries = links.datagram(from, to, random);
         if (deliveries.isEmpty()) {
             lost.incrementAndGet();
         }
-        for (Links.Delivery d : deliveries) {
+        for (NetworkLinks.Delivery d : deliveries) {
             ByteBuf copy = Unpooled.copiedBuffer(content); // on the heap: what is late when the run ends is nobody's to release
             if (d.corrupt() && copy.readableBytes() > 0) {
                 int at = random.nextInt(copy.readableBytes());
--- a/src/main/java/damsonworks/rig/Lag.java
+++ b/src/main/java/cacheproxy/faulttest/EventLoopLag.java
@@ -1,4 +1,4 @@
-package damsonworks.rig;
+package cacheproxy.faulttest;
 
 import io.netty.channel.EventLoop;
 import java.util.concurrent.TimeUnit;
@@ -6,15 +6,15 @@
 import org.HdrHistogram.Histogram;
 
 /** How late an event loop is, by a task that should run every so often. */
-final class Lag {
+final class EventLoopLag {
     private static final long EVERY_NANOS = 10_000_000;
 
     private final Histogram micros = new ConcurrentHistogram(3_600_000_000L, 2);
     private volatile long due;
     private volatile long lastLate;
 
-    static Lag of(EventLoop loop) {
-        Lag lag = new Lag();
+    static EventLoopLag of(EventLoop loop) {
+        EventLoopLag lag = new EventLoopLag();
         lag.due = System.nanoTime() + EVERY_NANOS;
         lag.next(loop);
         return lag;
--- a/src/main/java/damsonworks/rig/StandIns.java
+++ b/src/main/java/cacheproxy/faulttest/FakeProcesses.java
@@ -1,14 +1,14 @@
-package damsonworks.rig;
+package cacheproxy.faulttest;
 
 import com.google.gson.JsonObject;
-import damsonworks.proxy.Transport;
-import damsonworks.rig.check.Event;
-import damsonworks.rig.plan.Endpoints;
-import damsonworks.rig.plan.Scenario;
-import damsonworks.standin.Ledger;
-import damsonworks.standin.StandInDiscovery;
-import damsonworks.standin.StandInNode;
-import damsonworks.standin.StandInOrigin;
+import cacheproxy.proxy.Transport;
+import cacheproxy.faulttest.check.Event;
+import cacheproxy.faulttest.scenario.TargetSelector;
+import cacheproxy.faulttest.scenario.Scenario;
+import cacheproxy.fakes.EffectLedger;
+import cacheproxy.fakes.FakeDiscovery;
+import cacheproxy.fakes.FakeCacheServer;
+import cacheproxy.fakes.FakeOrigin;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import java.io.IOException;
@@ -22,33 +22,33 @@
  * Nodes, origin and discovery of a run, on one thread. Where connections to nodes go through the relay, each proxy has a view of
  * discovery of its own, with the addresses that stand for the nodes there; with many proxies and nodes each zone has one.
  */
-final class StandIns implements AutoCloseable {
+final class FakeProcesses implements AutoCloseable {
     /** Sockets that stand for nodes; with more of them zones share theirs. */
     static final int MOST_FACES = 2000;
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
     private final EventLoop loop = group.next();
-    private final Endpoints names;
+    private final TargetSelector names;
     private final History history;
-    private final Lag lag;
-    private final Ledger ledger = new Ledger();
-    private final List<StandInNode> nodes = new ArrayList<>();
-    private final StandInOrigin origin;
-    private final List<StandInDiscovery> views = new ArrayList<>();
+    private final EventLoopLag lag;
+    private final EffectLedger ledger = new EffectLedger();
+    private final List<FakeCacheServer> nodes = new ArrayList<>();
+    private final FakeOrigin origin;
+    private final List<FakeDiscovery> views = new ArrayList<>();
     /** By view and node: where the node is to be found. */
     private final List<String[]> dials = new ArrayList<>();
     private final boolean byProxy;
     private final boolean byZone;
 
-    StandIns(Scenario s, AddressSpace space, TcpRelay relay, EventLoop relayLoop, History history) throws InterruptedException {
+    FakeProcesses(Scenario s, AddressSpace space, TcpRelay relay, EventLoop relayLoop, History history) throws InterruptedException {
         this.history = history;
         names = s.endpoints();
-        lag = Lag.of(loop);
+        lag = EventLoopLag.of(loop);
         ledger.observe(mark -> history.add(lag.nowUs(), "origin", Event.EFFECT, mark, "", 0));
-        origin = StandInOrigin.start(loop, ledger);
+        origin = FakeOrigin.start(loop, ledger);
         for (int i = 0; i < s.nodes(); i++) {
-            String name = Endpoints.node(i);
-            nodes.add(StandInNode.start(loop, ledger).work(1000 / s.nodePerSecond()).room(s.nodeRoom())
+            String name = TargetSelector.node(i);
+            nodes.add(FakeCacheServer.start(loop, ledger).work(1000 / s.nodePerSecond()).room(s.nodeRoom())
                     .observe(id -> history.add(lag.nowUs(), name, Event.ARRIVED, id == null ? "" : id, "", 0)));
         }
         origin.serves(nodes);
@@ -56,14 +56,14 @@
         byZone = s.relayNodes() && !byProxy || s.ownDiscovery() && !byProxy;
         int count = byProxy ? s.proxies() : byZone ? s.zones().size() : 1;
         for (int v = 0; v < count; v++) {
-            views.add(StandInDiscovery.start(loop));
+            views.add(FakeDiscovery.start(loop));
             String[] dial = new String[s.nodes()];
             dials.add(dial);
             for (int n = 0; n < s.nodes(); n++) {
                 dial[n] = nodes.get(n).dial();
                 if (s.relayNodes()) {
                     InetSocketAddress at = byProxy ? space.face(v, AddressSpace.NODES + n) : space.zoneFace(v, AddressSpace.NODES + n);
-                    StandInNode node = nodes.get(n);
+                    FakeCacheServer node = nodes.get(n);
                     relay.face(at, v, names.proxies() + n, node::address);
                     dial[n] = AddressSpace.text(at);
                 }
@@ -79,7 +79,7 @@
         }
     }
 
-    private StandInDiscovery view(int proxy) {
+    private FakeDiscovery view(int proxy) {
         return views.get(byProxy ? proxy : byZone ? names.zoneOfProxy(proxy) : 0);
     }
 
@@ -101,8 +101,8 @@
     /** As after some hours: each node holds every key. */
     void warm(int keys) {
         for (int i = 0; i < keys; i++) {
-            String key = FleetLoad.key(i);
-            byte[] value = StandInOrigin.value(key).getBytes(StandardCharsets.ISO_8859_1);
+            String key = OpenLoopWorkload.key(i);
+            byte[] value = FakeOrigin.value(key).getBytes(StandardCharsets.ISO_8859_1);
             nodes.forEach(n -> n.store(key, value));
         }
         loop.submit(() -> { }).syncUninterruptibly();
@@ -113,7 +113,7 @@
     }
 
     void kill(int node) {
-        history.add(0, Endpoints.node(node), Event.DIED, "", "", 0);
+        history.add(0, TargetSelector.node(node), Event.DIED, "", "", 0);
         nodes.get(node).kill();
     }
 
@@ -125,7 +125,7 @@
             Thread.currentThread().interrupt();
             throw new IOException(e);
         }
-        history.add(0, Endpoints.node(node), Event.BORN, "", "", 0);
+        history.add(0, TargetSelector.node(node), Event.BORN, "", "", 0);
         put(node, "up", System.currentTimeMillis());
     }
 
@@ -133,11 +133,11 @@
         // Proxies are told within the call. That it drains may be noted later than they know, that it is up again not: what they send
         // by that word would seem to go to a draining node.
         if (!on) {
-            history.add(0, Endpoints.node(node), Event.UP, "", "", 0);
+            history.add(0, TargetSelector.node(node), Event.UP, "", "", 0);
         }
         put(node, on ? "draining" : "up", 0);
         if (on) {
-            history.add(0, Endpoints.node(node), Event.DRAINING, "", "", 0);
+            history.add(0, TargetSelector.node(node), Event.DRAINING, "", "", 0);
         }
     }
 
@@ -148,28 +148,28 @@
 
     /** Calls that discovery has had, watches among them. */
     int discoveryCalls() {
-        return views.stream().mapToInt(StandInDiscovery::calls).sum();
+        return views.stream().mapToInt(FakeDiscovery::calls).sum();
     }
 
     /** Calls that wait there for a change. */
     int waitingAtDiscovery() {
-        return views.stream().mapToInt(StandInDiscovery::waiting).sum();
+        return views.stream().mapToInt(FakeDiscovery::waiting).sum();
     }
 
     /** Tests of nodes: empty commands of proxies. */
     int tests() {
-        return nodes.stream().mapToInt(StandInNode::tested).sum();
+        return nodes.stream().mapToInt(FakeCacheServer::tested).sum();
     }
 
-    Lag lag() {
+    EventLoopLag lag() {
         return lag;
     }
 
     @Override
     public void close() {
-        nodes.forEach(StandInNode::close);
+        nodes.forEach(FakeCacheServer::close);
         origin.close();
-        views.forEach(StandInDiscovery::close);
+        views.forEach(FakeDiscovery::close);
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 }
--- a/src/main/java/damsonworks/rig/Director.java
+++ b/src/main/java/cacheproxy/faulttest/FaultInjector.java
@@ -1,10 +1,10 @@
-package damsonworks.rig;
+package cacheproxy.faulttest;
 
-import damsonworks.rig.check.Event;
-import damsonworks.rig.plan.Endpoints;
-import damsonworks.rig.plan.Fault;
-import damsonworks.rig.plan.Links;
-import damsonworks.rig.plan.Scenario;
+import cacheproxy.faulttest.check.Event;
+import cacheproxy.faulttest.scenario.TargetSelector;
+import cacheproxy.faulttest.scenario.Fault;
+import cacheproxy.faulttest.scenario.NetworkLinks;
+import cacheproxy.faulttest.scenario.Scenario;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -21,12 +21,12 @@
  * Puts the faults of a scenario in and takes them back, each at its time. Where two befall the same thing the later one has no
  * effect there; standing still and links add up.
  */
-final class Director implements AutoCloseable {
+final class FaultInjector implements AutoCloseable {
     private final Scenario scenario;
-    private final Endpoints names;
-    private final Proxies proxies;
-    private final StandIns standIns;
-    private final Links links;
+    private final TargetSelector names;
+    private final ProxyProcesses proxies;
+    private final FakeProcesses standIns;
+    private final NetworkLinks links;
     private final EventLoop relayLoop;
     private final TcpRelay connections;
     private final History history;
@@ -42,7 +42,7 @@
     private final UnaryOperator<String> holders;
     private int restarting;
 
-    Director(Scenario scenario, Proxies proxies, StandIns standIns, Links links, EventLoop relayLoop, TcpRelay connections,
+    FaultInjector(Scenario scenario, ProxyProcesses proxies, FakeProcesses standIns, NetworkLinks links, EventLoop relayLoop, TcpRelay connections,
             History history, UnaryOperator<String> holders) {
         this.holders = holders;
         this.scenario = scenario;
--- a/src/main/java/damsonworks/rig/Rig.java
+++ b/src/main/java/cacheproxy/faulttest/FaultTestRunner.java
@@ -1,19 +1,19 @@
-package damsonworks.rig;
+package cacheproxy.faulttest;
 
-import damsonworks.config.ConfigException;
-import damsonworks.proxy.Transport;
-import damsonworks.rig.check.ActsInOrder;
-import damsonworks.rig.check.Checker;
-import damsonworks.rig.check.Event;
-import damsonworks.rig.check.LimitKept;
-import damsonworks.rig.check.OneHolder;
-import damsonworks.rig.check.Run;
-import damsonworks.rig.check.Service;
-import damsonworks.rig.check.Verdict;
-import damsonworks.rig.plan.Fault;
-import damsonworks.rig.plan.Links;
-import damsonworks.rig.plan.Quality;
-import damsonworks.rig.plan.Scenario;
+import cacheproxy.config.ConfigException;
+import cacheproxy.proxy.Transport;
+import cacheproxy.faulttest.check.FencingChecker;
+import cacheproxy.faulttest.check.Checker;
+import cacheproxy.faulttest.check.Event;
+import cacheproxy.faulttest.check.QuotaChecker;
+import cacheproxy.faulttest.check.MutualExclusionChecker;
+import cacheproxy.faulttest.check.RunHistory;
+import cacheproxy.faulttest.check.ServiceStats;
+import cacheproxy.faulttest.check.Verdict;
+import cacheproxy.faulttest.scenario.Fault;
+import cacheproxy.faulttest.scenario.NetworkLinks;
+import cacheproxy.faulttest.scenario.RunValidity;
+import cacheproxy.faulttest.scenario.Scenario;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import java.io.IOException;
@@ -24,11 +24,11 @@
 import java.util.function.Consumer;
 
 /** Plays a scenario: many processes of the program, faults between them, and a verdict on what they did. */
-public final class Rig {
+public final class FaultTestRunner {
     /** Processes that are being restarted at the load's end have so long. */
     private static final double LAST_MS = 60_000;
 
-    private Rig() { }
+    private FaultTestRunner() { }
 
     /**
      * What came of a run.
@@ -40,9 +40,9 @@
      * @param watches calls that waited at discovery at the load's end
      * @param tests of nodes since the load began
      */
-    public record Outcome(Run run, Verdict verdict, Quality quality, Service service, double startSeconds, double[] residentMb,
+    public record Outcome(RunHistory run, Verdict verdict, RunValidity quality, ServiceStats service, double startSeconds, double[] residentMb,
             long[] datagrams, int discoveryCalls, int watches, int tests, int unreached, int unsent) {
-        private static double loadFromMs(Run run) {
+        private static double loadFromMs(RunHistory run) {
             return run.events().stream().filter(e -> e.what().equals(Event.DUTY)).mapToDouble(Event::ms).findFirst().orElse(0);
         }
 
@@ -57,23 +57,23 @@
                     String.format("unreached %d, no connection free %d; datagrams a second a proxy %.2f, bytes %.0f, lost by faults %d; "
                             + "calls to discovery %d, %.2f a second, waiting at the end %d; tests of nodes %d, commands to nodes that stood still %d", unreached, unsent,
                             datagrams[0] / seconds / s.proxies(), datagrams[1] / seconds / s.proxies(), datagrams[2], discoveryCalls,
-                            discoveryCalls / seconds, watches, tests, Service.sentToSick(run)),
+                            discoveryCalls / seconds, watches, tests, ServiceStats.sentToSick(run)),
                     String.format("lag ms: relay p99 %.1f max %.1f, load p99 %.1f, proxies without a fault p99 %.1f; all processors busy %.2f", quality.relayP99(),
                             quality.relayMax(), quality.loadP99(), quality.childP99(), quality.busy())));
             for (String duty : s.duties()) {
-                List<double[]> gaps = OneHolder.gaps(run, duty, Math.max(100, 2.5 * s.pollMs()), run.events().isEmpty() ? 0 : loadFromMs(run), run.endUs() / 1000.0);
-                lines.add(String.format("duty %s: epochs %d, longest gaps: %s", duty, OneHolder.moves(run, duty),
+                List<double[]> gaps = MutualExclusionChecker.gaps(run, duty, Math.max(100, 2.5 * s.pollMs()), run.events().isEmpty() ? 0 : loadFromMs(run), run.endUs() / 1000.0);
+                lines.add(String.format("duty %s: epochs %d, longest gaps: %s", duty, MutualExclusionChecker.moves(run, duty),
                         String.join(" ", gaps.stream().map(g -> String.format("%.0f ms at %.1f s", g[1] - g[0], g[0] / 1000)).toList())));
             }
-            OneHolder.takeovers(run).forEach((kind, gaps) -> lines.add(String.format("%s of the holder: %d, without another for ms p50 %.0f p99 %.0f max %.0f",
+            MutualExclusionChecker.takeovers(run).forEach((kind, gaps) -> lines.add(String.format("%s of the holder: %d, without another for ms p50 %.0f p99 %.0f max %.0f",
                     kind, gaps.length, gaps[gaps.length / 2], gaps[(gaps.length - 1) * 99 / 100], gaps[gaps.length - 1])));
             if (!s.duties().isEmpty()) {
-                lines.add("acts under older epochs, refused where they were received: " + ActsInOrder.refused(run));
+                lines.add("acts under older epochs, refused where they were received: " + FencingChecker.refused(run));
             }
             if (run.scenario().limit() != null && run.scenario().limit().perSecond() > 0) {
-                double[] over = LimitKept.over(run);
+                double[] over = QuotaChecker.over(run);
                 lines.add(String.format("limit: over by %.0f in 100 ms, %.0f in 1 s, %.0f in 10 s; idle while refused %.4f from the fourth second of the load on", over[0], over[1], over[2],
-                        LimitKept.idle(run, 3000)));
+                        QuotaChecker.idle(run, 3000)));
             }
             lines.addAll(verdict.lines());
             return lines;
@@ -94,7 +94,7 @@
         MultiThreadIoEventLoopGroup relayGroup = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
         MultiThreadIoEventLoopGroup loadGroup = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
         EventLoop relayLoop = relayGroup.next();
-        Links links = new Links(scenario.endpoints());
+        NetworkLinks links = new NetworkLinks(scenario.endpoints());
         double startSeconds;
         double[] resident;
         long[] datagrams;
@@ -104,14 +104,14 @@
         double[] lags;
         long dropped;
         long relayDropped;
-        FleetLoad load;
+        OpenLoopWorkload load;
         try (AddressSpace space = AddressSpace.take();
                 History history = new History(file, scenario);
                 DatagramRelay relay = new DatagramRelay(relayLoop, space, scenario.proxies(), links, scenario.seed());
                 TcpRelay connections = new TcpRelay(relayLoop, links);
-                StandIns standIns = new StandIns(scenario, space, connections, relayLoop, history);
-                Proxies proxies = new Proxies(scenario, space, folder, history, standIns::known);
-                MachineLoad machine = new MachineLoad()) {
+                FakeProcesses standIns = new FakeProcesses(scenario, space, connections, relayLoop, history);
+                ProxyProcesses proxies = new ProxyProcesses(scenario, space, folder, history, standIns::known);
+                HostLoad machine = new HostLoad()) {
             if (scenario.warm()) {
                 standIns.warm(scenario.load().keys());
             }
@@ -121,16 +121,16 @@
             startSeconds = (System.nanoTime() - started) / 1e9;
             log.accept(String.format("ready after %.1f s; load for %.0f s", startSeconds, scenario.load().seconds()));
             machine.begin();
-            Lag lag = Lag.of(relayLoop);
+            EventLoopLag lag = EventLoopLag.of(relayLoop);
             long[] before = {relay.passed(), relay.bytes(), relay.lost()};
             int callsBefore = standIns.discoveryCalls();
             int testsBefore = standIns.tests();
-            load = new FleetLoad(loadGroup.next(), scenario, proxies.addresses(), history);
-            DutyPolls[] asking = new DutyPolls[1];
-            try (Director director = new Director(scenario, proxies, standIns, links, relayLoop, connections, history,
+            load = new OpenLoopWorkload(loadGroup.next(), scenario, proxies.addresses(), history);
+            LeasePoller[] asking = new LeasePoller[1];
+            try (FaultInjector director = new FaultInjector(scenario, proxies, standIns, links, relayLoop, connections, history,
                     duty -> asking[0] == null ? null : asking[0].holder(duty))) {
-                DutyPolls polls = scenario.duties().isEmpty() ? null
-                        : DutyPolls.start(loadGroup.next(), space, history, scenario.proxies(), scenario.duties(), scenario.pollMs(), scenario.seed());
+                LeasePoller polls = scenario.duties().isEmpty() ? null
+                        : LeasePoller.start(loadGroup.next(), space, history, scenario.proxies(), scenario.duties(), scenario.pollMs(), scenario.seed());
                 asking[0] = polls; // before the director's thread starts, which reads it
                 director.start();
                 load.start().get();
@@ -157,19 +157,19 @@
             loadGroup.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
         }
         log.accept("checking");
-        Run run = History.read(file);
-        Quality quality = new Quality(lags[0], lags[1], lags[2], pulseP99(run), lags[3], dropped, relayDropped);
-        return new Outcome(run, Verdict.of(run, quality.faults(), checkers), quality, Service.of(run, 0, Double.MAX_VALUE), startSeconds,
+        RunHistory run = History.read(file);
+        RunValidity quality = new RunValidity(lags[0], lags[1], lags[2], pulseP99(run), lags[3], dropped, relayDropped);
+        return new Outcome(run, Verdict.of(run, quality.faults(), checkers), quality, ServiceStats.of(run, 0, Double.MAX_VALUE), startSeconds,
                 resident, datagrams, calls, watches, tests, load.unreached(), load.unsent());
     }
 
     /** Checks a history that was written before. The machine's part in it is judged by the empty calls alone. */
     public static Verdict check(Path history, List<Checker> checkers) throws IOException, ConfigException {
-        Run run = History.read(history);
-        return Verdict.of(run, new Quality(0, 0, 0, pulseP99(run), 0, 0, 0).faults(), checkers);
+        RunHistory run = History.read(history);
+        return Verdict.of(run, new RunValidity(0, 0, 0, pulseP99(run), 0, 0, 0).faults(), checkers);
     }
 
-    private static double[] resident(Proxies proxies, int count) {
+    private static double[] resident(ProxyProcesses proxies, int count) {
         double sum = 0;
         double most = 0;
         int there = 0;
@@ -183,7 +183,7 @@
     }
 
     /** Of empty calls at proxies that nothing had befallen within a second before. */
-    private static double pulseP99(Run run) {
+    private static double pulseP99(RunHistory run) {
         double[] took = run.events().stream().filter(e -> e.what().equals(Event.PULSE)
                 && !run.troubled(e.who(), e.us() - (long) (e.value() * 1000) - 1_000_000, e.us())).mapToDouble(Event::value).sorted().toArray();
         return took.length == 0 ? 0 : took[(took.length - 1) * 99 / 100];
@@ -193,7 +193,7 @@
     public static List<Fault> shrink(Scenario scenario, Path folder, List<Checker> checkers, int tries, int runs, Consumer<String> log)
             throws Exception {
         int[] n = {0};
-        return new damsonworks.rig.plan.Shrinker(faults -> {
+        return new cacheproxy.faulttest.scenario.Shrinker(faults -> {
             Outcome o = play(scenario.with(faults), folder.resolve("try" + ++n[0]), checkers, s -> { });
             boolean broken = o.verdict().doubts().isEmpty() && o.verdict().broken();
             log.accept("try " + n[0] + ": " + faults.size() + " faults, " + (broken ? "broken" : o.verdict().held() ? "held" : "no verdict"));
--- a/src/main/java/damsonworks/rig/DutyActs.java
+++ b/src/main/java/cacheproxy/faulttest/FencedWriter.java
@@ -1,9 +1,9 @@
-package damsonworks.rig;
+package cacheproxy.faulttest;
 
-import damsonworks.lease.EpochGuard;
-import damsonworks.lease.Ids;
-import damsonworks.rig.check.Event;
-import damsonworks.rig.plan.Endpoints;
+import cacheproxy.fleet.lease.FencingTokenCheck;
+import cacheproxy.fleet.lease.NameHash;
+import cacheproxy.faulttest.check.Event;
+import cacheproxy.faulttest.scenario.TargetSelector;
 import io.netty.channel.EventLoop;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
@@ -13,7 +13,7 @@
  * stood still in the midst of it for longer than any lease, and a store takes what it writes unless it comes under an older epoch than it
  * has seen. On one event loop.
  */
-final class DutyActs {
+final class FencedWriter {
     private static final double STANDS_STILL = 0.05;
     private static final double LONGEST_MS = 4000;
     private static final double USUAL_MS = 20;
@@ -21,11 +21,11 @@
     private final EventLoop loop;
     private final History history;
     private final SplittableRandom random;
-    private final EpochGuard guard = new EpochGuard();
+    private final FencingTokenCheck guard = new FencingTokenCheck();
     /** By proxy and duty: whether a job is at it. */
     private final boolean[][] busy;
 
-    DutyActs(EventLoop loop, History history, int proxies, int duties, long seed) {
+    FencedWriter(EventLoop loop, History history, int proxies, int duties, long seed) {
         this.loop = loop;
         this.history = history;
         random = new SplittableRandom(seed + 7);
@@ -41,8 +41,8 @@
         double takes = random.nextDouble() * (random.nextDouble() < STANDS_STILL ? LONGEST_MS : USUAL_MS);
         loop.schedule(() -> {
             busy[proxy][number] = false;
-            boolean accepted = guard.accepts(Ids.of(duty), epoch);
-            history.add(0, Endpoints.proxy(proxy), Event.ACT, duty, accepted ? "accepted" : "refused", epoch);
+            boolean accepted = guard.accepts(NameHash.of(duty), epoch);
+            history.add(0, TargetSelector.proxy(proxy), Event.ACT, duty, accepted ? "accepted" : "refused", epoch);
         }, (long) (takes * 1000), TimeUnit.MICROSECONDS);
     }
 }
--- a/src/main/java/damsonworks/rig/History.java
+++ b/src/main/java/cacheproxy/faulttest/History.java
@@ -1,11 +1,11 @@
-package damsonworks.rig;
+package cacheproxy.faulttest;
 
 import com.google.gson.stream.JsonReader;
 import com.google.gson.stream.JsonWriter;
-import damsonworks.config.ConfigException;
-import damsonworks.rig.check.Event;
-import damsonworks.rig.check.Run;
-import damsonworks.rig.plan.Scenario;
+import cacheproxy.config.ConfigException;
+import cacheproxy.faulttest.check.Event;
+import cacheproxy.faulttest.check.RunHistory;
+import cacheproxy.faulttest.scenario.Scenario;
 import java.io.BufferedReader;
 import java.io.BufferedWriter;
 import java.io.IOException;
@@ -139,7 +139,7 @@
     }
 
     /** Reads a file; the exception says which line is of no use. */
-    static Run read(Path file) throws IOException, ConfigException {
+    static RunHistory read(Path file) throws IOException, ConfigException {
         List<Event> events = new ArrayList<>();
         Scenario scenario = null;
         try (BufferedReader in = Files.newBufferedReader(file)) {
@@ -162,6 +162,6 @@
         if (scenario == null) {
             throw ConfigException.of(List.of(file + ":1:1: no scenario in it; is it a history?"));
         }
-        return new Run(scenario, events);
+        return new RunHistory(scenario, events);
     }
 }
--- a/src/main/java/damsonworks/rig/MachineLoad.java
+++ b/src/main/java/cacheproxy/faulttest/HostLoad.java
@@ -1,14 +1,14 @@
-package damsonworks.rig;
+package cacheproxy.faulttest;
 
 import com.sun.management.OperatingSystemMXBean;
-import damsonworks.rig.plan.Quality;
+import cacheproxy.faulttest.scenario.RunValidity;
 import java.lang.management.ManagementFactory;
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
 /** How often nearly all processors of the machine were busy, with whatever: looked at every half second. */
-final class MachineLoad implements AutoCloseable {
+final class HostLoad implements AutoCloseable {
     private static final long EVERY_MS = 500;
 
     private final OperatingSystemMXBean machine = (OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
@@ -30,7 +30,7 @@
         double load = machine.getCpuLoad();
         if (load >= 0) {
             looks++;
-            busy += load > Quality.BUSY_LOAD ? 1 : 0;
+            busy += load > RunValidity.BUSY_LOAD ? 1 : 0;
         }
     }
 
--- a/src/main/java/damsonworks/rig/DutyPolls.java
+++ b/src/main/java/cacheproxy/faulttest/LeasePoller.java
@@ -1,8 +1,8 @@
-package damsonworks.rig;
+package cacheproxy.faulttest;
 
-import damsonworks.proxy.Transport;
-import damsonworks.rig.check.Event;
-import damsonworks.rig.plan.Endpoints;
+import cacheproxy.proxy.Transport;
+import cacheproxy.faulttest.check.Event;
+import cacheproxy.faulttest.scenario.TargetSelector;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -21,25 +21,25 @@
 import java.util.concurrent.TimeUnit;
 
 /** Asks each proxy at its control address whether it holds a duty, as those who act under it would, one call of each at a time. */
-final class DutyPolls {
+final class LeasePoller {
     private static final long PATIENCE_MS = 60_000;
 
     private final EventLoop loop;
     private final AddressSpace space;
     private final History history;
-    private final DutyActs acts;
+    private final FencedWriter acts;
     private final Map<String, String> holders = new ConcurrentHashMap<>();
     private Future<?> ticks;
 
-    private DutyPolls(EventLoop loop, AddressSpace space, History history, DutyActs acts) {
+    private LeasePoller(EventLoop loop, AddressSpace space, History history, FencedWriter acts) {
         this.acts = acts;
         this.loop = loop;
         this.space = space;
         this.history = history;
     }
 
-    static DutyPolls start(EventLoop loop, AddressSpace space, History history, int proxies, List<String> duties, double everyMs, long seed) {
-        DutyPolls polls = new DutyPolls(loop, space, history, new DutyActs(loop, history, proxies, duties.size(), seed));
+    static LeasePoller start(EventLoop loop, AddressSpace space, History history, int proxies, List<String> duties, double everyMs, long seed) {
+        LeasePoller polls = new LeasePoller(loop, space, history, new FencedWriter(loop, history, proxies, duties.size(), seed));
         boolean[][] out = new boolean[proxies][duties.size()];
         polls.ticks = loop.scheduleAtFixedRate(() -> {
             for (int p = 0; p < proxies; p++) {
@@ -114,9 +114,9 @@
             }
             boolean yes = text.indexOf("HTTP/1.1 200") == 0;
             long epoch = yes ? Long.parseLong(text.substring(body + 4).strip()) : 0;
-            history.add(history.now() - sentUs, Endpoints.proxy(proxy), Event.DUTY, duty, yes ? "yes" : "no", epoch);
+            history.add(history.now() - sentUs, TargetSelector.proxy(proxy), Event.DUTY, duty, yes ? "yes" : "no", epoch);
             if (yes) {
-                holders.put(duty, Endpoints.proxy(proxy));
+                holders.put(duty, TargetSelector.proxy(proxy));
                 acts.may(proxy, number, duty, epoch);
             }
             ctx.close();
--- a/src/main/java/damsonworks/rig/FleetLoad.java
+++ b/src/main/java/cacheproxy/faulttest/OpenLoopWorkload.java
@@ -1,10 +1,10 @@
-package damsonworks.rig;
+package cacheproxy.faulttest;
 
-import damsonworks.proxy.Transport;
-import damsonworks.rig.check.Event;
-import damsonworks.rig.plan.Endpoints;
-import damsonworks.rig.plan.Scenario;
-import damsonworks.standin.StandInOrigin;
+import cacheproxy.proxy.Transport;
+import cacheproxy.faulttest.check.Event;
+import cacheproxy.faulttest.scenario.TargetSelector;
+import cacheproxy.faulttest.scenario.Scenario;
+import cacheproxy.fakes.FakeOrigin;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -30,7 +30,7 @@
  * sent, answered, cut off and given up goes into the history. A request whose connection has ended is sent once
  * more, to any other proxy, unless it must not run twice. Besides, each proxy gets an empty call four times a second, which shows how late its loop is.
  */
-final class FleetLoad {
+final class OpenLoopWorkload {
     private static final int MOST_CONNECTIONS = 64;
     private static final long TICK_NANOS = 1_000_000;
     private static final long PULSE_MS = 250;
@@ -41,7 +41,7 @@
     private final Scenario.Load load;
     private final InetSocketAddress[] proxies;
     private final History history;
-    private final Lag lag;
+    private final EventLoopLag lag;
     private final SplittableRandom random;
     private final Target[] targets;
     private final double[] upTo;
@@ -57,12 +57,12 @@
     private int unreached;
     private int unsent;
 
-    FleetLoad(EventLoop loop, Scenario scenario, InetSocketAddress[] proxies, History history) {
+    OpenLoopWorkload(EventLoop loop, Scenario scenario, InetSocketAddress[] proxies, History history) {
         this.loop = loop;
         this.proxies = proxies;
         this.history = history;
         load = scenario.load();
-        lag = Lag.of(loop);
+        lag = EventLoopLag.of(loop);
         random = new SplittableRandom(scenario.seed() * 31 + 7);
         targets = new Target[proxies.length];
         upTo = new double[proxies.length];
@@ -94,7 +94,7 @@
         return done;
     }
 
-    Lag lag() {
+    EventLoopLag lag() {
         return lag;
     }
 
@@ -179,7 +179,7 @@
 
         Target(int index) {
             this.index = index;
-            name = Endpoints.proxy(index);
+            name = TargetSelector.proxy(index);
         }
 
         void send(Request r) {
@@ -284,7 +284,7 @@
                     String body = in.readCharSequence(value, StandardCharsets.ISO_8859_1).toString();
                     in.skipBytes(2);
                     value = -1;
-                    answered(body.equals(StandInOrigin.value(request.key)) ? "served" : "wrong");
+                    answered(body.equals(FakeOrigin.value(request.key)) ? "served" : "wrong");
                 }
                 return;
             }
--- a/src/main/java/damsonworks/rig/Child.java
+++ b/src/main/java/cacheproxy/faulttest/ParentWatchdog.java
@@ -1,16 +1,16 @@
-package damsonworks.rig;
+package cacheproxy.faulttest;
 
-import damsonworks.Main;
+import cacheproxy.Main;
 import java.io.IOException;
 
 /**
  * The program as a child of the rig: all that differs is a thread that reads standard input, whose end is the parent's end. So
  * no child outlives a rig that was killed.
  */
-public final class Child {
+public final class ParentWatchdog {
     private static final int ORPHAN = 97;
 
-    private Child() { }
+    private ParentWatchdog() { }
 
     /** Takes the program's own words. */
     public static void main(String[] args) {
--- a/src/main/java/damsonworks/rig/Signals.java
+++ b/src/main/java/cacheproxy/faulttest/ProcessSignals.java
@@ -1,4 +1,4 @@
-package damsonworks.rig;
+package cacheproxy.faulttest;
 
 import java.io.BufferedReader;
 import java.io.IOException;
@@ -9,7 +9,7 @@
  * Stops and continues processes, by a shell that lives as long as this process: once it reads no more orders it continues all that it
  * has stopped, so that nothing stands still for good when this process is killed.
  */
-final class Signals implements AutoCloseable {
+final class ProcessSignals implements AutoCloseable {
     private static final String SCRIPT = """
             held=' '
             while read signal pid; do
@@ -26,7 +26,7 @@
     private final Process shell;
     private final BufferedReader done;
 
-    Signals() throws IOException {
+    ProcessSignals() throws IOException {
         shell = new ProcessBuilder("sh", "-c", SCRIPT).redirectError(ProcessBuilder.Redirect.DISCARD).start();
         done = shell.inputReader(StandardCharsets.US_ASCII);
     }
--- a/src/main/java/damsonworks/rig/Proxies.java
+++ b/src/main/java/cacheproxy/faulttest/ProxyProcesses.java
@@ -1,9 +1,9 @@
-package damsonworks.rig;
+package cacheproxy.faulttest;
 
 import com.google.gson.JsonObject;
-import damsonworks.rig.check.Event;
-import damsonworks.rig.plan.Endpoints;
-import damsonworks.rig.plan.Scenario;
+import cacheproxy.faulttest.check.Event;
+import cacheproxy.faulttest.scenario.TargetSelector;
+import cacheproxy.faulttest.scenario.Scenario;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.Writer;
@@ -27,9 +27,9 @@
 
 /**
  * The processes of the program. Each is started as in service, has a folder of its own, and ends with the rig in whatever way the rig
- * ends ({@link Child}). What befalls them comes from one thread, the director's.
+ * ends ({@link ParentWatchdog}). What befalls them comes from one thread, the director's.
  */
-final class Proxies implements AutoCloseable {
+final class ProxyProcesses implements AutoCloseable {
     private static final double READY_SECONDS = 120;
     private static final long READER_MS = 20_000;
     private static final int MOST_LINE = 500;
@@ -40,7 +40,7 @@
     private final ChildFiles files;
     private final Path folder;
     private final History history;
-    private final Signals signals = new Signals();
+    private final ProcessSignals signals = new ProcessSignals();
     private final ExecutorService starters;
     private final SplittableRandom seeds;
     private final One[] all;
@@ -56,7 +56,7 @@
         boolean down;
     }
 
-    Proxies(Scenario scenario, AddressSpace space, Path folder, History history, IntFunction<JsonObject> known)
+    ProxyProcesses(Scenario scenario, AddressSpace space, Path folder, History history, IntFunction<JsonObject> known)
             throws IOException {
         this.scenario = scenario;
         this.space = space;
@@ -95,7 +95,7 @@
     }
 
     private void start(int i) throws IOException, InterruptedException {
-        String name = Endpoints.proxy(i);
+        String name = TargetSelector.proxy(i);
         Path own = folder.resolve(name);
         Path temporary = own.resolve("tmp");
         Files.createDirectories(temporary);
@@ -106,7 +106,7 @@
             seed = seeds.nextLong();
         }
         Files.writeString(config, files.of(i, seed));
-        List<String> words = new ArrayList<>(Program.command());
+        List<String> words = new ArrayList<>(ProxyCommandLine.command());
         words.add(scenario.program());
         if (!serve) {
             words.add(config.toString());
@@ -155,11 +155,11 @@
         long until = System.nanoTime() + (long) (READY_SECONDS * 1e9);
         while (true) {
             if (!process.isAlive()) {
-                throw new IOException(Endpoints.proxy(i) + " ended before it was ready, exit code " + process.exitValue() + "; see "
-                        + folder.resolve(Endpoints.proxy(i)).resolve("log"));
+                throw new IOException(TargetSelector.proxy(i) + " ended before it was ready, exit code " + process.exitValue() + "; see "
+                        + folder.resolve(TargetSelector.proxy(i)).resolve("log"));
             }
             if (System.nanoTime() > until) {
-                throw new IOException(Endpoints.proxy(i) + " was not ready within " + (int) READY_SECONDS + " s");
+                throw new IOException(TargetSelector.proxy(i) + " was not ready within " + (int) READY_SECONDS + " s");
             }
             try (Socket s = new Socket()) {
                 s.connect(space.proxy(i, AddressSpace.CLIENTS), 500);
@@ -203,7 +203,7 @@
             return;
         }
         if (o.stops++ == 0) {
-            history.add(0, Endpoints.proxy(i), Event.STOPPED, "", "", 0);
+            history.add(0, TargetSelector.proxy(i), Event.STOPPED, "", "", 0);
             signals.send("STOP", o.process.pid());
         }
     }
@@ -215,7 +215,7 @@
         }
         if (--o.stops == 0) {
             signals.send("CONT", o.process.pid());
-            history.add(0, Endpoints.proxy(i), Event.CONTINUED, "", "", 0);
+            history.add(0, TargetSelector.proxy(i), Event.CONTINUED, "", "", 0);
         }
     }
 
@@ -226,7 +226,7 @@
             return false;
         }
         o.down = true;
-        history.add(0, Endpoints.proxy(i), kill ? Event.KILLED : Event.TERMED, "", "", 0);
+        history.add(0, TargetSelector.proxy(i), kill ? Event.KILLED : Event.TERMED, "", "", 0);
         if (kill) {
             o.process.destroyForcibly();
         } else {
@@ -256,11 +256,11 @@
     private void restart(int i, boolean loseDisk) throws IOException, InterruptedException {
         One o = all[i];
         if (!o.process.waitFor(20, TimeUnit.SECONDS)) {
-            throw new IOException(Endpoints.proxy(i) + " had not ended 20 s after it was told to");
+            throw new IOException(TargetSelector.proxy(i) + " had not ended 20 s after it was told to");
         }
         o.reader.join(READER_MS); // else its end could be noted behind the next one's start, as if that one had ended
         if (loseDisk) {
-            empty(folder.resolve(Endpoints.proxy(i)).resolve("tmp"));
+            empty(folder.resolve(TargetSelector.proxy(i)).resolve("tmp"));
         }
         if (!closing) {
             start(i);
@@ -291,7 +291,7 @@
         starters.shutdownNow();
         for (int i = 0; i < all.length; i++) {
             if (all[i].process != null) {
-                history.add(0, Endpoints.proxy(i), Event.KILLED, "", "at the run's end", 0);
+                history.add(0, TargetSelector.proxy(i), Event.KILLED, "", "at the run's end", 0);
                 all[i].process.destroyForcibly();
             }
         }
--- a/src/main/java/damsonworks/rig/ScenarioReader.java
+++ b/src/main/java/cacheproxy/faulttest/ScenarioReader.java
@@ -1,13 +1,13 @@
-package damsonworks.rig;
+package cacheproxy.faulttest;
 
-import damsonworks.config.ConfigException;
-import damsonworks.config.Section;
-import damsonworks.rig.plan.Chaos;
-import damsonworks.rig.plan.Endpoints;
-import damsonworks.rig.plan.Fault;
-import damsonworks.rig.plan.Fault.Kind;
-import damsonworks.rig.plan.Fault.LinkFigures;
-import damsonworks.rig.plan.Scenario;
+import cacheproxy.config.ConfigException;
+import cacheproxy.config.TomlTableReader;
+import cacheproxy.faulttest.scenario.RandomFaults;
+import cacheproxy.faulttest.scenario.TargetSelector;
+import cacheproxy.faulttest.scenario.Fault;
+import cacheproxy.faulttest.scenario.Fault.Kind;
+import cacheproxy.faulttest.scenario.Fault.LinkFigures;
+import cacheproxy.faulttest.scenario.Scenario;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -33,11 +33,11 @@
     }
 
     public static Scenario parse(String name, String text, Long seed) throws ConfigException {
-        return Section.parse(name, text, root -> scenario(name, root, seed));
+        return TomlTableReader.parse(name, text, root -> scenario(name, root, seed));
     }
 
-    private static Scenario scenario(String name, Section root, Long given) {
-        Section f = root.section("fleet");
+    private static Scenario scenario(String name, TomlTableReader root, Long given) {
+        TomlTableReader f = root.section("fleet");
         if (f == null) {
             root.error("fleet", "no [fleet]; write one with proxies and nodes");
             return null;
@@ -49,7 +49,7 @@
             f.error("zones", "zones are words of a-z and 0-9, at least one");
             zones = List.of("a");
         }
-        Endpoints endpoints = new Endpoints(proxies, nodes, zones);
+        TargetSelector endpoints = new TargetSelector(proxies, nodes, zones);
         int own = f.integer("seed", 1, 0, Integer.MAX_VALUE);
         long seed = given != null ? given : own;
         Scenario bare = new Scenario(name, f.oneOf("program", "serve", "serve", "run"), proxies, nodes, zones, seed,
@@ -60,11 +60,11 @@
         f.end();
         SplittableRandom random = new SplittableRandom(seed);
         List<Fault> faults = new ArrayList<>();
-        for (Section s : root.sections("fault")) {
+        for (TomlTableReader s : root.sections("fault")) {
             fault(s, endpoints, random.split(), faults);
             s.end();
         }
-        Section chaos = root.section("chaos");
+        TomlTableReader chaos = root.section("chaos");
         if (chaos != null) {
             chaos(chaos, endpoints, seed, bare.load().seconds() * 1000, faults);
             chaos.end();
@@ -75,7 +75,7 @@
         return bare.with(faults);
     }
 
-    private static Scenario.Limit limit(Section s) {
+    private static Scenario.Limit limit(TomlTableReader s) {
         if (s == null) {
             return null;
         }
@@ -88,7 +88,7 @@
         return limit;
     }
 
-    private static Scenario.Load load(Section s) {
+    private static Scenario.Load load(TomlTableReader s) {
         if (s == null) {
             return new Scenario.Load(5, 200, 0, 0, 500, 0.05, 0.05, 1000);
         }
@@ -99,12 +99,12 @@
         return load;
     }
 
-    private static void fault(Section s, Endpoints endpoints, SplittableRandom random, List<Fault> faults) {
+    private static void fault(TomlTableReader s, TargetSelector endpoints, SplittableRandom random, List<Fault> faults) {
         Kind kind = kind(s, s.text("kind"), "kind");
         double at = s.number("at_ms", 0, 0, 24 * HOUR_MS);
         double lasts = s.number("for_ms", 1000, 1, 24 * HOUR_MS);
         String holderOf = s.text("holder_of", "");
-        List<String> who = !holderOf.isEmpty() && !s.has("who") ? List.of(Endpoints.proxy(0)) : choose(s, "who", endpoints, random);
+        List<String> who = !holderOf.isEmpty() && !s.has("who") ? List.of(TargetSelector.proxy(0)) : choose(s, "who", endpoints, random);
         List<String> to = List.of();
         LinkFigures figures = null;
         boolean twoWay = false;
@@ -129,13 +129,13 @@
     }
 
     /** What a link's fault lies between where the file does not say: the chosen ones and all other proxies. */
-    private static List<String> rest(List<String> who, Endpoints endpoints) {
+    private static List<String> rest(List<String> who, TargetSelector endpoints) {
         List<String> rest = new ArrayList<>(endpoints.choose("proxies", new SplittableRandom(0)));
         rest.removeAll(who);
         return rest;
     }
 
-    private static List<String> choose(Section s, String key, Endpoints endpoints, SplittableRandom random) {
+    private static List<String> choose(TomlTableReader s, String key, TargetSelector endpoints, SplittableRandom random) {
         String words = s.text(key);
         try {
             return words.isEmpty() ? List.of() : endpoints.choose(words, random);
@@ -145,7 +145,7 @@
         }
     }
 
-    private static Kind kind(Section s, String word, String key) {
+    private static Kind kind(TomlTableReader s, String word, String key) {
         for (Kind k : Kind.values()) {
             if (Fault.word(k).equals(word)) {
                 return k;
@@ -158,7 +158,7 @@
         return Kind.STOP;
     }
 
-    private static void chaos(Section s, Endpoints endpoints, long seed, double loadMs, List<Fault> faults) {
+    private static void chaos(TomlTableReader s, TargetSelector endpoints, long seed, double loadMs, List<Fault> faults) {
         List<Kind> kinds = new ArrayList<>();
         s.texts("kinds").forEach(k -> kinds.add(kind(s, k, "kinds")));
         double from = s.number("from_ms", 0, 0, 24 * HOUR_MS);
@@ -169,6 +169,6 @@
             s.error("longest_ms", "longest_ms is " + longest + " and does not fit between from_ms and to_ms");
             return;
         }
-        faults.addAll(new Chaos(count, kinds.isEmpty() ? List.of(Kind.values()) : kinds, from, to, longest).faults(endpoints, seed));
+        faults.addAll(new RandomFaults(count, kinds.isEmpty() ? List.of(Kind.values()) : kinds, from, to, longest).faults(endpoints, seed));
     }
 }
--- a/src/main/java/damsonworks/rig/TcpRelay.java
+++ b/src/main/java/cacheproxy/faulttest/TcpRelay.java
@@ -1,7 +1,7 @@
-package damsonworks.rig;
+package cacheproxy.faulttest;
 
-import damsonworks.proxy.Transport;
-import damsonworks.rig.plan.Links;
+import cacheproxy.proxy.Transport;
+import cacheproxy.faulttest.scenario.NetworkLinks;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -27,12 +27,12 @@
  */
 final class TcpRelay implements AutoCloseable {
     private final EventLoop loop;
-    private final Links links;
+    private final NetworkLinks links;
     private final List<Channel> servers = new ArrayList<>();
     private final Set<Pipe> pipes = new HashSet<>();
 
     /** @param links used on the loop alone */
-    TcpRelay(EventLoop loop, Links links) {
+    TcpRelay(EventLoop loop, NetworkLinks links) {
         this.loop = loop;
         this.links = links;
     }
--- a/src/main/java/damsonworks/rig/check/NoEffectTwice.java
+++ b/src/main/java/cacheproxy/faulttest/check/AtMostOnceChecker.java
@@ -1,4 +1,4 @@
-package damsonworks.rig.check;
+package cacheproxy.faulttest.check;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -6,15 +6,15 @@
 import java.util.Set;
 
 /** No write takes effect twice, whatever befalls; and one that was answered as served has taken effect. Nothing is excused. */
-public final class NoEffectTwice implements Checker {
+public final class AtMostOnceChecker implements Checker {
     @Override
     public String name() {
         return "no-effect-twice";
     }
 
     @Override
-    public Findings check(Run run) {
-        Findings f = new Findings();
+    public Violations check(RunHistory run) {
+        Violations f = new Violations();
         Map<String, Integer> effects = new HashMap<>();
         Set<String> writes = new HashSet<>();
         for (Event e : run.events()) {
--- a/src/main/java/damsonworks/rig/check/NoCrash.java
+++ b/src/main/java/cacheproxy/faulttest/check/CrashChecker.java
@@ -1,18 +1,18 @@
-package damsonworks.rig.check;
+package cacheproxy.faulttest.check;
 
 import java.util.HashSet;
 import java.util.Set;
 
 /** No process ends that nobody ended. */
-public final class NoCrash implements Checker {
+public final class CrashChecker implements Checker {
     @Override
     public String name() {
         return "no-crash";
     }
 
     @Override
-    public Findings check(Run run) {
-        Findings f = new Findings();
+    public Violations check(RunHistory run) {
+        Violations f = new Violations();
         Set<String> told = new HashSet<>();
         for (Event e : run.events()) {
             switch (e.what()) {
--- a/src/main/java/damsonworks/rig/check/DrainsKept.java
+++ b/src/main/java/cacheproxy/faulttest/check/DrainChecker.java
@@ -1,4 +1,4 @@
-package damsonworks.rig.check;
+package cacheproxy.faulttest.check;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -7,7 +7,7 @@
  * Nothing new goes to a node that has been called draining for the grace. Whoever could not hear of it counts as told so much
  * after it could again.
  */
-public final class DrainsKept implements Checker {
+public final class DrainChecker implements Checker {
     static final long GRACE_US = 2_050_000;
     /** What discovery has to tell counts as told by then, whether or not it arrived. */
     static final long TOLD_US = 6_000_000;
@@ -18,8 +18,8 @@
     }
 
     @Override
-    public Findings check(Run run) {
-        Findings f = new Findings();
+    public Violations check(RunHistory run) {
+        Violations f = new Violations();
         Map<String, Long> draining = new HashMap<>();
         Map<String, String> askedAt = new HashMap<>();
         for (Event e : run.events()) {
--- a/src/main/java/damsonworks/rig/check/Event.java
+++ b/src/main/java/cacheproxy/faulttest/check/Event.java
@@ -1,4 +1,4 @@
-package damsonworks.rig.check;
+package cacheproxy.faulttest.check;
 
 /**
  * One thing that happened to one of the processes of a run.
--- a/src/main/java/damsonworks/rig/check/ActsInOrder.java
+++ b/src/main/java/cacheproxy/faulttest/check/FencingChecker.java
@@ -1,18 +1,18 @@
-package damsonworks.rig.check;
+package cacheproxy.faulttest.check;
 
 import java.util.HashMap;
 import java.util.Map;
 
 /** No act under a duty is taken once one of a later epoch was: whatever stood still in the midst of it does no harm. */
-public final class ActsInOrder implements Checker {
+public final class FencingChecker implements Checker {
     @Override
     public String name() {
         return "acts-in-order";
     }
 
     @Override
-    public Findings check(Run run) {
-        Findings f = new Findings();
+    public Violations check(RunHistory run) {
+        Violations f = new Violations();
         Map<String, Event> last = new HashMap<>();
         for (Event e : run.events()) {
             if (!e.what().equals(Event.ACT) || !e.detail().equals("accepted")) {
@@ -31,7 +31,7 @@
     }
 
     /** Acts of older epochs that were refused where they were received. */
-    public static long refused(Run run) {
+    public static long refused(RunHistory run) {
         return run.events().stream().filter(e -> e.what().equals(Event.ACT) && e.detail().equals("refused")).count();
     }
 }
--- a/src/main/java/damsonworks/rig/check/OneHolder.java
+++ b/src/main/java/cacheproxy/faulttest/check/MutualExclusionChecker.java
@@ -1,6 +1,6 @@
-package damsonworks.rig.check;
+package cacheproxy.faulttest.check;
 
-import damsonworks.rig.plan.Fault;
+import cacheproxy.faulttest.scenario.Fault;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -12,7 +12,7 @@
  * answer. So none that was asked for after a yes of a later epoch had come may be of an earlier one, and no two proxies may say yes
  * under one epoch.
  */
-public final class OneHolder implements Checker {
+public final class MutualExclusionChecker implements Checker {
     /** What comes later than this after a fault is not laid to it. */
     private static final double MOST_TAKEOVER_MS = 8000;
 
@@ -22,8 +22,8 @@
     }
 
     @Override
-    public Findings check(Run run) {
-        Findings f = new Findings();
+    public Violations check(RunHistory run) {
+        Violations f = new Violations();
         Map<String, TreeMap<Long, Event>> latest = new HashMap<>();
         Map<String, Map<Double, String>> holders = new HashMap<>();
         for (Event e : run.events()) {
@@ -50,7 +50,7 @@
     }
 
     /** Spans in which nobody said yes, longer than the least, milliseconds: of one duty, in the order of time. */
-    public static List<double[]> gaps(Run run, String duty, double leastMs, double fromMs, double toMs) {
+    public static List<double[]> gaps(RunHistory run, String duty, double leastMs, double fromMs, double toMs) {
         List<double[]> gaps = new ArrayList<>();
         double last = fromMs;
         for (Event e : run.events()) {
@@ -71,7 +71,7 @@
      * Of faults that befell a holder, by their kinds: after how many milliseconds another grant was first seen, sorted; those that left it
      * holding don't count.
      */
-    public static Map<String, double[]> takeovers(Run run) {
+    public static Map<String, double[]> takeovers(RunHistory run) {
         Map<String, List<Double>> gaps = new TreeMap<>();
         List<Event> events = run.events();
         for (int i = 0; i < events.size(); i++) {
@@ -102,7 +102,7 @@
     }
 
     /** How often a duty was held under another epoch than before. */
-    public static int moves(Run run, String duty) {
+    public static int moves(RunHistory run, String duty) {
         return (int) run.events().stream().filter(e -> e.what().equals(Event.DUTY) && e.id().equals(duty) && e.detail().equals("yes"))
                 .mapToDouble(Event::value).distinct().count();
     }
--- a/src/main/java/damsonworks/rig/check/LimitKept.java
+++ b/src/main/java/cacheproxy/faulttest/check/QuotaChecker.java
@@ -1,6 +1,6 @@
-package damsonworks.rig.check;
+package cacheproxy.faulttest.check;
 
-import damsonworks.rig.plan.Scenario;
+import cacheproxy.faulttest.scenario.Scenario;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -14,7 +14,7 @@
  * In no window may surely have come more than the limit's part of it, what may be saved up, and what clocks that run fast make of it. At once: a
  * request is surely in hand from when it came to a node until {@value #ANSWER_MS} ms before its client had the answer, which may have been on its way for so long.
  */
-public final class LimitKept implements Checker {
+public final class QuotaChecker implements Checker {
     /** Windows over which it is judged, ms. */
     public static final double[] WINDOWS = {100, 1000, 10_000};
     private static final double DRIFT = 0.01;
@@ -26,8 +26,8 @@
     }
 
     @Override
-    public Findings check(Run run) {
-        Findings f = new Findings();
+    public Violations check(RunHistory run) {
+        Violations f = new Violations();
         Scenario.Limit limit = run.scenario().limit();
         if (limit == null) {
             return f;
@@ -54,7 +54,7 @@
     }
 
     /** First arrivals of requests that the limit bounds. */
-    static List<Event> arrivals(Run run) {
+    static List<Event> arrivals(RunHistory run) {
         Set<String> bounded = new HashSet<>();
         Set<String> seen = new HashSet<>();
         List<Event> came = new ArrayList<>();
@@ -92,7 +92,7 @@
     }
 
     /** Spans in which each is surely in hand, and how many of them are at once. */
-    private static void inHand(Run run, Scenario.Limit limit, Findings f) {
+    private static void inHand(RunHistory run, Scenario.Limit limit, Violations f) {
         Map<String, Event> came = new HashMap<>();
         arrivals(run).forEach(e -> came.put(e.id(), e));
         List<long[]> turns = new ArrayList<>();
@@ -118,18 +118,18 @@
     }
 
     /** By window: the most that came, over what the limit alone allows. */
-    public static double[] over(Run run) {
+    public static double[] over(RunHistory run) {
         List<Event> came = arrivals(run);
         return Arrays.stream(WINDOWS).map(w -> most(came, w)[0] - run.scenario().limit().perSecond() * w / 1000).toArray();
     }
 
     /** The part of a rate that lay idle while as much was refused, in whole seconds of the load but its first ones. */
-    public static double idle(Run run, double skippedMs) {
+    public static double idle(RunHistory run, double skippedMs) {
         double[] asked = run.events().stream().filter(e -> e.what().equals(Event.ASKED)).mapToDouble(Event::ms).toArray();
         return asked.length == 0 ? 0 : idle(run, asked[0] + skippedMs, asked[asked.length - 1]);
     }
 
-    private static double idle(Run run, double fromMs, double toMs) {
+    private static double idle(RunHistory run, double fromMs, double toMs) {
         double perSecond = run.scenario().limit().perSecond();
         int seconds = (int) Math.max(1, (toMs - fromMs) / 1000);
         double[] came = new double[seconds];
--- a/src/main/java/damsonworks/rig/check/Run.java
+++ b/src/main/java/cacheproxy/faulttest/check/RunHistory.java
@@ -1,7 +1,7 @@
-package damsonworks.rig.check;
+package cacheproxy.faulttest.check;
 
-import damsonworks.rig.plan.Fault;
-import damsonworks.rig.plan.Scenario;
+import cacheproxy.faulttest.scenario.Fault;
+import cacheproxy.faulttest.scenario.Scenario;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -9,7 +9,7 @@
 import java.util.Map;
 
 /** A whole history in the order of time, with what befell each proxy. */
-public final class Run {
+public final class RunHistory {
     /** A span in microseconds. */
     record Span(long from, long to) {
         boolean meets(long a, long b) {
@@ -31,7 +31,7 @@
     private final long endUs;
 
     /** @param events in any order */
-    public Run(Scenario scenario, List<Event> events) {
+    public RunHistory(Scenario scenario, List<Event> events) {
         this.scenario = scenario;
         this.events = new ArrayList<>(events);
         this.events.sort(Comparator.comparingLong(Event::us));
--- a/src/main/java/damsonworks/rig/check/Service.java
+++ b/src/main/java/cacheproxy/faulttest/check/ServiceStats.java
@@ -1,6 +1,6 @@
-package damsonworks.rig.check;
+package cacheproxy.faulttest.check;
 
-import damsonworks.rig.plan.Endpoints;
+import cacheproxy.faulttest.scenario.TargetSelector;
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.Map;
@@ -17,16 +17,16 @@
  * @param idle nodes that were sent nothing
  * @param attemptsEach commands at nodes for each request
  */
-public record Service(int asked, int inTime, int served, int refused, int failed, int unanswered, double[] waited, double nodeMax,
+public record ServiceStats(int asked, int inTime, int served, int refused, int failed, int unanswered, double[] waited, double nodeMax,
         double nodeVariation, int idle, double attemptsEach) {
 
     /** Over requests sent in a span of a run, milliseconds. */
-    public static Service of(Run run, double fromMs, double toMs) {
+    public static ServiceStats of(RunHistory run, double fromMs, double toMs) {
         Map<String, Event> open = new HashMap<>();
         int[] of = new int[6];
         int[] arrivals = new int[run.scenario().nodes()];
         double[] times = new double[run.events().size()];
-        Endpoints names = run.scenario().endpoints();
+        TargetSelector names = run.scenario().endpoints();
         int attempts = 0;
         for (Event e : run.events()) {
             switch (e.what()) {
@@ -64,13 +64,13 @@
                 : new double[] {served[served.length / 2], served[served.length * 99 / 100]};
         double mean = Arrays.stream(arrivals).average().orElse(0);
         double variance = Arrays.stream(arrivals).mapToDouble(n -> (n - mean) * (n - mean)).average().orElse(0);
-        return new Service(of[0], of[1], of[2], of[3], of[4], of[0] - of[2] - of[3] - of[4], waited,
+        return new ServiceStats(of[0], of[1], of[2], of[3], of[4], of[0] - of[2] - of[3] - of[4], waited,
                 mean == 0 ? 0 : Arrays.stream(arrivals).max().orElse(0) / mean, mean == 0 ? 0 : Math.sqrt(variance) / mean,
                 (int) Arrays.stream(arrivals).filter(n -> n == 0).count(), of[0] == 0 ? 0 : (double) attempts / of[0]);
     }
 
     /** Commands that came to nodes while these stood still. */
-    public static int sentToSick(Run run) {
+    public static int sentToSick(RunHistory run) {
         Map<String, Set<String>> by = new HashMap<>();
         int n = 0;
         for (Event e : run.events()) {
--- a/src/main/java/damsonworks/rig/check/OneAnswer.java
+++ b/src/main/java/cacheproxy/faulttest/check/SingleResponseChecker.java
@@ -1,4 +1,4 @@
-package damsonworks.rig.check;
+package cacheproxy.faulttest.check;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -10,7 +10,7 @@
  * process that was killed with them in hand, and for as long as a process stood still nobody can ask it for an answer. A connection that ended between
  * requests at a planned end may have crossed one, which then must not have been carried on.
  */
-public final class OneAnswer implements Checker {
+public final class SingleResponseChecker implements Checker {
     /** What the rules grant beyond a request's time. */
     private static final long SLACK_US = 550_000;
     /** A reset and the kill that it comes of are noticed by two threads. */
@@ -33,8 +33,8 @@
     }
 
     @Override
-    public Findings check(Run run) {
-        Findings f = new Findings();
+    public Violations check(RunHistory run) {
+        Violations f = new Violations();
         Map<String, Open> open = new HashMap<>();
         Set<String> over = new HashSet<>();
         for (Event e : run.events()) {
@@ -74,7 +74,7 @@
         return f;
     }
 
-    private static void answered(Run run, Findings f, Open o, Event e, Set<String> over) {
+    private static void answered(RunHistory run, Violations f, Open o, Event e, Set<String> over) {
         if (e.detail().equals("wrong")) {
             f.broken(e, e.id() + " at " + e.who() + " was answered with what nobody made for it");
         }
@@ -93,7 +93,7 @@
         }
     }
 
-    private static void gone(Run run, Findings f, Open o, Event e) {
+    private static void gone(RunHistory run, Violations f, Open o, Event e) {
         if (o == null || o.answered) {
             return;
         }
@@ -106,12 +106,12 @@
         }
     }
 
-    private static boolean excused(Run run, Open o, Event e) {
+    private static boolean excused(RunHistory run, Open o, Event e) {
         return run.dead(o.asked.who(), o.asked.earliest(), e.us()) || stood(run, o, e.earliest());
     }
 
     /** Whether the time that its process had, without that in which it stood still, is within what the rules allow. */
-    private static boolean stood(Run run, Open o, long until) {
+    private static boolean stood(RunHistory run, Open o, long until) {
         long stood = run.stoppedUs(o.asked.who(), o.asked.earliest(), until);
         return stood > 0 && until - o.asked.us() - stood < (long) (o.asked.value() * 1000) + SLACK_US;
     }
--- a/src/main/java/damsonworks/rig/check/ColdSum.java
+++ b/src/main/java/cacheproxy/faulttest/check/SlowStartChecker.java
@@ -1,4 +1,4 @@
-package damsonworks.rig.check;
+package cacheproxy.faulttest.check;
 
 import java.util.ArrayDeque;
 import java.util.HashMap;
@@ -8,7 +8,7 @@
  * What all proxies together send to a node that has come back cold, in any span of the fall time, against what it could do when the
  * span began.
  */
-public final class ColdSum implements Checker {
+public final class SlowStartChecker implements Checker {
     static final double START = 0.3;
     static final double WARM_UP_MS = 9000;
     static final double TIP = 3;
@@ -37,8 +37,8 @@
     }
 
     @Override
-    public Findings check(Run run) {
-        Findings f = new Findings();
+    public Violations check(RunHistory run) {
+        Violations f = new Violations();
         worst = 0;
         Map<String, Cold> cold = new HashMap<>();
         for (Event e : run.events()) {
--- a/src/main/java/damsonworks/rig/check/Verdict.java
+++ b/src/main/java/cacheproxy/faulttest/check/Verdict.java
@@ -1,4 +1,4 @@
-package damsonworks.rig.check;
+package cacheproxy.faulttest.check;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -11,10 +11,10 @@
  * @param doubts why it does not count; empty if it does
  * @param findings by the checkers' names
  */
-public record Verdict(List<String> doubts, Map<String, Findings> findings) {
+public record Verdict(List<String> doubts, Map<String, Violations> findings) {
     /** Checks a run. */
-    public static Verdict of(Run run, List<String> doubts, List<Checker> checkers) {
-        Map<String, Findings> findings = new LinkedHashMap<>();
+    public static Verdict of(RunHistory run, List<String> doubts, List<Checker> checkers) {
+        Map<String, Violations> findings = new LinkedHashMap<>();
         checkers.forEach(c -> findings.put(c.name(), c.check(run)));
         return new Verdict(List.copyOf(doubts), findings);
     }
--- a/src/main/java/damsonworks/rig/check/Findings.java
+++ b/src/main/java/cacheproxy/faulttest/check/Violations.java
@@ -1,10 +1,10 @@
-package damsonworks.rig.check;
+package cacheproxy.faulttest.check;
 
 import java.util.ArrayList;
 import java.util.List;
 
 /** What breaks an invariant: the first in words, all of them counted; and how much was looked at, as none of none says nothing. */
-public final class Findings {
+public final class Violations {
     public static final int MOST = 20;
 
     private final List<String> words = new ArrayList<>();
--- a/src/main/java/damsonworks/rig/plan/Links.java
+++ b/src/main/java/cacheproxy/faulttest/scenario/NetworkLinks.java
@@ -1,6 +1,6 @@
-package damsonworks.rig.plan;
+package cacheproxy.faulttest.scenario;
 
-import damsonworks.rig.plan.Fault.LinkFigures;
+import cacheproxy.faulttest.scenario.Fault.LinkFigures;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.List;
@@ -8,9 +8,9 @@
 
 /**
  * Which links are faulty now, and what becomes of what is sent on them. Where several faults lie on one link each has its turn:
- * what one lets through the next may still lose, delays add up. By ordered pair of {@link Endpoints}' indices.
+ * what one lets through the next may still lose, delays add up. By ordered pair of {@link TargetSelector}' indices.
  */
-public final class Links {
+public final class NetworkLinks {
     /** Of one that is sent: how much later it comes, and whether a byte of it is changed. */
     public record Delivery(double delayMs, boolean corrupt) { }
 
@@ -23,10 +23,10 @@
         }
     }
 
-    private final Endpoints endpoints;
+    private final TargetSelector endpoints;
     private final List<Rule> rules = new ArrayList<>();
 
-    public Links(Endpoints endpoints) {
+    public NetworkLinks(TargetSelector endpoints) {
         this.endpoints = endpoints;
     }
 
--- a/src/main/java/damsonworks/rig/plan/Chaos.java
+++ b/src/main/java/cacheproxy/faulttest/scenario/RandomFaults.java
@@ -1,7 +1,7 @@
-package damsonworks.rig.plan;
+package cacheproxy.faulttest.scenario;
 
-import damsonworks.rig.plan.Fault.Kind;
-import damsonworks.rig.plan.Fault.LinkFigures;
+import cacheproxy.faulttest.scenario.Fault.Kind;
+import cacheproxy.faulttest.scenario.Fault.LinkFigures;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -17,10 +17,10 @@
  * @param toMs the last has ended then
  * @param longestMs the longest that one lasts, a tenth of it the shortest
  */
-public record Chaos(int faults, List<Kind> kinds, double fromMs, double toMs, double longestMs) {
+public record RandomFaults(int faults, List<Kind> kinds, double fromMs, double toMs, double longestMs) {
     private static final double BEAT_MS = 50;
 
-    public Chaos {
+    public RandomFaults {
         kinds = List.copyOf(kinds);
         if (faults < 0 || kinds.isEmpty() || !(toMs - fromMs >= longestMs) || !(longestMs > 0)) {
             throw new IllegalArgumentException("chaos of " + faults + " from " + fromMs + " to " + toMs + ", longest " + longestMs);
@@ -28,7 +28,7 @@
     }
 
     /** In the order of their beginnings, with names, not choices by lot. */
-    public List<Fault> faults(Endpoints endpoints, long seed) {
+    public List<Fault> faults(TargetSelector endpoints, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
         List<Fault> list = new ArrayList<>();
         for (int i = 0; i < faults; i++) {
@@ -41,7 +41,7 @@
         return list;
     }
 
-    private static Fault fault(Kind kind, double at, double lasts, Endpoints endpoints, SplittableRandom random) {
+    private static Fault fault(Kind kind, double at, double lasts, TargetSelector endpoints, SplittableRandom random) {
         if (kind == Kind.LINK) {
             boolean twoWay = random.nextInt(3) > 0;
             List<String> some = endpoints.choose((1 + random.nextInt(Math.max(1, endpoints.proxies() / 2))) + " of proxies", random);
--- a/src/main/java/damsonworks/rig/plan/Quality.java
+++ b/src/main/java/cacheproxy/faulttest/scenario/RunValidity.java
@@ -1,4 +1,4 @@
-package damsonworks.rig.plan;
+package cacheproxy.faulttest.scenario;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -15,7 +15,7 @@
  * @param dropped events that did not fit into the history
  * @param relayDropped datagrams that the rig itself lost
  */
-public record Quality(double relayP99, double relayMax, double loadP99, double childP99, double busy, long dropped, long relayDropped) {
+public record RunValidity(double relayP99, double relayMax, double loadP99, double childP99, double busy, long dropped, long relayDropped) {
     public static final double RELAY_P99 = 50;
     public static final double RELAY_MAX = 1500;
     public static final double LOAD_P99 = 100;
--- a/src/main/java/damsonworks/rig/plan/Scenario.java
+++ b/src/main/java/cacheproxy/faulttest/scenario/Scenario.java
@@ -1,4 +1,4 @@
-package damsonworks.rig.plan;
+package cacheproxy.faulttest.scenario;
 
 import java.util.List;
 
@@ -45,8 +45,8 @@
      */
     public record Load(double seconds, double perSecond, double skew, double turnMs, int keys, double hot, double writes, double deadlineMs) { }
 
-    public Endpoints endpoints() {
-        return new Endpoints(proxies, nodes, zones);
+    public TargetSelector endpoints() {
+        return new TargetSelector(proxies, nodes, zones);
     }
 
     /** The same with other faults. */
--- a/src/main/java/damsonworks/rig/plan/Shrinker.java
+++ b/src/main/java/cacheproxy/faulttest/scenario/Shrinker.java
@@ -1,4 +1,4 @@
-package damsonworks.rig.plan;
+package cacheproxy.faulttest.scenario;
 
 import java.util.ArrayList;
 import java.util.List;
--- a/src/main/java/damsonworks/rig/plan/Endpoints.java
+++ b/src/main/java/cacheproxy/faulttest/scenario/TargetSelector.java
@@ -1,4 +1,4 @@
-package damsonworks.rig.plan;
+package cacheproxy.faulttest.scenario;
 
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
@@ -11,7 +11,7 @@
  * {@code p1-p5}; {@code proxies}, {@code nodes}, {@code all}; {@code zone:a}, the proxies of a zone, and {@code nodes:a};
  * {@code 3 of proxies} and {@code 0.1 of zone:a}, so many or such a part by lot; several of these with commas between them.
  */
-public final class Endpoints {
+public final class TargetSelector {
     public static final String DISCOVERY = "discovery";
 
     private final int proxies;
@@ -19,7 +19,7 @@
     private final List<String> zones;
 
     /** @param zones dealt out to proxies and nodes in turn */
-    public Endpoints(int proxies, int nodes, List<String> zones) {
+    public TargetSelector(int proxies, int nodes, List<String> zones) {
         if (proxies < 1 || nodes < 1 || zones.isEmpty()) {
             throw new IllegalArgumentException("proxies " + proxies + ", nodes " + nodes + ", zones " + zones);
         }
