--- a/src/main/java/damsonworks/trials/TrialDesk.java
+++ b/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckCoordinator.java
@@ -1,9 +1,9 @@
-package damsonworks.trials;
+package cacheproxy.fleet.healthcheck;
 
-import damsonworks.lease.EpochGuard;
-import damsonworks.lease.Ids;
-import damsonworks.lease.Tenure;
-import damsonworks.trials.TrialMessage.Kind;
+import cacheproxy.fleet.lease.FencingTokenCheck;
+import cacheproxy.fleet.lease.NameHash;
+import cacheproxy.fleet.lease.LeaseHandle;
+import cacheproxy.fleet.healthcheck.HealthCheckMessage.Kind;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.Iterator;
@@ -14,10 +14,10 @@
  * Trials of servers that seem to be sick, made once for a whole fleet: servers are dealt into shares, each share is a duty, and who
  * holds it makes the trial that any proxy wants; the others ask it and take its word. Whoever gets no word in time goes by
  * itself, and now and then does so where word contradicts what it sees: the way to a server may be at fault on one side only. So
- * this saves trials and never keeps a server out for longer than {@link TrialRules#OWN_EVERY} of them. Free of I/O and
+ * this saves trials and never keeps a server out for longer than {@link HealthCheckTiming#OWN_EVERY} of them. Free of I/O and
  * clocks.
  */
-public final class TrialDesk {
+public final class HealthCheckCoordinator {
     /** Servers that are asked about at once; for more one goes by oneself. */
     public static final int MOST_WANTS = 1024;
     /** Trials for others at once, and of who waits for each: who gets no word goes by itself. */
@@ -32,7 +32,7 @@
 
     /** Where messages and trials go, and who is told. */
     public interface Out {
-        void send(long to, TrialMessage m);
+        void send(long to, HealthCheckMessage m);
 
         /** Makes a trial from here, whose outcome comes by {@link #ended}; false: the server is not known here. */
         boolean trial(int server);
@@ -77,13 +77,13 @@
 
     private final long me;
     private final Out out;
-    private final EpochGuard guard = new EpochGuard();
+    private final FencingTokenCheck guard = new FencingTokenCheck();
     private final Map<Integer, Want> wants = new HashMap<>();
     private final Map<Integer, Trial> trials = new HashMap<>();
     private final Map<Integer, Known> known = new HashMap<>();
     private final Map<Integer, Word> words = new HashMap<>();
-    private TrialRules rules;
-    private List<Tenure> shares;
+    private HealthCheckTiming rules;
+    private List<LeaseHandle> shares;
     private long numbers;
     private long own;
     private long forOthers;
@@ -95,7 +95,7 @@
      * @param numbers where the numbers of its questions begin: another process of this name began elsewhere
      * @param shares the duties, the same number at all proxies
      */
-    public TrialDesk(long me, long numbers, TrialRules rules, List<Tenure> shares, Out out) {
+    public HealthCheckCoordinator(long me, long numbers, HealthCheckTiming rules, List<LeaseHandle> shares, Out out) {
         this.me = me;
         this.numbers = numbers;
         this.out = out;
@@ -103,7 +103,7 @@
     }
 
     /** Other figures from now on. */
-    public void use(TrialRules other, List<Tenure> duties) {
+    public void use(HealthCheckTiming other, List<LeaseHandle> duties) {
         rules = other;
         shares = List.copyOf(duties);
     }
@@ -113,7 +113,7 @@
         return Math.floorMod((server * 0x9E3779B9) >>> 8, shares);
     }
 
-    private Tenure tenure(int server) {
+    private LeaseHandle tenure(int server) {
         return shares.get(share(server, shares.size()));
     }
 
@@ -124,30 +124,30 @@
         if (wants.containsKey(server)) {
             return;
         }
-        Tenure t = tenure(server);
+        LeaseHandle t = tenure(server);
         long to = whom(now, t);
-        if (wants.size() >= MOST_WANTS || mistrusts(now, server) || to == me || to == Ids.NOBODY) {
+        if (wants.size() >= MOST_WANTS || mistrusts(now, server) || to == me || to == NameHash.NOBODY) {
             alone(now, server);
             return;
         }
         Want w = new Want(++numbers, now + rules.patienceMs());
         wants.put(server, w);
-        out.send(to, new TrialMessage(Kind.WANT, t.id(), server, w.number, 0, 0, false, 0));
+        out.send(to, new HealthCheckMessage(Kind.WANT, t.id(), server, w.number, 0, 0, false, 0));
     }
 
-    private long whom(double now, Tenure t) {
+    private long whom(double now, LeaseHandle t) {
         if (t.permit(now, rules.probeMs()) >= 0) {
             return me;
         }
         long holder = t.holder(now);
-        return holder != Ids.NOBODY && holder != me ? holder
-                : t.order().stream().filter(p -> p != me).findFirst().orElse(Ids.NOBODY);
+        return holder != NameHash.NOBODY && holder != me ? holder
+                : t.order().stream().filter(p -> p != me).findFirst().orElse(NameHash.NOBODY);
     }
 
     /** Whether others' word on a server is at odds with what is seen here, or has stood alone for long. */
     private boolean mistrusts(double now, int server) {
         Word w = words.get(server);
-        return w != null && (w.unsound >= TrialRules.OWN_EVERY - 1 || now - w.soundAtMs < TrialRules.CONTRADICTED_MS);
+        return w != null && (w.unsound >= HealthCheckTiming.OWN_EVERY - 1 || now - w.soundAtMs < HealthCheckTiming.CONTRADICTED_MS);
     }
 
     private void alone(double now, int server) {
@@ -174,7 +174,7 @@
 
     // ---- messages
 
-    public void heard(double now, long from, TrialMessage m) {
+    public void heard(double now, long from, HealthCheckMessage m) {
         switch (m.kind()) {
             case WANT -> asked(now, from, m);
             case ANSWER -> answered(now, m);
@@ -182,13 +182,13 @@
         }
     }
 
-    private void asked(double now, long from, TrialMessage m) {
-        Tenure t = tenure(m.server());
+    private void asked(double now, long from, HealthCheckMessage m) {
+        LeaseHandle t = tenure(m.server());
         if (t.id() != m.duty()) {
             return; // it deals them out otherwise, and will go by itself
         }
         if (t.permit(now, rules.probeMs()) < 0) {
-            refer(from, m, t.holder(now) == me ? Ids.NOBODY : t.holder(now));
+            refer(from, m, t.holder(now) == me ? NameHash.NOBODY : t.holder(now));
             return;
         }
         Known k = known.get(m.server());
@@ -202,7 +202,7 @@
             trials.put(m.server(), trial);
             if (trials.size() > MOST_TRIALS || !out.trial(m.server())) {
                 trials.remove(m.server());
-                refer(from, m, Ids.NOBODY);
+                refer(from, m, NameHash.NOBODY);
                 return;
             }
             forOthers++;
@@ -212,20 +212,20 @@
         }
     }
 
-    private void refer(long to, TrialMessage m, long holder) {
-        out.send(to, new TrialMessage(Kind.ELSEWHERE, m.duty(), m.server(), m.number(), 0, holder, false, 0));
+    private void refer(long to, HealthCheckMessage m, long holder) {
+        out.send(to, new HealthCheckMessage(Kind.ELSEWHERE, m.duty(), m.server(), m.number(), 0, holder, false, 0));
     }
 
     /** The epoch is asked for right before word goes out: who lost the duty during the trial says nothing. */
     private void answer(double now, long to, int server, long number, Known k) {
-        Tenure t = tenure(server);
+        LeaseHandle t = tenure(server);
         long epoch = t.permit(now, 0);
         if (epoch >= 0) {
-            out.send(to, new TrialMessage(Kind.ANSWER, t.id(), server, number, epoch, 0, k.sound, (int) Math.max(0, Math.round(now - k.atMs))));
+            out.send(to, new HealthCheckMessage(Kind.ANSWER, t.id(), server, number, epoch, 0, k.sound, (int) Math.max(0, Math.round(now - k.atMs))));
         }
     }
 
-    private void answered(double now, TrialMessage m) {
+    private void answered(double now, HealthCheckMessage m) {
         Want w = wants.get(m.server());
         if (w == null || w.number != m.number() || now > w.untilMs || m.ageMs() > rules.reuseMs() + rules.probeMs()) {
             tooLate++;
@@ -246,15 +246,15 @@
         out.told(m.server(), m.sound());
     }
 
-    private void elsewhere(double now, long from, TrialMessage m) {
+    private void elsewhere(double now, long from, HealthCheckMessage m) {
         Want w = wants.get(m.server());
         if (w == null || w.number != m.number()) {
             return;
         }
-        if (m.holder() == Ids.NOBODY || m.holder() == me || m.holder() == from || ++w.hops >= MOST_HOPS) {
+        if (m.holder() == NameHash.NOBODY || m.holder() == me || m.holder() == from || ++w.hops >= MOST_HOPS) {
             alone(now, m.server());
         } else {
-            out.send(m.holder(), new TrialMessage(Kind.WANT, m.duty(), m.server(), w.number, 0, 0, false, 0));
+            out.send(m.holder(), new HealthCheckMessage(Kind.WANT, m.duty(), m.server(), w.number, 0, 0, false, 0));
         }
     }
 
--- a/src/main/java/damsonworks/trials/TrialMessage.java
+++ b/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckMessage.java
@@ -1,4 +1,4 @@
-package damsonworks.trials;
+package cacheproxy.fleet.healthcheck;
 
 import java.nio.ByteBuffer;
 
@@ -13,7 +13,7 @@
  * @param sound in ANSWER: whether the server answered
  * @param ageMs in ANSWER: how long ago
  */
-public record TrialMessage(Kind kind, long duty, int server, long number, long epoch, long holder, boolean sound, int ageMs) {
+public record HealthCheckMessage(Kind kind, long duty, int server, long number, long epoch, long holder, boolean sound, int ageMs) {
     public static final int LENGTH = 42;
 
     /** What it is. */
@@ -32,12 +32,12 @@
     }
 
     /** Null if these bytes are none. */
-    public static TrialMessage of(byte[] bytes) {
+    public static HealthCheckMessage of(byte[] bytes) {
         if (bytes.length != LENGTH || bytes[0] < 0 || bytes[0] >= Kind.values().length) {
             return null;
         }
         ByteBuffer b = ByteBuffer.wrap(bytes);
-        TrialMessage m = new TrialMessage(Kind.values()[b.get()], b.getLong(), b.getInt(), b.getLong(), b.getLong(), b.getLong(),
+        HealthCheckMessage m = new HealthCheckMessage(Kind.values()[b.get()], b.getLong(), b.getInt(), b.getLong(), b.getLong(), b.getLong(),
                 b.get() == 1, b.getInt());
         return m.epoch < 0 || m.ageMs < 0 ? null : m;
     }
--- a/src/main/java/damsonworks/trials/TrialRules.java
+++ b/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckTiming.java
@@ -1,4 +1,4 @@
-package damsonworks.trials;
+package cacheproxy.fleet.healthcheck;
 
 /**
  * Times of trials, milliseconds. Word that is taken is at most {@link #oldestMs} old, by the asker's own clock from before it asked.
@@ -7,13 +7,13 @@
  * @param patienceMs how long word is waited for; then one goes by oneself
  * @param reuseMs for so long a trial's outcome is told to others without another
  */
-public record TrialRules(double probeMs, double patienceMs, double reuseMs) {
+public record HealthCheckTiming(double probeMs, double patienceMs, double reuseMs) {
     /** Trials in a row that others' word may call unsound before one's own way is tried: theirs may be the fault. */
     public static final int OWN_EVERY = 4;
     /** Wanted again so soon after word that it is sound, the word says nothing of one's own way to it. */
     public static final double CONTRADICTED_MS = 60_000;
 
-    public TrialRules {
+    public HealthCheckTiming {
         if (!(probeMs > 0) || !(patienceMs > probeMs) || !(reuseMs >= 0)) {
             throw new IllegalArgumentException("trial " + probeMs + ", patience " + patienceMs + ", reuse " + reuseMs);
         }
--- a/src/main/java/damsonworks/lease/LoopHealth.java
+++ b/src/main/java/cacheproxy/fleet/lease/EventLoopHealth.java
@@ -1,10 +1,10 @@
-package damsonworks.lease;
+package cacheproxy.fleet.lease;
 
 /**
  * Whether a process's loop is punctual enough to hold duties: one that is late again and again would lose them by surprise, and does
  * what it does under them late. Times in milliseconds.
  */
-public final class LoopHealth {
+public final class EventLoopHealth {
     private final double lateMs;
     private final int often;
     private final double withinMs;
@@ -17,7 +17,7 @@
      * @param often so many times
      * @param withinMs within so long it is ill, and for as long again
      */
-    public LoopHealth(double lateMs, int often, double withinMs) {
+    public EventLoopHealth(double lateMs, int often, double withinMs) {
         if (!(lateMs > 0) || often < 1 || !(withinMs > 0)) {
             throw new IllegalArgumentException("late " + lateMs + ", " + often + " times within " + withinMs);
         }
--- a/src/main/java/damsonworks/lease/EpochGuard.java
+++ b/src/main/java/cacheproxy/fleet/lease/FencingTokenCheck.java
@@ -1,10 +1,10 @@
-package damsonworks.lease;
+package cacheproxy.fleet.lease;
 
 import java.util.HashMap;
 import java.util.Map;
 
 /** Whoever receives acts under duties refuses those of an older epoch than it has seen. */
-public final class EpochGuard {
+public final class FencingTokenCheck {
     /** Beyond these nothing is accepted that was not known before. */
     public static final int MOST_DUTIES = 4096;
 
--- a/src/main/java/damsonworks/lease/Candidate.java
+++ b/src/main/java/cacheproxy/fleet/lease/LeaseCandidate.java
@@ -1,6 +1,6 @@
-package damsonworks.lease;
+package cacheproxy.fleet.lease;
 
-import damsonworks.lease.LeaseMessage.Kind;
+import cacheproxy.fleet.lease.LeaseMessage.Kind;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.Map;
@@ -12,7 +12,7 @@
  * claims, and voters take nothing from a holder whose lease runs, so one that comes and goes disturbs nobody. Times in milliseconds
  * of the process's own monotonic clock.
  */
-final class Candidate {
+final class LeaseCandidate {
     /** Peers that stand at once; those behind them look more rarely, the further back the more so. */
     static final int STANDING = 5;
     private static final double RENEWALS = 3;
@@ -38,10 +38,10 @@
     private final long life;
     private final long duty;
     private double leaseMs;
-    private final LeaseRules rules;
+    private final LeaseTiming rules;
     private final SplittableRandom random;
     private final Out out;
-    private Electorate electorate;
+    private VoterSet electorate;
     private State state = State.IDLE;
     private double nextMs;
     /** The question that is out: its nonce, when it was sent, what came back. */
@@ -59,16 +59,16 @@
     /** Acts that have been permitted are over by then. */
     private double busyUntilMs = Double.NEGATIVE_INFINITY;
     /** Who holds it, as voters last said. */
-    private long holder = Ids.NOBODY;
+    private long holder = NameHash.NOBODY;
     private boolean able;
     /** Whether the file has it. */
     private boolean wanted = true;
     private double eagerUntilMs = Double.NEGATIVE_INFINITY;
     private double claimsFromMs = Double.NEGATIVE_INFINITY;
     private String leaving;
-    private long handTo = Ids.NOBODY;
+    private long handTo = NameHash.NOBODY;
 
-    Candidate(long me, long life, long duty, double leaseMs, Electorate electorate, LeaseRules rules, SplittableRandom random, boolean able,
+    LeaseCandidate(long me, long life, long duty, double leaseMs, VoterSet electorate, LeaseTiming rules, SplittableRandom random, boolean able,
             double now, Out out) {
         check(leaseMs, rules);
         this.able = able;
@@ -83,7 +83,7 @@
         nextMs = now + stagger();
     }
 
-    private static void check(double leaseMs, LeaseRules rules) {
+    private static void check(double leaseMs, LeaseTiming rules) {
         if (!(leaseMs >= 1 && leaseMs <= rules.longestMs())) {
             throw new IllegalArgumentException("lease " + leaseMs + ", from 1 to the longest, " + rules.longestMs());
         }
@@ -108,7 +108,7 @@
      * new is claimed until what the list before it may have granted is over; while both lists vote there is no need, as they
      * share a voter with either.
      */
-    void stand(double ms, Electorate other, double now) {
+    void stand(double ms, VoterSet other, double now) {
         check(ms, rules);
         leaseMs = ms;
         wanted = true;
@@ -121,7 +121,7 @@
         electorate = other;
         if (!stands()) {
             dropClaim(now);
-            leave("no longer among the peers", other.order().isEmpty() ? Ids.NOBODY : other.order().get(0));
+            leave("no longer among the peers", other.order().isEmpty() ? NameHash.NOBODY : other.order().get(0));
         }
     }
 
@@ -129,7 +129,7 @@
     void withdraw(double now) {
         wanted = false;
         dropClaim(now);
-        leave("no longer in the file", Ids.NOBODY);
+        leave("no longer in the file", NameHash.NOBODY);
     }
 
     /** Whether it is neither wanted nor held. */
@@ -181,7 +181,7 @@
         able = on;
         if (!on) {
             dropClaim(now);
-            leave(why, Ids.NOBODY);
+            leave(why, NameHash.NOBODY);
         }
     }
 
@@ -230,7 +230,7 @@
             long to = handTo;
             long given = epoch;
             lose(now, leaving, true);
-            if (to != Ids.NOBODY && to != me) {
+            if (to != NameHash.NOBODY && to != me) {
                 out.send(to, new LeaseMessage(Kind.HAND, duty, 0, given, me, 0));
                 nextMs = now + leaseMs; // the other's turn
             }
@@ -246,7 +246,7 @@
         busyUntilMs = Double.NEGATIVE_INFINITY;
         leaving = null;
         holder = handTo;
-        handTo = Ids.NOBODY;
+        handTo = NameHash.NOBODY;
         if (release) {
             release();
         }
@@ -331,7 +331,7 @@
 
     private void told(double now, long from, LeaseMessage m, long wallMs) {
         seen = Math.max(seen, m.epoch());
-        if (m.holder() == Ids.NOBODY) {
+        if (m.holder() == NameHash.NOBODY) {
             yes.add(from);
         } else {
             no.add(from);
@@ -339,7 +339,7 @@
             leftMs = Math.max(leftMs, m.ms());
         }
         if (electorate.isMajority(yes)) {
-            holder = Ids.NOBODY;
+            holder = NameHash.NOBODY;
             state = State.CLAIMING;
             epoch = rules.epoch(Math.max(seen, epoch), wallMs);
             question(now, Kind.CLAIM, epoch);
@@ -353,7 +353,7 @@
     private long mostNamed() {
         Map<Long, Integer> counts = new HashMap<>();
         holders.values().forEach(h -> counts.merge(h, 1, Integer::sum));
-        return counts.entrySet().stream().max(Map.Entry.comparingByValue()).map(Map.Entry::getKey).orElse(Ids.NOBODY);
+        return counts.entrySet().stream().max(Map.Entry.comparingByValue()).map(Map.Entry::getKey).orElse(NameHash.NOBODY);
     }
 
     private void granted(double now, long from) {
--- a/src/main/java/damsonworks/lease/Tenure.java
+++ b/src/main/java/cacheproxy/fleet/lease/LeaseHandle.java
@@ -1,11 +1,11 @@
-package damsonworks.lease;
+package cacheproxy.fleet.lease;
 
 import java.util.List;
 
 /** All that whoever acts under a duty sees of it. Times in milliseconds of the process's monotonic clock. */
-public interface Tenure {
+public interface LeaseHandle {
     /** A duty that nobody holds and for which nobody stands. */
-    Tenure NOBODYS = new Tenure() {
+    LeaseHandle NOBODYS = new LeaseHandle() {
         @Override
         public long permit(double now, double actMs) {
             return -1;
@@ -18,7 +18,7 @@
 
         @Override
         public long holder(double now) {
-            return Ids.NOBODY;
+            return NameHash.NOBODY;
         }
 
         @Override
@@ -28,7 +28,7 @@
 
         @Override
         public long id() {
-            return Ids.NOBODY;
+            return NameHash.NOBODY;
         }
     };
 
@@ -38,7 +38,7 @@
     /** What is left of the lease; 0 where it is not held here. */
     double leftMs(double now);
 
-    /** Who holds it by the voters' last word; {@link Ids#NOBODY} if nobody does or it is not known. */
+    /** Who holds it by the voters' last word; {@link NameHash#NOBODY} if nobody does or it is not known. */
     long holder(double now);
 
     /** Peers in the order in which they stand for it: who is asked where the holder is not known. */
--- a/src/main/java/damsonworks/lease/Duties.java
+++ b/src/main/java/cacheproxy/fleet/lease/LeaseManager.java
@@ -1,4 +1,4 @@
-package damsonworks.lease;
+package cacheproxy.fleet.lease;
 
 import java.util.ArrayList;
 import java.util.LinkedHashMap;
@@ -10,7 +10,7 @@
  * All duties of one process, and its word on those of others. Free of I/O and clocks: messages and time are handed in, what is to be
  * sent goes to an {@link Out}. What acts on a duty asks {@link #permit} right before each act.
  */
-public final class Duties {
+public final class LeaseManager {
     /** Duties of one process: those of a file and the program's own. */
     public static final int MOST = 1400;
 
@@ -26,7 +26,7 @@
     /**
      * A duty as this process sees it.
      *
-     * @param holder by the voters' last word; {@link Ids#NOBODY} if unknown or nobody
+     * @param holder by the voters' last word; {@link NameHash#NOBODY} if unknown or nobody
      * @param epoch of its own last grant
      * @param leftMs of its own lease
      */
@@ -34,38 +34,38 @@
 
     private final long me;
     private final long life;
-    private final LeaseRules rules;
+    private final LeaseTiming rules;
     private final SplittableRandom random;
     private final Out out;
-    private final Voter voter;
+    private final LeaseVoter voter;
     private final Map<Long, String> names = new LinkedHashMap<>();
-    private final Map<String, Candidate> candidates = new LinkedHashMap<>();
+    private final Map<String, LeaseCandidate> candidates = new LinkedHashMap<>();
     private boolean able = true;
 
     /** @param startMs when the process started, by the clock that all times here are of */
-    public Duties(String me, LeaseRules rules, SplittableRandom random, double startMs, Out out) {
-        this.me = Ids.of(me);
+    public LeaseManager(String me, LeaseTiming rules, SplittableRandom random, double startMs, Out out) {
+        this.me = NameHash.of(me);
         this.rules = rules;
         this.random = random;
         life = random.nextLong();
         this.out = out;
-        voter = new Voter(rules, startMs);
+        voter = new LeaseVoter(rules, startMs);
     }
 
     /** Stands for a duty from now on, or goes on with another lease or among other voters. */
-    public void stand(String duty, double leaseMs, Electorate electorate, double now) {
-        Candidate known = candidates.get(duty);
+    public void stand(String duty, double leaseMs, VoterSet electorate, double now) {
+        LeaseCandidate known = candidates.get(duty);
         if (known != null) {
             known.stand(leaseMs, electorate, now);
             return;
         }
-        long id = Ids.of(duty);
+        long id = NameHash.of(duty);
         if (candidates.size() >= MOST || names.containsKey(id)) {
             throw new IllegalArgumentException(names.containsKey(id) ? "duties " + duty + " and " + names.get(id) + " have one id; rename one"
                     : "more than " + MOST + " duties");
         }
         names.put(id, duty);
-        candidates.put(duty, new Candidate(me, life, id, leaseMs, electorate, rules, random.split(), able, now, new Candidate.Out() {
+        candidates.put(duty, new LeaseCandidate(me, life, id, leaseMs, electorate, rules, random.split(), able, now, new LeaseCandidate.Out() {
             @Override
             public void send(long to, LeaseMessage m) {
                 if (to == me) {
@@ -92,7 +92,7 @@
 
     /** No longer stands for a duty; what it holds it gives back once the acts under way are over, and then is no more. */
     public void withdraw(String duty, double now) {
-        Candidate c = candidates.get(duty);
+        LeaseCandidate c = candidates.get(duty);
         if (c != null) {
             c.withdraw(now);
         }
@@ -100,7 +100,7 @@
 
     /** Peers in the order in which they stand for a duty; empty for one that is not known. */
     public List<Long> order(String duty) {
-        Candidate c = candidates.get(duty);
+        LeaseCandidate c = candidates.get(duty);
         return c == null ? List.of() : c.order();
     }
 
@@ -114,7 +114,7 @@
                 }
             }
             default -> {
-                Candidate c = candidates.get(names.getOrDefault(m.duty(), ""));
+                LeaseCandidate c = candidates.get(names.getOrDefault(m.duty(), ""));
                 if (c != null) {
                     c.heard(now, from, m, wallMs);
                 }
@@ -126,12 +126,12 @@
     /** Does what is due; when to call again, at the latest. */
     public double tick(double now, long wallMs) {
         double next = Double.POSITIVE_INFINITY;
-        for (Candidate c : candidates.values()) {
+        for (LeaseCandidate c : candidates.values()) {
             c.tick(now);
             ownWord(now, wallMs);
             next = Math.min(next, c.nextMs(now));
         }
-        if (candidates.values().removeIf(Candidate::isOver)) {
+        if (candidates.values().removeIf(LeaseCandidate::isOver)) {
             names.values().retainAll(candidates.keySet());
         }
         return next;
@@ -141,7 +141,7 @@
         for (int i = 0; i < self.size(); i++) { // an answer may lead to the next message
             LeaseMessage m = self.get(i);
             LeaseMessage answer = voter.heard(now, me, m);
-            Candidate c = candidates.get(names.get(m.duty()));
+            LeaseCandidate c = candidates.get(names.get(m.duty()));
             if (answer != null && c != null) {
                 c.heard(now, me, answer, wallMs);
             }
@@ -151,38 +151,38 @@
 
     /** The epoch under which an act of so many milliseconds may begin now; -1: it may not. Ask right before it. */
     public long permit(String duty, double now, double actMs) {
-        Candidate c = candidates.get(duty);
+        LeaseCandidate c = candidates.get(duty);
         return c == null ? -1 : c.permit(now, actMs);
     }
 
     /** What acts under a duty; it may be one that this process does not stand for. */
-    public Tenure tenure(String duty) {
-        return new Tenure() {
+    public LeaseHandle tenure(String duty) {
+        return new LeaseHandle() {
             @Override
             public long permit(double now, double actMs) {
-                return Duties.this.permit(duty, now, actMs);
+                return LeaseManager.this.permit(duty, now, actMs);
             }
 
             @Override
             public double leftMs(double now) {
-                Candidate c = candidates.get(duty);
+                LeaseCandidate c = candidates.get(duty);
                 return c == null ? 0 : c.leftMs(now);
             }
 
             @Override
             public long holder(double now) {
-                Candidate c = candidates.get(duty);
-                return c == null ? Ids.NOBODY : c.holder(now);
+                LeaseCandidate c = candidates.get(duty);
+                return c == null ? NameHash.NOBODY : c.holder(now);
             }
 
             @Override
             public List<Long> order() {
-                return Duties.this.order(duty);
+                return LeaseManager.this.order(duty);
             }
 
             @Override
             public long id() {
-                return Ids.of(duty);
+                return NameHash.of(duty);
             }
         };
     }
@@ -195,7 +195,7 @@
 
     /** Gives one back, to a peer if one is named; whether it is held here. */
     public boolean transfer(String duty, long to, double now, String why) {
-        Candidate c = candidates.get(duty);
+        LeaseCandidate c = candidates.get(duty);
         if (c == null || !c.holding(now)) {
             return false;
         }
@@ -211,7 +211,7 @@
 
     /** For a model checker: whether this process's word keeps all others from a duty. */
     boolean keepsFor(double now, String duty, long peer) {
-        return voter.keepsFor(now, Ids.of(duty), peer);
+        return voter.keepsFor(now, NameHash.of(duty), peer);
     }
 
     /** For a model checker: whether an answer with this nonce is awaited. */
--- a/src/main/java/damsonworks/lease/LeaseMessage.java
+++ b/src/main/java/cacheproxy/fleet/lease/LeaseMessage.java
@@ -1,4 +1,4 @@
-package damsonworks.lease;
+package cacheproxy.fleet.lease;
 
 import java.nio.ByteBuffer;
 
@@ -8,7 +8,7 @@
  * @param duty the duty's id
  * @param nonce of the question that this asks or answers
  * @param epoch claimed, granted, given back; in answers the highest that the voter knows of
- * @param holder in STATE and REFUSE: the peer that holds it by that voter's word, {@link Ids#NOBODY} if nobody or the asking process
+ * @param holder in STATE and REFUSE: the peer that holds it by that voter's word, {@link NameHash#NOBODY} if nobody or the asking process
  *            itself does; in ASK, CLAIM and RELEASE a number that the asking process drew at its start
  * @param ms in CLAIM the lease; in STATE and REFUSE what is left of it
  */
--- a/src/main/java/damsonworks/lease/LeaseRules.java
+++ b/src/main/java/cacheproxy/fleet/lease/LeaseTiming.java
@@ -1,4 +1,4 @@
-package damsonworks.lease;
+package cacheproxy.fleet.lease;
 
 /**
  * The figures on which the safety of leases rests. Each process counts by its own monotonic clock, and no two of them run apart by
@@ -7,7 +7,7 @@
  * <p>A holder counts its lease from before it asked, and shorter by the drift; a voter counts from when it heard, and longer by the
  * drift. So in true time the holder's ends first, whatever the two clocks do within the bound and however late the messages come.
  */
-public class LeaseRules {
+public class LeaseTiming {
     /** Clocks of machines of one kind drift by parts in ten thousand; this leaves room for ones that are being slewed. */
     public static final double DRIFT = 0.01;
 
@@ -18,7 +18,7 @@
      * @param longestMs the longest lease that any process of the fleet may ask for, the same at all of them
      * @param drift how far a clock may be off, as a share, 0 to 0.1
      */
-    public LeaseRules(double longestMs, double drift) {
+    public LeaseTiming(double longestMs, double drift) {
         if (!(longestMs > 0) || !(drift >= 0 && drift <= 0.1)) {
             throw new IllegalArgumentException("longest lease " + longestMs + ", drift " + drift);
         }
--- a/src/main/java/damsonworks/lease/Voter.java
+++ b/src/main/java/cacheproxy/fleet/lease/LeaseVoter.java
@@ -1,6 +1,6 @@
-package damsonworks.lease;
+package cacheproxy.fleet.lease;
 
-import damsonworks.lease.LeaseMessage.Kind;
+import cacheproxy.fleet.lease.LeaseMessage.Kind;
 import java.util.HashMap;
 import java.util.Map;
 
@@ -9,16 +9,16 @@
  * disk: one that has started says nothing until all that it may have granted before is over (PaxosLease: Trencseni, Gazso,
  * Reinhardt, 2012).
  */
-public final class Voter {
+public final class LeaseVoter {
     /** Duties that it keeps in mind; a claim on one more is not answered, so a flood of names can't push others out. */
     public static final int MOST_DUTIES = 4096;
 
-    private final LeaseRules rules;
+    private final LeaseTiming rules;
     private final double speaksFromMs;
     private final Map<Long, Word> words = new HashMap<>();
 
     private static final class Word {
-        long holder = Ids.NOBODY;
+        long holder = NameHash.NOBODY;
         /** Of the holder's process: another one of its name is another holder. */
         long life;
         long epoch;
@@ -30,7 +30,7 @@
     }
 
     /** @param startMs when the process started, by its own clock */
-    public Voter(LeaseRules rules, double startMs) {
+    public LeaseVoter(LeaseTiming rules, double startMs) {
         this.rules = rules;
         speaksFromMs = startMs + rules.silenceMs();
     }
@@ -74,7 +74,7 @@
 
     private static LeaseMessage state(Kind kind, double now, LeaseMessage m, Word w, long from) {
         boolean held = w != null && now < w.untilMs && !w.is(from, m.holder());
-        return new LeaseMessage(kind, m.duty(), m.nonce(), w == null ? 0 : w.epoch, held ? w.holder : Ids.NOBODY,
+        return new LeaseMessage(kind, m.duty(), m.nonce(), w == null ? 0 : w.epoch, held ? w.holder : NameHash.NOBODY,
                 held ? (int) Math.min(Integer.MAX_VALUE, Math.ceil(w.untilMs - now)) : 0);
     }
 
--- a/src/main/java/damsonworks/lease/Ids.java
+++ b/src/main/java/cacheproxy/fleet/lease/NameHash.java
@@ -1,4 +1,4 @@
-package damsonworks.lease;
+package cacheproxy.fleet.lease;
 
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -6,10 +6,10 @@
 import java.security.NoSuchAlgorithmException;
 
 /** Eight bytes that stand for a name in messages and in lots: the first of its SHA-256. Never 0, which is nobody. */
-public final class Ids {
+public final class NameHash {
     public static final long NOBODY = 0;
 
-    private Ids() { }
+    private NameHash() { }
 
     public static long of(String name) {
         long id = hash(name);
--- a/src/main/java/damsonworks/lease/Reach.java
+++ b/src/main/java/cacheproxy/fleet/lease/ServerReachability.java
@@ -1,11 +1,11 @@
-package damsonworks.lease;
+package cacheproxy.fleet.lease;
 
 /**
  * Whether a process reaches the servers that others reach: one that does not, and so can do little under a duty, gives its duties back.
  * Where nobody reaches any, who holds a duty makes no difference, and all keep what they have: word counts only if it was given so long after
  * it reached one itself last that who lost them at the same time would have known. Times in milliseconds.
  */
-public final class Reach {
+public final class ServerReachability {
     private final double outMs;
     private final double wordMs;
     private double lastHereMs;
@@ -15,7 +15,7 @@
      * @param outMs it has reached none for so long
      * @param wordMs another's word that it reaches some counts for so long
      */
-    public Reach(double now, double outMs, double wordMs) {
+    public ServerReachability(double now, double outMs, double wordMs) {
         if (!(outMs > 0) || !(wordMs > 0)) {
             throw new IllegalArgumentException("out " + outMs + ", word " + wordMs);
         }
--- a/src/main/java/damsonworks/lease/Electorate.java
+++ b/src/main/java/cacheproxy/fleet/lease/VoterSet.java
@@ -1,4 +1,4 @@
-package damsonworks.lease;
+package cacheproxy.fleet.lease;
 
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -16,7 +16,7 @@
  * that goes by the old list alone and one that goes by both share a voter, as do one that goes by both and one that goes by the
  * new. So a list is changed in two steps, and the second only after all have taken the first.
  */
-public final class Electorate {
+public final class VoterSet {
     private final Set<Long> now;
     private final Set<Long> before;
     private final List<Long> all;
@@ -27,7 +27,7 @@
      * @param peersBefore the names of the list that is being left; empty if none is
      * @param voters how many vote, an odd number; all where there are fewer peers
      */
-    public Electorate(String duty, List<String> peers, List<String> peersBefore, int voters) {
+    public VoterSet(String duty, List<String> peers, List<String> peersBefore, int voters) {
         if (peers.isEmpty() || voters < 1) {
             throw new IllegalArgumentException("peers " + peers + ", voters " + voters);
         }
@@ -37,19 +37,19 @@
         both.addAll(before);
         all = both.stream().sorted().toList();
         List<String> order = new ArrayList<>(peers);
-        order.sort(Comparator.comparingLong(p -> Ids.lot("stand", duty, p)));
+        order.sort(Comparator.comparingLong(p -> NameHash.lot("stand", duty, p)));
         for (int i = 0; i < order.size(); i++) {
-            ranks.put(Ids.of(order.get(i)), i);
+            ranks.put(NameHash.of(order.get(i)), i);
         }
     }
 
     private static Set<Long> voters(String duty, List<String> peers, int count) {
-        return new HashSet<>(peers.stream().distinct().sorted(Comparator.comparingLong(p -> Ids.lot("vote", duty, p))).limit(count)
-                .map(Ids::of).toList());
+        return new HashSet<>(peers.stream().distinct().sorted(Comparator.comparingLong(p -> NameHash.lot("vote", duty, p))).limit(count)
+                .map(NameHash::of).toList());
     }
 
     /** Whether the same vote in both. */
-    boolean votesAs(Electorate other) {
+    boolean votesAs(VoterSet other) {
         return now.equals(other.now) && before.equals(other.before);
     }
 
--- a/src/main/java/damsonworks/membership/Members.java
+++ b/src/main/java/cacheproxy/fleet/membership/SwimMembership.java
@@ -1,8 +1,8 @@
-package damsonworks.membership;
+package cacheproxy.fleet.membership;
 
-import damsonworks.membership.MemberMessage.Kind;
-import damsonworks.membership.MemberMessage.News;
-import damsonworks.membership.MemberMessage.Standing;
+import cacheproxy.fleet.membership.SwimMessage.Kind;
+import cacheproxy.fleet.membership.SwimMessage.News;
+import cacheproxy.fleet.membership.SwimMessage.Standing;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -19,7 +19,7 @@
  * a proxy that is late or gets few answers doubts itself first: it asks more slowly, waits longer and accuses less (Lifeguard: Dadgar, Phillips,
  * Currey, 2018). What this says is a guess: it may hasten something and must never allow anything. Free of I/O and clocks; milliseconds.
  */
-public final class Members {
+public final class SwimMembership {
     /** How ill a proxy may think itself; its waits are so many times as long and one more. */
     static final int MOST_ILL = 7;
     /** Questions asked for others at once. */
@@ -33,7 +33,7 @@
 
     /** Where messages go. */
     public interface Out {
-        void send(long to, MemberMessage m);
+        void send(long to, SwimMessage m);
     }
 
     private static final class Peer {
@@ -63,7 +63,7 @@
     }
 
     private final long me;
-    private final MemberRules rules;
+    private final SwimTiming rules;
     private final SplittableRandom random;
     private final Out out;
     private final Map<Long, Peer> peers = new LinkedHashMap<>();
@@ -81,7 +81,7 @@
     private int nacksWanted;
     private int nacks;
 
-    public Members(long me, MemberRules rules, SplittableRandom random, double now, Out out) {
+    public SwimMembership(long me, SwimTiming rules, SplittableRandom random, double now, Out out) {
         this.me = me;
         this.rules = rules;
         this.random = random;
@@ -223,7 +223,7 @@
     // ---- messages
 
     private void send(long to, Kind kind, long n, long about) {
-        out.send(to, new MemberMessage(kind, n, about, news(to)));
+        out.send(to, new SwimMessage(kind, n, about, news(to)));
     }
 
     /** What was passed on least goes first; to one who is not thought well of goes that. */
@@ -239,7 +239,7 @@
             news.add(new News(me, Standing.ALIVE, incarnation));
         }
         peers.entrySet().stream().filter(e -> e.getValue().told < most && e.getKey() != to).sorted(Comparator.comparingInt(e -> e.getValue().told))
-                .limit(MemberMessage.MOST_NEWS - news.size()).forEach(e -> {
+                .limit(SwimMessage.MOST_NEWS - news.size()).forEach(e -> {
                     Peer p = e.getValue();
                     p.told++;
                     news.add(new News(e.getKey(), p.standing, p.incarnation));
@@ -248,7 +248,7 @@
     }
 
     /** A peer's message: whoever sends one is there. */
-    public void heard(double now, long from, MemberMessage m) {
+    public void heard(double now, long from, SwimMessage m) {
         if (!peers.containsKey(from)) {
             return;
         }
--- a/src/main/java/damsonworks/membership/MemberMessage.java
+++ b/src/main/java/cacheproxy/fleet/membership/SwimMessage.java
@@ -1,4 +1,4 @@
-package damsonworks.membership;
+package cacheproxy.fleet.membership;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
@@ -10,7 +10,7 @@
  * @param number of the question
  * @param about whom it asks or answers for: in PING and ACK the one that is asked
  */
-public record MemberMessage(Kind kind, long number, long about, List<News> news) {
+public record SwimMessage(Kind kind, long number, long about, List<News> news) {
     static final int HEAD = 18;
     static final int NEWS = 13;
     /** So that a datagram holds them. */
@@ -34,7 +34,7 @@
     /** How a peer stands; of one incarnation the later of these goes before. */
     public enum Standing { ALIVE, SUSPECT, DEAD }
 
-    public MemberMessage {
+    public SwimMessage {
         news = List.copyOf(news);
     }
 
@@ -45,7 +45,7 @@
     }
 
     /** Null if these bytes are none. */
-    public static MemberMessage of(byte[] bytes) {
+    public static SwimMessage of(byte[] bytes) {
         if (bytes.length < HEAD || bytes[0] < 0 || bytes[0] >= Kind.values().length || bytes[17] < 0 || bytes[17] > MOST_NEWS
                 || bytes.length != HEAD + bytes[17] * NEWS) {
             return null;
@@ -65,6 +65,6 @@
             }
             news.add(new News(peer, Standing.values()[standing], incarnation));
         }
-        return new MemberMessage(kind, number, about, news);
+        return new SwimMessage(kind, number, about, news);
     }
 }
--- a/src/main/java/damsonworks/membership/MemberRules.java
+++ b/src/main/java/cacheproxy/fleet/membership/SwimTiming.java
@@ -1,4 +1,4 @@
-package damsonworks.membership;
+package cacheproxy.fleet.membership;
 
 /**
  * Figures of the detector, milliseconds.
@@ -9,10 +9,10 @@
  * @param leastSuspicionMs a suspect that says nothing is called dead after so long, where others suspect it as well
  * @param mostSuspicionMs and after so long where nobody else does
  */
-public record MemberRules(double periodMs, double answerMs, int helpers, double leastSuspicionMs, double mostSuspicionMs) {
-    public static final MemberRules USUAL = new MemberRules(500, 150, 3, 2000, 8000);
+public record SwimTiming(double periodMs, double answerMs, int helpers, double leastSuspicionMs, double mostSuspicionMs) {
+    public static final SwimTiming USUAL = new SwimTiming(500, 150, 3, 2000, 8000);
 
-    public MemberRules {
+    public SwimTiming {
         if (!(answerMs > 0 && answerMs * 2 < periodMs) || helpers < 0 || !(leastSuspicionMs > 0 && leastSuspicionMs <= mostSuspicionMs)) {
             throw new IllegalArgumentException("period " + periodMs + ", answer " + answerMs + ", helpers " + helpers + ", suspicion " + leastSuspicionMs
                     + " to " + mostSuspicionMs);
--- a/src/main/java/damsonworks/peers/Envelope.java
+++ b/src/main/java/cacheproxy/fleet/peer/DatagramEnvelope.java
@@ -1,4 +1,4 @@
-package damsonworks.peers;
+package cacheproxy.fleet.peer;
 
 import java.nio.ByteBuffer;
 import java.security.GeneralSecurityException;
@@ -18,7 +18,7 @@
  * it each number once, so what is played again is dropped. An older life counts again once the newer was not heard for
  * {@value #FORGET_MS} ms: its process may have been started after the wall clock had been put back. Not thread-safe.
  */
-public final class Envelope {
+public final class DatagramEnvelope {
     /** The longest datagram, and what may be in it. */
     public static final int MOST = 256;
     static final int HEAD = 27;
@@ -59,7 +59,7 @@
      * @param keys the first signs; all of them are taken, so that a key is changed without a break; empty: nothing is signed
      * @param senders ids that may send; all others are dropped, so the table is bounded by them
      */
-    public Envelope(long me, long life, List<byte[]> keys, List<Long> senders) {
+    public DatagramEnvelope(long me, long life, List<byte[]> keys, List<Long> senders) {
         this.me = me;
         this.life = life;
         this.keys = keys.stream().map(byte[]::clone).toList();
--- a/src/main/java/damsonworks/peers/ListSteps.java
+++ b/src/main/java/cacheproxy/fleet/peer/PeerListTransition.java
@@ -1,4 +1,4 @@
-package damsonworks.peers;
+package cacheproxy.fleet.peer;
 
 import java.nio.ByteBuffer;
 import java.util.HashMap;
@@ -12,7 +12,7 @@
  * all have taken the first; each process tells what it goes by, and this says of each how it stands to one's own. It warns; it
  * stops nothing, since one wrong file would else end everybody's duties.
  */
-public final class ListSteps {
+public final class PeerListTransition {
     public static final int LENGTH = 16;
     /** What a peer told longer ago says nothing any more. */
     public static final double FORGET_MS = 60_000;
--- a/src/main/java/damsonworks/quota/Book.java
+++ b/src/main/java/cacheproxy/fleet/quota/AllocationLedger.java
@@ -1,4 +1,4 @@
-package damsonworks.quota;
+package cacheproxy.fleet.quota;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -10,7 +10,7 @@
  * giving, by loans that outlast the grant and by the fleet's own part while that is its to deal; all that it has given out and that is not over counts,
  * whether it arrived or not. So however many dealers there are, and whatever is lost, all spend no more than the limit. Free of clocks and I/O.
  */
-final class Book {
+final class AllocationLedger {
     private static final class Want {
         double amount;
         long life;
@@ -23,24 +23,24 @@
     /** What a peer is to be told. */
     record Grant(long peer, long number, double amount) { }
 
-    private final LimitRules rules;
-    private final Map<Long, Line> loans = new HashMap<>();
-    private final Map<Long, Line> grants = new HashMap<>();
+    private final QuotaTiming rules;
+    private final Map<Long, OutstandingGrants> loans = new HashMap<>();
+    private final Map<Long, OutstandingGrants> grants = new HashMap<>();
     private final Map<Long, Want> wants = new HashMap<>();
-    private Limit limit;
+    private QuotaSpec limit;
     private double pool;
 
-    Book(LimitRules rules) {
+    AllocationLedger(QuotaTiming rules) {
         this.rules = rules;
     }
 
     /** @param ofNobody what is dealt out of nobody's share */
-    void use(Limit other, double ofNobody) {
+    void use(QuotaSpec other, double ofNobody) {
         limit = other;
         pool = ofNobody;
     }
 
-    Limit limit() {
+    QuotaSpec limit() {
         return limit;
     }
 
@@ -49,7 +49,7 @@
         Want w = wants.computeIfAbsent(peer, p -> new Want());
         boolean same = w.life == life;
         if (!same || number > w.number) {
-            Line line = grants.get(peer);
+            OutstandingGrants line = grants.get(peer);
             if (line != null && same) {
                 line.cap(amount); // it has given back the rest
             }
@@ -63,7 +63,7 @@
 
     /** @param calledMs when the call that this answers went out */
     void lent(double now, long peer, double amount, double calledMs) {
-        loans.computeIfAbsent(peer, p -> new Line(false)).add(Math.min(amount, limit.amount()), calledMs + rules.lentMs(limit));
+        loans.computeIfAbsent(peer, p -> new OutstandingGrants(false)).add(Math.min(amount, limit.amount()), calledMs + rules.lentMs(limit));
     }
 
     /** Whether somebody wants more than he owns. */
@@ -87,7 +87,7 @@
     double cover(double now, boolean poolToo) {
         double until = now + rules.outMs(limit);
         double sum = poolToo ? pool : 0;
-        for (Line l : loans.values()) {
+        for (OutstandingGrants l : loans.values()) {
             sum += l.at(until);
         }
         return sum;
@@ -95,7 +95,7 @@
 
     double out(double now) {
         double sum = 0;
-        for (Line l : grants.values()) {
+        for (OutstandingGrants l : grants.values()) {
             sum += l.at(now);
         }
         return sum;
@@ -115,10 +115,10 @@
         }
         double cover = cover(now, poolToo);
         double out = out(now);
-        double level = Fair.level(fresh.stream().mapToDouble(e -> e.getValue().amount).toArray(), cover);
+        double level = MaxMinFairness.level(fresh.stream().mapToDouble(e -> e.getValue().amount).toArray(), cover);
         for (Map.Entry<Long, Want> e : fresh) {
             Want w = e.getValue();
-            Line line = grants.computeIfAbsent(e.getKey(), k -> new Line(true));
+            OutstandingGrants line = grants.computeIfAbsent(e.getKey(), k -> new OutstandingGrants(true));
             double own = line.at(now);
             double amount = Math.min(Math.min(w.amount, level), Math.max(0, cover - (out - own)));
             if (limit.atOnce()) {
--- a/src/main/java/damsonworks/quota/Demand.java
+++ b/src/main/java/cacheproxy/fleet/quota/DemandEstimator.java
@@ -1,11 +1,11 @@
-package damsonworks.quota;
+package cacheproxy.fleet.quota;
 
 /**
  * How much comes in. A slow mean, unless a quick one is away from it by more than chance explains, or nothing has come for longer than
  * chance explains: so it is steady where little comes and follows a burst's begin and end at once. Of what is in hand the most of
  * the last while. Free of clocks; milliseconds that must not go back.
  */
-final class Demand {
+final class DemandEstimator {
     private static final double QUICK_MS = 200;
     private static final double SLOW_MS = 2000;
     /** What is asked for beyond what came: growth while the answer is on its way. */
--- a/src/main/java/damsonworks/quota/Pocket.java
+++ b/src/main/java/cacheproxy/fleet/quota/LocalQuota.java
@@ -1,4 +1,4 @@
-package damsonworks.quota;
+package cacheproxy.fleet.quota;
 
 import java.util.HashMap;
 import java.util.Map;
@@ -8,7 +8,7 @@
  * be spent is asked for right before it is spent, by the clock, so that a process that stood still finds its grants over. Taking
  * costs no garbage. Free of clocks and I/O; times in milliseconds that must not go back.
  */
-public final class Pocket {
+public final class LocalQuota {
     /** Dealers that hold loans of it at once; to others it lends nothing. */
     static final int MOST_DEALERS = 4;
     /** Of the share that nobody needs so much is kept all the same: what comes next finds something. */
@@ -20,11 +20,11 @@
     /** So many times what was asked for is notably more. */
     private static final double MORE = 1.3;
 
-    private final LimitRules rules;
-    private final Demand demand = new Demand();
-    private final Map<Long, Line> lent = new HashMap<>();
+    private final QuotaTiming rules;
+    private final DemandEstimator demand = new DemandEstimator();
+    private final Map<Long, OutstandingGrants> lent = new HashMap<>();
     private final double spendsFromMs;
-    private Limit limit;
+    private QuotaSpec limit;
     private int proxies;
     private double share;
     private double growTo;
@@ -48,14 +48,14 @@
     private double unheardSinceMs = Double.NaN;
 
     /** @param startMs when the process started */
-    Pocket(Limit limit, LimitRules rules, double startMs) {
+    LocalQuota(QuotaSpec limit, QuotaTiming rules, double startMs) {
         this.limit = limit;
         this.rules = rules;
         spendsFromMs = startMs + rules.silenceMs(limit);
     }
 
     /** The file counts from now on: a smaller share at once, a larger one when what others may still spend of it is over. */
-    void use(Limit other, double ownShare, int ofProxies, double now) {
+    void use(QuotaSpec other, double ownShare, int ofProxies, double now) {
         boolean first = proxies == 0;
         limit = other;
         proxies = ofProxies;
@@ -68,7 +68,7 @@
         }
     }
 
-    Limit limit() {
+    QuotaSpec limit() {
         return limit;
     }
 
@@ -90,7 +90,7 @@
     double lentOut(double now) {
         double sum = 0;
         if (!lent.isEmpty()) {
-            for (Line l : lent.values()) {
+            for (OutstandingGrants l : lent.values()) {
                 sum += l.at(now);
             }
         }
@@ -101,7 +101,7 @@
         if (now < grantedUntilMs) {
             return granted;
         }
-        double decays = limit.alone() == Limit.Alone.LAST ? Limit.DECAY * rules.grantMs() : 0;
+        double decays = limit.alone() == QuotaSpec.Alone.LAST ? QuotaSpec.DECAY * rules.grantMs() : 0;
         return now < grantedUntilMs + decays ? granted * (1 - (now - grantedUntilMs) / decays) : 0;
     }
 
@@ -182,7 +182,7 @@
             return 0; // it may be lent already
         }
         lent.values().removeIf(l -> l.over(now));
-        Line line = lent.get(dealer);
+        OutstandingGrants line = lent.get(dealer);
         if (line == null && lent.size() >= MOST_DEALERS) {
             return 0;
         }
@@ -198,7 +198,7 @@
         if (!limit.atOnce()) {
             fill(now); // at the rate that was
         }
-        lent.computeIfAbsent(dealer, d -> new Line(true)).add(free, now + rules.keptMs(limit));
+        lent.computeIfAbsent(dealer, d -> new OutstandingGrants(true)).add(free, now + rules.keptMs(limit));
         if (!limit.atOnce()) {
             fill(now);
         }
--- a/src/main/java/damsonworks/quota/Line.java
+++ b/src/main/java/cacheproxy/fleet/quota/OutstandingGrants.java
@@ -1,10 +1,10 @@
-package damsonworks.quota;
+package cacheproxy.fleet.quota;
 
 /**
  * Amounts that were promised one after another, each until a time that grows from one to the next. Who made them keeps to the largest
  * that is not over yet, as he can't know which of them arrived.
  */
-final class Line {
+final class OutstandingGrants {
     /** Beyond these the two oldest become one: of what is owed the larger until the later time, of what one counts on the later one. */
     static final int MOST = 12;
 
@@ -14,7 +14,7 @@
     private int size;
 
     /** @param owed whether it is what one has to keep to; else it is what one counts on */
-    Line(boolean owed) {
+    OutstandingGrants(boolean owed) {
         this.owed = owed;
     }
 
--- a/src/main/java/damsonworks/quota/Quota.java
+++ b/src/main/java/cacheproxy/fleet/quota/QuotaManager.java
@@ -1,10 +1,10 @@
-package damsonworks.quota;
+package cacheproxy.fleet.quota;
 
-import damsonworks.lease.EpochGuard;
-import damsonworks.lease.Ids;
-import damsonworks.lease.Tenure;
-import damsonworks.quota.QuotaMessage.Entry;
-import damsonworks.quota.QuotaMessage.Kind;
+import cacheproxy.fleet.lease.FencingTokenCheck;
+import cacheproxy.fleet.lease.NameHash;
+import cacheproxy.fleet.lease.LeaseHandle;
+import cacheproxy.fleet.quota.QuotaMessage.Entry;
+import cacheproxy.fleet.quota.QuotaMessage.Kind;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -16,11 +16,11 @@
 import java.util.function.LongPredicate;
 
 /**
- * The limits of a fleet at one of its proxies: what it may spend ({@link Pocket}), and what it deals out where others ask it ({@link Book}). Limits
+ * The limits of a fleet at one of its proxies: what it may spend ({@link LocalQuota}), and what it deals out where others ask it ({@link AllocationLedger}). Limits
  * are dealt into shares, each a duty; who holds it is asked first, and alone deals out what is in nobody's share. Where it does not answer, the next in the duty's order is
  * asked: whoever is asked deals, since safety rests on loans and not on who deals. Free of clocks and I/O.
  */
-public final class Quota {
+public final class QuotaManager {
     public static final int MOST_LIMITS = 1000;
     /** A burst is asked for at once, but not more often. */
     private static final double URGENT_MS = 20;
@@ -42,19 +42,19 @@
     }
 
     /** A limit as this proxy sees it; {@code alone}: since when it wants more and nobody answers, NaN if that is not so. */
-    public record Sight(Limit limit, double mine, double own, double lent, double needs, int inHand, long spent, long refused, double aloneSinceMs) { }
+    public record Sight(QuotaSpec limit, double mine, double own, double lent, double needs, int inHand, long spent, long refused, double aloneSinceMs) { }
 
     private record Asked(double atMs, long to) { }
 
     private final long me;
     private final long book;
-    private final LimitRules rules;
+    private final QuotaTiming rules;
     private final SplittableRandom random;
     private final LongPredicate likely;
     private final Out out;
     private final double startMs;
-    private final Map<Long, Pocket> pockets = new LinkedHashMap<>();
-    private final Map<Long, Book> books = new HashMap<>();
+    private final Map<Long, LocalQuota> pockets = new LinkedHashMap<>();
+    private final Map<Long, AllocationLedger> books = new HashMap<>();
     private final Map<Long, Asked> asks = new LinkedHashMap<>();
     private final Map<Long, Double> calls = new LinkedHashMap<>();
     private final Map<Long, Double> wordMs = new HashMap<>();
@@ -64,8 +64,8 @@
     private final ArrayDeque<QuotaMessage> self = new ArrayDeque<>();
     private final Map<Long, Double> dropped = new HashMap<>();
     private double longestHoldMs;
-    private Map<Long, Limit> limits = Map.of();
-    private List<Tenure> shares = List.of();
+    private Map<Long, QuotaSpec> limits = Map.of();
+    private List<LeaseHandle> shares = List.of();
     private List<Long> peers = List.of();
     private int proxies = 1;
     private boolean changing;
@@ -80,10 +80,10 @@
     private double urgentFromMs = Double.NEGATIVE_INFINITY;
     private boolean urgent;
     private long olderEpochs;
-    private final EpochGuard guard = new EpochGuard();
+    private final FencingTokenCheck guard = new FencingTokenCheck();
 
     /** @param likely whether a peer may be there: a guess, which hastens who is asked and allows nothing */
-    public Quota(long me, LimitRules rules, SplittableRandom random, double startMs, LongPredicate likely, Out out) {
+    public QuotaManager(long me, QuotaTiming rules, SplittableRandom random, double startMs, LongPredicate likely, Out out) {
         this.likely = likely;
         this.me = me;
         this.rules = rules;
@@ -101,21 +101,21 @@
      * @param proxyCount into how many shares they are cut: while the list changes those of both lists
      * @param owns whether this proxy has a share: one that joins has none until the change is over, nor has one that leaves
      */
-    public void use(List<Limit> wanted, List<Tenure> duties, List<Long> list, int proxyCount, boolean isChanging, boolean owns, double now) {
+    public void use(List<QuotaSpec> wanted, List<LeaseHandle> duties, List<Long> list, int proxyCount, boolean isChanging, boolean owns, double now) {
         if (wanted.size() > MOST_LIMITS || duties.isEmpty()) {
             throw new IllegalArgumentException(wanted.size() + " limits, " + duties.size() + " duties");
         }
-        Map<Long, Limit> named = new LinkedHashMap<>();
-        wanted.forEach(l -> named.put(Ids.of(l.name()), l));
+        Map<Long, QuotaSpec> named = new LinkedHashMap<>();
+        wanted.forEach(l -> named.put(NameHash.of(l.name()), l));
         limits = named;
         shares = List.copyOf(duties);
         peers = List.copyOf(list);
         proxies = Math.max(1, proxyCount);
         changing = isChanging;
         // What it has lent stands though the file no longer has the limit, or has one of another kind by its name.
-        dropped.values().removeIf(at -> now - at > 2 * LimitRules.LOAN * rules.grantMs() + longestHoldMs);
+        dropped.values().removeIf(at -> now - at > 2 * QuotaTiming.LOAN * rules.grantMs() + longestHoldMs);
         pockets.entrySet().removeIf(e -> {
-            Limit l = named.get(e.getKey());
+            QuotaSpec l = named.get(e.getKey());
             longestHoldMs = Math.max(longestHoldMs, e.getValue().limit().holdMs());
             boolean gone = l == null || l.atOnce() != e.getValue().limit().atOnce();
             if (gone) {
@@ -125,8 +125,8 @@
         });
         // Books of limits that are gone stay until what they gave out is over.
         named.forEach((id, l) -> {
-            pockets.computeIfAbsent(id, k -> new Pocket(l, rules, dropped.getOrDefault(id, startMs))).use(l, owns ? l.share(proxies) : 0, proxies, now);
-            Book b = books.get(id);
+            pockets.computeIfAbsent(id, k -> new LocalQuota(l, rules, dropped.getOrDefault(id, startMs))).use(l, owns ? l.share(proxies) : 0, proxies, now);
+            AllocationLedger b = books.get(id);
             if (b != null) {
                 b.use(l, l.pool(proxies, changing));
             }
@@ -134,12 +134,12 @@
     }
 
     /** What this proxy may spend of a limit; null if there is none of this name. */
-    public Pocket pocket(String name) {
-        return pockets.get(Ids.of(name));
+    public LocalQuota pocket(String name) {
+        return pockets.get(NameHash.of(name));
     }
 
     /** A request was refused: where notably more is needed than was asked for last, it is asked for soon, not at the next beat. */
-    public boolean hurry(Pocket p, double now) {
+    public boolean hurry(LocalQuota p, double now) {
         urgent |= p.needsMore(now);
         return urgent;
     }
@@ -190,7 +190,7 @@
     }
 
     /** The epoch under which the fleet's own part of a limit is this one's to deal out; 0: it is not. */
-    private long epoch(Limit l, long id, double now) {
+    private long epoch(QuotaSpec l, long id, double now) {
         int share = share(id, shares.size());
         Double since = ownedSinceMs.get(share);
         long epoch = since == null ? -1 : shares.get(share).permit(now, 0);
@@ -206,7 +206,7 @@
             double wants = p.wants(now);
             if (wants > 0 || p.holdsGrant(now)) {
                 int share = share(id, dealers.length);
-                if (dealers[share] == Ids.NOBODY) {
+                if (dealers[share] == NameHash.NOBODY) {
                     dealers[share] = dealer(shares.get(share), now);
                 }
                 // What is in nobody's share only the holder deals out, so nobody else is worth asking.
@@ -241,10 +241,10 @@
     }
 
     /** Who is asked about a limit: the holder of its duty, or the next in order that has not failed to answer lately. */
-    private long dealer(Tenure t, double now) {
+    private long dealer(LeaseHandle t, double now) {
         long holder = t.permit(now, 0) >= 0 ? me : t.holder(now);
         // It holds the duty by the voters' word, so it was there just now: the answer may have been lost.
-        if (holder != Ids.NOBODY && answers(holder, rules.beatMs(), now)) {
+        if (holder != NameHash.NOBODY && answers(holder, rules.beatMs(), now)) {
             return holder;
         }
         for (long p : t.order()) {
@@ -255,9 +255,9 @@
         return me;
     }
 
-    private long holder(Tenure t, long otherwise, double now) {
+    private long holder(LeaseHandle t, long otherwise, double now) {
         long holder = t.permit(now, 0) >= 0 ? me : t.holder(now);
-        return holder == Ids.NOBODY ? otherwise : holder;
+        return holder == NameHash.NOBODY ? otherwise : holder;
     }
 
     private boolean answers(long peer, double now) {
@@ -362,13 +362,13 @@
     private void wanted(double now, long from, QuotaMessage m) {
         boolean fresh = false;
         for (Entry e : m.entries()) {
-            Limit l = limits.get(e.limit());
+            QuotaSpec l = limits.get(e.limit());
             if (l == null) {
                 continue; // its file has a limit that this one's lacks
             }
-            Book b = books.get(e.limit());
+            AllocationLedger b = books.get(e.limit());
             if (b == null) {
-                b = new Book(rules);
+                b = new AllocationLedger(rules);
                 b.use(l, l.pool(proxies, changing));
                 books.put(e.limit(), b);
             }
@@ -384,7 +384,7 @@
     private void called(double now, long from, QuotaMessage m) {
         List<Entry> loans = new ArrayList<>();
         for (Entry e : m.entries()) {
-            Pocket p = pockets.get(e.limit());
+            LocalQuota p = pockets.get(e.limit());
             double amount = p == null ? 0 : p.lend(m.book(), now);
             if (amount > 0) {
                 loans.add(new Entry(e.limit(), amount));
@@ -401,7 +401,7 @@
             return; // lent to another, or so late that its time is not known any more
         }
         for (Entry e : m.entries()) {
-            Book b = books.get(e.limit());
+            AllocationLedger b = books.get(e.limit());
             if (b != null) {
                 b.lent(now, from, e.amount(), called);
             }
@@ -415,7 +415,7 @@
             return;
         }
         for (Entry e : m.entries()) {
-            Pocket p = pockets.get(e.limit());
+            LocalQuota p = pockets.get(e.limit());
             if (p == null) {
                 continue;
             }
--- a/src/main/java/damsonworks/quota/QuotaMessage.java
+++ b/src/main/java/cacheproxy/fleet/quota/QuotaMessage.java
@@ -1,4 +1,4 @@
-package damsonworks.quota;
+package cacheproxy.fleet.quota;
 
 import java.nio.ByteBuffer;
 import java.util.ArrayList;
--- a/src/main/java/damsonworks/quota/Limit.java
+++ b/src/main/java/cacheproxy/fleet/quota/QuotaSpec.java
@@ -1,4 +1,4 @@
-package damsonworks.quota;
+package cacheproxy.fleet.quota;
 
 /**
  * A limit of the whole fleet.
@@ -12,7 +12,7 @@
  *         by whoever holds the duty. 0 to 1
  * @param holdMs for so long what was begun may go on: 0 for a rate, the longest deadline for what is in hand; the same at all proxies
  */
-public record Limit(String name, boolean atOnce, double amount, double burst, Alone alone, double sharePart, double holdMs) {
+public record QuotaSpec(String name, boolean atOnce, double amount, double burst, Alone alone, double sharePart, double holdMs) {
     /** What a proxy without word spends. */
     public enum Alone {
         /** Its share, which with those of all others makes the limit. */
@@ -26,7 +26,7 @@
     /** A last grant decays over so many times the grants' time. */
     static final double DECAY = 5;
 
-    public Limit {
+    public QuotaSpec {
         if (name.isEmpty() || !(amount > 0) || atOnce && amount != Math.rint(amount) || !(burst >= 0) || !(holdMs >= 0) || !atOnce && holdMs > 0 || !(sharePart >= 0 && sharePart <= 1)) {
             throw new IllegalArgumentException("limit " + name + " of " + amount + ", burst " + burst + ", share part " + sharePart);
         }
--- a/src/main/java/damsonworks/handover/Handover.java
+++ b/src/main/java/cacheproxy/handover/Handover.java
@@ -1,4 +1,4 @@
-package damsonworks.handover;
+package cacheproxy.handover;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
--- a/src/main/java/damsonworks/hooks/HookBreaker.java
+++ b/src/main/java/cacheproxy/hooks/HookBreaker.java
@@ -1,4 +1,4 @@
-package damsonworks.hooks;
+package cacheproxy.hooks;
 
 /**
  * Switches a hook off that fails in more than a share of its calls, and tries it again after a while with one call.
--- a/src/main/java/damsonworks/hooks/HookException.java
+++ b/src/main/java/cacheproxy/hooks/HookException.java
@@ -1,4 +1,4 @@
-package damsonworks.hooks;
+package cacheproxy.hooks;
 
 /** A module that does not load, or a call that failed; the message says why, for operators. */
 public final class HookException extends Exception {
--- a/src/main/java/damsonworks/hooks/HookInstance.java
+++ b/src/main/java/cacheproxy/hooks/HookInstance.java
@@ -1,4 +1,4 @@
-package damsonworks.hooks;
+package cacheproxy.hooks;
 
 import com.dylibso.chicory.runtime.ExportFunction;
 import com.dylibso.chicory.runtime.HostFunction;
--- a/src/main/java/damsonworks/hooks/HookModule.java
+++ b/src/main/java/cacheproxy/hooks/HookModule.java
@@ -1,4 +1,4 @@
-package damsonworks.hooks;
+package cacheproxy.hooks;
 
 import com.dylibso.chicory.compiler.MachineFactoryCompiler;
 import com.dylibso.chicory.runtime.Instance;
--- a/src/main/java/damsonworks/hooks/HookOrders.java
+++ b/src/main/java/cacheproxy/hooks/HookOrders.java
@@ -1,4 +1,4 @@
-package damsonworks.hooks;
+package cacheproxy.hooks;
 
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
--- a/src/main/java/damsonworks/hooks/HookRules.java
+++ b/src/main/java/cacheproxy/hooks/HookRules.java
@@ -1,8 +1,8 @@
-package damsonworks.hooks;
+package cacheproxy.hooks;
 
-import damsonworks.RoutingApi.Effect;
-import damsonworks.RoutingApi.ServiceClass;
-import damsonworks.routes.KeyRewrite;
+import cacheproxy.policy.PolicyApi.Effect;
+import cacheproxy.policy.PolicyApi.ServiceClass;
+import cacheproxy.routes.KeyRewrite;
 import java.util.List;
 import java.util.Set;
 
--- a/src/main/java/damsonworks/hooks/WasmMeter.java
+++ b/src/main/java/cacheproxy/hooks/WasmMeter.java
@@ -1,4 +1,4 @@
-package damsonworks.hooks;
+package cacheproxy.hooks;
 
 import java.io.ByteArrayOutputStream;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/damsonworks/htcp/HtcpCodec.java
+++ b/src/main/java/cacheproxy/htcp/HtcpCodec.java
@@ -1,14 +1,14 @@
-package damsonworks.htcp;
+package cacheproxy.htcp;
 
-import damsonworks.htcp.HtcpMessage.Body;
-import damsonworks.htcp.HtcpMessage.Change;
-import damsonworks.htcp.HtcpMessage.Clear;
-import damsonworks.htcp.HtcpMessage.Detail;
-import damsonworks.htcp.HtcpMessage.Empty;
-import damsonworks.htcp.HtcpMessage.Identity;
-import damsonworks.htcp.HtcpMessage.Monitor;
-import damsonworks.htcp.HtcpMessage.Opcode;
-import damsonworks.htcp.HtcpMessage.Specifier;
+import cacheproxy.htcp.HtcpMessage.Body;
+import cacheproxy.htcp.HtcpMessage.Change;
+import cacheproxy.htcp.HtcpMessage.Clear;
+import cacheproxy.htcp.HtcpMessage.Detail;
+import cacheproxy.htcp.HtcpMessage.Empty;
+import cacheproxy.htcp.HtcpMessage.Identity;
+import cacheproxy.htcp.HtcpMessage.Monitor;
+import cacheproxy.htcp.HtcpMessage.Opcode;
+import cacheproxy.htcp.HtcpMessage.Specifier;
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/damsonworks/htcp/HtcpMessage.java
+++ b/src/main/java/cacheproxy/htcp/HtcpMessage.java
@@ -1,4 +1,4 @@
-package damsonworks.htcp;
+package cacheproxy.htcp;
 
 /**
  * A message of HTCP/0.0 (RFC 2756), without its authentication.
--- a/src/main/java/damsonworks/htcp/HtcpSigner.java
+++ b/src/main/java/cacheproxy/htcp/HtcpSigner.java
@@ -1,6 +1,6 @@
-package damsonworks.htcp;
+package cacheproxy.htcp;
 
-import damsonworks.htcp.HtcpCodec.Auth;
+import cacheproxy.htcp.HtcpCodec.Auth;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/damsonworks/icp/IcpCodec.java
+++ b/src/main/java/cacheproxy/icp/IcpCodec.java
@@ -1,6 +1,6 @@
-package damsonworks.icp;
+package cacheproxy.icp;
 
-import damsonworks.icp.IcpMessage.Opcode;
+import cacheproxy.icp.IcpMessage.Opcode;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
 import java.nio.charset.StandardCharsets;
--- a/src/main/java/damsonworks/icp/IcpMessage.java
+++ b/src/main/java/cacheproxy/icp/IcpMessage.java
@@ -1,4 +1,4 @@
-package damsonworks.icp;
+package cacheproxy.icp;
 
 /**
  * A message of ICP version 2 (RFC 2186).
--- a/src/main/java/damsonworks/invariant/Invariant.java
+++ b/src/main/java/cacheproxy/invariant/Invariant.java
@@ -1,4 +1,4 @@
-package damsonworks.invariant;
+package cacheproxy.invariant;
 
 import java.util.Locale;
 
--- a/src/main/java/damsonworks/invariant/SendFacts.java
+++ b/src/main/java/cacheproxy/invariant/SendFacts.java
@@ -1,4 +1,4 @@
-package damsonworks.invariant;
+package cacheproxy.invariant;
 
 /** What {@link SendGuard} has to know of an attempt that is about to begin. Times are milliseconds on one monotonic clock. */
 public interface SendFacts {
--- a/src/main/java/damsonworks/invariant/SendGuard.java
+++ b/src/main/java/cacheproxy/invariant/SendGuard.java
@@ -1,4 +1,4 @@
-package damsonworks.invariant;
+package cacheproxy.invariant;
 
 /**
  * The last look at an attempt before its first byte goes out: what was decided when it was placed may no longer hold, as it may have
--- a/src/main/java/damsonworks/lifecycle/Lifecycle.java
+++ b/src/main/java/cacheproxy/lifecycle/Lifecycle.java
@@ -1,4 +1,4 @@
-package damsonworks.lifecycle;
+package cacheproxy.lifecycle;
 
 /**
  * What a process owes its clients from its start to its end: whether it says that it takes clients, whether it takes
--- a/src/main/java/damsonworks/lifecycle/WarmUpPlan.java
+++ b/src/main/java/cacheproxy/lifecycle/WarmUpPlan.java
@@ -1,4 +1,4 @@
-package damsonworks.lifecycle;
+package cacheproxy.lifecycle;
 
 /**
  * How many requests a starting process answers itself before it says that it takes clients. What those have not loaded
--- a/src/main/java/damsonworks/limits/ConnectionRoom.java
+++ b/src/main/java/cacheproxy/limits/ConnectionEviction.java
@@ -1,4 +1,4 @@
-package damsonworks.limits;
+package cacheproxy.limits;
 
 /**
  * Which of the clients' connections makes room where there are too many. Ending one on which nothing is open costs its
@@ -6,7 +6,7 @@
  * client, so those that have never asked come after, and only once they have had the time to; and last those that have
  * begun a command and stand still, as true clients may write slowly, too, but go on writing. Times in milliseconds.
  */
-public final class ConnectionRoom {
+public final class ConnectionEviction {
     /** What a client that means to ask needs to begin, on a busy machine. */
     public static final double BEGIN_MS = 150;
     /** A client that writes slowly does not pause for as long. */
@@ -17,7 +17,7 @@
     private static final double SILENT = 1e12;
     private static final double NONE = -1;
 
-    private ConnectionRoom() { }
+    private ConnectionEviction() { }
 
     /**
      * How soon a connection is to make room; negative: not at all.
--- a/src/main/java/damsonworks/limits/PoolAdmission.java
+++ b/src/main/java/cacheproxy/limits/PoolAdmissionControl.java
@@ -1,12 +1,12 @@
-package damsonworks.limits;
+package cacheproxy.limits;
 
-import damsonworks.RoutingApi.Member;
-import damsonworks.placement.Admission;
+import cacheproxy.policy.PolicyApi.Member;
+import cacheproxy.placement.AdmissionControl;
 import java.util.function.IntPredicate;
 
 /** A pool's bounds towards its servers: its own retries, and cold servers together with all other pools. */
-public final class PoolAdmission implements Admission {
-    private final ColdBudget cold;
+public final class PoolAdmissionControl implements AdmissionControl {
+    private final SlowStartBudget cold;
     private final IntPredicate trials;
     private RetryBudget retries;
 
@@ -14,7 +14,7 @@
      * @param cold that of all pools of the process
      * @param trials whether a client's request may now be the trial of this server
      */
-    public PoolAdmission(ColdBudget cold, RetryBudget retries, IntPredicate trials) {
+    public PoolAdmissionControl(SlowStartBudget cold, RetryBudget retries, IntPredicate trials) {
         this.cold = cold;
         this.trials = trials;
         this.retries = retries;
--- a/src/main/java/damsonworks/limits/PoolGate.java
+++ b/src/main/java/cacheproxy/limits/PoolLimiter.java
@@ -1,7 +1,7 @@
-package damsonworks.limits;
+package cacheproxy.limits;
 
 /** What a pool takes in: requests in hand and requests a second. Free of clocks. */
-public final class PoolGate {
+public final class PoolLimiter {
     /** How long a client is told to stay away from a pool whose places are all taken, in milliseconds. */
     public static final double FULL_WAIT_MS = 20;
 
@@ -12,7 +12,7 @@
      * @param most requests in hand, 1 or more
      * @param perSecond requests a second; 0: no bound
      */
-    public PoolGate(int most, double perSecond) {
+    public PoolLimiter(int most, double perSecond) {
         this.most = most;
         rate = perSecond > 0 ? new TokenBucket(perSecond, Math.max(1, perSecond / 10)) : null;
     }
--- a/src/main/java/damsonworks/limits/RetryBudget.java
+++ b/src/main/java/cacheproxy/limits/RetryBudget.java
@@ -1,4 +1,4 @@
-package damsonworks.limits;
+package cacheproxy.limits;
 
 /**
  * Retries as a share of first tries, so that a fleet in trouble is not given a multiple of its load. A few a second
--- a/src/main/java/damsonworks/connections/NodeRoom.java
+++ b/src/main/java/cacheproxy/limits/ServerCapacity.java
@@ -1,4 +1,4 @@
-package damsonworks.connections;
+package cacheproxy.limits;
 
 /**
  * Whether a cache node may have room for a connection of this proxy. A node takes a bounded number for all proxies together
@@ -7,7 +7,7 @@
  *
  * <p>Times are milliseconds on the caller's clock.
  */
-public final class NodeRoom {
+public final class ServerCapacity {
     /**
      * What all nodes have shown together. Where proxies are so many that some find no room, second connections of others take
      * it: requests that go out on one are begun all the same, only answered in turn. Who holds two at a node can't see there
@@ -33,7 +33,7 @@
     private double fullUntilMs = Double.NEGATIVE_INFINITY;
 
     /** Of one node; the shortage is shared by all. */
-    public NodeRoom(Shortage shortage) {
+    public ServerCapacity(Shortage shortage) {
         this.shortage = shortage;
     }
 
--- a/src/main/java/damsonworks/limits/Births.java
+++ b/src/main/java/cacheproxy/limits/ServerStartTimes.java
@@ -1,4 +1,4 @@
-package damsonworks.limits;
+package cacheproxy.limits;
 
 import java.util.HashMap;
 import java.util.HashSet;
@@ -10,7 +10,7 @@
  * connections had no process, so that it has started anew when it takes them again. Free of clocks; Unix time in
  * milliseconds. As many entries as servers are known.
  */
-public final class Births {
+public final class ServerStartTimes {
     /** A start that is still to come: the server is cold, and stays so until it is first used. */
     public static final double UNUSED = 1e300;
     private final Map<Integer, Double> born = new HashMap<>();
--- a/src/main/java/damsonworks/limits/ColdBudget.java
+++ b/src/main/java/cacheproxy/limits/SlowStartBudget.java
@@ -1,4 +1,4 @@
-package damsonworks.limits;
+package cacheproxy.limits;
 
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -14,7 +14,7 @@
  * <p>Bound: in a span of {@code fallMs}, at most the span's fill and a burst of {@value #BURST_SPANS} spans are sent,
  * 1.25 times what the server can do, where it falls at {@code tipMultiple}, which is above that.
  */
-public final class ColdBudget {
+public final class SlowStartBudget {
     static final double BURST_SPANS = 0.25;
     /** So many servers are kept in mind, those longest not sent to go first. */
     static final int MOST_SERVERS = 20_000;
@@ -40,7 +40,7 @@
     private final Map<Integer, Double> rates = new HashMap<>();
     private final Map<Integer, Bucket> buckets;
 
-    public ColdBudget(Figures figures) {
+    public SlowStartBudget(Figures figures) {
         this.figures = figures;
         buckets = new LinkedHashMap<>(16, 0.75f, true) {
             private static final long serialVersionUID = 1L;
--- a/src/main/java/damsonworks/limits/TokenBucket.java
+++ b/src/main/java/cacheproxy/limits/TokenBucket.java
@@ -1,4 +1,4 @@
-package damsonworks.limits;
+package cacheproxy.limits;
 
 /** A rate with some room for bursts. Free of clocks: the time comes in, in milliseconds, and must not go back. */
 public final class TokenBucket {
--- a/src/main/java/damsonworks/nginx/ConfLexer.java
+++ b/src/main/java/cacheproxy/nginx/ConfLexer.java
@@ -1,4 +1,4 @@
-package damsonworks.nginx;
+package cacheproxy.nginx;
 
 /**
  * Cuts a file into words, semicolons and braces as nginx does: quotes count only where a word begins, {@code #} begins
@@ -35,7 +35,7 @@
         return new Position(file, tokenLine, tokenColumn);
     }
 
-    Kind next() throws ConfException {
+    Kind next() throws NginxSyntaxException {
         skip();
         tokenLine = line;
         tokenColumn = next - lineStart + 1;
@@ -82,10 +82,10 @@
         lineStart = next + 1;
     }
 
-    private char checked() throws ConfException {
+    private char checked() throws NginxSyntaxException {
         char c = text.charAt(next);
         if (c < ' ' && c != '\t' && c != '\r' && c != '\n' || c == 0x7F) {
-            throw new ConfException(new Position(file, line, next - lineStart + 1), "byte 0x"
+            throw new NginxSyntaxException(new Position(file, line, next - lineStart + 1), "byte 0x"
                     + String.format("%02x", (int) c) + " in column " + (next - lineStart + 1) + "; this is no text");
         }
         if (c == '\n') {
@@ -94,12 +94,12 @@
         return c;
     }
 
-    private void quotedWord(char quote) throws ConfException {
+    private void quotedWord(char quote) throws NginxSyntaxException {
         StringBuilder out = new StringBuilder();
         next++;
         for (;; next++) {
             if (next >= text.length()) {
-                throw new ConfException(at(), "the quote that opens here is not closed");
+                throw new NginxSyntaxException(at(), "the quote that opens here is not closed");
             }
             char c = checked();
             if (c == quote) {
@@ -116,13 +116,13 @@
         next++;
         char after = next < text.length() ? text.charAt(next) : ' ';
         if (" \t\r\n;{)".indexOf(after) < 0) {
-            throw new ConfException(new Position(file, line, next - lineStart + 1), "unexpected '" + after
+            throw new NginxSyntaxException(new Position(file, line, next - lineStart + 1), "unexpected '" + after
                     + "' behind a closing quote; white space, ; or { must follow");
         }
         word = out.toString();
     }
 
-    private void plainWord() throws ConfException {
+    private void plainWord() throws NginxSyntaxException {
         StringBuilder out = new StringBuilder();
         boolean variable = false;
         for (; next < text.length(); next++) {
@@ -155,15 +155,15 @@
         }
     }
 
-    private void bound(StringBuilder out) throws ConfException {
+    private void bound(StringBuilder out) throws NginxSyntaxException {
         if (out.length() > MAX_WORD) {
-            throw new ConfException(at(), "a parameter of more than " + MAX_WORD
+            throw new NginxSyntaxException(at(), "a parameter of more than " + MAX_WORD
                     + " bytes begins here; probably a closing quote or a semicolon is missing");
         }
     }
 
     /** The text up to the brace that closes the one just read, of another grammar: Lua's strings and comments count. */
-    String rawBlock() throws ConfException {
+    String rawBlock() throws NginxSyntaxException {
         Position open = at();
         int from = next;
         int depth = 1;
@@ -183,10 +183,10 @@
             }
             next++;
         }
-        throw new ConfException(open, "the block that opens here is not closed");
+        throw new NginxSyntaxException(open, "the block that opens here is not closed");
     }
 
-    private void skipString(char quote) throws ConfException {
+    private void skipString(char quote) throws NginxSyntaxException {
         for (next++; next < text.length() && text.charAt(next) != quote && text.charAt(next) != '\n'; next++) {
             if (checked() == '\\') {
                 next++;
--- a/src/main/java/damsonworks/nginx/ConfParser.java
+++ b/src/main/java/cacheproxy/nginx/ConfParser.java
@@ -1,4 +1,4 @@
-package damsonworks.nginx;
+package cacheproxy.nginx;
 
 import java.util.ArrayDeque;
 import java.util.ArrayList;
@@ -33,7 +33,7 @@
     }
 
     /** Reads a file and what it includes. */
-    public static Conf read(ConfSource source, String file) throws ConfException {
+    public static Conf read(ConfSource source, String file) throws NginxSyntaxException {
         ConfParser parser = new ConfParser(source);
         List<Directive> all = new ArrayList<>();
         parser.file(file, null, all, 0);
@@ -41,7 +41,7 @@
     }
 
     /** Reads a text that includes nothing. */
-    public static List<Directive> parse(String name, String text) throws ConfException {
+    public static List<Directive> parse(String name, String text) throws NginxSyntaxException {
         return read(new ConfSource() {
             @Override
             public String read(String path) throws Unreadable {
@@ -58,12 +58,12 @@
         }, name).directives();
     }
 
-    private void file(String path, Position from, List<Directive> into, int depth) throws ConfException {
+    private void file(String path, Position from, List<Directive> into, int depth) throws NginxSyntaxException {
         if (reading.contains(path)) {
-            throw new ConfException(from, path + " includes itself: " + String.join(" -> ", way()) + " -> " + path);
+            throw new NginxSyntaxException(from, path + " includes itself: " + String.join(" -> ", way()) + " -> " + path);
         }
         if (reading.size() >= MAX_INCLUDES || ++files > MAX_FILES) {
-            throw new ConfException(from, "more than " + (reading.size() >= MAX_INCLUDES ? MAX_INCLUDES
+            throw new NginxSyntaxException(from, "more than " + (reading.size() >= MAX_INCLUDES ? MAX_INCLUDES
                     + " includes in each other" : MAX_FILES + " files"));
         }
         String text;
@@ -71,12 +71,12 @@
             text = source.read(path);
         } catch (ConfSource.Unreadable e) {
             String why = "can't read " + path + ": " + e.getMessage();
-            throw from == null ? new ConfException(path, "can't be read: " + e.getMessage())
-                    : new ConfException(from, why);
+            throw from == null ? new NginxSyntaxException(path, "can't be read: " + e.getMessage())
+                    : new NginxSyntaxException(from, why);
         }
         bytes += text.length();
         if (bytes > MAX_BYTES) {
-            throw new ConfException(path, "the configuration has more than " + MAX_BYTES + " bytes");
+            throw new NginxSyntaxException(path, "the configuration has more than " + MAX_BYTES + " bytes");
         }
         reading.addLast(path);
         ConfLexer lexer = new ConfLexer(path, text);
@@ -89,33 +89,33 @@
     }
 
     /** Directives up to the block's end, or the file's where {@code open} is null. */
-    private void block(ConfLexer lexer, Position open, List<Directive> into, int depth) throws ConfException {
+    private void block(ConfLexer lexer, Position open, List<Directive> into, int depth) throws NginxSyntaxException {
         if (depth > MAX_DEPTH) {
-            throw new ConfException(open, "more than " + MAX_DEPTH + " blocks in each other");
+            throw new NginxSyntaxException(open, "more than " + MAX_DEPTH + " blocks in each other");
         }
         for (;;) {
             ConfLexer.Kind kind = lexer.next();
             switch (kind) {
                 case END -> {
                     if (open != null) {
-                        throw new ConfException(open, "the block that opens here is not closed");
+                        throw new NginxSyntaxException(open, "the block that opens here is not closed");
                     }
                     return;
                 }
                 case CLOSE -> {
                     if (open == null) {
-                        throw new ConfException(lexer.at(), "unexpected '}': no block is open");
+                        throw new NginxSyntaxException(lexer.at(), "unexpected '}': no block is open");
                     }
                     return;
                 }
-                case SEMICOLON -> throw new ConfException(lexer.at(), "unexpected ';': no directive before it");
-                case OPEN -> throw new ConfException(lexer.at(), "unexpected '{': no directive before it");
+                case SEMICOLON -> throw new NginxSyntaxException(lexer.at(), "unexpected ';': no directive before it");
+                case OPEN -> throw new NginxSyntaxException(lexer.at(), "unexpected '{': no directive before it");
                 case WORD -> directive(lexer, into, depth);
             }
         }
     }
 
-    private void directive(ConfLexer lexer, List<Directive> into, int depth) throws ConfException {
+    private void directive(ConfLexer lexer, List<Directive> into, int depth) throws NginxSyntaxException {
         String name = lexer.word;
         Position at = lexer.at();
         List<String> args = new ArrayList<>();
@@ -142,14 +142,14 @@
                     into.add(new Directive(name, args, inner, null, at));
                     return;
                 }
-                case CLOSE -> throw new ConfException(lexer.at(), "unexpected '}': '" + name + "' of line " + at.line()
+                case CLOSE -> throw new NginxSyntaxException(lexer.at(), "unexpected '}': '" + name + "' of line " + at.line()
                         + " ends without ';'");
-                case END -> throw new ConfException(at, "'" + name + "' is not ended by ';' or a block");
+                case END -> throw new NginxSyntaxException(at, "'" + name + "' is not ended by ';' or a block");
             }
         }
     }
 
-    private void include(Directive d, List<Directive> into, int depth) throws ConfException {
+    private void include(Directive d, List<Directive> into, int depth) throws NginxSyntaxException {
         String pattern = d.arg(0);
         if (pattern.indexOf('*') < 0 && pattern.indexOf('?') < 0 && pattern.indexOf('[') < 0) {
             file(pattern, d.at(), into, depth);
@@ -159,7 +159,7 @@
         try {
             found = source.glob(pattern);
         } catch (ConfSource.Unreadable e) {
-            throw new ConfException(d.at(), "can't look for " + pattern + ": " + e.getMessage());
+            throw new NginxSyntaxException(d.at(), "can't look for " + pattern + ": " + e.getMessage());
         }
         if (found.isEmpty()) {
             empty.add(new Empty(d));
--- a/src/main/java/damsonworks/nginx/ConfPrinter.java
+++ b/src/main/java/cacheproxy/nginx/ConfPrinter.java
@@ -1,4 +1,4 @@
-package damsonworks.nginx;
+package cacheproxy.nginx;
 
 import java.util.List;
 
--- a/src/main/java/damsonworks/nginx/Position.java
+++ b/src/main/java/cacheproxy/nginx/Position.java
@@ -1,4 +1,4 @@
-package damsonworks.nginx;
+package cacheproxy.nginx;
 
 /** Where a directive stands; line and column from 1. */
 public record Position(String file, int line, int column) {
--- a/src/main/java/damsonworks/nginx/importer/Conditions.java
+++ b/src/main/java/cacheproxy/nginx/importer/Conditions.java
@@ -1,7 +1,7 @@
-package damsonworks.nginx.importer;
+package cacheproxy.nginx.importer;
 
-import damsonworks.routes.PlaceBy;
-import damsonworks.routes.SplitShare;
+import cacheproxy.routes.PlacementTemplate;
+import cacheproxy.routes.SplitShare;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -24,7 +24,7 @@
         return new Conditions(List.of(), write, null);
     }
 
-    static Conditions share(PlaceBy by, long from, long to) {
+    static Conditions share(PlacementTemplate by, long from, long to) {
         return new Conditions(List.of(), null, new SplitShare(by, from, to));
     }
 
--- a/src/main/java/damsonworks/nginx/importer/DirectiveTable.java
+++ b/src/main/java/cacheproxy/nginx/importer/DirectiveTable.java
@@ -1,6 +1,6 @@
-package damsonworks.nginx.importer;
+package cacheproxy.nginx.importer;
 
-import damsonworks.nginx.Directive;
+import cacheproxy.nginx.Directive;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
--- a/src/main/java/damsonworks/nginx/importer/Durations.java
+++ b/src/main/java/cacheproxy/nginx/importer/Durations.java
@@ -1,4 +1,4 @@
-package damsonworks.nginx.importer;
+package cacheproxy.nginx.importer;
 
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
--- a/src/main/java/damsonworks/nginx/importer/FileText.java
+++ b/src/main/java/cacheproxy/nginx/importer/FileText.java
@@ -1,8 +1,8 @@
-package damsonworks.nginx.importer;
+package cacheproxy.nginx.importer;
 
-import damsonworks.placement.Placements;
-import damsonworks.routes.KeyForm;
-import damsonworks.routes.VirtualHosts;
+import cacheproxy.placement.PlacementRegistry;
+import cacheproxy.routes.KeyFormat;
+import cacheproxy.routes.VirtualHosts;
 import java.util.Collection;
 import java.util.List;
 import java.util.Map;
@@ -13,10 +13,10 @@
     private static final double HOUR_MS = 3_600_000;
 
     private final ImportOptions options;
-    private final KeyForm keys;
+    private final KeyFormat keys;
     private final StringBuilder out = new StringBuilder();
 
-    FileText(ImportOptions options, KeyForm keys) {
+    FileText(ImportOptions options, KeyFormat keys) {
         this.options = options;
         this.keys = keys;
     }
@@ -24,7 +24,7 @@
     String text(Map<String, String> listeners, List<VirtualHosts.Host> hosts, Collection<PoolTranslator.PoolSpec> pools,
             List<RouteSpec> routes, Map<String, Double> limits, double warmUpMs, double deadlineMs) {
         out.append("# Made by import-nginx. Routes are called by the file and line that they come from.\n");
-        line("keys", quoted(keys == KeyForm.PATH ? "path" : "path-and-query"));
+        line("keys", quoted(keys == KeyFormat.PATH ? "path" : "path-and-query"));
         if (warmUpMs > 0) {
             head("[site]");
             line("warm_up_ms", number(Math.min(HOUR_MS, warmUpMs)));
@@ -84,7 +84,7 @@
                 .append(p.directive().at().line()).append('\n');
         line("name", quoted(p.name()));
         line("nodes", quoted("plain"));
-        if (!p.placement().equals(Placements.CARP)) {
+        if (!p.placement().equals(PlacementRegistry.CARP)) {
             line("placement", quoted(p.placement()));
             if (p.placeBy() != null) {
                 line("place_by", quoted(p.placeBy()));
--- a/src/main/java/damsonworks/nginx/importer/Importer.java
+++ b/src/main/java/cacheproxy/nginx/importer/Importer.java
@@ -1,15 +1,15 @@
-package damsonworks.nginx.importer;
+package cacheproxy.nginx.importer;
 
-import damsonworks.nginx.ConfParser;
-import damsonworks.nginx.Directive;
-import damsonworks.nginx.model.DirectiveShapes;
-import damsonworks.nginx.model.HttpModel;
-import damsonworks.nginx.model.ServerBlock;
-import damsonworks.nginx.model.UpstreamBlock;
-import damsonworks.routes.KeyForm;
-import damsonworks.routes.Route;
-import damsonworks.routes.RouteTable;
-import damsonworks.routes.VirtualHosts;
+import cacheproxy.nginx.ConfParser;
+import cacheproxy.nginx.Directive;
+import cacheproxy.nginx.model.DirectiveShapes;
+import cacheproxy.nginx.model.HttpModel;
+import cacheproxy.nginx.model.ServerBlock;
+import cacheproxy.nginx.model.UpstreamBlock;
+import cacheproxy.routes.KeyFormat;
+import cacheproxy.routes.Route;
+import cacheproxy.routes.RouteTable;
+import cacheproxy.routes.VirtualHosts;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -74,7 +74,7 @@
         }
         report.finish(conf);
         String file = pools.pools().isEmpty() || table.routes().isEmpty() || listeners.isEmpty() ? null
-                : new FileText(options, query ? KeyForm.PATH_AND_QUERY : KeyForm.PATH).text(listeners, hosts,
+                : new FileText(options, query ? KeyFormat.PATH_AND_QUERY : KeyFormat.PATH).text(listeners, hosts,
                         pools.pools().values(), routes, limits, pools.slowStartMs(), deadlineMs);
         return new Result(file, report, hostInKeys, routes.size());
     }
--- a/src/main/java/damsonworks/nginx/importer/PoolTranslator.java
+++ b/src/main/java/cacheproxy/nginx/importer/PoolTranslator.java
@@ -1,8 +1,8 @@
-package damsonworks.nginx.importer;
+package cacheproxy.nginx.importer;
 
-import damsonworks.nginx.Directive;
-import damsonworks.nginx.model.UpstreamBlock;
-import damsonworks.nginx.model.UpstreamBlock.Method;
+import cacheproxy.nginx.Directive;
+import cacheproxy.nginx.model.UpstreamBlock;
+import cacheproxy.nginx.model.UpstreamBlock.Method;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
--- a/src/main/java/damsonworks/nginx/importer/RegexTranslation.java
+++ b/src/main/java/cacheproxy/nginx/importer/RegexTranslation.java
@@ -1,6 +1,6 @@
-package damsonworks.nginx.importer;
+package cacheproxy.nginx.importer;
 
-import damsonworks.routes.KeyPattern;
+import cacheproxy.routes.KeyPattern;
 
 /**
  * A pattern of nginx (PCRE) in the syntax of routes (RE2), for paths in which some bytes stay escaped.
--- a/src/main/java/damsonworks/nginx/importer/Report.java
+++ b/src/main/java/cacheproxy/nginx/importer/Report.java
@@ -1,7 +1,7 @@
-package damsonworks.nginx.importer;
+package cacheproxy.nginx.importer;
 
-import damsonworks.nginx.ConfParser;
-import damsonworks.nginx.Directive;
+import cacheproxy.nginx.ConfParser;
+import cacheproxy.nginx.Directive;
 import java.util.ArrayList;
 import java.util.IdentityHashMap;
 import java.util.List;
--- a/src/main/java/damsonworks/nginx/importer/RouteSpec.java
+++ b/src/main/java/cacheproxy/nginx/importer/RouteSpec.java
@@ -1,8 +1,8 @@
-package damsonworks.nginx.importer;
+package cacheproxy.nginx.importer;
 
-import damsonworks.routes.KeyPattern;
-import damsonworks.routes.KeyRewrite;
-import damsonworks.routes.Route;
+import cacheproxy.routes.KeyPattern;
+import cacheproxy.routes.KeyRewrite;
+import cacheproxy.routes.Route;
 import java.util.List;
 import java.util.Set;
 
--- a/src/main/java/damsonworks/nginx/importer/RouteTranslator.java
+++ b/src/main/java/cacheproxy/nginx/importer/RouteTranslator.java
@@ -1,15 +1,15 @@
-package damsonworks.nginx.importer;
-
-import damsonworks.nginx.Directive;
-import damsonworks.nginx.importer.Values.Alternative;
-import damsonworks.nginx.importer.Values.Scope;
-import damsonworks.nginx.model.HttpModel;
-import damsonworks.nginx.model.Location;
-import damsonworks.nginx.model.LocationSearch;
-import damsonworks.nginx.model.ServerBlock;
-import damsonworks.routes.KeyPattern;
-import damsonworks.routes.KeyRewrite;
-import damsonworks.routes.PathKey;
+package cacheproxy.nginx.importer;
+
+import cacheproxy.nginx.Directive;
+import cacheproxy.nginx.importer.Values.Alternative;
+import cacheproxy.nginx.importer.Values.Scope;
+import cacheproxy.nginx.model.HttpModel;
+import cacheproxy.nginx.model.Location;
+import cacheproxy.nginx.model.LocationSearch;
+import cacheproxy.nginx.model.ServerBlock;
+import cacheproxy.routes.KeyPattern;
+import cacheproxy.routes.KeyRewrite;
+import cacheproxy.routes.PathKey;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.IdentityHashMap;
--- a/src/main/java/damsonworks/nginx/importer/ServerMoves.java
+++ b/src/main/java/cacheproxy/nginx/importer/ServerMoves.java
@@ -1,12 +1,12 @@
-package damsonworks.nginx.importer;
+package cacheproxy.nginx.importer;
 
-import damsonworks.Carp;
-import damsonworks.RoutingApi.Member;
-import damsonworks.RoutingApi.State;
-import damsonworks.placement.Peer;
-import damsonworks.placement.Placement;
-import damsonworks.placement.PlacementKey;
-import damsonworks.placement.Placements;
+import cacheproxy.policy.CarpHash;
+import cacheproxy.policy.PolicyApi.Member;
+import cacheproxy.policy.PolicyApi.State;
+import cacheproxy.placement.PlacementTarget;
+import cacheproxy.placement.Placement;
+import cacheproxy.placement.PlacementKey;
+import cacheproxy.placement.PlacementRegistry;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -26,7 +26,7 @@
     static void note(Collection<PoolTranslator.PoolSpec> pools, Report report) {
         int keys = Math.max(LEAST_KEYS, Math.min(MOST_KEYS, ALL_KEYS / Math.max(1, pools.size())));
         for (PoolTranslator.PoolSpec p : pools) {
-            if (!p.placement().equals(Placements.CARP)) {
+            if (!p.placement().equals(PlacementRegistry.CARP)) {
                 report.note(String.format(java.util.Locale.ROOT,
                         "pool %s: going over to CARP would move %.1f%% of its keys to another server", p.name(),
                         100.0 * moved(p, keys) / keys));
@@ -35,29 +35,29 @@
     }
 
     private static int moved(PoolTranslator.PoolSpec pool, int keys) {
-        List<Peer> peers = new ArrayList<>();
+        List<PlacementTarget> peers = new ArrayList<>();
         List<Member> members = new ArrayList<>();
         for (int i = 0; i < pool.servers().size(); i++) {
             PoolTranslator.ServerSpec s = pool.servers().get(i);
-            int id = damsonworks.placement.ServerId.of(s.name());
-            peers.add(new Peer(id, s.weight(), s.ring() == null ? s.name() : s.ring()));
+            int id = cacheproxy.placement.ServerId.of(s.name());
+            peers.add(new PlacementTarget(id, s.weight(), s.ring() == null ? s.name() : s.ring()));
             if (!s.down() && !s.backup()) {
                 members.add(new Member(id, 0, 0, 0, State.READY, s.weight(), 0));
             }
         }
         members.sort((a, b) -> Integer.compareUnsigned(a.id(), b.id()));
-        Placement now = Placements.factory(pool.placement(), peers).of(members);
-        Placement carp = Placements.factory(Placements.CARP, peers).of(members);
+        Placement now = PlacementRegistry.factory(pool.placement(), peers).of(members);
+        Placement carp = PlacementRegistry.factory(PlacementRegistry.CARP, peers).of(members);
         SplittableRandom random = new SplittableRandom(SEED);
         int[] top = new int[2];
         int moved = 0;
         for (int i = 0; i < keys; i++) {
             byte[] text = ("/" + Long.toString(random.nextLong(), 36)).getBytes(StandardCharsets.US_ASCII);
             long key = PlacementKey.of(text);
-            now.top(key, Carp.keyHash(key), 1, top);
+            now.top(key, CarpHash.keyHash(key), 1, top);
             int before = top[0];
             long number = random.nextLong();
-            carp.top(number, Carp.keyHash(number), 1, top);
+            carp.top(number, CarpHash.keyHash(number), 1, top);
             moved += top[0] != before ? 1 : 0;
         }
         return moved;
--- a/src/main/java/damsonworks/nginx/importer/Values.java
+++ b/src/main/java/cacheproxy/nginx/importer/Values.java
@@ -1,10 +1,10 @@
-package damsonworks.nginx.importer;
+package cacheproxy.nginx.importer;
 
-import damsonworks.nginx.Directive;
-import damsonworks.nginx.model.HttpModel;
-import damsonworks.routes.PathKey;
-import damsonworks.routes.PlaceBy;
-import damsonworks.routes.SplitShare;
+import cacheproxy.nginx.Directive;
+import cacheproxy.nginx.model.HttpModel;
+import cacheproxy.routes.PathKey;
+import cacheproxy.routes.PlacementTemplate;
+import cacheproxy.routes.SplitShare;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Locale;
@@ -160,7 +160,7 @@
             if (e.name().startsWith("~")) {
                 boolean any = e.name().startsWith("~*");
                 RegexTranslation r = RegexTranslation.of(e.name().substring(any ? 2 : 1), any);
-                if (r.text() != null && new damsonworks.routes.KeyPattern(r.text()).matches(text)) {
+                if (r.text() != null && new cacheproxy.routes.KeyPattern(r.text()).matches(text)) {
                     return e.arg(0);
                 }
             }
@@ -217,7 +217,7 @@
             return resolve(Expression.of(value), scope, depth + 1);
         }
         report.carried(d);
-        PlaceBy text = new PlaceBy(by);
+        PlacementTemplate text = new PlacementTemplate(by);
         long last = 0;
         String rest = "";
         for (Directive e : d.block()) {
@@ -268,7 +268,7 @@
             out.append("${").append(name).append('}');
         }
         try {
-            return new PlaceBy(out.toString()).text();
+            return new PlacementTemplate(out.toString()).text();
         } catch (IllegalArgumentException tooLong) {
             return null;
         }
--- a/src/main/java/damsonworks/nginx/model/Location.java
+++ b/src/main/java/cacheproxy/nginx/model/Location.java
@@ -1,6 +1,6 @@
-package damsonworks.nginx.model;
+package cacheproxy.nginx.model;
 
-import damsonworks.nginx.Directive;
+import cacheproxy.nginx.Directive;
 import java.util.ArrayList;
 import java.util.List;
 
--- a/src/main/java/damsonworks/nginx/model/LocationSearch.java
+++ b/src/main/java/cacheproxy/nginx/model/LocationSearch.java
@@ -1,4 +1,4 @@
-package damsonworks.nginx.model;
+package cacheproxy.nginx.model;
 
 import java.util.ArrayList;
 import java.util.Comparator;
--- a/src/main/java/damsonworks/nginx/model/UpstreamBlock.java
+++ b/src/main/java/cacheproxy/nginx/model/UpstreamBlock.java
@@ -1,6 +1,6 @@
-package damsonworks.nginx.model;
+package cacheproxy.nginx.model;
 
-import damsonworks.nginx.Directive;
+import cacheproxy.nginx.Directive;
 import java.util.List;
 import java.util.Map;
 
--- a/src/main/java/damsonworks/placement/Admission.java
+++ b/src/main/java/cacheproxy/placement/AdmissionControl.java
@@ -1,15 +1,15 @@
-package damsonworks.placement;
+package cacheproxy.placement;
 
-import damsonworks.RoutingApi.Member;
+import cacheproxy.policy.PolicyApi.Member;
 
 /**
  * Bounds that reach further than one pool, asked by the module before it sends: what cold servers are given
  * by all pools of a process together, and what its pool spends on retries. Calls come at the module's clock,
  * in milliseconds.
  */
-public interface Admission {
+public interface AdmissionControl {
     /** No bounds but the module's own. */
-    Admission OPEN = new Admission() { };
+    AdmissionControl OPEN = new AdmissionControl() { };
 
     /**
      * Whether a server that is cold may be sent one more request now; if so it counts as sent.
--- a/src/main/java/damsonworks/placement/BackupPlacement.java
+++ b/src/main/java/cacheproxy/placement/BackupPlacement.java
@@ -1,6 +1,6 @@
-package damsonworks.placement;
+package cacheproxy.placement;
 
-import damsonworks.RoutingApi.Member;
+import cacheproxy.policy.PolicyApi.Member;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.IntPredicate;
--- a/src/main/java/damsonworks/placement/CarpPlacement.java
+++ b/src/main/java/cacheproxy/placement/CarpPlacement.java
@@ -1,7 +1,7 @@
-package damsonworks.placement;
+package cacheproxy.placement;
 
-import damsonworks.Carp;
-import damsonworks.RoutingApi.Member;
+import cacheproxy.policy.CarpHash;
+import cacheproxy.policy.PolicyApi.Member;
 import java.util.Arrays;
 import java.util.List;
 import java.util.stream.IntStream;
@@ -35,7 +35,7 @@
         for (int i = 0; i < n; i++) {
             weights[i] = members.get(i).weight();
         }
-        float[] x = Carp.multipliers(weights);
+        float[] x = CarpHash.multipliers(weights);
         order = IntStream.range(0, n).boxed().sorted((a, b) -> Float.compare(x[b], x[a]))
                 .mapToInt(Integer::intValue).toArray();
         multipliers = new double[n];
@@ -45,7 +45,7 @@
         combined = new int[rows][lanes];
         greatest = new int[lanes];
         for (int i = 0; i < n; i++) {
-            hashes[i / lanes][i % lanes] = Carp.memberHash(members.get(order[i]).id());
+            hashes[i / lanes][i % lanes] = CarpHash.memberHash(members.get(order[i]).id());
             multipliers[i] = x[order[i]];
         }
     }
@@ -63,7 +63,7 @@
         int count = 0;
         if (hashes.length <= 1) { // too few for lanes to save anything
             for (int i = 0; i < order.length; i++) {
-                combined[0][i] = Carp.combine(keyHash, hashes[0][i]);
+                combined[0][i] = CarpHash.combine(keyHash, hashes[0][i]);
                 count = look(0, 1, i, count, want, top);
             }
             return count;
@@ -103,13 +103,13 @@
     }
 
     /**
-     * {@link Carp#combine} for a row. Vector code comes of it only if all arrays have one index; rotations
+     * {@link CarpHash#combine} for a row. Vector code comes of it only if all arrays have one index; rotations
      * are sums, as for the usual form there is no vector code everywhere.
      */
     private static void combine(int keyHash, int[] hashes, int[] out) {
         for (int i = 0; i < out.length; i++) {
-            int h = (keyHash ^ hashes[i]) * (Carp.SPREAD + 1);
-            h = ((h << 21) + (h >>> 11)) * (Carp.SPREAD + 1);
+            int h = (keyHash ^ hashes[i]) * (CarpHash.SPREAD + 1);
+            h = ((h << 21) + (h >>> 11)) * (CarpHash.SPREAD + 1);
             out[i] = (h << 21) + (h >>> 11);
         }
     }
--- a/src/main/java/damsonworks/placement/NginxConsistentPlacement.java
+++ b/src/main/java/cacheproxy/placement/NginxConsistentPlacement.java
@@ -1,6 +1,6 @@
-package damsonworks.placement;
+package cacheproxy.placement;
 
-import damsonworks.RoutingApi.Member;
+import cacheproxy.policy.PolicyApi.Member;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.List;
@@ -26,8 +26,8 @@
         final int[] hashes;
         final int[] peers;
 
-        Ring(List<Peer> list) {
-            int sum = list.stream().mapToInt(Peer::weight).sum();
+        Ring(List<PlacementTarget> list) {
+            int sum = list.stream().mapToInt(PlacementTarget::weight).sum();
             // The point above, the peer below: among equal points the peer that is written first goes first.
             long[] points = new long[sum * POINTS];
             int n = 0;
@@ -91,7 +91,7 @@
         }
     }
 
-    private NginxConsistentPlacement(Ring ring, List<Peer> peers, List<Member> members) {
+    private NginxConsistentPlacement(Ring ring, List<PlacementTarget> peers, List<Member> members) {
         this.ring = ring;
         ready = NginxHashPlacement.ready(peers, members);
         up = (int) Arrays.stream(ready).filter(r -> r >= 0).count();
@@ -99,7 +99,7 @@
     }
 
     /** Over peers in the file's order, whichever of them are ready. The ring is built once. */
-    public static Factory over(List<Peer> peers) {
+    public static Factory over(List<PlacementTarget> peers) {
         Ring ring = new Ring(peers);
         return members -> new NginxConsistentPlacement(ring, peers, members);
     }
--- a/src/main/java/damsonworks/placement/NginxHashPlacement.java
+++ b/src/main/java/cacheproxy/placement/NginxHashPlacement.java
@@ -1,6 +1,6 @@
-package damsonworks.placement;
+package cacheproxy.placement;
 
-import damsonworks.RoutingApi.Member;
+import cacheproxy.policy.PolicyApi.Member;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -25,7 +25,7 @@
     /** CRC-32 of the look's number in decimal. */
     private final int[] numbers;
 
-    private NginxHashPlacement(List<Peer> peers, List<Member> members) {
+    private NginxHashPlacement(List<PlacementTarget> peers, List<Member> members) {
         ready = ready(peers, members);
         bounds = new int[peers.size()];
         taken = new boolean[peers.size()];
@@ -43,12 +43,12 @@
     }
 
     /** Over peers in the file's order, whichever of them are ready. */
-    public static Factory over(List<Peer> peers) {
+    public static Factory over(List<PlacementTarget> peers) {
         return members -> new NginxHashPlacement(peers, members);
     }
 
     /** For each peer its index among members; -1 where it is not there. */
-    static int[] ready(List<Peer> peers, List<Member> members) {
+    static int[] ready(List<PlacementTarget> peers, List<Member> members) {
         Map<Integer, Integer> at = new HashMap<>();
         for (Member m : members) {
             at.put(m.id(), at.size());
--- a/src/main/java/damsonworks/placement/Placement.java
+++ b/src/main/java/cacheproxy/placement/Placement.java
@@ -1,6 +1,6 @@
-package damsonworks.placement;
+package cacheproxy.placement;
 
-import damsonworks.RoutingApi.Member;
+import cacheproxy.policy.PolicyApi.Member;
 import java.util.List;
 
 /**
@@ -12,7 +12,7 @@
      * The best members for a key.
      *
      * @param key the request's 64-bit key, or its id where it has none
-     * @param keyHash {@link damsonworks.Carp#keyHash} of that key
+     * @param keyHash {@link cacheproxy.policy.CarpHash#keyHash} of that key
      * @param want how many are wanted, at least 1
      * @param top takes their indexes in the list that this placement was built from, best first; holds at
      *            least {@link #most} of {@code want}
--- a/src/main/java/damsonworks/placement/PlacementKey.java
+++ b/src/main/java/cacheproxy/placement/PlacementKey.java
@@ -1,4 +1,4 @@
-package damsonworks.placement;
+package cacheproxy.placement;
 
 import java.util.zip.CRC32;
 
--- a/src/main/java/damsonworks/placement/Peer.java
+++ b/src/main/java/cacheproxy/placement/PlacementTarget.java
@@ -1,4 +1,4 @@
-package damsonworks.placement;
+package cacheproxy.placement;
 
 /**
  * A server as nginx's placements know it, whether it is up or not: those that are down keep their part of the keys'
@@ -8,4 +8,4 @@
  * @param weight whole, 1 or more
  * @param ring its text on the ring: the address as nginx's configuration writes it
  */
-public record Peer(int id, int weight, String ring) { }
+public record PlacementTarget(int id, int weight, String ring) { }
--- a/src/main/java/damsonworks/Carp.java
+++ b/src/main/java/cacheproxy/policy/CarpHash.java
@@ -1,12 +1,12 @@
-package damsonworks;
+package cacheproxy.policy;
 
 /** The pure functions of CARP v1.0 (draft-vinod-carp-v1-03, sections 3.1 to 3.4) as our design fixes them. */
-public final class Carp {
+public final class CarpHash {
     /** The draft's multiplier of section 3.2. */
     public static final int SPREAD = 0x62531965;
     private static final double UNSIGNED = 4294967296.0;
 
-    private Carp() { }
+    private CarpHash() { }
 
     /** Draft 3.1 over the key's text form: 16 lower-case hexadecimal digits. */
     public static int keyHash(long key) {
--- a/src/main/java/damsonworks/RoutingApi.java
+++ b/src/main/java/cacheproxy/policy/PolicyApi.java
@@ -1,9 +1,9 @@
-package damsonworks;
+package cacheproxy.policy;
 
 import java.util.List;
 
 /** What the decision module is told and what it can order: its settings, events and actions. */
-public interface RoutingApi {
+public interface PolicyApi {
 
     /** How often a request may take effect. */
     enum Effect { SAFE, KEYED, UNSAFE }
@@ -79,10 +79,10 @@
         /** Stops waiting for an attempt. */
         void cancel(int request, int attempt);
 
-        /** Asks for {@link RoutingApi#onTimer} after this time. */
+        /** Asks for {@link PolicyApi#onTimer} after this time. */
         void setTimer(double afterMs, int token);
 
-        /** Asks siblings about a request's key; {@link RoutingApi#onSibling} tells of the first that has it. */
+        /** Asks siblings about a request's key; {@link PolicyApi#onSibling} tells of the first that has it. */
         default void ask(int request, double waitMs) { }
 
         /** Tests a server. */
--- a/src/main/java/damsonworks/Policy.java
+++ b/src/main/java/cacheproxy/policy/RoutingPolicy.java
@@ -1,11 +1,11 @@
-package damsonworks;
-
-import damsonworks.knowledge.Knowledge;
-import damsonworks.placement.Admission;
-import damsonworks.placement.CarpPlacement;
-import damsonworks.placement.Placement;
-import damsonworks.placement.StartTimes;
-import damsonworks.siblings.Siblings;
+package cacheproxy.policy;
+
+import cacheproxy.snapshot.state.LearnedState;
+import cacheproxy.placement.AdmissionControl;
+import cacheproxy.placement.CarpPlacement;
+import cacheproxy.placement.Placement;
+import cacheproxy.placement.StartTimes;
+import cacheproxy.siblings.Siblings;
 import java.util.*;
 
 /**
@@ -13,7 +13,7 @@
  * Carp.java. CARP's top score takes each request; what departs from it says at its place when it acts and
  * what it guards.
  */
-public final class Policy implements RoutingApi {
+public final class RoutingPolicy implements PolicyApi {
     private static final int NUMBERS = (1 << 30) - 1;
     private static final int DUE = 0, PATIENCE = 1, AGAIN = 2, WATCH = 3;
     private static final int CACHE_TRIES = 2;
@@ -42,7 +42,7 @@
     private final Shares shares;
     private Server[] ranked = new Server[0];
     private final Placement.Factory placements;
-    private final Admission admission;
+    private final AdmissionControl admission;
     private final StartTimes starts = new StartTimes();
     private boolean listed;
     private final Siblings siblings;
@@ -77,7 +77,7 @@
 
         Server(int id) {
             this.id = id;
-            this.hash = Carp.memberHash(id);
+            this.hash = CarpHash.memberHash(id);
         }
     }
 
@@ -114,7 +114,7 @@
             arrivedMs = now;
             kind = cfg.classes().get(request.serviceClass());
             safe = kind.effect() == Effect.SAFE;
-            keyHash = Carp.keyHash(key());
+            keyHash = CarpHash.keyHash(key());
         }
 
         long key() {
@@ -152,19 +152,19 @@
             return ++counts.computeIfAbsent(key, k -> new int[1])[0];
         }
 
-        Knowledge.HotKeys told(int most) {
-            List<Knowledge.HotKey> keys = new ArrayList<>();
+        LearnedState.HotKeys told(int most) {
+            List<LearnedState.HotKey> keys = new ArrayList<>();
             for (Long k : wide) {
                 int[] count = counts.get(k);
                 if (count != null) {
-                    keys.add(new Knowledge.HotKey(k, count[0]));
+                    keys.add(new LearnedState.HotKey(k, count[0]));
                 }
             }
             keys.sort((a, b) -> Integer.compare(b.count(), a.count()));
-            return new Knowledge.HotKeys(total, List.copyOf(keys.subList(0, Math.min(most, keys.size()))));
+            return new LearnedState.HotKeys(total, List.copyOf(keys.subList(0, Math.min(most, keys.size()))));
         }
 
-        void recall(Knowledge.HotKeys told, double now) {
+        void recall(LearnedState.HotKeys told, double now) {
             halvedAt = counts.isEmpty() ? now : halvedAt;
             total += told.total();
             told.keys().forEach(k -> counts.computeIfAbsent(k.key(), n -> new int[1])[0] += k.count());
@@ -216,12 +216,12 @@
                     (asked + priorAsked + 1) / (answered + priorAnswered + 1)));
         }
 
-        Knowledge.Load told(double now) {
+        LearnedState.Load told(double now) {
             fade(now);
-            return new Knowledge.Load(asked + priorAsked, answered + priorAnswered);
+            return new LearnedState.Load(asked + priorAsked, answered + priorAnswered);
         }
 
-        void recall(double now, Knowledge.Load told) {
+        void recall(double now, LearnedState.Load told) {
             fade(now);
             priorAsked += told.asked();
             priorAnswered += told.answered();
@@ -293,12 +293,12 @@
     }
 
     /** A fresh instance that knows nothing yet. */
-    public Policy(Settings settings, long seed) {
-        this(settings, seed, CarpPlacement::new, Admission.OPEN, Siblings.NONE);
+    public RoutingPolicy(Settings settings, long seed) {
+        this(settings, seed, CarpPlacement::new, AdmissionControl.OPEN, Siblings.NONE);
     }
 
     /** One that ranks servers by this placement, keeps to these further bounds and may ask these siblings. */
-    public Policy(Settings settings, long seed, Placement.Factory placements, Admission admission,
+    public RoutingPolicy(Settings settings, long seed, Placement.Factory placements, AdmissionControl admission,
             Siblings siblings) {
         cfg = settings;
         this.placements = placements;
@@ -361,15 +361,15 @@
     }
 
     /** What this instance has learned, with at most so many hot keys. Spans count from now. */
-    public Knowledge knowledge(double now, int mostKeys) {
-        List<Knowledge.Server> told = new ArrayList<>();
+    public LearnedState knowledge(double now, int mostKeys) {
+        List<LearnedState.Server> told = new ArrayList<>();
         for (Server s : servers.values()) {
             if (s != origin && s.failures + s.doubts > 0) {
                 double left = Math.max(0, s.shunnedUntil - now);
-                told.add(new Knowledge.Server(s.id, s.member.bornMs(), s.failures, left, s.doubts));
+                told.add(new LearnedState.Server(s.id, s.member.bornMs(), s.failures, left, s.doubts));
             }
         }
-        return new Knowledge(told, new Knowledge.Pace(fetchMs, usualCost, pace, paceDeviation, 1),
+        return new LearnedState(told, new LearnedState.Pace(fetchMs, usualCost, pace, paceDeviation, 1),
                 throttle.told(now), crowd.told(now), hot.told(mostKeys));
     }
 
@@ -378,8 +378,8 @@
      * It is advice: no server is left out for longer than this instance would leave it out itself, the next
      * answer overrules what is remembered, and no cold server is sent more for it.
      */
-    public void recall(double now, Knowledge known) {
-        for (Knowledge.Server k : known.servers()) {
+    public void recall(double now, LearnedState known) {
+        for (LearnedState.Server k : known.servers()) {
             Server s = servers.get(k.id());
             if (s == null || s == origin || s.member.bornMs() != k.bornMs() || s.failures + s.doubts > 0) {
                 continue;
@@ -389,7 +389,7 @@
             s.shunnedUntil = now + Math.min(k.shunnedForMs(), shunMs(k.failures() - 1));
             s.recalled = k.failures() > 0;
         }
-        Knowledge.Pace p = known.pace();
+        LearnedState.Pace p = known.pace();
         fetchMs += (p.fetchMs() - fetchMs) * p.weight();
         pace += (p.usualMs() - pace) * p.weight();
         paceDeviation += (p.deviationMs() - paceDeviation) * p.weight();
--- a/src/main/java/damsonworks/proxy/CacheCodec.java
+++ b/src/main/java/cacheproxy/proxy/CacheCodec.java
@@ -1,8 +1,8 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
-import damsonworks.RoutingApi;
-import damsonworks.RoutingApi.Outcome;
-import damsonworks.proxy.Exchange.Attempt;
+import cacheproxy.policy.PolicyApi;
+import cacheproxy.policy.PolicyApi.Outcome;
+import cacheproxy.proxy.RequestContext.Attempt;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.channel.Channel;
@@ -36,7 +36,7 @@
             String probe = attempt.owner.probesLoad() ? "stats load\r\n" : "mn\r\n";
             return channel.write(MetaCodec.text(channel.alloc(), probe));
         }
-        Command command = attempt.exchange.command;
+        ClientRequest command = attempt.exchange.command;
         int leftMs = attempt.deadlineToTellMs(connection.core().now());
         String as = attempt.owner.classAt(attempt.server);
         if (as != null) { // a sibling knows nothing of our classes, and has one of its own for such reads
@@ -140,7 +140,7 @@
             throw new MetaCodec.SyntaxException("answer to another request");
         }
         note = MetaCodec.flagIs(line, from, 'h', "1") ? 1 : !MetaCodec.flagIs(line, from, 'h', "0") ? 0
-                : MetaCodec.flag(line, from, 'Z') != null ? RoutingApi.NOTE_FETCH_OUT : 2;
+                : MetaCodec.flag(line, from, 'Z') != null ? PolicyApi.NOTE_FETCH_OUT : 2;
         report = attempt.owner.report(MetaCodec.flag(line, from, 'L'));
     }
 
--- a/src/main/java/damsonworks/proxy/Initializer.java
+++ b/src/main/java/cacheproxy/proxy/ClientChannelInitializer.java
@@ -1,14 +1,14 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandler;
 import io.netty.channel.ChannelInitializer;
 
 /** Puts the handlers of one new connection in place. */
-final class Initializer extends ChannelInitializer<Channel> {
+final class ClientChannelInitializer extends ChannelInitializer<Channel> {
     private final ChannelHandler[] handlers;
 
-    Initializer(ChannelHandler... handlers) {
+    ClientChannelInitializer(ChannelHandler... handlers) {
         this.handlers = handlers;
     }
 
--- a/src/main/java/damsonworks/proxy/ClientConnection.java
+++ b/src/main/java/cacheproxy/proxy/ClientConnection.java
@@ -1,8 +1,8 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
-import damsonworks.eventlog.ProxyEvent;
-import damsonworks.invariant.Invariant;
-import damsonworks.limits.ConnectionRoom;
+import cacheproxy.eventlog.ProxyEvent;
+import cacheproxy.invariant.Invariant;
+import cacheproxy.limits.ConnectionEviction;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.CompositeByteBuf;
@@ -38,7 +38,7 @@
     /** The cause of an end where the system told of an error on the connection. */
     private static final String RESET = "reset";
 
-    private final Core core;
+    private final EventLoopContext core;
     private final Front front;
     private final double place;
     private final ArrayDeque<Slot> slots = new ArrayDeque<>();
@@ -48,7 +48,7 @@
     private boolean handing;
     private ChannelHandlerContext ctx;
     /** The write whose value is being read, with the bytes still to come; the value is null if there's no room. */
-    private Command incoming;
+    private ClientRequest incoming;
     private int missing;
     private int reserved;
     /** Whether the value that is being read belongs to no command that could be carried out. */
@@ -92,11 +92,11 @@
         void left(ClientConnection client);
 
         /** What plain commands of stock clients are given; null where commands must be the platform's. */
-        OpenMeta open();
+        StandardMetaProtocol open();
     }
 
     /** @param place from 0 to under 1, by which connections that are to end are spread */
-    ClientConnection(Core core, Front front, double place) {
+    ClientConnection(EventLoopContext core, Front front, double place) {
         this.core = core;
         this.front = front;
         this.place = place;
@@ -128,7 +128,7 @@
 
     /** How soon this one is to make room for another; negative: not at all. */
     double room(double now) {
-        return finished ? -1 : ConnectionRoom.rank(idle(), asked, !slots.isEmpty() || unwritten(), now - activeMs);
+        return finished ? -1 : ConnectionEviction.rank(idle(), asked, !slots.isEmpty() || unwritten(), now - activeMs);
     }
 
     private boolean unwritten() {
@@ -291,7 +291,7 @@
             say("CLIENT_ERROR bad command line format\r\n");
             return;
         }
-        Command command = bad ? null : command(line, key, id, extras, flags, write);
+        ClientRequest command = bad ? null : command(line, key, id, extras, flags, write);
         if (write) {
             awaitValue(command, id, length);
         } else {
@@ -301,7 +301,7 @@
 
     /** A stock client's command: it needs neither id nor list, and gets an answer line whatever it asks. */
     private void openCommand(String line) throws MetaCodec.SyntaxException {
-        OpenMeta.Parsed parsed = front.open().parse(line);
+        StandardMetaProtocol.Parsed parsed = front.open().parse(line);
         if (parsed.write()) {
             openEcho = parsed.echo();
             openFault = parsed.fault();
@@ -314,8 +314,8 @@
     }
 
     /** The value of a write comes next; of one that can't be carried out too, it is read and dropped. */
-    private void awaitValue(Command command, String id, int length) {
-        incoming = command != null ? command : new Command("", id, true, "", "", "");
+    private void awaitValue(ClientRequest command, String id, int length) {
+        incoming = command != null ? command : new ClientRequest("", id, true, "", "", "");
         refused = command == null;
         missing = length + 2;
         if (command != null && core.reserve(missing)) {
@@ -324,9 +324,9 @@
         }
     }
 
-    private static Command command(String line, String key, String id, String extras, int flags, boolean write) {
+    private static ClientRequest command(String line, String key, String id, String extras, int flags, boolean write) {
         int list = line.indexOf(" P", flags - 1) + 2;
-        return new Command(key, id, write, extras, line.substring(0, list), line.substring(list + extras.length()));
+        return new ClientRequest(key, id, write, extras, line.substring(0, list), line.substring(list + extras.length()));
     }
 
     private void value(ByteBuf in) throws MetaCodec.SyntaxException {
@@ -340,7 +340,7 @@
         if (missing > 0) {
             return;
         }
-        Command command = incoming;
+        ClientRequest command = incoming;
         incoming = null;
         if (command.value == null) {
             // No room for the value, or no request that could be made of it. Nothing was sent on.
@@ -362,7 +362,7 @@
      * Has a whole command handed in once what is read now has been. Behind it may stand the client's end, and what a client has asked
      * that has left by then, perhaps long ago on a busy loop, is not to be sent on.
      */
-    private void hand(Command command, String echo, boolean strict) {
+    private void hand(ClientRequest command, String echo, boolean strict) {
         command.arrivedMs = unreadSinceMs;
         Slot slot = slot(echo, strict);
         slot.command = command;
@@ -377,7 +377,7 @@
         handing = false;
         // One that has ended is told so only later; what it leaves here goes then.
         for (Slot slot; ctx.channel().isActive() && (slot = fresh.poll()) != null;) {
-            Command command = slot.command;
+            ClientRequest command = slot.command;
             slot.command = null;
             try {
                 RequestHandler.Handle handle = front.handler().take(command, slot);
@@ -397,7 +397,7 @@
         return slot;
     }
 
-    private void dropValue(Command command) {
+    private void dropValue(ClientRequest command) {
         if (command.value != null) {
             command.value.release();
             command.value = null;
@@ -420,7 +420,7 @@
         /** Whether a write's receipt is told, which stock clients know nothing of. */
         private final boolean receipts;
         /** Null once it has been handed in. */
-        private Command command;
+        private ClientRequest command;
         private RequestHandler.Handle handle;
         /** What is ready to go to the client, null once it has been handed on. */
         private ByteBuf answer;
--- a/src/main/java/damsonworks/proxy/Clients.java
+++ b/src/main/java/cacheproxy/proxy/ClientRegistry.java
@@ -1,4 +1,4 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -6,14 +6,14 @@
 import java.util.Set;
 
 /** The clients of all listeners of one event loop, and the bound on them. */
-public final class Clients {
-    private final Core core;
+public final class ClientRegistry {
+    private final EventLoopContext core;
     private final int max;
     private final Set<ClientConnection> all = new HashSet<>();
     private final List<Listener> listeners = new ArrayList<>();
 
     /** @param max connections of clients; one that has stood idle makes room for a new one */
-    public Clients(Core core, int max) {
+    public ClientRegistry(EventLoopContext core, int max) {
         this.core = core;
         this.max = max;
     }
--- a/src/main/java/damsonworks/proxy/Command.java
+++ b/src/main/java/cacheproxy/proxy/ClientRequest.java
@@ -1,4 +1,4 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import io.netty.buffer.ByteBuf;
 
@@ -6,7 +6,7 @@
  * A request as fronts hand it in: its key, id and list of names and values, and the line in which cache nodes are
  * to get it, which is the client's own where that was of the same grammar.
  */
-public final class Command {
+public final class ClientRequest {
     /** Of {@code mg} and {@code ms}, with the space. */
     private static final int COMMAND_LENGTH = 3;
     final String key;
@@ -44,7 +44,7 @@
      * @param lineHead the line up to the list
      * @param lineTail the line after the list
      */
-    Command(String key, String id, boolean write, String extras, String lineHead, String lineTail) {
+    ClientRequest(String key, String id, boolean write, String extras, String lineHead, String lineTail) {
         this.key = key;
         this.id = id;
         this.write = write;
@@ -57,7 +57,7 @@
     }
 
     /** The same request for another key. */
-    private Command(Command of, String otherKey) {
+    private ClientRequest(ClientRequest of, String otherKey) {
         key = otherKey;
         id = of.id;
         write = of.write;
@@ -69,8 +69,8 @@
     }
 
     /** A request that no client sent in the nodes' own grammar. */
-    static Command of(String key, String id, boolean write, int valueBytes, String extras) {
-        return new Command(key, id, write, extras, write ? "ms " + key + " " + valueBytes + " O" + id + " P" : "mg " + key + " v O" + id + " P",
+    static ClientRequest of(String key, String id, boolean write, int valueBytes, String extras) {
+        return new ClientRequest(key, id, write, extras, write ? "ms " + key + " " + valueBytes + " O" + id + " P" : "mg " + key + " v O" + id + " P",
                 "");
     }
 
@@ -85,8 +85,8 @@
     }
 
     /** The same request for another key. It shares the value and must be released, too. */
-    public Command withKey(String other) {
-        Command c = new Command(this, other);
+    public ClientRequest withKey(String other) {
+        ClientRequest c = new ClientRequest(this, other);
         if (value != null) {
             c.value = value.retainedDuplicate();
         }
@@ -102,8 +102,8 @@
     }
 
     /** The same request for another key, in this one's place: the value goes over to it. */
-    public Command moved(String other) {
-        Command c = withKey(other);
+    public ClientRequest moved(String other) {
+        ClientRequest c = withKey(other);
         if (value != null) {
             value.release();
             value = null;
@@ -156,12 +156,12 @@
     }
 
     /** One more holder; each releases once. */
-    Command retain() {
+    ClientRequest retain() {
         holders++;
         return this;
     }
 
-    public void release(Core core) {
+    public void release(EventLoopContext core) {
         if (--holders == 0 && value != null) {
             core.giveBack(reserved);
             value.release();
--- a/src/main/java/damsonworks/proxy/DiscoveryClient.java
+++ b/src/main/java/cacheproxy/proxy/DiscoveryClient.java
@@ -1,19 +1,19 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
-import damsonworks.RoutingApi.ListKind;
-import damsonworks.RoutingApi.Member;
-import damsonworks.RoutingApi.Settings;
-import damsonworks.RoutingApi.State;
-import damsonworks.config.Addresses;
-import damsonworks.eventlog.ProxyEvent;
-import damsonworks.membership.ListDoubt;
-import damsonworks.membership.ListFreshness;
-import damsonworks.membership.ListNews;
-import damsonworks.placement.ServerId;
-import damsonworks.proxy.Timers.Timer;
+import cacheproxy.policy.PolicyApi.ListKind;
+import cacheproxy.policy.PolicyApi.Member;
+import cacheproxy.policy.PolicyApi.Settings;
+import cacheproxy.policy.PolicyApi.State;
+import cacheproxy.config.Addresses;
+import cacheproxy.eventlog.ProxyEvent;
+import cacheproxy.discovery.SilentWatchDetector;
+import cacheproxy.discovery.DiscoveryPollScheduler;
+import cacheproxy.discovery.VersionGossip;
+import cacheproxy.placement.ServerId;
+import cacheproxy.proxy.TimerWheel.Timer;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -41,7 +41,7 @@
 import java.util.function.BiConsumer;
 
 /** Follows discovery's list of servers for one pool. */
-public final class DiscoveryClient implements Dispatcher.ListSource, Servers.Observer {
+public final class DiscoveryClient implements Dispatcher.ListSource, UpstreamRegistry.Observer {
     /** Why a call failed of which nothing came. */
     private static final String SILENT = "no answer";
     private static final int CONNECT_MS = 1000;
@@ -69,16 +69,16 @@
      * @param ask whether the module asks for the list; else it is followed from the start
      */
     public record Source(InetSocketAddress address, JsonObject known, boolean ask, List<String> zones, List<String> kinds) {
-        static Source of(Config config) {
+        static Source of(PlatformConfig config) {
             return new Source(config.discovery(), config.known(), config.settings().askForList(), config.zones(),
                     config.kinds());
         }
     }
 
-    private final Core core;
+    private final EventLoopContext core;
     private final EventLoop loop;
-    private final ListDoubt doubt;
-    private final ListNews news = new ListNews();
+    private final SilentWatchDetector doubt;
+    private final VersionGossip news = new VersionGossip();
     private final double newsMs;
     private Timer looking;
     private double lookAt = Double.POSITIVE_INFINITY;
@@ -89,7 +89,7 @@
     private InetSocketAddress address;
     private final Pace pace;
     private long version;
-    private final ListFreshness freshness;
+    private final DiscoveryPollScheduler freshness;
     /** When {@link #go} comes back by itself. */
     private Timer calling;
     /** Whether the last answer was of an earlier version than the list held: the next call asks for all there is. */
@@ -105,12 +105,12 @@
         void have(long version);
     }
 
-    public DiscoveryClient(Core core, Source source, Dispatcher dispatcher) {
+    public DiscoveryClient(EventLoopContext core, Source source, Dispatcher dispatcher) {
         this(core, source, dispatcher, null);
     }
 
     /** @param pace null: it always watches closely */
-    public DiscoveryClient(Core core, Source source, Dispatcher dispatcher, Pace pace) {
+    public DiscoveryClient(EventLoopContext core, Source source, Dispatcher dispatcher, Pace pace) {
         this.pace = pace;
         this.core = core;
         loop = core.loop();
@@ -118,11 +118,11 @@
         double within = settings.askWithinMs();
         double spread = Math.min(within * LONGEST_DELAY, settings.instances() * settings.connectTimeoutMs());
         double place = (double) settings.me() / Math.max(1, settings.instances());
-        doubt = new ListDoubt(within * NOTICE, within * QUICK, spread * place);
+        doubt = new SilentWatchDetector(within * NOTICE, within * QUICK, spread * place);
         newsMs = within * NEWS * place;
         this.source = source;
         this.dispatcher = dispatcher;
-        freshness = new ListFreshness(source.ask(), settings.instances(), new SplittableRandom(dispatcher.seed()));
+        freshness = new DiscoveryPollScheduler(source.ask(), settings.instances(), new SplittableRandom(dispatcher.seed()));
         freshness.closely(core.now(), closely());
         address = source.address();
     }
@@ -187,7 +187,7 @@
         double now = core.now();
         double dueAt = freshness.dueAt();
         if (dueAt <= now) {
-            ListFreshness.Call call = freshness.begin(now);
+            DiscoveryPollScheduler.Call call = freshness.begin(now);
             if (core.events.isEnabled()) {
                 core.events.line(ProxyEvent.DISCOVERY_CALLED).with("at", address).with("since", fell ? 0 : version)
                         .with("wait_ms", call.waitMs()).withMs("limit_ms", call.limitMs()).write();
@@ -310,9 +310,9 @@
         }
     }
 
-    /** A message of another proxy that {@link ListNews#is} one of the list's version. */
+    /** A message of another proxy that {@link VersionGossip#is} one of the list's version. */
     void heard(int peer, byte[] message) {
-        long seq = ListNews.version(message);
+        long seq = VersionGossip.version(message);
         news.heard(peer, seq);
         if (seq > version) {
             doubt.claimed(core.now(), seq);
@@ -369,8 +369,8 @@
             case "removed" -> State.GONE;
             default -> throw new IllegalArgumentException("host " + name + ": unknown health");
         };
-        int zone = source.zones().indexOf(Config.word(h.get("site").getAsString()));
-        int kind = source.kinds().indexOf(Config.word(h.get("class").getAsString()));
+        int zone = source.zones().indexOf(PlatformConfig.word(h.get("site").getAsString()));
+        int kind = source.kinds().indexOf(PlatformConfig.word(h.get("class").getAsString()));
         float weight = h.has("share") ? h.get("share").getAsFloat() : 1;
         if (zone < 0 || kind < 0 || !(weight >= 0) || Float.isInfinite(weight)) {
             throw new IllegalArgumentException("host " + name + ": unknown site or class, or bad share");
@@ -402,7 +402,7 @@
             channel = new Bootstrap().group(loop).channel(Transport.BEST.socket())
                     .option(ChannelOption.TCP_NODELAY, true)
                     .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-                    .handler(new Initializer(new HttpClientCodec(), new HttpObjectAggregator(MAX_LIST), new Answer()))
+                    .handler(new ClientChannelInitializer(new HttpClientCodec(), new HttpObjectAggregator(MAX_LIST), new Answer()))
                     .connect(address).addListener(f -> {
                         if (f.isSuccess()) {
                             write(((ChannelFuture) f).channel(), path);
--- a/src/main/java/damsonworks/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -1,26 +1,26 @@
-package damsonworks.proxy;
-
-import damsonworks.Policy;
-import damsonworks.RoutingApi.Actions;
-import damsonworks.RoutingApi.AttemptEnd;
-import damsonworks.RoutingApi.Effect;
-import damsonworks.RoutingApi.ListKind;
-import damsonworks.RoutingApi.Outcome;
-import damsonworks.RoutingApi.Reports;
-import damsonworks.RoutingApi.Request;
-import damsonworks.RoutingApi.ServiceClass;
-import damsonworks.RoutingApi.Settings;
-import damsonworks.RoutingApi.State;
-import damsonworks.eventlog.ProxyEvent;
-import damsonworks.invariant.Invariant;
-import damsonworks.invariant.SendGuard;
-import damsonworks.knowledge.Knowledge;
-import damsonworks.placement.Admission;
-import damsonworks.placement.CarpPlacement;
-import damsonworks.placement.Placement;
-import damsonworks.proxy.Exchange.Attempt;
-import damsonworks.proxy.Timers.Timer;
-import damsonworks.siblings.Siblings;
+package cacheproxy.proxy;
+
+import cacheproxy.policy.RoutingPolicy;
+import cacheproxy.policy.PolicyApi.Actions;
+import cacheproxy.policy.PolicyApi.AttemptEnd;
+import cacheproxy.policy.PolicyApi.Effect;
+import cacheproxy.policy.PolicyApi.ListKind;
+import cacheproxy.policy.PolicyApi.Outcome;
+import cacheproxy.policy.PolicyApi.Reports;
+import cacheproxy.policy.PolicyApi.Request;
+import cacheproxy.policy.PolicyApi.ServiceClass;
+import cacheproxy.policy.PolicyApi.Settings;
+import cacheproxy.policy.PolicyApi.State;
+import cacheproxy.eventlog.ProxyEvent;
+import cacheproxy.invariant.Invariant;
+import cacheproxy.invariant.SendGuard;
+import cacheproxy.snapshot.state.LearnedState;
+import cacheproxy.placement.AdmissionControl;
+import cacheproxy.placement.CarpPlacement;
+import cacheproxy.placement.Placement;
+import cacheproxy.proxy.RequestContext.Attempt;
+import cacheproxy.proxy.TimerWheel.Timer;
+import cacheproxy.siblings.Siblings;
 import io.netty.buffer.ByteBuf;
 import io.netty.util.collection.IntObjectHashMap;
 import java.net.SocketAddress;
@@ -47,14 +47,14 @@
     static final double RETIRE_AT = 0.7;
     private static final long SWEEP_MS = 1000;
 
-    private final Core core;
+    private final EventLoopContext core;
     private final Pool pool;
     private final Settings settings;
     private final SendGuard sendGuard;
-    private final IntObjectHashMap<Exchange> exchanges = new IntObjectHashMap<>();
+    private final IntObjectHashMap<RequestContext> exchanges = new IntObjectHashMap<>();
     private final IntObjectHashMap<Upstream> upstreams = new IntObjectHashMap<>();
     private final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
-    private Policy module;
+    private RoutingPolicy module;
     private ListSource discovery;
     /** Null where nothing is remembered, and once it has been asked. */
     private Recollections recollections;
@@ -89,7 +89,7 @@
 
     /** What an earlier instance has learned of these servers; asked once, with the first list that has a server. */
     public interface Recollections {
-        Knowledge of(double now, List<DiscoveryClient.Host> servers);
+        LearnedState of(double now, List<DiscoveryClient.Host> servers);
     }
 
     /** Where the module's questions to siblings go, and what is known of what servers hold. */
@@ -142,18 +142,18 @@
      * @param plainNodes whether nodes are stock ones, which give no receipts and no ids with a miss
      */
     public record Pool(Settings settings, long seed, double idleCloseMs, int cacheConnections, int originConnections,
-            int mostConnections, int streamsPerConnection, boolean plainNodes, Placement.Factory placements, Admission admission) {
+            int mostConnections, int streamsPerConnection, boolean plainNodes, Placement.Factory placements, AdmissionControl admission) {
 
         /** The platform's one pool. Servers accept some forty connections each, for all proxies together. */
-        static Pool of(Config config) {
+        static Pool of(PlatformConfig config) {
             int proxies = Math.max(1, config.settings().instances());
             return new Pool(config.settings(), config.seed(), config.idleCloseMs(),
                     Math.max(1, Math.min(4, 28 / proxies)), Math.max(4, Math.min(48, 240 / proxies)),
-                    Math.max(1, 28 / proxies), config.streamsPerConnection(), false, CarpPlacement::new, Admission.OPEN);
+                    Math.max(1, 28 / proxies), config.streamsPerConnection(), false, CarpPlacement::new, AdmissionControl.OPEN);
         }
     }
 
-    public Dispatcher(Core core, Pool pool) {
+    public Dispatcher(EventLoopContext core, Pool pool) {
         this.core = core;
         this.pool = pool;
         settings = pool.settings();
@@ -168,7 +168,7 @@
     void start(ListSource source, PeerSocket socket) {
         discovery = source;
         peers = socket;
-        module = new Policy(settings, pool.seed(), pool.placements(), pool.admission(), siblings);
+        module = new RoutingPolicy(settings, pool.seed(), pool.placements(), pool.admission(), siblings);
         sweeper = core.loop.scheduleWithFixedDelay(this::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
     }
 
@@ -217,7 +217,7 @@
     }
 
     /** What the module has learned, with at most so many hot keys. */
-    public Knowledge knowledge(int mostKeys) {
+    public LearnedState knowledge(int mostKeys) {
         return module.knowledge(core.now(), mostKeys);
     }
 
@@ -243,7 +243,7 @@
 
     /** Answers every request that has no answer and none on its way: the process is to end before its deadline. */
     void answerAll() {
-        for (Exchange x : List.copyOf(exchanges.values())) {
+        for (RequestContext x : List.copyOf(exchanges.values())) {
             boolean harmless = settings.classes().get(x.command.serviceClass).effect() == Effect.SAFE || !x.mayHaveRun();
             finish(x, harmless ? 0 : Double.NaN);
         }
@@ -323,7 +323,7 @@
     }
 
     /** A module that fails on a request must not take others with it: this one ends as failed. */
-    private void guard(Exchange x, Runnable call) {
+    private void guard(RequestContext x, Runnable call) {
         try {
             call.run();
         } catch (RuntimeException e) {
@@ -390,8 +390,8 @@
     }
 
     /** Takes a request; it will be answered once. */
-    public void take(Exchange x) {
-        Command c = x.command;
+    public void take(RequestContext x) {
+        ClientRequest c = x.command;
         x.id = ++nextId;
         exchanges.put(x.id, x);
         double now = core.now();
@@ -406,7 +406,7 @@
         tell(() -> guard(x, () -> module.onRequest(now, request, this)));
     }
 
-    private void due(Exchange x) {
+    private void due(RequestContext x) {
         for (int i = 0; i < x.attempts.size() && !x.streaming; i++) {
             expire(x.attempts.get(i));
         }
@@ -433,7 +433,7 @@
      * The request's client has left: none of its attempts begins from now on, whatever the module has to say. What is on its way may
      * have to end for others that wait for it, and does so at its deadline.
      */
-    void gone(Exchange x) {
+    void gone(RequestContext x) {
         if (x.over) {
             return;
         }
@@ -473,7 +473,7 @@
         a.mayHaveRun = outcome.mayHaveRun();
         stop(a.timer);
         double elapsed = (a.firstByteMs != 0 ? a.firstByteMs : core.now()) - a.sentMs;
-        Exchange x = a.exchange;
+        RequestContext x = a.exchange;
         if (x == null) {
             if (a.asked != null) {
                 a.asked.accept(outcome);
@@ -522,7 +522,7 @@
     }
 
     /** The cause of a refusal or failure is what the last attempt ended with, if there was one. */
-    private void logAnswer(Exchange x, String kind) {
+    private void logAnswer(RequestContext x, String kind) {
         if (core.events.isEnabled()) {
             core.events.line(ProxyEvent.REQUEST_ANSWERED).with("id", x.command.id).with("kind", kind).with("attempts", x.attempts.size())
                     .with("cause", x.lastOutcome == null ? "not_sent_on" : x.lastOutcome).withMs("left_ms", x.dueMs - core.now()).write();
@@ -535,7 +535,7 @@
         return u == null ? Integer.toHexString(server) : Integer.toHexString(server) + "@" + u.dial;
     }
 
-    private void tellSiblings(Attempt a, Command c, Outcome outcome) {
+    private void tellSiblings(Attempt a, ClientRequest c, Outcome outcome) {
         Upstream u = upstreams.get(a.server);
         if (c.write) {
             questions.written(c.key);
@@ -546,7 +546,7 @@
 
     /** A long answer begins; false if the request is over or another answer has begun. */
     boolean begin(Attempt a, int length) {
-        Exchange x = a.exchange;
+        RequestContext x = a.exchange;
         if (a.ended || x.over || x.streaming) {
             return false;
         }
@@ -572,7 +572,7 @@
         }
     }
 
-    private void over(Exchange x) {
+    private void over(RequestContext x) {
         x.over = true;
         if (x.holdsId) {
             core.openIds.remove(x.command.id);
@@ -581,7 +581,7 @@
     }
 
     /** The final answer where no server gave it: a refusal with its advice, or NaN for a failure. */
-    private void finish(Exchange x, double retryAfterMs) {
+    private void finish(RequestContext x, double retryAfterMs) {
         if (x.over || x.streaming) {
             return;
         }
@@ -600,7 +600,7 @@
     }
 
     /** Lets go of a request that is over once its last attempt has ended: cancels look it up until then. */
-    private void free(Exchange x) {
+    private void free(RequestContext x) {
         if (!x.over || x.out > 0) {
             return;
         }
@@ -613,7 +613,7 @@
 
     @Override
     public void place(int request, int server, double timeoutMs) {
-        Exchange x = exchanges.get(request);
+        RequestContext x = exchanges.get(request);
         if (x == null || x.over) {
             log("order for a request that is over");
             return;
@@ -642,7 +642,7 @@
      * The module lets a keyed request be repeated within its class's window. A repeat may then wait for a connection that comes up
      * late, and is not to go out once the window is over.
      */
-    private void boundRepeat(Exchange x, Attempt a) {
+    private void boundRepeat(RequestContext x, Attempt a) {
         ServiceClass kind = settings.classes().get(x.command.serviceClass);
         if (kind.effect() != Effect.KEYED) {
             return;
@@ -678,7 +678,7 @@
         return true;
     }
 
-    Effect effect(Exchange x) {
+    Effect effect(RequestContext x) {
         return settings.classes().get(x.command.serviceClass).effect();
     }
 
@@ -692,7 +692,7 @@
 
     @Override
     public void deny(int request, double retryAfterMs) {
-        Exchange x = exchanges.get(request);
+        RequestContext x = exchanges.get(request);
         if (x != null) {
             finish(x, retryAfterMs);
         }
@@ -700,7 +700,7 @@
 
     @Override
     public void fail(int request) {
-        Exchange x = exchanges.get(request);
+        RequestContext x = exchanges.get(request);
         if (x != null) {
             finish(x, Double.NaN);
         }
@@ -708,7 +708,7 @@
 
     @Override
     public void cancel(int request, int attempt) {
-        Exchange x = exchanges.get(request);
+        RequestContext x = exchanges.get(request);
         Attempt a = x == null || attempt >= x.attempts.size() ? null : x.attempts.get(attempt);
         if (a == null || a.ended || a.firstByteMs != 0) {
             return;
@@ -721,7 +721,7 @@
 
     @Override
     public void ask(int request, double waitMs) {
-        Exchange x = exchanges.get(request);
+        RequestContext x = exchanges.get(request);
         if (x != null) {
             questions.ask(x.command.key, waitMs, sibling -> tell(() -> guard(x, () -> module.onSibling(core.now(), request, sibling, this))));
         }
--- a/src/main/java/damsonworks/proxy/Core.java
+++ b/src/main/java/cacheproxy/proxy/EventLoopContext.java
@@ -1,10 +1,10 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
-import damsonworks.eventlog.EventLog;
-import damsonworks.eventlog.ProxyEvent;
-import damsonworks.invariant.Invariant;
-import damsonworks.invariant.InvariantMonitor;
-import damsonworks.proxy.Timers.Timer;
+import cacheproxy.eventlog.EventLog;
+import cacheproxy.eventlog.ProxyEvent;
+import cacheproxy.invariant.Invariant;
+import cacheproxy.invariant.InvariantMonitor;
+import cacheproxy.proxy.TimerWheel.Timer;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelOption;
@@ -18,7 +18,7 @@
  * What all pools and fronts of one event loop share: the clock, timers, the servers with their connections, and the
  * bounds on values, descriptors and log lines. Used on that loop only.
  */
-public final class Core {
+public final class EventLoopContext {
     private static final int MAX_LOG_LINES = 300;
     /** What the system may hold of a server's answer that is not being read. */
     private static final int RECEIVED = 64 << 10;
@@ -36,11 +36,11 @@
     public final EventLog events = EventLog.onStandardError(this::now);
     /** Counts what was stopped or violated; used on the loop. */
     public final InvariantMonitor invariants = new InvariantMonitor(new InvariantLog());
-    final Servers servers;
+    final UpstreamRegistry servers;
     private final PollClock polls;
     /** The clients' ids of requests that have no answer yet; as many as there are such requests. */
     final Set<String> openIds = new HashSet<>();
-    private final Timers timers;
+    private final TimerWheel timers;
     private final ArrayDeque<Runnable> flushes = new ArrayDeque<>();
     private final Runnable flushAll = this::flushAll;
     private final Class<? extends Channel> upstream;
@@ -71,7 +71,7 @@
      * @param gathers whether a turn of the loop flushes once for all it writes. That saves CPU at high rates; a
      *            process with part of a core may be halted in the middle of a turn, and what it had to say with it
      */
-    public Core(EventLoop loop, PollClock polls, Class<? extends Channel> upstream, long maxValueBytes, int maxUpstream,
+    public EventLoopContext(EventLoop loop, PollClock polls, Class<? extends Channel> upstream, long maxValueBytes, int maxUpstream,
             boolean gathers) {
         this.gathers = gathers;
         this.loop = loop;
@@ -81,13 +81,13 @@
         this.maxUpstream = maxUpstream;
         streamBytes = Math.max(MIN_STREAM_BYTES, maxValueBytes / 2);
         maxBodies = (int) Math.max(1, maxValueBytes / MetaCodec.MAX_VALUE);
-        timers = new Timers(loop, polls);
-        servers = new Servers(this);
+        timers = new TimerWheel(loop, polls);
+        servers = new UpstreamRegistry(this);
     }
 
     /** As the platform's configuration bounds it. */
-    static Core of(EventLoop loop, PollClock polls, Config config, Class<? extends Channel> upstream) {
-        return new Core(loop, polls, upstream, Math.min((long) config.memoryMb() << 20 >> 3, MAX_VALUES), config.sockets() / 3, false);
+    static EventLoopContext of(EventLoop loop, PollClock polls, PlatformConfig config, Class<? extends Channel> upstream) {
+        return new EventLoopContext(loop, polls, upstream, Math.min((long) config.memoryMb() << 20 >> 3, MAX_VALUES), config.sockets() / 3, false);
     }
 
     /** Unix time in milliseconds at the start, monotonic from there: list times need no conversion. */
@@ -241,12 +241,12 @@
     }
 
     /** Adds one that is told of servers that refuse connections and of those that take them again. */
-    public void observe(Servers.Observer observer) {
+    public void observe(UpstreamRegistry.Observer observer) {
         servers.observe(observer);
     }
 
     /** The id of a request that has had its answer may come again. */
-    public void closeId(Command command) {
+    public void closeId(ClientRequest command) {
         openIds.remove(command.id);
     }
 
--- a/src/main/java/damsonworks/proxy/DrainLoop.java
+++ b/src/main/java/cacheproxy/proxy/GracefulShutdown.java
@@ -1,4 +1,4 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import io.netty.channel.EventLoop;
 import java.util.concurrent.CountDownLatch;
@@ -9,13 +9,13 @@
  * The end of a process that has been told to go: for {@link Listener}'s grace it listens on, as clients may not have
  * heard, then it answers what it has and takes nothing new.
  */
-public final class DrainLoop {
+public final class GracefulShutdown {
     /** What an answer may take to reach its client once the last deadline is over. */
     private static final double LAST_MS = 150;
     private static final int LOOK_MS = 20;
 
     private final EventLoop loop;
-    private final Core core;
+    private final EventLoopContext core;
     private final double listenOnMs;
     private final BooleanSupplier empty;
     private final CountDownLatch ended = new CountDownLatch(1);
@@ -26,7 +26,7 @@
      * @param listenOnMs how long new connections are still taken
      * @param empty takes nothing new from now on, and says whether all is answered; called on the loop, again and again
      */
-    public DrainLoop(EventLoop loop, Core core, double listenOnMs, BooleanSupplier empty) {
+    public GracefulShutdown(EventLoop loop, EventLoopContext core, double listenOnMs, BooleanSupplier empty) {
         this.loop = loop;
         this.core = core;
         this.listenOnMs = listenOnMs;
--- a/src/main/java/damsonworks/proxy/Listener.java
+++ b/src/main/java/cacheproxy/proxy/Listener.java
@@ -1,6 +1,6 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
-import damsonworks.lifecycle.Lifecycle;
+import cacheproxy.lifecycle.Lifecycle;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -30,11 +30,11 @@
     /** How long none is accepted after the system had none to give, for want of descriptors or memory. */
     private static final double ACCEPT_RETRY_MS = 20;
 
-    private final Core core;
-    private final Clients clients;
+    private final EventLoopContext core;
+    private final ClientRegistry clients;
     private final Set<ClientConnection> own = new HashSet<>();
     private RequestHandler handler;
-    private OpenMeta open;
+    private StandardMetaProtocol open;
     private Channel channel;
     /** Connections whose place is under this end between requests. */
     private double endsUnder;
@@ -52,7 +52,7 @@
     private long acceptFailures;
 
     /** @param open what stock clients' commands are given; null for the platform's clients */
-    public Listener(Core core, Clients clients, RequestHandler handler, OpenMeta open) {
+    public Listener(EventLoopContext core, ClientRegistry clients, RequestHandler handler, StandardMetaProtocol open) {
         this.core = core;
         this.clients = clients;
         this.handler = handler;
@@ -187,7 +187,7 @@
     }
 
     /** Requests go there from now on, and get these defaults. */
-    public void use(RequestHandler to, OpenMeta defaults) {
+    public void use(RequestHandler to, StandardMetaProtocol defaults) {
         handler = to;
         open = defaults;
     }
@@ -252,7 +252,7 @@
     }
 
     @Override
-    public OpenMeta open() {
+    public StandardMetaProtocol open() {
         return open;
     }
 
--- a/src/main/java/damsonworks/proxy/MetaCodec.java
+++ b/src/main/java/cacheproxy/proxy/MetaCodec.java
@@ -1,4 +1,4 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
--- a/src/main/java/damsonworks/proxy/NettyDefaults.java
+++ b/src/main/java/cacheproxy/proxy/NettyDefaults.java
@@ -1,4 +1,4 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import io.netty.util.internal.logging.InternalLoggerFactory;
 import java.util.Map;
--- a/src/main/java/damsonworks/proxy/Operations.java
+++ b/src/main/java/cacheproxy/proxy/OperatorActions.java
@@ -1,11 +1,11 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
-import damsonworks.control.Calls;
-import damsonworks.control.DiagnosticCalls;
-import damsonworks.control.Door;
-import damsonworks.handover.Handover;
-import damsonworks.lifecycle.Lifecycle;
-import damsonworks.lifecycle.Lifecycle.State;
+import cacheproxy.control.ControlEndpoints;
+import cacheproxy.control.DiagnosticEndpoints;
+import cacheproxy.control.ControlServer;
+import cacheproxy.handover.Handover;
+import cacheproxy.lifecycle.Lifecycle;
+import cacheproxy.lifecycle.Lifecycle.State;
 import io.netty.channel.EventLoop;
 import io.netty.channel.epoll.Epoll;
 import java.io.IOException;
@@ -21,29 +21,29 @@
  * What operators do with a running proxy: ask it whether it takes clients, send them away and call them back, and start
  * its next version beside it. Loaded only where a control address is configured.
  */
-final class Operations {
+final class OperatorActions {
     /** Descriptors that the door and a successor's line need. */
-    static final int DESCRIPTORS = Door.MAX_CALLERS + 4;
+    static final int DESCRIPTORS = ControlServer.MAX_CALLERS + 4;
     /** A process with part of a core may be halted for some time; a new one has 6 s in all. */
     private static final long TAKE_MS = 1500;
     private static final long LOOK_MS = 20;
 
     private final EventLoop loop;
-    private final Core core;
+    private final EventLoopContext core;
     private final Lifecycle lifecycle;
     private final Listener listener;
-    private final Door door;
+    private final ControlServer door;
     private Handover handover;
     private Future<?> looking;
 
-    private Operations(EventLoop loop, Core core, Lifecycle lifecycle, Listener listener, BooleanSupplier reload) {
+    private OperatorActions(EventLoop loop, EventLoopContext core, Lifecycle lifecycle, Listener listener, BooleanSupplier reload) {
         this.loop = loop;
         this.core = core;
         this.lifecycle = lifecycle;
         this.listener = listener;
-        door = new Door(loop, Transport.BEST.server(), new Calls(() -> lifecycle.state() == State.ACTIVE,
+        door = new ControlServer(loop, Transport.BEST.server(), new ControlEndpoints(() -> lifecycle.state() == State.ACTIVE,
                 () -> lifecycle.state().name().toLowerCase(Locale.ROOT), this::standby, this::active,
-                new DiagnosticCalls(core.invariants::summary, core.events::enabled, reload)));
+                new DiagnosticEndpoints(core.invariants::summary, core.events::enabled, reload)));
     }
 
     /**
@@ -52,9 +52,9 @@
      * @param folder one that this process shares with its next version
      * @param reload has the configuration read again; false where there is none
      */
-    static Operations start(EventLoop loop, Core core, Lifecycle lifecycle, Listener listener, InetSocketAddress listen,
+    static OperatorActions start(EventLoop loop, EventLoopContext core, Lifecycle lifecycle, Listener listener, InetSocketAddress listen,
             InetSocketAddress control, Path folder, BooleanSupplier reload) throws InterruptedException {
-        Operations o = new Operations(loop, core, lifecycle, listener, reload);
+        OperatorActions o = new OperatorActions(loop, core, lifecycle, listener, reload);
         Path path = Handover.path(folder, listen.getPort());
         Handover.Taken taken = Epoll.isAvailable() ? Handover.take(loop, path, TAKE_MS) : null;
         if (taken != null) {
--- a/src/main/java/damsonworks/proxy/OriginCodec.java
+++ b/src/main/java/cacheproxy/proxy/OriginCodec.java
@@ -1,8 +1,8 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
-import damsonworks.RoutingApi.Outcome;
-import damsonworks.config.Addresses;
-import damsonworks.proxy.Exchange.Attempt;
+import cacheproxy.policy.PolicyApi.Outcome;
+import cacheproxy.config.Addresses;
+import cacheproxy.proxy.RequestContext.Attempt;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -70,7 +70,7 @@
             String path = attempt.owner.probesLoad() ? "/metrics/load" : "/alive";
             request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path, Unpooled.EMPTY_BUFFER);
         } else {
-            Command command = attempt.exchange.command;
+            ClientRequest command = attempt.exchange.command;
             String path = "/" + URLEncoder.encode(command.key, StandardCharsets.ISO_8859_1);
             ByteBuf value = !command.write ? Unpooled.EMPTY_BUFFER
                     : command.value.retainedSlice(0, command.value.readableBytes() - 2);
@@ -297,7 +297,7 @@
         }
     }
 
-    private void answered(Command command, float[] report, ByteBuf whole) {
+    private void answered(ClientRequest command, float[] report, ByteBuf whole) {
         if (whole == null) { // passed on as it came, or dropped
             connection.ended(Outcome.OK, 0, report, null, null);
         } else if (command.write) {
--- a/src/main/java/damsonworks/proxy/PeerSocket.java
+++ b/src/main/java/cacheproxy/proxy/PeerSocket.java
@@ -1,4 +1,4 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
@@ -16,7 +16,7 @@
 final class PeerSocket {
     private static final int MAX_MESSAGE = 256;
 
-    private final Config config;
+    private final PlatformConfig config;
     private final Receiver receiver;
     private Channel channel;
 
@@ -25,7 +25,7 @@
         void heard(int peer, byte[] message);
     }
 
-    PeerSocket(EventLoop loop, Config config, Receiver receiver) {
+    PeerSocket(EventLoop loop, PlatformConfig config, Receiver receiver) {
         this.config = config;
         this.receiver = receiver;
         if (config.settings().peers() && config.peerListen() != null) {
--- a/src/main/java/damsonworks/proxy/Config.java
+++ b/src/main/java/cacheproxy/proxy/PlatformConfig.java
@@ -1,12 +1,12 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
 import com.google.gson.JsonPrimitive;
-import damsonworks.RoutingApi.Settings;
-import damsonworks.config.Addresses;
-import damsonworks.wire.SettingsParser;
+import cacheproxy.policy.PolicyApi.Settings;
+import cacheproxy.config.Addresses;
+import cacheproxy.simulator.SettingsParser;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
@@ -21,13 +21,13 @@
  * What the proxy is told at its start. Settings are read by the adapter's own parser, from the same paths and
  * values; addresses are literal, as there is no DNS.
  */
-record Config(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, double cores,
+record PlatformConfig(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, double cores,
         int memoryMb, int sockets, InetSocketAddress peerListen, List<InetSocketAddress> peers,
         InetSocketAddress peersAll, InetSocketAddress control, Boolean eventLog, JsonObject known, Settings settings, List<String> zones, List<String> kinds,
         double idleCloseMs, int streamsPerConnection) {
 
     /** Reads the file; an IllegalArgumentException says in one line what is wrong. */
-    static Config read(String path) {
+    static PlatformConfig read(String path) {
         if (path == null || path.isEmpty()) {
             throw new IllegalArgumentException("BALANCER_CONFIG names no file");
         }
@@ -40,7 +40,7 @@
         }
     }
 
-    static Config parse(JsonObject json) {
+    static PlatformConfig parse(JsonObject json) {
         Map<String, String> values = new HashMap<>();
         flatten("", need(json, "settings"), values);
         SettingsParser parser = new SettingsParser(values);
@@ -49,7 +49,7 @@
         if (json.has("peers")) {
             json.getAsJsonArray("peers").forEach(p -> peers.add(Addresses.of(p.getAsString())));
         }
-        return new Config(json.has("name") ? json.get("name").getAsString() : "proxy",
+        return new PlatformConfig(json.has("name") ? json.get("name").getAsString() : "proxy",
                 Addresses.of(need(json, "listen").getAsString()), Addresses.of(need(json, "discovery").getAsString()),
                 Long.parseUnsignedLong(need(json, "seed").getAsString(), 16), number(limits, "cores", 1),
                 (int) number(limits, "memory_mb", 192), (int) number(limits, "sockets", 1024),
@@ -64,14 +64,14 @@
      * The same with all that a platform may configure, on ports of the system's choice. The listening one is chosen now:
      * it names the path of the handover, which another build at the same time must not have.
      */
-    Config forTraining() throws IOException {
+    PlatformConfig forTraining() throws IOException {
         InetSocketAddress any = new InetSocketAddress(listen.getAddress(), 0);
         InetSocketAddress chosen;
         try (ServerSocket free = new ServerSocket()) {
             free.bind(any);
             chosen = (InetSocketAddress) free.getLocalSocketAddress();
         }
-        return new Config(name, chosen, discovery, seed, cores, memoryMb, sockets, any, peers, peersAll, any, eventLog, known, settings,
+        return new PlatformConfig(name, chosen, discovery, seed, cores, memoryMb, sockets, any, peers, peersAll, any, eventLog, known, settings,
                 zones, kinds, idleCloseMs, streamsPerConnection);
     }
 
--- a/src/main/java/damsonworks/proxy/PollClock.java
+++ b/src/main/java/cacheproxy/proxy/PollClock.java
@@ -1,4 +1,4 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import io.netty.channel.IoHandlerFactory;
 import io.netty.channel.SelectStrategy;
--- a/src/main/java/damsonworks/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/Proxy.java
@@ -1,11 +1,11 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
-import damsonworks.RoutingApi.ServiceClass;
-import damsonworks.eventlog.ProxyEvent;
-import damsonworks.lifecycle.Lifecycle;
-import damsonworks.lifecycle.Lifecycle.Periods;
-import damsonworks.lifecycle.WarmUpPlan;
-import damsonworks.membership.ListNews;
+import cacheproxy.policy.PolicyApi.ServiceClass;
+import cacheproxy.eventlog.ProxyEvent;
+import cacheproxy.lifecycle.Lifecycle;
+import cacheproxy.lifecycle.Lifecycle.Periods;
+import cacheproxy.lifecycle.WarmUpPlan;
+import cacheproxy.discovery.VersionGossip;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import java.io.IOException;
@@ -26,44 +26,44 @@
     private final PollClock polls = new PollClock();
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, polls.watch(Transport.BEST));
     private final EventLoop loop = group.next();
-    private final Config config;
-    private final Core core;
+    private final PlatformConfig config;
+    private final EventLoopContext core;
     private final Dispatcher dispatcher;
     private final PeerSocket peers;
     private final DiscoveryClient discovery;
-    private final Clients clients;
+    private final ClientRegistry clients;
     private final Listener listener;
     private final Lifecycle lifecycle = new Lifecycle(Periods.USUAL);
     /** Null where no control address is configured. */
-    private final Operations operations;
+    private final OperatorActions operations;
     /** The file that a reload reads; null: none. */
     private volatile String reloadFrom;
 
-    private Proxy(Config config, boolean warm) throws InterruptedException {
+    private Proxy(PlatformConfig config, boolean warm) throws InterruptedException {
         this.config = config;
         if (warm) {
-            boolean beside = config.control() != null && Operations.standsBeside(config.listen(), folder());
+            boolean beside = config.control() != null && OperatorActions.standsBeside(config.listen(), folder());
             WarmUp.run(loop, config, WarmUpPlan.of(config.settings().instances(), beside));
         }
-        core = Core.of(loop, polls, config, Transport.BEST.socket());
+        core = EventLoopContext.of(loop, polls, config, Transport.BEST.socket());
         core.watchPauses();
         useEventLog(config);
         dispatcher = new Dispatcher(core, Dispatcher.Pool.of(config));
         peers = new PeerSocket(loop, config, this::heard);
-        clients = new Clients(core, Math.max(16, config.sockets() - config.sockets() / 3
-                - OWN_DESCRIPTORS - (config.control() == null ? 0 : Operations.DESCRIPTORS)));
+        clients = new ClientRegistry(core, Math.max(16, config.sockets() - config.sockets() / 3
+                - OWN_DESCRIPTORS - (config.control() == null ? 0 : OperatorActions.DESCRIPTORS)));
         discovery = new DiscoveryClient(core, DiscoveryClient.Source.of(config), dispatcher);
         loop.submit(() -> {
             dispatcher.start(discovery, peers);
             discovery.start();
             loop.scheduleWithFixedDelay(clients::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
         }).syncUninterruptibly();
-        listener = new Listener(core, clients, new SinglePool(core, dispatcher), null);
+        listener = new Listener(core, clients, new SinglePoolHandler(core, dispatcher), null);
         if (config.control() == null) {
             listener.bind(config.listen()).sync();
             operations = null;
         } else {
-            operations = Operations.start(loop, core, lifecycle, listener, config.listen(), config.control(),
+            operations = OperatorActions.start(loop, core, lifecycle, listener, config.listen(), config.control(),
                     folder(), this::reloadElsewhere);
         }
     }
@@ -81,7 +81,7 @@
     }
 
     private void heard(int peer, byte[] message) {
-        if (!ListNews.is(message)) {
+        if (!VersionGossip.is(message)) {
             dispatcher.heard(peer, message);
         } else if (discovery != null) {
             discovery.heard(peer, message);
@@ -96,15 +96,15 @@
     /** Runs a proxy by the configuration that the environment names, until SIGTERM. */
     public static void main() {
         NettyDefaults.apply();
-        Config config = configuration();
+        PlatformConfig config = configuration();
         String path = System.getenv("BALANCER_CONFIG");
         try {
-            boolean heard = Hangup.run(() -> { });
+            boolean heard = SighupHandler.run(() -> { });
             Proxy proxy = new Proxy(config, true);
             if (!heard) {
-                proxy.core.log(Hangup.IGNORED);
+                proxy.core.log(SighupHandler.IGNORED);
             }
-            Hangup.run(() -> proxy.reload(path));
+            SighupHandler.run(() -> proxy.reload(path));
             proxy.reloadFrom = path;
             Runtime.getRuntime().addShutdownHook(new Thread(proxy::drain));
         } catch (Exception e) {
@@ -116,7 +116,7 @@
     /** Reads the configuration again for discovery's address; one that is of no use leaves all as it is. */
     void reload(String path) {
         try {
-            Config read = Config.read(path);
+            PlatformConfig read = PlatformConfig.read(path);
             InetSocketAddress to = read.discovery();
             useEventLog(read);
             if (core.events.isEnabled()) {
@@ -129,15 +129,15 @@
     }
 
     /** The configuration may switch the event log; where it says nothing, the log stays as it is. */
-    private void useEventLog(Config read) {
+    private void useEventLog(PlatformConfig read) {
         if (read.eventLog() != null) {
             core.events.enabled(read.eventLog());
         }
     }
 
-    private static Config configuration() {
+    private static PlatformConfig configuration() {
         try {
-            return Config.read(System.getenv("BALANCER_CONFIG"));
+            return PlatformConfig.read(System.getenv("BALANCER_CONFIG"));
         } catch (IllegalArgumentException e) {
             System.err.println(e.getMessage());
             System.exit(2);
@@ -152,8 +152,8 @@
     public static int train() {
         NettyDefaults.apply();
         try {
-            Hangup.run(() -> { });
-            Config config = configuration().forTraining();
+            SighupHandler.run(() -> { });
+            PlatformConfig config = configuration().forTraining();
             Proxy first = new Proxy(config, true);
             Proxy next = new Proxy(config, false);
             for (String call : new String[] {"GET /status", "POST /standby", "POST /active"}) {
@@ -172,7 +172,7 @@
     }
 
     /** Starts without a warm-up. */
-    static Proxy start(Config config) throws InterruptedException {
+    static Proxy start(PlatformConfig config) throws InterruptedException {
         return new Proxy(config, false);
     }
 
@@ -220,7 +220,7 @@
     // ---- the end
 
     void drain() {
-        new DrainLoop(loop, core, 0, this::drained).run(() -> {
+        new GracefulShutdown(loop, core, 0, this::drained).run(() -> {
             if (core.events.isEnabled()) {
                 core.events.line(ProxyEvent.STATE_CHANGED).with("state", "draining").with("in_hand", dispatcher.inHand()).write();
             }
--- a/src/main/java/damsonworks/proxy/Exchange.java
+++ b/src/main/java/cacheproxy/proxy/RequestContext.java
@@ -1,17 +1,17 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
-import damsonworks.RoutingApi.Effect;
-import damsonworks.RoutingApi.Outcome;
-import damsonworks.invariant.SendFacts;
-import damsonworks.proxy.Timers.Timer;
+import cacheproxy.policy.PolicyApi.Effect;
+import cacheproxy.policy.PolicyApi.Outcome;
+import cacheproxy.invariant.SendFacts;
+import cacheproxy.proxy.TimerWheel.Timer;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
 
 /** A request in a pool's hands, with its attempts. */
-public final class Exchange implements RequestHandler.Handle {
+public final class RequestContext implements RequestHandler.Handle {
     final Dispatcher dispatcher;
-    final Command command;
+    final ClientRequest command;
     final Responder responder;
     /** By which the pool's module knows the request. */
     final long keyNumber;
@@ -31,7 +31,7 @@
     Timer timer;
     final List<Attempt> attempts = new ArrayList<>(3);
 
-    Exchange(Dispatcher dispatcher, Command command, long keyNumber, Responder responder, boolean holdsId) {
+    RequestContext(Dispatcher dispatcher, ClientRequest command, long keyNumber, Responder responder, boolean holdsId) {
         this.dispatcher = dispatcher;
         this.command = command;
         this.keyNumber = keyNumber;
@@ -40,8 +40,8 @@
     }
 
     /** One that a router hands on; it holds the command until its attempts have ended. */
-    public static Exchange of(Dispatcher pool, Command command, long keyNumber, Responder responder, double dueMs) {
-        Exchange x = new Exchange(pool, command.retain(), keyNumber, responder, false);
+    public static RequestContext of(Dispatcher pool, ClientRequest command, long keyNumber, Responder responder, double dueMs) {
+        RequestContext x = new RequestContext(pool, command.retain(), keyNumber, responder, false);
         x.dueMs = dueMs;
         return x;
     }
@@ -58,7 +58,7 @@
 
     static final class Attempt implements SendFacts {
         /** Null for a probe. */
-        final Exchange exchange;
+        final RequestContext exchange;
         final Dispatcher owner;
         final int index;
         final int server;
@@ -82,7 +82,7 @@
         Consumer<Outcome> asked;
         Timer timer;
 
-        Attempt(Dispatcher owner, Exchange exchange, int index, int server, double sentMs, double untilMs) {
+        Attempt(Dispatcher owner, RequestContext exchange, int index, int server, double sentMs, double untilMs) {
             this.owner = owner;
             this.exchange = exchange;
             this.index = index;
--- a/src/main/java/damsonworks/proxy/RequestHandler.java
+++ b/src/main/java/cacheproxy/proxy/RequestHandler.java
@@ -1,4 +1,4 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 /** What fronts hand requests to. */
 public interface RequestHandler {
@@ -12,5 +12,5 @@
      * Takes a request whose last byte has come. From here on its value belongs to the callee, and the responder
      * gets exactly one answer unless the client leaves before.
      */
-    Handle take(Command command, Responder responder);
+    Handle take(ClientRequest command, Responder responder);
 }
--- a/src/main/java/damsonworks/proxy/Intake.java
+++ b/src/main/java/cacheproxy/proxy/RequestValidator.java
@@ -1,19 +1,19 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
-import damsonworks.RoutingApi.ServiceClass;
-import damsonworks.RoutingApi.Tenant;
+import cacheproxy.policy.PolicyApi.ServiceClass;
+import cacheproxy.policy.PolicyApi.Tenant;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
 /** Reads what a request's list of names and values says, and turns away what can't be a request. */
-public final class Intake {
-    private final Core core;
+public final class RequestValidator {
+    private final EventLoopContext core;
     private final List<ServiceClass> kinds;
     private final Map<String, Integer> classes = new HashMap<>();
     private final Map<String, Integer> tenants = new HashMap<>();
 
-    public Intake(Core core, List<ServiceClass> kinds, List<Tenant> owners) {
+    public RequestValidator(EventLoopContext core, List<ServiceClass> kinds, List<Tenant> owners) {
         this.core = core;
         this.kinds = kinds;
         for (ServiceClass c : kinds) {
@@ -23,7 +23,7 @@
     }
 
     /** Fills in the request's figures; what is wrong with it, or null. */
-    public String resolve(Command c) {
+    public String resolve(ClientRequest c) {
         Integer kind = classes.get(String.valueOf(MetaCodec.named(c.extras, "c")));
         String owner = MetaCodec.named(c.extras, "t");
         Integer tenant = tenants.isEmpty() || owner == null ? Integer.valueOf(0) : tenants.get(owner);
@@ -50,18 +50,18 @@
     }
 
     /** Whether its client has stopped waiting by now: a request that lay unread for too long. */
-    public boolean expired(Command c) {
+    public boolean expired(ClientRequest c) {
         return c.dueMs <= core.now();
     }
 
     /** A deadline that is there and is no number is 0: it must not pass for one that is absent. */
-    private static double deadline(Command c, double absent) {
+    private static double deadline(ClientRequest c, double absent) {
         String text = MetaCodec.named(c.extras, "d");
         boolean number = text == null || text.chars().allMatch(d -> d >= '0' && d <= '9' || d == '.');
         return number ? figure(c, "d", text == null ? absent : 0) : 0;
     }
 
-    private static double figure(Command c, String name, double absent) {
+    private static double figure(ClientRequest c, String name, double absent) {
         String text = MetaCodec.named(c.extras, name);
         try {
             return text == null ? absent : Double.parseDouble(text);
--- a/src/main/java/damsonworks/proxy/Hangup.java
+++ b/src/main/java/cacheproxy/proxy/SighupHandler.java
@@ -1,12 +1,12 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 /** The signal that tells of a new configuration. */
-public final class Hangup {
+public final class SighupHandler {
     /** What operators are told where the signal will not come. */
     public static final String IGNORED = "SIGHUP is ignored in this process, as under nohup: a new configuration is read by POST /reload at the "
             + "control address alone";
 
-    private Hangup() { }
+    private SighupHandler() { }
 
     /**
      * SIGHUP tells of a new configuration; unhandled it would end the process. The JDK's signals are called by
--- a/src/main/java/damsonworks/proxy/SinglePool.java
+++ b/src/main/java/cacheproxy/proxy/SinglePoolHandler.java
@@ -1,19 +1,19 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 /** All requests go to one pool, as on the platform. */
-final class SinglePool implements RequestHandler {
-    private final Core core;
-    private final Intake intake;
+final class SinglePoolHandler implements RequestHandler {
+    private final EventLoopContext core;
+    private final RequestValidator intake;
     private final Dispatcher pool;
 
-    SinglePool(Core core, Dispatcher pool) {
+    SinglePoolHandler(EventLoopContext core, Dispatcher pool) {
         this.core = core;
         this.pool = pool;
-        intake = new Intake(core, pool.settings().classes(), pool.settings().tenants());
+        intake = new RequestValidator(core, pool.settings().classes(), pool.settings().tenants());
     }
 
     @Override
-    public Handle take(Command command, Responder responder) {
+    public Handle take(ClientRequest command, Responder responder) {
         String fault = intake.resolve(command);
         if (fault != null) {
             command.release(core);
@@ -26,7 +26,7 @@
             responder.refused(0);
             return null;
         }
-        Exchange x = new Exchange(pool, command, Intake.keyNumber(command.key), responder, true);
+        RequestContext x = new RequestContext(pool, command, RequestValidator.keyNumber(command.key), responder, true);
         x.dueMs = command.dueMs;
         pool.take(x);
         return x;
--- a/src/main/java/damsonworks/proxy/OpenMeta.java
+++ b/src/main/java/cacheproxy/proxy/StandardMetaProtocol.java
@@ -1,4 +1,4 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import java.util.Set;
 import java.util.function.Supplier;
@@ -8,7 +8,7 @@
  * {@code mg KEY v} and {@code ms KEY LENGTH}, with the flags {@code O} (opaque), {@code k} (the key comes back) and
  * {@code P} (our list, which may name class, tenant and deadline). What is not understood is told in a line.
  */
-public final class OpenMeta {
+public final class StandardMetaProtocol {
     private static final String READ_FLAGS = "vOkP";
     private static final String WRITE_FLAGS = "OkP";
 
@@ -23,7 +23,7 @@
      * @param keyed names of classes whose repeats servers drop by a key; a request without one gets its id
      * @param ids new ids for requests
      */
-    public OpenMeta(String readDefaults, String writeDefaults, Set<String> keyed, Supplier<String> ids) {
+    public StandardMetaProtocol(String readDefaults, String writeDefaults, Set<String> keyed, Supplier<String> ids) {
         this.readDefaults = readDefaults;
         this.writeDefaults = writeDefaults;
         this.keyed = keyed;
@@ -34,7 +34,7 @@
      * A line as understood: a command, or the error line that answers it. A write's value follows in either case, as
      * long as its length could be read.
      */
-    record Parsed(Command command, String fault, boolean write, int length, String echo) { }
+    record Parsed(ClientRequest command, String fault, boolean write, int length, String echo) { }
 
     Parsed parse(String line) throws MetaCodec.SyntaxException {
         boolean write = line.startsWith("ms ");
@@ -88,13 +88,13 @@
     }
 
     /** The deadline is not left in the list: it is told to each node anew. */
-    private Command command(String key, boolean write, int length, String list) {
+    private ClientRequest command(String key, boolean write, int length, String list) {
         String extras = list;
         String id = ids.get();
         if (write && keyed.contains(MetaCodec.named(extras, "c")) && MetaCodec.valueAt(extras, "k") < 0) {
             extras += ",k=" + id;
         }
-        return Command.of(key, id, write, length, extras);
+        return ClientRequest.of(key, id, write, length, extras);
     }
 
     private static String extras(String own, String defaults) {
--- a/src/main/java/damsonworks/proxy/Timers.java
+++ b/src/main/java/cacheproxy/proxy/TimerWheel.java
@@ -1,4 +1,4 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import io.netty.channel.EventLoop;
 import java.util.ArrayList;
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-public final class Timers {
+public final class TimerWheel {
     private static final long SLOT_NANOS = 2_000_000;
     /** A power of two; with the slot's length it covers the longest deadline. Later timers are set anew then. */
     private static final int SLOTS = 2048;
@@ -35,7 +35,7 @@
     private long armed;
     private List<Timer> spare = new ArrayList<>();
 
-    Timers(EventLoop loop, PollClock polls) {
+    TimerWheel(EventLoop loop, PollClock polls) {
         this.loop = loop;
         this.polls = polls;
         for (int i = 0; i < SLOTS; i++) {
--- a/src/main/java/damsonworks/proxy/Upstream.java
+++ b/src/main/java/cacheproxy/proxy/Upstream.java
@@ -1,8 +1,8 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
-import damsonworks.RoutingApi.State;
-import damsonworks.connections.NodeRoom;
-import damsonworks.proxy.Exchange.Attempt;
+import cacheproxy.policy.PolicyApi.State;
+import cacheproxy.limits.ServerCapacity;
+import cacheproxy.proxy.RequestContext.Attempt;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandler;
@@ -29,21 +29,21 @@
     double leftMs = Double.POSITIVE_INFINITY;
     /** How many pools have this server on their lists. */
     int holders;
-    private final Core core;
+    private final EventLoopContext core;
     private final Bootstrap bootstrap;
     private final int maxConnections;
     /** The same, with those on which a long answer waits for its client. */
     private final int mostConnections;
     private final int maxDepth;
     private final double retireIdleMs;
-    private final NodeRoom room;
+    private final ServerCapacity room;
     private final List<UpstreamConnection> connections = new ArrayList<>(2);
 
-    Upstream(int id, boolean origin, Core core, Dispatcher.Pool pool) {
+    Upstream(int id, boolean origin, EventLoopContext core, Dispatcher.Pool pool) {
         this.id = id;
         this.origin = origin;
         this.core = core;
-        room = new NodeRoom(core.servers.shortage);
+        room = new ServerCapacity(core.servers.shortage);
         bootstrap = core.bootstrap(pool.settings().connectTimeoutMs());
         maxConnections = origin ? pool.originConnections() : pool.cacheConnections();
         mostConnections = Math.max(maxConnections, pool.mostConnections());
@@ -51,7 +51,7 @@
         retireIdleMs = pool.idleCloseMs() * Dispatcher.RETIRE_AT;
     }
 
-    Core core() {
+    EventLoopContext core() {
         return core;
     }
 
@@ -151,7 +151,7 @@
         core.openedUpstream();
         ChannelHandler[] handlers = origin ? OriginCodec.handlers(connection)
                 : new ChannelHandler[] {new CacheCodec(connection)};
-        ChannelFuture future = bootstrap.clone().handler(new Initializer(handlers)).connect(dial);
+        ChannelFuture future = bootstrap.clone().handler(new ClientChannelInitializer(handlers)).connect(dial);
         connection.opening(future, dial);
         return connection;
     }
--- a/src/main/java/damsonworks/proxy/UpstreamConnection.java
+++ b/src/main/java/cacheproxy/proxy/UpstreamConnection.java
@@ -1,8 +1,8 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
-import damsonworks.RoutingApi.Outcome;
-import damsonworks.eventlog.ProxyEvent;
-import damsonworks.proxy.Exchange.Attempt;
+import cacheproxy.policy.PolicyApi.Outcome;
+import cacheproxy.eventlog.ProxyEvent;
+import cacheproxy.proxy.RequestContext.Attempt;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -65,7 +65,7 @@
         idleSinceMs = upstream.core().now();
     }
 
-    Core core() {
+    EventLoopContext core() {
         return upstream.core();
     }
 
@@ -191,7 +191,7 @@
 
     private void logStart(Attempt attempt) {
         if (upstream.core().events.isEnabled() && attempt.exchange != null) {
-            Exchange request = attempt.exchange;
+            RequestContext request = attempt.exchange;
             String cause = attempt.index == 0 ? "first" : request.out > 1 ? "hedge" : "after_" + request.lastOutcome;
             upstream.core().events.line(ProxyEvent.ATTEMPT_STARTED).with("id", request.command.id).with("n", attempt.index)
                     .with("server", name()).with("cause", cause).withMs("left_ms", attempt.untilMs - upstream.core().now())
--- a/src/main/java/damsonworks/proxy/Servers.java
+++ b/src/main/java/cacheproxy/proxy/UpstreamRegistry.java
@@ -1,6 +1,6 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
-import damsonworks.connections.NodeRoom;
+import cacheproxy.limits.ServerCapacity;
 import io.netty.util.collection.IntObjectHashMap;
 import java.net.SocketAddress;
 import java.util.ArrayList;
@@ -11,7 +11,7 @@
  * The servers of all pools. One that stands in several pools under the same id and address is one: its connections
  * are shared and their bound holds for all pools together.
  */
-public final class Servers {
+public final class UpstreamRegistry {
     /** Told when a server is found to be down and when it is there again. */
     public interface Observer {
         /** It refused a connection: no process listens. */
@@ -21,18 +21,18 @@
         void connected(int server);
     }
 
-    private final Core core;
+    private final EventLoopContext core;
     /** By id; more than one where pools hold different addresses for an id. */
     private final IntObjectHashMap<List<Upstream>> byId = new IntObjectHashMap<>();
     /** Those that no pool holds any more and that still have connections with attempts. */
     private final List<Upstream> leaving = new ArrayList<>();
 
     /** What all cache nodes have shown of their room for connections. */
-    final NodeRoom.Shortage shortage = new NodeRoom.Shortage();
+    final ServerCapacity.Shortage shortage = new ServerCapacity.Shortage();
     /** One for the process and one for each pool that follows discovery; a pool may end while they are told. */
     private final List<Observer> observers = new CopyOnWriteArrayList<>();
 
-    Servers(Core core) {
+    UpstreamRegistry(EventLoopContext core) {
         this.core = core;
     }
 
