--- a/src/main/java/damsonworks/proxy/WarmUp.java
+++ b/src/main/java/cacheproxy/proxy/WarmUp.java
@@ -1,9 +1,9 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
-import damsonworks.RoutingApi.ListKind;
-import damsonworks.RoutingApi.Member;
-import damsonworks.RoutingApi.State;
-import damsonworks.lifecycle.WarmUpPlan;
+import cacheproxy.policy.PolicyApi.ListKind;
+import cacheproxy.policy.PolicyApi.Member;
+import cacheproxy.policy.PolicyApi.State;
+import cacheproxy.lifecycle.WarmUpPlan;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -26,7 +26,7 @@
 
 final class WarmUp {
     private final EventLoop loop;
-    private final Config config;
+    private final PlatformConfig config;
     private final Path folder;
     private final WarmUpPlan plan;
     private final CountDownLatch done = new CountDownLatch(1);
@@ -34,7 +34,7 @@
     private int answered;
     private int sent;
 
-    private WarmUp(EventLoop loop, Config config, Path folder, WarmUpPlan plan) {
+    private WarmUp(EventLoop loop, PlatformConfig config, Path folder, WarmUpPlan plan) {
         this.loop = loop;
         this.config = config;
         this.folder = folder;
@@ -42,12 +42,12 @@
     }
 
     /** Warms up; a failure to do so is only told, as the proxy can do without. @return requests answered */
-    static int run(EventLoop loop, Config config, WarmUpPlan plan) {
+    static int run(EventLoop loop, PlatformConfig config, WarmUpPlan plan) {
         return run(loop, config, plan, Path.of(System.getenv().getOrDefault("TMPDIR", "/tmp")), a -> a);
     }
 
     /** The same in this folder, where a client dials what is made of the proxy's address. */
-    static int run(EventLoop loop, Config config, WarmUpPlan plan, Path temporary, UnaryOperator<SocketAddress> dial) {
+    static int run(EventLoop loop, PlatformConfig config, WarmUpPlan plan, Path temporary, UnaryOperator<SocketAddress> dial) {
         try {
             // Named by the clock: the library's way draws a secure random number, for which it loads the security providers.
             Path folder = Files.createDirectory(temporary.resolve(
@@ -68,9 +68,9 @@
     }
 
     private void run(UnaryOperator<SocketAddress> dial) throws InterruptedException, IOException {
-        Core core = Core.of(loop, new PollClock(), config, Transport.BEST.localSocket());
+        EventLoopContext core = EventLoopContext.of(loop, new PollClock(), config, Transport.BEST.localSocket());
         Dispatcher dispatcher = new Dispatcher(core, Dispatcher.Pool.of(config));
-        Listener front = new Listener(core, new Clients(core, 16), new SinglePool(core, dispatcher), null);
+        Listener front = new Listener(core, new ClientRegistry(core, 16), new SinglePoolHandler(core, dispatcher), null);
         loop.submit(() -> dispatcher.start(Dispatcher.ListSource.NONE, null)).sync();
         try {
             SocketAddress node = listen("n", Node::new);
@@ -81,7 +81,7 @@
                     host(2, Math.max(0, originKind), origin));
             loop.submit(() -> dispatcher.listed(ListKind.CACHED, hosts)).sync();
             channels.add(new Bootstrap().group(loop).channel(Transport.BEST.localSocket())
-                    .handler(new Initializer(new Client())).connect(dial.apply(proxy)).sync().channel());
+                    .handler(new ClientChannelInitializer(new Client())).connect(dial.apply(proxy)).sync().channel());
             done.await((long) plan.limitMs(), TimeUnit.MILLISECONDS);
         } finally { // also where such sockets are refused, or each start would leave three, a sweep and a folder
             loop.submit(dispatcher::stop).sync();
--- a/src/main/java/damsonworks/routes/Explain.java
+++ b/src/main/java/cacheproxy/routes/Explain.java
@@ -1,8 +1,8 @@
-package damsonworks.routes;
+package cacheproxy.routes;
 
-import damsonworks.Carp;
-import damsonworks.RoutingApi.Member;
-import damsonworks.placement.Placement;
+import cacheproxy.policy.CarpHash;
+import cacheproxy.policy.PolicyApi.Member;
+import cacheproxy.placement.Placement;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -23,7 +23,7 @@
      * @param listed whether the servers come from the file; else only discovery knows them
      * @param chain this pool and those that follow it
      */
-    public record PoolView(List<Member> ready, Map<Integer, String> names, Placement placement, KeyNumber number,
+    public record PoolView(List<Member> ready, Map<Integer, String> names, Placement placement, KeyHash number,
             String origin, boolean listed, List<String> chain) { }
 
     public Explain(RouteTable table, Map<String, PoolView> pools) {
@@ -32,7 +32,7 @@
     }
 
     /** One line, and with {@code why} those on how it came to it, indented. */
-    public List<String> lines(Subject s, boolean why) {
+    public List<String> lines(RouteInput s, boolean why) {
         List<String> lines = new ArrayList<>();
         Route r = table.find(s);
         List<String> more = new ArrayList<>();
@@ -60,14 +60,14 @@
         return lines;
     }
 
-    private static int[] top(PoolView pool, Subject s, Route r, String poolKey) {
+    private static int[] top(PoolView pool, RouteInput s, Route r, String poolKey) {
         long key = pool.number().of(s, r, poolKey);
         int[] top = new int[pool.placement().most(RANKS)];
-        int n = pool.ready().isEmpty() ? 0 : pool.placement().top(key, Carp.keyHash(key), RANKS, top);
+        int n = pool.ready().isEmpty() ? 0 : pool.placement().top(key, CarpHash.keyHash(key), RANKS, top);
         return java.util.Arrays.copyOf(top, n);
     }
 
-    private static String server(PoolView pool, Subject s, Route r, String key) {
+    private static String server(PoolView pool, RouteInput s, Route r, String key) {
         if (!pool.listed()) {
             return "? (from discovery)";
         }
@@ -78,7 +78,7 @@
         return top.length == 0 ? "-" : pool.names().get(pool.ready().get(top[0]).id());
     }
 
-    private void ranking(Route.ToPools to, Subject s, Route r, String key, List<String> out) {
+    private void ranking(Route.ToPools to, RouteInput s, Route r, String key, List<String> out) {
         List<String> chain = new ArrayList<>(to.pools());
         pools.get(chain.get(chain.size() - 1)).chain().stream().filter(p -> !chain.contains(p)).forEach(chain::add);
         for (String name : chain) {
--- a/src/main/java/damsonworks/routes/Fallback.java
+++ b/src/main/java/cacheproxy/routes/Fallback.java
@@ -1,7 +1,7 @@
-package damsonworks.routes;
+package cacheproxy.routes;
 
-import damsonworks.RoutingApi.Effect;
-import damsonworks.RoutingApi.ServiceClass;
+import cacheproxy.policy.PolicyApi.Effect;
+import cacheproxy.policy.PolicyApi.ServiceClass;
 
 /**
  * What becomes of a request that a pool's module has given up on. The module has kept the rule on effects within its
--- a/src/main/java/damsonworks/routes/KeyForm.java
+++ b/src/main/java/cacheproxy/routes/KeyFormat.java
@@ -1,7 +1,7 @@
-package damsonworks.routes;
+package cacheproxy.routes;
 
 /** What an installation's keys are. */
-public enum KeyForm {
+public enum KeyFormat {
     /** Plain texts. */
     TEXT,
     /** Paths, perhaps behind a host; a query is dropped. */
@@ -10,14 +10,14 @@
     PATH_AND_QUERY;
 
     /** The request as routes see it; null if its key is no path where it must be one. */
-    public Subject subject(String listener, String key, int serviceClass, int tenant, boolean write) {
+    public RouteInput subject(String listener, String key, int serviceClass, int tenant, boolean write) {
         if (this == TEXT) {
-            return new Subject(listener, key, serviceClass, tenant, write);
+            return new RouteInput(listener, key, serviceClass, tenant, write);
         }
         PathKey p = PathKey.of(key);
         if (p != null && this == PATH && p.query() != null) {
             p = new PathKey(p.host(), p.raw(), p.path(), null);
         }
-        return p == null ? null : new Subject(listener, key, p, serviceClass, tenant, write);
+        return p == null ? null : new RouteInput(listener, key, p, serviceClass, tenant, write);
     }
 }
--- a/src/main/java/damsonworks/routes/KeyPattern.java
+++ b/src/main/java/cacheproxy/routes/KeyPattern.java
@@ -1,4 +1,4 @@
-package damsonworks.routes;
+package cacheproxy.routes;
 
 import com.google.re2j.Matcher;
 import com.google.re2j.Pattern;
--- a/src/main/java/damsonworks/routes/KeyRewrite.java
+++ b/src/main/java/cacheproxy/routes/KeyRewrite.java
@@ -1,4 +1,4 @@
-package damsonworks.routes;
+package cacheproxy.routes;
 
 /**
  * How a route changes the key before a pool sees it: a prefix comes off, or the whole key is made anew from a
--- a/src/main/java/damsonworks/routes/KeyShare.java
+++ b/src/main/java/cacheproxy/routes/KeyShare.java
@@ -1,4 +1,4 @@
-package damsonworks.routes;
+package cacheproxy.routes;
 
 /**
  * A share of all keys, always the same ones: for canaries. Two shares with the same salt and touching ranges split
@@ -8,7 +8,7 @@
  * @param from first ten-thousandth, 0 to 9,999
  * @param to behind the last, up to 10,000
  */
-public record KeyShare(String salt, int from, int to) implements Share {
+public record KeyShare(String salt, int from, int to) implements TrafficShare {
     public static final int ALL = 10_000;
 
     public KeyShare {
@@ -34,7 +34,7 @@
 
     /** A query is no part of what is split: {@code place} of the path, or of the whole text. */
     @Override
-    public boolean has(Subject s) {
+    public boolean has(RouteInput s) {
         return has(s.key());
     }
 
@@ -44,12 +44,12 @@
     }
 
     @Override
-    public boolean covers(Share other) {
+    public boolean covers(TrafficShare other) {
         return other instanceof KeyShare o && salt.equals(o.salt) && from <= o.from && to >= o.to;
     }
 
     @Override
-    public String without(Subject s) {
+    public String without(RouteInput s) {
         return "key is outside the share, at " + place(salt, s.key()) + " of " + ALL;
     }
 }
--- a/src/main/java/damsonworks/routes/PathKey.java
+++ b/src/main/java/cacheproxy/routes/PathKey.java
@@ -1,4 +1,4 @@
-package damsonworks.routes;
+package cacheproxy.routes;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
--- a/src/main/java/damsonworks/routes/PlaceBy.java
+++ b/src/main/java/cacheproxy/routes/PlacementTemplate.java
@@ -1,4 +1,4 @@
-package damsonworks.routes;
+package cacheproxy.routes;
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
@@ -10,20 +10,20 @@
  * it, all with escapes decoded; {@code $request_uri} path and query as sent; {@code $host}; {@code $args} and {@code $query_string};
  * {@code $is_args}; {@code $arg_NAME}. {@code $$} is a dollar; braces are allowed, as in <code>${uri}x</code>.
  */
-public final class PlaceBy {
+public final class PlacementTemplate {
     /** With keys of 250 bytes the text has fewer than 4,096 then. */
     static final int MAX_PARTS = 8;
     static final int MAX_LENGTH = 1000;
     private static final List<String> NAMES = List.of("key", "uri", "request_uri", "host", "args",
             "query_string", "is_args");
-    public static final PlaceBy KEY = new PlaceBy("$key");
+    public static final PlacementTemplate KEY = new PlacementTemplate("$key");
 
     private final String text;
     /** Literals at even places, variables at odd ones. */
     private final String[] parts;
 
     /** An IllegalArgumentException says what is wrong with the text. */
-    public PlaceBy(String text) {
+    public PlacementTemplate(String text) {
         this.text = text;
         List<String> list = new ArrayList<>();
         StringBuilder literal = new StringBuilder();
@@ -81,7 +81,7 @@
     }
 
     /** The bytes to hash for a request on a route whose pool gets this key; without a route groups are empty. */
-    public byte[] bytes(Subject s, Route route, String poolKey) {
+    public byte[] bytes(RouteInput s, Route route, String poolKey) {
         byte[][] values = new byte[parts.length][];
         int length = 0;
         for (int i = 0; i < parts.length; i++) {
@@ -97,7 +97,7 @@
         return all;
     }
 
-    private static byte[] value(String name, Subject s, Route route, String poolKey) {
+    private static byte[] value(String name, RouteInput s, Route route, String poolKey) {
         PathKey sent = s.sent();
         if (Character.isDigit(name.charAt(0))) {
             String group = route == null || route.patterns().isEmpty() ? null
@@ -123,7 +123,7 @@
 
     @Override
     public boolean equals(Object other) {
-        return other instanceof PlaceBy p && p.text.equals(text);
+        return other instanceof PlacementTemplate p && p.text.equals(text);
     }
 
     /** As it was written. */
--- a/src/main/java/damsonworks/routes/PrefixIndex.java
+++ b/src/main/java/cacheproxy/routes/PrefixIndex.java
@@ -1,4 +1,4 @@
-package damsonworks.routes;
+package cacheproxy.routes;
 
 import java.util.Arrays;
 import java.util.Collection;
--- a/src/main/java/damsonworks/routes/Route.java
+++ b/src/main/java/cacheproxy/routes/Route.java
@@ -1,4 +1,4 @@
-package damsonworks.routes;
+package cacheproxy.routes;
 
 import java.util.List;
 import java.util.Set;
@@ -19,11 +19,11 @@
  */
 public record Route(String name, int order, int position, Set<String> listeners, String host, String exact,
         String prefix, List<KeyPattern> patterns, Set<Integer> classes, Set<Integer> tenants, Boolean write,
-        Share share, KeyRewrite rewrite, PlaceBy placeBy, Action action) {
+        TrafficShare share, KeyRewrite rewrite, PlacementTemplate placeBy, Action action) {
 
     /** One that is for any host, with one pattern or none. */
     public Route(String name, int order, int position, Set<String> listeners, String exact, String prefix,
-            KeyPattern pattern, Set<Integer> classes, Set<Integer> tenants, Boolean write, Share share,
+            KeyPattern pattern, Set<Integer> classes, Set<Integer> tenants, Boolean write, TrafficShare share,
             KeyRewrite rewrite, Action action) {
         this(name, order, position, listeners, null, exact, prefix, pattern == null ? List.of() : List.of(pattern),
                 classes, tenants, write, share, rewrite, null, action);
@@ -55,7 +55,7 @@
     }
 
     /** All but the host and the key's exact text or prefix, by which it has been found. */
-    boolean fits(Subject s) {
+    boolean fits(RouteInput s) {
         if (write != null && write != s.write() || !classes.isEmpty() && !classes.contains(s.serviceClass())
                 || !tenants.isEmpty() && !tenants.contains(s.tenant())
                 || !listeners.isEmpty() && !listeners.contains(s.listener())) {
@@ -70,7 +70,7 @@
     }
 
     /** The first condition that the request does not meet, in words; null if it meets all. */
-    String misfit(Subject s, String itsHost) {
+    String misfit(RouteInput s, String itsHost) {
         if (host != null && !host.equals(itsHost)) {
             return itsHost == null ? "no host is for it" : "it is for host " + itsHost;
         }
@@ -101,7 +101,7 @@
     }
 
     /** The key that its pools get; null if none comes of it that servers would take. */
-    public String poolKey(Subject s) {
+    public String poolKey(RouteInput s) {
         if (s.sent() == null) {
             return rewrite.apply(s.key());
         }
--- a/src/main/java/damsonworks/routes/Subject.java
+++ b/src/main/java/cacheproxy/routes/RouteInput.java
@@ -1,4 +1,4 @@
-package damsonworks.routes;
+package cacheproxy.routes;
 
 /**
  * What routes look at: a request as its listener had it. Class and tenant are indexes in the file's order.
@@ -6,9 +6,9 @@
  * @param text the key as sent
  * @param sent its parts where keys are paths; null where they are plain texts
  */
-public record Subject(String listener, String text, PathKey sent, int serviceClass, int tenant, boolean write) {
+public record RouteInput(String listener, String text, PathKey sent, int serviceClass, int tenant, boolean write) {
     /** One whose key is a plain text. */
-    public Subject(String listener, String key, int serviceClass, int tenant, boolean write) {
+    public RouteInput(String listener, String key, int serviceClass, int tenant, boolean write) {
         this(listener, key, null, serviceClass, tenant, write);
     }
 
--- a/src/main/java/damsonworks/routes/RouteTable.java
+++ b/src/main/java/cacheproxy/routes/RouteTable.java
@@ -1,4 +1,4 @@
-package damsonworks.routes;
+package cacheproxy.routes;
 
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -64,7 +64,7 @@
     }
 
     /** The first route that fits; null if none does. */
-    public Route find(Subject s) {
+    public Route find(RouteInput s) {
         String host = byHost.isEmpty() ? null : hosts.find(s.listener(), s.host());
         for (Tier t : host == null ? anyHost : byHost.getOrDefault(host, anyHost)) {
             Route r = t.find(s);
@@ -79,7 +79,7 @@
     public record Passed(Route route, String why) { }
 
     /** Those looked at before the one that is found, for operators: tries all in order. */
-    public List<Passed> passedOver(Subject s) {
+    public List<Passed> passedOver(RouteInput s) {
         List<Passed> passed = new ArrayList<>();
         String host = hosts.find(s.listener(), s.host());
         for (Route r : sorted) {
@@ -214,7 +214,7 @@
             rest = others.toArray(NONE);
         }
 
-        Route find(Subject s) {
+        Route find(RouteInput s) {
             String key = s.key();
             Route r = fitting(exact.getOrDefault(key, NONE), s);
             for (int i = prefixes.longest(key); r == null && i >= 0; i = prefixes.shorter(i)) {
@@ -225,7 +225,7 @@
         }
 
         /** The first pattern that fits, looking only at those whose literal beginning the key has. */
-        private Route pattern(Subject s, String key) {
+        private Route pattern(RouteInput s, String key) {
             int best = patterns.length;
             for (int l = literals.longest(key); l >= 0; l = literals.shorter(l)) {
                 best = first(literalPatterns[l], best, s);
@@ -235,7 +235,7 @@
         }
 
         /** The first of these places, before {@code best}, whose route fits; else {@code best}. */
-        private int first(int[] places, int best, Subject s) {
+        private int first(int[] places, int best, RouteInput s) {
             for (int p : places) {
                 if (p >= best) {
                     break;
@@ -251,7 +251,7 @@
             return list.stream().mapToInt(Integer::intValue).toArray();
         }
 
-        private static Route fitting(Route[] routes, Subject s) {
+        private static Route fitting(Route[] routes, RouteInput s) {
             for (Route r : routes) {
                 if (r.fits(s)) {
                     return r;
--- a/src/main/java/damsonworks/routes/SplitShare.java
+++ b/src/main/java/cacheproxy/routes/SplitShare.java
@@ -1,4 +1,4 @@
-package damsonworks.routes;
+package cacheproxy.routes;
 
 /**
  * A share as nginx's {@code split_clients} chooses it: MurmurHash2 of a text, held against bounds.
@@ -7,7 +7,7 @@
  * @param from least hash that belongs to it, 0 to 2^32 - 1
  * @param to behind the greatest, up to 2^32
  */
-public record SplitShare(PlaceBy by, long from, long to) implements Share {
+public record SplitShare(PlacementTemplate by, long from, long to) implements TrafficShare {
     public static final long ALL = 1L << 32;
 
     public SplitShare {
@@ -40,18 +40,18 @@
     }
 
     @Override
-    public boolean has(Subject s) {
+    public boolean has(RouteInput s) {
         long h = hash(by.bytes(s, null, s.text()));
         return h >= from && h < to;
     }
 
     @Override
-    public boolean covers(Share other) {
+    public boolean covers(TrafficShare other) {
         return other instanceof SplitShare o && by.equals(o.by) && from <= o.from && to >= o.to;
     }
 
     @Override
-    public String without(Subject s) {
+    public String without(RouteInput s) {
         return "key is outside the share, at " + hash(by.bytes(s, null, s.text())) + " of " + ALL;
     }
 }
--- a/src/main/java/damsonworks/routes/VirtualHosts.java
+++ b/src/main/java/cacheproxy/routes/VirtualHosts.java
@@ -1,4 +1,4 @@
-package damsonworks.routes;
+package cacheproxy.routes;
 
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/damsonworks/siblings/KeyDigest.java
+++ b/src/main/java/cacheproxy/siblings/CacheDigest.java
@@ -1,4 +1,4 @@
-package damsonworks.siblings;
+package cacheproxy.siblings;
 
 import java.util.Arrays;
 
@@ -9,7 +9,7 @@
  * allocated after the start. It may forget a key; it never invents one, but for two keys of one 64-bit number. Free of clocks; times in
  * milliseconds. One thread's.
  */
-public final class KeyDigest {
+public final class CacheDigest {
     private static final int WAYS = 8;
     private static final int MOST_SERVERS = 1 << 16;
     /** What one step of an entry's time stands for. */
@@ -29,7 +29,7 @@
      * @param holdsMs for how long an answer speaks for the next; up to a year
      * @param servers servers at most, 1 to 65,535; those beyond are not noted
      */
-    public KeyDigest(int places, double holdsMs, int servers) {
+    public CacheDigest(int places, double holdsMs, int servers) {
         if (places < WAYS || places > 1 << 24 || Integer.bitCount(places) != 1 || !(holdsMs > 0 && holdsMs <= 365 * 86_400_000.0)
                 || servers < 1 || servers >= MOST_SERVERS) {
             throw new IllegalArgumentException(places + " places, " + holdsMs + " ms, " + servers + " servers");
--- a/src/main/java/damsonworks/siblings/DenialWatch.java
+++ b/src/main/java/cacheproxy/siblings/DenialLimiter.java
@@ -1,4 +1,4 @@
-package damsonworks.siblings;
+package cacheproxy.siblings;
 
 import java.util.LinkedHashMap;
 import java.util.Map;
@@ -10,13 +10,13 @@
  *
  * @param <A> an address
  */
-public final class DenialWatch<A> {
+public final class DenialLimiter<A> {
     static final int LEAST_QUESTIONS = 150;
     static final double DENIED_SHARE = 0.95;
     private final Map<A, int[]> counts;
 
     /** @param most addresses kept in mind */
-    public DenialWatch(int most) {
+    public DenialLimiter(int most) {
         counts = new LinkedHashMap<>(16, 0.75f, true) {
             private static final long serialVersionUID = 1L;
 
--- a/src/main/java/damsonworks/siblings/QuestionTable.java
+++ b/src/main/java/cacheproxy/siblings/PendingQueries.java
@@ -1,4 +1,4 @@
-package damsonworks.siblings;
+package cacheproxy.siblings;
 
 import java.util.EnumMap;
 import java.util.LinkedHashMap;
@@ -11,7 +11,7 @@
  *
  * @param <A> an address
  */
-public final class QuestionTable<A> {
+public final class PendingQueries<A> {
     /** What became of a datagram that claims to be an answer. */
     public enum Verdict { FIRST_HIT, COUNTED, LAST, LATE, DOUBLE, NOT_ASKED, NO_QUESTION, OTHER_KEY }
 
@@ -63,7 +63,7 @@
      * @param keepMs how long a question is known after its time
      * @param first the first number, by chance, so that numbers can't be guessed from a start
      */
-    public QuestionTable(int most, double keepMs, int first) {
+    public PendingQueries(int most, double keepMs, int first) {
         this.most = most;
         this.keepMs = keepMs;
         next = first;
--- a/src/main/java/damsonworks/siblings/ReplayGuard.java
+++ b/src/main/java/cacheproxy/siblings/ReplayGuard.java
@@ -1,4 +1,4 @@
-package damsonworks.siblings;
+package cacheproxy.siblings;
 
 import java.nio.ByteBuffer;
 import java.util.HashMap;
--- a/src/main/java/damsonworks/siblings/Asking.java
+++ b/src/main/java/cacheproxy/siblings/SiblingQueryPolicy.java
@@ -1,4 +1,4 @@
-package damsonworks.siblings;
+package cacheproxy.siblings;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -9,7 +9,7 @@
  * expected gain is more than the expected cost, by what was measured, and now and then where that is not known. Pure; times in
  * milliseconds, chance comes in as a number.
  */
-public final class Asking {
+public final class SiblingQueryPolicy {
     /** At most this part of what is left of the aim is spent on waiting. */
     static final double WAIT_SHARE = 0.25;
     /** Siblings asked about one key. */
@@ -19,7 +19,7 @@
     /** Under pressure a fetch at the origin that is avoided is worth as many as this at most. */
     private static final double MOST_PRESSURE = 20;
 
-    private Asking() { }
+    private SiblingQueryPolicy() { }
 
     /**
      * What to do about one key.
@@ -40,7 +40,7 @@
      * @param pressure of the origin: asked for each answered in time, from 1
      * @param chance 0 to 1, uniform
      */
-    public static Plan plan(double now, List<SiblingRecord> records, double fetchMs, double siblingMs, double leftMs, double pressure,
+    public static Plan plan(double now, List<SiblingStats> records, double fetchMs, double siblingMs, double leftMs, double pressure,
             double chance) {
         double cap = leftMs * WAIT_SHARE;
         if (!(cap > 0) || records.isEmpty()) {
@@ -48,7 +48,7 @@
         }
         List<Integer> able = new ArrayList<>();
         for (int i = 0; i < records.size(); i++) {
-            SiblingRecord r = records.get(i);
+            SiblingStats r = records.get(i);
             if (r.mayAsk(now) && r.patienceMs(cap) <= cap * 2) { // one that is always too late is asked by trials only
                 able.add(i);
             }
--- a/src/main/java/damsonworks/siblings/SiblingRecord.java
+++ b/src/main/java/cacheproxy/siblings/SiblingStats.java
@@ -1,10 +1,10 @@
-package damsonworks.siblings;
+package cacheproxy.siblings;
 
 /**
  * What one sibling has been worth: how long its answers take, how often it answers, says hit, and keeps its word. All of it fades,
  * so that one that has changed is found out either way. Pure; times in milliseconds.
  */
-public final class SiblingRecord {
+public final class SiblingStats {
     /** Halves in this many questions. */
     private static final double MEMORY = 64;
     private static final double GAIN = Math.pow(0.5, 1 / MEMORY);
--- a/src/main/java/damsonworks/siblings/Siblings.java
+++ b/src/main/java/cacheproxy/siblings/Siblings.java
@@ -1,7 +1,7 @@
-package damsonworks.siblings;
+package cacheproxy.siblings;
 
-import damsonworks.RoutingApi.Member;
-import damsonworks.RoutingApi.Outcome;
+import cacheproxy.policy.PolicyApi.Member;
+import cacheproxy.policy.PolicyApi.Outcome;
 
 /** What the decision module needs to know of sibling caches: who they are, whether asking them is worth the wait, what came of it. */
 public interface Siblings {
--- a/src/main/java/damsonworks/model/FleetModel.java
+++ b/src/main/java/cacheproxy/simulation/FleetSimulation.java
@@ -1,12 +1,12 @@
-package damsonworks.model;
+package cacheproxy.simulation;
 
-import damsonworks.Carp;
-import damsonworks.RoutingApi;
-import damsonworks.RoutingApi.ListKind;
-import damsonworks.RoutingApi.Member;
-import damsonworks.RoutingApi.Settings;
-import damsonworks.RoutingApi.State;
-import damsonworks.placement.CarpPlacement;
+import cacheproxy.policy.CarpHash;
+import cacheproxy.policy.PolicyApi;
+import cacheproxy.policy.PolicyApi.ListKind;
+import cacheproxy.policy.PolicyApi.Member;
+import cacheproxy.policy.PolicyApi.Settings;
+import cacheproxy.policy.PolicyApi.State;
+import cacheproxy.placement.CarpPlacement;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
@@ -22,7 +22,7 @@
  * <p>Clients make up to three tries, each at a proxy of their choice. Keys follow r^-1.15 of 20,000, the middle of what the
  * first users have. Each proxy hears of a change at its own time, one in four late.
  */
-public final class FleetModel {
+public final class FleetSimulation {
     private static final double START_MS = 1e6;
     private static final double TROUBLE_MS = 4000;
     private static final double DRAIN_MS = 5000;
@@ -36,17 +36,17 @@
 
     /** Makes the module of a proxy that starts. */
     public interface Modules {
-        RoutingApi of(Settings settings, long seed);
+        PolicyApi of(Settings settings, long seed);
     }
 
     final VirtualClock clock = new VirtualClock(START_MS);
     final SplittableRandom random;
     /** All that ever were, by their ids. */
-    final Map<Integer, Node> nodes = new TreeMap<>();
-    private final FleetPlan plan;
+    final Map<Integer, SimulatedServer> nodes = new TreeMap<>();
+    private final FleetSimulationConfig plan;
     private final Modules modules;
-    private final ProxyModel[] proxies;
-    private final Origin origin;
+    private final SimulatedProxy[] proxies;
+    private final SimulatedOrigin origin;
     private final double requestsPerMs;
     private int nextRequest;
     private long hotKey;
@@ -62,63 +62,63 @@
     private long decisions;
 
     /** @param modules what decides at each proxy; the same is asked again when one is restarted */
-    public FleetModel(FleetPlan plan, Modules modules) {
+    public FleetSimulation(FleetSimulationConfig plan, Modules modules) {
         this.plan = plan;
         this.modules = modules;
         random = new SplittableRandom(plan.seed());
         double speed = 0;
         for (int id = 1; id <= plan.nodes(); id++) {
-            Node n = new Node(id, plan.zones(), 0, plan.settings(0));
+            SimulatedServer n = new SimulatedServer(id, plan.zones(), 0, plan.settings(0));
             nodes.put(id, n);
             speed += n.speed;
         }
-        requestsPerMs = plan.load() * speed / Node.WORK_MS;
-        origin = new Origin(requestsPerMs);
+        requestsPerMs = plan.load() * speed / SimulatedServer.WORK_MS;
+        origin = new SimulatedOrigin(requestsPerMs);
         fill();
-        proxies = new ProxyModel[plan.proxies()];
+        proxies = new SimulatedProxy[plan.proxies()];
         for (int p = 0; p < proxies.length; p++) {
             start(p);
         }
     }
 
     /** Plays the plan to its end. Once. */
-    public FleetReport run() {
+    public FleetSimulationResult run() {
         clock.after(0, this::arrive);
         clock.after(TROUBLE_MS, this::trouble);
         clock.run();
         double worstCold = 0;
         int cold = 0;
-        for (Node n : nodes.values()) {
+        for (SimulatedServer n : nodes.values()) {
             worstCold = Math.max(worstCold, n.worstCold());
             cold += n.coldSends();
         }
         int unanswered = 0;
-        for (ProxyModel p : proxies) {
+        for (SimulatedProxy p : proxies) {
             unanswered += p.unanswered();
         }
-        return new FleetReport(asked, served, unanswered, worstCold, worstEffect, attempts, crossed, full, dead, copies, cold,
+        return new FleetSimulationResult(asked, served, unanswered, worstCold, worstEffect, attempts, crossed, full, dead, copies, cold,
                 fetches, decisions);
     }
 
     private void fill() {
-        List<Node> all = List.copyOf(nodes.values());
-        CarpPlacement placement = new CarpPlacement(all.stream().map(FleetModel::member).toList());
+        List<SimulatedServer> all = List.copyOf(nodes.values());
+        CarpPlacement placement = new CarpPlacement(all.stream().map(FleetSimulation::member).toList());
         int[] top = new int[1];
         for (long key = 1000; key <= 1000 + KEYS; key++) {
-            placement.top(key, Carp.keyHash(key), 1, top);
+            placement.top(key, CarpHash.keyHash(key), 1, top);
             if (random.nextDouble() < KEPT) {
                 all.get(top[0]).keep(key);
             }
         }
     }
 
-    static Member member(Node n) {
+    static Member member(SimulatedServer n) {
         return new Member(n.id, n.zone, 0, 0, n.draining ? State.DRAINING : State.READY, 1, n.bornMs());
     }
 
     private void start(int p) {
         Settings settings = plan.settings(p);
-        proxies[p] = new ProxyModel(this, settings, modules.of(settings, random.nextLong()));
+        proxies[p] = new SimulatedProxy(this, settings, modules.of(settings, random.nextLong()));
         proxies[p].list(ListKind.CACHED, nodes.values().stream().filter(n -> !n.ended).toList());
     }
 
@@ -126,7 +126,7 @@
 
     private void arrive() {
         asked++;
-        ask(new ProxyModel.Ask(key(), random.nextDouble() < WRITES, 0));
+        ask(new SimulatedProxy.Ask(key(), random.nextDouble() < WRITES, 0));
         if (clock.now() < START_MS + plan.seconds() * 1000) {
             clock.after(-Math.log(1 - random.nextDouble()) / requestsPerMs, this::arrive);
         }
@@ -141,10 +141,10 @@
     }
 
     /** A front knows which proxies are up. */
-    private void ask(ProxyModel.Ask a) {
+    private void ask(SimulatedProxy.Ask a) {
         int first = random.nextInt(proxies.length);
         for (int i = 0; i < proxies.length; i++) {
-            ProxyModel p = proxies[(first + i) % proxies.length];
+            SimulatedProxy p = proxies[(first + i) % proxies.length];
             if (!p.dead()) {
                 p.take(++nextRequest, a);
                 return;
@@ -152,9 +152,9 @@
         }
     }
 
-    void again(ProxyModel.Ask a) {
+    void again(SimulatedProxy.Ask a) {
         if (a.tries() < TRIES - 1) {
-            clock.after(10 + random.nextDouble() * 70, () -> ask(new ProxyModel.Ask(a.key(), a.write(), a.tries() + 1)));
+            clock.after(10 + random.nextDouble() * 70, () -> ask(new SimulatedProxy.Ask(a.key(), a.write(), a.tries() + 1)));
         }
     }
 
@@ -162,22 +162,22 @@
 
     private void trouble() {
         int size = plan.nodes();
-        if (plan.troubles().contains(Trouble.RELEASE)) {
+        if (plan.troubles().contains(SimulatedFault.RELEASE)) {
             for (int wave = 0; wave < 2; wave++) {
                 int from = 1 + wave * size * 3 / 10;
                 clock.after(wave * 4000, () -> replace(from, from + size * 3 / 10));
             }
         }
-        if (plan.troubles().contains(Trouble.ZONE_LOST)) {
-            List<Node> lost = nodes.values().stream().filter(n -> n.id > size * 3 / 4 && n.id <= size).toList();
+        if (plan.troubles().contains(SimulatedFault.ZONE_LOST)) {
+            List<SimulatedServer> lost = nodes.values().stream().filter(n -> n.id > size * 3 / 4 && n.id <= size).toList();
             lost.forEach(n -> n.silent = true);
             clock.after(5000, () -> {
                 lost.forEach(n -> n.restart(clock.now()));
                 tell(lost);
             });
         }
-        boolean hot = plan.troubles().contains(Trouble.HOT_KEY_AT_A_COLD_NODE);
-        boolean killed = plan.troubles().contains(Trouble.PROXIES_KILLED);
+        boolean hot = plan.troubles().contains(SimulatedFault.HOT_KEY_AT_A_COLD_NODE);
+        boolean killed = plan.troubles().contains(SimulatedFault.PROXIES_KILLED);
         if (killed) {
             for (int p = 0; p < proxies.length * 6 / 10; p++) {
                 int me = p;
@@ -194,12 +194,12 @@
     }
 
     private void replace(int from, int to) {
-        List<Node> changed = new ArrayList<>();
+        List<SimulatedServer> changed = new ArrayList<>();
         for (int id = from; id < to; id++) {
-            Node n = new Node(id + NEW_ID, plan.zones(), clock.now(), plan.settings(0));
+            SimulatedServer n = new SimulatedServer(id + NEW_ID, plan.zones(), clock.now(), plan.settings(0));
             nodes.put(n.id, n);
             changed.add(n);
-            Node old = nodes.get(id);
+            SimulatedServer old = nodes.get(id);
             if (old != null) {
                 old.draining = true;
                 changed.add(old);
@@ -209,7 +209,7 @@
         tell(changed);
     }
 
-    private void tell(Collection<Node> changed) {
+    private void tell(Collection<SimulatedServer> changed) {
         for (int p = 0; p < proxies.length; p++) {
             int me = p;
             clock.after(random.nextInt(4) == 0 ? 6000 : 700 + random.nextDouble() * 2400,
@@ -230,10 +230,10 @@
         CarpPlacement placement = new CarpPlacement(members);
         int[] top = new int[1];
         for (long key = 1_000_000;; key++) {
-            int hash = Carp.keyHash(key);
+            int hash = CarpHash.keyHash(key);
             placement.top(key, hash, 1, top);
             Member m = members.get(top[0]);
-            if (m.bornMs() > 0 && lot(hash, Carp.memberHash(m.id())) < 0.01) {
+            if (m.bornMs() > 0 && lot(hash, CarpHash.memberHash(m.id())) < 0.01) {
                 return key;
             }
         }
--- a/src/main/java/damsonworks/model/FleetPlan.java
+++ b/src/main/java/cacheproxy/simulation/FleetSimulationConfig.java
@@ -1,27 +1,27 @@
-package damsonworks.model;
+package cacheproxy.simulation;
 
-import damsonworks.RoutingApi.Effect;
-import damsonworks.RoutingApi.Group;
-import damsonworks.RoutingApi.Reports;
-import damsonworks.RoutingApi.ServiceClass;
-import damsonworks.RoutingApi.Settings;
-import damsonworks.RoutingApi.Tenant;
+import cacheproxy.policy.PolicyApi.Effect;
+import cacheproxy.policy.PolicyApi.Group;
+import cacheproxy.policy.PolicyApi.Reports;
+import cacheproxy.policy.PolicyApi.ServiceClass;
+import cacheproxy.policy.PolicyApi.Settings;
+import cacheproxy.policy.PolicyApi.Tenant;
 import java.util.List;
 import java.util.Set;
 
 /**
- * What a {@link FleetModel} plays.
+ * What a {@link FleetSimulation} plays.
  *
  * @param load what clients ask for, as a part of what all nodes can do; over 0, at most 1.5
  * @param seconds for how long they ask
  * @param seed the same seed gives the same figures
  */
-public record FleetPlan(int proxies, int nodes, int zones, double load, double seconds, Set<Trouble> troubles, long seed) {
+public record FleetSimulationConfig(int proxies, int nodes, int zones, double load, double seconds, Set<SimulatedFault> troubles, long seed) {
     static final int READ = 0;
     static final int WRITE = 1;
 
     /** @throws IllegalArgumentException if a figure is out of its range, naming it */
-    public FleetPlan {
+    public FleetSimulationConfig {
         if (proxies < 1 || nodes < 1 || zones < 1 || proxies > 10_000 || nodes > 10_000 || zones > 100) {
             throw new IllegalArgumentException("a fleet of " + proxies + " proxies, " + nodes + " nodes, " + zones
                     + " zones: each must be at least 1, and at most 10,000, 10,000 and 100");
--- a/src/main/java/damsonworks/model/FleetReport.java
+++ b/src/main/java/cacheproxy/simulation/FleetSimulationResult.java
@@ -1,4 +1,4 @@
-package damsonworks.model;
+package cacheproxy.simulation;
 
 /**
  * Sums over all proxies of a fleet, which no proxy sees.
@@ -18,7 +18,7 @@
  * @param fetches reads sent to the origin
  * @param decisions events that modules were told of
  */
-public record FleetReport(int asked, int served, int unanswered, double worstCold, int worstEffect, int attempts, int crossed,
+public record FleetSimulationResult(int asked, int served, int unanswered, double worstCold, int worstEffect, int attempts, int crossed,
         int full, int dead, int copies, int coldSends, int fetches, long decisions) {
     /** Part of the requests that were served. */
     public double service() {
--- a/src/main/java/damsonworks/model/LimitModel.java
+++ b/src/main/java/cacheproxy/simulation/QuotaSimulation.java
@@ -1,13 +1,13 @@
-package damsonworks.model;
-
-import damsonworks.lease.Ids;
-import damsonworks.lease.Tenure;
-import damsonworks.quota.Bounds;
-import damsonworks.quota.Limit;
-import damsonworks.quota.LimitRules;
-import damsonworks.quota.Pocket;
-import damsonworks.quota.Quota;
-import damsonworks.quota.QuotaMessage;
+package cacheproxy.simulation;
+
+import cacheproxy.fleet.lease.NameHash;
+import cacheproxy.fleet.lease.LeaseHandle;
+import cacheproxy.fleet.quota.OvershootBound;
+import cacheproxy.fleet.quota.QuotaSpec;
+import cacheproxy.fleet.quota.QuotaTiming;
+import cacheproxy.fleet.quota.LocalQuota;
+import cacheproxy.fleet.quota.QuotaManager;
+import cacheproxy.fleet.quota.QuotaMessage;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -19,7 +19,7 @@
  * stand still, die and come back, clocks that drift; and other ways of sharing beside them. The same plan and seed give the same figures.
  * Times in milliseconds.
  */
-public final class LimitModel {
+public final class QuotaSimulation {
     /** How a limit is shared. */
     public enum Way {
         /** A dealer by lease, or whoever answers. */
@@ -49,7 +49,7 @@
      * @param offered requests a second at each proxy, in spans of {@code spanMs} that follow one another and begin again
      * @param workMs the longest time for which one is in hand
      */
-    public record Plan(Way way, int proxies, Limit limit, LimitRules rules, double[][] offered, double spanMs, double workMs, double forMs,
+    public record Plan(Way way, int proxies, QuotaSpec limit, QuotaTiming rules, double[][] offered, double spanMs, double workMs, double forMs,
             List<Fault> faults, long seed) { }
 
     /**
@@ -86,8 +86,8 @@
         boolean dead;
         boolean stopped;
         final List<Event> held = new ArrayList<>();
-        Quota quota;
-        Pocket pocket;
+        QuotaManager quota;
+        LocalQuota pocket;
         final Bucket bucket = new Bucket();
         final double[] demandOf = new double[plan.proxies];
         final double[] heardOf = new double[plan.proxies];
@@ -109,12 +109,12 @@
             bucket.tokens = 0;
             bucket.at = clock(t);
             if (plan.way == Way.DEALER || plan.way == Way.PEERS) {
-                quota = new Quota(index + 1, plan.rules, random.split(), clock(t) - (t == 0 ? 1e5 : 0), peer -> true, (to, m) -> mail(index, (int) to - 1, m));
+                quota = new QuotaManager(index + 1, plan.rules, random.split(), clock(t) - (t == 0 ? 1e5 : 0), peer -> true, (to, m) -> mail(index, (int) to - 1, m));
                 List<Long> ids = new ArrayList<>();
                 for (int i = 0; i < plan.proxies; i++) {
                     ids.add(i + 1L);
                 }
-                quota.use(List.of(plan.limit), List.of(plan.way == Way.PEERS ? Tenure.NOBODYS : new Held(this)), ids, plan.proxies, false, true, clock(t));
+                quota.use(List.of(plan.limit), List.of(plan.way == Way.PEERS ? LeaseHandle.NOBODYS : new Held(this)), ids, plan.proxies, false, true, clock(t));
                 pocket = quota.pocket(plan.limit.name());
             }
             push(t + random.nextDouble() * 10, TICK, index, -1, life, null);
@@ -141,7 +141,7 @@
     }
 
     /** The duty: who reaches a majority holds it; who lost that holds it for a lease more, and another has it after that. */
-    private final class Held implements Tenure {
+    private final class Held implements LeaseHandle {
         private final Proxy of;
 
         Held(Proxy of) {
@@ -160,7 +160,7 @@
 
         @Override
         public long holder(double now) {
-            return holder < 0 ? Ids.NOBODY : holder + 1;
+            return holder < 0 ? NameHash.NOBODY : holder + 1;
         }
 
         @Override
@@ -198,7 +198,7 @@
     private final double[] refusedIn;
     private final double[] spentIn;
 
-    private LimitModel(Plan plan) {
+    private QuotaSimulation(Plan plan) {
         this.plan = plan;
         random = new SplittableRandom(plan.seed);
         refusedIn = new double[(int) (plan.forMs / 1000) + 2];
@@ -206,7 +206,7 @@
     }
 
     public static Result play(Plan plan) {
-        return new LimitModel(plan).run();
+        return new QuotaSimulation(plan).run();
     }
 
     private void push(double at, int kind, int who, int from, long life, Object what) {
@@ -477,7 +477,7 @@
      * What may come beyond the limit's part of a window: what is saved up, and what clocks that run fast make of it. Where a proxy without word goes on with its last grant
      * the decay of all grants comes to it, once for each time that the links fail.
      */
-    public static double bound(Limit l, LimitRules rules, int proxies, double windowMs) {
-        return Bounds.over(l, rules, proxies, windowMs);
+    public static double bound(QuotaSpec l, QuotaTiming rules, int proxies, double windowMs) {
+        return OvershootBound.over(l, rules, proxies, windowMs);
     }
 }
--- a/src/main/java/damsonworks/model/Trouble.java
+++ b/src/main/java/cacheproxy/simulation/SimulatedFault.java
@@ -1,7 +1,7 @@
-package damsonworks.model;
+package cacheproxy.simulation;
 
-/** What may go wrong in a {@link FleetModel}, four seconds after its start. Several may come together. */
-public enum Trouble {
+/** What may go wrong in a {@link FleetSimulation}, four seconds after its start. Several may come together. */
+public enum SimulatedFault {
     /** Six in ten nodes are replaced by new ones under new ids, in two waves four seconds apart; the old ones drain for 5 s. */
     RELEASE,
     /** The last quarter of the nodes is silent for 5 s and is back cold. */
--- a/src/main/java/damsonworks/model/Origin.java
+++ b/src/main/java/cacheproxy/simulation/SimulatedOrigin.java
@@ -1,14 +1,14 @@
-package damsonworks.model;
+package cacheproxy.simulation;
 
 /** The one store behind all nodes: it can take a third of the requests asked for, and turns away what would wait too long. */
-final class Origin {
+final class SimulatedOrigin {
     static final int ID = Integer.MAX_VALUE;
     private static final double QUEUE_MS = 400;
     private static final double TIME_MS = 30;
     private final double eachMs;
     private double busyUntil;
 
-    Origin(double requestsPerMs) {
+    SimulatedOrigin(double requestsPerMs) {
         eachMs = 3 / requestsPerMs;
     }
 
--- a/src/main/java/damsonworks/model/ProxyModel.java
+++ b/src/main/java/cacheproxy/simulation/SimulatedProxy.java
@@ -1,13 +1,13 @@
-package damsonworks.model;
-
-import damsonworks.RoutingApi;
-import damsonworks.RoutingApi.AttemptEnd;
-import damsonworks.RoutingApi.ListKind;
-import damsonworks.RoutingApi.Member;
-import damsonworks.RoutingApi.Outcome;
-import damsonworks.RoutingApi.Request;
-import damsonworks.RoutingApi.Settings;
-import damsonworks.RoutingApi.State;
+package cacheproxy.simulation;
+
+import cacheproxy.policy.PolicyApi;
+import cacheproxy.policy.PolicyApi.AttemptEnd;
+import cacheproxy.policy.PolicyApi.ListKind;
+import cacheproxy.policy.PolicyApi.Member;
+import cacheproxy.policy.PolicyApi.Outcome;
+import cacheproxy.policy.PolicyApi.Request;
+import cacheproxy.policy.PolicyApi.Settings;
+import cacheproxy.policy.PolicyApi.State;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -15,7 +15,7 @@
 import java.util.Map;
 
 /** One proxy: the real module, with sockets that are the fleet's figures. Killed, it says nothing more. */
-final class ProxyModel implements RoutingApi.Actions {
+final class SimulatedProxy implements PolicyApi.Actions {
     /** One way, in milliseconds. */
     private static final double NEAR_MS = 0.2;
     private static final double FAR_MS = 2;
@@ -41,7 +41,7 @@
     private static final class Held {
         final Ask ask;
         final List<Out> outs = new ArrayList<>();
-        Node missedAt;
+        SimulatedServer missedAt;
         int ran;
         boolean answered;
 
@@ -50,14 +50,14 @@
         }
     }
 
-    private final FleetModel fleet;
+    private final FleetSimulation fleet;
     private final Settings settings;
-    private final RoutingApi module;
+    private final PolicyApi module;
     private final Map<Integer, Held> held = new HashMap<>();
     private final Map<Integer, Double> bornAsTold = new HashMap<>();
     private boolean dead;
 
-    ProxyModel(FleetModel fleet, Settings settings, RoutingApi module) {
+    SimulatedProxy(FleetSimulation fleet, Settings settings, PolicyApi module) {
         this.fleet = fleet;
         this.settings = settings;
         this.module = module;
@@ -75,17 +75,17 @@
         return dead ? 0 : (int) held.values().stream().filter(h -> !h.answered).count();
     }
 
-    void list(ListKind kind, Collection<Node> nodes) {
+    void list(ListKind kind, Collection<SimulatedServer> nodes) {
         if (dead) {
             return;
         }
         List<Member> members = new ArrayList<>();
-        for (Node n : nodes) {
+        for (SimulatedServer n : nodes) {
             bornAsTold.put(n.id, n.bornMs());
-            members.add(FleetModel.member(n));
+            members.add(FleetSimulation.member(n));
         }
         if (kind == ListKind.CACHED) {
-            members.add(new Member(Origin.ID, 0, 1, 0, State.READY, 1, 0));
+            members.add(new Member(SimulatedOrigin.ID, 0, 1, 0, State.READY, 1, 0));
         }
         decide(() -> module.onList(now(), kind, members, this));
     }
@@ -103,7 +103,7 @@
                 held.remove(id);
             }
         });
-        decide(() -> module.onRequest(now(), new Request(id, a.write() ? FleetPlan.WRITE : FleetPlan.READ, 0, a.key(), now() + TRY_MS,
+        decide(() -> module.onRequest(now(), new Request(id, a.write() ? FleetSimulationConfig.WRITE : FleetSimulationConfig.READ, 0, a.key(), now() + TRY_MS,
                 Double.NaN, 0, a.write(), a.tries() > 0), this));
     }
 
@@ -113,7 +113,7 @@
         int attempt = h.outs.size();
         boolean copy = h.outs.stream().anyMatch(o -> !o.ended);
         h.outs.add(new Out(server, now()));
-        Node n = fleet.nodes.get(server);
+        SimulatedServer n = fleet.nodes.get(server);
         boolean near = settings.zone() == (n == null ? 0 : n.zone);
         fleet.count(near, copy);
         double way = near ? NEAR_MS : FAR_MS;
@@ -129,7 +129,7 @@
         });
     }
 
-    private void arrive(int request, int attempt, Held h, Node n, double way) {
+    private void arrive(int request, int attempt, Held h, SimulatedServer n, double way) {
         if (n.isCold(now())) {
             n.sentCold(now(), bornAsTold.get(n.id) == n.bornMs());
         }
@@ -138,7 +138,7 @@
             later(n.silent ? settings.connectTimeoutMs() : way, request, attempt, Outcome.CONNECT_FAILED);
             return;
         }
-        Node.Taken taken = n.take(now(), h.ask.key(), 0.5 + fleet.random.nextDouble());
+        SimulatedServer.Taken taken = n.take(now(), h.ask.key(), 0.5 + fleet.random.nextDouble());
         if (taken == null) {
             fleet.full();
             later(way, request, attempt, Outcome.FULL);
--- a/src/main/java/damsonworks/model/Node.java
+++ b/src/main/java/cacheproxy/simulation/SimulatedServer.java
@@ -1,13 +1,13 @@
-package damsonworks.model;
+package cacheproxy.simulation;
 
-import damsonworks.RoutingApi.Settings;
+import cacheproxy.policy.PolicyApi.Settings;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
 
 /** A cache node: one core, room for three requests that wait, a cache without bound. */
-final class Node {
+final class SimulatedServer {
     /** The mean work of a request on a core of speed 1. */
     static final double WORK_MS = 50;
     private static final int ROOM = 3;
@@ -33,7 +33,7 @@
     boolean silent;
 
     /** Three in five are twice as fast as the others. */
-    Node(int id, int zones, double bornMs, Settings settings) {
+    SimulatedServer(int id, int zones, double bornMs, Settings settings) {
         this.id = id;
         this.zone = id % zones;
         this.bornMs = bornMs;
@@ -86,7 +86,7 @@
         return new Taken(busyUntil, hit);
     }
 
-    /** See {@link FleetReport#worstCold}. */
+    /** See {@link FleetSimulationResult#worstCold}. */
     double worstCold() {
         double worst = 0;
         int first = 0;
--- a/src/main/java/damsonworks/model/VirtualClock.java
+++ b/src/main/java/cacheproxy/simulation/VirtualClock.java
@@ -1,4 +1,4 @@
-package damsonworks.model;
+package cacheproxy.simulation;
 
 import java.util.Comparator;
 import java.util.PriorityQueue;
--- a/src/main/java/damsonworks/wire/SettingsParser.java
+++ b/src/main/java/cacheproxy/simulator/SettingsParser.java
@@ -1,11 +1,11 @@
-package damsonworks.wire;
+package cacheproxy.simulator;
 
-import damsonworks.RoutingApi.Effect;
-import damsonworks.RoutingApi.Group;
-import damsonworks.RoutingApi.Reports;
-import damsonworks.RoutingApi.ServiceClass;
-import damsonworks.RoutingApi.Settings;
-import damsonworks.RoutingApi.Tenant;
+import cacheproxy.policy.PolicyApi.Effect;
+import cacheproxy.policy.PolicyApi.Group;
+import cacheproxy.policy.PolicyApi.Reports;
+import cacheproxy.policy.PolicyApi.ServiceClass;
+import cacheproxy.policy.PolicyApi.Settings;
+import cacheproxy.policy.PolicyApi.Tenant;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -76,7 +76,7 @@
     private String text(String key) {
         String value = values.get(key);
         if (value == null) {
-            throw new WireException("setting '" + key + "' is missing");
+            throw new SimulatorProtocolException("setting '" + key + "' is missing");
         }
         return value;
     }
@@ -90,7 +90,7 @@
         } catch (NumberFormatException e) {
             // told below, with the key
         }
-        throw new WireException("setting '" + key + "' is not a number: " + values.get(key));
+        throw new SimulatorProtocolException("setting '" + key + "' is not a number: " + values.get(key));
     }
 
     /** A number, or this one where the key is absent. */
@@ -115,7 +115,7 @@
     private int oneOf(String key, String... words) {
         int i = List.of(words).indexOf(text(key));
         if (i < 0) {
-            throw new WireException("setting '" + key + "' is none of " + String.join(", ", words) + ": " + text(key));
+            throw new SimulatorProtocolException("setting '" + key + "' is none of " + String.join(", ", words) + ": " + text(key));
         }
         return i;
     }
--- a/src/main/java/damsonworks/wire/Drill.java
+++ b/src/main/java/cacheproxy/simulator/SimulatorAdapter.java
@@ -1,13 +1,13 @@
-package damsonworks.wire;
+package cacheproxy.simulator;
 
-import damsonworks.Policy;
-import damsonworks.RoutingApi;
-import damsonworks.RoutingApi.AttemptEnd;
-import damsonworks.RoutingApi.ListKind;
-import damsonworks.RoutingApi.Member;
-import damsonworks.RoutingApi.Outcome;
-import damsonworks.RoutingApi.Request;
-import damsonworks.RoutingApi.State;
+import cacheproxy.policy.RoutingPolicy;
+import cacheproxy.policy.PolicyApi;
+import cacheproxy.policy.PolicyApi.AttemptEnd;
+import cacheproxy.policy.PolicyApi.ListKind;
+import cacheproxy.policy.PolicyApi.Member;
+import cacheproxy.policy.PolicyApi.Outcome;
+import cacheproxy.policy.PolicyApi.Request;
+import cacheproxy.policy.PolicyApi.State;
 import java.io.BufferedInputStream;
 import java.io.DataInputStream;
 import java.io.EOFException;
@@ -23,7 +23,7 @@
 import java.util.List;
 
 /** Reads batches of events, hands each to its instance and writes the replies; decides nothing. */
-public final class Drill {
+public final class SimulatorAdapter {
     private static final int HEADER = 20;
     private static final int RECORD = 48;
     private static final int ENTRY = 22;
@@ -31,14 +31,14 @@
 
     private final DataInputStream in;
     private final OutputStream out;
-    private final RoutingApi[] instances = new RoutingApi[1 << 16];
-    private final ReplyFrame reply = new ReplyFrame();
+    private final PolicyApi[] instances = new PolicyApi[1 << 16];
+    private final ReplyEncoder reply = new ReplyEncoder();
     private ByteBuffer frame = ByteBuffer.allocate(1 << 16).order(ByteOrder.LITTLE_ENDIAN);
     private double now;
     private int batch;
     private int tailStart;
 
-    Drill(InputStream in, OutputStream out) {
+    SimulatorAdapter(InputStream in, OutputStream out) {
         this.in = new DataInputStream(in);
         this.out = out;
     }
@@ -46,9 +46,9 @@
     /** Speaks on standard input and output until the input ends; the process's exit code. */
     public static int main() {
         try {
-            new Drill(new BufferedInputStream(System.in, 1 << 16), new FileOutputStream(FileDescriptor.out)).run();
+            new SimulatorAdapter(new BufferedInputStream(System.in, 1 << 16), new FileOutputStream(FileDescriptor.out)).run();
             return 0;
-        } catch (WireException | IOException e) {
+        } catch (SimulatorProtocolException | IOException e) {
             System.err.println(e.getMessage());
             return 1;
         }
@@ -76,7 +76,7 @@
             in.readFully(frame.array(), 1, 3);
             int length = frame.getInt(0);
             if (length < HEADER) {
-                throw new WireException("after batch " + batch + ": frame of " + length + " bytes, under its header");
+                throw new SimulatorProtocolException("after batch " + batch + ": frame of " + length + " bytes, under its header");
             }
             if (length > frame.capacity()) {
                 ByteBuffer larger = ByteBuffer.allocate(Math.max(length, length * 3 / 2)).order(ByteOrder.LITTLE_ENDIAN);
@@ -86,13 +86,13 @@
             in.readFully(frame.array(), 4, length - 4);
             frame.limit(length);
         } catch (EOFException e) {
-            throw new WireException("after batch " + batch + ": input ends inside a frame");
+            throw new SimulatorProtocolException("after batch " + batch + ": input ends inside a frame");
         }
         now = frame.getDouble(4);
         long count = frame.getInt(12) & 0xFFFFFFFFL;
         batch = frame.getInt(16);
         if (HEADER + count * RECORD > frame.limit()) {
-            throw new WireException("batch " + batch + ": " + count + " records exceed the frame");
+            throw new SimulatorProtocolException("batch " + batch + ": " + count + " records exceed the frame");
         }
         tailStart = (int) (HEADER + count * RECORD);
         return true;
@@ -106,33 +106,33 @@
             if (code == 10) {
                 int text = tailSpan(at + 11, 1);
                 byte[] lines = bytes(text, frame.getInt(at + 15));
-                instances[i] = new Policy(SettingsParser.ofLines(new String(lines, StandardCharsets.UTF_8)).settings(),
+                instances[i] = new RoutingPolicy(SettingsParser.ofLines(new String(lines, StandardCharsets.UTF_8)).settings(),
                         frame.getLong(at + 3));
                 return;
             }
-            RoutingApi target = instances[i];
+            PolicyApi target = instances[i];
             if (target == null) {
-                throw new WireException("unknown instance " + i);
+                throw new SimulatorProtocolException("unknown instance " + i);
             }
             if (code == 100) {
                 instances[i] = null;
             } else {
                 handle(target, code, at);
             }
-        } catch (WireException e) {
-            throw new WireException("batch " + batch + ", record " + record + ": " + e.getMessage());
+        } catch (SimulatorProtocolException e) {
+            throw new SimulatorProtocolException("batch " + batch + ", record " + record + ": " + e.getMessage());
         } catch (RuntimeException e) {
             StackTraceElement[] trace = e.getStackTrace();
             reply.fault("instance " + i + ": " + e + (trace.length > 0 ? " at " + trace[0] : ""));
         }
     }
 
-    private void handle(RoutingApi target, int code, int at) {
+    private void handle(PolicyApi target, int code, int at) {
         switch (code) {
             case 20 -> {
                 int form = frame.get(at + 11) & 255;
                 if (form >= FORMS.length) {
-                    throw new WireException("unknown list form " + form);
+                    throw new SimulatorProtocolException("unknown list form " + form);
                 }
                 target.onList(now, FORMS[form], members(at + 12), reply);
             }
@@ -146,7 +146,7 @@
             case 80 -> target.onProbed(now, frame.getInt(at + 3), outcome(at + 7), frame.getDouble(at + 9),
                     report(at + 17), reply);
             case 90 -> target.onPeer(now, frame.getInt(at + 3), bytes(tailSpan(at + 7, 1), frame.getInt(at + 11)), reply);
-            default -> throw new WireException("unknown event code " + code);
+            default -> throw new SimulatorProtocolException("unknown event code " + code);
         }
     }
 
@@ -165,7 +165,7 @@
         for (int e = start; e < start + count * ENTRY; e += ENTRY) {
             int phase = frame.get(e + 9) & 255;
             if (phase > 2) {
-                throw new WireException("unknown phase " + phase);
+                throw new SimulatorProtocolException("unknown phase " + phase);
             }
             list.add(new Member(frame.getInt(e), frame.getShort(e + 4) & 0xFFFF, frame.get(e + 6) & 255,
                     frame.getShort(e + 7) & 0xFFFF, State.values()[phase], frame.getFloat(e + 10),
@@ -177,7 +177,7 @@
     private float[] report(int at) {
         int n = frame.get(at) & 255;
         if (n > 4) {
-            throw new WireException("load report of " + n + " values");
+            throw new SimulatorProtocolException("load report of " + n + " values");
         }
         if (n == 0) {
             return null;
@@ -201,7 +201,7 @@
             case 305 -> Outcome.RESET;
             case 306 -> Outcome.CANCELLED;
             case 307 -> Outcome.NOT_SENT;
-            default -> throw new WireException("unknown status " + status);
+            default -> throw new SimulatorProtocolException("unknown status " + status);
         };
     }
 
@@ -213,7 +213,7 @@
             return tailStart;
         }
         if (tailStart + offset + length > frame.limit()) {
-            throw new WireException("offset " + offset + " with " + length + " bytes lies outside the tail");
+            throw new SimulatorProtocolException("offset " + offset + " with " + length + " bytes lies outside the tail");
         }
         return (int) (tailStart + offset);
     }
--- a/src/main/java/damsonworks/wire/WireException.java
+++ b/src/main/java/cacheproxy/simulator/SimulatorProtocolException.java
@@ -1,10 +1,10 @@
-package damsonworks.wire;
+package cacheproxy.simulator;
 
 /** Input that is not the wire's; the message names what and where. */
-public final class WireException extends RuntimeException {
+public final class SimulatorProtocolException extends RuntimeException {
     private static final long serialVersionUID = 1L;
 
-    WireException(String message) {
+    SimulatorProtocolException(String message) {
         super(message);
     }
 }
--- a/src/main/java/damsonworks/memory/MemoryFormat.java
+++ b/src/main/java/cacheproxy/snapshot/SnapshotCodec.java
@@ -1,7 +1,7 @@
-package damsonworks.memory;
+package cacheproxy.snapshot;
 
-import damsonworks.knowledge.Knowledge;
-import damsonworks.knowledge.Recollection;
+import cacheproxy.snapshot.state.LearnedState;
+import cacheproxy.snapshot.state.StateSnapshot;
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
 import java.nio.charset.CharacterCodingException;
@@ -18,7 +18,7 @@
  * (RFC 3720, appendix B.4) of its own. No files here. A reader believes no length and no count before it has seen that the bytes are
  * there, and no value that is out of its range.
  */
-public final class MemoryFormat {
+public final class SnapshotCodec {
     /** No file is larger, read or written. */
     public static final int MAX_BYTES = 4 << 20;
     /** Servers of one pool of which something is said. */
@@ -42,7 +42,7 @@
     /** The version in which each kind of section is written, by kind. */
     private static final int[] WRITTEN = {0, 1, 2, 1, 1, 1, 1};
 
-    private MemoryFormat() { }
+    private SnapshotCodec() { }
 
     /**
      * What was read.
@@ -51,7 +51,7 @@
      * @param faults what is damaged, each with its place; empty: the file is whole
      * @param skipped sections that a newer program has written
      */
-    public record Decoded(Recollection content, List<String> faults, List<String> skipped) {
+    public record Decoded(StateSnapshot content, List<String> faults, List<String> skipped) {
         /** Whether it is as it was written. */
         public boolean whole() {
             return content != null && faults.isEmpty();
@@ -65,29 +65,29 @@
      *
      * @throws IllegalArgumentException if it is larger than {@link #MAX_BYTES}
      */
-    public static byte[] encode(Recollection r) {
+    public static byte[] encode(StateSnapshot r) {
         Out out = new Out();
         out.buf.position(HEAD);
         out.section(IDENTITY, () -> out.text(r.site()).putInt(r.me()));
         r.pools().forEach((name, p) -> {
-            Knowledge k = p.knowledge();
-            List<Knowledge.Server> servers = k.servers().subList(0, Math.min(MAX_SERVERS, k.servers().size()));
+            LearnedState k = p.knowledge();
+            List<LearnedState.Server> servers = k.servers().subList(0, Math.min(MAX_SERVERS, k.servers().size()));
             if (!servers.isEmpty()) {
                 out.section(SERVERS, () -> {
                     out.text(name).putInt(servers.size());
-                    for (Knowledge.Server s : servers) {
+                    for (LearnedState.Server s : servers) {
                         out.buf.putInt(s.id()).putDouble(s.bornMs()).putShort((short) Math.min(s.failures(), 0x7FFF))
                                 .putDouble(s.shunnedForMs()).putShort((short) Math.min(s.doubts(), 0x7FFF));
                         out.text(p.addresses().getOrDefault(s.id(), ""));
                     }
                 });
             }
-            Knowledge.Pace pace = k.pace();
+            LearnedState.Pace pace = k.pace();
             out.section(PACE, () -> out.text(name).putDouble(pace.fetchMs()).putDouble(pace.usualCost()).putDouble(pace.usualMs())
                     .putDouble(pace.deviationMs()).putDouble(pace.weight()));
             out.section(LOAD, () -> out.text(name).putDouble(k.fetches().asked()).putDouble(k.fetches().answered())
                     .putDouble(k.crowd().asked()).putDouble(k.crowd().answered()));
-            List<Knowledge.HotKey> keys = k.hot().keys().subList(0, Math.min(MAX_KEYS, k.hot().keys().size()));
+            List<LearnedState.HotKey> keys = k.hot().keys().subList(0, Math.min(MAX_KEYS, k.hot().keys().size()));
             if (!keys.isEmpty()) {
                 out.section(HOT_KEYS, () -> {
                     out.text(name);
@@ -97,10 +97,10 @@
             }
         });
         if (!r.births().isEmpty()) {
-            List<Recollection.Birth> births = r.births().subList(0, Math.min(MAX_SERVERS, r.births().size()));
+            List<StateSnapshot.Birth> births = r.births().subList(0, Math.min(MAX_SERVERS, r.births().size()));
             out.section(BIRTHS, () -> {
                 out.buf.putInt(births.size());
-                for (Recollection.Birth b : births) {
+                for (StateSnapshot.Birth b : births) {
                     out.buf.putInt(b.id()).putDouble(b.bornMs()).put((byte) (b.down() ? 1 : 0));
                     out.text(b.address());
                 }
@@ -239,15 +239,15 @@
         private String site;
         private int me;
         private final Map<String, Parts> pools = new LinkedHashMap<>();
-        private final List<Recollection.Birth> births = new ArrayList<>();
+        private final List<StateSnapshot.Birth> births = new ArrayList<>();
 
         private static final class Parts {
-            private List<Knowledge.Server> servers = List.of();
+            private List<LearnedState.Server> servers = List.of();
             private final Map<Integer, String> addresses = new HashMap<>();
-            private Knowledge.Pace pace = Knowledge.NONE.pace();
-            private Knowledge.Load fetches = Knowledge.NONE.fetches();
-            private Knowledge.Load crowd = Knowledge.NONE.crowd();
-            private Knowledge.HotKeys hot = Knowledge.NONE.hot();
+            private LearnedState.Pace pace = LearnedState.NONE.pace();
+            private LearnedState.Load fetches = LearnedState.NONE.fetches();
+            private LearnedState.Load crowd = LearnedState.NONE.crowd();
+            private LearnedState.HotKeys hot = LearnedState.NONE.hot();
             private String placement = "";
         }
 
@@ -279,10 +279,10 @@
         private Runnable servers(int version, ByteBuffer in) throws CharacterCodingException {
             String pool = text(in);
             int n = count(in, version == 1 ? 24 : 26, MAX_SERVERS);
-            List<Knowledge.Server> servers = new ArrayList<>(n);
+            List<LearnedState.Server> servers = new ArrayList<>(n);
             Map<Integer, String> addresses = new HashMap<>();
             for (int i = 0; i < n; i++) {
-                Knowledge.Server s = new Knowledge.Server(in.getInt(), born(in), in.getShort(), span(in), in.getShort());
+                LearnedState.Server s = new LearnedState.Server(in.getInt(), born(in), in.getShort(), span(in), in.getShort());
                 check(s.failures() >= 0 && s.doubts() >= 0, "failures below 0");
                 servers.add(s);
                 if (version > 1) {
@@ -300,15 +300,15 @@
 
         private Runnable pace(ByteBuffer in) throws CharacterCodingException {
             String pool = text(in);
-            Knowledge.Pace pace = new Knowledge.Pace(span(in), span(in), span(in), span(in), in.getDouble());
+            LearnedState.Pace pace = new LearnedState.Pace(span(in), span(in), span(in), span(in), in.getDouble());
             check(pace.weight() >= 0 && pace.weight() <= 1, "weight " + pace.weight());
             return () -> pool(pool).pace = pace;
         }
 
         private Runnable load(ByteBuffer in) throws CharacterCodingException {
             String pool = text(in);
-            Knowledge.Load fetches = new Knowledge.Load(span(in), span(in));
-            Knowledge.Load crowd = new Knowledge.Load(span(in), span(in));
+            LearnedState.Load fetches = new LearnedState.Load(span(in), span(in));
+            LearnedState.Load crowd = new LearnedState.Load(span(in), span(in));
             return () -> {
                 pool(pool).fetches = fetches;
                 pool(pool).crowd = crowd;
@@ -320,30 +320,30 @@
             String placement = text(in);
             double total = span(in);
             int n = count(in, 12, MAX_KEYS);
-            List<Knowledge.HotKey> keys = new ArrayList<>(n);
+            List<LearnedState.HotKey> keys = new ArrayList<>(n);
             long sum = 0;
             for (int i = 0; i < n; i++) {
-                Knowledge.HotKey k = new Knowledge.HotKey(in.getLong(), in.getInt());
+                LearnedState.HotKey k = new LearnedState.HotKey(in.getLong(), in.getInt());
                 check(k.count() > 0, "a key with count " + k.count());
                 sum += k.count();
                 keys.add(k);
             }
             check(sum <= total, "keys that were asked for more often than all were");
             return () -> {
-                pool(pool).hot = new Knowledge.HotKeys(total, keys);
+                pool(pool).hot = new LearnedState.HotKeys(total, keys);
                 pool(pool).placement = placement;
             };
         }
 
         private Runnable births(ByteBuffer in) throws CharacterCodingException {
             int n = count(in, 15, MAX_SERVERS);
-            List<Recollection.Birth> read = new ArrayList<>(n);
+            List<StateSnapshot.Birth> read = new ArrayList<>(n);
             for (int i = 0; i < n; i++) {
                 int id = in.getInt();
                 double born = born(in);
                 byte down = in.get();
                 check(down == 0 || down == 1, "neither up nor down");
-                read.add(new Recollection.Birth(id, text(in), born, down == 1));
+                read.add(new StateSnapshot.Birth(id, text(in), born, down == 1));
             }
             return () -> births.addAll(read);
         }
@@ -385,11 +385,11 @@
             return StandardCharsets.UTF_8.newDecoder().decode(bytes).toString();
         }
 
-        Recollection recollection(double writtenMs, long generation) {
-            Map<String, Recollection.Pool> by = new LinkedHashMap<>();
-            pools.forEach((name, p) -> by.put(name, new Recollection.Pool(p.placement,
-                    new Knowledge(p.servers, p.pace, p.fetches, p.crowd, p.hot), p.addresses)));
-            return new Recollection(site, me, writtenMs, generation, by, births);
+        StateSnapshot recollection(double writtenMs, long generation) {
+            Map<String, StateSnapshot.Pool> by = new LinkedHashMap<>();
+            pools.forEach((name, p) -> by.put(name, new StateSnapshot.Pool(p.placement,
+                    new LearnedState(p.servers, p.pace, p.fetches, p.crowd, p.hot), p.addresses)));
+            return new StateSnapshot(site, me, writtenMs, generation, by, births);
         }
     }
 }
--- a/src/main/java/damsonworks/memory/Disk.java
+++ b/src/main/java/cacheproxy/snapshot/SnapshotFileSystem.java
@@ -1,4 +1,4 @@
-package damsonworks.memory;
+package cacheproxy.snapshot;
 
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -14,7 +14,7 @@
 import java.util.Set;
 
 /** The few calls of the file system that a memory file needs, one method each, so that tests can end the world between any two. */
-interface Disk {
+interface SnapshotFileSystem {
     /** Writes a file anew, for its owner alone, and forces it to the disk. */
     void write(Path file, byte[] bytes) throws IOException;
 
@@ -35,7 +35,7 @@
     byte[] read(Path file, int most) throws IOException;
 
     /** The machine's. */
-    Disk REAL = new Disk() {
+    SnapshotFileSystem REAL = new SnapshotFileSystem() {
         @Override
         public void write(Path file, byte[] bytes) throws IOException {
             Files.deleteIfExists(file); // what a killed process left there, or a link that somebody laid
--- a/src/main/java/damsonworks/memory/MemoryFiles.java
+++ b/src/main/java/cacheproxy/snapshot/SnapshotStore.java
@@ -1,6 +1,6 @@
-package damsonworks.memory;
+package cacheproxy.snapshot;
 
-import damsonworks.knowledge.Recollection;
+import cacheproxy.snapshot.state.StateSnapshot;
 import java.io.IOException;
 import java.nio.channels.FileChannel;
 import java.nio.channels.FileLock;
@@ -20,17 +20,17 @@
  * over the old one, so that at any moment one of the two is whole. {@code FILE.lock} keeps a second process out.
  * Blocks; not for an event loop, and for one thread at a time.
  */
-public final class MemoryFiles implements AutoCloseable {
+public final class SnapshotStore implements AutoCloseable {
     private final Path file;
     private final Path old;
     private final Path fresh;
-    private final Disk disk;
+    private final SnapshotFileSystem disk;
     private FileChannel lockFile;
     /** Whether what stands under the file's name may take the place of the generation behind it. */
     private boolean whole;
     private long generation;
 
-    MemoryFiles(Path file, Disk disk) {
+    SnapshotStore(Path file, SnapshotFileSystem disk) {
         this.file = file.toAbsolutePath();
         old = sibling(".old");
         fresh = sibling(".new");
@@ -38,8 +38,8 @@
     }
 
     /** The files at this path. */
-    public static MemoryFiles at(Path file) {
-        return new MemoryFiles(file, Disk.REAL);
+    public static SnapshotStore at(Path file) {
+        return new SnapshotStore(file, SnapshotFileSystem.REAL);
     }
 
     private Path sibling(String ending) {
@@ -53,7 +53,7 @@
      * @param older whether it is the generation behind the newest
      * @param notes what was wrong with what was passed over or read in part, each with its file
      */
-    public record Found(Recollection content, boolean older, List<String> notes) { }
+    public record Found(StateSnapshot content, boolean older, List<String> notes) { }
 
     /** Keeps other processes out until this is closed; false: one has the file already. */
     public boolean lock() throws IOException {
@@ -79,11 +79,11 @@
     /** The newest that is whole; where none is, what can be read of the newest. Never throws for what the files hold. */
     public Found read() {
         List<String> notes = new ArrayList<>();
-        MemoryFormat.Decoded newest = decode(file, notes);
+        SnapshotCodec.Decoded newest = decode(file, notes);
         whole = newest != null && newest.whole();
-        MemoryFormat.Decoded before = decode(old, notes);
+        SnapshotCodec.Decoded before = decode(old, notes);
         Found found = choose(newest, before, notes);
-        for (MemoryFormat.Decoded d : new MemoryFormat.Decoded[] {newest, before}) {
+        for (SnapshotCodec.Decoded d : new SnapshotCodec.Decoded[] {newest, before}) {
             if (d != null && d.content() != null) {
                 generation = Math.max(generation, d.content().generation());
             }
@@ -91,7 +91,7 @@
         return found;
     }
 
-    private static Found choose(MemoryFormat.Decoded newest, MemoryFormat.Decoded before, List<String> notes) {
+    private static Found choose(SnapshotCodec.Decoded newest, SnapshotCodec.Decoded before, List<String> notes) {
         if (newest != null && newest.whole()) {
             return new Found(newest.content(), false, notes);
         }
@@ -104,13 +104,13 @@
         return new Found(before == null ? null : before.content(), before != null, notes);
     }
 
-    private MemoryFormat.Decoded decode(Path path, List<String> notes) {
+    private SnapshotCodec.Decoded decode(Path path, List<String> notes) {
         try {
-            byte[] bytes = disk.read(path, MemoryFormat.MAX_BYTES);
+            byte[] bytes = disk.read(path, SnapshotCodec.MAX_BYTES);
             if (bytes == null) {
                 return null;
             }
-            MemoryFormat.Decoded decoded = MemoryFormat.decode(bytes);
+            SnapshotCodec.Decoded decoded = SnapshotCodec.decode(bytes);
             decoded.faults().forEach(f -> notes.add(path + ": " + f));
             decoded.skipped().forEach(f -> notes.add(path + ": skipped, " + f));
             return decoded;
@@ -121,8 +121,8 @@
     }
 
     /** Puts a new generation in the file's place; the number it gets is one more than the last. @return its bytes */
-    public int write(Recollection r) throws IOException {
-        byte[] bytes = MemoryFormat.encode(new Recollection(r.site(), r.me(), r.writtenMs(), generation + 1, r.pools(), r.births()));
+    public int write(StateSnapshot r) throws IOException {
+        byte[] bytes = SnapshotCodec.encode(new StateSnapshot(r.site(), r.me(), r.writtenMs(), generation + 1, r.pools(), r.births()));
         disk.write(fresh, bytes);
         if (whole) { // what is damaged must not push out the last that is whole
             try {
--- a/src/main/java/damsonworks/memory/MemoryWriter.java
+++ b/src/main/java/cacheproxy/snapshot/SnapshotWriter.java
@@ -1,6 +1,6 @@
-package damsonworks.memory;
+package cacheproxy.snapshot;
 
-import damsonworks.knowledge.Recollection;
+import cacheproxy.snapshot.state.StateSnapshot;
 import java.io.IOException;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.locks.Condition;
@@ -12,17 +12,17 @@
  * After each write it rests until the bytes written are within their bound. A disk that fails is told of once, and
  * once more when it works again; the daemon goes on without.
  */
-public final class MemoryWriter {
-    private final MemoryFiles files;
+public final class SnapshotWriter {
+    private final SnapshotStore files;
     private final double bytesPerMs;
     private final Consumer<String> log;
     private final Thread thread;
     private final ReentrantLock lock = new ReentrantLock();
     private final Condition changed = lock.newCondition();
-    private Recollection next;
+    private StateSnapshot next;
     private boolean last;
     private boolean ended;
-    private Recollection written;
+    private StateSnapshot written;
     private String fault;
     private long writes;
     private long bytes;
@@ -33,7 +33,7 @@
      * @param bytesPerSecond bound on what is written, over a time that is long against one write
      * @param log for lines to operators; called on the writer's thread
      */
-    public MemoryWriter(MemoryFiles files, double bytesPerSecond, Consumer<String> log) {
+    public SnapshotWriter(SnapshotStore files, double bytesPerSecond, Consumer<String> log) {
         this.files = files;
         bytesPerMs = bytesPerSecond / 1000;
         this.log = log;
@@ -43,7 +43,7 @@
     }
 
     /** Hands over what is to be written next. Never blocks for long. */
-    public void offer(Recollection r) {
+    public void offer(StateSnapshot r) {
         lock.lock();
         try {
             if (!last) {
@@ -56,7 +56,7 @@
     }
 
     /** Writes this as the last, at once, and ends; returns when it is written, or after so long. */
-    public void finish(Recollection r, long waitMs) throws InterruptedException {
+    public void finish(StateSnapshot r, long waitMs) throws InterruptedException {
         lock.lock();
         try {
             next = r;
@@ -106,7 +106,7 @@
 
     private void run() {
         try {
-            for (Recollection r; (r = take()) != null;) {
+            for (StateSnapshot r; (r = take()) != null;) {
                 if (!same(r, written)) {
                     rest(write(r));
                 }
@@ -123,13 +123,13 @@
     }
 
     /** The next one; null: there will be none. */
-    private Recollection take() throws InterruptedException {
+    private StateSnapshot take() throws InterruptedException {
         lock.lock();
         try {
             while (next == null && !last) {
                 changed.await();
             }
-            Recollection r = next;
+            StateSnapshot r = next;
             next = null;
             return r;
         } finally {
@@ -137,14 +137,14 @@
         }
     }
 
-    private int write(Recollection r) {
+    private int write(StateSnapshot r) {
         int size = 0;
         String why = null;
         try {
             size = files.write(r);
             written = r;
         } catch (IOException e) {
-            why = MemoryFiles.reason(e);
+            why = SnapshotStore.reason(e);
         } catch (IllegalArgumentException e) {
             why = e.getMessage();
         }
@@ -162,7 +162,7 @@
     }
 
     /** Whether nothing has happened but that time went by. */
-    private static boolean same(Recollection a, Recollection b) {
+    private static boolean same(StateSnapshot a, StateSnapshot b) {
         return b != null && a.pools().equals(b.pools()) && a.births().equals(b.births());
     }
 
--- a/src/main/java/damsonworks/knowledge/Knowledge.java
+++ b/src/main/java/cacheproxy/snapshot/state/LearnedState.java
@@ -1,4 +1,4 @@
-package damsonworks.knowledge;
+package cacheproxy.snapshot.state;
 
 import java.util.List;
 
@@ -11,9 +11,9 @@
  * @param fetches what the origin was lately asked for and answered in time
  * @param crowd the same for attempts at cache servers
  */
-public record Knowledge(List<Server> servers, Pace pace, Load fetches, Load crowd, HotKeys hot) {
+public record LearnedState(List<Server> servers, Pace pace, Load fetches, Load crowd, HotKeys hot) {
     /** Nothing is known. */
-    public static final Knowledge NONE = new Knowledge(List.of(), new Pace(0, 0, 0, 0, 0), new Load(0, 0), new Load(0, 0),
+    public static final LearnedState NONE = new LearnedState(List.of(), new Pace(0, 0, 0, 0, 0), new Load(0, 0), new Load(0, 0),
             new HotKeys(0, List.of()));
 
     /**
--- a/src/main/java/damsonworks/knowledge/Recollection.java
+++ b/src/main/java/cacheproxy/snapshot/state/StateSnapshot.java
@@ -1,4 +1,4 @@
-package damsonworks.knowledge;
+package cacheproxy.snapshot.state;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -15,7 +15,7 @@
  * @param generation counts the writings of one proxy, from 1
  * @param births when servers started that no list tells of
  */
-public record Recollection(String site, int me, double writtenMs, long generation, Map<String, Pool> pools, List<Birth> births) {
+public record StateSnapshot(String site, int me, double writtenMs, long generation, Map<String, Pool> pools, List<Birth> births) {
     /** Clocks of one machine agree better than this. */
     static final double FUTURE_MS = 1000;
     /** Starts longer ago than this say nothing: no server is cold for so long. */
@@ -29,7 +29,7 @@
      * @param placement what the numbers of its keys depend on
      * @param addresses where the servers stood that something is said of, by id; a missing one is not known
      */
-    public record Pool(String placement, Knowledge knowledge, Map<Integer, String> addresses) { }
+    public record Pool(String placement, LearnedState knowledge, Map<Integer, String> addresses) { }
 
     /**
      * A server's start, in Unix time.
@@ -61,15 +61,15 @@
      * @param servers those on its list
      * @param trust 1 for one's own, less for another's
      */
-    public Knowledge left(String pool, String placement, double now, double trust, List<Present> servers) {
+    public LearnedState left(String pool, String placement, double now, double trust, List<Present> servers) {
         Pool p = pools.get(pool);
         if (p == null) {
-            return Knowledge.NONE;
+            return LearnedState.NONE;
         }
         Map<Integer, Present> present = new HashMap<>();
         servers.forEach(s -> present.put(s.id(), s));
-        List<Knowledge.Server> fitting = new ArrayList<>();
-        for (Knowledge.Server s : p.knowledge().servers()) {
+        List<LearnedState.Server> fitting = new ArrayList<>();
+        for (LearnedState.Server s : p.knowledge().servers()) {
             Present at = present.get(s.id());
             String address = p.addresses().get(s.id());
             if (at != null && at.bornMs() == s.bornMs() && (address == null || address.equals(at.address()))) {
@@ -79,9 +79,9 @@
         if (fitting.stream().filter(s -> s.failures() > 0).count() > MOST_FAILING * servers.size()) {
             fitting.clear();
         }
-        Knowledge k = p.knowledge();
-        return Ageing.aged(new Knowledge(fitting, k.pace(), k.fetches(), k.crowd(),
-                p.placement().equals(placement) ? k.hot() : Knowledge.NONE.hot()), Math.max(0, now - writtenMs), trust);
+        LearnedState k = p.knowledge();
+        return StateDecay.aged(new LearnedState(fitting, k.pace(), k.fetches(), k.crowd(),
+                p.placement().equals(placement) ? k.hot() : LearnedState.NONE.hot()), Math.max(0, now - writtenMs), trust);
     }
 
     /** Starts that still matter, where the servers stand as they stood. */
--- a/src/test/java/damsonworks/DaemonJarIT.java
+++ b/src/test/java/cacheproxy/DaemonJarIT.java
@@ -1,8 +1,8 @@
-package damsonworks;
+package cacheproxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.knowledge.Recollection;
+import cacheproxy.snapshot.state.StateSnapshot;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
@@ -33,7 +33,7 @@
     }
 
     private static Result run(String... words) throws Exception {
-        List<String> line = new ArrayList<>(List.of("-jar", "target/damsonworks.jar"));
+        List<String> line = new ArrayList<>(List.of("-jar", "target/cache-proxy.jar"));
         line.addAll(List.of(words));
         Process p = start(line.toArray(new String[0]));
         String out = new String(p.getInputStream().readAllBytes());
@@ -89,7 +89,7 @@
         String text = Files.readString(Path.of("deploy/coralbay.toml")).replace("127.0.0.1:11211", "127.0.0.1:" + port)
                 .replace("127.0.0.1:11212", "127.0.0.1:0");
         Files.writeString(file, text);
-        Process p = start("-jar", "target/damsonworks.jar", "run", file.toString());
+        Process p = start("-jar", "target/cache-proxy.jar", "run", file.toString());
         try {
             BufferedReader err = new BufferedReader(new InputStreamReader(p.getErrorStream()));
             assertThat(err.readLine()).isEqualTo("listening on 127.0.0.1:" + port + " (open)");
@@ -129,7 +129,7 @@
         assertThat(run("check", file.toString()).code).isZero();
         long generation = 0;
         for (int i = 0; i < 5; i++) {
-            Process p = start("-jar", "target/damsonworks.jar", "run", file.toString());
+            Process p = start("-jar", "target/cache-proxy.jar", "run", file.toString());
             try {
                 BufferedReader err = new BufferedReader(new InputStreamReader(p.getErrorStream()));
                 String line = err.readLine();
@@ -145,12 +145,12 @@
                     for (boolean told = false; !told;) {
                         client.getOutputStream().write("mg page/1 v\r\n".getBytes());
                         assertThat(in.readLine()).startsWith("SERVER_ERROR");
-                        Recollection r = Files.exists(memory) ? damsonworks.memory.MemoryFiles.at(memory).read().content() : null;
+                        StateSnapshot r = Files.exists(memory) ? cacheproxy.snapshot.SnapshotStore.at(memory).read().content() : null;
                         told = r != null && r.generation() > generation + 1 && r.pools().values().stream().anyMatch(
                                 k -> !k.knowledge().servers().isEmpty());
                     }
                 }
-                assertThat(damsonworks.memory.MemoryFiles.at(memory).lock()).as("a second process must run without").isFalse();
+                assertThat(cacheproxy.snapshot.SnapshotStore.at(memory).lock()).as("a second process must run without").isFalse();
             } finally {
                 p.destroyForcibly().waitFor();
             }
@@ -158,7 +158,7 @@
                 assertThat(r.code).as(r.err).isZero();
                 assertThat(r.out).contains("whole, generation ");
             });
-            generation = damsonworks.memory.MemoryFiles.at(memory).read().content().generation();
+            generation = cacheproxy.snapshot.SnapshotStore.at(memory).read().content().generation();
         }
         assertThat(run("memory", "show", memory.toString())).satisfies(r -> {
             assertThat(r.code).isZero();
@@ -187,14 +187,14 @@
     @Test
     void thePlatformsCommandsLoadNoneOfTheDaemonsClasses() throws Exception {
         ProcessBuilder b = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-Xlog:class+load:stdout", "-jar", "target/damsonworks.jar", "train");
+                "-Xlog:class+load:stdout", "-jar", "target/cache-proxy.jar", "train");
         b.environment().put("BALANCER_CONFIG", "src/test/resources/config.json");
         b.environment().put("TMPDIR", folder.toString());
         Process p = b.redirectErrorStream(true).start();
         String loaded = new String(p.getInputStream().readAllBytes());
         assertThat(p.waitFor()).isZero();
-        assertThat(loaded).contains("damsonworks.proxy.Dispatcher ");
-        assertThat(loaded.lines().filter(l -> l.matches(".*(damsonworks\\.(cli|daemon|routes|limits|standin|bench)\\."
-                + "|damsonworks\\.config\\.(Daemon|Section)|damsonworks\\.(nginx|hooks|knowledge|memory|icp|htcp|siblings\\.(?!Siblings))|org\\.tomlj|picocli|re2j|antlr|dylibso).*"))).isEmpty();
+        assertThat(loaded).contains("cacheproxy.proxy.Dispatcher ");
+        assertThat(loaded.lines().filter(l -> l.matches(".*(cacheproxy\\.(cli|daemon|routes|limits|standin|bench)\\."
+                + "|cacheproxy\\.config\\.(Daemon|Section)|cacheproxy\\.(nginx|hooks|knowledge|memory|icp|htcp|siblings\\.(?!Siblings))|org\\.tomlj|picocli|re2j|antlr|dylibso).*"))).isEmpty();
     }
 }
--- a/src/test/java/damsonworks/JarIT.java
+++ b/src/test/java/cacheproxy/JarIT.java
@@ -1,4 +1,4 @@
-package damsonworks;
+package cacheproxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -29,7 +29,7 @@
 
     private Process start(String command, String config, String... flags) throws IOException {
         List<String> words = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-jar", "target/damsonworks.jar", command));
+                "-jar", "target/cache-proxy.jar", command));
         words.addAll(List.of(flags));
         ProcessBuilder builder = new ProcessBuilder(words);
         builder.environment().put("TMPDIR", folder.toString());
@@ -137,7 +137,7 @@
         try (ServerSocket discovery = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
             int control = freePort();
             Path config = withControl(freePort(), control);
-            ProcessBuilder builder = new ProcessBuilder("sh", "-c", "trap '' HUP; exec \"$0\" -jar target/damsonworks.jar serve",
+            ProcessBuilder builder = new ProcessBuilder("sh", "-c", "trap '' HUP; exec \"$0\" -jar target/cache-proxy.jar serve",
                     Path.of(System.getProperty("java.home"), "bin", "java").toString());
             builder.environment().put("TMPDIR", folder.toString());
             builder.environment().put("BALANCER_CONFIG", config.toString());
--- a/src/test/java/damsonworks/ModuleSizeTest.java
+++ b/src/test/java/cacheproxy/ModuleSizeTest.java
@@ -1,4 +1,4 @@
-package damsonworks;
+package cacheproxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/damsonworks/PolicyRecallTest.java
+++ b/src/test/java/cacheproxy/PolicyRecallTest.java
@@ -1,12 +1,12 @@
-package damsonworks;
+package cacheproxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.RoutingApi.Group;
-import damsonworks.RoutingApi.Outcome;
-import damsonworks.RoutingApi.Request;
-import damsonworks.RoutingApi.State;
-import damsonworks.knowledge.Knowledge;
+import cacheproxy.policy.PolicyApi.Group;
+import cacheproxy.policy.PolicyApi.Outcome;
+import cacheproxy.policy.PolicyApi.Request;
+import cacheproxy.policy.PolicyApi.State;
+import cacheproxy.snapshot.state.LearnedState;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -20,12 +20,12 @@
         return new Rig(Rig.withoutProbes(Rig.settings(true, false, true, Group.ALL))).fleet(servers);
     }
 
-    private static Knowledge bad(double shunnedForMs, int... ids) {
-        List<Knowledge.Server> servers = new ArrayList<>();
+    private static LearnedState bad(double shunnedForMs, int... ids) {
+        List<LearnedState.Server> servers = new ArrayList<>();
         for (int id : ids) {
-            servers.add(new Knowledge.Server(id, 0, 3, shunnedForMs, 0));
+            servers.add(new LearnedState.Server(id, 0, 3, shunnedForMs, 0));
         }
-        return new Knowledge(servers, Knowledge.NONE.pace(), Knowledge.NONE.fetches(), Knowledge.NONE.crowd(), Knowledge.NONE.hot());
+        return new LearnedState(servers, LearnedState.NONE.pace(), LearnedState.NONE.fetches(), LearnedState.NONE.crowd(), LearnedState.NONE.hot());
     }
 
     /** The servers that these reads go to first. */
@@ -47,7 +47,7 @@
         int slow = first.last().server();
         first.end(first.last(), Outcome.TIMEOUT);
         first.endAfter(first.last(), Outcome.OK, 5);
-        Knowledge told = first.policy.knowledge(first.now, 10);
+        LearnedState told = first.policy.knowledge(first.now, 10);
         assertThat(told.servers()).singleElement().satisfies(s -> {
             assertThat(s.id()).isEqualTo(slow);
             assertThat(s.failures()).isPositive();
@@ -92,7 +92,7 @@
         rig.pass(10_000);
         assertThat(firsts(rig, 1, 100)).contains(3);
         rig.end(placedAt(rig, 1), Outcome.CONNECT_FAILED);
-        Knowledge before = rig.policy.knowledge(rig.now, 0);
+        LearnedState before = rig.policy.knowledge(rig.now, 0);
         rig.policy.recall(rig.now, bad(1, 1));
         assertThat(rig.policy.knowledge(rig.now, 0).servers()).isEqualTo(before.servers());
     }
@@ -125,7 +125,7 @@
             int servers = 2 + random.nextInt(8);
             Rig with = rig(servers);
             Rig without = rig(servers);
-            Knowledge worst = worst(random, servers);
+            LearnedState worst = worst(random, servers);
             int age = random.nextInt(8000);
             int fresh = 1 + random.nextInt(servers);
             for (Rig r : List.of(with, without)) {
@@ -151,17 +151,17 @@
                 .findFirst().orElse(-1);
     }
 
-    private static Knowledge worst(SplittableRandom random, int servers) {
-        List<Knowledge.Server> facts = new ArrayList<>();
+    private static LearnedState worst(SplittableRandom random, int servers) {
+        List<LearnedState.Server> facts = new ArrayList<>();
         for (int id = 1; id <= servers; id++) {
             if (random.nextInt(3) > 0) {
-                facts.add(new Knowledge.Server(id, 0, 1 + random.nextInt(30_000), random.nextDouble() * 1e9, random.nextInt(5)));
+                facts.add(new LearnedState.Server(id, 0, 1 + random.nextInt(30_000), random.nextDouble() * 1e9, random.nextInt(5)));
             }
         }
-        return new Knowledge(facts, new Knowledge.Pace(random.nextDouble() * 1e3, 1, random.nextDouble() * 300, 1, 1),
-                new Knowledge.Load(random.nextInt(1000), random.nextInt(1000)),
-                new Knowledge.Load(random.nextInt(100), 100 + random.nextInt(1000)),
-                new Knowledge.HotKeys(1e6, List.of(new Knowledge.HotKey(random.nextLong(), 1000))));
+        return new LearnedState(facts, new LearnedState.Pace(random.nextDouble() * 1e3, 1, random.nextDouble() * 300, 1, 1),
+                new LearnedState.Load(random.nextInt(1000), random.nextInt(1000)),
+                new LearnedState.Load(random.nextInt(100), 100 + random.nextInt(1000)),
+                new LearnedState.HotKeys(1e6, List.of(new LearnedState.HotKey(random.nextLong(), 1000))));
     }
 
     /** A hot key is fair to a cold server by its part of all; what is remembered of others' keys must not swell that all. */
@@ -176,8 +176,8 @@
                     rig.change(Rig.member(id, State.READY, rig.now - 7900));
                 }
                 if (k == 1) {
-                    rig.policy.recall(rig.now, new Knowledge(List.of(), Knowledge.NONE.pace(), Knowledge.NONE.fetches(),
-                            Knowledge.NONE.crowd(), new Knowledge.HotKeys(1e6, List.of())));
+                    rig.policy.recall(rig.now, new LearnedState(List.of(), LearnedState.NONE.pace(), LearnedState.NONE.fetches(),
+                            LearnedState.NONE.crowd(), new LearnedState.HotKeys(1e6, List.of())));
                 }
                 for (int i = 1; i <= 5; i++) { // under the count from which a key is spread
                     rig.read(i, 77L + round);
@@ -190,18 +190,18 @@
 
     @Test
     void pressureIsRememberedAndNeverLoosensAThrottle() {
-        Knowledge.Load jam = new Knowledge.Load(400, 40);
-        Knowledge.Load calm = new Knowledge.Load(400, 400);
-        assertThat(refused(Knowledge.NONE.crowd(), 0)).isZero();
+        LearnedState.Load jam = new LearnedState.Load(400, 40);
+        LearnedState.Load calm = new LearnedState.Load(400, 400);
+        assertThat(refused(LearnedState.NONE.crowd(), 0)).isZero();
         assertThat(refused(jam, 0)).as("at once").isGreaterThan(20);
         // An origin that answers nothing: earlier answers must not let more through than nothing remembered does.
-        assertThat(refused(calm, 200)).isGreaterThanOrEqualTo(refused(Knowledge.NONE.crowd(), 200));
+        assertThat(refused(calm, 200)).isGreaterThanOrEqualTo(refused(LearnedState.NONE.crowd(), 200));
     }
 
     /** How many of a hundred misses are not fetched, with the origin answering, after so many fetches that had no answer. */
-    private static int refused(Knowledge.Load fetches, int unanswered) {
+    private static int refused(LearnedState.Load fetches, int unanswered) {
         Rig rig = rig(4);
-        rig.policy.recall(rig.now, new Knowledge(List.of(), Knowledge.NONE.pace(), fetches, Knowledge.NONE.crowd(), Knowledge.NONE.hot()));
+        rig.policy.recall(rig.now, new LearnedState(List.of(), LearnedState.NONE.pace(), fetches, LearnedState.NONE.crowd(), LearnedState.NONE.hot()));
         int refused = 0;
         for (int i = 1; i <= unanswered + 100; i++) {
             int before = rig.denied.size();
@@ -225,7 +225,7 @@
                     false, false), first);
             first.endAfter(first.last(), Outcome.OK, 5);
         }
-        Knowledge told = first.policy.knowledge(first.now, 10);
+        LearnedState told = first.policy.knowledge(first.now, 10);
         assertThat(told.hot().keys()).first().satisfies(k -> {
             assertThat(k.key()).isEqualTo(99);
             assertThat(k.count()).isEqualTo(100);
@@ -260,17 +260,17 @@
 
     @Test
     void theUsualPaceIsTakenOverByItsWeight() {
-        Knowledge.Pace usual = new Knowledge.Pace(80, 3, 20, 4, 1);
+        LearnedState.Pace usual = new LearnedState.Pace(80, 3, 20, 4, 1);
         Rig rig = rig(4);
-        Knowledge.Pace own = rig.policy.knowledge(rig.now, 0).pace();
-        rig.policy.recall(rig.now, new Knowledge(List.of(), usual, Knowledge.NONE.fetches(), Knowledge.NONE.crowd(), Knowledge.NONE.hot()));
+        LearnedState.Pace own = rig.policy.knowledge(rig.now, 0).pace();
+        rig.policy.recall(rig.now, new LearnedState(List.of(), usual, LearnedState.NONE.fetches(), LearnedState.NONE.crowd(), LearnedState.NONE.hot()));
         assertThat(rig.policy.knowledge(rig.now, 0).pace()).isEqualTo(usual);
         Rig half = rig(4);
-        half.policy.recall(half.now, new Knowledge(List.of(), new Knowledge.Pace(80, 3, 20, 4, 0.5), Knowledge.NONE.fetches(),
-                Knowledge.NONE.crowd(), Knowledge.NONE.hot()));
+        half.policy.recall(half.now, new LearnedState(List.of(), new LearnedState.Pace(80, 3, 20, 4, 0.5), LearnedState.NONE.fetches(),
+                LearnedState.NONE.crowd(), LearnedState.NONE.hot()));
         assertThat(half.policy.knowledge(half.now, 0).pace().usualMs()).isEqualTo((own.usualMs() + 20) / 2);
         Rig none = rig(4);
-        none.policy.recall(none.now, Knowledge.NONE);
+        none.policy.recall(none.now, LearnedState.NONE);
         assertThat(none.policy.knowledge(none.now, 0).pace()).isEqualTo(own);
     }
 }
--- a/src/test/java/damsonworks/PolicySiblingsTest.java
+++ b/src/test/java/cacheproxy/PolicySiblingsTest.java
@@ -1,16 +1,18 @@
-package damsonworks;
+package cacheproxy;
+
+import cacheproxy.policy.RoutingPolicy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.RoutingApi.Group;
-import damsonworks.RoutingApi.ListKind;
-import damsonworks.RoutingApi.Member;
-import damsonworks.RoutingApi.Outcome;
-import damsonworks.RoutingApi.Settings;
-import damsonworks.RoutingApi.State;
-import damsonworks.placement.Admission;
-import damsonworks.placement.CarpPlacement;
-import damsonworks.siblings.Siblings;
+import cacheproxy.policy.PolicyApi.Group;
+import cacheproxy.policy.PolicyApi.ListKind;
+import cacheproxy.policy.PolicyApi.Member;
+import cacheproxy.policy.PolicyApi.Outcome;
+import cacheproxy.policy.PolicyApi.Settings;
+import cacheproxy.policy.PolicyApi.State;
+import cacheproxy.placement.AdmissionControl;
+import cacheproxy.placement.CarpPlacement;
+import cacheproxy.siblings.Siblings;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -43,7 +45,7 @@
 
     private Rig rig(boolean copies) {
         Settings s = Rig.withoutProbes(Rig.settings(true, false, copies, Group.ALL));
-        Rig rig = new Rig(s, new Policy(s, 42, CarpPlacement::new, Admission.OPEN, siblings));
+        Rig rig = new Rig(s, new RoutingPolicy(s, 42, CarpPlacement::new, AdmissionControl.OPEN, siblings));
         rig.fleet(4);
         rig.policy.onList(rig.now, ListKind.CHANGES, List.of(new Member(SIBLING, 0, 0, 0, State.READY, 1, 0)), rig);
         return rig;
--- a/src/test/java/damsonworks/RandomRulesTest.java
+++ b/src/test/java/cacheproxy/RandomRulesTest.java
@@ -1,17 +1,20 @@
-package damsonworks;
+package cacheproxy;
+
+import cacheproxy.policy.PolicyApi;
+import cacheproxy.policy.RoutingPolicy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.RoutingApi.AttemptEnd;
-import damsonworks.RoutingApi.Effect;
-import damsonworks.RoutingApi.Group;
-import damsonworks.RoutingApi.ListKind;
-import damsonworks.RoutingApi.Member;
-import damsonworks.RoutingApi.Outcome;
-import damsonworks.RoutingApi.Request;
-import damsonworks.RoutingApi.ServiceClass;
-import damsonworks.RoutingApi.Settings;
-import damsonworks.RoutingApi.State;
+import cacheproxy.policy.PolicyApi.AttemptEnd;
+import cacheproxy.policy.PolicyApi.Effect;
+import cacheproxy.policy.PolicyApi.Group;
+import cacheproxy.policy.PolicyApi.ListKind;
+import cacheproxy.policy.PolicyApi.Member;
+import cacheproxy.policy.PolicyApi.Outcome;
+import cacheproxy.policy.PolicyApi.Request;
+import cacheproxy.policy.PolicyApi.ServiceClass;
+import cacheproxy.policy.PolicyApi.Settings;
+import cacheproxy.policy.PolicyApi.State;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -73,10 +76,10 @@
         }
     }
 
-    private static final class World implements RoutingApi.Actions {
+    private static final class World implements PolicyApi.Actions {
         final Settings cfg;
         final Random random;
-        final Policy policy;
+        final RoutingPolicy policy;
         final Map<Integer, Held> held = new HashMap<>();
         final List<Held> live = new ArrayList<>();
         final Map<Integer, Member> list = new HashMap<>();
@@ -91,7 +94,7 @@
         World(Settings cfg, long seed) {
             this.cfg = cfg;
             random = new Random(seed);
-            policy = new Policy(cfg, seed);
+            policy = new RoutingPolicy(cfg, seed);
             List<Member> first = new ArrayList<>();
             for (int id = 1; id <= 10; id++) {
                 first.add(Rig.member(id, State.READY, 0));
--- a/src/test/java/damsonworks/Rig.java
+++ b/src/test/java/cacheproxy/Rig.java
@@ -1,64 +1,67 @@
-package damsonworks;
-
-import damsonworks.RoutingApi.AttemptEnd;
-import damsonworks.RoutingApi.Effect;
-import damsonworks.RoutingApi.Group;
-import damsonworks.RoutingApi.ListKind;
-import damsonworks.RoutingApi.Member;
-import damsonworks.RoutingApi.Outcome;
-import damsonworks.RoutingApi.Reports;
-import damsonworks.RoutingApi.Request;
-import damsonworks.RoutingApi.ServiceClass;
-import damsonworks.RoutingApi.Settings;
-import damsonworks.RoutingApi.State;
-import damsonworks.RoutingApi.Tenant;
+package cacheproxy;
+
+import cacheproxy.policy.PolicyApi;
+import cacheproxy.policy.RoutingPolicy;
+
+import cacheproxy.policy.PolicyApi.AttemptEnd;
+import cacheproxy.policy.PolicyApi.Effect;
+import cacheproxy.policy.PolicyApi.Group;
+import cacheproxy.policy.PolicyApi.ListKind;
+import cacheproxy.policy.PolicyApi.Member;
+import cacheproxy.policy.PolicyApi.Outcome;
+import cacheproxy.policy.PolicyApi.Reports;
+import cacheproxy.policy.PolicyApi.Request;
+import cacheproxy.policy.PolicyApi.ServiceClass;
+import cacheproxy.policy.PolicyApi.Settings;
+import cacheproxy.policy.PolicyApi.State;
+import cacheproxy.policy.PolicyApi.Tenant;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
 /** One instance with its orders written down; time is a field the tests move. */
-final class Rig implements RoutingApi.Actions {
-    static final int ORIGIN = 9000;
-    static final int SAFE = 0;
-    static final int KEYED = 1;
-    static final int UNSAFE = 2;
+public final class Rig implements PolicyApi.Actions {
+    public static final int ORIGIN = 9000;
+    public static final int SAFE = 0;
+    public static final int KEYED = 1;
+    public static final int UNSAFE = 2;
 
     /** A place order. */
-    record Placed(int request, int attempt, int server, double timeoutMs) { }
+    public record Placed(int request, int attempt, int server, double timeoutMs) { }
 
     /** A timer order. */
     record Timer(double at, int token) { }
 
-    final List<Placed> placed = new ArrayList<>();
-    final List<Integer> denied = new ArrayList<>();
+    public final List<Placed> placed = new ArrayList<>();
+    public final List<Integer> denied = new ArrayList<>();
     /** Times to come back that the refusals told, in milliseconds. */
-    final List<Double> waits = new ArrayList<>();
-    final List<Integer> failed = new ArrayList<>();
-    final List<String> cancelled = new ArrayList<>();
+    public final List<Double> waits = new ArrayList<>();
+    public final List<Integer> failed = new ArrayList<>();
+    public final List<String> cancelled = new ArrayList<>();
     final List<Integer> asked = new ArrayList<>();
-    final List<Integer> probed = new ArrayList<>();
+    public final List<Integer> probed = new ArrayList<>();
     final List<Timer> timers = new ArrayList<>();
-    final List<String> orders = new ArrayList<>();
+    public final List<String> orders = new ArrayList<>();
     final Map<Integer, Integer> attempts = new HashMap<>();
-    final Policy policy;
-    int watches;
-    double now = 1000;
+    public final RoutingPolicy policy;
+    public int watches;
+    public double now = 1000;
 
-    Rig(Settings settings) {
-        this(settings, new Policy(settings, 42));
+    public Rig(Settings settings) {
+        this(settings, new RoutingPolicy(settings, 42));
     }
 
-    Rig(Settings settings, Policy policy) {
+    public Rig(Settings settings, RoutingPolicy policy) {
         this.policy = policy;
     }
 
-    static Settings settings(boolean aside, boolean ask, boolean copies, Group group) {
+    public static Settings settings(boolean aside, boolean ask, boolean copies, Group group) {
         return settings(aside, ask, copies, group, List.of(new Tenant("a", 1, 100)));
     }
 
     /** Two tenants with these quotas; what they send over them is worth a tenth. */
-    static Settings tenants(double first, double second) {
+    public static Settings tenants(double first, double second) {
         return settings(true, false, false, Group.ALL,
                 List.of(new Tenant("a", 0.5, first), new Tenant("b", 0.5, second)));
     }
@@ -74,7 +77,7 @@
     }
 
     /** The same, where servers may not be probed. */
-    static Settings withoutProbes(Settings s) {
+    public static Settings withoutProbes(Settings s) {
         return new Settings(s.me(), s.instances(), s.zone(), s.zones(), s.kinds(), s.askForList(), s.aside(),
                 s.originKind(), s.reports(), s.reportNames(), s.worthByWork(), s.overShareWorth(), s.mayCancel(), false,
                 s.peers(), s.secondCopies(), s.retryAdvice(), s.maxAttempts(), s.maxRetryAfterMs(),
@@ -84,16 +87,16 @@
     }
 
     /** Aside mode, list pushed, no second copies: the ordinary case. */
-    static Rig aside() {
+    public static Rig aside() {
         return new Rig(settings(true, false, false, Group.ALL));
     }
 
-    static Member member(int id, State state, double born) {
+    public static Member member(int id, State state, double born) {
         return new Member(id, id % 2, id == ORIGIN ? 1 : 0, id / 4, state, 1, born);
     }
 
     /** Servers 1 to n, and the origin, all ready for long. */
-    Rig fleet(int n) {
+    public Rig fleet(int n) {
         List<Member> list = new ArrayList<>();
         list.add(member(ORIGIN, State.READY, 0));
         for (int id = 1; id <= n; id++) {
@@ -103,38 +106,38 @@
         return this;
     }
 
-    void change(Member... members) {
+    public void change(Member... members) {
         policy.onList(now, ListKind.CHANGES, List.of(members), this);
     }
 
-    void read(int id, long key) {
+    public void read(int id, long key) {
         policy.onRequest(now, new Request(id, SAFE, 0, key, now + 1000, Double.NaN, 0, false, false), this);
     }
 
-    void write(int id, int serviceClass) {
+    public void write(int id, int serviceClass) {
         policy.onRequest(now, new Request(id, serviceClass, 0, 7, now + 1000, Double.NaN, 0, true, false), this);
     }
 
-    Placed last() {
+    public Placed last() {
         return placed.get(placed.size() - 1);
     }
 
-    void end(Placed p, Outcome outcome) {
+    public void end(Placed p, Outcome outcome) {
         end(p, outcome, outcome == Outcome.OK, 0);
     }
 
-    void end(Placed p, Outcome outcome, boolean over, int note) {
+    public void end(Placed p, Outcome outcome, boolean over, int note) {
         policy.onAttemptEnd(now, new AttemptEnd(p.request(), p.attempt(), p.server(), outcome, 10, over, note, null), this);
     }
 
     /** Ends an attempt with its final answer after so long. */
-    void endAfter(Placed p, Outcome outcome, double elapsedMs) {
+    public void endAfter(Placed p, Outcome outcome, double elapsedMs) {
         policy.onAttemptEnd(now, new AttemptEnd(p.request(), p.attempt(), p.server(), outcome, elapsedMs, true, 0, null),
                 this);
     }
 
     /** Moves time on, firing the timers that come due, in order. */
-    void pass(double ms) {
+    public void pass(double ms) {
         double until = now + ms;
         while (true) {
             Timer next = null;
@@ -153,7 +156,7 @@
         now = until;
     }
 
-    int answers() {
+    public int answers() {
         return denied.size() + failed.size();
     }
 
--- a/src/test/java/damsonworks/ServeProcess.java
+++ b/src/test/java/cacheproxy/ServeProcess.java
@@ -1,9 +1,9 @@
-package damsonworks;
+package cacheproxy;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
-import damsonworks.standin.ScriptedServer;
+import cacheproxy.fakes.ScriptedServer;
 import java.io.BufferedInputStream;
 import java.io.IOException;
 import java.io.InputStream;
@@ -92,7 +92,7 @@
         Path file = folder.resolve("config.json");
         Files.writeString(file, config.toString());
         ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC",
-                "-XX:TieredStopAtLevel=1", "-jar", "target/damsonworks.jar", "serve");
+                "-XX:TieredStopAtLevel=1", "-jar", "target/cache-proxy.jar", "serve");
         builder.environment().put("TMPDIR", folder.toString());
         builder.environment().put("BALANCER_CONFIG", file.toString());
         builder.redirectError(folder.resolve("stderr").toFile());
--- a/src/test/java/damsonworks/ci/KnownRed.java
+++ b/src/test/java/cacheproxy/ci/KnownRed.java
@@ -1,4 +1,4 @@
-package damsonworks.ci;
+package cacheproxy.ci;
 
 import java.io.IOException;
 import java.io.UncheckedIOException;
--- a/src/test/java/damsonworks/ci/KnownRedTest.java
+++ b/src/test/java/cacheproxy/ci/KnownRedTest.java
@@ -1,4 +1,4 @@
-package damsonworks.ci;
+package cacheproxy.ci;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/damsonworks/cli/HookCommandTest.java
+++ b/src/test/java/cacheproxy/cli/HookCommandTest.java
@@ -1,4 +1,4 @@
-package damsonworks.cli;
+package cacheproxy.cli;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/damsonworks/config/DaemonFileReaderTest.java
+++ b/src/test/java/cacheproxy/config/DaemonConfigReaderTest.java
@@ -1,4 +1,4 @@
-package damsonworks.config;
+package cacheproxy.config;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /** The daemon's file: what it says, and each error by its place. */
-class DaemonFileReaderTest {
+class DaemonConfigReaderTest {
     static final String GOOD = """
             [[class]]
             name = "page"
@@ -44,7 +44,7 @@
     private Path folder;
 
     private static List<String> errors(String text) {
-        return catchThrowableOfType(ConfigException.class, () -> DaemonFileReader.parse("f", text)).errors();
+        return catchThrowableOfType(ConfigException.class, () -> DaemonConfigReader.parse("f", text)).errors();
     }
 
     private static String with(String anchor, String line) {
@@ -53,7 +53,7 @@
 
     @Test
     void aGoodFileSaysWhatIsRun() throws Exception {
-        DaemonFile f = DaemonFileReader.parse("f", with("name = \"a\"", "fallback = \"b\"\nretry_share = 0.5"));
+        DaemonConfig f = DaemonConfigReader.parse("f", with("name = \"a\"", "fallback = \"b\"\nretry_share = 0.5"));
         assertThat(f.pools().keySet()).containsExactly("a", "b");
         assertThat(f.chain(List.of("a"))).containsExactly("a", "b");
         assertThat(f.pools().get("a").retryShare()).isEqualTo(0.5);
@@ -63,9 +63,9 @@
 
     @Test
     void theExampleInTheRepositoryIsGood() throws Exception {
-        assertThat(DaemonFileReader.read(Path.of("deploy/coralbay.toml")).routes().routes()).isNotEmpty();
-        assertThat(DaemonFileReader.read(Path.of("deploy/duties.toml")).part(FleetSection.class).duties()).hasSize(1);
-        assertThat(DaemonFileReader.read(Path.of("deploy/limits.toml")).part(FleetSection.class).limits().limits()).hasSize(2);
+        assertThat(DaemonConfigReader.read(Path.of("deploy/coralbay.toml")).routes().routes()).isNotEmpty();
+        assertThat(DaemonConfigReader.read(Path.of("deploy/duties.toml")).part(FleetConfig.class).duties()).hasSize(1);
+        assertThat(DaemonConfigReader.read(Path.of("deploy/limits.toml")).part(FleetConfig.class).limits().limits()).hasSize(2);
     }
 
     @Test
@@ -140,13 +140,13 @@
     @Test
     void filesThatCanNotBeReadAreToldInOneLine() throws Exception {
         Path none = folder.resolve("none.toml");
-        assertThat(catchThrowableOfType(ConfigException.class, () -> DaemonFileReader.read(none)).errors())
+        assertThat(catchThrowableOfType(ConfigException.class, () -> DaemonConfigReader.read(none)).errors())
                 .containsExactly(none + ":1:1: there is no such file");
         Path binary = folder.resolve("binary.toml");
         Files.write(binary, new byte[] {(byte) 0xc3, 0x28, 0, 1});
-        assertThat(catchThrowableOfType(ConfigException.class, () -> DaemonFileReader.read(binary)).errors())
+        assertThat(catchThrowableOfType(ConfigException.class, () -> DaemonConfigReader.read(binary)).errors())
                 .containsExactly(binary + ":1:1: the file is not UTF-8 text");
-        assertThat(catchThrowableOfType(ConfigException.class, () -> DaemonFileReader.read(folder)).errors()).hasSize(1);
+        assertThat(catchThrowableOfType(ConfigException.class, () -> DaemonConfigReader.read(folder)).errors()).hasSize(1);
     }
 
     /** Long files are parsed in parts; places, duplicates and tables of tables must not suffer from it. */
@@ -160,30 +160,30 @@
                     .append("\"\"\"\nregex = [\n'[a]',\n  '''\n[b]''',\n]\nprefix = \"").append(i).append("/\"\npools = \"p")
                     .append(i).append("\"\n");
         }
-        DaemonFile file = DaemonFileReader.parse("f", text.toString());
+        DaemonConfig file = DaemonConfigReader.parse("f", text.toString());
         assertThat(file.pools()).hasSize(2000);
         assertThat(file.routes().routes()).hasSize(2000);
         int lines = (int) text.chars().filter(c -> c == '\n').count();
         String bad = text + "[site]\nname = \"a\"\n[[route]]\nname = \"bad\"\npools = [\"none\"]\n";
-        assertThatThrownBy(() -> DaemonFileReader.parse("f", bad)).isInstanceOfSatisfying(ConfigException.class,
+        assertThatThrownBy(() -> DaemonConfigReader.parse("f", bad)).isInstanceOfSatisfying(ConfigException.class,
                 e -> assertThat(e.errors()).containsExactly("f:" + (lines + 5) + ":1: " + e.errors().get(0).split(": ", 2)[1])
                         .allMatch(l -> l.contains("there is no pool 'none'")));
         // A line that looks like a table's head where a part could end.
         String nested = text + "[[route]]\nname = \"n\"\n" + "# long\n".repeat(10_000) + "pools = [\n[1]\n]\n";
-        assertThatThrownBy(() -> DaemonFileReader.parse("f", nested)).isInstanceOfSatisfying(ConfigException.class,
+        assertThatThrownBy(() -> DaemonConfigReader.parse("f", nested)).isInstanceOfSatisfying(ConfigException.class,
                 e -> assertThat(e.errors()).anyMatch(l -> l.contains("pools holds something that is no text")));
         String twice = "[site]\nname = \"a\"\n" + text + "[site]\nname = \"b\"\n";
-        assertThatThrownBy(() -> DaemonFileReader.parse("f", twice)).isInstanceOfSatisfying(ConfigException.class,
+        assertThatThrownBy(() -> DaemonConfigReader.parse("f", twice)).isInstanceOfSatisfying(ConfigException.class,
                 e -> assertThat(e.errors()).containsExactly("f:" + (lines + 3) + ":1: site previously defined at line 1"));
-        assertThatThrownBy(() -> DaemonFileReader.parse("f", text + "x = = 1\n")).isInstanceOfSatisfying(
+        assertThatThrownBy(() -> DaemonConfigReader.parse("f", text + "x = = 1\n")).isInstanceOfSatisfying(
                 ConfigException.class, e -> assertThat(e.errors().get(0)).startsWith("f:" + (lines + 1) + ":5: "));
     }
 
     @Test
     void aMemoryHasAPathBesideTheFileAndItsBounds() throws Exception {
-        assertThat(DaemonFileReader.parse("f", GOOD).part(MemorySection.class)).isNull();
-        MemorySection m = DaemonFileReader.parse("/etc/c/f", GOOD + "[memory]\npath = \"m\"\nkeys = 7\n").part(MemorySection.class);
-        assertThat(m).isEqualTo(new MemorySection(Path.of("/etc/c/m"), 2000, 7, 65_536));
+        assertThat(DaemonConfigReader.parse("f", GOOD).part(SnapshotConfig.class)).isNull();
+        SnapshotConfig m = DaemonConfigReader.parse("/etc/c/f", GOOD + "[memory]\npath = \"m\"\nkeys = 7\n").part(SnapshotConfig.class);
+        assertThat(m).isEqualTo(new SnapshotConfig(Path.of("/etc/c/m"), 2000, 7, 65_536));
         assertThat(errors(GOOD + "[memory]\nperiod_ms = 1\nkeys = 5000\nbytes_per_second = 1\nsize = 3\n")).satisfiesExactlyInAnyOrder(
                 e -> assertThat(e).startsWith("f:26:1: memory has no path"),
                 e -> assertThat(e).startsWith("f:27:1: period_ms is 1; a number from 50 to "),
@@ -199,10 +199,10 @@
         String icp = "[icp]\naddress = \"127.0.0.1:0\"\nlistener = \"main\"\n";
         String pool = GOOD.replace("[[pool]]\nname = \"b\"", origin + "[[pool]]\nname = \"b\"").replace("name = \"a\"\n",
                 "name = \"a\"\nsiblings = [\"east\"]\n");
-        DaemonFile f = DaemonFileReader.parse("f", pool + icp + sibling);
+        DaemonConfig f = DaemonConfigReader.parse("f", pool + icp + sibling);
         assertThat(f.pools().get("a").siblings()).containsExactly("east");
-        assertThat(SiblingSection.of(f).sibling("east").className()).isEqualTo("sibling");
-        assertThat(SiblingSection.of(f).icp().urlPrefix()).isEqualTo("http://coralbay/");
+        assertThat(SiblingConfig.of(f).sibling("east").className()).isEqualTo("sibling");
+        assertThat(SiblingConfig.of(f).icp().urlPrefix()).isEqualTo("http://coralbay/");
         assertThat(errors(pool + sibling)).singleElement().asString().contains("write [icp]");
         assertThat(errors(pool + icp)).singleElement().asString().contains("there is no sibling 'east'");
         assertThat(errors(GOOD.replace("name = \"a\"\n", "name = \"a\"\nsiblings = [\"east\"]\n") + icp + sibling)).singleElement()
@@ -219,7 +219,7 @@
         for (int i = 0; i < 10_000; i++) {
             text.append("[[route]]\nname = \"r").append(i).append("\"\nprefix = \"p").append(i).append("/\"\npools = [\"b\"]\n");
         }
-        DaemonFile file = DaemonFileReader.parse("f", text.toString());
+        DaemonConfig file = DaemonConfigReader.parse("f", text.toString());
         assertThat(file.routes().routes()).hasSize(10_001);
         long lines = text.chars().filter(c -> c == '\n').count();
         assertThat(errors(text + "[[route]]\nname = \"r17\"\nprefix = \"q\"\npools = [\"b\"]\n")).singleElement().asString()
--- a/src/test/java/damsonworks/control/DoorTest.java
+++ b/src/test/java/cacheproxy/control/ControlServerTest.java
@@ -1,4 +1,4 @@
-package damsonworks.control;
+package cacheproxy.control;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -23,23 +23,23 @@
 
 /** The operators' door on loopback: right calls, wrong ones, half ones and none. */
 @Timeout(60)
-class DoorTest {
+class ControlServerTest {
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
     private final AtomicBoolean active = new AtomicBoolean(true);
     private final AtomicBoolean events = new AtomicBoolean();
     private final AtomicInteger reloads = new AtomicInteger();
-    private Door door;
+    private ControlServer door;
 
     @BeforeEach
     void open() throws InterruptedException {
-        door = new Door(group.next(), NioServerSocketChannel.class, new Calls(active::get, () -> active.get() ? "active" : "standby",
+        door = new ControlServer(group.next(), NioServerSocketChannel.class, new ControlEndpoints(active::get, () -> active.get() ? "active" : "standby",
                 () -> {
                     active.set(false);
                     return true;
                 }, () -> {
                     active.set(true);
                     return true;
-                }, new DiagnosticCalls(() -> "violations=0 stopped=0", events::set, () -> reloads.incrementAndGet() == 1)));
+                }, new DiagnosticEndpoints(() -> "violations=0 stopped=0", events::set, () -> reloads.incrementAndGet() == 1)));
         door.bind(new InetSocketAddress("127.0.0.1", 0)).sync();
     }
 
@@ -157,7 +157,7 @@
     void callersThatSayNothingMakeRoomForCallsOldestFirst() throws Exception {
         List<Socket> silent = new ArrayList<>();
         try {
-            for (int i = 0; i < 3 * Door.MAX_CALLERS; i++) {
+            for (int i = 0; i < 3 * ControlServer.MAX_CALLERS; i++) {
                 silent.add(caller());
             }
             assertThat(call(head("GET /status"))).startsWith("HTTP/1.1 200 ");
--- a/src/test/java/damsonworks/daemon/DaemonRig.java
+++ b/src/test/java/cacheproxy/daemon/DaemonHarness.java
@@ -1,9 +1,9 @@
-package damsonworks.daemon;
+package cacheproxy.daemon;
 
-import damsonworks.config.DaemonFileReader;
-import damsonworks.standin.LoadClient;
-import damsonworks.standin.StandInFleet;
-import damsonworks.standin.StandInNode;
+import cacheproxy.config.DaemonConfigReader;
+import cacheproxy.fakes.LoadClient;
+import cacheproxy.fakes.FakeFleet;
+import cacheproxy.fakes.FakeCacheServer;
 import java.io.BufferedInputStream;
 import java.io.IOException;
 import java.io.InputStream;
@@ -15,10 +15,10 @@
 import java.util.function.IntFunction;
 
 /** A daemon before stand-ins, by a file that a test puts together. */
-final class DaemonRig implements AutoCloseable {
+public final class DaemonHarness implements AutoCloseable {
     /** Servers that were down are tried again soon, clients come back soon. */
-    static final String LIMITS = "[limits]\nconnect_timeout_ms = 50\nmax_retry_after_ms = 5\n";
-    static final String CLASSES = """
+    public static final String LIMITS = "[limits]\nconnect_timeout_ms = 50\nmax_retry_after_ms = 5\n";
+    public static final String CLASSES = """
             [[class]]
             name = "page"
             effect = "safe"
@@ -36,51 +36,51 @@
             aim_ms = 10000
             deadline_ms = 20000
             """;
-    static final String MAIN = listener("main", "127.0.0.1:0");
+    public static final String MAIN = listener("main", "127.0.0.1:0");
 
-    final StandInFleet fleet;
-    final Daemon daemon;
+    final FakeFleet fleet;
+    public final Daemon daemon;
 
-    DaemonRig(StandInFleet fleet, String file) throws Exception {
+    public DaemonHarness(FakeFleet fleet, String file) throws Exception {
         this.fleet = fleet;
-        daemon = Daemon.start(DaemonFileReader.parse("rig", file), 7);
+        daemon = Daemon.start(DaemonConfigReader.parse("rig", file), 7);
     }
 
-    static String listener(String name, String address) {
+    public static String listener(String name, String address) {
         return "[[listen]]\nname = \"" + name + "\"\naddress = \"" + address
                 + "\"\nopen = true\nclass = \"page\"\nwrite_class = \"submit\"\n";
     }
 
     /** A pool of these nodes, named by their ports, before the fleet's origin. */
-    static String pool(String name, StandInFleet fleet, String keys, StandInNode... nodes) {
+    public static String pool(String name, FakeFleet fleet, String keys, FakeCacheServer... nodes) {
         return "[[pool]]\nname = \"" + name + "\"\n" + keys + "\n" + servers("", nodes) + "[pool.origin]\nname = \"store\"\n"
                 + "dial = \"" + fleet.origin.dial() + "\"\n";
     }
 
     /** A pool of stock nodes with nothing behind them. */
-    static String plain(String name, String keys, StandInNode... nodes) {
+    static String plain(String name, String keys, FakeCacheServer... nodes) {
         return "[[pool]]\nname = \"" + name + "\"\nnodes = \"plain\"\n" + keys + "\n" + servers("", nodes);
     }
 
-    static String servers(String keys, StandInNode... nodes) {
+    static String servers(String keys, FakeCacheServer... nodes) {
         StringBuilder text = new StringBuilder();
-        for (StandInNode n : nodes) {
+        for (FakeCacheServer n : nodes) {
             text.append("[[pool.server]]\nname = \"").append(name(n)).append("\"\ndial = \"").append(n.dial())
                     .append("\"\n").append(keys).append('\n');
         }
         return text.toString();
     }
 
-    static String name(StandInNode node) {
+    static String name(FakeCacheServer node) {
         return "node:" + node.address().getPort();
     }
 
-    static String route(String name, String keys, String... pools) {
+    public static String route(String name, String keys, String... pools) {
         return "[[route]]\nname = \"" + name + "\"\n" + keys + "\npools = [\"" + String.join("\", \"", pools) + "\"]\n";
     }
 
-    void load(String file) throws Exception {
-        daemon.load(DaemonFileReader.parse("rig", file));
+    public void load(String file) throws Exception {
+        daemon.load(DaemonConfigReader.parse("rig", file));
     }
 
     LoadClient.Account ask(int total, int connections, int depth, IntFunction<LoadClient.Ask> asks) throws Exception {
@@ -88,11 +88,11 @@
                 .get(100, TimeUnit.SECONDS);
     }
 
-    static LoadClient.Ask read(String key) {
+    public static LoadClient.Ask read(String key) {
         return new LoadClient.Ask(key, "", null, null);
     }
 
-    Talk talk() throws IOException {
+    public Talk talk() throws IOException {
         return new Talk(daemon.address("main"));
     }
 
@@ -103,7 +103,7 @@
     }
 
     /** One client by hand. */
-    static final class Talk implements AutoCloseable {
+    public static final class Talk implements AutoCloseable {
         final Socket socket;
         private final InputStream in;
 
@@ -113,13 +113,13 @@
             in = new BufferedInputStream(socket.getInputStream());
         }
 
-        Talk say(String text) throws IOException {
+        public Talk say(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
             return this;
         }
 
         /** A line; null at the end of the stream. */
-        String line() throws IOException {
+        public String line() throws IOException {
             StringBuilder line = new StringBuilder();
             for (int b; (b = in.read()) != '\n';) {
                 if (b < 0) {
@@ -132,7 +132,7 @@
             return line.toString();
         }
 
-        List<String> lines(int n) throws IOException {
+        public List<String> lines(int n) throws IOException {
             List<String> lines = new java.util.ArrayList<>();
             for (int i = 0; i < n; i++) {
                 lines.add(line());
--- a/src/test/java/damsonworks/daemon/HooksInCallTest.java
+++ b/src/test/java/cacheproxy/daemon/HooksInCallTest.java
@@ -1,8 +1,8 @@
-package damsonworks.daemon;
+package cacheproxy.daemon;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.standin.StandInFleet;
+import cacheproxy.fakes.FakeFleet;
 import java.nio.file.Path;
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
@@ -15,10 +15,10 @@
     /** So much that the clock ends every call before. */
     private static final String FUEL = "fuel = 1e9\nbreaker_share = 1.0\n";
 
-    private static String file(StandInFleet fleet, String hookKeys) {
+    private static String file(FakeFleet fleet, String hookKeys) {
         String hook = hookKeys == null ? "" : "[[hook]]\nname = \"h\"\nmodule = \"" + BY_KEY + "\"\n" + FUEL + hookKeys + "\n";
-        return DaemonRig.LIMITS + DaemonRig.CLASSES + DaemonRig.MAIN + hook
-                + DaemonRig.pool("a", fleet, "", fleet.nodes.get(0)) + DaemonRig.route("all", "", "a");
+        return DaemonHarness.LIMITS + DaemonHarness.CLASSES + DaemonHarness.MAIN + hook
+                + DaemonHarness.pool("a", fleet, "", fleet.nodes.get(0)) + DaemonHarness.route("all", "", "a");
     }
 
     private static boolean running() {
@@ -34,8 +34,8 @@
 
     @Test
     void aCallThatDoesNotEndIsEndedByTheClockAndItsFailureRuleHolds() throws Exception {
-        StandInFleet fleet = new StandInFleet(1);
-        try (DaemonRig rig = new DaemonRig(fleet, file(fleet, "time_ms = 20")); DaemonRig.Talk talk = rig.talk()) {
+        FakeFleet fleet = new FakeFleet(1);
+        try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet, "time_ms = 20")); DaemonHarness.Talk talk = rig.talk()) {
             assertThat(talk.say("mg s1 v\r\n").lines(2)).containsExactly("VA 11", "value of s1");
             // The thread is free again, and its next call has an instance that has seen none.
             assertThat(talk.say("mg k v\r\n").lines(2)).containsExactly("VA 11", "value of n1");
@@ -44,8 +44,8 @@
 
     @Test
     void aCallMayTakeHalfOfWhatTheClientStillWaitsSoThatThereIsTimeToServeIt() throws Exception {
-        StandInFleet fleet = new StandInFleet(1);
-        try (DaemonRig rig = new DaemonRig(fleet, file(fleet, "time_ms = 10000")); DaemonRig.Talk talk = rig.talk()) {
+        FakeFleet fleet = new FakeFleet(1);
+        try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet, "time_ms = 10000")); DaemonHarness.Talk talk = rig.talk()) {
             // It would end after 3 s, within its own 10 and the client's 4; after 2 the request goes on without it.
             assertThat(talk.say("mg l v Pd=4000\r\n").lines(2)).containsExactly("VA 10", "value of l");
         }
@@ -53,8 +53,8 @@
 
     @Test
     void afterATrapTheNextCallHasANewInstance() throws Exception {
-        StandInFleet fleet = new StandInFleet(1);
-        try (DaemonRig rig = new DaemonRig(fleet, file(fleet, "time_ms = 10000")); DaemonRig.Talk talk = rig.talk()) {
+        FakeFleet fleet = new FakeFleet(1);
+        try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet, "time_ms = 10000")); DaemonHarness.Talk talk = rig.talk()) {
             assertThat(talk.say("mg a v\r\n").lines(2)).containsExactly("VA 11", "value of n1");
             assertThat(talk.say("mg b v\r\n").lines(2)).containsExactly("VA 11", "value of n2");
             assertThat(talk.say("mg t v\r\n").lines(2)).containsExactly("VA 10", "value of t");
@@ -63,19 +63,19 @@
     }
 
     /** Whether the loop has dealt with all that came before, and the call still runs: only then has the test seen its case. */
-    private static boolean stillRunsAfterATurn(DaemonRig rig) {
+    private static boolean stillRunsAfterATurn(DaemonHarness rig) {
         rig.daemon.inHand();
         return running();
     }
 
     @Test
     void aClientThatLeavesDuringACallIsNotAskedFor() throws Exception {
-        StandInFleet fleet = new StandInFleet(1);
-        try (DaemonRig rig = new DaemonRig(fleet, file(fleet, "time_ms = 10000")); DaemonRig.Talk other = rig.talk()) {
+        FakeFleet fleet = new FakeFleet(1);
+        try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet, "time_ms = 10000")); DaemonHarness.Talk other = rig.talk()) {
             for (int call = 1; call < 10; call += 2) { // the orders' digit tells the calls apart
                 fleet.nodes.get(0).store("n" + (call + 1), "kept".getBytes());
                 int before = fleet.nodes.get(0).commands();
-                DaemonRig.Talk leaver = rig.talk();
+                DaemonHarness.Talk leaver = rig.talk();
                 leaver.say("mg w v\r\n");
                 awaitRunning();
                 leaver.socket.shutdownOutput();
@@ -95,17 +95,17 @@
 
     @Test
     void aModuleThatIsReplacedInACallEndsItAndItsOrdersHold() throws Exception {
-        StandInFleet fleet = new StandInFleet(1);
+        FakeFleet fleet = new FakeFleet(1);
         String with = file(fleet, "time_ms = 10000");
-        try (DaemonRig rig = new DaemonRig(fleet, with)) {
+        try (DaemonHarness rig = new DaemonHarness(fleet, with)) {
             boolean seen = false;
             for (int round = 0; round < 10 && !seen; round++) {
-                try (DaemonRig.Talk talk = rig.talk()) {
+                try (DaemonHarness.Talk talk = rig.talk()) {
                     talk.say("mg w v\r\n");
                     awaitRunning();
                     rig.load(file(fleet, null));
                     seen = running();
-                    try (DaemonRig.Talk after = rig.talk()) {
+                    try (DaemonHarness.Talk after = rig.talk()) {
                         assertThat(after.say("mg k v\r\n").lines(2)).containsExactly("VA 10", "value of k");
                     }
                     assertThat(talk.lines(2)).containsExactly("VA 11", "value of n1");
--- a/src/test/java/damsonworks/daemon/ImportedSitesTest.java
+++ b/src/test/java/cacheproxy/daemon/ImportedSitesTest.java
@@ -1,17 +1,17 @@
-package damsonworks.daemon;
+package cacheproxy.daemon;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.config.DaemonFile;
-import damsonworks.config.DaemonFileReader;
-import damsonworks.nginx.ConfParser;
-import damsonworks.nginx.ConfSource;
-import damsonworks.nginx.importer.ImportOptions;
-import damsonworks.nginx.importer.Importer;
-import damsonworks.routes.PathKey;
-import damsonworks.standin.NginxModel;
-import damsonworks.standin.ScriptedServer;
-import damsonworks.standin.StandInNginx;
+import cacheproxy.config.DaemonConfig;
+import cacheproxy.config.DaemonConfigReader;
+import cacheproxy.nginx.ConfParser;
+import cacheproxy.nginx.ConfSource;
+import cacheproxy.nginx.importer.ImportOptions;
+import cacheproxy.nginx.importer.Importer;
+import cacheproxy.routes.PathKey;
+import cacheproxy.fakes.NginxReferenceModel;
+import cacheproxy.fakes.ScriptedServer;
+import cacheproxy.fakes.FakeNginx;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStream;
@@ -102,8 +102,8 @@
             ConfParser.Conf conf = ConfParser.read(alone(file), file.getFileName().toString());
             Importer.Result imported = Importer.run(conf, new ImportOptions("127.0.0.1", 0, dial, "unsafe", 0));
             assertThat(imported.file()).isNotNull();
-            DaemonFile daemonFile = DaemonFileReader.parse("imported", imported.file());
-            try (StandInNginx original = new StandInNginx(new NginxModel(conf.directives()));
+            DaemonConfig daemonFile = DaemonConfigReader.parse("imported", imported.file());
+            try (FakeNginx original = new FakeNginx(new NginxReferenceModel(conf.directives()));
                     Daemon daemon = Daemon.start(daemonFile, 3)) {
                 replay(text, imported, original, daemon, daemonFile.listeners().get(0).name());
             }
@@ -118,14 +118,14 @@
         return "VA " + text.length() + " O" + id + "\r\n" + text + "\r\n";
     }
 
-    private static void replay(String text, Importer.Result imported, StandInNginx original, Daemon daemon, String listener)
+    private static void replay(String text, Importer.Result imported, FakeNginx original, Daemon daemon, String listener)
             throws Exception {
         List<String> hosts = words(text, "host");
         List<String> templates = words(text, "key");
         int asked = 0;
         int passedOn = 0;
         try (Socket http = new Socket(original.address().getAddress(), original.address().getPort());
-                DaemonRig.Talk cache = new DaemonRig.Talk(daemon.address(listener))) {
+                DaemonHarness.Talk cache = new DaemonHarness.Talk(daemon.address(listener))) {
             http.setTcpNoDelay(true);
             InputStream raw = http.getInputStream();
             BufferedReader in = new BufferedReader(new InputStreamReader(raw, StandardCharsets.ISO_8859_1));
--- a/src/test/java/damsonworks/daemon/ListenersTest.java
+++ b/src/test/java/cacheproxy/daemon/ListenersTest.java
@@ -1,15 +1,15 @@
-package damsonworks.daemon;
+package cacheproxy.daemon;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import damsonworks.config.ConfigException;
-import damsonworks.config.DaemonFile;
-import damsonworks.config.DaemonFileReader;
-import damsonworks.routes.Subject;
-import damsonworks.standin.ScriptedServer;
-import damsonworks.standin.StandInFleet;
-import damsonworks.standin.StandInNode;
+import cacheproxy.config.ConfigException;
+import cacheproxy.config.DaemonConfig;
+import cacheproxy.config.DaemonConfigReader;
+import cacheproxy.routes.RouteInput;
+import cacheproxy.fakes.ScriptedServer;
+import cacheproxy.fakes.FakeFleet;
+import cacheproxy.fakes.FakeCacheServer;
 import java.net.ConnectException;
 import java.net.Socket;
 import java.util.concurrent.CompletableFuture;
@@ -18,19 +18,19 @@
 
 /** What clients of an open listener may send, and what routes make of keys. */
 class ListenersTest {
-    private static String file(StandInFleet fleet) {
-        return DaemonRig.CLASSES + DaemonRig.MAIN + "[[listen]]\nname = \"strict\"\naddress = \"127.0.0.1:0\"\n"
-                + DaemonRig.pool("a", fleet, "", fleet.nodes.toArray(new StandInNode[0]))
-                + DaemonRig.route("long", "prefix = \"long/\"\nadd = \"" + "x".repeat(40) + "\"", "a")
-                + DaemonRig.route("swap", "regex = \"^([a-z]+)-([0-9]+)$\"\nreplace = \"$2/$1\"", "a")
+    private static String file(FakeFleet fleet) {
+        return DaemonHarness.CLASSES + DaemonHarness.MAIN + "[[listen]]\nname = \"strict\"\naddress = \"127.0.0.1:0\"\n"
+                + DaemonHarness.pool("a", fleet, "", fleet.nodes.toArray(new FakeCacheServer[0]))
+                + DaemonHarness.route("long", "prefix = \"long/\"\nadd = \"" + "x".repeat(40) + "\"", "a")
+                + DaemonHarness.route("swap", "regex = \"^([a-z]+)-([0-9]+)$\"\nreplace = \"$2/$1\"", "a")
                 + "[[route]]\nname = \"off\"\nkey = \"off\"\nrefuse_ms = 700\n[[route]]\nname = \"bad\"\nkey = \"bad\"\nfail = true\n"
-                + DaemonRig.route("pages", "prefix = \"page/\"", "a");
+                + DaemonHarness.route("pages", "prefix = \"page/\"", "a");
     }
 
     @Test
     void plainCommandsOfStockClientsAreTakenAndAllElseIsAnsweredWithALine() throws Exception {
-        StandInFleet fleet = new StandInFleet(2);
-        try (DaemonRig rig = new DaemonRig(fleet, file(fleet)); DaemonRig.Talk t = rig.talk()) {
+        FakeFleet fleet = new FakeFleet(2);
+        try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet)); DaemonHarness.Talk t = rig.talk()) {
             String[][] talks = {
                 {"mn", "MN"},
                 {"mg page/1 v", "VA 15", "value of page/1"},
@@ -69,9 +69,9 @@
 
     @Test
     void aStrictListenerIsAsStrictAsThePlatforms() throws Exception {
-        StandInFleet fleet = new StandInFleet(1);
-        try (DaemonRig rig = new DaemonRig(fleet, file(fleet));
-                DaemonRig.Talk t = new DaemonRig.Talk(rig.daemon.address("strict"))) {
+        FakeFleet fleet = new FakeFleet(1);
+        try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet));
+                DaemonHarness.Talk t = new DaemonHarness.Talk(rig.daemon.address("strict"))) {
             assertThat(t.say("mg page/1 v\r\n").line()).isEqualTo("CLIENT_ERROR bad command line format");
             assertThat(t.say("mg page/1 v O1 Pc=page,d=9000\r\n").lines(2)).containsExactly("VA 15 O1", "value of page/1");
             assertThat(t.say("ms page/1 2 O2 Pc=submit,d=9000\r\nhi\r\n").line()).isEqualTo("HD O2 cwO2".replace("wO2", "w2"));
@@ -80,8 +80,8 @@
 
     @Test
     void manyPipelinedCommandsAreAnsweredInTheirOrder() throws Exception {
-        StandInFleet fleet = new StandInFleet(3);
-        try (DaemonRig rig = new DaemonRig(fleet, file(fleet)); DaemonRig.Talk t = rig.talk()) {
+        FakeFleet fleet = new FakeFleet(3);
+        try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet)); DaemonHarness.Talk t = rig.talk()) {
             StringBuilder all = new StringBuilder();
             for (int i = 0; i < 200; i++) {
                 byte[] value = ("value of page/" + i).getBytes();
@@ -99,38 +99,38 @@
 
     @Test
     void explainNamesTheServerThatIsAskedAndWhatWasPassedOver() throws Exception {
-        StandInFleet fleet = new StandInFleet(5);
+        FakeFleet fleet = new FakeFleet(5);
         String text = file(fleet);
-        DaemonFile file = DaemonFileReader.parse("f", text);
-        Explainer explain = new Explainer(file);
-        try (DaemonRig rig = new DaemonRig(fleet, text); DaemonRig.Talk t = rig.talk()) {
+        DaemonConfig file = DaemonConfigReader.parse("f", text);
+        RouteExplainer explain = new RouteExplainer(file);
+        try (DaemonHarness rig = new DaemonHarness(fleet, text); DaemonHarness.Talk t = rig.talk()) {
             for (int i = 0; i < 40; i++) {
-                int[] before = fleet.nodes.stream().mapToInt(StandInNode::commands).toArray();
+                int[] before = fleet.nodes.stream().mapToInt(FakeCacheServer::commands).toArray();
                 t.say("mg page/" + i + " v\r\n").lines(2);
                 String asked = "";
                 for (int n = 0; n < before.length; n++) {
                     if (fleet.nodes.get(n).commands() > before[n]) {
-                        asked = DaemonRig.name(fleet.nodes.get(n));
+                        asked = DaemonHarness.name(fleet.nodes.get(n));
                     }
                 }
-                assertThat(explain.lines(new Subject("main", "page/" + i, 0, 0, false), false))
+                assertThat(explain.lines(new RouteInput("main", "page/" + i, 0, 0, false), false))
                         .containsExactly("page/" + i + " route=pages pool=a server=" + asked);
             }
         }
-        assertThat(explain.lines(new Subject("main", "ab-12", 0, 0, true), true))
+        assertThat(explain.lines(new RouteInput("main", "ab-12", 0, 0, true), true))
                 .first().isEqualTo("ab-12 route=swap pool=a server=store key=12/ab");
-        assertThat(explain.lines(new Subject("main", "page/1", 0, 0, false), true)).contains("  passed over off: key is not off");
-        assertThat(explain.lines(new Subject("main", "off", 0, 0, false), false)).containsExactly(
+        assertThat(explain.lines(new RouteInput("main", "page/1", 0, 0, false), true)).contains("  passed over off: key is not off");
+        assertThat(explain.lines(new RouteInput("main", "off", 0, 0, false), false)).containsExactly(
                 "off route=off answer=refused after=700ms");
-        assertThat(explain.lines(new Subject("main", "zz", 0, 0, false), false)).containsExactly(
+        assertThat(explain.lines(new RouteInput("main", "zz", 0, 0, false), false)).containsExactly(
                 "zz route=- answer=rejected (no route takes it)");
     }
 
     /** What connected earlier would wait for the list with its time running; the first that can connect is served at once. */
     @Test
     void nobodyCanConnectBeforeThereIsAListAndAnAddressThatIsTakenIsTold() throws Exception {
-        StandInFleet fleet = new StandInFleet(1);
-        StandInNode node = fleet.nodes.get(0);
+        FakeFleet fleet = new FakeFleet(1);
+        FakeCacheServer node = fleet.nodes.get(0);
         CountDownLatch asked = new CountDownLatch(1);
         CountDownLatch known = new CountDownLatch(1);
         String host = "{\"host\":\"s-0000beef\",\"dial\":\"" + node.dial() + "\",\"site\":\"here\",\"class\":\"node\",\"block\":0,"
@@ -143,11 +143,11 @@
             c.awaitEnd();
         })) {
             int port = Ports.free();
-            String text = DaemonRig.CLASSES + DaemonRig.listener("main", "127.0.0.1:" + port) + "[[pool]]\nname = \"a\"\n[pool.discovery]\naddress = \""
-                    + discovery.dial() + "\"\nzones = [\"here\"]\nkinds = [\"node\"]\n" + DaemonRig.route("all", "", "a");
+            String text = DaemonHarness.CLASSES + DaemonHarness.listener("main", "127.0.0.1:" + port) + "[[pool]]\nname = \"a\"\n[pool.discovery]\naddress = \""
+                    + discovery.dial() + "\"\nzones = [\"here\"]\nkinds = [\"node\"]\n" + DaemonHarness.route("all", "", "a");
             CompletableFuture<Daemon> starting = CompletableFuture.supplyAsync(() -> {
                 try {
-                    return Daemon.start(DaemonFileReader.parse("f", text), 3);
+                    return Daemon.start(DaemonConfigReader.parse("f", text), 3);
                 } catch (Exception e) {
                     throw new IllegalStateException(e);
                 }
@@ -155,10 +155,10 @@
             asked.await();
             assertThatThrownBy(() -> new Socket("127.0.0.1", port)).isInstanceOf(ConnectException.class);
             known.countDown();
-            try (Daemon daemon = starting.get(); DaemonRig.Talk t = new DaemonRig.Talk(daemon.address("main"))) {
+            try (Daemon daemon = starting.get(); DaemonHarness.Talk t = new DaemonHarness.Talk(daemon.address("main"))) {
                 t.say("ms k 1\r\nx\r\nmg k v\r\n");
                 assertThat(t.line()).startsWith("HD");
-                assertThatThrownBy(() -> Daemon.start(DaemonFileReader.parse("f", text), 3)).isInstanceOf(ConfigException.class)
+                assertThatThrownBy(() -> Daemon.start(DaemonConfigReader.parse("f", text), 3)).isInstanceOf(ConfigException.class)
                         .hasMessageContaining("listener main can't be bound to 127.0.0.1:" + port);
             }
         }
--- a/src/test/java/damsonworks/daemon/MemoryTest.java
+++ b/src/test/java/cacheproxy/daemon/MemoryTest.java
@@ -1,19 +1,19 @@
-package damsonworks.daemon;
+package cacheproxy.daemon;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import damsonworks.config.DaemonFileReader;
-import damsonworks.knowledge.Knowledge;
-import damsonworks.knowledge.Recollection;
-import damsonworks.memory.MemoryFiles;
-import damsonworks.memory.MemoryFormat;
-import damsonworks.placement.ServerId;
-import damsonworks.standin.ColdWatch;
-import damsonworks.standin.Demo;
-import damsonworks.standin.LoadClient;
-import damsonworks.standin.StandInFleet;
-import damsonworks.standin.StandInNode;
+import cacheproxy.config.DaemonConfigReader;
+import cacheproxy.snapshot.state.LearnedState;
+import cacheproxy.snapshot.state.StateSnapshot;
+import cacheproxy.snapshot.SnapshotStore;
+import cacheproxy.snapshot.SnapshotCodec;
+import cacheproxy.placement.ServerId;
+import cacheproxy.fakes.SlowStartMonitor;
+import cacheproxy.fakes.Demo;
+import cacheproxy.fakes.LoadClient;
+import cacheproxy.fakes.FakeFleet;
+import cacheproxy.fakes.FakeCacheServer;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -29,43 +29,43 @@
 class MemoryTest {
     /** Long enough that a mute server is still left out by the one that starts next, however slow the machine. */
     private static final String LIMITS = "[limits]\nconnect_timeout_ms = 10000\nmax_retry_after_ms = 5\n";
-    private static final String CLASSES = DaemonRig.CLASSES.replace("aim_ms = 10000", "aim_ms = 300").replace("deadline_ms = 20000",
+    private static final String CLASSES = DaemonHarness.CLASSES.replace("aim_ms = 10000", "aim_ms = 300").replace("deadline_ms = 20000",
             "deadline_ms = 3000");
 
     @TempDir
     private Path folder;
-    private final StandInFleet fleet = fleet();
+    private final FakeFleet fleet = fleet();
 
-    private static StandInFleet fleet() {
+    private static FakeFleet fleet() {
         try {
-            return new StandInFleet(4);
+            return new FakeFleet(4);
         } catch (InterruptedException e) {
             throw new IllegalStateException(e);
         }
     }
 
     private String file(String more) {
-        return LIMITS + CLASSES + DaemonRig.MAIN + "[memory]\npath = \"" + folder.resolve("memory") + "\"\nperiod_ms = 50\n" + more
-                + DaemonRig.pool("a", fleet, "", fleet.nodes.toArray(new StandInNode[0])) + DaemonRig.route("all", "", "a");
+        return LIMITS + CLASSES + DaemonHarness.MAIN + "[memory]\npath = \"" + folder.resolve("memory") + "\"\nperiod_ms = 50\n" + more
+                + DaemonHarness.pool("a", fleet, "", fleet.nodes.toArray(new FakeCacheServer[0])) + DaemonHarness.route("all", "", "a");
     }
 
     private Daemon daemon(String text) throws Exception {
-        return Daemon.start(DaemonFileReader.parse("rig", text), 7);
+        return Daemon.start(DaemonConfigReader.parse("rig", text), 7);
     }
 
     private LoadClient.Account ask(Daemon daemon, int total, int from) throws Exception {
-        return new LoadClient(fleet.loop(), daemon.address("main"), total, i -> DaemonRig.read("k/" + (from + i))).start(8, 2)
+        return new LoadClient(fleet.loop(), daemon.address("main"), total, i -> DaemonHarness.read("k/" + (from + i))).start(8, 2)
                 .get(100, TimeUnit.SECONDS);
     }
 
-    private Recollection written() throws Exception {
-        return MemoryFormat.decode(Files.readAllBytes(folder.resolve("memory"))).content();
+    private StateSnapshot written() throws Exception {
+        return SnapshotCodec.decode(Files.readAllBytes(folder.resolve("memory"))).content();
     }
 
     @Test
     void whatASilentServerCostsIsPaidOnceAndNotAgainAfterARestart() throws Exception {
         try (fleet) {
-            StandInNode mute = fleet.nodes.get(1);
+            FakeCacheServer mute = fleet.nodes.get(1);
             mute.mute(true);
             int first;
             try (Daemon daemon = daemon(file(""))) {
@@ -100,7 +100,7 @@
                 }
                 assertThat(written().generation()).isEqualTo(i + 1);
             }
-            assertThat(MemoryFiles.at(folder.resolve("memory.old")).read().content().generation()).isEqualTo(2);
+            assertThat(SnapshotStore.at(folder.resolve("memory.old")).read().content().generation()).isEqualTo(2);
         }
     }
 
@@ -111,34 +111,34 @@
             while (!Files.exists(folder.resolve("memory"))) {
                 Thread.onSpinWait();
             }
-            daemon.load(DaemonFileReader.parse("rig", file("keys = 7\n")));
+            daemon.load(DaemonConfigReader.parse("rig", file("keys = 7\n")));
             long generation = written().generation();
-            assertThatThrownBy(() -> daemon.load(DaemonFileReader.parse("rig", file("keys = 8\n[control]\nlisten = \"192.0.2.1:9\"\n"))))
+            assertThatThrownBy(() -> daemon.load(DaemonConfigReader.parse("rig", file("keys = 8\n[control]\nlisten = \"192.0.2.1:9\"\n"))))
                     .hasMessageContaining("control can't be bound");
             assertThat(ask(daemon, 40, 100).faults).isEmpty();
             daemon.drain();
             assertThat(written().generation()).isGreaterThan(generation);
-            assertThat(MemoryFiles.at(folder.resolve("memory")).read().notes()).isEmpty();
+            assertThat(SnapshotStore.at(folder.resolve("memory")).read().notes()).isEmpty();
         }
     }
 
-    private static int id(StandInNode node) {
-        return ServerId.of(DaemonRig.name(node));
+    private static int id(FakeCacheServer node) {
+        return ServerId.of(DaemonHarness.name(node));
     }
 
     /** A memory of pool a in which these are out, as the last daemon of this number would have left it. */
     private void remember(Path path, int me, double writtenMs, double bornMs, int... bad) throws Exception {
-        List<Knowledge.Server> facts = new ArrayList<>();
+        List<LearnedState.Server> facts = new ArrayList<>();
         for (int id : bad) {
-            facts.add(new Knowledge.Server(id, bornMs, 4, 80_000, 0));
+            facts.add(new LearnedState.Server(id, bornMs, 4, 80_000, 0));
         }
-        MemoryFiles.at(path).write(new Recollection("coralbay", me, writtenMs, 0, Map.of("a", new Recollection.Pool("", new Knowledge(facts,
-                Knowledge.NONE.pace(), Knowledge.NONE.fetches(), Knowledge.NONE.crowd(), Knowledge.NONE.hot()), Map.of())), List.of()));
+        SnapshotStore.at(path).write(new StateSnapshot("coralbay", me, writtenMs, 0, Map.of("a", new StateSnapshot.Pool("", new LearnedState(facts,
+                LearnedState.NONE.pace(), LearnedState.NONE.fetches(), LearnedState.NONE.crowd(), LearnedState.NONE.hot()), Map.of())), List.of()));
     }
 
-    private int askedOf(StandInNode node, String text, Path seedFrom) throws Exception {
+    private int askedOf(FakeCacheServer node, String text, Path seedFrom) throws Exception {
         int before = node.commands();
-        try (Daemon daemon = Daemon.start(DaemonFileReader.parse("rig", text), 7, seedFrom)) {
+        try (Daemon daemon = Daemon.start(DaemonConfigReader.parse("rig", text), 7, seedFrom)) {
             LoadClient.Account a = ask(daemon, 400, 0);
             assertThat(a.faults).isEmpty();
             assertThat(a.answered()).isEqualTo(400);
@@ -150,7 +150,7 @@
     void whatDoesNotFitIsNotUsed() throws Exception {
         try (fleet) {
             Path path = folder.resolve("memory");
-            StandInNode node = fleet.nodes.get(2);
+            FakeCacheServer node = fleet.nodes.get(2);
             double now = System.currentTimeMillis();
             remember(path, 0, now, 0, id(node));
             assertThat(askedOf(node, file(""), null)).as("its own, of now").isZero();
@@ -173,7 +173,7 @@
     @Test
     void aSiblingsMemoryIsAStartWhereThereIsNoneOfOnesOwn() throws Exception {
         try (fleet) {
-            StandInNode node = fleet.nodes.get(2);
+            FakeCacheServer node = fleet.nodes.get(2);
             Path sibling = folder.resolve("sibling");
             remember(sibling, 5, System.currentTimeMillis(), 0, id(node));
             String without = file("").replaceAll("\\[memory]\npath.*\nperiod.*\n", "");
@@ -218,13 +218,13 @@
     @Test
     void aReloadThatReplacesAPoolHandsItsKnowledgeOn() throws Exception {
         try (fleet) {
-            StandInNode mute = fleet.nodes.get(1);
+            FakeCacheServer mute = fleet.nodes.get(1);
             mute.mute(true);
             try (Daemon daemon = daemon(file(""))) {
                 assertThat(ask(daemon, 400, 0).faults).isEmpty();
                 int before = mute.commands();
                 assertThat(before).isPositive();
-                daemon.load(DaemonFileReader.parse("rig", file("").replace("aim_ms = 300", "aim_ms = 301")));
+                daemon.load(DaemonConfigReader.parse("rig", file("").replace("aim_ms = 300", "aim_ms = 301")));
                 assertThat(ask(daemon, 400, 1000).faults).isEmpty();
                 assertThat(mute.commands()).isEqualTo(before);
             }
@@ -275,27 +275,27 @@
     /** Discovery tells of starts: a node that restarted meanwhile is cold, whatever the file says of it and of all others. */
     @Test
     void aNodeThatRestartedMeanwhileIsColdAndStaysUnderItsMultipleWithTheWorstFile() throws Exception {
-        try (StandInFleet listed = new StandInFleet(6); fleet) {
-            StandInNode cold = listed.nodes.get(0);
-            ColdWatch watch = new ColdWatch(100, 0.3, 20_000, 300);
+        try (FakeFleet listed = new FakeFleet(6); fleet) {
+            FakeCacheServer cold = listed.nodes.get(0);
+            SlowStartMonitor watch = new SlowStartMonitor(100, 0.3, 20_000, 300);
             cold.watch(watch);
             listed.restart(0);
             // All others out but two, those of the file's limit; the cold one said to be the best, by an old start's account.
-            List<Knowledge.Server> facts = new ArrayList<>();
+            List<LearnedState.Server> facts = new ArrayList<>();
             for (int i = 1; i < 5; i++) {
-                facts.add(new Knowledge.Server(i + 1, 0, 9, 1e9, 9));
+                facts.add(new LearnedState.Server(i + 1, 0, 9, 1e9, 9));
             }
-            facts.add(new Knowledge.Server(1, 0, 9, 1e9, 0)); // of the process before
-            MemoryFiles.at(folder.resolve("memory")).write(new Recollection("demo", 0, System.currentTimeMillis(), 0, Map.of("pages",
-                    new Recollection.Pool("carp by $key, keys TEXT", new Knowledge(facts, new Knowledge.Pace(1, 1, 1, 0, 1),
-                            new Knowledge.Load(0, 1e9), new Knowledge.Load(0, 1e9), new Knowledge.HotKeys(1e9, List.of())), Map.of())),
-                    List.of(new Recollection.Birth(1, cold.dial(), 1, false))));
+            facts.add(new LearnedState.Server(1, 0, 9, 1e9, 0)); // of the process before
+            SnapshotStore.at(folder.resolve("memory")).write(new StateSnapshot("demo", 0, System.currentTimeMillis(), 0, Map.of("pages",
+                    new StateSnapshot.Pool("carp by $key, keys TEXT", new LearnedState(facts, new LearnedState.Pace(1, 1, 1, 0, 1),
+                            new LearnedState.Load(0, 1e9), new LearnedState.Load(0, 1e9), new LearnedState.HotKeys(1e9, List.of())), Map.of())),
+                    List.of(new StateSnapshot.Birth(1, cold.dial(), 1, false))));
             String text = Demo.file(listed).replace("warm_up_ms = 2000", "warm_up_ms = 20000\nfall_ms = 300\n[limits]\n"
                     + "unknown_capacity = 100\n[memory]\npath = \"" + folder.resolve("memory") + "\"\nperiod_ms = 50");
             try (Daemon daemon = daemon(text)) {
                 for (int round = 0; round == 0 || watch.sent() < 30; round++) {
                     int from = round * 2000;
-                    assertThat(new LoadClient(listed.loop(), daemon.address("main"), 2000, i -> DaemonRig.read("k/" + (from + i)))
+                    assertThat(new LoadClient(listed.loop(), daemon.address("main"), 2000, i -> DaemonHarness.read("k/" + (from + i)))
                             .start(8, 4).get(100, TimeUnit.SECONDS).faults).isEmpty();
                 }
             }
@@ -307,8 +307,8 @@
     @Test
     void aServerThatWasDownWhenTheLastDaemonEndedIsColdToTheNext() throws Exception {
         try (fleet) {
-            StandInNode node = fleet.nodes.get(3);
-            String text = "[site]\nwarm_up_ms = 3600000\n" + file("").replace(LIMITS, DaemonRig.LIMITS);
+            FakeCacheServer node = fleet.nodes.get(3);
+            String text = "[site]\nwarm_up_ms = 3600000\n" + file("").replace(LIMITS, DaemonHarness.LIMITS);
             try (Daemon daemon = daemon(text)) {
                 node.kill();
                 assertThat(ask(daemon, 400, 0).faults).isEmpty();
--- a/src/test/java/damsonworks/daemon/PoolsTest.java
+++ b/src/test/java/cacheproxy/daemon/PoolsTest.java
@@ -1,20 +1,20 @@
-package damsonworks.daemon;
+package cacheproxy.daemon;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.standin.ColdWatch;
-import damsonworks.standin.LoadClient;
-import damsonworks.standin.LoadClient.Ask;
-import damsonworks.standin.ScriptedServer;
-import damsonworks.standin.StandInFleet;
-import damsonworks.standin.StandInNode;
+import cacheproxy.fakes.SlowStartMonitor;
+import cacheproxy.fakes.LoadClient;
+import cacheproxy.fakes.LoadClient.Ask;
+import cacheproxy.fakes.ScriptedServer;
+import cacheproxy.fakes.FakeFleet;
+import cacheproxy.fakes.FakeCacheServer;
 import org.junit.jupiter.api.Test;
 
 /** What pools do together: fallback under the rules on effects, one cold budget, retry budgets, backups. */
 class PoolsTest {
-    private static final String SITE = "[site]\nwarm_up_ms = 20000\nfall_ms = 300\n" + DaemonRig.LIMITS;
+    private static final String SITE = "[site]\nwarm_up_ms = 20000\nfall_ms = 300\n" + DaemonHarness.LIMITS;
     /** Deadlines short enough that a test may wait for one. */
-    private static final String SHORT = DaemonRig.CLASSES.replace("20000", "2000").replace("10000", "1000");
+    private static final String SHORT = DaemonHarness.CLASSES.replace("20000", "2000").replace("10000", "1000");
 
     private static Ask read(int i) {
         return new Ask("k/" + i, "c=page", null, null);
@@ -22,23 +22,23 @@
 
     @Test
     void aServerInTwoPoolsThatRestartsIsColdToBothTogether() throws Exception {
-        StandInFleet fleet = new StandInFleet(3);
-        StandInNode shared = fleet.nodes.get(0);
-        ColdWatch watch = new ColdWatch(100, 0.3, 20000, 300);
+        FakeFleet fleet = new FakeFleet(3);
+        FakeCacheServer shared = fleet.nodes.get(0);
+        SlowStartMonitor watch = new SlowStartMonitor(100, 0.3, 20000, 300);
         shared.watch(watch);
-        String two = DaemonRig.pool("a", fleet, "", fleet.nodes.get(1)) + DaemonRig.pool("b", fleet, "", fleet.nodes.get(2));
-        String server = DaemonRig.servers("capacity = 100", shared);
+        String two = DaemonHarness.pool("a", fleet, "", fleet.nodes.get(1)) + DaemonHarness.pool("b", fleet, "", fleet.nodes.get(2));
+        String server = DaemonHarness.servers("capacity = 100", shared);
         two = two.replace("[pool.origin]", server + "[pool.origin]");
-        try (DaemonRig rig = new DaemonRig(fleet, SITE + DaemonRig.CLASSES + DaemonRig.MAIN + two
-                + DaemonRig.route("a", "prefix = \"a/\"", "a") + DaemonRig.route("b", "prefix = \"b/\"", "b"))) {
+        try (DaemonHarness rig = new DaemonHarness(fleet, SITE + DaemonHarness.CLASSES + DaemonHarness.MAIN + two
+                + DaemonHarness.route("a", "prefix = \"a/\"", "a") + DaemonHarness.route("b", "prefix = \"b/\"", "b"))) {
             shared.kill();
             // Both pools find it down.
-            rig.ask(400, 4, 2, i -> DaemonRig.read((i % 2 == 0 ? "a/" : "b/") + i));
+            rig.ask(400, 4, 2, i -> DaemonHarness.read((i % 2 == 0 ? "a/" : "b/") + i));
             shared.revive();
             LoadClient.Account a = null;
             for (int round = 0; round == 0 || watch.sent() < 60; round++) {
                 int from = round * 2000;
-                a = rig.ask(2000, 8, 4, i -> DaemonRig.read((i % 2 == 0 ? "a/" : "b/") + (from + i)));
+                a = rig.ask(2000, 8, 4, i -> DaemonHarness.read((i % 2 == 0 ? "a/" : "b/") + (from + i)));
                 assertThat(a.faults).isEmpty();
             }
             assertThat(watch.sent()).as("it is used while it is cold").isGreaterThanOrEqualTo(60);
@@ -49,17 +49,17 @@
 
     @Test
     void whenTheFirstPoolIsDownAColdFallbackIsFilledAsFastAsItMayBeAndTheRestRefusedAtOnce() throws Exception {
-        StandInFleet fleet = new StandInFleet(2);
-        StandInNode first = fleet.nodes.get(0);
-        StandInNode spare = fleet.nodes.get(1);
-        ColdWatch watch = new ColdWatch(200, 0.3, 20000, 300);
+        FakeFleet fleet = new FakeFleet(2);
+        FakeCacheServer first = fleet.nodes.get(0);
+        FakeCacheServer spare = fleet.nodes.get(1);
+        SlowStartMonitor watch = new SlowStartMonitor(200, 0.3, 20000, 300);
         spare.watch(watch);
-        String head = SITE + DaemonRig.CLASSES + DaemonRig.MAIN + DaemonRig.plain("a", "", first);
-        try (DaemonRig rig = new DaemonRig(fleet, head + DaemonRig.route("all", "", "a"))) {
+        String head = SITE + DaemonHarness.CLASSES + DaemonHarness.MAIN + DaemonHarness.plain("a", "", first);
+        try (DaemonHarness rig = new DaemonHarness(fleet, head + DaemonHarness.route("all", "", "a"))) {
             // The spare pool comes with a new file, so that its server is a new one.
             watch.born(System.nanoTime() / 1e6);
-            rig.load(head + DaemonRig.plain("spare", "", spare).replace("dial", "capacity = 200\ndial")
-                    + DaemonRig.route("all", "", "a", "spare"));
+            rig.load(head + DaemonHarness.plain("spare", "", spare).replace("dial", "capacity = 200\ndial")
+                    + DaemonHarness.route("all", "", "a", "spare"));
             first.kill();
             LoadClient.Account a = rig.ask(3000, 8, 4, PoolsTest::read);
             assertThat(a.faults).isEmpty();
@@ -73,11 +73,11 @@
 
     @Test
     void aReadThatTimedOutGoesToTheNextPool() throws Exception {
-        StandInFleet fleet = new StandInFleet(2);
-        try (DaemonRig rig = new DaemonRig(fleet, SHORT + DaemonRig.MAIN
-                + DaemonRig.plain("a", "retry_share = 0\nretries_always = 0", fleet.nodes.get(0))
-                + DaemonRig.pool("b", fleet, "", fleet.nodes.get(1)) + DaemonRig.route("all", "", "a", "b"));
-                DaemonRig.Talk talk = rig.talk()) {
+        FakeFleet fleet = new FakeFleet(2);
+        try (DaemonHarness rig = new DaemonHarness(fleet, SHORT + DaemonHarness.MAIN
+                + DaemonHarness.plain("a", "retry_share = 0\nretries_always = 0", fleet.nodes.get(0))
+                + DaemonHarness.pool("b", fleet, "", fleet.nodes.get(1)) + DaemonHarness.route("all", "", "a", "b"));
+                DaemonHarness.Talk talk = rig.talk()) {
             fleet.nodes.get(0).mute(true);
             assertThat(talk.say("mg k v\r\n").lines(2)).containsExactly("VA 10", "value of k");
             assertThat(fleet.nodes.get(0).commands()).isPositive();
@@ -86,10 +86,10 @@
 
     @Test
     void anUnsafeWriteThatTimedOutGoesNowhereElse() throws Exception {
-        StandInFleet fleet = new StandInFleet(2);
-        try (DaemonRig rig = new DaemonRig(fleet, SHORT + DaemonRig.MAIN + DaemonRig.plain("a", "", fleet.nodes.get(0))
-                + DaemonRig.plain("b", "", fleet.nodes.get(1)) + DaemonRig.route("all", "", "a", "b"));
-                DaemonRig.Talk talk = rig.talk()) {
+        FakeFleet fleet = new FakeFleet(2);
+        try (DaemonHarness rig = new DaemonHarness(fleet, SHORT + DaemonHarness.MAIN + DaemonHarness.plain("a", "", fleet.nodes.get(0))
+                + DaemonHarness.plain("b", "", fleet.nodes.get(1)) + DaemonHarness.route("all", "", "a", "b"));
+                DaemonHarness.Talk talk = rig.talk()) {
             fleet.nodes.get(0).mute(true);
             assertThat(talk.say("ms k 2 Pc=submit\r\nhi\r\n").line()).isEqualTo("SERVER_ERROR failed");
             assertThat(fleet.nodes.get(0).commands()).isEqualTo(1);
@@ -99,10 +99,10 @@
 
     @Test
     void anUnsafeWriteThatCanNotHaveRunGoesOn() throws Exception {
-        StandInFleet fleet = new StandInFleet(2);
-        try (DaemonRig rig = new DaemonRig(fleet, SHORT + DaemonRig.MAIN + DaemonRig.plain("a", "", fleet.nodes.get(0))
-                + DaemonRig.plain("b", "", fleet.nodes.get(1)) + DaemonRig.route("all", "", "a", "b"));
-                DaemonRig.Talk talk = rig.talk()) {
+        FakeFleet fleet = new FakeFleet(2);
+        try (DaemonHarness rig = new DaemonHarness(fleet, SHORT + DaemonHarness.MAIN + DaemonHarness.plain("a", "", fleet.nodes.get(0))
+                + DaemonHarness.plain("b", "", fleet.nodes.get(1)) + DaemonHarness.route("all", "", "a", "b"));
+                DaemonHarness.Talk talk = rig.talk()) {
             fleet.nodes.get(0).kill();
             assertThat(talk.say("ms k 2 Pc=submit\r\nhi\r\n").line()).isEqualTo("HD");
             assertThat(fleet.ledger.times("hi")).isEqualTo(1);
@@ -112,7 +112,7 @@
     @Test
     void aKeyedWriteThatMayHaveRunGoesOnOnlyWhereItsRepeatIsDropped() throws Exception {
         for (boolean together : new boolean[] {true, false}) {
-            StandInFleet fleet = new StandInFleet(2);
+            FakeFleet fleet = new FakeFleet(2);
             ScriptedServer resets = new ScriptedServer(c -> {
                 c.command();
                 c.line();
@@ -120,10 +120,10 @@
             });
             String first = "[[pool]]\nname = \"a\"\nnodes = \"plain\"\ndedup_group = \"g\"\n[[pool.server]]\nname = \"r\"\n"
                     + "dial = \"" + resets.dial() + "\"\n";
-            try (resets; DaemonRig rig = new DaemonRig(fleet, SHORT.replace("60000", "5000") + DaemonRig.MAIN + first
-                    + DaemonRig.plain("b", "dedup_group = \"" + (together ? "g" : "h") + "\"", fleet.nodes.get(1))
-                    + DaemonRig.route("all", "", "a", "b"));
-                    DaemonRig.Talk talk = rig.talk()) {
+            try (resets; DaemonHarness rig = new DaemonHarness(fleet, SHORT.replace("60000", "5000") + DaemonHarness.MAIN + first
+                    + DaemonHarness.plain("b", "dedup_group = \"" + (together ? "g" : "h") + "\"", fleet.nodes.get(1))
+                    + DaemonHarness.route("all", "", "a", "b"));
+                    DaemonHarness.Talk talk = rig.talk()) {
                 assertThat(talk.say("ms k 2 Pc=publish,k=once\r\nhi\r\n").line())
                         .isEqualTo(together ? "HD" : "SERVER_ERROR failed");
                 assertThat(fleet.nodes.get(1).commands()).isEqualTo(together ? 1 : 0);
@@ -135,23 +135,23 @@
 
     @Test
     void whenItsRetriesAreSpentAPoolRefusesAndItComesBackAfterwards() throws Exception {
-        StandInFleet fleet = new StandInFleet(4);
-        StandInNode[] n = fleet.nodes.toArray(new StandInNode[0]);
-        try (DaemonRig rig = new DaemonRig(fleet, DaemonRig.LIMITS + "second_copies = false\n" + DaemonRig.CLASSES + DaemonRig.MAIN
-                + DaemonRig.plain("a", "retry_share = 0.1\nretries_always = 0", n) + DaemonRig.route("all", "", "a"))) {
-            for (StandInNode node : n) {
+        FakeFleet fleet = new FakeFleet(4);
+        FakeCacheServer[] n = fleet.nodes.toArray(new FakeCacheServer[0]);
+        try (DaemonHarness rig = new DaemonHarness(fleet, DaemonHarness.LIMITS + "second_copies = false\n" + DaemonHarness.CLASSES + DaemonHarness.MAIN
+                + DaemonHarness.plain("a", "retry_share = 0.1\nretries_always = 0", n) + DaemonHarness.route("all", "", "a"))) {
+            for (FakeCacheServer node : n) {
                 node.busy(Integer.MAX_VALUE);
             }
             int before = 0;
             LoadClient.Account a = rig.ask(2000, 4, 4, PoolsTest::read);
-            for (StandInNode node : n) {
+            for (FakeCacheServer node : n) {
                 before += node.commands();
             }
             assertThat(a.refused).isEqualTo(2000);
             assertThat(a.refusedWithoutTime).isZero();
             // A first try each at most, a tenth of that in retries, and the ten that were saved up.
             assertThat(before).isLessThanOrEqualTo(2000 + 200 + 10);
-            for (StandInNode node : n) {
+            for (FakeCacheServer node : n) {
                 node.busy(0);
                 for (int i = 0; i < 200; i++) {
                     node.store("k/" + i, new byte[5]);
@@ -167,13 +167,13 @@
 
     @Test
     void backupsServeWhileNoOtherCanAndNoLonger() throws Exception {
-        StandInFleet fleet = new StandInFleet(2);
-        StandInNode primary = fleet.nodes.get(0);
-        StandInNode backup = fleet.nodes.get(1);
-        String pool = "[[pool]]\nname = \"a\"\nnodes = \"plain\"\n" + DaemonRig.servers("", primary)
-                + DaemonRig.servers("backup = true", backup);
-        try (DaemonRig rig = new DaemonRig(fleet, "[site]\nwarm_up_ms = 0\n" + DaemonRig.LIMITS + DaemonRig.CLASSES + DaemonRig.MAIN + pool
-                + DaemonRig.route("all", "", "a"))) {
+        FakeFleet fleet = new FakeFleet(2);
+        FakeCacheServer primary = fleet.nodes.get(0);
+        FakeCacheServer backup = fleet.nodes.get(1);
+        String pool = "[[pool]]\nname = \"a\"\nnodes = \"plain\"\n" + DaemonHarness.servers("", primary)
+                + DaemonHarness.servers("backup = true", backup);
+        try (DaemonHarness rig = new DaemonHarness(fleet, "[site]\nwarm_up_ms = 0\n" + DaemonHarness.LIMITS + DaemonHarness.CLASSES + DaemonHarness.MAIN + pool
+                + DaemonHarness.route("all", "", "a"))) {
             assertThat(rig.ask(300, 4, 2, PoolsTest::read).missing).isEqualTo(300);
             assertThat(backup.commands()).isZero();
             primary.kill();
@@ -193,14 +193,14 @@
 
     @Test
     void whenAllPrimariesOfAHashFailAtOnceAColdBackupIsFilledAsFastAsItMayBeAndTheyGetTheirKeysBack() throws Exception {
-        StandInFleet fleet = new StandInFleet(3);
-        StandInNode spare = fleet.nodes.get(2);
-        ColdWatch watch = new ColdWatch(200, 0.3, 20000, 300);
+        FakeFleet fleet = new FakeFleet(3);
+        FakeCacheServer spare = fleet.nodes.get(2);
+        SlowStartMonitor watch = new SlowStartMonitor(200, 0.3, 20000, 300);
         spare.watch(watch);
-        String pool = DaemonRig.plain("a", "placement = \"nginx-hash\"", fleet.nodes.get(0), fleet.nodes.get(1))
-                .replace("dial =", "warm = true\ndial =") + DaemonRig.servers("backup = true\ncapacity = 200", spare);
-        try (DaemonRig rig = new DaemonRig(fleet, SITE + DaemonRig.CLASSES + DaemonRig.MAIN + pool
-                + DaemonRig.route("all", "", "a"))) {
+        String pool = DaemonHarness.plain("a", "placement = \"nginx-hash\"", fleet.nodes.get(0), fleet.nodes.get(1))
+                .replace("dial =", "warm = true\ndial =") + DaemonHarness.servers("backup = true\ncapacity = 200", spare);
+        try (DaemonHarness rig = new DaemonHarness(fleet, SITE + DaemonHarness.CLASSES + DaemonHarness.MAIN + pool
+                + DaemonHarness.route("all", "", "a"))) {
             watch.born(System.nanoTime() / 1e6);
             assertThat(rig.ask(500, 4, 2, PoolsTest::read).faults).isEmpty();
             assertThat(spare.commands()).isZero();
@@ -227,11 +227,11 @@
 
     @Test
     void aPoolThatIsFullSendsOnToTheNextOrRefusesWithATime() throws Exception {
-        StandInFleet fleet = new StandInFleet(2);
-        try (DaemonRig rig = new DaemonRig(fleet, DaemonRig.CLASSES + DaemonRig.MAIN
-                + DaemonRig.plain("a", "in_hand = 1", fleet.nodes.get(0)) + DaemonRig.plain("b", "per_second = 10", fleet.nodes.get(1))
-                + DaemonRig.route("all", "", "a", "b"));
-                DaemonRig.Talk one = rig.talk(); DaemonRig.Talk two = rig.talk(); DaemonRig.Talk three = rig.talk()) {
+        FakeFleet fleet = new FakeFleet(2);
+        try (DaemonHarness rig = new DaemonHarness(fleet, DaemonHarness.CLASSES + DaemonHarness.MAIN
+                + DaemonHarness.plain("a", "in_hand = 1", fleet.nodes.get(0)) + DaemonHarness.plain("b", "per_second = 10", fleet.nodes.get(1))
+                + DaemonHarness.route("all", "", "a", "b"));
+                DaemonHarness.Talk one = rig.talk(); DaemonHarness.Talk two = rig.talk(); DaemonHarness.Talk three = rig.talk()) {
             fleet.nodes.get(0).mute(true);
             one.say("mg k1 v\r\n");
             while (rig.daemon.inHand() == 0) {
--- a/src/test/java/damsonworks/daemon/ReloadTest.java
+++ b/src/test/java/cacheproxy/daemon/ReloadTest.java
@@ -1,14 +1,14 @@
-package damsonworks.daemon;
+package cacheproxy.daemon;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.catchThrowableOfType;
 
-import damsonworks.config.ConfigException;
-import damsonworks.standin.LoadClient;
-import damsonworks.standin.LoadClient.Ask;
-import damsonworks.standin.StandInFleet;
-import damsonworks.standin.StandInNode;
-import damsonworks.standin.StandInOrigin;
+import cacheproxy.config.ConfigException;
+import cacheproxy.fakes.LoadClient;
+import cacheproxy.fakes.LoadClient.Ask;
+import cacheproxy.fakes.FakeFleet;
+import cacheproxy.fakes.FakeCacheServer;
+import cacheproxy.fakes.FakeOrigin;
 import java.net.ConnectException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -31,24 +31,24 @@
         return switch (i % 10) {
             case 0 -> new Ask("s/" + i, "c=submit", "submit-" + i, null);
             case 1 -> new Ask("p/" + i, "c=publish,k=publish-" + i, "publish-" + i, null);
-            default -> new Ask(key, "c=page", null, StandInOrigin.value(key));
+            default -> new Ask(key, "c=page", null, FakeOrigin.value(key));
         };
     }
 
     @Test
     void aHundredReloadsUnderLoadLoseNothingAndRepeatNothing() throws Exception {
-        StandInFleet fleet = new StandInFleet(6);
-        StandInNode[] n = fleet.nodes.toArray(new StandInNode[0]);
+        FakeFleet fleet = new FakeFleet(6);
+        FakeCacheServer[] n = fleet.nodes.toArray(new FakeCacheServer[0]);
         String[] files = new String[4];
         for (int v = 0; v < files.length; v++) {
             // Routes move between the pools, a pool comes and goes, another is replaced whole, servers change places.
-            files[v] = (v == 2 ? DaemonRig.LIMITS + "max_attempts = 2\n" : DaemonRig.LIMITS) + DaemonRig.CLASSES + DaemonRig.MAIN
-                    + DaemonRig.pool("a", fleet, "in_hand = " + (1000 + v), n[0], n[1], n[2 + v % 2])
-                    + (v == 1 ? "" : DaemonRig.pool("b", fleet, "", n[3], n[4], n[5]))
-                    + DaemonRig.route("pages", "prefix = \"page/\"", v % 2 == 0 && v != 1 ? "b" : "a")
-                    + DaemonRig.route("all", "", v == 3 ? "b" : "a");
+            files[v] = (v == 2 ? DaemonHarness.LIMITS + "max_attempts = 2\n" : DaemonHarness.LIMITS) + DaemonHarness.CLASSES + DaemonHarness.MAIN
+                    + DaemonHarness.pool("a", fleet, "in_hand = " + (1000 + v), n[0], n[1], n[2 + v % 2])
+                    + (v == 1 ? "" : DaemonHarness.pool("b", fleet, "", n[3], n[4], n[5]))
+                    + DaemonHarness.route("pages", "prefix = \"page/\"", v % 2 == 0 && v != 1 ? "b" : "a")
+                    + DaemonHarness.route("all", "", v == 3 ? "b" : "a");
         }
-        try (DaemonRig rig = new DaemonRig(fleet, files[0])) {
+        try (DaemonHarness rig = new DaemonHarness(fleet, files[0])) {
             fleet.origin.work(2);
             int total = 30_000;
             CompletableFuture<LoadClient.Account> load = new LoadClient(fleet.loop(), rig.daemon.address("main"), total,
@@ -70,15 +70,15 @@
 
     @Test
     void aFileOfNoUseChangesNothingAndSaysWhy() throws Exception {
-        StandInFleet fleet = new StandInFleet(2);
-        StandInNode[] n = fleet.nodes.toArray(new StandInNode[0]);
-        String good = DaemonRig.CLASSES + DaemonRig.MAIN + DaemonRig.pool("a", fleet, "", n) + DaemonRig.route("all", "", "a");
+        FakeFleet fleet = new FakeFleet(2);
+        FakeCacheServer[] n = fleet.nodes.toArray(new FakeCacheServer[0]);
+        String good = DaemonHarness.CLASSES + DaemonHarness.MAIN + DaemonHarness.pool("a", fleet, "", n) + DaemonHarness.route("all", "", "a");
         Path file = folder.resolve("coralbay.toml");
-        try (DaemonRig rig = new DaemonRig(fleet, good); DaemonRig.Talk talk = rig.talk();
+        try (DaemonHarness rig = new DaemonHarness(fleet, good); DaemonHarness.Talk talk = rig.talk();
                 ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             InetSocketAddress before = rig.daemon.address("main");
-            String unbindable = good + DaemonRig.listener("second", "127.0.0.1:" + taken.getLocalPort())
-                    + DaemonRig.listener("third", "127.0.0.1:0");
+            String unbindable = good + DaemonHarness.listener("second", "127.0.0.1:" + taken.getLocalPort())
+                    + DaemonHarness.listener("third", "127.0.0.1:0");
             for (String bad : new String[] {"", "[[[", good.substring(0, good.length() / 2), good.replace("\"a\"", "\"\""),
                 unbindable}) {
                 Files.writeString(file, bad);
@@ -94,14 +94,14 @@
 
     @Test
     void oneListenerGoesAndTheOtherIsNotDisturbed() throws Exception {
-        StandInFleet fleet = new StandInFleet(1);
-        StandInNode n = fleet.nodes.get(0);
-        String pools = DaemonRig.pool("a", fleet, "", n) + DaemonRig.route("all", "", "a");
-        String two = DaemonRig.CLASSES + DaemonRig.MAIN + DaemonRig.listener("second", "127.0.0.1:0") + pools;
-        try (DaemonRig rig = new DaemonRig(fleet, two);
-                DaemonRig.Talk stays = rig.talk();
-                DaemonRig.Talk idle = new DaemonRig.Talk(rig.daemon.address("second"));
-                DaemonRig.Talk busy = new DaemonRig.Talk(rig.daemon.address("second"))) {
+        FakeFleet fleet = new FakeFleet(1);
+        FakeCacheServer n = fleet.nodes.get(0);
+        String pools = DaemonHarness.pool("a", fleet, "", n) + DaemonHarness.route("all", "", "a");
+        String two = DaemonHarness.CLASSES + DaemonHarness.MAIN + DaemonHarness.listener("second", "127.0.0.1:0") + pools;
+        try (DaemonHarness rig = new DaemonHarness(fleet, two);
+                DaemonHarness.Talk stays = rig.talk();
+                DaemonHarness.Talk idle = new DaemonHarness.Talk(rig.daemon.address("second"));
+                DaemonHarness.Talk busy = new DaemonHarness.Talk(rig.daemon.address("second"))) {
             InetSocketAddress second = rig.daemon.address("second");
             assertThat(idle.say("mn\r\n").line()).isEqualTo("MN");
             fleet.origin.work(200);
@@ -109,7 +109,7 @@
             while (rig.daemon.inHand() == 0) {
                 Thread.onSpinWait();
             }
-            rig.load(DaemonRig.CLASSES + DaemonRig.MAIN + pools);
+            rig.load(DaemonHarness.CLASSES + DaemonHarness.MAIN + pools);
             assertThat(idle.line()).isNull();
             assertThat(busy.lines(2)).containsExactly("VA 13", "value of slow");
             assertThat(busy.line()).as("ends between requests").isNull();
@@ -121,18 +121,18 @@
 
     @Test
     void aRequestInHandEndsUnderTheFileThatItCameUnder() throws Exception {
-        StandInFleet fleet = new StandInFleet(2);
-        StandInNode old = fleet.nodes.get(0);
-        StandInNode next = fleet.nodes.get(1);
-        String head = DaemonRig.CLASSES + DaemonRig.MAIN;
-        try (DaemonRig rig = new DaemonRig(fleet, head + DaemonRig.pool("a", fleet, "", old) + DaemonRig.route("all", "", "a"));
-                DaemonRig.Talk talk = rig.talk(); DaemonRig.Talk later = rig.talk()) {
+        FakeFleet fleet = new FakeFleet(2);
+        FakeCacheServer old = fleet.nodes.get(0);
+        FakeCacheServer next = fleet.nodes.get(1);
+        String head = DaemonHarness.CLASSES + DaemonHarness.MAIN;
+        try (DaemonHarness rig = new DaemonHarness(fleet, head + DaemonHarness.pool("a", fleet, "", old) + DaemonHarness.route("all", "", "a"));
+                DaemonHarness.Talk talk = rig.talk(); DaemonHarness.Talk later = rig.talk()) {
             fleet.origin.work(300);
             talk.say("mg k v\r\n");
             while (rig.daemon.inHand() == 0) {
                 Thread.onSpinWait();
             }
-            rig.load(head + DaemonRig.pool("b", fleet, "", next) + DaemonRig.route("all", "", "b"));
+            rig.load(head + DaemonHarness.pool("b", fleet, "", next) + DaemonHarness.route("all", "", "b"));
             later.say("mg k2 v\r\n"); // the new node is cold, so this may go by the origin alone
             assertThat(talk.lines(2)).containsExactly("VA 10", "value of k");
             assertThat(later.lines(2)).containsExactly("VA 11", "value of k2");
@@ -142,12 +142,12 @@
 
     @Test
     void aPoolThatGoesSendsNothingNewOnceTheDrainGraceIsOver() throws Exception {
-        StandInFleet fleet = new StandInFleet(3);
-        StandInNode[] n = fleet.nodes.toArray(new StandInNode[0]);
-        String head = "[site]\ndrain_grace_ms = 100\n" + DaemonRig.CLASSES.replace("20000", "2000").replace("10000", "1000")
-                + DaemonRig.MAIN;
-        try (DaemonRig rig = new DaemonRig(fleet, head + DaemonRig.plain("a", "", n[0], n[1]) + DaemonRig.route("all", "", "a"));
-                DaemonRig.Talk talk = rig.talk()) {
+        FakeFleet fleet = new FakeFleet(3);
+        FakeCacheServer[] n = fleet.nodes.toArray(new FakeCacheServer[0]);
+        String head = "[site]\ndrain_grace_ms = 100\n" + DaemonHarness.CLASSES.replace("20000", "2000").replace("10000", "1000")
+                + DaemonHarness.MAIN;
+        try (DaemonHarness rig = new DaemonHarness(fleet, head + DaemonHarness.plain("a", "", n[0], n[1]) + DaemonHarness.route("all", "", "a"));
+                DaemonHarness.Talk talk = rig.talk()) {
             n[0].mute(true);
             n[1].mute(true);
             talk.say("mg k v\r\n");
@@ -155,7 +155,7 @@
                 Thread.onSpinWait();
             }
             // Before the first one is overdue, after which the other would be asked.
-            rig.load(head + DaemonRig.plain("b", "", n[2]) + DaemonRig.route("all", "", "b"));
+            rig.load(head + DaemonHarness.plain("b", "", n[2]) + DaemonHarness.route("all", "", "b"));
             assertThat(talk.line()).startsWith("SERVER_ERROR busy ");
             assertThat(n[0].commands() + n[1].commands()).isEqualTo(1);
         }
--- a/src/test/java/damsonworks/daemon/SiblingCachesTest.java
+++ b/src/test/java/cacheproxy/daemon/SiblingCachesTest.java
@@ -1,18 +1,18 @@
-package damsonworks.daemon;
+package cacheproxy.daemon;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.config.Addresses;
-import damsonworks.config.DaemonFileReader;
-import damsonworks.icp.IcpCodec;
-import damsonworks.icp.IcpMessage;
-import damsonworks.icp.IcpMessage.Opcode;
-import damsonworks.standin.LoadClient;
-import damsonworks.standin.LoadClient.Ask;
-import damsonworks.standin.LossyLink;
-import damsonworks.standin.StandInFleet;
-import damsonworks.standin.StandInNode;
-import damsonworks.standin.StandInOrigin;
+import cacheproxy.config.Addresses;
+import cacheproxy.config.DaemonConfigReader;
+import cacheproxy.icp.IcpCodec;
+import cacheproxy.icp.IcpMessage;
+import cacheproxy.icp.IcpMessage.Opcode;
+import cacheproxy.fakes.LoadClient;
+import cacheproxy.fakes.LoadClient.Ask;
+import cacheproxy.fakes.LossyDatagramLink;
+import cacheproxy.fakes.FakeFleet;
+import cacheproxy.fakes.FakeCacheServer;
+import cacheproxy.fakes.FakeOrigin;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.buffer.Unpooled;
@@ -33,20 +33,20 @@
 /** Proxies with fleets and origins of their own that ask each other by ICP. */
 @Timeout(120)
 class SiblingCachesTest {
-    private static final String CLASSES = DaemonRig.CLASSES + "[[class]]\nname = \"sibling\"\neffect = \"safe\"\naim_ms = 5000\n"
+    private static final String CLASSES = DaemonHarness.CLASSES + "[[class]]\nname = \"sibling\"\neffect = \"safe\"\naim_ms = 5000\n"
             + "deadline_ms = 10000\n";
     private final List<AutoCloseable> open = new ArrayList<>();
 
     /** One proxy with its fleet. Ports are taken before, as each must be in the others' files. */
     private final class Site {
-        final StandInFleet fleet;
+        final FakeFleet fleet;
         final InetSocketAddress icp = udpPort();
         final InetSocketAddress fetch = tcpPort();
         final List<String> siblings = new ArrayList<>();
         Daemon daemon;
 
         Site() throws Exception {
-            fleet = new StandInFleet(2);
+            fleet = new FakeFleet(2);
             open.add(fleet);
         }
 
@@ -60,22 +60,22 @@
             for (int i = 0; i < siblings.size(); i++) {
                 names.append(i > 0 ? ", " : "").append('"').append(siblings.get(i).split("\"")[1]).append('"');
             }
-            return DaemonRig.LIMITS + CLASSES + DaemonRig.MAIN + "[[listen]]\nname = \"siblings\"\naddress = \"" + Addresses.text(fetch)
+            return DaemonHarness.LIMITS + CLASSES + DaemonHarness.MAIN + "[[listen]]\nname = \"siblings\"\naddress = \"" + Addresses.text(fetch)
                     + "\"\n[icp]\naddress = \"" + Addresses.text(icp) + "\"\nlistener = \"siblings\"\n" + String.join("", siblings)
-                    + DaemonRig.pool("a", fleet, "siblings = [" + names + "]", fleet.nodes.toArray(new StandInNode[0]))
-                    + DaemonRig.pool("lookup", fleet, "", fleet.nodes.toArray(new StandInNode[0])).replaceAll("\\[pool.origin]\nname.*\ndial.*\n", "")
-                    + DaemonRig.route("from-siblings", "listener = \"siblings\"", "lookup") + DaemonRig.route("all", "", "a");
+                    + DaemonHarness.pool("a", fleet, "siblings = [" + names + "]", fleet.nodes.toArray(new FakeCacheServer[0]))
+                    + DaemonHarness.pool("lookup", fleet, "", fleet.nodes.toArray(new FakeCacheServer[0])).replaceAll("\\[pool.origin]\nname.*\ndial.*\n", "")
+                    + DaemonHarness.route("from-siblings", "listener = \"siblings\"", "lookup") + DaemonHarness.route("all", "", "a");
         }
 
         Site start() throws Exception {
-            daemon = Daemon.start(DaemonFileReader.parse("rig", file()), 7);
+            daemon = Daemon.start(DaemonConfigReader.parse("rig", file()), 7);
             open.add(daemon);
             return this;
         }
 
         CompletableFuture<LoadClient.Account> load(int total, int from) {
             return new LoadClient(fleet.loop(), daemon.address("main"), total, i -> new Ask("k/" + (from + i), "c=page", null,
-                    StandInOrigin.value("k/" + (from + i)))).start(4, 2);
+                    FakeOrigin.value("k/" + (from + i)))).start(4, 2);
         }
 
         LoadClient.Account ask(int total, int from) throws Exception {
@@ -94,8 +94,8 @@
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), Ports.free());
     }
 
-    private LossyLink link(Site a, Site b, double lost, double doubled, double lateMs) throws Exception {
-        LossyLink link = new LossyLink(a.fleet.loop(), a.icp, b.icp, 5, lost, doubled, lateMs);
+    private LossyDatagramLink link(Site a, Site b, double lost, double doubled, double lateMs) throws Exception {
+        LossyDatagramLink link = new LossyDatagramLink(a.fleet.loop(), a.icp, b.icp, 5, lost, doubled, lateMs);
         open.add(link);
         return link;
     }
@@ -130,7 +130,7 @@
     void withHalfOfAllRepliesLostOthersDoubledAndLateEachRequestHasOneAnswer() throws Exception {
         Site a = new Site();
         Site b = new Site();
-        LossyLink link = link(a, b, 0.5, 0.3, 5);
+        LossyDatagramLink link = link(a, b, 0.5, 0.3, 5);
         a.knows("b", link.towardsB(), b.fetch);
         b.knows("a", link.towardsA(), a.fetch);
         a.start();
@@ -161,7 +161,7 @@
         }
         for (Site s : sites) {
             loads.add(new LoadClient(s.fleet.loop(), s.daemon.address("main"), 4, i -> new Ask("nobody", "c=page", null,
-                    StandInOrigin.value("nobody"))).start(4, 1)); // fewer than make a key hot, which is spread
+                    FakeOrigin.value("nobody"))).start(4, 1)); // fewer than make a key hot, which is spread
         }
         for (int i = 0; i < 3; i++) {
             LoadClient.Account a = loads.get(i).get(60, TimeUnit.SECONDS);
@@ -182,7 +182,7 @@
         a.fleet.origin.work(5);
         b.ask(200, 0);
         b.ask(200, 0);
-        for (StandInNode n : b.fleet.nodes) { // what b promises is not there any more, and nobody has told b
+        for (FakeCacheServer n : b.fleet.nodes) { // what b promises is not there any more, and nobody has told b
             for (int i = 0; i < 200; i++) {
                 n.forget("k/" + i);
             }
@@ -204,9 +204,9 @@
         b.start();
         b.ask(200, 0);
         b.ask(200, 0);
-        StandInNode drains = b.fleet.nodes.get(0);
+        FakeCacheServer drains = b.fleet.nodes.get(0);
         String dial = "dial = \"" + drains.dial() + "\"";
-        b.daemon.load(DaemonFileReader.parse("rig", b.file().replace(dial, dial + "\ndrain = true")));
+        b.daemon.load(DaemonConfigReader.parse("rig", b.file().replace(dial, dial + "\ndrain = true")));
         int before = drains.commands();
         a.ask(200, 0);
         assertThat(drains.commands()).isEqualTo(before);
@@ -227,11 +227,11 @@
                 hits += asked(friend, b, "http://coralbay/k/" + i).opcode() == Opcode.HIT ? 1 : 0;
             }
             assertThat(hits).isGreaterThan(40);
-            for (StandInNode n : b.fleet.nodes) {
+            for (FakeCacheServer n : b.fleet.nodes) {
                 n.kill();
             }
             b.ask(100, 100); // b finds them down
-            for (StandInNode n : b.fleet.nodes) {
+            for (FakeCacheServer n : b.fleet.nodes) {
                 n.revive();
             }
             int served = 0;
@@ -331,7 +331,7 @@
         assertThat(a.fleet.ledger.repeated()).isZero();
         assertThat(b.fleet.nodes).allMatch(n -> n.commands() == 0);
         assertThat(b.fleet.origin.fetches()).isZero();
-        try (DaemonRig.Talk talk = new DaemonRig.Talk(b.daemon.address("siblings"))) {
+        try (DaemonHarness.Talk talk = new DaemonHarness.Talk(b.daemon.address("siblings"))) {
             talk.say("ms k/1 2 O1 Pc=sibling,d=5000\r\nab\r\n");
             assertThat(talk.line()).startsWith("CLIENT_ERROR").contains("siblings do not write here");
             talk.say("mg none v O2 Pc=sibling,d=5000\r\n");
