--- a/src/test/java/damsonworks/daemon/FleetLimitsTest.java
+++ b/src/test/java/cacheproxy/daemon/fleet/FleetQuotasTest.java
@@ -1,4 +1,8 @@
-package damsonworks.daemon;
+package cacheproxy.daemon.fleet;
+
+import cacheproxy.daemon.Daemon;
+import cacheproxy.daemon.DaemonHarness;
+import cacheproxy.daemon.Ports;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -6,12 +10,12 @@
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
-import damsonworks.cli.Cli;
-import damsonworks.config.ConfigException;
-import damsonworks.config.DaemonFileReader;
-import damsonworks.config.FleetSection;
-import damsonworks.config.LimitsSection;
-import damsonworks.standin.StandInFleet;
+import cacheproxy.cli.Cli;
+import cacheproxy.config.ConfigException;
+import cacheproxy.config.DaemonConfigReader;
+import cacheproxy.config.FleetConfig;
+import cacheproxy.config.LimitsConfig;
+import cacheproxy.fakes.FakeFleet;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -23,12 +27,12 @@
 
 /** The fleet's limits in the daemon: by its file, at requests, at its control address. */
 @Timeout(60)
-class FleetLimitsTest {
-    private StandInFleet fleet;
+class FleetQuotasTest {
+    private FakeFleet fleet;
 
     @BeforeEach
     void start() throws Exception {
-        fleet = new StandInFleet(1);
+        fleet = new FakeFleet(1);
     }
 
     @AfterEach
@@ -37,7 +41,7 @@
     }
 
     private String file(int port, String limits) {
-        return DaemonRig.CLASSES + DaemonRig.MAIN + DaemonRig.pool("pages", fleet, "", fleet.nodes.get(0)) + DaemonRig.route("all", "", "pages")
+        return DaemonHarness.CLASSES + DaemonHarness.MAIN + DaemonHarness.pool("pages", fleet, "", fleet.nodes.get(0)) + DaemonHarness.route("all", "", "pages")
                 + "[control]\nlisten = \"127.0.0.1:0\"\n[fleet]\nme = \"p1\"\nlisten = \"127.0.0.1:" + port + "\"\nlongest_lease_ms = 150\n"
                 + "[[fleet.peer]]\nname = \"p1\"\naddress = \"127.0.0.1:" + port + "\"\n" + limits;
     }
@@ -67,7 +71,7 @@
         String limits = "[fleet.limits]\ngrant_ms = 100\nlease_ms = 100\n[[fleet.limit]]\nname = \"slow\"\nclass = \"page\"\nper_second = 0.5\nburst = 0\n"
                 + "[[fleet.limit]]\nname = \"hand\"\nclass = \"publish\"\nat_once = 2\nwhen_alone = \"none\"\n"
                 + "[[fleet.limit]]\nname = \"pool\"\npool = \"pages\"\nper_second = 100000\n";
-        try (Daemon d = Daemon.start(DaemonFileReader.parse("f.toml", file(port, limits)), 5); Socket s = new Socket()) {
+        try (Daemon d = Daemon.start(DaemonConfigReader.parse("f.toml", file(port, limits)), 5); Socket s = new Socket()) {
             s.connect(d.address("main"));
             s.setSoTimeout(20_000);
             int served = 0;
@@ -99,11 +103,11 @@
             assertThat(Cli.run(new String[] {"limits", "--control", "127.0.0.1:1"})).isEqualTo(2);
 
             // Raised by a new file: what was refused is served; taken out, it is gone.
-            d.load(DaemonFileReader.parse("f.toml", file(port, limits.replace("per_second = 0.5", "per_second = 50000"))));
+            d.load(DaemonConfigReader.parse("f.toml", file(port, limits.replace("per_second = 0.5", "per_second = 50000"))));
             while (limit(d, "slow").get("mine").getAsDouble() < 40_000) {
                 Thread.onSpinWait();
             }
-            d.load(DaemonFileReader.parse("f.toml", file(port, "")));
+            d.load(DaemonConfigReader.parse("f.toml", file(port, "")));
             assertThat(limits(d)).isEmpty();
             s.getOutputStream().write("mg a v Oq2 Pc=page,d=1000\r\n".getBytes(StandardCharsets.US_ASCII));
             assertThat(line(s)).doesNotContain("busy");
@@ -131,15 +135,15 @@
             {"name = \"a\"\nper_second = 5\nwhen_alone = \"none\"\nshare_part = 0.5", "own no share"},
             {"name = \"a b\"\nper_second = 5", "limit name 'a b'"}};
         for (String[] w : wrong) {
-            assertThatThrownBy(() -> DaemonFileReader.parse("f.toml", file(7, "[[fleet.limit]]\n" + w[0] + "\n"))).isInstanceOf(ConfigException.class)
+            assertThatThrownBy(() -> DaemonConfigReader.parse("f.toml", file(7, "[[fleet.limit]]\n" + w[0] + "\n"))).isInstanceOf(ConfigException.class)
                     .hasMessageContaining(w[1]).hasMessageContaining("f.toml:");
         }
-        assertThatThrownBy(() -> DaemonFileReader.parse("f.toml", file(7, "[[duty]]\nname = \"limits.0\"\n"))).hasMessageContaining("the program's own");
+        assertThatThrownBy(() -> DaemonConfigReader.parse("f.toml", file(7, "[[duty]]\nname = \"limits.0\"\n"))).hasMessageContaining("the program's own");
         StringBuilder many = new StringBuilder();
         for (int i = 0; i < 1001; i++) {
             many.append("[[fleet.limit]]\nname = \"l").append(i).append("\"\nper_second = 5\n");
         }
-        assertThatThrownBy(() -> DaemonFileReader.parse("f.toml", file(7, many.toString()))).hasMessageContaining("at most 1000");
+        assertThatThrownBy(() -> DaemonConfigReader.parse("f.toml", file(7, many.toString()))).hasMessageContaining("at most 1000");
     }
 
     @Test
@@ -148,7 +152,7 @@
         for (int i = 0; i < 1000; i++) {
             many.append("[[fleet.limit]]\nname = \"l").append(i).append("\"\nper_second = 5\n");
         }
-        LimitsSection read = DaemonFileReader.parse("f.toml", file(7, many.toString())).part(FleetSection.class).limits();
+        LimitsConfig read = DaemonConfigReader.parse("f.toml", file(7, many.toString())).part(FleetConfig.class).limits();
         assertThat(read.limits()).hasSize(1000);
         assertThat(read.duties()).hasSize(4);
     }
--- a/src/test/java/damsonworks/daemon/FleetPartTest.java
+++ b/src/test/java/cacheproxy/daemon/fleet/FleetSubsystemTest.java
@@ -1,21 +1,25 @@
-package damsonworks.daemon;
+package cacheproxy.daemon.fleet;
+
+import cacheproxy.daemon.Daemon;
+import cacheproxy.daemon.DaemonHarness;
+import cacheproxy.daemon.Ports;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import damsonworks.cli.Cli;
-import damsonworks.config.ConfigException;
-import damsonworks.config.DaemonFileReader;
-import damsonworks.config.FleetSection;
-import damsonworks.lease.Ids;
-import damsonworks.lease.LeaseMessage;
-import damsonworks.membership.WatchWord;
-import damsonworks.peers.Envelope;
-import damsonworks.standin.LoadClient;
-import damsonworks.standin.ScriptedServer;
-import damsonworks.standin.StandInFleet;
-import damsonworks.standin.StandInNode;
-import damsonworks.trials.TrialMessage;
+import cacheproxy.cli.Cli;
+import cacheproxy.config.ConfigException;
+import cacheproxy.config.DaemonConfigReader;
+import cacheproxy.config.FleetConfig;
+import cacheproxy.fleet.lease.NameHash;
+import cacheproxy.fleet.lease.LeaseMessage;
+import cacheproxy.discovery.WatchVersionMessage;
+import cacheproxy.fleet.peer.DatagramEnvelope;
+import cacheproxy.fakes.LoadClient;
+import cacheproxy.fakes.ScriptedServer;
+import cacheproxy.fakes.FakeFleet;
+import cacheproxy.fakes.FakeCacheServer;
+import cacheproxy.fleet.healthcheck.HealthCheckMessage;
 import java.io.IOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
@@ -36,14 +40,14 @@
 
 /** Duties in the daemon: by its file, at its control address, over reloads. */
 @Timeout(60)
-class FleetPartTest {
+class FleetSubsystemTest {
     @TempDir
     private Path folder;
-    private StandInFleet fleet;
+    private FakeFleet fleet;
 
     @BeforeEach
     void start() throws Exception {
-        fleet = new StandInFleet(1);
+        fleet = new FakeFleet(1);
     }
 
     @AfterEach
@@ -52,7 +56,7 @@
     }
 
     private String file(String more) {
-        return DaemonRig.CLASSES + DaemonRig.MAIN + DaemonRig.pool("pages", fleet, "", fleet.nodes.get(0)) + DaemonRig.route("all", "", "pages")
+        return DaemonHarness.CLASSES + DaemonHarness.MAIN + DaemonHarness.pool("pages", fleet, "", fleet.nodes.get(0)) + DaemonHarness.route("all", "", "pages")
                 + "[control]\nlisten = \"127.0.0.1:0\"\n" + more;
     }
 
@@ -69,7 +73,7 @@
     }
 
     private Daemon daemon(String more) throws Exception {
-        return Daemon.start(DaemonFileReader.parse(folder.resolve("f.toml").toString(), file(more)), 5);
+        return Daemon.start(DaemonConfigReader.parse(folder.resolve("f.toml").toString(), file(more)), 5);
     }
 
     private static String call(Daemon d, String call) throws IOException {
@@ -108,18 +112,18 @@
             assertThat(call(d, "GET /duties/cron/x")).startsWith("404");
             assertThat(call(d, "GET /else")).startsWith("404");
 
-            d.load(DaemonFileReader.parse("f", file(one + duty("cron") + duty("more"))));
+            d.load(DaemonConfigReader.parse("f", file(one + duty("cron") + duty("more"))));
             await(d, "GET /duties/more", "200 ");
             assertThat(call(d, "GET /duties/cron")).as("not moved by it").isEqualTo("200 " + epoch);
-            assertThatThrownBy(() -> d.load(DaemonFileReader.parse("f", file(fleetOf("p1", 1, "", "p1@1").replace("127.0.0.1:1\"\nlongest",
+            assertThatThrownBy(() -> d.load(DaemonConfigReader.parse("f", file(fleetOf("p1", 1, "", "p1@1").replace("127.0.0.1:1\"\nlongest",
                     "192.0.2.1:9\"\nlongest"))))).isInstanceOf(ConfigException.class).hasMessageContaining("fleet can't be bound to 192.0.2.1:9");
             assertThat(call(d, "GET /duties/cron")).as("nothing has changed").isEqualTo("200 " + epoch);
-            d.load(DaemonFileReader.parse("f", file(one + duty("more"))));
+            d.load(DaemonConfigReader.parse("f", file(one + duty("more"))));
             assertThat(call(d, "GET /duties/cron")).startsWith("404");
             assertThat(call(d, "GET /duties")).doesNotContain("cron");
-            d.load(DaemonFileReader.parse("f", file(one + duty("more") + duty("cron"))));
+            d.load(DaemonConfigReader.parse("f", file(one + duty("more") + duty("cron"))));
             assertThat(Long.parseLong(await(d, "GET /duties/cron", "200 ").substring(4))).isGreaterThan(epoch);
-            d.load(DaemonFileReader.parse("f", file("")));
+            d.load(DaemonConfigReader.parse("f", file("")));
             assertThat(call(d, "GET /duties")).as("no fleet any more").startsWith("404");
         }
     }
@@ -142,10 +146,10 @@
             int next = (holder + 1) % 3;
             // Who has not the key says that all voters would grant it to somebody else.
             try (DatagramSocket forger = new DatagramSocket()) {
-                Envelope envelope = new Envelope(Ids.of("p" + (next + 1)), System.currentTimeMillis() + 1_000_000,
+                DatagramEnvelope envelope = new DatagramEnvelope(NameHash.of("p" + (next + 1)), System.currentTimeMillis() + 1_000_000,
                         List.of("another secret of some length".getBytes(StandardCharsets.UTF_8)), List.of());
                 for (int i = 0; i < 200; i++) {
-                    byte[] d = envelope.seal(Ids.of("p" + (i % 3 + 1)), (byte) 1, new LeaseMessage(LeaseMessage.Kind.CLAIM, Ids.of("cron"), 1, LeaseMessage.MOST_EPOCH - 9, 9, 150).bytes());
+                    byte[] d = envelope.seal(NameHash.of("p" + (i % 3 + 1)), (byte) 1, new LeaseMessage(LeaseMessage.Kind.CLAIM, NameHash.of("cron"), 1, LeaseMessage.MOST_EPOCH - 9, 9, 150).bytes());
                     forger.send(new DatagramPacket(d, d.length, InetAddress.getByName("127.0.0.1"), ports[i % 3]));
                 }
             }
@@ -172,7 +176,7 @@
                 Daemon c = daemon(fleetOf("p3", ports[2], "", peers) + duty("cron")); DatagramSocket forger = new DatagramSocket()) {
             Thread forging = new Thread(() -> {
                 for (int i = 0; !over.get(); i++) {
-                    byte[] d = new Envelope(Ids.of("p" + (i % 3 + 1)), Long.MAX_VALUE, List.of(), List.of()).seal(0, (byte) 1, new byte[0]);
+                    byte[] d = new DatagramEnvelope(NameHash.of("p" + (i % 3 + 1)), Long.MAX_VALUE, List.of(), List.of()).seal(0, (byte) 1, new byte[0]);
                     try {
                         forger.send(new DatagramPacket(d, d.length, InetAddress.getByName("127.0.0.1"), ports[i / 3 % 3]));
                     } catch (IOException e) {
@@ -205,12 +209,12 @@
         try (DatagramSocket peer = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
                 Daemon d = daemon(fleetOf("p1", port, "", "p1@" + port, "p2@" + peer.getLocalPort()) + duty("cron"))) {
             peer.setSoTimeout(20_000);
-            DatagramPacket asked = new DatagramPacket(new byte[Envelope.MOST], Envelope.MOST);
+            DatagramPacket asked = new DatagramPacket(new byte[DatagramEnvelope.MOST], DatagramEnvelope.MOST);
             peer.receive(asked);
             String other = file(fleetOf("p1", port, "", "p1@" + port, "p2@" + peer.getLocalPort()) + duty("cron"))
                     .replace("longest_lease_ms = 150", "longest_lease_ms = 151").replace("[control]\nlisten = \"127.0.0.1:0\"",
                     "[control]\nlisten = \"192.0.2.1:9\"");
-            assertThatThrownBy(() -> d.load(DaemonFileReader.parse("f", other))).isInstanceOf(ConfigException.class)
+            assertThatThrownBy(() -> d.load(DaemonConfigReader.parse("f", other))).isInstanceOf(ConfigException.class)
                     .hasMessageContaining("control can't be bound");
             // What was on its way when the file was tried may be in the queue; the process's own life tells what came after.
             for (int i = 0; i < 50; i++) {
@@ -228,7 +232,7 @@
         try (Daemon d = daemon(one.replace("longest_lease_ms = 150", "longest_lease_ms = 2000"))) {
             await(d, "GET /duties/cron", "200 ");
             long before = System.currentTimeMillis();
-            d.load(DaemonFileReader.parse("f", file(one)));
+            d.load(DaemonConfigReader.parse("f", file(one)));
             long epoch = Long.parseLong(await(d, "GET /duties/cron", "200 ").substring(4));
             assertThat(epoch - before).as("epochs are times where nobody remembers").isGreaterThanOrEqualTo(2000);
         }
@@ -237,7 +241,7 @@
     @Test
     void whatIsWrongInTheFileIsToldWithItsPlace() throws Exception {
         Files.writeString(folder.resolve("short"), "abc\n");
-        assertThatThrownBy(() -> DaemonFileReader.parse(folder.resolve("f").toString(), file("""
+        assertThatThrownBy(() -> DaemonConfigReader.parse(folder.resolve("f").toString(), file("""
                 [fleet]
                 me = "p4"
                 listen = "127.0.0.1:0"
@@ -260,28 +264,28 @@
                 .contains("there is no peer 'p4'").contains("another peer 'p1'").contains("another peer has the address 127.0.0.1:7")
                 .contains("joining is not leaving").contains("duty name 'a b'").contains("lease_ms is 5000").contains("odd number")
                 .contains("at least 16 characters"));
-        assertThatThrownBy(() -> DaemonFileReader.parse("f", file(duty("x")))).hasMessageContaining("duties need [fleet]");
-        FleetSection open = DaemonFileReader.parse("f", file(fleetOf("p1", 9, "", "p1@9", "p2@8"))).part(FleetSection.class);
+        assertThatThrownBy(() -> DaemonConfigReader.parse("f", file(duty("x")))).hasMessageContaining("duties need [fleet]");
+        FleetConfig open = DaemonConfigReader.parse("f", file(fleetOf("p1", 9, "", "p1@9", "p2@8"))).part(FleetConfig.class);
         assertThat(open.warnings()).singleElement().asString().contains("key_file");
         assertThat(open.namesBefore()).isEmpty();
-        FleetSection moving = DaemonFileReader.parse("f", file(fleetOf("p1", 9, "", "p1@9", "p2@8") + "leaving = true\n"
-                + "[[fleet.peer]]\nname = \"p3\"\naddress = \"127.0.0.1:7\"\njoining = true\n")).part(FleetSection.class);
+        FleetConfig moving = DaemonConfigReader.parse("f", file(fleetOf("p1", 9, "", "p1@9", "p2@8") + "leaving = true\n"
+                + "[[fleet.peer]]\nname = \"p3\"\naddress = \"127.0.0.1:7\"\njoining = true\n")).part(FleetConfig.class);
         assertThat(moving.names()).containsExactly("p1", "p3");
         assertThat(moving.namesBefore()).containsExactly("p1", "p2");
     }
 
     /** A pool's test of a server that was asked of a peer, with the peer's socket; returns what the question says. */
-    private byte[] askedFor(Daemon d, StandInNode mute, DatagramSocket peer) throws Exception {
-        DatagramPacket in = new DatagramPacket(new byte[Envelope.MOST], Envelope.MOST);
+    private byte[] askedFor(Daemon d, FakeCacheServer mute, DatagramSocket peer) throws Exception {
+        DatagramPacket in = new DatagramPacket(new byte[DatagramEnvelope.MOST], DatagramEnvelope.MOST);
         peer.setSoTimeout(50);
         for (int from = 0;; from += 20) {
             int first = from;
-            new LoadClient(fleet.loop(), d.address("main"), 20, i -> DaemonRig.read("k/" + (first + i))).start(4, 1).get(100, TimeUnit.SECONDS);
+            new LoadClient(fleet.loop(), d.address("main"), 20, i -> DaemonHarness.read("k/" + (first + i))).start(4, 1).get(100, TimeUnit.SECONDS);
             try {
                 while (true) {
                     peer.receive(in);
-                    if (in.getData()[2] == FleetProbes.TOPIC) {
-                        return java.util.Arrays.copyOfRange(in.getData(), Envelope.MOST - Envelope.MOST_PAYLOAD - 16, in.getLength() - 4);
+                    if (in.getData()[2] == FleetHealthChecks.TOPIC) {
+                        return java.util.Arrays.copyOfRange(in.getData(), DatagramEnvelope.MOST - DatagramEnvelope.MOST_PAYLOAD - 16, in.getLength() - 4);
                     }
                 }
             } catch (SocketTimeoutException e) {
@@ -291,24 +295,24 @@
     }
 
     private String withMute(String more) {
-        return "[limits]\nconnect_timeout_ms = 10\nmax_retry_after_ms = 5\n" + DaemonRig.CLASSES.replace("aim_ms = 10000", "aim_ms = 100")
-                .replace("deadline_ms = 20000", "deadline_ms = 1000") + DaemonRig.MAIN + DaemonRig.pool("pages", fleet, "",
-                fleet.nodes.toArray(new StandInNode[0])) + DaemonRig.route("all", "", "pages") + "[control]\nlisten = \"127.0.0.1:0\"\n" + more;
+        return "[limits]\nconnect_timeout_ms = 10\nmax_retry_after_ms = 5\n" + DaemonHarness.CLASSES.replace("aim_ms = 10000", "aim_ms = 100")
+                .replace("deadline_ms = 20000", "deadline_ms = 1000") + DaemonHarness.MAIN + DaemonHarness.pool("pages", fleet, "",
+                fleet.nodes.toArray(new FakeCacheServer[0])) + DaemonHarness.route("all", "", "pages") + "[control]\nlisten = \"127.0.0.1:0\"\n" + more;
     }
 
     @Test
     void aTestThatIsAskedOfAPeerIsMadeHereWhenTheFleetIsReplacedOrThePeerIsSilent() throws Exception {
         fleet.close();
-        fleet = new StandInFleet(2);
-        StandInNode mute = fleet.nodes.get(1);
+        fleet = new FakeFleet(2);
+        FakeCacheServer mute = fleet.nodes.get(1);
         int port = Ports.free();
         try (DatagramSocket peer = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
             String two = fleetOf("p1", port, "", "p1@" + port, "p2@" + peer.getLocalPort());
             mute.mute(true);
-            try (Daemon d = Daemon.start(DaemonFileReader.parse("f", withMute(two + "[fleet.probe]\nlease_ms = 150\npatience_ms = 10000\n")), 5)) {
+            try (Daemon d = Daemon.start(DaemonConfigReader.parse("f", withMute(two + "[fleet.probe]\nlease_ms = 150\npatience_ms = 10000\n")), 5)) {
                 askedFor(d, mute, peer);
                 mute.mute(false);
-                d.load(DaemonFileReader.parse("f", withMute(two.replace("longest_lease_ms = 150", "longest_lease_ms = 160")
+                d.load(DaemonConfigReader.parse("f", withMute(two.replace("longest_lease_ms = 150", "longest_lease_ms = 160")
                         + "[fleet.probe]\nlease_ms = 150\npatience_ms = 10000\n")));
                 while (mute.tested() == 0) {
                     Thread.onSpinWait();
@@ -317,10 +321,10 @@
             }
             int before = mute.tested();
             mute.mute(true);
-            try (Daemon d = Daemon.start(DaemonFileReader.parse("f", withMute(two + "[fleet.probe]\nlease_ms = 150\npatience_ms = 300\n")), 5)) {
+            try (Daemon d = Daemon.start(DaemonConfigReader.parse("f", withMute(two + "[fleet.probe]\nlease_ms = 150\npatience_ms = 300\n")), 5)) {
                 for (int from = 0; mute.tested() == before; from += 20) {
                     int first = from;
-                    new LoadClient(fleet.loop(), d.address("main"), 20, i -> DaemonRig.read("k/" + (first + i))).start(4, 1).get(100, TimeUnit.SECONDS);
+                    new LoadClient(fleet.loop(), d.address("main"), 20, i -> DaemonHarness.read("k/" + (first + i))).start(4, 1).get(100, TimeUnit.SECONDS);
                 }
                 assertThat(call(d, "POST /fleet")).startsWith("405");
             }
@@ -331,20 +335,20 @@
     @Test
     void aRequestIsNoTrialWhileWordOfTheHolderIsOut() throws Exception {
         fleet.close();
-        fleet = new StandInFleet(2);
-        StandInNode mute = fleet.nodes.get(1);
+        fleet = new FakeFleet(2);
+        FakeCacheServer mute = fleet.nodes.get(1);
         int port = Ports.free();
         try (DatagramSocket peer = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
             mute.mute(true);
-            try (Daemon d = Daemon.start(DaemonFileReader.parse("f", withMute(fleetOf("p1", port, "", "p1@" + port, "p2@" + peer.getLocalPort())
+            try (Daemon d = Daemon.start(DaemonConfigReader.parse("f", withMute(fleetOf("p1", port, "", "p1@" + port, "p2@" + peer.getLocalPort())
                     + "[fleet.probe]\nby = \"requests\"\nlease_ms = 150\npatience_ms = 10000\n")), 5)) {
-                TrialMessage asked = TrialMessage.of(askedFor(d, mute, peer));
+                HealthCheckMessage asked = HealthCheckMessage.of(askedFor(d, mute, peer));
                 int before = mute.commands();
                 ask(d, 40);
                 assertThat(mute.commands()).as("while the question is out").isEqualTo(before);
                 mute.mute(false);
-                byte[] sound = new Envelope(Ids.of("p2"), 1, List.of(), List.of(Ids.of("p1"))).seal(Ids.of("p1"), FleetProbes.TOPIC,
-                        new TrialMessage(TrialMessage.Kind.ANSWER, asked.duty(), asked.server(), asked.number(), 1, 0, true, 0).bytes());
+                byte[] sound = new DatagramEnvelope(NameHash.of("p2"), 1, List.of(), List.of(NameHash.of("p1"))).seal(NameHash.of("p1"), FleetHealthChecks.TOPIC,
+                        new HealthCheckMessage(HealthCheckMessage.Kind.ANSWER, asked.duty(), asked.server(), asked.number(), 1, 0, true, 0).bytes());
                 peer.send(new DatagramPacket(sound, sound.length, InetAddress.getByName("127.0.0.1"), port));
                 while (mute.commands() == before) {
                     ask(d, 20);
@@ -356,7 +360,7 @@
     }
 
     private void ask(Daemon d, int requests) throws Exception {
-        new LoadClient(fleet.loop(), d.address("main"), requests, i -> DaemonRig.read("k/" + i)).start(4, 1).get(100, TimeUnit.SECONDS);
+        new LoadClient(fleet.loop(), d.address("main"), requests, i -> DaemonHarness.read("k/" + i)).start(4, 1).get(100, TimeUnit.SECONDS);
     }
 
     /** Its watch is open and silent; another proxy has a later list and says so. */
@@ -372,15 +376,15 @@
             }
             c.awaitEnd();
         }); DatagramSocket peer = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
-                Daemon d = Daemon.start(DaemonFileReader.parse("f", DaemonRig.CLASSES + DaemonRig.MAIN + "[[pool]]\nname = \"a\"\n[pool.discovery]\naddress = \""
-                        + discovery.dial() + "\"\nzones = [\"here\"]\nkinds = [\"node\"]\n" + DaemonRig.route("all", "", "a")
+                Daemon d = Daemon.start(DaemonConfigReader.parse("f", DaemonHarness.CLASSES + DaemonHarness.MAIN + "[[pool]]\nname = \"a\"\n[pool.discovery]\naddress = \""
+                        + discovery.dial() + "\"\nzones = [\"here\"]\nkinds = [\"node\"]\n" + DaemonHarness.route("all", "", "a")
                         + "[control]\nlisten = \"127.0.0.1:0\"\n" + fleetOf("p1", port, "", "p1@" + port, "p2@" + peer.getLocalPort())
                         + "zone = \"b\"\n[fleet.watch]\nlease_ms = 150\nbeat_ms = 100\nlazy_ms = 10000\n"), 5)) {
             assertThat(discovery.commands.take()).contains("since=0&");
             assertThat(discovery.commands.take()).contains("since=5&");
             await(d, "GET /duties/watch.here.a", "200 ");
-            byte[] later = new Envelope(Ids.of("p2"), 1, List.of(), List.of(Ids.of("p1"))).seal(Ids.of("p1"), FleetWatches.TOPIC,
-                    new WatchWord(true, Ids.of("watch.here.a"), 0, 0, 6).bytes());
+            byte[] later = new DatagramEnvelope(NameHash.of("p2"), 1, List.of(), List.of(NameHash.of("p1"))).seal(NameHash.of("p1"), DelegatedWatches.TOPIC,
+                    new WatchVersionMessage(true, NameHash.of("watch.here.a"), 0, 0, 6).bytes());
             peer.send(new DatagramPacket(later, later.length, InetAddress.getByName("127.0.0.1"), port));
             // The silent call is given up 24 s after it was made, so a second one within half of that is the answer to the word.
             assertThat(discovery.commands.poll(12, TimeUnit.SECONDS)).contains("since=5&");
@@ -390,13 +394,13 @@
     @Test
     void whatIsWrongInTheProgramsOwnDutiesIsToldWithItsPlace() throws Exception {
         String one = fleetOf("p1", 9, "", "p1@9");
-        assertThatThrownBy(() -> DaemonFileReader.parse("f", file(one.replace("[[fleet.peer]]\n", "[[fleet.peer]]\nzone = \"a.b\"\n") + duty("probe.1")
+        assertThatThrownBy(() -> DaemonConfigReader.parse("f", file(one.replace("[[fleet.peer]]\n", "[[fleet.peer]]\nzone = \"a.b\"\n") + duty("probe.1")
                 + duty("watch.x") + "[fleet.probe]\nvoters = 2\nshares = 0\npatience_ms = 100\n[fleet.watch]\nbeat_ms = 500\nword_ms = 400\nlazy_ms = 300\n")))
                 .isInstanceOfSatisfying(ConfigException.class, e -> assertThat(String.join("\n", e.errors())).contains("zone 'a.b'")
                 .contains("names that begin with probe. or watch.").contains("odd number").contains("shares is 0").contains("patience_ms is 100")
                 .contains("no longer than beat_ms").contains("shorter than word_ms"));
-        FleetSection two = DaemonFileReader.parse("f", file(fleetOf("p1", 9, "", "p1@9", "p2@8").replace("127.0.0.1:8\"\n", "127.0.0.1:8\"\nzone = \"b\"\n")
-                + "[fleet.watch]\n")).part(FleetSection.class);
+        FleetConfig two = DaemonConfigReader.parse("f", file(fleetOf("p1", 9, "", "p1@9", "p2@8").replace("127.0.0.1:8\"\n", "127.0.0.1:8\"\nzone = \"b\"\n")
+                + "[fleet.watch]\n")).part(FleetConfig.class);
         assertThat(two.names("here")).containsExactly("p1");
         assertThat(two.names("b")).containsExactly("p2");
         assertThat(two.watchDuty("pages")).isEqualTo("watch.here.pages");
--- a/src/test/java/damsonworks/daemon/HooksTest.java
+++ b/src/test/java/cacheproxy/daemon/hooks/HooksTest.java
@@ -1,13 +1,15 @@
-package damsonworks.daemon;
+package cacheproxy.daemon.hooks;
+
+import cacheproxy.daemon.DaemonHarness;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import damsonworks.config.ConfigException;
-import damsonworks.standin.LoadClient;
-import damsonworks.standin.LoadClient.Ask;
-import damsonworks.standin.StandInFleet;
-import damsonworks.standin.StandInOrigin;
+import cacheproxy.config.ConfigException;
+import cacheproxy.fakes.LoadClient;
+import cacheproxy.fakes.LoadClient.Ask;
+import cacheproxy.fakes.FakeFleet;
+import cacheproxy.fakes.FakeOrigin;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.CompletableFuture;
@@ -29,9 +31,9 @@
         return "[[hook]]\nname = \"h\"\nmodule = \"" + module + "\"\n" + keys + "\n";
     }
 
-    private static String file(StandInFleet fleet, String hook) {
-        return DaemonRig.LIMITS + DaemonRig.CLASSES + DaemonRig.MAIN + DaemonRig.listener("hostile", "127.0.0.1:0") + hook
-                + DaemonRig.pool("a", fleet, "", fleet.nodes.get(0), fleet.nodes.get(1)) + DaemonRig.route("all", "", "a");
+    private static String file(FakeFleet fleet, String hook) {
+        return DaemonHarness.LIMITS + DaemonHarness.CLASSES + DaemonHarness.MAIN + DaemonHarness.listener("hostile", "127.0.0.1:0") + hook
+                + DaemonHarness.pool("a", fleet, "", fleet.nodes.get(0), fleet.nodes.get(1)) + DaemonHarness.route("all", "", "a");
     }
 
     private static Ask ask(int i) {
@@ -47,15 +49,15 @@
         "twice", "unknown-order", "cut", "refuse", "rekey", "unsafe", "logs", "log-far", "config-far", "alternates", "burns", "state",
         "sometimes", "steals-fuel", "copies", "answers"})
     void aHostileHookHarmsNoOtherRequestAndItsOwnGetOneAnswerEach(String name) throws Exception {
-        StandInFleet fleet = new StandInFleet(2);
+        FakeFleet fleet = new FakeFleet(2);
         String rule = name.hashCode() % 2 == 0 ? "skip" : "refuse";
         String keys = "listener = \"hostile\"\nqueue = 8\nrefuse_ms = 1\nbreaker_off_ms = 20\non_failure = \"" + rule + "\"";
-        try (DaemonRig rig = new DaemonRig(fleet, file(fleet, hook(HOSTILE.resolve(name + ".wasm"), keys)))) {
+        try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet, hook(HOSTILE.resolve(name + ".wasm"), keys)))) {
             int total = 400;
             CompletableFuture<LoadClient.Account> hostile = new LoadClient(fleet.loop(), rig.daemon.address("hostile"), total,
                     HooksTest::ask).start(4, 8);
             CompletableFuture<LoadClient.Account> normal = new LoadClient(fleet.loop(), rig.daemon.address("main"), total,
-                    i -> new Ask("n/" + i, "c=page", null, StandInOrigin.value("n/" + i))).start(4, 4);
+                    i -> new Ask("n/" + i, "c=page", null, FakeOrigin.value("n/" + i))).start(4, 4);
             LoadClient.Account n = normal.get(100, TimeUnit.SECONDS);
             assertThat(n.faults).isEmpty();
             assertThat(n.answered()).isEqualTo(total);
@@ -73,11 +75,11 @@
 
     @Test
     void ordersAreCarriedOut() throws Exception {
-        StandInFleet fleet = new StandInFleet(2);
-        String more = DaemonRig.CLASSES.isEmpty() ? "" : "[[tenant]]\nname = \"red\"\n[[tenant]]\nname = \"blue\"\n";
+        FakeFleet fleet = new FakeFleet(2);
+        String more = DaemonHarness.CLASSES.isEmpty() ? "" : "[[tenant]]\nname = \"red\"\n[[tenant]]\nname = \"blue\"\n";
         String hooks = more + "[[hook]]\nname = \"keys\"\nmodule = \"" + KIT.resolve("key-schemes.wasm") + "\"\ntime_ms = 10000\n[[hook]]\nname = \"tenants\"\n"
                 + "module = \"" + KIT.resolve("tenant-list.wasm") + "\"\nlistener = [\"main\"]\norder = -1\ntime_ms = 10000\nconfig = \"blue\"\n";
-        try (DaemonRig rig = new DaemonRig(fleet, file(fleet, hooks)); DaemonRig.Talk talk = rig.talk()) {
+        try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet, hooks)); DaemonHarness.Talk talk = rig.talk()) {
             talk.say("mg A:7/vi v\r\n");
             assertThat(talk.lines(2)).containsExactly("VA 17", "value of sub/7/vi");
             talk.say("mg C|vi|7 v Pt=red\r\n");
@@ -89,22 +91,22 @@
 
     @Test
     void aHookOfARouteIsCalledForThatRouteAlone() throws Exception {
-        StandInFleet fleet = new StandInFleet(2);
+        FakeFleet fleet = new FakeFleet(2);
         String hooks = "[[hook]]\nname = \"keys\"\nroute = \"rivals\"\nmodule = \"" + KIT.resolve("key-schemes.wasm") + "\"\ntime_ms = 10000\n";
-        String file = file(fleet, hooks) + DaemonRig.route("rivals", "prefix = \"A:\"", "a");
-        try (DaemonRig rig = new DaemonRig(fleet, file); DaemonRig.Talk talk = rig.talk()) {
+        String file = file(fleet, hooks) + DaemonHarness.route("rivals", "prefix = \"A:\"", "a");
+        try (DaemonHarness rig = new DaemonHarness(fleet, file); DaemonHarness.Talk talk = rig.talk()) {
             assertThat(talk.say("mg A:7/vi v\r\n").lines(2)).containsExactly("VA 17", "value of sub/7/vi");
             assertThat(talk.say("mg b-7-vi v\r\n").lines(2)).containsExactly("VA 15", "value of b-7-vi");
         }
-        assertThatThrownBy(() -> new DaemonRig(fleet, file(fleet, hooks))).isInstanceOfSatisfying(ConfigException.class,
+        assertThatThrownBy(() -> new DaemonHarness(fleet, file(fleet, hooks))).isInstanceOfSatisfying(ConfigException.class,
                 e -> assertThat(e.errors().get(0)).contains("there is no route 'rivals'"));
     }
 
     @Test
     void aModuleThatDoesNotLoadIsToldWithItsPlaceAndTheOldOneStays() throws Exception {
-        StandInFleet fleet = new StandInFleet(2);
+        FakeFleet fleet = new FakeFleet(2);
         String good = file(fleet, hook(KIT.resolve("key-schemes.wasm"), "time_ms = 10000"));
-        try (DaemonRig rig = new DaemonRig(fleet, good); DaemonRig.Talk talk = rig.talk()) {
+        try (DaemonHarness rig = new DaemonHarness(fleet, good); DaemonHarness.Talk talk = rig.talk()) {
             for (String[] c : new String[][] {{"wasi", "imports wasi_snapshot_preview1.fd_write"}, {"spin-load", "used up its fuel"},
                 {"nosuch", "there is no file"}, {"abi-2", "ABI version 2"}}) {
                 assertThatThrownBy(() -> rig.load(file(fleet, hook(HOSTILE.resolve(c[0] + ".wasm"), ""))))
@@ -123,10 +125,10 @@
 
     @Test
     void modulesAreReplacedUnderLoadAndNoRequestIsLost() throws Exception {
-        StandInFleet fleet = new StandInFleet(2);
+        FakeFleet fleet = new FakeFleet(2);
         String[] files = {file(fleet, hook(KIT.resolve("key-schemes.wasm"), "")), file(fleet, hook(HOSTILE.resolve("burns.wasm"), "")),
             file(fleet, ""), file(fleet, hook(HOSTILE.resolve("alternates.wasm"), ""))};
-        try (DaemonRig rig = new DaemonRig(fleet, files[0])) {
+        try (DaemonHarness rig = new DaemonHarness(fleet, files[0])) {
             int total = 8000;
             CompletableFuture<LoadClient.Account> load = new LoadClient(fleet.loop(), rig.daemon.address("main"), total,
                     HooksTest::ask).start(4, 8);
--- a/src/test/java/damsonworks/membership/SharedWatchTest.java
+++ b/src/test/java/cacheproxy/discovery/DelegatedWatchTest.java
@@ -1,10 +1,10 @@
-package damsonworks.membership;
+package cacheproxy.discovery;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import damsonworks.lease.Ids;
-import damsonworks.lease.Tenure;
+import cacheproxy.fleet.lease.NameHash;
+import cacheproxy.fleet.lease.LeaseHandle;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.PriorityQueue;
@@ -12,13 +12,13 @@
 import org.junit.jupiter.api.Test;
 
 /** One watches for all, on virtual time, with a discovery whose version grows. */
-class SharedWatchTest {
-    private static final SharedWatch.Rules RULES = new SharedWatch.Rules(1000, 3000, 30_000, 300);
+class DelegatedWatchTest {
+    private static final DelegatedWatch.Rules RULES = new DelegatedWatch.Rules(1000, 3000, 30_000, 300);
 
-    private record Mail(double atMs, long n, int from, int to, WatchWord w) { }
+    private record Mail(double atMs, long n, int from, int to, WatchVersionMessage w) { }
 
     private static final class World {
-        final List<SharedWatch> all = new ArrayList<>();
+        final List<DelegatedWatch> all = new ArrayList<>();
         final boolean[] closely;
         final long[] has;
         /** Whose watch has fallen silent. */
@@ -47,7 +47,7 @@
                 int me = i;
                 closely[i] = true;
                 behindSince[i] = Double.NaN;
-                all.add(new SharedWatch(new Tenure() {
+                all.add(new DelegatedWatch(new LeaseHandle() {
                     @Override
                     public long permit(double at, double actMs) {
                         return holder == me ? epoch : -1;
@@ -70,11 +70,11 @@
 
                     @Override
                     public long id() {
-                        return Ids.of("watch.a.pages");
+                        return NameHash.of("watch.a.pages");
                     }
-                }, RULES, new SplittableRandom(i), new SharedWatch.Out() {
+                }, RULES, new SplittableRandom(i), new DelegatedWatch.Out() {
                     @Override
-                    public void tell(WatchWord w) {
+                    public void tell(WatchVersionMessage w) {
                         for (int to = 0; to < all.size(); to++) {
                             if (to != me) {
                                 tell(to + 1, w);
@@ -83,9 +83,9 @@
                     }
 
                     @Override
-                    public void tell(long to, WatchWord w) {
+                    public void tell(long to, WatchVersionMessage w) {
                         if (random.nextDouble() >= loss) {
-                            mail.add(new Mail(now + random.nextDouble() * lateMs, n++, me, (int) to - 1, WatchWord.of(w.bytes())));
+                            mail.add(new Mail(now + random.nextDouble() * lateMs, n++, me, (int) to - 1, WatchVersionMessage.of(w.bytes())));
                         }
                     }
 
@@ -231,15 +231,15 @@
     void wordOfAnOlderEpochCountsForNothing() {
         World w = new World(3);
         w.holder = -1;
-        SharedWatch one = w.all.get(2);
-        long duty = Ids.of("watch.a.pages");
-        one.heard(0, 1, new WatchWord(false, duty, 5, 1, 7));
+        DelegatedWatch one = w.all.get(2);
+        long duty = NameHash.of("watch.a.pages");
+        one.heard(0, 1, new WatchVersionMessage(false, duty, 5, 1, 7));
         assertThat(one.closely(100)).isFalse();
-        one.heard(2900, 1, new WatchWord(false, duty, 4, 2, 7));
-        one.heard(2900, 1, new WatchWord(false, duty, 5, 1, 7)); // the same one again
-        one.heard(2900, 1, new WatchWord(false, duty + 1, 6, 1, 7));
+        one.heard(2900, 1, new WatchVersionMessage(false, duty, 4, 2, 7));
+        one.heard(2900, 1, new WatchVersionMessage(false, duty, 5, 1, 7)); // the same one again
+        one.heard(2900, 1, new WatchVersionMessage(false, duty + 1, 6, 1, 7));
         assertThat(one.closely(1.5 * RULES.wordMs() + 1)).isTrue();
-        one.heard(2900, 1, new WatchWord(false, duty, 5, 2, 7));
+        one.heard(2900, 1, new WatchVersionMessage(false, duty, 5, 2, 7));
         assertThat(one.closely(5000)).isFalse();
     }
 
@@ -263,9 +263,9 @@
 
     @Test
     void wordIsWholeOrNoneAndFiguresThatMakeNoSenseAreRefused() {
-        WatchWord w = new WatchWord(true, 1, 2, 3, 4);
-        assertThat(WatchWord.of(w.bytes())).isEqualTo(w);
-        assertThat(WatchWord.of(new byte[3])).isNull();
-        assertThatThrownBy(() -> new SharedWatch.Rules(1000, 900, 30_000, 0)).isInstanceOf(IllegalArgumentException.class);
+        WatchVersionMessage w = new WatchVersionMessage(true, 1, 2, 3, 4);
+        assertThat(WatchVersionMessage.of(w.bytes())).isEqualTo(w);
+        assertThat(WatchVersionMessage.of(new byte[3])).isNull();
+        assertThatThrownBy(() -> new DelegatedWatch.Rules(1000, 900, 30_000, 0)).isInstanceOf(IllegalArgumentException.class);
     }
 }
--- a/src/test/java/damsonworks/membership/ListFreshnessTest.java
+++ b/src/test/java/cacheproxy/discovery/DiscoveryPollSchedulerTest.java
@@ -1,4 +1,4 @@
-package damsonworks.membership;
+package cacheproxy.discovery;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -6,8 +6,8 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Discovery as it fails, on virtual time: how old the list of who goes by {@link ListFreshness} can be. */
-class ListFreshnessTest {
+/** Discovery as it fails, on virtual time: how old the list of who goes by {@link DiscoveryPollScheduler} can be. */
+class DiscoveryPollSchedulerTest {
     /** What a call comes to, and when. */
     private record End(double at, boolean sound, boolean silent) { }
 
@@ -22,7 +22,7 @@
      */
     private static double worst(long seed, boolean asked, int callers, Plant plant) {
         SplittableRandom random = new SplittableRandom(seed);
-        ListFreshness f = new ListFreshness(asked, callers, random.split());
+        DiscoveryPollScheduler f = new DiscoveryPollScheduler(asked, callers, random.split());
         double sound = 0;
         double ends = random.nextDouble(20_000);
         boolean up = random.nextBoolean();
@@ -38,7 +38,7 @@
                 fresh = ends;
                 ends += up ? 500 + random.nextDouble(25_000) : random.nextDouble(15_000);
             }
-            ListFreshness.Call call = f.begin(now);
+            DiscoveryPollScheduler.Call call = f.begin(now);
             double waits = plant == Plant.LONG_WATCH && call.waitMs() > 1 ? 20_000 : call.waitMs();
             double limit = plant == Plant.NO_LIMIT ? 20_000 : call.limitMs() - call.waitMs() + waits;
             Way way = up ? Way.WELL : Way.values()[random.nextInt(Way.WELL.ordinal())];
@@ -82,51 +82,51 @@
     void soundDiscoveryIsHeardWithinTheBoundWhateverWentBefore() {
         double[] all = worsts(20_000, Plant.NONE);
         System.out.printf("list freshness: 20000 walks, ms without a sound answer p50 %.0f, p99 %.0f, max %.0f of %.0f%n", all[10_000],
-                all[19_800], all[19_999], ListFreshness.BOUND_MS);
-        assertThat(all[19_999]).isLessThanOrEqualTo(ListFreshness.BOUND_MS);
+                all[19_800], all[19_999], DiscoveryPollScheduler.BOUND_MS);
+        assertThat(all[19_999]).isLessThanOrEqualTo(DiscoveryPollScheduler.BOUND_MS);
     }
 
     @Test
     void theWalkFindsFaultsThatArePutIn() {
         for (Plant p : new Plant[] {Plant.LONG_WATCH, Plant.NO_LIMIT, Plant.LONG_RETRY}) {
             double[] all = worsts(500, p);
-            assertThat(all[499]).as(p.name()).isGreaterThan(ListFreshness.BOUND_MS);
+            assertThat(all[499]).as(p.name()).isGreaterThan(DiscoveryPollScheduler.BOUND_MS);
         }
     }
 
     @Test
     void aCallThatWaitsAndFallsSilentLeavesTimeForTwoThatAskAtOnce() {
-        ListFreshness f = new ListFreshness(true, 100, new SplittableRandom(1));
+        DiscoveryPollScheduler f = new DiscoveryPollScheduler(true, 100, new SplittableRandom(1));
         f.follow(0, true);
-        ListFreshness.Call watch = f.begin(0);
-        assertThat(watch.waitMs()).isEqualTo(ListFreshness.WATCH_MS);
+        DiscoveryPollScheduler.Call watch = f.begin(0);
+        assertThat(watch.waitMs()).isEqualTo(DiscoveryPollScheduler.WATCH_MS);
         double now = watch.limitMs();
         f.failed(now, true);
         assertThat(f.dueAt()).isEqualTo(now);
-        ListFreshness.Call ask = f.begin(now);
-        assertThat(ask.waitMs()).isEqualTo(ListFreshness.ASK_MS);
-        assertThat(now + ask.limitMs()).isLessThan(ListFreshness.BOUND_MS);
+        DiscoveryPollScheduler.Call ask = f.begin(now);
+        assertThat(ask.waitMs()).isEqualTo(DiscoveryPollScheduler.ASK_MS);
+        assertThat(now + ask.limitMs()).isLessThan(DiscoveryPollScheduler.BOUND_MS);
         f.answered(now + 5);
-        assertThat(f.begin(now + 5).waitMs()).isEqualTo(ListFreshness.WATCH_MS);
+        assertThat(f.begin(now + 5).waitMs()).isEqualTo(DiscoveryPollScheduler.WATCH_MS);
     }
 
     /** What is given up in discovery's queue only lengthens it. */
     @Test
     void aSlowDiscoveryIsGivenMoreTimeAndNoMoreThanIsBounded() {
-        ListFreshness f = new ListFreshness(true, 100, new SplittableRandom(1));
+        DiscoveryPollScheduler f = new DiscoveryPollScheduler(true, 100, new SplittableRandom(1));
         f.follow(0, true);
         double now = 0;
         for (int i = 0; i < 20; i++) {
             double limit = f.begin(now).limitMs();
-            assertThat(limit).isLessThanOrEqualTo(ListFreshness.WATCH_MS + ListFreshness.MOST_LIMIT_MS);
+            assertThat(limit).isLessThanOrEqualTo(DiscoveryPollScheduler.WATCH_MS + DiscoveryPollScheduler.MOST_LIMIT_MS);
             now += limit;
             f.failed(now, true);
-            assertThat(f.dueAt() - now).isBetween(0.0, ListFreshness.LEAST_RETRY_MS);
+            assertThat(f.dueAt() - now).isBetween(0.0, DiscoveryPollScheduler.LEAST_RETRY_MS);
             now = f.dueAt();
         }
-        assertThat(f.begin(now).limitMs()).isEqualTo(ListFreshness.ASK_MS + ListFreshness.MOST_LIMIT_MS);
+        assertThat(f.begin(now).limitMs()).isEqualTo(DiscoveryPollScheduler.ASK_MS + DiscoveryPollScheduler.MOST_LIMIT_MS);
         f.answered(now + 1800);
-        assertThat(f.begin(now + 1800).limitMs()).isEqualTo(ListFreshness.WATCH_MS + 2 * (1800 - ListFreshness.ASK_MS), org.assertj.core.api.Assertions.within(1e-6));
+        assertThat(f.begin(now + 1800).limitMs()).isEqualTo(DiscoveryPollScheduler.WATCH_MS + 2 * (1800 - DiscoveryPollScheduler.ASK_MS), org.assertj.core.api.Assertions.within(1e-6));
     }
 
     @Test
@@ -134,25 +134,25 @@
         SplittableRandom random = new SplittableRandom(7);
         double sum = 0;
         for (int i = 0; i < 100; i++) {
-            ListFreshness f = new ListFreshness(true, 100, random.split());
+            DiscoveryPollScheduler f = new DiscoveryPollScheduler(true, 100, random.split());
             f.follow(0, true);
             double now = 0;
             for (int k = 0; k < 6; k++) {
                 f.begin(now);
                 f.failed(now, false);
-                assertThat(f.dueAt() - now).isBetween(0.0, ListFreshness.MOST_RETRY_MS);
+                assertThat(f.dueAt() - now).isBetween(0.0, DiscoveryPollScheduler.MOST_RETRY_MS);
                 now = f.dueAt();
             }
             f.begin(now);
             f.failed(now, false);
             sum += f.dueAt() - now;
         }
-        assertThat(sum / 100).isBetween(ListFreshness.MOST_RETRY_MS * 0.4, ListFreshness.MOST_RETRY_MS * 0.6);
+        assertThat(sum / 100).isBetween(DiscoveryPollScheduler.MOST_RETRY_MS * 0.4, DiscoveryPollScheduler.MOST_RETRY_MS * 0.6);
     }
 
     @Test
     void whereOthersWatchItCallsOnlyWhenAskedAndUntilAFirstAnswer() {
-        ListFreshness f = new ListFreshness(true, 5, new SplittableRandom(1));
+        DiscoveryPollScheduler f = new DiscoveryPollScheduler(true, 5, new SplittableRandom(1));
         f.closely(0, false);
         f.follow(0, true);
         f.begin(0);
@@ -173,7 +173,7 @@
 
     @Test
     void aMovedDiscoveryForgetsWhatWasOutAndItsFailures() {
-        ListFreshness f = new ListFreshness(true, 100, new SplittableRandom(1));
+        DiscoveryPollScheduler f = new DiscoveryPollScheduler(true, 100, new SplittableRandom(1));
         f.follow(0, true);
         for (double now = 0, i = 0; i < 8; i++, now = f.dueAt()) {
             f.begin(now);
@@ -183,6 +183,6 @@
         assertThat(f.out()).isFalse();
         assertThat(f.failures()).isZero();
         assertThat(f.dueAt()).isEqualTo(9000);
-        assertThat(f.begin(9000).limitMs()).isEqualTo(ListFreshness.ASK_MS + ListFreshness.LEAST_LIMIT_MS);
+        assertThat(f.begin(9000).limitMs()).isEqualTo(DiscoveryPollScheduler.ASK_MS + DiscoveryPollScheduler.LEAST_LIMIT_MS);
     }
 }
--- a/src/test/java/damsonworks/membership/ListDoubtTest.java
+++ b/src/test/java/cacheproxy/discovery/SilentWatchDetectorTest.java
@@ -1,16 +1,16 @@
-package damsonworks.membership;
+package cacheproxy.discovery;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.RoutingApi.Member;
-import damsonworks.RoutingApi.State;
+import cacheproxy.policy.PolicyApi.Member;
+import cacheproxy.policy.PolicyApi.State;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-class ListDoubtTest {
-    private final ListDoubt doubt = new ListDoubt(3500, 1000, 200);
+class SilentWatchDetectorTest {
+    private final SilentWatchDetector doubt = new SilentWatchDetector(3500, 1000, 200);
 
     private static Member member(int id, State state) {
         return new Member(id, 0, 0, 0, state, 1, 0);
--- a/src/test/java/damsonworks/membership/ListNewsTest.java
+++ b/src/test/java/cacheproxy/discovery/VersionGossipTest.java
@@ -1,4 +1,4 @@
-package damsonworks.membership;
+package cacheproxy.discovery;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -8,16 +8,16 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class ListNewsTest {
-    private final ListNews news = new ListNews();
+class VersionGossipTest {
+    private final VersionGossip news = new VersionGossip();
 
     @Test
     void aVersionIsToldOnce() {
         assertThat(news.message(41)).isNull();
         news.told();
         byte[] message = news.message(41);
-        assertThat(ListNews.is(message)).isTrue();
-        assertThat(ListNews.version(message)).isEqualTo(41);
+        assertThat(VersionGossip.is(message)).isTrue();
+        assertThat(VersionGossip.version(message)).isEqualTo(41);
         assertThat(news.message(41)).isNull();
     }
 
@@ -47,10 +47,10 @@
 
     @Test
     void whatIsCutOrOfAnotherKindIsNoVersion() {
-        assertThat(ListNews.is(new byte[0])).isFalse();
-        assertThat(ListNews.is(new byte[ListNews.LENGTH])).isFalse();
-        assertThat(ListNews.is(new byte[] {'V', 0, 0, 0})).isFalse();
-        assertThat(ListNews.is(new byte[256])).isFalse();
+        assertThat(VersionGossip.is(new byte[0])).isFalse();
+        assertThat(VersionGossip.is(new byte[VersionGossip.LENGTH])).isFalse();
+        assertThat(VersionGossip.is(new byte[] {'V', 0, 0, 0})).isFalse();
+        assertThat(VersionGossip.is(new byte[256])).isFalse();
     }
 
     private record Event(double at, Runnable run) { }
@@ -65,14 +65,14 @@
             SplittableRandom random = new SplittableRandom(silent);
             PriorityQueue<Event> events = new PriorityQueue<>(Comparator.comparingDouble(Event::at));
             int proxies = 72;
-            ListDoubt[] doubts = new ListDoubt[proxies];
-            ListNews[] all = new ListNews[proxies];
+            SilentWatchDetector[] doubts = new SilentWatchDetector[proxies];
+            VersionGossip[] all = new VersionGossip[proxies];
             int[] sent = {0};
             for (int p = 0; p < proxies; p++) {
                 int me = p;
-                doubts[p] = new ListDoubt(3500, 1000, 0);
+                doubts[p] = new SilentWatchDetector(3500, 1000, 0);
                 doubts[p].told(41, true, List.of());
-                all[p] = new ListNews();
+                all[p] = new VersionGossip();
                 if (p < silent) {
                     continue;
                 }
@@ -86,8 +86,8 @@
                         double at = told + 300.0 * me / all.length + 3.6 + random.nextDouble() * 26.4;
                         if (to != me && random.nextInt(10) >= 3) {
                             events.add(new Event(at, () -> {
-                                all[other].heard(me, ListNews.version(message));
-                                doubts[other].claimed(at, ListNews.version(message));
+                                all[other].heard(me, VersionGossip.version(message));
+                                doubts[other].claimed(at, VersionGossip.version(message));
                             }));
                         }
                     }
--- a/src/test/java/damsonworks/eventlog/EventLogTest.java
+++ b/src/test/java/cacheproxy/eventlog/EventLogTest.java
@@ -1,4 +1,4 @@
-package damsonworks.eventlog;
+package cacheproxy.eventlog;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/damsonworks/rig/CheckersTest.java
+++ b/src/test/java/cacheproxy/faulttest/CheckersTest.java
@@ -1,22 +1,22 @@
-package damsonworks.rig;
+package cacheproxy.faulttest;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.rig.check.ActsInOrder;
-import damsonworks.rig.check.Checker;
-import damsonworks.rig.check.ColdSum;
-import damsonworks.rig.check.DrainsKept;
-import damsonworks.rig.check.Event;
-import damsonworks.rig.check.Findings;
-import damsonworks.rig.check.LimitKept;
-import damsonworks.rig.check.NoCrash;
-import damsonworks.rig.check.NoEffectTwice;
-import damsonworks.rig.check.OneAnswer;
-import damsonworks.rig.check.OneHolder;
-import damsonworks.rig.check.Run;
-import damsonworks.rig.check.Service;
-import damsonworks.rig.check.Verdict;
-import damsonworks.rig.plan.Scenario;
+import cacheproxy.faulttest.check.FencingChecker;
+import cacheproxy.faulttest.check.Checker;
+import cacheproxy.faulttest.check.SlowStartChecker;
+import cacheproxy.faulttest.check.DrainChecker;
+import cacheproxy.faulttest.check.Event;
+import cacheproxy.faulttest.check.Violations;
+import cacheproxy.faulttest.check.QuotaChecker;
+import cacheproxy.faulttest.check.CrashChecker;
+import cacheproxy.faulttest.check.AtMostOnceChecker;
+import cacheproxy.faulttest.check.SingleResponseChecker;
+import cacheproxy.faulttest.check.MutualExclusionChecker;
+import cacheproxy.faulttest.check.RunHistory;
+import cacheproxy.faulttest.check.ServiceStats;
+import cacheproxy.faulttest.check.Verdict;
+import cacheproxy.faulttest.scenario.Scenario;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -53,8 +53,8 @@
         return this;
     }
 
-    private Run run() throws Exception {
-        return new Run(ScenarioReader.parse("s", """
+    private RunHistory run() throws Exception {
+        return new RunHistory(ScenarioReader.parse("s", """
                 [fleet]
                 proxies = 3
                 nodes = 4
@@ -69,7 +69,7 @@
                 """, null), events);
     }
 
-    private Findings findings(Checker c) throws Exception {
+    private Violations findings(Checker c) throws Exception {
         return c.check(run());
     }
 
@@ -78,10 +78,10 @@
         sound();
         Verdict v = Verdict.of(run(), List.of(), Checker.all());
         assertThat(v.held()).as(v.lines().toString()).isTrue();
-        assertThat(findings(new OneAnswer()).judged()).isEqualTo(300);
-        assertThat(findings(new NoEffectTwice()).judged()).isEqualTo(30);
+        assertThat(findings(new SingleResponseChecker()).judged()).isEqualTo(300);
+        assertThat(findings(new AtMostOnceChecker()).judged()).isEqualTo(30);
         assertThat(Verdict.of(run(), List.of("slow"), Checker.all()).held()).as("in doubt").isFalse();
-        Service s = Service.of(run(), 0, 1e9);
+        ServiceStats s = ServiceStats.of(run(), 0, 1e9);
         assertThat(s.asked()).isEqualTo(300);
         assertThat(s.inTime()).isEqualTo(300);
         assertThat(s.waited()[0]).isEqualTo(5);
@@ -89,8 +89,8 @@
         assertThat(s.idle()).isZero();
     }
 
-    private Findings limit(String limit) throws Exception {
-        return new LimitKept().check(new Run(ScenarioReader.parse("s", "[fleet]\nproxies = 3\nnodes = 4\n[limit]\n" + limit, null), events));
+    private Violations limit(String limit) throws Exception {
+        return new QuotaChecker().check(new RunHistory(ScenarioReader.parse("s", "[fleet]\nproxies = 3\nnodes = 4\n[limit]\n" + limit, null), events));
     }
 
     /** 27 reads a second, one at a time; then 40 more within 40 ms, of which 10 come a second time to another node. */
@@ -134,17 +134,17 @@
     @Test
     void twoAnswersNoAnswerAWrongOneAndALateOneAreFound() throws Exception {
         sound().at(500, "p1", Event.ANSWERED, "r3", "served", 0);
-        assertThat(findings(new OneAnswer()).words()).singleElement().asString().contains("r3 was answered twice");
+        assertThat(findings(new SingleResponseChecker()).words()).singleElement().asString().contains("r3 was answered twice");
         at(700, "p1", Event.ASKED, "x", "read", 1000).at(710, "p1", Event.ANSWERED, "x", "wrong", 0);
-        assertThat(findings(new OneAnswer()).count()).isEqualTo(2);
+        assertThat(findings(new SingleResponseChecker()).count()).isEqualTo(2);
         at(1000, "p1", Event.ASKED, "y", "read", 1000);
-        assertThat(findings(new OneAnswer()).words()).last().asString().contains("y at p1 never had an answer");
+        assertThat(findings(new SingleResponseChecker()).words()).last().asString().contains("y at p1 never had an answer");
         at(2000, "p1", Event.ASKED, "z", "read", 1000).at(3600, "p1", Event.ANSWERED, "z", "served", 0);
-        assertThat(findings(new OneAnswer()).count()).isEqualTo(4);
+        assertThat(findings(new SingleResponseChecker()).count()).isEqualTo(4);
         at(3000, "p1", Event.ASKED, "u", "read", 1000).at(7000, "p1", Event.LEFT, "u", "", 0);
-        assertThat(findings(new OneAnswer()).count()).isEqualTo(5);
+        assertThat(findings(new SingleResponseChecker()).count()).isEqualTo(5);
         at(3000, "p1", Event.ASKED, "v", "read", 1000).at(3100, "p1", Event.GONE, "v", "", 0);
-        assertThat(findings(new OneAnswer()).count()).isEqualTo(6);
+        assertThat(findings(new SingleResponseChecker()).count()).isEqualTo(6);
     }
 
     @Test
@@ -153,10 +153,10 @@
                 .at(1101, "p1", Event.GONE, "killed", "", 0).at(1102, "p1", Event.ENDED, "", "", 137).at(3000, "p1", Event.READY, "", "", 0);
         at(5000, "p2", Event.STOPPED, "", "", 0).at(5010, "p2", Event.ASKED, "stopped", "read", 1000)
                 .at(9000, "p2", Event.CONTINUED, "", "", 0).at(9005, "p2", Event.ANSWERED, "stopped", "failed", 0);
-        assertThat(findings(new OneAnswer()).words()).isEmpty();
+        assertThat(findings(new SingleResponseChecker()).words()).isEmpty();
         // The other proxy was neither.
         at(5010, "p3", Event.ASKED, "other", "read", 1000).at(9005, "p3", Event.ANSWERED, "other", "failed", 0);
-        assertThat(findings(new OneAnswer()).words()).singleElement().asString().contains("other at p3");
+        assertThat(findings(new SingleResponseChecker()).words()).singleElement().asString().contains("other at p3");
     }
 
     @Test
@@ -164,28 +164,28 @@
         sound().at(1000, "p1", Event.TERMED, "", "", 0).at(1300, "p1", Event.ASKED, "c", "read", 1000).at(1301, "p1", Event.GONE, "c", "", 0)
                 .at(1302, "p2", Event.ASKED, "c", "read", 1000).at(1310, "p2", Event.ANSWERED, "c", "served", 0)
                 .at(2500, "p1", Event.ENDED, "", "", 143);
-        assertThat(findings(new OneAnswer()).words()).isEmpty();
+        assertThat(findings(new SingleResponseChecker()).words()).isEmpty();
         at(1400, "p1", Event.ASKED, "d", "read", 1000).at(1402, "n1", Event.ARRIVED, "d", "", 0).at(1404, "p1", Event.GONE, "d", "", 0);
-        assertThat(findings(new OneAnswer()).words()).singleElement().asString().contains("d at p1 lost its connection");
+        assertThat(findings(new SingleResponseChecker()).words()).singleElement().asString().contains("d at p1 lost its connection");
     }
 
     @Test
     void whatAPlannedEndHadTakenAndCutOffIsFoundAlsoAtTheProcessesOwnEnd() throws Exception {
         sound().at(1000, "p1", Event.TERMED, "", "", 0).at(990, "p1", Event.ASKED, "w", "keyed", 1000).at(995, "origin", Event.EFFECT, "w", "", 0)
                 .at(1500, "p1", Event.GONE, "w", "", 0).at(1501, "p1", Event.ENDED, "", "", 143).at(4000, "p1", Event.READY, "", "", 0);
-        assertThat(findings(new OneAnswer()).words()).singleElement().asString().contains("w at p1 lost its connection");
+        assertThat(findings(new SingleResponseChecker()).words()).singleElement().asString().contains("w at p1 lost its connection");
         at(985, "p1", Event.ASKED, "never", "read", 1000);
-        assertThat(findings(new OneAnswer()).words()).last().asString().contains("never at p1 never had an answer");
+        assertThat(findings(new SingleResponseChecker()).words()).last().asString().contains("never at p1 never had an answer");
         at(980, "p1", Event.ASKED, "late", "read", 1000).at(3500, "p1", Event.ANSWERED, "late", "served", 0);
-        assertThat(findings(new OneAnswer()).count()).isEqualTo(3);
+        assertThat(findings(new SingleResponseChecker()).count()).isEqualTo(3);
     }
 
     @Test
     void aSecondEffectAndADoneThatHadNoneAreFoundWhateverBefell() throws Exception {
         sound().at(90, "p1", Event.KILLED, "", "", 0).at(9000, "origin", Event.EFFECT, "r10", "", 0);
-        assertThat(findings(new NoEffectTwice()).words()).singleElement().asString().contains("r10 took effect again");
+        assertThat(findings(new AtMostOnceChecker()).words()).singleElement().asString().contains("r10 took effect again");
         at(900, "p2", Event.ASKED, "w", "unsafe", 1000).at(905, "p2", Event.ANSWERED, "w", "served", 0);
-        assertThat(findings(new NoEffectTwice()).words()).last().asString().contains("w was answered as done and had no effect");
+        assertThat(findings(new AtMostOnceChecker()).words()).last().asString().contains("w was answered as done and had no effect");
     }
 
     @Test
@@ -195,15 +195,15 @@
         at(3000, "n4", Event.DRAINING, "", "", 0);
         at(4500, "p1", Event.ASKED, "early", "read", 1000).at(4501, "n4", Event.ARRIVED, "early", "", 0)
                 .at(4502, "p1", Event.ANSWERED, "early", "served", 0);
-        assertThat(findings(new DrainsKept()).count()).isZero();
+        assertThat(findings(new DrainChecker()).count()).isZero();
         at(5100, "p1", Event.ASKED, "late", "read", 1000).at(5101, "n4", Event.ARRIVED, "late", "", 0);
-        assertThat(findings(new DrainsKept()).words()).singleElement().asString().contains("p1 sent late to n4");
+        assertThat(findings(new DrainChecker()).words()).singleElement().asString().contains("p1 sent late to n4");
         at(2900, "rig", Event.FAULT, "0", "link", 0).at(6000, "rig", Event.HEALED, "0", "", 0);
         at(5100, "p2", Event.ASKED, "cut", "read", 1000).at(5101, "n4", Event.ARRIVED, "cut", "", 0);
         at(8000, "p2", Event.ASKED, "told", "read", 1000).at(8001, "n4", Event.ARRIVED, "told", "", 0);
-        assertThat(findings(new DrainsKept()).count()).as("p2 was cut off from discovery").isEqualTo(1);
+        assertThat(findings(new DrainChecker()).count()).as("p2 was cut off from discovery").isEqualTo(1);
         at(14_100, "p2", Event.ASKED, "must know", "read", 1000).at(14_101, "n4", Event.ARRIVED, "must know", "", 0);
-        assertThat(findings(new DrainsKept()).words()).last().asString().contains("p2 sent must know");
+        assertThat(findings(new DrainChecker()).words()).last().asString().contains("p2 sent must know");
     }
 
     @Test
@@ -213,7 +213,7 @@
         for (int i = 0; i < 13; i++) {
             at(1010 + i, "n1", Event.ARRIVED, "r" + i, "", 0);
         }
-        ColdSum c = new ColdSum();
+        SlowStartChecker c = new SlowStartChecker();
         assertThat(findings(c).count()).isZero();
         assertThat(c.worst()).isBetween(2.8, 3.0);
         at(1030, "n1", Event.ARRIVED, "r13", "", 0);
@@ -227,24 +227,24 @@
         at(1000, "p1", Event.DUTY, "d", "yes", 5).at(1500, "p1", Event.DUTY, "d", "no", 0).at(2000, "p2", Event.DUTY, "d", "yes", 6);
         // Asked at 1900, answered at 2100: it may have been before the other's.
         events.add(new Event(2_100_000, 200_000, "p1", Event.DUTY, "d", "yes", 5));
-        assertThat(findings(new OneHolder()).words()).isEmpty();
-        assertThat(OneHolder.gaps(run(), "d", 600, 0, 3000)).hasSize(3);
-        assertThat(OneHolder.moves(run(), "d")).isEqualTo(2);
+        assertThat(findings(new MutualExclusionChecker()).words()).isEmpty();
+        assertThat(MutualExclusionChecker.gaps(run(), "d", 600, 0, 3000)).hasSize(3);
+        assertThat(MutualExclusionChecker.moves(run(), "d")).isEqualTo(2);
         at(2500, "p3", Event.DUTY, "d", "yes", 6);
-        assertThat(findings(new OneHolder()).words()).singleElement().asString().contains("p2 and p3 hold d under one epoch");
+        assertThat(findings(new MutualExclusionChecker()).words()).singleElement().asString().contains("p2 and p3 hold d under one epoch");
         at(2600, "p1", Event.DUTY, "d", "yes", 5);
-        assertThat(findings(new OneHolder()).words()).last().asString().contains("p1 holds d under epoch 5 after p2");
+        assertThat(findings(new MutualExclusionChecker()).words()).last().asString().contains("p1 holds d under epoch 5 after p2");
     }
 
     @Test
     void anActOfAnOlderEpochThatWasTakenIsFoundAndARefusedOneIsCounted() throws Exception {
         at(1000, "p1", Event.ACT, "d", "accepted", 5).at(1500, "p2", Event.ACT, "d", "accepted", 6).at(1600, "p2", Event.ACT, "e", "accepted", 1)
                 .at(1700, "p1", Event.ACT, "d", "refused", 5);
-        assertThat(findings(new ActsInOrder()).words()).isEmpty();
-        assertThat(findings(new ActsInOrder()).judged()).isEqualTo(3);
-        assertThat(ActsInOrder.refused(run())).isEqualTo(1);
+        assertThat(findings(new FencingChecker()).words()).isEmpty();
+        assertThat(findings(new FencingChecker()).judged()).isEqualTo(3);
+        assertThat(FencingChecker.refused(run())).isEqualTo(1);
         at(1800, "p1", Event.ACT, "d", "accepted", 5); // as a store without a guard would
-        assertThat(findings(new ActsInOrder()).words()).singleElement().asString().contains("p1 under d, epoch 5, was taken after one of p2 under epoch 6");
+        assertThat(findings(new FencingChecker()).words()).singleElement().asString().contains("p1 under d, epoch 5, was taken after one of p2 under epoch 6");
     }
 
     @Test
@@ -265,22 +265,22 @@
         assertThat(ScenarioReader.parse("s", s.toToml(), null)).isEqualTo(s);
         at(900, "p1", Event.DUTY, "d", "yes", 5).at(1000, "rig", Event.FAULT, "0", "stop p1", 0).at(1010, "p1", Event.DUTY, "d", "yes", 5)
                 .at(1800, "p2", Event.DUTY, "d", "yes", 6).at(6000, "rig", Event.FAULT, "1", "stop p2", 0).at(6500, "p2", Event.DUTY, "d", "yes", 6);
-        assertThat(OneHolder.takeovers(new Run(s, events))).hasSize(1).containsEntry("stop", new double[] {800});
+        assertThat(MutualExclusionChecker.takeovers(new RunHistory(s, events))).hasSize(1).containsEntry("stop", new double[] {800});
     }
 
     @Test
     void commandsToNodesThatStandStillAreCounted() throws Exception {
         at(100, "rig", Event.FAULT, "0", "node-stall n1,n2", 0).at(200, "n1", Event.ARRIVED, "r1", "", 0).at(250, "n3", Event.ARRIVED, "r2", "", 0)
                 .at(300, "rig", Event.HEALED, "0", "", 0).at(400, "n2", Event.ARRIVED, "r3", "", 0);
-        assertThat(Service.sentToSick(run())).isEqualTo(1);
+        assertThat(ServiceStats.sentToSick(run())).isEqualTo(1);
     }
 
     @Test
     void anEndThatNobodyOrderedIsACrash() throws Exception {
         sound().at(5000, "p1", Event.TERMED, "", "", 0).at(5500, "p1", Event.ENDED, "", "", 143).at(6000, "p1", Event.STARTED, "", "", 2);
-        assertThat(findings(new NoCrash()).count()).isZero();
+        assertThat(findings(new CrashChecker()).count()).isZero();
         at(7000, "p1", Event.ENDED, "", "", 1);
-        assertThat(findings(new NoCrash()).words()).singleElement().asString().contains("p1 ended by itself, exit code 1");
+        assertThat(findings(new CrashChecker()).words()).singleElement().asString().contains("p1 ended by itself, exit code 1");
     }
 
     @Test
@@ -292,7 +292,7 @@
             h.finish();
             assertThat(h.dropped()).isZero();
         }
-        Run back = History.read(file);
+        RunHistory back = History.read(file);
         assertThat(back.scenario()).isEqualTo(run().scenario());
         assertThat(back.events()).hasSize(2);
         Event said = back.events().get(0);
--- a/src/test/java/damsonworks/rig/Plays.java
+++ b/src/test/java/cacheproxy/faulttest/FaultTestRuns.java
@@ -1,20 +1,20 @@
-package damsonworks.rig;
+package cacheproxy.faulttest;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.rig.check.Checker;
+import cacheproxy.faulttest.check.Checker;
 import java.nio.file.Path;
 
 /** Plays of a scenario in tests: again where the machine was too slow to say anything, and all invariants are to hold. */
-final class Plays {
+final class FaultTestRuns {
     private static final int TRIES = 3;
 
-    private Plays() { }
+    private FaultTestRuns() { }
 
-    static Rig.Outcome held(String scenario, Path folder) throws Exception {
-        Rig.Outcome o = null;
+    static FaultTestRunner.Outcome held(String scenario, Path folder) throws Exception {
+        FaultTestRunner.Outcome o = null;
         for (int i = 0; i < TRIES && (o == null || !o.verdict().doubts().isEmpty()); i++) {
-            o = Rig.play(ScenarioReader.parse("test", scenario, null), folder.resolve("run" + i), Checker.all(), line -> { });
+            o = FaultTestRunner.play(ScenarioReader.parse("test", scenario, null), folder.resolve("run" + i), Checker.all(), line -> { });
         }
         assertThat(o.verdict().held()).as(String.join("\n", o.lines())).isTrue();
         return o;
--- a/src/test/java/damsonworks/rig/FleetIT.java
+++ b/src/test/java/cacheproxy/faulttest/FleetIT.java
@@ -1,15 +1,15 @@
-package damsonworks.rig;
+package cacheproxy.faulttest;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.rig.check.Checker;
-import damsonworks.rig.check.ColdSum;
-import damsonworks.rig.check.DrainsKept;
-import damsonworks.rig.check.Event;
-import damsonworks.rig.check.NoEffectTwice;
-import damsonworks.rig.check.OneAnswer;
-import damsonworks.rig.check.Run;
-import damsonworks.rig.plan.Scenario;
+import cacheproxy.faulttest.check.Checker;
+import cacheproxy.faulttest.check.SlowStartChecker;
+import cacheproxy.faulttest.check.DrainChecker;
+import cacheproxy.faulttest.check.Event;
+import cacheproxy.faulttest.check.AtMostOnceChecker;
+import cacheproxy.faulttest.check.SingleResponseChecker;
+import cacheproxy.faulttest.check.RunHistory;
+import cacheproxy.faulttest.scenario.Scenario;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -28,8 +28,8 @@
     @TempDir
     private Path folder;
 
-    private Rig.Outcome play(String text) throws Exception {
-        return Plays.held(text, folder);
+    private FaultTestRunner.Outcome play(String text) throws Exception {
+        return FaultTestRuns.held(text, folder);
     }
 
     private static String everyFault(String program) {
@@ -112,10 +112,10 @@
     @ParameterizedTest
     @ValueSource(strings = {"serve", "run"})
     void fourProcessesKeepTheRulesThroughEveryKindOfFault(String program) throws Exception {
-        Rig.Outcome o = play(everyFault(program));
+        FaultTestRunner.Outcome o = play(everyFault(program));
         assertThat(o.service().asked()).isGreaterThan(700);
         assertThat(o.service().served()).isGreaterThan(o.service().asked() / 2);
-        Run run = o.run();
+        RunHistory run = o.run();
         assertThat(run.events().stream().filter(e -> e.what().equals(Event.READY)).count()).as("four, and two again").isEqualTo(6);
         assertThat(run.stoppedUs("p1", 0, run.endUs())).as("it stood still").isPositive();
         assertThat(run.events()).anyMatch(e -> e.what().equals(Event.ENDED) && e.who().equals("p3") && e.value() == 143);
@@ -123,42 +123,42 @@
     }
 
     /** Faults put into the history of a real run are found in it. */
-    private static void plantedFaultsAreFound(Run run) {
+    private static void plantedFaultsAreFound(RunHistory run) {
         // p4 neither stands still nor ends, so nothing of it is excused.
         Event served = run.events().stream().filter(e -> e.what().equals(Event.ANSWERED) && e.detail().equals("served") && e.who().equals("p4"))
                 .findFirst().orElseThrow();
         Event effect = run.events().stream().filter(e -> e.what().equals(Event.EFFECT)).findFirst().orElseThrow();
         Event drain = run.events().stream().filter(e -> e.what().equals(Event.DRAINING)).findFirst().orElseThrow();
         Event born = run.events().stream().filter(e -> e.what().equals(Event.BORN)).findFirst().orElseThrow();
-        assertThat(new OneAnswer().check(with(run, later(served, served.us() + 1000, served.who()))).count()).as("twice").isEqualTo(1);
-        assertThat(new OneAnswer().check(without(run, served)).count()).as("never").isEqualTo(1);
-        assertThat(new NoEffectTwice().check(with(run, later(effect, effect.us() + 1000, effect.who()))).count()).isEqualTo(1);
+        assertThat(new SingleResponseChecker().check(with(run, later(served, served.us() + 1000, served.who()))).count()).as("twice").isEqualTo(1);
+        assertThat(new SingleResponseChecker().check(without(run, served)).count()).as("never").isEqualTo(1);
+        assertThat(new AtMostOnceChecker().check(with(run, later(effect, effect.us() + 1000, effect.who()))).count()).isEqualTo(1);
         Event stray = run.events().stream().filter(e -> e.what().equals(Event.ARRIVED) && e.us() > drain.us() + 2_200_000
                 && run.events().stream().anyMatch(a -> a.what().equals(Event.ASKED) && a.id().equals(e.id()) && a.who().equals("p4")))
                 .findFirst().orElseThrow();
-        assertThat(new DrainsKept().check(with(run, later(stray, stray.us(), drain.who()))).count()).as("p4, to a draining node")
+        assertThat(new DrainChecker().check(with(run, later(stray, stray.us(), drain.who()))).count()).as("p4, to a draining node")
                 .isGreaterThan(0);
         Event[] flood = new Event[400];
         for (int i = 0; i < flood.length; i++) {
             flood[i] = later(stray, born.us() + 1000 + i, born.who());
         }
-        assertThat(new ColdSum().check(with(run, flood)).count()).isEqualTo(1);
+        assertThat(new SlowStartChecker().check(with(run, flood)).count()).isEqualTo(1);
     }
 
     private static Event later(Event e, long us, String who) {
         return new Event(us, 0, who, e.what(), e.id(), e.detail(), e.value());
     }
 
-    private static Run with(Run run, Event... planted) {
+    private static RunHistory with(RunHistory run, Event... planted) {
         List<Event> events = new ArrayList<>(run.events());
         events.addAll(List.of(planted));
-        return new Run(run.scenario(), events);
+        return new RunHistory(run.scenario(), events);
     }
 
-    private static Run without(Run run, Event gone) {
+    private static RunHistory without(RunHistory run, Event gone) {
         List<Event> events = new ArrayList<>(run.events());
         events.remove(gone);
-        return new Run(run.scenario(), events);
+        return new RunHistory(run.scenario(), events);
     }
 
     /** The rig killed in the midst of it, with one child standing still: nobody is left. */
@@ -178,7 +178,7 @@
                 for_ms = 50000
                 """);
         Path out = folder.resolve("out");
-        Process rig = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-jar", "target/damsonworks.jar",
+        Process rig = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-jar", "target/cache-proxy.jar",
                 "fleet", "play", scenario.toString(), "--out", out.toString()).redirectErrorStream(true).start();
         try {
             Path history = out.resolve("history.jsonl");
@@ -205,7 +205,7 @@
     @Test
     void aProxyThatCanNotStartIsToldByNameAndNothingIsLeft() throws Exception {
         Scenario s = ScenarioReader.parse("test", "[fleet]\nprogram = \"run\"\nproxies = 2\nnodes = 1\nextra = \"[nonsense]\"\n", null);
-        org.assertj.core.api.Assertions.assertThatThrownBy(() -> Rig.play(s, folder, Checker.all(), line -> { }))
+        org.assertj.core.api.Assertions.assertThatThrownBy(() -> FaultTestRunner.play(s, folder, Checker.all(), line -> { }))
                 .hasMessageContaining("ended before it was ready, exit code 2").hasMessageContaining("log");
         assertThat(Files.readString(folder.resolve("p1/log"))).contains("unknown key 'nonsense'");
     }
--- a/src/test/java/damsonworks/rig/KnownStateIT.java
+++ b/src/test/java/cacheproxy/faulttest/KnownStateIT.java
@@ -1,9 +1,9 @@
-package damsonworks.rig;
+package cacheproxy.faulttest;
 
-import static damsonworks.rig.Plays.fault;
+import static cacheproxy.faulttest.FaultTestRuns.fault;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.rig.check.Event;
+import cacheproxy.faulttest.check.Event;
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -21,7 +21,7 @@
      */
     @Test
     void drainsThatOpenWatchesNeverToldOfAreKept() throws Exception {
-        Rig.Outcome o = Plays.held("[fleet]\nproxies = 5\nnodes = 5\n[load]\nseconds = 15\nper_second = 200\n"
+        FaultTestRunner.Outcome o = FaultTestRuns.held("[fleet]\nproxies = 5\nnodes = 5\n[load]\nseconds = 15\nper_second = 200\n"
                 + fault("link", 1500, 1200, "proxies", "to = \"discovery\"\nlose = 1") + fault("node-drain", 1900, 12_500, "n1", "")
                 + fault("node-drain", 2200, 12_000, "n2", "") + fault("stop", 3000, 1500, "p2", "") + fault("kill", 13_000, 300, "p3", ""),
                 folder);
--- a/src/test/java/damsonworks/rig/DutyUsersIT.java
+++ b/src/test/java/cacheproxy/faulttest/LeaseUsersIT.java
@@ -1,9 +1,9 @@
-package damsonworks.rig;
+package cacheproxy.faulttest;
 
-import static damsonworks.rig.Plays.fault;
+import static cacheproxy.faulttest.FaultTestRuns.fault;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.rig.check.Event;
+import cacheproxy.faulttest.check.Event;
 import java.nio.file.Path;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -12,7 +12,7 @@
 
 /** What processes do under the program's own duties: trials of sick nodes and the watch of discovery, made by one for all. */
 @Timeout(180)
-class DutyUsersIT {
+class LeaseUsersIT {
     private static final String FLEET = """
             extra = '''
             [control]
@@ -32,22 +32,22 @@
     @TempDir
     private Path folder;
 
-    private Rig.Outcome play(String sections, String duties, double seconds, String faults) throws Exception {
+    private FaultTestRunner.Outcome play(String sections, String duties, double seconds, String faults) throws Exception {
         String s = "[fleet]\nprogram = \"run\"\nproxies = 5\nnodes = 4\n" + FLEET.formatted(sections, duties)
                 + "[load]\nseconds = " + seconds + "\nper_second = 200\n" + faults;
-        Rig.Outcome o = Plays.held(s, folder);
+        FaultTestRunner.Outcome o = FaultTestRuns.held(s, folder);
         return o;
     }
 
     /** A proxy that is told nothing any more: whatever it does not know of the nodes shows by its own requests. */
-    private static long served(Rig.Outcome o, String proxy, double fromMs) {
+    private static long served(FaultTestRunner.Outcome o, String proxy, double fromMs) {
         return o.run().events().stream().filter(e -> e.what().equals(Event.ANSWERED) && e.who().equals(proxy) && e.detail().equals("served")
                 && e.ms() > fromMs).count();
     }
 
     @Test
     void aNodeThatStandsStillIsTriedByOneForAllAndByEachThatIsCutOff() throws Exception {
-        Rig.Outcome o = play(PROBE, "\"probe.0\", \"probe.1\"", 13, fault("node-stall", 2000, 4500, "n1", "")
+        FaultTestRunner.Outcome o = play(PROBE, "\"probe.0\", \"probe.1\"", 13, fault("node-stall", 2000, 4500, "n1", "")
                 + fault("node-stall", 8000, 3000, "n2", "") + fault("link", 7500, 5000, "p5", "to = \"proxies\"\nlose = 1"));
         assertThat(o.verdict().findings().get("one-holder").judged()).isGreaterThan(20);
         assertThat(o.verdict().findings().get("acts-in-order").judged()).isGreaterThan(20);
@@ -60,7 +60,7 @@
     /** Where nodes take no tests one proxy's clients find out for all, and whoever is cut off finds out by its own. */
     @Test
     void clientsRequestsAreTheTrialsWhereNodesTakeNoTests() throws Exception {
-        Rig.Outcome o = play(PROBE + "by = \"requests\"\n", "\"probe.0\", \"probe.1\"", 13, fault("node-stall", 2000, 4500, "n1", "")
+        FaultTestRunner.Outcome o = play(PROBE + "by = \"requests\"\n", "\"probe.0\", \"probe.1\"", 13, fault("node-stall", 2000, 4500, "n1", "")
                 + fault("node-stall", 8000, 2500, "n2", "") + fault("link", 7500, 5000, "p5", "to = \"proxies\"\nlose = 1")
                 + fault("kill", 3000, 500, "p1", "") + fault("stop", 4000, 1500, "p2", ""));
         assertThat(o.tests()).as("empty commands at nodes").isZero();
@@ -80,14 +80,14 @@
             faults.append(fault("node-stall", 1500 + i * 2000, 1200, "n" + (i % 4 + 1), ""))
                     .append(fault(i % 2 == 0 ? "stop" : "kill", 2000 + i * 2000, 900, "p" + (i + 1), ""));
         }
-        Rig.Outcome o = play(PROBE, "\"probe.0\"", 15, faults.toString());
+        FaultTestRunner.Outcome o = play(PROBE, "\"probe.0\"", 15, faults.toString());
         long late = o.run().events().stream().filter(e -> e.what().equals(Event.ARRIVED) && e.ms() > 13_500).map(Event::who).distinct().count();
         assertThat(late).as("all nodes get requests again").isEqualTo(4);
     }
 
     @Test
     void oneWatchesDiscoveryForAllAndDrainsAreKeptWhateverBecomesOfIt() throws Exception {
-        Rig.Outcome o = play(WATCH, "\"watch.a.pages\"", 14, fault("node-drain", 1500, 800, "n1", "") + fault("node-drain", 3500, 1500, "n2", "")
+        FaultTestRunner.Outcome o = play(WATCH, "\"watch.a.pages\"", 14, fault("node-drain", 1500, 800, "n1", "") + fault("node-drain", 3500, 1500, "n2", "")
                 + fault("stop", 3400, 2500, "p1", "") + fault("kill", 5000, 300, "p2", "") + fault("term", 6500, 300, "p3", "")
                 + fault("link", 8000, 2500, "p4", "to = \"proxies\"\nlose = 1") + fault("node-drain", 8200, 2000, "n3", "")
                 + fault("link", 10_500, 2000, "p1,p2", "to = \"p3-p5\"\nlose = 1") + fault("node-drain", 10_700, 1500, "n4", ""));
--- a/src/test/java/damsonworks/rig/DutiesIT.java
+++ b/src/test/java/cacheproxy/faulttest/LeasesIT.java
@@ -1,11 +1,11 @@
-package damsonworks.rig;
+package cacheproxy.faulttest;
 
-import static damsonworks.rig.Plays.fault;
+import static cacheproxy.faulttest.FaultTestRuns.fault;
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.rig.check.Event;
-import damsonworks.rig.check.OneHolder;
-import damsonworks.rig.check.Run;
+import cacheproxy.faulttest.check.Event;
+import cacheproxy.faulttest.check.MutualExclusionChecker;
+import cacheproxy.faulttest.check.RunHistory;
 import java.nio.file.Path;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -14,7 +14,7 @@
 
 /** Duties of several processes of the daemon: stops, cuts, splits, losses, restarts, hand-overs. */
 @Timeout(180)
-class DutiesIT {
+class LeasesIT {
     static final String DUTY = """
             extra = '''
             [control]
@@ -34,24 +34,24 @@
     @TempDir
     private Path folder;
 
-    private Rig.Outcome play(int proxies, double seconds, String faults) throws Exception {
+    private FaultTestRunner.Outcome play(int proxies, double seconds, String faults) throws Exception {
         String s = "[fleet]\nprogram = \"run\"\nproxies = " + proxies + "\nnodes = 3\n" + DUTY
                 + "[load]\nseconds = " + seconds + "\nper_second = 40\n" + faults;
-        Rig.Outcome o = Plays.held(s, folder);
+        FaultTestRunner.Outcome o = FaultTestRuns.held(s, folder);
         assertThat(o.verdict().findings().get("one-holder").judged()).isGreaterThan(20);
         return o;
     }
 
     /** Whether somebody held it after a time; how soon is measured, not tested: walks on virtual time hold the bound. */
-    private static boolean heldAfter(Run run, double ms) {
+    private static boolean heldAfter(RunHistory run, double ms) {
         return run.events().stream().anyMatch(e -> e.what().equals(Event.DUTY) && e.detail().equals("yes") && e.ms() > ms);
     }
 
-    private static double lastHealed(Run run) {
+    private static double lastHealed(RunHistory run) {
         return run.events().stream().filter(e -> e.what().equals(Event.HEALED)).mapToDouble(Event::ms).max().orElseThrow();
     }
 
-    private static List<String> said(Run run, String part) {
+    private static List<String> said(RunHistory run, String part) {
         return run.events().stream().filter(e -> e.what().equals(Event.SAID) && e.detail().contains(part)).map(e -> e.who() + " " + e.detail())
                 .toList();
     }
@@ -59,15 +59,15 @@
     @Test
     void aDutyIsGivenBackAndHandedOnAtAPlannedEnd() throws Exception {
         // Each proxy is ended in turn, so the holder is, whoever it is; all are back and have their word again before the next.
-        Rig.Outcome o = play(3, 11.5, fault("term", 2500, 300, "p1", "") + fault("term", 5500, 300, "p2", "") + fault("term", 8500, 300, "p3", ""));
+        FaultTestRunner.Outcome o = play(3, 11.5, fault("term", 2500, 300, "p1", "") + fault("term", 5500, 300, "p2", "") + fault("term", 8500, 300, "p3", ""));
         assertThat(said(o.run(), "why=this process ends")).as("the holder was among them").isNotEmpty();
-        assertThat(OneHolder.moves(o.run(), "cron")).isGreaterThan(1);
+        assertThat(MutualExclusionChecker.moves(o.run(), "cron")).isGreaterThan(1);
         assertThat(heldAfter(o.run(), lastHealed(o.run()))).isTrue();
     }
 
     @Test
     void stopsCutsSplitsAndLossesLeaveOneHolderAndSoonOneAgain() throws Exception {
-        Rig.Outcome o = play(5, 14, fault("stop", 2000, 1500, "p1", "") + fault("stop", 2000, 2500, "p2", "")
+        FaultTestRunner.Outcome o = play(5, 14, fault("stop", 2000, 1500, "p1", "") + fault("stop", 2000, 2500, "p2", "")
                 + fault("link", 5000, 1500, "p3", "to = \"proxies\"\nlose = 1\ntwo_way = false")
                 + fault("link", 6500, 1500, "p4", "to = \"proxies\"\nlose = 1")
                 + fault("link", 8500, 2000, "p1,p2", "to = \"p3-p5\"\nlose = 1")
@@ -82,18 +82,18 @@
         for (int at = 9000; at < 13_000; at += 1000) {
             flaps.append(fault("kill", at, 100, "p2", "")); // back and gone again before its silence is over
         }
-        Rig.Outcome o = play(5, 14, fault("link", 2000, 1500, "p1,p2", "to = \"p3-p5\"\nlose = 1") + fault("link", 2000, 1500, "p5", "to = \"p3,p4\"\nlose = 1")
+        FaultTestRunner.Outcome o = play(5, 14, fault("link", 2000, 1500, "p1,p2", "to = \"p3-p5\"\nlose = 1") + fault("link", 2000, 1500, "p5", "to = \"p3,p4\"\nlose = 1")
                 + fault("link", 4000, 2000, "proxies", "to = \"proxies\"\nlose = 0.6")
                 + fault("link", 6500, 2000, "proxies", "to = \"proxies\"\ntwice = 1\ndelay_ms = 1800\njitter_ms = 400")
                 + fault("slow", 9000, 3000, "p4", "share = 0.1") + flaps);
-        assertThat(OneHolder.moves(o.run(), "cron")).isGreaterThan(1);
+        assertThat(MutualExclusionChecker.moves(o.run(), "cron")).isGreaterThan(1);
         assertThat(heldAfter(o.run(), 13_000)).as("after the last fault").isTrue();
     }
 
     @Test
     void allVotersKilledWithinASecondAgreeAgainUnderALaterEpoch() throws Exception {
-        Rig.Outcome o = play(3, 9, fault("kill", 2500, 100, "p1,p2,p3", "stagger_ms = 150"));
-        assertThat(OneHolder.moves(o.run(), "cron")).isGreaterThan(1);
+        FaultTestRunner.Outcome o = play(3, 9, fault("kill", 2500, 100, "p1,p2,p3", "stagger_ms = 150"));
+        assertThat(MutualExclusionChecker.moves(o.run(), "cron")).isGreaterThan(1);
     }
 
     /** p1 has an older release's file, without what is new, and a list that lacks a peer; each side of the split has its own discovery. */
@@ -117,7 +117,7 @@
                 + "\'\'\'\n[load]\nseconds = 15\nper_second = 100\n" + fault("link", 2000, 2500, "p1,p3,p5", "to = \"p2,p4\"\nlose = 1")
                 + fault("link", 5000, 8000, "p3", "holder_of = \"cron\"\nto = \"nodes\"\nlose = 1")
                 + fault("link", 9500, 1500, "p4,p5", "to = \"discovery\"\nlose = 1");
-        Rig.Outcome o = Plays.held(s, folder);
+        FaultTestRunner.Outcome o = FaultTestRuns.held(s, folder);
         assertThat(o.verdict().findings().get("one-holder").judged()).isGreaterThan(20);
         assertThat(heldAfter(o.run(), lastHealed(o.run()))).isTrue();
         assertThat(said(o.run(), "fleet: p1 goes by another list of peers")).isNotEmpty();
--- a/src/test/java/damsonworks/rig/PlanTest.java
+++ b/src/test/java/cacheproxy/faulttest/PlanTest.java
@@ -1,18 +1,18 @@
-package damsonworks.rig;
+package cacheproxy.faulttest;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import damsonworks.config.ConfigException;
-import damsonworks.rig.plan.Chaos;
-import damsonworks.rig.plan.Endpoints;
-import damsonworks.rig.plan.Fault;
-import damsonworks.rig.plan.Fault.Kind;
-import damsonworks.rig.plan.Fault.LinkFigures;
-import damsonworks.rig.plan.Links;
-import damsonworks.rig.plan.Quality;
-import damsonworks.rig.plan.Scenario;
-import damsonworks.rig.plan.Shrinker;
+import cacheproxy.config.ConfigException;
+import cacheproxy.faulttest.scenario.RandomFaults;
+import cacheproxy.faulttest.scenario.TargetSelector;
+import cacheproxy.faulttest.scenario.Fault;
+import cacheproxy.faulttest.scenario.Fault.Kind;
+import cacheproxy.faulttest.scenario.Fault.LinkFigures;
+import cacheproxy.faulttest.scenario.NetworkLinks;
+import cacheproxy.faulttest.scenario.RunValidity;
+import cacheproxy.faulttest.scenario.Scenario;
+import cacheproxy.faulttest.scenario.Shrinker;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -20,7 +20,7 @@
 
 /** What a run is made of: choices, lots, links, shrinking, and what the file may say of them. */
 class PlanTest {
-    private final Endpoints names = new Endpoints(6, 4, List.of("a", "b"));
+    private final TargetSelector names = new TargetSelector(6, 4, List.of("a", "b"));
     private final SplittableRandom random = new SplittableRandom(1);
 
     private static Fault link(double lose, double delay, double twice, boolean twoWay, List<String> who, List<String> to) {
@@ -46,12 +46,12 @@
 
     @Test
     void faultsOnALinkAddUpAndAOneWayCutIsOneWay() {
-        Links links = new Links(names);
-        assertThat(links.datagram(0, 1, random)).containsExactly(new Links.Delivery(0, false));
+        NetworkLinks links = new NetworkLinks(names);
+        assertThat(links.datagram(0, 1, random)).containsExactly(new NetworkLinks.Delivery(0, false));
         Fault cut = link(1, 0, 0, false, List.of("p1"), List.of("p2"));
         Fault late = link(0, 30, 1, true, List.of("p1"), List.of("p2", "p3"));
         links.begin(late);
-        assertThat(links.datagram(1, 0, random)).containsExactly(new Links.Delivery(30, false), new Links.Delivery(30, false));
+        assertThat(links.datagram(1, 0, random)).containsExactly(new NetworkLinks.Delivery(30, false), new NetworkLinks.Delivery(30, false));
         links.begin(link(0, 20, 0, true, List.of("p3"), List.of("p1")));
         assertThat(links.datagram(0, 2, random)).hasSize(2).allMatch(d -> d.delayMs() == 50);
         links.begin(cut);
@@ -62,7 +62,7 @@
         links.end(cut);
         assertThat(links.datagram(0, 1, random)).hasSize(2);
         int passed = 0;
-        Links lossy = new Links(names);
+        NetworkLinks lossy = new NetworkLinks(names);
         lossy.begin(link(0.3, 0, 0, true, List.of("p1"), List.of("p2")));
         for (int i = 0; i < 10_000; i++) {
             passed += lossy.datagram(0, 1, random).size();
@@ -72,7 +72,7 @@
 
     @Test
     void lotsHangOnTheSeedAloneAndStayWithinTheirTimes() {
-        Chaos chaos = new Chaos(200, List.of(Kind.values()), 500, 9000, 2000);
+        RandomFaults chaos = new RandomFaults(200, List.of(Kind.values()), 500, 9000, 2000);
         List<Fault> faults = chaos.faults(names, 7);
         assertThat(faults).hasSize(200).isEqualTo(chaos.faults(names, 7)).isNotEqualTo(chaos.faults(names, 8));
         assertThat(faults).allMatch(f -> f.atMs() >= 500 && f.endMs() <= 9000 && f.forMs() >= 200 && !f.who().isEmpty());
@@ -171,8 +171,8 @@
 
     @Test
     void aRunOfASlowMachineSaysWhyItDoesNotCount() {
-        assertThat(new Quality(3, 200, 4, 5, 0.1, 0, 0).faults()).isEmpty();
-        assertThat(new Quality(90, 2000, 400, 900, 0.2, 7, 3).faults()).hasSize(7);
-        assertThat(new Quality(Double.NaN, 0, 0, 0, 0, 0, 0).faults()).hasSize(1);
+        assertThat(new RunValidity(3, 200, 4, 5, 0.1, 0, 0).faults()).isEmpty();
+        assertThat(new RunValidity(90, 2000, 400, 900, 0.2, 7, 3).faults()).hasSize(7);
+        assertThat(new RunValidity(Double.NaN, 0, 0, 0, 0, 0, 0).faults()).hasSize(1);
     }
 }
--- a/src/test/java/damsonworks/rig/RelayTest.java
+++ b/src/test/java/cacheproxy/faulttest/RelayTest.java
@@ -1,14 +1,14 @@
-package damsonworks.rig;
+package cacheproxy.faulttest;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.proxy.Transport;
-import damsonworks.rig.plan.Endpoints;
-import damsonworks.rig.plan.Fault;
-import damsonworks.rig.plan.Fault.Kind;
-import damsonworks.rig.plan.Fault.LinkFigures;
-import damsonworks.rig.plan.Links;
-import damsonworks.standin.ScriptedServer;
+import cacheproxy.proxy.Transport;
+import cacheproxy.faulttest.scenario.TargetSelector;
+import cacheproxy.faulttest.scenario.Fault;
+import cacheproxy.faulttest.scenario.Fault.Kind;
+import cacheproxy.faulttest.scenario.Fault.LinkFigures;
+import cacheproxy.faulttest.scenario.NetworkLinks;
+import cacheproxy.fakes.ScriptedServer;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import java.io.IOException;
@@ -31,8 +31,8 @@
     /** A test that waits in vain fails; JUnit's limit does not end a blocked read. */
     private static final int PATIENCE_MS = 20_000;
 
-    private final Endpoints names = new Endpoints(3, 1, List.of("a"));
-    private final Links links = new Links(names);
+    private final TargetSelector names = new TargetSelector(3, 1, List.of("a"));
+    private final NetworkLinks links = new NetworkLinks(names);
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
     private final EventLoop loop = group.next();
     private AddressSpace space;
--- a/src/test/java/damsonworks/trials/TrialDeskTest.java
+++ b/src/test/java/cacheproxy/fleet/healthcheck/HealthCheckCoordinatorTest.java
@@ -1,11 +1,11 @@
-package damsonworks.trials;
+package cacheproxy.fleet.healthcheck;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import damsonworks.lease.Ids;
-import damsonworks.lease.Tenure;
-import damsonworks.trials.TrialMessage.Kind;
+import cacheproxy.fleet.lease.NameHash;
+import cacheproxy.fleet.lease.LeaseHandle;
+import cacheproxy.fleet.healthcheck.HealthCheckMessage.Kind;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -17,17 +17,17 @@
 import org.junit.jupiter.api.Test;
 
 /** Trials made once for all, on virtual time, with real desks and messages between them. */
-class TrialDeskTest {
-    private static final TrialRules RULES = new TrialRules(250, 600, 1000);
+class HealthCheckCoordinatorTest {
+    private static final HealthCheckTiming RULES = new HealthCheckTiming(250, 600, 1000);
     private static final int SHARES = 3;
 
-    private record Mail(double atMs, long n, int from, int to, TrialMessage m) { }
+    private record Mail(double atMs, long n, int from, int to, HealthCheckMessage m) { }
 
     private record Told(double atMs, int desk, int server, boolean sound) { }
 
     /** Desks, who holds each share, which servers are sick for whom, and what is lost. */
     private static final class World {
-        final List<TrialDesk> desks = new ArrayList<>();
+        final List<HealthCheckCoordinator> desks = new ArrayList<>();
         final PriorityQueue<Mail> mail = new PriorityQueue<>((a, b) -> a.atMs != b.atMs ? Double.compare(a.atMs, b.atMs) : Long.compare(a.n, b.n));
         final PriorityQueue<double[]> ends = new PriorityQueue<>((a, b) -> Double.compare(a[0], b[0]));
         final int[] holder = new int[SHARES];
@@ -55,16 +55,16 @@
             }
             for (int i = 0; i < count; i++) {
                 int me = i;
-                List<Tenure> shares = new ArrayList<>();
+                List<LeaseHandle> shares = new ArrayList<>();
                 for (int s = 0; s < SHARES; s++) {
                     shares.add(tenure(me, s));
                 }
-                desks.add(new TrialDesk(me + 1, me * 1000L, RULES, shares, new TrialDesk.Out() {
+                desks.add(new HealthCheckCoordinator(me + 1, me * 1000L, RULES, shares, new HealthCheckCoordinator.Out() {
                     @Override
-                    public void send(long to, TrialMessage m) {
+                    public void send(long to, HealthCheckMessage m) {
                         if (random.nextDouble() >= loss) {
                             for (int copies = random.nextInt(10) == 0 ? 2 : 1; copies > 0; copies--) {
-                                mail.add(new Mail(now + 0.1 + random.nextDouble() * lateMs, n++, me, (int) to - 1, TrialMessage.of(m.bytes())));
+                                mail.add(new Mail(now + 0.1 + random.nextDouble() * lateMs, n++, me, (int) to - 1, HealthCheckMessage.of(m.bytes())));
                             }
                         }
                     }
@@ -87,8 +87,8 @@
             }
         }
 
-        Tenure tenure(int me, int share) {
-            return new Tenure() {
+        LeaseHandle tenure(int me, int share) {
+            return new LeaseHandle() {
                 @Override
                 public long permit(double at, double actMs) {
                     return holder[share] == me ? epoch[share] : -1;
@@ -111,7 +111,7 @@
 
                 @Override
                 public long id() {
-                    return Ids.of("probe." + share);
+                    return NameHash.of("probe." + share);
                 }
             };
         }
@@ -119,7 +119,7 @@
         void until(double ms) {
             while (true) {
                 double next = ms;
-                for (TrialDesk d : desks) {
+                for (HealthCheckCoordinator d : desks) {
                     next = Math.min(next, d.tick(now));
                 }
                 double atMail = mail.isEmpty() ? Double.POSITIVE_INFINITY : mail.peek().atMs;
@@ -157,13 +157,13 @@
         assertThat(w.told).hasSize(200);
         assertThat(w.told.subList(100, 200)).allMatch(Told::sound);
         assertThat(w.trials).isEqualTo(2);
-        assertThat(w.desks.get(w.holder[TrialDesk.share(7, SHARES)]).counts().own()).isEqualTo(2);
+        assertThat(w.desks.get(w.holder[HealthCheckCoordinator.share(7, SHARES)]).counts().own()).isEqualTo(2);
     }
 
     @Test
     void whoIsBelievedToHoldItWronglyRefersToTheOneThatDoes() {
         World w = new World(5, 2);
-        int share = TrialDesk.share(7, SHARES);
+        int share = HealthCheckCoordinator.share(7, SHARES);
         w.holder[share] = 4;
         w.belief.put(1, 2); // and 2 knows
         w.desks.get(1).wanted(0, 7);
@@ -194,7 +194,7 @@
     @Test
     void wordThatIsAtOddsWithOnesOwnWayIsNotTakenForLong() {
         World w = new World(3, 4);
-        int share = TrialDesk.share(7, SHARES);
+        int share = HealthCheckCoordinator.share(7, SHARES);
         w.holder[share] = 2;
         w.cutFrom.add("2/7");
         List<Boolean> heard = new ArrayList<>();
@@ -221,23 +221,23 @@
     @Test
     void wordUnderAnOlderEpochAndWordThatComesLateAreNotTaken() {
         World w = new World(3, 5);
-        int share = TrialDesk.share(7, SHARES);
+        int share = HealthCheckCoordinator.share(7, SHARES);
         w.holder[share] = 2;
         w.epoch[share] = 9;
         w.desks.get(0).wanted(0, 7);
         w.until(100);
         assertThat(w.told).hasSize(1);
         int other = 0;
-        while (TrialDesk.share(other, SHARES) != share || other == 7) {
+        while (HealthCheckCoordinator.share(other, SHARES) != share || other == 7) {
             other++;
         }
         w.told.clear();
         w.desks.get(0).wanted(w.now, other);
         Mail asked = w.mail.peek();
         long duty = asked.m.duty();
-        w.desks.get(0).heard(w.now, 2, new TrialMessage(Kind.ANSWER, duty, other, asked.m.number(), 8, 0, false, 0));
-        w.desks.get(0).heard(w.now, 2, new TrialMessage(Kind.ANSWER, duty, other, asked.m.number() + 1, 9, 0, false, 0));
-        w.desks.get(0).heard(w.now, 2, new TrialMessage(Kind.ANSWER, duty, other, asked.m.number(), 9, 0, false, 60_000));
+        w.desks.get(0).heard(w.now, 2, new HealthCheckMessage(Kind.ANSWER, duty, other, asked.m.number(), 8, 0, false, 0));
+        w.desks.get(0).heard(w.now, 2, new HealthCheckMessage(Kind.ANSWER, duty, other, asked.m.number() + 1, 9, 0, false, 0));
+        w.desks.get(0).heard(w.now, 2, new HealthCheckMessage(Kind.ANSWER, duty, other, asked.m.number(), 9, 0, false, 60_000));
         assertThat(w.told).isEmpty();
         assertThat(w.desks.get(0).counts().olderEpochs()).isEqualTo(1);
         assertThat(w.desks.get(0).counts().tooLate()).isEqualTo(2);
@@ -264,7 +264,7 @@
     @Test
     void aTrialThatOutlastedTheDutyIsNotTold() {
         World w = new World(3, 6);
-        int share = TrialDesk.share(7, SHARES);
+        int share = HealthCheckCoordinator.share(7, SHARES);
         w.holder[share] = 2;
         w.sick.add(7);
         w.desks.get(0).wanted(0, 7);
@@ -297,28 +297,28 @@
         for (int i = 0; i < SHARES; i++) {
             w.holder[i] = 1;
         }
-        for (int server = 0; server < TrialDesk.MOST_WANTS + 10; server++) {
+        for (int server = 0; server < HealthCheckCoordinator.MOST_WANTS + 10; server++) {
             w.desks.get(0).wanted(0, server);
         }
         assertThat(w.trials).as("at once, beyond the bound").isEqualTo(10);
         w.until(2000);
-        assertThat(w.told).hasSize(TrialDesk.MOST_WANTS + 10);
+        assertThat(w.told).hasSize(HealthCheckCoordinator.MOST_WANTS + 10);
         // A flood of what others want: as many trials as may be, the rest is told to go by itself.
         World x = new World(2, 9);
         for (int server = 0; server < 500; server++) {
             x.sick.add(server);
-            x.desks.get(0).heard(0, 2, new TrialMessage(Kind.WANT, Ids.of("probe." + TrialDesk.share(server, SHARES)), server, server, 0, 0, false, 0));
+            x.desks.get(0).heard(0, 2, new HealthCheckMessage(Kind.WANT, NameHash.of("probe." + HealthCheckCoordinator.share(server, SHARES)), server, server, 0, 0, false, 0));
         }
-        assertThat(x.trials).isEqualTo(TrialDesk.MOST_TRIALS);
-        assertThat(x.mail).hasSizeGreaterThanOrEqualTo(500 - TrialDesk.MOST_TRIALS).allMatch(m -> m.m.kind() == Kind.ELSEWHERE);
+        assertThat(x.trials).isEqualTo(HealthCheckCoordinator.MOST_TRIALS);
+        assertThat(x.mail).hasSizeGreaterThanOrEqualTo(500 - HealthCheckCoordinator.MOST_TRIALS).allMatch(m -> m.m.kind() == Kind.ELSEWHERE);
         World y = new World(2, 10);
         y.sick.add(7);
-        for (int i = 0; i < 2 * TrialDesk.MOST_WAITING; i++) {
-            y.desks.get(0).heard(0, 2, new TrialMessage(Kind.WANT, Ids.of("probe." + TrialDesk.share(7, SHARES)), 7, i, 0, 0, false, 0));
+        for (int i = 0; i < 2 * HealthCheckCoordinator.MOST_WAITING; i++) {
+            y.desks.get(0).heard(0, 2, new HealthCheckMessage(Kind.WANT, NameHash.of("probe." + HealthCheckCoordinator.share(7, SHARES)), 7, i, 0, 0, false, 0));
         }
         y.ends.poll();
         y.desks.get(0).ended(250, 7, false);
-        assertThat(y.mail.stream().map(m -> m.m.number()).distinct()).hasSize(TrialDesk.MOST_WAITING);
+        assertThat(y.mail.stream().map(m -> m.m.number()).distinct()).hasSize(HealthCheckCoordinator.MOST_WAITING);
     }
 
     /** Whatever is lost, late, doubled, whoever holds: each want is told once, in time, and the number of trials never exceeds the wants. */
@@ -361,12 +361,12 @@
 
     @Test
     void messagesAreWholeOrNone() {
-        TrialMessage m = new TrialMessage(Kind.ANSWER, 1, 2, 3, 4, 5, true, 6);
-        assertThat(TrialMessage.of(m.bytes())).isEqualTo(m);
-        assertThat(TrialMessage.of(new byte[TrialMessage.LENGTH - 1])).isNull();
+        HealthCheckMessage m = new HealthCheckMessage(Kind.ANSWER, 1, 2, 3, 4, 5, true, 6);
+        assertThat(HealthCheckMessage.of(m.bytes())).isEqualTo(m);
+        assertThat(HealthCheckMessage.of(new byte[HealthCheckMessage.LENGTH - 1])).isNull();
         byte[] bad = m.bytes();
         bad[0] = 9;
-        assertThat(TrialMessage.of(bad)).isNull();
-        assertThatThrownBy(() -> new TrialRules(250, 250, 0)).isInstanceOf(IllegalArgumentException.class);
+        assertThat(HealthCheckMessage.of(bad)).isNull();
+        assertThatThrownBy(() -> new HealthCheckTiming(250, 250, 0)).isInstanceOf(IllegalArgumentException.class);
     }
 }
--- a/src/test/java/damsonworks/lease/LoopHealthTest.java
+++ b/src/test/java/cacheproxy/fleet/lease/EventLoopHealthTest.java
@@ -1,13 +1,13 @@
-package damsonworks.lease;
+package cacheproxy.fleet.lease;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import org.junit.jupiter.api.Test;
 
-class LoopHealthTest {
+class EventLoopHealthTest {
     @Test
     void oneThatIsLateThriceWithinFiveSecondsIsIllForFive() {
-        LoopHealth h = new LoopHealth(250, 3, 5000);
+        EventLoopHealth h = new EventLoopHealth(250, 3, 5000);
         h.ran(0, 300);
         h.ran(4000, 250);
         h.ran(4500, 249);
--- a/src/test/java/damsonworks/lease/LeaseStatesTest.java
+++ b/src/test/java/cacheproxy/fleet/lease/LeaseStatesTest.java
@@ -1,4 +1,4 @@
-package damsonworks.lease;
+package cacheproxy.fleet.lease;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -49,13 +49,13 @@
         int losses;
         int copies;
 
-        Bag(LeaseRules rules, boolean held) {
+        Bag(LeaseTiming rules, boolean held) {
             w = new LeaseWorld(rules, LEASE, VOTERS, List.of("d"));
             w.voters = VOTERS;
             w.standing = CANDIDATES;
             w.sent = (from, to, bytes) -> mail.add(new LeaseWorld.Mail(0, mail.size(), from, to, bytes));
-            w.processes.get(0).rate = 1 - LeaseRules.DRIFT * 0.99;
-            w.processes.get(1).rate = 1 + LeaseRules.DRIFT * 0.99;
+            w.processes.get(0).rate = 1 - LeaseTiming.DRIFT * 0.99;
+            w.processes.get(1).rate = 1 + LeaseTiming.DRIFT * 0.99;
             w.processes.forEach(p -> p.start(new SplittableRandom(p.index)));
             w.now = rules.silenceMs() * 1.02 + 1;
             w.processes.forEach(LeaseWorld.Process::tick);
@@ -140,7 +140,7 @@
         }
     }
 
-    private static Explored explore(LeaseRules rules, boolean held, int most) {
+    private static Explored explore(LeaseTiming rules, boolean held, int most) {
         Set<String> known = new HashSet<>();
         ArrayDeque<Path> open = new ArrayDeque<>(List.of(new Path(null, null, 0)));
         int depth = 0;
@@ -164,7 +164,7 @@
         return new Explored(known.size(), depth, List.of(), null);
     }
 
-    private static Bag played(LeaseRules rules, boolean held, List<Step> steps) {
+    private static Bag played(LeaseTiming rules, boolean held, List<Step> steps) {
         Bag b = new Bag(rules, held);
         steps.forEach(b::play);
         return b;
@@ -173,7 +173,7 @@
     @Test
     void noStateOfThreeVotersHasTwoThatMayAct() {
         for (boolean held : new boolean[] {false, true}) {
-            Explored e = explore(new LeaseRules(LEASE, LeaseRules.DRIFT), held, STATES / 2);
+            Explored e = explore(new LeaseTiming(LEASE, LeaseTiming.DRIFT), held, STATES / 2);
             System.out.println((held ? "from a held duty: " : "from none: ") + "states " + e.states() + ", depth " + e.depth());
             assertThat(e.fault()).as(e.trace().toString()).isNull();
             assertThat(e.states()).isGreaterThanOrEqualTo(STATES / 2);
@@ -182,7 +182,7 @@
 
     @Test
     void aVoterThatForgetsAndSpeaksAtOnceIsFoundWithItsShortestTrace() {
-        Explored e = explore(new LeaseRules(LEASE, LeaseRules.DRIFT) {
+        Explored e = explore(new LeaseTiming(LEASE, LeaseTiming.DRIFT) {
             @Override
             public double silenceMs() {
                 return 0;
--- a/src/test/java/damsonworks/lease/LeaseTest.java
+++ b/src/test/java/cacheproxy/fleet/lease/LeaseTest.java
@@ -1,9 +1,9 @@
-package damsonworks.lease;
+package cacheproxy.fleet.lease;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import damsonworks.lease.LeaseMessage.Kind;
+import cacheproxy.fleet.lease.LeaseMessage.Kind;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -15,13 +15,13 @@
 
 /** One voter, one candidate, and a small fleet by hand. */
 class LeaseTest {
-    private static final LeaseRules RULES = new LeaseRules(1000, 0.01);
-    private static final long DUTY = Ids.of("d");
+    private static final LeaseTiming RULES = new LeaseTiming(1000, 0.01);
+    private static final long DUTY = NameHash.of("d");
     private static final long LIFE = 77;
-    private final Voter voter = new Voter(RULES, 0);
+    private final LeaseVoter voter = new LeaseVoter(RULES, 0);
 
     private LeaseMessage claim(double now, String from, long epoch) {
-        return voter.heard(now, Ids.of(from), new LeaseMessage(Kind.CLAIM, DUTY, 7, epoch, LIFE, 1000));
+        return voter.heard(now, NameHash.of(from), new LeaseMessage(Kind.CLAIM, DUTY, 7, epoch, LIFE, 1000));
     }
 
     @Test
@@ -35,16 +35,16 @@
         assertThat(claim(2000, "a", 5).kind()).isEqualTo(Kind.GRANT);
         LeaseMessage no = claim(3009, "b", 6);
         assertThat(no.kind()).isEqualTo(Kind.REFUSE);
-        assertThat(no.holder()).isEqualTo(Ids.of("a"));
+        assertThat(no.holder()).isEqualTo(NameHash.of("a"));
         assertThat(no.ms()).isEqualTo(1);
         assertThat(claim(3010, "b", 5).kind()).as("an epoch that was another's").isEqualTo(Kind.REFUSE);
         assertThat(claim(3010, "b", 6).kind()).isEqualTo(Kind.GRANT);
         assertThat(claim(3100, "a", 5).kind()).as("a renewal from before").isEqualTo(Kind.REFUSE);
-        voter.heard(3100, Ids.of("a"), new LeaseMessage(Kind.RELEASE, DUTY, 0, 6, LIFE, 0));
+        voter.heard(3100, NameHash.of("a"), new LeaseMessage(Kind.RELEASE, DUTY, 0, 6, LIFE, 0));
         assertThat(claim(3101, "a", 9).kind()).as("given back by one who has it not").isEqualTo(Kind.REFUSE);
-        voter.heard(3102, Ids.of("b"), new LeaseMessage(Kind.RELEASE, DUTY, 0, 5, LIFE, 0));
+        voter.heard(3102, NameHash.of("b"), new LeaseMessage(Kind.RELEASE, DUTY, 0, 5, LIFE, 0));
         assertThat(claim(3103, "a", 9).kind()).as("an older one given back").isEqualTo(Kind.REFUSE);
-        voter.heard(3104, Ids.of("b"), new LeaseMessage(Kind.RELEASE, DUTY, 0, 6, LIFE, 0));
+        voter.heard(3104, NameHash.of("b"), new LeaseMessage(Kind.RELEASE, DUTY, 0, 6, LIFE, 0));
         assertThat(claim(3105, "a", 9).kind()).isEqualTo(Kind.GRANT);
     }
 
@@ -52,10 +52,10 @@
     void anotherProcessOfTheSameNameIsAnotherHolder() {
         assertThat(claim(2000, "a", 5).kind()).isEqualTo(Kind.GRANT);
         LeaseMessage twin = new LeaseMessage(Kind.CLAIM, DUTY, 7, 6, LIFE + 1, 1000);
-        assertThat(voter.heard(2001, Ids.of("a"), twin).kind()).isEqualTo(Kind.REFUSE);
-        assertThat(voter.heard(2001, Ids.of("a"), new LeaseMessage(Kind.ASK, DUTY, 7, 0, LIFE + 1, 0)).holder()).isEqualTo(Ids.of("a"));
-        assertThat(voter.heard(2001, Ids.of("a"), new LeaseMessage(Kind.ASK, DUTY, 7, 0, LIFE, 0)).holder()).isEqualTo(Ids.NOBODY);
-        assertThat(voter.heard(3010, Ids.of("a"), twin).kind()).isEqualTo(Kind.GRANT);
+        assertThat(voter.heard(2001, NameHash.of("a"), twin).kind()).isEqualTo(Kind.REFUSE);
+        assertThat(voter.heard(2001, NameHash.of("a"), new LeaseMessage(Kind.ASK, DUTY, 7, 0, LIFE + 1, 0)).holder()).isEqualTo(NameHash.of("a"));
+        assertThat(voter.heard(2001, NameHash.of("a"), new LeaseMessage(Kind.ASK, DUTY, 7, 0, LIFE, 0)).holder()).isEqualTo(NameHash.NOBODY);
+        assertThat(voter.heard(3010, NameHash.of("a"), twin).kind()).isEqualTo(Kind.GRANT);
         assertThat(claim(3011, "a", 6).kind()).as("its renewal").isEqualTo(Kind.REFUSE);
     }
 
@@ -63,12 +63,12 @@
     void aLeaseLongerThanAllAgreeOnAndADutyTooManyAreNotAnswered() {
         assertThat(voter.heard(2000, 1, new LeaseMessage(Kind.CLAIM, DUTY, 7, 1, 0, 1001))).isNull();
         assertThat(voter.heard(2000, 1, new LeaseMessage(Kind.CLAIM, DUTY, 7, 1, 0, 0))).isNull();
-        for (int i = 0; i < Voter.MOST_DUTIES; i++) {
+        for (int i = 0; i < LeaseVoter.MOST_DUTIES; i++) {
             assertThat(voter.heard(2000, 1, new LeaseMessage(Kind.CLAIM, i + 10, 7, 1, 0, 1000))).isNotNull();
         }
         assertThat(voter.heard(2000, 1, new LeaseMessage(Kind.CLAIM, 5, 7, 1, 0, 1000))).isNull();
         assertThat(voter.heard(2000, 1, new LeaseMessage(Kind.CLAIM, 11, 7, 1, 0, 1000)).kind()).as("a known one").isEqualTo(Kind.GRANT);
-        assertThat(voter.size()).isEqualTo(Voter.MOST_DUTIES);
+        assertThat(voter.size()).isEqualTo(LeaseVoter.MOST_DUTIES);
     }
 
     @Test
@@ -78,8 +78,8 @@
         assertThat(m.bytes()).hasSize(LeaseMessage.LENGTH);
         assertThat(LeaseMessage.of(new LeaseMessage(Kind.CLAIM, 1, 2, LeaseMessage.MOST_EPOCH + 1, 4, 5).bytes())).isNull();
         SplittableRandom random = new SplittableRandom(3);
-        Duties duties = new Duties("p1", RULES, random.split(), 0, new Silent());
-        duties.stand("d", 1000, new Electorate("d", List.of("p1", "p2", "p3"), List.of(), 3), 0);
+        LeaseManager duties = new LeaseManager("p1", RULES, random.split(), 0, new Silent());
+        duties.stand("d", 1000, new VoterSet("d", List.of("p1", "p2", "p3"), List.of(), 3), 0);
         int read = 0;
         for (int i = 0; i < 300_000; i++) {
             byte[] spoilt = m.bytes();
@@ -105,16 +105,16 @@
         Map<Long, Integer> votes = new HashMap<>();
         Map<Long, Integer> first = new HashMap<>();
         for (int d = 0; d < 200; d++) {
-            Electorate e = new Electorate("duty" + d, peers, List.of(), 5);
+            VoterSet e = new VoterSet("duty" + d, peers, List.of(), 5);
             assertThat(e.voters()).hasSize(5);
             e.voters().forEach(v -> votes.merge(v, 1, Integer::sum));
             first.merge(e.order().get(0), 1, Integer::sum);
         }
         assertThat(votes.values()).allMatch(n -> n < 30);
         assertThat(first.values()).allMatch(n -> n < 10);
-        Electorate old = new Electorate("d", peers.subList(0, 5), List.of(), 5);
-        Electorate both = new Electorate("d", peers.subList(2, 7), peers.subList(0, 5), 5);
-        Electorate next = new Electorate("d", peers.subList(2, 7), List.of(), 5);
+        VoterSet old = new VoterSet("d", peers.subList(0, 5), List.of(), 5);
+        VoterSet both = new VoterSet("d", peers.subList(2, 7), peers.subList(0, 5), 5);
+        VoterSet next = new VoterSet("d", peers.subList(2, 7), List.of(), 5);
         Set<Long> firstThree = ids("p1", "p2", "p3");
         Set<Long> lastThree = ids("p5", "p6", "p7");
         assertThat(old.isMajority(firstThree)).isTrue();
@@ -128,12 +128,12 @@
     private static Set<Long> ids(String... names) {
         Set<Long> ids = new HashSet<>();
         for (String n : names) {
-            ids.add(Ids.of(n));
+            ids.add(NameHash.of(n));
         }
         return ids;
     }
 
-    private static class Silent implements Duties.Out {
+    private static class Silent implements LeaseManager.Out {
         @Override
         public void send(long to, LeaseMessage m) { }
 
@@ -175,7 +175,7 @@
         LeaseWorld.Process b = w.processes.get((a.index + 1) % 5);
         long epoch = a.duties.permit("d", a.local(), 30);
         assertThat(epoch).isPositive();
-        assertThat(a.duties.transfer("d", Ids.of(b.name), a.local(), "SIGTERM")).isTrue();
+        assertThat(a.duties.transfer("d", NameHash.of(b.name), a.local(), "SIGTERM")).isTrue();
         assertThat(a.duties.permit("d", a.local(), 0)).as("nothing new").isEqualTo(-1);
         go(w, 25);
         assertThat(holder(w)).as("its act is under way").isNull();
@@ -184,8 +184,8 @@
         assertThat(b.duties.permit("d", b.local(), 0)).isGreaterThan(epoch);
         assertThat(w.faults()).isEmpty();
         assertThat(w.losses).containsEntry("SIGTERM", 1);
-        assertThat(b.duties.transfer("d", Ids.NOBODY, b.local(), "x")).isTrue();
-        assertThat(a.duties.transfer("d", Ids.NOBODY, a.local(), "x")).as("not held").isFalse();
+        assertThat(b.duties.transfer("d", NameHash.NOBODY, b.local(), "x")).isTrue();
+        assertThat(a.duties.transfer("d", NameHash.NOBODY, a.local(), "x")).as("not held").isFalse();
     }
 
     @Test
@@ -221,11 +221,11 @@
         LeaseWorld.Process b = holder(w);
         assertThat(b).isNotNull().isNotSameAs(a);
         assertThat(a.duties.permit("d", a.local(), 0)).as("asked before anything else runs").isEqualTo(-1);
-        EpochGuard guard = new EpochGuard();
+        FencingTokenCheck guard = new FencingTokenCheck();
         assertThat(guard.accepts(DUTY, epoch)).isTrue();
         assertThat(guard.accepts(DUTY, b.duties.permit("d", b.local(), 0))).isTrue();
         assertThat(guard.accepts(DUTY, epoch)).isFalse();
-        for (int i = 0; i < EpochGuard.MOST_DUTIES; i++) {
+        for (int i = 0; i < FencingTokenCheck.MOST_DUTIES; i++) {
             guard.accepts(i + 1, 1);
         }
         assertThat(guard.accepts(999_999, 1)).isFalse();
@@ -233,19 +233,19 @@
 
     @Test
     void whatCanNotBeIsToldAtOnce() {
-        Duties d = new Duties("p1", RULES, new SplittableRandom(1), 0, new Silent());
-        Electorate e = new Electorate("d", List.of("p1"), List.of(), 5);
+        LeaseManager d = new LeaseManager("p1", RULES, new SplittableRandom(1), 0, new Silent());
+        VoterSet e = new VoterSet("d", List.of("p1"), List.of(), 5);
         assertThatThrownBy(() -> d.stand("d", 1001, e, 0)).hasMessageContaining("lease 1001");
-        assertThatThrownBy(() -> new LeaseRules(0, 0.01)).isInstanceOf(IllegalArgumentException.class);
-        assertThatThrownBy(() -> new Electorate("d", List.of(), List.of(), 5)).isInstanceOf(IllegalArgumentException.class);
-        for (int i = 0; i < Duties.MOST; i++) {
+        assertThatThrownBy(() -> new LeaseTiming(0, 0.01)).isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> new VoterSet("d", List.of(), List.of(), 5)).isInstanceOf(IllegalArgumentException.class);
+        for (int i = 0; i < LeaseManager.MOST; i++) {
             d.stand("x" + i, 100, e, 0);
         }
-        assertThatThrownBy(() -> d.stand("one more", 100, e, 0)).hasMessageContaining("more than " + Duties.MOST);
+        assertThatThrownBy(() -> d.stand("one more", 100, e, 0)).hasMessageContaining("more than " + LeaseManager.MOST);
     }
 
     /** Messages to and from the others, by hand: two voters that grant everything. */
-    private static final class Granting implements Duties.Out {
+    private static final class Granting implements LeaseManager.Out {
         final List<LeaseMessage> out = new ArrayList<>();
         final List<String> gained = new ArrayList<>();
 
@@ -263,25 +263,25 @@
         public void lost(String duty, long epoch, String why) { }
 
         /** All answer what was last asked. */
-        void answer(Duties d, double now) {
+        void answer(LeaseManager d, double now) {
             List<LeaseMessage> asked = List.copyOf(out);
             out.clear();
             for (LeaseMessage m : asked) {
                 Kind kind = m.kind() == Kind.ASK ? Kind.STATE : Kind.GRANT;
                 if (m.kind() == Kind.ASK || m.kind() == Kind.CLAIM) {
-                    d.heard(now, Ids.of("p2"), new LeaseMessage(kind, m.duty(), m.nonce(), m.epoch(), Ids.NOBODY, 0), 1);
-                    d.heard(now, Ids.of("p3"), new LeaseMessage(kind, m.duty(), m.nonce(), m.epoch(), Ids.NOBODY, 0), 1);
+                    d.heard(now, NameHash.of("p2"), new LeaseMessage(kind, m.duty(), m.nonce(), m.epoch(), NameHash.NOBODY, 0), 1);
+                    d.heard(now, NameHash.of("p3"), new LeaseMessage(kind, m.duty(), m.nonce(), m.epoch(), NameHash.NOBODY, 0), 1);
                 }
             }
         }
     }
 
-    private static final Electorate THREE = new Electorate("d", List.of("p1", "p2", "p3"), List.of(), 3);
+    private static final VoterSet THREE = new VoterSet("d", List.of("p1", "p2", "p3"), List.of(), 3);
 
     @Test
     void oneThatMayNotHoldDropsAClaimThatIsUnderWayAndStaysSoOverAReload() {
         Granting out = new Granting();
-        Duties d = new Duties("p1", RULES, new SplittableRandom(1), 0, out);
+        LeaseManager d = new LeaseManager("p1", RULES, new SplittableRandom(1), 0, out);
         d.stand("d", 1000, THREE, 0);
         d.tick(500, 1);
         out.answer(d, 501); // asked; now the claim is out
@@ -309,7 +309,7 @@
     @Test
     void aHolderCountsNoMoreThanTheVotersWereTold() {
         Granting out = new Granting();
-        Duties d = new Duties("p1", RULES, new SplittableRandom(1), 0, out);
+        LeaseManager d = new LeaseManager("p1", RULES, new SplittableRandom(1), 0, out);
         d.stand("d", 100.9, THREE, 0);
         d.tick(500, 1);
         out.answer(d, 500);
@@ -330,8 +330,8 @@
     @Test
     void dutiesThatAreNoLongerWantedLeaveNothingBehind() {
         Granting out = new Granting();
-        Duties d = new Duties("p1", RULES, new SplittableRandom(1), 0, out);
-        for (int i = 0; i < 3 * Duties.MOST; i++) {
+        LeaseManager d = new LeaseManager("p1", RULES, new SplittableRandom(1), 0, out);
+        for (int i = 0; i < 3 * LeaseManager.MOST; i++) {
             d.stand("x" + i, 100, THREE, i);
             d.withdraw("x" + i, i);
             d.tick(i, 1);
--- a/src/test/java/damsonworks/lease/LeaseWalkTest.java
+++ b/src/test/java/cacheproxy/fleet/lease/LeaseWalkTest.java
@@ -1,4 +1,4 @@
-package damsonworks.lease;
+package cacheproxy.fleet.lease;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -22,21 +22,21 @@
     /** After the troubles' end somebody holds each duty within: silence, lease, the last one's wait and two tries. */
     private static final double CALM_MS = 6_000;
 
-    private static final LeaseRules SOUND = new LeaseRules(LEASE, LeaseRules.DRIFT);
+    private static final LeaseTiming SOUND = new LeaseTiming(LEASE, LeaseTiming.DRIFT);
 
     private record Walked(int gains, long mails, List<String> faults, double longestIdleMs) { }
 
-    private static Walked walk(LeaseRules rules, long seed, int count, List<String> names, boolean trouble) {
+    private static Walked walk(LeaseTiming rules, long seed, int count, List<String> names, boolean trouble) {
         return walk(rules, seed, count, names, trouble, 0);
     }
 
     /** @param steps in which the list of peers is changed to one that shares two of five with it; 0: it is not */
-    private static Walked walk(LeaseRules rules, long seed, int count, List<String> names, boolean trouble, int steps) {
+    private static Walked walk(LeaseTiming rules, long seed, int count, List<String> names, boolean trouble, int steps) {
         return walk(rules, seed, count, names, trouble, steps, 0);
     }
 
     /** @param judgedMs the least time between two looks at all duties; 0: after each event */
-    private static Walked walk(LeaseRules rules, long seed, int count, List<String> names, boolean trouble, int steps, double judgedMs) {
+    private static Walked walk(LeaseTiming rules, long seed, int count, List<String> names, boolean trouble, int steps, double judgedMs) {
         SplittableRandom random = new SplittableRandom(seed);
         LeaseWorld w = new LeaseWorld(rules, LEASE, count, names);
         if (steps > 0) {
@@ -57,7 +57,7 @@
             }
         };
         for (LeaseWorld.Process p : w.processes) {
-            p.rate = 1 + LeaseRules.DRIFT * (random.nextInt(3) - 1) * 0.999;
+            p.rate = 1 + LeaseTiming.DRIFT * (random.nextInt(3) - 1) * 0.999;
             p.zero = random.nextDouble() * 1e6;
             p.start(random.split());
         }
@@ -170,7 +170,7 @@
         }
     }
 
-    private static List<String> firstFault(LeaseRules rules, int most) {
+    private static List<String> firstFault(LeaseTiming rules, int most) {
         for (int seed = 0; seed < most; seed++) {
             List<String> faults = walk(rules, seed, 5, List.of("a", "b"), true).faults();
             if (!faults.isEmpty()) {
@@ -252,27 +252,27 @@
 
     @Test
     void eachPlantedFaultIsFound() {
-        Map<String, LeaseRules> planted = new HashMap<>();
-        planted.put("no silence after a restart", new LeaseRules(LEASE, LeaseRules.DRIFT) {
+        Map<String, LeaseTiming> planted = new HashMap<>();
+        planted.put("no silence after a restart", new LeaseTiming(LEASE, LeaseTiming.DRIFT) {
             @Override
             public double silenceMs() {
                 return 0;
             }
         });
-        planted.put("the holder's lease as long as the voters'", new LeaseRules(LEASE, LeaseRules.DRIFT) {
+        planted.put("the holder's lease as long as the voters'", new LeaseTiming(LEASE, LeaseTiming.DRIFT) {
             @Override
             public double holderMs(double leaseMs) {
                 return voterMs(leaseMs);
             }
         });
-        planted.put("the epoch kept by the candidate", new LeaseRules(LEASE, LeaseRules.DRIFT) {
+        planted.put("the epoch kept by the candidate", new LeaseTiming(LEASE, LeaseTiming.DRIFT) {
             @Override
             public long epoch(long seen, long wallMs) {
                 return seen;
             }
         });
         planted.put("the lease by the wall clock", new LeaseWorld.ByWallClock(LEASE));
-        planted.put("the check in a timer, not before the act", new LeaseRules(LEASE, LeaseRules.DRIFT) {
+        planted.put("the check in a timer, not before the act", new LeaseTiming(LEASE, LeaseTiming.DRIFT) {
             @Override
             public boolean mayAct(double now, double untilMs, double actMs) {
                 return true;
--- a/src/test/java/damsonworks/lease/LeaseWorld.java
+++ b/src/test/java/cacheproxy/fleet/lease/LeaseWorld.java
@@ -1,4 +1,4 @@
-package damsonworks.lease;
+package cacheproxy.fleet.lease;
 
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -7,7 +7,7 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 
-/** Processes with real {@link Duties}, each on a clock of its own, and the messages between them; judged in true time. */
+/** Processes with real {@link LeaseManager}, each on a clock of its own, and the messages between them; judged in true time. */
 final class LeaseWorld {
     /** A message on its way. */
     record Mail(double atMs, long n, int from, int to, byte[] bytes) { }
@@ -22,13 +22,13 @@
         double zero;
         boolean paused;
         boolean down;
-        Duties duties;
+        LeaseManager duties;
         SplittableRandom random;
 
         Process(int index) {
             this.index = index;
             name = "p" + (index + 1);
-            id = Ids.of(name);
+            id = NameHash.of(name);
         }
 
         double local() {
@@ -38,7 +38,7 @@
         void start(SplittableRandom with) {
             random = with;
             down = false;
-            duties = new Duties(name, rules, with, local(), new Duties.Out() {
+            duties = new LeaseManager(name, rules, with, local(), new LeaseManager.Out() {
                 @Override
                 public void send(long to, LeaseMessage m) {
                     sent.send(index, byId.get(to), m.bytes());
@@ -87,7 +87,7 @@
         void send(int from, int to, byte[] bytes);
     }
 
-    final LeaseRules rules;
+    final LeaseTiming rules;
     final double leaseMs;
     final List<String> names;
     final List<Process> processes = new ArrayList<>();
@@ -104,13 +104,13 @@
     int gains;
     private final List<String> faults = new ArrayList<>();
 
-    LeaseWorld(LeaseRules rules, double leaseMs, int count, List<String> names) {
+    LeaseWorld(LeaseTiming rules, double leaseMs, int count, List<String> names) {
         this.rules = rules;
         this.leaseMs = leaseMs;
         this.names = names;
         for (int i = 0; i < count; i++) {
             processes.add(new Process(i));
-            byId.put(Ids.of("p" + (i + 1)), i);
+            byId.put(NameHash.of("p" + (i + 1)), i);
         }
     }
 
@@ -118,7 +118,7 @@
         return index < standing;
     }
 
-    private final Map<String, Electorate> electorates = new HashMap<>();
+    private final Map<String, VoterSet> electorates = new HashMap<>();
     /** The list that each process goes by while it changes: the old one, both, the new one; null: it does not change. */
     int[] stage;
     List<String> oldList;
@@ -133,14 +133,14 @@
         }
     }
 
-    private Electorate of(String duty, List<String> list) {
-        return electorates.computeIfAbsent(duty + list, k -> new Electorate(duty, list, List.of(), voters));
+    private VoterSet of(String duty, List<String> list) {
+        return electorates.computeIfAbsent(duty + list, k -> new VoterSet(duty, list, List.of(), voters));
     }
 
-    Electorate electorate(int index, String duty) {
+    VoterSet electorate(int index, String duty) {
         return electorates.computeIfAbsent((stage == null ? -1 : stage[index]) + duty, k -> stage == null
-                ? new Electorate(duty, processes.stream().map(p -> p.name).toList(), List.of(), voters) : stage[index] == 0
-                ? new Electorate(duty, oldList, List.of(), voters) : new Electorate(duty, newList, stage[index] == 1 ? oldList : List.of(), voters));
+                ? new VoterSet(duty, processes.stream().map(p -> p.name).toList(), List.of(), voters) : stage[index] == 0
+                ? new VoterSet(duty, oldList, List.of(), voters) : new VoterSet(duty, newList, stage[index] == 1 ? oldList : List.of(), voters));
     }
 
     /** The wall clock is off by so much from now on. */
@@ -152,7 +152,7 @@
     }
 
     /** A planted fault: the lease is held by the wall clock. */
-    static final class ByWallClock extends LeaseRules {
+    static final class ByWallClock extends LeaseTiming {
         double stepMs;
 
         ByWallClock(double longestMs) {
--- a/src/test/java/damsonworks/membership/MembersTest.java
+++ b/src/test/java/cacheproxy/fleet/membership/SwimMembershipTest.java
@@ -1,10 +1,10 @@
-package damsonworks.membership;
+package cacheproxy.fleet.membership;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.membership.MemberMessage.Kind;
-import damsonworks.membership.MemberMessage.News;
-import damsonworks.membership.MemberMessage.Standing;
+import cacheproxy.fleet.membership.SwimMessage.Kind;
+import cacheproxy.fleet.membership.SwimMessage.News;
+import cacheproxy.fleet.membership.SwimMessage.Standing;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashSet;
@@ -15,11 +15,11 @@
 import org.junit.jupiter.api.Test;
 
 /** Who is there, by real detectors on virtual time with links that lose and processes that stand still, die and come back. */
-class MembersTest {
+class SwimMembershipTest {
     private record Mail(double atMs, long n, int from, int to, byte[] m) { }
 
     private static final class World {
-        final List<Members> all = new ArrayList<>();
+        final List<SwimMembership> all = new ArrayList<>();
         final PriorityQueue<Mail> mail = new PriorityQueue<>((a, b) -> a.atMs != b.atMs ? Double.compare(a.atMs, b.atMs) : Long.compare(a.n, b.n));
         final SplittableRandom random;
         final List<Long> ids = new ArrayList<>();
@@ -45,13 +45,13 @@
 
         void born(int i) {
             gone.remove(i);
-            Members m = new Members(i + 1, MemberRules.USUAL, random.split(), now, (to, x) -> send(i, (int) to - 1, x));
+            SwimMembership m = new SwimMembership(i + 1, SwimTiming.USUAL, random.split(), now, (to, x) -> send(i, (int) to - 1, x));
             m.use(ids, now);
             all.set(i, m);
             due[i] = now;
         }
 
-        void send(int from, int to, MemberMessage m) {
+        void send(int from, int to, SwimMessage m) {
             sent++;
             assertThat(m.bytes().length).isLessThanOrEqualTo(213);
             if (!gone.contains(from) && random.nextDouble() >= lost && !cut.contains(from) && !cut.contains(to)) {
@@ -67,7 +67,7 @@
                     if (still.contains(m.to)) {
                         mail.add(new Mail(now + 5, m.n, m.from, m.to, m.m)); // it lies in its socket
                     } else if (!gone.contains(m.to)) {
-                        all.get(m.to).heard(now, m.from + 1, MemberMessage.of(m.m));
+                        all.get(m.to).heard(now, m.from + 1, SwimMessage.of(m.m));
                     }
                 }
                 for (int i = 0; i < due.length; i++) {
@@ -114,7 +114,7 @@
     void whoIsSuspectedWronglySaysThatItIsThere() {
         World w = new World(8, 4);
         w.until(3000);
-        w.all.get(1).heard(w.now, 3, new MemberMessage(Kind.NACK, 0, 0, List.of(new News(1, Standing.SUSPECT, 0))));
+        w.all.get(1).heard(w.now, 3, new SwimMessage(Kind.NACK, 0, 0, List.of(new News(1, Standing.SUSPECT, 0))));
         assertThat(w.all.get(1).standing(1)).isEqualTo(Standing.SUSPECT);
         w.until(12_000);
         assertThat(w.say(0, Standing.ALIVE)).isEqualTo(7);
@@ -174,29 +174,29 @@
     @Test
     void messagesAreWholeOrNoneAndFloodsAreBounded() {
         List<News> news = new ArrayList<>();
-        for (int i = 0; i < MemberMessage.MOST_NEWS; i++) {
+        for (int i = 0; i < SwimMessage.MOST_NEWS; i++) {
             news.add(new News(i, Standing.values()[i % 3], i));
         }
-        MemberMessage m = new MemberMessage(Kind.PING_FOR, 5, 6, news);
+        SwimMessage m = new SwimMessage(Kind.PING_FOR, 5, 6, news);
         byte[] bytes = m.bytes();
-        assertThat(MemberMessage.of(bytes)).isEqualTo(m);
+        assertThat(SwimMessage.of(bytes)).isEqualTo(m);
         for (int cut = 0; cut < bytes.length; cut++) {
-            assertThat(MemberMessage.of(Arrays.copyOf(bytes, cut))).isNull();
+            assertThat(SwimMessage.of(Arrays.copyOf(bytes, cut))).isNull();
         }
         World w = new World(4, 1);
         SplittableRandom random = new SplittableRandom(3);
         long before = w.sent;
         for (int i = 0; i < 10_000; i++) {
-            w.all.get(0).heard(0, 2, new MemberMessage(Kind.PING_FOR, random.nextLong(), 3, List.of()));
+            w.all.get(0).heard(0, 2, new SwimMessage(Kind.PING_FOR, random.nextLong(), 3, List.of()));
             byte[] b = bytes.clone();
             b[random.nextInt(b.length)] ^= (byte) (1 + random.nextInt(255));
-            MemberMessage spoilt = MemberMessage.of(b);
+            SwimMessage spoilt = SwimMessage.of(b);
             if (spoilt != null) {
                 w.all.get(0).heard(0, 2, spoilt);
             }
         }
-        assertThat(w.sent - before).as("questions for others").isLessThanOrEqualTo(Members.MOST_FAVOURS + 10_000);
+        assertThat(w.sent - before).as("questions for others").isLessThanOrEqualTo(SwimMembership.MOST_FAVOURS + 10_000);
         assertThat(w.all.get(0).standing(99)).isEqualTo(Standing.DEAD);
-        assertThat(w.all.get(0).ill()).isBetween(0, Members.MOST_ILL);
+        assertThat(w.all.get(0).ill()).isBetween(0, SwimMembership.MOST_ILL);
     }
 }
--- a/src/test/java/damsonworks/peers/EnvelopeTest.java
+++ b/src/test/java/cacheproxy/fleet/peer/DatagramEnvelopeTest.java
@@ -1,4 +1,4 @@
-package damsonworks.peers;
+package cacheproxy.fleet.peer;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -10,22 +10,22 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class EnvelopeTest {
+class DatagramEnvelopeTest {
     private static final byte[] OLD = "an old key of some length".getBytes();
     private static final byte[] NEW = "a new key of some length".getBytes();
     private static final List<Long> PEERS = List.of(1L, 2L);
 
-    private static Envelope of(long me, long life, byte[]... keys) {
-        return new Envelope(me, life, List.of(keys), PEERS);
+    private static DatagramEnvelope of(long me, long life, byte[]... keys) {
+        return new DatagramEnvelope(me, life, List.of(keys), PEERS);
     }
 
     @Test
     void whatAPeerSealsIsOpenedOnce() {
         for (byte[][] keys : new byte[][][] {{}, {OLD}}) {
-            Envelope a = of(1, 100, keys);
-            Envelope b = of(2, 100, keys);
+            DatagramEnvelope a = of(1, 100, keys);
+            DatagramEnvelope b = of(2, 100, keys);
             byte[] d = a.seal(2L, (byte) 3, new byte[] {7, 8});
-            Envelope.Opened o = b.open(d, 0);
+            DatagramEnvelope.Opened o = b.open(d, 0);
             assertThat(o.sender()).isEqualTo(1);
             assertThat(o.topic()).isEqualTo((byte) 3);
             assertThat(o.payload()).containsExactly(7, 8);
@@ -37,17 +37,17 @@
 
     @Test
     void datagramsThatOvertakeOthersComeAndNoneComesTwice() {
-        Envelope a = of(1, 100);
-        Envelope b = of(2, 100);
+        DatagramEnvelope a = of(1, 100);
+        DatagramEnvelope b = of(2, 100);
         List<byte[]> sent = new ArrayList<>();
-        for (int i = 0; i < Envelope.WINDOW; i++) {
+        for (int i = 0; i < DatagramEnvelope.WINDOW; i++) {
             sent.add(a.seal(2L, (byte) 0, new byte[0]));
         }
         Collections.shuffle(sent, new Random(4));
         sent.forEach(d -> assertThat(b.open(d, 0)).isNotNull());
         sent.forEach(d -> assertThat(b.open(d, 0)).isNull());
         byte[] late = a.seal(2L, (byte) 0, new byte[0]);
-        for (int i = 0; i < Envelope.WINDOW; i++) {
+        for (int i = 0; i < DatagramEnvelope.WINDOW; i++) {
             assertThat(b.open(a.seal(2L, (byte) 0, new byte[0]), 0)).isNotNull();
         }
         assertThat(b.open(late, 0)).as("behind the window").isNull();
@@ -55,30 +55,30 @@
 
     @Test
     void aBurstToOthersPushesNothingOutOfTheWindow() {
-        Envelope a = of(1, 100);
-        Envelope b = of(2, 100);
+        DatagramEnvelope a = of(1, 100);
+        DatagramEnvelope b = of(2, 100);
         byte[] late = a.seal(2L, (byte) 0, new byte[0]);
-        for (int i = 0; i < 3 * Envelope.WINDOW; i++) {
+        for (int i = 0; i < 3 * DatagramEnvelope.WINDOW; i++) {
             a.seal(1L, (byte) 0, new byte[0]);
         }
         assertThat(b.open(a.seal(2L, (byte) 0, new byte[0]), 0)).isNotNull();
         assertThat(b.open(late, 0)).isNotNull();
-        assertThat(Envelope.claimedSender(late)).isEqualTo(1);
-        assertThat(Envelope.claimedSender(new byte[5])).isZero();
+        assertThat(DatagramEnvelope.claimedSender(late)).isEqualTo(1);
+        assertThat(DatagramEnvelope.claimedSender(new byte[5])).isZero();
     }
 
     @Test
     void anOlderLifeIsDroppedOnceANewerWasHeardAndATwinIsNoticed() {
-        Envelope first = of(1, 100, OLD);
-        Envelope second = of(1, 200, OLD);
-        Envelope b = of(2, 100, OLD);
+        DatagramEnvelope first = of(1, 100, OLD);
+        DatagramEnvelope second = of(1, 200, OLD);
+        DatagramEnvelope b = of(2, 100, OLD);
         byte[] kept = first.seal(2L, (byte) 0, new byte[0]);
         assertThat(b.open(second.seal(2L, (byte) 0, new byte[0]), 0)).isNotNull();
         assertThat(b.open(kept, 0)).isNull();
         assertThat(b.open(first.seal(2L, (byte) 0, new byte[0]), 0)).isNull();
         byte[] after = first.seal(2L, (byte) 0, new byte[0]);
-        assertThat(b.open(after, Envelope.FORGET_MS)).isNull();
-        assertThat(b.open(after, Envelope.FORGET_MS + 1)).as("the newer one is gone").isNotNull();
+        assertThat(b.open(after, DatagramEnvelope.FORGET_MS)).isNull();
+        assertThat(b.open(after, DatagramEnvelope.FORGET_MS + 1)).as("the newer one is gone").isNotNull();
         assertThat(first.open(second.seal(2L, (byte) 0, new byte[0]), 0)).isNull();
         assertThat(first.twins()).containsExactly(1L);
         assertThat(second.twins()).isEmpty();
@@ -86,10 +86,10 @@
 
     @Test
     void twoProcessesUnderOneNameAreNoticedByThoseWhoHearThem() {
-        Envelope first = of(1, 100);
-        Envelope second = of(1, 200);
-        Envelope b = of(2, 100);
-        for (int i = 0; i < Envelope.TWIN; i++) {
+        DatagramEnvelope first = of(1, 100);
+        DatagramEnvelope second = of(1, 200);
+        DatagramEnvelope b = of(2, 100);
+        for (int i = 0; i < DatagramEnvelope.TWIN; i++) {
             assertThat(b.twins()).isEmpty();
             assertThat(b.open(second.seal(2L, (byte) 0, new byte[0]), i)).isNotNull();
             assertThat(b.open(first.seal(2L, (byte) 0, new byte[0]), i)).as("only the newer one is heard").isNull();
@@ -99,14 +99,14 @@
 
     @Test
     void aKeyIsChangedWithoutABreakAndNoOtherIsTaken() {
-        Envelope old = of(1, 100, OLD);
-        Envelope both = of(2, 100, NEW, OLD);
+        DatagramEnvelope old = of(1, 100, OLD);
+        DatagramEnvelope both = of(2, 100, NEW, OLD);
         assertThat(both.open(old.seal(2L, (byte) 0, new byte[0]), 0)).isNotNull();
-        Envelope next = new Envelope(1, 101, List.of(NEW), PEERS);
+        DatagramEnvelope next = new DatagramEnvelope(1, 101, List.of(NEW), PEERS);
         assertThat(both.open(next.seal(2L, (byte) 0, new byte[0]), 0)).isNotNull();
         assertThat(old.open(both.seal(2L, (byte) 0, new byte[0]), 0)).as("the old key alone").isNull();
         assertThat(both.open(of(1, 102).seal(2L, (byte) 0, new byte[0]), 0)).as("unsigned").isNull();
-        assertThat(both.open(new Envelope(3, 1, List.of(NEW), PEERS).seal(2L, (byte) 0, new byte[0]), 0)).as("no peer").isNull();
+        assertThat(both.open(new DatagramEnvelope(3, 1, List.of(NEW), PEERS).seal(2L, (byte) 0, new byte[0]), 0)).as("no peer").isNull();
     }
 
     @Test
@@ -115,7 +115,7 @@
         spoilt(of(1, 100), of(2, 100), 300_000);
     }
 
-    private static void spoilt(Envelope a, Envelope b, int count) {
+    private static void spoilt(DatagramEnvelope a, DatagramEnvelope b, int count) {
         SplittableRandom random = new SplittableRandom(5);
         for (int i = 0; i < count; i++) {
             byte[] d = a.seal(2L, (byte) 1, new byte[20]);
@@ -124,7 +124,7 @@
             assertThat(b.open(random.nextInt(5) == 0 ? java.util.Arrays.copyOf(d, random.nextInt(300)) : d, 0)).isNull();
         }
         assertThat(b.open(a.seal(2L, (byte) 1, new byte[20]), 0)).isNotNull();
-        assertThatThrownBy(() -> a.seal(2L, (byte) 1, new byte[Envelope.MOST_PAYLOAD + 1])).isInstanceOf(IllegalArgumentException.class);
-        assertThat(a.seal(2L, (byte) 1, new byte[Envelope.MOST_PAYLOAD]).length).isLessThanOrEqualTo(Envelope.MOST);
+        assertThatThrownBy(() -> a.seal(2L, (byte) 1, new byte[DatagramEnvelope.MOST_PAYLOAD + 1])).isInstanceOf(IllegalArgumentException.class);
+        assertThat(a.seal(2L, (byte) 1, new byte[DatagramEnvelope.MOST_PAYLOAD]).length).isLessThanOrEqualTo(DatagramEnvelope.MOST);
     }
 }
--- a/src/test/java/damsonworks/peers/ListStepsTest.java
+++ b/src/test/java/cacheproxy/fleet/peer/PeerListTransitionTest.java
@@ -1,22 +1,22 @@
-package damsonworks.peers;
+package cacheproxy.fleet.peer;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.peers.ListSteps.Standing;
+import cacheproxy.fleet.peer.PeerListTransition.Standing;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-class ListStepsTest {
+class PeerListTransitionTest {
     private static final Set<String> OLD = Set.of("p1", "p2", "p3");
     private static final Set<String> NEW = Set.of("p3", "p4", "p5");
 
-    private static ListSteps by(Set<String> list, Set<String> leaving) {
-        ListSteps s = new ListSteps();
+    private static PeerListTransition by(Set<String> list, Set<String> leaving) {
+        PeerListTransition s = new PeerListTransition();
         s.use(list, leaving, Set.of(1L, 2L));
         return s;
     }
 
-    private static Standing between(ListSteps one, ListSteps other) {
+    private static Standing between(PeerListTransition one, PeerListTransition other) {
         one.heard(0, 1, other.message());
         other.heard(0, 2, one.message());
         assertThat(one.of(1, 10)).isEqualTo(other.of(2, 10));
@@ -36,12 +36,12 @@
 
     @Test
     void whatWasToldLongAgoOrIsNoMessageSaysNothing() {
-        ListSteps one = by(OLD, Set.of());
+        PeerListTransition one = by(OLD, Set.of());
         assertThat(one.of(1, 0)).isEqualTo(Standing.UNKNOWN);
         one.heard(0, 1, by(OLD, Set.of()).message());
         one.heard(1, 1, new byte[3]);
-        assertThat(one.of(1, ListSteps.FORGET_MS)).isEqualTo(Standing.SAME);
-        assertThat(one.of(1, ListSteps.FORGET_MS + 1)).isEqualTo(Standing.UNKNOWN);
+        assertThat(one.of(1, PeerListTransition.FORGET_MS)).isEqualTo(Standing.SAME);
+        assertThat(one.of(1, PeerListTransition.FORGET_MS + 1)).isEqualTo(Standing.UNKNOWN);
         one.heard(0, 1, by(OLD, Set.of()).message());
         one.use(OLD, Set.of(), Set.of(2L));
         assertThat(one.of(1, 1)).as("no peer any more").isEqualTo(Standing.UNKNOWN);
--- a/src/test/java/damsonworks/handover/HandoverTest.java
+++ b/src/test/java/cacheproxy/handover/HandoverTest.java
@@ -1,4 +1,4 @@
-package damsonworks.handover;
+package cacheproxy.handover;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
--- a/src/test/java/damsonworks/hooks/HookInstanceTest.java
+++ b/src/test/java/cacheproxy/hooks/HookInstanceTest.java
@@ -1,4 +1,4 @@
-package damsonworks.hooks;
+package cacheproxy.hooks;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
--- a/src/test/java/damsonworks/hooks/HookRulesTest.java
+++ b/src/test/java/cacheproxy/hooks/HookRulesTest.java
@@ -1,10 +1,10 @@
-package damsonworks.hooks;
+package cacheproxy.hooks;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.RoutingApi.Effect;
-import damsonworks.RoutingApi.Group;
-import damsonworks.RoutingApi.ServiceClass;
+import cacheproxy.policy.PolicyApi.Effect;
+import cacheproxy.policy.PolicyApi.Group;
+import cacheproxy.policy.PolicyApi.ServiceClass;
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
--- a/src/test/java/damsonworks/htcp/HtcpCodecTest.java
+++ b/src/test/java/cacheproxy/htcp/HtcpCodecTest.java
@@ -1,18 +1,18 @@
-package damsonworks.htcp;
+package cacheproxy.htcp;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import damsonworks.htcp.HtcpMessage.Body;
-import damsonworks.htcp.HtcpMessage.CacheHeaders;
-import damsonworks.htcp.HtcpMessage.Change;
-import damsonworks.htcp.HtcpMessage.Clear;
-import damsonworks.htcp.HtcpMessage.Detail;
-import damsonworks.htcp.HtcpMessage.Empty;
-import damsonworks.htcp.HtcpMessage.Identity;
-import damsonworks.htcp.HtcpMessage.Monitor;
-import damsonworks.htcp.HtcpMessage.Opcode;
-import damsonworks.htcp.HtcpMessage.Specifier;
+import cacheproxy.htcp.HtcpMessage.Body;
+import cacheproxy.htcp.HtcpMessage.CacheHeaders;
+import cacheproxy.htcp.HtcpMessage.Change;
+import cacheproxy.htcp.HtcpMessage.Clear;
+import cacheproxy.htcp.HtcpMessage.Detail;
+import cacheproxy.htcp.HtcpMessage.Empty;
+import cacheproxy.htcp.HtcpMessage.Identity;
+import cacheproxy.htcp.HtcpMessage.Monitor;
+import cacheproxy.htcp.HtcpMessage.Opcode;
+import cacheproxy.htcp.HtcpMessage.Specifier;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
--- a/src/test/java/damsonworks/icp/IcpCodecTest.java
+++ b/src/test/java/cacheproxy/icp/IcpCodecTest.java
@@ -1,9 +1,9 @@
-package damsonworks.icp;
+package cacheproxy.icp;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import damsonworks.icp.IcpMessage.Opcode;
+import cacheproxy.icp.IcpMessage.Opcode;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.buffer.Unpooled;
--- a/src/test/java/damsonworks/lifecycle/LifecycleTest.java
+++ b/src/test/java/cacheproxy/lifecycle/LifecycleTest.java
@@ -1,10 +1,10 @@
-package damsonworks.lifecycle;
+package cacheproxy.lifecycle;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import damsonworks.lifecycle.Lifecycle.Periods;
-import damsonworks.lifecycle.Lifecycle.State;
+import cacheproxy.lifecycle.Lifecycle.Periods;
+import cacheproxy.lifecycle.Lifecycle.State;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/damsonworks/lifecycle/WarmUpPlanTest.java
+++ b/src/test/java/cacheproxy/lifecycle/WarmUpPlanTest.java
@@ -1,4 +1,4 @@
-package damsonworks.lifecycle;
+package cacheproxy.lifecycle;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/damsonworks/limits/LimitsTest.java
+++ b/src/test/java/cacheproxy/limits/LimitsTest.java
@@ -1,4 +1,4 @@
-package damsonworks.limits;
+package cacheproxy.limits;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -54,7 +54,7 @@
     @Test
     void aColdServerIsNeverSentMoreThanTheMultipleOfWhatItCanDo() {
         for (int instances : new int[] {1, 4}) {
-            ColdBudget budget = new ColdBudget(new ColdBudget.Figures(0.3, 9000, 1500, instances, 50));
+            SlowStartBudget budget = new SlowStartBudget(new SlowStartBudget.Figures(0.3, 9000, 1500, instances, 50));
             budget.rate(7, 200);
             SplittableRandom random = new SplittableRandom(5);
             ArrayDeque<Double> sent = new ArrayDeque<>();
@@ -78,7 +78,7 @@
 
     @Test
     void aRestartBeginsTheColdTimeAnewAndWithoutSavings() {
-        ColdBudget budget = new ColdBudget(new ColdBudget.Figures(0.3, 9000, 1500, 1, 100));
+        SlowStartBudget budget = new SlowStartBudget(new SlowStartBudget.Figures(0.3, 9000, 1500, 1, 100));
         for (int i = 0; i < 100; i++) {
             budget.take(8000, 1, 0);
         }
@@ -91,7 +91,7 @@
 
     @Test
     void aServerThatRefusedConnectionsHasStartedAnewWhenItTakesThem() {
-        Births births = new Births();
+        ServerStartTimes births = new ServerStartTimes();
         assertThat(births.of(1)).isZero();
         assertThat(births.connected(1, 50)).isFalse();
         births.refused(1);
@@ -109,11 +109,11 @@
 
     @Test
     void aFullPoolTellsWhenToComeBack() {
-        PoolGate gate = new PoolGate(2, 10);
-        assertThat(gate.admit(0, 2)).isEqualTo(PoolGate.FULL_WAIT_MS);
+        PoolLimiter gate = new PoolLimiter(2, 10);
+        assertThat(gate.admit(0, 2)).isEqualTo(PoolLimiter.FULL_WAIT_MS);
         assertThat(gate.admit(0, 1)).isZero();
         assertThat(gate.admit(0, 1)).isBetween(1.0, 100.0);
         assertThat(gate.admit(100, 1)).isZero();
-        assertThat(new PoolGate(1, 0).admit(0, 0)).isZero();
+        assertThat(new PoolLimiter(1, 0).admit(0, 0)).isZero();
     }
 }
--- a/src/test/java/damsonworks/connections/NodeRoomTest.java
+++ b/src/test/java/cacheproxy/limits/ServerCapacityTest.java
@@ -1,4 +1,4 @@
-package damsonworks.connections;
+package cacheproxy.limits;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -7,12 +7,12 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-class NodeRoomTest {
-    private final NodeRoom.Shortage shortage = new NodeRoom.Shortage();
+class ServerCapacityTest {
+    private final ServerCapacity.Shortage shortage = new ServerCapacity.Shortage();
 
     @Test
     void aNodeThatTurnedAConnectionAwayIsTriedAgainEverMoreSeldom() {
-        NodeRoom room = new NodeRoom(shortage);
+        ServerCapacity room = new ServerCapacity(shortage);
         double now = 1000;
         List<Double> waits = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
@@ -31,13 +31,13 @@
 
     @Test
     void whoIsTurnedAwayAnywhereOpensNoSecondConnectionElsewhere() {
-        NodeRoom full = new NodeRoom(shortage);
-        NodeRoom other = new NodeRoom(shortage);
+        ServerCapacity full = new ServerCapacity(shortage);
+        ServerCapacity other = new ServerCapacity(shortage);
         assertThat(other.mayOpen(0, 1)).isTrue();
         full.turnedAway(0);
         assertThat(other.mayOpen(1, 0)).isTrue();
         assertThat(other.mayOpen(1, 1)).isFalse();
-        assertThat(other.mayOpen(NodeRoom.Shortage.SPAN_MS, 1)).isTrue();
+        assertThat(other.mayOpen(ServerCapacity.Shortage.SPAN_MS, 1)).isTrue();
     }
 
     /** Fourteen proxies before nodes that take twelve each: nobody is left without for good where others hold two. */
@@ -48,12 +48,12 @@
         int cap = 12;
         SplittableRandom random = new SplittableRandom(7);
         int[][] held = new int[proxies][nodes];
-        NodeRoom.Shortage[] shortages = new NodeRoom.Shortage[proxies];
-        NodeRoom[][] rooms = new NodeRoom[proxies][nodes];
+        ServerCapacity.Shortage[] shortages = new ServerCapacity.Shortage[proxies];
+        ServerCapacity[][] rooms = new ServerCapacity[proxies][nodes];
         for (int p = 0; p < proxies; p++) {
-            shortages[p] = new NodeRoom.Shortage();
+            shortages[p] = new ServerCapacity.Shortage();
             for (int n = 0; n < nodes; n++) {
-                rooms[p][n] = new NodeRoom(shortages[p]);
+                rooms[p][n] = new ServerCapacity(shortages[p]);
             }
         }
         int turnedAway = 0;
--- a/src/test/java/damsonworks/nginx/ConfParserTest.java
+++ b/src/test/java/cacheproxy/nginx/ConfParserTest.java
@@ -1,4 +1,4 @@
-package damsonworks.nginx;
+package cacheproxy.nginx;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -29,7 +29,7 @@
         }
     }
 
-    private static List<Directive> parse(String text) throws ConfException {
+    private static List<Directive> parse(String text) throws NginxSyntaxException {
         return ConfParser.parse("f", text);
     }
 
@@ -60,7 +60,7 @@
             {"a " + "x".repeat(5000) + ";", "f:1: a parameter of more than 4095 bytes begins here"},
             {"a {".repeat(100), "f:1: more than 64 blocks in each other"},
             {"include g;", "f:1: can't read g: a text alone can't include files"}}) {
-            assertThatThrownBy(() -> parse(wrong[0])).as(wrong[0]).isInstanceOf(ConfException.class)
+            assertThatThrownBy(() -> parse(wrong[0])).as(wrong[0]).isInstanceOf(NginxSyntaxException.class)
                     .hasMessageStartingWith(wrong[1]);
         }
     }
@@ -138,7 +138,7 @@
             try {
                 parse(text.toString());
                 good++;
-            } catch (ConfException e) {
+            } catch (NginxSyntaxException e) {
                 assertThat(e.getMessage()).matches("f:[0-9]+: (?s).+");
             }
         }
--- a/src/test/java/damsonworks/nginx/importer/ImporterFuzzTest.java
+++ b/src/test/java/cacheproxy/nginx/importer/ImporterFuzzTest.java
@@ -1,13 +1,13 @@
-package damsonworks.nginx.importer;
+package cacheproxy.nginx.importer;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.config.ConfigException;
-import damsonworks.config.DaemonFileReader;
-import damsonworks.nginx.ConfParser;
-import damsonworks.nginx.ConfPrinter;
-import damsonworks.nginx.Directive;
-import damsonworks.nginx.Position;
+import cacheproxy.config.ConfigException;
+import cacheproxy.config.DaemonConfigReader;
+import cacheproxy.nginx.ConfParser;
+import cacheproxy.nginx.ConfPrinter;
+import cacheproxy.nginx.Directive;
+import cacheproxy.nginx.Position;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -111,7 +111,7 @@
             if (r.file() != null) {
                 made++;
                 try {
-                    DaemonFileReader.parse("imported", r.file());
+                    DaemonConfigReader.parse("imported", r.file());
                 } catch (ConfigException e) {
                     throw new AssertionError(text + "\n" + r.file(), e);
                 }
--- a/src/test/java/damsonworks/nginx/importer/ImporterTest.java
+++ b/src/test/java/cacheproxy/nginx/importer/ImporterTest.java
@@ -1,14 +1,14 @@
-package damsonworks.nginx.importer;
+package cacheproxy.nginx.importer;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.config.DaemonFile;
-import damsonworks.config.DaemonFileReader;
-import damsonworks.daemon.Explainer;
-import damsonworks.nginx.ConfParser;
-import damsonworks.nginx.Directive;
-import damsonworks.routes.Subject;
-import damsonworks.standin.NginxModel;
+import cacheproxy.config.DaemonConfig;
+import cacheproxy.config.DaemonConfigReader;
+import cacheproxy.daemon.RouteExplainer;
+import cacheproxy.nginx.ConfParser;
+import cacheproxy.nginx.Directive;
+import cacheproxy.routes.RouteInput;
+import cacheproxy.fakes.NginxReferenceModel;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
@@ -28,8 +28,8 @@
         return run(text, Map.of());
     }
 
-    private static DaemonFile file(Importer.Result r) throws Exception {
-        return DaemonFileReader.parse("imported", r.file());
+    private static DaemonConfig file(Importer.Result r) throws Exception {
+        return DaemonConfigReader.parse("imported", r.file());
     }
 
     /** What the report says of a line, without its directive. */
@@ -38,9 +38,9 @@
                 .map(e -> e.level().text + ": " + e.text()).toList();
     }
 
-    private static String explained(DaemonFile f, String key, boolean write) {
-        Subject s = f.keys().subject(f.listeners().get(0).name(), key, write ? 1 : 0, 0, write);
-        return new Explainer(f).lines(s, false).get(0);
+    private static String explained(DaemonConfig f, String key, boolean write) {
+        RouteInput s = f.keys().subject(f.listeners().get(0).name(), key, write ? 1 : 0, 0, write);
+        return new RouteExplainer(f).lines(s, false).get(0);
     }
 
     private static String site(String inServer) {
@@ -73,7 +73,7 @@
 
     @Test
     void prefixesAreHeldAgainstTextNotAgainstSegments() throws Exception {
-        DaemonFile f = file(run(site("location /a { proxy_pass http://v; }\nlocation / { proxy_pass http://u; }\n"
+        DaemonConfig f = file(run(site("location /a { proxy_pass http://v; }\nlocation / { proxy_pass http://u; }\n"
                 + "location ^~ /s { proxy_pass http://u; }\nlocation ~ /s/t { proxy_pass http://v; }")));
         assertThat(explained(f, "/ab", false)).contains(" pool=v ");
         assertThat(explained(f, "/b", false)).contains(" pool=u ");
@@ -93,11 +93,11 @@
         assertThat(said(r, 2)).anyMatch(s -> s.contains("nginx refuses this: invalid parameter \"weight=0\""));
         assertThat(said(r, 3)).anyMatch(s -> s.startsWith("changed: max_fails=0")).anyMatch(s -> s.startsWith(
                 "not carried: max_conns=5"));
-        DaemonFile f = file(r);
-        assertThat(f.pools().get("u").servers()).filteredOn(DaemonFile.Server::down).extracting(DaemonFile.Server::name)
+        DaemonConfig f = file(r);
+        assertThat(f.pools().get("u").servers()).filteredOn(DaemonConfig.Server::down).extracting(DaemonConfig.Server::name)
                 .containsExactly("unix:/run/x.sock", "app.example:80", "10.0.0.2:80");
         // The keys of the others are where they were: on the ring with all of them.
-        NginxModel model = new NginxModel(ConfParser.parse("n", text.replace(" weight=0", " down")));
+        NginxReferenceModel model = new NginxReferenceModel(ConfParser.parse("n", text.replace(" weight=0", " down")));
         int kept = 0;
         for (int i = 0; i < 1000; i++) {
             String node = model.ask("*:80", "GET", "", "/" + i).node();
@@ -107,7 +107,7 @@
             }
         }
         assertThat(kept).isBetween(250, 700);
-        DaemonFile told = file(run(text, Map.of("app.example:80", "10.9.9.9:8080")));
+        DaemonConfig told = file(run(text, Map.of("app.example:80", "10.9.9.9:8080")));
         assertThat(told.pools().get("u").servers()).filteredOn(s -> s.name().equals("app.example:80")).singleElement()
                 .satisfies(s -> assertThat(s.dial().getPort()).isEqualTo(8080));
     }
@@ -138,9 +138,9 @@
     void effectsAreTakenForTheWorst() throws Exception {
         Importer.Result r = run(site("location / { proxy_pass http://u;\nproxy_next_upstream error non_idempotent; }"));
         assertThat(said(r, 5)).anyMatch(s -> s.startsWith("not carried: non_idempotent is refused"));
-        DaemonFile f = file(r);
+        DaemonConfig f = file(r);
         assertThat(f.classes().get(f.classIndex(f.listeners().get(0).writeClass())).effect()).isEqualTo(
-                damsonworks.RoutingApi.Effect.UNSAFE);
+                cacheproxy.policy.PolicyApi.Effect.UNSAFE);
     }
 
     @Test
@@ -155,7 +155,7 @@
         assertThat(said(r, 7)).anyMatch(s -> s.contains("requests are taken as if it did not"));
         assertThat(said(r, 11)).anyMatch(s -> s.contains("names a server that no key tells; these requests fail"));
         assertThat(said(r, 12)).anyMatch(s -> s.contains("not spoken here; these requests fail"));
-        DaemonFile f = file(r);
+        DaemonConfig f = file(r);
         assertThat(explained(f, "h.example/x", false)).contains(" pool=u ");
         assertThat(explained(f, "h.example/g/x", false)).contains(" pool=u ");
         assertThat(explained(f, "h.example/f/x", false)).contains("answer=failed");
@@ -165,14 +165,14 @@
     void rewritesThatGoRoundOrAstrayFailAndAreTold() throws Exception {
         Importer.Result r = run(site("location /a/ { rewrite ^/a/(.*)$ /b/$1 last; }\nlocation /b/ { rewrite ^/b/(.*)$ /a/$1 last; }\n"
                 + "location / { proxy_pass http://u; }"));
-        DaemonFile f = file(r);
+        DaemonConfig f = file(r);
         assertThat(r.report().complete()).isFalse();
         assertThat(explained(f, "/a/1", false)).doesNotContain("pool=u");
     }
 
     @Test
     void methodsBecomeReadsAndWrites() throws Exception {
-        DaemonFile f = file(run(site("location / { if ($request_method !~ ^(GET|HEAD)$) { proxy_pass http://v; } proxy_pass http://u; }\n"
+        DaemonConfig f = file(run(site("location / { if ($request_method !~ ^(GET|HEAD)$) { proxy_pass http://v; } proxy_pass http://u; }\n"
                 + "location /doc/ { if ($request_method = POST) { return 405; } proxy_pass http://u; }\n"
                 + "location /ro/ { limit_except GET { deny all; } proxy_pass http://u; }")));
         assertThat(explained(f, "/x", true)).contains(" pool=v ");
@@ -234,15 +234,15 @@
             List<Directive> tree = ConfParser.parse("r.conf", conf.toString());
             Importer.Result r = Importer.run(new ConfParser.Conf(tree, List.of(), 1, 1), new ImportOptions("127.0.0.1", 0,
                     Map.of(), "unsafe", 0));
-            DaemonFile f = file(r);
+            DaemonConfig f = file(r);
             // The model does not know what nginx refuses to start with: such trees are not compared.
             if (r.report().lines().stream().anyMatch(l -> l.contains("nginx refuses"))) {
                 continue;
             }
-            NginxModel model = new NginxModel(tree);
+            NginxReferenceModel model = new NginxReferenceModel(tree);
             for (int i = 0; i < 60; i++) {
                 String key = text(random) + text(random).substring(1);
-                NginxModel.Answer a = model.ask("*:80", "GET", "", key);
+                NginxReferenceModel.Answer a = model.ask("*:80", "GET", "", key);
                 String here = explained(f, key, false);
                 if (a.status() != 0) {
                     assertThat(here).as(conf + key).contains("answer=failed");
--- a/src/test/java/damsonworks/placement/NginxPlacementTest.java
+++ b/src/test/java/cacheproxy/placement/NginxPlacementTest.java
@@ -1,10 +1,10 @@
-package damsonworks.placement;
+package cacheproxy.placement;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.Carp;
-import damsonworks.RoutingApi.Member;
-import damsonworks.RoutingApi.State;
+import cacheproxy.policy.CarpHash;
+import cacheproxy.policy.PolicyApi.Member;
+import cacheproxy.policy.PolicyApi.State;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -31,16 +31,16 @@
         return crc.getValue();
     }
 
-    private static List<Peer> peers(int... weights) {
-        List<Peer> peers = new ArrayList<>();
+    private static List<PlacementTarget> peers(int... weights) {
+        List<PlacementTarget> peers = new ArrayList<>();
         for (int i = 0; i < weights.length; i++) {
             String name = "10.0.0." + (i + 1) + ":11211";
-            peers.add(new Peer(ServerId.of(name), weights[i], name));
+            peers.add(new PlacementTarget(ServerId.of(name), weights[i], name));
         }
         return peers;
     }
 
-    private static List<Member> ready(List<Peer> peers, Set<Integer> down) {
+    private static List<Member> ready(List<PlacementTarget> peers, Set<Integer> down) {
         List<Member> members = new ArrayList<>();
         for (int i = 0; i < peers.size(); i++) {
             if (!down.contains(i)) {
@@ -52,10 +52,10 @@
     }
 
     /** The peers' places in their list, best first. */
-    private static List<Integer> ranks(Placement placement, List<Peer> peers, List<Member> members, byte[] text, int want) {
+    private static List<Integer> ranks(Placement placement, List<PlacementTarget> peers, List<Member> members, byte[] text, int want) {
         int[] top = new int[Math.max(placement.most(want), members.size())];
         long key = PlacementKey.of(text);
-        int n = placement.top(key, Carp.keyHash(key), want, top);
+        int n = placement.top(key, CarpHash.keyHash(key), want, top);
         List<Integer> ranks = new ArrayList<>();
         for (int i = 0; i < n; i++) {
             int id = members.get(top[i]).id();
@@ -64,9 +64,9 @@
         return ranks;
     }
 
-    private static int[] first(String kind, List<Peer> peers, Set<Integer> down) {
+    private static int[] first(String kind, List<PlacementTarget> peers, Set<Integer> down) {
         List<Member> members = ready(peers, down);
-        Placement placement = Placements.factory(kind, peers).of(members);
+        Placement placement = PlacementRegistry.factory(kind, peers).of(members);
         int[] first = new int[KEYS];
         for (int i = 0; i < KEYS; i++) {
             first[i] = ranks(placement, peers, members, text(i), 1).get(0);
@@ -90,8 +90,8 @@
     }
 
     /** The loop of nginx's hash, with the tries that it remembers. */
-    private static List<Integer> plainHash(List<Peer> peers, Set<Integer> down, byte[] key) {
-        int sum = peers.stream().mapToInt(Peer::weight).sum();
+    private static List<Integer> plainHash(List<PlacementTarget> peers, Set<Integer> down, byte[] key) {
+        int sum = peers.stream().mapToInt(PlacementTarget::weight).sum();
         List<Integer> ranks = new ArrayList<>();
         long hash = 0;
         int vain = 0;
@@ -122,7 +122,7 @@
         SplittableRandom random = new SplittableRandom(2);
         for (int round = 0; round < 100; round++) {
             int n = 1 + random.nextInt(12);
-            List<Peer> peers = peers(random.ints(n, 1, 8).toArray());
+            List<PlacementTarget> peers = peers(random.ints(n, 1, 8).toArray());
             Set<Integer> down = new HashSet<>();
             for (int i = 0; i < n; i++) {
                 if (random.nextInt(4) == 0) {
@@ -130,7 +130,7 @@
                 }
             }
             List<Member> members = ready(peers, down);
-            Placement placement = Placements.factory("nginx-hash", peers).of(members);
+            Placement placement = PlacementRegistry.factory("nginx-hash", peers).of(members);
             for (int i = 0; i < 50; i++) {
                 assertThat(ranks(placement, peers, members, text(i), n)).isEqualTo(plainHash(peers, down, text(i)));
             }
@@ -139,7 +139,7 @@
 
     @Test
     void onTheRingNoKeyMovesThatNeedNot() {
-        List<Peer> peers = peers(1, 1, 1, 1, 1);
+        List<PlacementTarget> peers = peers(1, 1, 1, 1, 1);
         int[] before = first("nginx-consistent", peers, Set.of());
         // One goes down: its own keys alone move, to where the ring says.
         int[] without = first("nginx-consistent", peers, Set.of(2));
@@ -175,13 +175,13 @@
     @Test
     void allReadyServersFollowEachOther() {
         for (UnaryOperator<String> kind : List.<UnaryOperator<String>>of(k -> "nginx-hash", k -> "nginx-consistent")) {
-            List<Peer> peers = peers(1, 40, 1, 1, 7);
+            List<PlacementTarget> peers = peers(1, 40, 1, 1, 7);
             List<Member> members = ready(peers, Set.of(3));
-            Placement placement = Placements.factory(kind.apply(""), peers).of(members);
+            Placement placement = PlacementRegistry.factory(kind.apply(""), peers).of(members);
             for (int i = 0; i < 500; i++) {
                 assertThat(ranks(placement, peers, members, text(i), 9)).containsExactlyInAnyOrder(0, 1, 2, 4);
             }
-            assertThat(ranks(Placements.factory(kind.apply(""), peers).of(List.of()), peers, List.of(), text(1), 3)).isEmpty();
+            assertThat(ranks(PlacementRegistry.factory(kind.apply(""), peers).of(List.of()), peers, List.of(), text(1), 3)).isEmpty();
         }
     }
 
@@ -225,9 +225,9 @@
 
     @Test
     void aKeyOnAPointBelongsToThatPoint() {
-        List<Peer> peers = peers(1, 1, 1, 1);
+        List<PlacementTarget> peers = peers(1, 1, 1, 1);
         List<Member> members = ready(peers, Set.of());
-        Placement placement = Placements.factory("nginx-consistent", peers).of(members);
+        Placement placement = PlacementRegistry.factory("nginx-consistent", peers).of(members);
         for (int p = 0; p < 4; p++) {
             byte[] base = ("10.0.0." + (p + 1) + "\0" + "11211").getBytes(StandardCharsets.US_ASCII);
             int point = 0;
--- a/src/test/java/damsonworks/placement/PlacementTest.java
+++ b/src/test/java/cacheproxy/placement/PlacementTest.java
@@ -1,10 +1,10 @@
-package damsonworks.placement;
+package cacheproxy.placement;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.Carp;
-import damsonworks.RoutingApi.Member;
-import damsonworks.RoutingApi.State;
+import cacheproxy.policy.CarpHash;
+import cacheproxy.policy.PolicyApi.Member;
+import cacheproxy.policy.PolicyApi.State;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -30,14 +30,14 @@
         for (int i = 0; i < weights.length; i++) {
             weights[i] = members.get(i).weight();
         }
-        float[] x = Carp.multipliers(weights);
+        float[] x = CarpHash.multipliers(weights);
         return IntStream.range(0, members.size()).boxed().sorted(Comparator.comparingDouble(
-                i -> -Carp.score(keyHash, Carp.memberHash(members.get(i).id()), x[i]))).limit(want).toList();
+                i -> -CarpHash.score(keyHash, CarpHash.memberHash(members.get(i).id()), x[i]))).limit(want).toList();
     }
 
     private static List<Integer> top(Placement placement, long key, int want) {
         int[] top = new int[placement.most(want)];
-        int n = placement.top(key, Carp.keyHash(key), want, top);
+        int n = placement.top(key, CarpHash.keyHash(key), want, top);
         return IntStream.of(top).limit(n).boxed().toList();
     }
 
@@ -51,7 +51,7 @@
                 long key = random.nextLong();
                 int want = 1 + random.nextInt(20);
                 assertThat(top(carp, key, want)).as("%d members", n)
-                        .isEqualTo(plainly(members, Carp.keyHash(key), want));
+                        .isEqualTo(plainly(members, CarpHash.keyHash(key), want));
             }
         }
     }
--- a/src/test/java/damsonworks/placement/StartTimesTest.java
+++ b/src/test/java/cacheproxy/placement/StartTimesTest.java
@@ -1,10 +1,10 @@
-package damsonworks.placement;
+package cacheproxy.placement;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.RoutingApi.Member;
-import damsonworks.RoutingApi.State;
-import damsonworks.limits.Births;
+import cacheproxy.policy.PolicyApi.Member;
+import cacheproxy.policy.PolicyApi.State;
+import cacheproxy.limits.ServerStartTimes;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Random;
@@ -54,7 +54,7 @@
     @Test
     void whatHasNotStartedYetAndLongAgoSayNothing() {
         StartTimes times = new StartTimes();
-        times.listed(1000, List.of(born(1, 0), born(2, Births.UNUSED)));
+        times.listed(1000, List.of(born(1, 0), born(2, ServerStartTimes.UNUSED)));
         times.listed(2000, list(5000));
         assertThat(times.startedMs(5000, NEVER)).isEqualTo(2000);
     }
--- a/src/test/java/damsonworks/PolicyTest.java
+++ b/src/test/java/cacheproxy/policy/RoutingPolicyTest.java
@@ -1,15 +1,17 @@
-package damsonworks;
+package cacheproxy.policy;
+
+import cacheproxy.Rig;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import damsonworks.RoutingApi.Group;
-import damsonworks.RoutingApi.ListKind;
-import damsonworks.RoutingApi.Member;
-import damsonworks.RoutingApi.Outcome;
-import damsonworks.RoutingApi.Request;
-import damsonworks.RoutingApi.Settings;
-import damsonworks.RoutingApi.State;
+import cacheproxy.policy.PolicyApi.Group;
+import cacheproxy.policy.PolicyApi.ListKind;
+import cacheproxy.policy.PolicyApi.Member;
+import cacheproxy.policy.PolicyApi.Outcome;
+import cacheproxy.policy.PolicyApi.Request;
+import cacheproxy.policy.PolicyApi.Settings;
+import cacheproxy.policy.PolicyApi.State;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
@@ -18,7 +20,7 @@
 import org.junit.jupiter.params.provider.EnumSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-class PolicyTest {
+class RoutingPolicyTest {
     // ---- CARP's path
 
     @Test
@@ -37,7 +39,7 @@
         int best = 0;
         double bestScore = -1;
         for (int id = 1; id <= n; id++) {
-            double score = Carp.score(Carp.keyHash(key), Carp.memberHash(id), 1);
+            double score = CarpHash.score(CarpHash.keyHash(key), CarpHash.memberHash(id), 1);
             if (score > bestScore) {
                 best = id;
                 bestScore = score;
@@ -268,7 +270,7 @@
             int got = 0;
             for (int seed = 1; seed <= 8; seed++) {
                 Settings settings = Rig.settings(true, false, false, Group.ALL);
-                Rig rig = new Rig(settings, new Policy(settings, seed)).fleet(12);
+                Rig rig = new Rig(settings, new RoutingPolicy(settings, seed)).fleet(12);
                 rig.now = 10_000_000 + wrong;
                 rig.change(Rig.member(5, State.READY, 10_000_000));
                 for (int key = 1; key <= 4000; key++) {
@@ -297,7 +299,7 @@
         int sent = 0;
         for (int key = 1; key <= 2000; key++) {
             Settings settings = Rig.settings(true, false, false, Group.ALL);
-            Rig rig = new Rig(settings, new Policy(settings, key)).fleet(12);
+            Rig rig = new Rig(settings, new RoutingPolicy(settings, key)).fleet(12);
             rig.now = 100000 - 4000;
             rig.change(Rig.member(5, State.READY, rig.now));
             rig.now = 100000;
@@ -314,7 +316,7 @@
         int got = 0;
         for (int seed = 1; seed <= 8; seed++) {
             Settings settings = Rig.settings(true, false, false, Group.ALL);
-            Rig rig = new Rig(settings, new Policy(settings, seed)).fleet(12);
+            Rig rig = new Rig(settings, new RoutingPolicy(settings, seed)).fleet(12);
             rig.now = 100000 - age;
             rig.change(Rig.member(5, State.READY, rig.now)); // news of a start come soon after it
             rig.now = 100000;
--- a/src/test/java/damsonworks/proxy/ClientConnectionTest.java
+++ b/src/test/java/cacheproxy/proxy/ClientConnectionTest.java
@@ -1,8 +1,8 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.standin.ScriptedServer;
+import cacheproxy.fakes.ScriptedServer;
 import com.google.gson.JsonObject;
 import java.nio.charset.StandardCharsets;
 import java.util.Random;
--- a/src/test/java/damsonworks/proxy/DeadlineFieldTest.java
+++ b/src/test/java/cacheproxy/proxy/DeadlineFieldTest.java
@@ -1,4 +1,4 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -7,11 +7,11 @@
 /** The deadline's place in a request's list, wherever and however often the list names it. */
 class DeadlineFieldTest {
     private static String told(String extras, int deadlineMs) {
-        return new Command("key", "1", false, extras, "mg key v O1 P", " q").extras(deadlineMs);
+        return new ClientRequest("key", "1", false, extras, "mg key v O1 P", " q").extras(deadlineMs);
     }
 
     private static String line(String extras) {
-        Command c = new Command("key", "1", false, extras, "mg key v O1 P", " q");
+        ClientRequest c = new ClientRequest("key", "1", false, extras, "mg key v O1 P", " q");
         return c.head + 7 + c.tail;
     }
 
@@ -39,7 +39,7 @@
 
     @Test
     void anotherKeyKeepsTheListAndTheDeadlinesPlace() {
-        Command other = new Command("key", "1", false, "c=read,d=480,k=5c", "mg key v O1 P", " q").withKey("longer-key");
+        ClientRequest other = new ClientRequest("key", "1", false, "c=read,d=480,k=5c", "mg key v O1 P", " q").withKey("longer-key");
         assertThat(other.head + 7 + other.tail).isEqualTo("mg longer-key v O1 Pc=read,d=7,k=5c q");
         assertThat(other.extras(9)).isEqualTo("c=read,d=9,k=5c");
     }
--- a/src/test/java/damsonworks/proxy/DiscoveryClientTest.java
+++ b/src/test/java/cacheproxy/proxy/DiscoveryClientTest.java
@@ -1,8 +1,8 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.standin.ScriptedServer;
+import cacheproxy.fakes.ScriptedServer;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import java.net.DatagramPacket;
@@ -330,8 +330,8 @@
 
     @Test
     void idsComeFromTheHostsNames() {
-        assertThat(damsonworks.placement.ServerId.of("s-5be2a07c")).isEqualTo(0x5be2a07c);
-        assertThat(damsonworks.placement.ServerId.of("s-f2ffffff")).isEqualTo(0xf2ffffff);
-        assertThat(damsonworks.placement.ServerId.of("cache.example")).isEqualTo(damsonworks.placement.ServerId.of("cache.example"));
+        assertThat(cacheproxy.placement.ServerId.of("s-5be2a07c")).isEqualTo(0x5be2a07c);
+        assertThat(cacheproxy.placement.ServerId.of("s-f2ffffff")).isEqualTo(0xf2ffffff);
+        assertThat(cacheproxy.placement.ServerId.of("cache.example")).isEqualTo(cacheproxy.placement.ServerId.of("cache.example"));
     }
 }
--- a/src/test/java/damsonworks/proxy/DrainTest.java
+++ b/src/test/java/cacheproxy/proxy/DrainTest.java
@@ -1,8 +1,8 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.standin.ScriptedServer;
+import cacheproxy.fakes.ScriptedServer;
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
--- a/src/test/java/damsonworks/proxy/Explorer.java
+++ b/src/test/java/cacheproxy/proxy/Explorer.java
@@ -1,4 +1,4 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
--- a/src/test/java/damsonworks/proxy/ExplorerTest.java
+++ b/src/test/java/cacheproxy/proxy/ExplorerTest.java
@@ -1,4 +1,4 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/damsonworks/proxy/Fleet.java
+++ b/src/test/java/cacheproxy/proxy/Fleet.java
@@ -1,8 +1,8 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.standin.ScriptedServer;
+import cacheproxy.fakes.ScriptedServer;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import java.io.BufferedInputStream;
@@ -110,7 +110,7 @@
 
     Fleet start() throws InterruptedException {
         config.add("known", list(41, true, hosts));
-        proxy = Proxy.start(Config.parse(config));
+        proxy = Proxy.start(PlatformConfig.parse(config));
         return this;
     }
 
--- a/src/test/java/damsonworks/proxy/OperationsTest.java
+++ b/src/test/java/cacheproxy/proxy/OperatorActionsTest.java
@@ -1,8 +1,8 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.standin.ScriptedServer;
+import cacheproxy.fakes.ScriptedServer;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.Socket;
@@ -14,7 +14,7 @@
 
 /** Standby and back on a proxy's own sockets, while requests are open. */
 @Timeout(60)
-class OperationsTest {
+class OperatorActionsTest {
     private static Fleet fleet() {
         Fleet fleet = new Fleet();
         fleet.config.addProperty("control", "127.0.0.1:0");
--- a/src/test/java/damsonworks/proxy/PeerSocketTest.java
+++ b/src/test/java/cacheproxy/proxy/PeerSocketTest.java
@@ -1,4 +1,4 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -38,7 +38,7 @@
             fleet.config.add("peers", peers);
             fleet.config.addProperty("peers_all", text(all));
             fleet.config.addProperty("peer_listen", "127.0.0.1:0");
-            Config config = Config.parse(fleet.config);
+            PlatformConfig config = PlatformConfig.parse(fleet.config);
             EventLoop loop = group.next();
             LinkedBlockingQueue<String> heard = new LinkedBlockingQueue<>();
             PeerSocket socket = new PeerSocket(loop, config, (from, message) -> heard.add(from + new String(message)));
--- a/src/test/java/damsonworks/proxy/SitesTest.java
+++ b/src/test/java/cacheproxy/proxy/SitesTest.java
@@ -1,8 +1,8 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.standin.ScriptedServer;
+import cacheproxy.fakes.ScriptedServer;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
--- a/src/test/java/damsonworks/proxy/TimersTest.java
+++ b/src/test/java/cacheproxy/proxy/TimerWheelTest.java
@@ -1,4 +1,4 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
@@ -12,7 +12,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Timers run once, in order and never early; those called off do not run. */
-class TimersTest {
+class TimerWheelTest {
     @Test
     void allRunOnceNeverEarlyButThoseCalledOff() throws Exception {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
@@ -22,7 +22,7 @@
         List<String> wrong = new ArrayList<>();
         List<Integer> same = new ArrayList<>();
         loop.submit(() -> {
-            Timers timers = new Timers(loop, new PollClock());
+            TimerWheel timers = new TimerWheel(loop, new PollClock());
             Random random = new Random(5);
             for (int i = 0; i < count; i++) {
                 // beyond the wheel's four seconds, too
--- a/src/test/java/damsonworks/proxy/UpstreamTest.java
+++ b/src/test/java/cacheproxy/proxy/UpstreamTest.java
@@ -1,9 +1,9 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.Carp;
-import damsonworks.standin.ScriptedServer;
+import cacheproxy.policy.CarpHash;
+import cacheproxy.fakes.ScriptedServer;
 import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.util.concurrent.CountDownLatch;
@@ -183,7 +183,7 @@
     }
 
     private static double score(int key, int node) {
-        return Carp.score(Carp.keyHash(key), Carp.memberHash(node), 1);
+        return CarpHash.score(CarpHash.keyHash(key), CarpHash.memberHash(node), 1);
     }
 
     @Test
--- a/src/test/java/damsonworks/proxy/WarmUpTest.java
+++ b/src/test/java/cacheproxy/proxy/WarmUpTest.java
@@ -1,9 +1,9 @@
-package damsonworks.proxy;
+package cacheproxy.proxy;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import com.google.gson.JsonParser;
-import damsonworks.lifecycle.WarmUpPlan;
+import cacheproxy.lifecycle.WarmUpPlan;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -34,7 +34,7 @@
 
     @Test
     void aWarmUpAnswersAllItsRequestsAndOneThatTakesTooLongIsLeft() throws Exception {
-        Config config = Config.parse(JsonParser.parseString(Files.readString(Path.of("src/test/resources/config.json")))
+        PlatformConfig config = PlatformConfig.parse(JsonParser.parseString(Files.readString(Path.of("src/test/resources/config.json")))
                 .getAsJsonObject());
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
         try {
@@ -48,7 +48,7 @@
     /** As where nobody may come to a Unix socket: a start that goes on without a warm-up must not pay for it for good. */
     @Test
     void aWarmUpThatIsRefusedLeavesNoSocketAndNoFileBehind(@TempDir Path folder) throws Exception {
-        Config config = Config.parse(JsonParser.parseString(Files.readString(Path.of("src/test/resources/config.json")))
+        PlatformConfig config = PlatformConfig.parse(JsonParser.parseString(Files.readString(Path.of("src/test/resources/config.json")))
                 .getAsJsonObject());
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
         try {
--- a/src/test/java/damsonworks/routes/FallbackTest.java
+++ b/src/test/java/cacheproxy/routes/FallbackTest.java
@@ -1,10 +1,10 @@
-package damsonworks.routes;
+package cacheproxy.routes;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.RoutingApi.Effect;
-import damsonworks.RoutingApi.Group;
-import damsonworks.RoutingApi.ServiceClass;
+import cacheproxy.policy.PolicyApi.Effect;
+import cacheproxy.policy.PolicyApi.Group;
+import cacheproxy.policy.PolicyApi.ServiceClass;
 import org.junit.jupiter.api.Test;
 
 /** From pool to pool the rule on effects holds: every combination is stated. */
--- a/src/test/java/damsonworks/routes/PathsAndHostsTest.java
+++ b/src/test/java/cacheproxy/routes/PathsAndHostsTest.java
@@ -1,4 +1,4 @@
-package damsonworks.routes;
+package cacheproxy.routes;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -34,9 +34,9 @@
         assertThat(PathKey.of("/a?b/c").host()).isEmpty();
         assertThat(PathKey.of("plain").path()).isEqualTo("plain");
         assertThat(PathKey.of("x.example./").host()).isEqualTo("x.example");
-        assertThat(KeyForm.PATH.subject("l", "/a?b", 0, 0, false).sent().query()).isNull();
-        assertThat(KeyForm.PATH_AND_QUERY.subject("l", "/a?b", 0, 0, false).sent().query()).isEqualTo("b");
-        assertThat(KeyForm.PATH.subject("l", "/..", 0, 0, false)).isNull();
+        assertThat(KeyFormat.PATH.subject("l", "/a?b", 0, 0, false).sent().query()).isNull();
+        assertThat(KeyFormat.PATH_AND_QUERY.subject("l", "/a?b", 0, 0, false).sent().query()).isEqualTo("b");
+        assertThat(KeyFormat.PATH.subject("l", "/..", 0, 0, false)).isNull();
     }
 
     @Test
@@ -81,10 +81,10 @@
                 new VirtualHosts.Host("b", Set.of(), List.of("b.example"), true, Set.of())));
         RouteTable table = new RouteTable(List.of(route("any", 1, null, null, List.of()), route("a1", 0, "a", "/x", List.of()),
                 route("a2", 0, "a", "/x", List.of("\\.vtt$")), route("b1", 2, "b", "/x", List.of())), hosts);
-        assertThat(table.find(KeyForm.PATH.subject("l", "a.example/x", 0, 0, false)).name()).isEqualTo("a1");
-        assertThat(table.find(KeyForm.PATH.subject("l", "a.example/y", 0, 0, false)).name()).isEqualTo("any");
-        assertThat(table.find(KeyForm.PATH.subject("l", "b.example/x", 0, 0, false)).name()).isEqualTo("any");
-        assertThat(table.passedOver(KeyForm.PATH.subject("l", "a.example/y", 0, 0, false))).extracting(p -> p.route().name())
+        assertThat(table.find(KeyFormat.PATH.subject("l", "a.example/x", 0, 0, false)).name()).isEqualTo("a1");
+        assertThat(table.find(KeyFormat.PATH.subject("l", "a.example/y", 0, 0, false)).name()).isEqualTo("any");
+        assertThat(table.find(KeyFormat.PATH.subject("l", "b.example/x", 0, 0, false)).name()).isEqualTo("any");
+        assertThat(table.passedOver(KeyFormat.PATH.subject("l", "a.example/y", 0, 0, false))).extracting(p -> p.route().name())
                 .containsExactly("a1", "a2");
         assertThat(table.shadowed()).extracting(s -> s.route().name() + " by " + s.by().name()).containsExactly(
                 "a2 by a1", "b1 by any");
@@ -97,10 +97,10 @@
     }
 
     private static String hashed(String by, String key) {
-        Subject s = KeyForm.PATH_AND_QUERY.subject("l", key, 0, 0, false);
+        RouteInput s = KeyFormat.PATH_AND_QUERY.subject("l", key, 0, 0, false);
         Route r = new Route("r", 0, 0, Set.of(), null, null, null, List.of(new KeyPattern("^/([a-z]+)/(.*)$")), Set.of(),
                 Set.of(), null, null, KeyRewrite.NONE, null, new Route.Fail());
-        return new String(new PlaceBy(by).bytes(s, r, "POOL"), StandardCharsets.ISO_8859_1);
+        return new String(new PlacementTemplate(by).bytes(s, r, "POOL"), StandardCharsets.ISO_8859_1);
     }
 
     @Test
@@ -111,20 +111,20 @@
         assertThat(hashed("${uri}x$$$arg_q-$args$is_args", "/a?q=1")).isEqualTo("/ax$1-q=1?");
         assertThat(hashed("$2:$1", "/ab/c%20d")).isEqualTo("c d:ab");
         assertThat(hashed("$arg_none", "/a")).isEmpty();
-        assertThat(new PlaceBy("/x/$12").groups()).isEqualTo(1);
+        assertThat(new PlacementTemplate("/x/$12").groups()).isEqualTo(1);
         for (String wrong : new String[] {"$", "$nosuch", "${uri", "$arg_", "$0", "$uri".repeat(9), "x".repeat(1001)}) {
-            assertThatThrownBy(() -> new PlaceBy(wrong)).as(wrong).isInstanceOf(IllegalArgumentException.class);
+            assertThatThrownBy(() -> new PlacementTemplate(wrong)).as(wrong).isInstanceOf(IllegalArgumentException.class);
         }
     }
 
     @Test
     void splitsTakeTheirPartAndLeaveNone() {
-        PlaceBy uri = new PlaceBy("$uri");
+        PlacementTemplate uri = new PlacementTemplate("$uri");
         SplitShare some = new SplitShare(uri, 0, SplitShare.ALL / 20);
         SplitShare rest = new SplitShare(uri, SplitShare.ALL / 20, SplitShare.ALL);
         int had = 0;
         for (int i = 0; i < 10_000; i++) {
-            Subject s = KeyForm.PATH.subject("l", "/k/" + i, 0, 0, false);
+            RouteInput s = KeyFormat.PATH.subject("l", "/k/" + i, 0, 0, false);
             assertThat(some.has(s)).isNotEqualTo(rest.has(s));
             had += some.has(s) ? 1 : 0;
         }
--- a/src/test/java/damsonworks/routes/RouteTableTest.java
+++ b/src/test/java/cacheproxy/routes/RouteTableTest.java
@@ -1,4 +1,4 @@
-package damsonworks.routes;
+package cacheproxy.routes;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -18,8 +18,8 @@
                 Set.of(), Set.of(), null, null, KeyRewrite.NONE, POOL);
     }
 
-    private static Subject read(String key) {
-        return new Subject("main", key, 0, 0, false);
+    private static RouteInput read(String key) {
+        return new RouteInput("main", key, 0, 0, false);
     }
 
     @Test
@@ -36,7 +36,7 @@
     }
 
     /** The documented order, restated: sort by order, kind, prefix length and place; take the first that fits. */
-    private static Route plainly(List<Route> routes, Subject s) {
+    private static Route plainly(List<Route> routes, RouteInput s) {
         Route best = null;
         for (Route r : routes) {
             if (r.misfit(s, null) == null && (best == null || before(r, best))) {
@@ -87,7 +87,7 @@
             RouteTable table = new RouteTable(routes);
             Set<Route> found = new java.util.HashSet<>();
             for (int i = 0; i < 200; i++) {
-                Subject s = new Subject(random.nextBoolean() ? "main" : "other", text(random, 6), random.nextInt(3),
+                RouteInput s = new RouteInput(random.nextBoolean() ? "main" : "other", text(random, 6), random.nextInt(3),
                         random.nextInt(2), random.nextBoolean());
                 Route r = table.find(s);
                 assertThat(r).isSameAs(plainly(routes, s));
