--- a/src/test/java/damsonworks/siblings/SiblingsTest.java
+++ b/src/test/java/cacheproxy/siblings/SiblingsTest.java
@@ -1,8 +1,8 @@
-package damsonworks.siblings;
+package cacheproxy.siblings;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.siblings.QuestionTable.Verdict;
+import cacheproxy.siblings.PendingQueries.Verdict;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -20,7 +20,7 @@
     @Test
     void theDigestSaysNothingThatAMapWouldNotSay() {
         SplittableRandom random = new SplittableRandom(1);
-        KeyDigest digest = new KeyDigest(1024, 5000, 20);
+        CacheDigest digest = new CacheDigest(1024, 5000, 20);
         Map<Long, double[]> map = new HashMap<>(); // server, time
         double now = 1.7e12;
         int held = 0;
@@ -62,7 +62,7 @@
 
     @Test
     void theDigestHasItsBoundAndTheOldestMakesRoom() {
-        KeyDigest digest = new KeyDigest(8, 1e6, 2);
+        CacheDigest digest = new CacheDigest(8, 1e6, 2);
         for (int i = 1; i <= 20; i++) {
             digest.answered(i * 1000, i, 7);
         }
@@ -82,7 +82,7 @@
     /** The epoch of a server has 16 bits; after that many restarts an old entry must not come to life. */
     @Test
     void anEntryStaysGoneHoweverOftenItsServerRestarts() {
-        KeyDigest digest = new KeyDigest(8, 1e6, 1);
+        CacheDigest digest = new CacheDigest(8, 1e6, 1);
         digest.answered(0, 1, 7);
         for (int i = 0; i < 70_000; i++) {
             digest.restarted(7);
@@ -96,9 +96,9 @@
 
     @Test
     void onlyTheAnswerToAQuestionCounts() {
-        QuestionTable<String> t = new QuestionTable<>(3, 1000, -2);
-        QuestionTable<String>.Question q = t.ask(0, "k", List.of("a", "b"), 50);
-        QuestionTable<String>.Question wrapped = t.ask(0, "l", List.of("a"), 50);
+        PendingQueries<String> t = new PendingQueries<>(3, 1000, -2);
+        PendingQueries<String>.Question q = t.ask(0, "k", List.of("a", "b"), 50);
+        PendingQueries<String>.Question wrapped = t.ask(0, "l", List.of("a"), 50);
         assertThat(wrapped.number).as("numbers go round").isEqualTo(0);
         assertThat(t.answered(1, q.number + 5, "a", "k", true).verdict()).as("never given").isEqualTo(Verdict.NO_QUESTION);
         assertThat(t.answered(1, q.number, "c", "k", true).verdict()).isEqualTo(Verdict.NOT_ASKED);
@@ -112,7 +112,7 @@
         });
         assertThat(q.isOver()).isTrue();
         assertThat(t.answered(3, wrapped.number, "a", "l", false).verdict()).isEqualTo(Verdict.LAST);
-        QuestionTable<String>.Question late = t.ask(10, "m", List.of("a"), 50);
+        PendingQueries<String>.Question late = t.ask(10, "m", List.of("a"), 50);
         assertThat(t.answered(500, late.number, "a", "m", true)).satisfies(r -> {
             assertThat(r.verdict()).isEqualTo(Verdict.LATE);
             assertThat(r.elapsedMs()).as("measured all the same").isEqualTo(490);
@@ -123,7 +123,7 @@
 
     @Test
     void thereAreNoMoreQuestionsThanTheBoundAndOldOnesMakeRoom() {
-        QuestionTable<String> t = new QuestionTable<>(100, 1000, 5);
+        PendingQueries<String> t = new PendingQueries<>(100, 1000, 5);
         for (int i = 0; i < 100; i++) {
             assertThat(t.ask(i, "k" + i, List.of("a"), 50)).isNotNull();
         }
@@ -136,12 +136,12 @@
 
     @Test
     void whoIsNearlyAlwaysDeniedHearsNothingAnyMoreUntilHeReforms() {
-        DenialWatch<String> watch = new DenialWatch<>(10);
+        DenialLimiter<String> watch = new DenialLimiter<>(10);
         int answered = 0;
         for (int i = 0; i < 1000; i++) {
             answered += watch.answer("bad", true) ? 1 : 0;
         }
-        assertThat(answered).isEqualTo(DenialWatch.LEAST_QUESTIONS - 1);
+        assertThat(answered).isEqualTo(DenialLimiter.LEAST_QUESTIONS - 1);
         for (int i = 0; i < 60; i++) {
             assertThat(watch.answer("bad", false)).as("what is not denied is answered").isTrue();
         }
@@ -173,7 +173,7 @@
             double rttMs, double leftMs, double pressure) {
         SplittableRandom random = new SplittableRandom(seed);
         SplittableRandom chance = new SplittableRandom(seed + 1);
-        List<SiblingRecord> records = List.of(new SiblingRecord(), new SiblingRecord(), new SiblingRecord());
+        List<SiblingStats> records = List.of(new SiblingStats(), new SiblingStats(), new SiblingStats());
         double time = 0;
         int inTime = 0;
         int fetches = 0;
@@ -182,7 +182,7 @@
         int n = 20_000;
         for (int i = 0; i < n; i++) {
             now += 5;
-            Asking.Plan plan = asks ? Asking.plan(now, records, fetchMs, siblingMs, leftMs, pressure, chance.nextDouble()) : Asking.Plan.NONE;
+            SiblingQueryPolicy.Plan plan = asks ? SiblingQueryPolicy.plan(now, records, fetchMs, siblingMs, leftMs, pressure, chance.nextDouble()) : SiblingQueryPolicy.Plan.NONE;
             double[] rolls = random.doubles(12).toArray();
             double took = 0;
             int from = -1;
@@ -240,7 +240,7 @@
     @Test
     void aSiblingThatIsSilentOrLiesIsOnlyTriedAndComesBack() {
         for (boolean lies : new boolean[] {true, false}) {
-            SiblingRecord r = new SiblingRecord();
+            SiblingStats r = new SiblingStats();
             double now = 0;
             for (int i = 0; i < 300; i++) {
                 now += 1;
@@ -251,10 +251,10 @@
                 }
             }
             assertThat(r.mayAsk(now)).isFalse();
-            assertThat(r.mayAsk(now + SiblingRecord.TRIAL_MS)).isTrue();
+            assertThat(r.mayAsk(now + SiblingStats.TRIAL_MS)).isTrue();
             int trials = 0;
             for (; !r.mayAsk(now + 1) || trials == 0; trials++) {
-                now += SiblingRecord.TRIAL_MS;
+                now += SiblingStats.TRIAL_MS;
                 r.asked(now);
                 r.answered(2, true);
                 r.fetched(true);
@@ -266,8 +266,8 @@
 
     @Test
     void theWaitFollowsTheAnswersAndHasItsCap() {
-        SiblingRecord quick = new SiblingRecord();
-        SiblingRecord slow = new SiblingRecord();
+        SiblingStats quick = new SiblingStats();
+        SiblingStats slow = new SiblingStats();
         for (int i = 0; i < 100; i++) {
             quick.asked(i);
             quick.answered(2, true);
@@ -276,15 +276,15 @@
             slow.answered(80, true);
             slow.fetched(true);
         }
-        assertThat(Asking.plan(100, List.of(quick), 100, 5, 250, 1, 1).waitMs()).isBetween(2.0, 4.0);
-        assertThat(Asking.plan(100, List.of(quick, slow), 500, 5, 250, 1, 1).waitMs()).isEqualTo(250 * Asking.WAIT_SHARE);
-        assertThat(Asking.plan(100, List.of(quick), 100, 5, 6, 1, 1)).as("too late for a sibling's value").isEqualTo(Asking.Plan.NONE);
-        assertThat(Asking.plan(100, List.of(quick), 100, 5, 0, 1, 1)).isEqualTo(Asking.Plan.NONE);
-        assertThat(Asking.plan(100, List.of(), 100, 5, 250, 1, 1)).isEqualTo(Asking.Plan.NONE);
-        List<SiblingRecord> many = new ArrayList<>();
+        assertThat(SiblingQueryPolicy.plan(100, List.of(quick), 100, 5, 250, 1, 1).waitMs()).isBetween(2.0, 4.0);
+        assertThat(SiblingQueryPolicy.plan(100, List.of(quick, slow), 500, 5, 250, 1, 1).waitMs()).isEqualTo(250 * SiblingQueryPolicy.WAIT_SHARE);
+        assertThat(SiblingQueryPolicy.plan(100, List.of(quick), 100, 5, 6, 1, 1)).as("too late for a sibling's value").isEqualTo(SiblingQueryPolicy.Plan.NONE);
+        assertThat(SiblingQueryPolicy.plan(100, List.of(quick), 100, 5, 0, 1, 1)).isEqualTo(SiblingQueryPolicy.Plan.NONE);
+        assertThat(SiblingQueryPolicy.plan(100, List.of(), 100, 5, 250, 1, 1)).isEqualTo(SiblingQueryPolicy.Plan.NONE);
+        List<SiblingStats> many = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             many.add(quick);
         }
-        assertThat(Asking.plan(100, many, 100, 5, 250, 1, 1).siblings()).hasSize(Asking.MOST_ASKED);
+        assertThat(SiblingQueryPolicy.plan(100, many, 100, 5, 250, 1, 1).siblings()).hasSize(SiblingQueryPolicy.MOST_ASKED);
     }
 }
--- a/src/test/java/damsonworks/wire/DrillTest.java
+++ b/src/test/java/cacheproxy/simulator/SimulatorAdapterTest.java
@@ -1,4 +1,4 @@
-package damsonworks.wire;
+package cacheproxy.simulator;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -12,7 +12,7 @@
 import java.util.HexFormat;
 import org.junit.jupiter.api.Test;
 
-class DrillTest {
+class SimulatorAdapterTest {
     private static final String SETTINGS = String.join("\n", "me=1", "balancers=2", "locality=0", "zones=a,b",
             "kinds=box,origin", "discovery=push", "report.how=silent", "report.names=", "value-by=request",
             "caps.may-cancel=true", "caps.may-probe=false", "caps.peers=false", "caps.second-copies=false",
@@ -61,7 +61,7 @@
 
     private static byte[] run(byte[] input) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        new Drill(new ByteArrayInputStream(input), out).run();
+        new SimulatorAdapter(new ByteArrayInputStream(input), out).run();
         return out.toByteArray();
     }
 
@@ -118,7 +118,7 @@
         assertThatThrownBy(() -> run(new byte[] {5, 0, 0, 0, 0})).hasMessageContaining("frame of 5 bytes");
         Batch unknown = new Batch().start(SETTINGS);
         unknown.record(31, 3);
-        assertThatThrownBy(() -> run(unknown.bytes())).isInstanceOf(WireException.class)
+        assertThatThrownBy(() -> run(unknown.bytes())).isInstanceOf(SimulatorProtocolException.class)
                 .hasMessage("batch 7, record 2: unknown event code 31");
         Batch nobody = new Batch();
         nobody.record(70, 4);
--- a/src/test/java/damsonworks/memory/MemoryFilesTest.java
+++ b/src/test/java/cacheproxy/snapshot/SnapshotStoreTest.java
@@ -1,9 +1,9 @@
-package damsonworks.memory;
+package cacheproxy.snapshot;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import damsonworks.knowledge.Recollection;
+import cacheproxy.snapshot.state.StateSnapshot;
 import java.io.IOException;
 import java.io.RandomAccessFile;
 import java.nio.file.FileSystemException;
@@ -25,7 +25,7 @@
 
 /** Two generations on a disk that fails, and a world that ends at any moment of a write. */
 @Timeout(60)
-class MemoryFilesTest {
+class SnapshotStoreTest {
     @TempDir
     private Path folder;
     private Path file;
@@ -36,9 +36,9 @@
     }
 
     /** The n-th state, told apart by its proxy's number. */
-    private static Recollection state(int n) {
-        Recollection s = MemoryFormatTest.SMALL;
-        return new Recollection(s.site(), n, s.writtenMs(), 0, s.pools(), List.of(new Recollection.Birth(1, "10.0.0.1:1", n, false)));
+    private static StateSnapshot state(int n) {
+        StateSnapshot s = SnapshotCodecTest.SMALL;
+        return new StateSnapshot(s.site(), n, s.writtenMs(), 0, s.pools(), List.of(new StateSnapshot.Birth(1, "10.0.0.1:1", n, false)));
     }
 
     private static void await(BooleanSupplier event) throws InterruptedException {
@@ -51,7 +51,7 @@
     }
 
     /** The real disk up to the moment at which the process dies; of a write that is cut, so many bytes remain. */
-    private static final class Mortal implements Disk {
+    private static final class Mortal implements SnapshotFileSystem {
         private int steps;
         private final int cutAt;
 
@@ -103,21 +103,21 @@
         }
     }
 
-    private MemoryFiles.Found found() {
-        return MemoryFiles.at(file).read();
+    private SnapshotStore.Found found() {
+        return SnapshotStore.at(file).read();
     }
 
     @Test
     void theNewestIsReadAndTheOneBeforeItIsKept() throws Exception {
-        assertThat(found()).isEqualTo(new MemoryFiles.Found(null, false, List.of()));
-        MemoryFiles files = MemoryFiles.at(file);
+        assertThat(found()).isEqualTo(new SnapshotStore.Found(null, false, List.of()));
+        SnapshotStore files = SnapshotStore.at(file);
         for (int n = 1; n <= 3; n++) {
             files.write(state(n));
         }
         assertThat(found().content().me()).isEqualTo(3);
         assertThat(found().content().generation()).isEqualTo(3);
-        assertThat(MemoryFiles.at(folder.resolve("memory.old")).read().content().me()).isEqualTo(2);
-        MemoryFiles next = MemoryFiles.at(file);
+        assertThat(SnapshotStore.at(folder.resolve("memory.old")).read().content().me()).isEqualTo(2);
+        SnapshotStore next = SnapshotStore.at(file);
         next.read();
         next.write(state(4));
         assertThat(found().content().generation()).as("counted on").isEqualTo(4);
@@ -129,12 +129,12 @@
     /** Each write is some steps; the process dies before each of them, and in the first after each byte. */
     @Test
     void whereverAProcessDiesOneOfTheTwoIsWholeAndTheNextWritesOn() throws Exception {
-        int length = MemoryFormat.encode(state(1)).length;
+        int length = SnapshotCodec.encode(state(1)).length;
         int generations = 0;
         for (int n = 1; n <= length + 5; n++) {
             boolean cut = n <= length;
-            MemoryFiles dying = new MemoryFiles(file, new Mortal(cut ? 0 : n - length - 1, cut ? n - 1 : -1));
-            MemoryFiles.Found before = dying.read();
+            SnapshotStore dying = new SnapshotStore(file, new Mortal(cut ? 0 : n - length - 1, cut ? n - 1 : -1));
+            SnapshotStore.Found before = dying.read();
             int was = before.content() == null ? 0 : before.content().me();
             boolean died = false;
             try {
@@ -142,15 +142,15 @@
             } catch (Mortal.Death e) {
                 died = true;
             }
-            MemoryFiles.Found after = found();
+            SnapshotStore.Found after = found();
             if (generations > 0) {
                 assertThat(after.content()).as("death " + n).isNotNull();
                 assertThat(after.notes()).as("death " + n).isEmpty();
                 assertThat(after.content().me()).as("death " + n).isIn(was, was + 1);
                 assertThat(died || after.content().me() == was + 1).isTrue();
             }
-            MemoryFiles living = MemoryFiles.at(file);
-            MemoryFiles.Found found = living.read();
+            SnapshotStore living = SnapshotStore.at(file);
+            SnapshotStore.Found found = living.read();
             living.write(state((found.content() == null ? 0 : found.content().me()) + 1));
             generations++;
         }
@@ -159,7 +159,7 @@
     /** A rename may reach the disk before the data does, after a loss of power. */
     @Test
     void whereTheDataOfTheNewestIsGoneTheOneBeforeHolds() throws Exception {
-        MemoryFiles files = MemoryFiles.at(file);
+        SnapshotStore files = SnapshotStore.at(file);
         files.write(state(1));
         files.write(state(2));
         byte[] good = Files.readAllBytes(file);
@@ -170,16 +170,16 @@
             assertThat(found().notes()).isNotEmpty().allMatch(l -> l.startsWith(file + ": byte "));
         }
         // What is damaged does not push out the last that is whole, even if the next write dies half way.
-        MemoryFiles dying = new MemoryFiles(file, new Mortal(1, -1));
+        SnapshotStore dying = new SnapshotStore(file, new Mortal(1, -1));
         dying.read();
         assertThatThrownBy(() -> dying.write(state(3))).isInstanceOf(Mortal.Death.class);
         assertThat(found().content().me()).isEqualTo(1);
-        MemoryFiles next = MemoryFiles.at(file);
+        SnapshotStore next = SnapshotStore.at(file);
         next.read();
         next.write(state(3));
         assertThat(found().content().me()).isEqualTo(3);
         assertThat(found().content().generation()).as("one after the newest that could be read").isEqualTo(3);
-        assertThat(MemoryFiles.at(folder.resolve("memory.old")).read().content().me()).isEqualTo(1);
+        assertThat(SnapshotStore.at(folder.resolve("memory.old")).read().content().me()).isEqualTo(1);
         // Both damaged: what is whole of the newest.
         byte[] part = Files.readAllBytes(file);
         part[part.length - 1] ^= 1;
@@ -191,12 +191,12 @@
 
     @Test
     void linksStrangersAndWhatIsNoFileAreToldAndNotRead() throws Exception {
-        MemoryFiles.at(folder.resolve("elsewhere")).write(state(1));
+        SnapshotStore.at(folder.resolve("elsewhere")).write(state(1));
         Files.createSymbolicLink(file, folder.resolve("elsewhere"));
         assertThat(found().content()).isNull();
         assertThat(found().notes()).containsExactly(file + ": it is a symbolic link; name the file itself");
         byte[] before = Files.readAllBytes(folder.resolve("elsewhere"));
-        MemoryFiles files = MemoryFiles.at(file);
+        SnapshotStore files = SnapshotStore.at(file);
         files.read();
         files.write(state(2));
         assertThat(Files.readAllBytes(folder.resolve("elsewhere"))).as("the link is replaced, not followed").isEqualTo(before);
@@ -206,13 +206,13 @@
         Files.delete(file);
         // A link laid where the new file is to be written must not be written through.
         Files.createSymbolicLink(folder.resolve("memory.new"), folder.resolve("elsewhere"));
-        MemoryFiles.at(file).write(state(3));
+        SnapshotStore.at(file).write(state(3));
         assertThat(Files.readAllBytes(folder.resolve("elsewhere"))).isEqualTo(before);
     }
 
     @Test
     void aFileOfSomebodyElseIsNotBelieved() throws Exception {
-        MemoryFiles.at(file).write(state(1));
+        SnapshotStore.at(file).write(state(1));
         UserPrincipal other = null;
         try {
             other = file.getFileSystem().getUserPrincipalLookupService().lookupPrincipalByName("nobody");
@@ -230,13 +230,13 @@
             f.setLength(1L << 30);
         }
         assertThat(found().content()).isNull();
-        assertThat(found().notes()).containsExactly(file + ": it has 1073741824 bytes; a memory file has at most " + MemoryFormat.MAX_BYTES);
+        assertThat(found().notes()).containsExactly(file + ": it has 1073741824 bytes; a memory file has at most " + SnapshotCodec.MAX_BYTES);
     }
 
     @Test
     void oneProcessHasThePathAtATime() throws Exception {
-        MemoryFiles first = MemoryFiles.at(file);
-        MemoryFiles second = MemoryFiles.at(file);
+        SnapshotStore first = SnapshotStore.at(file);
+        SnapshotStore second = SnapshotStore.at(file);
         assertThat(first.lock()).isTrue();
         assertThat(second.lock()).isFalse();
         first.close();
@@ -244,13 +244,13 @@
         second.close();
         Files.delete(folder.resolve("memory.lock"));
         Files.createSymbolicLink(folder.resolve("memory.lock"), folder.resolve("x"));
-        assertThatThrownBy(() -> MemoryFiles.at(file).lock()).isInstanceOf(IOException.class);
-        assertThatThrownBy(() -> MemoryFiles.at(folder.resolve("none").resolve("memory")).lock()).isInstanceOf(IOException.class)
-                .satisfies(e -> assertThat(MemoryFiles.reason((IOException) e)).isEqualTo("its directory is not there"));
+        assertThatThrownBy(() -> SnapshotStore.at(file).lock()).isInstanceOf(IOException.class);
+        assertThatThrownBy(() -> SnapshotStore.at(folder.resolve("none").resolve("memory")).lock()).isInstanceOf(IOException.class)
+                .satisfies(e -> assertThat(SnapshotStore.reason((IOException) e)).isEqualTo("its directory is not there"));
     }
 
     /** A disk whose writes can be made to fail or to wait. */
-    private static final class Faulty implements Disk {
+    private static final class Faulty implements SnapshotFileSystem {
         volatile IOException fault;
         final Semaphore gate = new Semaphore(1_000_000);
         final List<byte[]> written = new ArrayList<>();
@@ -293,7 +293,7 @@
         Faulty disk = new Faulty();
         List<String> told = java.util.Collections.synchronizedList(new ArrayList<>());
         CountDownLatch again = new CountDownLatch(2);
-        MemoryWriter writer = new MemoryWriter(new MemoryFiles(file, disk), 1e12, line -> {
+        SnapshotWriter writer = new SnapshotWriter(new SnapshotStore(file, disk), 1e12, line -> {
             told.add(line);
             again.countDown();
         });
@@ -318,7 +318,7 @@
         Faulty disk = new Faulty();
         disk.fault = new java.nio.file.AccessDeniedException(folder.resolve("memory.new").toString());
         List<String> told = java.util.Collections.synchronizedList(new ArrayList<>());
-        MemoryWriter writer = new MemoryWriter(new MemoryFiles(file, disk), 1e12, told::add);
+        SnapshotWriter writer = new SnapshotWriter(new SnapshotStore(file, disk), 1e12, told::add);
         writer.offer(state(1));
         writer.finish(state(2), 50_000);
         assertThat(told).containsExactly("memory: can't write: no permission; goes on without");
@@ -331,7 +331,7 @@
     void aSlowDiskHoldsUpNobodyAndOnlyTheNewestWaits() throws Exception {
         Faulty disk = new Faulty();
         disk.gate.drainPermits();
-        MemoryWriter writer = new MemoryWriter(new MemoryFiles(file, disk), 1e12, line -> { });
+        SnapshotWriter writer = new SnapshotWriter(new SnapshotStore(file, disk), 1e12, line -> { });
         for (int i = 1; i <= 10_000; i++) {
             writer.offer(state(i));
         }
@@ -353,11 +353,11 @@
 
     @Test
     void nothingIsWrittenWhereNothingHasHappenedAndAnAbandonedWriterWritesNoMore() throws Exception {
-        MemoryWriter writer = new MemoryWriter(MemoryFiles.at(file), 1e12, line -> { });
-        Recollection s = state(1);
+        SnapshotWriter writer = new SnapshotWriter(SnapshotStore.at(file), 1e12, line -> { });
+        StateSnapshot s = state(1);
         writer.offer(s);
         await(() -> writer.writes() == 1);
-        writer.offer(new Recollection(s.site(), 1, s.writtenMs() + 5000, 0, Map.copyOf(s.pools()), s.births()));
+        writer.offer(new StateSnapshot(s.site(), 1, s.writtenMs() + 5000, 0, Map.copyOf(s.pools()), s.births()));
         writer.abandon();
         writer.offer(state(2));
         assertThat(writer.writes()).isEqualTo(1);
--- a/src/test/java/damsonworks/knowledge/AgeingTest.java
+++ b/src/test/java/cacheproxy/snapshot/state/StateDecayTest.java
@@ -1,4 +1,4 @@
-package damsonworks.knowledge;
+package cacheproxy.snapshot.state;
 
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
@@ -8,24 +8,24 @@
 import org.junit.jupiter.api.Test;
 
 /** How facts fade, and which of them still fit. */
-class AgeingTest {
+class StateDecayTest {
     private static final double HOUR = 3_600_000;
-    private static final Knowledge ALL = new Knowledge(
-            List.of(new Knowledge.Server(1, 0, 3, 20_000, 1), new Knowledge.Server(2, 50, 1, 2_500, 0)),
-            new Knowledge.Pace(80, 3, 20, 4, 1), new Knowledge.Load(100, 50), new Knowledge.Load(200, 190),
-            new Knowledge.HotKeys(1000, List.of(new Knowledge.HotKey(7, 400), new Knowledge.HotKey(8, 1))));
-    private static final Recollection FILE = new Recollection("site", 2, 1e12, 9,
-            Map.of("a", new Recollection.Pool("carp", ALL, Map.of(1, "10.0.0.1:1", 2, "10.0.0.2:1"))),
-            List.of(new Recollection.Birth(1, "10.0.0.1:1", 1e12 - 5000, false)));
+    private static final LearnedState ALL = new LearnedState(
+            List.of(new LearnedState.Server(1, 0, 3, 20_000, 1), new LearnedState.Server(2, 50, 1, 2_500, 0)),
+            new LearnedState.Pace(80, 3, 20, 4, 1), new LearnedState.Load(100, 50), new LearnedState.Load(200, 190),
+            new LearnedState.HotKeys(1000, List.of(new LearnedState.HotKey(7, 400), new LearnedState.HotKey(8, 1))));
+    private static final StateSnapshot FILE = new StateSnapshot("site", 2, 1e12, 9,
+            Map.of("a", new StateSnapshot.Pool("carp", ALL, Map.of(1, "10.0.0.1:1", 2, "10.0.0.2:1"))),
+            List.of(new StateSnapshot.Birth(1, "10.0.0.1:1", 1e12 - 5000, false)));
 
     @Test
     void atOnceAllOfItIsLeft() {
-        assertThat(Ageing.aged(ALL, 0, 1)).isEqualTo(ALL);
+        assertThat(StateDecay.aged(ALL, 0, 1)).isEqualTo(ALL);
     }
 
     @Test
     void eachKindFadesAtItsOwnPace() {
-        Knowledge k = Ageing.aged(ALL, 10_000, 1);
+        LearnedState k = StateDecay.aged(ALL, 10_000, 1);
         assertThat(k.servers()).hasSize(2);
         assertThat(k.servers().get(0).failures()).isEqualTo(3);
         assertThat(k.servers().get(0).shunnedForMs()).isEqualTo(10_000);
@@ -33,41 +33,41 @@
         assertThat(k.servers().get(1).failures()).isEqualTo(1);
         assertThat(k.crowd().asked()).isBetween(30.0, 40.0);
         assertThat(k.pace().weight()).isBetween(0.99, 1.0);
-        Knowledge minutes = Ageing.aged(ALL, 4 * Ageing.HOT_HALF_MS, 1);
+        LearnedState minutes = StateDecay.aged(ALL, 4 * StateDecay.HOT_HALF_MS, 1);
         assertThat(minutes.servers()).isEmpty();
-        assertThat(minutes.hot()).isEqualTo(new Knowledge.HotKeys(62.5, List.of(new Knowledge.HotKey(7, 25))));
-        assertThat(minutes.crowd()).isEqualTo(Knowledge.NONE.crowd());
+        assertThat(minutes.hot()).isEqualTo(new LearnedState.HotKeys(62.5, List.of(new LearnedState.HotKey(7, 25))));
+        assertThat(minutes.crowd()).isEqualTo(LearnedState.NONE.crowd());
     }
 
     @Test
     void afterAnHourAHintIsLeftAndAfterADayNothing() {
-        Knowledge hour = Ageing.aged(ALL, HOUR, 1);
+        LearnedState hour = StateDecay.aged(ALL, HOUR, 1);
         assertThat(hour.servers()).isEmpty();
-        assertThat(hour.hot()).isEqualTo(Knowledge.NONE.hot());
+        assertThat(hour.hot()).isEqualTo(LearnedState.NONE.hot());
         assertThat(hour.pace().weight()).isEqualTo(0.25);
-        assertThat(Ageing.aged(ALL, 24 * HOUR, 1)).isEqualTo(Knowledge.NONE);
-        assertThat(Ageing.aged(ALL, 365 * 24 * HOUR, 1)).isEqualTo(Knowledge.NONE);
+        assertThat(StateDecay.aged(ALL, 24 * HOUR, 1)).isEqualTo(LearnedState.NONE);
+        assertThat(StateDecay.aged(ALL, 365 * 24 * HOUR, 1)).isEqualTo(LearnedState.NONE);
     }
 
     @Test
     void anothersCountsForHalf() {
-        Knowledge half = Ageing.aged(ALL, 0, 0.5);
-        assertThat(half.servers().get(0)).isEqualTo(new Knowledge.Server(1, 0, 2, 10_000, 1));
+        LearnedState half = StateDecay.aged(ALL, 0, 0.5);
+        assertThat(half.servers().get(0)).isEqualTo(new LearnedState.Server(1, 0, 2, 10_000, 1));
         assertThat(half.pace().weight()).isEqualTo(0.5);
-        assertThat(half.hot().keys()).containsExactly(new Knowledge.HotKey(7, 200));
-        assertThatThrownBy(() -> Ageing.aged(ALL, -1, 1)).isInstanceOf(IllegalArgumentException.class);
-        assertThatThrownBy(() -> Ageing.aged(ALL, 0, 2)).isInstanceOf(IllegalArgumentException.class);
+        assertThat(half.hot().keys()).containsExactly(new LearnedState.HotKey(7, 200));
+        assertThatThrownBy(() -> StateDecay.aged(ALL, -1, 1)).isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> StateDecay.aged(ALL, 0, 2)).isInstanceOf(IllegalArgumentException.class);
     }
 
-    private static final Recollection.Present OTHER = at(3, "10.0.0.3:1", 0);
+    private static final StateSnapshot.Present OTHER = at(3, "10.0.0.3:1", 0);
 
-    private static Recollection.Present at(int id, String address, double born) {
-        return new Recollection.Present(id, address, born);
+    private static StateSnapshot.Present at(int id, String address, double born) {
+        return new StateSnapshot.Present(id, address, born);
     }
 
     @Test
     void whereNearlyAllAreSaidToFailNoneIsBelievedToHave() {
-        Knowledge k = FILE.left("a", "carp", 1e12, 1, List.of(at(1, "10.0.0.1:1", 0), at(2, "10.0.0.2:1", 50)));
+        LearnedState k = FILE.left("a", "carp", 1e12, 1, List.of(at(1, "10.0.0.1:1", 0), at(2, "10.0.0.2:1", 50)));
         assertThat(k.servers()).isEmpty();
         assertThat(k.pace()).isEqualTo(ALL.pace());
     }
@@ -76,12 +76,12 @@
     void aFactHoldsForTheSameProcessAtTheSamePlace() {
         assertThat(FILE.left("a", "carp", 1e12, 1, List.of(at(1, "10.0.0.1:1", 0), at(2, "10.0.0.2:1", 50), OTHER))).isEqualTo(ALL);
         assertThat(FILE.left("a", "carp", 1e12, 1, List.of(at(1, "10.0.0.1:1", 1e12), at(2, "10.0.0.2:1", 50))).servers())
-                .as("1 has restarted").extracting(Knowledge.Server::id).containsExactly(2);
+                .as("1 has restarted").extracting(LearnedState.Server::id).containsExactly(2);
         assertThat(FILE.left("a", "carp", 1e12, 1, List.of(at(1, "10.0.0.9:1", 0))).servers()).as("another stands there").isEmpty();
         assertThat(FILE.left("a", "carp", 1e12, 1, List.of()).servers()).as("the whole fleet was replaced").isEmpty();
-        assertThat(FILE.left("b", "carp", 1e12, 1, List.of(at(1, "10.0.0.1:1", 0)))).as("another pool").isEqualTo(Knowledge.NONE);
-        Knowledge ring = FILE.left("a", "nginx-hash", 1e12, 1, List.of(at(1, "10.0.0.1:1", 0), OTHER));
-        assertThat(ring.hot()).as("the numbers of keys mean something else").isEqualTo(Knowledge.NONE.hot());
+        assertThat(FILE.left("b", "carp", 1e12, 1, List.of(at(1, "10.0.0.1:1", 0)))).as("another pool").isEqualTo(LearnedState.NONE);
+        LearnedState ring = FILE.left("a", "nginx-hash", 1e12, 1, List.of(at(1, "10.0.0.1:1", 0), OTHER));
+        assertThat(ring.hot()).as("the numbers of keys mean something else").isEqualTo(LearnedState.NONE.hot());
         assertThat(ring.servers()).hasSize(1);
     }
 
--- a/src/test/java/damsonworks/soak/SoakClient.java
+++ b/src/test/java/cacheproxy/soak/SoakClient.java
@@ -1,8 +1,8 @@
-package damsonworks.soak;
+package cacheproxy.soak;
 
-import damsonworks.soak.SoakHistory.Effect;
-import damsonworks.soak.SoakHistory.Request;
-import damsonworks.standin.ScriptedServer;
+import cacheproxy.soak.SoakHistory.Effect;
+import cacheproxy.soak.SoakHistory.Request;
+import cacheproxy.fakes.ScriptedServer;
 import java.io.BufferedInputStream;
 import java.io.IOException;
 import java.io.InputStream;
--- a/src/test/java/damsonworks/soak/SoakHistory.java
+++ b/src/test/java/cacheproxy/soak/SoakHistory.java
@@ -1,4 +1,4 @@
-package damsonworks.soak;
+package cacheproxy.soak;
 
 import java.util.Map;
 import java.util.Queue;
--- a/src/test/java/damsonworks/soak/SoakIT.java
+++ b/src/test/java/cacheproxy/soak/SoakIT.java
@@ -1,10 +1,10 @@
-package damsonworks.soak;
+package cacheproxy.soak;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import damsonworks.soak.SoakHistory.Arrival;
-import damsonworks.soak.SoakHistory.Effect;
-import damsonworks.soak.SoakHistory.Request;
+import cacheproxy.soak.SoakHistory.Arrival;
+import cacheproxy.soak.SoakHistory.Effect;
+import cacheproxy.soak.SoakHistory.Request;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/damsonworks/soak/SoakJudge.java
+++ b/src/test/java/cacheproxy/soak/SoakJudge.java
@@ -1,9 +1,9 @@
-package damsonworks.soak;
+package cacheproxy.soak;
 
-import damsonworks.soak.SoakHistory.Arrival;
-import damsonworks.soak.SoakHistory.Effect;
-import damsonworks.soak.SoakHistory.Outage;
-import damsonworks.soak.SoakHistory.Request;
+import cacheproxy.soak.SoakHistory.Arrival;
+import cacheproxy.soak.SoakHistory.Effect;
+import cacheproxy.soak.SoakHistory.Outage;
+import cacheproxy.soak.SoakHistory.Request;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
--- a/src/test/java/damsonworks/soak/SoakProxy.java
+++ b/src/test/java/cacheproxy/soak/SoakProxy.java
@@ -1,4 +1,4 @@
-package damsonworks.soak;
+package cacheproxy.soak;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
@@ -78,8 +78,8 @@
     void start() throws IOException {
         ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC",
                 "-XX:TieredStopAtLevel=1", "-Xms24m", "-Xmx40m", "-XX:MaxDirectMemorySize=32m", "-Xss512k", "-XX:-UsePerfData", "-Xlog:cds=off",
-                "-Xlog:cds+dynamic=off", "-XX:SharedArchiveFile=target/damsonworks.jsa", "-Djava.library.path=target/native/META-INF/native",
-                "-jar", "target/damsonworks.jar", "serve");
+                "-Xlog:cds+dynamic=off", "-XX:SharedArchiveFile=target/cacheproxy.jsa", "-Djava.library.path=target/native/META-INF/native",
+                "-jar", "target/cache-proxy.jar", "serve");
         builder.environment().put("TMPDIR", folder.toString());
         builder.environment().put("BALANCER_CONFIG", folder.resolve("config.json").toString());
         builder.redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.appendTo(log().toFile()));
--- a/src/test/java/damsonworks/soak/SoakRound.java
+++ b/src/test/java/cacheproxy/soak/SoakRound.java
@@ -1,10 +1,10 @@
-package damsonworks.soak;
+package cacheproxy.soak;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import damsonworks.proxy.Transport;
-import damsonworks.soak.SoakHistory.Outage;
-import damsonworks.standin.StandInDiscovery;
+import cacheproxy.proxy.Transport;
+import cacheproxy.soak.SoakHistory.Outage;
+import cacheproxy.fakes.FakeDiscovery;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import java.io.IOException;
@@ -51,7 +51,7 @@
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(2, Transport.BEST.io());
     private final EventLoop servingLoop = group.next();
     private final EventLoop discoveryLoop = group.next();
-    private final StandInDiscovery[] discoveries = new StandInDiscovery[2];
+    private final FakeDiscovery[] discoveries = new FakeDiscovery[2];
     private final List<SoakServer> servers = new ArrayList<>();
     private final List<SoakProxy> proxies = new ArrayList<>();
     private final AtomicReferenceArray<Boolean> busy;
@@ -64,7 +64,7 @@
         random = new Random(seed);
         busy = new AtomicReferenceArray<>(size.proxies());
         for (int i = 0; i < discoveries.length; i++) {
-            discoveries[i] = StandInDiscovery.start(discoveryLoop);
+            discoveries[i] = FakeDiscovery.start(discoveryLoop);
         }
         SoakServer origin = SoakServer.origin("origin", servingLoop, history, new SoakServer.Troubles(0, 10, 0, 5, 5, 150, 400), random.nextLong());
         servers.add(origin);
@@ -83,7 +83,7 @@
     }
 
     private void list(String name, String dial, String kind, String health, double bornMs) {
-        for (StandInDiscovery d : discoveries) {
+        for (FakeDiscovery d : discoveries) {
             d.put(name, dial, kind, health, bornMs);
         }
     }
@@ -276,7 +276,7 @@
         for (SoakServer s : servers) {
             s.close();
         }
-        for (StandInDiscovery d : discoveries) {
+        for (FakeDiscovery d : discoveries) {
             d.close();
         }
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
--- a/src/test/java/damsonworks/soak/SoakServer.java
+++ b/src/test/java/cacheproxy/soak/SoakServer.java
@@ -1,6 +1,6 @@
-package damsonworks.soak;
+package cacheproxy.soak;
 
-import damsonworks.proxy.Transport;
+import cacheproxy.proxy.Transport;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
