--- a/src/main/java/cacheproxy/policy/RoutingPolicy.java
+++ b/src/main/java/cacheproxy/policy/RoutingPolicy.java
@@ -9,7 +9,7 @@
 import java.util.*;
 
 /**
- * The decisions of one balancer instance. Types, events and actions: RoutingApi.java; hashes and ranking:
+ * The decisions of one balancer instance. Types, events and actions: PolicyApi.java; hashes and ranking:
  * Carp.java. CARP's top score takes each request; what departs from it says at its place when it acts and
  * what it guards.
  */
--- a/src/main/java/cacheproxy/simulator/SettingsParser.java
+++ b/src/main/java/cacheproxy/simulator/SettingsParser.java
@@ -32,7 +32,7 @@
         return new SettingsParser(values);
     }
 
-    /** The settings as the module takes them; a WireException names what is missing or wrong. */
+    /** The settings as the module takes them; a SimulatorProtocolException names what is missing or wrong. */
     public Settings settings() {
         List<String> zones = list("zones");
         List<String> kinds = list("kinds");
