--- a/src/main/java/cacheproxy/daemon/Daemon.java
+++ b/src/main/java/cacheproxy/daemon/Daemon.java
@@ -1,26 +1,25 @@
 package cacheproxy.daemon;
 
-import cacheproxy.daemon.fleet.FleetSubsystem;
-import cacheproxy.daemon.hooks.HookSubsystem;
-import cacheproxy.daemon.snapshot.SnapshotSubsystem;
-
 import cacheproxy.config.Addresses;
 import cacheproxy.config.ConfigException;
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.DaemonConfigReader;
-import cacheproxy.snapshot.state.StateSnapshot;
+import cacheproxy.control.DiagnosticEndpoints;
+import cacheproxy.daemon.fleet.FleetSubsystem;
+import cacheproxy.daemon.hooks.HookSubsystem;
+import cacheproxy.daemon.snapshot.SnapshotSubsystem;
 import cacheproxy.limits.ServerStartTimes;
 import cacheproxy.limits.SlowStartBudget;
-import cacheproxy.control.DiagnosticEndpoints;
 import cacheproxy.proxy.ClientRegistry;
 import cacheproxy.proxy.EventLoopContext;
 import cacheproxy.proxy.GracefulShutdown;
-import cacheproxy.proxy.RequestValidator;
 import cacheproxy.proxy.Listener;
 import cacheproxy.proxy.PollClock;
+import cacheproxy.proxy.RequestValidator;
 import cacheproxy.proxy.StandardMetaProtocol;
-import cacheproxy.proxy.UpstreamRegistry;
 import cacheproxy.proxy.Transport;
+import cacheproxy.proxy.UpstreamRegistry;
+import cacheproxy.snapshot.state.StateSnapshot;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import java.io.IOException;
@@ -39,12 +38,13 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The daemon: listeners, routes and pools by one file, which may be replaced under load. A new file is read and its
- * new listeners are bound before anything changes; a file that can't be used changes nothing.
+ * The daemon: listeners, routes and pools by one file, which may be replaced under load. A new file is read and its new
+ * listeners are bound before anything changes; a file that can't be used changes nothing.
  */
 public final class Daemon implements AutoCloseable {
     /** Connections still come so long after SIGTERM, with some room for a slow machine. */
     private static final double LISTEN_ON_MS = 500;
+
     private static final int OWN_DESCRIPTORS = 64;
     private static final long SWEEP_MS = 250;
     private static final long LEAVE_MS = 20;
@@ -65,6 +65,7 @@
     private final AtomicLong ids = new AtomicLong();
     /** By name, with the addresses that the file gives them. */
     private final Map<String, Listener> listeners = new LinkedHashMap<>();
+
     private final Map<Listener, InetSocketAddress> asked = new HashMap<>();
     private final List<Listener> leavingListeners = new ArrayList<>();
     private final List<Leaving> leavingPools = new ArrayList<>();
@@ -74,6 +75,7 @@
     private volatile Runnable reload;
     /** Whose memory counts where there is none of one's own; null: nobody's. Only at the start. */
     private Path seedFrom;
+
     private final Subsystems parts;
 
     /** A pool that no new request comes to. */
@@ -92,17 +94,25 @@
         seeds = new SplittableRandom(seed);
         idPrefix = Long.toHexString(seeds.nextLong() & 0xFFFFFFFFFFL | 0x10000000000L);
         int sockets = file.limits().sockets();
-        core = new EventLoopContext(loop, polls, Transport.BEST.socket(), (long) file.limits().memoryMb() << 20 >> 3, sockets / 3, true);
+        core = new EventLoopContext(
+                loop, polls, Transport.BEST.socket(), (long) file.limits().memoryMb() << 20 >> 3, sockets / 3, true);
         core.watchPauses();
         clients = new ClientRegistry(core, Math.max(16, sockets - sockets / 3 - OWN_DESCRIPTORS));
         router = new Router(core);
-        parts = new Subsystems(task -> loop.submit(task).syncUninterruptibly(), List.of(
-                (f, before) -> SnapshotSubsystem.open(f, before, core, this::snapshot, seedFrom),
-                (f, before) -> HookSubsystem.open(f, core),
-                (f, before) -> SiblingSocket.open(f, before, core, seeds.nextInt(), router::generation),
-                (f, before) -> FleetSubsystem.open(f, before, core, seeds.nextLong(), router::generation),
-                (f, before) -> ControlSubsystem.open(f, before, loop, FleetSubsystem.answers(() -> part(FleetSubsystem.class)),
-                        new DiagnosticEndpoints(core.invariants::summary, core.events::enabled, this::reloadElsewhere))));
+        parts = new Subsystems(
+                task -> loop.submit(task).syncUninterruptibly(),
+                List.of(
+                        (f, before) -> SnapshotSubsystem.open(f, before, core, this::snapshot, seedFrom),
+                        (f, before) -> HookSubsystem.open(f, core),
+                        (f, before) -> SiblingSocket.open(f, before, core, seeds.nextInt(), router::generation),
+                        (f, before) -> FleetSubsystem.open(f, before, core, seeds.nextLong(), router::generation),
+                        (f, before) -> ControlSubsystem.open(
+                                f,
+                                before,
+                                loop,
+                                FleetSubsystem.answers(() -> part(FleetSubsystem.class)),
+                                new DiagnosticEndpoints(
+                                        core.invariants::summary, core.events::enabled, this::reloadElsewhere))));
     }
 
     /** What {@code POST /reload} of the control address does, on a thread of its own. Null: nothing. */
@@ -130,8 +140,11 @@
         return start(file, seed, null);
     }
 
-    /** The same with what a sibling has learned, for what this one remembers nothing of. {@code seedFrom} may be null. */
-    public static Daemon start(DaemonConfig file, long seed, Path seedFrom) throws ConfigException, InterruptedException {
+    /**
+     * The same with what a sibling has learned, for what this one remembers nothing of. {@code seedFrom} may be null.
+     */
+    public static Daemon start(DaemonConfig file, long seed, Path seedFrom)
+            throws ConfigException, InterruptedException {
         Daemon daemon = new Daemon(file, seed);
         daemon.seedFrom = seedFrom;
         try {
@@ -142,38 +155,48 @@
         }
         daemon.seedFrom = null;
         daemon.ready.await();
-        daemon.loop.submit(() -> {
-            daemon.core.observe(daemon.new Restarts());
-            daemon.loop.scheduleWithFixedDelay(daemon.clients::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
-            daemon.loop.scheduleWithFixedDelay(daemon::leave, LEAVE_MS, LEAVE_MS, TimeUnit.MILLISECONDS);
-        }).sync();
+        daemon.loop
+                .submit(() -> {
+                    daemon.core.observe(daemon.new Restarts());
+                    daemon.loop.scheduleWithFixedDelay(
+                            daemon.clients::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+                    daemon.loop.scheduleWithFixedDelay(daemon::leave, LEAVE_MS, LEAVE_MS, TimeUnit.MILLISECONDS);
+                })
+                .sync();
         return daemon;
     }
 
     /** The address of a listener; null if there is none of this name. */
     public InetSocketAddress address(String listener) {
-        Listener l = loop.submit(() -> listeners.get(listener)).syncUninterruptibly().getNow();
+        Listener l =
+                loop.submit(() -> listeners.get(listener)).syncUninterruptibly().getNow();
         return l == null ? null : l.address();
     }
 
     /** Listeners with their addresses. */
     public Map<String, InetSocketAddress> addresses() {
         return loop.submit(() -> {
-            Map<String, InetSocketAddress> map = new LinkedHashMap<>();
-            listeners.forEach((name, l) -> map.put(name, l.address()));
-            return map;
-        }).syncUninterruptibly().getNow();
+                    Map<String, InetSocketAddress> map = new LinkedHashMap<>();
+                    listeners.forEach((name, l) -> map.put(name, l.address()));
+                    return map;
+                })
+                .syncUninterruptibly()
+                .getNow();
     }
 
     /** Requests in hand, those under older files among them. */
     public int inHand() {
-        return loop.submit(() -> router.generation().inHand + older.stream().mapToInt(g -> g.inHand).sum())
-                .syncUninterruptibly().getNow();
+        return loop.submit(() -> router.generation().inHand
+                        + older.stream().mapToInt(g -> g.inHand).sum())
+                .syncUninterruptibly()
+                .getNow();
     }
 
     /** The event loop's thread, for measurements. */
     public long threadId() {
-        return loop.submit(() -> Thread.currentThread().getId()).syncUninterruptibly().getNow();
+        return loop.submit(() -> Thread.currentThread().getId())
+                .syncUninterruptibly()
+                .getNow();
     }
 
     /** Where siblings ask; null where none are configured. */
@@ -196,7 +219,9 @@
 
     /** Pools at work, those that are leaving among them; for tests. */
     int poolsAtWork() {
-        return loop.submit(() -> router.generation().pools.size() + leavingPools.size()).syncUninterruptibly().getNow();
+        return loop.submit(() -> router.generation().pools.size() + leavingPools.size())
+                .syncUninterruptibly()
+                .getNow();
     }
 
     // ---- files
@@ -211,7 +236,8 @@
         Map<String, Listener> fresh = new HashMap<>();
         List<String> faults = new ArrayList<>();
         for (DaemonConfig.Listen l : file.listeners()) {
-            Listener standing = loop.submit(() -> listeners.get(l.name())).sync().getNow();
+            Listener standing =
+                    loop.submit(() -> listeners.get(l.name())).sync().getNow();
             if (standing != null && l.address().equals(asked.get(standing))) {
                 continue;
             }
@@ -235,10 +261,11 @@
             throw e;
         }
         loop.submit(() -> {
-            change.commit();
-            commit(file, fresh);
-            change.closeOld();
-        }).sync();
+                    change.commit();
+                    commit(file, fresh);
+                    change.closeOld();
+                })
+                .sync();
         change.endOld();
     }
 
@@ -249,10 +276,14 @@
         String common = (l.tenant() == null ? "" : ",t=" + l.tenant())
                 + (l.deadlineMs() == 0 ? "" : ",d=" + Math.round(l.deadlineMs()));
         Set<String> keyed = new HashSet<>();
-        file.classes().stream().filter(c -> c.effect() == cacheproxy.policy.PolicyApi.Effect.KEYED)
+        file.classes().stream()
+                .filter(c -> c.effect() == cacheproxy.policy.PolicyApi.Effect.KEYED)
                 .forEach(c -> keyed.add(c.name()));
-        return new StandardMetaProtocol("c=" + l.readClass() + common, ((l.writeClass() == null ? "" : "c=" + l.writeClass()) + common).replaceFirst("^,", ""),
-                keyed, () -> idPrefix + Long.toHexString(ids.incrementAndGet()));
+        return new StandardMetaProtocol(
+                "c=" + l.readClass() + common,
+                ((l.writeClass() == null ? "" : "c=" + l.writeClass()) + common).replaceFirst("^,", ""),
+                keyed,
+                () -> idPrefix + Long.toHexString(ids.incrementAndGet()));
     }
 
     private void commit(DaemonConfig file, Map<String, Listener> fresh) {
@@ -271,13 +302,27 @@
                 standing.apply(file);
                 pools.put(p.name(), standing);
             } else {
-                pools.put(p.name(), new PoolRuntime(core, file, p, seeds.nextLong(), cold, births,
-                        standing != null ? SnapshotSubsystem.handOver(file, p, standing, now)
-                        : memory == null ? null : memory.recollections(file, p),
-                        part(SiblingSocket.class), () -> part(FleetSubsystem.class)));
+                pools.put(
+                        p.name(),
+                        new PoolRuntime(
+                                core,
+                                file,
+                                p,
+                                seeds.nextLong(),
+                                cold,
+                                births,
+                                standing != null
+                                        ? SnapshotSubsystem.handOver(file, p, standing, now)
+                                        : memory == null ? null : memory.recollections(file, p),
+                                part(SiblingSocket.class),
+                                () -> part(FleetSubsystem.class)));
             }
         }
-        router.use(new ConfigSnapshot(file, pools, new RequestValidator(core, file.classes(), file.tenants()), HookSubsystem.of(part(HookSubsystem.class)),
+        router.use(new ConfigSnapshot(
+                file,
+                pools,
+                new RequestValidator(core, file.classes(), file.tenants()),
+                HookSubsystem.of(part(HookSubsystem.class)),
                 FleetSubsystem.limits(part(FleetSubsystem.class))));
         if (before != null) {
             older.add(before);
@@ -291,8 +336,12 @@
     }
 
     private void figures(DaemonConfig file) {
-        SlowStartBudget.Figures figures = new SlowStartBudget.Figures(file.site().startCapacity(), file.site().warmUpMs(),
-                file.site().fallMs(), file.site().instances(), file.limits().unknownCapacity());
+        SlowStartBudget.Figures figures = new SlowStartBudget.Figures(
+                file.site().startCapacity(),
+                file.site().warmUpMs(),
+                file.site().fallMs(),
+                file.site().instances(),
+                file.limits().unknownCapacity());
         if (cold == null) {
             cold = new SlowStartBudget(figures);
         } else {
@@ -313,7 +362,8 @@
         }
         if (file.site().warmUpMs() > 0) {
             for (DaemonConfig.Pool p : file.pools().values()) {
-                p.servers().stream().filter(s -> s.backup() && !s.down() && !warm.contains(s.id()) && !inUse(file, s.id()))
+                p.servers().stream()
+                        .filter(s -> s.backup() && !s.down() && !warm.contains(s.id()) && !inUse(file, s.id()))
                         .forEach(s -> births.unused(s.id()));
             }
         }
@@ -322,14 +372,18 @@
             for (DaemonConfig.Pool p : before.file.pools().values()) {
                 PoolSettings.all(p).stream().filter(s -> !s.down()).forEach(s -> known.add(s.id()));
             }
-            present.stream().filter(s -> !known.contains(s) && !warm.contains(s)).forEach(s -> births.added(s, now));
+            present.stream()
+                    .filter(s -> !known.contains(s) && !warm.contains(s))
+                    .forEach(s -> births.added(s, now));
         }
         births.keep(present);
     }
 
     /** Whether some pool uses a server at all times. */
     private static boolean inUse(DaemonConfig file, int server) {
-        return file.pools().values().stream().flatMap(p -> p.servers().stream()).anyMatch(s -> s.id() == server && !s.backup());
+        return file.pools().values().stream()
+                .flatMap(p -> p.servers().stream())
+                .anyMatch(s -> s.id() == server && !s.backup());
     }
 
     private void listeners(DaemonConfig file, Map<String, Listener> fresh) {
@@ -354,7 +408,8 @@
 
     /** A proxy that does not know its servers yet could only turn clients away. */
     private void openOnceListed(List<Listener> fresh, double latestMs) {
-        if (core.now() < latestMs && !router.generation().pools.values().stream().allMatch(p -> p.dispatcher.listed())) {
+        if (core.now() < latestMs
+                && !router.generation().pools.values().stream().allMatch(p -> p.dispatcher.listed())) {
             core.after(5, () -> openOnceListed(fresh, latestMs));
             return;
         }
@@ -362,7 +417,8 @@
         for (Listener l : fresh) {
             l.listen().addListener(f -> {
                 if (!f.isSuccess()) { // somebody else listens there since it was reserved
-                    core.log("listener at " + Addresses.text(l.address()) + ": " + f.cause().getMessage());
+                    core.log("listener at " + Addresses.text(l.address()) + ": "
+                            + f.cause().getMessage());
                 }
                 if (--left[0] == 0) {
                     ready.countDown();
@@ -431,7 +487,8 @@
                 }
                 // Not from within the connection's own event: a list retires connections to what has restarted.
                 loop.execute(() -> router.generation().pools.values().stream()
-                        .filter(p -> p.spec().discovery() == null && p.has(server)).forEach(PoolRuntime::list));
+                        .filter(p -> p.spec().discovery() == null && p.has(server))
+                        .forEach(PoolRuntime::list));
             }
         }
     }
@@ -442,10 +499,14 @@
     public void drain() {
         loop.execute(parts::drain);
         new GracefulShutdown(loop, core, LISTEN_ON_MS, () -> {
-            List.copyOf(listeners.keySet()).forEach(name -> leave(listeners.remove(name)));
-            leave();
-            return leavingListeners.isEmpty();
-        }).run(() -> router.generation().file.classes().stream().mapToDouble(c -> c.deadlineMs()).max().orElse(0));
+                    List.copyOf(listeners.keySet()).forEach(name -> leave(listeners.remove(name)));
+                    leave();
+                    return leavingListeners.isEmpty();
+                })
+                .run(() -> router.generation().file.classes().stream()
+                        .mapToDouble(c -> c.deadlineMs())
+                        .max()
+                        .orElse(0));
         parts.finish();
     }
 
@@ -469,13 +530,14 @@
     @Override
     public void close() {
         loop.submit(() -> {
-            if (router.generation() != null) {
-                router.generation().pools.values().forEach(p -> p.dispatcher.stop());
-                router.generation().end();
-            }
-            older.forEach(ConfigSnapshot::end);
-            parts.close();
-        }).syncUninterruptibly();
+                    if (router.generation() != null) {
+                        router.generation().pools.values().forEach(p -> p.dispatcher.stop());
+                        router.generation().end();
+                    }
+                    older.forEach(ConfigSnapshot::end);
+                    parts.close();
+                })
+                .syncUninterruptibly();
         parts.end();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
--- a/src/main/java/cacheproxy/daemon/PoolRuntime.java
+++ b/src/main/java/cacheproxy/daemon/PoolRuntime.java
@@ -1,28 +1,27 @@
 package cacheproxy.daemon;
 
-import cacheproxy.daemon.fleet.FleetSubsystem;
-
-import cacheproxy.policy.PolicyApi.ListKind;
-import cacheproxy.policy.PolicyApi.Member;
-import cacheproxy.policy.PolicyApi.Outcome;
-import cacheproxy.policy.PolicyApi.Settings;
 import cacheproxy.config.Addresses;
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.SiblingConfig;
-import cacheproxy.snapshot.state.LearnedState;
-import cacheproxy.snapshot.state.StateSnapshot;
-import cacheproxy.limits.ServerStartTimes;
-import cacheproxy.limits.SlowStartBudget;
+import cacheproxy.daemon.fleet.FleetSubsystem;
 import cacheproxy.limits.PoolAdmissionControl;
 import cacheproxy.limits.PoolLimiter;
 import cacheproxy.limits.RetryBudget;
+import cacheproxy.limits.ServerStartTimes;
+import cacheproxy.limits.SlowStartBudget;
 import cacheproxy.placement.BackupPlacement;
-import cacheproxy.proxy.EventLoopContext;
+import cacheproxy.policy.PolicyApi.ListKind;
+import cacheproxy.policy.PolicyApi.Member;
+import cacheproxy.policy.PolicyApi.Outcome;
+import cacheproxy.policy.PolicyApi.Settings;
 import cacheproxy.proxy.DiscoveryClient;
 import cacheproxy.proxy.Dispatcher;
+import cacheproxy.proxy.EventLoopContext;
 import cacheproxy.routes.KeyHash;
 import cacheproxy.routes.Route;
 import cacheproxy.routes.RouteInput;
+import cacheproxy.snapshot.state.LearnedState;
+import cacheproxy.snapshot.state.StateSnapshot;
 import java.net.SocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -47,8 +46,16 @@
     private PoolLimiter gate;
     private KeyHash number;
 
-    PoolRuntime(EventLoopContext core, DaemonConfig file, DaemonConfig.Pool spec, long seed, SlowStartBudget cold, ServerStartTimes births,
-            Dispatcher.Recollections recollections, SiblingSocket siblings, Supplier<FleetSubsystem> fleet) {
+    PoolRuntime(
+            EventLoopContext core,
+            DaemonConfig file,
+            DaemonConfig.Pool spec,
+            long seed,
+            SlowStartBudget cold,
+            ServerStartTimes births,
+            Dispatcher.Recollections recollections,
+            SiblingSocket siblings,
+            Supplier<FleetSubsystem> fleet) {
         name = spec.name();
         this.file = file;
         this.spec = spec;
@@ -57,9 +64,20 @@
         number = PoolSettings.number(spec);
         admission = new PoolAdmissionControl(cold, retries(spec), server -> mayTry(fleet.get(), server));
         gate = new PoolLimiter(spec.inHand(), spec.perSecond());
-        dispatcher = new Dispatcher(core, new Dispatcher.Pool(settings, seed, file.limits().idleCloseMs(),
-                spec.connections(), spec.originConnections(), spec.connections(), spec.streams(), spec.plainNodes(),
-                BackupPlacement.over(members -> PoolSettings.placement(this.spec).of(members), backups::contains), admission));
+        dispatcher = new Dispatcher(
+                core,
+                new Dispatcher.Pool(
+                        settings,
+                        seed,
+                        file.limits().idleCloseMs(),
+                        spec.connections(),
+                        spec.originConnections(),
+                        spec.connections(),
+                        spec.streams(),
+                        spec.plainNodes(),
+                        BackupPlacement.over(
+                                members -> PoolSettings.placement(this.spec).of(members), backups::contains),
+                        admission));
         dispatcher.recall(recollections);
         if (siblings != null) {
             PoolSiblings own = siblings.of(spec);
@@ -72,7 +90,10 @@
             list();
         } else {
             DaemonConfig.Discovery d = spec.discovery();
-            discovery = new DiscoveryClient(core, new DiscoveryClient.Source(d.address(), null, true, d.zones(), d.kinds()), dispatcher,
+            discovery = new DiscoveryClient(
+                    core,
+                    new DiscoveryClient.Source(d.address(), null, true, d.zones(), d.kinds()),
+                    dispatcher,
                     new Pace(fleet));
             dispatcher.start(discovery);
             discovery.start();
@@ -135,9 +156,12 @@
 
     /** Whether this pool can go on under another file; else a new one must take its place. */
     boolean fits(DaemonConfig other, DaemonConfig.Pool next) {
-        return settings.equals(PoolSettings.of(other, next)) && spec.connections() == next.connections()
-                && spec.originConnections() == next.originConnections() && spec.streams() == next.streams()
-                && spec.plainNodes() == next.plainNodes() && spec.placement().equals(next.placement())
+        return settings.equals(PoolSettings.of(other, next))
+                && spec.connections() == next.connections()
+                && spec.originConnections() == next.originConnections()
+                && spec.streams() == next.streams()
+                && spec.plainNodes() == next.plainNodes()
+                && spec.placement().equals(next.placement())
                 && java.util.Objects.equals(spec.discovery(), next.discovery())
                 && SiblingConfig.of(file).equals(SiblingConfig.of(other))
                 && spec.siblings().equals(next.siblings())
@@ -228,5 +252,4 @@
     DaemonConfig.Pool spec() {
         return spec;
     }
-
 }
--- a/src/main/java/cacheproxy/daemon/PoolSettings.java
+++ b/src/main/java/cacheproxy/daemon/PoolSettings.java
@@ -1,17 +1,17 @@
 package cacheproxy.daemon;
 
-import cacheproxy.policy.PolicyApi.Member;
-import cacheproxy.policy.PolicyApi.Reports;
-import cacheproxy.policy.PolicyApi.Settings;
-import cacheproxy.policy.PolicyApi.State;
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.FleetConfig;
 import cacheproxy.config.SiblingConfig;
 import cacheproxy.placement.BackupPlacement;
-import cacheproxy.placement.PlacementTarget;
 import cacheproxy.placement.Placement;
 import cacheproxy.placement.PlacementKey;
 import cacheproxy.placement.PlacementRegistry;
+import cacheproxy.placement.PlacementTarget;
+import cacheproxy.policy.PolicyApi.Member;
+import cacheproxy.policy.PolicyApi.Reports;
+import cacheproxy.policy.PolicyApi.Settings;
+import cacheproxy.policy.PolicyApi.State;
 import cacheproxy.proxy.RequestValidator;
 import cacheproxy.routes.Explain;
 import cacheproxy.routes.KeyHash;
@@ -31,7 +31,7 @@
     /** A proxy that has not asked discovery for so long asks. */
     private static final double ASK_WITHIN_MS = 10_000;
 
-    private PoolSettings() { }
+    private PoolSettings() {}
 
     /** All servers of a pool, its origin last. */
     public static List<DaemonConfig.Server> all(DaemonConfig.Pool pool) {
@@ -46,7 +46,10 @@
         if (pool.discovery() != null) {
             return pool.discovery().kinds();
         }
-        List<String> kinds = new ArrayList<>(pool.servers().stream().map(DaemonConfig.Server::kind).distinct().toList());
+        List<String> kinds = new ArrayList<>(pool.servers().stream()
+                .map(DaemonConfig.Server::kind)
+                .distinct()
+                .toList());
         if (!pool.siblings().isEmpty()) {
             kinds.add("\0sibling");
         }
@@ -61,7 +64,8 @@
         if (pool.discovery() != null) {
             return pool.discovery().zones();
         }
-        return Stream.concat(Stream.of(file.site().zone()), all(pool).stream().map(DaemonConfig.Server::zone)).distinct()
+        return Stream.concat(Stream.of(file.site().zone()), all(pool).stream().map(DaemonConfig.Server::zone))
+                .distinct()
                 .toList();
     }
 
@@ -73,21 +77,57 @@
         List<String> zones = zones(file, pool);
         boolean aside = listed ? pool.origin() != null : pool.discovery().originKind() != null;
         FleetConfig fleet = file.part(FleetConfig.class);
-        boolean probes = fleet != null && fleet.probe() != null && !fleet.probe().requests(); // else clients' requests try what was sick
-        int originKind = !aside ? -1 : listed ? kinds.size() - 1 : kinds.indexOf(pool.discovery().originKind());
-        return new Settings(site.me(), site.instances(), Math.max(0, zones.indexOf(site.zone())), zones.size(),
-                kinds.size(), !listed, aside, originKind, Reports.NONE, List.of(), false,
-                file.tenants().size() > 1 ? 0.1 : 1, true, probes, false, limits.secondCopies(), true,
-                limits.maxAttempts(), limits.maxRetryAfterMs(), limits.connectTimeoutMs(), site.drainGraceMs(), 20,
-                site.startCapacity(), site.warmUpMs(), site.tipMultiple(), site.fallMs(), ASK_WITHIN_MS, 0, 0,
-                file.classes(), file.tenants());
+        boolean probes = fleet != null
+                && fleet.probe() != null
+                && !fleet.probe().requests(); // else clients' requests try what was sick
+        int originKind = !aside
+                ? -1
+                : listed ? kinds.size() - 1 : kinds.indexOf(pool.discovery().originKind());
+        return new Settings(
+                site.me(),
+                site.instances(),
+                Math.max(0, zones.indexOf(site.zone())),
+                zones.size(),
+                kinds.size(),
+                !listed,
+                aside,
+                originKind,
+                Reports.NONE,
+                List.of(),
+                false,
+                file.tenants().size() > 1 ? 0.1 : 1,
+                true,
+                probes,
+                false,
+                limits.secondCopies(),
+                true,
+                limits.maxAttempts(),
+                limits.maxRetryAfterMs(),
+                limits.connectTimeoutMs(),
+                site.drainGraceMs(),
+                20,
+                site.startCapacity(),
+                site.warmUpMs(),
+                site.tipMultiple(),
+                site.fallMs(),
+                ASK_WITHIN_MS,
+                0,
+                0,
+                file.classes(),
+                file.tenants());
     }
 
     static Member member(DaemonConfig file, DaemonConfig.Pool pool, DaemonConfig.Server s, double bornMs) {
         boolean origin = s == pool.origin();
         List<String> kinds = kinds(pool);
-        return new Member(s.id(), zones(file, pool).indexOf(s.zone()), origin ? kinds.size() - 1
-                : kinds.indexOf(s.kind()), 0, s.drain() ? State.DRAINING : State.READY, (float) s.weight(), bornMs);
+        return new Member(
+                s.id(),
+                zones(file, pool).indexOf(s.zone()),
+                origin ? kinds.size() - 1 : kinds.indexOf(s.kind()),
+                0,
+                s.drain() ? State.DRAINING : State.READY,
+                (float) s.weight(),
+                bornMs);
     }
 
     /** A sibling as the module gets it. */
@@ -96,8 +136,11 @@
     }
 
     static Placement.Factory placement(DaemonConfig.Pool pool) {
-        return PlacementRegistry.factory(pool.placement(), pool.servers().stream()
-                .map(s -> new PlacementTarget(s.id(), (int) s.weight(), s.ring())).toList());
+        return PlacementRegistry.factory(
+                pool.placement(),
+                pool.servers().stream()
+                        .map(s -> new PlacementTarget(s.id(), (int) s.weight(), s.ring()))
+                        .toList());
     }
 
     /** How the pool's module knows a request. */
@@ -107,8 +150,10 @@
         return (s, route, poolKey) -> {
             PlacementTemplate by = route.placeBy() == null ? own : route.placeBy();
             if (carp) {
-                return RequestValidator.keyNumber(by.equals(PlacementTemplate.KEY) ? poolKey
-                        : new String(by.bytes(s, route, poolKey), StandardCharsets.ISO_8859_1));
+                return RequestValidator.keyNumber(
+                        by.equals(PlacementTemplate.KEY)
+                                ? poolKey
+                                : new String(by.bytes(s, route, poolKey), StandardCharsets.ISO_8859_1));
             }
             byte[] text = by.bytes(s, route, poolKey);
             // Where it is empty nginx goes round; one server for all such requests would be worse than the key's own.
@@ -118,7 +163,8 @@
 
     /** What the numbers of a pool's keys depend on. */
     public static String keyScheme(DaemonConfig file, DaemonConfig.Pool pool) {
-        return pool.placement() + " by " + (pool.placeBy() == null ? PlacementTemplate.KEY : pool.placeBy()) + ", keys " + file.keys();
+        return pool.placement() + " by " + (pool.placeBy() == null ? PlacementTemplate.KEY : pool.placeBy()) + ", keys "
+                + file.keys();
     }
 
     /** The file's pools for {@code explain}. */
@@ -138,10 +184,17 @@
                 }
             }
             ready.sort((a, b) -> Integer.compareUnsigned(a.id(), b.id()));
-            views.put(p.name(), new Explain.PoolView(ready, names,
-                    BackupPlacement.over(placement(p), backups::contains).of(ready), number(p),
-                    p.origin() == null ? null : p.origin().name(), p.discovery() == null,
-                    file.chain(List.of(p.name()))));
+            views.put(
+                    p.name(),
+                    new Explain.PoolView(
+                            ready,
+                            names,
+                            BackupPlacement.over(placement(p), backups::contains)
+                                    .of(ready),
+                            number(p),
+                            p.origin() == null ? null : p.origin().name(),
+                            p.discovery() == null,
+                            file.chain(List.of(p.name()))));
         }
         return new Explain(file.routes(), views);
     }
--- a/src/main/java/cacheproxy/daemon/PoolSiblings.java
+++ b/src/main/java/cacheproxy/daemon/PoolSiblings.java
@@ -1,9 +1,8 @@
 package cacheproxy.daemon;
 
+import cacheproxy.config.SiblingConfig;
 import cacheproxy.policy.PolicyApi.Member;
 import cacheproxy.policy.PolicyApi.Outcome;
-import cacheproxy.config.DaemonConfig;
-import cacheproxy.config.SiblingConfig;
 import cacheproxy.proxy.Dispatcher;
 import cacheproxy.siblings.SiblingQueryPolicy;
 import cacheproxy.siblings.SiblingStats;
@@ -15,7 +14,10 @@
 import java.util.SplittableRandom;
 import java.util.function.IntConsumer;
 
-/** One pool's siblings: what its module is told of them, and its questions on their way to the socket. On the event loop only. */
+/**
+ * One pool's siblings: what its module is told of them, and its questions on their way to the socket. On the event loop
+ * only.
+ */
 final class PoolSiblings implements Siblings, Dispatcher.Questions {
     private final SiblingSocket socket;
     private final List<SiblingConfig.Sibling> siblings;
@@ -24,6 +26,7 @@
     private final SplittableRandom random;
     /** What a fetch at a sibling takes; the first guess is soon overruled. */
     private double siblingMs = 5;
+
     private SiblingQueryPolicy.Plan plan;
 
     PoolSiblings(SiblingSocket socket, List<SiblingConfig.Sibling> siblings, SplittableRandom random) {
--- a/src/main/java/cacheproxy/daemon/RoutedRequest.java
+++ b/src/main/java/cacheproxy/daemon/RoutedRequest.java
@@ -1,12 +1,12 @@
 package cacheproxy.daemon;
 
+import cacheproxy.fleet.quota.LocalQuota;
 import cacheproxy.policy.PolicyApi.ServiceClass;
 import cacheproxy.proxy.ClientRequest;
 import cacheproxy.proxy.EventLoopContext;
 import cacheproxy.proxy.RequestContext;
 import cacheproxy.proxy.RequestHandler;
 import cacheproxy.proxy.Responder;
-import cacheproxy.fleet.quota.LocalQuota;
 import cacheproxy.routes.Fallback;
 import cacheproxy.routes.Route;
 import cacheproxy.routes.RouteInput;
@@ -14,8 +14,8 @@
 import java.util.List;
 
 /**
- * A request on its way through the pools of its route: each pool's module has it until it serves it or gives it up,
- * and the client gets one answer. It is the responder of whichever pool has it.
+ * A request on its way through the pools of its route: each pool's module has it until it serves it or gives it up, and
+ * the client gets one answer. It is the responder of whichever pool has it.
  */
 final class RoutedRequest implements Responder, RequestHandler.Handle {
     private final EventLoopContext core;
@@ -28,6 +28,7 @@
     private final ClientRequest command;
     /** As the client sent it, where a route has changed the key; else null. */
     private final ClientRequest original;
+
     private final Responder client;
     private int at = -1;
     private RequestContext current;
@@ -35,17 +36,29 @@
     private boolean mayHaveRun;
     /** What drops repeats in all pools in which it may have run; null where that is nothing, or more than one. */
     private String ranGroup;
+
     private boolean failed;
     /** Whether the last pool that was asked has said that it lacks the key: then that is the answer. */
     private boolean missed;
+
     private double advice;
-    /** What it has taken of the fleet's limits: of those that concern all pools, and of the present pool's; null: nothing. */
+    /**
+     * What it has taken of the fleet's limits: of those that concern all pools, and of the present pool's; null:
+     * nothing.
+     */
     private LocalQuota[] taken;
+
     private LocalQuota[] takenOfPool;
 
     /** Takes the commands over; {@code original} is null unless the key was changed. */
-    RoutedRequest(EventLoopContext core, ConfigSnapshot generation, RouteInput subject, Route route, ClientRequest command,
-            ClientRequest original, Responder client) {
+    RoutedRequest(
+            EventLoopContext core,
+            ConfigSnapshot generation,
+            RouteInput subject,
+            Route route,
+            ClientRequest command,
+            ClientRequest original,
+            Responder client) {
         this.core = core;
         this.generation = generation;
         this.subject = subject;
@@ -76,8 +89,8 @@
             if (!Fallback.mayGoOn(kind, mayHaveRun, ranGroup, pool.dedupGroup(), now, command.arrivedMs())) {
                 break;
             }
-            double due = Fallback.dueMs(kind, mayHaveRun, at == chain.size() - 1, now, command.arrivedMs(),
-                    command.dueMs());
+            double due =
+                    Fallback.dueMs(kind, mayHaveRun, at == chain.size() - 1, now, command.arrivedMs(), command.dueMs());
             if (due <= now) {
                 break;
             }
@@ -88,7 +101,8 @@
                 advice = Math.max(advice, wait);
                 continue;
             }
-            RequestContext x = RequestContext.of(pool.dispatcher, command, pool.number(subject, route, command.key()), this, due);
+            RequestContext x =
+                    RequestContext.of(pool.dispatcher, command, pool.number(subject, route, command.key()), this, due);
             current = x;
             takenOfPool = own == null ? null : take(own);
             pool.dispatcher.take(x);
--- a/src/main/java/cacheproxy/daemon/Router.java
+++ b/src/main/java/cacheproxy/daemon/Router.java
@@ -2,7 +2,6 @@
 
 import cacheproxy.daemon.hooks.HookExecutor;
 import cacheproxy.daemon.hooks.HookedRequest;
-
 import cacheproxy.proxy.ClientRequest;
 import cacheproxy.proxy.EventLoopContext;
 import cacheproxy.proxy.RequestHandler;
@@ -49,14 +48,16 @@
             return null;
         }
         List<HookExecutor> hooks = g.hooks.get(listener);
-        return hooks != null ? new HookedRequest(core, this, g, hooks, listener, command, responder).start()
+        return hooks != null
+                ? new HookedRequest(core, this, g, hooks, listener, command, responder).start()
                 : route(g, listener, null, command, responder);
     }
 
     /** Sends a request on its route, or on the one that a hook has named. */
-    public RequestHandler.Handle route(ConfigSnapshot g, String listener, Route named, ClientRequest command, Responder responder) {
-        RouteInput s = g.file.keys().subject(listener, command.key(), command.serviceClass(), command.tenant(),
-                command.write());
+    public RequestHandler.Handle route(
+            ConfigSnapshot g, String listener, Route named, ClientRequest command, Responder responder) {
+        RouteInput s = g.file.keys()
+                .subject(listener, command.key(), command.serviceClass(), command.tenant(), command.write());
         Route route = s == null ? null : named != null ? named : g.file.routes().find(s);
         if (route != null && route.action() instanceof Route.ToPools) {
             return to(g, listener, s, route, command, responder);
@@ -75,7 +76,8 @@
         return null;
     }
 
-    private RequestHandler.Handle to(ConfigSnapshot g, String listener, RouteInput s, Route route, ClientRequest command, Responder responder) {
+    private RequestHandler.Handle to(
+            ConfigSnapshot g, String listener, RouteInput s, Route route, ClientRequest command, Responder responder) {
         String key = route.poolKey(s);
         if (key == null) {
             core.closeId(command);
@@ -84,8 +86,12 @@
             return null;
         }
         // Whoever asks from another proxy gets what our nodes have, and nothing is fetched for him: no loops.
-        if (g.siblings.icp() != null && listener.equals(g.siblings.icp().listener()) && (command.write()
-                || !g.chain(route).stream().allMatch(p -> p.spec().origin() == null && p.spec().discovery() == null))) {
+        if (g.siblings.icp() != null
+                && listener.equals(g.siblings.icp().listener())
+                && (command.write()
+                        || !g.chain(route).stream()
+                                .allMatch(p ->
+                                        p.spec().origin() == null && p.spec().discovery() == null))) {
             core.closeId(command);
             command.release(core);
             if (command.write()) {
@@ -96,8 +102,8 @@
             return null;
         }
         boolean rewritten = !key.equals(command.key());
-        RoutedRequest r = new RoutedRequest(core, g, s, route, rewritten ? command.withKey(key) : command,
-                rewritten ? command : null, responder);
+        RoutedRequest r = new RoutedRequest(
+                core, g, s, route, rewritten ? command.withKey(key) : command, rewritten ? command : null, responder);
         r.next();
         return r;
     }
--- a/src/main/java/cacheproxy/daemon/SiblingSocket.java
+++ b/src/main/java/cacheproxy/daemon/SiblingSocket.java
@@ -11,8 +11,8 @@
 import cacheproxy.proxy.RequestValidator;
 import cacheproxy.routes.Route;
 import cacheproxy.routes.RouteInput;
-import cacheproxy.siblings.DenialLimiter;
 import cacheproxy.siblings.CacheDigest;
+import cacheproxy.siblings.DenialLimiter;
 import cacheproxy.siblings.PendingQueries;
 import cacheproxy.siblings.SiblingStats;
 import io.netty.channel.Channel;
@@ -28,9 +28,9 @@
 import java.util.function.Supplier;
 
 /**
- * The daemon's ICP socket: questions of its pools go out and those of siblings come in. All decisions are {@code siblings}'; on the event
- * loop only. Bounds: questions at once and a second, answers a second, remembered keys and addresses; an answer is never
- * longer than its question.
+ * The daemon's ICP socket: questions of its pools go out and those of siblings come in. All decisions are
+ * {@code siblings}'; on the event loop only. Bounds: questions at once and a second, answers a second, remembered keys
+ * and addresses; an answer is never longer than its question.
  */
 final class SiblingSocket implements Subsystem {
     /** Servers that the digest tells apart. */
@@ -52,9 +52,11 @@
     private final TokenBucket questionRate;
     /** Each sibling has one, so that none can use up another's; all strangers share a small one. */
     private final Map<InetSocketAddress, TokenBucket> answerRates = new HashMap<>();
+
     private final TokenBucket strangersRate;
     /** By whose routes and pools questions are answered. */
     private Supplier<ConfigSnapshot> generation = () -> null;
+
     private volatile Channel channel;
     private long malformed;
     private long overRate;
@@ -76,8 +78,9 @@
     }
 
     /** Null where the file has no ICP. */
-    static Subsystem open(DaemonConfig file, Subsystem before, EventLoopContext core, int seed, Supplier<ConfigSnapshot> generation) throws ConfigException,
-            InterruptedException {
+    static Subsystem open(
+            DaemonConfig file, Subsystem before, EventLoopContext core, int seed, Supplier<ConfigSnapshot> generation)
+            throws ConfigException, InterruptedException {
         if (SiblingConfig.of(file).icp() == null) {
             return null;
         }
@@ -86,9 +89,11 @@
         return s;
     }
 
-    private static SiblingSocket bind(DaemonConfig file, EventLoopContext core, SiblingSocket before, int seed) throws ConfigException, InterruptedException {
+    private static SiblingSocket bind(DaemonConfig file, EventLoopContext core, SiblingSocket before, int seed)
+            throws ConfigException, InterruptedException {
         SiblingSocket s = new SiblingSocket(file, core, before, seed);
-        if (before != null && SocketBinder.same(before.spec.icp().address(), s.spec.icp().address())) {
+        if (before != null
+                && SocketBinder.same(before.spec.icp().address(), s.spec.icp().address())) {
             before.channel.close().sync(); // there is no second socket at its address
         }
         s.listen(file);
@@ -96,7 +101,8 @@
     }
 
     private void listen(DaemonConfig asked) throws ConfigException, InterruptedException {
-        channel = SocketBinder.datagrams(core, asked, "icp", spec.icp().address(), IcpMessage.MAX_LENGTH, new Handler());
+        channel =
+                SocketBinder.datagrams(core, asked, "icp", spec.icp().address(), IcpMessage.MAX_LENGTH, new Handler());
     }
 
     @Override
@@ -120,7 +126,8 @@
     }
 
     PoolSiblings of(DaemonConfig.Pool pool) {
-        return new PoolSiblings(this, pool.siblings().stream().map(spec::sibling).toList(), random.split());
+        return new PoolSiblings(
+                this, pool.siblings().stream().map(spec::sibling).toList(), random.split());
     }
 
     @Override
@@ -157,7 +164,8 @@
             return;
         }
         String url = spec.icp().urlPrefix() + key;
-        PendingQueries<InetSocketAddress>.Question q = questions.ask(now, url, whom.stream().map(SiblingConfig.Sibling::icp).toList(), waitMs);
+        PendingQueries<InetSocketAddress>.Question q = questions.ask(
+                now, url, whom.stream().map(SiblingConfig.Sibling::icp).toList(), waitMs);
         if (q == null) {
             return;
         }
@@ -168,14 +176,16 @@
         });
         for (SiblingConfig.Sibling s : whom) {
             record(s).asked(now);
-            channel.write(new DatagramPacket(IcpCodec.encode(channel.alloc(), IcpMessage.query(q.number, 0, url)), s.icp()));
+            channel.write(
+                    new DatagramPacket(IcpCodec.encode(channel.alloc(), IcpMessage.query(q.number, 0, url)), s.icp()));
         }
         channel.flush();
     }
 
     private void answered(InetSocketAddress from, IcpMessage m) {
         boolean hit = m.opcode() == Opcode.HIT || m.opcode() == Opcode.HIT_OBJ;
-        PendingQueries.Reply<PendingQueries<InetSocketAddress>.Question> r = questions.answered(core.now(), m.requestNumber(), from, m.url(), hit);
+        PendingQueries.Reply<PendingQueries<InetSocketAddress>.Question> r =
+                questions.answered(core.now(), m.requestNumber(), from, m.url(), hit);
         switch (r.verdict()) {
             case FIRST_HIT, COUNTED, LAST, LATE -> record(byAddress.get(from)).answered(r.elapsedMs(), hit);
             default -> {
@@ -207,7 +217,8 @@
             return Opcode.ERR;
         }
         String key = query.url().substring(prefix.length());
-        RouteInput s = key.isEmpty() || key.length() > 250 || spec.icp().listener() == null ? null
+        RouteInput s = key.isEmpty() || key.length() > 250 || spec.icp().listener() == null
+                ? null
                 : g.file.keys().subject(spec.icp().listener(), key, 0, 0, false);
         Route route = s == null ? null : g.file.routes().find(s);
         String poolKey = route == null || !(route.action() instanceof Route.ToPools) ? null : route.poolKey(s);
--- a/src/main/java/cacheproxy/daemon/SocketBinder.java
+++ b/src/main/java/cacheproxy/daemon/SocketBinder.java
@@ -16,7 +16,7 @@
 
 /** Addresses that parts are bound to; not on the event loop. */
 public final class SocketBinder {
-    private SocketBinder() { }
+    private SocketBinder() {}
 
     /** Why an address can't be had, as an error of the file. */
     static String fault(DaemonConfig file, String what, InetSocketAddress at, Throwable cause) {
@@ -25,7 +25,8 @@
     }
 
     /** The channel once it is bound; else the exception. */
-    static Channel require(ChannelFuture bound, DaemonConfig file, String what, InetSocketAddress at) throws ConfigException, InterruptedException {
+    static Channel require(ChannelFuture bound, DaemonConfig file, String what, InetSocketAddress at)
+            throws ConfigException, InterruptedException {
         if (!bound.await().isSuccess()) {
             throw ConfigException.of(List.of(fault(file, what, at, bound.cause())));
         }
@@ -33,10 +34,24 @@
     }
 
     /** A socket for datagrams of at most so many bytes. */
-    public static Channel datagrams(EventLoopContext core, DaemonConfig file, String what, InetSocketAddress at, int longest, ChannelHandler handler)
+    public static Channel datagrams(
+            EventLoopContext core,
+            DaemonConfig file,
+            String what,
+            InetSocketAddress at,
+            int longest,
+            ChannelHandler handler)
             throws ConfigException, InterruptedException {
-        return require(new Bootstrap().group(core.loop()).channel(Transport.BEST.datagram())
-                .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(longest + 1)).handler(handler).bind(at), file, what, at);
+        return require(
+                new Bootstrap()
+                        .group(core.loop())
+                        .channel(Transport.BEST.datagram())
+                        .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(longest + 1))
+                        .handler(handler)
+                        .bind(at),
+                file,
+                what,
+                at);
     }
 
     /** Whether another can't be bound beside one that is bound here. */
--- a/src/main/java/cacheproxy/daemon/Subsystems.java
+++ b/src/main/java/cacheproxy/daemon/Subsystems.java
@@ -25,7 +25,11 @@
 
     /** The part of this kind; null if there is none. From any thread. */
     <T extends Subsystem> T get(Class<T> kind) {
-        return present.stream().filter(kind::isInstance).map(kind::cast).findFirst().orElse(null);
+        return present.stream()
+                .filter(kind::isInstance)
+                .map(kind::cast)
+                .findFirst()
+                .orElse(null);
     }
 
     /** What a new file would change. */
@@ -81,7 +85,10 @@
         try {
             for (int i = 0; i < openers.size(); i++) {
                 Subsystem standing = present.get(i);
-                change.next.add(standing != null && standing.fits(file) ? standing : openers.get(i).open(file, standing));
+                change.next.add(
+                        standing != null && standing.fits(file)
+                                ? standing
+                                : openers.get(i).open(file, standing));
             }
         } catch (ConfigException | InterruptedException | RuntimeException e) {
             change.drop();
--- a/src/main/java/cacheproxy/daemon/fleet/DelegatedWatches.java
+++ b/src/main/java/cacheproxy/daemon/fleet/DelegatedWatches.java
@@ -1,16 +1,15 @@
 package cacheproxy.daemon.fleet;
 
-import cacheproxy.daemon.ConfigSnapshot;
-import cacheproxy.daemon.PoolRuntime;
-
-import com.google.gson.JsonObject;
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.FleetConfig;
-import cacheproxy.fleet.lease.NameHash;
+import cacheproxy.daemon.ConfigSnapshot;
+import cacheproxy.daemon.PoolRuntime;
 import cacheproxy.discovery.DelegatedWatch;
 import cacheproxy.discovery.WatchVersionMessage;
-import cacheproxy.proxy.EventLoopContext;
+import cacheproxy.fleet.lease.NameHash;
 import cacheproxy.proxy.DiscoveryClient;
+import cacheproxy.proxy.EventLoopContext;
+import com.google.gson.JsonObject;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -20,7 +19,10 @@
 import java.util.function.Consumer;
 import java.util.function.Supplier;
 
-/** Discovery watched by one proxy of a zone for all: carries what {@link DelegatedWatch} decides, for each pool that follows a list. */
+/**
+ * Discovery watched by one proxy of a zone for all: carries what {@link DelegatedWatch} decides, for each pool that
+ * follows a list.
+ */
 final class DelegatedWatches implements FleetProtocol {
     static final byte TOPIC = 3;
 
@@ -30,6 +32,7 @@
     private final SplittableRandom random;
     /** By pool, and by the duty, whose name has the zone in it. */
     private final Map<String, DelegatedWatch> watches = new HashMap<>();
+
     private final Map<Long, DelegatedWatch> byDuty = new HashMap<>();
     private List<Long> zone = List.of();
 
@@ -57,14 +60,21 @@
         }
         byDuty.clear();
         for (String pool : wanted) {
-            DelegatedWatch.Rules rules = new DelegatedWatch.Rules(spec.watch().beatMs(), spec.watch().wordMs(), spec.watch().lazyMs(),
+            DelegatedWatch.Rules rules = new DelegatedWatch.Rules(
+                    spec.watch().beatMs(),
+                    spec.watch().wordMs(),
+                    spec.watch().lazyMs(),
                     spec.watch().gatherMs());
             String duty = spec.watchDuty(pool);
-            DelegatedWatch w = watches.computeIfAbsent(pool, p -> new DelegatedWatch(link.tenure(duty), rules, random.split(), new Out(p)));
+            DelegatedWatch w = watches.computeIfAbsent(
+                    pool, p -> new DelegatedWatch(link.tenure(duty), rules, random.split(), new Out(p)));
             w.use(rules);
             byDuty.put(NameHash.of(duty), w);
         }
-        zone = spec.names(spec.zone()).stream().map(NameHash::of).filter(id -> id != link.me()).toList();
+        zone = spec.names(spec.zone()).stream()
+                .map(NameHash::of)
+                .filter(id -> id != link.me())
+                .toList();
     }
 
     /** How closely a pool's list is to be watched now. */
--- a/src/main/java/cacheproxy/daemon/fleet/FleetHealthChecks.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetHealthChecks.java
@@ -1,17 +1,16 @@
 package cacheproxy.daemon.fleet;
 
-import cacheproxy.daemon.ConfigSnapshot;
-
-import com.google.gson.JsonObject;
-import cacheproxy.policy.PolicyApi.Outcome;
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.FleetConfig;
-import cacheproxy.fleet.lease.LeaseHandle;
-import cacheproxy.proxy.EventLoopContext;
-import cacheproxy.proxy.Dispatcher;
+import cacheproxy.daemon.ConfigSnapshot;
 import cacheproxy.fleet.healthcheck.HealthCheckCoordinator;
 import cacheproxy.fleet.healthcheck.HealthCheckMessage;
 import cacheproxy.fleet.healthcheck.HealthCheckTiming;
+import cacheproxy.fleet.lease.LeaseHandle;
+import cacheproxy.policy.PolicyApi.Outcome;
+import cacheproxy.proxy.Dispatcher;
+import cacheproxy.proxy.EventLoopContext;
+import com.google.gson.JsonObject;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
@@ -19,7 +18,10 @@
 import java.util.Set;
 import java.util.function.Supplier;
 
-/** Tests of servers that seem sick, by one proxy for all: carries what {@link HealthCheckCoordinator} decides between pools and peers. */
+/**
+ * Tests of servers that seem sick, by one proxy for all: carries what {@link HealthCheckCoordinator} decides between
+ * pools and peers.
+ */
 final class FleetHealthChecks implements FleetProtocol {
     static final byte TOPIC = 2;
     /** A request that may be a trial is waited for so long: less than the desk waits for the trial's end. */
@@ -32,10 +34,12 @@
     /** Pools that wait for word of a server. */
     private final Map<Integer, Set<Dispatcher>> waiting = new HashMap<>();
     /**
-     * Where clients' requests are the trials: servers whose next attempt from here is one, with the time by which it is to begin.
-     * What a module believes to be sick gets one request; what it believes to be sound is judged by what it gets anyway.
+     * Where clients' requests are the trials: servers whose next attempt from here is one, with the time by which it is
+     * to begin. What a module believes to be sick gets one request; what it believes to be sound is judged by what it
+     * gets anyway.
      */
     private final Map<Integer, Double> armed = new HashMap<>();
+
     private boolean requests;
     /** Null while the file has none. */
     private HealthCheckCoordinator desk;
@@ -61,7 +65,10 @@
             return;
         }
         requests = spec.probe().requests();
-        HealthCheckTiming rules = new HealthCheckTiming(Dispatcher.PROBE_TIMEOUT_MS, spec.probe().patienceMs(), spec.probe().reuseMs());
+        HealthCheckTiming rules = new HealthCheckTiming(
+                Dispatcher.PROBE_TIMEOUT_MS,
+                spec.probe().patienceMs(),
+                spec.probe().reuseMs());
         List<LeaseHandle> shares = spec.probeDuties().stream().map(link::tenure).toList();
         if (desk == null) {
             desk = new HealthCheckCoordinator(link.me(), numbers, rules, shares, new Out());
@@ -88,15 +95,20 @@
             return false;
         }
         waiting.computeIfAbsent(server, k -> new HashSet<>()).add(pool);
-        core.loop().execute(() -> { // the module is still giving its orders
-            if (desk != null) {
-                desk.wanted(core.now(), server);
-            }
-        });
+        core.loop()
+                .execute(
+                        () -> { // the module is still giving its orders
+                            if (desk != null) {
+                                desk.wanted(core.now(), server);
+                            }
+                        });
         return true;
     }
 
-    /** Whether a client's request may be the trial of a server that seemed sick; if not, word of its holder is asked for. */
+    /**
+     * Whether a client's request may be the trial of a server that seemed sick; if not, word of its holder is asked
+     * for.
+     */
     boolean mayTry(Dispatcher pool, int server) {
         if (desk == null || !requests) {
             return true;
@@ -111,7 +123,10 @@
 
     /** The end of any attempt: where one is waited for, that is the trial's. */
     void attemptEnded(Dispatcher pool, int server, Outcome outcome) {
-        if (armed.isEmpty() || outcome == Outcome.CANCELLED || outcome == Outcome.NOT_SENT || armed.remove(server) == null) {
+        if (armed.isEmpty()
+                || outcome == Outcome.CANCELLED
+                || outcome == Outcome.NOT_SENT
+                || armed.remove(server) == null) {
             return;
         }
         boolean sound = outcome == Outcome.OK || outcome == Outcome.MISS;
@@ -171,8 +186,14 @@
         @Override
         public boolean trial(int server) {
             Set<Dispatcher> asked = waiting.getOrDefault(server, Set.of());
-            Dispatcher by = asked.stream().filter(d -> d.dial(server) != null).findFirst().orElseGet(() -> generation.get().pools.values().stream()
-                    .map(p -> p.dispatcher).filter(d -> d.dial(server) != null).findFirst().orElse(null));
+            Dispatcher by = asked.stream()
+                    .filter(d -> d.dial(server) != null)
+                    .findFirst()
+                    .orElseGet(() -> generation.get().pools.values().stream()
+                            .map(p -> p.dispatcher)
+                            .filter(d -> d.dial(server) != null)
+                            .findFirst()
+                            .orElse(null));
             if (by == null) {
                 return false;
             }
@@ -180,11 +201,13 @@
                 armed.put(server, core.now() + BEGIN_MS);
                 return true;
             }
-            by.probe(server, outcome -> core.loop().execute(() -> {
-                if (desk != null) {
-                    desk.ended(core.now(), server, outcome == Outcome.OK);
-                }
-            }));
+            by.probe(
+                    server,
+                    outcome -> core.loop().execute(() -> {
+                        if (desk != null) {
+                            desk.ended(core.now(), server, outcome == Outcome.OK);
+                        }
+                    }));
             return true;
         }
 
@@ -192,7 +215,8 @@
         public void told(int server, boolean sound) {
             Set<Dispatcher> pools = waiting.remove(server);
             if (pools != null) {
-                core.loop().execute(() -> pools.forEach(p -> p.probed(server, sound))); // a module may be asking just now
+                core.loop()
+                        .execute(() -> pools.forEach(p -> p.probed(server, sound))); // a module may be asking just now
             }
         }
     }
--- a/src/main/java/cacheproxy/daemon/fleet/FleetMembership.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetMembership.java
@@ -1,15 +1,15 @@
 package cacheproxy.daemon.fleet;
 
-import com.google.gson.JsonElement;
-import com.google.gson.JsonObject;
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.FleetConfig;
 import cacheproxy.fleet.lease.NameHash;
+import cacheproxy.fleet.membership.SwimMembership;
 import cacheproxy.fleet.membership.SwimMessage;
 import cacheproxy.fleet.membership.SwimMessage.Standing;
 import cacheproxy.fleet.membership.SwimTiming;
-import cacheproxy.fleet.membership.SwimMembership;
 import cacheproxy.proxy.EventLoopContext;
+import com.google.gson.JsonElement;
+import com.google.gson.JsonObject;
 import java.util.SplittableRandom;
 
 /** Carries what {@link SwimMembership} decides between the proxies of a fleet. On the event loop only. */
@@ -22,7 +22,8 @@
 
     FleetMembership(EventLoopContext core, Link link, SplittableRandom random) {
         this.core = core;
-        members = new SwimMembership(link.me(), SwimTiming.USUAL, random, core.now(), (to, m) -> link.send(to, this, m.bytes()));
+        members = new SwimMembership(
+                link.me(), SwimTiming.USUAL, random, core.now(), (to, m) -> link.send(to, this, m.bytes()));
     }
 
     @Override
@@ -64,7 +65,11 @@
         state.addProperty("doubts_itself", members.ill());
         for (JsonElement e : state.getAsJsonArray("peers")) {
             JsonObject p = e.getAsJsonObject();
-            p.addProperty("standing", members.standing(NameHash.of(p.get("name").getAsString())).name().toLowerCase(java.util.Locale.ROOT));
+            p.addProperty(
+                    "standing",
+                    members.standing(NameHash.of(p.get("name").getAsString()))
+                            .name()
+                            .toLowerCase(java.util.Locale.ROOT));
         }
     }
 }
--- a/src/main/java/cacheproxy/daemon/fleet/FleetProtocol.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetProtocol.java
@@ -1,8 +1,8 @@
 package cacheproxy.daemon.fleet;
 
-import com.google.gson.JsonObject;
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.fleet.lease.LeaseHandle;
+import com.google.gson.JsonObject;
 
 /** What acts under the program's own duties and talks to its like at the other proxies. On the event loop only. */
 interface FleetProtocol {
--- a/src/main/java/cacheproxy/daemon/fleet/FleetQuotas.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetQuotas.java
@@ -1,19 +1,19 @@
 package cacheproxy.daemon.fleet;
 
-import com.google.gson.JsonArray;
-import com.google.gson.JsonObject;
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.FleetConfig;
 import cacheproxy.config.LimitsConfig;
 import cacheproxy.control.ControlEndpoints.Answer;
-import cacheproxy.proxy.ClientRequest;
-import cacheproxy.proxy.EventLoopContext;
-import cacheproxy.fleet.quota.OvershootBound;
-import cacheproxy.fleet.quota.QuotaSpec;
-import cacheproxy.fleet.quota.QuotaTiming;
 import cacheproxy.fleet.quota.LocalQuota;
+import cacheproxy.fleet.quota.OvershootBound;
 import cacheproxy.fleet.quota.QuotaManager;
 import cacheproxy.fleet.quota.QuotaMessage;
+import cacheproxy.fleet.quota.QuotaSpec;
+import cacheproxy.fleet.quota.QuotaTiming;
+import cacheproxy.proxy.ClientRequest;
+import cacheproxy.proxy.EventLoopContext;
+import com.google.gson.JsonArray;
+import com.google.gson.JsonObject;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.LinkedHashMap;
@@ -23,7 +23,10 @@
 import java.util.SplittableRandom;
 import java.util.function.LongPredicate;
 
-/** The fleet's limits at this proxy: carries what {@link QuotaManager} decides between requests and peers, and tells operators. On the event loop only. */
+/**
+ * The fleet's limits at this proxy: carries what {@link QuotaManager} decides between requests and peers, and tells
+ * operators. On the event loop only.
+ */
 public final class FleetQuotas implements FleetProtocol {
     static final byte TOPIC = 5;
     private static final LocalQuota[] NONE = {};
@@ -37,10 +40,12 @@
     private final double startMs;
     /** Null while the file has none. */
     private QuotaManager quota;
+
     private QuotaTiming rules;
     private int proxies;
     /** By pool, "" for what concerns all: by class and tenant. */
     private final Map<String, LocalQuota[][]> pockets = new HashMap<>();
+
     private final Map<String, String> scopes = new HashMap<>();
     private int tenants = 1;
     private boolean hurrying;
@@ -78,10 +83,13 @@
             // Other times: what was lent by the old ones is over once the longer of them is, so it begins in silence.
             double from = rules == null ? startMs : now + Math.max(0, rules.grantMs() - figures.grantMs()) * 4;
             rules = figures;
-            quota = new QuotaManager(link.me(), rules, random.split(), from, likely, (to, m) -> link.send(to, this, m.bytes()));
+            quota = new QuotaManager(
+                    link.me(), rules, random.split(), from, likely, (to, m) -> link.send(to, this, m.bytes()));
         }
         boolean changing = fleet.peers().stream().anyMatch(p -> p.joining() || p.leaving());
-        boolean owns = fleet.peers().stream().anyMatch(p -> cacheproxy.fleet.lease.NameHash.of(p.name()) == link.me() && !p.joining() && !p.leaving());
+        boolean owns = fleet.peers().stream()
+                .anyMatch(
+                        p -> cacheproxy.fleet.lease.NameHash.of(p.name()) == link.me() && !p.joining() && !p.leaving());
         proxies = fleet.peers().size();
         Map<LimitsConfig.Limit, List<String>> names = new LinkedHashMap<>();
         List<QuotaSpec> limits = new ArrayList<>();
@@ -97,8 +105,16 @@
                 scopes.put(name, l.scope());
             });
         });
-        quota.use(limits, spec.duties().stream().map(link::tenure).toList(),
-                fleet.peers().stream().map(p -> cacheproxy.fleet.lease.NameHash.of(p.name())).toList(), proxies, changing, owns, now);
+        quota.use(
+                limits,
+                spec.duties().stream().map(link::tenure).toList(),
+                fleet.peers().stream()
+                        .map(p -> cacheproxy.fleet.lease.NameHash.of(p.name()))
+                        .toList(),
+                proxies,
+                changing,
+                owns,
+                now);
         tenants = Math.max(1, file.tenants().size());
         names.forEach((l, own) -> {
             LocalQuota[][] table = pockets.computeIfAbsent(l.pool() == null ? "" : l.pool(), k -> table(file));
@@ -125,13 +141,21 @@
 
     private static QuotaSpec limit(String name, LimitsConfig.Limit l, LimitsConfig spec) {
         boolean atOnce = l.atOnce() > 0;
-        return new QuotaSpec(name, atOnce, atOnce ? l.atOnce() : l.perSecond(), atOnce ? 0 : l.burst(),
-                QuotaSpec.Alone.valueOf(l.whenAlone().toUpperCase(Locale.ROOT)), l.sharePart(), atOnce ? spec.holdMs() : 0);
+        return new QuotaSpec(
+                name,
+                atOnce,
+                atOnce ? l.atOnce() : l.perSecond(),
+                atOnce ? 0 : l.burst(),
+                QuotaSpec.Alone.valueOf(l.whenAlone().toUpperCase(Locale.ROOT)),
+                l.sharePart(),
+                atOnce ? spec.holdMs() : 0);
     }
 
     // ---- requests
 
-    /** What a request takes from; empty where no limit concerns it. @param pool "" for the limits that concern all pools */
+    /**
+     * What a request takes from; empty where no limit concerns it. @param pool "" for the limits that concern all pools
+     */
     public LocalQuota[] of(String pool, ClientRequest c) {
         LocalQuota[][] table = pockets.get(pool);
         int at = table == null ? 0 : c.serviceClass() * tenants + c.tenant();
@@ -212,7 +236,8 @@
             if (isAlone && since == null) {
                 alone.put(s.limit().name(), s.aloneSinceMs());
                 core.log("limit " + s.limit().name() + " alone: no proxy answers; this one spends "
-                        + String.format(Locale.ROOT, "%.1f", s.mine()) + (s.limit().atOnce() ? " at once" : " a second"));
+                        + String.format(Locale.ROOT, "%.1f", s.mine())
+                        + (s.limit().atOnce() ? " at once" : " a second"));
             } else if (!isAlone && since != null) {
                 alone.remove(s.limit().name());
                 core.log("limit " + s.limit().name() + " no longer alone after " + Math.round(now - since) + " ms");
--- a/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
@@ -1,28 +1,27 @@
 package cacheproxy.daemon.fleet;
 
-import cacheproxy.daemon.ConfigSnapshot;
-import cacheproxy.daemon.SocketBinder;
-import cacheproxy.daemon.Subsystem;
-
-import com.google.gson.JsonArray;
-import com.google.gson.JsonObject;
-import cacheproxy.policy.PolicyApi.Outcome;
 import cacheproxy.config.Addresses;
 import cacheproxy.config.ConfigException;
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.FleetConfig;
-import cacheproxy.control.ControlRequestHandler;
 import cacheproxy.control.ControlEndpoints.Answer;
+import cacheproxy.control.ControlRequestHandler;
+import cacheproxy.daemon.ConfigSnapshot;
+import cacheproxy.daemon.SocketBinder;
+import cacheproxy.daemon.Subsystem;
+import cacheproxy.fleet.lease.EventLoopHealth;
+import cacheproxy.fleet.lease.LeaseHandle;
 import cacheproxy.fleet.lease.LeaseManager;
-import cacheproxy.fleet.lease.VoterSet;
-import cacheproxy.fleet.lease.NameHash;
 import cacheproxy.fleet.lease.LeaseMessage;
 import cacheproxy.fleet.lease.LeaseTiming;
-import cacheproxy.fleet.lease.EventLoopHealth;
-import cacheproxy.fleet.lease.LeaseHandle;
+import cacheproxy.fleet.lease.NameHash;
+import cacheproxy.fleet.lease.VoterSet;
 import cacheproxy.fleet.peer.DatagramEnvelope;
-import cacheproxy.proxy.EventLoopContext;
+import cacheproxy.policy.PolicyApi.Outcome;
 import cacheproxy.proxy.Dispatcher;
+import cacheproxy.proxy.EventLoopContext;
+import com.google.gson.JsonArray;
+import com.google.gson.JsonObject;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -41,8 +40,9 @@
 import java.util.function.Supplier;
 
 /**
- * The socket between the proxies of a fleet, and the duties that one of them holds for all. Decisions are {@code lease}'s and
- * {@code peers}'; this carries messages, calls them in time, and answers operators. On the event loop only.
+ * The socket between the proxies of a fleet, and the duties that one of them holds for all. Decisions are
+ * {@code lease}'s and {@code peers}'; this carries messages, calls them in time, and answers operators. On the event
+ * loop only.
  */
 public final class FleetSubsystem implements Subsystem {
     private static final byte LEASES = 1;
@@ -50,12 +50,14 @@
     private static final double TICK_MS = 20;
     /** Late by so much, so often within so long, it gives back what it holds. */
     private static final double LATE_MS = 250;
+
     private static final int LATE_OFTEN = 3;
     private static final double LATE_WITHIN_MS = 5000;
     /** Names that two processes share are looked for every so many ticks. */
     private static final int LOOK_TICKS = 50;
     /** A peer that was heard so lately may be handed a duty. */
     private static final double ALIVE_MS = 2000;
+
     private static final int MOST_WATCHED = 256;
 
     private final EventLoopContext core;
@@ -86,13 +88,18 @@
     private final Set<Long> toldTwins = new HashSet<>();
 
     /** @param silentMs how much longer than for its own longest lease it gives nobody its word */
-    private FleetSubsystem(FleetConfig spec, EventLoopContext core, long seed, double silentMs, Supplier<ConfigSnapshot> generation) {
+    private FleetSubsystem(
+            FleetConfig spec, EventLoopContext core, long seed, double silentMs, Supplier<ConfigSnapshot> generation) {
         this.spec = spec;
         this.core = core;
         me = spec.me();
         double now = core.now();
         SplittableRandom random = new SplittableRandom(seed);
-        duties = new LeaseManager(me, new LeaseTiming(spec.longestLeaseMs(), LeaseTiming.DRIFT), random.split(), now + silentMs * (1 + LeaseTiming.DRIFT),
+        duties = new LeaseManager(
+                me,
+                new LeaseTiming(spec.longestLeaseMs(), LeaseTiming.DRIFT),
+                random.split(),
+                now + silentMs * (1 + LeaseTiming.DRIFT),
                 new Out());
         calls = new LeaseEndpoints(duties, core::now, NameHash.of(me));
         Link link = new Link();
@@ -102,11 +109,19 @@
         members = new FleetMembership(core, link, random.split());
         limits = new FleetQuotas(core, link, random.split(), members::likely);
         users = List.of(probes, watches, lists, members, limits);
-        envelope = new DatagramEnvelope(NameHash.of(me), (long) now, spec.keys().stream().map(k -> k.getBytes(StandardCharsets.UTF_8)).toList(), List.of());
+        envelope = new DatagramEnvelope(
+                NameHash.of(me),
+                (long) now,
+                spec.keys().stream()
+                        .map(k -> k.getBytes(StandardCharsets.UTF_8))
+                        .toList(),
+                List.of());
     }
 
     /** Binds; not on the event loop. */
-    public static Subsystem open(DaemonConfig file, Subsystem before, EventLoopContext core, long seed, Supplier<ConfigSnapshot> generation) throws ConfigException, InterruptedException {
+    public static Subsystem open(
+            DaemonConfig file, Subsystem before, EventLoopContext core, long seed, Supplier<ConfigSnapshot> generation)
+            throws ConfigException, InterruptedException {
         FleetConfig spec = file.part(FleetConfig.class);
         if (spec == null) {
             return null;
@@ -116,7 +131,11 @@
             old.channel.close().sync(); // there is no second socket at its address
         }
         // What the one before has given its word on may run for its own longest lease.
-        FleetSubsystem part = new FleetSubsystem(spec, core, seed, old == null ? 0 : Math.max(0, old.spec.longestLeaseMs() - spec.longestLeaseMs()),
+        FleetSubsystem part = new FleetSubsystem(
+                spec,
+                core,
+                seed,
+                old == null ? 0 : Math.max(0, old.spec.longestLeaseMs() - spec.longestLeaseMs()),
                 generation);
         part.listen(file);
         return part;
@@ -137,7 +156,10 @@
     @Override
     public boolean fits(DaemonConfig file) {
         FleetConfig other = file.part(FleetConfig.class);
-        return other != null && other.me().equals(me) && other.listen().equals(spec.listen()) && other.keys().equals(spec.keys())
+        return other != null
+                && other.me().equals(me)
+                && other.listen().equals(spec.listen())
+                && other.keys().equals(spec.keys())
                 && other.longestLeaseMs() == spec.longestLeaseMs();
     }
 
@@ -157,7 +179,8 @@
         stands.keySet().stream().filter(d -> !wanted.containsKey(d)).forEach(d -> duties.withdraw(d, now));
         stands = wanted;
         duties.tick(now, System.currentTimeMillis());
-        wanted.forEach((name, s) -> duties.stand(name, s.leaseMs, new VoterSet(name, spec.names(s.zone), spec.namesBefore(s.zone), s.voters), now));
+        wanted.forEach((name, s) -> duties.stand(
+                name, s.leaseMs, new VoterSet(name, spec.names(s.zone), spec.namesBefore(s.zone), s.voters), now));
         calls.use(names, wanted.keySet());
         users.forEach(u -> u.apply(file, now));
         if (dueMs == 0) {
@@ -167,23 +190,35 @@
     }
 
     /** What is stood for; @param zone null: by all peers */
-    private record Stand(double leaseMs, int voters, String zone) { }
+    private record Stand(double leaseMs, int voters, String zone) {}
 
     private static Map<String, Stand> stands(DaemonConfig file) {
         FleetConfig f = file.part(FleetConfig.class);
         Map<String, Stand> all = new LinkedHashMap<>();
         f.duties().forEach(d -> all.put(d.name(), new Stand(d.leaseMs(), d.voters(), null)));
-        f.probeDuties().forEach(d -> all.put(d, new Stand(f.probe().leaseMs(), f.probe().voters(), null)));
-        f.limits().duties().forEach(d -> all.put(d, new Stand(f.limits().leaseMs(), f.limits().voters(), null)));
+        f.probeDuties()
+                .forEach(
+                        d -> all.put(d, new Stand(f.probe().leaseMs(), f.probe().voters(), null)));
+        f.limits()
+                .duties()
+                .forEach(d ->
+                        all.put(d, new Stand(f.limits().leaseMs(), f.limits().voters(), null)));
         if (f.watch() != null && !f.names(f.zone()).isEmpty()) {
-            watched(file).forEach(p -> all.put(f.watchDuty(p), new Stand(f.watch().leaseMs(), f.watch().voters(), f.zone())));
+            watched(file)
+                    .forEach(p -> all.put(
+                            f.watchDuty(p),
+                            new Stand(f.watch().leaseMs(), f.watch().voters(), f.zone())));
         }
         return all;
     }
 
     /** Pools that follow a list; beyond the bound each proxy watches by itself. */
     static List<String> watched(DaemonConfig file) {
-        return file.pools().values().stream().filter(p -> p.discovery() != null).map(DaemonConfig.Pool::name).limit(MOST_WATCHED).toList();
+        return file.pools().values().stream()
+                .filter(p -> p.discovery() != null)
+                .map(DaemonConfig.Pool::name)
+                .limit(MOST_WATCHED)
+                .toList();
     }
 
     private void tick() {
@@ -203,7 +238,8 @@
         }
         for (long twin : ++ticks % LOOK_TICKS == 0 ? envelope.twins() : List.<Long>of()) {
             if (toldTwins.add(twin)) {
-                core.log("fleet: two processes send under the name " + names.get(twin) + "; the newer one is heard; give each a name of its own");
+                core.log("fleet: two processes send under the name " + names.get(twin)
+                        + "; the newer one is heard; give each a name of its own");
             }
         }
         dueMs = Math.max(next, now + 1);
@@ -216,8 +252,10 @@
         double now = core.now();
         for (LeaseManager.Sight s : duties.sights(now)) {
             if (s.holding()) {
-                long to = duties.order(s.duty()).stream().filter(p -> p != NameHash.of(me) && heardAt.getOrDefault(p, -ALIVE_MS) > now - ALIVE_MS)
-                        .findFirst().orElse(NameHash.NOBODY);
+                long to = duties.order(s.duty()).stream()
+                        .filter(p -> p != NameHash.of(me) && heardAt.getOrDefault(p, -ALIVE_MS) > now - ALIVE_MS)
+                        .findFirst()
+                        .orElse(NameHash.NOBODY);
                 duties.transfer(s.duty(), to, now, "this process ends");
             }
         }
@@ -315,7 +353,9 @@
     private void send(long to, byte topic, byte[] payload) {
         InetSocketAddress at = addresses.get(to);
         if (at != null && channel != null) {
-            channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(envelope.seal(to, topic, payload)), at), channel.voidPromise());
+            channel.writeAndFlush(
+                    new DatagramPacket(Unpooled.wrappedBuffer(envelope.seal(to, topic, payload)), at),
+                    channel.voidPromise());
         }
     }
 
@@ -338,12 +378,15 @@
         }
     }
 
-    /** Told at the first hundred, the first thousand and so on: peers with another key are silent, and nothing else says why. */
+    /**
+     * Told at the first hundred, the first thousand and so on: peers with another key are silent, and nothing else says
+     * why.
+     */
     private void refused(InetSocketAddress from) {
         if (++refused == tellAt) {
             tellAt *= 10;
-            core.log("fleet: " + refused + " datagrams dropped that are no peer's, the last from " + Addresses.text(from)
-                    + "; are keys and addresses the same everywhere?");
+            core.log("fleet: " + refused + " datagrams dropped that are no peer's, the last from "
+                    + Addresses.text(from) + "; are keys and addresses the same everywhere?");
         }
     }
 
@@ -355,7 +398,9 @@
             }
             byte[] datagram = ByteBufUtil.getBytes(packet.content());
             // Without keys the address is all that speaks for a sender, so it counts before anything else is believed.
-            DatagramEnvelope.Opened o = spec.keys().isEmpty() && !packet.sender().equals(addresses.get(DatagramEnvelope.claimedSender(datagram))) ? null
+            DatagramEnvelope.Opened o = spec.keys().isEmpty()
+                            && !packet.sender().equals(addresses.get(DatagramEnvelope.claimedSender(datagram)))
+                    ? null
                     : envelope.open(datagram, core.now());
             if (o == null) {
                 refused(packet.sender());
--- a/src/main/java/cacheproxy/daemon/fleet/LeaseEndpoints.java
+++ b/src/main/java/cacheproxy/daemon/fleet/LeaseEndpoints.java
@@ -1,11 +1,11 @@
 package cacheproxy.daemon.fleet;
 
-import com.google.gson.JsonArray;
-import com.google.gson.JsonObject;
-import cacheproxy.control.ControlRequestHandler;
 import cacheproxy.control.ControlEndpoints.Answer;
+import cacheproxy.control.ControlRequestHandler;
 import cacheproxy.fleet.lease.LeaseManager;
 import cacheproxy.fleet.lease.NameHash;
+import com.google.gson.JsonArray;
+import com.google.gson.JsonObject;
 import io.netty.handler.codec.http.QueryStringDecoder;
 import java.util.List;
 import java.util.Map;
@@ -39,7 +39,8 @@
         boolean transfer = path.length == 3 && path[2].equals("transfer");
         String needed = transfer ? "POST" : "GET";
         if (path.length > 2 && !transfer) {
-            return new Answer(404, "the calls are GET /duties, GET /duties/NAME and POST /duties/NAME/transfer?to=PEER");
+            return new Answer(
+                    404, "the calls are GET /duties, GET /duties/NAME and POST /duties/NAME/transfer?to=PEER");
         }
         if (!method.equals(needed)) {
             return new Answer(405, "use " + needed + " " + query.path(), needed);
@@ -57,7 +58,8 @@
             if (!names.containsKey(id) || id == me) {
                 return new Answer(400, "say to=PEER, the name of another proxy");
             }
-            return duties.transfer(path[1], id, now, "handed to " + names.get(id)) ? new Answer(200, "handing it to " + names.get(id))
+            return duties.transfer(path[1], id, now, "handed to " + names.get(id))
+                    ? new Answer(200, "handing it to " + names.get(id))
                     : new Answer(409, "not held here");
         }
         long epoch = duties.permit(path[1], now, 0);
--- a/src/main/java/cacheproxy/daemon/fleet/PeerListMonitor.java
+++ b/src/main/java/cacheproxy/daemon/fleet/PeerListMonitor.java
@@ -1,15 +1,14 @@
 package cacheproxy.daemon.fleet;
 
-import cacheproxy.daemon.ConfigSnapshot;
-
-import com.google.gson.JsonObject;
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.FleetConfig;
+import cacheproxy.daemon.ConfigSnapshot;
 import cacheproxy.fleet.lease.NameHash;
 import cacheproxy.fleet.lease.ServerReachability;
 import cacheproxy.fleet.peer.PeerListTransition;
 import cacheproxy.fleet.peer.PeerListTransition.Standing;
 import cacheproxy.proxy.EventLoopContext;
+import com.google.gson.JsonObject;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashSet;
@@ -20,14 +19,16 @@
 import java.util.function.Supplier;
 
 /**
- * Tells the others, one of them a second, by which list of peers this process goes and whether it reaches servers; tells operators of those that
- * go by another list. A process that reaches none where others do is not able to hold duties.
+ * Tells the others, one of them a second, by which list of peers this process goes and whether it reaches servers;
+ * tells operators of those that go by another list. A process that reaches none where others do is not able to hold
+ * duties.
  */
 final class PeerListMonitor implements FleetProtocol {
     static final byte TOPIC = 4;
     private static final double EVERY_MS = 1000;
     /** Without a sound server for so long it reaches none; another's word that it does counts for so long. */
     private static final double OUT_MS = 3000;
+
     private static final double WORD_MS = 10_000;
     /** While a file is being taken up by all, they differ for some time. */
     private static final double TELL_AFTER_MS = 10_000;
@@ -81,7 +82,8 @@
             differsSince.remove(from);
             told.remove(from);
         } else if (now - differsSince.computeIfAbsent(from, k -> now) > TELL_AFTER_MS && told.add(from)) {
-            core.log("fleet: " + names.get(from) + " goes by another list of peers, more than one step from this one's; duties may have two holders. "
+            core.log("fleet: " + names.get(from)
+                    + " goes by another list of peers, more than one step from this one's; duties may have two holders. "
                     + "Give all the same [[fleet.peer]]");
         }
     }
@@ -112,7 +114,12 @@
     @Override
     public void tell(JsonObject state) {
         JsonObject o = new JsonObject();
-        others.forEach(p -> o.addProperty(names.get(p), steps.of(p, core.now()).name().toLowerCase(java.util.Locale.ROOT).replace('_', ' ')));
+        others.forEach(p -> o.addProperty(
+                names.get(p),
+                steps.of(p, core.now())
+                        .name()
+                        .toLowerCase(java.util.Locale.ROOT)
+                        .replace('_', ' ')));
         state.add("lists", o);
     }
 }
--- a/src/main/java/cacheproxy/daemon/hooks/HookExecutor.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookExecutor.java
@@ -15,12 +15,14 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 /**
- * A hook at work: its own thread with an instance of its module, and a queue of bounded length, so that no hook waits for
- * another and none for the event loop. A call that is not done in time is answered as failed whatever it still does.
+ * A hook at work: its own thread with an instance of its module, and a queue of bounded length, so that no hook waits
+ * for another and none for the event loop. A call that is not done in time is answered as failed whatever it still
+ * does.
  */
 public final class HookExecutor {
     /** Deep enough for any honest hook; a module that recurses without end runs into it. */
     private static final long STACK_BYTES = 512 << 10;
+
     private static final long START_SECONDS = 10;
 
     public final HookConfig.Hook spec;
@@ -32,7 +34,10 @@
     private volatile boolean stopping;
     private HookInstance instance;
 
-    /** Where a call's end goes, once: on the hook's thread where it has come to one, on the event loop where its time was over. */
+    /**
+     * Where a call's end goes, once: on the hook's thread where it has come to one, on the event loop where its time
+     * was over.
+     */
     interface Ended {
         /** Orders, or why there are none; {@code run} tells whether the hook was called at all. */
         void ended(HookOrders orders, String failure, boolean run);
@@ -46,6 +51,7 @@
         private final AtomicReference<String> state = new AtomicReference<>("waits");
         /** Null for a request. */
         private final HookCall.Answer answer;
+
         private final long elapsedMs;
 
         private Task(HookCall call, double untilMs, Ended ended, HookCall.Answer answer, long elapsedMs) {
@@ -66,7 +72,9 @@
                 }
             }
             if (!was.equals("over")) {
-                ended.ended(null, was.equals("runs") ? "it took longer than it may" : "it waited too long for its turn",
+                ended.ended(
+                        null,
+                        was.equals("runs") ? "it took longer than it may" : "it waited too long for its turn",
                         was.equals("runs"));
             }
         }
@@ -93,21 +101,28 @@
         worker.setDaemon(true);
     }
 
-    /** Loads and starts a hook; not on the event loop. {@code on_load} has a thread of its own that is not waited for long. */
+    /**
+     * Loads and starts a hook; not on the event loop. {@code on_load} has a thread of its own that is not waited for
+     * long.
+     */
     static HookExecutor start(HookConfig.Hook spec, byte[] bytes) throws HookException {
         HookModule module = HookModule.load(bytes, spec.limits(), spec.config());
         HookInstance[] first = new HookInstance[1];
         HookException[] failed = new HookException[1];
         CountDownLatch done = new CountDownLatch(1);
-        Thread starter = new Thread(null, () -> {
-            try {
-                first[0] = new HookInstance(module, System::currentTimeMillis);
-            } catch (HookException e) {
-                failed[0] = e;
-            } finally {
-                done.countDown();
-            }
-        }, "hook " + spec.name() + " starts", STACK_BYTES);
+        Thread starter = new Thread(
+                null,
+                () -> {
+                    try {
+                        first[0] = new HookInstance(module, System::currentTimeMillis);
+                    } catch (HookException e) {
+                        failed[0] = e;
+                    } finally {
+                        done.countDown();
+                    }
+                },
+                "hook " + spec.name() + " starts",
+                STACK_BYTES);
         starter.setDaemon(true);
         starter.start();
         try {
@@ -136,7 +151,7 @@
 
     /** Tells the module of an answer, if it asks for that and there is room; nothing waits for it. */
     void answered(HookCall call, HookCall.Answer answer, long elapsedMs) {
-        queue.offer(new Task(call, 0, (o, f, r) -> { }, answer, elapsedMs));
+        queue.offer(new Task(call, 0, (o, f, r) -> {}, answer, elapsedMs));
     }
 
     /** Whether the module is to be told of answers. */
@@ -191,7 +206,7 @@
         return String.valueOf(e.getMessage()).lines().findFirst().orElse("");
     }
 
-    private volatile java.util.function.Consumer<String> log = line -> { };
+    private volatile java.util.function.Consumer<String> log = line -> {};
 
     void log(EventLoopContext core) {
         log = line -> {
--- a/src/main/java/cacheproxy/daemon/hooks/HookSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookSubsystem.java
@@ -1,10 +1,9 @@
 package cacheproxy.daemon.hooks;
 
-import cacheproxy.daemon.Subsystem;
-
 import cacheproxy.config.ConfigException;
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.HookConfig;
+import cacheproxy.daemon.Subsystem;
 import cacheproxy.proxy.EventLoopContext;
 import java.util.List;
 
@@ -42,7 +41,10 @@
         });
     }
 
-    /** Requests that came under their file may still be at them, so the {@link ConfigSnapshot} ends those that were used. */
+    /**
+     * Requests that came under their file may still be at them, so the {@link ConfigSnapshot} ends those that were
+     * used.
+     */
     @Override
     public void close() {
         if (!used) {
--- a/src/main/java/cacheproxy/daemon/hooks/HookedRequest.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookedRequest.java
@@ -3,10 +3,9 @@
 import cacheproxy.daemon.ConfigSnapshot;
 import cacheproxy.daemon.ResponseObserver;
 import cacheproxy.daemon.Router;
-
-import cacheproxy.policy.PolicyApi.ServiceClass;
 import cacheproxy.hooks.HookCall;
 import cacheproxy.hooks.HookOrders;
+import cacheproxy.policy.PolicyApi.ServiceClass;
 import cacheproxy.proxy.ClientRequest;
 import cacheproxy.proxy.EventLoopContext;
 import cacheproxy.proxy.RequestHandler;
@@ -19,12 +18,12 @@
 import java.util.Map;
 
 /**
- * A request that hooks look at before it is routed, one after another. Whatever they do, it goes on or is refused in time:
- * a hook has its own time and at most half of what the client still waits.
+ * A request that hooks look at before it is routed, one after another. Whatever they do, it goes on or is refused in
+ * time: a hook has its own time and at most half of what the client still waits.
  *
- * <p>One hook's thread hands it straight on to the next one's, as each turn of the event loop in between would be taken from
- * other requests. It is in one hand at a time: the loop's at first, then that of the task which is out, whose end is told
- * once, by the hook's thread or, when its time is over, by the loop. Answers and routing are the loop's again.
+ * <p>One hook's thread hands it straight on to the next one's, as each turn of the event loop in between would be taken
+ * from other requests. It is in one hand at a time: the loop's at first, then that of the task which is out, whose end
+ * is told once, by the hook's thread or, when its time is over, by the loop. Answers and routing are the loop's again.
  */
 public final class HookedRequest implements RequestHandler.Handle {
     /** What a hook may take of the time that is left. */
@@ -41,30 +40,41 @@
     private final int sentClass;
     /** What each of those that want to be told of the answer was asked. */
     private final Map<HookExecutor, HookCall> asked = new IdentityHashMap<>(2);
+
     private ClientRequest command;
     private Route named;
     private int at;
     /** The call that is out; its time is watched by the loop. */
     private volatile HookExecutor.Task out;
+
     private TimerWheel.Timer watch;
     private volatile boolean gone;
     private RequestHandler.Handle routed;
 
-    public HookedRequest(EventLoopContext core, Router router, ConfigSnapshot generation, List<HookExecutor> hooks, String listener,
-            ClientRequest command, Responder responder) {
+    public HookedRequest(
+            EventLoopContext core,
+            Router router,
+            ConfigSnapshot generation,
+            List<HookExecutor> hooks,
+            String listener,
+            ClientRequest command,
+            Responder responder) {
         this.core = core;
         this.router = router;
         this.generation = generation;
         this.hooks = hooks;
         this.listener = listener;
         this.command = command;
-        this.responder = hooks.stream().anyMatch(HookExecutor::wantsAnswers) ? new ResponseObserver(responder, this::answered) : responder;
+        this.responder = hooks.stream().anyMatch(HookExecutor::wantsAnswers)
+                ? new ResponseObserver(responder, this::answered)
+                : responder;
         sentClass = command.serviceClass();
         generation.inHand++;
     }
 
     public RequestHandler.Handle start() {
-        double shortest = hooks.stream().mapToDouble(h -> h.spec.limits().timeMs()).min().orElse(0);
+        double shortest =
+                hooks.stream().mapToDouble(h -> h.spec.limits().timeMs()).min().orElse(0);
         watch(Math.min(shortest, (command.dueMs() - core.now()) * PART));
         next();
         return this;
@@ -115,13 +125,17 @@
                 continue;
             }
             ServiceClass kind = generation.file.classes().get(command.serviceClass());
-            String tenant = generation.file.tenants().isEmpty() ? ""
+            String tenant = generation.file.tenants().isEmpty()
+                    ? ""
                     : generation.file.tenants().get(command.tenant()).name();
-            HookCall call = new HookCall(command.key(), kind.name(), tenant, command.write(), command.repeat(), (long) left);
+            HookCall call =
+                    new HookCall(command.key(), kind.name(), tenant, command.write(), command.repeat(), (long) left);
             if (hook.wantsAnswers()) {
                 asked.put(hook, call);
             }
-            HookExecutor.Task task = hook.task(call, now + Math.min(hook.spec.limits().timeMs(), left * PART),
+            HookExecutor.Task task = hook.task(
+                    call,
+                    now + Math.min(hook.spec.limits().timeMs(), left * PART),
                     (orders, failure, run) -> ended(hook, orders, failure, run));
             out = task;
             if (task.offer()) {
@@ -148,9 +162,13 @@
 
     /** Whether the request would go on one of the hook's routes as it is now. */
     private boolean applies(HookExecutor hook) {
-        RouteInput s = generation.file.keys().subject(listener, command.key(), command.serviceClass(), command.tenant(),
-                command.write());
-        Route r = named != null ? named : s == null ? null : generation.file.routes().find(s);
+        RouteInput s = generation
+                .file
+                .keys()
+                .subject(listener, command.key(), command.serviceClass(), command.tenant(), command.write());
+        Route r = named != null
+                ? named
+                : s == null ? null : generation.file.routes().find(s);
         return r != null && hook.spec.routes().contains(r.name());
     }
 
@@ -170,8 +188,8 @@
 
     private void note(HookExecutor hook, double now, boolean failure, String why) {
         if (hook.breaker.ended(now, failure)) {
-            onLoop(() -> core.log("hook " + hook.spec.name() + " is switched off for " + Math.round(hook.spec.breakerOffMs())
-                    + " ms, as too many calls fail; the last: " + why));
+            onLoop(() -> core.log("hook " + hook.spec.name() + " is switched off for "
+                    + Math.round(hook.spec.breakerOffMs()) + " ms, as too many calls fail; the last: " + why));
         }
     }
 
@@ -204,7 +222,10 @@
         if (orders.key() != null && !orders.key().equals(command.key())) {
             command = command.moved(orders.key());
         }
-        command.order(orders.serviceClass() == null ? command.serviceClass() : generation.rules.classIndex(orders.serviceClass()),
+        command.order(
+                orders.serviceClass() == null
+                        ? command.serviceClass()
+                        : generation.rules.classIndex(orders.serviceClass()),
                 orders.tenant() == null ? command.tenant() : generation.rules.tenantIndex(orders.tenant()),
                 orders.remainingMs() > 0 ? now + orders.remainingMs() : command.dueMs());
         named = orders.route() == null ? named : generation.route(orders.route());
--- a/src/main/java/cacheproxy/daemon/hooks/Hooks.java
+++ b/src/main/java/cacheproxy/daemon/hooks/Hooks.java
@@ -15,7 +15,7 @@
 public final class Hooks {
     private static final long MAX_BYTES = 4 << 20;
 
-    private Hooks() { }
+    private Hooks() {}
 
     /** Not on the event loop: reads files and compiles. */
     static List<HookExecutor> load(DaemonConfig file) throws ConfigException {
@@ -52,7 +52,8 @@
             throw new HookException(h.module() + " can't be read");
         }
         if (h.sha256() != null && !h.sha256().equals(HookModule.digest(bytes))) {
-            throw new HookException(h.module() + " has the SHA-256 " + HookModule.digest(bytes) + ", not that of the file");
+            throw new HookException(
+                    h.module() + " has the SHA-256 " + HookModule.digest(bytes) + ", not that of the file");
         }
         return bytes;
     }
--- a/src/main/java/cacheproxy/daemon/snapshot/SnapshotSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/snapshot/SnapshotSubsystem.java
@@ -1,19 +1,18 @@
 package cacheproxy.daemon.snapshot;
 
-import cacheproxy.daemon.PoolRuntime;
-import cacheproxy.daemon.PoolSettings;
-import cacheproxy.daemon.Subsystem;
-
 import cacheproxy.config.Addresses;
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.SnapshotConfig;
-import cacheproxy.snapshot.state.StateSnapshot;
+import cacheproxy.daemon.PoolRuntime;
+import cacheproxy.daemon.PoolSettings;
+import cacheproxy.daemon.Subsystem;
 import cacheproxy.limits.ServerStartTimes;
-import cacheproxy.snapshot.SnapshotStore;
-import cacheproxy.snapshot.SnapshotWriter;
-import cacheproxy.proxy.EventLoopContext;
 import cacheproxy.proxy.DiscoveryClient;
 import cacheproxy.proxy.Dispatcher;
+import cacheproxy.proxy.EventLoopContext;
+import cacheproxy.snapshot.SnapshotStore;
+import cacheproxy.snapshot.SnapshotWriter;
+import cacheproxy.snapshot.state.StateSnapshot;
 import java.io.IOException;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -25,8 +24,8 @@
 import java.util.function.IntFunction;
 
 /**
- * Keeps what the modules learn in a file, where one is configured, and gives it to modules that start. Reading is done before the daemon
- * begins, writing on a thread of its own; the event loop only puts together what is to be written.
+ * Keeps what the modules learn in a file, where one is configured, and gives it to modules that start. Reading is done
+ * before the daemon begins, writing on a thread of its own; the event loop only puts together what is to be written.
  */
 public final class SnapshotSubsystem implements Subsystem {
     /** What a last write may take at the end of the process; the clients have had their answers by then. */
@@ -39,15 +38,18 @@
     private final IntFunction<StateSnapshot> snapshot;
     /** Null where nothing is written. */
     private volatile SnapshotWriter writer;
+
     private SnapshotStore files;
     private volatile boolean ended;
     /** Null: nothing is remembered. */
     private StateSnapshot remembered;
+
     private double trust = 1;
     private final DaemonConfig file;
     private Future<?> ticks;
 
-    private SnapshotSubsystem(DaemonConfig file, EventLoopContext core, IntFunction<StateSnapshot> snapshot, SnapshotStore files) {
+    private SnapshotSubsystem(
+            DaemonConfig file, EventLoopContext core, IntFunction<StateSnapshot> snapshot, SnapshotStore files) {
         spec = file.part(SnapshotConfig.class);
         this.file = file;
         this.core = core;
@@ -65,7 +67,10 @@
     }
 
     private void write() {
-        writer = files == null ? null : new SnapshotWriter(files, spec.bytesPerSecond(), line -> core.loop().execute(() -> core.log(line)));
+        writer = files == null
+                ? null
+                : new SnapshotWriter(
+                        files, spec.bytesPerSecond(), line -> core.loop().execute(() -> core.log(line)));
     }
 
     /**
@@ -74,7 +79,12 @@
      * @param snapshot what is to be remembered, with at most so many hot keys a pool; called on the event loop
      * @param sibling whose memory counts where there is none of one's own; null: nobody's
      */
-    public static Subsystem open(DaemonConfig file, Subsystem before, EventLoopContext core, IntFunction<StateSnapshot> snapshot, Path sibling) {
+    public static Subsystem open(
+            DaemonConfig file,
+            Subsystem before,
+            EventLoopContext core,
+            IntFunction<StateSnapshot> snapshot,
+            Path sibling) {
         SnapshotConfig spec = file.part(SnapshotConfig.class);
         if (spec == null && sibling == null) {
             return null;
@@ -137,7 +147,9 @@
     }
 
     private void use(StateSnapshot content, boolean another, String path) {
-        String unfit = content == null ? null : content.unfit(file.site().name(), file.site().me(), core.now(), another);
+        String unfit = content == null
+                ? null
+                : content.unfit(file.site().name(), file.site().me(), core.now(), another);
         if (unfit != null) {
             core.log("memory: " + path + " is not used: " + unfit);
         } else if (content != null) {
@@ -154,18 +166,26 @@
     }
 
     /** What the module of a pool that is replaced hands to the one that takes its place. */
-    public static Dispatcher.Recollections handOver(DaemonConfig of, DaemonConfig.Pool pool, PoolRuntime from, double now) {
-        StateSnapshot r = new StateSnapshot(of.site().name(), of.site().me(), now, 0,
-                Map.of(pool.name(), from.learned(Integer.MAX_VALUE)), List.of());
+    public static Dispatcher.Recollections handOver(
+            DaemonConfig of, DaemonConfig.Pool pool, PoolRuntime from, double now) {
+        StateSnapshot r = new StateSnapshot(
+                of.site().name(),
+                of.site().me(),
+                now,
+                0,
+                Map.of(pool.name(), from.learned(Integer.MAX_VALUE)),
+                List.of());
         return from(r, 1, of, pool);
     }
 
-    private static Dispatcher.Recollections from(StateSnapshot r, double trust, DaemonConfig of, DaemonConfig.Pool pool) {
+    private static Dispatcher.Recollections from(
+            StateSnapshot r, double trust, DaemonConfig of, DaemonConfig.Pool pool) {
         String keyScheme = PoolSettings.keyScheme(of, pool);
         return (now, servers) -> {
             List<StateSnapshot.Present> present = new ArrayList<>();
             for (DiscoveryClient.Host h : servers) {
-                present.add(new StateSnapshot.Present(h.member().id(), Addresses.text(h.dial()), h.member().bornMs()));
+                present.add(new StateSnapshot.Present(
+                        h.member().id(), Addresses.text(h.dial()), h.member().bornMs()));
             }
             return r.left(pool.name(), keyScheme, now, trust, present);
         };
@@ -182,7 +202,9 @@
     public static Map<Integer, String> addresses(DaemonConfig file) {
         Map<Integer, String> addresses = new HashMap<>();
         for (DaemonConfig.Pool p : file.pools().values()) {
-            PoolSettings.all(p).stream().filter(s -> s.dial() != null).forEach(s -> addresses.put(s.id(), Addresses.text(s.dial())));
+            PoolSettings.all(p).stream()
+                    .filter(s -> s.dial() != null)
+                    .forEach(s -> addresses.put(s.id(), Addresses.text(s.dial())));
         }
         return addresses;
     }
@@ -191,8 +213,12 @@
     @Override
     public void apply(DaemonConfig other) {
         if (writer != null && ticks == null) {
-            ticks = core.loop().scheduleWithFixedDelay(this::offer, Math.round(spec.periodMs()),
-                    Math.round(spec.periodMs()), TimeUnit.MILLISECONDS);
+            ticks = core.loop()
+                    .scheduleWithFixedDelay(
+                            this::offer,
+                            Math.round(spec.periodMs()),
+                            Math.round(spec.periodMs()),
+                            TimeUnit.MILLISECONDS);
         }
     }
 
@@ -212,7 +238,10 @@
     public void finish() {
         if (writer != null && ticks != null) {
             ticks.cancel(false);
-            StateSnapshot last = core.loop().submit(() -> snapshot.apply(spec.keys())).syncUninterruptibly().getNow();
+            StateSnapshot last = core.loop()
+                    .submit(() -> snapshot.apply(spec.keys()))
+                    .syncUninterruptibly()
+                    .getNow();
             try {
                 writer.finish(last, FINISH_MS);
             } catch (InterruptedException e) {
--- a/src/main/java/cacheproxy/discovery/DelegatedWatch.java
+++ b/src/main/java/cacheproxy/discovery/DelegatedWatch.java
@@ -5,14 +5,14 @@
 import java.util.SplittableRandom;
 
 /**
- * How closely a proxy watches discovery's list where one of its zone does so for all, by a duty: the holder keeps a call out at all times
- * and tells the version that it has, with every beat and at once when it changes; the others call only when they hear of a later one,
- * and rarely besides. What the list says only discovery tells. Where word stops, each watches closely again. Free of I/O and
- * clocks.
+ * How closely a proxy watches discovery's list where one of its zone does so for all, by a duty: the holder keeps a
+ * call out at all times and tells the version that it has, with every beat and at once when it changes; the others call
+ * only when they hear of a later one, and rarely besides. What the list says only discovery tells. Where word stops,
+ * each watches closely again. Free of I/O and clocks.
  *
- * <p>How much older than discovery's a list can be, beyond the time of a call: while word comes, the gathering time; after a lost word, a
- * beat more; after the holder's end, one and a half times the word's time; where the holder's own watch has fallen silent, or word
- * came late by a link's delay, the time between two rare calls.
+ * <p>How much older than discovery's a list can be, beyond the time of a call: while word comes, the gathering time;
+ * after a lost word, a beat more; after the holder's end, one and a half times the word's time; where the holder's own
+ * watch has fallen silent, or word came late by a link's delay, the time between two rare calls.
  */
 public final class DelegatedWatch {
     /**
@@ -26,7 +26,8 @@
     public record Rules(double beatMs, double wordMs, double lazyMs, double gatherMs) {
         public Rules {
             if (!(beatMs > 0) || !(wordMs > beatMs) || !(lazyMs >= wordMs) || !(gatherMs >= 0)) {
-                throw new IllegalArgumentException("beat " + beatMs + ", word " + wordMs + ", lazy " + lazyMs + ", gather " + gatherMs);
+                throw new IllegalArgumentException(
+                        "beat " + beatMs + ", word " + wordMs + ", lazy " + lazyMs + ", gather " + gatherMs);
             }
         }
     }
@@ -162,7 +163,8 @@
             askAtMs = lazily(now);
             out.ask();
         }
-        return Math.min(Math.min(askAtMs, wordUntilMs > now ? wordUntilMs : Double.POSITIVE_INFINITY),
+        return Math.min(
+                Math.min(askAtMs, wordUntilMs > now ? wordUntilMs : Double.POSITIVE_INFINITY),
                 nextBeatMs > now ? nextBeatMs : Double.POSITIVE_INFINITY);
     }
 }
--- a/src/main/java/cacheproxy/discovery/SilentWatchDetector.java
+++ b/src/main/java/cacheproxy/discovery/SilentWatchDetector.java
@@ -7,15 +7,18 @@
 import java.util.Set;
 
 /**
- * Whether the list of servers that a proxy holds may be old, though nothing says so. A watch is an open question: one that
- * has fallen silent looks like one with nothing to tell, until its longest wait is over, and by then a release may have
- * replaced half the fleet. Two things tell them apart:
+ * Whether the list of servers that a proxy holds may be old, though nothing says so. A watch is an open question: one
+ * that has fallen silent looks like one with nothing to tell, until its longest wait is over, and by then a release may
+ * have replaced half the fleet. Two things tell them apart:
  *
- * <ul><li>Servers that are ready on the list and refuse connections. Discovery sees within its notice that a process has
- * ended; where it says nothing for longer, it is not heard. Many at once are hardly chance, and are not waited for that
- * long. Each call that brought no change of theirs doubles the wait for the next, as a server may stay down and listed.
- * <li>Another proxy that has a later version ({@link VersionGossip}). Each call that does not bring it doubles the wait, and after
- * {@link #MOST_CALLS} it is taken for false: then no version is believed for a while, so that a false one costs few calls.
+ * <ul>
+ *   <li>Servers that are ready on the list and refuse connections. Discovery sees within its notice that a process has
+ *       ended; where it says nothing for longer, it is not heard. Many at once are hardly chance, and are not waited
+ *       for that long. Each call that brought no change of theirs doubles the wait for the next, as a server may stay
+ *       down and listed.
+ *   <li>Another proxy that has a later version ({@link VersionGossip}). Each call that does not bring it doubles the
+ *       wait, and after {@link #MOST_CALLS} it is taken for false: then no version is believed for a while, so that a
+ *       false one costs few calls.
  * </ul>
  *
  * <p>Proxies doubt together, and discovery has room for few calls: each adds a delay by its number among them.
@@ -27,9 +30,11 @@
     static final int MOST_CALLS = 4;
     /** How often a wait is doubled at most, and for how many notices no version is believed after a false one. */
     private static final int MOST_DOUBLINGS = 4;
+
     private static final int LEAST_MANY = 3;
     /** One in so many of the ready servers counts as many. */
     private static final int MANY_OF = 10;
+
     private static final double NEVER = Double.POSITIVE_INFINITY;
 
     private final double noticeMs;
@@ -38,11 +43,13 @@
     private final Set<Integer> ready = new HashSet<>();
     /** Ready servers that have refused a connection since the last news, and none has come up to since. */
     private final Set<Integer> refusing = new HashSet<>();
+
     private double firstAt = NEVER;
     private double manyAt = NEVER;
     private int doublings;
     /** Since when another proxy is known to have a later version, which, and the calls for it. */
     private double behindAt = NEVER;
+
     private long claimed = Long.MIN_VALUE;
     private int calls;
     private double deafUntil = Double.NEGATIVE_INFINITY;
@@ -124,7 +131,10 @@
         calls = 0;
     }
 
-    /** When to ask anew, if nothing is told until then; infinite: no need is seen. It may move either way with each call here. */
+    /**
+     * When to ask anew, if nothing is told until then; infinite: no need is seen. It may move either way with each call
+     * here.
+     */
     public double dueAt() {
         double refusals = Math.min(firstAt + noticeMs * (1 << doublings), manyAt + quickMs * (1 << doublings));
         return Math.min(refusals, behindAt + quickMs * (1 << calls)) + delayMs;
--- a/src/main/java/cacheproxy/discovery/VersionGossip.java
+++ b/src/main/java/cacheproxy/discovery/VersionGossip.java
@@ -3,22 +3,24 @@
 import java.nio.ByteBuffer;
 
 /**
- * What proxies tell one another of discovery's list: the version they have, no more. Whoever hears of a later one than its
- * own knows that there is something to ask for; what it says only discovery tells. So a message that is lost, late, doubled
- * or forged costs a few calls at most ({@link SilentWatchDetector}).
+ * What proxies tell one another of discovery's list: the version they have, no more. Whoever hears of a later one than
+ * its own knows that there is something to ask for; what it says only discovery tells. So a message that is lost, late,
+ * doubled or forged costs a few calls at most ({@link SilentWatchDetector}).
  *
- * <p>All hear of a change within a second or two. Each waits for a moment of its own, and who has heard the same version from
- * two others by then, before or after it was told itself, says nothing: a change takes few messages, however many proxies
- * there are, and of two messages one may be lost.
+ * <p>All hear of a change within a second or two. Each waits for a moment of its own, and who has heard the same
+ * version from two others by then, before or after it was told itself, says nothing: a change takes few messages,
+ * however many proxies there are, and of two messages one may be lost.
  */
 public final class VersionGossip {
     /** Bytes: a mark, and the version. */
     static final int LENGTH = 9;
+
     private static final byte MARK = 'V';
 
     private boolean owed;
     /** The latest version that others have told, the first who did, and whether another did. */
     private long heard = Long.MIN_VALUE;
+
     private int first;
     private boolean enough;
 
--- a/src/main/java/cacheproxy/eventlog/EventLog.java
+++ b/src/main/java/cacheproxy/eventlog/EventLog.java
@@ -8,10 +8,10 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * A log of single events, one line each: {@code event t=SECONDS id=REQUEST name=value ...}. It is off until {@link #enable} and may be
- * switched at run time, from any thread. Lines are written by a thread of the log's own, so that a slow disk or a full pipe holds up no
- * event loop; a bounded number waits for it, and a bounded number of bytes is written each time the log is enabled. What is beyond either
- * bound is dropped and counted.
+ * A log of single events, one line each: {@code event t=SECONDS id=REQUEST name=value ...}. It is off until
+ * {@link #enable} and may be switched at run time, from any thread. Lines are written by a thread of the log's own, so
+ * that a slow disk or a full pipe holds up no event loop; a bounded number waits for it, and a bounded number of bytes
+ * is written each time the log is enabled. What is beyond either bound is dropped and counted.
  */
 public final class EventLog implements AutoCloseable {
     /** The environment variable that enables the log from the start, with the value {@link #ENABLED}. */
@@ -22,6 +22,7 @@
     public static final long MAX_BYTES = 32L << 20;
     /** Lines that wait to be written. */
     public static final int MAX_QUEUED_LINES = 4096;
+
     private static final int MAX_LINE = 500;
     private static final long CLOSE_TIMEOUT_MS = 200;
 
@@ -33,6 +34,7 @@
     private final Condition changed = lock.newCondition();
     /** The rest is guarded by the lock. */
     private final ArrayDeque<String> queue = new ArrayDeque<>();
+
     private long bytesLeft;
     private long dropped;
     private Thread writer;
@@ -117,7 +119,11 @@
 
         private Line(ProxyEvent event) {
             long ms = Math.round(clockMs.getAsDouble());
-            text.append(event.label()).append(" t=").append(ms / 1000).append('.').append(Long.toString(1000 + ms % 1000), 1, 4);
+            text.append(event.label())
+                    .append(" t=")
+                    .append(ms / 1000)
+                    .append('.')
+                    .append(Long.toString(1000 + ms % 1000), 1, 4);
         }
 
         /** Adds a field. Spaces and control characters in the value are replaced, so that fields can be told apart. */
--- a/src/main/java/cacheproxy/fakes/Demo.java
+++ b/src/main/java/cacheproxy/fakes/Demo.java
@@ -11,23 +11,59 @@
     public static final int NODES = 8;
     /** A stalled node stands still for so long, in milliseconds. */
     public static final double STALL_MS = 150;
+
     private static final int KEYS = 2000;
 
-    private Demo() { }
+    private Demo() {}
 
     /** A daemon's file for this fleet, on an ephemeral port; every kind of request of the README is in it. */
     public static String file(FakeFleet fleet) {
-        return String.join("\n", "[site]", "name = \"demo\"", "warm_up_ms = 2000", "",
-                "[[class]]", "name = \"page\"", "effect = \"safe\"", "aim_ms = 250", "deadline_ms = 1000", "",
-                "[[class]]", "name = \"publish\"", "effect = \"keyed\"", "window_ms = 1500", "aim_ms = 500",
-                "deadline_ms = 1000", "worth = 10", "",
-                "[[class]]", "name = \"submit\"", "effect = \"unsafe\"", "aim_ms = 250", "deadline_ms = 600",
-                "worth = 5", "",
-                "[[listen]]", "name = \"main\"", "address = \"127.0.0.1:0\"", "open = true", "class = \"page\"",
-                "write_class = \"submit\"", "",
-                "[[pool]]", "name = \"pages\"", "[pool.discovery]", "address = \"" + fleet.discovery.dial() + "\"",
-                "zones = [\"here\"]", "kinds = [\"node\", \"origin\"]", "origin_kind = \"origin\"", "",
-                "[[route]]", "name = \"all\"", "pools = [\"pages\"]", "");
+        return String.join(
+                "\n",
+                "[site]",
+                "name = \"demo\"",
+                "warm_up_ms = 2000",
+                "",
+                "[[class]]",
+                "name = \"page\"",
+                "effect = \"safe\"",
+                "aim_ms = 250",
+                "deadline_ms = 1000",
+                "",
+                "[[class]]",
+                "name = \"publish\"",
+                "effect = \"keyed\"",
+                "window_ms = 1500",
+                "aim_ms = 500",
+                "deadline_ms = 1000",
+                "worth = 10",
+                "",
+                "[[class]]",
+                "name = \"submit\"",
+                "effect = \"unsafe\"",
+                "aim_ms = 250",
+                "deadline_ms = 600",
+                "worth = 5",
+                "",
+                "[[listen]]",
+                "name = \"main\"",
+                "address = \"127.0.0.1:0\"",
+                "open = true",
+                "class = \"page\"",
+                "write_class = \"submit\"",
+                "",
+                "[[pool]]",
+                "name = \"pages\"",
+                "[pool.discovery]",
+                "address = \"" + fleet.discovery.dial() + "\"",
+                "zones = [\"here\"]",
+                "kinds = [\"node\", \"origin\"]",
+                "origin_kind = \"origin\"",
+                "",
+                "[[route]]",
+                "name = \"all\"",
+                "pools = [\"pages\"]",
+                "");
     }
 
     /** As after some hours: the nodes hold nineteen in twenty of the pages, whichever of them is asked. */
--- a/src/main/java/cacheproxy/fakes/EffectLedger.java
+++ b/src/main/java/cacheproxy/fakes/EffectLedger.java
@@ -5,12 +5,12 @@
 import java.util.function.Consumer;
 
 /**
- * Counts what has taken effect, at all stand-ins together. A write is known by its idempotency key, or by the
- * client's own mark in the value where it has none. Thread-safe.
+ * Counts what has taken effect, at all stand-ins together. A write is known by its idempotency key, or by the client's
+ * own mark in the value where it has none. Thread-safe.
  */
 public final class EffectLedger {
     private final Map<String, Integer> effects = new HashMap<>();
-    private Consumer<String> observer = mark -> { };
+    private Consumer<String> observer = mark -> {};
     private long reads;
     private int dropped;
 
--- a/src/main/java/cacheproxy/fakes/FakeCacheServer.java
+++ b/src/main/java/cacheproxy/fakes/FakeCacheServer.java
@@ -1,5 +1,6 @@
 package cacheproxy.fakes;
 
+import cacheproxy.proxy.Transport;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -21,7 +22,6 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
-import cacheproxy.proxy.Transport;
 
 /**
  * A cache node on loopback that speaks the meta commands (memcached's protocol.txt, "Meta Commands"): one core, work
@@ -31,6 +31,7 @@
 public final class FakeCacheServer implements AutoCloseable {
     /** Values that it keeps; those longest not read go first. */
     private static final int MOST_VALUES = 100_000;
+
     private static final int MOST_REPEATS = 100_000;
 
     private final EventLoop loop;
@@ -57,6 +58,7 @@
     private double stalledUntilMs;
     /** Commands that came while it stood still. */
     private final ArrayDeque<Runnable> held = new ArrayDeque<>();
+
     private boolean mute;
     private int busy;
     private int room = Integer.MAX_VALUE;
@@ -86,8 +88,11 @@
     }
 
     private void listen() throws InterruptedException {
-        server = new ServerBootstrap().group(loop).channel(Transport.BEST.server())
-                .option(ChannelOption.SO_REUSEADDR, true).option(ChannelOption.SO_BACKLOG, 512)
+        server = new ServerBootstrap()
+                .group(loop)
+                .channel(Transport.BEST.server())
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .option(ChannelOption.SO_BACKLOG, 512)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childHandler(new ChannelInitializer<>() {
                     @Override
@@ -95,7 +100,10 @@
                         connections.add(channel);
                         channel.pipeline().addLast(new Conversation());
                     }
-                }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port)).sync().channel();
+                })
+                .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), port))
+                .sync()
+                .channel();
         port = ((InetSocketAddress) server.localAddress()).getPort();
     }
 
@@ -165,10 +173,11 @@
     private void goOn() {
         double left = stalledUntilMs - now();
         if (left > 0) {
-            loop.schedule(this::goOn, (long) (left * 1e6), TimeUnit.NANOSECONDS); // another stall, or a clock's rounding
+            loop.schedule(
+                    this::goOn, (long) (left * 1e6), TimeUnit.NANOSECONDS); // another stall, or a clock's rounding
             return;
         }
-        for (Runnable r; (r = held.poll()) != null;) {
+        for (Runnable r; (r = held.poll()) != null; ) {
             r.run();
         }
     }
--- a/src/main/java/cacheproxy/fakes/FakeDiscovery.java
+++ b/src/main/java/cacheproxy/fakes/FakeDiscovery.java
@@ -1,8 +1,8 @@
 package cacheproxy.fakes;
 
+import cacheproxy.proxy.Transport;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import cacheproxy.proxy.Transport;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -37,26 +37,32 @@
     private final ChannelGroup connections;
     /** Entries with the version of their last change. */
     private final Map<String, Entry> hosts = new LinkedHashMap<>();
+
     private final List<Watch> watches = new ArrayList<>();
     private final AtomicInteger calls = new AtomicInteger();
     private long seq = 1;
 
-    private record Entry(long seq, JsonObject json) { }
+    private record Entry(long seq, JsonObject json) {}
 
-    private record Watch(ChannelHandlerContext ctx, long since) { }
+    private record Watch(ChannelHandlerContext ctx, long since) {}
 
     private FakeDiscovery(EventLoop loop) throws InterruptedException {
         this.loop = loop;
         connections = new DefaultChannelGroup(loop);
-        server = new ServerBootstrap().group(loop).channel(Transport.BEST.server())
+        server = new ServerBootstrap()
+                .group(loop)
+                .channel(Transport.BEST.server())
                 .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         connections.add(channel);
-                        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(1 << 16),
-                                new Conversation());
+                        channel.pipeline()
+                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(1 << 16), new Conversation());
                     }
-                }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).sync().channel();
+                })
+                .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+                .sync()
+                .channel();
     }
 
     public static FakeDiscovery start(EventLoop loop) throws InterruptedException {
@@ -89,11 +95,12 @@
         h.addProperty("share", 1.0);
         h.addProperty("born_ms", bornMs);
         loop.submit(() -> {
-            hosts.put(host, new Entry(++seq, h));
-            List<Watch> told = List.copyOf(watches);
-            watches.clear();
-            told.forEach(w -> changes(w.ctx, w.since));
-        }).syncUninterruptibly();
+                    hosts.put(host, new Entry(++seq, h));
+                    List<Watch> told = List.copyOf(watches);
+                    watches.clear();
+                    told.forEach(w -> changes(w.ctx, w.since));
+                })
+                .syncUninterruptibly();
     }
 
     private void changes(ChannelHandlerContext ctx, long since) {
@@ -109,7 +116,9 @@
 
     private JsonArray present() {
         JsonArray list = new JsonArray();
-        hosts.values().stream().filter(e -> !e.json.get("health").getAsString().equals("removed")).forEach(e -> list.add(e.json));
+        hosts.values().stream()
+                .filter(e -> !e.json.get("health").getAsString().equals("removed"))
+                .forEach(e -> list.add(e.json));
         return list;
     }
 
@@ -123,8 +132,8 @@
 
     private void answer(ChannelHandlerContext ctx, JsonArray list, boolean whole) {
         byte[] text = json(list, whole).toString().getBytes(StandardCharsets.UTF_8);
-        DefaultFullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK,
-                Unpooled.wrappedBuffer(text));
+        DefaultFullHttpResponse response =
+                new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, Unpooled.wrappedBuffer(text));
         response.headers().set(HttpHeaderNames.CONTENT_LENGTH, text.length);
         ctx.writeAndFlush(response);
     }
@@ -150,7 +159,9 @@
         protected void channelRead0(ChannelHandlerContext ctx, FullHttpRequest request) {
             calls.incrementAndGet();
             Map<String, List<String>> query = new QueryStringDecoder(request.uri()).parameters();
-            long since = query.containsKey("since") ? Long.parseLong(query.get("since").get(0)) : 0;
+            long since = query.containsKey("since")
+                    ? Long.parseLong(query.get("since").get(0))
+                    : 0;
             if (since == 0) {
                 answer(ctx, present(), true);
             } else if (since < seq) {
@@ -158,12 +169,17 @@
             } else {
                 Watch w = new Watch(ctx, since);
                 watches.add(w);
-                long wait = query.containsKey("timeout_ms") ? Long.parseLong(query.get("timeout_ms").get(0)) : 0;
-                loop.schedule(() -> {
-                    if (watches.remove(w)) {
-                        changes(ctx, since);
-                    }
-                }, Math.min(60_000, wait), TimeUnit.MILLISECONDS);
+                long wait = query.containsKey("timeout_ms")
+                        ? Long.parseLong(query.get("timeout_ms").get(0))
+                        : 0;
+                loop.schedule(
+                        () -> {
+                            if (watches.remove(w)) {
+                                changes(ctx, since);
+                            }
+                        },
+                        Math.min(60_000, wait),
+                        TimeUnit.MILLISECONDS);
             }
         }
 
--- a/src/main/java/cacheproxy/fakes/FakeOrigin.java
+++ b/src/main/java/cacheproxy/fakes/FakeOrigin.java
@@ -64,15 +64,21 @@
         this.loop = loop;
         this.ledger = ledger;
         connections = new DefaultChannelGroup(loop);
-        server = new ServerBootstrap().group(loop).channel(Transport.BEST.server())
-                .childOption(ChannelOption.TCP_NODELAY, true).childHandler(new ChannelInitializer<>() {
+        server = new ServerBootstrap()
+                .group(loop)
+                .channel(Transport.BEST.server())
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         connections.add(channel);
-                        channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(8 << 20),
-                                new Conversation());
+                        channel.pipeline()
+                                .addLast(new HttpServerCodec(), new HttpObjectAggregator(8 << 20), new Conversation());
                     }
-                }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).sync().channel();
+                })
+                .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+                .sync()
+                .channel();
     }
 
     public static FakeOrigin start(EventLoop loop, EffectLedger ledger) throws InterruptedException {
@@ -100,9 +106,11 @@
     /** The nodes that it stores missed values at and voids written keys of. */
     public void serves(Iterable<FakeCacheServer> fleet) {
         loop.submit(() -> {
-            nodes = fleet;
-            fleet.forEach(n -> n.onMiss((id, key, node) -> loop.execute(() -> missedAt.put(id + " " + key, node))));
-        }).syncUninterruptibly();
+                    nodes = fleet;
+                    fleet.forEach(n ->
+                            n.onMiss((id, key, node) -> loop.execute(() -> missedAt.put(id + " " + key, node))));
+                })
+                .syncUninterruptibly();
     }
 
     /** Each request takes so long; it does many at once. */
@@ -136,8 +144,8 @@
             boolean write = request.method().equals(HttpMethod.PUT);
             byte[] body = ByteBufUtil.getBytes(request.content());
             if (declining) {
-                DefaultFullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
-                        HttpResponseStatus.SERVICE_UNAVAILABLE, Unpooled.EMPTY_BUFFER);
+                DefaultFullHttpResponse response = new DefaultFullHttpResponse(
+                        HttpVersion.HTTP_1_1, HttpResponseStatus.SERVICE_UNAVAILABLE, Unpooled.EMPTY_BUFFER);
                 response.headers().set("Srv-Declined", "1").set(HttpHeaderNames.CONTENT_LENGTH, 0);
                 ctx.writeAndFlush(response);
                 return;
@@ -172,8 +180,8 @@
                 return;
             }
             ByteBuf content = Unpooled.wrappedBuffer(answer);
-            DefaultFullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK,
-                    content);
+            DefaultFullHttpResponse response =
+                    new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK, content);
             response.headers().set(HttpHeaderNames.CONTENT_LENGTH, answer.length);
             ctx.writeAndFlush(response);
         }
--- a/src/main/java/cacheproxy/fakes/Lines.java
+++ b/src/main/java/cacheproxy/fakes/Lines.java
@@ -5,7 +5,7 @@
 
 /** Lines of the text protocols, read independently of the proxy's own codecs. */
 final class Lines {
-    private Lines() { }
+    private Lines() {}
 
     /** A line without its end; null while it is not all there. */
     static String take(ByteBuf in) {
--- a/src/main/java/cacheproxy/fakes/LoadClient.java
+++ b/src/main/java/cacheproxy/fakes/LoadClient.java
@@ -25,7 +25,7 @@
  */
 public final class LoadClient {
     /** What to ask. {@code mark} tells a write apart in its value; {@code expect} is a read's value, null: any. */
-    public record Ask(String key, String list, String mark, String expect) { }
+    public record Ask(String key, String list, String mark, String expect) {}
 
     /** What became of all. */
     public static final class Account {
@@ -37,6 +37,7 @@
         public int missing;
         /** No answer, an answer to nothing, or a wrong value. */
         public int lost;
+
         public final List<String> faults = new ArrayList<>();
 
         public int answered() {
@@ -58,7 +59,7 @@
     private final Account account = new Account();
     private final CompletableFuture<Account> done = new CompletableFuture<>();
     private final List<Conversation> conversations = new ArrayList<>();
-    private java.util.function.IntConsumer progress = n -> { };
+    private java.util.function.IntConsumer progress = n -> {};
 
     /** @param asks the request of each number from 0 on; called on the loop */
     public LoadClient(EventLoop loop, SocketAddress to, int total, IntFunction<Ask> asks) {
@@ -77,7 +78,10 @@
     /** Starts so many connections with so many requests in hand on each; the future ends with the last answer. */
     public CompletableFuture<Account> start(int connections, int depth) {
         for (int i = 0; i < connections; i++) {
-            new Bootstrap().group(loop).channel(Transport.BEST.socket()).option(ChannelOption.TCP_NODELAY, true)
+            new Bootstrap()
+                    .group(loop)
+                    .channel(Transport.BEST.socket())
+                    .option(ChannelOption.TCP_NODELAY, true)
                     .handler(new ChannelInitializer<>() {
                         @Override
                         protected void initChannel(Channel channel) {
@@ -85,7 +89,9 @@
                             conversations.add(c);
                             channel.pipeline().addLast(c);
                         }
-                    }).connect(to).addListener(f -> {
+                    })
+                    .connect(to)
+                    .addListener(f -> {
                         if (!f.isSuccess()) {
                             done.completeExceptionally(f.cause());
                         }
@@ -129,8 +135,8 @@
                 if (ask.mark() == null) {
                     ByteBufUtil.writeAscii(buf, "mg " + ask.key() + " v" + list + "\r\n");
                 } else {
-                    ByteBufUtil.writeAscii(buf, "ms " + ask.key() + " " + ask.mark().length() + list + "\r\n"
-                            + ask.mark() + "\r\n");
+                    ByteBufUtil.writeAscii(
+                            buf, "ms " + ask.key() + " " + ask.mark().length() + list + "\r\n" + ask.mark() + "\r\n");
                 }
                 ctx.write(buf);
             }
@@ -143,8 +149,8 @@
                     return;
                 }
                 Ask ask = waiting.poll();
-                if (ask.expect() != null && !ask.expect().equals(in.toString(in.readerIndex(), missing,
-                        StandardCharsets.ISO_8859_1))) {
+                if (ask.expect() != null
+                        && !ask.expect().equals(in.toString(in.readerIndex(), missing, StandardCharsets.ISO_8859_1))) {
                     account.fault("wrong value for " + ask.key());
                 } else {
                     account.served++;
@@ -190,12 +196,15 @@
         /** A client that is told when to come back asks nothing before. */
         private void pause(int ms) {
             paused++;
-            loop.schedule(() -> {
-                if (--paused == 0 && ctx.channel().isActive()) {
-                    fill();
-                    ctx.flush();
-                }
-            }, ms, TimeUnit.MILLISECONDS);
+            loop.schedule(
+                    () -> {
+                        if (--paused == 0 && ctx.channel().isActive()) {
+                            fill();
+                            ctx.flush();
+                        }
+                    },
+                    ms,
+                    TimeUnit.MILLISECONDS);
         }
 
         private void answered() {
@@ -212,7 +221,7 @@
         public void channelInactive(ChannelHandlerContext context) {
             conversations.remove(this);
             if (!done.isDone()) {
-                for (Ask ask; (ask = waiting.poll()) != null;) {
+                for (Ask ask; (ask = waiting.poll()) != null; ) {
                     account.fault("connection ended before the answer for " + ask.key());
                 }
                 check();
--- a/src/main/java/cacheproxy/fakes/LossyDatagramLink.java
+++ b/src/main/java/cacheproxy/fakes/LossyDatagramLink.java
@@ -14,8 +14,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * A way for datagrams between two peers that loses, doubles and delays them, by a seed. Each peer knows the other by this one's
- * address on its own side.
+ * A way for datagrams between two peers that loses, doubles and delays them, by a seed. Each peer knows the other by
+ * this one's address on its own side.
  */
 public final class LossyDatagramLink implements AutoCloseable {
     private final EventLoop loop;
@@ -35,7 +35,14 @@
      * @param doubled share that come twice
      * @param lateMs those that pass come up to so much later, so that some overtake others
      */
-    public LossyDatagramLink(EventLoop loop, InetSocketAddress a, InetSocketAddress b, long seed, double lost, double doubled, double lateMs)
+    public LossyDatagramLink(
+            EventLoop loop,
+            InetSocketAddress a,
+            InetSocketAddress b,
+            long seed,
+            double lost,
+            double doubled,
+            double lateMs)
             throws InterruptedException {
         this.loop = loop;
         random = new SplittableRandom(seed);
@@ -47,8 +54,13 @@
     }
 
     private Channel bind(Side side) throws InterruptedException {
-        return new Bootstrap().group(loop).channel(Transport.BEST.datagram()).handler(side)
-                .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).sync().channel();
+        return new Bootstrap()
+                .group(loop)
+                .channel(Transport.BEST.datagram())
+                .handler(side)
+                .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+                .sync()
+                .channel();
     }
 
     /** Where a sends what is for b. */
@@ -94,7 +106,9 @@
             passed.incrementAndGet();
             for (int n = random.nextDouble() < doubled ? 2 : 1; n > 0; n--) {
                 DatagramPacket p = new DatagramPacket(packet.content().copy(), to);
-                loop.schedule(() -> (fromA ? faceOfA : faceOfB).writeAndFlush(p), (long) (random.nextDouble() * lateMs * 1e6),
+                loop.schedule(
+                        () -> (fromA ? faceOfA : faceOfB).writeAndFlush(p),
+                        (long) (random.nextDouble() * lateMs * 1e6),
                         TimeUnit.NANOSECONDS);
             }
         }
--- a/src/main/java/cacheproxy/fakes/NginxReferenceModel.java
+++ b/src/main/java/cacheproxy/fakes/NginxReferenceModel.java
@@ -14,9 +14,10 @@
 import java.util.regex.Pattern;
 
 /**
- * What nginx would do with a request, by its public documentation (ngx_http_core, rewrite, map, split_clients, proxy and
- * upstream modules): reads the directives anew for each request, one after another. It shares nothing with the importer
- * but the grammar, so that each can be held against the other. Servers are taken to be well; clients to be unknown.
+ * What nginx would do with a request, by its public documentation (ngx_http_core, rewrite, map, split_clients, proxy
+ * and upstream modules): reads the directives anew for each request, one after another. It shares nothing with the
+ * importer but the grammar, so that each can be held against the other. Servers are taken to be well; clients to be
+ * unknown.
  */
 public final class NginxReferenceModel {
     private static final int MAX_CYCLES = 10;
@@ -35,7 +36,7 @@
      * @param node the server as it is written; null where the method does not choose by the request alone
      * @param uri path and query that the server is asked for
      */
-    public record Answer(int status, String pool, String node, String uri) { }
+    public record Answer(int status, String pool, String node, String uri) {}
 
     /** A request while it is worked on. */
     private static final class Ask {
@@ -46,6 +47,7 @@
         String args;
         /** Whether a rewrite has changed the path since the location was found. */
         boolean changed;
+
         boolean everChanged;
         boolean broken;
         final Map<String, String> set = new HashMap<>();
@@ -56,7 +58,9 @@
 
     public NginxReferenceModel(List<Directive> tree) {
         List<Directive> top = tree;
-        List<Directive> found = tree.stream().filter(d -> d.name().equals("http") && d.block() != null).toList();
+        List<Directive> found = tree.stream()
+                .filter(d -> d.name().equals("http") && d.block() != null)
+                .toList();
         if (!found.isEmpty()) {
             top = new ArrayList<>();
             for (Directive d : found) {
@@ -170,7 +174,9 @@
             }
             first = first == null ? s : first;
             for (Directive l : s.all("listen")) {
-                if (marked == null && socket(l.arg(0)).equals(socket) && l.args().contains("default_server")) {
+                if (marked == null
+                        && socket(l.arg(0)).equals(socket)
+                        && l.args().contains("default_server")) {
                     marked = s;
                 }
             }
@@ -178,7 +184,8 @@
                 for (String raw : names.args()) {
                     String n = raw.startsWith("~") ? raw : raw.toLowerCase(Locale.ROOT);
                     if (n.startsWith("~")) {
-                        if (regex == null && pattern(n.substring(1), true).matcher(host).find()) {
+                        if (regex == null
+                                && pattern(n.substring(1), true).matcher(host).find()) {
                             regex = s;
                         }
                     } else if (n.startsWith("*.") || n.startsWith(".")) {
@@ -210,7 +217,8 @@
         for (Directive s : servers) {
             if (sockets(s).contains(socket)) {
                 for (Directive names : s.all("server_name")) {
-                    if (names.args().stream().anyMatch(n -> n.equalsIgnoreCase(host) || n.equalsIgnoreCase("." + host))) {
+                    if (names.args().stream()
+                            .anyMatch(n -> n.equalsIgnoreCase(host) || n.equalsIgnoreCase("." + host))) {
                         return s;
                     }
                 }
@@ -253,7 +261,8 @@
                 longestKind = k[0];
                 length = k[1].length();
             }
-            if ((k[0].isEmpty() || k[0].equals("^~")) && k[1].equals(a.uri + "/")
+            if ((k[0].isEmpty() || k[0].equals("^~"))
+                    && k[1].equals(a.uri + "/")
                     && (d.last("proxy_pass") != null || d.last("memcached_pass") != null)) {
                 slash = d;
             }
@@ -301,8 +310,8 @@
     }
 
     private Pattern pattern(String text, boolean anyCase) {
-        return patterns.computeIfAbsent((anyCase ? "i" : "c") + text, k -> Pattern.compile(text, anyCase
-                ? Pattern.CASE_INSENSITIVE : 0));
+        return patterns.computeIfAbsent(
+                (anyCase ? "i" : "c") + text, k -> Pattern.compile(text, anyCase ? Pattern.CASE_INSENSITIVE : 0));
     }
 
     // ---- rewriting
@@ -336,7 +345,7 @@
                         }
                     }
                 }
-                default -> { }
+                default -> {}
             }
         }
     }
@@ -354,7 +363,9 @@
         }
         a.groups = m;
         String to = expand(d.arg(1), a);
-        if (to.startsWith("http://") || to.startsWith("https://") || d.arg(2).equals("redirect")
+        if (to.startsWith("http://")
+                || to.startsWith("https://")
+                || d.arg(2).equals("redirect")
                 || d.arg(2).equals("permanent")) {
             a.over = new Answer(d.arg(2).equals("permanent") ? 301 : 302, null, null, null);
             return true;
@@ -371,7 +382,8 @@
 
     private boolean holds(Directive d, Ask a) {
         String t = String.join(" ", d.args()).trim();
-        t = t.substring(t.startsWith("(") ? 1 : 0, t.endsWith(")") ? t.length() - 1 : t.length()).trim();
+        t = t.substring(t.startsWith("(") ? 1 : 0, t.endsWith(")") ? t.length() - 1 : t.length())
+                .trim();
         String[] p = t.split("\\s+", 3);
         if (!p[0].startsWith("$")) {
             return p[0].startsWith("!-"); // there are no files
@@ -380,7 +392,8 @@
         if (p.length == 1) {
             return !value.isEmpty() && !value.equals("0");
         }
-        String right = p[2].length() > 1 && "\"'".indexOf(p[2].charAt(0)) >= 0 ? p[2].substring(1, p[2].length() - 1) : p[2];
+        String right =
+                p[2].length() > 1 && "\"'".indexOf(p[2].charAt(0)) >= 0 ? p[2].substring(1, p[2].length() - 1) : p[2];
         switch (p[1]) {
             case "=":
                 return value.equals(right);
@@ -484,8 +497,9 @@
             for (boolean front : new boolean[] {true, false}) {
                 for (Directive e : d.block()) {
                     String n = e.name().toLowerCase(Locale.ROOT);
-                    boolean fits = front ? n.startsWith("*.") && source.endsWith(n.substring(1))
-                            || n.startsWith(".") && (source.endsWith(n) || source.equals(n.substring(1)))
+                    boolean fits = front
+                            ? n.startsWith("*.") && source.endsWith(n.substring(1))
+                                    || n.startsWith(".") && (source.endsWith(n) || source.equals(n.substring(1)))
                             : n.endsWith(".*") && source.startsWith(n.substring(0, n.length() - 1));
                     if (fits && n.length() > best) {
                         best = n.length();
@@ -500,7 +514,9 @@
         for (Directive e : d.block()) {
             if (e.name().startsWith("~")) {
                 boolean any = e.name().startsWith("~*");
-                if (pattern(e.name().substring(any ? 2 : 1), any).matcher(source).find()) {
+                if (pattern(e.name().substring(any ? 2 : 1), any)
+                        .matcher(source)
+                        .find()) {
                     return expand(e.arg(0), a);
                 }
             }
@@ -564,7 +580,10 @@
     private String content(Directive server, Directive location, Ask a, int cycle) {
         Directive limit = location.last("limit_except");
         boolean read = a.method.equals("GET") || a.method.equals("HEAD");
-        if (limit != null && !read && !limit.args().contains(a.method) && !limit.all("deny").isEmpty()) {
+        if (limit != null
+                && !read
+                && !limit.args().contains(a.method)
+                && !limit.all("deny").isEmpty()) {
             a.over = new Answer(403, null, null, null);
             return null;
         }
@@ -647,7 +666,7 @@
 
     // ---- which node
 
-    private record Peer(String name, int weight, boolean down) { }
+    private record Peer(String name, int weight, boolean down) {}
 
     private static List<Peer> peers(Directive up) {
         List<Peer> all = new ArrayList<>();
--- a/src/main/java/cacheproxy/fakes/ScriptedServer.java
+++ b/src/main/java/cacheproxy/fakes/ScriptedServer.java
@@ -55,7 +55,7 @@
         public String request() throws IOException {
             StringBuilder text = new StringBuilder();
             int length = 0;
-            for (String line; (line = line()) != null;) {
+            for (String line; (line = line()) != null; ) {
                 if (line.isEmpty()) {
                     text.append('\n').append(new String(in.readNBytes(length), StandardCharsets.ISO_8859_1));
                     server.commands.add(text.toString());
@@ -99,7 +99,7 @@
     /** A line without its end; null at the end of the stream. */
     public static String line(InputStream in) throws IOException {
         ByteArrayOutputStream line = new ByteArrayOutputStream();
-        for (int b; (b = in.read()) != '\n';) {
+        for (int b; (b = in.read()) != '\n'; ) {
             if (b < 0) {
                 return null;
             }
@@ -112,9 +112,11 @@
 
     /** The id of a command or of a request to the origin. */
     public static String id(String command) {
-        int at = command.contains("Req-Id: ") ? command.indexOf("Req-Id: ") + 8
-                : command.toLowerCase().contains("req-id: ") ? command.toLowerCase().indexOf("req-id: ") + 8
-                : command.indexOf(" O") + 2;
+        int at = command.contains("Req-Id: ")
+                ? command.indexOf("Req-Id: ") + 8
+                : command.toLowerCase().contains("req-id: ")
+                        ? command.toLowerCase().indexOf("req-id: ") + 8
+                        : command.indexOf(" O") + 2;
         return command.substring(at).split("\\s")[0];
     }
 
@@ -143,7 +145,7 @@
     /** A cache node that answers reads with what this function makes of the command's line. */
     public static ScriptedServer node(Function<String, String> answer) throws IOException {
         return new ScriptedServer(c -> {
-            for (String line; (line = c.command()) != null;) {
+            for (String line; (line = c.command()) != null; ) {
                 c.say(answer.apply(line));
             }
         });
--- a/src/main/java/cacheproxy/faulttest/AddressSpace.java
+++ b/src/main/java/cacheproxy/faulttest/AddressSpace.java
@@ -6,8 +6,8 @@
 import java.net.ServerSocket;
 
 /**
- * Addresses of one run in 127.0.0.0/8: each process has one of its own, with the same ports, and keeps it when it is started
- * again. Two runs on one machine take different second octets; a bound socket says that one is taken.
+ * Addresses of one run in 127.0.0.0/8: each process has one of its own, with the same ports, and keeps it when it is
+ * started again. Two runs on one machine take different second octets; a bound socket says that one is taken.
  */
 final class AddressSpace implements AutoCloseable {
     static final int CLIENTS = 11211;
@@ -16,10 +16,12 @@
     static final int CONTROL = 9000;
     /** Of the first node's faces; the others' follow. */
     static final int NODES = 20_000;
+
     private static final int LOCK = 7900;
     private static final int PER_OCTET = 250;
     /** Third octets: of the proxies, of what stands for them, of what stands for zones, of all at once. */
     private static final int OWN = 1;
+
     private static final int FACES = 101;
     private static final int ZONES = 201;
     private static final int ALL = 250;
@@ -38,7 +40,8 @@
             int octet = 20 + (first + i) % 200;
             ServerSocket socket = new ServerSocket();
             try {
-                socket.bind(new InetSocketAddress(InetAddress.getByAddress(new byte[] {127, (byte) octet, (byte) 255, 1}), LOCK));
+                socket.bind(new InetSocketAddress(
+                        InetAddress.getByAddress(new byte[] {127, (byte) octet, (byte) 255, 1}), LOCK));
                 return new AddressSpace(octet, socket);
             } catch (IOException e) {
                 socket.close(); // another run has it
@@ -59,7 +62,10 @@
         return new InetSocketAddress(proxy(i), port);
     }
 
-    /** What the other proxies, and the proxy itself, take for proxy i's surroundings: its name to peers, discovery, nodes. */
+    /**
+     * What the other proxies, and the proxy itself, take for proxy i's surroundings: its name to peers, discovery,
+     * nodes.
+     */
     String face(int i) {
         return host(FACES, i);
     }
--- a/src/main/java/cacheproxy/faulttest/ChildFiles.java
+++ b/src/main/java/cacheproxy/faulttest/ChildFiles.java
@@ -1,13 +1,15 @@
 package cacheproxy.faulttest;
 
+import cacheproxy.faulttest.scenario.Scenario;
+import cacheproxy.faulttest.scenario.TargetSelector;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import cacheproxy.faulttest.scenario.TargetSelector;
-import cacheproxy.faulttest.scenario.Scenario;
 import java.util.List;
 import java.util.function.IntFunction;
 
-/** What each proxy of a run is told: the platform's configuration for {@code serve}, a daemon's file for {@code run}. */
+/**
+ * What each proxy of a run is told: the platform's configuration for {@code serve}, a daemon's file for {@code run}.
+ */
 final class ChildFiles {
     private static final int MEMORY_MB = 192;
     private static final int SOCKETS = 1024;
@@ -49,18 +51,65 @@
     }
 
     private JsonObject settings(int proxy) {
-        JsonObject o = object("me", proxy, "balancers", s.proxies(), "locality", names.zoneOfProxy(proxy), "discovery", "ask", "value-by",
-                "request", "over-share-worth", 0.1);
+        JsonObject o = object(
+                "me",
+                proxy,
+                "balancers",
+                s.proxies(),
+                "locality",
+                names.zoneOfProxy(proxy),
+                "discovery",
+                "ask",
+                "value-by",
+                "request",
+                "over-share-worth",
+                0.1);
         o.add("zones", words(s.zones()));
         o.add("kinds", words(List.of("node", "origin")));
         JsonObject report = object("how", "silent");
         report.add("names", new JsonArray());
         o.add("report", report);
-        o.add("caps", object("may-cancel", true, "may-probe", false, "peers", true, "second-copies", true, "retry-after", true,
-                "max-attempts", 3, "max-retry-after", 500, "connect-timeout", 250, "idle-close", 30_000, "streams-per-conn", 4));
+        o.add(
+                "caps",
+                object(
+                        "may-cancel",
+                        true,
+                        "may-probe",
+                        false,
+                        "peers",
+                        true,
+                        "second-copies",
+                        true,
+                        "retry-after",
+                        true,
+                        "max-attempts",
+                        3,
+                        "max-retry-after",
+                        500,
+                        "connect-timeout",
+                        250,
+                        "idle-close",
+                        30_000,
+                        "streams-per-conn",
+                        4));
         o.add("extra", object("mode", "aside", "origin-kind", 1, "origin-fall-multiple", 0, "origin-fall", 3000));
-        o.add("guarantees", object("drain-grace", 2000, "grace-to-answer", 20, "start-capacity", 0.3, "warm-up", 9000, "tip-multiple", 3,
-                "fall", 1500, "ask-within", 10_000));
+        o.add(
+                "guarantees",
+                object(
+                        "drain-grace",
+                        2000,
+                        "grace-to-answer",
+                        20,
+                        "start-capacity",
+                        0.3,
+                        "warm-up",
+                        9000,
+                        "tip-multiple",
+                        3,
+                        "fall",
+                        1500,
+                        "ask-within",
+                        10_000));
         JsonArray classes = new JsonArray();
         classes.add(serviceClass("read", "retryable", 1));
         classes.add(serviceClass("put", "dedup", 3));
@@ -70,8 +119,25 @@
     }
 
     private JsonObject serviceClass(String name, String effect, double gain) {
-        return object("name", name, "idempotency", effect, "promise", s.load().deadlineMs() / 4, "deadline", s.load().deadlineMs(), "gain",
-                gain, "late-share", 0.2, "stream", false, "group", "all", "window", 5000);
+        return object(
+                "name",
+                name,
+                "idempotency",
+                effect,
+                "promise",
+                s.load().deadlineMs() / 4,
+                "deadline",
+                s.load().deadlineMs(),
+                "gain",
+                gain,
+                "late-share",
+                0.2,
+                "stream",
+                false,
+                "group",
+                "all",
+                "window",
+                5000);
     }
 
     private static JsonArray words(List<String> words) {
@@ -97,20 +163,46 @@
 
     private String run(int proxy) {
         String zones = "[\"" + String.join("\", \"", s.zones()) + "\"]";
-        return String.join("\n", "[site]", "name = \"rig\"", "zone = \"" + s.zones().get(names.zoneOfProxy(proxy)) + "\"", "instances = "
-                + s.proxies(), "me = " + proxy, "", "[limits]", "memory_mb = " + MEMORY_MB, "sockets = " + SOCKETS,
-                "max_retry_after_ms = 500", "unknown_capacity = " + s.nodePerSecond(), "",
-                serviceClass("read", "safe", ""), serviceClass("put", "keyed", "window_ms = 5000\n"), serviceClass("submit", "unsafe", ""),
-                "[[listen]]", "name = \"main\"", "address = \"" + AddressSpace.text(space.proxy(proxy, AddressSpace.CLIENTS)) + "\"", "",
-                "[[pool]]", "name = \"pages\"", "[pool.discovery]", "address = \""
-                + AddressSpace.text(space.face(proxy, AddressSpace.DISCOVERY)) + "\"", "zones = " + zones,
-                "kinds = [\"node\", \"origin\"]", "origin_kind = \"origin\"", "", "[[route]]", "name = \"all\"", "pools = [\"pages\"]", "",
-                replaced(s.old().contains(TargetSelector.proxy(proxy)) ? s.oldExtra() : s.extra(), proxy), "");
+        return String.join(
+                "\n",
+                "[site]",
+                "name = \"rig\"",
+                "zone = \"" + s.zones().get(names.zoneOfProxy(proxy)) + "\"",
+                "instances = " + s.proxies(),
+                "me = " + proxy,
+                "",
+                "[limits]",
+                "memory_mb = " + MEMORY_MB,
+                "sockets = " + SOCKETS,
+                "max_retry_after_ms = 500",
+                "unknown_capacity = " + s.nodePerSecond(),
+                "",
+                serviceClass("read", "safe", ""),
+                serviceClass("put", "keyed", "window_ms = 5000\n"),
+                serviceClass("submit", "unsafe", ""),
+                "[[listen]]",
+                "name = \"main\"",
+                "address = \"" + AddressSpace.text(space.proxy(proxy, AddressSpace.CLIENTS)) + "\"",
+                "",
+                "[[pool]]",
+                "name = \"pages\"",
+                "[pool.discovery]",
+                "address = \"" + AddressSpace.text(space.face(proxy, AddressSpace.DISCOVERY)) + "\"",
+                "zones = " + zones,
+                "kinds = [\"node\", \"origin\"]",
+                "origin_kind = \"origin\"",
+                "",
+                "[[route]]",
+                "name = \"all\"",
+                "pools = [\"pages\"]",
+                "",
+                replaced(s.old().contains(TargetSelector.proxy(proxy)) ? s.oldExtra() : s.extra(), proxy),
+                "");
     }
 
     private String serviceClass(String name, String effect, String more) {
-        return "[[class]]\nname = \"" + name + "\"\neffect = \"" + effect + "\"\n" + more + "aim_ms = " + s.load().deadlineMs() / 4
-                + "\ndeadline_ms = " + s.load().deadlineMs() + "\n";
+        return "[[class]]\nname = \"" + name + "\"\neffect = \"" + effect + "\"\n" + more + "aim_ms = "
+                + s.load().deadlineMs() / 4 + "\ndeadline_ms = " + s.load().deadlineMs() + "\n";
     }
 
     /** The words that a scenario's own text may have. */
@@ -118,14 +210,20 @@
         StringBuilder peers = new StringBuilder();
         if (text.contains("{peers}") || text.contains("{peers-but-last}")) {
             for (int i = 0; i < s.proxies() - (text.contains("{peers}") ? 0 : 1); i++) {
-                peers.append("[[fleet.peer]]\nname = \"").append(TargetSelector.proxy(i)).append("\"\naddress = \"")
-                        .append(AddressSpace.text(space.face(i, AddressSpace.PEERS))).append("\"\nzone = \"")
-                        .append(s.zones().get(names.zoneOfProxy(i))).append("\"\n");
+                peers.append("[[fleet.peer]]\nname = \"")
+                        .append(TargetSelector.proxy(i))
+                        .append("\"\naddress = \"")
+                        .append(AddressSpace.text(space.face(i, AddressSpace.PEERS)))
+                        .append("\"\nzone = \"")
+                        .append(s.zones().get(names.zoneOfProxy(i)))
+                        .append("\"\n");
             }
         }
-        return text.replace("{me}", TargetSelector.proxy(proxy)).replace("{ip}", space.proxy(proxy))
+        return text.replace("{me}", TargetSelector.proxy(proxy))
+                .replace("{ip}", space.proxy(proxy))
                 .replace("{control}", AddressSpace.text(space.proxy(proxy, AddressSpace.CONTROL)))
-                .replace("{listen}", AddressSpace.text(space.proxy(proxy, AddressSpace.PEERS))).replace("{peers}", peers.toString())
+                .replace("{listen}", AddressSpace.text(space.proxy(proxy, AddressSpace.PEERS)))
+                .replace("{peers}", peers.toString())
                 .replace("{peers-but-last}", peers.toString());
     }
 }
--- a/src/main/java/cacheproxy/faulttest/DatagramRelay.java
+++ b/src/main/java/cacheproxy/faulttest/DatagramRelay.java
@@ -1,7 +1,7 @@
 package cacheproxy.faulttest;
 
-import cacheproxy.proxy.Transport;
 import cacheproxy.faulttest.scenario.NetworkLinks;
+import cacheproxy.proxy.Transport;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -22,8 +22,9 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The way of every datagram between proxies. All know proxy i by one socket of the relay, its face; what comes there goes on to i
- * from the face of whoever sent it, so that both know each other by the configured addresses. One socket a proxy.
+ * The way of every datagram between proxies. All know proxy i by one socket of the relay, its face; what comes there
+ * goes on to i from the face of whoever sent it, so that both know each other by the configured addresses. One socket a
+ * proxy.
  */
 final class DatagramRelay implements AutoCloseable {
     private static final int RECEIVED = 1 << 20;
@@ -45,7 +46,8 @@
     private int late;
 
     /** @param links used on the loop alone */
-    DatagramRelay(EventLoop loop, AddressSpace space, int count, NetworkLinks links, long seed) throws IOException, InterruptedException {
+    DatagramRelay(EventLoop loop, AddressSpace space, int count, NetworkLinks links, long seed)
+            throws IOException, InterruptedException {
         this.loop = loop;
         this.links = links;
         random = new SplittableRandom(seed);
@@ -65,8 +67,14 @@
     }
 
     private Channel bind(InetSocketAddress to, int face) throws InterruptedException {
-        return new Bootstrap().group(loop).channel(Transport.BEST.datagram()).option(ChannelOption.SO_RCVBUF, RECEIVED)
-                .handler(new Face(face)).bind(to).sync().channel();
+        return new Bootstrap()
+                .group(loop)
+                .channel(Transport.BEST.datagram())
+                .option(ChannelOption.SO_RCVBUF, RECEIVED)
+                .handler(new Face(face))
+                .bind(to)
+                .sync()
+                .channel();
     }
 
     /** Datagrams that came through, their bytes, those that faults lost, those that the relay itself dropped. */
@@ -97,7 +105,8 @@
             lost.incrementAndGet();
         }
         for (NetworkLinks.Delivery d : deliveries) {
-            ByteBuf copy = Unpooled.copiedBuffer(content); // on the heap: what is late when the run ends is nobody's to release
+            ByteBuf copy = Unpooled.copiedBuffer(
+                    content); // on the heap: what is late when the run ends is nobody's to release
             if (d.corrupt() && copy.readableBytes() > 0) {
                 int at = random.nextInt(copy.readableBytes());
                 copy.setByte(at, copy.getByte(at) ^ 1 + random.nextInt(255));
@@ -109,10 +118,13 @@
                 copy.release();
             } else {
                 late++;
-                loop.schedule(() -> {
-                    late--;
-                    send(from, to, copy);
-                }, (long) (d.delayMs() * 1e6), TimeUnit.NANOSECONDS);
+                loop.schedule(
+                        () -> {
+                            late--;
+                            send(from, to, copy);
+                        },
+                        (long) (d.delayMs() * 1e6),
+                        TimeUnit.NANOSECONDS);
             }
         }
     }
@@ -122,7 +134,9 @@
         bytes.addAndGet(content.readableBytes());
         faces[from].writeAndFlush(new DatagramPacket(content, proxies[to])).addListener(f -> {
             // Nobody listens at a proxy that is down.
-            if (!f.isSuccess() && !(f.cause() instanceof PortUnreachableException) && !(f.cause() instanceof java.net.ConnectException)) {
+            if (!f.isSuccess()
+                    && !(f.cause() instanceof PortUnreachableException)
+                    && !(f.cause() instanceof java.net.ConnectException)) {
                 dropped.incrementAndGet();
             }
         });
--- a/src/main/java/cacheproxy/faulttest/EventLoopLag.java
+++ b/src/main/java/cacheproxy/faulttest/EventLoopLag.java
@@ -22,13 +22,16 @@
 
     private void next(EventLoop loop) {
         if (!loop.isShuttingDown()) {
-            loop.schedule(() -> {
-                long late = Math.max(0, System.nanoTime() - due);
-                lastLate = late;
-                micros.recordValue(Math.min(3_600_000_000L, late / 1000));
-                due = System.nanoTime() + EVERY_NANOS;
-                next(loop);
-            }, EVERY_NANOS, TimeUnit.NANOSECONDS);
+            loop.schedule(
+                    () -> {
+                        long late = Math.max(0, System.nanoTime() - due);
+                        lastLate = late;
+                        micros.recordValue(Math.min(3_600_000_000L, late / 1000));
+                        due = System.nanoTime() + EVERY_NANOS;
+                        next(loop);
+                    },
+                    EVERY_NANOS,
+                    TimeUnit.NANOSECONDS);
         }
     }
 
--- a/src/main/java/cacheproxy/faulttest/FakeProcesses.java
+++ b/src/main/java/cacheproxy/faulttest/FakeProcesses.java
@@ -1,14 +1,14 @@
 package cacheproxy.faulttest;
 
-import com.google.gson.JsonObject;
-import cacheproxy.proxy.Transport;
-import cacheproxy.faulttest.check.Event;
-import cacheproxy.faulttest.scenario.TargetSelector;
-import cacheproxy.faulttest.scenario.Scenario;
 import cacheproxy.fakes.EffectLedger;
-import cacheproxy.fakes.FakeDiscovery;
 import cacheproxy.fakes.FakeCacheServer;
+import cacheproxy.fakes.FakeDiscovery;
 import cacheproxy.fakes.FakeOrigin;
+import cacheproxy.faulttest.check.Event;
+import cacheproxy.faulttest.scenario.Scenario;
+import cacheproxy.faulttest.scenario.TargetSelector;
+import cacheproxy.proxy.Transport;
+import com.google.gson.JsonObject;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import java.io.IOException;
@@ -19,8 +19,9 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Nodes, origin and discovery of a run, on one thread. Where connections to nodes go through the relay, each proxy has a view of
- * discovery of its own, with the addresses that stand for the nodes there; with many proxies and nodes each zone has one.
+ * Nodes, origin and discovery of a run, on one thread. Where connections to nodes go through the relay, each proxy has
+ * a view of discovery of its own, with the addresses that stand for the nodes there; with many proxies and nodes each
+ * zone has one.
  */
 final class FakeProcesses implements AutoCloseable {
     /** Sockets that stand for nodes; with more of them zones share theirs. */
@@ -37,10 +38,12 @@
     private final List<FakeDiscovery> views = new ArrayList<>();
     /** By view and node: where the node is to be found. */
     private final List<String[]> dials = new ArrayList<>();
+
     private final boolean byProxy;
     private final boolean byZone;
 
-    FakeProcesses(Scenario s, AddressSpace space, TcpRelay relay, EventLoop relayLoop, History history) throws InterruptedException {
+    FakeProcesses(Scenario s, AddressSpace space, TcpRelay relay, EventLoop relayLoop, History history)
+            throws InterruptedException {
         this.history = history;
         names = s.endpoints();
         lag = EventLoopLag.of(loop);
@@ -48,7 +51,9 @@
         origin = FakeOrigin.start(loop, ledger);
         for (int i = 0; i < s.nodes(); i++) {
             String name = TargetSelector.node(i);
-            nodes.add(FakeCacheServer.start(loop, ledger).work(1000 / s.nodePerSecond()).room(s.nodeRoom())
+            nodes.add(FakeCacheServer.start(loop, ledger)
+                    .work(1000 / s.nodePerSecond())
+                    .room(s.nodeRoom())
                     .observe(id -> history.add(lag.nowUs(), name, Event.ARRIVED, id == null ? "" : id, "", 0)));
         }
         origin.serves(nodes);
@@ -62,7 +67,8 @@
             for (int n = 0; n < s.nodes(); n++) {
                 dial[n] = nodes.get(n).dial();
                 if (s.relayNodes()) {
-                    InetSocketAddress at = byProxy ? space.face(v, AddressSpace.NODES + n) : space.zoneFace(v, AddressSpace.NODES + n);
+                    InetSocketAddress at =
+                            byProxy ? space.face(v, AddressSpace.NODES + n) : space.zoneFace(v, AddressSpace.NODES + n);
                     FakeCacheServer node = nodes.get(n);
                     relay.face(at, v, names.proxies() + n, node::address);
                     dial[n] = AddressSpace.text(at);
@@ -75,7 +81,11 @@
         views.forEach(v -> v.put("origin", origin.dial(), s.zones().get(0), "origin", "up", 0));
         for (int p = 0; p < s.proxies(); p++) {
             int proxy = p;
-            relay.face(space.face(p, AddressSpace.DISCOVERY), p, names.discovery(), () -> address(view(proxy).dial()));
+            relay.face(
+                    space.face(p, AddressSpace.DISCOVERY),
+                    p,
+                    names.discovery(),
+                    () -> address(view(proxy).dial()));
         }
     }
 
@@ -90,7 +100,14 @@
 
     private void put(int node, String health, double bornMs) {
         for (int v = 0; v < views.size(); v++) {
-            views.get(v).put(host(node), dials.get(v)[node], names.zones().get(names.zoneOfNode(node)), "node", health, bornMs);
+            views.get(v)
+                    .put(
+                            host(node),
+                            dials.get(v)[node],
+                            names.zones().get(names.zoneOfNode(node)),
+                            "node",
+                            health,
+                            bornMs);
         }
     }
 
@@ -105,7 +122,7 @@
             byte[] value = FakeOrigin.value(key).getBytes(StandardCharsets.ISO_8859_1);
             nodes.forEach(n -> n.store(key, value));
         }
-        loop.submit(() -> { }).syncUninterruptibly();
+        loop.submit(() -> {}).syncUninterruptibly();
     }
 
     void stall(int node, double ms) {
@@ -130,7 +147,8 @@
     }
 
     void drain(int node, boolean on) {
-        // Proxies are told within the call. That it drains may be noted later than they know, that it is up again not: what they send
+        // Proxies are told within the call. That it drains may be noted later than they know, that it is up again not:
+        // what they send
         // by that word would seem to go to a draining node.
         if (!on) {
             history.add(0, TargetSelector.node(node), Event.UP, "", "", 0);
--- a/src/main/java/cacheproxy/faulttest/FaultInjector.java
+++ b/src/main/java/cacheproxy/faulttest/FaultInjector.java
@@ -1,10 +1,10 @@
 package cacheproxy.faulttest;
 
 import cacheproxy.faulttest.check.Event;
-import cacheproxy.faulttest.scenario.TargetSelector;
 import cacheproxy.faulttest.scenario.Fault;
 import cacheproxy.faulttest.scenario.NetworkLinks;
 import cacheproxy.faulttest.scenario.Scenario;
+import cacheproxy.faulttest.scenario.TargetSelector;
 import io.netty.channel.EventLoop;
 import java.io.IOException;
 import java.util.ArrayList;
@@ -18,8 +18,8 @@
 import java.util.function.UnaryOperator;
 
 /**
- * Puts the faults of a scenario in and takes them back, each at its time. Where two befall the same thing the later one has no
- * effect there; standing still and links add up.
+ * Puts the faults of a scenario in and takes them back, each at its time. Where two befall the same thing the later one
+ * has no effect there; standing still and links add up.
  */
 final class FaultInjector implements AutoCloseable {
     private final Scenario scenario;
@@ -37,13 +37,22 @@
     });
     /** Nodes that a fault has taken away or calls draining. */
     private final Set<Integer> nodesDown = new HashSet<>();
+
     private final List<String> troubles = new ArrayList<>();
     /** Who holds a duty; null: not known. */
     private final UnaryOperator<String> holders;
+
     private int restarting;
 
-    FaultInjector(Scenario scenario, ProxyProcesses proxies, FakeProcesses standIns, NetworkLinks links, EventLoop relayLoop, TcpRelay connections,
-            History history, UnaryOperator<String> holders) {
+    FaultInjector(
+            Scenario scenario,
+            ProxyProcesses proxies,
+            FakeProcesses standIns,
+            NetworkLinks links,
+            EventLoop relayLoop,
+            TcpRelay connections,
+            History history,
+            UnaryOperator<String> holders) {
         this.holders = holders;
         this.scenario = scenario;
         names = scenario.endpoints();
@@ -61,13 +70,16 @@
     }
 
     private void at(double ms, Act act) {
-        thread.schedule(() -> {
-            try {
-                act.run();
-            } catch (IOException | RuntimeException e) {
-                troubles.add(e.toString());
-            }
-        }, (long) (ms * 1000), TimeUnit.MICROSECONDS);
+        thread.schedule(
+                () -> {
+                    try {
+                        act.run();
+                    } catch (IOException | RuntimeException e) {
+                        troubles.add(e.toString());
+                    }
+                },
+                (long) (ms * 1000),
+                TimeUnit.MICROSECONDS);
     }
 
     /** From now on. */
@@ -101,23 +113,34 @@
                 int index = names.index(f.who().get(w));
                 befall(f, index, f.atMs() + w * f.staggerMs());
             }
-            at(f.atMs(), () -> history.add(0, "rig", Event.FAULT, id, Fault.word(f.kind()) + " " + String.join(",", f.who()), 0));
+            at(
+                    f.atMs(),
+                    () -> history.add(
+                            0, "rig", Event.FAULT, id, Fault.word(f.kind()) + " " + String.join(",", f.who()), 0));
             at(f.endMs(), () -> history.add(0, "rig", Event.HEALED, id, "", 0));
         }
     }
 
     private void links(String id, Fault f, boolean on) {
         if (on) {
-            history.add(0, "rig", Event.FAULT, id, "link " + String.join(",", f.who()) + " to " + String.join(",", f.to()), 0);
+            history.add(
+                    0,
+                    "rig",
+                    Event.FAULT,
+                    id,
+                    "link " + String.join(",", f.who()) + " to " + String.join(",", f.to()),
+                    0);
         }
-        relayLoop.submit(() -> {
-            if (on) {
-                links.begin(f);
-            } else {
-                links.end(f);
-            }
-            connections.changed();
-        }).syncUninterruptibly();
+        relayLoop
+                .submit(() -> {
+                    if (on) {
+                        links.begin(f);
+                    } else {
+                        links.end(f);
+                    }
+                    connections.changed();
+                })
+                .syncUninterruptibly();
         if (!on) {
             history.add(0, "rig", Event.HEALED, id, "", 0);
         }
@@ -131,18 +154,24 @@
                 at(endMs, () -> proxies.proceed(index));
             }
             case SLOW -> at(atMs, () -> beat(f, index, System.nanoTime() + (long) (f.forMs() * 1e6)));
-            case KILL, TERM -> at(atMs, () -> {
-                if (proxies.end(index, f.kind() == Fault.Kind.KILL)) {
-                    restarting++;
-                    at(f.forMs(), () -> proxies.again(index, f.loseDisk(), failed -> at(0, () -> {
-                        restarting--;
-                        if (failed != null) {
-                            throw new IOException(failed);
-                        }
-                        proxies.isUp(index);
-                    })));
-                }
-            });
+            case KILL, TERM ->
+                at(atMs, () -> {
+                    if (proxies.end(index, f.kind() == Fault.Kind.KILL)) {
+                        restarting++;
+                        at(
+                                f.forMs(),
+                                () -> proxies.again(
+                                        index,
+                                        f.loseDisk(),
+                                        failed -> at(0, () -> {
+                                            restarting--;
+                                            if (failed != null) {
+                                                throw new IOException(failed);
+                                            }
+                                            proxies.isUp(index);
+                                        })));
+                    }
+                });
             case NODE_STALL -> at(atMs, () -> standIns.stall(index - names.proxies(), f.forMs()));
             case NODE_KILL -> node(index, atMs, endMs, n -> standIns.kill(n), standIns::revive);
             case NODE_DRAIN -> node(index, atMs, endMs, n -> standIns.drain(n, true), n -> standIns.drain(n, false));
@@ -184,7 +213,8 @@
         try {
             while (thread.schedule(() -> restarting, 50, TimeUnit.MILLISECONDS).get() > 0) {
                 if (System.nanoTime() > until) {
-                    throw new IOException(restarting + " proxies were not back " + (int) (mostMs / 1000) + " s after the load's end");
+                    throw new IOException(
+                            restarting + " proxies were not back " + (int) (mostMs / 1000) + " s after the load's end");
                 }
             }
             List<String> told = thread.submit(() -> List.copyOf(troubles)).get();
--- a/src/main/java/cacheproxy/faulttest/FaultTestRunner.java
+++ b/src/main/java/cacheproxy/faulttest/FaultTestRunner.java
@@ -1,12 +1,11 @@
 package cacheproxy.faulttest;
 
 import cacheproxy.config.ConfigException;
-import cacheproxy.proxy.Transport;
-import cacheproxy.faulttest.check.FencingChecker;
 import cacheproxy.faulttest.check.Checker;
 import cacheproxy.faulttest.check.Event;
-import cacheproxy.faulttest.check.QuotaChecker;
+import cacheproxy.faulttest.check.FencingChecker;
 import cacheproxy.faulttest.check.MutualExclusionChecker;
+import cacheproxy.faulttest.check.QuotaChecker;
 import cacheproxy.faulttest.check.RunHistory;
 import cacheproxy.faulttest.check.ServiceStats;
 import cacheproxy.faulttest.check.Verdict;
@@ -14,6 +13,7 @@
 import cacheproxy.faulttest.scenario.NetworkLinks;
 import cacheproxy.faulttest.scenario.RunValidity;
 import cacheproxy.faulttest.scenario.Scenario;
+import cacheproxy.proxy.Transport;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import java.io.IOException;
@@ -28,7 +28,7 @@
     /** Processes that are being restarted at the load's end have so long. */
     private static final double LAST_MS = 60_000;
 
-    private FaultTestRunner() { }
+    private FaultTestRunner() {}
 
     /**
      * What came of a run.
@@ -40,10 +40,25 @@
      * @param watches calls that waited at discovery at the load's end
      * @param tests of nodes since the load began
      */
-    public record Outcome(RunHistory run, Verdict verdict, RunValidity quality, ServiceStats service, double startSeconds, double[] residentMb,
-            long[] datagrams, int discoveryCalls, int watches, int tests, int unreached, int unsent) {
+    public record Outcome(
+            RunHistory run,
+            Verdict verdict,
+            RunValidity quality,
+            ServiceStats service,
+            double startSeconds,
+            double[] residentMb,
+            long[] datagrams,
+            int discoveryCalls,
+            int watches,
+            int tests,
+            int unreached,
+            int unsent) {
         private static double loadFromMs(RunHistory run) {
-            return run.events().stream().filter(e -> e.what().equals(Event.DUTY)).mapToDouble(Event::ms).findFirst().orElse(0);
+            return run.events().stream()
+                    .filter(e -> e.what().equals(Event.DUTY))
+                    .mapToDouble(Event::ms)
+                    .findFirst()
+                    .orElse(0);
         }
 
         /** Lines for a person. */
@@ -51,29 +66,70 @@
             Scenario s = run.scenario();
             double seconds = s.load().seconds();
             List<String> lines = new java.util.ArrayList<>(List.of(
-                    String.format("%d proxies (%s), %d nodes, seed %d, %.0f s; ready after %.1f s; MB each %.0f, at most %.0f", s.proxies(),
-                            s.program(), s.nodes(), s.seed(), seconds, startSeconds, residentMb[0], residentMb[1]),
+                    String.format(
+                            "%d proxies (%s), %d nodes, seed %d, %.0f s; ready after %.1f s; MB each %.0f, at most %.0f",
+                            s.proxies(),
+                            s.program(),
+                            s.nodes(),
+                            s.seed(),
+                            seconds,
+                            startSeconds,
+                            residentMb[0],
+                            residentMb[1]),
                     service.toString(),
-                    String.format("unreached %d, no connection free %d; datagrams a second a proxy %.2f, bytes %.0f, lost by faults %d; "
-                            + "calls to discovery %d, %.2f a second, waiting at the end %d; tests of nodes %d, commands to nodes that stood still %d", unreached, unsent,
-                            datagrams[0] / seconds / s.proxies(), datagrams[1] / seconds / s.proxies(), datagrams[2], discoveryCalls,
-                            discoveryCalls / seconds, watches, tests, ServiceStats.sentToSick(run)),
-                    String.format("lag ms: relay p99 %.1f max %.1f, load p99 %.1f, proxies without a fault p99 %.1f; all processors busy %.2f", quality.relayP99(),
-                            quality.relayMax(), quality.loadP99(), quality.childP99(), quality.busy())));
+                    String.format(
+                            "unreached %d, no connection free %d; datagrams a second a proxy %.2f, bytes %.0f, lost by faults %d; "
+                                    + "calls to discovery %d, %.2f a second, waiting at the end %d; tests of nodes %d, commands to nodes that stood still %d",
+                            unreached,
+                            unsent,
+                            datagrams[0] / seconds / s.proxies(),
+                            datagrams[1] / seconds / s.proxies(),
+                            datagrams[2],
+                            discoveryCalls,
+                            discoveryCalls / seconds,
+                            watches,
+                            tests,
+                            ServiceStats.sentToSick(run)),
+                    String.format(
+                            "lag ms: relay p99 %.1f max %.1f, load p99 %.1f, proxies without a fault p99 %.1f; all processors busy %.2f",
+                            quality.relayP99(),
+                            quality.relayMax(),
+                            quality.loadP99(),
+                            quality.childP99(),
+                            quality.busy())));
             for (String duty : s.duties()) {
-                List<double[]> gaps = MutualExclusionChecker.gaps(run, duty, Math.max(100, 2.5 * s.pollMs()), run.events().isEmpty() ? 0 : loadFromMs(run), run.endUs() / 1000.0);
-                lines.add(String.format("duty %s: epochs %d, longest gaps: %s", duty, MutualExclusionChecker.moves(run, duty),
-                        String.join(" ", gaps.stream().map(g -> String.format("%.0f ms at %.1f s", g[1] - g[0], g[0] / 1000)).toList())));
+                List<double[]> gaps = MutualExclusionChecker.gaps(
+                        run,
+                        duty,
+                        Math.max(100, 2.5 * s.pollMs()),
+                        run.events().isEmpty() ? 0 : loadFromMs(run),
+                        run.endUs() / 1000.0);
+                lines.add(String.format(
+                        "duty %s: epochs %d, longest gaps: %s",
+                        duty,
+                        MutualExclusionChecker.moves(run, duty),
+                        String.join(
+                                " ",
+                                gaps.stream()
+                                        .map(g -> String.format("%.0f ms at %.1f s", g[1] - g[0], g[0] / 1000))
+                                        .toList())));
             }
-            MutualExclusionChecker.takeovers(run).forEach((kind, gaps) -> lines.add(String.format("%s of the holder: %d, without another for ms p50 %.0f p99 %.0f max %.0f",
-                    kind, gaps.length, gaps[gaps.length / 2], gaps[(gaps.length - 1) * 99 / 100], gaps[gaps.length - 1])));
+            MutualExclusionChecker.takeovers(run)
+                    .forEach((kind, gaps) -> lines.add(String.format(
+                            "%s of the holder: %d, without another for ms p50 %.0f p99 %.0f max %.0f",
+                            kind,
+                            gaps.length,
+                            gaps[gaps.length / 2],
+                            gaps[(gaps.length - 1) * 99 / 100],
+                            gaps[gaps.length - 1])));
             if (!s.duties().isEmpty()) {
                 lines.add("acts under older epochs, refused where they were received: " + FencingChecker.refused(run));
             }
             if (run.scenario().limit() != null && run.scenario().limit().perSecond() > 0) {
                 double[] over = QuotaChecker.over(run);
-                lines.add(String.format("limit: over by %.0f in 100 ms, %.0f in 1 s, %.0f in 10 s; idle while refused %.4f from the fourth second of the load on", over[0], over[1], over[2],
-                        QuotaChecker.idle(run, 3000)));
+                lines.add(String.format(
+                        "limit: over by %.0f in 100 ms, %.0f in 1 s, %.0f in 10 s; idle while refused %.4f from the fourth second of the load on",
+                        over[0], over[1], over[2], QuotaChecker.idle(run, 3000)));
             }
             lines.addAll(verdict.lines());
             return lines;
@@ -119,7 +175,9 @@
             long started = System.nanoTime();
             proxies.startAll();
             startSeconds = (System.nanoTime() - started) / 1e9;
-            log.accept(String.format("ready after %.1f s; load for %.0f s", startSeconds, scenario.load().seconds()));
+            log.accept(String.format(
+                    "ready after %.1f s; load for %.0f s",
+                    startSeconds, scenario.load().seconds()));
             machine.begin();
             EventLoopLag lag = EventLoopLag.of(relayLoop);
             long[] before = {relay.passed(), relay.bytes(), relay.lost()};
@@ -127,17 +185,33 @@
             int testsBefore = standIns.tests();
             load = new OpenLoopWorkload(loadGroup.next(), scenario, proxies.addresses(), history);
             LeasePoller[] asking = new LeasePoller[1];
-            try (FaultInjector director = new FaultInjector(scenario, proxies, standIns, links, relayLoop, connections, history,
+            try (FaultInjector director = new FaultInjector(
+                    scenario,
+                    proxies,
+                    standIns,
+                    links,
+                    relayLoop,
+                    connections,
+                    history,
                     duty -> asking[0] == null ? null : asking[0].holder(duty))) {
-                LeasePoller polls = scenario.duties().isEmpty() ? null
-                        : LeasePoller.start(loadGroup.next(), space, history, scenario.proxies(), scenario.duties(), scenario.pollMs(), scenario.seed());
+                LeasePoller polls = scenario.duties().isEmpty()
+                        ? null
+                        : LeasePoller.start(
+                                loadGroup.next(),
+                                space,
+                                history,
+                                scenario.proxies(),
+                                scenario.duties(),
+                                scenario.pollMs(),
+                                scenario.seed());
                 asking[0] = polls; // before the director's thread starts, which reads it
                 director.start();
                 load.start().get();
                 if (polls != null) {
                     polls.stop();
                 }
-                datagrams = new long[] {relay.passed() - before[0], relay.bytes() - before[1], relay.lost() - before[2]};
+                datagrams =
+                        new long[] {relay.passed() - before[0], relay.bytes() - before[1], relay.lost() - before[2]};
                 calls = standIns.discoveryCalls() - callsBefore;
                 watches = standIns.waitingAtDiscovery();
                 tests = standIns.tests() - testsBefore;
@@ -146,8 +220,12 @@
             } catch (java.util.concurrent.ExecutionException e) {
                 throw new IOException(e);
             }
-            lags = new double[] {Math.max(lag.p99Ms(), standIns.lag().p99Ms()), Math.max(lag.maxMs(), standIns.lag().maxMs()),
-                load.behindP99Ms(), machine.busy()};
+            lags = new double[] {
+                Math.max(lag.p99Ms(), standIns.lag().p99Ms()),
+                Math.max(lag.maxMs(), standIns.lag().maxMs()),
+                load.behindP99Ms(),
+                machine.busy()
+            };
             dropped = history.dropped();
             relayDropped = relay.dropped();
             proxies.close();
@@ -159,8 +237,19 @@
         log.accept("checking");
         RunHistory run = History.read(file);
         RunValidity quality = new RunValidity(lags[0], lags[1], lags[2], pulseP99(run), lags[3], dropped, relayDropped);
-        return new Outcome(run, Verdict.of(run, quality.faults(), checkers), quality, ServiceStats.of(run, 0, Double.MAX_VALUE), startSeconds,
-                resident, datagrams, calls, watches, tests, load.unreached(), load.unsent());
+        return new Outcome(
+                run,
+                Verdict.of(run, quality.faults(), checkers),
+                quality,
+                ServiceStats.of(run, 0, Double.MAX_VALUE),
+                startSeconds,
+                resident,
+                datagrams,
+                calls,
+                watches,
+                tests,
+                load.unreached(),
+                load.unsent());
     }
 
     /** Checks a history that was written before. The machine's part in it is judged by the empty calls alone. */
@@ -184,21 +273,31 @@
 
     /** Of empty calls at proxies that nothing had befallen within a second before. */
     private static double pulseP99(RunHistory run) {
-        double[] took = run.events().stream().filter(e -> e.what().equals(Event.PULSE)
-                && !run.troubled(e.who(), e.us() - (long) (e.value() * 1000) - 1_000_000, e.us())).mapToDouble(Event::value).sorted().toArray();
+        double[] took = run.events().stream()
+                .filter(e -> e.what().equals(Event.PULSE)
+                        && !run.troubled(e.who(), e.us() - (long) (e.value() * 1000) - 1_000_000, e.us()))
+                .mapToDouble(Event::value)
+                .sorted()
+                .toArray();
         return took.length == 0 ? 0 : took[(took.length - 1) * 99 / 100];
     }
 
     /** A scenario's faults shrunk to fewer that still break an invariant; null if they don't. */
-    public static List<Fault> shrink(Scenario scenario, Path folder, List<Checker> checkers, int tries, int runs, Consumer<String> log)
+    public static List<Fault> shrink(
+            Scenario scenario, Path folder, List<Checker> checkers, int tries, int runs, Consumer<String> log)
             throws Exception {
         int[] n = {0};
-        return new cacheproxy.faulttest.scenario.Shrinker(faults -> {
-            Outcome o = play(scenario.with(faults), folder.resolve("try" + ++n[0]), checkers, s -> { });
-            boolean broken = o.verdict().doubts().isEmpty() && o.verdict().broken();
-            log.accept("try " + n[0] + ": " + faults.size() + " faults, " + (broken ? "broken" : o.verdict().held() ? "held" : "no verdict"));
-            return broken;
-        }, tries, runs).shrink(scenario.faults());
+        return new cacheproxy.faulttest.scenario.Shrinker(
+                        faults -> {
+                            Outcome o = play(scenario.with(faults), folder.resolve("try" + ++n[0]), checkers, s -> {});
+                            boolean broken = o.verdict().doubts().isEmpty()
+                                    && o.verdict().broken();
+                            log.accept("try " + n[0] + ": " + faults.size() + " faults, "
+                                    + (broken ? "broken" : o.verdict().held() ? "held" : "no verdict"));
+                            return broken;
+                        },
+                        tries,
+                        runs)
+                .shrink(scenario.faults());
     }
-
 }
