--- a/src/main/java/cacheproxy/faulttest/FencedWriter.java
+++ b/src/main/java/cacheproxy/faulttest/FencedWriter.java
@@ -1,17 +1,17 @@
 package cacheproxy.faulttest;
 
-import cacheproxy.fleet.lease.FencingTokenCheck;
-import cacheproxy.fleet.lease.NameHash;
 import cacheproxy.faulttest.check.Event;
 import cacheproxy.faulttest.scenario.TargetSelector;
+import cacheproxy.fleet.lease.FencingTokenCheck;
+import cacheproxy.fleet.lease.NameHash;
 import io.netty.channel.EventLoop;
 import java.util.SplittableRandom;
 import java.util.concurrent.TimeUnit;
 
 /**
- * What is done under duties, counted where it is received: a job beside each proxy that hears that it may act does so, some after having
- * stood still in the midst of it for longer than any lease, and a store takes what it writes unless it comes under an older epoch than it
- * has seen. On one event loop.
+ * What is done under duties, counted where it is received: a job beside each proxy that hears that it may act does so,
+ * some after having stood still in the midst of it for longer than any lease, and a store takes what it writes unless
+ * it comes under an older epoch than it has seen. On one event loop.
  */
 final class FencedWriter {
     private static final double STANDS_STILL = 0.05;
@@ -39,10 +39,14 @@
         }
         busy[proxy][number] = true;
         double takes = random.nextDouble() * (random.nextDouble() < STANDS_STILL ? LONGEST_MS : USUAL_MS);
-        loop.schedule(() -> {
-            busy[proxy][number] = false;
-            boolean accepted = guard.accepts(NameHash.of(duty), epoch);
-            history.add(0, TargetSelector.proxy(proxy), Event.ACT, duty, accepted ? "accepted" : "refused", epoch);
-        }, (long) (takes * 1000), TimeUnit.MICROSECONDS);
+        loop.schedule(
+                () -> {
+                    busy[proxy][number] = false;
+                    boolean accepted = guard.accepts(NameHash.of(duty), epoch);
+                    history.add(
+                            0, TargetSelector.proxy(proxy), Event.ACT, duty, accepted ? "accepted" : "refused", epoch);
+                },
+                (long) (takes * 1000),
+                TimeUnit.MICROSECONDS);
     }
 }
--- a/src/main/java/cacheproxy/faulttest/History.java
+++ b/src/main/java/cacheproxy/faulttest/History.java
@@ -1,11 +1,11 @@
 package cacheproxy.faulttest;
 
-import com.google.gson.stream.JsonReader;
-import com.google.gson.stream.JsonWriter;
 import cacheproxy.config.ConfigException;
 import cacheproxy.faulttest.check.Event;
 import cacheproxy.faulttest.check.RunHistory;
 import cacheproxy.faulttest.scenario.Scenario;
+import com.google.gson.stream.JsonReader;
+import com.google.gson.stream.JsonWriter;
 import java.io.BufferedReader;
 import java.io.BufferedWriter;
 import java.io.IOException;
@@ -19,7 +19,9 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.atomic.AtomicLong;
 
-/** All events of a run in one file, a line of JSON each, on one clock. From any thread; what does not fit is counted. */
+/**
+ * All events of a run in one file, a line of JSON each, on one clock. From any thread; what does not fit is counted.
+ */
 final class History implements AutoCloseable {
     private static final int WAITING = 200_000;
     private static final Event END = new Event(0, 0, "", "", "", "", 0);
@@ -54,7 +56,7 @@
 
     private void write(BufferedWriter out) {
         try (out) {
-            for (Event e; (e = waiting.take()) != END;) {
+            for (Event e; (e = waiting.take()) != END; ) {
                 if (failed == null) {
                     try {
                         out.write(line(e));
@@ -96,7 +98,15 @@
     static String line(Event e) throws IOException {
         StringWriter text = new StringWriter(96);
         try (JsonWriter json = new JsonWriter(text)) {
-            json.beginObject().name("us").value(e.us()).name("off").value(e.offUs()).name("who").value(e.who()).name("what").value(e.what());
+            json.beginObject()
+                    .name("us")
+                    .value(e.us())
+                    .name("off")
+                    .value(e.offUs())
+                    .name("who")
+                    .value(e.who())
+                    .name("what")
+                    .value(e.what());
             if (!e.id().isEmpty()) {
                 json.name("id").value(e.id());
             }
@@ -144,7 +154,7 @@
         Scenario scenario = null;
         try (BufferedReader in = Files.newBufferedReader(file)) {
             int n = 0;
-            for (String line; (line = in.readLine()) != null;) {
+            for (String line; (line = in.readLine()) != null; ) {
                 n++;
                 Event e;
                 try {
--- a/src/main/java/cacheproxy/faulttest/HostLoad.java
+++ b/src/main/java/cacheproxy/faulttest/HostLoad.java
@@ -1,7 +1,7 @@
 package cacheproxy.faulttest;
 
-import com.sun.management.OperatingSystemMXBean;
 import cacheproxy.faulttest.scenario.RunValidity;
+import com.sun.management.OperatingSystemMXBean;
 import java.lang.management.ManagementFactory;
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
--- a/src/main/java/cacheproxy/faulttest/LeasePoller.java
+++ b/src/main/java/cacheproxy/faulttest/LeasePoller.java
@@ -1,8 +1,8 @@
 package cacheproxy.faulttest;
 
-import cacheproxy.proxy.Transport;
 import cacheproxy.faulttest.check.Event;
 import cacheproxy.faulttest.scenario.TargetSelector;
+import cacheproxy.proxy.Transport;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -20,7 +20,10 @@
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 
-/** Asks each proxy at its control address whether it holds a duty, as those who act under it would, one call of each at a time. */
+/**
+ * Asks each proxy at its control address whether it holds a duty, as those who act under it would, one call of each at
+ * a time.
+ */
 final class LeasePoller {
     private static final long PATIENCE_MS = 60_000;
 
@@ -38,21 +41,33 @@
         this.history = history;
     }
 
-    static LeasePoller start(EventLoop loop, AddressSpace space, History history, int proxies, List<String> duties, double everyMs, long seed) {
-        LeasePoller polls = new LeasePoller(loop, space, history, new FencedWriter(loop, history, proxies, duties.size(), seed));
+    static LeasePoller start(
+            EventLoop loop,
+            AddressSpace space,
+            History history,
+            int proxies,
+            List<String> duties,
+            double everyMs,
+            long seed) {
+        LeasePoller polls =
+                new LeasePoller(loop, space, history, new FencedWriter(loop, history, proxies, duties.size(), seed));
         boolean[][] out = new boolean[proxies][duties.size()];
-        polls.ticks = loop.scheduleAtFixedRate(() -> {
-            for (int p = 0; p < proxies; p++) {
-                for (int d = 0; d < duties.size(); d++) {
-                    if (!out[p][d]) {
-                        out[p][d] = true;
-                        int proxy = p;
-                        int duty = d;
-                        polls.ask(proxy, duty, duties.get(duty), () -> out[proxy][duty] = false);
+        polls.ticks = loop.scheduleAtFixedRate(
+                () -> {
+                    for (int p = 0; p < proxies; p++) {
+                        for (int d = 0; d < duties.size(); d++) {
+                            if (!out[p][d]) {
+                                out[p][d] = true;
+                                int proxy = p;
+                                int duty = d;
+                                polls.ask(proxy, duty, duties.get(duty), () -> out[proxy][duty] = false);
+                            }
+                        }
                     }
-                }
-            }
-        }, (long) everyMs, (long) everyMs, TimeUnit.MILLISECONDS);
+                },
+                (long) everyMs,
+                (long) everyMs,
+                TimeUnit.MILLISECONDS);
         return polls;
     }
 
@@ -67,13 +82,18 @@
 
     private void ask(int proxy, int number, String duty, Runnable over) {
         InetSocketAddress to = space.proxy(proxy, AddressSpace.CONTROL);
-        new Bootstrap().group(loop).channel(Transport.BEST.socket()).option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 2000)
+        new Bootstrap()
+                .group(loop)
+                .channel(Transport.BEST.socket())
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 2000)
                 .handler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline().addLast(new Call(proxy, number, duty));
                     }
-                }).connect(to).addListener(f -> {
+                })
+                .connect(to)
+                .addListener(f -> {
                     Channel channel = ((io.netty.channel.ChannelFuture) f).channel();
                     if (!f.isSuccess()) {
                         over.run();
@@ -100,7 +120,8 @@
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             sentUs = history.now();
-            ctx.writeAndFlush(ByteBufUtil.writeAscii(ctx.alloc(), "GET /duties/" + duty + " HTTP/1.1\r\nHost: rig\r\n\r\n"));
+            ctx.writeAndFlush(
+                    ByteBufUtil.writeAscii(ctx.alloc(), "GET /duties/" + duty + " HTTP/1.1\r\nHost: rig\r\n\r\n"));
         }
 
         @Override
@@ -114,7 +135,8 @@
             }
             boolean yes = text.indexOf("HTTP/1.1 200") == 0;
             long epoch = yes ? Long.parseLong(text.substring(body + 4).strip()) : 0;
-            history.add(history.now() - sentUs, TargetSelector.proxy(proxy), Event.DUTY, duty, yes ? "yes" : "no", epoch);
+            history.add(
+                    history.now() - sentUs, TargetSelector.proxy(proxy), Event.DUTY, duty, yes ? "yes" : "no", epoch);
             if (yes) {
                 holders.put(duty, TargetSelector.proxy(proxy));
                 acts.may(proxy, number, duty, epoch);
--- a/src/main/java/cacheproxy/faulttest/OpenLoopWorkload.java
+++ b/src/main/java/cacheproxy/faulttest/OpenLoopWorkload.java
@@ -1,10 +1,10 @@
 package cacheproxy.faulttest;
 
-import cacheproxy.proxy.Transport;
+import cacheproxy.fakes.FakeOrigin;
 import cacheproxy.faulttest.check.Event;
-import cacheproxy.faulttest.scenario.TargetSelector;
 import cacheproxy.faulttest.scenario.Scenario;
-import cacheproxy.fakes.FakeOrigin;
+import cacheproxy.faulttest.scenario.TargetSelector;
+import cacheproxy.proxy.Transport;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -26,9 +26,10 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Clients of all proxies: requests at random moments whatever comes back, each on a connection that has none in hand. What is
- * sent, answered, cut off and given up goes into the history. A request whose connection has ended is sent once
- * more, to any other proxy, unless it must not run twice. Besides, each proxy gets an empty call four times a second, which shows how late its loop is.
+ * Clients of all proxies: requests at random moments whatever comes back, each on a connection that has none in hand.
+ * What is sent, answered, cut off and given up goes into the history. A request whose connection has ended is sent once
+ * more, to any other proxy, unless it must not run twice. Besides, each proxy gets an empty call four times a second,
+ * which shows how late its loop is.
  */
 final class OpenLoopWorkload {
     private static final int MOST_CONNECTIONS = 64;
@@ -85,11 +86,15 @@
             startedAt = nextAt;
             endsAt = nextAt + (long) (load.seconds() * 1e9);
             ticks = loop.scheduleAtFixedRate(this::tick, TICK_NANOS, TICK_NANOS, TimeUnit.NANOSECONDS);
-            pulses = loop.scheduleAtFixedRate(() -> {
-                for (Target t : targets) {
-                    t.pulse();
-                }
-            }, PULSE_MS, PULSE_MS, TimeUnit.MILLISECONDS);
+            pulses = loop.scheduleAtFixedRate(
+                    () -> {
+                        for (Target t : targets) {
+                            t.pulse();
+                        }
+                    },
+                    PULSE_MS,
+                    PULSE_MS,
+                    TimeUnit.MILLISECONDS);
         });
         return done;
     }
@@ -162,7 +167,8 @@
             String list = ",d=" + (int) load.deadlineMs();
             return switch (kind) {
                 case "read" -> "mg " + key + " v O" + id + " Pc=read" + list + "\r\n";
-                case "keyed" -> "ms " + key + " " + id.length() + " O" + id + " Pc=put" + list + ",k=" + id + "\r\n" + id + "\r\n";
+                case "keyed" ->
+                    "ms " + key + " " + id.length() + " O" + id + " Pc=put" + list + ",k=" + id + "\r\n" + id + "\r\n";
                 default -> "ms " + key + " " + id.length() + " O" + id + " Pc=submit" + list + "\r\n" + id + "\r\n";
             };
         }
@@ -183,7 +189,7 @@
         }
 
         void send(Request r) {
-            for (Conversation c; (c = idle.poll()) != null;) {
+            for (Conversation c; (c = idle.poll()) != null; ) {
                 if (c.ctx.channel().isActive()) {
                     c.send(r);
                     return;
@@ -195,23 +201,31 @@
             }
             connections++;
             open++;
-            connect(new Conversation(this), f -> {
-                open--;
-                if (!f.isSuccess()) {
-                    connections--;
-                    unreached++;
-                }
-            }, r);
+            connect(
+                    new Conversation(this),
+                    f -> {
+                        open--;
+                        if (!f.isSuccess()) {
+                            connections--;
+                            unreached++;
+                        }
+                    },
+                    r);
         }
 
         private void connect(Conversation c, java.util.function.Consumer<ChannelFuture> then, Request first) {
-            ChannelFuture f = new Bootstrap().group(loop).channel(Transport.BEST.socket()).option(ChannelOption.TCP_NODELAY, true)
-                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1000).handler(new ChannelInitializer<>() {
+            ChannelFuture f = new Bootstrap()
+                    .group(loop)
+                    .channel(Transport.BEST.socket())
+                    .option(ChannelOption.TCP_NODELAY, true)
+                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 1000)
+                    .handler(new ChannelInitializer<>() {
                         @Override
                         protected void initChannel(Channel channel) {
                             channel.pipeline().addLast(c);
                         }
-                    }).connect(proxies[index]);
+                    })
+                    .connect(proxies[index]);
             f.addListener(x -> {
                 then.accept(f);
                 if (f.isSuccess()) {
@@ -262,10 +276,13 @@
             open++;
             history.add(0, target.name, Event.ASKED, r.id, r.kind, load.deadlineMs());
             ctx.writeAndFlush(ByteBufUtil.writeAscii(ctx.alloc(), r.text()));
-            patience = loop.schedule(() -> {
-                over(Event.LEFT, "");
-                ctx.close();
-            }, (long) (load.deadlineMs() + PATIENCE_MS), TimeUnit.MILLISECONDS);
+            patience = loop.schedule(
+                    () -> {
+                        over(Event.LEFT, "");
+                        ctx.close();
+                    },
+                    (long) (load.deadlineMs() + PATIENCE_MS),
+                    TimeUnit.MILLISECONDS);
         }
 
         private Request over(String what, String detail) {
@@ -281,7 +298,8 @@
         protected void decode(ChannelHandlerContext context, ByteBuf in, List<Object> out) {
             if (value >= 0) {
                 if (in.readableBytes() >= value + 2) {
-                    String body = in.readCharSequence(value, StandardCharsets.ISO_8859_1).toString();
+                    String body = in.readCharSequence(value, StandardCharsets.ISO_8859_1)
+                            .toString();
                     in.skipBytes(2);
                     value = -1;
                     answered(body.equals(FakeOrigin.value(request.key)) ? "served" : "wrong");
@@ -292,13 +310,17 @@
             if (end < 0) {
                 return;
             }
-            String line = in.readCharSequence(end + 1 - in.readerIndex(), StandardCharsets.ISO_8859_1).toString().trim();
+            String line = in.readCharSequence(end + 1 - in.readerIndex(), StandardCharsets.ISO_8859_1)
+                    .toString()
+                    .trim();
             if (pulseAt != 0) {
                 history.add(0, target.name, Event.PULSE, "", "", (System.nanoTime() - pulseAt) / 1e6);
                 pulseAt = 0;
             } else if (request == null) {
                 history.add(0, target.name, Event.ANSWERED, "", "wrong", 0);
-            } else if (!line.startsWith("SERVER_ERROR") && !line.endsWith(" O" + request.id) && !line.contains(" O" + request.id + " ")) {
+            } else if (!line.startsWith("SERVER_ERROR")
+                    && !line.endsWith(" O" + request.id)
+                    && !line.contains(" O" + request.id + " ")) {
                 answered("wrong");
             } else if (line.startsWith("VA ") && request.kind.equals("read")) {
                 value = Integer.parseInt(line.split(" ")[1]);
--- a/src/main/java/cacheproxy/faulttest/ProcessSignals.java
+++ b/src/main/java/cacheproxy/faulttest/ProcessSignals.java
@@ -2,12 +2,11 @@
 
 import java.io.BufferedReader;
 import java.io.IOException;
-import java.io.InputStreamReader;
 import java.nio.charset.StandardCharsets;
 
 /**
- * Stops and continues processes, by a shell that lives as long as this process: once it reads no more orders it continues all that it
- * has stopped, so that nothing stands still for good when this process is killed.
+ * Stops and continues processes, by a shell that lives as long as this process: once it reads no more orders it
+ * continues all that it has stopped, so that nothing stands still for good when this process is killed.
  */
 final class ProcessSignals implements AutoCloseable {
     private static final String SCRIPT = """
@@ -27,7 +26,9 @@
     private final BufferedReader done;
 
     ProcessSignals() throws IOException {
-        shell = new ProcessBuilder("sh", "-c", SCRIPT).redirectError(ProcessBuilder.Redirect.DISCARD).start();
+        shell = new ProcessBuilder("sh", "-c", SCRIPT)
+                .redirectError(ProcessBuilder.Redirect.DISCARD)
+                .start();
         done = shell.inputReader(StandardCharsets.US_ASCII);
     }
 
--- a/src/main/java/cacheproxy/faulttest/ProxyProcesses.java
+++ b/src/main/java/cacheproxy/faulttest/ProxyProcesses.java
@@ -1,9 +1,9 @@
 package cacheproxy.faulttest;
 
-import com.google.gson.JsonObject;
 import cacheproxy.faulttest.check.Event;
-import cacheproxy.faulttest.scenario.TargetSelector;
 import cacheproxy.faulttest.scenario.Scenario;
+import cacheproxy.faulttest.scenario.TargetSelector;
+import com.google.gson.JsonObject;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.Writer;
@@ -26,8 +26,8 @@
 import java.util.stream.Stream;
 
 /**
- * The processes of the program. Each is started as in service, has a folder of its own, and ends with the rig in whatever way the rig
- * ends ({@link ParentWatchdog}). What befalls them comes from one thread, the director's.
+ * The processes of the program. Each is started as in service, has a folder of its own, and ends with the rig in
+ * whatever way the rig ends ({@link ParentWatchdog}). What befalls them comes from one thread, the director's.
  */
 final class ProxyProcesses implements AutoCloseable {
     private static final double READY_SECONDS = 120;
@@ -128,9 +128,10 @@
 
     private void read(String name, Process process, Path log) {
         try (BufferedReader in = process.inputReader(StandardCharsets.UTF_8);
-                Writer out = Files.newBufferedWriter(log, java.nio.file.StandardOpenOption.CREATE, java.nio.file.StandardOpenOption.APPEND)) {
+                Writer out = Files.newBufferedWriter(
+                        log, java.nio.file.StandardOpenOption.CREATE, java.nio.file.StandardOpenOption.APPEND)) {
             int lines = 0;
-            for (String line; (line = in.readLine()) != null;) {
+            for (String line; (line = in.readLine()) != null; ) {
                 if (lines++ < MOST_LINES) {
                     String text = line.length() > MOST_LINE ? line.substring(0, MOST_LINE) : line;
                     history.add(1000, name, Event.SAID, "", text, 0);
@@ -155,7 +156,8 @@
         long until = System.nanoTime() + (long) (READY_SECONDS * 1e9);
         while (true) {
             if (!process.isAlive()) {
-                throw new IOException(TargetSelector.proxy(i) + " ended before it was ready, exit code " + process.exitValue() + "; see "
+                throw new IOException(TargetSelector.proxy(i) + " ended before it was ready, exit code "
+                        + process.exitValue() + "; see "
                         + folder.resolve(TargetSelector.proxy(i)).resolve("log"));
             }
             if (System.nanoTime() > until) {
@@ -189,7 +191,10 @@
             return 0;
         }
         try (Stream<String> lines = Files.lines(Path.of("/proc", Long.toString(p.pid()), "status"))) {
-            return lines.filter(l -> l.startsWith("VmRSS:")).mapToLong(l -> Long.parseLong(l.replaceAll("\\D", ""))).findFirst().orElse(0);
+            return lines.filter(l -> l.startsWith("VmRSS:"))
+                    .mapToLong(l -> Long.parseLong(l.replaceAll("\\D", "")))
+                    .findFirst()
+                    .orElse(0);
         } catch (IOException | java.io.UncheckedIOException e) {
             return 0;
         }
@@ -230,7 +235,8 @@
         if (kill) {
             o.process.destroyForcibly();
         } else {
-            signals.send("TERM", o.process.pid()); // Process.destroy would close its standard input as well: an orphan's end
+            signals.send(
+                    "TERM", o.process.pid()); // Process.destroy would close its standard input as well: an orphan's end
         }
         while (o.stops > 0) {
             o.stops = 0;
@@ -275,7 +281,9 @@
 
     private static void empty(Path folder) throws IOException {
         try (Stream<Path> files = Files.walk(folder)) {
-            for (Path p : files.sorted(Comparator.reverseOrder()).filter(p -> !p.equals(folder)).toList()) {
+            for (Path p : files.sorted(Comparator.reverseOrder())
+                    .filter(p -> !p.equals(folder))
+                    .toList()) {
                 Files.deleteIfExists(p);
             }
         }
--- a/src/main/java/cacheproxy/faulttest/ScenarioReader.java
+++ b/src/main/java/cacheproxy/faulttest/ScenarioReader.java
@@ -2,12 +2,12 @@
 
 import cacheproxy.config.ConfigException;
 import cacheproxy.config.TomlTableReader;
-import cacheproxy.faulttest.scenario.RandomFaults;
-import cacheproxy.faulttest.scenario.TargetSelector;
 import cacheproxy.faulttest.scenario.Fault;
 import cacheproxy.faulttest.scenario.Fault.Kind;
 import cacheproxy.faulttest.scenario.Fault.LinkFigures;
+import cacheproxy.faulttest.scenario.RandomFaults;
 import cacheproxy.faulttest.scenario.Scenario;
+import cacheproxy.faulttest.scenario.TargetSelector;
 import java.io.IOException;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -16,12 +16,15 @@
 import java.util.List;
 import java.util.SplittableRandom;
 
-/** Reads a scenario's file, finds all that is wrong with it, and draws the lots that it asks for: what comes out names each fault. */
+/**
+ * Reads a scenario's file, finds all that is wrong with it, and draws the lots that it asks for: what comes out names
+ * each fault.
+ */
 public final class ScenarioReader {
     private static final double HOUR_MS = 3_600_000;
     private static final int MOST_FAULTS = 10_000;
 
-    private ScenarioReader() { }
+    private ScenarioReader() {}
 
     /** @param seed instead of the file's; null: the file's */
     public static Scenario read(Path path, Long seed) throws ConfigException {
@@ -52,11 +55,27 @@
         TargetSelector endpoints = new TargetSelector(proxies, nodes, zones);
         int own = f.integer("seed", 1, 0, Integer.MAX_VALUE);
         long seed = given != null ? given : own;
-        Scenario bare = new Scenario(name, f.oneOf("program", "serve", "serve", "run"), proxies, nodes, zones, seed,
-                f.number("node_per_second", 500, 1, 1e5), f.integer("node_room", 20, 1, 100_000), f.flag("warm", true),
-                f.flag("relay_nodes", false), f.flag("own_discovery", false), f.text("extra", ""), f.has("old") ? choose(f, "old", endpoints, new SplittableRandom(seed)) : List.of(),
-                f.text("old_extra", ""), f.texts("duties"), f.number("poll_ms", 20, 5, 10_000), f.integer("waves", 16, 1, 200),
-                load(root.section("load")), limit(root.section("limit")), List.of());
+        Scenario bare = new Scenario(
+                name,
+                f.oneOf("program", "serve", "serve", "run"),
+                proxies,
+                nodes,
+                zones,
+                seed,
+                f.number("node_per_second", 500, 1, 1e5),
+                f.integer("node_room", 20, 1, 100_000),
+                f.flag("warm", true),
+                f.flag("relay_nodes", false),
+                f.flag("own_discovery", false),
+                f.text("extra", ""),
+                f.has("old") ? choose(f, "old", endpoints, new SplittableRandom(seed)) : List.of(),
+                f.text("old_extra", ""),
+                f.texts("duties"),
+                f.number("poll_ms", 20, 5, 10_000),
+                f.integer("waves", 16, 1, 200),
+                load(root.section("load")),
+                limit(root.section("limit")),
+                List.of());
         f.end();
         SplittableRandom random = new SplittableRandom(seed);
         List<Fault> faults = new ArrayList<>();
@@ -79,8 +98,11 @@
         if (s == null) {
             return null;
         }
-        Scenario.Limit limit = new Scenario.Limit(s.oneOf("kind", "read", "read", "keyed", "unsafe"), s.number("per_second", 0, 0.001, 1e7),
-                s.integer("at_once", 0, 1, 1_000_000), s.number("saved", 0, 0, 1e7));
+        Scenario.Limit limit = new Scenario.Limit(
+                s.oneOf("kind", "read", "read", "keyed", "unsafe"),
+                s.number("per_second", 0, 0.001, 1e7),
+                s.integer("at_once", 0, 1, 1_000_000),
+                s.number("saved", 0, 0, 1e7));
         if (limit.perSecond() > 0 == limit.atOnce() > 0) {
             s.error("kind", "a limit has either per_second or at_once");
         }
@@ -92,32 +114,58 @@
         if (s == null) {
             return new Scenario.Load(5, 200, 0, 0, 500, 0.05, 0.05, 1000);
         }
-        Scenario.Load load = new Scenario.Load(s.number("seconds", 5, 0.1, 24 * 3600), s.number("per_second", 200, 0.1, 1e6),
-                s.number("skew", 0, 0, 20), s.number("turn_ms", 0, 0, HOUR_MS), s.integer("keys", 500, 1, 1_000_000), s.number("hot", 0.05, 0, 1), s.number("writes", 0.05, 0, 1),
+        Scenario.Load load = new Scenario.Load(
+                s.number("seconds", 5, 0.1, 24 * 3600),
+                s.number("per_second", 200, 0.1, 1e6),
+                s.number("skew", 0, 0, 20),
+                s.number("turn_ms", 0, 0, HOUR_MS),
+                s.integer("keys", 500, 1, 1_000_000),
+                s.number("hot", 0.05, 0, 1),
+                s.number("writes", 0.05, 0, 1),
                 s.number("deadline_ms", 1000, 10, 60_000));
         s.end();
         return load;
     }
 
-    private static void fault(TomlTableReader s, TargetSelector endpoints, SplittableRandom random, List<Fault> faults) {
+    private static void fault(
+            TomlTableReader s, TargetSelector endpoints, SplittableRandom random, List<Fault> faults) {
         Kind kind = kind(s, s.text("kind"), "kind");
         double at = s.number("at_ms", 0, 0, 24 * HOUR_MS);
         double lasts = s.number("for_ms", 1000, 1, 24 * HOUR_MS);
         String holderOf = s.text("holder_of", "");
-        List<String> who = !holderOf.isEmpty() && !s.has("who") ? List.of(TargetSelector.proxy(0)) : choose(s, "who", endpoints, random);
+        List<String> who = !holderOf.isEmpty() && !s.has("who")
+                ? List.of(TargetSelector.proxy(0))
+                : choose(s, "who", endpoints, random);
         List<String> to = List.of();
         LinkFigures figures = null;
         boolean twoWay = false;
         if (kind == Kind.LINK) {
             to = s.has("to") ? choose(s, "to", endpoints, random) : rest(who, endpoints);
             twoWay = s.flag("two_way", true);
-            figures = new LinkFigures(s.number("lose", 0, 0, 1), s.number("delay_ms", 0, 0, 60_000), s.number("jitter_ms", 0, 0, 60_000),
-                    s.number("twice", 0, 0, 1), s.number("corrupt", 0, 0, 1), s.flag("reset", false));
+            figures = new LinkFigures(
+                    s.number("lose", 0, 0, 1),
+                    s.number("delay_ms", 0, 0, 60_000),
+                    s.number("jitter_ms", 0, 0, 60_000),
+                    s.number("twice", 0, 0, 1),
+                    s.number("corrupt", 0, 0, 1),
+                    s.flag("reset", false));
         }
         double share = kind == Kind.SLOW ? s.number("share", 0.1, 0.01, 0.99) : 1;
         double beat = kind == Kind.SLOW ? s.number("beat_ms", 50, 5, 10_000) : 0;
         boolean loseDisk = (kind == Kind.TERM || kind == Kind.KILL) && s.flag("lose_disk", false);
-        Fault f = new Fault(kind, at, lasts, who, to, twoWay, figures, share, beat, loseDisk, s.number("stagger_ms", 0, 0, HOUR_MS), holderOf);
+        Fault f = new Fault(
+                kind,
+                at,
+                lasts,
+                who,
+                to,
+                twoWay,
+                figures,
+                share,
+                beat,
+                loseDisk,
+                s.number("stagger_ms", 0, 0, HOUR_MS),
+                holderOf);
         if (who.stream().anyMatch(n -> !f.onLinks() && n.charAt(0) != (f.onNodes() ? 'n' : 'p'))) {
             s.error("who", Fault.word(kind) + " befalls " + (f.onNodes() ? "nodes" : "proxies") + " alone");
         }
@@ -135,7 +183,8 @@
         return rest;
     }
 
-    private static List<String> choose(TomlTableReader s, String key, TargetSelector endpoints, SplittableRandom random) {
+    private static List<String> choose(
+            TomlTableReader s, String key, TargetSelector endpoints, SplittableRandom random) {
         String words = s.text(key);
         try {
             return words.isEmpty() ? List.of() : endpoints.choose(words, random);
@@ -152,13 +201,20 @@
             }
         }
         if (!word.isEmpty()) {
-            s.error(key, "there is no fault '" + word + "'; allowed: "
-                    + String.join(", ", Arrays.stream(Kind.values()).map(Fault::word).toList()));
+            s.error(
+                    key,
+                    "there is no fault '" + word + "'; allowed: "
+                            + String.join(
+                                    ", ",
+                                    Arrays.stream(Kind.values())
+                                            .map(Fault::word)
+                                            .toList()));
         }
         return Kind.STOP;
     }
 
-    private static void chaos(TomlTableReader s, TargetSelector endpoints, long seed, double loadMs, List<Fault> faults) {
+    private static void chaos(
+            TomlTableReader s, TargetSelector endpoints, long seed, double loadMs, List<Fault> faults) {
         List<Kind> kinds = new ArrayList<>();
         s.texts("kinds").forEach(k -> kinds.add(kind(s, k, "kinds")));
         double from = s.number("from_ms", 0, 0, 24 * HOUR_MS);
@@ -169,6 +225,7 @@
             s.error("longest_ms", "longest_ms is " + longest + " and does not fit between from_ms and to_ms");
             return;
         }
-        faults.addAll(new RandomFaults(count, kinds.isEmpty() ? List.of(Kind.values()) : kinds, from, to, longest).faults(endpoints, seed));
+        faults.addAll(new RandomFaults(count, kinds.isEmpty() ? List.of(Kind.values()) : kinds, from, to, longest)
+                .faults(endpoints, seed));
     }
 }
--- a/src/main/java/cacheproxy/faulttest/TcpRelay.java
+++ b/src/main/java/cacheproxy/faulttest/TcpRelay.java
@@ -1,7 +1,7 @@
 package cacheproxy.faulttest;
 
-import cacheproxy.proxy.Transport;
 import cacheproxy.faulttest.scenario.NetworkLinks;
+import cacheproxy.proxy.Transport;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -21,9 +21,9 @@
 import java.util.function.Supplier;
 
 /**
- * The way of connections from proxies to discovery and nodes. A cut link leaves them open and silent and gives back what came
- * meanwhile once it is whole again, as TCP does; a resetting one ends them and refuses new ones by a reset. Bytes that wait are
- * bounded as each side is read only while the other takes.
+ * The way of connections from proxies to discovery and nodes. A cut link leaves them open and silent and gives back
+ * what came meanwhile once it is whole again, as TCP does; a resetting one ends them and refuses new ones by a reset.
+ * Bytes that wait are bounded as each side is read only while the other takes.
  */
 final class TcpRelay implements AutoCloseable {
     private final EventLoop loop;
@@ -45,14 +45,22 @@
      * @param target asked at each connection: a server may have moved
      */
     void face(InetSocketAddress at, int from, int to, Supplier<InetSocketAddress> target) throws InterruptedException {
-        servers.add(new ServerBootstrap().group(loop).channel(Transport.BEST.server()).option(ChannelOption.SO_BACKLOG, 256)
-                .option(ChannelOption.SO_REUSEADDR, true).childOption(ChannelOption.TCP_NODELAY, true).childOption(ChannelOption.AUTO_READ, false)
+        servers.add(new ServerBootstrap()
+                .group(loop)
+                .channel(Transport.BEST.server())
+                .option(ChannelOption.SO_BACKLOG, 256)
+                .option(ChannelOption.SO_REUSEADDR, true)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childOption(ChannelOption.AUTO_READ, false)
                 .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline().addLast(new Pipe(channel, from, to, target).near);
                     }
-                }).bind(at).sync().channel());
+                })
+                .bind(at)
+                .sync()
+                .channel());
     }
 
     /** The faults have changed; on the loop. */
@@ -84,8 +92,14 @@
                 end(true);
                 return;
             }
-            new Bootstrap().group(loop).channel(Transport.BEST.socket()).option(ChannelOption.TCP_NODELAY, true)
-                    .option(ChannelOption.AUTO_READ, false).handler(far).connect(target.get()).addListener(f -> {
+            new Bootstrap()
+                    .group(loop)
+                    .channel(Transport.BEST.socket())
+                    .option(ChannelOption.TCP_NODELAY, true)
+                    .option(ChannelOption.AUTO_READ, false)
+                    .handler(far)
+                    .connect(target.get())
+                    .addListener(f -> {
                         if (f.isSuccess()) {
                             near.go();
                             far.go();
@@ -130,7 +144,9 @@
         }
 
         private boolean connected() {
-            return pipe.near.channel != null && pipe.far.channel != null && pipe.far.channel.isActive() | pipe.far.ended;
+            return pipe.near.channel != null
+                    && pipe.far.channel != null
+                    && pipe.far.channel.isActive() | pipe.far.ended;
         }
 
         private End other() {
@@ -147,7 +163,7 @@
             if (!connected() || links.holds(from, to)) {
                 return;
             }
-            for (ByteBuf b; (b = held.poll()) != null;) {
+            for (ByteBuf b; (b = held.poll()) != null; ) {
                 pass(b);
             }
             if (ended && onTheWay == 0) {
@@ -182,13 +198,16 @@
             }
             lastAt = at;
             onTheWay++;
-            loop.schedule(() -> {
-                onTheWay--;
-                other().channel.writeAndFlush(b);
-                if (ended && onTheWay == 0 && held.isEmpty()) {
-                    pipe.end(false);
-                }
-            }, at - now, TimeUnit.NANOSECONDS);
+            loop.schedule(
+                    () -> {
+                        onTheWay--;
+                        other().channel.writeAndFlush(b);
+                        if (ended && onTheWay == 0 && held.isEmpty()) {
+                            pipe.end(false);
+                        }
+                    },
+                    at - now,
+                    TimeUnit.NANOSECONDS);
         }
 
         @Override
--- a/src/main/java/cacheproxy/faulttest/check/AtMostOnceChecker.java
+++ b/src/main/java/cacheproxy/faulttest/check/AtMostOnceChecker.java
@@ -5,7 +5,10 @@
 import java.util.Map;
 import java.util.Set;
 
-/** No write takes effect twice, whatever befalls; and one that was answered as served has taken effect. Nothing is excused. */
+/**
+ * No write takes effect twice, whatever befalls; and one that was answered as served has taken effect. Nothing is
+ * excused.
+ */
 public final class AtMostOnceChecker implements Checker {
     @Override
     public String name() {
@@ -28,7 +31,10 @@
             }
         }
         for (Event e : run.events()) {
-            if (e.what().equals(Event.ANSWERED) && e.detail().equals("served") && writes.contains(e.id()) && !effects.containsKey(e.id())) {
+            if (e.what().equals(Event.ANSWERED)
+                    && e.detail().equals("served")
+                    && writes.contains(e.id())
+                    && !effects.containsKey(e.id())) {
                 f.broken(e, "write " + e.id() + " was answered as done and had no effect");
             }
         }
--- a/src/main/java/cacheproxy/faulttest/check/Checker.java
+++ b/src/main/java/cacheproxy/faulttest/check/Checker.java
@@ -12,7 +12,14 @@
 
     /** All that hold for any scenario. */
     static List<Checker> all() {
-        return List.of(new SingleResponseChecker(), new AtMostOnceChecker(), new DrainChecker(), new SlowStartChecker(), new CrashChecker(), new MutualExclusionChecker(), new FencingChecker(),
+        return List.of(
+                new SingleResponseChecker(),
+                new AtMostOnceChecker(),
+                new DrainChecker(),
+                new SlowStartChecker(),
+                new CrashChecker(),
+                new MutualExclusionChecker(),
+                new FencingChecker(),
                 new QuotaChecker());
     }
 }
--- a/src/main/java/cacheproxy/faulttest/check/CrashChecker.java
+++ b/src/main/java/cacheproxy/faulttest/check/CrashChecker.java
@@ -26,7 +26,7 @@
                         f.broken(e, e.who() + " ended by itself, exit code " + (int) e.value());
                     }
                 }
-                default -> { }
+                default -> {}
             }
         }
         return f;
--- a/src/main/java/cacheproxy/faulttest/check/DrainChecker.java
+++ b/src/main/java/cacheproxy/faulttest/check/DrainChecker.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * Nothing new goes to a node that has been called draining for the grace. Whoever could not hear of it counts as told so much
- * after it could again.
+ * Nothing new goes to a node that has been called draining for the grace. Whoever could not hear of it counts as told
+ * so much after it could again.
  */
 public final class DrainChecker implements Checker {
     static final long GRACE_US = 2_050_000;
@@ -34,12 +34,14 @@
                         f.looked();
                         long heard = run.informedFrom(proxy, since);
                         if (e.earliest() > heard + GRACE_US + (heard > since ? TOLD_US : 0)) {
-                            f.broken(e, proxy + " sent " + e.id() + " to " + e.who() + " " + (e.us() - since) / 1000
-                                    + " ms after it was called draining");
+                            f.broken(
+                                    e,
+                                    proxy + " sent " + e.id() + " to " + e.who() + " " + (e.us() - since) / 1000
+                                            + " ms after it was called draining");
                         }
                     }
                 }
-                default -> { }
+                default -> {}
             }
         }
         return f;
--- a/src/main/java/cacheproxy/faulttest/check/Event.java
+++ b/src/main/java/cacheproxy/faulttest/check/Event.java
@@ -14,7 +14,9 @@
 public record Event(long us, long offUs, String who, String what, String id, String detail, double value) {
     /** The scenario as it was played, in {@code detail}; the first of a history. */
     public static final String SCENARIO = "scenario";
-    /** A client's request has been sent to proxy {@code who}; detail: read, keyed, unsafe; value: its deadline in ms. */
+    /**
+     * A client's request has been sent to proxy {@code who}; detail: read, keyed, unsafe; value: its deadline in ms.
+     */
     public static final String ASKED = "asked";
     /** Its answer; detail: served, refused, failed, wrong. */
     public static final String ANSWERED = "answered";
@@ -28,12 +30,15 @@
     public static final String EFFECT = "effect";
     /** Discovery calls node {@code who} draining, or up again. */
     public static final String DRAINING = "draining";
+
     public static final String UP = "up";
     /** A node died; it is back, empty. */
     public static final String DIED = "died";
+
     public static final String BORN = "born";
     /** What befell a proxy's process. */
     public static final String STARTED = "started";
+
     public static final String READY = "ready";
     public static final String STOPPED = "stopped";
     public static final String CONTINUED = "continued";
@@ -45,15 +50,22 @@
     public static final String SAID = "said";
     /** A fault was put in, taken back; detail: which. */
     public static final String FAULT = "fault";
+
     public static final String HEALED = "healed";
 
     /** A proxy answered an empty call; value: after so many ms. */
     public static final String PULSE = "pulse";
 
-    /** Proxy {@code who} was asked whether it holds duty {@code id}; from the question on; detail: yes or no; value: its epoch. */
+    /**
+     * Proxy {@code who} was asked whether it holds duty {@code id}; from the question on; detail: yes or no; value: its
+     * epoch.
+     */
     public static final String DUTY = "duty";
 
-    /** What a job beside proxy {@code who} did under duty {@code id} has reached its store; detail: accepted, refused; value: its epoch. */
+    /**
+     * What a job beside proxy {@code who} did under duty {@code id} has reached its store; detail: accepted, refused;
+     * value: its epoch.
+     */
     public static final String ACT = "act";
 
     /** The earliest that it can have been. */
--- a/src/main/java/cacheproxy/faulttest/check/FencingChecker.java
+++ b/src/main/java/cacheproxy/faulttest/check/FencingChecker.java
@@ -21,8 +21,10 @@
             f.looked();
             Event before = last.get(e.id());
             if (before != null && before.value() > e.value()) {
-                f.broken(e, "an act of " + e.who() + " under " + e.id() + ", epoch " + (long) e.value() + ", was taken after one of " + before.who()
-                        + " under epoch " + (long) before.value());
+                f.broken(
+                        e,
+                        "an act of " + e.who() + " under " + e.id() + ", epoch " + (long) e.value()
+                                + ", was taken after one of " + before.who() + " under epoch " + (long) before.value());
             } else {
                 last.put(e.id(), e);
             }
@@ -32,6 +34,8 @@
 
     /** Acts of older epochs that were refused where they were received. */
     public static long refused(RunHistory run) {
-        return run.events().stream().filter(e -> e.what().equals(Event.ACT) && e.detail().equals("refused")).count();
+        return run.events().stream()
+                .filter(e -> e.what().equals(Event.ACT) && e.detail().equals("refused"))
+                .count();
     }
 }
--- a/src/main/java/cacheproxy/faulttest/check/MutualExclusionChecker.java
+++ b/src/main/java/cacheproxy/faulttest/check/MutualExclusionChecker.java
@@ -8,9 +8,9 @@
 import java.util.TreeMap;
 
 /**
- * Of each duty there is one holder at a time, in epochs that grow. Each yes of a proxy was true at some moment between question and
- * answer. So none that was asked for after a yes of a later epoch had come may be of an earlier one, and no two proxies may say yes
- * under one epoch.
+ * Of each duty there is one holder at a time, in epochs that grow. Each yes of a proxy was true at some moment between
+ * question and answer. So none that was asked for after a yes of a later epoch had come may be of an earlier one, and
+ * no two proxies may say yes under one epoch.
  */
 public final class MutualExclusionChecker implements Checker {
     /** What comes later than this after a fault is not laid to it. */
@@ -38,8 +38,11 @@
             TreeMap<Long, Event> before = latest.computeIfAbsent(e.id(), k -> new TreeMap<>());
             Map.Entry<Long, Event> known = before.lowerEntry(e.earliest());
             if (known != null && known.getValue().value() > e.value()) {
-                f.broken(e, e.who() + " holds " + e.id() + " under epoch " + (long) e.value() + " after " + known.getValue().who()
-                        + " held it under " + (long) known.getValue().value());
+                f.broken(
+                        e,
+                        e.who() + " holds " + e.id() + " under epoch " + (long) e.value() + " after "
+                                + known.getValue().who() + " held it under "
+                                + (long) known.getValue().value());
             }
             Map.Entry<Long, Event> last = before.lastEntry();
             if (last == null || last.getValue().value() < e.value()) {
@@ -54,7 +57,11 @@
         List<double[]> gaps = new ArrayList<>();
         double last = fromMs;
         for (Event e : run.events()) {
-            if (e.what().equals(Event.DUTY) && e.id().equals(duty) && e.detail().equals("yes") && e.ms() >= fromMs && e.ms() <= toMs) {
+            if (e.what().equals(Event.DUTY)
+                    && e.id().equals(duty)
+                    && e.detail().equals("yes")
+                    && e.ms() >= fromMs
+                    && e.ms() <= toMs) {
                 if (e.ms() - last >= leastMs) {
                     gaps.add(new double[] {last, e.ms()});
                 }
@@ -68,8 +75,8 @@
     }
 
     /**
-     * Of faults that befell a holder, by their kinds: after how many milliseconds another grant was first seen, sorted; those that left it
-     * holding don't count.
+     * Of faults that befell a holder, by their kinds: after how many milliseconds another grant was first seen, sorted;
+     * those that left it holding don't count.
      */
     public static Map<String, double[]> takeovers(RunHistory run) {
         Map<String, List<Double>> gaps = new TreeMap<>();
@@ -77,7 +84,9 @@
         for (int i = 0; i < events.size(); i++) {
             Event e = events.get(i);
             int index = e.what().equals(Event.FAULT) ? Integer.parseInt(e.id()) : -1;
-            if (index < 0 || index >= run.scenario().faults().size() || run.scenario().faults().get(index).holderOf().isEmpty()) {
+            if (index < 0
+                    || index >= run.scenario().faults().size()
+                    || run.scenario().faults().get(index).holderOf().isEmpty()) {
                 continue;
             }
             Fault f = run.scenario().faults().get(index);
@@ -87,13 +96,17 @@
             }
             for (int j = i + 1; j < events.size() && events.get(j).ms() < e.ms() + MOST_TAKEOVER_MS; j++) {
                 if (says(events.get(j), f.holderOf()) && events.get(j).value() > epoch) {
-                    gaps.computeIfAbsent(Fault.word(f.kind()) + (f.onLinks() && !f.twoWay() ? ", one way" : ""), k -> new ArrayList<>()).add(events.get(j).ms() - e.ms());
+                    gaps.computeIfAbsent(
+                                    Fault.word(f.kind()) + (f.onLinks() && !f.twoWay() ? ", one way" : ""),
+                                    k -> new ArrayList<>())
+                            .add(events.get(j).ms() - e.ms());
                     break;
                 }
             }
         }
         Map<String, double[]> sorted = new TreeMap<>();
-        gaps.forEach((kind, all) -> sorted.put(kind, all.stream().mapToDouble(x -> x).sorted().toArray()));
+        gaps.forEach((kind, all) ->
+                sorted.put(kind, all.stream().mapToDouble(x -> x).sorted().toArray()));
         return sorted;
     }
 
@@ -103,7 +116,12 @@
 
     /** How often a duty was held under another epoch than before. */
     public static int moves(RunHistory run, String duty) {
-        return (int) run.events().stream().filter(e -> e.what().equals(Event.DUTY) && e.id().equals(duty) && e.detail().equals("yes"))
-                .mapToDouble(Event::value).distinct().count();
+        return (int) run.events().stream()
+                .filter(e -> e.what().equals(Event.DUTY)
+                        && e.id().equals(duty)
+                        && e.detail().equals("yes"))
+                .mapToDouble(Event::value)
+                .distinct()
+                .count();
     }
 }
--- a/src/main/java/cacheproxy/faulttest/check/QuotaChecker.java
+++ b/src/main/java/cacheproxy/faulttest/check/QuotaChecker.java
@@ -10,13 +10,16 @@
 import java.util.Set;
 
 /**
- * What all proxies together send to the nodes of the requests that a scenario's limit bounds, counted as it comes to them: a request once, however often it is tried.
- * In no window may surely have come more than the limit's part of it, what may be saved up, and what clocks that run fast make of it. At once: a
- * request is surely in hand from when it came to a node until {@value #ANSWER_MS} ms before its client had the answer, which may have been on its way for so long.
+ * What all proxies together send to the nodes of the requests that a scenario's limit bounds, counted as it comes to
+ * them: a request once, however often it is tried. In no window may surely have come more than the limit's part of it,
+ * what may be saved up, and what clocks that run fast make of it. At once: a request is surely in hand from when it
+ * came to a node until {@value #ANSWER_MS} ms before its client had the answer, which may have been on its way for so
+ * long.
  */
 public final class QuotaChecker implements Checker {
     /** Windows over which it is judged, ms. */
     public static final double[] WINDOWS = {100, 1000, 10_000};
+
     private static final double DRIFT = 0.01;
     static final double ANSWER_MS = 25;
 
@@ -42,7 +45,14 @@
             int[] most = most(came, window);
             double allowed = allowed(limit, window);
             if (most[0] > allowed) {
-                f.broken(came.get(most[1]), String.format(java.util.Locale.ROOT, "%d came within %.0f ms, where the limit and its bound allow %.1f", most[0], window, allowed));
+                f.broken(
+                        came.get(most[1]),
+                        String.format(
+                                java.util.Locale.ROOT,
+                                "%d came within %.0f ms, where the limit and its bound allow %.1f",
+                                most[0],
+                                window,
+                                allowed));
             }
         }
         return f;
@@ -59,7 +69,8 @@
         Set<String> seen = new HashSet<>();
         List<Event> came = new ArrayList<>();
         for (Event e : run.events()) {
-            if (e.what().equals(Event.ASKED) && e.detail().equals(run.scenario().limit().kind())) {
+            if (e.what().equals(Event.ASKED)
+                    && e.detail().equals(run.scenario().limit().kind())) {
                 bounded.add(e.id());
             } else if (e.what().equals(Event.ARRIVED) && bounded.contains(e.id()) && seen.add(e.id())) {
                 came.add(e);
@@ -98,7 +109,9 @@
         List<long[]> turns = new ArrayList<>();
         Set<String> over = new HashSet<>();
         for (Event e : run.events()) {
-            boolean end = e.what().equals(Event.ANSWERED) || e.what().equals(Event.GONE) || e.what().equals(Event.LEFT);
+            boolean end = e.what().equals(Event.ANSWERED)
+                    || e.what().equals(Event.GONE)
+                    || e.what().equals(Event.LEFT);
             Event from = end && over.add(e.id()) ? came.get(e.id()) : null;
             long until = e.earliest() - (long) (ANSWER_MS * 1000);
             if (from != null && until > from.us()) {
@@ -111,8 +124,9 @@
         for (long[] t : turns) {
             inHand += (int) t[1];
             if (t[1] > 0 && inHand > limit.atOnce() + limit.saved()) {
-                f.broken(new Event(t[0], 0, "rig", Event.ARRIVED, "", "", inHand), inHand + " in hand, where " + limit.atOnce() + " and "
-                        + limit.saved() + " are allowed");
+                f.broken(
+                        new Event(t[0], 0, "rig", Event.ARRIVED, "", "", inHand),
+                        inHand + " in hand, where " + limit.atOnce() + " and " + limit.saved() + " are allowed");
             }
         }
     }
@@ -120,12 +134,17 @@
     /** By window: the most that came, over what the limit alone allows. */
     public static double[] over(RunHistory run) {
         List<Event> came = arrivals(run);
-        return Arrays.stream(WINDOWS).map(w -> most(came, w)[0] - run.scenario().limit().perSecond() * w / 1000).toArray();
+        return Arrays.stream(WINDOWS)
+                .map(w -> most(came, w)[0] - run.scenario().limit().perSecond() * w / 1000)
+                .toArray();
     }
 
     /** The part of a rate that lay idle while as much was refused, in whole seconds of the load but its first ones. */
     public static double idle(RunHistory run, double skippedMs) {
-        double[] asked = run.events().stream().filter(e -> e.what().equals(Event.ASKED)).mapToDouble(Event::ms).toArray();
+        double[] asked = run.events().stream()
+                .filter(e -> e.what().equals(Event.ASKED))
+                .mapToDouble(Event::ms)
+                .toArray();
         return asked.length == 0 ? 0 : idle(run, asked[0] + skippedMs, asked[asked.length - 1]);
     }
 
@@ -139,7 +158,8 @@
         }
         Set<String> bounded = new HashSet<>();
         for (Event e : run.events()) {
-            if (e.what().equals(Event.ASKED) && e.detail().equals(run.scenario().limit().kind())) {
+            if (e.what().equals(Event.ASKED)
+                    && e.detail().equals(run.scenario().limit().kind())) {
                 bounded.add(e.id());
             } else if (e.what().equals(Event.ANSWERED) && e.detail().equals("refused") && bounded.contains(e.id())) {
                 count(refused, e, fromMs);
--- a/src/main/java/cacheproxy/faulttest/check/RunHistory.java
+++ b/src/main/java/cacheproxy/faulttest/check/RunHistory.java
@@ -24,10 +24,12 @@
     private final List<Event> events;
     /** Spans in which a process stood still, or ran in beats, or was not there. */
     private final Map<String, List<Span>> stopped = new HashMap<>();
+
     private final Map<String, List<Span>> gone = new HashMap<>();
     private final Map<String, List<Span>> cutOff = new HashMap<>();
     /** Spans of {@link #gone} that began with a kill, or with an end that nobody ordered. */
     private final Map<String, List<Span>> killed = new HashMap<>();
+
     private final long endUs;
 
     /** @param events in any order */
@@ -59,7 +61,7 @@
                     close(down, gone, e);
                     close(dead, killed, e);
                 }
-                default -> { }
+                default -> {}
             }
         }
         stop.forEach((who, from) -> span(stopped, who, from, endUs));
@@ -131,20 +133,24 @@
         return meets(gone, proxy, from, to);
     }
 
-    /** Whether a process was dead at some time of a span: killed, or crashed; one that was asked to end is not until it is killed. */
+    /**
+     * Whether a process was dead at some time of a span: killed, or crashed; one that was asked to end is not until it
+     * is killed.
+     */
     public boolean dead(String proxy, long from, long to) {
         return meets(killed, proxy, from, to);
     }
 
     /** How long it stood still in a span, microseconds. */
     public long stoppedUs(String proxy, long from, long to) {
-        return stopped.getOrDefault(proxy, List.of()).stream().mapToLong(s -> Math.max(0, Math.min(to, s.to) - Math.max(from, s.from)))
+        return stopped.getOrDefault(proxy, List.of()).stream()
+                .mapToLong(s -> Math.max(0, Math.min(to, s.to) - Math.max(from, s.from)))
                 .sum();
     }
 
     /**
-     * From when on word of discovery could reach a proxy: the given time, or the end of the troubles that stood in the way from
-     * then on without a pause in which it could have heard.
+     * From when on word of discovery could reach a proxy: the given time, or the end of the troubles that stood in the
+     * way from then on without a pause in which it could have heard.
      */
     public long informedFrom(String proxy, long from) {
         List<Span> troubles = new ArrayList<>();
--- a/src/main/java/cacheproxy/faulttest/check/ServiceStats.java
+++ b/src/main/java/cacheproxy/faulttest/check/ServiceStats.java
@@ -17,8 +17,18 @@
  * @param idle nodes that were sent nothing
  * @param attemptsEach commands at nodes for each request
  */
-public record ServiceStats(int asked, int inTime, int served, int refused, int failed, int unanswered, double[] waited, double nodeMax,
-        double nodeVariation, int idle, double attemptsEach) {
+public record ServiceStats(
+        int asked,
+        int inTime,
+        int served,
+        int refused,
+        int failed,
+        int unanswered,
+        double[] waited,
+        double nodeMax,
+        double nodeVariation,
+        int idle,
+        double attemptsEach) {
 
     /** Over requests sent in a span of a run, milliseconds. */
     public static ServiceStats of(RunHistory run, double fromMs, double toMs) {
@@ -55,18 +65,31 @@
                         }
                     }
                 }
-                default -> { }
+                default -> {}
             }
         }
         double[] served = Arrays.copyOf(times, of[2]);
         Arrays.sort(served);
-        double[] waited = served.length == 0 ? new double[] {Double.NaN, Double.NaN}
+        double[] waited = served.length == 0
+                ? new double[] {Double.NaN, Double.NaN}
                 : new double[] {served[served.length / 2], served[served.length * 99 / 100]};
         double mean = Arrays.stream(arrivals).average().orElse(0);
-        double variance = Arrays.stream(arrivals).mapToDouble(n -> (n - mean) * (n - mean)).average().orElse(0);
-        return new ServiceStats(of[0], of[1], of[2], of[3], of[4], of[0] - of[2] - of[3] - of[4], waited,
-                mean == 0 ? 0 : Arrays.stream(arrivals).max().orElse(0) / mean, mean == 0 ? 0 : Math.sqrt(variance) / mean,
-                (int) Arrays.stream(arrivals).filter(n -> n == 0).count(), of[0] == 0 ? 0 : (double) attempts / of[0]);
+        double variance = Arrays.stream(arrivals)
+                .mapToDouble(n -> (n - mean) * (n - mean))
+                .average()
+                .orElse(0);
+        return new ServiceStats(
+                of[0],
+                of[1],
+                of[2],
+                of[3],
+                of[4],
+                of[0] - of[2] - of[3] - of[4],
+                waited,
+                mean == 0 ? 0 : Arrays.stream(arrivals).max().orElse(0) / mean,
+                mean == 0 ? 0 : Math.sqrt(variance) / mean,
+                (int) Arrays.stream(arrivals).filter(n -> n == 0).count(),
+                of[0] == 0 ? 0 : (double) attempts / of[0]);
     }
 
     /** Commands that came to nodes while these stood still. */
@@ -86,7 +109,7 @@
                         n++;
                     }
                 }
-                default -> { }
+                default -> {}
             }
         }
         return n;
@@ -94,9 +117,22 @@
 
     @Override
     public String toString() {
-        return String.format(java.util.Locale.ROOT, "asked %d, in time %.4f, served %.4f, refused %.4f, failed %.4f, unanswered %.4f; ms p50 %.1f "
-                + "p99 %.1f; attempts each %.3f; nodes: max over mean %.2f, variation %.3f, idle %d", asked, part(inTime), part(served),
-                part(refused), part(failed), part(unanswered), waited[0], waited[1], attemptsEach, nodeMax, nodeVariation, idle);
+        return String.format(
+                java.util.Locale.ROOT,
+                "asked %d, in time %.4f, served %.4f, refused %.4f, failed %.4f, unanswered %.4f; ms p50 %.1f "
+                        + "p99 %.1f; attempts each %.3f; nodes: max over mean %.2f, variation %.3f, idle %d",
+                asked,
+                part(inTime),
+                part(served),
+                part(refused),
+                part(failed),
+                part(unanswered),
+                waited[0],
+                waited[1],
+                attemptsEach,
+                nodeMax,
+                nodeVariation,
+                idle);
     }
 
     private double part(int n) {
--- a/src/main/java/cacheproxy/faulttest/check/SingleResponseChecker.java
+++ b/src/main/java/cacheproxy/faulttest/check/SingleResponseChecker.java
@@ -6,9 +6,10 @@
 import java.util.Set;
 
 /**
- * Each request that a proxy has taken gets one final answer, in time, also from one that was asked to end. Excused are those of a
- * process that was killed with them in hand, and for as long as a process stood still nobody can ask it for an answer. A connection that ended between
- * requests at a planned end may have crossed one, which then must not have been carried on.
+ * Each request that a proxy has taken gets one final answer, in time, also from one that was asked to end. Excused are
+ * those of a process that was killed with them in hand, and for as long as a process stood still nobody can ask it for
+ * an answer. A connection that ended between requests at a planned end may have crossed one, which then must not have
+ * been carried on.
  */
 public final class SingleResponseChecker implements Checker {
     /** What the rules grant beyond a request's time. */
@@ -54,19 +55,24 @@
                 case Event.LEFT -> {
                     Open o = open.get(e.id());
                     if (o != null && !o.answered && !excused(run, o, e)) {
-                        f.broken(e, e.id() + " at " + e.who() + " had no answer " + since(o, e) + " ms after it was sent");
+                        f.broken(
+                                e,
+                                e.id() + " at " + e.who() + " had no answer " + since(o, e) + " ms after it was sent");
                     }
                     if (o != null) {
                         o.answered = true;
                     }
                 }
-                default -> { }
+                default -> {}
             }
         }
         for (Open o : open.values()) {
             // Whether its process was ended counts at its own time: at the run's end all are.
             long due = o.asked.us() + (long) (o.asked.value() * 1000) + SLACK_US;
-            if (!o.answered && !o.gone && run.endUs() > due && !run.dead(o.asked.who(), o.asked.earliest(), due)
+            if (!o.answered
+                    && !o.gone
+                    && run.endUs() > due
+                    && !run.dead(o.asked.who(), o.asked.earliest(), due)
                     && !stood(run, o, run.endUs())) {
                 f.broken(o.asked, o.asked.id() + " at " + o.asked.who() + " never had an answer");
             }
--- a/src/main/java/cacheproxy/faulttest/check/SlowStartChecker.java
+++ b/src/main/java/cacheproxy/faulttest/check/SlowStartChecker.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * What all proxies together send to a node that has come back cold, in any span of the fall time, against what it could do when the
- * span began.
+ * What all proxies together send to a node that has come back cold, in any span of the fall time, against what it could
+ * do when the span began.
  */
 public final class SlowStartChecker implements Checker {
     static final double START = 0.3;
@@ -58,13 +58,17 @@
                     c.arrivals.poll();
                 }
                 double from = Math.max(0, c.arrivals.peek() - c.bornMs);
-                double can = run.scenario().nodePerSecond() * (START + (1 - START) * from / WARM_UP_MS) * FALL_MS / 1000;
+                double can =
+                        run.scenario().nodePerSecond() * (START + (1 - START) * from / WARM_UP_MS) * FALL_MS / 1000;
                 double times = c.arrivals.size() / can;
                 worst = Math.max(worst, times);
                 if (times > TIP && !c.told) {
                     c.told = true;
-                    f.broken(e, e.who() + " was sent " + c.arrivals.size() + " commands in " + (int) FALL_MS + " ms, "
-                            + String.format(java.util.Locale.ROOT, "%.2f", times) + " times what it can do when so cold");
+                    f.broken(
+                            e,
+                            e.who() + " was sent " + c.arrivals.size() + " commands in " + (int) FALL_MS + " ms, "
+                                    + String.format(java.util.Locale.ROOT, "%.2f", times)
+                                    + " times what it can do when so cold");
                 }
             }
         }
--- a/src/main/java/cacheproxy/faulttest/check/Verdict.java
+++ b/src/main/java/cacheproxy/faulttest/check/Verdict.java
@@ -24,7 +24,9 @@
         return doubts.isEmpty() && !broken();
     }
 
-    /** Whether something was broken that no slowness of the machine excuses; if the run is in doubt this says nothing. */
+    /**
+     * Whether something was broken that no slowness of the machine excuses; if the run is in doubt this says nothing.
+     */
     public boolean broken() {
         return findings.values().stream().anyMatch(f -> f.count() > 0);
     }
@@ -33,7 +35,8 @@
     public List<String> lines() {
         List<String> lines = new ArrayList<>();
         findings.forEach((name, f) -> {
-            lines.add(String.format("%-16s %s, %d judged", name, f.count() == 0 ? "held" : f.count() + " BROKEN", f.judged()));
+            lines.add(String.format(
+                    "%-16s %s, %d judged", name, f.count() == 0 ? "held" : f.count() + " BROKEN", f.judged()));
             f.words().forEach(w -> lines.add("    " + w));
         });
         doubts.forEach(d -> lines.add("in doubt: " + d));
--- a/src/main/java/cacheproxy/faulttest/check/Violations.java
+++ b/src/main/java/cacheproxy/faulttest/check/Violations.java
@@ -3,7 +3,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** What breaks an invariant: the first in words, all of them counted; and how much was looked at, as none of none says nothing. */
+/**
+ * What breaks an invariant: the first in words, all of them counted; and how much was looked at, as none of none says
+ * nothing.
+ */
 public final class Violations {
     public static final int MOST = 20;
 
--- a/src/main/java/cacheproxy/faulttest/scenario/Fault.java
+++ b/src/main/java/cacheproxy/faulttest/scenario/Fault.java
@@ -15,15 +15,37 @@
  * @param share the part of its speed that a slowed process keeps, 0 to 1
  * @param beatMs length of one beat of a slowed process
  * @param loseDisk whether a process that is started again finds its folder empty
- * @param holderOf a duty: it befalls who holds that when it begins, and {@code who} only where nobody is known to; empty: always {@code who}
+ * @param holderOf a duty: it befalls who holds that when it begins, and {@code who} only where nobody is known to;
+ *     empty: always {@code who}
  * @param staggerMs each of {@code who} is befallen so much later than the one before
  */
-public record Fault(Kind kind, double atMs, double forMs, List<String> who, List<String> to, boolean twoWay, LinkFigures figures,
-        double share, double beatMs, boolean loseDisk, double staggerMs, String holderOf) {
+public record Fault(
+        Kind kind,
+        double atMs,
+        double forMs,
+        List<String> who,
+        List<String> to,
+        boolean twoWay,
+        LinkFigures figures,
+        double share,
+        double beatMs,
+        boolean loseDisk,
+        double staggerMs,
+        String holderOf) {
 
     /** One that befalls {@code who}. */
-    public Fault(Kind kind, double atMs, double forMs, List<String> who, List<String> to, boolean twoWay, LinkFigures figures, double share,
-            double beatMs, boolean loseDisk, double staggerMs) {
+    public Fault(
+            Kind kind,
+            double atMs,
+            double forMs,
+            List<String> who,
+            List<String> to,
+            boolean twoWay,
+            LinkFigures figures,
+            double share,
+            double beatMs,
+            boolean loseDisk,
+            double staggerMs) {
         this(kind, atMs, forMs, who, to, twoWay, figures, share, beatMs, loseDisk, staggerMs, "");
     }
 
@@ -38,7 +60,10 @@
 
     /** What befalls whom. */
     public enum Kind {
-        /** Links between {@code who} and {@code to}: datagrams by the figures; of connections those that are cut, reset, late. */
+        /**
+         * Links between {@code who} and {@code to}: datagrams by the figures; of connections those that are cut, reset,
+         * late.
+         */
         LINK,
         /** SIGSTOP, and SIGCONT at the end. */
         STOP,
@@ -66,12 +91,14 @@
      * @param corrupt share of which a byte is changed
      * @param reset whether connections are reset and new ones refused
      */
-    public record LinkFigures(double lose, double delayMs, double jitterMs, double twice, double corrupt, boolean reset) {
+    public record LinkFigures(
+            double lose, double delayMs, double jitterMs, double twice, double corrupt, boolean reset) {
         public static final LinkFigures CUT = new LinkFigures(1, 0, 0, 0, 0, false);
 
         public LinkFigures {
             if (!share(lose) || !share(twice) || !share(corrupt) || !(delayMs >= 0) || !(jitterMs >= 0)) {
-                throw new IllegalArgumentException("link " + lose + ", " + delayMs + ", " + jitterMs + ", " + twice + ", " + corrupt);
+                throw new IllegalArgumentException(
+                        "link " + lose + ", " + delayMs + ", " + jitterMs + ", " + twice + ", " + corrupt);
             }
         }
 
@@ -105,27 +132,55 @@
 
     /** The same, befalling others. */
     public Fault befalling(List<String> whom, List<String> others) {
-        return new Fault(kind, atMs, forMs, whom, others, twoWay, figures, share, beatMs, loseDisk, staggerMs, holderOf);
+        return new Fault(
+                kind, atMs, forMs, whom, others, twoWay, figures, share, beatMs, loseDisk, staggerMs, holderOf);
     }
 
     /** As it is written in a scenario's file, so that a run can be repeated. */
     public String toToml() {
-        StringBuilder text = new StringBuilder("[[fault]]\nkind = \"").append(word(kind)).append("\"\nat_ms = ").append(figure(atMs))
-                .append("\nfor_ms = ").append(figure(forMs)).append("\nwho = \"").append(String.join(",", who)).append("\"\n");
+        StringBuilder text = new StringBuilder("[[fault]]\nkind = \"")
+                .append(word(kind))
+                .append("\"\nat_ms = ")
+                .append(figure(atMs))
+                .append("\nfor_ms = ")
+                .append(figure(forMs))
+                .append("\nwho = \"")
+                .append(String.join(",", who))
+                .append("\"\n");
         if (onLinks()) {
-            text.append("to = \"").append(String.join(",", to)).append("\"\ntwo_way = ").append(twoWay).append("\nlose = ")
-                    .append(figures.lose).append("\ndelay_ms = ").append(figure(figures.delayMs)).append("\njitter_ms = ")
-                    .append(figure(figures.jitterMs)).append("\ntwice = ").append(figures.twice).append("\ncorrupt = ")
-                    .append(figures.corrupt).append("\nreset = ").append(figures.reset).append('\n');
+            text.append("to = \"")
+                    .append(String.join(",", to))
+                    .append("\"\ntwo_way = ")
+                    .append(twoWay)
+                    .append("\nlose = ")
+                    .append(figures.lose)
+                    .append("\ndelay_ms = ")
+                    .append(figure(figures.delayMs))
+                    .append("\njitter_ms = ")
+                    .append(figure(figures.jitterMs))
+                    .append("\ntwice = ")
+                    .append(figures.twice)
+                    .append("\ncorrupt = ")
+                    .append(figures.corrupt)
+                    .append("\nreset = ")
+                    .append(figures.reset)
+                    .append('\n');
         } else if (kind == Kind.SLOW) {
-            text.append("share = ").append(share).append("\nbeat_ms = ").append(figure(beatMs)).append('\n');
+            text.append("share = ")
+                    .append(share)
+                    .append("\nbeat_ms = ")
+                    .append(figure(beatMs))
+                    .append('\n');
         } else if (kind == Kind.TERM || kind == Kind.KILL) {
             text.append("lose_disk = ").append(loseDisk).append('\n');
         }
         if (!holderOf.isEmpty()) {
             text.append("holder_of = \"").append(holderOf).append("\"\n");
         }
-        return text.append("stagger_ms = ").append(figure(staggerMs)).append('\n').toString();
+        return text.append("stagger_ms = ")
+                .append(figure(staggerMs))
+                .append('\n')
+                .toString();
     }
 
     private static String figure(double x) {
--- a/src/main/java/cacheproxy/faulttest/scenario/NetworkLinks.java
+++ b/src/main/java/cacheproxy/faulttest/scenario/NetworkLinks.java
@@ -7,12 +7,13 @@
 import java.util.SplittableRandom;
 
 /**
- * Which links are faulty now, and what becomes of what is sent on them. Where several faults lie on one link each has its turn:
- * what one lets through the next may still lose, delays add up. By ordered pair of {@link TargetSelector}' indices.
+ * Which links are faulty now, and what becomes of what is sent on them. Where several faults lie on one link each has
+ * its turn: what one lets through the next may still lose, delays add up. By ordered pair of {@link TargetSelector}'
+ * indices.
  */
 public final class NetworkLinks {
     /** Of one that is sent: how much later it comes, and whether a byte of it is changed. */
-    public record Delivery(double delayMs, boolean corrupt) { }
+    public record Delivery(double delayMs, boolean corrupt) {}
 
     private static final Delivery AT_ONCE = new Delivery(0, false);
     private static final List<Delivery> CLEAN = List.of(AT_ONCE);
@@ -59,7 +60,8 @@
                 }
                 int copies = f.twice() > 0 && random.nextDouble() < f.twice() ? 2 : 1;
                 for (int i = 0; i < copies; i++) {
-                    next.add(new Delivery(d.delayMs + f.delayMs() + (f.jitterMs() > 0 ? random.nextDouble() * f.jitterMs() : 0),
+                    next.add(new Delivery(
+                            d.delayMs + f.delayMs() + (f.jitterMs() > 0 ? random.nextDouble() * f.jitterMs() : 0),
                             d.corrupt || f.corrupt() > 0 && random.nextDouble() < f.corrupt()));
                 }
             }
--- a/src/main/java/cacheproxy/faulttest/scenario/RandomFaults.java
+++ b/src/main/java/cacheproxy/faulttest/scenario/RandomFaults.java
@@ -8,8 +8,8 @@
 import java.util.SplittableRandom;
 
 /**
- * Faults by lot: the same seed makes the same ones. Between two that befall the same process there may be no gap; the driver
- * lets the later one have its turn.
+ * Faults by lot: the same seed makes the same ones. Between two that befall the same process there may be no gap; the
+ * driver lets the later one have its turn.
  *
  * @param faults how many
  * @param kinds which; LINK stands for cuts, one-way cuts, losses, doubling and delays alike
@@ -23,7 +23,8 @@
     public RandomFaults {
         kinds = List.copyOf(kinds);
         if (faults < 0 || kinds.isEmpty() || !(toMs - fromMs >= longestMs) || !(longestMs > 0)) {
-            throw new IllegalArgumentException("chaos of " + faults + " from " + fromMs + " to " + toMs + ", longest " + longestMs);
+            throw new IllegalArgumentException(
+                    "chaos of " + faults + " from " + fromMs + " to " + toMs + ", longest " + longestMs);
         }
     }
 
@@ -44,7 +45,8 @@
     private static Fault fault(Kind kind, double at, double lasts, TargetSelector endpoints, SplittableRandom random) {
         if (kind == Kind.LINK) {
             boolean twoWay = random.nextInt(3) > 0;
-            List<String> some = endpoints.choose((1 + random.nextInt(Math.max(1, endpoints.proxies() / 2))) + " of proxies", random);
+            List<String> some = endpoints.choose(
+                    (1 + random.nextInt(Math.max(1, endpoints.proxies() / 2))) + " of proxies", random);
             List<String> rest = new ArrayList<>(endpoints.choose("proxies", random));
             rest.removeAll(some);
             LinkFigures figures = switch (random.nextInt(4)) {
@@ -56,6 +58,17 @@
         }
         boolean node = kind == Kind.NODE_DRAIN || kind == Kind.NODE_KILL || kind == Kind.NODE_STALL;
         List<String> who = endpoints.choose(node ? "1 of nodes" : "1 of proxies", random);
-        return new Fault(kind, at, lasts, who, List.of(), false, null, kind == Kind.SLOW ? 0.1 : 1, BEAT_MS, random.nextBoolean(), 0);
+        return new Fault(
+                kind,
+                at,
+                lasts,
+                who,
+                List.of(),
+                false,
+                null,
+                kind == Kind.SLOW ? 0.1 : 1,
+                BEAT_MS,
+                random.nextBoolean(),
+                0);
     }
 }
--- a/src/main/java/cacheproxy/faulttest/scenario/Shrinker.java
+++ b/src/main/java/cacheproxy/faulttest/scenario/Shrinker.java
@@ -4,9 +4,10 @@
 import java.util.List;
 
 /**
- * Finds a shorter list of faults that still breaks what the whole list broke (delta debugging: Zeller and Hildebrandt, "Simplifying
- * and Isolating Failure-Inducing Input", 2002), then shorter faults, then fewer that each befalls. A run of processes is no
- * function of its faults alone, so each list is tried some times and counts as breaking if one try does.
+ * Finds a shorter list of faults that still breaks what the whole list broke (delta debugging: Zeller and Hildebrandt,
+ * "Simplifying and Isolating Failure-Inducing Input", 2002), then shorter faults, then fewer that each befalls. A run
+ * of processes is no function of its faults alone, so each list is tried some times and counts as breaking if one try
+ * does.
  */
 public final class Shrinker {
     /** Runs a list of faults; whether it breaks what is looked for. */
--- a/src/main/java/cacheproxy/faulttest/scenario/TargetSelector.java
+++ b/src/main/java/cacheproxy/faulttest/scenario/TargetSelector.java
@@ -7,9 +7,10 @@
 import java.util.SplittableRandom;
 
 /**
- * The names of what a run consists of, and the words that choose among them: {@code p3}, {@code n12}, {@code discovery};
- * {@code p1-p5}; {@code proxies}, {@code nodes}, {@code all}; {@code zone:a}, the proxies of a zone, and {@code nodes:a};
- * {@code 3 of proxies} and {@code 0.1 of zone:a}, so many or such a part by lot; several of these with commas between them.
+ * The names of what a run consists of, and the words that choose among them: {@code p3}, {@code n12},
+ * {@code discovery}; {@code p1-p5}; {@code proxies}, {@code nodes}, {@code all}; {@code zone:a}, the proxies of a zone,
+ * and {@code nodes:a}; {@code 3 of proxies} and {@code 0.1 of zone:a}, so many or such a part by lot; several of these
+ * with commas between them.
  */
 public final class TargetSelector {
     public static final String DISCOVERY = "discovery";
@@ -81,8 +82,8 @@
                 return proxy ? i : proxies + i;
             }
         }
-        throw new IllegalArgumentException("there is no '" + name + "'; there are p1 to p" + proxies + ", n1 to n" + nodes
-                + " and discovery");
+        throw new IllegalArgumentException(
+                "there is no '" + name + "'; there are p1 to p" + proxies + ", n1 to n" + nodes + " and discovery");
     }
 
     /** The names that words choose, each once; an IllegalArgumentException says what is wrong with them. */
--- a/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckCoordinator.java
+++ b/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckCoordinator.java
@@ -1,9 +1,9 @@
 package cacheproxy.fleet.healthcheck;
 
+import cacheproxy.fleet.healthcheck.HealthCheckMessage.Kind;
 import cacheproxy.fleet.lease.FencingTokenCheck;
-import cacheproxy.fleet.lease.NameHash;
 import cacheproxy.fleet.lease.LeaseHandle;
-import cacheproxy.fleet.healthcheck.HealthCheckMessage.Kind;
+import cacheproxy.fleet.lease.NameHash;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.Iterator;
@@ -11,17 +11,18 @@
 import java.util.Map;
 
 /**
- * Trials of servers that seem to be sick, made once for a whole fleet: servers are dealt into shares, each share is a duty, and who
- * holds it makes the trial that any proxy wants; the others ask it and take its word. Whoever gets no word in time goes by
- * itself, and now and then does so where word contradicts what it sees: the way to a server may be at fault on one side only. So
- * this saves trials and never keeps a server out for longer than {@link HealthCheckTiming#OWN_EVERY} of them. Free of I/O and
- * clocks.
+ * Trials of servers that seem to be sick, made once for a whole fleet: servers are dealt into shares, each share is a
+ * duty, and who holds it makes the trial that any proxy wants; the others ask it and take its word. Whoever gets no
+ * word in time goes by itself, and now and then does so where word contradicts what it sees: the way to a server may be
+ * at fault on one side only. So this saves trials and never keeps a server out for longer than
+ * {@link HealthCheckTiming#OWN_EVERY} of them. Free of I/O and clocks.
  */
 public final class HealthCheckCoordinator {
     /** Servers that are asked about at once; for more one goes by oneself. */
     public static final int MOST_WANTS = 1024;
     /** Trials for others at once, and of who waits for each: who gets no word goes by itself. */
     public static final int MOST_TRIALS = 64;
+
     public static final int MOST_WAITING = 256;
     /** Servers whose outcomes, or whose word, are kept in mind. */
     public static final int MOST_KNOWN = 4096;
@@ -42,9 +43,9 @@
     }
 
     /** Counts since the start, for operators. */
-    public record Counts(long own, long forOthers, long byWord, long tooLate, long olderEpochs) { }
+    public record Counts(long own, long forOthers, long byWord, long tooLate, long olderEpochs) {}
 
-    private record Waiter(long peer, long number) { }
+    private record Waiter(long peer, long number) {}
 
     private static final class Want {
         final long number;
@@ -61,6 +62,7 @@
         final List<Waiter> waiting = new ArrayList<>();
         /** Its end should have come by then; a server whose trial never ends would stay out. */
         final double untilMs;
+
         boolean wanted;
 
         Trial(double untilMs) {
@@ -68,7 +70,7 @@
         }
     }
 
-    private record Known(double atMs, boolean sound) { }
+    private record Known(double atMs, boolean sound) {}
 
     private static final class Word {
         int unsound;
@@ -119,7 +121,10 @@
 
     // ---- what is wanted here
 
-    /** The module wants a trial; {@link Out#told} comes once, at the latest when one's own trial after the patience has ended. */
+    /**
+     * The module wants a trial; {@link Out#told} comes once, at the latest when one's own trial after the patience has
+     * ended.
+     */
     public void wanted(double now, int server) {
         if (wants.containsKey(server)) {
             return;
@@ -140,14 +145,17 @@
             return me;
         }
         long holder = t.holder(now);
-        return holder != NameHash.NOBODY && holder != me ? holder
+        return holder != NameHash.NOBODY && holder != me
+                ? holder
                 : t.order().stream().filter(p -> p != me).findFirst().orElse(NameHash.NOBODY);
     }
 
     /** Whether others' word on a server is at odds with what is seen here, or has stood alone for long. */
     private boolean mistrusts(double now, int server) {
         Word w = words.get(server);
-        return w != null && (w.unsound >= HealthCheckTiming.OWN_EVERY - 1 || now - w.soundAtMs < HealthCheckTiming.CONTRADICTED_MS);
+        return w != null
+                && (w.unsound >= HealthCheckTiming.OWN_EVERY - 1
+                        || now - w.soundAtMs < HealthCheckTiming.CONTRADICTED_MS);
     }
 
     private void alone(double now, int server) {
@@ -221,7 +229,8 @@
         LeaseHandle t = tenure(server);
         long epoch = t.permit(now, 0);
         if (epoch >= 0) {
-            out.send(to, new HealthCheckMessage(Kind.ANSWER, t.id(), server, number, epoch, 0, k.sound, (int) Math.max(0, Math.round(now - k.atMs))));
+            out.send(to, new HealthCheckMessage(Kind.ANSWER, t.id(), server, number, epoch, 0, k.sound, (int)
+                    Math.max(0, Math.round(now - k.atMs))));
         }
     }
 
@@ -292,7 +301,7 @@
     public double tick(double now) {
         double next = Double.POSITIVE_INFINITY;
         List<Integer> overdue = new ArrayList<>();
-        for (Iterator<Map.Entry<Integer, Want>> it = wants.entrySet().iterator(); it.hasNext();) {
+        for (Iterator<Map.Entry<Integer, Want>> it = wants.entrySet().iterator(); it.hasNext(); ) {
             Map.Entry<Integer, Want> e = it.next();
             if (now >= e.getValue().untilMs) {
                 overdue.add(e.getKey());
--- a/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckMessage.java
+++ b/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckMessage.java
@@ -13,7 +13,8 @@
  * @param sound in ANSWER: whether the server answered
  * @param ageMs in ANSWER: how long ago
  */
-public record HealthCheckMessage(Kind kind, long duty, int server, long number, long epoch, long holder, boolean sound, int ageMs) {
+public record HealthCheckMessage(
+        Kind kind, long duty, int server, long number, long epoch, long holder, boolean sound, int ageMs) {
     public static final int LENGTH = 42;
 
     /** What it is. */
@@ -27,8 +28,16 @@
     }
 
     public byte[] bytes() {
-        return ByteBuffer.allocate(LENGTH).put((byte) kind.ordinal()).putLong(duty).putInt(server).putLong(number).putLong(epoch)
-                .putLong(holder).put((byte) (sound ? 1 : 0)).putInt(ageMs).array();
+        return ByteBuffer.allocate(LENGTH)
+                .put((byte) kind.ordinal())
+                .putLong(duty)
+                .putInt(server)
+                .putLong(number)
+                .putLong(epoch)
+                .putLong(holder)
+                .put((byte) (sound ? 1 : 0))
+                .putInt(ageMs)
+                .array();
     }
 
     /** Null if these bytes are none. */
@@ -37,8 +46,15 @@
             return null;
         }
         ByteBuffer b = ByteBuffer.wrap(bytes);
-        HealthCheckMessage m = new HealthCheckMessage(Kind.values()[b.get()], b.getLong(), b.getInt(), b.getLong(), b.getLong(), b.getLong(),
-                b.get() == 1, b.getInt());
+        HealthCheckMessage m = new HealthCheckMessage(
+                Kind.values()[b.get()],
+                b.getLong(),
+                b.getInt(),
+                b.getLong(),
+                b.getLong(),
+                b.getLong(),
+                b.get() == 1,
+                b.getInt());
         return m.epoch < 0 || m.ageMs < 0 ? null : m;
     }
 }
--- a/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckTiming.java
+++ b/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckTiming.java
@@ -1,7 +1,8 @@
 package cacheproxy.fleet.healthcheck;
 
 /**
- * Times of trials, milliseconds. Word that is taken is at most {@link #oldestMs} old, by the asker's own clock from before it asked.
+ * Times of trials, milliseconds. Word that is taken is at most {@link #oldestMs} old, by the asker's own clock from
+ * before it asked.
  *
  * @param probeMs what a trial may take
  * @param patienceMs how long word is waited for; then one goes by oneself
--- a/src/main/java/cacheproxy/fleet/lease/EventLoopHealth.java
+++ b/src/main/java/cacheproxy/fleet/lease/EventLoopHealth.java
@@ -1,8 +1,8 @@
 package cacheproxy.fleet.lease;
 
 /**
- * Whether a process's loop is punctual enough to hold duties: one that is late again and again would lose them by surprise, and does
- * what it does under them late. Times in milliseconds.
+ * Whether a process's loop is punctual enough to hold duties: one that is late again and again would lose them by
+ * surprise, and does what it does under them late. Times in milliseconds.
  */
 public final class EventLoopHealth {
     private final double lateMs;
--- a/src/main/java/cacheproxy/fleet/lease/LeaseCandidate.java
+++ b/src/main/java/cacheproxy/fleet/lease/LeaseCandidate.java
@@ -8,13 +8,14 @@
 import java.util.SplittableRandom;
 
 /**
- * One process's side of one duty: it asks whether the duty is free, claims it, holds it and renews it, gives it back. It asks before it
- * claims, and voters take nothing from a holder whose lease runs, so one that comes and goes disturbs nobody. Times in milliseconds
- * of the process's own monotonic clock.
+ * One process's side of one duty: it asks whether the duty is free, claims it, holds it and renews it, gives it back.
+ * It asks before it claims, and voters take nothing from a holder whose lease runs, so one that comes and goes disturbs
+ * nobody. Times in milliseconds of the process's own monotonic clock.
  */
 final class LeaseCandidate {
     /** Peers that stand at once; those behind them look more rarely, the further back the more so. */
     static final int STANDING = 5;
+
     private static final double RENEWALS = 3;
     private static final double RANK_MS = 40;
     private static final double MOST_RANK_MS = 400;
@@ -31,11 +32,17 @@
         void lost(long epoch, String why);
     }
 
-    private enum State { IDLE, ASKING, CLAIMING, HOLDING }
+    private enum State {
+        IDLE,
+        ASKING,
+        CLAIMING,
+        HOLDING
+    }
 
     private final long me;
     /** Of this process: what one that had the same name before it holds is another's. */
     private final long life;
+
     private final long duty;
     private double leaseMs;
     private final LeaseTiming rules;
@@ -46,9 +53,11 @@
     private double nextMs;
     /** The question that is out: its nonce, when it was sent, what came back. */
     private long nonce;
+
     private double sentMs;
     /** The lease that was asked for, in the whole milliseconds that voters are told. */
     private int askedMs;
+
     private final Set<Long> yes = new HashSet<>();
     private final Set<Long> no = new HashSet<>();
     private final Map<Long, Long> holders = new HashMap<>();
@@ -60,16 +69,27 @@
     private double busyUntilMs = Double.NEGATIVE_INFINITY;
     /** Who holds it, as voters last said. */
     private long holder = NameHash.NOBODY;
+
     private boolean able;
     /** Whether the file has it. */
     private boolean wanted = true;
+
     private double eagerUntilMs = Double.NEGATIVE_INFINITY;
     private double claimsFromMs = Double.NEGATIVE_INFINITY;
     private String leaving;
     private long handTo = NameHash.NOBODY;
 
-    LeaseCandidate(long me, long life, long duty, double leaseMs, VoterSet electorate, LeaseTiming rules, SplittableRandom random, boolean able,
-            double now, Out out) {
+    LeaseCandidate(
+            long me,
+            long life,
+            long duty,
+            double leaseMs,
+            VoterSet electorate,
+            LeaseTiming rules,
+            SplittableRandom random,
+            boolean able,
+            double now,
+            Out out) {
         check(leaseMs, rules);
         this.able = able;
         this.me = me;
@@ -104,9 +124,9 @@
     }
 
     /**
-     * The file has it, with this lease and these voters. What it holds it renews among them. Where the list is a new one alone, nothing
-     * new is claimed until what the list before it may have granted is over; while both lists vote there is no need, as they
-     * share a voter with either.
+     * The file has it, with this lease and these voters. What it holds it renews among them. Where the list is a new
+     * one alone, nothing new is claimed until what the list before it may have granted is over; while both lists vote
+     * there is no need, as they share a voter with either.
      */
     void stand(double ms, VoterSet other, double now) {
         check(ms, rules);
@@ -121,7 +141,9 @@
         electorate = other;
         if (!stands()) {
             dropClaim(now);
-            leave("no longer among the peers", other.order().isEmpty() ? NameHash.NOBODY : other.order().get(0));
+            leave(
+                    "no longer among the peers",
+                    other.order().isEmpty() ? NameHash.NOBODY : other.order().get(0));
         }
     }
 
@@ -151,7 +173,9 @@
         return electorate.order();
     }
 
-    /** Whether an act that takes so long may begin now; ask right before it. The epoch under which it is done, or -1. */
+    /**
+     * Whether an act that takes so long may begin now; ask right before it. The epoch under which it is done, or -1.
+     */
     long permit(double now, double actMs) {
         if (state != State.HOLDING || leaving != null || !rules.mayAct(now, untilMs, actMs)) {
             return -1;
@@ -325,7 +349,7 @@
                     }
                 }
             }
-            default -> { }
+            default -> {}
         }
     }
 
@@ -346,14 +370,20 @@
             nextMs = now + answersMs();
         } else if (electorate.blocks(no)) {
             holder = mostNamed();
-            idle(now < eagerUntilMs ? now + EAGER_MS * (1 + random.nextDouble()) : now + Math.max(leftMs, lookMs()) + stagger());
+            idle(
+                    now < eagerUntilMs
+                            ? now + EAGER_MS * (1 + random.nextDouble())
+                            : now + Math.max(leftMs, lookMs()) + stagger());
         }
     }
 
     private long mostNamed() {
         Map<Long, Integer> counts = new HashMap<>();
         holders.values().forEach(h -> counts.merge(h, 1, Integer::sum));
-        return counts.entrySet().stream().max(Map.Entry.comparingByValue()).map(Map.Entry::getKey).orElse(NameHash.NOBODY);
+        return counts.entrySet().stream()
+                .max(Map.Entry.comparingByValue())
+                .map(Map.Entry::getKey)
+                .orElse(NameHash.NOBODY);
     }
 
     private void granted(double now, long from) {
@@ -377,7 +407,8 @@
 
     /** All that decides what it does next, for a model checker. */
     String fingerprint(double now) {
-        return state + " " + Math.round(Math.max(-1, nextMs - now)) + " " + (nonce != 0) + " " + Math.round(Math.max(-5000, sentMs - now)) + " "
+        return state + " " + Math.round(Math.max(-1, nextMs - now)) + " " + (nonce != 0) + " "
+                + Math.round(Math.max(-5000, sentMs - now)) + " "
                 + new java.util.TreeSet<>(yes) + new java.util.TreeSet<>(no) + " " + seen + " " + epoch + " "
                 + Math.round(Math.max(-1, untilMs - now)) + " " + leaving + " " + able;
     }
--- a/src/main/java/cacheproxy/fleet/lease/LeaseManager.java
+++ b/src/main/java/cacheproxy/fleet/lease/LeaseManager.java
@@ -7,8 +7,8 @@
 import java.util.SplittableRandom;
 
 /**
- * All duties of one process, and its word on those of others. Free of I/O and clocks: messages and time are handed in, what is to be
- * sent goes to an {@link Out}. What acts on a duty asks {@link #permit} right before each act.
+ * All duties of one process, and its word on those of others. Free of I/O and clocks: messages and time are handed in,
+ * what is to be sent goes to an {@link Out}. What acts on a duty asks {@link #permit} right before each act.
  */
 public final class LeaseManager {
     /** Duties of one process: those of a file and the program's own. */
@@ -30,7 +30,7 @@
      * @param epoch of its own last grant
      * @param leftMs of its own lease
      */
-    public record Sight(String duty, boolean holding, long epoch, double leftMs, long holder) { }
+    public record Sight(String duty, boolean holding, long epoch, double leftMs, long holder) {}
 
     private final long me;
     private final long life;
@@ -61,36 +61,43 @@
         }
         long id = NameHash.of(duty);
         if (candidates.size() >= MOST || names.containsKey(id)) {
-            throw new IllegalArgumentException(names.containsKey(id) ? "duties " + duty + " and " + names.get(id) + " have one id; rename one"
-                    : "more than " + MOST + " duties");
+            throw new IllegalArgumentException(
+                    names.containsKey(id)
+                            ? "duties " + duty + " and " + names.get(id) + " have one id; rename one"
+                            : "more than " + MOST + " duties");
         }
         names.put(id, duty);
-        candidates.put(duty, new LeaseCandidate(me, life, id, leaseMs, electorate, rules, random.split(), able, now, new LeaseCandidate.Out() {
-            @Override
-            public void send(long to, LeaseMessage m) {
-                if (to == me) {
-                    // Its own word costs no message, and comes at once.
-                    self.add(m);
-                } else {
-                    out.send(to, m);
-                }
-            }
-
-            @Override
-            public void gained(long epoch) {
-                out.gained(duty, epoch);
-            }
-
-            @Override
-            public void lost(long epoch, String why) {
-                out.lost(duty, epoch, why);
-            }
-        }));
+        candidates.put(
+                duty,
+                new LeaseCandidate(
+                        me, life, id, leaseMs, electorate, rules, random.split(), able, now, new LeaseCandidate.Out() {
+                            @Override
+                            public void send(long to, LeaseMessage m) {
+                                if (to == me) {
+                                    // Its own word costs no message, and comes at once.
+                                    self.add(m);
+                                } else {
+                                    out.send(to, m);
+                                }
+                            }
+
+                            @Override
+                            public void gained(long epoch) {
+                                out.gained(duty, epoch);
+                            }
+
+                            @Override
+                            public void lost(long epoch, String why) {
+                                out.lost(duty, epoch, why);
+                            }
+                        }));
     }
 
     private final List<LeaseMessage> self = new ArrayList<>();
 
-    /** No longer stands for a duty; what it holds it gives back once the acts under way are over, and then is no more. */
+    /**
+     * No longer stands for a duty; what it holds it gives back once the acts under way are over, and then is no more.
+     */
     public void withdraw(String duty, double now) {
         LeaseCandidate c = candidates.get(duty);
         if (c != null) {
@@ -189,8 +196,14 @@
 
     /** What is known of each. */
     public List<Sight> sights(double now) {
-        return candidates.entrySet().stream().map(e -> new Sight(e.getKey(), e.getValue().holding(now), e.getValue().epoch(),
-                e.getValue().leftMs(now), e.getValue().holder(now))).toList();
+        return candidates.entrySet().stream()
+                .map(e -> new Sight(
+                        e.getKey(),
+                        e.getValue().holding(now),
+                        e.getValue().epoch(),
+                        e.getValue().leftMs(now),
+                        e.getValue().holder(now)))
+                .toList();
     }
 
     /** Gives one back, to a peer if one is named; whether it is held here. */
--- a/src/main/java/cacheproxy/fleet/lease/LeaseMessage.java
+++ b/src/main/java/cacheproxy/fleet/lease/LeaseMessage.java
@@ -8,13 +8,16 @@
  * @param duty the duty's id
  * @param nonce of the question that this asks or answers
  * @param epoch claimed, granted, given back; in answers the highest that the voter knows of
- * @param holder in STATE and REFUSE: the peer that holds it by that voter's word, {@link NameHash#NOBODY} if nobody or the asking process
- *            itself does; in ASK, CLAIM and RELEASE a number that the asking process drew at its start
+ * @param holder in STATE and REFUSE: the peer that holds it by that voter's word, {@link NameHash#NOBODY} if nobody or
+ *     the asking process itself does; in ASK, CLAIM and RELEASE a number that the asking process drew at its start
  * @param ms in CLAIM the lease; in STATE and REFUSE what is left of it
  */
 public record LeaseMessage(Kind kind, long duty, long nonce, long epoch, long holder, int ms) {
     public static final int LENGTH = 37;
-    /** No epoch is above this: it would be no whole number to who reads it as JSON, and by the wall clock none is in 250,000 years. */
+    /**
+     * No epoch is above this: it would be no whole number to who reads it as JSON, and by the wall clock none is in
+     * 250,000 years.
+     */
     public static final long MOST_EPOCH = 1L << 53;
 
     /** What it is. */
@@ -24,7 +27,9 @@
         /** The answer. */
         STATE,
         /** Grant it, or go on granting it. */
-        CLAIM, GRANT, REFUSE,
+        CLAIM,
+        GRANT,
+        REFUSE,
         /** The holder, or a claim without a majority, gives a grant back. */
         RELEASE,
         /** The holder has given it back and would have the receiver take it. */
@@ -32,7 +37,13 @@
     }
 
     public byte[] bytes() {
-        return ByteBuffer.allocate(LENGTH).put((byte) kind.ordinal()).putLong(duty).putLong(nonce).putLong(epoch).putLong(holder).putInt(ms)
+        return ByteBuffer.allocate(LENGTH)
+                .put((byte) kind.ordinal())
+                .putLong(duty)
+                .putLong(nonce)
+                .putLong(epoch)
+                .putLong(holder)
+                .putInt(ms)
                 .array();
     }
 
@@ -42,7 +53,8 @@
             return null;
         }
         ByteBuffer b = ByteBuffer.wrap(bytes);
-        LeaseMessage m = new LeaseMessage(Kind.values()[b.get()], b.getLong(), b.getLong(), b.getLong(), b.getLong(), b.getInt());
+        LeaseMessage m = new LeaseMessage(
+                Kind.values()[b.get()], b.getLong(), b.getLong(), b.getLong(), b.getLong(), b.getInt());
         return m.epoch < 0 || m.epoch > MOST_EPOCH || m.ms < 0 ? null : m;
     }
 }
--- a/src/main/java/cacheproxy/fleet/lease/LeaseTiming.java
+++ b/src/main/java/cacheproxy/fleet/lease/LeaseTiming.java
@@ -1,14 +1,17 @@
 package cacheproxy.fleet.lease;
 
 /**
- * The figures on which the safety of leases rests. Each process counts by its own monotonic clock, and no two of them run apart by
- * more than {@link #drift} in either direction from true time. Times in milliseconds.
+ * The figures on which the safety of leases rests. Each process counts by its own monotonic clock, and no two of them
+ * run apart by more than {@link #drift} in either direction from true time. Times in milliseconds.
  *
- * <p>A holder counts its lease from before it asked, and shorter by the drift; a voter counts from when it heard, and longer by the
- * drift. So in true time the holder's ends first, whatever the two clocks do within the bound and however late the messages come.
+ * <p>A holder counts its lease from before it asked, and shorter by the drift; a voter counts from when it heard, and
+ * longer by the drift. So in true time the holder's ends first, whatever the two clocks do within the bound and however
+ * late the messages come.
  */
 public class LeaseTiming {
-    /** Clocks of machines of one kind drift by parts in ten thousand; this leaves room for ones that are being slewed. */
+    /**
+     * Clocks of machines of one kind drift by parts in ten thousand; this leaves room for ones that are being slewed.
+     */
     public static final double DRIFT = 0.01;
 
     private final double longestMs;
@@ -34,7 +37,10 @@
         return drift;
     }
 
-    /** A voter that has started says nothing for so long: what it granted in an earlier life, and forgot, is over by then. */
+    /**
+     * A voter that has started says nothing for so long: what it granted in an earlier life, and forgot, is over by
+     * then.
+     */
     public double silenceMs() {
         return longestMs * (1 + drift);
     }
@@ -50,8 +56,8 @@
     }
 
     /**
-     * The epoch of a new grant: above all that the voters told of. The wall clock is only a floor, for voters that have all
-     * forgotten; where it is behind, what the voters remember counts.
+     * The epoch of a new grant: above all that the voters told of. The wall clock is only a floor, for voters that have
+     * all forgotten; where it is behind, what the voters remember counts.
      */
     public long epoch(long seen, long wallMs) {
         return Math.max(seen + 1, wallMs);
--- a/src/main/java/cacheproxy/fleet/lease/LeaseVoter.java
+++ b/src/main/java/cacheproxy/fleet/lease/LeaseVoter.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 
 /**
- * A process's word on leases: for each duty to one peer at a time, until that peer's lease is over in true time. Nothing is kept on
- * disk: one that has started says nothing until all that it may have granted before is over (PaxosLease: Trencseni, Gazso,
- * Reinhardt, 2012).
+ * A process's word on leases: for each duty to one peer at a time, until that peer's lease is over in true time.
+ * Nothing is kept on disk: one that has started says nothing until all that it may have granted before is over
+ * (PaxosLease: Trencseni, Gazso, Reinhardt, 2012).
  */
 public final class LeaseVoter {
     /** Duties that it keeps in mind; a claim on one more is not answered, so a flood of names can't push others out. */
@@ -21,6 +21,7 @@
         long holder = NameHash.NOBODY;
         /** Of the holder's process: another one of its name is another holder. */
         long life;
+
         long epoch;
         double untilMs = Double.NEGATIVE_INFINITY;
 
@@ -74,7 +75,12 @@
 
     private static LeaseMessage state(Kind kind, double now, LeaseMessage m, Word w, long from) {
         boolean held = w != null && now < w.untilMs && !w.is(from, m.holder());
-        return new LeaseMessage(kind, m.duty(), m.nonce(), w == null ? 0 : w.epoch, held ? w.holder : NameHash.NOBODY,
+        return new LeaseMessage(
+                kind,
+                m.duty(),
+                m.nonce(),
+                w == null ? 0 : w.epoch,
+                held ? w.holder : NameHash.NOBODY,
                 held ? (int) Math.min(Integer.MAX_VALUE, Math.ceil(w.untilMs - now)) : 0);
     }
 
@@ -92,9 +98,18 @@
     /** All that it knows, in one order, for a model checker. */
     String fingerprint(double now) {
         StringBuilder text = new StringBuilder(now < speaksFromMs ? "silent " + Math.round(speaksFromMs - now) : "");
-        words.entrySet().stream().sorted(Map.Entry.comparingByKey()).forEach(e -> text.append(';').append(e.getKey()).append(' ')
-                .append(e.getValue().holder).append(' ').append(e.getValue().life).append(' ').append(e.getValue().epoch).append(' ')
-                .append(Math.max(0, Math.round(e.getValue().untilMs - now))));
+        words.entrySet().stream()
+                .sorted(Map.Entry.comparingByKey())
+                .forEach(e -> text.append(';')
+                        .append(e.getKey())
+                        .append(' ')
+                        .append(e.getValue().holder)
+                        .append(' ')
+                        .append(e.getValue().life)
+                        .append(' ')
+                        .append(e.getValue().epoch)
+                        .append(' ')
+                        .append(Math.max(0, Math.round(e.getValue().untilMs - now))));
         return text.toString();
     }
 }
--- a/src/main/java/cacheproxy/fleet/lease/NameHash.java
+++ b/src/main/java/cacheproxy/fleet/lease/NameHash.java
@@ -9,7 +9,7 @@
 public final class NameHash {
     public static final long NOBODY = 0;
 
-    private NameHash() { }
+    private NameHash() {}
 
     public static long of(String name) {
         long id = hash(name);
@@ -23,7 +23,8 @@
 
     private static long hash(String text) {
         try {
-            return ByteBuffer.wrap(MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8))).getLong();
+            return ByteBuffer.wrap(MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8)))
+                    .getLong();
         } catch (NoSuchAlgorithmException e) {
             throw new IllegalStateException(e); // every Java has it
         }
--- a/src/main/java/cacheproxy/fleet/lease/ServerReachability.java
+++ b/src/main/java/cacheproxy/fleet/lease/ServerReachability.java
@@ -1,9 +1,10 @@
 package cacheproxy.fleet.lease;
 
 /**
- * Whether a process reaches the servers that others reach: one that does not, and so can do little under a duty, gives its duties back.
- * Where nobody reaches any, who holds a duty makes no difference, and all keep what they have: word counts only if it was given so long after
- * it reached one itself last that who lost them at the same time would have known. Times in milliseconds.
+ * Whether a process reaches the servers that others reach: one that does not, and so can do little under a duty, gives
+ * its duties back. Where nobody reaches any, who holds a duty makes no difference, and all keep what they have: word
+ * counts only if it was given so long after it reached one itself last that who lost them at the same time would have
+ * known. Times in milliseconds.
  */
 public final class ServerReachability {
     private final double outMs;
--- a/src/main/java/cacheproxy/fleet/lease/VoterSet.java
+++ b/src/main/java/cacheproxy/fleet/lease/VoterSet.java
@@ -9,12 +9,12 @@
 import java.util.Set;
 
 /**
- * Who votes on a duty, and in which order peers stand for it: both by lots over the configured peers (rendezvous hashing: Thaler and
- * Ravishankar, 1998) that all draw alike, so that many duties spread over all.
+ * Who votes on a duty, and in which order peers stand for it: both by lots over the configured peers (rendezvous
+ * hashing: Thaler and Ravishankar, 1998) that all draw alike, so that many duties spread over all.
  *
- * <p>While the list of peers changes, voters of the old and of the new one count, and a grant needs a majority of both: a process
- * that goes by the old list alone and one that goes by both share a voter, as do one that goes by both and one that goes by the
- * new. So a list is changed in two steps, and the second only after all have taken the first.
+ * <p>While the list of peers changes, voters of the old and of the new one count, and a grant needs a majority of both:
+ * a process that goes by the old list alone and one that goes by both share a voter, as do one that goes by both and
+ * one that goes by the new. So a list is changed in two steps, and the second only after all have taken the first.
  */
 public final class VoterSet {
     private final Set<Long> now;
@@ -44,8 +44,12 @@
     }
 
     private static Set<Long> voters(String duty, List<String> peers, int count) {
-        return new HashSet<>(peers.stream().distinct().sorted(Comparator.comparingLong(p -> NameHash.lot("vote", duty, p))).limit(count)
-                .map(NameHash::of).toList());
+        return new HashSet<>(peers.stream()
+                .distinct()
+                .sorted(Comparator.comparingLong(p -> NameHash.lot("vote", duty, p)))
+                .limit(count)
+                .map(NameHash::of)
+                .toList());
     }
 
     /** Whether the same vote in both. */
@@ -88,6 +92,9 @@
 
     /** Peers in that order. */
     public List<Long> order() {
-        return ranks.entrySet().stream().sorted(Map.Entry.comparingByValue()).map(Map.Entry::getKey).toList();
+        return ranks.entrySet().stream()
+                .sorted(Map.Entry.comparingByValue())
+                .map(Map.Entry::getKey)
+                .toList();
     }
 }
--- a/src/main/java/cacheproxy/fleet/membership/SwimMembership.java
+++ b/src/main/java/cacheproxy/fleet/membership/SwimMembership.java
@@ -14,10 +14,11 @@
 import java.util.SplittableRandom;
 
 /**
- * Who of the configured peers is there, by their own word: each asks one other a period, has others ask where no answer comes, and passes on
- * what it hears (SWIM). One that is suspected has time to say that it is there, the longer the fewer suspect it, and
- * a proxy that is late or gets few answers doubts itself first: it asks more slowly, waits longer and accuses less (Lifeguard: Dadgar, Phillips,
- * Currey, 2018). What this says is a guess: it may hasten something and must never allow anything. Free of I/O and clocks; milliseconds.
+ * Who of the configured peers is there, by their own word: each asks one other a period, has others ask where no answer
+ * comes, and passes on what it hears (SWIM). One that is suspected has time to say that it is there, the longer the
+ * fewer suspect it, and a proxy that is late or gets few answers doubts itself first: it asks more slowly, waits longer
+ * and accuses less (Lifeguard: Dadgar, Phillips, Currey, 2018). What this says is a guess: it may hasten something and
+ * must never allow anything. Free of I/O and clocks; milliseconds.
  */
 public final class SwimMembership {
     /** How ill a proxy may think itself; its waits are so many times as long and one more. */
@@ -28,7 +29,10 @@
     private static final int CONFIRMATIONS = 3;
     /** Times that news is passed on, times the logarithm of how many there are. */
     private static final double TELL = 3;
-    /** A call of {@link #tick} that is so much too late, in periods: what was not heard meanwhile says nothing of others. */
+    /**
+     * A call of {@link #tick} that is so much too late, in periods: what was not heard meanwhile says nothing of
+     * others.
+     */
     private static final double STOOD_STILL = 1;
 
     /** Where messages go. */
@@ -94,12 +98,14 @@
     public void use(List<Long> list, double now) {
         peers.keySet().retainAll(list);
         round.retainAll(list);
-        list.stream().filter(p -> p != me).forEach(p -> peers.computeIfAbsent(p, k -> {
-            Peer fresh = new Peer();
-            fresh.sinceMs = now;
-            fresh.told = Integer.MAX_VALUE; // no news
-            return fresh;
-        }));
+        list.stream()
+                .filter(p -> p != me)
+                .forEach(p -> peers.computeIfAbsent(p, k -> {
+                    Peer fresh = new Peer();
+                    fresh.sinceMs = now;
+                    fresh.told = Integer.MAX_VALUE; // no news
+                    return fresh;
+                }));
         ownTold = 0;
     }
 
@@ -200,7 +206,9 @@
         if (asked == 0) {
             return;
         }
-        List<Long> able = new ArrayList<>(peers.keySet().stream().filter(p -> p != asked && peers.get(p).standing == Standing.ALIVE).toList());
+        List<Long> able = new ArrayList<>(peers.keySet().stream()
+                .filter(p -> p != asked && peers.get(p).standing == Standing.ALIVE)
+                .toList());
         for (int i = 0; i < rules.helpers() && !able.isEmpty(); i++) {
             nacksWanted++;
             send(able.remove(random.nextInt(able.size())), Kind.PING_FOR, askedNumber, asked);
@@ -238,8 +246,11 @@
             ownTold++;
             news.add(new News(me, Standing.ALIVE, incarnation));
         }
-        peers.entrySet().stream().filter(e -> e.getValue().told < most && e.getKey() != to).sorted(Comparator.comparingInt(e -> e.getValue().told))
-                .limit(SwimMessage.MOST_NEWS - news.size()).forEach(e -> {
+        peers.entrySet().stream()
+                .filter(e -> e.getValue().told < most && e.getKey() != to)
+                .sorted(Comparator.comparingInt(e -> e.getValue().told))
+                .limit(SwimMessage.MOST_NEWS - news.size())
+                .forEach(e -> {
                     Peer p = e.getValue();
                     p.told++;
                     news.add(new News(e.getKey(), p.standing, p.incarnation));
@@ -261,7 +272,14 @@
             }
             case PING_FOR -> {
                 if (peers.containsKey(m.about()) && favours.size() < MOST_FAVOURS) {
-                    favours.put(++number, new Favour(from, m.number(), m.about(), now + rules.answerMs() * 0.8, now + waits(rules.periodMs())));
+                    favours.put(
+                            ++number,
+                            new Favour(
+                                    from,
+                                    m.number(),
+                                    m.about(),
+                                    now + rules.answerMs() * 0.8,
+                                    now + waits(rules.periodMs())));
                     send(m.about(), Kind.PING, number, m.about());
                 }
             }
--- a/src/main/java/cacheproxy/fleet/membership/SwimMessage.java
+++ b/src/main/java/cacheproxy/fleet/membership/SwimMessage.java
@@ -5,7 +5,8 @@
 import java.util.List;
 
 /**
- * What proxies tell one another of who is there (SWIM: Das, Gupta, Motivala, 2002): a question or an answer, and news that travels with it.
+ * What proxies tell one another of who is there (SWIM: Das, Gupta, Motivala, 2002): a question or an answer, and news
+ * that travels with it.
  *
  * @param number of the question
  * @param about whom it asks or answers for: in PING and ACK the one that is asked
@@ -28,25 +29,40 @@
         NACK
     }
 
-    /** What somebody says of a peer; a higher incarnation, which only the peer itself gives out, goes before all of lower ones. */
-    public record News(long peer, Standing standing, int incarnation) { }
+    /**
+     * What somebody says of a peer; a higher incarnation, which only the peer itself gives out, goes before all of
+     * lower ones.
+     */
+    public record News(long peer, Standing standing, int incarnation) {}
 
     /** How a peer stands; of one incarnation the later of these goes before. */
-    public enum Standing { ALIVE, SUSPECT, DEAD }
+    public enum Standing {
+        ALIVE,
+        SUSPECT,
+        DEAD
+    }
 
     public SwimMessage {
         news = List.copyOf(news);
     }
 
     public byte[] bytes() {
-        ByteBuffer b = ByteBuffer.allocate(HEAD + news.size() * NEWS).put((byte) kind.ordinal()).putLong(number).putLong(about).put((byte) news.size());
+        ByteBuffer b = ByteBuffer.allocate(HEAD + news.size() * NEWS)
+                .put((byte) kind.ordinal())
+                .putLong(number)
+                .putLong(about)
+                .put((byte) news.size());
         news.forEach(n -> b.putLong(n.peer).put((byte) n.standing.ordinal()).putInt(n.incarnation));
         return b.array();
     }
 
     /** Null if these bytes are none. */
     public static SwimMessage of(byte[] bytes) {
-        if (bytes.length < HEAD || bytes[0] < 0 || bytes[0] >= Kind.values().length || bytes[17] < 0 || bytes[17] > MOST_NEWS
+        if (bytes.length < HEAD
+                || bytes[0] < 0
+                || bytes[0] >= Kind.values().length
+                || bytes[17] < 0
+                || bytes[17] > MOST_NEWS
                 || bytes.length != HEAD + bytes[17] * NEWS) {
             return null;
         }
--- a/src/main/java/cacheproxy/fleet/peer/DatagramEnvelope.java
+++ b/src/main/java/cacheproxy/fleet/peer/DatagramEnvelope.java
@@ -12,15 +12,17 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * What every datagram between peers is wrapped in: who sent it, from which life of its process, with which number; and, where there
- * are keys, a code over all of it (HMAC-SHA256, RFC 2104, of which 16 bytes are sent), else a checksum (CRC-32C, RFC 3720 section 12.1): spoilt
- * bytes must not pass for an epoch. Of each sender the newest life counts, and in
- * it each number once, so what is played again is dropped. An older life counts again once the newer was not heard for
- * {@value #FORGET_MS} ms: its process may have been started after the wall clock had been put back. Not thread-safe.
+ * What every datagram between peers is wrapped in: who sent it, from which life of its process, with which number; and,
+ * where there are keys, a code over all of it (HMAC-SHA256, RFC 2104, of which 16 bytes are sent), else a checksum
+ * (CRC-32C, RFC 3720 section 12.1): spoilt bytes must not pass for an epoch. Of each sender the newest life counts, and
+ * in it each number once, so what is played again is dropped. An older life counts again once the newer was not heard
+ * for {@value #FORGET_MS} ms: its process may have been started after the wall clock had been put back. Not
+ * thread-safe.
  */
 public final class DatagramEnvelope {
     /** The longest datagram, and what may be in it. */
     public static final int MOST = 256;
+
     static final int HEAD = 27;
     static final int CODE = 16;
     static final int SUM = 4;
@@ -29,12 +31,13 @@
     private static final byte FORM = 1;
     /** So many datagrams of an older life are another process's. */
     static final int TWIN = 20;
+
     static final double FORGET_MS = 10_000;
     /** Numbers behind the newest that may still come. */
     static final int WINDOW = 64;
 
     /** What has come: the sender's id, what it is about, the rest. */
-    public record Opened(long sender, byte topic, byte[] payload) { }
+    public record Opened(long sender, byte topic, byte[] payload) {}
 
     private static final class Sender {
         long life = Long.MIN_VALUE;
@@ -51,12 +54,14 @@
     private final Map<Long, Sender> senders = new HashMap<>();
     /** Of the next datagram to each: a burst to many does not push what is late to one out of its window. */
     private final Map<Long, Long> numbers = new HashMap<>();
+
     private boolean twin;
 
     /**
      * @param me this process's id
      * @param life larger with each start of the process: its start by the wall clock
-     * @param keys the first signs; all of them are taken, so that a key is changed without a break; empty: nothing is signed
+     * @param keys the first signs; all of them are taken, so that a key is changed without a break; empty: nothing is
+     *     signed
      * @param senders ids that may send; all others are dropped, so the table is bounded by them
      */
     public DatagramEnvelope(long me, long life, List<byte[]> keys, List<Long> senders) {
@@ -78,8 +83,14 @@
         if (payload.length > MOST_PAYLOAD) {
             throw new IllegalArgumentException(payload.length + " bytes, at most " + MOST_PAYLOAD);
         }
-        ByteBuffer b = ByteBuffer.allocate(HEAD + payload.length + (keys.isEmpty() ? SUM : CODE)).put(MARK).put(FORM).put(topic).putLong(me)
-                .putLong(life).putLong(numbers.merge(to, 1L, Long::sum)).put(payload);
+        ByteBuffer b = ByteBuffer.allocate(HEAD + payload.length + (keys.isEmpty() ? SUM : CODE))
+                .put(MARK)
+                .put(FORM)
+                .put(topic)
+                .putLong(me)
+                .putLong(life)
+                .putLong(numbers.merge(to, 1L, Long::sum))
+                .put(payload);
         b.put(keys.isEmpty() ? sum(b.array(), b.position()) : code(keys.get(0), b.array(), b.position()));
         return b.array();
     }
@@ -171,6 +182,9 @@
 
     /** Ids under which two processes seem to send, this one's among them. */
     public List<Long> twins() {
-        return senders.entrySet().stream().filter(e -> e.getValue().older >= TWIN || e.getKey() == me && twin).map(Map.Entry::getKey).toList();
+        return senders.entrySet().stream()
+                .filter(e -> e.getValue().older >= TWIN || e.getKey() == me && twin)
+                .map(Map.Entry::getKey)
+                .toList();
     }
 }
--- a/src/main/java/cacheproxy/fleet/peer/PeerListTransition.java
+++ b/src/main/java/cacheproxy/fleet/peer/PeerListTransition.java
@@ -8,9 +8,9 @@
 import java.util.zip.CRC32C;
 
 /**
- * Which lists of peers the others go by. A list is changed in two steps, by way of both lists at once, and the second is safe only when
- * all have taken the first; each process tells what it goes by, and this says of each how it stands to one's own. It warns; it
- * stops nothing, since one wrong file would else end everybody's duties.
+ * Which lists of peers the others go by. A list is changed in two steps, by way of both lists at once, and the second
+ * is safe only when all have taken the first; each process tells what it goes by, and this says of each how it stands
+ * to one's own. It warns; it stops nothing, since one wrong file would else end everybody's duties.
  */
 public final class PeerListTransition {
     public static final int LENGTH = 16;
@@ -29,13 +29,16 @@
         UNKNOWN
     }
 
-    private record Told(double atMs, long now, long before) { }
+    private record Told(double atMs, long now, long before) {}
 
     private long now;
     private long before;
     private final Map<Long, Told> told = new HashMap<>();
 
-    /** What this process goes by: the list, and the one that is being left, empty if none is. Others than these are forgotten. */
+    /**
+     * What this process goes by: the list, and the one that is being left, empty if none is. Others than these are
+     * forgotten.
+     */
     public void use(Set<String> list, Set<String> leaving, Set<Long> peers) {
         now = digest(list);
         before = leaving.isEmpty() ? 0 : digest(leaving);
--- a/src/main/java/cacheproxy/fleet/quota/AllocationLedger.java
+++ b/src/main/java/cacheproxy/fleet/quota/AllocationLedger.java
@@ -6,9 +6,10 @@
 import java.util.Map;
 
 /**
- * A dealer's account of one limit: who lends, who wants, what it has given out. It gives out only what is covered, at the time of
- * giving, by loans that outlast the grant and by the fleet's own part while that is its to deal; all that it has given out and that is not over counts,
- * whether it arrived or not. So however many dealers there are, and whatever is lost, all spend no more than the limit. Free of clocks and I/O.
+ * A dealer's account of one limit: who lends, who wants, what it has given out. It gives out only what is covered, at
+ * the time of giving, by loans that outlast the grant and by the fleet's own part while that is its to deal; all that
+ * it has given out and that is not over counts, whether it arrived or not. So however many dealers there are, and
+ * whatever is lost, all spend no more than the limit. Free of clocks and I/O.
  */
 final class AllocationLedger {
     private static final class Want {
@@ -21,7 +22,7 @@
     }
 
     /** What a peer is to be told. */
-    record Grant(long peer, long number, double amount) { }
+    record Grant(long peer, long number, double amount) {}
 
     private final QuotaTiming rules;
     private final Map<Long, OutstandingGrants> loans = new HashMap<>();
@@ -44,7 +45,9 @@
         return limit;
     }
 
-    /** @param life of the asker's process: what an earlier one had in hand may still be, so that it gives nothing back */
+    /**
+     * @param life of the asker's process: what an earlier one had in hand may still be, so that it gives nothing back
+     */
     void wanted(double now, long peer, long life, double amount, long number) {
         Want w = wants.computeIfAbsent(peer, p -> new Want());
         boolean same = w.life == life;
@@ -63,7 +66,8 @@
 
     /** @param calledMs when the call that this answers went out */
     void lent(double now, long peer, double amount, double calledMs) {
-        loans.computeIfAbsent(peer, p -> new OutstandingGrants(false)).add(Math.min(amount, limit.amount()), calledMs + rules.lentMs(limit));
+        loans.computeIfAbsent(peer, p -> new OutstandingGrants(false))
+                .add(Math.min(amount, limit.amount()), calledMs + rules.lentMs(limit));
     }
 
     /** Whether somebody wants more than he owns. */
@@ -115,7 +119,8 @@
         }
         double cover = cover(now, poolToo);
         double out = out(now);
-        double level = MaxMinFairness.level(fresh.stream().mapToDouble(e -> e.getValue().amount).toArray(), cover);
+        double level = MaxMinFairness.level(
+                fresh.stream().mapToDouble(e -> e.getValue().amount).toArray(), cover);
         for (Map.Entry<Long, Want> e : fresh) {
             Want w = e.getValue();
             OutstandingGrants line = grants.computeIfAbsent(e.getKey(), k -> new OutstandingGrants(true));
--- a/src/main/java/cacheproxy/fleet/quota/DemandEstimator.java
+++ b/src/main/java/cacheproxy/fleet/quota/DemandEstimator.java
@@ -1,9 +1,9 @@
 package cacheproxy.fleet.quota;
 
 /**
- * How much comes in. A slow mean, unless a quick one is away from it by more than chance explains, or nothing has come for longer than
- * chance explains: so it is steady where little comes and follows a burst's begin and end at once. Of what is in hand the most of
- * the last while. Free of clocks; milliseconds that must not go back.
+ * How much comes in. A slow mean, unless a quick one is away from it by more than chance explains, or nothing has come
+ * for longer than chance explains: so it is steady where little comes and follows a burst's begin and end at once. Of
+ * what is in hand the most of the last while. Free of clocks; milliseconds that must not go back.
  */
 final class DemandEstimator {
     private static final double QUICK_MS = 200;
--- a/src/main/java/cacheproxy/fleet/quota/LocalQuota.java
+++ b/src/main/java/cacheproxy/fleet/quota/LocalQuota.java
@@ -4,15 +4,16 @@
 import java.util.Map;
 
 /**
- * What one proxy may spend of a limit: its share, less what it has lent, and what it was granted; of a rate through a bucket. What may
- * be spent is asked for right before it is spent, by the clock, so that a process that stood still finds its grants over. Taking
- * costs no garbage. Free of clocks and I/O; times in milliseconds that must not go back.
+ * What one proxy may spend of a limit: its share, less what it has lent, and what it was granted; of a rate through a
+ * bucket. What may be spent is asked for right before it is spent, by the clock, so that a process that stood still
+ * finds its grants over. Taking costs no garbage. Free of clocks and I/O; times in milliseconds that must not go back.
  */
 public final class LocalQuota {
     /** Dealers that hold loans of it at once; to others it lends nothing. */
     static final int MOST_DEALERS = 4;
     /** Of the share that nobody needs so much is kept all the same: what comes next finds something. */
     static final double FLOOR = 0.02;
+
     private static final double MOST_WAIT_MS = 1000;
     private static final int ASKS = 16;
     /** An ask without an answer for so long was lost, or its dealer does not answer. */
@@ -33,8 +34,12 @@
     private double grantedUntilMs = Double.NEGATIVE_INFINITY;
     private long grantedBy;
     private long newest = Long.MIN_VALUE;
-    /** The asks that went out last, and how much each asked for: no more of any grant is kept, so that a dealer can count on it. */
+    /**
+     * The asks that went out last, and how much each asked for: no more of any grant is kept, so that a dealer can
+     * count on it.
+     */
     private final long[] asked = new long[ASKS];
+
     private final double[] askedFor = new double[ASKS];
     private int asks;
     private double askedMs = Double.NEGATIVE_INFINITY;
@@ -54,7 +59,10 @@
         spendsFromMs = startMs + rules.silenceMs(limit);
     }
 
-    /** The file counts from now on: a smaller share at once, a larger one when what others may still spend of it is over. */
+    /**
+     * The file counts from now on: a smaller share at once, a larger one when what others may still spend of it is
+     * over.
+     */
     void use(QuotaSpec other, double ownShare, int ofProxies, double now) {
         boolean first = proxies == 0;
         limit = other;
@@ -130,7 +138,10 @@
         }
     }
 
-    /** One more is asked for; it counts as wanted. 0: it may be taken; else milliseconds until it may be worth asking again. */
+    /**
+     * One more is asked for; it counts as wanted. 0: it may be taken; else milliseconds until it may be worth asking
+     * again.
+     */
     public double ask(double now) {
         demand.came(now, inHand + 1);
         if (limit.atOnce()) {
@@ -144,7 +155,9 @@
             }
         }
         refused++;
-        return limit.atOnce() || rateAt <= 0 ? rules.beatMs() / 4 : Math.min(MOST_WAIT_MS, Math.max(1, (1 - tokens) / rateAt * 1000));
+        return limit.atOnce() || rateAt <= 0
+                ? rules.beatMs() / 4
+                : Math.min(MOST_WAIT_MS, Math.max(1, (1 - tokens) / rateAt * 1000));
     }
 
     /** Takes one, right after {@link #ask} has said that it may be taken. */
@@ -237,8 +250,8 @@
     }
 
     /**
-     * A dealer's answer to an ask that went out then. What another dealer granted before goes on where it is more: it is covered there,
-     * and that dealer can't be told.
+     * A dealer's answer to an ask that went out then. What another dealer granted before goes on where it is more: it
+     * is covered there, and that dealer can't be told.
      */
     void granted(long dealer, double amount, long number, double askedMs, double now) {
         double most = -1;
--- a/src/main/java/cacheproxy/fleet/quota/MaxMinFairness.java
+++ b/src/main/java/cacheproxy/fleet/quota/MaxMinFairness.java
@@ -4,7 +4,7 @@
 
 /** Max-min fair parts: nobody gets more than he wants, and who gets less than that gets as much as any other. */
 public final class MaxMinFairness {
-    private MaxMinFairness() { }
+    private MaxMinFairness() {}
 
     /**
      * The level up to which everybody is served, so that all together get no more than there is.
--- a/src/main/java/cacheproxy/fleet/quota/OutstandingGrants.java
+++ b/src/main/java/cacheproxy/fleet/quota/OutstandingGrants.java
@@ -1,11 +1,14 @@
 package cacheproxy.fleet.quota;
 
 /**
- * Amounts that were promised one after another, each until a time that grows from one to the next. Who made them keeps to the largest
- * that is not over yet, as he can't know which of them arrived.
+ * Amounts that were promised one after another, each until a time that grows from one to the next. Who made them keeps
+ * to the largest that is not over yet, as he can't know which of them arrived.
  */
 final class OutstandingGrants {
-    /** Beyond these the two oldest become one: of what is owed the larger until the later time, of what one counts on the later one. */
+    /**
+     * Beyond these the two oldest become one: of what is owed the larger until the later time, of what one counts on
+     * the later one.
+     */
     static final int MOST = 12;
 
     private final double[] amounts = new double[MOST];
--- a/src/main/java/cacheproxy/fleet/quota/QuotaManager.java
+++ b/src/main/java/cacheproxy/fleet/quota/QuotaManager.java
@@ -1,8 +1,8 @@
 package cacheproxy.fleet.quota;
 
 import cacheproxy.fleet.lease.FencingTokenCheck;
-import cacheproxy.fleet.lease.NameHash;
 import cacheproxy.fleet.lease.LeaseHandle;
+import cacheproxy.fleet.lease.NameHash;
 import cacheproxy.fleet.quota.QuotaMessage.Entry;
 import cacheproxy.fleet.quota.QuotaMessage.Kind;
 import java.util.ArrayDeque;
@@ -16,9 +16,10 @@
 import java.util.function.LongPredicate;
 
 /**
- * The limits of a fleet at one of its proxies: what it may spend ({@link LocalQuota}), and what it deals out where others ask it ({@link AllocationLedger}). Limits
- * are dealt into shares, each a duty; who holds it is asked first, and alone deals out what is in nobody's share. Where it does not answer, the next in the duty's order is
- * asked: whoever is asked deals, since safety rests on loans and not on who deals. Free of clocks and I/O.
+ * The limits of a fleet at one of its proxies: what it may spend ({@link LocalQuota}), and what it deals out where
+ * others ask it ({@link AllocationLedger}). Limits are dealt into shares, each a duty; who holds it is asked first, and
+ * alone deals out what is in nobody's share. Where it does not answer, the next in the duty's order is asked: whoever
+ * is asked deals, since safety rests on loans and not on who deals. Free of clocks and I/O.
  */
 public final class QuotaManager {
     public static final int MOST_LIMITS = 1000;
@@ -30,6 +31,7 @@
     private static final double GATHER_MS = 4;
     /** Who has not answered for so many beats is passed over, and tried again after so many grants' times. */
     private static final double PATIENCE_BEATS = 0.5;
+
     private static final double SHUNNED = 3;
     /** Each so many calls go to all, to those as well that are not thought to be there. */
     private static final int CALL_ALL = 6;
@@ -41,10 +43,21 @@
         void send(long to, QuotaMessage m);
     }
 
-    /** A limit as this proxy sees it; {@code alone}: since when it wants more and nobody answers, NaN if that is not so. */
-    public record Sight(QuotaSpec limit, double mine, double own, double lent, double needs, int inHand, long spent, long refused, double aloneSinceMs) { }
-
-    private record Asked(double atMs, long to) { }
+    /**
+     * A limit as this proxy sees it; {@code alone}: since when it wants more and nobody answers, NaN if that is not so.
+     */
+    public record Sight(
+            QuotaSpec limit,
+            double mine,
+            double own,
+            double lent,
+            double needs,
+            int inHand,
+            long spent,
+            long refused,
+            double aloneSinceMs) {}
+
+    private record Asked(double atMs, long to) {}
 
     private final long me;
     private final long book;
@@ -60,6 +73,7 @@
     private final Map<Long, Double> wordMs = new HashMap<>();
     /** Peers that did not answer, until when they are passed over. */
     private final Map<Long, Double> shunned = new HashMap<>();
+
     private final Map<Integer, Double> ownedSinceMs = new HashMap<>();
     private final ArrayDeque<QuotaMessage> self = new ArrayDeque<>();
     private final Map<Long, Double> dropped = new HashMap<>();
@@ -77,13 +91,15 @@
     private double dealAtMs = Double.POSITIVE_INFINITY;
     /** When any other was heard. */
     private double heardMs = Double.NEGATIVE_INFINITY;
+
     private double urgentFromMs = Double.NEGATIVE_INFINITY;
     private boolean urgent;
     private long olderEpochs;
     private final FencingTokenCheck guard = new FencingTokenCheck();
 
     /** @param likely whether a peer may be there: a guess, which hastens who is asked and allows nothing */
-    public QuotaManager(long me, QuotaTiming rules, SplittableRandom random, double startMs, LongPredicate likely, Out out) {
+    public QuotaManager(
+            long me, QuotaTiming rules, SplittableRandom random, double startMs, LongPredicate likely, Out out) {
         this.likely = likely;
         this.me = me;
         this.rules = rules;
@@ -99,9 +115,17 @@
      *
      * @param list the proxies that share the limits, this one among them
      * @param proxyCount into how many shares they are cut: while the list changes those of both lists
-     * @param owns whether this proxy has a share: one that joins has none until the change is over, nor has one that leaves
+     * @param owns whether this proxy has a share: one that joins has none until the change is over, nor has one that
+     *     leaves
      */
-    public void use(List<QuotaSpec> wanted, List<LeaseHandle> duties, List<Long> list, int proxyCount, boolean isChanging, boolean owns, double now) {
+    public void use(
+            List<QuotaSpec> wanted,
+            List<LeaseHandle> duties,
+            List<Long> list,
+            int proxyCount,
+            boolean isChanging,
+            boolean owns,
+            double now) {
         if (wanted.size() > MOST_LIMITS || duties.isEmpty()) {
             throw new IllegalArgumentException(wanted.size() + " limits, " + duties.size() + " duties");
         }
@@ -125,7 +149,8 @@
         });
         // Books of limits that are gone stay until what they gave out is over.
         named.forEach((id, l) -> {
-            pockets.computeIfAbsent(id, k -> new LocalQuota(l, rules, dropped.getOrDefault(id, startMs))).use(l, owns ? l.share(proxies) : 0, proxies, now);
+            pockets.computeIfAbsent(id, k -> new LocalQuota(l, rules, dropped.getOrDefault(id, startMs)))
+                    .use(l, owns ? l.share(proxies) : 0, proxies, now);
             AllocationLedger b = books.get(id);
             if (b != null) {
                 b.use(l, l.pool(proxies, changing));
@@ -138,7 +163,10 @@
         return pockets.get(NameHash.of(name));
     }
 
-    /** A request was refused: where notably more is needed than was asked for last, it is asked for soon, not at the next beat. */
+    /**
+     * A request was refused: where notably more is needed than was asked for last, it is asked for soon, not at the
+     * next beat.
+     */
     public boolean hurry(LocalQuota p, double now) {
         urgent |= p.needsMore(now);
         return urgent;
@@ -184,7 +212,8 @@
             if (shares.get(i).permit(now, 0) < 0) {
                 ownedSinceMs.remove(i);
             } else {
-                ownedSinceMs.putIfAbsent(i, Math.max(now, startMs)); // it may begin in silence, for longer grants of before
+                ownedSinceMs.putIfAbsent(
+                        i, Math.max(now, startMs)); // it may begin in silence, for longer grants of before
             }
         }
     }
@@ -240,7 +269,9 @@
         }
     }
 
-    /** Who is asked about a limit: the holder of its duty, or the next in order that has not failed to answer lately. */
+    /**
+     * Who is asked about a limit: the holder of its duty, or the next in order that has not failed to answer lately.
+     */
     private long dealer(LeaseHandle t, double now) {
         long holder = t.permit(now, 0) >= 0 ? me : t.holder(now);
         // It holds the duty by the voters' word, so it was there just now: the answer may have been lost.
@@ -276,7 +307,8 @@
         // Asked some time ago and not a word since: somebody else, for a while.
         for (Asked a : asks.values()) {
             if (a.to == peer) {
-                boolean late = now - a.atMs > rules.beatMs() * PATIENCE_BEATS && wordMs.getOrDefault(peer, Double.NEGATIVE_INFINITY) < a.atMs;
+                boolean late = now - a.atMs > rules.beatMs() * PATIENCE_BEATS
+                        && wordMs.getOrDefault(peer, Double.NEGATIVE_INFINITY) < a.atMs;
                 if (late) {
                     shunned.put(peer, now + shunMs);
                 }
@@ -319,10 +351,12 @@
         Map<List<Long>, List<Entry>> told = new LinkedHashMap<>();
         books.forEach((id, b) -> {
             long epoch = epoch(b.limit(), id, now);
-            b.deal(now, epoch > 0).forEach(g -> told.computeIfAbsent(List.of(g.peer(), g.number(), epoch), k -> new ArrayList<>())
-                    .add(new Entry(id, g.amount())));
+            b.deal(now, epoch > 0)
+                    .forEach(g -> told.computeIfAbsent(List.of(g.peer(), g.number(), epoch), k -> new ArrayList<>())
+                            .add(new Entry(id, g.amount())));
         });
-        told.forEach((to, entries) -> parts(entries).forEach(part -> send(to.get(0), new QuotaMessage(Kind.GRANT, book, to.get(1), to.get(2), part))));
+        told.forEach((to, entries) -> parts(entries)
+                .forEach(part -> send(to.get(0), new QuotaMessage(Kind.GRANT, book, to.get(1), to.get(2), part))));
     }
 
     // ---- messages
@@ -345,7 +379,7 @@
     }
 
     private void deliver(double now) {
-        for (QuotaMessage m; (m = self.poll()) != null;) {
+        for (QuotaMessage m; (m = self.poll()) != null; ) {
             take(now, me, m);
         }
     }
@@ -439,8 +473,17 @@
 
     public List<Sight> sights(double now) {
         List<Sight> list = new ArrayList<>();
-        pockets.values().forEach(p -> list.add(new Sight(p.limit(), p.mine(now), p.own(now), p.lentOut(now), p.needsNow(now), p.inHand(), p.spent(),
-                p.refusedCount(), p.unheardSince(now))));
+        pockets.values()
+                .forEach(p -> list.add(new Sight(
+                        p.limit(),
+                        p.mine(now),
+                        p.own(now),
+                        p.lentOut(now),
+                        p.needsNow(now),
+                        p.inHand(),
+                        p.spent(),
+                        p.refusedCount(),
+                        p.unheardSince(now))));
         return list;
     }
 }
--- a/src/main/java/cacheproxy/fleet/quota/QuotaMessage.java
+++ b/src/main/java/cacheproxy/fleet/quota/QuotaMessage.java
@@ -7,7 +7,8 @@
 /**
  * What proxies tell one another of limits: {@value #HEAD} bytes and {@value #ENTRY} for each limit.
  *
- * @param book the dealer's: what is lent to one is lent to no other; in WANT the asker's own, which tells two lives of a proxy apart
+ * @param book the dealer's: what is lent to one is lent to no other; in WANT the asker's own, which tells two lives of
+ *     a proxy apart
  * @param number of the ask that a grant answers, or of the call that a loan answers
  * @param epoch under which the whole fleet's part is dealt out; 0 where only loans are
  */
@@ -30,7 +31,7 @@
     }
 
     /** @param amount a second, or at once; 0 or more */
-    public record Entry(long limit, double amount) { }
+    public record Entry(long limit, double amount) {}
 
     public QuotaMessage {
         entries = List.copyOf(entries);
@@ -40,7 +41,11 @@
     }
 
     public byte[] bytes() {
-        ByteBuffer b = ByteBuffer.allocate(HEAD + entries.size() * ENTRY).put((byte) kind.ordinal()).putLong(book).putLong(number).putLong(epoch);
+        ByteBuffer b = ByteBuffer.allocate(HEAD + entries.size() * ENTRY)
+                .put((byte) kind.ordinal())
+                .putLong(book)
+                .putLong(number)
+                .putLong(epoch);
         entries.forEach(e -> b.putLong(e.limit).putFloat(down(e.amount)));
         return b.array();
     }
@@ -54,7 +59,11 @@
     /** Null if these bytes are none. */
     public static QuotaMessage of(byte[] bytes) {
         int entries = (bytes.length - HEAD) / ENTRY;
-        if (bytes.length < HEAD || bytes.length != HEAD + entries * ENTRY || entries > MOST_ENTRIES || bytes[0] < 0 || bytes[0] >= Kind.values().length) {
+        if (bytes.length < HEAD
+                || bytes.length != HEAD + entries * ENTRY
+                || entries > MOST_ENTRIES
+                || bytes[0] < 0
+                || bytes[0] >= Kind.values().length) {
             return null;
         }
         ByteBuffer b = ByteBuffer.wrap(bytes);
--- a/src/main/java/cacheproxy/fleet/quota/QuotaSpec.java
+++ b/src/main/java/cacheproxy/fleet/quota/QuotaSpec.java
@@ -8,11 +8,13 @@
  * @param amount requests a second, above 0, or at once, a whole number from 1
  * @param burst of a rate: what may be saved up for bursts by the whole fleet, besides one for each proxy
  * @param alone what a proxy does that nobody answers
- * @param sharePart the part of the amount that proxies own, in equal shares, and spend without a word of anybody; the rest is dealt out
- *         by whoever holds the duty. 0 to 1
- * @param holdMs for so long what was begun may go on: 0 for a rate, the longest deadline for what is in hand; the same at all proxies
+ * @param sharePart the part of the amount that proxies own, in equal shares, and spend without a word of anybody; the
+ *     rest is dealt out by whoever holds the duty. 0 to 1
+ * @param holdMs for so long what was begun may go on: 0 for a rate, the longest deadline for what is in hand; the same
+ *     at all proxies
  */
-public record QuotaSpec(String name, boolean atOnce, double amount, double burst, Alone alone, double sharePart, double holdMs) {
+public record QuotaSpec(
+        String name, boolean atOnce, double amount, double burst, Alone alone, double sharePart, double holdMs) {
     /** What a proxy without word spends. */
     public enum Alone {
         /** Its share, which with those of all others makes the limit. */
@@ -27,8 +29,15 @@
     static final double DECAY = 5;
 
     public QuotaSpec {
-        if (name.isEmpty() || !(amount > 0) || atOnce && amount != Math.rint(amount) || !(burst >= 0) || !(holdMs >= 0) || !atOnce && holdMs > 0 || !(sharePart >= 0 && sharePart <= 1)) {
-            throw new IllegalArgumentException("limit " + name + " of " + amount + ", burst " + burst + ", share part " + sharePart);
+        if (name.isEmpty()
+                || !(amount > 0)
+                || atOnce && amount != Math.rint(amount)
+                || !(burst >= 0)
+                || !(holdMs >= 0)
+                || !atOnce && holdMs > 0
+                || !(sharePart >= 0 && sharePart <= 1)) {
+            throw new IllegalArgumentException(
+                    "limit " + name + " of " + amount + ", burst " + burst + ", share part " + sharePart);
         }
         if (alone == Alone.NONE) {
             sharePart = 0;
--- a/src/main/java/cacheproxy/fleet/quota/QuotaTiming.java
+++ b/src/main/java/cacheproxy/fleet/quota/QuotaTiming.java
@@ -1,13 +1,13 @@
 package cacheproxy.fleet.quota;
 
 /**
- * The times on which the safety of shared limits rests; milliseconds, each process by its own monotonic clock, none of which is off
- * true time by more than {@link #drift} in either direction.
+ * The times on which the safety of shared limits rests; milliseconds, each process by its own monotonic clock, none of
+ * which is off true time by more than {@link #drift} in either direction.
  *
- * <p>Who may spend counts short, who must not counts long: a grant is used for {@link #usedMs} from before it was asked for, and stands
- * at its dealer for {@link #outMs} from when it was sent; a loan is kept for {@link #keptMs} from when it was sent, and counts at its
- * dealer for {@link #lentMs} from before it was called for. So whatever the clocks do within the bound and however late messages are,
- * a grant ends before the loans that cover it.
+ * <p>Who may spend counts short, who must not counts long: a grant is used for {@link #usedMs} from before it was asked
+ * for, and stands at its dealer for {@link #outMs} from when it was sent; a loan is kept for {@link #keptMs} from when
+ * it was sent, and counts at its dealer for {@link #lentMs} from before it was called for. So whatever the clocks do
+ * within the bound and however late messages are, a grant ends before the loans that cover it.
  */
 public class QuotaTiming {
     /** Asks, calls and answers go out so often in a grant's time, so that two in a row may be lost. */
--- a/src/main/java/cacheproxy/handover/Handover.java
+++ b/src/main/java/cacheproxy/handover/Handover.java
@@ -50,7 +50,7 @@
     }
 
     /** What a process has been given by the one before it. @param line holds it to us as its successor */
-    public record Taken(int descriptor, Channel line) { }
+    public record Taken(int descriptor, Channel line) {}
 
     /** Where the process that listens at this port gives its socket; a socket's name is bounded, so it is short. */
     public static Path path(Path folder, int port) {
@@ -68,13 +68,18 @@
             return null;
         }
         Promise<FileDescriptor> given = loop.newPromise();
-        Channel line = new Bootstrap().group(loop).channel(EpollDomainSocketChannel.class)
+        Channel line = new Bootstrap()
+                .group(loop)
+                .channel(EpollDomainSocketChannel.class)
                 .option(EpollChannelOption.DOMAIN_SOCKET_READ_MODE, DomainSocketReadMode.FILE_DESCRIPTORS)
-                .handler(new Taker(given)).connect(new DomainSocketAddress(path.toFile())).addListener(f -> {
+                .handler(new Taker(given))
+                .connect(new DomainSocketAddress(path.toFile()))
+                .addListener(f -> {
                     if (!f.isSuccess()) {
                         given.tryFailure(f.cause());
                     }
-                }).channel();
+                })
+                .channel();
         if (given.await(waitMs, TimeUnit.MILLISECONDS) && given.isSuccess()) {
             return new Taken(given.getNow().intValue(), line);
         }
@@ -121,15 +126,21 @@
         Handover h = new Handover(loop, path, descriptor);
         h.predecessor = predecessor;
         // Bound aside and moved into place: at no time does a successor find nothing there.
-        Path aside = path.resolveSibling(path.getFileName() + "." + ProcessHandle.current().pid());
+        Path aside = path.resolveSibling(
+                path.getFileName() + "." + ProcessHandle.current().pid());
         Files.deleteIfExists(aside);
-        h.channel = new ServerBootstrap().group(loop).channel(EpollServerDomainSocketChannel.class)
+        h.channel = new ServerBootstrap()
+                .group(loop)
+                .channel(EpollServerDomainSocketChannel.class)
                 .childHandler(new ChannelInitializer<EpollDomainSocketChannel>() {
                     @Override
                     protected void initChannel(EpollDomainSocketChannel asker) {
                         h.asked(asker);
                     }
-                }).bind(new DomainSocketAddress(aside.toFile())).syncUninterruptibly().channel();
+                })
+                .bind(new DomainSocketAddress(aside.toFile()))
+                .syncUninterruptibly()
+                .channel();
         Files.move(aside, path, StandardCopyOption.REPLACE_EXISTING, StandardCopyOption.ATOMIC_MOVE);
         return h;
     }
--- a/src/main/java/cacheproxy/hooks/HookBreaker.java
+++ b/src/main/java/cacheproxy/hooks/HookBreaker.java
@@ -2,12 +2,14 @@
 
 /**
  * Switches a hook off that fails in more than a share of its calls, and tries it again after a while with one call.
- * Calls end on the threads of several hooks, so it is safe to use from any. Free of clocks; times in milliseconds. Counts fade by half every {@value #WINDOW_MS} ms.
+ * Calls end on the threads of several hooks, so it is safe to use from any. Free of clocks; times in milliseconds.
+ * Counts fade by half every {@value #WINDOW_MS} ms.
  */
 public final class HookBreaker {
     static final double WINDOW_MS = 2000;
     /** Fewer calls say nothing. */
     static final double LEAST_CALLS = 10;
+
     private final double share;
     private final double offMs;
     private double calls;
--- a/src/main/java/cacheproxy/hooks/HookCall.java
+++ b/src/main/java/cacheproxy/hooks/HookCall.java
@@ -10,12 +10,19 @@
  *
  * @param remainingMs until the client gives up
  */
-public record HookCall(String key, String serviceClass, String tenant, boolean write, boolean repeat, long remainingMs) {
+public record HookCall(
+        String key, String serviceClass, String tenant, boolean write, boolean repeat, long remainingMs) {
     /** The version of this form and of all else that module and host agree on. */
     public static final int ABI = 1;
 
     /** What a client was told; the number is the place here, from 0. */
-    public enum Answer { SERVED, MISSING, REFUSED, FAILED, REJECTED }
+    public enum Answer {
+        SERVED,
+        MISSING,
+        REFUSED,
+        FAILED,
+        REJECTED
+    }
 
     /** The request, and behind it the answer (u8) and the milliseconds that it took (u32). */
     byte[] bytes(Answer answer, long elapsedMs) {
--- a/src/main/java/cacheproxy/hooks/HookInstance.java
+++ b/src/main/java/cacheproxy/hooks/HookInstance.java
@@ -14,8 +14,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * A module with a memory of its own, for one thread. A call that fails leaves it in no known state: it must not be called
- * again.
+ * A module with a memory of its own, for one thread. A call that fails leaves it in no known state: it must not be
+ * called again.
  */
 public final class HookInstance {
     /** Of one call; the rest is dropped. */
@@ -28,6 +28,7 @@
     private final ExportFunction onRequest;
     /** Null where the module has none. */
     private final ExportFunction onAnswer;
+
     private List<String> log = new ArrayList<>();
     private long counter;
 
@@ -36,7 +37,7 @@
      *
      * @param log lines that it wrote, each fit for one line
      */
-    public record Result(HookOrders orders, List<String> log, long fuel) { }
+    public record Result(HookOrders orders, List<String> log, long fuel) {}
 
     /** Instantiates and calls {@code on_load}; {@code clockMs} is what the module may ask the time of. */
     public HookInstance(HookModule module, LongSupplier clockMs) throws HookException {
@@ -46,8 +47,10 @@
             if (module.pages == 0) {
                 throw new HookException("it has no memory");
             }
-            instance = module.builder().withImportValues(imports()).withMemoryLimits(new MemoryLimits(module.pages,
-                    module.limits.memoryPages())).build();
+            instance = module.builder()
+                    .withImportValues(imports())
+                    .withMemoryLimits(new MemoryLimits(module.pages, module.limits.memoryPages()))
+                    .build();
             alloc = function("alloc", "(i32)->(i32)");
             onRequest = function("on_request", "(i32,i32)->(i64)");
             onAnswer = exports("on_answer") ? function("on_answer", "(i32,i32)->()") : null;
@@ -59,7 +62,8 @@
                 instance.global(module.fuelGlobal).setValue(module.limits.loadFuel());
                 long no = function("on_load", "()->(i32)").apply()[0];
                 if (no != 0) {
-                    throw new HookException("on_load returned " + no + (log.isEmpty() ? "" : ": " + log.get(log.size() - 1)));
+                    throw new HookException(
+                            "on_load returned " + no + (log.isEmpty() ? "" : ": " + log.get(log.size() - 1)));
                 }
             }
         } catch (ChicoryException | StackOverflowError | OutOfMemoryError | AssertionError | LinkageError e) {
@@ -91,31 +95,43 @@
     }
 
     private static String types(List<ValType> list) {
-        return String.join(",", list.stream().map(t -> t.equals(ValType.I32) ? "i32" : t.equals(ValType.I64) ? "i64"
-                : "another").toList());
+        return String.join(
+                ",",
+                list.stream()
+                        .map(t -> t.equals(ValType.I32) ? "i32" : t.equals(ValType.I64) ? "i64" : "another")
+                        .toList());
     }
 
     private ImportValues imports() {
         List<ValType> none = List.of();
         List<ValType> one = List.of(ValType.I32);
-        return ImportValues.builder().addFunction(
-                new HostFunction(HookModule.HOST, "log", FunctionType.of(List.of(ValType.I32, ValType.I32), none), (i, args) -> {
-                    if (log.size() < MAX_LOG_LINES) {
-                        int length = (int) Math.min(400, args[1] & 0xFFFFFFFFL);
-                        log.add(HookOrders.clean(new String(i.memory().readBytes((int) args[0], length), StandardCharsets.UTF_8)));
-                    }
-                    return new long[0];
-                }),
-                new HostFunction(HookModule.HOST, "now_ms", FunctionType.of(none, List.of(ValType.I64)),
-                        (i, args) -> new long[] {clockMs.getAsLong()}),
-                new HostFunction(HookModule.HOST, "count", FunctionType.of(none, List.of(ValType.I64)),
-                        (i, args) -> new long[] {counter++}),
-                new HostFunction(HookModule.HOST, "config_length", FunctionType.of(none, one),
-                        (i, args) -> new long[] {module.configBytes().length}),
-                new HostFunction(HookModule.HOST, "config_read", FunctionType.of(one, none), (i, args) -> {
-                    i.memory().write((int) args[0], module.configBytes());
-                    return new long[0];
-                })).build();
+        return ImportValues.builder()
+                .addFunction(
+                        new HostFunction(
+                                HookModule.HOST,
+                                "log",
+                                FunctionType.of(List.of(ValType.I32, ValType.I32), none),
+                                (i, args) -> {
+                                    if (log.size() < MAX_LOG_LINES) {
+                                        int length = (int) Math.min(400, args[1] & 0xFFFFFFFFL);
+                                        log.add(HookOrders.clean(new String(
+                                                i.memory().readBytes((int) args[0], length), StandardCharsets.UTF_8)));
+                                    }
+                                    return new long[0];
+                                }),
+                        new HostFunction(
+                                HookModule.HOST, "now_ms", FunctionType.of(none, List.of(ValType.I64)), (i, args) ->
+                                        new long[] {clockMs.getAsLong()}),
+                        new HostFunction(
+                                HookModule.HOST, "count", FunctionType.of(none, List.of(ValType.I64)), (i, args) ->
+                                        new long[] {counter++}),
+                        new HostFunction(HookModule.HOST, "config_length", FunctionType.of(none, one), (i, args) ->
+                                new long[] {module.configBytes().length}),
+                        new HostFunction(HookModule.HOST, "config_read", FunctionType.of(one, none), (i, args) -> {
+                            i.memory().write((int) args[0], module.configBytes());
+                            return new long[0];
+                        }))
+                .build();
     }
 
     /** Whether it wants to be told of answers. */
@@ -154,9 +170,13 @@
                 throw new HookException("its orders have " + Integer.toUnsignedString(length) + " bytes; at most "
                         + HookOrders.MAX_BYTES);
             }
-            HookOrders orders = length == 0 ? HookOrders.NONE : HookOrders.read(instance.memory().readBytes((int) (packed >>> 32),
-                    length));
-            return new Result(orders, log, module.limits.fuel() - instance.global(module.fuelGlobal).getValue());
+            HookOrders orders = length == 0
+                    ? HookOrders.NONE
+                    : HookOrders.read(instance.memory().readBytes((int) (packed >>> 32), length));
+            return new Result(
+                    orders,
+                    log,
+                    module.limits.fuel() - instance.global(module.fuelGlobal).getValue());
         } catch (ChicoryException | StackOverflowError | OutOfMemoryError | AssertionError | LinkageError e) {
             throw new HookException(why(e));
         } catch (IndexOutOfBoundsException e) {
--- a/src/main/java/cacheproxy/hooks/HookModule.java
+++ b/src/main/java/cacheproxy/hooks/HookModule.java
@@ -16,8 +16,17 @@
 public final class HookModule {
     static final String HOST = "coralbay";
     /** What is offered, with its types. */
-    static final Map<String, String> OFFERED = Map.of(HOST + ".log", "(i32,i32)->()", HOST + ".now_ms", "()->(i64)",
-            HOST + ".count", "()->(i64)", HOST + ".config_length", "()->(i32)", HOST + ".config_read", "(i32)->()");
+    static final Map<String, String> OFFERED = Map.of(
+            HOST + ".log",
+            "(i32,i32)->()",
+            HOST + ".now_ms",
+            "()->(i64)",
+            HOST + ".count",
+            "()->(i64)",
+            HOST + ".config_length",
+            "()->(i32)",
+            HOST + ".config_read",
+            "(i32)->()");
 
     /**
      * Bounds of a hook.
@@ -28,7 +37,7 @@
      * @param timeMs what a call may take by the clock, besides
      * @param compiled whether its code is compiled to the Java machine's, or interpreted
      */
-    public record Limits(int memoryPages, long fuel, long loadFuel, double timeMs, boolean compiled) { }
+    public record Limits(int memoryPages, long fuel, long loadFuel, double timeMs, boolean compiled) {}
 
     final Limits limits;
     final int fuelGlobal;
--- a/src/main/java/cacheproxy/hooks/HookOrders.java
+++ b/src/main/java/cacheproxy/hooks/HookOrders.java
@@ -7,17 +7,18 @@
 
 /**
  * What a hook orders; null where it orders nothing. Bytes, little-endian: orders one after another, each a tag (u8), a
- * length (u16) and so many bytes. Tags: 1 key, 2 class, 3 tenant, 4 route, 5 refuse (u32, milliseconds), 6 note for the log,
- * 7 remaining milliseconds (u32). A tag twice, or one that is not known, makes all of them void.
+ * length (u16) and so many bytes. Tags: 1 key, 2 class, 3 tenant, 4 route, 5 refuse (u32, milliseconds), 6 note for the
+ * log, 7 remaining milliseconds (u32). A tag twice, or one that is not known, makes all of them void.
  *
  * @param refuseMs 0: not refused
  * @param remainingMs 0: as it was
  */
-public record HookOrders(String key, String serviceClass, String tenant, String route, long refuseMs, String note,
-        long remainingMs) {
+public record HookOrders(
+        String key, String serviceClass, String tenant, String route, long refuseMs, String note, long remainingMs) {
     public static final HookOrders NONE = new HookOrders(null, null, null, null, 0, null, 0);
     /** All orders together. */
     static final int MAX_BYTES = 2048;
+
     private static final int MAX_NOTE = 200;
     private static final long HOUR_MS = 3_600_000;
 
@@ -33,7 +34,8 @@
                 throw new HookException("an order ends too early");
             }
             if (tag < 1 || tag > 7 || (seen & 1 << tag) != 0) {
-                throw new HookException(tag < 1 || tag > 7 ? "order " + tag + " is not known" : "order " + tag + " comes twice");
+                throw new HookException(
+                        tag < 1 || tag > 7 ? "order " + tag + " is not known" : "order " + tag + " comes twice");
             }
             seen |= 1 << tag;
             if (tag == 5 || tag == 7) {
@@ -42,7 +44,8 @@
                 }
                 numbers[tag] = b.getInt() & 0xFFFFFFFFL;
                 if (numbers[tag] < 1 || numbers[tag] > HOUR_MS) {
-                    throw new HookException("order " + tag + " is " + numbers[tag] + " ms; 1 to " + HOUR_MS + " are taken");
+                    throw new HookException(
+                            "order " + tag + " is " + numbers[tag] + " ms; 1 to " + HOUR_MS + " are taken");
                 }
                 continue;
             }
--- a/src/main/java/cacheproxy/hooks/HookRules.java
+++ b/src/main/java/cacheproxy/hooks/HookRules.java
@@ -33,9 +33,10 @@
             if (to < 0) {
                 return "there is no class '" + HookOrders.clean(o.serviceClass()) + "'";
             }
-            if (strictness(classes.get(to).effect()) < strictness(classes.get(sentClass).effect())) {
-                return "class " + o.serviceClass() + " is less strict about repeats than " + classes.get(sentClass).name()
-                        + ", which the client sent";
+            if (strictness(classes.get(to).effect())
+                    < strictness(classes.get(sentClass).effect())) {
+                return "class " + o.serviceClass() + " is less strict about repeats than "
+                        + classes.get(sentClass).name() + ", which the client sent";
             }
         }
         if (o.tenant() != null && tenantIndex(o.tenant()) < 0) {
@@ -45,7 +46,8 @@
             return "there is no route '" + HookOrders.clean(o.route()) + "'";
         }
         if (o.remainingMs() > remainingMs) {
-            return "a deadline may only be shortened; " + o.remainingMs() + " ms are more than the " + remainingMs + " left";
+            return "a deadline may only be shortened; " + o.remainingMs() + " ms are more than the " + remainingMs
+                    + " left";
         }
         return null;
     }
--- a/src/main/java/cacheproxy/hooks/WasmMeter.java
+++ b/src/main/java/cacheproxy/hooks/WasmMeter.java
@@ -17,9 +17,11 @@
 final class WasmMeter {
     /** Larger ones are refused before they are read. */
     static final int MAX_MODULE = 4 << 20;
+
     private static final int MAX_TABLE = 65_536;
     /** memory.init, memory.copy, memory.fill, table.init, table.copy, table.fill. */
     private static final java.util.Set<Integer> BULK = java.util.Set.of(8, 10, 11, 12, 14, 17);
+
     private static final int MAX_NESTING = 1000;
     private static final int MAX_LOCALS = 50_000;
     /** Of growing the memory, which clears pages. */
@@ -35,6 +37,7 @@
     private int pages;
     /** How many parameters the functions of each type have, and the types of the module's own functions. */
     private final List<Integer> params = new ArrayList<>();
+
     private final List<Integer> functions = new ArrayList<>();
 
     /**
@@ -43,7 +46,7 @@
      * @param fuelGlobal index of the global that holds what is left
      * @param pages of its memory at the start; 0: it has none
      */
-    record Metered(byte[] module, int fuelGlobal, int pages) { }
+    record Metered(byte[] module, int fuelGlobal, int pages) {}
 
     private WasmMeter(byte[] module, int maxPages, Map<String, String> offered) {
         in = module;
@@ -103,7 +106,7 @@
                 case 4 -> tables();
                 case 5 -> memories();
                 case 6 -> globals = u32();
-                default -> { }
+                default -> {}
             }
         }
         Out out = new Out();
@@ -193,8 +196,14 @@
             String type = kind == 0 ? type(types, u32()) : null;
             String wanted = offered.get(called);
             if (wanted == null || !wanted.equals(type)) {
-                throw new HookException("it imports " + called + (type == null ? "" : " " + type) + ", which is not offered; there are "
-                        + String.join(", ", offered.keySet().stream().sorted().map(k -> k + " " + offered.get(k)).toList()));
+                throw new HookException("it imports " + called + (type == null ? "" : " " + type)
+                        + ", which is not offered; there are "
+                        + String.join(
+                                ", ",
+                                offered.keySet().stream()
+                                        .sorted()
+                                        .map(k -> k + " " + offered.get(k))
+                                        .toList()));
             }
         }
     }
@@ -215,7 +224,8 @@
                 u32();
             }
             if (least < 0 || least > MAX_TABLE) {
-                throw new HookException("a table has " + Integer.toUnsignedString(least) + " elements; at most " + MAX_TABLE);
+                throw new HookException(
+                        "a table has " + Integer.toUnsignedString(least) + " elements; at most " + MAX_TABLE);
             }
         }
     }
@@ -228,8 +238,8 @@
                 u32();
             }
             if (flags > 1 || least < 0 || least > maxPages) {
-                throw new HookException("its memory has " + Integer.toUnsignedString(least) + " pages at its start; memory_pages is "
-                        + maxPages);
+                throw new HookException("its memory has " + Integer.toUnsignedString(least)
+                        + " pages at its start; memory_pages is " + maxPages);
             }
             pages = least;
         }
@@ -383,7 +393,7 @@
             return 1;
         }
         switch (op) {
-            case 0x00, 0x01, 0x05, 0x0B, 0x0F, 0x1A, 0x1B -> { }
+            case 0x00, 0x01, 0x05, 0x0B, 0x0F, 0x1A, 0x1B -> {}
             case 0x02, 0x03, 0x04 -> leb(33);
             case 0x0C, 0x0D, 0x10, 0x20, 0x21, 0x22, 0x23, 0x24, 0x25, 0x26, 0xD2 -> {
                 int index = u32();
@@ -420,8 +430,10 @@
             case 0xFC -> {
                 return prefixed();
             }
-            default -> throw new HookException("instruction 0x" + Integer.toHexString(op) + " at byte " + (at - 1)
-                    + " is not taken; compile for WebAssembly 2.0 without vectors, threads, exceptions and tail calls");
+            default ->
+                throw new HookException(
+                        "instruction 0x" + Integer.toHexString(op) + " at byte " + (at - 1)
+                                + " is not taken; compile for WebAssembly 2.0 without vectors, threads, exceptions and tail calls");
         }
         return 1;
     }
@@ -433,7 +445,7 @@
             throw new HookException("instruction 0xfc at byte " + from + " is written in more bytes than it needs");
         }
         switch (op) {
-            case 0, 1, 2, 3, 4, 5, 6, 7 -> { }
+            case 0, 1, 2, 3, 4, 5, 6, 7 -> {}
             case 8 -> {
                 u32();
                 at++;
@@ -445,7 +457,9 @@
                 u32();
                 u32();
             }
-            default -> throw new HookException("instruction 0xfc " + op + " is not taken" + (op == 15 ? ": tables don't grow" : ""));
+            default ->
+                throw new HookException(
+                        "instruction 0xfc " + op + " is not taken" + (op == 15 ? ": tables don't grow" : ""));
         }
         return 1;
     }
@@ -454,7 +468,7 @@
 
     private int u32() throws HookException {
         long v = 0;
-        for (int shift = 0;; shift += 7) {
+        for (int shift = 0; ; shift += 7) {
             int b = in[at++];
             v |= (long) (b & 0x7F) << shift;
             if (b >= 0) {
@@ -467,7 +481,7 @@
     }
 
     private void leb(int bits) throws HookException {
-        for (int read = 7;; read += 7) {
+        for (int read = 7; ; read += 7) {
             if (in[at++] >= 0) {
                 return;
             }
--- a/src/main/java/cacheproxy/htcp/HtcpCodec.java
+++ b/src/main/java/cacheproxy/htcp/HtcpCodec.java
@@ -15,8 +15,8 @@
 import java.util.Arrays;
 
 /**
- * HTCP/0.0 to and from datagrams (RFC 2756). Every length is checked against what holds it before it is believed. Numbers
- * are in network order.
+ * HTCP/0.0 to and from datagrams (RFC 2756). Every length is checked against what holds it before it is believed.
+ * Numbers are in network order.
  *
  * <pre>
  * HEADER  0  length of the message (16)    2  major   3  minor
@@ -28,10 +28,11 @@
 public final class HtcpCodec {
     /** A datagram over UDP can't be longer; HTCP has no bound of its own but its 16 bits. */
     public static final int MAX_LENGTH = 65_507;
+
     static final int HEADER = 4;
     static final int DATA_HEAD = 8;
 
-    private HtcpCodec() { }
+    private HtcpCodec() {}
 
     /** What is wrong with a datagram. */
     public static final class Malformed extends Exception {
@@ -51,7 +52,10 @@
     public record Auth(int time, int expires, String keyName, byte[] signature) {
         @Override
         public boolean equals(Object o) {
-            return o instanceof Auth a && a.time == time && a.expires == expires && a.keyName.equals(keyName)
+            return o instanceof Auth a
+                    && a.time == time
+                    && a.expires == expires
+                    && a.keyName.equals(keyName)
                     && Arrays.equals(a.signature, signature);
         }
 
@@ -69,7 +73,15 @@
      * @param auth null: not signed
      * @param data the octets of DATA, which a signature covers
      */
-    public record Datagram(int major, int minor, int opcode, int transaction, boolean reply, HtcpMessage message, Auth auth, byte[] data) { }
+    public record Datagram(
+            int major,
+            int minor,
+            int opcode,
+            int transaction,
+            boolean reply,
+            HtcpMessage message,
+            Auth auth,
+            byte[] data) {}
 
     /**
      * Reads one datagram.
@@ -101,7 +113,8 @@
         HtcpMessage message = null;
         if (major == 0 && opcode < Opcode.values().length) {
             boolean flag = (flags & 2) != 0;
-            ByteBuffer op = ByteBuffer.wrap(data, DATA_HEAD, dataLength - DATA_HEAD).slice();
+            ByteBuffer op =
+                    ByteBuffer.wrap(data, DATA_HEAD, dataLength - DATA_HEAD).slice();
             try {
                 Body body = reply && flag ? new Empty() : body(Opcode.values()[opcode], codes & 15, reply, op);
                 if (op.hasRemaining() && !(reply && flag)) {
@@ -142,8 +155,10 @@
     private static Body body(Opcode opcode, int response, boolean reply, ByteBuffer in) throws Malformed {
         return switch (opcode) {
             case NOP -> new Empty();
-            case TST -> !reply ? specifier(in) : response == HtcpMessage.TST_PRESENT ? detail(in)
-                    : new HtcpMessage.CacheHeaders(text(in));
+            case TST ->
+                !reply
+                        ? specifier(in)
+                        : response == HtcpMessage.TST_PRESENT ? detail(in) : new HtcpMessage.CacheHeaders(text(in));
             case MON -> {
                 if (!reply) {
                     yield new Monitor(in.get() & 0xFF);
@@ -191,12 +206,15 @@
 
     // ---- writing
 
-    /** The octets of DATA, which a signature covers. @throws IllegalArgumentException if a text or the whole is too long */
+    /**
+     * The octets of DATA, which a signature covers. @throws IllegalArgumentException if a text or the whole is too long
+     */
     public static byte[] data(HtcpMessage m) {
         ByteBuffer out = ByteBuffer.allocate(MAX_LENGTH - HEADER - 2);
         try {
             out.position(2);
-            out.put((byte) (m.opcode().ordinal() << 4 | m.response())).put((byte) ((m.flag() ? 2 : 0) | (m.reply() ? 1 : 0)))
+            out.put((byte) (m.opcode().ordinal() << 4 | m.response()))
+                    .put((byte) ((m.flag() ? 2 : 0) | (m.reply() ? 1 : 0)))
                     .putInt(m.transaction());
             put(out, m.body());
         } catch (java.nio.BufferOverflowException e) {
@@ -245,11 +263,19 @@
         if (length > MAX_LENGTH) {
             throw new IllegalArgumentException(length + " octets");
         }
-        ByteBuffer out = ByteBuffer.allocate(length).putShort((short) length).put((byte) 0).put((byte) 0).put(data)
+        ByteBuffer out = ByteBuffer.allocate(length)
+                .putShort((short) length)
+                .put((byte) 0)
+                .put((byte) 0)
+                .put(data)
                 .putShort((short) authLength);
         if (auth != null) {
-            out.putInt(auth.time()).putInt(auth.expires()).putShort((short) key.length).put(key)
-                    .putShort((short) auth.signature().length).put(auth.signature());
+            out.putInt(auth.time())
+                    .putInt(auth.expires())
+                    .putShort((short) key.length)
+                    .put(key)
+                    .putShort((short) auth.signature().length)
+                    .put(auth.signature());
         }
         return out.array();
     }
--- a/src/main/java/cacheproxy/htcp/HtcpSigner.java
+++ b/src/main/java/cacheproxy/htcp/HtcpSigner.java
@@ -10,8 +10,9 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Signs and checks messages by a shared key: HMAC-MD5 (RFC 2104) over addresses, ports, version, times, DATA and the key's name (RFC
- * 2756). Times come in. What it does not do: remember what it has seen; {@code siblings.ReplayGuard} does.
+ * Signs and checks messages by a shared key: HMAC-MD5 (RFC 2104) over addresses, ports, version, times, DATA and the
+ * key's name (RFC 2756). Times come in. What it does not do: remember what it has seen; {@code siblings.ReplayGuard}
+ * does.
  */
 public final class HtcpSigner {
     private final String name;
@@ -29,7 +30,14 @@
     }
 
     /** Why a signature does not hold. */
-    public enum Verdict { GOOD, NOT_SIGNED, OTHER_KEY, NOT_YET, EXPIRED, WRONG }
+    public enum Verdict {
+        GOOD,
+        NOT_SIGNED,
+        OTHER_KEY,
+        NOT_YET,
+        EXPIRED,
+        WRONG
+    }
 
     /** A signature for a message from here to there that holds for so many seconds from then on. */
     public Auth sign(byte[] data, InetSocketAddress from, InetSocketAddress to, int now, int seconds) {
@@ -64,7 +72,12 @@
         put(from);
         put(to);
         byte[] key = name.getBytes(StandardCharsets.ISO_8859_1);
-        mac.update(ByteBuffer.allocate(10).put((byte) 0).put((byte) minor).putInt(time).putInt(expires).flip());
+        mac.update(ByteBuffer.allocate(10)
+                .put((byte) 0)
+                .put((byte) minor)
+                .putInt(time)
+                .putInt(expires)
+                .flip());
         mac.update(data);
         mac.update(ByteBuffer.allocate(2).putShort((short) key.length).flip());
         return mac.doFinal(key);
--- a/src/main/java/cacheproxy/icp/IcpCodec.java
+++ b/src/main/java/cacheproxy/icp/IcpCodec.java
@@ -21,7 +21,7 @@
     static final int VERSION = 2;
     private static final int KNOWN_OPTIONS = IcpMessage.HIT_OBJ | IcpMessage.SRC_RTT;
 
-    private IcpCodec() { }
+    private IcpCodec() {}
 
     /** What is wrong with a datagram, in words without its content. */
     public static final class Malformed extends Exception {
@@ -97,14 +97,24 @@
             throw REST;
         }
         // Bits without a meaning are left out, so that no caller acts on one ("Options").
-        return new IcpMessage(opcode, in.getInt(at + 4), in.getInt(at + 8) & KNOWN_OPTIONS, in.getInt(at + 12), in.getInt(at + 16), requester,
-                in.toString(from, end - from, StandardCharsets.US_ASCII), object);
+        return new IcpMessage(
+                opcode,
+                in.getInt(at + 4),
+                in.getInt(at + 8) & KNOWN_OPTIONS,
+                in.getInt(at + 12),
+                in.getInt(at + 16),
+                requester,
+                in.toString(from, end - from, StandardCharsets.US_ASCII),
+                object);
     }
 
     /** Octets of a message. */
     public static int length(IcpMessage m) {
-        return HEADER + (m.opcode() == Opcode.QUERY ? 4 : 0) + m.url().length() + 1 + (m.opcode() == Opcode.HIT_OBJ
-                ? 2 + m.object().length : 0);
+        return HEADER
+                + (m.opcode() == Opcode.QUERY ? 4 : 0)
+                + m.url().length()
+                + 1
+                + (m.opcode() == Opcode.HIT_OBJ ? 2 + m.object().length : 0);
     }
 
     /**
@@ -117,13 +127,19 @@
         if (length > IcpMessage.MAX_LENGTH) {
             throw new IllegalArgumentException(length + " octets");
         }
-        if ((m.object() != null) != (m.opcode() == Opcode.HIT_OBJ) || (m.options() & ~KNOWN_OPTIONS) != 0
+        if ((m.object() != null) != (m.opcode() == Opcode.HIT_OBJ)
+                || (m.options() & ~KNOWN_OPTIONS) != 0
                 || !m.url().chars().allMatch(c -> c > ' ' && c < 127)) {
             throw new IllegalArgumentException("no message of ICP: " + m);
         }
         ByteBuf out = alloc.buffer(length, length);
-        out.writeByte(m.opcode().code).writeByte(VERSION).writeShort(length).writeInt(m.requestNumber()).writeInt(m.options())
-                .writeInt(m.optionData()).writeInt(m.sender());
+        out.writeByte(m.opcode().code)
+                .writeByte(VERSION)
+                .writeShort(length)
+                .writeInt(m.requestNumber())
+                .writeInt(m.options())
+                .writeInt(m.optionData())
+                .writeInt(m.sender());
         if (m.opcode() == Opcode.QUERY) {
             out.writeInt(m.requester());
         }
--- a/src/main/java/cacheproxy/icp/IcpMessage.java
+++ b/src/main/java/cacheproxy/icp/IcpMessage.java
@@ -11,7 +11,14 @@
  * @param url what it is about; US-ASCII without NUL, may be empty in an error
  * @param object of {@link Opcode#HIT_OBJ}: the object; else null
  */
-public record IcpMessage(Opcode opcode, int requestNumber, int options, int optionData, int sender, int requester, String url,
+public record IcpMessage(
+        Opcode opcode,
+        int requestNumber,
+        int options,
+        int optionData,
+        int sender,
+        int requester,
+        String url,
         byte[] object) {
     /** No message is larger, in octets ("Message Length"). */
     public static final int MAX_LENGTH = 16_384;
@@ -22,7 +29,15 @@
 
     /** The opcodes. */
     public enum Opcode {
-        QUERY(1), HIT(2), MISS(3), ERR(4), SECHO(10), DECHO(11), MISS_NOFETCH(21), DENIED(22), HIT_OBJ(23);
+        QUERY(1),
+        HIT(2),
+        MISS(3),
+        ERR(4),
+        SECHO(10),
+        DECHO(11),
+        MISS_NOFETCH(21),
+        DENIED(22),
+        HIT_OBJ(23);
 
         final int code;
 
@@ -42,7 +57,12 @@
 
         /** Whether it ends a question. */
         public boolean answers() {
-            return this == HIT || this == MISS || this == ERR || this == MISS_NOFETCH || this == DENIED || this == HIT_OBJ;
+            return this == HIT
+                    || this == MISS
+                    || this == ERR
+                    || this == MISS_NOFETCH
+                    || this == DENIED
+                    || this == HIT_OBJ;
         }
     }
 
--- a/src/main/java/cacheproxy/invariant/Invariant.java
+++ b/src/main/java/cacheproxy/invariant/Invariant.java
@@ -12,7 +12,10 @@
     CLIENT_PRESENT,
     /** A repeat of a keyed request begins within the window in which servers drop repeats. */
     REPEAT_WINDOW_OPEN,
-    /** A request that may take effect once is not sent again where an earlier attempt may have run, nor beside another that is out. */
+    /**
+     * A request that may take effect once is not sent again where an earlier attempt may have run, nor beside another
+     * that is out.
+     */
     SINGLE_EFFECT,
     /** Where second copies are not allowed, one attempt of a request is out at a time. */
     SINGLE_ATTEMPT,
--- a/src/main/java/cacheproxy/invariant/InvariantMonitor.java
+++ b/src/main/java/cacheproxy/invariant/InvariantMonitor.java
@@ -5,8 +5,9 @@
 import java.util.StringJoiner;
 
 /**
- * Counts, by invariant, the actions that were stopped because they would have violated it, and the violations that happened all the same.
- * What is stopped is the guard's everyday work under faults; a violation is a defect. Used on one thread; holds one figure each.
+ * Counts, by invariant, the actions that were stopped because they would have violated it, and the violations that
+ * happened all the same. What is stopped is the guard's everyday work under faults; a violation is a defect. Used on
+ * one thread; holds one figure each.
  */
 public final class InvariantMonitor {
     /** Told of each; {@code requestId} may be null. */
@@ -63,7 +64,8 @@
     public String summary() {
         StringJoiner line = new StringJoiner(" ");
         line.add("violations=" + violations());
-        line.add("stopped=" + stopped.values().stream().mapToLong(Long::longValue).sum());
+        line.add("stopped="
+                + stopped.values().stream().mapToLong(Long::longValue).sum());
         violated.forEach((i, n) -> line.add("violated_" + i.label() + "=" + n));
         stopped.forEach((i, n) -> line.add("stopped_" + i.label() + "=" + n));
         return line.toString();
--- a/src/main/java/cacheproxy/invariant/SendFacts.java
+++ b/src/main/java/cacheproxy/invariant/SendFacts.java
@@ -1,6 +1,9 @@
 package cacheproxy.invariant;
 
-/** What {@link SendGuard} has to know of an attempt that is about to begin. Times are milliseconds on one monotonic clock. */
+/**
+ * What {@link SendGuard} has to know of an attempt that is about to begin. Times are milliseconds on one monotonic
+ * clock.
+ */
 public interface SendFacts {
     /** When the request's time is over for this attempt. */
     double deadlineMs();
--- a/src/main/java/cacheproxy/invariant/SendGuard.java
+++ b/src/main/java/cacheproxy/invariant/SendGuard.java
@@ -1,8 +1,8 @@
 package cacheproxy.invariant;
 
 /**
- * The last look at an attempt before its first byte goes out: what was decided when it was placed may no longer hold, as it may have
- * waited for a connection, behind others, or through a pause of the process. Free of I/O and clocks.
+ * The last look at an attempt before its first byte goes out: what was decided when it was placed may no longer hold,
+ * as it may have waited for a connection, behind others, or through a pause of the process. Free of I/O and clocks.
  */
 public final class SendGuard {
     /** A process may be held up for so long between reading its clock and writing. */
--- a/src/main/java/cacheproxy/lifecycle/Lifecycle.java
+++ b/src/main/java/cacheproxy/lifecycle/Lifecycle.java
@@ -10,17 +10,21 @@
  */
 public final class Lifecycle {
     /** Where a process stands. */
-    public enum State { ACTIVE, STANDBY, LEAVING }
+    public enum State {
+        ACTIVE,
+        STANDBY,
+        LEAVING
+    }
 
     /**
      * Periods in milliseconds, none negative.
      *
-     * @param holdMs from standby to the first end of a connection: a front that has not heard yet would deal out
-     *            the connection that takes its place to this process again
+     * @param holdMs from standby to the first end of a connection: a front that has not heard yet would deal out the
+     *     connection that takes its place to this process again
      * @param spreadMs over which all that stand are ended from then on
      * @param listenOnMs from the word to leave to the end of listening, where nobody else listens at this address
      * @param leaveSpreadMs over which connections are ended where a successor listens already. What is asked last still
-     *            has a whole deadline, so this is to be short of what is left to the process beyond that
+     *     has a whole deadline, so this is to be short of what is left to the process beyond that
      */
     public record Periods(double holdMs, double spreadMs, double listenOnMs, double leaveSpreadMs) {
         /** A front hears after 0.1 s and heeds after 0.2 s more; after 4 s nothing may be held idle. */
@@ -46,7 +50,9 @@
         return state;
     }
 
-    /** Sends clients away; false where the process is to end, which nothing takes back. Said twice it is as said once. */
+    /**
+     * Sends clients away; false where the process is to end, which nothing takes back. Said twice it is as said once.
+     */
     public boolean standby(double now) {
         if (state == State.ACTIVE) {
             state = State.STANDBY;
@@ -73,8 +79,8 @@
     }
 
     /**
-     * Whether clients are told to come. One that leaves says yes to the last: where it has a successor at its address
-     * a no of one would speak against both, and where it has none its address is about to fall silent.
+     * Whether clients are told to come. One that leaves says yes to the last: where it has a successor at its address a
+     * no of one would speak against both, and where it has none its address is about to fall silent.
      */
     public boolean takesClients() {
         return state != State.STANDBY;
--- a/src/main/java/cacheproxy/limits/ConnectionEviction.java
+++ b/src/main/java/cacheproxy/limits/ConnectionEviction.java
@@ -2,9 +2,10 @@
 
 /**
  * Which of the clients' connections makes room where there are too many. Ending one on which nothing is open costs its
- * client nothing: one that has crossed its end goes out again on a new one. A first request that crosses it is lost to its
- * client, so those that have never asked come after, and only once they have had the time to; and last those that have
- * begun a command and stand still, as true clients may write slowly, too, but go on writing. Times in milliseconds.
+ * client nothing: one that has crossed its end goes out again on a new one. A first request that crosses it is lost to
+ * its client, so those that have never asked come after, and only once they have had the time to; and last those that
+ * have begun a command and stand still, as true clients may write slowly, too, but go on writing. Times in
+ * milliseconds.
  */
 public final class ConnectionEviction {
     /** What a client that means to ask needs to begin, on a busy machine. */
@@ -14,10 +15,11 @@
 
     /** What makes room sooner has the higher rank. */
     private static final double SERVED = 2e12;
+
     private static final double SILENT = 1e12;
     private static final double NONE = -1;
 
-    private ConnectionEviction() { }
+    private ConnectionEviction() {}
 
     /**
      * How soon a connection is to make room; negative: not at all.
--- a/src/main/java/cacheproxy/limits/PoolAdmissionControl.java
+++ b/src/main/java/cacheproxy/limits/PoolAdmissionControl.java
@@ -1,7 +1,7 @@
 package cacheproxy.limits;
 
-import cacheproxy.policy.PolicyApi.Member;
 import cacheproxy.placement.AdmissionControl;
+import cacheproxy.policy.PolicyApi.Member;
 import java.util.function.IntPredicate;
 
 /** A pool's bounds towards its servers: its own retries, and cold servers together with all other pools. */
--- a/src/main/java/cacheproxy/limits/RetryBudget.java
+++ b/src/main/java/cacheproxy/limits/RetryBudget.java
@@ -1,9 +1,9 @@
 package cacheproxy.limits;
 
 /**
- * Retries as a share of first tries, so that a fleet in trouble is not given a multiple of its load. A few a second
- * are always allowed, or a quiet pool could never retry; what is saved up is bounded, so a long calm does not pay
- * for a storm. Free of clocks.
+ * Retries as a share of first tries, so that a fleet in trouble is not given a multiple of its load. A few a second are
+ * always allowed, or a quiet pool could never retry; what is saved up is bounded, so a long calm does not pay for a
+ * storm. Free of clocks.
  */
 public final class RetryBudget {
     /** First tries whose share may be saved up, at 10 seconds of so many tries a second. */
--- a/src/main/java/cacheproxy/limits/ServerStartTimes.java
+++ b/src/main/java/cacheproxy/limits/ServerStartTimes.java
@@ -6,13 +6,14 @@
 import java.util.Set;
 
 /**
- * When servers last started, where no list tells. A server that is new in the file is new; one that refused
- * connections had no process, so that it has started anew when it takes them again. Free of clocks; Unix time in
- * milliseconds. As many entries as servers are known.
+ * When servers last started, where no list tells. A server that is new in the file is new; one that refused connections
+ * had no process, so that it has started anew when it takes them again. Free of clocks; Unix time in milliseconds. As
+ * many entries as servers are known.
  */
 public final class ServerStartTimes {
     /** A start that is still to come: the server is cold, and stays so until it is first used. */
     public static final double UNUSED = 1e300;
+
     private final Map<Integer, Double> born = new HashMap<>();
     private final Set<Integer> down = new HashSet<>();
 
@@ -38,8 +39,8 @@
     }
 
     /**
-     * What an earlier process knew of a start, or that the server was down when it looked last. It may make a server cold for longer,
-     * never warm sooner.
+     * What an earlier process knew of a start, or that the server was down when it looked last. It may make a server
+     * cold for longer, never warm sooner.
      */
     public void recall(int server, double bornMs, boolean wasDown, double now) {
         if (bornMs > 0) {
