--- a/src/main/java/cacheproxy/limits/SlowStartBudget.java
+++ b/src/main/java/cacheproxy/limits/SlowStartBudget.java
@@ -5,11 +5,11 @@
 import java.util.Map;
 
 /**
- * What freshly started servers are given by all pools of a process together. A cold server can do part of its work
- * and falls over when it is sent a stated multiple of that for a stated time; the module holds each pool to the
- * server's usual share of keys, but a pool can't see the others, nor that it takes another's place. So every send to
- * a cold server, from whatever pool, takes from one bucket that fills at what the server can do now, divided among
- * the proxies of the tier as they share nothing. Free of I/O and clocks; times in milliseconds.
+ * What freshly started servers are given by all pools of a process together. A cold server can do part of its work and
+ * falls over when it is sent a stated multiple of that for a stated time; the module holds each pool to the server's
+ * usual share of keys, but a pool can't see the others, nor that it takes another's place. So every send to a cold
+ * server, from whatever pool, takes from one bucket that fills at what the server can do now, divided among the proxies
+ * of the tier as they share nothing. Free of I/O and clocks; times in milliseconds.
  *
  * <p>Bound: in a span of {@code fallMs}, at most the span's fill and a burst of {@value #BURST_SPANS} spans are sent,
  * 1.25 times what the server can do, where it falls at {@code tipMultiple}, which is above that.
@@ -22,7 +22,10 @@
     /** What the site says of starts, and the tier. */
     public record Figures(double startCapacity, double warmUpMs, double fallMs, int instances, double unknownRate) {
         public Figures {
-            if (!(startCapacity > 0 && startCapacity <= 1) || !(warmUpMs >= 0) || !(fallMs > 0) || instances < 1
+            if (!(startCapacity > 0 && startCapacity <= 1)
+                    || !(warmUpMs >= 0)
+                    || !(fallMs > 0)
+                    || instances < 1
                     || !(unknownRate > 0)) {
                 throw new IllegalArgumentException("cold figures " + startCapacity + ", " + warmUpMs + ", " + fallMs
                         + ", " + instances + ", " + unknownRate);
--- a/src/main/java/cacheproxy/nginx/ConfLexer.java
+++ b/src/main/java/cacheproxy/nginx/ConfLexer.java
@@ -2,11 +2,17 @@
 
 /**
  * Cuts a file into words, semicolons and braces as nginx does: quotes count only where a word begins, {@code #} begins
- * a comment only there, <code>${</code> opens no block, a word without quotes ends at white space, {@code ;} and
- * <code>{</code>.
+ * a comment only there, <code>${</code> opens no block, a word without quotes ends at white space, {@code ;} and <code>
+ * {</code>.
  */
 final class ConfLexer {
-    enum Kind { WORD, SEMICOLON, OPEN, CLOSE, END }
+    enum Kind {
+        WORD,
+        SEMICOLON,
+        OPEN,
+        CLOSE,
+        END
+    }
 
     /** nginx's own bound on what it reads a word into. */
     static final int MAX_WORD = 4095;
@@ -18,6 +24,7 @@
     private int lineStart;
     /** Of the last word. */
     String word;
+
     private int tokenLine;
     private int tokenColumn;
 
@@ -85,8 +92,10 @@
     private char checked() throws NginxSyntaxException {
         char c = text.charAt(next);
         if (c < ' ' && c != '\t' && c != '\r' && c != '\n' || c == 0x7F) {
-            throw new NginxSyntaxException(new Position(file, line, next - lineStart + 1), "byte 0x"
-                    + String.format("%02x", (int) c) + " in column " + (next - lineStart + 1) + "; this is no text");
+            throw new NginxSyntaxException(
+                    new Position(file, line, next - lineStart + 1),
+                    "byte 0x" + String.format("%02x", (int) c) + " in column " + (next - lineStart + 1)
+                            + "; this is no text");
         }
         if (c == '\n') {
             newLine();
@@ -97,7 +106,7 @@
     private void quotedWord(char quote) throws NginxSyntaxException {
         StringBuilder out = new StringBuilder();
         next++;
-        for (;; next++) {
+        for (; ; next++) {
             if (next >= text.length()) {
                 throw new NginxSyntaxException(at(), "the quote that opens here is not closed");
             }
@@ -116,8 +125,9 @@
         next++;
         char after = next < text.length() ? text.charAt(next) : ' ';
         if (" \t\r\n;{)".indexOf(after) < 0) {
-            throw new NginxSyntaxException(new Position(file, line, next - lineStart + 1), "unexpected '" + after
-                    + "' behind a closing quote; white space, ; or { must follow");
+            throw new NginxSyntaxException(
+                    new Position(file, line, next - lineStart + 1),
+                    "unexpected '" + after + "' behind a closing quote; white space, ; or { must follow");
         }
         word = out.toString();
     }
@@ -157,8 +167,10 @@
 
     private void bound(StringBuilder out) throws NginxSyntaxException {
         if (out.length() > MAX_WORD) {
-            throw new NginxSyntaxException(at(), "a parameter of more than " + MAX_WORD
-                    + " bytes begins here; probably a closing quote or a semicolon is missing");
+            throw new NginxSyntaxException(
+                    at(),
+                    "a parameter of more than " + MAX_WORD
+                            + " bytes begins here; probably a closing quote or a semicolon is missing");
         }
     }
 
--- a/src/main/java/cacheproxy/nginx/ConfParser.java
+++ b/src/main/java/cacheproxy/nginx/ConfParser.java
@@ -23,10 +23,10 @@
     private long bytes;
 
     /** An include whose pattern matches no file, which nginx lets pass. */
-    public record Empty(Directive include) { }
+    public record Empty(Directive include) {}
 
     /** A configuration as read. */
-    public record Conf(List<Directive> directives, List<Empty> empty, int files, long bytes) { }
+    public record Conf(List<Directive> directives, List<Empty> empty, int files, long bytes) {}
 
     private ConfParser(ConfSource source) {
         this.source = source;
@@ -42,36 +42,45 @@
 
     /** Reads a text that includes nothing. */
     public static List<Directive> parse(String name, String text) throws NginxSyntaxException {
-        return read(new ConfSource() {
-            @Override
-            public String read(String path) throws Unreadable {
-                if (!path.equals(name)) {
-                    throw new Unreadable("a text alone can't include files");
-                }
-                return text;
-            }
+        return read(
+                        new ConfSource() {
+                            @Override
+                            public String read(String path) throws Unreadable {
+                                if (!path.equals(name)) {
+                                    throw new Unreadable("a text alone can't include files");
+                                }
+                                return text;
+                            }
 
-            @Override
-            public List<String> glob(String pattern) {
-                return List.of();
-            }
-        }, name).directives();
+                            @Override
+                            public List<String> glob(String pattern) {
+                                return List.of();
+                            }
+                        },
+                        name)
+                .directives();
     }
 
     private void file(String path, Position from, List<Directive> into, int depth) throws NginxSyntaxException {
         if (reading.contains(path)) {
-            throw new NginxSyntaxException(from, path + " includes itself: " + String.join(" -> ", way()) + " -> " + path);
+            throw new NginxSyntaxException(
+                    from, path + " includes itself: " + String.join(" -> ", way()) + " -> " + path);
         }
         if (reading.size() >= MAX_INCLUDES || ++files > MAX_FILES) {
-            throw new NginxSyntaxException(from, "more than " + (reading.size() >= MAX_INCLUDES ? MAX_INCLUDES
-                    + " includes in each other" : MAX_FILES + " files"));
+            throw new NginxSyntaxException(
+                    from,
+                    "more than "
+                            + (reading.size() >= MAX_INCLUDES
+                                    ? MAX_INCLUDES + " includes in each other"
+                                    : MAX_FILES + " files"));
         }
         String text;
         try {
             text = source.read(path);
         } catch (ConfSource.Unreadable e) {
             String why = "can't read " + path + ": " + e.getMessage();
-            throw from == null ? new NginxSyntaxException(path, "can't be read: " + e.getMessage())
+            throw from == null
+                    ? new NginxSyntaxException(path, "can't be read: " + e.getMessage())
                     : new NginxSyntaxException(from, why);
         }
         bytes += text.length();
@@ -93,7 +102,7 @@
         if (depth > MAX_DEPTH) {
             throw new NginxSyntaxException(open, "more than " + MAX_DEPTH + " blocks in each other");
         }
-        for (;;) {
+        for (; ; ) {
             ConfLexer.Kind kind = lexer.next();
             switch (kind) {
                 case END -> {
@@ -119,7 +128,7 @@
         String name = lexer.word;
         Position at = lexer.at();
         List<String> args = new ArrayList<>();
-        for (;;) {
+        for (; ; ) {
             ConfLexer.Kind kind = lexer.next();
             switch (kind) {
                 case WORD -> args.add(lexer.word);
@@ -142,8 +151,9 @@
                     into.add(new Directive(name, args, inner, null, at));
                     return;
                 }
-                case CLOSE -> throw new NginxSyntaxException(lexer.at(), "unexpected '}': '" + name + "' of line " + at.line()
-                        + " ends without ';'");
+                case CLOSE ->
+                    throw new NginxSyntaxException(
+                            lexer.at(), "unexpected '}': '" + name + "' of line " + at.line() + " ends without ';'");
                 case END -> throw new NginxSyntaxException(at, "'" + name + "' is not ended by ';' or a block");
             }
         }
--- a/src/main/java/cacheproxy/nginx/ConfPrinter.java
+++ b/src/main/java/cacheproxy/nginx/ConfPrinter.java
@@ -4,7 +4,7 @@
 
 /** Writes a tree so that reading it again gives an equal one. */
 public final class ConfPrinter {
-    private ConfPrinter() { }
+    private ConfPrinter() {}
 
     public static String print(List<Directive> directives) {
         StringBuilder out = new StringBuilder();
@@ -29,7 +29,8 @@
     }
 
     private static String word(String text) {
-        boolean plain = !text.isEmpty() && text.chars().allMatch(c -> c > ' ' && c != 0x7F && "\"'\\{};#".indexOf(c) < 0);
+        boolean plain =
+                !text.isEmpty() && text.chars().allMatch(c -> c > ' ' && c != 0x7F && "\"'\\{};#".indexOf(c) < 0);
         if (plain) {
             return text;
         }
--- a/src/main/java/cacheproxy/nginx/Directive.java
+++ b/src/main/java/cacheproxy/nginx/Directive.java
@@ -4,8 +4,8 @@
 
 /**
  * A directive with its parameters, and with what stands between its braces. Parameters are as nginx gets them: without
- * quotes, escapes of quotes, backslashes, tabs and line ends resolved. Two are equal if they say the same, wherever they
- * stand.
+ * quotes, escapes of quotes, backslashes, tabs and line ends resolved. Two are equal if they say the same, wherever
+ * they stand.
  *
  * @param block null where it ends with a semicolon
  * @param raw the text of a block that is of another grammar (Lua); null for others
@@ -23,7 +23,9 @@
 
     /** Those of a name directly in its block. */
     public List<Directive> all(String wanted) {
-        return block == null ? List.of() : block.stream().filter(d -> d.name.equals(wanted)).toList();
+        return block == null
+                ? List.of()
+                : block.stream().filter(d -> d.name.equals(wanted)).toList();
     }
 
     /** The last of a name directly in its block; null where there is none. */
@@ -38,8 +40,11 @@
 
     @Override
     public boolean equals(Object o) {
-        return o instanceof Directive d && name.equals(d.name) && args.equals(d.args)
-                && java.util.Objects.equals(block, d.block) && java.util.Objects.equals(raw, d.raw);
+        return o instanceof Directive d
+                && name.equals(d.name)
+                && args.equals(d.args)
+                && java.util.Objects.equals(block, d.block)
+                && java.util.Objects.equals(raw, d.raw);
     }
 
     @Override
--- a/src/main/java/cacheproxy/nginx/importer/Durations.java
+++ b/src/main/java/cacheproxy/nginx/importer/Durations.java
@@ -7,7 +7,7 @@
 final class Durations {
     private static final Pattern PART = Pattern.compile("([0-9]+)(ms|s|m|h|d|w|M|y)?\\s*");
 
-    private Durations() { }
+    private Durations() {}
 
     /** In milliseconds; -1 if it is none. */
     static double ms(String text) {
--- a/src/main/java/cacheproxy/nginx/importer/Expression.java
+++ b/src/main/java/cacheproxy/nginx/importer/Expression.java
@@ -11,7 +11,7 @@
      *
      * @param variable whether {@code text} is a variable's name, without its dollar
      */
-    record Part(boolean variable, String text) { }
+    record Part(boolean variable, String text) {}
 
     static Expression of(String text) {
         List<Part> parts = new ArrayList<>();
@@ -20,7 +20,8 @@
             boolean braced = text.startsWith("${", i);
             int from = braced ? i + 2 : i + 1;
             int to = from;
-            while (text.charAt(i) == '$' && to < text.length()
+            while (text.charAt(i) == '$'
+                    && to < text.length()
                     && (Character.isLetterOrDigit(text.charAt(to)) || text.charAt(to) == '_')) {
                 to++;
             }
--- a/src/main/java/cacheproxy/nginx/importer/FileText.java
+++ b/src/main/java/cacheproxy/nginx/importer/FileText.java
@@ -21,8 +21,14 @@
         this.keys = keys;
     }
 
-    String text(Map<String, String> listeners, List<VirtualHosts.Host> hosts, Collection<PoolTranslator.PoolSpec> pools,
-            List<RouteSpec> routes, Map<String, Double> limits, double warmUpMs, double deadlineMs) {
+    String text(
+            Map<String, String> listeners,
+            List<VirtualHosts.Host> hosts,
+            Collection<PoolTranslator.PoolSpec> pools,
+            List<RouteSpec> routes,
+            Map<String, Double> limits,
+            double warmUpMs,
+            double deadlineMs) {
         out.append("# Made by import-nginx. Routes are called by the file and line that they come from.\n");
         line("keys", quoted(keys == KeyFormat.PATH ? "path" : "path-and-query"));
         if (warmUpMs > 0) {
@@ -80,8 +86,11 @@
 
     private void pool(PoolTranslator.PoolSpec p) {
         head("[[pool]]");
-        out.append("# ").append(p.directive().at().file().replaceAll("[^ -~]", "?")).append(':')
-                .append(p.directive().at().line()).append('\n');
+        out.append("# ")
+                .append(p.directive().at().file().replaceAll("[^ -~]", "?"))
+                .append(':')
+                .append(p.directive().at().line())
+                .append('\n');
         line("name", quoted(p.name()));
         line("nodes", quoted("plain"));
         if (!p.placement().equals(PlacementRegistry.CARP)) {
@@ -133,8 +142,11 @@
             line("write", r.when().write().toString());
         }
         if (r.when().share() != null) {
-            line("share", "{ by = " + quoted(r.when().share().by().text()) + ", from_hash = " + r.when().share().from()
-                    + ", to_hash = " + r.when().share().to() + " }");
+            line(
+                    "share",
+                    "{ by = " + quoted(r.when().share().by().text()) + ", from_hash = "
+                            + r.when().share().from() + ", to_hash = "
+                            + r.when().share().to() + " }");
         }
         if (r.strip() != null) {
             line("strip", quoted(r.strip()));
--- a/src/main/java/cacheproxy/nginx/importer/ImportOptions.java
+++ b/src/main/java/cacheproxy/nginx/importer/ImportOptions.java
@@ -11,4 +11,5 @@
  * @param writes effect of methods other than GET and HEAD: {@code unsafe}, {@code keyed} or {@code safe}
  * @param windowMs for keyed: how long servers drop repeats
  */
-public record ImportOptions(String listenHost, int listenPort, Map<String, String> dial, String writes, double windowMs) { }
+public record ImportOptions(
+        String listenHost, int listenPort, Map<String, String> dial, String writes, double windowMs) {}
--- a/src/main/java/cacheproxy/nginx/importer/Importer.java
+++ b/src/main/java/cacheproxy/nginx/importer/Importer.java
@@ -5,7 +5,6 @@
 import cacheproxy.nginx.model.DirectiveShapes;
 import cacheproxy.nginx.model.HttpModel;
 import cacheproxy.nginx.model.ServerBlock;
-import cacheproxy.nginx.model.UpstreamBlock;
 import cacheproxy.routes.KeyFormat;
 import cacheproxy.routes.Route;
 import cacheproxy.routes.RouteTable;
@@ -28,7 +27,7 @@
      * @param file the daemon's file; null where nothing can be served
      * @param hostInKeys whether keys begin with the host
      */
-    public record Result(String file, Report report, boolean hostInKeys, int routes) { }
+    public record Result(String file, Report report, boolean hostInKeys, int routes) {}
 
     private final ImportOptions options;
     private final ConfParser.Conf conf;
@@ -40,6 +39,7 @@
     private final List<VirtualHosts.Host> hosts = new ArrayList<>();
     /** Listeners' names by socket, in order. */
     private final Map<String, String> listeners = new LinkedHashMap<>();
+
     private final Set<String> listenerNames = new HashSet<>();
     /** The server block that takes what no name takes, by socket. */
     private final Map<String, ServerBlock> defaults = new HashMap<>();
@@ -47,8 +47,8 @@
     private Importer(ConfParser.Conf conf, ImportOptions options) {
         this.options = options;
         List<HttpModel.Fault> shapes = new ArrayList<>();
-        this.conf = new ConfParser.Conf(DirectiveShapes.checked(conf.directives(), shapes), conf.empty(), conf.files(),
-                conf.bytes());
+        this.conf = new ConfParser.Conf(
+                DirectiveShapes.checked(conf.directives(), shapes), conf.empty(), conf.files(), conf.bytes());
         shapes.forEach(f -> report.not(f.at(), f.why()));
         model = new HttpModel(this.conf.directives());
         values = new Values(model, report);
@@ -73,9 +73,17 @@
             report.note("there is no server block: there is nothing to route");
         }
         report.finish(conf);
-        String file = pools.pools().isEmpty() || table.routes().isEmpty() || listeners.isEmpty() ? null
-                : new FileText(options, query ? KeyFormat.PATH_AND_QUERY : KeyFormat.PATH).text(listeners, hosts,
-                        pools.pools().values(), routes, limits, pools.slowStartMs(), deadlineMs);
+        String file = pools.pools().isEmpty() || table.routes().isEmpty() || listeners.isEmpty()
+                ? null
+                : new FileText(options, query ? KeyFormat.PATH_AND_QUERY : KeyFormat.PATH)
+                        .text(
+                                listeners,
+                                hosts,
+                                pools.pools().values(),
+                                routes,
+                                limits,
+                                pools.slowStartMs(),
+                                deadlineMs);
         return new Result(file, report, hostInKeys, routes.size());
     }
 
@@ -88,15 +96,17 @@
                     report.not(l.directive(), "sockets of Unix are not listened on");
                     continue;
                 }
-                String name = listeners.computeIfAbsent(l.socket(), k -> unique("listen-" + k.replaceAll(
-                        "[^A-Za-z0-9.:*]", "_"), listenerNames));
-                boolean encrypted = l.directive() != null && l.directive().args().stream().anyMatch(a -> a.equals("ssl")
-                        || a.equals("quic"));
-                report.changed(l.directive(), "listener " + name + (encrypted ? "; connections are not encrypted here" : ""));
+                String name = listeners.computeIfAbsent(
+                        l.socket(), k -> unique("listen-" + k.replaceAll("[^A-Za-z0-9.:*]", "_"), listenerNames));
+                boolean encrypted = l.directive() != null
+                        && l.directive().args().stream().anyMatch(a -> a.equals("ssl") || a.equals("quic"));
+                report.changed(
+                        l.directive(), "listener " + name + (encrypted ? "; connections are not encrypted here" : ""));
                 if (l.isDefault() || !defaults.containsKey(l.socket())) {
                     ServerBlock before = defaults.put(l.socket(), s);
-                    boolean second = before != null && before.listens().stream().anyMatch(b -> b.isDefault()
-                            && b.socket().equals(l.socket()));
+                    boolean second = before != null
+                            && before.listens().stream()
+                                    .anyMatch(b -> b.isDefault() && b.socket().equals(l.socket()));
                     if (second && l.isDefault()) {
                         defaults.put(l.socket(), before);
                         report.not(l.directive(), "nginx refuses this: a duplicate default server for " + l.socket());
@@ -110,9 +120,12 @@
     /** Whether keys must tell the host: some socket has more than one server, or something depends on the host. */
     private boolean hostsApart() {
         Map<String, Integer> counts = new HashMap<>();
-        model.servers.forEach(s -> s.listens().stream().map(ServerBlock.Listen::socket).distinct()
+        model.servers.forEach(s -> s.listens().stream()
+                .map(ServerBlock.Listen::socket)
+                .distinct()
                 .forEach(l -> counts.merge(l, 1, Integer::sum)));
-        return counts.values().stream().anyMatch(n -> n > 1) || model.servers.stream().anyMatch(s -> asksHost(s.directive()))
+        return counts.values().stream().anyMatch(n -> n > 1)
+                || model.servers.stream().anyMatch(s -> asksHost(s.directive()))
                 || model.upstreams.values().stream().anyMatch(u -> values.asksHost(u.key()));
     }
 
@@ -128,7 +141,9 @@
 
     private boolean asksQuery() {
         return pools.pools().values().stream().anyMatch(p -> p.placeBy() != null && values.asksQuery(p.placeBy()))
-                || routes.stream().anyMatch(r -> r.when().share() != null && values.asksQuery(r.when().share().by().text()));
+                || routes.stream()
+                        .anyMatch(r -> r.when().share() != null
+                                && values.asksQuery(r.when().share().by().text()));
     }
 
     private void hosts(boolean apart) {
@@ -166,15 +181,21 @@
             }
             List<String> names = new ArrayList<>();
             for (String n : s.names()) {
-                boolean again = !n.startsWith("~") && at.stream().anyMatch(l -> !takenHosts.computeIfAbsent(l,
-                        k -> new HashSet<>()).add(n));
+                boolean again = !n.startsWith("~")
+                        && at.stream()
+                                .anyMatch(l -> !takenHosts
+                                        .computeIfAbsent(l, k -> new HashSet<>())
+                                        .add(n));
                 if (again) {
-                    report.changed(s.directive(), "conflicting server name \"" + n + "\", which nginx ignores here too");
+                    report.changed(
+                            s.directive(), "conflicting server name \"" + n + "\", which nginx ignores here too");
                 } else if (n.startsWith("~")) {
                     RegexTranslation r = RegexTranslation.of(n.substring(1), true);
                     if (r.text() == null) {
-                        report.not(s.directive(), "server name " + n + " can't be expressed (" + r.why()
-                                + "): its hosts go to the default server");
+                        report.not(
+                                s.directive(),
+                                "server name " + n + " can't be expressed (" + r.why()
+                                        + "): its hosts go to the default server");
                     } else {
                         names.add("~" + r.text());
                     }
@@ -196,24 +217,32 @@
                 }
             }
             if (!names.isEmpty() || !defaultAt.isEmpty()) {
-                hosts.add(new VirtualHosts.Host(base, at, names, defaultAt.equals(at), defaultAt.equals(at) ? Set.of()
-                        : defaultAt));
+                hosts.add(new VirtualHosts.Host(
+                        base, at, names, defaultAt.equals(at), defaultAt.equals(at) ? Set.of() : defaultAt));
                 translator.translate(s, base, null);
             } else if (!depends || own.isEmpty()) {
-                report.add(s.directive(), Report.Level.LEFT, "no request reaches it: it has no name and is nowhere the default");
+                report.add(
+                        s.directive(),
+                        Report.Level.LEFT,
+                        "no request reaches it: it has no name and is nowhere the default");
             }
         }
     }
 
     private static boolean isExact(String name) {
-        return !name.startsWith("~") && name.indexOf('*') < 0 && !name.startsWith(".") && !name.isEmpty() && !name.equals("_");
+        return !name.startsWith("~")
+                && name.indexOf('*') < 0
+                && !name.startsWith(".")
+                && !name.isEmpty()
+                && !name.equals("_");
     }
 
     /** All names that a map, a condition or a server gives in full. */
     private Set<String> literals() {
         Set<String> all = new LinkedHashSet<>();
         model.servers.forEach(s -> s.names().stream().filter(Importer::isExact).forEach(all::add));
-        model.variables.values().stream().filter(d -> d.name().equals("map") && values.asksHost(d.arg(0)))
+        model.variables.values().stream()
+                .filter(d -> d.name().equals("map") && values.asksHost(d.arg(0)))
                 .forEach(d -> d.block().forEach(e -> {
                     String n = e.name().toLowerCase(Locale.ROOT);
                     if (n.matches("[a-z0-9_-]+(\\.[a-z0-9_-]+)+")) {
@@ -227,7 +256,8 @@
     private static void conditions(Directive block, Set<String> into) {
         for (Directive d : block.block()) {
             String text = String.join(" ", d.args());
-            java.util.regex.Matcher m = java.util.regex.Pattern.compile("^\\(?\\s*\\$(?:http_)?host\\s+!?=\\s+[\"']?([^\"')\\s]+)")
+            java.util.regex.Matcher m = java.util.regex.Pattern.compile(
+                            "^\\(?\\s*\\$(?:http_)?host\\s+!?=\\s+[\"']?([^\"')\\s]+)")
                     .matcher(text);
             if (d.name().equals("if") && m.find()) {
                 into.add(m.group(1).toLowerCase(Locale.ROOT));
@@ -253,8 +283,16 @@
                     }
                 }
             });
-            List<String> names = s.names().stream().filter(n -> !n.isEmpty()).map(n -> !n.startsWith("~") ? n
-                    : "~" + java.util.Objects.requireNonNullElse(RegexTranslation.of(n.substring(1), true).text(), "$^")).toList();
+            List<String> names = s.names().stream()
+                    .filter(n -> !n.isEmpty())
+                    .map(n -> !n.startsWith("~")
+                            ? n
+                            : "~"
+                                    + java.util.Objects.requireNonNullElse(
+                                            RegexTranslation.of(n.substring(1), true)
+                                                    .text(),
+                                            "$^"))
+                    .toList();
             if (!at.isEmpty()) {
                 list.add(new VirtualHosts.Host(Integer.toString(i), at, names, false, defaultAt));
             }
@@ -294,7 +332,10 @@
         Set<String> dead = new HashSet<>();
         table.shadowed().forEach(s -> dead.add(s.route().name()));
         routes.removeIf(r -> dead.contains(r.name()));
-        return dead.isEmpty() ? table : new RouteTable(built.stream().filter(r -> !dead.contains(r.name())).toList());
+        return dead.isEmpty()
+                ? table
+                : new RouteTable(
+                        built.stream().filter(r -> !dead.contains(r.name())).toList());
     }
 
     // ---- times and tries
@@ -325,10 +366,10 @@
                     tries = n == 0 ? tries : tries == 0 ? n : Math.min(tries, n);
                     report.changed(d, "one bound for all requests, the least: max_attempts, from 1 to 8");
                 }
-                case "proxy_next_upstream_timeout" -> report.changed(d,
-                        "requests are tried again as long as their deadline leaves time for an answer");
+                case "proxy_next_upstream_timeout" ->
+                    report.changed(d, "requests are tried again as long as their deadline leaves time for an answer");
                 case "proxy_next_upstream" -> nextUpstream(d);
-                default -> { }
+                default -> {}
             }
         }
         if (connect > 0) {
@@ -347,10 +388,14 @@
             report.not(d, "non_idempotent is refused: a write that may have run would run twice");
         }
         if (d.args().contains("off")) {
-            report.not(d, "reads go to another server where one has failed them; max_attempts = 1 would keep all requests from it");
+            report.not(
+                    d,
+                    "reads go to another server where one has failed them; max_attempts = 1 would keep all requests from it");
             return;
         }
-        List<String> statuses = d.args().stream().filter(a -> a.startsWith("http_") || a.equals("invalid_header")).toList();
+        List<String> statuses = d.args().stream()
+                .filter(a -> a.startsWith("http_") || a.equals("invalid_header"))
+                .toList();
         if (!statuses.isEmpty()) {
             report.changed(d, "servers tell no statuses here: " + String.join(", ", statuses) + " do not count");
         } else {
--- a/src/main/java/cacheproxy/nginx/importer/PoolTranslator.java
+++ b/src/main/java/cacheproxy/nginx/importer/PoolTranslator.java
@@ -17,14 +17,14 @@
      * @param ring null: its name
      * @param dial null: none, it is down
      */
-    record ServerSpec(String name, String ring, String dial, int weight, boolean backup, boolean down) { }
+    record ServerSpec(String name, String ring, String dial, int weight, boolean backup, boolean down) {}
 
     /**
      * A pool to be written.
      *
      * @param placeBy null: the key
      */
-    record PoolSpec(String name, String placement, String placeBy, List<ServerSpec> servers, Directive directive) { }
+    record PoolSpec(String name, String placement, String placeBy, List<ServerSpec> servers, Directive directive) {}
 
     private static final int DEFAULT_PORT = 80;
 
@@ -33,6 +33,7 @@
     private final Map<String, PoolSpec> pools = new LinkedHashMap<>();
     /** Null for those that can't be had. */
     private final Map<String, PoolSpec> byAuthority = new HashMap<>();
+
     private final Map<String, String> nameOfAddress = new HashMap<>();
     private double slowStartMs;
 
@@ -51,8 +52,9 @@
     }
 
     static boolean word(String text) {
-        return !text.isEmpty() && text.length() <= 64 && text.chars().allMatch(c -> c > ' ' && c <= '~' && c != ','
-                && c != '=');
+        return !text.isEmpty()
+                && text.length() <= 64
+                && text.chars().allMatch(c -> c > ' ' && c <= '~' && c != ',' && c != '=');
     }
 
     // ---- upstreams
@@ -72,10 +74,17 @@
                     report.carried(m);
                 }
             }
-            case ROUND_ROBIN -> report.changed(u.directive(), "each key gets one server by CARP, instead of the next in "
-                    + "turn; weights hold");
-            default -> report.changed(m, "each key gets one server by CARP over weights, instead of "
-                    + (u.method() == Method.IP_HASH ? "each client" : "the one that is chosen at the moment"));
+            case ROUND_ROBIN ->
+                report.changed(
+                        u.directive(),
+                        "each key gets one server by CARP, instead of the next in " + "turn; weights hold");
+            default ->
+                report.changed(
+                        m,
+                        "each key gets one server by CARP over weights, instead of "
+                                + (u.method() == Method.IP_HASH
+                                        ? "each client"
+                                        : "the one that is chosen at the moment"));
         }
         boolean ring = !placement.equals("carp");
         List<ServerSpec> servers = new ArrayList<>();
@@ -84,8 +93,11 @@
         }
         boolean usable = servers.stream().anyMatch(s -> !s.down() && !s.backup());
         if (!usable || !word(u.name())) {
-            report.not(u.directive(), !word(u.name()) ? "its name is no name for a pool; requests to it fail"
-                    : "none of its servers can be used; requests to it fail");
+            report.not(
+                    u.directive(),
+                    !word(u.name())
+                            ? "its name is no name for a pool; requests to it fail"
+                            : "none of its servers can be used; requests to it fail");
             byAuthority.put(u.name(), null);
             return;
         }
@@ -109,14 +121,22 @@
         parameters(s);
         String dial = dial(s.address());
         String name = name(s.address(), dial);
-        if (dial != null && s.address().startsWith("localhost") && !options.dial().containsKey(s.address())) {
+        if (dial != null
+                && s.address().startsWith("localhost")
+                && !options.dial().containsKey(s.address())) {
             report.changed(d, "localhost is taken for 127.0.0.1 alone");
         }
         if (dial == null || !word(name)) {
-            report.not(d, (s.address().startsWith("unix:") ? "sockets of Unix are not dialled" : word(s.address())
-                    ? "'" + s.address() + "' is no address, and names are not looked up; give it one by --dial "
-                    + s.address() + "=ADDRESS:PORT" : "its address is no name for a server")
-                    + (s.down() ? "" : ": its keys go to the others"));
+            report.not(
+                    d,
+                    (s.address().startsWith("unix:")
+                                    ? "sockets of Unix are not dialled"
+                                    : word(s.address())
+                                            ? "'" + s.address()
+                                                    + "' is no address, and names are not looked up; give it one by --dial "
+                                                    + s.address() + "=ADDRESS:PORT"
+                                            : "its address is no name for a server")
+                            + (s.down() ? "" : ": its keys go to the others"));
             if (ring && word(name) && into.stream().noneMatch(o -> o.name().equals(name))) {
                 into.add(new ServerSpec(name, null, null, s.weight(), s.backup(), true));
             }
@@ -128,39 +148,56 @@
                 return;
             }
         }
-        into.add(new ServerSpec(name, name.equals(s.address()) ? null : s.address(), dial, s.weight(), s.backup(), s.down()));
+        into.add(new ServerSpec(
+                name, name.equals(s.address()) ? null : s.address(), dial, s.weight(), s.backup(), s.down()));
     }
 
     /** One server of an address that is written twice. */
     private ServerSpec merged(UpstreamBlock u, ServerSpec first, UpstreamBlock.Server again, boolean adjacent) {
-        boolean same = first.backup() == again.backup() && first.down() == again.down()
+        boolean same = first.backup() == again.backup()
+                && first.down() == again.down()
                 && (first.ring() == null ? first.name() : first.ring()).equals(again.address());
         boolean consistent = u.method() == Method.CONSISTENT;
         if (!same || u.method() == Method.HASH && !adjacent) {
             report.not(again.directive(), "written a second time; here it is one server, so that some keys move");
         } else {
-            report.changed(again.directive(), "written a second time; here it is one server "
-                    + (consistent ? "with the greater weight, whose points on the ring are those of both"
-                    : "with the weights of both"));
+            report.changed(
+                    again.directive(),
+                    "written a second time; here it is one server "
+                            + (consistent
+                                    ? "with the greater weight, whose points on the ring are those of both"
+                                    : "with the weights of both"));
         }
         // On the ring the points of the lesser weight are among those of the greater.
         int weight = consistent ? Math.max(first.weight(), again.weight()) : first.weight() + again.weight();
-        return new ServerSpec(first.name(), first.ring(), first.dial(), weight, first.backup() && again.backup(),
+        return new ServerSpec(
+                first.name(),
+                first.ring(),
+                first.dial(),
+                weight,
+                first.backup() && again.backup(),
                 first.down() && again.down());
     }
 
     private void parameters(UpstreamBlock.Server s) {
         s.others().forEach((name, value) -> {
             switch (name) {
-                case "max_fails", "fail_timeout" -> report.changed(s.directive(), name + "=" + value
-                        + ": a server is judged by the answers that each proxy gets, not by a count of failures");
+                case "max_fails", "fail_timeout" ->
+                    report.changed(
+                            s.directive(),
+                            name + "=" + value
+                                    + ": a server is judged by the answers that each proxy gets, not by a count of failures");
                 case "slow_start" -> {
                     double ms = Durations.ms(value);
                     slowStartMs = Math.max(slowStartMs, ms);
-                    report.changed(s.directive(), "slow_start=" + value + ": the longest is the warm_up_ms of all servers");
+                    report.changed(
+                            s.directive(), "slow_start=" + value + ": the longest is the warm_up_ms of all servers");
                 }
-                case "max_conns" -> report.not(s.directive(), "max_conns=" + value
-                        + ": a server's connections are bounded by its pool's connections, not one by one");
+                case "max_conns" ->
+                    report.not(
+                            s.directive(),
+                            "max_conns=" + value
+                                    + ": a server's connections are bounded by its pool's connections, not one by one");
                 case "resolve", "service" -> report.not(s.directive(), name + ": names are not looked up");
                 default -> report.not(s.directive(), "parameter " + name + " is not known here");
             }
@@ -176,11 +213,14 @@
         if (address.matches("localhost(:[0-9]{1,5})?")) {
             return dial("127.0.0.1" + address.substring("localhost".length())); // RFC 6761, section 6.3
         }
-        if (address.matches("[0-9]{1,3}(\\.[0-9]{1,3}){3}(:[0-9]{1,5})?") || address.matches("\\[[0-9a-fA-F:.]+](:[0-9]{1,5})?")) {
+        if (address.matches("[0-9]{1,3}(\\.[0-9]{1,3}){3}(:[0-9]{1,5})?")
+                || address.matches("\\[[0-9a-fA-F:.]+](:[0-9]{1,5})?")) {
             String full = address.matches(".*(]|\\.[0-9]+):[0-9]+") ? address : address + ":" + DEFAULT_PORT;
             int port = Integer.parseInt(full.substring(full.lastIndexOf(':') + 1));
-            boolean octets = address.startsWith("[") || java.util.Arrays.stream(full.substring(0, full.lastIndexOf(':'))
-                    .split("\\.")).allMatch(o -> Integer.parseInt(o) < 256);
+            boolean octets = address.startsWith("[")
+                    || java.util.Arrays.stream(
+                                    full.substring(0, full.lastIndexOf(':')).split("\\."))
+                            .allMatch(o -> Integer.parseInt(o) < 256);
             return port > 0 && port < 65536 && octets ? full : null;
         }
         return null;
@@ -205,12 +245,17 @@
         String dial = dial(authority);
         PoolSpec pool = null;
         if (dial == null || !word(authority)) {
-            report.not(at, authority.startsWith("unix:") ? "sockets of Unix are not dialled; these requests fail"
-                    : "there is no upstream '" + authority + "', and names are not looked up; these requests fail. Give it "
-                    + "an address by --dial " + authority + "=ADDRESS:PORT");
+            report.not(
+                    at,
+                    authority.startsWith("unix:")
+                            ? "sockets of Unix are not dialled; these requests fail"
+                            : "there is no upstream '" + authority
+                                    + "', and names are not looked up; these requests fail. Give it "
+                                    + "an address by --dial " + authority + "=ADDRESS:PORT");
         } else {
             String name = name(authority, dial);
-            pool = new PoolSpec(authority, "carp", null, List.of(new ServerSpec(name, null, dial, 1, false, false)), at);
+            pool = new PoolSpec(
+                    authority, "carp", null, List.of(new ServerSpec(name, null, dial, 1, false, false)), at);
             pools.put(authority, pool);
         }
         byAuthority.put(authority, pool);
--- a/src/main/java/cacheproxy/nginx/importer/Report.java
+++ b/src/main/java/cacheproxy/nginx/importer/Report.java
@@ -28,7 +28,7 @@
     }
 
     /** One entry. */
-    public record Entry(Directive directive, Level level, String text) { }
+    public record Entry(Directive directive, Level level, String text) {}
 
     private final Map<Directive, List<Entry>> entries = new IdentityHashMap<>();
     private List<Entry> inOrder = List.of();
@@ -75,7 +75,9 @@
         // What has been left out of the tree has entries, too.
         Map<Directive, Boolean> told = new IdentityHashMap<>();
         all.forEach(e -> told.put(e.directive, true));
-        entries.forEach((d, own) -> own.stream().filter(e -> !told.containsKey(d) && e.level == Level.NOT).forEach(all::add));
+        entries.forEach((d, own) -> own.stream()
+                .filter(e -> !told.containsKey(d) && e.level == Level.NOT)
+                .forEach(all::add));
         conf.empty().forEach(e -> all.add(new Entry(e.include(), Level.LEFT, "no file has such a name")));
         inOrder = all;
     }
@@ -88,9 +90,14 @@
             }
             // Carried as far as nothing else was said.
             Level worst = own.stream().map(Entry::level).max(Level::compareTo).orElse(Level.NOT);
-            own.stream().filter(e -> worst == Level.CARRIED || e.level != Level.CARRIED).forEach(all::add);
-            boolean whole = DirectiveTable.isWhole(d) || worst == Level.NOT && (d.name().equals("if")
-                    || d.name().equals("location") && own.stream().anyMatch(e -> e.text.startsWith("nginx refuses")));
+            own.stream()
+                    .filter(e -> worst == Level.CARRIED || e.level != Level.CARRIED)
+                    .forEach(all::add);
+            boolean whole = DirectiveTable.isWhole(d)
+                    || worst == Level.NOT
+                            && (d.name().equals("if")
+                                    || d.name().equals("location")
+                                            && own.stream().anyMatch(e -> e.text.startsWith("nginx refuses")));
             if (d.block() != null && !whole) {
                 finish(d.block(), worst == Level.NOT || within, all);
             }
--- a/src/main/java/cacheproxy/nginx/importer/RouteSpec.java
+++ b/src/main/java/cacheproxy/nginx/importer/RouteSpec.java
@@ -13,13 +13,38 @@
  * @param refuse whether it ends it with a time to come back; else as failed
  * @param placeBy null: the pool's
  */
-record RouteSpec(String name, int order, String host, String exact, String prefix, Conditions when, List<String> pools,
-        boolean refuse, String strip, String add, String replace, String placeBy, String comment) {
+record RouteSpec(
+        String name,
+        int order,
+        String host,
+        String exact,
+        String prefix,
+        Conditions when,
+        List<String> pools,
+        boolean refuse,
+        String strip,
+        String add,
+        String replace,
+        String placeBy,
+        String comment) {
 
     /** As far as it matters for which requests it takes. */
     Route route(int position) {
-        return new Route(name, order, position, Set.of(), host, exact, prefix,
-                when.patterns().stream().map(KeyPattern::new).toList(), Set.of(), Set.of(), when.write(), when.share(),
-                KeyRewrite.NONE, null, new Route.Fail());
+        return new Route(
+                name,
+                order,
+                position,
+                Set.of(),
+                host,
+                exact,
+                prefix,
+                when.patterns().stream().map(KeyPattern::new).toList(),
+                Set.of(),
+                Set.of(),
+                when.write(),
+                when.share(),
+                KeyRewrite.NONE,
+                null,
+                new Route.Fail());
     }
 }
--- a/src/main/java/cacheproxy/nginx/importer/RouteTranslator.java
+++ b/src/main/java/cacheproxy/nginx/importer/RouteTranslator.java
@@ -26,6 +26,7 @@
     private static final Set<String> REWRITING = Set.of("set", "if", "rewrite", "return", "break");
     /** nginx gives up after so many changes of a request's path. */
     private static final int MAX_CYCLES = 10;
+
     private static final List<String> METHODS = List.of("GET", "HEAD", "POST", "PUT", "DELETE", "PATCH");
 
     private final HttpModel model;
@@ -42,6 +43,7 @@
     private LocationSearch search;
     /** {@code error_page}s that locations inherit. */
     private List<Directive> errorPages = List.of();
+
     private final Map<Location, RegexTranslation> patterns = new IdentityHashMap<>();
     private int order;
 
@@ -54,7 +56,7 @@
     }
 
     /** Where routes go: their order, and the exact path or prefix that they ask for. */
-    private record Place(int order, String exact, String prefix) { }
+    private record Place(int order, String exact, String prefix) {}
 
     /** What comes after a path has been made anew. */
     private enum Next {
@@ -85,8 +87,15 @@
      * @param captures pattern of the groups that {@code $1} means; null: none
      * @param handler what an {@code if} has put in place of the location's own; null: nothing
      */
-    private record Walk(Place place, Conditions when, Rewritten rewritten, Map<String, Expression> set, Location location,
-            String captures, Directive handler, int cycles) {
+    private record Walk(
+            Place place,
+            Conditions when,
+            Rewritten rewritten,
+            Map<String, Expression> set,
+            Location location,
+            String captures,
+            Directive handler,
+            int cycles) {
         Walk when(Conditions c) {
             return new Walk(place, c, rewritten, set, location, captures, handler, cycles);
         }
@@ -128,12 +137,18 @@
         report.carried(s.directive());
         errorPages = s.directive().all("error_page");
         if (errorPages.isEmpty()) {
-            errorPages = model.http.stream().filter(d -> d.name().equals("error_page")).toList();
-        }
-        search = new LocationSearch(s.locations(), l -> l.directive.last("proxy_pass") != null
-                || l.directive.last("memcached_pass") != null);
-        search.unreachable().forEach(l -> report.add(l.directive, Report.Level.LEFT,
-                "a longer prefix outside of its own location has all of its requests, in nginx too"));
+            errorPages = model.http.stream()
+                    .filter(d -> d.name().equals("error_page"))
+                    .toList();
+        }
+        search = new LocationSearch(
+                s.locations(),
+                l -> l.directive.last("proxy_pass") != null || l.directive.last("memcached_pass") != null);
+        search.unreachable()
+                .forEach(l -> report.add(
+                        l.directive,
+                        Report.Level.LEFT,
+                        "a longer prefix outside of its own location has all of its requests, in nginx too"));
         Walk start = new Walk(null, Conditions.NONE, null, Map.of(), null, null, null, 0);
         go(rewriting(s.directive()), start);
     }
@@ -166,15 +181,15 @@
                 case "return" -> returned(d, w);
                 case "break" -> {
                     report.carried(d);
-                    rewritingDone(w.rewritten == null ? w
-                            : w.rewritten(w.rewritten.next(Next.STAYS)));
+                    rewritingDone(w.rewritten == null ? w : w.rewritten(w.rewritten.next(Next.STAYS)));
                 }
                 case "rewrite" -> rewrite(d, rest, w);
                 case "if" -> condition(d, rest, w);
                 default -> go(rest, w);
             }
         } catch (Conditions.Unable e) {
-            report.not(d, "can't be expressed (" + e.getMessage() + "); its requests are taken as if it were not there");
+            report.not(
+                    d, "can't be expressed (" + e.getMessage() + "); its requests are taken as if it were not there");
             go(rest, w);
         }
     }
@@ -194,9 +209,14 @@
         boolean refuse = code.equals("503") || code.equals("429");
         switch (code.charAt(0)) {
             case '2' -> report.not(d, "nginx answers these requests itself; here they fail");
-            case '3' -> report.not(d, "nginx redirects these requests; here they fail, so clients must ask for the other key");
-            default -> report.changed(d, refuse ? "these requests are refused, with a time to come back"
-                    : "these requests fail, without a status");
+            case '3' ->
+                report.not(d, "nginx redirects these requests; here they fail, so clients must ask for the other key");
+            default ->
+                report.changed(
+                        d,
+                        refuse
+                                ? "these requests are refused, with a time to come back"
+                                : "these requests fail, without a status");
         }
         end(w, d, refuse, code);
     }
@@ -229,9 +249,12 @@
             if (question >= 0 && question < to.length() - 1) {
                 report.changed(d, "the query that it adds is left out");
             }
-            List<Alternative> path = values.resolve(Expression.of(question < 0 ? to : to.substring(0, question)), scope(w));
+            List<Alternative> path =
+                    values.resolve(Expression.of(question < 0 ? to : to.substring(0, question)), scope(w));
             report.carried(d);
-            Rewritten made = new Rewritten(r.text(), path.get(0).value(),
+            Rewritten made = new Rewritten(
+                    r.text(),
+                    path.get(0).value(),
                     flag.equals("break") && w.location != null ? Next.STAYS : Next.SEARCH);
             if (path.size() > 1 || template(made.path, r.text()) == null) {
                 report.not(d, "its path depends on more than groups of its pattern; these requests fail");
@@ -250,17 +273,21 @@
     // ---- if
 
     /** What an {@code if} asks. */
-    private record Asked(Conditions when, boolean negated, String captures) { }
+    private record Asked(Conditions when, boolean negated, String captures) {}
 
     private void condition(Directive d, List<Directive> rest, Walk w) throws Conditions.Unable {
-        List<Directive> inner = new ArrayList<>(d.block().stream().filter(x -> REWRITING.contains(x.name())).toList());
+        List<Directive> inner = new ArrayList<>(
+                d.block().stream().filter(x -> REWRITING.contains(x.name())).toList());
         Directive handler = d.last("proxy_pass");
         handler = handler != null ? handler : d.last("memcached_pass");
         inner.addAll(rest);
         String text = String.join(" ", d.args());
-        String t = text.startsWith("(") && text.endsWith(")") ? text.substring(1, text.length() - 1).trim() : text;
+        String t = text.startsWith("(") && text.endsWith(")")
+                ? text.substring(1, text.length() - 1).trim()
+                : text;
         String[] parts = t.split("\\s+", 3);
-        List<Alternative> left = parts[0].startsWith("$") ? values.resolve(Expression.of(parts[0]), scope(w)) : List.of();
+        List<Alternative> left =
+                parts[0].startsWith("$") ? values.resolve(Expression.of(parts[0]), scope(w)) : List.of();
         if (left.isEmpty() || parts.length == 2) {
             unknown(d, rest, w, t);
             return;
@@ -342,7 +369,9 @@
     private Asked asked(Expression left, String[] parts, Directive d) {
         boolean negated = parts[1].startsWith("!");
         if (left.is("request_method")) {
-            List<String> fit = METHODS.stream().filter(m -> Boolean.TRUE.equals(holds(m, parts, d))).toList();
+            List<String> fit = METHODS.stream()
+                    .filter(m -> Boolean.TRUE.equals(holds(m, parts, d)))
+                    .toList();
             boolean get = fit.contains("GET");
             boolean read = get || fit.contains("HEAD");
             boolean write = fit.stream().anyMatch(m -> !m.equals("GET") && !m.equals("HEAD"));
@@ -350,7 +379,8 @@
                 return null;
             }
             if (fit.size() < (read ? 2 : METHODS.size() - 2)) {
-                report.changed(d, "keys tell reads and writes, no methods: taken for all " + (read ? "reads" : "writes"));
+                report.changed(
+                        d, "keys tell reads and writes, no methods: taken for all " + (read ? "reads" : "writes"));
             }
             return new Asked(Conditions.write(write), false, null);
         }
@@ -362,7 +392,8 @@
             report.changed(d, "held against the path, without the query");
         }
         if (parts[1].equals("=") || parts[1].equals("!=")) {
-            return new Asked(Conditions.pattern("^" + RegexTranslation.quoted(PathKey.encode(right)) + "$"), negated, null);
+            return new Asked(
+                    Conditions.pattern("^" + RegexTranslation.quoted(PathKey.encode(right)) + "$"), negated, null);
         }
         RegexTranslation r = RegexTranslation.of(right, parts[1].endsWith("*"));
         if (r.text() == null) {
@@ -385,7 +416,14 @@
             if (w.rewritten == null) {
                 locations(w);
             } else {
-                searchAgain(new Walk(new Place(nextOrder(), null, null), w.when, w.rewritten, w.set, null, w.captures, null,
+                searchAgain(new Walk(
+                        new Place(nextOrder(), null, null),
+                        w.when,
+                        w.rewritten,
+                        w.set,
+                        null,
+                        w.captures,
+                        null,
                         w.cycles));
             }
         } else if (w.rewritten != null && w.rewritten.next == Next.SEARCH) {
@@ -424,11 +462,13 @@
                 continue;
             }
             Place place = new Place(base + s.tier().ordinal(), exact, prefix);
-            String captures = s.regexes().isEmpty() ? null : pattern(s.location()).text();
+            String captures =
+                    s.regexes().isEmpty() ? null : pattern(s.location()).text();
             Walk in = new Walk(place, when, w.rewritten, w.set, s.location(), captures, null, w.cycles);
             if (s.redirect()) {
-                report.changed(s.location().directive, "nginx redirects " + s.exact() + " to " + s.exact()
-                        + "/; here it fails");
+                report.changed(
+                        s.location().directive,
+                        "nginx redirects " + s.exact() + " to " + s.exact() + "/; here it fails");
                 end(in, s.location().directive, false, "301");
             } else if (s.location().directive.last("internal") != null) {
                 report.changed(s.location().directive.last("internal"), "requests for it fail, without a status");
@@ -453,8 +493,10 @@
         return patterns.computeIfAbsent(l, k -> {
             RegexTranslation r = RegexTranslation.of(l.text, l.kind == Location.Kind.REGEX_ANY_CASE);
             if (r.text() == null) {
-                report.not(l.directive, "pattern can't be expressed (" + r.why()
-                        + "): its requests go to the location that would be next");
+                report.not(
+                        l.directive,
+                        "pattern can't be expressed (" + r.why()
+                                + "): its requests go to the location that would be next");
             }
             return r;
         });
@@ -464,7 +506,10 @@
     private void searchAgain(Walk w) {
         Directive at = w.location == null ? server.directive() : w.location.directive;
         if (w.cycles >= MAX_CYCLES) {
-            report.not(at, "rewrites go round; nginx fails these requests after " + MAX_CYCLES + " turns, and so they do here");
+            report.not(
+                    at,
+                    "rewrites go round; nginx fails these requests after " + MAX_CYCLES
+                            + " turns, and so they do here");
             end(w, at, false, "500");
             return;
         }
@@ -475,8 +520,9 @@
             return;
         }
         report.carried(found.directive);
-        go(rewriting(found.directive), w.rewritten(w.rewritten.next(Next.FOUND)).in(found,
-                found.kind.isRegex() ? null : w.rewritten.pattern));
+        go(
+                rewriting(found.directive),
+                w.rewritten(w.rewritten.next(Next.FOUND)).in(found, found.kind.isRegex() ? null : w.rewritten.pattern));
     }
 
     /** The location of all paths that an expression can make; null if that is not one. */
@@ -505,7 +551,8 @@
         // Prefixes with their own search come first in the steps, the longest of them first.
         String own = null;
         for (LocationSearch.Step s : search.steps()) {
-            if (s.exact() != null || s.prefix() != null && !text.startsWith(s.prefix())
+            if (s.exact() != null
+                    || s.prefix() != null && !text.startsWith(s.prefix())
                     || own != null && !own.equals(s.prefix())) {
                 continue;
             }
@@ -515,8 +562,9 @@
             if (s.regexes().isEmpty()) {
                 best = best == null || s.prefix().length() > best.text.length() ? s.location() : best;
             } else if (whole) {
-                boolean all = s.regexes().stream().allMatch(l -> pattern(l).text() != null
-                        && new KeyPattern(pattern(l).text()).matches(encoded));
+                boolean all = s.regexes().stream()
+                        .allMatch(l -> pattern(l).text() != null
+                                && new KeyPattern(pattern(l).text()).matches(encoded));
                 if (all) {
                     return s.location();
                 }
@@ -525,8 +573,10 @@
             }
         }
         if (patternsAsked && best != null) {
-            report.not(at, "paths made " + path + " go to location " + best.text
-                    + "; those that a pattern location would take go astray");
+            report.not(
+                    at,
+                    "paths made " + path + " go to location " + best.text
+                            + "; those that a pattern location would take go astray");
         }
         return best;
     }
@@ -572,10 +622,15 @@
             report.carried(pass);
             to(pass, walk, Expression.of(pass.arg(0)), true);
         } else {
-            Directive other = block.block().stream().filter(x -> x.name().endsWith("_pass")).findFirst().orElse(null);
-            report.not(other != null ? other : block, other != null
-                    ? "of a protocol or program that is not spoken here; these requests fail"
-                    : "served from files or by a module, which are not here; these requests fail");
+            Directive other = block.block().stream()
+                    .filter(x -> x.name().endsWith("_pass"))
+                    .findFirst()
+                    .orElse(null);
+            report.not(
+                    other != null ? other : block,
+                    other != null
+                            ? "of a protocol or program that is not spoken here; these requests fail"
+                            : "served from files or by a module, which are not here; these requests fail");
             end(walk, block, false, "404");
         }
     }
@@ -616,7 +671,9 @@
     }
 
     private Location named(String name) {
-        return server.locations().stream().filter(l -> l.kind == Location.Kind.NAMED && l.text.equals(name)).findFirst()
+        return server.locations().stream()
+                .filter(l -> l.kind == Location.Kind.NAMED && l.text.equals(name))
+                .findFirst()
                 .orElse(null);
     }
 
@@ -642,8 +699,11 @@
     private void pass(Directive d, Walk w, Expression target, boolean variables, boolean uriCounts) {
         String head = target.head();
         if (!head.startsWith("http://") && !head.startsWith("https://")) {
-            report.not(d, head.isEmpty() && target.parts().isEmpty() ? "for some requests it has no target; they fail"
-                    : target + " is told by no key; these requests fail");
+            report.not(
+                    d,
+                    head.isEmpty() && target.parts().isEmpty()
+                            ? "for some requests it has no target; they fail"
+                            : target + " is told by no key; these requests fail");
             end(w, d, false, "502");
             return;
         }
@@ -658,7 +718,10 @@
             uri.add(new Expression.Part(false, rest.substring(slash)));
         }
         uri.addAll(target.parts().subList(1, target.parts().size()));
-        if (!uri.isEmpty() && slash < 0 && !Set.of("uri", "request_uri", "document_uri").contains(uri.get(0).text())) {
+        if (!uri.isEmpty()
+                && slash < 0
+                && !Set.of("uri", "request_uri", "document_uri")
+                        .contains(uri.get(0).text())) {
             report.not(d, target + " names a server that no key tells; these requests fail");
             end(w, d, false, "502");
             return;
@@ -672,16 +735,19 @@
     }
 
     /** What happens to the path on its way to the pool. */
-    private record Change(String strip, String add, String replace, Conditions when) { }
+    private record Change(String strip, String add, String replace, Conditions when) {}
 
     private void emit(Directive d, Walk w, PoolTranslator.PoolSpec pool, Expression uri, boolean variables) {
         boolean given = !uri.parts().isEmpty();
         Change change;
         Rewritten r = w.rewritten;
-        if (given && !variables && w.location.kind.isRegex() || given && !variables && w.handler != null
+        if (given && !variables && w.location.kind.isRegex()
+                || given && !variables && w.handler != null
                 || given && !variables && w.location.kind == Location.Kind.NAMED) {
-            report.not(d, "nginx refuses this: \"proxy_pass\" cannot have URI part in location given by regular expression, "
-                    + "or inside named location, or inside \"if\" statement; these requests fail");
+            report.not(
+                    d,
+                    "nginx refuses this: \"proxy_pass\" cannot have URI part in location given by regular expression, "
+                            + "or inside named location, or inside \"if\" statement; these requests fail");
             end(w, d, false, "500");
             return;
         }
@@ -689,15 +755,19 @@
             change = template(uri, w);
         } else if (r == null) {
             boolean same = uri.literal().equals(w.location.text); // "location /a/" with "proxy_pass http://u/a/"
-            change = given && !same ? new Change(PathKey.encode(w.location.text), uri.literal(), null, w.when)
+            change = given && !same
+                    ? new Change(PathKey.encode(w.location.text), uri.literal(), null, w.when)
                     : new Change(null, null, null, w.when);
         } else {
             Expression path = r.path;
             if (given && r.next != Next.STAYS) {
-                    boolean inside = path.head().startsWith(w.location.text);
+                boolean inside = path.head().startsWith(w.location.text);
                 List<Expression.Part> parts = new ArrayList<>(path.parts());
                 if (inside) {
-                    parts.set(0, new Expression.Part(false, uri.literal() + path.head().substring(w.location.text.length())));
+                    parts.set(
+                            0,
+                            new Expression.Part(
+                                    false, uri.literal() + path.head().substring(w.location.text.length())));
                 }
                 path = inside ? Expression.joined(parts) : new Expression(List.of());
             }
@@ -713,9 +783,12 @@
         if (r != null && pool.placeBy() != null && pool.placeBy().contains("${uri}")) {
             // What nginx hashes is the path that the rewrite has made, before the servers' own is made of it.
             String made = template(r.path, r.pattern);
-            boolean told = r.pattern == null ? r.path.isLiteral() : change.when.patterns().contains(r.pattern);
+            boolean told = r.pattern == null
+                    ? r.path.isLiteral()
+                    : change.when.patterns().contains(r.pattern);
             by = made == null || !told ? null : pool.placeBy().replace("${uri}", plain(r.path, r.pattern));
-            change = by == null || r.pattern == null ? change
+            change = by == null || r.pattern == null
+                    ? change
                     : new Change(change.strip, change.add, change.replace, change.when.first(r.pattern));
             if (by == null) {
                 report.not(d, "the path that nginx hashes can't be told here; keys may move");
@@ -726,8 +799,19 @@
         if (fallback != null) {
             to.add(fallback);
         }
-        out.add(new RouteSpec(name(d), w.place.order, host, w.place.exact, w.place.prefix, change.when, to, false,
-                "".equals(change.strip) ? null : change.strip, change.add, change.replace, by,
+        out.add(new RouteSpec(
+                name(d),
+                w.place.order,
+                host,
+                w.place.exact,
+                w.place.prefix,
+                change.when,
+                to,
+                false,
+                "".equals(change.strip) ? null : change.strip,
+                change.add,
+                change.replace,
+                by,
                 w.location.directive.toString()));
     }
 
@@ -744,11 +828,16 @@
         if (path.is("uri", "request_uri", "document_uri")) {
             Rewritten r = w.rewritten;
             String t = r == null || !path.is("uri", "document_uri") ? null : template(r.path, r.pattern);
-            return r != null && t != null ? new Change(null, null, t, r.pattern == null ? w.when : w.when.first(r.pattern))
+            return r != null && t != null
+                    ? new Change(null, null, t, r.pattern == null ? w.when : w.when.first(r.pattern))
                     : new Change(null, null, null, w.when);
         }
-        if (path.parts().size() == 2 && !path.parts().get(0).variable() && w.rewritten == null && path.parts().get(1).variable()
-                && Set.of("uri", "request_uri", "document_uri").contains(path.parts().get(1).text())) {
+        if (path.parts().size() == 2
+                && !path.parts().get(0).variable()
+                && w.rewritten == null
+                && path.parts().get(1).variable()
+                && Set.of("uri", "request_uri", "document_uri")
+                        .contains(path.parts().get(1).text())) {
             return new Change(null, PathKey.encode(path.head()), null, w.when);
         }
         if (path.parts().isEmpty() || path.head().isEmpty() || !path.head().startsWith("/")) {
@@ -779,8 +868,10 @@
     private static String plain(Expression path, String pattern) {
         StringBuilder t = new StringBuilder();
         for (Expression.Part p : path.parts()) {
-            t.append(p.variable() ? "${" + (p.text().matches("[1-9]") ? p.text() : group(pattern, p.text())) + "}"
-                    : p.text().replace("$", "$$"));
+            t.append(
+                    p.variable()
+                            ? "${" + (p.text().matches("[1-9]") ? p.text() : group(pattern, p.text())) + "}"
+                            : p.text().replace("$", "$$"));
         }
         return t.toString();
     }
@@ -817,14 +908,19 @@
             Location named = target.startsWith("@") ? named(target) : null;
             Directive pass = named == null ? null : named.directive.last("proxy_pass");
             if (!lost || pass == null || !pass.arg(0).matches("https?://[^/$]+")) {
-                report.not(e, "statuses are not told here, so that nothing is answered in their place"
-                        + (lost ? "" : "; " + target + " is not asked for"));
+                report.not(
+                        e,
+                        "statuses are not told here, so that nothing is answered in their place"
+                                + (lost ? "" : "; " + target + " is not asked for"));
                 continue;
             }
-            PoolTranslator.PoolSpec p = pools.of(pass.arg(0).substring(pass.arg(0).indexOf("//") + 2), pass);
+            PoolTranslator.PoolSpec p =
+                    pools.of(pass.arg(0).substring(pass.arg(0).indexOf("//") + 2), pass);
             if (p != null && !p.name().equals(pool) && found == null) {
-                report.changed(e, "requests that no server answers go to " + p.name() + ", those that may not be repeated "
-                        + "excepted");
+                report.changed(
+                        e,
+                        "requests that no server answers go to " + p.name() + ", those that may not be repeated "
+                                + "excepted");
                 report.carried(named.directive);
                 report.carried(pass);
                 found = p.name();
@@ -837,13 +933,26 @@
 
     private void end(Walk w, Directive d, boolean refuse, String status) {
         Place p = w.place == null ? new Place(nextOrder(), null, null) : w.place;
-        out.add(new RouteSpec(name(d), p.order, host, p.exact, p.prefix, w.when, List.of(), refuse, null, null, null, null,
+        out.add(new RouteSpec(
+                name(d),
+                p.order,
+                host,
+                p.exact,
+                p.prefix,
+                w.when,
+                List.of(),
+                refuse,
+                null,
+                null,
+                null,
+                null,
                 (w.location == null ? d : w.location.directive) + " -> " + status));
     }
 
     /** A route is called by the file and line that it comes from. */
     private String name(Directive d) {
-        String file = d.at().file().substring(d.at().file().lastIndexOf('/') + 1).replaceAll("[^A-Za-z0-9._-]", "_");
+        String file =
+                d.at().file().substring(d.at().file().lastIndexOf('/') + 1).replaceAll("[^A-Za-z0-9._-]", "_");
         String base = (file.length() > 40 ? file.substring(file.length() - 40) : file) + ":" + d.at().line();
         int n = names.merge(base, 1, Integer::sum);
         return n == 1 ? base : base + "." + n;
--- a/src/main/java/cacheproxy/nginx/importer/ServerMoves.java
+++ b/src/main/java/cacheproxy/nginx/importer/ServerMoves.java
@@ -1,12 +1,12 @@
 package cacheproxy.nginx.importer;
 
-import cacheproxy.policy.CarpHash;
-import cacheproxy.policy.PolicyApi.Member;
-import cacheproxy.policy.PolicyApi.State;
-import cacheproxy.placement.PlacementTarget;
 import cacheproxy.placement.Placement;
 import cacheproxy.placement.PlacementKey;
 import cacheproxy.placement.PlacementRegistry;
+import cacheproxy.placement.PlacementTarget;
+import cacheproxy.policy.CarpHash;
+import cacheproxy.policy.PolicyApi.Member;
+import cacheproxy.policy.PolicyApi.State;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -19,16 +19,19 @@
     private static final int LEAST_KEYS = 500;
     /** Over all pools: with very many each is known less exactly. */
     private static final int ALL_KEYS = 500_000;
+
     private static final long SEED = 1;
 
-    private ServerMoves() { }
+    private ServerMoves() {}
 
     static void note(Collection<PoolTranslator.PoolSpec> pools, Report report) {
         int keys = Math.max(LEAST_KEYS, Math.min(MOST_KEYS, ALL_KEYS / Math.max(1, pools.size())));
         for (PoolTranslator.PoolSpec p : pools) {
             if (!p.placement().equals(PlacementRegistry.CARP)) {
-                report.note(String.format(java.util.Locale.ROOT,
-                        "pool %s: going over to CARP would move %.1f%% of its keys to another server", p.name(),
+                report.note(String.format(
+                        java.util.Locale.ROOT,
+                        "pool %s: going over to CARP would move %.1f%% of its keys to another server",
+                        p.name(),
                         100.0 * moved(p, keys) / keys));
             }
         }
@@ -47,7 +50,8 @@
         }
         members.sort((a, b) -> Integer.compareUnsigned(a.id(), b.id()));
         Placement now = PlacementRegistry.factory(pool.placement(), peers).of(members);
-        Placement carp = PlacementRegistry.factory(PlacementRegistry.CARP, peers).of(members);
+        Placement carp =
+                PlacementRegistry.factory(PlacementRegistry.CARP, peers).of(members);
         SplittableRandom random = new SplittableRandom(SEED);
         int[] top = new int[2];
         int moved = 0;
--- a/src/main/java/cacheproxy/nginx/importer/Values.java
+++ b/src/main/java/cacheproxy/nginx/importer/Values.java
@@ -13,7 +13,7 @@
 /** What expressions come to: alternatives with the conditions under which each holds, the first that holds counts. */
 final class Values {
     /** One value; the last of a list asks nothing more than what is asked already. */
-    record Alternative(Conditions when, Expression value) { }
+    record Alternative(Conditions when, Expression value) {}
 
     /**
      * Where an expression stands.
@@ -21,7 +21,7 @@
      * @param set variables that {@code set} has given a value
      * @param host the host that the request is known to be for; null: any other than those known
      */
-    record Scope(Map<String, Expression> set, String host) { }
+    record Scope(Map<String, Expression> set, String host) {}
 
     private static final int MAX_DEPTH = 8;
     private static final int MAX_ALTERNATIVES = 2000;
@@ -45,7 +45,8 @@
         }
         List<Alternative> all = List.of(new Alternative(Conditions.NONE, new Expression(List.of())));
         for (Expression.Part p : e.parts()) {
-            List<Alternative> these = p.variable() ? variable(p.text(), scope, depth)
+            List<Alternative> these = p.variable()
+                    ? variable(p.text(), scope, depth)
                     : List.of(new Alternative(Conditions.NONE, new Expression(List.of(p))));
             if (all.size() * (long) these.size() > MAX_ALTERNATIVES) {
                 throw new Conditions.Unable("more than " + MAX_ALTERNATIVES + " cases");
@@ -83,7 +84,10 @@
             case "split_clients" -> split(d, scope, depth);
             default -> {
                 report.not(d, "addresses of clients are not told by keys: the default is taken for all");
-                Directive absent = d.block().stream().filter(e -> e.name().equals("default")).findFirst().orElse(NOWHERE);
+                Directive absent = d.block().stream()
+                        .filter(e -> e.name().equals("default"))
+                        .findFirst()
+                        .orElse(NOWHERE);
                 yield resolve(Expression.of(absent == null ? "" : absent.arg(0)), scope, depth + 1);
             }
         };
@@ -102,7 +106,8 @@
             } else if (e.is("uri", "document_uri", "request_uri")) {
                 these = byPath(d, scope, depth);
             } else if (e.is("host", "http_host")) {
-                if (d.block().stream().anyMatch(x -> x.name().startsWith("~") || x.name().contains("*"))) {
+                if (d.block().stream()
+                        .anyMatch(x -> x.name().startsWith("~") || x.name().contains("*"))) {
                     report.not(d, "hosts by pattern: for hosts that are named nowhere else the default is taken");
                 }
                 these = resolve(Expression.of(lookUp(d, "")), scope, depth + 1);
@@ -144,9 +149,12 @@
                 String t = text.toLowerCase(Locale.ROOT);
                 // Masks at the front go before those at the end; of either kind the longest counts.
                 int fits = mask.startsWith("*.") && t.endsWith(mask.substring(1)) && t.length() >= mask.length()
-                        ? 1000 + mask.length() : mask.startsWith(".") && (t.endsWith(mask) || t.equals(mask.substring(1)))
-                        ? 1000 + mask.length() : mask.endsWith(".*") && t.startsWith(mask.substring(0, mask.length() - 1))
-                        ? mask.length() : -1;
+                        ? 1000 + mask.length()
+                        : mask.startsWith(".") && (t.endsWith(mask) || t.equals(mask.substring(1)))
+                                ? 1000 + mask.length()
+                                : mask.endsWith(".*") && t.startsWith(mask.substring(0, mask.length() - 1))
+                                        ? mask.length()
+                                        : -1;
                 if (fits > length) {
                     length = fits;
                     wild = e.arg(0);
@@ -182,8 +190,10 @@
                 boolean any = e.name().startsWith("~*");
                 RegexTranslation r = RegexTranslation.of(e.name().substring(any ? 2 : 1), any);
                 if (r.text() == null) {
-                    report.not(map, "line " + e.at().line() + ", " + e.name() + " can't be expressed (" + r.why()
-                            + "): its requests take the next value that matches");
+                    report.not(
+                            map,
+                            "line " + e.at().line() + ", " + e.name() + " can't be expressed (" + r.why()
+                                    + "): its requests take the next value that matches");
                 } else {
                     add(all, Conditions.pattern(r.text()), e.arg(0), scope, depth);
                 }
@@ -210,8 +220,13 @@
         String by = placeBy(Expression.of(d.arg(0)));
         List<Alternative> all = new ArrayList<>();
         if (by == null) {
-            Directive rest = d.block().stream().filter(e -> e.name().equals("*")).findFirst()
-                    .orElse(d.block().isEmpty() ? NOWHERE : d.block().get(d.block().size() - 1));
+            Directive rest = d.block().stream()
+                    .filter(e -> e.name().equals("*"))
+                    .findFirst()
+                    .orElse(
+                            d.block().isEmpty()
+                                    ? NOWHERE
+                                    : d.block().get(d.block().size() - 1));
             String value = rest == null ? "" : rest.arg(0);
             report.not(d, d.arg(0) + " is not told by keys: nothing is split, '" + value + "' is taken for all");
             return resolve(Expression.of(value), scope, depth + 1);
@@ -245,7 +260,9 @@
         if (!percent.matches("[0-9]{1,3}(\\.[0-9]{1,2})?%")) {
             return -1;
         }
-        return new java.math.BigDecimal(percent.substring(0, percent.length() - 1)).movePointRight(2).longValueExact();
+        return new java.math.BigDecimal(percent.substring(0, percent.length() - 1))
+                .movePointRight(2)
+                .longValueExact();
     }
 
     /** What a placement or split hashes, in the terms of routes; null where keys do not tell it. */
@@ -287,7 +304,9 @@
     private boolean asks(Expression e, int depth, List<String> names) {
         for (Expression.Part p : e.parts()) {
             Directive d = p.variable() ? model.variables.get(p.text()) : null;
-            if (p.variable() && (names.contains(p.text()) || names.contains("args") && p.text().startsWith("arg_"))
+            if (p.variable()
+                            && (names.contains(p.text())
+                                    || names.contains("args") && p.text().startsWith("arg_"))
                     || d != null && depth < MAX_DEPTH && asks(Expression.of(d.arg(0)), depth + 1, names)) {
                 return true;
             }
--- a/src/main/java/cacheproxy/nginx/model/DirectiveShapes.java
+++ b/src/main/java/cacheproxy/nginx/model/DirectiveShapes.java
@@ -9,11 +9,11 @@
 
 /**
  * Leaves out directives with a wrong number of parameters, or with a block where none belongs and the other way round:
- * nginx would not start with them, and all that follows may rely on what is left. Of directives that nothing here relies on,
- * the shape is not asked.
+ * nginx would not start with them, and all that follows may rely on what is left. Of directives that nothing here
+ * relies on, the shape is not asked.
  */
 public final class DirectiveShapes {
-    private record Shape(int least, int most, boolean block) { }
+    private record Shape(int least, int most, boolean block) {}
 
     private static final int ANY = Integer.MAX_VALUE;
     private static final Map<String, Shape> SHAPES = new HashMap<>();
@@ -49,13 +49,16 @@
         put("deny", 1, 1, false);
     }
 
-    private DirectiveShapes() { }
+    private DirectiveShapes() {}
 
     private static void put(String name, int least, int most, boolean block) {
         SHAPES.put(name, new Shape(least, most, block));
     }
 
-    /** The tree without what is of a wrong shape; that goes to {@code faults}. Directives that stay whole are the same objects. */
+    /**
+     * The tree without what is of a wrong shape; that goes to {@code faults}. Directives that stay whole are the same
+     * objects.
+     */
     public static List<Directive> checked(List<Directive> tree, List<HttpModel.Fault> faults) {
         return checked(tree, "", faults);
     }
@@ -73,8 +76,10 @@
                 continue;
             }
             List<Directive> inner = checked(d.block(), d.name(), faults);
-            good.add(inner.size() == d.block().size() && same(inner, d.block()) ? d
-                    : new Directive(d.name(), d.args(), inner, d.raw(), d.at()));
+            good.add(
+                    inner.size() == d.block().size() && same(inner, d.block())
+                            ? d
+                            : new Directive(d.name(), d.args(), inner, d.raw(), d.at()));
         }
         return good;
     }
@@ -92,18 +97,26 @@
     private static String wrong(Directive d, String within) {
         if (TABLES.contains(within)) {
             boolean word = TABLE_WORDS.contains(d.name());
-            return d.block() != null || !word && d.args().size() != 1 ? "invalid number of the " + within + " parameters" : null;
+            return d.block() != null || !word && d.args().size() != 1
+                    ? "invalid number of the " + within + " parameters"
+                    : null;
         }
-        Shape s = d.name().equals("server") ? new Shape(within.equals("upstream") ? 1 : 0, within.equals("upstream") ? ANY : 0,
-                !within.equals("upstream")) : SHAPES.get(d.name());
+        Shape s = d.name().equals("server")
+                ? new Shape(
+                        within.equals("upstream") ? 1 : 0,
+                        within.equals("upstream") ? ANY : 0,
+                        !within.equals("upstream"))
+                : SHAPES.get(d.name());
         if (s == null) {
             return null;
         }
         if (s.block != (d.block() != null)) {
-            return s.block ? "directive \"" + d.name() + "\" has no opening \"{\"" : "directive \"" + d.name()
-                    + "\" is not terminated by \";\"";
+            return s.block
+                    ? "directive \"" + d.name() + "\" has no opening \"{\""
+                    : "directive \"" + d.name() + "\" is not terminated by \";\"";
         }
-        return d.args().size() < s.least || d.args().size() > s.most ? "invalid number of arguments in \"" + d.name()
-                + "\" directive" : null;
+        return d.args().size() < s.least || d.args().size() > s.most
+                ? "invalid number of arguments in \"" + d.name() + "\" directive"
+                : null;
     }
 }
--- a/src/main/java/cacheproxy/nginx/model/HttpModel.java
+++ b/src/main/java/cacheproxy/nginx/model/HttpModel.java
@@ -16,24 +16,30 @@
  */
 public final class HttpModel {
     /** Something that nginx itself would not start with, or would ignore. */
-    public record Fault(Directive at, String why) { }
+    public record Fault(Directive at, String why) {}
 
     /** The {@code http} blocks, or the whole tree where there is none: a file of sites as distributions keep them. */
     public final List<Directive> http;
+
     public final Map<String, UpstreamBlock> upstreams = new LinkedHashMap<>();
     public final List<ServerBlock> servers = new ArrayList<>();
     /** {@code map}, {@code split_clients} and {@code geo} by the variable that they set, without its dollar. */
     public final Map<String, Directive> variables = new HashMap<>();
+
     public final List<Fault> faults = new ArrayList<>();
 
     public HttpModel(List<Directive> tree) {
-        List<Directive> blocks = tree.stream().filter(d -> d.name().equals("http") && d.block() != null).toList();
-        http = blocks.isEmpty() ? tree : blocks.stream().flatMap(b -> b.block().stream()).toList();
+        List<Directive> blocks = tree.stream()
+                .filter(d -> d.name().equals("http") && d.block() != null)
+                .toList();
+        http = blocks.isEmpty()
+                ? tree
+                : blocks.stream().flatMap(b -> b.block().stream()).toList();
         for (Directive d : http) {
             switch (d.name()) {
                 case "upstream" -> upstream(d);
                 case "map", "geo", "split_clients" -> variable(d);
-                default -> { }
+                default -> {}
             }
         }
         for (Directive d : http) {
@@ -65,8 +71,10 @@
             return;
         }
         if (upstreams.containsKey(name)) {
-            fault(d, "duplicate upstream \"" + name + "\"; the first, of line "
-                    + upstreams.get(name).directive().at().line() + ", is taken");
+            fault(
+                    d,
+                    "duplicate upstream \"" + name + "\"; the first, of line "
+                            + upstreams.get(name).directive().at().line() + ", is taken");
             return;
         }
         UpstreamBlock.Method method = UpstreamBlock.Method.ROUND_ROBIN;
@@ -82,7 +90,8 @@
                 method = m;
                 methodAt = e;
                 // nginx forgets what a method does not take only for servers that are written after it.
-                backupsAllowed = m == UpstreamBlock.Method.ROUND_ROBIN || m == UpstreamBlock.Method.LEAST_CONN
+                backupsAllowed = m == UpstreamBlock.Method.ROUND_ROBIN
+                        || m == UpstreamBlock.Method.LEAST_CONN
                         || m == UpstreamBlock.Method.OTHER;
             } else if (e.name().equals("server")) {
                 server(e, backupsAllowed, servers);
@@ -148,7 +157,8 @@
         List<String> names = new ArrayList<>();
         for (Directive e : d.block()) {
             if (e.name().equals("listen")) {
-                boolean isDefault = e.args().contains("default_server") || e.args().contains("default");
+                boolean isDefault =
+                        e.args().contains("default_server") || e.args().contains("default");
                 listens.add(new ServerBlock.Listen(socket(e.arg(0)), isDefault, e));
             } else if (e.name().equals("server_name")) {
                 for (String n : e.args()) {
@@ -229,8 +239,8 @@
         }
         if (text.startsWith("~")) {
             boolean any = text.startsWith("~*");
-            return new Location(any ? Location.Kind.REGEX_ANY_CASE : Location.Kind.REGEX, text.substring(any ? 2 : 1), d,
-                    parent);
+            return new Location(
+                    any ? Location.Kind.REGEX_ANY_CASE : Location.Kind.REGEX, text.substring(any ? 2 : 1), d, parent);
         }
         return new Location(text.startsWith("@") ? Location.Kind.NAMED : Location.Kind.PREFIX, text, d, parent);
     }
@@ -249,6 +259,8 @@
         if (l.kind == Location.Kind.NAMED) {
             return "can be on the server level only";
         }
-        return !l.kind.isRegex() && !l.text.startsWith(parent.text) ? "is outside location \"" + parent.text + "\"" : null;
+        return !l.kind.isRegex() && !l.text.startsWith(parent.text)
+                ? "is outside location \"" + parent.text + "\""
+                : null;
     }
 }
--- a/src/main/java/cacheproxy/nginx/model/Location.java
+++ b/src/main/java/cacheproxy/nginx/model/Location.java
@@ -8,9 +8,13 @@
 public final class Location {
     /** How a location's text is held against a path. */
     public enum Kind {
-        EXACT, PREFIX,
+        EXACT,
+        PREFIX,
         /** {@code ^~}: a prefix that, where it is the longest, keeps patterns from being tried. */
-        PREFIX_ALONE, REGEX, REGEX_ANY_CASE, NAMED;
+        PREFIX_ALONE,
+        REGEX,
+        REGEX_ANY_CASE,
+        NAMED;
 
         /** Whether it is found by the longest match, not by order. */
         public boolean isPrefix() {
@@ -25,9 +29,11 @@
     public final Kind kind;
     /** A path, a pattern, or a name with its {@code @}. */
     public final String text;
+
     public final Directive directive;
     /** Null at the server's level. */
     public final Location parent;
+
     public final List<Location> children = new ArrayList<>();
 
     Location(Kind kind, String text, Directive directive, Location parent) {
--- a/src/main/java/cacheproxy/nginx/model/LocationSearch.java
+++ b/src/main/java/cacheproxy/nginx/model/LocationSearch.java
@@ -31,14 +31,14 @@
      * @param regexes locations whose patterns must all be found
      * @param redirect whether nginx answers with a redirect to the path with a slash behind it
      */
-    public record Step(Tier tier, String exact, String prefix, List<Location> regexes, Location location,
-            boolean redirect) { }
+    public record Step(
+            Tier tier, String exact, String prefix, List<Location> regexes, Location location, boolean redirect) {}
 
     private final List<Step> steps = new ArrayList<>();
     private final List<Location> unreachable = new ArrayList<>();
 
     /** A prefix with what is to be tried for its keys before it. */
-    private record Prefix(Location location, List<List<Location>> before, boolean plain) { }
+    private record Prefix(Location location, List<List<Location>> before, boolean plain) {}
 
     private final List<Prefix> prefixes = new ArrayList<>();
     private final Set<String> exact = new HashSet<>();
@@ -51,7 +51,8 @@
         prefixes.stream().filter(p -> !p.plain).forEach(p -> own.add(p.location.text));
         // Of equal ones the inner is searched after the outer, and found.
         prefixes.sort(Comparator.comparingInt((Prefix p) -> p.location.text.length())
-                .thenComparingInt(p -> depth(p.location)).reversed());
+                .thenComparingInt(p -> depth(p.location))
+                .reversed());
         for (Prefix p : prefixes) {
             boolean ownSearch = !p.plain;
             for (int n = 0; !ownSearch && n < p.location.text.length(); n++) {
@@ -104,11 +105,12 @@
     }
 
     /**
-     * @param after the outer levels' patterns that follow a level's own, for a key whose longest prefix is in this level
+     * @param after the outer levels' patterns that follow a level's own, for a key whose longest prefix is in this
+     *     level
      * @param hiding prefixes of outer levels: what begins with one is not searched here
      */
-    private void level(List<Location> level, List<List<Location>> after, Predicate<Location> passes,
-            List<Set<String>> hiding) {
+    private void level(
+            List<Location> level, List<List<Location>> after, Predicate<Location> passes, List<Set<String>> hiding) {
         Set<String> prefixTexts = new HashSet<>();
         Set<String> texts = new HashSet<>();
         List<Location> reached = new ArrayList<>();
@@ -153,7 +155,9 @@
 
     private static Set<String> longer(Set<String> texts, String than) {
         Set<String> longer = new HashSet<>();
-        texts.stream().filter(t -> t.length() > than.length() && t.startsWith(than)).forEach(longer::add);
+        texts.stream()
+                .filter(t -> t.length() > than.length() && t.startsWith(than))
+                .forEach(longer::add);
         return longer;
     }
 
--- a/src/main/java/cacheproxy/nginx/model/ServerBlock.java
+++ b/src/main/java/cacheproxy/nginx/model/ServerBlock.java
@@ -17,5 +17,5 @@
      * @param socket {@code address:port}, {@code *:80} for all addresses, or {@code unix:path}
      * @param isDefault whether it is marked as the default server there
      */
-    public record Listen(String socket, boolean isDefault, Directive directive) { }
+    public record Listen(String socket, boolean isDefault, Directive directive) {}
 }
--- a/src/main/java/cacheproxy/nginx/model/UpstreamBlock.java
+++ b/src/main/java/cacheproxy/nginx/model/UpstreamBlock.java
@@ -12,7 +12,15 @@
  */
 public record UpstreamBlock(String name, Directive directive, Method method, Directive methodAt, List<Server> servers) {
     /** Ways to choose a server. */
-    public enum Method { ROUND_ROBIN, HASH, CONSISTENT, IP_HASH, LEAST_CONN, RANDOM, OTHER }
+    public enum Method {
+        ROUND_ROBIN,
+        HASH,
+        CONSISTENT,
+        IP_HASH,
+        LEAST_CONN,
+        RANDOM,
+        OTHER
+    }
 
     /**
      * A server as it is written.
@@ -21,8 +29,13 @@
      * @param weight 1 or more
      * @param others parameters with a value that are none of the others' fields
      */
-    public record Server(String address, int weight, boolean backup, boolean down, Map<String, String> others,
-            Directive directive) { }
+    public record Server(
+            String address,
+            int weight,
+            boolean backup,
+            boolean down,
+            Map<String, String> others,
+            Directive directive) {}
 
     /** Its key as written; empty unless it hashes one. */
     public String key() {
--- a/src/main/java/cacheproxy/placement/AdmissionControl.java
+++ b/src/main/java/cacheproxy/placement/AdmissionControl.java
@@ -3,13 +3,12 @@
 import cacheproxy.policy.PolicyApi.Member;
 
 /**
- * Bounds that reach further than one pool, asked by the module before it sends: what cold servers are given
- * by all pools of a process together, and what its pool spends on retries. Calls come at the module's clock,
- * in milliseconds.
+ * Bounds that reach further than one pool, asked by the module before it sends: what cold servers are given by all
+ * pools of a process together, and what its pool spends on retries. Calls come at the module's clock, in milliseconds.
  */
 public interface AdmissionControl {
     /** No bounds but the module's own. */
-    AdmissionControl OPEN = new AdmissionControl() { };
+    AdmissionControl OPEN = new AdmissionControl() {};
 
     /**
      * Whether a server that is cold may be sent one more request now; if so it counts as sent.
@@ -26,7 +25,7 @@
     }
 
     /** A request's first attempt goes out. */
-    default void first(double now) { }
+    default void first(double now) {}
 
     /** Whether one more attempt may be spent on a request that has had one; if so it counts as spent. */
     default boolean retry(double now) {
--- a/src/main/java/cacheproxy/placement/BackupPlacement.java
+++ b/src/main/java/cacheproxy/placement/BackupPlacement.java
@@ -6,8 +6,8 @@
 import java.util.function.IntPredicate;
 
 /**
- * Backup servers behind all others: they follow when none of a key's first {@value #LOOK} ordinary
- * servers may be sent to. A hot key is not spread over them.
+ * Backup servers behind all others: they follow when none of a key's first {@value #LOOK} ordinary servers may be sent
+ * to. A hot key is not spread over them.
  */
 public final class BackupPlacement implements Placement {
     /** So many ordinary servers are ranked before a backup is; bounds the cost for a key. */
@@ -39,7 +39,8 @@
 
     /** Adds backups to placements of this kind; {@code backup} tells them by the members' ids. */
     public static Factory over(Factory factory, IntPredicate backup) {
-        return members -> members.stream().noneMatch(m -> backup.test(m.id())) ? factory.of(members)
+        return members -> members.stream().noneMatch(m -> backup.test(m.id()))
+                ? factory.of(members)
                 : new BackupPlacement(members, backup, factory);
     }
 
--- a/src/main/java/cacheproxy/placement/CarpPlacement.java
+++ b/src/main/java/cacheproxy/placement/CarpPlacement.java
@@ -7,10 +7,10 @@
 import java.util.stream.IntStream;
 
 /**
- * CARP's ranking (draft-vinod-carp-v1-03, section 3.4). Every member is scored for each key, so the scan is
- * what counts. Hashes lie in rows; loops that the compiler turns into vector code combine a row with the key
- * and keep, for each lane of some rows, the greatest. Only lanes whose greatest hash with the greatest
- * multiplier could get among the best are looked into. The answers are those of scoring one after another.
+ * CARP's ranking (draft-vinod-carp-v1-03, section 3.4). Every member is scored for each key, so the scan is what
+ * counts. Hashes lie in rows; loops that the compiler turns into vector code combine a row with the key and keep, for
+ * each lane of some rows, the greatest. Only lanes whose greatest hash with the greatest multiplier could get among the
+ * best are looked into. The answers are those of scoring one after another.
  */
 public final class CarpPlacement implements Placement {
     /** Hashes in a row, 1 KiB: enough for unrolled vector code. */
@@ -21,10 +21,12 @@
     private final int lanes;
     /** Members by falling multiplier, so that those near each other have nearly the same. */
     private final int[] order;
+
     private final double[] multipliers;
     private final int[][] hashes;
     /** The hashes combined with a key's. */
     private final int[][] combined;
+
     private final int[] greatest;
     private double[] scores = new double[16];
 
@@ -36,8 +38,11 @@
             weights[i] = members.get(i).weight();
         }
         float[] x = CarpHash.multipliers(weights);
-        order = IntStream.range(0, n).boxed().sorted((a, b) -> Float.compare(x[b], x[a]))
-                .mapToInt(Integer::intValue).toArray();
+        order = IntStream.range(0, n)
+                .boxed()
+                .sorted((a, b) -> Float.compare(x[b], x[a]))
+                .mapToInt(Integer::intValue)
+                .toArray();
         multipliers = new double[n];
         lanes = Math.max(1, Math.min(LANES, n));
         int rows = (n + lanes - 1) / lanes;
@@ -45,7 +50,8 @@
         combined = new int[rows][lanes];
         greatest = new int[lanes];
         for (int i = 0; i < n; i++) {
-            hashes[i / lanes][i % lanes] = CarpHash.memberHash(members.get(order[i]).id());
+            hashes[i / lanes][i % lanes] =
+                    CarpHash.memberHash(members.get(order[i]).id());
             multipliers[i] = x[order[i]];
         }
     }
@@ -103,8 +109,8 @@
     }
 
     /**
-     * {@link CarpHash#combine} for a row. Vector code comes of it only if all arrays have one index; rotations
-     * are sums, as for the usual form there is no vector code everywhere.
+     * {@link CarpHash#combine} for a row. Vector code comes of it only if all arrays have one index; rotations are
+     * sums, as for the usual form there is no vector code everywhere.
      */
     private static void combine(int keyHash, int[] hashes, int[] out) {
         for (int i = 0; i < out.length; i++) {
@@ -115,8 +121,8 @@
     }
 
     /**
-     * The greatest of each lane, by halves of the hashes: they are not negative, so a difference can't
-     * overflow and its sign chooses. Math.max would be no vector code.
+     * The greatest of each lane, by halves of the hashes: they are not negative, so a difference can't overflow and its
+     * sign chooses. Math.max would be no vector code.
      */
     private static void greatest(int[] row, int[] greatest) {
         for (int i = 0; i < row.length; i++) {
@@ -127,8 +133,8 @@
     }
 
     /**
-     * The least half of a hash that could reach a score with this multiplier. Rounded down by more than the
-     * division can be wrong: what passes is scored exactly.
+     * The least half of a hash that could reach a score with this multiplier. Rounded down by more than the division
+     * can be wrong: what passes is scored exactly.
      */
     private static int least(double score, double multiplier) {
         double hash = multiplier > 0 ? score / multiplier * (1 - 1e-12) - 1 : 0;
--- a/src/main/java/cacheproxy/placement/NginxConsistentPlacement.java
+++ b/src/main/java/cacheproxy/placement/NginxConsistentPlacement.java
@@ -7,9 +7,9 @@
 import java.util.zip.CRC32;
 
 /**
- * nginx's {@code hash KEY consistent}, the ketama ring as Cache::Memcached::Fast builds it: 160 points a unit of weight,
- * each the CRC-32 of host, NUL, port and the point before; a key belongs to the first point at or behind its own
- * CRC-32. Servers that are down keep their points and are passed over. Keys are {@link PlacementKey}s.
+ * nginx's {@code hash KEY consistent}, the ketama ring as Cache::Memcached::Fast builds it: 160 points a unit of
+ * weight, each the CRC-32 of host, NUL, port and the point before; a key belongs to the first point at or behind its
+ * own CRC-32. Servers that are down keep their points and are passed over. Keys are {@link PlacementKey}s.
  */
 public final class NginxConsistentPlacement implements Placement {
     private static final int POINTS = 160;
--- a/src/main/java/cacheproxy/placement/NginxHashPlacement.java
+++ b/src/main/java/cacheproxy/placement/NginxHashPlacement.java
@@ -10,8 +10,8 @@
 
 /**
  * nginx's {@code hash KEY} without {@code consistent}, which is that of Cache::Memcached: bits 16 to 30 of the key's
- * CRC-32 modulo the sum of weights; where that server is down or has been tried, the count of looks is put before
- * the key, hashed again and added. After {@value #LOOKS} looks in vain nginx goes round; here the file's order follows.
+ * CRC-32 modulo the sum of weights; where that server is down or has been tried, the count of looks is put before the
+ * key, hashed again and added. After {@value #LOOKS} looks in vain nginx goes round; here the file's order follows.
  * Keys are {@link PlacementKey}s.
  */
 public final class NginxHashPlacement implements Placement {
@@ -21,6 +21,7 @@
     private final int[] bounds;
     /** Indexes of members by peer; -1: not ready. */
     private final int[] ready;
+
     private final boolean[] taken;
     /** CRC-32 of the look's number in decimal. */
     private final int[] numbers;
--- a/src/main/java/cacheproxy/placement/PlacementKey.java
+++ b/src/main/java/cacheproxy/placement/PlacementKey.java
@@ -10,6 +10,7 @@
 public final class PlacementKey {
     /** Texts are this long at most. */
     public static final int MAX_LENGTH = 4095;
+
     private static final int POLY = 0xEDB88320;
     /** x^(2^n) modulo the CRC's polynomial, reflected. */
     private static final int[] POWERS = new int[32];
@@ -21,7 +22,7 @@
         }
     }
 
-    private PlacementKey() { }
+    private PlacementKey() {}
 
     /** Of a text with at most {@link #MAX_LENGTH} bytes; never 0. */
     public static long of(byte[] text) {
--- a/src/main/java/cacheproxy/placement/PlacementRegistry.java
+++ b/src/main/java/cacheproxy/placement/PlacementRegistry.java
@@ -8,7 +8,7 @@
     public static final String NGINX_HASH = "nginx-hash";
     public static final String NGINX_CONSISTENT = "nginx-consistent";
 
-    private PlacementRegistry() { }
+    private PlacementRegistry() {}
 
     /** A placement's factory; peers, in the file's order, are those that may be ready. */
     public static Placement.Factory factory(String name, List<PlacementTarget> peers) {
--- a/src/main/java/cacheproxy/placement/ServerId.java
+++ b/src/main/java/cacheproxy/placement/ServerId.java
@@ -5,7 +5,7 @@
 
 /** The number under which the module knows a server. */
 public final class ServerId {
-    private ServerId() { }
+    private ServerId() {}
 
     /** From a name, alike at every proxy: the hexadecimal digits behind its last hyphen, else its CRC-32. */
     public static int of(String name) {
--- a/src/main/java/cacheproxy/placement/StartTimes.java
+++ b/src/main/java/cacheproxy/placement/StartTimes.java
@@ -4,12 +4,11 @@
 import java.util.Collection;
 
 /**
- * When servers started, on this proxy's own clock. Lists tell it by another machine's wall clock, and
- * ours may be wrong by an hour, or have been when the process started: a cold server must not pass for a
- * warm one for that. So the two clocks are never compared. A server that is on a list has started by
- * then; of all starts that lists have told, the one that came soonest after its own time shows how far
- * the lists' clock is ahead of ours at the least. By that no server seems older than it is, and the
- * newest of a first list seems to have just started.
+ * When servers started, on this proxy's own clock. Lists tell it by another machine's wall clock, and ours may be wrong
+ * by an hour, or have been when the process started: a cold server must not pass for a warm one for that. So the two
+ * clocks are never compared. A server that is on a list has started by then; of all starts that lists have told, the
+ * one that came soonest after its own time shows how far the lists' clock is ahead of ours at the least. By that no
+ * server seems older than it is, and the newest of a first list seems to have just started.
  *
  * <p>Free of I/O and clocks; times in milliseconds. Holds one figure.
  */
@@ -36,8 +35,7 @@
      * When a server started, at the latest; it may have a little earlier.
      *
      * @param bornMs as its list tells it, which is a start
-     * @param changedMs when it was seen to have started since an earlier list; negative infinity: the first
-     *            list had it
+     * @param changedMs when it was seen to have started since an earlier list; negative infinity: the first list had it
      */
     public double startedMs(double bornMs, double changedMs) {
         return Math.max(bornMs - aheadMs, changedMs - LONGEST_NEWS_MS);
--- a/src/main/java/cacheproxy/policy/CarpHash.java
+++ b/src/main/java/cacheproxy/policy/CarpHash.java
@@ -4,9 +4,10 @@
 public final class CarpHash {
     /** The draft's multiplier of section 3.2. */
     public static final int SPREAD = 0x62531965;
+
     private static final double UNSIGNED = 4294967296.0;
 
-    private CarpHash() { }
+    private CarpHash() {}
 
     /** Draft 3.1 over the key's text form: 16 lower-case hexadecimal digits. */
     public static int keyHash(long key) {
@@ -31,10 +32,9 @@
     }
 
     /**
-     * Draft 3.2: both hashes combined, to be read as unsigned. Departure, always on: the draft's two steps
-     * run once more. After one pass the top ten bits hang on ten bits of the XOR alone, so keys fall into
-     * 1,024 lots and in a fleet of 120 equal members one gets 2.2 times its share; a second pass spreads them
-     * as evenly as chance.
+     * Draft 3.2: both hashes combined, to be read as unsigned. Departure, always on: the draft's two steps run once
+     * more. After one pass the top ten bits hang on ten bits of the XOR alone, so keys fall into 1,024 lots and in a
+     * fleet of 120 equal members one gets 2.2 times its share; a second pass spreads them as evenly as chance.
      */
     public static int combine(int keyHash, int memberHash) {
         return spread(spread(keyHash ^ memberHash));
@@ -46,9 +46,8 @@
     }
 
     /**
-     * Draft 3.3: the load factor multipliers, in the order of the weights. The running product is kept as a
-     * logarithm, so hundreds of members do not underflow; rounding below zero is clamped. All weights zero:
-     * equal.
+     * Draft 3.3: the load factor multipliers, in the order of the weights. The running product is kept as a logarithm,
+     * so hundreds of members do not underflow; rounding below zero is clamped. All weights zero: equal.
      */
     public static float[] multipliers(float[] weights) {
         int n = weights.length;
--- a/src/main/java/cacheproxy/policy/RoutingPolicy.java
+++ b/src/main/java/cacheproxy/policy/RoutingPolicy.java
@@ -1,17 +1,16 @@
 package cacheproxy.policy;
 
-import cacheproxy.snapshot.state.LearnedState;
 import cacheproxy.placement.AdmissionControl;
 import cacheproxy.placement.CarpPlacement;
 import cacheproxy.placement.Placement;
 import cacheproxy.placement.StartTimes;
 import cacheproxy.siblings.Siblings;
+import cacheproxy.snapshot.state.LearnedState;
 import java.util.*;
 
 /**
- * The decisions of one balancer instance. Types, events and actions: PolicyApi.java; hashes and ranking:
- * Carp.java. CARP's top score takes each request; what departs from it says at its place when it acts and
- * what it guards.
+ * The decisions of one balancer instance. Types, events and actions: PolicyApi.java; hashes and ranking: Carp.java.
+ * CARP's top score takes each request; what departs from it says at its place when it acts and what it guards.
  */
 public final class RoutingPolicy implements PolicyApi {
     private static final int NUMBERS = (1 << 30) - 1;
@@ -20,12 +19,13 @@
     private static final double DOUBT_SHARE = 0.05;
     private static final double DOUBT_SAVED = 5;
     /**
-     * In a crowd a cold server takes less than it could, by this at most: kept empty, it leaves the crowd to
-     * the others. Half the fleet gone and all tried three times at load 0.68 is 4.1 times, by this 2.7.
+     * In a crowd a cold server takes less than it could, by this at most: kept empty, it leaves the crowd to the
+     * others. Half the fleet gone and all tried three times at load 0.68 is 4.1 times, by this 2.7.
      */
     private static final double MOST_CROWDED = 1.5;
     /** Of a key's fair part: what a cold server may get at its first sight, and at each one after that. */
     private static final double FIRST_SIGHT = 3, LATER_SIGHT = 0.5;
+
     private static final int RANKS = 8;
     private static final int SHUN_CONNECTS = 10;
 
@@ -35,6 +35,7 @@
     private final Map<Integer, Flight> flights = new HashMap<>();
     /** Requests in hand by the number in their timers: a timer outlives its request, and must not keep it. */
     private final Map<Integer, Flight> numbered = new HashMap<>();
+
     private final Map<Long, Flight> fetches = new HashMap<>();
     private final HotKeys hot = new HotKeys();
     private final Throttle throttle = new Throttle();
@@ -102,6 +103,7 @@
         boolean doubted;
         /** Whether siblings were asked, and whether it has gone on to the origin. */
         boolean asked;
+
         boolean fetching;
         double overdueAt;
         Server missedAt;
@@ -130,11 +132,13 @@
     private static final class HotKeys {
         /** Halving span: long enough for a hot key to show at a proxy with a few requests a second. */
         static final double SPAN_MS = 4000;
+
         static final int MIN_COUNT = 6;
         static final int MOST_WIDE = 256;
         private final Map<Long, int[]> counts = new HashMap<>();
         /** Those that were spread since the last halving: the ones worth telling a successor. */
         private final Set<Long> wide = new HashSet<>();
+
         private double total;
         /** Lately, without what was remembered: more would make a hot key seem fair to a cold server. */
         private double own, ownAt, halvedAt;
@@ -172,17 +176,19 @@
     }
 
     /**
-     * What the origin was asked and what it answered in time of that, both fading. Guards against the jam in
-     * which late and refused fetches are asked for again and the origin works for nobody.
+     * What the origin was asked and what it answered in time of that, both fading. Guards against the jam in which late
+     * and refused fetches are asked for again and the origin works for nobody.
      */
     private static final class Throttle {
         /** Halves in this time: some ten fetches at a proxy with a few a second. */
         static final double HALF_MS = 4000;
+
         static final double HEADROOM = 1.2;
         private double asked;
         private double answered;
         /** What an earlier instance counted, fading alike. */
         private double priorAsked;
+
         private double priorAnswered;
         private double at;
 
@@ -212,8 +218,9 @@
 
         double pressure(double now) {
             fade(now);
-            return Math.max(1, Math.max((asked + 1) / (answered + 1),
-                    (asked + priorAsked + 1) / (answered + priorAnswered + 1)));
+            return Math.max(
+                    1,
+                    Math.max((asked + 1) / (answered + 1), (asked + priorAsked + 1) / (answered + priorAnswered + 1)));
         }
 
         LearnedState.Load told(double now) {
@@ -239,8 +246,8 @@
     }
 
     /**
-     * What each tenant asks of this instance, fading. What must be refused comes off those that ask most over
-     * their quotas (max-min fair), as that is worth little. Clients' repeats swell all alike.
+     * What each tenant asks of this instance, fading. What must be refused comes off those that ask most over their
+     * quotas (max-min fair), as that is worth little. Clients' repeats swell all alike.
      */
     private final class Shares {
         private final double[] asked = new double[cfg.tenants().size()];
@@ -265,7 +272,8 @@
             double high = 0;
             for (int t = 0; t < asked.length; t++) {
                 goal += asked[t] * (1 - excess);
-                high = Math.max(high, asked[t] / Math.max(1e-9, cfg.tenants().get(t).quotaPerSecond()));
+                high = Math.max(
+                        high, asked[t] / Math.max(1e-9, cfg.tenants().get(t).quotaPerSecond()));
             }
             double low = 0;
             for (int step = 0; step < 24; step++) {
@@ -298,8 +306,8 @@
     }
 
     /** One that ranks servers by this placement, keeps to these further bounds and may ask these siblings. */
-    public RoutingPolicy(Settings settings, long seed, Placement.Factory placements, AdmissionControl admission,
-            Siblings siblings) {
+    public RoutingPolicy(
+            Settings settings, long seed, Placement.Factory placements, AdmissionControl admission, Siblings siblings) {
         cfg = settings;
         this.placements = placements;
         this.admission = admission;
@@ -307,7 +315,9 @@
         placement = placements.of(List.of());
         random = new SplittableRandom(seed);
         shares = settings.overShareWorth() < 1 && settings.tenants().size() > 1 ? new Shares() : null;
-        double shortestAim = settings.classes().stream().mapToDouble(ServiceClass::aimMs).min()
+        double shortestAim = settings.classes().stream()
+                .mapToDouble(ServiceClass::aimMs)
+                .min()
                 .orElseThrow(() -> new IllegalArgumentException("settings name no class"));
         fetchMs = shortestAim / 4;
         pace = shortestAim / 8;
@@ -369,14 +379,18 @@
                 told.add(new LearnedState.Server(s.id, s.member.bornMs(), s.failures, left, s.doubts));
             }
         }
-        return new LearnedState(told, new LearnedState.Pace(fetchMs, usualCost, pace, paceDeviation, 1),
-                throttle.told(now), crowd.told(now), hot.told(mostKeys));
+        return new LearnedState(
+                told,
+                new LearnedState.Pace(fetchMs, usualCost, pace, paceDeviation, 1),
+                throttle.told(now),
+                crowd.told(now),
+                hot.told(mostKeys));
     }
 
     /**
-     * Takes in what an earlier instance learned of the servers on the list. After the list, before requests.
-     * It is advice: no server is left out for longer than this instance would leave it out itself, the next
-     * answer overrules what is remembered, and no cold server is sent more for it.
+     * Takes in what an earlier instance learned of the servers on the list. After the list, before requests. It is
+     * advice: no server is left out for longer than this instance would leave it out itself, the next answer overrules
+     * what is remembered, and no cold server is sent more for it.
      */
     public void recall(double now, LearnedState known) {
         for (LearnedState.Server k : known.servers()) {
@@ -410,8 +424,7 @@
                 throw new IllegalArgumentException("member " + id + " has weight " + m.weight());
             }
             if (m.zone() < 0 || m.zone() >= cfg.zones() || m.kind() < 0 || m.kind() >= cfg.kinds()) {
-                throw new IllegalArgumentException(
-                        "member " + id + ": zone " + m.zone() + ", kind " + m.kind());
+                throw new IllegalArgumentException("member " + id + ": zone " + m.zone() + ", kind " + m.kind());
             }
         }
     }
@@ -453,10 +466,12 @@
 
     @Override
     public void onRequest(double now, Request request, Actions out) {
-        if (request.serviceClass() < 0 || request.serviceClass() >= cfg.classes().size()) {
+        if (request.serviceClass() < 0
+                || request.serviceClass() >= cfg.classes().size()) {
             throw new IllegalArgumentException("class " + request.serviceClass() + " is not in the settings");
         }
-        if (request.tenant() < 0 || request.tenant() > 0 && request.tenant() >= cfg.tenants().size()) {
+        if (request.tenant() < 0
+                || request.tenant() > 0 && request.tenant() >= cfg.tenants().size()) {
             throw new IllegalArgumentException("tenant " + request.tenant() + " is not in the settings");
         }
         if (request.costMs() > 0) {
@@ -479,8 +494,8 @@
     }
 
     /**
-     * The draft sends all of a key to one member. A key that locally exceeds a server's fair part is
-     * spread over as many of its top ranks as bring each under that, wherever it is as hot.
+     * The draft sends all of a key to one member. A key that locally exceeds a server's fair part is spread over as
+     * many of its top ranks as bring each under that, wherever it is as hot.
      */
     private int spread(long key, int seen) {
         int all = placement.spreadable();
@@ -500,7 +515,8 @@
         Server s = null;
         if (!worthless && f.attempts < cfg.maxAttempts() && now < f.request.dueMs()) {
             s = f.toOrigin || cfg.aside() && f.safe && f.attempts >= CACHE_TRIES && f.missedAt == null
-                    ? origin : choose(now, f, out);
+                    ? origin
+                    : choose(now, f, out);
             if (s == null && cfg.aside() && f.safe) {
                 s = origin;
             }
@@ -610,8 +626,8 @@
     }
 
     /**
-     * How long a cache server may take before it is doubted: three deviations over the usual time for the
-     * work hinted at, but early enough that runner-up and origin can still answer within the aim.
+     * How long a cache server may take before it is doubted: three deviations over the usual time for the work hinted
+     * at, but early enough that runner-up and origin can still answer within the aim.
      */
     private double patience(double now, Flight f) {
         double usual = (pace + 3 * paceDeviation) * f.work();
@@ -620,9 +636,9 @@
     }
 
     /**
-     * The server is overdue: runner-up if the budget allows; guards against silent and hung servers. Where
-     * the attempt stays out, its answer clears the server; where it must be called off, one slow answer is no
-     * evidence, two in a row are: shunning sound servers moves their keys to the origin.
+     * The server is overdue: runner-up if the budget allows; guards against silent and hung servers. Where the attempt
+     * stays out, its answer clears the server; where it must be called off, one slow answer is no evidence, two in a
+     * row are: shunning sound servers moves their keys to the origin.
      */
     private void overdue(double now, Flight f, Actions out) {
         int a = f.attempts - 1;
@@ -664,7 +680,8 @@
         if (Double.isNaN(f.maybeRanSince) || f.safe) {
             return true;
         }
-        return f.kind.effect() == Effect.KEYED && now < f.maybeRanSince + f.kind.windowMs()
+        return f.kind.effect() == Effect.KEYED
+                && now < f.maybeRanSince + f.kind.windowMs()
                 && sameGroup(f.kind.group(), f.maybeRanAt.member, s.member);
     }
 
@@ -747,7 +764,11 @@
             return warmEnough(now, f, s);
         }
         // A trial that a cold server's limit turns away has no end that could clear it, and s would stay out.
-        if (now < s.shunnedUntil || s.trial || !f.safe || f.attempts > 0 || trials < 1
+        if (now < s.shunnedUntil
+                || s.trial
+                || !f.safe
+                || f.attempts > 0
+                || trials < 1
                 || !cfg.mayProbe() && !(warmEnough(now, f, s) && admission.trial(now, s.member))) {
             return false;
         }
@@ -773,13 +794,11 @@
         // Each takes its part by chance: of keys chosen alike by all, a new hot one would come from all. Who
         // has just started takes each hot key for a new one, and lets few in until it has seen some requests.
         double part = hot.own * s.share * (f.seen > 1 ? LATER_SIGHT : FIRST_SIGHT);
-        return random.nextDouble() < ramp * Math.min(1, part / f.seen)
-                && admission.cold(now, s.member, started);
+        return random.nextDouble() < ramp * Math.min(1, part / f.seen) && admission.cold(now, s.member, started);
     }
 
     private boolean cold(double now, Server s) {
-        return s.member.bornMs() != 0
-                && now - starts.startedMs(s.member.bornMs(), s.changedMs) < cfg.warmUpMs();
+        return s.member.bornMs() != 0 && now - starts.startedMs(s.member.bornMs(), s.changedMs) < cfg.warmUpMs();
     }
 
     // ---- ends of attempts
@@ -831,7 +850,9 @@
                 timer(fetchMs, AGAIN, f, out);
                 return;
             }
-        } else if (s == origin && end.outcome() == Outcome.FULL && f.request.write()
+        } else if (s == origin
+                && end.outcome() == Outcome.FULL
+                && f.request.write()
                 && f.attempts < cfg.maxAttempts()) {
             f.waiting = true;
             timer(fetchMs * (0.5 + random.nextDouble()), AGAIN, f, out);
@@ -852,10 +873,7 @@
         }
     }
 
-    /**
-     * Those who waited for a fetch find its object where it was missed; where the fetch failed, one of them
-     * tries.
-     */
+    /** Those who waited for a fetch find its object where it was missed; where the fetch failed, one of them tries. */
     private void fetchEnded(double now, Flight f, boolean stored, Actions out) {
         for (Flight w : unlead(f)) {
             if (w.done || !w.waiting) {
@@ -996,8 +1014,7 @@
     }
 
     @Override
-    public void onProbed(double now, int server, Outcome outcome, double elapsedMs, float[] report,
-            Actions out) {
+    public void onProbed(double now, int server, Outcome outcome, double elapsedMs, float[] report, Actions out) {
         Server s = servers.get(server);
         if (s == null || s.failures == 0) {
             return;
@@ -1011,5 +1028,5 @@
     }
 
     @Override
-    public void onPeer(double now, int peer, byte[] message, Actions out) { }
+    public void onPeer(double now, int peer, byte[] message, Actions out) {}
 }
--- a/src/main/java/cacheproxy/proxy/CacheCodec.java
+++ b/src/main/java/cacheproxy/proxy/CacheCodec.java
@@ -10,13 +10,13 @@
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.handler.codec.ByteToMessageDecoder;
 import java.net.SocketAddress;
-import java.nio.charset.StandardCharsets;
 import java.util.List;
 
 final class CacheCodec extends ByteToMessageDecoder implements UpstreamConnection.Codec {
     private final UpstreamConnection connection;
     /** Bytes of the value and its line's end that are to come; negative: none, a line is next. */
     private int missing = -1;
+
     private int length;
     private boolean streamed;
     private boolean dropped;
@@ -40,8 +40,9 @@
         int leftMs = attempt.deadlineToTellMs(connection.core().now());
         String as = attempt.owner.classAt(attempt.server);
         if (as != null) { // a sibling knows nothing of our classes, and has one of its own for such reads
-            return channel.write(MetaCodec.text(channel.alloc(), "mg " + command.key + " v O" + command.id + " Pc=" + as + ",d=" + leftMs
-                    + "\r\n"));
+            return channel.write(MetaCodec.text(
+                    channel.alloc(),
+                    "mg " + command.key + " v O" + command.id + " Pc=" + as + ",d=" + leftMs + "\r\n"));
         }
         ByteBuf head = channel.alloc().buffer(command.head.length() + command.tail.length() + 12);
         ByteBufUtil.writeAscii(head, command.head);
@@ -139,8 +140,11 @@
         if (!MetaCodec.flagIs(line, from, 'O', attempt.exchange.command.id)) {
             throw new MetaCodec.SyntaxException("answer to another request");
         }
-        note = MetaCodec.flagIs(line, from, 'h', "1") ? 1 : !MetaCodec.flagIs(line, from, 'h', "0") ? 0
-                : MetaCodec.flag(line, from, 'Z') != null ? PolicyApi.NOTE_FETCH_OUT : 2;
+        note = MetaCodec.flagIs(line, from, 'h', "1")
+                ? 1
+                : !MetaCodec.flagIs(line, from, 'h', "0")
+                        ? 0
+                        : MetaCodec.flag(line, from, 'Z') != null ? PolicyApi.NOTE_FETCH_OUT : 2;
         report = attempt.owner.report(MetaCodec.flag(line, from, 'L'));
     }
 
--- a/src/main/java/cacheproxy/proxy/ClientConnection.java
+++ b/src/main/java/cacheproxy/proxy/ClientConnection.java
@@ -18,19 +18,24 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * A client that speaks the meta commands: reads its requests, hands them in, and writes their answers in the order
- * of the requests.
+ * A client that speaks the meta commands: reads its requests, hands them in, and writes their answers in the order of
+ * the requests.
  */
 final class ClientConnection extends ByteToMessageDecoder {
     /** Commands in hand on one connection; guards memory against a client that only writes. */
     private static final int MAX_PIPELINED = 32;
+
     private static final long LINGER_MS = 300;
     /** What a client's system may take to say that it has an answer: several trips, and a delayed word of it. */
     private static final double ACKNOWLEDGED_MS = 100;
+
     private static final double STALLED_MS = 10_000;
     /** A client asks as soon as it has connected; one that has not by then is owed a close within 3 s. */
     private static final double SILENT_MS = 2000;
-    /** One that has begun may take 2 s to write its first command; one that stops in the middle of any is owed a close within 3 s. */
+    /**
+     * One that has begun may take 2 s to write its first command; one that stops in the middle of any is owed a close
+     * within 3 s.
+     */
     private static final double SLOW_MS = 2600;
     /** What a connection that has been taken may need to bring its first command on a busy machine. */
     private static final double FIRST_MS = 500;
@@ -44,15 +49,18 @@
     private final ArrayDeque<Slot> slots = new ArrayDeque<>();
     /** Those of the commands that have come whole and are yet to be handed in; no more than there are slots. */
     private final ArrayDeque<Slot> fresh = new ArrayDeque<>(2);
+
     private final Runnable handIn = this::handIn;
     private boolean handing;
     private ChannelHandlerContext ctx;
     /** The write whose value is being read, with the bytes still to come; the value is null if there's no room. */
     private ClientRequest incoming;
+
     private int missing;
     private int reserved;
     /** Whether the value that is being read belongs to no command that could be carried out. */
     private boolean refused;
+
     private String openEcho;
     private String openFault;
     private boolean closing;
@@ -60,15 +68,21 @@
     private boolean flushing;
     /** Why this side closed it; null where it did not. */
     private String closeCause;
+
     private final Runnable flush = this::flush;
     private boolean readPaused;
     /** Since when what was read last may have waited unread. */
     private double unreadSinceMs;
-    /** Since when what stands unread at the beginning, or after a pause in reading, may have waited, and in which turn of the loop that ended. */
+    /**
+     * Since when what stands unread at the beginning, or after a pause in reading, may have waited, and in which turn
+     * of the loop that ended.
+     */
     private double heldSinceMs;
+
     private long heldUntilTurn;
     /** Whether a whole command has come. */
     private boolean asked;
+
     private double acceptedMs;
     private double activeMs;
     private double wroteMs = Double.NEGATIVE_INFINITY;
@@ -137,9 +151,9 @@
     }
 
     /**
-     * Whether a command has been begun and not been gone on with for long, or an answer not been taken, or none has come
-     * whole since the connection did: those that connect and say nothing would take the descriptors of those that ask. One
-     * that waits for its answer is not stalled, as long as that may take.
+     * Whether a command has been begun and not been gone on with for long, or an answer not been taken, or none has
+     * come whole since the connection did: those that connect and say nothing would take the descriptors of those that
+     * ask. One that waits for its answer is not stalled, as long as that may take.
      */
     boolean stalled(double now) {
         return now - activeMs > STALLED_MS && (finished || unwritten())
@@ -167,8 +181,8 @@
     }
 
     /**
-     * Ends it for another's sake. Where its client may not have the last answer yet, a close over what it has asked since, and that
-     * nobody has read, would be a reset that takes the answer with it.
+     * Ends it for another's sake. Where its client may not have the last answer yet, a close over what it has asked
+     * since, and that nobody has read, would be a reset that takes the answer with it.
      *
      * @return whether its descriptor is free at once; else it is when it has lingered
      */
@@ -198,7 +212,8 @@
     private void checkOwed(String cause) {
         for (Slot slot : slots) {
             if (slot.owed()) {
-                core.invariants.violation(Invariant.CLOSE_OWES_NOTHING, slot.echo.trim(), "its connection is closed, " + cause);
+                core.invariants.violation(
+                        Invariant.CLOSE_OWES_NOTHING, slot.echo.trim(), "its connection is closed, " + cause);
             }
         }
     }
@@ -285,7 +300,11 @@
         String id = MetaCodec.flag(line, flags, 'O');
         String extras = MetaCodec.flag(line, flags, 'P');
         // A byte that is no printing ASCII could not go on unchanged, and in a header of the origin's not at all.
-        boolean bad = key.isEmpty() || key.length() > 250 || id == null || id.isEmpty() || extras == null
+        boolean bad = key.isEmpty()
+                || key.length() > 250
+                || id == null
+                || id.isEmpty()
+                || extras == null
                 || !MetaCodec.printing(line);
         if (bad && !write) {
             say("CLIENT_ERROR bad command line format\r\n");
@@ -326,7 +345,8 @@
 
     private static ClientRequest command(String line, String key, String id, String extras, int flags, boolean write) {
         int list = line.indexOf(" P", flags - 1) + 2;
-        return new ClientRequest(key, id, write, extras, line.substring(0, list), line.substring(list + extras.length()));
+        return new ClientRequest(
+                key, id, write, extras, line.substring(0, list), line.substring(list + extras.length()));
     }
 
     private void value(ByteBuf in) throws MetaCodec.SyntaxException {
@@ -344,8 +364,10 @@
         incoming = null;
         if (command.value == null) {
             // No room for the value, or no request that could be made of it. Nothing was sent on.
-            say(!refused ? MetaCodec.BUSY + "\r\n" : openFault != null ? openFault + "\r\n"
-                    : "CLIENT_ERROR bad command line format\r\n");
+            say(
+                    !refused
+                            ? MetaCodec.BUSY + "\r\n"
+                            : openFault != null ? openFault + "\r\n" : "CLIENT_ERROR bad command line format\r\n");
             return;
         }
         int end = command.value.writerIndex();
@@ -359,8 +381,8 @@
     }
 
     /**
-     * Has a whole command handed in once what is read now has been. Behind it may stand the client's end, and what a client has asked
-     * that has left by then, perhaps long ago on a busy loop, is not to be sent on.
+     * Has a whole command handed in once what is read now has been. Behind it may stand the client's end, and what a
+     * client has asked that has left by then, perhaps long ago on a busy loop, is not to be sent on.
      */
     private void hand(ClientRequest command, String echo, boolean strict) {
         command.arrivedMs = unreadSinceMs;
@@ -376,7 +398,7 @@
     private void handIn() {
         handing = false;
         // One that has ended is told so only later; what it leaves here goes then.
-        for (Slot slot; ctx.channel().isActive() && (slot = fresh.poll()) != null;) {
+        for (Slot slot; ctx.channel().isActive() && (slot = fresh.poll()) != null; ) {
             ClientRequest command = slot.command;
             slot.command = null;
             try {
@@ -421,6 +443,7 @@
         private final boolean receipts;
         /** Null once it has been handed in. */
         private ClientRequest command;
+
         private RequestHandler.Handle handle;
         /** What is ready to go to the client, null once it has been handed on. */
         private ByteBuf answer;
@@ -430,6 +453,7 @@
         private boolean begun;
         /** Holds back the rest of a long answer. */
         private Flow source;
+
         private boolean streaming;
 
         Slot(String echo, boolean receipts) {
@@ -465,7 +489,9 @@
             ByteBufUtil.writeAscii(buf, "VA ");
             MetaCodec.number(buf, length);
             ByteBufUtil.writeAscii(buf, echo);
-            buf.writeShort(MetaCodec.CRLF).writeBytes(value, value.readerIndex(), length).writeShort(MetaCodec.CRLF);
+            buf.writeShort(MetaCodec.CRLF)
+                    .writeBytes(value, value.readerIndex(), length)
+                    .writeShort(MetaCodec.CRLF);
             value.release();
             answer(buf);
         }
@@ -512,7 +538,8 @@
             } else if (answer == null) {
                 answer = part;
             } else {
-                CompositeByteBuf parts = answer instanceof CompositeByteBuf c ? c
+                CompositeByteBuf parts = answer instanceof CompositeByteBuf c
+                        ? c
                         : ctx.alloc().compositeBuffer(64).addComponent(true, answer);
                 answer = parts.addComponent(true, part);
             }
@@ -602,8 +629,8 @@
     }
 
     /**
-     * Ends the connection from our side and waits for the client to do so: closing with unread input would
-     * send a reset, which could overtake the last answer.
+     * Ends the connection from our side and waits for the client to do so: closing with unread input would send a
+     * reset, which could overtake the last answer.
      */
     void finish() {
         if (finished) {
@@ -627,9 +654,14 @@
     @Override
     public void channelInactive(ChannelHandlerContext context) throws Exception {
         if (core.events.isEnabled()) {
-            core.events.line(ProxyEvent.CLIENT_CLOSED).with("client", ctx.channel().remoteAddress())
-                    .with("by", closedByUs() ? "proxy" : "client").with("cause", closeCause == null ? "end" : closeCause)
-                    .with("owed", slots.size()).with("unread", actualReadableBytes()).write();
+            core.events
+                    .line(ProxyEvent.CLIENT_CLOSED)
+                    .with("client", ctx.channel().remoteAddress())
+                    .with("by", closedByUs() ? "proxy" : "client")
+                    .with("cause", closeCause == null ? "end" : closeCause)
+                    .with("owed", slots.size())
+                    .with("unread", actualReadableBytes())
+                    .write();
         }
         closing = true;
         finished = true;
@@ -639,7 +671,7 @@
             incoming = null;
         }
         fresh.clear();
-        for (Slot e; (e = slots.poll()) != null;) {
+        for (Slot e; (e = slots.poll()) != null; ) {
             if (e.command != null) {
                 e.command.release(core);
                 e.command = null;
--- a/src/main/java/cacheproxy/proxy/ClientRegistry.java
+++ b/src/main/java/cacheproxy/proxy/ClientRegistry.java
@@ -27,8 +27,8 @@
     }
 
     /**
-     * A connection that the kernel has accepted counts as taken, so where there are too many the one that has
-     * stood idle longest makes room.
+     * A connection that the kernel has accepted counts as taken, so where there are too many the one that has stood
+     * idle longest makes room.
      */
     void accepted(ClientConnection client) {
         all.add(client);
--- a/src/main/java/cacheproxy/proxy/ClientRequest.java
+++ b/src/main/java/cacheproxy/proxy/ClientRequest.java
@@ -3,26 +3,30 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * A request as fronts hand it in: its key, id and list of names and values, and the line in which cache nodes are
- * to get it, which is the client's own where that was of the same grammar.
+ * A request as fronts hand it in: its key, id and list of names and values, and the line in which cache nodes are to
+ * get it, which is the client's own where that was of the same grammar.
  */
 public final class ClientRequest {
     /** Of {@code mg} and {@code ms}, with the space. */
     private static final int COMMAND_LENGTH = 3;
+
     final String key;
     final String id;
     final boolean write;
     final String extras;
     /** The list up to the deadline's figure, and from there on. */
     private final String extrasHead;
+
     private final String extrasTail;
     /** The line for cache nodes up to the deadline's figure, and from there on. */
     final String head;
+
     final String tail;
     /** A write's value with its line's end; null for reads. */
     ByteBuf value;
     /** What is given back to the bound on clients' values with the value. */
     private int reserved;
+
     private int holders = 1;
 
     // What the intake has made of the list.
@@ -30,9 +34,11 @@
     int tenant;
     /** The earliest that its last byte may have come; set by whoever read it, else by the intake. */
     double arrivedMs = Double.NaN;
+
     double dueMs;
     /** When the client gives up, whatever others order; no server is told more than is left until then. */
     double clientDueMs = Double.POSITIVE_INFINITY;
+
     double costMs;
     float bytes;
     boolean repeat;
@@ -70,7 +76,12 @@
 
     /** A request that no client sent in the nodes' own grammar. */
     static ClientRequest of(String key, String id, boolean write, int valueBytes, String extras) {
-        return new ClientRequest(key, id, write, extras, write ? "ms " + key + " " + valueBytes + " O" + id + " P" : "mg " + key + " v O" + id + " P",
+        return new ClientRequest(
+                key,
+                id,
+                write,
+                extras,
+                write ? "ms " + key + " " + valueBytes + " O" + id + " P" : "mg " + key + " v O" + id + " P",
                 "");
     }
 
--- a/src/main/java/cacheproxy/proxy/DeadlineField.java
+++ b/src/main/java/cacheproxy/proxy/DeadlineField.java
@@ -1,8 +1,8 @@
 package cacheproxy.proxy;
 
 /**
- * Where a request's list of names and values ({@code c=read,t=acme,d=480}) has its deadline, so that each attempt can be told the time
- * that is left without reading the list again.
+ * Where a request's list of names and values ({@code c=read,t=acme,d=480}) has its deadline, so that each attempt can
+ * be told the time that is left without reading the list again.
  *
  * @param from where the deadline's figure begins in the list; the list's length where it names none
  * @param to where the figure ends
@@ -23,8 +23,8 @@
     }
 
     /**
-     * The list with its first deadline alone. Which of several counts is for each reader to choose, so that a second one would tell a
-     * server what the client had at first.
+     * The list with its first deadline alone. Which of several counts is for each reader to choose, so that a second
+     * one would tell a server what the client had at first.
      */
     static String withoutRepeats(String list) {
         int first = MetaCodec.valueAt(list, NAME);
--- a/src/main/java/cacheproxy/proxy/DiscoveryClient.java
+++ b/src/main/java/cacheproxy/proxy/DiscoveryClient.java
@@ -1,19 +1,19 @@
 package cacheproxy.proxy;
 
-import com.google.gson.JsonElement;
-import com.google.gson.JsonObject;
-import com.google.gson.JsonParser;
-import cacheproxy.policy.PolicyApi.ListKind;
-import cacheproxy.policy.PolicyApi.Member;
-import cacheproxy.policy.PolicyApi.Settings;
-import cacheproxy.policy.PolicyApi.State;
 import cacheproxy.config.Addresses;
-import cacheproxy.eventlog.ProxyEvent;
-import cacheproxy.discovery.SilentWatchDetector;
 import cacheproxy.discovery.DiscoveryPollScheduler;
+import cacheproxy.discovery.SilentWatchDetector;
 import cacheproxy.discovery.VersionGossip;
+import cacheproxy.eventlog.ProxyEvent;
 import cacheproxy.placement.ServerId;
+import cacheproxy.policy.PolicyApi.ListKind;
+import cacheproxy.policy.PolicyApi.Member;
+import cacheproxy.policy.PolicyApi.Settings;
+import cacheproxy.policy.PolicyApi.State;
 import cacheproxy.proxy.TimerWheel.Timer;
+import com.google.gson.JsonElement;
+import com.google.gson.JsonObject;
+import com.google.gson.JsonParser;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
@@ -44,15 +44,19 @@
 public final class DiscoveryClient implements Dispatcher.ListSource, UpstreamRegistry.Observer {
     /** Why a call failed of which nothing came. */
     private static final String SILENT = "no answer";
+
     private static final int CONNECT_MS = 1000;
     /** Of a call that takes whatever there is, all told. */
     private static final int FETCH_MS = 4000;
+
     private static final int MAX_LIST = 4 << 20;
     /**
-     * What discovery may take to tell of a process that has ended, as a part of the time after which a proxy has to ask. The
-     * operators name 3.1 s as the most they saw, where that is 10 s, and news come in rounds of up to half a second.
+     * What discovery may take to tell of a process that has ended, as a part of the time after which a proxy has to
+     * ask. The operators name 3.1 s as the most they saw, where that is 10 s, and news come in rounds of up to half a
+     * second.
      */
     private static final double NOTICE = 0.35;
+
     private static final double QUICK = 0.1;
     /** Within which all proxies tell of a version, one after another; several times as long as a message takes. */
     private static final double NEWS = 0.03;
@@ -60,7 +64,7 @@
     private static final double LONGEST_DELAY = 0.25;
 
     /** A server of the list. */
-    public record Host(Member member, SocketAddress dial) { }
+    public record Host(Member member, SocketAddress dial) {}
 
     /**
      * What is followed.
@@ -68,10 +72,11 @@
      * @param known the list as it was last had, in discovery's form; null for none
      * @param ask whether the module asks for the list; else it is followed from the start
      */
-    public record Source(InetSocketAddress address, JsonObject known, boolean ask, List<String> zones, List<String> kinds) {
+    public record Source(
+            InetSocketAddress address, JsonObject known, boolean ask, List<String> zones, List<String> kinds) {
         static Source of(PlatformConfig config) {
-            return new Source(config.discovery(), config.known(), config.settings().askForList(), config.zones(),
-                    config.kinds());
+            return new Source(
+                    config.discovery(), config.known(), config.settings().askForList(), config.zones(), config.kinds());
         }
     }
 
@@ -94,11 +99,14 @@
     private Timer calling;
     /** Whether the last answer was of an earlier version than the list held: the next call asks for all there is. */
     private boolean fell;
+
     private boolean closed;
 
     /** How closely the list is watched, where others may do so for this proxy. */
     public interface Pace {
-        /** Whether a call is to be out at all times; else there is one only when {@link DiscoveryClient#ask} says so. */
+        /**
+         * Whether a call is to be out at all times; else there is one only when {@link DiscoveryClient#ask} says so.
+         */
         boolean closely();
 
         /** A list of this version has come. */
@@ -122,7 +130,8 @@
         newsMs = within * NEWS * place;
         this.source = source;
         this.dispatcher = dispatcher;
-        freshness = new DiscoveryPollScheduler(source.ask(), settings.instances(), new SplittableRandom(dispatcher.seed()));
+        freshness =
+                new DiscoveryPollScheduler(source.ask(), settings.instances(), new SplittableRandom(dispatcher.seed()));
         freshness.closely(core.now(), closely());
         address = source.address();
     }
@@ -189,10 +198,18 @@
         if (dueAt <= now) {
             DiscoveryPollScheduler.Call call = freshness.begin(now);
             if (core.events.isEnabled()) {
-                core.events.line(ProxyEvent.DISCOVERY_CALLED).with("at", address).with("since", fell ? 0 : version)
-                        .with("wait_ms", call.waitMs()).withMs("limit_ms", call.limitMs()).write();
+                core.events
+                        .line(ProxyEvent.DISCOVERY_CALLED)
+                        .with("at", address)
+                        .with("since", fell ? 0 : version)
+                        .with("wait_ms", call.waitMs())
+                        .withMs("limit_ms", call.limitMs())
+                        .write();
             }
-            watchLine.call("/discovery/hosts?since=" + (fell ? 0 : version) + "&timeout_ms=" + call.waitMs(), call.limitMs(), this::watched);
+            watchLine.call(
+                    "/discovery/hosts?since=" + (fell ? 0 : version) + "&timeout_ms=" + call.waitMs(),
+                    call.limitMs(),
+                    this::watched);
         } else if (dueAt < Double.POSITIVE_INFINITY) {
             calling = core.after(dueAt - now, this::go);
         }
@@ -202,7 +219,10 @@
         return pace == null || pace.closely();
     }
 
-    /** There is a later list: calls for it. A watch that is out should have told, so it has fallen silent and is begun anew. */
+    /**
+     * There is a later list: calls for it. A watch that is out should have told, so it has fallen silent and is begun
+     * anew.
+     */
     public void ask() {
         freshness.ask(core.now());
         go();
@@ -245,23 +265,31 @@
     }
 
     /**
-     * The end of a call. A watch lasts only while each call follows the last answer within 200 ms. Without the next one the list
-     * stays as it is for good, but where another proxy says when to call: drained and departed servers go on being
-     * sent to, also at reused addresses.
+     * The end of a call. A watch lasts only while each call follows the last answer within 200 ms. Without the next one
+     * the list stays as it is for good, but where another proxy says when to call: drained and departed servers go on
+     * being sent to, also at reused addresses.
      */
     private void watched(JsonObject json, String why) {
         try {
             apply(need(json, why));
             freshness.answered(core.now());
             if (core.events.isEnabled()) {
-                core.events.line(ProxyEvent.DISCOVERY_ANSWERED).with("version", version).write();
+                core.events
+                        .line(ProxyEvent.DISCOVERY_ANSWERED)
+                        .with("version", version)
+                        .write();
             }
         } catch (RuntimeException e) {
             freshness.failed(core.now(), why == SILENT);
             int n = freshness.failures();
             if (core.events.isEnabled()) {
-                core.events.line(ProxyEvent.DISCOVERY_FAILED).with("cause", e.getMessage()).with("failures", n)
-                        .withMs("age_ms", freshness.age(core.now())).withMs("next_ms", freshness.dueAt() - core.now()).write();
+                core.events
+                        .line(ProxyEvent.DISCOVERY_FAILED)
+                        .with("cause", e.getMessage())
+                        .with("failures", n)
+                        .withMs("age_ms", freshness.age(core.now()))
+                        .withMs("next_ms", freshness.dueAt() - core.now())
+                        .write();
             }
             if ((n & n - 1) == 0) { // the first, the second, the fourth: an outage must not take all the log's lines
                 dispatcher.log("discovery: " + e.getMessage() + (n > 1 ? ", " + n + " failures in a row" : ""));
@@ -275,7 +303,8 @@
         boolean whole = json.get("whole").getAsBoolean();
         long seq = seq(json);
         if (seq < version && !(whole && fell)) {
-            // An answer that was late, or a discovery that counts anew: then all that it has, asked for as such, says so again.
+            // An answer that was late, or a discovery that counts anew: then all that it has, asked for as such, says
+            // so again.
             fell = whole;
             throw new IllegalArgumentException("version " + seq + " after " + version);
         }
@@ -377,7 +406,8 @@
         }
         double born = h.has("born_ms") ? h.get("born_ms").getAsDouble() : 0;
         int cell = h.has("block") ? h.get("block").getAsInt() : 0;
-        return new Host(new Member(ServerId.of(name), zone, kind, cell, state, weight, born),
+        return new Host(
+                new Member(ServerId.of(name), zone, kind, cell, state, weight, born),
                 Addresses.of(h.get("dial").getAsString()));
     }
 
@@ -399,22 +429,27 @@
                 write(channel, path);
                 return;
             }
-            channel = new Bootstrap().group(loop).channel(Transport.BEST.socket())
+            channel = new Bootstrap()
+                    .group(loop)
+                    .channel(Transport.BEST.socket())
                     .option(ChannelOption.TCP_NODELAY, true)
                     .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-                    .handler(new ClientChannelInitializer(new HttpClientCodec(), new HttpObjectAggregator(MAX_LIST), new Answer()))
-                    .connect(address).addListener(f -> {
+                    .handler(new ClientChannelInitializer(
+                            new HttpClientCodec(), new HttpObjectAggregator(MAX_LIST), new Answer()))
+                    .connect(address)
+                    .addListener(f -> {
                         if (f.isSuccess()) {
                             write(((ChannelFuture) f).channel(), path);
                         } else if (waiting == then) { // not a call that has taken the place of this one
                             done(null, "no connection");
                         }
-                    }).channel();
+                    })
+                    .channel();
         }
 
         private void write(Channel to, String path) {
-            DefaultFullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path,
-                    Unpooled.EMPTY_BUFFER);
+            DefaultFullHttpRequest request =
+                    new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path, Unpooled.EMPTY_BUFFER);
             request.headers().set(HttpHeaderNames.HOST, Addresses.text(address));
             to.writeAndFlush(request);
         }
@@ -466,7 +501,11 @@
                     channel = null;
                 }
                 if (ctx.channel() == channel || channel == null) {
-                    done(json, response.status().code() == 200 ? "no JSON" : "status " + response.status().code());
+                    done(
+                            json,
+                            response.status().code() == 200
+                                    ? "no JSON"
+                                    : "status " + response.status().code());
                 }
             }
 
--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -1,6 +1,11 @@
 package cacheproxy.proxy;
 
-import cacheproxy.policy.RoutingPolicy;
+import cacheproxy.eventlog.ProxyEvent;
+import cacheproxy.invariant.Invariant;
+import cacheproxy.invariant.SendGuard;
+import cacheproxy.placement.AdmissionControl;
+import cacheproxy.placement.CarpPlacement;
+import cacheproxy.placement.Placement;
 import cacheproxy.policy.PolicyApi.Actions;
 import cacheproxy.policy.PolicyApi.AttemptEnd;
 import cacheproxy.policy.PolicyApi.Effect;
@@ -11,16 +16,11 @@
 import cacheproxy.policy.PolicyApi.ServiceClass;
 import cacheproxy.policy.PolicyApi.Settings;
 import cacheproxy.policy.PolicyApi.State;
-import cacheproxy.eventlog.ProxyEvent;
-import cacheproxy.invariant.Invariant;
-import cacheproxy.invariant.SendGuard;
-import cacheproxy.snapshot.state.LearnedState;
-import cacheproxy.placement.AdmissionControl;
-import cacheproxy.placement.CarpPlacement;
-import cacheproxy.placement.Placement;
+import cacheproxy.policy.RoutingPolicy;
 import cacheproxy.proxy.RequestContext.Attempt;
 import cacheproxy.proxy.TimerWheel.Timer;
 import cacheproxy.siblings.Siblings;
+import cacheproxy.snapshot.state.LearnedState;
 import io.netty.buffer.ByteBuf;
 import io.netty.util.collection.IntObjectHashMap;
 import java.net.SocketAddress;
@@ -34,17 +34,20 @@
 import java.util.function.IntConsumer;
 
 /**
- * The one caller of a pool's decision module and the one that carries its orders out. Keeps what requests and
- * attempts are in: an attempt ends once, a request is answered once. All of it runs on the event loop; the
- * module is never called from within one of its own orders, what happens meanwhile waits in line.
+ * The one caller of a pool's decision module and the one that carries its orders out. Keeps what requests and attempts
+ * are in: an attempt ends once, a request is answered once. All of it runs on the event loop; the module is never
+ * called from within one of its own orders, what happens meanwhile waits in line.
  */
 public final class Dispatcher implements Actions {
     /** What a request that the module left unanswered at its due time may still wait for it. */
     private static final double OVERDUE_MS = 10;
     /** What a test of a server takes at the most, ms. */
     public static final double PROBE_TIMEOUT_MS = 250;
-    /** The part of the time after which servers close idle connections for which one may have been idle when it is used. */
+    /**
+     * The part of the time after which servers close idle connections for which one may have been idle when it is used.
+     */
     static final double RETIRE_AT = 0.7;
+
     private static final long SWEEP_MS = 1000;
 
     private final EventLoopContext core;
@@ -58,10 +61,12 @@
     private ListSource discovery;
     /** Null where nothing is remembered, and once it has been asked. */
     private Recollections recollections;
+
     private Siblings siblings = Siblings.NONE;
     private Questions questions = Questions.NONE;
     /** Null: it makes them itself. */
     private Probes probes;
+
     private PeerSocket peers;
     private Future<?> sweeper;
     private boolean busy;
@@ -75,15 +80,15 @@
         void fetch();
 
         /** Asks for nothing any more. */
-        default void close() { }
+        default void close() {}
 
         /** For lists that come from elsewhere. */
         ListSource NONE = new ListSource() {
             @Override
-            public void watch(boolean on) { }
+            public void watch(boolean on) {}
 
             @Override
-            public void fetch() { }
+            public void fetch() {}
         };
     }
 
@@ -94,7 +99,10 @@
 
     /** Where the module's questions to siblings go, and what is known of what servers hold. */
     public interface Questions {
-        /** Asks about a key; {@code answer} is told of the first sibling that has it, or of 0, on the loop, at most once. */
+        /**
+         * Asks about a key; {@code answer} is told of the first sibling that has it, or of 0, on the loop, at most
+         * once.
+         */
         void ask(String key, double waitMs, IntConsumer answer);
 
         /** The class under which a sibling takes requests; null: the server is none. */
@@ -108,7 +116,7 @@
 
         Questions NONE = new Questions() {
             @Override
-            public void ask(String key, double waitMs, IntConsumer answer) { }
+            public void ask(String key, double waitMs, IntConsumer answer) {}
 
             @Override
             public String classAt(int server) {
@@ -116,10 +124,10 @@
             }
 
             @Override
-            public void read(String key, int server, boolean has) { }
+            public void read(String key, int server, boolean has) {}
 
             @Override
-            public void written(String key) { }
+            public void written(String key) {}
         };
     }
 
@@ -129,7 +137,7 @@
         boolean take(int server);
 
         /** An attempt of a request at a server has ended. */
-        default void ended(int server, Outcome outcome) { }
+        default void ended(int server, Outcome outcome) {}
     }
 
     /**
@@ -141,15 +149,32 @@
      * @param streamsPerConnection attempts on one connection of a cache node
      * @param plainNodes whether nodes are stock ones, which give no receipts and no ids with a miss
      */
-    public record Pool(Settings settings, long seed, double idleCloseMs, int cacheConnections, int originConnections,
-            int mostConnections, int streamsPerConnection, boolean plainNodes, Placement.Factory placements, AdmissionControl admission) {
+    public record Pool(
+            Settings settings,
+            long seed,
+            double idleCloseMs,
+            int cacheConnections,
+            int originConnections,
+            int mostConnections,
+            int streamsPerConnection,
+            boolean plainNodes,
+            Placement.Factory placements,
+            AdmissionControl admission) {
 
         /** The platform's one pool. Servers accept some forty connections each, for all proxies together. */
         static Pool of(PlatformConfig config) {
             int proxies = Math.max(1, config.settings().instances());
-            return new Pool(config.settings(), config.seed(), config.idleCloseMs(),
-                    Math.max(1, Math.min(4, 28 / proxies)), Math.max(4, Math.min(48, 240 / proxies)),
-                    Math.max(1, 28 / proxies), config.streamsPerConnection(), false, CarpPlacement::new, AdmissionControl.OPEN);
+            return new Pool(
+                    config.settings(),
+                    config.seed(),
+                    config.idleCloseMs(),
+                    Math.max(1, Math.min(4, 28 / proxies)),
+                    Math.max(4, Math.min(48, 240 / proxies)),
+                    Math.max(1, 28 / proxies),
+                    config.streamsPerConnection(),
+                    false,
+                    CarpPlacement::new,
+                    AdmissionControl.OPEN);
         }
     }
 
@@ -244,7 +269,8 @@
     /** Answers every request that has no answer and none on its way: the process is to end before its deadline. */
     void answerAll() {
         for (RequestContext x : List.copyOf(exchanges.values())) {
-            boolean harmless = settings.classes().get(x.command.serviceClass).effect() == Effect.SAFE || !x.mayHaveRun();
+            boolean harmless =
+                    settings.classes().get(x.command.serviceClass).effect() == Effect.SAFE || !x.mayHaveRun();
             finish(x, harmless ? 0 : Double.NaN);
         }
     }
@@ -336,9 +362,17 @@
         for (DiscoveryClient.Host h : hosts) {
             int id = h.member().id();
             Upstream u = upstreams.get(id);
-            if (core.events.isEnabled() && (u == null || u.state != h.member().state() || u.bornMs != h.member().bornMs())) {
-                core.events.line(ProxyEvent.SERVER_LISTED).with("server", Integer.toHexString(id) + "@" + h.dial())
-                        .with("state", h.member().state()).with("born_ms", (long) h.member().bornMs()).with("list", kind).write();
+            if (core.events.isEnabled()
+                    && (u == null
+                            || u.state != h.member().state()
+                            || u.bornMs != h.member().bornMs())) {
+                core.events
+                        .line(ProxyEvent.SERVER_LISTED)
+                        .with("server", Integer.toHexString(id) + "@" + h.dial())
+                        .with("state", h.member().state())
+                        .with("born_ms", (long) h.member().bornMs())
+                        .with("list", kind)
+                        .write();
             }
             if (h.member().state() == State.GONE) {
                 forget(id);
@@ -369,7 +403,11 @@
                 }
             }
         }
-        tell(() -> module.onList(core.now(), kind, hosts.stream().map(DiscoveryClient.Host::member).toList(), this));
+        tell(() -> module.onList(
+                core.now(),
+                kind,
+                hosts.stream().map(DiscoveryClient.Host::member).toList(),
+                this));
         if (recollections != null && listed()) {
             Recollections from = recollections;
             recollections = null;
@@ -395,13 +433,17 @@
         x.id = ++nextId;
         exchanges.put(x.id, x);
         double now = core.now();
-        Request request = new Request(x.id, c.serviceClass, c.tenant, x.keyNumber, x.dueMs, c.costMs, c.bytes, c.write,
-                c.repeat);
+        Request request =
+                new Request(x.id, c.serviceClass, c.tenant, x.keyNumber, x.dueMs, c.costMs, c.bytes, c.write, c.repeat);
         // Before the module's own timer for the same time: a silent server's attempt ends as a time-out then.
         x.timer = core.after(x.dueMs - now, () -> due(x));
         if (core.events.isEnabled()) {
-            core.events.line(ProxyEvent.REQUEST_RECEIVED).with("id", c.id).with("class", settings.classes().get(c.serviceClass).name())
-                    .withMs("left_ms", x.dueMs - now).write();
+            core.events
+                    .line(ProxyEvent.REQUEST_RECEIVED)
+                    .with("id", c.id)
+                    .with("class", settings.classes().get(c.serviceClass).name())
+                    .withMs("left_ms", x.dueMs - now)
+                    .write();
         }
         tell(() -> guard(x, () -> module.onRequest(now, request, this)));
     }
@@ -430,8 +472,8 @@
     }
 
     /**
-     * The request's client has left: none of its attempts begins from now on, whatever the module has to say. What is on its way may
-     * have to end for others that wait for it, and does so at its deadline.
+     * The request's client has left: none of its attempts begins from now on, whatever the module has to say. What is
+     * on its way may have to end for others that wait for it, and does so at its deadline.
      */
     void gone(RequestContext x) {
         if (x.over) {
@@ -439,8 +481,12 @@
         }
         over(x);
         if (core.events.isEnabled()) {
-            core.events.line(ProxyEvent.REQUEST_ABANDONED).with("id", x.command.id).withMs("left_ms", x.dueMs - core.now())
-                    .with("in_flight", x.out).write();
+            core.events
+                    .line(ProxyEvent.REQUEST_ABANDONED)
+                    .with("id", x.command.id)
+                    .withMs("left_ms", x.dueMs - core.now())
+                    .with("in_flight", x.out)
+                    .write();
         }
         tell(() -> module.onGone(core.now(), x.id, this));
         for (Attempt a : x.attempts) {
@@ -485,8 +531,16 @@
         x.out--;
         x.lastOutcome = outcome;
         if (core.events.isEnabled()) {
-            core.events.line(ProxyEvent.ATTEMPT_ENDED).with("id", x.command.id).with("n", a.index).with("server", name(a.server))
-                    .with("outcome", outcome).with("begun", a.begun).with("written", a.written).withMs("ms", elapsed).write();
+            core.events
+                    .line(ProxyEvent.ATTEMPT_ENDED)
+                    .with("id", x.command.id)
+                    .with("n", a.index)
+                    .with("server", name(a.server))
+                    .with("outcome", outcome)
+                    .with("begun", a.begun)
+                    .with("written", a.written)
+                    .withMs("ms", elapsed)
+                    .write();
         }
         if (a.firstByteMs != 0) {
             over(x);
@@ -516,16 +570,26 @@
         x.missed |= outcome == Outcome.MISS;
         x.mayHaveRun |= outcome.mayHaveRun();
         boolean over = x.over;
-        tell(() -> guard(x, () -> module.onAttemptEnd(core.now(), new AttemptEnd(x.id, a.index, a.server, outcome,
-                elapsed, over, note, report), this)));
+        tell(() -> guard(
+                x,
+                () -> module.onAttemptEnd(
+                        core.now(),
+                        new AttemptEnd(x.id, a.index, a.server, outcome, elapsed, over, note, report),
+                        this)));
         free(x);
     }
 
     /** The cause of a refusal or failure is what the last attempt ended with, if there was one. */
     private void logAnswer(RequestContext x, String kind) {
         if (core.events.isEnabled()) {
-            core.events.line(ProxyEvent.REQUEST_ANSWERED).with("id", x.command.id).with("kind", kind).with("attempts", x.attempts.size())
-                    .with("cause", x.lastOutcome == null ? "not_sent_on" : x.lastOutcome).withMs("left_ms", x.dueMs - core.now()).write();
+            core.events
+                    .line(ProxyEvent.REQUEST_ANSWERED)
+                    .with("id", x.command.id)
+                    .with("kind", kind)
+                    .with("attempts", x.attempts.size())
+                    .with("cause", x.lastOutcome == null ? "not_sent_on" : x.lastOutcome)
+                    .withMs("left_ms", x.dueMs - core.now())
+                    .write();
         }
     }
 
@@ -639,8 +703,8 @@
     }
 
     /**
-     * The module lets a keyed request be repeated within its class's window. A repeat may then wait for a connection that comes up
-     * late, and is not to go out once the window is over.
+     * The module lets a keyed request be repeated within its class's window. A repeat may then wait for a connection
+     * that comes up late, and is not to go out once the window is over.
      */
     private void boundRepeat(RequestContext x, Attempt a) {
         ServiceClass kind = settings.classes().get(x.command.serviceClass);
@@ -658,8 +722,8 @@
     }
 
     /**
-     * The one place that every attempt of a request passes before its first byte, on whatever connection and however long it has waited
-     * for it. One that may not begin ends here as not sent.
+     * The one place that every attempt of a request passes before its first byte, on whatever connection and however
+     * long it has waited for it. One that may not begin ends here as not sent.
      */
     boolean mayBegin(Attempt a) {
         if (a.exchange == null) {
@@ -667,13 +731,17 @@
         }
         Invariant violated = sendGuard.violatedBy(a, core.now());
         if (violated != null) {
-            core.invariants.stop(violated, a.exchange.command.id, "attempt " + a.index + " at " + name(a.server) + " was not begun");
+            core.invariants.stop(
+                    violated, a.exchange.command.id, "attempt " + a.index + " at " + name(a.server) + " was not begun");
             end(a, Outcome.NOT_SENT, 0, null, null, null);
             return false;
         }
         if (a.exchange.dueMs > a.exchange.command.clientDueMs) {
-            core.invariants.violation(Invariant.DEADLINE_WITHIN_CLIENTS, a.exchange.command.id, "its pool waits "
-                    + Math.round(a.exchange.dueMs - a.exchange.command.clientDueMs) + " ms longer than its client");
+            core.invariants.violation(
+                    Invariant.DEADLINE_WITHIN_CLIENTS,
+                    a.exchange.command.id,
+                    "its pool waits " + Math.round(a.exchange.dueMs - a.exchange.command.clientDueMs)
+                            + " ms longer than its client");
         }
         return true;
     }
@@ -723,7 +791,10 @@
     public void ask(int request, double waitMs) {
         RequestContext x = exchanges.get(request);
         if (x != null) {
-            questions.ask(x.command.key, waitMs, sibling -> tell(() -> guard(x, () -> module.onSibling(core.now(), request, sibling, this))));
+            questions.ask(
+                    x.command.key,
+                    waitMs,
+                    sibling -> tell(() -> guard(x, () -> module.onSibling(core.now(), request, sibling, this))));
         }
     }
 
--- a/src/main/java/cacheproxy/proxy/EventLoopContext.java
+++ b/src/main/java/cacheproxy/proxy/EventLoopContext.java
@@ -24,10 +24,12 @@
     private static final int RECEIVED = 64 << 10;
     /** A part of what the platform's command line lets buffers take; the rest is for what is being read and written. */
     private static final long MAX_VALUES = 10 << 20;
+
     private static final double CLOSES_PER_SECOND = 10;
     private static final double CLOSES_SAVED = 10;
     /** What of one long answer may wait for its client; the fewer there are the more, so that all have room. */
     private static final int MAX_STREAM = 64 << 10;
+
     private static final int MIN_STREAM = 8 << 10;
     private static final int MIN_STREAM_BYTES = 1 << 20;
 
@@ -36,10 +38,12 @@
     public final EventLog events = EventLog.onStandardError(this::now);
     /** Counts what was stopped or violated; used on the loop. */
     public final InvariantMonitor invariants = new InvariantMonitor(new InvariantLog());
+
     final UpstreamRegistry servers;
     private final PollClock polls;
     /** The clients' ids of requests that have no answer yet; as many as there are such requests. */
     final Set<String> openIds = new HashSet<>();
+
     private final TimerWheel timers;
     private final ArrayDeque<Runnable> flushes = new ArrayDeque<>();
     private final Runnable flushAll = this::flushAll;
@@ -54,13 +58,16 @@
     private int upstreamCount;
     /** Long answers on their way, and what may wait for their clients in all. */
     private int streams;
+
     private final long streamBytes;
     /** Long answers that are gathered whole, as their length was not told, and who waits to gather one. */
     private int bodies;
+
     private final int maxBodies;
     private final ArrayDeque<Runnable> wantBodies = new ArrayDeque<>();
     /** Written on the loop alone. */
     private volatile int logLines;
+
     private long valueBytes;
 
     /**
@@ -68,10 +75,15 @@
      * @param upstream the kind of channel towards servers
      * @param maxValueBytes what clients' values in hand may take together
      * @param maxUpstream connections to all servers together
-     * @param gathers whether a turn of the loop flushes once for all it writes. That saves CPU at high rates; a
-     *            process with part of a core may be halted in the middle of a turn, and what it had to say with it
+     * @param gathers whether a turn of the loop flushes once for all it writes. That saves CPU at high rates; a process
+     *     with part of a core may be halted in the middle of a turn, and what it had to say with it
      */
-    public EventLoopContext(EventLoop loop, PollClock polls, Class<? extends Channel> upstream, long maxValueBytes, int maxUpstream,
+    public EventLoopContext(
+            EventLoop loop,
+            PollClock polls,
+            Class<? extends Channel> upstream,
+            long maxValueBytes,
+            int maxUpstream,
             boolean gathers) {
         this.gathers = gathers;
         this.loop = loop;
@@ -86,8 +98,15 @@
     }
 
     /** As the platform's configuration bounds it. */
-    static EventLoopContext of(EventLoop loop, PollClock polls, PlatformConfig config, Class<? extends Channel> upstream) {
-        return new EventLoopContext(loop, polls, upstream, Math.min((long) config.memoryMb() << 20 >> 3, MAX_VALUES), config.sockets() / 3, false);
+    static EventLoopContext of(
+            EventLoop loop, PollClock polls, PlatformConfig config, Class<? extends Channel> upstream) {
+        return new EventLoopContext(
+                loop,
+                polls,
+                upstream,
+                Math.min((long) config.memoryMb() << 20 >> 3, MAX_VALUES),
+                config.sockets() / 3,
+                false);
     }
 
     /** Unix time in milliseconds at the start, monotonic from there: list times need no conversion. */
@@ -95,7 +114,10 @@
         return epochMs + (System.nanoTime() - startNanos) / 1e6;
     }
 
-    /** Since when what is read now may have waited unread, on the clock of {@link #now}. Called before anything else that reads. */
+    /**
+     * Since when what is read now may have waited unread, on the clock of {@link #now}. Called before anything else
+     * that reads.
+     */
     double unreadSinceMs() {
         long nowNanos = System.nanoTime();
         return epochMs + (nowNanos - startNanos) / 1e6 - polls.unreadForMs(nowNanos);
@@ -131,8 +153,8 @@
 
     /**
      * Runs once the events that the loop has in hand are done, where writes are gathered: what they write to one
-     * connection goes out in one call of the system, not in one for each request. Each connection asks once, so
-     * there are as many as those. Else at once.
+     * connection goes out in one call of the system, not in one for each request. Each connection asks once, so there
+     * are as many as those. Else at once.
      */
     void flushLater(Runnable flush) {
         if (!gathers) {
@@ -155,11 +177,14 @@
     }
 
     Bootstrap bootstrap(double connectTimeoutMs) {
-        Bootstrap bootstrap = new Bootstrap().group(loop).channel(upstream)
+        Bootstrap bootstrap = new Bootstrap()
+                .group(loop)
+                .channel(upstream)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) connectTimeoutMs)
                 .option(ChannelOption.RECVBUF_ALLOCATOR, Transport.reads());
         if (upstream == Transport.BEST.socket()) {
-            // Once a server has ended its sending, Netty reads what has come to its end, also where reading is held back
+            // Once a server has ended its sending, Netty reads what has come to its end, also where reading is held
+            // back
             // for a slow client. So no more than this may have come.
             bootstrap.option(ChannelOption.SO_RCVBUF, RECEIVED);
         }
@@ -192,7 +217,9 @@
         streams--;
     }
 
-    /** Runs once there is room for one more long answer that is gathered whole, perhaps at once. One waits a connection. */
+    /**
+     * Runs once there is room for one more long answer that is gathered whole, perhaps at once. One waits a connection.
+     */
     void gatherBody(Runnable granted) {
         if (bodies < maxBodies) {
             bodies++;
@@ -260,7 +287,11 @@
         @Override
         public void stopped(Invariant invariant, String requestId, String reason) {
             if (events.isEnabled()) {
-                events.line(ProxyEvent.ACTION_STOPPED).with("id", requestId).with("invariant", invariant.label()).with("reason", reason).write();
+                events.line(ProxyEvent.ACTION_STOPPED)
+                        .with("id", requestId)
+                        .with("invariant", invariant.label())
+                        .with("reason", reason)
+                        .write();
             }
         }
 
@@ -268,7 +299,10 @@
         public void violated(Invariant invariant, String requestId, String reason) {
             log("invariant violated: " + invariant.label() + ", request " + requestId + ": " + reason);
             if (events.isEnabled()) {
-                events.line(ProxyEvent.INVARIANT_VIOLATED).with("id", requestId).with("invariant", invariant.label()).with("reason", reason)
+                events.line(ProxyEvent.INVARIANT_VIOLATED)
+                        .with("id", requestId)
+                        .with("invariant", invariant.label())
+                        .with("reason", reason)
                         .write();
             }
         }
--- a/src/main/java/cacheproxy/proxy/GracefulShutdown.java
+++ b/src/main/java/cacheproxy/proxy/GracefulShutdown.java
@@ -12,6 +12,7 @@
 public final class GracefulShutdown {
     /** What an answer may take to reach its client once the last deadline is over. */
     private static final double LAST_MS = 150;
+
     private static final int LOOK_MS = 20;
 
     private final EventLoop loop;
--- a/src/main/java/cacheproxy/proxy/Listener.java
+++ b/src/main/java/cacheproxy/proxy/Listener.java
@@ -25,7 +25,10 @@
     private static final int BACKLOG = 512;
     /** Where the loop has not looked for longer than this, connections may have queued up. */
     private static final double QUEUES_UP_MS = 25;
-    /** How long it may take to accept those that had queued up: one a turn of the loop, for as long as each turn has one. */
+    /**
+     * How long it may take to accept those that had queued up: one a turn of the loop, for as long as each turn has
+     * one.
+     */
     private static final double DRAINS_WITHIN_MS = 100;
     /** How long none is accepted after the system had none to give, for want of descriptors or memory. */
     private static final double ACCEPT_RETRY_MS = 20;
@@ -38,17 +41,24 @@
     private Channel channel;
     /** Connections whose place is under this end between requests. */
     private double endsUnder;
+
     private boolean takesClients = true;
     private boolean draining;
     /** Has the address until the channel has; null where there is none to wait for. */
     private Socket reserved;
+
     private long accepted;
-    /** Since when connections may have waited in the system's queue, until it has been seen empty; infinite where none has. */
+    /**
+     * Since when connections may have waited in the system's queue, until it has been seen empty; infinite where none
+     * has.
+     */
     private double queuedSinceMs = Double.POSITIVE_INFINITY;
+
     private double queueDrainsMs;
     private long acceptTurn;
     /** Whether the bound on clients lets connections be accepted. */
     private boolean mayAccept = true;
+
     private long acceptFailures;
 
     /** @param open what stock clients' commands are given; null for the platform's clients */
@@ -60,8 +70,9 @@
     }
 
     /**
-     * Takes the address without listening there until {@link #listen}: what connected before would wait in the system's queue, its
-     * requests' time running, where a refused connection goes elsewhere at once. The exception says why it can't be had.
+     * Takes the address without listening there until {@link #listen}: what connected before would wait in the system's
+     * queue, its requests' time running, where a refused connection goes elsewhere at once. The exception says why it
+     * can't be had.
      */
     public void reserve(SocketAddress address) throws IOException {
         Socket socket = new Socket();
@@ -105,7 +116,8 @@
 
     /** @param shared whether another process may listen at the same address, which then shares its connections */
     ChannelFuture bind(SocketAddress address, boolean shared) {
-        ServerBootstrap bootstrap = bootstrap().channel(Transport.BEST.server())
+        ServerBootstrap bootstrap = bootstrap()
+                .channel(Transport.BEST.server())
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true);
         if (shared && Transport.BEST.server() == EpollServerSocketChannel.class) {
@@ -116,18 +128,23 @@
 
     /** Takes connections off a socket that listens already, and that another process may have, too. */
     ChannelFuture adopt(int descriptor) {
-        return opened(bootstrap().channelFactory(() -> new EpollServerSocketChannel(descriptor)).register());
+        return opened(bootstrap()
+                .channelFactory(() -> new EpollServerSocketChannel(descriptor))
+                .register());
     }
 
     private ServerBootstrap bootstrap() {
-        return new ServerBootstrap().group(core.loop).handler(new AcceptFailures())
+        return new ServerBootstrap()
+                .group(core.loop)
+                .handler(new AcceptFailures())
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, new WriteBufferWaterMark(64 << 10, 128 << 10))
                 .childOption(ChannelOption.RECVBUF_ALLOCATOR, Transport.reads())
                 .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel connection) {
-                        ClientConnection client = new ClientConnection(core, Listener.this, Lifecycle.place(accepted++));
+                        ClientConnection client =
+                                new ClientConnection(core, Listener.this, Lifecycle.place(accepted++));
                         connection.pipeline().addLast(client);
                         own.add(client);
                         clients.accepted(client);
@@ -136,14 +153,16 @@
     }
 
     /**
-     * What the system says when it has no connection to give: one that was reset in its queue, too few descriptors or buffers for a moment.
-     * Netty's own way is to accept nothing for a second, in which requests that wait in the queue would run out of time.
+     * What the system says when it has no connection to give: one that was reset in its queue, too few descriptors or
+     * buffers for a moment. Netty's own way is to accept nothing for a second, in which requests that wait in the queue
+     * would run out of time.
      */
     private final class AcceptFailures extends ChannelInboundHandlerAdapter {
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             acceptFailures++;
-            if ((acceptFailures & acceptFailures - 1) == 0) { // the first, the second, the fourth: a shortage must not take all the log's lines
+            if ((acceptFailures & acceptFailures - 1)
+                    == 0) { // the first, the second, the fourth: a shortage must not take all the log's lines
                 core.log("accept failed, " + acceptFailures + " in all: " + cause.getMessage());
             }
             reading(false);
--- a/src/main/java/cacheproxy/proxy/MetaCodec.java
+++ b/src/main/java/cacheproxy/proxy/MetaCodec.java
@@ -12,13 +12,15 @@
     static final int MAX_VALUE = 4 << 20;
     /** Answers up to this size are passed on whole, longer ones as they come. */
     static final int WHOLE = 64 << 10;
+
     static final int MAX_LINE = 4096;
     /** A line's end, as a big-endian short. */
     static final int CRLF = '\r' << 8 | '\n';
+
     static final String FAILED = "SERVER_ERROR failed\r\n";
     static final String BUSY = "SERVER_ERROR busy";
 
-    private MetaCodec() { }
+    private MetaCodec() {}
 
     /** Input that is not the protocol's. */
     static final class SyntaxException extends Exception {
--- a/src/main/java/cacheproxy/proxy/NettyDefaults.java
+++ b/src/main/java/cacheproxy/proxy/NettyDefaults.java
@@ -25,7 +25,7 @@
             Map.entry("io.netty.processId", "1"),
             Map.entry("io.netty.leakDetection.level", "disabled"));
 
-    private NettyDefaults() { }
+    private NettyDefaults() {}
 
     /** To be called before any class of Netty is loaded. */
     static void apply() {
--- a/src/main/java/cacheproxy/proxy/NettyLog.java
+++ b/src/main/java/cacheproxy/proxy/NettyLog.java
@@ -6,13 +6,14 @@
 
 /**
  * Netty's log as short lines on standard error: warnings and errors, a line each with its cause's message, as many as a
- * process may need and no more. To find a logging framework by itself costs Netty 20 ms of a start, and the JDK's prints
- * stack traces.
+ * process may need and no more. To find a logging framework by itself costs Netty 20 ms of a start, and the JDK's
+ * prints stack traces.
  */
 final class NettyLog extends AbstractInternalLogger {
     private static final long serialVersionUID = 1;
     /** Lines of one process; a peer that provokes warnings must not fill a disk. */
     static final int MAX_LINES = 100;
+
     private static int lines;
 
     private NettyLog(String name) {
@@ -83,49 +84,49 @@
     }
 
     @Override
-    public void trace(String message) { }
+    public void trace(String message) {}
 
     @Override
-    public void trace(String format, Object a) { }
+    public void trace(String format, Object a) {}
 
     @Override
-    public void trace(String format, Object a, Object b) { }
+    public void trace(String format, Object a, Object b) {}
 
     @Override
-    public void trace(String format, Object... values) { }
+    public void trace(String format, Object... values) {}
 
     @Override
-    public void trace(String message, Throwable cause) { }
+    public void trace(String message, Throwable cause) {}
 
     @Override
-    public void debug(String message) { }
+    public void debug(String message) {}
 
     @Override
-    public void debug(String format, Object a) { }
+    public void debug(String format, Object a) {}
 
     @Override
-    public void debug(String format, Object a, Object b) { }
+    public void debug(String format, Object a, Object b) {}
 
     @Override
-    public void debug(String format, Object... values) { }
+    public void debug(String format, Object... values) {}
 
     @Override
-    public void debug(String message, Throwable cause) { }
+    public void debug(String message, Throwable cause) {}
 
     @Override
-    public void info(String message) { }
+    public void info(String message) {}
 
     @Override
-    public void info(String format, Object a) { }
+    public void info(String format, Object a) {}
 
     @Override
-    public void info(String format, Object a, Object b) { }
+    public void info(String format, Object a, Object b) {}
 
     @Override
-    public void info(String format, Object... values) { }
+    public void info(String format, Object... values) {}
 
     @Override
-    public void info(String message, Throwable cause) { }
+    public void info(String message, Throwable cause) {}
 
     @Override
     public void warn(String message) {
--- a/src/main/java/cacheproxy/proxy/OperatorActions.java
+++ b/src/main/java/cacheproxy/proxy/OperatorActions.java
@@ -1,8 +1,8 @@
 package cacheproxy.proxy;
 
 import cacheproxy.control.ControlEndpoints;
-import cacheproxy.control.DiagnosticEndpoints;
 import cacheproxy.control.ControlServer;
+import cacheproxy.control.DiagnosticEndpoints;
 import cacheproxy.handover.Handover;
 import cacheproxy.lifecycle.Lifecycle;
 import cacheproxy.lifecycle.Lifecycle.State;
@@ -26,6 +26,7 @@
     static final int DESCRIPTORS = ControlServer.MAX_CALLERS + 4;
     /** A process with part of a core may be halted for some time; a new one has 6 s in all. */
     private static final long TAKE_MS = 1500;
+
     private static final long LOOK_MS = 20;
 
     private final EventLoop loop;
@@ -36,14 +37,21 @@
     private Handover handover;
     private Future<?> looking;
 
-    private OperatorActions(EventLoop loop, EventLoopContext core, Lifecycle lifecycle, Listener listener, BooleanSupplier reload) {
+    private OperatorActions(
+            EventLoop loop, EventLoopContext core, Lifecycle lifecycle, Listener listener, BooleanSupplier reload) {
         this.loop = loop;
         this.core = core;
         this.lifecycle = lifecycle;
         this.listener = listener;
-        door = new ControlServer(loop, Transport.BEST.server(), new ControlEndpoints(() -> lifecycle.state() == State.ACTIVE,
-                () -> lifecycle.state().name().toLowerCase(Locale.ROOT), this::standby, this::active,
-                new DiagnosticEndpoints(core.invariants::summary, core.events::enabled, reload)));
+        door = new ControlServer(
+                loop,
+                Transport.BEST.server(),
+                new ControlEndpoints(
+                        () -> lifecycle.state() == State.ACTIVE,
+                        () -> lifecycle.state().name().toLowerCase(Locale.ROOT),
+                        this::standby,
+                        this::active,
+                        new DiagnosticEndpoints(core.invariants::summary, core.events::enabled, reload)));
     }
 
     /**
@@ -52,8 +60,16 @@
      * @param folder one that this process shares with its next version
      * @param reload has the configuration read again; false where there is none
      */
-    static OperatorActions start(EventLoop loop, EventLoopContext core, Lifecycle lifecycle, Listener listener, InetSocketAddress listen,
-            InetSocketAddress control, Path folder, BooleanSupplier reload) throws InterruptedException {
+    static OperatorActions start(
+            EventLoop loop,
+            EventLoopContext core,
+            Lifecycle lifecycle,
+            Listener listener,
+            InetSocketAddress listen,
+            InetSocketAddress control,
+            Path folder,
+            BooleanSupplier reload)
+            throws InterruptedException {
         OperatorActions o = new OperatorActions(loop, core, lifecycle, listener, reload);
         Path path = Handover.path(folder, listen.getPort());
         Handover.Taken taken = Epoll.isAvailable() ? Handover.take(loop, path, TAKE_MS) : null;
@@ -78,8 +94,8 @@
     }
 
     /**
-     * Whether a process that this one is to follow seems to serve. One that was killed may have left its path behind; then
-     * this one starts with more care than it needs.
+     * Whether a process that this one is to follow seems to serve. One that was killed may have left its path behind;
+     * then this one starts with more care than it needs.
      */
     static boolean standsBeside(InetSocketAddress listen, Path folder) {
         return Files.exists(Handover.path(folder, listen.getPort()));
--- a/src/main/java/cacheproxy/proxy/OriginCodec.java
+++ b/src/main/java/cacheproxy/proxy/OriginCodec.java
@@ -1,7 +1,7 @@
 package cacheproxy.proxy;
 
-import cacheproxy.policy.PolicyApi.Outcome;
 import cacheproxy.config.Addresses;
+import cacheproxy.policy.PolicyApi.Outcome;
 import cacheproxy.proxy.RequestContext.Attempt;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
@@ -39,17 +39,21 @@
     private ByteBuf body;
     /** What of a body has come beyond the length of short ones, in chunks; few, as pieces may be of any size. */
     private ArrayDeque<ByteBuf> more;
+
     private int moreBytes;
     /** Where a long body of unknown length stands: whether it has asked for room, and whether it has it. */
     private boolean asked;
+
     private boolean granted;
     /** Reading is off until there is room. */
     private boolean paused;
+
     private long missing;
     private boolean streamed;
     private boolean broken;
     /** The body is whole and goes to the client from here. */
     private boolean feeding;
+
     private float[] feedReport;
     private boolean inactive;
 
@@ -59,8 +63,9 @@
     }
 
     static ChannelHandler[] handlers(UpstreamConnection connection) {
-        return new ChannelHandler[] {new HttpClientCodec(MetaCodec.MAX_LINE, MAX_HEAD, 64 << 10),
-            new OriginCodec(connection)};
+        return new ChannelHandler[] {
+            new HttpClientCodec(MetaCodec.MAX_LINE, MAX_HEAD, 64 << 10), new OriginCodec(connection)
+        };
     }
 
     @Override
@@ -72,12 +77,17 @@
         } else {
             ClientRequest command = attempt.exchange.command;
             String path = "/" + URLEncoder.encode(command.key, StandardCharsets.ISO_8859_1);
-            ByteBuf value = !command.write ? Unpooled.EMPTY_BUFFER
+            ByteBuf value = !command.write
+                    ? Unpooled.EMPTY_BUFFER
                     : command.value.retainedSlice(0, command.value.readableBytes() - 2);
-            request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1,
-                    command.write ? HttpMethod.PUT : HttpMethod.GET, path, value);
-            request.headers().set("Req-Id", command.id).set("Req-Extra",
-                    command.extras(attempt.deadlineToTellMs(connection.core().now())));
+            request = new DefaultFullHttpRequest(
+                    HttpVersion.HTTP_1_1, command.write ? HttpMethod.PUT : HttpMethod.GET, path, value);
+            request.headers()
+                    .set("Req-Id", command.id)
+                    .set(
+                            "Req-Extra",
+                            command.extras(
+                                    attempt.deadlineToTellMs(connection.core().now())));
             if (command.write) {
                 request.headers().set(HttpHeaderNames.CONTENT_LENGTH, value.readableBytes());
             }
@@ -163,7 +173,9 @@
         if (!part.isReadable()) {
             return;
         }
-        if (response.status().code() != 200 || connection.head().exchange == null || connection.head().exchange.command.write) {
+        if (response.status().code() != 200
+                || connection.head().exchange == null
+                || connection.head().exchange.command.write) {
             fail("too long");
             return;
         }
@@ -227,7 +239,8 @@
             answered(attempt.exchange.command, report, whole);
         } else {
             release(whole);
-            boolean declined = (code == 503 || code == 504) && "1".equals(r.headers().get("Srv-Declined"));
+            boolean declined =
+                    (code == 503 || code == 504) && "1".equals(r.headers().get("Srv-Declined"));
             connection.ended(declined ? Outcome.FULL : Outcome.ERROR, 0, report, null, null);
         }
     }
