--- a/src/main/java/cacheproxy/proxy/PeerSocket.java
+++ b/src/main/java/cacheproxy/proxy/PeerSocket.java
@@ -30,7 +30,10 @@
         this.receiver = receiver;
         if (config.settings().peers() && config.peerListen() != null) {
             // What is sent before the socket is bound is lost without a word, so this waits for it.
-            Bootstrap bootstrap = new Bootstrap().group(loop).channel(Transport.BEST.datagram()).handler(new Handler());
+            Bootstrap bootstrap = new Bootstrap()
+                    .group(loop)
+                    .channel(Transport.BEST.datagram())
+                    .handler(new Handler());
             if (config.control() != null && Transport.BEST.datagram() == EpollDatagramChannel.class) {
                 bootstrap.option(UnixChannelOption.SO_REUSEPORT, true); // the next version has the same address
             }
@@ -44,7 +47,8 @@
 
     /** Sends to the proxy of this number, or to all of the tier if it is negative. */
     void send(int peer, byte[] message) {
-        InetSocketAddress to = peer < 0 ? config.peersAll()
+        InetSocketAddress to = peer < 0
+                ? config.peersAll()
                 : peer < config.peers().size() ? config.peers().get(peer) : null;
         if (channel == null || to == null || message.length > MAX_MESSAGE) {
             return;
--- a/src/main/java/cacheproxy/proxy/PlatformConfig.java
+++ b/src/main/java/cacheproxy/proxy/PlatformConfig.java
@@ -1,12 +1,12 @@
 package cacheproxy.proxy;
 
+import cacheproxy.config.Addresses;
+import cacheproxy.policy.PolicyApi.Settings;
+import cacheproxy.simulator.SettingsParser;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
 import com.google.gson.JsonPrimitive;
-import cacheproxy.policy.PolicyApi.Settings;
-import cacheproxy.config.Addresses;
-import cacheproxy.simulator.SettingsParser;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
@@ -18,13 +18,28 @@
 import java.util.Map;
 
 /**
- * What the proxy is told at its start. Settings are read by the adapter's own parser, from the same paths and
- * values; addresses are literal, as there is no DNS.
+ * What the proxy is told at its start. Settings are read by the adapter's own parser, from the same paths and values;
+ * addresses are literal, as there is no DNS.
  */
-record PlatformConfig(String name, InetSocketAddress listen, InetSocketAddress discovery, long seed, double cores,
-        int memoryMb, int sockets, InetSocketAddress peerListen, List<InetSocketAddress> peers,
-        InetSocketAddress peersAll, InetSocketAddress control, Boolean eventLog, JsonObject known, Settings settings, List<String> zones, List<String> kinds,
-        double idleCloseMs, int streamsPerConnection) {
+record PlatformConfig(
+        String name,
+        InetSocketAddress listen,
+        InetSocketAddress discovery,
+        long seed,
+        double cores,
+        int memoryMb,
+        int sockets,
+        InetSocketAddress peerListen,
+        List<InetSocketAddress> peers,
+        InetSocketAddress peersAll,
+        InetSocketAddress control,
+        Boolean eventLog,
+        JsonObject known,
+        Settings settings,
+        List<String> zones,
+        List<String> kinds,
+        double idleCloseMs,
+        int streamsPerConnection) {
 
     /** Reads the file; an IllegalArgumentException says in one line what is wrong. */
     static PlatformConfig read(String path) {
@@ -49,20 +64,30 @@
         if (json.has("peers")) {
             json.getAsJsonArray("peers").forEach(p -> peers.add(Addresses.of(p.getAsString())));
         }
-        return new PlatformConfig(json.has("name") ? json.get("name").getAsString() : "proxy",
-                Addresses.of(need(json, "listen").getAsString()), Addresses.of(need(json, "discovery").getAsString()),
-                Long.parseUnsignedLong(need(json, "seed").getAsString(), 16), number(limits, "cores", 1),
-                (int) number(limits, "memory_mb", 192), (int) number(limits, "sockets", 1024),
-                optionalAddress(json, "peer_listen"), List.copyOf(peers), optionalAddress(json, "peers_all"), optionalAddress(json, "control"),
+        return new PlatformConfig(
+                json.has("name") ? json.get("name").getAsString() : "proxy",
+                Addresses.of(need(json, "listen").getAsString()),
+                Addresses.of(need(json, "discovery").getAsString()),
+                Long.parseUnsignedLong(need(json, "seed").getAsString(), 16),
+                number(limits, "cores", 1),
+                (int) number(limits, "memory_mb", 192),
+                (int) number(limits, "sockets", 1024),
+                optionalAddress(json, "peer_listen"),
+                List.copyOf(peers),
+                optionalAddress(json, "peers_all"),
+                optionalAddress(json, "control"),
                 json.has("event_log") ? json.get("event_log").getAsBoolean() : null,
-                json.has("known") ? json.getAsJsonObject("known") : null, parser.settings(), parser.list("zones"),
-                parser.list("kinds"), parser.number("caps.idle-close", 15_000),
+                json.has("known") ? json.getAsJsonObject("known") : null,
+                parser.settings(),
+                parser.list("zones"),
+                parser.list("kinds"),
+                parser.number("caps.idle-close", 15_000),
                 Math.max(1, (int) parser.number("caps.streams-per-conn", 1)));
     }
 
     /**
-     * The same with all that a platform may configure, on ports of the system's choice. The listening one is chosen now:
-     * it names the path of the handover, which another build at the same time must not have.
+     * The same with all that a platform may configure, on ports of the system's choice. The listening one is chosen
+     * now: it names the path of the handover, which another build at the same time must not have.
      */
     PlatformConfig forTraining() throws IOException {
         InetSocketAddress any = new InetSocketAddress(listen.getAddress(), 0);
@@ -71,8 +96,25 @@
             free.bind(any);
             chosen = (InetSocketAddress) free.getLocalSocketAddress();
         }
-        return new PlatformConfig(name, chosen, discovery, seed, cores, memoryMb, sockets, any, peers, peersAll, any, eventLog, known, settings,
-                zones, kinds, idleCloseMs, streamsPerConnection);
+        return new PlatformConfig(
+                name,
+                chosen,
+                discovery,
+                seed,
+                cores,
+                memoryMb,
+                sockets,
+                any,
+                peers,
+                peersAll,
+                any,
+                eventLog,
+                known,
+                settings,
+                zones,
+                kinds,
+                idleCloseMs,
+                streamsPerConnection);
     }
 
     private static JsonElement need(JsonObject json, String key) {
@@ -88,15 +130,17 @@
     }
 
     private static InetSocketAddress optionalAddress(JsonObject json, String key) {
-        String text = json.has(key) && json.get(key).isJsonPrimitive() ? json.get(key).getAsString() : "";
+        String text =
+                json.has(key) && json.get(key).isJsonPrimitive() ? json.get(key).getAsString() : "";
         return text.isEmpty() ? null : Addresses.of(text);
     }
 
     /** The simulator's form: lists of plain values joined by commas, lists of objects counted and numbered. */
     private static void flatten(String path, JsonElement value, Map<String, String> out) {
         if (value.isJsonObject()) {
-            value.getAsJsonObject().entrySet().forEach(
-                    e -> flatten(path.isEmpty() ? e.getKey() : path + "." + e.getKey(), e.getValue(), out));
+            value.getAsJsonObject()
+                    .entrySet()
+                    .forEach(e -> flatten(path.isEmpty() ? e.getKey() : path + "." + e.getKey(), e.getValue(), out));
         } else if (value.isJsonArray()) {
             List<String> plain = new ArrayList<>();
             int i = 0;
--- a/src/main/java/cacheproxy/proxy/PollClock.java
+++ b/src/main/java/cacheproxy/proxy/PollClock.java
@@ -6,18 +6,20 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Knows when an event loop last looked at its sockets, and so how long what it reads now may have waited unread: for the whole of a
- * pause of the process (a stop signal, a busy machine, a long collection) the loop sees no time pass, but its clients do.
+ * Knows when an event loop last looked at its sockets, and so how long what it reads now may have waited unread: for
+ * the whole of a pause of the process (a stop signal, a busy machine, a long collection) the loop sees no time pass,
+ * but its clients do.
  *
- * <p>The loop is to do something every {@link #HEARTBEAT_MS}: a poll that lasts longer than {@link #MAX_POLL_MS} then has met a pause.
- * A pause that is shorter than a poll may last can't be told from one. Used on its loop only; times are those of
- * {@link System#nanoTime}.
+ * <p>The loop is to do something every {@link #HEARTBEAT_MS}: a poll that lasts longer than {@link #MAX_POLL_MS} then
+ * has met a pause. A pause that is shorter than a poll may last can't be told from one. Used on its loop only; times
+ * are those of {@link System#nanoTime}.
  */
 public final class PollClock {
     /** How often the loop is to be woken where nothing else does. */
     static final double HEARTBEAT_MS = 100;
     /** A poll that lasts longer has met a pause: the heartbeat's time and what its timer and a busy machine may add. */
     static final double MAX_POLL_MS = HEARTBEAT_MS + 25;
+
     private static final long MAX_POLL_NANOS = (long) (MAX_POLL_MS * 1e6);
 
     private long turn;
@@ -25,6 +27,7 @@
     private long pollNanos;
     /** When the first event of this turn was handled. */
     private long handledNanos;
+
     private boolean handled;
     /** How long the turn before this one was at work after its poll, or in a poll that met a pause. */
     private long busyNanos;
@@ -61,7 +64,9 @@
         return turn;
     }
 
-    /** How long, in milliseconds, what is read now may have waited at the most, apart from a pause shorter than a poll. */
+    /**
+     * How long, in milliseconds, what is read now may have waited at the most, apart from a pause shorter than a poll.
+     */
     double unreadForMs(long nowNanos) {
         handling(nowNanos);
         if (turn == 0) {
@@ -76,7 +81,10 @@
         return (handled ? handledNanos : nowNanos) - pollNanos > MAX_POLL_NANOS;
     }
 
-    /** Since when this turn has not looked at its sockets. A poll that a pause ended may have come back without seeing what came in it. */
+    /**
+     * Since when this turn has not looked at its sockets. A poll that a pause ended may have come back without seeing
+     * what came in it.
+     */
     private long workedSinceNanos(long nowNanos) {
         return paused(nowNanos) ? pollNanos : handledNanos;
     }
--- a/src/main/java/cacheproxy/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/Proxy.java
@@ -1,11 +1,11 @@
 package cacheproxy.proxy;
 
-import cacheproxy.policy.PolicyApi.ServiceClass;
+import cacheproxy.discovery.VersionGossip;
 import cacheproxy.eventlog.ProxyEvent;
 import cacheproxy.lifecycle.Lifecycle;
 import cacheproxy.lifecycle.Lifecycle.Periods;
 import cacheproxy.lifecycle.WarmUpPlan;
-import cacheproxy.discovery.VersionGossip;
+import cacheproxy.policy.PolicyApi.ServiceClass;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import java.io.IOException;
@@ -17,10 +17,17 @@
 
 /** One real proxy: its sockets, their bounds and its end. */
 public final class Proxy {
-    /** Descriptors that the JVM and its files, the listening socket, discovery and peers need: 41 were counted, and 4 come. */
+    /**
+     * Descriptors that the JVM and its files, the listening socket, discovery and peers need: 41 were counted, and 4
+     * come.
+     */
     private static final int OWN_DESCRIPTORS = 48;
+
     private static final long SWEEP_MS = 250;
-    /** The longest deadline that the platform waits for before it kills a process that was told to end; classes may have longer ones. */
+    /**
+     * The longest deadline that the platform waits for before it kills a process that was told to end; classes may have
+     * longer ones.
+     */
     private static final double LONGEST_LEFT_MS = 3000;
 
     private final PollClock polls = new PollClock();
@@ -50,21 +57,35 @@
         useEventLog(config);
         dispatcher = new Dispatcher(core, Dispatcher.Pool.of(config));
         peers = new PeerSocket(loop, config, this::heard);
-        clients = new ClientRegistry(core, Math.max(16, config.sockets() - config.sockets() / 3
-                - OWN_DESCRIPTORS - (config.control() == null ? 0 : OperatorActions.DESCRIPTORS)));
+        clients = new ClientRegistry(
+                core,
+                Math.max(
+                        16,
+                        config.sockets()
+                                - config.sockets() / 3
+                                - OWN_DESCRIPTORS
+                                - (config.control() == null ? 0 : OperatorActions.DESCRIPTORS)));
         discovery = new DiscoveryClient(core, DiscoveryClient.Source.of(config), dispatcher);
         loop.submit(() -> {
-            dispatcher.start(discovery, peers);
-            discovery.start();
-            loop.scheduleWithFixedDelay(clients::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
-        }).syncUninterruptibly();
+                    dispatcher.start(discovery, peers);
+                    discovery.start();
+                    loop.scheduleWithFixedDelay(clients::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+                })
+                .syncUninterruptibly();
         listener = new Listener(core, clients, new SinglePoolHandler(core, dispatcher), null);
         if (config.control() == null) {
             listener.bind(config.listen()).sync();
             operations = null;
         } else {
-            operations = OperatorActions.start(loop, core, lifecycle, listener, config.listen(), config.control(),
-                    folder(), this::reloadElsewhere);
+            operations = OperatorActions.start(
+                    loop,
+                    core,
+                    lifecycle,
+                    listener,
+                    config.listen(),
+                    config.control(),
+                    folder(),
+                    this::reloadElsewhere);
         }
     }
 
@@ -99,7 +120,7 @@
         PlatformConfig config = configuration();
         String path = System.getenv("BALANCER_CONFIG");
         try {
-            boolean heard = SighupHandler.run(() -> { });
+            boolean heard = SighupHandler.run(() -> {});
             Proxy proxy = new Proxy(config, true);
             if (!heard) {
                 proxy.core.log(SighupHandler.IGNORED);
@@ -120,7 +141,11 @@
             InetSocketAddress to = read.discovery();
             useEventLog(read);
             if (core.events.isEnabled()) {
-                core.events.line(ProxyEvent.STATE_CHANGED).with("state", "reloaded").with("discovery", to).write();
+                core.events
+                        .line(ProxyEvent.STATE_CHANGED)
+                        .with("state", "reloaded")
+                        .with("discovery", to)
+                        .write();
             }
             loop.execute(() -> discovery.move(to));
         } catch (IllegalArgumentException e) {
@@ -146,19 +171,22 @@
     }
 
     /**
-     * Starts a proxy and its next version, calls what operators call and ends them as the service ends, so that the build
-     * can archive the classes of all that; the process's exit code. What is missing here each start reads and verifies anew.
+     * Starts a proxy and its next version, calls what operators call and ends them as the service ends, so that the
+     * build can archive the classes of all that; the process's exit code. What is missing here each start reads and
+     * verifies anew.
      */
     public static int train() {
         NettyDefaults.apply();
         try {
-            SighupHandler.run(() -> { });
+            SighupHandler.run(() -> {});
             PlatformConfig config = configuration().forTraining();
             Proxy first = new Proxy(config, true);
             Proxy next = new Proxy(config, false);
             for (String call : new String[] {"GET /status", "POST /standby", "POST /active"}) {
-                try (Socket operator = new Socket(config.listen().getAddress(), next.controlAddress().getPort())) {
-                    operator.getOutputStream().write((call + " HTTP/1.1\r\nHost: train\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+                try (Socket operator = new Socket(
+                        config.listen().getAddress(), next.controlAddress().getPort())) {
+                    operator.getOutputStream()
+                            .write((call + " HTTP/1.1\r\nHost: train\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
                     operator.getInputStream().readAllBytes();
                 }
             }
@@ -222,11 +250,19 @@
     void drain() {
         new GracefulShutdown(loop, core, 0, this::drained).run(() -> {
             if (core.events.isEnabled()) {
-                core.events.line(ProxyEvent.STATE_CHANGED).with("state", "draining").with("in_hand", dispatcher.inHand()).write();
+                core.events
+                        .line(ProxyEvent.STATE_CHANGED)
+                        .with("state", "draining")
+                        .with("in_hand", dispatcher.inHand())
+                        .write();
             }
             lifecycle.leave(core.now(), operations != null && operations.hasSuccessor());
-            double longest = config.settings().classes().stream().mapToDouble(ServiceClass::deadlineMs).max().orElse(0);
-            double lastMs = Math.max(Periods.USUAL.listenOnMs(), Periods.USUAL.leaveSpreadMs()) + Math.min(longest, LONGEST_LEFT_MS);
+            double longest = config.settings().classes().stream()
+                    .mapToDouble(ServiceClass::deadlineMs)
+                    .max()
+                    .orElse(0);
+            double lastMs = Math.max(Periods.USUAL.listenOnMs(), Periods.USUAL.leaveSpreadMs())
+                    + Math.min(longest, LONGEST_LEFT_MS);
             core.after(lastMs, () -> {
                 listener.takeNoMore();
                 dispatcher.answerAll();
--- a/src/main/java/cacheproxy/proxy/RequestContext.java
+++ b/src/main/java/cacheproxy/proxy/RequestContext.java
@@ -1,8 +1,8 @@
 package cacheproxy.proxy;
 
+import cacheproxy.invariant.SendFacts;
 import cacheproxy.policy.PolicyApi.Effect;
 import cacheproxy.policy.PolicyApi.Outcome;
-import cacheproxy.invariant.SendFacts;
 import cacheproxy.proxy.TimerWheel.Timer;
 import java.util.ArrayList;
 import java.util.List;
@@ -17,6 +17,7 @@
     final long keyNumber;
     /** Whether the request's id is open for as long as this is: not where another holds the request, too. */
     final boolean holdsId;
+
     int id;
     double dueMs;
     boolean over;
@@ -28,6 +29,7 @@
     boolean mayHaveRun;
     /** What the attempt that ended last ended with; null: none has. */
     Outcome lastOutcome;
+
     Timer timer;
     final List<Attempt> attempts = new ArrayList<>(3);
 
@@ -40,7 +42,8 @@
     }
 
     /** One that a router hands on; it holds the command until its attempts have ended. */
-    public static RequestContext of(Dispatcher pool, ClientRequest command, long keyNumber, Responder responder, double dueMs) {
+    public static RequestContext of(
+            Dispatcher pool, ClientRequest command, long keyNumber, Responder responder, double dueMs) {
         RequestContext x = new RequestContext(pool, command.retain(), keyNumber, responder, false);
         x.dueMs = dueMs;
         return x;
@@ -59,14 +62,18 @@
     static final class Attempt implements SendFacts {
         /** Null for a probe. */
         final RequestContext exchange;
+
         final Dispatcher owner;
         final int index;
         final int server;
         final double sentMs;
         /** When the proxy stops waiting. */
         final double untilMs;
-        /** When it may still begin, where an earlier one may have run: servers drop a repeat for so long and no longer. */
+        /**
+         * When it may still begin, where an earlier one may have run: servers drop a repeat for so long and no longer.
+         */
         double beginByMs = Double.POSITIVE_INFINITY;
+
         UpstreamConnection connection;
         /** Its first byte has been handed on. */
         boolean begun;
@@ -80,6 +87,7 @@
         double firstByteMs;
         /** Who hears of a probe's end; null: the module. */
         Consumer<Outcome> asked;
+
         Timer timer;
 
         Attempt(Dispatcher owner, RequestContext exchange, int index, int server, double sentMs, double untilMs) {
@@ -92,8 +100,8 @@
         }
 
         /**
-         * The deadline that its server is told: whole milliseconds until the proxy stops waiting, never more than the client has left.
-         * To be reckoned anew each time that it is sent.
+         * The deadline that its server is told: whole milliseconds until the proxy stops waiting, never more than the
+         * client has left. To be reckoned anew each time that it is sent.
          */
         int deadlineToTellMs(double nowMs) {
             double leftMs = Math.min(deadlineMs(), exchange.command.clientDueMs) - nowMs;
--- a/src/main/java/cacheproxy/proxy/RequestHandler.java
+++ b/src/main/java/cacheproxy/proxy/RequestHandler.java
@@ -9,8 +9,8 @@
     }
 
     /**
-     * Takes a request whose last byte has come. From here on its value belongs to the callee, and the responder
-     * gets exactly one answer unless the client leaves before.
+     * Takes a request whose last byte has come. From here on its value belongs to the callee, and the responder gets
+     * exactly one answer unless the client leaves before.
      */
     Handle take(ClientRequest command, Responder responder);
 }
--- a/src/main/java/cacheproxy/proxy/Responder.java
+++ b/src/main/java/cacheproxy/proxy/Responder.java
@@ -4,9 +4,9 @@
 
 /**
  * Where the one answer to a request goes. A front writes it in its own grammar. Exactly one of {@link #value},
- * {@link #receipt}, {@link #miss}, {@link #refused}, {@link #failed} and {@link #rejected} is called, or
- * {@link #begin} and then parts up to {@link #end} or {@link #breakOff}. All calls come on the event loop, perhaps
- * before the call that handed the request in has returned.
+ * {@link #receipt}, {@link #miss}, {@link #refused}, {@link #failed} and {@link #rejected} is called, or {@link #begin}
+ * and then parts up to {@link #end} or {@link #breakOff}. All calls come on the event loop, perhaps before the call
+ * that handed the request in has returned.
  */
 public interface Responder {
     /** Lets a long answer go on, or holds it back while the client takes nothing. */
--- a/src/main/java/cacheproxy/proxy/SinglePoolHandler.java
+++ b/src/main/java/cacheproxy/proxy/SinglePoolHandler.java
@@ -9,7 +9,8 @@
     SinglePoolHandler(EventLoopContext core, Dispatcher pool) {
         this.core = core;
         this.pool = pool;
-        intake = new RequestValidator(core, pool.settings().classes(), pool.settings().tenants());
+        intake = new RequestValidator(
+                core, pool.settings().classes(), pool.settings().tenants());
     }
 
     @Override
--- a/src/main/java/cacheproxy/proxy/StandardMetaProtocol.java
+++ b/src/main/java/cacheproxy/proxy/StandardMetaProtocol.java
@@ -19,7 +19,7 @@
 
     /**
      * @param readDefaults the list that a read without one gets, such as {@code c=page,t=acme,d=400}; names that the
-     *            request's own list has are left out
+     *     request's own list has are left out
      * @param keyed names of classes whose repeats servers drop by a key; a request without one gets its id
      * @param ids new ids for requests
      */
@@ -34,14 +34,17 @@
      * A line as understood: a command, or the error line that answers it. A write's value follows in either case, as
      * long as its length could be read.
      */
-    record Parsed(ClientRequest command, String fault, boolean write, int length, String echo) { }
+    record Parsed(ClientRequest command, String fault, boolean write, int length, String echo) {}
 
     Parsed parse(String line) throws MetaCodec.SyntaxException {
         boolean write = line.startsWith("ms ");
         if (!write && !line.startsWith("mg ")) {
             String word = MetaCodec.wordAt(line, 0);
-            return fault("ERROR this listener takes mg, ms and mn" + (word.length() == 2 && word.startsWith("m")
-                    ? ", not " + printable(word) : ""), false, 0);
+            return fault(
+                    "ERROR this listener takes mg, ms and mn"
+                            + (word.length() == 2 && word.startsWith("m") ? ", not " + printable(word) : ""),
+                    false,
+                    0);
         }
         String key = MetaCodec.wordAt(line, 3);
         int at = 3 + key.length() + 1;
@@ -52,7 +55,8 @@
             at += word.length() + 1;
         }
         if (key.isEmpty() || key.length() > 250 || !MetaCodec.printing(line)) {
-            return fault("CLIENT_ERROR a key has 1 to 250 printing ASCII characters, and so has the line", write, length);
+            return fault(
+                    "CLIENT_ERROR a key has 1 to 250 printing ASCII characters, and so has the line", write, length);
         }
         String opaque = null;
         String list = "";
@@ -66,8 +70,11 @@
             }
             char flag = line.charAt(at);
             if ((write ? WRITE_FLAGS : READ_FLAGS).indexOf(flag) < 0 || end - at > 1 && flag != 'O' && flag != 'P') {
-                return fault("CLIENT_ERROR flag " + flag + " is not offered; " + (write ? "ms takes O, k and P"
-                        : "mg takes v, O, k and P"), write, length);
+                return fault(
+                        "CLIENT_ERROR flag " + flag + " is not offered; "
+                                + (write ? "ms takes O, k and P" : "mg takes v, O, k and P"),
+                        write,
+                        length);
             }
             switch (flag) {
                 case 'O' -> opaque = line.substring(at + 1, end);
--- a/src/main/java/cacheproxy/proxy/TimerWheel.java
+++ b/src/main/java/cacheproxy/proxy/TimerWheel.java
@@ -33,6 +33,7 @@
     private long done;
     /** The slot that the event loop will wake for; 0 for none. */
     private long armed;
+
     private List<Timer> spare = new ArrayList<>();
 
     TimerWheel(EventLoop loop, PollClock polls) {
@@ -73,7 +74,7 @@
         }
         armed = 0;
         long last = (System.nanoTime() - start) / SLOT_NANOS;
-        for (long next; (next = next()) != 0 && next <= last;) {
+        for (long next; (next = next()) != 0 && next <= last; ) {
             done = next;
             int at = (int) (next & SLOTS - 1);
             List<Timer> due = slots.set(at, spare);
--- a/src/main/java/cacheproxy/proxy/Upstream.java
+++ b/src/main/java/cacheproxy/proxy/Upstream.java
@@ -1,7 +1,7 @@
 package cacheproxy.proxy;
 
-import cacheproxy.policy.PolicyApi.State;
 import cacheproxy.limits.ServerCapacity;
+import cacheproxy.policy.PolicyApi.State;
 import cacheproxy.proxy.RequestContext.Attempt;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelFuture;
@@ -11,9 +11,8 @@
 import java.util.List;
 
 /**
- * A server of the list with our connections to it. An attempt takes the connection that was used last of those
- * that stand idle, so that the rest can age and be retired; else it opens one, up to a limit, or queues behind
- * the fewest.
+ * A server of the list with our connections to it. An attempt takes the connection that was used last of those that
+ * stand idle, so that the rest can age and be retired; else it opens one, up to a limit, or queues behind the fewest.
  */
 final class Upstream {
     /** What a second copy of an answer may take to follow the first: some milliseconds. */
@@ -29,11 +28,13 @@
     double leftMs = Double.POSITIVE_INFINITY;
     /** How many pools have this server on their lists. */
     int holders;
+
     private final EventLoopContext core;
     private final Bootstrap bootstrap;
     private final int maxConnections;
     /** The same, with those on which a long answer waits for its client. */
     private final int mostConnections;
+
     private final int maxDepth;
     private final double retireIdleMs;
     private final ServerCapacity room;
@@ -61,8 +62,11 @@
         UpstreamConnection best = pick(false);
         int all = connections.size() - ending();
         int standing = all - onLong(); // behind a long answer one would wait for its client
-        if ((best == null || best.depth() > 0 || !rested(best)) && standing < maxConnections && all < mostConnections
-                && (origin || room.mayOpen(core.now(), standing)) && core.roomUpstream()) {
+        if ((best == null || best.depth() > 0 || !rested(best))
+                && standing < maxConnections
+                && all < mostConnections
+                && (origin || room.mayOpen(core.now(), standing))
+                && core.roomUpstream()) {
             best = open();
         }
         if (best == null || !best.usable(maxDepth)) { // a new one may have failed at once, for want of a descriptor
@@ -72,7 +76,10 @@
         return true;
     }
 
-    /** The server may be about to close what has been idle for long: of what went out on it nobody could tell whether it has run. */
+    /**
+     * The server may be about to close what has been idle for long: of what went out on it nobody could tell whether it
+     * has run.
+     */
     private void closeAged() {
         double since = core.now() - retireIdleMs;
         for (UpstreamConnection c : connections) {
@@ -104,8 +111,8 @@
     }
 
     /**
-     * A further connection did not come up while others stand: the server has as many as it takes, which says
-     * nothing against it. What was to go out on that one, and did not, goes behind the rest.
+     * A further connection did not come up while others stand: the server has as many as it takes, which says nothing
+     * against it. What was to go out on that one, and did not, goes behind the rest.
      */
     boolean sendElsewhere(Attempt attempt) {
         UpstreamConnection best = pick(true);
@@ -117,8 +124,8 @@
     }
 
     /**
-     * The connection with the fewest attempts on it, of idle ones that used last; null if none has room. Answers
-     * come in order: behind a busy one while another is idle, an attempt would wait for what is before it.
+     * The connection with the fewest attempts on it, of idle ones that used last; null if none has room. Answers come
+     * in order: behind a busy one while another is idle, an attempt would wait for what is before it.
      */
     private UpstreamConnection pick(boolean standing) {
         UpstreamConnection best = null;
@@ -138,8 +145,9 @@
     }
 
     /**
-     * Whether what comes on an idle connection can be told from the next request's answer. The origin's answers bear no id, and a
-     * second copy of one may come some milliseconds after it: it ends the connection if nothing has gone out there by then.
+     * Whether what comes on an idle connection can be told from the next request's answer. The origin's answers bear no
+     * id, and a second copy of one may come some milliseconds after it: it ends the connection if nothing has gone out
+     * there by then.
      */
     private boolean rested(UpstreamConnection c) {
         return !origin || !c.connected() || !c.used() || core.now() - c.idleSinceMs() >= REST_MS;
@@ -149,9 +157,12 @@
         UpstreamConnection connection = new UpstreamConnection(this);
         connections.add(connection);
         core.openedUpstream();
-        ChannelHandler[] handlers = origin ? OriginCodec.handlers(connection)
-                : new ChannelHandler[] {new CacheCodec(connection)};
-        ChannelFuture future = bootstrap.clone().handler(new ClientChannelInitializer(handlers)).connect(dial);
+        ChannelHandler[] handlers =
+                origin ? OriginCodec.handlers(connection) : new ChannelHandler[] {new CacheCodec(connection)};
+        ChannelFuture future = bootstrap
+                .clone()
+                .handler(new ClientChannelInitializer(handlers))
+                .connect(dial);
         connection.opening(future, dial);
         return connection;
     }
@@ -190,8 +201,8 @@
     }
 
     /**
-     * Its server is gone, restarted or elsewhere: nothing more goes out on what stands to it. Connections in use
-     * end with their last attempt, else one to a silent machine, or to a stranger at its address, would be sent to.
+     * Its server is gone, restarted or elsewhere: nothing more goes out on what stands to it. Connections in use end
+     * with their last attempt, else one to a silent machine, or to a stranger at its address, would be sent to.
      */
     void retire() {
         connections.forEach(UpstreamConnection::retire);
--- a/src/main/java/cacheproxy/proxy/UpstreamConnection.java
+++ b/src/main/java/cacheproxy/proxy/UpstreamConnection.java
@@ -1,7 +1,7 @@
 package cacheproxy.proxy;
 
-import cacheproxy.policy.PolicyApi.Outcome;
 import cacheproxy.eventlog.ProxyEvent;
+import cacheproxy.policy.PolicyApi.Outcome;
 import cacheproxy.proxy.RequestContext.Attempt;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -10,8 +10,8 @@
 import java.util.ArrayDeque;
 
 /**
- * One connection to a server with the attempts on it, in the order in which their answers come. How an attempt
- * ends when the connection does hangs on whether its last byte was written: only then may it have run.
+ * One connection to a server with the attempts on it, in the order in which their answers come. How an attempt ends
+ * when the connection does hangs on whether its last byte was written: only then may it have run.
  */
 final class UpstreamConnection implements Responder.Flow {
     /** Turns an attempt into the server's protocol and its answers into calls of the methods below. */
@@ -20,10 +20,10 @@
         ChannelFuture write(Channel channel, Attempt attempt, SocketAddress dial);
 
         /** A long answer may go on, of which the codec holds what is still to come. */
-        default void resume() { }
+        default void resume() {}
 
         /** The connection is to end: what the codec still holds is of no use. */
-        default void drop() { }
+        default void drop() {}
     }
 
     /** A server pauses for 0.1 s at most within an answer; one that stops for this long will not go on. */
@@ -48,6 +48,7 @@
     private int givenUp;
     /** Attempts that have not begun; they stand behind those that have. */
     private int waiting;
+
     private double idleSinceMs;
     private double progressMs;
     private boolean begun;
@@ -57,6 +58,7 @@
     private boolean flushing;
     /** Whether the server has answered on it, and whether otherwise than by busy. */
     private boolean answered;
+
     private boolean taken;
     private final Runnable flush = this::flush;
 
@@ -79,8 +81,15 @@
         future.addListener(f -> {
             upstream.core().servers.opened(upstream, f.cause());
             if (upstream.core().events.isEnabled()) {
-                upstream.core().events.line(ProxyEvent.SERVER_CONNECTED).with("server", name()).with("queued", attempts.size())
-                        .with("cause", f.isSuccess() ? "ok" : f.cause().getClass().getSimpleName()).write();
+                upstream.core()
+                        .events
+                        .line(ProxyEvent.SERVER_CONNECTED)
+                        .with("server", name())
+                        .with("queued", attempts.size())
+                        .with(
+                                "cause",
+                                f.isSuccess() ? "ok" : f.cause().getClass().getSimpleName())
+                        .write();
             }
             if (!f.isSuccess()) {
                 // No handler is told of a channel that never became active: without this its attempts would stay
@@ -128,7 +137,9 @@
     }
 
     boolean usable(int maxDepth) {
-        return !closed && !retired && attempts.size() < maxDepth
+        return !closed
+                && !retired
+                && attempts.size() < maxDepth
                 && (!connected || channel.isActive() && channel.isWritable());
     }
 
@@ -140,8 +151,9 @@
     }
 
     /**
-     * Begins those that wait, in their order, for as long as the connection takes more: what is told of the time that is left holds for
-     * what goes out soon, not for what would stand behind a long value. What may not begin any more ends here.
+     * Begins those that wait, in their order, for as long as the connection takes more: what is told of the time that
+     * is left holds for what goes out soon, not for what would stand behind a long value. What may not begin any more
+     * ends here.
      */
     private void writeWaiting() {
         while (waiting > 0 && connected && !reading && !closed && channel.isActive() && channel.isWritable()) {
@@ -193,10 +205,18 @@
         if (upstream.core().events.isEnabled() && attempt.exchange != null) {
             RequestContext request = attempt.exchange;
             String cause = attempt.index == 0 ? "first" : request.out > 1 ? "hedge" : "after_" + request.lastOutcome;
-            upstream.core().events.line(ProxyEvent.ATTEMPT_STARTED).with("id", request.command.id).with("n", attempt.index)
-                    .with("server", name()).with("cause", cause).withMs("left_ms", attempt.untilMs - upstream.core().now())
-                    .withMs("client_left_ms", request.dueMs - upstream.core().now()).withMs("queued_ms", upstream.core().now() - attempt.sentMs)
-                    .with("depth", attempts.size()).write();
+            upstream.core()
+                    .events
+                    .line(ProxyEvent.ATTEMPT_STARTED)
+                    .with("id", request.command.id)
+                    .with("n", attempt.index)
+                    .with("server", name())
+                    .with("cause", cause)
+                    .withMs("left_ms", attempt.untilMs - upstream.core().now())
+                    .withMs("client_left_ms", request.dueMs - upstream.core().now())
+                    .withMs("queued_ms", upstream.core().now() - attempt.sentMs)
+                    .with("depth", attempts.size())
+                    .write();
         }
     }
 
@@ -223,7 +243,8 @@
         if (!attempt.begun) {
             return withdraw(attempt);
         }
-        if (attempts.contains(attempt) && ++givenUp == attempts.size()
+        if (attempts.contains(attempt)
+                && ++givenUp == attempts.size()
                 && (retired || upstream.core().mayClose(attempt.owner.secondCopies()))) {
             close(); // a retired one takes no more attempts, so that keeping it would save none a new connection
         }
@@ -373,11 +394,18 @@
         }
         upstream.closed(this);
         if (upstream.core().events.isEnabled()) {
-            upstream.core().events.line(ProxyEvent.SERVER_DISCONNECTED).with("server", name()).with("by", closedByUs ? "proxy" : "server")
-                    .with("connected", connected).with("retired", retired).with("out", attempts.size()).write();
+            upstream.core()
+                    .events
+                    .line(ProxyEvent.SERVER_DISCONNECTED)
+                    .with("server", name())
+                    .with("by", closedByUs ? "proxy" : "server")
+                    .with("connected", connected)
+                    .with("retired", retired)
+                    .with("out", attempts.size())
+                    .write();
         }
         waiting = 0;
-        for (Attempt a; (a = attempts.poll()) != null;) {
+        for (Attempt a; (a = attempts.poll()) != null; ) {
             if (!a.begun && !a.ended && (connected ? upstream.send(a) : upstream.sendElsewhere(a))) {
                 continue;
             }
--- a/src/main/java/cacheproxy/proxy/UpstreamRegistry.java
+++ b/src/main/java/cacheproxy/proxy/UpstreamRegistry.java
@@ -8,8 +8,8 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * The servers of all pools. One that stands in several pools under the same id and address is one: its connections
- * are shared and their bound holds for all pools together.
+ * The servers of all pools. One that stands in several pools under the same id and address is one: its connections are
+ * shared and their bound holds for all pools together.
  */
 public final class UpstreamRegistry {
     /** Told when a server is found to be down and when it is there again. */
@@ -45,7 +45,8 @@
     }
 
     void opened(Upstream u, Throwable failure) {
-        boolean refused = failure instanceof java.net.ConnectException && !(failure instanceof io.netty.channel.ConnectTimeoutException);
+        boolean refused = failure instanceof java.net.ConnectException
+                && !(failure instanceof io.netty.channel.ConnectTimeoutException);
         for (Observer o : observers) {
             if (failure == null) {
                 o.connected(u.id);
--- a/src/main/java/cacheproxy/proxy/WarmUp.java
+++ b/src/main/java/cacheproxy/proxy/WarmUp.java
@@ -1,9 +1,9 @@
 package cacheproxy.proxy;
 
+import cacheproxy.lifecycle.WarmUpPlan;
 import cacheproxy.policy.PolicyApi.ListKind;
 import cacheproxy.policy.PolicyApi.Member;
 import cacheproxy.policy.PolicyApi.State;
-import cacheproxy.lifecycle.WarmUpPlan;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -47,11 +47,13 @@
     }
 
     /** The same in this folder, where a client dials what is made of the proxy's address. */
-    static int run(EventLoop loop, PlatformConfig config, WarmUpPlan plan, Path temporary, UnaryOperator<SocketAddress> dial) {
+    static int run(
+            EventLoop loop, PlatformConfig config, WarmUpPlan plan, Path temporary, UnaryOperator<SocketAddress> dial) {
         try {
-            // Named by the clock: the library's way draws a secure random number, for which it loads the security providers.
-            Path folder = Files.createDirectory(temporary.resolve(
-                    "warm" + Long.toHexString(System.nanoTime()) + "-" + ProcessHandle.current().pid()));
+            // Named by the clock: the library's way draws a secure random number, for which it loads the security
+            // providers.
+            Path folder = Files.createDirectory(temporary.resolve("warm" + Long.toHexString(System.nanoTime()) + "-"
+                    + ProcessHandle.current().pid()));
             WarmUp warmUp = new WarmUp(loop, config, folder, plan);
             try {
                 warmUp.run(dial);
@@ -70,18 +72,24 @@
     private void run(UnaryOperator<SocketAddress> dial) throws InterruptedException, IOException {
         EventLoopContext core = EventLoopContext.of(loop, new PollClock(), config, Transport.BEST.localSocket());
         Dispatcher dispatcher = new Dispatcher(core, Dispatcher.Pool.of(config));
-        Listener front = new Listener(core, new ClientRegistry(core, 16), new SinglePoolHandler(core, dispatcher), null);
+        Listener front =
+                new Listener(core, new ClientRegistry(core, 16), new SinglePoolHandler(core, dispatcher), null);
         loop.submit(() -> dispatcher.start(Dispatcher.ListSource.NONE, null)).sync();
         try {
             SocketAddress node = listen("n", Node::new);
             SocketAddress origin = listen("o", Origin::new);
             SocketAddress proxy = listen("p", () -> new ClientConnection(core, front, 0));
             int originKind = config.settings().originKind();
-            List<DiscoveryClient.Host> hosts = List.of(host(1, originKind == 0 ? 1 : 0, node),
-                    host(2, Math.max(0, originKind), origin));
+            List<DiscoveryClient.Host> hosts =
+                    List.of(host(1, originKind == 0 ? 1 : 0, node), host(2, Math.max(0, originKind), origin));
             loop.submit(() -> dispatcher.listed(ListKind.CACHED, hosts)).sync();
-            channels.add(new Bootstrap().group(loop).channel(Transport.BEST.localSocket())
-                    .handler(new ClientChannelInitializer(new Client())).connect(dial.apply(proxy)).sync().channel());
+            channels.add(new Bootstrap()
+                    .group(loop)
+                    .channel(Transport.BEST.localSocket())
+                    .handler(new ClientChannelInitializer(new Client()))
+                    .connect(dial.apply(proxy))
+                    .sync()
+                    .channel());
             done.await((long) plan.limitMs(), TimeUnit.MILLISECONDS);
         } finally { // also where such sockets are refused, or each start would leave three, a sweep and a folder
             loop.submit(dispatcher::stop).sync();
@@ -96,13 +104,18 @@
 
     private SocketAddress listen(String name, Supplier<ChannelHandler> handler) throws InterruptedException {
         SocketAddress address = Transport.BEST.local(folder.resolve(name));
-        channels.add(new ServerBootstrap().group(loop).channel(Transport.BEST.localServer())
+        channels.add(new ServerBootstrap()
+                .group(loop)
+                .channel(Transport.BEST.localServer())
                 .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline().addLast(handler.get());
                     }
-                }).bind(address).sync().channel());
+                })
+                .bind(address)
+                .sync()
+                .channel());
         return address;
     }
 
@@ -111,8 +124,8 @@
     }
 
     /**
-     * One end of a connection that lasts as long as the warm-up. The other end may go with bytes unread, which resets it:
-     * that is no fault, and nothing to tell anyone of.
+     * One end of a connection that lasts as long as the warm-up. The other end may go with bytes unread, which resets
+     * it: that is no fault, and nothing to tell anyone of.
      */
     abstract static class End extends ByteToMessageDecoder {
         @Override
@@ -129,8 +142,8 @@
             if (line != null) {
                 String id = MetaCodec.flag(line, 3, 'O');
                 boolean miss = id.endsWith("0");
-                ctx.writeAndFlush(MetaCodec.text(ctx.alloc(),
-                        miss ? "EN O" + id + " h0\r\n" : "VA 5 O" + id + " h1\r\nhello\r\n"));
+                ctx.writeAndFlush(MetaCodec.text(
+                        ctx.alloc(), miss ? "EN O" + id + " h0\r\n" : "VA 5 O" + id + " h1\r\nhello\r\n"));
             }
         }
     }
@@ -155,8 +168,10 @@
 
         private void send(ChannelHandlerContext ctx) {
             String id = Integer.toString(++sent, 4);
-            ctx.writeAndFlush(MetaCodec.text(ctx.alloc(), "mg " + Integer.toHexString(0x70000000 + sent * 7919) + " v O"
-                    + id + " Pc=" + config.settings().classes().get(0).name() + ",d=60000\r\n"));
+            ctx.writeAndFlush(MetaCodec.text(
+                    ctx.alloc(),
+                    "mg " + Integer.toHexString(0x70000000 + sent * 7919) + " v O" + id + " Pc="
+                            + config.settings().classes().get(0).name() + ",d=60000\r\n"));
         }
 
         @Override
--- a/src/main/java/cacheproxy/routes/Explain.java
+++ b/src/main/java/cacheproxy/routes/Explain.java
@@ -1,8 +1,8 @@
 package cacheproxy.routes;
 
+import cacheproxy.placement.Placement;
 import cacheproxy.policy.CarpHash;
 import cacheproxy.policy.PolicyApi.Member;
-import cacheproxy.placement.Placement;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -23,8 +23,14 @@
      * @param listed whether the servers come from the file; else only discovery knows them
      * @param chain this pool and those that follow it
      */
-    public record PoolView(List<Member> ready, Map<Integer, String> names, Placement placement, KeyHash number,
-            String origin, boolean listed, List<String> chain) { }
+    public record PoolView(
+            List<Member> ready,
+            Map<Integer, String> names,
+            Placement placement,
+            KeyHash number,
+            String origin,
+            boolean listed,
+            List<String> chain) {}
 
     public Explain(RouteTable table, Map<String, PoolView> pools) {
         this.table = table;
@@ -48,13 +54,15 @@
                 lines.add(s.text() + " route=" + r.name() + " answer=rejected (its rewrite makes no legal key)");
             } else {
                 PoolView pool = pools.get(to.pools().get(0));
-                lines.add(s.text() + " route=" + r.name() + " pool=" + to.pools().get(0) + " server="
-                        + server(pool, s, r, key) + (key.equals(s.text()) ? "" : " key=" + key));
+                lines.add(
+                        s.text() + " route=" + r.name() + " pool=" + to.pools().get(0) + " server="
+                                + server(pool, s, r, key) + (key.equals(s.text()) ? "" : " key=" + key));
                 ranking(to, s, r, key, more);
             }
         }
         if (why) {
-            table.passedOver(s).forEach(p -> lines.add("  passed over " + p.route().name() + ": " + p.why()));
+            table.passedOver(s)
+                    .forEach(p -> lines.add("  passed over " + p.route().name() + ": " + p.why()));
             lines.addAll(more);
         }
         return lines;
@@ -80,7 +88,9 @@
 
     private void ranking(Route.ToPools to, RouteInput s, Route r, String key, List<String> out) {
         List<String> chain = new ArrayList<>(to.pools());
-        pools.get(chain.get(chain.size() - 1)).chain().stream().filter(p -> !chain.contains(p)).forEach(chain::add);
+        pools.get(chain.get(chain.size() - 1)).chain().stream()
+                .filter(p -> !chain.contains(p))
+                .forEach(chain::add);
         for (String name : chain) {
             PoolView pool = pools.get(name);
             List<String> ranks = new ArrayList<>();
@@ -88,8 +98,10 @@
                 ranks.add(pool.names().get(pool.ready().get(i).id()));
             }
             boolean toOrigin = s.write() && pool.origin() != null;
-            out.add("  pool " + name + (toOrigin ? ": writes go to " + pool.origin()
-                    : !pool.listed() ? ": servers come from discovery" : " ranks " + String.join(" ", ranks)));
+            out.add("  pool " + name
+                    + (toOrigin
+                            ? ": writes go to " + pool.origin()
+                            : !pool.listed() ? ": servers come from discovery" : " ranks " + String.join(" ", ranks)));
         }
     }
 }
--- a/src/main/java/cacheproxy/routes/Fallback.java
+++ b/src/main/java/cacheproxy/routes/Fallback.java
@@ -11,7 +11,7 @@
     /** Of a safe request's remaining time a pool gets this part where another one follows. */
     static final double PART = 0.5;
 
-    private Fallback() { }
+    private Fallback() {}
 
     /**
      * Whether a request may go on to another pool.
@@ -22,24 +22,26 @@
      * @param now the present time
      * @param arrivedMs when the request came; nothing can have been sent before
      */
-    public static boolean mayGoOn(ServiceClass kind, boolean mayHaveRun, String group, String nextGroup, double now,
-            double arrivedMs) {
+    public static boolean mayGoOn(
+            ServiceClass kind, boolean mayHaveRun, String group, String nextGroup, double now, double arrivedMs) {
         if (kind.effect() == Effect.SAFE || !mayHaveRun) {
             return true;
         }
-        return kind.effect() == Effect.KEYED && group != null && group.equals(nextGroup)
+        return kind.effect() == Effect.KEYED
+                && group != null
+                && group.equals(nextGroup)
                 && now < arrivedMs + kind.windowMs();
     }
 
     /**
      * Until when a pool may keep a request. A safe one must leave time for the next pool; one that may not be sent
-     * twice gains nothing by an early end, as it could go nowhere then. A keyed one that may have run elsewhere must
-     * be sent within the time in which its repeats are dropped.
+     * twice gains nothing by an early end, as it could go nowhere then. A keyed one that may have run elsewhere must be
+     * sent within the time in which its repeats are dropped.
      *
      * @param last whether no other pool follows
      */
-    public static double dueMs(ServiceClass kind, boolean mayHaveRun, boolean last, double now, double arrivedMs,
-            double clientDueMs) {
+    public static double dueMs(
+            ServiceClass kind, boolean mayHaveRun, boolean last, double now, double arrivedMs, double clientDueMs) {
         double due = clientDueMs;
         if (kind.effect() == Effect.SAFE && !last) {
             due = now + (clientDueMs - now) * PART;
--- a/src/main/java/cacheproxy/routes/KeyPattern.java
+++ b/src/main/java/cacheproxy/routes/KeyPattern.java
@@ -28,8 +28,9 @@
         try {
             pattern = Pattern.compile(text);
         } catch (PatternSyntaxException e) {
-            throw new IllegalArgumentException(e.getDescription() + (e.getPattern().isEmpty() ? ""
-                    : ": " + e.getPattern()) + "; patterns are RE2's, without back-references and look-around");
+            throw new IllegalArgumentException(
+                    e.getDescription() + (e.getPattern().isEmpty() ? "" : ": " + e.getPattern())
+                            + "; patterns are RE2's, without back-references and look-around");
         }
         if (pattern.programSize() > MAX_PROGRAM) {
             throw new IllegalArgumentException("the pattern's repetitions make " + pattern.programSize()
@@ -44,8 +45,8 @@
             return "";
         }
         int end = 1;
-        while (end < text.length() && (Character.isLetterOrDigit(text.charAt(end)) || "/_-:%~@,=&".indexOf(
-                text.charAt(end)) >= 0)) {
+        while (end < text.length()
+                && (Character.isLetterOrDigit(text.charAt(end)) || "/_-:%~@,=&".indexOf(text.charAt(end)) >= 0)) {
             end++;
         }
         // A following ? * or { makes the last character optional.
--- a/src/main/java/cacheproxy/routes/KeyRewrite.java
+++ b/src/main/java/cacheproxy/routes/KeyRewrite.java
@@ -1,8 +1,8 @@
 package cacheproxy.routes;
 
 /**
- * How a route changes the key before a pool sees it: a prefix comes off, or the whole key is made anew from a
- * pattern's groups; then a prefix may go on.
+ * How a route changes the key before a pool sees it: a prefix comes off, or the whole key is made anew from a pattern's
+ * groups; then a prefix may go on.
  */
 public final class KeyRewrite {
     public static final KeyRewrite NONE = new KeyRewrite(null, null, null, null);
@@ -21,7 +21,8 @@
     public KeyRewrite(String strip, KeyPattern pattern, String replace, String add) {
         this.strip = strip;
         this.pattern = pattern;
-        this.replace = replace == null ? null : new KeyPattern.Template(replace, pattern == null ? 0 : pattern.groups());
+        this.replace =
+                replace == null ? null : new KeyPattern.Template(replace, pattern == null ? 0 : pattern.groups());
         this.add = add;
     }
 
--- a/src/main/java/cacheproxy/routes/KeyShare.java
+++ b/src/main/java/cacheproxy/routes/KeyShare.java
@@ -1,8 +1,8 @@
 package cacheproxy.routes;
 
 /**
- * A share of all keys, always the same ones: for canaries. Two shares with the same salt and touching ranges split
- * the keys between them.
+ * A share of all keys, always the same ones: for canaries. Two shares with the same salt and touching ranges split the
+ * keys between them.
  *
  * @param salt shares with other salts choose independently of each other
  * @param from first ten-thousandth, 0 to 9,999
--- a/src/main/java/cacheproxy/routes/PathKey.java
+++ b/src/main/java/cacheproxy/routes/PathKey.java
@@ -6,8 +6,8 @@
 import java.util.Locale;
 
 /**
- * A key that is a URI without its scheme: {@code host/path?query}, of which host and query may be missing. The path
- * is normalised as HTTP proxies do (RFC 3986, section 6.2.2; nginx's documentation of {@code location}): escapes are
+ * A key that is a URI without its scheme: {@code host/path?query}, of which host and query may be missing. The path is
+ * normalised as HTTP proxies do (RFC 3986, section 6.2.2; nginx's documentation of {@code location}): escapes are
  * decoded, {@code .} and {@code ..} resolved, adjacent slashes made one. Bytes that no key can have, and {@code %},
  * {@code ?} and {@code #}, stay escaped, so that equal paths are equal texts and normalising twice changes nothing.
  *
@@ -37,7 +37,9 @@
     private static String host(String text) {
         String h = text.toLowerCase(Locale.ROOT);
         int colon = h.lastIndexOf(':');
-        if (colon > 0 && h.indexOf(']', colon) < 0 && h.substring(colon + 1).chars().allMatch(c -> c >= '0' && c <= '9')) {
+        if (colon > 0
+                && h.indexOf(']', colon) < 0
+                && h.substring(colon + 1).chars().allMatch(c -> c >= '0' && c <= '9')) {
             h = h.substring(0, colon);
         }
         return h.endsWith(".") && h.length() > 1 ? h.substring(0, h.length() - 1) : h;
@@ -119,10 +121,11 @@
 
     /** An argument of the query by its name, whose case is ignored; null where there is none. */
     public String argument(String name) {
-        for (int at = 0; query != null && at <= query.length();) {
+        for (int at = 0; query != null && at <= query.length(); ) {
             int end = query.indexOf('&', at);
             end = end < 0 ? query.length() : end;
-            if (end - at > name.length() && query.charAt(at + name.length()) == '='
+            if (end - at > name.length()
+                    && query.charAt(at + name.length()) == '='
                     && query.regionMatches(true, at, name, 0, name.length())) {
                 return query.substring(at + name.length() + 1, end);
             }
--- a/src/main/java/cacheproxy/routes/PlacementTemplate.java
+++ b/src/main/java/cacheproxy/routes/PlacementTemplate.java
@@ -6,16 +6,18 @@
 
 /**
  * What of a request a placement hashes, such as {@code $host$uri}. Variables: {@code $key} what the pool gets;
- * {@code $uri} the normalised path as routes see it, and {@code $1} to {@code $9} groups of the route's first pattern in
- * it, all with escapes decoded; {@code $request_uri} path and query as sent; {@code $host}; {@code $args} and {@code $query_string};
- * {@code $is_args}; {@code $arg_NAME}. {@code $$} is a dollar; braces are allowed, as in <code>${uri}x</code>.
+ * {@code $uri} the normalised path as routes see it, and {@code $1} to {@code $9} groups of the route's first pattern
+ * in it, all with escapes decoded; {@code $request_uri} path and query as sent; {@code $host}; {@code $args} and
+ * {@code $query_string}; {@code $is_args}; {@code $arg_NAME}. {@code $$} is a dollar; braces are allowed, as in <code>
+ * ${uri}x</code>.
  */
 public final class PlacementTemplate {
     /** With keys of 250 bytes the text has fewer than 4,096 then. */
     static final int MAX_PARTS = 8;
+
     static final int MAX_LENGTH = 1000;
-    private static final List<String> NAMES = List.of("key", "uri", "request_uri", "host", "args",
-            "query_string", "is_args");
+    private static final List<String> NAMES =
+            List.of("key", "uri", "request_uri", "host", "args", "query_string", "is_args");
     public static final PlacementTemplate KEY = new PlacementTemplate("$key");
 
     private final String text;
@@ -74,8 +76,9 @@
     public int groups() {
         int most = 0;
         for (int i = 1; i < parts.length; i += 2) {
-            most = Math.max(most, parts[i].length() == 1 && Character.isDigit(parts[i].charAt(0)) ? parts[i].charAt(0) - '0'
-                    : 0);
+            most = Math.max(
+                    most,
+                    parts[i].length() == 1 && Character.isDigit(parts[i].charAt(0)) ? parts[i].charAt(0) - '0' : 0);
         }
         return most;
     }
@@ -100,7 +103,8 @@
     private static byte[] value(String name, RouteInput s, Route route, String poolKey) {
         PathKey sent = s.sent();
         if (Character.isDigit(name.charAt(0))) {
-            String group = route == null || route.patterns().isEmpty() ? null
+            String group = route == null || route.patterns().isEmpty()
+                    ? null
                     : route.patterns().get(0).group(s.key(), name.charAt(0) - '0');
             return sent == null || group == null ? ascii(group) : PathKey.decode(group);
         }
--- a/src/main/java/cacheproxy/routes/PrefixIndex.java
+++ b/src/main/java/cacheproxy/routes/PrefixIndex.java
@@ -35,7 +35,8 @@
         if (texts.length == 0) {
             return -1;
         }
-        // The last text that sorts no later than the key: what sorts between a prefix of the key and the key begins with
+        // The last text that sorts no later than the key: what sorts between a prefix of the key and the key begins
+        // with
         // that prefix, too, so that all prefixes of the key are it or among those that it begins with.
         int at = Arrays.binarySearch(texts, key);
         at = at >= 0 ? at : -at - 2;
--- a/src/main/java/cacheproxy/routes/Route.java
+++ b/src/main/java/cacheproxy/routes/Route.java
@@ -17,29 +17,67 @@
  * @param placeBy what a placement hashes of these requests; null: what the pool says
  * @param action what becomes of the request
  */
-public record Route(String name, int order, int position, Set<String> listeners, String host, String exact,
-        String prefix, List<KeyPattern> patterns, Set<Integer> classes, Set<Integer> tenants, Boolean write,
-        TrafficShare share, KeyRewrite rewrite, PlacementTemplate placeBy, Action action) {
+public record Route(
+        String name,
+        int order,
+        int position,
+        Set<String> listeners,
+        String host,
+        String exact,
+        String prefix,
+        List<KeyPattern> patterns,
+        Set<Integer> classes,
+        Set<Integer> tenants,
+        Boolean write,
+        TrafficShare share,
+        KeyRewrite rewrite,
+        PlacementTemplate placeBy,
+        Action action) {
 
     /** One that is for any host, with one pattern or none. */
-    public Route(String name, int order, int position, Set<String> listeners, String exact, String prefix,
-            KeyPattern pattern, Set<Integer> classes, Set<Integer> tenants, Boolean write, TrafficShare share,
-            KeyRewrite rewrite, Action action) {
-        this(name, order, position, listeners, null, exact, prefix, pattern == null ? List.of() : List.of(pattern),
-                classes, tenants, write, share, rewrite, null, action);
+    public Route(
+            String name,
+            int order,
+            int position,
+            Set<String> listeners,
+            String exact,
+            String prefix,
+            KeyPattern pattern,
+            Set<Integer> classes,
+            Set<Integer> tenants,
+            Boolean write,
+            TrafficShare share,
+            KeyRewrite rewrite,
+            Action action) {
+        this(
+                name,
+                order,
+                position,
+                listeners,
+                null,
+                exact,
+                prefix,
+                pattern == null ? List.of() : List.of(pattern),
+                classes,
+                tenants,
+                write,
+                share,
+                rewrite,
+                null,
+                action);
     }
 
     /** What a route does with a request. */
-    public sealed interface Action permits ToPools, Refuse, Fail { }
+    public sealed interface Action permits ToPools, Refuse, Fail {}
 
     /** To the first of these pools; each next one takes what the one before it has given up. */
-    public record ToPools(List<String> pools) implements Action { }
+    public record ToPools(List<String> pools) implements Action {}
 
     /** Turned away at once, with a time to come back in milliseconds. */
-    public record Refuse(double afterMs) implements Action { }
+    public record Refuse(double afterMs) implements Action {}
 
     /** Failed at once. */
-    public record Fail() implements Action { }
+    public record Fail() implements Action {}
 
     /** Routes of one order: exact keys, prefixes from the longest, patterns, all others. */
     int rank() {
@@ -56,7 +94,8 @@
 
     /** All but the host and the key's exact text or prefix, by which it has been found. */
     boolean fits(RouteInput s) {
-        if (write != null && write != s.write() || !classes.isEmpty() && !classes.contains(s.serviceClass())
+        if (write != null && write != s.write()
+                || !classes.isEmpty() && !classes.contains(s.serviceClass())
                 || !tenants.isEmpty() && !tenants.contains(s.tenant())
                 || !listeners.isEmpty() && !listeners.contains(s.listener())) {
             return false;
@@ -112,13 +151,19 @@
 
     /** Whether this one, looked at first, leaves nothing for the other. Patterns are compared by their text alone. */
     boolean covers(Route other) {
-        return (host == null || host.equals(other.host)) && (exact == null || exact.equals(other.exact))
-                && (prefix == null || other.prefix != null && other.prefix.startsWith(prefix)
+        return (host == null || host.equals(other.host))
+                && (exact == null || exact.equals(other.exact))
+                && (prefix == null
+                        || other.prefix != null && other.prefix.startsWith(prefix)
                         || other.exact != null && other.exact.startsWith(prefix))
-                && patterns.stream().allMatch(p -> other.exact != null && p.matches(other.exact)
-                        || other.patterns.stream().anyMatch(o -> o.text().equals(p.text())))
-                && (write == null || write.equals(other.write)) && covers(classes, other.classes)
-                && covers(tenants, other.tenants) && covers(listeners, other.listeners)
+                && patterns.stream()
+                        .allMatch(p -> other.exact != null && p.matches(other.exact)
+                                || other.patterns.stream()
+                                        .anyMatch(o -> o.text().equals(p.text())))
+                && (write == null || write.equals(other.write))
+                && covers(classes, other.classes)
+                && covers(tenants, other.tenants)
+                && covers(listeners, other.listeners)
                 && (share == null || share.covers(other.share));
     }
 
--- a/src/main/java/cacheproxy/routes/RouteTable.java
+++ b/src/main/java/cacheproxy/routes/RouteTable.java
@@ -8,9 +8,9 @@
 
 /**
  * Finds a request's route. First match order: by {@code order}, the lower first; among equals an exact key, then the
- * longest prefix, then patterns, then routes that ask nothing of the key; among equals the file's order. A route
- * whose other conditions don't hold is passed over. Routes that name a host are looked at for that host's requests
- * alone, among those that name none.
+ * longest prefix, then patterns, then routes that ask nothing of the key; among equals the file's order. A route whose
+ * other conditions don't hold is passed over. Routes that name a host are looked at for that host's requests alone,
+ * among those that name none.
  *
  * <p>Compiled once. Exact keys and prefixes are found by hash and by binary search whatever their number, without
  * allocating; patterns and the rest are tried one after another.
@@ -20,6 +20,7 @@
     private final VirtualHosts hosts;
     /** What each host's requests go through, routes for any host among them. */
     private final Map<String, Tier[]> byHost = new HashMap<>();
+
     private final Tier[] anyHost;
 
     public RouteTable(List<Route> routes) {
@@ -46,7 +47,8 @@
         List<Tier> list = new ArrayList<>();
         for (int from = 0, to; from < routes.size(); from = to) {
             to = from + 1;
-            while (to < routes.size() && routes.get(to).order() == routes.get(from).order()) {
+            while (to < routes.size()
+                    && routes.get(to).order() == routes.get(from).order()) {
                 to++;
             }
             list.add(new Tier(routes.subList(from, to)));
@@ -76,7 +78,7 @@
     }
 
     /** A route passed over, with the condition that was not met. */
-    public record Passed(Route route, String why) { }
+    public record Passed(Route route, String why) {}
 
     /** Those looked at before the one that is found, for operators: tries all in order. */
     public List<Passed> passedOver(RouteInput s) {
@@ -95,7 +97,7 @@
     }
 
     /** A route that no request can reach, and the one that takes all of its requests before. */
-    public record Shadowed(Route route, Route by) { }
+    public record Shadowed(Route route, Route by) {}
 
     /** Earlier routes of one host by the condition that makes them comparable. */
     private static final class Before {
@@ -131,7 +133,8 @@
             } else if (r.prefix() != null) {
                 prefix.computeIfAbsent(r.prefix(), k -> new ArrayList<>()).add(r);
             } else if (!r.patterns().isEmpty()) {
-                pattern.computeIfAbsent(r.patterns().get(0).text(), k -> new ArrayList<>()).add(r);
+                pattern.computeIfAbsent(r.patterns().get(0).text(), k -> new ArrayList<>())
+                        .add(r);
                 patterns.add(r);
             } else {
                 any.add(r);
@@ -167,17 +170,20 @@
 
     /** The routes of one order. */
     private static final class Tier {
-        private static final Route[] NONE = { };
+        private static final Route[] NONE = {};
         private final Map<String, Route[]> exact = new HashMap<>();
         private final PrefixIndex prefixes;
         /** The routes of each prefix. */
         private final Route[][] prefixRoutes;
+
         private final Route[] patterns;
         /** What keys must begin with for some patterns, and the places of those in {@link #patterns}. */
         private final PrefixIndex literals;
+
         private final int[][] literalPatterns;
         /** Places of the patterns that tell nothing of a key's beginning. */
         private final int[] loose;
+
         private final Route[] rest;
 
         Tier(List<Route> routes) {
@@ -203,8 +209,10 @@
             Map<String, List<Integer>> byLiteral = new HashMap<>();
             List<Integer> without = new ArrayList<>();
             for (int i = 0; i < patterns.length; i++) {
-                String literal = patterns[i].patterns().stream().map(KeyPattern::literal).max(
-                        java.util.Comparator.comparingInt(String::length)).orElse("");
+                String literal = patterns[i].patterns().stream()
+                        .map(KeyPattern::literal)
+                        .max(java.util.Comparator.comparingInt(String::length))
+                        .orElse("");
                 (literal.isEmpty() ? without : byLiteral.computeIfAbsent(literal, l -> new ArrayList<>())).add(i);
             }
             literals = new PrefixIndex(byLiteral.keySet());
--- a/src/main/java/cacheproxy/routes/VirtualHosts.java
+++ b/src/main/java/cacheproxy/routes/VirtualHosts.java
@@ -22,10 +22,10 @@
      * @param fallback whether it takes what no name of its listeners takes
      * @param fallbackOf the same for these listeners alone
      */
-    public record Host(String name, Set<String> listeners, List<String> names, boolean fallback,
-            Set<String> fallbackOf) { }
+    public record Host(
+            String name, Set<String> listeners, List<String> names, boolean fallback, Set<String> fallbackOf) {}
 
-    private record Pattern(KeyPattern pattern, String host) { }
+    private record Pattern(KeyPattern pattern, String host) {}
 
     /** The names of one listener. */
     private static final class Names {
@@ -64,7 +64,9 @@
                 found = heads.get(host.substring(0, dot + 1));
             }
             for (int i = 0; found == null && i < patterns.size(); i++) {
-                found = patterns.get(i).pattern().matches(host) ? patterns.get(i).host() : null;
+                found = patterns.get(i).pattern().matches(host)
+                        ? patterns.get(i).host()
+                        : null;
             }
             return found != null ? found : fallback;
         }
@@ -92,8 +94,9 @@
 
     /** Whether a host may have this name, its pattern aside. */
     public static boolean isName(String n) {
-        String plain = n.startsWith("*.") ? n.substring(2) : n.startsWith(".") ? n.substring(1)
-                : n.endsWith(".*") ? n.substring(0, n.length() - 2) : n;
+        String plain = n.startsWith("*.")
+                ? n.substring(2)
+                : n.startsWith(".") ? n.substring(1) : n.endsWith(".*") ? n.substring(0, n.length() - 2) : n;
         return n.startsWith("~") || plain.indexOf('*') < 0 && plain.indexOf('/') < 0 && KeyRewrite.legal(plain);
     }
 
@@ -103,6 +106,8 @@
 
     /** The name of the host; null if there is none for it. */
     public String find(String listener, String host) {
-        return hosts.isEmpty() ? null : byListener.getOrDefault(listener, anywhere).find(host);
+        return hosts.isEmpty()
+                ? null
+                : byListener.getOrDefault(listener, anywhere).find(host);
     }
 }
--- a/src/main/java/cacheproxy/siblings/CacheDigest.java
+++ b/src/main/java/cacheproxy/siblings/CacheDigest.java
@@ -3,11 +3,11 @@
 import java.util.Arrays;
 
 /**
- * The keys that our servers lately answered, so that a sibling's question can be answered though nothing is kept here. A fixed number of
- * places in buckets of eight: a key has one bucket, and where that is full the one longest not seen makes room. An entry holds
- * for a time and for the process of the server that it names; a restart voids all of a server's at once by its epoch. Nothing is
- * allocated after the start. It may forget a key; it never invents one, but for two keys of one 64-bit number. Free of clocks; times in
- * milliseconds. One thread's.
+ * The keys that our servers lately answered, so that a sibling's question can be answered though nothing is kept here.
+ * A fixed number of places in buckets of eight: a key has one bucket, and where that is full the one longest not seen
+ * makes room. An entry holds for a time and for the process of the server that it names; a restart voids all of a
+ * server's at once by its epoch. Nothing is allocated after the start. It may forget a key; it never invents one, but
+ * for two keys of one 64-bit number. Free of clocks; times in milliseconds. One thread's.
  */
 public final class CacheDigest {
     private static final int WAYS = 8;
@@ -18,6 +18,7 @@
     private final long[] keys;
     /** Server's slot (16), its epoch (16), tick of being seen (32); 0 is an empty place. */
     private final long[] facts;
+
     private final int mask;
     private final double holdsTicks;
     private final int[] servers;
@@ -30,8 +31,12 @@
      * @param servers servers at most, 1 to 65,535; those beyond are not noted
      */
     public CacheDigest(int places, double holdsMs, int servers) {
-        if (places < WAYS || places > 1 << 24 || Integer.bitCount(places) != 1 || !(holdsMs > 0 && holdsMs <= 365 * 86_400_000.0)
-                || servers < 1 || servers >= MOST_SERVERS) {
+        if (places < WAYS
+                || places > 1 << 24
+                || Integer.bitCount(places) != 1
+                || !(holdsMs > 0 && holdsMs <= 365 * 86_400_000.0)
+                || servers < 1
+                || servers >= MOST_SERVERS) {
             throw new IllegalArgumentException(places + " places, " + holdsMs + " ms, " + servers + " servers");
         }
         keys = new long[places];
--- a/src/main/java/cacheproxy/siblings/DenialLimiter.java
+++ b/src/main/java/cacheproxy/siblings/DenialLimiter.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 
 /**
- * When to stop telling somebody that he is denied. One whose questions are nearly all denied gains nothing from hearing it, and an
- * answer to a forged address is an attack on whom it belongs to: RFC 2187 has Squid's figures, which are taken over.
- * Bounded: those longest not heard from are forgotten. Pure.
+ * When to stop telling somebody that he is denied. One whose questions are nearly all denied gains nothing from hearing
+ * it, and an answer to a forged address is an attack on whom it belongs to: RFC 2187 has Squid's figures, which are
+ * taken over. Bounded: those longest not heard from are forgotten. Pure.
  *
  * @param <A> an address
  */
--- a/src/main/java/cacheproxy/siblings/PendingQueries.java
+++ b/src/main/java/cacheproxy/siblings/PendingQueries.java
@@ -5,15 +5,24 @@
 import java.util.Map;
 
 /**
- * Questions that are out, and which of the datagrams that come back answer one: of the right number, from an address that was asked, about
- * the same key, once from each, in time. Everything else is counted by what is wrong with it and changes nothing. Pure; times in
- * milliseconds.
+ * Questions that are out, and which of the datagrams that come back answer one: of the right number, from an address
+ * that was asked, about the same key, once from each, in time. Everything else is counted by what is wrong with it and
+ * changes nothing. Pure; times in milliseconds.
  *
  * @param <A> an address
  */
 public final class PendingQueries<A> {
     /** What became of a datagram that claims to be an answer. */
-    public enum Verdict { FIRST_HIT, COUNTED, LAST, LATE, DOUBLE, NOT_ASKED, NO_QUESTION, OTHER_KEY }
+    public enum Verdict {
+        FIRST_HIT,
+        COUNTED,
+        LAST,
+        LATE,
+        DOUBLE,
+        NOT_ASKED,
+        NO_QUESTION,
+        OTHER_KEY
+    }
 
     private final int most;
     private final double keepMs;
@@ -21,7 +30,9 @@
     private final Map<Verdict, Long> counts = new EnumMap<>(Verdict.class);
     private int next;
 
-    /** One question. Kept for a while after it is over, so that late answers can be told from forged ones and measured. */
+    /**
+     * One question. Kept for a while after it is over, so that late answers can be told from forged ones and measured.
+     */
     public final class Question {
         public final int number;
         public final String key;
@@ -56,7 +67,7 @@
      * @param question null where there is none
      * @param elapsedMs since it was asked; NaN where there is none
      */
-    public record Reply<Q>(Verdict verdict, Q question, double elapsedMs) { }
+    public record Reply<Q>(Verdict verdict, Q question, double elapsedMs) {}
 
     /**
      * @param most questions at once; where there are as many none is asked
--- a/src/main/java/cacheproxy/siblings/SiblingQueryPolicy.java
+++ b/src/main/java/cacheproxy/siblings/SiblingQueryPolicy.java
@@ -4,10 +4,10 @@
 import java.util.List;
 
 /**
- * Whether siblings are asked before the origin is, whom, and for how long their answers are waited for. A question costs every request
- * that misses the wait; it gains where a sibling has the value and the origin is slow, throttled or gone. So it is asked where the
- * expected gain is more than the expected cost, by what was measured, and now and then where that is not known. Pure; times in
- * milliseconds, chance comes in as a number.
+ * Whether siblings are asked before the origin is, whom, and for how long their answers are waited for. A question
+ * costs every request that misses the wait; it gains where a sibling has the value and the origin is slow, throttled or
+ * gone. So it is asked where the expected gain is more than the expected cost, by what was measured, and now and then
+ * where that is not known. Pure; times in milliseconds, chance comes in as a number.
  */
 public final class SiblingQueryPolicy {
     /** At most this part of what is left of the aim is spent on waiting. */
@@ -19,7 +19,7 @@
     /** Under pressure a fetch at the origin that is avoided is worth as many as this at most. */
     private static final double MOST_PRESSURE = 20;
 
-    private SiblingQueryPolicy() { }
+    private SiblingQueryPolicy() {}
 
     /**
      * What to do about one key.
@@ -40,7 +40,13 @@
      * @param pressure of the origin: asked for each answered in time, from 1
      * @param chance 0 to 1, uniform
      */
-    public static Plan plan(double now, List<SiblingStats> records, double fetchMs, double siblingMs, double leftMs, double pressure,
+    public static Plan plan(
+            double now,
+            List<SiblingStats> records,
+            double fetchMs,
+            double siblingMs,
+            double leftMs,
+            double pressure,
             double chance) {
         double cap = leftMs * WAIT_SHARE;
         if (!(cap > 0) || records.isEmpty()) {
@@ -53,7 +59,8 @@
                 able.add(i);
             }
         }
-        able.sort((a, b) -> Double.compare(records.get(b).worth(), records.get(a).worth()));
+        able.sort(
+                (a, b) -> Double.compare(records.get(b).worth(), records.get(a).worth()));
         List<Integer> whom = able.subList(0, Math.min(MOST_ASKED, able.size()));
         if (whom.isEmpty()) {
             return Plan.NONE;
--- a/src/main/java/cacheproxy/siblings/SiblingStats.java
+++ b/src/main/java/cacheproxy/siblings/SiblingStats.java
@@ -1,12 +1,13 @@
 package cacheproxy.siblings;
 
 /**
- * What one sibling has been worth: how long its answers take, how often it answers, says hit, and keeps its word. All of it fades,
- * so that one that has changed is found out either way. Pure; times in milliseconds.
+ * What one sibling has been worth: how long its answers take, how often it answers, says hit, and keeps its word. All
+ * of it fades, so that one that has changed is found out either way. Pure; times in milliseconds.
  */
 public final class SiblingStats {
     /** Halves in this many questions. */
     private static final double MEMORY = 64;
+
     private static final double GAIN = Math.pow(0.5, 1 / MEMORY);
     /** Under this share of answers a sibling is only tried. */
     private static final double LEAST_ANSWERS = 0.2;
@@ -19,6 +20,7 @@
     private double answered = 1;
     /** A new one is given the benefit of the doubt, for some questions. */
     private double hits = 0.5;
+
     private double fetched = 1;
     private double kept = 1;
     private double timeMs;
--- a/src/main/java/cacheproxy/siblings/Siblings.java
+++ b/src/main/java/cacheproxy/siblings/Siblings.java
@@ -3,7 +3,10 @@
 import cacheproxy.policy.PolicyApi.Member;
 import cacheproxy.policy.PolicyApi.Outcome;
 
-/** What the decision module needs to know of sibling caches: who they are, whether asking them is worth the wait, what came of it. */
+/**
+ * What the decision module needs to know of sibling caches: who they are, whether asking them is worth the wait, what
+ * came of it.
+ */
 public interface Siblings {
     /** Whether this member is a sibling, which is no place for keys. */
     boolean is(Member member);
@@ -33,6 +36,6 @@
         }
 
         @Override
-        public void fetched(double now, int sibling, Outcome outcome, double elapsedMs) { }
+        public void fetched(double now, int sibling, Outcome outcome, double elapsedMs) {}
     };
 }
--- a/src/main/java/cacheproxy/simulation/FleetSimulation.java
+++ b/src/main/java/cacheproxy/simulation/FleetSimulation.java
@@ -1,12 +1,12 @@
 package cacheproxy.simulation;
 
+import cacheproxy.placement.CarpPlacement;
 import cacheproxy.policy.CarpHash;
 import cacheproxy.policy.PolicyApi;
 import cacheproxy.policy.PolicyApi.ListKind;
 import cacheproxy.policy.PolicyApi.Member;
 import cacheproxy.policy.PolicyApi.Settings;
 import cacheproxy.policy.PolicyApi.State;
-import cacheproxy.placement.CarpPlacement;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
@@ -15,12 +15,12 @@
 import java.util.TreeMap;
 
 /**
- * Many real modules on one virtual clock, before nodes, an origin and a discovery that they share. What is harmless in one
- * proxy and harmful in all shows in the sums, which no module sees. No sockets, no threads, no clock of the system; the same
- * plan gives the same figures. What is not modelled: connections, stalls, lost answers, load that swings.
+ * Many real modules on one virtual clock, before nodes, an origin and a discovery that they share. What is harmless in
+ * one proxy and harmful in all shows in the sums, which no module sees. No sockets, no threads, no clock of the system;
+ * the same plan gives the same figures. What is not modelled: connections, stalls, lost answers, load that swings.
  *
- * <p>Clients make up to three tries, each at a proxy of their choice. Keys follow r^-1.15 of 20,000, the middle of what the
- * first users have. Each proxy hears of a change at its own time, one in four late.
+ * <p>Clients make up to three tries, each at a proxy of their choice. Keys follow r^-1.15 of 20,000, the middle of what
+ * the first users have. Each proxy hears of a change at its own time, one in four late.
  */
 public final class FleetSimulation {
     private static final double START_MS = 1e6;
@@ -43,6 +43,7 @@
     final SplittableRandom random;
     /** All that ever were, by their ids. */
     final Map<Integer, SimulatedServer> nodes = new TreeMap<>();
+
     private final FleetSimulationConfig plan;
     private final Modules modules;
     private final SimulatedProxy[] proxies;
@@ -96,13 +97,26 @@
         for (SimulatedProxy p : proxies) {
             unanswered += p.unanswered();
         }
-        return new FleetSimulationResult(asked, served, unanswered, worstCold, worstEffect, attempts, crossed, full, dead, copies, cold,
-                fetches, decisions);
+        return new FleetSimulationResult(
+                asked,
+                served,
+                unanswered,
+                worstCold,
+                worstEffect,
+                attempts,
+                crossed,
+                full,
+                dead,
+                copies,
+                cold,
+                fetches,
+                decisions);
     }
 
     private void fill() {
         List<SimulatedServer> all = List.copyOf(nodes.values());
-        CarpPlacement placement = new CarpPlacement(all.stream().map(FleetSimulation::member).toList());
+        CarpPlacement placement =
+                new CarpPlacement(all.stream().map(FleetSimulation::member).toList());
         int[] top = new int[1];
         for (long key = 1000; key <= 1000 + KEYS; key++) {
             placement.top(key, CarpHash.keyHash(key), 1, top);
@@ -119,7 +133,8 @@
     private void start(int p) {
         Settings settings = plan.settings(p);
         proxies[p] = new SimulatedProxy(this, settings, modules.of(settings, random.nextLong()));
-        proxies[p].list(ListKind.CACHED, nodes.values().stream().filter(n -> !n.ended).toList());
+        proxies[p].list(
+                ListKind.CACHED, nodes.values().stream().filter(n -> !n.ended).toList());
     }
 
     // ---- clients
@@ -154,7 +169,9 @@
 
     void again(SimulatedProxy.Ask a) {
         if (a.tries() < TRIES - 1) {
-            clock.after(10 + random.nextDouble() * 70, () -> ask(new SimulatedProxy.Ask(a.key(), a.write(), a.tries() + 1)));
+            clock.after(
+                    10 + random.nextDouble() * 70,
+                    () -> ask(new SimulatedProxy.Ask(a.key(), a.write(), a.tries() + 1)));
         }
     }
 
@@ -169,7 +186,9 @@
             }
         }
         if (plan.troubles().contains(SimulatedFault.ZONE_LOST)) {
-            List<SimulatedServer> lost = nodes.values().stream().filter(n -> n.id > size * 3 / 4 && n.id <= size).toList();
+            List<SimulatedServer> lost = nodes.values().stream()
+                    .filter(n -> n.id > size * 3 / 4 && n.id <= size)
+                    .toList();
             lost.forEach(n -> n.silent = true);
             clock.after(5000, () -> {
                 lost.forEach(n -> n.restart(clock.now()));
@@ -212,14 +231,15 @@
     private void tell(Collection<SimulatedServer> changed) {
         for (int p = 0; p < proxies.length; p++) {
             int me = p;
-            clock.after(random.nextInt(4) == 0 ? 6000 : 700 + random.nextDouble() * 2400,
+            clock.after(
+                    random.nextInt(4) == 0 ? 6000 : 700 + random.nextDouble() * 2400,
                     () -> proxies[me].list(ListKind.CHANGES, changed));
         }
     }
 
     /**
-     * A cold node's own, and low by a number that is the same at every proxy: who chose a cold node's keys by such a number
-     * would send it this one from all proxies at once. 0 if no node is cold.
+     * A cold node's own, and low by a number that is the same at every proxy: who chose a cold node's keys by such a
+     * number would send it this one from all proxies at once. 0 if no node is cold.
      */
     private long keyOfAColdNode() {
         List<Member> members = new ArrayList<>();
@@ -229,7 +249,7 @@
         }
         CarpPlacement placement = new CarpPlacement(members);
         int[] top = new int[1];
-        for (long key = 1_000_000;; key++) {
+        for (long key = 1_000_000; ; key++) {
             int hash = CarpHash.keyHash(key);
             placement.top(key, hash, 1, top);
             Member m = members.get(top[0]);
--- a/src/main/java/cacheproxy/simulation/FleetSimulationConfig.java
+++ b/src/main/java/cacheproxy/simulation/FleetSimulationConfig.java
@@ -16,7 +16,8 @@
  * @param seconds for how long they ask
  * @param seed the same seed gives the same figures
  */
-public record FleetSimulationConfig(int proxies, int nodes, int zones, double load, double seconds, Set<SimulatedFault> troubles, long seed) {
+public record FleetSimulationConfig(
+        int proxies, int nodes, int zones, double load, double seconds, Set<SimulatedFault> troubles, long seed) {
     static final int READ = 0;
     static final int WRITE = 1;
 
@@ -38,7 +39,37 @@
         List<ServiceClass> classes = List.of(
                 new ServiceClass("read", Effect.SAFE, Group.ALL, 0, 300, 1000, 1, 0.2, false),
                 new ServiceClass("write", Effect.UNSAFE, Group.ALL, 0, 300, 1000, 5, 0.2, false));
-        return new Settings(me, proxies, me % zones, zones, 2, false, true, 1, Reports.NONE, List.of(), false, 0.1, true, false,
-                false, true, true, 3, 500, 100, 500, 20, 0.3, 8000, 3, 1500, 0, 0, 0, classes, List.of(new Tenant("all", 1, 100)));
+        return new Settings(
+                me,
+                proxies,
+                me % zones,
+                zones,
+                2,
+                false,
+                true,
+                1,
+                Reports.NONE,
+                List.of(),
+                false,
+                0.1,
+                true,
+                false,
+                false,
+                true,
+                true,
+                3,
+                500,
+                100,
+                500,
+                20,
+                0.3,
+                8000,
+                3,
+                1500,
+                0,
+                0,
+                0,
+                classes,
+                List.of(new Tenant("all", 1, 100)));
     }
 }
--- a/src/main/java/cacheproxy/simulation/QuotaSimulation.java
+++ b/src/main/java/cacheproxy/simulation/QuotaSimulation.java
@@ -1,13 +1,13 @@
 package cacheproxy.simulation;
 
-import cacheproxy.fleet.lease.NameHash;
 import cacheproxy.fleet.lease.LeaseHandle;
-import cacheproxy.fleet.quota.OvershootBound;
-import cacheproxy.fleet.quota.QuotaSpec;
-import cacheproxy.fleet.quota.QuotaTiming;
+import cacheproxy.fleet.lease.NameHash;
 import cacheproxy.fleet.quota.LocalQuota;
+import cacheproxy.fleet.quota.OvershootBound;
 import cacheproxy.fleet.quota.QuotaManager;
 import cacheproxy.fleet.quota.QuotaMessage;
+import cacheproxy.fleet.quota.QuotaSpec;
+import cacheproxy.fleet.quota.QuotaTiming;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -15,9 +15,9 @@
 import java.util.SplittableRandom;
 
 /**
- * A fleet that shares one limit, on one virtual clock: the real decisions of package {@code quota} at each proxy, with links that lose, delay, double and cut, proxies that
- * stand still, die and come back, clocks that drift; and other ways of sharing beside them. The same plan and seed give the same figures.
- * Times in milliseconds.
+ * A fleet that shares one limit, on one virtual clock: the real decisions of package {@code quota} at each proxy, with
+ * links that lose, delay, double and cut, proxies that stand still, die and come back, clocks that drift; and other
+ * ways of sharing beside them. The same plan and seed give the same figures. Times in milliseconds.
  */
 public final class QuotaSimulation {
     /** How a limit is shared. */
@@ -33,7 +33,16 @@
     }
 
     /** What befalls proxies. */
-    public enum Trouble { KILL, STOP, CUT, ONE_WAY, SPLIT, LOSS, LATE, TWICE }
+    public enum Trouble {
+        KILL,
+        STOP,
+        CUT,
+        ONE_WAY,
+        SPLIT,
+        LOSS,
+        LATE,
+        TWICE
+    }
 
     /**
      * A trouble from a time on, for so long.
@@ -41,30 +50,43 @@
      * @param who proxies that it befalls; those of one side of a split; the senders whose datagrams are lost
      * @param figure the part that is lost, the lateness
      */
-    public record Fault(Trouble trouble, double fromMs, double forMs, List<Integer> who, double figure) { }
+    public record Fault(Trouble trouble, double fromMs, double forMs, List<Integer> who, double figure) {}
 
     /**
      * What is played.
      *
-     * @param offered requests a second at each proxy, in spans of {@code spanMs} that follow one another and begin again
+     * @param offered requests a second at each proxy, in spans of {@code spanMs} that follow one another and begin
+     *     again
      * @param workMs the longest time for which one is in hand
      */
-    public record Plan(Way way, int proxies, QuotaSpec limit, QuotaTiming rules, double[][] offered, double spanMs, double workMs, double forMs,
-            List<Fault> faults, long seed) { }
+    public record Plan(
+            Way way,
+            int proxies,
+            QuotaSpec limit,
+            QuotaTiming rules,
+            double[][] offered,
+            double spanMs,
+            double workMs,
+            double forMs,
+            List<Fault> faults,
+            long seed) {}
 
     /**
      * What came of it.
      *
-     * @param over by window (100 ms, 1 s, 10 s) the most by which what was spent was over the rate's part of the window; at once: the most that was in hand in the first
-     * @param idle the part of the limit that lay idle while that much was refused, in whole seconds from {@code judgedFrom} on
+     * @param over by window (100 ms, 1 s, 10 s) the most by which what was spent was over the rate's part of the
+     *     window; at once: the most that was in hand in the first
+     * @param idle the part of the limit that lay idle while that much was refused, in whole seconds from
+     *     {@code judgedFrom} on
      */
-    public record Result(double[] over, double idle, long spent, long refused, double messagesPerSecond) { }
+    public record Result(double[] over, double idle, long spent, long refused, double messagesPerSecond) {}
 
     public static final double[] WINDOWS = {100, 1000, 10_000};
     private static final double LEASE_MS = 1000;
     private static final double TAKEOVER_MS = 300;
 
-    private record Event(double atMs, long n, int kind, int who, int from, long life, Object what) implements Comparable<Event> {
+    private record Event(double atMs, long n, int kind, int who, int from, long life, Object what)
+            implements Comparable<Event> {
         @Override
         public int compareTo(Event o) {
             int c = Double.compare(atMs, o.atMs);
@@ -109,12 +131,25 @@
             bucket.tokens = 0;
             bucket.at = clock(t);
             if (plan.way == Way.DEALER || plan.way == Way.PEERS) {
-                quota = new QuotaManager(index + 1, plan.rules, random.split(), clock(t) - (t == 0 ? 1e5 : 0), peer -> true, (to, m) -> mail(index, (int) to - 1, m));
+                quota = new QuotaManager(
+                        index + 1,
+                        plan.rules,
+                        random.split(),
+                        clock(t) - (t == 0 ? 1e5 : 0),
+                        peer -> true,
+                        (to, m) -> mail(index, (int) to - 1, m));
                 List<Long> ids = new ArrayList<>();
                 for (int i = 0; i < plan.proxies; i++) {
                     ids.add(i + 1L);
                 }
-                quota.use(List.of(plan.limit), List.of(plan.way == Way.PEERS ? LeaseHandle.NOBODYS : new Held(this)), ids, plan.proxies, false, true, clock(t));
+                quota.use(
+                        List.of(plan.limit),
+                        List.of(plan.way == Way.PEERS ? LeaseHandle.NOBODYS : new Held(this)),
+                        ids,
+                        plan.proxies,
+                        false,
+                        true,
+                        clock(t));
                 pocket = quota.pocket(plan.limit.name());
             }
             push(t + random.nextDouble() * 10, TICK, index, -1, life, null);
@@ -140,7 +175,10 @@
         }
     }
 
-    /** The duty: who reaches a majority holds it; who lost that holds it for a lease more, and another has it after that. */
+    /**
+     * The duty: who reaches a majority holds it; who lost that holds it for a lease more, and another has it after
+     * that.
+     */
     private final class Held implements LeaseHandle {
         private final Proxy of;
 
@@ -222,7 +260,7 @@
             next(i, 0);
         }
         plan.faults.forEach(f -> push(f.fromMs, FAULT, 0, -1, 0, f));
-        for (Event e; (e = events.poll()) != null && e.atMs <= plan.forMs;) {
+        for (Event e; (e = events.poll()) != null && e.atMs <= plan.forMs; ) {
             trueMs = e.atMs;
             lease();
             happen(e);
@@ -317,7 +355,7 @@
                 case LOSS -> copies = random.nextDouble() < f.figure ? 0 : copies;
                 case LATE -> late += f.figure * random.nextDouble();
                 case TWICE -> copies *= 2;
-                default -> { }
+                default -> {}
             }
         }
         for (int i = 0; i < copies; i++) {
@@ -398,7 +436,8 @@
             Proxy p = proxies.get(i);
             if (f.trouble == Trouble.KILL) {
                 p.born(trueMs);
-            } else if (f.trouble == Trouble.STOP && standing.stream().noneMatch(o -> o.trouble == Trouble.STOP && o.who.contains(i))) {
+            } else if (f.trouble == Trouble.STOP
+                    && standing.stream().noneMatch(o -> o.trouble == Trouble.STOP && o.who.contains(i))) {
                 p.stopped = false;
                 // What came meanwhile comes before its timers, or after them: by lot.
                 List<Event> held = new ArrayList<>(p.held);
@@ -409,8 +448,10 @@
     }
 
     private boolean reaches(int a, int b) {
-        return standing.stream().noneMatch(f -> f.trouble == Trouble.SPLIT && f.who.contains(a) != f.who.contains(b)
-                || (f.trouble == Trouble.CUT || f.trouble == Trouble.ONE_WAY) && (f.who.contains(a) || f.who.contains(b)));
+        return standing.stream()
+                .noneMatch(f -> f.trouble == Trouble.SPLIT && f.who.contains(a) != f.who.contains(b)
+                        || (f.trouble == Trouble.CUT || f.trouble == Trouble.ONE_WAY)
+                                && (f.who.contains(a) || f.who.contains(b)));
     }
 
     private boolean majority(int of) {
@@ -468,14 +509,22 @@
         int seconds = (int) (plan.forMs / 1000);
         double[] idle = new double[seconds];
         for (int s = 0; s < seconds; s++) {
-            idle[s] = plan.limit.atOnce() ? 0 : Math.min(refusedIn[s], Math.max(0, plan.limit.amount() - spentIn[s])) / plan.limit.amount();
-        }
-        return new Result(over, Arrays.stream(idle).skip(3).average().orElse(0), spent, refused, messages * 1000.0 / plan.forMs / plan.proxies);
+            idle[s] = plan.limit.atOnce()
+                    ? 0
+                    : Math.min(refusedIn[s], Math.max(0, plan.limit.amount() - spentIn[s])) / plan.limit.amount();
+        }
+        return new Result(
+                over,
+                Arrays.stream(idle).skip(3).average().orElse(0),
+                spent,
+                refused,
+                messages * 1000.0 / plan.forMs / plan.proxies);
     }
 
     /**
-     * What may come beyond the limit's part of a window: what is saved up, and what clocks that run fast make of it. Where a proxy without word goes on with its last grant
-     * the decay of all grants comes to it, once for each time that the links fail.
+     * What may come beyond the limit's part of a window: what is saved up, and what clocks that run fast make of it.
+     * Where a proxy without word goes on with its last grant the decay of all grants comes to it, once for each time
+     * that the links fail.
      */
     public static double bound(QuotaSpec l, QuotaTiming rules, int proxies, double windowMs) {
         return OvershootBound.over(l, rules, proxies, windowMs);
--- a/src/main/java/cacheproxy/simulation/SimulatedOrigin.java
+++ b/src/main/java/cacheproxy/simulation/SimulatedOrigin.java
@@ -1,6 +1,9 @@
 package cacheproxy.simulation;
 
-/** The one store behind all nodes: it can take a third of the requests asked for, and turns away what would wait too long. */
+/**
+ * The one store behind all nodes: it can take a third of the requests asked for, and turns away what would wait too
+ * long.
+ */
 final class SimulatedOrigin {
     static final int ID = Integer.MAX_VALUE;
     private static final double QUEUE_MS = 400;
--- a/src/main/java/cacheproxy/simulation/SimulatedProxy.java
+++ b/src/main/java/cacheproxy/simulation/SimulatedProxy.java
@@ -18,12 +18,13 @@
 final class SimulatedProxy implements PolicyApi.Actions {
     /** One way, in milliseconds. */
     private static final double NEAR_MS = 0.2;
+
     private static final double FAR_MS = 2;
     /** How long a client waits for one try. */
     static final double TRY_MS = 650;
 
     /** A client's request: its key, and how often it has been tried before. */
-    record Ask(long key, boolean write, int tries) { }
+    record Ask(long key, boolean write, int tries) {}
 
     /** Where an attempt is, and whether it is still out. */
     private static final class Out {
@@ -93,18 +94,31 @@
     void take(int id, Ask a) {
         Held h = new Held(a);
         held.put(id, h);
-        fleet.clock.after(TRY_MS, () -> { // the sockets' own end of what is still out
-            for (int i = 0; i < h.outs.size(); i++) {
-                end(id, i, Outcome.TIMEOUT);
-            }
-        });
+        fleet.clock.after(
+                TRY_MS,
+                () -> { // the sockets' own end of what is still out
+                    for (int i = 0; i < h.outs.size(); i++) {
+                        end(id, i, Outcome.TIMEOUT);
+                    }
+                });
         fleet.clock.after(TRY_MS + 1, () -> {
             if (h.answered) {
                 held.remove(id);
             }
         });
-        decide(() -> module.onRequest(now(), new Request(id, a.write() ? FleetSimulationConfig.WRITE : FleetSimulationConfig.READ, 0, a.key(), now() + TRY_MS,
-                Double.NaN, 0, a.write(), a.tries() > 0), this));
+        decide(() -> module.onRequest(
+                now(),
+                new Request(
+                        id,
+                        a.write() ? FleetSimulationConfig.WRITE : FleetSimulationConfig.READ,
+                        0,
+                        a.key(),
+                        now() + TRY_MS,
+                        Double.NaN,
+                        0,
+                        a.write(),
+                        a.tries() > 0),
+                this));
     }
 
     @Override
@@ -182,7 +196,9 @@
             h.answered = true;
             fleet.served();
         }
-        decide(() -> module.onAttemptEnd(now(), new AttemptEnd(request, attempt, o.server, outcome, now() - o.sentAt, h.answered, 0, null),
+        decide(() -> module.onAttemptEnd(
+                now(),
+                new AttemptEnd(request, attempt, o.server, outcome, now() - o.sentAt, h.answered, 0, null),
                 this));
     }
 
@@ -220,24 +236,27 @@
         });
     }
 
-    /** Nodes may not be probed here, connections aren't modelled, lists are pushed, and proxies say nothing to one another. */
+    /**
+     * Nodes may not be probed here, connections aren't modelled, lists are pushed, and proxies say nothing to one
+     * another.
+     */
     @Override
-    public void probe(int server) { }
+    public void probe(int server) {}
 
     @Override
-    public void closeIdle(int server) { }
+    public void closeIdle(int server) {}
 
     @Override
-    public void tell(int peer, byte[] message) { }
+    public void tell(int peer, byte[] message) {}
 
     @Override
-    public void watch(boolean on) { }
+    public void watch(boolean on) {}
 
     @Override
-    public void fetchList() { }
+    public void fetchList() {}
 
     @Override
-    public void log(String line) { }
+    public void log(String line) {}
 
     private double now() {
         return fleet.clock.now();
--- a/src/main/java/cacheproxy/simulation/SimulatedServer.java
+++ b/src/main/java/cacheproxy/simulation/SimulatedServer.java
@@ -10,13 +10,14 @@
 final class SimulatedServer {
     /** The mean work of a request on a core of speed 1. */
     static final double WORK_MS = 50;
+
     private static final int ROOM = 3;
 
     /** A request that came while it was cold, and whether from a proxy that had been told of its start. */
-    private record Sent(double at, boolean told) { }
+    private record Sent(double at, boolean told) {}
 
     /** A request that a node has taken, when it will be done, and whether the node had the key. */
-    record Taken(double atMs, boolean hit) { }
+    record Taken(double atMs, boolean hit) {}
 
     final int id;
     final int zone;
@@ -56,8 +57,12 @@
 
     /** The part of its full capacity that it has: it rises evenly over the warm-up. */
     double part(double now) {
-        return bornMs == 0 ? 1
-                : Math.min(1, settings.startCapacity() + (1 - settings.startCapacity()) * (now - bornMs) / settings.warmUpMs());
+        return bornMs == 0
+                ? 1
+                : Math.min(
+                        1,
+                        settings.startCapacity()
+                                + (1 - settings.startCapacity()) * (now - bornMs) / settings.warmUpMs());
     }
 
     boolean isCold(double now) {
--- a/src/main/java/cacheproxy/simulation/VirtualClock.java
+++ b/src/main/java/cacheproxy/simulation/VirtualClock.java
@@ -3,11 +3,15 @@
 import java.util.Comparator;
 import java.util.PriorityQueue;
 
-/** Time that stands still while something happens. What is due at one moment happens in the order in which it was asked for. */
+/**
+ * Time that stands still while something happens. What is due at one moment happens in the order in which it was asked
+ * for.
+ */
 final class VirtualClock {
-    private record Event(double at, long order, Runnable run) { }
+    private record Event(double at, long order, Runnable run) {}
 
-    private final PriorityQueue<Event> events = new PriorityQueue<>(Comparator.comparingDouble(Event::at).thenComparing(Event::order));
+    private final PriorityQueue<Event> events =
+            new PriorityQueue<>(Comparator.comparingDouble(Event::at).thenComparing(Event::order));
     private long order;
     private double now;
 
@@ -26,7 +30,7 @@
 
     /** Until nothing is left to happen. */
     void run() {
-        for (Event e; (e = events.poll()) != null;) {
+        for (Event e; (e = events.poll()) != null; ) {
             now = e.at();
             e.run().run();
         }
--- a/src/main/java/cacheproxy/simulator/SettingsParser.java
+++ b/src/main/java/cacheproxy/simulator/SettingsParser.java
@@ -36,18 +36,38 @@
     public Settings settings() {
         List<String> zones = list("zones");
         List<String> kinds = list("kinds");
-        return new Settings(integer("me"), integer("balancers"), integer("locality"), zones.size(), kinds.size(),
-                oneOf("discovery", "push", "ask") == 1, values.containsKey("extra.mode")
-                        && oneOf("extra.mode", "through", "aside") == 1, (int) number("extra.origin-kind", -1),
-                Reports.values()[oneOf("report.how", "silent", "piggyback", "pull")], list("report.names"),
-                oneOf("value-by", "request", "work") == 1, number("over-share-worth", 1),
-                flag("caps.may-cancel"), flag("caps.may-probe"), flag("caps.peers"), flag("caps.second-copies"),
-                flag("caps.retry-after"), integer("caps.max-attempts"), number("caps.max-retry-after", 0),
-                number("caps.connect-timeout"), number("guarantees.drain-grace"),
-                number("guarantees.grace-to-answer"), number("guarantees.start-capacity"),
-                number("guarantees.warm-up"), number("guarantees.tip-multiple"), number("guarantees.fall"),
-                number("guarantees.ask-within", 0), number("extra.origin-fall-multiple", 0),
-                number("extra.origin-fall", 0), classes(), tenants());
+        return new Settings(
+                integer("me"),
+                integer("balancers"),
+                integer("locality"),
+                zones.size(),
+                kinds.size(),
+                oneOf("discovery", "push", "ask") == 1,
+                values.containsKey("extra.mode") && oneOf("extra.mode", "through", "aside") == 1,
+                (int) number("extra.origin-kind", -1),
+                Reports.values()[oneOf("report.how", "silent", "piggyback", "pull")],
+                list("report.names"),
+                oneOf("value-by", "request", "work") == 1,
+                number("over-share-worth", 1),
+                flag("caps.may-cancel"),
+                flag("caps.may-probe"),
+                flag("caps.peers"),
+                flag("caps.second-copies"),
+                flag("caps.retry-after"),
+                integer("caps.max-attempts"),
+                number("caps.max-retry-after", 0),
+                number("caps.connect-timeout"),
+                number("guarantees.drain-grace"),
+                number("guarantees.grace-to-answer"),
+                number("guarantees.start-capacity"),
+                number("guarantees.warm-up"),
+                number("guarantees.tip-multiple"),
+                number("guarantees.fall"),
+                number("guarantees.ask-within", 0),
+                number("extra.origin-fall-multiple", 0),
+                number("extra.origin-fall", 0),
+                classes(),
+                tenants());
     }
 
     private List<ServiceClass> classes() {
@@ -56,10 +76,16 @@
             String p = "classes." + i + ".";
             Effect effect = Effect.values()[oneOf(p + "idempotency", "retryable", "dedup", "fragile")];
             boolean keyed = effect == Effect.KEYED;
-            result.add(new ServiceClass(text(p + "name"), effect,
+            result.add(new ServiceClass(
+                    text(p + "name"),
+                    effect,
                     keyed ? Group.values()[oneOf(p + "group", "all", "zone", "cell")] : Group.ALL,
-                    keyed ? number(p + "window") : 0, number(p + "promise"), number(p + "deadline"),
-                    number(p + "gain", 1), number(p + "late-share", 0), flag(p + "stream")));
+                    keyed ? number(p + "window") : 0,
+                    number(p + "promise"),
+                    number(p + "deadline"),
+                    number(p + "gain", 1),
+                    number(p + "late-share", 0),
+                    flag(p + "stream")));
         }
         return result;
     }
@@ -115,7 +141,8 @@
     private int oneOf(String key, String... words) {
         int i = List.of(words).indexOf(text(key));
         if (i < 0) {
-            throw new SimulatorProtocolException("setting '" + key + "' is none of " + String.join(", ", words) + ": " + text(key));
+            throw new SimulatorProtocolException(
+                    "setting '" + key + "' is none of " + String.join(", ", words) + ": " + text(key));
         }
         return i;
     }
--- a/src/main/java/cacheproxy/simulator/SimulatorAdapter.java
+++ b/src/main/java/cacheproxy/simulator/SimulatorAdapter.java
@@ -1,6 +1,5 @@
 package cacheproxy.simulator;
 
-import cacheproxy.policy.RoutingPolicy;
 import cacheproxy.policy.PolicyApi;
 import cacheproxy.policy.PolicyApi.AttemptEnd;
 import cacheproxy.policy.PolicyApi.ListKind;
@@ -8,6 +7,7 @@
 import cacheproxy.policy.PolicyApi.Outcome;
 import cacheproxy.policy.PolicyApi.Request;
 import cacheproxy.policy.PolicyApi.State;
+import cacheproxy.policy.RoutingPolicy;
 import java.io.BufferedInputStream;
 import java.io.DataInputStream;
 import java.io.EOFException;
@@ -46,7 +46,8 @@
     /** Speaks on standard input and output until the input ends; the process's exit code. */
     public static int main() {
         try {
-            new SimulatorAdapter(new BufferedInputStream(System.in, 1 << 16), new FileOutputStream(FileDescriptor.out)).run();
+            new SimulatorAdapter(new BufferedInputStream(System.in, 1 << 16), new FileOutputStream(FileDescriptor.out))
+                    .run();
             return 0;
         } catch (SimulatorProtocolException | IOException e) {
             System.err.println(e.getMessage());
@@ -76,10 +77,12 @@
             in.readFully(frame.array(), 1, 3);
             int length = frame.getInt(0);
             if (length < HEADER) {
-                throw new SimulatorProtocolException("after batch " + batch + ": frame of " + length + " bytes, under its header");
+                throw new SimulatorProtocolException(
+                        "after batch " + batch + ": frame of " + length + " bytes, under its header");
             }
             if (length > frame.capacity()) {
-                ByteBuffer larger = ByteBuffer.allocate(Math.max(length, length * 3 / 2)).order(ByteOrder.LITTLE_ENDIAN);
+                ByteBuffer larger =
+                        ByteBuffer.allocate(Math.max(length, length * 3 / 2)).order(ByteOrder.LITTLE_ENDIAN);
                 larger.putInt(0, length);
                 frame = larger;
             }
@@ -106,7 +109,9 @@
             if (code == 10) {
                 int text = tailSpan(at + 11, 1);
                 byte[] lines = bytes(text, frame.getInt(at + 15));
-                instances[i] = new RoutingPolicy(SettingsParser.ofLines(new String(lines, StandardCharsets.UTF_8)).settings(),
+                instances[i] = new RoutingPolicy(
+                        SettingsParser.ofLines(new String(lines, StandardCharsets.UTF_8))
+                                .settings(),
                         frame.getLong(at + 3));
                 return;
             }
@@ -137,24 +142,43 @@
                 target.onList(now, FORMS[form], members(at + 12), reply);
             }
             case 30 -> target.onRequest(now, request(at), reply);
-            case 40 -> target.onFirstByte(now, frame.getInt(at + 3), frame.get(at + 7) & 255, frame.getInt(at + 8), reply);
-            case 50 -> target.onAttemptEnd(now, new AttemptEnd(frame.getInt(at + 3), frame.get(at + 7) & 255,
-                    frame.getInt(at + 8), outcome(at + 12), frame.getDouble(at + 14), frame.get(at + 22) != 0,
-                    frame.getInt(at + 23), report(at + 27)), reply);
+            case 40 ->
+                target.onFirstByte(now, frame.getInt(at + 3), frame.get(at + 7) & 255, frame.getInt(at + 8), reply);
+            case 50 ->
+                target.onAttemptEnd(
+                        now,
+                        new AttemptEnd(
+                                frame.getInt(at + 3),
+                                frame.get(at + 7) & 255,
+                                frame.getInt(at + 8),
+                                outcome(at + 12),
+                                frame.getDouble(at + 14),
+                                frame.get(at + 22) != 0,
+                                frame.getInt(at + 23),
+                                report(at + 27)),
+                        reply);
             case 60 -> target.onGone(now, frame.getInt(at + 3), reply);
             case 70 -> target.onTimer(now, frame.getInt(at + 3), reply);
-            case 80 -> target.onProbed(now, frame.getInt(at + 3), outcome(at + 7), frame.getDouble(at + 9),
-                    report(at + 17), reply);
-            case 90 -> target.onPeer(now, frame.getInt(at + 3), bytes(tailSpan(at + 7, 1), frame.getInt(at + 11)), reply);
+            case 80 ->
+                target.onProbed(
+                        now, frame.getInt(at + 3), outcome(at + 7), frame.getDouble(at + 9), report(at + 17), reply);
+            case 90 ->
+                target.onPeer(now, frame.getInt(at + 3), bytes(tailSpan(at + 7, 1), frame.getInt(at + 11)), reply);
             default -> throw new SimulatorProtocolException("unknown event code " + code);
         }
     }
 
     private Request request(int at) {
         int attrs = frame.getShort(at + 7);
-        return new Request(frame.getInt(at + 3), frame.getShort(at + 41) & 0xFFFF, frame.getInt(at + 25),
-                frame.getLong(at + 33), frame.getDouble(at + 9),
-                (attrs & 1) != 0 ? frame.getDouble(at + 17) : Double.NaN, frame.getFloat(at + 29), (attrs & 4) != 0,
+        return new Request(
+                frame.getInt(at + 3),
+                frame.getShort(at + 41) & 0xFFFF,
+                frame.getInt(at + 25),
+                frame.getLong(at + 33),
+                frame.getDouble(at + 9),
+                (attrs & 1) != 0 ? frame.getDouble(at + 17) : Double.NaN,
+                frame.getFloat(at + 29),
+                (attrs & 4) != 0,
                 (attrs & 2) != 0);
     }
 
@@ -167,8 +191,13 @@
             if (phase > 2) {
                 throw new SimulatorProtocolException("unknown phase " + phase);
             }
-            list.add(new Member(frame.getInt(e), frame.getShort(e + 4) & 0xFFFF, frame.get(e + 6) & 255,
-                    frame.getShort(e + 7) & 0xFFFF, State.values()[phase], frame.getFloat(e + 10),
+            list.add(new Member(
+                    frame.getInt(e),
+                    frame.getShort(e + 4) & 0xFFFF,
+                    frame.get(e + 6) & 255,
+                    frame.getShort(e + 7) & 0xFFFF,
+                    State.values()[phase],
+                    frame.getFloat(e + 10),
                     frame.getDouble(e + 14)));
         }
         return list;
@@ -213,7 +242,8 @@
             return tailStart;
         }
         if (tailStart + offset + length > frame.limit()) {
-            throw new SimulatorProtocolException("offset " + offset + " with " + length + " bytes lies outside the tail");
+            throw new SimulatorProtocolException(
+                    "offset " + offset + " with " + length + " bytes lies outside the tail");
         }
         return (int) (tailStart + offset);
     }
--- a/src/main/java/cacheproxy/snapshot/SnapshotCodec.java
+++ b/src/main/java/cacheproxy/snapshot/SnapshotCodec.java
@@ -14,9 +14,9 @@
 import java.util.zip.CRC32C;
 
 /**
- * The bytes of a memory file, as {@code docs/operating/durable-learning.md} has them: a head and sections, each with a CRC-32C
- * (RFC 3720, appendix B.4) of its own. No files here. A reader believes no length and no count before it has seen that the bytes are
- * there, and no value that is out of its range.
+ * The bytes of a memory file, as {@code docs/operating/durable-learning.md} has them: a head and sections, each with a
+ * CRC-32C (RFC 3720, appendix B.4) of its own. No files here. A reader believes no length and no count before it has
+ * seen that the bytes are there, and no value that is out of its range.
  */
 public final class SnapshotCodec {
     /** No file is larger, read or written. */
@@ -25,6 +25,7 @@
     public static final int MAX_SERVERS = 20_000;
     /** Hot keys of one pool. */
     public static final int MAX_KEYS = 4_096;
+
     static final long MAGIC = 0x434F52414C4D454DL; // "CORALMEM"
     static final int VERSION = 1;
     static final int HEAD = 36;
@@ -42,7 +43,7 @@
     /** The version in which each kind of section is written, by kind. */
     private static final int[] WRITTEN = {0, 1, 2, 1, 1, 1, 1};
 
-    private SnapshotCodec() { }
+    private SnapshotCodec() {}
 
     /**
      * What was read.
@@ -71,23 +72,40 @@
         out.section(IDENTITY, () -> out.text(r.site()).putInt(r.me()));
         r.pools().forEach((name, p) -> {
             LearnedState k = p.knowledge();
-            List<LearnedState.Server> servers = k.servers().subList(0, Math.min(MAX_SERVERS, k.servers().size()));
+            List<LearnedState.Server> servers =
+                    k.servers().subList(0, Math.min(MAX_SERVERS, k.servers().size()));
             if (!servers.isEmpty()) {
                 out.section(SERVERS, () -> {
                     out.text(name).putInt(servers.size());
                     for (LearnedState.Server s : servers) {
-                        out.buf.putInt(s.id()).putDouble(s.bornMs()).putShort((short) Math.min(s.failures(), 0x7FFF))
-                                .putDouble(s.shunnedForMs()).putShort((short) Math.min(s.doubts(), 0x7FFF));
+                        out.buf
+                                .putInt(s.id())
+                                .putDouble(s.bornMs())
+                                .putShort((short) Math.min(s.failures(), 0x7FFF))
+                                .putDouble(s.shunnedForMs())
+                                .putShort((short) Math.min(s.doubts(), 0x7FFF));
                         out.text(p.addresses().getOrDefault(s.id(), ""));
                     }
                 });
             }
             LearnedState.Pace pace = k.pace();
-            out.section(PACE, () -> out.text(name).putDouble(pace.fetchMs()).putDouble(pace.usualCost()).putDouble(pace.usualMs())
-                    .putDouble(pace.deviationMs()).putDouble(pace.weight()));
-            out.section(LOAD, () -> out.text(name).putDouble(k.fetches().asked()).putDouble(k.fetches().answered())
-                    .putDouble(k.crowd().asked()).putDouble(k.crowd().answered()));
-            List<LearnedState.HotKey> keys = k.hot().keys().subList(0, Math.min(MAX_KEYS, k.hot().keys().size()));
+            out.section(
+                    PACE,
+                    () -> out.text(name)
+                            .putDouble(pace.fetchMs())
+                            .putDouble(pace.usualCost())
+                            .putDouble(pace.usualMs())
+                            .putDouble(pace.deviationMs())
+                            .putDouble(pace.weight()));
+            out.section(
+                    LOAD,
+                    () -> out.text(name)
+                            .putDouble(k.fetches().asked())
+                            .putDouble(k.fetches().answered())
+                            .putDouble(k.crowd().asked())
+                            .putDouble(k.crowd().answered()));
+            List<LearnedState.HotKey> keys =
+                    k.hot().keys().subList(0, Math.min(MAX_KEYS, k.hot().keys().size()));
             if (!keys.isEmpty()) {
                 out.section(HOT_KEYS, () -> {
                     out.text(name);
@@ -97,7 +115,8 @@
             }
         });
         if (!r.births().isEmpty()) {
-            List<StateSnapshot.Birth> births = r.births().subList(0, Math.min(MAX_SERVERS, r.births().size()));
+            List<StateSnapshot.Birth> births =
+                    r.births().subList(0, Math.min(MAX_SERVERS, r.births().size()));
             out.section(BIRTHS, () -> {
                 out.buf.putInt(births.size());
                 for (StateSnapshot.Birth b : births) {
@@ -137,15 +156,20 @@
                     if (buf.capacity() >= MAX_BYTES) {
                         throw new IllegalArgumentException("more than " + MAX_BYTES + " bytes");
                     }
-                    buf = ByteBuffer.allocate(Math.min(MAX_BYTES, buf.capacity() * 2)).put(buf.array(), 0, from);
+                    buf = ByteBuffer.allocate(Math.min(MAX_BYTES, buf.capacity() * 2))
+                            .put(buf.array(), 0, from);
                 }
             }
         }
 
         byte[] file(long generation, double writtenMs) {
             int length = buf.position();
-            buf.putLong(0, MAGIC).putShort(8, (short) VERSION).putShort(10, (short) sections).putInt(12, length)
-                    .putLong(16, generation).putDouble(24, writtenMs);
+            buf.putLong(0, MAGIC)
+                    .putShort(8, (short) VERSION)
+                    .putShort(10, (short) sections)
+                    .putInt(12, length)
+                    .putLong(16, generation)
+                    .putDouble(24, writtenMs);
             buf.putInt(HEAD - CRC, crc(buf.array(), 0, HEAD - CRC));
             byte[] file = new byte[length];
             buf.get(0, file);
@@ -189,7 +213,8 @@
             if (crc(bytes, from, SECTION_HEAD + size) != in.getInt(from + SECTION_HEAD + size)) {
                 faults.add("byte " + from + ": section " + (read + 1) + " is damaged");
             } else if (kind == 0 || kind >= WRITTEN.length || version == 0 || version > WRITTEN[kind]) {
-                skipped.add("byte " + from + ": section of kind " + kind + ", version " + version + ", of a newer program");
+                skipped.add(
+                        "byte " + from + ": section of kind " + kind + ", version " + version + ", of a newer program");
             } else {
                 try {
                     content.take(kind, version, in.slice(from + SECTION_HEAD, size));
@@ -282,7 +307,8 @@
             List<LearnedState.Server> servers = new ArrayList<>(n);
             Map<Integer, String> addresses = new HashMap<>();
             for (int i = 0; i < n; i++) {
-                LearnedState.Server s = new LearnedState.Server(in.getInt(), born(in), in.getShort(), span(in), in.getShort());
+                LearnedState.Server s =
+                        new LearnedState.Server(in.getInt(), born(in), in.getShort(), span(in), in.getShort());
                 check(s.failures() >= 0 && s.doubts() >= 0, "failures below 0");
                 servers.add(s);
                 if (version > 1) {
@@ -387,8 +413,10 @@
 
         StateSnapshot recollection(double writtenMs, long generation) {
             Map<String, StateSnapshot.Pool> by = new LinkedHashMap<>();
-            pools.forEach((name, p) -> by.put(name, new StateSnapshot.Pool(p.placement,
-                    new LearnedState(p.servers, p.pace, p.fetches, p.crowd, p.hot), p.addresses)));
+            pools.forEach((name, p) -> by.put(
+                    name,
+                    new StateSnapshot.Pool(
+                            p.placement, new LearnedState(p.servers, p.pace, p.fetches, p.crowd, p.hot), p.addresses)));
             return new StateSnapshot(site, me, writtenMs, generation, by, births);
         }
     }
--- a/src/main/java/cacheproxy/snapshot/SnapshotFileSystem.java
+++ b/src/main/java/cacheproxy/snapshot/SnapshotFileSystem.java
@@ -13,7 +13,10 @@
 import java.nio.file.attribute.PosixFilePermissions;
 import java.util.Set;
 
-/** The few calls of the file system that a memory file needs, one method each, so that tests can end the world between any two. */
+/**
+ * The few calls of the file system that a memory file needs, one method each, so that tests can end the world between
+ * any two.
+ */
 interface SnapshotFileSystem {
     /** Writes a file anew, for its owner alone, and forces it to the disk. */
     void write(Path file, byte[] bytes) throws IOException;
@@ -39,9 +42,11 @@
         @Override
         public void write(Path file, byte[] bytes) throws IOException {
             Files.deleteIfExists(file); // what a killed process left there, or a link that somebody laid
-            try (FileChannel channel = FileChannel.open(file, Set.of(StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE),
+            try (FileChannel channel = FileChannel.open(
+                    file,
+                    Set.of(StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE),
                     PosixFilePermissions.asFileAttribute(PosixFilePermissions.fromString("rw-------")))) {
-                for (ByteBuffer left = ByteBuffer.wrap(bytes); left.hasRemaining();) {
+                for (ByteBuffer left = ByteBuffer.wrap(bytes); left.hasRemaining(); ) {
                     channel.write(left);
                 }
                 channel.force(true);
@@ -79,10 +84,15 @@
             if (!Files.isRegularFile(file, LinkOption.NOFOLLOW_LINKS)) {
                 throw new IOException("it is no plain file");
             }
-            PosixFileAttributeView view = Files.getFileAttributeView(file, PosixFileAttributeView.class, LinkOption.NOFOLLOW_LINKS);
-            if (view != null && !view.getOwner().equals(file.getFileSystem().getUserPrincipalLookupService()
-                    .lookupPrincipalByName(System.getProperty("user.name")))) {
-                throw new IOException("it belongs to " + view.getOwner().getName() + ", not to the user of this process");
+            PosixFileAttributeView view =
+                    Files.getFileAttributeView(file, PosixFileAttributeView.class, LinkOption.NOFOLLOW_LINKS);
+            if (view != null
+                    && !view.getOwner()
+                            .equals(file.getFileSystem()
+                                    .getUserPrincipalLookupService()
+                                    .lookupPrincipalByName(System.getProperty("user.name")))) {
+                throw new IOException(
+                        "it belongs to " + view.getOwner().getName() + ", not to the user of this process");
             }
             try (FileChannel channel = FileChannel.open(file, StandardOpenOption.READ, LinkOption.NOFOLLOW_LINKS)) {
                 if (channel.size() > most) {
--- a/src/main/java/cacheproxy/snapshot/SnapshotStore.java
+++ b/src/main/java/cacheproxy/snapshot/SnapshotStore.java
@@ -16,9 +16,9 @@
 import java.util.Set;
 
 /**
- * A memory file and the generation before it, {@code FILE.old}. A new one is written whole beside them, forced to the disk and renamed
- * over the old one, so that at any moment one of the two is whole. {@code FILE.lock} keeps a second process out.
- * Blocks; not for an event loop, and for one thread at a time.
+ * A memory file and the generation before it, {@code FILE.old}. A new one is written whole beside them, forced to the
+ * disk and renamed over the old one, so that at any moment one of the two is whole. {@code FILE.lock} keeps a second
+ * process out. Blocks; not for an event loop, and for one thread at a time.
  */
 public final class SnapshotStore implements AutoCloseable {
     private final Path file;
@@ -28,6 +28,7 @@
     private FileChannel lockFile;
     /** Whether what stands under the file's name may take the place of the generation behind it. */
     private boolean whole;
+
     private long generation;
 
     SnapshotStore(Path file, SnapshotFileSystem disk) {
@@ -53,12 +54,13 @@
      * @param older whether it is the generation behind the newest
      * @param notes what was wrong with what was passed over or read in part, each with its file
      */
-    public record Found(StateSnapshot content, boolean older, List<String> notes) { }
+    public record Found(StateSnapshot content, boolean older, List<String> notes) {}
 
     /** Keeps other processes out until this is closed; false: one has the file already. */
     public boolean lock() throws IOException {
-        FileChannel channel = FileChannel.open(sibling(".lock"), Set.of(StandardOpenOption.CREATE, StandardOpenOption.WRITE,
-                LinkOption.NOFOLLOW_LINKS));
+        FileChannel channel = FileChannel.open(
+                sibling(".lock"),
+                Set.of(StandardOpenOption.CREATE, StandardOpenOption.WRITE, LinkOption.NOFOLLOW_LINKS));
         FileLock lock;
         try {
             lock = channel.tryLock();
@@ -76,7 +78,9 @@
         return true;
     }
 
-    /** The newest that is whole; where none is, what can be read of the newest. Never throws for what the files hold. */
+    /**
+     * The newest that is whole; where none is, what can be read of the newest. Never throws for what the files hold.
+     */
     public Found read() {
         List<String> notes = new ArrayList<>();
         SnapshotCodec.Decoded newest = decode(file, notes);
@@ -122,7 +126,8 @@
 
     /** Puts a new generation in the file's place; the number it gets is one more than the last. @return its bytes */
     public int write(StateSnapshot r) throws IOException {
-        byte[] bytes = SnapshotCodec.encode(new StateSnapshot(r.site(), r.me(), r.writtenMs(), generation + 1, r.pools(), r.births()));
+        byte[] bytes = SnapshotCodec.encode(
+                new StateSnapshot(r.site(), r.me(), r.writtenMs(), generation + 1, r.pools(), r.births()));
         disk.write(fresh, bytes);
         if (whole) { // what is damaged must not push out the last that is whole
             try {
@@ -147,7 +152,9 @@
             return "no permission";
         }
         String why = e instanceof FileSystemException f && f.getReason() != null ? f.getReason() : e.getMessage();
-        return why == null ? e.getClass().getSimpleName() : why.lines().findFirst().orElse("");
+        return why == null
+                ? e.getClass().getSimpleName()
+                : why.lines().findFirst().orElse("");
     }
 
     @Override
--- a/src/main/java/cacheproxy/snapshot/SnapshotWriter.java
+++ b/src/main/java/cacheproxy/snapshot/SnapshotWriter.java
@@ -8,9 +8,9 @@
 import java.util.function.Consumer;
 
 /**
- * Writes what it is handed on a thread of its own, so that a slow disk delays nothing else. One may wait; a newer one takes its place.
- * After each write it rests until the bytes written are within their bound. A disk that fails is told of once, and
- * once more when it works again; the daemon goes on without.
+ * Writes what it is handed on a thread of its own, so that a slow disk delays nothing else. One may wait; a newer one
+ * takes its place. After each write it rests until the bytes written are within their bound. A disk that fails is told
+ * of once, and once more when it works again; the daemon goes on without.
  */
 public final class SnapshotWriter {
     private final SnapshotStore files;
@@ -106,7 +106,7 @@
 
     private void run() {
         try {
-            for (StateSnapshot r; (r = take()) != null;) {
+            for (StateSnapshot r; (r = take()) != null; ) {
                 if (!same(r, written)) {
                     rest(write(r));
                 }
--- a/src/main/java/cacheproxy/snapshot/state/StateDecay.java
+++ b/src/main/java/cacheproxy/snapshot/state/StateDecay.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * What is left of knowledge after a time in which nobody looked. Each kind of fact has a half-life of its own, by how long such
- * a thing usually lasts; what has become too weak to act on is dropped. Pure.
+ * What is left of knowledge after a time in which nobody looked. Each kind of fact has a half-life of its own, by how
+ * long such a thing usually lasts; what has become too weak to act on is dropped. Pure.
  */
 public final class StateDecay {
     /** A server that failed so long ago is as likely sound again as not. */
@@ -18,9 +18,10 @@
     public static final double LOAD_HALF_MS = 4_000;
     /** Less weight than this says nothing. */
     static final double LEAST_WEIGHT = 0.05;
+
     private static final double LEAST_LOAD = 0.5;
 
-    private StateDecay() { }
+    private StateDecay() {}
 
     /**
      * What is left.
@@ -38,12 +39,19 @@
             int failures = (int) Math.round(s.failures() * left);
             int doubts = (int) Math.round(s.doubts() * left);
             if (failures + doubts > 0) {
-                servers.add(new LearnedState.Server(s.id(), s.bornMs(), failures,
-                        failures == 0 ? 0 : Math.max(0, s.shunnedForMs() - ageMs) * trust, doubts));
+                servers.add(new LearnedState.Server(
+                        s.id(),
+                        s.bornMs(),
+                        failures,
+                        failures == 0 ? 0 : Math.max(0, s.shunnedForMs() - ageMs) * trust,
+                        doubts));
             }
         }
-        return new LearnedState(servers, pace(k.pace(), trust * left(ageMs, PACE_HALF_MS)),
-                load(k.fetches(), trust * left(ageMs, LOAD_HALF_MS)), load(k.crowd(), trust * left(ageMs, LOAD_HALF_MS)),
+        return new LearnedState(
+                servers,
+                pace(k.pace(), trust * left(ageMs, PACE_HALF_MS)),
+                load(k.fetches(), trust * left(ageMs, LOAD_HALF_MS)),
+                load(k.crowd(), trust * left(ageMs, LOAD_HALF_MS)),
                 hot(k.hot(), trust * left(ageMs, HOT_HALF_MS)));
     }
 
@@ -53,12 +61,15 @@
 
     private static LearnedState.Pace pace(LearnedState.Pace p, double left) {
         double weight = p.weight() * left;
-        return weight < LEAST_WEIGHT ? LearnedState.NONE.pace()
+        return weight < LEAST_WEIGHT
+                ? LearnedState.NONE.pace()
                 : new LearnedState.Pace(p.fetchMs(), p.usualCost(), p.usualMs(), p.deviationMs(), weight);
     }
 
     private static LearnedState.Load load(LearnedState.Load l, double left) {
-        return l.asked() * left < LEAST_LOAD ? LearnedState.NONE.crowd() : new LearnedState.Load(l.asked() * left, l.answered() * left);
+        return l.asked() * left < LEAST_LOAD
+                ? LearnedState.NONE.crowd()
+                : new LearnedState.Load(l.asked() * left, l.answered() * left);
     }
 
     private static LearnedState.HotKeys hot(LearnedState.HotKeys h, double left) {
--- a/src/main/java/cacheproxy/snapshot/state/StateSnapshot.java
+++ b/src/main/java/cacheproxy/snapshot/state/StateSnapshot.java
@@ -15,12 +15,16 @@
  * @param generation counts the writings of one proxy, from 1
  * @param births when servers started that no list tells of
  */
-public record StateSnapshot(String site, int me, double writtenMs, long generation, Map<String, Pool> pools, List<Birth> births) {
+public record StateSnapshot(
+        String site, int me, double writtenMs, long generation, Map<String, Pool> pools, List<Birth> births) {
     /** Clocks of one machine agree better than this. */
     static final double FUTURE_MS = 1000;
     /** Starts longer ago than this say nothing: no server is cold for so long. */
     static final double BIRTH_MS = 3_600_000;
-    /** Where more of the servers failed than this, the fault lay with the proxy or its network: nothing is said of servers. */
+    /**
+     * Where more of the servers failed than this, the fault lay with the proxy or its network: nothing is said of
+     * servers.
+     */
     static final double MOST_FAILING = 0.7;
 
     /**
@@ -29,19 +33,21 @@
      * @param placement what the numbers of its keys depend on
      * @param addresses where the servers stood that something is said of, by id; a missing one is not known
      */
-    public record Pool(String placement, LearnedState knowledge, Map<Integer, String> addresses) { }
+    public record Pool(String placement, LearnedState knowledge, Map<Integer, String> addresses) {}
 
     /**
      * A server's start, in Unix time.
      *
      * @param down whether it refused connections when this was told: what answers there now has started since
      */
-    public record Birth(int id, String address, double bornMs, boolean down) { }
+    public record Birth(int id, String address, double bornMs, boolean down) {}
 
     /** A server as it is now. */
-    public record Present(int id, String address, double bornMs) { }
+    public record Present(int id, String address, double bornMs) {}
 
-    /** Why nothing of it may be used by this proxy now; null: it may. {@code another}: it is given as another proxy's. */
+    /**
+     * Why nothing of it may be used by this proxy now; null: it may. {@code another}: it is given as another proxy's.
+     */
     public String unfit(String ofSite, int ofMe, double now, boolean another) {
         if (!site.equals(ofSite)) {
             return "it is of the site " + site + ", not " + ofSite;
@@ -80,12 +86,21 @@
             fitting.clear();
         }
         LearnedState k = p.knowledge();
-        return StateDecay.aged(new LearnedState(fitting, k.pace(), k.fetches(), k.crowd(),
-                p.placement().equals(placement) ? k.hot() : LearnedState.NONE.hot()), Math.max(0, now - writtenMs), trust);
+        return StateDecay.aged(
+                new LearnedState(
+                        fitting,
+                        k.pace(),
+                        k.fetches(),
+                        k.crowd(),
+                        p.placement().equals(placement) ? k.hot() : LearnedState.NONE.hot()),
+                Math.max(0, now - writtenMs),
+                trust);
     }
 
     /** Starts that still matter, where the servers stand as they stood. */
     public List<Birth> births(double now, Map<Integer, String> addresses) {
-        return births.stream().filter(b -> now - writtenMs < BIRTH_MS && b.address().equals(addresses.get(b.id()))).toList();
+        return births.stream()
+                .filter(b -> now - writtenMs < BIRTH_MS && b.address().equals(addresses.get(b.id())))
+                .toList();
     }
 }
--- a/src/test/java/cacheproxy/ArchitectureTest.java
+++ b/src/test/java/cacheproxy/ArchitectureTest.java
@@ -10,100 +10,280 @@
 /** One direction of dependence: command line over fronts and sockets over decisions over PolicyApi. */
 class ArchitectureTest {
     /** Free of I/O, clocks and randomness of their own. */
-    private static final String[] DECISIONS = {"cacheproxy.placement..", "cacheproxy.limits..", "cacheproxy.routes..", "cacheproxy.lifecycle..",
-        "cacheproxy.nginx..", "cacheproxy.snapshot.state..", "cacheproxy.siblings..", "cacheproxy.fleet.membership..", "cacheproxy.discovery..",
-        "cacheproxy.simulation..", "cacheproxy.faulttest.scenario..", "cacheproxy.faulttest.check..",
-        "cacheproxy.fleet.lease..", "cacheproxy.fleet.peer..", "cacheproxy.fleet.healthcheck..", "cacheproxy.fleet.quota..", "cacheproxy.invariant.."};
+    private static final String[] DECISIONS = {
+        "cacheproxy.placement..",
+        "cacheproxy.limits..",
+        "cacheproxy.routes..",
+        "cacheproxy.lifecycle..",
+        "cacheproxy.nginx..",
+        "cacheproxy.snapshot.state..",
+        "cacheproxy.siblings..",
+        "cacheproxy.fleet.membership..",
+        "cacheproxy.discovery..",
+        "cacheproxy.simulation..",
+        "cacheproxy.faulttest.scenario..",
+        "cacheproxy.faulttest.check..",
+        "cacheproxy.fleet.lease..",
+        "cacheproxy.fleet.peer..",
+        "cacheproxy.fleet.healthcheck..",
+        "cacheproxy.fleet.quota..",
+        "cacheproxy.invariant.."
+    };
+
     private static final JavaClasses ALL = new ClassFileImporter()
-            .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS).importPackages("cacheproxy");
+            .withImportOption(ImportOption.Predefined.DO_NOT_INCLUDE_TESTS)
+            .importPackages("cacheproxy");
 
     @Test
     void decisionsKnowNoSocketsFilesOrThreads() {
-        String[] outside = {"io.netty..", "java.net..", "java.nio.file..", "java.io..", "java.util.concurrent..",
-            "com.google.gson..", "org.tomlj..", "picocli..", "cacheproxy.proxy..", "cacheproxy.daemon..",
-            "cacheproxy.config..", "cacheproxy.cli..", "cacheproxy.fakes..", "cacheproxy.simulator..", "cacheproxy.bench.."};
-        noClasses().that().resideInAnyPackage(DECISIONS).should().dependOnClassesThat().resideInAnyPackage(outside)
+        String[] outside = {
+            "io.netty..",
+            "java.net..",
+            "java.nio.file..",
+            "java.io..",
+            "java.util.concurrent..",
+            "com.google.gson..",
+            "org.tomlj..",
+            "picocli..",
+            "cacheproxy.proxy..",
+            "cacheproxy.daemon..",
+            "cacheproxy.config..",
+            "cacheproxy.cli..",
+            "cacheproxy.fakes..",
+            "cacheproxy.simulator..",
+            "cacheproxy.bench.."
+        };
+        noClasses()
+                .that()
+                .resideInAnyPackage(DECISIONS)
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(outside)
+                .check(ALL);
+        noClasses()
+                .that()
+                .resideInAPackage("cacheproxy.policy..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(outside)
                 .check(ALL);
-        noClasses().that().resideInAPackage("cacheproxy.policy..")
-                .should().dependOnClassesThat().resideInAnyPackage(outside).check(ALL);
     }
 
     @Test
     void decisionsReadNoClockAndDrawNoChance() {
-        noClasses().that().resideInAnyPackage(DECISIONS).or().resideInAPackage("cacheproxy.policy..")
-                .should().callMethod(System.class, "nanoTime").orShould().callMethod(System.class, "currentTimeMillis")
-                .orShould().callMethod(Math.class, "random").orShould().dependOnClassesThat()
-                .resideInAnyPackage("java.time..").check(ALL);
+        noClasses()
+                .that()
+                .resideInAnyPackage(DECISIONS)
+                .or()
+                .resideInAPackage("cacheproxy.policy..")
+                .should()
+                .callMethod(System.class, "nanoTime")
+                .orShould()
+                .callMethod(System.class, "currentTimeMillis")
+                .orShould()
+                .callMethod(Math.class, "random")
+                .orShould()
+                .dependOnClassesThat()
+                .resideInAnyPackage("java.time..")
+                .check(ALL);
     }
 
     @Test
     void socketsKnowNothingOfWhatStandsAboveThem() {
-        noClasses().that().resideInAPackage("cacheproxy.proxy..").should().dependOnClassesThat().resideInAnyPackage(
-                "cacheproxy.daemon..", "cacheproxy.cli..", "cacheproxy.fakes..", "cacheproxy.routes..",
-                "cacheproxy.bench..", "cacheproxy.faulttest..").check(ALL);
-        noClasses().that().resideInAPackage("cacheproxy.daemon..").should().dependOnClassesThat().resideInAnyPackage(
-                "cacheproxy.cli..", "cacheproxy.fakes..", "cacheproxy.bench..", "cacheproxy.faulttest..").check(ALL);
-        noClasses().that().resideInAPackage("cacheproxy.config..").should().dependOnClassesThat().resideInAnyPackage(
-                "cacheproxy.proxy..", "cacheproxy.daemon..", "cacheproxy.cli..").check(ALL);
+        noClasses()
+                .that()
+                .resideInAPackage("cacheproxy.proxy..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "cacheproxy.daemon..",
+                        "cacheproxy.cli..",
+                        "cacheproxy.fakes..",
+                        "cacheproxy.routes..",
+                        "cacheproxy.bench..",
+                        "cacheproxy.faulttest..")
+                .check(ALL);
+        noClasses()
+                .that()
+                .resideInAPackage("cacheproxy.daemon..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "cacheproxy.cli..", "cacheproxy.fakes..", "cacheproxy.bench..", "cacheproxy.faulttest..")
+                .check(ALL);
+        noClasses()
+                .that()
+                .resideInAPackage("cacheproxy.config..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("cacheproxy.proxy..", "cacheproxy.daemon..", "cacheproxy.cli..")
+                .check(ALL);
     }
 
     @Test
     void nginxIsKnownToTheCommandLineAndItsModelAloneAndTheModelKnowsNothingOfTheImporter() {
-        noClasses().that().resideOutsideOfPackages("cacheproxy.nginx..", "cacheproxy.cli..", "cacheproxy.fakes..",
-                "cacheproxy.bench..").should().dependOnClassesThat().resideInAPackage("cacheproxy.nginx..").check(ALL);
-        noClasses().that().haveSimpleNameStartingWith("NginxReferenceModel").or().haveSimpleNameStartingWith("FakeNginx").should()
-                .dependOnClassesThat().resideInAnyPackage("cacheproxy.nginx.model..", "cacheproxy.nginx.importer..",
-                "cacheproxy.placement..", "cacheproxy.routes..", "cacheproxy.config..").check(ALL);
-        noClasses().that().resideInAPackage("cacheproxy.nginx").should().dependOnClassesThat().resideInAnyPackage(
-                "cacheproxy.nginx.model..", "cacheproxy.nginx.importer..", "cacheproxy.routes..",
-                "cacheproxy.placement..").check(ALL);
-        noClasses().that().resideInAPackage("cacheproxy.nginx.model").should().dependOnClassesThat().resideInAnyPackage(
-                "cacheproxy.nginx.importer..", "cacheproxy.routes..", "cacheproxy.placement..").check(ALL);
+        noClasses()
+                .that()
+                .resideOutsideOfPackages(
+                        "cacheproxy.nginx..", "cacheproxy.cli..", "cacheproxy.fakes..", "cacheproxy.bench..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAPackage("cacheproxy.nginx..")
+                .check(ALL);
+        noClasses()
+                .that()
+                .haveSimpleNameStartingWith("NginxReferenceModel")
+                .or()
+                .haveSimpleNameStartingWith("FakeNginx")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "cacheproxy.nginx.model..",
+                        "cacheproxy.nginx.importer..",
+                        "cacheproxy.placement..",
+                        "cacheproxy.routes..",
+                        "cacheproxy.config..")
+                .check(ALL);
+        noClasses()
+                .that()
+                .resideInAPackage("cacheproxy.nginx")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "cacheproxy.nginx.model..",
+                        "cacheproxy.nginx.importer..",
+                        "cacheproxy.routes..",
+                        "cacheproxy.placement..")
+                .check(ALL);
+        noClasses()
+                .that()
+                .resideInAPackage("cacheproxy.nginx.model")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("cacheproxy.nginx.importer..", "cacheproxy.routes..", "cacheproxy.placement..")
+                .check(ALL);
     }
 
     @Test
     void hooksKnowNoSocketsFilesOrThreadsAndWebAssemblyIsKnownToThemAlone() {
-        noClasses().that().resideInAPackage("cacheproxy.hooks..").should().dependOnClassesThat().resideInAnyPackage("io.netty..",
-                "java.net..", "java.nio.file..", "java.util.concurrent..", "cacheproxy.proxy..", "cacheproxy.daemon..",
-                "cacheproxy.config..", "cacheproxy.cli..").check(ALL);
-        noClasses().that().resideOutsideOfPackage("cacheproxy.hooks..").should().dependOnClassesThat().resideInAPackage(
-                "com.dylibso.chicory..").check(ALL);
+        noClasses()
+                .that()
+                .resideInAPackage("cacheproxy.hooks..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "io.netty..",
+                        "java.net..",
+                        "java.nio.file..",
+                        "java.util.concurrent..",
+                        "cacheproxy.proxy..",
+                        "cacheproxy.daemon..",
+                        "cacheproxy.config..",
+                        "cacheproxy.cli..")
+                .check(ALL);
+        noClasses()
+                .that()
+                .resideOutsideOfPackage("cacheproxy.hooks..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAPackage("com.dylibso.chicory..")
+                .check(ALL);
     }
 
     @Test
     void theRigSeesProcessesFromOutsideAlone() {
-        noClasses().that().resideInAPackage("cacheproxy.faulttest..").should().dependOnClassesThat().resideInAnyPackage("cacheproxy.daemon..",
-                "cacheproxy.limits..", "cacheproxy.routes..", "cacheproxy.cli..", "cacheproxy.placement..").check(ALL);
-        noClasses().that().resideInAnyPackage("cacheproxy.faulttest.scenario..", "cacheproxy.faulttest.check..").should().dependOnClassesThat()
-                .resideInAPackage("cacheproxy.faulttest").check(ALL);
+        noClasses()
+                .that()
+                .resideInAPackage("cacheproxy.faulttest..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "cacheproxy.daemon..",
+                        "cacheproxy.limits..",
+                        "cacheproxy.routes..",
+                        "cacheproxy.cli..",
+                        "cacheproxy.placement..")
+                .check(ALL);
+        noClasses()
+                .that()
+                .resideInAnyPackage("cacheproxy.faulttest.scenario..", "cacheproxy.faulttest.check..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAPackage("cacheproxy.faulttest")
+                .check(ALL);
     }
 
     @Test
     void theDoorAndTheHandoverKnowNothingOfTheProxy() {
-        noClasses().that().resideInAnyPackage("cacheproxy.control..", "cacheproxy.handover..").should()
-                .dependOnClassesThat().resideInAnyPackage("cacheproxy.proxy..", "cacheproxy.daemon..", "cacheproxy.config..",
-                "cacheproxy.cli..", "cacheproxy.fakes..", "cacheproxy.lifecycle..").check(ALL);
+        noClasses()
+                .that()
+                .resideInAnyPackage("cacheproxy.control..", "cacheproxy.handover..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "cacheproxy.proxy..",
+                        "cacheproxy.daemon..",
+                        "cacheproxy.config..",
+                        "cacheproxy.cli..",
+                        "cacheproxy.fakes..",
+                        "cacheproxy.lifecycle..")
+                .check(ALL);
     }
 
     @Test
     void memoryFilesKnowNothingOfWhoRemembers() {
-        noClasses().that().resideInAPackage("cacheproxy.snapshot..").should().dependOnClassesThat().resideInAnyPackage("io.netty..",
-                "cacheproxy.proxy..", "cacheproxy.daemon..", "cacheproxy.config..", "cacheproxy.cli..").check(ALL);
-        noClasses().that().haveSimpleName("SnapshotCodec").should().dependOnClassesThat().resideInAnyPackage("java.nio.file..",
-                "java.util.concurrent..").check(ALL);
+        noClasses()
+                .that()
+                .resideInAPackage("cacheproxy.snapshot..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "io.netty..",
+                        "cacheproxy.proxy..",
+                        "cacheproxy.daemon..",
+                        "cacheproxy.config..",
+                        "cacheproxy.cli..")
+                .check(ALL);
+        noClasses()
+                .that()
+                .haveSimpleName("SnapshotCodec")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage("java.nio.file..", "java.util.concurrent..")
+                .check(ALL);
     }
 
     @Test
     void codecsOfProtocolsBetweenCachesKnowNothingOfOurs() {
-        noClasses().that().resideInAnyPackage("cacheproxy.icp..", "cacheproxy.htcp..").should().dependOnClassesThat().resideInAnyPackage(
-                "io.netty.channel..", "java.nio.file..", "java.util.concurrent..", "cacheproxy.proxy..", "cacheproxy.daemon..",
-                "cacheproxy.config..", "cacheproxy.siblings..", "cacheproxy.cli..").check(ALL);
+        noClasses()
+                .that()
+                .resideInAnyPackage("cacheproxy.icp..", "cacheproxy.htcp..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "io.netty.channel..",
+                        "java.nio.file..",
+                        "java.util.concurrent..",
+                        "cacheproxy.proxy..",
+                        "cacheproxy.daemon..",
+                        "cacheproxy.config..",
+                        "cacheproxy.siblings..",
+                        "cacheproxy.cli..")
+                .check(ALL);
     }
 
     @Test
     void frontsKnowNoConnectionsToServers() {
-        noClasses().that().haveSimpleNameStartingWith("ClientConnection").or().haveSimpleNameStartingWith("StandardMetaProtocol")
-                .or().haveSimpleNameStartingWith("Listener").should().dependOnClassesThat()
-                .haveSimpleNameStartingWith("Upstream").check(ALL);
+        noClasses()
+                .that()
+                .haveSimpleNameStartingWith("ClientConnection")
+                .or()
+                .haveSimpleNameStartingWith("StandardMetaProtocol")
+                .or()
+                .haveSimpleNameStartingWith("Listener")
+                .should()
+                .dependOnClassesThat()
+                .haveSimpleNameStartingWith("Upstream")
+                .check(ALL);
     }
 }
--- a/src/test/java/cacheproxy/DaemonJarIT.java
+++ b/src/test/java/cacheproxy/DaemonJarIT.java
@@ -6,8 +6,8 @@
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStreamReader;
-import java.net.ServerSocket;
 import java.net.InetAddress;
+import java.net.ServerSocket;
 import java.net.Socket;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -24,10 +24,11 @@
     @TempDir
     private Path folder;
 
-    private record Result(int code, String out, String err) { }
+    private record Result(int code, String out, String err) {}
 
     private static Process start(String... words) throws IOException {
-        List<String> line = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
+        List<String> line = new ArrayList<>(
+                List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
         line.addAll(List.of(words));
         return new ProcessBuilder(line).start();
     }
@@ -49,18 +50,28 @@
         });
         assertThat(run("check", "deploy/siblings.toml").code).isZero();
         Path broken = folder.resolve("broken.toml");
-        Files.writeString(broken, Files.readString(Path.of("deploy/coralbay.toml")).replace("retry_share", "retries")
-                .replace("pools = [\"next\", \"pages\"]", "pools = [\"nxt\"]"));
+        Files.writeString(
+                broken,
+                Files.readString(Path.of("deploy/coralbay.toml"))
+                        .replace("retry_share", "retries")
+                        .replace("pools = [\"next\", \"pages\"]", "pools = [\"nxt\"]"));
         assertThat(run("check", broken.toString())).satisfies(r -> {
             assertThat(r.code).isEqualTo(2);
-            assertThat(r.err.lines()).hasSize(2).allMatch(l -> l.matches(java.util.regex.Pattern.quote(broken.toString())
-                    + ":\\d+:\\d+: .*"));
+            assertThat(r.err.lines())
+                    .hasSize(2)
+                    .allMatch(l -> l.matches(java.util.regex.Pattern.quote(broken.toString()) + ":\\d+:\\d+: .*"));
         });
         Result explain = run("explain", "deploy/coralbay.toml", "v1-news-7", "health", "--why");
         assertThat(explain.code).isZero();
-        assertThat(explain.out.lines()).first().asString().matches("v1-news-7 route=old-names pool=pages server=p[12] key=page/news/7");
-        assertThat(explain.out).contains("health route=health answer=refused after=1000ms").contains("passed over canary");
-        assertThat(run("explain", "deploy/coralbay.toml", "k", "--class", "none").code).isEqualTo(2);
+        assertThat(explain.out.lines())
+                .first()
+                .asString()
+                .matches("v1-news-7 route=old-names pool=pages server=p[12] key=page/news/7");
+        assertThat(explain.out)
+                .contains("health route=health answer=refused after=1000ms")
+                .contains("passed over canary");
+        assertThat(run("explain", "deploy/coralbay.toml", "k", "--class", "none").code)
+                .isEqualTo(2);
         assertThat(run("nothing")).satisfies(r -> {
             assertThat(r.code).isEqualTo(2);
             assertThat(r.err).contains("nothing").doesNotContain("\tat ");
@@ -86,7 +97,8 @@
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             port = free.getLocalPort();
         }
-        String text = Files.readString(Path.of("deploy/coralbay.toml")).replace("127.0.0.1:11211", "127.0.0.1:" + port)
+        String text = Files.readString(Path.of("deploy/coralbay.toml"))
+                .replace("127.0.0.1:11211", "127.0.0.1:" + port)
                 .replace("127.0.0.1:11212", "127.0.0.1:0");
         Files.writeString(file, text);
         Process p = start("-jar", "target/cache-proxy.jar", "run", file.toString());
@@ -123,9 +135,13 @@
     void aDaemonThatIsKilledWhileItWritesFindsAWholeMemoryEachTime() throws Exception {
         Path file = folder.resolve("coralbay.toml");
         Path memory = folder.resolve("memory");
-        Files.writeString(file, Files.readString(Path.of("deploy/coralbay.toml")).replaceAll("127.0.0.1:1121[12]", "127.0.0.1:0")
-                + Files.readString(Path.of("deploy/memory.toml")).replace("coralbay.memory", memory.toString())
-                .replace("period_ms = 2000", "period_ms = 50").replace("bytes_per_second = 65536", "bytes_per_second = 1e9"));
+        Files.writeString(
+                file,
+                Files.readString(Path.of("deploy/coralbay.toml")).replaceAll("127.0.0.1:1121[12]", "127.0.0.1:0")
+                        + Files.readString(Path.of("deploy/memory.toml"))
+                                .replace("coralbay.memory", memory.toString())
+                                .replace("period_ms = 2000", "period_ms = 50")
+                                .replace("bytes_per_second = 65536", "bytes_per_second = 1e9"));
         assertThat(run("check", file.toString()).code).isZero();
         long generation = 0;
         for (int i = 0; i < 5; i++) {
@@ -141,16 +157,25 @@
                 int port = Integer.parseInt(line.replaceAll(".*:(\\d+) .*", "$1"));
                 try (Socket client = new Socket(InetAddress.getLoopbackAddress(), port)) {
                     BufferedReader in = new BufferedReader(new InputStreamReader(client.getInputStream()));
-                    // Its servers are not there: each request is news. The first takes so long that two writes may come before its end.
-                    for (boolean told = false; !told;) {
+                    // Its servers are not there: each request is news. The first takes so long that two writes may come
+                    // before its end.
+                    for (boolean told = false; !told; ) {
                         client.getOutputStream().write("mg page/1 v\r\n".getBytes());
                         assertThat(in.readLine()).startsWith("SERVER_ERROR");
-                        StateSnapshot r = Files.exists(memory) ? cacheproxy.snapshot.SnapshotStore.at(memory).read().content() : null;
-                        told = r != null && r.generation() > generation + 1 && r.pools().values().stream().anyMatch(
-                                k -> !k.knowledge().servers().isEmpty());
+                        StateSnapshot r = Files.exists(memory)
+                                ? cacheproxy.snapshot.SnapshotStore.at(memory)
+                                        .read()
+                                        .content()
+                                : null;
+                        told = r != null
+                                && r.generation() > generation + 1
+                                && r.pools().values().stream()
+                                        .anyMatch(k -> !k.knowledge().servers().isEmpty());
                     }
                 }
-                assertThat(cacheproxy.snapshot.SnapshotStore.at(memory).lock()).as("a second process must run without").isFalse();
+                assertThat(cacheproxy.snapshot.SnapshotStore.at(memory).lock())
+                        .as("a second process must run without")
+                        .isFalse();
             } finally {
                 p.destroyForcibly().waitFor();
             }
@@ -158,18 +183,28 @@
                 assertThat(r.code).as(r.err).isZero();
                 assertThat(r.out).contains("whole, generation ");
             });
-            generation = cacheproxy.snapshot.SnapshotStore.at(memory).read().content().generation();
+            generation = cacheproxy.snapshot.SnapshotStore.at(memory)
+                    .read()
+                    .content()
+                    .generation();
         }
         assertThat(run("memory", "show", memory.toString())).satisfies(r -> {
             assertThat(r.code).isZero();
-            assertThat(r.out).contains("site example, proxy 0").contains("pool pages: answers take").containsPattern("server \\w{8} at 127.0.0.1:2[13]00");
+            assertThat(r.out)
+                    .contains("site example, proxy 0")
+                    .contains("pool pages: answers take")
+                    .containsPattern("server \\w{8} at 127.0.0.1:2[13]00");
         });
         byte[] bad = Files.readAllBytes(memory);
         bad[bad.length - 1] ^= 1;
         Files.write(memory, bad);
         assertThat(run("memory", "verify", memory.toString())).satisfies(r -> {
             assertThat(r.code).isEqualTo(1);
-            assertThat(r.err.lines()).singleElement().asString().startsWith(memory + ": byte ").endsWith("is damaged");
+            assertThat(r.err.lines())
+                    .singleElement()
+                    .asString()
+                    .startsWith(memory + ": byte ")
+                    .endsWith("is damaged");
         });
         Files.write(memory, new byte[100]);
         assertThat(run("memory", "show", memory.toString()).code).isEqualTo(2);
@@ -180,21 +215,33 @@
     }
 
     private static void hangup(Process process) throws Exception {
-        assertThat(new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor()).isZero();
+        assertThat(new ProcessBuilder("kill", "-HUP", Long.toString(process.pid()))
+                        .start()
+                        .waitFor())
+                .isZero();
     }
 
     /** The platform's proxies have 32 MB: what others need must cost them nothing. */
     @Test
     void thePlatformsCommandsLoadNoneOfTheDaemonsClasses() throws Exception {
-        ProcessBuilder b = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-Xlog:class+load:stdout", "-jar", "target/cache-proxy.jar", "train");
+        ProcessBuilder b = new ProcessBuilder(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-Xlog:class+load:stdout",
+                "-jar",
+                "target/cache-proxy.jar",
+                "train");
         b.environment().put("BALANCER_CONFIG", "src/test/resources/config.json");
         b.environment().put("TMPDIR", folder.toString());
         Process p = b.redirectErrorStream(true).start();
         String loaded = new String(p.getInputStream().readAllBytes());
         assertThat(p.waitFor()).isZero();
         assertThat(loaded).contains("cacheproxy.proxy.Dispatcher ");
-        assertThat(loaded.lines().filter(l -> l.matches(".*(cacheproxy\\.(cli|daemon|routes|limits|standin|bench)\\."
-                + "|cacheproxy\\.config\\.(Daemon|Section)|cacheproxy\\.(nginx|hooks|knowledge|memory|icp|htcp|siblings\\.(?!Siblings))|org\\.tomlj|picocli|re2j|antlr|dylibso).*"))).isEmpty();
+        assertThat(
+                        loaded.lines()
+                                .filter(
+                                        l -> l.matches(
+                                                ".*(cacheproxy\\.(cli|daemon|routes|limits|standin|bench)\\."
+                                                        + "|cacheproxy\\.config\\.(Daemon|Section)|cacheproxy\\.(nginx|hooks|knowledge|memory|icp|htcp|siblings\\.(?!Siblings))|org\\.tomlj|picocli|re2j|antlr|dylibso).*")))
+                .isEmpty();
     }
 }
--- a/src/test/java/cacheproxy/DeadlinePropagationIT.java
+++ b/src/test/java/cacheproxy/DeadlinePropagationIT.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The incident of 2026-12-02 on real processes: whatever has held a request up, a server is told at most the time that the client has left,
- * with 150 ms of slack.
+ * The incident of 2026-12-02 on real processes: whatever has held a request up, a server is told at most the time that
+ * the client has left, with 150 ms of slack.
  */
 @Timeout(60)
 class DeadlinePropagationIT {
@@ -31,7 +31,10 @@
 
     /** What a server was told, and when. */
     private record Told(double deadlineMs, long atNanos) {
-        /** The time that a client had left then, who sent its request at {@code sentNanos} and waits for {@link #WAIT_MS}. */
+        /**
+         * The time that a client had left then, who sent its request at {@code sentNanos} and waits for
+         * {@link #WAIT_MS}.
+         */
         double clientLeftMs(long sentNanos) {
             return WAIT_MS - (atNanos - sentNanos) / 1e6;
         }
@@ -46,7 +49,7 @@
 
     private static void holdUp() {
         long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(HELD_UP_MS);
-        for (long left; (left = until - System.nanoTime()) > 0;) {
+        for (long left; (left = until - System.nanoTime()) > 0; ) {
             LockSupport.parkNanos(left);
         }
     }
@@ -60,28 +63,34 @@
     }
 
     private static void assertWithinWhatIsLeft(Told told, long sentNanos) {
-        assertThat(told.deadlineMs()).as("told to the server, ms").isPositive()
+        assertThat(told.deadlineMs())
+                .as("told to the server, ms")
+                .isPositive()
                 .isLessThanOrEqualTo(told.clientLeftMs(sentNanos) + SLACK_MS);
     }
 
     @Test
     void theOriginIsToldWhatIsLeftAfterALateMiss() throws Exception {
         BlockingQueue<Told> origin = new LinkedBlockingQueue<>();
-        try (ServeProcess proxy = new ServeProcess(folder).node(new ScriptedServer(c -> {
-            for (String line; (line = c.command()) != null;) {
-                holdUp();
-                c.say("EN O" + ScriptedServer.id(line) + "\r\n");
-            }
-        })).origin(new ScriptedServer(c -> {
-            while (true) {
-                String request = c.request();
-                if (request == null) {
-                    return;
-                }
-                origin.add(told(request));
-                c.sayHttp(200, "", "hello");
-            }
-        })).start(); ServeProcess.Client client = proxy.client()) {
+        try (ServeProcess proxy = new ServeProcess(folder)
+                        .node(new ScriptedServer(c -> {
+                            for (String line; (line = c.command()) != null; ) {
+                                holdUp();
+                                c.say("EN O" + ScriptedServer.id(line) + "\r\n");
+                            }
+                        }))
+                        .origin(new ScriptedServer(c -> {
+                            while (true) {
+                                String request = c.request();
+                                if (request == null) {
+                                    return;
+                                }
+                                origin.add(told(request));
+                                c.sayHttp(200, "", "hello");
+                            }
+                        }))
+                        .start();
+                ServeProcess.Client client = proxy.client()) {
             long sent = client.send(read("a1"));
             assertWithinWhatIsLeft(origin.take(), sent);
             assertThat(client.line()).isEqualTo("VA 5 Oa1");
@@ -92,7 +101,7 @@
     void aRetryIsToldWhatIsLeftAfterALateFailure() throws Exception {
         BlockingQueue<Told> retries = new LinkedBlockingQueue<>();
         ScriptedServer.Script late = c -> {
-            for (String line; (line = c.command()) != null;) {
+            for (String line; (line = c.command()) != null; ) {
                 Told told = told(line);
                 if (told.deadlineMs() > WAIT_MS - HELD_UP_MS) {
                     holdUp();
@@ -103,7 +112,10 @@
                 }
             }
         };
-        try (ServeProcess proxy = new ServeProcess(folder).node(new ScriptedServer(late)).node(new ScriptedServer(late)).start();
+        try (ServeProcess proxy = new ServeProcess(folder)
+                        .node(new ScriptedServer(late))
+                        .node(new ScriptedServer(late))
+                        .start();
                 ServeProcess.Client client = proxy.client()) {
             long sent = client.send(read("b1"));
             assertWithinWhatIsLeft(retries.take(), sent);
--- a/src/test/java/cacheproxy/JarIT.java
+++ b/src/test/java/cacheproxy/JarIT.java
@@ -28,8 +28,11 @@
     private Path folder;
 
     private Process start(String command, String config, String... flags) throws IOException {
-        List<String> words = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
-                "-jar", "target/cache-proxy.jar", command));
+        List<String> words = new ArrayList<>(List.of(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-jar",
+                "target/cache-proxy.jar",
+                command));
         words.addAll(List.of(flags));
         ProcessBuilder builder = new ProcessBuilder(words);
         builder.environment().put("TMPDIR", folder.toString());
@@ -51,7 +54,8 @@
                 return new Socket(InetAddress.getByName("127.0.0.1"), port);
             } catch (IOException e) {
                 if (!process.isAlive()) {
-                    throw new AssertionError("ended: " + new String(process.getErrorStream().readAllBytes()));
+                    throw new AssertionError(
+                            "ended: " + new String(process.getErrorStream().readAllBytes()));
                 }
                 Thread.onSpinWait();
             }
@@ -75,9 +79,13 @@
             script.start();
             int port = freePort();
             Path config = folder.resolve("config.json");
-            Files.writeString(config, Files.readString(Path.of("src/test/resources/config.json"))
-                    .replace("127.0.0.1:0", "127.0.0.1:" + port)
-                    .replace("\"dial\": \"127.0.0.1:9\"", "\"dial\": \"127.0.0.1:" + node.getLocalPort() + "\""));
+            Files.writeString(
+                    config,
+                    Files.readString(Path.of("src/test/resources/config.json"))
+                            .replace("127.0.0.1:0", "127.0.0.1:" + port)
+                            .replace(
+                                    "\"dial\": \"127.0.0.1:9\"",
+                                    "\"dial\": \"127.0.0.1:" + node.getLocalPort() + "\""));
             Process process = start("serve", config.toString());
             try (Socket client = connect(port, process)) {
                 BufferedReader in = new BufferedReader(new InputStreamReader(client.getInputStream()));
@@ -111,11 +119,14 @@
                 Files.writeString(config, "{");
                 hangup(process);
                 BufferedReader told = new BufferedReader(new InputStreamReader(process.getErrorStream()));
-                for (String line; (line = told.readLine()) != null && !line.contains("config.json");) {
+                for (String line; (line = told.readLine()) != null && !line.contains("config.json"); ) {
                     // what discovery's silence had to say
                 }
-                Files.writeString(config, text.replace("\"discovery\": \"127.0.0.1:9\"",
-                        "\"discovery\": \"127.0.0.1:" + discovery.getLocalPort() + "\""));
+                Files.writeString(
+                        config,
+                        text.replace(
+                                "\"discovery\": \"127.0.0.1:9\"",
+                                "\"discovery\": \"127.0.0.1:" + discovery.getLocalPort() + "\""));
                 hangup(process);
                 discovery.setSoTimeout(60_000);
                 try (Socket call = discovery.accept()) {
@@ -137,7 +148,10 @@
         try (ServerSocket discovery = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
             int control = freePort();
             Path config = withControl(freePort(), control);
-            ProcessBuilder builder = new ProcessBuilder("sh", "-c", "trap '' HUP; exec \"$0\" -jar target/cache-proxy.jar serve",
+            ProcessBuilder builder = new ProcessBuilder(
+                    "sh",
+                    "-c",
+                    "trap '' HUP; exec \"$0\" -jar target/cache-proxy.jar serve",
                     Path.of(System.getProperty("java.home"), "bin", "java").toString());
             builder.environment().put("TMPDIR", folder.toString());
             builder.environment().put("BALANCER_CONFIG", config.toString());
@@ -145,9 +159,16 @@
             Process process = builder.redirectError(errors.toFile()).start();
             try {
                 awaitYes(control, process);
-                assertThat(Files.readString(errors)).contains("SIGHUP is ignored").contains("POST /reload");
-                Files.writeString(config, Files.readString(config).replace("\"discovery\": \"127.0.0.1:9\"",
-                        "\"event_log\": true, \"discovery\": \"127.0.0.1:" + discovery.getLocalPort() + "\""));
+                assertThat(Files.readString(errors))
+                        .contains("SIGHUP is ignored")
+                        .contains("POST /reload");
+                Files.writeString(
+                        config,
+                        Files.readString(config)
+                                .replace(
+                                        "\"discovery\": \"127.0.0.1:9\"",
+                                        "\"event_log\": true, \"discovery\": \"127.0.0.1:" + discovery.getLocalPort()
+                                                + "\""));
                 hangup(process);
                 assertThat(call(control, "GET /status")).contains(" 200 ");
                 assertThat(call(control, "POST /reload")).contains(" 202 ");
@@ -159,7 +180,10 @@
                 assertThat(call(control, "GET /invariants")).contains(" 200 ");
                 process.destroy();
                 assertThat(process.waitFor(60, TimeUnit.SECONDS)).isTrue();
-                assertThat(Files.readString(errors)).contains("state_changed").contains("state=reloaded").contains("discovery_called");
+                assertThat(Files.readString(errors))
+                        .contains("state_changed")
+                        .contains("state=reloaded")
+                        .contains("discovery_called");
             } finally {
                 process.destroyForcibly();
             }
@@ -178,15 +202,19 @@
 
     private Path withControl(int port, int control) throws IOException {
         Path file = folder.resolve("config-" + control + ".json");
-        return Files.writeString(file, Files.readString(Path.of("src/test/resources/config.json"))
-                .replace("\"listen\": \"127.0.0.1:0\"", "\"listen\": \"127.0.0.1:" + port + "\", \"control\": \"127.0.0.1:"
-                        + control + "\""));
+        return Files.writeString(
+                file,
+                Files.readString(Path.of("src/test/resources/config.json"))
+                        .replace(
+                                "\"listen\": \"127.0.0.1:0\"",
+                                "\"listen\": \"127.0.0.1:" + port + "\", \"control\": \"127.0.0.1:" + control + "\""));
     }
 
     private static void awaitYes(int control, Process process) throws IOException {
         while (!call(control, "GET /status").contains(" 200 ")) {
             if (!process.isAlive()) {
-                throw new AssertionError("ended: " + new String(process.getErrorStream().readAllBytes()));
+                throw new AssertionError(
+                        "ended: " + new String(process.getErrorStream().readAllBytes()));
             }
             Thread.onSpinWait();
         }
@@ -253,7 +281,9 @@
         }
     }
 
-    /** What goes wrong around an upgrade: begun in standby, two at once, the next one killed, the running one killed. */
+    /**
+     * What goes wrong around an upgrade: begun in standby, two at once, the next one killed, the running one killed.
+     */
     @Test
     void anUpgradeThatGoesWrongLeavesSomebodyWhoTakesClients() throws Exception {
         int port = freePort();
@@ -269,7 +299,9 @@
             awaitYes(control[1], version[1]);
             awaitYes(control[2], version[2]);
             assertThat(call(control[0], "GET /status")).contains(" 503 ");
-            assertThat(call(control[0], "POST /active")).as("taken back while next ones run").contains(" 200 ");
+            assertThat(call(control[0], "POST /active"))
+                    .as("taken back while next ones run")
+                    .contains(" 200 ");
             // A next one dies before anybody made room for it: the others go on.
             version[2].destroyForcibly().waitFor();
             assertThat(asked(port)).isEqualTo("MN");
@@ -294,22 +326,35 @@
     @Test
     void aControlAddressThatIsTakenIsToldByName() throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 5, InetAddress.getByName("127.0.0.1"))) {
-            Process process = start("serve", withControl(freePort(), taken.getLocalPort()).toString());
+            Process process =
+                    start("serve", withControl(freePort(), taken.getLocalPort()).toString());
             String told = new String(process.getErrorStream().readAllBytes());
-            assertThat(told.lines().filter(l -> !l.startsWith("discovery"))).as(told).singleElement().asString()
-                    .contains("control").contains(":" + taken.getLocalPort());
+            assertThat(told.lines().filter(l -> !l.startsWith("discovery")))
+                    .as(told)
+                    .singleElement()
+                    .asString()
+                    .contains("control")
+                    .contains(":" + taken.getLocalPort());
             assertThat(process.waitFor()).isEqualTo(1);
         }
     }
 
-    /** What the archive lacks each start reads and verifies anew: 98 classes and the flight recorder once took half of a start. */
+    /**
+     * What the archive lacks each start reads and verifies anew: 98 classes and the flight recorder once took half of a
+     * start.
+     */
     @Test
     void aStartAsDeployedTakesItsClassesFromTheArchive() throws Exception {
-        String run = Files.readAllLines(Path.of("deploy/balancer.toml")).stream().filter(l -> l.startsWith("run = ")).findFirst()
-                .orElseThrow().replaceFirst("run = \"exec java ", "").replaceFirst("\"$", "");
+        String run = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
+                .filter(l -> l.startsWith("run = "))
+                .findFirst()
+                .orElseThrow()
+                .replaceFirst("run = \"exec java ", "")
+                .replaceFirst("\"$", "");
         int port = freePort();
         int control = freePort();
-        List<String> words = new ArrayList<>(List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+        List<String> words = new ArrayList<>(List.of(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-Xlog:class+load:file=" + folder.resolve("classes.txt")));
         words.addAll(List.of(run.split(" ")));
         ProcessBuilder builder = new ProcessBuilder(words);
@@ -323,15 +368,23 @@
             process.destroyForcibly().waitFor();
         }
         List<String> read = Files.readAllLines(folder.resolve("classes.txt")).stream()
-                .filter(l -> l.contains("source: file:") || l.contains(" jdk.jfr.")).toList();
+                .filter(l -> l.contains("source: file:") || l.contains(" jdk.jfr."))
+                .toList();
         // One or two hang on which of two events comes first.
-        assertThat(read.stream().filter(l -> l.contains("source: file:")).toList()).as("not archived").hasSizeLessThan(6);
+        assertThat(read.stream().filter(l -> l.contains("source: file:")).toList())
+                .as("not archived")
+                .hasSizeLessThan(6);
         // To find that it is off loads 8 of the recorder's classes; on, 69.
-        assertThat(read.stream().filter(l -> l.contains(" jdk.jfr.")).toList()).as("the recorder").hasSizeLessThan(20);
+        assertThat(read.stream().filter(l -> l.contains(" jdk.jfr.")).toList())
+                .as("the recorder")
+                .hasSizeLessThan(20);
     }
 
     private static void hangup(Process process) throws Exception {
-        assertThat(new ProcessBuilder("kill", "-HUP", Long.toString(process.pid())).start().waitFor()).isZero();
+        assertThat(new ProcessBuilder("kill", "-HUP", Long.toString(process.pid()))
+                        .start()
+                        .waitFor())
+                .isZero();
     }
 
     @Test
@@ -347,7 +400,8 @@
     @Test
     void aConfigurationOfNoUseIsToldInOneLine() throws Exception {
         Path broken = folder.resolve("broken.json");
-        for (String text : new String[] {null, "", "{", "[]", "{\"settings\":{}}", "{\"settings\":{},\"listen\":\"x:y\"}"}) {
+        for (String text :
+                new String[] {null, "", "{", "[]", "{\"settings\":{}}", "{\"settings\":{},\"listen\":\"x:y\"}"}) {
             Files.deleteIfExists(broken);
             if (text != null) {
                 Files.writeString(broken, text);
--- a/src/test/java/cacheproxy/PolicyRecallTest.java
+++ b/src/test/java/cacheproxy/PolicyRecallTest.java
@@ -25,7 +25,12 @@
         for (int id : ids) {
             servers.add(new LearnedState.Server(id, 0, 3, shunnedForMs, 0));
         }
-        return new LearnedState(servers, LearnedState.NONE.pace(), LearnedState.NONE.fetches(), LearnedState.NONE.crowd(), LearnedState.NONE.hot());
+        return new LearnedState(
+                servers,
+                LearnedState.NONE.pace(),
+                LearnedState.NONE.fetches(),
+                LearnedState.NONE.crowd(),
+                LearnedState.NONE.hot());
     }
 
     /** The servers that these reads go to first. */
@@ -56,7 +61,9 @@
         Rig next = rig(4);
         next.policy.recall(next.now, told);
         assertThat(firsts(next, 1, 60)).doesNotContain(slow).hasSize(3);
-        assertThat(next.policy.knowledge(next.now, 10).servers()).as("handed on").isEqualTo(told.servers());
+        assertThat(next.policy.knowledge(next.now, 10).servers())
+                .as("handed on")
+                .isEqualTo(told.servers());
         assertThat(firsts(rig(4), 1, 60)).as("without it").contains(slow);
     }
 
@@ -70,8 +77,11 @@
         for (int i = 100; i < 160; i++) {
             rig.read(i, 1000 + i); // no answers yet
         }
-        assertThat(rig.placed.stream().filter(p -> p.server() == 2)).as("one trial").hasSize(1);
-        rig.endAfter(rig.placed.stream().filter(p -> p.server() == 2).findFirst().orElseThrow(), Outcome.OK, 5);
+        assertThat(rig.placed.stream().filter(p -> p.server() == 2))
+                .as("one trial")
+                .hasSize(1);
+        rig.endAfter(
+                rig.placed.stream().filter(p -> p.server() == 2).findFirst().orElseThrow(), Outcome.OK, 5);
         assertThat(firsts(rig, 200, 60)).contains(2);
         assertThat(rig.policy.knowledge(rig.now, 10).servers()).isEmpty();
     }
@@ -88,7 +98,8 @@
     void itHoldsForTheSameProcessOnTheListAndNotAgainstWhatWasSeenSince() {
         Rig rig = rig(4);
         rig.change(Rig.member(3, State.READY, 500));
-        rig.policy.recall(rig.now, bad(8000, 3, 77, Rig.ORIGIN)); // 3 has restarted, 77 is not there, the origin is no choice
+        rig.policy.recall(
+                rig.now, bad(8000, 3, 77, Rig.ORIGIN)); // 3 has restarted, 77 is not there, the origin is no choice
         rig.pass(10_000);
         assertThat(firsts(rig, 1, 100)).contains(3);
         rig.end(placedAt(rig, 1), Outcome.CONNECT_FAILED);
@@ -98,7 +109,7 @@
     }
 
     private static Rig.Placed placedAt(Rig rig, int server) {
-        for (int i = 5000;; i++) {
+        for (int i = 5000; ; i++) {
             rig.read(i, i * 31L);
             if (rig.last().server() == server) {
                 return rig.last();
@@ -139,7 +150,9 @@
                 without.read(i, key);
                 if (at(with, i) == fresh) {
                     cold++;
-                    assertThat(at(without, i)).as("round " + round + ", key " + key).isEqualTo(fresh);
+                    assertThat(at(without, i))
+                            .as("round " + round + ", key " + key)
+                            .isEqualTo(fresh);
                 }
             }
         }
@@ -147,24 +160,33 @@
     }
 
     private static int at(Rig rig, int request) {
-        return rig.placed.stream().filter(p -> p.request() == request && p.attempt() == 0).mapToInt(Rig.Placed::server)
-                .findFirst().orElse(-1);
+        return rig.placed.stream()
+                .filter(p -> p.request() == request && p.attempt() == 0)
+                .mapToInt(Rig.Placed::server)
+                .findFirst()
+                .orElse(-1);
     }
 
     private static LearnedState worst(SplittableRandom random, int servers) {
         List<LearnedState.Server> facts = new ArrayList<>();
         for (int id = 1; id <= servers; id++) {
             if (random.nextInt(3) > 0) {
-                facts.add(new LearnedState.Server(id, 0, 1 + random.nextInt(30_000), random.nextDouble() * 1e9, random.nextInt(5)));
+                facts.add(new LearnedState.Server(
+                        id, 0, 1 + random.nextInt(30_000), random.nextDouble() * 1e9, random.nextInt(5)));
             }
         }
-        return new LearnedState(facts, new LearnedState.Pace(random.nextDouble() * 1e3, 1, random.nextDouble() * 300, 1, 1),
+        return new LearnedState(
+                facts,
+                new LearnedState.Pace(random.nextDouble() * 1e3, 1, random.nextDouble() * 300, 1, 1),
                 new LearnedState.Load(random.nextInt(1000), random.nextInt(1000)),
                 new LearnedState.Load(random.nextInt(100), 100 + random.nextInt(1000)),
                 new LearnedState.HotKeys(1e6, List.of(new LearnedState.HotKey(random.nextLong(), 1000))));
     }
 
-    /** A hot key is fair to a cold server by its part of all; what is remembered of others' keys must not swell that all. */
+    /**
+     * A hot key is fair to a cold server by its part of all; what is remembered of others' keys must not swell that
+     * all.
+     */
     @Test
     void aHotKeyIsNoFairerToAColdServerForWhatIsRemembered() {
         int[] sent = new int[2];
@@ -176,13 +198,21 @@
                     rig.change(Rig.member(id, State.READY, rig.now - 7900));
                 }
                 if (k == 1) {
-                    rig.policy.recall(rig.now, new LearnedState(List.of(), LearnedState.NONE.pace(), LearnedState.NONE.fetches(),
-                            LearnedState.NONE.crowd(), new LearnedState.HotKeys(1e6, List.of())));
+                    rig.policy.recall(
+                            rig.now,
+                            new LearnedState(
+                                    List.of(),
+                                    LearnedState.NONE.pace(),
+                                    LearnedState.NONE.fetches(),
+                                    LearnedState.NONE.crowd(),
+                                    new LearnedState.HotKeys(1e6, List.of())));
                 }
                 for (int i = 1; i <= 5; i++) { // under the count from which a key is spread
                     rig.read(i, 77L + round);
                 }
-                sent[k] += rig.placed.stream().filter(p -> p.server() != Rig.ORIGIN).count();
+                sent[k] += rig.placed.stream()
+                        .filter(p -> p.server() != Rig.ORIGIN)
+                        .count();
             }
         }
         assertThat(sent[1]).isEqualTo(sent[0]);
@@ -198,10 +228,20 @@
         assertThat(refused(calm, 200)).isGreaterThanOrEqualTo(refused(LearnedState.NONE.crowd(), 200));
     }
 
-    /** How many of a hundred misses are not fetched, with the origin answering, after so many fetches that had no answer. */
+    /**
+     * How many of a hundred misses are not fetched, with the origin answering, after so many fetches that had no
+     * answer.
+     */
     private static int refused(LearnedState.Load fetches, int unanswered) {
         Rig rig = rig(4);
-        rig.policy.recall(rig.now, new LearnedState(List.of(), LearnedState.NONE.pace(), fetches, LearnedState.NONE.crowd(), LearnedState.NONE.hot()));
+        rig.policy.recall(
+                rig.now,
+                new LearnedState(
+                        List.of(),
+                        LearnedState.NONE.pace(),
+                        fetches,
+                        LearnedState.NONE.crowd(),
+                        LearnedState.NONE.hot()));
         int refused = 0;
         for (int i = 1; i <= unanswered + 100; i++) {
             int before = rig.denied.size();
@@ -221,8 +261,11 @@
     void aHotKeyIsSpreadFromTheFirstRequestOn() {
         Rig first = rig(8);
         for (int i = 1; i <= 200; i++) {
-            first.policy.onRequest(first.now, new Request(i, Rig.SAFE, 0, i % 2 == 0 ? 99 : 1000 + i, first.now + 1000, Double.NaN, 0,
-                    false, false), first);
+            first.policy.onRequest(
+                    first.now,
+                    new Request(
+                            i, Rig.SAFE, 0, i % 2 == 0 ? 99 : 1000 + i, first.now + 1000, Double.NaN, 0, false, false),
+                    first);
             first.endAfter(first.last(), Outcome.OK, 5);
         }
         LearnedState told = first.policy.knowledge(first.now, 10);
@@ -255,7 +298,9 @@
             rig.read(i, i / 6); // each hot for a moment, while few were asked for
             rig.endAfter(rig.last(), Outcome.OK, 5);
         }
-        assertThat(rig.policy.knowledge(rig.now, Integer.MAX_VALUE).hot().keys()).hasSizeLessThanOrEqualTo(256).isNotEmpty();
+        assertThat(rig.policy.knowledge(rig.now, Integer.MAX_VALUE).hot().keys())
+                .hasSizeLessThanOrEqualTo(256)
+                .isNotEmpty();
     }
 
     @Test
@@ -263,11 +308,24 @@
         LearnedState.Pace usual = new LearnedState.Pace(80, 3, 20, 4, 1);
         Rig rig = rig(4);
         LearnedState.Pace own = rig.policy.knowledge(rig.now, 0).pace();
-        rig.policy.recall(rig.now, new LearnedState(List.of(), usual, LearnedState.NONE.fetches(), LearnedState.NONE.crowd(), LearnedState.NONE.hot()));
+        rig.policy.recall(
+                rig.now,
+                new LearnedState(
+                        List.of(),
+                        usual,
+                        LearnedState.NONE.fetches(),
+                        LearnedState.NONE.crowd(),
+                        LearnedState.NONE.hot()));
         assertThat(rig.policy.knowledge(rig.now, 0).pace()).isEqualTo(usual);
         Rig half = rig(4);
-        half.policy.recall(half.now, new LearnedState(List.of(), new LearnedState.Pace(80, 3, 20, 4, 0.5), LearnedState.NONE.fetches(),
-                LearnedState.NONE.crowd(), LearnedState.NONE.hot()));
+        half.policy.recall(
+                half.now,
+                new LearnedState(
+                        List.of(),
+                        new LearnedState.Pace(80, 3, 20, 4, 0.5),
+                        LearnedState.NONE.fetches(),
+                        LearnedState.NONE.crowd(),
+                        LearnedState.NONE.hot()));
         assertThat(half.policy.knowledge(half.now, 0).pace().usualMs()).isEqualTo((own.usualMs() + 20) / 2);
         Rig none = rig(4);
         none.policy.recall(none.now, LearnedState.NONE);
