--- a/src/test/java/cacheproxy/PolicySiblingsTest.java
+++ b/src/test/java/cacheproxy/PolicySiblingsTest.java
@@ -1,17 +1,16 @@
 package cacheproxy;
 
-import cacheproxy.policy.RoutingPolicy;
-
 import static org.assertj.core.api.Assertions.assertThat;
 
+import cacheproxy.placement.AdmissionControl;
+import cacheproxy.placement.CarpPlacement;
 import cacheproxy.policy.PolicyApi.Group;
 import cacheproxy.policy.PolicyApi.ListKind;
 import cacheproxy.policy.PolicyApi.Member;
 import cacheproxy.policy.PolicyApi.Outcome;
 import cacheproxy.policy.PolicyApi.Settings;
 import cacheproxy.policy.PolicyApi.State;
-import cacheproxy.placement.AdmissionControl;
-import cacheproxy.placement.CarpPlacement;
+import cacheproxy.policy.RoutingPolicy;
 import cacheproxy.siblings.Siblings;
 import java.util.ArrayList;
 import java.util.List;
@@ -96,7 +95,9 @@
         rig.policy.onSibling(rig.now, 2, 0, rig);
         assertThat(rig.last()).satisfies(p -> assertThat(p.server()).isEqualTo(Rig.ORIGIN));
         rig.pass(100);
-        assertThat(rig.placed.stream().filter(p -> p.request() == 2 && p.server() == Rig.ORIGIN)).as("once").hasSize(1);
+        assertThat(rig.placed.stream().filter(p -> p.request() == 2 && p.server() == Rig.ORIGIN))
+                .as("once")
+                .hasSize(1);
         miss(rig, 3, 7);
         rig.policy.onSibling(rig.now, 3, 1, rig); // a server that is no sibling
         assertThat(rig.last().server()).isEqualTo(Rig.ORIGIN);
@@ -104,7 +105,9 @@
 
     @Test
     void aSiblingThatLiesFailsOrIsSilentCostsOneAttempt() {
-        for (Outcome o : new Outcome[] {Outcome.MISS, Outcome.ERROR, Outcome.FULL, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.TIMEOUT}) {
+        for (Outcome o : new Outcome[] {
+            Outcome.MISS, Outcome.ERROR, Outcome.FULL, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.TIMEOUT
+        }) {
             Rig rig = rig(true);
             miss(rig, 1, 5);
             rig.policy.onSibling(rig.now, 1, SIBLING, rig);
@@ -120,7 +123,9 @@
         rig.policy.onSibling(rig.now, 1, SIBLING, rig);
         rig.pass(300);
         assertThat(rig.last().server()).as("silent").isEqualTo(Rig.ORIGIN);
-        assertThat(rig.policy.knowledge(rig.now, 0).servers()).as("nothing is held against it as a server").isEmpty();
+        assertThat(rig.policy.knowledge(rig.now, 0).servers())
+                .as("nothing is held against it as a server")
+                .isEmpty();
     }
 
     @Test
@@ -132,8 +137,14 @@
         assertThat(rig.asked).containsExactly(1);
         rig.policy.onSibling(rig.now, 1, SIBLING, rig);
         rig.endAfter(rig.last(), Outcome.OK, 4);
-        assertThat(rig.placed.stream().filter(p -> p.server() == SIBLING).map(Rig.Placed::request)).containsExactly(1, 2, 3, 4);
-        rig.end(rig.placed.stream().filter(p -> p.server() == SIBLING && p.request() == 3).findFirst().orElseThrow(), Outcome.MISS);
+        assertThat(rig.placed.stream().filter(p -> p.server() == SIBLING).map(Rig.Placed::request))
+                .containsExactly(1, 2, 3, 4);
+        rig.end(
+                rig.placed.stream()
+                        .filter(p -> p.server() == SIBLING && p.request() == 3)
+                        .findFirst()
+                        .orElseThrow(),
+                Outcome.MISS);
         assertThat(rig.last()).as("its word did not hold for the third").satisfies(p -> {
             assertThat(p.server()).isEqualTo(Rig.ORIGIN);
             assertThat(p.request()).isEqualTo(3);
@@ -154,10 +165,15 @@
                 rig.end(rig.last(), Outcome.RESET);
             }
             rig.pass(25);
-            assertThat(rig.placed.stream().filter(p -> p.request() == 2 && p.server() == Rig.ORIGIN || p.request() == 2
-                    && p.server() == SIBLING).count() + rig.asked.stream().filter(a -> a == 2).count()).isPositive();
+            assertThat(rig.placed.stream()
+                                    .filter(p -> p.request() == 2 && p.server() == Rig.ORIGIN
+                                            || p.request() == 2 && p.server() == SIBLING)
+                                    .count()
+                            + rig.asked.stream().filter(a -> a == 2).count())
+                    .isPositive();
             rig.pass(2000);
-            assertThat(rig.placed.stream().filter(p -> p.request() == 2 && p.server() == Rig.ORIGIN)).hasSize(1);
+            assertThat(rig.placed.stream().filter(p -> p.request() == 2 && p.server() == Rig.ORIGIN))
+                    .hasSize(1);
         }
     }
 
@@ -177,7 +193,9 @@
         assertThat(rig.last().server()).isEqualTo(Rig.ORIGIN);
     }
 
-    /** Whatever comes back, and in whatever order, each request ends once and the origin is asked at most once for it. */
+    /**
+     * Whatever comes back, and in whatever order, each request ends once and the origin is asked at most once for it.
+     */
     @Test
     void anyOrderOfEventsLeavesEachRequestWithOneEnd() {
         SplittableRandom random = new SplittableRandom(8);
@@ -198,8 +216,12 @@
                     case 2, 3 -> {
                         if (!open.isEmpty()) {
                             Rig.Placed p = open.remove(random.nextInt(open.size()));
-                            Outcome o = p.server() < 100 && random.nextInt(3) > 0 ? Outcome.MISS : outcomes[random.nextInt(outcomes.length)];
-                            boolean first = o == Outcome.OK && !ended.contains(p.request()) && !rig.denied.contains(p.request())
+                            Outcome o = p.server() < 100 && random.nextInt(3) > 0
+                                    ? Outcome.MISS
+                                    : outcomes[random.nextInt(outcomes.length)];
+                            boolean first = o == Outcome.OK
+                                    && !ended.contains(p.request())
+                                    && !rig.denied.contains(p.request())
                                     && !rig.failed.contains(p.request());
                             if (first) {
                                 ended.add(p.request());
@@ -209,7 +231,8 @@
                     }
                     case 4 -> {
                         if (n > 0) {
-                            rig.policy.onSibling(rig.now, 1 + random.nextInt(n), random.nextBoolean() ? SIBLING : 0, rig);
+                            rig.policy.onSibling(
+                                    rig.now, 1 + random.nextInt(n), random.nextBoolean() ? SIBLING : 0, rig);
                         }
                     }
                     default -> rig.pass(random.nextInt(30));
@@ -226,10 +249,14 @@
             rig.pass(5000);
             for (int id = 1; id <= n; id++) {
                 int request = id;
-                long answers = rig.denied.stream().filter(d -> d == request).count() + rig.failed.stream().filter(d -> d == request).count()
+                long answers = rig.denied.stream().filter(d -> d == request).count()
+                        + rig.failed.stream().filter(d -> d == request).count()
                         + ended.stream().filter(d -> d == request).count();
                 assertThat(answers).as("round " + round + ", request " + id).isEqualTo(1);
-                assertThat(rig.placed.stream().filter(p -> p.request() == request && p.server() == Rig.ORIGIN).count()).isLessThanOrEqualTo(1);
+                assertThat(rig.placed.stream()
+                                .filter(p -> p.request() == request && p.server() == Rig.ORIGIN)
+                                .count())
+                        .isLessThanOrEqualTo(1);
                 assertThat(rig.asked.stream().filter(a -> a == request).count()).isLessThanOrEqualTo(1);
             }
         }
--- a/src/test/java/cacheproxy/RandomRulesTest.java
+++ b/src/test/java/cacheproxy/RandomRulesTest.java
@@ -1,10 +1,8 @@
 package cacheproxy;
 
-import cacheproxy.policy.PolicyApi;
-import cacheproxy.policy.RoutingPolicy;
-
 import static org.assertj.core.api.Assertions.assertThat;
 
+import cacheproxy.policy.PolicyApi;
 import cacheproxy.policy.PolicyApi.AttemptEnd;
 import cacheproxy.policy.PolicyApi.Effect;
 import cacheproxy.policy.PolicyApi.Group;
@@ -15,6 +13,7 @@
 import cacheproxy.policy.PolicyApi.ServiceClass;
 import cacheproxy.policy.PolicyApi.Settings;
 import cacheproxy.policy.PolicyApi.State;
+import cacheproxy.policy.RoutingPolicy;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -132,8 +131,14 @@
                             gone();
                         }
                     }
-                    case 5 -> policy.onProbed(now, 1 + random.nextInt(12),
-                            random.nextBoolean() ? Outcome.OK : Outcome.TIMEOUT, 3, null, this);
+                    case 5 ->
+                        policy.onProbed(
+                                now,
+                                1 + random.nextInt(12),
+                                random.nextBoolean() ? Outcome.OK : Outcome.TIMEOUT,
+                                3,
+                                null,
+                                this);
                     default -> endSome();
                 }
             }
@@ -141,7 +146,9 @@
                 now += 5;
                 fireTimers();
             }
-            live.forEach(h -> assertThat(h.over).as("request %d was answered", h.request.id()).isTrue());
+            live.forEach(h -> assertThat(h.over)
+                    .as("request %d was answered", h.request.id())
+                    .isTrue());
         }
 
         private void fireTimers() {
@@ -154,15 +161,24 @@
             live.removeIf(h -> h.over && h.out() == 0);
             for (Held h : live) {
                 assertThat(h.over || now <= h.request.dueMs() + cfg.answerGraceMs())
-                        .as("request %d answered by its due time", h.request.id()).isTrue();
+                        .as("request %d answered by its due time", h.request.id())
+                        .isTrue();
             }
         }
 
         private void arrive() {
             Held h = new Held();
             int c = random.nextInt(3);
-            h.request = new Request(nextId++, c, 0, random.nextInt(30), now + 300 + random.nextInt(700),
-                    random.nextBoolean() ? Double.NaN : 10 + random.nextInt(90), 0, c != Rig.SAFE, false);
+            h.request = new Request(
+                    nextId++,
+                    c,
+                    0,
+                    random.nextInt(30),
+                    now + 300 + random.nextInt(700),
+                    random.nextBoolean() ? Double.NaN : 10 + random.nextInt(90),
+                    0,
+                    c != Rig.SAFE,
+                    false);
             h.kind = cfg.classes().get(c);
             held.put(h.request.id(), h);
             live.add(h);
@@ -175,10 +191,18 @@
             if (roll == 0 && cfg.askForList()) {
                 policy.onList(now, ListKind.FAILED, List.of(), this);
             } else if (roll == 1) {
-                send(ListKind.FULL, List.copyOf(list.values().stream().filter(m -> m.state() != State.GONE).toList()));
+                send(
+                        ListKind.FULL,
+                        List.copyOf(list.values().stream()
+                                .filter(m -> m.state() != State.GONE)
+                                .toList()));
             } else {
-                send(ListKind.CHANGES, List.of(Rig.member(cfg.aside() && roll == 2 ? Rig.ORIGIN : id,
-                        State.values()[random.nextInt(3)], random.nextBoolean() ? 0 : now)));
+                send(
+                        ListKind.CHANGES,
+                        List.of(Rig.member(
+                                cfg.aside() && roll == 2 ? Rig.ORIGIN : id,
+                                State.values()[random.nextInt(3)],
+                                random.nextBoolean() ? 0 : now)));
             }
         }
 
@@ -205,8 +229,18 @@
             if (outcome == Outcome.OK) {
                 h.over = true;
             }
-            policy.onAttemptEnd(now, new AttemptEnd(h.request.id(), a, h.servers.get(a), outcome,
-                    now - h.sentAt.get(a), h.over, random.nextInt(4), null), this);
+            policy.onAttemptEnd(
+                    now,
+                    new AttemptEnd(
+                            h.request.id(),
+                            a,
+                            h.servers.get(a),
+                            outcome,
+                            now - h.sentAt.get(a),
+                            h.over,
+                            random.nextInt(4),
+                            null),
+                    this);
         }
 
         @Override
@@ -219,7 +253,9 @@
             assertThat(list.get(server).state()).as(what).isEqualTo(State.READY);
             assertThat(h.servers.size()).as(what + ": attempts").isLessThan(cfg.maxAttempts());
             assertThat(timeoutMs).as(what).isNotNegative();
-            assertThat(h.out() == 0 || cfg.secondCopies()).as(what + " together with another").isTrue();
+            assertThat(h.out() == 0 || cfg.secondCopies())
+                    .as(what + " together with another")
+                    .isTrue();
             int maybe = h.maybeRan();
             if (maybe >= 0) {
                 assertThat(h.kind.effect()).as(what + " again").isNotEqualTo(Effect.UNSAFE);
@@ -231,7 +267,9 @@
                         case ZONE -> first % 2 == server % 2;
                         case CELL -> first / 4 == server / 4;
                     };
-                    assertThat(same).as(what + " stays in the group of " + first).isTrue();
+                    assertThat(same)
+                            .as(what + " stays in the group of " + first)
+                            .isTrue();
                 }
             }
             h.servers.add(server);
@@ -243,7 +281,9 @@
 
         private void answer(int request) {
             assertThat(held).containsKey(request);
-            assertThat(held.get(request).over).as("request %d answered twice", request).isFalse();
+            assertThat(held.get(request).over)
+                    .as("request %d answered twice", request)
+                    .isFalse();
             held.get(request).over = true;
             answered++;
         }
--- a/src/test/java/cacheproxy/Rig.java
+++ b/src/test/java/cacheproxy/Rig.java
@@ -1,8 +1,6 @@
 package cacheproxy;
 
 import cacheproxy.policy.PolicyApi;
-import cacheproxy.policy.RoutingPolicy;
-
 import cacheproxy.policy.PolicyApi.AttemptEnd;
 import cacheproxy.policy.PolicyApi.Effect;
 import cacheproxy.policy.PolicyApi.Group;
@@ -15,6 +13,7 @@
 import cacheproxy.policy.PolicyApi.Settings;
 import cacheproxy.policy.PolicyApi.State;
 import cacheproxy.policy.PolicyApi.Tenant;
+import cacheproxy.policy.RoutingPolicy;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -28,15 +27,16 @@
     public static final int UNSAFE = 2;
 
     /** A place order. */
-    public record Placed(int request, int attempt, int server, double timeoutMs) { }
+    public record Placed(int request, int attempt, int server, double timeoutMs) {}
 
     /** A timer order. */
-    record Timer(double at, int token) { }
+    record Timer(double at, int token) {}
 
     public final List<Placed> placed = new ArrayList<>();
     public final List<Integer> denied = new ArrayList<>();
     /** Times to come back that the refusals told, in milliseconds. */
     public final List<Double> waits = new ArrayList<>();
+
     public final List<Integer> failed = new ArrayList<>();
     public final List<String> cancelled = new ArrayList<>();
     final List<Integer> asked = new ArrayList<>();
@@ -62,8 +62,8 @@
 
     /** Two tenants with these quotas; what they send over them is worth a tenth. */
     public static Settings tenants(double first, double second) {
-        return settings(true, false, false, Group.ALL,
-                List.of(new Tenant("a", 0.5, first), new Tenant("b", 0.5, second)));
+        return settings(
+                true, false, false, Group.ALL, List.of(new Tenant("a", 0.5, first), new Tenant("b", 0.5, second)));
     }
 
     private static Settings settings(boolean aside, boolean ask, boolean copies, Group group, List<Tenant> tenants) {
@@ -71,18 +71,73 @@
                 new ServiceClass("read", Effect.SAFE, Group.ALL, 0, 300, 1000, 1, 0.2, false),
                 new ServiceClass("save", Effect.KEYED, group, 400, 300, 1000, 1, 0.2, false),
                 new ServiceClass("pay", Effect.UNSAFE, Group.ALL, 0, 300, 1000, 1, 0.2, false));
-        return new Settings(0, 4, 0, 2, 2, ask, aside, aside ? 1 : -1, Reports.NONE, List.of(), false, 0.1, true, true,
-                false, copies, true, 3, 500, 100, 500, 20, 0.3, 8000, 3, 2000, ask ? 10000 : 0, 0, 0, classes,
+        return new Settings(
+                0,
+                4,
+                0,
+                2,
+                2,
+                ask,
+                aside,
+                aside ? 1 : -1,
+                Reports.NONE,
+                List.of(),
+                false,
+                0.1,
+                true,
+                true,
+                false,
+                copies,
+                true,
+                3,
+                500,
+                100,
+                500,
+                20,
+                0.3,
+                8000,
+                3,
+                2000,
+                ask ? 10000 : 0,
+                0,
+                0,
+                classes,
                 tenants);
     }
 
     /** The same, where servers may not be probed. */
     public static Settings withoutProbes(Settings s) {
-        return new Settings(s.me(), s.instances(), s.zone(), s.zones(), s.kinds(), s.askForList(), s.aside(),
-                s.originKind(), s.reports(), s.reportNames(), s.worthByWork(), s.overShareWorth(), s.mayCancel(), false,
-                s.peers(), s.secondCopies(), s.retryAdvice(), s.maxAttempts(), s.maxRetryAfterMs(),
-                s.connectTimeoutMs(), s.drainGraceMs(), s.answerGraceMs(), s.startCapacity(), s.warmUpMs(),
-                s.tipMultiple(), s.fallMs(), s.askWithinMs(), s.originFallMultiple(), s.originFallMs(), s.classes(),
+        return new Settings(
+                s.me(),
+                s.instances(),
+                s.zone(),
+                s.zones(),
+                s.kinds(),
+                s.askForList(),
+                s.aside(),
+                s.originKind(),
+                s.reports(),
+                s.reportNames(),
+                s.worthByWork(),
+                s.overShareWorth(),
+                s.mayCancel(),
+                false,
+                s.peers(),
+                s.secondCopies(),
+                s.retryAdvice(),
+                s.maxAttempts(),
+                s.maxRetryAfterMs(),
+                s.connectTimeoutMs(),
+                s.drainGraceMs(),
+                s.answerGraceMs(),
+                s.startCapacity(),
+                s.warmUpMs(),
+                s.tipMultiple(),
+                s.fallMs(),
+                s.askWithinMs(),
+                s.originFallMultiple(),
+                s.originFallMs(),
+                s.classes(),
                 s.tenants());
     }
 
@@ -127,13 +182,14 @@
     }
 
     public void end(Placed p, Outcome outcome, boolean over, int note) {
-        policy.onAttemptEnd(now, new AttemptEnd(p.request(), p.attempt(), p.server(), outcome, 10, over, note, null), this);
+        policy.onAttemptEnd(
+                now, new AttemptEnd(p.request(), p.attempt(), p.server(), outcome, 10, over, note, null), this);
     }
 
     /** Ends an attempt with its final answer after so long. */
     public void endAfter(Placed p, Outcome outcome, double elapsedMs) {
-        policy.onAttemptEnd(now, new AttemptEnd(p.request(), p.attempt(), p.server(), outcome, elapsedMs, true, 0, null),
-                this);
+        policy.onAttemptEnd(
+                now, new AttemptEnd(p.request(), p.attempt(), p.server(), outcome, elapsedMs, true, 0, null), this);
     }
 
     /** Moves time on, firing the timers that come due, in order. */
--- a/src/test/java/cacheproxy/ServeProcess.java
+++ b/src/test/java/cacheproxy/ServeProcess.java
@@ -1,9 +1,9 @@
 package cacheproxy;
 
+import cacheproxy.fakes.ScriptedServer;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
-import cacheproxy.fakes.ScriptedServer;
 import java.io.BufferedInputStream;
 import java.io.IOException;
 import java.io.InputStream;
@@ -56,7 +56,8 @@
 
     ServeProcess(Path folder) throws IOException {
         this.folder = folder;
-        config = JsonParser.parseString(Files.readString(Path.of("src/test/resources/config.json"))).getAsJsonObject();
+        config = JsonParser.parseString(Files.readString(Path.of("src/test/resources/config.json")))
+                .getAsJsonObject();
         try (ServerSocket free = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"))) {
             port = free.getLocalPort();
         }
@@ -91,8 +92,13 @@
         config.getAsJsonObject("known").add("hosts", hosts);
         Path file = folder.resolve("config.json");
         Files.writeString(file, config.toString());
-        ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC",
-                "-XX:TieredStopAtLevel=1", "-jar", "target/cache-proxy.jar", "serve");
+        ProcessBuilder builder = new ProcessBuilder(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:+UseSerialGC",
+                "-XX:TieredStopAtLevel=1",
+                "-jar",
+                "target/cache-proxy.jar",
+                "serve");
         builder.environment().put("TMPDIR", folder.toString());
         builder.environment().put("BALANCER_CONFIG", file.toString());
         builder.redirectError(folder.resolve("stderr").toFile());
@@ -120,7 +126,9 @@
     }
 
     void signal(String name) throws IOException, InterruptedException {
-        int code = new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
+        int code = new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
+                .start()
+                .waitFor();
         if (code != 0) {
             throw new IOException("kill -" + name + " ended with " + code);
         }
--- a/src/test/java/cacheproxy/ci/KnownRed.java
+++ b/src/test/java/cacheproxy/ci/KnownRed.java
@@ -9,7 +9,9 @@
 import org.junit.jupiter.api.extension.ExecutionCondition;
 import org.junit.jupiter.api.extension.ExtensionContext;
 
-/** Passes over the tests that the file of the system property {@code known.red} names, as Class#method, and no others. */
+/**
+ * Passes over the tests that the file of the system property {@code known.red} names, as Class#method, and no others.
+ */
 public final class KnownRed implements ExecutionCondition {
     private final List<String> lines;
 
@@ -28,12 +30,16 @@
 
     @Override
     public ConditionEvaluationResult evaluateExecutionCondition(ExtensionContext context) {
-        return context.getTestMethod().map(m -> evaluate(m.getDeclaringClass().getSimpleName(), m.getName()))
+        return context.getTestMethod()
+                .map(m -> evaluate(m.getDeclaringClass().getSimpleName(), m.getName()))
                 .orElseGet(() -> ConditionEvaluationResult.enabled("no method"));
     }
 
     ConditionEvaluationResult evaluate(String testClass, String method) {
-        return lines.stream().filter(l -> l.startsWith(testClass + "#" + method + ",")).findFirst()
-                .map(l -> ConditionEvaluationResult.disabled("known red: " + l)).orElseGet(() -> ConditionEvaluationResult.enabled("not known red"));
+        return lines.stream()
+                .filter(l -> l.startsWith(testClass + "#" + method + ","))
+                .findFirst()
+                .map(l -> ConditionEvaluationResult.disabled("known red: " + l))
+                .orElseGet(() -> ConditionEvaluationResult.enabled("not known red"));
     }
 }
--- a/src/test/java/cacheproxy/ci/KnownRedTest.java
+++ b/src/test/java/cacheproxy/ci/KnownRedTest.java
@@ -15,14 +15,16 @@
     @TempDir
     Path folder;
 
-    private record Check(int code, String said) { }
+    private record Check(int code, String said) {}
 
     private Check check(String list) throws Exception {
         Path file = folder.resolve("KNOWN-RED.txt");
         if (list != null) {
             Files.writeString(file, list);
         }
-        Process p = new ProcessBuilder("bash", ".ci/known-red", file.toString()).redirectErrorStream(true).start();
+        Process p = new ProcessBuilder("bash", ".ci/known-red", file.toString())
+                .redirectErrorStream(true)
+                .start();
         String said = new String(p.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
         return new Check(p.waitFor(), said);
     }
@@ -41,20 +43,33 @@
     @Test
     void aListThatDoesNotHoldFailsTheRun() throws Exception {
         assertThat(check(HERE.repeat(3)).code()).isZero();
-        assertThat(check(HERE.repeat(4))).satisfies(c -> assertThat(c.code()).isNotZero()).extracting(Check::said).asString().contains("4 lines");
-        assertThat(check("KnownRedTest#noSuchTest, cause, none\n").said()).contains("there is no test KnownRedTest#noSuchTest");
+        assertThat(check(HERE.repeat(4)))
+                .satisfies(c -> assertThat(c.code()).isNotZero())
+                .extracting(Check::said)
+                .asString()
+                .contains("4 lines");
+        assertThat(check("KnownRedTest#noSuchTest, cause, none\n").said())
+                .contains("there is no test KnownRedTest#noSuchTest");
         assertThat(check("NoSuchTest#a, cause, none\n").code()).isNotZero();
         assertThat(check("KnownRedTest\n").said()).contains("not of the form");
-        assertThat(check("KnownRedTest#aListThatDoesNotHoldFailsTheRun\n").code()).isNotZero();
+        assertThat(check("KnownRedTest#aListThatDoesNotHoldFailsTheRun\n").code())
+                .isNotZero();
     }
 
     @Test
     void onlyTheTestsOfTheListAreNotRun() throws Exception {
         check(HERE);
         KnownRed red = new KnownRed(folder.resolve("KNOWN-RED.txt").toString());
-        assertThat(red.evaluate("KnownRedTest", "aListThatDoesNotHoldFailsTheRun").isDisabled()).isTrue();
-        assertThat(red.evaluate("KnownRedTest", "aListThatDoesNotHold").isDisabled()).isFalse();
-        assertThat(red.evaluate("OtherTest", "aListThatDoesNotHoldFailsTheRun").isDisabled()).isFalse();
-        assertThat(new KnownRed("").evaluate("KnownRedTest", "aListThatDoesNotHoldFailsTheRun").isDisabled()).isFalse();
+        assertThat(red.evaluate("KnownRedTest", "aListThatDoesNotHoldFailsTheRun")
+                        .isDisabled())
+                .isTrue();
+        assertThat(red.evaluate("KnownRedTest", "aListThatDoesNotHold").isDisabled())
+                .isFalse();
+        assertThat(red.evaluate("OtherTest", "aListThatDoesNotHoldFailsTheRun").isDisabled())
+                .isFalse();
+        assertThat(new KnownRed("")
+                        .evaluate("KnownRedTest", "aListThatDoesNotHoldFailsTheRun")
+                        .isDisabled())
+                .isFalse();
     }
 }
--- a/src/test/java/cacheproxy/cli/ImportNginxCommandTest.java
+++ b/src/test/java/cacheproxy/cli/ImportNginxCommandTest.java
@@ -26,7 +26,10 @@
     private int run(String... args) {
         StringWriter o = new StringWriter();
         StringWriter e = new StringWriter();
-        int code = new CommandLine(new Cli()).setOut(new PrintWriter(o)).setErr(new PrintWriter(e)).execute(args);
+        int code = new CommandLine(new Cli())
+                .setOut(new PrintWriter(o))
+                .setErr(new PrintWriter(e))
+                .execute(args);
         out = o.toString();
         err = e.toString();
         return code;
@@ -45,8 +48,11 @@
         file("sites/b.conf", GOOD);
         file("sites/.hidden.conf", "broken {");
         String toml = dir.resolve("out.toml").toString();
-        assertThat(run("import-nginx", conf, "--out", toml, "--report", dir + "/report")).isZero();
-        assertThat(Files.readString(dir.resolve("report"))).contains(" carried, ").doesNotContain(": not carried");
+        assertThat(run("import-nginx", conf, "--out", toml, "--report", dir + "/report"))
+                .isZero();
+        assertThat(Files.readString(dir.resolve("report")))
+                .contains(" carried, ")
+                .doesNotContain(": not carried");
         assertThat(run("check", toml)).isZero();
         assertThat(run("explain", toml, "/a")).isZero();
         assertThat(out).matches("(?s)/a route=b.conf:2 pool=u server=10.0.0.[12]:80\n");
@@ -68,10 +74,14 @@
     @Test
     void whatCantBeReadLeavesNothingBehind() throws Exception {
         String toml = dir.resolve("out.toml").toString();
-        for (String[] c : new String[][] {{"a;\nb {\n", "n.conf:2: the block that opens here is not closed"},
+        for (String[] c : new String[][] {
+            {"a;\nb {\n", "n.conf:2: the block that opens here is not closed"},
             {"include no.conf;", "n.conf:1: can't read no.conf: there is no such file"},
-            {"include n.conf;", "n.conf:1: n.conf includes itself"}, {"include sub;", "n.conf:1: can't read sub: it is a directory"},
-            {"\u0000\u0001\u0002", "n.conf:1: byte 0x00"}, {"events { }", "nothing in it can be served"}}) {
+            {"include n.conf;", "n.conf:1: n.conf includes itself"},
+            {"include sub;", "n.conf:1: can't read sub: it is a directory"},
+            {"\u0000\u0001\u0002", "n.conf:1: byte 0x00"},
+            {"events { }", "nothing in it can be served"}
+        }) {
             Files.createDirectories(dir.resolve("sub"));
             String conf = file("n.conf", c[0]);
             assertThat(run("import-nginx", conf, "--out", toml)).as(c[0]).isEqualTo(2);
@@ -89,14 +99,18 @@
 
     @Test
     void comparisonTellsEachKeyAndCountsThoseThatDiffer() throws Exception {
-        String conf = file("n.conf", GOOD.replace("location /",
-                "location ~ (?=/x) { proxy_pass http://10.0.0.9; }\nlocation /"));
+        String conf = file(
+                "n.conf", GOOD.replace("location /", "location ~ (?=/x) { proxy_pass http://10.0.0.9; }\nlocation /"));
         String keys = file("keys", "/a\n/b\n\n/x\n");
         assertThat(run("import-nginx", conf, "--compare", "--keys", keys)).isEqualTo(1);
-        assertThat(out).contains("/x nginx=10.0.0.9 10.0.0.9 imported=u 10.0.0.").contains(" DIFFERS\n")
+        assertThat(out)
+                .contains("/x nginx=10.0.0.9 10.0.0.9 imported=u 10.0.0.")
+                .contains(" DIFFERS\n")
                 .endsWith("2 the same, 0 of the same pool, in which nginx chooses by more than the key, 1 differ\n");
-        assertThat(run("import-nginx", file("g.conf", GOOD), "--compare", "--keys", keys)).isZero();
-        assertThat(run("import-nginx", conf, "--compare", "--keys", dir + "/none")).isEqualTo(2);
+        assertThat(run("import-nginx", file("g.conf", GOOD), "--compare", "--keys", keys))
+                .isZero();
+        assertThat(run("import-nginx", conf, "--compare", "--keys", dir + "/none"))
+                .isEqualTo(2);
     }
 
     @Test
@@ -105,16 +119,30 @@
                 + "address = \"127.0.0.1:0\"\nopen = true\nclass = \"r\"\n[[pool]]\nname = \"p\"\nnodes = \"plain\"\n"
                 + "[[pool.server]]\nname = \"s\"\ndial = \"127.0.0.1:1\"\n");
         for (int i = 0; i < 10_000; i++) {
-            text.append("[[route]]\nname = \"r").append(i).append("\"\n").append(i % 3 == 0 ? "key" : i % 3 == 1 ? "prefix"
-                    : "regex").append(" = \"svc").append(i).append("/\"\npools = [\"p\"]\n");
+            text.append("[[route]]\nname = \"r")
+                    .append(i)
+                    .append("\"\n")
+                    .append(i % 3 == 0 ? "key" : i % 3 == 1 ? "prefix" : "regex")
+                    .append(" = \"svc")
+                    .append(i)
+                    .append("/\"\npools = [\"p\"]\n");
         }
         assertThat(run("check", file("big.toml", text.toString()))).isZero();
         assertThat(out).contains("10000 routes");
-        assertThat(run("check", file("bad.toml", text + "[[route]]\nname = \"late\"\nprefix = \"svc1/x\"\npools = [\"p\", \"q\"]\n")))
+        assertThat(run(
+                        "check",
+                        file(
+                                "bad.toml",
+                                text + "[[route]]\nname = \"late\"\nprefix = \"svc1/x\"\npools = [\"p\", \"q\"]\n")))
                 .isEqualTo(2);
         assertThat(err).contains("there is no pool 'q'");
-        assertThat(run("check", file("dead.toml", text + "[[route]]\nname = \"late\"\nprefix = \"svc1/x\"\norder = 1\n"
-                + "pools = [\"p\"]\n"))).isEqualTo(2);
+        assertThat(run(
+                        "check",
+                        file(
+                                "dead.toml",
+                                text + "[[route]]\nname = \"late\"\nprefix = \"svc1/x\"\norder = 1\n"
+                                        + "pools = [\"p\"]\n")))
+                .isEqualTo(2);
         assertThat(err).contains("route 'late' is never reached: 'r1' takes all of its requests before");
     }
 }
--- a/src/test/java/cacheproxy/config/DaemonConfigReaderTest.java
+++ b/src/test/java/cacheproxy/config/DaemonConfigReaderTest.java
@@ -44,7 +44,8 @@
     private Path folder;
 
     private static List<String> errors(String text) {
-        return catchThrowableOfType(ConfigException.class, () -> DaemonConfigReader.parse("f", text)).errors();
+        return catchThrowableOfType(ConfigException.class, () -> DaemonConfigReader.parse("f", text))
+                .errors();
     }
 
     private static String with(String anchor, String line) {
@@ -63,9 +64,19 @@
 
     @Test
     void theExampleInTheRepositoryIsGood() throws Exception {
-        assertThat(DaemonConfigReader.read(Path.of("deploy/coralbay.toml")).routes().routes()).isNotEmpty();
-        assertThat(DaemonConfigReader.read(Path.of("deploy/duties.toml")).part(FleetConfig.class).duties()).hasSize(1);
-        assertThat(DaemonConfigReader.read(Path.of("deploy/limits.toml")).part(FleetConfig.class).limits().limits()).hasSize(2);
+        assertThat(DaemonConfigReader.read(Path.of("deploy/coralbay.toml"))
+                        .routes()
+                        .routes())
+                .isNotEmpty();
+        assertThat(DaemonConfigReader.read(Path.of("deploy/duties.toml"))
+                        .part(FleetConfig.class)
+                        .duties())
+                .hasSize(1);
+        assertThat(DaemonConfigReader.read(Path.of("deploy/limits.toml"))
+                        .part(FleetConfig.class)
+                        .limits()
+                        .limits())
+                .hasSize(2);
     }
 
     @Test
@@ -94,23 +105,35 @@
             {"name = \"publish\"", "aim_ms = 2000", "aim_ms is 2000, more than the deadline"},
         };
         for (String[] c : cases) {
-            assertThat(errors(with(c[0], c[1]))).as(c[1]).anySatisfy(e -> assertThat(e).contains(c[2])
-                    .matches("f:\\d+:\\d+: .*"));
+            assertThat(errors(with(c[0], c[1])))
+                    .as(c[1])
+                    .anySatisfy(e -> assertThat(e).contains(c[2]).matches("f:\\d+:\\d+: .*"));
         }
-        assertThat(errors(GOOD.replace("window_ms = 1500", ""))).anySatisfy(e -> assertThat(e).contains("window_ms"));
-        assertThat(errors(GOOD.replace("127.0.0.1:7001", "cache.example:7001"))).singleElement().asString()
-                .startsWith("f:17:1: ").contains("names are not looked up");
-        assertThat(errors(GOOD.replace("127.0.0.1:7002", "127.0.0.1:7001"))).singleElement().asString()
+        assertThat(errors(GOOD.replace("window_ms = 1500", "")))
+                .anySatisfy(e -> assertThat(e).contains("window_ms"));
+        assertThat(errors(GOOD.replace("127.0.0.1:7001", "cache.example:7001")))
+                .singleElement()
+                .asString()
+                .startsWith("f:17:1: ")
+                .contains("names are not looked up");
+        assertThat(errors(GOOD.replace("127.0.0.1:7002", "127.0.0.1:7001")))
+                .singleElement()
+                .asString()
                 .contains("is server 'a1' already");
-        assertThat(errors(GOOD.replace("b1-x", "a1"))).anySatisfy(e -> assertThat(e).contains("a name has one address"));
-        assertThat(errors(GOOD.replace("pools = [\"a\"]", "pools = [\"a\", \"a\"]"))).singleElement().asString()
+        assertThat(errors(GOOD.replace("b1-x", "a1")))
+                .anySatisfy(e -> assertThat(e).contains("a name has one address"));
+        assertThat(errors(GOOD.replace("pools = [\"a\"]", "pools = [\"a\", \"a\"]")))
+                .singleElement()
+                .asString()
                 .contains("falls back to itself");
     }
 
     @Test
     void allErrorsAreToldInTheFilesOrderAndNotOnlyTheFirst() {
-        String broken = GOOD.replace("effect = \"safe\"", "effect = \"sure\"").replace("open = true", "open = 3")
-                .replace("127.0.0.1:7002", "nowhere").replace("pools = [\"a\"]", "pools = [\"c\"]");
+        String broken = GOOD.replace("effect = \"safe\"", "effect = \"sure\"")
+                .replace("open = true", "open = 3")
+                .replace("127.0.0.1:7002", "nowhere")
+                .replace("pools = [\"a\"]", "pools = [\"c\"]");
         List<String> errors = errors(broken);
         assertThat(errors).hasSizeGreaterThanOrEqualTo(4);
         assertThat(errors).extracting(e -> Integer.parseInt(e.split(":")[1])).isSorted();
@@ -119,8 +142,11 @@
     @Test
     void whatIsNoTomlIsToldByItsPlace() {
         assertThat(errors("[[class]\nname = 1")).isNotEmpty().allMatch(e -> e.matches("f:\\d+:\\d+: [^\\n]+"));
-        assertThat(errors("")).anyMatch(e -> e.contains("no class")).anyMatch(e -> e.contains("no listener"))
-                .anyMatch(e -> e.contains("no pool")).anyMatch(e -> e.contains("no route"));
+        assertThat(errors(""))
+                .anyMatch(e -> e.contains("no class"))
+                .anyMatch(e -> e.contains("no listener"))
+                .anyMatch(e -> e.contains("no pool"))
+                .anyMatch(e -> e.contains("no route"));
         // As when the file is read while it is being written.
         for (int cut = 1; cut < GOOD.length() - 20; cut += 7) {
             int at = cut;
@@ -134,19 +160,27 @@
                 .replace("name = \"b\"\n", "name = \"b\"\nfallback = \"a\"\n");
         assertThat(errors(loop)).hasSize(2).allMatch(e -> e.contains("fallbacks go round"));
         assertThat(errors(GOOD + "[[route]]\nname = \"late\"\norder = 1\nprefix = \"x\"\npools = [\"b\"]\n"))
-                .singleElement().asString().startsWith("f:27:1: ").contains("never reached").contains("'all'");
+                .singleElement()
+                .asString()
+                .startsWith("f:27:1: ")
+                .contains("never reached")
+                .contains("'all'");
     }
 
     @Test
     void filesThatCanNotBeReadAreToldInOneLine() throws Exception {
         Path none = folder.resolve("none.toml");
-        assertThat(catchThrowableOfType(ConfigException.class, () -> DaemonConfigReader.read(none)).errors())
+        assertThat(catchThrowableOfType(ConfigException.class, () -> DaemonConfigReader.read(none))
+                        .errors())
                 .containsExactly(none + ":1:1: there is no such file");
         Path binary = folder.resolve("binary.toml");
         Files.write(binary, new byte[] {(byte) 0xc3, 0x28, 0, 1});
-        assertThat(catchThrowableOfType(ConfigException.class, () -> DaemonConfigReader.read(binary)).errors())
+        assertThat(catchThrowableOfType(ConfigException.class, () -> DaemonConfigReader.read(binary))
+                        .errors())
                 .containsExactly(binary + ":1:1: the file is not UTF-8 text");
-        assertThat(catchThrowableOfType(ConfigException.class, () -> DaemonConfigReader.read(folder)).errors()).hasSize(1);
+        assertThat(catchThrowableOfType(ConfigException.class, () -> DaemonConfigReader.read(folder))
+                        .errors())
+                .hasSize(1);
     }
 
     /** Long files are parsed in parts; places, duplicates and tables of tables must not suffer from it. */
@@ -155,61 +189,96 @@
         StringBuilder text = new StringBuilder("[[class]]\nname = \"r\"\neffect = \"safe\"\n[[listen]]\nname = \"l\"\n"
                 + "address = \"127.0.0.1:0\"\nopen = true\nclass = \"r\"\n");
         for (int i = 0; i < 2000; i++) {
-            text.append("[[pool]] # [[pool]]\nname = \"p").append(i).append("\"\nnodes = \"plain\"\n[[pool.server]]\nname = \"s")
-                    .append(i).append("\"\ndial = '127.0.0.1:").append(1 + i).append("'\n[[route]]\nname = \"\"\"r").append(i)
-                    .append("\"\"\"\nregex = [\n'[a]',\n  '''\n[b]''',\n]\nprefix = \"").append(i).append("/\"\npools = \"p")
-                    .append(i).append("\"\n");
+            text.append("[[pool]] # [[pool]]\nname = \"p")
+                    .append(i)
+                    .append("\"\nnodes = \"plain\"\n[[pool.server]]\nname = \"s")
+                    .append(i)
+                    .append("\"\ndial = '127.0.0.1:")
+                    .append(1 + i)
+                    .append("'\n[[route]]\nname = \"\"\"r")
+                    .append(i)
+                    .append("\"\"\"\nregex = [\n'[a]',\n  '''\n[b]''',\n]\nprefix = \"")
+                    .append(i)
+                    .append("/\"\npools = \"p")
+                    .append(i)
+                    .append("\"\n");
         }
         DaemonConfig file = DaemonConfigReader.parse("f", text.toString());
         assertThat(file.pools()).hasSize(2000);
         assertThat(file.routes().routes()).hasSize(2000);
         int lines = (int) text.chars().filter(c -> c == '\n').count();
         String bad = text + "[site]\nname = \"a\"\n[[route]]\nname = \"bad\"\npools = [\"none\"]\n";
-        assertThatThrownBy(() -> DaemonConfigReader.parse("f", bad)).isInstanceOfSatisfying(ConfigException.class,
-                e -> assertThat(e.errors()).containsExactly("f:" + (lines + 5) + ":1: " + e.errors().get(0).split(": ", 2)[1])
-                        .allMatch(l -> l.contains("there is no pool 'none'")));
+        assertThatThrownBy(() -> DaemonConfigReader.parse("f", bad))
+                .isInstanceOfSatisfying(
+                        ConfigException.class,
+                        e -> assertThat(e.errors())
+                                .containsExactly("f:" + (lines + 5) + ":1: "
+                                        + e.errors().get(0).split(": ", 2)[1])
+                                .allMatch(l -> l.contains("there is no pool 'none'")));
         // A line that looks like a table's head where a part could end.
         String nested = text + "[[route]]\nname = \"n\"\n" + "# long\n".repeat(10_000) + "pools = [\n[1]\n]\n";
-        assertThatThrownBy(() -> DaemonConfigReader.parse("f", nested)).isInstanceOfSatisfying(ConfigException.class,
-                e -> assertThat(e.errors()).anyMatch(l -> l.contains("pools holds something that is no text")));
+        assertThatThrownBy(() -> DaemonConfigReader.parse("f", nested))
+                .isInstanceOfSatisfying(
+                        ConfigException.class,
+                        e -> assertThat(e.errors()).anyMatch(l -> l.contains("pools holds something that is no text")));
         String twice = "[site]\nname = \"a\"\n" + text + "[site]\nname = \"b\"\n";
-        assertThatThrownBy(() -> DaemonConfigReader.parse("f", twice)).isInstanceOfSatisfying(ConfigException.class,
-                e -> assertThat(e.errors()).containsExactly("f:" + (lines + 3) + ":1: site previously defined at line 1"));
-        assertThatThrownBy(() -> DaemonConfigReader.parse("f", text + "x = = 1\n")).isInstanceOfSatisfying(
-                ConfigException.class, e -> assertThat(e.errors().get(0)).startsWith("f:" + (lines + 1) + ":5: "));
+        assertThatThrownBy(() -> DaemonConfigReader.parse("f", twice))
+                .isInstanceOfSatisfying(
+                        ConfigException.class,
+                        e -> assertThat(e.errors())
+                                .containsExactly("f:" + (lines + 3) + ":1: site previously defined at line 1"));
+        assertThatThrownBy(() -> DaemonConfigReader.parse("f", text + "x = = 1\n"))
+                .isInstanceOfSatisfying(
+                        ConfigException.class,
+                        e -> assertThat(e.errors().get(0)).startsWith("f:" + (lines + 1) + ":5: "));
     }
 
     @Test
     void aMemoryHasAPathBesideTheFileAndItsBounds() throws Exception {
-        assertThat(DaemonConfigReader.parse("f", GOOD).part(SnapshotConfig.class)).isNull();
-        SnapshotConfig m = DaemonConfigReader.parse("/etc/c/f", GOOD + "[memory]\npath = \"m\"\nkeys = 7\n").part(SnapshotConfig.class);
+        assertThat(DaemonConfigReader.parse("f", GOOD).part(SnapshotConfig.class))
+                .isNull();
+        SnapshotConfig m = DaemonConfigReader.parse("/etc/c/f", GOOD + "[memory]\npath = \"m\"\nkeys = 7\n")
+                .part(SnapshotConfig.class);
         assertThat(m).isEqualTo(new SnapshotConfig(Path.of("/etc/c/m"), 2000, 7, 65_536));
-        assertThat(errors(GOOD + "[memory]\nperiod_ms = 1\nkeys = 5000\nbytes_per_second = 1\nsize = 3\n")).satisfiesExactlyInAnyOrder(
-                e -> assertThat(e).startsWith("f:26:1: memory has no path"),
-                e -> assertThat(e).startsWith("f:27:1: period_ms is 1; a number from 50 to "),
-                e -> assertThat(e).startsWith("f:28:1: keys is 5000; a number from 0 to 4096"),
-                e -> assertThat(e).startsWith("f:29:1: bytes_per_second is 1; a number from 1024"),
-                e -> assertThat(e).startsWith("f:30:1: unknown key 'size' in memory; allowed: bytes_per_second, keys, path, period_ms"));
+        assertThat(errors(GOOD + "[memory]\nperiod_ms = 1\nkeys = 5000\nbytes_per_second = 1\nsize = 3\n"))
+                .satisfiesExactlyInAnyOrder(
+                        e -> assertThat(e).startsWith("f:26:1: memory has no path"),
+                        e -> assertThat(e).startsWith("f:27:1: period_ms is 1; a number from 50 to "),
+                        e -> assertThat(e).startsWith("f:28:1: keys is 5000; a number from 0 to 4096"),
+                        e -> assertThat(e).startsWith("f:29:1: bytes_per_second is 1; a number from 1024"),
+                        e -> assertThat(e)
+                                .startsWith(
+                                        "f:30:1: unknown key 'size' in memory; allowed: bytes_per_second, keys, path, period_ms"));
     }
 
     @Test
     void siblingsHaveTheirPlaceAndTheirErrors() throws Exception {
         String origin = "[pool.origin]\nname = \"o\"\ndial = \"127.0.0.1:9\"\n";
-        String sibling = "[[sibling]]\nname = \"east\"\nicp = \"10.0.0.1:3130\"\nfetch = \"10.0.0.1:11212\"\nclass = \"sibling\"\n";
+        String sibling =
+                "[[sibling]]\nname = \"east\"\nicp = \"10.0.0.1:3130\"\nfetch = \"10.0.0.1:11212\"\nclass = \"sibling\"\n";
         String icp = "[icp]\naddress = \"127.0.0.1:0\"\nlistener = \"main\"\n";
-        String pool = GOOD.replace("[[pool]]\nname = \"b\"", origin + "[[pool]]\nname = \"b\"").replace("name = \"a\"\n",
-                "name = \"a\"\nsiblings = [\"east\"]\n");
+        String pool = GOOD.replace("[[pool]]\nname = \"b\"", origin + "[[pool]]\nname = \"b\"")
+                .replace("name = \"a\"\n", "name = \"a\"\nsiblings = [\"east\"]\n");
         DaemonConfig f = DaemonConfigReader.parse("f", pool + icp + sibling);
         assertThat(f.pools().get("a").siblings()).containsExactly("east");
         assertThat(SiblingConfig.of(f).sibling("east").className()).isEqualTo("sibling");
         assertThat(SiblingConfig.of(f).icp().urlPrefix()).isEqualTo("http://coralbay/");
         assertThat(errors(pool + sibling)).singleElement().asString().contains("write [icp]");
         assertThat(errors(pool + icp)).singleElement().asString().contains("there is no sibling 'east'");
-        assertThat(errors(GOOD.replace("name = \"a\"\n", "name = \"a\"\nsiblings = [\"east\"]\n") + icp + sibling)).singleElement()
-                .asString().contains("this pool has none in the file");
-        assertThat(errors(pool + icp.replace("main", "none") + sibling)).singleElement().asString().contains("there is no listener 'none'");
-        assertThat(errors(pool + icp + "keys = 1000\nurl_prefix = \"a b\"\n" + sibling)).hasSize(2);
-        assertThat(errors(pool + icp + sibling.replace(":3130", ":0"))).singleElement().asString().contains("port 0");
+        assertThat(errors(GOOD.replace("name = \"a\"\n", "name = \"a\"\nsiblings = [\"east\"]\n") + icp + sibling))
+                .singleElement()
+                .asString()
+                .contains("this pool has none in the file");
+        assertThat(errors(pool + icp.replace("main", "none") + sibling))
+                .singleElement()
+                .asString()
+                .contains("there is no listener 'none'");
+        assertThat(errors(pool + icp + "keys = 1000\nurl_prefix = \"a b\"\n" + sibling))
+                .hasSize(2);
+        assertThat(errors(pool + icp + sibling.replace(":3130", ":0")))
+                .singleElement()
+                .asString()
+                .contains("port 0");
     }
 
     /** Each route of ten thousand is checked, and what is wrong with the last is told at its own line. */
@@ -217,12 +286,19 @@
     void tenThousandRoutesAreChecked() throws Exception {
         StringBuilder text = new StringBuilder(GOOD);
         for (int i = 0; i < 10_000; i++) {
-            text.append("[[route]]\nname = \"r").append(i).append("\"\nprefix = \"p").append(i).append("/\"\npools = [\"b\"]\n");
+            text.append("[[route]]\nname = \"r")
+                    .append(i)
+                    .append("\"\nprefix = \"p")
+                    .append(i)
+                    .append("/\"\npools = [\"b\"]\n");
         }
         DaemonConfig file = DaemonConfigReader.parse("f", text.toString());
         assertThat(file.routes().routes()).hasSize(10_001);
         long lines = text.chars().filter(c -> c == '\n').count();
-        assertThat(errors(text + "[[route]]\nname = \"r17\"\nprefix = \"q\"\npools = [\"b\"]\n")).singleElement().asString()
-                .startsWith("f:" + (lines + 2) + ":1: ").contains("'r17' is there already");
+        assertThat(errors(text + "[[route]]\nname = \"r17\"\nprefix = \"q\"\npools = [\"b\"]\n"))
+                .singleElement()
+                .asString()
+                .startsWith("f:" + (lines + 2) + ":1: ")
+                .contains("'r17' is there already");
     }
 }
--- a/src/test/java/cacheproxy/control/ControlServerTest.java
+++ b/src/test/java/cacheproxy/control/ControlServerTest.java
@@ -32,20 +32,30 @@
 
     @BeforeEach
     void open() throws InterruptedException {
-        door = new ControlServer(group.next(), NioServerSocketChannel.class, new ControlEndpoints(active::get, () -> active.get() ? "active" : "standby",
-                () -> {
-                    active.set(false);
-                    return true;
-                }, () -> {
-                    active.set(true);
-                    return true;
-                }, new DiagnosticEndpoints(() -> "violations=0 stopped=0", events::set, () -> reloads.incrementAndGet() == 1)));
+        door = new ControlServer(
+                group.next(),
+                NioServerSocketChannel.class,
+                new ControlEndpoints(
+                        active::get,
+                        () -> active.get() ? "active" : "standby",
+                        () -> {
+                            active.set(false);
+                            return true;
+                        },
+                        () -> {
+                            active.set(true);
+                            return true;
+                        },
+                        new DiagnosticEndpoints(
+                                () -> "violations=0 stopped=0", events::set, () -> reloads.incrementAndGet() == 1)));
         door.bind(new InetSocketAddress("127.0.0.1", 0)).sync();
     }
 
     @Test
     void diagnosticCallsAreCarriedOutByTheirMethodsAlone() throws IOException {
-        assertThat(call("GET /invariants HTTP/1.1\r\nHost: x\r\n\r\n")).contains(" 200 ").contains("violations=0 stopped=0");
+        assertThat(call("GET /invariants HTTP/1.1\r\nHost: x\r\n\r\n"))
+                .contains(" 200 ")
+                .contains("violations=0 stopped=0");
         assertThat(call("POST /events/on HTTP/1.1\r\nHost: x\r\n\r\n")).contains(" 200 ");
         assertThat(events).isTrue();
         assertThat(call("POST /events/off HTTP/1.1\r\nHost: x\r\n\r\n")).contains(" 200 ");
@@ -63,7 +73,10 @@
 
     private Socket caller() throws IOException {
         Socket s = new Socket();
-        s.connect(new InetSocketAddress(InetAddress.getByName("127.0.0.1"), door.address().getPort()), 10_000);
+        s.connect(
+                new InetSocketAddress(
+                        InetAddress.getByName("127.0.0.1"), door.address().getPort()),
+                10_000);
         s.setSoTimeout(10_000);
         return s;
     }
@@ -86,29 +99,42 @@
 
     @Test
     void theThreeCallsAreAnsweredOneAConnection() throws Exception {
-        assertThat(call(head("GET /status"))).startsWith("HTTP/1.1 200 ").contains("connection: close").endsWith("\r\n\r\nactive\n");
+        assertThat(call(head("GET /status")))
+                .startsWith("HTTP/1.1 200 ")
+                .contains("connection: close")
+                .endsWith("\r\n\r\nactive\n");
         assertThat(call(head("POST /standby"))).startsWith("HTTP/1.1 200 ").endsWith("standby\n");
         assertThat(call(head("GET /status?x=1"))).startsWith("HTTP/1.1 503 ").endsWith("standby\n");
-        assertThat(call("POST /active HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc")).startsWith("HTTP/1.1 200 ");
+        assertThat(call("POST /active HTTP/1.1\r\nHost: x\r\nContent-Length: 3\r\n\r\nabc"))
+                .startsWith("HTTP/1.1 200 ");
         assertThat(call(head("GET /status") + head("POST /standby"))).startsWith("HTTP/1.1 200 ");
-        assertThat(active).as("a second call on one connection is not carried out").isTrue();
+        assertThat(active)
+                .as("a second call on one connection is not carried out")
+                .isTrue();
     }
 
     @Test
     void whatIsNoCallIsAnsweredWithAnErrorAndCarriesNothingOut() throws Exception {
-        assertThat(call(head("GET /standby"))).startsWith("HTTP/1.1 405 ").contains("allow: POST").contains("use POST /standby");
+        assertThat(call(head("GET /standby")))
+                .startsWith("HTTP/1.1 405 ")
+                .contains("allow: POST")
+                .contains("use POST /standby");
         assertThat(call(head("POST /status"))).startsWith("HTTP/1.1 405 ").contains("allow: GET");
         assertThat(call(head("POST /standby/"))).startsWith("HTTP/1.1 404 ").contains("GET /status");
         assertThat(call(head("GET /" + "x".repeat(5000)))).startsWith("HTTP/1.1 400 ");
-        assertThat(call("POST /standby HTTP/1.1\r\nX: " + "y".repeat(9000) + "\r\n\r\n")).startsWith("HTTP/1.1 400 ");
-        assertThat(call("POST /standby HTTP/1.1\r\nContent-Length: 999999\r\n\r\n")).startsWith("HTTP/1.1 413 ");
+        assertThat(call("POST /standby HTTP/1.1\r\nX: " + "y".repeat(9000) + "\r\n\r\n"))
+                .startsWith("HTTP/1.1 400 ");
+        assertThat(call("POST /standby HTTP/1.1\r\nContent-Length: 999999\r\n\r\n"))
+                .startsWith("HTTP/1.1 413 ");
         assertThat(call("\0\1\2\3 nonsense\r\n\r\n")).startsWith("HTTP/1.1 400 ");
         assertThat(active).isTrue();
     }
 
     @Test
     void aCallInPiecesIsHeardAndHalfOfOneOrNoneIsTold() throws Exception {
-        try (Socket pieces = caller(); Socket half = caller(); Socket silent = caller()) {
+        try (Socket pieces = caller();
+                Socket half = caller();
+                Socket silent = caller()) {
             for (char c : head("GET /status").toCharArray()) {
                 pieces.getOutputStream().write(c);
                 pieces.getOutputStream().flush();
--- a/src/test/java/cacheproxy/daemon/DaemonHarness.java
+++ b/src/test/java/cacheproxy/daemon/DaemonHarness.java
@@ -1,9 +1,9 @@
 package cacheproxy.daemon;
 
 import cacheproxy.config.DaemonConfigReader;
-import cacheproxy.fakes.LoadClient;
-import cacheproxy.fakes.FakeFleet;
 import cacheproxy.fakes.FakeCacheServer;
+import cacheproxy.fakes.FakeFleet;
+import cacheproxy.fakes.LoadClient;
 import java.io.BufferedInputStream;
 import java.io.IOException;
 import java.io.InputStream;
@@ -18,6 +18,7 @@
 public final class DaemonHarness implements AutoCloseable {
     /** Servers that were down are tried again soon, clients come back soon. */
     public static final String LIMITS = "[limits]\nconnect_timeout_ms = 50\nmax_retry_after_ms = 5\n";
+
     public static final String CLASSES = """
             [[class]]
             name = "page"
@@ -53,8 +54,8 @@
 
     /** A pool of these nodes, named by their ports, before the fleet's origin. */
     public static String pool(String name, FakeFleet fleet, String keys, FakeCacheServer... nodes) {
-        return "[[pool]]\nname = \"" + name + "\"\n" + keys + "\n" + servers("", nodes) + "[pool.origin]\nname = \"store\"\n"
-                + "dial = \"" + fleet.origin.dial() + "\"\n";
+        return "[[pool]]\nname = \"" + name + "\"\n" + keys + "\n" + servers("", nodes)
+                + "[pool.origin]\nname = \"store\"\n" + "dial = \"" + fleet.origin.dial() + "\"\n";
     }
 
     /** A pool of stock nodes with nothing behind them. */
@@ -65,8 +66,13 @@
     static String servers(String keys, FakeCacheServer... nodes) {
         StringBuilder text = new StringBuilder();
         for (FakeCacheServer n : nodes) {
-            text.append("[[pool.server]]\nname = \"").append(name(n)).append("\"\ndial = \"").append(n.dial())
-                    .append("\"\n").append(keys).append('\n');
+            text.append("[[pool.server]]\nname = \"")
+                    .append(name(n))
+                    .append("\"\ndial = \"")
+                    .append(n.dial())
+                    .append("\"\n")
+                    .append(keys)
+                    .append('\n');
         }
         return text.toString();
     }
@@ -84,7 +90,8 @@
     }
 
     LoadClient.Account ask(int total, int connections, int depth, IntFunction<LoadClient.Ask> asks) throws Exception {
-        return new LoadClient(fleet.loop(), daemon.address("main"), total, asks).start(connections, depth)
+        return new LoadClient(fleet.loop(), daemon.address("main"), total, asks)
+                .start(connections, depth)
                 .get(100, TimeUnit.SECONDS);
     }
 
@@ -121,7 +128,7 @@
         /** A line; null at the end of the stream. */
         public String line() throws IOException {
             StringBuilder line = new StringBuilder();
-            for (int b; (b = in.read()) != '\n';) {
+            for (int b; (b = in.read()) != '\n'; ) {
                 if (b < 0) {
                     return null;
                 }
--- a/src/test/java/cacheproxy/daemon/HooksInCallTest.java
+++ b/src/test/java/cacheproxy/daemon/HooksInCallTest.java
@@ -8,22 +8,35 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What becomes of a request whose hook is in a call: its time is over, its client leaves, its module is replaced or traps. */
+/**
+ * What becomes of a request whose hook is in a call: its time is over, its client leaves, its module is replaced or
+ * traps.
+ */
 @Timeout(120)
 class HooksInCallTest {
-    private static final Path BY_KEY = Path.of("src/test/resources/hooks/by-key.wasm").toAbsolutePath();
+    private static final Path BY_KEY =
+            Path.of("src/test/resources/hooks/by-key.wasm").toAbsolutePath();
     /** So much that the clock ends every call before. */
     private static final String FUEL = "fuel = 1e9\nbreaker_share = 1.0\n";
 
     private static String file(FakeFleet fleet, String hookKeys) {
-        String hook = hookKeys == null ? "" : "[[hook]]\nname = \"h\"\nmodule = \"" + BY_KEY + "\"\n" + FUEL + hookKeys + "\n";
-        return DaemonHarness.LIMITS + DaemonHarness.CLASSES + DaemonHarness.MAIN + hook
-                + DaemonHarness.pool("a", fleet, "", fleet.nodes.get(0)) + DaemonHarness.route("all", "", "a");
+        String hook = hookKeys == null
+                ? ""
+                : "[[hook]]\nname = \"h\"\nmodule = \"" + BY_KEY + "\"\n" + FUEL + hookKeys + "\n";
+        return DaemonHarness.LIMITS
+                + DaemonHarness.CLASSES
+                + DaemonHarness.MAIN
+                + hook
+                + DaemonHarness.pool("a", fleet, "", fleet.nodes.get(0))
+                + DaemonHarness.route("all", "", "a");
     }
 
     private static boolean running() {
-        return Thread.getAllStackTraces().entrySet().stream().anyMatch(e -> e.getKey().getName().equals("hook h")
-                && Arrays.stream(e.getValue()).anyMatch(f -> f.getMethodName().equals("call") && f.getClassName().endsWith("HookInstance")));
+        return Thread.getAllStackTraces().entrySet().stream()
+                .anyMatch(e -> e.getKey().getName().equals("hook h")
+                        && Arrays.stream(e.getValue())
+                                .anyMatch(f -> f.getMethodName().equals("call")
+                                        && f.getClassName().endsWith("HookInstance")));
     }
 
     private static void awaitRunning() {
@@ -35,7 +48,8 @@
     @Test
     void aCallThatDoesNotEndIsEndedByTheClockAndItsFailureRuleHolds() throws Exception {
         FakeFleet fleet = new FakeFleet(1);
-        try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet, "time_ms = 20")); DaemonHarness.Talk talk = rig.talk()) {
+        try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet, "time_ms = 20"));
+                DaemonHarness.Talk talk = rig.talk()) {
             assertThat(talk.say("mg s1 v\r\n").lines(2)).containsExactly("VA 11", "value of s1");
             // The thread is free again, and its next call has an instance that has seen none.
             assertThat(talk.say("mg k v\r\n").lines(2)).containsExactly("VA 11", "value of n1");
@@ -45,7 +59,8 @@
     @Test
     void aCallMayTakeHalfOfWhatTheClientStillWaitsSoThatThereIsTimeToServeIt() throws Exception {
         FakeFleet fleet = new FakeFleet(1);
-        try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet, "time_ms = 10000")); DaemonHarness.Talk talk = rig.talk()) {
+        try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet, "time_ms = 10000"));
+                DaemonHarness.Talk talk = rig.talk()) {
             // It would end after 3 s, within its own 10 and the client's 4; after 2 the request goes on without it.
             assertThat(talk.say("mg l v Pd=4000\r\n").lines(2)).containsExactly("VA 10", "value of l");
         }
@@ -54,7 +69,8 @@
     @Test
     void afterATrapTheNextCallHasANewInstance() throws Exception {
         FakeFleet fleet = new FakeFleet(1);
-        try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet, "time_ms = 10000")); DaemonHarness.Talk talk = rig.talk()) {
+        try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet, "time_ms = 10000"));
+                DaemonHarness.Talk talk = rig.talk()) {
             assertThat(talk.say("mg a v\r\n").lines(2)).containsExactly("VA 11", "value of n1");
             assertThat(talk.say("mg b v\r\n").lines(2)).containsExactly("VA 11", "value of n2");
             assertThat(talk.say("mg t v\r\n").lines(2)).containsExactly("VA 10", "value of t");
@@ -62,7 +78,10 @@
         }
     }
 
-    /** Whether the loop has dealt with all that came before, and the call still runs: only then has the test seen its case. */
+    /**
+     * Whether the loop has dealt with all that came before, and the call still runs: only then has the test seen its
+     * case.
+     */
     private static boolean stillRunsAfterATurn(DaemonHarness rig) {
         rig.daemon.inHand();
         return running();
@@ -71,7 +90,8 @@
     @Test
     void aClientThatLeavesDuringACallIsNotAskedFor() throws Exception {
         FakeFleet fleet = new FakeFleet(1);
-        try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet, "time_ms = 10000")); DaemonHarness.Talk other = rig.talk()) {
+        try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet, "time_ms = 10000"));
+                DaemonHarness.Talk other = rig.talk()) {
             for (int call = 1; call < 10; call += 2) { // the orders' digit tells the calls apart
                 fleet.nodes.get(0).store("n" + (call + 1), "kept".getBytes());
                 int before = fleet.nodes.get(0).commands();
@@ -82,7 +102,8 @@
                 assertThat(leaver.line()).as("the daemon has seen the end").isNull();
                 boolean seen = stillRunsAfterATurn(rig);
                 leaver.close();
-                // This call waits for its turn behind the first, so that one's end has been dealt with when it is answered.
+                // This call waits for its turn behind the first, so that one's end has been dealt with when it is
+                // answered.
                 assertThat(other.say("mg x v\r\n").lines(2)).containsExactly("VA 4", "kept");
                 if (seen) {
                     assertThat(fleet.nodes.get(0).commands()).isEqualTo(before + 1);
@@ -110,7 +131,8 @@
                     }
                     assertThat(talk.lines(2)).containsExactly("VA 11", "value of n1");
                 }
-                while (Thread.getAllStackTraces().keySet().stream().anyMatch(t -> t.getName().equals("hook h"))) {
+                while (Thread.getAllStackTraces().keySet().stream()
+                        .anyMatch(t -> t.getName().equals("hook h"))) {
                     Thread.onSpinWait(); // its thread goes with the last request of its file
                 }
                 rig.load(with);
--- a/src/test/java/cacheproxy/daemon/ImportedSitesTest.java
+++ b/src/test/java/cacheproxy/daemon/ImportedSitesTest.java
@@ -4,14 +4,14 @@
 
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.DaemonConfigReader;
+import cacheproxy.fakes.FakeNginx;
+import cacheproxy.fakes.NginxReferenceModel;
+import cacheproxy.fakes.ScriptedServer;
 import cacheproxy.nginx.ConfParser;
 import cacheproxy.nginx.ConfSource;
 import cacheproxy.nginx.importer.ImportOptions;
 import cacheproxy.nginx.importer.Importer;
 import cacheproxy.routes.PathKey;
-import cacheproxy.fakes.NginxReferenceModel;
-import cacheproxy.fakes.ScriptedServer;
-import cacheproxy.fakes.FakeNginx;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.InputStream;
@@ -41,12 +41,14 @@
  */
 class ImportedSitesTest {
     private static final int KEYS = 1000;
-    private static final Pattern SERVER = Pattern.compile("(?:server|proxy_pass|set \\$to)\\s+(?:http://)?"
-            + "((?:[0-9]+\\.){3}[0-9]+(?::[0-9]+)?|\\[::1]:[0-9]+)");
+    private static final Pattern SERVER = Pattern.compile(
+            "(?:server|proxy_pass|set \\$to)\\s+(?:http://)?" + "((?:[0-9]+\\.){3}[0-9]+(?::[0-9]+)?|\\[::1]:[0-9]+)");
 
     static Stream<Path> sites() throws Exception {
         URI at = ImportedSitesTest.class.getResource("/nginx").toURI();
-        return Files.list(Path.of(at)).filter(p -> p.toString().endsWith(".conf")).sorted();
+        return Files.list(Path.of(at))
+                .filter(p -> p.toString().endsWith(".conf"))
+                .sorted();
     }
 
     private static ConfSource alone(Path file) {
@@ -69,8 +71,10 @@
 
     /** The words behind {@code # NAME} at a file's head. */
     private static List<String> words(String text, String name) {
-        return text.lines().filter(l -> l.startsWith("# " + name + " ")).flatMap(l -> Arrays.stream(l.substring(
-                name.length() + 3).split(" "))).toList();
+        return text.lines()
+                .filter(l -> l.startsWith("# " + name + " "))
+                .flatMap(l -> Arrays.stream(l.substring(name.length() + 3).split(" ")))
+                .toList();
     }
 
     @ParameterizedTest
@@ -91,21 +95,27 @@
                 String full = address.matches(".*[\\].0-9]:[0-9]+") ? address : address + ":80";
                 String known = names.get(full);
                 if (known == null) {
-                    ScriptedServer node = ScriptedServer.node(command -> value(full + " " + command.split(" ")[1],
-                            ScriptedServer.id(command)));
+                    ScriptedServer node = ScriptedServer.node(
+                            command -> value(full + " " + command.split(" ")[1], ScriptedServer.id(command)));
                     nodes.add(node);
                     known = node.dial();
                     names.put(full, known);
                 }
                 dial.put(address, known);
             }
-            ConfParser.Conf conf = ConfParser.read(alone(file), file.getFileName().toString());
+            ConfParser.Conf conf =
+                    ConfParser.read(alone(file), file.getFileName().toString());
             Importer.Result imported = Importer.run(conf, new ImportOptions("127.0.0.1", 0, dial, "unsafe", 0));
             assertThat(imported.file()).isNotNull();
             DaemonConfig daemonFile = DaemonConfigReader.parse("imported", imported.file());
             try (FakeNginx original = new FakeNginx(new NginxReferenceModel(conf.directives()));
                     Daemon daemon = Daemon.start(daemonFile, 3)) {
-                replay(text, imported, original, daemon, daemonFile.listeners().get(0).name());
+                replay(
+                        text,
+                        imported,
+                        original,
+                        daemon,
+                        daemonFile.listeners().get(0).name());
             }
         } finally {
             for (ScriptedServer n : nodes) {
@@ -118,13 +128,15 @@
         return "VA " + text.length() + " O" + id + "\r\n" + text + "\r\n";
     }
 
-    private static void replay(String text, Importer.Result imported, FakeNginx original, Daemon daemon, String listener)
+    private static void replay(
+            String text, Importer.Result imported, FakeNginx original, Daemon daemon, String listener)
             throws Exception {
         List<String> hosts = words(text, "host");
         List<String> templates = words(text, "key");
         int asked = 0;
         int passedOn = 0;
-        try (Socket http = new Socket(original.address().getAddress(), original.address().getPort());
+        try (Socket http = new Socket(
+                        original.address().getAddress(), original.address().getPort());
                 DaemonHarness.Talk cache = new DaemonHarness.Talk(daemon.address(listener))) {
             http.setTcpNoDelay(true);
             InputStream raw = http.getInputStream();
@@ -133,15 +145,18 @@
                 for (String template : templates) {
                     String host = hosts.get(i % hosts.size()).replace("-", "").replaceFirst("^\\.$", "");
                     String uri = template.replace("{n}", Integer.toString(i * 7919 % 100_003));
-                    http.getOutputStream().write(("GET " + uri + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n").getBytes(
-                            StandardCharsets.ISO_8859_1));
+                    http.getOutputStream()
+                            .write(("GET " + uri + " HTTP/1.1\r\nHost: " + host + "\r\n\r\n")
+                                    .getBytes(StandardCharsets.ISO_8859_1));
                     Map<String, String> answer = headers(in);
                     String key = (imported.hostInKeys() ? host : "") + uri;
                     cache.say("mg " + key + " v\r\n");
                     String line = cache.line();
                     asked++;
                     if (answer.get("X-Node") == null) {
-                        assertThat(line).as(key + " is answered by nginx itself, " + answer).startsWith("SERVER_ERROR");
+                        assertThat(line)
+                                .as(key + " is answered by nginx itself, " + answer)
+                                .startsWith("SERVER_ERROR");
                         continue;
                     }
                     assertThat(line).as(key + " goes to " + answer).startsWith("VA ");
@@ -149,10 +164,13 @@
                     passedOn++;
                     if (!answer.get("X-Node").equals("-")) {
                         String node = answer.get("X-Node");
-                        assertThat(reply[0]).as(key).isEqualTo(node.matches(".*[\\].0-9]:[0-9]+") ? node : node + ":80");
+                        assertThat(reply[0])
+                                .as(key)
+                                .isEqualTo(node.matches(".*[\\].0-9]:[0-9]+") ? node : node + ":80");
                     }
-                    assertThat(PathKey.of(reply[1]).path()).as("path that the node gets for " + key).isEqualTo(
-                            PathKey.of(answer.get("X-Uri")).path());
+                    assertThat(PathKey.of(reply[1]).path())
+                            .as("path that the node gets for " + key)
+                            .isEqualTo(PathKey.of(answer.get("X-Uri")).path());
                 }
             }
         }
@@ -162,7 +180,7 @@
     private static Map<String, String> headers(BufferedReader in) throws IOException {
         Map<String, String> all = new LinkedHashMap<>();
         all.put("status", in.readLine());
-        for (String line; !(line = in.readLine()).isEmpty();) {
+        for (String line; !(line = in.readLine()).isEmpty(); ) {
             all.put(line.substring(0, line.indexOf(':')), line.substring(line.indexOf(':') + 2));
         }
         return all;
--- a/src/test/java/cacheproxy/daemon/ListenersTest.java
+++ b/src/test/java/cacheproxy/daemon/ListenersTest.java
@@ -6,10 +6,10 @@
 import cacheproxy.config.ConfigException;
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.DaemonConfigReader;
-import cacheproxy.routes.RouteInput;
-import cacheproxy.fakes.ScriptedServer;
-import cacheproxy.fakes.FakeFleet;
 import cacheproxy.fakes.FakeCacheServer;
+import cacheproxy.fakes.FakeFleet;
+import cacheproxy.fakes.ScriptedServer;
+import cacheproxy.routes.RouteInput;
 import java.net.ConnectException;
 import java.net.Socket;
 import java.util.concurrent.CompletableFuture;
@@ -30,7 +30,8 @@
     @Test
     void plainCommandsOfStockClientsAreTakenAndAllElseIsAnsweredWithALine() throws Exception {
         FakeFleet fleet = new FakeFleet(2);
-        try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet)); DaemonHarness.Talk t = rig.talk()) {
+        try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet));
+                DaemonHarness.Talk t = rig.talk()) {
             String[][] talks = {
                 {"mn", "MN"},
                 {"mg page/1 v", "VA 15", "value of page/1"},
@@ -46,7 +47,10 @@
                 {"md page/1", "ERROR this listener takes mg, ms and mn, not md"},
                 {"me page/1", "ERROR this listener takes mg, ms and mn, not me"},
                 {"get page/1", "ERROR this listener takes mg, ms and mn"},
-                {"mg " + "k".repeat(251) + " v", "CLIENT_ERROR a key has 1 to 250 printing ASCII characters, and so has the line"},
+                {
+                    "mg " + "k".repeat(251) + " v",
+                    "CLIENT_ERROR a key has 1 to 250 printing ASCII characters, and so has the line"
+                },
                 {"mg page/" + "k".repeat(245) + " v", "VA 259", "value of page/" + "k".repeat(245)},
                 {"mg page/1 v Pc=nothing", "CLIENT_ERROR unknown class, tenant or deadline"},
                 {"mg page/1 v Pd=x", "CLIENT_ERROR unknown class, tenant or deadline"},
@@ -62,7 +66,9 @@
                     assertThat(t.line()).as(talk[0]).isEqualTo(talk[i]);
                 }
             }
-            assertThat(t.say("mg page/2 v\r\n").line()).as("the connection goes on").isEqualTo("VA 15");
+            assertThat(t.say("mg page/2 v\r\n").line())
+                    .as("the connection goes on")
+                    .isEqualTo("VA 15");
             assertThat(fleet.ledger.times("hi")).isEqualTo(1);
         }
     }
@@ -73,15 +79,18 @@
         try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet));
                 DaemonHarness.Talk t = new DaemonHarness.Talk(rig.daemon.address("strict"))) {
             assertThat(t.say("mg page/1 v\r\n").line()).isEqualTo("CLIENT_ERROR bad command line format");
-            assertThat(t.say("mg page/1 v O1 Pc=page,d=9000\r\n").lines(2)).containsExactly("VA 15 O1", "value of page/1");
-            assertThat(t.say("ms page/1 2 O2 Pc=submit,d=9000\r\nhi\r\n").line()).isEqualTo("HD O2 cwO2".replace("wO2", "w2"));
+            assertThat(t.say("mg page/1 v O1 Pc=page,d=9000\r\n").lines(2))
+                    .containsExactly("VA 15 O1", "value of page/1");
+            assertThat(t.say("ms page/1 2 O2 Pc=submit,d=9000\r\nhi\r\n").line())
+                    .isEqualTo("HD O2 cwO2".replace("wO2", "w2"));
         }
     }
 
     @Test
     void manyPipelinedCommandsAreAnsweredInTheirOrder() throws Exception {
         FakeFleet fleet = new FakeFleet(3);
-        try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet)); DaemonHarness.Talk t = rig.talk()) {
+        try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet));
+                DaemonHarness.Talk t = rig.talk()) {
             StringBuilder all = new StringBuilder();
             for (int i = 0; i < 200; i++) {
                 byte[] value = ("value of page/" + i).getBytes();
@@ -103,9 +112,11 @@
         String text = file(fleet);
         DaemonConfig file = DaemonConfigReader.parse("f", text);
         RouteExplainer explain = new RouteExplainer(file);
-        try (DaemonHarness rig = new DaemonHarness(fleet, text); DaemonHarness.Talk t = rig.talk()) {
+        try (DaemonHarness rig = new DaemonHarness(fleet, text);
+                DaemonHarness.Talk t = rig.talk()) {
             for (int i = 0; i < 40; i++) {
-                int[] before = fleet.nodes.stream().mapToInt(FakeCacheServer::commands).toArray();
+                int[] before =
+                        fleet.nodes.stream().mapToInt(FakeCacheServer::commands).toArray();
                 t.say("mg page/" + i + " v\r\n").lines(2);
                 String asked = "";
                 for (int n = 0; n < before.length; n++) {
@@ -118,33 +129,41 @@
             }
         }
         assertThat(explain.lines(new RouteInput("main", "ab-12", 0, 0, true), true))
-                .first().isEqualTo("ab-12 route=swap pool=a server=store key=12/ab");
-        assertThat(explain.lines(new RouteInput("main", "page/1", 0, 0, false), true)).contains("  passed over off: key is not off");
-        assertThat(explain.lines(new RouteInput("main", "off", 0, 0, false), false)).containsExactly(
-                "off route=off answer=refused after=700ms");
-        assertThat(explain.lines(new RouteInput("main", "zz", 0, 0, false), false)).containsExactly(
-                "zz route=- answer=rejected (no route takes it)");
+                .first()
+                .isEqualTo("ab-12 route=swap pool=a server=store key=12/ab");
+        assertThat(explain.lines(new RouteInput("main", "page/1", 0, 0, false), true))
+                .contains("  passed over off: key is not off");
+        assertThat(explain.lines(new RouteInput("main", "off", 0, 0, false), false))
+                .containsExactly("off route=off answer=refused after=700ms");
+        assertThat(explain.lines(new RouteInput("main", "zz", 0, 0, false), false))
+                .containsExactly("zz route=- answer=rejected (no route takes it)");
     }
 
-    /** What connected earlier would wait for the list with its time running; the first that can connect is served at once. */
+    /**
+     * What connected earlier would wait for the list with its time running; the first that can connect is served at
+     * once.
+     */
     @Test
     void nobodyCanConnectBeforeThereIsAListAndAnAddressThatIsTakenIsTold() throws Exception {
         FakeFleet fleet = new FakeFleet(1);
         FakeCacheServer node = fleet.nodes.get(0);
         CountDownLatch asked = new CountDownLatch(1);
         CountDownLatch known = new CountDownLatch(1);
-        String host = "{\"host\":\"s-0000beef\",\"dial\":\"" + node.dial() + "\",\"site\":\"here\",\"class\":\"node\",\"block\":0,"
+        String host = "{\"host\":\"s-0000beef\",\"dial\":\"" + node.dial()
+                + "\",\"site\":\"here\",\"class\":\"node\",\"block\":0,"
                 + "\"health\":\"up\",\"share\":1.0,\"born_ms\":0}";
-        try (fleet; ScriptedServer discovery = new ScriptedServer(c -> {
-            c.request();
-            asked.countDown();
-            known.await();
-            c.sayHttp(200, "", "{\"seq\":5,\"whole\":true,\"hosts\":[" + host + "]}");
-            c.awaitEnd();
-        })) {
+        try (fleet;
+                ScriptedServer discovery = new ScriptedServer(c -> {
+                    c.request();
+                    asked.countDown();
+                    known.await();
+                    c.sayHttp(200, "", "{\"seq\":5,\"whole\":true,\"hosts\":[" + host + "]}");
+                    c.awaitEnd();
+                })) {
             int port = Ports.free();
-            String text = DaemonHarness.CLASSES + DaemonHarness.listener("main", "127.0.0.1:" + port) + "[[pool]]\nname = \"a\"\n[pool.discovery]\naddress = \""
-                    + discovery.dial() + "\"\nzones = [\"here\"]\nkinds = [\"node\"]\n" + DaemonHarness.route("all", "", "a");
+            String text = DaemonHarness.CLASSES + DaemonHarness.listener("main", "127.0.0.1:" + port)
+                    + "[[pool]]\nname = \"a\"\n[pool.discovery]\naddress = \"" + discovery.dial()
+                    + "\"\nzones = [\"here\"]\nkinds = [\"node\"]\n" + DaemonHarness.route("all", "", "a");
             CompletableFuture<Daemon> starting = CompletableFuture.supplyAsync(() -> {
                 try {
                     return Daemon.start(DaemonConfigReader.parse("f", text), 3);
@@ -155,10 +174,12 @@
             asked.await();
             assertThatThrownBy(() -> new Socket("127.0.0.1", port)).isInstanceOf(ConnectException.class);
             known.countDown();
-            try (Daemon daemon = starting.get(); DaemonHarness.Talk t = new DaemonHarness.Talk(daemon.address("main"))) {
+            try (Daemon daemon = starting.get();
+                    DaemonHarness.Talk t = new DaemonHarness.Talk(daemon.address("main"))) {
                 t.say("ms k 1\r\nx\r\nmg k v\r\n");
                 assertThat(t.line()).startsWith("HD");
-                assertThatThrownBy(() -> Daemon.start(DaemonConfigReader.parse("f", text), 3)).isInstanceOf(ConfigException.class)
+                assertThatThrownBy(() -> Daemon.start(DaemonConfigReader.parse("f", text), 3))
+                        .isInstanceOf(ConfigException.class)
                         .hasMessageContaining("listener main can't be bound to 127.0.0.1:" + port);
             }
         }
--- a/src/test/java/cacheproxy/daemon/MemoryTest.java
+++ b/src/test/java/cacheproxy/daemon/MemoryTest.java
@@ -4,16 +4,16 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import cacheproxy.config.DaemonConfigReader;
-import cacheproxy.snapshot.state.LearnedState;
-import cacheproxy.snapshot.state.StateSnapshot;
-import cacheproxy.snapshot.SnapshotStore;
-import cacheproxy.snapshot.SnapshotCodec;
-import cacheproxy.placement.ServerId;
-import cacheproxy.fakes.SlowStartMonitor;
 import cacheproxy.fakes.Demo;
-import cacheproxy.fakes.LoadClient;
-import cacheproxy.fakes.FakeFleet;
 import cacheproxy.fakes.FakeCacheServer;
+import cacheproxy.fakes.FakeFleet;
+import cacheproxy.fakes.LoadClient;
+import cacheproxy.fakes.SlowStartMonitor;
+import cacheproxy.placement.ServerId;
+import cacheproxy.snapshot.SnapshotCodec;
+import cacheproxy.snapshot.SnapshotStore;
+import cacheproxy.snapshot.state.LearnedState;
+import cacheproxy.snapshot.state.StateSnapshot;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -29,11 +29,14 @@
 class MemoryTest {
     /** Long enough that a mute server is still left out by the one that starts next, however slow the machine. */
     private static final String LIMITS = "[limits]\nconnect_timeout_ms = 10000\nmax_retry_after_ms = 5\n";
-    private static final String CLASSES = DaemonHarness.CLASSES.replace("aim_ms = 10000", "aim_ms = 300").replace("deadline_ms = 20000",
-            "deadline_ms = 3000");
+
+    private static final String CLASSES = DaemonHarness.CLASSES
+            .replace("aim_ms = 10000", "aim_ms = 300")
+            .replace("deadline_ms = 20000", "deadline_ms = 3000");
 
     @TempDir
     private Path folder;
+
     private final FakeFleet fleet = fleet();
 
     private static FakeFleet fleet() {
@@ -45,8 +48,10 @@
     }
 
     private String file(String more) {
-        return LIMITS + CLASSES + DaemonHarness.MAIN + "[memory]\npath = \"" + folder.resolve("memory") + "\"\nperiod_ms = 50\n" + more
-                + DaemonHarness.pool("a", fleet, "", fleet.nodes.toArray(new FakeCacheServer[0])) + DaemonHarness.route("all", "", "a");
+        return LIMITS + CLASSES + DaemonHarness.MAIN + "[memory]\npath = \"" + folder.resolve("memory")
+                + "\"\nperiod_ms = 50\n" + more
+                + DaemonHarness.pool("a", fleet, "", fleet.nodes.toArray(new FakeCacheServer[0]))
+                + DaemonHarness.route("all", "", "a");
     }
 
     private Daemon daemon(String text) throws Exception {
@@ -54,12 +59,14 @@
     }
 
     private LoadClient.Account ask(Daemon daemon, int total, int from) throws Exception {
-        return new LoadClient(fleet.loop(), daemon.address("main"), total, i -> DaemonHarness.read("k/" + (from + i))).start(8, 2)
+        return new LoadClient(fleet.loop(), daemon.address("main"), total, i -> DaemonHarness.read("k/" + (from + i)))
+                .start(8, 2)
                 .get(100, TimeUnit.SECONDS);
     }
 
     private StateSnapshot written() throws Exception {
-        return SnapshotCodec.decode(Files.readAllBytes(folder.resolve("memory"))).content();
+        return SnapshotCodec.decode(Files.readAllBytes(folder.resolve("memory")))
+                .content();
     }
 
     @Test
@@ -86,7 +93,9 @@
             try (Daemon daemon = daemon(file(""))) {
                 assertThat(ask(daemon, 400, 2000).faults).isEmpty();
             }
-            assertThat(mute.commands()).as("without the file it is found out once more").isGreaterThan(first);
+            assertThat(mute.commands())
+                    .as("without the file it is found out once more")
+                    .isGreaterThan(first);
         }
     }
 
@@ -100,25 +109,32 @@
                 }
                 assertThat(written().generation()).isEqualTo(i + 1);
             }
-            assertThat(SnapshotStore.at(folder.resolve("memory.old")).read().content().generation()).isEqualTo(2);
+            assertThat(SnapshotStore.at(folder.resolve("memory.old"))
+                            .read()
+                            .content()
+                            .generation())
+                    .isEqualTo(2);
         }
     }
 
     @Test
     void aFileThatKeepsItOtherwiseGoesOnInTheSamePlaceAndOneThatCanNotBeUsedTakesItFromNobody() throws Exception {
-        try (fleet; Daemon daemon = daemon(file(""))) {
+        try (fleet;
+                Daemon daemon = daemon(file(""))) {
             assertThat(ask(daemon, 40, 0).faults).isEmpty();
             while (!Files.exists(folder.resolve("memory"))) {
                 Thread.onSpinWait();
             }
             daemon.load(DaemonConfigReader.parse("rig", file("keys = 7\n")));
             long generation = written().generation();
-            assertThatThrownBy(() -> daemon.load(DaemonConfigReader.parse("rig", file("keys = 8\n[control]\nlisten = \"192.0.2.1:9\"\n"))))
+            assertThatThrownBy(() -> daemon.load(
+                            DaemonConfigReader.parse("rig", file("keys = 8\n[control]\nlisten = \"192.0.2.1:9\"\n"))))
                     .hasMessageContaining("control can't be bound");
             assertThat(ask(daemon, 40, 100).faults).isEmpty();
             daemon.drain();
             assertThat(written().generation()).isGreaterThan(generation);
-            assertThat(SnapshotStore.at(folder.resolve("memory")).read().notes()).isEmpty();
+            assertThat(SnapshotStore.at(folder.resolve("memory")).read().notes())
+                    .isEmpty();
         }
     }
 
@@ -132,8 +148,24 @@
         for (int id : bad) {
             facts.add(new LearnedState.Server(id, bornMs, 4, 80_000, 0));
         }
-        SnapshotStore.at(path).write(new StateSnapshot("coralbay", me, writtenMs, 0, Map.of("a", new StateSnapshot.Pool("", new LearnedState(facts,
-                LearnedState.NONE.pace(), LearnedState.NONE.fetches(), LearnedState.NONE.crowd(), LearnedState.NONE.hot()), Map.of())), List.of()));
+        SnapshotStore.at(path)
+                .write(new StateSnapshot(
+                        "coralbay",
+                        me,
+                        writtenMs,
+                        0,
+                        Map.of(
+                                "a",
+                                new StateSnapshot.Pool(
+                                        "",
+                                        new LearnedState(
+                                                facts,
+                                                LearnedState.NONE.pace(),
+                                                LearnedState.NONE.fetches(),
+                                                LearnedState.NONE.crowd(),
+                                                LearnedState.NONE.hot()),
+                                        Map.of())),
+                        List.of()));
     }
 
     private int askedOf(FakeCacheServer node, String text, Path seedFrom) throws Exception {
@@ -155,18 +187,26 @@
             remember(path, 0, now, 0, id(node));
             assertThat(askedOf(node, file(""), null)).as("its own, of now").isZero();
             remember(path, 0, now + 86_400_000, 0, id(node));
-            assertThat(askedOf(node, file(""), null)).as("of tomorrow: the clock was set back").isPositive();
+            assertThat(askedOf(node, file(""), null))
+                    .as("of tomorrow: the clock was set back")
+                    .isPositive();
             remember(path, 0, now - 365 * 86_400_000.0, 0, id(node));
             assertThat(askedOf(node, file(""), null)).as("of last year").isPositive();
             remember(path, 1, now, 0, id(node));
             assertThat(askedOf(node, file(""), null)).as("of another proxy").isPositive();
             remember(path, 0, now, 0, id(node));
-            assertThat(askedOf(node, "[site]\nname = \"other\"\n" + file(""), null)).as("of another site").isPositive();
+            assertThat(askedOf(node, "[site]\nname = \"other\"\n" + file(""), null))
+                    .as("of another site")
+                    .isPositive();
             remember(path, 0, now, now - 99_000, id(node));
-            assertThat(askedOf(node, file(""), null)).as("of another process there").isPositive();
+            assertThat(askedOf(node, file(""), null))
+                    .as("of another process there")
+                    .isPositive();
             Files.write(path, new byte[] {1, 2, 3});
             Files.deleteIfExists(folder.resolve("memory.old"));
-            assertThat(askedOf(node, file(""), null)).as("no memory file at all").isPositive();
+            assertThat(askedOf(node, file(""), null))
+                    .as("no memory file at all")
+                    .isPositive();
         }
     }
 
@@ -181,7 +221,9 @@
             assertThat(askedOf(node, without, sibling)).isZero();
             assertThat(askedOf(node, file(""), sibling)).isZero();
             remember(folder.resolve("memory"), 0, System.currentTimeMillis(), 0);
-            assertThat(askedOf(node, file(""), sibling)).as("its own says nothing of that node").isPositive();
+            assertThat(askedOf(node, file(""), sibling))
+                    .as("its own says nothing of that node")
+                    .isPositive();
             assertThat(askedOf(node, without, folder.resolve("none"))).isPositive();
         }
     }
@@ -189,7 +231,12 @@
     @Test
     void whereAllAreRememberedAsBadAllIsServed() throws Exception {
         try (fleet) {
-            remember(folder.resolve("memory"), 0, System.currentTimeMillis(), 0, fleet.nodes.stream().mapToInt(MemoryTest::id).toArray());
+            remember(
+                    folder.resolve("memory"),
+                    0,
+                    System.currentTimeMillis(),
+                    0,
+                    fleet.nodes.stream().mapToInt(MemoryTest::id).toArray());
             try (Daemon daemon = daemon(file(""))) {
                 LoadClient.Account a = ask(daemon, 400, 0);
                 assertThat(a.faults).isEmpty();
@@ -204,7 +251,8 @@
     @Test
     void theSecondProcessAtAPathRunsWithout() throws Exception {
         try (fleet) {
-            try (Daemon first = daemon(file("")); Daemon second = daemon("[site]\ninstances = 2\nme = 1\n" + file(""))) {
+            try (Daemon first = daemon(file(""));
+                    Daemon second = daemon("[site]\ninstances = 2\nme = 1\n" + file(""))) {
                 assertThat(ask(first, 50, 0).faults).isEmpty();
                 assertThat(ask(second, 50, 0).faults).isEmpty();
                 second.drain();
@@ -214,7 +262,9 @@
         }
     }
 
-    /** What it learned under one file it keeps under the next, though a class has changed and its pools are new ones. */
+    /**
+     * What it learned under one file it keeps under the next, though a class has changed and its pools are new ones.
+     */
     @Test
     void aReloadThatReplacesAPoolHandsItsKnowledgeOn() throws Exception {
         try (fleet) {
@@ -235,7 +285,9 @@
     void aDirectoryThatGoesCostsNothingButTheMemory() throws Exception {
         try (fleet) {
             Path gone = Files.createDirectory(folder.resolve("gone"));
-            String text = file("").replace(folder.resolve("memory").toString(), gone.resolve("memory").toString());
+            String text = file("").replace(
+                            folder.resolve("memory").toString(),
+                            gone.resolve("memory").toString());
             try (Daemon daemon = daemon(text)) {
                 awaitFile(gone.resolve("memory"));
                 // The daemon may be writing there at this very moment.
@@ -254,7 +306,9 @@
                 assertThat(ask(daemon, 100, 100).faults).isEmpty();
                 awaitFile(gone.resolve("memory"));
             }
-            String missing = file("").replace(folder.resolve("memory").toString(), folder.resolve("never/memory").toString());
+            String missing = file("").replace(
+                            folder.resolve("memory").toString(),
+                            folder.resolve("never/memory").toString());
             try (Daemon daemon = daemon(missing)) {
                 assertThat(ask(daemon, 100, 0).faults).isEmpty();
                 daemon.drain();
@@ -272,31 +326,61 @@
         }
     }
 
-    /** Discovery tells of starts: a node that restarted meanwhile is cold, whatever the file says of it and of all others. */
+    /**
+     * Discovery tells of starts: a node that restarted meanwhile is cold, whatever the file says of it and of all
+     * others.
+     */
     @Test
     void aNodeThatRestartedMeanwhileIsColdAndStaysUnderItsMultipleWithTheWorstFile() throws Exception {
-        try (FakeFleet listed = new FakeFleet(6); fleet) {
+        try (FakeFleet listed = new FakeFleet(6);
+                fleet) {
             FakeCacheServer cold = listed.nodes.get(0);
             SlowStartMonitor watch = new SlowStartMonitor(100, 0.3, 20_000, 300);
             cold.watch(watch);
             listed.restart(0);
-            // All others out but two, those of the file's limit; the cold one said to be the best, by an old start's account.
+            // All others out but two, those of the file's limit; the cold one said to be the best, by an old start's
+            // account.
             List<LearnedState.Server> facts = new ArrayList<>();
             for (int i = 1; i < 5; i++) {
                 facts.add(new LearnedState.Server(i + 1, 0, 9, 1e9, 9));
             }
             facts.add(new LearnedState.Server(1, 0, 9, 1e9, 0)); // of the process before
-            SnapshotStore.at(folder.resolve("memory")).write(new StateSnapshot("demo", 0, System.currentTimeMillis(), 0, Map.of("pages",
-                    new StateSnapshot.Pool("carp by $key, keys TEXT", new LearnedState(facts, new LearnedState.Pace(1, 1, 1, 0, 1),
-                            new LearnedState.Load(0, 1e9), new LearnedState.Load(0, 1e9), new LearnedState.HotKeys(1e9, List.of())), Map.of())),
-                    List.of(new StateSnapshot.Birth(1, cold.dial(), 1, false))));
-            String text = Demo.file(listed).replace("warm_up_ms = 2000", "warm_up_ms = 20000\nfall_ms = 300\n[limits]\n"
-                    + "unknown_capacity = 100\n[memory]\npath = \"" + folder.resolve("memory") + "\"\nperiod_ms = 50");
+            SnapshotStore.at(folder.resolve("memory"))
+                    .write(new StateSnapshot(
+                            "demo",
+                            0,
+                            System.currentTimeMillis(),
+                            0,
+                            Map.of(
+                                    "pages",
+                                    new StateSnapshot.Pool(
+                                            "carp by $key, keys TEXT",
+                                            new LearnedState(
+                                                    facts,
+                                                    new LearnedState.Pace(1, 1, 1, 0, 1),
+                                                    new LearnedState.Load(0, 1e9),
+                                                    new LearnedState.Load(0, 1e9),
+                                                    new LearnedState.HotKeys(1e9, List.of())),
+                                            Map.of())),
+                            List.of(new StateSnapshot.Birth(1, cold.dial(), 1, false))));
+            String text = Demo.file(listed)
+                    .replace(
+                            "warm_up_ms = 2000",
+                            "warm_up_ms = 20000\nfall_ms = 300\n[limits]\n"
+                                    + "unknown_capacity = 100\n[memory]\npath = \"" + folder.resolve("memory")
+                                    + "\"\nperiod_ms = 50");
             try (Daemon daemon = daemon(text)) {
                 for (int round = 0; round == 0 || watch.sent() < 30; round++) {
                     int from = round * 2000;
-                    assertThat(new LoadClient(listed.loop(), daemon.address("main"), 2000, i -> DaemonHarness.read("k/" + (from + i)))
-                            .start(8, 4).get(100, TimeUnit.SECONDS).faults).isEmpty();
+                    assertThat(new LoadClient(
+                                            listed.loop(),
+                                            daemon.address("main"),
+                                            2000,
+                                            i -> DaemonHarness.read("k/" + (from + i)))
+                                    .start(8, 4)
+                                    .get(100, TimeUnit.SECONDS)
+                                    .faults)
+                            .isEmpty();
                 }
             }
             assertThat(watch.worst()).isLessThan(3);
@@ -322,11 +406,17 @@
                 }
                 daemon.drain();
             }
-            double born = written().births().stream().filter(b -> b.id() == id(node)).findFirst().orElseThrow().bornMs();
+            double born = written().births().stream()
+                    .filter(b -> b.id() == id(node))
+                    .findFirst()
+                    .orElseThrow()
+                    .bornMs();
             try (Daemon daemon = daemon(text)) {
                 daemon.drain();
             }
-            assertThat(written().births()).as("and still to the one after it").anyMatch(b -> b.id() == id(node) && b.bornMs() == born);
+            assertThat(written().births())
+                    .as("and still to the one after it")
+                    .anyMatch(b -> b.id() == id(node) && b.bornMs() == born);
         }
     }
 }
--- a/src/test/java/cacheproxy/daemon/PoolsTest.java
+++ b/src/test/java/cacheproxy/daemon/PoolsTest.java
@@ -2,19 +2,20 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.fakes.SlowStartMonitor;
+import cacheproxy.fakes.FakeCacheServer;
+import cacheproxy.fakes.FakeFleet;
 import cacheproxy.fakes.LoadClient;
 import cacheproxy.fakes.LoadClient.Ask;
 import cacheproxy.fakes.ScriptedServer;
-import cacheproxy.fakes.FakeFleet;
-import cacheproxy.fakes.FakeCacheServer;
+import cacheproxy.fakes.SlowStartMonitor;
 import org.junit.jupiter.api.Test;
 
 /** What pools do together: fallback under the rules on effects, one cold budget, retry budgets, backups. */
 class PoolsTest {
     private static final String SITE = "[site]\nwarm_up_ms = 20000\nfall_ms = 300\n" + DaemonHarness.LIMITS;
     /** Deadlines short enough that a test may wait for one. */
-    private static final String SHORT = DaemonHarness.CLASSES.replace("20000", "2000").replace("10000", "1000");
+    private static final String SHORT =
+            DaemonHarness.CLASSES.replace("20000", "2000").replace("10000", "1000");
 
     private static Ask read(int i) {
         return new Ask("k/" + i, "c=page", null, null);
@@ -26,11 +27,18 @@
         FakeCacheServer shared = fleet.nodes.get(0);
         SlowStartMonitor watch = new SlowStartMonitor(100, 0.3, 20000, 300);
         shared.watch(watch);
-        String two = DaemonHarness.pool("a", fleet, "", fleet.nodes.get(1)) + DaemonHarness.pool("b", fleet, "", fleet.nodes.get(2));
+        String two = DaemonHarness.pool("a", fleet, "", fleet.nodes.get(1))
+                + DaemonHarness.pool("b", fleet, "", fleet.nodes.get(2));
         String server = DaemonHarness.servers("capacity = 100", shared);
         two = two.replace("[pool.origin]", server + "[pool.origin]");
-        try (DaemonHarness rig = new DaemonHarness(fleet, SITE + DaemonHarness.CLASSES + DaemonHarness.MAIN + two
-                + DaemonHarness.route("a", "prefix = \"a/\"", "a") + DaemonHarness.route("b", "prefix = \"b/\"", "b"))) {
+        try (DaemonHarness rig = new DaemonHarness(
+                fleet,
+                SITE
+                        + DaemonHarness.CLASSES
+                        + DaemonHarness.MAIN
+                        + two
+                        + DaemonHarness.route("a", "prefix = \"a/\"", "a")
+                        + DaemonHarness.route("b", "prefix = \"b/\"", "b"))) {
             shared.kill();
             // Both pools find it down.
             rig.ask(400, 4, 2, i -> DaemonHarness.read((i % 2 == 0 ? "a/" : "b/") + i));
@@ -58,12 +66,15 @@
         try (DaemonHarness rig = new DaemonHarness(fleet, head + DaemonHarness.route("all", "", "a"))) {
             // The spare pool comes with a new file, so that its server is a new one.
             watch.born(System.nanoTime() / 1e6);
-            rig.load(head + DaemonHarness.plain("spare", "", spare).replace("dial", "capacity = 200\ndial")
+            rig.load(head
+                    + DaemonHarness.plain("spare", "", spare).replace("dial", "capacity = 200\ndial")
                     + DaemonHarness.route("all", "", "a", "spare"));
             first.kill();
             LoadClient.Account a = rig.ask(3000, 8, 4, PoolsTest::read);
             assertThat(a.faults).isEmpty();
-            assertThat(a.missing).as("answered by the spare node, which has none of the keys").isPositive();
+            assertThat(a.missing)
+                    .as("answered by the spare node, which has none of the keys")
+                    .isPositive();
             assertThat(a.refused).isPositive();
             assertThat(a.refusedWithoutTime).isZero();
             assertThat(a.failed).isZero();
@@ -74,9 +85,13 @@
     @Test
     void aReadThatTimedOutGoesToTheNextPool() throws Exception {
         FakeFleet fleet = new FakeFleet(2);
-        try (DaemonHarness rig = new DaemonHarness(fleet, SHORT + DaemonHarness.MAIN
-                + DaemonHarness.plain("a", "retry_share = 0\nretries_always = 0", fleet.nodes.get(0))
-                + DaemonHarness.pool("b", fleet, "", fleet.nodes.get(1)) + DaemonHarness.route("all", "", "a", "b"));
+        try (DaemonHarness rig = new DaemonHarness(
+                        fleet,
+                        SHORT
+                                + DaemonHarness.MAIN
+                                + DaemonHarness.plain("a", "retry_share = 0\nretries_always = 0", fleet.nodes.get(0))
+                                + DaemonHarness.pool("b", fleet, "", fleet.nodes.get(1))
+                                + DaemonHarness.route("all", "", "a", "b"));
                 DaemonHarness.Talk talk = rig.talk()) {
             fleet.nodes.get(0).mute(true);
             assertThat(talk.say("mg k v\r\n").lines(2)).containsExactly("VA 10", "value of k");
@@ -87,8 +102,13 @@
     @Test
     void anUnsafeWriteThatTimedOutGoesNowhereElse() throws Exception {
         FakeFleet fleet = new FakeFleet(2);
-        try (DaemonHarness rig = new DaemonHarness(fleet, SHORT + DaemonHarness.MAIN + DaemonHarness.plain("a", "", fleet.nodes.get(0))
-                + DaemonHarness.plain("b", "", fleet.nodes.get(1)) + DaemonHarness.route("all", "", "a", "b"));
+        try (DaemonHarness rig = new DaemonHarness(
+                        fleet,
+                        SHORT
+                                + DaemonHarness.MAIN
+                                + DaemonHarness.plain("a", "", fleet.nodes.get(0))
+                                + DaemonHarness.plain("b", "", fleet.nodes.get(1))
+                                + DaemonHarness.route("all", "", "a", "b"));
                 DaemonHarness.Talk talk = rig.talk()) {
             fleet.nodes.get(0).mute(true);
             assertThat(talk.say("ms k 2 Pc=submit\r\nhi\r\n").line()).isEqualTo("SERVER_ERROR failed");
@@ -100,8 +120,13 @@
     @Test
     void anUnsafeWriteThatCanNotHaveRunGoesOn() throws Exception {
         FakeFleet fleet = new FakeFleet(2);
-        try (DaemonHarness rig = new DaemonHarness(fleet, SHORT + DaemonHarness.MAIN + DaemonHarness.plain("a", "", fleet.nodes.get(0))
-                + DaemonHarness.plain("b", "", fleet.nodes.get(1)) + DaemonHarness.route("all", "", "a", "b"));
+        try (DaemonHarness rig = new DaemonHarness(
+                        fleet,
+                        SHORT
+                                + DaemonHarness.MAIN
+                                + DaemonHarness.plain("a", "", fleet.nodes.get(0))
+                                + DaemonHarness.plain("b", "", fleet.nodes.get(1))
+                                + DaemonHarness.route("all", "", "a", "b"));
                 DaemonHarness.Talk talk = rig.talk()) {
             fleet.nodes.get(0).kill();
             assertThat(talk.say("ms k 2 Pc=submit\r\nhi\r\n").line()).isEqualTo("HD");
@@ -118,11 +143,18 @@
                 c.line();
                 c.reset();
             });
-            String first = "[[pool]]\nname = \"a\"\nnodes = \"plain\"\ndedup_group = \"g\"\n[[pool.server]]\nname = \"r\"\n"
-                    + "dial = \"" + resets.dial() + "\"\n";
-            try (resets; DaemonHarness rig = new DaemonHarness(fleet, SHORT.replace("60000", "5000") + DaemonHarness.MAIN + first
-                    + DaemonHarness.plain("b", "dedup_group = \"" + (together ? "g" : "h") + "\"", fleet.nodes.get(1))
-                    + DaemonHarness.route("all", "", "a", "b"));
+            String first =
+                    "[[pool]]\nname = \"a\"\nnodes = \"plain\"\ndedup_group = \"g\"\n[[pool.server]]\nname = \"r\"\n"
+                            + "dial = \"" + resets.dial() + "\"\n";
+            try (resets;
+                    DaemonHarness rig = new DaemonHarness(
+                            fleet,
+                            SHORT.replace("60000", "5000")
+                                    + DaemonHarness.MAIN
+                                    + first
+                                    + DaemonHarness.plain(
+                                            "b", "dedup_group = \"" + (together ? "g" : "h") + "\"", fleet.nodes.get(1))
+                                    + DaemonHarness.route("all", "", "a", "b"));
                     DaemonHarness.Talk talk = rig.talk()) {
                 assertThat(talk.say("ms k 2 Pc=publish,k=once\r\nhi\r\n").line())
                         .isEqualTo(together ? "HD" : "SERVER_ERROR failed");
@@ -137,8 +169,11 @@
     void whenItsRetriesAreSpentAPoolRefusesAndItComesBackAfterwards() throws Exception {
         FakeFleet fleet = new FakeFleet(4);
         FakeCacheServer[] n = fleet.nodes.toArray(new FakeCacheServer[0]);
-        try (DaemonHarness rig = new DaemonHarness(fleet, DaemonHarness.LIMITS + "second_copies = false\n" + DaemonHarness.CLASSES + DaemonHarness.MAIN
-                + DaemonHarness.plain("a", "retry_share = 0.1\nretries_always = 0", n) + DaemonHarness.route("all", "", "a"))) {
+        try (DaemonHarness rig = new DaemonHarness(
+                fleet,
+                DaemonHarness.LIMITS + "second_copies = false\n" + DaemonHarness.CLASSES + DaemonHarness.MAIN
+                        + DaemonHarness.plain("a", "retry_share = 0.1\nretries_always = 0", n)
+                        + DaemonHarness.route("all", "", "a"))) {
             for (FakeCacheServer node : n) {
                 node.busy(Integer.MAX_VALUE);
             }
@@ -172,8 +207,10 @@
         FakeCacheServer backup = fleet.nodes.get(1);
         String pool = "[[pool]]\nname = \"a\"\nnodes = \"plain\"\n" + DaemonHarness.servers("", primary)
                 + DaemonHarness.servers("backup = true", backup);
-        try (DaemonHarness rig = new DaemonHarness(fleet, "[site]\nwarm_up_ms = 0\n" + DaemonHarness.LIMITS + DaemonHarness.CLASSES + DaemonHarness.MAIN + pool
-                + DaemonHarness.route("all", "", "a"))) {
+        try (DaemonHarness rig = new DaemonHarness(
+                fleet,
+                "[site]\nwarm_up_ms = 0\n" + DaemonHarness.LIMITS + DaemonHarness.CLASSES + DaemonHarness.MAIN + pool
+                        + DaemonHarness.route("all", "", "a"))) {
             assertThat(rig.ask(300, 4, 2, PoolsTest::read).missing).isEqualTo(300);
             assertThat(backup.commands()).isZero();
             primary.kill();
@@ -198,9 +235,11 @@
         SlowStartMonitor watch = new SlowStartMonitor(200, 0.3, 20000, 300);
         spare.watch(watch);
         String pool = DaemonHarness.plain("a", "placement = \"nginx-hash\"", fleet.nodes.get(0), fleet.nodes.get(1))
-                .replace("dial =", "warm = true\ndial =") + DaemonHarness.servers("backup = true\ncapacity = 200", spare);
-        try (DaemonHarness rig = new DaemonHarness(fleet, SITE + DaemonHarness.CLASSES + DaemonHarness.MAIN + pool
-                + DaemonHarness.route("all", "", "a"))) {
+                        .replace("dial =", "warm = true\ndial =")
+                + DaemonHarness.servers("backup = true\ncapacity = 200", spare);
+        try (DaemonHarness rig = new DaemonHarness(
+                fleet,
+                SITE + DaemonHarness.CLASSES + DaemonHarness.MAIN + pool + DaemonHarness.route("all", "", "a"))) {
             watch.born(System.nanoTime() / 1e6);
             assertThat(rig.ask(500, 4, 2, PoolsTest::read).faults).isEmpty();
             assertThat(spare.commands()).isZero();
@@ -209,15 +248,19 @@
             fleet.nodes.get(1).kill();
             LoadClient.Account a = rig.ask(3000, 8, 4, PoolsTest::read);
             assertThat(a.faults).isEmpty();
-            assertThat(a.missing).as("answered by the backup, which has none of the keys").isPositive();
+            assertThat(a.missing)
+                    .as("answered by the backup, which has none of the keys")
+                    .isPositive();
             assertThat(a.refused).isPositive();
             assertThat(a.refusedWithoutTime).isZero();
             assertThat(watch.worst()).isLessThan(3);
             fleet.nodes.get(0).revive();
             fleet.nodes.get(1).revive();
             // They are found by requests; each is cold then, and gets its keys back as it may.
-            for (int round = 0; fleet.nodes.get(0).commands() < before[0] + 20
-                    || fleet.nodes.get(1).commands() < before[1] + 20; round++) {
+            for (int round = 0;
+                    fleet.nodes.get(0).commands() < before[0] + 20
+                            || fleet.nodes.get(1).commands() < before[1] + 20;
+                    round++) {
                 int from = 10_000 + round * 1000;
                 assertThat(rig.ask(1000, 8, 4, i -> read(from + i)).faults).isEmpty();
             }
@@ -228,10 +271,16 @@
     @Test
     void aPoolThatIsFullSendsOnToTheNextOrRefusesWithATime() throws Exception {
         FakeFleet fleet = new FakeFleet(2);
-        try (DaemonHarness rig = new DaemonHarness(fleet, DaemonHarness.CLASSES + DaemonHarness.MAIN
-                + DaemonHarness.plain("a", "in_hand = 1", fleet.nodes.get(0)) + DaemonHarness.plain("b", "per_second = 10", fleet.nodes.get(1))
-                + DaemonHarness.route("all", "", "a", "b"));
-                DaemonHarness.Talk one = rig.talk(); DaemonHarness.Talk two = rig.talk(); DaemonHarness.Talk three = rig.talk()) {
+        try (DaemonHarness rig = new DaemonHarness(
+                        fleet,
+                        DaemonHarness.CLASSES
+                                + DaemonHarness.MAIN
+                                + DaemonHarness.plain("a", "in_hand = 1", fleet.nodes.get(0))
+                                + DaemonHarness.plain("b", "per_second = 10", fleet.nodes.get(1))
+                                + DaemonHarness.route("all", "", "a", "b"));
+                DaemonHarness.Talk one = rig.talk();
+                DaemonHarness.Talk two = rig.talk();
+                DaemonHarness.Talk three = rig.talk()) {
             fleet.nodes.get(0).mute(true);
             one.say("mg k1 v\r\n");
             while (rig.daemon.inHand() == 0) {
--- a/src/test/java/cacheproxy/daemon/Ports.java
+++ b/src/test/java/cacheproxy/daemon/Ports.java
@@ -7,15 +7,16 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Ports of 127.0.0.1 for what must know its port before it binds. Below those that the system gives to others' connections: one of
- * these, once let go, may be taken before it is bound again.
+ * Ports of 127.0.0.1 for what must know its port before it binds. Below those that the system gives to others'
+ * connections: one of these, once let go, may be taken before it is bound again.
  */
 public final class Ports {
     private static final int FIRST = 12_000;
     private static final int COUNT = 20_000;
-    private static final AtomicInteger NEXT = new AtomicInteger((int) (ProcessHandle.current().pid() * 97 % COUNT));
+    private static final AtomicInteger NEXT =
+            new AtomicInteger((int) (ProcessHandle.current().pid() * 97 % COUNT));
 
-    private Ports() { }
+    private Ports() {}
 
     /** One that is free for TCP and UDP, and that this process asks for once. */
     public static int free() throws IOException {
--- a/src/test/java/cacheproxy/daemon/ReloadTest.java
+++ b/src/test/java/cacheproxy/daemon/ReloadTest.java
@@ -4,11 +4,11 @@
 import static org.assertj.core.api.Assertions.catchThrowableOfType;
 
 import cacheproxy.config.ConfigException;
-import cacheproxy.fakes.LoadClient;
-import cacheproxy.fakes.LoadClient.Ask;
-import cacheproxy.fakes.FakeFleet;
 import cacheproxy.fakes.FakeCacheServer;
+import cacheproxy.fakes.FakeFleet;
 import cacheproxy.fakes.FakeOrigin;
+import cacheproxy.fakes.LoadClient;
+import cacheproxy.fakes.LoadClient.Ask;
 import java.net.ConnectException;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
@@ -42,7 +42,9 @@
         String[] files = new String[4];
         for (int v = 0; v < files.length; v++) {
             // Routes move between the pools, a pool comes and goes, another is replaced whole, servers change places.
-            files[v] = (v == 2 ? DaemonHarness.LIMITS + "max_attempts = 2\n" : DaemonHarness.LIMITS) + DaemonHarness.CLASSES + DaemonHarness.MAIN
+            files[v] = (v == 2 ? DaemonHarness.LIMITS + "max_attempts = 2\n" : DaemonHarness.LIMITS)
+                    + DaemonHarness.CLASSES
+                    + DaemonHarness.MAIN
                     + DaemonHarness.pool("a", fleet, "in_hand = " + (1000 + v), n[0], n[1], n[2 + v % 2])
                     + (v == 1 ? "" : DaemonHarness.pool("b", fleet, "", n[3], n[4], n[5]))
                     + DaemonHarness.route("pages", "prefix = \"page/\"", v % 2 == 0 && v != 1 ? "b" : "a")
@@ -51,8 +53,8 @@
         try (DaemonHarness rig = new DaemonHarness(fleet, files[0])) {
             fleet.origin.work(2);
             int total = 30_000;
-            CompletableFuture<LoadClient.Account> load = new LoadClient(fleet.loop(), rig.daemon.address("main"), total,
-                    ReloadTest::ask).start(8, 4);
+            CompletableFuture<LoadClient.Account> load =
+                    new LoadClient(fleet.loop(), rig.daemon.address("main"), total, ReloadTest::ask).start(8, 4);
             int reloads = 0;
             while (reloads < 100 || !load.isDone()) {
                 rig.load(files[++reloads % files.length]);
@@ -72,18 +74,26 @@
     void aFileOfNoUseChangesNothingAndSaysWhy() throws Exception {
         FakeFleet fleet = new FakeFleet(2);
         FakeCacheServer[] n = fleet.nodes.toArray(new FakeCacheServer[0]);
-        String good = DaemonHarness.CLASSES + DaemonHarness.MAIN + DaemonHarness.pool("a", fleet, "", n) + DaemonHarness.route("all", "", "a");
+        String good = DaemonHarness.CLASSES
+                + DaemonHarness.MAIN
+                + DaemonHarness.pool("a", fleet, "", n)
+                + DaemonHarness.route("all", "", "a");
         Path file = folder.resolve("coralbay.toml");
-        try (DaemonHarness rig = new DaemonHarness(fleet, good); DaemonHarness.Talk talk = rig.talk();
+        try (DaemonHarness rig = new DaemonHarness(fleet, good);
+                DaemonHarness.Talk talk = rig.talk();
                 ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
             InetSocketAddress before = rig.daemon.address("main");
-            String unbindable = good + DaemonHarness.listener("second", "127.0.0.1:" + taken.getLocalPort())
+            String unbindable = good
+                    + DaemonHarness.listener("second", "127.0.0.1:" + taken.getLocalPort())
                     + DaemonHarness.listener("third", "127.0.0.1:0");
-            for (String bad : new String[] {"", "[[[", good.substring(0, good.length() / 2), good.replace("\"a\"", "\"\""),
-                unbindable}) {
+            for (String bad : new String[] {
+                "", "[[[", good.substring(0, good.length() / 2), good.replace("\"a\"", "\"\""), unbindable
+            }) {
                 Files.writeString(file, bad);
                 ConfigException e = catchThrowableOfType(ConfigException.class, () -> rig.daemon.reload(file));
-                assertThat(e.errors()).isNotEmpty().allMatch(l -> l.startsWith(file + ":") && l.matches(".*:\\d+:\\d+: .*"));
+                assertThat(e.errors())
+                        .isNotEmpty()
+                        .allMatch(l -> l.startsWith(file + ":") && l.matches(".*:\\d+:\\d+: .*"));
                 talk.say("mg page/1 v\r\n");
                 assertThat(talk.lines(2)).containsExactly("VA 15", "value of page/1");
                 assertThat(rig.daemon.address("main")).isEqualTo(before);
@@ -97,7 +107,8 @@
         FakeFleet fleet = new FakeFleet(1);
         FakeCacheServer n = fleet.nodes.get(0);
         String pools = DaemonHarness.pool("a", fleet, "", n) + DaemonHarness.route("all", "", "a");
-        String two = DaemonHarness.CLASSES + DaemonHarness.MAIN + DaemonHarness.listener("second", "127.0.0.1:0") + pools;
+        String two =
+                DaemonHarness.CLASSES + DaemonHarness.MAIN + DaemonHarness.listener("second", "127.0.0.1:0") + pools;
         try (DaemonHarness rig = new DaemonHarness(fleet, two);
                 DaemonHarness.Talk stays = rig.talk();
                 DaemonHarness.Talk idle = new DaemonHarness.Talk(rig.daemon.address("second"));
@@ -114,7 +125,8 @@
             assertThat(busy.lines(2)).containsExactly("VA 13", "value of slow");
             assertThat(busy.line()).as("ends between requests").isNull();
             assertThat(stays.say("mg other v\r\n").lines(2)).containsExactly("VA 14", "value of other");
-            assertThat(catchThrowableOfType(ConnectException.class, () -> new Socket(second.getAddress(), second.getPort())))
+            assertThat(catchThrowableOfType(
+                            ConnectException.class, () -> new Socket(second.getAddress(), second.getPort())))
                     .isNotNull();
         }
     }
@@ -125,8 +137,10 @@
         FakeCacheServer old = fleet.nodes.get(0);
         FakeCacheServer next = fleet.nodes.get(1);
         String head = DaemonHarness.CLASSES + DaemonHarness.MAIN;
-        try (DaemonHarness rig = new DaemonHarness(fleet, head + DaemonHarness.pool("a", fleet, "", old) + DaemonHarness.route("all", "", "a"));
-                DaemonHarness.Talk talk = rig.talk(); DaemonHarness.Talk later = rig.talk()) {
+        try (DaemonHarness rig = new DaemonHarness(
+                        fleet, head + DaemonHarness.pool("a", fleet, "", old) + DaemonHarness.route("all", "", "a"));
+                DaemonHarness.Talk talk = rig.talk();
+                DaemonHarness.Talk later = rig.talk()) {
             fleet.origin.work(300);
             talk.say("mg k v\r\n");
             while (rig.daemon.inHand() == 0) {
@@ -144,9 +158,10 @@
     void aPoolThatGoesSendsNothingNewOnceTheDrainGraceIsOver() throws Exception {
         FakeFleet fleet = new FakeFleet(3);
         FakeCacheServer[] n = fleet.nodes.toArray(new FakeCacheServer[0]);
-        String head = "[site]\ndrain_grace_ms = 100\n" + DaemonHarness.CLASSES.replace("20000", "2000").replace("10000", "1000")
-                + DaemonHarness.MAIN;
-        try (DaemonHarness rig = new DaemonHarness(fleet, head + DaemonHarness.plain("a", "", n[0], n[1]) + DaemonHarness.route("all", "", "a"));
+        String head = "[site]\ndrain_grace_ms = 100\n"
+                + DaemonHarness.CLASSES.replace("20000", "2000").replace("10000", "1000") + DaemonHarness.MAIN;
+        try (DaemonHarness rig = new DaemonHarness(
+                        fleet, head + DaemonHarness.plain("a", "", n[0], n[1]) + DaemonHarness.route("all", "", "a"));
                 DaemonHarness.Talk talk = rig.talk()) {
             n[0].mute(true);
             n[1].mute(true);
--- a/src/test/java/cacheproxy/daemon/SiblingCachesTest.java
+++ b/src/test/java/cacheproxy/daemon/SiblingCachesTest.java
@@ -4,15 +4,15 @@
 
 import cacheproxy.config.Addresses;
 import cacheproxy.config.DaemonConfigReader;
-import cacheproxy.icp.IcpCodec;
-import cacheproxy.icp.IcpMessage;
-import cacheproxy.icp.IcpMessage.Opcode;
+import cacheproxy.fakes.FakeCacheServer;
+import cacheproxy.fakes.FakeFleet;
+import cacheproxy.fakes.FakeOrigin;
 import cacheproxy.fakes.LoadClient;
 import cacheproxy.fakes.LoadClient.Ask;
 import cacheproxy.fakes.LossyDatagramLink;
-import cacheproxy.fakes.FakeFleet;
-import cacheproxy.fakes.FakeCacheServer;
-import cacheproxy.fakes.FakeOrigin;
+import cacheproxy.icp.IcpCodec;
+import cacheproxy.icp.IcpMessage;
+import cacheproxy.icp.IcpMessage.Opcode;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.buffer.Unpooled;
@@ -33,8 +33,8 @@
 /** Proxies with fleets and origins of their own that ask each other by ICP. */
 @Timeout(120)
 class SiblingCachesTest {
-    private static final String CLASSES = DaemonHarness.CLASSES + "[[class]]\nname = \"sibling\"\neffect = \"safe\"\naim_ms = 5000\n"
-            + "deadline_ms = 10000\n";
+    private static final String CLASSES = DaemonHarness.CLASSES
+            + "[[class]]\nname = \"sibling\"\neffect = \"safe\"\naim_ms = 5000\n" + "deadline_ms = 10000\n";
     private final List<AutoCloseable> open = new ArrayList<>();
 
     /** One proxy with its fleet. Ports are taken before, as each must be in the others' files. */
@@ -51,20 +51,28 @@
         }
 
         void knows(String name, InetSocketAddress at, InetSocketAddress fetchAt) {
-            siblings.add("[[sibling]]\nname = \"" + name + "\"\nicp = \"" + Addresses.text(at) + "\"\nfetch = \"" + Addresses.text(fetchAt)
-                    + "\"\nclass = \"sibling\"\n");
+            siblings.add("[[sibling]]\nname = \"" + name + "\"\nicp = \"" + Addresses.text(at) + "\"\nfetch = \""
+                    + Addresses.text(fetchAt) + "\"\nclass = \"sibling\"\n");
         }
 
         String file() {
             StringBuilder names = new StringBuilder();
             for (int i = 0; i < siblings.size(); i++) {
-                names.append(i > 0 ? ", " : "").append('"').append(siblings.get(i).split("\"")[1]).append('"');
+                names.append(i > 0 ? ", " : "")
+                        .append('"')
+                        .append(siblings.get(i).split("\"")[1])
+                        .append('"');
             }
-            return DaemonHarness.LIMITS + CLASSES + DaemonHarness.MAIN + "[[listen]]\nname = \"siblings\"\naddress = \"" + Addresses.text(fetch)
-                    + "\"\n[icp]\naddress = \"" + Addresses.text(icp) + "\"\nlistener = \"siblings\"\n" + String.join("", siblings)
-                    + DaemonHarness.pool("a", fleet, "siblings = [" + names + "]", fleet.nodes.toArray(new FakeCacheServer[0]))
-                    + DaemonHarness.pool("lookup", fleet, "", fleet.nodes.toArray(new FakeCacheServer[0])).replaceAll("\\[pool.origin]\nname.*\ndial.*\n", "")
-                    + DaemonHarness.route("from-siblings", "listener = \"siblings\"", "lookup") + DaemonHarness.route("all", "", "a");
+            return DaemonHarness.LIMITS + CLASSES + DaemonHarness.MAIN + "[[listen]]\nname = \"siblings\"\naddress = \""
+                    + Addresses.text(fetch)
+                    + "\"\n[icp]\naddress = \"" + Addresses.text(icp) + "\"\nlistener = \"siblings\"\n"
+                    + String.join("", siblings)
+                    + DaemonHarness.pool(
+                            "a", fleet, "siblings = [" + names + "]", fleet.nodes.toArray(new FakeCacheServer[0]))
+                    + DaemonHarness.pool("lookup", fleet, "", fleet.nodes.toArray(new FakeCacheServer[0]))
+                            .replaceAll("\\[pool.origin]\nname.*\ndial.*\n", "")
+                    + DaemonHarness.route("from-siblings", "listener = \"siblings\"", "lookup")
+                    + DaemonHarness.route("all", "", "a");
         }
 
         Site start() throws Exception {
@@ -74,8 +82,12 @@
         }
 
         CompletableFuture<LoadClient.Account> load(int total, int from) {
-            return new LoadClient(fleet.loop(), daemon.address("main"), total, i -> new Ask("k/" + (from + i), "c=page", null,
-                    FakeOrigin.value("k/" + (from + i)))).start(4, 2);
+            return new LoadClient(
+                            fleet.loop(),
+                            daemon.address("main"),
+                            total,
+                            i -> new Ask("k/" + (from + i), "c=page", null, FakeOrigin.value("k/" + (from + i))))
+                    .start(4, 2);
         }
 
         LoadClient.Account ask(int total, int from) throws Exception {
@@ -160,8 +172,12 @@
             s.fleet.origin.work(300); // so that all have asked before any has it, also on a busy machine
         }
         for (Site s : sites) {
-            loads.add(new LoadClient(s.fleet.loop(), s.daemon.address("main"), 4, i -> new Ask("nobody", "c=page", null,
-                    FakeOrigin.value("nobody"))).start(4, 1)); // fewer than make a key hot, which is spread
+            loads.add(new LoadClient(
+                            s.fleet.loop(),
+                            s.daemon.address("main"),
+                            4,
+                            i -> new Ask("nobody", "c=page", null, FakeOrigin.value("nobody")))
+                    .start(4, 1)); // fewer than make a key hot, which is spread
         }
         for (int i = 0; i < 3; i++) {
             LoadClient.Account a = loads.get(i).get(60, TimeUnit.SECONDS);
@@ -237,7 +253,8 @@
             int served = 0;
             for (int round = 0; served == 0; round++) { // until b has seen both again
                 b.ask(100, 1000 + 100 * round);
-                served = Math.min(b.fleet.nodes.get(0).commands(), b.fleet.nodes.get(1).commands());
+                served = Math.min(
+                        b.fleet.nodes.get(0).commands(), b.fleet.nodes.get(1).commands());
             }
             for (int i = 0; i < 50; i++) {
                 assertThat(asked(friend, b, "http://coralbay/k/" + i).opcode()).isNotEqualTo(Opcode.HIT);
@@ -249,28 +266,36 @@
     @Test
     void aSiblingThatSendsSpoiltAnswersHarmsNoRequest() throws Exception {
         Site a = new Site();
-        String[] answers = {"VA 5 Oother\r\nwrong\r\n", "VA 900 O%s\r\nshort", "VA x O%s\r\n", "\0\0\0\r\n", "EN O%s\r\n",
-            "SERVER_ERROR busy 7\r\n", ""};
+        String[] answers = {
+            "VA 5 Oother\r\nwrong\r\n",
+            "VA 900 O%s\r\nshort",
+            "VA x O%s\r\n",
+            "\0\0\0\r\n",
+            "EN O%s\r\n",
+            "SERVER_ERROR busy 7\r\n",
+            ""
+        };
         ServerSocket fetches = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         DatagramSocket icp = new DatagramSocket(0, InetAddress.getLoopbackAddress());
         open.add(fetches);
         open.add(icp);
-        Thread liar = new Thread(() -> { // promises everything
-            byte[] buf = new byte[2000];
-            try {
-                while (true) {
-                    DatagramPacket p = new DatagramPacket(buf, buf.length);
-                    icp.receive(p);
-                    IcpMessage q = IcpCodec.decode(Unpooled.wrappedBuffer(buf, 0, p.getLength()));
-                    ByteBuf out = IcpCodec.encode(ByteBufAllocator.DEFAULT, q.answer(Opcode.HIT));
-                    byte[] bytes = new byte[out.readableBytes()];
-                    out.readBytes(bytes).release();
-                    icp.send(new DatagramPacket(bytes, bytes.length, p.getSocketAddress()));
-                }
-            } catch (Exception e) {
-                // the test has ended
-            }
-        });
+        Thread liar = new Thread(
+                () -> { // promises everything
+                    byte[] buf = new byte[2000];
+                    try {
+                        while (true) {
+                            DatagramPacket p = new DatagramPacket(buf, buf.length);
+                            icp.receive(p);
+                            IcpMessage q = IcpCodec.decode(Unpooled.wrappedBuffer(buf, 0, p.getLength()));
+                            ByteBuf out = IcpCodec.encode(ByteBufAllocator.DEFAULT, q.answer(Opcode.HIT));
+                            byte[] bytes = new byte[out.readableBytes()];
+                            out.readBytes(bytes).release();
+                            icp.send(new DatagramPacket(bytes, bytes.length, p.getSocketAddress()));
+                        }
+                    } catch (Exception e) {
+                        // the test has ended
+                    }
+                });
         liar.setDaemon(true);
         liar.start();
         java.util.concurrent.atomic.AtomicInteger asked = new java.util.concurrent.atomic.AtomicInteger();
@@ -278,7 +303,8 @@
             try {
                 while (true) {
                     java.net.Socket s = fetches.accept();
-                    String line = new java.io.BufferedReader(new java.io.InputStreamReader(s.getInputStream())).readLine();
+                    String line =
+                            new java.io.BufferedReader(new java.io.InputStreamReader(s.getInputStream())).readLine();
                     if (line != null) {
                         String id = line.substring(line.indexOf(" O") + 2).split(" ")[0];
                         String answer = answers[asked.getAndIncrement() % answers.length].replace("%s", id);
@@ -292,7 +318,8 @@
         });
         script.setDaemon(true);
         script.start();
-        a.knows("liar", (InetSocketAddress) icp.getLocalSocketAddress(), (InetSocketAddress) fetches.getLocalSocketAddress());
+        a.knows("liar", (InetSocketAddress) icp.getLocalSocketAddress(), (InetSocketAddress)
+                fetches.getLocalSocketAddress());
         a.start();
         a.fleet.origin.work(20);
         LoadClient.Account got = a.ask(300, 0); // the load checks each value
@@ -324,8 +351,13 @@
         b.knows("a", a.icp, a.fetch);
         a.start();
         b.start();
-        LoadClient.Account w = new LoadClient(a.fleet.loop(), a.daemon.address("main"), 100, i -> new Ask("k/" + i, i % 2 == 0 ? "c=submit"
-                : "c=publish,k=p" + i, "mark-" + i, null)).start(4, 2).get(60, TimeUnit.SECONDS);
+        LoadClient.Account w = new LoadClient(
+                        a.fleet.loop(),
+                        a.daemon.address("main"),
+                        100,
+                        i -> new Ask("k/" + i, i % 2 == 0 ? "c=submit" : "c=publish,k=p" + i, "mark-" + i, null))
+                .start(4, 2)
+                .get(60, TimeUnit.SECONDS);
         assertThat(w.faults).isEmpty();
         assertThat(w.served).isEqualTo(100);
         assertThat(a.fleet.ledger.repeated()).isZero();
@@ -355,10 +387,13 @@
             b.ask(5, 0);
             assertThat(asked(friend, b, "http://coralbay/k/1").opcode()).isEqualTo(Opcode.HIT);
             assertThat(asked(friend, b, "http://other/k/1").opcode()).isEqualTo(Opcode.ERR);
-            assertThat(asked(friend, b, "http://coralbay/" + "k".repeat(300)).opcode()).isEqualTo(Opcode.MISS);
+            assertThat(asked(friend, b, "http://coralbay/" + "k".repeat(300)).opcode())
+                    .isEqualTo(Opcode.MISS);
             // A write voids what is known of a key.
-            LoadClient.Account w = new LoadClient(b.fleet.loop(), b.daemon.address("main"), 1, i -> new Ask("k/1", "c=submit", "m", null))
-                    .start(1, 1).get(60, TimeUnit.SECONDS);
+            LoadClient.Account w = new LoadClient(
+                            b.fleet.loop(), b.daemon.address("main"), 1, i -> new Ask("k/1", "c=submit", "m", null))
+                    .start(1, 1)
+                    .get(60, TimeUnit.SECONDS);
             assertThat(w.served).isEqualTo(1);
             assertThat(asked(friend, b, "http://coralbay/k/1").opcode()).isEqualTo(Opcode.MISS);
             assertThat(asked(friend, b, "http://coralbay/k/2").opcode()).isEqualTo(Opcode.HIT);
@@ -368,12 +403,14 @@
                 send(stranger, b, new IcpMessage(Opcode.HIT, i, 0, 0, 0, 0, "http://coralbay/k/2", null));
                 stranger.send(new DatagramPacket(new byte[i % 40], i % 40, b.daemon.icpAddress()));
             }
-            assertThat(asked(friend, b, "http://coralbay/k/2").opcode()).as("others are not disturbed").isEqualTo(Opcode.HIT);
+            assertThat(asked(friend, b, "http://coralbay/k/2").opcode())
+                    .as("others are not disturbed")
+                    .isEqualTo(Opcode.HIT);
             // The friend's last answer came after all of the stranger's: what he was told is in his socket by now.
             stranger.setSoTimeout(1);
             int heard = 0;
             try {
-                for (byte[] buf = new byte[1000];; heard++) {
+                for (byte[] buf = new byte[1000]; ; heard++) {
                     stranger.receive(new DatagramPacket(buf, buf.length));
                 }
             } catch (java.net.SocketTimeoutException e) {
@@ -396,7 +433,8 @@
         from.setSoTimeout(500);
         IcpMessage m = null;
         while (m == null || m.requestNumber() != number) {
-            // Datagrams may be lost, also on loopback, where a flood has filled the socket; what was asked twice is answered twice.
+            // Datagrams may be lost, also on loopback, where a flood has filled the socket; what was asked twice is
+            // answered twice.
             if (m == null) {
                 send(from, to, IcpMessage.query(number, 0, url));
             }
--- a/src/test/java/cacheproxy/daemon/fleet/FleetQuotasTest.java
+++ b/src/test/java/cacheproxy/daemon/fleet/FleetQuotasTest.java
@@ -1,21 +1,20 @@
 package cacheproxy.daemon.fleet;
 
-import cacheproxy.daemon.Daemon;
-import cacheproxy.daemon.DaemonHarness;
-import cacheproxy.daemon.Ports;
-
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import com.google.gson.JsonArray;
-import com.google.gson.JsonObject;
-import com.google.gson.JsonParser;
 import cacheproxy.cli.Cli;
 import cacheproxy.config.ConfigException;
 import cacheproxy.config.DaemonConfigReader;
 import cacheproxy.config.FleetConfig;
 import cacheproxy.config.LimitsConfig;
+import cacheproxy.daemon.Daemon;
+import cacheproxy.daemon.DaemonHarness;
+import cacheproxy.daemon.Ports;
 import cacheproxy.fakes.FakeFleet;
+import com.google.gson.JsonArray;
+import com.google.gson.JsonObject;
+import com.google.gson.JsonParser;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.Socket;
@@ -41,8 +40,10 @@
     }
 
     private String file(int port, String limits) {
-        return DaemonHarness.CLASSES + DaemonHarness.MAIN + DaemonHarness.pool("pages", fleet, "", fleet.nodes.get(0)) + DaemonHarness.route("all", "", "pages")
-                + "[control]\nlisten = \"127.0.0.1:0\"\n[fleet]\nme = \"p1\"\nlisten = \"127.0.0.1:" + port + "\"\nlongest_lease_ms = 150\n"
+        return DaemonHarness.CLASSES + DaemonHarness.MAIN + DaemonHarness.pool("pages", fleet, "", fleet.nodes.get(0))
+                + DaemonHarness.route("all", "", "pages")
+                + "[control]\nlisten = \"127.0.0.1:0\"\n[fleet]\nme = \"p1\"\nlisten = \"127.0.0.1:" + port
+                + "\"\nlongest_lease_ms = 150\n"
                 + "[[fleet.peer]]\nname = \"p1\"\naddress = \"127.0.0.1:" + port + "\"\n" + limits;
     }
 
@@ -52,7 +53,8 @@
             s.setSoTimeout(20_000);
             s.getOutputStream().write("GET /limits HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
             String text = new String(s.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-            return JsonParser.parseString(text.substring(text.indexOf("\r\n\r\n") + 4)).getAsJsonArray();
+            return JsonParser.parseString(text.substring(text.indexOf("\r\n\r\n") + 4))
+                    .getAsJsonArray();
         }
     }
 
@@ -68,15 +70,18 @@
     @Test
     void requestsBeyondALimitAreRefusedWithATimeToComeBackAndOthersServed() throws Exception {
         int port = Ports.free();
-        String limits = "[fleet.limits]\ngrant_ms = 100\nlease_ms = 100\n[[fleet.limit]]\nname = \"slow\"\nclass = \"page\"\nper_second = 0.5\nburst = 0\n"
-                + "[[fleet.limit]]\nname = \"hand\"\nclass = \"publish\"\nat_once = 2\nwhen_alone = \"none\"\n"
-                + "[[fleet.limit]]\nname = \"pool\"\npool = \"pages\"\nper_second = 100000\n";
-        try (Daemon d = Daemon.start(DaemonConfigReader.parse("f.toml", file(port, limits)), 5); Socket s = new Socket()) {
+        String limits =
+                "[fleet.limits]\ngrant_ms = 100\nlease_ms = 100\n[[fleet.limit]]\nname = \"slow\"\nclass = \"page\"\nper_second = 0.5\nburst = 0\n"
+                        + "[[fleet.limit]]\nname = \"hand\"\nclass = \"publish\"\nat_once = 2\nwhen_alone = \"none\"\n"
+                        + "[[fleet.limit]]\nname = \"pool\"\npool = \"pages\"\nper_second = 100000\n";
+        try (Daemon d = Daemon.start(DaemonConfigReader.parse("f.toml", file(port, limits)), 5);
+                Socket s = new Socket()) {
             s.connect(d.address("main"));
             s.setSoTimeout(20_000);
             int served = 0;
             int refused = 0;
-            // A bucket of one that fills once in two seconds, empty at the start: one passes some time, and not two in a row.
+            // A bucket of one that fills once in two seconds, empty at the start: one passes some time, and not two in
+            // a row.
             while (served == 0 || refused == 0) {
                 s.getOutputStream().write("mg a v Oq1 Pc=page,d=1000\r\n".getBytes(StandardCharsets.US_ASCII));
                 String line = line(s);
@@ -99,11 +104,14 @@
             assertThat(limit(d, "pool").get("scope").getAsString()).isEqualTo("pool pages");
             String control = "127.0.0.1:" + d.controlAddress().getPort();
             assertThat(Cli.run(new String[] {"limits", "--control", control})).isZero();
-            assertThat(Cli.run(new String[] {"limits", "--json", "--control", control})).isZero();
-            assertThat(Cli.run(new String[] {"limits", "--control", "127.0.0.1:1"})).isEqualTo(2);
+            assertThat(Cli.run(new String[] {"limits", "--json", "--control", control}))
+                    .isZero();
+            assertThat(Cli.run(new String[] {"limits", "--control", "127.0.0.1:1"}))
+                    .isEqualTo(2);
 
             // Raised by a new file: what was refused is served; taken out, it is gone.
-            d.load(DaemonConfigReader.parse("f.toml", file(port, limits.replace("per_second = 0.5", "per_second = 50000"))));
+            d.load(DaemonConfigReader.parse(
+                    "f.toml", file(port, limits.replace("per_second = 0.5", "per_second = 50000"))));
             while (limit(d, "slow").get("mine").getAsDouble() < 40_000) {
                 Thread.onSpinWait();
             }
@@ -116,7 +124,7 @@
 
     private static String line(Socket s) throws IOException {
         StringBuilder text = new StringBuilder();
-        for (int c; (c = s.getInputStream().read()) >= 0 && c != '\n';) {
+        for (int c; (c = s.getInputStream().read()) >= 0 && c != '\n'; ) {
             text.append((char) c);
         }
         return text.toString().strip();
@@ -133,17 +141,22 @@
             {"name = \"a\"\nper_second = 5\ntenant = \"none\"", "there is no tenant 'none'"},
             {"name = \"a\"\nper_second = 5\nwhen_alone = \"maybe\"", "when_alone"},
             {"name = \"a\"\nper_second = 5\nwhen_alone = \"none\"\nshare_part = 0.5", "own no share"},
-            {"name = \"a b\"\nper_second = 5", "limit name 'a b'"}};
+            {"name = \"a b\"\nper_second = 5", "limit name 'a b'"}
+        };
         for (String[] w : wrong) {
-            assertThatThrownBy(() -> DaemonConfigReader.parse("f.toml", file(7, "[[fleet.limit]]\n" + w[0] + "\n"))).isInstanceOf(ConfigException.class)
-                    .hasMessageContaining(w[1]).hasMessageContaining("f.toml:");
+            assertThatThrownBy(() -> DaemonConfigReader.parse("f.toml", file(7, "[[fleet.limit]]\n" + w[0] + "\n")))
+                    .isInstanceOf(ConfigException.class)
+                    .hasMessageContaining(w[1])
+                    .hasMessageContaining("f.toml:");
         }
-        assertThatThrownBy(() -> DaemonConfigReader.parse("f.toml", file(7, "[[duty]]\nname = \"limits.0\"\n"))).hasMessageContaining("the program's own");
+        assertThatThrownBy(() -> DaemonConfigReader.parse("f.toml", file(7, "[[duty]]\nname = \"limits.0\"\n")))
+                .hasMessageContaining("the program's own");
         StringBuilder many = new StringBuilder();
         for (int i = 0; i < 1001; i++) {
             many.append("[[fleet.limit]]\nname = \"l").append(i).append("\"\nper_second = 5\n");
         }
-        assertThatThrownBy(() -> DaemonConfigReader.parse("f.toml", file(7, many.toString()))).hasMessageContaining("at most 1000");
+        assertThatThrownBy(() -> DaemonConfigReader.parse("f.toml", file(7, many.toString())))
+                .hasMessageContaining("at most 1000");
     }
 
     @Test
@@ -152,7 +165,9 @@
         for (int i = 0; i < 1000; i++) {
             many.append("[[fleet.limit]]\nname = \"l").append(i).append("\"\nper_second = 5\n");
         }
-        LimitsConfig read = DaemonConfigReader.parse("f.toml", file(7, many.toString())).part(FleetConfig.class).limits();
+        LimitsConfig read = DaemonConfigReader.parse("f.toml", file(7, many.toString()))
+                .part(FleetConfig.class)
+                .limits();
         assertThat(read.limits()).hasSize(1000);
         assertThat(read.duties()).hasSize(4);
     }
--- a/src/test/java/cacheproxy/daemon/fleet/FleetSubsystemTest.java
+++ b/src/test/java/cacheproxy/daemon/fleet/FleetSubsystemTest.java
@@ -1,9 +1,5 @@
 package cacheproxy.daemon.fleet;
 
-import cacheproxy.daemon.Daemon;
-import cacheproxy.daemon.DaemonHarness;
-import cacheproxy.daemon.Ports;
-
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
@@ -11,15 +7,18 @@
 import cacheproxy.config.ConfigException;
 import cacheproxy.config.DaemonConfigReader;
 import cacheproxy.config.FleetConfig;
-import cacheproxy.fleet.lease.NameHash;
-import cacheproxy.fleet.lease.LeaseMessage;
+import cacheproxy.daemon.Daemon;
+import cacheproxy.daemon.DaemonHarness;
+import cacheproxy.daemon.Ports;
 import cacheproxy.discovery.WatchVersionMessage;
-import cacheproxy.fleet.peer.DatagramEnvelope;
+import cacheproxy.fakes.FakeCacheServer;
+import cacheproxy.fakes.FakeFleet;
 import cacheproxy.fakes.LoadClient;
 import cacheproxy.fakes.ScriptedServer;
-import cacheproxy.fakes.FakeFleet;
-import cacheproxy.fakes.FakeCacheServer;
 import cacheproxy.fleet.healthcheck.HealthCheckMessage;
+import cacheproxy.fleet.lease.LeaseMessage;
+import cacheproxy.fleet.lease.NameHash;
+import cacheproxy.fleet.peer.DatagramEnvelope;
 import java.io.IOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
@@ -43,6 +42,7 @@
 class FleetSubsystemTest {
     @TempDir
     private Path folder;
+
     private FakeFleet fleet;
 
     @BeforeEach
@@ -56,14 +56,19 @@
     }
 
     private String file(String more) {
-        return DaemonHarness.CLASSES + DaemonHarness.MAIN + DaemonHarness.pool("pages", fleet, "", fleet.nodes.get(0)) + DaemonHarness.route("all", "", "pages")
-                + "[control]\nlisten = \"127.0.0.1:0\"\n" + more;
+        return DaemonHarness.CLASSES + DaemonHarness.MAIN + DaemonHarness.pool("pages", fleet, "", fleet.nodes.get(0))
+                + DaemonHarness.route("all", "", "pages") + "[control]\nlisten = \"127.0.0.1:0\"\n" + more;
     }
 
     private static String fleetOf(String me, int port, String keys, String... peers) {
-        StringBuilder text = new StringBuilder("[fleet]\nme = \"" + me + "\"\nlisten = \"127.0.0.1:" + port + "\"\nlongest_lease_ms = 150\n" + keys);
+        StringBuilder text = new StringBuilder(
+                "[fleet]\nme = \"" + me + "\"\nlisten = \"127.0.0.1:" + port + "\"\nlongest_lease_ms = 150\n" + keys);
         for (String p : peers) {
-            text.append("[[fleet.peer]]\nname = \"").append(p.split("@")[0]).append("\"\naddress = \"127.0.0.1:").append(p.split("@")[1]).append("\"\n");
+            text.append("[[fleet.peer]]\nname = \"")
+                    .append(p.split("@")[0])
+                    .append("\"\naddress = \"127.0.0.1:")
+                    .append(p.split("@")[1])
+                    .append("\"\n");
         }
         return text.toString();
     }
@@ -80,9 +85,12 @@
         InetSocketAddress to = d.controlAddress();
         try (Socket s = new Socket(to.getAddress(), to.getPort())) {
             s.setSoTimeout(20_000);
-            s.getOutputStream().write((call + " HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n").getBytes(StandardCharsets.US_ASCII));
+            s.getOutputStream()
+                    .write((call + " HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
+                            .getBytes(StandardCharsets.US_ASCII));
             String text = new String(s.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
-            return text.substring(9, 12) + " " + text.substring(text.indexOf("\r\n\r\n") + 4).strip();
+            return text.substring(9, 12) + " "
+                    + text.substring(text.indexOf("\r\n\r\n") + 4).strip();
         }
     }
 
@@ -104,25 +112,34 @@
             long epoch = Long.parseLong(await(d, "GET /duties/cron", "200 ").substring(4));
             assertThat(epoch).isPositive();
             assertThat(call(d, "GET /status")).isEqualTo("200 active");
-            assertThat(call(d, "GET /duties")).startsWith("200 [{\"duty\":\"cron\",\"holding\":true,\"epoch\":" + epoch + ",").endsWith("\"holder\":\"p1\"}]");
+            assertThat(call(d, "GET /duties"))
+                    .startsWith("200 [{\"duty\":\"cron\",\"holding\":true,\"epoch\":" + epoch + ",")
+                    .endsWith("\"holder\":\"p1\"}]");
             assertThat(call(d, "GET /duties/other")).startsWith("404");
             assertThat(call(d, "POST /duties/cron")).startsWith("405");
             assertThat(call(d, "POST /duties/cron/transfer?to=p9")).startsWith("400");
-            assertThat(call(d, "POST /duties/cron/transfer?to=p1")).as("to itself").startsWith("400");
+            assertThat(call(d, "POST /duties/cron/transfer?to=p1"))
+                    .as("to itself")
+                    .startsWith("400");
             assertThat(call(d, "GET /duties/cron/x")).startsWith("404");
             assertThat(call(d, "GET /else")).startsWith("404");
 
             d.load(DaemonConfigReader.parse("f", file(one + duty("cron") + duty("more"))));
             await(d, "GET /duties/more", "200 ");
             assertThat(call(d, "GET /duties/cron")).as("not moved by it").isEqualTo("200 " + epoch);
-            assertThatThrownBy(() -> d.load(DaemonConfigReader.parse("f", file(fleetOf("p1", 1, "", "p1@1").replace("127.0.0.1:1\"\nlongest",
-                    "192.0.2.1:9\"\nlongest"))))).isInstanceOf(ConfigException.class).hasMessageContaining("fleet can't be bound to 192.0.2.1:9");
+            assertThatThrownBy(() -> d.load(DaemonConfigReader.parse(
+                            "f",
+                            file(fleetOf("p1", 1, "", "p1@1")
+                                    .replace("127.0.0.1:1\"\nlongest", "192.0.2.1:9\"\nlongest")))))
+                    .isInstanceOf(ConfigException.class)
+                    .hasMessageContaining("fleet can't be bound to 192.0.2.1:9");
             assertThat(call(d, "GET /duties/cron")).as("nothing has changed").isEqualTo("200 " + epoch);
             d.load(DaemonConfigReader.parse("f", file(one + duty("more"))));
             assertThat(call(d, "GET /duties/cron")).startsWith("404");
             assertThat(call(d, "GET /duties")).doesNotContain("cron");
             d.load(DaemonConfigReader.parse("f", file(one + duty("more") + duty("cron"))));
-            assertThat(Long.parseLong(await(d, "GET /duties/cron", "200 ").substring(4))).isGreaterThan(epoch);
+            assertThat(Long.parseLong(await(d, "GET /duties/cron", "200 ").substring(4)))
+                    .isGreaterThan(epoch);
             d.load(DaemonConfigReader.parse("f", file("")));
             assertThat(call(d, "GET /duties")).as("no fleet any more").startsWith("404");
         }
@@ -134,7 +151,8 @@
         int[] ports = {Ports.free(), Ports.free(), Ports.free()};
         String[] peers = {"p1@" + ports[0], "p2@" + ports[1], "p3@" + ports[2]};
         String key = "key_file = \"keys\"\n";
-        try (Daemon a = daemon(fleetOf("p1", ports[0], key, peers) + duty("cron")); Daemon b = daemon(fleetOf("p2", ports[1], key, peers) + duty("cron"));
+        try (Daemon a = daemon(fleetOf("p1", ports[0], key, peers) + duty("cron"));
+                Daemon b = daemon(fleetOf("p2", ports[1], key, peers) + duty("cron"));
                 Daemon c = daemon(fleetOf("p3", ports[2], key, peers) + duty("cron"))) {
             List<Daemon> all = List.of(a, b, c);
             int holder = -1;
@@ -146,22 +164,40 @@
             int next = (holder + 1) % 3;
             // Who has not the key says that all voters would grant it to somebody else.
             try (DatagramSocket forger = new DatagramSocket()) {
-                DatagramEnvelope envelope = new DatagramEnvelope(NameHash.of("p" + (next + 1)), System.currentTimeMillis() + 1_000_000,
-                        List.of("another secret of some length".getBytes(StandardCharsets.UTF_8)), List.of());
+                DatagramEnvelope envelope = new DatagramEnvelope(
+                        NameHash.of("p" + (next + 1)),
+                        System.currentTimeMillis() + 1_000_000,
+                        List.of("another secret of some length".getBytes(StandardCharsets.UTF_8)),
+                        List.of());
                 for (int i = 0; i < 200; i++) {
-                    byte[] d = envelope.seal(NameHash.of("p" + (i % 3 + 1)), (byte) 1, new LeaseMessage(LeaseMessage.Kind.CLAIM, NameHash.of("cron"), 1, LeaseMessage.MOST_EPOCH - 9, 9, 150).bytes());
+                    byte[] d = envelope.seal(
+                            NameHash.of("p" + (i % 3 + 1)),
+                            (byte) 1,
+                            new LeaseMessage(
+                                            LeaseMessage.Kind.CLAIM,
+                                            NameHash.of("cron"),
+                                            1,
+                                            LeaseMessage.MOST_EPOCH - 9,
+                                            9,
+                                            150)
+                                    .bytes());
                     forger.send(new DatagramPacket(d, d.length, InetAddress.getByName("127.0.0.1"), ports[i % 3]));
                 }
             }
             InetSocketAddress control = all.get(holder).controlAddress();
             String to = "127.0.0.1:" + control.getPort();
-            assertThat(Cli.run(new String[] {"duties", "transfer", "cron", "--to", "p" + (next + 1), "--control", to})).isZero();
-            long epoch = Long.parseLong(await(all.get(next), "GET /duties/cron", "200 ").substring(4));
+            assertThat(Cli.run(new String[] {"duties", "transfer", "cron", "--to", "p" + (next + 1), "--control", to}))
+                    .isZero();
+            long epoch = Long.parseLong(
+                    await(all.get(next), "GET /duties/cron", "200 ").substring(4));
             assertThat(epoch).as("no forged claim was heard").isLessThan(LeaseMessage.MOST_EPOCH / 2);
             assertThat(Cli.run(new String[] {"duties", "--control", to})).isZero();
-            assertThat(Cli.run(new String[] {"duties", "--json", "--control", to})).isZero();
-            assertThat(Cli.run(new String[] {"duties", "transfer", "cron", "--to", "nobody", "--control", to})).isEqualTo(1);
-            assertThat(Cli.run(new String[] {"duties", "--control", "127.0.0.1:1"})).isEqualTo(2);
+            assertThat(Cli.run(new String[] {"duties", "--json", "--control", to}))
+                    .isZero();
+            assertThat(Cli.run(new String[] {"duties", "transfer", "cron", "--to", "nobody", "--control", to}))
+                    .isEqualTo(1);
+            assertThat(Cli.run(new String[] {"duties", "--control", "127.0.0.1:1"}))
+                    .isEqualTo(2);
             assertThat(Cli.run(new String[] {"duties", "--control", "here"})).isEqualTo(2);
         }
     }
@@ -172,13 +208,18 @@
         int[] ports = {Ports.free(), Ports.free(), Ports.free()};
         String[] peers = {"p1@" + ports[0], "p2@" + ports[1], "p3@" + ports[2]};
         java.util.concurrent.atomic.AtomicBoolean over = new java.util.concurrent.atomic.AtomicBoolean();
-        try (Daemon a = daemon(fleetOf("p1", ports[0], "", peers) + duty("cron")); Daemon b = daemon(fleetOf("p2", ports[1], "", peers) + duty("cron"));
-                Daemon c = daemon(fleetOf("p3", ports[2], "", peers) + duty("cron")); DatagramSocket forger = new DatagramSocket()) {
+        try (Daemon a = daemon(fleetOf("p1", ports[0], "", peers) + duty("cron"));
+                Daemon b = daemon(fleetOf("p2", ports[1], "", peers) + duty("cron"));
+                Daemon c = daemon(fleetOf("p3", ports[2], "", peers) + duty("cron"));
+                DatagramSocket forger = new DatagramSocket()) {
             Thread forging = new Thread(() -> {
                 for (int i = 0; !over.get(); i++) {
-                    byte[] d = new DatagramEnvelope(NameHash.of("p" + (i % 3 + 1)), Long.MAX_VALUE, List.of(), List.of()).seal(0, (byte) 1, new byte[0]);
+                    byte[] d = new DatagramEnvelope(
+                                    NameHash.of("p" + (i % 3 + 1)), Long.MAX_VALUE, List.of(), List.of())
+                            .seal(0, (byte) 1, new byte[0]);
                     try {
-                        forger.send(new DatagramPacket(d, d.length, InetAddress.getByName("127.0.0.1"), ports[i / 3 % 3]));
+                        forger.send(
+                                new DatagramPacket(d, d.length, InetAddress.getByName("127.0.0.1"), ports[i / 3 % 3]));
                     } catch (IOException e) {
                         return;
                     }
@@ -187,7 +228,7 @@
             forging.start();
             List<Daemon> all = List.of(a, b, c);
             try {
-                for (int moves = 0, at = -1; moves < 3;) {
+                for (int moves = 0, at = -1; moves < 3; ) {
                     for (int i = 0; i < 3; i++) {
                         if (i != at && call(all.get(i), "GET /duties/cron").startsWith("200")) {
                             at = i;
@@ -212,11 +253,13 @@
             DatagramPacket asked = new DatagramPacket(new byte[DatagramEnvelope.MOST], DatagramEnvelope.MOST);
             peer.receive(asked);
             String other = file(fleetOf("p1", port, "", "p1@" + port, "p2@" + peer.getLocalPort()) + duty("cron"))
-                    .replace("longest_lease_ms = 150", "longest_lease_ms = 151").replace("[control]\nlisten = \"127.0.0.1:0\"",
-                    "[control]\nlisten = \"192.0.2.1:9\"");
-            assertThatThrownBy(() -> d.load(DaemonConfigReader.parse("f", other))).isInstanceOf(ConfigException.class)
+                    .replace("longest_lease_ms = 150", "longest_lease_ms = 151")
+                    .replace("[control]\nlisten = \"127.0.0.1:0\"", "[control]\nlisten = \"192.0.2.1:9\"");
+            assertThatThrownBy(() -> d.load(DaemonConfigReader.parse("f", other)))
+                    .isInstanceOf(ConfigException.class)
                     .hasMessageContaining("control can't be bound");
-            // What was on its way when the file was tried may be in the queue; the process's own life tells what came after.
+            // What was on its way when the file was tried may be in the queue; the process's own life tells what came
+            // after.
             for (int i = 0; i < 50; i++) {
                 peer.receive(asked);
             }
@@ -234,7 +277,9 @@
             long before = System.currentTimeMillis();
             d.load(DaemonConfigReader.parse("f", file(one)));
             long epoch = Long.parseLong(await(d, "GET /duties/cron", "200 ").substring(4));
-            assertThat(epoch - before).as("epochs are times where nobody remembers").isGreaterThanOrEqualTo(2000);
+            assertThat(epoch - before)
+                    .as("epochs are times where nobody remembers")
+                    .isGreaterThanOrEqualTo(2000);
         }
     }
 
@@ -260,16 +305,29 @@
                 name = "c"
                 lease_ms = 5000
                 voters = 4
-                """))).isInstanceOfSatisfying(ConfigException.class, e -> assertThat(String.join("\n", e.errors()))
-                .contains("there is no peer 'p4'").contains("another peer 'p1'").contains("another peer has the address 127.0.0.1:7")
-                .contains("joining is not leaving").contains("duty name 'a b'").contains("lease_ms is 5000").contains("odd number")
-                .contains("at least 16 characters"));
-        assertThatThrownBy(() -> DaemonConfigReader.parse("f", file(duty("x")))).hasMessageContaining("duties need [fleet]");
-        FleetConfig open = DaemonConfigReader.parse("f", file(fleetOf("p1", 9, "", "p1@9", "p2@8"))).part(FleetConfig.class);
+                """)))
+                .isInstanceOfSatisfying(
+                        ConfigException.class,
+                        e -> assertThat(String.join("\n", e.errors()))
+                                .contains("there is no peer 'p4'")
+                                .contains("another peer 'p1'")
+                                .contains("another peer has the address 127.0.0.1:7")
+                                .contains("joining is not leaving")
+                                .contains("duty name 'a b'")
+                                .contains("lease_ms is 5000")
+                                .contains("odd number")
+                                .contains("at least 16 characters"));
+        assertThatThrownBy(() -> DaemonConfigReader.parse("f", file(duty("x"))))
+                .hasMessageContaining("duties need [fleet]");
+        FleetConfig open = DaemonConfigReader.parse("f", file(fleetOf("p1", 9, "", "p1@9", "p2@8")))
+                .part(FleetConfig.class);
         assertThat(open.warnings()).singleElement().asString().contains("key_file");
         assertThat(open.namesBefore()).isEmpty();
-        FleetConfig moving = DaemonConfigReader.parse("f", file(fleetOf("p1", 9, "", "p1@9", "p2@8") + "leaving = true\n"
-                + "[[fleet.peer]]\nname = \"p3\"\naddress = \"127.0.0.1:7\"\njoining = true\n")).part(FleetConfig.class);
+        FleetConfig moving = DaemonConfigReader.parse(
+                        "f",
+                        file(fleetOf("p1", 9, "", "p1@9", "p2@8") + "leaving = true\n"
+                                + "[[fleet.peer]]\nname = \"p3\"\naddress = \"127.0.0.1:7\"\njoining = true\n"))
+                .part(FleetConfig.class);
         assertThat(moving.names()).containsExactly("p1", "p3");
         assertThat(moving.namesBefore()).containsExactly("p1", "p2");
     }
@@ -278,26 +336,37 @@
     private byte[] askedFor(Daemon d, FakeCacheServer mute, DatagramSocket peer) throws Exception {
         DatagramPacket in = new DatagramPacket(new byte[DatagramEnvelope.MOST], DatagramEnvelope.MOST);
         peer.setSoTimeout(50);
-        for (int from = 0;; from += 20) {
+        for (int from = 0; ; from += 20) {
             int first = from;
-            new LoadClient(fleet.loop(), d.address("main"), 20, i -> DaemonHarness.read("k/" + (first + i))).start(4, 1).get(100, TimeUnit.SECONDS);
+            new LoadClient(fleet.loop(), d.address("main"), 20, i -> DaemonHarness.read("k/" + (first + i)))
+                    .start(4, 1)
+                    .get(100, TimeUnit.SECONDS);
             try {
                 while (true) {
                     peer.receive(in);
                     if (in.getData()[2] == FleetHealthChecks.TOPIC) {
-                        return java.util.Arrays.copyOfRange(in.getData(), DatagramEnvelope.MOST - DatagramEnvelope.MOST_PAYLOAD - 16, in.getLength() - 4);
+                        return java.util.Arrays.copyOfRange(
+                                in.getData(),
+                                DatagramEnvelope.MOST - DatagramEnvelope.MOST_PAYLOAD - 16,
+                                in.getLength() - 4);
                     }
                 }
             } catch (SocketTimeoutException e) {
-                assertThat(mute.tested()).as("nobody tests while the question is out").isZero();
+                assertThat(mute.tested())
+                        .as("nobody tests while the question is out")
+                        .isZero();
             }
         }
     }
 
     private String withMute(String more) {
-        return "[limits]\nconnect_timeout_ms = 10\nmax_retry_after_ms = 5\n" + DaemonHarness.CLASSES.replace("aim_ms = 10000", "aim_ms = 100")
-                .replace("deadline_ms = 20000", "deadline_ms = 1000") + DaemonHarness.MAIN + DaemonHarness.pool("pages", fleet, "",
-                fleet.nodes.toArray(new FakeCacheServer[0])) + DaemonHarness.route("all", "", "pages") + "[control]\nlisten = \"127.0.0.1:0\"\n" + more;
+        return "[limits]\nconnect_timeout_ms = 10\nmax_retry_after_ms = 5\n"
+                + DaemonHarness.CLASSES
+                        .replace("aim_ms = 10000", "aim_ms = 100")
+                        .replace("deadline_ms = 20000", "deadline_ms = 1000")
+                + DaemonHarness.MAIN
+                + DaemonHarness.pool("pages", fleet, "", fleet.nodes.toArray(new FakeCacheServer[0]))
+                + DaemonHarness.route("all", "", "pages") + "[control]\nlisten = \"127.0.0.1:0\"\n" + more;
     }
 
     @Test
@@ -309,29 +378,44 @@
         try (DatagramSocket peer = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
             String two = fleetOf("p1", port, "", "p1@" + port, "p2@" + peer.getLocalPort());
             mute.mute(true);
-            try (Daemon d = Daemon.start(DaemonConfigReader.parse("f", withMute(two + "[fleet.probe]\nlease_ms = 150\npatience_ms = 10000\n")), 5)) {
+            try (Daemon d = Daemon.start(
+                    DaemonConfigReader.parse(
+                            "f", withMute(two + "[fleet.probe]\nlease_ms = 150\npatience_ms = 10000\n")),
+                    5)) {
                 askedFor(d, mute, peer);
                 mute.mute(false);
-                d.load(DaemonConfigReader.parse("f", withMute(two.replace("longest_lease_ms = 150", "longest_lease_ms = 160")
-                        + "[fleet.probe]\nlease_ms = 150\npatience_ms = 10000\n")));
+                d.load(DaemonConfigReader.parse(
+                        "f",
+                        withMute(two.replace("longest_lease_ms = 150", "longest_lease_ms = 160")
+                                + "[fleet.probe]\nlease_ms = 150\npatience_ms = 10000\n")));
                 while (mute.tested() == 0) {
                     Thread.onSpinWait();
                 }
-                assertThat(call(d, "GET /fleet")).startsWith("200 {\"me\":\"p1\"").contains("\"trials\":{\"own\":0").contains("\"p2\":\"unknown\"");
+                assertThat(call(d, "GET /fleet"))
+                        .startsWith("200 {\"me\":\"p1\"")
+                        .contains("\"trials\":{\"own\":0")
+                        .contains("\"p2\":\"unknown\"");
             }
             int before = mute.tested();
             mute.mute(true);
-            try (Daemon d = Daemon.start(DaemonConfigReader.parse("f", withMute(two + "[fleet.probe]\nlease_ms = 150\npatience_ms = 300\n")), 5)) {
+            try (Daemon d = Daemon.start(
+                    DaemonConfigReader.parse("f", withMute(two + "[fleet.probe]\nlease_ms = 150\npatience_ms = 300\n")),
+                    5)) {
                 for (int from = 0; mute.tested() == before; from += 20) {
                     int first = from;
-                    new LoadClient(fleet.loop(), d.address("main"), 20, i -> DaemonHarness.read("k/" + (first + i))).start(4, 1).get(100, TimeUnit.SECONDS);
+                    new LoadClient(fleet.loop(), d.address("main"), 20, i -> DaemonHarness.read("k/" + (first + i)))
+                            .start(4, 1)
+                            .get(100, TimeUnit.SECONDS);
                 }
                 assertThat(call(d, "POST /fleet")).startsWith("405");
             }
         }
     }
 
-    /** Where servers take no tests: no request goes to a sick server while its holder is asked, and the holder's word that it is sound lets them go again. */
+    /**
+     * Where servers take no tests: no request goes to a sick server while its holder is asked, and the holder's word
+     * that it is sound lets them go again.
+     */
     @Test
     void aRequestIsNoTrialWhileWordOfTheHolderIsOut() throws Exception {
         fleet.close();
@@ -340,15 +424,31 @@
         int port = Ports.free();
         try (DatagramSocket peer = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
             mute.mute(true);
-            try (Daemon d = Daemon.start(DaemonConfigReader.parse("f", withMute(fleetOf("p1", port, "", "p1@" + port, "p2@" + peer.getLocalPort())
-                    + "[fleet.probe]\nby = \"requests\"\nlease_ms = 150\npatience_ms = 10000\n")), 5)) {
+            try (Daemon d = Daemon.start(
+                    DaemonConfigReader.parse(
+                            "f",
+                            withMute(fleetOf("p1", port, "", "p1@" + port, "p2@" + peer.getLocalPort())
+                                    + "[fleet.probe]\nby = \"requests\"\nlease_ms = 150\npatience_ms = 10000\n")),
+                    5)) {
                 HealthCheckMessage asked = HealthCheckMessage.of(askedFor(d, mute, peer));
                 int before = mute.commands();
                 ask(d, 40);
                 assertThat(mute.commands()).as("while the question is out").isEqualTo(before);
                 mute.mute(false);
-                byte[] sound = new DatagramEnvelope(NameHash.of("p2"), 1, List.of(), List.of(NameHash.of("p1"))).seal(NameHash.of("p1"), FleetHealthChecks.TOPIC,
-                        new HealthCheckMessage(HealthCheckMessage.Kind.ANSWER, asked.duty(), asked.server(), asked.number(), 1, 0, true, 0).bytes());
+                byte[] sound = new DatagramEnvelope(NameHash.of("p2"), 1, List.of(), List.of(NameHash.of("p1")))
+                        .seal(
+                                NameHash.of("p1"),
+                                FleetHealthChecks.TOPIC,
+                                new HealthCheckMessage(
+                                                HealthCheckMessage.Kind.ANSWER,
+                                                asked.duty(),
+                                                asked.server(),
+                                                asked.number(),
+                                                1,
+                                                0,
+                                                true,
+                                                0)
+                                        .bytes());
                 peer.send(new DatagramPacket(sound, sound.length, InetAddress.getByName("127.0.0.1"), port));
                 while (mute.commands() == before) {
                     ask(d, 20);
@@ -360,33 +460,48 @@
     }
 
     private void ask(Daemon d, int requests) throws Exception {
-        new LoadClient(fleet.loop(), d.address("main"), requests, i -> DaemonHarness.read("k/" + i)).start(4, 1).get(100, TimeUnit.SECONDS);
+        new LoadClient(fleet.loop(), d.address("main"), requests, i -> DaemonHarness.read("k/" + i))
+                .start(4, 1)
+                .get(100, TimeUnit.SECONDS);
     }
 
     /** Its watch is open and silent; another proxy has a later list and says so. */
     @Test
     void aHolderWhoseWatchIsSilentAsksAnewWhenAnotherHasALaterList() throws Exception {
-        String host = "{\"host\":\"s-0000beef\",\"dial\":\"" + fleet.nodes.get(0).dial() + "\",\"site\":\"here\",\"class\":\"node\",\"block\":0,"
+        String host = "{\"host\":\"s-0000beef\",\"dial\":\""
+                + fleet.nodes.get(0).dial() + "\",\"site\":\"here\",\"class\":\"node\",\"block\":0,"
                 + "\"health\":\"up\",\"share\":1.0,\"born_ms\":0}";
         int port = Ports.free();
         try (ScriptedServer discovery = new ScriptedServer(c -> {
-            if (c.request().contains("since=0&")) {
-                c.sayHttp(200, "", "{\"seq\":5,\"whole\":true,\"hosts\":[" + host + "]}");
-                c.request();
-            }
-            c.awaitEnd();
-        }); DatagramSocket peer = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
-                Daemon d = Daemon.start(DaemonConfigReader.parse("f", DaemonHarness.CLASSES + DaemonHarness.MAIN + "[[pool]]\nname = \"a\"\n[pool.discovery]\naddress = \""
-                        + discovery.dial() + "\"\nzones = [\"here\"]\nkinds = [\"node\"]\n" + DaemonHarness.route("all", "", "a")
-                        + "[control]\nlisten = \"127.0.0.1:0\"\n" + fleetOf("p1", port, "", "p1@" + port, "p2@" + peer.getLocalPort())
-                        + "zone = \"b\"\n[fleet.watch]\nlease_ms = 150\nbeat_ms = 100\nlazy_ms = 10000\n"), 5)) {
+                    if (c.request().contains("since=0&")) {
+                        c.sayHttp(200, "", "{\"seq\":5,\"whole\":true,\"hosts\":[" + host + "]}");
+                        c.request();
+                    }
+                    c.awaitEnd();
+                });
+                DatagramSocket peer = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
+                Daemon d = Daemon.start(
+                        DaemonConfigReader.parse(
+                                "f",
+                                DaemonHarness.CLASSES + DaemonHarness.MAIN
+                                        + "[[pool]]\nname = \"a\"\n[pool.discovery]\naddress = \""
+                                        + discovery.dial() + "\"\nzones = [\"here\"]\nkinds = [\"node\"]\n"
+                                        + DaemonHarness.route("all", "", "a")
+                                        + "[control]\nlisten = \"127.0.0.1:0\"\n"
+                                        + fleetOf("p1", port, "", "p1@" + port, "p2@" + peer.getLocalPort())
+                                        + "zone = \"b\"\n[fleet.watch]\nlease_ms = 150\nbeat_ms = 100\nlazy_ms = 10000\n"),
+                        5)) {
             assertThat(discovery.commands.take()).contains("since=0&");
             assertThat(discovery.commands.take()).contains("since=5&");
             await(d, "GET /duties/watch.here.a", "200 ");
-            byte[] later = new DatagramEnvelope(NameHash.of("p2"), 1, List.of(), List.of(NameHash.of("p1"))).seal(NameHash.of("p1"), DelegatedWatches.TOPIC,
-                    new WatchVersionMessage(true, NameHash.of("watch.here.a"), 0, 0, 6).bytes());
+            byte[] later = new DatagramEnvelope(NameHash.of("p2"), 1, List.of(), List.of(NameHash.of("p1")))
+                    .seal(
+                            NameHash.of("p1"),
+                            DelegatedWatches.TOPIC,
+                            new WatchVersionMessage(true, NameHash.of("watch.here.a"), 0, 0, 6).bytes());
             peer.send(new DatagramPacket(later, later.length, InetAddress.getByName("127.0.0.1"), port));
-            // The silent call is given up 24 s after it was made, so a second one within half of that is the answer to the word.
+            // The silent call is given up 24 s after it was made, so a second one within half of that is the answer to
+            // the word.
             assertThat(discovery.commands.poll(12, TimeUnit.SECONDS)).contains("since=5&");
         }
     }
@@ -394,13 +509,29 @@
     @Test
     void whatIsWrongInTheProgramsOwnDutiesIsToldWithItsPlace() throws Exception {
         String one = fleetOf("p1", 9, "", "p1@9");
-        assertThatThrownBy(() -> DaemonConfigReader.parse("f", file(one.replace("[[fleet.peer]]\n", "[[fleet.peer]]\nzone = \"a.b\"\n") + duty("probe.1")
-                + duty("watch.x") + "[fleet.probe]\nvoters = 2\nshares = 0\npatience_ms = 100\n[fleet.watch]\nbeat_ms = 500\nword_ms = 400\nlazy_ms = 300\n")))
-                .isInstanceOfSatisfying(ConfigException.class, e -> assertThat(String.join("\n", e.errors())).contains("zone 'a.b'")
-                .contains("names that begin with probe. or watch.").contains("odd number").contains("shares is 0").contains("patience_ms is 100")
-                .contains("no longer than beat_ms").contains("shorter than word_ms"));
-        FleetConfig two = DaemonConfigReader.parse("f", file(fleetOf("p1", 9, "", "p1@9", "p2@8").replace("127.0.0.1:8\"\n", "127.0.0.1:8\"\nzone = \"b\"\n")
-                + "[fleet.watch]\n")).part(FleetConfig.class);
+        assertThatThrownBy(
+                        () -> DaemonConfigReader.parse(
+                                "f",
+                                file(
+                                        one.replace("[[fleet.peer]]\n", "[[fleet.peer]]\nzone = \"a.b\"\n")
+                                                + duty("probe.1") + duty("watch.x")
+                                                + "[fleet.probe]\nvoters = 2\nshares = 0\npatience_ms = 100\n[fleet.watch]\nbeat_ms = 500\nword_ms = 400\nlazy_ms = 300\n")))
+                .isInstanceOfSatisfying(
+                        ConfigException.class,
+                        e -> assertThat(String.join("\n", e.errors()))
+                                .contains("zone 'a.b'")
+                                .contains("names that begin with probe. or watch.")
+                                .contains("odd number")
+                                .contains("shares is 0")
+                                .contains("patience_ms is 100")
+                                .contains("no longer than beat_ms")
+                                .contains("shorter than word_ms"));
+        FleetConfig two = DaemonConfigReader.parse(
+                        "f",
+                        file(fleetOf("p1", 9, "", "p1@9", "p2@8")
+                                        .replace("127.0.0.1:8\"\n", "127.0.0.1:8\"\nzone = \"b\"\n")
+                                + "[fleet.watch]\n"))
+                .part(FleetConfig.class);
         assertThat(two.names("here")).containsExactly("p1");
         assertThat(two.names("b")).containsExactly("p2");
         assertThat(two.watchDuty("pages")).isEqualTo("watch.here.pages");
--- a/src/test/java/cacheproxy/daemon/hooks/HooksTest.java
+++ b/src/test/java/cacheproxy/daemon/hooks/HooksTest.java
@@ -1,15 +1,14 @@
 package cacheproxy.daemon.hooks;
 
-import cacheproxy.daemon.DaemonHarness;
-
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import cacheproxy.config.ConfigException;
-import cacheproxy.fakes.LoadClient;
-import cacheproxy.fakes.LoadClient.Ask;
+import cacheproxy.daemon.DaemonHarness;
 import cacheproxy.fakes.FakeFleet;
 import cacheproxy.fakes.FakeOrigin;
+import cacheproxy.fakes.LoadClient;
+import cacheproxy.fakes.LoadClient.Ask;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.concurrent.CompletableFuture;
@@ -32,32 +31,79 @@
     }
 
     private static String file(FakeFleet fleet, String hook) {
-        return DaemonHarness.LIMITS + DaemonHarness.CLASSES + DaemonHarness.MAIN + DaemonHarness.listener("hostile", "127.0.0.1:0") + hook
-                + DaemonHarness.pool("a", fleet, "", fleet.nodes.get(0), fleet.nodes.get(1)) + DaemonHarness.route("all", "", "a");
+        return DaemonHarness.LIMITS
+                + DaemonHarness.CLASSES
+                + DaemonHarness.MAIN
+                + DaemonHarness.listener("hostile", "127.0.0.1:0")
+                + hook
+                + DaemonHarness.pool("a", fleet, "", fleet.nodes.get(0), fleet.nodes.get(1))
+                + DaemonHarness.route("all", "", "a");
     }
 
     private static Ask ask(int i) {
         String key = "page/" + i % 100;
-        return i % 4 == 0 ? new Ask("s/" + i, "c=submit", "submit-" + i, null)
-                : i % 4 == 1 ? new Ask("p/" + i, "c=publish,k=publish-" + i, "publish-" + i, null)
-                : new Ask(key, "c=page", null, null);
+        return i % 4 == 0
+                ? new Ask("s/" + i, "c=submit", "submit-" + i, null)
+                : i % 4 == 1
+                        ? new Ask("p/" + i, "c=publish,k=publish-" + i, "publish-" + i, null)
+                        : new Ask(key, "c=page", null, null);
     }
 
     @ParameterizedTest
-    @ValueSource(strings = {"spin", "recurse", "trap", "divide", "grow", "grow-touch", "pointer", "negative", "long", "alloc-far", "utf8",
-        "long-key", "space-key", "control-key", "empty-key", "lower", "unknown-class", "unknown-route", "unknown-tenant", "later",
-        "twice", "unknown-order", "cut", "refuse", "rekey", "unsafe", "logs", "log-far", "config-far", "alternates", "burns", "state",
-        "sometimes", "steals-fuel", "copies", "answers"})
+    @ValueSource(
+            strings = {
+                "spin",
+                "recurse",
+                "trap",
+                "divide",
+                "grow",
+                "grow-touch",
+                "pointer",
+                "negative",
+                "long",
+                "alloc-far",
+                "utf8",
+                "long-key",
+                "space-key",
+                "control-key",
+                "empty-key",
+                "lower",
+                "unknown-class",
+                "unknown-route",
+                "unknown-tenant",
+                "later",
+                "twice",
+                "unknown-order",
+                "cut",
+                "refuse",
+                "rekey",
+                "unsafe",
+                "logs",
+                "log-far",
+                "config-far",
+                "alternates",
+                "burns",
+                "state",
+                "sometimes",
+                "steals-fuel",
+                "copies",
+                "answers"
+            })
     void aHostileHookHarmsNoOtherRequestAndItsOwnGetOneAnswerEach(String name) throws Exception {
         FakeFleet fleet = new FakeFleet(2);
         String rule = name.hashCode() % 2 == 0 ? "skip" : "refuse";
-        String keys = "listener = \"hostile\"\nqueue = 8\nrefuse_ms = 1\nbreaker_off_ms = 20\non_failure = \"" + rule + "\"";
+        String keys =
+                "listener = \"hostile\"\nqueue = 8\nrefuse_ms = 1\nbreaker_off_ms = 20\non_failure = \"" + rule + "\"";
         try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet, hook(HOSTILE.resolve(name + ".wasm"), keys)))) {
             int total = 400;
-            CompletableFuture<LoadClient.Account> hostile = new LoadClient(fleet.loop(), rig.daemon.address("hostile"), total,
-                    HooksTest::ask).start(4, 8);
-            CompletableFuture<LoadClient.Account> normal = new LoadClient(fleet.loop(), rig.daemon.address("main"), total,
-                    i -> new Ask("n/" + i, "c=page", null, FakeOrigin.value("n/" + i))).start(4, 4);
+            CompletableFuture<LoadClient.Account> hostile =
+                    new LoadClient(fleet.loop(), rig.daemon.address("hostile"), total, HooksTest::ask).start(4, 8);
+            CompletableFuture<LoadClient.Account> normal = new LoadClient(
+                            fleet.loop(),
+                            rig.daemon.address("main"),
+                            total,
+                            i -> new Ask("n/" + i, "c=page", null, FakeOrigin.value("n/" + i)))
+                    .start(4, 4);
             LoadClient.Account n = normal.get(100, TimeUnit.SECONDS);
             assertThat(n.faults).isEmpty();
             assertThat(n.answered()).isEqualTo(total);
@@ -76,10 +122,14 @@
     @Test
     void ordersAreCarriedOut() throws Exception {
         FakeFleet fleet = new FakeFleet(2);
-        String more = DaemonHarness.CLASSES.isEmpty() ? "" : "[[tenant]]\nname = \"red\"\n[[tenant]]\nname = \"blue\"\n";
-        String hooks = more + "[[hook]]\nname = \"keys\"\nmodule = \"" + KIT.resolve("key-schemes.wasm") + "\"\ntime_ms = 10000\n[[hook]]\nname = \"tenants\"\n"
-                + "module = \"" + KIT.resolve("tenant-list.wasm") + "\"\nlistener = [\"main\"]\norder = -1\ntime_ms = 10000\nconfig = \"blue\"\n";
-        try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet, hooks)); DaemonHarness.Talk talk = rig.talk()) {
+        String more =
+                DaemonHarness.CLASSES.isEmpty() ? "" : "[[tenant]]\nname = \"red\"\n[[tenant]]\nname = \"blue\"\n";
+        String hooks = more + "[[hook]]\nname = \"keys\"\nmodule = \"" + KIT.resolve("key-schemes.wasm")
+                + "\"\ntime_ms = 10000\n[[hook]]\nname = \"tenants\"\n" + "module = \""
+                + KIT.resolve("tenant-list.wasm")
+                + "\"\nlistener = [\"main\"]\norder = -1\ntime_ms = 10000\nconfig = \"blue\"\n";
+        try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet, hooks));
+                DaemonHarness.Talk talk = rig.talk()) {
             talk.say("mg A:7/vi v\r\n");
             assertThat(talk.lines(2)).containsExactly("VA 17", "value of sub/7/vi");
             talk.say("mg C|vi|7 v Pt=red\r\n");
@@ -92,33 +142,49 @@
     @Test
     void aHookOfARouteIsCalledForThatRouteAlone() throws Exception {
         FakeFleet fleet = new FakeFleet(2);
-        String hooks = "[[hook]]\nname = \"keys\"\nroute = \"rivals\"\nmodule = \"" + KIT.resolve("key-schemes.wasm") + "\"\ntime_ms = 10000\n";
+        String hooks = "[[hook]]\nname = \"keys\"\nroute = \"rivals\"\nmodule = \"" + KIT.resolve("key-schemes.wasm")
+                + "\"\ntime_ms = 10000\n";
         String file = file(fleet, hooks) + DaemonHarness.route("rivals", "prefix = \"A:\"", "a");
-        try (DaemonHarness rig = new DaemonHarness(fleet, file); DaemonHarness.Talk talk = rig.talk()) {
+        try (DaemonHarness rig = new DaemonHarness(fleet, file);
+                DaemonHarness.Talk talk = rig.talk()) {
             assertThat(talk.say("mg A:7/vi v\r\n").lines(2)).containsExactly("VA 17", "value of sub/7/vi");
             assertThat(talk.say("mg b-7-vi v\r\n").lines(2)).containsExactly("VA 15", "value of b-7-vi");
         }
-        assertThatThrownBy(() -> new DaemonHarness(fleet, file(fleet, hooks))).isInstanceOfSatisfying(ConfigException.class,
-                e -> assertThat(e.errors().get(0)).contains("there is no route 'rivals'"));
+        assertThatThrownBy(() -> new DaemonHarness(fleet, file(fleet, hooks)))
+                .isInstanceOfSatisfying(
+                        ConfigException.class,
+                        e -> assertThat(e.errors().get(0)).contains("there is no route 'rivals'"));
     }
 
     @Test
     void aModuleThatDoesNotLoadIsToldWithItsPlaceAndTheOldOneStays() throws Exception {
         FakeFleet fleet = new FakeFleet(2);
         String good = file(fleet, hook(KIT.resolve("key-schemes.wasm"), "time_ms = 10000"));
-        try (DaemonHarness rig = new DaemonHarness(fleet, good); DaemonHarness.Talk talk = rig.talk()) {
-            for (String[] c : new String[][] {{"wasi", "imports wasi_snapshot_preview1.fd_write"}, {"spin-load", "used up its fuel"},
-                {"nosuch", "there is no file"}, {"abi-2", "ABI version 2"}}) {
+        try (DaemonHarness rig = new DaemonHarness(fleet, good);
+                DaemonHarness.Talk talk = rig.talk()) {
+            for (String[] c : new String[][] {
+                {"wasi", "imports wasi_snapshot_preview1.fd_write"},
+                {"spin-load", "used up its fuel"},
+                {"nosuch", "there is no file"},
+                {"abi-2", "ABI version 2"}
+            }) {
                 assertThatThrownBy(() -> rig.load(file(fleet, hook(HOSTILE.resolve(c[0] + ".wasm"), ""))))
-                        .isInstanceOfSatisfying(ConfigException.class, e -> assertThat(e.errors()).singleElement().satisfies(
-                                l -> assertThat(l).matches("rig:[0-9]+:1: hook h does not load: .*").contains(c[1])));
+                        .isInstanceOfSatisfying(
+                                ConfigException.class,
+                                e -> assertThat(e.errors())
+                                        .singleElement()
+                                        .satisfies(l -> assertThat(l)
+                                                .matches("rig:[0-9]+:1: hook h does not load: .*")
+                                                .contains(c[1])));
             }
             Path huge = dir.resolve("huge.wasm");
             Files.write(huge, new byte[64 << 20]);
             assertThatThrownBy(() -> rig.load(file(fleet, hook(huge, "")))).isInstanceOf(ConfigException.class);
             String other = hook(KIT.resolve("key-schemes.wasm"), "sha256 = \"" + "0".repeat(64) + "\"");
-            assertThatThrownBy(() -> rig.load(file(fleet, other))).isInstanceOfSatisfying(ConfigException.class,
-                    e -> assertThat(e.errors().get(0)).contains("has the SHA-256 "));
+            assertThatThrownBy(() -> rig.load(file(fleet, other)))
+                    .isInstanceOfSatisfying(
+                            ConfigException.class,
+                            e -> assertThat(e.errors().get(0)).contains("has the SHA-256 "));
             assertThat(talk.say("mg b-7-vi v\r\n").lines(2)).containsExactly("VA 17", "value of sub/7/vi");
         }
     }
@@ -126,12 +192,16 @@
     @Test
     void modulesAreReplacedUnderLoadAndNoRequestIsLost() throws Exception {
         FakeFleet fleet = new FakeFleet(2);
-        String[] files = {file(fleet, hook(KIT.resolve("key-schemes.wasm"), "")), file(fleet, hook(HOSTILE.resolve("burns.wasm"), "")),
-            file(fleet, ""), file(fleet, hook(HOSTILE.resolve("alternates.wasm"), ""))};
+        String[] files = {
+            file(fleet, hook(KIT.resolve("key-schemes.wasm"), "")),
+            file(fleet, hook(HOSTILE.resolve("burns.wasm"), "")),
+            file(fleet, ""),
+            file(fleet, hook(HOSTILE.resolve("alternates.wasm"), ""))
+        };
         try (DaemonHarness rig = new DaemonHarness(fleet, files[0])) {
             int total = 8000;
-            CompletableFuture<LoadClient.Account> load = new LoadClient(fleet.loop(), rig.daemon.address("main"), total,
-                    HooksTest::ask).start(4, 8);
+            CompletableFuture<LoadClient.Account> load =
+                    new LoadClient(fleet.loop(), rig.daemon.address("main"), total, HooksTest::ask).start(4, 8);
             for (int i = 1; i <= 40 || !load.isDone(); i++) {
                 rig.load(files[i % files.length]);
             }
