--- a/src/test/java/cacheproxy/discovery/DelegatedWatchTest.java
+++ b/src/test/java/cacheproxy/discovery/DelegatedWatchTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import cacheproxy.fleet.lease.NameHash;
 import cacheproxy.fleet.lease.LeaseHandle;
+import cacheproxy.fleet.lease.NameHash;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.PriorityQueue;
@@ -15,7 +15,7 @@
 class DelegatedWatchTest {
     private static final DelegatedWatch.Rules RULES = new DelegatedWatch.Rules(1000, 3000, 30_000, 300);
 
-    private record Mail(double atMs, long n, int from, int to, WatchVersionMessage w) { }
+    private record Mail(double atMs, long n, int from, int to, WatchVersionMessage w) {}
 
     private static final class World {
         final List<DelegatedWatch> all = new ArrayList<>();
@@ -23,9 +23,11 @@
         final long[] has;
         /** Whose watch has fallen silent. */
         final boolean[] silent;
+
         final boolean[] dead;
         final double[] behindSince;
-        final PriorityQueue<Mail> mail = new PriorityQueue<>((a, b) -> a.atMs != b.atMs ? Double.compare(a.atMs, b.atMs) : Long.compare(a.n, b.n));
+        final PriorityQueue<Mail> mail = new PriorityQueue<>(
+                (a, b) -> a.atMs != b.atMs ? Double.compare(a.atMs, b.atMs) : Long.compare(a.n, b.n));
         final SplittableRandom random = new SplittableRandom(1);
         int holder;
         long epoch = 1;
@@ -47,63 +49,72 @@
                 int me = i;
                 closely[i] = true;
                 behindSince[i] = Double.NaN;
-                all.add(new DelegatedWatch(new LeaseHandle() {
-                    @Override
-                    public long permit(double at, double actMs) {
-                        return holder == me ? epoch : -1;
-                    }
+                all.add(new DelegatedWatch(
+                        new LeaseHandle() {
+                            @Override
+                            public long permit(double at, double actMs) {
+                                return holder == me ? epoch : -1;
+                            }
 
-                    @Override
-                    public double leftMs(double at) {
-                        return 0;
-                    }
+                            @Override
+                            public double leftMs(double at) {
+                                return 0;
+                            }
 
-                    @Override
-                    public long holder(double at) {
-                        return holder + 1;
-                    }
+                            @Override
+                            public long holder(double at) {
+                                return holder + 1;
+                            }
 
-                    @Override
-                    public List<Long> order() {
-                        return List.of();
-                    }
+                            @Override
+                            public List<Long> order() {
+                                return List.of();
+                            }
 
-                    @Override
-                    public long id() {
-                        return NameHash.of("watch.a.pages");
-                    }
-                }, RULES, new SplittableRandom(i), new DelegatedWatch.Out() {
-                    @Override
-                    public void tell(WatchVersionMessage w) {
-                        for (int to = 0; to < all.size(); to++) {
-                            if (to != me) {
-                                tell(to + 1, w);
+                            @Override
+                            public long id() {
+                                return NameHash.of("watch.a.pages");
+                            }
+                        },
+                        RULES,
+                        new SplittableRandom(i),
+                        new DelegatedWatch.Out() {
+                            @Override
+                            public void tell(WatchVersionMessage w) {
+                                for (int to = 0; to < all.size(); to++) {
+                                    if (to != me) {
+                                        tell(to + 1, w);
+                                    }
+                                }
                             }
-                        }
-                    }
 
-                    @Override
-                    public void tell(long to, WatchVersionMessage w) {
-                        if (random.nextDouble() >= loss) {
-                            mail.add(new Mail(now + random.nextDouble() * lateMs, n++, me, (int) to - 1, WatchVersionMessage.of(w.bytes())));
-                        }
-                    }
+                            @Override
+                            public void tell(long to, WatchVersionMessage w) {
+                                if (random.nextDouble() >= loss) {
+                                    mail.add(new Mail(
+                                            now + random.nextDouble() * lateMs,
+                                            n++,
+                                            me,
+                                            (int) to - 1,
+                                            WatchVersionMessage.of(w.bytes())));
+                                }
+                            }
 
-                    @Override
-                    public void closely(boolean on) {
-                        closely[me] = on;
-                        calls += on ? 1 : 0;
-                        if (on) {
-                            learn(me);
-                        }
-                    }
+                            @Override
+                            public void closely(boolean on) {
+                                closely[me] = on;
+                                calls += on ? 1 : 0;
+                                if (on) {
+                                    learn(me);
+                                }
+                            }
 
-                    @Override
-                    public void ask() {
-                        calls++;
-                        learn(me);
-                    }
-                }));
+                            @Override
+                            public void ask() {
+                                calls++;
+                                learn(me);
+                            }
+                        }));
             }
         }
 
@@ -165,7 +176,9 @@
         }
         w.until(w.now + 1000);
         assertThat(w.has).containsOnly(w.version);
-        assertThat(w.longestBehind).as("within the gathering time, and a message").isLessThan(RULES.gatherMs() + 60);
+        assertThat(w.longestBehind)
+                .as("within the gathering time, and a message")
+                .isLessThan(RULES.gatherMs() + 60);
         assertThat(w.calls - before).as("each watching by itself: 5000").isLessThan(100 + 49 * 40);
         before = w.calls;
         w.until(w.now + 60_000);
@@ -266,6 +279,7 @@
         WatchVersionMessage w = new WatchVersionMessage(true, 1, 2, 3, 4);
         assertThat(WatchVersionMessage.of(w.bytes())).isEqualTo(w);
         assertThat(WatchVersionMessage.of(new byte[3])).isNull();
-        assertThatThrownBy(() -> new DelegatedWatch.Rules(1000, 900, 30_000, 0)).isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> new DelegatedWatch.Rules(1000, 900, 30_000, 0))
+                .isInstanceOf(IllegalArgumentException.class);
     }
 }
--- a/src/test/java/cacheproxy/discovery/DiscoveryPollSchedulerTest.java
+++ b/src/test/java/cacheproxy/discovery/DiscoveryPollSchedulerTest.java
@@ -9,16 +9,30 @@
 /** Discovery as it fails, on virtual time: how old the list of who goes by {@link DiscoveryPollScheduler} can be. */
 class DiscoveryPollSchedulerTest {
     /** What a call comes to, and when. */
-    private record End(double at, boolean sound, boolean silent) { }
+    private record End(double at, boolean sound, boolean silent) {}
 
-    private enum Way { REFUSED, TURNED_AWAY, CUT, NEVER_UP, SILENT, TRICKLES, WELL }
+    private enum Way {
+        REFUSED,
+        TURNED_AWAY,
+        CUT,
+        NEVER_UP,
+        SILENT,
+        TRICKLES,
+        WELL
+    }
 
     /** How callers may go wrong, so that the walk is seen to find it. */
-    private enum Plant { NONE, LONG_WATCH, NO_LIMIT, LONG_RETRY }
+    private enum Plant {
+        NONE,
+        LONG_WATCH,
+        NO_LIMIT,
+        LONG_RETRY
+    }
 
     /**
-     * One caller over a minute of a discovery that is sound and not by turns, answers within a second when it is, and then still
-     * loses calls, though not two in a row. The longest time for which it was sound without an answer that came of it.
+     * One caller over a minute of a discovery that is sound and not by turns, answers within a second when it is, and
+     * then still loses calls, though not two in a row. The longest time for which it was sound without an answer that
+     * came of it.
      */
     private static double worst(long seed, boolean asked, int callers, Plant plant) {
         SplittableRandom random = new SplittableRandom(seed);
@@ -30,7 +44,7 @@
         double worst = 0;
         boolean heard = false; // whether the last call was answered
         f.follow(0, true);
-        for (double now = 0; now < 60_000;) {
+        for (double now = 0; now < 60_000; ) {
             now = Math.max(now, f.dueAt());
             while (now >= ends) { // soundness and its lack take turns
                 worst = up ? Math.max(worst, ends - fresh) : worst;
@@ -81,8 +95,9 @@
     @Test
     void soundDiscoveryIsHeardWithinTheBoundWhateverWentBefore() {
         double[] all = worsts(20_000, Plant.NONE);
-        System.out.printf("list freshness: 20000 walks, ms without a sound answer p50 %.0f, p99 %.0f, max %.0f of %.0f%n", all[10_000],
-                all[19_800], all[19_999], DiscoveryPollScheduler.BOUND_MS);
+        System.out.printf(
+                "list freshness: 20000 walks, ms without a sound answer p50 %.0f, p99 %.0f, max %.0f of %.0f%n",
+                all[10_000], all[19_800], all[19_999], DiscoveryPollScheduler.BOUND_MS);
         assertThat(all[19_999]).isLessThanOrEqualTo(DiscoveryPollScheduler.BOUND_MS);
     }
 
@@ -118,15 +133,20 @@
         double now = 0;
         for (int i = 0; i < 20; i++) {
             double limit = f.begin(now).limitMs();
-            assertThat(limit).isLessThanOrEqualTo(DiscoveryPollScheduler.WATCH_MS + DiscoveryPollScheduler.MOST_LIMIT_MS);
+            assertThat(limit)
+                    .isLessThanOrEqualTo(DiscoveryPollScheduler.WATCH_MS + DiscoveryPollScheduler.MOST_LIMIT_MS);
             now += limit;
             f.failed(now, true);
             assertThat(f.dueAt() - now).isBetween(0.0, DiscoveryPollScheduler.LEAST_RETRY_MS);
             now = f.dueAt();
         }
-        assertThat(f.begin(now).limitMs()).isEqualTo(DiscoveryPollScheduler.ASK_MS + DiscoveryPollScheduler.MOST_LIMIT_MS);
+        assertThat(f.begin(now).limitMs())
+                .isEqualTo(DiscoveryPollScheduler.ASK_MS + DiscoveryPollScheduler.MOST_LIMIT_MS);
         f.answered(now + 1800);
-        assertThat(f.begin(now + 1800).limitMs()).isEqualTo(DiscoveryPollScheduler.WATCH_MS + 2 * (1800 - DiscoveryPollScheduler.ASK_MS), org.assertj.core.api.Assertions.within(1e-6));
+        assertThat(f.begin(now + 1800).limitMs())
+                .isEqualTo(
+                        DiscoveryPollScheduler.WATCH_MS + 2 * (1800 - DiscoveryPollScheduler.ASK_MS),
+                        org.assertj.core.api.Assertions.within(1e-6));
     }
 
     @Test
@@ -147,7 +167,8 @@
             f.failed(now, false);
             sum += f.dueAt() - now;
         }
-        assertThat(sum / 100).isBetween(DiscoveryPollScheduler.MOST_RETRY_MS * 0.4, DiscoveryPollScheduler.MOST_RETRY_MS * 0.6);
+        assertThat(sum / 100)
+                .isBetween(DiscoveryPollScheduler.MOST_RETRY_MS * 0.4, DiscoveryPollScheduler.MOST_RETRY_MS * 0.6);
     }
 
     @Test
@@ -183,6 +204,7 @@
         assertThat(f.out()).isFalse();
         assertThat(f.failures()).isZero();
         assertThat(f.dueAt()).isEqualTo(9000);
-        assertThat(f.begin(9000).limitMs()).isEqualTo(DiscoveryPollScheduler.ASK_MS + DiscoveryPollScheduler.LEAST_LIMIT_MS);
+        assertThat(f.begin(9000).limitMs())
+                .isEqualTo(DiscoveryPollScheduler.ASK_MS + DiscoveryPollScheduler.LEAST_LIMIT_MS);
     }
 }
--- a/src/test/java/cacheproxy/discovery/SilentWatchDetectorTest.java
+++ b/src/test/java/cacheproxy/discovery/SilentWatchDetectorTest.java
@@ -17,7 +17,12 @@
     }
 
     private void listed(int servers) {
-        doubt.told(41, true, IntStream.rangeClosed(1, servers).mapToObj(i -> member(i, State.READY)).toList());
+        doubt.told(
+                41,
+                true,
+                IntStream.rangeClosed(1, servers)
+                        .mapToObj(i -> member(i, State.READY))
+                        .toList());
     }
 
     @Test
--- a/src/test/java/cacheproxy/discovery/VersionGossipTest.java
+++ b/src/test/java/cacheproxy/discovery/VersionGossipTest.java
@@ -53,11 +53,11 @@
         assertThat(VersionGossip.is(new byte[256])).isFalse();
     }
 
-    private record Event(double at, Runnable run) { }
+    private record Event(double at, Runnable run) {}
 
     /**
-     * 72 proxies hear of a change within 1.5 s, but for those whose watch is silent. Three in ten messages are lost, the
-     * others take up to 30 ms.
+     * 72 proxies hear of a change within 1.5 s, but for those whose watch is silent. Three in ten messages are lost,
+     * the others take up to 30 ms.
      */
     @Test
     void allLearnOfAChangeByFewMessagesHoweverManyProxiesThereAre() {
--- a/src/test/java/cacheproxy/eventlog/EventLogTest.java
+++ b/src/test/java/cacheproxy/eventlog/EventLogTest.java
@@ -28,7 +28,9 @@
         log.enable();
         say(log, "a b\nattempt_ended id=c");
         log.close();
-        assertThat(out).hasToString("attempt_ended t=1796203542.007 id=a_b_attempt_ended_id=c ms=1.3" + System.lineSeparator());
+        assertThat(out)
+                .hasToString(
+                        "attempt_ended t=1796203542.007 id=a_b_attempt_ended_id=c ms=1.3" + System.lineSeparator());
         assertThat(log.isEnabled()).isFalse();
     }
 
@@ -41,30 +43,38 @@
             say(log, "x");
         }
         log.close();
-        long written = out.toString().lines().filter(l -> l.startsWith("attempt_ended")).count();
+        long written = out.toString()
+                .lines()
+                .filter(l -> l.startsWith("attempt_ended"))
+                .count();
         assertThat(written * 40).as("bytes of %s lines", written).isBetween(60L, 100L);
         assertThat(log.dropped()).isEqualTo(50 - written);
         log.enable();
         say(log, "again");
         log.close();
-        assertThat(out.toString()).contains("lines_dropped t=1796203542.007 lines=").contains("id=again");
+        assertThat(out.toString())
+                .contains("lines_dropped t=1796203542.007 lines=")
+                .contains("id=again");
     }
 
     @Test
     void aTargetThatIsStuckHoldsUpNobodyAndTheQueueIsBounded() throws Exception {
         CountDownLatch stuck = new CountDownLatch(1);
         CountDownLatch go = new CountDownLatch(1);
-        EventLog log = log(new OutputStream() {
-            @Override
-            public void write(int b) {
-                stuck.countDown();
-                try {
-                    go.await();
-                } catch (InterruptedException e) {
-                    Thread.currentThread().interrupt();
-                }
-            }
-        }, 1 << 20, 20);
+        EventLog log = log(
+                new OutputStream() {
+                    @Override
+                    public void write(int b) {
+                        stuck.countDown();
+                        try {
+                            go.await();
+                        } catch (InterruptedException e) {
+                            Thread.currentThread().interrupt();
+                        }
+                    }
+                },
+                1 << 20,
+                20);
         log.enable();
         say(log, "first");
         stuck.await();
--- a/src/test/java/cacheproxy/faulttest/FleetIT.java
+++ b/src/test/java/cacheproxy/faulttest/FleetIT.java
@@ -2,13 +2,13 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import cacheproxy.faulttest.check.AtMostOnceChecker;
 import cacheproxy.faulttest.check.Checker;
-import cacheproxy.faulttest.check.SlowStartChecker;
 import cacheproxy.faulttest.check.DrainChecker;
 import cacheproxy.faulttest.check.Event;
-import cacheproxy.faulttest.check.AtMostOnceChecker;
-import cacheproxy.faulttest.check.SingleResponseChecker;
 import cacheproxy.faulttest.check.RunHistory;
+import cacheproxy.faulttest.check.SingleResponseChecker;
+import cacheproxy.faulttest.check.SlowStartChecker;
 import cacheproxy.faulttest.scenario.Scenario;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -116,27 +116,63 @@
         assertThat(o.service().asked()).isGreaterThan(700);
         assertThat(o.service().served()).isGreaterThan(o.service().asked() / 2);
         RunHistory run = o.run();
-        assertThat(run.events().stream().filter(e -> e.what().equals(Event.READY)).count()).as("four, and two again").isEqualTo(6);
+        assertThat(run.events().stream()
+                        .filter(e -> e.what().equals(Event.READY))
+                        .count())
+                .as("four, and two again")
+                .isEqualTo(6);
         assertThat(run.stoppedUs("p1", 0, run.endUs())).as("it stood still").isPositive();
-        assertThat(run.events()).anyMatch(e -> e.what().equals(Event.ENDED) && e.who().equals("p3") && e.value() == 143);
+        assertThat(run.events())
+                .anyMatch(e -> e.what().equals(Event.ENDED) && e.who().equals("p3") && e.value() == 143);
         plantedFaultsAreFound(run);
     }
 
     /** Faults put into the history of a real run are found in it. */
     private static void plantedFaultsAreFound(RunHistory run) {
         // p4 neither stands still nor ends, so nothing of it is excused.
-        Event served = run.events().stream().filter(e -> e.what().equals(Event.ANSWERED) && e.detail().equals("served") && e.who().equals("p4"))
-                .findFirst().orElseThrow();
-        Event effect = run.events().stream().filter(e -> e.what().equals(Event.EFFECT)).findFirst().orElseThrow();
-        Event drain = run.events().stream().filter(e -> e.what().equals(Event.DRAINING)).findFirst().orElseThrow();
-        Event born = run.events().stream().filter(e -> e.what().equals(Event.BORN)).findFirst().orElseThrow();
-        assertThat(new SingleResponseChecker().check(with(run, later(served, served.us() + 1000, served.who()))).count()).as("twice").isEqualTo(1);
-        assertThat(new SingleResponseChecker().check(without(run, served)).count()).as("never").isEqualTo(1);
-        assertThat(new AtMostOnceChecker().check(with(run, later(effect, effect.us() + 1000, effect.who()))).count()).isEqualTo(1);
-        Event stray = run.events().stream().filter(e -> e.what().equals(Event.ARRIVED) && e.us() > drain.us() + 2_200_000
-                && run.events().stream().anyMatch(a -> a.what().equals(Event.ASKED) && a.id().equals(e.id()) && a.who().equals("p4")))
-                .findFirst().orElseThrow();
-        assertThat(new DrainChecker().check(with(run, later(stray, stray.us(), drain.who()))).count()).as("p4, to a draining node")
+        Event served = run.events().stream()
+                .filter(e -> e.what().equals(Event.ANSWERED)
+                        && e.detail().equals("served")
+                        && e.who().equals("p4"))
+                .findFirst()
+                .orElseThrow();
+        Event effect = run.events().stream()
+                .filter(e -> e.what().equals(Event.EFFECT))
+                .findFirst()
+                .orElseThrow();
+        Event drain = run.events().stream()
+                .filter(e -> e.what().equals(Event.DRAINING))
+                .findFirst()
+                .orElseThrow();
+        Event born = run.events().stream()
+                .filter(e -> e.what().equals(Event.BORN))
+                .findFirst()
+                .orElseThrow();
+        assertThat(new SingleResponseChecker()
+                        .check(with(run, later(served, served.us() + 1000, served.who())))
+                        .count())
+                .as("twice")
+                .isEqualTo(1);
+        assertThat(new SingleResponseChecker().check(without(run, served)).count())
+                .as("never")
+                .isEqualTo(1);
+        assertThat(new AtMostOnceChecker()
+                        .check(with(run, later(effect, effect.us() + 1000, effect.who())))
+                        .count())
+                .isEqualTo(1);
+        Event stray = run.events().stream()
+                .filter(e -> e.what().equals(Event.ARRIVED)
+                        && e.us() > drain.us() + 2_200_000
+                        && run.events().stream()
+                                .anyMatch(a -> a.what().equals(Event.ASKED)
+                                        && a.id().equals(e.id())
+                                        && a.who().equals("p4")))
+                .findFirst()
+                .orElseThrow();
+        assertThat(new DrainChecker()
+                        .check(with(run, later(stray, stray.us(), drain.who())))
+                        .count())
+                .as("p4, to a draining node")
                 .isGreaterThan(0);
         Event[] flood = new Event[400];
         for (int i = 0; i < flood.length; i++) {
@@ -178,8 +214,17 @@
                 for_ms = 50000
                 """);
         Path out = folder.resolve("out");
-        Process rig = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-jar", "target/cache-proxy.jar",
-                "fleet", "play", scenario.toString(), "--out", out.toString()).redirectErrorStream(true).start();
+        Process rig = new ProcessBuilder(
+                        Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                        "-jar",
+                        "target/cache-proxy.jar",
+                        "fleet",
+                        "play",
+                        scenario.toString(),
+                        "--out",
+                        out.toString())
+                .redirectErrorStream(true)
+                .start();
         try {
             Path history = out.resolve("history.jsonl");
             while (!Files.exists(history) || !Files.readString(history).contains("\"" + Event.STOPPED + "\"")) {
@@ -189,7 +234,9 @@
             List<ProcessHandle> children = new ArrayList<>();
             try (Stream<Path> files = Files.walk(out)) {
                 for (Path pid : files.filter(f -> f.endsWith("pid")).toList()) {
-                    children.add(ProcessHandle.of(Long.parseLong(Files.readString(pid).trim())).orElseThrow());
+                    children.add(ProcessHandle.of(
+                                    Long.parseLong(Files.readString(pid).trim()))
+                            .orElseThrow());
                 }
             }
             assertThat(children).hasSize(3).allMatch(ProcessHandle::isAlive);
@@ -204,9 +251,12 @@
 
     @Test
     void aProxyThatCanNotStartIsToldByNameAndNothingIsLeft() throws Exception {
-        Scenario s = ScenarioReader.parse("test", "[fleet]\nprogram = \"run\"\nproxies = 2\nnodes = 1\nextra = \"[nonsense]\"\n", null);
-        org.assertj.core.api.Assertions.assertThatThrownBy(() -> FaultTestRunner.play(s, folder, Checker.all(), line -> { }))
-                .hasMessageContaining("ended before it was ready, exit code 2").hasMessageContaining("log");
+        Scenario s = ScenarioReader.parse(
+                "test", "[fleet]\nprogram = \"run\"\nproxies = 2\nnodes = 1\nextra = \"[nonsense]\"\n", null);
+        org.assertj.core.api.Assertions.assertThatThrownBy(
+                        () -> FaultTestRunner.play(s, folder, Checker.all(), line -> {}))
+                .hasMessageContaining("ended before it was ready, exit code 2")
+                .hasMessageContaining("log");
         assertThat(Files.readString(folder.resolve("p1/log"))).contains("unknown key 'nonsense'");
     }
 }
--- a/src/test/java/cacheproxy/faulttest/LeasesIT.java
+++ b/src/test/java/cacheproxy/faulttest/LeasesIT.java
@@ -35,45 +35,72 @@
     private Path folder;
 
     private FaultTestRunner.Outcome play(int proxies, double seconds, String faults) throws Exception {
-        String s = "[fleet]\nprogram = \"run\"\nproxies = " + proxies + "\nnodes = 3\n" + DUTY
-                + "[load]\nseconds = " + seconds + "\nper_second = 40\n" + faults;
+        String s = "[fleet]\nprogram = \"run\"\nproxies = " + proxies + "\nnodes = 3\n" + DUTY + "[load]\nseconds = "
+                + seconds + "\nper_second = 40\n" + faults;
         FaultTestRunner.Outcome o = FaultTestRuns.held(s, folder);
         assertThat(o.verdict().findings().get("one-holder").judged()).isGreaterThan(20);
         return o;
     }
 
-    /** Whether somebody held it after a time; how soon is measured, not tested: walks on virtual time hold the bound. */
+    /**
+     * Whether somebody held it after a time; how soon is measured, not tested: walks on virtual time hold the bound.
+     */
     private static boolean heldAfter(RunHistory run, double ms) {
-        return run.events().stream().anyMatch(e -> e.what().equals(Event.DUTY) && e.detail().equals("yes") && e.ms() > ms);
+        return run.events().stream()
+                .anyMatch(e -> e.what().equals(Event.DUTY) && e.detail().equals("yes") && e.ms() > ms);
     }
 
     private static double lastHealed(RunHistory run) {
-        return run.events().stream().filter(e -> e.what().equals(Event.HEALED)).mapToDouble(Event::ms).max().orElseThrow();
+        return run.events().stream()
+                .filter(e -> e.what().equals(Event.HEALED))
+                .mapToDouble(Event::ms)
+                .max()
+                .orElseThrow();
     }
 
     private static List<String> said(RunHistory run, String part) {
-        return run.events().stream().filter(e -> e.what().equals(Event.SAID) && e.detail().contains(part)).map(e -> e.who() + " " + e.detail())
+        return run.events().stream()
+                .filter(e -> e.what().equals(Event.SAID) && e.detail().contains(part))
+                .map(e -> e.who() + " " + e.detail())
                 .toList();
     }
 
     @Test
     void aDutyIsGivenBackAndHandedOnAtAPlannedEnd() throws Exception {
-        // Each proxy is ended in turn, so the holder is, whoever it is; all are back and have their word again before the next.
-        FaultTestRunner.Outcome o = play(3, 11.5, fault("term", 2500, 300, "p1", "") + fault("term", 5500, 300, "p2", "") + fault("term", 8500, 300, "p3", ""));
-        assertThat(said(o.run(), "why=this process ends")).as("the holder was among them").isNotEmpty();
+        // Each proxy is ended in turn, so the holder is, whoever it is; all are back and have their word again before
+        // the next.
+        FaultTestRunner.Outcome o = play(
+                3,
+                11.5,
+                fault("term", 2500, 300, "p1", "")
+                        + fault("term", 5500, 300, "p2", "")
+                        + fault("term", 8500, 300, "p3", ""));
+        assertThat(said(o.run(), "why=this process ends"))
+                .as("the holder was among them")
+                .isNotEmpty();
         assertThat(MutualExclusionChecker.moves(o.run(), "cron")).isGreaterThan(1);
         assertThat(heldAfter(o.run(), lastHealed(o.run()))).isTrue();
     }
 
     @Test
     void stopsCutsSplitsAndLossesLeaveOneHolderAndSoonOneAgain() throws Exception {
-        FaultTestRunner.Outcome o = play(5, 14, fault("stop", 2000, 1500, "p1", "") + fault("stop", 2000, 2500, "p2", "")
-                + fault("link", 5000, 1500, "p3", "to = \"proxies\"\nlose = 1\ntwo_way = false")
-                + fault("link", 6500, 1500, "p4", "to = \"proxies\"\nlose = 1")
-                + fault("link", 8500, 2000, "p1,p2", "to = \"p3-p5\"\nlose = 1")
-                + fault("link", 10500, 1500, "proxies", "to = \"proxies\"\nlose = 0.3\ntwice = 0.5\njitter_ms = 150\ndelay_ms = 50\ncorrupt = 0.1"));
+        FaultTestRunner.Outcome o = play(
+                5,
+                14,
+                fault("stop", 2000, 1500, "p1", "")
+                        + fault("stop", 2000, 2500, "p2", "")
+                        + fault("link", 5000, 1500, "p3", "to = \"proxies\"\nlose = 1\ntwo_way = false")
+                        + fault("link", 6500, 1500, "p4", "to = \"proxies\"\nlose = 1")
+                        + fault("link", 8500, 2000, "p1,p2", "to = \"p3-p5\"\nlose = 1")
+                        + fault(
+                                "link",
+                                10500,
+                                1500,
+                                "proxies",
+                                "to = \"proxies\"\nlose = 0.3\ntwice = 0.5\njitter_ms = 150\ndelay_ms = 50\ncorrupt = 0.1"));
         assertThat(heldAfter(o.run(), lastHealed(o.run()))).isTrue();
-        assertThat(o.run().events()).anyMatch(e -> e.what().equals(Event.SAID) && e.detail().contains("duty cron gained epoch="));
+        assertThat(o.run().events())
+                .anyMatch(e -> e.what().equals(Event.SAID) && e.detail().contains("duty cron gained epoch="));
     }
 
     @Test
@@ -82,10 +109,20 @@
         for (int at = 9000; at < 13_000; at += 1000) {
             flaps.append(fault("kill", at, 100, "p2", "")); // back and gone again before its silence is over
         }
-        FaultTestRunner.Outcome o = play(5, 14, fault("link", 2000, 1500, "p1,p2", "to = \"p3-p5\"\nlose = 1") + fault("link", 2000, 1500, "p5", "to = \"p3,p4\"\nlose = 1")
-                + fault("link", 4000, 2000, "proxies", "to = \"proxies\"\nlose = 0.6")
-                + fault("link", 6500, 2000, "proxies", "to = \"proxies\"\ntwice = 1\ndelay_ms = 1800\njitter_ms = 400")
-                + fault("slow", 9000, 3000, "p4", "share = 0.1") + flaps);
+        FaultTestRunner.Outcome o = play(
+                5,
+                14,
+                fault("link", 2000, 1500, "p1,p2", "to = \"p3-p5\"\nlose = 1")
+                        + fault("link", 2000, 1500, "p5", "to = \"p3,p4\"\nlose = 1")
+                        + fault("link", 4000, 2000, "proxies", "to = \"proxies\"\nlose = 0.6")
+                        + fault(
+                                "link",
+                                6500,
+                                2000,
+                                "proxies",
+                                "to = \"proxies\"\ntwice = 1\ndelay_ms = 1800\njitter_ms = 400")
+                        + fault("slow", 9000, 3000, "p4", "share = 0.1")
+                        + flaps);
         assertThat(MutualExclusionChecker.moves(o.run(), "cron")).isGreaterThan(1);
         assertThat(heldAfter(o.run(), 13_000)).as("after the last fault").isTrue();
     }
@@ -96,7 +133,10 @@
         assertThat(MutualExclusionChecker.moves(o.run(), "cron")).isGreaterThan(1);
     }
 
-    /** p1 has an older release's file, without what is new, and a list that lacks a peer; each side of the split has its own discovery. */
+    /**
+     * p1 has an older release's file, without what is new, and a list that lacks a peer; each side of the split has its
+     * own discovery.
+     */
     @Test
     void anOldReleaseAListThatDiffersASplitAndAHolderWithoutNodesLeaveOneHolderAndAreToldOf() throws Exception {
         String section = """
@@ -112,15 +152,21 @@
                 lease_ms = 600
                 %s""";
         String s = "[fleet]\nprogram = \"run\"\nproxies = 5\nnodes = 4\nzones = [\"a\", \"b\"]\nrelay_nodes = true\n"
-                + "own_discovery = true\nduties = [\"cron\"]\nold = \"p1\"\nold_extra = \'\'\'\n" + section.formatted("{peers-but-last}", "")
-                + "\'\'\'\nextra = \'\'\'\n" + section.formatted("{peers}", "[fleet.probe]\nlease_ms = 600\n[fleet.watch]\nlease_ms = 600\nbeat_ms = 200\n")
-                + "\'\'\'\n[load]\nseconds = 15\nper_second = 100\n" + fault("link", 2000, 2500, "p1,p3,p5", "to = \"p2,p4\"\nlose = 1")
+                + "own_discovery = true\nduties = [\"cron\"]\nold = \"p1\"\nold_extra = \'\'\'\n"
+                + section.formatted("{peers-but-last}", "")
+                + "\'\'\'\nextra = \'\'\'\n"
+                + section.formatted(
+                        "{peers}", "[fleet.probe]\nlease_ms = 600\n[fleet.watch]\nlease_ms = 600\nbeat_ms = 200\n")
+                + "\'\'\'\n[load]\nseconds = 15\nper_second = 100\n"
+                + fault("link", 2000, 2500, "p1,p3,p5", "to = \"p2,p4\"\nlose = 1")
                 + fault("link", 5000, 8000, "p3", "holder_of = \"cron\"\nto = \"nodes\"\nlose = 1")
                 + fault("link", 9500, 1500, "p4,p5", "to = \"discovery\"\nlose = 1");
         FaultTestRunner.Outcome o = FaultTestRuns.held(s, folder);
         assertThat(o.verdict().findings().get("one-holder").judged()).isGreaterThan(20);
         assertThat(heldAfter(o.run(), lastHealed(o.run()))).isTrue();
         assertThat(said(o.run(), "fleet: p1 goes by another list of peers")).isNotEmpty();
-        assertThat(said(o.run(), "why=it reaches no server, and others do")).as("the holder, which has peers and no nodes").isNotEmpty();
+        assertThat(said(o.run(), "why=it reaches no server, and others do"))
+                .as("the holder, which has peers and no nodes")
+                .isNotEmpty();
     }
 }
--- a/src/test/java/cacheproxy/faulttest/PlanTest.java
+++ b/src/test/java/cacheproxy/faulttest/PlanTest.java
@@ -4,15 +4,15 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import cacheproxy.config.ConfigException;
-import cacheproxy.faulttest.scenario.RandomFaults;
-import cacheproxy.faulttest.scenario.TargetSelector;
 import cacheproxy.faulttest.scenario.Fault;
 import cacheproxy.faulttest.scenario.Fault.Kind;
 import cacheproxy.faulttest.scenario.Fault.LinkFigures;
 import cacheproxy.faulttest.scenario.NetworkLinks;
+import cacheproxy.faulttest.scenario.RandomFaults;
 import cacheproxy.faulttest.scenario.RunValidity;
 import cacheproxy.faulttest.scenario.Scenario;
 import cacheproxy.faulttest.scenario.Shrinker;
+import cacheproxy.faulttest.scenario.TargetSelector;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -23,8 +23,10 @@
     private final TargetSelector names = new TargetSelector(6, 4, List.of("a", "b"));
     private final SplittableRandom random = new SplittableRandom(1);
 
-    private static Fault link(double lose, double delay, double twice, boolean twoWay, List<String> who, List<String> to) {
-        return new Fault(Kind.LINK, 0, 100, who, to, twoWay, new LinkFigures(lose, delay, 0, twice, 0, false), 1, 0, false, 0);
+    private static Fault link(
+            double lose, double delay, double twice, boolean twoWay, List<String> who, List<String> to) {
+        return new Fault(
+                Kind.LINK, 0, 100, who, to, twoWay, new LinkFigures(lose, delay, 0, twice, 0, false), 1, 0, false, 0);
     }
 
     private static Fault stop(String who, double forMs) {
@@ -39,8 +41,12 @@
         assertThat(names.choose("2 of proxies", random)).hasSize(2).allMatch(n -> n.startsWith("p"));
         assertThat(names.choose("0.5 of nodes", random)).hasSize(2).doesNotHaveDuplicates();
         assertThat(names.choose("0.01 of nodes", random)).as("at least one").hasSize(1);
-        for (String wrong : new String[] {"p7", "p0", "n5", "zone:c", "p3-n2", "p4-p2", "x of proxies", "0 of proxies", "", "n1-discovery"}) {
-            assertThatThrownBy(() -> names.choose(wrong, random)).as(wrong).isInstanceOf(IllegalArgumentException.class);
+        for (String wrong : new String[] {
+            "p7", "p0", "n5", "zone:c", "p3-n2", "p4-p2", "x of proxies", "0 of proxies", "", "n1-discovery"
+        }) {
+            assertThatThrownBy(() -> names.choose(wrong, random))
+                    .as(wrong)
+                    .isInstanceOf(IllegalArgumentException.class);
         }
     }
 
@@ -51,7 +57,8 @@
         Fault cut = link(1, 0, 0, false, List.of("p1"), List.of("p2"));
         Fault late = link(0, 30, 1, true, List.of("p1"), List.of("p2", "p3"));
         links.begin(late);
-        assertThat(links.datagram(1, 0, random)).containsExactly(new NetworkLinks.Delivery(30, false), new NetworkLinks.Delivery(30, false));
+        assertThat(links.datagram(1, 0, random))
+                .containsExactly(new NetworkLinks.Delivery(30, false), new NetworkLinks.Delivery(30, false));
         links.begin(link(0, 20, 0, true, List.of("p3"), List.of("p1")));
         assertThat(links.datagram(0, 2, random)).hasSize(2).allMatch(d -> d.delayMs() == 50);
         links.begin(cut);
@@ -75,7 +82,11 @@
         RandomFaults chaos = new RandomFaults(200, List.of(Kind.values()), 500, 9000, 2000);
         List<Fault> faults = chaos.faults(names, 7);
         assertThat(faults).hasSize(200).isEqualTo(chaos.faults(names, 7)).isNotEqualTo(chaos.faults(names, 8));
-        assertThat(faults).allMatch(f -> f.atMs() >= 500 && f.endMs() <= 9000 && f.forMs() >= 200 && !f.who().isEmpty());
+        assertThat(faults)
+                .allMatch(f -> f.atMs() >= 500
+                        && f.endMs() <= 9000
+                        && f.forMs() >= 200
+                        && !f.who().isEmpty());
         assertThat(faults.stream().map(Fault::kind).distinct()).containsExactlyInAnyOrder(Kind.values());
     }
 
@@ -115,7 +126,10 @@
                 longest_ms = 700
                 """, 42L);
         assertThat(s.faults()).hasSize(22);
-        assertThat(s.faults().get(0).to()).as("the others").hasSize(4).doesNotContainAnyElementsOf(s.faults().get(0).who());
+        assertThat(s.faults().get(0).to())
+                .as("the others")
+                .hasSize(4)
+                .doesNotContainAnyElementsOf(s.faults().get(0).who());
         assertThat(ScenarioReader.parse("s", s.toToml(), null)).isEqualTo(s);
     }
 
@@ -137,11 +151,20 @@
                 who = "p77"
                 [chaos]
                 longest_ms = 999999
-                """, null)).isInstanceOfSatisfying(ConfigException.class, e -> assertThat(String.join("\n", e.errors()))
-                .contains("s:2:1: proxies is 0").contains("s:3:1: zones").contains("s:5:1: there is no fault 'stpo'")
-                .contains("s:9:1: node-kill befalls nodes alone").contains("s:10:1: unknown key 'colour'").contains("s:13:1: there is no 'p77'")
-                .contains("longest_ms"));
-        assertThatThrownBy(() -> ScenarioReader.parse("s", "[load]\n", null)).isInstanceOf(ConfigException.class).hasMessageContaining("[fleet]");
+                """, null))
+                .isInstanceOfSatisfying(
+                        ConfigException.class,
+                        e -> assertThat(String.join("\n", e.errors()))
+                                .contains("s:2:1: proxies is 0")
+                                .contains("s:3:1: zones")
+                                .contains("s:5:1: there is no fault 'stpo'")
+                                .contains("s:9:1: node-kill befalls nodes alone")
+                                .contains("s:10:1: unknown key 'colour'")
+                                .contains("s:13:1: there is no 'p77'")
+                                .contains("longest_ms"));
+        assertThatThrownBy(() -> ScenarioReader.parse("s", "[load]\n", null))
+                .isInstanceOf(ConfigException.class)
+                .hasMessageContaining("[fleet]");
     }
 
     @Test
@@ -154,11 +177,19 @@
         Fault b = new Fault(Kind.STOP, 0, 1600, List.of("p1", "p2", "p3"), List.of(), false, null, 1, 0, false, 5);
         all.set(11, b);
         int[] runs = {0};
-        List<Fault> found = new Shrinker(faults -> {
-            runs[0]++;
-            return faults.stream().anyMatch(f -> f.who().equals(a.who()) && f.forMs() >= 400 && f.staggerMs() == 0)
-                    && faults.stream().anyMatch(f -> f.staggerMs() == 5 && f.who().contains("p2"));
-        }, 1, 500).shrink(all);
+        List<Fault> found = new Shrinker(
+                        faults -> {
+                            runs[0]++;
+                            return faults.stream()
+                                            .anyMatch(f ->
+                                                    f.who().equals(a.who()) && f.forMs() >= 400 && f.staggerMs() == 0)
+                                    && faults.stream()
+                                            .anyMatch(f -> f.staggerMs() == 5
+                                                    && f.who().contains("p2"));
+                        },
+                        1,
+                        500)
+                .shrink(all);
         assertThat(found).hasSize(2);
         Fault longer = found.get(found.get(0).staggerMs() == 5 ? 1 : 0);
         Fault narrow = found.get(found.get(0).staggerMs() == 5 ? 0 : 1);
--- a/src/test/java/cacheproxy/faulttest/QuotasIT.java
+++ b/src/test/java/cacheproxy/faulttest/QuotasIT.java
@@ -9,46 +9,82 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A limit of the whole fleet, shared by processes of the daemon and judged at the nodes: kills, stops, cuts, splits, losses, all load at one. */
+/**
+ * A limit of the whole fleet, shared by processes of the daemon and judged at the nodes: kills, stops, cuts, splits,
+ * losses, all load at one.
+ */
 @Timeout(180)
 class QuotasIT {
     @TempDir
     private Path folder;
 
-    private FaultTestRunner.Outcome play(String fleet, String limit, String load, String judged, String faults) throws Exception {
-        String s = "[fleet]\nprogram = \"run\"\nproxies = 4\nnodes = 3\n" + fleet + "extra = '''\n[control]\nlisten = \"{control}\"\n"
+    private FaultTestRunner.Outcome play(String fleet, String limit, String load, String judged, String faults)
+            throws Exception {
+        String s = "[fleet]\nprogram = \"run\"\nproxies = 4\nnodes = 3\n" + fleet
+                + "extra = '''\n[control]\nlisten = \"{control}\"\n"
                 + "[fleet]\nme = \"{me}\"\nlisten = \"{listen}\"\nlongest_lease_ms = 600\n{peers}\n[fleet.limits]\ngrant_ms = 600\nlease_ms = 600\nshares = 1\n"
-                + "[[fleet.limit]]\nname = \"reads\"\nclass = \"read\"\n" + limit + "'''\n[load]\n" + load + "[limit]\n" + judged + faults;
+                + "[[fleet.limit]]\nname = \"reads\"\nclass = \"read\"\n" + limit + "'''\n[load]\n" + load + "[limit]\n"
+                + judged + faults;
         FaultTestRunner.Outcome o = FaultTestRuns.held(s, folder);
-        assertThat(o.verdict().findings().get("limit-kept").judged()).as(String.join("\n", o.lines())).isGreaterThan(100);
+        assertThat(o.verdict().findings().get("limit-kept").judged())
+                .as(String.join("\n", o.lines()))
+                .isGreaterThan(100);
         return o;
     }
 
-    /** The dealer is killed and stopped, proxies are cut off, the fleet is split, datagrams are lost, doubled, late, while load moves from one to the next. */
+    /**
+     * The dealer is killed and stopped, proxies are cut off, the fleet is split, datagrams are lost, doubled, late,
+     * while load moves from one to the next.
+     */
     @Test
     void aRateIsKeptWhateverBecomesOfDealersAndLinks() throws Exception {
-        FaultTestRunner.Outcome o = play("duties = [\"limits.0\"]\n", "per_second = 100\nburst = 10\n", "seconds = 15.5\nper_second = 300\nwrites = 0\nskew = 0.5\nturn_ms = 1000\n",
-                "per_second = 100\nsaved = 14\n", fault("kill", 3000, 300, "p1", "holder_of = \"limits.0\"") + fault("stop", 5500, 1500, "p1", "holder_of = \"limits.0\"")
-                + fault("link", 7200, 3000, "p3", "to = \"proxies\"\nlose = 1") + fault("link", 10_500, 1500, "p1,p2", "to = \"p3,p4\"\nlose = 1")
-                + fault("link", 12_500, 2500, "proxies", "to = \"proxies\"\nlose = 0.3\ntwice = 0.5\ndelay_ms = 50\njitter_ms = 400")
-                + fault("term", 13_000, 300, "p2", ""));
-        assertThat(o.run().events()).as("who is cut off and has load says that it is alone").anyMatch(e -> e.what().equals(Event.SAID)
-                && e.detail().contains("limit reads alone"));
+        FaultTestRunner.Outcome o = play(
+                "duties = [\"limits.0\"]\n",
+                "per_second = 100\nburst = 10\n",
+                "seconds = 15.5\nper_second = 300\nwrites = 0\nskew = 0.5\nturn_ms = 1000\n",
+                "per_second = 100\nsaved = 14\n",
+                fault("kill", 3000, 300, "p1", "holder_of = \"limits.0\"")
+                        + fault("stop", 5500, 1500, "p1", "holder_of = \"limits.0\"")
+                        + fault("link", 7200, 3000, "p3", "to = \"proxies\"\nlose = 1")
+                        + fault("link", 10_500, 1500, "p1,p2", "to = \"p3,p4\"\nlose = 1")
+                        + fault(
+                                "link",
+                                12_500,
+                                2500,
+                                "proxies",
+                                "to = \"proxies\"\nlose = 0.3\ntwice = 0.5\ndelay_ms = 50\njitter_ms = 400")
+                        + fault("term", 13_000, 300, "p2", ""));
+        assertThat(o.run().events())
+                .as("who is cut off and has load says that it is alone")
+                .anyMatch(e -> e.what().equals(Event.SAID) && e.detail().contains("limit reads alone"));
         assertThat(o.service().refused()).isPositive();
     }
 
-    /** What is dealt out by the holder alone: who is cut off refuses, and nothing is over when another holds the duty. */
+    /**
+     * What is dealt out by the holder alone: who is cut off refuses, and nothing is over when another holds the duty.
+     */
     @Test
     void aRateThatNobodyOwnsAShareOfIsKeptOverHoldersThatChange() throws Exception {
-        FaultTestRunner.Outcome o = play("duties = [\"limits.0\"]\n", "per_second = 100\nburst = 10\nwhen_alone = \"none\"\n", "seconds = 12\nper_second = 250\nwrites = 0\n",
-                "per_second = 100\nsaved = 14\n", fault("stop", 3000, 2500, "p1", "holder_of = \"limits.0\"") + fault("kill", 6500, 300, "p1", "holder_of = \"limits.0\"")
-                + fault("link", 9000, 1500, "p4", "to = \"proxies\"\nlose = 1"));
+        FaultTestRunner.Outcome o = play(
+                "duties = [\"limits.0\"]\n",
+                "per_second = 100\nburst = 10\nwhen_alone = \"none\"\n",
+                "seconds = 12\nper_second = 250\nwrites = 0\n",
+                "per_second = 100\nsaved = 14\n",
+                fault("stop", 3000, 2500, "p1", "holder_of = \"limits.0\"")
+                        + fault("kill", 6500, 300, "p1", "holder_of = \"limits.0\"")
+                        + fault("link", 9000, 1500, "p4", "to = \"proxies\"\nlose = 1"));
         assertThat(o.service().refused()).isPositive();
     }
 
     @Test
     void whatIsInHandAtOnceIsKeptWhateverBecomesOfProxies() throws Exception {
-        play("node_per_second = 12\nnode_room = 100\n", "at_once = 8\n", "seconds = 10.5\nper_second = 200\nwrites = 0\nskew = 1\nturn_ms = 2000\ndeadline_ms = 800\n",
-                "at_once = 8\n", fault("kill", 3500, 300, "p1", "") + fault("stop", 5500, 1500, "p2", "") + fault("link", 8000, 2000, "p3", "to = \"proxies\"\nlose = 1"));
+        play(
+                "node_per_second = 12\nnode_room = 100\n",
+                "at_once = 8\n",
+                "seconds = 10.5\nper_second = 200\nwrites = 0\nskew = 1\nturn_ms = 2000\ndeadline_ms = 800\n",
+                "at_once = 8\n",
+                fault("kill", 3500, 300, "p1", "")
+                        + fault("stop", 5500, 1500, "p2", "")
+                        + fault("link", 8000, 2000, "p3", "to = \"proxies\"\nlose = 1"));
     }
 }
--- a/src/test/java/cacheproxy/faulttest/RelayTest.java
+++ b/src/test/java/cacheproxy/faulttest/RelayTest.java
@@ -2,13 +2,13 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.proxy.Transport;
-import cacheproxy.faulttest.scenario.TargetSelector;
+import cacheproxy.fakes.ScriptedServer;
 import cacheproxy.faulttest.scenario.Fault;
 import cacheproxy.faulttest.scenario.Fault.Kind;
 import cacheproxy.faulttest.scenario.Fault.LinkFigures;
 import cacheproxy.faulttest.scenario.NetworkLinks;
-import cacheproxy.fakes.ScriptedServer;
+import cacheproxy.faulttest.scenario.TargetSelector;
+import cacheproxy.proxy.Transport;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import java.io.IOException;
@@ -117,7 +117,8 @@
     void whatIsLateOnPurposeIsBoundedAndTold() throws Exception {
         try (DatagramRelay relay = new DatagramRelay(loop, space, 3, links, 1);
                 DatagramSocket a = new DatagramSocket(space.proxy(0, AddressSpace.PEERS))) {
-            on(() -> links.begin(fault(List.of("p1"), List.of("p2"), true, new LinkFigures(0, 60_000, 0, 0, 0, false))));
+            on(() ->
+                    links.begin(fault(List.of("p1"), List.of("p2"), true, new LinkFigures(0, 60_000, 0, 0, 0, false))));
             while (relay.dropped() == 0) {
                 for (int i = 0; i < 1000; i++) {
                     say(a, space.face(1, AddressSpace.PEERS), "x");
@@ -131,7 +132,7 @@
     void aCutConnectionIsOpenAndSilentAndGoesOnOnceHealedAndAResetOneEnds() throws Exception {
         try (TcpRelay relay = new TcpRelay(loop, links);
                 ScriptedServer server = new ScriptedServer(c -> {
-                    for (String line; (line = c.line()) != null;) {
+                    for (String line; (line = c.line()) != null; ) {
                         c.say("heard " + line + "\n");
                     }
                 })) {
@@ -148,7 +149,9 @@
                 });
                 s.getOutputStream().write("2\n".getBytes());
                 s.setSoTimeout(100);
-                org.assertj.core.api.Assertions.assertThatThrownBy(() -> s.getInputStream().read()).isInstanceOf(SocketTimeoutException.class);
+                org.assertj.core.api.Assertions.assertThatThrownBy(
+                                () -> s.getInputStream().read())
+                        .isInstanceOf(SocketTimeoutException.class);
                 s.setSoTimeout(PATIENCE_MS);
                 on(() -> {
                     links.end(cut);
@@ -160,10 +163,11 @@
                     relay.changed();
                 });
                 org.assertj.core.api.Assertions.assertThatThrownBy(() -> {
-                    if (s.getInputStream().read() < 0) {
-                        throw new IOException("ended");
-                    }
-                }).isInstanceOf(IOException.class);
+                            if (s.getInputStream().read() < 0) {
+                                throw new IOException("ended");
+                            }
+                        })
+                        .isInstanceOf(IOException.class);
             }
         }
     }
--- a/src/test/java/cacheproxy/fleet/healthcheck/HealthCheckCoordinatorTest.java
+++ b/src/test/java/cacheproxy/fleet/healthcheck/HealthCheckCoordinatorTest.java
@@ -3,9 +3,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import cacheproxy.fleet.lease.NameHash;
-import cacheproxy.fleet.lease.LeaseHandle;
 import cacheproxy.fleet.healthcheck.HealthCheckMessage.Kind;
+import cacheproxy.fleet.lease.LeaseHandle;
+import cacheproxy.fleet.lease.NameHash;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -21,19 +21,21 @@
     private static final HealthCheckTiming RULES = new HealthCheckTiming(250, 600, 1000);
     private static final int SHARES = 3;
 
-    private record Mail(double atMs, long n, int from, int to, HealthCheckMessage m) { }
+    private record Mail(double atMs, long n, int from, int to, HealthCheckMessage m) {}
 
-    private record Told(double atMs, int desk, int server, boolean sound) { }
+    private record Told(double atMs, int desk, int server, boolean sound) {}
 
     /** Desks, who holds each share, which servers are sick for whom, and what is lost. */
     private static final class World {
         final List<HealthCheckCoordinator> desks = new ArrayList<>();
-        final PriorityQueue<Mail> mail = new PriorityQueue<>((a, b) -> a.atMs != b.atMs ? Double.compare(a.atMs, b.atMs) : Long.compare(a.n, b.n));
+        final PriorityQueue<Mail> mail = new PriorityQueue<>(
+                (a, b) -> a.atMs != b.atMs ? Double.compare(a.atMs, b.atMs) : Long.compare(a.n, b.n));
         final PriorityQueue<double[]> ends = new PriorityQueue<>((a, b) -> Double.compare(a[0], b[0]));
         final int[] holder = new int[SHARES];
         final long[] epoch = new long[SHARES];
         /** What each believes of who holds. */
         final Map<Integer, Integer> belief = new HashMap<>();
+
         final Set<Integer> sick = new HashSet<>();
         final Set<String> cutFrom = new HashSet<>();
         final List<Told> told = new ArrayList<>();
@@ -59,31 +61,37 @@
                 for (int s = 0; s < SHARES; s++) {
                     shares.add(tenure(me, s));
                 }
-                desks.add(new HealthCheckCoordinator(me + 1, me * 1000L, RULES, shares, new HealthCheckCoordinator.Out() {
-                    @Override
-                    public void send(long to, HealthCheckMessage m) {
-                        if (random.nextDouble() >= loss) {
-                            for (int copies = random.nextInt(10) == 0 ? 2 : 1; copies > 0; copies--) {
-                                mail.add(new Mail(now + 0.1 + random.nextDouble() * lateMs, n++, me, (int) to - 1, HealthCheckMessage.of(m.bytes())));
+                desks.add(new HealthCheckCoordinator(
+                        me + 1, me * 1000L, RULES, shares, new HealthCheckCoordinator.Out() {
+                            @Override
+                            public void send(long to, HealthCheckMessage m) {
+                                if (random.nextDouble() >= loss) {
+                                    for (int copies = random.nextInt(10) == 0 ? 2 : 1; copies > 0; copies--) {
+                                        mail.add(new Mail(
+                                                now + 0.1 + random.nextDouble() * lateMs,
+                                                n++,
+                                                me,
+                                                (int) to - 1,
+                                                HealthCheckMessage.of(m.bytes())));
+                                    }
+                                }
                             }
-                        }
-                    }
 
-                    @Override
-                    public boolean trial(int server) {
-                        trials++;
-                        out.merge(server, 1, Integer::sum);
-                        trialsInTwo += out.get(server) > 1 ? 1 : 0;
-                        boolean bad = sick.contains(server) || cutFrom.contains(me + "/" + server);
-                        ends.add(new double[] {now + (bad ? 250 : 2), me, server, bad ? 0 : 1});
-                        return true;
-                    }
+                            @Override
+                            public boolean trial(int server) {
+                                trials++;
+                                out.merge(server, 1, Integer::sum);
+                                trialsInTwo += out.get(server) > 1 ? 1 : 0;
+                                boolean bad = sick.contains(server) || cutFrom.contains(me + "/" + server);
+                                ends.add(new double[] {now + (bad ? 250 : 2), me, server, bad ? 0 : 1});
+                                return true;
+                            }
 
-                    @Override
-                    public void told(int server, boolean sound) {
-                        told.add(new Told(now, me, server, sound));
-                    }
-                }));
+                            @Override
+                            public void told(int server, boolean sound) {
+                                told.add(new Told(now, me, server, sound));
+                            }
+                        }));
             }
         }
 
@@ -157,7 +165,11 @@
         assertThat(w.told).hasSize(200);
         assertThat(w.told.subList(100, 200)).allMatch(Told::sound);
         assertThat(w.trials).isEqualTo(2);
-        assertThat(w.desks.get(w.holder[HealthCheckCoordinator.share(7, SHARES)]).counts().own()).isEqualTo(2);
+        assertThat(w.desks
+                        .get(w.holder[HealthCheckCoordinator.share(7, SHARES)])
+                        .counts()
+                        .own())
+                .isEqualTo(2);
     }
 
     @Test
@@ -235,9 +247,21 @@
         w.desks.get(0).wanted(w.now, other);
         Mail asked = w.mail.peek();
         long duty = asked.m.duty();
-        w.desks.get(0).heard(w.now, 2, new HealthCheckMessage(Kind.ANSWER, duty, other, asked.m.number(), 8, 0, false, 0));
-        w.desks.get(0).heard(w.now, 2, new HealthCheckMessage(Kind.ANSWER, duty, other, asked.m.number() + 1, 9, 0, false, 0));
-        w.desks.get(0).heard(w.now, 2, new HealthCheckMessage(Kind.ANSWER, duty, other, asked.m.number(), 9, 0, false, 60_000));
+        w.desks
+                .get(0)
+                .heard(w.now, 2, new HealthCheckMessage(Kind.ANSWER, duty, other, asked.m.number(), 8, 0, false, 0));
+        w.desks
+                .get(0)
+                .heard(
+                        w.now,
+                        2,
+                        new HealthCheckMessage(Kind.ANSWER, duty, other, asked.m.number() + 1, 9, 0, false, 0));
+        w.desks
+                .get(0)
+                .heard(
+                        w.now,
+                        2,
+                        new HealthCheckMessage(Kind.ANSWER, duty, other, asked.m.number(), 9, 0, false, 60_000));
         assertThat(w.told).isEmpty();
         assertThat(w.desks.get(0).counts().olderEpochs()).isEqualTo(1);
         assertThat(w.desks.get(0).counts().tooLate()).isEqualTo(2);
@@ -307,21 +331,52 @@
         World x = new World(2, 9);
         for (int server = 0; server < 500; server++) {
             x.sick.add(server);
-            x.desks.get(0).heard(0, 2, new HealthCheckMessage(Kind.WANT, NameHash.of("probe." + HealthCheckCoordinator.share(server, SHARES)), server, server, 0, 0, false, 0));
+            x.desks
+                    .get(0)
+                    .heard(
+                            0,
+                            2,
+                            new HealthCheckMessage(
+                                    Kind.WANT,
+                                    NameHash.of("probe." + HealthCheckCoordinator.share(server, SHARES)),
+                                    server,
+                                    server,
+                                    0,
+                                    0,
+                                    false,
+                                    0));
         }
         assertThat(x.trials).isEqualTo(HealthCheckCoordinator.MOST_TRIALS);
-        assertThat(x.mail).hasSizeGreaterThanOrEqualTo(500 - HealthCheckCoordinator.MOST_TRIALS).allMatch(m -> m.m.kind() == Kind.ELSEWHERE);
+        assertThat(x.mail)
+                .hasSizeGreaterThanOrEqualTo(500 - HealthCheckCoordinator.MOST_TRIALS)
+                .allMatch(m -> m.m.kind() == Kind.ELSEWHERE);
         World y = new World(2, 10);
         y.sick.add(7);
         for (int i = 0; i < 2 * HealthCheckCoordinator.MOST_WAITING; i++) {
-            y.desks.get(0).heard(0, 2, new HealthCheckMessage(Kind.WANT, NameHash.of("probe." + HealthCheckCoordinator.share(7, SHARES)), 7, i, 0, 0, false, 0));
+            y.desks
+                    .get(0)
+                    .heard(
+                            0,
+                            2,
+                            new HealthCheckMessage(
+                                    Kind.WANT,
+                                    NameHash.of("probe." + HealthCheckCoordinator.share(7, SHARES)),
+                                    7,
+                                    i,
+                                    0,
+                                    0,
+                                    false,
+                                    0));
         }
         y.ends.poll();
         y.desks.get(0).ended(250, 7, false);
         assertThat(y.mail.stream().map(m -> m.m.number()).distinct()).hasSize(HealthCheckCoordinator.MOST_WAITING);
     }
 
-    /** Whatever is lost, late, doubled, whoever holds: each want is told once, in time, and the number of trials never exceeds the wants. */
+    /**
+     * Whatever is lost, late, doubled, whoever holds: each want is told once, in time, and the number of trials never
+     * exceeds the wants.
+     */
     @Test
     void everyWantIsToldOnceInTimeWhateverIsLost() {
         for (int seed = 0; seed < 200; seed++) {
@@ -350,8 +405,13 @@
                         w.allWant(server);
                         wants += 5;
                         w.until(from + RULES.patienceMs() + RULES.probeMs() + 1);
-                        assertThat(w.told.size() - before).as("seed " + seed + " step " + step).isEqualTo(5);
-                        assertThat(w.told.subList(before, before + 5).stream().map(t -> t.desk).distinct()).hasSize(5);
+                        assertThat(w.told.size() - before)
+                                .as("seed " + seed + " step " + step)
+                                .isEqualTo(5);
+                        assertThat(w.told.subList(before, before + 5).stream()
+                                        .map(t -> t.desk)
+                                        .distinct())
+                                .hasSize(5);
                     }
                 }
             }
@@ -363,7 +423,8 @@
     void messagesAreWholeOrNone() {
         HealthCheckMessage m = new HealthCheckMessage(Kind.ANSWER, 1, 2, 3, 4, 5, true, 6);
         assertThat(HealthCheckMessage.of(m.bytes())).isEqualTo(m);
-        assertThat(HealthCheckMessage.of(new byte[HealthCheckMessage.LENGTH - 1])).isNull();
+        assertThat(HealthCheckMessage.of(new byte[HealthCheckMessage.LENGTH - 1]))
+                .isNull();
         byte[] bad = m.bytes();
         bad[0] = 9;
         assertThat(HealthCheckMessage.of(bad)).isNull();
--- a/src/test/java/cacheproxy/fleet/lease/LeaseStatesTest.java
+++ b/src/test/java/cacheproxy/fleet/lease/LeaseStatesTest.java
@@ -11,10 +11,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * All that can happen to some voters and candidates, three and two, breadth first, over the real code: each message that is on its way may come
- * next, in any order, may be lost or come twice; time goes on in quarters of a lease; one process restarts with nothing, one stands
- * still and goes on. A state is a path of choices, played again from the start; states that are alike are looked at once. More of
- * them: {@code -Dlease.states=1000000 -Dlease.voters=5 -Dlease.candidates=3}.
+ * All that can happen to some voters and candidates, three and two, breadth first, over the real code: each message
+ * that is on its way may come next, in any order, may be lost or come twice; time goes on in quarters of a lease; one
+ * process restarts with nothing, one stands still and goes on. A state is a path of choices, played again from the
+ * start; states that are alike are looked at once. More of them: {@code -Dlease.states=1000000 -Dlease.voters=5
+ * -Dlease.candidates=3}.
  */
 class LeaseStatesTest {
     private static final double LEASE = 1000;
@@ -24,9 +25,16 @@
     private static final int MOST_MAIL = 8;
     private static final double STEP_MS = 260;
 
-    private enum What { TIME, DELIVER, LOSE, TWICE, RESTART, PAUSE }
+    private enum What {
+        TIME,
+        DELIVER,
+        LOSE,
+        TWICE,
+        RESTART,
+        PAUSE
+    }
 
-    private record Step(What what, int which) { }
+    private record Step(What what, int which) {}
 
     private record Path(Path before, Step step, int length) {
         List<Step> steps() {
@@ -38,7 +46,7 @@
         }
     }
 
-    private record Explored(int states, int depth, List<Step> trace, String fault) { }
+    private record Explored(int states, int depth, List<Step> trace, String fault) {}
 
     /** A world with its messages in a bag. */
     private static final class Bag {
@@ -127,16 +135,26 @@
 
         private String text(LeaseWorld.Mail m) {
             LeaseMessage l = LeaseMessage.of(m.bytes());
-            boolean answer = l.kind() == LeaseMessage.Kind.STATE || l.kind() == LeaseMessage.Kind.GRANT || l.kind() == LeaseMessage.Kind.REFUSE;
+            boolean answer = l.kind() == LeaseMessage.Kind.STATE
+                    || l.kind() == LeaseMessage.Kind.GRANT
+                    || l.kind() == LeaseMessage.Kind.REFUSE;
             boolean awaited = w.processes.get(answer ? m.to() : m.from()).duties.awaits("d", l.nonce());
-            return m.from() + ">" + m.to() + " " + l.kind() + " " + l.epoch() + " " + l.holder() + " " + l.ms() + " " + awaited;
+            return m.from() + ">" + m.to() + " " + l.kind() + " " + l.epoch() + " " + l.holder() + " " + l.ms() + " "
+                    + awaited;
         }
 
         String fingerprint() {
             StringBuilder text = new StringBuilder();
-            w.processes.forEach(p -> text.append(p.paused).append(p.duties.fingerprint(p.local())).append('/'));
+            w.processes.forEach(p -> text.append(p.paused)
+                    .append(p.duties.fingerprint(p.local()))
+                    .append('/'));
             mail.stream().map(this::text).sorted().forEach(t -> text.append(t).append('&'));
-            return text.append(restarts).append(pauses).append(losses).append(copies).append(w.epochs).toString();
+            return text.append(restarts)
+                    .append(pauses)
+                    .append(losses)
+                    .append(copies)
+                    .append(w.epochs)
+                    .toString();
         }
     }
 
@@ -154,7 +172,8 @@
                 if (!b.w.faults().isEmpty()) {
                     List<Step> trace = new ArrayList<>(before);
                     trace.add(s);
-                    return new Explored(known.size(), depth + 1, trace, b.w.faults().get(0));
+                    return new Explored(
+                            known.size(), depth + 1, trace, b.w.faults().get(0));
                 }
                 if (known.add(b.fingerprint())) {
                     open.add(new Path(at, s, at.length + 1));
@@ -174,7 +193,8 @@
     void noStateOfThreeVotersHasTwoThatMayAct() {
         for (boolean held : new boolean[] {false, true}) {
             Explored e = explore(new LeaseTiming(LEASE, LeaseTiming.DRIFT), held, STATES / 2);
-            System.out.println((held ? "from a held duty: " : "from none: ") + "states " + e.states() + ", depth " + e.depth());
+            System.out.println(
+                    (held ? "from a held duty: " : "from none: ") + "states " + e.states() + ", depth " + e.depth());
             assertThat(e.fault()).as(e.trace().toString()).isNull();
             assertThat(e.states()).isGreaterThanOrEqualTo(STATES / 2);
         }
@@ -182,12 +202,15 @@
 
     @Test
     void aVoterThatForgetsAndSpeaksAtOnceIsFoundWithItsShortestTrace() {
-        Explored e = explore(new LeaseTiming(LEASE, LeaseTiming.DRIFT) {
-            @Override
-            public double silenceMs() {
-                return 0;
-            }
-        }, false, 400_000);
+        Explored e = explore(
+                new LeaseTiming(LEASE, LeaseTiming.DRIFT) {
+                    @Override
+                    public double silenceMs() {
+                        return 0;
+                    }
+                },
+                false,
+                400_000);
         System.out.println("no silence: " + e);
         assertThat(e.fault()).isNotNull();
     }
--- a/src/test/java/cacheproxy/fleet/lease/LeaseTest.java
+++ b/src/test/java/cacheproxy/fleet/lease/LeaseTest.java
@@ -41,7 +41,9 @@
         assertThat(claim(3010, "b", 6).kind()).isEqualTo(Kind.GRANT);
         assertThat(claim(3100, "a", 5).kind()).as("a renewal from before").isEqualTo(Kind.REFUSE);
         voter.heard(3100, NameHash.of("a"), new LeaseMessage(Kind.RELEASE, DUTY, 0, 6, LIFE, 0));
-        assertThat(claim(3101, "a", 9).kind()).as("given back by one who has it not").isEqualTo(Kind.REFUSE);
+        assertThat(claim(3101, "a", 9).kind())
+                .as("given back by one who has it not")
+                .isEqualTo(Kind.REFUSE);
         voter.heard(3102, NameHash.of("b"), new LeaseMessage(Kind.RELEASE, DUTY, 0, 5, LIFE, 0));
         assertThat(claim(3103, "a", 9).kind()).as("an older one given back").isEqualTo(Kind.REFUSE);
         voter.heard(3104, NameHash.of("b"), new LeaseMessage(Kind.RELEASE, DUTY, 0, 6, LIFE, 0));
@@ -53,21 +55,32 @@
         assertThat(claim(2000, "a", 5).kind()).isEqualTo(Kind.GRANT);
         LeaseMessage twin = new LeaseMessage(Kind.CLAIM, DUTY, 7, 6, LIFE + 1, 1000);
         assertThat(voter.heard(2001, NameHash.of("a"), twin).kind()).isEqualTo(Kind.REFUSE);
-        assertThat(voter.heard(2001, NameHash.of("a"), new LeaseMessage(Kind.ASK, DUTY, 7, 0, LIFE + 1, 0)).holder()).isEqualTo(NameHash.of("a"));
-        assertThat(voter.heard(2001, NameHash.of("a"), new LeaseMessage(Kind.ASK, DUTY, 7, 0, LIFE, 0)).holder()).isEqualTo(NameHash.NOBODY);
+        assertThat(voter.heard(2001, NameHash.of("a"), new LeaseMessage(Kind.ASK, DUTY, 7, 0, LIFE + 1, 0))
+                        .holder())
+                .isEqualTo(NameHash.of("a"));
+        assertThat(voter.heard(2001, NameHash.of("a"), new LeaseMessage(Kind.ASK, DUTY, 7, 0, LIFE, 0))
+                        .holder())
+                .isEqualTo(NameHash.NOBODY);
         assertThat(voter.heard(3010, NameHash.of("a"), twin).kind()).isEqualTo(Kind.GRANT);
         assertThat(claim(3011, "a", 6).kind()).as("its renewal").isEqualTo(Kind.REFUSE);
     }
 
     @Test
     void aLeaseLongerThanAllAgreeOnAndADutyTooManyAreNotAnswered() {
-        assertThat(voter.heard(2000, 1, new LeaseMessage(Kind.CLAIM, DUTY, 7, 1, 0, 1001))).isNull();
-        assertThat(voter.heard(2000, 1, new LeaseMessage(Kind.CLAIM, DUTY, 7, 1, 0, 0))).isNull();
+        assertThat(voter.heard(2000, 1, new LeaseMessage(Kind.CLAIM, DUTY, 7, 1, 0, 1001)))
+                .isNull();
+        assertThat(voter.heard(2000, 1, new LeaseMessage(Kind.CLAIM, DUTY, 7, 1, 0, 0)))
+                .isNull();
         for (int i = 0; i < LeaseVoter.MOST_DUTIES; i++) {
-            assertThat(voter.heard(2000, 1, new LeaseMessage(Kind.CLAIM, i + 10, 7, 1, 0, 1000))).isNotNull();
+            assertThat(voter.heard(2000, 1, new LeaseMessage(Kind.CLAIM, i + 10, 7, 1, 0, 1000)))
+                    .isNotNull();
         }
-        assertThat(voter.heard(2000, 1, new LeaseMessage(Kind.CLAIM, 5, 7, 1, 0, 1000))).isNull();
-        assertThat(voter.heard(2000, 1, new LeaseMessage(Kind.CLAIM, 11, 7, 1, 0, 1000)).kind()).as("a known one").isEqualTo(Kind.GRANT);
+        assertThat(voter.heard(2000, 1, new LeaseMessage(Kind.CLAIM, 5, 7, 1, 0, 1000)))
+                .isNull();
+        assertThat(voter.heard(2000, 1, new LeaseMessage(Kind.CLAIM, 11, 7, 1, 0, 1000))
+                        .kind())
+                .as("a known one")
+                .isEqualTo(Kind.GRANT);
         assertThat(voter.size()).isEqualTo(LeaseVoter.MOST_DUTIES);
     }
 
@@ -76,7 +89,8 @@
         LeaseMessage m = new LeaseMessage(Kind.REFUSE, 1, -2, 3, -4, 5);
         assertThat(LeaseMessage.of(m.bytes())).isEqualTo(m);
         assertThat(m.bytes()).hasSize(LeaseMessage.LENGTH);
-        assertThat(LeaseMessage.of(new LeaseMessage(Kind.CLAIM, 1, 2, LeaseMessage.MOST_EPOCH + 1, 4, 5).bytes())).isNull();
+        assertThat(LeaseMessage.of(new LeaseMessage(Kind.CLAIM, 1, 2, LeaseMessage.MOST_EPOCH + 1, 4, 5).bytes()))
+                .isNull();
         SplittableRandom random = new SplittableRandom(3);
         LeaseManager duties = new LeaseManager("p1", RULES, random.split(), 0, new Silent());
         duties.stand("d", 1000, new VoterSet("d", List.of("p1", "p2", "p3"), List.of(), 3), 0);
@@ -86,7 +100,8 @@
             for (int n = random.nextInt(1, 8); n > 0; n--) {
                 spoilt[random.nextInt(3) == 0 ? 0 : random.nextInt(spoilt.length)] = (byte) random.nextInt(256);
             }
-            LeaseMessage got = LeaseMessage.of(random.nextInt(10) == 0 ? java.util.Arrays.copyOf(spoilt, random.nextInt(60)) : spoilt);
+            LeaseMessage got = LeaseMessage.of(
+                    random.nextInt(10) == 0 ? java.util.Arrays.copyOf(spoilt, random.nextInt(60)) : spoilt);
             if (got != null) {
                 read++;
                 duties.heard(2000 + i / 1000.0, random.nextInt(4), got, 1);
@@ -118,7 +133,9 @@
         Set<Long> firstThree = ids("p1", "p2", "p3");
         Set<Long> lastThree = ids("p5", "p6", "p7");
         assertThat(old.isMajority(firstThree)).isTrue();
-        assertThat(next.isMajority(lastThree)).as("disjoint, so these two lists must not be in use at once").isTrue();
+        assertThat(next.isMajority(lastThree))
+                .as("disjoint, so these two lists must not be in use at once")
+                .isTrue();
         assertThat(both.isMajority(firstThree)).isFalse();
         assertThat(both.isMajority(lastThree)).isFalse();
         assertThat(both.isMajority(ids("p3", "p4", "p5"))).isTrue();
@@ -135,13 +152,13 @@
 
     private static class Silent implements LeaseManager.Out {
         @Override
-        public void send(long to, LeaseMessage m) { }
+        public void send(long to, LeaseMessage m) {}
 
         @Override
-        public void gained(String duty, long epoch) { }
+        public void gained(String duty, long epoch) {}
 
         @Override
-        public void lost(String duty, long epoch, String why) { }
+        public void lost(String duty, long epoch, String why) {}
     }
 
     /** Three or five processes whose messages take 1 ms; ticks each ms. */
@@ -175,7 +192,8 @@
         LeaseWorld.Process b = w.processes.get((a.index + 1) % 5);
         long epoch = a.duties.permit("d", a.local(), 30);
         assertThat(epoch).isPositive();
-        assertThat(a.duties.transfer("d", NameHash.of(b.name), a.local(), "SIGTERM")).isTrue();
+        assertThat(a.duties.transfer("d", NameHash.of(b.name), a.local(), "SIGTERM"))
+                .isTrue();
         assertThat(a.duties.permit("d", a.local(), 0)).as("nothing new").isEqualTo(-1);
         go(w, 25);
         assertThat(holder(w)).as("its act is under way").isNull();
@@ -185,7 +203,9 @@
         assertThat(w.faults()).isEmpty();
         assertThat(w.losses).containsEntry("SIGTERM", 1);
         assertThat(b.duties.transfer("d", NameHash.NOBODY, b.local(), "x")).isTrue();
-        assertThat(a.duties.transfer("d", NameHash.NOBODY, a.local(), "x")).as("not held").isFalse();
+        assertThat(a.duties.transfer("d", NameHash.NOBODY, a.local(), "x"))
+                .as("not held")
+                .isFalse();
     }
 
     @Test
@@ -220,7 +240,9 @@
         go(w, 3000);
         LeaseWorld.Process b = holder(w);
         assertThat(b).isNotNull().isNotSameAs(a);
-        assertThat(a.duties.permit("d", a.local(), 0)).as("asked before anything else runs").isEqualTo(-1);
+        assertThat(a.duties.permit("d", a.local(), 0))
+                .as("asked before anything else runs")
+                .isEqualTo(-1);
         FencingTokenCheck guard = new FencingTokenCheck();
         assertThat(guard.accepts(DUTY, epoch)).isTrue();
         assertThat(guard.accepts(DUTY, b.duties.permit("d", b.local(), 0))).isTrue();
@@ -237,7 +259,8 @@
         VoterSet e = new VoterSet("d", List.of("p1"), List.of(), 5);
         assertThatThrownBy(() -> d.stand("d", 1001, e, 0)).hasMessageContaining("lease 1001");
         assertThatThrownBy(() -> new LeaseTiming(0, 0.01)).isInstanceOf(IllegalArgumentException.class);
-        assertThatThrownBy(() -> new VoterSet("d", List.of(), List.of(), 5)).isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> new VoterSet("d", List.of(), List.of(), 5))
+                .isInstanceOf(IllegalArgumentException.class);
         for (int i = 0; i < LeaseManager.MOST; i++) {
             d.stand("x" + i, 100, e, 0);
         }
@@ -260,7 +283,7 @@
         }
 
         @Override
-        public void lost(String duty, long epoch, String why) { }
+        public void lost(String duty, long epoch, String why) {}
 
         /** All answer what was last asked. */
         void answer(LeaseManager d, double now) {
@@ -269,8 +292,16 @@
             for (LeaseMessage m : asked) {
                 Kind kind = m.kind() == Kind.ASK ? Kind.STATE : Kind.GRANT;
                 if (m.kind() == Kind.ASK || m.kind() == Kind.CLAIM) {
-                    d.heard(now, NameHash.of("p2"), new LeaseMessage(kind, m.duty(), m.nonce(), m.epoch(), NameHash.NOBODY, 0), 1);
-                    d.heard(now, NameHash.of("p3"), new LeaseMessage(kind, m.duty(), m.nonce(), m.epoch(), NameHash.NOBODY, 0), 1);
+                    d.heard(
+                            now,
+                            NameHash.of("p2"),
+                            new LeaseMessage(kind, m.duty(), m.nonce(), m.epoch(), NameHash.NOBODY, 0),
+                            1);
+                    d.heard(
+                            now,
+                            NameHash.of("p3"),
+                            new LeaseMessage(kind, m.duty(), m.nonce(), m.epoch(), NameHash.NOBODY, 0),
+                            1);
                 }
             }
         }
@@ -313,16 +344,25 @@
         d.stand("d", 100.9, THREE, 0);
         d.tick(500, 1);
         out.answer(d, 500);
-        int told = out.out.stream().filter(m -> m.kind() == Kind.CLAIM).findFirst().orElseThrow().ms();
+        int told = out.out.stream()
+                .filter(m -> m.kind() == Kind.CLAIM)
+                .findFirst()
+                .orElseThrow()
+                .ms();
         out.answer(d, 500);
         double voters = RULES.voterMs(told) / (1 + RULES.drift()); // in true time, at the least
         assertThat(d.permit("d", 500, 0)).isPositive();
-        assertThat(d.permit("d", 500 + voters * (1 - RULES.drift()), 0)).as("by a slow clock the voters' time is over").isEqualTo(-1);
+        assertThat(d.permit("d", 500 + voters * (1 - RULES.drift()), 0))
+                .as("by a slow clock the voters' time is over")
+                .isEqualTo(-1);
         // Another lease counts from the next question on, not for the one that is out.
         d.stand("d", 1000, THREE, 501);
         assertThat(d.permit("d", 500 + voters, 0)).isEqualTo(-1);
         d.tick(540, 1);
-        assertThat(out.out).filteredOn(m -> m.kind() == Kind.CLAIM).allMatch(m -> m.ms() == 1000).isNotEmpty();
+        assertThat(out.out)
+                .filteredOn(m -> m.kind() == Kind.CLAIM)
+                .allMatch(m -> m.ms() == 1000)
+                .isNotEmpty();
         out.answer(d, 541);
         assertThat(d.permit("d", 1400, 0)).isPositive();
     }
--- a/src/test/java/cacheproxy/fleet/lease/LeaseWalkTest.java
+++ b/src/test/java/cacheproxy/fleet/lease/LeaseWalkTest.java
@@ -11,8 +11,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Walks by lot on virtual time: processes with clocks that drift to the bound, messages that are lost, doubled, late, cut off one way,
- * processes that stand still, restart with nothing, all at once too. More of them: {@code -Dlease.schedules=20000}.
+ * Walks by lot on virtual time: processes with clocks that drift to the bound, messages that are lost, doubled, late,
+ * cut off one way, processes that stand still, restart with nothing, all at once too. More of them:
+ * {@code -Dlease.schedules=20000}.
  */
 class LeaseWalkTest {
     private static final double LEASE = 1000;
@@ -24,19 +25,21 @@
 
     private static final LeaseTiming SOUND = new LeaseTiming(LEASE, LeaseTiming.DRIFT);
 
-    private record Walked(int gains, long mails, List<String> faults, double longestIdleMs) { }
+    private record Walked(int gains, long mails, List<String> faults, double longestIdleMs) {}
 
     private static Walked walk(LeaseTiming rules, long seed, int count, List<String> names, boolean trouble) {
         return walk(rules, seed, count, names, trouble, 0);
     }
 
     /** @param steps in which the list of peers is changed to one that shares two of five with it; 0: it is not */
-    private static Walked walk(LeaseTiming rules, long seed, int count, List<String> names, boolean trouble, int steps) {
+    private static Walked walk(
+            LeaseTiming rules, long seed, int count, List<String> names, boolean trouble, int steps) {
         return walk(rules, seed, count, names, trouble, steps, 0);
     }
 
     /** @param judgedMs the least time between two looks at all duties; 0: after each event */
-    private static Walked walk(LeaseTiming rules, long seed, int count, List<String> names, boolean trouble, int steps, double judgedMs) {
+    private static Walked walk(
+            LeaseTiming rules, long seed, int count, List<String> names, boolean trouble, int steps, double judgedMs) {
         SplittableRandom random = new SplittableRandom(seed);
         LeaseWorld w = new LeaseWorld(rules, LEASE, count, names);
         if (steps > 0) {
@@ -53,7 +56,8 @@
                 return;
             }
             for (int copies = random.nextInt(20) == 0 ? 2 : 1; copies > 0; copies--) {
-                w.mail.add(new LeaseWorld.Mail(w.now + 0.2 + random.nextDouble() * late[0], w.mails * 2 + copies, from, to, bytes));
+                w.mail.add(new LeaseWorld.Mail(
+                        w.now + 0.2 + random.nextDouble() * late[0], w.mails * 2 + copies, from, to, bytes));
             }
         };
         for (LeaseWorld.Process p : w.processes) {
@@ -122,7 +126,8 @@
             int i = random.nextInt(w.stage.length);
             if (steps == 1 && w.stage[i] == 0) {
                 w.advance(i, 2);
-            } else if (w.stage[i] == 0 || w.stage[i] == 1 && Arrays.stream(w.stage).allMatch(s -> s > 0)) {
+            } else if (w.stage[i] == 0
+                    || w.stage[i] == 1 && Arrays.stream(w.stage).allMatch(s -> s > 0)) {
                 w.advance(i, w.stage[i] + 1);
             }
         }
@@ -131,7 +136,9 @@
     @Test
     void aListThatChangesInTwoStepsNeverHasTwoHoldersAndInOneItHas() {
         for (int seed = 0; seed < SCHEDULES / 6; seed++) {
-            assertThat(walk(SOUND, seed, 8, List.of("a", "b"), true, 2).faults()).as("seed " + seed).isEmpty();
+            assertThat(walk(SOUND, seed, 8, List.of("a", "b"), true, 2).faults())
+                    .as("seed " + seed)
+                    .isEmpty();
         }
         int found = 0;
         for (int seed = 0; seed < 20; seed++) {
@@ -186,20 +193,24 @@
         long mails = 0;
         double longest = 0;
         for (int seed = 0; seed < SCHEDULES; seed++) {
-            Walked walked = walk(SOUND, seed, 3 + seed % 4 * 2, seed % 2 == 0 ? List.of("a") : List.of("a", "b", "c"), true);
+            Walked walked =
+                    walk(SOUND, seed, 3 + seed % 4 * 2, seed % 2 == 0 ? List.of("a") : List.of("a", "b", "c"), true);
             assertThat(walked.faults()).as("seed " + seed).isEmpty();
             gains += walked.gains();
             mails += walked.mails();
             longest = Math.max(longest, walked.longestIdleMs());
         }
         assertThat(gains).as("duties moved").isGreaterThan(SCHEDULES * 2);
-        System.out.printf("walks %d, gains %d, messages %d, longest without a holder once calm %.0f ms%n", SCHEDULES, gains, mails, longest);
+        System.out.printf(
+                "walks %d, gains %d, messages %d, longest without a holder once calm %.0f ms%n",
+                SCHEDULES, gains, mails, longest);
     }
 
     /** A hundred proxies and two hundred duties, looked at every 25 ms: {@code -Dlease.large=N} of them. */
     @Test
     void aHundredProxiesWithTwoHundredDutiesHaveOneHolderOfEach() {
-        List<String> names = java.util.stream.IntStream.range(0, 200).mapToObj(i -> "d" + i).toList();
+        List<String> names =
+                java.util.stream.IntStream.range(0, 200).mapToObj(i -> "d" + i).toList();
         int gains = 0;
         long mails = 0;
         double longest = 0;
@@ -210,14 +221,17 @@
             mails += walked.mails();
             longest = Math.max(longest, walked.longestIdleMs());
         }
-        System.out.printf("large walks %d, gains %d, messages %d, longest without a holder once calm %.0f ms%n", LARGE, gains, mails, longest);
+        System.out.printf(
+                "large walks %d, gains %d, messages %d, longest without a holder once calm %.0f ms%n",
+                LARGE, gains, mails, longest);
     }
 
     @Test
     void aWallClockThatStepsAnHourBothWaysMovesNothingAndEpochsGrow() {
         LeaseWorld w = new LeaseWorld(SOUND, LEASE, 5, List.of("a"));
         SplittableRandom random = new SplittableRandom(3);
-        w.sent = (from, to, bytes) -> w.mail.add(new LeaseWorld.Mail(w.now + random.nextDouble() * 3, w.mails++, from, to, bytes));
+        w.sent = (from, to, bytes) ->
+                w.mail.add(new LeaseWorld.Mail(w.now + random.nextDouble() * 3, w.mails++, from, to, bytes));
         w.processes.forEach(p -> p.start(random.split()));
         double[] steps = {0, 3_600_000, -3_600_000, 3_600_000, 0};
         for (int round = 0; round < 2 * steps.length; round++) {
--- a/src/test/java/cacheproxy/fleet/lease/LeaseWorld.java
+++ b/src/test/java/cacheproxy/fleet/lease/LeaseWorld.java
@@ -7,10 +7,13 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 
-/** Processes with real {@link LeaseManager}, each on a clock of its own, and the messages between them; judged in true time. */
+/**
+ * Processes with real {@link LeaseManager}, each on a clock of its own, and the messages between them; judged in true
+ * time.
+ */
 final class LeaseWorld {
     /** A message on its way. */
-    record Mail(double atMs, long n, int from, int to, byte[] bytes) { }
+    record Mail(double atMs, long n, int from, int to, byte[] bytes) {}
 
     /** What a process is. */
     final class Process {
@@ -19,6 +22,7 @@
         final long id;
         /** Local time is {@code zero + rate * true time}. */
         double rate = 1;
+
         double zero;
         boolean paused;
         boolean down;
@@ -94,10 +98,11 @@
     final Map<Long, Integer> byId = new HashMap<>();
     final Map<String, Long> epochs = new HashMap<>();
     final Map<String, Integer> losses = new HashMap<>();
-    final PriorityQueue<Mail> mail = new PriorityQueue<>((a, b) -> a.atMs != b.atMs ? Double.compare(a.atMs, b.atMs) : Long.compare(a.n, b.n));
+    final PriorityQueue<Mail> mail =
+            new PriorityQueue<>((a, b) -> a.atMs != b.atMs ? Double.compare(a.atMs, b.atMs) : Long.compare(a.n, b.n));
     int voters = 5;
     int standing = Integer.MAX_VALUE;
-    Sending sent = (from, to, bytes) -> { };
+    Sending sent = (from, to, bytes) -> {};
     double now;
     double wallStepMs;
     long mails;
@@ -119,8 +124,11 @@
     }
 
     private final Map<String, VoterSet> electorates = new HashMap<>();
-    /** The list that each process goes by while it changes: the old one, both, the new one; null: it does not change. */
+    /**
+     * The list that each process goes by while it changes: the old one, both, the new one; null: it does not change.
+     */
     int[] stage;
+
     List<String> oldList;
     List<String> newList;
 
@@ -138,9 +146,13 @@
     }
 
     VoterSet electorate(int index, String duty) {
-        return electorates.computeIfAbsent((stage == null ? -1 : stage[index]) + duty, k -> stage == null
-                ? new VoterSet(duty, processes.stream().map(p -> p.name).toList(), List.of(), voters) : stage[index] == 0
-                ? new VoterSet(duty, oldList, List.of(), voters) : new VoterSet(duty, newList, stage[index] == 1 ? oldList : List.of(), voters));
+        return electorates.computeIfAbsent(
+                (stage == null ? -1 : stage[index]) + duty,
+                k -> stage == null
+                        ? new VoterSet(duty, processes.stream().map(p -> p.name).toList(), List.of(), voters)
+                        : stage[index] == 0
+                                ? new VoterSet(duty, oldList, List.of(), voters)
+                                : new VoterSet(duty, newList, stage[index] == 1 ? oldList : List.of(), voters));
     }
 
     /** The wall clock is off by so much from now on. */
@@ -190,8 +202,10 @@
                             keep.add(v.id);
                         }
                     }
-                    // While the list changes, a lease may stem from the list before the one that the holder goes by now.
-                    boolean kept = stage == null ? electorate(p.index, d).isMajority(keep)
+                    // While the list changes, a lease may stem from the list before the one that the holder goes by
+                    // now.
+                    boolean kept = stage == null
+                            ? electorate(p.index, d).isMajority(keep)
                             : of(d, oldList).isMajority(keep) || of(d, newList).isMajority(keep);
                     if (!kept) {
                         fault(p.name + " may act on " + d + " and only " + keep.size() + " keep others from it");
@@ -199,7 +213,11 @@
                 }
             }
             if (n > 1) {
-                fault(n + " may act on " + d + ": " + processes.stream().filter(p -> p.mayAct(d)).map(p -> p.name).toList());
+                fault(n + " may act on " + d + ": "
+                        + processes.stream()
+                                .filter(p -> p.mayAct(d))
+                                .map(p -> p.name)
+                                .toList());
             }
         }
     }
--- a/src/test/java/cacheproxy/fleet/membership/SwimMembershipTest.java
+++ b/src/test/java/cacheproxy/fleet/membership/SwimMembershipTest.java
@@ -14,13 +14,17 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Who is there, by real detectors on virtual time with links that lose and processes that stand still, die and come back. */
+/**
+ * Who is there, by real detectors on virtual time with links that lose and processes that stand still, die and come
+ * back.
+ */
 class SwimMembershipTest {
-    private record Mail(double atMs, long n, int from, int to, byte[] m) { }
+    private record Mail(double atMs, long n, int from, int to, byte[] m) {}
 
     private static final class World {
         final List<SwimMembership> all = new ArrayList<>();
-        final PriorityQueue<Mail> mail = new PriorityQueue<>((a, b) -> a.atMs != b.atMs ? Double.compare(a.atMs, b.atMs) : Long.compare(a.n, b.n));
+        final PriorityQueue<Mail> mail = new PriorityQueue<>(
+                (a, b) -> a.atMs != b.atMs ? Double.compare(a.atMs, b.atMs) : Long.compare(a.n, b.n));
         final SplittableRandom random;
         final List<Long> ids = new ArrayList<>();
         final double[] due;
@@ -45,7 +49,8 @@
 
         void born(int i) {
             gone.remove(i);
-            SwimMembership m = new SwimMembership(i + 1, SwimTiming.USUAL, random.split(), now, (to, x) -> send(i, (int) to - 1, x));
+            SwimMembership m = new SwimMembership(
+                    i + 1, SwimTiming.USUAL, random.split(), now, (to, x) -> send(i, (int) to - 1, x));
             m.use(ids, now);
             all.set(i, m);
             due[i] = now;
@@ -79,8 +84,11 @@
         }
 
         long say(int about, Standing s) {
-            return ids.stream().filter(i -> i != about + 1 && !gone.contains(i.intValue() - 1) && !still.contains(i.intValue() - 1))
-                    .filter(i -> all.get(i.intValue() - 1).standing(about + 1) == s).count();
+            return ids.stream()
+                    .filter(i ->
+                            i != about + 1 && !gone.contains(i.intValue() - 1) && !still.contains(i.intValue() - 1))
+                    .filter(i -> all.get(i.intValue() - 1).standing(about + 1) == s)
+                    .count();
         }
     }
 
@@ -195,7 +203,9 @@
                 w.all.get(0).heard(0, 2, spoilt);
             }
         }
-        assertThat(w.sent - before).as("questions for others").isLessThanOrEqualTo(SwimMembership.MOST_FAVOURS + 10_000);
+        assertThat(w.sent - before)
+                .as("questions for others")
+                .isLessThanOrEqualTo(SwimMembership.MOST_FAVOURS + 10_000);
         assertThat(w.all.get(0).standing(99)).isEqualTo(Standing.DEAD);
         assertThat(w.all.get(0).ill()).isBetween(0, SwimMembership.MOST_ILL);
     }
--- a/src/test/java/cacheproxy/fleet/peer/DatagramEnvelopeTest.java
+++ b/src/test/java/cacheproxy/fleet/peer/DatagramEnvelopeTest.java
@@ -30,7 +30,9 @@
             assertThat(o.topic()).isEqualTo((byte) 3);
             assertThat(o.payload()).containsExactly(7, 8);
             assertThat(b.open(d, 0)).as("again").isNull();
-            assertThat(a.open(a.seal(2L, (byte) 3, new byte[0]), 0)).as("its own").isNull();
+            assertThat(a.open(a.seal(2L, (byte) 3, new byte[0]), 0))
+                    .as("its own")
+                    .isNull();
             assertThat(a.twins()).isEmpty();
         }
     }
@@ -78,7 +80,9 @@
         assertThat(b.open(first.seal(2L, (byte) 0, new byte[0]), 0)).isNull();
         byte[] after = first.seal(2L, (byte) 0, new byte[0]);
         assertThat(b.open(after, DatagramEnvelope.FORGET_MS)).isNull();
-        assertThat(b.open(after, DatagramEnvelope.FORGET_MS + 1)).as("the newer one is gone").isNotNull();
+        assertThat(b.open(after, DatagramEnvelope.FORGET_MS + 1))
+                .as("the newer one is gone")
+                .isNotNull();
         assertThat(first.open(second.seal(2L, (byte) 0, new byte[0]), 0)).isNull();
         assertThat(first.twins()).containsExactly(1L);
         assertThat(second.twins()).isEmpty();
@@ -92,7 +96,9 @@
         for (int i = 0; i < DatagramEnvelope.TWIN; i++) {
             assertThat(b.twins()).isEmpty();
             assertThat(b.open(second.seal(2L, (byte) 0, new byte[0]), i)).isNotNull();
-            assertThat(b.open(first.seal(2L, (byte) 0, new byte[0]), i)).as("only the newer one is heard").isNull();
+            assertThat(b.open(first.seal(2L, (byte) 0, new byte[0]), i))
+                    .as("only the newer one is heard")
+                    .isNull();
         }
         assertThat(b.twins()).containsExactly(1L);
     }
@@ -104,9 +110,15 @@
         assertThat(both.open(old.seal(2L, (byte) 0, new byte[0]), 0)).isNotNull();
         DatagramEnvelope next = new DatagramEnvelope(1, 101, List.of(NEW), PEERS);
         assertThat(both.open(next.seal(2L, (byte) 0, new byte[0]), 0)).isNotNull();
-        assertThat(old.open(both.seal(2L, (byte) 0, new byte[0]), 0)).as("the old key alone").isNull();
-        assertThat(both.open(of(1, 102).seal(2L, (byte) 0, new byte[0]), 0)).as("unsigned").isNull();
-        assertThat(both.open(new DatagramEnvelope(3, 1, List.of(NEW), PEERS).seal(2L, (byte) 0, new byte[0]), 0)).as("no peer").isNull();
+        assertThat(old.open(both.seal(2L, (byte) 0, new byte[0]), 0))
+                .as("the old key alone")
+                .isNull();
+        assertThat(both.open(of(1, 102).seal(2L, (byte) 0, new byte[0]), 0))
+                .as("unsigned")
+                .isNull();
+        assertThat(both.open(new DatagramEnvelope(3, 1, List.of(NEW), PEERS).seal(2L, (byte) 0, new byte[0]), 0))
+                .as("no peer")
+                .isNull();
     }
 
     @Test
@@ -121,10 +133,13 @@
             byte[] d = a.seal(2L, (byte) 1, new byte[20]);
             int at = random.nextInt(d.length);
             d[at] ^= (byte) (1 + random.nextInt(255));
-            assertThat(b.open(random.nextInt(5) == 0 ? java.util.Arrays.copyOf(d, random.nextInt(300)) : d, 0)).isNull();
+            assertThat(b.open(random.nextInt(5) == 0 ? java.util.Arrays.copyOf(d, random.nextInt(300)) : d, 0))
+                    .isNull();
         }
         assertThat(b.open(a.seal(2L, (byte) 1, new byte[20]), 0)).isNotNull();
-        assertThatThrownBy(() -> a.seal(2L, (byte) 1, new byte[DatagramEnvelope.MOST_PAYLOAD + 1])).isInstanceOf(IllegalArgumentException.class);
-        assertThat(a.seal(2L, (byte) 1, new byte[DatagramEnvelope.MOST_PAYLOAD]).length).isLessThanOrEqualTo(DatagramEnvelope.MOST);
+        assertThatThrownBy(() -> a.seal(2L, (byte) 1, new byte[DatagramEnvelope.MOST_PAYLOAD + 1]))
+                .isInstanceOf(IllegalArgumentException.class);
+        assertThat(a.seal(2L, (byte) 1, new byte[DatagramEnvelope.MOST_PAYLOAD]).length)
+                .isLessThanOrEqualTo(DatagramEnvelope.MOST);
     }
 }
--- a/src/test/java/cacheproxy/fleet/peer/PeerListTransitionTest.java
+++ b/src/test/java/cacheproxy/fleet/peer/PeerListTransitionTest.java
@@ -30,7 +30,9 @@
         assertThat(between(by(OLD, Set.of()), by(NEW, OLD))).isEqualTo(Standing.A_STEP_APART);
         assertThat(between(by(NEW, OLD), by(NEW, Set.of()))).isEqualTo(Standing.A_STEP_APART);
         assertThat(between(by(OLD, Set.of()), by(NEW, Set.of()))).isEqualTo(Standing.DIFFERENT);
-        assertThat(between(by(NEW, OLD), by(OLD, NEW))).as("there and back at once").isEqualTo(Standing.DIFFERENT);
+        assertThat(between(by(NEW, OLD), by(OLD, NEW)))
+                .as("there and back at once")
+                .isEqualTo(Standing.DIFFERENT);
         assertThat(between(by(Set.of("p1"), Set.of()), by(NEW, OLD))).isEqualTo(Standing.DIFFERENT);
     }
 
--- a/src/test/java/cacheproxy/fleet/quota/QuotaWalkTest.java
+++ b/src/test/java/cacheproxy/fleet/quota/QuotaWalkTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.fleet.lease.NameHash;
 import cacheproxy.fleet.lease.LeaseHandle;
+import cacheproxy.fleet.lease.NameHash;
 import cacheproxy.simulation.QuotaSimulation;
 import cacheproxy.simulation.QuotaSimulation.Fault;
 import cacheproxy.simulation.QuotaSimulation.Plan;
@@ -17,7 +17,10 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Fleets that share a limit through random troubles, on virtual time: what all spend together stays within the stated bound, whatever befalls them. */
+/**
+ * Fleets that share a limit through random troubles, on virtual time: what all spend together stays within the stated
+ * bound, whatever befalls them.
+ */
 class QuotaWalkTest {
     private static final int WALKS = Integer.getInteger("quota.walks", 400);
     private static final QuotaTiming RULES = new QuotaTiming(600, 0.01);
@@ -26,10 +29,12 @@
         SplittableRandom r = new SplittableRandom(seed);
         int n = 2 + r.nextInt(8);
         boolean atOnce = r.nextInt(4) == 0;
-        QuotaSpec.Alone alone = atOnce ? QuotaSpec.Alone.values()[r.nextInt(2) * 2] : QuotaSpec.Alone.values()[r.nextInt(3)];
+        QuotaSpec.Alone alone =
+                atOnce ? QuotaSpec.Alone.values()[r.nextInt(2) * 2] : QuotaSpec.Alone.values()[r.nextInt(3)];
         double work = atOnce ? 50 + r.nextInt(600) : 0;
         double amount = atOnce ? 1 + r.nextInt(60) : 5 + r.nextInt(300);
-        QuotaSpec l = new QuotaSpec("l", atOnce, amount, atOnce ? 0 : r.nextInt(30), alone, r.nextInt(3) == 0 ? r.nextDouble() : 1, work);
+        QuotaSpec l = new QuotaSpec(
+                "l", atOnce, amount, atOnce ? 0 : r.nextInt(30), alone, r.nextInt(3) == 0 ? r.nextDouble() : 1, work);
         int spans = 1 + r.nextInt(4);
         double[][] offered = new double[spans][n];
         double all = (atOnce ? amount * 1000 / work : amount) * (0.5 + 4 * r.nextDouble());
@@ -50,7 +55,12 @@
             double part = r.nextInt(4) == 0 ? 0.9 : 0.3;
             IntStream.range(0, n).filter(p -> r.nextDouble() < part).forEach(who::add);
             double figure = t == Trouble.LATE ? r.nextInt(3) == 0 ? 5000 : 400 : r.nextDouble() * 0.8;
-            faults.add(new Fault(t, 500 + r.nextDouble() * 7000, 50 + r.nextDouble() * (r.nextInt(3) == 0 ? 5000 : 1200), who, figure));
+            faults.add(new Fault(
+                    t,
+                    500 + r.nextDouble() * 7000,
+                    50 + r.nextDouble() * (r.nextInt(3) == 0 ? 5000 : 1200),
+                    who,
+                    figure));
         }
         return new Plan(Way.DEALER, n, l, rules, offered, 300 + r.nextDouble() * 3000, work, 10_000, faults, seed);
     }
@@ -62,21 +72,33 @@
             return result.over()[0];
         }
         // LAST: the links may fail several times in a window, and each time what was granted decays.
-        double fails = p.limit().alone() == QuotaSpec.Alone.LAST ? p.faults().size() * p.limit().amount() * QuotaSpec.DECAY * RULES.grantMs() / 2000 : 0;
+        double fails = p.limit().alone() == QuotaSpec.Alone.LAST
+                ? p.faults().size() * p.limit().amount() * QuotaSpec.DECAY * RULES.grantMs() / 2000
+                : 0;
         double passed = Double.NEGATIVE_INFINITY;
         for (int w = 0; w < QuotaSimulation.WINDOWS.length; w++) {
-            passed = Math.max(passed, result.over()[w] - fails - OvershootBound.over(p.limit(), p.rules(), p.proxies(), QuotaSimulation.WINDOWS[w]));
+            passed = Math.max(
+                    passed,
+                    result.over()[w]
+                            - fails
+                            - OvershootBound.over(p.limit(), p.rules(), p.proxies(), QuotaSimulation.WINDOWS[w]));
         }
         return passed;
     }
 
     @Test
     void noTroublePushesAFleetOverItsBound() {
-        double[] passed = IntStream.range(0, WALKS).parallel().mapToDouble(seed -> passed(plan(seed, RULES))).toArray();
+        double[] passed = IntStream.range(0, WALKS)
+                .parallel()
+                .mapToDouble(seed -> passed(plan(seed, RULES)))
+                .toArray();
         for (int seed = 0; seed < WALKS; seed++) {
-            assertThat(passed[seed]).as("seed " + seed + ": " + plan(seed, RULES)).isLessThanOrEqualTo(0);
+            assertThat(passed[seed])
+                    .as("seed " + seed + ": " + plan(seed, RULES))
+                    .isLessThanOrEqualTo(0);
         }
-        System.out.println("quota walks " + WALKS + ", nearest to the bound " + Arrays.stream(passed).max().orElse(0));
+        System.out.println("quota walks " + WALKS + ", nearest to the bound "
+                + Arrays.stream(passed).max().orElse(0));
     }
 
     /** Four proxies and 300 a second without room for bursts: first all of it is wanted at one, then at all. */
@@ -85,76 +107,117 @@
         one[first] = 900;
         double[] all = new double[4];
         Arrays.fill(all, 900);
-        return new Plan(Way.DEALER, 4, new QuotaSpec("l", false, 300, 0, alone, 1, 0), rules, new double[][] {one, all, all}, 5000, 0, 15_000, List.of(faults), 1);
+        return new Plan(
+                Way.DEALER,
+                4,
+                new QuotaSpec("l", false, 300, 0, alone, 1, 0),
+                rules,
+                new double[][] {one, all, all},
+                5000,
+                0,
+                15_000,
+                List.of(faults),
+                1);
     }
 
     /** By the right rules the plan's bound holds, by the planted ones it does not. */
-    private static void found(QuotaTiming right, QuotaTiming planted, QuotaSpec.Alone alone, int first, Fault... faults) {
+    private static void found(
+            QuotaTiming right, QuotaTiming planted, QuotaSpec.Alone alone, int first, Fault... faults) {
         assertThat(passed(aimed(right, alone, first, faults))).isLessThanOrEqualTo(0);
         assertThat(passed(aimed(planted, alone, first, faults))).isPositive();
     }
 
     @Test
     void grantsThatAreSpentAfterTheirEndAreFound() {
-        found(RULES, new QuotaTiming(600, 0.01) {
-            @Override
-            public double usedMs() {
-                return 10 * super.usedMs();
-            }
-        }, QuotaSpec.Alone.NONE, 1, new Fault(Trouble.CUT, 4900, 5000, List.of(1), 0));
+        found(
+                RULES,
+                new QuotaTiming(600, 0.01) {
+                    @Override
+                    public double usedMs() {
+                        return 10 * super.usedMs();
+                    }
+                },
+                QuotaSpec.Alone.NONE,
+                1,
+                new Fault(Trouble.CUT, 4900, 5000, List.of(1), 0));
     }
 
     @Test
     void aDealerThatForgetsWhatItHasGivenOutIsFound() {
-        found(RULES, new QuotaTiming(600, 0.01) {
-            @Override
-            public double outMs(QuotaSpec l) {
-                return 1;
-            }
-        }, QuotaSpec.Alone.NONE, 1, new Fault(Trouble.CUT, 4900, 5000, List.of(1), 0));
+        found(
+                RULES,
+                new QuotaTiming(600, 0.01) {
+                    @Override
+                    public double outMs(QuotaSpec l) {
+                        return 1;
+                    }
+                },
+                QuotaSpec.Alone.NONE,
+                1,
+                new Fault(Trouble.CUT, 4900, 5000, List.of(1), 0));
     }
 
     @Test
     void loansThatAreTakenBackBeforeTheirEndAreFound() {
-        found(RULES, new QuotaTiming(600, 0.01) {
-            @Override
-            public double keptMs(QuotaSpec l) {
-                return 50;
-            }
+        found(
+                RULES,
+                new QuotaTiming(600, 0.01) {
+                    @Override
+                    public double keptMs(QuotaSpec l) {
+                        return 50;
+                    }
 
-            @Override
-            public double silenceMs(QuotaSpec l) {
-                return super.keptMs(l);
-            }
-        }, QuotaSpec.Alone.SHARE, 1, new Fault(Trouble.CUT, 4990, 5000, List.of(2, 3), 0));
+                    @Override
+                    public double silenceMs(QuotaSpec l) {
+                        return super.keptMs(l);
+                    }
+                },
+                QuotaSpec.Alone.SHARE,
+                1,
+                new Fault(Trouble.CUT, 4990, 5000, List.of(2, 3), 0));
     }
 
     @Test
     void aProcessThatSpendsAtOnceWhatItsEarlierLifeHadLentIsFound() {
-        found(RULES, new QuotaTiming(600, 0.01) {
-            @Override
-            public double silenceMs(QuotaSpec l) {
-                return 0;
-            }
-        }, QuotaSpec.Alone.SHARE, 1, new Fault(Trouble.KILL, 4950, 40, List.of(2, 3), 0));
+        found(
+                RULES,
+                new QuotaTiming(600, 0.01) {
+                    @Override
+                    public double silenceMs(QuotaSpec l) {
+                        return 0;
+                    }
+                },
+                QuotaSpec.Alone.SHARE,
+                1,
+                new Fault(Trouble.KILL, 4950, 40, List.of(2, 3), 0));
     }
 
     @Test
     void aNewHolderThatDealsAtOnceWhatTheLastOneGaveOutIsFound() {
         QuotaTiming slow = new QuotaTiming(4000, 0.01);
-        found(slow, new QuotaTiming(4000, 0.01) {
-            @Override
-            public double takeoverMs(QuotaSpec l) {
-                return 0;
-            }
-        }, QuotaSpec.Alone.NONE, 1, new Fault(Trouble.KILL, 4500, 5000, List.of(0), 0));
+        found(
+                slow,
+                new QuotaTiming(4000, 0.01) {
+                    @Override
+                    public double takeoverMs(QuotaSpec l) {
+                        return 0;
+                    }
+                },
+                QuotaSpec.Alone.NONE,
+                1,
+                new Fault(Trouble.KILL, 4500, 5000, List.of(0), 0));
     }
 
     /** A proxy that stood still for longer than all that it held finds its grants over before it spends. */
     @Test
     void whoeverWakesWithAPocketFullOfOldGrantsSpendsNoneOfThem() {
         for (QuotaSpec.Alone alone : QuotaSpec.Alone.values()) {
-            assertThat(passed(aimed(RULES, alone, 1, new Fault(Trouble.STOP, 4900, 3000, List.of(1), 0), new Fault(Trouble.STOP, 9000, 700, List.of(0, 1, 2), 0))))
+            assertThat(passed(aimed(
+                            RULES,
+                            alone,
+                            1,
+                            new Fault(Trouble.STOP, 4900, 3000, List.of(1), 0),
+                            new Fault(Trouble.STOP, 9000, 700, List.of(0, 1, 2), 0))))
                     .isLessThanOrEqualTo(0);
         }
     }
@@ -164,13 +227,27 @@
     void aLimitBelowOneASecondForEachProxyIsSharedAndKept() {
         double[] even = new double[100];
         Arrays.fill(even, 1);
-        Result r = QuotaSimulation.play(new Plan(Way.DEALER, 100, new QuotaSpec("l", false, 25, 25, QuotaSpec.Alone.SHARE, 1, 0), RULES, new double[][] {even}, 1000, 0, 12_000,
-                List.of(new Fault(Trouble.LOSS, 3000, 3000, List.of(0), 0.3)), 1));
-        assertThat(r.over()[2]).isLessThanOrEqualTo(OvershootBound.over(new QuotaSpec("l", false, 25, 25, QuotaSpec.Alone.SHARE, 1, 0), RULES, 100, 10_000));
+        Result r = QuotaSimulation.play(new Plan(
+                Way.DEALER,
+                100,
+                new QuotaSpec("l", false, 25, 25, QuotaSpec.Alone.SHARE, 1, 0),
+                RULES,
+                new double[][] {even},
+                1000,
+                0,
+                12_000,
+                List.of(new Fault(Trouble.LOSS, 3000, 3000, List.of(0), 0.3)),
+                1));
+        assertThat(r.over()[2])
+                .isLessThanOrEqualTo(OvershootBound.over(
+                        new QuotaSpec("l", false, 25, 25, QuotaSpec.Alone.SHARE, 1, 0), RULES, 100, 10_000));
         assertThat(r.spent()).as("of 300, some lie idle in buckets of one").isGreaterThan(150);
     }
 
-    /** A peer that lies about what it wants gets its fair part and no more; one that gives nothing back delays others by a grant's time. */
+    /**
+     * A peer that lies about what it wants gets its fair part and no more; one that gives nothing back delays others by
+     * a grant's time.
+     */
     @Test
     void whoeverWantsEverythingGetsItsFairPart() {
         AllocationLedger book = new AllocationLedger(RULES);
@@ -202,7 +279,9 @@
             line.add(1000 - i, 10 + i);
             counted.add(1000 - i, 10 + i);
         }
-        assertThat(line.at(50)).as("what is owed is never less than was promised").isGreaterThanOrEqualTo(1000 - 41);
+        assertThat(line.at(50))
+                .as("what is owed is never less than was promised")
+                .isGreaterThanOrEqualTo(1000 - 41);
         assertThat(counted.at(50)).as("what one counts on is never more").isLessThanOrEqualTo(1000 - 41);
         assertThat(line.at(109.5)).isZero();
         QuotaSpec l = new QuotaSpec("l", false, 100, 0, QuotaSpec.Alone.SHARE, 1, 0);
@@ -218,11 +297,14 @@
         assertThat(QuotaMessage.of(m.bytes()).entries().get(0).amount()).isLessThanOrEqualTo(0.1);
         byte[] bytes = m.bytes();
         for (int cut = 0; cut < bytes.length; cut++) {
-            assertThat(QuotaMessage.of(Arrays.copyOf(bytes, cut))).as("cut at " + cut).satisfiesAnyOf(x -> assertThat(x).isNull(),
-                    x -> assertThat(x.entries()).isEmpty());
+            assertThat(QuotaMessage.of(Arrays.copyOf(bytes, cut)))
+                    .as("cut at " + cut)
+                    .satisfiesAnyOf(
+                            x -> assertThat(x).isNull(),
+                            x -> assertThat(x.entries()).isEmpty());
         }
         SplittableRandom random = new SplittableRandom(1);
-        QuotaManager q = new QuotaManager(1, RULES, random, 0, peer -> true, (to, x) -> { });
+        QuotaManager q = new QuotaManager(1, RULES, random, 0, peer -> true, (to, x) -> {});
         q.use(List.of(l), List.of(LeaseHandle.NOBODYS), List.of(1L, 2L), 2, false, true, 0);
         for (int i = 0; i < 20_000; i++) { // spoilt and hostile ones change nothing that is not bounded
             byte[] b = new byte[25 + 12 * random.nextInt(16)];
@@ -241,10 +323,14 @@
     @Test
     void aLimitThatIsTakenOutAndPutBackIsSilentForAsLongAsItMayBeLent() {
         QuotaSpec l = new QuotaSpec("l", false, 100, 0, QuotaSpec.Alone.SHARE, 1, 0);
-        QuotaManager q = new QuotaManager(1, RULES, new SplittableRandom(1), -1e6, peer -> true, (to, x) -> { });
+        QuotaManager q = new QuotaManager(1, RULES, new SplittableRandom(1), -1e6, peer -> true, (to, x) -> {});
         q.use(List.of(l), List.of(LeaseHandle.NOBODYS), List.of(1L, 2L), 2, false, true, 0);
         assertThat(q.pocket("l").own(1)).isEqualTo(50);
-        q.heard(1, 2, new QuotaMessage(QuotaMessage.Kind.CALL, 7, 1, 0, List.of(new QuotaMessage.Entry(NameHash.of("l"), 0))));
+        q.heard(
+                1,
+                2,
+                new QuotaMessage(
+                        QuotaMessage.Kind.CALL, 7, 1, 0, List.of(new QuotaMessage.Entry(NameHash.of("l"), 0))));
         assertThat(q.pocket("l").own(1)).as("lent").isLessThan(2);
         q.use(List.of(), List.of(LeaseHandle.NOBODYS), List.of(1L, 2L), 2, false, true, 10);
         q.use(List.of(l), List.of(LeaseHandle.NOBODYS), List.of(1L, 2L), 2, false, true, 20);
@@ -257,12 +343,16 @@
         assertThat(q.pocket("l").mine(5001 + RULES.keptMs(other))).isEqualTo(5);
     }
 
-    /** What was dealt out stands though the file no longer has the limit: with it back nothing of that is dealt out twice. */
+    /**
+     * What was dealt out stands though the file no longer has the limit: with it back nothing of that is dealt out
+     * twice.
+     */
     @Test
     void aDealerWhoseFileDropsALimitAndTakesItBackStillCountsWhatItGaveOut() {
         QuotaSpec l = new QuotaSpec("l", false, 100, 0, QuotaSpec.Alone.NONE, 0, 0);
         List<QuotaMessage> sent = new ArrayList<>();
-        QuotaManager q = new QuotaManager(1, RULES, new SplittableRandom(1), -1e6, peer -> true, (to, m) -> sent.add(m));
+        QuotaManager q =
+                new QuotaManager(1, RULES, new SplittableRandom(1), -1e6, peer -> true, (to, m) -> sent.add(m));
         LeaseHandle holds = new LeaseHandle() {
             @Override
             public long permit(double now, double actMs) {
@@ -302,9 +392,21 @@
     /** What a dealer gives a peer that asks for all of the limit. */
     private static double given(QuotaManager q, List<QuotaMessage> sent, long to, double now) {
         sent.clear();
-        q.heard(now, to, new QuotaMessage(QuotaMessage.Kind.WANT, to, (long) now, 0, List.of(new QuotaMessage.Entry(NameHash.of("l"), 100))));
+        q.heard(
+                now,
+                to,
+                new QuotaMessage(
+                        QuotaMessage.Kind.WANT,
+                        to,
+                        (long) now,
+                        0,
+                        List.of(new QuotaMessage.Entry(NameHash.of("l"), 100))));
         q.tick(now);
-        return sent.stream().filter(m -> m.kind() == QuotaMessage.Kind.GRANT).mapToDouble(m -> m.entries().get(0).amount()).max().orElseThrow();
+        return sent.stream()
+                .filter(m -> m.kind() == QuotaMessage.Kind.GRANT)
+                .mapToDouble(m -> m.entries().get(0).amount())
+                .max()
+                .orElseThrow();
     }
 
     /** Shares shrink at once and grow only once what others may still spend of them is over. */
--- a/src/test/java/cacheproxy/handover/HandoverTest.java
+++ b/src/test/java/cacheproxy/handover/HandoverTest.java
@@ -34,6 +34,7 @@
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(2, EpollIoHandler.newFactory());
     private final EventLoop first = group.next();
     private final EventLoop second = group.next();
+
     @TempDir
     private Path folder;
 
@@ -66,7 +67,10 @@
         AtomicInteger byFirst = new AtomicInteger();
         AtomicInteger bySecond = new AtomicInteger();
         EpollServerSocketChannel listening = (EpollServerSocketChannel) counting(first, byFirst)
-                .channel(EpollServerSocketChannel.class).bind("127.0.0.1", 0).sync().channel();
+                .channel(EpollServerSocketChannel.class)
+                .bind("127.0.0.1", 0)
+                .sync()
+                .channel();
         int port = listening.localAddress().getPort();
         Path path = Handover.path(folder, port);
         Handover offer = Handover.offer(first, path, listening.fd().intValue(), null);
@@ -75,12 +79,16 @@
         assertThat(taken).isNotNull();
         assertThat(first.submit(offer::hasSuccessor).get()).isTrue();
         // The first stops before the second takes anything: what comes in between has only the shared queue.
-        first.submit(() -> listening.deregister().addListener(f -> listening.close())).get();
+        first.submit(() -> listening.deregister().addListener(f -> listening.close()))
+                .get();
         listening.closeFuture().sync();
         try (Socket a = new Socket(InetAddress.getByName("127.0.0.1"), port);
                 Socket b = new Socket(InetAddress.getByName("127.0.0.1"), port)) {
-            Channel adopted = counting(second, bySecond).channelFactory(() -> new EpollServerSocketChannel(taken.descriptor()))
-                    .register().sync().channel();
+            Channel adopted = counting(second, bySecond)
+                    .channelFactory(() -> new EpollServerSocketChannel(taken.descriptor()))
+                    .register()
+                    .sync()
+                    .channel();
             assertThat(((InetSocketAddress) adopted.localAddress()).getPort()).isEqualTo(port);
             assertThat(a.getInputStream().read()).isEqualTo('x');
             assertThat(b.getInputStream().read()).isEqualTo('x');
@@ -107,7 +115,10 @@
         assertThat(Handover.take(first, path, 30_000)).isNull();
         Files.delete(path);
         EpollServerSocketChannel listening = (EpollServerSocketChannel) counting(first, new AtomicInteger())
-                .channel(EpollServerSocketChannel.class).bind("127.0.0.1", 0).sync().channel();
+                .channel(EpollServerSocketChannel.class)
+                .bind("127.0.0.1", 0)
+                .sync()
+                .channel();
         Handover offer = Handover.offer(first, path, listening.fd().intValue(), null);
         first.submit(offer::close).get();
         assertThat(path).doesNotExist();
@@ -118,7 +129,10 @@
         Path path = Handover.path(folder, 1);
         Files.createFile(path);
         EpollServerSocketChannel listening = (EpollServerSocketChannel) counting(first, new AtomicInteger())
-                .channel(EpollServerSocketChannel.class).bind("127.0.0.1", 0).sync().channel();
+                .channel(EpollServerSocketChannel.class)
+                .bind("127.0.0.1", 0)
+                .sync()
+                .channel();
         Handover.offer(first, path, listening.fd().intValue(), null);
         Handover.Taken taken = Handover.take(second, path, 30_000);
         assertThat(taken).isNotNull();
@@ -127,7 +141,10 @@
     @Test
     void aPathThatIsALinkADirectoryOrASocketThatGivesNothingStopsNobody() throws Exception {
         EpollServerSocketChannel listening = (EpollServerSocketChannel) counting(first, new AtomicInteger())
-                .channel(EpollServerSocketChannel.class).bind("127.0.0.1", 0).sync().channel();
+                .channel(EpollServerSocketChannel.class)
+                .bind("127.0.0.1", 0)
+                .sync()
+                .channel();
         int descriptor = listening.fd().intValue();
         // A link is replaced itself; what it points to is left alone.
         Path precious = Files.writeString(folder.resolve("precious"), "x");
@@ -141,9 +158,11 @@
         assertThat(Handover.take(second, dangling, 30_000)).isNull();
         Handover.offer(first, dangling, descriptor, null);
         assertThat(Handover.take(second, dangling, 30_000)).isNotNull();
-        Path directory = Files.createDirectories(Handover.path(folder, 3).resolve("full")).getParent();
+        Path directory = Files.createDirectories(Handover.path(folder, 3).resolve("full"))
+                .getParent();
         assertThat(Handover.take(second, directory, 30_000)).isNull();
-        assertThatThrownBy(() -> Handover.offer(first, directory, descriptor, null)).isInstanceOf(IOException.class);
+        assertThatThrownBy(() -> Handover.offer(first, directory, descriptor, null))
+                .isInstanceOf(IOException.class);
         // One that takes the call and says nothing, and one that says what is no descriptor.
         for (String said : new String[] {"", "noise"}) {
             Path silent = folder.resolve("silent" + said.length());
@@ -167,7 +186,10 @@
     void noMoreThanTheBoundAskAtOnce() throws Exception {
         Path path = Handover.path(folder, 1);
         EpollServerSocketChannel listening = (EpollServerSocketChannel) counting(first, new AtomicInteger())
-                .channel(EpollServerSocketChannel.class).bind("127.0.0.1", 0).sync().channel();
+                .channel(EpollServerSocketChannel.class)
+                .bind("127.0.0.1", 0)
+                .sync()
+                .channel();
         Handover.offer(first, path, listening.fd().intValue(), null);
         for (int i = 0; i < Handover.MAX_ASKERS; i++) {
             assertThat(Handover.take(second, path, 30_000)).isNotNull();
@@ -179,6 +201,8 @@
     void aFolderTooDeepForASocketIsToldAndNothingIsTakenThere() throws Exception {
         Path deep = Path.of("/" + "d".repeat(120), "x");
         assertThat(Handover.take(first, deep, 30_000)).isNull();
-        assertThatThrownBy(() -> Handover.offer(first, deep, 0, null)).isInstanceOf(IOException.class).hasMessageContaining("too long");
+        assertThatThrownBy(() -> Handover.offer(first, deep, 0, null))
+                .isInstanceOf(IOException.class)
+                .hasMessageContaining("too long");
     }
 }
--- a/src/test/java/cacheproxy/hooks/HookInstanceTest.java
+++ b/src/test/java/cacheproxy/hooks/HookInstanceTest.java
@@ -40,18 +40,34 @@
     @ValueSource(booleans = {true, false})
     void theKitDoesWhatItSays(boolean compiled) throws Exception {
         HookInstance keys = start(bytes(KIT, "key-schemes"), "", compiled);
-        for (String[] c : new String[][] {{"A:7/vi", "sub/7/vi"}, {"b-7-vi", "sub/7/vi"}, {"C|vi|7", "sub/7/vi"}, {"C|vi", null},
-            {"other", null}, {"A:", null}}) {
-            HookOrders o = keys.call(new HookCall(c[0], "page", "red", false, false, 500)).orders();
+        for (String[] c : new String[][] {
+            {"A:7/vi", "sub/7/vi"},
+            {"b-7-vi", "sub/7/vi"},
+            {"C|vi|7", "sub/7/vi"},
+            {"C|vi", null},
+            {"other", null},
+            {"A:", null}
+        }) {
+            HookOrders o = keys.call(new HookCall(c[0], "page", "red", false, false, 500))
+                    .orders();
             assertThat(o.key()).as(c[0]).isEqualTo(c[1]);
         }
         HookInstance classes = start(bytes(KIT, "class-by-suffix"), ".vtt=page\n.post=submit\n", compiled);
-        assertThat(classes.call(new HookCall("x.post", "page", "", true, false, 1)).orders().serviceClass()).isEqualTo("submit");
-        assertThat(classes.call(new HookCall("x.vtt", "page", "", true, false, 1)).orders().serviceClass()).isEqualTo("page");
-        assertThat(classes.call(new HookCall("vtt", "page", "", true, false, 1)).orders()).isEqualTo(HookOrders.NONE);
+        assertThat(classes.call(new HookCall("x.post", "page", "", true, false, 1))
+                        .orders()
+                        .serviceClass())
+                .isEqualTo("submit");
+        assertThat(classes.call(new HookCall("x.vtt", "page", "", true, false, 1))
+                        .orders()
+                        .serviceClass())
+                .isEqualTo("page");
+        assertThat(classes.call(new HookCall("vtt", "page", "", true, false, 1)).orders())
+                .isEqualTo(HookOrders.NONE);
         HookInstance tenants = start(bytes(KIT, "tenant-list"), "blue\nred", compiled);
         assertThat(tenants.call(CALL).orders().refuseMs()).isEqualTo(1000);
-        assertThat(tenants.call(new HookCall("k", "page", "re", false, false, 5)).orders()).isEqualTo(HookOrders.NONE);
+        assertThat(tenants.call(new HookCall("k", "page", "re", false, false, 5))
+                        .orders())
+                .isEqualTo(HookOrders.NONE);
     }
 
     @Test
@@ -62,7 +78,8 @@
                 for (Path wat : files.filter(f -> f.toString().endsWith(".wat")).toList()) {
                     byte[] module = Files.readAllBytes(Path.of(wat.toString().replace(".wat", ".wasm")));
                     byte[] digest = MessageDigest.getInstance("SHA-256").digest(Files.readAllBytes(wat));
-                    assertThat(Arrays.copyOfRange(module, module.length - 32, module.length)).as(wat + ": run hooks/build.mjs")
+                    assertThat(Arrays.copyOfRange(module, module.length - 32, module.length))
+                            .as(wat + ": run hooks/build.mjs")
                             .isEqualTo(digest);
                     seen++;
                 }
@@ -85,27 +102,59 @@
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"spin | used up its fuel", "recurse | too deep;used up its fuel", "trap | trapped", "divide | trapped",
-        "pointer | out of its memory;trapped", "negative | bytes; at most", "long | bytes; at most", "alloc-far | out of its memory;trapped",
-        "utf8 | no UTF-8", "twice | comes twice", "unknown-order | not known", "cut | ends too early", "logs | used up its fuel",
-        "log-far | trapped;out of its memory", "config-far | trapped;out of its memory", "steals-fuel | used up its fuel",
-        "copies | used up its fuel"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "spin | used up its fuel",
+                "recurse | too deep;used up its fuel",
+                "trap | trapped",
+                "divide | trapped",
+                "pointer | out of its memory;trapped",
+                "negative | bytes; at most",
+                "long | bytes; at most",
+                "alloc-far | out of its memory;trapped",
+                "utf8 | no UTF-8",
+                "twice | comes twice",
+                "unknown-order | not known",
+                "cut | ends too early",
+                "logs | used up its fuel",
+                "log-far | trapped;out of its memory",
+                "config-far | trapped;out of its memory",
+                "steals-fuel | used up its fuel",
+                "copies | used up its fuel"
+            })
     void hostileCallsFail(String name, String why) throws Exception {
         for (boolean compiled : new boolean[] {true, false}) {
             HookInstance hook = start(bytes(HOSTILE, name), "x", compiled);
-            assertThatThrownBy(() -> hook.call(CALL)).as(name).isInstanceOf(HookException.class)
-                    .satisfies(e -> assertThat(why.split(";")).anyMatch(w -> e.getMessage().contains(w.trim())));
+            assertThatThrownBy(() -> hook.call(CALL))
+                    .as(name)
+                    .isInstanceOf(HookException.class)
+                    .satisfies(e -> assertThat(why.split(";"))
+                            .anyMatch(w -> e.getMessage().contains(w.trim())));
         }
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {"spin-load | fuel", "start-spin | can't be started", "wasi | imports wasi_snapshot_preview1.fd_write",
-        "wrong-import | imports coralbay.log (i64)->()", "abi-2 | ABI version 2", "wrong-type | on_request is (i32)->(i64)",
-        "much-memory | 2000 pages", "big-table | 10000000 elements", "no-load | on_load returned 7", "no-memory | memory"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "spin-load | fuel",
+                "start-spin | can't be started",
+                "wasi | imports wasi_snapshot_preview1.fd_write",
+                "wrong-import | imports coralbay.log (i64)->()",
+                "abi-2 | ABI version 2",
+                "wrong-type | on_request is (i32)->(i64)",
+                "much-memory | 2000 pages",
+                "big-table | 10000000 elements",
+                "no-load | on_load returned 7",
+                "no-memory | memory"
+            })
     void hostileModulesDoNotLoad(String name, String why) throws Exception {
         for (boolean compiled : new boolean[] {true, false}) {
             byte[] module = bytes(HOSTILE, name);
-            assertThatThrownBy(() -> start(module, "", compiled)).as(name).isInstanceOf(HookException.class)
+            assertThatThrownBy(() -> start(module, "", compiled))
+                    .as(name)
+                    .isInstanceOf(HookException.class)
                     .hasMessageContaining(why);
         }
     }
@@ -118,8 +167,8 @@
             boolean compiled = n % 2 == 0;
             assertThatThrownBy(() -> start(cut, "", compiled)).as("cut at " + n).isInstanceOf(HookException.class);
         }
-        assertThatThrownBy(() -> start("#!/bin/sh\n".getBytes(StandardCharsets.US_ASCII), "", true)).hasMessageContaining(
-                "no WebAssembly module");
+        assertThatThrownBy(() -> start("#!/bin/sh\n".getBytes(StandardCharsets.US_ASCII), "", true))
+                .hasMessageContaining("no WebAssembly module");
         assertThatThrownBy(() -> start(new byte[64 << 20], "", true)).hasMessageContaining("at most");
         java.util.SplittableRandom random = new java.util.SplittableRandom(5);
         for (int i = 0; i < 3000; i++) {
@@ -137,8 +186,8 @@
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void aCallThatTakesTooLongIsInterrupted(boolean compiled) throws Exception {
-        HookModule module = HookModule.load(bytes(HOSTILE, "spin"), new HookModule.Limits(16, Long.MAX_VALUE, 1_000_000, 20, compiled),
-                "");
+        HookModule module = HookModule.load(
+                bytes(HOSTILE, "spin"), new HookModule.Limits(16, Long.MAX_VALUE, 1_000_000, 20, compiled), "");
         HookInstance hook = new HookInstance(module, () -> 42);
         CountDownLatch running = new CountDownLatch(1);
         AtomicReference<String> why = new AtomicReference<>();
@@ -184,15 +233,18 @@
         assertThat(answers.answered(CALL, HookCall.Answer.SERVED, 7)).containsExactly("served");
         assertThat(answers.answered(CALL, HookCall.Answer.REFUSED, 7)).containsExactly("refuse");
         assertThat(start(bytes(HOSTILE, "idle"), "", true).wantsAnswers()).isFalse();
-        assertThat(new HookCall("", "", "", false, false, 0).bytes(HookCall.Answer.FAILED, 258)).containsExactly(1, 0, 0, 0, 0, 0, 0, 0,
-                0, 0, 0, 0, 3, 2, 1, 0, 0);
+        assertThat(new HookCall("", "", "", false, false, 0).bytes(HookCall.Answer.FAILED, 258))
+                .containsExactly(1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 3, 2, 1, 0, 0);
     }
 
     @Test
     void growingEndsAtTheBoundAndLogLinesAreBounded() throws Exception {
-        HookInstance.Result touch = start(bytes(HOSTILE, "grow-touch"), "", true).call(CALL);
+        HookInstance.Result touch =
+                start(bytes(HOSTILE, "grow-touch"), "", true).call(CALL);
         assertThat(touch.orders()).isEqualTo(HookOrders.NONE);
-        assertThat(touch.fuel()).as("growing costs 4096, filling 65,536 bytes as much").isBetween(8192L, 8300L);
+        assertThat(touch.fuel())
+                .as("growing costs 4096, filling 65,536 bytes as much")
+                .isBetween(8192L, 8300L);
         assertThat(start(bytes(HOSTILE, "grow"), "", true).call(CALL).orders()).isEqualTo(HookOrders.NONE);
         HookInstance logs = start(bytes(HOSTILE, "logs"), "", true);
         assertThatThrownBy(() -> logs.call(CALL)).isInstanceOf(HookException.class);
@@ -201,9 +253,19 @@
 
     @Test
     void importsAndOrdersAreWhatTheAbiSays() throws Exception {
-        assertThat(HookModule.OFFERED).isEqualTo(Map.of("coralbay.log", "(i32,i32)->()", "coralbay.now_ms", "()->(i64)",
-                "coralbay.count", "()->(i64)", "coralbay.config_length", "()->(i32)", "coralbay.config_read", "(i32)->()"));
-        assertThat(new HookCall("ab", "c", "t", true, true, 258).bytes()).containsExactly(1, 3, 2, 1, 0, 0, 2, 0, 'a', 'b', 1, 0, 'c', 1,
-                0, 't');
+        assertThat(HookModule.OFFERED)
+                .isEqualTo(Map.of(
+                        "coralbay.log",
+                        "(i32,i32)->()",
+                        "coralbay.now_ms",
+                        "()->(i64)",
+                        "coralbay.count",
+                        "()->(i64)",
+                        "coralbay.config_length",
+                        "()->(i32)",
+                        "coralbay.config_read",
+                        "(i32)->()"));
+        assertThat(new HookCall("ab", "c", "t", true, true, 258).bytes())
+                .containsExactly(1, 3, 2, 1, 0, 0, 2, 0, 'a', 'b', 1, 0, 'c', 1, 0, 't');
     }
 }
--- a/src/test/java/cacheproxy/hooks/HookRulesTest.java
+++ b/src/test/java/cacheproxy/hooks/HookRulesTest.java
@@ -15,8 +15,10 @@
         return new ServiceClass(name, e, Group.ALL, 100, 1, 2, 1, 0.3, false);
     }
 
-    private final HookRules rules = new HookRules(List.of(kind("safe", Effect.SAFE), kind("keyed", Effect.KEYED),
-            kind("unsafe", Effect.UNSAFE)), List.of("red"), Set.of("r"));
+    private final HookRules rules = new HookRules(
+            List.of(kind("safe", Effect.SAFE), kind("keyed", Effect.KEYED), kind("unsafe", Effect.UNSAFE)),
+            List.of("red"),
+            Set.of("r"));
 
     private static HookOrders toClass(String name) {
         return new HookOrders(null, name, null, null, 0, null, 0);
@@ -36,12 +38,17 @@
     @Test
     void keysTenantsRoutesAndDeadlinesAreChecked() {
         for (String key : List.of("", "a b", "a\n", "k".repeat(251), "\u00e9")) {
-            assertThat(rules.refused(new HookOrders(key, null, null, null, 0, null, 0), 0, 9)).contains("not legal");
+            assertThat(rules.refused(new HookOrders(key, null, null, null, 0, null, 0), 0, 9))
+                    .contains("not legal");
         }
-        assertThat(rules.refused(new HookOrders("k".repeat(250), "safe", "red", "r", 0, null, 9), 0, 9)).isNull();
-        assertThat(rules.refused(new HookOrders(null, null, "blue", null, 0, null, 0), 0, 9)).contains("no tenant 'blue'");
-        assertThat(rules.refused(new HookOrders(null, null, null, "q", 0, null, 0), 0, 9)).contains("no route 'q'");
-        assertThat(rules.refused(new HookOrders(null, null, null, null, 0, null, 10), 0, 9)).contains("only be shortened");
+        assertThat(rules.refused(new HookOrders("k".repeat(250), "safe", "red", "r", 0, null, 9), 0, 9))
+                .isNull();
+        assertThat(rules.refused(new HookOrders(null, null, "blue", null, 0, null, 0), 0, 9))
+                .contains("no tenant 'blue'");
+        assertThat(rules.refused(new HookOrders(null, null, null, "q", 0, null, 0), 0, 9))
+                .contains("no route 'q'");
+        assertThat(rules.refused(new HookOrders(null, null, null, null, 0, null, 10), 0, 9))
+                .contains("only be shortened");
         assertThat(rules.refused(toClass("nosuch"), 0, 9)).contains("no class 'nosuch'");
     }
 
--- a/src/test/java/cacheproxy/htcp/HtcpCodecTest.java
+++ b/src/test/java/cacheproxy/htcp/HtcpCodecTest.java
@@ -69,7 +69,8 @@
         assertThat(encode(m.respond(HtcpMessage.TST_PRESENT, DETAIL))).isEqualTo(present);
         byte[] absent = hex("0010 00 00 000a 11 01 00000001 0000 0002");
         assertThat(decode(absent).message()).isEqualTo(m.respond(HtcpMessage.TST_ABSENT, new CacheHeaders("")));
-        assertThat(encode(m.respond(HtcpMessage.TST_ABSENT, new CacheHeaders("")))).isEqualTo(absent);
+        assertThat(encode(m.respond(HtcpMessage.TST_ABSENT, new CacheHeaders(""))))
+                .isEqualTo(absent);
     }
 
     /** CLR: 12 reserved bits, 4 of the reason, then the specifier. */
@@ -79,8 +80,10 @@
         HtcpMessage m = HtcpMessage.request(Opcode.CLR, 1, new Clear(1, GET));
         assertThat(encode(m)).isEqualTo(bytes);
         assertThat(decode(bytes).message()).isEqualTo(m);
-        assertThat(decode(hex("001f 00 00 0019 40 02 00000001 fff1 0003474554 000161 0003312e31 0000 0002")).message())
-                .as("reserved bits say nothing").isEqualTo(m);
+        assertThat(decode(hex("001f 00 00 0019 40 02 00000001 fff1 0003474554 000161 0003312e31 0000 0002"))
+                        .message())
+                .as("reserved bits say nothing")
+                .isEqualTo(m);
     }
 
     /** MON: one octet of seconds; its response: seconds, action and reason of four bits each, an identity. */
@@ -90,19 +93,24 @@
         HtcpMessage m = HtcpMessage.request(Opcode.MON, 1, new Monitor(255));
         assertThat(encode(m)).isEqualTo(bytes);
         assertThat(decode(bytes).message()).isEqualTo(m);
-        HtcpMessage change = m.respond(HtcpMessage.MON_ACCEPTED, new Change(200, 3, 5, new Identity(GET, new Detail("", "", ""))));
+        HtcpMessage change =
+                m.respond(HtcpMessage.MON_ACCEPTED, new Change(200, 3, 5, new Identity(GET, new Detail("", "", ""))));
         byte[] told = hex("0025 00 00 001f 20 01 00000001 c8 35 0003474554 000161 0003312e31 0000 0000 0000 0000 0002");
         assertThat(encode(change)).isEqualTo(told);
         assertThat(decode(told).message()).isEqualTo(change);
-        assertThat(decode(hex("000e 00 00 0008 21 01 00000001 0002")).message().response()).isEqualTo(HtcpMessage.MON_REFUSED);
+        assertThat(decode(hex("000e 00 00 0008 21 01 00000001 0002")).message().response())
+                .isEqualTo(HtcpMessage.MON_REFUSED);
     }
 
     @Test
     void everyBodyIsReadAsItWasWritten() throws Exception {
-        List<HtcpMessage> all = List.of(HtcpMessage.request(Opcode.SET, 7, new Identity(GET, DETAIL)),
-                HtcpMessage.request(Opcode.SET, 7, new Identity(GET, DETAIL)).respond(HtcpMessage.SET_IGNORED, new Empty()),
+        List<HtcpMessage> all = List.of(
+                HtcpMessage.request(Opcode.SET, 7, new Identity(GET, DETAIL)),
+                HtcpMessage.request(Opcode.SET, 7, new Identity(GET, DETAIL))
+                        .respond(HtcpMessage.SET_IGNORED, new Empty()),
                 HtcpMessage.request(Opcode.CLR, 7, new Clear(0, GET)).respond(HtcpMessage.CLR_ABSENT, new Empty()),
-                HtcpMessage.request(Opcode.TST, 7, new Specifier("HEAD", "http://\u00e4/", "HTTP/1.0", "X: y\r\n".repeat(999))));
+                HtcpMessage.request(
+                        Opcode.TST, 7, new Specifier("HEAD", "http://\u00e4/", "HTTP/1.0", "X: y\r\n".repeat(999))));
         for (HtcpMessage m : all) {
             assertThat(decode(encode(m)).message()).isEqualTo(m);
         }
@@ -118,33 +126,42 @@
         HtcpCodec.Datagram opcode = decode(hex("000e 00 00 0008 50 02 0a0b0c0d 0002"));
         assertThat(opcode.message()).isNull();
         assertThat(opcode.opcode()).isEqualTo(5);
-        assertThat(decode(hex("000e 00 09 0008 00 02 0a0b0c0d 0002")).message().minor()).isEqualTo(9);
+        assertThat(decode(hex("000e 00 09 0008 00 02 0a0b0c0d 0002")).message().minor())
+                .isEqualTo(9);
         // Octets behind AUTH are padding; reserved bits of DATA say nothing.
-        assertThat(decode(hex("0011 00 00 0008 00 fe 0a0b0c0d 0002 ffffff")).message()).isEqualTo(
-                HtcpMessage.request(Opcode.NOP, 0x0a0b0c0d, new Empty()));
+        assertThat(decode(hex("0011 00 00 0008 00 fe 0a0b0c0d 0002 ffffff")).message())
+                .isEqualTo(HtcpMessage.request(Opcode.NOP, 0x0a0b0c0d, new Empty()));
         // With MO = 1 OP-DATA is whatever the other side echoes.
-        assertThat(decode(hex("0010 00 00 000a 13 03 00000001 abcd 0002")).message().body()).isEqualTo(new Empty());
+        assertThat(decode(hex("0010 00 00 000a 13 03 00000001 abcd 0002"))
+                        .message()
+                        .body())
+                .isEqualTo(new Empty());
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "000d 00 00 0008 00 02 0a0b0c0d 00 | shorter than header",
-        "000f 00 00 0008 00 02 0a0b0c0d 0002 | not that of the datagram",
-        "000e 00 00 0007 00 02 0a0b0c0d 0002 | DATA is not within",
-        "000e 00 00 0009 00 02 0a0b0c0d 0002 | DATA is not within",
-        "000e 00 00 ffff 00 02 0a0b0c0d 0002 | DATA is not within",
-        "000e 00 00 0008 00 02 0a0b0c0d 0003 | AUTH is not within",
-        "000e 00 00 0008 00 02 0a0b0c0d 0001 | AUTH is not within",
-        "000e 00 00 0008 00 02 0a0b0c0d ffff | AUTH is not within",
-        "0010 00 00 000a 00 02 0a0b0c0d 0000 0002 | octets behind OP-DATA",
-        "0010 00 00 000a 10 02 0a0b0c0d 0001 0002 | a string is longer",
-        "0010 00 00 000a 10 02 0a0b0c0d 0000 0002 | OP-DATA ends early",
-        "000f 00 00 0009 10 02 0a0b0c0d 00 0002 | OP-DATA ends early",
-        "000e 00 00 0008 20 02 0a0b0c0d 0002 | OP-DATA ends early",
-        "001a 00 00 0008 00 02 0a0b0c0d 000e 00000000 00000000 0003 0000 | a string is longer",
-        "001b 00 00 0008 00 02 0a0b0c0d 000f 00000000 00000000 0000 0000 00 | octets behind the signature"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "000d 00 00 0008 00 02 0a0b0c0d 00 | shorter than header",
+                "000f 00 00 0008 00 02 0a0b0c0d 0002 | not that of the datagram",
+                "000e 00 00 0007 00 02 0a0b0c0d 0002 | DATA is not within",
+                "000e 00 00 0009 00 02 0a0b0c0d 0002 | DATA is not within",
+                "000e 00 00 ffff 00 02 0a0b0c0d 0002 | DATA is not within",
+                "000e 00 00 0008 00 02 0a0b0c0d 0003 | AUTH is not within",
+                "000e 00 00 0008 00 02 0a0b0c0d 0001 | AUTH is not within",
+                "000e 00 00 0008 00 02 0a0b0c0d ffff | AUTH is not within",
+                "0010 00 00 000a 00 02 0a0b0c0d 0000 0002 | octets behind OP-DATA",
+                "0010 00 00 000a 10 02 0a0b0c0d 0001 0002 | a string is longer",
+                "0010 00 00 000a 10 02 0a0b0c0d 0000 0002 | OP-DATA ends early",
+                "000f 00 00 0009 10 02 0a0b0c0d 00 0002 | OP-DATA ends early",
+                "000e 00 00 0008 20 02 0a0b0c0d 0002 | OP-DATA ends early",
+                "001a 00 00 0008 00 02 0a0b0c0d 000e 00000000 00000000 0003 0000 | a string is longer",
+                "001b 00 00 0008 00 02 0a0b0c0d 000f 00000000 00000000 0000 0000 00 | octets behind the signature"
+            })
     void whatIsCutTooLongOrInconsistentIsTold(String bytes, String why) {
-        assertThatThrownBy(() -> decode(hex(bytes))).isInstanceOf(HtcpCodec.Malformed.class).hasMessageContaining(why);
+        assertThatThrownBy(() -> decode(hex(bytes)))
+                .isInstanceOf(HtcpCodec.Malformed.class)
+                .hasMessageContaining(why);
     }
 
     @Test
@@ -156,7 +173,8 @@
         for (int i = 0; i < 60_000; i++) {
             int op = random.nextInt(5);
             byte[] data = HtcpCodec.data(HtcpMessage.request(Opcode.values()[op], i, bodies[op]));
-            byte[] bytes = HtcpCodec.datagram(data, random.nextBoolean() ? null : signer.sign(data, HERE, THERE, i, 60));
+            byte[] bytes =
+                    HtcpCodec.datagram(data, random.nextBoolean() ? null : signer.sign(data, HERE, THERE, i, 60));
             for (int n = random.nextInt(3); n > 0; n--) {
                 bytes[random.nextInt(bytes.length)] = (byte) random.nextInt();
             }
@@ -170,7 +188,8 @@
             try {
                 HtcpCodec.Datagram d = decode(bytes);
                 if (d.message() != null && !(d.reply() && d.message().flag())) {
-                    assertThat(decode(encode(d.message())).message().body()).isEqualTo(d.message().body());
+                    assertThat(decode(encode(d.message())).message().body())
+                            .isEqualTo(d.message().body());
                 }
                 read++;
             } catch (HtcpCodec.Malformed e) {
@@ -187,8 +206,11 @@
     void aSignatureCoversWhatTheRfcLists() throws Exception {
         byte[] data = HtcpCodec.data(HtcpMessage.request(Opcode.TST, 1, GET));
         byte[] secret = "secret".getBytes(StandardCharsets.US_ASCII);
-        ByteBuffer text = ByteBuffer.allocate(200).put(hex("7f000001 12db 7f000002 12dc 00 00 00000064 000000a0")).put(data)
-                .put(hex("0003")).put("key".getBytes(StandardCharsets.US_ASCII));
+        ByteBuffer text = ByteBuffer.allocate(200)
+                .put(hex("7f000001 12db 7f000002 12dc 00 00 00000064 000000a0"))
+                .put(data)
+                .put(hex("0003"))
+                .put("key".getBytes(StandardCharsets.US_ASCII));
         Mac mac = Mac.getInstance("HmacMD5");
         mac.init(new SecretKeySpec(secret, "HmacMD5"));
         mac.update(text.array(), 0, text.position());
@@ -196,8 +218,8 @@
         assertThat(auth).isEqualTo(new HtcpCodec.Auth(100, 160, "key", mac.doFinal()));
         byte[] datagram = HtcpCodec.datagram(data, auth);
         assertThat(decode(datagram).auth()).isEqualTo(auth);
-        assertThat(Arrays.copyOfRange(datagram, 4 + data.length, 4 + data.length + 15)).isEqualTo(
-                hex("0021 00000064 000000a0 00036b6579"));
+        assertThat(Arrays.copyOfRange(datagram, 4 + data.length, 4 + data.length + 15))
+                .isEqualTo(hex("0021 00000064 000000a0 00036b6579"));
     }
 
     @Test
@@ -212,10 +234,14 @@
         assertThat(signer.check(d, HERE, THERE, 995, 5)).isEqualTo(HtcpSigner.Verdict.GOOD);
         assertThat(signer.check(d, HERE, THERE, 994, 5)).isEqualTo(HtcpSigner.Verdict.NOT_YET);
         assertThat(signer.check(d, THERE, HERE, 1000, 5)).as("turned round").isEqualTo(HtcpSigner.Verdict.WRONG);
-        assertThat(signer.check(d, HERE, new InetSocketAddress("127.0.0.2", 1), 1000, 5)).isEqualTo(HtcpSigner.Verdict.WRONG);
-        assertThat(new HtcpSigner("key", new byte[] {1, 2, 4}).check(d, HERE, THERE, 1000, 5)).isEqualTo(HtcpSigner.Verdict.WRONG);
-        assertThat(new HtcpSigner("other", new byte[] {1, 2, 3}).check(d, HERE, THERE, 1000, 5)).isEqualTo(HtcpSigner.Verdict.OTHER_KEY);
-        assertThat(signer.check(decode(HtcpCodec.datagram(data, null)), HERE, THERE, 1000, 5)).isEqualTo(HtcpSigner.Verdict.NOT_SIGNED);
+        assertThat(signer.check(d, HERE, new InetSocketAddress("127.0.0.2", 1), 1000, 5))
+                .isEqualTo(HtcpSigner.Verdict.WRONG);
+        assertThat(new HtcpSigner("key", new byte[] {1, 2, 4}).check(d, HERE, THERE, 1000, 5))
+                .isEqualTo(HtcpSigner.Verdict.WRONG);
+        assertThat(new HtcpSigner("other", new byte[] {1, 2, 3}).check(d, HERE, THERE, 1000, 5))
+                .isEqualTo(HtcpSigner.Verdict.OTHER_KEY);
+        assertThat(signer.check(decode(HtcpCodec.datagram(data, null)), HERE, THERE, 1000, 5))
+                .isEqualTo(HtcpSigner.Verdict.NOT_SIGNED);
         int good = 0;
         for (int bit = 16; bit < bytes.length * 8; bit++) {
             byte[] bad = bytes.clone();
@@ -226,6 +252,8 @@
                 // dropped
             }
         }
-        assertThat(good).as("forged by one bit; the major version's are told apart before").isLessThanOrEqualTo(8);
+        assertThat(good)
+                .as("forged by one bit; the major version's are told apart before")
+                .isLessThanOrEqualTo(8);
     }
 }
--- a/src/test/java/cacheproxy/icp/IcpCodecTest.java
+++ b/src/test/java/cacheproxy/icp/IcpCodecTest.java
@@ -35,23 +35,38 @@
         }
     }
 
-    /** Opcode 1, version 2, 36 octets; request 0x01020304; both options; from 10.0.0.1 for 10.0.0.2; "http://a/b" and NUL. */
-    private static final String QUERY = "01 02 0023 01020304 c0000000 00000000 0a000001 0a000002 687474703a2f2f612f62 00";
+    /**
+     * Opcode 1, version 2, 36 octets; request 0x01020304; both options; from 10.0.0.1 for 10.0.0.2; "http://a/b" and
+     * NUL.
+     */
+    private static final String QUERY =
+            "01 02 0023 01020304 c0000000 00000000 0a000001 0a000002 687474703a2f2f612f62 00";
 
     @Test
     void aQueryByHand() throws Exception {
-        IcpMessage m = new IcpMessage(Opcode.QUERY, 0x01020304, IcpMessage.HIT_OBJ | IcpMessage.SRC_RTT, 0, 0x0a000001, 0x0a000002,
-                "http://a/b", null);
+        IcpMessage m = new IcpMessage(
+                Opcode.QUERY,
+                0x01020304,
+                IcpMessage.HIT_OBJ | IcpMessage.SRC_RTT,
+                0,
+                0x0a000001,
+                0x0a000002,
+                "http://a/b",
+                null);
         assertThat(decode(hex(QUERY))).isEqualTo(m);
         assertThat(encode(m)).isEqualTo(hex(QUERY));
         assertThat(m.answer(Opcode.MISS)).satisfies(a -> {
             assertThat(a.requestNumber()).isEqualTo(0x01020304);
             assertThat(a.url()).isEqualTo("http://a/b");
-            assertThat(a.options()).as("an option is told only where it is used").isZero();
+            assertThat(a.options())
+                    .as("an option is told only where it is used")
+                    .isZero();
         });
     }
 
-    /** Answers have no requester's address. MISS with a time to the origin of 300 ms in the low half of the option data. */
+    /**
+     * Answers have no requester's address. MISS with a time to the origin of 300 ms in the low half of the option data.
+     */
     @Test
     void aMissThatTellsTheTimeToTheOriginByHand() throws Exception {
         byte[] bytes = hex("03 02 0018 ffffffff 40000000 abcd012c 00000000 782f79 00");
@@ -61,7 +76,9 @@
         assertThat(m.sourceRttMs()).isEqualTo(300);
         assertThat(encode(m)).isEqualTo(bytes);
         assertThat(decode(hex(QUERY)).sourceRttMs()).as("a query tells none").isEqualTo(-1);
-        assertThat(decode(hex("03 02 0018 ffffffff 00000000 abcd012c 00000000 782f79 00")).sourceRttMs()).isEqualTo(-1);
+        assertThat(decode(hex("03 02 0018 ffffffff 00000000 abcd012c 00000000 782f79 00"))
+                        .sourceRttMs())
+                .isEqualTo(-1);
     }
 
     /** URL, NUL, two octets of size, the object. */
@@ -75,38 +92,54 @@
     }
 
     @ParameterizedTest
-    @CsvSource({"QUERY,1", "HIT,2", "MISS,3", "ERR,4", "SECHO,10", "DECHO,11", "MISS_NOFETCH,21", "DENIED,22", "HIT_OBJ,23"})
+    @CsvSource({
+        "QUERY,1",
+        "HIT,2",
+        "MISS,3",
+        "ERR,4",
+        "SECHO,10",
+        "DECHO,11",
+        "MISS_NOFETCH,21",
+        "DENIED,22",
+        "HIT_OBJ,23"
+    })
     void eachOpcodeHasItsNumber(Opcode opcode, int number) throws Exception {
         byte[] object = opcode == Opcode.HIT_OBJ ? new byte[5] : null;
         byte[] bytes = encode(new IcpMessage(opcode, 9, 0, 0, 0, 0, "k", object));
         assertThat(bytes[0]).isEqualTo((byte) number);
         assertThat(decode(bytes).opcode()).isEqualTo(opcode);
-        assertThat(opcode.answers()).isEqualTo(opcode != Opcode.QUERY && opcode != Opcode.SECHO && opcode != Opcode.DECHO);
+        assertThat(opcode.answers())
+                .isEqualTo(opcode != Opcode.QUERY && opcode != Opcode.SECHO && opcode != Opcode.DECHO);
     }
 
     @ParameterizedTest
-    @CsvSource(delimiter = '|', value = {
-        "'' | shorter than a header",
-        "01 02 0013 01020304 00000000 00000000 000000 | shorter than a header",
-        "01 02 0024 01020304 c0000000 00000000 0a000001 0a000002 687474703a2f2f612f62 00 | not that of the datagram",
-        "01 02 0022 01020304 c0000000 00000000 0a000001 0a000002 687474703a2f2f612f62 00 | not that of the datagram",
-        "01 03 0023 01020304 c0000000 00000000 0a000001 0a000002 687474703a2f2f612f62 00 | version is not 2",
-        "00 02 0018 ffffffff 00000000 00000000 00000000 782f79 00 | none of RFC 2186",
-        "05 02 0018 ffffffff 00000000 00000000 00000000 782f79 00 | none of RFC 2186",
-        "ff 02 0018 ffffffff 00000000 00000000 00000000 782f79 00 | none of RFC 2186",
-        "03 02 0017 ffffffff 00000000 00000000 00000000 782f79 | URL does not end",
-        "03 02 0014 ffffffff 00000000 00000000 00000000 | URL does not end",
-        "01 02 0016 ffffffff 00000000 00000000 00000000 0000 | URL does not end",
-        "01 02 0018 ffffffff 00000000 00000000 00000000 00000000 | URL does not end",
-        "03 02 0018 ffffffff 00000000 00000000 00000000 782079 00 | not printing",
-        "03 02 0018 ffffffff 00000000 00000000 00000000 780a79 00 | not printing",
-        "03 02 0018 ffffffff 00000000 00000000 00000000 78ff79 00 | not printing",
-        "03 02 0019 ffffffff 00000000 00000000 00000000 782f79 00 00 | octets behind",
-        "17 02 0017 00000007 00000000 00000000 00000000 78 00 00 | not as long as it says",
-        "17 02 001a 00000007 00000000 00000000 00000000 78 00 0003 000a | not as long as it says",
-        "17 02 001c 00000007 00000000 00000000 00000000 78 00 0003 000aff00 | not as long as it says"})
+    @CsvSource(
+            delimiter = '|',
+            value = {
+                "'' | shorter than a header",
+                "01 02 0013 01020304 00000000 00000000 000000 | shorter than a header",
+                "01 02 0024 01020304 c0000000 00000000 0a000001 0a000002 687474703a2f2f612f62 00 | not that of the datagram",
+                "01 02 0022 01020304 c0000000 00000000 0a000001 0a000002 687474703a2f2f612f62 00 | not that of the datagram",
+                "01 03 0023 01020304 c0000000 00000000 0a000001 0a000002 687474703a2f2f612f62 00 | version is not 2",
+                "00 02 0018 ffffffff 00000000 00000000 00000000 782f79 00 | none of RFC 2186",
+                "05 02 0018 ffffffff 00000000 00000000 00000000 782f79 00 | none of RFC 2186",
+                "ff 02 0018 ffffffff 00000000 00000000 00000000 782f79 00 | none of RFC 2186",
+                "03 02 0017 ffffffff 00000000 00000000 00000000 782f79 | URL does not end",
+                "03 02 0014 ffffffff 00000000 00000000 00000000 | URL does not end",
+                "01 02 0016 ffffffff 00000000 00000000 00000000 0000 | URL does not end",
+                "01 02 0018 ffffffff 00000000 00000000 00000000 00000000 | URL does not end",
+                "03 02 0018 ffffffff 00000000 00000000 00000000 782079 00 | not printing",
+                "03 02 0018 ffffffff 00000000 00000000 00000000 780a79 00 | not printing",
+                "03 02 0018 ffffffff 00000000 00000000 00000000 78ff79 00 | not printing",
+                "03 02 0019 ffffffff 00000000 00000000 00000000 782f79 00 00 | octets behind",
+                "17 02 0017 00000007 00000000 00000000 00000000 78 00 00 | not as long as it says",
+                "17 02 001a 00000007 00000000 00000000 00000000 78 00 0003 000a | not as long as it says",
+                "17 02 001c 00000007 00000000 00000000 00000000 78 00 0003 000aff00 | not as long as it says"
+            })
     void whatIsCutTooLongOrInconsistentIsTold(String bytes, String why) {
-        assertThatThrownBy(() -> decode(hex(bytes))).isInstanceOf(IcpCodec.Malformed.class).hasMessageContaining(why);
+        assertThatThrownBy(() -> decode(hex(bytes)))
+                .isInstanceOf(IcpCodec.Malformed.class)
+                .hasMessageContaining(why);
     }
 
     @Test
@@ -115,11 +148,12 @@
         byte[] most = encode(IcpMessage.query(1, 0, url));
         assertThat(most).hasSize(IcpMessage.MAX_LENGTH);
         assertThat(decode(most).url()).isEqualTo(url);
-        assertThatThrownBy(() -> encode(IcpMessage.query(1, 0, url + "u"))).isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> encode(IcpMessage.query(1, 0, url + "u")))
+                .isInstanceOf(IllegalArgumentException.class);
         assertThatThrownBy(() -> decode(new byte[IcpMessage.MAX_LENGTH + 1])).hasMessageContaining("longer than 16384");
         assertThatThrownBy(() -> encode(IcpMessage.query(1, 0, "a b"))).isInstanceOf(IllegalArgumentException.class);
-        assertThatThrownBy(() -> encode(new IcpMessage(Opcode.HIT, 1, 0, 0, 0, 0, "a", new byte[1]))).isInstanceOf(
-                IllegalArgumentException.class);
+        assertThatThrownBy(() -> encode(new IcpMessage(Opcode.HIT, 1, 0, 0, 0, 0, "a", new byte[1])))
+                .isInstanceOf(IllegalArgumentException.class);
     }
 
     /** Bits that have no meaning are neither believed nor sent. */
@@ -136,7 +170,8 @@
         int read = 0;
         for (int i = 0; i < 20_000; i++) {
             byte[] object = opcode == Opcode.HIT_OBJ ? new byte[random.nextInt(40)] : null;
-            byte[] bytes = encode(new IcpMessage(opcode, random.nextInt(), 0, random.nextInt(), 0, 0, "http://a/" + i, object));
+            byte[] bytes = encode(
+                    new IcpMessage(opcode, random.nextInt(), 0, random.nextInt(), 0, 0, "http://a/" + i, object));
             for (int n = random.nextInt(4); n > 0; n--) {
                 bytes[random.nextInt(bytes.length)] = (byte) random.nextInt();
             }
--- a/src/test/java/cacheproxy/invariant/SendGuardTest.java
+++ b/src/test/java/cacheproxy/invariant/SendGuardTest.java
@@ -101,7 +101,9 @@
     @Test
     void aRepeatsWindowLeavesWhatMayHoldTheProxyUp() {
         assertThat(SendGuard.repeatUntilMs(1000, 1500)).isEqualTo(2500 - SendGuard.HOLD_UP_MS);
-        assertThat(SendGuard.repeatUntilMs(1000, 100)).as("half of a short one is left").isEqualTo(1050);
+        assertThat(SendGuard.repeatUntilMs(1000, 100))
+                .as("half of a short one is left")
+                .isEqualTo(1050);
     }
 
     @Test
@@ -132,7 +134,12 @@
         assertThat(monitor.stopped(Invariant.CLIENT_PRESENT)).isEqualTo(2);
         assertThat(monitor.violations(Invariant.SINGLE_ANSWER)).isEqualTo(1);
         assertThat(monitor.violations()).isEqualTo(1);
-        assertThat(monitor.summary()).isEqualTo("violations=1 stopped=2 violated_single_answer=1 stopped_client_present=2");
-        assertThat(told).containsExactly("stopped CLIENT_PRESENT a1 left", "stopped CLIENT_PRESENT a2 left", "violated SINGLE_ANSWER a3 twice");
+        assertThat(monitor.summary())
+                .isEqualTo("violations=1 stopped=2 violated_single_answer=1 stopped_client_present=2");
+        assertThat(told)
+                .containsExactly(
+                        "stopped CLIENT_PRESENT a1 left",
+                        "stopped CLIENT_PRESENT a2 left",
+                        "violated SINGLE_ANSWER a3 twice");
     }
 }
--- a/src/test/java/cacheproxy/lifecycle/LifecycleTest.java
+++ b/src/test/java/cacheproxy/lifecycle/LifecycleTest.java
@@ -88,7 +88,7 @@
                     case 0 -> life.standby(now);
                     case 1 -> life.active();
                     case 2 -> life.leave(now, random.nextBoolean());
-                    default -> { }
+                    default -> {}
                 }
                 double share = life.share(now);
                 assertThat(share).isBetween(0.0, 1.0);
--- a/src/test/java/cacheproxy/limits/ConnectionEvictionTest.java
+++ b/src/test/java/cacheproxy/limits/ConnectionEvictionTest.java
@@ -20,7 +20,8 @@
     void withinAKindTheOneQuietLongestGoesFirst() {
         for (boolean idle : new boolean[] {true, false}) {
             for (boolean asked : new boolean[] {true, false}) {
-                assertThat(ConnectionEviction.rank(idle, asked, false, 1001)).isGreaterThan(ConnectionEviction.rank(idle, asked, false, 1000));
+                assertThat(ConnectionEviction.rank(idle, asked, false, 1001))
+                        .isGreaterThan(ConnectionEviction.rank(idle, asked, false, 1000));
             }
         }
     }
@@ -29,15 +30,21 @@
     void whoIsOwedAnAnswerHasJustComeOrGoesOnWritingStays() {
         assertThat(ConnectionEviction.rank(true, true, true, 1e9)).isNegative();
         assertThat(ConnectionEviction.rank(false, true, true, 1e9)).isNegative();
-        assertThat(ConnectionEviction.rank(true, false, false, ConnectionEviction.BEGIN_MS - 1)).isNegative();
-        assertThat(ConnectionEviction.rank(true, false, false, ConnectionEviction.BEGIN_MS)).isPositive();
-        assertThat(ConnectionEviction.rank(false, false, false, ConnectionEviction.PAUSE_MS - 1)).isNegative();
-        assertThat(ConnectionEviction.rank(false, true, false, ConnectionEviction.PAUSE_MS - 1)).isNegative();
-        assertThat(ConnectionEviction.rank(false, false, false, ConnectionEviction.PAUSE_MS)).isPositive();
+        assertThat(ConnectionEviction.rank(true, false, false, ConnectionEviction.BEGIN_MS - 1))
+                .isNegative();
+        assertThat(ConnectionEviction.rank(true, false, false, ConnectionEviction.BEGIN_MS))
+                .isPositive();
+        assertThat(ConnectionEviction.rank(false, false, false, ConnectionEviction.PAUSE_MS - 1))
+                .isNegative();
+        assertThat(ConnectionEviction.rank(false, true, false, ConnectionEviction.PAUSE_MS - 1))
+                .isNegative();
+        assertThat(ConnectionEviction.rank(false, false, false, ConnectionEviction.PAUSE_MS))
+                .isPositive();
     }
 
     @Test
     void aClockThatWentBackDoesNotMoveAServedOneBelowASilentOne() {
-        assertThat(ConnectionEviction.rank(true, true, false, -5)).isGreaterThan(ConnectionEviction.rank(true, false, false, 1e9));
+        assertThat(ConnectionEviction.rank(true, true, false, -5))
+                .isGreaterThan(ConnectionEviction.rank(true, false, false, 1e9));
     }
 }
--- a/src/test/java/cacheproxy/limits/ServerCapacityTest.java
+++ b/src/test/java/cacheproxy/limits/ServerCapacityTest.java
@@ -57,7 +57,9 @@
             }
         }
         int turnedAway = 0;
-        for (int now = 0; now < 60_000; now++) { // one request a millisecond; every third comes while another is out there
+        for (int now = 0;
+                now < 60_000;
+                now++) { // one request a millisecond; every third comes while another is out there
             int p = random.nextInt(proxies);
             int n = random.nextInt(nodes);
             boolean wants = held[p][n] == 0 || held[p][n] == 1 && random.nextInt(3) == 0;
--- a/src/test/java/cacheproxy/nginx/ConfParserTest.java
+++ b/src/test/java/cacheproxy/nginx/ConfParserTest.java
@@ -25,7 +25,8 @@
         @Override
         public List<String> glob(String pattern) {
             String regex = pattern.replace(".", "\\.").replace("*", "[^/]*");
-            return new TreeMap<>(texts).keySet().stream().filter(p -> p.matches(regex)).toList();
+            return new TreeMap<>(texts)
+                    .keySet().stream().filter(p -> p.matches(regex)).toList();
         }
     }
 
@@ -59,8 +60,11 @@
             {"a;\nb \u0000\u0001;", "f:2: byte 0x00 in column 3; this is no text"},
             {"a " + "x".repeat(5000) + ";", "f:1: a parameter of more than 4095 bytes begins here"},
             {"a {".repeat(100), "f:1: more than 64 blocks in each other"},
-            {"include g;", "f:1: can't read g: a text alone can't include files"}}) {
-            assertThatThrownBy(() -> parse(wrong[0])).as(wrong[0]).isInstanceOf(NginxSyntaxException.class)
+            {"include g;", "f:1: can't read g: a text alone can't include files"}
+        }) {
+            assertThatThrownBy(() -> parse(wrong[0]))
+                    .as(wrong[0])
+                    .isInstanceOf(NginxSyntaxException.class)
                     .hasMessageStartingWith(wrong[1]);
         }
     }
@@ -83,7 +87,9 @@
         texts.put("main", main.append("}").toString());
         ConfParser.Conf conf = ConfParser.read(new Files(texts), "main");
         assertThat(conf.files()).isEqualTo(401);
-        assertThat(conf.empty()).singleElement().satisfies(e -> assertThat(e.include().arg(0)).isEqualTo("none/*.conf"));
+        assertThat(conf.empty())
+                .singleElement()
+                .satisfies(e -> assertThat(e.include().arg(0)).isEqualTo("none/*.conf"));
         List<Directive> servers = conf.directives().get(0).block();
         assertThat(servers).hasSize(200);
         assertThat(servers.get(17).block().get(0).arg(0)).isEqualTo("1017");
@@ -92,18 +98,19 @@
 
     @Test
     void loopsAndMissingFilesAreToldWhereTheyAreIncluded() {
-        assertThatThrownBy(() -> ConfParser.read(new Files(Map.of("a", "x;\ninclude b;", "b", "include *c;", "c", "include a;")),
-                "a")).hasMessage("c:1: a includes itself: a -> b -> c -> a");
+        assertThatThrownBy(() -> ConfParser.read(
+                        new Files(Map.of("a", "x;\ninclude b;", "b", "include *c;", "c", "include a;")), "a"))
+                .hasMessage("c:1: a includes itself: a -> b -> c -> a");
         assertThatThrownBy(() -> ConfParser.read(new Files(Map.of("a", "x;\n\ninclude b/c;")), "a"))
                 .hasMessage("a:3: can't read b/c: there is no such file");
-        assertThatThrownBy(() -> ConfParser.read(new Files(Map.of()), "a")).hasMessage(
-                "a: can't be read: there is no such file");
+        assertThatThrownBy(() -> ConfParser.read(new Files(Map.of()), "a"))
+                .hasMessage("a: can't be read: there is no such file");
         Map<String, String> deep = new TreeMap<>();
         for (int i = 0; i < 100; i++) {
             deep.put("f" + i, "include f" + (i + 1) + ";");
         }
-        assertThatThrownBy(() -> ConfParser.read(new Files(deep), "f0")).hasMessageContaining(
-                "more than 64 includes in each other");
+        assertThatThrownBy(() -> ConfParser.read(new Files(deep), "f0"))
+                .hasMessageContaining("more than 64 includes in each other");
     }
 
     @Test
--- a/src/test/java/cacheproxy/nginx/importer/ImporterFuzzTest.java
+++ b/src/test/java/cacheproxy/nginx/importer/ImporterFuzzTest.java
@@ -16,17 +16,128 @@
 
 /** Whatever directives stand in whatever places: the importer makes a file that is accepted, or none, and says why. */
 class ImporterFuzzTest {
-    private static final String[] WORDS = {"/", "/a", "/a/", "/a b", "=", "~", "~*", "^~", "@x", "@y", "^/(.*)$", "\\.(a|b)$", "(?<n>x)",
-        "(a)\\1", "(", "$uri", "$host", "$1", "$x", "$y", "$request_uri", "$arg_q", "$remote_addr", "${uri}s", "u", "v", "http://u",
-        "http://v/z", "http://$x", "http://10.0.0.1:80", "https://u/$1", "http://", "10.0.0.1:80", "10.0.0.2", "host.example:1",
-        "localhost:8", "unix:/s", "weight=2", "weight=0", "backup", "down", "max_fails=0", "consistent", "last", "break", "permanent",
-        "404", "502", "=404", "80", "443", "ssl", "default_server", "a.example", "*.example", ".b.example", "c.*", "~^d\\d$", "_",
-        "10%", "0.5%", "*", "default", "hostnames", "GET", "POST", "$request_method", "!=", "!~", "on", "5s", "error", "non_idempotent",
-        "all", "x y", "", "\u00e9", "a,b=c", "{", ";", "$", "$$", "0", "99999999999", "%", "?a=b", "/x?y=1", "http://w.example/"};
-    private static final String[] NAMES = {"server", "location", "upstream", "map", "split_clients", "geo", "set", "rewrite", "return",
-        "if", "proxy_pass", "memcached_pass", "try_files", "error_page", "limit_except", "hash", "ip_hash", "listen", "server_name",
-        "internal", "break", "proxy_next_upstream", "proxy_next_upstream_tries", "proxy_read_timeout", "proxy_connect_timeout", "deny", "foo",
-        "least_conn", "fastcgi_pass", "http"};
+    private static final String[] WORDS = {
+        "/",
+        "/a",
+        "/a/",
+        "/a b",
+        "=",
+        "~",
+        "~*",
+        "^~",
+        "@x",
+        "@y",
+        "^/(.*)$",
+        "\\.(a|b)$",
+        "(?<n>x)",
+        "(a)\\1",
+        "(",
+        "$uri",
+        "$host",
+        "$1",
+        "$x",
+        "$y",
+        "$request_uri",
+        "$arg_q",
+        "$remote_addr",
+        "${uri}s",
+        "u",
+        "v",
+        "http://u",
+        "http://v/z",
+        "http://$x",
+        "http://10.0.0.1:80",
+        "https://u/$1",
+        "http://",
+        "10.0.0.1:80",
+        "10.0.0.2",
+        "host.example:1",
+        "localhost:8",
+        "unix:/s",
+        "weight=2",
+        "weight=0",
+        "backup",
+        "down",
+        "max_fails=0",
+        "consistent",
+        "last",
+        "break",
+        "permanent",
+        "404",
+        "502",
+        "=404",
+        "80",
+        "443",
+        "ssl",
+        "default_server",
+        "a.example",
+        "*.example",
+        ".b.example",
+        "c.*",
+        "~^d\\d$",
+        "_",
+        "10%",
+        "0.5%",
+        "*",
+        "default",
+        "hostnames",
+        "GET",
+        "POST",
+        "$request_method",
+        "!=",
+        "!~",
+        "on",
+        "5s",
+        "error",
+        "non_idempotent",
+        "all",
+        "x y",
+        "",
+        "\u00e9",
+        "a,b=c",
+        "{",
+        ";",
+        "$",
+        "$$",
+        "0",
+        "99999999999",
+        "%",
+        "?a=b",
+        "/x?y=1",
+        "http://w.example/"
+    };
+    private static final String[] NAMES = {
+        "server",
+        "location",
+        "upstream",
+        "map",
+        "split_clients",
+        "geo",
+        "set",
+        "rewrite",
+        "return",
+        "if",
+        "proxy_pass",
+        "memcached_pass",
+        "try_files",
+        "error_page",
+        "limit_except",
+        "hash",
+        "ip_hash",
+        "listen",
+        "server_name",
+        "internal",
+        "break",
+        "proxy_next_upstream",
+        "proxy_next_upstream_tries",
+        "proxy_read_timeout",
+        "proxy_connect_timeout",
+        "deny",
+        "foo",
+        "least_conn",
+        "fastcgi_pass",
+        "http"
+    };
 
     private static List<Directive> block(SplittableRandom random, int depth) {
         List<Directive> all = new ArrayList<>();
@@ -48,8 +159,14 @@
             case "location" -> 1 + random.nextInt(2);
             case "if" -> random.nextBoolean() ? 1 : 3;
             case "rewrite" -> 2 + random.nextInt(2);
-            case "return", "proxy_pass", "memcached_pass", "proxy_next_upstream_tries", "proxy_read_timeout",
-                "proxy_connect_timeout", "deny", "fastcgi_pass" -> 1;
+            case "return",
+                    "proxy_pass",
+                    "memcached_pass",
+                    "proxy_next_upstream_tries",
+                    "proxy_read_timeout",
+                    "proxy_connect_timeout",
+                    "deny",
+                    "fastcgi_pass" -> 1;
             case "try_files", "error_page" -> 2 + random.nextInt(2);
             case "internal", "break", "least_conn", "ip_hash", "http" -> 0;
             case "hash" -> 1 + random.nextInt(2);
@@ -97,13 +214,19 @@
         for (int i = 0; i < 6000; i++) {
             List<Directive> tree = block(random, 0);
             tree.add(new Directive("server", List.of(), block(random, 1), null, at()));
-            tree.add(new Directive("upstream", List.of("spare"), List.of(new Directive("server", List.of("10.1.1.1:80"), null, null,
-                    at())), null, at()));
+            tree.add(new Directive(
+                    "upstream",
+                    List.of("spare"),
+                    List.of(new Directive("server", List.of("10.1.1.1:80"), null, null, at())),
+                    null,
+                    at()));
             String text = ConfPrinter.print(tree);
             List<Directive> read = ConfParser.parse("f.conf", text);
             Importer.Result r;
             try {
-                r = Importer.run(new ConfParser.Conf(read, List.of(), 1, 1), new ImportOptions("127.0.0.1", 0, Map.of(), "unsafe", 0));
+                r = Importer.run(
+                        new ConfParser.Conf(read, List.of(), 1, 1),
+                        new ImportOptions("127.0.0.1", 0, Map.of(), "unsafe", 0));
             } catch (RuntimeException e) {
                 throw new AssertionError(text, e);
             }
--- a/src/test/java/cacheproxy/placement/NginxPlacementTest.java
+++ b/src/test/java/cacheproxy/placement/NginxPlacementTest.java
@@ -44,7 +44,8 @@
         List<Member> members = new ArrayList<>();
         for (int i = 0; i < peers.size(); i++) {
             if (!down.contains(i)) {
-                members.add(new Member(peers.get(i).id(), 0, 0, 0, State.READY, peers.get(i).weight(), 0));
+                members.add(new Member(
+                        peers.get(i).id(), 0, 0, 0, State.READY, peers.get(i).weight(), 0));
             }
         }
         members.sort((a, b) -> Integer.compareUnsigned(a.id(), b.id()));
@@ -52,14 +53,16 @@
     }
 
     /** The peers' places in their list, best first. */
-    private static List<Integer> ranks(Placement placement, List<PlacementTarget> peers, List<Member> members, byte[] text, int want) {
+    private static List<Integer> ranks(
+            Placement placement, List<PlacementTarget> peers, List<Member> members, byte[] text, int want) {
         int[] top = new int[Math.max(placement.most(want), members.size())];
         long key = PlacementKey.of(text);
         int n = placement.top(key, CarpHash.keyHash(key), want, top);
         List<Integer> ranks = new ArrayList<>();
         for (int i = 0; i < n; i++) {
             int id = members.get(top[i]).id();
-            ranks.add(peers.indexOf(peers.stream().filter(p -> p.id() == id).findFirst().orElseThrow()));
+            ranks.add(peers.indexOf(
+                    peers.stream().filter(p -> p.id() == id).findFirst().orElseThrow()));
         }
         return ranks;
     }
@@ -76,7 +79,8 @@
 
     @Test
     void keysTellTheChecksumOfTheirTextWithAnythingBefore() {
-        assertThat(PlacementKey.crc(PlacementKey.of("123456789".getBytes(StandardCharsets.US_ASCII)))).isEqualTo(0xCBF43926);
+        assertThat(PlacementKey.crc(PlacementKey.of("123456789".getBytes(StandardCharsets.US_ASCII))))
+                .isEqualTo(0xCBF43926);
         SplittableRandom random = new SplittableRandom(1);
         for (int i = 0; i < 2000; i++) {
             byte[] text = new byte[random.nextInt(i % 10 == 0 ? 4096 : 300)];
@@ -177,11 +181,18 @@
         for (UnaryOperator<String> kind : List.<UnaryOperator<String>>of(k -> "nginx-hash", k -> "nginx-consistent")) {
             List<PlacementTarget> peers = peers(1, 40, 1, 1, 7);
             List<Member> members = ready(peers, Set.of(3));
-            Placement placement = PlacementRegistry.factory(kind.apply(""), peers).of(members);
+            Placement placement =
+                    PlacementRegistry.factory(kind.apply(""), peers).of(members);
             for (int i = 0; i < 500; i++) {
                 assertThat(ranks(placement, peers, members, text(i), 9)).containsExactlyInAnyOrder(0, 1, 2, 4);
             }
-            assertThat(ranks(PlacementRegistry.factory(kind.apply(""), peers).of(List.of()), peers, List.of(), text(1), 3)).isEmpty();
+            assertThat(ranks(
+                            PlacementRegistry.factory(kind.apply(""), peers).of(List.of()),
+                            peers,
+                            List.of(),
+                            text(1),
+                            3))
+                    .isEmpty();
         }
     }
 
@@ -227,16 +238,20 @@
     void aKeyOnAPointBelongsToThatPoint() {
         List<PlacementTarget> peers = peers(1, 1, 1, 1);
         List<Member> members = ready(peers, Set.of());
-        Placement placement = PlacementRegistry.factory("nginx-consistent", peers).of(members);
+        Placement placement =
+                PlacementRegistry.factory("nginx-consistent", peers).of(members);
         for (int p = 0; p < 4; p++) {
             byte[] base = ("10.0.0." + (p + 1) + "\0" + "11211").getBytes(StandardCharsets.US_ASCII);
             int point = 0;
             for (int i = 0; i < 160; i++) {
-                point = (int) crc(base, new byte[] {(byte) point, (byte) (point >>> 8), (byte) (point >>> 16),
-                    (byte) (point >>> 24)});
+                point = (int) crc(
+                        base,
+                        new byte[] {(byte) point, (byte) (point >>> 8), (byte) (point >>> 16), (byte) (point >>> 24)});
                 byte[] key = withCrc(point);
                 assertThat((int) crc(key)).isEqualTo(point);
-                assertThat(ranks(placement, peers, members, key, 1)).as("point " + i + " of server " + p).containsExactly(p);
+                assertThat(ranks(placement, peers, members, key, 1))
+                        .as("point " + i + " of server " + p)
+                        .containsExactly(p);
             }
         }
     }
--- a/src/test/java/cacheproxy/placement/PlacementTest.java
+++ b/src/test/java/cacheproxy/placement/PlacementTest.java
@@ -31,8 +31,12 @@
             weights[i] = members.get(i).weight();
         }
         float[] x = CarpHash.multipliers(weights);
-        return IntStream.range(0, members.size()).boxed().sorted(Comparator.comparingDouble(
-                i -> -CarpHash.score(keyHash, CarpHash.memberHash(members.get(i).id()), x[i]))).limit(want).toList();
+        return IntStream.range(0, members.size())
+                .boxed()
+                .sorted(Comparator.comparingDouble(i -> -CarpHash.score(
+                        keyHash, CarpHash.memberHash(members.get(i).id()), x[i])))
+                .limit(want)
+                .toList();
     }
 
     private static List<Integer> top(Placement placement, long key, int want) {
@@ -50,7 +54,8 @@
             for (int i = 0; i < (n > 2000 ? 15 : 60); i++) {
                 long key = random.nextLong();
                 int want = 1 + random.nextInt(20);
-                assertThat(top(carp, key, want)).as("%d members", n)
+                assertThat(top(carp, key, want))
+                        .as("%d members", n)
                         .isEqualTo(plainly(members, CarpHash.keyHash(key), want));
             }
         }
@@ -74,9 +79,14 @@
             long key = random.nextLong();
             List<Integer> top = top(placement, key, 8);
             assertThat(top).doesNotHaveDuplicates();
-            List<Member> first = top.subList(0, ordinary.size()).stream().map(members::get).toList();
-            assertThat(first).isEqualTo(top(new CarpPlacement(ordinary), key, 30).stream().map(ordinary::get).toList());
-            assertThat(top.subList(ordinary.size(), top.size())).isNotEmpty()
+            List<Member> first =
+                    top.subList(0, ordinary.size()).stream().map(members::get).toList();
+            assertThat(first)
+                    .isEqualTo(top(new CarpPlacement(ordinary), key, 30).stream()
+                            .map(ordinary::get)
+                            .toList());
+            assertThat(top.subList(ordinary.size(), top.size()))
+                    .isNotEmpty()
                     .allSatisfy(m -> assertThat(members.get(m).id() & 3).isZero());
         }
     }
@@ -84,6 +94,7 @@
     @Test
     void withNoBackupOnTheListTheRankingIsThePlainOne() {
         List<Member> members = members(new SplittableRandom(13), 12, false);
-        assertThat(BackupPlacement.over(CarpPlacement::new, id -> false).of(members)).isInstanceOf(CarpPlacement.class);
+        assertThat(BackupPlacement.over(CarpPlacement::new, id -> false).of(members))
+                .isInstanceOf(CarpPlacement.class);
     }
 }
--- a/src/test/java/cacheproxy/placement/StartTimesTest.java
+++ b/src/test/java/cacheproxy/placement/StartTimesTest.java
@@ -2,9 +2,9 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
+import cacheproxy.limits.ServerStartTimes;
 import cacheproxy.policy.PolicyApi.Member;
 import cacheproxy.policy.PolicyApi.State;
-import cacheproxy.limits.ServerStartTimes;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Random;
--- a/src/test/java/cacheproxy/policy/RoutingPolicyTest.java
+++ b/src/test/java/cacheproxy/policy/RoutingPolicyTest.java
@@ -1,10 +1,9 @@
 package cacheproxy.policy;
 
-import cacheproxy.Rig;
-
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
+import cacheproxy.Rig;
 import cacheproxy.policy.PolicyApi.Group;
 import cacheproxy.policy.PolicyApi.ListKind;
 import cacheproxy.policy.PolicyApi.Member;
@@ -65,7 +64,9 @@
     }
 
     @ParameterizedTest
-    @EnumSource(value = Outcome.class, names = {"CONNECT_FAILED", "RESET"})
+    @EnumSource(
+            value = Outcome.class,
+            names = {"CONNECT_FAILED", "RESET"})
     void theRunnerUpTakesFailedAndResetConnections(Outcome outcome) {
         Rig rig = Rig.aside().fleet(12);
         rig.read(1, 77);
@@ -75,12 +76,16 @@
         assertThat(runnerUp).isNotIn(top, Rig.ORIGIN);
         rig.read(2, 77);
         if (outcome == Outcome.RESET) {
-            assertThat(rig.last().server()).as("one broken connection is no evidence").isEqualTo(top);
+            assertThat(rig.last().server())
+                    .as("one broken connection is no evidence")
+                    .isEqualTo(top);
             rig.end(rig.last(), outcome);
             assertThat(rig.last().server()).isEqualTo(runnerUp);
             rig.read(3, 77);
         }
-        assertThat(rig.last().server()).as("the key stays with the runner-up while its server is shunned").isEqualTo(runnerUp);
+        assertThat(rig.last().server())
+                .as("the key stays with the runner-up while its server is shunned")
+                .isEqualTo(runnerUp);
     }
 
     @Test
@@ -114,8 +119,10 @@
     @ValueSource(ints = {Rig.SAFE, Rig.KEYED, Rig.UNSAFE})
     void aSilentServerStillLeavesOneAnswerAtTheDeadline(int serviceClass) {
         Rig rig = Rig.aside().fleet(5);
-        rig.policy.onRequest(rig.now, new Request(1, serviceClass, 0, 7, rig.now + 1000, Double.NaN, 0,
-                serviceClass != Rig.SAFE, false), rig);
+        rig.policy.onRequest(
+                rig.now,
+                new Request(1, serviceClass, 0, 7, rig.now + 1000, Double.NaN, 0, serviceClass != Rig.SAFE, false),
+                rig);
         rig.pass(999);
         assertThat(rig.answers()).isZero();
         rig.pass(1);
@@ -153,8 +160,11 @@
     @Test
     void zeroWeightsShareEqually() {
         Rig rig = Rig.aside();
-        rig.policy.onList(rig.now, ListKind.FULL, List.of(new Member(1, 0, 0, 0, State.READY, 0, 0),
-                new Member(2, 0, 0, 0, State.READY, 0, 0)), rig);
+        rig.policy.onList(
+                rig.now,
+                ListKind.FULL,
+                List.of(new Member(1, 0, 0, 0, State.READY, 0, 0), new Member(2, 0, 0, 0, State.READY, 0, 0)),
+                rig);
         Set<Integer> used = new HashSet<>();
         for (int id = 1; id <= 40; id++) {
             rig.read(id, id);
@@ -166,7 +176,9 @@
     // ---- rule 2: no effect twice
 
     @ParameterizedTest
-    @EnumSource(value = Outcome.class, names = {"ERROR", "TIMEOUT", "RESET", "CANCELLED"})
+    @EnumSource(
+            value = Outcome.class,
+            names = {"ERROR", "TIMEOUT", "RESET", "CANCELLED"})
     void anUnsafeRequestThatMayHaveRunIsFailedNotRepeated(Outcome outcome) {
         Rig rig = Rig.aside().fleet(5);
         rig.write(1, Rig.UNSAFE);
@@ -178,7 +190,9 @@
     }
 
     @ParameterizedTest
-    @EnumSource(value = Outcome.class, names = {"FULL", "CONNECT_FAILED"})
+    @EnumSource(
+            value = Outcome.class,
+            names = {"FULL", "CONNECT_FAILED"})
     void anUnsafeRequestKnownNotToHaveRunMayGoAgain(Outcome outcome) {
         Rig rig = Rig.aside().fleet(5);
         rig.write(1, Rig.UNSAFE);
@@ -203,16 +217,20 @@
     }
 
     @ParameterizedTest
-    @EnumSource(value = Group.class, names = {"ZONE", "CELL"})
+    @EnumSource(
+            value = Group.class,
+            names = {"ZONE", "CELL"})
     void aKeyedRequestStaysInItsGroupAndIsNeverRefused(Group group) {
         for (int key = 1; key < 60; key++) {
             Rig rig = new Rig(Rig.settings(false, false, false, group)).fleet(12);
-            rig.policy.onRequest(rig.now, new Request(1, Rig.KEYED, 0, key, rig.now + 1000, Double.NaN, 0, true, false), rig);
+            rig.policy.onRequest(
+                    rig.now, new Request(1, Rig.KEYED, 0, key, rig.now + 1000, Double.NaN, 0, true, false), rig);
             int first = rig.last().server();
             rig.end(rig.last(), Outcome.RESET);
             if (rig.placed.size() > 1) {
                 int then = rig.last().server();
-                assertThat(group == Group.ZONE ? then % 2 : then / 4).isEqualTo(group == Group.ZONE ? first % 2 : first / 4);
+                assertThat(group == Group.ZONE ? then % 2 : then / 4)
+                        .isEqualTo(group == Group.ZONE ? first % 2 : first / 4);
             } else {
                 assertThat(rig.failed).containsExactly(1);
             }
@@ -260,8 +278,8 @@
     }
 
     /**
-     * A list by a clock that is wrong, or news that are late, make no server older than it is: one that the first list names last is taken
-     * to have just started, whatever ours says.
+     * A list by a clock that is wrong, or news that are late, make no server older than it is: one that the first list
+     * names last is taken to have just started, whatever ours says.
      */
     @Test
     void aColdServerIsColdWhateverTheProxysClockSays() {
@@ -286,14 +304,18 @@
         }
     }
 
-    /** Two thirds of that in a crowd, however great: left empty, it would leave the crowd to the servers that make it. */
+    /**
+     * Two thirds of that in a crowd, however great: left empty, it would leave the crowd to the servers that make it.
+     */
     @Test
     void aColdServerIsNotLeftEmptyByACrowdElsewhere() {
         assertThat(taken(0, true)).isBetween(0.16, 0.24);
         assertThat(taken(4000, true)).isBetween(0.38, 0.48);
     }
 
-    /** A proxy that has just started may send only in part what it would: it can't tell a hot key by its first request. */
+    /**
+     * A proxy that has just started may send only in part what it would: it can't tell a hot key by its first request.
+     */
     @Test
     void whoHasSeenFewRequestsSendsAColdServerLess() {
         int sent = 0;
@@ -488,8 +510,8 @@
             rig.now += 10;
             int tenant = id % 10 == 0 ? 1 : 0;
             int before = rig.denied.size();
-            rig.policy.onRequest(rig.now, new Request(id, Rig.SAFE, tenant, id, rig.now + 1000, Double.NaN, 0,
-                    false, false), rig);
+            rig.policy.onRequest(
+                    rig.now, new Request(id, Rig.SAFE, tenant, id, rig.now + 1000, Double.NaN, 0, false, false), rig);
             if (rig.denied.size() > before) {
                 refused[tenant]++;
             } else {
@@ -500,7 +522,9 @@
         assertThat(refused[1]).isLessThan(10);
     }
 
-    /** Held to its deadline a request that is given up would keep its client from trying elsewhere: no time may pass. */
+    /**
+     * Held to its deadline a request that is given up would keep its client from trying elsewhere: no time may pass.
+     */
     @Test
     void whatIsGivenUpIsAnsweredInThatVeryMomentWithATimeToComeBack() {
         Rig rig = Rig.aside().fleet(12);
@@ -567,7 +591,8 @@
             }
         }
         assertThat(hung).hasSizeBetween(2, 60);
-        assertThat(rig.denied.stream().filter(id -> hung.stream().noneMatch(p -> p.request() == id))).isEmpty();
+        assertThat(rig.denied.stream().filter(id -> hung.stream().noneMatch(p -> p.request() == id)))
+                .isEmpty();
     }
 
     /** A suspect comes back by a trial: the probe's answer, not a client's request, finds out. */
@@ -682,10 +707,13 @@
                 .hasMessageContaining("member 1 is listed twice");
         assertThatThrownBy(() -> rig.change(new Member(8, 0, 0, 0, State.READY, Float.NaN, 0)))
                 .hasMessageContaining("member 8 has weight NaN");
-        assertThatThrownBy(() -> rig.change(new Member(8, 5, 0, 0, State.READY, 1, 0))).hasMessageContaining("zone 5");
-        assertThatThrownBy(() -> rig.policy.onRequest(rig.now, new Request(1, 9, 0, 1, rig.now + 10, 1, 0, false, false), rig))
+        assertThatThrownBy(() -> rig.change(new Member(8, 5, 0, 0, State.READY, 1, 0)))
+                .hasMessageContaining("zone 5");
+        assertThatThrownBy(() ->
+                        rig.policy.onRequest(rig.now, new Request(1, 9, 0, 1, rig.now + 10, 1, 0, false, false), rig))
                 .hasMessageContaining("class 9");
-        assertThatThrownBy(() -> rig.policy.onRequest(rig.now, new Request(1, 0, 3, 1, rig.now + 10, 1, 0, false, false), rig))
+        assertThatThrownBy(() ->
+                        rig.policy.onRequest(rig.now, new Request(1, 0, 3, 1, rig.now + 10, 1, 0, false, false), rig))
                 .hasMessageContaining("tenant 3");
     }
 }
