--- a/src/test/java/cacheproxy/proxy/ClientConnectionTest.java
+++ b/src/test/java/cacheproxy/proxy/ClientConnectionTest.java
@@ -4,11 +4,11 @@
 
 import cacheproxy.fakes.ScriptedServer;
 import com.google.gson.JsonObject;
+import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.util.Random;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
-import java.io.IOException;
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -21,7 +21,9 @@
 
     @Test
     void aClientThatWritesAndReadsNothingIsNotReadOn() throws Exception {
-        try (Fleet fleet = new Fleet().node("127.0.0.1:9").start(); Fleet.Client writer = fleet.client(); Fleet.Client other = fleet.client()) {
+        try (Fleet fleet = new Fleet().node("127.0.0.1:9").start();
+                Fleet.Client writer = fleet.client();
+                Fleet.Client other = fleet.client()) {
             byte[] commands = "mn\r\n".repeat(64 << 10).getBytes();
             AtomicLong sent = new AtomicLong();
             Thread writing = new Thread(() -> {
@@ -45,7 +47,9 @@
 
     @Test
     void commandsComeInPiecesAndInHeapsAndAreAnsweredInOrder() throws Exception {
-        try (Fleet fleet = new Fleet().node(ScriptedServer.node(ClientConnectionTest::hit)).start();
+        try (Fleet fleet = new Fleet()
+                        .node(ScriptedServer.node(ClientConnectionTest::hit))
+                        .start();
                 Fleet.Client client = fleet.client()) {
             client.say("m").say("n\r").say("\n");
             assertThat(client.line()).isEqualTo("MN");
@@ -71,7 +75,8 @@
             second.countDown();
             c.awaitEnd();
         });
-        try (Fleet fleet = new Fleet().node(node).start(); Fleet.Client client = fleet.client()) {
+        try (Fleet fleet = new Fleet().node(node).start();
+                Fleet.Client client = fleet.client()) {
             client.read("1").read("2");
             assertThat(client.line()).isEqualTo("VA 5 O1");
             client.line();
@@ -82,7 +87,8 @@
     @Test
     void theCommandGoesOnUnchangedButForTheDeadline() throws Exception {
         ScriptedServer node = ScriptedServer.node(ClientConnectionTest::hit);
-        try (Fleet fleet = new Fleet().node(node).start(); Fleet.Client client = fleet.client()) {
+        try (Fleet fleet = new Fleet().node(node).start();
+                Fleet.Client client = fleet.client()) {
             client.say("mg 7f3a v Oab12 Pc=text,t=acme,d=20000,r=1 q\r\n");
             client.line();
             assertThat(node.next()).matches("mg 7f3a v Oab12 Pc=text,t=acme,d=(20000|1\\d{4}),r=1 q");
@@ -101,20 +107,32 @@
             c.request();
             c.sayHttp(200, "", "r1");
         });
-        try (Fleet fleet = new Fleet().origin(origin).start(); Fleet.Client client = fleet.client()) {
-            client.say("ms 7f3a " + value.length + " O9 Pc=fix,d=20000\r\n").say(value).say("\r\n");
+        try (Fleet fleet = new Fleet().origin(origin).start();
+                Fleet.Client client = fleet.client()) {
+            client.say("ms 7f3a " + value.length + " O9 Pc=fix,d=20000\r\n")
+                    .say(value)
+                    .say("\r\n");
             assertThat(client.line()).isEqualTo("HD O9 cr1");
             String request = origin.next();
             assertThat(request).startsWith("PUT /7f3a HTTP/1.1\n").containsIgnoringCase("req-id: 9\n");
-            // What is left when it is sent on: never the client's whole figure, which the value's transfer has begun to use up.
-            assertThat(request.lines().filter(l -> l.toLowerCase().startsWith("req-extra: ")).toList())
-                    .singleElement().asString().matches("(?i)req-extra: c=fix,d=1\\d{4}");
+            // What is left when it is sent on: never the client's whole figure, which the value's transfer has begun to
+            // use up.
+            assertThat(request.lines()
+                            .filter(l -> l.toLowerCase().startsWith("req-extra: "))
+                            .toList())
+                    .singleElement()
+                    .asString()
+                    .matches("(?i)req-extra: c=fix,d=1\\d{4}");
             String body = request.substring(request.indexOf("\n\n") + 2);
-            assertThat(body.equals(new String(value, StandardCharsets.ISO_8859_1))).isTrue();
+            assertThat(body.equals(new String(value, StandardCharsets.ISO_8859_1)))
+                    .isTrue();
         }
     }
 
-    /** The system is short of descriptors for a moment: who waits in the queue is accepted soon after, not a second later. */
+    /**
+     * The system is short of descriptors for a moment: who waits in the queue is accepted soon after, not a second
+     * later.
+     */
     @Test
     void anAcceptThatFailsHoldsUpTheNextForAMomentOnly() throws Exception {
         try (Fleet fleet = new Fleet().node("127.0.0.1:9").start()) {
@@ -124,12 +142,16 @@
                 try (Fleet.Client client = fleet.client()) {
                     assertThat(client.say("mn\r\n").line()).isEqualTo("MN");
                 }
-                assertThat((System.nanoTime() - failed) / 1e6).as("ms; Netty's own pause is 1,000").isLessThan(900);
+                assertThat((System.nanoTime() - failed) / 1e6)
+                        .as("ms; Netty's own pause is 1,000")
+                        .isLessThan(900);
             }
         }
     }
 
-    /** Whoever stops in the middle of a command and stays is owed a close within 3 s, also one that has asked before. */
+    /**
+     * Whoever stops in the middle of a command and stays is owed a close within 3 s, also one that has asked before.
+     */
     @Test
     void aClientThatStopsInTheMiddleOfALaterCommandIsClosedAndWhatItAskedBeforeIsAnswered() throws Exception {
         CountDownLatch stopped = new CountDownLatch(1);
@@ -141,7 +163,9 @@
             c.say(hit(second));
             c.awaitEnd();
         });
-        try (Fleet fleet = new Fleet().node(node).start(); Fleet.Client idle = fleet.client(); Fleet.Client owed = fleet.client()) {
+        try (Fleet fleet = new Fleet().node(node).start();
+                Fleet.Client idle = fleet.client();
+                Fleet.Client owed = fleet.client()) {
             idle.read("1");
             assertThat(idle.line()).isEqualTo("VA 5 O1");
             assertThat(idle.line()).isEqualTo("hello");
@@ -149,7 +173,9 @@
             owed.say("mg 7f3a9c21e0b4d655 v O2 Pc=text,d=20000\r\nmg 7f3a9c");
             idle.say("ms 7f3a 5 O3 Pc=fix,d=20000\r\nhe");
             assertThat(idle.ended()).isTrue();
-            assertThat((System.nanoTime() - begun) / 1e9).as("seconds; 10 would be those of an answer that is not taken").isLessThan(6);
+            assertThat((System.nanoTime() - begun) / 1e9)
+                    .as("seconds; 10 would be those of an answer that is not taken")
+                    .isLessThan(6);
             stopped.countDown();
             assertThat(owed.line()).isEqualTo("VA 5 O2");
             assertThat(owed.line()).isEqualTo("hello");
@@ -159,17 +185,24 @@
 
     @Test
     void brokenCommandsAreToldAndOnlyLostFramingEndsTheConnection() throws Exception {
-        try (Fleet fleet = new Fleet().node(ScriptedServer.node(ClientConnectionTest::hit)).start()) {
+        try (Fleet fleet =
+                new Fleet().node(ScriptedServer.node(ClientConnectionTest::hit)).start()) {
             try (Fleet.Client client = fleet.client()) {
-                client.say("mg 7f3a v\r\n").say("ms 7f3a 5 v\r\nhello\r\n").say("mg 7f3a v O1 Pc=none,d=5\r\n")
+                client.say("mg 7f3a v\r\n")
+                        .say("ms 7f3a 5 v\r\nhello\r\n")
+                        .say("mg 7f3a v O1 Pc=none,d=5\r\n")
                         .read("2");
                 assertThat(client.line()).startsWith("CLIENT_ERROR");
                 assertThat(client.line()).startsWith("CLIENT_ERROR");
                 assertThat(client.line()).startsWith("CLIENT_ERROR");
                 assertThat(client.line()).isEqualTo("VA 5 O2");
             }
-            for (String lost : new String[] {"ms 7f3a -5 O1 Pc=fix,d=500\r\n", "ms 7f3a 5 O1 Pc=fix,d=500\r\nhelloXX",
-                "ms 7f3a 4194305 O1 Pc=fix,d=500\r\n", "x".repeat(MetaCodec.MAX_LINE)}) {
+            for (String lost : new String[] {
+                "ms 7f3a -5 O1 Pc=fix,d=500\r\n",
+                "ms 7f3a 5 O1 Pc=fix,d=500\r\nhelloXX",
+                "ms 7f3a 4194305 O1 Pc=fix,d=500\r\n",
+                "x".repeat(MetaCodec.MAX_LINE)
+            }) {
                 try (Fleet.Client client = fleet.client()) {
                     client.say(lost);
                     assertThat(client.line()).as(lost.substring(0, 10)).startsWith("CLIENT_ERROR");
@@ -182,8 +215,10 @@
     @Test
     void aDeadlineThatIsNoneIsToldAndNothingIsSentOn() throws Exception {
         ScriptedServer node = ScriptedServer.node(ClientConnectionTest::hit);
-        try (Fleet fleet = new Fleet().node(node).start(); Fleet.Client client = fleet.client()) {
-            for (String d : new String[] {"soon", "", "-5", "0", "NaN", "Infinity", "20000d", "1.2.3", "9".repeat(400)}) {
+        try (Fleet fleet = new Fleet().node(node).start();
+                Fleet.Client client = fleet.client()) {
+            for (String d :
+                    new String[] {"soon", "", "-5", "0", "NaN", "Infinity", "20000d", "1.2.3", "9".repeat(400)}) {
                 client.say("mg 7f3a v O1 Pc=text,d=" + d + "\r\n");
                 assertThat(client.line()).as(d).startsWith("CLIENT_ERROR");
             }
@@ -197,12 +232,13 @@
     void theIdOfAnOpenRequestIsTakenUntilItsAnswer() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         ScriptedServer node = new ScriptedServer(c -> {
-            for (String line; (line = c.command()) != null;) {
+            for (String line; (line = c.command()) != null; ) {
                 go.await();
                 c.say(hit(line));
             }
         });
-        try (Fleet fleet = new Fleet().node(node).start(); Fleet.Client client = fleet.client();
+        try (Fleet fleet = new Fleet().node(node).start();
+                Fleet.Client client = fleet.client();
                 Fleet.Client thief = fleet.client()) {
             client.read("1");
             node.next();
@@ -219,9 +255,13 @@
 
     @Test
     void aConnectionOnWhichNothingIsAskedIsClosedAndOneThatAskedIsKept() throws Exception {
-        try (Fleet fleet = new Fleet().node(ScriptedServer.node(ClientConnectionTest::hit)).start();
-                Fleet.Client used = fleet.client(); Fleet.Client silent = fleet.client();
-                Fleet.Client half = fleet.client(); Fleet.Client cut = fleet.client()) {
+        try (Fleet fleet = new Fleet()
+                        .node(ScriptedServer.node(ClientConnectionTest::hit))
+                        .start();
+                Fleet.Client used = fleet.client();
+                Fleet.Client silent = fleet.client();
+                Fleet.Client half = fleet.client();
+                Fleet.Client cut = fleet.client()) {
             assertThat(used.say("mn\r\n").line()).isEqualTo("MN");
             half.say("mg 7f3a");
             cut.say("ms 7f3a 500 O1 Pc=fix,d=20000\r\nhello\r\n");
@@ -240,7 +280,8 @@
                 c.sayHttp(200, "", "r1");
             }
         });
-        try (Fleet fleet = new Fleet().origin(origin).start(); Fleet.Client client = fleet.client()) {
+        try (Fleet fleet = new Fleet().origin(origin).start();
+                Fleet.Client client = fleet.client()) {
             for (int i = 0; i < 60; i++) { // more than the connections to the origin
                 client.say("ms 7f3a 5 O" + i + "\u0001 Pc=fix,d=20000\r\nhello\r\n");
                 assertThat(client.line()).startsWith("CLIENT_ERROR");
@@ -257,7 +298,7 @@
     void aConnectionThatCameWhenAllWereBusyGetsRoomOnceOneIsIdle() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         ScriptedServer node = new ScriptedServer(c -> {
-            for (String line; (line = c.command()) != null;) {
+            for (String line; (line = c.command()) != null; ) {
                 go.await();
                 c.say(hit(line));
             }
@@ -304,9 +345,12 @@
     @Timeout(60)
     void nothingIsKeptOfRequestsThatAreOver() throws Exception {
         ScriptedServer node = new ScriptedServer(c -> {
-            for (String line; (line = c.command()) != null;) {
+            for (String line; (line = c.command()) != null; ) {
                 if (!ScriptedServer.id(line).equals("silent")) {
-                    c.say(ScriptedServer.id(line).startsWith("m") ? "EN O" + ScriptedServer.id(line) + " h0\r\n" : hit(line));
+                    c.say(
+                            ScriptedServer.id(line).startsWith("m")
+                                    ? "EN O" + ScriptedServer.id(line) + " h0\r\n"
+                                    : hit(line));
                 }
             }
         });
@@ -315,7 +359,8 @@
                 c.sayHttp(200, "", "fetch");
             }
         });
-        try (Fleet fleet = new Fleet().node(node).origin(origin).start(); Fleet.Client client = fleet.client()) {
+        try (Fleet fleet = new Fleet().node(node).origin(origin).start();
+                Fleet.Client client = fleet.client()) {
             for (int i = 0; i < 50; i++) {
                 client.read("h" + i).read("m" + i).say("ms 7f3a 5 Ow" + i + " Pc=fix,d=20000\r\nhello\r\n");
                 assertThat(client.line()).isEqualTo("VA 5 Oh" + i);
@@ -339,13 +384,17 @@
 
     @Test
     void aValueThatFindsNoRoomIsTurnedAwayUnseen() throws Exception {
-        ScriptedServer origin = new ScriptedServer(c -> c.sayHttp(200, "", c.request().substring(0, 3)));
+        ScriptedServer origin =
+                new ScriptedServer(c -> c.sayHttp(200, "", c.request().substring(0, 3)));
         Fleet setup = new Fleet().origin(origin);
         JsonObject limits = new JsonObject();
         limits.addProperty("memory_mb", 8);
         setup.config.add("limits", limits);
-        try (Fleet fleet = setup.start(); Fleet.Client client = fleet.client()) {
-            client.say("ms 7f3a 2000000 O1 Pc=fix,d=20000\r\n").say(new byte[2_000_000]).say("\r\n");
+        try (Fleet fleet = setup.start();
+                Fleet.Client client = fleet.client()) {
+            client.say("ms 7f3a 2000000 O1 Pc=fix,d=20000\r\n")
+                    .say(new byte[2_000_000])
+                    .say("\r\n");
             assertThat(client.line()).isEqualTo("SERVER_ERROR busy");
             client.say("ms 7f3a 5 O2 Pc=fix,d=20000\r\nhello\r\n");
             assertThat(client.line()).isEqualTo("HD O2 cPUT");
--- a/src/test/java/cacheproxy/proxy/DeadlineFieldTest.java
+++ b/src/test/java/cacheproxy/proxy/DeadlineFieldTest.java
@@ -39,7 +39,8 @@
 
     @Test
     void anotherKeyKeepsTheListAndTheDeadlinesPlace() {
-        ClientRequest other = new ClientRequest("key", "1", false, "c=read,d=480,k=5c", "mg key v O1 P", " q").withKey("longer-key");
+        ClientRequest other =
+                new ClientRequest("key", "1", false, "c=read,d=480,k=5c", "mg key v O1 P", " q").withKey("longer-key");
         assertThat(other.head + 7 + other.tail).isEqualTo("mg longer-key v O1 Pc=read,d=7,k=5c q");
         assertThat(other.extras(9)).isEqualTo("c=read,d=9,k=5c");
     }
--- a/src/test/java/cacheproxy/proxy/DiscoveryClientTest.java
+++ b/src/test/java/cacheproxy/proxy/DiscoveryClientTest.java
@@ -47,12 +47,18 @@
         }
         negative.add(Fleet.host("s-3", "node-fast", "127.0.0.1:1", "up"));
         negative.get(0).getAsJsonObject().addProperty("share", -1);
-        String[] bad = {"{", "[]", "{\"seq\":44,\"whole\":true,\"hosts\":[{}]}", unknown.toString(),
-            Fleet.list(44, true, twice).toString(), Fleet.list(44, true, negative).toString(),
-            Fleet.list(40, false, new JsonArray()).toString()}; // the last one comes out of order
+        String[] bad = {
+            "{",
+            "[]",
+            "{\"seq\":44,\"whole\":true,\"hosts\":[{}]}",
+            unknown.toString(),
+            Fleet.list(44, true, twice).toString(),
+            Fleet.list(44, true, negative).toString(),
+            Fleet.list(40, false, new JsonArray()).toString()
+        }; // the last one comes out of order
         CountDownLatch all = new CountDownLatch(bad.length + 3);
         ScriptedServer discovery = new ScriptedServer(c -> {
-            for (String request; (request = c.request()) != null;) {
+            for (String request; (request = c.request()) != null; ) {
                 int call = (int) (bad.length + 3 - all.getCount());
                 all.countDown();
                 if (call == 0) {
@@ -69,8 +75,12 @@
                 }
             }
         });
-        try (Fleet fleet = new Fleet().node(node).discovery(discovery).set("caps.connect-timeout", "50.0")
-                .set("guarantees.ask-within", "200.0").start()) {
+        try (Fleet fleet = new Fleet()
+                .node(node)
+                .discovery(discovery)
+                .set("caps.connect-timeout", "50.0")
+                .set("guarantees.ask-within", "200.0")
+                .start()) {
             for (int i = 0; i < bad.length + 4; i++) {
                 assertThat(discovery.next()).contains("since=41&");
             }
@@ -97,7 +107,10 @@
             told.countDown();
             c.awaitEnd();
         });
-        try (Fleet fleet = new Fleet().discovery(discovery).set("caps.connect-timeout", "50.0").start()) {
+        try (Fleet fleet = new Fleet()
+                .discovery(discovery)
+                .set("caps.connect-timeout", "50.0")
+                .start()) {
             fleet.parts.add(first);
             fleet.parts.add(then);
             assertThat(discovery.next()).contains("since=41&");
@@ -128,8 +141,12 @@
             told.countDown();
             c.awaitEnd();
         });
-        try (Fleet fleet = new Fleet().node(gone.dial()).discovery(discovery).set("caps.connect-timeout", "50.0")
-                .set("guarantees.ask-within", "200.0").start()) {
+        try (Fleet fleet = new Fleet()
+                .node(gone.dial())
+                .discovery(discovery)
+                .set("caps.connect-timeout", "50.0")
+                .set("guarantees.ask-within", "200.0")
+                .start()) {
             fleet.parts.add(successor);
             assertThat(discovery.next()).contains("since=41&");
             assertThat(served(fleet)).startsWith("SERVER_ERROR busy"); // refused, and no origin to go to
@@ -139,7 +156,10 @@
         }
     }
 
-    /** Nothing else is wrong: no server refuses a connection, no other proxy says anything, and a drain is never told of. */
+    /**
+     * Nothing else is wrong: no server refuses a connection, no other proxy says anything, and a drain is never told
+     * of.
+     */
     @Test
     void aWatchThatIsSilentFromItsFirstSecondIsBegunAnewWithinTheBound() throws Exception {
         for (String mode : new String[] {"ask", "push"}) {
@@ -158,12 +178,19 @@
                 told.countDown();
                 c.awaitEnd();
             });
-            try (Fleet fleet = new Fleet().node(drained).discovery(discovery).set("caps.connect-timeout", "50.0").set("discovery", mode).start()) {
+            try (Fleet fleet = new Fleet()
+                    .node(drained)
+                    .discovery(discovery)
+                    .set("caps.connect-timeout", "50.0")
+                    .set("discovery", mode)
+                    .start()) {
                 fleet.parts.add(other);
                 String watch = discovery.next();
                 assertThat(watch).contains("since=41&");
                 String wait = watch.substring(watch.indexOf("timeout_ms=") + 11, watch.indexOf(" HTTP"));
-                assertThat(Integer.parseInt(wait)).as("wait of a call that may fall silent").isLessThan(6000 / 2);
+                assertThat(Integer.parseInt(wait))
+                        .as("wait of a call that may fall silent")
+                        .isLessThan(6000 / 2);
                 assertThat(discovery.next()).as(mode).contains("since=41&timeout_ms=1 ");
                 assertThat(discovery.next()).as(mode).contains("since=42&");
                 assertThat(served(fleet)).isEqualTo("VA 5 O1");
@@ -172,7 +199,10 @@
         }
     }
 
-    /** A late answer of an older list undoes nothing; a discovery that counts anew says so when it is asked for all it has. */
+    /**
+     * A late answer of an older list undoes nothing; a discovery that counts anew says so when it is asked for all it
+     * has.
+     */
     @Test
     void anEarlierWholeListIsTakenOnlyWhenAllThereIsWasAskedFor() throws Exception {
         ScriptedServer node = hits();
@@ -186,7 +216,10 @@
             c.request();
             c.awaitEnd();
         });
-        try (Fleet fleet = new Fleet().discovery(discovery).set("caps.connect-timeout", "50.0").start()) {
+        try (Fleet fleet = new Fleet()
+                .discovery(discovery)
+                .set("caps.connect-timeout", "50.0")
+                .start()) {
             fleet.parts.add(node);
             assertThat(discovery.next()).contains("since=41&");
             assertThat(discovery.next()).contains("since=0&timeout_ms=1 ");
@@ -197,7 +230,11 @@
 
     /** A proxy that doubts its list soon where this other one says that it has a later one. */
     private static Fleet besidePeer(ScriptedServer discovery, DatagramSocket other) throws Exception {
-        Fleet setup = new Fleet().node(hits()).discovery(discovery).set("caps.connect-timeout", "50.0").set("guarantees.ask-within", "200.0");
+        Fleet setup = new Fleet()
+                .node(hits())
+                .discovery(discovery)
+                .set("caps.connect-timeout", "50.0")
+                .set("guarantees.ask-within", "200.0");
         JsonArray peers = new JsonArray();
         peers.add("127.0.0.1:" + other.getLocalPort());
         setup.config.add("peers", peers);
@@ -274,7 +311,8 @@
                 for (long seq : new long[] {43, 44}) {
                     DatagramPacket packet = new DatagramPacket(new byte[256], 256);
                     other.receive(packet);
-                    assertThat(Arrays.copyOf(packet.getData(), packet.getLength())).isEqualTo(version(seq));
+                    assertThat(Arrays.copyOf(packet.getData(), packet.getLength()))
+                            .isEqualTo(version(seq));
                     heard.countDown();
                 }
             }
@@ -308,7 +346,11 @@
                 c.request();
                 c.awaitEnd();
             });
-            try (Fleet fleet = new Fleet().node(old).discovery(discovery).set("caps.connect-timeout", "50.0").start();
+            try (Fleet fleet = new Fleet()
+                            .node(old)
+                            .discovery(discovery)
+                            .set("caps.connect-timeout", "50.0")
+                            .start();
                     Fleet.Client client = fleet.client()) {
                 fleet.parts.add(moved);
                 client.read("1");
@@ -332,6 +374,7 @@
     void idsComeFromTheHostsNames() {
         assertThat(cacheproxy.placement.ServerId.of("s-5be2a07c")).isEqualTo(0x5be2a07c);
         assertThat(cacheproxy.placement.ServerId.of("s-f2ffffff")).isEqualTo(0xf2ffffff);
-        assertThat(cacheproxy.placement.ServerId.of("cache.example")).isEqualTo(cacheproxy.placement.ServerId.of("cache.example"));
+        assertThat(cacheproxy.placement.ServerId.of("cache.example"))
+                .isEqualTo(cacheproxy.placement.ServerId.of("cache.example"));
     }
 }
--- a/src/test/java/cacheproxy/proxy/DrainTest.java
+++ b/src/test/java/cacheproxy/proxy/DrainTest.java
@@ -17,8 +17,10 @@
             c.say("VA 5 O" + ScriptedServer.id(line) + " h1\r\nhello\r\n");
             c.awaitEnd();
         });
-        try (Fleet fleet = new Fleet().node(node).start(); Fleet.Client idle = fleet.client();
-                Fleet.Client busy = fleet.client(); Fleet.Client half = fleet.client()) {
+        try (Fleet fleet = new Fleet().node(node).start();
+                Fleet.Client idle = fleet.client();
+                Fleet.Client busy = fleet.client();
+                Fleet.Client half = fleet.client()) {
             assertThat(idle.say("mn\r\n").line()).isEqualTo("MN");
             half.say("mn\r\nm");
             assertThat(half.line()).isEqualTo("MN");
--- a/src/test/java/cacheproxy/proxy/EndingsTest.java
+++ b/src/test/java/cacheproxy/proxy/EndingsTest.java
@@ -5,7 +5,6 @@
 import cacheproxy.fakes.ScriptedServer;
 import java.io.IOException;
 import java.net.InetAddress;
-import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.net.Socket;
 import java.util.ArrayList;
@@ -19,14 +18,19 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Ends at the instant in which something is still owed: the order is made to happen by scripted peers and a loop that is held. */
+/**
+ * Ends at the instant in which something is still owed: the order is made to happen by scripted peers and a loop that
+ * is held.
+ */
 @Timeout(20)
 class EndingsTest {
     private static String hit(String command) {
         return "VA 5 O" + ScriptedServer.id(command) + " h1\r\nhello\r\n";
     }
 
-    /** A server whose connections come up only once they are let in: its queue of those not accepted is full until then. */
+    /**
+     * A server whose connections come up only once they are let in: its queue of those not accepted is full until then.
+     */
     private static final class LateServer implements AutoCloseable {
         private final ServerSocket server = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
         private final List<Socket> fill = new ArrayList<>();
@@ -36,7 +40,7 @@
         }
 
         void fillUp() throws IOException {
-            for (boolean full = false; !full;) {
+            for (boolean full = false; !full; ) {
                 Socket s = new Socket();
                 try {
                     s.connect(server.getLocalSocketAddress(), 200);
@@ -76,8 +80,10 @@
 
     /** Until the proxy has seen what its peers did; the test's time limit interrupts it. */
     private static void awaitInHand(Fleet fleet, int n) {
-        for (int now; (now = fleet.proxy.inHand()) != n;) {
-            assertThat(Thread.interrupted()).as("time is over with %s requests in hand, not %s", now, n).isFalse();
+        for (int now; (now = fleet.proxy.inHand()) != n; ) {
+            assertThat(Thread.interrupted())
+                    .as("time is over with %s requests in hand, not %s", now, n)
+                    .isFalse();
         }
     }
 
@@ -85,8 +91,13 @@
     @Test
     void whatWaitsForAConnectionThatIsNotUpIsNotSentOnceItsClientHasLeft() throws Exception {
         for (String mayCancel : new String[] {"false", "true"}) {
-            try (LateServer node = new LateServer(); Fleet fleet = new Fleet().node(node.dial()).set("caps.may-cancel", mayCancel)
-                    .set("caps.connect-timeout", "20000.0").set("caps.second-copies", "false").start()) {
+            try (LateServer node = new LateServer();
+                    Fleet fleet = new Fleet()
+                            .node(node.dial())
+                            .set("caps.may-cancel", mayCancel)
+                            .set("caps.connect-timeout", "20000.0")
+                            .set("caps.second-copies", "false")
+                            .start()) {
                 Fleet.Client client = fleet.client();
                 client.read("left");
                 awaitInHand(fleet, 1);
@@ -95,7 +106,9 @@
                 ScriptedServer.Connection up = node.letIn();
                 try (Fleet.Client other = fleet.client()) {
                     other.read("stays");
-                    assertThat(ScriptedServer.id(up.line())).as("may cancel: " + mayCancel).isEqualTo("stays");
+                    assertThat(ScriptedServer.id(up.line()))
+                            .as("may cancel: " + mayCancel)
+                            .isEqualTo("stays");
                     up.say(hit("mg 1 v Ostays"));
                     assertThat(other.line()).isEqualTo("VA 5 Ostays");
                 }
@@ -103,18 +116,24 @@
         }
     }
 
-    /** The fetch that waits for its connection is its client's; those who wait for its outcome are served under an id that is wanted. */
+    /**
+     * The fetch that waits for its connection is its client's; those who wait for its outcome are served under an id
+     * that is wanted.
+     */
     @Test
     void aFetchThatOthersWaitForGoesOnUnderTheIdOfOneThatStays() throws Exception {
         ScriptedServer node = missesAllBut("turn");
-        try (LateServer origin = new LateServer(); Fleet fleet = fleetOf(node, origin.dial()); Fleet.Client stays = fleet.client();
+        try (LateServer origin = new LateServer();
+                Fleet fleet = fleetOf(node, origin.dial());
+                Fleet.Client stays = fleet.client();
                 Fleet.Client turn = fleet.client()) {
             Fleet.Client leaves = fleet.client();
             leaves.read("leaves");
             node.next();
             stays.read("stays");
             node.next();
-            turn.say("mg 1 v Oturn Pc=text,d=20000\r\n").line(); // both misses have been heard by now, as answers come in order
+            turn.say("mg 1 v Oturn Pc=text,d=20000\r\n")
+                    .line(); // both misses have been heard by now, as answers come in order
             leaves.close();
             awaitInHand(fleet, 1);
             ScriptedServer.Connection up = origin.letIn();
@@ -125,7 +144,8 @@
     }
 
     private static ScriptedServer missesAllBut(String id) throws IOException {
-        return ScriptedServer.node(line -> ScriptedServer.id(line).equals(id) ? hit(line) : "EN O" + ScriptedServer.id(line) + " h0\r\n");
+        return ScriptedServer.node(
+                line -> ScriptedServer.id(line).equals(id) ? hit(line) : "EN O" + ScriptedServer.id(line) + " h0\r\n");
     }
 
     private static Fleet fleetOf(ScriptedServer node, String origin) throws Exception {
@@ -136,7 +156,7 @@
 
     private static String request(ScriptedServer.Connection c) throws IOException {
         StringBuilder text = new StringBuilder();
-        for (String line; !(line = c.line()).isEmpty();) {
+        for (String line; !(line = c.line()).isEmpty(); ) {
             text.append(line).append('\n');
         }
         return text.toString();
@@ -147,13 +167,15 @@
     void aFetchThatOthersWaitForEndsAtItsOwnDeadlineThoughItsClientHasLeft() throws Exception {
         ScriptedServer node = missesAllBut("turn");
         ScriptedServer origin = new ScriptedServer(c -> {
-            for (String r; (r = c.request()) != null;) {
+            for (String r; (r = c.request()) != null; ) {
                 if (ScriptedServer.id(r).equals("stays")) {
                     c.sayHttp(200, "", "fetch");
                 }
             }
         });
-        try (Fleet fleet = new Fleet().node(node).origin(origin).start(); Fleet.Client stays = fleet.client(); Fleet.Client turn = fleet.client()) {
+        try (Fleet fleet = new Fleet().node(node).origin(origin).start();
+                Fleet.Client stays = fleet.client();
+                Fleet.Client turn = fleet.client()) {
             Fleet.Client leaves = fleet.client();
             leaves.say("mg 7f3a9c21e0b4d655 v Oleaves Pc=text,d=1000\r\n");
             assertThat(ScriptedServer.id(origin.next())).isEqualTo("leaves");
@@ -174,11 +196,12 @@
             AtomicInteger connections = new AtomicInteger();
             ScriptedServer node = new ScriptedServer(c -> {
                 int number = connections.incrementAndGet();
-                for (String line; (line = c.command()) != null;) {
+                for (String line; (line = c.command()) != null; ) {
                     c.say("VA 1 O" + ScriptedServer.id(line) + " h1\r\n" + number + "\r\n");
                 }
             });
-            try (Fleet fleet = new Fleet().node(node).start(); Fleet.Client other = fleet.client()) {
+            try (Fleet fleet = new Fleet().node(node).start();
+                    Fleet.Client other = fleet.client()) {
                 other.read("first"); // from now on there is a connection on which what is sent goes out at once
                 other.line();
                 assertThat(other.line()).isEqualTo("1");
@@ -194,13 +217,18 @@
                 awaitInHand(fleet, 0);
                 other.read("stays");
                 assertThat(other.line()).isEqualTo("VA 1 Ostays");
-                assertThat(other.line()).as("what was sent for nobody would have taken the first connection").isEqualTo("1");
+                assertThat(other.line())
+                        .as("what was sent for nobody would have taken the first connection")
+                        .isEqualTo("1");
                 assertThat(node.commands).as("reset: " + reset).hasSize(2).noneMatch(c -> c.contains("Oleft"));
             }
         }
     }
 
-    /** Its connection is not read on at 32 commands in hand; its end is seen all the same, and what stands behind is never begun. */
+    /**
+     * Its connection is not read on at 32 commands in hand; its end is seen all the same, and what stands behind is
+     * never begun.
+     */
     @Test
     void theEndOfAClientThatIsNotReadIsSeen() throws Exception {
         AtomicInteger asked = new AtomicInteger();
@@ -214,7 +242,12 @@
                 Fleet.Client client = fleet.client();
                 StringBuilder many = new StringBuilder();
                 for (int i = 0; i < 64; i++) {
-                    many.append("mg k").append(i).append(" v O").append(reset).append(i).append(" Pc=text,d=20000\r\n");
+                    many.append("mg k")
+                            .append(i)
+                            .append(" v O")
+                            .append(reset)
+                            .append(i)
+                            .append(" Pc=text,d=20000\r\n");
                 }
                 client.say(many.toString());
                 awaitInHand(fleet, 32);
@@ -239,8 +272,15 @@
             c.awaitEnd();
         });
         ScriptedServer origin = new ScriptedServer(ScriptedServer.Connection::request);
-        try (Fleet fleet = new Fleet().node(node).origin(origin).set("classes.0.promise", "100.0").set("classes.0.late-share", "0.0")
-                .set("caps.second-copies", "false").set("caps.may-cancel", "false").start(); Fleet.Client client = fleet.client()) {
+        try (Fleet fleet = new Fleet()
+                        .node(node)
+                        .origin(origin)
+                        .set("classes.0.promise", "100.0")
+                        .set("classes.0.late-share", "0.0")
+                        .set("caps.second-copies", "false")
+                        .set("caps.may-cancel", "false")
+                        .start();
+                Fleet.Client client = fleet.client()) {
             client.socket.setSoTimeout(15_000); // its deadline is 20 s
             client.read("1");
             node.next();
@@ -262,19 +302,26 @@
             c.say("HTTP/1.1 200 X\r\n\r\nhal");
             c.awaitEnd();
         });
-        try (Fleet fleet = new Fleet().node(node).origin(origin).start(); Fleet.Client client = fleet.client()) {
+        try (Fleet fleet = new Fleet().node(node).origin(origin).start();
+                Fleet.Client client = fleet.client()) {
             client.read("1");
             assertThat(client.line()).startsWith("SERVER_ERROR");
         }
     }
 
-    /** A connection reset after the last byte: it may have run. Its repeat waits for a dial that comes up after the window. */
+    /**
+     * A connection reset after the last byte: it may have run. Its repeat waits for a dial that comes up after the
+     * window.
+     */
     @Test
     void aRepeatThatWaitsPastItsWindowIsNotSent() throws Exception {
         for (boolean letIn : new boolean[] {false, true}) {
-            try (LateServer origin = new LateServer(); Fleet fleet = new Fleet()) {
+            try (LateServer origin = new LateServer();
+                    Fleet fleet = new Fleet()) {
                 fleet.hosts.add(Fleet.host("s-0000aaaa", "origin", origin.dial(), "up"));
-                fleet.set("caps.connect-timeout", "20000.0").set("classes.2.window", "400.0").start();
+                fleet.set("caps.connect-timeout", "20000.0")
+                        .set("classes.2.window", "400.0")
+                        .start();
                 try (Fleet.Client client = fleet.client()) {
                     client.say("ms 7f3a 5 O1 Pc=publish,d=20000,k=0123456789abcdef\r\nhello\r\n");
                     ScriptedServer.Connection first = origin.letIn();
@@ -285,7 +332,8 @@
                     if (letIn) { // its dial comes up all the same
                         try (Fleet.Client other = fleet.client()) {
                             other.say("ms 7f3b 5 O2 Pc=fix,d=20000\r\nhello\r\n");
-                            assertThat(ScriptedServer.id(request(origin.letIn()))).isEqualTo("2");
+                            assertThat(ScriptedServer.id(request(origin.letIn())))
+                                    .isEqualTo("2");
                         }
                     }
                 }
@@ -303,7 +351,11 @@
                 c.sayHttp(200, "", "c" + number);
             }
         });
-        try (Fleet fleet = new Fleet().origin(origin).set("caps.idle-close", "1000.0").start(); Fleet.Client client = fleet.client()) {
+        try (Fleet fleet = new Fleet()
+                        .origin(origin)
+                        .set("caps.idle-close", "1000.0")
+                        .start();
+                Fleet.Client client = fleet.client()) {
             client.say("ms 7f3a 5 O1 Pc=fix,d=20000\r\nhello\r\n");
             assertThat(client.line()).isEqualTo("HD O1 cc1");
             CountDownLatch aged = new CountDownLatch(1);
@@ -314,12 +366,17 @@
         }
     }
 
-    /** The platform waits 3.7 s at most before it kills a process that was told to end, also where a class may wait for longer. */
+    /**
+     * The platform waits 3.7 s at most before it kills a process that was told to end, also where a class may wait for
+     * longer.
+     */
     @Test
     void whatMayWaitLongerThanThePlatformIsAnsweredBeforeTheProcessEnds() throws Exception {
         ScriptedServer silent = new ScriptedServer(ScriptedServer.Connection::awaitEnd);
         ScriptedServer origin = new ScriptedServer(ScriptedServer.Connection::awaitEnd);
-        try (Fleet fleet = new Fleet().node(silent).origin(origin).start(); Fleet.Client reads = fleet.client(); Fleet.Client writes = fleet.client()) {
+        try (Fleet fleet = new Fleet().node(silent).origin(origin).start();
+                Fleet.Client reads = fleet.client();
+                Fleet.Client writes = fleet.client()) {
             reads.read("1");
             writes.say("ms 7f3a 5 O2 Pc=fix,d=20000\r\nhello\r\n");
             awaitInHand(fleet, 2);
@@ -339,7 +396,7 @@
     void aClientThatAlwaysHasARequestOutIsLetGoBeforeTheProcessEnds() throws Exception {
         BlockingQueue<Runnable> owed = new LinkedBlockingQueue<>();
         ScriptedServer node = new ScriptedServer(c -> {
-            for (String line; (line = c.command()) != null;) {
+            for (String line; (line = c.command()) != null; ) {
                 String answer = hit(line);
                 owed.add(() -> sayQuietly(c, answer));
                 if (owed.size() > 1) {
@@ -347,14 +404,18 @@
                 }
             }
         });
-        try (Fleet fleet = new Fleet().node(node).set("caps.second-copies", "false").set("caps.may-cancel", "false").start();
+        try (Fleet fleet = new Fleet()
+                        .node(node)
+                        .set("caps.second-copies", "false")
+                        .set("caps.may-cancel", "false")
+                        .start();
                 Fleet.Client client = fleet.client()) {
             client.read("a0").read("a1");
             Thread drain = new Thread(fleet.proxy::drain);
             drain.start();
             int answers = 0;
             int refused = 0;
-            for (String line; (line = client.line()) != null;) {
+            for (String line; (line = client.line()) != null; ) {
                 if (line.startsWith("VA ")) {
                     answers++;
                     client.read("a" + (answers + 1));
@@ -418,8 +479,9 @@
     }
 
     /**
-     * Its second copy comes when the next request has gone out, and bears no id: nothing may be told from it. A round says something
-     * if all of it took less than a connection rests, so the first such is the verdict; those before it are not looked at.
+     * Its second copy comes when the next request has gone out, and bears no id: nothing may be told from it. A round
+     * says something if all of it took less than a connection rests, so the first such is the verdict; those before it
+     * are not looked at.
      */
     @Test
     void aSecondCopyOfTheOriginsAnswerIsNotTheNextRequestsAnswer() throws Exception {
@@ -449,7 +511,9 @@
             }
             c.awaitEnd();
         });
-        try (Fleet fleet = new Fleet().origin(origin).start(); Fleet.Client one = fleet.client(); Fleet.Client two = fleet.client()) {
+        try (Fleet fleet = new Fleet().origin(origin).start();
+                Fleet.Client one = fleet.client();
+                Fleet.Client two = fleet.client()) {
             assertThat(two.say("mn\r\n").line()).isEqualTo("MN");
             one.say("ms 7f3a 5 O1 Pc=fix,d=20000\r\nhello\r\n");
             origin.next();
--- a/src/test/java/cacheproxy/proxy/Explorer.java
+++ b/src/test/java/cacheproxy/proxy/Explorer.java
@@ -19,9 +19,9 @@
 import java.util.function.Predicate;
 
 /**
- * Drives one proxy through a random order of what clients, a node and the origin may do, and judges it from outside. One thread does
- * everything on the peers' side, without blocking: once the loop has gone round, what the proxy has written is there to be read. So
- * an order is a seed's, but for what the proxy's own timers do in between.
+ * Drives one proxy through a random order of what clients, a node and the origin may do, and judges it from outside.
+ * One thread does everything on the peers' side, without blocking: once the loop has gone round, what the proxy has
+ * written is there to be read. So an order is a seed's, but for what the proxy's own timers do in between.
  */
 final class Explorer implements AutoCloseable {
     private static final int KEYS = 3;
@@ -108,6 +108,7 @@
     private final SplittableRandom random;
     /** Whether the origin answers everybody with the first request's value, so that the judge is seen to look. */
     private final boolean liar;
+
     private final ServerSocketChannel nodeDoor = ServerSocketChannel.open();
     private final ServerSocketChannel originDoor = ServerSocketChannel.open();
     private final List<ServerPeer> nodes = new ArrayList<>();
@@ -116,6 +117,7 @@
     private final Set<String> departed = new HashSet<>();
     /** Those whose client's end the loop has had the time to see, and of which nothing can be on its way any more. */
     private final Set<String> seenToLeave = new HashSet<>();
+
     private final Set<String> leaving = new HashSet<>();
     private final Set<String> unsafe = new HashSet<>();
     private final Map<String, Integer> writes = new HashMap<>();
@@ -133,7 +135,8 @@
         for (int c = 0; c < 3; c++) { // soon doubted and soon tried again, but never late
             fleet.set("classes." + c + ".promise", "400.0");
         }
-        fleet.set("caps.connect-timeout", "50.0").set("caps.may-cancel", random.nextBoolean() ? "true" : "false")
+        fleet.set("caps.connect-timeout", "50.0")
+                .set("caps.may-cancel", random.nextBoolean() ? "true" : "false")
                 .set("caps.second-copies", random.nextBoolean() ? "true" : "false");
         fleet.hosts.add(Fleet.host("s-00000001", "node-fast", "127.0.0.1:" + port(nodeDoor), "up"));
         fleet.hosts.add(Fleet.host("s-0000aaaa", "origin", "127.0.0.1:" + port(originDoor), "up"));
@@ -295,7 +298,8 @@
     /** Lets the loop go round and takes what has come. */
     private void pump() throws Exception {
         long live = clients.stream().filter(c -> !c.ended).count();
-        for (long until = System.nanoTime() + 5_000_000_000L; fleet.proxy.clients() != live && System.nanoTime() < until;) {
+        for (long until = System.nanoTime() + 5_000_000_000L;
+                fleet.proxy.clients() != live && System.nanoTime() < until; ) {
             Thread.onSpinWait(); // the system may tell the proxy of a close later than of what came after it elsewhere
         }
         for (int i = 0; i < 3; i++) { // an event, what it has the loop do, what that writes
@@ -305,7 +309,7 @@
         accept(originDoor, origins);
         for (ServerPeer p : nodes) {
             p.read();
-            for (String line; (line = p.line()) != null;) {
+            for (String line; (line = p.line()) != null; ) {
                 arrived(p, line.substring(line.indexOf(" O") + 2).split(" ")[0], false);
             }
         }
@@ -329,13 +333,13 @@
     }
 
     private static void accept(ServerSocketChannel door, List<ServerPeer> to) throws IOException {
-        for (SocketChannel s; (s = door.accept()) != null;) {
+        for (SocketChannel s; (s = door.accept()) != null; ) {
             to.add(new ServerPeer(s));
         }
     }
 
     private void origins(ServerPeer p) {
-        for (int end; (end = p.in.indexOf("\r\n\r\n")) >= 0;) {
+        for (int end; (end = p.in.indexOf("\r\n\r\n")) >= 0; ) {
             String head = p.in.substring(0, end);
             boolean put = head.startsWith("PUT");
             int whole = end + 4 + (put ? 5 : 0);
--- a/src/test/java/cacheproxy/proxy/ExplorerTest.java
+++ b/src/test/java/cacheproxy/proxy/ExplorerTest.java
@@ -27,7 +27,9 @@
                 departures += e.departures;
             }
         }
-        System.out.printf("explorer: %d orders, %d commands, %d answers, %d departures, 0 violations%n", ORDERS, commands, answers, departures);
+        System.out.printf(
+                "explorer: %d orders, %d commands, %d answers, %d departures, 0 violations%n",
+                ORDERS, commands, answers, departures);
         assertThat(answers).isGreaterThan(ORDERS * 5);
         assertThat(departures).isGreaterThan(ORDERS);
     }
--- a/src/test/java/cacheproxy/proxy/Fleet.java
+++ b/src/test/java/cacheproxy/proxy/Fleet.java
@@ -19,22 +19,61 @@
 
 /** A proxy on loopback with the servers that a test gives it, and clients of it. */
 final class Fleet implements AutoCloseable {
-    static final String SETTINGS = String.join("\n", "balancers=1", "me=0", "locality=0", "zones=east,west",
-            "kinds=node-fast,origin", "discovery=ask", "report.how=silent", "report.names=", "value-by=request",
-            "over-share-worth=0.1", "caps.may-cancel=true", "caps.may-probe=false", "caps.peers=true",
-            "caps.second-copies=true", "caps.retry-after=true", "caps.max-attempts=3",
-            "caps.max-retry-after=500.0", "caps.connect-timeout=2000.0", "caps.idle-close=30000.0",
-            "caps.streams-per-conn=128", "extra.mode=aside", "extra.origin-kind=1", "guarantees.drain-grace=2000.0",
-            "guarantees.grace-to-answer=20.0", "guarantees.start-capacity=0.3", "guarantees.warm-up=9000.0",
-            "guarantees.tip-multiple=3.0", "guarantees.fall=1500.0", "guarantees.ask-within=10000.0",
-            "classes.count=3", "classes.0.name=text", "classes.0.idempotency=retryable",
-            "classes.0.promise=20000.0", "classes.0.deadline=30000.0", "classes.0.gain=1.0",
-            "classes.0.late-share=0.2", "classes.0.stream=false", "classes.1.name=fix",
-            "classes.1.idempotency=fragile", "classes.1.promise=20000.0", "classes.1.deadline=30000.0",
-            "classes.1.gain=5.0", "classes.1.late-share=0.3", "classes.1.stream=false", "classes.2.name=publish",
-            "classes.2.idempotency=dedup", "classes.2.group=all", "classes.2.window=1500.0",
-            "classes.2.promise=20000.0", "classes.2.deadline=30000.0", "classes.2.gain=10.0",
-            "classes.2.late-share=0.2", "classes.2.stream=false");
+    static final String SETTINGS = String.join(
+            "\n",
+            "balancers=1",
+            "me=0",
+            "locality=0",
+            "zones=east,west",
+            "kinds=node-fast,origin",
+            "discovery=ask",
+            "report.how=silent",
+            "report.names=",
+            "value-by=request",
+            "over-share-worth=0.1",
+            "caps.may-cancel=true",
+            "caps.may-probe=false",
+            "caps.peers=true",
+            "caps.second-copies=true",
+            "caps.retry-after=true",
+            "caps.max-attempts=3",
+            "caps.max-retry-after=500.0",
+            "caps.connect-timeout=2000.0",
+            "caps.idle-close=30000.0",
+            "caps.streams-per-conn=128",
+            "extra.mode=aside",
+            "extra.origin-kind=1",
+            "guarantees.drain-grace=2000.0",
+            "guarantees.grace-to-answer=20.0",
+            "guarantees.start-capacity=0.3",
+            "guarantees.warm-up=9000.0",
+            "guarantees.tip-multiple=3.0",
+            "guarantees.fall=1500.0",
+            "guarantees.ask-within=10000.0",
+            "classes.count=3",
+            "classes.0.name=text",
+            "classes.0.idempotency=retryable",
+            "classes.0.promise=20000.0",
+            "classes.0.deadline=30000.0",
+            "classes.0.gain=1.0",
+            "classes.0.late-share=0.2",
+            "classes.0.stream=false",
+            "classes.1.name=fix",
+            "classes.1.idempotency=fragile",
+            "classes.1.promise=20000.0",
+            "classes.1.deadline=30000.0",
+            "classes.1.gain=5.0",
+            "classes.1.late-share=0.3",
+            "classes.1.stream=false",
+            "classes.2.name=publish",
+            "classes.2.idempotency=dedup",
+            "classes.2.group=all",
+            "classes.2.window=1500.0",
+            "classes.2.promise=20000.0",
+            "classes.2.deadline=30000.0",
+            "classes.2.gain=10.0",
+            "classes.2.late-share=0.2",
+            "classes.2.stream=false");
 
     final JsonObject config = new JsonObject();
     final List<AutoCloseable> parts = new ArrayList<>();
@@ -114,7 +153,10 @@
         return this;
     }
 
-    /** Holds the proxy's loop: what peers do from now on it finds all at once. It goes on when the latch is counted down. */
+    /**
+     * Holds the proxy's loop: what peers do from now on it finds all at once. It goes on when the latch is counted
+     * down.
+     */
     CountDownLatch hold() throws InterruptedException {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch go = new CountDownLatch(1);
--- a/src/test/java/cacheproxy/proxy/NettyLogTest.java
+++ b/src/test/java/cacheproxy/proxy/NettyLogTest.java
@@ -31,7 +31,9 @@
             System.setErr(standard);
         }
         // What other tests' loops have to say meanwhile is not ours.
-        String[] lines = told.toString(StandardCharsets.UTF_8).lines().filter(l -> l.startsWith("netty: Pipeline"))
+        String[] lines = told.toString(StandardCharsets.UTF_8)
+                .lines()
+                .filter(l -> l.startsWith("netty: Pipeline"))
                 .toArray(String[]::new);
         assertThat(lines).hasSize(NettyLog.MAX_LINES);
         assertThat(lines[0]).isEqualTo("netty: Pipeline: An exception x reached the end:: java.io.IOException: reset");
--- a/src/test/java/cacheproxy/proxy/OperatorActionsTest.java
+++ b/src/test/java/cacheproxy/proxy/OperatorActionsTest.java
@@ -22,7 +22,8 @@
     }
 
     private static String call(Fleet fleet, String line) throws IOException {
-        try (Socket s = new Socket(InetAddress.getByName("127.0.0.1"), fleet.proxy.controlAddress().getPort())) {
+        try (Socket s = new Socket(
+                InetAddress.getByName("127.0.0.1"), fleet.proxy.controlAddress().getPort())) {
             s.getOutputStream().write((line + " HTTP/1.1\r\nHost: x\r\n\r\n").getBytes());
             return new String(s.getInputStream().readAllBytes()).substring(9, 12);
         }
@@ -32,12 +33,14 @@
     void standbySaysNoEndsConnectionsBetweenRequestsAndLosesNone() throws Exception {
         CountDownLatch go = new CountDownLatch(1);
         ScriptedServer node = new ScriptedServer(c -> {
-            for (String line; (line = c.command()) != null;) {
+            for (String line; (line = c.command()) != null; ) {
                 go.await();
                 c.say("VA 5 O" + ScriptedServer.id(line) + " h1\r\nhello\r\n");
             }
         });
-        try (Fleet fleet = fleet().node(node).start(); Fleet.Client idle = fleet.client(); Fleet.Client busy = fleet.client();
+        try (Fleet fleet = fleet().node(node).start();
+                Fleet.Client idle = fleet.client();
+                Fleet.Client busy = fleet.client();
                 Fleet.Client half = fleet.client()) {
             assertThat(call(fleet, "GET /status")).isEqualTo("200");
             assertThat(idle.say("mn\r\n").line()).isEqualTo("MN");
@@ -73,7 +76,10 @@
         }
     }
 
-    /** A value of 4 MiB to a client that stops reading, and a standby in its midst: calls are heard, the value comes whole. */
+    /**
+     * A value of 4 MiB to a client that stops reading, and a standby in its midst: calls are heard, the value comes
+     * whole.
+     */
     @Test
     void statusIsAnsweredWhileALongValueStreamsAndAStandbyLetsItEnd() throws Exception {
         byte[] value = new byte[MetaCodec.MAX_VALUE];
@@ -84,7 +90,8 @@
             c.say("\r\n");
             c.awaitEnd();
         });
-        try (Fleet fleet = fleet().node(node).start(); Fleet.Client reader = fleet.client()) {
+        try (Fleet fleet = fleet().node(node).start();
+                Fleet.Client reader = fleet.client()) {
             reader.read("1");
             assertThat(reader.line()).isEqualTo("VA " + value.length + " O1");
             byte[] first = reader.bytes(1000);
@@ -95,7 +102,8 @@
             assertThat(call(fleet, "GET /status")).isEqualTo("503");
             byte[] rest = reader.bytes(value.length - 1000);
             assertThat(Arrays.equals(value, 0, 1000, first, 0, 1000)).isTrue();
-            assertThat(Arrays.equals(value, 1000, value.length, rest, 0, rest.length)).isTrue();
+            assertThat(Arrays.equals(value, 1000, value.length, rest, 0, rest.length))
+                    .isTrue();
             assertThat(reader.line()).isEmpty();
             assertThat(reader.ended()).isTrue();
         }
@@ -103,7 +111,8 @@
 
     @Test
     void aConnectionThatHasNotAskedYetIsNotEndedAsSoonAsItIsTaken() throws Exception {
-        try (Fleet fleet = fleet().node("127.0.0.1:9").start(); Fleet.Client first = fleet.client()) {
+        try (Fleet fleet = fleet().node("127.0.0.1:9").start();
+                Fleet.Client first = fleet.client()) {
             assertThat(first.say("mn\r\n").line()).isEqualTo("MN");
             call(fleet, "POST /standby");
             assertThat(first.ended()).isTrue(); // all are to end by now or soon
--- a/src/test/java/cacheproxy/proxy/PeerSocketTest.java
+++ b/src/test/java/cacheproxy/proxy/PeerSocketTest.java
@@ -29,7 +29,8 @@
     void messagesGoToOneOrAllAndComeFromPeersOnly() throws Exception {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
         InetAddress local = InetAddress.getByName("127.0.0.1");
-        try (DatagramSocket peer = new DatagramSocket(0, local); DatagramSocket all = new DatagramSocket(0, local);
+        try (DatagramSocket peer = new DatagramSocket(0, local);
+                DatagramSocket all = new DatagramSocket(0, local);
                 DatagramSocket stranger = new DatagramSocket(0, local)) {
             Fleet fleet = new Fleet();
             JsonArray peers = new JsonArray();
--- a/src/test/java/cacheproxy/proxy/PollClockTest.java
+++ b/src/test/java/cacheproxy/proxy/PollClockTest.java
@@ -5,7 +5,10 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** How long what is read may have waited: never less than it has, whatever the loop was held up by, and next to nothing in calm. */
+/**
+ * How long what is read may have waited: never less than it has, whatever the loop was held up by, and next to nothing
+ * in calm.
+ */
 class PollClockTest {
     private static final long MS = 1_000_000;
     private final PollClock clock = new PollClock();
@@ -55,7 +58,10 @@
         assertThat(clock.unreadForMs(614 * MS)).isLessThan(5);
     }
 
-    /** A loop on a virtual clock: requests come at any time, are seen by the next poll, and are read after others' work and pauses. */
+    /**
+     * A loop on a virtual clock: requests come at any time, are seen by the next poll, and are read after others' work
+     * and pauses.
+     */
     @Test
     void itIsNeverLessThanWhatARequestHasWaitedButForAPauseShorterThanAPoll() {
         double most = 0;
@@ -74,14 +80,16 @@
                 now += wait + pause;
                 // Came after the poll before had returned; where the poll did not return at once, after it had begun.
                 long earliest = readyAtOnce ? lastPollReturned : polled;
-                long came = readyAtOnce ? earliest + (long) (random.nextDouble() * (polled - earliest))
+                long came = readyAtOnce
+                        ? earliest + (long) (random.nextDouble() * (polled - earliest))
                         : pause > 0 ? polled + wait + (long) (random.nextDouble() * pause) : now;
                 lastPollReturned = now;
                 loop.handling(now);
                 now += random.nextInt(4) == 0 ? random.nextInt(400) * MS : random.nextInt(1000);
                 double waited = (now - came) / (double) MS;
                 double bound = loop.unreadForMs(now);
-                double unseen = wait / (double) MS + pause / (double) MS <= PollClock.MAX_POLL_MS ? pause / (double) MS : 0;
+                double unseen =
+                        wait / (double) MS + pause / (double) MS <= PollClock.MAX_POLL_MS ? pause / (double) MS : 0;
                 assertThat(waited).as("seed %d turn %d", seed, turn).isLessThanOrEqualTo(bound + unseen + 0.001);
                 most = Math.max(most, bound);
             }
--- a/src/test/java/cacheproxy/proxy/SitesTest.java
+++ b/src/test/java/cacheproxy/proxy/SitesTest.java
@@ -17,13 +17,18 @@
 import org.tomlj.TomlParseResult;
 import org.tomlj.TomlTable;
 
-/** The proxy by the settings of each deployment that lies in deploy/sites: classes, effects, tenants and names are theirs alone. */
+/**
+ * The proxy by the settings of each deployment that lies in deploy/sites: classes, effects, tenants and names are
+ * theirs alone.
+ */
 class SitesTest {
-    private static final Map<String, String> EFFECTS = Map.of("safe", "retryable", "keyed", "dedup", "unsafe", "fragile");
+    private static final Map<String, String> EFFECTS =
+            Map.of("safe", "retryable", "keyed", "dedup", "unsafe", "fragile");
 
     static Stream<Path> sites() throws IOException {
         try (Stream<Path> files = Files.list(Path.of("deploy/sites"))) {
-            List<Path> sites = files.filter(f -> f.toString().endsWith(".toml")).sorted().toList();
+            List<Path> sites =
+                    files.filter(f -> f.toString().endsWith(".toml")).sorted().toList();
             assertThat(sites).hasSizeGreaterThanOrEqualTo(2);
             return sites.stream();
         }
@@ -43,17 +48,32 @@
         try (Fleet fleet = new Fleet().settings(settings(site)).node(node).origin(origin)) {
             String zone = site.getArray("net.zones").getString(0);
             fleet.hosts.forEach(h -> h.getAsJsonObject().addProperty("site", zone));
-            fleet.hosts.get(0).getAsJsonObject().addProperty("class", site.getArrayOrEmpty("tier").getTable(0).getArray("kind").getTable(0).getString("name"));
+            fleet.hosts
+                    .get(0)
+                    .getAsJsonObject()
+                    .addProperty(
+                            "class",
+                            site.getArrayOrEmpty("tier")
+                                    .getTable(0)
+                                    .getArray("kind")
+                                    .getTable(0)
+                                    .getString("name"));
             fleet.start();
             try (Fleet.Client client = fleet.client()) {
                 int n = 0;
                 for (TomlTable tenant : tables(site, "tenant")) {
                     for (TomlTable c : tables(site, "class")) {
                         String id = "r" + n++;
-                        String list = " O" + id + " Pc=" + c.getString("name") + ",t=" + tenant.getString("name") + ",d=20000";
+                        String list = " O" + id + " Pc=" + c.getString("name") + ",t=" + tenant.getString("name")
+                                + ",d=20000";
                         boolean write = c.getBoolean("write", () -> false);
-                        client.say(write ? "ms k" + n + " 5" + list + ",k=0123456789abcdef\r\nhello\r\n" : "mg k" + n + " v" + list + "\r\n");
-                        assertThat(client.line()).as(c.getString("name")).isEqualTo(write ? "HD O" + id + " creceipt" : "VA 5 O" + id);
+                        client.say(
+                                write
+                                        ? "ms k" + n + " 5" + list + ",k=0123456789abcdef\r\nhello\r\n"
+                                        : "mg k" + n + " v" + list + "\r\n");
+                        assertThat(client.line())
+                                .as(c.getString("name"))
+                                .isEqualTo(write ? "HD O" + id + " creceipt" : "VA 5 O" + id);
                         if (!write) {
                             client.line();
                         }
@@ -78,17 +98,41 @@
         TomlTable tier = site.getArrayOrEmpty("tier").getTable(0);
         TomlTable allow = site.getTable("allow");
         TomlTable rules = site.getTable("rules");
-        List<String> lines = new ArrayList<>(List.of("balancers=1", "me=0", "locality=0", "discovery=" + site.getString("discovery.mode"),
-                "report.how=silent", "report.names=", "value-by=request", "over-share-worth=0.1", "caps.peers=false",
-                "extra.mode=aside", "guarantees.grace-to-answer=20.0", "guarantees.start-capacity=0.3",
-                "guarantees.warm-up=9000.0", "guarantees.ask-within=10000.0", "caps.max-retry-after=" + site.get("clients.max_retry_after_ms"),
-                "caps.idle-close=" + 1000 * number(tier, "conn.idle_s"), "caps.connect-timeout=" + tier.get("conn.connect_timeout_ms"),
-                "caps.streams-per-conn=" + tier.get("conn.streams"), "caps.max-attempts=" + allow.get("max_attempts"),
-                "guarantees.drain-grace=" + rules.get("drain_grace_ms"), "guarantees.tip-multiple=" + rules.get("fall_multiple"),
-                "guarantees.fall=" + rules.get("fall_ms"), "caps.may-cancel=" + allow.get("cancel"), "caps.may-probe=" + allow.get("probes"),
-                "caps.second-copies=" + allow.get("second_copies"), "caps.retry-after=" + allow.get("retry_after")));
-        lines.add("zones=" + String.join(",", site.getArray("net.zones").toList().stream().map(Object::toString).toList()));
-        List<String> kinds = new ArrayList<>(tables(tier, "kind").stream().map(k -> k.getString("name")).toList());
+        List<String> lines = new ArrayList<>(List.of(
+                "balancers=1",
+                "me=0",
+                "locality=0",
+                "discovery=" + site.getString("discovery.mode"),
+                "report.how=silent",
+                "report.names=",
+                "value-by=request",
+                "over-share-worth=0.1",
+                "caps.peers=false",
+                "extra.mode=aside",
+                "guarantees.grace-to-answer=20.0",
+                "guarantees.start-capacity=0.3",
+                "guarantees.warm-up=9000.0",
+                "guarantees.ask-within=10000.0",
+                "caps.max-retry-after=" + site.get("clients.max_retry_after_ms"),
+                "caps.idle-close=" + 1000 * number(tier, "conn.idle_s"),
+                "caps.connect-timeout=" + tier.get("conn.connect_timeout_ms"),
+                "caps.streams-per-conn=" + tier.get("conn.streams"),
+                "caps.max-attempts=" + allow.get("max_attempts"),
+                "guarantees.drain-grace=" + rules.get("drain_grace_ms"),
+                "guarantees.tip-multiple=" + rules.get("fall_multiple"),
+                "guarantees.fall=" + rules.get("fall_ms"),
+                "caps.may-cancel=" + allow.get("cancel"),
+                "caps.may-probe=" + allow.get("probes"),
+                "caps.second-copies=" + allow.get("second_copies"),
+                "caps.retry-after=" + allow.get("retry_after")));
+        lines.add("zones="
+                + String.join(
+                        ",",
+                        site.getArray("net.zones").toList().stream()
+                                .map(Object::toString)
+                                .toList()));
+        List<String> kinds = new ArrayList<>(
+                tables(tier, "kind").stream().map(k -> k.getString("name")).toList());
         kinds.add("origin");
         lines.add("kinds=" + String.join(",", kinds));
         lines.add("extra.origin-kind=" + (kinds.size() - 1));
@@ -97,9 +141,14 @@
         for (int i = 0; i < classes.size(); i++) {
             TomlTable c = classes.get(i);
             String p = "classes." + i + ".";
-            lines.addAll(List.of(p + "name=" + c.getString("name"), p + "idempotency=" + EFFECTS.get(c.getString("effect")),
-                    p + "promise=" + c.get("aim_ms"), p + "deadline=" + c.get("deadline_ms"), p + "gain=" + c.get("worth"),
-                    p + "late-share=" + c.get("late_worth"), p + "stream=false"));
+            lines.addAll(List.of(
+                    p + "name=" + c.getString("name"),
+                    p + "idempotency=" + EFFECTS.get(c.getString("effect")),
+                    p + "promise=" + c.get("aim_ms"),
+                    p + "deadline=" + c.get("deadline_ms"),
+                    p + "gain=" + c.get("worth"),
+                    p + "late-share=" + c.get("late_worth"),
+                    p + "stream=false"));
             if (c.getString("effect").equals("keyed")) {
                 lines.addAll(List.of(p + "group=" + c.getString("group"), p + "window=" + c.get("window_ms")));
             }
@@ -107,8 +156,10 @@
         List<TomlTable> tenants = tables(site, "tenant");
         lines.add("tenants.count=" + tenants.size());
         for (int i = 0; i < tenants.size(); i++) {
-            lines.addAll(List.of("tenants." + i + ".name=" + tenants.get(i).getString("name"),
-                    "tenants." + i + ".fraction=" + tenants.get(i).get("share"), "tenants." + i + ".quota-per-s=100"));
+            lines.addAll(List.of(
+                    "tenants." + i + ".name=" + tenants.get(i).getString("name"),
+                    "tenants." + i + ".fraction=" + tenants.get(i).get("share"),
+                    "tenants." + i + ".quota-per-s=100"));
         }
         return String.join("\n", lines);
     }
--- a/src/test/java/cacheproxy/proxy/StreamTest.java
+++ b/src/test/java/cacheproxy/proxy/StreamTest.java
@@ -30,13 +30,14 @@
     @Test
     void aLongValueOfANodePassesWholeAndTheNextAnswerAfterIt() throws Exception {
         ScriptedServer node = new ScriptedServer(c -> {
-            for (String line; (line = c.command()) != null;) {
+            for (String line; (line = c.command()) != null; ) {
                 head(c, line);
                 c.out.write(VALUE);
                 c.say("\r\n");
             }
         });
-        try (Fleet fleet = new Fleet().node(node).start(); Fleet.Client client = fleet.client()) {
+        try (Fleet fleet = new Fleet().node(node).start();
+                Fleet.Client client = fleet.client()) {
             client.read("1").read("2");
             for (String id : new String[] {"1", "2"}) {
                 assertThat(client.line()).isEqualTo("VA " + VALUE.length + " O" + id);
@@ -56,7 +57,8 @@
             c.awaitEnd();
         });
         ScriptedServer node = ScriptedServer.node(line -> "EN O" + ScriptedServer.id(line) + " h0\r\n");
-        try (Fleet fleet = new Fleet().node(node).origin(origin).start(); Fleet.Client client = fleet.client()) {
+        try (Fleet fleet = new Fleet().node(node).origin(origin).start();
+                Fleet.Client client = fleet.client()) {
             client.read("1");
             assertThat(client.line()).isEqualTo("VA " + VALUE.length + " O1");
             assertThat(client.bytes(VALUE.length)).isEqualTo(VALUE);
@@ -75,7 +77,8 @@
             c.say("\r\n");
             c.awaitEnd();
         });
-        try (Fleet fleet = new Fleet().node(node).start(); Fleet.Client client = fleet.client()) {
+        try (Fleet fleet = new Fleet().node(node).start();
+                Fleet.Client client = fleet.client()) {
             client.read("1").line();
             assertThat(client.bytes(1000)).hasSize(1000);
             seen.countDown();
@@ -89,7 +92,7 @@
         CountDownLatch over = new CountDownLatch(1);
         ScriptedServer node = new ScriptedServer(c -> {
             c.socket.setSendBufferSize(64 << 10);
-            for (String line; (line = c.command()) != null;) {
+            for (String line; (line = c.command()) != null; ) {
                 head(c, line);
                 for (int at = 0; at < VALUE.length; at += 1 << 14) {
                     c.out.write(VALUE, at, 1 << 14);
@@ -100,7 +103,8 @@
             over.countDown();
         });
         int values = 16;
-        try (Fleet fleet = new Fleet().node(node).start(); Fleet.Client client = fleet.client()) {
+        try (Fleet fleet = new Fleet().node(node).start();
+                Fleet.Client client = fleet.client()) {
             for (int i = 0; i < values; i++) {
                 client.read(Integer.toString(i));
             }
@@ -127,7 +131,8 @@
             c.out.write(VALUE, 0, 100_000);
             c.out.flush();
         });
-        try (Fleet fleet = new Fleet().node(node).start(); Fleet.Client client = fleet.client()) {
+        try (Fleet fleet = new Fleet().node(node).start();
+                Fleet.Client client = fleet.client()) {
             client.read("1");
             assertThat(client.line()).isEqualTo("VA " + VALUE.length + " O1");
             assertThat(client.bytes(VALUE.length).length).isLessThan(VALUE.length);
@@ -172,7 +177,11 @@
     @Test
     void aValueThatTheConnectionsEndEndsIsServedWithItsLength() throws Exception {
         for (int length : new int[] {0, 1, 1000, MetaCodec.WHOLE, MetaCodec.WHOLE + 1, VALUE.length}) {
-            try (Fleet fleet = new Fleet().node(missing()).origin(endsByClosing(length)).start(); Fleet.Client client = fleet.client()) {
+            try (Fleet fleet = new Fleet()
+                            .node(missing())
+                            .origin(endsByClosing(length))
+                            .start();
+                    Fleet.Client client = fleet.client()) {
                 client.read("1");
                 assertThat(client.line()).isEqualTo("VA " + length + " O1");
                 assertThat(client.bytes(length)).isEqualTo(java.util.Arrays.copyOf(VALUE, length));
@@ -187,10 +196,11 @@
     void aChunkedValueInPiecesOfAnySizeIsServedWithItsLength() throws Exception {
         ScriptedServer origin = new ScriptedServer(c -> {
             Random random = new Random(3);
-            for (String head; (head = c.request()) != null;) {
+            for (String head; (head = c.request()) != null; ) {
                 c.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
                 for (int at = 0, n; at < 300_000; at += n) {
-                    n = Math.min(300_000 - at, random.nextInt(3) == 0 ? 1 + random.nextInt(9) : 1 + random.nextInt(40_000));
+                    n = Math.min(
+                            300_000 - at, random.nextInt(3) == 0 ? 1 + random.nextInt(9) : 1 + random.nextInt(40_000));
                     c.say(Integer.toHexString(n) + "\r\n");
                     c.out.write(VALUE, at, n);
                     c.say("\r\n");
@@ -198,7 +208,8 @@
                 c.say("0\r\n\r\n");
             }
         });
-        try (Fleet fleet = new Fleet().node(missing()).origin(origin).start(); Fleet.Client client = fleet.client()) {
+        try (Fleet fleet = new Fleet().node(missing()).origin(origin).start();
+                Fleet.Client client = fleet.client()) {
             for (String id : new String[] {"1", "2"}) {
                 client.read(id);
                 assertThat(client.line()).isEqualTo("VA 300000 O" + id);
@@ -219,7 +230,8 @@
                 c.socket.setSoLinger(true, 0);
                 c.socket.close();
             });
-            try (Fleet fleet = new Fleet().node(missing()).origin(origin).start(); Fleet.Client client = fleet.client()) {
+            try (Fleet fleet = new Fleet().node(missing()).origin(origin).start();
+                    Fleet.Client client = fleet.client()) {
                 client.read("1");
                 assertThat(client.line()).startsWith("SERVER_ERROR");
             }
@@ -229,7 +241,8 @@
     @Test
     void valuesOfUnknownLengthWaitForRoomAndAllAreServedWhole() throws Exception {
         int clients = 12; // room is for two of this length
-        try (Fleet fleet = new Fleet().node(missing()).origin(endsByClosing(VALUE.length)).start()) {
+        try (Fleet fleet =
+                new Fleet().node(missing()).origin(endsByClosing(VALUE.length)).start()) {
             ExecutorService readers = Executors.newFixedThreadPool(clients);
             List<Future<Integer>> all = new ArrayList<>();
             for (int i = 0; i < clients; i++) {
@@ -260,10 +273,12 @@
 
     @Test
     void aClientThatLeavesGivesBackTheRoomOfItsValue() throws Exception {
-        try (Fleet fleet = new Fleet().node(missing()).origin(endsByClosing(VALUE.length)).start()) {
+        try (Fleet fleet =
+                new Fleet().node(missing()).origin(endsByClosing(VALUE.length)).start()) {
             for (int i = 0; i < 12; i++) {
                 try (Fleet.Client leaver = fleet.client()) {
-                    leaver.say("mg %x v O%d Pc=text,d=25000\r\n".formatted(0x7f3a0000 + i, i)).line();
+                    leaver.say("mg %x v O%d Pc=text,d=25000\r\n".formatted(0x7f3a0000 + i, i))
+                            .line();
                 }
             }
             try (Fleet.Client last = fleet.client()) {
@@ -289,7 +304,9 @@
             c.say("\r\n");
             c.awaitEnd();
         });
-        try (Fleet fleet = new Fleet().node(node).start(); Fleet.Client client = fleet.client(); Fleet.Client other = fleet.client()) {
+        try (Fleet fleet = new Fleet().node(node).start();
+                Fleet.Client client = fleet.client();
+                Fleet.Client other = fleet.client()) {
             client.read("1").line();
             assertThat(client.bytes(1000)).hasSize(1000);
             CountDownLatch pause = new CountDownLatch(1);
--- a/src/test/java/cacheproxy/proxy/TimerWheelTest.java
+++ b/src/test/java/cacheproxy/proxy/TimerWheelTest.java
@@ -22,25 +22,26 @@
         List<String> wrong = new ArrayList<>();
         List<Integer> same = new ArrayList<>();
         loop.submit(() -> {
-            TimerWheel timers = new TimerWheel(loop, new PollClock());
-            Random random = new Random(5);
-            for (int i = 0; i < count; i++) {
-                // beyond the wheel's four seconds, too
-                double ms = i % 500 == 0 ? 4200 : random.nextInt(300);
-                long due = System.nanoTime() + (long) (ms * 1e6);
-                timers.after(ms, () -> {
-                    if (System.nanoTime() < due) {
-                        wrong.add("early");
+                    TimerWheel timers = new TimerWheel(loop, new PollClock());
+                    Random random = new Random(5);
+                    for (int i = 0; i < count; i++) {
+                        // beyond the wheel's four seconds, too
+                        double ms = i % 500 == 0 ? 4200 : random.nextInt(300);
+                        long due = System.nanoTime() + (long) (ms * 1e6);
+                        timers.after(ms, () -> {
+                            if (System.nanoTime() < due) {
+                                wrong.add("early");
+                            }
+                            last.countDown();
+                        });
+                        timers.after(ms, () -> wrong.add("called off")).cancel();
                     }
-                    last.countDown();
-                });
-                timers.after(ms, () -> wrong.add("called off")).cancel();
-            }
-            timers.after(10, () -> {
-                timers.after(0, () -> same.add(2)); // set from within a timer: runs later
-                same.add(1);
-            });
-        }).sync();
+                    timers.after(10, () -> {
+                        timers.after(0, () -> same.add(2)); // set from within a timer: runs later
+                        same.add(1);
+                    });
+                })
+                .sync();
         assertThat(last.await(60, TimeUnit.SECONDS)).isTrue();
         assertThat(loop.submit(() -> List.copyOf(wrong)).get()).isEmpty();
         assertThat(same).containsExactly(1, 2);
--- a/src/test/java/cacheproxy/proxy/UpstreamTest.java
+++ b/src/test/java/cacheproxy/proxy/UpstreamTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.policy.CarpHash;
 import cacheproxy.fakes.ScriptedServer;
+import cacheproxy.policy.CarpHash;
 import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.util.concurrent.CountDownLatch;
@@ -35,7 +35,8 @@
     @Test
     void aMissIsFetchedFromTheOrigin() throws Exception {
         ScriptedServer node = ScriptedServer.node(line -> "EN O" + ScriptedServer.id(line) + " h0\r\n");
-        try (Fleet fleet = new Fleet().node(node).origin(origin(200, "", "master")).start();
+        try (Fleet fleet =
+                        new Fleet().node(node).origin(origin(200, "", "master")).start();
                 Fleet.Client client = fleet.client()) {
             client.read("1");
             assertThat(client.line()).isEqualTo("VA 6 O1");
@@ -46,7 +47,8 @@
     @Test
     void oneConnectionServesRequestAfterRequest() throws Exception {
         ScriptedServer node = ScriptedServer.node(UpstreamTest::hit);
-        try (Fleet fleet = new Fleet().node(node).start(); Fleet.Client client = fleet.client()) {
+        try (Fleet fleet = new Fleet().node(node).start();
+                Fleet.Client client = fleet.client()) {
             for (int i = 0; i < 5; i++) {
                 client.read("a" + i);
                 assertThat(client.line()).isEqualTo("VA 5 Oa" + i);
@@ -63,8 +65,12 @@
             busy.incrementAndGet();
             return "SERVER_ERROR busy\r\n";
         });
-        try (Fleet fleet = new Fleet().node(refused()).node(full).node(ScriptedServer.node(UpstreamTest::hit))
-                .origin(origin(200, "", "fetch")).start();
+        try (Fleet fleet = new Fleet()
+                        .node(refused())
+                        .node(full)
+                        .node(ScriptedServer.node(UpstreamTest::hit))
+                        .origin(origin(200, "", "fetch"))
+                        .start();
                 Fleet.Client client = fleet.client()) {
             for (int i = 0; i < 30; i++) {
                 client.say("mg " + Integer.toHexString(0x1000 + 7919 * i) + " v O" + i + " Pc=text,d=20000\r\n");
@@ -75,7 +81,10 @@
         }
     }
 
-    /** What a node does with a connection that it has no room for; the latch tells that the proxy has seen the end of it. */
+    /**
+     * What a node does with a connection that it has no room for; the latch tells that the proxy has seen the end of
+     * it.
+     */
     private static ScriptedServer withoutRoom(CountDownLatch seen) throws Exception {
         return new ScriptedServer(c -> {
             c.command();
@@ -92,7 +101,9 @@
         CountDownLatch seen = new CountDownLatch(1);
         ScriptedServer full = withoutRoom(seen);
         long start = System.nanoTime();
-        try (Fleet fleet = new Fleet().node(full).origin(origin(200, "", "fetch")).start(); Fleet.Client client = fleet.client()) {
+        try (Fleet fleet =
+                        new Fleet().node(full).origin(origin(200, "", "fetch")).start();
+                Fleet.Client client = fleet.client()) {
             for (int i = 0; i < 40; i++) {
                 client.read("a" + i);
                 assertThat(client.line()).isEqualTo("VA 5 Oa" + i);
@@ -112,7 +123,7 @@
         CountDownLatch seen = new CountDownLatch(1);
         CountDownLatch rest = new CountDownLatch(1);
         ScriptedServer sound = new ScriptedServer(c -> {
-            for (String line; (line = c.command()) != null;) {
+            for (String line; (line = c.command()) != null; ) {
                 if (!ScriptedServer.id(line).equals("long")) {
                     c.say(hit(line));
                     continue;
@@ -125,7 +136,8 @@
                 c.say("\r\n");
             }
         });
-        try (Fleet fleet = new Fleet().node(withoutRoom(seen)).node(sound).start(); Fleet.Client client = fleet.client();
+        try (Fleet fleet = new Fleet().node(withoutRoom(seen)).node(sound).start();
+                Fleet.Client client = fleet.client();
                 Fleet.Client other = fleet.client()) {
             client.say(read(keyOf(1), "first")).line();
             client.line();
@@ -138,21 +150,24 @@
         }
     }
 
-    /** They keep others out where there is no room; one by one they would go only after they have stood idle for long. */
+    /**
+     * They keep others out where there is no room; one by one they would go only after they have stood idle for long.
+     */
     @Test
     void whereConnectionsAreShortSecondOnesThatStandIdleAreClosed() throws Exception {
         CountDownLatch seen = new CountDownLatch(1);
         CountDownLatch both = new CountDownLatch(2);
         CountDownLatch closed = new CountDownLatch(1);
         ScriptedServer sound = new ScriptedServer(c -> {
-            for (String line; (line = c.command()) != null;) {
+            for (String line; (line = c.command()) != null; ) {
                 both.countDown();
                 both.await();
                 c.say(hit(line));
             }
             closed.countDown();
         });
-        try (Fleet fleet = new Fleet().node(withoutRoom(seen)).node(sound).start(); Fleet.Client client = fleet.client();
+        try (Fleet fleet = new Fleet().node(withoutRoom(seen)).node(sound).start();
+                Fleet.Client client = fleet.client();
                 Fleet.Client other = fleet.client()) {
             client.say(read(keyOf(2), "a"));
             other.say(read(keyOf(2), "b"));
@@ -190,7 +205,8 @@
     void anOriginThatRefusesConnectionsIsKnownAtOnceNotToHaveRunTheWrite() throws Exception {
         Fleet setup = new Fleet().node(ScriptedServer.node(UpstreamTest::hit));
         setup.hosts.add(Fleet.host("s-0000aaaa", "origin", refused(), "up"));
-        try (Fleet fleet = setup.start(); Fleet.Client client = fleet.client()) {
+        try (Fleet fleet = setup.start();
+                Fleet.Client client = fleet.client()) {
             // More than the connections that one server may have: a failed one must not keep its place.
             for (int i = 0; i < 60; i++) {
                 client.say("ms 7f3a 5 O" + i + " Pc=fix,d=20000\r\nhello\r\n");
@@ -203,7 +219,8 @@
     void aRefusalTellsAtOnceWhenToComeBackWhereClientsMayKnow() throws Exception {
         for (boolean told : new boolean[] {true, false}) {
             Fleet setup = new Fleet().node(refused()).set("caps.retry-after", Boolean.toString(told));
-            try (Fleet fleet = setup.start(); Fleet.Client client = fleet.client()) {
+            try (Fleet fleet = setup.start();
+                    Fleet.Client client = fleet.client()) {
                 client.read("1");
                 assertThat(client.line()).matches(told ? "SERVER_ERROR busy [1-9]\\d{0,2}" : "SERVER_ERROR busy");
             }
@@ -216,7 +233,8 @@
             c.request();
             c.reset();
         });
-        try (Fleet fleet = new Fleet().origin(origin).start(); Fleet.Client client = fleet.client()) {
+        try (Fleet fleet = new Fleet().origin(origin).start();
+                Fleet.Client client = fleet.client()) {
             client.say("ms 7f3a 5 O1 Pc=fix,d=20000\r\nhello\r\n");
             assertThat(client.line()).isEqualTo("SERVER_ERROR failed");
             assertThat(client.say("mn\r\n").line()).isEqualTo("MN");
@@ -226,8 +244,9 @@
 
     @Test
     void garbageEndsTheAttemptAndTheConnection() throws Exception {
-        for (String garbage : new String[] {"VA x O1\r\n", "VA 5 O7 h1\r\nhello\r\n", "VA 5 O1\r\nhelloXX", "\u0000\r\n",
-            "HD O1 cx\r\n"}) {
+        for (String garbage : new String[] {
+            "VA x O1\r\n", "VA 5 O7 h1\r\nhello\r\n", "VA 5 O1\r\nhelloXX", "\u0000\r\n", "HD O1 cx\r\n"
+        }) {
             CountDownLatch ended = new CountDownLatch(1);
             ScriptedServer node = new ScriptedServer(c -> {
                 c.command();
@@ -235,7 +254,10 @@
                 c.awaitEnd();
                 ended.countDown();
             });
-            try (Fleet fleet = new Fleet().node(node).origin(origin(200, "", "fetch")).start();
+            try (Fleet fleet = new Fleet()
+                            .node(node)
+                            .origin(origin(200, "", "fetch"))
+                            .start();
                     Fleet.Client client = fleet.client()) {
                 client.read("1");
                 assertThat(client.line()).as(garbage).isEqualTo("VA 5 O1");
@@ -243,15 +265,20 @@
                 ended.await();
             }
         }
-        for (String head : new String[] {"what?", "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 2",
-            "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 1", "HTTP/1.1 2x0 OK\r\nContent-Length: 2",
-            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nr1\r\nzz"}) {
+        for (String head : new String[] {
+            "what?",
+            "HTTP/1.1 200 OK\r\nno colon here\r\nContent-Length: 2",
+            "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nContent-Length: 1",
+            "HTTP/1.1 2x0 OK\r\nContent-Length: 2",
+            "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nr1\r\nzz"
+        }) {
             ScriptedServer broken = new ScriptedServer(c -> {
                 c.request();
                 c.say(head + "\r\n\r\nr1");
                 c.awaitEnd();
             });
-            try (Fleet fleet = new Fleet().origin(broken).start(); Fleet.Client client = fleet.client()) {
+            try (Fleet fleet = new Fleet().origin(broken).start();
+                    Fleet.Client client = fleet.client()) {
                 client.say("ms 7f3a 5 O1 Pc=fix,d=20000\r\nhello\r\n");
                 assertThat(client.line()).as(head).isEqualTo("SERVER_ERROR failed");
             }
@@ -263,7 +290,7 @@
         CountDownLatch missed = new CountDownLatch(2);
         CountDownLatch go = new CountDownLatch(1);
         ScriptedServer node = new ScriptedServer(c -> {
-            for (String line; (line = c.command()) != null;) {
+            for (String line; (line = c.command()) != null; ) {
                 c.say("EN O" + ScriptedServer.id(line) + " h0\r\n");
                 missed.countDown();
             }
@@ -278,7 +305,8 @@
             }
             c.awaitEnd();
         });
-        try (Fleet fleet = new Fleet().node(node).origin(origin).start(); Fleet.Client client = fleet.client();
+        try (Fleet fleet = new Fleet().node(node).origin(origin).start();
+                Fleet.Client client = fleet.client();
                 Fleet.Client other = fleet.client()) {
             client.read("1");
             origin.next();
@@ -301,7 +329,8 @@
             c.socket.close();
             closed.release();
         });
-        try (Fleet fleet = new Fleet().origin(origin).start(); Fleet.Client client = fleet.client()) {
+        try (Fleet fleet = new Fleet().origin(origin).start();
+                Fleet.Client client = fleet.client()) {
             for (int i = 0; i < 3; i++) {
                 client.say("ms 7f3a 5 O" + i + " Pc=fix,d=20000\r\nhello\r\n");
                 assertThat(client.line()).isEqualTo("HD O" + i + " cr1");
@@ -316,7 +345,7 @@
         CountDownLatch go = new CountDownLatch(1);
         CountDownLatch never = new CountDownLatch(1);
         ScriptedServer node = new ScriptedServer(c -> {
-            for (String line; (line = c.command()) != null;) {
+            for (String line; (line = c.command()) != null; ) {
                 if (ScriptedServer.id(line).startsWith("held")) {
                     never.await();
                 } else if (ScriptedServer.id(line).equals("first")) {
@@ -325,7 +354,8 @@
                 c.say(hit(line));
             }
         });
-        try (Fleet fleet = new Fleet().node(node).start(); Fleet.Client client = fleet.client()) {
+        try (Fleet fleet = new Fleet().node(node).start();
+                Fleet.Client client = fleet.client()) {
             client.read("first");
             node.next();
             for (int i = 0; i < 3; i++) {
@@ -357,7 +387,8 @@
             c.awaitEnd();
         });
         Fleet setup = new Fleet().node(pipelined).set("balancers", "60");
-        try (Fleet fleet = setup.start(); Fleet.Client other = fleet.client()) {
+        try (Fleet fleet = setup.start();
+                Fleet.Client other = fleet.client()) {
             Fleet.Client leaving = fleet.client();
             leaving.say("mg 7f3a v Oa Pc=text,d=20000\r\n");
             pipelined.next();
@@ -399,7 +430,7 @@
             ended.countDown();
         });
         ScriptedServer origin = new ScriptedServer(c -> {
-            for (String request; (request = c.request()) != null;) {
+            for (String request; (request = c.request()) != null; ) {
                 if (request.startsWith("PUT")) {
                     c.say("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nr");
                     c.awaitEnd();
@@ -409,7 +440,8 @@
                 }
             }
         });
-        try (Fleet fleet = new Fleet().node(node).origin(origin).start(); Fleet.Client client = fleet.client()) {
+        try (Fleet fleet = new Fleet().node(node).origin(origin).start();
+                Fleet.Client client = fleet.client()) {
             client.read("1");
             assertThat(client.line()).isEqualTo("VA 5 O1");
             assertThat(client.line()).isEqualTo("fetch");
--- a/src/test/java/cacheproxy/proxy/WarmUpTest.java
+++ b/src/test/java/cacheproxy/proxy/WarmUpTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import com.google.gson.JsonParser;
 import cacheproxy.lifecycle.WarmUpPlan;
+import com.google.gson.JsonParser;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -25,7 +25,7 @@
     void aConnectionOfTheWarmUpThatIsResetIsClosedWithoutAWord() {
         EmbeddedChannel channel = new EmbeddedChannel(new WarmUp.End() {
             @Override
-            protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) { }
+            protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {}
         });
         channel.pipeline().fireExceptionCaught(new IOException("Connection reset by peer"));
         channel.checkException();
@@ -34,22 +34,28 @@
 
     @Test
     void aWarmUpAnswersAllItsRequestsAndOneThatTakesTooLongIsLeft() throws Exception {
-        PlatformConfig config = PlatformConfig.parse(JsonParser.parseString(Files.readString(Path.of("src/test/resources/config.json")))
-                .getAsJsonObject());
+        PlatformConfig config =
+                PlatformConfig.parse(JsonParser.parseString(Files.readString(Path.of("src/test/resources/config.json")))
+                        .getAsJsonObject());
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
         try {
-            assertThat(WarmUp.run(group.next(), config, new WarmUpPlan(40, 8, 60_000))).isBetween(40, 48);
-            assertThat(WarmUp.run(group.next(), config, new WarmUpPlan(100_000_000, 8, 20))).isLessThan(100_000_000);
+            assertThat(WarmUp.run(group.next(), config, new WarmUpPlan(40, 8, 60_000)))
+                    .isBetween(40, 48);
+            assertThat(WarmUp.run(group.next(), config, new WarmUpPlan(100_000_000, 8, 20)))
+                    .isLessThan(100_000_000);
         } finally {
             group.shutdownGracefully(0, 0, TimeUnit.SECONDS).sync();
         }
     }
 
-    /** As where nobody may come to a Unix socket: a start that goes on without a warm-up must not pay for it for good. */
+    /**
+     * As where nobody may come to a Unix socket: a start that goes on without a warm-up must not pay for it for good.
+     */
     @Test
     void aWarmUpThatIsRefusedLeavesNoSocketAndNoFileBehind(@TempDir Path folder) throws Exception {
-        PlatformConfig config = PlatformConfig.parse(JsonParser.parseString(Files.readString(Path.of("src/test/resources/config.json")))
-                .getAsJsonObject());
+        PlatformConfig config =
+                PlatformConfig.parse(JsonParser.parseString(Files.readString(Path.of("src/test/resources/config.json")))
+                        .getAsJsonObject());
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
         try {
             List<String> opened = new ArrayList<>();
--- a/src/test/java/cacheproxy/routes/FallbackTest.java
+++ b/src/test/java/cacheproxy/routes/FallbackTest.java
@@ -23,10 +23,13 @@
 
     @Test
     void whatMayHaveRunGoesOnOnlyIfItIsSafeOrItsRepeatIsDropped() {
-        assertThat(Fallback.mayGoOn(kind(Effect.SAFE), true, null, null, 5000, 0)).isTrue();
+        assertThat(Fallback.mayGoOn(kind(Effect.SAFE), true, null, null, 5000, 0))
+                .isTrue();
         assertThat(Fallback.mayGoOn(kind(Effect.UNSAFE), true, "g", "g", 0, 0)).isFalse();
-        assertThat(Fallback.mayGoOn(kind(Effect.KEYED), true, "g", "g", 1499, 0)).isTrue();
-        assertThat(Fallback.mayGoOn(kind(Effect.KEYED), true, "g", "g", 1500, 0)).isFalse();
+        assertThat(Fallback.mayGoOn(kind(Effect.KEYED), true, "g", "g", 1499, 0))
+                .isTrue();
+        assertThat(Fallback.mayGoOn(kind(Effect.KEYED), true, "g", "g", 1500, 0))
+                .isFalse();
         assertThat(Fallback.mayGoOn(kind(Effect.KEYED), true, "g", "h", 1, 0)).isFalse();
         assertThat(Fallback.mayGoOn(kind(Effect.KEYED), true, null, null, 1, 0)).isFalse();
         assertThat(Fallback.mayRefuse(kind(Effect.SAFE), true)).isTrue();
@@ -36,10 +39,13 @@
 
     @Test
     void aSafeRequestLeavesTimeForTheNextPoolAndOthersKeepTheirs() {
-        assertThat(Fallback.dueMs(kind(Effect.SAFE), false, false, 100, 0, 1000)).isEqualTo(550);
+        assertThat(Fallback.dueMs(kind(Effect.SAFE), false, false, 100, 0, 1000))
+                .isEqualTo(550);
         assertThat(Fallback.dueMs(kind(Effect.SAFE), true, true, 100, 0, 1000)).isEqualTo(1000);
-        assertThat(Fallback.dueMs(kind(Effect.UNSAFE), false, false, 100, 0, 1000)).isEqualTo(1000);
-        assertThat(Fallback.dueMs(kind(Effect.KEYED), false, false, 100, 0, 3000)).isEqualTo(3000);
+        assertThat(Fallback.dueMs(kind(Effect.UNSAFE), false, false, 100, 0, 1000))
+                .isEqualTo(1000);
+        assertThat(Fallback.dueMs(kind(Effect.KEYED), false, false, 100, 0, 3000))
+                .isEqualTo(3000);
         assertThat(Fallback.dueMs(kind(Effect.KEYED), true, true, 100, 0, 3000)).isEqualTo(1500);
     }
 }
--- a/src/test/java/cacheproxy/routes/PathsAndHostsTest.java
+++ b/src/test/java/cacheproxy/routes/PathsAndHostsTest.java
@@ -13,11 +13,30 @@
 class PathsAndHostsTest {
     @Test
     void pathsAreNormalised() {
-        for (String[] c : new String[][] {{"/a/b", "/a/b"}, {"/a//b", "/a/b"}, {"/a/./b/", "/a/b/"}, {"/a/b/..", "/a/"},
-            {"/a/b/../c", "/a/c"}, {"/a%2Fb", "/a/b"}, {"/%61", "/a"}, {"/a%20b", "/a%20b"}, {"/a%25b", "/a%25b"},
-            {"/a%252Fb", "/a%252Fb"}, {"/a%3fb", "/a%3Fb"}, {"/%2e%2E/a", null}, {"/..", null}, {"/a/../..", null},
-            {"/a%2", null}, {"/a%zz", null}, {"/a%00", null}, {"/.", "/"}, {"/...", "/..."}, {"/a/.b", "/a/.b"},
-            {"/caf%c3%A9", "/caf%C3%A9"}, {"//", "/"}}) {
+        for (String[] c : new String[][] {
+            {"/a/b", "/a/b"},
+            {"/a//b", "/a/b"},
+            {"/a/./b/", "/a/b/"},
+            {"/a/b/..", "/a/"},
+            {"/a/b/../c", "/a/c"},
+            {"/a%2Fb", "/a/b"},
+            {"/%61", "/a"},
+            {"/a%20b", "/a%20b"},
+            {"/a%25b", "/a%25b"},
+            {"/a%252Fb", "/a%252Fb"},
+            {"/a%3fb", "/a%3Fb"},
+            {"/%2e%2E/a", null},
+            {"/..", null},
+            {"/a/../..", null},
+            {"/a%2", null},
+            {"/a%zz", null},
+            {"/a%00", null},
+            {"/.", "/"},
+            {"/...", "/..."},
+            {"/a/.b", "/a/.b"},
+            {"/caf%c3%A9", "/caf%C3%A9"},
+            {"//", "/"}
+        }) {
             PathKey p = PathKey.of(c[0]);
             assertThat(p == null ? null : p.path()).as(c[0]).isEqualTo(c[1]);
         }
@@ -34,8 +53,13 @@
         assertThat(PathKey.of("/a?b/c").host()).isEmpty();
         assertThat(PathKey.of("plain").path()).isEqualTo("plain");
         assertThat(PathKey.of("x.example./").host()).isEqualTo("x.example");
-        assertThat(KeyFormat.PATH.subject("l", "/a?b", 0, 0, false).sent().query()).isNull();
-        assertThat(KeyFormat.PATH_AND_QUERY.subject("l", "/a?b", 0, 0, false).sent().query()).isEqualTo("b");
+        assertThat(KeyFormat.PATH.subject("l", "/a?b", 0, 0, false).sent().query())
+                .isNull();
+        assertThat(KeyFormat.PATH_AND_QUERY
+                        .subject("l", "/a?b", 0, 0, false)
+                        .sent()
+                        .query())
+                .isEqualTo("b");
         assertThat(KeyFormat.PATH.subject("l", "/..", 0, 0, false)).isNull();
     }
 
@@ -65,9 +89,20 @@
                 new VirtualHosts.Host("head", Set.of(), List.of("mail.*"), false, Set.of()),
                 new VirtualHosts.Host("regex", Set.of(), List.of("~^x[0-9]+$"), false, Set.of()),
                 new VirtualHosts.Host("rest", Set.of(), List.of(), false, Set.of("l"))));
-        for (String[] c : new String[][] {{"a.example", "exact"}, {"x.example", "tail"}, {"b.example", "tail"},
-            {"y.b.example", "longer"}, {"z.y.b.example", "longer"}, {"c.example", "dot"}, {"q.c.example", "dot"},
-            {"mail.org", "head"}, {"mail.example", "tail"}, {"x12", "regex"}, {"none", "rest"}, {"", "rest"}}) {
+        for (String[] c : new String[][] {
+            {"a.example", "exact"},
+            {"x.example", "tail"},
+            {"b.example", "tail"},
+            {"y.b.example", "longer"},
+            {"z.y.b.example", "longer"},
+            {"c.example", "dot"},
+            {"q.c.example", "dot"},
+            {"mail.org", "head"},
+            {"mail.example", "tail"},
+            {"x12", "regex"},
+            {"none", "rest"},
+            {"", "rest"}
+        }) {
             assertThat(hosts.find("l", c[0])).as(c[0]).isEqualTo(c[1]);
         }
         assertThat(hosts.find("other", "c.example")).isEqualTo("tail");
@@ -79,27 +114,67 @@
         VirtualHosts hosts = new VirtualHosts(List.of(
                 new VirtualHosts.Host("a", Set.of(), List.of("a.example"), false, Set.of()),
                 new VirtualHosts.Host("b", Set.of(), List.of("b.example"), true, Set.of())));
-        RouteTable table = new RouteTable(List.of(route("any", 1, null, null, List.of()), route("a1", 0, "a", "/x", List.of()),
-                route("a2", 0, "a", "/x", List.of("\\.vtt$")), route("b1", 2, "b", "/x", List.of())), hosts);
-        assertThat(table.find(KeyFormat.PATH.subject("l", "a.example/x", 0, 0, false)).name()).isEqualTo("a1");
-        assertThat(table.find(KeyFormat.PATH.subject("l", "a.example/y", 0, 0, false)).name()).isEqualTo("any");
-        assertThat(table.find(KeyFormat.PATH.subject("l", "b.example/x", 0, 0, false)).name()).isEqualTo("any");
-        assertThat(table.passedOver(KeyFormat.PATH.subject("l", "a.example/y", 0, 0, false))).extracting(p -> p.route().name())
+        RouteTable table = new RouteTable(
+                List.of(
+                        route("any", 1, null, null, List.of()),
+                        route("a1", 0, "a", "/x", List.of()),
+                        route("a2", 0, "a", "/x", List.of("\\.vtt$")),
+                        route("b1", 2, "b", "/x", List.of())),
+                hosts);
+        assertThat(table.find(KeyFormat.PATH.subject("l", "a.example/x", 0, 0, false))
+                        .name())
+                .isEqualTo("a1");
+        assertThat(table.find(KeyFormat.PATH.subject("l", "a.example/y", 0, 0, false))
+                        .name())
+                .isEqualTo("any");
+        assertThat(table.find(KeyFormat.PATH.subject("l", "b.example/x", 0, 0, false))
+                        .name())
+                .isEqualTo("any");
+        assertThat(table.passedOver(KeyFormat.PATH.subject("l", "a.example/y", 0, 0, false)))
+                .extracting(p -> p.route().name())
                 .containsExactly("a1", "a2");
-        assertThat(table.shadowed()).extracting(s -> s.route().name() + " by " + s.by().name()).containsExactly(
-                "a2 by a1", "b1 by any");
+        assertThat(table.shadowed())
+                .extracting(s -> s.route().name() + " by " + s.by().name())
+                .containsExactly("a2 by a1", "b1 by any");
     }
 
     private static Route route(String name, int order, String host, String prefix, List<String> patterns) {
-        return new Route(name, order, name.length() + order * 10 + patterns.size(), Set.of(), host, null, prefix,
-                patterns.stream().map(KeyPattern::new).toList(), Set.of(), Set.of(), null, null, KeyRewrite.NONE, null,
+        return new Route(
+                name,
+                order,
+                name.length() + order * 10 + patterns.size(),
+                Set.of(),
+                host,
+                null,
+                prefix,
+                patterns.stream().map(KeyPattern::new).toList(),
+                Set.of(),
+                Set.of(),
+                null,
+                null,
+                KeyRewrite.NONE,
+                null,
                 new Route.Fail());
     }
 
     private static String hashed(String by, String key) {
         RouteInput s = KeyFormat.PATH_AND_QUERY.subject("l", key, 0, 0, false);
-        Route r = new Route("r", 0, 0, Set.of(), null, null, null, List.of(new KeyPattern("^/([a-z]+)/(.*)$")), Set.of(),
-                Set.of(), null, null, KeyRewrite.NONE, null, new Route.Fail());
+        Route r = new Route(
+                "r",
+                0,
+                0,
+                Set.of(),
+                null,
+                null,
+                null,
+                List.of(new KeyPattern("^/([a-z]+)/(.*)$")),
+                Set.of(),
+                Set.of(),
+                null,
+                null,
+                KeyRewrite.NONE,
+                null,
+                new Route.Fail());
         return new String(new PlacementTemplate(by).bytes(s, r, "POOL"), StandardCharsets.ISO_8859_1);
     }
 
@@ -113,7 +188,9 @@
         assertThat(hashed("$arg_none", "/a")).isEmpty();
         assertThat(new PlacementTemplate("/x/$12").groups()).isEqualTo(1);
         for (String wrong : new String[] {"$", "$nosuch", "${uri", "$arg_", "$0", "$uri".repeat(9), "x".repeat(1001)}) {
-            assertThatThrownBy(() -> new PlacementTemplate(wrong)).as(wrong).isInstanceOf(IllegalArgumentException.class);
+            assertThatThrownBy(() -> new PlacementTemplate(wrong))
+                    .as(wrong)
+                    .isInstanceOf(IllegalArgumentException.class);
         }
     }
 
--- a/src/test/java/cacheproxy/siblings/SiblingsTest.java
+++ b/src/test/java/cacheproxy/siblings/SiblingsTest.java
@@ -100,7 +100,9 @@
         PendingQueries<String>.Question q = t.ask(0, "k", List.of("a", "b"), 50);
         PendingQueries<String>.Question wrapped = t.ask(0, "l", List.of("a"), 50);
         assertThat(wrapped.number).as("numbers go round").isEqualTo(0);
-        assertThat(t.answered(1, q.number + 5, "a", "k", true).verdict()).as("never given").isEqualTo(Verdict.NO_QUESTION);
+        assertThat(t.answered(1, q.number + 5, "a", "k", true).verdict())
+                .as("never given")
+                .isEqualTo(Verdict.NO_QUESTION);
         assertThat(t.answered(1, q.number, "c", "k", true).verdict()).isEqualTo(Verdict.NOT_ASKED);
         assertThat(t.answered(1, q.number, "a", "other", true).verdict()).isEqualTo(Verdict.OTHER_KEY);
         assertThat(t.answered(2, q.number, "a", "k", false).verdict()).isEqualTo(Verdict.COUNTED);
@@ -143,7 +145,9 @@
         }
         assertThat(answered).isEqualTo(DenialLimiter.LEAST_QUESTIONS - 1);
         for (int i = 0; i < 60; i++) {
-            assertThat(watch.answer("bad", false)).as("what is not denied is answered").isTrue();
+            assertThat(watch.answer("bad", false))
+                    .as("what is not denied is answered")
+                    .isTrue();
         }
         assertThat(watch.answer("bad", true)).as("under the share again").isTrue();
         for (int i = 0; i < 1000; i++) {
@@ -156,8 +160,12 @@
     void aSignatureCountsOnceAndAFullGuardLetsNothingIn() {
         ReplayGuard guard = new ReplayGuard(3, 60);
         assertThat(guard.take(100, new byte[] {1}, 130)).isTrue();
-        assertThat(guard.take(130, new byte[] {1}, 130)).as("replayed at its last second").isFalse();
-        assertThat(guard.take(100, new byte[] {2}, 161)).as("holds for too long").isFalse();
+        assertThat(guard.take(130, new byte[] {1}, 130))
+                .as("replayed at its last second")
+                .isFalse();
+        assertThat(guard.take(100, new byte[] {2}, 161))
+                .as("holds for too long")
+                .isFalse();
         assertThat(guard.take(100, new byte[] {2}, 99)).as("expired").isFalse();
         assertThat(guard.take(100, new byte[] {2}, 160)).isTrue();
         assertThat(guard.take(100, new byte[] {3}, 140)).isTrue();
@@ -168,9 +176,21 @@
 
     // ---- whether to ask
 
-    /** What a policy makes of requests that miss, in a model of an origin and its siblings; the mean time to a value, in ms. */
-    private static double[] run(long seed, boolean asks, double fetchMs, double siblingMs, double hitShare, double lost, double lies,
-            double rttMs, double leftMs, double pressure) {
+    /**
+     * What a policy makes of requests that miss, in a model of an origin and its siblings; the mean time to a value, in
+     * ms.
+     */
+    private static double[] run(
+            long seed,
+            boolean asks,
+            double fetchMs,
+            double siblingMs,
+            double hitShare,
+            double lost,
+            double lies,
+            double rttMs,
+            double leftMs,
+            double pressure) {
         SplittableRandom random = new SplittableRandom(seed);
         SplittableRandom chance = new SplittableRandom(seed + 1);
         List<SiblingStats> records = List.of(new SiblingStats(), new SiblingStats(), new SiblingStats());
@@ -182,7 +202,9 @@
         int n = 20_000;
         for (int i = 0; i < n; i++) {
             now += 5;
-            SiblingQueryPolicy.Plan plan = asks ? SiblingQueryPolicy.plan(now, records, fetchMs, siblingMs, leftMs, pressure, chance.nextDouble()) : SiblingQueryPolicy.Plan.NONE;
+            SiblingQueryPolicy.Plan plan = asks
+                    ? SiblingQueryPolicy.plan(now, records, fetchMs, siblingMs, leftMs, pressure, chance.nextDouble())
+                    : SiblingQueryPolicy.Plan.NONE;
             double[] rolls = random.doubles(12).toArray();
             double took = 0;
             int from = -1;
@@ -217,14 +239,33 @@
         return new double[] {time / n, inTime / (double) n, fetches, questions};
     }
 
-    /** Half of all answers lost, liars, slow siblings, a quick origin, a jammed one: asking is never worse by more than what trials cost. */
+    /**
+     * Half of all answers lost, liars, slow siblings, a quick origin, a jammed one: asking is never worse by more than
+     * what trials cost.
+     */
     @ParameterizedTest
-    @CsvSource({"100, 5, 0.5, 0, 0, 2, 250, 1, true", "100, 5, 0.5, 0.5, 0, 2, 250, 1, true", "100, 5, 0.5, 0.5, 0.3, 2, 250, 3, true",
-        "100, 5, 0.5, 0, 1, 2, 250, 1, false", "100, 5, 0.01, 0, 0, 20, 250, 1, false", "4, 5, 0.5, 0, 0, 2, 250, 1, false",
-        "100, 5, 0.5, 1, 0, 2, 250, 1, false", "100, 5, 0.5, 0, 0, 400, 250, 1, false", "150, 5, 0.5, 0.5, 0, 10, 200, 5, true",
-        "100, 5, 0, 0, 0, 2, 250, 20, false"})
-    void askingPaysOrIsNotDone(double fetchMs, double siblingMs, double hitShare, double lost, double lies, double rttMs, double leftMs,
-            double pressure, boolean pays) {
+    @CsvSource({
+        "100, 5, 0.5, 0, 0, 2, 250, 1, true",
+        "100, 5, 0.5, 0.5, 0, 2, 250, 1, true",
+        "100, 5, 0.5, 0.5, 0.3, 2, 250, 3, true",
+        "100, 5, 0.5, 0, 1, 2, 250, 1, false",
+        "100, 5, 0.01, 0, 0, 20, 250, 1, false",
+        "4, 5, 0.5, 0, 0, 2, 250, 1, false",
+        "100, 5, 0.5, 1, 0, 2, 250, 1, false",
+        "100, 5, 0.5, 0, 0, 400, 250, 1, false",
+        "150, 5, 0.5, 0.5, 0, 10, 200, 5, true",
+        "100, 5, 0, 0, 0, 2, 250, 20, false"
+    })
+    void askingPaysOrIsNotDone(
+            double fetchMs,
+            double siblingMs,
+            double hitShare,
+            double lost,
+            double lies,
+            double rttMs,
+            double leftMs,
+            double pressure,
+            boolean pays) {
         double[] with = run(4, true, fetchMs, siblingMs, hitShare, lost, lies, rttMs, leftMs, pressure);
         double[] without = run(4, false, fetchMs, siblingMs, hitShare, lost, lies, rttMs, leftMs, pressure);
         assertThat(with[1]).as("in time").isGreaterThanOrEqualTo(without[1] - 0.01);
@@ -276,15 +317,23 @@
             slow.answered(80, true);
             slow.fetched(true);
         }
-        assertThat(SiblingQueryPolicy.plan(100, List.of(quick), 100, 5, 250, 1, 1).waitMs()).isBetween(2.0, 4.0);
-        assertThat(SiblingQueryPolicy.plan(100, List.of(quick, slow), 500, 5, 250, 1, 1).waitMs()).isEqualTo(250 * SiblingQueryPolicy.WAIT_SHARE);
-        assertThat(SiblingQueryPolicy.plan(100, List.of(quick), 100, 5, 6, 1, 1)).as("too late for a sibling's value").isEqualTo(SiblingQueryPolicy.Plan.NONE);
-        assertThat(SiblingQueryPolicy.plan(100, List.of(quick), 100, 5, 0, 1, 1)).isEqualTo(SiblingQueryPolicy.Plan.NONE);
+        assertThat(SiblingQueryPolicy.plan(100, List.of(quick), 100, 5, 250, 1, 1)
+                        .waitMs())
+                .isBetween(2.0, 4.0);
+        assertThat(SiblingQueryPolicy.plan(100, List.of(quick, slow), 500, 5, 250, 1, 1)
+                        .waitMs())
+                .isEqualTo(250 * SiblingQueryPolicy.WAIT_SHARE);
+        assertThat(SiblingQueryPolicy.plan(100, List.of(quick), 100, 5, 6, 1, 1))
+                .as("too late for a sibling's value")
+                .isEqualTo(SiblingQueryPolicy.Plan.NONE);
+        assertThat(SiblingQueryPolicy.plan(100, List.of(quick), 100, 5, 0, 1, 1))
+                .isEqualTo(SiblingQueryPolicy.Plan.NONE);
         assertThat(SiblingQueryPolicy.plan(100, List.of(), 100, 5, 250, 1, 1)).isEqualTo(SiblingQueryPolicy.Plan.NONE);
         List<SiblingStats> many = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
             many.add(quick);
         }
-        assertThat(SiblingQueryPolicy.plan(100, many, 100, 5, 250, 1, 1).siblings()).hasSize(SiblingQueryPolicy.MOST_ASKED);
+        assertThat(SiblingQueryPolicy.plan(100, many, 100, 5, 250, 1, 1).siblings())
+                .hasSize(SiblingQueryPolicy.MOST_ASKED);
     }
 }
--- a/src/test/java/cacheproxy/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/cacheproxy/simulator/SimulatorAdapterTest.java
@@ -13,19 +13,44 @@
 import org.junit.jupiter.api.Test;
 
 class SimulatorAdapterTest {
-    private static final String SETTINGS = String.join("\n", "me=1", "balancers=2", "locality=0", "zones=a,b",
-            "kinds=box,origin", "discovery=push", "report.how=silent", "report.names=", "value-by=request",
-            "caps.may-cancel=true", "caps.may-probe=false", "caps.peers=false", "caps.second-copies=false",
-            "caps.retry-after=true", "caps.max-attempts=3", "caps.connect-timeout=100.0",
-            "guarantees.drain-grace=2000.0", "guarantees.grace-to-answer=20.0", "guarantees.start-capacity=0.3",
-            "guarantees.warm-up=9000.0", "guarantees.tip-multiple=3.0", "guarantees.fall=1500.0",
-            "extra.mode=aside", "extra.origin-kind=1", "a.key.of.tomorrow=x", "classes.count=1",
-            "classes.0.name=read", "classes.0.idempotency=retryable", "classes.0.promise=250.0",
-            "classes.0.deadline=1000.0", "classes.0.stream=false");
+    private static final String SETTINGS = String.join(
+            "\n",
+            "me=1",
+            "balancers=2",
+            "locality=0",
+            "zones=a,b",
+            "kinds=box,origin",
+            "discovery=push",
+            "report.how=silent",
+            "report.names=",
+            "value-by=request",
+            "caps.may-cancel=true",
+            "caps.may-probe=false",
+            "caps.peers=false",
+            "caps.second-copies=false",
+            "caps.retry-after=true",
+            "caps.max-attempts=3",
+            "caps.connect-timeout=100.0",
+            "guarantees.drain-grace=2000.0",
+            "guarantees.grace-to-answer=20.0",
+            "guarantees.start-capacity=0.3",
+            "guarantees.warm-up=9000.0",
+            "guarantees.tip-multiple=3.0",
+            "guarantees.fall=1500.0",
+            "extra.mode=aside",
+            "extra.origin-kind=1",
+            "a.key.of.tomorrow=x",
+            "classes.count=1",
+            "classes.0.name=read",
+            "classes.0.idempotency=retryable",
+            "classes.0.promise=250.0",
+            "classes.0.deadline=1000.0",
+            "classes.0.stream=false");
 
     /** Builds one batch; records are written with their fields at the stated places. */
     private static final class Batch {
-        final ByteBuffer b = ByteBuffer.allocate(4096).order(ByteOrder.LITTLE_ENDIAN).position(20);
+        final ByteBuffer b =
+                ByteBuffer.allocate(4096).order(ByteOrder.LITTLE_ENDIAN).position(20);
         final ByteArrayOutputStream tail = new ByteArrayOutputStream();
         int count;
 
@@ -43,15 +68,22 @@
 
         Batch start(String settings) {
             span(record(10, 3), 11, settings.getBytes(StandardCharsets.UTF_8), settings.length());
-            byte[] entry = ByteBuffer.allocate(22).order(ByteOrder.LITTLE_ENDIAN).putInt(0, 0xF211902C).put(9, (byte) 2)
-                    .putFloat(10, 1).array();
+            byte[] entry = ByteBuffer.allocate(22)
+                    .order(ByteOrder.LITTLE_ENDIAN)
+                    .putInt(0, 0xF211902C)
+                    .put(9, (byte) 2)
+                    .putFloat(10, 1)
+                    .array();
             ByteBuffer list = record(20, 3).put(11, (byte) 2);
             span(list, 12, entry, 1);
             return this;
         }
 
         byte[] bytes() {
-            b.putInt(0, b.position() + tail.size()).putDouble(4, 100).putInt(12, count).putInt(16, 7);
+            b.putInt(0, b.position() + tail.size())
+                    .putDouble(4, 100)
+                    .putInt(12, count)
+                    .putInt(16, 7);
             b.put(tail.toByteArray());
             byte[] all = new byte[b.position()];
             b.get(0, all);
@@ -99,7 +131,10 @@
         Batch batch = new Batch().start(SETTINGS);
         batch.record(100, 3);
         batch.start(SETTINGS);
-        assertThat(ByteBuffer.wrap(run(batch.bytes())).order(ByteOrder.LITTLE_ENDIAN).getInt(8)).isEqualTo(7);
+        assertThat(ByteBuffer.wrap(run(batch.bytes()))
+                        .order(ByteOrder.LITTLE_ENDIAN)
+                        .getInt(8))
+                .isEqualTo(7);
     }
 
     @Test
@@ -108,17 +143,21 @@
         batch.record(30, 3).putInt(3, 1).putDouble(9, 900).putShort(41, (short) 5);
         byte[] reply = run(batch.bytes());
         assertThat(reply[12]).isEqualTo((byte) 100);
-        assertThat(new String(reply, StandardCharsets.UTF_8)).contains("instance 3").contains("class 5");
+        assertThat(new String(reply, StandardCharsets.UTF_8))
+                .contains("instance 3")
+                .contains("class 5");
     }
 
     @Test
     void badFramesAreNamed() {
         byte[] good = new Batch().start(SETTINGS).bytes();
-        assertThatThrownBy(() -> run(java.util.Arrays.copyOf(good, good.length - 1))).hasMessageContaining("inside a frame");
+        assertThatThrownBy(() -> run(java.util.Arrays.copyOf(good, good.length - 1)))
+                .hasMessageContaining("inside a frame");
         assertThatThrownBy(() -> run(new byte[] {5, 0, 0, 0, 0})).hasMessageContaining("frame of 5 bytes");
         Batch unknown = new Batch().start(SETTINGS);
         unknown.record(31, 3);
-        assertThatThrownBy(() -> run(unknown.bytes())).isInstanceOf(SimulatorProtocolException.class)
+        assertThatThrownBy(() -> run(unknown.bytes()))
+                .isInstanceOf(SimulatorProtocolException.class)
                 .hasMessage("batch 7, record 2: unknown event code 31");
         Batch nobody = new Batch();
         nobody.record(70, 4);
@@ -133,10 +172,13 @@
 
     @Test
     void missingAndUnreadableSettingsAreNamed() {
-        assertThatThrownBy(() -> SettingsParser.ofLines(SETTINGS.replace("caps.max-attempts=3", "")).settings())
+        assertThatThrownBy(() -> SettingsParser.ofLines(SETTINGS.replace("caps.max-attempts=3", ""))
+                        .settings())
                 .hasMessageContaining("caps.max-attempts");
-        assertThatThrownBy(() -> SettingsParser.ofLines(SETTINGS.replace("=250.0", "=soon")).settings())
-                .hasMessageContaining("classes.0.promise").hasMessageContaining("soon");
+        assertThatThrownBy(() -> SettingsParser.ofLines(SETTINGS.replace("=250.0", "=soon"))
+                        .settings())
+                .hasMessageContaining("classes.0.promise")
+                .hasMessageContaining("soon");
         assertThat(SettingsParser.ofLines(SETTINGS).settings().classes()).hasSize(1);
     }
 }
--- a/src/test/java/cacheproxy/snapshot/SnapshotCodecTest.java
+++ b/src/test/java/cacheproxy/snapshot/SnapshotCodecTest.java
@@ -20,11 +20,27 @@
 
 /** The bytes of a memory file. The samples were laid out from the page for operators by a program of their own. */
 class SnapshotCodecTest {
-    static final StateSnapshot SMALL = new StateSnapshot("site", 2, 1e12, 9, Map.of("a", new StateSnapshot.Pool("carp by $key, keys TEXT",
-            new LearnedState(List.of(new LearnedState.Server(0xCAFE0001, 0, 3, 20_000, 1), new LearnedState.Server(2, 1e12, 1, 0.5, 0)),
-                    new LearnedState.Pace(80, 3, 20, 4, 1), new LearnedState.Load(100, 50), new LearnedState.Load(200, 190),
-                    new LearnedState.HotKeys(1000, List.of(new LearnedState.HotKey(-7, 400), new LearnedState.HotKey(8, 1)))),
-            Map.of(0xCAFE0001, "10.0.0.1:11211"))), List.of(new StateSnapshot.Birth(0xCAFE0001, "10.0.0.1:11211", 1e12 - 5000, true)));
+    static final StateSnapshot SMALL = new StateSnapshot(
+            "site",
+            2,
+            1e12,
+            9,
+            Map.of(
+                    "a",
+                    new StateSnapshot.Pool(
+                            "carp by $key, keys TEXT",
+                            new LearnedState(
+                                    List.of(
+                                            new LearnedState.Server(0xCAFE0001, 0, 3, 20_000, 1),
+                                            new LearnedState.Server(2, 1e12, 1, 0.5, 0)),
+                                    new LearnedState.Pace(80, 3, 20, 4, 1),
+                                    new LearnedState.Load(100, 50),
+                                    new LearnedState.Load(200, 190),
+                                    new LearnedState.HotKeys(
+                                            1000,
+                                            List.of(new LearnedState.HotKey(-7, 400), new LearnedState.HotKey(8, 1)))),
+                            Map.of(0xCAFE0001, "10.0.0.1:11211"))),
+            List.of(new StateSnapshot.Birth(0xCAFE0001, "10.0.0.1:11211", 1e12 - 5000, true)));
 
     static byte[] sample(String name) throws IOException {
         try (var in = SnapshotCodecTest.class.getResourceAsStream("/memory/" + name + ".mem")) {
@@ -35,14 +51,16 @@
     @Test
     void whatIsWrittenIsTheSampleByteForByte() throws Exception {
         assertThat(SnapshotCodec.encode(SMALL)).isEqualTo(sample("servers-v2"));
-        assertThat(SnapshotCodec.decode(sample("servers-v2"))).isEqualTo(new SnapshotCodec.Decoded(SMALL, List.of(), List.of()));
+        assertThat(SnapshotCodec.decode(sample("servers-v2")))
+                .isEqualTo(new SnapshotCodec.Decoded(SMALL, List.of(), List.of()));
     }
 
     @Test
     void serversOfTheFirstVersionHadNoAddress() throws Exception {
         SnapshotCodec.Decoded d = SnapshotCodec.decode(sample("servers-v1"));
         assertThat(d.whole()).isTrue();
-        assertThat(d.content().pools().get("a").knowledge()).isEqualTo(SMALL.pools().get("a").knowledge());
+        assertThat(d.content().pools().get("a").knowledge())
+                .isEqualTo(SMALL.pools().get("a").knowledge());
         assertThat(d.content().pools().get("a").addresses()).isEmpty();
     }
 
@@ -105,10 +123,14 @@
         for (int from = 0; from < file.length; from += 16) {
             byte[] bad = file.clone();
             Arrays.fill(bad, from, Math.min(file.length, from + 16), (byte) 0);
-            assertThat(SnapshotCodec.decode(bad).whole()).as("zeros from " + from).isFalse();
+            assertThat(SnapshotCodec.decode(bad).whole())
+                    .as("zeros from " + from)
+                    .isFalse();
             onlyWhatWasWritten(SnapshotCodec.decode(bad), "zeros from " + from);
         }
-        assertThat(SnapshotCodec.decode(Arrays.copyOf(file, file.length + 1)).whole()).as("a byte too many").isFalse();
+        assertThat(SnapshotCodec.decode(Arrays.copyOf(file, file.length + 1)).whole())
+                .as("a byte too many")
+                .isFalse();
     }
 
     @ParameterizedTest
@@ -121,43 +143,127 @@
         assertThat(SnapshotCodec.decode(noise).content()).isNull();
     }
 
-    /** Sections with a right checksum, but whose lengths, counts and values lie: written by hand, as no encoder would. */
+    /**
+     * Sections with a right checksum, but whose lengths, counts and values lie: written by hand, as no encoder would.
+     */
     @Test
     void lengthsCountsAndValuesThatCanNotBeAreFoundThoughTheirChecksumIsRight() {
         List<byte[]> lies = new ArrayList<>();
         for (int count : new int[] {-1, 3, 20_001, Integer.MAX_VALUE}) {
-            lies.add(section(SnapshotCodec.SERVERS, 2, "a", b -> b.putInt(count).putLong(0).putLong(0).putLong(0).putLong(0)));
-            lies.add(section(SnapshotCodec.HOT_KEYS, 1, "a", b -> b.putShort((short) 0).putDouble(9).putInt(count).putLong(1).putInt(1)));
+            lies.add(section(
+                    SnapshotCodec.SERVERS,
+                    2,
+                    "a",
+                    b -> b.putInt(count).putLong(0).putLong(0).putLong(0).putLong(0)));
+            lies.add(section(
+                    SnapshotCodec.HOT_KEYS,
+                    1,
+                    "a",
+                    b -> b.putShort((short) 0)
+                            .putDouble(9)
+                            .putInt(count)
+                            .putLong(1)
+                            .putInt(1)));
             lies.add(section(SnapshotCodec.BIRTHS, 1, null, b -> b.putInt(count).putLong(0)));
         }
         for (double value : new double[] {Double.NaN, -1, Double.POSITIVE_INFINITY, Double.NEGATIVE_INFINITY, 1e301}) {
-            lies.add(section(SnapshotCodec.PACE, 1, "a", b -> b.putDouble(1).putDouble(1).putDouble(value).putDouble(1).putDouble(1)));
-            lies.add(section(SnapshotCodec.PACE, 1, "a", b -> b.putDouble(1).putDouble(1).putDouble(1).putDouble(1).putDouble(value)));
-            lies.add(section(SnapshotCodec.LOAD, 1, "a", b -> b.putDouble(1).putDouble(1).putDouble(1).putDouble(value)));
-            lies.add(section(SnapshotCodec.SERVERS, 2, "a", b -> b.putInt(1).putInt(1).putDouble(0).putShort((short) 1).putDouble(value)
-                    .putShort((short) 1).putShort((short) 0)));
-            lies.add(section(SnapshotCodec.SERVERS, 2, "a", b -> b.putInt(1).putInt(1).putDouble(value).putShort((short) 1).putDouble(0)
-                    .putShort((short) 1).putShort((short) 0)));
+            lies.add(section(
+                    SnapshotCodec.PACE,
+                    1,
+                    "a",
+                    b -> b.putDouble(1)
+                            .putDouble(1)
+                            .putDouble(value)
+                            .putDouble(1)
+                            .putDouble(1)));
+            lies.add(section(
+                    SnapshotCodec.PACE,
+                    1,
+                    "a",
+                    b -> b.putDouble(1).putDouble(1).putDouble(1).putDouble(1).putDouble(value)));
+            lies.add(section(
+                    SnapshotCodec.LOAD,
+                    1,
+                    "a",
+                    b -> b.putDouble(1).putDouble(1).putDouble(1).putDouble(value)));
+            lies.add(section(
+                    SnapshotCodec.SERVERS,
+                    2,
+                    "a",
+                    b -> b.putInt(1)
+                            .putInt(1)
+                            .putDouble(0)
+                            .putShort((short) 1)
+                            .putDouble(value)
+                            .putShort((short) 1)
+                            .putShort((short) 0)));
+            lies.add(section(
+                    SnapshotCodec.SERVERS,
+                    2,
+                    "a",
+                    b -> b.putInt(1)
+                            .putInt(1)
+                            .putDouble(value)
+                            .putShort((short) 1)
+                            .putDouble(0)
+                            .putShort((short) 1)
+                            .putShort((short) 0)));
         }
-        lies.add(section(SnapshotCodec.SERVERS, 2, "a", b -> b.putInt(1).putInt(1).putDouble(0).putShort((short) -1).putDouble(0)
-                .putShort((short) 1).putShort((short) 0)));
-        lies.add(section(SnapshotCodec.HOT_KEYS, 1, "a", b -> b.putShort((short) 0).putDouble(5).putInt(1).putLong(1).putInt(6)));
-        lies.add(section(SnapshotCodec.HOT_KEYS, 1, "a", b -> b.putShort((short) 0).putDouble(5).putInt(1).putLong(1).putInt(0)));
-        lies.add(section(SnapshotCodec.PACE, 1, "a", b -> b.putDouble(1).putDouble(1).putDouble(1).putDouble(1).putDouble(1).put((byte) 0)));
+        lies.add(section(
+                SnapshotCodec.SERVERS,
+                2,
+                "a",
+                b -> b.putInt(1)
+                        .putInt(1)
+                        .putDouble(0)
+                        .putShort((short) -1)
+                        .putDouble(0)
+                        .putShort((short) 1)
+                        .putShort((short) 0)));
+        lies.add(section(
+                SnapshotCodec.HOT_KEYS,
+                1,
+                "a",
+                b -> b.putShort((short) 0).putDouble(5).putInt(1).putLong(1).putInt(6)));
+        lies.add(section(
+                SnapshotCodec.HOT_KEYS,
+                1,
+                "a",
+                b -> b.putShort((short) 0).putDouble(5).putInt(1).putLong(1).putInt(0)));
+        lies.add(section(
+                SnapshotCodec.PACE,
+                1,
+                "a",
+                b -> b.putDouble(1)
+                        .putDouble(1)
+                        .putDouble(1)
+                        .putDouble(1)
+                        .putDouble(1)
+                        .put((byte) 0)));
         lies.add(section(SnapshotCodec.PACE, 1, null, b -> b.putShort((short) 0x7FFF)));
         lies.add(section(SnapshotCodec.PACE, 1, null, b -> b.putShort((short) 2).put(new byte[] {(byte) 0xC3, 0x28})));
-        lies.add(section(SnapshotCodec.BIRTHS, 1, null, b -> b.putInt(1).putInt(1).putDouble(1).put((byte) 2).putShort((short) 0)));
+        lies.add(section(
+                SnapshotCodec.BIRTHS,
+                1,
+                null,
+                b -> b.putInt(1).putInt(1).putDouble(1).put((byte) 2).putShort((short) 0)));
         for (byte[] lie : lies) {
-            SnapshotCodec.Decoded d = SnapshotCodec.decode(file(section(SnapshotCodec.IDENTITY, 1, "site", b -> b.putInt(2)), lie));
+            SnapshotCodec.Decoded d =
+                    SnapshotCodec.decode(file(section(SnapshotCodec.IDENTITY, 1, "site", b -> b.putInt(2)), lie));
             assertThat(d.content()).as("the rest is read").isNotNull();
             assertThat(d.faults()).singleElement().asString().contains("section 2 says nothing that can be");
-            assertThat(d.content().pools().values()).allSatisfy(p -> assertThat(p.knowledge()).isEqualTo(LearnedState.NONE));
-            assertThat(d.content().births().stream().filter(b -> b.down() && b.bornMs() == 1)).isEmpty();
+            assertThat(d.content().pools().values())
+                    .allSatisfy(p -> assertThat(p.knowledge()).isEqualTo(LearnedState.NONE));
+            assertThat(d.content().births().stream().filter(b -> b.down() && b.bornMs() == 1))
+                    .isEmpty();
         }
     }
 
     private static byte[] section(int kind, int version, String text, java.util.function.Consumer<ByteBuffer> body) {
-        ByteBuffer b = ByteBuffer.allocate(200).putShort((short) kind).putShort((short) version).putInt(0);
+        ByteBuffer b = ByteBuffer.allocate(200)
+                .putShort((short) kind)
+                .putShort((short) version)
+                .putInt(0);
         if (text != null) {
             b.putShort((short) text.length()).put(text.getBytes());
         }
@@ -168,9 +274,15 @@
     }
 
     private static byte[] file(byte[]... sections) {
-        int length = SnapshotCodec.HEAD + Arrays.stream(sections).mapToInt(s -> s.length).sum();
-        ByteBuffer b = ByteBuffer.allocate(length).putLong(SnapshotCodec.MAGIC).putShort((short) 1).putShort((short) sections.length)
-                .putInt(length).putLong(1).putDouble(1e12);
+        int length = SnapshotCodec.HEAD
+                + Arrays.stream(sections).mapToInt(s -> s.length).sum();
+        ByteBuffer b = ByteBuffer.allocate(length)
+                .putLong(SnapshotCodec.MAGIC)
+                .putShort((short) 1)
+                .putShort((short) sections.length)
+                .putInt(length)
+                .putLong(1)
+                .putDouble(1e12);
         b.putInt(SnapshotCodec.crc(b.array(), 0, SnapshotCodec.HEAD - 4));
         Arrays.stream(sections).forEach(b::put);
         return b.array();
@@ -185,21 +297,37 @@
                 List<LearnedState.Server> servers = new ArrayList<>();
                 Map<Integer, String> addresses = new HashMap<>();
                 for (int s = random.nextInt(300); s > 0; s--) {
-                    servers.add(new LearnedState.Server(random.nextInt(), random.nextInt(3) * 1e12, random.nextInt(100),
-                            random.nextDouble() * 20_000, random.nextInt(3)));
+                    servers.add(new LearnedState.Server(
+                            random.nextInt(),
+                            random.nextInt(3) * 1e12,
+                            random.nextInt(100),
+                            random.nextDouble() * 20_000,
+                            random.nextInt(3)));
                     addresses.put(servers.get(servers.size() - 1).id(), "10.0.0." + s + ":1");
                 }
                 List<LearnedState.HotKey> keys = new ArrayList<>();
                 for (int k = random.nextInt(100); k > 0; k--) {
                     keys.add(new LearnedState.HotKey(random.nextLong(), 1 + random.nextInt(1000)));
                 }
-                LearnedState.HotKeys hot = keys.isEmpty() ? LearnedState.NONE.hot() : new LearnedState.HotKeys(1e6, keys);
-                pools.put("pool-\u00e4-" + p, new StateSnapshot.Pool(keys.isEmpty() ? "" : "carp", new LearnedState(servers,
-                        new LearnedState.Pace(random.nextDouble(), 0, random.nextDouble(), 1, random.nextDouble()),
-                        new LearnedState.Load(random.nextInt(9), 0), new LearnedState.Load(1, 2), hot), addresses));
+                LearnedState.HotKeys hot =
+                        keys.isEmpty() ? LearnedState.NONE.hot() : new LearnedState.HotKeys(1e6, keys);
+                pools.put(
+                        "pool-\u00e4-" + p,
+                        new StateSnapshot.Pool(
+                                keys.isEmpty() ? "" : "carp",
+                                new LearnedState(
+                                        servers,
+                                        new LearnedState.Pace(
+                                                random.nextDouble(), 0, random.nextDouble(), 1, random.nextDouble()),
+                                        new LearnedState.Load(random.nextInt(9), 0),
+                                        new LearnedState.Load(1, 2),
+                                        hot),
+                                addresses));
             }
-            StateSnapshot r = new StateSnapshot("s\u00f4ng", random.nextInt(9), 1.7e12 + round, round, pools, List.of());
-            assertThat(SnapshotCodec.decode(SnapshotCodec.encode(r))).isEqualTo(new SnapshotCodec.Decoded(r, List.of(), List.of()));
+            StateSnapshot r =
+                    new StateSnapshot("s\u00f4ng", random.nextInt(9), 1.7e12 + round, round, pools, List.of());
+            assertThat(SnapshotCodec.decode(SnapshotCodec.encode(r)))
+                    .isEqualTo(new SnapshotCodec.Decoded(r, List.of(), List.of()));
         }
     }
 
@@ -211,8 +339,15 @@
             servers.add(new LearnedState.Server(i, 0, 1, 1, 0));
             keys.add(new LearnedState.HotKey(i, 1));
         }
-        StateSnapshot.Pool pool = new StateSnapshot.Pool("carp", new LearnedState(servers, LearnedState.NONE.pace(), LearnedState.NONE.fetches(),
-                LearnedState.NONE.crowd(), new LearnedState.HotKeys(30_000, keys)), Map.of());
+        StateSnapshot.Pool pool = new StateSnapshot.Pool(
+                "carp",
+                new LearnedState(
+                        servers,
+                        LearnedState.NONE.pace(),
+                        LearnedState.NONE.fetches(),
+                        LearnedState.NONE.crowd(),
+                        new LearnedState.HotKeys(30_000, keys)),
+                Map.of());
         byte[] one = SnapshotCodec.encode(new StateSnapshot("s", 0, 1, 1, Map.of("a", pool), List.of()));
         LearnedState read = SnapshotCodec.decode(one).content().pools().get("a").knowledge();
         assertThat(read.servers()).hasSize(SnapshotCodec.MAX_SERVERS);
--- a/src/test/java/cacheproxy/snapshot/SnapshotStoreTest.java
+++ b/src/test/java/cacheproxy/snapshot/SnapshotStoreTest.java
@@ -28,6 +28,7 @@
 class SnapshotStoreTest {
     @TempDir
     private Path folder;
+
     private Path file;
 
     @BeforeEach
@@ -38,7 +39,8 @@
     /** The n-th state, told apart by its proxy's number. */
     private static StateSnapshot state(int n) {
         StateSnapshot s = SnapshotCodecTest.SMALL;
-        return new StateSnapshot(s.site(), n, s.writtenMs(), 0, s.pools(), List.of(new StateSnapshot.Birth(1, "10.0.0.1:1", n, false)));
+        return new StateSnapshot(
+                s.site(), n, s.writtenMs(), 0, s.pools(), List.of(new StateSnapshot.Birth(1, "10.0.0.1:1", n, false)));
     }
 
     private static void await(BooleanSupplier event) throws InterruptedException {
@@ -116,7 +118,11 @@
         }
         assertThat(found().content().me()).isEqualTo(3);
         assertThat(found().content().generation()).isEqualTo(3);
-        assertThat(SnapshotStore.at(folder.resolve("memory.old")).read().content().me()).isEqualTo(2);
+        assertThat(SnapshotStore.at(folder.resolve("memory.old"))
+                        .read()
+                        .content()
+                        .me())
+                .isEqualTo(2);
         SnapshotStore next = SnapshotStore.at(file);
         next.read();
         next.write(state(4));
@@ -178,8 +184,14 @@
         next.read();
         next.write(state(3));
         assertThat(found().content().me()).isEqualTo(3);
-        assertThat(found().content().generation()).as("one after the newest that could be read").isEqualTo(3);
-        assertThat(SnapshotStore.at(folder.resolve("memory.old")).read().content().me()).isEqualTo(1);
+        assertThat(found().content().generation())
+                .as("one after the newest that could be read")
+                .isEqualTo(3);
+        assertThat(SnapshotStore.at(folder.resolve("memory.old"))
+                        .read()
+                        .content()
+                        .me())
+                .isEqualTo(1);
         // Both damaged: what is whole of the newest.
         byte[] part = Files.readAllBytes(file);
         part[part.length - 1] ^= 1;
@@ -199,7 +211,9 @@
         SnapshotStore files = SnapshotStore.at(file);
         files.read();
         files.write(state(2));
-        assertThat(Files.readAllBytes(folder.resolve("elsewhere"))).as("the link is replaced, not followed").isEqualTo(before);
+        assertThat(Files.readAllBytes(folder.resolve("elsewhere")))
+                .as("the link is replaced, not followed")
+                .isEqualTo(before);
         Files.delete(file);
         Files.createDirectory(file);
         assertThat(found().notes()).containsExactly(file + ": it is no plain file");
@@ -230,7 +244,9 @@
             f.setLength(1L << 30);
         }
         assertThat(found().content()).isNull();
-        assertThat(found().notes()).containsExactly(file + ": it has 1073741824 bytes; a memory file has at most " + SnapshotCodec.MAX_BYTES);
+        assertThat(found().notes())
+                .containsExactly(
+                        file + ": it has 1073741824 bytes; a memory file has at most " + SnapshotCodec.MAX_BYTES);
     }
 
     @Test
@@ -245,8 +261,11 @@
         Files.delete(folder.resolve("memory.lock"));
         Files.createSymbolicLink(folder.resolve("memory.lock"), folder.resolve("x"));
         assertThatThrownBy(() -> SnapshotStore.at(file).lock()).isInstanceOf(IOException.class);
-        assertThatThrownBy(() -> SnapshotStore.at(folder.resolve("none").resolve("memory")).lock()).isInstanceOf(IOException.class)
-                .satisfies(e -> assertThat(SnapshotStore.reason((IOException) e)).isEqualTo("its directory is not there"));
+        assertThatThrownBy(() -> SnapshotStore.at(folder.resolve("none").resolve("memory"))
+                        .lock())
+                .isInstanceOf(IOException.class)
+                .satisfies(
+                        e -> assertThat(SnapshotStore.reason((IOException) e)).isEqualTo("its directory is not there"));
     }
 
     /** A disk whose writes can be made to fail or to wait. */
@@ -309,14 +328,17 @@
         writer.offer(state(50));
         again.await();
         writer.finish(state(51), 50_000);
-        assertThat(told).containsExactly("memory: can't write: No space left on device; goes on without", "memory: writes again");
+        assertThat(told)
+                .containsExactly(
+                        "memory: can't write: No space left on device; goes on without", "memory: writes again");
         assertThat(found().content().me()).isEqualTo(51);
     }
 
     @Test
     void aDirectoryThatMayNotBeWrittenIsToldAndTheLastWriteReturns() throws Exception {
         Faulty disk = new Faulty();
-        disk.fault = new java.nio.file.AccessDeniedException(folder.resolve("memory.new").toString());
+        disk.fault = new java.nio.file.AccessDeniedException(
+                folder.resolve("memory.new").toString());
         List<String> told = java.util.Collections.synchronizedList(new ArrayList<>());
         SnapshotWriter writer = new SnapshotWriter(new SnapshotStore(file, disk), 1e12, told::add);
         writer.offer(state(1));
@@ -331,7 +353,7 @@
     void aSlowDiskHoldsUpNobodyAndOnlyTheNewestWaits() throws Exception {
         Faulty disk = new Faulty();
         disk.gate.drainPermits();
-        SnapshotWriter writer = new SnapshotWriter(new SnapshotStore(file, disk), 1e12, line -> { });
+        SnapshotWriter writer = new SnapshotWriter(new SnapshotStore(file, disk), 1e12, line -> {});
         for (int i = 1; i <= 10_000; i++) {
             writer.offer(state(i));
         }
@@ -353,7 +375,7 @@
 
     @Test
     void nothingIsWrittenWhereNothingHasHappenedAndAnAbandonedWriterWritesNoMore() throws Exception {
-        SnapshotWriter writer = new SnapshotWriter(SnapshotStore.at(file), 1e12, line -> { });
+        SnapshotWriter writer = new SnapshotWriter(SnapshotStore.at(file), 1e12, line -> {});
         StateSnapshot s = state(1);
         writer.offer(s);
         await(() -> writer.writes() == 1);
--- a/src/test/java/cacheproxy/snapshot/state/StateDecayTest.java
+++ b/src/test/java/cacheproxy/snapshot/state/StateDecayTest.java
@@ -12,9 +12,15 @@
     private static final double HOUR = 3_600_000;
     private static final LearnedState ALL = new LearnedState(
             List.of(new LearnedState.Server(1, 0, 3, 20_000, 1), new LearnedState.Server(2, 50, 1, 2_500, 0)),
-            new LearnedState.Pace(80, 3, 20, 4, 1), new LearnedState.Load(100, 50), new LearnedState.Load(200, 190),
+            new LearnedState.Pace(80, 3, 20, 4, 1),
+            new LearnedState.Load(100, 50),
+            new LearnedState.Load(200, 190),
             new LearnedState.HotKeys(1000, List.of(new LearnedState.HotKey(7, 400), new LearnedState.HotKey(8, 1))));
-    private static final StateSnapshot FILE = new StateSnapshot("site", 2, 1e12, 9,
+    private static final StateSnapshot FILE = new StateSnapshot(
+            "site",
+            2,
+            1e12,
+            9,
             Map.of("a", new StateSnapshot.Pool("carp", ALL, Map.of(1, "10.0.0.1:1", 2, "10.0.0.2:1"))),
             List.of(new StateSnapshot.Birth(1, "10.0.0.1:1", 1e12 - 5000, false)));
 
@@ -29,7 +35,9 @@
         assertThat(k.servers()).hasSize(2);
         assertThat(k.servers().get(0).failures()).isEqualTo(3);
         assertThat(k.servers().get(0).shunnedForMs()).isEqualTo(10_000);
-        assertThat(k.servers().get(1).shunnedForMs()).as("its time is over, it is to be tried").isZero();
+        assertThat(k.servers().get(1).shunnedForMs())
+                .as("its time is over, it is to be tried")
+                .isZero();
         assertThat(k.servers().get(1).failures()).isEqualTo(1);
         assertThat(k.crowd().asked()).isBetween(30.0, 40.0);
         assertThat(k.pace().weight()).isBetween(0.99, 1.0);
@@ -74,12 +82,23 @@
 
     @Test
     void aFactHoldsForTheSameProcessAtTheSamePlace() {
-        assertThat(FILE.left("a", "carp", 1e12, 1, List.of(at(1, "10.0.0.1:1", 0), at(2, "10.0.0.2:1", 50), OTHER))).isEqualTo(ALL);
-        assertThat(FILE.left("a", "carp", 1e12, 1, List.of(at(1, "10.0.0.1:1", 1e12), at(2, "10.0.0.2:1", 50))).servers())
-                .as("1 has restarted").extracting(LearnedState.Server::id).containsExactly(2);
-        assertThat(FILE.left("a", "carp", 1e12, 1, List.of(at(1, "10.0.0.9:1", 0))).servers()).as("another stands there").isEmpty();
-        assertThat(FILE.left("a", "carp", 1e12, 1, List.of()).servers()).as("the whole fleet was replaced").isEmpty();
-        assertThat(FILE.left("b", "carp", 1e12, 1, List.of(at(1, "10.0.0.1:1", 0)))).as("another pool").isEqualTo(LearnedState.NONE);
+        assertThat(FILE.left("a", "carp", 1e12, 1, List.of(at(1, "10.0.0.1:1", 0), at(2, "10.0.0.2:1", 50), OTHER)))
+                .isEqualTo(ALL);
+        assertThat(FILE.left("a", "carp", 1e12, 1, List.of(at(1, "10.0.0.1:1", 1e12), at(2, "10.0.0.2:1", 50)))
+                        .servers())
+                .as("1 has restarted")
+                .extracting(LearnedState.Server::id)
+                .containsExactly(2);
+        assertThat(FILE.left("a", "carp", 1e12, 1, List.of(at(1, "10.0.0.9:1", 0)))
+                        .servers())
+                .as("another stands there")
+                .isEmpty();
+        assertThat(FILE.left("a", "carp", 1e12, 1, List.of()).servers())
+                .as("the whole fleet was replaced")
+                .isEmpty();
+        assertThat(FILE.left("b", "carp", 1e12, 1, List.of(at(1, "10.0.0.1:1", 0))))
+                .as("another pool")
+                .isEqualTo(LearnedState.NONE);
         LearnedState ring = FILE.left("a", "nginx-hash", 1e12, 1, List.of(at(1, "10.0.0.1:1", 0), OTHER));
         assertThat(ring.hot()).as("the numbers of keys mean something else").isEqualTo(LearnedState.NONE.hot());
         assertThat(ring.servers()).hasSize(1);
@@ -88,10 +107,14 @@
     @Test
     void aFileOfAnotherOrOfTheFutureIsOfNoUse() {
         assertThat(FILE.unfit("site", 2, 1e12, false)).isNull();
-        assertThat(FILE.unfit("site", 2, 1e12 + 365 * 24 * HOUR, false)).as("a year later it has faded, no more").isNull();
+        assertThat(FILE.unfit("site", 2, 1e12 + 365 * 24 * HOUR, false))
+                .as("a year later it has faded, no more")
+                .isNull();
         assertThat(FILE.unfit("site", 2, 1e12 - 24 * HOUR, false)).contains("86400 s from now");
         assertThat(FILE.unfit("other", 2, 1e12, false)).contains("site site, not other");
-        assertThat(FILE.unfit("site", 3, 1e12, false)).contains("proxy 2, not 3").contains("--seed-from");
+        assertThat(FILE.unfit("site", 3, 1e12, false))
+                .contains("proxy 2, not 3")
+                .contains("--seed-from");
         assertThat(FILE.unfit("site", 3, 1e12, true)).isNull();
         assertThat(FILE.unfit("other", 3, 1e12, true)).contains("site");
     }
--- a/src/test/java/cacheproxy/soak/SoakClient.java
+++ b/src/test/java/cacheproxy/soak/SoakClient.java
@@ -1,8 +1,8 @@
 package cacheproxy.soak;
 
+import cacheproxy.fakes.ScriptedServer;
 import cacheproxy.soak.SoakHistory.Effect;
 import cacheproxy.soak.SoakHistory.Request;
-import cacheproxy.fakes.ScriptedServer;
 import java.io.BufferedInputStream;
 import java.io.IOException;
 import java.io.InputStream;
@@ -15,7 +15,10 @@
 import java.util.Random;
 import java.util.concurrent.locks.LockSupport;
 
-/** A client of one proxy: most of its requests are plain; some are pipelined, in pieces, left early, or stopped in their middle. */
+/**
+ * A client of one proxy: most of its requests are plain; some are pipelined, in pieces, left early, or stopped in their
+ * middle.
+ */
 final class SoakClient implements Runnable {
     private static final int SHORTEST_WAIT_MS = 150;
     private static final int LONGEST_WAIT_MS = 900;
@@ -61,7 +64,8 @@
                 stopMidway(socket, in);
                 return;
             }
-            List<Request> sent = send(socket, behaviour < 12 ? 2 + random.nextInt(3) : 1, behaviour >= 12 && behaviour < 18);
+            List<Request> sent =
+                    send(socket, behaviour < 12 ? 2 + random.nextInt(3) : 1, behaviour >= 12 && behaviour < 18);
             if (behaviour >= 90) {
                 leave(socket, sent);
                 return;
@@ -85,8 +89,10 @@
             int waitMs = SHORTEST_WAIT_MS + random.nextInt(LONGEST_WAIT_MS - SHORTEST_WAIT_MS);
             batch.add(new Request(id, proxy, write ? Effect.SINGLE : Effect.SAFE, waitMs));
             String key = "k" + random.nextInt(500);
-            text.append(write ? "ms " + key + " 2 O" + id + " Pc=fix,d=" + waitMs + "\r\nhi\r\n"
-                    : "mg " + key + " v O" + id + " Pc=text,d=" + waitMs + "\r\n");
+            text.append(
+                    write
+                            ? "ms " + key + " 2 O" + id + " Pc=fix,d=" + waitMs + "\r\nhi\r\n"
+                            : "mg " + key + " v O" + id + " Pc=text,d=" + waitMs + "\r\n");
         }
         long began = System.nanoTime();
         int longestMs = 0;
--- a/src/test/java/cacheproxy/soak/SoakHistory.java
+++ b/src/test/java/cacheproxy/soak/SoakHistory.java
@@ -8,7 +8,10 @@
 /** What clients, servers and the fault injector have seen in a round, all on this process's {@link System#nanoTime}. */
 final class SoakHistory {
     /** Effects of a request's class. */
-    enum Effect { SAFE, SINGLE }
+    enum Effect {
+        SAFE,
+        SINGLE
+    }
 
     /** One request as its client saw it; fields are written by its client's thread and read once the round is over. */
     static final class Request {
@@ -18,6 +21,7 @@
         final int waitMs;
         /** The longest wait of those before it on its connection and its own: answers come in order. */
         volatile int orderedWaitMs;
+
         volatile long beganNanos;
         /** When the last byte was handed to the system; 0: it never was. */
         volatile long sentNanos;
@@ -38,10 +42,13 @@
     }
 
     /** A command that came whole to a server. */
-    record Arrival(String id, String server, long atNanos, double toldMs, boolean runs) { }
+    record Arrival(String id, String server, long atNanos, double toldMs, boolean runs) {}
 
-    /** A span in which a proxy's process was stopped, ending or not there: what its clients see then is not the proxy's fault. */
-    record Outage(int proxy, long fromNanos, long toNanos) { }
+    /**
+     * A span in which a proxy's process was stopped, ending or not there: what its clients see then is not the proxy's
+     * fault.
+     */
+    record Outage(int proxy, long fromNanos, long toNanos) {}
 
     final Map<String, Request> requests = new ConcurrentHashMap<>();
     final Queue<Arrival> arrivals = new ConcurrentLinkedQueue<>();
--- a/src/test/java/cacheproxy/soak/SoakIT.java
+++ b/src/test/java/cacheproxy/soak/SoakIT.java
@@ -13,15 +13,15 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The soak: random, overlapping faults over processes of the packaged program, judged by the invariants from outside. CI plays a short
- * form of fixed seeds. In full: {@code mvn failsafe:integration-test -Dit.test=SoakIT -Dsoak.first=1 -Dsoak.rounds=40 -Dsoak.proxies=30
- * -Dsoak.seconds=60}.
+ * The soak: random, overlapping faults over processes of the packaged program, judged by the invariants from outside.
+ * CI plays a short form of fixed seeds. In full: {@code mvn failsafe:integration-test -Dit.test=SoakIT -Dsoak.first=1
+ * -Dsoak.rounds=40 -Dsoak.proxies=30 -Dsoak.seconds=60}.
  */
 class SoakIT {
     private static final int FIRST = Integer.getInteger("soak.first", 1);
     private static final int ROUNDS = Integer.getInteger("soak.rounds", 2);
-    private static final SoakRound.Size SIZE = new SoakRound.Size(Integer.getInteger("soak.proxies", 6), 4, 8,
-            Integer.getInteger("soak.seconds", 10));
+    private static final SoakRound.Size SIZE =
+            new SoakRound.Size(Integer.getInteger("soak.proxies", 6), 4, 8, Integer.getInteger("soak.seconds", 10));
 
     @TempDir
     private Path folder;
@@ -69,13 +69,20 @@
 
         SoakHistory silent = new SoakHistory();
         request(silent, "d", Effect.SAFE, 500);
-        assertThat(SoakJudge.violations(silent, 2000)).singleElement().asString().startsWith("no answer: d").contains("silence");
+        assertThat(SoakJudge.violations(silent, 2000))
+                .singleElement()
+                .asString()
+                .startsWith("no answer: d")
+                .contains("silence");
 
         SoakHistory drained = new SoakHistory();
         request(drained, "e", Effect.SAFE, 20_000).answeredNanos = 9_100_000_000L;
         drained.leftNanos.put("s", 1L);
         drained.arrivals.add(new Arrival("e", "s", 9_000_000_000L, 100, false));
-        assertThat(SoakJudge.violations(drained, 2000)).singleElement().asString().startsWith("drain: e");
+        assertThat(SoakJudge.violations(drained, 2000))
+                .singleElement()
+                .asString()
+                .startsWith("drain: e");
     }
 
     private static Request request(SoakHistory history, String id, Effect effect, int waitMs) {
--- a/src/test/java/cacheproxy/soak/SoakJudge.java
+++ b/src/test/java/cacheproxy/soak/SoakJudge.java
@@ -46,21 +46,24 @@
                 violations.add("unknown request: " + a);
                 continue;
             }
-            // The last byte went out while the client's thread was in its write: by the time that it came back, or that the command came.
+            // The last byte went out while the client's thread was in its write: by the time that it came back, or that
+            // the command came.
             double ageMs = r.sentNanos == 0 ? 0 : Math.max(0, (a.atNanos() - r.sentNanos) / MS);
             double leftMs = r.waitMs - ageMs;
             if (a.toldMs() > leftMs + DEADLINE_SLACK_MS + lateMs && !reckonedBeforeAStop(a, r)) {
-                violations.add("deadline: %s was told %.0f ms at %s by n%d, its client had %.0f of %d left".formatted(a.id(), a.toldMs(),
-                        a.server(), r.proxy, leftMs, r.waitMs));
+                violations.add("deadline: %s was told %.0f ms at %s by n%d, its client had %.0f of %d left"
+                        .formatted(a.id(), a.toldMs(), a.server(), r.proxy, leftMs, r.waitMs));
             }
-            if (r.closedNanos != 0 && a.atNanos() - r.closedNanos > (GONE_SLACK_MS + lateMs) * MS
+            if (r.closedNanos != 0
+                    && a.atNanos() - r.closedNanos > (GONE_SLACK_MS + lateMs) * MS
                     && !stoppedBetween(r.proxy, r.closedNanos, a.atNanos())) {
-                violations.add("client gone: %s came to %s %.0f ms after its client had closed".formatted(a.id(), a.server(),
-                        (a.atNanos() - r.closedNanos) / MS));
+                violations.add("client gone: %s came to %s %.0f ms after its client had closed"
+                        .formatted(a.id(), a.server(), (a.atNanos() - r.closedNanos) / MS));
             }
             Long left = history.leftNanos.get(a.server());
             if (left != null && a.atNanos() - left > (LIST_BOUND_MS + drainGraceMs + lateMs) * MS) {
-                violations.add("drain: %s came to %s %.0f ms after its change".formatted(a.id(), a.server(), (a.atNanos() - left) / MS));
+                violations.add("drain: %s came to %s %.0f ms after its change"
+                        .formatted(a.id(), a.server(), (a.atNanos() - left) / MS));
             }
             if (a.runs() && r.effect == Effect.SINGLE && runs.merge(a.id(), 1, Integer::sum) > 1) {
                 violations.add("effect twice: " + a.id());
@@ -76,20 +79,31 @@
             long dueNanos = r.sentNanos + (long) ((r.orderedWaitMs + ANSWER_SLACK_MS + lateMs) * MS);
             boolean answered = r.answeredNanos != 0 && r.answeredNanos <= dueNanos;
             if (!answered && !outageBetween(r.proxy, r.beganNanos, dueNanos)) {
-                violations.add("no answer: %s by n%d, %s".formatted(r.id, r.proxy, r.cutNanos != 0
-                        ? "cut after %.0f ms".formatted((r.cutNanos - r.sentNanos) / MS) : r.answeredNanos != 0
-                        ? "late, after %.0f ms of %d".formatted((r.answeredNanos - r.sentNanos) / MS, r.waitMs) : "silence"));
+                violations.add("no answer: %s by n%d, %s"
+                        .formatted(
+                                r.id,
+                                r.proxy,
+                                r.cutNanos != 0
+                                        ? "cut after %.0f ms".formatted((r.cutNanos - r.sentNanos) / MS)
+                                        : r.answeredNanos != 0
+                                                ? "late, after %.0f ms of %d"
+                                                        .formatted((r.answeredNanos - r.sentNanos) / MS, r.waitMs)
+                                                : "silence"));
             }
         }
     }
 
     /**
-     * Whether a stop of the process, longer than what it may be held up for between its clock and its writing, struck just there: then it
-     * told what was left when the stop began, of a request that had been sent before. One that was sent during the stop has no such excuse.
+     * Whether a stop of the process, longer than what it may be held up for between its clock and its writing, struck
+     * just there: then it told what was left when the stop began, of a request that had been sent before. One that was
+     * sent during the stop has no such excuse.
      */
     private boolean reckonedBeforeAStop(Arrival a, Request r) {
         for (Outage o : history.outages) {
-            if (o.proxy() == r.proxy && r.sentNanos != 0 && r.sentNanos < o.fromNanos() && a.atNanos() > o.fromNanos()
+            if (o.proxy() == r.proxy
+                    && r.sentNanos != 0
+                    && r.sentNanos < o.fromNanos()
+                    && a.atNanos() > o.fromNanos()
                     && a.atNanos() - o.toNanos() < JUST_AFTER_STOP_MS * MS
                     && a.toldMs() <= r.waitMs - (o.fromNanos() - r.sentNanos) / MS + DEADLINE_SLACK_MS) {
                 return true;
@@ -107,7 +121,10 @@
         return false;
     }
 
-    /** Whether a stop of the process leaves open whether the attempt had begun in time; it may have been written before the stop. */
+    /**
+     * Whether a stop of the process leaves open whether the attempt had begun in time; it may have been written before
+     * the stop.
+     */
     private boolean stoppedBetween(int proxy, long fromNanos, long toNanos) {
         return outageBetween(proxy, fromNanos, fromNanos + (long) (GONE_SLACK_MS * MS));
     }
--- a/src/test/java/cacheproxy/soak/SoakProxy.java
+++ b/src/test/java/cacheproxy/soak/SoakProxy.java
@@ -19,8 +19,11 @@
 
 /** One process of {@code serve}, as the platform starts it. */
 final class SoakProxy implements AutoCloseable {
-    /** Below the ports that the system gives to outgoing connections, so that none has a proxy's port while it restarts. */
+    /**
+     * Below the ports that the system gives to outgoing connections, so that none has a proxy's port while it restarts.
+     */
     private static final int LEAST_PORT = 12_000;
+
     private static final int PORTS = 18_000;
     private static final long READY_MS = 30_000;
     /** Ports of all rounds, each given once: a proxy that is not started yet holds its own by nothing else. */
@@ -76,12 +79,25 @@
     }
 
     void start() throws IOException {
-        ProcessBuilder builder = new ProcessBuilder(Path.of(System.getProperty("java.home"), "bin", "java").toString(), "-XX:+UseSerialGC",
-                "-XX:TieredStopAtLevel=1", "-Xms24m", "-Xmx40m", "-XX:MaxDirectMemorySize=32m", "-Xss512k", "-XX:-UsePerfData", "-Xlog:cds=off",
-                "-Xlog:cds+dynamic=off", "-XX:SharedArchiveFile=target/cacheproxy.jsa", "-Djava.library.path=target/native/META-INF/native",
-                "-jar", "target/cache-proxy.jar", "serve");
+        ProcessBuilder builder = new ProcessBuilder(
+                Path.of(System.getProperty("java.home"), "bin", "java").toString(),
+                "-XX:+UseSerialGC",
+                "-XX:TieredStopAtLevel=1",
+                "-Xms24m",
+                "-Xmx40m",
+                "-XX:MaxDirectMemorySize=32m",
+                "-Xss512k",
+                "-XX:-UsePerfData",
+                "-Xlog:cds=off",
+                "-Xlog:cds+dynamic=off",
+                "-XX:SharedArchiveFile=target/cacheproxy.jsa",
+                "-Djava.library.path=target/native/META-INF/native",
+                "-jar",
+                "target/cache-proxy.jar",
+                "serve");
         builder.environment().put("TMPDIR", folder.toString());
-        builder.environment().put("BALANCER_CONFIG", folder.resolve("config.json").toString());
+        builder.environment()
+                .put("BALANCER_CONFIG", folder.resolve("config.json").toString());
         builder.redirectErrorStream(true).redirectOutput(ProcessBuilder.Redirect.appendTo(log().toFile()));
         process = builder.start();
     }
@@ -102,7 +118,9 @@
         try (Socket socket = new Socket(InetAddress.getByName("127.0.0.1"), control)) {
             socket.setSoTimeout(5000);
             socket.getOutputStream().write((line + " HTTP/1.1\r\nHost: x\r\nConnection: close\r\n\r\n").getBytes());
-            List<String> lines = new BufferedReader(new InputStreamReader(socket.getInputStream())).lines().toList();
+            List<String> lines = new BufferedReader(new InputStreamReader(socket.getInputStream()))
+                    .lines()
+                    .toList();
             return lines.isEmpty() ? "" : lines.get(0) + " " + lines.get(lines.size() - 1);
         } catch (IOException | java.io.UncheckedIOException e) {
             return "";
@@ -120,7 +138,9 @@
     /** Not to one that has ended: its number may be another process's by now. */
     void signal(String name) throws IOException, InterruptedException {
         if (process.isAlive()) {
-            new ProcessBuilder("kill", "-" + name, Long.toString(process.pid())).start().waitFor();
+            new ProcessBuilder("kill", "-" + name, Long.toString(process.pid()))
+                    .start()
+                    .waitFor();
         }
     }
 
--- a/src/test/java/cacheproxy/soak/SoakRound.java
+++ b/src/test/java/cacheproxy/soak/SoakRound.java
@@ -1,10 +1,10 @@
 package cacheproxy.soak;
 
-import com.google.gson.JsonArray;
-import com.google.gson.JsonObject;
+import cacheproxy.fakes.FakeDiscovery;
 import cacheproxy.proxy.Transport;
 import cacheproxy.soak.SoakHistory.Outage;
-import cacheproxy.fakes.FakeDiscovery;
+import com.google.gson.JsonArray;
+import com.google.gson.JsonObject;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import java.io.IOException;
@@ -23,27 +23,62 @@
 import java.util.stream.Collectors;
 
 /**
- * One round: proxies as processes of their own before servers that misbehave, under clients that do, while processes are stopped, killed,
- * told to end and moved to another discovery, and servers hang, reset, drain and join. All by one seed, overlapping; what the machine adds
- * is its own.
+ * One round: proxies as processes of their own before servers that misbehave, under clients that do, while processes
+ * are stopped, killed, told to end and moved to another discovery, and servers hang, reset, drain and join. All by one
+ * seed, overlapping; what the machine adds is its own.
  */
 final class SoakRound implements AutoCloseable {
     /** How big a round is. */
-    record Size(int proxies, int clientsEach, int servers, double seconds) { }
+    record Size(int proxies, int clientsEach, int servers, double seconds) {}
 
     static final double DRAIN_GRACE_MS = 2000;
     private static final long TERMINATION_MS = 3700;
     private static final int BEAT_MS = 10;
     private static final Pattern REQUEST_ID = Pattern.compile("c\\d+x\\d+x\\d+");
-    private static final String[] SETTINGS = {"locality=0", "zones=here", "kinds=node,origin", "discovery=ask", "report.how=silent",
-        "report.names=", "value-by=request", "over-share-worth=0.1", "caps.may-cancel=true", "caps.may-probe=false", "caps.peers=false",
-        "caps.second-copies=true", "caps.retry-after=true", "caps.max-attempts=3", "caps.max-retry-after=500.0", "caps.connect-timeout=250.0",
-        "caps.idle-close=1500.0", "caps.streams-per-conn=8", "extra.mode=aside", "extra.origin-kind=1", "guarantees.drain-grace=2000.0",
-        "guarantees.grace-to-answer=20.0", "guarantees.start-capacity=0.3", "guarantees.warm-up=5000.0", "guarantees.tip-multiple=3.0",
-        "guarantees.fall=1500.0", "guarantees.ask-within=10000.0", "classes.count=2", "classes.0.name=text",
-        "classes.0.idempotency=retryable", "classes.0.promise=400.0", "classes.0.deadline=900.0", "classes.0.gain=1.0",
-        "classes.0.late-share=0.2", "classes.0.stream=false", "classes.1.name=fix", "classes.1.idempotency=fragile",
-        "classes.1.promise=400.0", "classes.1.deadline=900.0", "classes.1.gain=5.0", "classes.1.late-share=0.3", "classes.1.stream=false"};
+    private static final String[] SETTINGS = {
+        "locality=0",
+        "zones=here",
+        "kinds=node,origin",
+        "discovery=ask",
+        "report.how=silent",
+        "report.names=",
+        "value-by=request",
+        "over-share-worth=0.1",
+        "caps.may-cancel=true",
+        "caps.may-probe=false",
+        "caps.peers=false",
+        "caps.second-copies=true",
+        "caps.retry-after=true",
+        "caps.max-attempts=3",
+        "caps.max-retry-after=500.0",
+        "caps.connect-timeout=250.0",
+        "caps.idle-close=1500.0",
+        "caps.streams-per-conn=8",
+        "extra.mode=aside",
+        "extra.origin-kind=1",
+        "guarantees.drain-grace=2000.0",
+        "guarantees.grace-to-answer=20.0",
+        "guarantees.start-capacity=0.3",
+        "guarantees.warm-up=5000.0",
+        "guarantees.tip-multiple=3.0",
+        "guarantees.fall=1500.0",
+        "guarantees.ask-within=10000.0",
+        "classes.count=2",
+        "classes.0.name=text",
+        "classes.0.idempotency=retryable",
+        "classes.0.promise=400.0",
+        "classes.0.deadline=900.0",
+        "classes.0.gain=1.0",
+        "classes.0.late-share=0.2",
+        "classes.0.stream=false",
+        "classes.1.name=fix",
+        "classes.1.idempotency=fragile",
+        "classes.1.promise=400.0",
+        "classes.1.deadline=900.0",
+        "classes.1.gain=5.0",
+        "classes.1.late-share=0.3",
+        "classes.1.stream=false"
+    };
 
     private final Size size;
     private final Random random;
@@ -66,7 +101,8 @@
         for (int i = 0; i < discoveries.length; i++) {
             discoveries[i] = FakeDiscovery.start(discoveryLoop);
         }
-        SoakServer origin = SoakServer.origin("origin", servingLoop, history, new SoakServer.Troubles(0, 10, 0, 5, 5, 150, 400), random.nextLong());
+        SoakServer origin = SoakServer.origin(
+                "origin", servingLoop, history, new SoakServer.Troubles(0, 10, 0, 5, 5, 150, 400), random.nextLong());
         servers.add(origin);
         list("origin", origin.dial(), "origin", "up", 0);
         for (int i = 0; i < size.servers(); i++) {
@@ -90,8 +126,8 @@
 
     private void join(double bornMs) throws InterruptedException {
         String name = "s-%08x".formatted(++named);
-        SoakServer server = SoakServer.node(name, servingLoop, history, new SoakServer.Troubles(250, 30, 10, 10, 10, 100, 700),
-                random.nextLong());
+        SoakServer server = SoakServer.node(
+                name, servingLoop, history, new SoakServer.Troubles(250, 30, 10, 10, 10, 100, 700), random.nextLong());
         servers.add(server);
         list(name, server.dial(), "node", "up", bornMs);
     }
@@ -114,7 +150,9 @@
         List<Thread> clients = new ArrayList<>();
         for (SoakProxy p : proxies) {
             for (int i = 0; i < size.clientsEach(); i++) {
-                Thread t = new Thread(new SoakClient("c" + p.number + "x" + i, p.number, p.port, history, random.nextLong(), end), "client");
+                Thread t = new Thread(
+                        new SoakClient("c" + p.number + "x" + i, p.number, p.port, history, random.nextLong(), end),
+                        "client");
                 t.setDaemon(true);
                 t.start();
                 clients.add(t);
@@ -135,11 +173,16 @@
 
     private void watchLateness() {
         long[] last = {System.nanoTime()};
-        servingLoop.scheduleWithFixedDelay(() -> {
-            long now = System.nanoTime();
-            history.lateNanos = Math.max(history.lateNanos, now - last[0] - TimeUnit.MILLISECONDS.toNanos(BEAT_MS));
-            last[0] = now;
-        }, BEAT_MS, BEAT_MS, TimeUnit.MILLISECONDS);
+        servingLoop.scheduleWithFixedDelay(
+                () -> {
+                    long now = System.nanoTime();
+                    history.lateNanos =
+                            Math.max(history.lateNanos, now - last[0] - TimeUnit.MILLISECONDS.toNanos(BEAT_MS));
+                    last[0] = now;
+                },
+                BEAT_MS,
+                BEAT_MS,
+                TimeUnit.MILLISECONDS);
     }
 
     private void fault() throws Exception {
@@ -220,7 +263,9 @@
 
     /** A server drains and is gone later; it stays up, as it may. A few always stay. */
     private void drain() {
-        List<SoakServer> candidates = servers.stream().filter(s -> !s.name.equals("origin") && !history.leftNanos.containsKey(s.name)).toList();
+        List<SoakServer> candidates = servers.stream()
+                .filter(s -> !s.name.equals("origin") && !history.leftNanos.containsKey(s.name))
+                .toList();
         if (candidates.size() <= 3) {
             return;
         }
@@ -241,19 +286,27 @@
             }
         }
         for (SoakProxy p : proxies) {
-            Files.readAllLines(p.log()).stream().filter(l -> l.startsWith("fault") || l.startsWith("invariant violated")
-                    || l.startsWith("request left unanswered") || l.contains("Exception in thread"))
+            Files.readAllLines(p.log()).stream()
+                    .filter(l -> l.startsWith("fault")
+                            || l.startsWith("invariant violated")
+                            || l.startsWith("request left unanswered")
+                            || l.contains("Exception in thread"))
                     .forEach(l -> history.complaints.add("n" + p.number + " logs: " + l));
         }
     }
 
-    /** What the processes' event logs say of a request that a violation names; nothing where CORALBAY_EVENT_LOG is not on. */
+    /**
+     * What the processes' event logs say of a request that a violation names; nothing where CORALBAY_EVENT_LOG is not
+     * on.
+     */
     List<String> explain(String violation) throws IOException {
         Matcher id = REQUEST_ID.matcher(violation);
         List<String> lines = new ArrayList<>();
         if (id.find()) {
             for (SoakProxy p : proxies) {
-                Files.readAllLines(p.log()).stream().filter(l -> l.contains("id=" + id.group() + " ")).forEach(lines::add);
+                Files.readAllLines(p.log()).stream()
+                        .filter(l -> l.contains("id=" + id.group() + " "))
+                        .forEach(lines::add);
             }
         }
         return lines;
@@ -261,10 +314,14 @@
 
     /** What was played, in a line. */
     String summary() {
-        String stopped = proxies.stream().map(p -> p.call("GET /invariants")).map(s -> s.replaceAll(".* stopped=(\\d+).*", "$1"))
-                .filter(s -> s.matches("\\d+")).collect(Collectors.summingLong(Long::parseLong)).toString();
-        return "%d requests, %d arrivals, %d faults, %s stopped by guards, own lateness %.0f ms".formatted(history.requests.size(),
-                history.arrivals.size(), faults, stopped, history.lateNanos / 1e6);
+        String stopped = proxies.stream()
+                .map(p -> p.call("GET /invariants"))
+                .map(s -> s.replaceAll(".* stopped=(\\d+).*", "$1"))
+                .filter(s -> s.matches("\\d+"))
+                .collect(Collectors.summingLong(Long::parseLong))
+                .toString();
+        return "%d requests, %d arrivals, %d faults, %s stopped by guards, own lateness %.0f ms"
+                .formatted(history.requests.size(), history.arrivals.size(), faults, stopped, history.lateNanos / 1e6);
     }
 
     @Override
--- a/src/test/java/cacheproxy/soak/SoakServer.java
+++ b/src/test/java/cacheproxy/soak/SoakServer.java
@@ -32,15 +32,16 @@
 import java.util.regex.Pattern;
 
 /**
- * A cache node or the origin that records each request with the deadline that it was told, and misbehaves by chance: late answers, misses,
- * refusals, resets late or at once, requests dropped without a word, idle connections closed, and spells in which it hangs.
+ * A cache node or the origin that records each request with the deadline that it was told, and misbehaves by chance:
+ * late answers, misses, refusals, resets late or at once, requests dropped without a word, idle connections closed, and
+ * spells in which it hangs.
  */
 final class SoakServer implements AutoCloseable {
     private static final Pattern DEADLINE = Pattern.compile("(?:^|[P,])d=([0-9.]+)");
     private static final int IDLE_CLOSE_MS = 1500;
 
     /** Chances in a thousand of what befalls a request. */
-    record Troubles(int miss, int refuse, int fail, int reset, int drop, int late, int mostLateMs) { }
+    record Troubles(int miss, int refuse, int fail, int reset, int drop, int late, int mostLateMs) {}
 
     final String name;
     private final EventLoop loop;
@@ -59,26 +60,42 @@
         this.troubles = troubles;
         random = new Random(seed);
         connections = new DefaultChannelGroup(loop);
-        server = new ServerBootstrap().group(loop).channel(Transport.BEST.server()).option(ChannelOption.SO_BACKLOG, 1024)
-                .childOption(ChannelOption.TCP_NODELAY, true).childHandler(new ChannelInitializer<>() {
+        server = new ServerBootstrap()
+                .group(loop)
+                .channel(Transport.BEST.server())
+                .option(ChannelOption.SO_BACKLOG, 1024)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         connections.add(channel);
                         if (origin) {
-                            channel.pipeline().addLast(new HttpServerCodec(), new HttpObjectAggregator(1 << 20), new OriginHandler());
+                            channel.pipeline()
+                                    .addLast(
+                                            new HttpServerCodec(),
+                                            new HttpObjectAggregator(1 << 20),
+                                            new OriginHandler());
                         } else {
-                            channel.pipeline().addLast(new LineBasedFrameDecoder(4096), new StringDecoder(StandardCharsets.ISO_8859_1),
-                                    new NodeHandler());
+                            channel.pipeline()
+                                    .addLast(
+                                            new LineBasedFrameDecoder(4096),
+                                            new StringDecoder(StandardCharsets.ISO_8859_1),
+                                            new NodeHandler());
                         }
                     }
-                }).bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0)).sync().channel();
+                })
+                .bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))
+                .sync()
+                .channel();
     }
 
-    static SoakServer node(String name, EventLoop loop, SoakHistory history, Troubles troubles, long seed) throws InterruptedException {
+    static SoakServer node(String name, EventLoop loop, SoakHistory history, Troubles troubles, long seed)
+            throws InterruptedException {
         return new SoakServer(name, false, loop, history, troubles, seed);
     }
 
-    static SoakServer origin(String name, EventLoop loop, SoakHistory history, Troubles troubles, long seed) throws InterruptedException {
+    static SoakServer origin(String name, EventLoop loop, SoakHistory history, Troubles troubles, long seed)
+            throws InterruptedException {
         return new SoakServer(name, true, loop, history, troubles, seed);
     }
 
@@ -115,7 +132,8 @@
 
     /** Records a request and says whether it is answered; {@code runs} is whether it takes effect. */
     private boolean arrives(Channel channel, String id, String list, boolean runs) {
-        history.arrivals.add(new SoakHistory.Arrival(id, name, System.nanoTime(), Double.parseDouble(deadline(list)), runs));
+        history.arrivals.add(
+                new SoakHistory.Arrival(id, name, System.nanoTime(), Double.parseDouble(deadline(list)), runs));
         if (chance(troubles.reset())) {
             loop.schedule(() -> reset(channel), random.nextInt(200), TimeUnit.MILLISECONDS);
             return false;
@@ -148,8 +166,11 @@
             if (!arrives(ctx.channel(), id, line, false)) {
                 return;
             }
-            String answer = chance(troubles.miss()) ? "EN O" + id + "\r\n" : chance(troubles.refuse()) ? "SERVER_ERROR busy\r\n"
-                    : chance(troubles.fail()) ? "SERVER_ERROR failed\r\n" : "VA 5 O" + id + " h1\r\nhello\r\n";
+            String answer = chance(troubles.miss())
+                    ? "EN O" + id + "\r\n"
+                    : chance(troubles.refuse())
+                            ? "SERVER_ERROR busy\r\n"
+                            : chance(troubles.fail()) ? "SERVER_ERROR failed\r\n" : "VA 5 O" + id + " h1\r\nhello\r\n";
             later(() -> ctx.writeAndFlush(Unpooled.copiedBuffer(answer, StandardCharsets.ISO_8859_1)));
         }
 
@@ -168,9 +189,12 @@
                 return;
             }
             boolean write = request.method().equals(HttpMethod.PUT);
-            ByteBuf body = Unpooled.copiedBuffer(declined ? "" : write ? "w" + id : "hello", StandardCharsets.ISO_8859_1);
-            DefaultFullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1, declined
-                    ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.OK, body);
+            ByteBuf body =
+                    Unpooled.copiedBuffer(declined ? "" : write ? "w" + id : "hello", StandardCharsets.ISO_8859_1);
+            DefaultFullHttpResponse response = new DefaultFullHttpResponse(
+                    HttpVersion.HTTP_1_1,
+                    declined ? HttpResponseStatus.SERVICE_UNAVAILABLE : HttpResponseStatus.OK,
+                    body);
             response.headers().set(HttpHeaderNames.CONTENT_LENGTH, body.readableBytes());
             if (declined) {
                 response.headers().set("Srv-Declined", "1");
