--- /dev/null
+++ b/src/test/java/cacheproxy/daemon/fleet/FleetGoldenBytesTest.java
@@ -0,0 +1,138 @@
+package cacheproxy.daemon.fleet;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import cacheproxy.HexBytes;
+import cacheproxy.config.DaemonConfigReader;
+import cacheproxy.daemon.Daemon;
+import cacheproxy.daemon.Ports;
+import cacheproxy.fakes.FakeFleet;
+import java.net.DatagramPacket;
+import java.net.DatagramSocket;
+import java.net.InetAddress;
+import java.util.Arrays;
+import java.util.HexFormat;
+import java.util.function.Predicate;
+import org.junit.jupiter.api.AfterEach;
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+
+/**
+ * What a daemon puts on the wire to its peers: the topics by which datagrams are told apart, and the ids of the
+ * program's own duties.
+ */
+@Timeout(60)
+class FleetGoldenBytesTest {
+    /** Mark and form; the topic is between them and the sender's id, here of p1. */
+    private static final String START = "6301";
+
+    private static final String P1 = "f64551fcd6f07823";
+    private static final String P2 = "3946ca64ff78d93c";
+    private static final int HEAD = 27;
+    private static final int SUM = 4;
+    private static final int RECEIVE_MS = 20_000;
+    private static final int LONGEST = 256;
+    private FakeFleet fleet;
+
+    @BeforeEach
+    void start() throws Exception {
+        fleet = new FakeFleet(1);
+    }
+
+    @AfterEach
+    void end() {
+        fleet.close();
+    }
+
+    @Test
+    void theTopicsHaveTheirNumbers() {
+        assertThat(FleetHealthChecks.TOPIC).isEqualTo((byte) 2);
+        assertThat(DelegatedWatches.TOPIC).isEqualTo((byte) 3);
+        assertThat(PeerListMonitor.TOPIC).isEqualTo((byte) 4);
+        assertThat(FleetQuotas.TOPIC).isEqualTo((byte) 5);
+        assertThat(FleetMembership.TOPIC).isEqualTo((byte) 6);
+    }
+
+    /** Leases are of topic 1; each first asks (kind 0) for the duty by its id. */
+    @Test
+    void aDaemonAsksForEachDutyByItsId() throws Exception {
+        try (DatagramSocket peer = peer();
+                Daemon daemon = daemon(peer)) {
+            for (String duty : new String[] {"c374eea599bb3c50", "3b398eadca71b726", "05638f7954aeeb33"}) {
+                byte[] asked = await(peer, d -> d.startsWith(START + "01" + P1) && d.startsWith("00" + duty, 2 * HEAD));
+                assertThat(asked).hasSize(HEAD + 37 + SUM);
+            }
+        }
+    }
+
+    /**
+     * The word on lists with a last byte that tells whether servers are reached; a question to p2 with news of nobody
+     * but p1 and p2.
+     */
+    @Test
+    void aDaemonTellsItsListAndAsksWhetherItsPeerIsThere() throws Exception {
+        try (DatagramSocket peer = peer();
+                Daemon daemon = daemon(peer)) {
+            byte[] list = await(peer, d -> d.startsWith(START + "04" + P1) && d.startsWith("01", 2 * (HEAD + 16)));
+            assertThat(Arrays.copyOfRange(list, HEAD, list.length - SUM))
+                    .isEqualTo(HexBytes.parse("00000002a304f68f 0000000000000000 01"));
+            byte[] ping = await(peer, d -> d.startsWith(START + "06" + P1) && d.startsWith("00", 2 * HEAD));
+            assertThat(Arrays.copyOfRange(ping, HEAD + 9, HEAD + 17)).isEqualTo(HexBytes.parse(P2));
+        }
+    }
+
+    private static DatagramSocket peer() throws Exception {
+        DatagramSocket peer = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
+        peer.setSoTimeout(RECEIVE_MS);
+        return peer;
+    }
+
+    private Daemon daemon(DatagramSocket peer) throws Exception {
+        String file = DaemonHarness.CLASSES
+                + DaemonHarness.MAIN
+                + DaemonHarness.pool("pages", fleet, "", fleet.nodes.get(0))
+                + DaemonHarness.route("all", "", "pages")
+                + """
+                [control]
+                listen = "127.0.0.1:0"
+                [fleet]
+                me = "p1"
+                listen = "127.0.0.1:%1$d"
+                longest_lease_ms = 150
+                [[fleet.peer]]
+                name = "p1"
+                address = "127.0.0.1:%1$d"
+                [[fleet.peer]]
+                name = "p2"
+                address = "127.0.0.1:%2$d"
+                [[duty]]
+                name = "cron"
+                lease_ms = 150
+                [fleet.probe]
+                lease_ms = 150
+                [fleet.limits]
+                grant_ms = 100
+                lease_ms = 100
+                [[fleet.limit]]
+                name = "slow"
+                per_second = 5
+                """.formatted(Ports.free(), peer.getLocalPort());
+        return Daemon.start(DaemonConfigReader.parse("f", file), 5);
+    }
+
+    /** The first datagram whose hexadecimal digits are such. */
+    private static byte[] await(DatagramSocket peer, Predicate<String> such) throws Exception {
+        DatagramPacket in = new DatagramPacket(new byte[LONGEST], LONGEST);
+        long began = System.nanoTime();
+        while (System.nanoTime() - began < RECEIVE_MS * 1_000_000L) {
+            in.setLength(LONGEST);
+            peer.receive(in);
+            byte[] datagram = Arrays.copyOf(in.getData(), in.getLength());
+            if (such.test(HexFormat.of().formatHex(datagram))) {
+                return datagram;
+            }
+        }
+        throw new AssertionError("no such datagram within " + RECEIVE_MS + " ms");
+    }
+}
--- /dev/null
+++ b/src/test/java/cacheproxy/fleet/healthcheck/HealthCheckGoldenBytesTest.java
@@ -0,0 +1,49 @@
+package cacheproxy.fleet.healthcheck;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import cacheproxy.HexBytes;
+import cacheproxy.fleet.healthcheck.HealthCheckMessage.Kind;
+import org.junit.jupiter.api.Test;
+
+/** The bytes of the datagrams about probes of servers: another version of the program must read and write the same. */
+class HealthCheckGoldenBytesTest {
+    private static final long DUTY = 0x0102030405060708L;
+    private static final int SERVER = 0xcafe0001;
+    private static final long NUMBER = 0x1112131415161718L;
+    private static final long EPOCH = 0x0000019412345678L;
+    private static final long HOLDER = 0xf1f2f3f4f5f6f7f8L;
+
+    @Test
+    void eachKindHasItsBytes() {
+        assertBytes(Kind.WANT, "00", false, "00");
+        assertBytes(Kind.ANSWER, "01", true, "01");
+        assertBytes(Kind.ANSWER, "01", false, "00");
+        assertBytes(Kind.ELSEWHERE, "02", false, "00");
+        assertThat(Kind.values()).hasSize(3);
+    }
+
+    private static void assertBytes(Kind kind, String code, boolean sound, String soundCode) {
+        byte[] golden =
+                HexBytes.parse(code + "0102030405060708 cafe0001 1112131415161718 0000019412345678 f1f2f3f4f5f6f7f8"
+                        + soundCode + "000005dc");
+        HealthCheckMessage message = new HealthCheckMessage(kind, DUTY, SERVER, NUMBER, EPOCH, HOLDER, sound, 1500);
+        assertThat(message.bytes()).isEqualTo(golden);
+        assertThat(HealthCheckMessage.of(golden)).isEqualTo(message);
+    }
+
+    @Test
+    void theOutermostValuesHaveTheirBytes() {
+        byte[] least = HexBytes.parse(
+                "02 0000000000000000 00000000 0000000000000000 0000000000000000 0000000000000000 00 00000000");
+        HealthCheckMessage leastMessage = new HealthCheckMessage(Kind.ELSEWHERE, 0, 0, 0, 0, 0, false, 0);
+        assertThat(leastMessage.bytes()).isEqualTo(least);
+        assertThat(HealthCheckMessage.of(least)).isEqualTo(leastMessage);
+        byte[] most = HexBytes.parse(
+                "01 ffffffffffffffff ffffffff 8000000000000000 7fffffffffffffff 7fffffffffffffff 01 7fffffff");
+        HealthCheckMessage mostMessage = new HealthCheckMessage(
+                Kind.ANSWER, -1, -1, Long.MIN_VALUE, Long.MAX_VALUE, Long.MAX_VALUE, true, Integer.MAX_VALUE);
+        assertThat(mostMessage.bytes()).isEqualTo(most);
+        assertThat(HealthCheckMessage.of(most)).isEqualTo(mostMessage);
+    }
+}
