--- a/src/test/java/cacheproxy/daemon/fleet/FleetGoldenBytesTest.java
+++ b/src/test/java/cacheproxy/daemon/fleet/FleetGoldenBytesTest.java
@@ -5,6 +5,7 @@
 import cacheproxy.HexBytes;
 import cacheproxy.config.DaemonConfigReader;
 import cacheproxy.daemon.Daemon;
+import cacheproxy.daemon.DaemonHarness;
 import cacheproxy.daemon.Ports;
 import cacheproxy.fakes.FakeFleet;
 import java.net.DatagramPacket;
