--- a/src/main/java/cacheproxy/daemon/ConfigSnapshot.java
+++ b/src/main/java/cacheproxy/daemon/ConfigSnapshot.java
@@ -4,6 +4,7 @@
 import cacheproxy.config.SiblingConfig;
 import cacheproxy.daemon.fleet.FleetQuotas;
 import cacheproxy.daemon.hooks.HookExecutor;
+import cacheproxy.daemon.hooks.HookSubsystem;
 import cacheproxy.hooks.HookRules;
 import cacheproxy.proxy.RequestValidator;
 import cacheproxy.routes.Route;
@@ -34,18 +35,15 @@
 
     private final Map<Route, List<PoolRuntime>> chains = new IdentityHashMap<>();
 
-    ConfigSnapshot(
-            DaemonConfig file,
-            Map<String, PoolRuntime> pools,
-            RequestValidator intake,
-            List<HookExecutor> runners,
-            FleetQuotas limits) {
+    ConfigSnapshot(DaemonConfig file, Map<String, PoolRuntime> pools, RequestValidator intake, Subsystems subsystems) {
         this.file = file;
-        this.limits = limits;
+        FleetCoordination fleet = subsystems.get(FleetCoordination.class);
+        limits = fleet == null ? null : fleet.quotas();
         siblings = SiblingConfig.of(file);
         this.pools = pools;
         this.intake = intake;
-        this.runners = runners;
+        HookSubsystem hookSubsystem = subsystems.get(HookSubsystem.class);
+        runners = hookSubsystem == null ? List.of() : hookSubsystem.executors();
         file.routes().routes().forEach(r -> byName.put(r.name(), r));
         rules = new HookRules(
                 file.classes(), file.tenants().stream().map(t -> t.name()).toList(), byName.keySet());
--- a/src/main/java/cacheproxy/daemon/ControlSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/ControlSubsystem.java
@@ -13,20 +13,24 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.function.Supplier;
 
 /** The daemon's control address: {@code GET /status}, and what other parts answer under their own paths. */
 final class ControlSubsystem implements Subsystem {
+    /** Its section of the configuration file. */
+    static final String SECTION = "control";
+
     private final ControlConfig spec;
     private final ControlServer door;
-    private final Map<String, Supplier<ControlRequestHandler>> others;
+    private final Supplier<Map<String, ControlRequestHandler>> others;
     private final DiagnosticEndpoints diagnostics;
     private boolean draining;
 
     private ControlSubsystem(
             ControlConfig spec,
             EventLoop loop,
-            Map<String, Supplier<ControlRequestHandler>> others,
+            Supplier<Map<String, ControlRequestHandler>> others,
             DiagnosticEndpoints diagnostics) {
         this.spec = spec;
         this.diagnostics = diagnostics;
@@ -34,24 +38,17 @@
         door = new ControlServer(loop, Transport.BEST.server(), this::call);
     }
 
-    /**
-     * @param others what answers calls whose path is such a word, or begins with it and a slash; a supplier of null:
-     *     nothing does
-     */
-    static Subsystem open(
-            DaemonConfig file,
-            Subsystem before,
-            EventLoop loop,
-            Map<String, Supplier<ControlRequestHandler>> others,
-            DiagnosticEndpoints diagnostics)
+    /** Binds; empty if the file has no {@code [control]}. */
+    static Optional<ControlSubsystem> open(SubsystemContext context, DaemonConfig file, Subsystem previous)
             throws ConfigException, InterruptedException {
         ControlConfig spec = file.part(ControlConfig.class);
         if (spec == null) {
-            return null;
+            return Optional.empty();
         }
-        ControlSubsystem part = new ControlSubsystem(spec, loop, others, diagnostics);
-        SocketBinder.require(part.door.bind(spec.listen()), file, "control", spec.listen());
-        return part;
+        ControlSubsystem control =
+                new ControlSubsystem(spec, context.core().loop(), context.controlHandlers(), context.diagnostics());
+        SocketBinder.require(control.door.bind(spec.listen()), file, SECTION, spec.listen());
+        return Optional.of(control);
     }
 
     private Answer call(String method, String uri) {
@@ -66,20 +63,18 @@
             return diagnostics.call(method, uri);
         }
         List<String> words = new ArrayList<>(List.of("/status"));
-        for (Map.Entry<String, Supplier<ControlRequestHandler>> e : others.entrySet()) {
-            ControlRequestHandler handler = e.getValue().get();
-            if (handler != null && (path.equals(e.getKey()) || path.startsWith(e.getKey() + "/"))) {
-                return handler.call(method, uri);
-            }
-            if (handler != null) {
-                words.add(e.getKey());
+        for (Map.Entry<String, ControlRequestHandler> other : others.get().entrySet()) {
+            if (path.equals(other.getKey()) || path.startsWith(other.getKey() + "/")) {
+                return other.getValue().call(method, uri);
             }
+            words.add(other.getKey());
         }
         return new Answer(404, "the calls are GET " + String.join(", GET ", words) + ", " + DiagnosticEndpoints.NAMES);
     }
 
-    InetSocketAddress address() {
-        return door.address();
+    @Override
+    public Optional<InetSocketAddress> address() {
+        return Optional.of(door.address());
     }
 
     @Override
--- a/src/main/java/cacheproxy/daemon/Daemon.java
+++ b/src/main/java/cacheproxy/daemon/Daemon.java
@@ -5,9 +5,6 @@
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.DaemonConfigReader;
 import cacheproxy.control.DiagnosticEndpoints;
-import cacheproxy.daemon.fleet.FleetSubsystem;
-import cacheproxy.daemon.hooks.HookSubsystem;
-import cacheproxy.daemon.snapshot.SnapshotSubsystem;
 import cacheproxy.limits.ServerStartTimes;
 import cacheproxy.limits.SlowStartBudget;
 import cacheproxy.proxy.ClientRegistry;
@@ -31,6 +28,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.concurrent.CountDownLatch;
@@ -77,6 +75,7 @@
     private Path seedFrom;
 
     private final Subsystems parts;
+    private final SubsystemContext context;
 
     /** A pool that no new request comes to. */
     private static final class Leaving {
@@ -99,20 +98,15 @@
         core.watchPauses();
         clients = new ClientRegistry(core, Math.max(16, sockets - sockets / 3 - OWN_DESCRIPTORS));
         router = new Router(core);
-        parts = new Subsystems(
-                task -> loop.submit(task).syncUninterruptibly(),
-                List.of(
-                        (f, before) -> SnapshotSubsystem.open(f, before, core, this::snapshot, seedFrom),
-                        (f, before) -> HookSubsystem.open(f, core),
-                        (f, before) -> SiblingSocket.open(f, before, core, seeds.nextInt(), router::generation),
-                        (f, before) -> FleetSubsystem.open(f, before, core, seeds.nextLong(), router::generation),
-                        (f, before) -> ControlSubsystem.open(
-                                f,
-                                before,
-                                loop,
-                                FleetSubsystem.answers(() -> part(FleetSubsystem.class)),
-                                new DiagnosticEndpoints(
-                                        core.invariants::summary, core.events::enabled, this::reloadElsewhere))));
+        parts = new Subsystems(task -> loop.submit(task).syncUninterruptibly(), StandardSubsystems.ALL);
+        context = new SubsystemContext(
+                core,
+                seeds,
+                router::generation,
+                this::snapshot,
+                () -> Optional.ofNullable(seedFrom),
+                parts::controlHandlers,
+                new DiagnosticEndpoints(core.invariants::summary, core.events::enabled, this::reloadElsewhere));
     }
 
     /** What {@code POST /reload} of the control address does, on a thread of its own. Null: nothing. */
@@ -131,8 +125,9 @@
         return true;
     }
 
-    private <T extends Subsystem> T part(Class<T> kind) {
-        return parts.get(kind);
+    /** The subsystem of this class or with this role; null where the file has none. From any thread. */
+    public <T> T subsystem(Class<T> role) {
+        return parts.get(role);
     }
 
     /** Starts; the exception says which listener could not be bound. */
@@ -199,22 +194,14 @@
                 .getNow();
     }
 
-    /** Where siblings ask; null where none are configured. */
+    /** The address of the ICP socket; null where none is configured. */
     public InetSocketAddress icpAddress() {
-        SiblingSocket siblings = part(SiblingSocket.class);
-        return siblings == null ? null : siblings.address();
+        return parts.address(SiblingSocket.SECTION).orElse(null);
     }
 
-    /** Where operators call; null where no control address is configured. */
+    /** The control address; null where none is configured. */
     public InetSocketAddress controlAddress() {
-        ControlSubsystem control = part(ControlSubsystem.class);
-        return control == null ? null : control.address();
-    }
-
-    /** Memory files written and their bytes, for measurements. */
-    public long[] memoryWritten() {
-        SnapshotSubsystem memory = part(SnapshotSubsystem.class);
-        return memory == null ? new long[2] : memory.written();
+        return parts.address(ControlSubsystem.SECTION).orElse(null);
     }
 
     /** Pools at work, those that are leaving among them; for tests. */
@@ -255,7 +242,7 @@
         }
         Subsystems.Change change;
         try {
-            change = parts.prepare(file);
+            change = parts.prepare(context, file);
         } catch (ConfigException e) {
             fresh.values().forEach(Listener::close);
             throw e;
@@ -263,10 +250,10 @@
         loop.submit(() -> {
                     change.commit();
                     commit(file, fresh);
-                    change.closeOld();
+                    change.closeReplaced();
                 })
                 .sync();
-        change.endOld();
+        change.endReplaced();
     }
 
     private StandardMetaProtocol open(DaemonConfig file, DaemonConfig.Listen l) {
@@ -291,9 +278,9 @@
         ConfigSnapshot before = router.generation();
         figures(file);
         births(file, before, now);
-        SnapshotSubsystem memory = part(SnapshotSubsystem.class);
-        if (before == null && memory != null) {
-            memory.births(births, now);
+        LearnedStateSource restored = parts.get(LearnedStateSource.class);
+        if (before == null && restored != null) {
+            restored.restoreStartTimes(births, now);
         }
         Map<String, PoolRuntime> pools = new LinkedHashMap<>();
         for (DaemonConfig.Pool p : file.pools().values()) {
@@ -312,18 +299,12 @@
                                 cold,
                                 births,
                                 standing != null
-                                        ? SnapshotSubsystem.handOver(file, p, standing, now)
-                                        : memory == null ? null : memory.recollections(file, p),
-                                part(SiblingSocket.class),
-                                () -> part(FleetSubsystem.class)));
+                                        ? LearnedStates.handOver(file, p, standing, now)
+                                        : restored == null ? null : restored.recollections(file, p),
+                                parts));
             }
         }
-        router.use(new ConfigSnapshot(
-                file,
-                pools,
-                new RequestValidator(core, file.classes(), file.tenants()),
-                HookSubsystem.of(part(HookSubsystem.class)),
-                FleetSubsystem.limits(part(FleetSubsystem.class))));
+        router.use(new ConfigSnapshot(file, pools, new RequestValidator(core, file.classes(), file.tenants()), parts));
         if (before != null) {
             older.add(before);
             for (PoolRuntime p : before.pools.values()) {
@@ -481,10 +462,7 @@
         @Override
         public void connected(int server) {
             if (births.connected(server, core.now())) {
-                SiblingSocket siblings = part(SiblingSocket.class);
-                if (siblings != null) {
-                    siblings.restarted(server);
-                }
+                parts.serverRestarted(server);
                 // Not from within the connection's own event: a list retires connections to what has restarted.
                 loop.execute(() -> router.generation().pools.values().stream()
                         .filter(p -> p.spec().discovery() == null && p.has(server))
@@ -515,7 +493,7 @@
         DaemonConfig file = router.generation().file;
         Map<String, StateSnapshot.Pool> pools = new LinkedHashMap<>();
         router.generation().pools.forEach((name, p) -> pools.put(name, p.learned(mostKeys)));
-        Map<Integer, String> addresses = SnapshotSubsystem.addresses(file);
+        Map<Integer, String> addresses = LearnedStates.addresses(file);
         List<StateSnapshot.Birth> told = new ArrayList<>();
         for (int server : births.known()) {
             double born = births.of(server) == ServerStartTimes.UNUSED ? 0 : births.of(server);
--- /dev/null
+++ b/src/main/java/cacheproxy/daemon/FleetCoordination.java
@@ -0,0 +1,33 @@
+package cacheproxy.daemon;
+
+import cacheproxy.daemon.fleet.FleetQuotas;
+import cacheproxy.policy.PolicyApi.Outcome;
+import cacheproxy.proxy.Dispatcher;
+
+/**
+ * What pools and requests ask of the fleet that this proxy belongs to: health checks made by one proxy for all, the
+ * delegated watch of discovery, and fleet-wide quotas. On the event loop only.
+ */
+public interface FleetCoordination {
+    /**
+     * Takes over the health check of a server that a pool's policy has ordered.
+     *
+     * @return false if the pool has to make the check itself
+     */
+    boolean takeHealthCheck(Dispatcher pool, int server);
+
+    /** Returns whether a pool may send a client's request to an ejected server, as its health check. */
+    boolean mayProbe(Dispatcher pool, int server);
+
+    /** Reports the outcome of an attempt of a client's request. */
+    void attemptEnded(Dispatcher pool, int server, Outcome outcome);
+
+    /** Returns whether this proxy itself long-polls discovery for a pool. */
+    boolean watchesClosely(String pool);
+
+    /** Reports the version of an endpoint list that has arrived for a pool. */
+    void listReceived(String pool, long version);
+
+    /** The quotas of the fleet. */
+    FleetQuotas quotas();
+}
--- /dev/null
+++ b/src/main/java/cacheproxy/daemon/LearnedStates.java
@@ -0,0 +1,60 @@
+package cacheproxy.daemon;
+
+import cacheproxy.config.Addresses;
+import cacheproxy.config.DaemonConfig;
+import cacheproxy.proxy.DiscoveryClient;
+import cacheproxy.proxy.Dispatcher;
+import cacheproxy.snapshot.state.StateSnapshot;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+
+/** Conversions between the learned state of pools and the snapshots that carry it to other pools. */
+public final class LearnedStates {
+    private LearnedStates() {}
+
+    /** The state that a pool hands to the one that replaces it. */
+    static Dispatcher.Recollections handOver(
+            DaemonConfig file, DaemonConfig.Pool pool, PoolRuntime from, double nowMs) {
+        StateSnapshot snapshot = new StateSnapshot(
+                file.site().name(),
+                file.site().me(),
+                nowMs,
+                0,
+                Map.of(pool.name(), from.learned(Integer.MAX_VALUE)),
+                List.of());
+        return recollections(snapshot, 1, file, pool);
+    }
+
+    /**
+     * The state of a snapshot for a pool that starts.
+     *
+     * @param trust weight of the restored figures, 0 to 1
+     */
+    public static Dispatcher.Recollections recollections(
+            StateSnapshot snapshot, double trust, DaemonConfig file, DaemonConfig.Pool pool) {
+        String keyScheme = PoolSettings.keyScheme(file, pool);
+        return (nowMs, servers) -> {
+            List<StateSnapshot.Present> present = new ArrayList<>();
+            for (DiscoveryClient.Host host : servers) {
+                present.add(new StateSnapshot.Present(
+                        host.member().id(),
+                        Addresses.text(host.dial()),
+                        host.member().bornMs()));
+            }
+            return snapshot.left(pool.name(), keyScheme, nowMs, trust, present);
+        };
+    }
+
+    /** The addresses of the servers that a configuration names, by server id. */
+    public static Map<Integer, String> addresses(DaemonConfig file) {
+        Map<Integer, String> addresses = new HashMap<>();
+        for (DaemonConfig.Pool pool : file.pools().values()) {
+            PoolSettings.all(pool).stream()
+                    .filter(server -> server.dial() != null)
+                    .forEach(server -> addresses.put(server.id(), Addresses.text(server.dial())));
+        }
+        return addresses;
+    }
+}
--- a/src/main/java/cacheproxy/daemon/PoolRuntime.java
+++ b/src/main/java/cacheproxy/daemon/PoolRuntime.java
@@ -3,7 +3,6 @@
 import cacheproxy.config.Addresses;
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.SiblingConfig;
-import cacheproxy.daemon.fleet.FleetSubsystem;
 import cacheproxy.limits.PoolAdmissionControl;
 import cacheproxy.limits.PoolLimiter;
 import cacheproxy.limits.RetryBudget;
@@ -54,8 +53,9 @@
             SlowStartBudget cold,
             ServerStartTimes births,
             Dispatcher.Recollections recollections,
-            SiblingSocket siblings,
-            Supplier<FleetSubsystem> fleet) {
+            Subsystems subsystems) {
+        Supplier<FleetCoordination> fleet = () -> subsystems.get(FleetCoordination.class);
+        SiblingSocket siblings = subsystems.get(SiblingSocket.class);
         name = spec.name();
         this.file = file;
         this.spec = spec;
@@ -100,20 +100,20 @@
         }
     }
 
-    private boolean mayTry(FleetSubsystem fleet, int server) {
-        return fleet == null || fleet.mayTry(dispatcher, server);
+    private boolean mayTry(FleetCoordination fleet, int server) {
+        return fleet == null || fleet.mayProbe(dispatcher, server);
     }
 
     private final class Probes implements Dispatcher.Probes {
-        private final Supplier<FleetSubsystem> fleet;
+        private final Supplier<FleetCoordination> fleet;
 
-        Probes(Supplier<FleetSubsystem> fleet) {
+        Probes(Supplier<FleetCoordination> fleet) {
             this.fleet = fleet;
         }
 
         @Override
         public boolean take(int server) {
-            return fleet.get() != null && fleet.get().takeProbe(dispatcher, server);
+            return fleet.get() != null && fleet.get().takeHealthCheck(dispatcher, server);
         }
 
         @Override
@@ -126,21 +126,21 @@
 
     /** Where the fleet has no say this proxy watches by itself. */
     private final class Pace implements DiscoveryClient.Pace {
-        private final Supplier<FleetSubsystem> fleet;
+        private final Supplier<FleetCoordination> fleet;
 
-        Pace(Supplier<FleetSubsystem> fleet) {
+        Pace(Supplier<FleetCoordination> fleet) {
             this.fleet = fleet;
         }
 
         @Override
         public boolean closely() {
-            return fleet.get() == null || fleet.get().closely(name);
+            return fleet.get() == null || fleet.get().watchesClosely(name);
         }
 
         @Override
         public void have(long version) {
             if (fleet.get() != null) {
-                fleet.get().have(name, version);
+                fleet.get().listReceived(name, version);
             }
         }
     }
--- a/src/main/java/cacheproxy/daemon/SiblingSocket.java
+++ b/src/main/java/cacheproxy/daemon/SiblingSocket.java
@@ -23,6 +23,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.function.IntConsumer;
 import java.util.function.Supplier;
@@ -33,6 +34,9 @@
  * and addresses; an answer is never longer than its question.
  */
 final class SiblingSocket implements Subsystem {
+    /** Its section of the configuration file. */
+    static final String SECTION = "icp";
+
     /** Servers that the digest tells apart. */
     private static final int MOST_SERVERS = 4096;
     /** Strangers that are remembered for what they were denied. */
@@ -77,16 +81,16 @@
         });
     }
 
-    /** Null where the file has no ICP. */
-    static Subsystem open(
-            DaemonConfig file, Subsystem before, EventLoopContext core, int seed, Supplier<ConfigSnapshot> generation)
+    /** Binds; empty if the file has no {@code [icp]}. */
+    static Optional<SiblingSocket> open(SubsystemContext context, DaemonConfig file, Subsystem previous)
             throws ConfigException, InterruptedException {
+        int seed = context.random().nextInt();
         if (SiblingConfig.of(file).icp() == null) {
-            return null;
+            return Optional.empty();
         }
-        SiblingSocket s = bind(file, core, (SiblingSocket) before, seed);
-        s.generation = generation;
-        return s;
+        SiblingSocket socket = bind(file, context.core(), (SiblingSocket) previous, seed);
+        socket.generation = context.configuration();
+        return Optional.of(socket);
     }
 
     private static SiblingSocket bind(DaemonConfig file, EventLoopContext core, SiblingSocket before, int seed)
@@ -117,8 +121,9 @@
         return spec.equals(SiblingConfig.of(other));
     }
 
-    InetSocketAddress address() {
-        return (InetSocketAddress) channel.localAddress();
+    @Override
+    public Optional<InetSocketAddress> address() {
+        return Optional.of((InetSocketAddress) channel.localAddress());
     }
 
     SiblingStats record(SiblingConfig.Sibling s) {
@@ -150,7 +155,8 @@
         digest.gone(RequestValidator.keyNumber(key));
     }
 
-    void restarted(int server) {
+    @Override
+    public void serverRestarted(int server) {
         digest.restarted(server);
     }
 
--- /dev/null
+++ b/src/main/java/cacheproxy/daemon/StandardSubsystems.java
@@ -0,0 +1,19 @@
+package cacheproxy.daemon;
+
+import cacheproxy.daemon.fleet.FleetSubsystem;
+import cacheproxy.daemon.hooks.HookSubsystem;
+import cacheproxy.daemon.snapshot.SnapshotSubsystem;
+import java.util.List;
+
+/** The subsystems of the daemon: the one place where they are listed. */
+final class StandardSubsystems {
+    /** In the order in which they are opened and adopt a configuration. */
+    static final List<Subsystem.Registration> ALL = List.of(
+            new Subsystem.Registration("memory", SnapshotSubsystem::open),
+            new Subsystem.Registration("hook", HookSubsystem::open),
+            new Subsystem.Registration(SiblingSocket.SECTION, SiblingSocket::open),
+            new Subsystem.Registration("fleet", FleetSubsystem::open),
+            new Subsystem.Registration(ControlSubsystem.SECTION, ControlSubsystem::open));
+
+    private StandardSubsystems() {}
+}
--- a/src/main/java/cacheproxy/daemon/Subsystem.java
+++ b/src/main/java/cacheproxy/daemon/Subsystem.java
@@ -2,51 +2,75 @@
 
 import cacheproxy.config.ConfigException;
 import cacheproxy.config.DaemonConfig;
+import cacheproxy.control.ControlRequestHandler;
+import java.net.InetSocketAddress;
+import java.util.Map;
+import java.util.Optional;
 
 /**
- * A subsystem of the daemon. It is opened on a file before anything changes, takes its place with the file's other
- * parts, goes on under later files that it fits, and is replaced by one that was opened on a file that it does not fit.
- * All but opening and restoring on the event loop.
+ * A part of the daemon with a section of the configuration file, such as the control address or the fleet. It is opened
+ * before a new configuration is committed, stays in place under later configurations that it {@linkplain #fits fits},
+ * and is otherwise replaced. The event loop calls all methods but {@link #restore}, {@link #finish} and {@link #end},
+ * which may block and are called from other threads.
  */
 public interface Subsystem {
-    /** Opens one for a file. */
-    interface Opener {
+    /** Opens a subsystem for a configuration. */
+    interface Factory {
         /**
-         * Not on the event loop: may wait. The exception says why the file can't be used; then all stays as it is.
-         * Where it wants the address of the one before, that one lets go of it, and is asked to {@link #restore} it if
-         * the file is not taken.
+         * Opens a subsystem; called off the event loop, so it may block. A subsystem that binds the same address as
+         * {@code previous} releases it there first, and {@code previous} is asked to {@link #restore} it if the
+         * configuration is rejected.
          *
-         * @param before the one whose place it would take; null: none
-         * @return null where the file has no such part
+         * @param previous the instance that would be replaced; null if there is none
+         * @return empty if the configuration does not use this subsystem
+         * @throws ConfigException if the configuration cannot be used; everything then stays as it was
          */
-        Subsystem open(DaemonConfig file, Subsystem before) throws ConfigException, InterruptedException;
+        Optional<? extends Subsystem> open(SubsystemContext context, DaemonConfig file, Subsystem previous)
+                throws ConfigException, InterruptedException;
     }
 
-    /** Whether it can go on under another file; what may differ it takes from the file in {@link #apply}. */
+    /**
+     * A subsystem as the daemon knows it.
+     *
+     * @param section the main section of the configuration file
+     */
+    record Registration(String section, Factory factory) {}
+
+    /** Returns whether this instance can continue under another configuration, adopted by {@link #apply}. */
     boolean fits(DaemonConfig file);
 
-    /** The file counts from now on; also called for the one that it was opened on. */
+    /** Adopts a committed configuration, including the one that the subsystem was opened for. */
     default void apply(DaemonConfig file) {}
 
     /**
-     * Another that had taken its address is not used after all, so it takes it back. Not on the event loop.
+     * Takes back an address that a rejected replacement had bound. Not on the event loop.
      *
-     * @param file any; for the exception
+     * @param file the rejected configuration, named in errors
      */
     default void restore(DaemonConfig file) throws ConfigException, InterruptedException {}
 
-    /** The process is to end; it goes on for as long as requests are being answered. */
+    /** Prepares for the end of the process; requests are still being served. */
     default void drain() {}
 
-    /**
-     * The last request has been answered and the process ends: what is worth keeping is kept. Not on the event loop:
-     * may wait.
-     */
+    /** Saves what should outlive the process, after the last response. Not on the event loop, may block. */
     default void finish() {}
 
-    /** It ends at once; nothing of it is in use any more. */
+    /** Ends at once; nothing uses this instance any more. */
     void close();
 
-    /** After {@link #close}, what has to be waited for. Not on the event loop. */
+    /** Waits for whatever {@link #close} has started. Not on the event loop. */
     default void end() {}
+
+    /** A server of the configuration file has restarted, so that its contents are gone. */
+    default void serverRestarted(int server) {}
+
+    /** The requests that this subsystem answers at the control address, by the first segment of their path. */
+    default Map<String, ControlRequestHandler> controlHandlers() {
+        return Map.of();
+    }
+
+    /** The address that this subsystem is bound to, if it listens anywhere. */
+    default Optional<InetSocketAddress> address() {
+        return Optional.empty();
+    }
 }
--- a/src/main/java/cacheproxy/daemon/Subsystems.java
+++ b/src/main/java/cacheproxy/daemon/Subsystems.java
@@ -2,118 +2,165 @@
 
 import cacheproxy.config.ConfigException;
 import cacheproxy.config.DaemonConfig;
+import cacheproxy.control.ControlRequestHandler;
+import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.Collections;
+import java.util.LinkedHashMap;
 import java.util.List;
+import java.util.Map;
+import java.util.Objects;
+import java.util.Optional;
 import java.util.concurrent.Executor;
+import java.util.stream.Stream;
 
-/** The daemon's parts, replaced together: all of a new file's are open before the first of the old ones is let go. */
-final class Subsystems {
+/**
+ * The daemon's subsystems, replaced together: all those of a new configuration are open before the first of the old
+ * ones is closed.
+ */
+public final class Subsystems {
     private final Executor onLoop;
-    private final List<Subsystem.Opener> openers;
+    private final List<Subsystem.Registration> registrations;
+    /** One slot a registration; null where the configuration does not use it. */
     private volatile List<Subsystem> present;
 
     /**
-     * @param onLoop runs on the event loop and returns once it has
-     * @param openers in the order in which their parts take their places
+     * No subsystem is open yet.
+     *
+     * @param onLoop runs a task on the event loop and returns once it has ended
+     * @param registrations in the order in which the subsystems are opened and adopt a configuration
      */
-    Subsystems(Executor onLoop, List<Subsystem.Opener> openers) {
+    Subsystems(Executor onLoop, List<Subsystem.Registration> registrations) {
         this.onLoop = onLoop;
-        this.openers = List.copyOf(openers);
-        present = Collections.nCopies(openers.size(), null);
+        this.registrations = List.copyOf(registrations);
+        present = Collections.nCopies(registrations.size(), null);
     }
 
-    /** The part of this kind; null if there is none. From any thread. */
-    <T extends Subsystem> T get(Class<T> kind) {
-        return present.stream()
-                .filter(kind::isInstance)
-                .map(kind::cast)
-                .findFirst()
-                .orElse(null);
+    /** The subsystem of this class or with this role; null if there is none. From any thread. */
+    public <T> T get(Class<T> role) {
+        for (Subsystem subsystem : present) {
+            if (role.isInstance(subsystem)) {
+                return role.cast(subsystem);
+            }
+        }
+        return null;
+    }
+
+    /** The address of the subsystem that is registered for a section. From any thread. */
+    Optional<InetSocketAddress> address(String section) {
+        List<Subsystem> current = present;
+        for (int i = 0; i < registrations.size(); i++) {
+            if (registrations.get(i).section().equals(section) && current.get(i) != null) {
+                return current.get(i).address();
+            }
+        }
+        return Optional.empty();
     }
 
-    /** What a new file would change. */
+    /** What all subsystems answer at the control address, in order of registration. */
+    Map<String, ControlRequestHandler> controlHandlers() {
+        Map<String, ControlRequestHandler> handlers = new LinkedHashMap<>();
+        open().forEach(subsystem -> handlers.putAll(subsystem.controlHandlers()));
+        return handlers;
+    }
+
+    private Stream<Subsystem> open() {
+        return present.stream().filter(Objects::nonNull);
+    }
+
+    /** The transition to a new configuration. */
     final class Change {
         private final DaemonConfig file;
         private final List<Subsystem> next = new ArrayList<>();
-        private List<Subsystem> before = List.of();
+        private List<Subsystem> previous = List.of();
 
         private Change(DaemonConfig file) {
             this.file = file;
         }
 
-        /** The new ones take their places; on the event loop. */
+        /** Puts the new subsystems in place; on the event loop. */
         void commit() {
-            before = present;
+            previous = present;
             present = Collections.unmodifiableList(next);
-            present.stream().filter(p -> p != null).forEach(p -> p.apply(file));
+            open().forEach(subsystem -> subsystem.apply(file));
         }
 
-        /** Nothing uses the old ones any more; on the event loop. */
-        void closeOld() {
-            old().forEach(Subsystem::close);
+        /** Closes the replaced subsystems, which nothing uses any more; on the event loop. */
+        void closeReplaced() {
+            replaced().forEach(Subsystem::close);
         }
 
-        /** Not on the event loop. */
-        void endOld() {
-            old().forEach(Subsystem::end);
+        /** Waits for the end of the replaced subsystems; not on the event loop. */
+        void endReplaced() {
+            replaced().forEach(Subsystem::end);
         }
 
-        private List<Subsystem> old() {
-            return before.stream().filter(p -> p != null && !next.contains(p)).toList();
+        private List<Subsystem> replaced() {
+            return previous.stream()
+                    .filter(subsystem -> subsystem != null && !next.contains(subsystem))
+                    .toList();
         }
 
-        /** The file is not taken after all; not on the event loop. */
-        private void drop() throws ConfigException, InterruptedException {
-            for (Subsystem p : next) {
-                if (p != null && !present.contains(p)) {
-                    onLoop.execute(p::close);
-                    p.end();
+        /** Closes what was opened for a rejected configuration; not on the event loop. */
+        private void rollBack() throws ConfigException, InterruptedException {
+            for (Subsystem subsystem : next) {
+                if (subsystem != null && !present.contains(subsystem)) {
+                    onLoop.execute(subsystem::close);
+                    subsystem.end();
                 }
             }
-            for (Subsystem p : present) {
-                if (p != null) {
-                    p.restore(file);
+            for (Subsystem subsystem : present) {
+                if (subsystem != null) {
+                    subsystem.restore(file);
                 }
             }
         }
     }
 
-    /** Opens what the file needs; not on the event loop. */
-    Change prepare(DaemonConfig file) throws ConfigException, InterruptedException {
+    /** Opens what a configuration needs; not on the event loop. */
+    Change prepare(SubsystemContext context, DaemonConfig file) throws ConfigException, InterruptedException {
         Change change = new Change(file);
         try {
-            for (int i = 0; i < openers.size(); i++) {
-                Subsystem standing = present.get(i);
+            for (int i = 0; i < registrations.size(); i++) {
+                Subsystem current = present.get(i);
                 change.next.add(
-                        standing != null && standing.fits(file)
-                                ? standing
-                                : openers.get(i).open(file, standing));
+                        current != null && current.fits(file)
+                                ? current
+                                : registrations
+                                        .get(i)
+                                        .factory()
+                                        .open(context, file, current)
+                                        .orElse(null));
             }
         } catch (ConfigException | InterruptedException | RuntimeException e) {
-            change.drop();
+            change.rollBack();
             throw e;
         }
         return change;
     }
 
-    /** On the event loop. */
+    /** Tells all subsystems of a server's restart; on the event loop. */
+    void serverRestarted(int server) {
+        open().forEach(subsystem -> subsystem.serverRestarted(server));
+    }
+
+    /** Prepares all for the end of the process; on the event loop. */
     void drain() {
-        present.stream().filter(p -> p != null).forEach(Subsystem::drain);
+        open().forEach(Subsystem::drain);
     }
 
-    /** Not on the event loop. */
+    /** Saves what should outlive the process; not on the event loop. */
     void finish() {
-        present.stream().filter(p -> p != null).forEach(Subsystem::finish);
+        open().forEach(Subsystem::finish);
     }
 
-    /** Not on the event loop. */
+    /** Waits for the end of all; not on the event loop. */
     void end() {
-        present.stream().filter(p -> p != null).forEach(Subsystem::end);
+        open().forEach(Subsystem::end);
     }
 
-    /** On the event loop. */
+    /** Closes all; on the event loop. */
     void close() {
-        present.stream().filter(p -> p != null).forEach(Subsystem::close);
+        open().forEach(Subsystem::close);
     }
 }
--- a/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
@@ -7,8 +7,10 @@
 import cacheproxy.control.ControlEndpoints.Answer;
 import cacheproxy.control.ControlRequestHandler;
 import cacheproxy.daemon.ConfigSnapshot;
+import cacheproxy.daemon.FleetCoordination;
 import cacheproxy.daemon.SocketBinder;
 import cacheproxy.daemon.Subsystem;
+import cacheproxy.daemon.SubsystemContext;
 import cacheproxy.fleet.lease.EventLoopHealth;
 import cacheproxy.fleet.lease.LeaseHandle;
 import cacheproxy.fleet.lease.LeaseManager;
@@ -35,6 +37,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.Supplier;
@@ -44,7 +47,7 @@
  * {@code lease}'s and {@code peers}'; this carries messages, calls them in time, and answers operators. On the event
  * loop only.
  */
-public final class FleetSubsystem implements Subsystem {
+public final class FleetSubsystem implements Subsystem, FleetCoordination {
     private static final byte LEASES = 1;
     /** Due times are looked at so often, at the least; by it the loop's lateness is seen, too. */
     private static final double TICK_MS = 20;
@@ -119,12 +122,12 @@
     }
 
     /** Binds; not on the event loop. */
-    public static Subsystem open(
-            DaemonConfig file, Subsystem before, EventLoopContext core, long seed, Supplier<ConfigSnapshot> generation)
+    public static Optional<FleetSubsystem> open(SubsystemContext context, DaemonConfig file, Subsystem before)
             throws ConfigException, InterruptedException {
+        long seed = context.random().nextLong();
         FleetConfig spec = file.part(FleetConfig.class);
         if (spec == null) {
-            return null;
+            return Optional.empty();
         }
         FleetSubsystem old = (FleetSubsystem) before;
         if (old != null && SocketBinder.same(old.spec.listen(), spec.listen())) {
@@ -133,12 +136,12 @@
         // What the one before has given its word on may run for its own longest lease.
         FleetSubsystem part = new FleetSubsystem(
                 spec,
-                core,
+                context.core(),
                 seed,
                 old == null ? 0 : Math.max(0, old.spec.longestLeaseMs() - spec.longestLeaseMs()),
-                generation);
+                context.configuration());
         part.listen(file);
-        return part;
+        return Optional.of(part);
     }
 
     private void listen(DaemonConfig asked) throws ConfigException, InterruptedException {
@@ -274,13 +277,13 @@
 
     // ---- who acts under duties
 
-    /** What answers operators, by the first word of the path. */
-    public static Map<String, Supplier<ControlRequestHandler>> answers(Supplier<FleetSubsystem> present) {
-        Map<String, Supplier<ControlRequestHandler>> answers = new LinkedHashMap<>();
-        answers.put("/duties", () -> present.get() == null ? null : present.get().calls);
-        answers.put("/limits", () -> present.get() == null ? null : present.get().limits::call);
-        answers.put("/fleet", () -> present.get() == null ? null : present.get()::state);
-        return answers;
+    @Override
+    public Map<String, ControlRequestHandler> controlHandlers() {
+        Map<String, ControlRequestHandler> handlers = new LinkedHashMap<>();
+        handlers.put("/duties", calls);
+        handlers.put("/limits", limits::call);
+        handlers.put("/fleet", this::state);
+        return handlers;
     }
 
     private Answer state(String method, String uri) {
@@ -303,33 +306,33 @@
         return new Answer(200, o.toString());
     }
 
-    /** The fleet's limits at a daemon; null where it is of no fleet. */
-    public static FleetQuotas limits(FleetSubsystem part) {
-        return part == null ? null : part.limits;
+    @Override
+    public FleetQuotas quotas() {
+        return limits;
     }
 
-    /** Takes over a test of a server that a pool's module has ordered; false: the pool makes it. */
-    public boolean takeProbe(Dispatcher pool, int server) {
+    @Override
+    public boolean takeHealthCheck(Dispatcher pool, int server) {
         return !closed && probes.take(pool, server);
     }
 
-    /** Whether a pool's module may send a client's request to a server that seemed sick, as its trial. */
-    public boolean mayTry(Dispatcher pool, int server) {
+    @Override
+    public boolean mayProbe(Dispatcher pool, int server) {
         return closed || probes.mayTry(pool, server);
     }
 
-    /** An attempt of a request has ended. */
+    @Override
     public void attemptEnded(Dispatcher pool, int server, Outcome outcome) {
         probes.attemptEnded(pool, server, outcome);
     }
 
-    /** Whether a pool's list is to be watched closely from here. */
-    public boolean closely(String pool) {
+    @Override
+    public boolean watchesClosely(String pool) {
         return closed || watches.closely(pool);
     }
 
-    /** A list has come for a pool. */
-    public void have(String pool, long version) {
+    @Override
+    public void listReceived(String pool, long version) {
         watches.have(pool, version);
     }
 
--- a/src/main/java/cacheproxy/daemon/hooks/HookSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookSubsystem.java
@@ -4,8 +4,10 @@
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.HookConfig;
 import cacheproxy.daemon.Subsystem;
+import cacheproxy.daemon.SubsystemContext;
 import cacheproxy.proxy.EventLoopContext;
 import java.util.List;
+import java.util.Optional;
 
 /** The hooks of a file. They are loaded anew with every file: a module may have changed behind its path. */
 public final class HookSubsystem implements Subsystem {
@@ -18,13 +20,17 @@
         this.runners = runners;
     }
 
-    public static Subsystem open(DaemonConfig file, EventLoopContext core) throws ConfigException {
-        return HookConfig.of(file).isEmpty() ? null : new HookSubsystem(core, Hooks.load(file));
+    /** Loads and starts the hooks of a configuration, each on a thread of its own; empty if it has none. */
+    public static Optional<HookSubsystem> open(SubsystemContext context, DaemonConfig file, Subsystem previous)
+            throws ConfigException {
+        return HookConfig.of(file).isEmpty()
+                ? Optional.empty()
+                : Optional.of(new HookSubsystem(context.core(), Hooks.load(file)));
     }
 
-    /** Those of a part that may not be there. */
-    public static List<HookExecutor> of(HookSubsystem part) {
-        return part == null ? List.of() : part.runners;
+    /** The running hooks, in the order in which requests pass them. */
+    public List<HookExecutor> executors() {
+        return runners;
     }
 
     @Override
--- a/src/main/java/cacheproxy/daemon/snapshot/SnapshotSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/snapshot/SnapshotSubsystem.java
@@ -1,13 +1,12 @@
 package cacheproxy.daemon.snapshot;
 
-import cacheproxy.config.Addresses;
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.SnapshotConfig;
-import cacheproxy.daemon.PoolRuntime;
-import cacheproxy.daemon.PoolSettings;
+import cacheproxy.daemon.LearnedStateSource;
+import cacheproxy.daemon.LearnedStates;
 import cacheproxy.daemon.Subsystem;
+import cacheproxy.daemon.SubsystemContext;
 import cacheproxy.limits.ServerStartTimes;
-import cacheproxy.proxy.DiscoveryClient;
 import cacheproxy.proxy.Dispatcher;
 import cacheproxy.proxy.EventLoopContext;
 import cacheproxy.snapshot.SnapshotStore;
@@ -15,10 +14,7 @@
 import cacheproxy.snapshot.state.StateSnapshot;
 import java.io.IOException;
 import java.nio.file.Path;
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.List;
-import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntFunction;
@@ -27,7 +23,7 @@
  * Keeps what the modules learn in a file, where one is configured, and gives it to modules that start. Reading is done
  * before the daemon begins, writing on a thread of its own; the event loop only puts together what is to be written.
  */
-public final class SnapshotSubsystem implements Subsystem {
+public final class SnapshotSubsystem implements Subsystem, LearnedStateSource {
     /** What a last write may take at the end of the process; the clients have had their answers by then. */
     private static final long FINISH_MS = 1000;
     /** A sibling's knowledge is of the same servers, but not from where this proxy stands. */
@@ -74,28 +70,24 @@
     }
 
     /**
-     * One for this file; what can't be used is told in the log, and the daemon runs without. Blocks.
-     *
-     * @param snapshot what is to be remembered, with at most so many hot keys a pool; called on the event loop
-     * @param sibling whose memory counts where there is none of one's own; null: nobody's
+     * One for this file; what can't be used is told in the log, and the daemon runs without. Blocks. Empty where
+     * nothing is to be kept and there is no sibling's to start from.
      */
-    public static Subsystem open(
-            DaemonConfig file,
-            Subsystem before,
-            EventLoopContext core,
-            IntFunction<StateSnapshot> snapshot,
-            Path sibling) {
+    public static Optional<SnapshotSubsystem> open(SubsystemContext context, DaemonConfig file, Subsystem before) {
         SnapshotConfig spec = file.part(SnapshotConfig.class);
+        Path sibling = context.siblingSnapshot().get().orElse(null);
         if (spec == null && sibling == null) {
-            return null;
+            return Optional.empty();
         }
+        EventLoopContext core = context.core();
         SnapshotSubsystem old = (SnapshotSubsystem) before;
         if (old != null && spec != null && old.spec != null && old.spec.path().equals(spec.path())) {
             old.end(); // both would write there
         }
-        SnapshotSubsystem keeper = new SnapshotSubsystem(file, core, snapshot, spec == null ? null : lock(spec, core));
+        SnapshotSubsystem keeper =
+                new SnapshotSubsystem(file, core, context.learnedState(), spec == null ? null : lock(spec, core));
         keeper.remember(sibling);
-        return keeper;
+        return Optional.of(keeper);
     }
 
     /** Null, and told in the log, where they can't be had. */
@@ -160,53 +152,18 @@
         }
     }
 
-    /** What a pool's module is to be given; null: nothing. */
+    @Override
     public Dispatcher.Recollections recollections(DaemonConfig of, DaemonConfig.Pool pool) {
-        return remembered == null ? null : from(remembered, trust, of, pool);
-    }
-
-    /** What the module of a pool that is replaced hands to the one that takes its place. */
-    public static Dispatcher.Recollections handOver(
-            DaemonConfig of, DaemonConfig.Pool pool, PoolRuntime from, double now) {
-        StateSnapshot r = new StateSnapshot(
-                of.site().name(),
-                of.site().me(),
-                now,
-                0,
-                Map.of(pool.name(), from.learned(Integer.MAX_VALUE)),
-                List.of());
-        return from(r, 1, of, pool);
-    }
-
-    private static Dispatcher.Recollections from(
-            StateSnapshot r, double trust, DaemonConfig of, DaemonConfig.Pool pool) {
-        String keyScheme = PoolSettings.keyScheme(of, pool);
-        return (now, servers) -> {
-            List<StateSnapshot.Present> present = new ArrayList<>();
-            for (DiscoveryClient.Host h : servers) {
-                present.add(new StateSnapshot.Present(
-                        h.member().id(), Addresses.text(h.dial()), h.member().bornMs()));
-            }
-            return r.left(pool.name(), keyScheme, now, trust, present);
-        };
+        return remembered == null ? null : LearnedStates.recollections(remembered, trust, of, pool);
     }
 
-    /** Gives back what is remembered of starts. */
-    public void births(ServerStartTimes to, double now) {
+    @Override
+    public void restoreStartTimes(ServerStartTimes to, double now) {
         if (remembered != null) {
-            remembered.births(now, addresses(file)).forEach(b -> to.recall(b.id(), b.bornMs(), b.down(), now));
-        }
-    }
-
-    /** Where the servers that a file names stand. */
-    public static Map<Integer, String> addresses(DaemonConfig file) {
-        Map<Integer, String> addresses = new HashMap<>();
-        for (DaemonConfig.Pool p : file.pools().values()) {
-            PoolSettings.all(p).stream()
-                    .filter(s -> s.dial() != null)
-                    .forEach(s -> addresses.put(s.id(), Addresses.text(s.dial())));
+            remembered
+                    .births(now, LearnedStates.addresses(file))
+                    .forEach(b -> to.recall(b.id(), b.bornMs(), b.down(), now));
         }
-        return addresses;
     }
 
     /** Begins to write, if it has not. */
