--- a/src/main/java/cacheproxy/cli/CheckCommand.java
+++ b/src/main/java/cacheproxy/cli/CheckCommand.java
@@ -35,7 +35,7 @@
             e.errors().forEach(spec.commandLine().getErr()::println);
             return Cli.UNUSABLE;
         }
-        FleetConfig fleet = f.part(FleetConfig.class);
+        FleetConfig fleet = f.section(FleetConfig.class);
         if (fleet != null) {
             fleet.warnings().forEach(w -> spec.commandLine().getErr().println(file + ": warning: " + w));
         }
--- a/src/main/java/cacheproxy/cli/ControlCall.java
+++ b/src/main/java/cacheproxy/cli/ControlCall.java
@@ -25,7 +25,7 @@
     /** Null after it has been told why nothing came. */
     Answer ask(String method, String path) {
         try {
-            InetSocketAddress to = Addresses.of(control);
+            InetSocketAddress to = Addresses.parse(control);
             try (Socket s = new Socket()) {
                 s.connect(to, PATIENCE_MS);
                 s.setSoTimeout(PATIENCE_MS);
--- a/src/main/java/cacheproxy/cli/ExplainCommand.java
+++ b/src/main/java/cacheproxy/cli/ExplainCommand.java
@@ -1,6 +1,7 @@
 package cacheproxy.cli;
 
 import cacheproxy.config.DaemonConfig;
+import cacheproxy.config.ListenerConfig;
 import cacheproxy.daemon.RouteExplainer;
 import cacheproxy.routes.RouteInput;
 import java.io.PrintWriter;
@@ -56,7 +57,7 @@
         if (f == null) {
             return Cli.UNUSABLE;
         }
-        DaemonConfig.Listen at = f.listeners().stream()
+        ListenerConfig at = f.listeners().stream()
                 .filter(l -> listener == null || l.name().equals(listener))
                 .findFirst()
                 .orElse(null);
--- a/src/main/java/cacheproxy/cli/ImportNginxCommand.java
+++ b/src/main/java/cacheproxy/cli/ImportNginxCommand.java
@@ -157,9 +157,9 @@
             return null;
         }
         try {
-            InetSocketAddress at = Addresses.of(listen);
+            InetSocketAddress at = Addresses.parse(listen);
             for (Map.Entry<String, String> e : dial.entrySet()) {
-                if (Addresses.of(e.getValue()).getPort() == 0) {
+                if (Addresses.parse(e.getValue()).getPort() == 0) {
                     throw new IllegalArgumentException("'" + e.getValue() + "' has port 0");
                 }
             }
--- a/src/main/java/cacheproxy/cli/NginxComparison.java
+++ b/src/main/java/cacheproxy/cli/NginxComparison.java
@@ -1,6 +1,7 @@
 package cacheproxy.cli;
 
 import cacheproxy.config.DaemonConfig;
+import cacheproxy.config.ListenerConfig;
 import cacheproxy.daemon.RouteExplainer;
 import cacheproxy.fakes.NginxReferenceModel;
 import cacheproxy.nginx.ConfParser;
@@ -71,7 +72,7 @@
     }
 
     private Goal here(String key) {
-        DaemonConfig.Listen at = imported.listeners().get(0);
+        ListenerConfig at = imported.listeners().get(0);
         RouteInput s = imported.keys().subject(at.name(), key, imported.classIndex(at.readClass()), 0, false);
         String line = s == null ? "" : explainer.lines(s, false).get(0);
         int pool = line.indexOf(" pool=");
--- a/src/main/java/cacheproxy/config/ChunkedTomlParser.java
+++ b/src/main/java/cacheproxy/config/ChunkedTomlParser.java
@@ -7,89 +7,108 @@
 import org.tomlj.TomlPosition;
 
 /**
- * A TOML text parsed in parts, cut before tables of the top level. The parser keeps several objects for each character
- * until it is done, some 200 bytes in all; parts bound that for files of any length.
+ * Parses a TOML text in chunks that begin at top-level tables. The parser keeps some 200 bytes for each character until
+ * it is done; chunks bound that for files of any length.
  */
 final class ChunkedTomlParser {
-    /** A part is cut at the first table behind so many characters. */
-    static final int PART = 64 << 10;
+    /** A chunk ends at the first top-level table after this many characters. */
+    static final int MIN_CHUNK_CHARS = 64 << 10;
 
-    /** One part; its lines count from {@code before}. */
-    record Part(TomlParseResult toml, int before) {
-        TomlPosition at(TomlPosition p) {
-            return p == null ? null : TomlPosition.positionAt(p.line() + before, p.column());
+    private final String text;
+    private final List<Integer> boundaries = new ArrayList<>();
+
+    /**
+     * One parsed chunk.
+     *
+     * @param linesBefore lines of the file before the chunk
+     */
+    record Chunk(TomlParseResult toml, int linesBefore) {
+        /** Converts a position in the chunk to one in the file; null stays null. */
+        TomlPosition inFile(TomlPosition position) {
+            return position == null ? null : TomlPosition.positionAt(position.line() + linesBefore, position.column());
         }
     }
 
-    private ChunkedTomlParser() {}
+    private ChunkedTomlParser(String text) {
+        this.text = text;
+    }
 
-    static List<Part> parse(String text) {
-        List<Part> parts = new ArrayList<>();
-        int from = 0;
-        int line = 0;
-        for (int cut : cuts(text)) {
-            parts.add(new Part(Toml.parse(text.substring(from, cut)), line));
-            line += (int)
-                    text.substring(from, cut).chars().filter(c -> c == '\n').count();
-            from = cut;
+    /** Parses a whole text; syntax errors are in the chunks' results. */
+    static List<Chunk> parse(String text) {
+        ChunkedTomlParser parser = new ChunkedTomlParser(text);
+        parser.findBoundaries();
+        List<Chunk> chunks = new ArrayList<>();
+        int start = 0;
+        int lines = 0;
+        for (int end : parser.boundaries) {
+            String chunk = text.substring(start, end);
+            chunks.add(new Chunk(Toml.parse(chunk), lines));
+            lines += (int) chunk.chars().filter(character -> character == '\n').count();
+            start = end;
         }
-        parts.add(new Part(Toml.parse(text.substring(from)), line));
-        return parts;
+        chunks.add(new Chunk(Toml.parse(text.substring(start)), lines));
+        return chunks;
     }
 
-    /** Where lines begin that may be the first of a part. */
-    private static List<Integer> cuts(String text) {
-        List<Integer> cuts = new ArrayList<>();
-        int brackets = 0; // open ones of arrays and inline tables
-        boolean lineStart = true;
-        int last = 0;
+    /** Finds the starts of lines at which a chunk may begin, outside of strings, comments, arrays and inline tables. */
+    private void findBoundaries() {
+        int openBrackets = 0;
+        boolean atLineStart = true;
+        int lastBoundary = 0;
         for (int i = 0; i < text.length(); i++) {
-            char c = text.charAt(i);
-            if (c == '\n') {
-                lineStart = true;
+            char character = text.charAt(i);
+            if (character == '\n') {
+                atLineStart = true;
                 continue;
             }
-            if (lineStart && brackets == 0 && c == '[' && i - last >= PART && isTopLevel(text, i)) {
-                cuts.add(i);
-                last = i;
+            boolean mayBegin = atLineStart && openBrackets == 0 && character == '[';
+            if (mayBegin && i - lastBoundary >= MIN_CHUNK_CHARS && isTopLevelHeader(i)) {
+                boundaries.add(i);
+                lastBoundary = i;
             }
-            lineStart &= c == ' ' || c == '\t';
-            switch (c) {
-                case '#' -> i = endOf(text, "\n", i, false) - 1;
-                case '"', '\'' -> {
-                    String quote = String.valueOf(c);
-                    boolean basic = c == '"';
-                    if (text.startsWith(quote.repeat(3), i)) {
-                        i = endOf(text, quote.repeat(3), i + 3, basic) + 2;
-                    } else {
-                        i = endOf(text, quote, i + 1, basic);
-                    }
-                }
-                case '[', '{' -> brackets++;
-                case ']', '}' -> brackets = Math.max(0, brackets - 1);
+            atLineStart &= character == ' ' || character == '\t';
+            switch (character) {
+                case '#' -> i = indexOf("\n", i, false) - 1;
+                case '"', '\'' -> i = lastIndexOfString(i);
+                case '[', '{' -> openBrackets++;
+                case ']', '}' -> openBrackets = Math.max(0, openBrackets - 1);
                 default -> {}
             }
         }
-        return cuts;
     }
 
-    /** Whether a table's head follows whose name has no dot: {@code [[route]]}, but not {@code [[pool.server]]}. */
-    private static boolean isTopLevel(String text, int at) {
-        int i = at;
+    /** Returns the index of the last character of the string that begins at {@code start}. */
+    private int lastIndexOfString(int start) {
+        String quote = text.substring(start, start + 1);
+        boolean basic = quote.equals("\"");
+        String multiLine = quote.repeat(3);
+        return text.startsWith(multiLine, start)
+                ? indexOf(multiLine, start + multiLine.length(), basic) + multiLine.length() - 1
+                : indexOf(quote, start + 1, basic);
+    }
+
+    /**
+     * Returns whether a table's header without a dot begins here: {@code [[route]]}, but not {@code [[pool.server]]}.
+     */
+    private boolean isTopLevelHeader(int start) {
+        int i = start;
         while (i < text.length() && text.charAt(i) == '[') {
             i++;
         }
-        int from = i;
-        while (i < text.length()
-                && (Character.isLetterOrDigit(text.charAt(i)) || text.charAt(i) == '_' || text.charAt(i) == '-')) {
+        int nameStart = i;
+        while (i < text.length() && isBareKeyCharacter(text.charAt(i))) {
             i++;
         }
-        return i > from && i < text.length() && text.charAt(i) == ']';
+        return i > nameStart && i < text.length() && text.charAt(i) == ']';
+    }
+
+    private static boolean isBareKeyCharacter(char character) {
+        return Character.isLetterOrDigit(character) || character == '_' || character == '-';
     }
 
-    /** Where the closing text begins; the end of all if there is none, which the parser tells of. */
-    private static int endOf(String text, String closing, int from, boolean escapes) {
-        for (int i = from; i < text.length(); i++) {
+    /** Returns where {@code closing} begins, or the text's end if it is missing, which the TOML parser reports. */
+    private int indexOf(String closing, int start, boolean escapes) {
+        for (int i = start; i < text.length(); i++) {
             if (escapes && text.charAt(i) == '\\') {
                 i++;
             } else if (text.startsWith(closing, i)) {
--- a/src/main/java/cacheproxy/config/ConfigException.java
+++ b/src/main/java/cacheproxy/config/ConfigException.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** A file that can't be used, with all that is wrong with it. */
+/** A configuration that cannot be used, with everything that is wrong with it. */
 public final class ConfigException extends Exception {
     private static final long serialVersionUID = 1L;
     private final transient List<String> errors;
@@ -12,12 +12,12 @@
         this.errors = List.copyOf(errors);
     }
 
-    /** Of what was found wrong after the file had been read. */
+    /** An exception for errors that were found after the file had been read, such as an address that is in use. */
     public static ConfigException of(List<String> errors) {
         return new ConfigException(errors);
     }
 
-    /** One line each: {@code file:line:column: what is wrong, what is allowed}. */
+    /** One line for each error: {@code file:line:column: what is wrong, what is allowed}. */
     public List<String> errors() {
         return errors;
     }
--- a/src/main/java/cacheproxy/config/ControlConfig.java
+++ b/src/main/java/cacheproxy/config/ControlConfig.java
@@ -2,15 +2,16 @@
 
 import java.net.InetSocketAddress;
 
-/** {@code [control]}: the operators' address. */
+/** {@code [control]}: the address at which operators reach the daemon. */
 public record ControlConfig(InetSocketAddress listen) {
-    static ControlConfig read(TomlTableReader root) {
-        TomlTableReader s = root.section("control");
-        if (s == null) {
+    /** Null if the file has no such section. */
+    static ControlConfig read(TomlTableReader root, ConfigReferences references) {
+        TomlTableReader table = root.table("control");
+        if (table == null) {
             return null;
         }
-        ControlConfig c = new ControlConfig(DaemonConfigReader.address(s, "listen", true));
-        s.end();
-        return c;
+        ControlConfig control = new ControlConfig(ConfigValues.listenAddress(table, "listen"));
+        table.rejectUnknownKeys();
+        return control;
     }
 }
--- /dev/null
+++ b/src/main/java/cacheproxy/config/DelegatedWatchConfig.java
@@ -0,0 +1,52 @@
+package cacheproxy.config;
+
+/**
+ * {@code [fleet.watch]}: one proxy of a zone watches discovery for the zone.
+ *
+ * @param heartbeatMs between two heartbeats of it
+ * @param heartbeatTtlMs for how long a heartbeat counts
+ * @param followerPollMs between two polls of the other proxies
+ * @param pollSpreadMs within which the others poll after a change
+ */
+public record DelegatedWatchConfig(
+        double leaseMs,
+        int voters,
+        double heartbeatMs,
+        double heartbeatTtlMs,
+        double followerPollMs,
+        double pollSpreadMs) {
+    /** A proxy that does not watch polls discovery at least this often. */
+    private static final double MAX_POLL_MS = 10_000;
+
+    private static final double USUAL_LEASE_MS = 1000;
+    /** A heartbeat usually counts for so many periods, so that a lost one changes nothing. */
+    private static final int USUAL_TTL_HEARTBEATS = 3;
+
+    /** Null if the fleet has no such section. */
+    static DelegatedWatchConfig read(TomlTableReader fleet, double longestLeaseMs) {
+        TomlTableReader table = fleet.table("watch");
+        if (table == null) {
+            return null;
+        }
+        double heartbeatMs = table.number("beat_ms", 1000, 20, MAX_POLL_MS);
+        double usualTtlMs = Math.min(USUAL_TTL_HEARTBEATS * heartbeatMs, MAX_POLL_MS);
+        double ttlMs = table.number("word_ms", usualTtlMs, 40, MAX_POLL_MS);
+        DelegatedWatchConfig watch = new DelegatedWatchConfig(
+                FleetNames.leaseMs(table, longestLeaseMs, USUAL_LEASE_MS),
+                FleetNames.voters(table),
+                heartbeatMs,
+                ttlMs,
+                table.number("lazy_ms", MAX_POLL_MS, 40, MAX_POLL_MS),
+                table.number("gather_ms", 300, 0, 60_000));
+        if (ttlMs <= heartbeatMs) {
+            table.error(
+                    "word_ms",
+                    "word_ms is " + ttlMs + " and no longer than beat_ms: each lost word would have all watch");
+        }
+        if (watch.followerPollMs < ttlMs) {
+            table.error("lazy_ms", "lazy_ms is " + watch.followerPollMs + " and shorter than word_ms, " + ttlMs);
+        }
+        table.rejectUnknownKeys();
+        return watch;
+    }
+}
--- /dev/null
+++ b/src/main/java/cacheproxy/config/DiscoveryConfig.java
@@ -0,0 +1,37 @@
+package cacheproxy.config;
+
+import java.net.InetSocketAddress;
+import java.util.List;
+
+/**
+ * {@code [pool.discovery]}: a service whose endpoint list a pool follows.
+ *
+ * @param kinds classes of machine that the list names
+ * @param originKind the one of them that is the origin; null if there is none
+ */
+public record DiscoveryConfig(InetSocketAddress address, List<String> zones, List<String> kinds, String originKind) {
+    /** Reads the section of a pool; null if it has none. */
+    static DiscoveryConfig read(TomlTableReader pool) {
+        TomlTableReader table = pool.table("discovery");
+        if (table == null) {
+            return null;
+        }
+        List<String> kinds = table.texts("kinds");
+        String originKind = table.text("origin_kind", null);
+        if (kinds.isEmpty()) {
+            table.error("kinds", "discovery needs kinds, the classes of machine that its list names");
+        }
+        if (originKind != null && !kinds.contains(originKind)) {
+            table.error(
+                    "origin_kind", "origin_kind '" + originKind + "' is none of kinds: " + String.join(", ", kinds));
+        }
+        List<String> zones = table.texts("zones");
+        if (zones.isEmpty()) {
+            table.error("zones", "discovery needs zones, the sites that its list names");
+        }
+        DiscoveryConfig discovery =
+                new DiscoveryConfig(ConfigValues.serverAddress(table, "address"), zones, kinds, originKind);
+        table.rejectUnknownKeys();
+        return discovery;
+    }
+}
--- a/src/main/java/cacheproxy/config/HookConfig.java
+++ b/src/main/java/cacheproxy/config/HookConfig.java
@@ -2,120 +2,86 @@
 
 import cacheproxy.hooks.HookModule;
 import java.nio.file.Path;
-import java.util.ArrayList;
-import java.util.Comparator;
-import java.util.HashSet;
-import java.util.List;
 import java.util.Set;
+import java.util.regex.Pattern;
 
 /**
- * {@code [[hook]]}: plug-ins in WebAssembly.
+ * {@code [[hook]]}: a plug-in in WebAssembly.
  *
- * @param hooks in the order in which they are called
+ * @param place in the configuration file, for errors
+ * @param module path of the WebAssembly module
+ * @param sha256 digest that the module must have; null if it is not checked
+ * @param listeners whose requests it gets; empty for all
+ * @param routes names of the routes whose requests it gets; empty for all
+ * @param rejectOnFailure whether a request is rejected where the hook fails; else it goes on unchanged
+ * @param retryAfterMs after which clients of rejected requests may retry
+ * @param queueCapacity calls that may wait
+ * @param breakerFailureRatio part of the calls that may fail before the circuit breaker opens
+ * @param breakerOffMs how long the circuit breaker stays open
+ * @param config given to the module when it is loaded
  */
-public record HookConfig(List<Hook> hooks) {
-    /** Each has a thread. */
-    private static final int MAX_HOOKS = 16;
+public record HookConfig(
+        String name,
+        String place,
+        Path module,
+        String sha256,
+        Set<String> listeners,
+        Set<String> routes,
+        int order,
+        HookModule.Limits limits,
+        boolean rejectOnFailure,
+        double retryAfterMs,
+        int queueCapacity,
+        double breakerFailureRatio,
+        double breakerOffMs,
+        String config) {
+    private static final Pattern SHA256 = Pattern.compile("[0-9a-f]{64}");
+    private static final int MAX_CONFIG_CHARS = 32_768;
+    private static final int MAX_ORDER = 1_000_000;
 
-    private static final int MAX_CONFIG = 32_768;
-
-    /**
-     * A plug-in.
-     *
-     * @param at place in the file, for errors
-     * @param module path of the WebAssembly module
-     * @param sha256 what it must be; null: not checked
-     * @param listeners whose requests it gets; empty: all
-     * @param routes whose requests it gets, by the routes' names; empty: all
-     * @param refuse whether a request is refused where it fails; else it goes on as it was
-     * @param queue calls that may wait
-     * @param breakerShare of calls that may fail before it is switched off
-     */
-    public record Hook(
-            String name,
-            String at,
-            Path module,
-            String sha256,
-            Set<String> listeners,
-            Set<String> routes,
-            int order,
-            HookModule.Limits limits,
-            boolean refuse,
-            double refuseMs,
-            int queue,
-            double breakerShare,
-            double breakerOffMs,
-            String config) {}
-
-    /** Those of a file. */
-    public static List<Hook> of(DaemonConfig file) {
-        HookConfig s = file.part(HookConfig.class);
-        return s == null ? List.of() : s.hooks;
-    }
-
-    static HookConfig read(TomlTableReader root, DaemonConfigReader.Known known) {
-        List<Hook> hooks = new ArrayList<>();
-        Set<String> names = new HashSet<>();
-        root.sections("hook").forEach(h -> hooks.add(hook(known, h, names)));
-        if (hooks.size() > MAX_HOOKS) {
-            known.errors().add(null, hooks.size() + " hooks; at most " + MAX_HOOKS);
-        }
-        hooks.sort(Comparator.comparingInt(Hook::order));
-        return hooks.isEmpty() ? null : new HookConfig(List.copyOf(hooks));
-    }
-
-    private static Hook hook(DaemonConfigReader.Known known, TomlTableReader s, Set<String> names) {
-        String name = DaemonConfigReader.name(s, names, "hook");
-        String text = s.text("module");
-        Path module = known.beside(s, "module", text);
-        String digest = s.text("sha256", null);
-        if (digest != null && !digest.matches("[0-9a-f]{64}")) {
-            s.error("sha256", "sha256 is 64 lower-case hexadecimal digits");
+    /** Reads one hook and adds its name to those taken. */
+    static HookConfig read(TomlTableReader table, ConfigReferences references, Set<String> names) {
+        String name = ConfigValues.uniqueName(table, names, "hook");
+        Path module = references.pathBesideFile(table, "module", table.text("module"));
+        String sha256 = table.text("sha256", null);
+        if (sha256 != null && !SHA256.matcher(sha256).matches()) {
+            table.error("sha256", "sha256 is 64 lower-case hexadecimal digits");
         }
-        Set<String> from = new HashSet<>();
-        for (String l : s.texts("listener")) {
-            from.add(l);
-            if (!known.listeners().contains(l)) {
-                s.error(
-                        "listener",
-                        "there is no listener '" + l + "'; there are: "
-                                + String.join(", ", DaemonConfigReader.sorted(known.listeners())));
-            }
-        }
-        for (String r : s.texts("route")) {
-            if (!known.routes().contains(r)) {
-                s.error(
-                        "route",
-                        "there is no route '" + r + "'; there are: "
-                                + String.join(", ", DaemonConfigReader.sorted(known.routes())));
-            }
-        }
-        double fuel = s.number("fuel", 200_000, 1000, 1e9);
-        HookModule.Limits limits = new HookModule.Limits(
-                s.integer("memory_pages", 16, 1, 1024),
-                (long) fuel,
-                (long) s.number("load_fuel", 10_000_000, 1000, 1e10),
-                s.number("time_ms", 50, 1, 10_000),
-                s.flag("compiled", true));
-        Hook hook = new Hook(
+        Set<String> listeners = Set.copyOf(table.references("listener", references.listeners(), "listener"));
+        table.references("route", references.routes(), "route");
+        HookConfig hook = new HookConfig(
                 name,
-                known.file() + ":" + s.at("name").line() + ":" + s.at("name").column(),
+                place(table, references),
                 module,
-                digest,
-                from,
-                Set.copyOf(s.texts("route")),
-                s.integer("order", 0, -1_000_000, 1_000_000),
-                limits,
-                s.oneOf("on_failure", "skip", "skip", "refuse").equals("refuse"),
-                s.number("refuse_ms", 100, 1, DaemonConfigReader.HOUR_MS),
-                s.integer("queue", 256, 1, 65_536),
-                s.number("breaker_share", 0.5, 0, 1),
-                s.number("breaker_off_ms", 5000, 1, DaemonConfigReader.HOUR_MS),
-                s.text("config", ""));
-        if (hook.config().length() > MAX_CONFIG) {
-            s.error("config", "config has more than " + MAX_CONFIG + " characters");
+                sha256,
+                listeners,
+                Set.copyOf(table.texts("route")),
+                table.integer("order", 0, -MAX_ORDER, MAX_ORDER),
+                readLimits(table),
+                table.oneOf("on_failure", "skip", "skip", "refuse").equals("refuse"),
+                table.number("refuse_ms", 100, 1, ConfigValues.HOUR_MS),
+                table.integer("queue", 256, 1, 65_536),
+                table.number("breaker_share", 0.5, 0, 1),
+                table.number("breaker_off_ms", 5000, 1, ConfigValues.HOUR_MS),
+                table.text("config", ""));
+        if (hook.config.length() > MAX_CONFIG_CHARS) {
+            table.error("config", "config has more than " + MAX_CONFIG_CHARS + " characters");
         }
-        s.end();
+        table.rejectUnknownKeys();
         return hook;
     }
+
+    private static String place(TomlTableReader table, ConfigReferences references) {
+        return references.file() + ":" + table.positionOf("name").line() + ":"
+                + table.positionOf("name").column();
+    }
+
+    private static HookModule.Limits readLimits(TomlTableReader table) {
+        return new HookModule.Limits(
+                table.integer("memory_pages", 16, 1, 1024),
+                (long) table.number("fuel", 200_000, 1000, 1e9),
+                (long) table.number("load_fuel", 10_000_000, 1000, 1e10),
+                table.number("time_ms", 50, 1, 10_000),
+                table.flag("compiled", true));
+    }
 }
--- /dev/null
+++ b/src/main/java/cacheproxy/config/PlacementTemplates.java
@@ -0,0 +1,32 @@
+package cacheproxy.config;
+
+import cacheproxy.routes.PlacementTemplate;
+
+/** Reads what a placement hashes. */
+final class PlacementTemplates {
+    private PlacementTemplates() {}
+
+    /**
+     * Reads a template; null where the key is absent or after an error.
+     *
+     * @param groups of the route's regex that the template may refer to
+     */
+    static PlacementTemplate read(TomlTableReader table, String key, int groups) {
+        String text = table.text(key, null);
+        if (text == null) {
+            return null;
+        }
+        try {
+            PlacementTemplate template = new PlacementTemplate(text);
+            if (template.groups() > groups) {
+                String remedy =
+                        groups == 0 ? "only routes with a regex have groups" : "the route's first regex has " + groups;
+                table.error(key, key + ": '$" + template.groups() + "' is no group; " + remedy);
+            }
+            return template;
+        } catch (IllegalArgumentException e) {
+            table.error(key, key + ": " + e.getMessage());
+            return null;
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/cacheproxy/config/QuotasConfig.java
@@ -0,0 +1,66 @@
+package cacheproxy.config;
+
+import cacheproxy.policy.PolicyApi.ServiceClass;
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+
+/**
+ * {@code [fleet.limits]} and {@code [[fleet.limit]]}: what all proxies of a fleet together may spend.
+ *
+ * @param grantTtlMs for how long a grant may be spent, the same at all proxies
+ * @param leaseMs duration of the allocators' leases
+ * @param leaseCount leases over which quotas are spread, the same at all proxies
+ * @param maxHoldMs longest time for which a request is in progress
+ */
+public record QuotasConfig(
+        double grantTtlMs, double leaseMs, int voters, int leaseCount, double maxHoldMs, List<QuotaConfig> quotas) {
+    private static final int MAX_QUOTAS = 1000;
+    private static final double USUAL_LEASE_MS = 1000;
+    /** A request is answered at most this long after its deadline. */
+    private static final double MAX_ANSWER_DELAY_MS = 250;
+
+    /** Copies the list. */
+    public QuotasConfig {
+        quotas = List.copyOf(quotas);
+    }
+
+    /** The leases of the allocators; empty if there are no quotas. */
+    public List<String> leaseNames() {
+        return quotas.isEmpty() ? List.of() : FleetNames.numbered(FleetNames.QUOTA_PREFIX, leaseCount);
+    }
+
+    /** Reads the quotas of a fleet; without a section of their own the defaults hold. */
+    static QuotasConfig read(TomlTableReader fleet, ConfigReferences references, double longestLeaseMs) {
+        TomlTableReader table = fleet.tableOrEmpty("limits");
+        double grantTtlMs = table.number("grant_ms", 1000, 100, 60_000);
+        double leaseMs = FleetNames.leaseMs(table, longestLeaseMs, USUAL_LEASE_MS);
+        int voters = FleetNames.voters(table);
+        int leaseCount = table.integer("shares", 4, 1, 64);
+        table.rejectUnknownKeys();
+        List<QuotaConfig> quotas = readQuotas(fleet, references);
+        double longestDeadlineMs = references.classes().stream()
+                .mapToDouble(ServiceClass::deadlineMs)
+                .max()
+                .orElse(0);
+        return new QuotasConfig(
+                grantTtlMs, leaseMs, voters, leaseCount, longestDeadlineMs + MAX_ANSWER_DELAY_MS, quotas);
+    }
+
+    private static List<QuotaConfig> readQuotas(TomlTableReader fleet, ConfigReferences references) {
+        List<TomlTableReader> tables = fleet.tables("limit");
+        List<QuotaConfig> quotas = new ArrayList<>();
+        Set<String> names = new HashSet<>();
+        int count = 0;
+        for (TomlTableReader table : tables) {
+            QuotaConfig quota = QuotaConfig.read(table, names, references);
+            quotas.add(quota);
+            count += quota.countWith(references.tenants().size());
+        }
+        if (count > MAX_QUOTAS) {
+            tables.get(0).error("name", count + " limits, each tenant's own counted; at most " + MAX_QUOTAS);
+        }
+        return quotas;
+    }
+}
--- /dev/null
+++ b/src/main/java/cacheproxy/config/SiblingsConfig.java
@@ -0,0 +1,56 @@
+package cacheproxy.config;
+
+import java.util.ArrayList;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+
+/**
+ * {@code [icp]} and all {@code [[sibling]]}s: caches of other fleets that are queried before the origin.
+ *
+ * @param icp null if no queries are sent or answered
+ */
+public record SiblingsConfig(IcpConfig icp, List<SiblingConfig> siblings) {
+    private static final SiblingsConfig NONE = new SiblingsConfig(null, List.of());
+
+    /** What a file says of siblings; never null. */
+    public static SiblingsConfig of(DaemonConfig file) {
+        SiblingsConfig section = file.section(SiblingsConfig.class);
+        return section == null ? NONE : section;
+    }
+
+    /** The sibling of this name, which must exist. */
+    public SiblingConfig sibling(String name) {
+        return siblings.stream()
+                .filter(sibling -> sibling.name().equals(name))
+                .findFirst()
+                .orElseThrow();
+    }
+
+    /** Null if the file says nothing of siblings. */
+    static SiblingsConfig read(TomlTableReader root, ConfigReferences references) {
+        List<SiblingConfig> siblings = new ArrayList<>();
+        Set<String> names = new HashSet<>();
+        Set<Integer> ids = new HashSet<>();
+        for (TomlTableReader table : root.tables("sibling")) {
+            siblings.add(SiblingConfig.read(table, references, names, ids));
+        }
+        IcpConfig icp = IcpConfig.read(root, references);
+        if (icp == null && !siblings.isEmpty()) {
+            references.errors().add(null, "siblings are asked by ICP; write [icp] with an address");
+        }
+        references
+                .pools()
+                .values()
+                .forEach(pool -> checkPool(pool, references.poolTables().get(pool.name()), names));
+        return icp == null && siblings.isEmpty() ? null : new SiblingsConfig(icp, List.copyOf(siblings));
+    }
+
+    private static void checkPool(PoolConfig pool, TomlTableReader table, Set<String> names) {
+        pool.siblings().forEach(sibling -> table.checkReference("siblings", sibling, names, "sibling"));
+        if (!pool.siblings().isEmpty() && pool.origin() == null) {
+            table.error(
+                    "siblings", "siblings are asked before a pool's own origin, and this pool has none in the file");
+        }
+    }
+}
--- a/src/main/java/cacheproxy/config/SnapshotConfig.java
+++ b/src/main/java/cacheproxy/config/SnapshotConfig.java
@@ -4,25 +4,26 @@
 import java.nio.file.Path;
 
 /**
- * {@code [memory]}: where what the modules learn is kept.
+ * {@code [memory]}: where snapshots of the learned state are kept.
  *
- * @param path the file; three more stand beside it
- * @param periodMs between two writings, at the least
- * @param keys hot keys of a pool that are kept, at most
- * @param bytesPerSecond bound on what is written
+ * @param path the snapshot file; three more stand beside it
+ * @param periodMs least time between two snapshots
+ * @param maxHotKeys hot keys saved for each pool
+ * @param bytesPerSecond bound of what is written
  */
-public record SnapshotConfig(Path path, double periodMs, int keys, double bytesPerSecond) {
-    static SnapshotConfig read(TomlTableReader root, DaemonConfigReader.Known known) {
-        TomlTableReader s = root.section("memory");
-        if (s == null) {
+public record SnapshotConfig(Path path, double periodMs, int maxHotKeys, double bytesPerSecond) {
+    /** Null if the file has no such section. */
+    static SnapshotConfig read(TomlTableReader root, ConfigReferences references) {
+        TomlTableReader table = root.table("memory");
+        if (table == null) {
             return null;
         }
-        SnapshotConfig memory = new SnapshotConfig(
-                known.beside(s, "path", s.text("path")),
-                s.number("period_ms", 2000, 50, DaemonConfigReader.HOUR_MS),
-                s.integer("keys", 256, 0, SnapshotCodec.MAX_KEYS),
-                s.number("bytes_per_second", 65_536, 1024, 1e9));
-        s.end();
-        return memory;
+        SnapshotConfig snapshot = new SnapshotConfig(
+                references.pathBesideFile(table, "path", table.text("path")),
+                table.number("period_ms", 2000, 50, ConfigValues.HOUR_MS),
+                table.integer("keys", 256, 0, SnapshotCodec.MAX_KEYS),
+                table.number("bytes_per_second", 65_536, 1024, 1e9));
+        table.rejectUnknownKeys();
+        return snapshot;
     }
 }
--- a/src/main/java/cacheproxy/config/TomlTableReader.java
+++ b/src/main/java/cacheproxy/config/TomlTableReader.java
@@ -1,6 +1,7 @@
 package cacheproxy.config;
 
 import java.util.ArrayList;
+import java.util.Collection;
 import java.util.LinkedHashSet;
 import java.util.List;
 import java.util.Set;
@@ -11,134 +12,126 @@
 import org.tomlj.TomlTable;
 
 /**
- * One table of the file while it is read. Each key that is asked for is known from then on; {@link #end} tells of all
- * others. What is wrong is noted with its place and a stand-in value goes on, so that one pass finds every error.
+ * Reads the values of one TOML table. Every key that is asked for counts as known; {@link #rejectUnknownKeys} reports
+ * all others. An error is collected with its place and the default is returned, so that one pass finds every error.
  */
 public final class TomlTableReader {
-    private final List<Piece> pieces;
-    private final String name;
-    private final TomlPosition at;
-    private final Errors errors;
-    private final Set<String> known = new LinkedHashSet<>();
-
-    /** A table, or what one part of the file has of it. */
-    private record Piece(TomlTable table, int before) {
-        TomlPosition at(TomlPosition p) {
-            return p == null ? null : TomlPosition.positionAt(p.line() + before, p.column());
-        }
-    }
+    /** Whole numbers below this are printed without a fraction; a double holds all of them exactly. */
+    private static final double MAX_PRINTED_WHOLE = 1e15;
 
-    /** All that was found to be wrong. */
-    static final class Errors {
-        private final String file;
-        private final List<Entry> entries = new ArrayList<>();
-
-        private record Entry(int line, int column, String text) {}
+    private final List<Fragment> fragments;
+    private final String name;
+    private final TomlPosition position;
+    private final ConfigErrors errors;
+    private final Set<String> knownKeys = new LinkedHashSet<>();
 
-        Errors(String file) {
-            this.file = file;
+    /** The part of a table that one chunk of the file has. */
+    private record Fragment(TomlTable table, int linesBefore) {
+        boolean has(String key) {
+            return table.contains(List.of(key));
         }
 
-        void add(TomlPosition at, String text) {
-            entries.add(new Entry(at == null ? 1 : at.line(), at == null ? 1 : at.column(), text));
+        Object get(String key) {
+            return table.get(List.of(key));
         }
 
-        boolean none() {
-            return entries.isEmpty();
+        TomlPosition positionOf(String key) {
+            return inFile(table.inputPositionOf(List.of(key)));
         }
 
-        /** In the file's order. */
-        List<String> lines() {
-            return entries.stream()
-                    .sorted((a, b) ->
-                            a.line != b.line ? Integer.compare(a.line, b.line) : Integer.compare(a.column, b.column))
-                    .map(e -> file + ":" + e.line + ":" + e.column + ": " + e.text)
-                    .toList();
+        TomlPosition inFile(TomlPosition inChunk) {
+            return inChunk == null ? null : TomlPosition.positionAt(inChunk.line() + linesBefore, inChunk.column());
         }
     }
 
-    private TomlTableReader(List<Piece> pieces, String name, TomlPosition at, Errors errors) {
-        this.pieces = pieces;
+    private TomlTableReader(List<Fragment> fragments, String name, TomlPosition position, ConfigErrors errors) {
+        this.fragments = fragments;
         this.name = name;
-        this.at = at;
+        this.position = position;
         this.errors = errors;
     }
 
     /**
-     * Reads a TOML text and checks it whole: the exception has a line for each thing that is wrong, unknown keys of the
-     * top level among them; those of other sections are told where the reader calls {@link #end}.
+     * Parses a TOML text and reads it whole. Unknown keys of the top level are errors as well; for other tables the
+     * reader calls {@link #rejectUnknownKeys}.
      *
-     * @param file stands for the file in errors
+     * @param file name of the file in errors
+     * @param reader reads the top-level table
+     * @throws ConfigException with one line for each error
      */
     public static <T> T parse(String file, String text, Function<TomlTableReader, T> reader) throws ConfigException {
-        Errors errors = new Errors(file);
-        List<ChunkedTomlParser.Part> parts = ChunkedTomlParser.parse(text);
-        for (ChunkedTomlParser.Part p : parts) {
-            p.toml().errors().forEach(e -> errors.add(p.at(e.position()), DaemonConfigReader.oneLine(e.getMessage())));
-        }
-        if (!errors.none()) {
-            throw new ConfigException(errors.lines());
+        ConfigErrors errors = new ConfigErrors(file);
+        List<ChunkedTomlParser.Chunk> chunks = ChunkedTomlParser.parse(text);
+        for (ChunkedTomlParser.Chunk chunk : chunks) {
+            chunk.toml()
+                    .errors()
+                    .forEach(error -> errors.add(chunk.inFile(error.position()), oneLine(error.getMessage())));
         }
-        TomlTableReader root = root(parts, errors);
-        T read = reader.apply(root);
-        root.end();
-        if (!errors.none()) {
-            throw new ConfigException(errors.lines());
-        }
-        return read;
+        errors.throwIfAny();
+        List<Fragment> fragments = chunks.stream()
+                .map(chunk -> new Fragment(chunk.toml(), chunk.linesBefore()))
+                .toList();
+        TomlTableReader root = new TomlTableReader(fragments, "", null, errors);
+        T result = reader.apply(root);
+        root.rejectUnknownKeys();
+        errors.throwIfAny();
+        return result;
     }
 
-    /** The whole file. */
-    static TomlTableReader root(List<ChunkedTomlParser.Part> parts, Errors errors) {
-        return new TomlTableReader(
-                parts.stream().map(p -> new Piece(p.toml(), p.before())).toList(), "", null, errors);
+    /** A message of a library, on one line. */
+    static String oneLine(String message) {
+        return String.valueOf(message).replaceAll("\\s+", " ");
     }
 
-    Errors errors() {
+    /** The errors of the whole file. */
+    ConfigErrors errors() {
         return errors;
     }
 
-    /** Where a key stands, or the table if it is not there. */
-    TomlPosition at(String key) {
-        for (Piece p : pieces) {
-            TomlPosition found = p.table.inputPositionOf(List.of(key));
+    /** The position of a key, or of the table if the key is absent. */
+    TomlPosition positionOf(String key) {
+        for (Fragment fragment : fragments) {
+            TomlPosition found = fragment.positionOf(key);
             if (found != null) {
-                return p.at(found);
+                return found;
             }
         }
-        return at;
+        return position;
     }
 
-    public void error(String key, String text) {
-        errors.add(at(key), text);
+    /** Reports an error at a key, or at the table if the key is absent. */
+    public void error(String key, String message) {
+        errors.add(positionOf(key), message);
     }
 
+    /** Returns whether the table has a key, which is known from then on. */
     public boolean has(String key) {
-        known.add(key);
-        return piece(key) != null;
+        knownKeys.add(key);
+        return fragmentWith(key) != null;
     }
 
-    /** The first that has a key; null if none does. */
-    private Piece piece(String key) {
-        for (Piece p : pieces) {
-            if (p.table.contains(List.of(key))) {
-                return p;
+    /** The first fragment with a key; null if there is none. */
+    private Fragment fragmentWith(String key) {
+        for (Fragment fragment : fragments) {
+            if (fragment.has(key)) {
+                return fragment;
             }
         }
         return null;
     }
 
     private Object value(String key) {
-        known.add(key);
-        Piece p = piece(key);
-        return p == null ? null : p.table.get(List.of(key));
+        knownKeys.add(key);
+        Fragment fragment = fragmentWith(key);
+        return fragment == null ? null : fragment.get(key);
     }
 
+    /** A required, non-empty text; empty after an error. */
     public String text(String key) {
         String value = text(key, null);
         if (value == null) {
-            if (piece(key) == null) {
-                errors.add(at, name + " has no " + key + "; it must have one, a text");
+            if (fragmentWith(key) == null) {
+                errors.add(position, name + " has no " + key + "; it must have one, a text");
             }
             return "";
         }
@@ -148,102 +141,144 @@
         return value;
     }
 
+    /** An optional text. */
     public String text(String key, String absent) {
         Object value = value(key);
-        if (value == null || value instanceof String) {
-            return value == null ? absent : (String) value;
+        if (value == null) {
+            return absent;
+        }
+        if (value instanceof String text) {
+            return text;
         }
         error(key, key + " is no text; put it in quotes");
         return absent;
     }
 
-    public double number(String key, double absent, double least, double most) {
+    /** An optional number from {@code min} to {@code max}; {@code absent} itself is not checked. */
+    public double number(String key, double absent, double min, double max) {
         Object value = value(key);
         if (value == null) {
             return absent;
         }
-        double n = value instanceof Number number ? number.doubleValue() : Double.NaN;
-        if (!(n >= least && n <= most)) {
-            error(
-                    key,
-                    key + " is " + (value instanceof Number ? figure(n) : "no number") + "; a number from "
-                            + figure(least) + " to " + figure(most) + " is wanted");
+        double number = value instanceof Number boxed ? boxed.doubleValue() : Double.NaN;
+        if (!(number >= min && number <= max)) {
+            String found = value instanceof Number ? format(number) : "no number";
+            error(key, key + " is " + found + "; a number from " + format(min) + " to " + format(max) + " is wanted");
             return absent;
         }
-        return n;
+        return number;
     }
 
-    public int integer(String key, int absent, int least, int most) {
+    /** An optional whole number from {@code min} to {@code max}; {@code absent} itself is not checked. */
+    public int integer(String key, int absent, int min, int max) {
         Object value = value(key);
         if (value != null && !(value instanceof Long)) {
-            error(key, key + " is no whole number; one from " + least + " to " + most + " is wanted");
+            error(key, key + " is no whole number; one from " + min + " to " + max + " is wanted");
             return absent;
         }
-        return (int) number(key, absent, least, most);
+        return (int) number(key, absent, min, max);
     }
 
-    private static String figure(double n) {
-        return n == Math.rint(n) && Math.abs(n) < 1e15 ? Long.toString((long) n) : Double.toString(n);
+    private static String format(double number) {
+        return number == Math.rint(number) && Math.abs(number) < MAX_PRINTED_WHOLE
+                ? Long.toString((long) number)
+                : Double.toString(number);
     }
 
+    /** An optional boolean. */
     public boolean flag(String key, boolean absent) {
         Object value = value(key);
-        if (value == null || value instanceof Boolean) {
-            return value == null ? absent : (Boolean) value;
+        if (value == null) {
+            return absent;
+        }
+        if (value instanceof Boolean flag) {
+            return flag;
         }
         error(key, key + " is neither true nor false");
         return absent;
     }
 
-    /** Null where the key is absent. */
+    /** A boolean; null where the key is absent. */
     Boolean flagOrNull(String key) {
         return has(key) ? Boolean.valueOf(flag(key, false)) : null;
     }
 
+    /** An optional text that must be one of those allowed. */
     public String oneOf(String key, String absent, String... allowed) {
-        String value = text(key, absent);
-        if (value != absent && !List.of(allowed).contains(value)) {
+        String value = text(key, null);
+        if (value == null) {
+            return absent;
+        }
+        if (!List.of(allowed).contains(value)) {
             error(key, key + " is '" + value + "'; allowed: " + String.join(", ", allowed));
             return absent;
         }
         return value;
     }
 
+    /**
+     * An optional text that must be a name that the file defines.
+     *
+     * @param kind what the names stand for, in the error
+     * @return the text even after an error; null where the key is absent
+     */
+    String reference(String key, Collection<String> names, String kind) {
+        String value = text(key, null);
+        if (value != null) {
+            checkReference(key, value, names, kind);
+        }
+        return value;
+    }
+
+    /** The texts of a key without repeats, each of which must be a name that the file defines. */
+    List<String> references(String key, Collection<String> names, String kind) {
+        List<String> values = texts(key);
+        values.forEach(value -> checkReference(key, value, names, kind));
+        return values.stream().distinct().toList();
+    }
+
+    /** Reports a value that is none of the names that the file defines; returns whether it is one. */
+    boolean checkReference(String key, String value, Collection<String> names, String kind) {
+        if (names.contains(value)) {
+            return true;
+        }
+        error(
+                key,
+                "there is no " + kind + " '" + value + "'; there are: "
+                        + String.join(", ", names.stream().distinct().sorted().toList()));
+        return false;
+    }
+
     /** A text or a list of texts; empty where the key is absent. */
     public List<String> texts(String key) {
         Object value = value(key);
-        if (value instanceof String s) {
-            return List.of(s);
+        if (value instanceof String text) {
+            return List.of(text);
         }
-        List<String> list = new ArrayList<>();
+        List<String> texts = new ArrayList<>();
         if (value instanceof TomlArray array) {
             for (int i = 0; i < array.size(); i++) {
-                if (array.get(i) instanceof String s) {
-                    list.add(s);
+                if (array.get(i) instanceof String text) {
+                    texts.add(text);
                 } else {
-                    errors.add(piece(key).at(array.inputPositionOf(i)), key + " holds something that is no text");
+                    errors.add(
+                            fragmentWith(key).inFile(array.inputPositionOf(i)),
+                            key + " holds something that is no text");
                 }
             }
         } else if (value != null) {
             error(key, key + " is neither a text nor a list of texts");
         }
-        return list;
+        return texts;
     }
 
     /** The table under a key; null where it is absent. */
-    public TomlTableReader section(String key) {
+    public TomlTableReader table(String key) {
         Object value = value(key);
-        Piece first = piece(key);
-        for (Piece p : pieces) {
-            if (p != first && p.table.contains(List.of(key))) {
-                errors.add(
-                        p.at(p.table.inputPositionOf(List.of(key))),
-                        key + " previously defined at line " + at(key).line());
-            }
-        }
-        if (value instanceof TomlTable t) {
-            return new TomlTableReader(
-                    List.of(new Piece(t, first.before)), name.isEmpty() ? key : name + "." + key, at(key), errors);
+        rejectRepeatedDefinitions(key);
+        if (value instanceof TomlTable table) {
+            List<Fragment> fragment = List.of(new Fragment(table, fragmentWith(key).linesBefore));
+            return new TomlTableReader(fragment, name.isEmpty() ? key : name + "." + key, positionOf(key), errors);
         }
         if (value != null) {
             error(key, key + " is no table; write " + key + " = { ... } or [" + key + "]");
@@ -251,49 +286,60 @@
         return null;
     }
 
-    /** The tables under a key. */
-    public List<TomlTableReader> sections(String key) {
-        known.add(key);
-        List<TomlTableReader> list = new ArrayList<>();
-        for (Piece p : pieces) {
-            Object value = p.table.get(List.of(key));
+    /** The table under a key; where it is absent an empty one, of which every value is the default. */
+    TomlTableReader tableOrEmpty(String key) {
+        TomlTableReader table = table(key);
+        return table != null ? table : new TomlTableReader(List.of(), key, position, errors);
+    }
+
+    /** The TOML parser sees repeats within a chunk only. */
+    private void rejectRepeatedDefinitions(String key) {
+        fragments.stream()
+                .filter(fragment -> fragment.has(key))
+                .skip(1)
+                .forEach(repeat -> errors.add(
+                        repeat.positionOf(key),
+                        key + " previously defined at line " + positionOf(key).line()));
+    }
+
+    /** The tables under a key, in the file's order. */
+    public List<TomlTableReader> tables(String key) {
+        knownKeys.add(key);
+        List<TomlTableReader> tables = new ArrayList<>();
+        for (Fragment fragment : fragments) {
+            Object value = fragment.get(key);
             if (value instanceof TomlArray array) {
-                sections(key, p, array, list);
+                addTables(key, fragment, array, tables);
             } else if (value != null) {
-                errors.add(
-                        p.at(p.table.inputPositionOf(List.of(key))),
-                        key + " is no list of tables; write [[" + key + "]]");
+                errors.add(fragment.positionOf(key), key + " is no list of tables; write [[" + key + "]]");
             }
         }
-        return list;
+        return tables;
     }
 
-    private void sections(String key, Piece p, TomlArray array, List<TomlTableReader> into) {
+    private void addTables(String key, Fragment fragment, TomlArray array, List<TomlTableReader> tables) {
         for (int i = 0; i < array.size(); i++) {
-            if (array.get(i) instanceof TomlTable t) {
-                Object named = t.get(List.of("name"));
-                into.add(new TomlTableReader(
-                        List.of(new Piece(t, p.before)),
-                        key + (named instanceof String s ? " " + s : ""),
-                        p.at(array.inputPositionOf(i)),
-                        errors));
+            TomlPosition start = fragment.inFile(array.inputPositionOf(i));
+            if (array.get(i) instanceof TomlTable table) {
+                String title = table.get(List.of("name")) instanceof String text ? key + " " + text : key;
+                List<Fragment> whole = List.of(new Fragment(table, fragment.linesBefore));
+                tables.add(new TomlTableReader(whole, title, start, errors));
             } else {
-                errors.add(p.at(array.inputPositionOf(i)), key + " holds something that is no table");
+                errors.add(start, key + " holds something that is no table");
             }
         }
     }
 
-    /** Tells of the keys that nothing has asked for. */
-    public void end() {
+    /** Reports the keys that nothing has asked for; to be called once all have been. */
+    public void rejectUnknownKeys() {
         Set<String> keys = new LinkedHashSet<>();
-        pieces.forEach(p -> keys.addAll(p.table.keySet()));
+        fragments.forEach(fragment -> keys.addAll(fragment.table.keySet()));
+        keys.removeAll(knownKeys);
         for (String key : keys) {
-            if (!known.contains(key)) {
-                error(
-                        key,
-                        "unknown key '" + key + "'" + (name.isEmpty() ? "" : " in " + name) + "; allowed: "
-                                + String.join(", ", new TreeSet<>(known)));
-            }
+            error(
+                    key,
+                    "unknown key '" + key + "'" + (name.isEmpty() ? "" : " in " + name) + "; allowed: "
+                            + String.join(", ", new TreeSet<>(knownKeys)));
         }
     }
 }
--- a/src/main/java/cacheproxy/daemon/ConfigSnapshot.java
+++ b/src/main/java/cacheproxy/daemon/ConfigSnapshot.java
@@ -1,7 +1,8 @@
 package cacheproxy.daemon;
 
 import cacheproxy.config.DaemonConfig;
-import cacheproxy.config.SiblingConfig;
+import cacheproxy.config.ListenerConfig;
+import cacheproxy.config.SiblingsConfig;
 import cacheproxy.daemon.fleet.FleetQuotas;
 import cacheproxy.daemon.hooks.HookExecutor;
 import cacheproxy.daemon.hooks.HookSubsystem;
@@ -18,7 +19,7 @@
 public final class ConfigSnapshot {
     public final DaemonConfig file;
     /** Kept here since each request asks. */
-    final SiblingConfig siblings;
+    final SiblingsConfig siblings;
 
     public final Map<String, PoolRuntime> pools;
     final RequestValidator intake;
@@ -39,7 +40,7 @@
         this.file = file;
         FleetCoordination fleet = subsystems.get(FleetCoordination.class);
         limits = fleet == null ? null : fleet.quotas();
-        siblings = SiblingConfig.of(file);
+        siblings = SiblingsConfig.of(file);
         this.pools = pools;
         this.intake = intake;
         HookSubsystem hookSubsystem = subsystems.get(HookSubsystem.class);
@@ -47,7 +48,7 @@
         file.routes().routes().forEach(r -> byName.put(r.name(), r));
         rules = new HookRules(
                 file.classes(), file.tenants().stream().map(t -> t.name()).toList(), byName.keySet());
-        for (DaemonConfig.Listen l : file.listeners()) {
+        for (ListenerConfig l : file.listeners()) {
             List<HookExecutor> own = runners.stream()
                     .filter(h ->
                             h.spec.listeners().isEmpty() || h.spec.listeners().contains(l.name()))
@@ -59,7 +60,7 @@
         for (Route r : file.routes().routes()) {
             if (r.action() instanceof Route.ToPools to) {
                 List<PoolRuntime> chain = new ArrayList<>();
-                file.chain(to.pools()).forEach(p -> chain.add(pools.get(p)));
+                file.fallbackChain(to.pools()).forEach(p -> chain.add(pools.get(p)));
                 chains.put(r, chain);
             }
         }
--- a/src/main/java/cacheproxy/daemon/ControlSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/ControlSubsystem.java
@@ -41,7 +41,7 @@
     /** Binds; empty if the file has no {@code [control]}. */
     static Optional<ControlSubsystem> open(SubsystemContext context, DaemonConfig file, Subsystem previous)
             throws ConfigException, InterruptedException {
-        ControlConfig spec = file.part(ControlConfig.class);
+        ControlConfig spec = file.section(ControlConfig.class);
         if (spec == null) {
             return Optional.empty();
         }
@@ -79,7 +79,7 @@
 
     @Override
     public boolean fits(DaemonConfig file) {
-        return spec.equals(file.part(ControlConfig.class));
+        return spec.equals(file.section(ControlConfig.class));
     }
 
     @Override
--- a/src/main/java/cacheproxy/daemon/Daemon.java
+++ b/src/main/java/cacheproxy/daemon/Daemon.java
@@ -4,6 +4,9 @@
 import cacheproxy.config.ConfigException;
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.DaemonConfigReader;
+import cacheproxy.config.ListenerConfig;
+import cacheproxy.config.PoolConfig;
+import cacheproxy.config.ServerConfig;
 import cacheproxy.control.DiagnosticEndpoints;
 import cacheproxy.limits.ServerStartTimes;
 import cacheproxy.limits.SlowStartBudget;
@@ -222,7 +225,7 @@
     public synchronized void load(DaemonConfig file) throws ConfigException, InterruptedException {
         Map<String, Listener> fresh = new HashMap<>();
         List<String> faults = new ArrayList<>();
-        for (DaemonConfig.Listen l : file.listeners()) {
+        for (ListenerConfig l : file.listeners()) {
             Listener standing =
                     loop.submit(() -> listeners.get(l.name())).sync().getNow();
             if (standing != null && l.address().equals(asked.get(standing))) {
@@ -256,7 +259,7 @@
         change.endReplaced();
     }
 
-    private StandardMetaProtocol open(DaemonConfig file, DaemonConfig.Listen l) {
+    private StandardMetaProtocol open(DaemonConfig file, ListenerConfig l) {
         if (!l.open()) {
             return null;
         }
@@ -283,7 +286,7 @@
             restored.restoreStartTimes(births, now);
         }
         Map<String, PoolRuntime> pools = new LinkedHashMap<>();
-        for (DaemonConfig.Pool p : file.pools().values()) {
+        for (PoolConfig p : file.pools().values()) {
             PoolRuntime standing = before == null ? null : before.pools.get(p.name());
             if (standing != null && standing.fits(file, p)) {
                 standing.apply(file);
@@ -321,14 +324,14 @@
                 file.site().startCapacity(),
                 file.site().warmUpMs(),
                 file.site().fallMs(),
-                file.site().instances(),
+                file.site().proxyCount(),
                 file.limits().unknownCapacity());
         if (cold == null) {
             cold = new SlowStartBudget(figures);
         } else {
             cold.figures(figures);
         }
-        for (DaemonConfig.Pool p : file.pools().values()) {
+        for (PoolConfig p : file.pools().values()) {
             PoolSettings.all(p).forEach(s -> cold.rate(s.id(), s.capacity()));
         }
     }
@@ -337,12 +340,12 @@
     private void births(DaemonConfig file, ConfigSnapshot before, double now) {
         Set<Integer> present = new HashSet<>();
         Set<Integer> warm = new HashSet<>();
-        for (DaemonConfig.Pool p : file.pools().values()) {
+        for (PoolConfig p : file.pools().values()) {
             PoolSettings.all(p).stream().filter(s -> !s.down()).forEach(s -> present.add(s.id()));
-            PoolSettings.all(p).stream().filter(DaemonConfig.Server::warm).forEach(s -> warm.add(s.id()));
+            PoolSettings.all(p).stream().filter(ServerConfig::warm).forEach(s -> warm.add(s.id()));
         }
         if (file.site().warmUpMs() > 0) {
-            for (DaemonConfig.Pool p : file.pools().values()) {
+            for (PoolConfig p : file.pools().values()) {
                 p.servers().stream()
                         .filter(s -> s.backup() && !s.down() && !warm.contains(s.id()) && !inUse(file, s.id()))
                         .forEach(s -> births.unused(s.id()));
@@ -350,7 +353,7 @@
         }
         if (before != null) {
             Set<Integer> known = new HashSet<>();
-            for (DaemonConfig.Pool p : before.file.pools().values()) {
+            for (PoolConfig p : before.file.pools().values()) {
                 PoolSettings.all(p).stream().filter(s -> !s.down()).forEach(s -> known.add(s.id()));
             }
             present.stream()
@@ -369,7 +372,7 @@
 
     private void listeners(DaemonConfig file, Map<String, Listener> fresh) {
         Set<String> named = new HashSet<>();
-        for (DaemonConfig.Listen l : file.listeners()) {
+        for (ListenerConfig l : file.listeners()) {
             named.add(l.name());
             Listener listener = fresh.get(l.name());
             if (listener == null) {
@@ -436,7 +439,7 @@
             return;
         }
         Set<Integer> ready = new HashSet<>();
-        for (DaemonConfig.Pool p : router.generation().file.pools().values()) {
+        for (PoolConfig p : router.generation().file.pools().values()) {
             PoolSettings.all(p).stream().filter(s -> !s.down() && !s.drain()).forEach(s -> ready.add(s.id()));
         }
         leavingPools.removeIf(l -> {
@@ -501,7 +504,7 @@
                 told.add(new StateSnapshot.Birth(server, addresses.get(server), born, births.isDown(server)));
             }
         }
-        return new StateSnapshot(file.site().name(), file.site().me(), core.now(), 0, pools, told);
+        return new StateSnapshot(file.site().name(), file.site().proxyIndex(), core.now(), 0, pools, told);
     }
 
     /** Ends at once. */
--- a/src/main/java/cacheproxy/daemon/LearnedStateSource.java
+++ b/src/main/java/cacheproxy/daemon/LearnedStateSource.java
@@ -1,13 +1,14 @@
 package cacheproxy.daemon;
 
 import cacheproxy.config.DaemonConfig;
+import cacheproxy.config.PoolConfig;
 import cacheproxy.limits.ServerStartTimes;
 import cacheproxy.proxy.Dispatcher;
 
 /** State of an earlier process, given to pools as they start. On the event loop only. */
 public interface LearnedStateSource {
     /** The restored state for a new pool; null if there is none. */
-    Dispatcher.Recollections recollections(DaemonConfig file, DaemonConfig.Pool pool);
+    Dispatcher.Recollections recollections(DaemonConfig file, PoolConfig pool);
 
     /** Adds the server start times that the earlier process knew. */
     void restoreStartTimes(ServerStartTimes startTimes, double nowMs);
--- a/src/main/java/cacheproxy/daemon/LearnedStates.java
+++ b/src/main/java/cacheproxy/daemon/LearnedStates.java
@@ -2,6 +2,7 @@
 
 import cacheproxy.config.Addresses;
 import cacheproxy.config.DaemonConfig;
+import cacheproxy.config.PoolConfig;
 import cacheproxy.proxy.DiscoveryClient;
 import cacheproxy.proxy.Dispatcher;
 import cacheproxy.snapshot.state.StateSnapshot;
@@ -15,11 +16,10 @@
     private LearnedStates() {}
 
     /** The state that a pool hands to the one that replaces it. */
-    static Dispatcher.Recollections handOver(
-            DaemonConfig file, DaemonConfig.Pool pool, PoolRuntime from, double nowMs) {
+    static Dispatcher.Recollections handOver(DaemonConfig file, PoolConfig pool, PoolRuntime from, double nowMs) {
         StateSnapshot snapshot = new StateSnapshot(
                 file.site().name(),
-                file.site().me(),
+                file.site().proxyIndex(),
                 nowMs,
                 0,
                 Map.of(pool.name(), from.learned(Integer.MAX_VALUE)),
@@ -33,7 +33,7 @@
      * @param trust weight of the restored figures, 0 to 1
      */
     public static Dispatcher.Recollections recollections(
-            StateSnapshot snapshot, double trust, DaemonConfig file, DaemonConfig.Pool pool) {
+            StateSnapshot snapshot, double trust, DaemonConfig file, PoolConfig pool) {
         String keyScheme = PoolSettings.keyScheme(file, pool);
         return (nowMs, servers) -> {
             List<StateSnapshot.Present> present = new ArrayList<>();
@@ -50,10 +50,10 @@
     /** The addresses of the servers that a configuration names, by server id. */
     public static Map<Integer, String> addresses(DaemonConfig file) {
         Map<Integer, String> addresses = new HashMap<>();
-        for (DaemonConfig.Pool pool : file.pools().values()) {
+        for (PoolConfig pool : file.pools().values()) {
             PoolSettings.all(pool).stream()
-                    .filter(server -> server.dial() != null)
-                    .forEach(server -> addresses.put(server.id(), Addresses.text(server.dial())));
+                    .filter(server -> server.address() != null)
+                    .forEach(server -> addresses.put(server.id(), Addresses.text(server.address())));
         }
         return addresses;
     }
--- a/src/main/java/cacheproxy/daemon/PoolRuntime.java
+++ b/src/main/java/cacheproxy/daemon/PoolRuntime.java
@@ -2,7 +2,11 @@
 
 import cacheproxy.config.Addresses;
 import cacheproxy.config.DaemonConfig;
+import cacheproxy.config.DiscoveryConfig;
+import cacheproxy.config.PoolConfig;
+import cacheproxy.config.ServerConfig;
 import cacheproxy.config.SiblingConfig;
+import cacheproxy.config.SiblingsConfig;
 import cacheproxy.limits.PoolAdmissionControl;
 import cacheproxy.limits.PoolLimiter;
 import cacheproxy.limits.RetryBudget;
@@ -41,14 +45,14 @@
     private final DiscoveryClient discovery;
     private final Set<Integer> backups = new HashSet<>();
     private DaemonConfig file;
-    private DaemonConfig.Pool spec;
+    private PoolConfig spec;
     private PoolLimiter gate;
     private KeyHash number;
 
     PoolRuntime(
             EventLoopContext core,
             DaemonConfig file,
-            DaemonConfig.Pool spec,
+            PoolConfig spec,
             long seed,
             SlowStartBudget cold,
             ServerStartTimes births,
@@ -63,7 +67,7 @@
         settings = PoolSettings.of(file, spec);
         number = PoolSettings.number(spec);
         admission = new PoolAdmissionControl(cold, retries(spec), server -> mayTry(fleet.get(), server));
-        gate = new PoolLimiter(spec.inHand(), spec.perSecond());
+        gate = new PoolLimiter(spec.maxPending(), spec.maxRequestsPerSecond());
         dispatcher = new Dispatcher(
                 core,
                 new Dispatcher.Pool(
@@ -74,7 +78,7 @@
                         spec.originConnections(),
                         spec.connections(),
                         spec.streams(),
-                        spec.plainNodes(),
+                        spec.plainServers(),
                         BackupPlacement.over(
                                 members -> PoolSettings.placement(this.spec).of(members), backups::contains),
                         admission));
@@ -89,7 +93,7 @@
             dispatcher.start(Dispatcher.ListSource.NONE);
             list();
         } else {
-            DaemonConfig.Discovery d = spec.discovery();
+            DiscoveryConfig d = spec.discovery();
             discovery = new DiscoveryClient(
                     core,
                     new DiscoveryClient.Source(d.address(), null, true, d.zones(), d.kinds()),
@@ -150,34 +154,36 @@
         return discovery;
     }
 
-    private static RetryBudget retries(DaemonConfig.Pool spec) {
-        return new RetryBudget(spec.retryShare(), spec.retriesAlways());
+    private static RetryBudget retries(PoolConfig spec) {
+        return new RetryBudget(spec.retryRatio(), spec.guaranteedRetries());
     }
 
     /** Whether this pool can go on under another file; else a new one must take its place. */
-    boolean fits(DaemonConfig other, DaemonConfig.Pool next) {
+    boolean fits(DaemonConfig other, PoolConfig next) {
         return settings.equals(PoolSettings.of(other, next))
                 && spec.connections() == next.connections()
                 && spec.originConnections() == next.originConnections()
                 && spec.streams() == next.streams()
-                && spec.plainNodes() == next.plainNodes()
+                && spec.plainServers() == next.plainServers()
                 && spec.placement().equals(next.placement())
                 && java.util.Objects.equals(spec.discovery(), next.discovery())
-                && SiblingConfig.of(file).equals(SiblingConfig.of(other))
+                && SiblingsConfig.of(file).equals(SiblingsConfig.of(other))
                 && spec.siblings().equals(next.siblings())
                 && file.limits().idleCloseMs() == other.limits().idleCloseMs();
     }
 
     /** Takes over what a new file says of servers and bounds. */
     void apply(DaemonConfig next) {
-        DaemonConfig.Pool pool = next.pools().get(name);
-        boolean sameGate = pool.inHand() == spec.inHand() && pool.perSecond() == spec.perSecond();
-        boolean sameRetries = pool.retryShare() == spec.retryShare() && pool.retriesAlways() == spec.retriesAlways();
+        PoolConfig pool = next.pools().get(name);
+        boolean sameGate =
+                pool.maxPending() == spec.maxPending() && pool.maxRequestsPerSecond() == spec.maxRequestsPerSecond();
+        boolean sameRetries =
+                pool.retryRatio() == spec.retryRatio() && pool.guaranteedRetries() == spec.guaranteedRetries();
         file = next;
         spec = pool;
         number = PoolSettings.number(pool);
         if (!sameGate) {
-            gate = new PoolLimiter(spec.inHand(), spec.perSecond());
+            gate = new PoolLimiter(spec.maxPending(), spec.maxRequestsPerSecond());
         }
         if (!sameRetries) {
             admission.retries(retries(spec));
@@ -190,7 +196,7 @@
     /** Hands the module the file's servers. */
     void list() {
         backups.clear();
-        spec.servers().stream().filter(DaemonConfig.Server::backup).forEach(s -> backups.add(s.id()));
+        spec.servers().stream().filter(ServerConfig::backup).forEach(s -> backups.add(s.id()));
         dispatcher.listed(ListKind.FULL, hosts(s -> true));
     }
 
@@ -208,15 +214,15 @@
 
     private List<DiscoveryClient.Host> hosts(IntPredicate wanted) {
         List<DiscoveryClient.Host> hosts = new ArrayList<>();
-        for (DaemonConfig.Server s : PoolSettings.all(spec)) {
+        for (ServerConfig s : PoolSettings.all(spec)) {
             if (!s.down() && wanted.test(s.id())) {
                 Member m = PoolSettings.member(file, spec, s, births.of(s.id()));
-                hosts.add(new DiscoveryClient.Host(m, s.dial()));
+                hosts.add(new DiscoveryClient.Host(m, s.address()));
             }
         }
         for (String s : spec.siblings()) {
-            SiblingConfig.Sibling sibling = SiblingConfig.of(file).sibling(s);
-            hosts.add(new DiscoveryClient.Host(PoolSettings.sibling(spec, sibling), sibling.fetch()));
+            SiblingConfig sibling = SiblingsConfig.of(file).sibling(s);
+            hosts.add(new DiscoveryClient.Host(PoolSettings.sibling(spec, sibling), sibling.fetchAddress()));
         }
         return hosts;
     }
@@ -249,7 +255,7 @@
         return new StateSnapshot.Pool(PoolSettings.keyScheme(file, spec), k, addresses);
     }
 
-    DaemonConfig.Pool spec() {
+    PoolConfig spec() {
         return spec;
     }
 }
--- a/src/main/java/cacheproxy/daemon/PoolSettings.java
+++ b/src/main/java/cacheproxy/daemon/PoolSettings.java
@@ -2,7 +2,11 @@
 
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.FleetConfig;
+import cacheproxy.config.PoolConfig;
+import cacheproxy.config.ProcessLimitsConfig;
+import cacheproxy.config.ServerConfig;
 import cacheproxy.config.SiblingConfig;
+import cacheproxy.config.SiteConfig;
 import cacheproxy.placement.BackupPlacement;
 import cacheproxy.placement.Placement;
 import cacheproxy.placement.PlacementKey;
@@ -34,22 +38,20 @@
     private PoolSettings() {}
 
     /** All servers of a pool, its origin last. */
-    public static List<DaemonConfig.Server> all(DaemonConfig.Pool pool) {
-        List<DaemonConfig.Server> all = new ArrayList<>(pool.servers());
+    public static List<ServerConfig> all(PoolConfig pool) {
+        List<ServerConfig> all = new ArrayList<>(pool.servers());
         if (pool.origin() != null) {
             all.add(pool.origin());
         }
         return all;
     }
 
-    private static List<String> kinds(DaemonConfig.Pool pool) {
+    private static List<String> kinds(PoolConfig pool) {
         if (pool.discovery() != null) {
             return pool.discovery().kinds();
         }
-        List<String> kinds = new ArrayList<>(pool.servers().stream()
-                .map(DaemonConfig.Server::kind)
-                .distinct()
-                .toList());
+        List<String> kinds = new ArrayList<>(
+                pool.servers().stream().map(ServerConfig::kind).distinct().toList());
         if (!pool.siblings().isEmpty()) {
             kinds.add("\0sibling");
         }
@@ -60,32 +62,32 @@
     }
 
     /** Ours and those of its servers: a zone that another pool has says nothing to this one. */
-    private static List<String> zones(DaemonConfig file, DaemonConfig.Pool pool) {
+    private static List<String> zones(DaemonConfig file, PoolConfig pool) {
         if (pool.discovery() != null) {
             return pool.discovery().zones();
         }
-        return Stream.concat(Stream.of(file.site().zone()), all(pool).stream().map(DaemonConfig.Server::zone))
+        return Stream.concat(Stream.of(file.site().zone()), all(pool).stream().map(ServerConfig::zone))
                 .distinct()
                 .toList();
     }
 
-    static Settings of(DaemonConfig file, DaemonConfig.Pool pool) {
-        DaemonConfig.Site site = file.site();
-        DaemonConfig.Limits limits = file.limits();
+    static Settings of(DaemonConfig file, PoolConfig pool) {
+        SiteConfig site = file.site();
+        ProcessLimitsConfig limits = file.limits();
         boolean listed = pool.discovery() == null;
         List<String> kinds = kinds(pool);
         List<String> zones = zones(file, pool);
         boolean aside = listed ? pool.origin() != null : pool.discovery().originKind() != null;
-        FleetConfig fleet = file.part(FleetConfig.class);
+        FleetConfig fleet = file.section(FleetConfig.class);
         boolean probes = fleet != null
-                && fleet.probe() != null
-                && !fleet.probe().requests(); // else clients' requests try what was sick
+                && fleet.healthCheck() != null
+                && !fleet.healthCheck().byClientRequests(); // else clients' requests try what was sick
         int originKind = !aside
                 ? -1
                 : listed ? kinds.size() - 1 : kinds.indexOf(pool.discovery().originKind());
         return new Settings(
-                site.me(),
-                site.instances(),
+                site.proxyIndex(),
+                site.proxyCount(),
                 Math.max(0, zones.indexOf(site.zone())),
                 zones.size(),
                 kinds.size(),
@@ -99,7 +101,7 @@
                 true,
                 probes,
                 false,
-                limits.secondCopies(),
+                limits.hedging(),
                 true,
                 limits.maxAttempts(),
                 limits.maxRetryAfterMs(),
@@ -117,7 +119,7 @@
                 file.tenants());
     }
 
-    static Member member(DaemonConfig file, DaemonConfig.Pool pool, DaemonConfig.Server s, double bornMs) {
+    static Member member(DaemonConfig file, PoolConfig pool, ServerConfig s, double bornMs) {
         boolean origin = s == pool.origin();
         List<String> kinds = kinds(pool);
         return new Member(
@@ -131,11 +133,11 @@
     }
 
     /** A sibling as the module gets it. */
-    static Member sibling(DaemonConfig.Pool pool, SiblingConfig.Sibling s) {
+    static Member sibling(PoolConfig pool, SiblingConfig s) {
         return new Member(s.id(), 0, kinds(pool).indexOf("\0sibling"), 0, State.READY, 1, 0);
     }
 
-    static Placement.Factory placement(DaemonConfig.Pool pool) {
+    static Placement.Factory placement(PoolConfig pool) {
         return PlacementRegistry.factory(
                 pool.placement(),
                 pool.servers().stream()
@@ -144,7 +146,7 @@
     }
 
     /** How the pool's module knows a request. */
-    static KeyHash number(DaemonConfig.Pool pool) {
+    static KeyHash number(PoolConfig pool) {
         boolean carp = pool.placement().equals(PlacementRegistry.CARP);
         PlacementTemplate own = pool.placeBy() == null ? PlacementTemplate.KEY : pool.placeBy();
         return (s, route, poolKey) -> {
@@ -162,7 +164,7 @@
     }
 
     /** What the numbers of a pool's keys depend on. */
-    public static String keyScheme(DaemonConfig file, DaemonConfig.Pool pool) {
+    public static String keyScheme(DaemonConfig file, PoolConfig pool) {
         return pool.placement() + " by " + (pool.placeBy() == null ? PlacementTemplate.KEY : pool.placeBy()) + ", keys "
                 + file.keys();
     }
@@ -170,11 +172,11 @@
     /** The file's pools for {@code explain}. */
     static Explain explain(DaemonConfig file) {
         Map<String, Explain.PoolView> views = new LinkedHashMap<>();
-        for (DaemonConfig.Pool p : file.pools().values()) {
+        for (PoolConfig p : file.pools().values()) {
             List<Member> ready = new ArrayList<>();
             Map<Integer, String> names = new HashMap<>();
             Set<Integer> backups = new HashSet<>();
-            for (DaemonConfig.Server s : p.servers()) {
+            for (ServerConfig s : p.servers()) {
                 names.put(s.id(), s.name());
                 if (s.backup()) {
                     backups.add(s.id());
@@ -194,7 +196,7 @@
                             number(p),
                             p.origin() == null ? null : p.origin().name(),
                             p.discovery() == null,
-                            file.chain(List.of(p.name()))));
+                            file.fallbackChain(List.of(p.name()))));
         }
         return new Explain(file.routes(), views);
     }
--- a/src/main/java/cacheproxy/daemon/PoolSiblings.java
+++ b/src/main/java/cacheproxy/daemon/PoolSiblings.java
@@ -20,7 +20,7 @@
  */
 final class PoolSiblings implements Siblings, Dispatcher.Questions {
     private final SiblingSocket socket;
-    private final List<SiblingConfig.Sibling> siblings;
+    private final List<SiblingConfig> siblings;
     private final List<SiblingStats> records = new ArrayList<>();
     private final Map<Integer, Integer> indexById = new HashMap<>();
     private final SplittableRandom random;
@@ -29,11 +29,11 @@
 
     private SiblingQueryPolicy.Plan plan;
 
-    PoolSiblings(SiblingSocket socket, List<SiblingConfig.Sibling> siblings, SplittableRandom random) {
+    PoolSiblings(SiblingSocket socket, List<SiblingConfig> siblings, SplittableRandom random) {
         this.socket = socket;
         this.siblings = siblings;
         this.random = random;
-        for (SiblingConfig.Sibling s : siblings) {
+        for (SiblingConfig s : siblings) {
             indexById.put(s.id(), records.size());
             records.add(socket.record(s));
         }
@@ -64,7 +64,7 @@
     /** Called by way of the module, right after it was told how long to wait. */
     @Override
     public void ask(String key, double waitMs, IntConsumer answer) {
-        List<SiblingConfig.Sibling> whom = new ArrayList<>();
+        List<SiblingConfig> whom = new ArrayList<>();
         plan.siblings().forEach(i -> whom.add(siblings.get(i)));
         socket.ask(key, whom, waitMs, answer);
     }
--- a/src/main/java/cacheproxy/daemon/SiblingSocket.java
+++ b/src/main/java/cacheproxy/daemon/SiblingSocket.java
@@ -2,7 +2,10 @@
 
 import cacheproxy.config.ConfigException;
 import cacheproxy.config.DaemonConfig;
+import cacheproxy.config.IcpConfig;
+import cacheproxy.config.PoolConfig;
 import cacheproxy.config.SiblingConfig;
+import cacheproxy.config.SiblingsConfig;
 import cacheproxy.icp.IcpCodec;
 import cacheproxy.icp.IcpMessage;
 import cacheproxy.icp.IcpMessage.Opcode;
@@ -44,14 +47,14 @@
     /** How long answers that come too late are known as such, and measured. */
     private static final double LATE_MS = 2000;
 
-    private final SiblingConfig spec;
+    private final SiblingsConfig spec;
     private final EventLoopContext core;
     private final SplittableRandom random;
     private final CacheDigest digest;
     private final PendingQueries<InetSocketAddress> questions;
     private final DenialLimiter<InetSocketAddress> denials = new DenialLimiter<>(MOST_STRANGERS);
     private final Map<String, SiblingStats> records;
-    private final Map<InetSocketAddress, SiblingConfig.Sibling> byAddress = new HashMap<>();
+    private final Map<InetSocketAddress, SiblingConfig> byAddress = new HashMap<>();
     private final Map<Integer, IntConsumer> waiting = new HashMap<>();
     private final TokenBucket questionRate;
     /** Each sibling has one, so that none can use up another's; all strangers share a small one. */
@@ -66,18 +69,21 @@
     private long overRate;
 
     private SiblingSocket(DaemonConfig file, EventLoopContext core, SiblingSocket before, int seed) {
-        spec = SiblingConfig.of(file);
+        spec = SiblingsConfig.of(file);
         this.core = core;
         random = new SplittableRandom(seed);
-        SiblingConfig.Icp icp = spec.icp();
-        digest = new CacheDigest(icp.keys(), icp.holdMs(), MOST_SERVERS);
-        questions = new PendingQueries<>(icp.questions(), LATE_MS, random.nextInt());
+        IcpConfig icp = spec.icp();
+        digest = new CacheDigest(icp.rememberedKeys(), icp.rememberMs(), MOST_SERVERS);
+        questions = new PendingQueries<>(icp.maxPendingQueries(), LATE_MS, random.nextInt());
         records = before == null ? new HashMap<>() : before.records;
-        questionRate = new TokenBucket(icp.perSecond(), Math.max(1, icp.perSecond() / 10));
-        strangersRate = new TokenBucket(Math.max(1, icp.perSecond() / 10), Math.max(1, icp.perSecond() / 100));
+        questionRate = new TokenBucket(icp.maxQueriesPerSecond(), Math.max(1, icp.maxQueriesPerSecond() / 10));
+        strangersRate = new TokenBucket(
+                Math.max(1, icp.maxQueriesPerSecond() / 10), Math.max(1, icp.maxQueriesPerSecond() / 100));
         spec.siblings().forEach(s -> {
-            byAddress.put(s.icp(), s);
-            answerRates.put(s.icp(), new TokenBucket(icp.perSecond(), Math.max(1, icp.perSecond() / 10)));
+            byAddress.put(s.icpAddress(), s);
+            answerRates.put(
+                    s.icpAddress(),
+                    new TokenBucket(icp.maxQueriesPerSecond(), Math.max(1, icp.maxQueriesPerSecond() / 10)));
         });
     }
 
@@ -85,7 +91,7 @@
     static Optional<SiblingSocket> open(SubsystemContext context, DaemonConfig file, Subsystem previous)
             throws ConfigException, InterruptedException {
         int seed = context.random().nextInt();
-        if (SiblingConfig.of(file).icp() == null) {
+        if (SiblingsConfig.of(file).icp() == null) {
             return Optional.empty();
         }
         SiblingSocket socket = bind(file, context.core(), (SiblingSocket) previous, seed);
@@ -118,7 +124,7 @@
 
     @Override
     public boolean fits(DaemonConfig other) {
-        return spec.equals(SiblingConfig.of(other));
+        return spec.equals(SiblingsConfig.of(other));
     }
 
     @Override
@@ -126,11 +132,11 @@
         return Optional.of((InetSocketAddress) channel.localAddress());
     }
 
-    SiblingStats record(SiblingConfig.Sibling s) {
+    SiblingStats record(SiblingConfig s) {
         return records.computeIfAbsent(s.name(), n -> new SiblingStats());
     }
 
-    PoolSiblings of(DaemonConfig.Pool pool) {
+    PoolSiblings of(PoolConfig pool) {
         return new PoolSiblings(
                 this, pool.siblings().stream().map(spec::sibling).toList(), random.split());
     }
@@ -163,7 +169,7 @@
     // ---- asking
 
     /** Asks; where a bound is reached nothing goes out, and the module goes on when its wait is over. */
-    void ask(String key, List<SiblingConfig.Sibling> whom, double waitMs, IntConsumer answer) {
+    void ask(String key, List<SiblingConfig> whom, double waitMs, IntConsumer answer) {
         double now = core.now();
         if (!questionRate.take(now)) {
             overRate++;
@@ -171,7 +177,7 @@
         }
         String url = spec.icp().urlPrefix() + key;
         PendingQueries<InetSocketAddress>.Question q = questions.ask(
-                now, url, whom.stream().map(SiblingConfig.Sibling::icp).toList(), waitMs);
+                now, url, whom.stream().map(SiblingConfig::icpAddress).toList(), waitMs);
         if (q == null) {
             return;
         }
@@ -180,10 +186,10 @@
             q.end();
             waiting.remove(q.number);
         });
-        for (SiblingConfig.Sibling s : whom) {
+        for (SiblingConfig s : whom) {
             record(s).asked(now);
-            channel.write(
-                    new DatagramPacket(IcpCodec.encode(channel.alloc(), IcpMessage.query(q.number, 0, url)), s.icp()));
+            channel.write(new DatagramPacket(
+                    IcpCodec.encode(channel.alloc(), IcpMessage.query(q.number, 0, url)), s.icpAddress()));
         }
         channel.flush();
     }
--- a/src/main/java/cacheproxy/daemon/fleet/DelegatedWatches.java
+++ b/src/main/java/cacheproxy/daemon/fleet/DelegatedWatches.java
@@ -50,10 +50,10 @@
 
     @Override
     public void apply(DaemonConfig file, double now) {
-        FleetConfig spec = file.part(FleetConfig.class);
-        Set<String> wanted = new HashSet<>(spec.watch() == null ? List.of() : FleetSubsystem.watched(file));
+        FleetConfig spec = file.section(FleetConfig.class);
+        Set<String> wanted = new HashSet<>(spec.delegatedWatch() == null ? List.of() : FleetSubsystem.watched(file));
         for (String pool : List.copyOf(watches.keySet())) {
-            if (!wanted.contains(pool) || !byDuty.containsKey(NameHash.of(spec.watchDuty(pool)))) {
+            if (!wanted.contains(pool) || !byDuty.containsKey(NameHash.of(spec.watchLease(pool)))) {
                 watches.remove(pool);
                 client(pool, c -> c.pace(true));
             }
@@ -61,17 +61,17 @@
         byDuty.clear();
         for (String pool : wanted) {
             DelegatedWatch.Rules rules = new DelegatedWatch.Rules(
-                    spec.watch().beatMs(),
-                    spec.watch().wordMs(),
-                    spec.watch().lazyMs(),
-                    spec.watch().gatherMs());
-            String duty = spec.watchDuty(pool);
+                    spec.delegatedWatch().heartbeatMs(),
+                    spec.delegatedWatch().heartbeatTtlMs(),
+                    spec.delegatedWatch().followerPollMs(),
+                    spec.delegatedWatch().pollSpreadMs());
+            String duty = spec.watchLease(pool);
             DelegatedWatch w = watches.computeIfAbsent(
                     pool, p -> new DelegatedWatch(link.tenure(duty), rules, random.split(), new Out(p)));
             w.use(rules);
             byDuty.put(NameHash.of(duty), w);
         }
-        zone = spec.names(spec.zone()).stream()
+        zone = spec.peerNames(spec.zone()).stream()
                 .map(NameHash::of)
                 .filter(id -> id != link.me())
                 .toList();
--- a/src/main/java/cacheproxy/daemon/fleet/FleetHealthChecks.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetHealthChecks.java
@@ -59,17 +59,18 @@
 
     @Override
     public void apply(DaemonConfig file, double now) {
-        FleetConfig spec = file.part(FleetConfig.class);
-        if (spec.probe() == null) {
+        FleetConfig spec = file.section(FleetConfig.class);
+        if (spec.healthCheck() == null) {
             close();
             return;
         }
-        requests = spec.probe().requests();
+        requests = spec.healthCheck().byClientRequests();
         HealthCheckTiming rules = new HealthCheckTiming(
                 Dispatcher.PROBE_TIMEOUT_MS,
-                spec.probe().patienceMs(),
-                spec.probe().reuseMs());
-        List<LeaseHandle> shares = spec.probeDuties().stream().map(link::tenure).toList();
+                spec.healthCheck().resultTimeoutMs(),
+                spec.healthCheck().resultTtlMs());
+        List<LeaseHandle> shares =
+                spec.healthCheckLeases().stream().map(link::tenure).toList();
         if (desk == null) {
             desk = new HealthCheckCoordinator(link.me(), numbers, rules, shares, new Out());
         } else {
--- a/src/main/java/cacheproxy/daemon/fleet/FleetMembership.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetMembership.java
@@ -34,8 +34,8 @@
     /** Only what uses it pays for it. */
     @Override
     public void apply(DaemonConfig file, double now) {
-        FleetConfig spec = file.part(FleetConfig.class);
-        on = !spec.limits().limits().isEmpty();
+        FleetConfig spec = file.section(FleetConfig.class);
+        on = !spec.quotas().quotas().isEmpty();
         members.use(spec.peers().stream().map(p -> NameHash.of(p.name())).toList(), now);
     }
 
--- a/src/main/java/cacheproxy/daemon/fleet/FleetQuotas.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetQuotas.java
@@ -2,7 +2,8 @@
 
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.FleetConfig;
-import cacheproxy.config.LimitsConfig;
+import cacheproxy.config.QuotaConfig;
+import cacheproxy.config.QuotasConfig;
 import cacheproxy.control.ControlEndpoints.Answer;
 import cacheproxy.fleet.quota.LocalQuota;
 import cacheproxy.fleet.quota.OvershootBound;
@@ -70,15 +71,15 @@
 
     @Override
     public void apply(DaemonConfig file, double now) {
-        FleetConfig fleet = file.part(FleetConfig.class);
-        LimitsConfig spec = fleet.limits();
+        FleetConfig fleet = file.section(FleetConfig.class);
+        QuotasConfig spec = fleet.quotas();
         pockets.clear();
         scopes.clear();
-        if (spec.limits().isEmpty()) {
+        if (spec.quotas().isEmpty()) {
             quota = null;
             return;
         }
-        QuotaTiming figures = new QuotaTiming(spec.grantMs(), cacheproxy.fleet.lease.LeaseTiming.DRIFT);
+        QuotaTiming figures = new QuotaTiming(spec.grantTtlMs(), cacheproxy.fleet.lease.LeaseTiming.DRIFT);
         if (quota == null || figures.grantMs() != rules.grantMs()) {
             // Other times: what was lent by the old ones is over once the longer of them is, so it begins in silence.
             double from = rules == null ? startMs : now + Math.max(0, rules.grantMs() - figures.grantMs()) * 4;
@@ -91,9 +92,9 @@
                 .anyMatch(
                         p -> cacheproxy.fleet.lease.NameHash.of(p.name()) == link.me() && !p.joining() && !p.leaving());
         proxies = fleet.peers().size();
-        Map<LimitsConfig.Limit, List<String>> names = new LinkedHashMap<>();
+        Map<QuotaConfig, List<String>> names = new LinkedHashMap<>();
         List<QuotaSpec> limits = new ArrayList<>();
-        spec.limits().forEach(l -> names.put(l, new ArrayList<>()));
+        spec.quotas().forEach(l -> names.put(l, new ArrayList<>()));
         names.forEach((l, own) -> {
             if ("*".equals(l.tenant()) && !file.tenants().isEmpty()) {
                 file.tenants().forEach(t -> own.add(l.name() + ":" + t.name()));
@@ -107,7 +108,7 @@
         });
         quota.use(
                 limits,
-                spec.duties().stream().map(link::tenure).toList(),
+                spec.leaseNames().stream().map(link::tenure).toList(),
                 fleet.peers().stream()
                         .map(p -> cacheproxy.fleet.lease.NameHash.of(p.name()))
                         .toList(),
@@ -139,16 +140,16 @@
         return table;
     }
 
-    private static QuotaSpec limit(String name, LimitsConfig.Limit l, LimitsConfig spec) {
-        boolean atOnce = l.atOnce() > 0;
+    private static QuotaSpec limit(String name, QuotaConfig l, QuotasConfig spec) {
+        boolean atOnce = l.maxInFlight() > 0;
         return new QuotaSpec(
                 name,
                 atOnce,
-                atOnce ? l.atOnce() : l.perSecond(),
+                atOnce ? l.maxInFlight() : l.perSecond(),
                 atOnce ? 0 : l.burst(),
-                QuotaSpec.Alone.valueOf(l.whenAlone().toUpperCase(Locale.ROOT)),
-                l.sharePart(),
-                atOnce ? spec.holdMs() : 0);
+                QuotaSpec.Alone.valueOf(l.whenIsolated().toUpperCase(Locale.ROOT)),
+                l.shareFraction(),
+                atOnce ? spec.maxHoldMs() : 0);
     }
 
     // ---- requests
--- a/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
@@ -4,6 +4,7 @@
 import cacheproxy.config.ConfigException;
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.FleetConfig;
+import cacheproxy.config.PoolConfig;
 import cacheproxy.control.ControlEndpoints.Answer;
 import cacheproxy.control.ControlRequestHandler;
 import cacheproxy.daemon.ConfigSnapshot;
@@ -95,7 +96,7 @@
             FleetConfig spec, EventLoopContext core, long seed, double silentMs, Supplier<ConfigSnapshot> generation) {
         this.spec = spec;
         this.core = core;
-        me = spec.me();
+        me = spec.self();
         double now = core.now();
         SplittableRandom random = new SplittableRandom(seed);
         duties = new LeaseManager(
@@ -125,7 +126,7 @@
     public static Optional<FleetSubsystem> open(SubsystemContext context, DaemonConfig file, Subsystem before)
             throws ConfigException, InterruptedException {
         long seed = context.random().nextLong();
-        FleetConfig spec = file.part(FleetConfig.class);
+        FleetConfig spec = file.section(FleetConfig.class);
         if (spec == null) {
             return Optional.empty();
         }
@@ -158,9 +159,9 @@
     /** Peers and duties may change under it; who it is and by what figures it has given its word may not. */
     @Override
     public boolean fits(DaemonConfig file) {
-        FleetConfig other = file.part(FleetConfig.class);
+        FleetConfig other = file.section(FleetConfig.class);
         return other != null
-                && other.me().equals(me)
+                && other.self().equals(me)
                 && other.listen().equals(spec.listen())
                 && other.keys().equals(spec.keys())
                 && other.longestLeaseMs() == spec.longestLeaseMs();
@@ -168,7 +169,7 @@
 
     @Override
     public void apply(DaemonConfig file) {
-        spec = file.part(FleetConfig.class);
+        spec = file.section(FleetConfig.class);
         addresses.clear();
         names.clear();
         spec.peers().forEach(p -> {
@@ -183,7 +184,10 @@
         stands = wanted;
         duties.tick(now, System.currentTimeMillis());
         wanted.forEach((name, s) -> duties.stand(
-                name, s.leaseMs, new VoterSet(name, spec.names(s.zone), spec.namesBefore(s.zone), s.voters), now));
+                name,
+                s.leaseMs,
+                new VoterSet(name, spec.peerNames(s.zone), spec.previousPeerNames(s.zone), s.voters),
+                now));
         calls.use(names, wanted.keySet());
         users.forEach(u -> u.apply(file, now));
         if (dueMs == 0) {
@@ -196,21 +200,24 @@
     private record Stand(double leaseMs, int voters, String zone) {}
 
     private static Map<String, Stand> stands(DaemonConfig file) {
-        FleetConfig f = file.part(FleetConfig.class);
+        FleetConfig f = file.section(FleetConfig.class);
         Map<String, Stand> all = new LinkedHashMap<>();
-        f.duties().forEach(d -> all.put(d.name(), new Stand(d.leaseMs(), d.voters(), null)));
-        f.probeDuties()
-                .forEach(
-                        d -> all.put(d, new Stand(f.probe().leaseMs(), f.probe().voters(), null)));
-        f.limits()
-                .duties()
+        f.leases().forEach(d -> all.put(d.name(), new Stand(d.leaseMs(), d.voters(), null)));
+        f.healthCheckLeases()
+                .forEach(d -> all.put(
+                        d, new Stand(f.healthCheck().leaseMs(), f.healthCheck().voters(), null)));
+        f.quotas()
+                .leaseNames()
                 .forEach(d ->
-                        all.put(d, new Stand(f.limits().leaseMs(), f.limits().voters(), null)));
-        if (f.watch() != null && !f.names(f.zone()).isEmpty()) {
+                        all.put(d, new Stand(f.quotas().leaseMs(), f.quotas().voters(), null)));
+        if (f.delegatedWatch() != null && !f.peerNames(f.zone()).isEmpty()) {
             watched(file)
                     .forEach(p -> all.put(
-                            f.watchDuty(p),
-                            new Stand(f.watch().leaseMs(), f.watch().voters(), f.zone())));
+                            f.watchLease(p),
+                            new Stand(
+                                    f.delegatedWatch().leaseMs(),
+                                    f.delegatedWatch().voters(),
+                                    f.zone())));
         }
         return all;
     }
@@ -219,7 +226,7 @@
     static List<String> watched(DaemonConfig file) {
         return file.pools().values().stream()
                 .filter(p -> p.discovery() != null)
-                .map(DaemonConfig.Pool::name)
+                .map(PoolConfig::name)
                 .limit(MOST_WATCHED)
                 .toList();
     }
--- a/src/main/java/cacheproxy/daemon/fleet/PeerListMonitor.java
+++ b/src/main/java/cacheproxy/daemon/fleet/PeerListMonitor.java
@@ -59,12 +59,12 @@
 
     @Override
     public void apply(DaemonConfig file, double now) {
-        FleetConfig spec = file.part(FleetConfig.class);
+        FleetConfig spec = file.section(FleetConfig.class);
         names.clear();
         spec.peers().forEach(p -> names.put(NameHash.of(p.name()), p.name()));
         others = new ArrayList<>(names.keySet());
         others.remove(link.me());
-        steps.use(Set.copyOf(spec.names()), Set.copyOf(spec.namesBefore()), Set.copyOf(others));
+        steps.use(Set.copyOf(spec.peerNames()), Set.copyOf(spec.previousPeerNames()), Set.copyOf(others));
         differsSince.clear();
         told.clear();
     }
--- a/src/main/java/cacheproxy/daemon/hooks/HookExecutor.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookExecutor.java
@@ -25,7 +25,7 @@
 
     private static final long START_SECONDS = 10;
 
-    public final HookConfig.Hook spec;
+    public final HookConfig spec;
     final HookBreaker breaker;
     private final HookModule module;
     private final ArrayBlockingQueue<Task> queue;
@@ -90,13 +90,13 @@
         }
     }
 
-    private HookExecutor(HookConfig.Hook spec, HookModule module, HookInstance first) {
+    private HookExecutor(HookConfig spec, HookModule module, HookInstance first) {
         this.spec = spec;
         this.module = module;
         instance = first;
         wantsAnswers = first.wantsAnswers();
-        breaker = new HookBreaker(spec.breakerShare(), spec.breakerOffMs());
-        queue = new ArrayBlockingQueue<>(spec.queue());
+        breaker = new HookBreaker(spec.breakerFailureRatio(), spec.breakerOffMs());
+        queue = new ArrayBlockingQueue<>(spec.queueCapacity());
         worker = new Thread(null, this::work, "hook " + spec.name(), STACK_BYTES);
         worker.setDaemon(true);
     }
@@ -105,7 +105,7 @@
      * Loads and starts a hook; not on the event loop. {@code on_load} has a thread of its own that is not waited for
      * long.
      */
-    static HookExecutor start(HookConfig.Hook spec, byte[] bytes) throws HookException {
+    static HookExecutor start(HookConfig spec, byte[] bytes) throws HookException {
         HookModule module = HookModule.load(bytes, spec.limits(), spec.config());
         HookInstance[] first = new HookInstance[1];
         HookException[] failed = new HookException[1];
--- a/src/main/java/cacheproxy/daemon/hooks/HookSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookSubsystem.java
@@ -2,7 +2,7 @@
 
 import cacheproxy.config.ConfigException;
 import cacheproxy.config.DaemonConfig;
-import cacheproxy.config.HookConfig;
+import cacheproxy.config.HooksConfig;
 import cacheproxy.daemon.Subsystem;
 import cacheproxy.daemon.SubsystemContext;
 import cacheproxy.proxy.EventLoopContext;
@@ -23,7 +23,7 @@
     /** Loads and starts the hooks of a configuration, each on a thread of its own; empty if it has none. */
     public static Optional<HookSubsystem> open(SubsystemContext context, DaemonConfig file, Subsystem previous)
             throws ConfigException {
-        return HookConfig.of(file).isEmpty()
+        return HooksConfig.of(file).isEmpty()
                 ? Optional.empty()
                 : Optional.of(new HookSubsystem(context.core(), Hooks.load(file)));
     }
--- a/src/main/java/cacheproxy/daemon/hooks/HookedRequest.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookedRequest.java
@@ -115,7 +115,7 @@
                 continue;
             }
             if (left < 2) {
-                refuse(hook.spec.refuseMs());
+                refuse(hook.spec.retryAfterMs());
                 return;
             }
             if (!hook.breaker.call(now)) {
@@ -179,8 +179,8 @@
 
     /** Where a hook fails: true if that ends the request. */
     private boolean failed(HookExecutor hook) {
-        if (hook.spec.refuse()) {
-            refuse(hook.spec.refuseMs());
+        if (hook.spec.rejectOnFailure()) {
+            refuse(hook.spec.retryAfterMs());
             return true;
         }
         return false;
--- a/src/main/java/cacheproxy/daemon/hooks/Hooks.java
+++ b/src/main/java/cacheproxy/daemon/hooks/Hooks.java
@@ -3,6 +3,7 @@
 import cacheproxy.config.ConfigException;
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.HookConfig;
+import cacheproxy.config.HooksConfig;
 import cacheproxy.hooks.HookException;
 import cacheproxy.hooks.HookModule;
 import java.io.IOException;
@@ -21,11 +22,11 @@
     static List<HookExecutor> load(DaemonConfig file) throws ConfigException {
         List<HookExecutor> all = new ArrayList<>();
         List<String> faults = new ArrayList<>();
-        for (HookConfig.Hook h : HookConfig.of(file)) {
+        for (HookConfig h : HooksConfig.of(file)) {
             try {
                 all.add(HookExecutor.start(h, read(h)));
             } catch (HookException e) {
-                faults.add(h.at() + ": hook " + h.name() + " does not load: " + e.getMessage());
+                faults.add(h.place() + ": hook " + h.name() + " does not load: " + e.getMessage());
             }
         }
         if (!faults.isEmpty()) {
@@ -39,7 +40,7 @@
         load(file);
     }
 
-    private static byte[] read(HookConfig.Hook h) throws HookException {
+    private static byte[] read(HookConfig h) throws HookException {
         byte[] bytes;
         try {
             if (Files.isDirectory(h.module()) || Files.size(h.module()) > MAX_BYTES) {
--- a/src/main/java/cacheproxy/daemon/snapshot/SnapshotSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/snapshot/SnapshotSubsystem.java
@@ -1,6 +1,7 @@
 package cacheproxy.daemon.snapshot;
 
 import cacheproxy.config.DaemonConfig;
+import cacheproxy.config.PoolConfig;
 import cacheproxy.config.SnapshotConfig;
 import cacheproxy.daemon.LearnedStateSource;
 import cacheproxy.daemon.LearnedStates;
@@ -46,7 +47,7 @@
 
     private SnapshotSubsystem(
             DaemonConfig file, EventLoopContext core, IntFunction<StateSnapshot> snapshot, SnapshotStore files) {
-        spec = file.part(SnapshotConfig.class);
+        spec = file.section(SnapshotConfig.class);
         this.file = file;
         this.core = core;
         this.snapshot = snapshot;
@@ -74,7 +75,7 @@
      * nothing is to be kept and there is no sibling's to start from.
      */
     public static Optional<SnapshotSubsystem> open(SubsystemContext context, DaemonConfig file, Subsystem before) {
-        SnapshotConfig spec = file.part(SnapshotConfig.class);
+        SnapshotConfig spec = file.section(SnapshotConfig.class);
         Path sibling = context.siblingSnapshot().get().orElse(null);
         if (spec == null && sibling == null) {
             return Optional.empty();
@@ -107,7 +108,7 @@
 
     @Override
     public boolean fits(DaemonConfig other) {
-        return java.util.Objects.equals(spec, other.part(SnapshotConfig.class));
+        return java.util.Objects.equals(spec, other.section(SnapshotConfig.class));
     }
 
     @Override
@@ -141,7 +142,7 @@
     private void use(StateSnapshot content, boolean another, String path) {
         String unfit = content == null
                 ? null
-                : content.unfit(file.site().name(), file.site().me(), core.now(), another);
+                : content.unfit(file.site().name(), file.site().proxyIndex(), core.now(), another);
         if (unfit != null) {
             core.log("memory: " + path + " is not used: " + unfit);
         } else if (content != null) {
@@ -153,7 +154,7 @@
     }
 
     @Override
-    public Dispatcher.Recollections recollections(DaemonConfig of, DaemonConfig.Pool pool) {
+    public Dispatcher.Recollections recollections(DaemonConfig of, PoolConfig pool) {
         return remembered == null ? null : LearnedStates.recollections(remembered, trust, of, pool);
     }
 
@@ -181,7 +182,7 @@
 
     private void offer() {
         if (!ended) {
-            writer.offer(snapshot.apply(spec.keys()));
+            writer.offer(snapshot.apply(spec.maxHotKeys()));
         }
     }
 
@@ -196,7 +197,7 @@
         if (writer != null && ticks != null) {
             ticks.cancel(false);
             StateSnapshot last = core.loop()
-                    .submit(() -> snapshot.apply(spec.keys()))
+                    .submit(() -> snapshot.apply(spec.maxHotKeys()))
                     .syncUninterruptibly()
                     .getNow();
             try {
--- a/src/main/java/cacheproxy/faulttest/ScenarioReader.java
+++ b/src/main/java/cacheproxy/faulttest/ScenarioReader.java
@@ -40,7 +40,7 @@
     }
 
     private static Scenario scenario(String name, TomlTableReader root, Long given) {
-        TomlTableReader f = root.section("fleet");
+        TomlTableReader f = root.table("fleet");
         if (f == null) {
             root.error("fleet", "no [fleet]; write one with proxies and nodes");
             return null;
@@ -73,20 +73,20 @@
                 f.texts("duties"),
                 f.number("poll_ms", 20, 5, 10_000),
                 f.integer("waves", 16, 1, 200),
-                load(root.section("load")),
-                limit(root.section("limit")),
+                load(root.table("load")),
+                limit(root.table("limit")),
                 List.of());
-        f.end();
+        f.rejectUnknownKeys();
         SplittableRandom random = new SplittableRandom(seed);
         List<Fault> faults = new ArrayList<>();
-        for (TomlTableReader s : root.sections("fault")) {
+        for (TomlTableReader s : root.tables("fault")) {
             fault(s, endpoints, random.split(), faults);
-            s.end();
+            s.rejectUnknownKeys();
         }
-        TomlTableReader chaos = root.section("chaos");
+        TomlTableReader chaos = root.table("chaos");
         if (chaos != null) {
             chaos(chaos, endpoints, seed, bare.load().seconds() * 1000, faults);
-            chaos.end();
+            chaos.rejectUnknownKeys();
         }
         if (faults.size() > MOST_FAULTS) {
             root.error("fault", faults.size() + " faults; at most " + MOST_FAULTS);
@@ -106,7 +106,7 @@
         if (limit.perSecond() > 0 == limit.atOnce() > 0) {
             s.error("kind", "a limit has either per_second or at_once");
         }
-        s.end();
+        s.rejectUnknownKeys();
         return limit;
     }
 
@@ -123,7 +123,7 @@
                 s.number("hot", 0.05, 0, 1),
                 s.number("writes", 0.05, 0, 1),
                 s.number("deadline_ms", 1000, 10, 60_000));
-        s.end();
+        s.rejectUnknownKeys();
         return load;
     }
 
--- a/src/main/java/cacheproxy/proxy/DiscoveryClient.java
+++ b/src/main/java/cacheproxy/proxy/DiscoveryClient.java
@@ -408,7 +408,7 @@
         int cell = h.has("block") ? h.get("block").getAsInt() : 0;
         return new Host(
                 new Member(ServerId.of(name), zone, kind, cell, state, weight, born),
-                Addresses.of(h.get("dial").getAsString()));
+                Addresses.parse(h.get("dial").getAsString()));
     }
 
     /** A connection for one call at a time, kept between calls. */
--- a/src/main/java/cacheproxy/proxy/PlatformConfig.java
+++ b/src/main/java/cacheproxy/proxy/PlatformConfig.java
@@ -62,12 +62,12 @@
         JsonObject limits = json.has("limits") ? json.getAsJsonObject("limits") : new JsonObject();
         List<InetSocketAddress> peers = new ArrayList<>();
         if (json.has("peers")) {
-            json.getAsJsonArray("peers").forEach(p -> peers.add(Addresses.of(p.getAsString())));
+            json.getAsJsonArray("peers").forEach(p -> peers.add(Addresses.parse(p.getAsString())));
         }
         return new PlatformConfig(
                 json.has("name") ? json.get("name").getAsString() : "proxy",
-                Addresses.of(need(json, "listen").getAsString()),
-                Addresses.of(need(json, "discovery").getAsString()),
+                Addresses.parse(need(json, "listen").getAsString()),
+                Addresses.parse(need(json, "discovery").getAsString()),
                 Long.parseUnsignedLong(need(json, "seed").getAsString(), 16),
                 number(limits, "cores", 1),
                 (int) number(limits, "memory_mb", 192),
@@ -132,7 +132,7 @@
     private static InetSocketAddress optionalAddress(JsonObject json, String key) {
         String text =
                 json.has(key) && json.get(key).isJsonPrimitive() ? json.get(key).getAsString() : "";
-        return text.isEmpty() ? null : Addresses.of(text);
+        return text.isEmpty() ? null : Addresses.parse(text);
     }
 
     /** The simulator's form: lists of plain values joined by commas, lists of objects counted and numbered. */
--- a/src/test/java/cacheproxy/config/DaemonConfigReaderTest.java
+++ b/src/test/java/cacheproxy/config/DaemonConfigReaderTest.java
@@ -10,9 +10,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The daemon's file: what it says, and each error by its place. */
+/** Reads valid configuration files and reports each error at its place. */
 class DaemonConfigReaderTest {
-    static final String GOOD = """
+    static final String VALID = """
             [[class]]
             name = "page"
             effect = "safe"
@@ -48,39 +48,40 @@
                 .errors();
     }
 
-    private static String with(String anchor, String line) {
-        return GOOD.replace(anchor, anchor + "\n" + line);
+    private static String validWith(String anchor, String line) {
+        return VALID.replace(anchor, anchor + "\n" + line);
     }
 
     @Test
-    void aGoodFileSaysWhatIsRun() throws Exception {
-        DaemonConfig f = DaemonConfigReader.parse("f", with("name = \"a\"", "fallback = \"b\"\nretry_share = 0.5"));
-        assertThat(f.pools().keySet()).containsExactly("a", "b");
-        assertThat(f.chain(List.of("a"))).containsExactly("a", "b");
-        assertThat(f.pools().get("a").retryShare()).isEqualTo(0.5);
-        assertThat(f.routes().routes()).hasSize(1);
-        assertThat(f.listeners().get(0).readClass()).isEqualTo("page");
+    void readsPoolsRoutesAndListenersOfValidFile() throws Exception {
+        DaemonConfig file =
+                DaemonConfigReader.parse("f", validWith("name = \"a\"", "fallback = \"b\"\nretry_share = 0.5"));
+        assertThat(file.pools().keySet()).containsExactly("a", "b");
+        assertThat(file.fallbackChain(List.of("a"))).containsExactly("a", "b");
+        assertThat(file.pools().get("a").retryRatio()).isEqualTo(0.5);
+        assertThat(file.routes().routes()).hasSize(1);
+        assertThat(file.listeners().get(0).readClass()).isEqualTo("page");
     }
 
     @Test
-    void theExampleInTheRepositoryIsGood() throws Exception {
+    void acceptsExampleFilesOfRepository() throws Exception {
         assertThat(DaemonConfigReader.read(Path.of("deploy/coralbay.toml"))
                         .routes()
                         .routes())
                 .isNotEmpty();
         assertThat(DaemonConfigReader.read(Path.of("deploy/duties.toml"))
-                        .part(FleetConfig.class)
-                        .duties())
+                        .section(FleetConfig.class)
+                        .leases())
                 .hasSize(1);
         assertThat(DaemonConfigReader.read(Path.of("deploy/limits.toml"))
-                        .part(FleetConfig.class)
-                        .limits()
-                        .limits())
+                        .section(FleetConfig.class)
+                        .quotas()
+                        .quotas())
                 .hasSize(2);
     }
 
     @Test
-    void eachErrorNamesItsPlaceAndWhatIsAllowed() {
+    void namesPlaceAndAllowedValuesInEachError() {
         String[][] cases = {
             {"name = \"page\"", "efect = \"safe\"", "f:3:1: unknown key 'efect' in class page; allowed: aim_ms"},
             {"name = \"main\"", "adress = 1", "unknown key 'adress'"},
@@ -104,62 +105,64 @@
             {"name = \"all\"", "add = \"a b\"", "add puts something into keys"},
             {"name = \"publish\"", "aim_ms = 2000", "aim_ms is 2000, more than the deadline"},
         };
-        for (String[] c : cases) {
-            assertThat(errors(with(c[0], c[1])))
-                    .as(c[1])
-                    .anySatisfy(e -> assertThat(e).contains(c[2]).matches("f:\\d+:\\d+: .*"));
+        for (String[] expected : cases) {
+            assertThat(errors(validWith(expected[0], expected[1])))
+                    .as(expected[1])
+                    .anySatisfy(error -> assertThat(error).contains(expected[2]).matches("f:\\d+:\\d+: .*"));
         }
-        assertThat(errors(GOOD.replace("window_ms = 1500", "")))
-                .anySatisfy(e -> assertThat(e).contains("window_ms"));
-        assertThat(errors(GOOD.replace("127.0.0.1:7001", "cache.example:7001")))
+        assertThat(errors(VALID.replace("window_ms = 1500", "")))
+                .anySatisfy(error -> assertThat(error).contains("window_ms"));
+        assertThat(errors(VALID.replace("127.0.0.1:7001", "cache.example:7001")))
                 .singleElement()
                 .asString()
                 .startsWith("f:17:1: ")
                 .contains("names are not looked up");
-        assertThat(errors(GOOD.replace("127.0.0.1:7002", "127.0.0.1:7001")))
+        assertThat(errors(VALID.replace("127.0.0.1:7002", "127.0.0.1:7001")))
                 .singleElement()
                 .asString()
                 .contains("is server 'a1' already");
-        assertThat(errors(GOOD.replace("b1-x", "a1")))
-                .anySatisfy(e -> assertThat(e).contains("a name has one address"));
-        assertThat(errors(GOOD.replace("pools = [\"a\"]", "pools = [\"a\", \"a\"]")))
+        assertThat(errors(VALID.replace("b1-x", "a1")))
+                .anySatisfy(error -> assertThat(error).contains("a name has one address"));
+        assertThat(errors(VALID.replace("pools = [\"a\"]", "pools = [\"a\", \"a\"]")))
                 .singleElement()
                 .asString()
                 .contains("falls back to itself");
     }
 
     @Test
-    void allErrorsAreToldInTheFilesOrderAndNotOnlyTheFirst() {
-        String broken = GOOD.replace("effect = \"safe\"", "effect = \"sure\"")
+    void reportsAllErrorsInFileOrder() {
+        String broken = VALID.replace("effect = \"safe\"", "effect = \"sure\"")
                 .replace("open = true", "open = 3")
                 .replace("127.0.0.1:7002", "nowhere")
                 .replace("pools = [\"a\"]", "pools = [\"c\"]");
         List<String> errors = errors(broken);
         assertThat(errors).hasSizeGreaterThanOrEqualTo(4);
-        assertThat(errors).extracting(e -> Integer.parseInt(e.split(":")[1])).isSorted();
+        assertThat(errors)
+                .extracting(error -> Integer.parseInt(error.split(":", -1)[1]))
+                .isSorted();
     }
 
     @Test
-    void whatIsNoTomlIsToldByItsPlace() {
-        assertThat(errors("[[class]\nname = 1")).isNotEmpty().allMatch(e -> e.matches("f:\\d+:\\d+: [^\\n]+"));
+    void reportsPlaceOfTomlSyntaxErrors() {
+        assertThat(errors("[[class]\nname = 1")).isNotEmpty().allMatch(error -> error.matches("f:\\d+:\\d+: [^\\n]+"));
         assertThat(errors(""))
-                .anyMatch(e -> e.contains("no class"))
-                .anyMatch(e -> e.contains("no listener"))
-                .anyMatch(e -> e.contains("no pool"))
-                .anyMatch(e -> e.contains("no route"));
+                .anyMatch(error -> error.contains("no class"))
+                .anyMatch(error -> error.contains("no listener"))
+                .anyMatch(error -> error.contains("no pool"))
+                .anyMatch(error -> error.contains("no route"));
         // As when the file is read while it is being written.
-        for (int cut = 1; cut < GOOD.length() - 20; cut += 7) {
+        for (int cut = 1; cut < VALID.length() - 20; cut += 7) {
             int at = cut;
-            assertThat(errors(GOOD.substring(0, at))).as("cut at " + at).isNotEmpty();
+            assertThat(errors(VALID.substring(0, at))).as("cut at " + at).isNotEmpty();
         }
     }
 
     @Test
-    void loopsAndRoutesThatAreNeverReachedAreErrors() {
-        String loop = GOOD.replace("name = \"a\"\n", "name = \"a\"\nfallback = \"b\"\n")
+    void rejectsFallbackLoopsAndUnreachableRoutes() {
+        String loop = VALID.replace("name = \"a\"\n", "name = \"a\"\nfallback = \"b\"\n")
                 .replace("name = \"b\"\n", "name = \"b\"\nfallback = \"a\"\n");
-        assertThat(errors(loop)).hasSize(2).allMatch(e -> e.contains("fallbacks go round"));
-        assertThat(errors(GOOD + "[[route]]\nname = \"late\"\norder = 1\nprefix = \"x\"\npools = [\"b\"]\n"))
+        assertThat(errors(loop)).hasSize(2).allMatch(error -> error.contains("fallbacks go round"));
+        assertThat(errors(VALID + "[[route]]\nname = \"late\"\norder = 1\nprefix = \"x\"\npools = [\"b\"]\n"))
                 .singleElement()
                 .asString()
                 .startsWith("f:27:1: ")
@@ -168,7 +171,7 @@
     }
 
     @Test
-    void filesThatCanNotBeReadAreToldInOneLine() throws Exception {
+    void reportsUnreadableFileInOneLine() throws Exception {
         Path none = folder.resolve("none.toml");
         assertThat(catchThrowableOfType(ConfigException.class, () -> DaemonConfigReader.read(none))
                         .errors())
@@ -183,11 +186,17 @@
                 .hasSize(1);
     }
 
-    /** Long files are parsed in parts; places, duplicates and tables of tables must not suffer from it. */
-    @Test
-    void aLongFileIsReadAsIfInOnePiece() throws Exception {
-        StringBuilder text = new StringBuilder("[[class]]\nname = \"r\"\neffect = \"safe\"\n[[listen]]\nname = \"l\"\n"
-                + "address = \"127.0.0.1:0\"\nopen = true\nclass = \"r\"\n");
+    private static String fileOfTwoThousandPoolsAndRoutes() {
+        StringBuilder text = new StringBuilder("""
+                [[class]]
+                name = "r"
+                effect = "safe"
+                [[listen]]
+                name = "l"
+                address = "127.0.0.1:0"
+                open = true
+                class = "r"
+                """);
         for (int i = 0; i < 2000; i++) {
             text.append("[[pool]] # [[pool]]\nname = \"p")
                     .append(i)
@@ -203,69 +212,77 @@
                     .append(i)
                     .append("\"\n");
         }
-        DaemonConfig file = DaemonConfigReader.parse("f", text.toString());
+        return text.toString();
+    }
+
+    /** Long files are parsed in chunks, which must change neither places nor duplicates nor nested tables. */
+    @Test
+    void reportsSamePlacesWhenLongFileIsParsedInChunks() throws Exception {
+        String text = fileOfTwoThousandPoolsAndRoutes();
+        DaemonConfig file = DaemonConfigReader.parse("f", text);
         assertThat(file.pools()).hasSize(2000);
         assertThat(file.routes().routes()).hasSize(2000);
-        int lines = (int) text.chars().filter(c -> c == '\n').count();
+        int lines = (int) text.chars().filter(character -> character == '\n').count();
         String bad = text + "[site]\nname = \"a\"\n[[route]]\nname = \"bad\"\npools = [\"none\"]\n";
         assertThatThrownBy(() -> DaemonConfigReader.parse("f", bad))
                 .isInstanceOfSatisfying(
                         ConfigException.class,
-                        e -> assertThat(e.errors())
+                        error -> assertThat(error.errors())
                                 .containsExactly("f:" + (lines + 5) + ":1: "
-                                        + e.errors().get(0).split(": ", 2)[1])
-                                .allMatch(l -> l.contains("there is no pool 'none'")));
+                                        + error.errors().get(0).split(": ", 2)[1])
+                                .allMatch(line -> line.contains("there is no pool 'none'")));
         // A line that looks like a table's head where a part could end.
         String nested = text + "[[route]]\nname = \"n\"\n" + "# long\n".repeat(10_000) + "pools = [\n[1]\n]\n";
         assertThatThrownBy(() -> DaemonConfigReader.parse("f", nested))
                 .isInstanceOfSatisfying(
                         ConfigException.class,
-                        e -> assertThat(e.errors()).anyMatch(l -> l.contains("pools holds something that is no text")));
+                        error -> assertThat(error.errors())
+                                .anyMatch(line -> line.contains("pools holds something that is no text")));
         String twice = "[site]\nname = \"a\"\n" + text + "[site]\nname = \"b\"\n";
         assertThatThrownBy(() -> DaemonConfigReader.parse("f", twice))
                 .isInstanceOfSatisfying(
                         ConfigException.class,
-                        e -> assertThat(e.errors())
+                        error -> assertThat(error.errors())
                                 .containsExactly("f:" + (lines + 3) + ":1: site previously defined at line 1"));
         assertThatThrownBy(() -> DaemonConfigReader.parse("f", text + "x = = 1\n"))
                 .isInstanceOfSatisfying(
                         ConfigException.class,
-                        e -> assertThat(e.errors().get(0)).startsWith("f:" + (lines + 1) + ":5: "));
+                        error -> assertThat(error.errors().get(0)).startsWith("f:" + (lines + 1) + ":5: "));
     }
 
     @Test
-    void aMemoryHasAPathBesideTheFileAndItsBounds() throws Exception {
-        assertThat(DaemonConfigReader.parse("f", GOOD).part(SnapshotConfig.class))
+    void resolvesSnapshotPathAgainstFileAndChecksBounds() throws Exception {
+        assertThat(DaemonConfigReader.parse("f", VALID).section(SnapshotConfig.class))
                 .isNull();
-        SnapshotConfig m = DaemonConfigReader.parse("/etc/c/f", GOOD + "[memory]\npath = \"m\"\nkeys = 7\n")
-                .part(SnapshotConfig.class);
-        assertThat(m).isEqualTo(new SnapshotConfig(Path.of("/etc/c/m"), 2000, 7, 65_536));
-        assertThat(errors(GOOD + "[memory]\nperiod_ms = 1\nkeys = 5000\nbytes_per_second = 1\nsize = 3\n"))
+        SnapshotConfig memory = DaemonConfigReader.parse("/etc/c/f", VALID + "[memory]\npath = \"m\"\nkeys = 7\n")
+                .section(SnapshotConfig.class);
+        assertThat(memory).isEqualTo(new SnapshotConfig(Path.of("/etc/c/m"), 2000, 7, 65_536));
+        assertThat(errors(VALID + "[memory]\nperiod_ms = 1\nkeys = 5000\nbytes_per_second = 1\nsize = 3\n"))
                 .satisfiesExactlyInAnyOrder(
-                        e -> assertThat(e).startsWith("f:26:1: memory has no path"),
-                        e -> assertThat(e).startsWith("f:27:1: period_ms is 1; a number from 50 to "),
-                        e -> assertThat(e).startsWith("f:28:1: keys is 5000; a number from 0 to 4096"),
-                        e -> assertThat(e).startsWith("f:29:1: bytes_per_second is 1; a number from 1024"),
-                        e -> assertThat(e)
+                        error -> assertThat(error).startsWith("f:26:1: memory has no path"),
+                        error -> assertThat(error).startsWith("f:27:1: period_ms is 1; a number from 50 to "),
+                        error -> assertThat(error).startsWith("f:28:1: keys is 5000; a number from 0 to 4096"),
+                        error -> assertThat(error).startsWith("f:29:1: bytes_per_second is 1; a number from 1024"),
+                        error -> assertThat(error)
                                 .startsWith(
                                         "f:30:1: unknown key 'size' in memory; allowed: bytes_per_second, keys, path, period_ms"));
     }
 
     @Test
-    void siblingsHaveTheirPlaceAndTheirErrors() throws Exception {
+    void readsAndChecksSiblings() throws Exception {
         String origin = "[pool.origin]\nname = \"o\"\ndial = \"127.0.0.1:9\"\n";
         String sibling =
                 "[[sibling]]\nname = \"east\"\nicp = \"10.0.0.1:3130\"\nfetch = \"10.0.0.1:11212\"\nclass = \"sibling\"\n";
         String icp = "[icp]\naddress = \"127.0.0.1:0\"\nlistener = \"main\"\n";
-        String pool = GOOD.replace("[[pool]]\nname = \"b\"", origin + "[[pool]]\nname = \"b\"")
+        String pool = VALID.replace("[[pool]]\nname = \"b\"", origin + "[[pool]]\nname = \"b\"")
                 .replace("name = \"a\"\n", "name = \"a\"\nsiblings = [\"east\"]\n");
-        DaemonConfig f = DaemonConfigReader.parse("f", pool + icp + sibling);
-        assertThat(f.pools().get("a").siblings()).containsExactly("east");
-        assertThat(SiblingConfig.of(f).sibling("east").className()).isEqualTo("sibling");
-        assertThat(SiblingConfig.of(f).icp().urlPrefix()).isEqualTo("http://coralbay/");
+        DaemonConfig file = DaemonConfigReader.parse("f", pool + icp + sibling);
+        assertThat(file.pools().get("a").siblings()).containsExactly("east");
+        assertThat(SiblingsConfig.of(file).sibling("east").className()).isEqualTo("sibling");
+        assertThat(SiblingsConfig.of(file).icp().urlPrefix()).isEqualTo("http://coralbay/");
         assertThat(errors(pool + sibling)).singleElement().asString().contains("write [icp]");
         assertThat(errors(pool + icp)).singleElement().asString().contains("there is no sibling 'east'");
-        assertThat(errors(GOOD.replace("name = \"a\"\n", "name = \"a\"\nsiblings = [\"east\"]\n") + icp + sibling))
+        assertThat(errors(VALID.replace("name = \"a\"\n", "name = \"a\"\nsiblings = [\"east\"]\n") + icp + sibling))
                 .singleElement()
                 .asString()
                 .contains("this pool has none in the file");
@@ -281,10 +298,10 @@
                 .contains("port 0");
     }
 
-    /** Each route of ten thousand is checked, and what is wrong with the last is told at its own line. */
+    /** An error in the last of ten thousand routes is reported at its own line. */
     @Test
-    void tenThousandRoutesAreChecked() throws Exception {
-        StringBuilder text = new StringBuilder(GOOD);
+    void checksTenThousandRoutes() throws Exception {
+        StringBuilder text = new StringBuilder(VALID);
         for (int i = 0; i < 10_000; i++) {
             text.append("[[route]]\nname = \"r")
                     .append(i)
@@ -294,7 +311,7 @@
         }
         DaemonConfig file = DaemonConfigReader.parse("f", text.toString());
         assertThat(file.routes().routes()).hasSize(10_001);
-        long lines = text.chars().filter(c -> c == '\n').count();
+        long lines = text.chars().filter(character -> character == '\n').count();
         assertThat(errors(text + "[[route]]\nname = \"r17\"\nprefix = \"q\"\npools = [\"b\"]\n"))
                 .singleElement()
                 .asString()
--- a/src/test/java/cacheproxy/daemon/fleet/FleetQuotasTest.java
+++ b/src/test/java/cacheproxy/daemon/fleet/FleetQuotasTest.java
@@ -7,7 +7,7 @@
 import cacheproxy.config.ConfigException;
 import cacheproxy.config.DaemonConfigReader;
 import cacheproxy.config.FleetConfig;
-import cacheproxy.config.LimitsConfig;
+import cacheproxy.config.QuotasConfig;
 import cacheproxy.daemon.Daemon;
 import cacheproxy.daemon.DaemonHarness;
 import cacheproxy.daemon.Ports;
@@ -165,10 +165,10 @@
         for (int i = 0; i < 1000; i++) {
             many.append("[[fleet.limit]]\nname = \"l").append(i).append("\"\nper_second = 5\n");
         }
-        LimitsConfig read = DaemonConfigReader.parse("f.toml", file(7, many.toString()))
-                .part(FleetConfig.class)
-                .limits();
-        assertThat(read.limits()).hasSize(1000);
-        assertThat(read.duties()).hasSize(4);
+        QuotasConfig read = DaemonConfigReader.parse("f.toml", file(7, many.toString()))
+                .section(FleetConfig.class)
+                .quotas();
+        assertThat(read.quotas()).hasSize(1000);
+        assertThat(read.leaseNames()).hasSize(4);
     }
 }
--- a/src/test/java/cacheproxy/daemon/fleet/FleetSubsystemTest.java
+++ b/src/test/java/cacheproxy/daemon/fleet/FleetSubsystemTest.java
@@ -320,16 +320,16 @@
         assertThatThrownBy(() -> DaemonConfigReader.parse("f", file(duty("x"))))
                 .hasMessageContaining("duties need [fleet]");
         FleetConfig open = DaemonConfigReader.parse("f", file(fleetOf("p1", 9, "", "p1@9", "p2@8")))
-                .part(FleetConfig.class);
+                .section(FleetConfig.class);
         assertThat(open.warnings()).singleElement().asString().contains("key_file");
-        assertThat(open.namesBefore()).isEmpty();
+        assertThat(open.previousPeerNames()).isEmpty();
         FleetConfig moving = DaemonConfigReader.parse(
                         "f",
                         file(fleetOf("p1", 9, "", "p1@9", "p2@8") + "leaving = true\n"
                                 + "[[fleet.peer]]\nname = \"p3\"\naddress = \"127.0.0.1:7\"\njoining = true\n"))
-                .part(FleetConfig.class);
-        assertThat(moving.names()).containsExactly("p1", "p3");
-        assertThat(moving.namesBefore()).containsExactly("p1", "p2");
+                .section(FleetConfig.class);
+        assertThat(moving.peerNames()).containsExactly("p1", "p3");
+        assertThat(moving.previousPeerNames()).containsExactly("p1", "p2");
     }
 
     /** A pool's test of a server that was asked of a peer, with the peer's socket; returns what the question says. */
@@ -531,11 +531,11 @@
                         file(fleetOf("p1", 9, "", "p1@9", "p2@8")
                                         .replace("127.0.0.1:8\"\n", "127.0.0.1:8\"\nzone = \"b\"\n")
                                 + "[fleet.watch]\n"))
-                .part(FleetConfig.class);
-        assertThat(two.names("here")).containsExactly("p1");
-        assertThat(two.names("b")).containsExactly("p2");
-        assertThat(two.watchDuty("pages")).isEqualTo("watch.here.pages");
-        assertThat(two.probeDuties()).isEmpty();
-        assertThat(two.watch().leaseMs()).isEqualTo(150);
+                .section(FleetConfig.class);
+        assertThat(two.peerNames("here")).containsExactly("p1");
+        assertThat(two.peerNames("b")).containsExactly("p2");
+        assertThat(two.watchLease("pages")).isEqualTo("watch.here.pages");
+        assertThat(two.healthCheckLeases()).isEmpty();
+        assertThat(two.delegatedWatch().leaseMs()).isEqualTo(150);
     }
 }
--- a/src/test/java/cacheproxy/nginx/importer/ImporterTest.java
+++ b/src/test/java/cacheproxy/nginx/importer/ImporterTest.java
@@ -4,6 +4,7 @@
 
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.DaemonConfigReader;
+import cacheproxy.config.ServerConfig;
 import cacheproxy.daemon.RouteExplainer;
 import cacheproxy.fakes.NginxReferenceModel;
 import cacheproxy.nginx.ConfParser;
@@ -120,8 +121,8 @@
                 .anyMatch(s -> s.startsWith("not carried: max_conns=5"));
         DaemonConfig f = file(r);
         assertThat(f.pools().get("u").servers())
-                .filteredOn(DaemonConfig.Server::down)
-                .extracting(DaemonConfig.Server::name)
+                .filteredOn(ServerConfig::down)
+                .extracting(ServerConfig::name)
                 .containsExactly("unix:/run/x.sock", "app.example:80", "10.0.0.2:80");
         // The keys of the others are where they were: on the ring with all of them.
         NginxReferenceModel model = new NginxReferenceModel(ConfParser.parse("n", text.replace(" weight=0", " down")));
@@ -138,7 +139,7 @@
         assertThat(told.pools().get("u").servers())
                 .filteredOn(s -> s.name().equals("app.example:80"))
                 .singleElement()
-                .satisfies(s -> assertThat(s.dial().getPort()).isEqualTo(8080));
+                .satisfies(s -> assertThat(s.address().getPort()).isEqualTo(8080));
     }
 
     @Test
