--- a/src/main/java/cacheproxy/daemon/Daemon.java
+++ b/src/main/java/cacheproxy/daemon/Daemon.java
@@ -336,7 +336,7 @@
     }
 
     private void figures(DaemonConfig file) {
-        SlowStartBudget.Figures figures = new SlowStartBudget.Figures(
+        SlowStartBudget.SlowStartConfig figures = new SlowStartBudget.SlowStartConfig(
                 file.site().startCapacity(),
                 file.site().warmUpMs(),
                 file.site().fallMs(),
@@ -345,10 +345,10 @@
         if (cold == null) {
             cold = new SlowStartBudget(figures);
         } else {
-            cold.figures(figures);
+            cold.setConfig(figures);
         }
         for (DaemonConfig.Pool p : file.pools().values()) {
-            PoolSettings.all(p).forEach(s -> cold.rate(s.id(), s.capacity()));
+            PoolSettings.all(p).forEach(s -> cold.setServerRate(s.id(), s.capacity()));
         }
     }
 
@@ -364,7 +364,7 @@
             for (DaemonConfig.Pool p : file.pools().values()) {
                 p.servers().stream()
                         .filter(s -> s.backup() && !s.down() && !warm.contains(s.id()) && !inUse(file, s.id()))
-                        .forEach(s -> births.unused(s.id()));
+                        .forEach(s -> births.addedUnused(s.id()));
             }
         }
         if (before != null) {
@@ -376,7 +376,7 @@
                     .filter(s -> !known.contains(s) && !warm.contains(s))
                     .forEach(s -> births.added(s, now));
         }
-        births.keep(present);
+        births.retainAll(present);
     }
 
     /** Whether some pool uses a server at all times. */
@@ -475,12 +475,12 @@
     private final class Restarts implements UpstreamRegistry.Observer {
         @Override
         public void refused(int server) {
-            births.refused(server);
+            births.connectionRefused(server);
         }
 
         @Override
         public void connected(int server) {
-            if (births.connected(server, core.now())) {
+            if (births.connectionAccepted(server, core.now())) {
                 SiblingSocket siblings = part(SiblingSocket.class);
                 if (siblings != null) {
                     siblings.restarted(server);
@@ -517,8 +517,8 @@
         router.generation().pools.forEach((name, p) -> pools.put(name, p.learned(mostKeys)));
         Map<Integer, String> addresses = SnapshotSubsystem.addresses(file);
         List<StateSnapshot.Birth> told = new ArrayList<>();
-        for (int server : births.known()) {
-            double born = births.of(server) == ServerStartTimes.UNUSED ? 0 : births.of(server);
+        for (int server : births.knownServers()) {
+            double born = births.startMs(server) == ServerStartTimes.NOT_YET_USED_MS ? 0 : births.startMs(server);
             if (addresses.containsKey(server) && (born > 0 || births.isDown(server))) {
                 told.add(new StateSnapshot.Birth(server, addresses.get(server), born, births.isDown(server)));
             }
--- a/src/main/java/cacheproxy/daemon/PoolRuntime.java
+++ b/src/main/java/cacheproxy/daemon/PoolRuntime.java
@@ -180,7 +180,7 @@
             gate = new PoolLimiter(spec.inHand(), spec.perSecond());
         }
         if (!sameRetries) {
-            admission.retries(retries(spec));
+            admission.setRetryBudget(retries(spec));
         }
         if (spec.discovery() == null) {
             list();
@@ -210,7 +210,7 @@
         List<DiscoveryClient.Host> hosts = new ArrayList<>();
         for (DaemonConfig.Server s : PoolSettings.all(spec)) {
             if (!s.down() && wanted.test(s.id())) {
-                Member m = PoolSettings.member(file, spec, s, births.of(s.id()));
+                Member m = PoolSettings.member(file, spec, s, births.startMs(s.id()));
                 hosts.add(new DiscoveryClient.Host(m, s.dial()));
             }
         }
--- a/src/main/java/cacheproxy/daemon/SiblingSocket.java
+++ b/src/main/java/cacheproxy/daemon/SiblingSocket.java
@@ -159,7 +159,7 @@
     /** Asks; where a bound is reached nothing goes out, and the module goes on when its wait is over. */
     void ask(String key, List<SiblingConfig.Sibling> whom, double waitMs, IntConsumer answer) {
         double now = core.now();
-        if (!questionRate.take(now)) {
+        if (!questionRate.tryAcquire(now)) {
             overRate++;
             return;
         }
@@ -250,7 +250,7 @@
             if (m.opcode().answers()) {
                 answered(packet.sender(), m);
             } else if (m.opcode() == Opcode.QUERY) {
-                if (!answerRates.getOrDefault(packet.sender(), strangersRate).take(core.now())) {
+                if (!answerRates.getOrDefault(packet.sender(), strangersRate).tryAcquire(core.now())) {
                     overRate++;
                     return;
                 }
--- a/src/main/java/cacheproxy/daemon/snapshot/SnapshotSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/snapshot/SnapshotSubsystem.java
@@ -194,7 +194,7 @@
     /** Gives back what is remembered of starts. */
     public void births(ServerStartTimes to, double now) {
         if (remembered != null) {
-            remembered.births(now, addresses(file)).forEach(b -> to.recall(b.id(), b.bornMs(), b.down(), now));
+            remembered.births(now, addresses(file)).forEach(b -> to.restore(b.id(), b.bornMs(), b.down(), now));
         }
     }
 
--- a/src/main/java/cacheproxy/limits/ConnectionEviction.java
+++ b/src/main/java/cacheproxy/limits/ConnectionEviction.java
@@ -9,15 +9,15 @@
  */
 public final class ConnectionEviction {
     /** What a client that means to ask needs to begin, on a busy machine. */
-    public static final double BEGIN_MS = 150;
+    public static final double FIRST_REQUEST_GRACE_MS = 150;
     /** A client that writes slowly does not pause for as long. */
-    public static final double PAUSE_MS = 600;
+    public static final double STALLED_WRITE_MS = 600;
 
     /** What makes room sooner has the higher rank. */
-    private static final double SERVED = 2e12;
+    private static final double SERVED_RANK_BASE = 2e12;
 
-    private static final double SILENT = 1e12;
-    private static final double NONE = -1;
+    private static final double UNUSED_RANK_BASE = 1e12;
+    private static final double NOT_EVICTABLE = -1;
 
     private ConnectionEviction() {}
 
@@ -29,14 +29,16 @@
      * @param owed whether an answer is owed or still on its way
      * @param quietMs since anything came or went
      */
-    public static double rank(boolean idle, boolean asked, boolean owed, double quietMs) {
+    public static double rank(boolean idle, boolean hasServedRequest, boolean responsePending, double quietMs) {
         double quiet = Math.max(0, quietMs);
-        if (owed) {
-            return NONE;
+        if (responsePending) {
+            return NOT_EVICTABLE;
         }
         if (idle) {
-            return asked ? SERVED + quiet : quiet >= BEGIN_MS ? SILENT + quiet : NONE;
+            return hasServedRequest
+                    ? SERVED_RANK_BASE + quiet
+                    : quiet >= FIRST_REQUEST_GRACE_MS ? UNUSED_RANK_BASE + quiet : NOT_EVICTABLE;
         }
-        return quiet >= PAUSE_MS ? quiet : NONE;
+        return quiet >= STALLED_WRITE_MS ? quiet : NOT_EVICTABLE;
     }
 }
--- a/src/main/java/cacheproxy/limits/PoolAdmissionControl.java
+++ b/src/main/java/cacheproxy/limits/PoolAdmissionControl.java
@@ -7,41 +7,42 @@
 /** A pool's bounds towards its servers: its own retries, and cold servers together with all other pools. */
 public final class PoolAdmissionControl implements AdmissionControl {
     private final SlowStartBudget cold;
-    private final IntPredicate trials;
-    private RetryBudget retries;
+    private final IntPredicate halfOpenProbeAllowed;
+    private RetryBudget setRetryBudget;
 
     /**
      * @param cold that of all pools of the process
      * @param trials whether a client's request may now be the trial of this server
      */
-    public PoolAdmissionControl(SlowStartBudget cold, RetryBudget retries, IntPredicate trials) {
-        this.cold = cold;
-        this.trials = trials;
-        this.retries = retries;
+    public PoolAdmissionControl(
+            SlowStartBudget slowStartBudget, RetryBudget retryBudget, IntPredicate halfOpenProbeAllowed) {
+        this.cold = slowStartBudget;
+        this.halfOpenProbeAllowed = halfOpenProbeAllowed;
+        this.setRetryBudget = retryBudget;
     }
 
     /** Another budget from now on. */
-    public void retries(RetryBudget other) {
-        retries = other;
+    public void setRetryBudget(RetryBudget replacement) {
+        setRetryBudget = replacement;
     }
 
     @Override
-    public boolean cold(double now, Member server, double startedMs) {
-        return cold.take(now, server.id(), server.bornMs(), startedMs);
+    public boolean admitWarmingUp(double nowMs, Member server, double startedMs) {
+        return cold.tryAcquire(nowMs, server.id(), server.bornMs(), startedMs);
     }
 
     @Override
-    public boolean trial(double now, Member server) {
-        return trials.test(server.id());
+    public boolean admitHalfOpenProbe(double nowMs, Member server) {
+        return halfOpenProbeAllowed.test(server.id());
     }
 
     @Override
-    public void first(double now) {
-        retries.first(now);
+    public void recordFirstAttempt(double nowMs) {
+        setRetryBudget.recordFirstAttempt(nowMs);
     }
 
     @Override
-    public boolean retry(double now) {
-        return retries.retry(now);
+    public boolean admitRetry(double nowMs) {
+        return setRetryBudget.tryAcquire(nowMs);
     }
 }
--- a/src/main/java/cacheproxy/limits/RetryBudget.java
+++ b/src/main/java/cacheproxy/limits/RetryBudget.java
@@ -7,37 +7,38 @@
  */
 public final class RetryBudget {
     /** First tries whose share may be saved up, at 10 seconds of so many tries a second. */
-    private static final double SAVED = 10;
+    private static final double MAX_SAVED_RETRIES = 10;
 
-    private final double share;
-    private final double always;
-    private final double most;
+    private final double retryRatio;
+    private final double minRetriesPerSecond;
+    private final double maxTokens;
     private double tokens;
-    private double at = Double.NaN;
+    private double lastRefillMs = Double.NaN;
 
     /**
      * @param share retries for each first try, 0 to 10
      * @param always retries a second that are allowed whatever the share, 0 or more
      */
-    public RetryBudget(double share, double always) {
-        if (!(share >= 0 && share <= 10) || !(always >= 0)) {
-            throw new IllegalArgumentException("retry share " + share + " and " + always + " a second");
+    public RetryBudget(double retryRatio, double minRetriesPerSecond) {
+        if (!(retryRatio >= 0 && retryRatio <= 10) || !(minRetriesPerSecond >= 0)) {
+            throw new IllegalArgumentException(
+                    "retry share " + retryRatio + " and " + minRetriesPerSecond + " a second");
         }
-        this.share = share;
-        this.always = always;
-        most = Math.max(share > 0 ? SAVED : 0, always);
-        tokens = most;
+        this.retryRatio = retryRatio;
+        this.minRetriesPerSecond = minRetriesPerSecond;
+        maxTokens = Math.max(retryRatio > 0 ? MAX_SAVED_RETRIES : 0, minRetriesPerSecond);
+        tokens = maxTokens;
     }
 
     /** A request's first try goes out. */
-    public void first(double now) {
-        fill(now);
-        tokens = Math.min(most, tokens + share);
+    public void recordFirstAttempt(double nowMs) {
+        refill(nowMs);
+        tokens = Math.min(maxTokens, tokens + retryRatio);
     }
 
     /** Spends one retry, if there is one. */
-    public boolean retry(double now) {
-        fill(now);
+    public boolean tryAcquire(double nowMs) {
+        refill(nowMs);
         if (tokens < 1) {
             return false;
         }
@@ -45,10 +46,10 @@
         return true;
     }
 
-    private void fill(double now) {
-        if (!Double.isNaN(at) && now > at) {
-            tokens = Math.min(most, tokens + (now - at) / 1000 * always);
+    private void refill(double nowMs) {
+        if (!Double.isNaN(lastRefillMs) && nowMs > lastRefillMs) {
+            tokens = Math.min(maxTokens, tokens + (nowMs - lastRefillMs) / 1000 * minRetriesPerSecond);
         }
-        at = now;
+        lastRefillMs = nowMs;
     }
 }
--- a/src/main/java/cacheproxy/limits/ServerCapacity.java
+++ b/src/main/java/cacheproxy/limits/ServerCapacity.java
@@ -14,49 +14,49 @@
      * others take it: requests that go out on one are begun all the same, only answered in turn. Who holds two at a
      * node can't see there that others have none, but finds itself without at another.
      */
-    public static final class Shortage {
+    public static final class ConnectionShortage {
         /**
          * How long one that was turned away counts: several of the longest waits, so that the next try falls within.
          */
-        static final double SPAN_MS = 30_000;
+        static final double DURATION_MS = 30_000;
 
         private double untilMs = Double.NEGATIVE_INFINITY;
 
         /** Whether a server is to get one connection at most. */
-        public boolean scarce(double now) {
-            return now < untilMs;
+        public boolean isActive(double nowMs) {
+            return nowMs < untilMs;
         }
     }
 
     /** Others' connections end by chance, at a restart, or for having stood idle. */
-    private static final double FIRST_WAIT_MS = 500;
+    private static final double MIN_WAIT_MS = 500;
 
-    private static final double LONGEST_WAIT_MS = 4000;
+    private static final double MAX_WAIT_MS = 4000;
 
-    private final Shortage shortage;
-    private double waitMs = FIRST_WAIT_MS;
+    private final ConnectionShortage shortage;
+    private double waitMs = MIN_WAIT_MS;
     private double fullUntilMs = Double.NEGATIVE_INFINITY;
 
     /** Of one node; the shortage is shared by all. */
-    public ServerCapacity(Shortage shortage) {
+    public ServerCapacity(ConnectionShortage shortage) {
         this.shortage = shortage;
     }
 
     /** A new connection was turned away. */
-    public void turnedAway(double now) {
-        fullUntilMs = now + waitMs;
-        waitMs = Math.min(LONGEST_WAIT_MS, 2 * waitMs);
-        shortage.untilMs = now + Shortage.SPAN_MS;
+    public void connectionRefused(double nowMs) {
+        fullUntilMs = nowMs + waitMs;
+        waitMs = Math.min(MAX_WAIT_MS, 2 * waitMs);
+        shortage.untilMs = nowMs + ConnectionShortage.DURATION_MS;
     }
 
     /** A new connection was taken. */
-    public void taken() {
-        waitMs = FIRST_WAIT_MS;
+    public void connectionAccepted() {
+        waitMs = MIN_WAIT_MS;
         fullUntilMs = Double.NEGATIVE_INFINITY;
     }
 
     /** Whether a connection may be tried where so many stand, not counting those taken up by long answers. */
-    public boolean mayOpen(double now, int standing) {
-        return now >= fullUntilMs && (standing == 0 || !shortage.scarce(now));
+    public boolean mayOpen(double nowMs, int openConnections) {
+        return nowMs >= fullUntilMs && (openConnections == 0 || !shortage.isActive(nowMs));
     }
 }
--- a/src/main/java/cacheproxy/limits/ServerStartTimes.java
+++ b/src/main/java/cacheproxy/limits/ServerStartTimes.java
@@ -12,29 +12,29 @@
  */
 public final class ServerStartTimes {
     /** A start that is still to come: the server is cold, and stays so until it is first used. */
-    public static final double UNUSED = 1e300;
+    public static final double NOT_YET_USED_MS = 1e300;
 
-    private final Map<Integer, Double> born = new HashMap<>();
+    private final Map<Integer, Double> startMsByServer = new HashMap<>();
     private final Set<Integer> down = new HashSet<>();
 
     /** 0: long ago. */
-    public double of(int server) {
-        return born.getOrDefault(server, 0.0);
+    public double startMs(int server) {
+        return startMsByServer.getOrDefault(server, 0.0);
     }
 
     /** A server that was there before we were is taken for warm; one that comes later is not. */
-    public void added(int server, double now) {
-        born.putIfAbsent(server, now);
+    public void added(int server, double nowMs) {
+        startMsByServer.putIfAbsent(server, nowMs);
     }
 
     /** A server that has had nothing to do so far, such as a backup: what it holds is no better than a new one's. */
-    public void unused(int server) {
-        born.putIfAbsent(server, UNUSED);
+    public void addedUnused(int server) {
+        startMsByServer.putIfAbsent(server, NOT_YET_USED_MS);
     }
 
     /** Forgets all but these. */
-    public void keep(Set<Integer> servers) {
-        born.keySet().retainAll(servers);
+    public void retainAll(Set<Integer> servers) {
+        startMsByServer.keySet().retainAll(servers);
         down.retainAll(servers);
     }
 
@@ -42,9 +42,9 @@
      * What an earlier process knew of a start, or that the server was down when it looked last. It may make a server
      * cold for longer, never warm sooner.
      */
-    public void recall(int server, double bornMs, boolean wasDown, double now) {
-        if (bornMs > 0) {
-            born.merge(server, Math.min(bornMs, now), Math::max);
+    public void restore(int server, double startMs, boolean wasDown, double nowMs) {
+        if (startMs > 0) {
+            startMsByServer.merge(server, Math.min(startMs, nowMs), Math::max);
         }
         if (wasDown) {
             down.add(server);
@@ -52,8 +52,8 @@
     }
 
     /** Servers of which a start is known, and those that are down. */
-    public Set<Integer> known() {
-        Set<Integer> known = new HashSet<>(born.keySet());
+    public Set<Integer> knownServers() {
+        Set<Integer> known = new HashSet<>(startMsByServer.keySet());
         known.addAll(down);
         return known;
     }
@@ -64,16 +64,16 @@
     }
 
     /** It refused a connection. */
-    public void refused(int server) {
+    public void connectionRefused(int server) {
         down.add(server);
     }
 
     /** It took a connection; true if it has started since it was last known to run, or is used for the first time. */
-    public boolean connected(int server, double now) {
-        if (!down.remove(server) && of(server) != UNUSED) {
+    public boolean connectionAccepted(int server, double nowMs) {
+        if (!down.remove(server) && startMs(server) != NOT_YET_USED_MS) {
             return false;
         }
-        born.put(server, now);
+        startMsByServer.put(server, nowMs);
         return true;
     }
 }
--- a/src/main/java/cacheproxy/limits/SlowStartBudget.java
+++ b/src/main/java/cacheproxy/limits/SlowStartBudget.java
@@ -15,71 +15,79 @@
  * 1.25 times what the server can do, where it falls at {@code tipMultiple}, which is above that.
  */
 public final class SlowStartBudget {
-    static final double BURST_SPANS = 0.25;
+    static final double BURST_WINDOWS = 0.25;
     /** So many servers are kept in mind, those longest not sent to go first. */
-    static final int MOST_SERVERS = 20_000;
+    static final int MAX_SERVERS = 20_000;
 
     /** What the site says of starts, and the tier. */
-    public record Figures(double startCapacity, double warmUpMs, double fallMs, int instances, double unknownRate) {
-        public Figures {
+    public record SlowStartConfig(
+            double startCapacity,
+            double warmUpMs,
+            double overloadWindowMs,
+            int proxyCount,
+            double defaultRatePerSecond) {
+        public SlowStartConfig {
             if (!(startCapacity > 0 && startCapacity <= 1)
                     || !(warmUpMs >= 0)
-                    || !(fallMs > 0)
-                    || instances < 1
-                    || !(unknownRate > 0)) {
-                throw new IllegalArgumentException("cold figures " + startCapacity + ", " + warmUpMs + ", " + fallMs
-                        + ", " + instances + ", " + unknownRate);
+                    || !(overloadWindowMs > 0)
+                    || proxyCount < 1
+                    || !(defaultRatePerSecond > 0)) {
+                throw new IllegalArgumentException("cold figures " + startCapacity + ", " + warmUpMs + ", "
+                        + overloadWindowMs + ", " + proxyCount + ", " + defaultRatePerSecond);
             }
         }
     }
 
     private static final class Bucket {
-        double bornMs = Double.NaN;
+        double listedStartMs = Double.NaN;
         double tokens;
-        double at;
+        double lastRefillMs;
     }
 
-    private Figures figures;
-    private final Map<Integer, Double> rates = new HashMap<>();
+    private SlowStartConfig setConfig;
+    private final Map<Integer, Double> ratePerSecond = new HashMap<>();
     private final Map<Integer, Bucket> buckets;
 
-    public SlowStartBudget(Figures figures) {
-        this.figures = figures;
+    public SlowStartBudget(SlowStartConfig config) {
+        this.setConfig = config;
         buckets = new LinkedHashMap<>(16, 0.75f, true) {
             private static final long serialVersionUID = 1L;
 
             @Override
             protected boolean removeEldestEntry(Map.Entry<Integer, Bucket> eldest) {
-                return size() > MOST_SERVERS;
+                return size() > MAX_SERVERS;
             }
         };
     }
 
     /** Other figures from now on; what has been sent stays counted. */
-    public void figures(Figures other) {
-        figures = other;
+    public void setConfig(SlowStartConfig replacement) {
+        setConfig = replacement;
     }
 
     /** What a server can do when warm, in requests a second; the figure for unknown ones holds until this is told. */
-    public void rate(int server, double perSecond) {
+    public void setServerRate(int server, double perSecond) {
         if (perSecond > 0) {
-            rates.put(server, perSecond);
+            ratePerSecond.put(server, perSecond);
         } else {
-            rates.remove(server);
+            ratePerSecond.remove(server);
         }
     }
 
     /** Requests a millisecond that this proxy may send to the server, started then, by now. */
-    private double perMs(int server, double startedMs, double now) {
-        double age = Math.max(0, now - startedMs);
-        double warm = figures.warmUpMs() > 0 ? Math.min(1, age / figures.warmUpMs()) : 1;
-        double part = figures.startCapacity() + (1 - figures.startCapacity()) * warm;
-        return rates.getOrDefault(server, figures.unknownRate()) * part / 1000 / figures.instances();
+    private double requestsPerMs(int server, double startedMs, double nowMs) {
+        double ageMs = Math.max(0, nowMs - startedMs);
+        double warmedUpPart = setConfig.warmUpMs() > 0 ? Math.min(1, ageMs / setConfig.warmUpMs()) : 1;
+        double capacityPart = setConfig.startCapacity() + (1 - setConfig.startCapacity()) * warmedUpPart;
+        return ratePerSecond.getOrDefault(server, setConfig.defaultRatePerSecond())
+                * capacityPart
+                / 1000
+                / setConfig.proxyCount();
     }
 
     /** Whether a server that started then may be sent one more request; if so it counts as sent. */
-    public boolean take(double now, int server, double bornMs) {
-        return take(now, server, bornMs, bornMs);
+    public boolean tryAcquire(double nowMs, int server, double listedStartMs) {
+        return tryAcquire(nowMs, server, listedStartMs, listedStartMs);
     }
 
     /**
@@ -88,21 +96,21 @@
      * @param bornMs as the list tells it: another one is another start
      * @param startedMs when that was, on the caller's clock
      */
-    public boolean take(double now, int server, double bornMs, double startedMs) {
-        Bucket b = buckets.computeIfAbsent(server, s -> new Bucket());
-        double perMs = perMs(server, startedMs, now);
-        double most = Math.max(1, perMs * figures.fallMs() * BURST_SPANS);
-        if (b.bornMs != bornMs) {
-            b.bornMs = bornMs;
-            b.tokens = 1;
-            b.at = now;
+    public boolean tryAcquire(double nowMs, int server, double listedStartMs, double startedMs) {
+        Bucket bucket = buckets.computeIfAbsent(server, absent -> new Bucket());
+        double perMs = requestsPerMs(server, startedMs, nowMs);
+        double maxTokens = Math.max(1, perMs * setConfig.overloadWindowMs() * BURST_WINDOWS);
+        if (bucket.listedStartMs != listedStartMs) {
+            bucket.listedStartMs = listedStartMs;
+            bucket.tokens = 1;
+            bucket.lastRefillMs = nowMs;
         }
-        b.tokens = Math.min(most, b.tokens + Math.max(0, now - b.at) * perMs);
-        b.at = now;
-        if (b.tokens < 1) {
+        bucket.tokens = Math.min(maxTokens, bucket.tokens + Math.max(0, nowMs - bucket.lastRefillMs) * perMs);
+        bucket.lastRefillMs = nowMs;
+        if (bucket.tokens < 1) {
             return false;
         }
-        b.tokens--;
+        bucket.tokens--;
         return true;
     }
 }
--- a/src/main/java/cacheproxy/limits/TokenBucket.java
+++ b/src/main/java/cacheproxy/limits/TokenBucket.java
@@ -2,34 +2,34 @@
 
 /** A rate with some room for bursts. Free of clocks: the time comes in, in milliseconds, and must not go back. */
 public final class TokenBucket {
-    private final double perMs;
-    private final double burst;
+    private final double tokensPerMs;
+    private final double maxTokens;
     private double tokens;
-    private double at = Double.NaN;
+    private double lastRefillMs = Double.NaN;
 
     /**
      * @param perSecond what comes in a second, above 0
      * @param burst what may be saved up, 1 or more; it is full at the start
      */
-    public TokenBucket(double perSecond, double burst) {
-        if (!(perSecond > 0) || !(burst >= 1)) {
-            throw new IllegalArgumentException("rate " + perSecond + " with burst " + burst);
+    public TokenBucket(double tokensPerSecond, double maxTokens) {
+        if (!(tokensPerSecond > 0) || !(maxTokens >= 1)) {
+            throw new IllegalArgumentException("rate " + tokensPerSecond + " with burst " + maxTokens);
         }
-        perMs = perSecond / 1000;
-        this.burst = burst;
-        tokens = burst;
+        tokensPerMs = tokensPerSecond / 1000;
+        this.maxTokens = maxTokens;
+        tokens = maxTokens;
     }
 
-    private void fill(double now) {
-        if (!Double.isNaN(at) && now > at) {
-            tokens = Math.min(burst, tokens + (now - at) * perMs);
+    private void refill(double nowMs) {
+        if (!Double.isNaN(lastRefillMs) && nowMs > lastRefillMs) {
+            tokens = Math.min(maxTokens, tokens + (nowMs - lastRefillMs) * tokensPerMs);
         }
-        at = now;
+        lastRefillMs = nowMs;
     }
 
     /** Takes one, if there is one. */
-    public boolean take(double now) {
-        fill(now);
+    public boolean tryAcquire(double nowMs) {
+        refill(nowMs);
         if (tokens < 1) {
             return false;
         }
@@ -38,8 +38,8 @@
     }
 
     /** Milliseconds until there is one; 0 if there is one now. */
-    public double waitMs(double now) {
-        fill(now);
-        return tokens >= 1 ? 0 : (1 - tokens) / perMs;
+    public double waitMs(double nowMs) {
+        refill(nowMs);
+        return tokens >= 1 ? 0 : (1 - tokens) / tokensPerMs;
     }
 }
--- a/src/main/java/cacheproxy/placement/AdmissionControl.java
+++ b/src/main/java/cacheproxy/placement/AdmissionControl.java
@@ -8,27 +8,27 @@
  */
 public interface AdmissionControl {
     /** No bounds but the module's own. */
-    AdmissionControl OPEN = new AdmissionControl() {};
+    AdmissionControl UNLIMITED = new AdmissionControl() {};
 
     /**
      * Whether a server that is cold may be sent one more request now; if so it counts as sent.
      *
      * @param startedMs when it started, on the module's clock
      */
-    default boolean cold(double now, Member server, double startedMs) {
+    default boolean admitWarmingUp(double nowMs, Member server, double startedMs) {
         return true;
     }
 
     /** Whether a client's request may now be the trial of a server that seemed sick. */
-    default boolean trial(double now, Member server) {
+    default boolean admitHalfOpenProbe(double nowMs, Member server) {
         return true;
     }
 
     /** A request's first attempt goes out. */
-    default void first(double now) {}
+    default void recordFirstAttempt(double nowMs) {}
 
     /** Whether one more attempt may be spent on a request that has had one; if so it counts as spent. */
-    default boolean retry(double now) {
+    default boolean admitRetry(double nowMs) {
         return true;
     }
 }
--- a/src/main/java/cacheproxy/policy/RoutingPolicy.java
+++ b/src/main/java/cacheproxy/policy/RoutingPolicy.java
@@ -302,7 +302,7 @@
 
     /** A fresh instance that knows nothing yet. */
     public RoutingPolicy(Settings settings, long seed) {
-        this(settings, seed, CarpPlacement::new, AdmissionControl.OPEN, Siblings.NONE);
+        this(settings, seed, CarpPlacement::new, AdmissionControl.UNLIMITED, Siblings.NONE);
     }
 
     /** One that ranks servers by this placement, keeps to these further bounds and may ask these siblings. */
@@ -527,7 +527,7 @@
             return;
         }
         // A fetch after a miss is the request's ordinary way. All else is more work for a fleet in trouble.
-        if (f.attempts > 0 && !(s == origin && f.missedAt != null) && !admission.retry(now)) {
+        if (f.attempts > 0 && !(s == origin && f.missedAt != null) && !admission.admitRetry(now)) {
             giveUp(f, out);
             return;
         }
@@ -611,7 +611,7 @@
     private void place(double now, Flight f, Server s, Actions out) {
         int a = f.attempts++;
         if (a == 0) {
-            admission.first(now);
+            admission.recordFirstAttempt(now);
         }
         f.at[a] = s;
         f.sentAt[a] = now;
@@ -769,7 +769,7 @@
                 || !f.safe
                 || f.attempts > 0
                 || trials < 1
-                || !cfg.mayProbe() && !(warmEnough(now, f, s) && admission.trial(now, s.member))) {
+                || !cfg.mayProbe() && !(warmEnough(now, f, s) && admission.admitHalfOpenProbe(now, s.member))) {
             return false;
         }
         trials--;
@@ -794,7 +794,8 @@
         // Each takes its part by chance: of keys chosen alike by all, a new hot one would come from all. Who
         // has just started takes each hot key for a new one, and lets few in until it has seen some requests.
         double part = hot.own * s.share * (f.seen > 1 ? LATER_SIGHT : FIRST_SIGHT);
-        return random.nextDouble() < ramp * Math.min(1, part / f.seen) && admission.cold(now, s.member, started);
+        return random.nextDouble() < ramp * Math.min(1, part / f.seen)
+                && admission.admitWarmingUp(now, s.member, started);
     }
 
     private boolean cold(double now, Server s) {
--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -174,7 +174,7 @@
                     config.streamsPerConnection(),
                     false,
                     CarpPlacement::new,
-                    AdmissionControl.OPEN);
+                    AdmissionControl.UNLIMITED);
         }
     }
 
--- a/src/main/java/cacheproxy/proxy/Upstream.java
+++ b/src/main/java/cacheproxy/proxy/Upstream.java
@@ -194,9 +194,9 @@
     /** Whether the server had room for a new connection. */
     void room(boolean taken) {
         if (taken) {
-            room.taken();
+            room.connectionAccepted();
         } else if (!origin) {
-            room.turnedAway(core.now());
+            room.connectionRefused(core.now());
         }
     }
 
--- a/src/main/java/cacheproxy/proxy/UpstreamRegistry.java
+++ b/src/main/java/cacheproxy/proxy/UpstreamRegistry.java
@@ -28,7 +28,7 @@
     private final List<Upstream> leaving = new ArrayList<>();
 
     /** What all cache nodes have shown of their room for connections. */
-    final ServerCapacity.Shortage shortage = new ServerCapacity.Shortage();
+    final ServerCapacity.ConnectionShortage shortage = new ServerCapacity.ConnectionShortage();
     /** One for the process and one for each pool that follows discovery; a pool may end while they are told. */
     private final List<Observer> observers = new CopyOnWriteArrayList<>();
 
@@ -93,7 +93,7 @@
     void sweep(Iterable<Upstream> of, double now, double idleSinceMs) {
         for (Upstream u : of) {
             u.closeIdle(idleSinceMs);
-            if (!u.origin && shortage.scarce(now)) {
+            if (!u.origin && shortage.isActive(now)) {
                 u.closeSpare();
             }
             u.sweep(now);
--- a/src/test/java/cacheproxy/PolicySiblingsTest.java
+++ b/src/test/java/cacheproxy/PolicySiblingsTest.java
@@ -44,7 +44,7 @@
 
     private Rig rig(boolean copies) {
         Settings s = Rig.withoutProbes(Rig.settings(true, false, copies, Group.ALL));
-        Rig rig = new Rig(s, new RoutingPolicy(s, 42, CarpPlacement::new, AdmissionControl.OPEN, siblings));
+        Rig rig = new Rig(s, new RoutingPolicy(s, 42, CarpPlacement::new, AdmissionControl.UNLIMITED, siblings));
         rig.fleet(4);
         rig.policy.onList(rig.now, ListKind.CHANGES, List.of(new Member(SIBLING, 0, 0, 0, State.READY, 1, 0)), rig);
         return rig;
--- a/src/test/java/cacheproxy/limits/ConnectionEvictionTest.java
+++ b/src/test/java/cacheproxy/limits/ConnectionEvictionTest.java
@@ -7,43 +7,43 @@
 /** Who makes room, without sockets. */
 class ConnectionEvictionTest {
     @Test
-    void servedOnesGoFirstThenSilentOnesThenThoseThatHaveStoppedWriting() {
+    void evictsServedThenUnusedThenStalledConnections() {
         double served = ConnectionEviction.rank(true, true, false, 0);
-        double silent = ConnectionEviction.rank(true, false, false, 100_000);
-        double stopped = ConnectionEviction.rank(false, false, false, 100_000);
-        assertThat(served).isGreaterThan(silent);
-        assertThat(silent).isGreaterThan(stopped);
-        assertThat(stopped).isPositive();
+        double unused = ConnectionEviction.rank(true, false, false, 100_000);
+        double stalled = ConnectionEviction.rank(false, false, false, 100_000);
+        assertThat(served).isGreaterThan(unused);
+        assertThat(unused).isGreaterThan(stalled);
+        assertThat(stalled).isPositive();
     }
 
     @Test
-    void withinAKindTheOneQuietLongestGoesFirst() {
+    void evictsLongestQuietConnectionFirstWithinAClass() {
         for (boolean idle : new boolean[] {true, false}) {
-            for (boolean asked : new boolean[] {true, false}) {
-                assertThat(ConnectionEviction.rank(idle, asked, false, 1001))
-                        .isGreaterThan(ConnectionEviction.rank(idle, asked, false, 1000));
+            for (boolean hasServedRequest : new boolean[] {true, false}) {
+                assertThat(ConnectionEviction.rank(idle, hasServedRequest, false, 1001))
+                        .isGreaterThan(ConnectionEviction.rank(idle, hasServedRequest, false, 1000));
             }
         }
     }
 
     @Test
-    void whoIsOwedAnAnswerHasJustComeOrGoesOnWritingStays() {
+    void keepsConnectionsWithPendingResponseFirstRequestGraceOrRecentWrites() {
         assertThat(ConnectionEviction.rank(true, true, true, 1e9)).isNegative();
         assertThat(ConnectionEviction.rank(false, true, true, 1e9)).isNegative();
-        assertThat(ConnectionEviction.rank(true, false, false, ConnectionEviction.BEGIN_MS - 1))
+        assertThat(ConnectionEviction.rank(true, false, false, ConnectionEviction.FIRST_REQUEST_GRACE_MS - 1))
                 .isNegative();
-        assertThat(ConnectionEviction.rank(true, false, false, ConnectionEviction.BEGIN_MS))
+        assertThat(ConnectionEviction.rank(true, false, false, ConnectionEviction.FIRST_REQUEST_GRACE_MS))
                 .isPositive();
-        assertThat(ConnectionEviction.rank(false, false, false, ConnectionEviction.PAUSE_MS - 1))
+        assertThat(ConnectionEviction.rank(false, false, false, ConnectionEviction.STALLED_WRITE_MS - 1))
                 .isNegative();
-        assertThat(ConnectionEviction.rank(false, true, false, ConnectionEviction.PAUSE_MS - 1))
+        assertThat(ConnectionEviction.rank(false, true, false, ConnectionEviction.STALLED_WRITE_MS - 1))
                 .isNegative();
-        assertThat(ConnectionEviction.rank(false, false, false, ConnectionEviction.PAUSE_MS))
+        assertThat(ConnectionEviction.rank(false, false, false, ConnectionEviction.STALLED_WRITE_MS))
                 .isPositive();
     }
 
     @Test
-    void aClockThatWentBackDoesNotMoveAServedOneBelowASilentOne() {
+    void ranksServedAboveUnusedWhenClockWentBack() {
         assertThat(ConnectionEviction.rank(true, true, false, -5))
                 .isGreaterThan(ConnectionEviction.rank(true, false, false, 1e9));
     }
--- a/src/test/java/cacheproxy/placement/StartTimesTest.java
+++ b/src/test/java/cacheproxy/placement/StartTimesTest.java
@@ -54,7 +54,7 @@
     @Test
     void whatHasNotStartedYetAndLongAgoSayNothing() {
         StartTimes times = new StartTimes();
-        times.listed(1000, List.of(born(1, 0), born(2, ServerStartTimes.UNUSED)));
+        times.listed(1000, List.of(born(1, 0), born(2, ServerStartTimes.NOT_YET_USED_MS)));
         times.listed(2000, list(5000));
         assertThat(times.startedMs(5000, NEVER)).isEqualTo(2000);
     }
