--- a/src/main/java/cacheproxy/bench/ChoiceBench.java
+++ b/src/main/java/cacheproxy/bench/ChoiceBench.java
@@ -89,8 +89,8 @@
             int[] top = new int[RANKS];
             long[] keys = new SplittableRandom(4).longs(1024).toArray();
             String[] figures = {
-                time(i -> equal.top(keys[i & 1023], CarpHash.keyHash(keys[i & 1023]), RANKS, top)),
-                time(i -> unequal.top(keys[i & 1023], CarpHash.keyHash(keys[i & 1023]), RANKS, top)),
+                time(i -> equal.rank(keys[i & 1023], CarpHash.keyHash(keys[i & 1023]), RANKS, top)),
+                time(i -> unequal.rank(keys[i & 1023], CarpHash.keyHash(keys[i & 1023]), RANKS, top)),
                 time(i -> plain.top(CarpHash.keyHash(keys[i & 1023]), RANKS, top))
             };
             out.printf("%-10d %16s %16s %16s%n", n, micros(figures[0]), micros(figures[1]), micros(figures[2]));
--- a/src/main/java/cacheproxy/config/DaemonConfigReader.java
+++ b/src/main/java/cacheproxy/config/DaemonConfigReader.java
@@ -415,7 +415,7 @@
         // What is down is not dialled; its place in nginx's placements is all that it is there for.
         boolean undialled = s.flag("down", false) && !s.has("dial");
         InetSocketAddress dial = undialled ? null : address(s, "dial", false);
-        int id = ServerId.of(name);
+        int id = ServerId.fromName(name);
         String other = namesById.putIfAbsent(id, name);
         if (other != null && !other.equals(name)) {
             s.error(
--- a/src/main/java/cacheproxy/config/SiblingConfig.java
+++ b/src/main/java/cacheproxy/config/SiblingConfig.java
@@ -73,7 +73,7 @@
     private static Sibling sibling(
             DaemonConfigReader.Known known, TomlTableReader s, Set<String> names, Set<Integer> ids) {
         String name = DaemonConfigReader.name(s, names, "sibling");
-        int id = ServerId.of("sibling/" + name);
+        int id = ServerId.fromName("sibling/" + name);
         if (known.serverNames().containsKey(id) || !ids.add(id)) {
             s.error(
                     "name",
--- a/src/main/java/cacheproxy/daemon/PoolRuntime.java
+++ b/src/main/java/cacheproxy/daemon/PoolRuntime.java
@@ -75,8 +75,8 @@
                         spec.connections(),
                         spec.streams(),
                         spec.plainNodes(),
-                        BackupPlacement.over(
-                                members -> PoolSettings.placement(this.spec).of(members), backups::contains),
+                        BackupPlacement.withBackups(
+                                members -> PoolSettings.placement(this.spec).create(members), backups::contains),
                         admission));
         dispatcher.recall(recollections);
         if (siblings != null) {
--- a/src/main/java/cacheproxy/daemon/PoolSettings.java
+++ b/src/main/java/cacheproxy/daemon/PoolSettings.java
@@ -157,7 +157,7 @@
             }
             byte[] text = by.bytes(s, route, poolKey);
             // Where it is empty nginx goes round; one server for all such requests would be worse than the key's own.
-            return PlacementKey.of(text.length > 0 ? text : poolKey.getBytes(StandardCharsets.ISO_8859_1));
+            return PlacementKey.fromText(text.length > 0 ? text : poolKey.getBytes(StandardCharsets.ISO_8859_1));
         };
     }
 
@@ -189,8 +189,8 @@
                     new Explain.PoolView(
                             ready,
                             names,
-                            BackupPlacement.over(placement(p), backups::contains)
-                                    .of(ready),
+                            BackupPlacement.withBackups(placement(p), backups::contains)
+                                    .create(ready),
                             number(p),
                             p.origin() == null ? null : p.origin().name(),
                             p.discovery() == null,
--- a/src/main/java/cacheproxy/nginx/importer/ServerMoves.java
+++ b/src/main/java/cacheproxy/nginx/importer/ServerMoves.java
@@ -42,26 +42,26 @@
         List<Member> members = new ArrayList<>();
         for (int i = 0; i < pool.servers().size(); i++) {
             PoolTranslator.ServerSpec s = pool.servers().get(i);
-            int id = cacheproxy.placement.ServerId.of(s.name());
+            int id = cacheproxy.placement.ServerId.fromName(s.name());
             peers.add(new PlacementTarget(id, s.weight(), s.ring() == null ? s.name() : s.ring()));
             if (!s.down() && !s.backup()) {
                 members.add(new Member(id, 0, 0, 0, State.READY, s.weight(), 0));
             }
         }
         members.sort((a, b) -> Integer.compareUnsigned(a.id(), b.id()));
-        Placement now = PlacementRegistry.factory(pool.placement(), peers).of(members);
+        Placement now = PlacementRegistry.factory(pool.placement(), peers).create(members);
         Placement carp =
-                PlacementRegistry.factory(PlacementRegistry.CARP, peers).of(members);
+                PlacementRegistry.factory(PlacementRegistry.CARP, peers).create(members);
         SplittableRandom random = new SplittableRandom(SEED);
         int[] top = new int[2];
         int moved = 0;
         for (int i = 0; i < keys; i++) {
             byte[] text = ("/" + Long.toString(random.nextLong(), 36)).getBytes(StandardCharsets.US_ASCII);
-            long key = PlacementKey.of(text);
-            now.top(key, CarpHash.keyHash(key), 1, top);
+            long key = PlacementKey.fromText(text);
+            now.rank(key, CarpHash.keyHash(key), 1, top);
             int before = top[0];
             long number = random.nextLong();
-            carp.top(number, CarpHash.keyHash(number), 1, top);
+            carp.rank(number, CarpHash.keyHash(number), 1, top);
             moved += top[0] != before ? 1 : 0;
         }
         return moved;
--- a/src/main/java/cacheproxy/placement/BackupPlacement.java
+++ b/src/main/java/cacheproxy/placement/BackupPlacement.java
@@ -11,61 +11,61 @@
  */
 public final class BackupPlacement implements Placement {
     /** So many ordinary servers are ranked before a backup is; bounds the cost for a key. */
-    static final int LOOK = 64;
+    static final int ORDINARY_CANDIDATES = 64;
 
     private final Placement ordinary;
     private final Placement backups;
-    private final int[] ordinaryAt;
-    private final int[] backupAt;
-    private int[] spare = new int[16];
+    private final int[] ordinaryIndexes;
+    private final int[] backupIndexes;
+    private int[] rankedBackups = new int[16];
 
     private BackupPlacement(List<Member> members, IntPredicate backup, Factory factory) {
         List<Member> first = new ArrayList<>();
         List<Member> second = new ArrayList<>();
-        ordinaryAt = new int[members.size()];
-        backupAt = new int[members.size()];
+        ordinaryIndexes = new int[members.size()];
+        backupIndexes = new int[members.size()];
         for (int i = 0; i < members.size(); i++) {
             if (backup.test(members.get(i).id())) {
-                backupAt[second.size()] = i;
+                backupIndexes[second.size()] = i;
                 second.add(members.get(i));
             } else {
-                ordinaryAt[first.size()] = i;
+                ordinaryIndexes[first.size()] = i;
                 first.add(members.get(i));
             }
         }
-        ordinary = factory.of(first);
-        backups = factory.of(second);
+        ordinary = factory.create(first);
+        backups = factory.create(second);
     }
 
     /** Adds backups to placements of this kind; {@code backup} tells them by the members' ids. */
-    public static Factory over(Factory factory, IntPredicate backup) {
+    public static Factory withBackups(Factory factory, IntPredicate backup) {
         return members -> members.stream().noneMatch(m -> backup.test(m.id()))
-                ? factory.of(members)
+                ? factory.create(members)
                 : new BackupPlacement(members, backup, factory);
     }
 
     @Override
-    public int spreadable() {
-        return ordinary.spreadable();
+    public int maxHotKeySpread() {
+        return ordinary.maxHotKeySpread();
     }
 
     @Override
-    public int most(int want) {
-        return Math.max(want, LOOK) + want;
+    public int maxRanked(int wanted) {
+        return Math.max(wanted, ORDINARY_CANDIDATES) + wanted;
     }
 
     @Override
-    public int top(long key, int keyHash, int want, int[] top) {
-        int n = ordinary.top(key, keyHash, Math.max(want, LOOK), top);
+    public int rank(long key, int keyHash, int wanted, int[] ranked) {
+        int n = ordinary.rank(key, keyHash, Math.max(wanted, ORDINARY_CANDIDATES), ranked);
         for (int i = 0; i < n; i++) {
-            top[i] = ordinaryAt[top[i]];
+            ranked[i] = ordinaryIndexes[ranked[i]];
         }
-        if (spare.length < want) {
-            spare = new int[want];
+        if (rankedBackups.length < wanted) {
+            rankedBackups = new int[wanted];
         }
-        int more = backups.top(key, keyHash, want, spare);
+        int more = backups.rank(key, keyHash, wanted, rankedBackups);
         for (int i = 0; i < more; i++) {
-            top[n + i] = backupAt[spare[i]];
+            ranked[n + i] = backupIndexes[rankedBackups[i]];
         }
         return n + more;
     }
--- a/src/main/java/cacheproxy/placement/CarpPlacement.java
+++ b/src/main/java/cacheproxy/placement/CarpPlacement.java
@@ -14,18 +14,18 @@
  */
 public final class CarpPlacement implements Placement {
     /** Hashes in a row, 1 KiB: enough for unrolled vector code. */
-    private static final int LANES = 256;
+    private static final int MAX_LANES = 256;
     /** Rows whose lanes are passed over as one. */
-    private static final int ROWS = 16;
+    private static final int ROWS_PER_BLOCK = 16;
 
     private final int lanes;
     /** Members by falling multiplier, so that those near each other have nearly the same. */
-    private final int[] order;
+    private final int[] memberIndexes;
 
     private final double[] multipliers;
-    private final int[][] hashes;
+    private final int[][] hashRows;
     /** The hashes combined with a key's. */
-    private final int[][] combined;
+    private final int[][] combinedRows;
 
     private final int[] greatest;
     private double[] scores = new double[16];
@@ -38,71 +38,71 @@
             weights[i] = members.get(i).weight();
         }
         float[] x = CarpHash.multipliers(weights);
-        order = IntStream.range(0, n)
+        memberIndexes = IntStream.range(0, n)
                 .boxed()
                 .sorted((a, b) -> Float.compare(x[b], x[a]))
                 .mapToInt(Integer::intValue)
                 .toArray();
         multipliers = new double[n];
-        lanes = Math.max(1, Math.min(LANES, n));
+        lanes = Math.max(1, Math.min(MAX_LANES, n));
         int rows = (n + lanes - 1) / lanes;
-        hashes = new int[rows][lanes]; // the last row may end in lanes of nobody
-        combined = new int[rows][lanes];
+        hashRows = new int[rows][lanes]; // the last row may end in lanes of nobody
+        combinedRows = new int[rows][lanes];
         greatest = new int[lanes];
         for (int i = 0; i < n; i++) {
-            hashes[i / lanes][i % lanes] =
-                    CarpHash.memberHash(members.get(order[i]).id());
-            multipliers[i] = x[order[i]];
+            hashRows[i / lanes][i % lanes] =
+                    CarpHash.memberHash(members.get(memberIndexes[i]).id());
+            multipliers[i] = x[memberIndexes[i]];
         }
     }
 
     @Override
-    public int spreadable() {
-        return order.length;
+    public int maxHotKeySpread() {
+        return memberIndexes.length;
     }
 
     @Override
-    public int top(long key, int keyHash, int want, int[] top) {
-        if (scores.length < want) {
-            scores = new double[want];
+    public int rank(long key, int keyHash, int wanted, int[] ranked) {
+        if (scores.length < wanted) {
+            scores = new double[wanted];
         }
         int count = 0;
-        if (hashes.length <= 1) { // too few for lanes to save anything
-            for (int i = 0; i < order.length; i++) {
-                combined[0][i] = CarpHash.combine(keyHash, hashes[0][i]);
-                count = look(0, 1, i, count, want, top);
+        if (hashRows.length <= 1) { // too few for lanes to save anything
+            for (int i = 0; i < memberIndexes.length; i++) {
+                combinedRows[0][i] = CarpHash.combine(keyHash, hashRows[0][i]);
+                count = rankLane(0, 1, i, count, wanted, ranked);
             }
             return count;
         }
         int least = 0;
-        for (int from = 0; from < hashes.length; from += ROWS) {
-            int to = Math.min(hashes.length, from + ROWS);
+        for (int from = 0; from < hashRows.length; from += ROWS_PER_BLOCK) {
+            int to = Math.min(hashRows.length, from + ROWS_PER_BLOCK);
             Arrays.fill(greatest, 0);
             for (int row = from; row < to; row++) {
-                combine(keyHash, hashes[row], combined[row]);
-                greatest(combined[row], greatest);
+                combine(keyHash, hashRows[row], combinedRows[row]);
+                greatest(combinedRows[row], greatest);
             }
             for (int lane = 0; lane < lanes; lane++) {
                 if (greatest[lane] >= least) {
-                    count = look(from, to, lane, count, want, top);
+                    count = rankLane(from, to, lane, count, wanted, ranked);
                     // Holds for what follows, too: multipliers fall.
-                    least = count < want ? 0 : least(scores[want - 1], multipliers[from * lanes]);
+                    least = count < wanted ? 0 : minHalfHash(scores[wanted - 1], multipliers[from * lanes]);
                 }
             }
         }
         return count;
     }
 
-    private int look(int from, int to, int lane, int count, int want, int[] top) {
+    private int rankLane(int from, int to, int lane, int count, int wanted, int[] ranked) {
         int n = count;
         for (int row = from; row < to; row++) {
             int i = row * lanes + lane;
-            if (i >= order.length) {
+            if (i >= memberIndexes.length) {
                 break;
             }
-            double score = (combined[row][lane] & 0xFFFFFFFFL) * multipliers[i];
-            if (n < want || score >= scores[want - 1] && before(score, order[i], want - 1, top)) {
-                n = insert(top, n, want, order[i], score);
+            double score = (combinedRows[row][lane] & 0xFFFFFFFFL) * multipliers[i];
+            if (n < wanted || score >= scores[wanted - 1] && ranksBefore(score, memberIndexes[i], wanted - 1, ranked)) {
+                n = insert(ranked, n, wanted, memberIndexes[i], score);
             }
         }
         return n;
@@ -136,24 +136,24 @@
      * The least half of a hash that could reach a score with this multiplier. Rounded down by more than the division
      * can be wrong: what passes is scored exactly.
      */
-    private static int least(double score, double multiplier) {
+    private static int minHalfHash(double score, double multiplier) {
         double hash = multiplier > 0 ? score / multiplier * (1 - 1e-12) - 1 : 0;
         return (int) ((long) Math.max(0, Math.min(0xFFFFFFFFL, hash)) >>> 1);
     }
 
     /** Whether a score goes before the one at this rank; of equals the member that is first on the list. */
-    private boolean before(double score, int member, int rank, int[] top) {
-        return score > scores[rank] || score == scores[rank] && member < top[rank];
+    private boolean ranksBefore(double score, int member, int rank, int[] ranked) {
+        return score > scores[rank] || score == scores[rank] && member < ranked[rank];
     }
 
-    private int insert(int[] top, int count, int want, int member, double score) {
-        int at = count < want ? count : want - 1;
-        for (; at > 0 && before(score, member, at - 1, top); at--) {
-            top[at] = top[at - 1];
+    private int insert(int[] ranked, int count, int wanted, int member, double score) {
+        int at = count < wanted ? count : wanted - 1;
+        for (; at > 0 && ranksBefore(score, member, at - 1, ranked); at--) {
+            ranked[at] = ranked[at - 1];
             scores[at] = scores[at - 1];
         }
-        top[at] = member;
+        ranked[at] = member;
         scores[at] = score;
-        return Math.min(want, count + 1);
+        return Math.min(wanted, count + 1);
     }
 }
--- a/src/main/java/cacheproxy/placement/NginxConsistentPlacement.java
+++ b/src/main/java/cacheproxy/placement/NginxConsistentPlacement.java
@@ -12,13 +12,13 @@
  * own CRC-32. Servers that are down keep their points and are passed over. Keys are {@link PlacementKey}s.
  */
 public final class NginxConsistentPlacement implements Placement {
-    private static final int POINTS = 160;
+    private static final int POINTS_PER_WEIGHT = 160;
     /** Bounds what the points of huge weights take: 16 bytes each, while they are built. */
     public static final int MAX_WEIGHT_SUM = 100_000;
 
     private final Ring ring;
-    private final int[] ready;
-    private final int up;
+    private final int[] memberIndexes;
+    private final int readyTargets;
     private final boolean[] taken;
 
     /** Points in ascending order, unsigned, of no more than one server each. */
@@ -29,12 +29,12 @@
         Ring(List<PlacementTarget> list) {
             int sum = list.stream().mapToInt(PlacementTarget::weight).sum();
             // The point above, the peer below: among equal points the peer that is written first goes first.
-            long[] points = new long[sum * POINTS];
+            long[] points = new long[sum * POINTS_PER_WEIGHT];
             int n = 0;
             for (int i = 0; i < list.size(); i++) {
-                byte[] base = base(list.get(i).ring());
+                byte[] base = base(list.get(i).address());
                 int before = 0;
-                for (int j = list.get(i).weight() * POINTS; j > 0; j--) {
+                for (int j = list.get(i).weight() * POINTS_PER_WEIGHT; j > 0; j--) {
                     CRC32 crc = new CRC32();
                     crc.update(base, 0, base.length);
                     for (int shift = 0; shift < 32; shift += 8) {
@@ -93,34 +93,34 @@
 
     private NginxConsistentPlacement(Ring ring, List<PlacementTarget> peers, List<Member> members) {
         this.ring = ring;
-        ready = NginxHashPlacement.ready(peers, members);
-        up = (int) Arrays.stream(ready).filter(r -> r >= 0).count();
+        memberIndexes = NginxHashPlacement.memberIndexes(peers, members);
+        readyTargets = (int) Arrays.stream(memberIndexes).filter(r -> r >= 0).count();
         taken = new boolean[peers.size()];
     }
 
     /** Over peers in the file's order, whichever of them are ready. The ring is built once. */
-    public static Factory over(List<PlacementTarget> peers) {
+    public static Factory factory(List<PlacementTarget> peers) {
         Ring ring = new Ring(peers);
         return members -> new NginxConsistentPlacement(ring, peers, members);
     }
 
     @Override
-    public int spreadable() {
+    public int maxHotKeySpread() {
         return 1; // nginx sends a key to one server, however hot it is
     }
 
     @Override
-    public int top(long key, int keyHash, int want, int[] top) {
+    public int rank(long key, int keyHash, int wanted, int[] ranked) {
         Arrays.fill(taken, false);
-        int most = Math.min(want, up);
+        int most = Math.min(wanted, readyTargets);
         int n = 0;
         int points = ring.hashes.length;
         int at = points == 0 ? 0 : ring.find(PlacementKey.crc(key)) % points;
         for (int i = 0; n < most && i < points; i++) {
             int peer = ring.peers[at];
-            if (!taken[peer] && ready[peer] >= 0) {
+            if (!taken[peer] && memberIndexes[peer] >= 0) {
                 taken[peer] = true;
-                top[n++] = ready[peer];
+                ranked[n++] = memberIndexes[peer];
             }
             at = at + 1 == points ? 0 : at + 1;
         }
--- a/src/main/java/cacheproxy/placement/NginxHashPlacement.java
+++ b/src/main/java/cacheproxy/placement/NginxHashPlacement.java
@@ -16,40 +16,40 @@
  */
 public final class NginxHashPlacement implements Placement {
     /** nginx gives up hashing after so many. */
-    static final int LOOKS = 20;
+    static final int MAX_REHASHES = 20;
 
-    private final int[] bounds;
+    private final int[] cumulativeWeights;
     /** Indexes of members by peer; -1: not ready. */
-    private final int[] ready;
+    private final int[] memberIndexes;
 
     private final boolean[] taken;
     /** CRC-32 of the look's number in decimal. */
-    private final int[] numbers;
+    private final int[] rehashPrefixCrcs;
 
     private NginxHashPlacement(List<PlacementTarget> peers, List<Member> members) {
-        ready = ready(peers, members);
-        bounds = new int[peers.size()];
+        memberIndexes = memberIndexes(peers, members);
+        cumulativeWeights = new int[peers.size()];
         taken = new boolean[peers.size()];
         int sum = 0;
-        for (int i = 0; i < bounds.length; i++) {
+        for (int i = 0; i < cumulativeWeights.length; i++) {
             sum += peers.get(i).weight();
-            bounds[i] = sum;
+            cumulativeWeights[i] = sum;
         }
-        numbers = new int[LOOKS + 2 + bounds.length];
-        for (int i = 1; i < numbers.length; i++) {
+        rehashPrefixCrcs = new int[MAX_REHASHES + 2 + cumulativeWeights.length];
+        for (int i = 1; i < rehashPrefixCrcs.length; i++) {
             CRC32 crc = new CRC32();
             crc.update(Integer.toString(i).getBytes(StandardCharsets.US_ASCII));
-            numbers[i] = (int) crc.getValue();
+            rehashPrefixCrcs[i] = (int) crc.getValue();
         }
     }
 
     /** Over peers in the file's order, whichever of them are ready. */
-    public static Factory over(List<PlacementTarget> peers) {
+    public static Factory factory(List<PlacementTarget> peers) {
         return members -> new NginxHashPlacement(peers, members);
     }
 
     /** For each peer its index among members; -1 where it is not there. */
-    static int[] ready(List<PlacementTarget> peers, List<Member> members) {
+    static int[] memberIndexes(List<PlacementTarget> peers, List<Member> members) {
         Map<Integer, Integer> at = new HashMap<>();
         for (Member m : members) {
             at.put(m.id(), at.size());
@@ -60,38 +60,40 @@
     }
 
     @Override
-    public int spreadable() {
+    public int maxHotKeySpread() {
         return 1; // nginx sends a key to one server, however hot it is
     }
 
     @Override
-    public int top(long key, int keyHash, int want, int[] top) {
+    public int rank(long key, int keyHash, int wanted, int[] ranked) {
         java.util.Arrays.fill(taken, false);
         int n = 0;
-        int sum = bounds.length == 0 ? 0 : bounds[bounds.length - 1];
+        int sum = cumulativeWeights.length == 0 ? 0 : cumulativeWeights[cumulativeWeights.length - 1];
         int hash = 0;
-        for (int look = 0, vain = 0; sum > 0 && n < want && vain <= LOOKS && look < numbers.length; look++) {
-            int crc = look == 0 ? PlacementKey.crc(key) : PlacementKey.crcBehind(numbers[look], key);
+        for (int look = 0, vain = 0;
+                sum > 0 && n < wanted && vain <= MAX_REHASHES && look < rehashPrefixCrcs.length;
+                look++) {
+            int crc = look == 0 ? PlacementKey.crc(key) : PlacementKey.crcWithPrefix(rehashPrefixCrcs[look], key);
             hash += crc >>> 16 & 0x7FFF;
-            int at = peer(Integer.remainderUnsigned(hash, sum));
-            if (taken[at] || ready[at] < 0) {
+            int at = targetOf(Integer.remainderUnsigned(hash, sum));
+            if (taken[at] || memberIndexes[at] < 0) {
                 vain++;
             } else {
                 taken[at] = true;
-                top[n++] = ready[at];
+                ranked[n++] = memberIndexes[at];
             }
         }
-        for (int i = 0; n < want && i < ready.length; i++) {
-            if (!taken[i] && ready[i] >= 0) {
+        for (int i = 0; n < wanted && i < memberIndexes.length; i++) {
+            if (!taken[i] && memberIndexes[i] >= 0) {
                 taken[i] = true;
-                top[n++] = ready[i];
+                ranked[n++] = memberIndexes[i];
             }
         }
         return n;
     }
 
-    private int peer(int place) {
-        int at = java.util.Arrays.binarySearch(bounds, place + 1);
+    private int targetOf(int place) {
+        int at = java.util.Arrays.binarySearch(cumulativeWeights, place + 1);
         return at >= 0 ? at : -at - 1;
     }
 }
--- a/src/main/java/cacheproxy/placement/Placement.java
+++ b/src/main/java/cacheproxy/placement/Placement.java
@@ -18,19 +18,19 @@
      *     {@link #most} of {@code want}
      * @return how many were put there: as many as wanted if there are so many, or up to {@code most(want)}
      */
-    int top(long key, int keyHash, int want, int[] top);
+    int rank(long key, int keyHash, int wanted, int[] ranked);
 
     /** The most that {@link #top} puts there when this many are wanted. */
-    default int most(int want) {
-        return want;
+    default int maxRanked(int wanted) {
+        return wanted;
     }
 
     /** How many members a hot key may be spread over. */
-    int spreadable();
+    int maxHotKeySpread();
 
     /** Builds placements. */
     interface Factory {
         /** Over ready servers in ascending order of their unsigned ids; may be empty. */
-        Placement of(List<Member> members);
+        Placement create(List<Member> members);
     }
 }
--- a/src/main/java/cacheproxy/placement/PlacementKey.java
+++ b/src/main/java/cacheproxy/placement/PlacementKey.java
@@ -11,21 +11,21 @@
     /** Texts are this long at most. */
     public static final int MAX_LENGTH = 4095;
 
-    private static final int POLY = 0xEDB88320;
+    private static final int CRC32_POLYNOMIAL = 0xEDB88320;
     /** x^(2^n) modulo the CRC's polynomial, reflected. */
-    private static final int[] POWERS = new int[32];
+    private static final int[] POWERS_OF_X = new int[32];
 
     static {
-        POWERS[0] = 1 << 30;
+        POWERS_OF_X[0] = 1 << 30;
         for (int n = 1; n < 32; n++) {
-            POWERS[n] = times(POWERS[n - 1], POWERS[n - 1]);
+            POWERS_OF_X[n] = multiply(POWERS_OF_X[n - 1], POWERS_OF_X[n - 1]);
         }
     }
 
     private PlacementKey() {}
 
     /** Of a text with at most {@link #MAX_LENGTH} bytes; never 0. */
-    public static long of(byte[] text) {
+    public static long fromText(byte[] text) {
         if (text.length > MAX_LENGTH) {
             throw new IllegalArgumentException(text.length + " bytes");
         }
@@ -45,26 +45,26 @@
     }
 
     /** CRC-32 of a text that stands before this key's and has this CRC-32 itself (zlib's crc32_combine). */
-    public static int crcBehind(int before, long key) {
+    public static int crcWithPrefix(int before, long key) {
         int shift = 1 << 31;
         int bits = 3; // a byte is x^8
         for (int length = (int) (key >>> 32) & MAX_LENGTH; length != 0; length >>>= 1, bits++) {
             if ((length & 1) != 0) {
-                shift = times(POWERS[bits & 31], shift);
+                shift = multiply(POWERS_OF_X[bits & 31], shift);
             }
         }
-        return times(shift, before) ^ crc(key);
+        return multiply(shift, before) ^ crc(key);
     }
 
     /** Product of two polynomials modulo the CRC's, reflected. */
-    private static int times(int a, int b) {
+    private static int multiply(int a, int b) {
         int product = 0;
         int x = b;
         for (int bit = 1 << 31; bit != 0; bit >>>= 1) {
             if ((a & bit) != 0) {
                 product ^= x;
             }
-            x = (x & 1) != 0 ? x >>> 1 ^ POLY : x >>> 1;
+            x = (x & 1) != 0 ? x >>> 1 ^ CRC32_POLYNOMIAL : x >>> 1;
         }
         return product;
     }
--- a/src/main/java/cacheproxy/placement/PlacementRegistry.java
+++ b/src/main/java/cacheproxy/placement/PlacementRegistry.java
@@ -14,8 +14,8 @@
     public static Placement.Factory factory(String name, List<PlacementTarget> peers) {
         return switch (name) {
             case CARP -> CarpPlacement::new;
-            case NGINX_HASH -> NginxHashPlacement.over(peers);
-            case NGINX_CONSISTENT -> NginxConsistentPlacement.over(peers);
+            case NGINX_HASH -> NginxHashPlacement.factory(peers);
+            case NGINX_CONSISTENT -> NginxConsistentPlacement.factory(peers);
             default -> throw new IllegalArgumentException("no placement " + name);
         };
     }
--- a/src/main/java/cacheproxy/placement/PlacementTarget.java
+++ b/src/main/java/cacheproxy/placement/PlacementTarget.java
@@ -8,4 +8,4 @@
  * @param weight whole, 1 or more
  * @param ring its text on the ring: the address as nginx's configuration writes it
  */
-public record PlacementTarget(int id, int weight, String ring) {}
+public record PlacementTarget(int id, int weight, String address) {}
--- a/src/main/java/cacheproxy/placement/ServerId.java
+++ b/src/main/java/cacheproxy/placement/ServerId.java
@@ -8,7 +8,7 @@
     private ServerId() {}
 
     /** From a name, alike at every proxy: the hexadecimal digits behind its last hyphen, else its CRC-32. */
-    public static int of(String name) {
+    public static int fromName(String name) {
         String digits = name.substring(name.lastIndexOf('-') + 1);
         try {
             if (digits.length() <= 8) {
--- a/src/main/java/cacheproxy/placement/StartTimes.java
+++ b/src/main/java/cacheproxy/placement/StartTimes.java
@@ -14,19 +14,19 @@
  */
 public final class StartTimes {
     /** What a list says of a start is relied on for so long before the list has come. */
-    public static final double LONGEST_NEWS_MS = 3000;
+    public static final double MAX_LIST_DELAY_MS = 3000;
 
     /** No Unix time in milliseconds of the next 30,000 years is later. */
-    private static final double LATEST_START_MS = 1e15;
+    private static final double MAX_START_MS = 1e15;
 
     /** What lists' times are ahead of ours, at least; negative infinity: no list has told of a start. */
-    private double aheadMs = Double.NEGATIVE_INFINITY;
+    private double listClockAheadMs = Double.NEGATIVE_INFINITY;
 
     /** A list has come. */
-    public void listed(double nowMs, Collection<Member> servers) {
+    public void recordList(double nowMs, Collection<Member> servers) {
         for (Member server : servers) {
             if (isStart(server.bornMs())) {
-                aheadMs = Math.max(aheadMs, server.bornMs() - nowMs);
+                listClockAheadMs = Math.max(listClockAheadMs, server.bornMs() - nowMs);
             }
         }
     }
@@ -37,12 +37,12 @@
      * @param bornMs as its list tells it, which is a start
      * @param changedMs when it was seen to have started since an earlier list; negative infinity: the first list had it
      */
-    public double startedMs(double bornMs, double changedMs) {
-        return Math.max(bornMs - aheadMs, changedMs - LONGEST_NEWS_MS);
+    public double startedMs(double listedStartMs, double restartSeenMs) {
+        return Math.max(listedStartMs - listClockAheadMs, restartSeenMs - MAX_LIST_DELAY_MS);
     }
 
     /** Whether a list's figure is a start: not 0, which is long ago, nor one that is to come. */
-    private static boolean isStart(double bornMs) {
-        return bornMs > 0 && bornMs < LATEST_START_MS;
+    private static boolean isStart(double listedStartMs) {
+        return listedStartMs > 0 && listedStartMs < MAX_START_MS;
     }
 }
--- a/src/main/java/cacheproxy/policy/RoutingPolicy.java
+++ b/src/main/java/cacheproxy/policy/RoutingPolicy.java
@@ -312,7 +312,7 @@
         this.placements = placements;
         this.admission = admission;
         this.siblings = siblings;
-        placement = placements.of(List.of());
+        placement = placements.create(List.of());
         random = new SplittableRandom(seed);
         shares = settings.overShareWorth() < 1 && settings.tenants().size() > 1 ? new Shares() : null;
         double shortestAim = settings.classes().stream()
@@ -350,7 +350,7 @@
             members.forEach(m -> named.add(m.id()));
             servers.values().removeIf(s -> !named.contains(s.id));
         }
-        starts.listed(now, members);
+        starts.recordList(now, members);
         for (Member m : members) {
             if (m.state() == State.GONE) {
                 servers.remove(m.id());
@@ -450,7 +450,7 @@
             weights[i] = ranked[i].member.weight();
             sum += weights[i];
         }
-        placement = placements.of(list.stream().map(s -> s.member).toList());
+        placement = placements.create(list.stream().map(s -> s.member).toList());
         for (int i = 0; i < ranked.length; i++) {
             ranked[i].share = sum > 0 ? weights[i] / sum : 1.0 / ranked.length;
         }
@@ -498,7 +498,7 @@
      * many of its top ranks as bring each under that, wherever it is as hot.
      */
     private int spread(long key, int seen) {
-        int all = placement.spreadable();
+        int all = placement.maxHotKeySpread();
         int n = seen < HotKeys.MIN_COUNT ? 1 : (int) Math.ceil(seen / hot.total * all);
         if (n > 1 && hot.wide.size() < HotKeys.MOST_WIDE) {
             hot.wide.add(key);
@@ -725,11 +725,11 @@
 
     private Server choose(double now, Flight f, Actions out) {
         int want = Math.min(ranked.length, Math.max(RANKS, f.spread + RANKS));
-        int most = placement.most(want);
+        int most = placement.maxRanked(want);
         if (top.length < most) {
             top = new int[most];
         }
-        int count = want == 0 ? 0 : placement.top(f.key(), f.keyHash, want, top);
+        int count = want == 0 ? 0 : placement.rank(f.key(), f.keyHash, want, top);
         int offset = f.spread > 1 ? random.nextInt(f.spread) : 0;
         Server untried = null;
         boolean remembered = false;
--- a/src/main/java/cacheproxy/proxy/DiscoveryClient.java
+++ b/src/main/java/cacheproxy/proxy/DiscoveryClient.java
@@ -407,7 +407,7 @@
         double born = h.has("born_ms") ? h.get("born_ms").getAsDouble() : 0;
         int cell = h.has("block") ? h.get("block").getAsInt() : 0;
         return new Host(
-                new Member(ServerId.of(name), zone, kind, cell, state, weight, born),
+                new Member(ServerId.fromName(name), zone, kind, cell, state, weight, born),
                 Addresses.of(h.get("dial").getAsString()));
     }
 
--- a/src/main/java/cacheproxy/routes/Explain.java
+++ b/src/main/java/cacheproxy/routes/Explain.java
@@ -70,8 +70,8 @@
 
     private static int[] top(PoolView pool, RouteInput s, Route r, String poolKey) {
         long key = pool.number().of(s, r, poolKey);
-        int[] top = new int[pool.placement().most(RANKS)];
-        int n = pool.ready().isEmpty() ? 0 : pool.placement().top(key, CarpHash.keyHash(key), RANKS, top);
+        int[] top = new int[pool.placement().maxRanked(RANKS)];
+        int n = pool.ready().isEmpty() ? 0 : pool.placement().rank(key, CarpHash.keyHash(key), RANKS, top);
         return java.util.Arrays.copyOf(top, n);
     }
 
--- a/src/main/java/cacheproxy/simulation/FleetSimulation.java
+++ b/src/main/java/cacheproxy/simulation/FleetSimulation.java
@@ -119,7 +119,7 @@
                 new CarpPlacement(all.stream().map(FleetSimulation::member).toList());
         int[] top = new int[1];
         for (long key = 1000; key <= 1000 + KEYS; key++) {
-            placement.top(key, CarpHash.keyHash(key), 1, top);
+            placement.rank(key, CarpHash.keyHash(key), 1, top);
             if (random.nextDouble() < KEPT) {
                 all.get(top[0]).keep(key);
             }
@@ -251,7 +251,7 @@
         int[] top = new int[1];
         for (long key = 1_000_000; ; key++) {
             int hash = CarpHash.keyHash(key);
-            placement.top(key, hash, 1, top);
+            placement.rank(key, hash, 1, top);
             Member m = members.get(top[0]);
             if (m.bornMs() > 0 && lot(hash, CarpHash.memberHash(m.id())) < 0.01) {
                 return key;
--- a/src/test/java/cacheproxy/daemon/MemoryTest.java
+++ b/src/test/java/cacheproxy/daemon/MemoryTest.java
@@ -139,7 +139,7 @@
     }
 
     private static int id(FakeCacheServer node) {
-        return ServerId.of(DaemonHarness.name(node));
+        return ServerId.fromName(DaemonHarness.name(node));
     }
 
     /** A memory of pool a in which these are out, as the last daemon of this number would have left it. */
--- a/src/test/java/cacheproxy/placement/NginxPlacementTest.java
+++ b/src/test/java/cacheproxy/placement/NginxPlacementTest.java
@@ -25,8 +25,8 @@
 
     private static long crc(byte[]... parts) {
         CRC32 crc = new CRC32();
-        for (byte[] p : parts) {
-            crc.update(p);
+        for (byte[] target : parts) {
+            crc.update(target);
         }
         return crc.getValue();
     }
@@ -35,7 +35,7 @@
         List<PlacementTarget> peers = new ArrayList<>();
         for (int i = 0; i < weights.length; i++) {
             String name = "10.0.0." + (i + 1) + ":11211";
-            peers.add(new PlacementTarget(ServerId.of(name), weights[i], name));
+            peers.add(new PlacementTarget(ServerId.fromName(name), weights[i], name));
         }
         return peers;
     }
@@ -48,28 +48,30 @@
                         peers.get(i).id(), 0, 0, 0, State.READY, peers.get(i).weight(), 0));
             }
         }
-        members.sort((a, b) -> Integer.compareUnsigned(a.id(), b.id()));
+        members.sort((left, right) -> Integer.compareUnsigned(left.id(), right.id()));
         return members;
     }
 
     /** The peers' places in their list, best first. */
     private static List<Integer> ranks(
             Placement placement, List<PlacementTarget> peers, List<Member> members, byte[] text, int want) {
-        int[] top = new int[Math.max(placement.most(want), members.size())];
-        long key = PlacementKey.of(text);
-        int n = placement.top(key, CarpHash.keyHash(key), want, top);
+        int[] top = new int[Math.max(placement.maxRanked(want), members.size())];
+        long key = PlacementKey.fromText(text);
+        int count = placement.rank(key, CarpHash.keyHash(key), want, top);
         List<Integer> ranks = new ArrayList<>();
-        for (int i = 0; i < n; i++) {
+        for (int i = 0; i < count; i++) {
             int id = members.get(top[i]).id();
-            ranks.add(peers.indexOf(
-                    peers.stream().filter(p -> p.id() == id).findFirst().orElseThrow()));
+            ranks.add(peers.indexOf(peers.stream()
+                    .filter(target -> target.id() == id)
+                    .findFirst()
+                    .orElseThrow()));
         }
         return ranks;
     }
 
     private static int[] first(String kind, List<PlacementTarget> peers, Set<Integer> down) {
         List<Member> members = ready(peers, down);
-        Placement placement = PlacementRegistry.factory(kind, peers).of(members);
+        Placement placement = PlacementRegistry.factory(kind, peers).create(members);
         int[] first = new int[KEYS];
         for (int i = 0; i < KEYS; i++) {
             first[i] = ranks(placement, peers, members, text(i), 1).get(0);
@@ -78,17 +80,17 @@
     }
 
     @Test
-    void keysTellTheChecksumOfTheirTextWithAnythingBefore() {
-        assertThat(PlacementKey.crc(PlacementKey.of("123456789".getBytes(StandardCharsets.US_ASCII))))
+    void keyYieldsChecksumOfItsTextWithAnyPrefix() {
+        assertThat(PlacementKey.crc(PlacementKey.fromText("123456789".getBytes(StandardCharsets.US_ASCII))))
                 .isEqualTo(0xCBF43926);
         SplittableRandom random = new SplittableRandom(1);
         for (int i = 0; i < 2000; i++) {
             byte[] text = new byte[random.nextInt(i % 10 == 0 ? 4096 : 300)];
             random.nextBytes(text);
             byte[] before = Integer.toString(random.nextInt(100)).getBytes(StandardCharsets.US_ASCII);
-            long key = PlacementKey.of(text);
+            long key = PlacementKey.fromText(text);
             assertThat(PlacementKey.crc(key)).isEqualTo((int) crc(text));
-            assertThat(PlacementKey.crcBehind((int) crc(before), key)).isEqualTo((int) crc(before, text));
+            assertThat(PlacementKey.crcWithPrefix((int) crc(before), key)).isEqualTo((int) crc(before, text));
             assertThat(key).isNotZero();
         }
     }
@@ -98,51 +100,51 @@
         int sum = peers.stream().mapToInt(PlacementTarget::weight).sum();
         List<Integer> ranks = new ArrayList<>();
         long hash = 0;
-        int vain = 0;
-        for (int rehash = 0; vain <= 20 && ranks.size() < peers.size() - down.size(); rehash++) {
+        int skipped = 0;
+        for (int rehash = 0; skipped <= 20 && ranks.size() < peers.size() - down.size(); rehash++) {
             byte[] count = rehash == 0 ? new byte[0] : Integer.toString(rehash).getBytes(StandardCharsets.US_ASCII);
             hash += crc(count, key) >> 16 & 0x7fff;
-            long w = hash % sum;
-            int p = 0;
-            while (w >= peers.get(p).weight()) {
-                w -= peers.get(p++).weight();
+            long position = hash % sum;
+            int target = 0;
+            while (position >= peers.get(target).weight()) {
+                position -= peers.get(target++).weight();
             }
-            if (down.contains(p) || ranks.contains(p)) {
-                vain++;
+            if (down.contains(target) || ranks.contains(target)) {
+                skipped++;
             } else {
-                ranks.add(p);
+                ranks.add(target);
             }
         }
-        for (int p = 0; p < peers.size(); p++) {
-            if (!down.contains(p) && !ranks.contains(p)) {
-                ranks.add(p);
+        for (int target = 0; target < peers.size(); target++) {
+            if (!down.contains(target) && !ranks.contains(target)) {
+                ranks.add(target);
             }
         }
         return ranks;
     }
 
     @Test
-    void hashRanksAsItsLoopDoes() {
+    void hashRanksAsNginxLoopDoes() {
         SplittableRandom random = new SplittableRandom(2);
         for (int round = 0; round < 100; round++) {
-            int n = 1 + random.nextInt(12);
-            List<PlacementTarget> peers = peers(random.ints(n, 1, 8).toArray());
+            int count = 1 + random.nextInt(12);
+            List<PlacementTarget> peers = peers(random.ints(count, 1, 8).toArray());
             Set<Integer> down = new HashSet<>();
-            for (int i = 0; i < n; i++) {
+            for (int i = 0; i < count; i++) {
                 if (random.nextInt(4) == 0) {
                     down.add(i);
                 }
             }
             List<Member> members = ready(peers, down);
-            Placement placement = PlacementRegistry.factory("nginx-hash", peers).of(members);
+            Placement placement = PlacementRegistry.factory("nginx-hash", peers).create(members);
             for (int i = 0; i < 50; i++) {
-                assertThat(ranks(placement, peers, members, text(i), n)).isEqualTo(plainHash(peers, down, text(i)));
+                assertThat(ranks(placement, peers, members, text(i), count)).isEqualTo(plainHash(peers, down, text(i)));
             }
         }
     }
 
     @Test
-    void onTheRingNoKeyMovesThatNeedNot() {
+    void consistentHashMovesOnlyKeysOfChangedServers() {
         List<PlacementTarget> peers = peers(1, 1, 1, 1, 1);
         int[] before = first("nginx-consistent", peers, Set.of());
         // One goes down: its own keys alone move, to where the ring says.
@@ -177,17 +179,18 @@
     }
 
     @Test
-    void allReadyServersFollowEachOther() {
-        for (UnaryOperator<String> kind : List.<UnaryOperator<String>>of(k -> "nginx-hash", k -> "nginx-consistent")) {
+    void ranksEveryReadyServer() {
+        for (UnaryOperator<String> kind :
+                List.<UnaryOperator<String>>of(absent -> "nginx-hash", absent -> "nginx-consistent")) {
             List<PlacementTarget> peers = peers(1, 40, 1, 1, 7);
             List<Member> members = ready(peers, Set.of(3));
             Placement placement =
-                    PlacementRegistry.factory(kind.apply(""), peers).of(members);
+                    PlacementRegistry.factory(kind.apply(""), peers).create(members);
             for (int i = 0; i < 500; i++) {
                 assertThat(ranks(placement, peers, members, text(i), 9)).containsExactlyInAnyOrder(0, 1, 2, 4);
             }
             assertThat(ranks(
-                            PlacementRegistry.factory(kind.apply(""), peers).of(List.of()),
+                            PlacementRegistry.factory(kind.apply(""), peers).create(List.of()),
                             peers,
                             List.of(),
                             text(1),
@@ -235,13 +238,13 @@
     }
 
     @Test
-    void aKeyOnAPointBelongsToThatPoint() {
+    void keyOnARingPointBelongsToItsServer() {
         List<PlacementTarget> peers = peers(1, 1, 1, 1);
         List<Member> members = ready(peers, Set.of());
         Placement placement =
-                PlacementRegistry.factory("nginx-consistent", peers).of(members);
-        for (int p = 0; p < 4; p++) {
-            byte[] base = ("10.0.0." + (p + 1) + "\0" + "11211").getBytes(StandardCharsets.US_ASCII);
+                PlacementRegistry.factory("nginx-consistent", peers).create(members);
+        for (int target = 0; target < 4; target++) {
+            byte[] base = ("10.0.0." + (target + 1) + "\0" + "11211").getBytes(StandardCharsets.US_ASCII);
             int point = 0;
             for (int i = 0; i < 160; i++) {
                 point = (int) crc(
@@ -250,8 +253,8 @@
                 byte[] key = withCrc(point);
                 assertThat((int) crc(key)).isEqualTo(point);
                 assertThat(ranks(placement, peers, members, key, 1))
-                        .as("point " + i + " of server " + p)
-                        .containsExactly(p);
+                        .as("point " + i + " of server " + target)
+                        .containsExactly(target);
             }
         }
     }
--- a/src/test/java/cacheproxy/placement/PlacementTest.java
+++ b/src/test/java/cacheproxy/placement/PlacementTest.java
@@ -14,87 +14,89 @@
 
 /** Rankings: CARP's against a plain statement of it, backups behind all others. */
 class PlacementTest {
-    private static List<Member> members(SplittableRandom random, int n, boolean equal) {
+    private static List<Member> members(SplittableRandom random, int count, boolean equal) {
         List<Member> members = new ArrayList<>();
-        for (int i = 0; i < n; i++) {
+        for (int i = 0; i < count; i++) {
             float weight = equal ? 1 : random.nextInt(8) / 4f;
             members.add(new Member(random.nextInt(), 0, 0, 0, State.READY, weight, 0));
         }
-        members.sort((a, b) -> Integer.compareUnsigned(a.id(), b.id()));
+        members.sort((left, right) -> Integer.compareUnsigned(left.id(), right.id()));
         return members;
     }
 
     /** Section 3.4 of the draft, word for word: score all, sort, the best first. */
-    private static List<Integer> plainly(List<Member> members, int keyHash, int want) {
+    private static List<Integer> rankByScoringAll(List<Member> members, int keyHash, int wanted) {
         float[] weights = new float[members.size()];
         for (int i = 0; i < weights.length; i++) {
             weights[i] = members.get(i).weight();
         }
-        float[] x = CarpHash.multipliers(weights);
+        float[] multipliers = CarpHash.multipliers(weights);
         return IntStream.range(0, members.size())
                 .boxed()
                 .sorted(Comparator.comparingDouble(i -> -CarpHash.score(
-                        keyHash, CarpHash.memberHash(members.get(i).id()), x[i])))
-                .limit(want)
+                        keyHash, CarpHash.memberHash(members.get(i).id()), multipliers[i])))
+                .limit(wanted)
                 .toList();
     }
 
-    private static List<Integer> top(Placement placement, long key, int want) {
-        int[] top = new int[placement.most(want)];
-        int n = placement.top(key, CarpHash.keyHash(key), want, top);
-        return IntStream.of(top).limit(n).boxed().toList();
+    private static List<Integer> rank(Placement placement, long key, int wanted) {
+        int[] top = new int[placement.maxRanked(wanted)];
+        int count = placement.rank(key, CarpHash.keyHash(key), wanted, top);
+        return IntStream.of(top).limit(count).boxed().toList();
     }
 
     @Test
-    void carpsRankingIsThatOfScoringAndSortingAllAtEverySize() {
+    void carpRankingEqualsScoringAndSortingAllMembers() {
         SplittableRandom random = new SplittableRandom(11);
-        for (int n : new int[] {0, 1, 2, 7, 8, 9, 255, 256, 257, 511, 1000, 4095, 4097, 9000}) {
-            List<Member> members = members(random, n, n % 2 == 0);
+        for (int count : new int[] {0, 1, 2, 7, 8, 9, 255, 256, 257, 511, 1000, 4095, 4097, 9000}) {
+            List<Member> members = members(random, count, count % 2 == 0);
             Placement carp = new CarpPlacement(members);
-            for (int i = 0; i < (n > 2000 ? 15 : 60); i++) {
+            for (int i = 0; i < (count > 2000 ? 15 : 60); i++) {
                 long key = random.nextLong();
-                int want = 1 + random.nextInt(20);
-                assertThat(top(carp, key, want))
-                        .as("%d members", n)
-                        .isEqualTo(plainly(members, CarpHash.keyHash(key), want));
+                int wanted = 1 + random.nextInt(20);
+                assertThat(rank(carp, key, wanted))
+                        .as("%d members", count)
+                        .isEqualTo(rankByScoringAll(members, CarpHash.keyHash(key), wanted));
             }
         }
     }
 
     @Test
-    void membersOfOneIdAndWeightKeepTheirOrder() {
+    void membersWithEqualIdAndWeightKeepListOrder() {
         Member twin = new Member(7, 0, 0, 0, State.READY, 1, 0);
-        assertThat(top(new CarpPlacement(List.of(twin, twin, twin)), 5, 3)).containsExactly(0, 1, 2);
+        assertThat(rank(new CarpPlacement(List.of(twin, twin, twin)), 5, 3)).containsExactly(0, 1, 2);
     }
 
     @Test
-    void backupsComeBehindAllOthersAndHotKeysAreNotSpreadOverThem() {
+    void ranksBackupsLastAndExcludesThemFromHotKeySpread() {
         SplittableRandom random = new SplittableRandom(12);
         List<Member> members = members(random, 30, false);
-        Placement.Factory factory = BackupPlacement.over(CarpPlacement::new, id -> (id & 3) == 0);
-        Placement placement = factory.of(members);
-        List<Member> ordinary = members.stream().filter(m -> (m.id() & 3) != 0).toList();
-        assertThat(placement.spreadable()).isEqualTo(ordinary.size()).isLessThan(30);
+        Placement.Factory factory = BackupPlacement.withBackups(CarpPlacement::new, id -> (id & 3) == 0);
+        Placement placement = factory.create(members);
+        List<Member> ordinary =
+                members.stream().filter(member -> (member.id() & 3) != 0).toList();
+        assertThat(placement.maxHotKeySpread()).isEqualTo(ordinary.size()).isLessThan(30);
         for (int i = 0; i < 200; i++) {
             long key = random.nextLong();
-            List<Integer> top = top(placement, key, 8);
+            List<Integer> top = rank(placement, key, 8);
             assertThat(top).doesNotHaveDuplicates();
             List<Member> first =
                     top.subList(0, ordinary.size()).stream().map(members::get).toList();
             assertThat(first)
-                    .isEqualTo(top(new CarpPlacement(ordinary), key, 30).stream()
+                    .isEqualTo(rank(new CarpPlacement(ordinary), key, 30).stream()
                             .map(ordinary::get)
                             .toList());
             assertThat(top.subList(ordinary.size(), top.size()))
                     .isNotEmpty()
-                    .allSatisfy(m -> assertThat(members.get(m).id() & 3).isZero());
+                    .allSatisfy(
+                            member -> assertThat(members.get(member).id() & 3).isZero());
         }
     }
 
     @Test
-    void withNoBackupOnTheListTheRankingIsThePlainOne() {
+    void usesPlainPlacementWhenNoBackupIsListed() {
         List<Member> members = members(new SplittableRandom(13), 12, false);
-        assertThat(BackupPlacement.over(CarpPlacement::new, id -> false).of(members))
+        assertThat(BackupPlacement.withBackups(CarpPlacement::new, id -> false).create(members))
                 .isInstanceOf(CarpPlacement.class);
     }
 }
--- a/src/test/java/cacheproxy/placement/StartTimesTest.java
+++ b/src/test/java/cacheproxy/placement/StartTimesTest.java
@@ -15,64 +15,67 @@
     private static final double HOUR_MS = 3_600_000;
     private static final double NEVER = Double.NEGATIVE_INFINITY;
 
-    private static Member born(int id, double bornMs) {
+    private static Member memberStartedAt(int id, double bornMs) {
         return new Member(id, 0, 0, 0, State.READY, 1, bornMs);
     }
 
-    private static List<Member> list(double... born) {
-        return Arrays.stream(born).mapToObj(b -> born((int) (b % 1000), b)).toList();
+    private static List<Member> membersStartedAt(double... listedStartMs) {
+        return Arrays.stream(listedStartMs)
+                .mapToObj(startMs -> memberStartedAt((int) (startMs % 1000), startMs))
+                .toList();
     }
 
     @Test
-    void theFirstListsNewestHasJustStartedAndOthersAreOlderByWhatLiesBetween() {
-        for (double wrong : new double[] {-HOUR_MS, 0, HOUR_MS}) {
-            StartTimes times = new StartTimes();
-            double now = 10 * HOUR_MS + wrong;
-            times.listed(now, list(10 * HOUR_MS - 500, 10 * HOUR_MS - 4500, 0));
-            assertThat(now - times.startedMs(10 * HOUR_MS - 500, NEVER)).isZero();
-            assertThat(now - times.startedMs(10 * HOUR_MS - 4500, NEVER)).isEqualTo(4000);
+    void newestServerOfFirstListHasJustStartedAndOthersAreOlderByTheDifference() {
+        for (double clockErrorMs : new double[] {-HOUR_MS, 0, HOUR_MS}) {
+            StartTimes startTimes = new StartTimes();
+            double nowMs = 10 * HOUR_MS + clockErrorMs;
+            startTimes.recordList(nowMs, membersStartedAt(10 * HOUR_MS - 500, 10 * HOUR_MS - 4500, 0));
+            assertThat(nowMs - startTimes.startedMs(10 * HOUR_MS - 500, NEVER)).isZero();
+            assertThat(nowMs - startTimes.startedMs(10 * HOUR_MS - 4500, NEVER)).isEqualTo(4000);
         }
     }
 
     @Test
-    void quickerNewsCorrectsTheFirstGuess() {
-        StartTimes times = new StartTimes();
-        times.listed(1000, list(HOUR_MS));
-        assertThat(times.startedMs(HOUR_MS, NEVER)).isEqualTo(1000);
-        times.listed(2000, list(HOUR_MS + 21_000));
-        assertThat(times.startedMs(HOUR_MS, NEVER)).isEqualTo(2000 - 21_000);
+    void fresherListCorrectsFirstEstimate() {
+        StartTimes startTimes = new StartTimes();
+        startTimes.recordList(1000, membersStartedAt(HOUR_MS));
+        assertThat(startTimes.startedMs(HOUR_MS, NEVER)).isEqualTo(1000);
+        startTimes.recordList(2000, membersStartedAt(HOUR_MS + 21_000));
+        assertThat(startTimes.startedMs(HOUR_MS, NEVER)).isEqualTo(2000 - 21_000);
     }
 
     @Test
-    void aStartInTheFutureMakesNoServerThatStartsLaterSeemWarm() {
-        StartTimes times = new StartTimes();
-        times.listed(1000, list(1000 + HOUR_MS));
-        times.listed(60_000, list(60_000));
-        assertThat(times.startedMs(60_000, 60_000)).isEqualTo(60_000 - StartTimes.LONGEST_NEWS_MS);
+    void futureStartDoesNotMakeLaterServersSeemWarm() {
+        StartTimes startTimes = new StartTimes();
+        startTimes.recordList(1000, membersStartedAt(1000 + HOUR_MS));
+        startTimes.recordList(60_000, membersStartedAt(60_000));
+        assertThat(startTimes.startedMs(60_000, 60_000)).isEqualTo(60_000 - StartTimes.MAX_LIST_DELAY_MS);
     }
 
     @Test
-    void whatHasNotStartedYetAndLongAgoSayNothing() {
-        StartTimes times = new StartTimes();
-        times.listed(1000, List.of(born(1, 0), born(2, ServerStartTimes.NOT_YET_USED_MS)));
-        times.listed(2000, list(5000));
-        assertThat(times.startedMs(5000, NEVER)).isEqualTo(2000);
+    void ignoresUnknownAndFutureStarts() {
+        StartTimes startTimes = new StartTimes();
+        startTimes.recordList(
+                1000, List.of(memberStartedAt(1, 0), memberStartedAt(2, ServerStartTimes.NOT_YET_USED_MS)));
+        startTimes.recordList(2000, membersStartedAt(5000));
+        assertThat(startTimes.startedMs(5000, NEVER)).isEqualTo(2000);
     }
 
     @Test
-    void inRandomFleetsNoServerSeemsOlderThanItIs() {
+    void noServerSeemsOlderThanItIsInRandomFleets() {
         for (int seed = 1; seed <= 500; seed++) {
             Random random = new Random(seed);
-            double offset = (random.nextDouble() - 0.5) * 2 * HOUR_MS;
-            StartTimes times = new StartTimes();
-            double now = 20 * HOUR_MS;
+            double offsetMs = (random.nextDouble() - 0.5) * 2 * HOUR_MS;
+            StartTimes startTimes = new StartTimes();
+            double nowMs = 20 * HOUR_MS;
             for (int i = 0; i < 30; i++) {
-                now += random.nextDouble() * 5000;
-                double started = now - random.nextDouble() * (i == 0 ? 1e6 : StartTimes.LONGEST_NEWS_MS);
-                double born = started + offset;
-                times.listed(now, List.of(born(i, born)));
-                double seemed = times.startedMs(born, i == 0 ? NEVER : now);
-                assertThat(seemed).as("seed %d start %d", seed, i).isBetween(started - 1e-3, now + 1e-3);
+                nowMs += random.nextDouble() * 5000;
+                double startedMs = nowMs - random.nextDouble() * (i == 0 ? 1e6 : StartTimes.MAX_LIST_DELAY_MS);
+                double listedStartMs = startedMs + offsetMs;
+                startTimes.recordList(nowMs, List.of(memberStartedAt(i, listedStartMs)));
+                double estimatedMs = startTimes.startedMs(listedStartMs, i == 0 ? NEVER : nowMs);
+                assertThat(estimatedMs).as("seed %d start %d", seed, i).isBetween(startedMs - 1e-3, nowMs + 1e-3);
             }
         }
     }
--- a/src/test/java/cacheproxy/proxy/DiscoveryClientTest.java
+++ b/src/test/java/cacheproxy/proxy/DiscoveryClientTest.java
@@ -372,9 +372,9 @@
 
     @Test
     void idsComeFromTheHostsNames() {
-        assertThat(cacheproxy.placement.ServerId.of("s-5be2a07c")).isEqualTo(0x5be2a07c);
-        assertThat(cacheproxy.placement.ServerId.of("s-f2ffffff")).isEqualTo(0xf2ffffff);
-        assertThat(cacheproxy.placement.ServerId.of("cache.example"))
-                .isEqualTo(cacheproxy.placement.ServerId.of("cache.example"));
+        assertThat(cacheproxy.placement.ServerId.fromName("s-5be2a07c")).isEqualTo(0x5be2a07c);
+        assertThat(cacheproxy.placement.ServerId.fromName("s-f2ffffff")).isEqualTo(0xf2ffffff);
+        assertThat(cacheproxy.placement.ServerId.fromName("cache.example"))
+                .isEqualTo(cacheproxy.placement.ServerId.fromName("cache.example"));
     }
 }
