--- a/src/main/java/cacheproxy/daemon/snapshot/SnapshotSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/snapshot/SnapshotSubsystem.java
@@ -162,7 +162,7 @@
         if (remembered != null) {
             remembered
                     .births(now, LearnedStates.addresses(file))
-                    .forEach(b -> to.recall(b.id(), b.bornMs(), b.down(), now));
+                    .forEach(b -> to.restore(b.id(), b.bornMs(), b.down(), now));
         }
     }
 
