--- a/src/main/java/cacheproxy/bench/LeaseBench.java
+++ b/src/main/java/cacheproxy/bench/LeaseBench.java
@@ -26,7 +26,8 @@
     private static final double LEASE_MS = 1000;
     private static final double TICK_MS = 20;
     /** Of a whole datagram: the envelope without a key, and the message. */
-    private static final int BYTES = DatagramEnvelope.MOST - DatagramEnvelope.MOST_PAYLOAD - 12 + LeaseMessage.LENGTH;
+    private static final int BYTES =
+            DatagramEnvelope.MAX_DATAGRAM_BYTES - DatagramEnvelope.MAX_PAYLOAD_BYTES - 12 + LeaseMessage.LENGTH;
 
     private final PrintWriter out;
 
--- a/src/main/java/cacheproxy/daemon/fleet/FleetHealthChecks.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetHealthChecks.java
@@ -73,7 +73,7 @@
         if (desk == null) {
             desk = new HealthCheckCoordinator(link.me(), numbers, rules, shares, new Out());
         } else {
-            desk.use(rules, shares);
+            desk.update(rules, shares);
         }
     }
 
@@ -99,7 +99,7 @@
                 .execute(
                         () -> { // the module is still giving its orders
                             if (desk != null) {
-                                desk.wanted(core.now(), server);
+                                desk.request(core.now(), server);
                             }
                         });
         return true;
@@ -115,7 +115,7 @@
         }
         if (!armed.containsKey(server)) {
             waiting.computeIfAbsent(server, k -> new HashSet<>()).add(pool);
-            desk.wanted(core.now(), server);
+            desk.request(core.now(), server);
         }
         // It stays armed until an attempt ends: by then the module has marked the trial as its own.
         return armed.containsKey(server);
@@ -133,7 +133,7 @@
         waiting.getOrDefault(server, Set.of()).remove(pool); // its module has seen it
         core.loop().execute(() -> {
             if (desk != null) {
-                desk.ended(core.now(), server, sound);
+                desk.finished(core.now(), server, sound);
             }
         });
     }
@@ -142,7 +142,7 @@
     public void heard(double now, long from, byte[] payload) {
         HealthCheckMessage m = HealthCheckMessage.of(payload);
         if (desk != null && m != null) {
-            desk.heard(now, from, m);
+            desk.receive(now, from, m);
         }
     }
 
@@ -166,25 +166,25 @@
     @Override
     public void tell(JsonObject state) {
         if (desk != null) {
-            HealthCheckCoordinator.Counts c = desk.counts();
+            HealthCheckCoordinator.HealthCheckCounts c = desk.counts();
             JsonObject o = new JsonObject();
-            o.addProperty("own", c.own());
-            o.addProperty("for_others", c.forOthers());
-            o.addProperty("by_word", c.byWord());
-            o.addProperty("word_too_late", c.tooLate());
-            o.addProperty("word_of_older_epochs", c.olderEpochs());
+            o.addProperty("own", c.ownChecks());
+            o.addProperty("for_others", c.checksForOthers());
+            o.addProperty("by_word", c.reportedResults());
+            o.addProperty("word_too_late", c.lateResults());
+            o.addProperty("word_of_older_epochs", c.staleEpochResults());
             state.add("trials", o);
         }
     }
 
-    private final class Out implements HealthCheckCoordinator.Out {
+    private final class Out implements HealthCheckCoordinator.HealthCheckOutbox {
         @Override
         public void send(long to, HealthCheckMessage m) {
             link.send(to, FleetHealthChecks.this, m.bytes());
         }
 
         @Override
-        public boolean trial(int server) {
+        public boolean start(int server) {
             Set<Dispatcher> asked = waiting.getOrDefault(server, Set.of());
             Dispatcher by = asked.stream()
                     .filter(d -> d.dial(server) != null)
@@ -205,14 +205,14 @@
                     server,
                     outcome -> core.loop().execute(() -> {
                         if (desk != null) {
-                            desk.ended(core.now(), server, outcome == Outcome.OK);
+                            desk.finished(core.now(), server, outcome == Outcome.OK);
                         }
                     }));
             return true;
         }
 
         @Override
-        public void told(int server, boolean sound) {
+        public void report(int server, boolean sound) {
             Set<Dispatcher> pools = waiting.remove(server);
             if (pools != null) {
                 core.loop()
--- a/src/main/java/cacheproxy/daemon/fleet/FleetMembership.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetMembership.java
@@ -5,7 +5,7 @@
 import cacheproxy.fleet.lease.NameHash;
 import cacheproxy.fleet.membership.SwimMembership;
 import cacheproxy.fleet.membership.SwimMessage;
-import cacheproxy.fleet.membership.SwimMessage.Standing;
+import cacheproxy.fleet.membership.SwimMessage.MemberStatus;
 import cacheproxy.fleet.membership.SwimTiming;
 import cacheproxy.proxy.EventLoopContext;
 import com.google.gson.JsonElement;
@@ -23,7 +23,7 @@
     FleetMembership(EventLoopContext core, Link link, SplittableRandom random) {
         this.core = core;
         members = new SwimMembership(
-                link.me(), SwimTiming.USUAL, random, core.now(), (to, m) -> link.send(to, this, m.bytes()));
+                link.me(), SwimTiming.DEFAULT, random, core.now(), (to, m) -> link.send(to, this, m.bytes()));
     }
 
     @Override
@@ -36,19 +36,20 @@
     public void apply(DaemonConfig file, double now) {
         FleetConfig spec = file.part(FleetConfig.class);
         on = !spec.limits().limits().isEmpty();
-        members.use(spec.peers().stream().map(p -> NameHash.of(p.name())).toList(), now);
+        members.updateMembers(
+                spec.peers().stream().map(p -> NameHash.of(p.name())).toList(), now);
     }
 
     /** Whether a peer may be there; where nobody looks all may. */
     boolean likely(long peer) {
-        return !on || members.standing(peer) == Standing.ALIVE;
+        return !on || members.statusOf(peer) == MemberStatus.ALIVE;
     }
 
     @Override
     public void heard(double now, long from, byte[] payload) {
         SwimMessage m = SwimMessage.of(payload);
         if (m != null) {
-            members.heard(now, from, m);
+            members.receive(now, from, m);
         }
     }
 
@@ -62,12 +63,12 @@
         if (!on) {
             return;
         }
-        state.addProperty("doubts_itself", members.ill());
+        state.addProperty("doubts_itself", members.localHealthScore());
         for (JsonElement e : state.getAsJsonArray("peers")) {
             JsonObject p = e.getAsJsonObject();
             p.addProperty(
                     "standing",
-                    members.standing(NameHash.of(p.get("name").getAsString()))
+                    members.statusOf(NameHash.of(p.get("name").getAsString()))
                             .name()
                             .toLowerCase(java.util.Locale.ROOT));
         }
--- a/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
@@ -142,7 +142,8 @@
     }
 
     private void listen(DaemonConfig asked) throws ConfigException, InterruptedException {
-        channel = SocketBinder.datagrams(core, asked, "fleet", spec.listen(), DatagramEnvelope.MOST, new Handler());
+        channel = SocketBinder.datagrams(
+                core, asked, "fleet", spec.listen(), DatagramEnvelope.MAX_DATAGRAM_BYTES, new Handler());
     }
 
     @Override
@@ -172,7 +173,7 @@
             addresses.put(NameHash.of(p.name()), p.address());
             names.put(NameHash.of(p.name()), p.name());
         });
-        envelope.senders(List.copyOf(names.keySet()));
+        envelope.useSenders(List.copyOf(names.keySet()));
         heardAt.keySet().retainAll(names.keySet());
         double now = core.now();
         Map<String, Stand> wanted = stands(file);
@@ -236,7 +237,7 @@
         for (FleetProtocol u : users) {
             next = Math.min(next, u.tick(now));
         }
-        for (long twin : ++ticks % LOOK_TICKS == 0 ? envelope.twins() : List.<Long>of()) {
+        for (long twin : ++ticks % LOOK_TICKS == 0 ? envelope.duplicateIds() : List.<Long>of()) {
             if (toldTwins.add(twin)) {
                 core.log("fleet: two processes send under the name " + names.get(twin)
                         + "; the newer one is heard; give each a name of its own");
@@ -398,7 +399,7 @@
             }
             byte[] datagram = ByteBufUtil.getBytes(packet.content());
             // Without keys the address is all that speaks for a sender, so it counts before anything else is believed.
-            DatagramEnvelope.Opened o = spec.keys().isEmpty()
+            DatagramEnvelope.OpenedDatagram o = spec.keys().isEmpty()
                             && !packet.sender().equals(addresses.get(DatagramEnvelope.claimedSender(datagram)))
                     ? null
                     : envelope.open(datagram, core.now());
--- a/src/main/java/cacheproxy/daemon/fleet/PeerListMonitor.java
+++ b/src/main/java/cacheproxy/daemon/fleet/PeerListMonitor.java
@@ -6,7 +6,7 @@
 import cacheproxy.fleet.lease.NameHash;
 import cacheproxy.fleet.lease.ServerReachability;
 import cacheproxy.fleet.peer.PeerListTransition;
-import cacheproxy.fleet.peer.PeerListTransition.Standing;
+import cacheproxy.fleet.peer.PeerListTransition.PeerListRelation;
 import cacheproxy.proxy.EventLoopContext;
 import com.google.gson.JsonObject;
 import java.util.ArrayList;
@@ -64,21 +64,21 @@
         spec.peers().forEach(p -> names.put(NameHash.of(p.name()), p.name()));
         others = new ArrayList<>(names.keySet());
         others.remove(link.me());
-        steps.use(Set.copyOf(spec.names()), Set.copyOf(spec.namesBefore()), Set.copyOf(others));
+        steps.update(Set.copyOf(spec.names()), Set.copyOf(spec.namesBefore()), Set.copyOf(others));
         differsSince.clear();
         told.clear();
     }
 
     @Override
     public void heard(double now, long from, byte[] payload) {
-        if (payload.length != PeerListTransition.LENGTH + 1) {
+        if (payload.length != PeerListTransition.MESSAGE_BYTES + 1) {
             return;
         }
-        if (payload[PeerListTransition.LENGTH] == 1) {
+        if (payload[PeerListTransition.MESSAGE_BYTES] == 1) {
             reach.there(now);
         }
-        steps.heard(now, from, Arrays.copyOf(payload, PeerListTransition.LENGTH));
-        if (steps.of(from, now) != Standing.DIFFERENT) {
+        steps.receive(now, from, Arrays.copyOf(payload, PeerListTransition.MESSAGE_BYTES));
+        if (steps.relationOf(from, now) != PeerListRelation.DIFFERENT) {
             differsSince.remove(from);
             told.remove(from);
         } else if (now - differsSince.computeIfAbsent(from, k -> now) > TELL_AFTER_MS && told.add(from)) {
@@ -98,8 +98,8 @@
                 reach.here(now);
             }
             if (!others.isEmpty()) {
-                byte[] message = Arrays.copyOf(steps.message(), PeerListTransition.LENGTH + 1);
-                message[PeerListTransition.LENGTH] = (byte) (reaches ? 1 : 0);
+                byte[] message = Arrays.copyOf(steps.message(), PeerListTransition.MESSAGE_BYTES + 1);
+                message[PeerListTransition.MESSAGE_BYTES] = (byte) (reaches ? 1 : 0);
                 link.send(others.get(next++ % others.size()), this, message);
             }
         }
@@ -116,7 +116,7 @@
         JsonObject o = new JsonObject();
         others.forEach(p -> o.addProperty(
                 names.get(p),
-                steps.of(p, core.now())
+                steps.relationOf(p, core.now())
                         .name()
                         .toLowerCase(java.util.Locale.ROOT)
                         .replace('_', ' ')));
--- a/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckCoordinator.java
+++ b/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckCoordinator.java
@@ -19,31 +19,32 @@
  */
 public final class HealthCheckCoordinator {
     /** Servers that are asked about at once; for more one goes by oneself. */
-    public static final int MOST_WANTS = 1024;
+    public static final int MAX_PENDING = 1024;
     /** Trials for others at once, and of who waits for each: who gets no word goes by itself. */
-    public static final int MOST_TRIALS = 64;
+    public static final int MAX_RUNNING = 64;
 
-    public static final int MOST_WAITING = 256;
+    public static final int MAX_WAITERS = 256;
     /** Servers whose outcomes, or whose word, are kept in mind. */
-    public static final int MOST_KNOWN = 4096;
+    public static final int MAX_REMEMBERED = 4096;
     /** A trial without an end after so many times what it may take counts as failed. */
     private static final double LATE = 2;
     /** Asked in turn until one knows who holds the share. */
     private static final int MOST_HOPS = 3;
 
     /** Where messages and trials go, and who is told. */
-    public interface Out {
+    public interface HealthCheckOutbox {
         void send(long to, HealthCheckMessage m);
 
         /** Makes a trial from here, whose outcome comes by {@link #ended}; false: the server is not known here. */
-        boolean trial(int server);
+        boolean start(int server);
 
         /** The outcome of what was wanted. */
-        void told(int server, boolean sound);
+        void report(int server, boolean sound);
     }
 
     /** Counts since the start, for operators. */
-    public record Counts(long own, long forOthers, long byWord, long tooLate, long olderEpochs) {}
+    public record HealthCheckCounts(
+            long ownChecks, long checksForOthers, long reportedResults, long lateResults, long staleEpochResults) {}
 
     private record Waiter(long peer, long number) {}
 
@@ -78,7 +79,7 @@
     }
 
     private final long me;
-    private final Out out;
+    private final HealthCheckOutbox out;
     private final FencingTokenCheck guard = new FencingTokenCheck();
     private final Map<Integer, Want> wants = new HashMap<>();
     private final Map<Integer, Trial> trials = new HashMap<>();
@@ -97,26 +98,27 @@
      * @param numbers where the numbers of its questions begin: another process of this name began elsewhere
      * @param shares the duties, the same number at all proxies
      */
-    public HealthCheckCoordinator(long me, long numbers, HealthCheckTiming rules, List<LeaseHandle> shares, Out out) {
+    public HealthCheckCoordinator(
+            long me, long numbers, HealthCheckTiming rules, List<LeaseHandle> shares, HealthCheckOutbox out) {
         this.me = me;
         this.numbers = numbers;
         this.out = out;
-        use(rules, shares);
+        update(rules, shares);
     }
 
     /** Other figures from now on. */
-    public void use(HealthCheckTiming other, List<LeaseHandle> duties) {
+    public void update(HealthCheckTiming other, List<LeaseHandle> duties) {
         rules = other;
         shares = List.copyOf(duties);
     }
 
     /** In which share a server is: by its number, so that all agree and neighbours are apart. */
-    public static int share(int server, int shares) {
+    public static int shareOf(int server, int shares) {
         return Math.floorMod((server * 0x9E3779B9) >>> 8, shares);
     }
 
     private LeaseHandle tenure(int server) {
-        return shares.get(share(server, shares.size()));
+        return shares.get(shareOf(server, shares.size()));
     }
 
     // ---- what is wanted here
@@ -125,23 +127,23 @@
      * The module wants a trial; {@link Out#told} comes once, at the latest when one's own trial after the patience has
      * ended.
      */
-    public void wanted(double now, int server) {
+    public void request(double now, int server) {
         if (wants.containsKey(server)) {
             return;
         }
         LeaseHandle t = tenure(server);
         long to = whom(now, t);
-        if (wants.size() >= MOST_WANTS || mistrusts(now, server) || to == me || to == NameHash.NOBODY) {
+        if (wants.size() >= MAX_PENDING || mistrusts(now, server) || to == me || to == NameHash.NOBODY) {
             alone(now, server);
             return;
         }
-        Want w = new Want(++numbers, now + rules.patienceMs());
+        Want w = new Want(++numbers, now + rules.resultTimeoutMs());
         wants.put(server, w);
-        out.send(to, new HealthCheckMessage(Kind.WANT, t.id(), server, w.number, 0, 0, false, 0));
+        out.send(to, new HealthCheckMessage(Kind.REQUEST, t.id(), server, w.number, 0, 0, false, 0));
     }
 
     private long whom(double now, LeaseHandle t) {
-        if (t.permit(now, rules.probeMs()) >= 0) {
+        if (t.permit(now, rules.timeoutMs()) >= 0) {
             return me;
         }
         long holder = t.holder(now);
@@ -154,8 +156,8 @@
     private boolean mistrusts(double now, int server) {
         Word w = words.get(server);
         return w != null
-                && (w.unsound >= HealthCheckTiming.OWN_EVERY - 1
-                        || now - w.soundAtMs < HealthCheckTiming.CONTRADICTED_MS);
+                && (w.unsound >= HealthCheckTiming.OWN_CHECK_EVERY - 1
+                        || now - w.soundAtMs < HealthCheckTiming.CONTRADICTION_WINDOW_MS);
     }
 
     private void alone(double now, int server) {
@@ -163,10 +165,10 @@
         own++;
         Trial t = trials.get(server);
         if (t == null) {
-            t = new Trial(now + LATE * rules.probeMs());
+            t = new Trial(now + LATE * rules.timeoutMs());
             trials.put(server, t);
             t.wanted = true;
-            if (!out.trial(server)) {
+            if (!out.start(server)) {
                 trials.remove(server);
                 settled(server, false);
             }
@@ -177,51 +179,53 @@
 
     private void settled(int server, boolean sound) {
         words.remove(server);
-        out.told(server, sound);
+        out.report(server, sound);
     }
 
     // ---- messages
 
-    public void heard(double now, long from, HealthCheckMessage m) {
+    public void receive(double now, long from, HealthCheckMessage m) {
         switch (m.kind()) {
-            case WANT -> asked(now, from, m);
-            case ANSWER -> answered(now, m);
+            case REQUEST -> asked(now, from, m);
+            case RESULT -> answered(now, m);
             default -> elsewhere(now, from, m);
         }
     }
 
     private void asked(double now, long from, HealthCheckMessage m) {
         LeaseHandle t = tenure(m.server());
-        if (t.id() != m.duty()) {
+        if (t.id() != m.leaseId()) {
             return; // it deals them out otherwise, and will go by itself
         }
-        if (t.permit(now, rules.probeMs()) < 0) {
+        if (t.permit(now, rules.timeoutMs()) < 0) {
             refer(from, m, t.holder(now) == me ? NameHash.NOBODY : t.holder(now));
             return;
         }
         Known k = known.get(m.server());
         if (k != null && now - k.atMs <= rules.reuseMs()) {
-            answer(now, from, m.server(), m.number(), k);
+            answer(now, from, m.server(), m.requestNumber(), k);
             return;
         }
         Trial trial = trials.get(m.server());
         if (trial == null) {
-            trial = new Trial(now + LATE * rules.probeMs());
+            trial = new Trial(now + LATE * rules.timeoutMs());
             trials.put(m.server(), trial);
-            if (trials.size() > MOST_TRIALS || !out.trial(m.server())) {
+            if (trials.size() > MAX_RUNNING || !out.start(m.server())) {
                 trials.remove(m.server());
                 refer(from, m, NameHash.NOBODY);
                 return;
             }
             forOthers++;
         }
-        if (trial.waiting.size() < MOST_WAITING) {
-            trial.waiting.add(new Waiter(from, m.number()));
+        if (trial.waiting.size() < MAX_WAITERS) {
+            trial.waiting.add(new Waiter(from, m.requestNumber()));
         }
     }
 
     private void refer(long to, HealthCheckMessage m, long holder) {
-        out.send(to, new HealthCheckMessage(Kind.ELSEWHERE, m.duty(), m.server(), m.number(), 0, holder, false, 0));
+        out.send(
+                to,
+                new HealthCheckMessage(Kind.REDIRECT, m.leaseId(), m.server(), m.requestNumber(), 0, holder, false, 0));
     }
 
     /** The epoch is asked for right before word goes out: who lost the duty during the trial says nothing. */
@@ -229,57 +233,65 @@
         LeaseHandle t = tenure(server);
         long epoch = t.permit(now, 0);
         if (epoch >= 0) {
-            out.send(to, new HealthCheckMessage(Kind.ANSWER, t.id(), server, number, epoch, 0, k.sound, (int)
+            out.send(to, new HealthCheckMessage(Kind.RESULT, t.id(), server, number, epoch, 0, k.sound, (int)
                     Math.max(0, Math.round(now - k.atMs))));
         }
     }
 
     private void answered(double now, HealthCheckMessage m) {
         Want w = wants.get(m.server());
-        if (w == null || w.number != m.number() || now > w.untilMs || m.ageMs() > rules.reuseMs() + rules.probeMs()) {
+        if (w == null
+                || w.number != m.requestNumber()
+                || now > w.untilMs
+                || m.ageMs() > rules.reuseMs() + rules.timeoutMs()) {
             tooLate++;
             return;
         }
-        if (!guard.accepts(m.duty(), m.epoch())) {
+        if (!guard.accepts(m.leaseId(), m.epoch())) {
             olderEpochs++;
             return;
         }
         wants.remove(m.server());
         byWord++;
-        if (words.size() >= MOST_KNOWN) {
+        if (words.size() >= MAX_REMEMBERED) {
             words.clear(); // as if all were new: trust, with the same bounds
         }
         Word word = words.computeIfAbsent(m.server(), k -> new Word());
-        word.unsound = m.sound() ? 0 : word.unsound + 1;
-        word.soundAtMs = m.sound() ? now : Double.NEGATIVE_INFINITY;
-        out.told(m.server(), m.sound());
+        word.unsound = m.healthy() ? 0 : word.unsound + 1;
+        word.soundAtMs = m.healthy() ? now : Double.NEGATIVE_INFINITY;
+        out.report(m.server(), m.healthy());
     }
 
     private void elsewhere(double now, long from, HealthCheckMessage m) {
         Want w = wants.get(m.server());
-        if (w == null || w.number != m.number()) {
+        if (w == null || w.number != m.requestNumber()) {
             return;
         }
-        if (m.holder() == NameHash.NOBODY || m.holder() == me || m.holder() == from || ++w.hops >= MOST_HOPS) {
+        if (m.leaseHolder() == NameHash.NOBODY
+                || m.leaseHolder() == me
+                || m.leaseHolder() == from
+                || ++w.hops >= MOST_HOPS) {
             alone(now, m.server());
         } else {
-            out.send(m.holder(), new HealthCheckMessage(Kind.WANT, m.duty(), m.server(), w.number, 0, 0, false, 0));
+            out.send(
+                    m.leaseHolder(),
+                    new HealthCheckMessage(Kind.REQUEST, m.leaseId(), m.server(), w.number, 0, 0, false, 0));
         }
     }
 
     // ---- trials from here
 
     /** What a trial from here has shown. */
-    public void ended(double now, int server, boolean sound) {
+    public void finished(double now, int server, boolean sound) {
         Trial t = trials.remove(server);
         if (t == null) {
             return;
         }
-        if (known.size() >= MOST_KNOWN) {
+        if (known.size() >= MAX_REMEMBERED) {
             forget(now);
         }
         Known k = new Known(now, sound);
-        if (known.size() < MOST_KNOWN) {
+        if (known.size() < MAX_REMEMBERED) {
             known.put(server, k);
         }
         t.waiting.forEach(w -> answer(now, w.peer, server, w.number, k));
@@ -317,11 +329,11 @@
                 endless.add(e.getKey());
             }
         }
-        endless.forEach(server -> ended(now, server, false));
+        endless.forEach(server -> finished(now, server, false));
         return next;
     }
 
-    public Counts counts() {
-        return new Counts(own, forOthers, byWord, tooLate, olderEpochs);
+    public HealthCheckCounts counts() {
+        return new HealthCheckCounts(own, forOthers, byWord, tooLate, olderEpochs);
     }
 }
--- a/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckMessage.java
+++ b/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckMessage.java
@@ -14,35 +14,42 @@
  * @param ageMs in ANSWER: how long ago
  */
 public record HealthCheckMessage(
-        Kind kind, long duty, int server, long number, long epoch, long holder, boolean sound, int ageMs) {
-    public static final int LENGTH = 42;
+        Kind kind,
+        long leaseId,
+        int server,
+        long requestNumber,
+        long epoch,
+        long leaseHolder,
+        boolean healthy,
+        int ageMs) {
+    public static final int MESSAGE_BYTES = 42;
 
     /** What it is. */
     public enum Kind {
         /** Is this server sound? */
-        WANT,
+        REQUEST,
         /** What a trial has shown. */
-        ANSWER,
+        RESULT,
         /** The trial is not this proxy's to make. */
-        ELSEWHERE
+        REDIRECT
     }
 
     public byte[] bytes() {
-        return ByteBuffer.allocate(LENGTH)
+        return ByteBuffer.allocate(MESSAGE_BYTES)
                 .put((byte) kind.ordinal())
-                .putLong(duty)
+                .putLong(leaseId)
                 .putInt(server)
-                .putLong(number)
+                .putLong(requestNumber)
                 .putLong(epoch)
-                .putLong(holder)
-                .put((byte) (sound ? 1 : 0))
+                .putLong(leaseHolder)
+                .put((byte) (healthy ? 1 : 0))
                 .putInt(ageMs)
                 .array();
     }
 
     /** Null if these bytes are none. */
     public static HealthCheckMessage of(byte[] bytes) {
-        if (bytes.length != LENGTH || bytes[0] < 0 || bytes[0] >= Kind.values().length) {
+        if (bytes.length != MESSAGE_BYTES || bytes[0] < 0 || bytes[0] >= Kind.values().length) {
             return null;
         }
         ByteBuffer b = ByteBuffer.wrap(bytes);
--- a/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckTiming.java
+++ b/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckTiming.java
@@ -8,20 +8,21 @@
  * @param patienceMs how long word is waited for; then one goes by oneself
  * @param reuseMs for so long a trial's outcome is told to others without another
  */
-public record HealthCheckTiming(double probeMs, double patienceMs, double reuseMs) {
+public record HealthCheckTiming(double timeoutMs, double resultTimeoutMs, double reuseMs) {
     /** Trials in a row that others' word may call unsound before one's own way is tried: theirs may be the fault. */
-    public static final int OWN_EVERY = 4;
+    public static final int OWN_CHECK_EVERY = 4;
     /** Wanted again so soon after word that it is sound, the word says nothing of one's own way to it. */
-    public static final double CONTRADICTED_MS = 60_000;
+    public static final double CONTRADICTION_WINDOW_MS = 60_000;
 
     public HealthCheckTiming {
-        if (!(probeMs > 0) || !(patienceMs > probeMs) || !(reuseMs >= 0)) {
-            throw new IllegalArgumentException("trial " + probeMs + ", patience " + patienceMs + ", reuse " + reuseMs);
+        if (!(timeoutMs > 0) || !(resultTimeoutMs > timeoutMs) || !(reuseMs >= 0)) {
+            throw new IllegalArgumentException(
+                    "trial " + timeoutMs + ", patience " + resultTimeoutMs + ", reuse " + reuseMs);
         }
     }
 
     /** The oldest that word can be when it is taken. */
-    public double oldestMs() {
-        return patienceMs + reuseMs;
+    public double maxResultAgeMs() {
+        return resultTimeoutMs + reuseMs;
     }
 }
--- a/src/main/java/cacheproxy/fleet/membership/SwimMembership.java
+++ b/src/main/java/cacheproxy/fleet/membership/SwimMembership.java
@@ -1,8 +1,8 @@
 package cacheproxy.fleet.membership;
 
 import cacheproxy.fleet.membership.SwimMessage.Kind;
-import cacheproxy.fleet.membership.SwimMessage.News;
-import cacheproxy.fleet.membership.SwimMessage.Standing;
+import cacheproxy.fleet.membership.SwimMessage.MemberStatus;
+import cacheproxy.fleet.membership.SwimMessage.MemberUpdate;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
@@ -22,9 +22,9 @@
  */
 public final class SwimMembership {
     /** How ill a proxy may think itself; its waits are so many times as long and one more. */
-    static final int MOST_ILL = 7;
+    static final int MAX_HEALTH_SCORE = 7;
     /** Questions asked for others at once. */
-    static final int MOST_FAVOURS = 256;
+    static final int MAX_RELAYED_PINGS = 256;
     /** Those who confirm a suspicion beyond whom more add nothing. */
     private static final int CONFIRMATIONS = 3;
     /** Times that news is passed on, times the logarithm of how many there are. */
@@ -36,12 +36,12 @@
     private static final double STOOD_STILL = 1;
 
     /** Where messages go. */
-    public interface Out {
+    public interface SwimMessageSender {
         void send(long to, SwimMessage m);
     }
 
     private static final class Peer {
-        Standing standing = Standing.ALIVE;
+        MemberStatus standing = MemberStatus.ALIVE;
         int incarnation;
         double sinceMs;
         final Set<Long> accusers = new HashSet<>();
@@ -69,13 +69,13 @@
     private final long me;
     private final SwimTiming rules;
     private final SplittableRandom random;
-    private final Out out;
+    private final SwimMessageSender out;
     private final Map<Long, Peer> peers = new LinkedHashMap<>();
     private final List<Long> round = new ArrayList<>();
     private final Map<Long, Favour> favours = new HashMap<>();
     private int incarnation;
     private int ownTold;
-    private int ill;
+    private int localHealthScore;
     private long number;
     private long asked;
     private long askedNumber;
@@ -85,7 +85,7 @@
     private int nacksWanted;
     private int nacks;
 
-    public SwimMembership(long me, SwimTiming rules, SplittableRandom random, double now, Out out) {
+    public SwimMembership(long me, SwimTiming rules, SplittableRandom random, double now, SwimMessageSender out) {
         this.me = me;
         this.rules = rules;
         this.random = random;
@@ -95,7 +95,7 @@
     }
 
     /** The configured list counts from now on; those that are new are taken to be there. */
-    public void use(List<Long> list, double now) {
+    public void updateMembers(List<Long> list, double now) {
         peers.keySet().retainAll(list);
         round.retainAll(list);
         list.stream()
@@ -110,22 +110,22 @@
     }
 
     /** How a peer stands; one that is not in the list is dead. */
-    public Standing standing(long peer) {
+    public MemberStatus statusOf(long peer) {
         Peer p = peers.get(peer);
-        return peer == me ? Standing.ALIVE : p == null ? Standing.DEAD : p.standing;
+        return peer == me ? MemberStatus.ALIVE : p == null ? MemberStatus.DEAD : p.standing;
     }
 
     /** How ill this proxy thinks itself, 0 to {@value #MOST_ILL}. */
-    public int ill() {
-        return ill;
+    public int localHealthScore() {
+        return localHealthScore;
     }
 
     private double waits(double ms) {
-        return ms * (ill + 1);
+        return ms * (localHealthScore + 1);
     }
 
     private void ail(int by) {
-        ill = Math.max(0, Math.min(MOST_ILL, ill + by));
+        localHealthScore = Math.max(0, Math.min(MAX_HEALTH_SCORE, localHealthScore + by));
     }
 
     // ---- time
@@ -152,8 +152,8 @@
         }
         for (Map.Entry<Long, Peer> e : peers.entrySet()) {
             Peer p = e.getValue();
-            if (p.standing == Standing.SUSPECT && now >= p.sinceMs + waits(patience(p))) {
-                set(p, Standing.DEAD, p.incarnation, now);
+            if (p.standing == MemberStatus.SUSPECT && now >= p.sinceMs + waits(patience(p))) {
+                set(p, MemberStatus.DEAD, p.incarnation, now);
             }
         }
         double next = Math.min(nextMs, helpAtMs);
@@ -161,7 +161,7 @@
             next = Math.min(next, f.nacked ? f.untilMs : f.nackMs);
         }
         for (Peer p : peers.values()) {
-            next = p.standing == Standing.SUSPECT ? Math.min(next, p.sinceMs + waits(patience(p))) : next;
+            next = p.standing == MemberStatus.SUSPECT ? Math.min(next, p.sinceMs + waits(patience(p))) : next;
         }
         dueMs = Math.max(next, now);
         return next;
@@ -173,14 +173,14 @@
         helpAtMs = Double.POSITIVE_INFINITY;
         nextMs = now + rules.periodMs() * random.nextDouble();
         favours.clear();
-        peers.values().stream().filter(p -> p.standing == Standing.SUSPECT).forEach(p -> p.sinceMs = now);
+        peers.values().stream().filter(p -> p.standing == MemberStatus.SUSPECT).forEach(p -> p.sinceMs = now);
         ail(2);
     }
 
     /** From the most to the least as others suspect it as well. */
     private double patience(Peer p) {
         double part = Math.min(1, Math.log(Math.max(1, p.accusers.size())) / Math.log(CONFIRMATIONS + 1));
-        return rules.mostSuspicionMs() - (rules.mostSuspicionMs() - rules.leastSuspicionMs()) * part;
+        return rules.maxSuspicionMs() - (rules.maxSuspicionMs() - rules.minSuspicionMs()) * part;
     }
 
     private void ask(double now) {
@@ -198,7 +198,7 @@
         askedNumber = ++number;
         nacksWanted = 0;
         nacks = 0;
-        helpAtMs = now + waits(rules.answerMs());
+        helpAtMs = now + waits(rules.ackTimeoutMs());
         send(asked, Kind.PING, askedNumber, asked);
     }
 
@@ -207,11 +207,11 @@
             return;
         }
         List<Long> able = new ArrayList<>(peers.keySet().stream()
-                .filter(p -> p != asked && peers.get(p).standing == Standing.ALIVE)
+                .filter(p -> p != asked && peers.get(p).standing == MemberStatus.ALIVE)
                 .toList());
-        for (int i = 0; i < rules.helpers() && !able.isEmpty(); i++) {
+        for (int i = 0; i < rules.indirectProbes() && !able.isEmpty(); i++) {
             nacksWanted++;
-            send(able.remove(random.nextInt(able.size())), Kind.PING_FOR, askedNumber, asked);
+            send(able.remove(random.nextInt(able.size())), Kind.PING_REQUEST, askedNumber, asked);
         }
     }
 
@@ -222,7 +222,7 @@
         }
         // Helpers that said nothing at all: it may be this proxy that hears nobody.
         ail(nacksWanted > 0 ? nacksWanted - nacks : 1);
-        if (nacksWanted == 0 || nacks > 0 || peers.size() == 1 || ill < MOST_ILL) {
+        if (nacksWanted == 0 || nacks > 0 || peers.size() == 1 || localHealthScore < MAX_HEALTH_SCORE) {
             accuse(p, me, p.incarnation, now);
         }
         asked = 0;
@@ -235,93 +235,93 @@
     }
 
     /** What was passed on least goes first; to one who is not thought well of goes that. */
-    private List<News> news(long to) {
-        List<News> news = new ArrayList<>();
+    private List<MemberUpdate> news(long to) {
+        List<MemberUpdate> news = new ArrayList<>();
         int most = (int) Math.ceil(TELL * Math.log(peers.size() + 2) / Math.log(2));
         Peer of = peers.get(to);
-        if (of != null && of.standing != Standing.ALIVE) {
-            news.add(new News(to, of.standing, of.incarnation));
+        if (of != null && of.standing != MemberStatus.ALIVE) {
+            news.add(new MemberUpdate(to, of.standing, of.incarnation));
         }
         if (ownTold < most) {
             ownTold++;
-            news.add(new News(me, Standing.ALIVE, incarnation));
+            news.add(new MemberUpdate(me, MemberStatus.ALIVE, incarnation));
         }
         peers.entrySet().stream()
                 .filter(e -> e.getValue().told < most && e.getKey() != to)
                 .sorted(Comparator.comparingInt(e -> e.getValue().told))
-                .limit(SwimMessage.MOST_NEWS - news.size())
+                .limit(SwimMessage.MAX_UPDATES - news.size())
                 .forEach(e -> {
                     Peer p = e.getValue();
                     p.told++;
-                    news.add(new News(e.getKey(), p.standing, p.incarnation));
+                    news.add(new MemberUpdate(e.getKey(), p.standing, p.incarnation));
                 });
         return news;
     }
 
     /** A peer's message: whoever sends one is there. */
-    public void heard(double now, long from, SwimMessage m) {
+    public void receive(double now, long from, SwimMessage m) {
         if (!peers.containsKey(from)) {
             return;
         }
-        m.news().forEach(n -> told(now, from, n));
+        m.updates().forEach(n -> told(now, from, n));
         switch (m.kind()) {
             case PING -> {
-                if (m.about() == me) {
-                    send(from, Kind.ACK, m.number(), me);
+                if (m.target() == me) {
+                    send(from, Kind.ACK, m.sequenceNumber(), me);
                 }
             }
-            case PING_FOR -> {
-                if (peers.containsKey(m.about()) && favours.size() < MOST_FAVOURS) {
+            case PING_REQUEST -> {
+                if (peers.containsKey(m.target()) && favours.size() < MAX_RELAYED_PINGS) {
                     favours.put(
                             ++number,
                             new Favour(
                                     from,
-                                    m.number(),
-                                    m.about(),
-                                    now + rules.answerMs() * 0.8,
+                                    m.sequenceNumber(),
+                                    m.target(),
+                                    now + rules.ackTimeoutMs() * 0.8,
                                     now + waits(rules.periodMs())));
-                    send(m.about(), Kind.PING, number, m.about());
+                    send(m.target(), Kind.PING, number, m.target());
                 }
             }
             case ACK -> {
-                Favour f = favours.get(m.number());
+                Favour f = favours.get(m.sequenceNumber());
                 if (f != null && f.about == from) {
-                    favours.remove(m.number());
+                    favours.remove(m.sequenceNumber());
                     send(f.of, Kind.ACK, f.number, f.about);
-                } else if (m.number() == askedNumber && asked != 0 && m.about() == asked) {
+                } else if (m.sequenceNumber() == askedNumber && asked != 0 && m.target() == asked) {
                     asked = 0;
                     helpAtMs = Double.POSITIVE_INFINITY;
                     ail(-1);
                 }
             }
             default -> {
-                if (m.number() == askedNumber && m.about() == asked) {
+                if (m.sequenceNumber() == askedNumber && m.target() == asked) {
                     nacks++;
                 }
             }
         }
     }
 
-    private void told(double now, long from, News n) {
-        if (n.peer() == me) {
-            if (n.standing() != Standing.ALIVE && n.incarnation() >= incarnation) {
+    private void told(double now, long from, MemberUpdate n) {
+        if (n.memberId() == me) {
+            if (n.status() != MemberStatus.ALIVE && n.incarnation() >= incarnation) {
                 incarnation = n.incarnation() + 1; // I am here
                 ownTold = 0;
                 ail(1);
-            } else if (n.standing() == Standing.ALIVE && n.incarnation() > incarnation) {
+            } else if (n.status() == MemberStatus.ALIVE && n.incarnation() > incarnation) {
                 incarnation = n.incarnation() + 1; // of an earlier life
                 ownTold = 0;
             }
             return;
         }
-        Peer p = peers.get(n.peer());
+        Peer p = peers.get(n.memberId());
         if (p == null) {
             return;
         }
-        switch (n.standing()) {
+        switch (n.status()) {
             case ALIVE -> {
                 if (n.incarnation() > p.incarnation) {
-                    set(p, Standing.ALIVE, n.incarnation(), now);
+                    set(p, MemberStatus.ALIVE, n.incarnation(), now);
                 }
             }
             case SUSPECT -> {
@@ -330,23 +330,23 @@
                 }
             }
             default -> {
-                if (n.incarnation() >= p.incarnation && p.standing != Standing.DEAD) {
-                    set(p, Standing.DEAD, n.incarnation(), now);
+                if (n.incarnation() >= p.incarnation && p.standing != MemberStatus.DEAD) {
+                    set(p, MemberStatus.DEAD, n.incarnation(), now);
                 }
             }
         }
     }
 
     private void accuse(Peer p, long by, int of, double now) {
-        if (of > p.incarnation || p.standing == Standing.ALIVE) {
-            set(p, Standing.SUSPECT, of, now);
+        if (of > p.incarnation || p.standing == MemberStatus.ALIVE) {
+            set(p, MemberStatus.SUSPECT, of, now);
         }
-        if (p.standing == Standing.SUSPECT && p.accusers.size() < CONFIRMATIONS + 1 && p.accusers.add(by)) {
+        if (p.standing == MemberStatus.SUSPECT && p.accusers.size() < CONFIRMATIONS + 1 && p.accusers.add(by)) {
             p.told = 0; // that one more suspects it is news
         }
     }
 
-    private static void set(Peer p, Standing standing, int incarnation, double now) {
+    private static void set(Peer p, MemberStatus standing, int incarnation, double now) {
         p.standing = standing;
         p.incarnation = incarnation;
         p.sinceMs = now;
--- a/src/main/java/cacheproxy/fleet/membership/SwimTiming.java
+++ b/src/main/java/cacheproxy/fleet/membership/SwimTiming.java
@@ -10,15 +10,15 @@
  * @param mostSuspicionMs and after so long where nobody else does
  */
 public record SwimTiming(
-        double periodMs, double answerMs, int helpers, double leastSuspicionMs, double mostSuspicionMs) {
-    public static final SwimTiming USUAL = new SwimTiming(500, 150, 3, 2000, 8000);
+        double periodMs, double ackTimeoutMs, int indirectProbes, double minSuspicionMs, double maxSuspicionMs) {
+    public static final SwimTiming DEFAULT = new SwimTiming(500, 150, 3, 2000, 8000);
 
     public SwimTiming {
-        if (!(answerMs > 0 && answerMs * 2 < periodMs)
-                || helpers < 0
-                || !(leastSuspicionMs > 0 && leastSuspicionMs <= mostSuspicionMs)) {
-            throw new IllegalArgumentException("period " + periodMs + ", answer " + answerMs + ", helpers " + helpers
-                    + ", suspicion " + leastSuspicionMs + " to " + mostSuspicionMs);
+        if (!(ackTimeoutMs > 0 && ackTimeoutMs * 2 < periodMs)
+                || indirectProbes < 0
+                || !(minSuspicionMs > 0 && minSuspicionMs <= maxSuspicionMs)) {
+            throw new IllegalArgumentException("period " + periodMs + ", answer " + ackTimeoutMs + ", helpers "
+                    + indirectProbes + ", suspicion " + minSuspicionMs + " to " + maxSuspicionMs);
         }
     }
 }
--- a/src/main/java/cacheproxy/fleet/peer/DatagramEnvelope.java
+++ b/src/main/java/cacheproxy/fleet/peer/DatagramEnvelope.java
@@ -21,23 +21,23 @@
  */
 public final class DatagramEnvelope {
     /** The longest datagram, and what may be in it. */
-    public static final int MOST = 256;
-
-    static final int HEAD = 27;
-    static final int CODE = 16;
-    static final int SUM = 4;
-    public static final int MOST_PAYLOAD = MOST - HEAD - CODE;
-    private static final byte MARK = 'c';
-    private static final byte FORM = 1;
+    public static final int MAX_DATAGRAM_BYTES = 256;
+
+    static final int HEADER_BYTES = 27;
+    static final int MAC_BYTES = 16;
+    static final int CHECKSUM_BYTES = 4;
+    public static final int MAX_PAYLOAD_BYTES = MAX_DATAGRAM_BYTES - HEADER_BYTES - MAC_BYTES;
+    private static final byte MAGIC = 'c';
+    private static final byte FORMAT_VERSION = 1;
     /** So many datagrams of an older life are another process's. */
-    static final int TWIN = 20;
+    static final int DUPLICATE_ID_THRESHOLD = 20;
 
-    static final double FORGET_MS = 10_000;
+    static final double INCARNATION_EXPIRY_MS = 10_000;
     /** Numbers behind the newest that may still come. */
-    static final int WINDOW = 64;
+    static final int REPLAY_WINDOW = 64;
 
     /** What has come: the sender's id, what it is about, the rest. */
-    public record Opened(long sender, byte topic, byte[] payload) {}
+    public record OpenedDatagram(long sender, byte topic, byte[] payload) {}
 
     private static final class Sender {
         long life = Long.MIN_VALUE;
@@ -48,12 +48,12 @@
         int older;
     }
 
-    private final long me;
-    private final long life;
+    private final long ownId;
+    private final long incarnation;
     private final List<byte[]> keys;
-    private final Map<Long, Sender> senders = new HashMap<>();
+    private final Map<Long, Sender> useSenders = new HashMap<>();
     /** Of the next datagram to each: a burst to many does not push what is late to one out of its window. */
-    private final Map<Long, Long> numbers = new HashMap<>();
+    private final Map<Long, Long> nextNumbers = new HashMap<>();
 
     private boolean twin;
 
@@ -65,31 +65,32 @@
      * @param senders ids that may send; all others are dropped, so the table is bounded by them
      */
     public DatagramEnvelope(long me, long life, List<byte[]> keys, List<Long> senders) {
-        this.me = me;
-        this.life = life;
+        this.ownId = me;
+        this.incarnation = life;
         this.keys = keys.stream().map(byte[]::clone).toList();
-        senders(senders);
+        useSenders(senders);
     }
 
     /** Others from now on; those that stay are remembered. */
-    public void senders(List<Long> ids) {
-        senders.keySet().retainAll(ids);
-        numbers.keySet().retainAll(ids);
-        ids.forEach(id -> senders.computeIfAbsent(id, k -> new Sender()));
+    public void useSenders(List<Long> ids) {
+        useSenders.keySet().retainAll(ids);
+        nextNumbers.keySet().retainAll(ids);
+        ids.forEach(id -> useSenders.computeIfAbsent(id, k -> new Sender()));
     }
 
     /** A datagram to a peer with this in it, at most {@value #MOST_PAYLOAD} bytes. */
     public byte[] seal(long to, byte topic, byte[] payload) {
-        if (payload.length > MOST_PAYLOAD) {
-            throw new IllegalArgumentException(payload.length + " bytes, at most " + MOST_PAYLOAD);
+        if (payload.length > MAX_PAYLOAD_BYTES) {
+            throw new IllegalArgumentException(payload.length + " bytes, at most " + MAX_PAYLOAD_BYTES);
         }
-        ByteBuffer b = ByteBuffer.allocate(HEAD + payload.length + (keys.isEmpty() ? SUM : CODE))
-                .put(MARK)
-                .put(FORM)
+        ByteBuffer b = ByteBuffer.allocate(
+                        HEADER_BYTES + payload.length + (keys.isEmpty() ? CHECKSUM_BYTES : MAC_BYTES))
+                .put(MAGIC)
+                .put(FORMAT_VERSION)
                 .put(topic)
-                .putLong(me)
-                .putLong(life)
-                .putLong(numbers.merge(to, 1L, Long::sum))
+                .putLong(ownId)
+                .putLong(incarnation)
+                .putLong(nextNumbers.merge(to, 1L, Long::sum))
                 .put(payload);
         b.put(keys.isEmpty() ? sum(b.array(), b.position()) : code(keys.get(0), b.array(), b.position()));
         return b.array();
@@ -97,26 +98,29 @@
 
     /** Whose a datagram says that it is, before anything of it is believed; 0 where it says nothing. */
     public static long claimedSender(byte[] datagram) {
-        return datagram.length < HEAD ? 0 : ByteBuffer.wrap(datagram).getLong(3);
+        return datagram.length < HEADER_BYTES ? 0 : ByteBuffer.wrap(datagram).getLong(3);
     }
 
     /** What is in a datagram that comes now, monotonic ms; null if it is not a peer's, not whole, or came before. */
-    public Opened open(byte[] datagram, double now) {
-        int code = keys.isEmpty() ? SUM : CODE;
-        if (datagram.length < HEAD + code || datagram.length > MOST || datagram[0] != MARK || datagram[1] != FORM) {
+    public OpenedDatagram open(byte[] datagram, double now) {
+        int code = keys.isEmpty() ? CHECKSUM_BYTES : MAC_BYTES;
+        if (datagram.length < HEADER_BYTES + code
+                || datagram.length > MAX_DATAGRAM_BYTES
+                || datagram[0] != MAGIC
+                || datagram[1] != FORMAT_VERSION) {
             return null;
         }
         int length = datagram.length - code;
         ByteBuffer b = ByteBuffer.wrap(datagram, 2, length - 2);
         byte topic = b.get();
         long sender = b.getLong();
-        Sender s = senders.get(sender);
+        Sender s = useSenders.get(sender);
         if (s == null || !whole(datagram, length)) {
             return null;
         }
         long of = b.getLong();
-        if (sender == me) {
-            twin |= of != life;
+        if (sender == ownId) {
+            twin |= of != incarnation;
             return null;
         }
         if (!isNew(s, of, b.getLong(), now)) {
@@ -124,11 +128,11 @@
         }
         byte[] payload = new byte[b.remaining()];
         b.get(payload);
-        return new Opened(sender, topic, payload);
+        return new OpenedDatagram(sender, topic, payload);
     }
 
     private static boolean isNew(Sender s, long of, long n, double now) {
-        boolean forgotten = now - s.heardMs > FORGET_MS;
+        boolean forgotten = now - s.heardMs > INCARNATION_EXPIRY_MS;
         if (of < s.life && !forgotten || n < 0) {
             s.older++;
             return false;
@@ -143,12 +147,12 @@
         }
         if (n > s.newest) {
             long by = n - s.newest;
-            s.came = by >= WINDOW ? 1 : s.came << by | 1;
+            s.came = by >= REPLAY_WINDOW ? 1 : s.came << by | 1;
             s.newest = n;
             return true;
         }
         long behind = s.newest - n;
-        if (behind >= WINDOW || (s.came >> behind & 1) != 0) {
+        if (behind >= REPLAY_WINDOW || (s.came >> behind & 1) != 0) {
             return false;
         }
         s.came |= 1L << behind;
@@ -158,14 +162,14 @@
     private static byte[] sum(byte[] bytes, int length) {
         CRC32C crc = new CRC32C();
         crc.update(bytes, 0, length);
-        return ByteBuffer.allocate(SUM).putInt((int) crc.getValue()).array();
+        return ByteBuffer.allocate(CHECKSUM_BYTES).putInt((int) crc.getValue()).array();
     }
 
     private boolean whole(byte[] datagram, int length) {
         if (keys.isEmpty()) {
-            return Arrays.equals(sum(datagram, length), Arrays.copyOfRange(datagram, length, length + SUM));
+            return Arrays.equals(sum(datagram, length), Arrays.copyOfRange(datagram, length, length + CHECKSUM_BYTES));
         }
-        byte[] code = Arrays.copyOfRange(datagram, length, length + CODE);
+        byte[] code = Arrays.copyOfRange(datagram, length, length + MAC_BYTES);
         return keys.stream().anyMatch(k -> MessageDigest.isEqual(code, code(k, datagram, length)));
     }
 
@@ -174,16 +178,16 @@
             Mac mac = Mac.getInstance("HmacSHA256");
             mac.init(new SecretKeySpec(key, "HmacSHA256"));
             mac.update(bytes, 0, length);
-            return Arrays.copyOf(mac.doFinal(), CODE);
+            return Arrays.copyOf(mac.doFinal(), MAC_BYTES);
         } catch (GeneralSecurityException e) {
             throw new IllegalStateException(e); // every Java has it
         }
     }
 
     /** Ids under which two processes seem to send, this one's among them. */
-    public List<Long> twins() {
-        return senders.entrySet().stream()
-                .filter(e -> e.getValue().older >= TWIN || e.getKey() == me && twin)
+    public List<Long> duplicateIds() {
+        return useSenders.entrySet().stream()
+                .filter(e -> e.getValue().older >= DUPLICATE_ID_THRESHOLD || e.getKey() == ownId && twin)
                 .map(Map.Entry::getKey)
                 .toList();
     }
--- a/src/main/java/cacheproxy/fleet/peer/PeerListTransition.java
+++ b/src/main/java/cacheproxy/fleet/peer/PeerListTransition.java
@@ -13,16 +13,16 @@
  * to one's own. It warns; it stops nothing, since one wrong file would else end everybody's duties.
  */
 public final class PeerListTransition {
-    public static final int LENGTH = 16;
+    public static final int MESSAGE_BYTES = 16;
     /** What a peer told longer ago says nothing any more. */
-    public static final double FORGET_MS = 60_000;
+    public static final double REPORT_EXPIRY_MS = 60_000;
 
     /** How a peer's lists stand to one's own. */
-    public enum Standing {
+    public enum PeerListRelation {
         /** The same step of the same change. */
         SAME,
         /** One step before or behind: safe. */
-        A_STEP_APART,
+        ONE_STEP_APART,
         /** No voter need be in both. */
         DIFFERENT,
         /** Nothing was heard lately. */
@@ -39,7 +39,7 @@
      * What this process goes by: the list, and the one that is being left, empty if none is. Others than these are
      * forgotten.
      */
-    public void use(Set<String> list, Set<String> leaving, Set<Long> peers) {
+    public void update(Set<String> list, Set<String> leaving, Set<Long> peers) {
         now = digest(list);
         before = leaving.isEmpty() ? 0 : digest(leaving);
         told.keySet().retainAll(peers);
@@ -57,27 +57,27 @@
 
     /** What to tell the others. */
     public byte[] message() {
-        return ByteBuffer.allocate(LENGTH).putLong(now).putLong(before).array();
+        return ByteBuffer.allocate(MESSAGE_BYTES).putLong(now).putLong(before).array();
     }
 
     /** A peer has told what it goes by. */
-    public void heard(double atMs, long peer, byte[] message) {
-        if (message.length == LENGTH) {
+    public void receive(double atMs, long peer, byte[] message) {
+        if (message.length == MESSAGE_BYTES) {
             ByteBuffer b = ByteBuffer.wrap(message);
             told.put(peer, new Told(atMs, b.getLong(), b.getLong()));
         }
     }
 
-    public Standing of(long peer, double atMs) {
+    public PeerListRelation relationOf(long peer, double atMs) {
         Told t = told.get(peer);
-        if (t == null || atMs - t.atMs > FORGET_MS) {
-            return Standing.UNKNOWN;
+        if (t == null || atMs - t.atMs > REPORT_EXPIRY_MS) {
+            return PeerListRelation.UNKNOWN;
         }
         if (t.now == now && t.before == before) {
-            return Standing.SAME;
+            return PeerListRelation.SAME;
         }
         boolean begun = t.before == 0 && before != 0 && (t.now == before || t.now == now);
         boolean behind = before == 0 && t.before != 0 && (now == t.before || now == t.now);
-        return begun || behind ? Standing.A_STEP_APART : Standing.DIFFERENT;
+        return begun || behind ? PeerListRelation.ONE_STEP_APART : PeerListRelation.DIFFERENT;
     }
 }
--- a/src/test/java/cacheproxy/daemon/fleet/FleetSubsystemTest.java
+++ b/src/test/java/cacheproxy/daemon/fleet/FleetSubsystemTest.java
@@ -250,7 +250,8 @@
         try (DatagramSocket peer = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
                 Daemon d = daemon(fleetOf("p1", port, "", "p1@" + port, "p2@" + peer.getLocalPort()) + duty("cron"))) {
             peer.setSoTimeout(20_000);
-            DatagramPacket asked = new DatagramPacket(new byte[DatagramEnvelope.MOST], DatagramEnvelope.MOST);
+            DatagramPacket asked = new DatagramPacket(
+                    new byte[DatagramEnvelope.MAX_DATAGRAM_BYTES], DatagramEnvelope.MAX_DATAGRAM_BYTES);
             peer.receive(asked);
             String other = file(fleetOf("p1", port, "", "p1@" + port, "p2@" + peer.getLocalPort()) + duty("cron"))
                     .replace("longest_lease_ms = 150", "longest_lease_ms = 151")
@@ -334,7 +335,8 @@
 
     /** A pool's test of a server that was asked of a peer, with the peer's socket; returns what the question says. */
     private byte[] askedFor(Daemon d, FakeCacheServer mute, DatagramSocket peer) throws Exception {
-        DatagramPacket in = new DatagramPacket(new byte[DatagramEnvelope.MOST], DatagramEnvelope.MOST);
+        DatagramPacket in =
+                new DatagramPacket(new byte[DatagramEnvelope.MAX_DATAGRAM_BYTES], DatagramEnvelope.MAX_DATAGRAM_BYTES);
         peer.setSoTimeout(50);
         for (int from = 0; ; from += 20) {
             int first = from;
@@ -347,7 +349,7 @@
                     if (in.getData()[2] == FleetHealthChecks.TOPIC) {
                         return java.util.Arrays.copyOfRange(
                                 in.getData(),
-                                DatagramEnvelope.MOST - DatagramEnvelope.MOST_PAYLOAD - 16,
+                                DatagramEnvelope.MAX_DATAGRAM_BYTES - DatagramEnvelope.MAX_PAYLOAD_BYTES - 16,
                                 in.getLength() - 4);
                     }
                 }
@@ -440,10 +442,10 @@
                                 NameHash.of("p1"),
                                 FleetHealthChecks.TOPIC,
                                 new HealthCheckMessage(
-                                                HealthCheckMessage.Kind.ANSWER,
-                                                asked.duty(),
+                                                HealthCheckMessage.Kind.RESULT,
+                                                asked.leaseId(),
                                                 asked.server(),
-                                                asked.number(),
+                                                asked.requestNumber(),
                                                 1,
                                                 0,
                                                 true,
--- a/src/test/java/cacheproxy/fleet/healthcheck/HealthCheckCoordinatorTest.java
+++ b/src/test/java/cacheproxy/fleet/healthcheck/HealthCheckCoordinatorTest.java
@@ -18,59 +18,61 @@
 
 /** Trials made once for all, on virtual time, with real desks and messages between them. */
 class HealthCheckCoordinatorTest {
-    private static final HealthCheckTiming RULES = new HealthCheckTiming(250, 600, 1000);
+    private static final HealthCheckTiming TIMING = new HealthCheckTiming(250, 600, 1000);
     private static final int SHARES = 3;
 
-    private record Mail(double atMs, long n, int from, int to, HealthCheckMessage m) {}
+    private record Datagram(double atMs, long number, int from, int to, HealthCheckMessage message) {}
 
-    private record Told(double atMs, int desk, int server, boolean sound) {}
+    private record Report(double atMs, int coordinator, int server, boolean healthy) {}
 
     /** Desks, who holds each share, which servers are sick for whom, and what is lost. */
-    private static final class World {
-        final List<HealthCheckCoordinator> desks = new ArrayList<>();
-        final PriorityQueue<Mail> mail = new PriorityQueue<>(
-                (a, b) -> a.atMs != b.atMs ? Double.compare(a.atMs, b.atMs) : Long.compare(a.n, b.n));
-        final PriorityQueue<double[]> ends = new PriorityQueue<>((a, b) -> Double.compare(a[0], b[0]));
+    private static final class SimulatedFleet {
+        final List<HealthCheckCoordinator> coordinators = new ArrayList<>();
+        final PriorityQueue<Datagram> inFlight = new PriorityQueue<>((first, second) -> first.atMs != second.atMs
+                ? Double.compare(first.atMs, second.atMs)
+                : Long.compare(first.number, second.number));
+        final PriorityQueue<double[]> completions =
+                new PriorityQueue<>((first, second) -> Double.compare(first[0], second[0]));
         final int[] holder = new int[SHARES];
         final long[] epoch = new long[SHARES];
         /** What each believes of who holds. */
-        final Map<Integer, Integer> belief = new HashMap<>();
+        final Map<Integer, Integer> believedHolder = new HashMap<>();
 
-        final Set<Integer> sick = new HashSet<>();
-        final Set<String> cutFrom = new HashSet<>();
-        final List<Told> told = new ArrayList<>();
+        final Set<Integer> unhealthy = new HashSet<>();
+        final Set<String> partitioned = new HashSet<>();
+        final List<Report> reports = new ArrayList<>();
         final SplittableRandom random;
         final int count;
-        double loss;
-        double lateMs = 5;
-        double now;
-        long n;
-        int trials;
-        int trialsInTwo;
-        final Map<Integer, Integer> out = new HashMap<>();
+        double lossProbability;
+        double maxDelayMs = 5;
+        double nowMs;
+        long nextNumber;
+        int checks;
+        int overlappingChecks;
+        final Map<Integer, Integer> running = new HashMap<>();
 
-        World(int count, long seed) {
+        SimulatedFleet(int count, long seed) {
             this.count = count;
             random = new SplittableRandom(seed);
             for (int i = 0; i < SHARES; i++) {
                 epoch[i] = 1;
             }
             for (int i = 0; i < count; i++) {
-                int me = i;
+                int index = i;
                 List<LeaseHandle> shares = new ArrayList<>();
-                for (int s = 0; s < SHARES; s++) {
-                    shares.add(tenure(me, s));
+                for (int share = 0; share < SHARES; share++) {
+                    shares.add(handle(index, share));
                 }
-                desks.add(new HealthCheckCoordinator(
-                        me + 1, me * 1000L, RULES, shares, new HealthCheckCoordinator.Out() {
+                coordinators.add(new HealthCheckCoordinator(
+                        index + 1, index * 1000L, TIMING, shares, new HealthCheckCoordinator.HealthCheckOutbox() {
                             @Override
                             public void send(long to, HealthCheckMessage m) {
-                                if (random.nextDouble() >= loss) {
+                                if (random.nextDouble() >= lossProbability) {
                                     for (int copies = random.nextInt(10) == 0 ? 2 : 1; copies > 0; copies--) {
-                                        mail.add(new Mail(
-                                                now + 0.1 + random.nextDouble() * lateMs,
-                                                n++,
-                                                me,
+                                        inFlight.add(new Datagram(
+                                                nowMs + 0.1 + random.nextDouble() * maxDelayMs,
+                                                nextNumber++,
+                                                index,
                                                 (int) to - 1,
                                                 HealthCheckMessage.of(m.bytes())));
                                     }
@@ -78,38 +80,38 @@
                             }
 
                             @Override
-                            public boolean trial(int server) {
-                                trials++;
-                                out.merge(server, 1, Integer::sum);
-                                trialsInTwo += out.get(server) > 1 ? 1 : 0;
-                                boolean bad = sick.contains(server) || cutFrom.contains(me + "/" + server);
-                                ends.add(new double[] {now + (bad ? 250 : 2), me, server, bad ? 0 : 1});
+                            public boolean start(int server) {
+                                checks++;
+                                running.merge(server, 1, Integer::sum);
+                                overlappingChecks += running.get(server) > 1 ? 1 : 0;
+                                boolean failing = unhealthy.contains(server) || partitioned.contains(index + "/" + server);
+                                completions.add(new double[] {nowMs + (failing ? 250 : 2), index, server, failing ? 0 : 1});
                                 return true;
                             }
 
                             @Override
-                            public void told(int server, boolean sound) {
-                                told.add(new Told(now, me, server, sound));
+                            public void report(int server, boolean healthy) {
+                                reports.add(new Report(nowMs, index, server, healthy));
                             }
                         }));
             }
         }
 
-        LeaseHandle tenure(int me, int share) {
+        LeaseHandle handle(int index, int share) {
             return new LeaseHandle() {
                 @Override
                 public long permit(double at, double actMs) {
-                    return holder[share] == me ? epoch[share] : -1;
+                    return holder[share] == index ? epoch[share] : -1;
                 }
 
                 @Override
                 public double leftMs(double at) {
-                    return holder[share] == me ? 1000 : 0;
+                    return holder[share] == index ? 1000 : 0;
                 }
 
                 @Override
                 public long holder(double at) {
-                    return belief.getOrDefault(me, holder[share]) + 1;
+                    return believedHolder.getOrDefault(index, holder[share]) + 1;
                 }
 
                 @Override
@@ -124,221 +126,248 @@
             };
         }
 
-        void until(double ms) {
+        void runUntil(double ms) {
             while (true) {
                 double next = ms;
-                for (HealthCheckCoordinator d : desks) {
-                    next = Math.min(next, d.tick(now));
+                for (HealthCheckCoordinator coordinator : coordinators) {
+                    next = Math.min(next, coordinator.tick(nowMs));
                 }
-                double atMail = mail.isEmpty() ? Double.POSITIVE_INFINITY : mail.peek().atMs;
-                double atEnd = ends.isEmpty() ? Double.POSITIVE_INFINITY : ends.peek()[0];
-                now = Math.max(now, Math.min(next, Math.min(atMail, atEnd)));
-                if (atMail <= now && atMail <= atEnd) {
-                    Mail m = mail.poll();
-                    desks.get(m.to).heard(now, m.from + 1, m.m);
-                } else if (atEnd <= now) {
-                    double[] e = ends.poll();
-                    out.merge((int) e[2], -1, Integer::sum);
-                    desks.get((int) e[1]).ended(now, (int) e[2], e[3] == 1);
-                } else if (now >= ms) {
+                double nextDatagramMs = inFlight.isEmpty() ? Double.POSITIVE_INFINITY : inFlight.peek().atMs;
+                double nextCompletionMs = completions.isEmpty()
+                        ? Double.POSITIVE_INFINITY
+                        : completions.peek()[0];
+                nowMs = Math.max(nowMs, Math.min(next, Math.min(nextDatagramMs, nextCompletionMs)));
+                if (nextDatagramMs <= nowMs && nextDatagramMs <= nextCompletionMs) {
+                    Datagram datagram = inFlight.poll();
+                    coordinators.get(datagram.to).receive(nowMs, datagram.from + 1, datagram.message);
+                } else if (nextCompletionMs <= nowMs) {
+                    double[] completion = completions.poll();
+                    running.merge((int) completion[2], -1, Integer::sum);
+                    coordinators.get((int) completion[1]).finished(nowMs, (int) completion[2], completion[3] == 1);
+                } else if (nowMs >= ms) {
                     return;
                 }
             }
         }
 
-        void allWant(int server) {
-            desks.forEach(d -> d.wanted(now, server));
+        void requestAll(int server) {
+            coordinators.forEach(coordinator -> coordinator.request(nowMs, server));
         }
     }
 
     @Test
-    void aHundredThatWantItMakeOneTrialAndAllAreTold() {
-        World w = new World(100, 1);
-        w.sick.add(7);
-        w.allWant(7);
-        w.until(2000);
-        assertThat(w.told).hasSize(100).allMatch(t -> !t.sound && t.atMs < 600);
-        assertThat(w.trials).isEqualTo(1);
-        w.sick.clear();
-        w.allWant(7);
-        w.until(4000);
-        assertThat(w.told).hasSize(200);
-        assertThat(w.told.subList(100, 200)).allMatch(Told::sound);
-        assertThat(w.trials).isEqualTo(2);
-        assertThat(w.desks
-                        .get(w.holder[HealthCheckCoordinator.share(7, SHARES)])
+    void hundredRequestsCauseOneCheckReportedToAll() {
+        SimulatedFleet simulation = new SimulatedFleet(100, 1);
+        simulation.unhealthy.add(7);
+        simulation.requestAll(7);
+        simulation.runUntil(2000);
+        assertThat(simulation.reports).hasSize(100).allMatch(report -> !report.healthy && report.atMs < 600);
+        assertThat(simulation.checks).isEqualTo(1);
+        simulation.unhealthy.clear();
+        simulation.requestAll(7);
+        simulation.runUntil(4000);
+        assertThat(simulation.reports).hasSize(200);
+        assertThat(simulation.reports.subList(100, 200)).allMatch(Report::healthy);
+        assertThat(simulation.checks).isEqualTo(2);
+        assertThat(simulation
+                        .coordinators
+                        .get(simulation.holder[HealthCheckCoordinator.shareOf(7, SHARES)])
                         .counts()
-                        .own())
+                        .ownChecks())
                 .isEqualTo(2);
     }
 
     @Test
-    void whoIsBelievedToHoldItWronglyRefersToTheOneThatDoes() {
-        World w = new World(5, 2);
-        int share = HealthCheckCoordinator.share(7, SHARES);
-        w.holder[share] = 4;
-        w.belief.put(1, 2); // and 2 knows
-        w.desks.get(1).wanted(0, 7);
-        w.until(1000);
-        assertThat(w.told).singleElement().matches(t -> t.sound && t.desk == 1);
-        assertThat(w.desks.get(4).counts().forOthers()).isEqualTo(1);
+    void formerHolderRedirectsToCurrentHolder() {
+        SimulatedFleet simulation = new SimulatedFleet(5, 2);
+        int share = HealthCheckCoordinator.shareOf(7, SHARES);
+        simulation.holder[share] = 4;
+        simulation.believedHolder.put(1, 2); // and 2 knows
+        simulation.coordinators.get(1).request(0, 7);
+        simulation.runUntil(1000);
+        assertThat(simulation.reports).singleElement().matches(report -> report.healthy && report.coordinator == 1);
+        assertThat(simulation.coordinators.get(4).counts().checksForOthers()).isEqualTo(1);
         // Nobody knows: it goes by itself at once, not after its patience.
-        w.belief.put(2, -1);
-        w.belief.put(1, 2);
-        w.told.clear();
-        w.desks.get(1).wanted(200_000, 8);
-        w.until(1100);
-        assertThat(w.told).hasSize(1);
+        simulation.believedHolder.put(2, -1);
+        simulation.believedHolder.put(1, 2);
+        simulation.reports.clear();
+        simulation.coordinators.get(1).request(200_000, 8);
+        simulation.runUntil(1100);
+        assertThat(simulation.reports).hasSize(1);
     }
 
     @Test
-    void withoutAHolderEachGoesByItselfOnceItsPatienceIsOver() {
-        World w = new World(4, 3);
-        w.loss = 1;
-        w.allWant(7);
-        w.until(1000);
-        assertThat(w.told).hasSize(4).allMatch(Told::sound);
-        assertThat(w.told.stream().filter(t -> t.atMs > 590)).hasSize(3);
-        assertThat(w.trials).isEqualTo(4);
+    void checksItselfAfterResultTimeoutWithoutHolder() {
+        SimulatedFleet simulation = new SimulatedFleet(4, 3);
+        simulation.lossProbability = 1;
+        simulation.requestAll(7);
+        simulation.runUntil(1000);
+        assertThat(simulation.reports).hasSize(4).allMatch(Report::healthy);
+        assertThat(simulation.reports.stream().filter(report -> report.atMs > 590))
+                .hasSize(3);
+        assertThat(simulation.checks).isEqualTo(4);
     }
 
     /** Trials: a holder that is cut off from a sound server keeps nobody else out for longer than three words. */
     @Test
-    void wordThatIsAtOddsWithOnesOwnWayIsNotTakenForLong() {
-        World w = new World(3, 4);
-        int share = HealthCheckCoordinator.share(7, SHARES);
-        w.holder[share] = 2;
-        w.cutFrom.add("2/7");
-        List<Boolean> heard = new ArrayList<>();
+    void checksItselfWhenReportedResultsContradictItsOwnView() {
+        SimulatedFleet simulation = new SimulatedFleet(3, 4);
+        int share = HealthCheckCoordinator.shareOf(7, SHARES);
+        simulation.holder[share] = 2;
+        simulation.partitioned.add("2/7");
+        List<Boolean> reportedHealth = new ArrayList<>();
         for (int i = 0; i < 4; i++) {
-            w.told.clear();
-            w.desks.get(0).wanted(w.now, 7);
-            w.until(w.now + 3000);
-            heard.add(w.told.get(0).sound);
+            simulation.reports.clear();
+            simulation.coordinators.get(0).request(simulation.nowMs, 7);
+            simulation.runUntil(simulation.nowMs + 3000);
+            reportedHealth.add(simulation.reports.get(0).healthy);
         }
-        assertThat(heard).containsExactly(false, false, false, true);
+        assertThat(reportedHealth).containsExactly(false, false, false, true);
         // And the reverse: it is called sound, and is wanted again at once, since it is not from here.
-        w.cutFrom.clear();
-        w.cutFrom.add("0/7");
-        heard.clear();
+        simulation.partitioned.clear();
+        simulation.partitioned.add("0/7");
+        reportedHealth.clear();
         for (int i = 0; i < 2; i++) {
-            w.told.clear();
-            w.desks.get(0).wanted(w.now, 7);
-            w.until(w.now + 3000);
-            heard.add(w.told.get(0).sound);
+            simulation.reports.clear();
+            simulation.coordinators.get(0).request(simulation.nowMs, 7);
+            simulation.runUntil(simulation.nowMs + 3000);
+            reportedHealth.add(simulation.reports.get(0).healthy);
         }
-        assertThat(heard).containsExactly(true, false);
+        assertThat(reportedHealth).containsExactly(true, false);
     }
 
     @Test
-    void wordUnderAnOlderEpochAndWordThatComesLateAreNotTaken() {
-        World w = new World(3, 5);
-        int share = HealthCheckCoordinator.share(7, SHARES);
-        w.holder[share] = 2;
-        w.epoch[share] = 9;
-        w.desks.get(0).wanted(0, 7);
-        w.until(100);
-        assertThat(w.told).hasSize(1);
-        int other = 0;
-        while (HealthCheckCoordinator.share(other, SHARES) != share || other == 7) {
-            other++;
+    void rejectsResultsOfOlderEpochsAndLateResults() {
+        SimulatedFleet simulation = new SimulatedFleet(3, 5);
+        int share = HealthCheckCoordinator.shareOf(7, SHARES);
+        simulation.holder[share] = 2;
+        simulation.epoch[share] = 9;
+        simulation.coordinators.get(0).request(0, 7);
+        simulation.runUntil(100);
+        assertThat(simulation.reports).hasSize(1);
+        int otherServer = 0;
+        while (HealthCheckCoordinator.shareOf(otherServer, SHARES) != share || otherServer == 7) {
+            otherServer++;
         }
-        w.told.clear();
-        w.desks.get(0).wanted(w.now, other);
-        Mail asked = w.mail.peek();
-        long duty = asked.m.duty();
-        w.desks
+        simulation.reports.clear();
+        simulation.coordinators.get(0).request(simulation.nowMs, otherServer);
+        Datagram request = simulation.inFlight.peek();
+        long leaseId = request.message.leaseId();
+        simulation
+                .coordinators
                 .get(0)
-                .heard(w.now, 2, new HealthCheckMessage(Kind.ANSWER, duty, other, asked.m.number(), 8, 0, false, 0));
-        w.desks
+                .receive(
+                        simulation.nowMs,
+                        2,
+                        new HealthCheckMessage(
+                                Kind.RESULT, leaseId, otherServer, request.message.requestNumber(), 8, 0, false, 0));
+        simulation
+                .coordinators
                 .get(0)
-                .heard(
-                        w.now,
+                .receive(
+                        simulation.nowMs,
                         2,
-                        new HealthCheckMessage(Kind.ANSWER, duty, other, asked.m.number() + 1, 9, 0, false, 0));
-        w.desks
+                        new HealthCheckMessage(
+                                Kind.RESULT,
+                                leaseId,
+                                otherServer,
+                                request.message.requestNumber() + 1,
+                                9,
+                                0,
+                                false,
+                                0));
+        simulation
+                .coordinators
                 .get(0)
-                .heard(
-                        w.now,
+                .receive(
+                        simulation.nowMs,
                         2,
-                        new HealthCheckMessage(Kind.ANSWER, duty, other, asked.m.number(), 9, 0, false, 60_000));
-        assertThat(w.told).isEmpty();
-        assertThat(w.desks.get(0).counts().olderEpochs()).isEqualTo(1);
-        assertThat(w.desks.get(0).counts().tooLate()).isEqualTo(2);
+                        new HealthCheckMessage(
+                                Kind.RESULT,
+                                leaseId,
+                                otherServer,
+                                request.message.requestNumber(),
+                                9,
+                                0,
+                                false,
+                                60_000));
+        assertThat(simulation.reports).isEmpty();
+        assertThat(simulation.coordinators.get(0).counts().staleEpochResults()).isEqualTo(1);
+        assertThat(simulation.coordinators.get(0).counts().lateResults()).isEqualTo(2);
     }
 
     /** Its pool has gone in the midst of it: the server is not left waiting for an end that does not come. */
     @Test
-    void aTrialWhoseEndNeverComesCountsAsFailedAndTheNextIsMade() {
-        World w = new World(1, 11);
-        w.desks.get(0).wanted(0, 7);
-        w.ends.clear();
-        w.until(RULES.probeMs());
-        assertThat(w.told).isEmpty();
-        w.until(3 * RULES.probeMs());
-        assertThat(w.told).singleElement().matches(t -> !t.sound);
-        w.desks.get(0).ended(w.now, 7, true);
-        assertThat(w.told).as("an end after that").hasSize(1);
-        w.desks.get(0).wanted(w.now, 7);
-        w.until(w.now + 100);
-        assertThat(w.told).hasSize(2).last().matches(t -> t.sound);
+    void checkThatNeverFinishesCountsAsFailed() {
+        SimulatedFleet simulation = new SimulatedFleet(1, 11);
+        simulation.coordinators.get(0).request(0, 7);
+        simulation.completions.clear();
+        simulation.runUntil(TIMING.timeoutMs());
+        assertThat(simulation.reports).isEmpty();
+        simulation.runUntil(3 * TIMING.timeoutMs());
+        assertThat(simulation.reports).singleElement().matches(report -> !report.healthy);
+        simulation.coordinators.get(0).finished(simulation.nowMs, 7, true);
+        assertThat(simulation.reports).as("an end after that").hasSize(1);
+        simulation.coordinators.get(0).request(simulation.nowMs, 7);
+        simulation.runUntil(simulation.nowMs + 100);
+        assertThat(simulation.reports).hasSize(2).last().matches(report -> report.healthy);
     }
 
     /** Whoever lost the duty during the trial says nothing of it. */
     @Test
-    void aTrialThatOutlastedTheDutyIsNotTold() {
-        World w = new World(3, 6);
-        int share = HealthCheckCoordinator.share(7, SHARES);
-        w.holder[share] = 2;
-        w.sick.add(7);
-        w.desks.get(0).wanted(0, 7);
-        w.until(100);
-        w.holder[share] = 1;
-        w.until(300);
-        assertThat(w.told).isEmpty();
-        w.until(900);
-        assertThat(w.told).singleElement().matches(t -> t.desk == 0 && !t.sound);
+    void doesNotReportCheckThatOutlastedTheLease() {
+        SimulatedFleet simulation = new SimulatedFleet(3, 6);
+        int share = HealthCheckCoordinator.shareOf(7, SHARES);
+        simulation.holder[share] = 2;
+        simulation.unhealthy.add(7);
+        simulation.coordinators.get(0).request(0, 7);
+        simulation.runUntil(100);
+        simulation.holder[share] = 1;
+        simulation.runUntil(300);
+        assertThat(simulation.reports).isEmpty();
+        simulation.runUntil(900);
+        assertThat(simulation.reports).singleElement().matches(report -> report.coordinator == 0 && !report.healthy);
     }
 
     @Test
-    void whoDealsTheServersOutOtherwiseGoesByItself() {
-        World w = new World(3, 7);
-        w.desks.get(0).use(RULES, List.of(w.tenure(0, 0), w.tenure(0, 1)));
+    void checksItselfWhenShareCountsDiffer() {
+        SimulatedFleet simulation = new SimulatedFleet(3, 7);
+        simulation.coordinators.get(0).update(TIMING, List.of(simulation.handle(0, 0), simulation.handle(0, 1)));
         for (int i = 0; i < SHARES; i++) {
-            w.holder[i] = 2;
+            simulation.holder[i] = 2;
         }
         for (int server = 0; server < 200; server++) {
-            w.desks.get(0).wanted(0, server);
+            simulation.coordinators.get(0).request(0, server);
         }
-        w.until(2000);
-        assertThat(w.told).hasSize(200);
+        simulation.runUntil(2000);
+        assertThat(simulation.reports).hasSize(200);
     }
 
     @Test
-    void boundsAreKeptAndWhoeverIsBeyondThemGoesByItself() {
-        World w = new World(2, 8);
-        w.loss = 1;
+    void checksItselfBeyondBounds() {
+        SimulatedFleet simulation = new SimulatedFleet(2, 8);
+        simulation.lossProbability = 1;
         for (int i = 0; i < SHARES; i++) {
-            w.holder[i] = 1;
+            simulation.holder[i] = 1;
         }
-        for (int server = 0; server < HealthCheckCoordinator.MOST_WANTS + 10; server++) {
-            w.desks.get(0).wanted(0, server);
+        for (int server = 0; server < HealthCheckCoordinator.MAX_PENDING + 10; server++) {
+            simulation.coordinators.get(0).request(0, server);
         }
-        assertThat(w.trials).as("at once, beyond the bound").isEqualTo(10);
-        w.until(2000);
-        assertThat(w.told).hasSize(HealthCheckCoordinator.MOST_WANTS + 10);
+        assertThat(simulation.checks).as("at once, beyond the bound").isEqualTo(10);
+        simulation.runUntil(2000);
+        assertThat(simulation.reports).hasSize(HealthCheckCoordinator.MAX_PENDING + 10);
         // A flood of what others want: as many trials as may be, the rest is told to go by itself.
-        World x = new World(2, 9);
+        SimulatedFleet flooded = new SimulatedFleet(2, 9);
         for (int server = 0; server < 500; server++) {
-            x.sick.add(server);
-            x.desks
+            flooded.unhealthy.add(server);
+            flooded.coordinators
                     .get(0)
-                    .heard(
+                    .receive(
                             0,
                             2,
                             new HealthCheckMessage(
-                                    Kind.WANT,
-                                    NameHash.of("probe." + HealthCheckCoordinator.share(server, SHARES)),
+                                    Kind.REQUEST,
+                                    NameHash.of("probe." + HealthCheckCoordinator.shareOf(server, SHARES)),
                                     server,
                                     server,
                                     0,
@@ -346,21 +375,21 @@
                                     false,
                                     0));
         }
-        assertThat(x.trials).isEqualTo(HealthCheckCoordinator.MOST_TRIALS);
-        assertThat(x.mail)
-                .hasSizeGreaterThanOrEqualTo(500 - HealthCheckCoordinator.MOST_TRIALS)
-                .allMatch(m -> m.m.kind() == Kind.ELSEWHERE);
-        World y = new World(2, 10);
-        y.sick.add(7);
-        for (int i = 0; i < 2 * HealthCheckCoordinator.MOST_WAITING; i++) {
-            y.desks
+        assertThat(flooded.checks).isEqualTo(HealthCheckCoordinator.MAX_RUNNING);
+        assertThat(flooded.inFlight)
+                .hasSizeGreaterThanOrEqualTo(500 - HealthCheckCoordinator.MAX_RUNNING)
+                .allMatch(datagram -> datagram.message.kind() == Kind.REDIRECT);
+        SimulatedFleet crowded = new SimulatedFleet(2, 10);
+        crowded.unhealthy.add(7);
+        for (int i = 0; i < 2 * HealthCheckCoordinator.MAX_WAITERS; i++) {
+            crowded.coordinators
                     .get(0)
-                    .heard(
+                    .receive(
                             0,
                             2,
                             new HealthCheckMessage(
-                                    Kind.WANT,
-                                    NameHash.of("probe." + HealthCheckCoordinator.share(7, SHARES)),
+                                    Kind.REQUEST,
+                                    NameHash.of("probe." + HealthCheckCoordinator.shareOf(7, SHARES)),
                                     7,
                                     i,
                                     0,
@@ -368,9 +397,12 @@
                                     false,
                                     0));
         }
-        y.ends.poll();
-        y.desks.get(0).ended(250, 7, false);
-        assertThat(y.mail.stream().map(m -> m.m.number()).distinct()).hasSize(HealthCheckCoordinator.MOST_WAITING);
+        crowded.completions.poll();
+        crowded.coordinators.get(0).finished(250, 7, false);
+        assertThat(crowded.inFlight.stream()
+                        .map(datagram -> datagram.message.requestNumber())
+                        .distinct())
+                .hasSize(HealthCheckCoordinator.MAX_WAITERS);
     }
 
     /**
@@ -378,56 +410,56 @@
      * exceeds the wants.
      */
     @Test
-    void everyWantIsToldOnceInTimeWhateverIsLost() {
+    void reportsEveryRequestOnceInTimeDespiteLoss() {
         for (int seed = 0; seed < 200; seed++) {
-            World w = new World(5, seed);
-            SplittableRandom r = new SplittableRandom(seed + 1000);
-            w.loss = r.nextInt(4) * 0.3;
-            w.lateMs = r.nextInt(3) == 0 ? 2000 : 5;
-            int wants = 0;
+            SimulatedFleet simulation = new SimulatedFleet(5, seed);
+            SplittableRandom random = new SplittableRandom(seed + 1000);
+            simulation.lossProbability = random.nextInt(4) * 0.3;
+            simulation.maxDelayMs = random.nextInt(3) == 0 ? 2000 : 5;
+            int requests = 0;
             for (int step = 0; step < 60; step++) {
-                int server = r.nextInt(6);
-                switch (r.nextInt(5)) {
+                int server = random.nextInt(6);
+                switch (random.nextInt(5)) {
                     case 0 -> {
-                        int share = r.nextInt(SHARES);
-                        w.holder[share] = r.nextInt(6) - 1; // -1: nobody
-                        w.epoch[share]++;
+                        int share = random.nextInt(SHARES);
+                        simulation.holder[share] = random.nextInt(6) - 1; // -1: nobody
+                        simulation.epoch[share]++;
                     }
-                    case 1 -> w.belief.put(r.nextInt(5), r.nextInt(6) - 1);
+                    case 1 -> simulation.believedHolder.put(random.nextInt(5), random.nextInt(6) - 1);
                     case 2 -> {
-                        if (!w.sick.remove(server)) {
-                            w.sick.add(server);
+                        if (!simulation.unhealthy.remove(server)) {
+                            simulation.unhealthy.add(server);
                         }
                     }
                     default -> {
-                        double from = w.now;
-                        int before = w.told.size();
-                        w.allWant(server);
-                        wants += 5;
-                        w.until(from + RULES.patienceMs() + RULES.probeMs() + 1);
-                        assertThat(w.told.size() - before)
+                        double startMs = simulation.nowMs;
+                        int reportsBefore = simulation.reports.size();
+                        simulation.requestAll(server);
+                        requests += 5;
+                        simulation.runUntil(startMs + TIMING.resultTimeoutMs() + TIMING.timeoutMs() + 1);
+                        assertThat(simulation.reports.size() - reportsBefore)
                                 .as("seed " + seed + " step " + step)
                                 .isEqualTo(5);
-                        assertThat(w.told.subList(before, before + 5).stream()
-                                        .map(t -> t.desk)
+                        assertThat(simulation.reports.subList(reportsBefore, reportsBefore + 5).stream()
+                                        .map(report -> report.coordinator)
                                         .distinct())
                                 .hasSize(5);
                     }
                 }
             }
-            assertThat(w.trials).isLessThanOrEqualTo(2 * wants);
+            assertThat(simulation.checks).isLessThanOrEqualTo(2 * requests);
         }
     }
 
     @Test
-    void messagesAreWholeOrNone() {
-        HealthCheckMessage m = new HealthCheckMessage(Kind.ANSWER, 1, 2, 3, 4, 5, true, 6);
-        assertThat(HealthCheckMessage.of(m.bytes())).isEqualTo(m);
-        assertThat(HealthCheckMessage.of(new byte[HealthCheckMessage.LENGTH - 1]))
+    void rejectsMalformedMessagesAndTimings() {
+        HealthCheckMessage message = new HealthCheckMessage(Kind.RESULT, 1, 2, 3, 4, 5, true, 6);
+        assertThat(HealthCheckMessage.of(message.bytes())).isEqualTo(message);
+        assertThat(HealthCheckMessage.of(new byte[HealthCheckMessage.MESSAGE_BYTES - 1]))
                 .isNull();
-        byte[] bad = m.bytes();
-        bad[0] = 9;
-        assertThat(HealthCheckMessage.of(bad)).isNull();
+        byte[] malformed = message.bytes();
+        malformed[0] = 9;
+        assertThat(HealthCheckMessage.of(malformed)).isNull();
         assertThatThrownBy(() -> new HealthCheckTiming(250, 250, 0)).isInstanceOf(IllegalArgumentException.class);
     }
 }
--- a/src/test/java/cacheproxy/fleet/healthcheck/HealthCheckGoldenBytesTest.java
+++ b/src/test/java/cacheproxy/fleet/healthcheck/HealthCheckGoldenBytesTest.java
@@ -8,42 +8,43 @@
 
 /** The bytes of the datagrams about probes of servers: another version of the program must read and write the same. */
 class HealthCheckGoldenBytesTest {
-    private static final long DUTY = 0x0102030405060708L;
+    private static final long LEASE_ID = 0x0102030405060708L;
     private static final int SERVER = 0xcafe0001;
-    private static final long NUMBER = 0x1112131415161718L;
+    private static final long REQUEST_NUMBER = 0x1112131415161718L;
     private static final long EPOCH = 0x0000019412345678L;
-    private static final long HOLDER = 0xf1f2f3f4f5f6f7f8L;
+    private static final long LEASE_HOLDER = 0xf1f2f3f4f5f6f7f8L;
 
     @Test
-    void eachKindHasItsBytes() {
-        assertBytes(Kind.WANT, "00", false, "00");
-        assertBytes(Kind.ANSWER, "01", true, "01");
-        assertBytes(Kind.ANSWER, "01", false, "00");
-        assertBytes(Kind.ELSEWHERE, "02", false, "00");
+    void eachKindHasGoldenBytes() {
+        assertBytes(Kind.REQUEST, "00", false, "00");
+        assertBytes(Kind.RESULT, "01", true, "01");
+        assertBytes(Kind.RESULT, "01", false, "00");
+        assertBytes(Kind.REDIRECT, "02", false, "00");
         assertThat(Kind.values()).hasSize(3);
     }
 
-    private static void assertBytes(Kind kind, String code, boolean sound, String soundCode) {
+    private static void assertBytes(Kind kind, String code, boolean healthy, String healthyCode) {
         byte[] golden =
                 HexBytes.parse(code + "0102030405060708 cafe0001 1112131415161718 0000019412345678 f1f2f3f4f5f6f7f8"
-                        + soundCode + "000005dc");
-        HealthCheckMessage message = new HealthCheckMessage(kind, DUTY, SERVER, NUMBER, EPOCH, HOLDER, sound, 1500);
+                        + healthyCode + "000005dc");
+        HealthCheckMessage message =
+                new HealthCheckMessage(kind, LEASE_ID, SERVER, REQUEST_NUMBER, EPOCH, LEASE_HOLDER, healthy, 1500);
         assertThat(message.bytes()).isEqualTo(golden);
         assertThat(HealthCheckMessage.of(golden)).isEqualTo(message);
     }
 
     @Test
-    void theOutermostValuesHaveTheirBytes() {
-        byte[] least = HexBytes.parse(
+    void extremeValuesHaveGoldenBytes() {
+        byte[] minBytes = HexBytes.parse(
                 "02 0000000000000000 00000000 0000000000000000 0000000000000000 0000000000000000 00 00000000");
-        HealthCheckMessage leastMessage = new HealthCheckMessage(Kind.ELSEWHERE, 0, 0, 0, 0, 0, false, 0);
-        assertThat(leastMessage.bytes()).isEqualTo(least);
-        assertThat(HealthCheckMessage.of(least)).isEqualTo(leastMessage);
-        byte[] most = HexBytes.parse(
+        HealthCheckMessage minMessage = new HealthCheckMessage(Kind.REDIRECT, 0, 0, 0, 0, 0, false, 0);
+        assertThat(minMessage.bytes()).isEqualTo(minBytes);
+        assertThat(HealthCheckMessage.of(minBytes)).isEqualTo(minMessage);
+        byte[] maxBytes = HexBytes.parse(
                 "01 ffffffffffffffff ffffffff 8000000000000000 7fffffffffffffff 7fffffffffffffff 01 7fffffff");
-        HealthCheckMessage mostMessage = new HealthCheckMessage(
-                Kind.ANSWER, -1, -1, Long.MIN_VALUE, Long.MAX_VALUE, Long.MAX_VALUE, true, Integer.MAX_VALUE);
-        assertThat(mostMessage.bytes()).isEqualTo(most);
-        assertThat(HealthCheckMessage.of(most)).isEqualTo(mostMessage);
+        HealthCheckMessage maxMessage = new HealthCheckMessage(
+                Kind.RESULT, -1, -1, Long.MIN_VALUE, Long.MAX_VALUE, Long.MAX_VALUE, true, Integer.MAX_VALUE);
+        assertThat(maxMessage.bytes()).isEqualTo(maxBytes);
+        assertThat(HealthCheckMessage.of(maxBytes)).isEqualTo(maxMessage);
     }
 }
--- a/src/test/java/cacheproxy/fleet/membership/MembershipGoldenBytesTest.java
+++ b/src/test/java/cacheproxy/fleet/membership/MembershipGoldenBytesTest.java
@@ -6,8 +6,8 @@
 import cacheproxy.discovery.VersionGossip;
 import cacheproxy.discovery.WatchVersionMessage;
 import cacheproxy.fleet.membership.SwimMessage.Kind;
-import cacheproxy.fleet.membership.SwimMessage.News;
-import cacheproxy.fleet.membership.SwimMessage.Standing;
+import cacheproxy.fleet.membership.SwimMessage.MemberStatus;
+import cacheproxy.fleet.membership.SwimMessage.MemberUpdate;
 import java.util.Collections;
 import java.util.List;
 import org.junit.jupiter.api.Test;
@@ -20,10 +20,10 @@
     private static final long PEER = 0xf1f2f3f4f5f6f7f8L;
 
     @Test
-    void eachKindOfMemberMessageHasItsBytes() {
+    void eachSwimMessageKindHasGoldenBytes() {
         assertBytes(Kind.PING, "00");
         assertBytes(Kind.ACK, "01");
-        assertBytes(Kind.PING_FOR, "02");
+        assertBytes(Kind.PING_REQUEST, "02");
         assertBytes(Kind.NACK, "03");
         assertThat(Kind.values()).hasSize(4);
     }
@@ -36,7 +36,7 @@
     }
 
     @Test
-    void newsOfEachStandingHasItsBytes() {
+    void updateOfEachMemberStatusHasGoldenBytes() {
         byte[] golden = HexBytes.parse("01 0102030405060708 f1f2f3f4f5f6f7f8 03"
                 + "0000000000000001 00 00000000  f1f2f3f4f5f6f7f8 01 0000002a  0000000000000003 02 7fffffff");
         SwimMessage message = new SwimMessage(
@@ -44,42 +44,42 @@
                 NUMBER,
                 PEER,
                 List.of(
-                        new News(1, Standing.ALIVE, 0),
-                        new News(PEER, Standing.SUSPECT, 42),
-                        new News(3, Standing.DEAD, Integer.MAX_VALUE)));
+                        new MemberUpdate(1, MemberStatus.ALIVE, 0),
+                        new MemberUpdate(PEER, MemberStatus.SUSPECT, 42),
+                        new MemberUpdate(3, MemberStatus.DEAD, Integer.MAX_VALUE)));
         assertThat(message.bytes()).isEqualTo(golden);
         assertThat(SwimMessage.of(golden)).isEqualTo(message);
     }
 
     @Test
-    void aFullMemberMessageHasItsBytes() {
+    void fullSwimMessageHasGoldenBytes() {
         byte[] golden =
                 HexBytes.parse("00 0102030405060708 f1f2f3f4f5f6f7f8 0c" + "f1f2f3f4f5f6f7f8 01 00000007".repeat(12));
         SwimMessage message = new SwimMessage(
                 Kind.PING,
                 NUMBER,
                 PEER,
-                Collections.nCopies(SwimMessage.MOST_NEWS, new News(PEER, Standing.SUSPECT, 7)));
+                Collections.nCopies(SwimMessage.MAX_UPDATES, new MemberUpdate(PEER, MemberStatus.SUSPECT, 7)));
         assertThat(message.bytes()).isEqualTo(golden);
         assertThat(SwimMessage.of(golden)).isEqualTo(message);
     }
 
     @ParameterizedTest
     @CsvSource({"false,00,0000019412345678", "true,01,0000000000000000"})
-    void aWordOfWhoWatchesHasItsBytes(boolean later, String code, String epochBytes) {
+    void watchVersionMessageHasGoldenBytes(boolean later, String code, String epochBytes) {
         byte[] golden = HexBytes.parse(code + "f1f2f3f4f5f6f7f8" + epochBytes + "000000000000002a ffffffffffffffff");
-        WatchVersionMessage word = new WatchVersionMessage(later, PEER, Long.parseLong(epochBytes, 16), 42, -1);
-        assertThat(word.bytes()).isEqualTo(golden);
-        assertThat(WatchVersionMessage.of(golden)).isEqualTo(word);
+        WatchVersionMessage message = new WatchVersionMessage(later, PEER, Long.parseLong(epochBytes, 16), 42, -1);
+        assertThat(message.bytes()).isEqualTo(golden);
+        assertThat(WatchVersionMessage.of(golden)).isEqualTo(message);
     }
 
     @ParameterizedTest
     @CsvSource({"0,0000000000000000", "72623859790382856,0102030405060708", "-2,fffffffffffffffe"})
-    void newsOfAListHasItsBytes(long version, String bytes) {
+    void versionGossipHasGoldenBytes(long version, String bytes) {
         byte[] golden = HexBytes.parse("56" + bytes);
-        VersionGossip news = new VersionGossip();
-        news.told();
-        assertThat(news.message(version)).isEqualTo(golden);
+        VersionGossip gossip = new VersionGossip();
+        gossip.told();
+        assertThat(gossip.message(version)).isEqualTo(golden);
         assertThat(VersionGossip.is(golden)).isTrue();
         assertThat(VersionGossip.version(golden)).isEqualTo(version);
     }
--- a/src/test/java/cacheproxy/fleet/membership/SwimMembershipTest.java
+++ b/src/test/java/cacheproxy/fleet/membership/SwimMembershipTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.fleet.membership.SwimMessage.Kind;
-import cacheproxy.fleet.membership.SwimMessage.News;
-import cacheproxy.fleet.membership.SwimMessage.Standing;
+import cacheproxy.fleet.membership.SwimMessage.MemberStatus;
+import cacheproxy.fleet.membership.SwimMessage.MemberUpdate;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashSet;
@@ -19,194 +19,221 @@
  * back.
  */
 class SwimMembershipTest {
-    private record Mail(double atMs, long n, int from, int to, byte[] m) {}
+    private record Datagram(double atMs, long number, int from, int to, byte[] bytes) {}
 
-    private static final class World {
-        final List<SwimMembership> all = new ArrayList<>();
-        final PriorityQueue<Mail> mail = new PriorityQueue<>(
-                (a, b) -> a.atMs != b.atMs ? Double.compare(a.atMs, b.atMs) : Long.compare(a.n, b.n));
+    private static final class SimulatedFleet {
+        final List<SwimMembership> members = new ArrayList<>();
+        final PriorityQueue<Datagram> inFlight = new PriorityQueue<>((first, second) -> first.atMs != second.atMs
+                ? Double.compare(first.atMs, second.atMs)
+                : Long.compare(first.number, second.number));
         final SplittableRandom random;
         final List<Long> ids = new ArrayList<>();
-        final double[] due;
-        final Set<Integer> gone = new HashSet<>();
-        final Set<Integer> still = new HashSet<>();
-        final Set<Integer> cut = new HashSet<>();
-        double lost;
-        double now;
+        final double[] dueMs;
+        final Set<Integer> crashed = new HashSet<>();
+        final Set<Integer> stalled = new HashSet<>();
+        final Set<Integer> partitioned = new HashSet<>();
+        double lossProbability;
+        double nowMs;
         long sent;
 
-        World(int n, long seed) {
+        SimulatedFleet(int count, long seed) {
             random = new SplittableRandom(seed);
-            due = new double[n];
-            for (int i = 0; i < n; i++) {
+            dueMs = new double[count];
+            for (int i = 0; i < count; i++) {
                 ids.add(i + 1L);
             }
-            for (int i = 0; i < n; i++) {
-                all.add(null);
-                born(i);
+            for (int i = 0; i < count; i++) {
+                members.add(null);
+                start(i);
             }
         }
 
-        void born(int i) {
-            gone.remove(i);
-            SwimMembership m = new SwimMembership(
-                    i + 1, SwimTiming.USUAL, random.split(), now, (to, x) -> send(i, (int) to - 1, x));
-            m.use(ids, now);
-            all.set(i, m);
-            due[i] = now;
+        void start(int i) {
+            crashed.remove(i);
+            SwimMembership membership = new SwimMembership(
+                    i + 1, SwimTiming.DEFAULT, random.split(), nowMs, (to, message) -> send(i, (int) to - 1, message));
+            membership.updateMembers(ids, nowMs);
+            members.set(i, membership);
+            dueMs[i] = nowMs;
         }
 
-        void send(int from, int to, SwimMessage m) {
+        void send(int from, int to, SwimMessage message) {
             sent++;
-            assertThat(m.bytes().length).isLessThanOrEqualTo(213);
-            if (!gone.contains(from) && random.nextDouble() >= lost && !cut.contains(from) && !cut.contains(to)) {
-                mail.add(new Mail(now + 0.2 + 2 * random.nextDouble(), sent, from, to, m.bytes()));
+            assertThat(message.bytes().length).isLessThanOrEqualTo(213);
+            if (!crashed.contains(from)
+                    && random.nextDouble() >= lossProbability
+                    && !partitioned.contains(from)
+                    && !partitioned.contains(to)) {
+                inFlight.add(new Datagram(nowMs + 0.2 + 2 * random.nextDouble(), sent, from, to, message.bytes()));
             }
         }
 
-        void until(double ms) {
-            while (now < ms) {
-                now += 5;
-                while (!mail.isEmpty() && mail.peek().atMs <= now) {
-                    Mail m = mail.poll();
-                    if (still.contains(m.to)) {
-                        mail.add(new Mail(now + 5, m.n, m.from, m.to, m.m)); // it lies in its socket
-                    } else if (!gone.contains(m.to)) {
-                        all.get(m.to).heard(now, m.from + 1, SwimMessage.of(m.m));
+        void runUntil(double ms) {
+            while (nowMs < ms) {
+                nowMs += 5;
+                while (!inFlight.isEmpty() && inFlight.peek().atMs <= nowMs) {
+                    Datagram datagram = inFlight.poll();
+                    if (stalled.contains(datagram.to)) {
+                        inFlight.add(new Datagram(
+                                nowMs + 5,
+                                datagram.number,
+                                datagram.from,
+                                datagram.to,
+                                datagram.bytes)); // it lies in its socket
+                    } else if (!crashed.contains(datagram.to)) {
+                        members.get(datagram.to).receive(nowMs, datagram.from + 1, SwimMessage.of(datagram.bytes));
                     }
                 }
-                for (int i = 0; i < due.length; i++) {
-                    if (now >= due[i] && !gone.contains(i) && !still.contains(i)) {
-                        due[i] = all.get(i).tick(now);
+                for (int i = 0; i < dueMs.length; i++) {
+                    if (nowMs >= dueMs[i] && !crashed.contains(i) && !stalled.contains(i)) {
+                        dueMs[i] = members.get(i).tick(nowMs);
                     }
                 }
             }
         }
 
-        long say(int about, Standing s) {
+        long countSaying(int index, MemberStatus status) {
             return ids.stream()
-                    .filter(i ->
-                            i != about + 1 && !gone.contains(i.intValue() - 1) && !still.contains(i.intValue() - 1))
-                    .filter(i -> all.get(i.intValue() - 1).standing(about + 1) == s)
+                    .filter(i -> i != index + 1
+                            && !crashed.contains(i.intValue() - 1)
+                            && !stalled.contains(i.intValue() - 1))
+                    .filter(i -> members.get(i.intValue() - 1).statusOf(index + 1) == status)
                     .count();
         }
     }
 
     @Test
-    void inCalmNobodyIsSuspectedAndEachAsksOneAPeriod() {
-        World w = new World(50, 1);
-        w.until(60_000);
+    void healthyFleetSuspectsNobodyAndPingsOncePerPeriod() {
+        SimulatedFleet simulation = new SimulatedFleet(50, 1);
+        simulation.runUntil(60_000);
         for (int i = 0; i < 50; i++) {
-            assertThat(w.say(i, Standing.ALIVE)).isEqualTo(49);
+            assertThat(simulation.countSaying(i, MemberStatus.ALIVE)).isEqualTo(49);
         }
-        assertThat(w.sent / 60.0 / 50).as("messages a second each").isLessThan(4.5);
+        assertThat(simulation.sent / 60.0 / 50).as("messages a second each").isLessThan(4.5);
     }
 
     @Test
-    void whoDiesIsCalledDeadByAllAndWhoComesBackIsThere() {
-        for (int n : new int[] {2, 3, 8, 60}) {
-            World w = new World(n, n);
-            w.until(5000);
-            w.gone.add(0);
+    void allMembersDetectDeathAndReturn() {
+        for (int count : new int[] {2, 3, 8, 60}) {
+            SimulatedFleet simulation = new SimulatedFleet(count, count);
+            simulation.runUntil(5000);
+            simulation.crashed.add(0);
             // Where few can say anything a proxy doubts itself as well, and waits up to eight times as long.
-            double longest = n < 4 ? 90_000 : 40_000;
-            w.until(5000 + longest);
-            assertThat(w.say(0, Standing.DEAD)).as("of " + n).isEqualTo(n - 1);
-            w.born(0);
-            w.until(5000 + 2 * longest);
-            assertThat(w.say(0, Standing.ALIVE)).as("of " + n).isEqualTo(n - 1);
+            double longest = count < 4 ? 90_000 : 40_000;
+            simulation.runUntil(5000 + longest);
+            assertThat(simulation.countSaying(0, MemberStatus.DEAD))
+                    .as("of " + count)
+                    .isEqualTo(count - 1);
+            simulation.start(0);
+            simulation.runUntil(5000 + 2 * longest);
+            assertThat(simulation.countSaying(0, MemberStatus.ALIVE))
+                    .as("of " + count)
+                    .isEqualTo(count - 1);
         }
     }
 
     @Test
-    void whoIsSuspectedWronglySaysThatItIsThere() {
-        World w = new World(8, 4);
-        w.until(3000);
-        w.all.get(1).heard(w.now, 3, new SwimMessage(Kind.NACK, 0, 0, List.of(new News(1, Standing.SUSPECT, 0))));
-        assertThat(w.all.get(1).standing(1)).isEqualTo(Standing.SUSPECT);
-        w.until(12_000);
-        assertThat(w.say(0, Standing.ALIVE)).isEqualTo(7);
-        assertThat(w.say(0, Standing.DEAD)).isZero();
+    void wronglySuspectedMemberRefutes() {
+        SimulatedFleet simulation = new SimulatedFleet(8, 4);
+        simulation.runUntil(3000);
+        simulation
+                .members
+                .get(1)
+                .receive(
+                        simulation.nowMs,
+                        3,
+                        new SwimMessage(Kind.NACK, 0, 0, List.of(new MemberUpdate(1, MemberStatus.SUSPECT, 0))));
+        assertThat(simulation.members.get(1).statusOf(1)).isEqualTo(MemberStatus.SUSPECT);
+        simulation.runUntil(12_000);
+        assertThat(simulation.countSaying(0, MemberStatus.ALIVE)).isEqualTo(7);
+        assertThat(simulation.countSaying(0, MemberStatus.DEAD)).isZero();
     }
 
     /** One that stood still is dead to the others and blames nobody when it goes on. */
     @Test
-    void aProcessThatStoodStillDoubtsItselfFirst() {
-        World w = new World(12, 9);
-        w.until(4000);
-        w.still.add(3);
-        w.until(44_000);
-        assertThat(w.say(3, Standing.DEAD)).isEqualTo(11);
-        w.still.remove(3);
-        w.until(44_100);
-        assertThat(w.all.get(3).ill()).isPositive();
-        w.until(80_000);
+    void stalledProcessLowersItsOwnHealthBeforeAccusingOthers() {
+        SimulatedFleet simulation = new SimulatedFleet(12, 9);
+        simulation.runUntil(4000);
+        simulation.stalled.add(3);
+        simulation.runUntil(44_000);
+        assertThat(simulation.countSaying(3, MemberStatus.DEAD)).isEqualTo(11);
+        simulation.stalled.remove(3);
+        simulation.runUntil(44_100);
+        assertThat(simulation.members.get(3).localHealthScore()).isPositive();
+        simulation.runUntil(80_000);
         for (int i = 0; i < 12; i++) {
-            assertThat(w.say(i, Standing.ALIVE)).as("about " + i).isEqualTo(11);
+            assertThat(simulation.countSaying(i, MemberStatus.ALIVE))
+                    .as("about " + i)
+                    .isEqualTo(11);
         }
     }
 
     @Test
-    void withAThirdLostFewAreWronglyCalledDeadAndAllIsWellAfterwards() {
-        World w = new World(30, 2);
-        w.lost = 0.3;
+    void packetLossCausesFewFalseDeathsAndAllRecover() {
+        SimulatedFleet simulation = new SimulatedFleet(30, 2);
+        simulation.lossProbability = 0.3;
         int wrong = 0;
-        for (double t = 2000; t < 60_000; t += 2000) {
-            w.until(t);
+        for (double untilMs = 2000; untilMs < 60_000; untilMs += 2000) {
+            simulation.runUntil(untilMs);
             for (int i = 0; i < 30; i++) {
-                wrong += (int) w.say(i, Standing.DEAD);
+                wrong += (int) simulation.countSaying(i, MemberStatus.DEAD);
             }
         }
         assertThat(wrong / (29.0 * 30 * 29)).as("part of all views").isLessThan(0.04);
-        w.lost = 0;
-        w.until(90_000);
+        simulation.lossProbability = 0;
+        simulation.runUntil(90_000);
         for (int i = 0; i < 30; i++) {
-            assertThat(w.say(i, Standing.ALIVE)).isEqualTo(29);
+            assertThat(simulation.countSaying(i, MemberStatus.ALIVE)).isEqualTo(29);
         }
     }
 
     @Test
-    void whoIsCutOffIsDeadToTheOthersAndThereAgainAfterwards() {
-        World w = new World(10, 7);
-        w.until(2000);
-        w.cut.add(5);
-        w.until(50_000);
-        assertThat(w.say(5, Standing.DEAD)).isEqualTo(9);
-        w.cut.clear();
-        w.until(90_000);
+    void partitionedMemberIsDeadToOthersUntilPartitionHeals() {
+        SimulatedFleet simulation = new SimulatedFleet(10, 7);
+        simulation.runUntil(2000);
+        simulation.partitioned.add(5);
+        simulation.runUntil(50_000);
+        assertThat(simulation.countSaying(5, MemberStatus.DEAD)).isEqualTo(9);
+        simulation.partitioned.clear();
+        simulation.runUntil(90_000);
         for (int i = 0; i < 10; i++) {
-            assertThat(w.say(i, Standing.ALIVE)).as("about " + i).isEqualTo(9);
+            assertThat(simulation.countSaying(i, MemberStatus.ALIVE))
+                    .as("about " + i)
+                    .isEqualTo(9);
         }
     }
 
     @Test
-    void messagesAreWholeOrNoneAndFloodsAreBounded() {
-        List<News> news = new ArrayList<>();
-        for (int i = 0; i < SwimMessage.MOST_NEWS; i++) {
-            news.add(new News(i, Standing.values()[i % 3], i));
+    void rejectsTruncatedMessagesAndBoundsRelayedPings() {
+        List<MemberUpdate> updates = new ArrayList<>();
+        for (int i = 0; i < SwimMessage.MAX_UPDATES; i++) {
+            updates.add(new MemberUpdate(i, MemberStatus.values()[i % 3], i));
         }
-        SwimMessage m = new SwimMessage(Kind.PING_FOR, 5, 6, news);
-        byte[] bytes = m.bytes();
-        assertThat(SwimMessage.of(bytes)).isEqualTo(m);
+        SwimMessage message = new SwimMessage(Kind.PING_REQUEST, 5, 6, updates);
+        byte[] bytes = message.bytes();
+        assertThat(SwimMessage.of(bytes)).isEqualTo(message);
         for (int cut = 0; cut < bytes.length; cut++) {
             assertThat(SwimMessage.of(Arrays.copyOf(bytes, cut))).isNull();
         }
-        World w = new World(4, 1);
+        SimulatedFleet simulation = new SimulatedFleet(4, 1);
         SplittableRandom random = new SplittableRandom(3);
-        long before = w.sent;
+        long before = simulation.sent;
         for (int i = 0; i < 10_000; i++) {
-            w.all.get(0).heard(0, 2, new SwimMessage(Kind.PING_FOR, random.nextLong(), 3, List.of()));
-            byte[] b = bytes.clone();
-            b[random.nextInt(b.length)] ^= (byte) (1 + random.nextInt(255));
-            SwimMessage spoilt = SwimMessage.of(b);
-            if (spoilt != null) {
-                w.all.get(0).heard(0, 2, spoilt);
+            simulation
+                    .members
+                    .get(0)
+                    .receive(0, 2, new SwimMessage(Kind.PING_REQUEST, random.nextLong(), 3, List.of()));
+            byte[] corrupted = bytes.clone();
+            corrupted[random.nextInt(corrupted.length)] ^= (byte) (1 + random.nextInt(255));
+            SwimMessage decoded = SwimMessage.of(corrupted);
+            if (decoded != null) {
+                simulation.members.get(0).receive(0, 2, decoded);
             }
         }
-        assertThat(w.sent - before)
+        assertThat(simulation.sent - before)
                 .as("questions for others")
-                .isLessThanOrEqualTo(SwimMembership.MOST_FAVOURS + 10_000);
-        assertThat(w.all.get(0).standing(99)).isEqualTo(Standing.DEAD);
-        assertThat(w.all.get(0).ill()).isBetween(0, SwimMembership.MOST_ILL);
+                .isLessThanOrEqualTo(SwimMembership.MAX_RELAYED_PINGS + 10_000);
+        assertThat(simulation.members.get(0).statusOf(99)).isEqualTo(MemberStatus.DEAD);
+        assertThat(simulation.members.get(0).localHealthScore()).isBetween(0, SwimMembership.MAX_HEALTH_SCORE);
     }
 }
--- a/src/test/java/cacheproxy/fleet/peer/DatagramEnvelopeTest.java
+++ b/src/test/java/cacheproxy/fleet/peer/DatagramEnvelopeTest.java
@@ -11,135 +11,140 @@
 import org.junit.jupiter.api.Test;
 
 class DatagramEnvelopeTest {
-    private static final byte[] OLD = "an old key of some length".getBytes();
-    private static final byte[] NEW = "a new key of some length".getBytes();
+    private static final byte[] OLD_KEY = "an old key of some length".getBytes();
+    private static final byte[] NEW_KEY = "a new key of some length".getBytes();
     private static final List<Long> PEERS = List.of(1L, 2L);
 
-    private static DatagramEnvelope of(long me, long life, byte[]... keys) {
-        return new DatagramEnvelope(me, life, List.of(keys), PEERS);
+    private static DatagramEnvelope envelope(long ownId, long incarnation, byte[]... keys) {
+        return new DatagramEnvelope(ownId, incarnation, List.of(keys), PEERS);
     }
 
     @Test
-    void whatAPeerSealsIsOpenedOnce() {
-        for (byte[][] keys : new byte[][][] {{}, {OLD}}) {
-            DatagramEnvelope a = of(1, 100, keys);
-            DatagramEnvelope b = of(2, 100, keys);
-            byte[] d = a.seal(2L, (byte) 3, new byte[] {7, 8});
-            DatagramEnvelope.Opened o = b.open(d, 0);
-            assertThat(o.sender()).isEqualTo(1);
-            assertThat(o.topic()).isEqualTo((byte) 3);
-            assertThat(o.payload()).containsExactly(7, 8);
-            assertThat(b.open(d, 0)).as("again").isNull();
-            assertThat(a.open(a.seal(2L, (byte) 3, new byte[0]), 0))
+    void opensSealedDatagramOnlyOnce() {
+        for (byte[][] keys : new byte[][][] {{}, {OLD_KEY}}) {
+            DatagramEnvelope sender = envelope(1, 100, keys);
+            DatagramEnvelope receiver = envelope(2, 100, keys);
+            byte[] datagram = sender.seal(2L, (byte) 3, new byte[] {7, 8});
+            DatagramEnvelope.OpenedDatagram opened = receiver.open(datagram, 0);
+            assertThat(opened.sender()).isEqualTo(1);
+            assertThat(opened.topic()).isEqualTo((byte) 3);
+            assertThat(opened.payload()).containsExactly(7, 8);
+            assertThat(receiver.open(datagram, 0)).as("again").isNull();
+            assertThat(sender.open(sender.seal(2L, (byte) 3, new byte[0]), 0))
                     .as("its own")
                     .isNull();
-            assertThat(a.twins()).isEmpty();
+            assertThat(sender.duplicateIds()).isEmpty();
         }
     }
 
     @Test
-    void datagramsThatOvertakeOthersComeAndNoneComesTwice() {
-        DatagramEnvelope a = of(1, 100);
-        DatagramEnvelope b = of(2, 100);
+    void acceptsReorderedDatagramsInWindowAndRejectsReplays() {
+        DatagramEnvelope sender = envelope(1, 100);
+        DatagramEnvelope receiver = envelope(2, 100);
         List<byte[]> sent = new ArrayList<>();
-        for (int i = 0; i < DatagramEnvelope.WINDOW; i++) {
-            sent.add(a.seal(2L, (byte) 0, new byte[0]));
+        for (int i = 0; i < DatagramEnvelope.REPLAY_WINDOW; i++) {
+            sent.add(sender.seal(2L, (byte) 0, new byte[0]));
         }
         Collections.shuffle(sent, new Random(4));
-        sent.forEach(d -> assertThat(b.open(d, 0)).isNotNull());
-        sent.forEach(d -> assertThat(b.open(d, 0)).isNull());
-        byte[] late = a.seal(2L, (byte) 0, new byte[0]);
-        for (int i = 0; i < DatagramEnvelope.WINDOW; i++) {
-            assertThat(b.open(a.seal(2L, (byte) 0, new byte[0]), 0)).isNotNull();
+        sent.forEach(datagram -> assertThat(receiver.open(datagram, 0)).isNotNull());
+        sent.forEach(datagram -> assertThat(receiver.open(datagram, 0)).isNull());
+        byte[] late = sender.seal(2L, (byte) 0, new byte[0]);
+        for (int i = 0; i < DatagramEnvelope.REPLAY_WINDOW; i++) {
+            assertThat(receiver.open(sender.seal(2L, (byte) 0, new byte[0]), 0)).isNotNull();
         }
-        assertThat(b.open(late, 0)).as("behind the window").isNull();
+        assertThat(receiver.open(late, 0)).as("behind the window").isNull();
     }
 
     @Test
-    void aBurstToOthersPushesNothingOutOfTheWindow() {
-        DatagramEnvelope a = of(1, 100);
-        DatagramEnvelope b = of(2, 100);
-        byte[] late = a.seal(2L, (byte) 0, new byte[0]);
-        for (int i = 0; i < 3 * DatagramEnvelope.WINDOW; i++) {
-            a.seal(1L, (byte) 0, new byte[0]);
+    void burstToAnotherPeerDoesNotMoveWindow() {
+        DatagramEnvelope sender = envelope(1, 100);
+        DatagramEnvelope receiver = envelope(2, 100);
+        byte[] late = sender.seal(2L, (byte) 0, new byte[0]);
+        for (int i = 0; i < 3 * DatagramEnvelope.REPLAY_WINDOW; i++) {
+            sender.seal(1L, (byte) 0, new byte[0]);
         }
-        assertThat(b.open(a.seal(2L, (byte) 0, new byte[0]), 0)).isNotNull();
-        assertThat(b.open(late, 0)).isNotNull();
+        assertThat(receiver.open(sender.seal(2L, (byte) 0, new byte[0]), 0)).isNotNull();
+        assertThat(receiver.open(late, 0)).isNotNull();
         assertThat(DatagramEnvelope.claimedSender(late)).isEqualTo(1);
         assertThat(DatagramEnvelope.claimedSender(new byte[5])).isZero();
     }
 
     @Test
-    void anOlderLifeIsDroppedOnceANewerWasHeardAndATwinIsNoticed() {
-        DatagramEnvelope first = of(1, 100, OLD);
-        DatagramEnvelope second = of(1, 200, OLD);
-        DatagramEnvelope b = of(2, 100, OLD);
+    void rejectsOlderIncarnationUntilNewerExpiresAndReportsDuplicateOfItself() {
+        DatagramEnvelope first = envelope(1, 100, OLD_KEY);
+        DatagramEnvelope second = envelope(1, 200, OLD_KEY);
+        DatagramEnvelope receiver = envelope(2, 100, OLD_KEY);
         byte[] kept = first.seal(2L, (byte) 0, new byte[0]);
-        assertThat(b.open(second.seal(2L, (byte) 0, new byte[0]), 0)).isNotNull();
-        assertThat(b.open(kept, 0)).isNull();
-        assertThat(b.open(first.seal(2L, (byte) 0, new byte[0]), 0)).isNull();
+        assertThat(receiver.open(second.seal(2L, (byte) 0, new byte[0]), 0)).isNotNull();
+        assertThat(receiver.open(kept, 0)).isNull();
+        assertThat(receiver.open(first.seal(2L, (byte) 0, new byte[0]), 0)).isNull();
         byte[] after = first.seal(2L, (byte) 0, new byte[0]);
-        assertThat(b.open(after, DatagramEnvelope.FORGET_MS)).isNull();
-        assertThat(b.open(after, DatagramEnvelope.FORGET_MS + 1))
+        assertThat(receiver.open(after, DatagramEnvelope.INCARNATION_EXPIRY_MS)).isNull();
+        assertThat(receiver.open(after, DatagramEnvelope.INCARNATION_EXPIRY_MS + 1))
                 .as("the newer one is gone")
                 .isNotNull();
         assertThat(first.open(second.seal(2L, (byte) 0, new byte[0]), 0)).isNull();
-        assertThat(first.twins()).containsExactly(1L);
-        assertThat(second.twins()).isEmpty();
+        assertThat(first.duplicateIds()).containsExactly(1L);
+        assertThat(second.duplicateIds()).isEmpty();
     }
 
     @Test
-    void twoProcessesUnderOneNameAreNoticedByThoseWhoHearThem() {
-        DatagramEnvelope first = of(1, 100);
-        DatagramEnvelope second = of(1, 200);
-        DatagramEnvelope b = of(2, 100);
-        for (int i = 0; i < DatagramEnvelope.TWIN; i++) {
-            assertThat(b.twins()).isEmpty();
-            assertThat(b.open(second.seal(2L, (byte) 0, new byte[0]), i)).isNotNull();
-            assertThat(b.open(first.seal(2L, (byte) 0, new byte[0]), i))
+    void reportsSenderThatKeepsSendingFromOlderIncarnation() {
+        DatagramEnvelope first = envelope(1, 100);
+        DatagramEnvelope second = envelope(1, 200);
+        DatagramEnvelope receiver = envelope(2, 100);
+        for (int i = 0; i < DatagramEnvelope.DUPLICATE_ID_THRESHOLD; i++) {
+            assertThat(receiver.duplicateIds()).isEmpty();
+            assertThat(receiver.open(second.seal(2L, (byte) 0, new byte[0]), i)).isNotNull();
+            assertThat(receiver.open(first.seal(2L, (byte) 0, new byte[0]), i))
                     .as("only the newer one is heard")
                     .isNull();
         }
-        assertThat(b.twins()).containsExactly(1L);
+        assertThat(receiver.duplicateIds()).containsExactly(1L);
     }
 
     @Test
-    void aKeyIsChangedWithoutABreakAndNoOtherIsTaken() {
-        DatagramEnvelope old = of(1, 100, OLD);
-        DatagramEnvelope both = of(2, 100, NEW, OLD);
-        assertThat(both.open(old.seal(2L, (byte) 0, new byte[0]), 0)).isNotNull();
-        DatagramEnvelope next = new DatagramEnvelope(1, 101, List.of(NEW), PEERS);
-        assertThat(both.open(next.seal(2L, (byte) 0, new byte[0]), 0)).isNotNull();
-        assertThat(old.open(both.seal(2L, (byte) 0, new byte[0]), 0))
+    void acceptsEveryConfiguredKeyAndNoOther() {
+        DatagramEnvelope withOldKey = envelope(1, 100, OLD_KEY);
+        DatagramEnvelope acceptsBoth = envelope(2, 100, NEW_KEY, OLD_KEY);
+        assertThat(acceptsBoth.open(withOldKey.seal(2L, (byte) 0, new byte[0]), 0))
+                .isNotNull();
+        DatagramEnvelope withNewKey = new DatagramEnvelope(1, 101, List.of(NEW_KEY), PEERS);
+        assertThat(acceptsBoth.open(withNewKey.seal(2L, (byte) 0, new byte[0]), 0))
+                .isNotNull();
+        assertThat(withOldKey.open(acceptsBoth.seal(2L, (byte) 0, new byte[0]), 0))
                 .as("the old key alone")
                 .isNull();
-        assertThat(both.open(of(1, 102).seal(2L, (byte) 0, new byte[0]), 0))
+        assertThat(acceptsBoth.open(envelope(1, 102).seal(2L, (byte) 0, new byte[0]), 0))
                 .as("unsigned")
                 .isNull();
-        assertThat(both.open(new DatagramEnvelope(3, 1, List.of(NEW), PEERS).seal(2L, (byte) 0, new byte[0]), 0))
+        assertThat(acceptsBoth.open(
+                        new DatagramEnvelope(3, 1, List.of(NEW_KEY), PEERS).seal(2L, (byte) 0, new byte[0]), 0))
                 .as("no peer")
                 .isNull();
     }
 
     @Test
-    void threeHundredThousandSpoiltDatagramsOpenNothing() {
-        spoilt(of(1, 100, OLD), of(2, 100, OLD), 300_000);
-        spoilt(of(1, 100), of(2, 100), 300_000);
+    void rejectsThreeHundredThousandCorruptedDatagrams() {
+        assertCorruptedAreRejected(envelope(1, 100, OLD_KEY), envelope(2, 100, OLD_KEY), 300_000);
+        assertCorruptedAreRejected(envelope(1, 100), envelope(2, 100), 300_000);
     }
 
-    private static void spoilt(DatagramEnvelope a, DatagramEnvelope b, int count) {
+    private static void assertCorruptedAreRejected(DatagramEnvelope sender, DatagramEnvelope receiver, int count) {
         SplittableRandom random = new SplittableRandom(5);
         for (int i = 0; i < count; i++) {
-            byte[] d = a.seal(2L, (byte) 1, new byte[20]);
-            int at = random.nextInt(d.length);
-            d[at] ^= (byte) (1 + random.nextInt(255));
-            assertThat(b.open(random.nextInt(5) == 0 ? java.util.Arrays.copyOf(d, random.nextInt(300)) : d, 0))
+            byte[] datagram = sender.seal(2L, (byte) 1, new byte[20]);
+            int position = random.nextInt(datagram.length);
+            datagram[position] ^= (byte) (1 + random.nextInt(255));
+            assertThat(receiver.open(
+                            random.nextInt(5) == 0 ? java.util.Arrays.copyOf(datagram, random.nextInt(300)) : datagram,
+                            0))
                     .isNull();
         }
-        assertThat(b.open(a.seal(2L, (byte) 1, new byte[20]), 0)).isNotNull();
-        assertThatThrownBy(() -> a.seal(2L, (byte) 1, new byte[DatagramEnvelope.MOST_PAYLOAD + 1]))
+        assertThat(receiver.open(sender.seal(2L, (byte) 1, new byte[20]), 0)).isNotNull();
+        assertThatThrownBy(() -> sender.seal(2L, (byte) 1, new byte[DatagramEnvelope.MAX_PAYLOAD_BYTES + 1]))
                 .isInstanceOf(IllegalArgumentException.class);
-        assertThat(a.seal(2L, (byte) 1, new byte[DatagramEnvelope.MOST_PAYLOAD]).length)
-                .isLessThanOrEqualTo(DatagramEnvelope.MOST);
+        assertThat(sender.seal(2L, (byte) 1, new byte[DatagramEnvelope.MAX_PAYLOAD_BYTES]).length)
+                .isLessThanOrEqualTo(DatagramEnvelope.MAX_DATAGRAM_BYTES);
     }
 }
--- a/src/test/java/cacheproxy/fleet/peer/PeerListTransitionTest.java
+++ b/src/test/java/cacheproxy/fleet/peer/PeerListTransitionTest.java
@@ -2,50 +2,56 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.fleet.peer.PeerListTransition.Standing;
+import cacheproxy.fleet.peer.PeerListTransition.PeerListRelation;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
 class PeerListTransitionTest {
-    private static final Set<String> OLD = Set.of("p1", "p2", "p3");
-    private static final Set<String> NEW = Set.of("p3", "p4", "p5");
+    private static final Set<String> OLD_LIST = Set.of("p1", "p2", "p3");
+    private static final Set<String> NEW_LIST = Set.of("p3", "p4", "p5");
 
-    private static PeerListTransition by(Set<String> list, Set<String> leaving) {
-        PeerListTransition s = new PeerListTransition();
-        s.use(list, leaving, Set.of(1L, 2L));
-        return s;
+    private static PeerListTransition transition(Set<String> list, Set<String> leaving) {
+        PeerListTransition transition = new PeerListTransition();
+        transition.update(list, leaving, Set.of(1L, 2L));
+        return transition;
     }
 
-    private static Standing between(PeerListTransition one, PeerListTransition other) {
-        one.heard(0, 1, other.message());
-        other.heard(0, 2, one.message());
-        assertThat(one.of(1, 10)).isEqualTo(other.of(2, 10));
-        return one.of(1, 10);
+    private static PeerListRelation relationBetween(PeerListTransition one, PeerListTransition other) {
+        one.receive(0, 1, other.message());
+        other.receive(0, 2, one.message());
+        assertThat(one.relationOf(1, 10)).isEqualTo(other.relationOf(2, 10));
+        return one.relationOf(1, 10);
     }
 
     @Test
-    void aStepApartIsSafeAndTwoAreNot() {
-        assertThat(between(by(OLD, Set.of()), by(OLD, Set.of()))).isEqualTo(Standing.SAME);
-        assertThat(between(by(NEW, OLD), by(NEW, OLD))).isEqualTo(Standing.SAME);
-        assertThat(between(by(OLD, Set.of()), by(NEW, OLD))).isEqualTo(Standing.A_STEP_APART);
-        assertThat(between(by(NEW, OLD), by(NEW, Set.of()))).isEqualTo(Standing.A_STEP_APART);
-        assertThat(between(by(OLD, Set.of()), by(NEW, Set.of()))).isEqualTo(Standing.DIFFERENT);
-        assertThat(between(by(NEW, OLD), by(OLD, NEW)))
+    void reportsListsOneStepApartAndListsFurtherApart() {
+        assertThat(relationBetween(transition(OLD_LIST, Set.of()), transition(OLD_LIST, Set.of())))
+                .isEqualTo(PeerListRelation.SAME);
+        assertThat(relationBetween(transition(NEW_LIST, OLD_LIST), transition(NEW_LIST, OLD_LIST)))
+                .isEqualTo(PeerListRelation.SAME);
+        assertThat(relationBetween(transition(OLD_LIST, Set.of()), transition(NEW_LIST, OLD_LIST)))
+                .isEqualTo(PeerListRelation.ONE_STEP_APART);
+        assertThat(relationBetween(transition(NEW_LIST, OLD_LIST), transition(NEW_LIST, Set.of())))
+                .isEqualTo(PeerListRelation.ONE_STEP_APART);
+        assertThat(relationBetween(transition(OLD_LIST, Set.of()), transition(NEW_LIST, Set.of())))
+                .isEqualTo(PeerListRelation.DIFFERENT);
+        assertThat(relationBetween(transition(NEW_LIST, OLD_LIST), transition(OLD_LIST, NEW_LIST)))
                 .as("there and back at once")
-                .isEqualTo(Standing.DIFFERENT);
-        assertThat(between(by(Set.of("p1"), Set.of()), by(NEW, OLD))).isEqualTo(Standing.DIFFERENT);
+                .isEqualTo(PeerListRelation.DIFFERENT);
+        assertThat(relationBetween(transition(Set.of("p1"), Set.of()), transition(NEW_LIST, OLD_LIST)))
+                .isEqualTo(PeerListRelation.DIFFERENT);
     }
 
     @Test
-    void whatWasToldLongAgoOrIsNoMessageSaysNothing() {
-        PeerListTransition one = by(OLD, Set.of());
-        assertThat(one.of(1, 0)).isEqualTo(Standing.UNKNOWN);
-        one.heard(0, 1, by(OLD, Set.of()).message());
-        one.heard(1, 1, new byte[3]);
-        assertThat(one.of(1, PeerListTransition.FORGET_MS)).isEqualTo(Standing.SAME);
-        assertThat(one.of(1, PeerListTransition.FORGET_MS + 1)).isEqualTo(Standing.UNKNOWN);
-        one.heard(0, 1, by(OLD, Set.of()).message());
-        one.use(OLD, Set.of(), Set.of(2L));
-        assertThat(one.of(1, 1)).as("no peer any more").isEqualTo(Standing.UNKNOWN);
+    void reportsUnknownForExpiredMissingAndRemovedPeers() {
+        PeerListTransition one = transition(OLD_LIST, Set.of());
+        assertThat(one.relationOf(1, 0)).isEqualTo(PeerListRelation.UNKNOWN);
+        one.receive(0, 1, transition(OLD_LIST, Set.of()).message());
+        one.receive(1, 1, new byte[3]);
+        assertThat(one.relationOf(1, PeerListTransition.REPORT_EXPIRY_MS)).isEqualTo(PeerListRelation.SAME);
+        assertThat(one.relationOf(1, PeerListTransition.REPORT_EXPIRY_MS + 1)).isEqualTo(PeerListRelation.UNKNOWN);
+        one.receive(0, 1, transition(OLD_LIST, Set.of()).message());
+        one.update(OLD_LIST, Set.of(), Set.of(2L));
+        assertThat(one.relationOf(1, 1)).as("no peer any more").isEqualTo(PeerListRelation.UNKNOWN);
     }
 }
--- a/src/test/java/cacheproxy/fleet/peer/PeersGoldenBytesTest.java
+++ b/src/test/java/cacheproxy/fleet/peer/PeersGoldenBytesTest.java
@@ -3,7 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.HexBytes;
-import cacheproxy.fleet.peer.PeerListTransition.Standing;
+import cacheproxy.fleet.peer.PeerListTransition.PeerListRelation;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Set;
@@ -18,15 +18,15 @@
     private static final byte[] OTHER_KEY = "another key".getBytes(StandardCharsets.UTF_8);
     private static final long SENDER = 0x0102030405060708L;
     private static final long RECEIVER = 2;
-    private static final long LIFE = 0x000001941f297c00L;
+    private static final long INCARNATION = 0x000001941f297c00L;
     private static final List<Long> PEERS = List.of(SENDER, RECEIVER);
     private static final byte[] PAYLOAD = HexBytes.parse("00ff7f80");
 
     /** Mark, form and topic; sender; life; number; payload; CRC-32C. */
-    private static final byte[] SUMMED =
+    private static final byte[] CHECKSUMMED =
             HexBytes.parse("63 01 01 0102030405060708 000001941f297c00 0000000000000001 00ff7f80 5b6fac4d");
 
-    private static final byte[] SUMMED_EMPTY =
+    private static final byte[] CHECKSUMMED_EMPTY =
             HexBytes.parse("63 01 06 0102030405060708 000001941f297c00 0000000000000002 ef4c8b42");
     /** The same with the first 16 bytes of the HMAC-SHA256. */
     private static final byte[] SIGNED =
@@ -37,70 +37,73 @@
             "63 01 06 0102030405060708 000001941f297c00 0000000000000002" + "7a545d06978b9288e123d317a16f675b");
 
     @Test
-    void anEnvelopeWithASumHasItsBytes() {
-        DatagramEnvelope sender = new DatagramEnvelope(SENDER, LIFE, List.of(), PEERS);
-        assertThat(sender.seal(RECEIVER, (byte) 1, PAYLOAD)).isEqualTo(SUMMED);
-        assertThat(sender.seal(RECEIVER, (byte) 6, new byte[0])).isEqualTo(SUMMED_EMPTY);
+    void checksummedEnvelopeHasGoldenBytes() {
+        DatagramEnvelope sender = new DatagramEnvelope(SENDER, INCARNATION, List.of(), PEERS);
+        assertThat(sender.seal(RECEIVER, (byte) 1, PAYLOAD)).isEqualTo(CHECKSUMMED);
+        assertThat(sender.seal(RECEIVER, (byte) 6, new byte[0])).isEqualTo(CHECKSUMMED_EMPTY);
         DatagramEnvelope receiver = new DatagramEnvelope(RECEIVER, 1, List.of(), PEERS);
-        opens(receiver, SUMMED, (byte) 1, PAYLOAD);
-        opens(receiver, SUMMED_EMPTY, (byte) 6, new byte[0]);
+        assertOpens(receiver, CHECKSUMMED, (byte) 1, PAYLOAD);
+        assertOpens(receiver, CHECKSUMMED_EMPTY, (byte) 6, new byte[0]);
     }
 
     @Test
-    void aSignedEnvelopeHasItsBytes() {
-        DatagramEnvelope sender = new DatagramEnvelope(SENDER, LIFE, List.of(KEY, OTHER_KEY), PEERS);
+    void signedEnvelopeHasGoldenBytes() {
+        DatagramEnvelope sender = new DatagramEnvelope(SENDER, INCARNATION, List.of(KEY, OTHER_KEY), PEERS);
         assertThat(sender.seal(RECEIVER, (byte) 1, PAYLOAD)).isEqualTo(SIGNED);
         assertThat(sender.seal(RECEIVER, (byte) 6, new byte[0])).isEqualTo(SIGNED_EMPTY);
         DatagramEnvelope receiver = new DatagramEnvelope(RECEIVER, 1, List.of(OTHER_KEY, KEY), PEERS);
-        opens(receiver, SIGNED, (byte) 1, PAYLOAD);
-        opens(receiver, SIGNED_EMPTY, (byte) 6, new byte[0]);
+        assertOpens(receiver, SIGNED, (byte) 1, PAYLOAD);
+        assertOpens(receiver, SIGNED_EMPTY, (byte) 6, new byte[0]);
     }
 
     /** Each receiver has numbers of its own. */
     @Test
-    void theNumbersToOneReceiverAreNotThoseToAnother() {
-        DatagramEnvelope sender = new DatagramEnvelope(SENDER, LIFE, List.of(), PEERS);
+    void countsSequenceNumbersPerReceiver() {
+        DatagramEnvelope sender = new DatagramEnvelope(SENDER, INCARNATION, List.of(), PEERS);
         sender.seal(3, (byte) 1, PAYLOAD);
-        assertThat(sender.seal(RECEIVER, (byte) 1, PAYLOAD)).isEqualTo(SUMMED);
+        assertThat(sender.seal(RECEIVER, (byte) 1, PAYLOAD)).isEqualTo(CHECKSUMMED);
     }
 
-    private static void opens(DatagramEnvelope receiver, byte[] datagram, byte topic, byte[] payload) {
+    private static void assertOpens(DatagramEnvelope receiver, byte[] datagram, byte topic, byte[] payload) {
         assertThat(DatagramEnvelope.claimedSender(datagram)).isEqualTo(SENDER);
-        DatagramEnvelope.Opened opened = receiver.open(datagram, 0);
+        DatagramEnvelope.OpenedDatagram opened = receiver.open(datagram, 0);
         assertThat(opened.sender()).isEqualTo(SENDER);
         assertThat(opened.topic()).isEqualTo(topic);
         assertThat(opened.payload()).isEqualTo(payload);
     }
 
-    private static final Set<String> OLD = Set.of("p3", "p1", "p2");
-    private static final Set<String> NEW = Set.of("p\u00e9", "p5", "p4", "p3");
+    private static final Set<String> OLD_LIST = Set.of("p3", "p1", "p2");
+    private static final Set<String> NEW_LIST = Set.of("p\u00e9", "p5", "p4", "p3");
     /**
      * The number of names and the CRC-32C of them in order, each with a line feed; then the same of the list that is
      * left.
      */
-    private static final byte[] BY_OLD = HexBytes.parse("00000003 04e5f200 0000000000000000");
+    private static final byte[] OLD_LIST_MESSAGE = HexBytes.parse("00000003 04e5f200 0000000000000000");
 
-    private static final byte[] FROM_OLD_TO_NEW = HexBytes.parse("00000004 511259b7 00000003 04e5f200");
+    private static final byte[] CHANGING_LIST_MESSAGE = HexBytes.parse("00000004 511259b7 00000003 04e5f200");
 
     @Test
-    void theWordOnListsHasItsBytes() {
-        assertThat(by(OLD, Set.of()).message()).isEqualTo(BY_OLD);
-        assertThat(by(NEW, OLD).message()).isEqualTo(FROM_OLD_TO_NEW);
-        assertThat(standing(by(OLD, Set.of()), BY_OLD)).isEqualTo(Standing.SAME);
-        assertThat(standing(by(NEW, OLD), FROM_OLD_TO_NEW)).isEqualTo(Standing.SAME);
-        assertThat(standing(by(NEW, OLD), BY_OLD)).isEqualTo(Standing.A_STEP_APART);
-        assertThat(standing(by(NEW, Set.of()), FROM_OLD_TO_NEW)).isEqualTo(Standing.A_STEP_APART);
-        assertThat(standing(by(NEW, Set.of()), BY_OLD)).isEqualTo(Standing.DIFFERENT);
+    void peerListMessageHasGoldenBytes() {
+        assertThat(transition(OLD_LIST, Set.of()).message()).isEqualTo(OLD_LIST_MESSAGE);
+        assertThat(transition(NEW_LIST, OLD_LIST).message()).isEqualTo(CHANGING_LIST_MESSAGE);
+        assertThat(relationTo(transition(OLD_LIST, Set.of()), OLD_LIST_MESSAGE)).isEqualTo(PeerListRelation.SAME);
+        assertThat(relationTo(transition(NEW_LIST, OLD_LIST), CHANGING_LIST_MESSAGE))
+                .isEqualTo(PeerListRelation.SAME);
+        assertThat(relationTo(transition(NEW_LIST, OLD_LIST), OLD_LIST_MESSAGE))
+                .isEqualTo(PeerListRelation.ONE_STEP_APART);
+        assertThat(relationTo(transition(NEW_LIST, Set.of()), CHANGING_LIST_MESSAGE))
+                .isEqualTo(PeerListRelation.ONE_STEP_APART);
+        assertThat(relationTo(transition(NEW_LIST, Set.of()), OLD_LIST_MESSAGE)).isEqualTo(PeerListRelation.DIFFERENT);
     }
 
-    private static PeerListTransition by(Set<String> list, Set<String> leaving) {
-        PeerListTransition steps = new PeerListTransition();
-        steps.use(list, leaving, Set.of(SENDER));
-        return steps;
+    private static PeerListTransition transition(Set<String> list, Set<String> leaving) {
+        PeerListTransition transition = new PeerListTransition();
+        transition.update(list, leaving, Set.of(SENDER));
+        return transition;
     }
 
-    private static Standing standing(PeerListTransition own, byte[] message) {
-        own.heard(0, SENDER, message);
-        return own.of(SENDER, 0);
+    private static PeerListRelation relationTo(PeerListTransition own, byte[] message) {
+        own.receive(0, SENDER, message);
+        return own.relationOf(SENDER, 0);
     }
 }
