--- a/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
@@ -17,6 +17,7 @@
 import cacheproxy.fleet.lease.NameHash;
 import cacheproxy.fleet.lease.VoterSet;
 import cacheproxy.fleet.peer.DatagramEnvelope;
+import cacheproxy.fleet.peer.OpenedDatagram;
 import cacheproxy.policy.PolicyApi.Outcome;
 import cacheproxy.proxy.Dispatcher;
 import cacheproxy.proxy.EventLoopContext;
@@ -399,7 +400,7 @@
             }
             byte[] datagram = ByteBufUtil.getBytes(packet.content());
             // Without keys the address is all that speaks for a sender, so it counts before anything else is believed.
-            DatagramEnvelope.OpenedDatagram o = spec.keys().isEmpty()
+            OpenedDatagram o = spec.keys().isEmpty()
                             && !packet.sender().equals(addresses.get(DatagramEnvelope.claimedSender(datagram)))
                     ? null
                     : envelope.open(datagram, core.now());
--- a/src/main/java/cacheproxy/daemon/fleet/PeerListMonitor.java
+++ b/src/main/java/cacheproxy/daemon/fleet/PeerListMonitor.java
@@ -5,8 +5,8 @@
 import cacheproxy.daemon.ConfigSnapshot;
 import cacheproxy.fleet.lease.NameHash;
 import cacheproxy.fleet.lease.ServerReachability;
+import cacheproxy.fleet.peer.PeerListRelation;
 import cacheproxy.fleet.peer.PeerListTransition;
-import cacheproxy.fleet.peer.PeerListTransition.PeerListRelation;
 import cacheproxy.proxy.EventLoopContext;
 import com.google.gson.JsonObject;
 import java.util.ArrayList;
@@ -114,12 +114,8 @@
     @Override
     public void tell(JsonObject state) {
         JsonObject o = new JsonObject();
-        others.forEach(p -> o.addProperty(
-                names.get(p),
-                steps.relationOf(p, core.now())
-                        .name()
-                        .toLowerCase(java.util.Locale.ROOT)
-                        .replace('_', ' ')));
+        others.forEach(
+                p -> o.addProperty(names.get(p), steps.relationOf(p, core.now()).jsonName()));
         state.add("lists", o);
     }
 }
--- a/src/main/java/cacheproxy/fleet/peer/PeerListTransition.java
+++ b/src/main/java/cacheproxy/fleet/peer/PeerListTransition.java
@@ -1,6 +1,7 @@
 package cacheproxy.fleet.peer;
 
 import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
 import java.util.HashMap;
 import java.util.Map;
 import java.util.Set;
@@ -8,76 +9,82 @@
 import java.util.zip.CRC32C;
 
 /**
- * Which lists of peers the others go by. A list is changed in two steps, by way of both lists at once, and the second
- * is safe only when all have taken the first; each process tells what it goes by, and this says of each how it stands
- * to one's own. It warns; it stops nothing, since one wrong file would else end everybody's duties.
+ * Compares this proxy's list of peers with those that the others report.
+ *
+ * <p>A list is changed in two steps: first all proxies use the old and the new list jointly, then the new one alone.
+ * The second step is safe only when every proxy has taken the first. The comparison only warns: if it stopped anything,
+ * a single wrong configuration would end the leases of all.
  */
 public final class PeerListTransition {
+    /** Bytes of a report. */
     public static final int MESSAGE_BYTES = 16;
-    /** What a peer told longer ago says nothing any more. */
+    /** Age from which a report no longer counts, in ms. */
     public static final double REPORT_EXPIRY_MS = 60_000;
 
-    /** How a peer's lists stand to one's own. */
-    public enum PeerListRelation {
-        /** The same step of the same change. */
-        SAME,
-        /** One step before or behind: safe. */
-        ONE_STEP_APART,
-        /** No voter need be in both. */
-        DIFFERENT,
-        /** Nothing was heard lately. */
-        UNKNOWN
-    }
+    private static final long NO_LIST = 0;
 
-    private record Told(double atMs, long now, long before) {}
+    private record Report(double receivedMs, long currentDigest, long previousDigest) {}
 
-    private long now;
-    private long before;
-    private final Map<Long, Told> told = new HashMap<>();
+    private long currentDigest;
+    private long previousDigest;
+    private final Map<Long, Report> reports = new HashMap<>();
 
     /**
-     * What this process goes by: the list, and the one that is being left, empty if none is. Others than these are
-     * forgotten.
+     * Sets the lists that this proxy uses.
+     *
+     * @param list the current list
+     * @param leaving the list that is being replaced; empty: no change is under way
+     * @param peers ids of the peers whose reports are kept
      */
     public void update(Set<String> list, Set<String> leaving, Set<Long> peers) {
-        now = digest(list);
-        before = leaving.isEmpty() ? 0 : digest(leaving);
-        told.keySet().retainAll(peers);
+        currentDigest = digest(list);
+        previousDigest = leaving.isEmpty() ? NO_LIST : digest(leaving);
+        reports.keySet().retainAll(peers);
     }
 
+    /** The number of names and the CRC-32C of them in order; a list has a name, so it is never {@link #NO_LIST}. */
     private static long digest(Set<String> names) {
         CRC32C crc = new CRC32C();
-        long n = 0;
         for (String name : new TreeSet<>(names)) {
-            crc.update((name + "\n").getBytes(java.nio.charset.StandardCharsets.UTF_8));
-            n++;
+            crc.update((name + "\n").getBytes(StandardCharsets.UTF_8));
         }
-        return n << 32 | crc.getValue(); // never 0: a list has a name
+        return (long) names.size() << 32 | crc.getValue();
     }
 
-    /** What to tell the others. */
+    /** This proxy's report to the others: digests of the current and of the previous list. */
     public byte[] message() {
-        return ByteBuffer.allocate(MESSAGE_BYTES).putLong(now).putLong(before).array();
+        return ByteBuffer.allocate(MESSAGE_BYTES)
+                .putLong(currentDigest)
+                .putLong(previousDigest)
+                .array();
     }
 
-    /** A peer has told what it goes by. */
-    public void receive(double atMs, long peer, byte[] message) {
+    /** Takes a peer's report; one of another length is ignored. */
+    public void receive(double nowMs, long peer, byte[] message) {
         if (message.length == MESSAGE_BYTES) {
-            ByteBuffer b = ByteBuffer.wrap(message);
-            told.put(peer, new Told(atMs, b.getLong(), b.getLong()));
+            ByteBuffer buffer = ByteBuffer.wrap(message);
+            reports.put(peer, new Report(nowMs, buffer.getLong(), buffer.getLong()));
         }
     }
 
-    public PeerListRelation relationOf(long peer, double atMs) {
-        Told t = told.get(peer);
-        if (t == null || atMs - t.atMs > REPORT_EXPIRY_MS) {
+    /** How a peer's lists relate to this proxy's, by its last report. */
+    public PeerListRelation relationOf(long peer, double nowMs) {
+        Report report = reports.get(peer);
+        if (report == null || nowMs - report.receivedMs > REPORT_EXPIRY_MS) {
             return PeerListRelation.UNKNOWN;
         }
-        if (t.now == now && t.before == before) {
+        if (report.currentDigest == currentDigest && report.previousDigest == previousDigest) {
             return PeerListRelation.SAME;
         }
-        boolean begun = t.before == 0 && before != 0 && (t.now == before || t.now == now);
-        boolean behind = before == 0 && t.before != 0 && (now == t.before || now == t.now);
-        return begun || behind ? PeerListRelation.ONE_STEP_APART : PeerListRelation.DIFFERENT;
+        boolean oneStepApart =
+                isOneStepAhead(currentDigest, previousDigest, report.currentDigest, report.previousDigest)
+                        || isOneStepAhead(report.currentDigest, report.previousDigest, currentDigest, previousDigest);
+        return oneStepApart ? PeerListRelation.ONE_STEP_APART : PeerListRelation.DIFFERENT;
+    }
+
+    /** Whether one proxy is within a change of lists that the other has not begun, or has ended. */
+    private static boolean isOneStepAhead(long current, long previous, long otherCurrent, long otherPrevious) {
+        boolean onlyOneIsChanging = previous != NO_LIST && otherPrevious == NO_LIST;
+        return onlyOneIsChanging && (otherCurrent == previous || otherCurrent == current);
     }
 }
--- a/src/test/java/cacheproxy/fleet/peer/DatagramEnvelopeTest.java
+++ b/src/test/java/cacheproxy/fleet/peer/DatagramEnvelopeTest.java
@@ -3,16 +3,19 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.Collections;
 import java.util.List;
 import java.util.Random;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/** Sealing and opening of datagrams: authentication, replays, incarnations and duplicate ids. */
 class DatagramEnvelopeTest {
-    private static final byte[] OLD_KEY = "an old key of some length".getBytes();
-    private static final byte[] NEW_KEY = "a new key of some length".getBytes();
+    private static final byte[] OLD_KEY = "an old key of some length".getBytes(StandardCharsets.UTF_8);
+    private static final byte[] NEW_KEY = "a new key of some length".getBytes(StandardCharsets.UTF_8);
     private static final List<Long> PEERS = List.of(1L, 2L);
 
     private static DatagramEnvelope envelope(long ownId, long incarnation, byte[]... keys) {
@@ -25,7 +28,7 @@
             DatagramEnvelope sender = envelope(1, 100, keys);
             DatagramEnvelope receiver = envelope(2, 100, keys);
             byte[] datagram = sender.seal(2L, (byte) 3, new byte[] {7, 8});
-            DatagramEnvelope.OpenedDatagram opened = receiver.open(datagram, 0);
+            OpenedDatagram opened = receiver.open(datagram, 0);
             assertThat(opened.sender()).isEqualTo(1);
             assertThat(opened.topic()).isEqualTo((byte) 3);
             assertThat(opened.payload()).containsExactly(7, 8);
@@ -42,14 +45,14 @@
         DatagramEnvelope sender = envelope(1, 100);
         DatagramEnvelope receiver = envelope(2, 100);
         List<byte[]> sent = new ArrayList<>();
-        for (int i = 0; i < DatagramEnvelope.REPLAY_WINDOW; i++) {
+        for (int i = 0; i < ReplayWindow.SIZE; i++) {
             sent.add(sender.seal(2L, (byte) 0, new byte[0]));
         }
         Collections.shuffle(sent, new Random(4));
         sent.forEach(datagram -> assertThat(receiver.open(datagram, 0)).isNotNull());
         sent.forEach(datagram -> assertThat(receiver.open(datagram, 0)).isNull());
         byte[] late = sender.seal(2L, (byte) 0, new byte[0]);
-        for (int i = 0; i < DatagramEnvelope.REPLAY_WINDOW; i++) {
+        for (int i = 0; i < ReplayWindow.SIZE; i++) {
             assertThat(receiver.open(sender.seal(2L, (byte) 0, new byte[0]), 0)).isNotNull();
         }
         assertThat(receiver.open(late, 0)).as("behind the window").isNull();
@@ -60,7 +63,7 @@
         DatagramEnvelope sender = envelope(1, 100);
         DatagramEnvelope receiver = envelope(2, 100);
         byte[] late = sender.seal(2L, (byte) 0, new byte[0]);
-        for (int i = 0; i < 3 * DatagramEnvelope.REPLAY_WINDOW; i++) {
+        for (int i = 0; i < 3 * ReplayWindow.SIZE; i++) {
             sender.seal(1L, (byte) 0, new byte[0]);
         }
         assertThat(receiver.open(sender.seal(2L, (byte) 0, new byte[0]), 0)).isNotNull();
@@ -79,9 +82,9 @@
         assertThat(receiver.open(kept, 0)).isNull();
         assertThat(receiver.open(first.seal(2L, (byte) 0, new byte[0]), 0)).isNull();
         byte[] after = first.seal(2L, (byte) 0, new byte[0]);
-        assertThat(receiver.open(after, DatagramEnvelope.INCARNATION_EXPIRY_MS)).isNull();
-        assertThat(receiver.open(after, DatagramEnvelope.INCARNATION_EXPIRY_MS + 1))
-                .as("the newer one is gone")
+        assertThat(receiver.open(after, ReplayWindow.INCARNATION_EXPIRY_MS)).isNull();
+        assertThat(receiver.open(after, ReplayWindow.INCARNATION_EXPIRY_MS + 1))
+                .as("the newer incarnation has expired")
                 .isNotNull();
         assertThat(first.open(second.seal(2L, (byte) 0, new byte[0]), 0)).isNull();
         assertThat(first.duplicateIds()).containsExactly(1L);
@@ -93,11 +96,11 @@
         DatagramEnvelope first = envelope(1, 100);
         DatagramEnvelope second = envelope(1, 200);
         DatagramEnvelope receiver = envelope(2, 100);
-        for (int i = 0; i < DatagramEnvelope.DUPLICATE_ID_THRESHOLD; i++) {
+        for (int i = 0; i < ReplayWindow.DUPLICATE_ID_THRESHOLD; i++) {
             assertThat(receiver.duplicateIds()).isEmpty();
             assertThat(receiver.open(second.seal(2L, (byte) 0, new byte[0]), i)).isNotNull();
             assertThat(receiver.open(first.seal(2L, (byte) 0, new byte[0]), i))
-                    .as("only the newer one is heard")
+                    .as("only the newer incarnation is accepted")
                     .isNull();
         }
         assertThat(receiver.duplicateIds()).containsExactly(1L);
@@ -120,7 +123,7 @@
                 .isNull();
         assertThat(acceptsBoth.open(
                         new DatagramEnvelope(3, 1, List.of(NEW_KEY), PEERS).seal(2L, (byte) 0, new byte[0]), 0))
-                .as("no peer")
+                .as("unknown sender")
                 .isNull();
     }
 
@@ -137,8 +140,7 @@
             int position = random.nextInt(datagram.length);
             datagram[position] ^= (byte) (1 + random.nextInt(255));
             assertThat(receiver.open(
-                            random.nextInt(5) == 0 ? java.util.Arrays.copyOf(datagram, random.nextInt(300)) : datagram,
-                            0))
+                            random.nextInt(5) == 0 ? Arrays.copyOf(datagram, random.nextInt(300)) : datagram, 0))
                     .isNull();
         }
         assertThat(receiver.open(sender.seal(2L, (byte) 1, new byte[20]), 0)).isNotNull();
--- a/src/test/java/cacheproxy/fleet/peer/PeerListTransitionTest.java
+++ b/src/test/java/cacheproxy/fleet/peer/PeerListTransitionTest.java
@@ -2,10 +2,10 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.fleet.peer.PeerListTransition.PeerListRelation;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
+/** Relations between the peer lists of two proxies during a change of them. */
 class PeerListTransitionTest {
     private static final Set<String> OLD_LIST = Set.of("p1", "p2", "p3");
     private static final Set<String> NEW_LIST = Set.of("p3", "p4", "p5");
@@ -36,7 +36,7 @@
         assertThat(relationBetween(transition(OLD_LIST, Set.of()), transition(NEW_LIST, Set.of())))
                 .isEqualTo(PeerListRelation.DIFFERENT);
         assertThat(relationBetween(transition(NEW_LIST, OLD_LIST), transition(OLD_LIST, NEW_LIST)))
-                .as("there and back at once")
+                .as("two opposite changes at once")
                 .isEqualTo(PeerListRelation.DIFFERENT);
         assertThat(relationBetween(transition(Set.of("p1"), Set.of()), transition(NEW_LIST, OLD_LIST)))
                 .isEqualTo(PeerListRelation.DIFFERENT);
@@ -52,6 +52,6 @@
         assertThat(one.relationOf(1, PeerListTransition.REPORT_EXPIRY_MS + 1)).isEqualTo(PeerListRelation.UNKNOWN);
         one.receive(0, 1, transition(OLD_LIST, Set.of()).message());
         one.update(OLD_LIST, Set.of(), Set.of(2L));
-        assertThat(one.relationOf(1, 1)).as("no peer any more").isEqualTo(PeerListRelation.UNKNOWN);
+        assertThat(one.relationOf(1, 1)).as("removed peer").isEqualTo(PeerListRelation.UNKNOWN);
     }
 }
--- a/src/test/java/cacheproxy/fleet/peer/PeersGoldenBytesTest.java
+++ b/src/test/java/cacheproxy/fleet/peer/PeersGoldenBytesTest.java
@@ -3,15 +3,14 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.HexBytes;
-import cacheproxy.fleet.peer.PeerListTransition.PeerListRelation;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
 /**
- * The bytes of a datagram's envelope and of the word on lists of peers. Sums and codes come from another implementation
- * of them.
+ * The bytes of the datagram envelope and of the report on peer lists. The checksums and MACs were computed by another
+ * implementation.
  */
 class PeersGoldenBytesTest {
     private static final byte[] KEY = "golden key of the fleet".getBytes(StandardCharsets.UTF_8);
@@ -22,7 +21,7 @@
     private static final List<Long> PEERS = List.of(SENDER, RECEIVER);
     private static final byte[] PAYLOAD = HexBytes.parse("00ff7f80");
 
-    /** Mark, form and topic; sender; life; number; payload; CRC-32C. */
+    /** Magic, format version and topic; sender; incarnation; sequence number; payload; CRC-32C. */
     private static final byte[] CHECKSUMMED =
             HexBytes.parse("63 01 01 0102030405060708 000001941f297c00 0000000000000001 00ff7f80 5b6fac4d");
 
@@ -56,7 +55,6 @@
         assertOpens(receiver, SIGNED_EMPTY, (byte) 6, new byte[0]);
     }
 
-    /** Each receiver has numbers of its own. */
     @Test
     void countsSequenceNumbersPerReceiver() {
         DatagramEnvelope sender = new DatagramEnvelope(SENDER, INCARNATION, List.of(), PEERS);
@@ -66,7 +64,7 @@
 
     private static void assertOpens(DatagramEnvelope receiver, byte[] datagram, byte topic, byte[] payload) {
         assertThat(DatagramEnvelope.claimedSender(datagram)).isEqualTo(SENDER);
-        DatagramEnvelope.OpenedDatagram opened = receiver.open(datagram, 0);
+        OpenedDatagram opened = receiver.open(datagram, 0);
         assertThat(opened.sender()).isEqualTo(SENDER);
         assertThat(opened.topic()).isEqualTo(topic);
         assertThat(opened.payload()).isEqualTo(payload);
@@ -76,7 +74,7 @@
     private static final Set<String> NEW_LIST = Set.of("p\u00e9", "p5", "p4", "p3");
     /**
      * The number of names and the CRC-32C of them in order, each with a line feed; then the same of the list that is
-     * left.
+     * being replaced.
      */
     private static final byte[] OLD_LIST_MESSAGE = HexBytes.parse("00000003 04e5f200 0000000000000000");
 
