--- a/src/main/java/cacheproxy/daemon/fleet/FleetMembership.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetMembership.java
@@ -3,9 +3,9 @@
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.FleetConfig;
 import cacheproxy.fleet.lease.NameHash;
+import cacheproxy.fleet.membership.MemberStatus;
 import cacheproxy.fleet.membership.SwimMembership;
 import cacheproxy.fleet.membership.SwimMessage;
-import cacheproxy.fleet.membership.SwimMessage.MemberStatus;
 import cacheproxy.fleet.membership.SwimTiming;
 import cacheproxy.proxy.EventLoopContext;
 import com.google.gson.JsonElement;
@@ -68,9 +68,7 @@
             JsonObject p = e.getAsJsonObject();
             p.addProperty(
                     "standing",
-                    members.statusOf(NameHash.of(p.get("name").getAsString()))
-                            .name()
-                            .toLowerCase(java.util.Locale.ROOT));
+                    members.statusOf(NameHash.of(p.get("name").getAsString())).jsonName());
         }
     }
 }
--- /dev/null
+++ b/src/main/java/cacheproxy/fleet/membership/MemberTable.java
@@ -0,0 +1,123 @@
+package cacheproxy.fleet.membership;
+
+import java.util.Collections;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+
+/**
+ * The states of the configured members but this one: applies updates by incarnation and lets suspicions expire. The
+ * time for refuting a suspicion shrinks with each member that confirms it (Lifeguard's dynamic suspicion timeout).
+ */
+final class MemberTable {
+    private final long ownId;
+    private final SwimTiming timing;
+    private final LocalHealth health;
+    /** In the configured order, which the order of gossip depends on. */
+    private final Map<Long, Member> members = new LinkedHashMap<>();
+
+    MemberTable(long ownId, SwimTiming timing, LocalHealth health) {
+        this.ownId = ownId;
+        this.timing = timing;
+        this.health = health;
+    }
+
+    /** Replaces the configured ids; what is known of those that stay is kept. */
+    void replaceIds(List<Long> ids, double nowMs) {
+        members.keySet().retainAll(ids);
+        for (long id : ids) {
+            if (id != ownId) {
+                members.computeIfAbsent(id, newId -> Member.configured(nowMs));
+            }
+        }
+    }
+
+    /** Ids in the configured order. */
+    Set<Long> ids() {
+        return Collections.unmodifiableSet(members.keySet());
+    }
+
+    /** Ids and states in the configured order. */
+    Set<Map.Entry<Long, Member>> entries() {
+        return Collections.unmodifiableMap(members).entrySet();
+    }
+
+    /** Whether a member is configured. */
+    boolean contains(long id) {
+        return members.containsKey(id);
+    }
+
+    /** Null if it is not configured. */
+    Member get(long id) {
+        return members.get(id);
+    }
+
+    /** How many members are configured. */
+    int size() {
+        return members.size();
+    }
+
+    /** Applies what another member says of one that is not this process. */
+    void apply(MemberUpdate update, long from, double nowMs) {
+        Member member = members.get(update.memberId());
+        if (member == null) {
+            return;
+        }
+        switch (update.status()) {
+            case ALIVE -> {
+                if (update.incarnation() > member.incarnation()) {
+                    member.become(MemberStatus.ALIVE, update.incarnation(), nowMs);
+                }
+            }
+            case SUSPECT -> {
+                if (update.incarnation() >= member.incarnation()) {
+                    member.suspect(from, update.incarnation(), nowMs);
+                }
+            }
+            default -> { // DEAD
+                if (update.incarnation() >= member.incarnation() && member.status() != MemberStatus.DEAD) {
+                    member.become(MemberStatus.DEAD, update.incarnation(), nowMs);
+                }
+            }
+        }
+    }
+
+    /** Gives each suspect the whole time for refuting once more. */
+    void restartSuspicions(double nowMs) {
+        for (Member member : members.values()) {
+            if (member.status() == MemberStatus.SUSPECT) {
+                member.restartSuspicion(nowMs);
+            }
+        }
+    }
+
+    /** Declares dead the suspects whose time is over. */
+    void expireSuspicions(double nowMs) {
+        for (Member member : members.values()) {
+            if (member.status() == MemberStatus.SUSPECT && nowMs >= expiryMs(member)) {
+                member.become(MemberStatus.DEAD, member.incarnation(), nowMs);
+            }
+        }
+    }
+
+    /** When the next suspicion expires; infinite if there is none. */
+    double nextExpiryMs() {
+        double nextMs = Double.POSITIVE_INFINITY;
+        for (Member member : members.values()) {
+            if (member.status() == MemberStatus.SUSPECT) {
+                nextMs = Math.min(nextMs, expiryMs(member));
+            }
+        }
+        return nextMs;
+    }
+
+    private double expiryMs(Member suspect) {
+        return suspect.sinceMs() + health.scale(suspicionMs(suspect.accusers()));
+    }
+
+    private double suspicionMs(int accusers) {
+        double confirmed = Math.log(Math.max(1, accusers)) / Math.log(Member.MAX_CONFIRMATIONS + 1);
+        return timing.maxSuspicionMs() - (timing.maxSuspicionMs() - timing.minSuspicionMs()) * Math.min(1, confirmed);
+    }
+}
--- /dev/null
+++ b/src/main/java/cacheproxy/fleet/membership/ProbeCycle.java
@@ -0,0 +1,150 @@
+package cacheproxy.fleet.membership;
+
+import java.util.ArrayList;
+import java.util.Collections;
+import java.util.List;
+import java.util.SplittableRandom;
+
+/**
+ * The failure detector: each period pings one member, asks others to ping it where the answer is late, and suspects it
+ * at the period's end where no answer came. Members are pinged in random order, each once a round, so that a failure is
+ * detected within a bounded time (SWIM, section 4.3).
+ */
+final class ProbeCycle {
+    private static final long NO_TARGET = 0;
+
+    /** Numbers and sends the messages of the failure detector. */
+    interface ProbeSender {
+        /** A sequence number that no other message of this process has. */
+        long nextSequenceNumber();
+
+        /** Sends a message. */
+        void send(long to, SwimMessageKind kind, long sequenceNumber, long target);
+    }
+
+    private final long ownId;
+    private final SwimTiming timing;
+    private final LocalHealth health;
+    private final MemberTable members;
+    private final SplittableRandom random;
+    private final ProbeSender sender;
+    /** Members that this round has still to ping, from the last to the first. */
+    private final List<Long> round = new ArrayList<>();
+
+    private long target = NO_TARGET;
+    private long sequenceNumber;
+    private double indirectAtMs = Double.POSITIVE_INFINITY;
+    private double nextPeriodMs;
+    private int pingRequests;
+    private int nacks;
+
+    /** What a probe cycle works with. */
+    record Context(long ownId, SwimTiming timing, LocalHealth health, MemberTable members, SplittableRandom random) {}
+
+    ProbeCycle(Context context, ProbeSender sender, double nowMs) {
+        ownId = context.ownId;
+        timing = context.timing;
+        health = context.health;
+        members = context.members;
+        random = context.random;
+        this.sender = sender;
+        nextPeriodMs = randomPeriodStart(nowMs);
+    }
+
+    /** Spreads the pings of the members over a period. */
+    private double randomPeriodStart(double nowMs) {
+        return nowMs + timing.periodMs() * random.nextDouble();
+    }
+
+    /** Forgets members that are no longer configured. */
+    void retainMembers(List<Long> ids) {
+        round.retainAll(ids);
+    }
+
+    /** Gives up the current ping without a result and begins anew within a period. */
+    void restart(double nowMs) {
+        target = NO_TARGET;
+        indirectAtMs = Double.POSITIVE_INFINITY;
+        nextPeriodMs = randomPeriodStart(nowMs);
+    }
+
+    /** Sends what is due. */
+    void tick(double nowMs) {
+        if (nowMs >= indirectAtMs) {
+            indirectAtMs = Double.POSITIVE_INFINITY;
+            requestIndirectPings();
+        }
+        if (nowMs >= nextPeriodMs) {
+            endPeriod(nowMs);
+            beginPeriod(nowMs);
+        }
+    }
+
+    /** When {@link #tick} has something to do again. */
+    double nextDueMs() {
+        return Math.min(nextPeriodMs, indirectAtMs);
+    }
+
+    /** Takes an ACK for a member; one that answers another ping is ignored. */
+    void acknowledge(long ackNumber, long ackTarget) {
+        if (ackNumber == sequenceNumber && target != NO_TARGET && ackTarget == target) {
+            target = NO_TARGET;
+            indirectAtMs = Double.POSITIVE_INFINITY;
+            health.worsen(-1);
+        }
+    }
+
+    /** Takes a NACK: the member that was asked to ping is alive, and the target did not answer it. */
+    void countNack(long nackNumber, long nackTarget) {
+        if (nackNumber == sequenceNumber && nackTarget == target) {
+            nacks++;
+        }
+    }
+
+    private void beginPeriod(double nowMs) {
+        nextPeriodMs = nowMs + health.scale(timing.periodMs());
+        if (round.isEmpty()) {
+            round.addAll(members.ids());
+            for (int i = round.size() - 1; i > 0; i--) {
+                Collections.swap(round, i, random.nextInt(i + 1));
+            }
+        }
+        if (round.isEmpty()) {
+            return;
+        }
+        target = round.remove(round.size() - 1);
+        sequenceNumber = sender.nextSequenceNumber();
+        pingRequests = 0;
+        nacks = 0;
+        indirectAtMs = nowMs + health.scale(timing.ackTimeoutMs());
+        sender.send(target, SwimMessageKind.PING, sequenceNumber, target);
+    }
+
+    private void requestIndirectPings() {
+        if (target == NO_TARGET) {
+            return;
+        }
+        List<Long> candidates = new ArrayList<>(members.ids().stream()
+                .filter(id -> id != target && members.get(id).status() == MemberStatus.ALIVE)
+                .toList());
+        for (int i = 0; i < timing.indirectProbes() && !candidates.isEmpty(); i++) {
+            pingRequests++;
+            long helper = candidates.remove(random.nextInt(candidates.size()));
+            sender.send(helper, SwimMessageKind.PING_REQUEST, sequenceNumber, target);
+        }
+    }
+
+    private void endPeriod(double nowMs) {
+        Member member = members.get(target);
+        if (target == NO_TARGET || member == null) {
+            return;
+        }
+        // Helpers that did not even send a NACK: it may be this process that receives nothing.
+        health.worsen(pingRequests > 0 ? pingRequests - nacks : 1);
+        boolean blamesTarget = pingRequests == 0 || nacks > 0 || members.size() == 1 || !health.isWorst();
+        if (blamesTarget) {
+            member.suspect(ownId, member.incarnation(), nowMs);
+        }
+        target = NO_TARGET;
+    }
+}
--- a/src/main/java/cacheproxy/fleet/membership/SwimMessage.java
+++ b/src/main/java/cacheproxy/fleet/membership/SwimMessage.java
@@ -5,83 +5,75 @@
 import java.util.List;
 
 /**
- * What proxies tell one another of who is there (SWIM: Das, Gupta, Motivala, 2002): a question or an answer, and news
- * that travels with it.
+ * A message between members, with gossip. Its bytes, in network byte order: kind (1 byte), sequence number (8), target
+ * (8), number of updates (1), and for each update member (8), status (1) and incarnation (4).
  *
- * @param number of the question
- * @param about whom it asks or answers for: in PING and ACK the one that is asked
+ * @param kind what it asks or answers
+ * @param sequenceNumber of the ping or ping request that it is or answers
+ * @param target the member that is pinged
+ * @param updates gossip, at most {@value #MAX_UPDATES}
  */
-public record SwimMessage(Kind kind, long sequenceNumber, long target, List<MemberUpdate> updates) {
+public record SwimMessage(SwimMessageKind kind, long sequenceNumber, long target, List<MemberUpdate> updates) {
     static final int HEADER_BYTES = 18;
     static final int UPDATE_BYTES = 13;
-    /** So that a datagram holds them. */
+    /** Updates that fit a datagram between peers. */
     public static final int MAX_UPDATES = 12;
 
-    /** What it is. */
-    public enum Kind {
-        /** Are you there? */
-        PING,
-        /** I am; or: the one whom you had me ask is. */
-        ACK,
-        /** Ask that one for me. */
-        PING_REQUEST,
-        /** I have asked, and heard nothing so far. */
-        NACK
-    }
-
-    /**
-     * What somebody says of a peer; a higher incarnation, which only the peer itself gives out, goes before all of
-     * lower ones.
-     */
-    public record MemberUpdate(long memberId, MemberStatus status, int incarnation) {}
-
-    /** How a peer stands; of one incarnation the later of these goes before. */
-    public enum MemberStatus {
-        ALIVE,
-        SUSPECT,
-        DEAD
-    }
+    private static final int COUNT_OFFSET = 17;
 
+    /** Copies the updates. */
     public SwimMessage {
         updates = List.copyOf(updates);
     }
 
+    /** The message's bytes. */
     public byte[] bytes() {
-        ByteBuffer b = ByteBuffer.allocate(HEADER_BYTES + updates.size() * UPDATE_BYTES)
-                .put((byte) kind.ordinal())
+        ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES + updates.size() * UPDATE_BYTES)
+                .put(kind.wireCode())
                 .putLong(sequenceNumber)
                 .putLong(target)
                 .put((byte) updates.size());
-        updates.forEach(
-                n -> b.putLong(n.memberId).put((byte) n.status.ordinal()).putInt(n.incarnation));
-        return b.array();
+        updates.forEach(update -> buffer.putLong(update.memberId())
+                .put(update.status().wireCode())
+                .putInt(update.incarnation()));
+        return buffer.array();
     }
 
-    /** Null if these bytes are none. */
+    /** The message that these bytes are; null if they are malformed. */
     public static SwimMessage of(byte[] bytes) {
-        if (bytes.length < HEADER_BYTES
-                || bytes[0] < 0
-                || bytes[0] >= Kind.values().length
-                || bytes[17] < 0
-                || bytes[17] > MAX_UPDATES
-                || bytes.length != HEADER_BYTES + bytes[17] * UPDATE_BYTES) {
+        if (!hasValidLength(bytes)) {
+            return null;
+        }
+        ByteBuffer buffer = ByteBuffer.wrap(bytes);
+        SwimMessageKind kind = SwimMessageKind.ofWireCode(buffer.get());
+        if (kind == null) {
             return null;
         }
-        ByteBuffer b = ByteBuffer.wrap(bytes);
-        Kind kind = Kind.values()[b.get()];
-        long number = b.getLong();
-        long about = b.getLong();
-        int count = b.get();
-        List<MemberUpdate> news = new ArrayList<>(count);
+        long sequenceNumber = buffer.getLong();
+        long target = buffer.getLong();
+        int count = buffer.get();
+        List<MemberUpdate> updates = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
-            long peer = b.getLong();
-            byte standing = b.get();
-            int incarnation = b.getInt();
-            if (standing < 0 || standing >= MemberStatus.values().length || incarnation < 0) {
+            MemberUpdate update = readUpdate(buffer);
+            if (update == null) {
                 return null;
             }
-            news.add(new MemberUpdate(peer, MemberStatus.values()[standing], incarnation));
+            updates.add(update);
         }
-        return new SwimMessage(kind, number, about, news);
+        return new SwimMessage(kind, sequenceNumber, target, updates);
+    }
+
+    private static boolean hasValidLength(byte[] bytes) {
+        return bytes.length >= HEADER_BYTES
+                && bytes[COUNT_OFFSET] >= 0
+                && bytes[COUNT_OFFSET] <= MAX_UPDATES
+                && bytes.length == HEADER_BYTES + bytes[COUNT_OFFSET] * UPDATE_BYTES;
+    }
+
+    private static MemberUpdate readUpdate(ByteBuffer buffer) {
+        long memberId = buffer.getLong();
+        MemberStatus status = MemberStatus.ofWireCode(buffer.get());
+        int incarnation = buffer.getInt();
+        return status == null || incarnation < 0 ? null : new MemberUpdate(memberId, status, incarnation);
     }
 }
--- a/src/test/java/cacheproxy/fleet/healthcheck/HealthCheckCoordinatorTest.java
+++ b/src/test/java/cacheproxy/fleet/healthcheck/HealthCheckCoordinatorTest.java
@@ -84,8 +84,10 @@
                                 checks++;
                                 running.merge(server, 1, Integer::sum);
                                 overlappingChecks += running.get(server) > 1 ? 1 : 0;
-                                boolean failing = unhealthy.contains(server) || partitioned.contains(index + "/" + server);
-                                completions.add(new double[] {nowMs + (failing ? 250 : 2), index, server, failing ? 0 : 1});
+                                boolean failing =
+                                        unhealthy.contains(server) || partitioned.contains(index + "/" + server);
+                                completions.add(
+                                        new double[] {nowMs + (failing ? 250 : 2), index, server, failing ? 0 : 1});
                                 return true;
                             }
 
--- a/src/test/java/cacheproxy/fleet/membership/MembershipGoldenBytesTest.java
+++ b/src/test/java/cacheproxy/fleet/membership/MembershipGoldenBytesTest.java
@@ -5,30 +5,29 @@
 import cacheproxy.HexBytes;
 import cacheproxy.discovery.VersionGossip;
 import cacheproxy.discovery.WatchVersionMessage;
-import cacheproxy.fleet.membership.SwimMessage.Kind;
-import cacheproxy.fleet.membership.SwimMessage.MemberStatus;
-import cacheproxy.fleet.membership.SwimMessage.MemberUpdate;
 import java.util.Collections;
 import java.util.List;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The bytes of the datagrams about members and lists: another version of the program must read and write the same. */
+/**
+ * The bytes of the datagrams on membership and endpoint lists: other versions of the program read and write the same.
+ */
 class MembershipGoldenBytesTest {
     private static final long NUMBER = 0x0102030405060708L;
     private static final long PEER = 0xf1f2f3f4f5f6f7f8L;
 
     @Test
     void eachSwimMessageKindHasGoldenBytes() {
-        assertBytes(Kind.PING, "00");
-        assertBytes(Kind.ACK, "01");
-        assertBytes(Kind.PING_REQUEST, "02");
-        assertBytes(Kind.NACK, "03");
-        assertThat(Kind.values()).hasSize(4);
+        assertBytes(SwimMessageKind.PING, "00");
+        assertBytes(SwimMessageKind.ACK, "01");
+        assertBytes(SwimMessageKind.PING_REQUEST, "02");
+        assertBytes(SwimMessageKind.NACK, "03");
+        assertThat(SwimMessageKind.values()).hasSize(4);
     }
 
-    private static void assertBytes(Kind kind, String code) {
+    private static void assertBytes(SwimMessageKind kind, String code) {
         byte[] golden = HexBytes.parse(code + "0102030405060708 f1f2f3f4f5f6f7f8 00");
         SwimMessage message = new SwimMessage(kind, NUMBER, PEER, List.of());
         assertThat(message.bytes()).isEqualTo(golden);
@@ -40,7 +39,7 @@
         byte[] golden = HexBytes.parse("01 0102030405060708 f1f2f3f4f5f6f7f8 03"
                 + "0000000000000001 00 00000000  f1f2f3f4f5f6f7f8 01 0000002a  0000000000000003 02 7fffffff");
         SwimMessage message = new SwimMessage(
-                Kind.ACK,
+                SwimMessageKind.ACK,
                 NUMBER,
                 PEER,
                 List.of(
@@ -56,7 +55,7 @@
         byte[] golden =
                 HexBytes.parse("00 0102030405060708 f1f2f3f4f5f6f7f8 0c" + "f1f2f3f4f5f6f7f8 01 00000007".repeat(12));
         SwimMessage message = new SwimMessage(
-                Kind.PING,
+                SwimMessageKind.PING,
                 NUMBER,
                 PEER,
                 Collections.nCopies(SwimMessage.MAX_UPDATES, new MemberUpdate(PEER, MemberStatus.SUSPECT, 7)));
--- a/src/test/java/cacheproxy/fleet/membership/SwimMembershipTest.java
+++ b/src/test/java/cacheproxy/fleet/membership/SwimMembershipTest.java
@@ -2,9 +2,6 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.fleet.membership.SwimMessage.Kind;
-import cacheproxy.fleet.membership.SwimMessage.MemberStatus;
-import cacheproxy.fleet.membership.SwimMessage.MemberUpdate;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashSet;
@@ -14,11 +11,10 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/**
- * Who is there, by real detectors on virtual time with links that lose and processes that stand still, die and come
- * back.
- */
+/** Failure detection on virtual time, with links that lose messages and processes that stall, crash and restart. */
 class SwimMembershipTest {
+    // The bytes are private to this test and never changed.
+    @SuppressWarnings("ArrayRecordComponent")
     private record Datagram(double atMs, long number, int from, int to, byte[] bytes) {}
 
     private static final class SimulatedFleet {
@@ -48,13 +44,17 @@
             }
         }
 
-        void start(int i) {
-            crashed.remove(i);
+        void start(int index) {
+            crashed.remove(index);
             SwimMembership membership = new SwimMembership(
-                    i + 1, SwimTiming.DEFAULT, random.split(), nowMs, (to, message) -> send(i, (int) to - 1, message));
+                    index + 1,
+                    SwimTiming.DEFAULT,
+                    random.split(),
+                    nowMs,
+                    (to, message) -> send(index, (int) to - 1, message));
             membership.updateMembers(ids, nowMs);
-            members.set(i, membership);
-            dueMs[i] = nowMs;
+            members.set(index, membership);
+            dueMs[index] = nowMs;
         }
 
         void send(int from, int to, SwimMessage message) {
@@ -79,7 +79,7 @@
                                 datagram.number,
                                 datagram.from,
                                 datagram.to,
-                                datagram.bytes)); // it lies in its socket
+                                datagram.bytes)); // it stays in the socket buffer
                     } else if (!crashed.contains(datagram.to)) {
                         members.get(datagram.to).receive(nowMs, datagram.from + 1, SwimMessage.of(datagram.bytes));
                     }
@@ -118,7 +118,7 @@
             SimulatedFleet simulation = new SimulatedFleet(count, count);
             simulation.runUntil(5000);
             simulation.crashed.add(0);
-            // Where few can say anything a proxy doubts itself as well, and waits up to eight times as long.
+            // With few members a process lowers its own health as well, and waits up to eight times as long.
             double longest = count < 4 ? 90_000 : 40_000;
             simulation.runUntil(5000 + longest);
             assertThat(simulation.countSaying(0, MemberStatus.DEAD))
@@ -142,14 +142,15 @@
                 .receive(
                         simulation.nowMs,
                         3,
-                        new SwimMessage(Kind.NACK, 0, 0, List.of(new MemberUpdate(1, MemberStatus.SUSPECT, 0))));
+                        new SwimMessage(
+                                SwimMessageKind.NACK, 0, 0, List.of(new MemberUpdate(1, MemberStatus.SUSPECT, 0))));
         assertThat(simulation.members.get(1).statusOf(1)).isEqualTo(MemberStatus.SUSPECT);
         simulation.runUntil(12_000);
         assertThat(simulation.countSaying(0, MemberStatus.ALIVE)).isEqualTo(7);
         assertThat(simulation.countSaying(0, MemberStatus.DEAD)).isZero();
     }
 
-    /** One that stood still is dead to the others and blames nobody when it goes on. */
+    /** A stalled process is dead to the others, and accuses nobody when it continues. */
     @Test
     void stalledProcessLowersItsOwnHealthBeforeAccusingOthers() {
         SimulatedFleet simulation = new SimulatedFleet(12, 9);
@@ -179,7 +180,7 @@
                 wrong += (int) simulation.countSaying(i, MemberStatus.DEAD);
             }
         }
-        assertThat(wrong / (29.0 * 30 * 29)).as("part of all views").isLessThan(0.04);
+        assertThat(wrong / (29.0 * 30 * 29)).as("part of all observations").isLessThan(0.04);
         simulation.lossProbability = 0;
         simulation.runUntil(90_000);
         for (int i = 0; i < 30; i++) {
@@ -207,9 +208,9 @@
     void rejectsTruncatedMessagesAndBoundsRelayedPings() {
         List<MemberUpdate> updates = new ArrayList<>();
         for (int i = 0; i < SwimMessage.MAX_UPDATES; i++) {
-            updates.add(new MemberUpdate(i, MemberStatus.values()[i % 3], i));
+            updates.add(new MemberUpdate(i, MemberStatus.ofWireCode((byte) (i % 3)), i));
         }
-        SwimMessage message = new SwimMessage(Kind.PING_REQUEST, 5, 6, updates);
+        SwimMessage message = new SwimMessage(SwimMessageKind.PING_REQUEST, 5, 6, updates);
         byte[] bytes = message.bytes();
         assertThat(SwimMessage.of(bytes)).isEqualTo(message);
         for (int cut = 0; cut < bytes.length; cut++) {
@@ -222,7 +223,7 @@
             simulation
                     .members
                     .get(0)
-                    .receive(0, 2, new SwimMessage(Kind.PING_REQUEST, random.nextLong(), 3, List.of()));
+                    .receive(0, 2, new SwimMessage(SwimMessageKind.PING_REQUEST, random.nextLong(), 3, List.of()));
             byte[] corrupted = bytes.clone();
             corrupted[random.nextInt(corrupted.length)] ^= (byte) (1 + random.nextInt(255));
             SwimMessage decoded = SwimMessage.of(corrupted);
@@ -231,9 +232,9 @@
             }
         }
         assertThat(simulation.sent - before)
-                .as("questions for others")
-                .isLessThanOrEqualTo(SwimMembership.MAX_RELAYED_PINGS + 10_000);
+                .as("pings for others")
+                .isLessThanOrEqualTo(RelayedPings.MAX_PENDING + 10_000);
         assertThat(simulation.members.get(0).statusOf(99)).isEqualTo(MemberStatus.DEAD);
-        assertThat(simulation.members.get(0).localHealthScore()).isBetween(0, SwimMembership.MAX_HEALTH_SCORE);
+        assertThat(simulation.members.get(0).localHealthScore()).isBetween(0, LocalHealth.MAX_SCORE);
     }
 }
