--- /dev/null
+++ b/src/test/java/cacheproxy/eventlog/EventNamesGoldenTextTest.java
@@ -0,0 +1,37 @@
+package cacheproxy.eventlog;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.Arrays;
+import org.junit.jupiter.api.Test;
+
+/** The first words of the event log's lines, and the environment variable that switches the log. */
+class EventNamesGoldenTextTest {
+    @Test
+    void eachKindOfEventHasItsWord() {
+        assertThat(Arrays.stream(ProxyEvent.values()).map(ProxyEvent::label))
+                .containsExactly(
+                        "request_received",
+                        "request_answered",
+                        "request_abandoned",
+                        "attempt_started",
+                        "attempt_ended",
+                        "client_closed",
+                        "server_connected",
+                        "server_disconnected",
+                        "server_listed",
+                        "discovery_called",
+                        "discovery_answered",
+                        "discovery_failed",
+                        "state_changed",
+                        "action_stopped",
+                        "invariant_violated",
+                        "lines_dropped");
+    }
+
+    @Test
+    void theLogIsSwitchedByItsVariable() {
+        assertThat(EventLog.VARIABLE).isEqualTo("CORALBAY_EVENT_LOG");
+        assertThat(EventLog.ENABLED).isEqualTo("on");
+    }
+}
--- /dev/null
+++ b/src/test/java/cacheproxy/golden/GoldenFiles.java
@@ -0,0 +1,42 @@
+package cacheproxy.golden;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.io.IOException;
+import java.nio.file.Files;
+import java.nio.file.Path;
+import java.util.List;
+import java.util.stream.Stream;
+
+/**
+ * The expected texts under {@code src/test/resources/golden}. A changed text is written beside the build's other
+ * output.
+ */
+public final class GoldenFiles {
+    private static final Path EXPECTED = Path.of("src/test/resources/golden");
+    private static final Path ACTUAL = Path.of("target/golden");
+
+    private GoldenFiles() {}
+
+    /** Fails where the text is not that of the resource of this name. */
+    public static void assertSame(String name, String actual) throws IOException {
+        Path written = ACTUAL.resolve(name);
+        Files.createDirectories(written.getParent());
+        Files.writeString(written, actual);
+        Path expected = EXPECTED.resolve(name);
+        assertThat(expected)
+                .as("%s; what was found is in %s", expected, written)
+                .exists();
+        assertThat(actual).as("%s; what was found is in %s", expected, written).isEqualTo(Files.readString(expected));
+    }
+
+    /** Names of the files of a directory that end so, in order. */
+    public static List<String> names(Path directory, String end) throws IOException {
+        try (Stream<Path> files = Files.list(directory)) {
+            return files.map(file -> file.getFileName().toString())
+                    .filter(name -> name.endsWith(end))
+                    .sorted()
+                    .toList();
+        }
+    }
+}
--- /dev/null
+++ b/src/test/java/cacheproxy/proxy/EventWordsGoldenTextTest.java
@@ -0,0 +1,25 @@
+package cacheproxy.proxy;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import cacheproxy.policy.PolicyApi;
+import org.junit.jupiter.api.Test;
+
+/** Words of the routing interface that stand in the event log's fields as they are. */
+class EventWordsGoldenTextTest {
+    @Test
+    void outcomesOfAttempts() {
+        assertThat(PolicyApi.Outcome.values())
+                .extracting(Object::toString)
+                .containsExactly(
+                        "OK", "MISS", "ERROR", "FULL", "TIMEOUT", "CONNECT_FAILED", "RESET", "CANCELLED", "NOT_SENT");
+    }
+
+    @Test
+    void statesOfServersAndKindsOfLists() {
+        assertThat(PolicyApi.State.values()).extracting(Object::toString).containsExactly("GONE", "DRAINING", "READY");
+        assertThat(PolicyApi.ListKind.values())
+                .extracting(Object::toString)
+                .containsExactly("FULL", "CHANGES", "CACHED", "FAILED");
+    }
+}
