--- a/src/main/java/cacheproxy/config/ServerReader.java
+++ b/src/main/java/cacheproxy/config/ServerReader.java
@@ -28,7 +28,7 @@
         // A server that is down needs no address: it only keeps its place in nginx's placements.
         boolean addressed = !table.flag("down", false) || table.has("dial");
         InetSocketAddress address = addressed ? ConfigValues.serverAddress(table, "dial") : null;
-        int id = ServerId.of(name);
+        int id = ServerId.fromName(name);
         checkId(table, name, id);
         String zone = table.text("zone", "here");
         ServerConfig server = new ServerConfig(
--- a/src/main/java/cacheproxy/config/SiblingConfig.java
+++ b/src/main/java/cacheproxy/config/SiblingConfig.java
@@ -17,7 +17,7 @@
     /** Reads one sibling and adds its name and id to those taken. */
     static SiblingConfig read(TomlTableReader table, ConfigReferences references, Set<String> names, Set<Integer> ids) {
         String name = ConfigValues.uniqueName(table, names, "sibling");
-        int id = ServerId.of("sibling/" + name);
+        int id = ServerId.fromName("sibling/" + name);
         if (references.serverNames().containsKey(id) || !ids.add(id)) {
             table.error(
                     "name",
--- a/src/main/java/cacheproxy/daemon/PoolRuntime.java
+++ b/src/main/java/cacheproxy/daemon/PoolRuntime.java
@@ -79,8 +79,8 @@
                         spec.connections(),
                         spec.streams(),
                         spec.plainServers(),
-                        BackupPlacement.over(
-                                members -> PoolSettings.placement(this.spec).of(members), backups::contains),
+                        BackupPlacement.withBackups(
+                                members -> PoolSettings.placement(this.spec).create(members), backups::contains),
                         admission));
         dispatcher.recall(recollections);
         if (siblings != null) {
@@ -186,7 +186,7 @@
             gate = new PoolLimiter(spec.maxPending(), spec.maxRequestsPerSecond());
         }
         if (!sameRetries) {
-            admission.retries(retries(spec));
+            admission.setRetryBudget(retries(spec));
         }
         if (spec.discovery() == null) {
             list();
@@ -216,7 +216,7 @@
         List<DiscoveryClient.Host> hosts = new ArrayList<>();
         for (ServerConfig s : PoolSettings.all(spec)) {
             if (!s.down() && wanted.test(s.id())) {
-                Member m = PoolSettings.member(file, spec, s, births.of(s.id()));
+                Member m = PoolSettings.member(file, spec, s, births.startMs(s.id()));
                 hosts.add(new DiscoveryClient.Host(m, s.address()));
             }
         }
--- a/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
@@ -20,6 +20,7 @@
 import cacheproxy.fleet.lease.NameHash;
 import cacheproxy.fleet.lease.VoterSet;
 import cacheproxy.fleet.peer.DatagramEnvelope;
+import cacheproxy.fleet.peer.OpenedDatagram;
 import cacheproxy.policy.PolicyApi.Outcome;
 import cacheproxy.proxy.Dispatcher;
 import cacheproxy.proxy.EventLoopContext;
@@ -146,7 +147,8 @@
     }
 
     private void listen(DaemonConfig asked) throws ConfigException, InterruptedException {
-        channel = SocketBinder.datagrams(core, asked, "fleet", spec.listen(), DatagramEnvelope.MOST, new Handler());
+        channel = SocketBinder.datagrams(
+                core, asked, "fleet", spec.listen(), DatagramEnvelope.MAX_DATAGRAM_BYTES, new Handler());
     }
 
     @Override
@@ -176,7 +178,7 @@
             addresses.put(NameHash.of(p.name()), p.address());
             names.put(NameHash.of(p.name()), p.name());
         });
-        envelope.senders(List.copyOf(names.keySet()));
+        envelope.useSenders(List.copyOf(names.keySet()));
         heardAt.keySet().retainAll(names.keySet());
         double now = core.now();
         Map<String, Stand> wanted = stands(file);
@@ -246,7 +248,7 @@
         for (FleetProtocol u : users) {
             next = Math.min(next, u.tick(now));
         }
-        for (long twin : ++ticks % LOOK_TICKS == 0 ? envelope.twins() : List.<Long>of()) {
+        for (long twin : ++ticks % LOOK_TICKS == 0 ? envelope.duplicateIds() : List.<Long>of()) {
             if (toldTwins.add(twin)) {
                 core.log("fleet: two processes send under the name " + names.get(twin)
                         + "; the newer one is heard; give each a name of its own");
@@ -408,7 +410,7 @@
             }
             byte[] datagram = ByteBufUtil.getBytes(packet.content());
             // Without keys the address is all that speaks for a sender, so it counts before anything else is believed.
-            DatagramEnvelope.Opened o = spec.keys().isEmpty()
+            OpenedDatagram o = spec.keys().isEmpty()
                             && !packet.sender().equals(addresses.get(DatagramEnvelope.claimedSender(datagram)))
                     ? null
                     : envelope.open(datagram, core.now());
--- a/src/main/java/cacheproxy/policy/RoutingPolicy.java
+++ b/src/main/java/cacheproxy/policy/RoutingPolicy.java
@@ -63,7 +63,6 @@
     /** One server of the list and what this instance has seen of it. */
     private static final class Server {
         final int id;
-        final int hash;
         Member member;
         double share;
         int failures;
@@ -78,7 +77,6 @@
 
         Server(int id) {
             this.id = id;
-            this.hash = CarpHash.memberHash(id);
         }
     }
 
@@ -302,7 +300,7 @@
 
     /** A fresh instance that knows nothing yet. */
     public RoutingPolicy(Settings settings, long seed) {
-        this(settings, seed, CarpPlacement::new, AdmissionControl.OPEN, Siblings.NONE);
+        this(settings, seed, CarpPlacement::new, AdmissionControl.UNLIMITED, Siblings.NONE);
     }
 
     /** One that ranks servers by this placement, keeps to these further bounds and may ask these siblings. */
@@ -312,7 +310,7 @@
         this.placements = placements;
         this.admission = admission;
         this.siblings = siblings;
-        placement = placements.of(List.of());
+        placement = placements.create(List.of());
         random = new SplittableRandom(seed);
         shares = settings.overShareWorth() < 1 && settings.tenants().size() > 1 ? new Shares() : null;
         double shortestAim = settings.classes().stream()
@@ -333,7 +331,7 @@
     public void onList(double now, ListKind kind, List<Member> members, Actions out) {
         if (kind == ListKind.FAILED) {
             asking = false;
-            askAgain(now, out);
+            askAgain(out);
             return;
         }
         if (kind == ListKind.CACHED && cfg.askForList()) {
@@ -350,7 +348,7 @@
             members.forEach(m -> named.add(m.id()));
             servers.values().removeIf(s -> !named.contains(s.id));
         }
-        starts.listed(now, members);
+        starts.recordList(now, members);
         for (Member m : members) {
             if (m.state() == State.GONE) {
                 servers.remove(m.id());
@@ -450,13 +448,13 @@
             weights[i] = ranked[i].member.weight();
             sum += weights[i];
         }
-        placement = placements.of(list.stream().map(s -> s.member).toList());
+        placement = placements.create(list.stream().map(s -> s.member).toList());
         for (int i = 0; i < ranked.length; i++) {
             ranked[i].share = sum > 0 ? weights[i] / sum : 1.0 / ranked.length;
         }
     }
 
-    private void askAgain(double now, Actions out) {
+    private void askAgain(Actions out) {
         watchFailures++;
         double wait = cfg.askWithinMs() / 16 * (1 << Math.min(watchFailures, 3));
         timer(wait * (0.5 + random.nextDouble() / 2), WATCH, null, out);
@@ -471,7 +469,7 @@
             throw new IllegalArgumentException("class " + request.serviceClass() + " is not in the settings");
         }
         if (request.tenant() < 0
-                || request.tenant() > 0 && request.tenant() >= cfg.tenants().size()) {
+                || (request.tenant() > 0 && request.tenant() >= cfg.tenants().size())) {
             throw new IllegalArgumentException("tenant " + request.tenant() + " is not in the settings");
         }
         if (request.costMs() > 0) {
@@ -498,7 +496,7 @@
      * many of its top ranks as bring each under that, wherever it is as hot.
      */
     private int spread(long key, int seen) {
-        int all = placement.spreadable();
+        int all = placement.maxHotKeySpread();
         int n = seen < HotKeys.MIN_COUNT ? 1 : (int) Math.ceil(seen / hot.total * all);
         if (n > 1 && hot.wide.size() < HotKeys.MOST_WIDE) {
             hot.wide.add(key);
@@ -514,7 +512,7 @@
         }
         Server s = null;
         if (!worthless && f.attempts < cfg.maxAttempts() && now < f.request.dueMs()) {
-            s = f.toOrigin || cfg.aside() && f.safe && f.attempts >= CACHE_TRIES && f.missedAt == null
+            s = f.toOrigin || (cfg.aside() && f.safe && f.attempts >= CACHE_TRIES && f.missedAt == null)
                     ? origin
                     : choose(now, f, out);
             if (s == null && cfg.aside() && f.safe) {
@@ -527,7 +525,7 @@
             return;
         }
         // A fetch after a miss is the request's ordinary way. All else is more work for a fleet in trouble.
-        if (f.attempts > 0 && !(s == origin && f.missedAt != null) && !admission.retry(now)) {
+        if (f.attempts > 0 && !(s == origin && f.missedAt != null) && !admission.admitRetry(now)) {
             giveUp(f, out);
             return;
         }
@@ -611,7 +609,7 @@
     private void place(double now, Flight f, Server s, Actions out) {
         int a = f.attempts++;
         if (a == 0) {
-            admission.first(now);
+            admission.recordFirstAttempt(now);
         }
         f.at[a] = s;
         f.sentAt[a] = now;
@@ -649,7 +647,7 @@
         if (!siblings.is(s.member) && (cfg.secondCopies() || ++s.doubts > 1)) {
             suspect(now, s);
         }
-        if (doubts < 1 || f.request.dueMs() - now < fetchMs || !cfg.secondCopies() && !cfg.mayCancel()) {
+        if (doubts < 1 || f.request.dueMs() - now < fetchMs || (!cfg.secondCopies() && !cfg.mayCancel())) {
             return;
         }
         doubts--;
@@ -703,7 +701,7 @@
 
     /** The final answer: a refusal only where no attempt may have run. */
     private void answer(Flight f, Actions out) {
-        if (f.safe || Double.isNaN(f.maybeRanSince) && f.out == 0) {
+        if (f.safe || (Double.isNaN(f.maybeRanSince) && f.out == 0)) {
             // Told nothing, a client asks again at once, into the jam that it was turned away for. Within the
             // usual time of an answer places come free; spread over it, clients don't return together.
             double wait = Math.max(1, Math.min(cfg.maxRetryAfterMs(), pace * random.nextDouble()));
@@ -725,11 +723,11 @@
 
     private Server choose(double now, Flight f, Actions out) {
         int want = Math.min(ranked.length, Math.max(RANKS, f.spread + RANKS));
-        int most = placement.most(want);
+        int most = placement.maxRanked(want);
         if (top.length < most) {
             top = new int[most];
         }
-        int count = want == 0 ? 0 : placement.top(f.key(), f.keyHash, want, top);
+        int count = want == 0 ? 0 : placement.rank(f.key(), f.keyHash, want, top);
         int offset = f.spread > 1 ? random.nextInt(f.spread) : 0;
         Server untried = null;
         boolean remembered = false;
@@ -760,7 +758,7 @@
     }
 
     private boolean open(double now, Flight f, Server s, Actions out) {
-        if (s.failures == 0 || s.probed && !s.trial) {
+        if (s.failures == 0 || (s.probed && !s.trial)) {
             return warmEnough(now, f, s);
         }
         // A trial that a cold server's limit turns away has no end that could clear it, and s would stay out.
@@ -769,7 +767,7 @@
                 || !f.safe
                 || f.attempts > 0
                 || trials < 1
-                || !cfg.mayProbe() && !(warmEnough(now, f, s) && admission.trial(now, s.member))) {
+                || (!cfg.mayProbe() && !(warmEnough(now, f, s) && admission.admitHalfOpenProbe(now, s.member)))) {
             return false;
         }
         trials--;
@@ -794,7 +792,8 @@
         // Each takes its part by chance: of keys chosen alike by all, a new hot one would come from all. Who
         // has just started takes each hot key for a new one, and lets few in until it has seen some requests.
         double part = hot.own * s.share * (f.seen > 1 ? LATER_SIGHT : FIRST_SIGHT);
-        return random.nextDouble() < ramp * Math.min(1, part / f.seen) && admission.cold(now, s.member, started);
+        return random.nextDouble() < ramp * Math.min(1, part / f.seen)
+                && admission.admitWarmingUp(now, s.member, started);
     }
 
     private boolean cold(double now, Server s) {
@@ -860,7 +859,7 @@
         }
         if (s == origin && !f.request.write()) {
             giveUp(f, out);
-        } else if (f.out == 0 || f.safe && cfg.secondCopies()) {
+        } else if (f.out == 0 || (f.safe && cfg.secondCopies())) {
             advance(now, f, out);
         }
     }
--- a/src/main/java/cacheproxy/proxy/UpstreamRegistry.java
+++ b/src/main/java/cacheproxy/proxy/UpstreamRegistry.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy;
 
-import cacheproxy.limits.ServerCapacity;
+import cacheproxy.limits.ConnectionShortage;
 import io.netty.util.collection.IntObjectHashMap;
 import java.net.SocketAddress;
 import java.util.ArrayList;
@@ -28,7 +28,7 @@
     private final List<Upstream> leaving = new ArrayList<>();
 
     /** What all cache nodes have shown of their room for connections. */
-    final ServerCapacity.Shortage shortage = new ServerCapacity.Shortage();
+    final ConnectionShortage shortage = new ConnectionShortage();
     /** One for the process and one for each pool that follows discovery; a pool may end while they are told. */
     private final List<Observer> observers = new CopyOnWriteArrayList<>();
 
@@ -60,7 +60,8 @@
     Upstream hold(int id, boolean origin, SocketAddress dial, Dispatcher.Pool pool) {
         List<Upstream> same = byId.get(id);
         if (same == null) {
-            byId.put(id, same = new ArrayList<>(1));
+            same = new ArrayList<>(1);
+            byId.put(id, same);
         }
         for (Upstream u : same) {
             if (u.dial.equals(dial) && u.origin == origin) {
@@ -93,7 +94,7 @@
     void sweep(Iterable<Upstream> of, double now, double idleSinceMs) {
         for (Upstream u : of) {
             u.closeIdle(idleSinceMs);
-            if (!u.origin && shortage.scarce(now)) {
+            if (!u.origin && shortage.isActive(now)) {
                 u.closeSpare();
             }
             u.sweep(now);
