--- a/src/main/java/cacheproxy/daemon/ConfigSnapshot.java
+++ b/src/main/java/cacheproxy/daemon/ConfigSnapshot.java
@@ -22,63 +22,63 @@
     final SiblingsConfig siblings;
 
     public final Map<String, PoolRuntime> pools;
-    final RequestValidator intake;
-    public final HookRules rules;
+    final RequestValidator requestValidator;
+    public final HookRules hookRules;
     /** Null where there are none. */
-    final FleetQuotas limits;
+    final FleetQuotas quotas;
     /** The hooks of each listener, in order. */
-    final Map<String, List<HookExecutor>> hooks = new HashMap<>();
+    final Map<String, List<HookExecutor>> hooksOfListener = new HashMap<>();
 
-    private final List<HookExecutor> runners;
-    private final Map<String, Route> byName = new HashMap<>();
+    private final List<HookExecutor> executors;
+    private final Map<String, Route> routesByName = new HashMap<>();
     /** Requests in hand that came under it. */
-    public int inHand;
+    public int pendingRequests;
 
     private final Map<Route, List<PoolRuntime>> chains = new IdentityHashMap<>();
 
     ConfigSnapshot(DaemonConfig file, Map<String, PoolRuntime> pools, RequestValidator intake, Subsystems subsystems) {
         this.file = file;
         FleetCoordination fleet = subsystems.get(FleetCoordination.class);
-        limits = fleet == null ? null : fleet.quotas();
+        quotas = fleet == null ? null : fleet.quotas();
         siblings = SiblingsConfig.of(file);
         this.pools = pools;
-        this.intake = intake;
+        this.requestValidator = intake;
         HookSubsystem hookSubsystem = subsystems.get(HookSubsystem.class);
-        runners = hookSubsystem == null ? List.of() : hookSubsystem.executors();
-        file.routes().routes().forEach(r -> byName.put(r.name(), r));
-        rules = new HookRules(
-                file.classes(), file.tenants().stream().map(t -> t.name()).toList(), byName.keySet());
-        for (ListenerConfig l : file.listeners()) {
-            List<HookExecutor> own = runners.stream()
-                    .filter(h ->
-                            h.spec.listeners().isEmpty() || h.spec.listeners().contains(l.name()))
+        executors = hookSubsystem == null ? List.of() : hookSubsystem.executors();
+        file.routes().routes().forEach(route -> routesByName.put(route.name(), route));
+        hookRules = new HookRules(
+                file.classes(), file.tenants().stream().map(tenant -> tenant.name()).toList(), routesByName.keySet());
+        for (ListenerConfig listener : file.listeners()) {
+            List<HookExecutor> own = executors.stream()
+                    .filter(executor ->
+                            executor.config.listeners().isEmpty() || executor.config.listeners().contains(listener.name()))
                     .toList();
             if (!own.isEmpty()) {
-                hooks.put(l.name(), own);
+                hooksOfListener.put(listener.name(), own);
             }
         }
-        for (Route r : file.routes().routes()) {
-            if (r.action() instanceof Route.ToPools to) {
+        for (Route route : file.routes().routes()) {
+            if (route.action() instanceof Route.ToPools to) {
                 List<PoolRuntime> chain = new ArrayList<>();
-                file.fallbackChain(to.pools()).forEach(p -> chain.add(pools.get(p)));
-                chains.put(r, chain);
+                file.fallbackChain(to.pools()).forEach(pool -> chain.add(pools.get(pool)));
+                chains.put(route, chain);
             }
         }
     }
 
     /** The pools of a route, in order. */
-    List<PoolRuntime> chain(Route r) {
-        return chains.get(r);
+    List<PoolRuntime> chain(Route route) {
+        return chains.get(route);
     }
 
     /** No request will come any more: its hooks end. */
     void end() {
-        runners.forEach(HookExecutor::stop);
+        executors.forEach(HookExecutor::stop);
     }
 
     /** The route of this name. */
     public Route route(String name) {
-        return byName.get(name);
+        return routesByName.get(name);
     }
 
     /** Whether a request may still come to this pool under this file. */
--- a/src/main/java/cacheproxy/daemon/ControlSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/ControlSubsystem.java
@@ -21,33 +21,33 @@
     /** Its section of the configuration file. */
     static final String SECTION = "control";
 
-    private final ControlConfig spec;
-    private final ControlServer door;
-    private final Supplier<Map<String, ControlRequestHandler>> others;
+    private final ControlConfig config;
+    private final ControlServer server;
+    private final Supplier<Map<String, ControlRequestHandler>> handlers;
     private final DiagnosticEndpoints diagnostics;
     private boolean draining;
 
     private ControlSubsystem(
-            ControlConfig spec,
+            ControlConfig config,
             EventLoop loop,
             Supplier<Map<String, ControlRequestHandler>> others,
             DiagnosticEndpoints diagnostics) {
-        this.spec = spec;
+        this.config = config;
         this.diagnostics = diagnostics;
-        this.others = others;
-        door = new ControlServer(loop, Transport.BEST.server(), this::call);
+        this.handlers = others;
+        server = new ControlServer(loop, Transport.BEST.server(), this::call);
     }
 
     /** Binds; empty if the file has no {@code [control]}. */
     static Optional<ControlSubsystem> open(SubsystemContext context, DaemonConfig file, Subsystem previous)
             throws ConfigException, InterruptedException {
-        ControlConfig spec = file.section(ControlConfig.class);
-        if (spec == null) {
+        ControlConfig config = file.section(ControlConfig.class);
+        if (config == null) {
             return Optional.empty();
         }
         ControlSubsystem control =
-                new ControlSubsystem(spec, context.core().loop(), context.controlHandlers(), context.diagnostics());
-        SocketBinder.require(control.door.bind(spec.listen()), file, SECTION, spec.listen());
+                new ControlSubsystem(config, context.core().loop(), context.controlHandlers(), context.diagnostics());
+        SocketBinder.require(control.server.bind(config.listen()), file, SECTION, config.listen());
         return Optional.of(control);
     }
 
@@ -62,24 +62,24 @@
         if (DiagnosticEndpoints.method(path) != null) {
             return diagnostics.call(method, uri);
         }
-        List<String> words = new ArrayList<>(List.of("/status"));
-        for (Map.Entry<String, ControlRequestHandler> other : others.get().entrySet()) {
+        List<String> paths = new ArrayList<>(List.of("/status"));
+        for (Map.Entry<String, ControlRequestHandler> other : handlers.get().entrySet()) {
             if (path.equals(other.getKey()) || path.startsWith(other.getKey() + "/")) {
                 return other.getValue().call(method, uri);
             }
-            words.add(other.getKey());
+            paths.add(other.getKey());
         }
-        return new Answer(404, "the calls are GET " + String.join(", GET ", words) + ", " + DiagnosticEndpoints.NAMES);
+        return new Answer(404, "the calls are GET " + String.join(", GET ", paths) + ", " + DiagnosticEndpoints.NAMES);
     }
 
     @Override
     public Optional<InetSocketAddress> address() {
-        return Optional.of(door.address());
+        return Optional.of(server.address());
     }
 
     @Override
     public boolean fits(DaemonConfig file) {
-        return spec.equals(file.section(ControlConfig.class));
+        return config.equals(file.section(ControlConfig.class));
     }
 
     @Override
@@ -89,6 +89,6 @@
 
     @Override
     public void close() {
-        door.closeNow();
+        server.closeNow();
     }
 }
--- a/src/main/java/cacheproxy/daemon/Daemon.java
+++ b/src/main/java/cacheproxy/daemon/Daemon.java
@@ -106,7 +106,7 @@
         context = new SubsystemContext(
                 core,
                 seeds,
-                router::generation,
+                router::configuration,
                 this::snapshot,
                 () -> Optional.ofNullable(seedFrom),
                 parts::controlHandlers,
@@ -185,8 +185,8 @@
 
     /** Requests in hand, those under older files among them. */
     public int inHand() {
-        return loop.submit(() -> router.generation().inHand
-                        + older.stream().mapToInt(g -> g.inHand).sum())
+        return loop.submit(() -> router.configuration().pendingRequests
+                        + older.stream().mapToInt(g -> g.pendingRequests).sum())
                 .syncUninterruptibly()
                 .getNow();
     }
@@ -210,7 +210,7 @@
 
     /** Pools at work, those that are leaving among them; for tests. */
     int poolsAtWork() {
-        return loop.submit(() -> router.generation().pools.size() + leavingPools.size())
+        return loop.submit(() -> router.configuration().pools.size() + leavingPools.size())
                 .syncUninterruptibly()
                 .getNow();
     }
@@ -237,7 +237,7 @@
             try {
                 listener.reserve(l.address());
             } catch (IOException e) {
-                faults.add(SocketBinder.fault(file, "listener " + l.name(), l.address(), e));
+                faults.add(SocketBinder.describeFailure(file, "listener " + l.name(), l.address(), e));
             }
         }
         if (!faults.isEmpty()) {
@@ -279,7 +279,7 @@
 
     private void commit(DaemonConfig file, Map<String, Listener> fresh) {
         double now = core.now();
-        ConfigSnapshot before = router.generation();
+        ConfigSnapshot before = router.configuration();
         figures(file);
         births(file, before, now);
         LearnedStateSource restored = parts.get(LearnedStateSource.class);
@@ -333,7 +333,7 @@
             cold.setConfig(figures);
         }
         for (PoolConfig p : file.pools().values()) {
-            PoolSettings.all(p).forEach(s -> cold.setServerRate(s.id(), s.capacity()));
+            PoolSettings.allServers(p).forEach(s -> cold.setServerRate(s.id(), s.capacity()));
         }
     }
 
@@ -342,8 +342,8 @@
         Set<Integer> present = new HashSet<>();
         Set<Integer> warm = new HashSet<>();
         for (PoolConfig p : file.pools().values()) {
-            PoolSettings.all(p).stream().filter(s -> !s.down()).forEach(s -> present.add(s.id()));
-            PoolSettings.all(p).stream().filter(ServerConfig::warm).forEach(s -> warm.add(s.id()));
+            PoolSettings.allServers(p).stream().filter(s -> !s.down()).forEach(s -> present.add(s.id()));
+            PoolSettings.allServers(p).stream().filter(ServerConfig::warm).forEach(s -> warm.add(s.id()));
         }
         if (file.site().warmUpMs() > 0) {
             for (PoolConfig p : file.pools().values()) {
@@ -355,7 +355,7 @@
         if (before != null) {
             Set<Integer> known = new HashSet<>();
             for (PoolConfig p : before.file.pools().values()) {
-                PoolSettings.all(p).stream().filter(s -> !s.down()).forEach(s -> known.add(s.id()));
+                PoolSettings.allServers(p).stream().filter(s -> !s.down()).forEach(s -> known.add(s.id()));
             }
             present.stream()
                     .filter(s -> !known.contains(s) && !warm.contains(s))
@@ -394,7 +394,7 @@
     /** A proxy that does not know its servers yet could only turn clients away. */
     private void openOnceListed(List<Listener> fresh, double latestMs) {
         if (core.now() < latestMs
-                && !router.generation().pools.values().stream().allMatch(p -> p.dispatcher.listed())) {
+                && !router.configuration().pools.values().stream().allMatch(p -> p.dispatcher.listed())) {
             core.after(5, () -> openOnceListed(fresh, latestMs));
             return;
         }
@@ -431,17 +431,17 @@
             return l.empty();
         });
         older.removeIf(g -> {
-            if (g.inHand == 0) {
+            if (g.pendingRequests == 0) {
                 g.end();
             }
-            return g.inHand == 0;
+            return g.pendingRequests == 0;
         });
         if (leavingPools.isEmpty()) {
             return;
         }
         Set<Integer> ready = new HashSet<>();
-        for (PoolConfig p : router.generation().file.pools().values()) {
-            PoolSettings.all(p).stream().filter(s -> !s.down() && !s.drain()).forEach(s -> ready.add(s.id()));
+        for (PoolConfig p : router.configuration().file.pools().values()) {
+            PoolSettings.allServers(p).stream().filter(s -> !s.down() && !s.drain()).forEach(s -> ready.add(s.id()));
         }
         leavingPools.removeIf(l -> {
             if (l.pool.dispatcher.inHand() == 0 && older.stream().noneMatch(g -> g.uses(l.pool))) {
@@ -450,7 +450,7 @@
             }
             if (!l.cut && now >= l.graceEndsMs) {
                 l.cut = true;
-                l.pool.listOnly(ready::contains);
+                l.pool.restrictTo(ready::contains);
             }
             return false;
         });
@@ -468,9 +468,9 @@
             if (births.connectionAccepted(server, core.now())) {
                 parts.serverRestarted(server);
                 // Not from within the connection's own event: a list retires connections to what has restarted.
-                loop.execute(() -> router.generation().pools.values().stream()
-                        .filter(p -> p.spec().discovery() == null && p.has(server))
-                        .forEach(PoolRuntime::list));
+                loop.execute(() -> router.configuration().pools.values().stream()
+                        .filter(p -> p.config().discovery() == null && p.hasServer(server))
+                        .forEach(PoolRuntime::applyServerList));
             }
         }
     }
@@ -485,7 +485,7 @@
                     leave();
                     return leavingListeners.isEmpty();
                 })
-                .run(() -> router.generation().file.classes().stream()
+                .run(() -> router.configuration().file.classes().stream()
                         .mapToDouble(c -> c.deadlineMs())
                         .max()
                         .orElse(0));
@@ -494,9 +494,9 @@
 
     /** All that is worth remembering, with at most so many hot keys a pool. */
     private StateSnapshot snapshot(int mostKeys) {
-        DaemonConfig file = router.generation().file;
+        DaemonConfig file = router.configuration().file;
         Map<String, StateSnapshot.Pool> pools = new LinkedHashMap<>();
-        router.generation().pools.forEach((name, p) -> pools.put(name, p.learned(mostKeys)));
+        router.configuration().pools.forEach((name, p) -> pools.put(name, p.learned(mostKeys)));
         Map<Integer, String> addresses = LearnedStates.addresses(file);
         List<StateSnapshot.Birth> told = new ArrayList<>();
         for (int server : births.knownServers()) {
@@ -512,9 +512,9 @@
     @Override
     public void close() {
         loop.submit(() -> {
-                    if (router.generation() != null) {
-                        router.generation().pools.values().forEach(p -> p.dispatcher.stop());
-                        router.generation().end();
+                    if (router.configuration() != null) {
+                        router.configuration().pools.values().forEach(p -> p.dispatcher.stop());
+                        router.configuration().end();
                     }
                     older.forEach(ConfigSnapshot::end);
                     parts.close();
--- a/src/main/java/cacheproxy/daemon/LearnedStates.java
+++ b/src/main/java/cacheproxy/daemon/LearnedStates.java
@@ -51,7 +51,7 @@
     public static Map<Integer, String> addresses(DaemonConfig file) {
         Map<Integer, String> addresses = new HashMap<>();
         for (PoolConfig pool : file.pools().values()) {
-            PoolSettings.all(pool).stream()
+            PoolSettings.allServers(pool).stream()
                     .filter(server -> server.address() != null)
                     .forEach(server -> addresses.put(server.id(), Addresses.text(server.address())));
         }
--- a/src/main/java/cacheproxy/daemon/PoolRuntime.java
+++ b/src/main/java/cacheproxy/daemon/PoolRuntime.java
@@ -40,63 +40,63 @@
     final String name;
     public final Dispatcher dispatcher;
     private final Settings settings;
-    private final ServerStartTimes births;
+    private final ServerStartTimes startTimes;
     private final PoolAdmissionControl admission;
     private final DiscoveryClient discovery;
-    private final Set<Integer> backups = new HashSet<>();
+    private final Set<Integer> backupServers = new HashSet<>();
     private DaemonConfig file;
-    private PoolConfig spec;
-    private PoolLimiter gate;
-    private KeyHash number;
+    private PoolConfig config;
+    private PoolLimiter limiter;
+    private KeyHash keyHash;
 
     PoolRuntime(
             EventLoopContext core,
             DaemonConfig file,
-            PoolConfig spec,
+            PoolConfig config,
             long seed,
-            SlowStartBudget cold,
-            ServerStartTimes births,
+            SlowStartBudget slowStartBudget,
+            ServerStartTimes startTimes,
             Dispatcher.Recollections recollections,
             Subsystems subsystems) {
         Supplier<FleetCoordination> fleet = () -> subsystems.get(FleetCoordination.class);
         SiblingSocket siblings = subsystems.get(SiblingSocket.class);
-        name = spec.name();
+        name = config.name();
         this.file = file;
-        this.spec = spec;
-        this.births = births;
-        settings = PoolSettings.of(file, spec);
-        number = PoolSettings.number(spec);
-        admission = new PoolAdmissionControl(cold, retries(spec), server -> mayTry(fleet.get(), server));
-        gate = new PoolLimiter(spec.maxPending(), spec.maxRequestsPerSecond());
+        this.config = config;
+        this.startTimes = startTimes;
+        settings = PoolSettings.of(file, config);
+        keyHash = PoolSettings.keyHash(config);
+        admission = new PoolAdmissionControl(slowStartBudget, retryBudget(config), server -> mayProbe(fleet.get(), server));
+        limiter = new PoolLimiter(config.maxPending(), config.maxRequestsPerSecond());
         dispatcher = new Dispatcher(
                 core,
                 new Dispatcher.Pool(
                         settings,
                         seed,
                         file.limits().idleCloseMs(),
-                        spec.connections(),
-                        spec.originConnections(),
-                        spec.connections(),
-                        spec.streams(),
-                        spec.plainServers(),
+                        config.connections(),
+                        config.originConnections(),
+                        config.connections(),
+                        config.streams(),
+                        config.plainServers(),
                         BackupPlacement.withBackups(
-                                members -> PoolSettings.placement(this.spec).create(members), backups::contains),
+                                members -> PoolSettings.placement(this.config).create(members), backupServers::contains),
                         admission));
         dispatcher.recall(recollections);
         if (siblings != null) {
-            PoolSiblings own = siblings.of(spec);
+            PoolSiblings own = siblings.of(config);
             dispatcher.siblings(own, own);
         }
         dispatcher.probes(new Probes(fleet));
-        if (spec.discovery() == null) {
+        if (config.discovery() == null) {
             discovery = null;
             dispatcher.start(Dispatcher.ListSource.NONE);
-            list();
+            applyServerList();
         } else {
-            DiscoveryConfig d = spec.discovery();
+            DiscoveryConfig source = config.discovery();
             discovery = new DiscoveryClient(
                     core,
-                    new DiscoveryClient.Source(d.address(), null, true, d.zones(), d.kinds()),
+                    new DiscoveryClient.Source(source.address(), null, true, source.zones(), source.kinds()),
                     dispatcher,
                     new Pace(fleet));
             dispatcher.start(discovery);
@@ -104,7 +104,7 @@
         }
     }
 
-    private boolean mayTry(FleetCoordination fleet, int server) {
+    private boolean mayProbe(FleetCoordination fleet, int server) {
         return fleet == null || fleet.mayProbe(dispatcher, server);
     }
 
@@ -154,21 +154,21 @@
         return discovery;
     }
 
-    private static RetryBudget retries(PoolConfig spec) {
-        return new RetryBudget(spec.retryRatio(), spec.guaranteedRetries());
+    private static RetryBudget retryBudget(PoolConfig config) {
+        return new RetryBudget(config.retryRatio(), config.guaranteedRetries());
     }
 
     /** Whether this pool can go on under another file; else a new one must take its place. */
     boolean fits(DaemonConfig other, PoolConfig next) {
         return settings.equals(PoolSettings.of(other, next))
-                && spec.connections() == next.connections()
-                && spec.originConnections() == next.originConnections()
-                && spec.streams() == next.streams()
-                && spec.plainServers() == next.plainServers()
-                && spec.placement().equals(next.placement())
-                && java.util.Objects.equals(spec.discovery(), next.discovery())
+                && config.connections() == next.connections()
+                && config.originConnections() == next.originConnections()
+                && config.streams() == next.streams()
+                && config.plainServers() == next.plainServers()
+                && config.placement().equals(next.placement())
+                && java.util.Objects.equals(config.discovery(), next.discovery())
                 && SiblingsConfig.of(file).equals(SiblingsConfig.of(other))
-                && spec.siblings().equals(next.siblings())
+                && config.siblings().equals(next.siblings())
                 && file.limits().idleCloseMs() == other.limits().idleCloseMs();
     }
 
@@ -176,86 +176,86 @@
     void apply(DaemonConfig next) {
         PoolConfig pool = next.pools().get(name);
         boolean sameGate =
-                pool.maxPending() == spec.maxPending() && pool.maxRequestsPerSecond() == spec.maxRequestsPerSecond();
+                pool.maxPending() == config.maxPending() && pool.maxRequestsPerSecond() == config.maxRequestsPerSecond();
         boolean sameRetries =
-                pool.retryRatio() == spec.retryRatio() && pool.guaranteedRetries() == spec.guaranteedRetries();
+                pool.retryRatio() == config.retryRatio() && pool.guaranteedRetries() == config.guaranteedRetries();
         file = next;
-        spec = pool;
-        number = PoolSettings.number(pool);
+        config = pool;
+        keyHash = PoolSettings.keyHash(pool);
         if (!sameGate) {
-            gate = new PoolLimiter(spec.maxPending(), spec.maxRequestsPerSecond());
+            limiter = new PoolLimiter(config.maxPending(), config.maxRequestsPerSecond());
         }
         if (!sameRetries) {
-            admission.setRetryBudget(retries(spec));
+            admission.setRetryBudget(retryBudget(config));
         }
-        if (spec.discovery() == null) {
-            list();
+        if (config.discovery() == null) {
+            applyServerList();
         }
     }
 
     /** Hands the module the file's servers. */
-    void list() {
-        backups.clear();
-        spec.servers().stream().filter(ServerConfig::backup).forEach(s -> backups.add(s.id()));
-        dispatcher.listed(ListKind.FULL, hosts(s -> true));
+    void applyServerList() {
+        backupServers.clear();
+        config.servers().stream().filter(ServerConfig::backup).forEach(server -> backupServers.add(server.id()));
+        dispatcher.listed(ListKind.FULL, hosts(server -> true));
     }
 
     /** From now on only these servers are sent to, by requests that are in hand. */
-    void listOnly(IntPredicate server) {
-        if (spec.discovery() == null) {
+    void restrictTo(IntPredicate server) {
+        if (config.discovery() == null) {
             dispatcher.listed(ListKind.FULL, hosts(server));
         }
     }
 
-    boolean has(int server) {
-        return spec.servers().stream().anyMatch(s -> s.id() == server)
-                || spec.origin() != null && spec.origin().id() == server;
+    boolean hasServer(int server) {
+        return config.servers().stream().anyMatch(server -> server.id() == server)
+                || config.origin() != null && config.origin().id() == server;
     }
 
     private List<DiscoveryClient.Host> hosts(IntPredicate wanted) {
         List<DiscoveryClient.Host> hosts = new ArrayList<>();
-        for (ServerConfig s : PoolSettings.all(spec)) {
-            if (!s.down() && wanted.test(s.id())) {
-                Member m = PoolSettings.member(file, spec, s, births.startMs(s.id()));
-                hosts.add(new DiscoveryClient.Host(m, s.address()));
+        for (ServerConfig server : PoolSettings.allServers(config)) {
+            if (!server.down() && wanted.test(server.id())) {
+                Member member = PoolSettings.member(file, config, server, startTimes.startMs(server.id()));
+                hosts.add(new DiscoveryClient.Host(member, server.address()));
             }
         }
-        for (String s : spec.siblings()) {
-            SiblingConfig sibling = SiblingsConfig.of(file).sibling(s);
-            hosts.add(new DiscoveryClient.Host(PoolSettings.sibling(spec, sibling), sibling.fetchAddress()));
+        for (String server : config.siblings()) {
+            SiblingConfig sibling = SiblingsConfig.of(file).sibling(server);
+            hosts.add(new DiscoveryClient.Host(PoolSettings.sibling(config, sibling), sibling.fetchAddress()));
         }
         return hosts;
     }
 
     /** 0 if one more request may come in, which then counts; else the milliseconds after which to come again. */
-    double admit(double now) {
-        return gate.admit(now, dispatcher.inHand());
+    double admit(double nowMs) {
+        return limiter.admit(nowMs, dispatcher.inHand());
     }
 
     /** The number by which this pool knows a request. */
-    long number(RouteInput s, Route route, String poolKey) {
-        return number.of(s, route, poolKey);
+    long keyHash(RouteInput input, Route route, String poolKey) {
+        return keyHash.of(input, route, poolKey);
     }
 
     /** What drops repeats of keyed requests; null: nothing does. */
     String dedupGroup() {
-        return spec.dedupGroup();
+        return config.dedupGroup();
     }
 
     /** What its module has learned, with at most so many hot keys. */
-    public StateSnapshot.Pool learned(int mostKeys) {
-        LearnedState k = dispatcher.knowledge(mostKeys);
+    public StateSnapshot.Pool learned(int maxKeys) {
+        LearnedState state = dispatcher.knowledge(maxKeys);
         Map<Integer, String> addresses = new HashMap<>();
-        for (LearnedState.Server s : k.servers()) {
-            SocketAddress dial = dispatcher.dial(s.id());
-            if (dial != null) {
-                addresses.put(s.id(), Addresses.text(dial));
+        for (LearnedState.Server server : state.servers()) {
+            SocketAddress address = dispatcher.dial(server.id());
+            if (address != null) {
+                addresses.put(server.id(), Addresses.text(address));
             }
         }
-        return new StateSnapshot.Pool(PoolSettings.keyScheme(file, spec), k, addresses);
+        return new StateSnapshot.Pool(PoolSettings.keyScheme(file, config), state, addresses);
     }
 
-    PoolConfig spec() {
-        return spec;
+    PoolConfig config() {
+        return config;
     }
 }
--- a/src/main/java/cacheproxy/daemon/PoolSettings.java
+++ b/src/main/java/cacheproxy/daemon/PoolSettings.java
@@ -33,12 +33,12 @@
 /** A pool of the file in the terms of the decision module. */
 public final class PoolSettings {
     /** A proxy that has not asked discovery for so long asks. */
-    private static final double ASK_WITHIN_MS = 10_000;
+    private static final double MAX_POLL_AGE_MS = 10_000;
 
     private PoolSettings() {}
 
     /** All servers of a pool, its origin last. */
-    public static List<ServerConfig> all(PoolConfig pool) {
+    public static List<ServerConfig> allServers(PoolConfig pool) {
         List<ServerConfig> all = new ArrayList<>(pool.servers());
         if (pool.origin() != null) {
             all.add(pool.origin());
@@ -66,7 +66,7 @@
         if (pool.discovery() != null) {
             return pool.discovery().zones();
         }
-        return Stream.concat(Stream.of(file.site().zone()), all(pool).stream().map(ServerConfig::zone))
+        return Stream.concat(Stream.of(file.site().zone()), allServers(pool).stream().map(ServerConfig::zone))
                 .distinct()
                 .toList();
     }
@@ -77,12 +77,12 @@
         boolean listed = pool.discovery() == null;
         List<String> kinds = kinds(pool);
         List<String> zones = zones(file, pool);
-        boolean aside = listed ? pool.origin() != null : pool.discovery().originKind() != null;
+        boolean hasOriginKind = listed ? pool.origin() != null : pool.discovery().originKind() != null;
         FleetConfig fleet = file.section(FleetConfig.class);
-        boolean probes = fleet != null
+        boolean byTests = fleet != null
                 && fleet.healthCheck() != null
                 && !fleet.healthCheck().byClientRequests(); // else clients' requests try what was sick
-        int originKind = !aside
+        int originKind = !hasOriginKind
                 ? -1
                 : listed ? kinds.size() - 1 : kinds.indexOf(pool.discovery().originKind());
         return new Settings(
@@ -92,14 +92,14 @@
                 zones.size(),
                 kinds.size(),
                 !listed,
-                aside,
+                hasOriginKind,
                 originKind,
                 Reports.NONE,
                 List.of(),
                 false,
                 file.tenants().size() > 1 ? 0.1 : 1,
                 true,
-                probes,
+                byTests,
                 false,
                 limits.hedging(),
                 true,
@@ -112,52 +112,52 @@
                 site.warmUpMs(),
                 site.tipMultiple(),
                 site.fallMs(),
-                ASK_WITHIN_MS,
+                MAX_POLL_AGE_MS,
                 0,
                 0,
                 file.classes(),
                 file.tenants());
     }
 
-    static Member member(DaemonConfig file, PoolConfig pool, ServerConfig s, double bornMs) {
-        boolean origin = s == pool.origin();
+    static Member member(DaemonConfig file, PoolConfig pool, ServerConfig server, double startMs) {
+        boolean origin = server == pool.origin();
         List<String> kinds = kinds(pool);
         return new Member(
-                s.id(),
-                zones(file, pool).indexOf(s.zone()),
-                origin ? kinds.size() - 1 : kinds.indexOf(s.kind()),
+                server.id(),
+                zones(file, pool).indexOf(server.zone()),
+                origin ? kinds.size() - 1 : kinds.indexOf(server.kind()),
                 0,
-                s.drain() ? State.DRAINING : State.READY,
-                (float) s.weight(),
-                bornMs);
+                server.drain() ? State.DRAINING : State.READY,
+                (float) server.weight(),
+                startMs);
     }
 
     /** A sibling as the module gets it. */
-    static Member sibling(PoolConfig pool, SiblingConfig s) {
-        return new Member(s.id(), 0, kinds(pool).indexOf("\0sibling"), 0, State.READY, 1, 0);
+    static Member sibling(PoolConfig pool, SiblingConfig server) {
+        return new Member(server.id(), 0, kinds(pool).indexOf("\0sibling"), 0, State.READY, 1, 0);
     }
 
     static Placement.Factory placement(PoolConfig pool) {
         return PlacementRegistry.factory(
                 pool.placement(),
                 pool.servers().stream()
-                        .map(s -> new PlacementTarget(s.id(), (int) s.weight(), s.ring()))
+                        .map(server -> new PlacementTarget(server.id(), (int) server.weight(), server.ring()))
                         .toList());
     }
 
     /** How the pool's module knows a request. */
-    static KeyHash number(PoolConfig pool) {
+    static KeyHash keyHash(PoolConfig pool) {
         boolean carp = pool.placement().equals(PlacementRegistry.CARP);
-        PlacementTemplate own = pool.placeBy() == null ? PlacementTemplate.KEY : pool.placeBy();
-        return (s, route, poolKey) -> {
-            PlacementTemplate by = route.placeBy() == null ? own : route.placeBy();
+        PlacementTemplate poolTemplate = pool.placeBy() == null ? PlacementTemplate.KEY : pool.placeBy();
+        return (server, route, poolKey) -> {
+            PlacementTemplate template = route.placeBy() == null ? poolTemplate : route.placeBy();
             if (carp) {
                 return RequestValidator.keyNumber(
-                        by.equals(PlacementTemplate.KEY)
+                        template.equals(PlacementTemplate.KEY)
                                 ? poolKey
-                                : new String(by.bytes(s, route, poolKey), StandardCharsets.ISO_8859_1));
+                                : new String(template.bytes(server, route, poolKey), StandardCharsets.ISO_8859_1));
             }
-            byte[] text = by.bytes(s, route, poolKey);
+            byte[] text = template.bytes(server, route, poolKey);
             // Where it is empty nginx goes round; one server for all such requests would be worse than the key's own.
             return PlacementKey.fromText(text.length > 0 ? text : poolKey.getBytes(StandardCharsets.ISO_8859_1));
         };
@@ -172,31 +172,31 @@
     /** The file's pools for {@code explain}. */
     static Explain explain(DaemonConfig file) {
         Map<String, Explain.PoolView> views = new LinkedHashMap<>();
-        for (PoolConfig p : file.pools().values()) {
+        for (PoolConfig pool : file.pools().values()) {
             List<Member> ready = new ArrayList<>();
             Map<Integer, String> names = new HashMap<>();
             Set<Integer> backups = new HashSet<>();
-            for (ServerConfig s : p.servers()) {
-                names.put(s.id(), s.name());
-                if (s.backup()) {
-                    backups.add(s.id());
+            for (ServerConfig server : pool.servers()) {
+                names.put(server.id(), server.name());
+                if (server.backup()) {
+                    backups.add(server.id());
                 }
-                if (!s.down() && !s.drain()) {
-                    ready.add(member(file, p, s, 0));
+                if (!server.down() && !server.drain()) {
+                    ready.add(member(file, pool, server, 0));
                 }
             }
-            ready.sort((a, b) -> Integer.compareUnsigned(a.id(), b.id()));
+            ready.sort((first, second) -> Integer.compareUnsigned(first.id(), second.id()));
             views.put(
-                    p.name(),
+                    pool.name(),
                     new Explain.PoolView(
                             ready,
                             names,
-                            BackupPlacement.withBackups(placement(p), backups::contains)
+                            BackupPlacement.withBackups(placement(pool), backups::contains)
                                     .create(ready),
-                            number(p),
-                            p.origin() == null ? null : p.origin().name(),
-                            p.discovery() == null,
-                            file.fallbackChain(List.of(p.name()))));
+                            keyHash(pool),
+                            pool.origin() == null ? null : pool.origin().name(),
+                            pool.discovery() == null,
+                            file.fallbackChain(List.of(pool.name()))));
         }
         return new Explain(file.routes(), views);
     }
--- a/src/main/java/cacheproxy/daemon/PoolSiblings.java
+++ b/src/main/java/cacheproxy/daemon/PoolSiblings.java
@@ -21,11 +21,11 @@
 final class PoolSiblings implements Siblings, Dispatcher.Questions {
     private final SiblingSocket socket;
     private final List<SiblingConfig> siblings;
-    private final List<SiblingStats> records = new ArrayList<>();
+    private final List<SiblingStats> stats = new ArrayList<>();
     private final Map<Integer, Integer> indexById = new HashMap<>();
     private final SplittableRandom random;
     /** What a fetch at a sibling takes; the first guess is soon overruled. */
-    private double siblingMs = 5;
+    private double averageFetchMs = 5;
 
     private SiblingQueryPolicy.Plan plan;
 
@@ -33,9 +33,9 @@
         this.socket = socket;
         this.siblings = siblings;
         this.random = random;
-        for (SiblingConfig s : siblings) {
-            indexById.put(s.id(), records.size());
-            records.add(socket.record(s));
+        for (SiblingConfig sibling : siblings) {
+            indexById.put(sibling.id(), stats.size());
+            stats.add(socket.stats(sibling));
         }
     }
 
@@ -45,34 +45,34 @@
     }
 
     @Override
-    public double waitMs(double now, double fetchMs, double leftMs, double pressure) {
-        plan = SiblingQueryPolicy.plan(now, records, fetchMs, siblingMs, leftMs, pressure, random.nextDouble());
+    public double waitMs(double nowMs, double fetchMs, double leftMs, double pressure) {
+        plan = SiblingQueryPolicy.plan(nowMs, stats, fetchMs, averageFetchMs, leftMs, pressure, random.nextDouble());
         return plan.waitMs();
     }
 
     @Override
-    public void fetched(double now, int sibling, Outcome outcome, double elapsedMs) {
+    public void fetched(double nowMs, int sibling, Outcome outcome, double elapsedMs) {
         if (outcome == Outcome.CANCELLED || outcome == Outcome.NOT_SENT) {
             return; // says nothing of the sibling
         }
-        records.get(indexById.get(sibling)).fetched(outcome == Outcome.OK);
+        stats.get(indexById.get(sibling)).fetched(outcome == Outcome.OK);
         if (outcome == Outcome.OK) {
-            siblingMs += (elapsedMs - siblingMs) / 8;
+            averageFetchMs += (elapsedMs - averageFetchMs) / 8;
         }
     }
 
     /** Called by way of the module, right after it was told how long to wait. */
     @Override
     public void ask(String key, double waitMs, IntConsumer answer) {
-        List<SiblingConfig> whom = new ArrayList<>();
-        plan.siblings().forEach(i -> whom.add(siblings.get(i)));
-        socket.ask(key, whom, waitMs, answer);
+        List<SiblingConfig> queried = new ArrayList<>();
+        plan.siblings().forEach(index -> queried.add(siblings.get(index)));
+        socket.query(key, queried, waitMs, answer);
     }
 
     @Override
     public String classAt(int server) {
-        Integer i = siblings.isEmpty() ? null : indexById.get(server);
-        return i == null ? null : siblings.get(i).className();
+        Integer index = siblings.isEmpty() ? null : indexById.get(server);
+        return index == null ? null : siblings.get(index).className();
     }
 
     @Override
--- a/src/main/java/cacheproxy/daemon/ResponseObserver.java
+++ b/src/main/java/cacheproxy/daemon/ResponseObserver.java
@@ -8,46 +8,46 @@
 /** Hands an answer on and tells of what kind it was, once. */
 public final class ResponseObserver implements Responder {
     private final Responder client;
-    private final Consumer<Answer> told;
+    private final Consumer<Answer> observer;
 
     public ResponseObserver(Responder client, Consumer<Answer> told) {
         this.client = client;
-        this.told = told;
+        this.observer = told;
     }
 
     @Override
     public void value(ByteBuf value) {
-        told.accept(Answer.SERVED);
+        observer.accept(Answer.SERVED);
         client.value(value);
     }
 
     @Override
     public void receipt(String receipt) {
-        told.accept(Answer.SERVED);
+        observer.accept(Answer.SERVED);
         client.receipt(receipt);
     }
 
     @Override
     public void miss() {
-        told.accept(Answer.MISSING);
+        observer.accept(Answer.MISSING);
         client.miss();
     }
 
     @Override
     public void refused(double retryAfterMs) {
-        told.accept(Answer.REFUSED);
+        observer.accept(Answer.REFUSED);
         client.refused(retryAfterMs);
     }
 
     @Override
     public void failed() {
-        told.accept(Answer.FAILED);
+        observer.accept(Answer.FAILED);
         client.failed();
     }
 
     @Override
     public void rejected(String why) {
-        told.accept(Answer.REJECTED);
+        observer.accept(Answer.REJECTED);
         client.rejected(why);
     }
 
@@ -63,13 +63,13 @@
 
     @Override
     public void end() {
-        told.accept(Answer.SERVED);
+        observer.accept(Answer.SERVED);
         client.end();
     }
 
     @Override
     public void breakOff() {
-        told.accept(Answer.FAILED);
+        observer.accept(Answer.FAILED);
         client.breakOff();
     }
 }
--- a/src/main/java/cacheproxy/daemon/RoutedRequest.java
+++ b/src/main/java/cacheproxy/daemon/RoutedRequest.java
@@ -19,146 +19,146 @@
  */
 final class RoutedRequest implements Responder, RequestHandler.Handle {
     private final EventLoopContext core;
-    private final ConfigSnapshot generation;
+    private final ConfigSnapshot config;
     private final List<PoolRuntime> chain;
-    private final RouteInput subject;
+    private final RouteInput input;
     private final Route route;
-    private final ServiceClass kind;
+    private final ServiceClass serviceClass;
     /** As pools get it. */
-    private final ClientRequest command;
+    private final ClientRequest request;
     /** As the client sent it, where a route has changed the key; else null. */
     private final ClientRequest original;
 
     private final Responder client;
-    private int at = -1;
+    private int poolIndex = -1;
     private RequestContext current;
-    private boolean over;
+    private boolean concluded;
     private boolean mayHaveRun;
     /** What drops repeats in all pools in which it may have run; null where that is nothing, or more than one. */
-    private String ranGroup;
+    private String dedupGroupRun;
 
     private boolean failed;
     /** Whether the last pool that was asked has said that it lacks the key: then that is the answer. */
     private boolean missed;
 
-    private double advice;
+    private double longestRetryAfterMs;
     /**
      * What it has taken of the fleet's limits: of those that concern all pools, and of the present pool's; null:
      * nothing.
      */
-    private LocalQuota[] taken;
+    private LocalQuota[] quotasTaken;
 
-    private LocalQuota[] takenOfPool;
+    private LocalQuota[] poolQuotasTaken;
 
     /** Takes the commands over; {@code original} is null unless the key was changed. */
     RoutedRequest(
             EventLoopContext core,
-            ConfigSnapshot generation,
-            RouteInput subject,
+            ConfigSnapshot config,
+            RouteInput input,
             Route route,
-            ClientRequest command,
+            ClientRequest request,
             ClientRequest original,
             Responder client) {
         this.core = core;
-        this.generation = generation;
-        this.subject = subject;
+        this.config = config;
+        this.input = input;
         this.route = route;
-        chain = generation.chain(route);
-        this.command = command;
+        chain = config.chain(route);
+        this.request = request;
         this.original = original;
         this.client = client;
-        kind = generation.file.classes().get(command.serviceClass());
-        generation.inHand++;
+        serviceClass = config.file.classes().get(request.serviceClass());
+        config.pendingRequests++;
     }
 
     /** Goes to the next pool that takes it, or ends. */
     void next() {
-        if (at < 0 && generation.limits != null) {
-            LocalQuota[] all = generation.limits.of("", command);
-            double wait = generation.limits.ask(all, core.now());
-            if (wait > 0) {
-                over();
-                client.refused(wait);
+        if (poolIndex < 0 && config.quotas != null) {
+            LocalQuota[] all = config.quotas.of("", request);
+            double waitMs = config.quotas.ask(all, core.now());
+            if (waitMs > 0) {
+                concluded();
+                client.refused(waitMs);
                 return;
             }
-            taken = take(all);
+            quotasTaken = take(all);
         }
-        while (++at < chain.size()) {
-            PoolRuntime pool = chain.get(at);
-            double now = core.now();
-            if (!Fallback.mayGoOn(kind, mayHaveRun, ranGroup, pool.dedupGroup(), now, command.arrivedMs())) {
+        while (++poolIndex < chain.size()) {
+            PoolRuntime pool = chain.get(poolIndex);
+            double nowMs = core.now();
+            if (!Fallback.mayGoOn(serviceClass, mayHaveRun, dedupGroupRun, pool.dedupGroup(), nowMs, request.arrivedMs())) {
                 break;
             }
-            double due =
-                    Fallback.dueMs(kind, mayHaveRun, at == chain.size() - 1, now, command.arrivedMs(), command.dueMs());
-            if (due <= now) {
+            double dueMs =
+                    Fallback.dueMs(serviceClass, mayHaveRun, poolIndex == chain.size() - 1, nowMs, request.arrivedMs(), request.dueMs());
+            if (dueMs <= nowMs) {
                 break;
             }
-            LocalQuota[] own = generation.limits == null ? null : generation.limits.of(pool.name, command);
-            double wait = own == null ? 0 : generation.limits.ask(own, now);
-            wait = wait > 0 ? wait : pool.admit(now);
-            if (wait > 0) {
-                advice = Math.max(advice, wait);
+            LocalQuota[] own = config.quotas == null ? null : config.quotas.of(pool.name, request);
+            double waitMs = own == null ? 0 : config.quotas.ask(own, nowMs);
+            waitMs = waitMs > 0 ? waitMs : pool.admit(nowMs);
+            if (waitMs > 0) {
+                longestRetryAfterMs = Math.max(longestRetryAfterMs, waitMs);
                 continue;
             }
-            RequestContext x =
-                    RequestContext.of(pool.dispatcher, command, pool.number(subject, route, command.key()), this, due);
-            current = x;
-            takenOfPool = own == null ? null : take(own);
-            pool.dispatcher.take(x);
+            RequestContext context =
+                    RequestContext.of(pool.dispatcher, request, pool.keyHash(input, route, request.key()), this, dueMs);
+            current = context;
+            poolQuotasTaken = own == null ? null : take(own);
+            pool.dispatcher.take(context);
             return;
         }
-        if (failed || !Fallback.mayRefuse(kind, mayHaveRun)) {
-            over();
+        if (failed || !Fallback.mayRefuse(serviceClass, mayHaveRun)) {
+            concluded();
             client.failed();
         } else if (missed) {
-            over();
+            concluded();
             client.miss();
         } else {
-            over();
-            client.refused(advice);
+            concluded();
+            client.refused(longestRetryAfterMs);
         }
     }
 
-    private static LocalQuota[] take(LocalQuota[] of) {
-        for (LocalQuota p : of) {
-            p.take();
+    private static LocalQuota[] take(LocalQuota[] quotas) {
+        for (LocalQuota quota : quotas) {
+            quota.take();
         }
-        return of;
+        return quotas;
     }
 
-    private static void give(LocalQuota[] of) {
-        if (of != null) {
-            for (LocalQuota p : of) {
-                p.give();
+    private static void release(LocalQuota[] quotas) {
+        if (quotas != null) {
+            for (LocalQuota quota : quotas) {
+                quota.give();
             }
         }
     }
 
-    private void givenUp(boolean hasMissed, boolean hasFailed, double retryAfterMs) {
-        if (over) {
+    private void poolRejected(boolean hasMissed, boolean hasFailed, double retryAfterMs) {
+        if (concluded) {
             return;
         }
-        give(takenOfPool);
-        takenOfPool = null;
+        release(poolQuotasTaken);
+        poolQuotasTaken = null;
         if (current.mayHaveRun()) {
-            String group = chain.get(at).dedupGroup();
-            ranGroup = mayHaveRun && (ranGroup == null || !ranGroup.equals(group)) ? null : group;
+            String group = chain.get(poolIndex).dedupGroup();
+            dedupGroupRun = mayHaveRun && (dedupGroupRun == null || !dedupGroupRun.equals(group)) ? null : group;
             mayHaveRun = true;
         }
         failed = hasFailed;
         missed = hasMissed;
-        advice = Math.max(advice, retryAfterMs);
+        longestRetryAfterMs = Math.max(longestRetryAfterMs, retryAfterMs);
         next();
     }
 
-    private void over() {
-        over = true;
-        give(taken);
-        give(takenOfPool);
-        generation.inHand--;
-        core.closeId(command);
-        command.release(core);
+    private void concluded() {
+        concluded = true;
+        release(quotasTaken);
+        release(poolQuotasTaken);
+        config.pendingRequests--;
+        core.closeId(request);
+        request.release(core);
         if (original != null) {
             original.release(core);
         }
@@ -166,34 +166,34 @@
 
     @Override
     public void miss() {
-        givenUp(true, false, 0);
+        poolRejected(true, false, 0);
     }
 
     @Override
     public void refused(double retryAfterMs) {
-        givenUp(false, false, retryAfterMs);
+        poolRejected(false, false, retryAfterMs);
     }
 
     @Override
     public void failed() {
-        givenUp(false, true, 0);
+        poolRejected(false, true, 0);
     }
 
     @Override
     public void value(ByteBuf value) {
-        over();
+        concluded();
         client.value(value);
     }
 
     @Override
     public void receipt(String receipt) {
-        over();
+        concluded();
         client.receipt(receipt);
     }
 
     @Override
     public void rejected(String why) {
-        over();
+        concluded();
         client.rejected(why);
     }
 
@@ -209,22 +209,22 @@
 
     @Override
     public void end() {
-        over();
+        concluded();
         client.end();
     }
 
     @Override
     public void breakOff() {
-        if (!over) {
-            over();
+        if (!concluded) {
+            concluded();
         }
         client.breakOff();
     }
 
     @Override
     public void gone() {
-        if (!over) {
-            over();
+        if (!concluded) {
+            concluded();
             current.gone();
         }
     }
--- a/src/main/java/cacheproxy/daemon/Router.java
+++ b/src/main/java/cacheproxy/daemon/Router.java
@@ -13,7 +13,7 @@
 /** Takes the requests of all listeners and sends each on its route. */
 public final class Router {
     private final EventLoopContext core;
-    private ConfigSnapshot generation;
+    private ConfigSnapshot configuration;
 
     Router(EventLoopContext core) {
         this.core = core;
@@ -21,55 +21,55 @@
 
     /** Requests that come from now on go by this. */
     void use(ConfigSnapshot next) {
-        generation = next;
+        configuration = next;
     }
 
-    ConfigSnapshot generation() {
-        return generation;
+    ConfigSnapshot configuration() {
+        return configuration;
     }
 
     /** What a listener of this name hands its requests to. */
     RequestHandler from(String listener) {
-        return (command, responder) -> take(listener, command, responder);
+        return (request, responder) -> take(listener, request, responder);
     }
 
-    private RequestHandler.Handle take(String listener, ClientRequest command, Responder responder) {
-        ConfigSnapshot g = generation;
-        String fault = g.intake.resolve(command);
+    private RequestHandler.Handle take(String listener, ClientRequest request, Responder responder) {
+        ConfigSnapshot config = configuration;
+        String fault = config.requestValidator.resolve(request);
         if (fault != null) {
-            command.release(core);
+            request.release(core);
             responder.rejected(fault);
             return null;
         }
-        if (g.intake.expired(command)) {
-            core.closeId(command);
-            command.release(core);
+        if (config.requestValidator.expired(request)) {
+            core.closeId(request);
+            request.release(core);
             responder.refused(0);
             return null;
         }
-        List<HookExecutor> hooks = g.hooks.get(listener);
+        List<HookExecutor> hooks = config.hooksOfListener.get(listener);
         return hooks != null
-                ? new HookedRequest(core, this, g, hooks, listener, command, responder).start()
-                : route(g, listener, null, command, responder);
+                ? new HookedRequest(core, this, config, hooks, listener, request, responder).start()
+                : route(config, listener, null, request, responder);
     }
 
     /** Sends a request on its route, or on the one that a hook has named. */
     public RequestHandler.Handle route(
-            ConfigSnapshot g, String listener, Route named, ClientRequest command, Responder responder) {
-        RouteInput s = g.file.keys()
-                .subject(listener, command.key(), command.serviceClass(), command.tenant(), command.write());
-        Route route = s == null ? null : named != null ? named : g.file.routes().find(s);
+            ConfigSnapshot config, String listener, Route named, ClientRequest request, Responder responder) {
+        RouteInput input = config.file.keys()
+                .subject(listener, request.key(), request.serviceClass(), request.tenant(), request.write());
+        Route route = input == null ? null : named != null ? named : config.file.routes().find(input);
         if (route != null && route.action() instanceof Route.ToPools) {
-            return to(g, listener, s, route, command, responder);
+            return to(config, listener, input, route, request, responder);
         }
-        core.closeId(command);
-        command.release(core);
-        if (s == null) {
+        core.closeId(request);
+        request.release(core);
+        if (input == null) {
             responder.rejected("key is no path");
         } else if (route == null) {
             responder.rejected("no route takes this key");
-        } else if (route.action() instanceof Route.Refuse r) {
-            responder.refused(r.afterMs());
+        } else if (route.action() instanceof Route.Refuse refusal) {
+            responder.refused(refusal.afterMs());
         } else {
             responder.failed();
         }
@@ -77,34 +77,34 @@
     }
 
     private RequestHandler.Handle to(
-            ConfigSnapshot g, String listener, RouteInput s, Route route, ClientRequest command, Responder responder) {
-        String key = route.poolKey(s);
+            ConfigSnapshot config, String listener, RouteInput input, Route route, ClientRequest request, Responder responder) {
+        String key = route.poolKey(input);
         if (key == null) {
-            core.closeId(command);
-            command.release(core);
+            core.closeId(request);
+            request.release(core);
             responder.rejected("route " + route.name() + " makes no legal key of this one");
             return null;
         }
         // Whoever asks from another proxy gets what our nodes have, and nothing is fetched for him: no loops.
-        if (g.siblings.icp() != null
-                && listener.equals(g.siblings.icp().listener())
-                && (command.write()
-                        || !g.chain(route).stream()
-                                .allMatch(p ->
-                                        p.spec().origin() == null && p.spec().discovery() == null))) {
-            core.closeId(command);
-            command.release(core);
-            if (command.write()) {
+        if (config.siblings.icp() != null
+                && listener.equals(config.siblings.icp().listener())
+                && (request.write()
+                        || !config.chain(route).stream()
+                                .allMatch(pool ->
+                                        pool.config().origin() == null && pool.config().discovery() == null))) {
+            core.closeId(request);
+            request.release(core);
+            if (request.write()) {
                 responder.rejected("siblings do not write here");
             } else {
                 responder.miss();
             }
             return null;
         }
-        boolean rewritten = !key.equals(command.key());
-        RoutedRequest r = new RoutedRequest(
-                core, g, s, route, rewritten ? command.withKey(key) : command, rewritten ? command : null, responder);
-        r.next();
-        return r;
+        boolean rewritten = !key.equals(request.key());
+        RoutedRequest routed = new RoutedRequest(
+                core, config, input, route, rewritten ? request.withKey(key) : request, rewritten ? request : null, responder);
+        routed.next();
+        return routed;
     }
 }
--- a/src/main/java/cacheproxy/daemon/SiblingSocket.java
+++ b/src/main/java/cacheproxy/daemon/SiblingSocket.java
@@ -41,9 +41,9 @@
     static final String SECTION = "icp";
 
     /** Servers that the digest tells apart. */
-    private static final int MOST_SERVERS = 4096;
+    private static final int MAX_SERVERS = 4096;
     /** Strangers that are remembered for what they were denied. */
-    private static final int MOST_STRANGERS = 1024;
+    private static final int MAX_STRANGERS = 1024;
     /** How long answers that come too late are known as such, and measured. */
     private static final double LATE_MS = 2000;
 
@@ -51,38 +51,38 @@
     private final EventLoopContext core;
     private final SplittableRandom random;
     private final CacheDigest digest;
-    private final PendingQueries<InetSocketAddress> questions;
-    private final DenialLimiter<InetSocketAddress> denials = new DenialLimiter<>(MOST_STRANGERS);
-    private final Map<String, SiblingStats> records;
+    private final PendingQueries<InetSocketAddress> pendingQueries;
+    private final DenialLimiter<InetSocketAddress> denials = new DenialLimiter<>(MAX_STRANGERS);
+    private final Map<String, SiblingStats> statsByName;
     private final Map<InetSocketAddress, SiblingConfig> byAddress = new HashMap<>();
-    private final Map<Integer, IntConsumer> waiting = new HashMap<>();
-    private final TokenBucket questionRate;
+    private final Map<Integer, IntConsumer> callbacks = new HashMap<>();
+    private final TokenBucket queryRate;
     /** Each sibling has one, so that none can use up another's; all strangers share a small one. */
     private final Map<InetSocketAddress, TokenBucket> answerRates = new HashMap<>();
 
     private final TokenBucket strangersRate;
     /** By whose routes and pools questions are answered. */
-    private Supplier<ConfigSnapshot> generation = () -> null;
+    private Supplier<ConfigSnapshot> configuration = () -> null;
 
     private volatile Channel channel;
-    private long malformed;
-    private long overRate;
+    private long malformedCount;
+    private long overRateCount;
 
     private SiblingSocket(DaemonConfig file, EventLoopContext core, SiblingSocket before, int seed) {
         spec = SiblingsConfig.of(file);
         this.core = core;
         random = new SplittableRandom(seed);
         IcpConfig icp = spec.icp();
-        digest = new CacheDigest(icp.rememberedKeys(), icp.rememberMs(), MOST_SERVERS);
-        questions = new PendingQueries<>(icp.maxPendingQueries(), LATE_MS, random.nextInt());
-        records = before == null ? new HashMap<>() : before.records;
-        questionRate = new TokenBucket(icp.maxQueriesPerSecond(), Math.max(1, icp.maxQueriesPerSecond() / 10));
+        digest = new CacheDigest(icp.rememberedKeys(), icp.rememberMs(), MAX_SERVERS);
+        pendingQueries = new PendingQueries<>(icp.maxPendingQueries(), LATE_MS, random.nextInt());
+        statsByName = before == null ? new HashMap<>() : before.statsByName;
+        queryRate = new TokenBucket(icp.maxQueriesPerSecond(), Math.max(1, icp.maxQueriesPerSecond() / 10));
         strangersRate = new TokenBucket(
                 Math.max(1, icp.maxQueriesPerSecond() / 10), Math.max(1, icp.maxQueriesPerSecond() / 100));
-        spec.siblings().forEach(s -> {
-            byAddress.put(s.icpAddress(), s);
+        spec.siblings().forEach(sibling -> {
+            byAddress.put(sibling.icpAddress(), sibling);
             answerRates.put(
-                    s.icpAddress(),
+                    sibling.icpAddress(),
                     new TokenBucket(icp.maxQueriesPerSecond(), Math.max(1, icp.maxQueriesPerSecond() / 10)));
         });
     }
@@ -95,19 +95,19 @@
             return Optional.empty();
         }
         SiblingSocket socket = bind(file, context.core(), (SiblingSocket) previous, seed);
-        socket.generation = context.configuration();
+        socket.configuration = context.configuration();
         return Optional.of(socket);
     }
 
     private static SiblingSocket bind(DaemonConfig file, EventLoopContext core, SiblingSocket before, int seed)
             throws ConfigException, InterruptedException {
-        SiblingSocket s = new SiblingSocket(file, core, before, seed);
+        SiblingSocket sibling = new SiblingSocket(file, core, before, seed);
         if (before != null
-                && SocketBinder.same(before.spec.icp().address(), s.spec.icp().address())) {
+                && SocketBinder.conflict(before.spec.icp().address(), sibling.spec.icp().address())) {
             before.channel.close().sync(); // there is no second socket at its address
         }
-        s.listen(file);
-        return s;
+        sibling.listen(file);
+        return sibling;
     }
 
     private void listen(DaemonConfig asked) throws ConfigException, InterruptedException {
@@ -132,8 +132,8 @@
         return Optional.of((InetSocketAddress) channel.localAddress());
     }
 
-    SiblingStats record(SiblingConfig s) {
-        return records.computeIfAbsent(s.name(), n -> new SiblingStats());
+    SiblingStats stats(SiblingConfig sibling) {
+        return statsByName.computeIfAbsent(sibling.name(), name -> new SiblingStats());
     }
 
     PoolSiblings of(PoolConfig pool) {
@@ -144,7 +144,7 @@
     @Override
     public void close() {
         channel.close();
-        waiting.clear();
+        callbacks.clear();
     }
 
     // ---- what our servers have
@@ -169,44 +169,44 @@
     // ---- asking
 
     /** Asks; where a bound is reached nothing goes out, and the module goes on when its wait is over. */
-    void ask(String key, List<SiblingConfig> whom, double waitMs, IntConsumer answer) {
-        double now = core.now();
-        if (!questionRate.tryAcquire(now)) {
-            overRate++;
+    void query(String key, List<SiblingConfig> queried, double waitMs, IntConsumer answer) {
+        double nowMs = core.now();
+        if (!queryRate.tryAcquire(nowMs)) {
+            overRateCount++;
             return;
         }
         String url = spec.icp().urlPrefix() + key;
-        PendingQueries<InetSocketAddress>.Question q = questions.ask(
-                now, url, whom.stream().map(SiblingConfig::icpAddress).toList(), waitMs);
-        if (q == null) {
+        PendingQueries<InetSocketAddress>.Question pending = pendingQueries.ask(
+                nowMs, url, queried.stream().map(SiblingConfig::icpAddress).toList(), waitMs);
+        if (pending == null) {
             return;
         }
-        waiting.put(q.number, answer);
+        callbacks.put(pending.number, answer);
         core.after(waitMs, () -> {
-            q.end();
-            waiting.remove(q.number);
+            pending.end();
+            callbacks.remove(pending.number);
         });
-        for (SiblingConfig s : whom) {
-            record(s).asked(now);
+        for (SiblingConfig sibling : queried) {
+            stats(sibling).asked(nowMs);
             channel.write(new DatagramPacket(
-                    IcpCodec.encode(channel.alloc(), IcpMessage.query(q.number, 0, url)), s.icpAddress()));
+                    IcpCodec.encode(channel.alloc(), IcpMessage.query(pending.number, 0, url)), sibling.icpAddress()));
         }
         channel.flush();
     }
 
-    private void answered(InetSocketAddress from, IcpMessage m) {
-        boolean hit = m.opcode() == Opcode.HIT || m.opcode() == Opcode.HIT_OBJ;
-        PendingQueries.Reply<PendingQueries<InetSocketAddress>.Question> r =
-                questions.answered(core.now(), m.requestNumber(), from, m.url(), hit);
-        switch (r.verdict()) {
-            case FIRST_HIT, COUNTED, LAST, LATE -> record(byAddress.get(from)).answered(r.elapsedMs(), hit);
+    private void answered(InetSocketAddress from, IcpMessage message) {
+        boolean hit = message.opcode() == Opcode.HIT || message.opcode() == Opcode.HIT_OBJ;
+        PendingQueries.Reply<PendingQueries<InetSocketAddress>.Question> reply =
+                pendingQueries.answered(core.now(), message.requestNumber(), from, message.url(), hit);
+        switch (reply.verdict()) {
+            case FIRST_HIT, COUNTED, LAST, LATE -> stats(byAddress.get(from)).answered(reply.elapsedMs(), hit);
             default -> {
                 return; // counted, and no business of any request
             }
         }
-        boolean last = r.verdict() == PendingQueries.Verdict.LAST;
-        if (last || r.verdict() == PendingQueries.Verdict.FIRST_HIT) {
-            IntConsumer answer = waiting.remove(m.requestNumber());
+        boolean last = reply.verdict() == PendingQueries.Verdict.LAST;
+        if (last || reply.verdict() == PendingQueries.Verdict.FIRST_HIT) {
+            IntConsumer answer = callbacks.remove(message.requestNumber());
             if (answer != null) {
                 answer.accept(last ? 0 : byAddress.get(from).id());
             }
@@ -223,26 +223,26 @@
         if (denied) {
             return Opcode.DENIED;
         }
-        ConfigSnapshot g = generation.get();
+        ConfigSnapshot config = configuration.get();
         String prefix = spec.icp().urlPrefix();
-        if (g == null || !query.url().startsWith(prefix)) {
+        if (config == null || !query.url().startsWith(prefix)) {
             return Opcode.ERR;
         }
         String key = query.url().substring(prefix.length());
-        RouteInput s = key.isEmpty() || key.length() > 250 || spec.icp().listener() == null
+        RouteInput sibling = key.isEmpty() || key.length() > 250 || spec.icp().listener() == null
                 ? null
-                : g.file.keys().subject(spec.icp().listener(), key, 0, 0, false);
-        Route route = s == null ? null : g.file.routes().find(s);
-        String poolKey = route == null || !(route.action() instanceof Route.ToPools) ? null : route.poolKey(s);
+                : config.file.keys().subject(spec.icp().listener(), key, 0, 0, false);
+        Route route = sibling == null ? null : config.file.routes().find(sibling);
+        String poolKey = route == null || !(route.action() instanceof Route.ToPools) ? null : route.poolKey(sibling);
         if (poolKey == null) {
             return Opcode.MISS;
         }
-        PoolRuntime pool = g.chain(route).get(0);
+        PoolRuntime pool = config.chain(route).get(0);
         boolean pressed = pool.dispatcher.pressed();
         long number = RequestValidator.keyNumber(poolKey);
         if (!pressed && digest.holds(core.now(), number)) {
             int server = digest.server(number);
-            if (pool.has(server) && pool.dispatcher.sound(server)) {
+            if (pool.hasServer(server) && pool.dispatcher.sound(server)) {
                 return Opcode.HIT;
             }
         }
@@ -252,23 +252,23 @@
     private final class Handler extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-            IcpMessage m;
+            IcpMessage message;
             try {
-                m = IcpCodec.decode(packet.content());
+                message = IcpCodec.decode(packet.content());
             } catch (IcpCodec.Malformed e) {
-                malformed++;
+                malformedCount++;
                 return;
             }
-            if (m.opcode().answers()) {
-                answered(packet.sender(), m);
-            } else if (m.opcode() == Opcode.QUERY) {
+            if (message.opcode().answers()) {
+                answered(packet.sender(), message);
+            } else if (message.opcode() == Opcode.QUERY) {
                 if (!answerRates.getOrDefault(packet.sender(), strangersRate).tryAcquire(core.now())) {
-                    overRate++;
+                    overRateCount++;
                     return;
                 }
-                Opcode with = answer(packet.sender(), m);
+                Opcode with = answer(packet.sender(), message);
                 if (with != null) {
-                    ctx.write(new DatagramPacket(IcpCodec.encode(ctx.alloc(), m.answer(with)), packet.sender()));
+                    ctx.write(new DatagramPacket(IcpCodec.encode(ctx.alloc(), message.answer(with)), packet.sender()));
                 }
             }
         }
@@ -286,11 +286,11 @@
 
     /** Datagrams dropped as they were no ICP, and those over the rate, so far. */
     long[] dropped() {
-        return new long[] {malformed, overRate};
+        return new long[] {malformedCount, overRateCount};
     }
 
     /** What became of the datagrams that claimed to be answers. */
-    long count(PendingQueries.Verdict v) {
-        return questions.count(v);
+    long count(PendingQueries.Verdict verdict) {
+        return pendingQueries.count(verdict);
     }
 }
--- a/src/main/java/cacheproxy/daemon/SocketBinder.java
+++ b/src/main/java/cacheproxy/daemon/SocketBinder.java
@@ -19,16 +19,16 @@
     private SocketBinder() {}
 
     /** Why an address can't be had, as an error of the file. */
-    static String fault(DaemonConfig file, String what, InetSocketAddress at, Throwable cause) {
-        return file.path() + ":1:1: " + what + " can't be bound to " + Addresses.text(at) + ": "
+    static String describeFailure(DaemonConfig file, String subsystem, InetSocketAddress at, Throwable cause) {
+        return file.path() + ":1:1: " + subsystem + " can't be bound to " + Addresses.text(at) + ": "
                 + String.valueOf(cause.getMessage()).lines().findFirst().orElse("");
     }
 
     /** The channel once it is bound; else the exception. */
-    static Channel require(ChannelFuture bound, DaemonConfig file, String what, InetSocketAddress at)
+    static Channel require(ChannelFuture bound, DaemonConfig file, String subsystem, InetSocketAddress at)
             throws ConfigException, InterruptedException {
         if (!bound.await().isSuccess()) {
-            throw ConfigException.of(List.of(fault(file, what, at, bound.cause())));
+            throw ConfigException.of(List.of(describeFailure(file, subsystem, at, bound.cause())));
         }
         return bound.channel();
     }
@@ -37,25 +37,25 @@
     public static Channel datagrams(
             EventLoopContext core,
             DaemonConfig file,
-            String what,
+            String subsystem,
             InetSocketAddress at,
-            int longest,
+            int maxDatagramBytes,
             ChannelHandler handler)
             throws ConfigException, InterruptedException {
         return require(
                 new Bootstrap()
                         .group(core.loop())
                         .channel(Transport.BEST.datagram())
-                        .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(longest + 1))
+                        .option(ChannelOption.RECVBUF_ALLOCATOR, new FixedRecvByteBufAllocator(maxDatagramBytes + 1))
                         .handler(handler)
                         .bind(at),
                 file,
-                what,
+                subsystem,
                 at);
     }
 
     /** Whether another can't be bound beside one that is bound here. */
-    public static boolean same(InetSocketAddress one, InetSocketAddress other) {
+    public static boolean conflict(InetSocketAddress one, InetSocketAddress other) {
         return one.equals(other) && one.getPort() != 0;
     }
 }
--- a/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
@@ -132,7 +132,7 @@
             return Optional.empty();
         }
         FleetSubsystem old = (FleetSubsystem) before;
-        if (old != null && SocketBinder.same(old.spec.listen(), spec.listen())) {
+        if (old != null && SocketBinder.conflict(old.spec.listen(), spec.listen())) {
             old.channel.close().sync(); // there is no second socket at its address
         }
         // What the one before has given its word on may run for its own longest lease.
--- a/src/main/java/cacheproxy/daemon/hooks/HookExecutor.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookExecutor.java
@@ -25,7 +25,7 @@
 
     private static final long START_SECONDS = 10;
 
-    public final HookConfig spec;
+    public final HookConfig config;
     final HookBreaker breaker;
     private final HookModule module;
     private final ArrayBlockingQueue<Task> queue;
@@ -90,14 +90,14 @@
         }
     }
 
-    private HookExecutor(HookConfig spec, HookModule module, HookInstance first) {
-        this.spec = spec;
+    private HookExecutor(HookConfig config, HookModule module, HookInstance first) {
+        this.config = config;
         this.module = module;
         instance = first;
         wantsAnswers = first.wantsAnswers();
-        breaker = new HookBreaker(spec.breakerFailureRatio(), spec.breakerOffMs());
-        queue = new ArrayBlockingQueue<>(spec.queueCapacity());
-        worker = new Thread(null, this::work, "hook " + spec.name(), STACK_BYTES);
+        breaker = new HookBreaker(config.breakerFailureRatio(), config.breakerOffMs());
+        queue = new ArrayBlockingQueue<>(config.queueCapacity());
+        worker = new Thread(null, this::work, "hook " + config.name(), STACK_BYTES);
         worker.setDaemon(true);
     }
 
@@ -105,8 +105,8 @@
      * Loads and starts a hook; not on the event loop. {@code on_load} has a thread of its own that is not waited for
      * long.
      */
-    static HookExecutor start(HookConfig spec, byte[] bytes) throws HookException {
-        HookModule module = HookModule.load(bytes, spec.limits(), spec.config());
+    static HookExecutor start(HookConfig config, byte[] bytes) throws HookException {
+        HookModule module = HookModule.load(bytes, config.limits(), config.config());
         HookInstance[] first = new HookInstance[1];
         HookException[] failed = new HookException[1];
         CountDownLatch done = new CountDownLatch(1);
@@ -121,7 +121,7 @@
                         done.countDown();
                     }
                 },
-                "hook " + spec.name() + " starts",
+                "hook " + config.name() + " starts",
                 STACK_BYTES);
         starter.setDaemon(true);
         starter.start();
@@ -137,7 +137,7 @@
         if (failed[0] != null) {
             throw failed[0];
         }
-        return new HookExecutor(spec, module, first[0]);
+        return new HookExecutor(config, module, first[0]);
     }
 
     void begin() {
@@ -151,7 +151,7 @@
 
     /** Tells the module of an answer, if it asks for that and there is room; nothing waits for it. */
     void answered(HookCall call, HookCall.Answer answer, long elapsedMs) {
-        queue.offer(new Task(call, 0, (o, f, r) -> {}, answer, elapsedMs));
+        queue.offer(new Task(call, 0, (orders, failure, called) -> {}, answer, elapsedMs));
     }
 
     /** Whether the module is to be told of answers. */
@@ -179,9 +179,9 @@
                 if (task.answer != null) {
                     logged(instance.answered(task.call, task.answer, task.elapsedMs));
                 } else {
-                    HookInstance.Result r = instance.call(task.call);
-                    orders = r.orders();
-                    logged(r.log());
+                    HookInstance.Result result = instance.call(task.call);
+                    orders = result.orders();
+                    logged(result.log());
                 }
             } catch (HookException e) {
                 failure = e.getMessage();
@@ -217,7 +217,7 @@
     }
 
     private void logged(List<String> lines) {
-        lines.forEach(l -> log.accept("hook " + spec.name() + ": " + l));
+        lines.forEach(text -> log.accept("hook " + config.name() + ": " + text));
     }
 
     public void stop() {
--- a/src/main/java/cacheproxy/daemon/hooks/HookSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookSubsystem.java
@@ -12,12 +12,12 @@
 /** The hooks of a file. They are loaded anew with every file: a module may have changed behind its path. */
 public final class HookSubsystem implements Subsystem {
     private final EventLoopContext core;
-    private final List<HookExecutor> runners;
-    private boolean used;
+    private final List<HookExecutor> executors;
+    private boolean applied;
 
     private HookSubsystem(EventLoopContext core, List<HookExecutor> runners) {
         this.core = core;
-        this.runners = runners;
+        this.executors = runners;
     }
 
     /** Loads and starts the hooks of a configuration, each on a thread of its own; empty if it has none. */
@@ -30,7 +30,7 @@
 
     /** The running hooks, in the order in which requests pass them. */
     public List<HookExecutor> executors() {
-        return runners;
+        return executors;
     }
 
     @Override
@@ -40,10 +40,10 @@
 
     @Override
     public void apply(DaemonConfig file) {
-        used = true;
-        runners.forEach(h -> {
-            h.log(core);
-            h.begin();
+        applied = true;
+        executors.forEach(executor -> {
+            executor.log(core);
+            executor.begin();
         });
     }
 
@@ -53,8 +53,8 @@
      */
     @Override
     public void close() {
-        if (!used) {
-            runners.forEach(HookExecutor::stop);
+        if (!applied) {
+            executors.forEach(HookExecutor::stop);
         }
     }
 }
--- a/src/main/java/cacheproxy/daemon/hooks/HookedRequest.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookedRequest.java
@@ -27,67 +27,67 @@
  */
 public final class HookedRequest implements RequestHandler.Handle {
     /** What a hook may take of the time that is left. */
-    private static final double PART = 0.5;
+    private static final double MAX_FRACTION_OF_TIME_LEFT = 0.5;
     /** A call whose time is over and whose end is just being told elsewhere is looked at again after so long. */
-    private static final double LOOK_AGAIN_MS = 1;
+    private static final double MIN_TIMER_MS = 1;
 
     private final EventLoopContext core;
     private final Router router;
-    private final ConfigSnapshot generation;
+    private final ConfigSnapshot config;
     private final List<HookExecutor> hooks;
     private final String listener;
     private final Responder responder;
     private final int sentClass;
     /** What each of those that want to be told of the answer was asked. */
-    private final Map<HookExecutor, HookCall> asked = new IdentityHashMap<>(2);
+    private final Map<HookExecutor, HookCall> callsByHook = new IdentityHashMap<>(2);
 
-    private ClientRequest command;
-    private Route named;
-    private int at;
+    private ClientRequest request;
+    private Route routeByHook;
+    private int hookIndex;
     /** The call that is out; its time is watched by the loop. */
-    private volatile HookExecutor.Task out;
+    private volatile HookExecutor.Task runningTask;
 
-    private TimerWheel.Timer watch;
+    private TimerWheel.Timer watchTimer;
     private volatile boolean gone;
     private RequestHandler.Handle routed;
 
     public HookedRequest(
             EventLoopContext core,
             Router router,
-            ConfigSnapshot generation,
+            ConfigSnapshot config,
             List<HookExecutor> hooks,
             String listener,
-            ClientRequest command,
+            ClientRequest request,
             Responder responder) {
         this.core = core;
         this.router = router;
-        this.generation = generation;
+        this.config = config;
         this.hooks = hooks;
         this.listener = listener;
-        this.command = command;
+        this.request = request;
         this.responder = hooks.stream().anyMatch(HookExecutor::wantsAnswers)
                 ? new ResponseObserver(responder, this::answered)
                 : responder;
-        sentClass = command.serviceClass();
-        generation.inHand++;
+        sentClass = request.serviceClass();
+        config.pendingRequests++;
     }
 
     public RequestHandler.Handle start() {
         double shortest =
-                hooks.stream().mapToDouble(h -> h.spec.limits().timeMs()).min().orElse(0);
-        watch(Math.min(shortest, (command.dueMs() - core.now()) * PART));
+                hooks.stream().mapToDouble(hook -> hook.config.limits().timeMs()).min().orElse(0);
+        watchTimer(Math.min(shortest, (request.dueMs() - core.now()) * MAX_FRACTION_OF_TIME_LEFT));
         next();
         return this;
     }
 
     /** One timer for all calls: set for the earliest that any may end, and again for the one that is out by then. */
-    private void watch(double afterMs) {
-        watch = core.after(Math.max(LOOK_AGAIN_MS, afterMs), () -> {
-            HookExecutor.Task t = out;
-            double left = t == null ? 0 : t.untilMs - core.now();
-            watch(left); // before its end is told, which may be the last
-            if (t != null && left <= 0) {
-                t.expire();
+    private void watchTimer(double afterMs) {
+        watchTimer = core.after(Math.max(MIN_TIMER_MS, afterMs), () -> {
+            HookExecutor.Task task = runningTask;
+            double leftMs = task == null ? 0 : task.untilMs - core.now();
+            watchTimer(leftMs); // before its end is told, which may be the last
+            if (task != null && leftMs <= 0) {
+                task.expire();
             }
         });
     }
@@ -102,49 +102,49 @@
     }
 
     private void next() {
-        while (at < hooks.size()) {
-            HookExecutor hook = hooks.get(at);
-            if (!hook.spec.routes().isEmpty() && !core.loop().inEventLoop()) {
+        while (hookIndex < hooks.size()) {
+            HookExecutor hook = hooks.get(hookIndex);
+            if (!hook.config.routes().isEmpty() && !core.loop().inEventLoop()) {
                 core.loop().execute(this::next); // routes are looked up there alone
                 return;
             }
-            at++;
-            double now = core.now();
-            double left = command.dueMs() - now;
-            if (!hook.spec.routes().isEmpty() && !applies(hook)) {
+            hookIndex++;
+            double nowMs = core.now();
+            double leftMs = request.dueMs() - nowMs;
+            if (!hook.config.routes().isEmpty() && !applies(hook)) {
                 continue;
             }
-            if (left < 2) {
-                refuse(hook.spec.retryAfterMs());
+            if (leftMs < 2) {
+                refuse(hook.config.retryAfterMs());
                 return;
             }
-            if (!hook.breaker.call(now)) {
+            if (!hook.breaker.call(nowMs)) {
                 if (failed(hook)) {
                     return;
                 }
                 continue;
             }
-            ServiceClass kind = generation.file.classes().get(command.serviceClass());
-            String tenant = generation.file.tenants().isEmpty()
+            ServiceClass serviceClass = config.file.classes().get(request.serviceClass());
+            String tenant = config.file.tenants().isEmpty()
                     ? ""
-                    : generation.file.tenants().get(command.tenant()).name();
+                    : config.file.tenants().get(request.tenant()).name();
             HookCall call =
-                    new HookCall(command.key(), kind.name(), tenant, command.write(), command.repeat(), (long) left);
+                    new HookCall(request.key(), serviceClass.name(), tenant, request.write(), request.repeat(), (long) leftMs);
             if (hook.wantsAnswers()) {
-                asked.put(hook, call);
+                callsByHook.put(hook, call);
             }
             HookExecutor.Task task = hook.task(
                     call,
-                    now + Math.min(hook.spec.limits().timeMs(), left * PART),
+                    nowMs + Math.min(hook.config.limits().timeMs(), leftMs * MAX_FRACTION_OF_TIME_LEFT),
                     (orders, failure, run) -> ended(hook, orders, failure, run));
-            out = task;
+            runningTask = task;
             if (task.offer()) {
                 return; // and it may be in other hands already
             }
             if (!task.withdraw()) {
                 return;
             }
-            asked.remove(hook);
+            callsByHook.remove(hook);
             hook.breaker.notRun();
             if (failed(hook)) {
                 return;
@@ -156,49 +156,49 @@
                 return;
             }
             over();
-            routed = router.route(generation, listener, named, command, responder);
+            routed = router.route(config, listener, routeByHook, request, responder);
         });
     }
 
     /** Whether the request would go on one of the hook's routes as it is now. */
     private boolean applies(HookExecutor hook) {
-        RouteInput s = generation
+        RouteInput input = config
                 .file
                 .keys()
-                .subject(listener, command.key(), command.serviceClass(), command.tenant(), command.write());
-        Route r = named != null
-                ? named
-                : s == null ? null : generation.file.routes().find(s);
-        return r != null && hook.spec.routes().contains(r.name());
+                .subject(listener, request.key(), request.serviceClass(), request.tenant(), request.write());
+        Route route = routeByHook != null
+                ? routeByHook
+                : input == null ? null : config.file.routes().find(input);
+        return route != null && hook.config.routes().contains(route.name());
     }
 
     private void answered(HookCall.Answer answer) {
-        long elapsed = Math.round(core.now() - command.arrivedMs());
-        asked.forEach((hook, call) -> hook.answered(call, answer, elapsed));
+        long elapsed = Math.round(core.now() - request.arrivedMs());
+        callsByHook.forEach((hook, call) -> hook.answered(call, answer, elapsed));
     }
 
     /** Where a hook fails: true if that ends the request. */
     private boolean failed(HookExecutor hook) {
-        if (hook.spec.rejectOnFailure()) {
-            refuse(hook.spec.retryAfterMs());
+        if (hook.config.rejectOnFailure()) {
+            refuse(hook.config.retryAfterMs());
             return true;
         }
         return false;
     }
 
-    private void note(HookExecutor hook, double now, boolean failure, String why) {
-        if (hook.breaker.ended(now, failure)) {
-            onLoop(() -> core.log("hook " + hook.spec.name() + " is switched off for "
-                    + Math.round(hook.spec.breakerOffMs()) + " ms, as too many calls fail; the last: " + why));
+    private void note(HookExecutor hook, double nowMs, boolean failure, String fault) {
+        if (hook.breaker.ended(nowMs, failure)) {
+            onLoop(() -> core.log("hook " + hook.config.name() + " is switched off for "
+                    + Math.round(hook.config.breakerOffMs()) + " ms, as too many calls fail; the last: " + fault));
         }
     }
 
     private void ended(HookExecutor hook, HookOrders orders, String failure, boolean run) {
-        double now = core.now();
-        double left = command.dueMs() - now;
-        String why = failure != null ? failure : generation.rules.refused(orders, sentClass, (long) Math.max(0, left));
+        double nowMs = core.now();
+        double leftMs = request.dueMs() - nowMs;
+        String fault = failure != null ? failure : config.hookRules.refused(orders, sentClass, (long) Math.max(0, leftMs));
         if (run) {
-            note(hook, now, why != null, why);
+            note(hook, nowMs, fault != null, fault);
         } else {
             hook.breaker.notRun();
         }
@@ -206,29 +206,29 @@
             onLoop(this::release);
             return;
         }
-        if (why != null) {
+        if (fault != null) {
             if (!failed(hook)) {
                 next();
             }
             return;
         }
         if (orders.note() != null && core.takesLines()) {
-            onLoop(() -> core.log("hook " + hook.spec.name() + ": " + orders.note()));
+            onLoop(() -> core.log("hook " + hook.config.name() + ": " + orders.note()));
         }
         if (orders.refuseMs() > 0) {
             refuse(orders.refuseMs());
             return;
         }
-        if (orders.key() != null && !orders.key().equals(command.key())) {
-            command = command.moved(orders.key());
+        if (orders.key() != null && !orders.key().equals(request.key())) {
+            request = request.moved(orders.key());
         }
-        command.order(
+        request.order(
                 orders.serviceClass() == null
-                        ? command.serviceClass()
-                        : generation.rules.classIndex(orders.serviceClass()),
-                orders.tenant() == null ? command.tenant() : generation.rules.tenantIndex(orders.tenant()),
-                orders.remainingMs() > 0 ? now + orders.remainingMs() : command.dueMs());
-        named = orders.route() == null ? named : generation.route(orders.route());
+                        ? request.serviceClass()
+                        : config.hookRules.classIndex(orders.serviceClass()),
+                orders.tenant() == null ? request.tenant() : config.hookRules.tenantIndex(orders.tenant()),
+                orders.remainingMs() > 0 ? nowMs + orders.remainingMs() : request.dueMs());
+        routeByHook = orders.route() == null ? routeByHook : config.route(orders.route());
         next();
     }
 
@@ -243,13 +243,13 @@
 
     private void release() {
         over();
-        core.closeId(command);
-        command.release(core);
+        core.closeId(request);
+        request.release(core);
     }
 
     private void over() {
-        watch.cancel();
-        generation.inHand--;
+        watchTimer.cancel();
+        config.pendingRequests--;
     }
 
     @Override
--- a/src/main/java/cacheproxy/daemon/hooks/Hooks.java
+++ b/src/main/java/cacheproxy/daemon/hooks/Hooks.java
@@ -22,11 +22,11 @@
     static List<HookExecutor> load(DaemonConfig file) throws ConfigException {
         List<HookExecutor> all = new ArrayList<>();
         List<String> faults = new ArrayList<>();
-        for (HookConfig h : HooksConfig.of(file)) {
+        for (HookConfig hook : HooksConfig.of(file)) {
             try {
-                all.add(HookExecutor.start(h, read(h)));
+                all.add(HookExecutor.start(hook, read(hook)));
             } catch (HookException e) {
-                faults.add(h.place() + ": hook " + h.name() + " does not load: " + e.getMessage());
+                faults.add(hook.place() + ": hook " + hook.name() + " does not load: " + e.getMessage());
             }
         }
         if (!faults.isEmpty()) {
@@ -40,21 +40,21 @@
         load(file);
     }
 
-    private static byte[] read(HookConfig h) throws HookException {
+    private static byte[] read(HookConfig hook) throws HookException {
         byte[] bytes;
         try {
-            if (Files.isDirectory(h.module()) || Files.size(h.module()) > MAX_BYTES) {
-                throw new HookException(h.module() + " is a directory, or has more than " + MAX_BYTES + " bytes");
+            if (Files.isDirectory(hook.module()) || Files.size(hook.module()) > MAX_BYTES) {
+                throw new HookException(hook.module() + " is a directory, or has more than " + MAX_BYTES + " bytes");
             }
-            bytes = Files.readAllBytes(h.module());
+            bytes = Files.readAllBytes(hook.module());
         } catch (NoSuchFileException e) {
-            throw new HookException("there is no file " + h.module());
+            throw new HookException("there is no file " + hook.module());
         } catch (IOException e) {
-            throw new HookException(h.module() + " can't be read");
+            throw new HookException(hook.module() + " can't be read");
         }
-        if (h.sha256() != null && !h.sha256().equals(HookModule.digest(bytes))) {
+        if (hook.sha256() != null && !hook.sha256().equals(HookModule.digest(bytes))) {
             throw new HookException(
-                    h.module() + " has the SHA-256 " + HookModule.digest(bytes) + ", not that of the file");
+                    hook.module() + " has the SHA-256 " + HookModule.digest(bytes) + ", not that of the file");
         }
         return bytes;
     }
