--- a/src/main/java/cacheproxy/daemon/ConfigSnapshot.java
+++ b/src/main/java/cacheproxy/daemon/ConfigSnapshot.java
@@ -47,11 +47,13 @@
         executors = hookSubsystem == null ? List.of() : hookSubsystem.executors();
         file.routes().routes().forEach(route -> routesByName.put(route.name(), route));
         hookRules = new HookRules(
-                file.classes(), file.tenants().stream().map(tenant -> tenant.name()).toList(), routesByName.keySet());
+                file.classes(),
+                file.tenants().stream().map(tenant -> tenant.name()).toList(),
+                routesByName.keySet());
         for (ListenerConfig listener : file.listeners()) {
             List<HookExecutor> own = executors.stream()
-                    .filter(executor ->
-                            executor.config.listeners().isEmpty() || executor.config.listeners().contains(listener.name()))
+                    .filter(executor -> executor.config.listeners().isEmpty()
+                            || executor.config.listeners().contains(listener.name()))
                     .toList();
             if (!own.isEmpty()) {
                 hooksOfListener.put(listener.name(), own);
@@ -81,6 +83,11 @@
         return routesByName.get(name);
     }
 
+    /** Whether every pool has its endpoint list. */
+    boolean allPoolsListed() {
+        return pools.values().stream().allMatch(pool -> pool.dispatcher.listed());
+    }
+
     /** Whether a request may still come to this pool under this file. */
     boolean uses(PoolRuntime pool) {
         return pools.get(pool.name) == pool;
--- a/src/main/java/cacheproxy/daemon/Daemon.java
+++ b/src/main/java/cacheproxy/daemon/Daemon.java
@@ -1,59 +1,53 @@
 package cacheproxy.daemon;
 
-import cacheproxy.config.Addresses;
 import cacheproxy.config.ConfigException;
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.DaemonConfigReader;
-import cacheproxy.config.ListenerConfig;
 import cacheproxy.config.PoolConfig;
-import cacheproxy.config.ServerConfig;
 import cacheproxy.control.DiagnosticEndpoints;
-import cacheproxy.limits.ServerStartTimes;
-import cacheproxy.limits.SlowStartBudget;
-import cacheproxy.limits.SlowStartConfig;
+import cacheproxy.policy.PolicyApi.ServiceClass;
 import cacheproxy.proxy.ClientRegistry;
+import cacheproxy.proxy.Dispatcher;
 import cacheproxy.proxy.EventLoopContext;
 import cacheproxy.proxy.GracefulShutdown;
 import cacheproxy.proxy.Listener;
 import cacheproxy.proxy.PollClock;
 import cacheproxy.proxy.RequestValidator;
-import cacheproxy.proxy.StandardMetaProtocol;
 import cacheproxy.proxy.Transport;
 import cacheproxy.proxy.UpstreamRegistry;
 import cacheproxy.snapshot.state.StateSnapshot;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
-import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Path;
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.HashSet;
 import java.util.LinkedHashMap;
-import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import java.util.Set;
 import java.util.SplittableRandom;
-import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.Callable;
 import java.util.concurrent.TimeUnit;
-import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The daemon: listeners, routes and pools by one file, which may be replaced under load. A new file is read and its new
- * listeners are bound before anything changes; a file that can't be used changes nothing.
+ * The daemon: listeners, routes, pools and subsystems by one configuration file, which may be replaced under load. A
+ * new file is read, and its addresses are bound, before anything changes; a file that can't be used changes nothing.
+ *
+ * <p>All state belongs to one event loop; methods that are called from other threads run there.
  */
 public final class Daemon implements AutoCloseable {
-    /** Connections still come so long after SIGTERM, with some room for a slow machine. */
-    private static final double LISTEN_ON_MS = 500;
+    /** Connections are still accepted for this time after SIGTERM, until clients have seen the status. */
+    private static final double ACCEPT_AFTER_SIGTERM_MS = 500;
 
+    /** File descriptors that are neither clients' nor servers'. */
     private static final int OWN_DESCRIPTORS = 64;
-    private static final long SWEEP_MS = 250;
-    private static final long LEAVE_MS = 20;
-    /** Clients are listened for once every pool has its list, or after so long without it. */
-    private static final double LIST_WAIT_MS = 3000;
-    /** Requests in hand may be sent to servers that a new file lacks for this part of the drain grace. */
-    private static final double GRACE_PART = 0.5;
+
+    private static final int MIN_CLIENT_SOCKETS = 16;
+    /** A third of the sockets is for servers. */
+    private static final int SERVER_SOCKETS_DIVISOR = 3;
+    /** An eighth of the memory is for clients' values. */
+    private static final int VALUE_MEMORY_DIVISOR = 8;
+
+    private static final long CLIENT_SWEEP_MS = 250;
+    private static final long COLLECT_MS = 20;
 
     private final PollClock polls = new PollClock();
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, polls.watch(Transport.BEST));
@@ -61,86 +55,49 @@
     private final EventLoopContext core;
     private final ClientRegistry clients;
     private final Router router;
-    private final ServerStartTimes births = new ServerStartTimes();
-    private final SplittableRandom seeds;
-    private final String idPrefix;
-    private final AtomicLong ids = new AtomicLong();
-    /** By name, with the addresses that the file gives them. */
-    private final Map<String, Listener> listeners = new LinkedHashMap<>();
-
-    private final Map<Listener, InetSocketAddress> asked = new HashMap<>();
-    private final List<Listener> leavingListeners = new ArrayList<>();
-    private final List<Leaving> leavingPools = new ArrayList<>();
-    private final List<ConfigSnapshot> older = new ArrayList<>();
-    private final CountDownLatch ready = new CountDownLatch(1);
-    private SlowStartBudget cold;
-    private volatile Runnable reload;
-    /** Whose memory counts where there is none of one's own; null: nobody's. Only at the start. */
-    private Path seedFrom;
-
-    private final Subsystems parts;
+    private final ListenerSet listeners;
+    private final ServerStarts serverStarts = new ServerStarts();
+    private final RetiredConfigs retired = new RetiredConfigs();
+    private final SplittableRandom random;
+    private final Subsystems subsystems;
     private final SubsystemContext context;
+    /** The snapshot of another proxy to start from; null if there is none, and after the start. */
+    private Path seedFrom;
 
-    /** A pool that no new request comes to. */
-    private static final class Leaving {
-        final PoolRuntime pool;
-        final double graceEndsMs;
-        boolean cut;
-
-        Leaving(PoolRuntime pool, double graceEndsMs) {
-            this.pool = pool;
-            this.graceEndsMs = graceEndsMs;
-        }
-    }
+    private volatile Runnable reloadTask;
 
     private Daemon(DaemonConfig file, long seed) {
-        seeds = new SplittableRandom(seed);
-        idPrefix = Long.toHexString(seeds.nextLong() & 0xFFFFFFFFFFL | 0x10000000000L);
+        random = new SplittableRandom(seed);
+        StandardProtocols protocols = new StandardProtocols(random.nextLong());
         int sockets = file.limits().sockets();
-        core = new EventLoopContext(
-                loop, polls, Transport.BEST.socket(), (long) file.limits().memoryMb() << 20 >> 3, sockets / 3, true);
+        int serverSockets = sockets / SERVER_SOCKETS_DIVISOR;
+        long valueBytes = ((long) file.limits().memoryMb() << 20) / VALUE_MEMORY_DIVISOR;
+        core = new EventLoopContext(loop, polls, Transport.BEST.socket(), valueBytes, serverSockets, true);
         core.watchPauses();
-        clients = new ClientRegistry(core, Math.max(16, sockets - sockets / 3 - OWN_DESCRIPTORS));
+        clients = new ClientRegistry(core, Math.max(MIN_CLIENT_SOCKETS, sockets - serverSockets - OWN_DESCRIPTORS));
         router = new Router(core);
-        parts = new Subsystems(task -> loop.submit(task).syncUninterruptibly(), StandardSubsystems.ALL);
+        listeners = new ListenerSet(core, clients, router, protocols);
+        subsystems = new Subsystems(task -> loop.submit(task).syncUninterruptibly(), StandardSubsystems.ALL);
         context = new SubsystemContext(
                 core,
-                seeds,
+                random,
                 router::configuration,
-                this::snapshot,
+                this::learnedState,
                 () -> Optional.ofNullable(seedFrom),
-                parts::controlHandlers,
+                subsystems::controlHandlers,
                 new DiagnosticEndpoints(core.invariants::summary, core.events::enabled, this::reloadElsewhere));
     }
 
-    /** What {@code POST /reload} of the control address does, on a thread of its own. Null: nothing. */
-    public void reloadBy(Runnable task) {
-        reload = task;
-    }
-
-    private boolean reloadElsewhere() {
-        Runnable task = reload;
-        if (task == null) {
-            return false;
-        }
-        Thread reader = new Thread(task, "reload");
-        reader.setDaemon(true);
-        reader.start();
-        return true;
-    }
-
-    /** The subsystem of this class or with this role; null where the file has none. From any thread. */
-    public <T> T subsystem(Class<T> role) {
-        return parts.get(role);
-    }
-
-    /** Starts; the exception says which listener could not be bound. */
+    /** Starts a daemon; the exception says which address could not be bound. */
     public static Daemon start(DaemonConfig file, long seed) throws ConfigException, InterruptedException {
         return start(file, seed, null);
     }
 
     /**
-     * The same with what a sibling has learned, for what this one remembers nothing of. {@code seedFrom} may be null.
+     * Starts a daemon and returns once it accepts clients.
+     *
+     * @param seed of all its random draws
+     * @param seedFrom the snapshot of another proxy, for what this one has no snapshot of; null if there is none
      */
     public static Daemon start(DaemonConfig file, long seed, Path seedFrom)
             throws ConfigException, InterruptedException {
@@ -153,359 +110,195 @@
             throw e;
         }
         daemon.seedFrom = null;
-        daemon.ready.await();
-        daemon.loop
-                .submit(() -> {
-                    daemon.core.observe(daemon.new Restarts());
-                    daemon.loop.scheduleWithFixedDelay(
-                            daemon.clients::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
-                    daemon.loop.scheduleWithFixedDelay(daemon::leave, LEAVE_MS, LEAVE_MS, TimeUnit.MILLISECONDS);
-                })
-                .sync();
+        daemon.listeners.awaitAccepting();
+        daemon.loop.submit(daemon::startPeriodicTasks).sync();
         return daemon;
     }
 
+    // The tasks end with the event loop, so that nobody needs their futures.
+    @SuppressWarnings("FutureReturnValueIgnored")
+    private void startPeriodicTasks() {
+        core.observe(new RestartObserver());
+        loop.scheduleWithFixedDelay(clients::sweep, CLIENT_SWEEP_MS, CLIENT_SWEEP_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(this::collectUnused, COLLECT_MS, COLLECT_MS, TimeUnit.MILLISECONDS);
+    }
+
+    /** Sets what {@code POST /reload} of the control address runs, on a thread of its own. */
+    public void reloadBy(Runnable task) {
+        reloadTask = task;
+    }
+
+    private boolean reloadElsewhere() {
+        Runnable task = reloadTask;
+        if (task == null) {
+            return false;
+        }
+        Thread thread = new Thread(task, "reload");
+        thread.setDaemon(true);
+        thread.start();
+        return true;
+    }
+
+    /** The subsystem of this class or with this role; null where the file has none. From any thread. */
+    public <T> T subsystem(Class<T> role) {
+        return subsystems.get(role);
+    }
+
     /** The address of a listener; null if there is none of this name. */
     public InetSocketAddress address(String listener) {
-        Listener l =
-                loop.submit(() -> listeners.get(listener)).syncUninterruptibly().getNow();
-        return l == null ? null : l.address();
+        return addresses().get(listener);
     }
 
-    /** Listeners with their addresses. */
+    /** The addresses of all listeners by name, in the file's order. */
     public Map<String, InetSocketAddress> addresses() {
-        return loop.submit(() -> {
-                    Map<String, InetSocketAddress> map = new LinkedHashMap<>();
-                    listeners.forEach((name, l) -> map.put(name, l.address()));
-                    return map;
-                })
-                .syncUninterruptibly()
-                .getNow();
+        return onLoop(listeners::addresses);
     }
 
-    /** Requests in hand, those under older files among them. */
+    /** Pending requests, those of earlier configurations among them. */
     public int inHand() {
-        return loop.submit(() -> router.configuration().pendingRequests
-                        + older.stream().mapToInt(g -> g.pendingRequests).sum())
-                .syncUninterruptibly()
-                .getNow();
+        return onLoop(() -> router.configuration().pendingRequests + retired.pendingRequests());
     }
 
-    /** The event loop's thread, for measurements. */
+    /** The id of the event loop's thread, for measurements. */
     public long threadId() {
-        return loop.submit(() -> Thread.currentThread().getId())
-                .syncUninterruptibly()
-                .getNow();
+        return onLoop(() -> Thread.currentThread().getId());
     }
 
     /** The address of the ICP socket; null where none is configured. */
     public InetSocketAddress icpAddress() {
-        return parts.address(SiblingSocket.SECTION).orElse(null);
+        return subsystems.address(SiblingSocket.SECTION).orElse(null);
     }
 
     /** The control address; null where none is configured. */
     public InetSocketAddress controlAddress() {
-        return parts.address(ControlSubsystem.SECTION).orElse(null);
+        return subsystems.address(ControlSubsystem.SECTION).orElse(null);
     }
 
-    /** Pools at work, those that are leaving among them; for tests. */
+    /** Pools in use, retired ones among them; for tests. */
     int poolsAtWork() {
-        return loop.submit(() -> router.configuration().pools.size() + leavingPools.size())
-                .syncUninterruptibly()
-                .getNow();
+        return onLoop(() -> router.configuration().pools.size() + retired.poolCount());
     }
 
-    // ---- files
+    private <T> T onLoop(Callable<T> task) {
+        return loop.submit(task).syncUninterruptibly().getNow();
+    }
 
-    /** Reads the file again and goes by it; the exception says what is wrong with it, and all stays as it is. */
+    /** Reads a file and adopts it; if it can't be used the exception says why and nothing changes. */
     public void reload(Path path) throws ConfigException, InterruptedException {
         load(DaemonConfigReader.read(path));
     }
 
-    /** Not on the event loop: binding waits. */
+    /** Adopts a configuration; not on the event loop, as binding addresses blocks. */
     public synchronized void load(DaemonConfig file) throws ConfigException, InterruptedException {
-        Map<String, Listener> fresh = new HashMap<>();
-        List<String> faults = new ArrayList<>();
-        for (ListenerConfig l : file.listeners()) {
-            Listener standing =
-                    loop.submit(() -> listeners.get(l.name())).sync().getNow();
-            if (standing != null && l.address().equals(asked.get(standing))) {
-                continue;
-            }
-            Listener listener = new Listener(core, clients, router.from(l.name()), open(file, l));
-            fresh.put(l.name(), listener);
-            try {
-                listener.reserve(l.address());
-            } catch (IOException e) {
-                faults.add(SocketBinder.describeFailure(file, "listener " + l.name(), l.address(), e));
-            }
-        }
-        if (!faults.isEmpty()) {
-            fresh.values().forEach(Listener::close);
-            throw ConfigException.of(faults);
-        }
+        Map<String, Listener> reserved = listeners.reserve(file);
         Subsystems.Change change;
         try {
-            change = parts.prepare(context, file);
+            change = subsystems.prepare(context, file);
         } catch (ConfigException e) {
-            fresh.values().forEach(Listener::close);
+            reserved.values().forEach(Listener::close);
             throw e;
         }
         loop.submit(() -> {
                     change.commit();
-                    commit(file, fresh);
+                    commit(file, reserved);
                     change.closeReplaced();
                 })
                 .sync();
         change.endReplaced();
     }
 
-    private StandardMetaProtocol open(DaemonConfig file, ListenerConfig l) {
-        if (!l.open()) {
-            return null;
-        }
-        String common = (l.tenant() == null ? "" : ",t=" + l.tenant())
-                + (l.deadlineMs() == 0 ? "" : ",d=" + Math.round(l.deadlineMs()));
-        Set<String> keyed = new HashSet<>();
-        file.classes().stream()
-                .filter(c -> c.effect() == cacheproxy.policy.PolicyApi.Effect.KEYED)
-                .forEach(c -> keyed.add(c.name()));
-        return new StandardMetaProtocol(
-                "c=" + l.readClass() + common,
-                ((l.writeClass() == null ? "" : "c=" + l.writeClass()) + common).replaceFirst("^,", ""),
-                keyed,
-                () -> idPrefix + Long.toHexString(ids.incrementAndGet()));
-    }
-
-    private void commit(DaemonConfig file, Map<String, Listener> fresh) {
-        double now = core.now();
-        ConfigSnapshot before = router.configuration();
-        figures(file);
-        births(file, before, now);
-        LearnedStateSource restored = parts.get(LearnedStateSource.class);
-        if (before == null && restored != null) {
-            restored.restoreStartTimes(births, now);
+    private void commit(DaemonConfig file, Map<String, Listener> reserved) {
+        double nowMs = core.now();
+        ConfigSnapshot previous = router.configuration();
+        serverStarts.apply(file, previous == null ? null : previous.file, nowMs);
+        LearnedStateSource restored = subsystems.get(LearnedStateSource.class);
+        if (previous == null && restored != null) {
+            restored.restoreStartTimes(serverStarts.times(), nowMs);
         }
         Map<String, PoolRuntime> pools = new LinkedHashMap<>();
-        for (PoolConfig p : file.pools().values()) {
-            PoolRuntime standing = before == null ? null : before.pools.get(p.name());
-            if (standing != null && standing.fits(file, p)) {
-                standing.apply(file);
-                pools.put(p.name(), standing);
-            } else {
-                pools.put(
-                        p.name(),
-                        new PoolRuntime(
-                                core,
-                                file,
-                                p,
-                                seeds.nextLong(),
-                                cold,
-                                births,
-                                standing != null
-                                        ? LearnedStates.handOver(file, p, standing, now)
-                                        : restored == null ? null : restored.recollections(file, p),
-                                parts));
-            }
-        }
-        router.use(new ConfigSnapshot(file, pools, new RequestValidator(core, file.classes(), file.tenants()), parts));
-        if (before != null) {
-            older.add(before);
-            for (PoolRuntime p : before.pools.values()) {
-                if (pools.get(p.name) != p) {
-                    leavingPools.add(new Leaving(p, now + file.site().drainGraceMs() * GRACE_PART));
-                }
-            }
-        }
-        listeners(file, fresh);
-    }
-
-    private void figures(DaemonConfig file) {
-        SlowStartConfig figures = new SlowStartConfig(
-                file.site().startCapacity(),
-                file.site().warmUpMs(),
-                file.site().fallMs(),
-                file.site().proxyCount(),
-                file.limits().unknownCapacity());
-        if (cold == null) {
-            cold = new SlowStartBudget(figures);
-        } else {
-            cold.setConfig(figures);
+        for (PoolConfig pool : file.pools().values()) {
+            PoolRuntime current = previous == null ? null : previous.pools.get(pool.name());
+            pools.put(pool.name(), continueOrReplace(file, pool, current, nowMs));
         }
-        for (PoolConfig p : file.pools().values()) {
-            PoolSettings.allServers(p).forEach(s -> cold.setServerRate(s.id(), s.capacity()));
+        RequestValidator validator = new RequestValidator(core, file.classes(), file.tenants());
+        ConfigSnapshot next = new ConfigSnapshot(file, pools, validator, subsystems);
+        router.use(next);
+        if (previous != null) {
+            retired.add(previous, next, nowMs);
         }
+        listeners.commit(file, reserved);
     }
 
-    /** Servers that this file names and the one before did not have just come. */
-    private void births(DaemonConfig file, ConfigSnapshot before, double now) {
-        Set<Integer> present = new HashSet<>();
-        Set<Integer> warm = new HashSet<>();
-        for (PoolConfig p : file.pools().values()) {
-            PoolSettings.allServers(p).stream().filter(s -> !s.down()).forEach(s -> present.add(s.id()));
-            PoolSettings.allServers(p).stream().filter(ServerConfig::warm).forEach(s -> warm.add(s.id()));
-        }
-        if (file.site().warmUpMs() > 0) {
-            for (PoolConfig p : file.pools().values()) {
-                p.servers().stream()
-                        .filter(s -> s.backup() && !s.down() && !warm.contains(s.id()) && !inUse(file, s.id()))
-                        .forEach(s -> births.addedUnused(s.id()));
-            }
+    private PoolRuntime continueOrReplace(DaemonConfig file, PoolConfig pool, PoolRuntime current, double nowMs) {
+        if (current != null && current.fits(file, pool)) {
+            current.apply(file);
+            return current;
         }
-        if (before != null) {
-            Set<Integer> known = new HashSet<>();
-            for (PoolConfig p : before.file.pools().values()) {
-                PoolSettings.allServers(p).stream().filter(s -> !s.down()).forEach(s -> known.add(s.id()));
-            }
-            present.stream()
-                    .filter(s -> !known.contains(s) && !warm.contains(s))
-                    .forEach(s -> births.added(s, now));
+        long seed = random.nextLong();
+        LearnedStateSource restored = subsystems.get(LearnedStateSource.class);
+        Dispatcher.Recollections learned = null;
+        if (current != null) {
+            learned = LearnedStates.handOver(file, pool, current, nowMs);
+        } else if (restored != null) {
+            learned = restored.recollections(file, pool);
         }
-        births.retainAll(present);
+        return new PoolRuntime(
+                core, file, pool, seed, serverStarts.budget(), serverStarts.times(), learned, subsystems);
     }
 
-    /** Whether some pool uses a server at all times. */
-    private static boolean inUse(DaemonConfig file, int server) {
-        return file.pools().values().stream()
-                .flatMap(p -> p.servers().stream())
-                .anyMatch(s -> s.id() == server && !s.backup());
+    private void collectUnused() {
+        listeners.removeDrained();
+        retired.collect(router.configuration().file, core.now());
     }
 
-    private void listeners(DaemonConfig file, Map<String, Listener> fresh) {
-        Set<String> named = new HashSet<>();
-        for (ListenerConfig l : file.listeners()) {
-            named.add(l.name());
-            Listener listener = fresh.get(l.name());
-            if (listener == null) {
-                listeners.get(l.name()).use(router.from(l.name()), open(file, l));
-                continue;
-            }
-            leave(listeners.put(l.name(), listener));
-            asked.put(listener, l.address());
-        }
-        openOnceListed(new ArrayList<>(fresh.values()), core.now() + LIST_WAIT_MS);
-        for (String name : List.copyOf(listeners.keySet())) {
-            if (!named.contains(name)) {
-                leave(listeners.remove(name));
-            }
-        }
-    }
-
-    /** A proxy that does not know its servers yet could only turn clients away. */
-    private void openOnceListed(List<Listener> fresh, double latestMs) {
-        if (core.now() < latestMs
-                && !router.configuration().pools.values().stream().allMatch(p -> p.dispatcher.listed())) {
-            core.after(5, () -> openOnceListed(fresh, latestMs));
-            return;
-        }
-        int[] left = {fresh.size()};
-        for (Listener l : fresh) {
-            l.listen().addListener(f -> {
-                if (!f.isSuccess()) { // somebody else listens there since it was reserved
-                    core.log("listener at " + Addresses.text(l.address()) + ": "
-                            + f.cause().getMessage());
-                }
-                if (--left[0] == 0) {
-                    ready.countDown();
-                }
-            });
-        }
-        if (fresh.isEmpty()) {
-            ready.countDown();
-        }
-    }
-
-    private void leave(Listener listener) {
-        if (listener != null) {
-            asked.remove(listener);
-            leavingListeners.add(listener);
-            listener.drain();
-        }
-    }
-
-    /** Lets go of what leaves once nothing needs it. */
-    private void leave() {
-        double now = core.now();
-        leavingListeners.removeIf(l -> {
-            l.drain();
-            return l.empty();
-        });
-        older.removeIf(g -> {
-            if (g.pendingRequests == 0) {
-                g.end();
-            }
-            return g.pendingRequests == 0;
-        });
-        if (leavingPools.isEmpty()) {
-            return;
-        }
-        Set<Integer> ready = new HashSet<>();
-        for (PoolConfig p : router.configuration().file.pools().values()) {
-            PoolSettings.allServers(p).stream().filter(s -> !s.down() && !s.drain()).forEach(s -> ready.add(s.id()));
-        }
-        leavingPools.removeIf(l -> {
-            if (l.pool.dispatcher.inHand() == 0 && older.stream().noneMatch(g -> g.uses(l.pool))) {
-                l.pool.dispatcher.stop();
-                return true;
-            }
-            if (!l.cut && now >= l.graceEndsMs) {
-                l.cut = true;
-                l.pool.restrictTo(ready::contains);
-            }
-            return false;
-        });
-    }
-
-    /** Servers that the file lists and that restart: told by no list, seen on their sockets. */
-    private final class Restarts implements UpstreamRegistry.Observer {
+    /** Notices restarts of the servers of the file, which no endpoint list reports, by their connections. */
+    private final class RestartObserver implements UpstreamRegistry.Observer {
         @Override
         public void refused(int server) {
-            births.connectionRefused(server);
+            serverStarts.times().connectionRefused(server);
         }
 
         @Override
         public void connected(int server) {
-            if (births.connectionAccepted(server, core.now())) {
-                parts.serverRestarted(server);
-                // Not from within the connection's own event: a list retires connections to what has restarted.
+            if (serverStarts.times().connectionAccepted(server, core.now())) {
+                subsystems.serverRestarted(server);
+                // Not within the connection's own event: the new list retires connections to a server that restarted.
                 loop.execute(() -> router.configuration().pools.values().stream()
-                        .filter(p -> p.config().discovery() == null && p.hasServer(server))
+                        .filter(pool -> pool.config().discovery() == null && pool.hasServer(server))
                         .forEach(PoolRuntime::applyServerList));
             }
         }
     }
 
-    // ---- the end
-
-    /** Answers what it has, takes nothing new and returns once that is done, or at the longest deadline. */
+    /** Shuts down gracefully: serves pending requests, and returns once that is done or at the longest deadline. */
     public void drain() {
-        loop.execute(parts::drain);
-        new GracefulShutdown(loop, core, LISTEN_ON_MS, () -> {
-                    List.copyOf(listeners.keySet()).forEach(name -> leave(listeners.remove(name)));
-                    leave();
-                    return leavingListeners.isEmpty();
-                })
+        loop.execute(subsystems::drain);
+        new GracefulShutdown(loop, core, ACCEPT_AFTER_SIGTERM_MS, this::drainListeners)
                 .run(() -> router.configuration().file.classes().stream()
-                        .mapToDouble(c -> c.deadlineMs())
+                        .mapToDouble(ServiceClass::deadlineMs)
                         .max()
                         .orElse(0));
-        parts.finish();
+        subsystems.finish();
+    }
+
+    private boolean drainListeners() {
+        boolean drained = listeners.drainAll();
+        collectUnused();
+        return drained;
     }
 
-    /** All that is worth remembering, with at most so many hot keys a pool. */
-    private StateSnapshot snapshot(int mostKeys) {
+    /** The state worth saving, with at most so many hot keys a pool. */
+    private StateSnapshot learnedState(int maxKeys) {
         DaemonConfig file = router.configuration().file;
         Map<String, StateSnapshot.Pool> pools = new LinkedHashMap<>();
-        router.configuration().pools.forEach((name, p) -> pools.put(name, p.learned(mostKeys)));
-        Map<Integer, String> addresses = LearnedStates.addresses(file);
-        List<StateSnapshot.Birth> told = new ArrayList<>();
-        for (int server : births.knownServers()) {
-            double born = births.startMs(server) == ServerStartTimes.NOT_YET_USED_MS ? 0 : births.startMs(server);
-            if (addresses.containsKey(server) && (born > 0 || births.isDown(server))) {
-                told.add(new StateSnapshot.Birth(server, addresses.get(server), born, births.isDown(server)));
-            }
-        }
-        return new StateSnapshot(file.site().name(), file.site().proxyIndex(), core.now(), 0, pools, told);
+        router.configuration().pools.forEach((name, pool) -> pools.put(name, pool.learned(maxKeys)));
+        return new StateSnapshot(
+                file.site().name(),
+                file.site().proxyIndex(),
+                core.now(),
+                0,
+                pools,
+                serverStarts.snapshot(LearnedStates.addresses(file)));
     }
 
     /** Ends at once. */
@@ -513,14 +306,14 @@
     public void close() {
         loop.submit(() -> {
                     if (router.configuration() != null) {
-                        router.configuration().pools.values().forEach(p -> p.dispatcher.stop());
+                        router.configuration().pools.values().forEach(pool -> pool.dispatcher.stop());
                         router.configuration().end();
                     }
-                    older.forEach(ConfigSnapshot::end);
-                    parts.close();
+                    retired.end();
+                    subsystems.close();
                 })
                 .syncUninterruptibly();
-        parts.end();
+        subsystems.end();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 }
--- a/src/main/java/cacheproxy/daemon/PoolRuntime.java
+++ b/src/main/java/cacheproxy/daemon/PoolRuntime.java
@@ -66,7 +66,8 @@
         this.startTimes = startTimes;
         settings = PoolSettings.of(file, config);
         keyHash = PoolSettings.keyHash(config);
-        admission = new PoolAdmissionControl(slowStartBudget, retryBudget(config), server -> mayProbe(fleet.get(), server));
+        admission =
+                new PoolAdmissionControl(slowStartBudget, retryBudget(config), server -> mayProbe(fleet.get(), server));
         limiter = new PoolLimiter(config.maxPending(), config.maxRequestsPerSecond());
         dispatcher = new Dispatcher(
                 core,
@@ -80,7 +81,8 @@
                         config.streams(),
                         config.plainServers(),
                         BackupPlacement.withBackups(
-                                members -> PoolSettings.placement(this.config).create(members), backupServers::contains),
+                                members -> PoolSettings.placement(this.config).create(members),
+                                backupServers::contains),
                         admission));
         dispatcher.recall(recollections);
         if (siblings != null) {
@@ -175,8 +177,8 @@
     /** Takes over what a new file says of servers and bounds. */
     void apply(DaemonConfig next) {
         PoolConfig pool = next.pools().get(name);
-        boolean sameGate =
-                pool.maxPending() == config.maxPending() && pool.maxRequestsPerSecond() == config.maxRequestsPerSecond();
+        boolean sameGate = pool.maxPending() == config.maxPending()
+                && pool.maxRequestsPerSecond() == config.maxRequestsPerSecond();
         boolean sameRetries =
                 pool.retryRatio() == config.retryRatio() && pool.guaranteedRetries() == config.guaranteedRetries();
         file = next;
@@ -207,9 +209,9 @@
         }
     }
 
-    boolean hasServer(int server) {
-        return config.servers().stream().anyMatch(server -> server.id() == server)
-                || config.origin() != null && config.origin().id() == server;
+    /** Returns whether the configuration names this server, or origin, of the pool. */
+    boolean hasServer(int id) {
+        return PoolSettings.allServers(config).stream().anyMatch(server -> server.id() == id);
     }
 
     private List<DiscoveryClient.Host> hosts(IntPredicate wanted) {
--- a/src/main/java/cacheproxy/daemon/PoolSettings.java
+++ b/src/main/java/cacheproxy/daemon/PoolSettings.java
@@ -66,7 +66,8 @@
         if (pool.discovery() != null) {
             return pool.discovery().zones();
         }
-        return Stream.concat(Stream.of(file.site().zone()), allServers(pool).stream().map(ServerConfig::zone))
+        return Stream.concat(
+                        Stream.of(file.site().zone()), allServers(pool).stream().map(ServerConfig::zone))
                 .distinct()
                 .toList();
     }
@@ -77,7 +78,8 @@
         boolean listed = pool.discovery() == null;
         List<String> kinds = kinds(pool);
         List<String> zones = zones(file, pool);
-        boolean hasOriginKind = listed ? pool.origin() != null : pool.discovery().originKind() != null;
+        boolean hasOriginKind =
+                listed ? pool.origin() != null : pool.discovery().originKind() != null;
         FleetConfig fleet = file.section(FleetConfig.class);
         boolean byTests = fleet != null
                 && fleet.healthCheck() != null
--- a/src/main/java/cacheproxy/daemon/RoutedRequest.java
+++ b/src/main/java/cacheproxy/daemon/RoutedRequest.java
@@ -86,11 +86,17 @@
         while (++poolIndex < chain.size()) {
             PoolRuntime pool = chain.get(poolIndex);
             double nowMs = core.now();
-            if (!Fallback.mayGoOn(serviceClass, mayHaveRun, dedupGroupRun, pool.dedupGroup(), nowMs, request.arrivedMs())) {
+            if (!Fallback.mayGoOn(
+                    serviceClass, mayHaveRun, dedupGroupRun, pool.dedupGroup(), nowMs, request.arrivedMs())) {
                 break;
             }
-            double dueMs =
-                    Fallback.dueMs(serviceClass, mayHaveRun, poolIndex == chain.size() - 1, nowMs, request.arrivedMs(), request.dueMs());
+            double dueMs = Fallback.dueMs(
+                    serviceClass,
+                    mayHaveRun,
+                    poolIndex == chain.size() - 1,
+                    nowMs,
+                    request.arrivedMs(),
+                    request.dueMs());
             if (dueMs <= nowMs) {
                 break;
             }
--- a/src/main/java/cacheproxy/daemon/Router.java
+++ b/src/main/java/cacheproxy/daemon/Router.java
@@ -56,9 +56,12 @@
     /** Sends a request on its route, or on the one that a hook has named. */
     public RequestHandler.Handle route(
             ConfigSnapshot config, String listener, Route named, ClientRequest request, Responder responder) {
-        RouteInput input = config.file.keys()
+        RouteInput input = config.file
+                .keys()
                 .subject(listener, request.key(), request.serviceClass(), request.tenant(), request.write());
-        Route route = input == null ? null : named != null ? named : config.file.routes().find(input);
+        Route route = input == null
+                ? null
+                : named != null ? named : config.file.routes().find(input);
         if (route != null && route.action() instanceof Route.ToPools) {
             return to(config, listener, input, route, request, responder);
         }
@@ -77,7 +80,12 @@
     }
 
     private RequestHandler.Handle to(
-            ConfigSnapshot config, String listener, RouteInput input, Route route, ClientRequest request, Responder responder) {
+            ConfigSnapshot config,
+            String listener,
+            RouteInput input,
+            Route route,
+            ClientRequest request,
+            Responder responder) {
         String key = route.poolKey(input);
         if (key == null) {
             core.closeId(request);
@@ -90,8 +98,8 @@
                 && listener.equals(config.siblings.icp().listener())
                 && (request.write()
                         || !config.chain(route).stream()
-                                .allMatch(pool ->
-                                        pool.config().origin() == null && pool.config().discovery() == null))) {
+                                .allMatch(pool -> pool.config().origin() == null
+                                        && pool.config().discovery() == null))) {
             core.closeId(request);
             request.release(core);
             if (request.write()) {
@@ -103,7 +111,13 @@
         }
         boolean rewritten = !key.equals(request.key());
         RoutedRequest routed = new RoutedRequest(
-                core, config, input, route, rewritten ? request.withKey(key) : request, rewritten ? request : null, responder);
+                core,
+                config,
+                input,
+                route,
+                rewritten ? request.withKey(key) : request,
+                rewritten ? request : null,
+                responder);
         routed.next();
         return routed;
     }
--- a/src/main/java/cacheproxy/daemon/SiblingSocket.java
+++ b/src/main/java/cacheproxy/daemon/SiblingSocket.java
@@ -103,7 +103,8 @@
             throws ConfigException, InterruptedException {
         SiblingSocket sibling = new SiblingSocket(file, core, before, seed);
         if (before != null
-                && SocketBinder.conflict(before.spec.icp().address(), sibling.spec.icp().address())) {
+                && SocketBinder.conflict(
+                        before.spec.icp().address(), sibling.spec.icp().address())) {
             before.channel.close().sync(); // there is no second socket at its address
         }
         sibling.listen(file);
--- a/src/main/java/cacheproxy/daemon/hooks/HookedRequest.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookedRequest.java
@@ -73,8 +73,10 @@
     }
 
     public RequestHandler.Handle start() {
-        double shortest =
-                hooks.stream().mapToDouble(hook -> hook.config.limits().timeMs()).min().orElse(0);
+        double shortest = hooks.stream()
+                .mapToDouble(hook -> hook.config.limits().timeMs())
+                .min()
+                .orElse(0);
         watchTimer(Math.min(shortest, (request.dueMs() - core.now()) * MAX_FRACTION_OF_TIME_LEFT));
         next();
         return this;
@@ -128,8 +130,8 @@
             String tenant = config.file.tenants().isEmpty()
                     ? ""
                     : config.file.tenants().get(request.tenant()).name();
-            HookCall call =
-                    new HookCall(request.key(), serviceClass.name(), tenant, request.write(), request.repeat(), (long) leftMs);
+            HookCall call = new HookCall(
+                    request.key(), serviceClass.name(), tenant, request.write(), request.repeat(), (long) leftMs);
             if (hook.wantsAnswers()) {
                 callsByHook.put(hook, call);
             }
@@ -162,8 +164,7 @@
 
     /** Whether the request would go on one of the hook's routes as it is now. */
     private boolean applies(HookExecutor hook) {
-        RouteInput input = config
-                .file
+        RouteInput input = config.file
                 .keys()
                 .subject(listener, request.key(), request.serviceClass(), request.tenant(), request.write());
         Route route = routeByHook != null
@@ -196,7 +197,8 @@
     private void ended(HookExecutor hook, HookOrders orders, String failure, boolean run) {
         double nowMs = core.now();
         double leftMs = request.dueMs() - nowMs;
-        String fault = failure != null ? failure : config.hookRules.refused(orders, sentClass, (long) Math.max(0, leftMs));
+        String fault =
+                failure != null ? failure : config.hookRules.refused(orders, sentClass, (long) Math.max(0, leftMs));
         if (run) {
             note(hook, nowMs, fault != null, fault);
         } else {
