--- a/src/main/java/cacheproxy/daemon/ConfigSnapshot.java
+++ b/src/main/java/cacheproxy/daemon/ConfigSnapshot.java
@@ -15,26 +15,33 @@
 import java.util.List;
 import java.util.Map;
 
-/** What one file has made of the daemon. A request keeps to that under which it came. */
+/**
+ * What one configuration file has made of the daemon; a request keeps the snapshot under which it arrived. On the event
+ * loop only.
+ */
 public final class ConfigSnapshot {
+    /** The configuration file. */
     public final DaemonConfig file;
-    /** Kept here since each request asks. */
+    /** Kept here since each request reads it. */
     final SiblingsConfig siblings;
 
+    /** By name, in the file's order. */
     public final Map<String, PoolRuntime> pools;
+
     final RequestValidator requestValidator;
+    /** Checks what hooks ask for. */
     public final HookRules hookRules;
-    /** Null where there are none. */
+    /** Null where this proxy belongs to no fleet. */
     final FleetQuotas quotas;
     /** The hooks of each listener, in order. */
     final Map<String, List<HookExecutor>> hooksOfListener = new HashMap<>();
 
     private final List<HookExecutor> executors;
     private final Map<String, Route> routesByName = new HashMap<>();
-    /** Requests in hand that came under it. */
+    /** Requests that arrived under it and are not concluded. */
     public int pendingRequests;
 
-    private final Map<Route, List<PoolRuntime>> chains = new IdentityHashMap<>();
+    private final IdentityHashMap<Route, List<PoolRuntime>> chains = new IdentityHashMap<>();
 
     ConfigSnapshot(DaemonConfig file, Map<String, PoolRuntime> pools, RequestValidator intake, Subsystems subsystems) {
         this.file = file;
@@ -73,12 +80,12 @@
         return chains.get(route);
     }
 
-    /** No request will come any more: its hooks end. */
+    /** Ends its hooks; no request uses it any more. */
     void end() {
         executors.forEach(HookExecutor::stop);
     }
 
-    /** The route of this name. */
+    /** The route of this name; null if there is none. */
     public Route route(String name) {
         return routesByName.get(name);
     }
@@ -88,7 +95,7 @@
         return pools.values().stream().allMatch(pool -> pool.dispatcher.listed());
     }
 
-    /** Whether a request may still come to this pool under this file. */
+    /** Returns whether requests of this configuration may use a pool. */
     boolean uses(PoolRuntime pool) {
         return pools.get(pool.name) == pool;
     }
--- a/src/main/java/cacheproxy/daemon/ControlSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/ControlSubsystem.java
@@ -16,7 +16,7 @@
 import java.util.Optional;
 import java.util.function.Supplier;
 
-/** The daemon's control address: {@code GET /status}, and what other parts answer under their own paths. */
+/** The control address: {@code GET /status}, diagnostics, and what other subsystems answer under their own paths. */
 final class ControlSubsystem implements Subsystem {
     /** Its section of the configuration file. */
     static final String SECTION = "control";
--- a/src/main/java/cacheproxy/daemon/Daemon.java
+++ b/src/main/java/cacheproxy/daemon/Daemon.java
@@ -242,8 +242,8 @@
         } else if (restored != null) {
             learned = restored.recollections(file, pool);
         }
-        return new PoolRuntime(
-                core, file, pool, seed, serverStarts.budget(), serverStarts.times(), learned, subsystems);
+        PoolContext poolContext = new PoolContext(core, serverStarts.budget(), serverStarts.times(), subsystems);
+        return new PoolRuntime(poolContext, file, pool, seed, learned);
     }
 
     private void collectUnused() {
--- a/src/main/java/cacheproxy/daemon/ListenerSet.java
+++ b/src/main/java/cacheproxy/daemon/ListenerSet.java
@@ -40,6 +40,7 @@
     private final List<Listener> draining = new ArrayList<>();
     private final CountDownLatch accepting = new CountDownLatch(1);
 
+    /** No listener yet. */
     ListenerSet(EventLoopContext core, ClientRegistry clients, Router router, StandardProtocols protocols) {
         this.core = core;
         this.clients = clients;
--- /dev/null
+++ b/src/main/java/cacheproxy/daemon/PoolFleetLink.java
@@ -0,0 +1,61 @@
+package cacheproxy.daemon;
+
+import cacheproxy.policy.PolicyApi.Outcome;
+import cacheproxy.proxy.DiscoveryClient;
+import cacheproxy.proxy.Dispatcher;
+import java.util.function.Supplier;
+
+/**
+ * A pool's questions to the fleet. Where this proxy belongs to none, the pool makes health checks and watches discovery
+ * by itself. The fleet's subsystem may be replaced at any time, so it is looked up on each call.
+ */
+final class PoolFleetLink implements Dispatcher.Probes, DiscoveryClient.Pace {
+    private final String pool;
+    private final Supplier<Dispatcher> dispatcher;
+    private final Subsystems subsystems;
+
+    /** Belongs to a pool; its dispatcher is asked for only after the pool's construction. */
+    PoolFleetLink(String pool, Supplier<Dispatcher> dispatcher, Subsystems subsystems) {
+        this.pool = pool;
+        this.dispatcher = dispatcher;
+        this.subsystems = subsystems;
+    }
+
+    private FleetCoordination fleet() {
+        return subsystems.get(FleetCoordination.class);
+    }
+
+    /** Returns whether a client's request may be sent to an ejected server, as its health check. */
+    boolean mayProbe(int server) {
+        FleetCoordination fleet = fleet();
+        return fleet == null || fleet.mayProbe(dispatcher.get(), server);
+    }
+
+    @Override
+    public boolean take(int server) {
+        FleetCoordination fleet = fleet();
+        return fleet != null && fleet.takeHealthCheck(dispatcher.get(), server);
+    }
+
+    @Override
+    public void ended(int server, Outcome outcome) {
+        FleetCoordination fleet = fleet();
+        if (fleet != null) {
+            fleet.attemptEnded(dispatcher.get(), server, outcome);
+        }
+    }
+
+    @Override
+    public boolean closely() {
+        FleetCoordination fleet = fleet();
+        return fleet == null || fleet.watchesClosely(pool);
+    }
+
+    @Override
+    public void have(long version) {
+        FleetCoordination fleet = fleet();
+        if (fleet != null) {
+            fleet.listReceived(pool, version);
+        }
+    }
+}
--- a/src/main/java/cacheproxy/daemon/PoolRuntime.java
+++ b/src/main/java/cacheproxy/daemon/PoolRuntime.java
@@ -11,11 +11,9 @@
 import cacheproxy.limits.PoolLimiter;
 import cacheproxy.limits.RetryBudget;
 import cacheproxy.limits.ServerStartTimes;
-import cacheproxy.limits.SlowStartBudget;
 import cacheproxy.placement.BackupPlacement;
 import cacheproxy.policy.PolicyApi.ListKind;
 import cacheproxy.policy.PolicyApi.Member;
-import cacheproxy.policy.PolicyApi.Outcome;
 import cacheproxy.policy.PolicyApi.Settings;
 import cacheproxy.proxy.DiscoveryClient;
 import cacheproxy.proxy.Dispatcher;
@@ -31,17 +29,23 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Objects;
 import java.util.Set;
 import java.util.function.IntPredicate;
-import java.util.function.Supplier;
 
-/** A pool at work: its module with what carries its orders out, and its bounds. On the event loop only. */
+/**
+ * A running pool: its policy with the dispatcher that carries its decisions out, its server list and its bounds. It
+ * continues under later configurations that it {@linkplain #fits fits}. On the event loop only.
+ */
 public final class PoolRuntime {
     final String name;
+    /** Carries the policy's decisions out. */
     public final Dispatcher dispatcher;
+
     private final Settings settings;
     private final ServerStartTimes startTimes;
     private final PoolAdmissionControl admission;
+    private final PoolFleetLink fleet;
     private final DiscoveryClient discovery;
     private final Set<Integer> backupServers = new HashSet<>();
     private DaemonConfig file;
@@ -49,27 +53,47 @@
     private PoolLimiter limiter;
     private KeyHash keyHash;
 
+    /**
+     * Starts a pool.
+     *
+     * @param seed of its random draws
+     * @param recollections the state of an earlier pool or process; null if there is none
+     */
     PoolRuntime(
-            EventLoopContext core,
+            PoolContext context,
             DaemonConfig file,
             PoolConfig config,
             long seed,
-            SlowStartBudget slowStartBudget,
-            ServerStartTimes startTimes,
-            Dispatcher.Recollections recollections,
-            Subsystems subsystems) {
-        Supplier<FleetCoordination> fleet = () -> subsystems.get(FleetCoordination.class);
-        SiblingSocket siblings = subsystems.get(SiblingSocket.class);
+            Dispatcher.Recollections recollections) {
         name = config.name();
         this.file = file;
         this.config = config;
-        this.startTimes = startTimes;
+        startTimes = context.startTimes();
         settings = PoolSettings.of(file, config);
         keyHash = PoolSettings.keyHash(config);
-        admission =
-                new PoolAdmissionControl(slowStartBudget, retryBudget(config), server -> mayProbe(fleet.get(), server));
+        fleet = new PoolFleetLink(name, this::dispatcher, context.subsystems());
+        admission = new PoolAdmissionControl(context.slowStartBudget(), retryBudget(config), fleet::mayProbe);
         limiter = new PoolLimiter(config.maxPending(), config.maxRequestsPerSecond());
-        dispatcher = new Dispatcher(
+        dispatcher = newDispatcher(context.core(), seed);
+        dispatcher.recall(recollections);
+        SiblingSocket siblings = context.subsystems().get(SiblingSocket.class);
+        if (siblings != null) {
+            PoolSiblings poolSiblings = siblings.of(config);
+            dispatcher.siblings(poolSiblings, poolSiblings);
+        }
+        dispatcher.probes(fleet);
+        discovery = config.discovery() == null ? null : newDiscoveryClient(context.core());
+        if (discovery == null) {
+            dispatcher.start(Dispatcher.ListSource.NONE);
+            applyServerList();
+        } else {
+            dispatcher.start(discovery);
+            discovery.start();
+        }
+    }
+
+    private Dispatcher newDispatcher(EventLoopContext core, long seed) {
+        return new Dispatcher(
                 core,
                 new Dispatcher.Pool(
                         settings,
@@ -81,77 +105,24 @@
                         config.streams(),
                         config.plainServers(),
                         BackupPlacement.withBackups(
-                                members -> PoolSettings.placement(this.config).create(members),
-                                backupServers::contains),
+                                members -> PoolSettings.placement(config).create(members), backupServers::contains),
                         admission));
-        dispatcher.recall(recollections);
-        if (siblings != null) {
-            PoolSiblings own = siblings.of(config);
-            dispatcher.siblings(own, own);
-        }
-        dispatcher.probes(new Probes(fleet));
-        if (config.discovery() == null) {
-            discovery = null;
-            dispatcher.start(Dispatcher.ListSource.NONE);
-            applyServerList();
-        } else {
-            DiscoveryConfig source = config.discovery();
-            discovery = new DiscoveryClient(
-                    core,
-                    new DiscoveryClient.Source(source.address(), null, true, source.zones(), source.kinds()),
-                    dispatcher,
-                    new Pace(fleet));
-            dispatcher.start(discovery);
-            discovery.start();
-        }
     }
 
-    private boolean mayProbe(FleetCoordination fleet, int server) {
-        return fleet == null || fleet.mayProbe(dispatcher, server);
-    }
-
-    private final class Probes implements Dispatcher.Probes {
-        private final Supplier<FleetCoordination> fleet;
-
-        Probes(Supplier<FleetCoordination> fleet) {
-            this.fleet = fleet;
-        }
-
-        @Override
-        public boolean take(int server) {
-            return fleet.get() != null && fleet.get().takeHealthCheck(dispatcher, server);
-        }
-
-        @Override
-        public void ended(int server, Outcome outcome) {
-            if (fleet.get() != null) {
-                fleet.get().attemptEnded(dispatcher, server, outcome);
-            }
-        }
+    private DiscoveryClient newDiscoveryClient(EventLoopContext core) {
+        DiscoveryConfig source = config.discovery();
+        return new DiscoveryClient(
+                core,
+                new DiscoveryClient.Source(source.address(), null, true, source.zones(), source.kinds()),
+                dispatcher,
+                fleet);
     }
 
-    /** Where the fleet has no say this proxy watches by itself. */
-    private final class Pace implements DiscoveryClient.Pace {
-        private final Supplier<FleetCoordination> fleet;
-
-        Pace(Supplier<FleetCoordination> fleet) {
-            this.fleet = fleet;
-        }
-
-        @Override
-        public boolean closely() {
-            return fleet.get() == null || fleet.get().watchesClosely(name);
-        }
-
-        @Override
-        public void have(long version) {
-            if (fleet.get() != null) {
-                fleet.get().listReceived(name, version);
-            }
-        }
+    private Dispatcher dispatcher() {
+        return dispatcher;
     }
 
-    /** Who follows its list; null: it is in the file. */
+    /** Follows the endpoint list; null if the servers are in the file. */
     public DiscoveryClient discovery() {
         return discovery;
     }
@@ -160,7 +131,7 @@
         return new RetryBudget(config.retryRatio(), config.guaranteedRetries());
     }
 
-    /** Whether this pool can go on under another file; else a new one must take its place. */
+    /** Returns whether this pool can continue under another configuration; else a new one replaces it. */
     boolean fits(DaemonConfig other, PoolConfig next) {
         return settings.equals(PoolSettings.of(other, next))
                 && config.connections() == next.connections()
@@ -168,13 +139,13 @@
                 && config.streams() == next.streams()
                 && config.plainServers() == next.plainServers()
                 && config.placement().equals(next.placement())
-                && java.util.Objects.equals(config.discovery(), next.discovery())
+                && Objects.equals(config.discovery(), next.discovery())
                 && SiblingsConfig.of(file).equals(SiblingsConfig.of(other))
                 && config.siblings().equals(next.siblings())
                 && file.limits().idleCloseMs() == other.limits().idleCloseMs();
     }
 
-    /** Takes over what a new file says of servers and bounds. */
+    /** Adopts the servers and bounds of a configuration that it fits. */
     void apply(DaemonConfig next) {
         PoolConfig pool = next.pools().get(name);
         boolean sameGate = pool.maxPending() == config.maxPending()
@@ -195,14 +166,14 @@
         }
     }
 
-    /** Hands the module the file's servers. */
+    /** Gives the policy the servers of the configuration. */
     void applyServerList() {
         backupServers.clear();
         config.servers().stream().filter(ServerConfig::backup).forEach(server -> backupServers.add(server.id()));
         dispatcher.listed(ListKind.FULL, hosts(server -> true));
     }
 
-    /** From now on only these servers are sent to, by requests that are in hand. */
+    /** Restricts pending requests to these servers. */
     void restrictTo(IntPredicate server) {
         if (config.discovery() == null) {
             dispatcher.listed(ListKind.FULL, hosts(server));
@@ -229,22 +200,22 @@
         return hosts;
     }
 
-    /** 0 if one more request may come in, which then counts; else the milliseconds after which to come again. */
+    /** Admits a request and returns 0, or returns the milliseconds after which to retry. */
     double admit(double nowMs) {
         return limiter.admit(nowMs, dispatcher.inHand());
     }
 
-    /** The number by which this pool knows a request. */
+    /** The hash by which this pool's placement knows a request. */
     long keyHash(RouteInput input, Route route, String poolKey) {
         return keyHash.of(input, route, poolKey);
     }
 
-    /** What drops repeats of keyed requests; null: nothing does. */
+    /** The group of pools that drop repeats of keyed requests together; null if none does. */
     String dedupGroup() {
         return config.dedupGroup();
     }
 
-    /** What its module has learned, with at most so many hot keys. */
+    /** The state that its policy has learned, with at most so many hot keys. */
     public StateSnapshot.Pool learned(int maxKeys) {
         LearnedState state = dispatcher.knowledge(maxKeys);
         Map<Integer, String> addresses = new HashMap<>();
@@ -257,6 +228,7 @@
         return new StateSnapshot.Pool(PoolSettings.keyScheme(file, config), state, addresses);
     }
 
+    /** The configuration in force. */
     PoolConfig config() {
         return config;
     }
--- a/src/main/java/cacheproxy/daemon/PoolSettings.java
+++ b/src/main/java/cacheproxy/daemon/PoolSettings.java
@@ -30,14 +30,19 @@
 import java.util.Set;
 import java.util.stream.Stream;
 
-/** A pool of the file in the terms of the decision module. */
+/** Translates a pool's configuration into the settings and members of its policy. */
 public final class PoolSettings {
-    /** A proxy that has not asked discovery for so long asks. */
+    /** A proxy polls discovery at least this often. */
     private static final double MAX_POLL_AGE_MS = 10_000;
 
+    /** Kinds of their own, whatever the file calls its servers. */
+    private static final String SIBLING_KIND = "\0sibling";
+
+    private static final String ORIGIN_KIND = "\0origin";
+
     private PoolSettings() {}
 
-    /** All servers of a pool, its origin last. */
+    /** The servers of a pool, its origin last. */
     public static List<ServerConfig> allServers(PoolConfig pool) {
         List<ServerConfig> all = new ArrayList<>(pool.servers());
         if (pool.origin() != null) {
@@ -53,15 +58,15 @@
         List<String> kinds = new ArrayList<>(
                 pool.servers().stream().map(ServerConfig::kind).distinct().toList());
         if (!pool.siblings().isEmpty()) {
-            kinds.add("\0sibling");
+            kinds.add(SIBLING_KIND);
         }
         if (pool.origin() != null) {
-            kinds.add("\0origin"); // a kind of its own, whatever the file calls its servers
+            kinds.add(ORIGIN_KIND);
         }
         return kinds;
     }
 
-    /** Ours and those of its servers: a zone that another pool has says nothing to this one. */
+    /** This proxy's zone and those of the pool's servers, which alone matter to the pool. */
     private static List<String> zones(DaemonConfig file, PoolConfig pool) {
         if (pool.discovery() != null) {
             return pool.discovery().zones();
@@ -72,6 +77,7 @@
                 .toList();
     }
 
+    /** The settings of the pool's policy. */
     static Settings of(DaemonConfig file, PoolConfig pool) {
         SiteConfig site = file.site();
         ProcessLimitsConfig limits = file.limits();
@@ -121,8 +127,9 @@
                 file.tenants());
     }
 
+    /** A server as a member of the policy's list; {@code startMs} is 0 if it started long ago. */
     static Member member(DaemonConfig file, PoolConfig pool, ServerConfig server, double startMs) {
-        boolean origin = server == pool.origin();
+        boolean origin = server.equals(pool.origin());
         List<String> kinds = kinds(pool);
         return new Member(
                 server.id(),
@@ -134,11 +141,12 @@
                 startMs);
     }
 
-    /** A sibling as the module gets it. */
+    /** A sibling as a member of the policy's list. */
     static Member sibling(PoolConfig pool, SiblingConfig server) {
-        return new Member(server.id(), 0, kinds(pool).indexOf("\0sibling"), 0, State.READY, 1, 0);
+        return new Member(server.id(), 0, kinds(pool).indexOf(SIBLING_KIND), 0, State.READY, 1, 0);
     }
 
+    /** The placement that the pool is configured with. */
     static Placement.Factory placement(PoolConfig pool) {
         return PlacementRegistry.factory(
                 pool.placement(),
@@ -147,7 +155,7 @@
                         .toList());
     }
 
-    /** How the pool's module knows a request. */
+    /** The hash by which the pool's placement knows a request. */
     static KeyHash keyHash(PoolConfig pool) {
         boolean carp = pool.placement().equals(PlacementRegistry.CARP);
         PlacementTemplate poolTemplate = pool.placeBy() == null ? PlacementTemplate.KEY : pool.placeBy();
@@ -160,18 +168,18 @@
                                 : new String(template.bytes(server, route, poolKey), StandardCharsets.ISO_8859_1));
             }
             byte[] text = template.bytes(server, route, poolKey);
-            // Where it is empty nginx goes round; one server for all such requests would be worse than the key's own.
+            // For an empty text nginx uses round robin; the key spreads such requests as well.
             return PlacementKey.fromText(text.length > 0 ? text : poolKey.getBytes(StandardCharsets.ISO_8859_1));
         };
     }
 
-    /** What the numbers of a pool's keys depend on. */
+    /** Identifies what the hashes of a pool's keys depend on. */
     public static String keyScheme(DaemonConfig file, PoolConfig pool) {
         return pool.placement() + " by " + (pool.placeBy() == null ? PlacementTemplate.KEY : pool.placeBy()) + ", keys "
                 + file.keys();
     }
 
-    /** The file's pools for {@code explain}. */
+    /** The pools of a configuration for the command {@code explain}. */
     static Explain explain(DaemonConfig file) {
         Map<String, Explain.PoolView> views = new LinkedHashMap<>();
         for (PoolConfig pool : file.pools().values()) {
--- a/src/main/java/cacheproxy/daemon/PoolSiblings.java
+++ b/src/main/java/cacheproxy/daemon/PoolSiblings.java
@@ -15,8 +15,8 @@
 import java.util.function.IntConsumer;
 
 /**
- * One pool's siblings: what its module is told of them, and its questions on their way to the socket. On the event loop
- * only.
+ * The siblings of one pool: answers the policy's questions about them and passes its queries on to the socket. On the
+ * event loop only.
  */
 final class PoolSiblings implements Siblings, Dispatcher.Questions {
     private final SiblingSocket socket;
@@ -24,7 +24,7 @@
     private final List<SiblingStats> stats = new ArrayList<>();
     private final Map<Integer, Integer> indexById = new HashMap<>();
     private final SplittableRandom random;
-    /** What a fetch at a sibling takes; the first guess is soon overruled. */
+    /** Moving average of a fetch from a sibling, in milliseconds, from an initial guess. */
     private double averageFetchMs = 5;
 
     private SiblingQueryPolicy.Plan plan;
@@ -53,7 +53,7 @@
     @Override
     public void fetched(double nowMs, int sibling, Outcome outcome, double elapsedMs) {
         if (outcome == Outcome.CANCELLED || outcome == Outcome.NOT_SENT) {
-            return; // says nothing of the sibling
+            return; // no evidence about the sibling
         }
         stats.get(indexById.get(sibling)).fetched(outcome == Outcome.OK);
         if (outcome == Outcome.OK) {
@@ -61,7 +61,7 @@
         }
     }
 
-    /** Called by way of the module, right after it was told how long to wait. */
+    /** Called through the policy, right after {@link #waitMs} has made the plan. */
     @Override
     public void ask(String key, double waitMs, IntConsumer answer) {
         List<SiblingConfig> queried = new ArrayList<>();
--- a/src/main/java/cacheproxy/daemon/ResponseObserver.java
+++ b/src/main/java/cacheproxy/daemon/ResponseObserver.java
@@ -5,11 +5,12 @@
 import io.netty.buffer.ByteBuf;
 import java.util.function.Consumer;
 
-/** Hands an answer on and tells of what kind it was, once. */
+/** Passes a response on to the client and reports its kind to an observer, once. */
 public final class ResponseObserver implements Responder {
     private final Responder client;
     private final Consumer<Answer> observer;
 
+    /** Reports to {@code observer} before the response is passed on. */
     public ResponseObserver(Responder client, Consumer<Answer> told) {
         this.client = client;
         this.observer = told;
--- a/src/main/java/cacheproxy/daemon/RetiredConfigs.java
+++ b/src/main/java/cacheproxy/daemon/RetiredConfigs.java
@@ -77,10 +77,12 @@
         return ready;
     }
 
+    /** Requests that still use a retired configuration. */
     int pendingRequests() {
         return configs.stream().mapToInt(config -> config.pendingRequests).sum();
     }
 
+    /** Pools that are kept for them. */
     int poolCount() {
         return pools.size();
     }
--- a/src/main/java/cacheproxy/daemon/RouteExplainer.java
+++ b/src/main/java/cacheproxy/daemon/RouteExplainer.java
@@ -5,15 +5,16 @@
 import cacheproxy.routes.RouteInput;
 import java.util.List;
 
-/** Answers where requests go by a file, without starting it. */
+/** Explains where requests would be sent under a configuration, without starting it. */
 public final class RouteExplainer {
     private final Explain explain;
 
+    /** Explains this configuration. */
     public RouteExplainer(DaemonConfig file) {
         explain = PoolSettings.explain(file);
     }
 
-    /** The line for a request, and with {@code why} those on how it came to it. */
+    /** The line for a request, preceded by the reasons if {@code why} is set. */
     public List<String> lines(RouteInput subject, boolean why) {
         return explain.lines(subject, why);
     }
--- a/src/main/java/cacheproxy/daemon/RoutedRequest.java
+++ b/src/main/java/cacheproxy/daemon/RoutedRequest.java
@@ -14,8 +14,8 @@
 import java.util.List;
 
 /**
- * A request on its way through the pools of its route: each pool's module has it until it serves it or gives it up, and
- * the client gets one answer. It is the responder of whichever pool has it.
+ * A request on its way through the pools of its route: each pool in turn serves or rejects it, and the client gets one
+ * response. It is the responder of the pool that currently has it. On the event loop only.
  */
 final class RoutedRequest implements Responder, RequestHandler.Handle {
     private final EventLoopContext core;
@@ -24,7 +24,7 @@
     private final RouteInput input;
     private final Route route;
     private final ServiceClass serviceClass;
-    /** As pools get it. */
+    /** As the pools get it. */
     private final ClientRequest request;
     /** As the client sent it, where a route has changed the key; else null. */
     private final ClientRequest original;
@@ -34,23 +34,21 @@
     private RequestContext current;
     private boolean concluded;
     private boolean mayHaveRun;
-    /** What drops repeats in all pools in which it may have run; null where that is nothing, or more than one. */
+    /** The group that drops repeats in all pools in which it may have run; null if there is none, or more than one. */
     private String dedupGroupRun;
 
     private boolean failed;
-    /** Whether the last pool that was asked has said that it lacks the key: then that is the answer. */
+    /** Whether the last pool tried lacks the key, which is then the answer. */
     private boolean missed;
 
     private double longestRetryAfterMs;
-    /**
-     * What it has taken of the fleet's limits: of those that concern all pools, and of the present pool's; null:
-     * nothing.
-     */
+    /** Quotas taken that concern all pools; null if none. */
     private LocalQuota[] quotasTaken;
 
+    /** Quotas taken of the current pool; null if none. */
     private LocalQuota[] poolQuotasTaken;
 
-    /** Takes the commands over; {@code original} is null unless the key was changed. */
+    /** Takes over both requests; {@code original} is null unless the route has changed the key. */
     RoutedRequest(
             EventLoopContext core,
             ConfigSnapshot config,
@@ -71,17 +69,10 @@
         config.pendingRequests++;
     }
 
-    /** Goes to the next pool that takes it, or ends. */
+    /** Sends the request to the next pool that admits it, or concludes it. */
     void next() {
-        if (poolIndex < 0 && config.quotas != null) {
-            LocalQuota[] all = config.quotas.of("", request);
-            double waitMs = config.quotas.ask(all, core.now());
-            if (waitMs > 0) {
-                concluded();
-                client.refused(waitMs);
-                return;
-            }
-            quotasTaken = take(all);
+        if (poolIndex < 0 && !takeQuotas()) {
+            return;
         }
         while (++poolIndex < chain.size()) {
             PoolRuntime pool = chain.get(poolIndex);
@@ -90,38 +81,57 @@
                     serviceClass, mayHaveRun, dedupGroupRun, pool.dedupGroup(), nowMs, request.arrivedMs())) {
                 break;
             }
-            double dueMs = Fallback.dueMs(
-                    serviceClass,
-                    mayHaveRun,
-                    poolIndex == chain.size() - 1,
-                    nowMs,
-                    request.arrivedMs(),
-                    request.dueMs());
+            boolean last = poolIndex == chain.size() - 1;
+            double dueMs = Fallback.dueMs(serviceClass, mayHaveRun, last, nowMs, request.arrivedMs(), request.dueMs());
             if (dueMs <= nowMs) {
                 break;
             }
-            LocalQuota[] own = config.quotas == null ? null : config.quotas.of(pool.name, request);
-            double waitMs = own == null ? 0 : config.quotas.ask(own, nowMs);
-            waitMs = waitMs > 0 ? waitMs : pool.admit(nowMs);
-            if (waitMs > 0) {
-                longestRetryAfterMs = Math.max(longestRetryAfterMs, waitMs);
-                continue;
+            if (admit(pool, nowMs)) {
+                current = RequestContext.of(
+                        pool.dispatcher, request, pool.keyHash(input, route, request.key()), this, dueMs);
+                pool.dispatcher.take(current);
+                return;
             }
-            RequestContext context =
-                    RequestContext.of(pool.dispatcher, request, pool.keyHash(input, route, request.key()), this, dueMs);
-            current = context;
-            poolQuotasTaken = own == null ? null : take(own);
-            pool.dispatcher.take(context);
-            return;
         }
-        if (failed || !Fallback.mayRefuse(serviceClass, mayHaveRun)) {
+        concludeUnserved();
+    }
+
+    /** Takes the quotas that concern all pools; false if the request was rejected for one of them. */
+    private boolean takeQuotas() {
+        if (config.quotas == null) {
+            return true;
+        }
+        LocalQuota[] all = config.quotas.of("", request);
+        double waitMs = config.quotas.ask(all, core.now());
+        if (waitMs > 0) {
             concluded();
+            client.refused(waitMs);
+            return false;
+        }
+        quotasTaken = take(all);
+        return true;
+    }
+
+    /** Takes the quotas of a pool and one of its places; false if it rejects the request. */
+    private boolean admit(PoolRuntime pool, double nowMs) {
+        LocalQuota[] poolQuotas = config.quotas == null ? null : config.quotas.of(pool.name, request);
+        double quotaWaitMs = poolQuotas == null ? 0 : config.quotas.ask(poolQuotas, nowMs);
+        double waitMs = quotaWaitMs > 0 ? quotaWaitMs : pool.admit(nowMs);
+        if (waitMs > 0) {
+            longestRetryAfterMs = Math.max(longestRetryAfterMs, waitMs);
+            return false;
+        }
+        poolQuotasTaken = poolQuotas == null ? null : take(poolQuotas);
+        return true;
+    }
+
+    private void concludeUnserved() {
+        concluded();
+        if (failed || !Fallback.mayRefuse(serviceClass, mayHaveRun)) {
             client.failed();
         } else if (missed) {
-            concluded();
             client.miss();
         } else {
-            concluded();
             client.refused(longestRetryAfterMs);
         }
     }
--- a/src/main/java/cacheproxy/daemon/Router.java
+++ b/src/main/java/cacheproxy/daemon/Router.java
@@ -10,7 +10,7 @@
 import cacheproxy.routes.RouteInput;
 import java.util.List;
 
-/** Takes the requests of all listeners and sends each on its route. */
+/** Receives the requests of all listeners and sends each on its route. On the event loop only. */
 public final class Router {
     private final EventLoopContext core;
     private ConfigSnapshot configuration;
@@ -19,16 +19,17 @@
         this.core = core;
     }
 
-    /** Requests that come from now on go by this. */
+    /** Routes later requests by this configuration. */
     void use(ConfigSnapshot next) {
         configuration = next;
     }
 
+    /** The configuration in force; null before the first. */
     ConfigSnapshot configuration() {
         return configuration;
     }
 
-    /** What a listener of this name hands its requests to. */
+    /** The handler of a listener's requests. */
     RequestHandler from(String listener) {
         return (request, responder) -> take(listener, request, responder);
     }
@@ -53,7 +54,12 @@
                 : route(config, listener, null, request, responder);
     }
 
-    /** Sends a request on its route, or on the one that a hook has named. */
+    /**
+     * Sends a request on its route.
+     *
+     * @param named the route that a hook has chosen; null if none has
+     * @return null if the request is already concluded
+     */
     public RequestHandler.Handle route(
             ConfigSnapshot config, String listener, Route named, ClientRequest request, Responder responder) {
         RouteInput input = config.file
@@ -93,13 +99,7 @@
             responder.rejected("route " + route.name() + " makes no legal key of this one");
             return null;
         }
-        // Whoever asks from another proxy gets what our nodes have, and nothing is fetched for him: no loops.
-        if (config.siblings.icp() != null
-                && listener.equals(config.siblings.icp().listener())
-                && (request.write()
-                        || !config.chain(route).stream()
-                                .allMatch(pool -> pool.config().origin() == null
-                                        && pool.config().discovery() == null))) {
+        if (fromSibling(config, listener) && (request.write() || mayFetch(config.chain(route)))) {
             core.closeId(request);
             request.release(core);
             if (request.write()) {
@@ -121,4 +121,16 @@
         routed.next();
         return routed;
     }
+
+    private static boolean fromSibling(ConfigSnapshot config, String listener) {
+        return config.siblings.icp() != null
+                && listener.equals(config.siblings.icp().listener());
+    }
+
+    /** Returns whether a pool may fetch from elsewhere; on behalf of a sibling that could loop. */
+    private static boolean mayFetch(List<PoolRuntime> pools) {
+        return pools.stream()
+                .anyMatch(
+                        pool -> pool.config().origin() != null || pool.config().discovery() != null);
+    }
 }
--- a/src/main/java/cacheproxy/daemon/ServerStarts.java
+++ b/src/main/java/cacheproxy/daemon/ServerStarts.java
@@ -23,6 +23,7 @@
     private final ServerStartTimes times = new ServerStartTimes();
     private SlowStartBudget budget;
 
+    /** The start times known so far. */
     ServerStartTimes times() {
         return times;
     }
--- a/src/main/java/cacheproxy/daemon/SiblingSocket.java
+++ b/src/main/java/cacheproxy/daemon/SiblingSocket.java
@@ -32,19 +32,21 @@
 import java.util.function.Supplier;
 
 /**
- * The daemon's ICP socket: questions of its pools go out and those of siblings come in. All decisions are
- * {@code siblings}'; on the event loop only. Bounds: questions at once and a second, answers a second, remembered keys
- * and addresses; an answer is never longer than its question.
+ * The ICP socket (RFC 2186): sends the queries of this proxy's pools and answers those of siblings. Decisions are made
+ * in {@code cacheproxy.siblings}. Bounded: pending queries, queries and answers a second, remembered keys and
+ * addresses; an answer is never longer than its query. On the event loop only.
  */
 final class SiblingSocket implements Subsystem {
     /** Its section of the configuration file. */
     static final String SECTION = "icp";
 
-    /** Servers that the digest tells apart. */
+    /** Longest key of the protocol. */
+    private static final int MAX_KEY_CHARS = 250;
+    /** Servers that the digest can distinguish. */
     private static final int MAX_SERVERS = 4096;
-    /** Strangers that are remembered for what they were denied. */
+    /** Unknown addresses whose denials are counted. */
     private static final int MAX_STRANGERS = 1024;
-    /** How long answers that come too late are known as such, and measured. */
+    /** For how long late answers are recognized and measured. */
     private static final double LATE_MS = 2000;
 
     private final SiblingsConfig spec;
@@ -57,11 +59,11 @@
     private final Map<InetSocketAddress, SiblingConfig> byAddress = new HashMap<>();
     private final Map<Integer, IntConsumer> callbacks = new HashMap<>();
     private final TokenBucket queryRate;
-    /** Each sibling has one, so that none can use up another's; all strangers share a small one. */
+    /** One for each sibling, so that none uses up another's; unknown addresses share a small one. */
     private final Map<InetSocketAddress, TokenBucket> answerRates = new HashMap<>();
 
     private final TokenBucket strangersRate;
-    /** By whose routes and pools questions are answered. */
+    /** Its routes and pools decide the answers. */
     private Supplier<ConfigSnapshot> configuration = () -> null;
 
     private volatile Channel channel;
@@ -133,23 +135,26 @@
         return Optional.of((InetSocketAddress) channel.localAddress());
     }
 
+    /** The statistics of a sibling, which survive a reload. */
     SiblingStats stats(SiblingConfig sibling) {
         return statsByName.computeIfAbsent(sibling.name(), name -> new SiblingStats());
     }
 
+    /** The siblings of a pool. */
     PoolSiblings of(PoolConfig pool) {
         return new PoolSiblings(
                 this, pool.siblings().stream().map(spec::sibling).toList(), random.split());
     }
 
+    // Nothing waits for the socket's end.
+    @SuppressWarnings("FutureReturnValueIgnored")
     @Override
     public void close() {
         channel.close();
         callbacks.clear();
     }
 
-    // ---- what our servers have
-
+    /** A server of ours has answered a read of a key. */
     void read(String key, int server, boolean has) {
         if (has) {
             digest.answered(core.now(), RequestValidator.keyNumber(key), server);
@@ -158,6 +163,7 @@
         }
     }
 
+    /** A key has been written, so that what was remembered of it is void. */
     void written(String key) {
         digest.gone(RequestValidator.keyNumber(key));
     }
@@ -167,9 +173,8 @@
         digest.restarted(server);
     }
 
-    // ---- asking
-
-    /** Asks; where a bound is reached nothing goes out, and the module goes on when its wait is over. */
+    /** Sends a query; where a bound is reached nothing is sent, and the policy goes on when its wait is over. */
+    @SuppressWarnings("FutureReturnValueIgnored") // a datagram that is not sent is like one that is lost
     void query(String key, List<SiblingConfig> queried, double waitMs, IntConsumer answer) {
         double nowMs = core.now();
         if (!queryRate.tryAcquire(nowMs)) {
@@ -202,7 +207,7 @@
         switch (reply.verdict()) {
             case FIRST_HIT, COUNTED, LAST, LATE -> stats(byAddress.get(from)).answered(reply.elapsedMs(), hit);
             default -> {
-                return; // counted, and no business of any request
+                return; // counted, but it belongs to no pending query
             }
         }
         boolean last = reply.verdict() == PendingQueries.Verdict.LAST;
@@ -214,8 +219,7 @@
         }
     }
 
-    // ---- answering
-
+    /** Null if the query gets no answer. */
     private Opcode answer(InetSocketAddress from, IcpMessage query) {
         boolean denied = !byAddress.containsKey(from);
         if (!denials.answer(from, denied)) {
@@ -230,24 +234,27 @@
             return Opcode.ERR;
         }
         String key = query.url().substring(prefix.length());
-        RouteInput sibling = key.isEmpty() || key.length() > 250 || spec.icp().listener() == null
-                ? null
-                : config.file.keys().subject(spec.icp().listener(), key, 0, 0, false);
-        Route route = sibling == null ? null : config.file.routes().find(sibling);
-        String poolKey = route == null || !(route.action() instanceof Route.ToPools) ? null : route.poolKey(sibling);
-        if (poolKey == null) {
-            return Opcode.MISS;
+        RouteInput input =
+                key.isEmpty() || key.length() > MAX_KEY_CHARS || spec.icp().listener() == null
+                        ? null
+                        : config.file.keys().subject(spec.icp().listener(), key, 0, 0, false);
+        Route route = input == null ? null : config.file.routes().find(input);
+        String poolKey = route == null || !(route.action() instanceof Route.ToPools) ? null : route.poolKey(input);
+        return poolKey == null ? Opcode.MISS : answer(config.chain(route).get(0), poolKey);
+    }
+
+    private Opcode answer(PoolRuntime pool, String poolKey) {
+        if (pool.dispatcher.pressed()) {
+            return Opcode.MISS_NOFETCH;
         }
-        PoolRuntime pool = config.chain(route).get(0);
-        boolean pressed = pool.dispatcher.pressed();
         long number = RequestValidator.keyNumber(poolKey);
-        if (!pressed && digest.holds(core.now(), number)) {
+        if (digest.holds(core.now(), number)) {
             int server = digest.server(number);
             if (pool.hasServer(server) && pool.dispatcher.sound(server)) {
                 return Opcode.HIT;
             }
         }
-        return pressed ? Opcode.MISS_NOFETCH : Opcode.MISS;
+        return Opcode.MISS;
     }
 
     private final class Handler extends SimpleChannelInboundHandler<DatagramPacket> {
@@ -263,14 +270,19 @@
             if (message.opcode().answers()) {
                 answered(packet.sender(), message);
             } else if (message.opcode() == Opcode.QUERY) {
-                if (!answerRates.getOrDefault(packet.sender(), strangersRate).tryAcquire(core.now())) {
-                    overRateCount++;
-                    return;
-                }
-                Opcode with = answer(packet.sender(), message);
-                if (with != null) {
-                    ctx.write(new DatagramPacket(IcpCodec.encode(ctx.alloc(), message.answer(with)), packet.sender()));
-                }
+                queried(ctx, packet.sender(), message);
+            }
+        }
+
+        @SuppressWarnings("FutureReturnValueIgnored") // a datagram that is not sent is like one that is lost
+        private void queried(ChannelHandlerContext ctx, InetSocketAddress from, IcpMessage query) {
+            if (!answerRates.getOrDefault(from, strangersRate).tryAcquire(core.now())) {
+                overRateCount++;
+                return;
+            }
+            Opcode answer = answer(from, query);
+            if (answer != null) {
+                ctx.write(new DatagramPacket(IcpCodec.encode(ctx.alloc(), query.answer(answer)), from));
             }
         }
 
@@ -281,16 +293,22 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // A datagram that did not arrive says nothing of the next.
+            // The failure of one datagram does not affect others.
         }
     }
 
-    /** Datagrams dropped as they were no ICP, and those over the rate, so far. */
+    /**
+     * Datagrams dropped as malformed, and those over the rate. Without a caller until log lines report them: see
+     * docs/ROADMAP.md, "Next, in this order", item 1.
+     */
     long[] dropped() {
         return new long[] {malformedCount, overRateCount};
     }
 
-    /** What became of the datagrams that claimed to be answers. */
+    /**
+     * Datagrams that claimed to be answers, by verdict. Without a caller until log lines report them: see
+     * docs/ROADMAP.md, "Next, in this order", item 1.
+     */
     long count(PendingQueries.Verdict verdict) {
         return pendingQueries.count(verdict);
     }
--- a/src/main/java/cacheproxy/daemon/SocketBinder.java
+++ b/src/main/java/cacheproxy/daemon/SocketBinder.java
@@ -14,17 +14,17 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 
-/** Addresses that parts are bound to; not on the event loop. */
+/** Binds the addresses of subsystems; not on the event loop. */
 public final class SocketBinder {
     private SocketBinder() {}
 
-    /** Why an address can't be had, as an error of the file. */
+    /** A failure to bind an address, as an error line of the file. */
     static String describeFailure(DaemonConfig file, String subsystem, InetSocketAddress at, Throwable cause) {
         return file.path() + ":1:1: " + subsystem + " can't be bound to " + Addresses.text(at) + ": "
                 + String.valueOf(cause.getMessage()).lines().findFirst().orElse("");
     }
 
-    /** The channel once it is bound; else the exception. */
+    /** Waits for a channel to be bound, or throws the failure as an error of the file. */
     static Channel require(ChannelFuture bound, DaemonConfig file, String subsystem, InetSocketAddress at)
             throws ConfigException, InterruptedException {
         if (!bound.await().isSuccess()) {
@@ -33,7 +33,7 @@
         return bound.channel();
     }
 
-    /** A socket for datagrams of at most so many bytes. */
+    /** Binds a socket for datagrams of at most {@code maxDatagramBytes}. */
     public static Channel datagrams(
             EventLoopContext core,
             DaemonConfig file,
@@ -54,7 +54,7 @@
                 at);
     }
 
-    /** Whether another can't be bound beside one that is bound here. */
+    /** Returns whether two sockets at these addresses could not be bound together. */
     public static boolean conflict(InetSocketAddress one, InetSocketAddress other) {
         return one.equals(other) && one.getPort() != 0;
     }
--- a/src/main/java/cacheproxy/daemon/hooks/HookExecutor.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookExecutor.java
@@ -13,42 +13,48 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicReference;
+import java.util.function.Consumer;
 
 /**
- * A hook at work: its own thread with an instance of its module, and a queue of bounded length, so that no hook waits
- * for another and none for the event loop. A call that is not done in time is answered as failed whatever it still
- * does.
+ * Runs one hook: a thread with an instance of the module and a bounded queue, so that hooks wait neither for one
+ * another nor for the event loop. A call that misses its timeout has failed whatever the module still does.
  */
 public final class HookExecutor {
-    /** Deep enough for any honest hook; a module that recurses without end runs into it. */
+    /** Stack of a hook's thread, which bounds a module's recursion. */
     private static final long STACK_BYTES = 512 << 10;
 
     private static final long START_SECONDS = 10;
 
+    /** Its section of the configuration. */
     public final HookConfig config;
+
     final HookBreaker breaker;
     private final HookModule module;
     private final ArrayBlockingQueue<Task> queue;
     private final Thread worker;
     private final boolean wantsAnswers;
     private volatile boolean stopping;
+    private volatile Consumer<String> log = line -> {};
     private HookInstance instance;
 
-    /**
-     * Where a call's end goes, once: on the hook's thread where it has come to one, on the event loop where its time
-     * was over.
-     */
+    /** Receives the end of a call, once: on the hook's thread, or on the event loop after a timeout. */
     interface Ended {
-        /** Orders, or why there are none; {@code run} tells whether the hook was called at all. */
-        void ended(HookOrders orders, String failure, boolean run);
+        /** Receives orders, or why there are none; {@code called} tells whether the hook was called at all. */
+        void ended(HookOrders orders, String failure, boolean called);
     }
 
-    /** One call: waits, runs, or is over; whoever gets it to its end first tells of it. */
+    private enum State {
+        QUEUED,
+        RUNNING,
+        ENDED
+    }
+
+    /** One call: queued, running or ended; whoever ends it first reports it. */
     final class Task {
         final double untilMs;
         private final HookCall call;
         private final Ended ended;
-        private final AtomicReference<String> state = new AtomicReference<>("waits");
+        private final AtomicReference<State> state = new AtomicReference<>(State.QUEUED);
         /** Null for a request. */
         private final HookCall.Answer answer;
 
@@ -62,31 +68,31 @@
             this.elapsedMs = elapsedMs;
         }
 
-        /** Its time is over: tells of its end if nobody else does. On the event loop. */
+        /** Ends the call on its timeout, unless it has ended; on the event loop. */
         void expire() {
-            String was;
+            State previous;
             synchronized (worker) { // so that the next call is not interrupted in this one's place
-                was = state.getAndSet("over");
-                if (was.equals("runs")) {
+                previous = state.getAndSet(State.ENDED);
+                if (previous == State.RUNNING) {
                     worker.interrupt();
                 }
             }
-            if (!was.equals("over")) {
+            if (previous != State.ENDED) {
                 ended.ended(
                         null,
-                        was.equals("runs") ? "it took longer than it may" : "it waited too long for its turn",
-                        was.equals("runs"));
+                        previous == State.RUNNING ? "it took longer than it may" : "it waited too long for its turn",
+                        previous == State.RUNNING);
             }
         }
 
-        /** Hands it in; false if the queue is full, and its end is not told then. */
+        /** Queues the call; false if the queue is full, and then its end is not reported. */
         boolean offer() {
             return queue.offer(this);
         }
 
-        /** Takes back one that was not taken in; false if its time is over, whose end is told as of any. */
+        /** Withdraws a call that was not queued; false if it has timed out, which is reported as usual. */
         boolean withdraw() {
-            return state.compareAndSet("waits", "over");
+            return state.compareAndSet(State.QUEUED, State.ENDED);
         }
     }
 
@@ -102,8 +108,7 @@
     }
 
     /**
-     * Loads and starts a hook; not on the event loop. {@code on_load} has a thread of its own that is not waited for
-     * long.
+     * Loads and starts a hook; not on the event loop. The module's {@code on_load} may take {@value #START_SECONDS} s.
      */
     static HookExecutor start(HookConfig config, byte[] bytes) throws HookException {
         HookModule module = HookModule.load(bytes, config.limits(), config.config());
@@ -140,21 +145,22 @@
         return new HookExecutor(config, module, first[0]);
     }
 
+    /** Starts the hook's thread. */
     void begin() {
         worker.start();
     }
 
-    /** A call that may take until then, on the core's clock; to be offered, and to be expired then. */
+    /** A call with a deadline on the event loop's clock, to be offered, and expired at the deadline. */
     Task task(HookCall call, double untilMs, Ended ended) {
         return new Task(call, untilMs, ended, null, 0);
     }
 
-    /** Tells the module of an answer, if it asks for that and there is room; nothing waits for it. */
+    /** Reports a response to the module, unless the queue is full; nothing waits for it. */
     void answered(HookCall call, HookCall.Answer answer, long elapsedMs) {
         queue.offer(new Task(call, 0, (orders, failure, called) -> {}, answer, elapsedMs));
     }
 
-    /** Whether the module is to be told of answers. */
+    /** Returns whether the module wants to know responses. */
     boolean wantsAnswers() {
         return wantsAnswers;
     }
@@ -165,9 +171,9 @@
             try {
                 task = queue.take();
             } catch (InterruptedException e) {
-                continue; // the watch of a call that has just ended, or the end of all
+                continue; // a late timeout of the previous call, or stop()
             }
-            if (!task.state.compareAndSet("waits", "runs")) {
+            if (!task.state.compareAndSet(State.QUEUED, State.RUNNING)) {
                 continue;
             }
             HookOrders orders = null;
@@ -186,15 +192,15 @@
             } catch (HookException e) {
                 failure = e.getMessage();
                 logged(instance == null ? List.of() : instance.lastLog());
-                instance = null; // what it has left behind is in no known state
-            } catch (RuntimeException | Error e) {
+                instance = null; // its state is undefined now
+            } catch (RuntimeException | Error e) { // a fault of the WebAssembly runtime must not end the thread
                 failure = "the host failed: " + HookExecutor.text(e);
                 instance = null;
             }
             boolean first;
             synchronized (worker) {
-                first = task.state.compareAndSet("runs", "over");
-                Thread.interrupted(); // its watch may have come late
+                first = task.state.compareAndSet(State.RUNNING, State.ENDED);
+                Thread.interrupted(); // its timeout may have come late
             }
             if (first) {
                 task.ended.ended(orders, failure, true);
@@ -202,12 +208,11 @@
         }
     }
 
-    private static String text(Throwable e) {
-        return String.valueOf(e.getMessage()).lines().findFirst().orElse("");
+    private static String text(Throwable failure) {
+        return String.valueOf(failure.getMessage()).lines().findFirst().orElse("");
     }
 
-    private volatile java.util.function.Consumer<String> log = line -> {};
-
+    /** Logs the module's lines on the event loop from now on. */
     void log(EventLoopContext core) {
         log = line -> {
             if (core.takesLines()) { // a hook that writes without end would keep the loop busy with lines that it drops
@@ -220,6 +225,7 @@
         lines.forEach(text -> log.accept("hook " + config.name() + ": " + text));
     }
 
+    /** Ends the hook's thread; calls in the queue are not run. */
     public void stop() {
         stopping = true;
         worker.interrupt();
--- a/src/main/java/cacheproxy/daemon/hooks/HookSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookSubsystem.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The hooks of a file. They are loaded anew with every file: a module may have changed behind its path. */
+/** The hooks of a configuration, loaded anew on each reload, as a module may have changed under the same path. */
 public final class HookSubsystem implements Subsystem {
     private final EventLoopContext core;
     private final List<HookExecutor> executors;
@@ -47,10 +47,7 @@
         });
     }
 
-    /**
-     * Requests that came under their file may still be at them, so the {@link ConfigSnapshot} ends those that were
-     * used.
-     */
+    /** Pending requests may still call the hooks, so a {@code ConfigSnapshot} ends those that were applied. */
     @Override
     public void close() {
         if (!applied) {
--- a/src/main/java/cacheproxy/daemon/hooks/HookedRequest.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookedRequest.java
@@ -15,20 +15,22 @@
 import cacheproxy.routes.RouteInput;
 import java.util.IdentityHashMap;
 import java.util.List;
-import java.util.Map;
 
 /**
- * A request that hooks look at before it is routed, one after another. Whatever they do, it goes on or is refused in
- * time: a hook has its own time and at most half of what the client still waits.
+ * A request that passes hooks, one after another, before it is routed. Whatever they do, it is routed or rejected in
+ * time: each hook has a timeout, and at most half of the time left until the request's deadline.
  *
- * <p>One hook's thread hands it straight on to the next one's, as each turn of the event loop in between would be taken
- * from other requests. It is in one hand at a time: the loop's at first, then that of the task which is out, whose end
- * is told once, by the hook's thread or, when its time is over, by the loop. Answers and routing are the loop's again.
+ * <p>One hook's thread hands the request directly to the next one's, as each turn of the event loop in between would
+ * delay other requests. One thread owns it at a time: the event loop's first, then that of the running task, whose end
+ * is reported once, by the hook's thread or, on a timeout, by the event loop. Responses and routing belong to the event
+ * loop again.
  */
 public final class HookedRequest implements RequestHandler.Handle {
-    /** What a hook may take of the time that is left. */
+    /** A request with less time left is rejected. */
+    private static final double MIN_TIME_LEFT_MS = 2;
+    /** The part of the time left that one hook may take. */
     private static final double MAX_FRACTION_OF_TIME_LEFT = 0.5;
-    /** A call whose time is over and whose end is just being told elsewhere is looked at again after so long. */
+    /** A call that has timed out, but is being concluded by the hook's thread, is checked again after this time. */
     private static final double MIN_TIMER_MS = 1;
 
     private final EventLoopContext core;
@@ -38,19 +40,20 @@
     private final String listener;
     private final Responder responder;
     private final int sentClass;
-    /** What each of those that want to be told of the answer was asked. */
-    private final Map<HookExecutor, HookCall> callsByHook = new IdentityHashMap<>(2);
+    /** The calls of those hooks that want to know the response. */
+    private final IdentityHashMap<HookExecutor, HookCall> callsByHook = new IdentityHashMap<>(2);
 
     private ClientRequest request;
     private Route routeByHook;
     private int hookIndex;
-    /** The call that is out; its time is watched by the loop. */
+    /** The call in progress; its timeout is watched by the event loop. */
     private volatile HookExecutor.Task runningTask;
 
     private TimerWheel.Timer watchTimer;
     private volatile boolean gone;
     private RequestHandler.Handle routed;
 
+    /** Takes the request over. */
     public HookedRequest(
             EventLoopContext core,
             Router router,
@@ -72,6 +75,7 @@
         config.pendingRequests++;
     }
 
+    /** Calls the first hook; on the event loop. */
     public RequestHandler.Handle start() {
         double shortest = hooks.stream()
                 .mapToDouble(hook -> hook.config.limits().timeMs())
@@ -82,87 +86,95 @@
         return this;
     }
 
-    /** One timer for all calls: set for the earliest that any may end, and again for the one that is out by then. */
+    /** One timer serves all calls: it is set for the earliest timeout, and then again for the call in progress. */
     private void watchTimer(double afterMs) {
         watchTimer = core.after(Math.max(MIN_TIMER_MS, afterMs), () -> {
             HookExecutor.Task task = runningTask;
             double leftMs = task == null ? 0 : task.untilMs - core.now();
-            watchTimer(leftMs); // before its end is told, which may be the last
+            watchTimer(leftMs); // before the timeout, which may conclude the request
             if (task != null && leftMs <= 0) {
                 task.expire();
             }
         });
     }
 
-    /** Does this on the loop, at once if that is where we are. */
-    private void onLoop(Runnable last) {
+    /** Runs a task on the event loop, at once if this is it. */
+    private void onLoop(Runnable task) {
         if (core.loop().inEventLoop()) {
-            last.run();
+            task.run();
         } else {
-            core.loop().execute(last);
+            core.loop().execute(task);
         }
     }
 
+    /** Calls the next hook that applies, or routes the request after the last one. */
     private void next() {
         while (hookIndex < hooks.size()) {
             HookExecutor hook = hooks.get(hookIndex);
-            if (!hook.config.routes().isEmpty() && !core.loop().inEventLoop()) {
+            boolean ofSomeRoutes = !hook.config.routes().isEmpty();
+            if (ofSomeRoutes && !core.loop().inEventLoop()) {
                 core.loop().execute(this::next); // routes are looked up there alone
                 return;
             }
             hookIndex++;
             double nowMs = core.now();
-            double leftMs = request.dueMs() - nowMs;
-            if (!hook.config.routes().isEmpty() && !applies(hook)) {
-                continue;
-            }
-            if (leftMs < 2) {
-                refuse(hook.config.retryAfterMs());
-                return;
-            }
-            if (!hook.breaker.call(nowMs)) {
-                if (failed(hook)) {
-                    return;
-                }
-                continue;
-            }
-            ServiceClass serviceClass = config.file.classes().get(request.serviceClass());
-            String tenant = config.file.tenants().isEmpty()
-                    ? ""
-                    : config.file.tenants().get(request.tenant()).name();
-            HookCall call = new HookCall(
-                    request.key(), serviceClass.name(), tenant, request.write(), request.repeat(), (long) leftMs);
-            if (hook.wantsAnswers()) {
-                callsByHook.put(hook, call);
-            }
-            HookExecutor.Task task = hook.task(
-                    call,
-                    nowMs + Math.min(hook.config.limits().timeMs(), leftMs * MAX_FRACTION_OF_TIME_LEFT),
-                    (orders, failure, run) -> ended(hook, orders, failure, run));
-            runningTask = task;
-            if (task.offer()) {
-                return; // and it may be in other hands already
-            }
-            if (!task.withdraw()) {
-                return;
-            }
-            callsByHook.remove(hook);
-            hook.breaker.notRun();
-            if (failed(hook)) {
+            boolean applies = !ofSomeRoutes || applies(hook);
+            if (applies && !skip(hook, nowMs)) {
                 return;
             }
         }
-        onLoop(() -> {
-            if (gone) {
-                release();
-                return;
-            }
-            over();
-            routed = router.route(config, listener, routeByHook, request, responder);
-        });
+        onLoop(this::route);
     }
 
-    /** Whether the request would go on one of the hook's routes as it is now. */
+    /** Calls a hook unless it can't be called now; returns whether the request goes on to the next hook at once. */
+    private boolean skip(HookExecutor hook, double nowMs) {
+        double leftMs = request.dueMs() - nowMs;
+        if (leftMs < MIN_TIME_LEFT_MS) {
+            refuse(hook.config.retryAfterMs());
+            return false;
+        }
+        if (!hook.breaker.call(nowMs)) {
+            return !rejectedByFailure(hook);
+        }
+        HookCall call = newCall(leftMs);
+        if (hook.wantsAnswers()) {
+            callsByHook.put(hook, call);
+        }
+        HookExecutor.Task task = hook.task(
+                call,
+                nowMs + Math.min(hook.config.limits().timeMs(), leftMs * MAX_FRACTION_OF_TIME_LEFT),
+                (orders, failure, called) -> ended(hook, orders, failure, called));
+        runningTask = task;
+        if (task.offer()) {
+            return false; // the hook's thread may have it already
+        }
+        if (!task.withdraw()) {
+            return false;
+        }
+        callsByHook.remove(hook);
+        hook.breaker.notRun();
+        return !rejectedByFailure(hook);
+    }
+
+    private HookCall newCall(double leftMs) {
+        ServiceClass serviceClass = config.file.classes().get(request.serviceClass());
+        String tenant = config.file.tenants().isEmpty()
+                ? ""
+                : config.file.tenants().get(request.tenant()).name();
+        return new HookCall(
+                request.key(), serviceClass.name(), tenant, request.write(), request.repeat(), (long) leftMs);
+    }
+
+    private void route() {
+        if (gone) {
+            release();
+            return;
+        }
+        over();
+        routed = router.route(config, listener, routeByHook, request, responder);
+    }
+
+    /** Returns whether the request, as it is now, takes one of the hook's routes. */
     private boolean applies(HookExecutor hook) {
         RouteInput input = config.file
                 .keys()
@@ -174,12 +186,12 @@
     }
 
     private void answered(HookCall.Answer answer) {
-        long elapsed = Math.round(core.now() - request.arrivedMs());
-        callsByHook.forEach((hook, call) -> hook.answered(call, answer, elapsed));
+        long elapsedMs = Math.round(core.now() - request.arrivedMs());
+        callsByHook.forEach((hook, call) -> hook.answered(call, answer, elapsedMs));
     }
 
-    /** Where a hook fails: true if that ends the request. */
-    private boolean failed(HookExecutor hook) {
+    /** Rejects the request if the hook's failure has to; returns whether it did. */
+    private boolean rejectedByFailure(HookExecutor hook) {
         if (hook.config.rejectOnFailure()) {
             refuse(hook.config.retryAfterMs());
             return true;
@@ -187,20 +199,20 @@
         return false;
     }
 
-    private void note(HookExecutor hook, double nowMs, boolean failure, String fault) {
+    private void recordOutcome(HookExecutor hook, double nowMs, boolean failure, String fault) {
         if (hook.breaker.ended(nowMs, failure)) {
             onLoop(() -> core.log("hook " + hook.config.name() + " is switched off for "
                     + Math.round(hook.config.breakerOffMs()) + " ms, as too many calls fail; the last: " + fault));
         }
     }
 
-    private void ended(HookExecutor hook, HookOrders orders, String failure, boolean run) {
+    private void ended(HookExecutor hook, HookOrders orders, String failure, boolean called) {
         double nowMs = core.now();
         double leftMs = request.dueMs() - nowMs;
         String fault =
                 failure != null ? failure : config.hookRules.refused(orders, sentClass, (long) Math.max(0, leftMs));
-        if (run) {
-            note(hook, nowMs, fault != null, fault);
+        if (called) {
+            recordOutcome(hook, nowMs, fault != null, fault);
         } else {
             hook.breaker.notRun();
         }
@@ -209,7 +221,7 @@
             return;
         }
         if (fault != null) {
-            if (!failed(hook)) {
+            if (!rejectedByFailure(hook)) {
                 next();
             }
             return;
@@ -221,6 +233,11 @@
             refuse(orders.refuseMs());
             return;
         }
+        apply(orders, nowMs);
+        next();
+    }
+
+    private void apply(HookOrders orders, double nowMs) {
         if (orders.key() != null && !orders.key().equals(request.key())) {
             request = request.moved(orders.key());
         }
@@ -231,7 +248,6 @@
                 orders.tenant() == null ? request.tenant() : config.hookRules.tenantIndex(orders.tenant()),
                 orders.remainingMs() > 0 ? nowMs + orders.remainingMs() : request.dueMs());
         routeByHook = orders.route() == null ? routeByHook : config.route(orders.route());
-        next();
     }
 
     private void refuse(double afterMs) {
--- a/src/main/java/cacheproxy/daemon/hooks/Hooks.java
+++ b/src/main/java/cacheproxy/daemon/hooks/Hooks.java
@@ -12,13 +12,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads and starts the hooks of a file; what is wrong with any of them is told, and then none is started. */
+/** Loads the modules of a configuration's hooks; if any can't be loaded all faults are reported and none is used. */
 public final class Hooks {
-    private static final long MAX_BYTES = 4 << 20;
+    private static final long MAX_MODULE_BYTES = 4 << 20;
 
     private Hooks() {}
 
-    /** Not on the event loop: reads files and compiles. */
+    /** Loads all hooks; not on the event loop, as it reads files and compiles. */
     static List<HookExecutor> load(DaemonConfig file) throws ConfigException {
         List<HookExecutor> all = new ArrayList<>();
         List<String> faults = new ArrayList<>();
@@ -35,7 +35,7 @@
         return all;
     }
 
-    /** Whether all hooks of a file load; the exception has a line for each that does not. */
+    /** Loads all hooks of a configuration for their errors alone; the exception has a line for each that fails. */
     public static void check(DaemonConfig file) throws ConfigException {
         load(file);
     }
@@ -43,8 +43,9 @@
     private static byte[] read(HookConfig hook) throws HookException {
         byte[] bytes;
         try {
-            if (Files.isDirectory(hook.module()) || Files.size(hook.module()) > MAX_BYTES) {
-                throw new HookException(hook.module() + " is a directory, or has more than " + MAX_BYTES + " bytes");
+            if (Files.isDirectory(hook.module()) || Files.size(hook.module()) > MAX_MODULE_BYTES) {
+                throw new HookException(
+                        hook.module() + " is a directory, or has more than " + MAX_MODULE_BYTES + " bytes");
             }
             bytes = Files.readAllBytes(hook.module());
         } catch (NoSuchFileException e) {
