--- a/src/test/java/cacheproxy/daemon/DaemonHarness.java
+++ b/src/test/java/cacheproxy/daemon/DaemonHarness.java
@@ -65,11 +65,11 @@
 
     static String servers(String keys, FakeCacheServer... nodes) {
         StringBuilder text = new StringBuilder();
-        for (FakeCacheServer n : nodes) {
+        for (FakeCacheServer server : nodes) {
             text.append("[[pool.server]]\nname = \"")
-                    .append(name(n))
+                    .append(name(server))
                     .append("\"\ndial = \"")
-                    .append(n.dial())
+                    .append(server.dial())
                     .append("\"\n")
                     .append(keys)
                     .append('\n');
@@ -112,12 +112,12 @@
     /** One client by hand. */
     public static final class Talk implements AutoCloseable {
         final Socket socket;
-        private final InputStream in;
+        private final InputStream input;
 
         Talk(InetSocketAddress to) throws IOException {
             socket = new Socket(to.getAddress(), to.getPort());
             socket.setSoTimeout(60_000);
-            in = new BufferedInputStream(socket.getInputStream());
+            input = new BufferedInputStream(socket.getInputStream());
         }
 
         public Talk say(String text) throws IOException {
@@ -128,20 +128,20 @@
         /** A line; null at the end of the stream. */
         public String line() throws IOException {
             StringBuilder line = new StringBuilder();
-            for (int b; (b = in.read()) != '\n'; ) {
-                if (b < 0) {
+            for (int byteRead; (byteRead = input.read()) != '\n'; ) {
+                if (byteRead < 0) {
                     return null;
                 }
-                if (b != '\r') {
-                    line.append((char) b);
+                if (byteRead != '\r') {
+                    line.append((char) byteRead);
                 }
             }
             return line.toString();
         }
 
-        public List<String> lines(int n) throws IOException {
+        public List<String> lines(int count) throws IOException {
             List<String> lines = new java.util.ArrayList<>();
-            for (int i = 0; i < n; i++) {
+            for (int i = 0; i < count; i++) {
                 lines.add(line());
             }
             return lines;
--- a/src/test/java/cacheproxy/daemon/HooksInCallTest.java
+++ b/src/test/java/cacheproxy/daemon/HooksInCallTest.java
@@ -35,8 +35,8 @@
         return Thread.getAllStackTraces().entrySet().stream()
                 .anyMatch(e -> e.getKey().getName().equals("hook h")
                         && Arrays.stream(e.getValue())
-                                .anyMatch(f -> f.getMethodName().equals("call")
-                                        && f.getClassName().endsWith("HookInstance")));
+                                .anyMatch(frame -> frame.getMethodName().equals("call")
+                                        && frame.getClassName().endsWith("HookInstance")));
     }
 
     private static void awaitRunning() {
@@ -46,7 +46,7 @@
     }
 
     @Test
-    void aCallThatDoesNotEndIsEndedByTheClockAndItsFailureRuleHolds() throws Exception {
+    void appliesFailureRuleWhenCallTimesOut() throws Exception {
         FakeFleet fleet = new FakeFleet(1);
         try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet, "time_ms = 20"));
                 DaemonHarness.Talk talk = rig.talk()) {
@@ -57,7 +57,7 @@
     }
 
     @Test
-    void aCallMayTakeHalfOfWhatTheClientStillWaitsSoThatThereIsTimeToServeIt() throws Exception {
+    void limitsCallToHalfOfRemainingDeadline() throws Exception {
         FakeFleet fleet = new FakeFleet(1);
         try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet, "time_ms = 10000"));
                 DaemonHarness.Talk talk = rig.talk()) {
@@ -67,7 +67,7 @@
     }
 
     @Test
-    void afterATrapTheNextCallHasANewInstance() throws Exception {
+    void usesNewInstanceAfterTrap() throws Exception {
         FakeFleet fleet = new FakeFleet(1);
         try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet, "time_ms = 10000"));
                 DaemonHarness.Talk talk = rig.talk()) {
@@ -88,7 +88,7 @@
     }
 
     @Test
-    void aClientThatLeavesDuringACallIsNotAskedFor() throws Exception {
+    void sendsNoRequestForClientThatLeftDuringCall() throws Exception {
         FakeFleet fleet = new FakeFleet(1);
         try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet, "time_ms = 10000"));
                 DaemonHarness.Talk other = rig.talk()) {
@@ -115,7 +115,7 @@
     }
 
     @Test
-    void aModuleThatIsReplacedInACallEndsItAndItsOrdersHold() throws Exception {
+    void finishesCallAndAppliesOrdersOfReplacedModule() throws Exception {
         FakeFleet fleet = new FakeFleet(1);
         String with = file(fleet, "time_ms = 10000");
         try (DaemonHarness rig = new DaemonHarness(fleet, with)) {
@@ -132,7 +132,7 @@
                     assertThat(talk.lines(2)).containsExactly("VA 11", "value of n1");
                 }
                 while (Thread.getAllStackTraces().keySet().stream()
-                        .anyMatch(t -> t.getName().equals("hook h"))) {
+                        .anyMatch(thread -> thread.getName().equals("hook h"))) {
                     Thread.onSpinWait(); // its thread goes with the last request of its file
                 }
                 rig.load(with);
--- a/src/test/java/cacheproxy/daemon/ImportedSitesTest.java
+++ b/src/test/java/cacheproxy/daemon/ImportedSitesTest.java
@@ -79,7 +79,7 @@
 
     @ParameterizedTest
     @MethodSource("sites")
-    void everyKeyGoesToTheNodeThatItWentTo(Path file) throws Exception {
+    void routesEveryKeyToSameServerAsNginx(Path file) throws Exception {
         String text = Files.readString(file, StandardCharsets.ISO_8859_1);
         Map<String, String> dial = new LinkedHashMap<>();
         Map<String, String> names = new LinkedHashMap<>();
--- a/src/test/java/cacheproxy/daemon/ListenersTest.java
+++ b/src/test/java/cacheproxy/daemon/ListenersTest.java
@@ -28,10 +28,10 @@
     }
 
     @Test
-    void plainCommandsOfStockClientsAreTakenAndAllElseIsAnsweredWithALine() throws Exception {
+    void acceptsPlainCommandsOfStandardClientsAndAnswersOthersWithOneLine() throws Exception {
         FakeFleet fleet = new FakeFleet(2);
         try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet));
-                DaemonHarness.Talk t = rig.talk()) {
+                DaemonHarness.Talk client = rig.talk()) {
             String[][] talks = {
                 {"mn", "MN"},
                 {"mg page/1 v", "VA 15", "value of page/1"},
@@ -61,12 +61,12 @@
                 {"mg long/" + "k".repeat(240) + " v", "CLIENT_ERROR route long makes no legal key of this one"},
             };
             for (String[] talk : talks) {
-                t.say(talk[0] + "\r\n");
+                client.say(talk[0] + "\r\n");
                 for (int i = 1; i < talk.length; i++) {
-                    assertThat(t.line()).as(talk[0]).isEqualTo(talk[i]);
+                    assertThat(client.line()).as(talk[0]).isEqualTo(talk[i]);
                 }
             }
-            assertThat(t.say("mg page/2 v\r\n").line())
+            assertThat(client.say("mg page/2 v\r\n").line())
                     .as("the connection goes on")
                     .isEqualTo("VA 15");
             assertThat(fleet.ledger.times("hi")).isEqualTo(1);
@@ -74,54 +74,54 @@
     }
 
     @Test
-    void aStrictListenerIsAsStrictAsThePlatforms() throws Exception {
+    void rejectsOnStrictListenerWhatThePlatformRejects() throws Exception {
         FakeFleet fleet = new FakeFleet(1);
         try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet));
-                DaemonHarness.Talk t = new DaemonHarness.Talk(rig.daemon.address("strict"))) {
-            assertThat(t.say("mg page/1 v\r\n").line()).isEqualTo("CLIENT_ERROR bad command line format");
-            assertThat(t.say("mg page/1 v O1 Pc=page,d=9000\r\n").lines(2))
+                DaemonHarness.Talk client = new DaemonHarness.Talk(rig.daemon.address("strict"))) {
+            assertThat(client.say("mg page/1 v\r\n").line()).isEqualTo("CLIENT_ERROR bad command line format");
+            assertThat(client.say("mg page/1 v O1 Pc=page,d=9000\r\n").lines(2))
                     .containsExactly("VA 15 O1", "value of page/1");
-            assertThat(t.say("ms page/1 2 O2 Pc=submit,d=9000\r\nhi\r\n").line())
+            assertThat(client.say("ms page/1 2 O2 Pc=submit,d=9000\r\nhi\r\n").line())
                     .isEqualTo("HD O2 cwO2".replace("wO2", "w2"));
         }
     }
 
     @Test
-    void manyPipelinedCommandsAreAnsweredInTheirOrder() throws Exception {
+    void answersPipelinedCommandsInOrder() throws Exception {
         FakeFleet fleet = new FakeFleet(3);
         try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet));
-                DaemonHarness.Talk t = rig.talk()) {
+                DaemonHarness.Talk client = rig.talk()) {
             StringBuilder all = new StringBuilder();
             for (int i = 0; i < 200; i++) {
                 byte[] value = ("value of page/" + i).getBytes();
                 String key = "page/" + i;
-                fleet.nodes.forEach(n -> n.store(key, value));
+                fleet.nodes.forEach(node -> node.store(key, value));
                 all.append("mg page/").append(i).append(" v O").append(i).append("\r\n");
             }
-            t.say(all.toString());
+            client.say(all.toString());
             for (int i = 0; i < 200; i++) {
-                assertThat(t.line()).isEqualTo("VA " + ("value of page/" + i).length() + " O" + i);
-                assertThat(t.line()).isEqualTo("value of page/" + i);
+                assertThat(client.line()).isEqualTo("VA " + ("value of page/" + i).length() + " O" + i);
+                assertThat(client.line()).isEqualTo("value of page/" + i);
             }
         }
     }
 
     @Test
-    void explainNamesTheServerThatIsAskedAndWhatWasPassedOver() throws Exception {
+    void explainsWhichServerIsChosenAndWhatWasPassedOver() throws Exception {
         FakeFleet fleet = new FakeFleet(5);
         String text = file(fleet);
         DaemonConfig file = DaemonConfigReader.parse("f", text);
         RouteExplainer explain = new RouteExplainer(file);
         try (DaemonHarness rig = new DaemonHarness(fleet, text);
-                DaemonHarness.Talk t = rig.talk()) {
+                DaemonHarness.Talk client = rig.talk()) {
             for (int i = 0; i < 40; i++) {
                 int[] before =
                         fleet.nodes.stream().mapToInt(FakeCacheServer::commands).toArray();
-                t.say("mg page/" + i + " v\r\n").lines(2);
+                client.say("mg page/" + i + " v\r\n").lines(2);
                 String asked = "";
-                for (int n = 0; n < before.length; n++) {
-                    if (fleet.nodes.get(n).commands() > before[n]) {
-                        asked = DaemonHarness.name(fleet.nodes.get(n));
+                for (int node = 0; node < before.length; node++) {
+                    if (fleet.nodes.get(node).commands() > before[node]) {
+                        asked = DaemonHarness.name(fleet.nodes.get(node));
                     }
                 }
                 assertThat(explain.lines(new RouteInput("main", "page/" + i, 0, 0, false), false))
@@ -144,7 +144,7 @@
      * once.
      */
     @Test
-    void nobodyCanConnectBeforeThereIsAListAndAnAddressThatIsTakenIsTold() throws Exception {
+    void acceptsNoClientBeforeEndpointListAndReportsAddressInUse() throws Exception {
         FakeFleet fleet = new FakeFleet(1);
         FakeCacheServer node = fleet.nodes.get(0);
         CountDownLatch asked = new CountDownLatch(1);
@@ -153,12 +153,12 @@
                 + "\",\"site\":\"here\",\"class\":\"node\",\"block\":0,"
                 + "\"health\":\"up\",\"share\":1.0,\"born_ms\":0}";
         try (fleet;
-                ScriptedServer discovery = new ScriptedServer(c -> {
-                    c.request();
+                ScriptedServer discovery = new ScriptedServer(connection -> {
+                    connection.request();
                     asked.countDown();
                     known.await();
-                    c.sayHttp(200, "", "{\"seq\":5,\"whole\":true,\"hosts\":[" + host + "]}");
-                    c.awaitEnd();
+                    connection.sayHttp(200, "", "{\"seq\":5,\"whole\":true,\"hosts\":[" + host + "]}");
+                    connection.awaitEnd();
                 })) {
             int port = Ports.free();
             String text = DaemonHarness.CLASSES + DaemonHarness.listener("main", "127.0.0.1:" + port)
@@ -175,9 +175,9 @@
             assertThatThrownBy(() -> new Socket("127.0.0.1", port)).isInstanceOf(ConnectException.class);
             known.countDown();
             try (Daemon daemon = starting.get();
-                    DaemonHarness.Talk t = new DaemonHarness.Talk(daemon.address("main"))) {
-                t.say("ms k 1\r\nx\r\nmg k v\r\n");
-                assertThat(t.line()).startsWith("HD");
+                    DaemonHarness.Talk client = new DaemonHarness.Talk(daemon.address("main"))) {
+                client.say("ms k 1\r\nx\r\nmg k v\r\n");
+                assertThat(client.line()).startsWith("HD");
                 assertThatThrownBy(() -> Daemon.start(DaemonConfigReader.parse("f", text), 3))
                         .isInstanceOf(ConfigException.class)
                         .hasMessageContaining("listener main can't be bound to 127.0.0.1:" + port);
--- a/src/test/java/cacheproxy/daemon/PoolsTest.java
+++ b/src/test/java/cacheproxy/daemon/PoolsTest.java
@@ -22,7 +22,7 @@
     }
 
     @Test
-    void aServerInTwoPoolsThatRestartsIsColdToBothTogether() throws Exception {
+    void warmsUpRestartedServerForBothOfItsPoolsTogether() throws Exception {
         FakeFleet fleet = new FakeFleet(3);
         FakeCacheServer shared = fleet.nodes.get(0);
         SlowStartMonitor watch = new SlowStartMonitor(100, 0.3, 20000, 300);
@@ -43,11 +43,11 @@
             // Both pools find it down.
             rig.ask(400, 4, 2, i -> DaemonHarness.read((i % 2 == 0 ? "a/" : "b/") + i));
             shared.revive();
-            LoadClient.Account a = null;
+            LoadClient.Account account = null;
             for (int round = 0; round == 0 || watch.sent() < 60; round++) {
                 int from = round * 2000;
-                a = rig.ask(2000, 8, 4, i -> DaemonHarness.read((i % 2 == 0 ? "a/" : "b/") + (from + i)));
-                assertThat(a.faults).isEmpty();
+                account = rig.ask(2000, 8, 4, i -> DaemonHarness.read((i % 2 == 0 ? "a/" : "b/") + (from + i)));
+                assertThat(account.faults).isEmpty();
             }
             assertThat(watch.sent()).as("it is used while it is cold").isGreaterThanOrEqualTo(60);
             // What goes out before its first connection shows that it restarted comes on top: a few requests.
@@ -56,7 +56,7 @@
     }
 
     @Test
-    void whenTheFirstPoolIsDownAColdFallbackIsFilledAsFastAsItMayBeAndTheRestRefusedAtOnce() throws Exception {
+    void fillsColdFallbackWithinBudgetAndRejectsTheRestAtOnceWhenFirstPoolIsDown() throws Exception {
         FakeFleet fleet = new FakeFleet(2);
         FakeCacheServer first = fleet.nodes.get(0);
         FakeCacheServer spare = fleet.nodes.get(1);
@@ -70,20 +70,20 @@
                     + DaemonHarness.plain("spare", "", spare).replace("dial", "capacity = 200\ndial")
                     + DaemonHarness.route("all", "", "a", "spare"));
             first.kill();
-            LoadClient.Account a = rig.ask(3000, 8, 4, PoolsTest::read);
-            assertThat(a.faults).isEmpty();
-            assertThat(a.missing)
+            LoadClient.Account account = rig.ask(3000, 8, 4, PoolsTest::read);
+            assertThat(account.faults).isEmpty();
+            assertThat(account.missing)
                     .as("answered by the spare node, which has none of the keys")
                     .isPositive();
-            assertThat(a.refused).isPositive();
-            assertThat(a.refusedWithoutTime).isZero();
-            assertThat(a.failed).isZero();
+            assertThat(account.refused).isPositive();
+            assertThat(account.refusedWithoutTime).isZero();
+            assertThat(account.failed).isZero();
             assertThat(watch.worst()).isLessThan(3);
         }
     }
 
     @Test
-    void aReadThatTimedOutGoesToTheNextPool() throws Exception {
+    void sendsTimedOutReadToNextPool() throws Exception {
         FakeFleet fleet = new FakeFleet(2);
         try (DaemonHarness rig = new DaemonHarness(
                         fleet,
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void anUnsafeWriteThatTimedOutGoesNowhereElse() throws Exception {
+    void sendsTimedOutUnsafeWriteNowhereElse() throws Exception {
         FakeFleet fleet = new FakeFleet(2);
         try (DaemonHarness rig = new DaemonHarness(
                         fleet,
@@ -118,7 +118,7 @@
     }
 
     @Test
-    void anUnsafeWriteThatCanNotHaveRunGoesOn() throws Exception {
+    void sendsUnsafeWriteThatCannotHaveRunToNextPool() throws Exception {
         FakeFleet fleet = new FakeFleet(2);
         try (DaemonHarness rig = new DaemonHarness(
                         fleet,
@@ -135,13 +135,13 @@
     }
 
     @Test
-    void aKeyedWriteThatMayHaveRunGoesOnOnlyWhereItsRepeatIsDropped() throws Exception {
+    void sendsKeyedWriteThatMayHaveRunOnlyToPoolOfSameDedupGroup() throws Exception {
         for (boolean together : new boolean[] {true, false}) {
             FakeFleet fleet = new FakeFleet(2);
-            ScriptedServer resets = new ScriptedServer(c -> {
-                c.command();
-                c.line();
-                c.reset();
+            ScriptedServer resets = new ScriptedServer(connection -> {
+                connection.command();
+                connection.line();
+                connection.reset();
             });
             String first =
                     "[[pool]]\nname = \"a\"\nnodes = \"plain\"\ndedup_group = \"g\"\n[[pool.server]]\nname = \"r\"\n"
@@ -166,27 +166,27 @@
     }
 
     @Test
-    void whenItsRetriesAreSpentAPoolRefusesAndItComesBackAfterwards() throws Exception {
+    void rejectsWhenRetriesAreSpentAndRecoversAfterwards() throws Exception {
         FakeFleet fleet = new FakeFleet(4);
-        FakeCacheServer[] n = fleet.nodes.toArray(new FakeCacheServer[0]);
+        FakeCacheServer[] node = fleet.nodes.toArray(new FakeCacheServer[0]);
         try (DaemonHarness rig = new DaemonHarness(
                 fleet,
                 DaemonHarness.LIMITS + "second_copies = false\n" + DaemonHarness.CLASSES + DaemonHarness.MAIN
-                        + DaemonHarness.plain("a", "retry_share = 0.1\nretries_always = 0", n)
+                        + DaemonHarness.plain("a", "retry_share = 0.1\nretries_always = 0", node)
                         + DaemonHarness.route("all", "", "a"))) {
-            for (FakeCacheServer node : n) {
+            for (FakeCacheServer node : node) {
                 node.busy(Integer.MAX_VALUE);
             }
             int before = 0;
-            LoadClient.Account a = rig.ask(2000, 4, 4, PoolsTest::read);
-            for (FakeCacheServer node : n) {
+            LoadClient.Account account = rig.ask(2000, 4, 4, PoolsTest::read);
+            for (FakeCacheServer node : node) {
                 before += node.commands();
             }
-            assertThat(a.refused).isEqualTo(2000);
-            assertThat(a.refusedWithoutTime).isZero();
+            assertThat(account.refused).isEqualTo(2000);
+            assertThat(account.refusedWithoutTime).isZero();
             // A first try each at most, a tenth of that in retries, and the ten that were saved up.
             assertThat(before).isLessThanOrEqualTo(2000 + 200 + 10);
-            for (FakeCacheServer node : n) {
+            for (FakeCacheServer node : node) {
                 node.busy(0);
                 for (int i = 0; i < 200; i++) {
                     node.store("k/" + i, new byte[5]);
@@ -201,7 +201,7 @@
     }
 
     @Test
-    void backupsServeWhileNoOtherCanAndNoLonger() throws Exception {
+    void usesBackupsOnlyWhileNoOtherServerCanServe() throws Exception {
         FakeFleet fleet = new FakeFleet(2);
         FakeCacheServer primary = fleet.nodes.get(0);
         FakeCacheServer backup = fleet.nodes.get(1);
@@ -214,8 +214,8 @@
             assertThat(rig.ask(300, 4, 2, PoolsTest::read).missing).isEqualTo(300);
             assertThat(backup.commands()).isZero();
             primary.kill();
-            LoadClient.Account a = rig.ask(300, 4, 2, PoolsTest::read);
-            assertThat(a.faults).isEmpty();
+            LoadClient.Account account = rig.ask(300, 4, 2, PoolsTest::read);
+            assertThat(account.faults).isEmpty();
             assertThat(backup.commands()).isPositive();
             primary.revive();
             int seen = primary.commands();
@@ -229,7 +229,7 @@
     }
 
     @Test
-    void whenAllPrimariesOfAHashFailAtOnceAColdBackupIsFilledAsFastAsItMayBeAndTheyGetTheirKeysBack() throws Exception {
+    void fillsColdBackupWithinBudgetWhenAllPrimariesFailAndReturnsTheirKeys() throws Exception {
         FakeFleet fleet = new FakeFleet(3);
         FakeCacheServer spare = fleet.nodes.get(2);
         SlowStartMonitor watch = new SlowStartMonitor(200, 0.3, 20000, 300);
@@ -246,13 +246,13 @@
             int[] before = {fleet.nodes.get(0).commands(), fleet.nodes.get(1).commands()};
             fleet.nodes.get(0).kill();
             fleet.nodes.get(1).kill();
-            LoadClient.Account a = rig.ask(3000, 8, 4, PoolsTest::read);
-            assertThat(a.faults).isEmpty();
-            assertThat(a.missing)
+            LoadClient.Account account = rig.ask(3000, 8, 4, PoolsTest::read);
+            assertThat(account.faults).isEmpty();
+            assertThat(account.missing)
                     .as("answered by the backup, which has none of the keys")
                     .isPositive();
-            assertThat(a.refused).isPositive();
-            assertThat(a.refusedWithoutTime).isZero();
+            assertThat(account.refused).isPositive();
+            assertThat(account.refusedWithoutTime).isZero();
             assertThat(watch.worst()).isLessThan(3);
             fleet.nodes.get(0).revive();
             fleet.nodes.get(1).revive();
@@ -269,7 +269,7 @@
     }
 
     @Test
-    void aPoolThatIsFullSendsOnToTheNextOrRefusesWithATime() throws Exception {
+    void sendsToNextPoolOrRejectsWithRetryTimeWhenPoolIsFull() throws Exception {
         FakeFleet fleet = new FakeFleet(2);
         try (DaemonHarness rig = new DaemonHarness(
                         fleet,
--- a/src/test/java/cacheproxy/daemon/Ports.java
+++ b/src/test/java/cacheproxy/daemon/Ports.java
@@ -22,8 +22,8 @@
     public static int free() throws IOException {
         for (int tries = 0; tries < COUNT; tries++) {
             int port = FIRST + Math.floorMod(NEXT.getAndIncrement(), COUNT);
-            try (ServerSocket s = new ServerSocket(port, 1, InetAddress.getLoopbackAddress());
-                    DatagramSocket d = new DatagramSocket(port, InetAddress.getLoopbackAddress())) {
+            try (ServerSocket serverSocket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress());
+                    DatagramSocket datagramSocket = new DatagramSocket(port, InetAddress.getLoopbackAddress())) {
                 return port;
             } catch (IOException e) {
                 // somebody has it
--- a/src/test/java/cacheproxy/daemon/ReloadTest.java
+++ b/src/test/java/cacheproxy/daemon/ReloadTest.java
@@ -36,19 +36,19 @@
     }
 
     @Test
-    void aHundredReloadsUnderLoadLoseNothingAndRepeatNothing() throws Exception {
+    void losesAndRepeatsNothingInHundredReloadsUnderLoad() throws Exception {
         FakeFleet fleet = new FakeFleet(6);
-        FakeCacheServer[] n = fleet.nodes.toArray(new FakeCacheServer[0]);
+        FakeCacheServer[] node = fleet.nodes.toArray(new FakeCacheServer[0]);
         String[] files = new String[4];
-        for (int v = 0; v < files.length; v++) {
+        for (int version = 0; version < files.length; version++) {
             // Routes move between the pools, a pool comes and goes, another is replaced whole, servers change places.
-            files[v] = (v == 2 ? DaemonHarness.LIMITS + "max_attempts = 2\n" : DaemonHarness.LIMITS)
+            files[version] = (version == 2 ? DaemonHarness.LIMITS + "max_attempts = 2\n" : DaemonHarness.LIMITS)
                     + DaemonHarness.CLASSES
                     + DaemonHarness.MAIN
-                    + DaemonHarness.pool("a", fleet, "in_hand = " + (1000 + v), n[0], n[1], n[2 + v % 2])
-                    + (v == 1 ? "" : DaemonHarness.pool("b", fleet, "", n[3], n[4], n[5]))
-                    + DaemonHarness.route("pages", "prefix = \"page/\"", v % 2 == 0 && v != 1 ? "b" : "a")
-                    + DaemonHarness.route("all", "", v == 3 ? "b" : "a");
+                    + DaemonHarness.pool("a", fleet, "in_hand = " + (1000 + version), node[0], node[1], node[2 + version % 2])
+                    + (version == 1 ? "" : DaemonHarness.pool("b", fleet, "", node[3], node[4], node[5]))
+                    + DaemonHarness.route("pages", "prefix = \"page/\"", version % 2 == 0 && version != 1 ? "b" : "a")
+                    + DaemonHarness.route("all", "", version == 3 ? "b" : "a");
         }
         try (DaemonHarness rig = new DaemonHarness(fleet, files[0])) {
             fleet.origin.work(2);
@@ -59,10 +59,10 @@
             while (reloads < 100 || !load.isDone()) {
                 rig.load(files[++reloads % files.length]);
             }
-            LoadClient.Account a = load.get(60, TimeUnit.SECONDS);
-            assertThat(a.faults).isEmpty();
-            assertThat(a.answered()).isEqualTo(total);
-            assertThat(a.refusedWithoutTime).isZero();
+            LoadClient.Account account = load.get(60, TimeUnit.SECONDS);
+            assertThat(account.faults).isEmpty();
+            assertThat(account.answered()).isEqualTo(total);
+            assertThat(account.refusedWithoutTime).isZero();
             assertThat(fleet.ledger.repeated()).isZero();
             while (rig.daemon.inHand() > 0 || rig.daemon.poolsAtWork() > 2) {
                 Thread.onSpinWait(); // pools that went are let go of
@@ -71,12 +71,12 @@
     }
 
     @Test
-    void aFileOfNoUseChangesNothingAndSaysWhy() throws Exception {
+    void keepsEverythingAndReportsErrorsOfUnusableFile() throws Exception {
         FakeFleet fleet = new FakeFleet(2);
-        FakeCacheServer[] n = fleet.nodes.toArray(new FakeCacheServer[0]);
+        FakeCacheServer[] node = fleet.nodes.toArray(new FakeCacheServer[0]);
         String good = DaemonHarness.CLASSES
                 + DaemonHarness.MAIN
-                + DaemonHarness.pool("a", fleet, "", n)
+                + DaemonHarness.pool("a", fleet, "", node)
                 + DaemonHarness.route("all", "", "a");
         Path file = folder.resolve("coralbay.toml");
         try (DaemonHarness rig = new DaemonHarness(fleet, good);
@@ -93,7 +93,7 @@
                 ConfigException e = catchThrowableOfType(ConfigException.class, () -> rig.daemon.reload(file));
                 assertThat(e.errors())
                         .isNotEmpty()
-                        .allMatch(l -> l.startsWith(file + ":") && l.matches(".*:\\d+:\\d+: .*"));
+                        .allMatch(line -> line.startsWith(file + ":") && line.matches(".*:\\d+:\\d+: .*"));
                 talk.say("mg page/1 v\r\n");
                 assertThat(talk.lines(2)).containsExactly("VA 15", "value of page/1");
                 assertThat(rig.daemon.address("main")).isEqualTo(before);
@@ -103,10 +103,10 @@
     }
 
     @Test
-    void oneListenerGoesAndTheOtherIsNotDisturbed() throws Exception {
+    void keepsOtherListenerUndisturbedWhenOneIsRemoved() throws Exception {
         FakeFleet fleet = new FakeFleet(1);
-        FakeCacheServer n = fleet.nodes.get(0);
-        String pools = DaemonHarness.pool("a", fleet, "", n) + DaemonHarness.route("all", "", "a");
+        FakeCacheServer node = fleet.nodes.get(0);
+        String pools = DaemonHarness.pool("a", fleet, "", node) + DaemonHarness.route("all", "", "a");
         String two =
                 DaemonHarness.CLASSES + DaemonHarness.MAIN + DaemonHarness.listener("second", "127.0.0.1:0") + pools;
         try (DaemonHarness rig = new DaemonHarness(fleet, two);
@@ -132,7 +132,7 @@
     }
 
     @Test
-    void aRequestInHandEndsUnderTheFileThatItCameUnder() throws Exception {
+    void concludesPendingRequestUnderConfigurationOfItsArrival() throws Exception {
         FakeFleet fleet = new FakeFleet(2);
         FakeCacheServer old = fleet.nodes.get(0);
         FakeCacheServer next = fleet.nodes.get(1);
@@ -155,24 +155,24 @@
     }
 
     @Test
-    void aPoolThatGoesSendsNothingNewOnceTheDrainGraceIsOver() throws Exception {
+    void sendsNothingFromRemovedPoolAfterDrainGrace() throws Exception {
         FakeFleet fleet = new FakeFleet(3);
-        FakeCacheServer[] n = fleet.nodes.toArray(new FakeCacheServer[0]);
+        FakeCacheServer[] node = fleet.nodes.toArray(new FakeCacheServer[0]);
         String head = "[site]\ndrain_grace_ms = 100\n"
                 + DaemonHarness.CLASSES.replace("20000", "2000").replace("10000", "1000") + DaemonHarness.MAIN;
         try (DaemonHarness rig = new DaemonHarness(
-                        fleet, head + DaemonHarness.plain("a", "", n[0], n[1]) + DaemonHarness.route("all", "", "a"));
+                        fleet, head + DaemonHarness.plain("a", "", node[0], node[1]) + DaemonHarness.route("all", "", "a"));
                 DaemonHarness.Talk talk = rig.talk()) {
-            n[0].mute(true);
-            n[1].mute(true);
+            node[0].mute(true);
+            node[1].mute(true);
             talk.say("mg k v\r\n");
-            while (n[0].commands() + n[1].commands() == 0) {
+            while (node[0].commands() + node[1].commands() == 0) {
                 Thread.onSpinWait();
             }
             // Before the first one is overdue, after which the other would be asked.
-            rig.load(head + DaemonHarness.plain("b", "", n[2]) + DaemonHarness.route("all", "", "b"));
+            rig.load(head + DaemonHarness.plain("b", "", node[2]) + DaemonHarness.route("all", "", "b"));
             assertThat(talk.line()).startsWith("SERVER_ERROR busy ");
-            assertThat(n[0].commands() + n[1].commands()).isEqualTo(1);
+            assertThat(node[0].commands() + node[1].commands()).isEqualTo(1);
         }
     }
 }
--- a/src/test/java/cacheproxy/daemon/SiblingCachesTest.java
+++ b/src/test/java/cacheproxy/daemon/SiblingCachesTest.java
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void whatASiblingLatelyServedComesFromThereAndNotFromTheOrigin() throws Exception {
+    void fetchesRecentlyServedKeysFromSiblingInsteadOfOrigin() throws Exception {
         Site a = new Site();
         Site b = new Site();
         a.knows("b", b.icp, b.fetch);
@@ -139,7 +139,7 @@
     }
 
     @Test
-    void withHalfOfAllRepliesLostOthersDoubledAndLateEachRequestHasOneAnswer() throws Exception {
+    void concludesEachRequestOnceDespiteLostDuplicatedAndLateReplies() throws Exception {
         Site a = new Site();
         Site b = new Site();
         LossyDatagramLink link = link(a, b, 0.5, 0.3, 5);
@@ -157,7 +157,7 @@
     }
 
     @Test
-    void threeThatAskEachOtherForWhatNobodyHasFetchItOnceEach() throws Exception {
+    void fetchesMissingKeyOnceEachAmongThreeSiblings() throws Exception {
         Site[] sites = {new Site(), new Site(), new Site()};
         for (Site s : sites) {
             for (int i = 0; i < 3; i++) {
@@ -188,7 +188,7 @@
     }
 
     @Test
-    void aSiblingWhoseNodesHaveForgottenCostsNoAnswerAndIsBelievedLess() throws Exception {
+    void losesTrustInSiblingWhoseServersWereEmptied() throws Exception {
         Site a = new Site();
         Site b = new Site();
         a.knows("b", b.icp, b.fetch);
@@ -211,7 +211,7 @@
 
     /** What a sibling asks for must not reach a node that drains, however lately that node has served it. */
     @Test
-    void noPromiseIsMadeForANodeThatDrainsAndNothingIsSentToIt() throws Exception {
+    void answersNoHitForDrainingServer() throws Exception {
         Site a = new Site();
         Site b = new Site();
         a.knows("b", b.icp, b.fetch);
@@ -231,7 +231,7 @@
 
     /** A node that has restarted is cold and empty: what it had is not promised, and siblings do not fill it. */
     @Test
-    void noPromiseIsMadeForANodeThatHasRestarted() throws Exception {
+    void answersNoHitForRestartedServer() throws Exception {
         Site b = new Site();
         try (DatagramSocket friend = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
             b.knows("friend", (InetSocketAddress) friend.getLocalSocketAddress(), tcpPort());
@@ -264,7 +264,7 @@
 
     /** Another key's value, or one that breaks off, must not reach a client: the sibling here is a script. */
     @Test
-    void aSiblingThatSendsSpoiltAnswersHarmsNoRequest() throws Exception {
+    void survivesMalformedAnswersOfSibling() throws Exception {
         Site a = new Site();
         String[] answers = {
             "VA 5 Oother\r\nwrong\r\n",
@@ -329,7 +329,7 @@
     }
 
     @Test
-    void withTheOriginGoneWhatSiblingsHoldIsStillServed() throws Exception {
+    void servesFromSiblingsWhileOriginIsDown() throws Exception {
         Site a = new Site();
         Site b = new Site();
         a.knows("b", b.icp, b.fetch);
@@ -344,7 +344,7 @@
     }
 
     @Test
-    void writesGoToNoSiblingAndNoneWritesHere() throws Exception {
+    void sendsAndAcceptsNoWritesBetweenSiblings() throws Exception {
         Site a = new Site();
         Site b = new Site();
         a.knows("b", b.icp, b.fetch);
@@ -374,7 +374,7 @@
 
     /** By hand: what a listed one, a stranger and a forger hear. */
     @Test
-    void questionsAreAnsweredByWhatNodesLatelyAnsweredAndStrangersSoonHearNothing() throws Exception {
+    void answersQueriesFromRecentResponsesAndIgnoresUnknownSenders() throws Exception {
         Site b = new Site();
         try (DatagramSocket friend = new DatagramSocket(0, InetAddress.getLoopbackAddress());
                 DatagramSocket stranger = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
--- a/src/test/java/cacheproxy/daemon/hooks/HooksTest.java
+++ b/src/test/java/cacheproxy/daemon/hooks/HooksTest.java
@@ -89,7 +89,7 @@
                 "copies",
                 "answers"
             })
-    void aHostileHookHarmsNoOtherRequestAndItsOwnGetOneAnswerEach(String name) throws Exception {
+    void isolatesHostileHookAndConcludesItsRequestsOnce(String name) throws Exception {
         FakeFleet fleet = new FakeFleet(2);
         String rule = name.hashCode() % 2 == 0 ? "skip" : "refuse";
         String keys =
@@ -104,14 +104,14 @@
                             total,
                             i -> new Ask("n/" + i, "c=page", null, FakeOrigin.value("n/" + i)))
                     .start(4, 4);
-            LoadClient.Account n = normal.get(100, TimeUnit.SECONDS);
-            assertThat(n.faults).isEmpty();
-            assertThat(n.answered()).isEqualTo(total);
-            assertThat(n.failed).isZero();
-            LoadClient.Account h = hostile.get(100, TimeUnit.SECONDS);
-            assertThat(h.faults).isEmpty();
-            assertThat(h.answered()).isEqualTo(total);
-            assertThat(h.refusedWithoutTime).isZero();
+            LoadClient.Account normalAccount = normal.get(100, TimeUnit.SECONDS);
+            assertThat(normalAccount.faults).isEmpty();
+            assertThat(normalAccount.answered()).isEqualTo(total);
+            assertThat(normalAccount.failed).isZero();
+            LoadClient.Account hostileAccount = hostile.get(100, TimeUnit.SECONDS);
+            assertThat(hostileAccount.faults).isEmpty();
+            assertThat(hostileAccount.answered()).isEqualTo(total);
+            assertThat(hostileAccount.refusedWithoutTime).isZero();
             assertThat(fleet.ledger.repeated()).isZero();
             while (rig.daemon.inHand() > 0) {
                 Thread.onSpinWait();
@@ -120,7 +120,7 @@
     }
 
     @Test
-    void ordersAreCarriedOut() throws Exception {
+    void carriesOutOrders() throws Exception {
         FakeFleet fleet = new FakeFleet(2);
         String more =
                 DaemonHarness.CLASSES.isEmpty() ? "" : "[[tenant]]\nname = \"red\"\n[[tenant]]\nname = \"blue\"\n";
@@ -140,7 +140,7 @@
     }
 
     @Test
-    void aHookOfARouteIsCalledForThatRouteAlone() throws Exception {
+    void callsHookOnlyForItsRoute() throws Exception {
         FakeFleet fleet = new FakeFleet(2);
         String hooks = "[[hook]]\nname = \"keys\"\nroute = \"rivals\"\nmodule = \"" + KIT.resolve("key-schemes.wasm")
                 + "\"\ntime_ms = 10000\n";
@@ -157,25 +157,25 @@
     }
 
     @Test
-    void aModuleThatDoesNotLoadIsToldWithItsPlaceAndTheOldOneStays() throws Exception {
+    void reportsPlaceOfUnloadableModuleAndKeepsOldOne() throws Exception {
         FakeFleet fleet = new FakeFleet(2);
         String good = file(fleet, hook(KIT.resolve("key-schemes.wasm"), "time_ms = 10000"));
         try (DaemonHarness rig = new DaemonHarness(fleet, good);
                 DaemonHarness.Talk talk = rig.talk()) {
-            for (String[] c : new String[][] {
+            for (String[] config : new String[][] {
                 {"wasi", "imports wasi_snapshot_preview1.fd_write"},
                 {"spin-load", "used up its fuel"},
                 {"nosuch", "there is no file"},
                 {"abi-2", "ABI version 2"}
             }) {
-                assertThatThrownBy(() -> rig.load(file(fleet, hook(HOSTILE.resolve(c[0] + ".wasm"), ""))))
+                assertThatThrownBy(() -> rig.load(file(fleet, hook(HOSTILE.resolve(config[0] + ".wasm"), ""))))
                         .isInstanceOfSatisfying(
                                 ConfigException.class,
                                 e -> assertThat(e.errors())
                                         .singleElement()
-                                        .satisfies(l -> assertThat(l)
+                                        .satisfies(line -> assertThat(line)
                                                 .matches("rig:[0-9]+:1: hook h does not load: .*")
-                                                .contains(c[1])));
+                                                .contains(config[1])));
             }
             Path huge = dir.resolve("huge.wasm");
             Files.write(huge, new byte[64 << 20]);
@@ -190,7 +190,7 @@
     }
 
     @Test
-    void modulesAreReplacedUnderLoadAndNoRequestIsLost() throws Exception {
+    void replacesModulesUnderLoadWithoutLosingRequests() throws Exception {
         FakeFleet fleet = new FakeFleet(2);
         String[] files = {
             file(fleet, hook(KIT.resolve("key-schemes.wasm"), "")),
@@ -205,9 +205,9 @@
             for (int i = 1; i <= 40 || !load.isDone(); i++) {
                 rig.load(files[i % files.length]);
             }
-            LoadClient.Account a = load.get(100, TimeUnit.SECONDS);
-            assertThat(a.faults).isEmpty();
-            assertThat(a.answered()).isEqualTo(total);
+            LoadClient.Account account = load.get(100, TimeUnit.SECONDS);
+            assertThat(account.faults).isEmpty();
+            assertThat(account.answered()).isEqualTo(total);
             assertThat(fleet.ledger.repeated()).isZero();
         }
     }
