--- a/src/test/java/cacheproxy/daemon/ControlAnswersGoldenTextTest.java
+++ b/src/test/java/cacheproxy/daemon/ControlAnswersGoldenTextTest.java
@@ -55,9 +55,9 @@
         return Daemon.start(DaemonConfigReader.parse(folder.resolve("f.toml").toString(), file), 5);
     }
 
-    private static String fleetOf(String me, int[] ports) {
-        StringBuilder text = new StringBuilder("[fleet]\nme = \"" + me + "\"\nlisten = \"127.0.0.1:"
-                + ports[Integer.parseInt(me.substring(1)) - 1] + "\"\nlongest_lease_ms = 150\n");
+    private static String fleetOf(String proxyName, int[] ports) {
+        StringBuilder text = new StringBuilder("[fleet]\nme = \"" + proxyName + "\"\nlisten = \"127.0.0.1:"
+                + ports[Integer.parseInt(proxyName.substring(1)) - 1] + "\"\nlongest_lease_ms = 150\n");
         for (int i = 0; i < ports.length; i++) {
             text.append("[[fleet.peer]]\nname = \"p")
                     .append(i + 1)
--- a/src/test/java/cacheproxy/daemon/fleet/FleetGoldenBytesTest.java
+++ b/src/test/java/cacheproxy/daemon/fleet/FleetGoldenBytesTest.java
@@ -61,7 +61,10 @@
         try (DatagramSocket peer = peer();
                 Daemon daemon = daemon(peer)) {
             for (String duty : new String[] {"c374eea599bb3c50", "3b398eadca71b726", "05638f7954aeeb33"}) {
-                byte[] asked = await(peer, d -> d.startsWith(START + "01" + P1) && d.startsWith("00" + duty, 2 * HEAD));
+                byte[] asked = await(
+                        peer,
+                        datagram ->
+                                datagram.startsWith(START + "01" + P1) && datagram.startsWith("00" + duty, 2 * HEAD));
                 assertThat(asked).hasSize(HEAD + 37 + SUM);
             }
         }
@@ -75,10 +78,13 @@
     void aDaemonTellsItsListAndAsksWhetherItsPeerIsThere() throws Exception {
         try (DatagramSocket peer = peer();
                 Daemon daemon = daemon(peer)) {
-            byte[] list = await(peer, d -> d.startsWith(START + "04" + P1) && d.startsWith("01", 2 * (HEAD + 16)));
+            byte[] list = await(
+                    peer,
+                    datagram -> datagram.startsWith(START + "04" + P1) && datagram.startsWith("01", 2 * (HEAD + 16)));
             assertThat(Arrays.copyOfRange(list, HEAD, list.length - SUM))
                     .isEqualTo(HexBytes.parse("00000002a304f68f 0000000000000000 01"));
-            byte[] ping = await(peer, d -> d.startsWith(START + "06" + P1) && d.startsWith("00", 2 * HEAD));
+            byte[] ping = await(
+                    peer, datagram -> datagram.startsWith(START + "06" + P1) && datagram.startsWith("00", 2 * HEAD));
             assertThat(Arrays.copyOfRange(ping, HEAD + 9, HEAD + 17)).isEqualTo(HexBytes.parse(P2));
         }
     }
@@ -124,12 +130,12 @@
 
     /** The first datagram whose hexadecimal digits are such. */
     private static byte[] await(DatagramSocket peer, Predicate<String> such) throws Exception {
-        DatagramPacket in = new DatagramPacket(new byte[LONGEST], LONGEST);
+        DatagramPacket packet = new DatagramPacket(new byte[LONGEST], LONGEST);
         long began = System.nanoTime();
         while (System.nanoTime() - began < RECEIVE_MS * 1_000_000L) {
-            in.setLength(LONGEST);
-            peer.receive(in);
-            byte[] datagram = Arrays.copyOf(in.getData(), in.getLength());
+            packet.setLength(LONGEST);
+            peer.receive(packet);
+            byte[] datagram = Arrays.copyOf(packet.getData(), packet.getLength());
             if (such.test(HexFormat.of().formatHex(datagram))) {
                 return datagram;
             }
--- a/src/test/java/cacheproxy/proxy/EventLinesGoldenTextTest.java
+++ b/src/test/java/cacheproxy/proxy/EventLinesGoldenTextTest.java
@@ -50,12 +50,12 @@
         private final StringBuilder line = new StringBuilder();
 
         @Override
-        public synchronized void write(int b) {
-            if (b == '\n') {
+        public synchronized void write(int octet) {
+            if (octet == '\n') {
                 lines.add(line.toString());
                 line.setLength(0);
             } else {
-                line.append((char) b);
+                line.append((char) octet);
             }
         }
     }
@@ -78,12 +78,12 @@
     }
 
     private ScriptedServer node() throws Exception {
-        return new ScriptedServer(c -> {
-            for (String line; (line = c.command()) != null; ) {
+        return new ScriptedServer(connection -> {
+            for (String line; (line = connection.command()) != null; ) {
                 if (ScriptedServer.id(line).equals("held")) {
                     heldAnswer.await();
                 }
-                c.say("VA 5 O" + ScriptedServer.id(line) + " h1\r\nhello\r\n");
+                connection.say("VA 5 O" + ScriptedServer.id(line) + " h1\r\nhello\r\n");
                 if (ScriptedServer.id(line).equals("last")) {
                     return;
                 }
@@ -154,13 +154,14 @@
     @Test
     void callsToDiscoveryAndAReload() throws Exception {
         AtomicInteger calls = new AtomicInteger();
-        ScriptedServer discovery = new ScriptedServer(c -> {
-            while (c.request() != null) {
+        ScriptedServer discovery = new ScriptedServer(connection -> {
+            while (connection.request() != null) {
                 switch (calls.getAndIncrement()) {
-                    case 0 -> c.sayHttp(503, "", "");
+                    case 0 -> connection.sayHttp(503, "", "");
                     case 1 ->
-                        c.sayHttp(200, "", Fleet.list(43, true, new JsonArray()).toString());
-                    default -> c.awaitEnd();
+                        connection.sayHttp(
+                                200, "", Fleet.list(43, true, new JsonArray()).toString());
+                    default -> connection.awaitEnd();
                 }
             }
         });
--- a/src/test/java/cacheproxy/simulator/SessionGoldenBytesTest.java
+++ b/src/test/java/cacheproxy/simulator/SessionGoldenBytesTest.java
@@ -30,8 +30,8 @@
     }
 
     private static List<String> lines(String name) throws IOException {
-        try (var in = SessionGoldenBytesTest.class.getResourceAsStream("/wire/" + name + ".hex")) {
-            return new String(in.readAllBytes(), StandardCharsets.US_ASCII)
+        try (var input = SessionGoldenBytesTest.class.getResourceAsStream("/wire/" + name + ".hex")) {
+            return new String(input.readAllBytes(), StandardCharsets.US_ASCII)
                     .lines()
                     .toList();
         }
@@ -39,10 +39,10 @@
 
     /** Each reply begins with its length. */
     private static List<String> frames(byte[] bytes) {
-        ByteBuffer in = ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN);
+        ByteBuffer input = ByteBuffer.wrap(bytes).order(ByteOrder.LITTLE_ENDIAN);
         List<String> frames = new ArrayList<>();
-        for (int at = 0; at < bytes.length; at += in.getInt(at)) {
-            frames.add(HexFormat.of().formatHex(bytes, at, at + in.getInt(at)));
+        for (int at = 0; at < bytes.length; at += input.getInt(at)) {
+            frames.add(HexFormat.of().formatHex(bytes, at, at + input.getInt(at)));
         }
         return frames;
     }
