--- a/src/main/java/cacheproxy/daemon/PoolSettings.java
+++ b/src/main/java/cacheproxy/daemon/PoolSettings.java
@@ -4,7 +4,7 @@
 import cacheproxy.config.FleetConfig;
 import cacheproxy.config.SiblingConfig;
 import cacheproxy.placement.BackupPlacement;
-import cacheproxy.placement.Placement;
+import cacheproxy.placement.PlacementFactory;
 import cacheproxy.placement.PlacementKey;
 import cacheproxy.placement.PlacementRegistry;
 import cacheproxy.placement.PlacementTarget;
@@ -135,7 +135,7 @@
         return new Member(s.id(), 0, kinds(pool).indexOf("\0sibling"), 0, State.READY, 1, 0);
     }
 
-    static Placement.Factory placement(DaemonConfig.Pool pool) {
+    static PlacementFactory placement(DaemonConfig.Pool pool) {
         return PlacementRegistry.factory(
                 pool.placement(),
                 pool.servers().stream()
--- a/src/main/java/cacheproxy/placement/BackupPlacement.java
+++ b/src/main/java/cacheproxy/placement/BackupPlacement.java
@@ -6,42 +6,55 @@
 import java.util.function.IntPredicate;
 
 /**
- * Backup servers behind all others: they follow when none of a key's first {@value #LOOK} ordinary servers may be sent
- * to. A hot key is not spread over them.
+ * Ranks backup servers behind all others. Backups are used when none of a key's first {@value #ORDINARY_CANDIDATES}
+ * ordinary servers can be. Hot keys are not spread over them.
  */
 public final class BackupPlacement implements Placement {
-    /** So many ordinary servers are ranked before a backup is; bounds the cost for a key. */
+    /** Ordinary servers that are ranked before the first backup; bounds the cost of a ranking. */
     static final int ORDINARY_CANDIDATES = 64;
 
+    private static final int INITIAL_BACKUPS = 16;
+
     private final Placement ordinary;
     private final Placement backups;
+
+    /** Indexes in the whole list, by index among the ordinary servers. */
     private final int[] ordinaryIndexes;
+
+    /** Indexes in the whole list, by index among the backups. */
     private final int[] backupIndexes;
-    private int[] rankedBackups = new int[16];
 
-    private BackupPlacement(List<Member> members, IntPredicate backup, Factory factory) {
-        List<Member> first = new ArrayList<>();
-        List<Member> second = new ArrayList<>();
+    /** Reused between rankings. */
+    private int[] rankedBackups = new int[INITIAL_BACKUPS];
+
+    private BackupPlacement(List<Member> members, IntPredicate isBackup, PlacementFactory factory) {
+        List<Member> ordinaryMembers = new ArrayList<>();
+        List<Member> backupMembers = new ArrayList<>();
         ordinaryIndexes = new int[members.size()];
         backupIndexes = new int[members.size()];
         for (int i = 0; i < members.size(); i++) {
-            if (backup.test(members.get(i).id())) {
-                backupIndexes[second.size()] = i;
-                second.add(members.get(i));
+            Member member = members.get(i);
+            if (isBackup.test(member.id())) {
+                backupIndexes[backupMembers.size()] = i;
+                backupMembers.add(member);
             } else {
-                ordinaryIndexes[first.size()] = i;
-                first.add(members.get(i));
+                ordinaryIndexes[ordinaryMembers.size()] = i;
+                ordinaryMembers.add(member);
             }
         }
-        ordinary = factory.create(first);
-        backups = factory.create(second);
+        ordinary = factory.create(ordinaryMembers);
+        backups = factory.create(backupMembers);
     }
 
-    /** Adds backups to placements of this kind; {@code backup} tells them by the members' ids. */
-    public static Factory withBackups(Factory factory, IntPredicate backup) {
-        return members -> members.stream().noneMatch(m -> backup.test(m.id()))
+    /**
+     * Returns a factory that ranks ordinary servers and backups each by the given factory's placements.
+     *
+     * @param isBackup tells backups by the members' ids
+     */
+    public static PlacementFactory withBackups(PlacementFactory factory, IntPredicate isBackup) {
+        return members -> members.stream().noneMatch(member -> isBackup.test(member.id()))
                 ? factory.create(members)
-                : new BackupPlacement(members, backup, factory);
+                : new BackupPlacement(members, isBackup, factory);
     }
 
     @Override
@@ -56,17 +69,17 @@
 
     @Override
     public int rank(long key, int keyHash, int wanted, int[] ranked) {
-        int n = ordinary.rank(key, keyHash, Math.max(wanted, ORDINARY_CANDIDATES), ranked);
-        for (int i = 0; i < n; i++) {
+        int ordinaryCount = ordinary.rank(key, keyHash, Math.max(wanted, ORDINARY_CANDIDATES), ranked);
+        for (int i = 0; i < ordinaryCount; i++) {
             ranked[i] = ordinaryIndexes[ranked[i]];
         }
         if (rankedBackups.length < wanted) {
             rankedBackups = new int[wanted];
         }
-        int more = backups.rank(key, keyHash, wanted, rankedBackups);
-        for (int i = 0; i < more; i++) {
-            ranked[n + i] = backupIndexes[rankedBackups[i]];
+        int backupCount = backups.rank(key, keyHash, wanted, rankedBackups);
+        for (int i = 0; i < backupCount; i++) {
+            ranked[ordinaryCount + i] = backupIndexes[rankedBackups[i]];
         }
-        return n + more;
+        return ordinaryCount + backupCount;
     }
 }
--- a/src/main/java/cacheproxy/placement/CarpPlacement.java
+++ b/src/main/java/cacheproxy/placement/CarpPlacement.java
@@ -7,52 +7,76 @@
 import java.util.stream.IntStream;
 
 /**
- * CARP's ranking (draft-vinod-carp-v1-03, section 3.4). Every member is scored for each key, so the scan is what
- * counts. Hashes lie in rows; loops that the compiler turns into vector code combine a row with the key and keep, for
- * each lane of some rows, the greatest. Only lanes whose greatest hash with the greatest multiplier could get among the
- * best are looked into. The answers are those of scoring one after another.
+ * The ranking of CARP (draft-vinod-carp-v1-03, section 3.4): each member is scored for the key, the highest score
+ * first.
+ *
+ * <p>The cost is the scan over all members, so it is written for the compiler to vectorize. Member hashes lie in rows
+ * of equal length. For each block of rows, loops combine the rows with the key's hash and keep the greatest hash of
+ * each lane, that is, of each column. Only lanes whose greatest hash could reach the best scores, multiplied by the
+ * greatest multiplier of the block, are scored exactly. The ranking is the same as that of scoring all members one by
+ * one.
  */
 public final class CarpPlacement implements Placement {
-    /** Hashes in a row, 1 KiB: enough for unrolled vector code. */
+    /** Longest row: 1 KiB of hashes is enough for unrolled vector code. */
     private static final int MAX_LANES = 256;
-    /** Rows whose lanes are passed over as one. */
+
+    /** Rows whose lanes are compared at once. */
     private static final int ROWS_PER_BLOCK = 16;
 
+    private static final int INITIAL_SCORES = 16;
+
+    /** Relative error of a division that {@link #minHalfHash} allows for; far above the real one. */
+    private static final double DIVISION_ERROR = 1e-12;
+
+    private static final long UNSIGNED_INT_MASK = 0xFFFFFFFFL;
+
     private final int lanes;
-    /** Members by falling multiplier, so that those near each other have nearly the same. */
+
+    /** Members by falling multiplier, so that the multipliers within a block are nearly equal. */
     private final int[] memberIndexes;
 
+    /** By position in {@link #memberIndexes}. */
     private final double[] multipliers;
+
     private final int[][] hashRows;
-    /** The hashes combined with a key's. */
+
+    /** The hashes combined with a key's hash; reused between rankings. */
     private final int[][] combinedRows;
 
-    private final int[] greatest;
-    private double[] scores = new double[16];
+    /** Half of the greatest combined hash of each lane of a block; reused between blocks. */
+    private final int[] greatestHalves;
+
+    /** The scores of the members ranked so far; reused between rankings. */
+    private double[] scores = new double[INITIAL_SCORES];
 
-    /** Over members in the order of their ids; their weights need not sum to 1. */
+    /**
+     * Creates a placement.
+     *
+     * @param members in ascending order of their unsigned ids; their weights need not sum to 1
+     */
     public CarpPlacement(List<Member> members) {
-        int n = members.size();
-        float[] weights = new float[n];
-        for (int i = 0; i < n; i++) {
+        int size = members.size();
+        float[] weights = new float[size];
+        for (int i = 0; i < size; i++) {
             weights[i] = members.get(i).weight();
         }
-        float[] x = CarpHash.multipliers(weights);
-        memberIndexes = IntStream.range(0, n)
+        float[] unsorted = CarpHash.multipliers(weights);
+        memberIndexes = IntStream.range(0, size)
                 .boxed()
-                .sorted((a, b) -> Float.compare(x[b], x[a]))
+                .sorted((left, right) -> Float.compare(unsorted[right], unsorted[left]))
                 .mapToInt(Integer::intValue)
                 .toArray();
-        multipliers = new double[n];
-        lanes = Math.max(1, Math.min(MAX_LANES, n));
-        int rows = (n + lanes - 1) / lanes;
-        hashRows = new int[rows][lanes]; // the last row may end in lanes of nobody
+        multipliers = new double[size];
+        lanes = Math.max(1, Math.min(MAX_LANES, size));
+        int rows = (size + lanes - 1) / lanes;
+        hashRows = new int[rows][lanes]; // the last row may end in lanes without a member
         combinedRows = new int[rows][lanes];
-        greatest = new int[lanes];
-        for (int i = 0; i < n; i++) {
+        greatestHalves = new int[lanes];
+        for (int i = 0; i < size; i++) {
+            int member = memberIndexes[i];
             hashRows[i / lanes][i % lanes] =
-                    CarpHash.memberHash(members.get(memberIndexes[i]).id());
-            multipliers[i] = x[memberIndexes[i]];
+                    CarpHash.memberHash(members.get(member).id());
+            multipliers[i] = unsorted[member];
         }
     }
 
@@ -66,86 +90,93 @@
         if (scores.length < wanted) {
             scores = new double[wanted];
         }
+        return hashRows.length <= 1 ? rankRow(keyHash, wanted, ranked) : rankBlocks(keyHash, wanted, ranked);
+    }
+
+    /** Scores all members of a list that is too short for lanes to save anything. */
+    private int rankRow(int keyHash, int wanted, int[] ranked) {
         int count = 0;
-        if (hashRows.length <= 1) { // too few for lanes to save anything
-            for (int i = 0; i < memberIndexes.length; i++) {
-                combinedRows[0][i] = CarpHash.combine(keyHash, hashRows[0][i]);
-                count = rankLane(0, 1, i, count, wanted, ranked);
-            }
-            return count;
+        for (int i = 0; i < memberIndexes.length; i++) {
+            combinedRows[0][i] = CarpHash.combine(keyHash, hashRows[0][i]);
+            count = rankLane(0, 1, i, count, wanted, ranked);
         }
-        int least = 0;
+        return count;
+    }
+
+    private int rankBlocks(int keyHash, int wanted, int[] ranked) {
+        int count = 0;
+        int minHalf = 0;
         for (int from = 0; from < hashRows.length; from += ROWS_PER_BLOCK) {
             int to = Math.min(hashRows.length, from + ROWS_PER_BLOCK);
-            Arrays.fill(greatest, 0);
+            Arrays.fill(greatestHalves, 0);
             for (int row = from; row < to; row++) {
                 combine(keyHash, hashRows[row], combinedRows[row]);
-                greatest(combinedRows[row], greatest);
+                keepGreatestHalves(combinedRows[row], greatestHalves);
             }
             for (int lane = 0; lane < lanes; lane++) {
-                if (greatest[lane] >= least) {
+                if (greatestHalves[lane] >= minHalf) {
                     count = rankLane(from, to, lane, count, wanted, ranked);
-                    // Holds for what follows, too: multipliers fall.
-                    least = count < wanted ? 0 : minHalfHash(scores[wanted - 1], multipliers[from * lanes]);
+                    // Also a bound for later blocks, as multipliers fall.
+                    minHalf = count < wanted ? 0 : minHalfHash(scores[wanted - 1], multipliers[from * lanes]);
                 }
             }
         }
         return count;
     }
 
-    private int rankLane(int from, int to, int lane, int count, int wanted, int[] ranked) {
-        int n = count;
-        for (int row = from; row < to; row++) {
+    /** Scores the members of one lane of some rows; returns the new count of ranked members. */
+    private int rankLane(int fromRow, int toRow, int lane, int count, int wanted, int[] ranked) {
+        int newCount = count;
+        for (int row = fromRow; row < toRow; row++) {
             int i = row * lanes + lane;
             if (i >= memberIndexes.length) {
                 break;
             }
-            double score = (combinedRows[row][lane] & 0xFFFFFFFFL) * multipliers[i];
-            if (n < wanted || score >= scores[wanted - 1] && ranksBefore(score, memberIndexes[i], wanted - 1, ranked)) {
-                n = insert(ranked, n, wanted, memberIndexes[i], score);
+            double score = (combinedRows[row][lane] & UNSIGNED_INT_MASK) * multipliers[i];
+            if (newCount < wanted
+                    || (score >= scores[wanted - 1] && ranksBefore(score, memberIndexes[i], wanted - 1, ranked))) {
+                newCount = insert(ranked, newCount, wanted, memberIndexes[i], score);
             }
         }
-        return n;
+        return newCount;
     }
 
     /**
-     * {@link CarpHash#combine} for a row. Vector code comes of it only if all arrays have one index; rotations are
-     * sums, as for the usual form there is no vector code everywhere.
+     * {@link CarpHash#combine} for a row. It is vectorized only if all arrays share one index and rotations are written
+     * as sums.
      */
-    private static void combine(int keyHash, int[] hashes, int[] out) {
-        for (int i = 0; i < out.length; i++) {
-            int h = (keyHash ^ hashes[i]) * (CarpHash.SPREAD + 1);
-            h = ((h << 21) + (h >>> 11)) * (CarpHash.SPREAD + 1);
-            out[i] = (h << 21) + (h >>> 11);
+    private static void combine(int keyHash, int[] hashes, int[] combined) {
+        for (int i = 0; i < combined.length; i++) {
+            int hash = (keyHash ^ hashes[i]) * (CarpHash.SPREAD + 1);
+            hash = ((hash << 21) + (hash >>> 11)) * (CarpHash.SPREAD + 1);
+            combined[i] = (hash << 21) + (hash >>> 11);
         }
     }
 
     /**
-     * The greatest of each lane, by halves of the hashes: they are not negative, so a difference can't overflow and its
-     * sign chooses. Math.max would be no vector code.
+     * Keeps the greatest half hash of each lane. Halves are not negative, so that a difference cannot overflow and its
+     * sign selects the greater; {@link Math#max} would not be vectorized.
      */
-    private static void greatest(int[] row, int[] greatest) {
+    private static void keepGreatestHalves(int[] row, int[] greatestHalves) {
         for (int i = 0; i < row.length; i++) {
             int half = row[i] >>> 1;
-            int more = half - greatest[i];
-            greatest[i] = half - (more & more >> 31);
+            int difference = half - greatestHalves[i];
+            greatestHalves[i] = half - (difference & (difference >> 31));
         }
     }
 
-    /**
-     * The least half of a hash that could reach a score with this multiplier. Rounded down by more than the division
-     * can be wrong: what passes is scored exactly.
-     */
+    /** Returns half of the least hash that could reach a score with this multiplier, rounded down. */
     private static int minHalfHash(double score, double multiplier) {
-        double hash = multiplier > 0 ? score / multiplier * (1 - 1e-12) - 1 : 0;
-        return (int) ((long) Math.max(0, Math.min(0xFFFFFFFFL, hash)) >>> 1);
+        double hash = multiplier > 0 ? score / multiplier * (1 - DIVISION_ERROR) - 1 : 0;
+        return (int) ((long) Math.max(0, Math.min(UNSIGNED_INT_MASK, hash)) >>> 1);
     }
 
-    /** Whether a score goes before the one at this rank; of equals the member that is first on the list. */
+    /** Whether a score ranks before the one at this rank; of equal scores the member that is first on the list does. */
     private boolean ranksBefore(double score, int member, int rank, int[] ranked) {
-        return score > scores[rank] || score == scores[rank] && member < ranked[rank];
+        return score > scores[rank] || (score == scores[rank] && member < ranked[rank]);
     }
 
+    /** Inserts a member by its score and drops the last one if there are too many; returns the new count. */
     private int insert(int[] ranked, int count, int wanted, int member, double score) {
         int at = count < wanted ? count : wanted - 1;
         for (; at > 0 && ranksBefore(score, member, at - 1, ranked); at--) {
--- a/src/main/java/cacheproxy/placement/NginxHashPlacement.java
+++ b/src/main/java/cacheproxy/placement/NginxHashPlacement.java
@@ -2,37 +2,41 @@
 
 import cacheproxy.policy.PolicyApi.Member;
 import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
-import java.util.HashMap;
+import java.util.Arrays;
 import java.util.List;
-import java.util.Map;
 import java.util.zip.CRC32;
 
 /**
- * nginx's {@code hash KEY} without {@code consistent}, which is that of Cache::Memcached: bits 16 to 30 of the key's
- * CRC-32 modulo the sum of weights; where that server is down or has been tried, the count of looks is put before the
- * key, hashed again and added. After {@value #LOOKS} looks in vain nginx goes round; here the file's order follows.
- * Keys are {@link PlacementKey}s.
+ * The ranking of nginx's {@code hash KEY} without {@code consistent}, which is that of Cache::Memcached: bits 16 to 30
+ * of the key's CRC-32, modulo the sum of weights. Where that server is down or already ranked, the number of the rehash
+ * is prepended to the key, hashed again and added. After {@value #MAX_REHASHES} hashes without a new server nginx falls
+ * back to round robin; here the remaining servers follow in the configuration's order. Keys are {@link PlacementKey}s.
  */
 public final class NginxHashPlacement implements Placement {
-    /** nginx gives up hashing after so many. */
+    /** Hashes without a new server after which nginx stops rehashing. */
     static final int MAX_REHASHES = 20;
 
+    private static final int HASH_MASK = 0x7FFF;
+
+    /** Sums of the weights up to and with each target. */
     private final int[] cumulativeWeights;
-    /** Indexes of members by peer; -1: not ready. */
+
+    /** Indexes of members by target; {@link PlacementTarget#NOT_READY} where a target is not ready. */
     private final int[] memberIndexes;
 
+    /** Targets ranked so far; reused between rankings. */
     private final boolean[] taken;
-    /** CRC-32 of the look's number in decimal. */
+
+    /** CRC-32 of each rehash's number in decimal; 0, the first hash, has no prefix. */
     private final int[] rehashPrefixCrcs;
 
-    private NginxHashPlacement(List<PlacementTarget> peers, List<Member> members) {
-        memberIndexes = memberIndexes(peers, members);
-        cumulativeWeights = new int[peers.size()];
-        taken = new boolean[peers.size()];
+    private NginxHashPlacement(List<PlacementTarget> targets, List<Member> members) {
+        memberIndexes = PlacementTarget.memberIndexes(targets, members);
+        cumulativeWeights = new int[targets.size()];
+        taken = new boolean[targets.size()];
         int sum = 0;
         for (int i = 0; i < cumulativeWeights.length; i++) {
-            sum += peers.get(i).weight();
+            sum += targets.get(i).weight();
             cumulativeWeights[i] = sum;
         }
         rehashPrefixCrcs = new int[MAX_REHASHES + 2 + cumulativeWeights.length];
@@ -43,20 +47,9 @@
         }
     }
 
-    /** Over peers in the file's order, whichever of them are ready. */
-    public static Factory factory(List<PlacementTarget> peers) {
-        return members -> new NginxHashPlacement(peers, members);
-    }
-
-    /** For each peer its index among members; -1 where it is not there. */
-    static int[] memberIndexes(List<PlacementTarget> peers, List<Member> members) {
-        Map<Integer, Integer> at = new HashMap<>();
-        for (Member m : members) {
-            at.put(m.id(), at.size());
-        }
-        List<Integer> ready = new ArrayList<>();
-        peers.forEach(p -> ready.add(at.getOrDefault(p.id(), -1)));
-        return ready.stream().mapToInt(Integer::intValue).toArray();
+    /** Returns a factory over targets in the configuration's order, whether ready or not. */
+    public static PlacementFactory factory(List<PlacementTarget> targets) {
+        return members -> new NginxHashPlacement(targets, members);
     }
 
     @Override
@@ -66,34 +59,51 @@
 
     @Override
     public int rank(long key, int keyHash, int wanted, int[] ranked) {
-        java.util.Arrays.fill(taken, false);
-        int n = 0;
-        int sum = cumulativeWeights.length == 0 ? 0 : cumulativeWeights[cumulativeWeights.length - 1];
+        Arrays.fill(taken, false);
+        int weightSum = cumulativeWeights.length == 0 ? 0 : cumulativeWeights[cumulativeWeights.length - 1];
+        int count = weightSum == 0 ? 0 : rankByRehashing(key, weightSum, wanted, ranked);
+        return rankRemaining(count, wanted, ranked);
+    }
+
+    private int rankByRehashing(long key, int weightSum, int wanted, int[] ranked) {
+        int count = 0;
         int hash = 0;
-        for (int look = 0, vain = 0;
-                sum > 0 && n < wanted && vain <= MAX_REHASHES && look < rehashPrefixCrcs.length;
-                look++) {
-            int crc = look == 0 ? PlacementKey.crc(key) : PlacementKey.crcWithPrefix(rehashPrefixCrcs[look], key);
-            hash += crc >>> 16 & 0x7FFF;
-            int at = targetOf(Integer.remainderUnsigned(hash, sum));
-            if (taken[at] || memberIndexes[at] < 0) {
-                vain++;
+        int skipped = 0;
+        for (int rehash = 0; rehash < rehashPrefixCrcs.length; rehash++) {
+            if (count >= wanted || skipped > MAX_REHASHES) {
+                break;
+            }
+            int crc = rehash == 0 ? PlacementKey.crc(key) : PlacementKey.crcWithPrefix(rehashPrefixCrcs[rehash], key);
+            hash += crc >>> 16 & HASH_MASK;
+            int target = targetOf(Integer.remainderUnsigned(hash, weightSum));
+            if (isAvailable(target)) {
+                taken[target] = true;
+                ranked[count++] = memberIndexes[target];
             } else {
-                taken[at] = true;
-                ranked[n++] = memberIndexes[at];
+                skipped++;
             }
         }
-        for (int i = 0; n < wanted && i < memberIndexes.length; i++) {
-            if (!taken[i] && memberIndexes[i] >= 0) {
-                taken[i] = true;
-                ranked[n++] = memberIndexes[i];
+        return count;
+    }
+
+    private int rankRemaining(int alreadyRanked, int wanted, int[] ranked) {
+        int count = alreadyRanked;
+        for (int target = 0; count < wanted && target < memberIndexes.length; target++) {
+            if (isAvailable(target)) {
+                taken[target] = true;
+                ranked[count++] = memberIndexes[target];
             }
         }
-        return n;
+        return count;
+    }
+
+    private boolean isAvailable(int target) {
+        return !taken[target] && memberIndexes[target] >= 0;
     }
 
-    private int targetOf(int place) {
-        int at = java.util.Arrays.binarySearch(cumulativeWeights, place + 1);
+    /** Returns the target that owns a position, 0 to the sum of weights - 1. */
+    private int targetOf(int position) {
+        int at = Arrays.binarySearch(cumulativeWeights, position + 1);
         return at >= 0 ? at : -at - 1;
     }
 }
--- a/src/main/java/cacheproxy/placement/PlacementKey.java
+++ b/src/main/java/cacheproxy/placement/PlacementKey.java
@@ -3,68 +3,90 @@
 import java.util.zip.CRC32;
 
 /**
- * A 64-bit key that tells a placement of nginx's kind all that it hashes: the text's CRC-32 in the low 32 bits, its
- * length in the next 12, and 20 bits of another hash, so that keys with the same CRC-32 rarely pass for the same key.
- * From checksum and length follows the checksum of the text with anything before it.
+ * A 64-bit key from which nginx's placements derive all checksums that they need: the text's CRC-32 in the low 32 bits,
+ * the text's length in the next 12, and 20 bits of another hash (FNV-1a), so that texts with the same CRC-32 and length
+ * rarely have the same key. Checksum and length suffice for the checksum of the text with any prefix.
  */
 public final class PlacementKey {
-    /** Texts are this long at most. */
+    /** Longest text, in bytes. */
     public static final int MAX_LENGTH = 4095;
 
+    private static final int LENGTH_SHIFT = 32;
+    private static final int HASH_SHIFT = 44;
+    private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+    private static final long FNV_PRIME = 0x100000001b3L;
+
+    /** The polynomial of CRC-32, reflected. */
     private static final int CRC32_POLYNOMIAL = 0xEDB88320;
-    /** x^(2^n) modulo the CRC's polynomial, reflected. */
-    private static final int[] POWERS_OF_X = new int[32];
+
+    private static final int HIGHEST_BIT = 1 << 31;
+
+    /** x^8 is x^(2^3): a byte shifts the checksum by that. */
+    private static final int BYTE_POWER = 3;
+
+    /** x^(2^i) modulo {@link #CRC32_POLYNOMIAL}, reflected. */
+    private static final int[] POWERS_OF_X = new int[Integer.SIZE];
 
     static {
         POWERS_OF_X[0] = 1 << 30;
-        for (int n = 1; n < 32; n++) {
-            POWERS_OF_X[n] = multiply(POWERS_OF_X[n - 1], POWERS_OF_X[n - 1]);
+        for (int i = 1; i < POWERS_OF_X.length; i++) {
+            POWERS_OF_X[i] = multiply(POWERS_OF_X[i - 1], POWERS_OF_X[i - 1]);
         }
     }
 
     private PlacementKey() {}
 
-    /** Of a text with at most {@link #MAX_LENGTH} bytes; never 0. */
+    /**
+     * Returns the key of a text; never 0.
+     *
+     * @throws IllegalArgumentException if the text is longer than {@link #MAX_LENGTH}
+     */
     public static long fromText(byte[] text) {
         if (text.length > MAX_LENGTH) {
-            throw new IllegalArgumentException(text.length + " bytes");
+            throw new IllegalArgumentException(
+                    "placement key: text has " + text.length + " bytes, expected at most " + MAX_LENGTH);
         }
         CRC32 crc = new CRC32();
         crc.update(text, 0, text.length);
-        long other = 0xcbf29ce484222325L;
-        for (byte b : text) {
-            other = (other ^ b & 255) * 0x100000001b3L;
+        long hash = FNV_OFFSET_BASIS;
+        for (byte next : text) {
+            hash = (hash ^ (next & 0xFF)) * FNV_PRIME;
         }
-        long key = (other >>> 44) << 44 | (long) text.length << 32 | crc.getValue();
-        return key != 0 ? key : 1L << 44;
+        long key = (hash >>> HASH_SHIFT) << HASH_SHIFT | (long) text.length << LENGTH_SHIFT | crc.getValue();
+        return key != 0 ? key : 1L << HASH_SHIFT;
     }
 
-    /** CRC-32 of the text. */
+    /** Returns the CRC-32 of the key's text. */
     public static int crc(long key) {
         return (int) key;
     }
 
-    /** CRC-32 of a text that stands before this key's and has this CRC-32 itself (zlib's crc32_combine). */
-    public static int crcWithPrefix(int before, long key) {
-        int shift = 1 << 31;
-        int bits = 3; // a byte is x^8
-        for (int length = (int) (key >>> 32) & MAX_LENGTH; length != 0; length >>>= 1, bits++) {
+    /**
+     * Returns the CRC-32 of a prefix followed by the key's text, as zlib's {@code crc32_combine} does.
+     *
+     * @param prefixCrc the CRC-32 of the prefix
+     */
+    public static int crcWithPrefix(int prefixCrc, long key) {
+        int shift = HIGHEST_BIT;
+        int power = BYTE_POWER;
+        for (int length = (int) (key >>> LENGTH_SHIFT) & MAX_LENGTH; length != 0; length >>>= 1) {
             if ((length & 1) != 0) {
-                shift = multiply(POWERS_OF_X[bits & 31], shift);
+                shift = multiply(POWERS_OF_X[power & (Integer.SIZE - 1)], shift);
             }
+            power++;
         }
-        return multiply(shift, before) ^ crc(key);
+        return multiply(shift, prefixCrc) ^ crc(key);
     }
 
-    /** Product of two polynomials modulo the CRC's, reflected. */
-    private static int multiply(int a, int b) {
+    /** Returns the product of two reflected polynomials modulo {@link #CRC32_POLYNOMIAL}. */
+    private static int multiply(int left, int right) {
         int product = 0;
-        int x = b;
-        for (int bit = 1 << 31; bit != 0; bit >>>= 1) {
-            if ((a & bit) != 0) {
-                product ^= x;
+        int shifted = right;
+        for (int bit = HIGHEST_BIT; bit != 0; bit >>>= 1) {
+            if ((left & bit) != 0) {
+                product ^= shifted;
             }
-            x = (x & 1) != 0 ? x >>> 1 ^ CRC32_POLYNOMIAL : x >>> 1;
+            shifted = (shifted & 1) != 0 ? (shifted >>> 1) ^ CRC32_POLYNOMIAL : shifted >>> 1;
         }
         return product;
     }
--- a/src/main/java/cacheproxy/placement/PlacementTarget.java
+++ b/src/main/java/cacheproxy/placement/PlacementTarget.java
@@ -1,11 +1,30 @@
 package cacheproxy.placement;
 
+import cacheproxy.policy.PolicyApi.Member;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+
 /**
- * A server as nginx's placements know it, whether it is up or not: those that are down keep their part of the keys'
- * space, so that only their own keys move.
+ * A configured server as nginx's placements use it. Servers that are down keep their part of the key space, so that
+ * only their own keys move.
  *
- * @param id as members'
- * @param weight whole, 1 or more
- * @param ring its text on the ring: the address as nginx's configuration writes it
+ * @param id the id that the server has as a member
+ * @param weight whole weight, 1 or more
+ * @param address the address as nginx's configuration writes it, from which its points on the ring are hashed
  */
-public record PlacementTarget(int id, int weight, String address) {}
+public record PlacementTarget(int id, int weight, String address) {
+    /** Index of a target that is not among the ready members. */
+    static final int NOT_READY = -1;
+
+    /** Returns for each target its index among the members, or {@link #NOT_READY}. */
+    static int[] memberIndexes(List<PlacementTarget> targets, List<Member> members) {
+        Map<Integer, Integer> indexById = new HashMap<>();
+        for (Member member : members) {
+            indexById.put(member.id(), indexById.size());
+        }
+        return targets.stream()
+                .mapToInt(target -> indexById.getOrDefault(target.id(), NOT_READY))
+                .toArray();
+    }
+}
--- a/src/main/java/cacheproxy/placement/StartTimes.java
+++ b/src/main/java/cacheproxy/placement/StartTimes.java
@@ -4,25 +4,30 @@
 import java.util.Collection;
 
 /**
- * When servers started, on this proxy's own clock. Lists tell it by another machine's wall clock, and ours may be wrong
- * by an hour, or have been when the process started: a cold server must not pass for a warm one for that. So the two
- * clocks are never compared. A server that is on a list has started by then; of all starts that lists have told, the
- * one that came soonest after its own time shows how far the lists' clock is ahead of ours at the least. By that no
- * server seems older than it is, and the newest of a first list seems to have just started.
+ * Converts the start times that endpoint lists tell to this proxy's clock.
  *
- * <p>Free of I/O and clocks; times in milliseconds. Holds one figure.
+ * <p>Lists tell starts by another machine's wall clock, and this one's may be wrong by an hour, so the two are never
+ * compared. Instead, as a listed server must have started before the list arrived, each listed start gives a lower
+ * bound of how far the list's clock is ahead; the greatest bound is used. By that no server seems older than it is, and
+ * the newest server of a first list seems to have just started.
+ *
+ * <p>Times are milliseconds. The state is one number.
  */
 public final class StartTimes {
-    /** What a list says of a start is relied on for so long before the list has come. */
+    /** Longest time from a server's restart until a list that tells of it arrives, in milliseconds. */
     public static final double MAX_LIST_DELAY_MS = 3000;
 
-    /** No Unix time in milliseconds of the next 30,000 years is later. */
+    /** Listed times from this on, in Unix milliseconds, mean a start that is yet to come. */
     private static final double MAX_START_MS = 1e15;
 
-    /** What lists' times are ahead of ours, at least; negative infinity: no list has told of a start. */
+    /** Lower bound of the lists' clock minus this proxy's; negative infinity: no list has told of a start. */
     private double listClockAheadMs = Double.NEGATIVE_INFINITY;
 
-    /** A list has come. */
+    /**
+     * Records a list.
+     *
+     * @param nowMs when the list arrived, on this proxy's clock
+     */
     public void recordList(double nowMs, Collection<Member> servers) {
         for (Member server : servers) {
             if (isStart(server.bornMs())) {
@@ -32,16 +37,17 @@
     }
 
     /**
-     * When a server started, at the latest; it may have a little earlier.
+     * Returns the latest time at which a server can have started, on this proxy's clock.
      *
-     * @param bornMs as its list tells it, which is a start
-     * @param changedMs when it was seen to have started since an earlier list; negative infinity: the first list had it
+     * @param listedStartMs the start as the list tells it
+     * @param restartSeenMs when a list first told of this start after an earlier list had told of another one, on this
+     *     proxy's clock; negative infinity: the first list had it
      */
     public double startedMs(double listedStartMs, double restartSeenMs) {
         return Math.max(listedStartMs - listClockAheadMs, restartSeenMs - MAX_LIST_DELAY_MS);
     }
 
-    /** Whether a list's figure is a start: not 0, which is long ago, nor one that is to come. */
+    /** Whether a listed time is a start: not 0, which means long ago, nor one that is yet to come. */
     private static boolean isStart(double listedStartMs) {
         return listedStartMs > 0 && listedStartMs < MAX_START_MS;
     }
--- a/src/main/java/cacheproxy/policy/RoutingPolicy.java
+++ b/src/main/java/cacheproxy/policy/RoutingPolicy.java
@@ -3,6 +3,7 @@
 import cacheproxy.placement.AdmissionControl;
 import cacheproxy.placement.CarpPlacement;
 import cacheproxy.placement.Placement;
+import cacheproxy.placement.PlacementFactory;
 import cacheproxy.placement.StartTimes;
 import cacheproxy.siblings.Siblings;
 import cacheproxy.snapshot.state.LearnedState;
@@ -42,7 +43,7 @@
     private final Throttle crowd = new Throttle();
     private final Shares shares;
     private Server[] ranked = new Server[0];
-    private final Placement.Factory placements;
+    private final PlacementFactory placements;
     private final AdmissionControl admission;
     private final StartTimes starts = new StartTimes();
     private boolean listed;
@@ -307,7 +308,7 @@
 
     /** One that ranks servers by this placement, keeps to these further bounds and may ask these siblings. */
     public RoutingPolicy(
-            Settings settings, long seed, Placement.Factory placements, AdmissionControl admission, Siblings siblings) {
+            Settings settings, long seed, PlacementFactory placements, AdmissionControl admission, Siblings siblings) {
         cfg = settings;
         this.placements = placements;
         this.admission = admission;
--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -5,7 +5,7 @@
 import cacheproxy.invariant.SendGuard;
 import cacheproxy.placement.AdmissionControl;
 import cacheproxy.placement.CarpPlacement;
-import cacheproxy.placement.Placement;
+import cacheproxy.placement.PlacementFactory;
 import cacheproxy.policy.PolicyApi.Actions;
 import cacheproxy.policy.PolicyApi.AttemptEnd;
 import cacheproxy.policy.PolicyApi.Effect;
@@ -158,7 +158,7 @@
             int mostConnections,
             int streamsPerConnection,
             boolean plainNodes,
-            Placement.Factory placements,
+            PlacementFactory placements,
             AdmissionControl admission) {
 
         /** The platform's one pool. Servers accept some forty connections each, for all proxies together. */
