--- a/src/main/java/cacheproxy/control/ControlEndpoints.java
+++ b/src/main/java/cacheproxy/control/ControlEndpoints.java
@@ -4,59 +4,45 @@
 import java.util.function.Supplier;
 
 /**
- * The operators' calls and what each answers, apart from how they come. Paths are exact; a query string is not looked
- * at.
+ * The endpoints of a single-pool proxy: {@code GET /status}, {@code POST /standby}, {@code POST /active} and those of
+ * {@link DiagnosticEndpoints}. Paths match exactly; query strings are ignored.
  *
- * @param takesClients whether this process takes clients now
- * @param state its state in a word
- * @param standby sends clients away; false where that can't be had
- * @param active takes clients again; false where that can't be had
- * @param diagnostics what answers the calls of {@link DiagnosticEndpoints}
+ * @param acceptsClients whether this process accepts clients now
+ * @param stateText the state of this process in one word
+ * @param enterStandby sends clients away; false if the process is shutting down
+ * @param leaveStandby accepts clients again; false if the process is shutting down
+ * @param diagnostics handles the diagnostic endpoints
  */
 public record ControlEndpoints(
-        BooleanSupplier takesClients,
-        Supplier<String> state,
-        BooleanSupplier standby,
-        BooleanSupplier active,
+        BooleanSupplier acceptsClients,
+        Supplier<String> stateText,
+        BooleanSupplier enterStandby,
+        BooleanSupplier leaveStandby,
         DiagnosticEndpoints diagnostics)
         implements ControlRequestHandler {
 
-    /**
-     * An answer: 2xx is yes, 4xx and 5xx no.
-     *
-     * @param text one line of ASCII without its end
-     * @param allow the method to use instead, or null
-     */
-    public record Answer(int code, String text, String allow) {
-        public Answer(int code, String text) {
-            this(code, text, null);
-        }
-    }
-
     @Override
-    public Answer call(String method, String uri) {
-        int query = uri.indexOf('?');
-        String path = query < 0 ? uri : uri.substring(0, query);
-        if (DiagnosticEndpoints.method(path) != null) {
-            return diagnostics.call(method, uri);
+    public ControlResponse handle(String method, String uri) {
+        String path = ControlRequestHandler.path(uri);
+        if (DiagnosticEndpoints.requiredMethod(path) != null) {
+            return diagnostics.handle(method, uri);
         }
-        String needed = switch (path) {
-            case "/status" -> "GET";
-            case "/standby", "/active" -> "POST";
-            default -> null;
+        return switch (path) {
+            case "/status" -> handle("GET", method, path, acceptsClients);
+            case "/standby" -> handle("POST", method, path, enterStandby);
+            case "/active" -> handle("POST", method, path, leaveStandby);
+            default ->
+                new ControlResponse(
+                        404,
+                        "the calls are GET /status, POST /standby, POST /active, " + DiagnosticEndpoints.REQUEST_LIST);
         };
-        if (needed == null) {
-            return new Answer(
-                    404, "the calls are GET /status, POST /standby, POST /active, " + DiagnosticEndpoints.NAMES);
-        }
-        if (!needed.equals(method)) {
-            return new Answer(405, "use " + needed + " " + path, needed);
+    }
+
+    private ControlResponse handle(String requiredMethod, String method, String path, BooleanSupplier action) {
+        if (!requiredMethod.equals(method)) {
+            return ControlResponse.methodNotAllowed(path, requiredMethod);
         }
-        boolean yes = switch (path) {
-            case "/status" -> takesClients.getAsBoolean();
-            case "/standby" -> standby.getAsBoolean();
-            default -> active.getAsBoolean();
-        };
-        return yes ? new Answer(200, state.get()) : new Answer(503, state.get());
+        int status = action.getAsBoolean() ? 200 : 503;
+        return new ControlResponse(status, stateText.get());
     }
 }
--- a/src/main/java/cacheproxy/daemon/ControlSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/ControlSubsystem.java
@@ -3,8 +3,8 @@
 import cacheproxy.config.ConfigException;
 import cacheproxy.config.ControlConfig;
 import cacheproxy.config.DaemonConfig;
-import cacheproxy.control.ControlEndpoints.Answer;
 import cacheproxy.control.ControlRequestHandler;
+import cacheproxy.control.ControlResponse;
 import cacheproxy.control.ControlServer;
 import cacheproxy.control.DiagnosticEndpoints;
 import cacheproxy.proxy.Transport;
@@ -54,28 +54,29 @@
         return part;
     }
 
-    private Answer call(String method, String uri) {
+    private ControlResponse call(String method, String uri) {
         int query = uri.indexOf('?');
         String path = query < 0 ? uri : uri.substring(0, query);
         if (path.equals("/status")) {
             return !method.equals("GET")
-                    ? new Answer(405, "use GET /status", "GET")
-                    : draining ? new Answer(503, "draining") : new Answer(200, "active");
+                    ? new ControlResponse(405, "use GET /status", "GET")
+                    : draining ? new ControlResponse(503, "draining") : new ControlResponse(200, "active");
         }
-        if (DiagnosticEndpoints.method(path) != null) {
-            return diagnostics.call(method, uri);
+        if (DiagnosticEndpoints.requiredMethod(path) != null) {
+            return diagnostics.handle(method, uri);
         }
         List<String> words = new ArrayList<>(List.of("/status"));
         for (Map.Entry<String, Supplier<ControlRequestHandler>> e : others.entrySet()) {
             ControlRequestHandler handler = e.getValue().get();
             if (handler != null && (path.equals(e.getKey()) || path.startsWith(e.getKey() + "/"))) {
-                return handler.call(method, uri);
+                return handler.handle(method, uri);
             }
             if (handler != null) {
                 words.add(e.getKey());
             }
         }
-        return new Answer(404, "the calls are GET " + String.join(", GET ", words) + ", " + DiagnosticEndpoints.NAMES);
+        return new ControlResponse(
+                404, "the calls are GET " + String.join(", GET ", words) + ", " + DiagnosticEndpoints.REQUEST_LIST);
     }
 
     InetSocketAddress address() {
--- a/src/main/java/cacheproxy/daemon/Daemon.java
+++ b/src/main/java/cacheproxy/daemon/Daemon.java
@@ -112,7 +112,7 @@
                                 loop,
                                 FleetSubsystem.answers(() -> part(FleetSubsystem.class)),
                                 new DiagnosticEndpoints(
-                                        core.invariants::summary, core.events::enabled, this::reloadElsewhere))));
+                                        core.invariants::summary, core.events::setEnabled, this::reloadElsewhere))));
     }
 
     /** What {@code POST /reload} of the control address does, on a thread of its own. Null: nothing. */
--- a/src/main/java/cacheproxy/daemon/fleet/DelegatedWatches.java
+++ b/src/main/java/cacheproxy/daemon/fleet/DelegatedWatches.java
@@ -5,6 +5,8 @@
 import cacheproxy.daemon.ConfigSnapshot;
 import cacheproxy.daemon.PoolRuntime;
 import cacheproxy.discovery.DelegatedWatch;
+import cacheproxy.discovery.DelegatedWatchActions;
+import cacheproxy.discovery.DelegatedWatchTiming;
 import cacheproxy.discovery.WatchVersionMessage;
 import cacheproxy.fleet.lease.NameHash;
 import cacheproxy.proxy.DiscoveryClient;
@@ -60,7 +62,7 @@
         }
         byDuty.clear();
         for (String pool : wanted) {
-            DelegatedWatch.Rules rules = new DelegatedWatch.Rules(
+            DelegatedWatchTiming rules = new DelegatedWatchTiming(
                     spec.watch().beatMs(),
                     spec.watch().wordMs(),
                     spec.watch().lazyMs(),
@@ -68,7 +70,7 @@
             String duty = spec.watchDuty(pool);
             DelegatedWatch w = watches.computeIfAbsent(
                     pool, p -> new DelegatedWatch(link.tenure(duty), rules, random.split(), new Out(p)));
-            w.use(rules);
+            w.updateTiming(rules);
             byDuty.put(NameHash.of(duty), w);
         }
         zone = spec.names(spec.zone()).stream()
@@ -80,22 +82,22 @@
     /** How closely a pool's list is to be watched now. */
     boolean closely(String pool) {
         DelegatedWatch w = watches.get(pool);
-        return w == null || w.closely(core.now());
+        return w == null || w.shouldLongPoll(core.now());
     }
 
     void have(String pool, long version) {
         DelegatedWatch w = watches.get(pool);
         if (w != null) {
-            w.have(core.now(), version);
+            w.listVersionChanged(core.now(), version);
         }
     }
 
     @Override
     public void heard(double now, long from, byte[] payload) {
-        WatchVersionMessage word = WatchVersionMessage.of(payload);
-        DelegatedWatch w = word == null ? null : byDuty.get(word.duty());
+        WatchVersionMessage word = WatchVersionMessage.decode(payload);
+        DelegatedWatch w = word == null ? null : byDuty.get(word.leaseId());
         if (w != null) {
-            w.heard(now, from, word);
+            w.received(now, from, word);
         }
     }
 
@@ -113,7 +115,7 @@
         JsonObject all = new JsonObject();
         watches.forEach((pool, w) -> {
             JsonObject o = new JsonObject();
-            o.addProperty("closely", w.closely(core.now()));
+            o.addProperty("closely", w.shouldLongPoll(core.now()));
             o.addProperty("version", w.version());
             all.add(pool, o);
         });
@@ -128,7 +130,7 @@
         }
     }
 
-    private final class Out implements DelegatedWatch.Out {
+    private final class Out implements DelegatedWatchActions {
         private final String pool;
 
         Out(String pool) {
@@ -136,23 +138,23 @@
         }
 
         @Override
-        public void tell(WatchVersionMessage w) {
-            byte[] bytes = w.bytes();
+        public void send(WatchVersionMessage w) {
+            byte[] bytes = w.encode();
             zone.forEach(to -> link.send(to, DelegatedWatches.this, bytes));
         }
 
         @Override
-        public void tell(long to, WatchVersionMessage w) {
-            link.send(to, DelegatedWatches.this, w.bytes());
+        public void send(long to, WatchVersionMessage w) {
+            link.send(to, DelegatedWatches.this, w.encode());
         }
 
         @Override
-        public void closely(boolean on) {
+        public void setLongPolling(boolean on) {
             client(pool, c -> c.pace(on));
         }
 
         @Override
-        public void ask() {
+        public void pollOnce() {
             client(pool, DiscoveryClient::ask);
         }
     }
--- a/src/main/java/cacheproxy/daemon/fleet/FleetQuotas.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetQuotas.java
@@ -3,7 +3,7 @@
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.FleetConfig;
 import cacheproxy.config.LimitsConfig;
-import cacheproxy.control.ControlEndpoints.Answer;
+import cacheproxy.control.ControlResponse;
 import cacheproxy.fleet.quota.LocalQuota;
 import cacheproxy.fleet.quota.OvershootBound;
 import cacheproxy.fleet.quota.QuotaManager;
@@ -246,16 +246,16 @@
         counted.keySet().retainAll(scopes.keySet());
     }
 
-    Answer call(String method, String uri) {
+    ControlResponse call(String method, String uri) {
         if (!method.equals("GET")) {
-            return new Answer(405, "use GET /limits", "GET");
+            return new ControlResponse(405, "use GET /limits", "GET");
         }
         JsonArray list = new JsonArray();
         double now = core.now();
         if (quota != null) {
             quota.sights(now).forEach(s -> list.add(json(s, now)));
         }
-        return new Answer(200, list.toString());
+        return new ControlResponse(200, list.toString());
     }
 
     private JsonObject json(QuotaManager.Sight s, double now) {
--- a/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
@@ -4,8 +4,8 @@
 import cacheproxy.config.ConfigException;
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.FleetConfig;
-import cacheproxy.control.ControlEndpoints.Answer;
 import cacheproxy.control.ControlRequestHandler;
+import cacheproxy.control.ControlResponse;
 import cacheproxy.daemon.ConfigSnapshot;
 import cacheproxy.daemon.SocketBinder;
 import cacheproxy.daemon.Subsystem;
@@ -283,9 +283,9 @@
         return answers;
     }
 
-    private Answer state(String method, String uri) {
+    private ControlResponse state(String method, String uri) {
         if (!method.equals("GET")) {
-            return new Answer(405, "use GET /fleet", "GET");
+            return new ControlResponse(405, "use GET /fleet", "GET");
         }
         JsonObject o = new JsonObject();
         o.addProperty("me", me);
@@ -300,7 +300,7 @@
         });
         o.add("peers", peers);
         users.forEach(u -> u.tell(o));
-        return new Answer(200, o.toString());
+        return new ControlResponse(200, o.toString());
     }
 
     /** The fleet's limits at a daemon; null where it is of no fleet. */
--- a/src/main/java/cacheproxy/daemon/fleet/LeaseEndpoints.java
+++ b/src/main/java/cacheproxy/daemon/fleet/LeaseEndpoints.java
@@ -1,7 +1,7 @@
 package cacheproxy.daemon.fleet;
 
-import cacheproxy.control.ControlEndpoints.Answer;
 import cacheproxy.control.ControlRequestHandler;
+import cacheproxy.control.ControlResponse;
 import cacheproxy.fleet.lease.LeaseManager;
 import cacheproxy.fleet.lease.NameHash;
 import com.google.gson.JsonArray;
@@ -33,37 +33,37 @@
     }
 
     @Override
-    public Answer call(String method, String uri) {
+    public ControlResponse handle(String method, String uri) {
         QueryStringDecoder query = new QueryStringDecoder(uri);
         String[] path = query.path().substring(1).split("/", -1);
         boolean transfer = path.length == 3 && path[2].equals("transfer");
         String needed = transfer ? "POST" : "GET";
         if (path.length > 2 && !transfer) {
-            return new Answer(
+            return new ControlResponse(
                     404, "the calls are GET /duties, GET /duties/NAME and POST /duties/NAME/transfer?to=PEER");
         }
         if (!method.equals(needed)) {
-            return new Answer(405, "use " + needed + " " + query.path(), needed);
+            return new ControlResponse(405, "use " + needed + " " + query.path(), needed);
         }
         if (path.length == 1) {
-            return new Answer(200, json().toString());
+            return new ControlResponse(200, json().toString());
         }
         if (!told.contains(path[1])) {
-            return new Answer(404, "there is no such duty");
+            return new ControlResponse(404, "there is no such duty");
         }
         double now = clock.getAsDouble();
         if (transfer) {
             List<String> to = query.parameters().getOrDefault("to", List.of());
             long id = to.isEmpty() ? NameHash.NOBODY : NameHash.of(to.get(0));
             if (!names.containsKey(id) || id == me) {
-                return new Answer(400, "say to=PEER, the name of another proxy");
+                return new ControlResponse(400, "say to=PEER, the name of another proxy");
             }
             return duties.transfer(path[1], id, now, "handed to " + names.get(id))
-                    ? new Answer(200, "handing it to " + names.get(id))
-                    : new Answer(409, "not held here");
+                    ? new ControlResponse(200, "handing it to " + names.get(id))
+                    : new ControlResponse(409, "not held here");
         }
         long epoch = duties.permit(path[1], now, 0);
-        return epoch >= 0 ? new Answer(200, Long.toString(epoch)) : new Answer(503, "not held here");
+        return epoch >= 0 ? new ControlResponse(200, Long.toString(epoch)) : new ControlResponse(503, "not held here");
     }
 
     private JsonArray json() {
--- a/src/main/java/cacheproxy/discovery/DelegatedWatch.java
+++ b/src/main/java/cacheproxy/discovery/DelegatedWatch.java
@@ -5,166 +5,167 @@
 import java.util.SplittableRandom;
 
 /**
- * How closely a proxy watches discovery's list where one of its zone does so for all, by a duty: the holder keeps a
- * call out at all times and tells the version that it has, with every beat and at once when it changes; the others call
- * only when they hear of a later one, and rarely besides. What the list says only discovery tells. Where word stops,
- * each watches closely again. Free of I/O and clocks.
+ * Decides whether a proxy long-polls discovery or leaves that to the lease holder of its zone. The lease holder always
+ * long-polls, and sends the version of its list to the zone with each heartbeat and whenever the version changes. The
+ * other proxies poll when they hear of a newer version, and otherwise only occasionally. When heartbeats stop, every
+ * proxy long-polls for itself.
  *
- * <p>How much older than discovery's a list can be, beyond the time of a call: while word comes, the gathering time;
- * after a lost word, a beat more; after the holder's end, one and a half times the word's time; where the holder's own
- * watch has fallen silent, or word came late by a link's delay, the time between two rare calls.
+ * <p>How long a list may lag behind discovery's, apart from the time that a poll takes:
+ *
+ * <ul>
+ *   <li>while heartbeats arrive: the coalescing window;
+ *   <li>after one lost heartbeat: one heartbeat interval more;
+ *   <li>after the lease holder has failed: one and a half times the heartbeat timeout;
+ *   <li>when the lease holder's own long poll is silent, or heartbeats are delayed: the maximum poll interval.
+ * </ul>
  */
 public final class DelegatedWatch {
-    /**
-     * Times in milliseconds.
-     *
-     * @param beatMs between two words of the holder
-     * @param wordMs for so long word counts, and up to half as long again, so that not all begin to watch at once
-     * @param lazyMs the longest between two calls of who does not watch
-     * @param gatherMs within which all call when they hear of a later version: several versions make one call
-     */
-    public record Rules(double beatMs, double wordMs, double lazyMs, double gatherMs) {
-        public Rules {
-            if (!(beatMs > 0) || !(wordMs > beatMs) || !(lazyMs >= wordMs) || !(gatherMs >= 0)) {
-                throw new IllegalArgumentException(
-                        "beat " + beatMs + ", word " + wordMs + ", lazy " + lazyMs + ", gather " + gatherMs);
-            }
-        }
-    }
-
-    /** What it orders. */
-    public interface Out {
-        /** Tells all of the zone. */
-        void tell(WatchVersionMessage w);
-
-        void tell(long to, WatchVersionMessage w);
+    /** Largest extension of the heartbeat timeout at a proxy, as a fraction of it. */
+    private static final double TIMEOUT_JITTER = 0.5;
+    /** Largest reduction of the interval between occasional polls, as a fraction of it. */
+    private static final double POLL_INTERVAL_JITTER = 0.25;
 
-        /** A call is to be out at all times from now on, or no longer. */
-        void closely(boolean on);
-
-        /** Calls once. */
-        void ask();
-    }
-
-    private static final double SPREAD = 0.5;
-    private static final double LAZY_SPREAD = 0.25;
-
-    private final LeaseHandle tenure;
+    private final LeaseHandle lease;
     private final SplittableRandom random;
-    private final Out out;
-    private final FencingTokenCheck guard = new FencingTokenCheck();
-    private final double spread;
-    private Rules rules;
-    private boolean close = true;
+    private final DelegatedWatchActions actions;
+    private final FencingTokenCheck fencingTokens = new FencingTokenCheck();
+    private final double timeoutFactor;
+    private DelegatedWatchTiming timing;
+    private boolean longPolling = true;
     private long version;
-    private double wordUntilMs = Double.NEGATIVE_INFINITY;
-    private long wordEpoch = -1;
-    private long wordBeat = -1;
-    private long beats;
-    private double nextBeatMs = Double.NEGATIVE_INFINITY;
-    private double nextLaterMs = Double.NEGATIVE_INFINITY;
-    private double askAtMs = Double.POSITIVE_INFINITY;
-
-    public DelegatedWatch(LeaseHandle tenure, Rules rules, SplittableRandom random, Out out) {
-        this.tenure = tenure;
-        this.rules = rules;
+    private double heartbeatValidUntilMs = Double.NEGATIVE_INFINITY;
+    private long lastHeartbeatEpoch = -1;
+    private long lastHeartbeatSequence = -1;
+    private long heartbeatsSent;
+    private double nextHeartbeatMs = Double.NEGATIVE_INFINITY;
+    private double nextCorrectionMs = Double.NEGATIVE_INFINITY;
+    private double nextPollMs = Double.POSITIVE_INFINITY;
+
+    /** Creates a watch that long-polls until it hears the first heartbeat. */
+    public DelegatedWatch(
+            LeaseHandle lease, DelegatedWatchTiming timing, SplittableRandom random, DelegatedWatchActions actions) {
+        this.lease = lease;
+        this.timing = timing;
         this.random = random;
-        this.out = out;
-        spread = 1 + SPREAD * random.nextDouble();
+        this.actions = actions;
+        timeoutFactor = 1 + TIMEOUT_JITTER * random.nextDouble();
     }
 
-    /** Other figures from now on. */
-    public void use(Rules other) {
-        rules = other;
+    /** Uses another timing from now on. */
+    public void updateTiming(DelegatedWatchTiming newTiming) {
+        timing = newTiming;
     }
 
-    private boolean holds(double now) {
-        return tenure.permit(now, 0) >= 0;
+    /** Whether this proxy is to long-poll: it holds the lease, or no valid heartbeat is known. */
+    public boolean shouldLongPoll(double nowMs) {
+        return nowMs >= heartbeatValidUntilMs || holdsLease(nowMs);
     }
 
-    /** Whether a call is to be out at all times: it watches for all, or nobody's word is to be had. */
-    public boolean closely(double now) {
-        return now >= wordUntilMs || holds(now);
-    }
-
-    /** The version of the list that is had here; a lower one than before where discovery counts anew. */
-    public void have(double now, long seq) {
-        if (seq != version) {
-            version = seq;
-            if (holds(now)) {
-                beat(now);
+    /**
+     * Reports the version of the list held here after each of discovery's answers. It is lower than before when
+     * discovery has restarted its numbering.
+     */
+    public void listVersionChanged(double nowMs, long newVersion) {
+        if (newVersion != version) {
+            version = newVersion;
+            if (holdsLease(nowMs)) {
+                sendHeartbeat(nowMs);
             }
         }
     }
 
+    /** The version of the list held here; 0 before the first. */
     public long version() {
         return version;
     }
 
-    private void beat(double now) {
-        long epoch = tenure.permit(now, 0);
-        if (epoch >= 0) {
-            nextBeatMs = now + rules.beatMs();
-            out.tell(new WatchVersionMessage(false, tenure.id(), epoch, ++beats, version));
+    /** Handles a message of the proxy with peer ID {@code from}; messages of other leases are ignored. */
+    public void received(double nowMs, long from, WatchVersionMessage message) {
+        if (message.leaseId() != lease.id()) {
+            return;
+        }
+        if (message.correction()) {
+            correctionReceived(nowMs, message);
+        } else {
+            heartbeatReceived(nowMs, from, message);
         }
     }
 
-    public void heard(double now, long from, WatchVersionMessage w) {
-        if (w.duty() != tenure.id()) {
-            return;
+    /** Our long poll has missed an update, or the message is wrong; a poll tells which. */
+    private void correctionReceived(double nowMs, WatchVersionMessage message) {
+        if (message.version() > version && nowMs >= nextCorrectionMs && holdsLease(nowMs)) {
+            nextCorrectionMs = nowMs + timing.heartbeatIntervalMs();
+            actions.pollOnce();
         }
-        if (w.later()) {
-            // The watch here has missed something; a call shows it, or shows that the word was wrong.
-            if (w.version() > version && now >= nextLaterMs && holds(now)) {
-                nextLaterMs = now + rules.beatMs();
-                out.ask();
-            }
-            return;
-        }
-        if (!guard.accepts(w.duty(), w.epoch()) || w.epoch() == wordEpoch && w.beat() <= wordBeat) {
+    }
+
+    private void heartbeatReceived(double nowMs, long from, WatchVersionMessage message) {
+        if (!fencingTokens.accepts(message.leaseId(), message.epoch()) || isRepeated(message)) {
             return;
         }
-        wordEpoch = w.epoch();
-        wordBeat = w.beat();
-        wordUntilMs = now + rules.wordMs() * spread;
-        if (w.version() > version) {
-            askAtMs = Math.min(askAtMs, now + random.nextDouble() * rules.gatherMs());
-        } else if (w.version() < version && now >= nextLaterMs) {
-            nextLaterMs = now + rules.beatMs();
-            out.tell(from, new WatchVersionMessage(true, w.duty(), 0, 0, version));
+        lastHeartbeatEpoch = message.epoch();
+        lastHeartbeatSequence = message.sequence();
+        heartbeatValidUntilMs = nowMs + timing.heartbeatTimeoutMs() * timeoutFactor;
+        if (message.version() > version) {
+            nextPollMs = Math.min(nextPollMs, nowMs + random.nextDouble() * timing.coalescingWindowMs());
+        } else if (message.version() < version && nowMs >= nextCorrectionMs) {
+            nextCorrectionMs = nowMs + timing.heartbeatIntervalMs();
+            actions.send(from, WatchVersionMessage.correction(message.leaseId(), version));
         }
-        change(now);
+        updatePollingMode(nowMs);
     }
 
-    private void change(double now) {
-        boolean on = closely(now);
-        if (on != close) {
-            close = on;
-            if (!on) {
-                askAtMs = Math.min(askAtMs, lazily(now));
-            }
-            out.closely(on);
+    private boolean isRepeated(WatchVersionMessage message) {
+        return message.epoch() == lastHeartbeatEpoch && message.sequence() <= lastHeartbeatSequence;
+    }
+
+    /**
+     * Does what is due. Call it also when the lease is gained or lost.
+     *
+     * @return when to call again at the latest, in milliseconds; infinite if nothing is scheduled
+     */
+    public double tick(double nowMs) {
+        updatePollingMode(nowMs);
+        if (nowMs >= nextHeartbeatMs && holdsLease(nowMs)) {
+            sendHeartbeat(nowMs);
+        }
+        if (longPolling) {
+            nextPollMs = Double.POSITIVE_INFINITY;
+        } else if (nowMs >= nextPollMs) {
+            nextPollMs = occasionalPollMs(nowMs);
+            actions.pollOnce();
         }
+        return Math.min(nextPollMs, Math.min(ifFuture(heartbeatValidUntilMs, nowMs), ifFuture(nextHeartbeatMs, nowMs)));
     }
 
-    private double lazily(double now) {
-        return now + rules.lazyMs() * (1 - LAZY_SPREAD * random.nextDouble());
+    private static double ifFuture(double atMs, double nowMs) {
+        return atMs > nowMs ? atMs : Double.POSITIVE_INFINITY;
     }
 
-    /** Does what is due; when to call again, at the latest, but for gaining and losing the duty. */
-    public double tick(double now) {
-        change(now);
-        if (now >= nextBeatMs && holds(now)) {
-            beat(now);
+    private boolean holdsLease(double nowMs) {
+        return lease.permit(nowMs, 0) >= 0;
+    }
+
+    private void sendHeartbeat(double nowMs) {
+        long epoch = lease.permit(nowMs, 0);
+        if (epoch >= 0) {
+            nextHeartbeatMs = nowMs + timing.heartbeatIntervalMs();
+            actions.send(WatchVersionMessage.heartbeat(lease.id(), epoch, ++heartbeatsSent, version));
         }
-        if (close) {
-            askAtMs = Double.POSITIVE_INFINITY;
-        } else if (now >= askAtMs) {
-            askAtMs = lazily(now);
-            out.ask();
+    }
+
+    private void updatePollingMode(double nowMs) {
+        boolean enabled = shouldLongPoll(nowMs);
+        if (enabled != longPolling) {
+            longPolling = enabled;
+            if (!enabled) {
+                nextPollMs = Math.min(nextPollMs, occasionalPollMs(nowMs));
+            }
+            actions.setLongPolling(enabled);
         }
-        return Math.min(
-                Math.min(askAtMs, wordUntilMs > now ? wordUntilMs : Double.POSITIVE_INFINITY),
-                nextBeatMs > now ? nextBeatMs : Double.POSITIVE_INFINITY);
+    }
+
+    private double occasionalPollMs(double nowMs) {
+        return nowMs + timing.maxPollIntervalMs() * (1 - POLL_INTERVAL_JITTER * random.nextDouble());
     }
 }
--- /dev/null
+++ b/src/main/java/cacheproxy/discovery/DelegatedWatchActions.java
@@ -0,0 +1,16 @@
+package cacheproxy.discovery;
+
+/** What a {@link DelegatedWatch} has its owner do. Called on the thread that calls the watch. */
+public interface DelegatedWatchActions {
+    /** Sends a message to all other proxies of the zone. */
+    void send(WatchVersionMessage message);
+
+    /** Sends a message to one proxy, given by its peer ID. */
+    void send(long to, WatchVersionMessage message);
+
+    /** Switches long-polling of discovery on or off. */
+    void setLongPolling(boolean enabled);
+
+    /** Polls discovery once, without waiting for a change. */
+    void pollOnce();
+}
--- a/src/main/java/cacheproxy/discovery/DiscoveryPollScheduler.java
+++ b/src/main/java/cacheproxy/discovery/DiscoveryPollScheduler.java
@@ -3,208 +3,209 @@
 import java.util.SplittableRandom;
 
 /**
- * When discovery is to be called, and for how long each call may wait and take, so that the list held is never older
- * than {@link #BOUND_MS} while discovery can be reached. A call held open that has fallen silent looks like one with
- * nothing to tell; only an answer shows that it was heard. So what counts is the last sound answer: the next must come
- * within the bound, with time left for one call that falls silent and for one more.
+ * Schedules the polls of discovery so that the endpoint list is never staler than {@link #MAX_STALENESS_MS} while
+ * discovery is reachable. A long poll that has silently failed looks like one without changes; only a response shows
+ * that discovery is alive. So the staleness is the time since the last successful response, and its bound has to allow
+ * for one long poll that fails silently and for the immediate poll that replaces it: {@link #LONG_POLL_WAIT_MS} plus
+ * two response timeouts.
  *
- * <p>The bound is spent so: {@link #WATCH_MS} that a call may wait for news, its limit beyond that, and as much again
- * for the call that takes its place, which waits for nothing. A discovery that is slow to answer gets longer limits, as
- * calls that are given up in its queue would only lengthen it. Whoever was refused comes again by full jitter under a
- * cap that grows with the number of callers, so that they neither come together nor late.
- *
- * <p>Free of I/O and clocks; times are milliseconds on the caller's clock. Holds a few figures, nothing that grows.
+ * <p>Response timeouts grow with the response times observed, as giving up polls that are queued at a slow discovery
+ * would only lengthen its queue. Rejected polls are retried with capped exponential backoff and full jitter; the cap
+ * grows with the number of clients, which spreads the retries of clients that were rejected together.
  */
 public final class DiscoveryPollScheduler {
-    /** A change counts as told so long after discovery had it and could be reached. */
-    public static final double BOUND_MS = 6000;
-    /**
-     * What a call waits for news: with the limit of one that answers within a second, and another's answer, under the
-     * bound.
-     */
-    static final int WATCH_MS = 2800;
-    /** Of a call that asks for what there is. */
-    static final int ASK_MS = 1;
-    /**
-     * What a call may take beyond its wait where answers come quickly: two such limits and a wait fit into the bound.
-     */
-    static final double LEAST_LIMIT_MS = 1400;
-    /** The same at the most: what discovery turns away it has held for less. */
-    static final double MOST_LIMIT_MS = 4000;
-    /** How many times what answers took lately a call may take. */
-    private static final double SLACK = 2;
-    /**
-     * What an answer may take beyond its call's wait, at the least, before the call counts as silent if others have
-     * news.
-     */
-    private static final double LEAST_TRUST_MS = 300;
-    /** What is left, after each answer, of the longest that one took. */
-    private static final double FADES = 0.75;
-
-    private static final double FIRST_RETRY_MS = 250;
-    /** The longest wait before a retry grows by this for each caller, between the two bounds below. */
-    private static final double RETRY_A_CALLER_MS = 25;
-
-    static final double LEAST_RETRY_MS = 500;
-    static final double MOST_RETRY_MS = 2500;
-    private static final int MOST_DOUBLINGS = 10;
+    /** The staleness bound: a change of discovery's list is delivered within this time, in milliseconds. */
+    public static final double MAX_STALENESS_MS = 6000;
+    /** How long discovery holds a long poll when nothing changes. */
+    static final int LONG_POLL_WAIT_MS = 2800;
+    /** How long discovery holds an immediate poll: practically not at all. */
+    static final int IMMEDIATE_POLL_WAIT_MS = 1;
+    /** Lower bound of the response timeout, which counts from the end of the wait. */
+    static final double MIN_RESPONSE_TIMEOUT_MS = 1400;
+    /** Upper bound of the response timeout; longer than discovery holds the polls that it rejects. */
+    static final double MAX_RESPONSE_TIMEOUT_MS = 4000;
+    /** Lower bound of the cap of retry delays. */
+    static final double MIN_RETRY_CAP_MS = 500;
+    /** Upper bound of the cap of retry delays. */
+    static final double MAX_RETRY_CAP_MS = 2500;
+
+    /** Response timeout as a multiple of the recent response time. */
+    private static final double RESPONSE_TIME_FACTOR = 2;
+    /** Shortest time after its wait for which a poll is protected, see {@link #protectedUntilMs}. */
+    private static final double MIN_PROTECTION_MS = 300;
+    /** What remains of the recent response time after each faster response. */
+    private static final double RESPONSE_TIME_DECAY = 0.75;
+    /** Upper bound of the first retry delay. */
+    private static final double INITIAL_RETRY_MS = 250;
+    /** What each client adds to the cap of retry delays. */
+    private static final double RETRY_CAP_PER_CLIENT_MS = 25;
+
+    private static final int MAX_DOUBLINGS = 10;
     private static final double NEVER = Double.POSITIVE_INFINITY;
 
-    /**
-     * A call to be made.
-     *
-     * @param waitMs what discovery may wait for news
-     * @param limitMs after which it counts as failed, its wait included
-     */
-    public record Call(int waitMs, double limitMs) {}
-
-    private final double mostRetryMs;
+    private final double maxRetryMs;
     private final SplittableRandom random;
     private boolean following;
-    private boolean closely = true;
-    private boolean out;
-    private boolean asks;
-    private boolean sound;
-    private int failures;
-    private double dueAt = NEVER;
-    private double sentAt;
+    private boolean longPolling = true;
+    private boolean inFlight;
+    private boolean immediatePollWanted;
+    private boolean hasSucceeded;
+    private int consecutiveFailures;
+    private double nextPollAtMs = NEVER;
+    private double sentAtMs;
     private int waitMs;
-    private double tookMs;
-    private double soundAt = Double.NEGATIVE_INFINITY;
+    /** Decaying maximum of the recent response times, without their waits. */
+    private double responseTimeMs;
+
+    private double lastSuccessAtMs = Double.NEGATIVE_INFINITY;
 
     /**
-     * @param asked whether discovery is one service for all; else it is an agent of our own machine, which calls cost
-     *     nothing
-     * @param callers how many proxies call it, this one among them
+     * Creates a scheduler that polls nothing until {@link #setFollowing}.
+     *
+     * @param sharedService whether discovery is one service for all clients; else an agent on this machine, for which
+     *     polls cost nothing
+     * @param clientCount how many proxies poll discovery, this one included
      */
-    public DiscoveryPollScheduler(boolean asked, int callers, SplittableRandom random) {
-        mostRetryMs =
-                asked ? Math.max(LEAST_RETRY_MS, Math.min(MOST_RETRY_MS, RETRY_A_CALLER_MS * callers)) : LEAST_RETRY_MS;
+    public DiscoveryPollScheduler(boolean sharedService, int clientCount, SplittableRandom random) {
+        maxRetryMs = sharedService
+                ? Math.max(MIN_RETRY_CAP_MS, Math.min(MAX_RETRY_CAP_MS, RETRY_CAP_PER_CLIENT_MS * clientCount))
+                : MIN_RETRY_CAP_MS;
         this.random = random;
     }
 
-    /** The list is to be followed from now on, or no longer. Said again while it is followed it changes nothing. */
-    public void follow(double now, boolean on) {
-        if (!on) {
-            following = out = false;
-            dueAt = NEVER;
+    /** Starts or stops following the list; no effect if it is already as asked. */
+    public void setFollowing(double nowMs, boolean enabled) {
+        if (!enabled) {
+            following = false;
+            inFlight = false;
+            nextPollAtMs = NEVER;
         } else if (!following) {
             following = true;
-            goOn(now);
+            scheduleNext(nowMs);
         }
     }
 
     /**
-     * Whether a call is to be out at all times; else there is one only on {@link #ask}, and until a first sound answer.
+     * Switches long-polling on or off. While it is off, polls are sent only on {@link #pollNow} and until the first
+     * success.
      */
-    public void closely(double now, boolean on) {
-        boolean idle = !out && dueAt == NEVER;
-        closely = on;
-        if (following && on && idle) {
-            dueAt = now;
-        } else if (!on && sound && failures == 0 && !asks) {
-            out = false; // discovery need not keep it
-            dueAt = NEVER;
+    public void setLongPolling(double nowMs, boolean enabled) {
+        boolean idle = !inFlight && nextPollAtMs == NEVER;
+        longPolling = enabled;
+        if (following && enabled && idle) {
+            nextPollAtMs = nowMs;
+        } else if (!enabled && hasSucceeded && consecutiveFailures == 0 && !immediatePollWanted) {
+            inFlight = false; // discovery need not hold it any longer
+            nextPollAtMs = NEVER;
         }
     }
 
     /**
-     * There is something to ask for, or what is out is not trusted: a call at once that waits for nothing. One of that
-     * kind that is out is left to end, and followed by another, so that many who say so cannot keep each from its
-     * answer.
+     * Schedules an immediate poll, as the list is known to have changed or the long poll is not trusted. It replaces a
+     * long poll in flight. An immediate poll in flight is left to end and followed by another, so that frequent
+     * requests do not keep each from its response.
      */
-    public void ask(double now) {
+    public void pollNow(double nowMs) {
         if (following) {
-            asks = true;
-            if (!out || waitMs != ASK_MS) {
-                out = false;
-                dueAt = now;
+            immediatePollWanted = true;
+            if (!inFlight || waitMs != IMMEDIATE_POLL_WAIT_MS) {
+                inFlight = false;
+                nextPollAtMs = nowMs;
             }
         }
     }
 
-    /** Discovery stands elsewhere: what is out at the old address is forgotten, as are its failures. */
-    public void moved(double now) {
-        failures = 0;
-        tookMs = 0;
-        sound = false;
+    /** Discovery has another address: the poll in flight and the failures of the old address are dropped. */
+    public void addressChanged(double nowMs) {
+        consecutiveFailures = 0;
+        responseTimeMs = 0;
+        hasSucceeded = false;
         following = true;
-        out = false;
-        ask(now);
+        inFlight = false;
+        pollNow(nowMs);
     }
 
-    /** When the next call is due; infinite: none is, or one is out. */
-    public double dueAt() {
-        return dueAt;
+    /** When the next poll is due; infinite if none is, or while one is in flight. */
+    public double nextPollAtMs() {
+        return nextPollAtMs;
     }
 
     /**
-     * Until when the call that is out is not to be given up for what others say: discovery answers its callers in turn,
-     * and who gives up in its queue comes last again, or is turned away. A call waits for news so shortly that a silent
-     * one shows soon enough by itself. Negative infinity: none is out.
+     * Until when the poll in flight should not be replaced because of hints that the list is stale; negative infinity
+     * if none is in flight. Discovery serves its clients in turn, so that a client that gives up a queued poll goes to
+     * the end of the queue or is rejected.
      */
-    public double trustedUntil() {
-        return out ? sentAt + waitMs + Math.max(LEAST_TRUST_MS, SLACK * tookMs) : Double.NEGATIVE_INFINITY;
+    public double protectedUntilMs() {
+        return inFlight
+                ? sentAtMs + waitMs + Math.max(MIN_PROTECTION_MS, RESPONSE_TIME_FACTOR * responseTimeMs)
+                : Double.NEGATIVE_INFINITY;
     }
 
-    /** Whether a call is out that still counts. */
-    public boolean out() {
-        return out;
+    /** Whether a poll is in flight whose result still matters. */
+    public boolean inFlight() {
+        return inFlight;
     }
 
-    /** The call that is due begins. */
-    public Call begin(double now) {
-        out = true;
-        dueAt = NEVER;
-        sentAt = now;
-        waitMs = asks ? ASK_MS : WATCH_MS;
-        asks = false;
-        double limit =
-                Math.max(LEAST_LIMIT_MS, SLACK * tookMs) * (1 << Math.max(0, Math.min(failures - 1, MOST_DOUBLINGS)));
-        return new Call(waitMs, waitMs + Math.min(MOST_LIMIT_MS, limit));
+    /** Starts the poll that is due. */
+    public DiscoveryPoll beginPoll(double nowMs) {
+        inFlight = true;
+        nextPollAtMs = NEVER;
+        sentAtMs = nowMs;
+        waitMs = immediatePollWanted ? IMMEDIATE_POLL_WAIT_MS : LONG_POLL_WAIT_MS;
+        immediatePollWanted = false;
+        int doublings = Math.max(0, Math.min(consecutiveFailures - 1, MAX_DOUBLINGS));
+        double responseTimeoutMs =
+                Math.max(MIN_RESPONSE_TIMEOUT_MS, RESPONSE_TIME_FACTOR * responseTimeMs) * (1 << doublings);
+        return new DiscoveryPoll(waitMs, waitMs + Math.min(MAX_RESPONSE_TIMEOUT_MS, responseTimeoutMs));
     }
 
-    /** The call that is out has had a sound answer. */
-    public void answered(double now) {
-        double took = now - sentAt - waitMs;
-        if (took >= 0) { // else news came early, which tells nothing of how long answers take
-            tookMs = Math.max(took, tookMs * FADES);
+    /** The poll in flight has had a valid response. */
+    public void succeeded(double nowMs) {
+        double elapsedMs = nowMs - sentAtMs - waitMs;
+        if (elapsedMs >= 0) { // else a change ended the wait early, and the response time is unknown
+            responseTimeMs = Math.max(elapsedMs, responseTimeMs * RESPONSE_TIME_DECAY);
         }
-        soundAt = now;
-        sound = true;
-        failures = 0;
-        out = false;
-        goOn(now);
+        lastSuccessAtMs = nowMs;
+        hasSucceeded = true;
+        consecutiveFailures = 0;
+        inFlight = false;
+        scheduleNext(nowMs);
     }
 
     /**
-     * The call that is out has failed in whatever way: no connection, refused, cut off, given up, unreadable.
+     * The poll in flight has failed: connection failure, rejection, timeout or an invalid response.
      *
-     * @param silent whether nothing came of it until its limit
+     * @param silent whether nothing was received until the timeout
+     */
+    public void failed(double nowMs, boolean silent) {
+        inFlight = false;
+        consecutiveFailures++;
+        immediatePollWanted = true; // a long poll could not be told from another silent one
+        nextPollAtMs = following ? nowMs + maxRetryDelayMs(nowMs, silent) * random.nextDouble() : NEVER;
+    }
+
+    /**
+     * The first silent failure is retried at once: silent polls began at different times at each client. Rejected
+     * clients may all have been rejected together, so they are spread; the time that the failed poll took counts
+     * towards that.
      */
-    public void failed(double now, boolean silent) {
-        out = false;
-        failures++;
-        asks = true; // one that waits could not be told from another silent one
-        // Calls that fall silent were begun at times of their own, and what a failed one took is part of its bound.
-        // Those that were
-        // refused may have been so all at once.
-        double cap = silent && failures == 1 ? 0 : Math.max(LEAST_RETRY_MS, mostRetryMs - (now - sentAt));
-        double most = Math.min(cap, FIRST_RETRY_MS * (1 << Math.min(failures - 1, MOST_DOUBLINGS)));
-        dueAt = following ? now + most * random.nextDouble() : NEVER;
+    private double maxRetryDelayMs(double nowMs, boolean silent) {
+        double capMs =
+                silent && consecutiveFailures == 1 ? 0 : Math.max(MIN_RETRY_CAP_MS, maxRetryMs - (nowMs - sentAtMs));
+        return Math.min(capMs, INITIAL_RETRY_MS * (1 << Math.min(consecutiveFailures - 1, MAX_DOUBLINGS)));
     }
 
-    private void goOn(double now) {
-        dueAt = following && (closely || !sound || asks) ? now : NEVER;
+    private void scheduleNext(double nowMs) {
+        nextPollAtMs = following && (longPolling || !hasSucceeded || immediatePollWanted) ? nowMs : NEVER;
     }
 
-    /** Failures since the last sound answer. */
-    public int failures() {
-        return failures;
+    /** Failures since the last success. */
+    public int consecutiveFailures() {
+        return consecutiveFailures;
     }
 
-    /** For how long there has been no sound answer; infinite: there has been none. */
-    public double age(double now) {
-        return now - soundAt;
+    /** Time since the last success in milliseconds; infinite if there has been none. */
+    public double stalenessMs(double nowMs) {
+        return nowMs - lastSuccessAtMs;
     }
 }
--- a/src/main/java/cacheproxy/discovery/SilentWatchDetector.java
+++ b/src/main/java/cacheproxy/discovery/SilentWatchDetector.java
@@ -7,155 +7,163 @@
 import java.util.Set;
 
 /**
- * Whether the list of servers that a proxy holds may be old, though nothing says so. A watch is an open question: one
- * that has fallen silent looks like one with nothing to tell, until its longest wait is over, and by then a release may
- * have replaced half the fleet. Two things tell them apart:
+ * Decides when to poll discovery because the endpoint list may be stale although the long poll reports nothing. A long
+ * poll that has silently failed looks like one without changes until its wait is over, and by then a rolling update may
+ * have replaced half the fleet. Two signals tell them apart:
  *
  * <ul>
- *   <li>Servers that are ready on the list and refuse connections. Discovery sees within its notice that a process has
- *       ended; where it says nothing for longer, it is not heard. Many at once are hardly chance, and are not waited
- *       for that long. Each call that brought no change of theirs doubles the wait for the next, as a server may stay
- *       down and listed.
- *   <li>Another proxy that has a later version ({@link VersionGossip}). Each call that does not bring it doubles the
- *       wait, and after {@link #MOST_CALLS} it is taken for false: then no version is believed for a while, so that a
- *       false one costs few calls.
+ *   <li>Servers listed as ready refuse connections. Discovery reports within a known delay that a process has ended, so
+ *       silence beyond that is suspicious; after refusals by many servers a shorter delay is enough. Each poll that
+ *       brings no change of these servers doubles the delay of the next, as a server may stay down and listed.
+ *   <li>Another proxy has a newer version ({@link VersionGossip}). Each poll that does not bring it doubles the delay.
+ *       After {@link #MAX_POLLS_PER_CLAIM} polls the claim is taken for false, and all claims are ignored for a while.
  * </ul>
  *
- * <p>Proxies doubt together, and discovery has room for few calls: each adds a delay by its number among them.
- *
- * <p>Holds at most two entries a listed server. Times are milliseconds on the caller's clock.
+ * <p>All proxies see the same signals at about the same time; each adds a stagger delay of its own, so that discovery
+ * does not get their polls at once. The state is bounded by two entries for each listed server.
  */
 public final class SilentWatchDetector {
-    /** Calls for a version that only others have. */
-    static final int MOST_CALLS = 4;
-    /** How often a wait is doubled at most, and for how many notices no version is believed after a false one. */
-    private static final int MOST_DOUBLINGS = 4;
+    /** Polls for a version that only other proxies claim to have. */
+    static final int MAX_POLLS_PER_CLAIM = 4;
 
-    private static final int LEAST_MANY = 3;
-    /** One in so many of the ready servers counts as many. */
-    private static final int MANY_OF = 10;
+    private static final int MAX_DOUBLINGS = 4;
+    /** Refusals by fewer servers never count as many. */
+    private static final int MIN_MANY_SERVERS = 3;
+    /** Refusals by one in this many ready servers count as many. */
+    private static final int MANY_SERVERS_DIVISOR = 10;
 
     private static final double NEVER = Double.POSITIVE_INFINITY;
 
-    private final double noticeMs;
-    private final double quickMs;
-    private final double delayMs;
-    private final Set<Integer> ready = new HashSet<>();
-    /** Ready servers that have refused a connection since the last news, and none has come up to since. */
-    private final Set<Integer> refusing = new HashSet<>();
+    private final double reportDelayMs;
+    private final double shortReportDelayMs;
+    private final double staggerMs;
+    private final Set<Integer> readyServers = new HashSet<>();
+    /** Ready servers that have refused a connection, and accepted none, since the last response or poll. */
+    private final Set<Integer> refusingServers = new HashSet<>();
 
-    private double firstAt = NEVER;
-    private double manyAt = NEVER;
-    private int doublings;
-    /** Since when another proxy is known to have a later version, which, and the calls for it. */
-    private double behindAt = NEVER;
+    private double firstRefusalAtMs = NEVER;
+    private double manyRefusalsAtMs = NEVER;
+    private int refusalDoublings;
+    /** Since when another proxy claims to have a newer version. */
+    private double behindSinceMs = NEVER;
 
-    private long claimed = Long.MIN_VALUE;
-    private int calls;
-    private double deafUntil = Double.NEGATIVE_INFINITY;
+    private long claimedVersion = Long.MIN_VALUE;
+    private int claimPolls;
+    private double ignoreClaimsUntilMs = Double.NEGATIVE_INFINITY;
 
     /**
-     * @param noticeMs how long discovery may take to tell that a process has ended
-     * @param quickMs the same where many have ended, or where another proxy was told
-     * @param delayMs added to both: another at each proxy
+     * Creates a detector for an empty list.
+     *
+     * @param reportDelayMs how long discovery may take to report that a process has ended
+     * @param shortReportDelayMs the same if many have ended, or if another proxy has the report
+     * @param staggerMs added to both, a different time at each proxy
      */
-    public SilentWatchDetector(double noticeMs, double quickMs, double delayMs) {
-        this.noticeMs = noticeMs;
-        this.quickMs = quickMs;
-        this.delayMs = delayMs;
+    public SilentWatchDetector(double reportDelayMs, double shortReportDelayMs, double staggerMs) {
+        this.reportDelayMs = reportDelayMs;
+        this.shortReportDelayMs = shortReportDelayMs;
+        this.staggerMs = staggerMs;
     }
 
     /**
-     * Discovery has answered.
+     * Discovery has responded.
      *
-     * @param seq the list's version
-     * @param whole whether with the whole list, else with what has changed, perhaps nothing
+     * @param version of the list
+     * @param whole whether {@code members} is the whole list; else its changes, perhaps none
      */
-    public void told(long seq, boolean whole, Collection<Member> members) {
-        if (seq >= claimed) {
-            forgetVersions();
+    public void listReceived(long version, boolean whole, Collection<Member> members) {
+        if (version >= claimedVersion) {
+            resetClaims();
         }
         if (whole) {
-            ready.clear();
+            readyServers.clear();
         }
-        for (Member m : members) {
-            if (m.state() == State.READY) {
-                ready.add(m.id());
+        for (Member member : members) {
+            if (member.state() == State.READY) {
+                readyServers.add(member.id());
             } else {
-                ready.remove(m.id());
+                readyServers.remove(member.id());
             }
-            if (refusing.contains(m.id())) {
-                doublings = 0;
+            if (refusingServers.contains(member.id())) {
+                refusalDoublings = 0;
             }
         }
-        calm();
-    }
-
-    private void calm() {
-        refusing.clear();
-        firstAt = manyAt = NEVER;
+        clearRefusals();
     }
 
-    /** A server refused a connection. */
-    public void refused(double now, int server) {
-        if (ready.contains(server) && refusing.add(server)) {
-            firstAt = Math.min(firstAt, now);
-            manyAt = many() ? Math.min(manyAt, now) : NEVER;
+    /** A server has refused a connection. */
+    public void connectionRefused(double nowMs, int server) {
+        if (readyServers.contains(server) && refusingServers.add(server)) {
+            firstRefusalAtMs = Math.min(firstRefusalAtMs, nowMs);
+            manyRefusalsAtMs = manyServersRefuse() ? Math.min(manyRefusalsAtMs, nowMs) : NEVER;
         }
     }
 
-    /** A server has taken a connection: its process runs. */
+    /** A server has accepted a connection, so its process runs. */
     public void connected(int server) {
-        if (refusing.remove(server)) {
-            firstAt = refusing.isEmpty() ? NEVER : firstAt;
-            manyAt = many() ? manyAt : NEVER;
+        if (refusingServers.remove(server)) {
+            firstRefusalAtMs = refusingServers.isEmpty() ? NEVER : firstRefusalAtMs;
+            manyRefusalsAtMs = manyServersRefuse() ? manyRefusalsAtMs : NEVER;
         }
     }
 
-    private boolean many() {
-        return refusing.size() >= Math.max(LEAST_MANY, ready.size() / MANY_OF);
-    }
-
-    /** Another proxy says that it has this version, later than the one held here. */
-    public void claimed(double now, long seq) {
-        if (seq > claimed && now >= deafUntil) {
-            claimed = seq;
-            behindAt = Math.min(behindAt, now);
+    /** Another proxy claims to have a version newer than the one held here. */
+    public void versionClaimed(double nowMs, long version) {
+        if (version > claimedVersion && nowMs >= ignoreClaimsUntilMs) {
+            claimedVersion = version;
+            behindSinceMs = Math.min(behindSinceMs, nowMs);
         }
     }
 
-    /** What others have claimed says nothing any more, as when discovery begins to count anew. */
-    public void forgetVersions() {
-        claimed = Long.MIN_VALUE;
-        behindAt = NEVER;
-        calls = 0;
+    /** Forgets the versions that other proxies claim to have, as when discovery restarts its numbering. */
+    public void resetClaims() {
+        claimedVersion = Long.MIN_VALUE;
+        behindSinceMs = NEVER;
+        claimPolls = 0;
     }
 
     /**
-     * When to ask anew, if nothing is told until then; infinite: no need is seen. It may move either way with each call
-     * here.
+     * When to poll if discovery has not responded by then; infinite if there is no reason to. Any call of another
+     * method may move it, either way.
      */
-    public double dueAt() {
-        double refusals = Math.min(firstAt + noticeMs * (1 << doublings), manyAt + quickMs * (1 << doublings));
-        return Math.min(refusals, behindAt + quickMs * (1 << calls)) + delayMs;
+    public double nextPollAtMs() {
+        double refusalPollMs = Math.min(
+                firstRefusalAtMs + reportDelayMs * (1 << refusalDoublings),
+                manyRefusalsAtMs + shortReportDelayMs * (1 << refusalDoublings));
+        double claimPollMs = behindSinceMs + shortReportDelayMs * (1 << claimPolls);
+        return Math.min(refusalPollMs, claimPollMs) + staggerMs;
     }
 
-    /** Whether to ask anew now; if so it counts as done. */
-    public boolean ask(double now) {
-        if (now < dueAt()) {
+    /** Whether a poll is due now; if so, it is taken to be sent. */
+    public boolean takeDuePoll(double nowMs) {
+        if (nowMs < nextPollAtMs()) {
             return false;
         }
-        if (firstAt < NEVER) {
-            doublings = Math.min(MOST_DOUBLINGS, doublings + 1);
+        if (firstRefusalAtMs < NEVER) {
+            refusalDoublings = Math.min(MAX_DOUBLINGS, refusalDoublings + 1);
         }
-        calm();
-        if (behindAt < NEVER) {
-            behindAt = now; // the new call may fall silent, too
-            if (++calls == MOST_CALLS) { // what discovery never has, nobody can have got from it
-                forgetVersions();
-                deafUntil = now + noticeMs * (1 << MOST_DOUBLINGS);
-            }
+        clearRefusals();
+        if (behindSinceMs < NEVER) {
+            countClaimPoll(nowMs);
         }
         return true;
     }
+
+    private void countClaimPoll(double nowMs) {
+        behindSinceMs = nowMs; // the new poll may fail silently as well
+        claimPolls++;
+        if (claimPolls == MAX_POLLS_PER_CLAIM) {
+            resetClaims();
+            ignoreClaimsUntilMs = nowMs + reportDelayMs * (1 << MAX_DOUBLINGS);
+        }
+    }
+
+    private boolean manyServersRefuse() {
+        return refusingServers.size() >= Math.max(MIN_MANY_SERVERS, readyServers.size() / MANY_SERVERS_DIVISOR);
+    }
+
+    private void clearRefusals() {
+        refusingServers.clear();
+        firstRefusalAtMs = NEVER;
+        manyRefusalsAtMs = NEVER;
+    }
 }
--- a/src/main/java/cacheproxy/discovery/VersionGossip.java
+++ b/src/main/java/cacheproxy/discovery/VersionGossip.java
@@ -3,63 +3,68 @@
 import java.nio.ByteBuffer;
 
 /**
- * What proxies tell one another of discovery's list: the version they have, no more. Whoever hears of a later one than
- * its own knows that there is something to ask for; what it says only discovery tells. So a message that is lost, late,
- * doubled or forged costs a few calls at most ({@link SilentWatchDetector}).
+ * Announces new versions of the endpoint list to the other proxies. A message carries only the version: a proxy that
+ * hears of a newer one than its own polls discovery, so a lost, late, duplicated or forged message costs a few polls at
+ * most ({@link SilentWatchDetector}).
  *
- * <p>All hear of a change within a second or two. Each waits for a moment of its own, and who has heard the same
- * version from two others by then, before or after it was told itself, says nothing: a change takes few messages,
- * however many proxies there are, and of two messages one may be lost.
+ * <p>Each proxy waits for a delay of its own before it announces, and stays silent if two others have announced the
+ * same version by then. So a change takes few messages in a fleet of any size, and one of two messages may be lost.
  */
 public final class VersionGossip {
-    /** Bytes: a mark, and the version. */
-    static final int LENGTH = 9;
+    /** Size of a message in bytes: its type and the version. */
+    static final int MESSAGE_BYTES = 9;
 
-    private static final byte MARK = 'V';
+    private static final byte MESSAGE_TYPE = 'V';
 
-    private boolean owed;
-    /** The latest version that others have told, the first who did, and whether another did. */
-    private long heard = Long.MIN_VALUE;
+    private boolean announcementPending;
+    /** The newest version that other proxies have announced. */
+    private long newestAnnounced = Long.MIN_VALUE;
+    /** The peer that announced {@link #newestAnnounced} first. */
+    private int firstSender;
+    /** Whether a second peer has announced {@link #newestAnnounced}. */
+    private boolean heardFromTwo;
 
-    private int first;
-    private boolean enough;
-
-    /** Discovery has told of a new version: {@link #message} is to be asked in a moment. */
-    public void told() {
-        owed = true;
+    /** Discovery has delivered a new version: {@link #takeMessage} is to be called after this proxy's delay. */
+    public void versionChanged() {
+        announcementPending = true;
     }
 
-    /** Discovery begins to count anew. */
-    public void forget() {
-        owed = false;
-        heard = Long.MIN_VALUE;
+    /** Forgets all versions, as discovery restarts its numbering. */
+    public void reset() {
+        announcementPending = false;
+        newestAnnounced = Long.MIN_VALUE;
     }
 
-    /** Another proxy, by its number, has this version. */
-    public void heard(int peer, long seq) {
-        if (seq > heard) {
-            heard = seq;
-            first = peer;
-            enough = false;
-        } else if (seq == heard && peer != first) {
-            enough = true;
+    /** Another proxy, given by its number, has announced a version. */
+    public void received(int peer, long version) {
+        if (version > newestAnnounced) {
+            newestAnnounced = version;
+            firstSender = peer;
+            heardFromTwo = false;
+        } else if (version == newestAnnounced && peer != firstSender) {
+            heardFromTwo = true;
         }
     }
 
-    /** The message to send to all, with the version held here; null: there is none to send. */
-    public byte[] message(long version) {
-        boolean send = owed && !(enough && heard == version);
-        owed = false;
-        return send ? ByteBuffer.allocate(LENGTH).put(MARK).putLong(version).array() : null;
+    /** The message to send to all proxies, given the version held here; null if there is nothing to announce. */
+    public byte[] takeMessage(long version) {
+        boolean send = announcementPending && !(heardFromTwo && newestAnnounced == version);
+        announcementPending = false;
+        return send
+                ? ByteBuffer.allocate(MESSAGE_BYTES)
+                        .put(MESSAGE_TYPE)
+                        .putLong(version)
+                        .array()
+                : null;
     }
 
-    /** Whether a message of another proxy is of this kind. */
-    public static boolean is(byte[] message) {
-        return message.length == LENGTH && message[0] == MARK;
+    /** Whether a message of another proxy is a version announcement. */
+    public static boolean isVersionMessage(byte[] message) {
+        return message.length == MESSAGE_BYTES && message[0] == MESSAGE_TYPE;
     }
 
-    /** The version that it tells. */
-    public static long version(byte[] message) {
+    /** The version in a message that {@link #isVersionMessage} accepts. */
+    public static long decodeVersion(byte[] message) {
         return ByteBuffer.wrap(message).getLong(1);
     }
 }
--- a/src/main/java/cacheproxy/discovery/WatchVersionMessage.java
+++ b/src/main/java/cacheproxy/discovery/WatchVersionMessage.java
@@ -3,36 +3,50 @@
 import java.nio.ByteBuffer;
 
 /**
- * What proxies of a zone tell one another where one of them watches discovery for all: {@value #LENGTH} bytes.
+ * The message by which proxies of a zone share a {@link DelegatedWatch}: a heartbeat of the lease holder, or a
+ * correction sent to it by a proxy with a newer list. Encoded as {@value #LENGTH_BYTES} bytes in network order: one for
+ * the kind, then the other components in their order.
  *
- * @param later whether this is from another proxy to the one that watches: it has a later list; else from the one that
- *     watches to all
- * @param duty whose
- * @param epoch under which it watches; 0 where {@code later}
- * @param beat grows with each word under an epoch, so that late ones are known
+ * @param correction whether this is a correction; else a heartbeat
+ * @param leaseId of the lease whose holder long-polls
+ * @param epoch of the lease, its fencing token, not negative; 0 in a correction
+ * @param sequence number of the heartbeat, not negative, increasing within an epoch so that late and repeated
+ *     heartbeats are recognised; 0 in a correction
  * @param version of the list that the sender has
  */
-public record WatchVersionMessage(boolean later, long duty, long epoch, long beat, long version) {
-    public static final int LENGTH = 33;
+public record WatchVersionMessage(boolean correction, long leaseId, long epoch, long sequence, long version) {
+    /** Size of an encoded message in bytes. */
+    public static final int LENGTH_BYTES = 33;
 
-    public byte[] bytes() {
-        return ByteBuffer.allocate(LENGTH)
-                .put((byte) (later ? 1 : 0))
-                .putLong(duty)
+    /** A heartbeat of the holder of a lease. */
+    static WatchVersionMessage heartbeat(long leaseId, long epoch, long sequence, long version) {
+        return new WatchVersionMessage(false, leaseId, epoch, sequence, version);
+    }
+
+    /** A correction, sent to the holder of a lease by a proxy that has a newer list. */
+    static WatchVersionMessage correction(long leaseId, long version) {
+        return new WatchVersionMessage(true, leaseId, 0, 0, version);
+    }
+
+    /** The encoded message. */
+    public byte[] encode() {
+        return ByteBuffer.allocate(LENGTH_BYTES)
+                .put((byte) (correction ? 1 : 0))
+                .putLong(leaseId)
                 .putLong(epoch)
-                .putLong(beat)
+                .putLong(sequence)
                 .putLong(version)
                 .array();
     }
 
-    /** Null if these bytes are none. */
-    public static WatchVersionMessage of(byte[] bytes) {
-        if (bytes.length != LENGTH || bytes[0] < 0 || bytes[0] > 1) {
+    /** Decodes a message; null if the bytes are not a valid one. */
+    public static WatchVersionMessage decode(byte[] bytes) {
+        if (bytes.length != LENGTH_BYTES || bytes[0] < 0 || bytes[0] > 1) {
             return null;
         }
-        ByteBuffer b = ByteBuffer.wrap(bytes);
-        WatchVersionMessage w =
-                new WatchVersionMessage(b.get() == 1, b.getLong(), b.getLong(), b.getLong(), b.getLong());
-        return w.epoch < 0 || w.beat < 0 ? null : w;
+        ByteBuffer buffer = ByteBuffer.wrap(bytes);
+        WatchVersionMessage message = new WatchVersionMessage(
+                buffer.get() == 1, buffer.getLong(), buffer.getLong(), buffer.getLong(), buffer.getLong());
+        return message.epoch < 0 || message.sequence < 0 ? null : message;
     }
 }
--- a/src/main/java/cacheproxy/eventlog/EventLog.java
+++ b/src/main/java/cacheproxy/eventlog/EventLog.java
@@ -9,21 +9,21 @@
 
 /**
  * A log of single events, one line each: {@code event t=SECONDS id=REQUEST name=value ...}. It is off until
- * {@link #enable} and may be switched at run time, from any thread. Lines are written by a thread of the log's own, so
- * that a slow disk or a full pipe holds up no event loop; a bounded number waits for it, and a bounded number of bytes
- * is written each time the log is enabled. What is beyond either bound is dropped and counted.
+ * {@link #enable} and may be switched at run time, from any thread. A thread of the log writes the lines, so that a
+ * slow disk or a full pipe does not block an event loop. The number of queued lines is bounded, and so are the bytes
+ * written each time the log is enabled; lines beyond a bound are dropped and counted.
  */
 public final class EventLog implements AutoCloseable {
-    /** The environment variable that enables the log from the start, with the value {@link #ENABLED}. */
-    public static final String VARIABLE = "CORALBAY_EVENT_LOG";
-    /** The value of {@link #VARIABLE} that enables the log. */
-    public static final String ENABLED = "on";
+    /** The environment variable that enables the log from the start if its value is {@link #ENABLED_VALUE}. */
+    public static final String ENVIRONMENT_VARIABLE = "CORALBAY_EVENT_LOG";
+    /** The value of {@link #ENVIRONMENT_VARIABLE} that enables the log. */
+    public static final String ENABLED_VALUE = "on";
     /** Bytes written each time the log is enabled. */
     public static final long MAX_BYTES = 32L << 20;
-    /** Lines that wait to be written. */
+    /** Lines waiting to be written. */
     public static final int MAX_QUEUED_LINES = 4096;
 
-    private static final int MAX_LINE = 500;
+    /** How long {@link #close} waits for queued lines. */
     private static final long CLOSE_TIMEOUT_MS = 200;
 
     private final PrintStream target;
@@ -31,21 +31,25 @@
     private final long maxBytes;
     private final int maxQueuedLines;
     private final ReentrantLock lock = new ReentrantLock();
+    /** Signalled when a line is queued and when one has been written. */
     private final Condition changed = lock.newCondition();
-    /** The rest is guarded by the lock. */
+
+    /** Guarded by the lock, as are the fields after it but {@link #enabled}. */
     private final ArrayDeque<String> queue = new ArrayDeque<>();
 
     private long bytesLeft;
-    private long dropped;
+    private long droppedLines;
     private Thread writer;
     private boolean writing;
     private volatile boolean enabled;
 
     /**
-     * @param target where lines go
-     * @param clockMs the time that lines bear, milliseconds
+     * Creates a log that is off.
+     *
+     * @param target where lines are written
+     * @param clockMs the time that lines show, in milliseconds
      * @param maxBytes bytes written each time the log is enabled
-     * @param maxQueuedLines lines that wait to be written
+     * @param maxQueuedLines lines waiting to be written
      */
     public EventLog(PrintStream target, DoubleSupplier clockMs, long maxBytes, int maxQueuedLines) {
         this.target = target;
@@ -54,21 +58,32 @@
         this.maxQueuedLines = maxQueuedLines;
     }
 
-    /** One on standard error with the usual bounds, enabled if the environment says so. */
+    /** A log on standard error with the default bounds, enabled if the environment says so. */
     public static EventLog onStandardError(DoubleSupplier clockMs) {
         EventLog log = new EventLog(System.err, clockMs, MAX_BYTES, MAX_QUEUED_LINES);
-        if (ENABLED.equals(System.getenv(VARIABLE))) {
+        if (ENABLED_VALUE.equals(System.getenv(ENVIRONMENT_VARIABLE))) {
             log.enable();
         }
         return log;
     }
 
-    /** Whether lines are taken. Callers look first, so that a log that is off costs nothing but this. */
+    /**
+     * Whether lines are accepted. Callers check it before they build a line, so that a log that is off costs little.
+     */
     public boolean isEnabled() {
         return enabled;
     }
 
-    /** Takes lines from now on, as many bytes as the bound allows anew. */
+    /** Switches the log on or off. */
+    public void setEnabled(boolean enabled) {
+        if (enabled) {
+            enable();
+        } else {
+            disable();
+        }
+    }
+
+    /** Accepts lines from now on, and resets the bound on bytes. */
     public void enable() {
         lock.lock();
         try {
@@ -84,75 +99,32 @@
         }
     }
 
-    /** Switches it on or off. */
-    public void enabled(boolean on) {
-        if (on) {
-            enable();
-        } else {
-            disable();
-        }
-    }
-
-    /** Takes no more lines; those that wait are still written. */
+    /** Accepts no more lines; queued ones are still written. */
     public void disable() {
         enabled = false;
     }
 
     /** Lines dropped since the start. */
-    public long dropped() {
+    public long droppedLines() {
         lock.lock();
         try {
-            return dropped;
+            return droppedLines;
         } finally {
             lock.unlock();
         }
     }
 
-    /** Begins a line. Only where {@link #isEnabled}. */
-    public Line line(ProxyEvent event) {
-        return new Line(event);
+    /** Begins a line. Call it only if the log {@link #isEnabled}. */
+    public EventLine line(ProxyEvent event) {
+        return new EventLine(this, event, Math.round(clockMs.getAsDouble()));
     }
 
-    /** A line that is put together and then written. */
-    public final class Line {
-        private final StringBuilder text = new StringBuilder(120);
-
-        private Line(ProxyEvent event) {
-            long ms = Math.round(clockMs.getAsDouble());
-            text.append(event.label())
-                    .append(" t=")
-                    .append(ms / 1000)
-                    .append('.')
-                    .append(Long.toString(1000 + ms % 1000), 1, 4);
-        }
-
-        /** Adds a field. Spaces and control characters in the value are replaced, so that fields can be told apart. */
-        public Line with(String name, Object value) {
-            text.append(' ').append(name).append('=');
-            String word = String.valueOf(value);
-            for (int i = 0; i < word.length(); i++) {
-                char c = word.charAt(i);
-                text.append(c <= ' ' || c > '~' ? '_' : c);
-            }
-            return this;
-        }
-
-        /** Adds a time in milliseconds, with one decimal. */
-        public Line withMs(String name, double ms) {
-            return with(name, Math.round(ms * 10) / 10.0);
-        }
-
-        /** Hands the line to the writer, or drops it where a bound is reached. */
-        public void write() {
-            offer(text.length() > MAX_LINE ? text.substring(0, MAX_LINE) : text.toString());
-        }
-    }
-
-    private void offer(String line) {
+    /** Queues a line, or drops it if a bound is reached. */
+    void offer(String line) {
         lock.lock();
         try {
             if (queue.size() >= maxQueuedLines || bytesLeft < line.length() + 1) {
-                dropped++;
+                droppedLines++;
                 return;
             }
             bytesLeft -= line.length() + 1;
@@ -164,42 +136,47 @@
     }
 
     private void writeLines() {
-        long told = 0;
+        long reportedDrops = 0;
         while (true) {
             String line;
-            long missing;
+            long drops;
             lock.lock();
             try {
-                writing = false;
-                changed.signalAll();
-                while (queue.isEmpty()) {
-                    changed.await();
-                }
-                line = queue.poll();
-                missing = dropped;
-                writing = true;
+                line = takeLine();
+                drops = droppedLines;
             } catch (InterruptedException e) {
-                return;
+                return; // an interrupt asks the writer to stop
             } finally {
                 lock.unlock();
             }
-            if (missing > told) {
-                target.println(new Line(ProxyEvent.LINES_DROPPED).with("lines", missing - told).text);
-                told = missing;
+            if (drops > reportedDrops) {
+                target.println(line(ProxyEvent.LINES_DROPPED).with("lines", drops - reportedDrops));
+                reportedDrops = drops;
             }
             target.println(line);
         }
     }
 
-    /** Waits a moment until what waits is written, and takes no more. */
+    /** Waits for a queued line and removes it. Call it with the lock held. */
+    private String takeLine() throws InterruptedException {
+        writing = false;
+        changed.signalAll();
+        while (queue.isEmpty()) {
+            changed.await();
+        }
+        writing = true;
+        return queue.poll();
+    }
+
+    /** Accepts no more lines, and waits a short time until queued ones are written. */
     @Override
     public void close() {
         disable();
-        long left = TimeUnit.MILLISECONDS.toNanos(CLOSE_TIMEOUT_MS);
+        long remainingNanos = TimeUnit.MILLISECONDS.toNanos(CLOSE_TIMEOUT_MS);
         lock.lock();
         try {
-            while (writer != null && (writing || !queue.isEmpty()) && left > 0) {
-                left = changed.awaitNanos(left);
+            while (writer != null && (writing || !queue.isEmpty()) && remainingNanos > 0) {
+                remainingNanos = changed.awaitNanos(remainingNanos);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
--- a/src/main/java/cacheproxy/eventlog/ProxyEvent.java
+++ b/src/main/java/cacheproxy/eventlog/ProxyEvent.java
@@ -2,44 +2,44 @@
 
 import java.util.Locale;
 
-/** The kinds of events that {@link EventLog} has lines for. A line begins with the kind's name in lower case. */
+/** The events of an {@link EventLog}. A line begins with the event's name in lower case, which scripts read. */
 public enum ProxyEvent {
-    /** A pool has taken a request. */
+    /** A pool has received a request. */
     REQUEST_RECEIVED,
-    /** A request has had its final answer; the cause says why a refusal or failure was given. */
+    /** A request has had its final response; the cause says why it was rejected or failed. */
     REQUEST_ANSWERED,
-    /** A request's client closed its connection before the answer. */
+    /** The client of a request closed its connection before the response. */
     REQUEST_ABANDONED,
-    /** The first byte of an attempt is handed to the system; the cause says why it is a retry or a hedge. */
+    /** The first byte of an attempt is handed to the kernel; the cause says why it is a retry or a hedge. */
     ATTEMPT_STARTED,
-    /** An attempt has its outcome. */
+    /** An attempt has ended, with its outcome. */
     ATTEMPT_ENDED,
-    /** A client's connection has ended, by which side and why. */
+    /** A client connection has ended, with the side that closed it and the reason. */
     CLIENT_CLOSED,
-    /** A connection to a server is up, or did not come up. */
+    /** A connection to a server is open, or could not be opened. */
     SERVER_CONNECTED,
     /** A connection to a server has ended. */
     SERVER_DISCONNECTED,
-    /** The server list has an entry with another state or start time. */
+    /** A server of the endpoint list has another state or start time. */
     SERVER_LISTED,
-    /** A call to discovery begins. */
+    /** A poll of discovery is sent. */
     DISCOVERY_CALLED,
-    /** A call to discovery has had a sound answer. */
+    /** A poll of discovery has had a valid response. */
     DISCOVERY_ANSWERED,
-    /** A call to discovery has failed. */
+    /** A poll of discovery has failed. */
     DISCOVERY_FAILED,
-    /** The process itself: draining, standby, reloaded. */
+    /** The process has changed its state: draining, standby, reloaded. */
     STATE_CHANGED,
-    /** An action was stopped that would have violated an invariant. */
+    /** An action was stopped because it would have violated an invariant. */
     ACTION_STOPPED,
     /** An invariant was violated. */
     INVARIANT_VIOLATED,
-    /** Lines before this one are missing, as more came than are written in time. */
+    /** Lines before this one are missing, as they came faster than they were written. */
     LINES_DROPPED;
 
     private final String label = name().toLowerCase(Locale.ROOT);
 
-    /** The name that stands in the log. */
+    /** The name in the log. */
     public String label() {
         return label;
     }
--- a/src/main/java/cacheproxy/invariant/Invariant.java
+++ b/src/main/java/cacheproxy/invariant/Invariant.java
@@ -2,33 +2,33 @@
 
 import java.util.Locale;
 
-/** What must hold at each send, repeat, answer and close, whatever befalls the proxy. */
+/** The invariants of sending, retrying, responding and closing. */
 public enum Invariant {
-    /** An attempt begins before its request's time is over. */
+    /** An attempt begins before its request's deadline. */
     DEADLINE_OPEN,
-    /** A server is told at most the time that the client has left. */
+    /** The deadline passed on to a server is not later than the client's. */
     DEADLINE_WITHIN_CLIENTS,
-    /** No attempt begins for a client that has left. */
+    /** No attempt begins for a client that has disconnected. */
     CLIENT_PRESENT,
-    /** A repeat of a keyed request begins within the window in which servers drop repeats. */
+    /** A retry of a request with an idempotency key begins within the window in which servers drop duplicates. */
     REPEAT_WINDOW_OPEN,
     /**
-     * A request that may take effect once is not sent again where an earlier attempt may have run, nor beside another
-     * that is out.
+     * A request that must take effect at most once is not sent again if an earlier attempt may have been processed, nor
+     * while another is in flight.
      */
     SINGLE_EFFECT,
-    /** Where second copies are not allowed, one attempt of a request is out at a time. */
+    /** Where hedging is not allowed, one attempt of a request is in flight at a time. */
     SINGLE_ATTEMPT,
-    /** Nothing is sent to a server that has been draining or gone for longer than the grace. */
+    /** Nothing is sent to a server that has been draining or gone for longer than the grace period. */
     SERVER_ACCEPTS,
-    /** A request has one final answer. */
+    /** A request has one final response. */
     SINGLE_ANSWER,
-    /** A client's connection that the proxy closes owes no answer. */
+    /** The proxy closes no client connection on which a response is pending. */
     CLOSE_OWES_NOTHING;
 
     private final String label = name().toLowerCase(Locale.ROOT);
 
-    /** The name that stands in logs and in the status. */
+    /** The name in logs and in the status; operators' scripts read it. */
     public String label() {
         return label;
     }
--- a/src/main/java/cacheproxy/invariant/InvariantMonitor.java
+++ b/src/main/java/cacheproxy/invariant/InvariantMonitor.java
@@ -5,69 +5,64 @@
 import java.util.StringJoiner;
 
 /**
- * Counts, by invariant, the actions that were stopped because they would have violated it, and the violations that
- * happened all the same. What is stopped is the guard's everyday work under faults; a violation is a defect. Used on
- * one thread; holds one figure each.
+ * Counts, for each invariant, the actions stopped because they would have violated it, and the violations. Stopped
+ * actions are expected when faults occur; a violation is a defect. Not thread-safe; its size is fixed.
  */
 public final class InvariantMonitor {
-    /** Told of each; {@code requestId} may be null. */
-    public interface Listener {
-        /** Something was stopped before it violated the invariant. */
-        void stopped(Invariant invariant, String requestId, String reason);
+    private final Map<Invariant, Long> stoppedCounts = new EnumMap<>(Invariant.class);
+    private final Map<Invariant, Long> violationCounts = new EnumMap<>(Invariant.class);
+    private InvariantListener listener;
 
-        /** The invariant was violated. */
-        void violated(Invariant invariant, String requestId, String reason);
-    }
-
-    private final Map<Invariant, Long> stopped = new EnumMap<>(Invariant.class);
-    private final Map<Invariant, Long> violated = new EnumMap<>(Invariant.class);
-    private Listener listener;
-
-    /** @param listener told of each from now on */
-    public InvariantMonitor(Listener listener) {
+    /** Creates a monitor. @param listener notified of each stopped action and violation */
+    public InvariantMonitor(InvariantListener listener) {
         this.listener = listener;
     }
 
-    /** Tells somebody else from now on. */
-    public void listener(Listener to) {
-        listener = to;
+    /** Replaces the listener. */
+    public void setListener(InvariantListener listener) {
+        this.listener = listener;
     }
 
-    /** An action was stopped that would have violated the invariant. */
-    public void stop(Invariant invariant, String requestId, String reason) {
-        stopped.merge(invariant, 1L, Long::sum);
+    /**
+     * Counts an action that was stopped because it would have violated the invariant; {@code requestId} may be null.
+     */
+    public void recordStopped(Invariant invariant, String requestId, String reason) {
+        stoppedCounts.merge(invariant, 1L, Long::sum);
         listener.stopped(invariant, requestId, reason);
     }
 
-    /** The invariant was violated. */
-    public void violation(Invariant invariant, String requestId, String reason) {
-        violated.merge(invariant, 1L, Long::sum);
+    /** Counts a violation of the invariant; {@code requestId} may be null. */
+    public void recordViolation(Invariant invariant, String requestId, String reason) {
+        violationCounts.merge(invariant, 1L, Long::sum);
         listener.violated(invariant, requestId, reason);
     }
 
-    /** How often something was stopped for the sake of this invariant. */
-    public long stopped(Invariant invariant) {
-        return stopped.getOrDefault(invariant, 0L);
+    /** Number of actions stopped because of this invariant. */
+    public long stoppedCount(Invariant invariant) {
+        return stoppedCounts.getOrDefault(invariant, 0L);
     }
 
-    /** How often this invariant was violated. */
-    public long violations(Invariant invariant) {
-        return violated.getOrDefault(invariant, 0L);
+    /** Number of violations of this invariant. */
+    public long violationCount(Invariant invariant) {
+        return violationCounts.getOrDefault(invariant, 0L);
     }
 
-    /** All violations. */
-    public long violations() {
-        return violated.values().stream().mapToLong(Long::longValue).sum();
+    /** Number of violations of all invariants. */
+    public long violationCount() {
+        return sum(violationCounts);
     }
 
-    /** One line: {@code violations=N stopped=N} and what is not zero, by name. */
+    /** One line, {@code violations=N stopped=N}, followed by the counters of each invariant that are not zero. */
     public String summary() {
         StringJoiner line = new StringJoiner(" ");
-        line.add("violations=" + violations());
-        line.add("stopped="
-                + stopped.values().stream().mapToLong(Long::longValue).sum());
-        violated.forEach((i, n) -> line.add("violated_" + i.label() + "=" + n));
-        stopped.forEach((i, n) -> line.add("stopped_" + i.label() + "=" + n));
+        line.add("violations=" + sum(violationCounts));
+        line.add("stopped=" + sum(stoppedCounts));
+        violationCounts.forEach((invariant, count) -> line.add("violated_" + invariant.label() + "=" + count));
+        stoppedCounts.forEach((invariant, count) -> line.add("stopped_" + invariant.label() + "=" + count));
         return line.toString();
     }
+
+    private static long sum(Map<Invariant, Long> counts) {
+        return counts.values().stream().mapToLong(Long::longValue).sum();
+    }
 }
--- a/src/main/java/cacheproxy/invariant/SendFacts.java
+++ b/src/main/java/cacheproxy/invariant/SendFacts.java
@@ -1,31 +1,28 @@
 package cacheproxy.invariant;
 
-/**
- * What {@link SendGuard} has to know of an attempt that is about to begin. Times are milliseconds on one monotonic
- * clock.
- */
+/** What {@link SendGuard} needs to know of an attempt. Times are milliseconds of one monotonic clock. */
 public interface SendFacts {
-    /** When the request's time is over for this attempt. */
+    /** The deadline of the request for this attempt. */
     double deadlineMs();
 
-    /** Whether the client has closed its connection, or has had its answer. */
+    /** Whether the client has disconnected or has had its response. */
     boolean abandoned();
 
-    /** The last moment at which it may begin, where an earlier attempt may have run; infinite: at any time. */
-    double repeatUntilMs();
+    /** The last moment at which it may begin if an earlier attempt may have been processed; infinite if any time is. */
+    double retryUntilMs();
 
-    /** Whether the request may take effect only once and servers drop no repeats of it. */
+    /** Whether the request must take effect at most once and servers drop no duplicates of it. */
     boolean singleEffect();
 
-    /** Whether an earlier attempt has begun that may have run, or may yet. */
-    boolean earlierMayHaveRun();
+    /** Whether an earlier attempt may have been processed, or may yet be. */
+    boolean earlierAttemptMayHaveRun();
 
-    /** Whether an earlier attempt is out. */
-    boolean earlierOut();
+    /** Whether an earlier attempt is in flight. */
+    boolean earlierAttemptInFlight();
 
-    /** Whether two attempts of a request may be out at once. */
-    boolean secondCopiesAllowed();
+    /** Whether two attempts of the request may be in flight at once. */
+    boolean hedgingAllowed();
 
-    /** Since when this proxy knows that the server is draining or gone; infinite: it is ready. */
-    double serverLeftMs();
+    /** Since when the server is known to be draining or gone; infinite if it is ready. */
+    double serverUnavailableSinceMs();
 }
--- a/src/main/java/cacheproxy/lifecycle/Lifecycle.java
+++ b/src/main/java/cacheproxy/lifecycle/Lifecycle.java
@@ -1,115 +1,110 @@
 package cacheproxy.lifecycle;
 
 /**
- * What a process owes its clients from its start to its end: whether it says that it takes clients, whether it takes
- * new connections, and which of the standing ones it ends between requests. Times are milliseconds of one clock that
- * comes in with each call; nothing here waits, reads a clock or draws chance.
+ * The state of a serving process, and what follows from it: whether it reports that it accepts clients, whether it
+ * accepts new connections, and which open connections it closes between requests. Times are milliseconds of one
+ * monotonic clock.
  *
- * <p>Ending connections is spread: those ended together would all come to the remaining proxies at once. Each
- * connection has a place from 0 to 1, and is ended between requests once {@link #share} is past it.
+ * <p>Connections are closed over a period, as the clients of connections closed together would all reconnect to the
+ * other proxies at once. Each connection has a position from 0 to 1 ({@link #closingPosition}), and is closed between
+ * requests once {@link #closingFraction} has passed it.
  */
 public final class Lifecycle {
-    /** Where a process stands. */
-    public enum State {
-        ACTIVE,
-        STANDBY,
-        LEAVING
-    }
+    /** Fractional part of the golden ratio: its multiples modulo 1 are evenly distributed. */
+    private static final double GOLDEN_RATIO_FRACTION = 0.618_033_988_749_894_9;
 
-    /**
-     * Periods in milliseconds, none negative.
-     *
-     * @param holdMs from standby to the first end of a connection: a front that has not heard yet would deal out the
-     *     connection that takes its place to this process again
-     * @param spreadMs over which all that stand are ended from then on
-     * @param listenOnMs from the word to leave to the end of listening, where nobody else listens at this address
-     * @param leaveSpreadMs over which connections are ended where a successor listens already. What is asked last still
-     *     has a whole deadline, so this is to be short of what is left to the process beyond that
-     */
-    public record Periods(double holdMs, double spreadMs, double listenOnMs, double leaveSpreadMs) {
-        /** A front hears after 0.1 s and heeds after 0.2 s more; after 4 s nothing may be held idle. */
-        public static final Periods USUAL = new Periods(450, 1200, 500, 350);
+    private final LifecycleTiming timing;
+    private LifecycleState state = LifecycleState.ACTIVE;
+    private boolean hasSuccessor;
+    /** When {@link #state} was entered, if it is not active. */
+    private double stateSinceMs;
 
-        public Periods {
-            if (!(holdMs >= 0 && spreadMs >= 0 && listenOnMs >= 0 && leaveSpreadMs >= 0)) {
-                throw new IllegalArgumentException("a period is negative");
-            }
-        }
+    /** Creates the lifecycle of a process that is active. */
+    public Lifecycle(LifecycleTiming timing) {
+        this.timing = timing;
     }
 
-    private final Periods periods;
-    private State state = State.ACTIVE;
-    private boolean handedOver;
-    private double since;
-
-    public Lifecycle(Periods periods) {
-        this.periods = periods;
-    }
-
-    public State state() {
+    /** The present state. */
+    public LifecycleState state() {
         return state;
     }
 
-    /**
-     * Sends clients away; false where the process is to end, which nothing takes back. Said twice it is as said once.
-     */
-    public boolean standby(double now) {
-        if (state == State.ACTIVE) {
-            state = State.STANDBY;
-            since = now;
+    /** Enters standby; no effect if the process is in standby already. Returns false if it is shutting down. */
+    public boolean enterStandby(double nowMs) {
+        if (state == LifecycleState.ACTIVE) {
+            state = LifecycleState.STANDBY;
+            stateSinceMs = nowMs;
         }
-        return state != State.LEAVING;
+        return state != LifecycleState.SHUTTING_DOWN;
     }
 
-    /** Takes clients again; false where the process is to end. */
-    public boolean active() {
-        if (state == State.STANDBY) {
-            state = State.ACTIVE;
+    /** Becomes active again; no effect if the process is active already. Returns false if it is shutting down. */
+    public boolean leaveStandby() {
+        if (state == LifecycleState.STANDBY) {
+            state = LifecycleState.ACTIVE;
         }
-        return state != State.LEAVING;
+        return state != LifecycleState.SHUTTING_DOWN;
     }
 
-    /** The process is to end. @param successor whether another process takes connections at the same address already */
-    public void leave(double now, boolean successor) {
-        if (state != State.LEAVING) {
-            state = State.LEAVING;
-            handedOver = successor;
-            since = now;
+    /**
+     * Begins the shutdown; later calls have no effect.
+     *
+     * @param successor whether another process accepts connections at the same address already
+     */
+    public void beginShutdown(double nowMs, boolean successor) {
+        if (state != LifecycleState.SHUTTING_DOWN) {
+            state = LifecycleState.SHUTTING_DOWN;
+            hasSuccessor = successor;
+            stateSinceMs = nowMs;
         }
     }
 
     /**
-     * Whether clients are told to come. One that leaves says yes to the last: where it has a successor at its address a
-     * no of one would speak against both, and where it has none its address is about to fall silent.
+     * Whether health checks are told that the process accepts clients. A process that shuts down says yes to the end: a
+     * no would also count against a successor at its address, and without one the address falls silent soon.
      */
-    public boolean takesClients() {
-        return state != State.STANDBY;
+    public boolean acceptsClients() {
+        return state != LifecycleState.STANDBY;
     }
 
-    /** Whether new connections are taken. In standby they are: what has been dealt out already must be served. */
-    public boolean listens(double now) {
-        return state != State.LEAVING || !handedOver && now < since + periods.listenOnMs;
+    /** Whether new connections are accepted; in standby they are, as the load balancer may have sent them already. */
+    public boolean acceptsConnections(double nowMs) {
+        if (state != LifecycleState.SHUTTING_DOWN) {
+            return true;
+        }
+        return !hasSuccessor && nowMs < stateSinceMs + timing.extraListenMs();
     }
 
-    /** The share of connections, by their places, that end between requests. Past 1 all do. */
-    public double share(double now) {
+    /** The fraction of connections, by their positions, to close between requests; from 0 to 1, where 1 means all. */
+    public double closingFraction(double nowMs) {
         return switch (state) {
             case ACTIVE -> 0;
-            case STANDBY -> part(now - periods.holdMs, periods.spreadMs);
-            case LEAVING -> handedOver ? part(now, periods.leaveSpreadMs) : listens(now) ? 0 : 1;
+            case STANDBY -> elapsedFraction(nowMs - timing.standbyDelayMs(), timing.standbyDrainMs());
+            case SHUTTING_DOWN -> shutdownFraction(nowMs);
         };
     }
 
-    private double part(double now, double spreadMs) {
-        return now < since ? 0 : spreadMs == 0 ? 1 : Math.min(1, (now - since) / spreadMs);
+    private double shutdownFraction(double nowMs) {
+        if (hasSuccessor) {
+            return elapsedFraction(nowMs, timing.shutdownDrainMs());
+        }
+        return acceptsConnections(nowMs) ? 0 : 1;
+    }
+
+    private double elapsedFraction(double nowMs, double periodMs) {
+        if (nowMs < stateSinceMs) {
+            return 0;
+        }
+        return periodMs == 0 ? 1 : Math.min(1, (nowMs - stateSinceMs) / periodMs);
     }
 
     /**
-     * The place of the connection of this number, from 0 to under 1. Neighbours lie far apart, so that any stretch of
-     * numbers is spread evenly (the golden ratio's multiples; Knuth, The Art of Computer Programming 3, 6.4).
+     * The position of a connection, by the number of connections accepted before it, from 0 to below 1. The positions
+     * of consecutive numbers are spread evenly (Fibonacci hashing; Knuth, The Art of Computer Programming, volume 3,
+     * section 6.4).
      */
-    public static double place(long number) {
-        double x = number * 0.618_033_988_749_894_9;
-        return x - Math.floor(x);
+    public static double closingPosition(long number) {
+        double multiple = number * GOLDEN_RATIO_FRACTION;
+        return multiple - Math.floor(multiple);
     }
 }
--- /dev/null
+++ b/src/main/java/cacheproxy/lifecycle/LifecycleTiming.java
@@ -0,0 +1,27 @@
+package cacheproxy.lifecycle;
+
+/**
+ * Timing of a {@link Lifecycle}, in milliseconds; no value is negative.
+ *
+ * @param standbyDelayMs from entering standby to closing the first connection. A load balancer that has not noticed yet
+ *     would open its replacement at this process again
+ * @param standbyDrainMs over which the connections are closed after that delay
+ * @param extraListenMs from the begin of the shutdown to the end of listening if no successor listens at the address
+ * @param shutdownDrainMs over which the connections are closed during a shutdown with a successor. The last request
+ *     still gets its whole deadline, so this must be well below the time that the process has left
+ */
+public record LifecycleTiming(
+        double standbyDelayMs, double standbyDrainMs, double extraListenMs, double shutdownDrainMs) {
+    /**
+     * The timing of a serving process. A load balancer notices a change within 0.1 s and acts within another 0.2 s;
+     * after 4 s no idle connection may be left.
+     */
+    public static final LifecycleTiming DEFAULT = new LifecycleTiming(450, 1200, 500, 350);
+
+    /** @throws IllegalArgumentException if a value is negative or not a number */
+    public LifecycleTiming {
+        if (!(standbyDelayMs >= 0 && standbyDrainMs >= 0 && extraListenMs >= 0 && shutdownDrainMs >= 0)) {
+            throw new IllegalArgumentException("a period is negative");
+        }
+    }
+}
--- a/src/main/java/cacheproxy/lifecycle/WarmUpPlan.java
+++ b/src/main/java/cacheproxy/lifecycle/WarmUpPlan.java
@@ -1,32 +1,37 @@
 package cacheproxy.lifecycle;
 
 /**
- * How many requests a starting process answers itself before it says that it takes clients. What those have not loaded
- * and compiled the first clients wait for; each costs time in which the process is missing.
+ * How many requests a starting process sends to itself before it accepts clients. They load and compile code that the
+ * first clients would otherwise wait for; each takes time in which the process is missing.
  *
- * <p>Where few proxies share the traffic each has hundreds of requests in its first second, and one that is not ready
- * for them falls behind for seconds. Where many do, there are few a second for each, and being away costs more than
- * being slow. Beside a running process nobody waits for the new one.
+ * <p>In a small fleet each proxy gets hundreds of requests in its first second, and one that is not warmed up falls
+ * behind for seconds. In a large fleet it gets few, and a longer absence costs more than slow first requests. While a
+ * predecessor still serves, nobody waits for the new process.
  *
  * @param requests to be answered
- * @param inHand of them at once
- * @param limitMs for all of them; whoever takes longer goes on without. A new version that has not said yes after 6 s
- *     counts as failed, and its start takes a second besides
+ * @param concurrency of these requests
+ * @param timeLimitMs for all of them, in milliseconds; a process that takes longer continues without the rest. A new
+ *     version counts as failed if it does not accept clients within 6 s, of which its start takes one
  */
-public record WarmUpPlan(int requests, int inHand, double limitMs) {
-    /** Proxies that share the traffic, up to which each has much of it. */
-    static final int FEW = 3;
+public record WarmUpPlan(int requests, int concurrency, double timeLimitMs) {
+    /** Largest number of proxies that counts as a small fleet. */
+    static final int MAX_SMALL_FLEET = 3;
+    /** Requests in a small fleet, or beside a running predecessor. */
+    static final int FULL_REQUESTS = 600;
+    /** Requests in a large fleet. */
+    static final int REDUCED_REQUESTS = 30;
 
-    static final int LONG = 600;
-    static final int SHORT = 30;
-    private static final int IN_HAND = 8;
-    private static final double LIMIT_MS = 4000;
+    private static final int CONCURRENCY = 8;
+    private static final double TIME_LIMIT_MS = 4000;
 
     /**
-     * @param instances proxies that share the traffic
-     * @param beside whether a process that this one is to follow still serves
+     * The plan of a process that starts.
+     *
+     * @param instances number of proxies that share the traffic
+     * @param besidePredecessor whether a process that this one is to replace still serves
      */
-    public static WarmUpPlan of(int instances, boolean beside) {
-        return new WarmUpPlan(beside || instances <= FEW ? LONG : SHORT, IN_HAND, LIMIT_MS);
+    public static WarmUpPlan of(int instances, boolean besidePredecessor) {
+        boolean full = besidePredecessor || instances <= MAX_SMALL_FLEET;
+        return new WarmUpPlan(full ? FULL_REQUESTS : REDUCED_REQUESTS, CONCURRENCY, TIME_LIMIT_MS);
     }
 }
--- a/src/main/java/cacheproxy/proxy/ClientConnection.java
+++ b/src/main/java/cacheproxy/proxy/ClientConnection.java
@@ -212,7 +212,7 @@
     private void checkOwed(String cause) {
         for (Slot slot : slots) {
             if (slot.owed()) {
-                core.invariants.violation(
+                core.invariants.recordViolation(
                         Invariant.CLOSE_OWES_NOTHING, slot.echo.trim(), "its connection is closed, " + cause);
             }
         }
@@ -468,7 +468,7 @@
 
         private void answer(ByteBuf buf) {
             if (whole || begun) {
-                core.invariants.violation(Invariant.SINGLE_ANSWER, echo.trim(), "a second answer was dropped");
+                core.invariants.recordViolation(Invariant.SINGLE_ANSWER, echo.trim(), "a second answer was dropped");
                 buf.release();
                 return;
             }
--- a/src/main/java/cacheproxy/proxy/DiscoveryClient.java
+++ b/src/main/java/cacheproxy/proxy/DiscoveryClient.java
@@ -1,6 +1,7 @@
 package cacheproxy.proxy;
 
 import cacheproxy.config.Addresses;
+import cacheproxy.discovery.DiscoveryPoll;
 import cacheproxy.discovery.DiscoveryPollScheduler;
 import cacheproxy.discovery.SilentWatchDetector;
 import cacheproxy.discovery.VersionGossip;
@@ -132,7 +133,7 @@
         this.dispatcher = dispatcher;
         freshness =
                 new DiscoveryPollScheduler(source.ask(), settings.instances(), new SplittableRandom(dispatcher.seed()));
-        freshness.closely(core.now(), closely());
+        freshness.setLongPolling(core.now(), closely());
         address = source.address();
     }
 
@@ -146,12 +147,12 @@
         }
         address = to;
         version = 0;
-        news.forget();
-        doubt.forgetVersions();
+        news.reset();
+        doubt.resetClaims();
         fell = false;
         listLine.close();
         watchLine.close();
-        freshness.moved(core.now());
+        freshness.addressChanged(core.now());
         go();
     }
 
@@ -167,7 +168,7 @@
             }
         }
         dispatcher.listed(ListKind.CACHED, known);
-        doubt.told(version, true, known.stream().map(Host::member).toList());
+        doubt.listReceived(version, true, known.stream().map(Host::member).toList());
         core.observe(this);
         if (!source.ask()) {
             watch(true);
@@ -176,8 +177,8 @@
 
     @Override
     public void watch(boolean on) {
-        freshness.closely(core.now(), closely());
-        freshness.follow(core.now(), on);
+        freshness.setLongPolling(core.now(), closely());
+        freshness.setFollowing(core.now(), on);
         go();
     }
 
@@ -190,25 +191,25 @@
             calling.cancel();
             calling = null;
         }
-        if (!freshness.out()) {
+        if (!freshness.inFlight()) {
             watchLine.giveUp();
         }
         double now = core.now();
-        double dueAt = freshness.dueAt();
+        double dueAt = freshness.nextPollAtMs();
         if (dueAt <= now) {
-            DiscoveryPollScheduler.Call call = freshness.begin(now);
+            DiscoveryPoll call = freshness.beginPoll(now);
             if (core.events.isEnabled()) {
                 core.events
                         .line(ProxyEvent.DISCOVERY_CALLED)
                         .with("at", address)
                         .with("since", fell ? 0 : version)
                         .with("wait_ms", call.waitMs())
-                        .withMs("limit_ms", call.limitMs())
+                        .withMs("limit_ms", call.timeoutMs())
                         .write();
             }
             watchLine.call(
                     "/discovery/hosts?since=" + (fell ? 0 : version) + "&timeout_ms=" + call.waitMs(),
-                    call.limitMs(),
+                    call.timeoutMs(),
                     this::watched);
         } else if (dueAt < Double.POSITIVE_INFINITY) {
             calling = core.after(dueAt - now, this::go);
@@ -224,13 +225,13 @@
      * anew.
      */
     public void ask() {
-        freshness.ask(core.now());
+        freshness.pollNow(core.now());
         go();
     }
 
     /** The pace has changed: a call is to be out from now on, or only the one that is. */
     public void pace(boolean closely) {
-        freshness.closely(core.now(), closely);
+        freshness.setLongPolling(core.now(), closely);
         go();
     }
 
@@ -272,7 +273,7 @@
     private void watched(JsonObject json, String why) {
         try {
             apply(need(json, why));
-            freshness.answered(core.now());
+            freshness.succeeded(core.now());
             if (core.events.isEnabled()) {
                 core.events
                         .line(ProxyEvent.DISCOVERY_ANSWERED)
@@ -281,14 +282,14 @@
             }
         } catch (RuntimeException e) {
             freshness.failed(core.now(), why == SILENT);
-            int n = freshness.failures();
+            int n = freshness.consecutiveFailures();
             if (core.events.isEnabled()) {
                 core.events
                         .line(ProxyEvent.DISCOVERY_FAILED)
                         .with("cause", e.getMessage())
                         .with("failures", n)
-                        .withMs("age_ms", freshness.age(core.now()))
-                        .withMs("next_ms", freshness.dueAt() - core.now())
+                        .withMs("age_ms", freshness.stalenessMs(core.now()))
+                        .withMs("next_ms", freshness.nextPollAtMs() - core.now())
                         .write();
             }
             if ((n & n - 1) == 0) { // the first, the second, the fourth: an outage must not take all the log's lines
@@ -310,20 +311,20 @@
         }
         fell = false;
         if (seq > version) {
-            news.told();
+            news.versionChanged();
             core.after(newsMs, this::tellNews);
         }
         version = seq;
         if (pace != null) {
             pace.have(seq);
         }
-        doubt.told(seq, whole, hosts.stream().map(Host::member).toList());
+        doubt.listReceived(seq, whole, hosts.stream().map(Host::member).toList());
         dispatcher.listed(whole ? ListKind.FULL : ListKind.CHANGES, hosts);
     }
 
     @Override
     public void refused(int server) {
-        doubt.refused(core.now(), server);
+        doubt.connectionRefused(core.now(), server);
         look();
     }
 
@@ -333,7 +334,7 @@
     }
 
     private void tellNews() {
-        byte[] message = closed ? null : news.message(version);
+        byte[] message = closed ? null : news.takeMessage(version);
         if (message != null) {
             dispatcher.tell(-1, message);
         }
@@ -341,17 +342,17 @@
 
     /** A message of another proxy that {@link VersionGossip#is} one of the list's version. */
     void heard(int peer, byte[] message) {
-        long seq = VersionGossip.version(message);
-        news.heard(peer, seq);
+        long seq = VersionGossip.decodeVersion(message);
+        news.received(peer, seq);
         if (seq > version) {
-            doubt.claimed(core.now(), seq);
+            doubt.versionClaimed(core.now(), seq);
             look();
         }
     }
 
     /** Comes back when the doubt is due. One that has moved to later since finds out then. */
     private void look() {
-        double dueAt = Math.max(doubt.dueAt(), freshness.trustedUntil());
+        double dueAt = Math.max(doubt.nextPollAtMs(), freshness.protectedUntilMs());
         if (dueAt < lookAt && !closed) {
             if (looking != null) {
                 looking.cancel();
@@ -364,8 +365,8 @@
     /** A watch that has fallen silent is begun anew; between two watches the module asks by itself. */
     private void doubt() {
         lookAt = Double.POSITIVE_INFINITY;
-        if (!closed && core.now() >= freshness.trustedUntil() && doubt.ask(core.now())) {
-            if (freshness.out()) {
+        if (!closed && core.now() >= freshness.protectedUntilMs() && doubt.takeDuePoll(core.now())) {
+            if (freshness.inFlight()) {
                 dispatcher.log("discovery: the watch seems to have fallen silent, asking anew");
             }
             ask();
--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -713,7 +713,7 @@
         }
         for (Attempt earlier : x.attempts) {
             if (earlier != a && earlier.begun) {
-                a.beginByMs = Math.min(a.beginByMs, SendGuard.repeatUntilMs(earlier.sentMs, kind.windowMs()));
+                a.beginByMs = Math.min(a.beginByMs, SendGuard.retryUntilMs(earlier.sentMs, kind.windowMs()));
             }
         }
         if (a.beginByMs < a.untilMs) {
@@ -731,13 +731,13 @@
         }
         Invariant violated = sendGuard.violatedBy(a, core.now());
         if (violated != null) {
-            core.invariants.stop(
+            core.invariants.recordStopped(
                     violated, a.exchange.command.id, "attempt " + a.index + " at " + name(a.server) + " was not begun");
             end(a, Outcome.NOT_SENT, 0, null, null, null);
             return false;
         }
         if (a.exchange.dueMs > a.exchange.command.clientDueMs) {
-            core.invariants.violation(
+            core.invariants.recordViolation(
                     Invariant.DEADLINE_WITHIN_CLIENTS,
                     a.exchange.command.id,
                     "its pool waits " + Math.round(a.exchange.dueMs - a.exchange.command.clientDueMs)
--- a/src/main/java/cacheproxy/proxy/EventLoopContext.java
+++ b/src/main/java/cacheproxy/proxy/EventLoopContext.java
@@ -3,6 +3,7 @@
 import cacheproxy.eventlog.EventLog;
 import cacheproxy.eventlog.ProxyEvent;
 import cacheproxy.invariant.Invariant;
+import cacheproxy.invariant.InvariantListener;
 import cacheproxy.invariant.InvariantMonitor;
 import cacheproxy.proxy.TimerWheel.Timer;
 import io.netty.bootstrap.Bootstrap;
@@ -283,7 +284,7 @@
     }
 
     /** What was stopped is an event of many; a violation is a line of its own, whether or not the event log is on. */
-    private final class InvariantLog implements InvariantMonitor.Listener {
+    private final class InvariantLog implements InvariantListener {
         @Override
         public void stopped(Invariant invariant, String requestId, String reason) {
             if (events.isEnabled()) {
--- a/src/main/java/cacheproxy/proxy/Listener.java
+++ b/src/main/java/cacheproxy/proxy/Listener.java
@@ -144,7 +144,7 @@
                     @Override
                     protected void initChannel(Channel connection) {
                         ClientConnection client =
-                                new ClientConnection(core, Listener.this, Lifecycle.place(accepted++));
+                                new ClientConnection(core, Listener.this, Lifecycle.closingPosition(accepted++));
                         connection.pipeline().addLast(client);
                         own.add(client);
                         clients.accepted(client);
--- a/src/main/java/cacheproxy/proxy/OperatorActions.java
+++ b/src/main/java/cacheproxy/proxy/OperatorActions.java
@@ -4,15 +4,18 @@
 import cacheproxy.control.ControlServer;
 import cacheproxy.control.DiagnosticEndpoints;
 import cacheproxy.handover.Handover;
+import cacheproxy.handover.HandoverPath;
+import cacheproxy.handover.HandoverReceiver;
+import cacheproxy.handover.InheritedSocket;
 import cacheproxy.lifecycle.Lifecycle;
-import cacheproxy.lifecycle.Lifecycle.State;
+import cacheproxy.lifecycle.LifecycleState;
 import io.netty.channel.EventLoop;
 import io.netty.channel.epoll.Epoll;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.Locale;
+import java.util.Optional;
 import java.util.concurrent.Future;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
@@ -23,7 +26,7 @@
  */
 final class OperatorActions {
     /** Descriptors that the door and a successor's line need. */
-    static final int DESCRIPTORS = ControlServer.MAX_CALLERS + 4;
+    static final int DESCRIPTORS = ControlServer.MAX_CONNECTIONS + 4;
     /** A process with part of a core may be halted for some time; a new one has 6 s in all. */
     private static final long TAKE_MS = 1500;
 
@@ -47,11 +50,11 @@
                 loop,
                 Transport.BEST.server(),
                 new ControlEndpoints(
-                        () -> lifecycle.state() == State.ACTIVE,
-                        () -> lifecycle.state().name().toLowerCase(Locale.ROOT),
+                        () -> lifecycle.state() == LifecycleState.ACTIVE,
+                        () -> lifecycle.state().statusText(),
                         this::standby,
                         this::active,
-                        new DiagnosticEndpoints(core.invariants::summary, core.events::enabled, reload)));
+                        new DiagnosticEndpoints(core.invariants::summary, core.events::setEnabled, reload)));
     }
 
     /**
@@ -71,16 +74,18 @@
             BooleanSupplier reload)
             throws InterruptedException {
         OperatorActions o = new OperatorActions(loop, core, lifecycle, listener, reload);
-        Path path = Handover.path(folder, listen.getPort());
-        Handover.Taken taken = Epoll.isAvailable() ? Handover.take(loop, path, TAKE_MS) : null;
-        if (taken != null) {
-            listener.adopt(taken.descriptor()).sync();
+        Path path = HandoverPath.of(folder, listen.getPort());
+        Optional<InheritedSocket> inherited =
+                Epoll.isAvailable() ? HandoverReceiver.receive(loop, path, TAKE_MS) : Optional.empty();
+        if (inherited.isPresent()) {
+            listener.adopt(inherited.get().descriptor()).sync();
         } else {
             listener.bind(listen, true).sync();
         }
         if (listener.descriptor() >= 0) {
             try {
-                o.handover = Handover.offer(loop, path, listener.descriptor(), taken == null ? null : taken.line());
+                o.handover =
+                        Handover.offer(loop, path, listener.descriptor(), taken == null ? null : taken.predecessor());
             } catch (IOException | RuntimeException e) {
                 core.log("a next version will have a queue of its own: " + e.getMessage());
             }
@@ -98,7 +103,7 @@
      * then this one starts with more care than it needs.
      */
     static boolean standsBeside(InetSocketAddress listen, Path folder) {
-        return Files.exists(Handover.path(folder, listen.getPort()));
+        return Files.exists(HandoverPath.of(folder, listen.getPort()));
     }
 
     InetSocketAddress address() {
@@ -110,7 +115,7 @@
     }
 
     private boolean standby() {
-        boolean yes = lifecycle.standby(core.now());
+        boolean yes = lifecycle.enterStandby(core.now());
         if (yes && looking == null) {
             looking = loop.scheduleWithFixedDelay(this::look, 0, LOOK_MS, TimeUnit.MILLISECONDS);
         }
@@ -118,15 +123,15 @@
     }
 
     private boolean active() {
-        boolean yes = lifecycle.active();
+        boolean yes = lifecycle.leaveStandby();
         look();
         return yes;
     }
 
     private void look() {
-        listener.takesClients(lifecycle.takesClients());
-        listener.end(lifecycle.share(core.now()));
-        if (lifecycle.state() != State.STANDBY && looking != null) {
+        listener.takesClients(lifecycle.acceptsClients());
+        listener.end(lifecycle.closingFraction(core.now()));
+        if (lifecycle.state() != LifecycleState.STANDBY && looking != null) {
             looking.cancel(false);
             looking = null;
         }
--- a/src/main/java/cacheproxy/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/Proxy.java
@@ -3,7 +3,7 @@
 import cacheproxy.discovery.VersionGossip;
 import cacheproxy.eventlog.ProxyEvent;
 import cacheproxy.lifecycle.Lifecycle;
-import cacheproxy.lifecycle.Lifecycle.Periods;
+import cacheproxy.lifecycle.LifecycleTiming;
 import cacheproxy.lifecycle.WarmUpPlan;
 import cacheproxy.policy.PolicyApi.ServiceClass;
 import io.netty.channel.EventLoop;
@@ -40,7 +40,7 @@
     private final DiscoveryClient discovery;
     private final ClientRegistry clients;
     private final Listener listener;
-    private final Lifecycle lifecycle = new Lifecycle(Periods.USUAL);
+    private final Lifecycle lifecycle = new Lifecycle(LifecycleTiming.DEFAULT);
     /** Null where no control address is configured. */
     private final OperatorActions operations;
     /** The file that a reload reads; null: none. */
@@ -102,7 +102,7 @@
     }
 
     private void heard(int peer, byte[] message) {
-        if (!VersionGossip.is(message)) {
+        if (!VersionGossip.isVersionMessage(message)) {
             dispatcher.heard(peer, message);
         } else if (discovery != null) {
             discovery.heard(peer, message);
@@ -156,7 +156,7 @@
     /** The configuration may switch the event log; where it says nothing, the log stays as it is. */
     private void useEventLog(PlatformConfig read) {
         if (read.eventLog() != null) {
-            core.events.enabled(read.eventLog());
+            core.events.setEnabled(read.eventLog());
         }
     }
 
@@ -256,12 +256,12 @@
                         .with("in_hand", dispatcher.inHand())
                         .write();
             }
-            lifecycle.leave(core.now(), operations != null && operations.hasSuccessor());
+            lifecycle.beginShutdown(core.now(), operations != null && operations.hasSuccessor());
             double longest = config.settings().classes().stream()
                     .mapToDouble(ServiceClass::deadlineMs)
                     .max()
                     .orElse(0);
-            double lastMs = Math.max(Periods.USUAL.listenOnMs(), Periods.USUAL.leaveSpreadMs())
+            double lastMs = Math.max(LifecycleTiming.DEFAULT.extraListenMs(), LifecycleTiming.DEFAULT.shutdownDrainMs())
                     + Math.min(longest, LONGEST_LEFT_MS);
             core.after(lastMs, () -> {
                 listener.takeNoMore();
@@ -277,12 +277,12 @@
 
     private boolean drained() {
         double now = core.now();
-        listener.takesClients(lifecycle.takesClients());
-        if (!lifecycle.listens(now)) {
+        listener.takesClients(lifecycle.acceptsClients());
+        if (!lifecycle.acceptsConnections(now)) {
             listener.stopListening();
         }
-        listener.end(lifecycle.share(now));
-        return !lifecycle.listens(now) && listener.empty();
+        listener.end(lifecycle.closingFraction(now));
+        return !lifecycle.acceptsConnections(now) && listener.empty();
     }
 
     /** Ends at once; for tests. */
--- a/src/main/java/cacheproxy/proxy/RequestContext.java
+++ b/src/main/java/cacheproxy/proxy/RequestContext.java
@@ -119,7 +119,7 @@
         }
 
         @Override
-        public double repeatUntilMs() {
+        public double retryUntilMs() {
             return beginByMs;
         }
 
@@ -129,7 +129,7 @@
         }
 
         @Override
-        public boolean earlierMayHaveRun() {
+        public boolean earlierAttemptMayHaveRun() {
             for (int i = 0; i < exchange.attempts.size(); i++) {
                 Attempt other = exchange.attempts.get(i);
                 if (other != this && other.begun && (!other.ended || other.mayHaveRun)) {
@@ -140,7 +140,7 @@
         }
 
         @Override
-        public boolean earlierOut() {
+        public boolean earlierAttemptInFlight() {
             for (int i = 0; i < exchange.attempts.size(); i++) {
                 Attempt other = exchange.attempts.get(i);
                 if (other != this && other.begun && !other.ended) {
@@ -151,12 +151,12 @@
         }
 
         @Override
-        public boolean secondCopiesAllowed() {
+        public boolean hedgingAllowed() {
             return owner.secondCopies();
         }
 
         @Override
-        public double serverLeftMs() {
+        public double serverUnavailableSinceMs() {
             return connection.serverLeftMs();
         }
     }
--- a/src/main/java/cacheproxy/proxy/WarmUp.java
+++ b/src/main/java/cacheproxy/proxy/WarmUp.java
@@ -90,7 +90,7 @@
                     .connect(dial.apply(proxy))
                     .sync()
                     .channel());
-            done.await((long) plan.limitMs(), TimeUnit.MILLISECONDS);
+            done.await((long) plan.timeLimitMs(), TimeUnit.MILLISECONDS);
         } finally { // also where such sockets are refused, or each start would leave three, a sweep and a folder
             loop.submit(dispatcher::stop).sync();
             for (Channel c : channels) {
@@ -161,7 +161,7 @@
     private final class Client extends End {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            for (int i = 0; i < plan.inHand(); i++) {
+            for (int i = 0; i < plan.concurrency(); i++) {
                 send(ctx);
             }
         }
--- a/src/test/java/cacheproxy/daemon/fleet/FleetSubsystemTest.java
+++ b/src/test/java/cacheproxy/daemon/fleet/FleetSubsystemTest.java
@@ -498,7 +498,7 @@
                     .seal(
                             NameHash.of("p1"),
                             DelegatedWatches.TOPIC,
-                            new WatchVersionMessage(true, NameHash.of("watch.here.a"), 0, 0, 6).bytes());
+                            new WatchVersionMessage(true, NameHash.of("watch.here.a"), 0, 0, 6).encode());
             peer.send(new DatagramPacket(later, later.length, InetAddress.getByName("127.0.0.1"), port));
             // The silent call is given up 24 s after it was made, so a second one within half of that is the answer to
             // the word.
--- a/src/test/java/cacheproxy/discovery/DelegatedWatchTest.java
+++ b/src/test/java/cacheproxy/discovery/DelegatedWatchTest.java
@@ -6,280 +6,299 @@
 import cacheproxy.fleet.lease.LeaseHandle;
 import cacheproxy.fleet.lease.NameHash;
 import java.util.ArrayList;
+import java.util.Comparator;
 import java.util.List;
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** One watches for all, on virtual time, with a discovery whose version grows. */
+/** {@link DelegatedWatch} of several proxies on virtual time, with a discovery whose version grows. */
 class DelegatedWatchTest {
-    private static final DelegatedWatch.Rules RULES = new DelegatedWatch.Rules(1000, 3000, 30_000, 300);
+    private static final DelegatedWatchTiming TIMING = new DelegatedWatchTiming(1000, 3000, 30_000, 300);
 
-    private record Mail(double atMs, long n, int from, int to, WatchVersionMessage w) {}
+    private record Datagram(double atMs, long number, int from, int to, WatchVersionMessage message) {}
 
-    private static final class World {
-        final List<DelegatedWatch> all = new ArrayList<>();
-        final boolean[] closely;
-        final long[] has;
-        /** Whose watch has fallen silent. */
+    /** A zone of proxies with their discovery and the datagrams between them. */
+    private static final class SimulatedZone {
+        private static final double STEP_MS = 20;
+
+        final List<DelegatedWatch> watches = new ArrayList<>();
+        final boolean[] longPolling;
+        final long[] versionOf;
+        /** Proxies whose long poll no longer delivers changes. */
         final boolean[] silent;
 
         final boolean[] dead;
-        final double[] behindSince;
-        final PriorityQueue<Mail> mail = new PriorityQueue<>(
-                (a, b) -> a.atMs != b.atMs ? Double.compare(a.atMs, b.atMs) : Long.compare(a.n, b.n));
+        final double[] behindSinceMs;
+        final PriorityQueue<Datagram> datagrams =
+                new PriorityQueue<>(Comparator.comparingDouble(Datagram::atMs).thenComparingLong(Datagram::number));
         final SplittableRandom random = new SplittableRandom(1);
         int holder;
         long epoch = 1;
         long version = 1;
-        double now;
-        double loss;
-        double lateMs = 5;
-        long n;
-        int calls;
-        double longestBehind;
+        double nowMs;
+        double lossRate;
+        double maxDelayMs = 5;
+        long datagramsSent;
+        int polls;
+        double longestBehindMs;
 
-        World(int count) {
-            closely = new boolean[count];
-            has = new long[count];
+        SimulatedZone(int count) {
+            longPolling = new boolean[count];
+            versionOf = new long[count];
             silent = new boolean[count];
             dead = new boolean[count];
-            behindSince = new double[count];
+            behindSinceMs = new double[count];
             for (int i = 0; i < count; i++) {
-                int me = i;
-                closely[i] = true;
-                behindSince[i] = Double.NaN;
-                all.add(new DelegatedWatch(
-                        new LeaseHandle() {
-                            @Override
-                            public long permit(double at, double actMs) {
-                                return holder == me ? epoch : -1;
-                            }
+                longPolling[i] = true;
+                behindSinceMs[i] = Double.NaN;
+                watches.add(new DelegatedWatch(
+                        new SimulatedLease(this, i), TIMING, new SplittableRandom(i), new SimulatedActions(this, i)));
+            }
+        }
+
+        void updateList(int proxy) {
+            if (versionOf[proxy] < version) {
+                versionOf[proxy] = version;
+                watches.get(proxy).listVersionChanged(nowMs, version);
+            }
+        }
+
+        void runUntil(double ms) {
+            while (nowMs < ms) {
+                double next = Math.min(ms, nowMs + STEP_MS);
+                nowMs = datagrams.isEmpty() ? next : Math.max(nowMs, Math.min(next, datagrams.peek().atMs));
+                deliverDatagrams();
+                for (int i = 0; i < watches.size(); i++) {
+                    if (!dead[i]) {
+                        step(i);
+                    }
+                }
+            }
+        }
+
+        private void deliverDatagrams() {
+            while (!datagrams.isEmpty() && datagrams.peek().atMs <= nowMs) {
+                Datagram datagram = datagrams.poll();
+                if (!dead[datagram.to]) {
+                    watches.get(datagram.to).received(nowMs, datagram.from + 1, datagram.message);
+                }
+            }
+        }
+
+        private void step(int proxy) {
+            watches.get(proxy).tick(nowMs);
+            if (longPolling[proxy] && !silent[proxy] && versionOf[proxy] < version) {
+                polls++;
+                updateList(proxy);
+            }
+            if (versionOf[proxy] >= version) {
+                behindSinceMs[proxy] = Double.NaN;
+            } else if (Double.isNaN(behindSinceMs[proxy])) {
+                behindSinceMs[proxy] = nowMs;
+            } else {
+                longestBehindMs = Math.max(longestBehindMs, nowMs - behindSinceMs[proxy]);
+            }
+        }
 
-                            @Override
-                            public double leftMs(double at) {
-                                return 0;
-                            }
+        int countLongPolling() {
+            int count = 0;
+            for (boolean polling : longPolling) {
+                count += polling ? 1 : 0;
+            }
+            return count;
+        }
+    }
 
-                            @Override
-                            public long holder(double at) {
-                                return holder + 1;
-                            }
+    /** The zone's lease as one proxy sees it. */
+    private record SimulatedLease(SimulatedZone zone, int self) implements LeaseHandle {
+        @Override
+        public long permit(double atMs, double actMs) {
+            return zone.holder == self ? zone.epoch : -1;
+        }
 
-                            @Override
-                            public List<Long> order() {
-                                return List.of();
-                            }
+        @Override
+        public double leftMs(double atMs) {
+            return 0;
+        }
 
-                            @Override
-                            public long id() {
-                                return NameHash.of("watch.a.pages");
-                            }
-                        },
-                        RULES,
-                        new SplittableRandom(i),
-                        new DelegatedWatch.Out() {
-                            @Override
-                            public void tell(WatchVersionMessage w) {
-                                for (int to = 0; to < all.size(); to++) {
-                                    if (to != me) {
-                                        tell(to + 1, w);
-                                    }
-                                }
-                            }
+        @Override
+        public long holder(double atMs) {
+            return zone.holder + 1;
+        }
 
-                            @Override
-                            public void tell(long to, WatchVersionMessage w) {
-                                if (random.nextDouble() >= loss) {
-                                    mail.add(new Mail(
-                                            now + random.nextDouble() * lateMs,
-                                            n++,
-                                            me,
-                                            (int) to - 1,
-                                            WatchVersionMessage.of(w.bytes())));
-                                }
-                            }
+        @Override
+        public List<Long> order() {
+            return List.of();
+        }
 
-                            @Override
-                            public void closely(boolean on) {
-                                closely[me] = on;
-                                calls += on ? 1 : 0;
-                                if (on) {
-                                    learn(me);
-                                }
-                            }
+        @Override
+        public long id() {
+            return NameHash.of("watch.a.pages");
+        }
+    }
 
-                            @Override
-                            public void ask() {
-                                calls++;
-                                learn(me);
-                            }
-                        }));
+    /** Carries out what the watch of one proxy decides; its messages may be lost or delayed. */
+    private record SimulatedActions(SimulatedZone zone, int self) implements DelegatedWatchActions {
+        @Override
+        public void send(WatchVersionMessage message) {
+            for (int to = 0; to < zone.watches.size(); to++) {
+                if (to != self) {
+                    send(to + 1L, message);
+                }
             }
         }
 
-        void learn(int i) {
-            if (has[i] < version) {
-                has[i] = version;
-                all.get(i).have(now, version);
+        @Override
+        public void send(long to, WatchVersionMessage message) {
+            if (zone.random.nextDouble() >= zone.lossRate) {
+                zone.datagrams.add(new Datagram(
+                        zone.nowMs + zone.random.nextDouble() * zone.maxDelayMs,
+                        zone.datagramsSent++,
+                        self,
+                        (int) to - 1,
+                        WatchVersionMessage.decode(message.encode())));
             }
         }
 
-        void until(double ms) {
-            while (now < ms) {
-                double next = Math.min(ms, now + 20);
-                now = mail.isEmpty() ? next : Math.max(now, Math.min(next, mail.peek().atMs));
-                while (!mail.isEmpty() && mail.peek().atMs <= now) {
-                    Mail m = mail.poll();
-                    if (!dead[m.to]) {
-                        all.get(m.to).heard(now, m.from + 1, m.w);
-                    }
-                }
-                for (int i = 0; i < all.size(); i++) {
-                    if (dead[i]) {
-                        continue;
-                    }
-                    all.get(i).tick(now);
-                    if (closely[i] && !silent[i] && has[i] < version) {
-                        calls++;
-                        learn(i);
-                    }
-                    if (has[i] >= version) {
-                        behindSince[i] = Double.NaN;
-                    } else if (Double.isNaN(behindSince[i])) {
-                        behindSince[i] = now;
-                    } else {
-                        longestBehind = Math.max(longestBehind, now - behindSince[i]);
-                    }
-                }
+        @Override
+        public void setLongPolling(boolean enabled) {
+            zone.longPolling[self] = enabled;
+            zone.polls += enabled ? 1 : 0;
+            if (enabled) {
+                zone.updateList(self);
             }
         }
 
-        int watching() {
-            int n = 0;
-            for (boolean c : closely) {
-                n += c ? 1 : 0;
-            }
-            return n;
+        @Override
+        public void pollOnce() {
+            zone.polls++;
+            zone.updateList(self);
         }
     }
 
     @Test
-    void oneWatchesAllHearAndManyVersionsMakeFewCalls() {
-        World w = new World(50);
-        w.until(2000);
-        assertThat(w.watching()).isEqualTo(1);
-        int before = w.calls;
-        for (int i = 0; i < 100; i++) { // a release: a hundred versions within 5 s
-            w.version++;
-            w.until(w.now + 50);
+    void oneProxyLongPollsAndManyVersionsCauseFewPolls() {
+        SimulatedZone zone = new SimulatedZone(50);
+        zone.runUntil(2000);
+        assertThat(zone.countLongPolling()).isEqualTo(1);
+        int pollsBefore = zone.polls;
+        for (int i = 0; i < 100; i++) { // a rolling update: a hundred versions within 5 s
+            zone.version++;
+            zone.runUntil(zone.nowMs + 50);
         }
-        w.until(w.now + 1000);
-        assertThat(w.has).containsOnly(w.version);
-        assertThat(w.longestBehind)
-                .as("within the gathering time, and a message")
-                .isLessThan(RULES.gatherMs() + 60);
-        assertThat(w.calls - before).as("each watching by itself: 5000").isLessThan(100 + 49 * 40);
-        before = w.calls;
-        w.until(w.now + 60_000);
-        assertThat(w.calls - before).as("rare calls of those that do not watch").isBetween(49, 49 * 3);
+        zone.runUntil(zone.nowMs + 1000);
+        assertThat(zone.versionOf).containsOnly(zone.version);
+        assertThat(zone.longestBehindMs)
+                .as("coalescing window and message delay")
+                .isLessThan(TIMING.coalescingWindowMs() + 60);
+        assertThat(zone.polls - pollsBefore)
+                .as("5000 if each proxy long-polled")
+                .isLessThan(100 + 49 * 40);
+        pollsBefore = zone.polls;
+        zone.runUntil(zone.nowMs + 60_000);
+        assertThat(zone.polls - pollsBefore)
+                .as("occasional polls of the proxies that do not long-poll")
+                .isBetween(49, 49 * 3);
     }
 
     @Test
-    void whenWordStopsAllWatchThemselvesNotAllAtOnceAndAgainFollowTheNext() {
-        World w = new World(20);
-        w.until(5000);
-        w.dead[0] = true;
-        w.holder = -1;
-        w.version++;
-        w.until(5000 + RULES.wordMs() - RULES.beatMs() - 50);
-        assertThat(w.watching()).as("word still counts").isEqualTo(1);
-        w.until(5000 + RULES.wordMs());
-        assertThat(w.watching()).as("not all at one time").isBetween(2, 19);
-        w.until(5000 + 1.5 * RULES.wordMs() + 100);
-        assertThat(w.watching()).isEqualTo(20);
-        assertThat(w.longestBehind).isLessThan(1.5 * RULES.wordMs() + 60);
-        w.holder = 3;
-        w.epoch = 2;
-        w.until(w.now + 1100);
-        w.dead[0] = false;
-        w.closely[0] = true;
-        w.until(w.now + 1100);
-        assertThat(w.watching()).isEqualTo(1);
-        assertThat(w.closely[3]).isTrue();
+    void everyProxyLongPollsAtJitteredTimesOnceHeartbeatsStop() {
+        SimulatedZone zone = new SimulatedZone(20);
+        zone.runUntil(5000);
+        zone.dead[0] = true;
+        zone.holder = -1;
+        zone.version++;
+        zone.runUntil(5000 + TIMING.heartbeatTimeoutMs() - TIMING.heartbeatIntervalMs() - 50);
+        assertThat(zone.countLongPolling()).as("heartbeats still valid").isEqualTo(1);
+        zone.runUntil(5000 + TIMING.heartbeatTimeoutMs());
+        assertThat(zone.countLongPolling()).as("jittered timeouts").isBetween(2, 19);
+        zone.runUntil(5000 + 1.5 * TIMING.heartbeatTimeoutMs() + 100);
+        assertThat(zone.countLongPolling()).isEqualTo(20);
+        assertThat(zone.longestBehindMs).isLessThan(1.5 * TIMING.heartbeatTimeoutMs() + 60);
+        zone.holder = 3;
+        zone.epoch = 2;
+        zone.runUntil(zone.nowMs + 1100);
+        zone.dead[0] = false;
+        zone.longPolling[0] = true;
+        zone.runUntil(zone.nowMs + 1100);
+        assertThat(zone.countLongPolling()).isEqualTo(1);
+        assertThat(zone.longPolling[3]).isTrue();
     }
 
-    /** The holder's own watch has fallen silent: another's rare call finds out, tells it, and it tells all. */
+    /** The occasional poll of another proxy finds the new version, and its correction makes the lease holder poll. */
     @Test
-    void aHolderWhoseWatchIsSilentLearnsOfItFromOthers() {
-        World w = new World(10);
-        w.until(3000);
-        w.silent[0] = true;
-        w.version++;
-        w.until(3000 + RULES.lazyMs() + 3 * RULES.beatMs());
-        assertThat(w.has).containsOnly(w.version);
-        assertThat(w.longestBehind).isLessThan(RULES.lazyMs() + 2 * RULES.beatMs());
+    void leaseHolderWithSilentWatchIsCorrectedByAnotherProxy() {
+        SimulatedZone zone = new SimulatedZone(10);
+        zone.runUntil(3000);
+        zone.silent[0] = true;
+        zone.version++;
+        zone.runUntil(3000 + TIMING.maxPollIntervalMs() + 3 * TIMING.heartbeatIntervalMs());
+        assertThat(zone.versionOf).containsOnly(zone.version);
+        assertThat(zone.longestBehindMs).isLessThan(TIMING.maxPollIntervalMs() + 2 * TIMING.heartbeatIntervalMs());
     }
 
     @Test
-    void lostAndLateWordDelaysNoListBeyondTheBound() {
-        for (double late : new double[] {5, 2500}) {
-            World w = new World(12);
-            w.loss = 0.6;
-            w.lateMs = late;
+    void lostAndDelayedHeartbeatsKeepStalenessWithinPollInterval() {
+        for (double delayMs : new double[] {5, 2500}) {
+            SimulatedZone zone = new SimulatedZone(12);
+            zone.lossRate = 0.6;
+            zone.maxDelayMs = delayMs;
             for (int i = 0; i < 100; i++) {
-                w.until(w.now + 1000);
-                w.version += i % 5 == 0 ? 1 : 0;
+                zone.runUntil(zone.nowMs + 1000);
+                zone.version += i % 5 == 0 ? 1 : 0;
             }
-            assertThat(w.longestBehind).as("late by " + late).isLessThan(RULES.lazyMs() + 1000);
-            w.loss = 0;
-            w.lateMs = 5;
-            w.until(w.now + 5000);
-            assertThat(w.has).containsOnly(w.version);
-            assertThat(w.watching()).isEqualTo(1);
+            assertThat(zone.longestBehindMs)
+                    .as("delayed by up to " + delayMs)
+                    .isLessThan(TIMING.maxPollIntervalMs() + 1000);
+            zone.lossRate = 0;
+            zone.maxDelayMs = 5;
+            zone.runUntil(zone.nowMs + 5000);
+            assertThat(zone.versionOf).containsOnly(zone.version);
+            assertThat(zone.countLongPolling()).isEqualTo(1);
         }
     }
 
     @Test
-    void wordOfAnOlderEpochCountsForNothing() {
-        World w = new World(3);
-        w.holder = -1;
-        DelegatedWatch one = w.all.get(2);
-        long duty = NameHash.of("watch.a.pages");
-        one.heard(0, 1, new WatchVersionMessage(false, duty, 5, 1, 7));
-        assertThat(one.closely(100)).isFalse();
-        one.heard(2900, 1, new WatchVersionMessage(false, duty, 4, 2, 7));
-        one.heard(2900, 1, new WatchVersionMessage(false, duty, 5, 1, 7)); // the same one again
-        one.heard(2900, 1, new WatchVersionMessage(false, duty + 1, 6, 1, 7));
-        assertThat(one.closely(1.5 * RULES.wordMs() + 1)).isTrue();
-        one.heard(2900, 1, new WatchVersionMessage(false, duty, 5, 2, 7));
-        assertThat(one.closely(5000)).isFalse();
+    void ignoresHeartbeatsOfOlderEpochRepeatedSequenceOrOtherLease() {
+        SimulatedZone zone = new SimulatedZone(3);
+        zone.holder = -1;
+        DelegatedWatch watch = zone.watches.get(2);
+        long leaseId = NameHash.of("watch.a.pages");
+        watch.received(0, 1, new WatchVersionMessage(false, leaseId, 5, 1, 7));
+        assertThat(watch.shouldLongPoll(100)).isFalse();
+        watch.received(2900, 1, new WatchVersionMessage(false, leaseId, 4, 2, 7));
+        watch.received(2900, 1, new WatchVersionMessage(false, leaseId, 5, 1, 7)); // repeated
+        watch.received(2900, 1, new WatchVersionMessage(false, leaseId + 1, 6, 1, 7));
+        assertThat(watch.shouldLongPoll(1.5 * TIMING.heartbeatTimeoutMs() + 1)).isTrue();
+        watch.received(2900, 1, new WatchVersionMessage(false, leaseId, 5, 2, 7));
+        assertThat(watch.shouldLongPoll(5000)).isFalse();
     }
 
     @Test
-    void whereDiscoveryCountsAnewTheNextVersionsAreToldAtOnceAllTheSame() {
-        World w = new World(5);
-        w.version = 1_000_000;
-        w.until(3000);
-        w.version = 1;
-        for (int i = 0; i < 5; i++) { // as each has the whole list anew, with its lower number
-            w.has[i] = 1;
-            w.all.get(i).have(w.now, 1);
+    void announcesVersionsPromptlyAfterDiscoveryRestartsItsNumbering() {
+        SimulatedZone zone = new SimulatedZone(5);
+        zone.version = 1_000_000;
+        zone.runUntil(3000);
+        zone.version = 1;
+        for (int i = 0; i < 5; i++) { // each has received the whole list with its lower version
+            zone.versionOf[i] = 1;
+            zone.watches.get(i).listVersionChanged(zone.nowMs, 1);
         }
-        w.until(w.now + 100);
-        int calls = w.calls;
-        w.version = 2;
-        w.until(w.now + RULES.gatherMs() + 60);
-        assertThat(w.has).containsOnly(2);
-        assertThat(w.calls - calls).isLessThanOrEqualTo(5);
+        zone.runUntil(zone.nowMs + 100);
+        int pollsBefore = zone.polls;
+        zone.version = 2;
+        zone.runUntil(zone.nowMs + TIMING.coalescingWindowMs() + 60);
+        assertThat(zone.versionOf).containsOnly(2);
+        assertThat(zone.polls - pollsBefore).isLessThanOrEqualTo(5);
     }
 
     @Test
-    void wordIsWholeOrNoneAndFiguresThatMakeNoSenseAreRefused() {
-        WatchVersionMessage w = new WatchVersionMessage(true, 1, 2, 3, 4);
-        assertThat(WatchVersionMessage.of(w.bytes())).isEqualTo(w);
-        assertThat(WatchVersionMessage.of(new byte[3])).isNull();
-        assertThatThrownBy(() -> new DelegatedWatch.Rules(1000, 900, 30_000, 0))
+    void rejectsTruncatedMessagesAndInvalidTiming() {
+        WatchVersionMessage message = new WatchVersionMessage(true, 1, 2, 3, 4);
+        assertThat(WatchVersionMessage.decode(message.encode())).isEqualTo(message);
+        assertThat(WatchVersionMessage.decode(new byte[3])).isNull();
+        assertThatThrownBy(() -> new DelegatedWatchTiming(1000, 900, 30_000, 0))
                 .isInstanceOf(IllegalArgumentException.class);
     }
 }
--- a/src/test/java/cacheproxy/discovery/DiscoveryPollSchedulerTest.java
+++ b/src/test/java/cacheproxy/discovery/DiscoveryPollSchedulerTest.java
@@ -1,210 +1,255 @@
 package cacheproxy.discovery;
 
 import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.within;
 
 import java.util.Arrays;
+import java.util.EnumSet;
+import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Discovery as it fails, on virtual time: how old the list of who goes by {@link DiscoveryPollScheduler} can be. */
+/** How stale the list of a client of {@link DiscoveryPollScheduler} gets while discovery fails, on virtual time. */
 class DiscoveryPollSchedulerTest {
-    /** What a call comes to, and when. */
-    private record End(double at, boolean sound, boolean silent) {}
+    /** How and when a poll ends. */
+    private record PollResult(double atMs, boolean success, boolean silent) {}
 
-    private enum Way {
+    private enum PollOutcome {
         REFUSED,
-        TURNED_AWAY,
-        CUT,
-        NEVER_UP,
+        REJECTED,
+        CONNECTION_CLOSED,
+        CONNECT_TIMEOUT,
         SILENT,
-        TRICKLES,
-        WELL
+        PARTIAL_RESPONSE,
+        SUCCESS
     }
 
-    /** How callers may go wrong, so that the walk is seen to find it. */
-    private enum Plant {
+    /** Defects of a client, which the random walk must detect. */
+    private enum InjectedDefect {
         NONE,
-        LONG_WATCH,
-        NO_LIMIT,
+        LONG_POLL_WAIT,
+        NO_TIMEOUT,
         LONG_RETRY
     }
 
     /**
-     * One caller over a minute of a discovery that is sound and not by turns, answers within a second when it is, and
-     * then still loses calls, though not two in a row. The longest time for which it was sound without an answer that
-     * came of it.
+     * One client during a minute of a discovery that is reachable and unreachable in turn. While reachable it responds
+     * within a second, but loses some responses, though not two in a row.
      */
-    private static double worst(long seed, boolean asked, int callers, Plant plant) {
-        SplittableRandom random = new SplittableRandom(seed);
-        DiscoveryPollScheduler f = new DiscoveryPollScheduler(asked, callers, random.split());
-        double sound = 0;
-        double ends = random.nextDouble(20_000);
-        boolean up = random.nextBoolean();
-        double fresh = 0; // the later of the last sound answer and the beginning of soundness
-        double worst = 0;
-        boolean heard = false; // whether the last call was answered
-        f.follow(0, true);
-        for (double now = 0; now < 60_000; ) {
-            now = Math.max(now, f.dueAt());
-            while (now >= ends) { // soundness and its lack take turns
-                worst = up ? Math.max(worst, ends - fresh) : worst;
-                up = !up;
-                fresh = ends;
-                ends += up ? 500 + random.nextDouble(25_000) : random.nextDouble(15_000);
+    private static final class RandomWalk {
+        private static final double DURATION_MS = 60_000;
+        private static final List<PollOutcome> FAILURES =
+                List.copyOf(EnumSet.complementOf(EnumSet.of(PollOutcome.SUCCESS)));
+
+        private final SplittableRandom random;
+        private final DiscoveryPollScheduler scheduler;
+        private final InjectedDefect defect;
+        private double nowMs;
+        private double phaseEndsAtMs;
+        private boolean reachable;
+        /** The later of the last success and the time when discovery became reachable. */
+        private double freshSinceMs;
+
+        private double longestMs;
+        private boolean lastSucceeded;
+
+        RandomWalk(long seed, boolean sharedService, int clientCount, InjectedDefect defect) {
+            random = new SplittableRandom(seed);
+            scheduler = new DiscoveryPollScheduler(sharedService, clientCount, random.split());
+            this.defect = defect;
+            phaseEndsAtMs = random.nextDouble(20_000);
+            reachable = random.nextBoolean();
+        }
+
+        /** The longest time for which discovery was reachable without a success, in milliseconds. */
+        double longestStalenessMs() {
+            scheduler.setFollowing(0, true);
+            while (nowMs < DURATION_MS) {
+                nowMs = Math.max(nowMs, scheduler.nextPollAtMs());
+                advancePhases();
+                PollResult result = send(scheduler.beginPoll(nowMs));
+                if (result.success() && result.atMs() > phaseEndsAtMs) { // it became unreachable meanwhile
+                    result = new PollResult(Math.max(phaseEndsAtMs, nowMs), false, false);
+                }
+                nowMs = result.atMs();
+                report(result);
+            }
+            return longestMs;
+        }
+
+        private void advancePhases() {
+            while (nowMs >= phaseEndsAtMs) {
+                longestMs = reachable ? Math.max(longestMs, phaseEndsAtMs - freshSinceMs) : longestMs;
+                reachable = !reachable;
+                freshSinceMs = phaseEndsAtMs;
+                phaseEndsAtMs += reachable ? 500 + random.nextDouble(25_000) : random.nextDouble(15_000);
             }
-            DiscoveryPollScheduler.Call call = f.begin(now);
-            double waits = plant == Plant.LONG_WATCH && call.waitMs() > 1 ? 20_000 : call.waitMs();
-            double limit = plant == Plant.NO_LIMIT ? 20_000 : call.limitMs() - call.waitMs() + waits;
-            Way way = up ? Way.WELL : Way.values()[random.nextInt(Way.WELL.ordinal())];
-            boolean lost = up && heard && random.nextInt(10) == 0;
-            End end = switch (lost ? Way.SILENT : way) {
-                case REFUSED -> new End(now + 1, false, false);
-                case TURNED_AWAY, CUT -> new End(now + random.nextDouble(Math.min(limit, 3000)), false, false);
-                case NEVER_UP -> new End(now + Math.min(limit, 1000), false, false);
-                case SILENT, TRICKLES -> new End(now + limit, false, true);
-                case WELL -> new End(now + Math.min(limit, waits + random.nextDouble(1000)), true, false);
+        }
+
+        private PollResult send(DiscoveryPoll poll) {
+            double waitMs = defect == InjectedDefect.LONG_POLL_WAIT && poll.waitMs() > 1 ? 20_000 : poll.waitMs();
+            double timeoutMs = defect == InjectedDefect.NO_TIMEOUT ? 20_000 : poll.timeoutMs() - poll.waitMs() + waitMs;
+            return switch (nextOutcome()) {
+                case REFUSED -> new PollResult(nowMs + 1, false, false);
+                case REJECTED, CONNECTION_CLOSED ->
+                    new PollResult(nowMs + random.nextDouble(Math.min(timeoutMs, 3000)), false, false);
+                case CONNECT_TIMEOUT -> new PollResult(nowMs + Math.min(timeoutMs, 1000), false, false);
+                case SILENT, PARTIAL_RESPONSE -> new PollResult(nowMs + timeoutMs, false, true);
+                case SUCCESS ->
+                    new PollResult(nowMs + Math.min(timeoutMs, waitMs + random.nextDouble(1000)), true, false);
             };
-            if (end.sound() && end.at() > ends) { // it went down meanwhile
-                end = new End(Math.max(ends, now), false, false);
+        }
+
+        private PollOutcome nextOutcome() {
+            PollOutcome outcome = reachable ? PollOutcome.SUCCESS : FAILURES.get(random.nextInt(FAILURES.size()));
+            boolean lostResponse = reachable && lastSucceeded && random.nextInt(10) == 0;
+            return lostResponse ? PollOutcome.SILENT : outcome;
+        }
+
+        private void report(PollResult result) {
+            lastSucceeded = result.success();
+            if (lastSucceeded) {
+                longestMs = Math.max(longestMs, nowMs - freshSinceMs);
+                freshSinceMs = nowMs;
+                scheduler.succeeded(nowMs);
+                return;
             }
-            now = end.at();
-            heard = end.sound();
-            if (heard) {
-                worst = Math.max(worst, now - fresh);
-                fresh = now;
-                f.answered(now);
-            } else {
-                f.failed(now, end.silent());
-                if (plant == Plant.LONG_RETRY) {
-                    now += 5000;
-                }
+            scheduler.failed(nowMs, result.silent());
+            if (defect == InjectedDefect.LONG_RETRY) {
+                nowMs += 5000;
             }
         }
-        return worst;
     }
 
-    private static double[] worsts(int walks, Plant plant) {
-        double[] all = new double[walks];
-        for (int i = 0; i < walks; i++) {
-            all[i] = worst(i, i % 3 != 0, i % 2 == 0 ? 5 : 100, plant);
+    private static double[] sortedStalenessMs(int walkCount, InjectedDefect defect) {
+        double[] all = new double[walkCount];
+        for (int i = 0; i < walkCount; i++) {
+            all[i] = new RandomWalk(i, i % 3 != 0, i % 2 == 0 ? 5 : 100, defect).longestStalenessMs();
         }
         Arrays.sort(all);
         return all;
     }
 
     @Test
-    void soundDiscoveryIsHeardWithinTheBoundWhateverWentBefore() {
-        double[] all = worsts(20_000, Plant.NONE);
+    void keepsStalenessWithinBoundWhileDiscoveryIsReachable() {
+        double[] all = sortedStalenessMs(20_000, InjectedDefect.NONE);
         System.out.printf(
-                "list freshness: 20000 walks, ms without a sound answer p50 %.0f, p99 %.0f, max %.0f of %.0f%n",
-                all[10_000], all[19_800], all[19_999], DiscoveryPollScheduler.BOUND_MS);
-        assertThat(all[19_999]).isLessThanOrEqualTo(DiscoveryPollScheduler.BOUND_MS);
+                "list staleness: 20000 walks, ms without a success p50 %.0f, p99 %.0f, max %.0f of %.0f%n",
+                all[10_000], all[19_800], all[19_999], DiscoveryPollScheduler.MAX_STALENESS_MS);
+        assertThat(all[19_999]).isLessThanOrEqualTo(DiscoveryPollScheduler.MAX_STALENESS_MS);
     }
 
     @Test
-    void theWalkFindsFaultsThatArePutIn() {
-        for (Plant p : new Plant[] {Plant.LONG_WATCH, Plant.NO_LIMIT, Plant.LONG_RETRY}) {
-            double[] all = worsts(500, p);
-            assertThat(all[499]).as(p.name()).isGreaterThan(DiscoveryPollScheduler.BOUND_MS);
+    void randomWalkDetectsInjectedDefects() {
+        for (InjectedDefect defect : new InjectedDefect[] {
+            InjectedDefect.LONG_POLL_WAIT, InjectedDefect.NO_TIMEOUT, InjectedDefect.LONG_RETRY
+        }) {
+            double[] all = sortedStalenessMs(500, defect);
+            assertThat(all[499]).as(defect.name()).isGreaterThan(DiscoveryPollScheduler.MAX_STALENESS_MS);
         }
     }
 
     @Test
-    void aCallThatWaitsAndFallsSilentLeavesTimeForTwoThatAskAtOnce() {
-        DiscoveryPollScheduler f = new DiscoveryPollScheduler(true, 100, new SplittableRandom(1));
-        f.follow(0, true);
-        DiscoveryPollScheduler.Call watch = f.begin(0);
-        assertThat(watch.waitMs()).isEqualTo(DiscoveryPollScheduler.WATCH_MS);
-        double now = watch.limitMs();
-        f.failed(now, true);
-        assertThat(f.dueAt()).isEqualTo(now);
-        DiscoveryPollScheduler.Call ask = f.begin(now);
-        assertThat(ask.waitMs()).isEqualTo(DiscoveryPollScheduler.ASK_MS);
-        assertThat(now + ask.limitMs()).isLessThan(DiscoveryPollScheduler.BOUND_MS);
-        f.answered(now + 5);
-        assertThat(f.begin(now + 5).waitMs()).isEqualTo(DiscoveryPollScheduler.WATCH_MS);
+    void silentLongPollLeavesTimeForImmediatePollWithinStalenessBound() {
+        DiscoveryPollScheduler scheduler = new DiscoveryPollScheduler(true, 100, new SplittableRandom(1));
+        scheduler.setFollowing(0, true);
+        DiscoveryPoll longPoll = scheduler.beginPoll(0);
+        assertThat(longPoll.waitMs()).isEqualTo(DiscoveryPollScheduler.LONG_POLL_WAIT_MS);
+        double nowMs = longPoll.timeoutMs();
+        scheduler.failed(nowMs, true);
+        assertThat(scheduler.nextPollAtMs()).isEqualTo(nowMs);
+        DiscoveryPoll immediatePoll = scheduler.beginPoll(nowMs);
+        assertThat(immediatePoll.waitMs()).isEqualTo(DiscoveryPollScheduler.IMMEDIATE_POLL_WAIT_MS);
+        assertThat(nowMs + immediatePoll.timeoutMs()).isLessThan(DiscoveryPollScheduler.MAX_STALENESS_MS);
+        scheduler.succeeded(nowMs + 5);
+        assertThat(scheduler.beginPoll(nowMs + 5).waitMs()).isEqualTo(DiscoveryPollScheduler.LONG_POLL_WAIT_MS);
     }
 
-    /** What is given up in discovery's queue only lengthens it. */
+    /** Giving up polls that are queued at a slow discovery would only lengthen its queue. */
     @Test
-    void aSlowDiscoveryIsGivenMoreTimeAndNoMoreThanIsBounded() {
-        DiscoveryPollScheduler f = new DiscoveryPollScheduler(true, 100, new SplittableRandom(1));
-        f.follow(0, true);
-        double now = 0;
+    void extendsTimeoutsForSlowDiscoveryUpToTheMaximum() {
+        DiscoveryPollScheduler scheduler = new DiscoveryPollScheduler(true, 100, new SplittableRandom(1));
+        scheduler.setFollowing(0, true);
+        double nowMs = 0;
         for (int i = 0; i < 20; i++) {
-            double limit = f.begin(now).limitMs();
-            assertThat(limit)
-                    .isLessThanOrEqualTo(DiscoveryPollScheduler.WATCH_MS + DiscoveryPollScheduler.MOST_LIMIT_MS);
-            now += limit;
-            f.failed(now, true);
-            assertThat(f.dueAt() - now).isBetween(0.0, DiscoveryPollScheduler.LEAST_RETRY_MS);
-            now = f.dueAt();
+            double timeoutMs = scheduler.beginPoll(nowMs).timeoutMs();
+            assertThat(timeoutMs)
+                    .isLessThanOrEqualTo(
+                            DiscoveryPollScheduler.LONG_POLL_WAIT_MS + DiscoveryPollScheduler.MAX_RESPONSE_TIMEOUT_MS);
+            nowMs += timeoutMs;
+            scheduler.failed(nowMs, true);
+            assertThat(scheduler.nextPollAtMs() - nowMs).isBetween(0.0, DiscoveryPollScheduler.MIN_RETRY_CAP_MS);
+            nowMs = scheduler.nextPollAtMs();
         }
-        assertThat(f.begin(now).limitMs())
-                .isEqualTo(DiscoveryPollScheduler.ASK_MS + DiscoveryPollScheduler.MOST_LIMIT_MS);
-        f.answered(now + 1800);
-        assertThat(f.begin(now + 1800).limitMs())
+        assertThat(scheduler.beginPoll(nowMs).timeoutMs())
                 .isEqualTo(
-                        DiscoveryPollScheduler.WATCH_MS + 2 * (1800 - DiscoveryPollScheduler.ASK_MS),
-                        org.assertj.core.api.Assertions.within(1e-6));
+                        DiscoveryPollScheduler.IMMEDIATE_POLL_WAIT_MS + DiscoveryPollScheduler.MAX_RESPONSE_TIMEOUT_MS);
+        scheduler.succeeded(nowMs + 1800);
+        assertThat(scheduler.beginPoll(nowMs + 1800).timeoutMs())
+                .isEqualTo(
+                        DiscoveryPollScheduler.LONG_POLL_WAIT_MS
+                                + 2 * (1800 - DiscoveryPollScheduler.IMMEDIATE_POLL_WAIT_MS),
+                        within(1e-6));
     }
 
     @Test
-    void whoIsTurnedAwayWithManyOthersComesBackSpreadOverTime() {
+    void spreadsRetriesOfClientsRejectedTogether() {
         SplittableRandom random = new SplittableRandom(7);
         double sum = 0;
         for (int i = 0; i < 100; i++) {
-            DiscoveryPollScheduler f = new DiscoveryPollScheduler(true, 100, random.split());
-            f.follow(0, true);
-            double now = 0;
+            DiscoveryPollScheduler scheduler = new DiscoveryPollScheduler(true, 100, random.split());
+            scheduler.setFollowing(0, true);
+            double nowMs = 0;
             for (int k = 0; k < 6; k++) {
-                f.begin(now);
-                f.failed(now, false);
-                assertThat(f.dueAt() - now).isBetween(0.0, DiscoveryPollScheduler.MOST_RETRY_MS);
-                now = f.dueAt();
+                scheduler.beginPoll(nowMs);
+                scheduler.failed(nowMs, false);
+                assertThat(scheduler.nextPollAtMs() - nowMs).isBetween(0.0, DiscoveryPollScheduler.MAX_RETRY_CAP_MS);
+                nowMs = scheduler.nextPollAtMs();
             }
-            f.begin(now);
-            f.failed(now, false);
-            sum += f.dueAt() - now;
+            scheduler.beginPoll(nowMs);
+            scheduler.failed(nowMs, false);
+            sum += scheduler.nextPollAtMs() - nowMs;
         }
         assertThat(sum / 100)
-                .isBetween(DiscoveryPollScheduler.MOST_RETRY_MS * 0.4, DiscoveryPollScheduler.MOST_RETRY_MS * 0.6);
+                .isBetween(
+                        DiscoveryPollScheduler.MAX_RETRY_CAP_MS * 0.4, DiscoveryPollScheduler.MAX_RETRY_CAP_MS * 0.6);
     }
 
     @Test
-    void whereOthersWatchItCallsOnlyWhenAskedAndUntilAFirstAnswer() {
-        DiscoveryPollScheduler f = new DiscoveryPollScheduler(true, 5, new SplittableRandom(1));
-        f.closely(0, false);
-        f.follow(0, true);
-        f.begin(0);
-        f.answered(1);
-        assertThat(f.dueAt()).isInfinite();
-        f.ask(2);
-        f.begin(2);
-        f.ask(3); // heard while it is out: answered first, then once more
-        assertThat(f.out()).isTrue();
-        f.answered(4);
-        assertThat(f.dueAt()).isEqualTo(4);
-        f.begin(4);
-        f.answered(5);
-        assertThat(f.dueAt()).isInfinite();
-        f.closely(6, true);
-        assertThat(f.dueAt()).isEqualTo(6);
+    void pollsOnlyOnRequestAfterFirstSuccessWhenNotLongPolling() {
+        DiscoveryPollScheduler scheduler = new DiscoveryPollScheduler(true, 5, new SplittableRandom(1));
+        scheduler.setLongPolling(0, false);
+        scheduler.setFollowing(0, true);
+        scheduler.beginPoll(0);
+        scheduler.succeeded(1);
+        assertThat(scheduler.nextPollAtMs()).isInfinite();
+        scheduler.pollNow(2);
+        scheduler.beginPoll(2);
+        scheduler.pollNow(3); // while one is in flight: that one ends first, then another follows
+        assertThat(scheduler.inFlight()).isTrue();
+        scheduler.succeeded(4);
+        assertThat(scheduler.nextPollAtMs()).isEqualTo(4);
+        scheduler.beginPoll(4);
+        scheduler.succeeded(5);
+        assertThat(scheduler.nextPollAtMs()).isInfinite();
+        scheduler.setLongPolling(6, true);
+        assertThat(scheduler.nextPollAtMs()).isEqualTo(6);
     }
 
     @Test
-    void aMovedDiscoveryForgetsWhatWasOutAndItsFailures() {
-        DiscoveryPollScheduler f = new DiscoveryPollScheduler(true, 100, new SplittableRandom(1));
-        f.follow(0, true);
-        for (double now = 0, i = 0; i < 8; i++, now = f.dueAt()) {
-            f.begin(now);
-            f.failed(now, false);
+    void addressChangeDropsPollInFlightAndFailureCount() {
+        DiscoveryPollScheduler scheduler = new DiscoveryPollScheduler(true, 100, new SplittableRandom(1));
+        scheduler.setFollowing(0, true);
+        for (double nowMs = 0, i = 0; i < 8; i++, nowMs = scheduler.nextPollAtMs()) {
+            scheduler.beginPoll(nowMs);
+            scheduler.failed(nowMs, false);
         }
-        f.moved(9000);
-        assertThat(f.out()).isFalse();
-        assertThat(f.failures()).isZero();
-        assertThat(f.dueAt()).isEqualTo(9000);
-        assertThat(f.begin(9000).limitMs())
-                .isEqualTo(DiscoveryPollScheduler.ASK_MS + DiscoveryPollScheduler.LEAST_LIMIT_MS);
+        scheduler.addressChanged(9000);
+        assertThat(scheduler.inFlight()).isFalse();
+        assertThat(scheduler.consecutiveFailures()).isZero();
+        assertThat(scheduler.nextPollAtMs()).isEqualTo(9000);
+        assertThat(scheduler.beginPoll(9000).timeoutMs())
+                .isEqualTo(
+                        DiscoveryPollScheduler.IMMEDIATE_POLL_WAIT_MS + DiscoveryPollScheduler.MIN_RESPONSE_TIMEOUT_MS);
     }
 }
--- a/src/test/java/cacheproxy/discovery/VersionGossipTest.java
+++ b/src/test/java/cacheproxy/discovery/VersionGossipTest.java
@@ -8,98 +8,103 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/** Who announces a version, and how many messages a change takes in a fleet. */
 class VersionGossipTest {
-    private final VersionGossip news = new VersionGossip();
+    private final VersionGossip gossip = new VersionGossip();
 
     @Test
-    void aVersionIsToldOnce() {
-        assertThat(news.message(41)).isNull();
-        news.told();
-        byte[] message = news.message(41);
-        assertThat(VersionGossip.is(message)).isTrue();
-        assertThat(VersionGossip.version(message)).isEqualTo(41);
-        assertThat(news.message(41)).isNull();
+    void announcesEachVersionOnce() {
+        assertThat(gossip.takeMessage(41)).isNull();
+        gossip.versionChanged();
+        byte[] message = gossip.takeMessage(41);
+        assertThat(VersionGossip.isVersionMessage(message)).isTrue();
+        assertThat(VersionGossip.decodeVersion(message)).isEqualTo(41);
+        assertThat(gossip.takeMessage(41)).isNull();
     }
 
     @Test
-    void whoHeardItFromTwoOthersBeforeOrAfterSaysNothing() {
-        news.heard(3, 42);
-        news.told();
-        news.heard(5, 42);
-        assertThat(news.message(42)).isNull();
+    void suppressesAnnouncementHeardFromTwoPeers() {
+        gossip.received(3, 42);
+        gossip.versionChanged();
+        gossip.received(5, 42);
+        assertThat(gossip.takeMessage(42)).isNull();
     }
 
     @Test
-    void oneOtherAnEarlierVersionOrALaterOneIsNotEnough() {
-        news.told();
-        news.heard(3, 42);
-        news.heard(3, 42); // doubled on its way
-        assertThat(news.message(42)).isNotNull();
-        news.told();
-        news.heard(4, 42);
-        news.heard(5, 42);
-        assertThat(news.message(43)).isNotNull();
-        news.told();
-        news.heard(4, Long.MAX_VALUE); // false, and must not silence what is true
-        news.heard(5, Long.MAX_VALUE);
-        assertThat(news.message(44)).isNotNull();
+    void announcesUnlessTwoPeersSentThisVersion() {
+        gossip.versionChanged();
+        gossip.received(3, 42);
+        gossip.received(3, 42); // duplicated datagram
+        assertThat(gossip.takeMessage(42)).isNotNull();
+        gossip.versionChanged();
+        gossip.received(4, 42);
+        gossip.received(5, 42);
+        assertThat(gossip.takeMessage(43)).isNotNull();
+        gossip.versionChanged();
+        gossip.received(4, Long.MAX_VALUE); // a false version must not suppress a true one
+        gossip.received(5, Long.MAX_VALUE);
+        assertThat(gossip.takeMessage(44)).isNotNull();
     }
 
     @Test
-    void whatIsCutOrOfAnotherKindIsNoVersion() {
-        assertThat(VersionGossip.is(new byte[0])).isFalse();
-        assertThat(VersionGossip.is(new byte[VersionGossip.LENGTH])).isFalse();
-        assertThat(VersionGossip.is(new byte[] {'V', 0, 0, 0})).isFalse();
-        assertThat(VersionGossip.is(new byte[256])).isFalse();
+    void rejectsTruncatedAndForeignMessages() {
+        assertThat(VersionGossip.isVersionMessage(new byte[0])).isFalse();
+        assertThat(VersionGossip.isVersionMessage(new byte[VersionGossip.MESSAGE_BYTES]))
+                .isFalse();
+        assertThat(VersionGossip.isVersionMessage(new byte[] {'V', 0, 0, 0})).isFalse();
+        assertThat(VersionGossip.isVersionMessage(new byte[256])).isFalse();
     }
 
-    private record Event(double at, Runnable run) {}
+    private record Event(double atMs, Runnable action) {}
 
     /**
-     * 72 proxies hear of a change within 1.5 s, but for those whose watch is silent. Three in ten messages are lost,
-     * the others take up to 30 ms.
+     * Of 72 proxies all but those with a silent long poll receive a change within 1.5 s. Three in ten messages are
+     * lost, the others take up to 30 ms.
      */
     @Test
-    void allLearnOfAChangeByFewMessagesHoweverManyProxiesThereAre() {
-        for (int silent : new int[] {0, 12, 60}) {
-            SplittableRandom random = new SplittableRandom(silent);
-            PriorityQueue<Event> events = new PriorityQueue<>(Comparator.comparingDouble(Event::at));
-            int proxies = 72;
-            SilentWatchDetector[] doubts = new SilentWatchDetector[proxies];
-            VersionGossip[] all = new VersionGossip[proxies];
+    void spreadsChangeToAllProxiesWithFewMessages() {
+        for (int silentCount : new int[] {0, 12, 60}) {
+            SplittableRandom random = new SplittableRandom(silentCount);
+            PriorityQueue<Event> events = new PriorityQueue<>(Comparator.comparingDouble(Event::atMs));
+            int proxyCount = 72;
+            SilentWatchDetector[] detectors = new SilentWatchDetector[proxyCount];
+            VersionGossip[] gossips = new VersionGossip[proxyCount];
             int[] sent = {0};
-            for (int p = 0; p < proxies; p++) {
-                int me = p;
-                doubts[p] = new SilentWatchDetector(3500, 1000, 0);
-                doubts[p].told(41, true, List.of());
-                all[p] = new VersionGossip();
-                if (p < silent) {
+            for (int proxy = 0; proxy < proxyCount; proxy++) {
+                int self = proxy;
+                detectors[proxy] = new SilentWatchDetector(3500, 1000, 0);
+                detectors[proxy].listReceived(41, true, List.of());
+                gossips[proxy] = new VersionGossip();
+                if (proxy < silentCount) {
                     continue;
                 }
-                double told = random.nextDouble() * 1500;
-                events.add(new Event(told, all[me]::told));
-                events.add(new Event(told + 300.0 * p / proxies, () -> {
-                    byte[] message = all[me].message(42);
+                double toldAtMs = random.nextDouble() * 1500;
+                events.add(new Event(toldAtMs, gossips[self]::versionChanged));
+                events.add(new Event(toldAtMs + 300.0 * proxy / proxyCount, () -> {
+                    byte[] message = gossips[self].takeMessage(42);
                     sent[0] += message == null ? 0 : 1;
-                    for (int to = 0; message != null && to < all.length; to++) {
+                    for (int to = 0; message != null && to < gossips.length; to++) {
                         int other = to;
-                        double at = told + 300.0 * me / all.length + 3.6 + random.nextDouble() * 26.4;
-                        if (to != me && random.nextInt(10) >= 3) {
-                            events.add(new Event(at, () -> {
-                                all[other].heard(me, VersionGossip.version(message));
-                                doubts[other].claimed(at, VersionGossip.version(message));
+                        double receivedAtMs =
+                                toldAtMs + 300.0 * self / gossips.length + 3.6 + random.nextDouble() * 26.4;
+                        if (to != self && random.nextInt(10) >= 3) {
+                            events.add(new Event(receivedAtMs, () -> {
+                                gossips[other].received(self, VersionGossip.decodeVersion(message));
+                                detectors[other].versionClaimed(receivedAtMs, VersionGossip.decodeVersion(message));
                             }));
                         }
                     }
                 }));
             }
             while (!events.isEmpty()) {
-                events.poll().run().run();
+                events.poll().action().run();
             }
-            for (int p = 0; p < silent; p++) {
-                assertThat(doubts[p].dueAt()).as("proxy " + p + " of " + silent).isLessThan(3000);
+            for (int proxy = 0; proxy < silentCount; proxy++) {
+                assertThat(detectors[proxy].nextPollAtMs())
+                        .as("proxy " + proxy + " of " + silentCount)
+                        .isLessThan(3000);
             }
-            assertThat(sent[0]).as("messages, " + silent + " silent").isBetween(2, 16);
+            assertThat(sent[0]).as("messages, " + silentCount + " silent").isBetween(2, 16);
         }
     }
 }
--- a/src/test/java/cacheproxy/fleet/membership/MembershipGoldenBytesTest.java
+++ b/src/test/java/cacheproxy/fleet/membership/MembershipGoldenBytesTest.java
@@ -69,8 +69,8 @@
     void aWordOfWhoWatchesHasItsBytes(boolean later, String code, String epochBytes) {
         byte[] golden = HexBytes.parse(code + "f1f2f3f4f5f6f7f8" + epochBytes + "000000000000002a ffffffffffffffff");
         WatchVersionMessage word = new WatchVersionMessage(later, PEER, Long.parseLong(epochBytes, 16), 42, -1);
-        assertThat(word.bytes()).isEqualTo(golden);
-        assertThat(WatchVersionMessage.of(golden)).isEqualTo(word);
+        assertThat(word.encode()).isEqualTo(golden);
+        assertThat(WatchVersionMessage.decode(golden)).isEqualTo(word);
     }
 
     @ParameterizedTest
@@ -78,9 +78,9 @@
     void newsOfAListHasItsBytes(long version, String bytes) {
         byte[] golden = HexBytes.parse("56" + bytes);
         VersionGossip news = new VersionGossip();
-        news.told();
-        assertThat(news.message(version)).isEqualTo(golden);
-        assertThat(VersionGossip.is(golden)).isTrue();
-        assertThat(VersionGossip.version(golden)).isEqualTo(version);
+        news.versionChanged();
+        assertThat(news.takeMessage(version)).isEqualTo(golden);
+        assertThat(VersionGossip.isVersionMessage(golden)).isTrue();
+        assertThat(VersionGossip.decodeVersion(golden)).isEqualTo(version);
     }
 }
--- a/src/test/java/cacheproxy/handover/HandoverTest.java
+++ b/src/test/java/cacheproxy/handover/HandoverTest.java
@@ -19,8 +19,10 @@
 import java.net.UnixDomainSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.channels.ServerSocketChannel;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
+import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.AfterEach;
@@ -28,7 +30,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two event loops stand for two processes. */
+/** Offers a socket on one event loop and receives it on another, as two processes do. */
 @Timeout(60)
 class HandoverTest {
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(2, EpollIoHandler.newFactory());
@@ -43,27 +45,29 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    private static ServerBootstrap counting(EventLoop loop, AtomicInteger taken) {
-        return new ServerBootstrap().group(loop).childHandler(new Greeter(taken));
+    private static ServerBootstrap counting(EventLoop loop, AtomicInteger accepted) {
+        return new ServerBootstrap().group(loop).childHandler(new CountingGreeter(accepted));
     }
 
     @io.netty.channel.ChannelHandler.Sharable
-    private static final class Greeter extends ChannelInboundHandlerAdapter {
-        private final AtomicInteger taken;
+    private static final class CountingGreeter extends ChannelInboundHandlerAdapter {
+        private final AtomicInteger accepted;
 
-        Greeter(AtomicInteger taken) {
-            this.taken = taken;
+        CountingGreeter(AtomicInteger accepted) {
+            this.accepted = accepted;
         }
 
         @Override
+        @SuppressWarnings("FutureReturnValueIgnored") // a failed write fails the test at the client
         public void channelActive(ChannelHandlerContext ctx) {
-            taken.incrementAndGet();
+            accepted.incrementAndGet();
             ctx.writeAndFlush(ctx.alloc().buffer(1).writeByte('x'));
         }
     }
 
     @Test
-    void whatIsQueuedWhileTheFirstStopsIsTakenByTheSecond() throws Exception {
+    @SuppressWarnings("FutureReturnValueIgnored") // the test waits for the listener's close future
+    void successorAcceptsConnectionsQueuedWhilePredecessorStops() throws Exception {
         AtomicInteger byFirst = new AtomicInteger();
         AtomicInteger bySecond = new AtomicInteger();
         EpollServerSocketChannel listening = (EpollServerSocketChannel) counting(first, byFirst)
@@ -72,47 +76,49 @@
                 .sync()
                 .channel();
         int port = listening.localAddress().getPort();
-        Path path = Handover.path(folder, port);
+        Path path = HandoverPath.of(folder, port);
         Handover offer = Handover.offer(first, path, listening.fd().intValue(), null);
         assertThat(first.submit(offer::hasSuccessor).get()).isFalse();
-        Handover.Taken taken = Handover.take(second, path, 30_000);
-        assertThat(taken).isNotNull();
+        Optional<InheritedSocket> inheritedSocket = HandoverReceiver.receive(second, path, 30_000);
+        assertThat(inheritedSocket).isPresent();
+        InheritedSocket inherited = inheritedSocket.orElseThrow();
         assertThat(first.submit(offer::hasSuccessor).get()).isTrue();
-        // The first stops before the second takes anything: what comes in between has only the shared queue.
-        first.submit(() -> listening.deregister().addListener(f -> listening.close()))
+        // The first stops before the second accepts: connections in between wait in the shared queue.
+        first.submit(() -> listening.deregister().addListener(future -> listening.close()))
                 .get();
         listening.closeFuture().sync();
-        try (Socket a = new Socket(InetAddress.getByName("127.0.0.1"), port);
-                Socket b = new Socket(InetAddress.getByName("127.0.0.1"), port)) {
+        try (Socket firstClient = new Socket(InetAddress.getLoopbackAddress(), port);
+                Socket secondClient = new Socket(InetAddress.getLoopbackAddress(), port)) {
             Channel adopted = counting(second, bySecond)
-                    .channelFactory(() -> new EpollServerSocketChannel(taken.descriptor()))
+                    .channelFactory(() -> new EpollServerSocketChannel(inherited.descriptor()))
                     .register()
                     .sync()
                     .channel();
             assertThat(((InetSocketAddress) adopted.localAddress()).getPort()).isEqualTo(port);
-            assertThat(a.getInputStream().read()).isEqualTo('x');
-            assertThat(b.getInputStream().read()).isEqualTo('x');
+            assertThat(firstClient.getInputStream().read()).isEqualTo('x');
+            assertThat(secondClient.getInputStream().read()).isEqualTo('x');
             assertThat(byFirst).hasValue(0);
             assertThat(bySecond).hasValue(2);
-            // One after another: the second offers it on at the same path, and the first's end leaves that alone.
-            Handover next = Handover.offer(second, path, taken.descriptor(), taken.line());
+            // The second offers the socket at the same path; closing the first offer must not remove that.
+            Handover next = Handover.offer(second, path, inherited.descriptor(), inherited.predecessor());
             first.submit(offer::close).get();
-            Handover.Taken third = Handover.take(first, path, 30_000);
-            assertThat(third).isNotNull();
+            Optional<InheritedSocket> thirdSocket = HandoverReceiver.receive(first, path, 30_000);
+            assertThat(thirdSocket).isPresent();
+            InheritedSocket third = thirdSocket.orElseThrow();
             assertThat(second.submit(next::hasSuccessor).get()).isTrue();
-            third.line().close().sync();
+            third.predecessor().close().sync();
             while (second.submit(next::hasSuccessor).get()) {
-                Thread.onSpinWait(); // a successor that dies is none
+                Thread.onSpinWait(); // a successor that has died no longer counts
             }
         }
     }
 
     @Test
-    void nothingIsTakenWhereNobodyOffersOrWhoOfferedHasDied() throws Exception {
-        Path path = Handover.path(folder, 1);
-        assertThat(Handover.take(first, path, 30_000)).isNull();
+    void receivesNothingWithoutLivePredecessor() throws Exception {
+        Path path = HandoverPath.of(folder, 1);
+        assertThat(HandoverReceiver.receive(first, path, 30_000)).isEmpty();
         Files.createFile(path);
-        assertThat(Handover.take(first, path, 30_000)).isNull();
+        assertThat(HandoverReceiver.receive(first, path, 30_000)).isEmpty();
         Files.delete(path);
         EpollServerSocketChannel listening = (EpollServerSocketChannel) counting(first, new AtomicInteger())
                 .channel(EpollServerSocketChannel.class)
@@ -125,8 +131,8 @@
     }
 
     @Test
-    void whatAProcessThatWasKilledLeftThereIsReplaced() throws Exception {
-        Path path = Handover.path(folder, 1);
+    void replacesFileLeftByKilledProcess() throws Exception {
+        Path path = HandoverPath.of(folder, 1);
         Files.createFile(path);
         EpollServerSocketChannel listening = (EpollServerSocketChannel) counting(first, new AtomicInteger())
                 .channel(EpollServerSocketChannel.class)
@@ -134,73 +140,72 @@
                 .sync()
                 .channel();
         Handover.offer(first, path, listening.fd().intValue(), null);
-        Handover.Taken taken = Handover.take(second, path, 30_000);
-        assertThat(taken).isNotNull();
+        assertThat(HandoverReceiver.receive(second, path, 30_000)).isPresent();
     }
 
     @Test
-    void aPathThatIsALinkADirectoryOrASocketThatGivesNothingStopsNobody() throws Exception {
+    void receivesNothingFromLinkDirectoryOrForeignSocket() throws Exception {
         EpollServerSocketChannel listening = (EpollServerSocketChannel) counting(first, new AtomicInteger())
                 .channel(EpollServerSocketChannel.class)
                 .bind("127.0.0.1", 0)
                 .sync()
                 .channel();
         int descriptor = listening.fd().intValue();
-        // A link is replaced itself; what it points to is left alone.
+        // A link is replaced itself; its target is left alone.
         Path precious = Files.writeString(folder.resolve("precious"), "x");
-        Path link = Files.createSymbolicLink(Handover.path(folder, 1), precious);
-        assertThat(Handover.take(second, link, 30_000)).isNull();
+        Path link = Files.createSymbolicLink(HandoverPath.of(folder, 1), precious);
+        assertThat(HandoverReceiver.receive(second, link, 30_000)).isEmpty();
         Handover.offer(first, link, descriptor, null);
         assertThat(Files.isSymbolicLink(link)).isFalse();
         assertThat(precious).hasContent("x");
-        assertThat(Handover.take(second, link, 30_000)).isNotNull();
-        Path dangling = Files.createSymbolicLink(Handover.path(folder, 2), folder.resolve("nowhere"));
-        assertThat(Handover.take(second, dangling, 30_000)).isNull();
+        assertThat(HandoverReceiver.receive(second, link, 30_000)).isPresent();
+        Path dangling = Files.createSymbolicLink(HandoverPath.of(folder, 2), folder.resolve("nowhere"));
+        assertThat(HandoverReceiver.receive(second, dangling, 30_000)).isEmpty();
         Handover.offer(first, dangling, descriptor, null);
-        assertThat(Handover.take(second, dangling, 30_000)).isNotNull();
-        Path directory = Files.createDirectories(Handover.path(folder, 3).resolve("full"))
+        assertThat(HandoverReceiver.receive(second, dangling, 30_000)).isPresent();
+        Path directory = Files.createDirectories(HandoverPath.of(folder, 3).resolve("full"))
                 .getParent();
-        assertThat(Handover.take(second, directory, 30_000)).isNull();
+        assertThat(HandoverReceiver.receive(second, directory, 30_000)).isEmpty();
         assertThatThrownBy(() -> Handover.offer(first, directory, descriptor, null))
                 .isInstanceOf(IOException.class);
-        // One that takes the call and says nothing, and one that says what is no descriptor.
-        for (String said : new String[] {"", "noise"}) {
-            Path silent = folder.resolve("silent" + said.length());
+        // One process accepts and sends nothing, the other sends data without a descriptor.
+        for (String sent : new String[] {"", "noise"}) {
+            Path silent = folder.resolve("silent" + sent.length());
             try (ServerSocketChannel other = ServerSocketChannel.open(StandardProtocolFamily.UNIX)) {
                 other.bind(UnixDomainSocketAddress.of(silent));
                 Thread talker = new Thread(() -> {
                     try {
-                        other.accept().write(ByteBuffer.wrap(said.getBytes()));
+                        other.accept().write(ByteBuffer.wrap(sent.getBytes(StandardCharsets.US_ASCII)));
                     } catch (IOException e) {
                         // the test has ended
                     }
                 });
                 talker.setDaemon(true);
                 talker.start();
-                assertThat(Handover.take(second, silent, 200)).isNull();
+                assertThat(HandoverReceiver.receive(second, silent, 200)).isEmpty();
             }
         }
     }
 
     @Test
-    void noMoreThanTheBoundAskAtOnce() throws Exception {
-        Path path = Handover.path(folder, 1);
+    void rejectsSuccessorsBeyondTheMaximum() throws Exception {
+        Path path = HandoverPath.of(folder, 1);
         EpollServerSocketChannel listening = (EpollServerSocketChannel) counting(first, new AtomicInteger())
                 .channel(EpollServerSocketChannel.class)
                 .bind("127.0.0.1", 0)
                 .sync()
                 .channel();
         Handover.offer(first, path, listening.fd().intValue(), null);
-        for (int i = 0; i < Handover.MAX_ASKERS; i++) {
-            assertThat(Handover.take(second, path, 30_000)).isNotNull();
+        for (int i = 0; i < Handover.MAX_SUCCESSORS; i++) {
+            assertThat(HandoverReceiver.receive(second, path, 30_000)).isPresent();
         }
-        assertThat(Handover.take(second, path, 30_000)).isNull();
+        assertThat(HandoverReceiver.receive(second, path, 30_000)).isEmpty();
     }
 
     @Test
-    void aFolderTooDeepForASocketIsToldAndNothingIsTakenThere() throws Exception {
+    void rejectsPathTooLongForSocketAddress() throws Exception {
         Path deep = Path.of("/" + "d".repeat(120), "x");
-        assertThat(Handover.take(first, deep, 30_000)).isNull();
+        assertThat(HandoverReceiver.receive(first, deep, 30_000)).isEmpty();
         assertThatThrownBy(() -> Handover.offer(first, deep, 0, null))
                 .isInstanceOf(IOException.class)
                 .hasMessageContaining("too long");
