--- a/src/test/java/cacheproxy/lifecycle/LifecycleTest.java
+++ b/src/test/java/cacheproxy/lifecycle/LifecycleTest.java
@@ -3,121 +3,120 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import cacheproxy.lifecycle.Lifecycle.Periods;
-import cacheproxy.lifecycle.Lifecycle.State;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** What a process owes its clients, without sockets or clocks. */
+/** Which connections {@link Lifecycle} accepts and closes in each state. */
 class LifecycleTest {
-    private static final Periods P = new Periods(400, 1000, 500, 300);
+    private static final LifecycleTiming TIMING = new LifecycleTiming(400, 1000, 500, 300);
 
     @Test
-    void standbySaysNoAtOnceGoesOnListeningAndEndsConnectionsEvenlyAfterItsHold() {
-        Lifecycle life = new Lifecycle(P);
-        assertThat(life.takesClients()).isTrue();
-        assertThat(life.share(50)).isZero();
-        assertThat(life.standby(1000)).isTrue();
-        assertThat(life.takesClients()).isFalse();
-        assertThat(life.listens(9000)).isTrue();
-        assertThat(life.share(1400)).isZero();
-        assertThat(life.share(1900)).isEqualTo(0.5);
-        assertThat(life.share(2400)).isEqualTo(1);
-        assertThat(life.share(90_000)).isEqualTo(1);
+    void standbyRejectsClientsAtOnceAndDrainsEvenlyAfterItsDelay() {
+        Lifecycle lifecycle = new Lifecycle(TIMING);
+        assertThat(lifecycle.acceptsClients()).isTrue();
+        assertThat(lifecycle.closingFraction(50)).isZero();
+        assertThat(lifecycle.enterStandby(1000)).isTrue();
+        assertThat(lifecycle.acceptsClients()).isFalse();
+        assertThat(lifecycle.acceptsConnections(9000)).isTrue();
+        assertThat(lifecycle.closingFraction(1400)).isZero();
+        assertThat(lifecycle.closingFraction(1900)).isEqualTo(0.5);
+        assertThat(lifecycle.closingFraction(2400)).isEqualTo(1);
+        assertThat(lifecycle.closingFraction(90_000)).isEqualTo(1);
     }
 
     @Test
-    void aSecondStandbyDoesNotBeginAnewAndActiveTakesBackAll() {
-        Lifecycle life = new Lifecycle(P);
-        life.standby(1000);
-        life.standby(1800);
-        assertThat(life.share(1900)).isEqualTo(0.5);
-        assertThat(life.active()).isTrue();
-        assertThat(life.takesClients()).isTrue();
-        assertThat(life.share(1900)).isZero();
-        life.standby(5000);
-        assertThat(life.share(5400)).isZero();
-        assertThat(life.share(5900)).isEqualTo(0.5);
+    void repeatedStandbyKeepsItsStartAndLeavingStandbyResets() {
+        Lifecycle lifecycle = new Lifecycle(TIMING);
+        lifecycle.enterStandby(1000);
+        lifecycle.enterStandby(1800);
+        assertThat(lifecycle.closingFraction(1900)).isEqualTo(0.5);
+        assertThat(lifecycle.leaveStandby()).isTrue();
+        assertThat(lifecycle.acceptsClients()).isTrue();
+        assertThat(lifecycle.closingFraction(1900)).isZero();
+        lifecycle.enterStandby(5000);
+        assertThat(lifecycle.closingFraction(5400)).isZero();
+        assertThat(lifecycle.closingFraction(5900)).isEqualTo(0.5);
     }
 
     @Test
-    void leavingAloneListensOnAndThenEndsAllAndSaysYesToTheLast() {
-        Lifecycle life = new Lifecycle(P);
-        life.leave(1000, false);
-        assertThat(life.takesClients()).isTrue();
-        assertThat(life.listens(1499)).isTrue();
-        assertThat(life.share(1499)).isZero();
-        assertThat(life.listens(1500)).isFalse();
-        assertThat(life.share(1500)).isEqualTo(1);
+    void shutdownWithoutSuccessorListensOnThenClosesAll() {
+        Lifecycle lifecycle = new Lifecycle(TIMING);
+        lifecycle.beginShutdown(1000, false);
+        assertThat(lifecycle.acceptsClients()).isTrue();
+        assertThat(lifecycle.acceptsConnections(1499)).isTrue();
+        assertThat(lifecycle.closingFraction(1499)).isZero();
+        assertThat(lifecycle.acceptsConnections(1500)).isFalse();
+        assertThat(lifecycle.closingFraction(1500)).isEqualTo(1);
     }
 
     @Test
-    void leavingWithASuccessorListensNoMoreAndEndsConnectionsEvenly() {
-        Lifecycle life = new Lifecycle(P);
-        life.leave(1000, true);
-        assertThat(life.listens(1000)).isFalse();
-        assertThat(life.share(1000)).isZero();
-        assertThat(life.share(1150)).isEqualTo(0.5);
-        assertThat(life.share(1300)).isEqualTo(1);
+    void shutdownWithSuccessorStopsListeningAndDrainsEvenly() {
+        Lifecycle lifecycle = new Lifecycle(TIMING);
+        lifecycle.beginShutdown(1000, true);
+        assertThat(lifecycle.acceptsConnections(1000)).isFalse();
+        assertThat(lifecycle.closingFraction(1000)).isZero();
+        assertThat(lifecycle.closingFraction(1150)).isEqualTo(0.5);
+        assertThat(lifecycle.closingFraction(1300)).isEqualTo(1);
     }
 
     @Test
-    void nothingTakesBackTheEnd() {
-        Lifecycle life = new Lifecycle(P);
-        life.standby(500);
-        life.leave(1000, false);
-        life.leave(1400, true); // one that dies meanwhile changes nothing
-        assertThat(life.standby(1100)).isFalse();
-        assertThat(life.active()).isFalse();
-        assertThat(life.state()).isEqualTo(State.LEAVING);
-        assertThat(life.listens(1499)).isTrue();
-        assertThat(life.share(1500)).isEqualTo(1);
+    void shutdownIsFinal() {
+        Lifecycle lifecycle = new Lifecycle(TIMING);
+        lifecycle.enterStandby(500);
+        lifecycle.beginShutdown(1000, false);
+        lifecycle.beginShutdown(1400, true); // a successor that dies meanwhile changes nothing
+        assertThat(lifecycle.enterStandby(1100)).isFalse();
+        assertThat(lifecycle.leaveStandby()).isFalse();
+        assertThat(lifecycle.state()).isEqualTo(LifecycleState.SHUTTING_DOWN);
+        assertThat(lifecycle.acceptsConnections(1499)).isTrue();
+        assertThat(lifecycle.closingFraction(1500)).isEqualTo(1);
     }
 
     @Test
-    void noOrderOfCallsMakesAShareOutsideOfItsRangeOrLetsItFallWithinAState() {
+    void closingFractionStaysInRangeAndNeverFallsWithinAState() {
         SplittableRandom random = new SplittableRandom(7);
         for (int run = 0; run < 2000; run++) {
-            Lifecycle life = new Lifecycle(P);
-            double now = 0;
+            Lifecycle lifecycle = new Lifecycle(TIMING);
+            double nowMs = 0;
             double before = 0;
-            State state = life.state();
+            LifecycleState state = lifecycle.state();
             for (int step = 0; step < 40; step++) {
-                now += random.nextInt(200);
+                nowMs += random.nextInt(200);
                 switch (random.nextInt(12)) {
-                    case 0 -> life.standby(now);
-                    case 1 -> life.active();
-                    case 2 -> life.leave(now, random.nextBoolean());
+                    case 0 -> lifecycle.enterStandby(nowMs);
+                    case 1 -> lifecycle.leaveStandby();
+                    case 2 -> lifecycle.beginShutdown(nowMs, random.nextBoolean());
                     default -> {}
                 }
-                double share = life.share(now);
+                double share = lifecycle.closingFraction(nowMs);
                 assertThat(share).isBetween(0.0, 1.0);
-                if (life.state() == state) {
+                if (lifecycle.state() == state) {
                     assertThat(share).isGreaterThanOrEqualTo(before);
                 }
-                assertThat(life.listens(now) || life.state() == State.LEAVING).isTrue();
-                state = life.state();
+                assertThat(lifecycle.acceptsConnections(nowMs) || lifecycle.state() == LifecycleState.SHUTTING_DOWN)
+                        .isTrue();
+                state = lifecycle.state();
                 before = share;
             }
         }
     }
 
     @Test
-    void placesOfAnyStretchOfNumbersAreSpreadEvenly() {
+    void closingPositionsOfConsecutiveNumbersAreEven() {
         for (long from : new long[] {0, 17, 1_000_000, 1L << 40}) {
             int[] tenths = new int[10];
             for (int i = 0; i < 100; i++) {
-                tenths[(int) (Lifecycle.place(from + i) * 10)]++;
+                tenths[(int) (Lifecycle.closingPosition(from + i) * 10)]++;
             }
-            for (int n : tenths) {
-                assertThat(n).isBetween(8, 12);
+            for (int count : tenths) {
+                assertThat(count).isBetween(8, 12);
             }
         }
     }
 
     @Test
-    void aNegativePeriodIsRefused() {
-        assertThatThrownBy(() -> new Periods(1, -1, 1, 1)).isInstanceOf(IllegalArgumentException.class);
-        assertThatThrownBy(() -> new Periods(Double.NaN, 1, 1, 1)).isInstanceOf(IllegalArgumentException.class);
+    void rejectsNegativePeriods() {
+        assertThatThrownBy(() -> new LifecycleTiming(1, -1, 1, 1)).isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> new LifecycleTiming(Double.NaN, 1, 1, 1)).isInstanceOf(IllegalArgumentException.class);
     }
 }
--- a/src/test/java/cacheproxy/lifecycle/WarmUpPlanTest.java
+++ b/src/test/java/cacheproxy/lifecycle/WarmUpPlanTest.java
@@ -4,15 +4,16 @@
 
 import org.junit.jupiter.api.Test;
 
+/** How many requests {@link WarmUpPlan} asks for. */
 class WarmUpPlanTest {
     @Test
-    void fewProxiesWarmUpForLongManyAreBackSoonAndANewVersionTakesItsTime() {
-        assertThat(WarmUpPlan.of(2, false).requests()).isEqualTo(WarmUpPlan.LONG);
+    void warmsUpFullyInSmallFleetOrBesideRunningProcess() {
+        assertThat(WarmUpPlan.of(2, false).requests()).isEqualTo(WarmUpPlan.FULL_REQUESTS);
         assertThat(WarmUpPlan.of(48, false).requests())
-                .isEqualTo(WarmUpPlan.SHORT)
-                .isLessThan(WarmUpPlan.LONG / 10);
-        assertThat(WarmUpPlan.of(48, true).requests()).isEqualTo(WarmUpPlan.LONG);
-        // Well within the 6 s that a new version has to say yes.
-        assertThat(WarmUpPlan.of(48, true).limitMs()).isLessThan(5000);
+                .isEqualTo(WarmUpPlan.REDUCED_REQUESTS)
+                .isLessThan(WarmUpPlan.FULL_REQUESTS / 10);
+        assertThat(WarmUpPlan.of(48, true).requests()).isEqualTo(WarmUpPlan.FULL_REQUESTS);
+        // Well within the 6 s in which a new version must accept clients.
+        assertThat(WarmUpPlan.of(48, true).timeLimitMs()).isLessThan(5000);
     }
 }
