--- a/src/main/java/cacheproxy/control/ControlServer.java
+++ b/src/main/java/cacheproxy/control/ControlServer.java
@@ -44,7 +44,7 @@
     private Channel listener;
     private boolean evictionScheduled;
 
-    /** Creates a server that is not bound yet. @param handler called on {@code loop} */
+    /** Creates a server that is not bound yet. Its handler is called on {@code loop}. */
     public ControlServer(EventLoop loop, Class<? extends ServerChannel> channelType, ControlRequestHandler handler) {
         this.loop = loop;
         this.channelType = channelType;
--- a/src/main/java/cacheproxy/invariant/InvariantMonitor.java
+++ b/src/main/java/cacheproxy/invariant/InvariantMonitor.java
@@ -13,7 +13,7 @@
     private final Map<Invariant, Long> violationCounts = new EnumMap<>(Invariant.class);
     private InvariantListener listener;
 
-    /** Creates a monitor. @param listener notified of each stopped action and violation */
+    /** Creates a monitor whose listener is notified of each stopped action and violation. */
     public InvariantMonitor(InvariantListener listener) {
         this.listener = listener;
     }
--- a/src/main/java/cacheproxy/proxy/OperatorActions.java
+++ b/src/main/java/cacheproxy/proxy/OperatorActions.java
@@ -9,6 +9,7 @@
 import cacheproxy.handover.InheritedSocket;
 import cacheproxy.lifecycle.Lifecycle;
 import cacheproxy.lifecycle.LifecycleState;
+import io.netty.channel.Channel;
 import io.netty.channel.EventLoop;
 import io.netty.channel.epoll.Epoll;
 import java.io.IOException;
@@ -84,8 +85,9 @@
         }
         if (listener.descriptor() >= 0) {
             try {
-                o.handover =
-                        Handover.offer(loop, path, listener.descriptor(), taken == null ? null : taken.predecessor());
+                Channel predecessor =
+                        inherited.map(InheritedSocket::predecessor).orElse(null);
+                o.handover = Handover.offer(loop, path, listener.descriptor(), predecessor);
             } catch (IOException | RuntimeException e) {
                 core.log("a next version will have a queue of its own: " + e.getMessage());
             }
--- a/src/test/java/cacheproxy/discovery/DelegatedWatchTest.java
+++ b/src/test/java/cacheproxy/discovery/DelegatedWatchTest.java
@@ -124,7 +124,7 @@
 
         @Override
         public long holder(double atMs) {
-            return zone.holder + 1;
+            return zone.holder + 1L;
         }
 
         @Override
