--- a/src/main/java/cacheproxy/limits/PoolAdmissionControl.java
+++ b/src/main/java/cacheproxy/limits/PoolAdmissionControl.java
@@ -4,44 +4,48 @@
 import cacheproxy.policy.PolicyApi.Member;
 import java.util.function.IntPredicate;
 
-/** A pool's bounds towards its servers: its own retries, and cold servers together with all other pools. */
+/** Limits one pool's sends by its own retry budget and by the slow-start budget that all pools of the process share. */
 public final class PoolAdmissionControl implements AdmissionControl {
-    private final SlowStartBudget cold;
-    private final IntPredicate trials;
-    private RetryBudget retries;
+    private final SlowStartBudget slowStartBudget;
+    private final IntPredicate halfOpenProbeAllowed;
+    private RetryBudget retryBudget;
 
     /**
-     * @param cold that of all pools of the process
-     * @param trials whether a client's request may now be the trial of this server
+     * Creates the admission control of one pool.
+     *
+     * @param slowStartBudget the budget shared by all pools of the process
+     * @param retryBudget the pool's own budget of retries
+     * @param halfOpenProbeAllowed tells by a server's id whether a client's request may now be its half-open probe
      */
-    public PoolAdmissionControl(SlowStartBudget cold, RetryBudget retries, IntPredicate trials) {
-        this.cold = cold;
-        this.trials = trials;
-        this.retries = retries;
+    public PoolAdmissionControl(
+            SlowStartBudget slowStartBudget, RetryBudget retryBudget, IntPredicate halfOpenProbeAllowed) {
+        this.slowStartBudget = slowStartBudget;
+        this.retryBudget = retryBudget;
+        this.halfOpenProbeAllowed = halfOpenProbeAllowed;
     }
 
-    /** Another budget from now on. */
-    public void retries(RetryBudget other) {
-        retries = other;
+    /** Replaces the retry budget; the replacement starts with its own tokens. */
+    public void setRetryBudget(RetryBudget replacement) {
+        retryBudget = replacement;
     }
 
     @Override
-    public boolean cold(double now, Member server, double startedMs) {
-        return cold.take(now, server.id(), server.bornMs(), startedMs);
+    public boolean admitWarmingUp(double nowMs, Member server, double startedMs) {
+        return slowStartBudget.tryAcquire(nowMs, server.id(), server.bornMs(), startedMs);
     }
 
     @Override
-    public boolean trial(double now, Member server) {
-        return trials.test(server.id());
+    public boolean admitHalfOpenProbe(double nowMs, Member server) {
+        return halfOpenProbeAllowed.test(server.id());
     }
 
     @Override
-    public void first(double now) {
-        retries.first(now);
+    public void recordFirstAttempt(double nowMs) {
+        retryBudget.recordFirstAttempt(nowMs);
     }
 
     @Override
-    public boolean retry(double now) {
-        return retries.retry(now);
+    public boolean admitRetry(double nowMs) {
+        return retryBudget.tryAcquire(nowMs);
     }
 }
--- a/src/main/java/cacheproxy/limits/SlowStartBudget.java
+++ b/src/main/java/cacheproxy/limits/SlowStartBudget.java
@@ -5,104 +5,114 @@
 import java.util.Map;
 
 /**
- * What freshly started servers are given by all pools of a process together. A cold server can do part of its work and
- * falls over when it is sent a stated multiple of that for a stated time; the module holds each pool to the server's
- * usual share of keys, but a pool can't see the others, nor that it takes another's place. So every send to a cold
- * server, from whatever pool, takes from one bucket that fills at what the server can do now, divided among the proxies
- * of the tier as they share nothing. Free of I/O and clocks; times in milliseconds.
+ * Limits what all pools of a process together send to servers that are warming up.
  *
- * <p>Bound: in a span of {@code fallMs}, at most the span's fill and a burst of {@value #BURST_SPANS} spans are sent,
- * 1.25 times what the server can do, where it falls at {@code tipMultiple}, which is above that.
+ * <p>A warming-up server has a part of its capacity and fails when it is sent a multiple of that for some time. The
+ * routing policy holds each pool to the server's usual share of keys, but does not see other pools. So each request to
+ * a warming-up server takes a token from the server's bucket, which fills at the server's present capacity divided by
+ * the number of proxies, as proxies do not coordinate here.
+ *
+ * <p>Bound: within {@link SlowStartConfig#overloadWindowMs} at most the window's refill and a burst of
+ * {@value #BURST_WINDOWS} windows are sent, which is 1.25 times the server's capacity.
  */
 public final class SlowStartBudget {
-    static final double BURST_SPANS = 0.25;
-    /** So many servers are kept in mind, those longest not sent to go first. */
-    static final int MOST_SERVERS = 20_000;
+    /** Capacity of a server's bucket, in overload windows of refill. */
+    static final double BURST_WINDOWS = 0.25;
 
-    /** What the site says of starts, and the tier. */
-    public record Figures(double startCapacity, double warmUpMs, double fallMs, int instances, double unknownRate) {
-        public Figures {
-            if (!(startCapacity > 0 && startCapacity <= 1)
-                    || !(warmUpMs >= 0)
-                    || !(fallMs > 0)
-                    || instances < 1
-                    || !(unknownRate > 0)) {
-                throw new IllegalArgumentException("cold figures " + startCapacity + ", " + warmUpMs + ", " + fallMs
-                        + ", " + instances + ", " + unknownRate);
-            }
-        }
-    }
+    /** Servers with a bucket; beyond it the one that was least recently sent to is forgotten. */
+    static final int MAX_SERVERS = 20_000;
 
+    private static final double MS_PER_SECOND = 1000;
+
+    /** Tokens of one server. */
     private static final class Bucket {
-        double bornMs = Double.NaN;
+        double listedStartMs = Double.NaN;
         double tokens;
-        double at;
+        double lastRefillMs;
     }
 
-    private Figures figures;
-    private final Map<Integer, Double> rates = new HashMap<>();
-    private final Map<Integer, Bucket> buckets;
+    /** Buckets by server id, in order of their last use. */
+    private static final class RecentBuckets extends LinkedHashMap<Integer, Bucket> {
+        private static final long serialVersionUID = 1L;
+        private static final int INITIAL_CAPACITY = 16;
+        private static final float LOAD_FACTOR = 0.75f;
+
+        RecentBuckets() {
+            super(INITIAL_CAPACITY, LOAD_FACTOR, true);
+        }
+
+        @Override
+        protected boolean removeEldestEntry(Map.Entry<Integer, Bucket> eldest) {
+            return size() > MAX_SERVERS;
+        }
+    }
 
-    public SlowStartBudget(Figures figures) {
-        this.figures = figures;
-        buckets = new LinkedHashMap<>(16, 0.75f, true) {
-            private static final long serialVersionUID = 1L;
+    private SlowStartConfig config;
+    private final Map<Integer, Double> ratePerSecond = new HashMap<>();
+    private final Map<Integer, Bucket> buckets = new RecentBuckets();
 
-            @Override
-            protected boolean removeEldestEntry(Map.Entry<Integer, Bucket> eldest) {
-                return size() > MOST_SERVERS;
-            }
-        };
+    /** Creates a budget in which no server has a bucket yet. */
+    public SlowStartBudget(SlowStartConfig config) {
+        this.config = config;
     }
 
-    /** Other figures from now on; what has been sent stays counted. */
-    public void figures(Figures other) {
-        figures = other;
+    /** Replaces the configuration; tokens already taken stay taken. */
+    public void setConfig(SlowStartConfig replacement) {
+        config = replacement;
     }
 
-    /** What a server can do when warm, in requests a second; the figure for unknown ones holds until this is told. */
-    public void rate(int server, double perSecond) {
+    /**
+     * Sets the capacity of a server when warm.
+     *
+     * @param perSecond requests a second; 0 or less: unknown, {@link SlowStartConfig#defaultRatePerSecond} holds
+     */
+    public void setServerRate(int server, double perSecond) {
         if (perSecond > 0) {
-            rates.put(server, perSecond);
+            ratePerSecond.put(server, perSecond);
         } else {
-            rates.remove(server);
+            ratePerSecond.remove(server);
         }
     }
 
-    /** Requests a millisecond that this proxy may send to the server, started then, by now. */
-    private double perMs(int server, double startedMs, double now) {
-        double age = Math.max(0, now - startedMs);
-        double warm = figures.warmUpMs() > 0 ? Math.min(1, age / figures.warmUpMs()) : 1;
-        double part = figures.startCapacity() + (1 - figures.startCapacity()) * warm;
-        return rates.getOrDefault(server, figures.unknownRate()) * part / 1000 / figures.instances();
-    }
-
-    /** Whether a server that started then may be sent one more request; if so it counts as sent. */
-    public boolean take(double now, int server, double bornMs) {
-        return take(now, server, bornMs, bornMs);
+    /**
+     * Like {@link #tryAcquire(double, int, double, double)} for a server whose start is known on the caller's clock.
+     */
+    public boolean tryAcquire(double nowMs, int server, double startedMs) {
+        return tryAcquire(nowMs, server, startedMs, startedMs);
     }
 
     /**
-     * The same where lists tell starts by another clock.
+     * Takes one token of a server, if there is one.
      *
-     * @param bornMs as the list tells it: another one is another start
-     * @param startedMs when that was, on the caller's clock
+     * @param listedStartMs the start time as the endpoint list tells it; another value is another start
+     * @param startedMs the start time on the caller's clock
+     * @return whether one more request may be sent to the server
      */
-    public boolean take(double now, int server, double bornMs, double startedMs) {
-        Bucket b = buckets.computeIfAbsent(server, s -> new Bucket());
-        double perMs = perMs(server, startedMs, now);
-        double most = Math.max(1, perMs * figures.fallMs() * BURST_SPANS);
-        if (b.bornMs != bornMs) {
-            b.bornMs = bornMs;
-            b.tokens = 1;
-            b.at = now;
+    public boolean tryAcquire(double nowMs, int server, double listedStartMs, double startedMs) {
+        Bucket bucket = buckets.computeIfAbsent(server, absent -> new Bucket());
+        double tokensPerMs = requestsPerMs(server, startedMs, nowMs);
+        double maxTokens = Math.max(1, tokensPerMs * config.overloadWindowMs() * BURST_WINDOWS);
+        if (bucket.listedStartMs != listedStartMs) {
+            bucket.listedStartMs = listedStartMs;
+            bucket.tokens = 1;
+            bucket.lastRefillMs = nowMs;
         }
-        b.tokens = Math.min(most, b.tokens + Math.max(0, now - b.at) * perMs);
-        b.at = now;
-        if (b.tokens < 1) {
+        double refill = Math.max(0, nowMs - bucket.lastRefillMs) * tokensPerMs;
+        bucket.tokens = Math.min(maxTokens, bucket.tokens + refill);
+        bucket.lastRefillMs = nowMs;
+        if (bucket.tokens < 1) {
             return false;
         }
-        b.tokens--;
+        bucket.tokens--;
         return true;
     }
+
+    /** Returns the requests a millisecond that this proxy may send to a server that started then. */
+    private double requestsPerMs(int server, double startedMs, double nowMs) {
+        double ageMs = Math.max(0, nowMs - startedMs);
+        double warmedUpPart = config.warmUpMs() > 0 ? Math.min(1, ageMs / config.warmUpMs()) : 1;
+        double capacityPart = config.startCapacity() + (1 - config.startCapacity()) * warmedUpPart;
+        double warmRatePerSecond = ratePerSecond.getOrDefault(server, config.defaultRatePerSecond());
+        return warmRatePerSecond * capacityPart / MS_PER_SECOND / config.proxyCount();
+    }
 }
--- a/src/main/java/cacheproxy/policy/RoutingPolicy.java
+++ b/src/main/java/cacheproxy/policy/RoutingPolicy.java
@@ -300,7 +300,7 @@
 
     /** A fresh instance that knows nothing yet. */
     public RoutingPolicy(Settings settings, long seed) {
-        this(settings, seed, CarpPlacement::new, AdmissionControl.OPEN, Siblings.NONE);
+        this(settings, seed, CarpPlacement::new, AdmissionControl.UNLIMITED, Siblings.NONE);
     }
 
     /** One that ranks servers by this placement, keeps to these further bounds and may ask these siblings. */
@@ -310,7 +310,7 @@
         this.placements = placements;
         this.admission = admission;
         this.siblings = siblings;
-        placement = placements.of(List.of());
+        placement = placements.create(List.of());
         random = new SplittableRandom(seed);
         shares = settings.overShareWorth() < 1 && settings.tenants().size() > 1 ? new Shares() : null;
         double shortestAim = settings.classes().stream()
@@ -348,7 +348,7 @@
             members.forEach(m -> named.add(m.id()));
             servers.values().removeIf(s -> !named.contains(s.id));
         }
-        starts.listed(now, members);
+        starts.recordList(now, members);
         for (Member m : members) {
             if (m.state() == State.GONE) {
                 servers.remove(m.id());
@@ -448,7 +448,7 @@
             weights[i] = ranked[i].member.weight();
             sum += weights[i];
         }
-        placement = placements.of(list.stream().map(s -> s.member).toList());
+        placement = placements.create(list.stream().map(s -> s.member).toList());
         for (int i = 0; i < ranked.length; i++) {
             ranked[i].share = sum > 0 ? weights[i] / sum : 1.0 / ranked.length;
         }
@@ -496,7 +496,7 @@
      * many of its top ranks as bring each under that, wherever it is as hot.
      */
     private int spread(long key, int seen) {
-        int all = placement.spreadable();
+        int all = placement.maxHotKeySpread();
         int n = seen < HotKeys.MIN_COUNT ? 1 : (int) Math.ceil(seen / hot.total * all);
         if (n > 1 && hot.wide.size() < HotKeys.MOST_WIDE) {
             hot.wide.add(key);
@@ -525,7 +525,7 @@
             return;
         }
         // A fetch after a miss is the request's ordinary way. All else is more work for a fleet in trouble.
-        if (f.attempts > 0 && !(s == origin && f.missedAt != null) && !admission.retry(now)) {
+        if (f.attempts > 0 && !(s == origin && f.missedAt != null) && !admission.admitRetry(now)) {
             giveUp(f, out);
             return;
         }
@@ -609,7 +609,7 @@
     private void place(double now, Flight f, Server s, Actions out) {
         int a = f.attempts++;
         if (a == 0) {
-            admission.first(now);
+            admission.recordFirstAttempt(now);
         }
         f.at[a] = s;
         f.sentAt[a] = now;
@@ -723,11 +723,11 @@
 
     private Server choose(double now, Flight f, Actions out) {
         int want = Math.min(ranked.length, Math.max(RANKS, f.spread + RANKS));
-        int most = placement.most(want);
+        int most = placement.maxRanked(want);
         if (top.length < most) {
             top = new int[most];
         }
-        int count = want == 0 ? 0 : placement.top(f.key(), f.keyHash, want, top);
+        int count = want == 0 ? 0 : placement.rank(f.key(), f.keyHash, want, top);
         int offset = f.spread > 1 ? random.nextInt(f.spread) : 0;
         Server untried = null;
         boolean remembered = false;
@@ -767,7 +767,7 @@
                 || !f.safe
                 || f.attempts > 0
                 || trials < 1
-                || (!cfg.mayProbe() && !(warmEnough(now, f, s) && admission.trial(now, s.member)))) {
+                || (!cfg.mayProbe() && !(warmEnough(now, f, s) && admission.admitHalfOpenProbe(now, s.member)))) {
             return false;
         }
         trials--;
@@ -792,7 +792,8 @@
         // Each takes its part by chance: of keys chosen alike by all, a new hot one would come from all. Who
         // has just started takes each hot key for a new one, and lets few in until it has seen some requests.
         double part = hot.own * s.share * (f.seen > 1 ? LATER_SIGHT : FIRST_SIGHT);
-        return random.nextDouble() < ramp * Math.min(1, part / f.seen) && admission.cold(now, s.member, started);
+        return random.nextDouble() < ramp * Math.min(1, part / f.seen)
+                && admission.admitWarmingUp(now, s.member, started);
     }
 
     private boolean cold(double now, Server s) {
