--- a/src/test/java/cacheproxy/control/ControlEndpointsGoldenTextTest.java
+++ b/src/test/java/cacheproxy/control/ControlEndpointsGoldenTextTest.java
@@ -18,7 +18,8 @@
 
     private String call(String method, String path) {
         ControlResponse answer = calls.handle(method, path);
-        return answer.code() + " " + answer.text() + (answer.allow() == null ? "" : " [" + answer.allow() + "]");
+        String allowed = answer.allowedMethod().map(name -> " [" + name + "]").orElse("");
+        return answer.status() + " " + answer.text() + allowed;
     }
 
     @Test
