--- a/src/main/java/cacheproxy/daemon/Daemon.java
+++ b/src/main/java/cacheproxy/daemon/Daemon.java
@@ -110,7 +110,7 @@
                 this::snapshot,
                 () -> Optional.ofNullable(seedFrom),
                 parts::controlHandlers,
-                new DiagnosticEndpoints(core.invariants::summary, core.events::enabled, this::reloadElsewhere));
+                new DiagnosticEndpoints(core.invariants::summary, core.events::setEnabled, this::reloadElsewhere));
     }
 
     /** What {@code POST /reload} of the control address does, on a thread of its own. Null: nothing. */
--- a/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
@@ -5,8 +5,8 @@
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.FleetConfig;
 import cacheproxy.config.PoolConfig;
-import cacheproxy.control.ControlEndpoints.Answer;
 import cacheproxy.control.ControlRequestHandler;
+import cacheproxy.control.ControlResponse;
 import cacheproxy.daemon.ConfigSnapshot;
 import cacheproxy.daemon.FleetCoordination;
 import cacheproxy.daemon.SocketBinder;
@@ -295,9 +295,9 @@
         return handlers;
     }
 
-    private Answer state(String method, String uri) {
+    private ControlResponse state(String method, String uri) {
         if (!method.equals("GET")) {
-            return new Answer(405, "use GET /fleet", "GET");
+            return new ControlResponse(405, "use GET /fleet", "GET");
         }
         JsonObject o = new JsonObject();
         o.addProperty("me", me);
@@ -312,7 +312,7 @@
         });
         o.add("peers", peers);
         users.forEach(u -> u.tell(o));
-        return new Answer(200, o.toString());
+        return new ControlResponse(200, o.toString());
     }
 
     @Override
--- a/src/test/java/cacheproxy/eventlog/EventNamesGoldenTextTest.java
+++ b/src/test/java/cacheproxy/eventlog/EventNamesGoldenTextTest.java
@@ -31,7 +31,7 @@
 
     @Test
     void theLogIsSwitchedByItsVariable() {
-        assertThat(EventLog.VARIABLE).isEqualTo("CORALBAY_EVENT_LOG");
-        assertThat(EventLog.ENABLED).isEqualTo("on");
+        assertThat(EventLog.ENVIRONMENT_VARIABLE).isEqualTo("CORALBAY_EVENT_LOG");
+        assertThat(EventLog.ENABLED_VALUE).isEqualTo("on");
     }
 }
--- a/src/test/java/cacheproxy/invariant/SummaryGoldenTextTest.java
+++ b/src/test/java/cacheproxy/invariant/SummaryGoldenTextTest.java
@@ -24,7 +24,7 @@
 
     @Test
     void theLineHasTheSumsAndThenWhatIsNotZero() {
-        InvariantMonitor monitor = new InvariantMonitor(new InvariantMonitor.Listener() {
+        InvariantMonitor monitor = new InvariantMonitor(new InvariantListener() {
             @Override
             public void stopped(Invariant invariant, String requestId, String reason) {}
 
@@ -32,10 +32,10 @@
             public void violated(Invariant invariant, String requestId, String reason) {}
         });
         assertThat(monitor.summary()).isEqualTo("violations=0 stopped=0");
-        monitor.stop(Invariant.SINGLE_EFFECT, "r1", "why");
-        monitor.stop(Invariant.DEADLINE_OPEN, "r2", "why");
-        monitor.stop(Invariant.DEADLINE_OPEN, "r3", "why");
-        monitor.violation(Invariant.CLOSE_OWES_NOTHING, "r4", "why");
+        monitor.recordStopped(Invariant.SINGLE_EFFECT, "r1", "why");
+        monitor.recordStopped(Invariant.DEADLINE_OPEN, "r2", "why");
+        monitor.recordStopped(Invariant.DEADLINE_OPEN, "r3", "why");
+        monitor.recordViolation(Invariant.CLOSE_OWES_NOTHING, "r4", "why");
         assertThat(monitor.summary())
                 .isEqualTo(
                         "violations=1 stopped=3 violated_close_owes_nothing=1 stopped_deadline_open=2 stopped_single_effect=1");
