--- a/src/main/java/cacheproxy/daemon/Daemon.java
+++ b/src/main/java/cacheproxy/daemon/Daemon.java
@@ -85,7 +85,7 @@
                 this::learnedState,
                 () -> Optional.ofNullable(seedFrom),
                 subsystems::controlHandlers,
-                new DiagnosticEndpoints(core.invariants::summary, core.events::enabled, this::reloadElsewhere));
+                new DiagnosticEndpoints(core.invariants::summary, core.events::setEnabled, this::reloadElsewhere));
     }
 
     /** Starts a daemon; the exception says which address could not be bound. */
--- a/src/main/java/cacheproxy/daemon/PoolSettings.java
+++ b/src/main/java/cacheproxy/daemon/PoolSettings.java
@@ -8,7 +8,7 @@
 import cacheproxy.config.SiblingConfig;
 import cacheproxy.config.SiteConfig;
 import cacheproxy.placement.BackupPlacement;
-import cacheproxy.placement.Placement;
+import cacheproxy.placement.PlacementFactory;
 import cacheproxy.placement.PlacementKey;
 import cacheproxy.placement.PlacementRegistry;
 import cacheproxy.placement.PlacementTarget;
@@ -147,7 +147,7 @@
     }
 
     /** The placement that the pool is configured with. */
-    static Placement.Factory placement(PoolConfig pool) {
+    static PlacementFactory placement(PoolConfig pool) {
         return PlacementRegistry.factory(
                 pool.placement(),
                 pool.servers().stream()
--- a/src/test/java/cacheproxy/daemon/HooksInCallTest.java
+++ b/src/test/java/cacheproxy/daemon/HooksInCallTest.java
@@ -33,8 +33,8 @@
 
     private static boolean running() {
         return Thread.getAllStackTraces().entrySet().stream()
-                .anyMatch(e -> e.getKey().getName().equals("hook h")
-                        && Arrays.stream(e.getValue())
+                .anyMatch(thread -> thread.getKey().getName().equals("hook h")
+                        && Arrays.stream(thread.getValue())
                                 .anyMatch(frame -> frame.getMethodName().equals("call")
                                         && frame.getClassName().endsWith("HookInstance")));
     }
--- a/src/test/java/cacheproxy/daemon/PoolsTest.java
+++ b/src/test/java/cacheproxy/daemon/PoolsTest.java
@@ -17,8 +17,8 @@
     private static final String SHORT =
             DaemonHarness.CLASSES.replace("20000", "2000").replace("10000", "1000");
 
-    private static Ask read(int i) {
-        return new Ask("k/" + i, "c=page", null, null);
+    private static Ask read(int index) {
+        return new Ask("k/" + index, "c=page", null, null);
     }
 
     @Test
@@ -168,25 +168,25 @@
     @Test
     void rejectsWhenRetriesAreSpentAndRecoversAfterwards() throws Exception {
         FakeFleet fleet = new FakeFleet(4);
-        FakeCacheServer[] node = fleet.nodes.toArray(new FakeCacheServer[0]);
+        FakeCacheServer[] nodes = fleet.nodes.toArray(new FakeCacheServer[0]);
         try (DaemonHarness rig = new DaemonHarness(
                 fleet,
                 DaemonHarness.LIMITS + "second_copies = false\n" + DaemonHarness.CLASSES + DaemonHarness.MAIN
-                        + DaemonHarness.plain("a", "retry_share = 0.1\nretries_always = 0", node)
+                        + DaemonHarness.plain("a", "retry_share = 0.1\nretries_always = 0", nodes)
                         + DaemonHarness.route("all", "", "a"))) {
-            for (FakeCacheServer node : node) {
+            for (FakeCacheServer node : nodes) {
                 node.busy(Integer.MAX_VALUE);
             }
             int before = 0;
             LoadClient.Account account = rig.ask(2000, 4, 4, PoolsTest::read);
-            for (FakeCacheServer node : node) {
+            for (FakeCacheServer node : nodes) {
                 before += node.commands();
             }
             assertThat(account.refused).isEqualTo(2000);
             assertThat(account.refusedWithoutTime).isZero();
             // A first try each at most, a tenth of that in retries, and the ten that were saved up.
             assertThat(before).isLessThanOrEqualTo(2000 + 200 + 10);
-            for (FakeCacheServer node : node) {
+            for (FakeCacheServer node : nodes) {
                 node.busy(0);
                 for (int i = 0; i < 200; i++) {
                     node.store("k/" + i, new byte[5]);
--- a/src/test/java/cacheproxy/daemon/ReloadTest.java
+++ b/src/test/java/cacheproxy/daemon/ReloadTest.java
@@ -26,11 +26,11 @@
     @TempDir
     private Path folder;
 
-    private static Ask ask(int i) {
-        String key = "page/" + i % 300;
-        return switch (i % 10) {
-            case 0 -> new Ask("s/" + i, "c=submit", "submit-" + i, null);
-            case 1 -> new Ask("p/" + i, "c=publish,k=publish-" + i, "publish-" + i, null);
+    private static Ask ask(int index) {
+        String key = "page/" + index % 300;
+        return switch (index % 10) {
+            case 0 -> new Ask("s/" + index, "c=submit", "submit-" + index, null);
+            case 1 -> new Ask("p/" + index, "c=publish,k=publish-" + index, "publish-" + index, null);
             default -> new Ask(key, "c=page", null, FakeOrigin.value(key));
         };
     }
@@ -45,7 +45,8 @@
             files[version] = (version == 2 ? DaemonHarness.LIMITS + "max_attempts = 2\n" : DaemonHarness.LIMITS)
                     + DaemonHarness.CLASSES
                     + DaemonHarness.MAIN
-                    + DaemonHarness.pool("a", fleet, "in_hand = " + (1000 + version), node[0], node[1], node[2 + version % 2])
+                    + DaemonHarness.pool(
+                            "a", fleet, "in_hand = " + (1000 + version), node[0], node[1], node[2 + version % 2])
                     + (version == 1 ? "" : DaemonHarness.pool("b", fleet, "", node[3], node[4], node[5]))
                     + DaemonHarness.route("pages", "prefix = \"page/\"", version % 2 == 0 && version != 1 ? "b" : "a")
                     + DaemonHarness.route("all", "", version == 3 ? "b" : "a");
@@ -90,8 +91,8 @@
                 "", "[[[", good.substring(0, good.length() / 2), good.replace("\"a\"", "\"\""), unbindable
             }) {
                 Files.writeString(file, bad);
-                ConfigException e = catchThrowableOfType(ConfigException.class, () -> rig.daemon.reload(file));
-                assertThat(e.errors())
+                ConfigException thrown = catchThrowableOfType(ConfigException.class, () -> rig.daemon.reload(file));
+                assertThat(thrown.errors())
                         .isNotEmpty()
                         .allMatch(line -> line.startsWith(file + ":") && line.matches(".*:\\d+:\\d+: .*"));
                 talk.say("mg page/1 v\r\n");
@@ -161,7 +162,8 @@
         String head = "[site]\ndrain_grace_ms = 100\n"
                 + DaemonHarness.CLASSES.replace("20000", "2000").replace("10000", "1000") + DaemonHarness.MAIN;
         try (DaemonHarness rig = new DaemonHarness(
-                        fleet, head + DaemonHarness.plain("a", "", node[0], node[1]) + DaemonHarness.route("all", "", "a"));
+                        fleet,
+                        head + DaemonHarness.plain("a", "", node[0], node[1]) + DaemonHarness.route("all", "", "a"));
                 DaemonHarness.Talk talk = rig.talk()) {
             node[0].mute(true);
             node[1].mute(true);
--- a/src/test/java/cacheproxy/daemon/hooks/HooksTest.java
+++ b/src/test/java/cacheproxy/daemon/hooks/HooksTest.java
@@ -40,12 +40,12 @@
                 + DaemonHarness.route("all", "", "a");
     }
 
-    private static Ask ask(int i) {
-        String key = "page/" + i % 100;
-        return i % 4 == 0
-                ? new Ask("s/" + i, "c=submit", "submit-" + i, null)
-                : i % 4 == 1
-                        ? new Ask("p/" + i, "c=publish,k=publish-" + i, "publish-" + i, null)
+    private static Ask ask(int index) {
+        String key = "page/" + index % 100;
+        return index % 4 == 0
+                ? new Ask("s/" + index, "c=submit", "submit-" + index, null)
+                : index % 4 == 1
+                        ? new Ask("p/" + index, "c=publish,k=publish-" + index, "publish-" + index, null)
                         : new Ask(key, "c=page", null, null);
     }
 
@@ -153,7 +153,7 @@
         assertThatThrownBy(() -> new DaemonHarness(fleet, file(fleet, hooks)))
                 .isInstanceOfSatisfying(
                         ConfigException.class,
-                        e -> assertThat(e.errors().get(0)).contains("there is no route 'rivals'"));
+                        thrown -> assertThat(thrown.errors().get(0)).contains("there is no route 'rivals'"));
     }
 
     @Test
@@ -171,7 +171,7 @@
                 assertThatThrownBy(() -> rig.load(file(fleet, hook(HOSTILE.resolve(config[0] + ".wasm"), ""))))
                         .isInstanceOfSatisfying(
                                 ConfigException.class,
-                                e -> assertThat(e.errors())
+                                thrown -> assertThat(thrown.errors())
                                         .singleElement()
                                         .satisfies(line -> assertThat(line)
                                                 .matches("rig:[0-9]+:1: hook h does not load: .*")
@@ -184,7 +184,7 @@
             assertThatThrownBy(() -> rig.load(file(fleet, other)))
                     .isInstanceOfSatisfying(
                             ConfigException.class,
-                            e -> assertThat(e.errors().get(0)).contains("has the SHA-256 "));
+                            thrown -> assertThat(thrown.errors().get(0)).contains("has the SHA-256 "));
             assertThat(talk.say("mg b-7-vi v\r\n").lines(2)).containsExactly("VA 17", "value of sub/7/vi");
         }
     }
--- a/src/test/java/cacheproxy/fleet/membership/MembershipGoldenBytesTest.java
+++ b/src/test/java/cacheproxy/fleet/membership/MembershipGoldenBytesTest.java
@@ -68,8 +68,8 @@
     void watchVersionMessageHasGoldenBytes(boolean later, String code, String epochBytes) {
         byte[] golden = HexBytes.parse(code + "f1f2f3f4f5f6f7f8" + epochBytes + "000000000000002a ffffffffffffffff");
         WatchVersionMessage message = new WatchVersionMessage(later, PEER, Long.parseLong(epochBytes, 16), 42, -1);
-        assertThat(message.bytes()).isEqualTo(golden);
-        assertThat(WatchVersionMessage.of(golden)).isEqualTo(message);
+        assertThat(message.encode()).isEqualTo(golden);
+        assertThat(WatchVersionMessage.decode(golden)).isEqualTo(message);
     }
 
     @ParameterizedTest
@@ -77,9 +77,9 @@
     void versionGossipHasGoldenBytes(long version, String bytes) {
         byte[] golden = HexBytes.parse("56" + bytes);
         VersionGossip gossip = new VersionGossip();
-        gossip.told();
-        assertThat(gossip.message(version)).isEqualTo(golden);
-        assertThat(VersionGossip.is(golden)).isTrue();
-        assertThat(VersionGossip.version(golden)).isEqualTo(version);
+        gossip.versionChanged();
+        assertThat(gossip.takeMessage(version)).isEqualTo(golden);
+        assertThat(VersionGossip.isVersionMessage(golden)).isTrue();
+        assertThat(VersionGossip.decodeVersion(golden)).isEqualTo(version);
     }
 }
