--- a/src/main/java/cacheproxy/bench/SnapshotBench.java
+++ b/src/main/java/cacheproxy/bench/SnapshotBench.java
@@ -164,11 +164,13 @@
         }
         (found.older() ? t.older : t.newest).incrementAndGet();
         StateSnapshot is = found.content();
-        StateSnapshot was = SnapshotCrashProcess.state(is.me());
-        if (!is.pools().equals(was.pools()) || is.me() < last || !found.notes().isEmpty()) {
+        StateSnapshot was = SnapshotCrashProcess.state(is.proxyNumber());
+        if (!is.pools().equals(was.pools())
+                || is.proxyNumber() < last
+                || !found.notes().isEmpty()) {
             t.corrupt.incrementAndGet();
         }
-        return is.me();
+        return is.proxyNumber();
     }
 
     /** The daemon itself, killed and started again under load. */
@@ -305,11 +307,11 @@
                         SnapshotStore.at(memory)
                                 .write(new StateSnapshot(
                                         known.site(),
-                                        known.me(),
+                                        known.proxyNumber(),
                                         System.currentTimeMillis() - (arm == 2 ? HOUR_MS : 0),
                                         0,
                                         known.pools(),
-                                        known.births()));
+                                        known.serverStarts()));
                     }
                     int before =
                             bad.stream().mapToInt(FakeCacheServer::commands).sum();
--- a/src/main/java/cacheproxy/bench/SnapshotCrashProcess.java
+++ b/src/main/java/cacheproxy/bench/SnapshotCrashProcess.java
@@ -1,7 +1,10 @@
 package cacheproxy.bench;
 
 import cacheproxy.snapshot.SnapshotStore;
+import cacheproxy.snapshot.state.LearnedLatency;
+import cacheproxy.snapshot.state.LearnedServer;
 import cacheproxy.snapshot.state.LearnedState;
+import cacheproxy.snapshot.state.PoolState;
 import cacheproxy.snapshot.state.StateSnapshot;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -19,7 +22,7 @@
             throw new IllegalStateException("locked");
         }
         SnapshotStore.Found found = files.read();
-        int n = found.content() == null ? 0 : found.content().me();
+        int n = found.content() == null ? 0 : found.content().proxyNumber();
         System.out.println("writes");
         while (true) {
             files.write(state(++n));
@@ -28,9 +31,9 @@
 
     /** The n-th state: some kilobytes, more each time up to a bound. */
     static StateSnapshot state(int n) {
-        List<LearnedState.Server> servers = new ArrayList<>();
+        List<LearnedServer> servers = new ArrayList<>();
         for (int i = 0; i < 20 + n % 300; i++) {
-            servers.add(new LearnedState.Server(i, n, n % 7 + 1, n, 0));
+            servers.add(new LearnedServer(i, n, n % 7 + 1, n, 0));
         }
         return new StateSnapshot(
                 "victim",
@@ -39,14 +42,14 @@
                 0,
                 Map.of(
                         "a",
-                        new StateSnapshot.Pool(
+                        new PoolState(
                                 "",
                                 new LearnedState(
                                         servers,
-                                        new LearnedState.Pace(n, n, n, n, 1),
-                                        LearnedState.NONE.fetches(),
-                                        LearnedState.NONE.crowd(),
-                                        LearnedState.NONE.hot()),
+                                        new LearnedLatency(n, n, n, n, 1),
+                                        LearnedState.NONE.originLoad(),
+                                        LearnedState.NONE.serverLoad(),
+                                        LearnedState.NONE.hotKeys()),
                                 Map.of())),
                 List.of());
     }
--- a/src/main/java/cacheproxy/cli/SnapshotCommand.java
+++ b/src/main/java/cacheproxy/cli/SnapshotCommand.java
@@ -2,7 +2,11 @@
 
 import cacheproxy.snapshot.SnapshotCodec;
 import cacheproxy.snapshot.SnapshotStore;
+import cacheproxy.snapshot.state.LearnedHotKey;
+import cacheproxy.snapshot.state.LearnedServer;
 import cacheproxy.snapshot.state.LearnedState;
+import cacheproxy.snapshot.state.PoolState;
+import cacheproxy.snapshot.state.ServerStart;
 import cacheproxy.snapshot.state.StateSnapshot;
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -107,41 +111,48 @@
             double age = System.currentTimeMillis() - r.writtenMs();
             out.printf(
                     "site %s, proxy %d, generation %d, written %s, %.0f s ago%n",
-                    r.site(), r.me(), r.generation(), Instant.ofEpochMilli((long) r.writtenMs()), age / 1000);
+                    r.site(), r.proxyNumber(), r.generation(), Instant.ofEpochMilli((long) r.writtenMs()), age / 1000);
             r.pools().forEach((name, p) -> pool(out, name, p));
-            for (StateSnapshot.Birth b : r.births()) {
+            for (ServerStart b : r.serverStarts()) {
                 out.printf(
                         "start %08x at %s: %s%s%n",
                         b.id(),
                         b.address(),
-                        b.bornMs() == 0
+                        b.startMs() == 0
                                 ? "not known"
-                                : Instant.ofEpochMilli((long) b.bornMs()).toString(),
+                                : Instant.ofEpochMilli((long) b.startMs()).toString(),
                         b.down() ? ", was down" : "");
             }
             return d.whole() && d.skipped().isEmpty() ? 0 : 1;
         }
 
-        private static void pool(PrintWriter out, String name, StateSnapshot.Pool p) {
-            LearnedState k = p.knowledge();
+        private static void pool(PrintWriter out, String name, PoolState p) {
+            LearnedState k = p.learned();
             out.printf(
                     "pool %s: answers take %.1f ms, deviation %.1f ms, fetches %.1f ms%n",
-                    name, k.pace().usualMs(), k.pace().deviationMs(), k.pace().fetchMs());
+                    name,
+                    k.latency().averageMs(),
+                    k.latency().deviationMs(),
+                    k.latency().originMs());
             out.printf(
                     "  lately asked and answered in time: servers %.1f of %.1f, origin %.1f of %.1f%n",
-                    k.crowd().answered(),
-                    k.crowd().asked(),
-                    k.fetches().answered(),
-                    k.fetches().asked());
-            for (LearnedState.Server s : k.servers()) {
+                    k.serverLoad().answered(),
+                    k.serverLoad().sent(),
+                    k.originLoad().answered(),
+                    k.originLoad().sent());
+            for (LearnedServer s : k.servers()) {
                 out.printf(
                         "  server %08x at %s: %d failures, %d doubts, left out for %.0f ms more%n",
-                        s.id(), p.addresses().getOrDefault(s.id(), "?"), s.failures(), s.doubts(), s.shunnedForMs());
+                        s.id(),
+                        p.addresses().getOrDefault(s.id(), "?"),
+                        s.failures(),
+                        s.overdueAttempts(),
+                        s.ejectedForMs());
             }
-            for (LearnedState.HotKey h : k.hot().keys()) {
+            for (LearnedHotKey h : k.hotKeys().keys()) {
                 out.printf(
                         "  hot key %016x: %d of %.0f (%s)%n",
-                        h.key(), h.count(), k.hot().total(), p.placement());
+                        h.key(), h.count(), k.hotKeys().total(), p.keyScheme());
             }
         }
     }
--- a/src/main/java/cacheproxy/daemon/Daemon.java
+++ b/src/main/java/cacheproxy/daemon/Daemon.java
@@ -17,6 +17,8 @@
 import cacheproxy.proxy.StandardMetaProtocol;
 import cacheproxy.proxy.Transport;
 import cacheproxy.proxy.UpstreamRegistry;
+import cacheproxy.snapshot.state.PoolState;
+import cacheproxy.snapshot.state.ServerStart;
 import cacheproxy.snapshot.state.StateSnapshot;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -492,14 +494,14 @@
     /** All that is worth remembering, with at most so many hot keys a pool. */
     private StateSnapshot snapshot(int mostKeys) {
         DaemonConfig file = router.generation().file;
-        Map<String, StateSnapshot.Pool> pools = new LinkedHashMap<>();
+        Map<String, PoolState> pools = new LinkedHashMap<>();
         router.generation().pools.forEach((name, p) -> pools.put(name, p.learned(mostKeys)));
         Map<Integer, String> addresses = LearnedStates.addresses(file);
-        List<StateSnapshot.Birth> told = new ArrayList<>();
+        List<ServerStart> told = new ArrayList<>();
         for (int server : births.knownServers()) {
             double born = births.startMs(server) == ServerStartTimes.NOT_YET_USED_MS ? 0 : births.startMs(server);
             if (addresses.containsKey(server) && (born > 0 || births.isDown(server))) {
-                told.add(new StateSnapshot.Birth(server, addresses.get(server), born, births.isDown(server)));
+                told.add(new ServerStart(server, addresses.get(server), born, births.isDown(server)));
             }
         }
         return new StateSnapshot(file.site().name(), file.site().me(), core.now(), 0, pools, told);
--- a/src/main/java/cacheproxy/daemon/LearnedStates.java
+++ b/src/main/java/cacheproxy/daemon/LearnedStates.java
@@ -4,6 +4,7 @@
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.proxy.DiscoveryClient;
 import cacheproxy.proxy.Dispatcher;
+import cacheproxy.snapshot.state.CurrentServer;
 import cacheproxy.snapshot.state.StateSnapshot;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -36,14 +37,14 @@
             StateSnapshot snapshot, double trust, DaemonConfig file, DaemonConfig.Pool pool) {
         String keyScheme = PoolSettings.keyScheme(file, pool);
         return (nowMs, servers) -> {
-            List<StateSnapshot.Present> present = new ArrayList<>();
+            List<CurrentServer> present = new ArrayList<>();
             for (DiscoveryClient.Host host : servers) {
-                present.add(new StateSnapshot.Present(
+                present.add(new CurrentServer(
                         host.member().id(),
                         Addresses.text(host.dial()),
                         host.member().bornMs()));
             }
-            return snapshot.left(pool.name(), keyScheme, nowMs, trust, present);
+            return snapshot.restore(pool.name(), keyScheme, nowMs, trust, present);
         };
     }
 
--- a/src/main/java/cacheproxy/daemon/PoolRuntime.java
+++ b/src/main/java/cacheproxy/daemon/PoolRuntime.java
@@ -19,8 +19,9 @@
 import cacheproxy.routes.KeyHash;
 import cacheproxy.routes.Route;
 import cacheproxy.routes.RouteInput;
+import cacheproxy.snapshot.state.LearnedServer;
 import cacheproxy.snapshot.state.LearnedState;
-import cacheproxy.snapshot.state.StateSnapshot;
+import cacheproxy.snapshot.state.PoolState;
 import java.net.SocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -237,16 +238,16 @@
     }
 
     /** What its module has learned, with at most so many hot keys. */
-    public StateSnapshot.Pool learned(int mostKeys) {
+    public PoolState learned(int mostKeys) {
         LearnedState k = dispatcher.knowledge(mostKeys);
         Map<Integer, String> addresses = new HashMap<>();
-        for (LearnedState.Server s : k.servers()) {
+        for (LearnedServer s : k.servers()) {
             SocketAddress dial = dispatcher.dial(s.id());
             if (dial != null) {
                 addresses.put(s.id(), Addresses.text(dial));
             }
         }
-        return new StateSnapshot.Pool(PoolSettings.keyScheme(file, spec), k, addresses);
+        return new PoolState(PoolSettings.keyScheme(file, spec), k, addresses);
     }
 
     DaemonConfig.Pool spec() {
--- a/src/main/java/cacheproxy/daemon/snapshot/SnapshotSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/snapshot/SnapshotSubsystem.java
@@ -139,17 +139,19 @@
     }
 
     private void use(StateSnapshot content, boolean another, String path) {
-        String unfit = content == null
-                ? null
-                : content.unfit(file.site().name(), file.site().me(), core.now(), another);
-        if (unfit != null) {
-            core.log("memory: " + path + " is not used: " + unfit);
-        } else if (content != null) {
-            remembered = content;
-            trust = another ? SIBLING_TRUST : 1;
-            core.log("memory: " + path + ", " + Math.round((core.now() - content.writtenMs()) / 1000) + " s old"
-                    + (another ? ", a sibling's" : ""));
+        if (content == null) {
+            return;
+        }
+        Optional<String> mismatch =
+                content.mismatch(file.site().name(), file.site().me(), core.now(), another);
+        if (mismatch.isPresent()) {
+            core.log("memory: " + path + " is not used: " + mismatch.get());
+            return;
         }
+        remembered = content;
+        trust = another ? SIBLING_TRUST : 1;
+        core.log("memory: " + path + ", " + Math.round((core.now() - content.writtenMs()) / 1000) + " s old"
+                + (another ? ", a sibling's" : ""));
     }
 
     @Override
@@ -161,8 +163,8 @@
     public void restoreStartTimes(ServerStartTimes to, double now) {
         if (remembered != null) {
             remembered
-                    .births(now, LearnedStates.addresses(file))
-                    .forEach(b -> to.restore(b.id(), b.bornMs(), b.down(), now));
+                    .serverStarts(now, LearnedStates.addresses(file))
+                    .forEach(b -> to.restore(b.id(), b.startMs(), b.down(), now));
         }
     }
 
--- a/src/main/java/cacheproxy/policy/RoutingPolicy.java
+++ b/src/main/java/cacheproxy/policy/RoutingPolicy.java
@@ -6,6 +6,11 @@
 import cacheproxy.placement.PlacementFactory;
 import cacheproxy.placement.StartTimes;
 import cacheproxy.siblings.Siblings;
+import cacheproxy.snapshot.state.LearnedHotKey;
+import cacheproxy.snapshot.state.LearnedHotKeys;
+import cacheproxy.snapshot.state.LearnedLatency;
+import cacheproxy.snapshot.state.LearnedLoad;
+import cacheproxy.snapshot.state.LearnedServer;
 import cacheproxy.snapshot.state.LearnedState;
 import java.util.*;
 
@@ -155,19 +160,19 @@
             return ++counts.computeIfAbsent(key, k -> new int[1])[0];
         }
 
-        LearnedState.HotKeys told(int most) {
-            List<LearnedState.HotKey> keys = new ArrayList<>();
+        LearnedHotKeys told(int most) {
+            List<LearnedHotKey> keys = new ArrayList<>();
             for (Long k : wide) {
                 int[] count = counts.get(k);
                 if (count != null) {
-                    keys.add(new LearnedState.HotKey(k, count[0]));
+                    keys.add(new LearnedHotKey(k, count[0]));
                 }
             }
             keys.sort((a, b) -> Integer.compare(b.count(), a.count()));
-            return new LearnedState.HotKeys(total, List.copyOf(keys.subList(0, Math.min(most, keys.size()))));
+            return new LearnedHotKeys(total, List.copyOf(keys.subList(0, Math.min(most, keys.size()))));
         }
 
-        void recall(LearnedState.HotKeys told, double now) {
+        void recall(LearnedHotKeys told, double now) {
             halvedAt = counts.isEmpty() ? now : halvedAt;
             total += told.total();
             told.keys().forEach(k -> counts.computeIfAbsent(k.key(), n -> new int[1])[0] += k.count());
@@ -222,14 +227,14 @@
                     Math.max((asked + 1) / (answered + 1), (asked + priorAsked + 1) / (answered + priorAnswered + 1)));
         }
 
-        LearnedState.Load told(double now) {
+        LearnedLoad told(double now) {
             fade(now);
-            return new LearnedState.Load(asked + priorAsked, answered + priorAnswered);
+            return new LearnedLoad(asked + priorAsked, answered + priorAnswered);
         }
 
-        void recall(double now, LearnedState.Load told) {
+        void recall(double now, LearnedLoad told) {
             fade(now);
-            priorAsked += told.asked();
+            priorAsked += told.sent();
             priorAnswered += told.answered();
         }
 
@@ -371,16 +376,16 @@
 
     /** What this instance has learned, with at most so many hot keys. Spans count from now. */
     public LearnedState knowledge(double now, int mostKeys) {
-        List<LearnedState.Server> told = new ArrayList<>();
+        List<LearnedServer> told = new ArrayList<>();
         for (Server s : servers.values()) {
             if (s != origin && s.failures + s.doubts > 0) {
                 double left = Math.max(0, s.shunnedUntil - now);
-                told.add(new LearnedState.Server(s.id, s.member.bornMs(), s.failures, left, s.doubts));
+                told.add(new LearnedServer(s.id, s.member.bornMs(), s.failures, left, s.doubts));
             }
         }
         return new LearnedState(
                 told,
-                new LearnedState.Pace(fetchMs, usualCost, pace, paceDeviation, 1),
+                new LearnedLatency(fetchMs, usualCost, pace, paceDeviation, 1),
                 throttle.told(now),
                 crowd.told(now),
                 hot.told(mostKeys));
@@ -392,24 +397,24 @@
      * what is remembered, and no cold server is sent more for it.
      */
     public void recall(double now, LearnedState known) {
-        for (LearnedState.Server k : known.servers()) {
+        for (LearnedServer k : known.servers()) {
             Server s = servers.get(k.id());
-            if (s == null || s == origin || s.member.bornMs() != k.bornMs() || s.failures + s.doubts > 0) {
+            if (s == null || s == origin || s.member.bornMs() != k.startMs() || s.failures + s.doubts > 0) {
                 continue;
             }
             s.failures = k.failures();
-            s.doubts = k.doubts();
-            s.shunnedUntil = now + Math.min(k.shunnedForMs(), shunMs(k.failures() - 1));
+            s.doubts = k.overdueAttempts();
+            s.shunnedUntil = now + Math.min(k.ejectedForMs(), shunMs(k.failures() - 1));
             s.recalled = k.failures() > 0;
         }
-        LearnedState.Pace p = known.pace();
-        fetchMs += (p.fetchMs() - fetchMs) * p.weight();
-        pace += (p.usualMs() - pace) * p.weight();
+        LearnedLatency p = known.latency();
+        fetchMs += (p.originMs() - fetchMs) * p.weight();
+        pace += (p.averageMs() - pace) * p.weight();
         paceDeviation += (p.deviationMs() - paceDeviation) * p.weight();
-        usualCost = usualCost > 0 || p.weight() == 0 ? usualCost : p.usualCost();
-        throttle.recall(now, known.fetches());
-        crowd.recall(now, known.crowd());
-        hot.recall(known.hot(), now);
+        usualCost = usualCost > 0 || p.weight() == 0 ? usualCost : p.averageCost();
+        throttle.recall(now, known.originLoad());
+        crowd.recall(now, known.serverLoad());
+        hot.recall(known.hotKeys(), now);
     }
 
     private void check(List<Member> members) {
--- a/src/main/java/cacheproxy/snapshot/SnapshotCodec.java
+++ b/src/main/java/cacheproxy/snapshot/SnapshotCodec.java
@@ -1,6 +1,13 @@
 package cacheproxy.snapshot;
 
+import cacheproxy.snapshot.state.LearnedHotKey;
+import cacheproxy.snapshot.state.LearnedHotKeys;
+import cacheproxy.snapshot.state.LearnedLatency;
+import cacheproxy.snapshot.state.LearnedLoad;
+import cacheproxy.snapshot.state.LearnedServer;
 import cacheproxy.snapshot.state.LearnedState;
+import cacheproxy.snapshot.state.PoolState;
+import cacheproxy.snapshot.state.ServerStart;
 import cacheproxy.snapshot.state.StateSnapshot;
 import java.nio.BufferUnderflowException;
 import java.nio.ByteBuffer;
@@ -69,58 +76,59 @@
     public static byte[] encode(StateSnapshot r) {
         Out out = new Out();
         out.buf.position(HEAD);
-        out.section(IDENTITY, () -> out.text(r.site()).putInt(r.me()));
+        out.section(IDENTITY, () -> out.text(r.site()).putInt(r.proxyNumber()));
         r.pools().forEach((name, p) -> {
-            LearnedState k = p.knowledge();
-            List<LearnedState.Server> servers =
+            LearnedState k = p.learned();
+            List<LearnedServer> servers =
                     k.servers().subList(0, Math.min(MAX_SERVERS, k.servers().size()));
             if (!servers.isEmpty()) {
                 out.section(SERVERS, () -> {
                     out.text(name).putInt(servers.size());
-                    for (LearnedState.Server s : servers) {
+                    for (LearnedServer s : servers) {
                         out.buf
                                 .putInt(s.id())
-                                .putDouble(s.bornMs())
+                                .putDouble(s.startMs())
                                 .putShort((short) Math.min(s.failures(), 0x7FFF))
-                                .putDouble(s.shunnedForMs())
-                                .putShort((short) Math.min(s.doubts(), 0x7FFF));
+                                .putDouble(s.ejectedForMs())
+                                .putShort((short) Math.min(s.overdueAttempts(), 0x7FFF));
                         out.text(p.addresses().getOrDefault(s.id(), ""));
                     }
                 });
             }
-            LearnedState.Pace pace = k.pace();
+            LearnedLatency pace = k.latency();
             out.section(
                     PACE,
                     () -> out.text(name)
-                            .putDouble(pace.fetchMs())
-                            .putDouble(pace.usualCost())
-                            .putDouble(pace.usualMs())
+                            .putDouble(pace.originMs())
+                            .putDouble(pace.averageCost())
+                            .putDouble(pace.averageMs())
                             .putDouble(pace.deviationMs())
                             .putDouble(pace.weight()));
             out.section(
                     LOAD,
                     () -> out.text(name)
-                            .putDouble(k.fetches().asked())
-                            .putDouble(k.fetches().answered())
-                            .putDouble(k.crowd().asked())
-                            .putDouble(k.crowd().answered()));
-            List<LearnedState.HotKey> keys =
-                    k.hot().keys().subList(0, Math.min(MAX_KEYS, k.hot().keys().size()));
+                            .putDouble(k.originLoad().sent())
+                            .putDouble(k.originLoad().answered())
+                            .putDouble(k.serverLoad().sent())
+                            .putDouble(k.serverLoad().answered()));
+            List<LearnedHotKey> keys = k.hotKeys()
+                    .keys()
+                    .subList(0, Math.min(MAX_KEYS, k.hotKeys().keys().size()));
             if (!keys.isEmpty()) {
                 out.section(HOT_KEYS, () -> {
                     out.text(name);
-                    out.text(p.placement()).putDouble(k.hot().total()).putInt(keys.size());
+                    out.text(p.keyScheme()).putDouble(k.hotKeys().total()).putInt(keys.size());
                     keys.forEach(h -> out.buf.putLong(h.key()).putInt(h.count()));
                 });
             }
         });
-        if (!r.births().isEmpty()) {
-            List<StateSnapshot.Birth> births =
-                    r.births().subList(0, Math.min(MAX_SERVERS, r.births().size()));
+        if (!r.serverStarts().isEmpty()) {
+            List<ServerStart> births = r.serverStarts()
+                    .subList(0, Math.min(MAX_SERVERS, r.serverStarts().size()));
             out.section(BIRTHS, () -> {
                 out.buf.putInt(births.size());
-                for (StateSnapshot.Birth b : births) {
-                    out.buf.putInt(b.id()).putDouble(b.bornMs()).put((byte) (b.down() ? 1 : 0));
+                for (ServerStart b : births) {
+                    out.buf.putInt(b.id()).putDouble(b.startMs()).put((byte) (b.down() ? 1 : 0));
                     out.text(b.address());
                 }
             });
@@ -264,15 +272,15 @@
         private String site;
         private int me;
         private final Map<String, Parts> pools = new LinkedHashMap<>();
-        private final List<StateSnapshot.Birth> births = new ArrayList<>();
+        private final List<ServerStart> births = new ArrayList<>();
 
         private static final class Parts {
-            private List<LearnedState.Server> servers = List.of();
+            private List<LearnedServer> servers = List.of();
             private final Map<Integer, String> addresses = new HashMap<>();
-            private LearnedState.Pace pace = LearnedState.NONE.pace();
-            private LearnedState.Load fetches = LearnedState.NONE.fetches();
-            private LearnedState.Load crowd = LearnedState.NONE.crowd();
-            private LearnedState.HotKeys hot = LearnedState.NONE.hot();
+            private LearnedLatency pace = LearnedState.NONE.latency();
+            private LearnedLoad fetches = LearnedState.NONE.originLoad();
+            private LearnedLoad crowd = LearnedState.NONE.serverLoad();
+            private LearnedHotKeys hot = LearnedState.NONE.hotKeys();
             private String placement = "";
         }
 
@@ -304,12 +312,11 @@
         private Runnable servers(int version, ByteBuffer in) throws CharacterCodingException {
             String pool = text(in);
             int n = count(in, version == 1 ? 24 : 26, MAX_SERVERS);
-            List<LearnedState.Server> servers = new ArrayList<>(n);
+            List<LearnedServer> servers = new ArrayList<>(n);
             Map<Integer, String> addresses = new HashMap<>();
             for (int i = 0; i < n; i++) {
-                LearnedState.Server s =
-                        new LearnedState.Server(in.getInt(), born(in), in.getShort(), span(in), in.getShort());
-                check(s.failures() >= 0 && s.doubts() >= 0, "failures below 0");
+                LearnedServer s = new LearnedServer(in.getInt(), born(in), in.getShort(), span(in), in.getShort());
+                check(s.failures() >= 0 && s.overdueAttempts() >= 0, "failures below 0");
                 servers.add(s);
                 if (version > 1) {
                     String address = text(in);
@@ -326,15 +333,15 @@
 
         private Runnable pace(ByteBuffer in) throws CharacterCodingException {
             String pool = text(in);
-            LearnedState.Pace pace = new LearnedState.Pace(span(in), span(in), span(in), span(in), in.getDouble());
+            LearnedLatency pace = new LearnedLatency(span(in), span(in), span(in), span(in), in.getDouble());
             check(pace.weight() >= 0 && pace.weight() <= 1, "weight " + pace.weight());
             return () -> pool(pool).pace = pace;
         }
 
         private Runnable load(ByteBuffer in) throws CharacterCodingException {
             String pool = text(in);
-            LearnedState.Load fetches = new LearnedState.Load(span(in), span(in));
-            LearnedState.Load crowd = new LearnedState.Load(span(in), span(in));
+            LearnedLoad fetches = new LearnedLoad(span(in), span(in));
+            LearnedLoad crowd = new LearnedLoad(span(in), span(in));
             return () -> {
                 pool(pool).fetches = fetches;
                 pool(pool).crowd = crowd;
@@ -346,30 +353,30 @@
             String placement = text(in);
             double total = span(in);
             int n = count(in, 12, MAX_KEYS);
-            List<LearnedState.HotKey> keys = new ArrayList<>(n);
+            List<LearnedHotKey> keys = new ArrayList<>(n);
             long sum = 0;
             for (int i = 0; i < n; i++) {
-                LearnedState.HotKey k = new LearnedState.HotKey(in.getLong(), in.getInt());
+                LearnedHotKey k = new LearnedHotKey(in.getLong(), in.getInt());
                 check(k.count() > 0, "a key with count " + k.count());
                 sum += k.count();
                 keys.add(k);
             }
             check(sum <= total, "keys that were asked for more often than all were");
             return () -> {
-                pool(pool).hot = new LearnedState.HotKeys(total, keys);
+                pool(pool).hot = new LearnedHotKeys(total, keys);
                 pool(pool).placement = placement;
             };
         }
 
         private Runnable births(ByteBuffer in) throws CharacterCodingException {
             int n = count(in, 15, MAX_SERVERS);
-            List<StateSnapshot.Birth> read = new ArrayList<>(n);
+            List<ServerStart> read = new ArrayList<>(n);
             for (int i = 0; i < n; i++) {
                 int id = in.getInt();
                 double born = born(in);
                 byte down = in.get();
                 check(down == 0 || down == 1, "neither up nor down");
-                read.add(new StateSnapshot.Birth(id, text(in), born, down == 1));
+                read.add(new ServerStart(id, text(in), born, down == 1));
             }
             return () -> births.addAll(read);
         }
@@ -412,10 +419,10 @@
         }
 
         StateSnapshot recollection(double writtenMs, long generation) {
-            Map<String, StateSnapshot.Pool> by = new LinkedHashMap<>();
+            Map<String, PoolState> by = new LinkedHashMap<>();
             pools.forEach((name, p) -> by.put(
                     name,
-                    new StateSnapshot.Pool(
+                    new PoolState(
                             p.placement, new LearnedState(p.servers, p.pace, p.fetches, p.crowd, p.hot), p.addresses)));
             return new StateSnapshot(site, me, writtenMs, generation, by, births);
         }
--- a/src/main/java/cacheproxy/snapshot/SnapshotStore.java
+++ b/src/main/java/cacheproxy/snapshot/SnapshotStore.java
@@ -126,8 +126,8 @@
 
     /** Puts a new generation in the file's place; the number it gets is one more than the last. @return its bytes */
     public int write(StateSnapshot r) throws IOException {
-        byte[] bytes = SnapshotCodec.encode(
-                new StateSnapshot(r.site(), r.me(), r.writtenMs(), generation + 1, r.pools(), r.births()));
+        byte[] bytes = SnapshotCodec.encode(new StateSnapshot(
+                r.site(), r.proxyNumber(), r.writtenMs(), generation + 1, r.pools(), r.serverStarts()));
         disk.write(fresh, bytes);
         if (whole) { // what is damaged must not push out the last that is whole
             try {
--- a/src/main/java/cacheproxy/snapshot/SnapshotWriter.java
+++ b/src/main/java/cacheproxy/snapshot/SnapshotWriter.java
@@ -163,7 +163,7 @@
 
     /** Whether nothing has happened but that time went by. */
     private static boolean same(StateSnapshot a, StateSnapshot b) {
-        return b != null && a.pools().equals(b.pools()) && a.births().equals(b.births());
+        return b != null && a.pools().equals(b.pools()) && a.serverStarts().equals(b.serverStarts());
     }
 
     private void rest(int size) throws InterruptedException {
--- /dev/null
+++ b/src/main/java/cacheproxy/snapshot/state/LearnedServer.java
@@ -0,0 +1,12 @@
+package cacheproxy.snapshot.state;
+
+/**
+ * A server with failed or overdue attempts.
+ *
+ * @param id the server's id
+ * @param startMs start of the server process that this is about, as the endpoint list tells it
+ * @param failures consecutive failed or timed-out attempts
+ * @param ejectedForMs how much longer the server is ejected
+ * @param overdueAttempts consecutive attempts that exceeded their hedging delay
+ */
+public record LearnedServer(int id, double startMs, int failures, double ejectedForMs, int overdueAttempts) {}
--- a/src/main/java/cacheproxy/snapshot/state/StateDecay.java
+++ b/src/main/java/cacheproxy/snapshot/state/StateDecay.java
@@ -4,82 +4,94 @@
 import java.util.List;
 
 /**
- * What is left of knowledge after a time in which nobody looked. Each kind of fact has a half-life of its own, by how
- * long such a thing usually lasts; what has become too weak to act on is dropped. Pure.
+ * Decay of learned state over the time in which it was not updated. Each kind of fact has its own half-life, by how
+ * long it usually holds; facts that have become too weak to act on are dropped.
  */
 public final class StateDecay {
-    /** A server that failed so long ago is as likely sound again as not. */
-    public static final double FAILURE_HALF_MS = 60_000;
-    /** What is usual changes with the time of day. */
-    public static final double PACE_HALF_MS = 1_800_000;
-    /** A key that everyone wants is wanted for some minutes. */
-    public static final double HOT_HALF_MS = 120_000;
-    /** As the module's own counts fade. */
-    public static final double LOAD_HALF_MS = 4_000;
-    /** Less weight than this says nothing. */
-    static final double LEAST_WEIGHT = 0.05;
+    /** Half-life of a server's failures: after so long the server is as likely healthy again as not. */
+    public static final double FAILURE_HALF_LIFE_MS = 60_000;
 
-    private static final double LEAST_LOAD = 0.5;
+    /** Half-life of average latencies, which change with the time of day. */
+    public static final double LATENCY_HALF_LIFE_MS = 1_800_000;
+
+    /** Half-life of hot keys, which are hot for some minutes. */
+    public static final double HOT_KEY_HALF_LIFE_MS = 120_000;
+
+    /** Half-life of load counts, the same as in the routing policy. */
+    public static final double LOAD_HALF_LIFE_MS = 4_000;
+
+    /** Latencies with less weight are dropped. */
+    static final double MIN_WEIGHT = 0.05;
+
+    /** Load counts of fewer attempts are dropped. */
+    private static final double MIN_LOAD = 0.5;
 
     private StateDecay() {}
 
     /**
-     * What is left.
+     * Returns what is left of learned state.
      *
-     * @param ageMs since it was told, not negative
-     * @param trust 1 for one's own, less for another's
+     * @param ageMs milliseconds since it was taken, not negative
+     * @param trust 1 for a proxy's own state, less for another proxy's
+     * @throws IllegalArgumentException if the age is negative or the trust is not within 0 to 1
      */
-    public static LearnedState aged(LearnedState k, double ageMs, double trust) {
+    public static LearnedState decay(LearnedState state, double ageMs, double trust) {
         if (!(ageMs >= 0) || !(trust >= 0 && trust <= 1)) {
-            throw new IllegalArgumentException("age " + ageMs + ", trust " + trust);
-        }
-        List<LearnedState.Server> servers = new ArrayList<>();
-        for (LearnedState.Server s : k.servers()) {
-            double left = trust * left(ageMs, FAILURE_HALF_MS);
-            int failures = (int) Math.round(s.failures() * left);
-            int doubts = (int) Math.round(s.doubts() * left);
-            if (failures + doubts > 0) {
-                servers.add(new LearnedState.Server(
-                        s.id(),
-                        s.bornMs(),
-                        failures,
-                        failures == 0 ? 0 : Math.max(0, s.shunnedForMs() - ageMs) * trust,
-                        doubts));
-            }
+            throw new IllegalArgumentException(
+                    "state decay: age " + ageMs + " ms (expected 0 or more), trust " + trust + " (expected 0 to 1)");
         }
+        double loadFraction = trust * remainingFraction(ageMs, LOAD_HALF_LIFE_MS);
         return new LearnedState(
-                servers,
-                pace(k.pace(), trust * left(ageMs, PACE_HALF_MS)),
-                load(k.fetches(), trust * left(ageMs, LOAD_HALF_MS)),
-                load(k.crowd(), trust * left(ageMs, LOAD_HALF_MS)),
-                hot(k.hot(), trust * left(ageMs, HOT_HALF_MS)));
+                servers(state.servers(), ageMs, trust),
+                latency(state.latency(), trust * remainingFraction(ageMs, LATENCY_HALF_LIFE_MS)),
+                load(state.originLoad(), loadFraction),
+                load(state.serverLoad(), loadFraction),
+                hotKeys(state.hotKeys(), trust * remainingFraction(ageMs, HOT_KEY_HALF_LIFE_MS)));
+    }
+
+    private static double remainingFraction(double ageMs, double halfLifeMs) {
+        return Math.pow(0.5, ageMs / halfLifeMs);
     }
 
-    private static double left(double ageMs, double halfMs) {
-        return Math.pow(0.5, ageMs / halfMs);
+    private static List<LearnedServer> servers(List<LearnedServer> servers, double ageMs, double trust) {
+        double fraction = trust * remainingFraction(ageMs, FAILURE_HALF_LIFE_MS);
+        List<LearnedServer> remaining = new ArrayList<>();
+        for (LearnedServer server : servers) {
+            int failures = (int) Math.round(server.failures() * fraction);
+            int overdueAttempts = (int) Math.round(server.overdueAttempts() * fraction);
+            if (failures + overdueAttempts > 0) {
+                double ejectedForMs = failures == 0 ? 0 : Math.max(0, server.ejectedForMs() - ageMs) * trust;
+                remaining.add(
+                        new LearnedServer(server.id(), server.startMs(), failures, ejectedForMs, overdueAttempts));
+            }
+        }
+        return remaining;
     }
 
-    private static LearnedState.Pace pace(LearnedState.Pace p, double left) {
-        double weight = p.weight() * left;
-        return weight < LEAST_WEIGHT
-                ? LearnedState.NONE.pace()
-                : new LearnedState.Pace(p.fetchMs(), p.usualCost(), p.usualMs(), p.deviationMs(), weight);
+    private static LearnedLatency latency(LearnedLatency latency, double fraction) {
+        double weight = latency.weight() * fraction;
+        return weight < MIN_WEIGHT
+                ? LearnedState.NONE.latency()
+                : new LearnedLatency(
+                        latency.originMs(), latency.averageCost(), latency.averageMs(), latency.deviationMs(), weight);
     }
 
-    private static LearnedState.Load load(LearnedState.Load l, double left) {
-        return l.asked() * left < LEAST_LOAD
-                ? LearnedState.NONE.crowd()
-                : new LearnedState.Load(l.asked() * left, l.answered() * left);
+    private static LearnedLoad load(LearnedLoad load, double fraction) {
+        return load.sent() * fraction < MIN_LOAD
+                ? LearnedState.NONE.serverLoad()
+                : new LearnedLoad(load.sent() * fraction, load.answered() * fraction);
     }
 
-    private static LearnedState.HotKeys hot(LearnedState.HotKeys h, double left) {
-        List<LearnedState.HotKey> keys = new ArrayList<>();
-        for (LearnedState.HotKey k : h.keys()) {
-            int count = (int) (k.count() * left);
+    private static LearnedHotKeys hotKeys(LearnedHotKeys hotKeys, double fraction) {
+        List<LearnedHotKey> remaining = new ArrayList<>();
+        for (LearnedHotKey hotKey : hotKeys.keys()) {
+            int count = (int) (hotKey.count() * fraction);
             if (count > 0) {
-                keys.add(new LearnedState.HotKey(k.key(), count));
+                remaining.add(new LearnedHotKey(hotKey.key(), count));
             }
         }
-        return keys.isEmpty() ? LearnedState.NONE.hot() : new LearnedState.HotKeys(h.total() * left, keys);
+        return remaining.isEmpty()
+                ? LearnedState.NONE.hotKeys()
+                : new LearnedHotKeys(hotKeys.total() * fraction, remaining);
     }
 }
--- a/src/main/java/cacheproxy/snapshot/state/StateSnapshot.java
+++ b/src/main/java/cacheproxy/snapshot/state/StateSnapshot.java
@@ -4,103 +4,117 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 
 /**
- * All that one proxy remembers, and what of it still fits: a fact about a server holds for the same process at the same
- * address, a fact about keys for the same placement, all of it for the same proxy. Pure.
+ * All state that one proxy keeps across restarts, and which of it still holds: a fact about a server holds for the same
+ * process at the same address, a fact about keys for the same key scheme, all of it for the same proxy.
  *
  * @param site name of the installation
- * @param me the proxy's number in its tier
- * @param writtenMs Unix time of telling
- * @param generation counts the writings of one proxy, from 1
- * @param births when servers started that no list tells of
+ * @param proxyNumber the proxy's number in its tier
+ * @param writtenMs Unix time at which the snapshot was taken
+ * @param generation counts the snapshots of one proxy, from 1
+ * @param pools the pools' states by pool name
+ * @param serverStarts starts of servers that no endpoint list tells of
  */
 public record StateSnapshot(
-        String site, int me, double writtenMs, long generation, Map<String, Pool> pools, List<Birth> births) {
-    /** Clocks of one machine agree better than this. */
-    static final double FUTURE_MS = 1000;
-    /** Starts longer ago than this say nothing: no server is cold for so long. */
-    static final double BIRTH_MS = 3_600_000;
-    /**
-     * Where more of the servers failed than this, the fault lay with the proxy or its network: nothing is said of
-     * servers.
-     */
-    static final double MOST_FAILING = 0.7;
+        String site,
+        int proxyNumber,
+        double writtenMs,
+        long generation,
+        Map<String, PoolState> pools,
+        List<ServerStart> serverStarts) {
+    /** Greatest difference between a machine's clock before and after a restart that is not a clock set back. */
+    static final double MAX_CLOCK_DIFFERENCE_MS = 1000;
 
-    /**
-     * What a pool's module learned.
-     *
-     * @param placement what the numbers of its keys depend on
-     * @param addresses where the servers stood that something is said of, by id; a missing one is not known
-     */
-    public record Pool(String placement, LearnedState knowledge, Map<Integer, String> addresses) {}
+    /** Server starts in an older snapshot are dropped: no server warms up for so long. */
+    static final double MAX_START_AGE_MS = 3_600_000;
 
     /**
-     * A server's start, in Unix time.
-     *
-     * @param down whether it refused connections when this was told: what answers there now has started since
+     * Greatest fraction of failing servers that is believed. Where more failed, the fault was the proxy's own or its
+     * network's.
      */
-    public record Birth(int id, String address, double bornMs, boolean down) {}
+    static final double MAX_FAILING_FRACTION = 0.7;
 
-    /** A server as it is now. */
-    public record Present(int id, String address, double bornMs) {}
+    private static final double MS_PER_SECOND = 1000;
 
     /**
-     * Why nothing of it may be used by this proxy now; null: it may. {@code another}: it is given as another proxy's.
+     * Tells why this snapshot may not be used by a proxy.
+     *
+     * @param ofSite the proxy's site
+     * @param ofProxyNumber the proxy's number
+     * @param nowMs the present Unix time
+     * @param sibling whether the snapshot is given as that of another proxy of the site
+     * @return the reason, in words for operators; empty if it may be used
      */
-    public String unfit(String ofSite, int ofMe, double now, boolean another) {
+    public Optional<String> mismatch(String ofSite, int ofProxyNumber, double nowMs, boolean sibling) {
         if (!site.equals(ofSite)) {
-            return "it is of the site " + site + ", not " + ofSite;
+            return Optional.of("it is of the site " + site + ", not " + ofSite);
         }
-        if (!another && me != ofMe) {
-            return "it is of proxy " + me + ", not " + ofMe + "; a sibling's may be given with --seed-from";
+        if (!sibling && proxyNumber != ofProxyNumber) {
+            return Optional.of("it is of proxy " + proxyNumber + ", not " + ofProxyNumber
+                    + "; a sibling's may be given with --seed-from");
         }
-        if (writtenMs > now + FUTURE_MS) {
-            return "it was written " + Math.round((writtenMs - now) / 1000) + " s from now; the clock was set back";
+        if (writtenMs > nowMs + MAX_CLOCK_DIFFERENCE_MS) {
+            long aheadSeconds = Math.round((writtenMs - nowMs) / MS_PER_SECOND);
+            return Optional.of("it was written " + aheadSeconds + " s from now; the clock was set back");
         }
-        return null;
+        return Optional.empty();
     }
 
     /**
-     * What is left for a pool.
+     * Returns the state that still holds for a pool, decayed by the snapshot's age.
      *
-     * @param servers those on its list
-     * @param trust 1 for one's own, less for another's
+     * @param pool the pool's name
+     * @param keyScheme the pool's present key scheme
+     * @param nowMs the present Unix time
+     * @param trust 1 for a proxy's own snapshot, less for another proxy's
+     * @param servers the servers on the pool's list
      */
-    public LearnedState left(String pool, String placement, double now, double trust, List<Present> servers) {
-        Pool p = pools.get(pool);
-        if (p == null) {
+    public LearnedState restore(
+            String pool, String keyScheme, double nowMs, double trust, List<CurrentServer> servers) {
+        PoolState poolState = pools.get(pool);
+        if (poolState == null) {
             return LearnedState.NONE;
         }
-        Map<Integer, Present> present = new HashMap<>();
-        servers.forEach(s -> present.put(s.id(), s));
-        List<LearnedState.Server> fitting = new ArrayList<>();
-        for (LearnedState.Server s : p.knowledge().servers()) {
-            Present at = present.get(s.id());
-            String address = p.addresses().get(s.id());
-            if (at != null && at.bornMs() == s.bornMs() && (address == null || address.equals(at.address()))) {
-                fitting.add(s);
+        LearnedState learned = poolState.learned();
+        LearnedState fitting = new LearnedState(
+                fittingServers(poolState, servers),
+                learned.latency(),
+                learned.originLoad(),
+                learned.serverLoad(),
+                poolState.keyScheme().equals(keyScheme) ? learned.hotKeys() : LearnedState.NONE.hotKeys());
+        return StateDecay.decay(fitting, Math.max(0, nowMs - writtenMs), trust);
+    }
+
+    /** The learned servers that are still the same process at the same address; none if too many of them failed. */
+    private static List<LearnedServer> fittingServers(PoolState poolState, List<CurrentServer> servers) {
+        Map<Integer, CurrentServer> currentById = new HashMap<>();
+        servers.forEach(server -> currentById.put(server.id(), server));
+        List<LearnedServer> fitting = new ArrayList<>();
+        for (LearnedServer server : poolState.learned().servers()) {
+            CurrentServer current = currentById.get(server.id());
+            String address = poolState.addresses().get(server.id());
+            if (current != null
+                    && current.startMs() == server.startMs()
+                    && (address == null || address.equals(current.address()))) {
+                fitting.add(server);
             }
         }
-        if (fitting.stream().filter(s -> s.failures() > 0).count() > MOST_FAILING * servers.size()) {
-            fitting.clear();
-        }
-        LearnedState k = p.knowledge();
-        return StateDecay.aged(
-                new LearnedState(
-                        fitting,
-                        k.pace(),
-                        k.fetches(),
-                        k.crowd(),
-                        p.placement().equals(placement) ? k.hot() : LearnedState.NONE.hot()),
-                Math.max(0, now - writtenMs),
-                trust);
+        long failing = fitting.stream().filter(server -> server.failures() > 0).count();
+        return failing > MAX_FAILING_FRACTION * servers.size() ? List.of() : fitting;
     }
 
-    /** Starts that still matter, where the servers stand as they stood. */
-    public List<Birth> births(double now, Map<Integer, String> addresses) {
-        return births.stream()
-                .filter(b -> now - writtenMs < BIRTH_MS && b.address().equals(addresses.get(b.id())))
+    /**
+     * Returns the starts that still matter, of servers whose address is unchanged.
+     *
+     * @param nowMs the present Unix time
+     * @param addresses the servers' present addresses by id
+     */
+    public List<ServerStart> serverStarts(double nowMs, Map<Integer, String> addresses) {
+        return serverStarts.stream()
+                .filter(start ->
+                        nowMs - writtenMs < MAX_START_AGE_MS && start.address().equals(addresses.get(start.id())))
                 .toList();
     }
 }
--- a/src/test/java/cacheproxy/DaemonJarIT.java
+++ b/src/test/java/cacheproxy/DaemonJarIT.java
@@ -172,7 +172,7 @@
                         told = r != null
                                 && r.generation() > generation + 1
                                 && r.pools().values().stream()
-                                        .anyMatch(k -> !k.knowledge().servers().isEmpty());
+                                        .anyMatch(k -> !k.learned().servers().isEmpty());
                     }
                 }
                 assertThat(cacheproxy.snapshot.SnapshotStore.at(memory).lock())
--- a/src/test/java/cacheproxy/PolicyRecallTest.java
+++ b/src/test/java/cacheproxy/PolicyRecallTest.java
@@ -6,6 +6,11 @@
 import cacheproxy.policy.PolicyApi.Outcome;
 import cacheproxy.policy.PolicyApi.Request;
 import cacheproxy.policy.PolicyApi.State;
+import cacheproxy.snapshot.state.LearnedHotKey;
+import cacheproxy.snapshot.state.LearnedHotKeys;
+import cacheproxy.snapshot.state.LearnedLatency;
+import cacheproxy.snapshot.state.LearnedLoad;
+import cacheproxy.snapshot.state.LearnedServer;
 import cacheproxy.snapshot.state.LearnedState;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -21,16 +26,16 @@
     }
 
     private static LearnedState bad(double shunnedForMs, int... ids) {
-        List<LearnedState.Server> servers = new ArrayList<>();
+        List<LearnedServer> servers = new ArrayList<>();
         for (int id : ids) {
-            servers.add(new LearnedState.Server(id, 0, 3, shunnedForMs, 0));
+            servers.add(new LearnedServer(id, 0, 3, shunnedForMs, 0));
         }
         return new LearnedState(
                 servers,
-                LearnedState.NONE.pace(),
-                LearnedState.NONE.fetches(),
-                LearnedState.NONE.crowd(),
-                LearnedState.NONE.hot());
+                LearnedState.NONE.latency(),
+                LearnedState.NONE.originLoad(),
+                LearnedState.NONE.serverLoad(),
+                LearnedState.NONE.hotKeys());
     }
 
     /** The servers that these reads go to first. */
@@ -56,7 +61,7 @@
         assertThat(told.servers()).singleElement().satisfies(s -> {
             assertThat(s.id()).isEqualTo(slow);
             assertThat(s.failures()).isPositive();
-            assertThat(s.shunnedForMs()).isPositive();
+            assertThat(s.ejectedForMs()).isPositive();
         });
         Rig next = rig(4);
         next.policy.recall(next.now, told);
@@ -168,19 +173,19 @@
     }
 
     private static LearnedState worst(SplittableRandom random, int servers) {
-        List<LearnedState.Server> facts = new ArrayList<>();
+        List<LearnedServer> facts = new ArrayList<>();
         for (int id = 1; id <= servers; id++) {
             if (random.nextInt(3) > 0) {
-                facts.add(new LearnedState.Server(
+                facts.add(new LearnedServer(
                         id, 0, 1 + random.nextInt(30_000), random.nextDouble() * 1e9, random.nextInt(5)));
             }
         }
         return new LearnedState(
                 facts,
-                new LearnedState.Pace(random.nextDouble() * 1e3, 1, random.nextDouble() * 300, 1, 1),
-                new LearnedState.Load(random.nextInt(1000), random.nextInt(1000)),
-                new LearnedState.Load(random.nextInt(100), 100 + random.nextInt(1000)),
-                new LearnedState.HotKeys(1e6, List.of(new LearnedState.HotKey(random.nextLong(), 1000))));
+                new LearnedLatency(random.nextDouble() * 1e3, 1, random.nextDouble() * 300, 1, 1),
+                new LearnedLoad(random.nextInt(1000), random.nextInt(1000)),
+                new LearnedLoad(random.nextInt(100), 100 + random.nextInt(1000)),
+                new LearnedHotKeys(1e6, List.of(new LearnedHotKey(random.nextLong(), 1000))));
     }
 
     /**
@@ -202,10 +207,10 @@
                             rig.now,
                             new LearnedState(
                                     List.of(),
-                                    LearnedState.NONE.pace(),
-                                    LearnedState.NONE.fetches(),
-                                    LearnedState.NONE.crowd(),
-                                    new LearnedState.HotKeys(1e6, List.of())));
+                                    LearnedState.NONE.latency(),
+                                    LearnedState.NONE.originLoad(),
+                                    LearnedState.NONE.serverLoad(),
+                                    new LearnedHotKeys(1e6, List.of())));
                 }
                 for (int i = 1; i <= 5; i++) { // under the count from which a key is spread
                     rig.read(i, 77L + round);
@@ -220,28 +225,28 @@
 
     @Test
     void pressureIsRememberedAndNeverLoosensAThrottle() {
-        LearnedState.Load jam = new LearnedState.Load(400, 40);
-        LearnedState.Load calm = new LearnedState.Load(400, 400);
-        assertThat(refused(LearnedState.NONE.crowd(), 0)).isZero();
+        LearnedLoad jam = new LearnedLoad(400, 40);
+        LearnedLoad calm = new LearnedLoad(400, 400);
+        assertThat(refused(LearnedState.NONE.serverLoad(), 0)).isZero();
         assertThat(refused(jam, 0)).as("at once").isGreaterThan(20);
         // An origin that answers nothing: earlier answers must not let more through than nothing remembered does.
-        assertThat(refused(calm, 200)).isGreaterThanOrEqualTo(refused(LearnedState.NONE.crowd(), 200));
+        assertThat(refused(calm, 200)).isGreaterThanOrEqualTo(refused(LearnedState.NONE.serverLoad(), 200));
     }
 
     /**
      * How many of a hundred misses are not fetched, with the origin answering, after so many fetches that had no
      * answer.
      */
-    private static int refused(LearnedState.Load fetches, int unanswered) {
+    private static int refused(LearnedLoad fetches, int unanswered) {
         Rig rig = rig(4);
         rig.policy.recall(
                 rig.now,
                 new LearnedState(
                         List.of(),
-                        LearnedState.NONE.pace(),
+                        LearnedState.NONE.latency(),
                         fetches,
-                        LearnedState.NONE.crowd(),
-                        LearnedState.NONE.hot()));
+                        LearnedState.NONE.serverLoad(),
+                        LearnedState.NONE.hotKeys()));
         int refused = 0;
         for (int i = 1; i <= unanswered + 100; i++) {
             int before = rig.denied.size();
@@ -269,11 +274,11 @@
             first.endAfter(first.last(), Outcome.OK, 5);
         }
         LearnedState told = first.policy.knowledge(first.now, 10);
-        assertThat(told.hot().keys()).first().satisfies(k -> {
+        assertThat(told.hotKeys().keys()).first().satisfies(k -> {
             assertThat(k.key()).isEqualTo(99);
             assertThat(k.count()).isEqualTo(100);
         });
-        assertThat(first.policy.knowledge(first.now, 0).hot().keys()).isEmpty();
+        assertThat(first.policy.knowledge(first.now, 0).hotKeys().keys()).isEmpty();
         Rig next = rig(8);
         next.policy.recall(next.now, told);
         Set<Integer> at = new HashSet<>();
@@ -298,37 +303,37 @@
             rig.read(i, i / 6); // each hot for a moment, while few were asked for
             rig.endAfter(rig.last(), Outcome.OK, 5);
         }
-        assertThat(rig.policy.knowledge(rig.now, Integer.MAX_VALUE).hot().keys())
+        assertThat(rig.policy.knowledge(rig.now, Integer.MAX_VALUE).hotKeys().keys())
                 .hasSizeLessThanOrEqualTo(256)
                 .isNotEmpty();
     }
 
     @Test
     void theUsualPaceIsTakenOverByItsWeight() {
-        LearnedState.Pace usual = new LearnedState.Pace(80, 3, 20, 4, 1);
+        LearnedLatency usual = new LearnedLatency(80, 3, 20, 4, 1);
         Rig rig = rig(4);
-        LearnedState.Pace own = rig.policy.knowledge(rig.now, 0).pace();
+        LearnedLatency own = rig.policy.knowledge(rig.now, 0).latency();
         rig.policy.recall(
                 rig.now,
                 new LearnedState(
                         List.of(),
                         usual,
-                        LearnedState.NONE.fetches(),
-                        LearnedState.NONE.crowd(),
-                        LearnedState.NONE.hot()));
-        assertThat(rig.policy.knowledge(rig.now, 0).pace()).isEqualTo(usual);
+                        LearnedState.NONE.originLoad(),
+                        LearnedState.NONE.serverLoad(),
+                        LearnedState.NONE.hotKeys()));
+        assertThat(rig.policy.knowledge(rig.now, 0).latency()).isEqualTo(usual);
         Rig half = rig(4);
         half.policy.recall(
                 half.now,
                 new LearnedState(
                         List.of(),
-                        new LearnedState.Pace(80, 3, 20, 4, 0.5),
-                        LearnedState.NONE.fetches(),
-                        LearnedState.NONE.crowd(),
-                        LearnedState.NONE.hot()));
-        assertThat(half.policy.knowledge(half.now, 0).pace().usualMs()).isEqualTo((own.usualMs() + 20) / 2);
+                        new LearnedLatency(80, 3, 20, 4, 0.5),
+                        LearnedState.NONE.originLoad(),
+                        LearnedState.NONE.serverLoad(),
+                        LearnedState.NONE.hotKeys()));
+        assertThat(half.policy.knowledge(half.now, 0).latency().averageMs()).isEqualTo((own.averageMs() + 20) / 2);
         Rig none = rig(4);
         none.policy.recall(none.now, LearnedState.NONE);
-        assertThat(none.policy.knowledge(none.now, 0).pace()).isEqualTo(own);
+        assertThat(none.policy.knowledge(none.now, 0).latency()).isEqualTo(own);
     }
 }
--- a/src/test/java/cacheproxy/daemon/MemoryTest.java
+++ b/src/test/java/cacheproxy/daemon/MemoryTest.java
@@ -12,7 +12,13 @@
 import cacheproxy.placement.ServerId;
 import cacheproxy.snapshot.SnapshotCodec;
 import cacheproxy.snapshot.SnapshotStore;
+import cacheproxy.snapshot.state.LearnedHotKeys;
+import cacheproxy.snapshot.state.LearnedLatency;
+import cacheproxy.snapshot.state.LearnedLoad;
+import cacheproxy.snapshot.state.LearnedServer;
 import cacheproxy.snapshot.state.LearnedState;
+import cacheproxy.snapshot.state.PoolState;
+import cacheproxy.snapshot.state.ServerStart;
 import cacheproxy.snapshot.state.StateSnapshot;
 import java.nio.file.Files;
 import java.nio.file.Path;
@@ -81,7 +87,7 @@
                 daemon.drain(); // writes a last time
             }
             assertThat(first).as("it had to be found out").isPositive();
-            assertThat(written().pools().get("a").knowledge().servers()).anyMatch(s -> s.failures() > 0);
+            assertThat(written().pools().get("a").learned().servers()).anyMatch(s -> s.failures() > 0);
             try (Daemon daemon = daemon(file(""))) {
                 LoadClient.Account a = ask(daemon, 400, 1000);
                 assertThat(a.faults).isEmpty();
@@ -144,9 +150,9 @@
 
     /** A memory of pool a in which these are out, as the last daemon of this number would have left it. */
     private void remember(Path path, int me, double writtenMs, double bornMs, int... bad) throws Exception {
-        List<LearnedState.Server> facts = new ArrayList<>();
+        List<LearnedServer> facts = new ArrayList<>();
         for (int id : bad) {
-            facts.add(new LearnedState.Server(id, bornMs, 4, 80_000, 0));
+            facts.add(new LearnedServer(id, bornMs, 4, 80_000, 0));
         }
         SnapshotStore.at(path)
                 .write(new StateSnapshot(
@@ -156,14 +162,14 @@
                         0,
                         Map.of(
                                 "a",
-                                new StateSnapshot.Pool(
+                                new PoolState(
                                         "",
                                         new LearnedState(
                                                 facts,
-                                                LearnedState.NONE.pace(),
-                                                LearnedState.NONE.fetches(),
-                                                LearnedState.NONE.crowd(),
-                                                LearnedState.NONE.hot()),
+                                                LearnedState.NONE.latency(),
+                                                LearnedState.NONE.originLoad(),
+                                                LearnedState.NONE.serverLoad(),
+                                                LearnedState.NONE.hotKeys()),
                                         Map.of())),
                         List.of()));
     }
@@ -258,7 +264,7 @@
                 second.drain();
                 first.drain();
             }
-            assertThat(written().me()).isZero();
+            assertThat(written().proxyNumber()).isZero();
         }
     }
 
@@ -340,11 +346,11 @@
             listed.restart(0);
             // All others out but two, those of the file's limit; the cold one said to be the best, by an old start's
             // account.
-            List<LearnedState.Server> facts = new ArrayList<>();
+            List<LearnedServer> facts = new ArrayList<>();
             for (int i = 1; i < 5; i++) {
-                facts.add(new LearnedState.Server(i + 1, 0, 9, 1e9, 9));
+                facts.add(new LearnedServer(i + 1, 0, 9, 1e9, 9));
             }
-            facts.add(new LearnedState.Server(1, 0, 9, 1e9, 0)); // of the process before
+            facts.add(new LearnedServer(1, 0, 9, 1e9, 0)); // of the process before
             SnapshotStore.at(folder.resolve("memory"))
                     .write(new StateSnapshot(
                             "demo",
@@ -353,16 +359,16 @@
                             0,
                             Map.of(
                                     "pages",
-                                    new StateSnapshot.Pool(
+                                    new PoolState(
                                             "carp by $key, keys TEXT",
                                             new LearnedState(
                                                     facts,
-                                                    new LearnedState.Pace(1, 1, 1, 0, 1),
-                                                    new LearnedState.Load(0, 1e9),
-                                                    new LearnedState.Load(0, 1e9),
-                                                    new LearnedState.HotKeys(1e9, List.of())),
+                                                    new LearnedLatency(1, 1, 1, 0, 1),
+                                                    new LearnedLoad(0, 1e9),
+                                                    new LearnedLoad(0, 1e9),
+                                                    new LearnedHotKeys(1e9, List.of())),
                                             Map.of())),
-                            List.of(new StateSnapshot.Birth(1, cold.dial(), 1, false))));
+                            List.of(new ServerStart(1, cold.dial(), 1, false))));
             String text = Demo.file(listed)
                     .replace(
                             "warm_up_ms = 2000",
@@ -398,25 +404,25 @@
                 assertThat(ask(daemon, 400, 0).faults).isEmpty();
                 daemon.drain();
             }
-            assertThat(written().births()).anyMatch(b -> b.id() == id(node) && b.down());
+            assertThat(written().serverStarts()).anyMatch(b -> b.id() == id(node) && b.down());
             node.revive();
             try (Daemon daemon = daemon(text)) {
-                while (written().births().stream().noneMatch(b -> b.id() == id(node) && b.bornMs() > 0)) {
+                while (written().serverStarts().stream().noneMatch(b -> b.id() == id(node) && b.startMs() > 0)) {
                     assertThat(ask(daemon, 100, 0).faults).isEmpty();
                 }
                 daemon.drain();
             }
-            double born = written().births().stream()
+            double born = written().serverStarts().stream()
                     .filter(b -> b.id() == id(node))
                     .findFirst()
                     .orElseThrow()
-                    .bornMs();
+                    .startMs();
             try (Daemon daemon = daemon(text)) {
                 daemon.drain();
             }
-            assertThat(written().births())
+            assertThat(written().serverStarts())
                     .as("and still to the one after it")
-                    .anyMatch(b -> b.id() == id(node) && b.bornMs() == born);
+                    .anyMatch(b -> b.id() == id(node) && b.startMs() == born);
         }
     }
 }
--- a/src/test/java/cacheproxy/snapshot/SnapshotCodecTest.java
+++ b/src/test/java/cacheproxy/snapshot/SnapshotCodecTest.java
@@ -3,7 +3,14 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
+import cacheproxy.snapshot.state.LearnedHotKey;
+import cacheproxy.snapshot.state.LearnedHotKeys;
+import cacheproxy.snapshot.state.LearnedLatency;
+import cacheproxy.snapshot.state.LearnedLoad;
+import cacheproxy.snapshot.state.LearnedServer;
 import cacheproxy.snapshot.state.LearnedState;
+import cacheproxy.snapshot.state.PoolState;
+import cacheproxy.snapshot.state.ServerStart;
 import cacheproxy.snapshot.state.StateSnapshot;
 import java.io.IOException;
 import java.nio.ByteBuffer;
@@ -27,20 +34,19 @@
             9,
             Map.of(
                     "a",
-                    new StateSnapshot.Pool(
+                    new PoolState(
                             "carp by $key, keys TEXT",
                             new LearnedState(
                                     List.of(
-                                            new LearnedState.Server(0xCAFE0001, 0, 3, 20_000, 1),
-                                            new LearnedState.Server(2, 1e12, 1, 0.5, 0)),
-                                    new LearnedState.Pace(80, 3, 20, 4, 1),
-                                    new LearnedState.Load(100, 50),
-                                    new LearnedState.Load(200, 190),
-                                    new LearnedState.HotKeys(
-                                            1000,
-                                            List.of(new LearnedState.HotKey(-7, 400), new LearnedState.HotKey(8, 1)))),
+                                            new LearnedServer(0xCAFE0001, 0, 3, 20_000, 1),
+                                            new LearnedServer(2, 1e12, 1, 0.5, 0)),
+                                    new LearnedLatency(80, 3, 20, 4, 1),
+                                    new LearnedLoad(100, 50),
+                                    new LearnedLoad(200, 190),
+                                    new LearnedHotKeys(
+                                            1000, List.of(new LearnedHotKey(-7, 400), new LearnedHotKey(8, 1)))),
                             Map.of(0xCAFE0001, "10.0.0.1:11211"))),
-            List.of(new StateSnapshot.Birth(0xCAFE0001, "10.0.0.1:11211", 1e12 - 5000, true)));
+            List.of(new ServerStart(0xCAFE0001, "10.0.0.1:11211", 1e12 - 5000, true)));
 
     static byte[] sample(String name) throws IOException {
         try (var in = SnapshotCodecTest.class.getResourceAsStream("/memory/" + name + ".mem")) {
@@ -59,8 +65,8 @@
     void serversOfTheFirstVersionHadNoAddress() throws Exception {
         SnapshotCodec.Decoded d = SnapshotCodec.decode(sample("servers-v1"));
         assertThat(d.whole()).isTrue();
-        assertThat(d.content().pools().get("a").knowledge())
-                .isEqualTo(SMALL.pools().get("a").knowledge());
+        assertThat(d.content().pools().get("a").learned())
+                .isEqualTo(SMALL.pools().get("a").learned());
         assertThat(d.content().pools().get("a").addresses()).isEmpty();
     }
 
@@ -69,7 +75,7 @@
         SnapshotCodec.Decoded d = SnapshotCodec.decode(sample("newer-section"));
         assertThat(d.whole()).isTrue();
         assertThat(d.skipped()).hasSize(2).allMatch(l -> l.contains("of a newer program"));
-        assertThat(d.content().pools().get("a").knowledge().pace()).isEqualTo(new LearnedState.Pace(80, 3, 20, 4, 1));
+        assertThat(d.content().pools().get("a").learned().latency()).isEqualTo(new LearnedLatency(80, 3, 20, 4, 1));
         assertThat(SnapshotCodec.decode(sample("newer-format"))).satisfies(n -> {
             assertThat(n.content()).isNull();
             assertThat(n.faults()).containsExactly("byte 8: format 2 is not known to this program, which reads 1");
@@ -83,17 +89,17 @@
         }
         StateSnapshot r = d.content();
         assertThat(r.site()).as(as).isEqualTo(SMALL.site());
-        assertThat(r.me()).as(as).isEqualTo(SMALL.me());
+        assertThat(r.proxyNumber()).as(as).isEqualTo(SMALL.proxyNumber());
         assertThat(r.writtenMs()).as(as).isEqualTo(SMALL.writtenMs());
-        assertThat(r.births()).as(as).isIn(List.of(), SMALL.births());
+        assertThat(r.serverStarts()).as(as).isIn(List.of(), SMALL.serverStarts());
         r.pools().forEach((name, p) -> {
             assertThat(name).as(as).isEqualTo("a");
-            LearnedState k = p.knowledge();
-            LearnedState was = SMALL.pools().get("a").knowledge();
+            LearnedState k = p.learned();
+            LearnedState was = SMALL.pools().get("a").learned();
             assertThat(k.servers()).as(as).isIn(List.of(), was.servers());
-            assertThat(k.pace()).as(as).isIn(LearnedState.NONE.pace(), was.pace());
-            assertThat(k.crowd()).as(as).isIn(LearnedState.NONE.crowd(), was.crowd());
-            assertThat(k.hot()).as(as).isIn(LearnedState.NONE.hot(), was.hot());
+            assertThat(k.latency()).as(as).isIn(LearnedState.NONE.latency(), was.latency());
+            assertThat(k.serverLoad()).as(as).isIn(LearnedState.NONE.serverLoad(), was.serverLoad());
+            assertThat(k.hotKeys()).as(as).isIn(LearnedState.NONE.hotKeys(), was.hotKeys());
         });
     }
 
@@ -253,8 +259,8 @@
             assertThat(d.content()).as("the rest is read").isNotNull();
             assertThat(d.faults()).singleElement().asString().contains("section 2 says nothing that can be");
             assertThat(d.content().pools().values())
-                    .allSatisfy(p -> assertThat(p.knowledge()).isEqualTo(LearnedState.NONE));
-            assertThat(d.content().births().stream().filter(b -> b.down() && b.bornMs() == 1))
+                    .allSatisfy(p -> assertThat(p.learned()).isEqualTo(LearnedState.NONE));
+            assertThat(d.content().serverStarts().stream().filter(b -> b.down() && b.startMs() == 1))
                     .isEmpty();
         }
     }
@@ -292,12 +298,12 @@
     void whateverAModuleCanKnowIsReadAsItWasWritten() {
         SplittableRandom random = new SplittableRandom(11);
         for (int round = 0; round < 200; round++) {
-            Map<String, StateSnapshot.Pool> pools = new LinkedHashMap<>();
+            Map<String, PoolState> pools = new LinkedHashMap<>();
             for (int p = random.nextInt(5); p > 0; p--) {
-                List<LearnedState.Server> servers = new ArrayList<>();
+                List<LearnedServer> servers = new ArrayList<>();
                 Map<Integer, String> addresses = new HashMap<>();
                 for (int s = random.nextInt(300); s > 0; s--) {
-                    servers.add(new LearnedState.Server(
+                    servers.add(new LearnedServer(
                             random.nextInt(),
                             random.nextInt(3) * 1e12,
                             random.nextInt(100),
@@ -305,22 +311,21 @@
                             random.nextInt(3)));
                     addresses.put(servers.get(servers.size() - 1).id(), "10.0.0." + s + ":1");
                 }
-                List<LearnedState.HotKey> keys = new ArrayList<>();
+                List<LearnedHotKey> keys = new ArrayList<>();
                 for (int k = random.nextInt(100); k > 0; k--) {
-                    keys.add(new LearnedState.HotKey(random.nextLong(), 1 + random.nextInt(1000)));
+                    keys.add(new LearnedHotKey(random.nextLong(), 1 + random.nextInt(1000)));
                 }
-                LearnedState.HotKeys hot =
-                        keys.isEmpty() ? LearnedState.NONE.hot() : new LearnedState.HotKeys(1e6, keys);
+                LearnedHotKeys hot = keys.isEmpty() ? LearnedState.NONE.hotKeys() : new LearnedHotKeys(1e6, keys);
                 pools.put(
                         "pool-\u00e4-" + p,
-                        new StateSnapshot.Pool(
+                        new PoolState(
                                 keys.isEmpty() ? "" : "carp",
                                 new LearnedState(
                                         servers,
-                                        new LearnedState.Pace(
+                                        new LearnedLatency(
                                                 random.nextDouble(), 0, random.nextDouble(), 1, random.nextDouble()),
-                                        new LearnedState.Load(random.nextInt(9), 0),
-                                        new LearnedState.Load(1, 2),
+                                        new LearnedLoad(random.nextInt(9), 0),
+                                        new LearnedLoad(1, 2),
                                         hot),
                                 addresses));
             }
@@ -333,26 +338,26 @@
 
     @Test
     void aFileHasItsBoundWhateverIsKnown() {
-        List<LearnedState.Server> servers = new ArrayList<>();
-        List<LearnedState.HotKey> keys = new ArrayList<>();
+        List<LearnedServer> servers = new ArrayList<>();
+        List<LearnedHotKey> keys = new ArrayList<>();
         for (int i = 0; i < 30_000; i++) {
-            servers.add(new LearnedState.Server(i, 0, 1, 1, 0));
-            keys.add(new LearnedState.HotKey(i, 1));
+            servers.add(new LearnedServer(i, 0, 1, 1, 0));
+            keys.add(new LearnedHotKey(i, 1));
         }
-        StateSnapshot.Pool pool = new StateSnapshot.Pool(
+        PoolState pool = new PoolState(
                 "carp",
                 new LearnedState(
                         servers,
-                        LearnedState.NONE.pace(),
-                        LearnedState.NONE.fetches(),
-                        LearnedState.NONE.crowd(),
-                        new LearnedState.HotKeys(30_000, keys)),
+                        LearnedState.NONE.latency(),
+                        LearnedState.NONE.originLoad(),
+                        LearnedState.NONE.serverLoad(),
+                        new LearnedHotKeys(30_000, keys)),
                 Map.of());
         byte[] one = SnapshotCodec.encode(new StateSnapshot("s", 0, 1, 1, Map.of("a", pool), List.of()));
-        LearnedState read = SnapshotCodec.decode(one).content().pools().get("a").knowledge();
+        LearnedState read = SnapshotCodec.decode(one).content().pools().get("a").learned();
         assertThat(read.servers()).hasSize(SnapshotCodec.MAX_SERVERS);
-        assertThat(read.hot().keys()).hasSize(SnapshotCodec.MAX_KEYS);
-        Map<String, StateSnapshot.Pool> many = new LinkedHashMap<>();
+        assertThat(read.hotKeys().keys()).hasSize(SnapshotCodec.MAX_KEYS);
+        Map<String, PoolState> many = new LinkedHashMap<>();
         for (int i = 0; i < 10; i++) {
             many.put("p" + i, pool);
         }
--- a/src/test/java/cacheproxy/snapshot/SnapshotStoreTest.java
+++ b/src/test/java/cacheproxy/snapshot/SnapshotStoreTest.java
@@ -3,6 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
+import cacheproxy.snapshot.state.ServerStart;
 import cacheproxy.snapshot.state.StateSnapshot;
 import java.io.IOException;
 import java.io.RandomAccessFile;
@@ -40,7 +41,7 @@
     private static StateSnapshot state(int n) {
         StateSnapshot s = SnapshotCodecTest.SMALL;
         return new StateSnapshot(
-                s.site(), n, s.writtenMs(), 0, s.pools(), List.of(new StateSnapshot.Birth(1, "10.0.0.1:1", n, false)));
+                s.site(), n, s.writtenMs(), 0, s.pools(), List.of(new ServerStart(1, "10.0.0.1:1", n, false)));
     }
 
     private static void await(BooleanSupplier event) throws InterruptedException {
@@ -116,12 +117,12 @@
         for (int n = 1; n <= 3; n++) {
             files.write(state(n));
         }
-        assertThat(found().content().me()).isEqualTo(3);
+        assertThat(found().content().proxyNumber()).isEqualTo(3);
         assertThat(found().content().generation()).isEqualTo(3);
         assertThat(SnapshotStore.at(folder.resolve("memory.old"))
                         .read()
                         .content()
-                        .me())
+                        .proxyNumber())
                 .isEqualTo(2);
         SnapshotStore next = SnapshotStore.at(file);
         next.read();
@@ -141,7 +142,7 @@
             boolean cut = n <= length;
             SnapshotStore dying = new SnapshotStore(file, new Mortal(cut ? 0 : n - length - 1, cut ? n - 1 : -1));
             SnapshotStore.Found before = dying.read();
-            int was = before.content() == null ? 0 : before.content().me();
+            int was = before.content() == null ? 0 : before.content().proxyNumber();
             boolean died = false;
             try {
                 dying.write(state(was + 1));
@@ -152,12 +153,12 @@
             if (generations > 0) {
                 assertThat(after.content()).as("death " + n).isNotNull();
                 assertThat(after.notes()).as("death " + n).isEmpty();
-                assertThat(after.content().me()).as("death " + n).isIn(was, was + 1);
-                assertThat(died || after.content().me() == was + 1).isTrue();
+                assertThat(after.content().proxyNumber()).as("death " + n).isIn(was, was + 1);
+                assertThat(died || after.content().proxyNumber() == was + 1).isTrue();
             }
             SnapshotStore living = SnapshotStore.at(file);
             SnapshotStore.Found found = living.read();
-            living.write(state((found.content() == null ? 0 : found.content().me()) + 1));
+            living.write(state((found.content() == null ? 0 : found.content().proxyNumber()) + 1));
             generations++;
         }
     }
@@ -171,7 +172,7 @@
         byte[] good = Files.readAllBytes(file);
         for (byte[] bad : List.of(new byte[0], new byte[good.length], Arrays.copyOf(good, 100))) {
             Files.write(file, bad);
-            assertThat(found().content().me()).isEqualTo(1);
+            assertThat(found().content().proxyNumber()).isEqualTo(1);
             assertThat(found().older()).isTrue();
             assertThat(found().notes()).isNotEmpty().allMatch(l -> l.startsWith(file + ": byte "));
         }
@@ -179,26 +180,26 @@
         SnapshotStore dying = new SnapshotStore(file, new Mortal(1, -1));
         dying.read();
         assertThatThrownBy(() -> dying.write(state(3))).isInstanceOf(Mortal.Death.class);
-        assertThat(found().content().me()).isEqualTo(1);
+        assertThat(found().content().proxyNumber()).isEqualTo(1);
         SnapshotStore next = SnapshotStore.at(file);
         next.read();
         next.write(state(3));
-        assertThat(found().content().me()).isEqualTo(3);
+        assertThat(found().content().proxyNumber()).isEqualTo(3);
         assertThat(found().content().generation())
                 .as("one after the newest that could be read")
                 .isEqualTo(3);
         assertThat(SnapshotStore.at(folder.resolve("memory.old"))
                         .read()
                         .content()
-                        .me())
+                        .proxyNumber())
                 .isEqualTo(1);
         // Both damaged: what is whole of the newest.
         byte[] part = Files.readAllBytes(file);
         part[part.length - 1] ^= 1;
         Files.write(file, part);
         Files.write(folder.resolve("memory.old"), new byte[5]);
-        assertThat(found().content().me()).isEqualTo(3);
-        assertThat(found().content().births()).isEmpty();
+        assertThat(found().content().proxyNumber()).isEqualTo(3);
+        assertThat(found().content().serverStarts()).isEmpty();
     }
 
     @Test
@@ -323,7 +324,7 @@
             writer.offer(state(i));
         }
         await(() -> again.getCount() < 2);
-        assertThat(found().content().me()).isEqualTo(1);
+        assertThat(found().content().proxyNumber()).isEqualTo(1);
         disk.fault = null;
         writer.offer(state(50));
         again.await();
@@ -331,7 +332,7 @@
         assertThat(told)
                 .containsExactly(
                         "memory: can't write: No space left on device; goes on without", "memory: writes again");
-        assertThat(found().content().me()).isEqualTo(51);
+        assertThat(found().content().proxyNumber()).isEqualTo(51);
     }
 
     @Test
@@ -368,9 +369,9 @@
         disk.gate.release(1_000_000);
         last.join();
         assertThat(disk.written.size()).isLessThanOrEqualTo(3);
-        assertThat(found().content().me()).isEqualTo(10_001);
+        assertThat(found().content().proxyNumber()).isEqualTo(10_001);
         writer.offer(state(1));
-        assertThat(found().content().me()).as("nothing after the last").isEqualTo(10_001);
+        assertThat(found().content().proxyNumber()).as("nothing after the last").isEqualTo(10_001);
     }
 
     @Test
@@ -379,7 +380,7 @@
         StateSnapshot s = state(1);
         writer.offer(s);
         await(() -> writer.writes() == 1);
-        writer.offer(new StateSnapshot(s.site(), 1, s.writtenMs() + 5000, 0, Map.copyOf(s.pools()), s.births()));
+        writer.offer(new StateSnapshot(s.site(), 1, s.writtenMs() + 5000, 0, Map.copyOf(s.pools()), s.serverStarts()));
         writer.abandon();
         writer.offer(state(2));
         assertThat(writer.writes()).isEqualTo(1);
--- a/src/test/java/cacheproxy/snapshot/state/StateDecayTest.java
+++ b/src/test/java/cacheproxy/snapshot/state/StateDecayTest.java
@@ -7,122 +7,136 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** How facts fade, and which of them still fit. */
+/** Decay of learned state, and which of it still holds after a restart. */
 class StateDecayTest {
-    private static final double HOUR = 3_600_000;
-    private static final LearnedState ALL = new LearnedState(
-            List.of(new LearnedState.Server(1, 0, 3, 20_000, 1), new LearnedState.Server(2, 50, 1, 2_500, 0)),
-            new LearnedState.Pace(80, 3, 20, 4, 1),
-            new LearnedState.Load(100, 50),
-            new LearnedState.Load(200, 190),
-            new LearnedState.HotKeys(1000, List.of(new LearnedState.HotKey(7, 400), new LearnedState.HotKey(8, 1))));
-    private static final StateSnapshot FILE = new StateSnapshot(
+    private static final double HOUR_MS = 3_600_000;
+    private static final LearnedState STATE = new LearnedState(
+            List.of(new LearnedServer(1, 0, 3, 20_000, 1), new LearnedServer(2, 50, 1, 2_500, 0)),
+            new LearnedLatency(80, 3, 20, 4, 1),
+            new LearnedLoad(100, 50),
+            new LearnedLoad(200, 190),
+            new LearnedHotKeys(1000, List.of(new LearnedHotKey(7, 400), new LearnedHotKey(8, 1))));
+    private static final StateSnapshot SNAPSHOT = new StateSnapshot(
             "site",
             2,
             1e12,
             9,
-            Map.of("a", new StateSnapshot.Pool("carp", ALL, Map.of(1, "10.0.0.1:1", 2, "10.0.0.2:1"))),
-            List.of(new StateSnapshot.Birth(1, "10.0.0.1:1", 1e12 - 5000, false)));
+            Map.of("a", new PoolState("carp", STATE, Map.of(1, "10.0.0.1:1", 2, "10.0.0.2:1"))),
+            List.of(new ServerStart(1, "10.0.0.1:1", 1e12 - 5000, false)));
 
     @Test
-    void atOnceAllOfItIsLeft() {
-        assertThat(StateDecay.aged(ALL, 0, 1)).isEqualTo(ALL);
+    void keepsAllStateAtAgeZero() {
+        assertThat(StateDecay.decay(STATE, 0, 1)).isEqualTo(STATE);
     }
 
     @Test
-    void eachKindFadesAtItsOwnPace() {
-        LearnedState k = StateDecay.aged(ALL, 10_000, 1);
-        assertThat(k.servers()).hasSize(2);
-        assertThat(k.servers().get(0).failures()).isEqualTo(3);
-        assertThat(k.servers().get(0).shunnedForMs()).isEqualTo(10_000);
-        assertThat(k.servers().get(1).shunnedForMs())
-                .as("its time is over, it is to be tried")
+    void eachKindDecaysWithItsOwnHalfLife() {
+        LearnedState decayed = StateDecay.decay(STATE, 10_000, 1);
+        assertThat(decayed.servers()).hasSize(2);
+        assertThat(decayed.servers().get(0).failures()).isEqualTo(3);
+        assertThat(decayed.servers().get(0).ejectedForMs()).isEqualTo(10_000);
+        assertThat(decayed.servers().get(1).ejectedForMs())
+                .as("its ejection is over, it may be probed")
                 .isZero();
-        assertThat(k.servers().get(1).failures()).isEqualTo(1);
-        assertThat(k.crowd().asked()).isBetween(30.0, 40.0);
-        assertThat(k.pace().weight()).isBetween(0.99, 1.0);
-        LearnedState minutes = StateDecay.aged(ALL, 4 * StateDecay.HOT_HALF_MS, 1);
+        assertThat(decayed.servers().get(1).failures()).isEqualTo(1);
+        assertThat(decayed.serverLoad().sent()).isBetween(30.0, 40.0);
+        assertThat(decayed.latency().weight()).isBetween(0.99, 1.0);
+        LearnedState minutes = StateDecay.decay(STATE, 4 * StateDecay.HOT_KEY_HALF_LIFE_MS, 1);
         assertThat(minutes.servers()).isEmpty();
-        assertThat(minutes.hot()).isEqualTo(new LearnedState.HotKeys(62.5, List.of(new LearnedState.HotKey(7, 25))));
-        assertThat(minutes.crowd()).isEqualTo(LearnedState.NONE.crowd());
+        assertThat(minutes.hotKeys()).isEqualTo(new LearnedHotKeys(62.5, List.of(new LearnedHotKey(7, 25))));
+        assertThat(minutes.serverLoad()).isEqualTo(LearnedState.NONE.serverLoad());
     }
 
     @Test
-    void afterAnHourAHintIsLeftAndAfterADayNothing() {
-        LearnedState hour = StateDecay.aged(ALL, HOUR, 1);
+    void onlyLatencyRemainsAfterAnHourAndNothingAfterADay() {
+        LearnedState hour = StateDecay.decay(STATE, HOUR_MS, 1);
         assertThat(hour.servers()).isEmpty();
-        assertThat(hour.hot()).isEqualTo(LearnedState.NONE.hot());
-        assertThat(hour.pace().weight()).isEqualTo(0.25);
-        assertThat(StateDecay.aged(ALL, 24 * HOUR, 1)).isEqualTo(LearnedState.NONE);
-        assertThat(StateDecay.aged(ALL, 365 * 24 * HOUR, 1)).isEqualTo(LearnedState.NONE);
+        assertThat(hour.hotKeys()).isEqualTo(LearnedState.NONE.hotKeys());
+        assertThat(hour.latency().weight()).isEqualTo(0.25);
+        assertThat(StateDecay.decay(STATE, 24 * HOUR_MS, 1)).isEqualTo(LearnedState.NONE);
+        assertThat(StateDecay.decay(STATE, 365 * 24 * HOUR_MS, 1)).isEqualTo(LearnedState.NONE);
     }
 
     @Test
-    void anothersCountsForHalf() {
-        LearnedState half = StateDecay.aged(ALL, 0, 0.5);
-        assertThat(half.servers().get(0)).isEqualTo(new LearnedState.Server(1, 0, 2, 10_000, 1));
-        assertThat(half.pace().weight()).isEqualTo(0.5);
-        assertThat(half.hot().keys()).containsExactly(new LearnedState.HotKey(7, 200));
-        assertThatThrownBy(() -> StateDecay.aged(ALL, -1, 1)).isInstanceOf(IllegalArgumentException.class);
-        assertThatThrownBy(() -> StateDecay.aged(ALL, 0, 2)).isInstanceOf(IllegalArgumentException.class);
+    void trustScalesAllState() {
+        LearnedState half = StateDecay.decay(STATE, 0, 0.5);
+        assertThat(half.servers().get(0)).isEqualTo(new LearnedServer(1, 0, 2, 10_000, 1));
+        assertThat(half.latency().weight()).isEqualTo(0.5);
+        assertThat(half.hotKeys().keys()).containsExactly(new LearnedHotKey(7, 200));
+        assertThatThrownBy(() -> StateDecay.decay(STATE, -1, 1)).isInstanceOf(IllegalArgumentException.class);
+        assertThatThrownBy(() -> StateDecay.decay(STATE, 0, 2)).isInstanceOf(IllegalArgumentException.class);
     }
 
-    private static final StateSnapshot.Present OTHER = at(3, "10.0.0.3:1", 0);
+    private static final CurrentServer OTHER_SERVER = serverAt(3, "10.0.0.3:1", 0);
 
-    private static StateSnapshot.Present at(int id, String address, double born) {
-        return new StateSnapshot.Present(id, address, born);
+    private static CurrentServer serverAt(int id, String address, double born) {
+        return new CurrentServer(id, address, born);
     }
 
     @Test
-    void whereNearlyAllAreSaidToFailNoneIsBelievedToHave() {
-        LearnedState k = FILE.left("a", "carp", 1e12, 1, List.of(at(1, "10.0.0.1:1", 0), at(2, "10.0.0.2:1", 50)));
-        assertThat(k.servers()).isEmpty();
-        assertThat(k.pace()).isEqualTo(ALL.pace());
+    void dropsServerFailuresWhenNearlyAllServersFailed() {
+        LearnedState decayed = SNAPSHOT.restore(
+                "a", "carp", 1e12, 1, List.of(serverAt(1, "10.0.0.1:1", 0), serverAt(2, "10.0.0.2:1", 50)));
+        assertThat(decayed.servers()).isEmpty();
+        assertThat(decayed.latency()).isEqualTo(STATE.latency());
     }
 
     @Test
-    void aFactHoldsForTheSameProcessAtTheSamePlace() {
-        assertThat(FILE.left("a", "carp", 1e12, 1, List.of(at(1, "10.0.0.1:1", 0), at(2, "10.0.0.2:1", 50), OTHER)))
-                .isEqualTo(ALL);
-        assertThat(FILE.left("a", "carp", 1e12, 1, List.of(at(1, "10.0.0.1:1", 1e12), at(2, "10.0.0.2:1", 50)))
+    void serverStateHoldsForSameProcessAtSameAddress() {
+        assertThat(SNAPSHOT.restore(
+                        "a",
+                        "carp",
+                        1e12,
+                        1,
+                        List.of(serverAt(1, "10.0.0.1:1", 0), serverAt(2, "10.0.0.2:1", 50), OTHER_SERVER)))
+                .isEqualTo(STATE);
+        assertThat(SNAPSHOT.restore(
+                                "a",
+                                "carp",
+                                1e12,
+                                1,
+                                List.of(serverAt(1, "10.0.0.1:1", 1e12), serverAt(2, "10.0.0.2:1", 50)))
                         .servers())
                 .as("1 has restarted")
-                .extracting(LearnedState.Server::id)
+                .extracting(LearnedServer::id)
                 .containsExactly(2);
-        assertThat(FILE.left("a", "carp", 1e12, 1, List.of(at(1, "10.0.0.9:1", 0)))
+        assertThat(SNAPSHOT.restore("a", "carp", 1e12, 1, List.of(serverAt(1, "10.0.0.9:1", 0)))
                         .servers())
-                .as("another stands there")
+                .as("another server has its address")
                 .isEmpty();
-        assertThat(FILE.left("a", "carp", 1e12, 1, List.of()).servers())
+        assertThat(SNAPSHOT.restore("a", "carp", 1e12, 1, List.of()).servers())
                 .as("the whole fleet was replaced")
                 .isEmpty();
-        assertThat(FILE.left("b", "carp", 1e12, 1, List.of(at(1, "10.0.0.1:1", 0))))
+        assertThat(SNAPSHOT.restore("b", "carp", 1e12, 1, List.of(serverAt(1, "10.0.0.1:1", 0))))
                 .as("another pool")
                 .isEqualTo(LearnedState.NONE);
-        LearnedState ring = FILE.left("a", "nginx-hash", 1e12, 1, List.of(at(1, "10.0.0.1:1", 0), OTHER));
-        assertThat(ring.hot()).as("the numbers of keys mean something else").isEqualTo(LearnedState.NONE.hot());
+        LearnedState ring =
+                SNAPSHOT.restore("a", "nginx-hash", 1e12, 1, List.of(serverAt(1, "10.0.0.1:1", 0), OTHER_SERVER));
+        assertThat(ring.hotKeys()).as("the key scheme has changed").isEqualTo(LearnedState.NONE.hotKeys());
         assertThat(ring.servers()).hasSize(1);
     }
 
     @Test
-    void aFileOfAnotherOrOfTheFutureIsOfNoUse() {
-        assertThat(FILE.unfit("site", 2, 1e12, false)).isNull();
-        assertThat(FILE.unfit("site", 2, 1e12 + 365 * 24 * HOUR, false))
-                .as("a year later it has faded, no more")
-                .isNull();
-        assertThat(FILE.unfit("site", 2, 1e12 - 24 * HOUR, false)).contains("86400 s from now");
-        assertThat(FILE.unfit("other", 2, 1e12, false)).contains("site site, not other");
-        assertThat(FILE.unfit("site", 3, 1e12, false))
+    void rejectsSnapshotOfAnotherSiteOrProxyOrFromTheFuture() {
+        assertThat(SNAPSHOT.mismatch("site", 2, 1e12, false)).isEmpty();
+        assertThat(SNAPSHOT.mismatch("site", 2, 1e12 + 365 * 24 * HOUR_MS, false))
+                .as("a year later it has decayed, but is valid")
+                .isEmpty();
+        assertThat(SNAPSHOT.mismatch("site", 2, 1e12 - 24 * HOUR_MS, false).orElseThrow())
+                .contains("86400 s from now");
+        assertThat(SNAPSHOT.mismatch("other", 2, 1e12, false).orElseThrow()).contains("site site, not other");
+        assertThat(SNAPSHOT.mismatch("site", 3, 1e12, false).orElseThrow())
                 .contains("proxy 2, not 3")
                 .contains("--seed-from");
-        assertThat(FILE.unfit("site", 3, 1e12, true)).isNull();
-        assertThat(FILE.unfit("other", 3, 1e12, true)).contains("site");
+        assertThat(SNAPSHOT.mismatch("site", 3, 1e12, true)).isEmpty();
+        assertThat(SNAPSHOT.mismatch("other", 3, 1e12, true).orElseThrow()).contains("site");
     }
 
     @Test
-    void startsAreGivenBackWhereTheServerStandsAndTheyStillMatter() {
-        assertThat(FILE.births(1e12 + 1000, Map.of(1, "10.0.0.1:1"))).hasSize(1);
-        assertThat(FILE.births(1e12 + 1000, Map.of(1, "10.0.0.2:1"))).isEmpty();
-        assertThat(FILE.births(1e12 + 2 * HOUR, Map.of(1, "10.0.0.1:1"))).isEmpty();
+    void restoresRecentStartsOfServersAtSameAddress() {
+        assertThat(SNAPSHOT.serverStarts(1e12 + 1000, Map.of(1, "10.0.0.1:1"))).hasSize(1);
+        assertThat(SNAPSHOT.serverStarts(1e12 + 1000, Map.of(1, "10.0.0.2:1"))).isEmpty();
+        assertThat(SNAPSHOT.serverStarts(1e12 + 2 * HOUR_MS, Map.of(1, "10.0.0.1:1")))
+                .isEmpty();
     }
 }
