--- a/src/main/java/cacheproxy/bench/SnapshotBench.java
+++ b/src/main/java/cacheproxy/bench/SnapshotBench.java
@@ -9,6 +9,7 @@
 import cacheproxy.proxy.Transport;
 import cacheproxy.snapshot.SnapshotCodec;
 import cacheproxy.snapshot.SnapshotStore;
+import cacheproxy.snapshot.StoredSnapshot;
 import cacheproxy.snapshot.state.StateSnapshot;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -156,13 +157,13 @@
         if (Files.exists(file.resolveSibling("memory.new"))) {
             t.leftNew.incrementAndGet();
         }
-        SnapshotStore.Found found = SnapshotStore.at(file).read();
+        StoredSnapshot found = SnapshotStore.at(file).read();
         if (found.content() == null) {
             t.none.incrementAndGet();
             t.corrupt.addAndGet(last > 0 ? 1 : 0);
             return last;
         }
-        (found.older() ? t.older : t.newest).incrementAndGet();
+        (found.fromPreviousGeneration() ? t.older : t.newest).incrementAndGet();
         StateSnapshot is = found.content();
         StateSnapshot was = SnapshotCrashProcess.state(is.proxyNumber());
         if (!is.pools().equals(was.pools())
@@ -211,14 +212,15 @@
                 if (Files.exists(memory.resolveSibling("memory.new"))) {
                     t.leftNew.incrementAndGet();
                 }
-                SnapshotStore.Found found = SnapshotStore.at(memory).read();
+                StoredSnapshot found = SnapshotStore.at(memory).read();
                 boolean lost = found.content() == null
                         ? generation > 0
                         : found.content().generation() < generation;
                 if (lost || !found.notes().isEmpty()) {
                     t.corrupt.incrementAndGet();
                 }
-                (found.content() == null ? t.none : found.older() ? t.older : t.newest).incrementAndGet();
+                (found.content() == null ? t.none : found.fromPreviousGeneration() ? t.older : t.newest)
+                        .incrementAndGet();
                 generation =
                         found.content() == null ? generation : found.content().generation();
             }
--- a/src/main/java/cacheproxy/bench/SnapshotCrashProcess.java
+++ b/src/main/java/cacheproxy/bench/SnapshotCrashProcess.java
@@ -1,6 +1,7 @@
 package cacheproxy.bench;
 
 import cacheproxy.snapshot.SnapshotStore;
+import cacheproxy.snapshot.StoredSnapshot;
 import cacheproxy.snapshot.state.LearnedLatency;
 import cacheproxy.snapshot.state.LearnedServer;
 import cacheproxy.snapshot.state.LearnedState;
@@ -18,10 +19,10 @@
     /** Writes at the path that is given; a line on standard output once it has begun. */
     public static void main(String[] args) throws Exception {
         SnapshotStore files = SnapshotStore.at(Path.of(args[0]));
-        if (!files.lock()) {
+        if (!files.tryLock()) {
             throw new IllegalStateException("locked");
         }
-        SnapshotStore.Found found = files.read();
+        StoredSnapshot found = files.read();
         int n = found.content() == null ? 0 : found.content().proxyNumber();
         System.out.println("writes");
         while (true) {
--- a/src/main/java/cacheproxy/cli/SnapshotCommand.java
+++ b/src/main/java/cacheproxy/cli/SnapshotCommand.java
@@ -1,5 +1,6 @@
 package cacheproxy.cli;
 
+import cacheproxy.snapshot.DecodedSnapshot;
 import cacheproxy.snapshot.SnapshotCodec;
 import cacheproxy.snapshot.SnapshotStore;
 import cacheproxy.snapshot.state.LearnedHotKey;
@@ -36,7 +37,7 @@
     }
 
     /** Reads one file, not the generation behind it; null after an error has been told. */
-    private static SnapshotCodec.Decoded read(Path file, PrintWriter err) {
+    private static DecodedSnapshot read(Path file, PrintWriter err) {
         try {
             if (Files.size(file) > SnapshotCodec.MAX_BYTES) {
                 err.println(file + ": it has " + Files.size(file) + " bytes; a memory file has at most "
@@ -47,7 +48,7 @@
         } catch (java.nio.file.NoSuchFileException e) {
             err.println(file + ": there is no such file");
         } catch (IOException e) {
-            err.println(file + ": " + SnapshotStore.reason(e));
+            err.println(file + ": " + SnapshotStore.describe(e));
         }
         return null;
     }
@@ -66,7 +67,7 @@
 
         @Override
         public Integer call() {
-            SnapshotCodec.Decoded d = read(file, spec.commandLine().getErr());
+            DecodedSnapshot d = read(file, spec.commandLine().getErr());
             if (d == null) {
                 return Cli.UNUSABLE;
             }
@@ -75,7 +76,7 @@
             if (d.content() == null) {
                 return Cli.UNUSABLE;
             }
-            boolean good = d.whole() && d.skipped().isEmpty();
+            boolean good = d.isComplete() && d.skipped().isEmpty();
             spec.commandLine()
                     .getOut()
                     .println(file + ": " + (good ? "whole" : "readable in part") + ", generation "
@@ -99,7 +100,7 @@
         @Override
         public Integer call() {
             PrintWriter out = spec.commandLine().getOut();
-            SnapshotCodec.Decoded d = read(file, spec.commandLine().getErr());
+            DecodedSnapshot d = read(file, spec.commandLine().getErr());
             if (d != null) {
                 d.faults().forEach(f -> spec.commandLine().getErr().println(file + ": " + f));
                 d.skipped().forEach(f -> spec.commandLine().getErr().println(file + ": skipped, " + f));
@@ -123,7 +124,7 @@
                                 : Instant.ofEpochMilli((long) b.startMs()).toString(),
                         b.down() ? ", was down" : "");
             }
-            return d.whole() && d.skipped().isEmpty() ? 0 : 1;
+            return d.isComplete() && d.skipped().isEmpty() ? 0 : 1;
         }
 
         private static void pool(PrintWriter out, String name, PoolState p) {
--- a/src/main/java/cacheproxy/daemon/snapshot/SnapshotSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/snapshot/SnapshotSubsystem.java
@@ -11,6 +11,7 @@
 import cacheproxy.proxy.EventLoopContext;
 import cacheproxy.snapshot.SnapshotStore;
 import cacheproxy.snapshot.SnapshotWriter;
+import cacheproxy.snapshot.StoredSnapshot;
 import cacheproxy.snapshot.state.StateSnapshot;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -51,11 +52,11 @@
         this.core = core;
         this.snapshot = snapshot;
         this.files = files;
-        SnapshotStore.Found found = files == null ? null : files.read();
+        StoredSnapshot found = files == null ? null : files.read();
         if (found != null) {
             found.notes().forEach(n -> core.log("memory: " + n));
             use(found.content(), false, spec.path().toString());
-            if (found.older() && found.content() != null) {
+            if (found.fromPreviousGeneration() && found.content() != null) {
                 core.log("memory: goes by the generation before the newest");
             }
         }
@@ -95,9 +96,9 @@
         SnapshotStore files = SnapshotStore.at(spec.path());
         String why;
         try {
-            why = files.lock() ? null : "another process keeps its memory there; give each a path of its own";
+            why = files.tryLock() ? null : "another process keeps its memory there; give each a path of its own";
         } catch (IOException e) {
-            why = SnapshotStore.reason(e);
+            why = SnapshotStore.describe(e);
         }
         if (why != null) {
             core.log("memory: can't use " + spec.path() + ": " + why + "; goes on without");
@@ -127,7 +128,7 @@
         if (sibling == null) {
             return;
         }
-        SnapshotStore.Found found = SnapshotStore.at(sibling).read();
+        StoredSnapshot found = SnapshotStore.at(sibling).read();
         found.notes().forEach(n -> core.log("memory: " + n));
         if (remembered != null) {
             core.log("memory: " + sibling + " is not needed, this proxy's own is there");
@@ -189,7 +190,7 @@
 
     /** Files written and bytes in all, for measurements. */
     public long[] written() {
-        return writer == null ? new long[2] : new long[] {writer.writes(), writer.bytes()};
+        return writer == null ? new long[2] : new long[] {writer.writeCount(), writer.byteCount()};
     }
 
     /** Writes a last time. */
@@ -202,7 +203,7 @@
                     .syncUninterruptibly()
                     .getNow();
             try {
-                writer.finish(last, FINISH_MS);
+                writer.writeLast(last, FINISH_MS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -225,7 +226,7 @@
         ended = true;
         if (writer != null) {
             try {
-                writer.abandon();
+                writer.stopWithoutWriting();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
--- /dev/null
+++ b/src/main/java/cacheproxy/snapshot/SectionReader.java
@@ -0,0 +1,95 @@
+package cacheproxy.snapshot;
+
+import java.nio.ByteBuffer;
+import java.nio.charset.CharacterCodingException;
+import java.nio.charset.StandardCharsets;
+
+/**
+ * Reads the content of one section. No length and no count is trusted before the bytes are known to be there, and no
+ * value that is out of its range. All methods throw {@link java.nio.BufferUnderflowException} if the section ends
+ * early.
+ */
+final class SectionReader {
+    /** Greatest start time: later than any time, for a server that is yet to be used. */
+    private static final double MAX_START_MS = 1e300;
+
+    private final ByteBuffer content;
+
+    SectionReader(ByteBuffer content) {
+        this.content = content;
+    }
+
+    /** Throws unless a condition holds that the section's content must meet. */
+    static void check(boolean valid, String fault) throws InvalidSectionException {
+        if (!valid) {
+            throw new InvalidSectionException(fault);
+        }
+    }
+
+    /** Checks that all of the section has been read. */
+    void checkEnd() throws InvalidSectionException {
+        check(!content.hasRemaining(), content.remaining() + " bytes too many");
+    }
+
+    /** Reads 8 bits. */
+    byte readByte() {
+        return content.get();
+    }
+
+    /** Reads 16 bits. */
+    short readShort() {
+        return content.getShort();
+    }
+
+    /** Reads 32 bits. */
+    int readInt() {
+        return content.getInt();
+    }
+
+    /** Reads 64 bits. */
+    long readLong() {
+        return content.getLong();
+    }
+
+    /** Reads a floating-point number of any value. */
+    double readDouble() {
+        return content.getDouble();
+    }
+
+    /**
+     * Reads the number of entries that follow.
+     *
+     * @param minEntryBytes least size of an entry
+     * @param maxCount greatest valid number
+     */
+    int readCount(int minEntryBytes, int maxCount) throws InvalidSectionException {
+        int count = content.getInt();
+        boolean valid = count >= 0 && count <= maxCount && (long) count * minEntryBytes <= content.remaining();
+        check(valid, count + " entries");
+        return count;
+    }
+
+    /** Reads a span in milliseconds, or a number within the same bounds. */
+    double readSpan() throws InvalidSectionException {
+        double ms = content.getDouble();
+        check(SnapshotHeader.isTime(ms), "span " + ms);
+        return ms;
+    }
+
+    /** Reads the start time of a server in milliseconds. */
+    double readStart() throws InvalidSectionException {
+        double ms = content.getDouble();
+        check(ms >= 0 && ms <= MAX_START_MS, "start " + ms);
+        return ms;
+    }
+
+    /** Reads a text in UTF-8. */
+    String readText() throws InvalidSectionException, CharacterCodingException {
+        int length = content.getShort();
+        boolean valid = length >= 0 && length <= SectionWriter.MAX_TEXT_BYTES && length <= content.remaining();
+        check(valid, "a text of " + length + " bytes");
+        ByteBuffer bytes = content.slice(content.position(), length);
+        content.position(content.position() + length);
+        return StandardCharsets.UTF_8.newDecoder().decode(bytes).toString();
+    }
+}
--- /dev/null
+++ b/src/main/java/cacheproxy/snapshot/SnapshotEncoder.java
@@ -0,0 +1,107 @@
+package cacheproxy.snapshot;
+
+import cacheproxy.snapshot.state.LearnedHotKey;
+import cacheproxy.snapshot.state.LearnedHotKeys;
+import cacheproxy.snapshot.state.LearnedLatency;
+import cacheproxy.snapshot.state.LearnedServer;
+import cacheproxy.snapshot.state.LearnedState;
+import cacheproxy.snapshot.state.PoolState;
+import cacheproxy.snapshot.state.ServerStart;
+import cacheproxy.snapshot.state.StateSnapshot;
+import java.util.List;
+
+/** Writes a snapshot as the sections of one file. Lists are cut at the codec's bounds; empty lists have no section. */
+final class SnapshotEncoder {
+    private final SectionWriter out = new SectionWriter();
+
+    /** Returns the bytes of a snapshot's file. */
+    static byte[] encode(StateSnapshot snapshot) {
+        SnapshotEncoder encoder = new SnapshotEncoder();
+        encoder.identity(snapshot);
+        snapshot.pools().forEach(encoder::pool);
+        encoder.serverStarts(firstOf(snapshot.serverStarts(), SnapshotCodec.MAX_SERVERS));
+        return encoder.out.toFile(snapshot.generation(), snapshot.writtenMs());
+    }
+
+    private static <T> List<T> firstOf(List<T> list, int maxSize) {
+        return list.subList(0, Math.min(maxSize, list.size()));
+    }
+
+    private void identity(StateSnapshot snapshot) {
+        out.section(SectionKind.IDENTITY, () -> out.putText(snapshot.site()).putInt(snapshot.proxyNumber()));
+    }
+
+    private void pool(String name, PoolState pool) {
+        LearnedState learned = pool.learned();
+        servers(name, pool, firstOf(learned.servers(), SnapshotCodec.MAX_SERVERS));
+        latency(name, learned.latency());
+        load(name, learned);
+        hotKeys(name, pool.keyScheme(), learned.hotKeys());
+    }
+
+    private void servers(String name, PoolState pool, List<LearnedServer> servers) {
+        if (servers.isEmpty()) {
+            return;
+        }
+        out.section(SectionKind.SERVERS, () -> {
+            out.putText(name).putInt(servers.size());
+            for (LearnedServer server : servers) {
+                out.putInt(server.id())
+                        .putDouble(server.startMs())
+                        .putCount(server.failures())
+                        .putDouble(server.ejectedForMs())
+                        .putCount(server.overdueAttempts())
+                        .putText(pool.addresses().getOrDefault(server.id(), ""));
+            }
+        });
+    }
+
+    private void latency(String name, LearnedLatency latency) {
+        out.section(
+                SectionKind.LATENCY,
+                () -> out.putText(name)
+                        .putDouble(latency.originMs())
+                        .putDouble(latency.averageCost())
+                        .putDouble(latency.averageMs())
+                        .putDouble(latency.deviationMs())
+                        .putDouble(latency.weight()));
+    }
+
+    private void load(String name, LearnedState learned) {
+        out.section(
+                SectionKind.LOAD,
+                () -> out.putText(name)
+                        .putDouble(learned.originLoad().sent())
+                        .putDouble(learned.originLoad().answered())
+                        .putDouble(learned.serverLoad().sent())
+                        .putDouble(learned.serverLoad().answered()));
+    }
+
+    private void hotKeys(String name, String keyScheme, LearnedHotKeys hotKeys) {
+        List<LearnedHotKey> keys = firstOf(hotKeys.keys(), SnapshotCodec.MAX_KEYS);
+        if (keys.isEmpty()) {
+            return;
+        }
+        out.section(SectionKind.HOT_KEYS, () -> {
+            out.putText(name).putText(keyScheme).putDouble(hotKeys.total()).putInt(keys.size());
+            for (LearnedHotKey key : keys) {
+                out.putLong(key.key()).putInt(key.count());
+            }
+        });
+    }
+
+    private void serverStarts(List<ServerStart> starts) {
+        if (starts.isEmpty()) {
+            return;
+        }
+        out.section(SectionKind.SERVER_STARTS, () -> {
+            out.putInt(starts.size());
+            for (ServerStart start : starts) {
+                out.putInt(start.id())
+                        .putDouble(start.startMs())
+                        .putByte(start.down() ? 1 : 0)
+                        .putText(start.address());
+            }
+        });
+    }
+}
--- /dev/null
+++ b/src/main/java/cacheproxy/snapshot/SnapshotHeader.java
@@ -0,0 +1,83 @@
+package cacheproxy.snapshot;
+
+import java.nio.ByteBuffer;
+import java.util.Optional;
+
+/**
+ * The header of a snapshot file.
+ *
+ * @param sections number of sections, 0 to 65535
+ * @param length length of the whole file in bytes
+ * @param generation the snapshot's generation
+ * @param writtenMs Unix time at which the snapshot was taken, in milliseconds
+ */
+record SnapshotHeader(int sections, int length, long generation, double writtenMs) {
+    /** "CORALMEM". */
+    static final long MAGIC = 0x434F52414C4D454DL;
+
+    /** Version of the format as a whole. */
+    static final int FORMAT_VERSION = 1;
+
+    /** Size of a header in bytes, with its checksum. */
+    static final int BYTES = 36;
+
+    /** Upper bound of times and spans in milliseconds, exclusive. */
+    private static final double MAX_TIME_MS = 1e15;
+
+    private static final int VERSION_AT = 8;
+    private static final int SECTIONS_AT = 10;
+    private static final int GENERATION_AT = 16;
+    private static final int WRITTEN_AT = 24;
+    private static final int CHECKSUM_AT = BYTES - Checksums.BYTES;
+
+    /** Position of the file's length. */
+    static final int LENGTH_AT = 12;
+
+    /** Whether a value is a time or a span in milliseconds that a file may hold. */
+    static boolean isTime(double ms) {
+        return ms >= 0 && ms < MAX_TIME_MS;
+    }
+
+    /** Writes the header at the start of a buffer that is backed by an array. */
+    void write(ByteBuffer buffer) {
+        buffer.putLong(0, MAGIC)
+                .putShort(VERSION_AT, (short) FORMAT_VERSION)
+                .putShort(SECTIONS_AT, (short) sections)
+                .putInt(LENGTH_AT, length)
+                .putLong(GENERATION_AT, generation)
+                .putDouble(WRITTEN_AT, writtenMs)
+                .putInt(CHECKSUM_AT, Checksums.crc32c(buffer.array(), 0, CHECKSUM_AT));
+    }
+
+    /** Reads the header of a file for which {@link #fault} has found none. */
+    static SnapshotHeader read(byte[] file) {
+        ByteBuffer buffer = ByteBuffer.wrap(file);
+        return new SnapshotHeader(
+                Short.toUnsignedInt(buffer.getShort(SECTIONS_AT)),
+                buffer.getInt(LENGTH_AT),
+                buffer.getLong(GENERATION_AT),
+                buffer.getDouble(WRITTEN_AT));
+    }
+
+    /** Returns what is wrong with a file's header, in words for operators; empty: nothing. */
+    static Optional<String> fault(byte[] file) {
+        if (file.length < BYTES) {
+            return Optional.of("byte 0: " + file.length + " bytes are no memory file");
+        }
+        ByteBuffer buffer = ByteBuffer.wrap(file);
+        if (buffer.getLong(0) != MAGIC) {
+            return Optional.of("byte 0: it is no memory file");
+        }
+        if (Checksums.crc32c(file, 0, CHECKSUM_AT) != buffer.getInt(CHECKSUM_AT)) {
+            return Optional.of("byte 0: its head is damaged");
+        }
+        int version = buffer.getShort(VERSION_AT);
+        if (version != FORMAT_VERSION) {
+            return Optional.of(
+                    "byte 8: format " + version + " is not known to this program, which reads " + FORMAT_VERSION);
+        }
+        return isTime(buffer.getDouble(WRITTEN_AT))
+                ? Optional.empty()
+                : Optional.of("byte 24: it was written at no time that can be");
+    }
+}
--- a/src/main/java/cacheproxy/snapshot/SnapshotStore.java
+++ b/src/main/java/cacheproxy/snapshot/SnapshotStore.java
@@ -13,59 +13,66 @@
 import java.nio.file.StandardOpenOption;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Optional;
 import java.util.Set;
+import java.util.stream.Stream;
 
 /**
- * A memory file and the generation before it, {@code FILE.old}. A new one is written whole beside them, forced to the
- * disk and renamed over the old one, so that at any moment one of the two is whole. {@code FILE.lock} keeps a second
- * process out. Blocks; not for an event loop, and for one thread at a time.
+ * A snapshot file and the generation before it, {@code FILE.old}.
+ *
+ * <p>A new generation is written to {@code FILE.new}, forced to the disk and renamed, so that one generation is
+ * complete at any moment. {@code FILE.lock} keeps a second process out. All methods block and are for one thread at a
+ * time; none is for an event loop.
  */
 public final class SnapshotStore implements AutoCloseable {
-    private final Path file;
-    private final Path old;
-    private final Path fresh;
-    private final SnapshotFileSystem disk;
-    private FileChannel lockFile;
-    /** Whether what stands under the file's name may take the place of the generation behind it. */
-    private boolean whole;
+    private static final String PREVIOUS_SUFFIX = ".old";
+    private static final String NEW_SUFFIX = ".new";
+    private static final String LOCK_SUFFIX = ".lock";
+
+    private final Path newestFile;
+    private final Path previousFile;
+    private final Path newFile;
+    private final SnapshotFileSystem fileSystem;
+
+    /** Null: not locked. */
+    private FileChannel lockChannel;
+
+    /** Whether the newest file is complete and so may take the place of the previous generation. */
+    private boolean newestComplete;
 
     private long generation;
 
-    SnapshotStore(Path file, SnapshotFileSystem disk) {
-        this.file = file.toAbsolutePath();
-        old = sibling(".old");
-        fresh = sibling(".new");
-        this.disk = disk;
+    SnapshotStore(Path file, SnapshotFileSystem fileSystem) {
+        newestFile = file.toAbsolutePath();
+        previousFile = withSuffix(PREVIOUS_SUFFIX);
+        newFile = withSuffix(NEW_SUFFIX);
+        this.fileSystem = fileSystem;
     }
 
-    /** The files at this path. */
+    /** Returns the store of a snapshot file; nothing is read yet. */
     public static SnapshotStore at(Path file) {
-        return new SnapshotStore(file, SnapshotFileSystem.REAL);
+        return new SnapshotStore(file, SnapshotFileSystem.SYSTEM);
     }
 
-    private Path sibling(String ending) {
-        return file.resolveSibling(file.getFileName() + ending);
+    private Path withSuffix(String suffix) {
+        return newestFile.resolveSibling(newestFile.getFileName() + suffix);
     }
 
     /**
-     * What was found.
+     * Locks the file against other processes until this store is closed.
      *
-     * @param content null: nothing that can be used
-     * @param older whether it is the generation behind the newest
-     * @param notes what was wrong with what was passed over or read in part, each with its file
+     * @return false if another process, or another store of this one, holds the lock
+     * @throws IOException if the lock file cannot be opened
      */
-    public record Found(StateSnapshot content, boolean older, List<String> notes) {}
-
-    /** Keeps other processes out until this is closed; false: one has the file already. */
-    public boolean lock() throws IOException {
+    public boolean tryLock() throws IOException {
         FileChannel channel = FileChannel.open(
-                sibling(".lock"),
+                withSuffix(LOCK_SUFFIX),
                 Set.of(StandardOpenOption.CREATE, StandardOpenOption.WRITE, LinkOption.NOFOLLOW_LINKS));
         FileLock lock;
         try {
             lock = channel.tryLock();
         } catch (OverlappingFileLockException e) {
-            lock = null; // another daemon of this very process
+            lock = null; // another store of this process holds it
         } catch (IOException e) {
             channel.close();
             throw e;
@@ -74,98 +81,119 @@
             channel.close();
             return false;
         }
-        lockFile = channel;
+        lockChannel = channel;
         return true;
     }
 
     /**
-     * The newest that is whole; where none is, what can be read of the newest. Never throws for what the files hold.
+     * Reads the newest complete generation; if none is complete, what can be read of the newest. Damage and errors are
+     * reported in the result's notes, never thrown.
      */
-    public Found read() {
+    public StoredSnapshot read() {
         List<String> notes = new ArrayList<>();
-        SnapshotCodec.Decoded newest = decode(file, notes);
-        whole = newest != null && newest.whole();
-        SnapshotCodec.Decoded before = decode(old, notes);
-        Found found = choose(newest, before, notes);
-        for (SnapshotCodec.Decoded d : new SnapshotCodec.Decoded[] {newest, before}) {
-            if (d != null && d.content() != null) {
-                generation = Math.max(generation, d.content().generation());
-            }
-        }
-        return found;
+        Optional<DecodedSnapshot> newest = decode(newestFile, notes);
+        newestComplete = newest.filter(DecodedSnapshot::isComplete).isPresent();
+        Optional<DecodedSnapshot> previous = decode(previousFile, notes);
+        generation = Stream.of(newest, previous)
+                .flatMap(Optional::stream)
+                .filter(decoded -> decoded.content() != null)
+                .mapToLong(decoded -> decoded.content().generation())
+                .reduce(generation, Math::max);
+        return choose(newest, previous, notes);
     }
 
-    private static Found choose(SnapshotCodec.Decoded newest, SnapshotCodec.Decoded before, List<String> notes) {
-        if (newest != null && newest.whole()) {
-            return new Found(newest.content(), false, notes);
+    private static StoredSnapshot choose(
+            Optional<DecodedSnapshot> newest, Optional<DecodedSnapshot> previous, List<String> notes) {
+        boolean newestUsable =
+                newest.filter(decoded -> decoded.content() != null).isPresent();
+        boolean newestIsComplete = newest.filter(DecodedSnapshot::isComplete).isPresent();
+        boolean previousIsComplete =
+                previous.filter(DecodedSnapshot::isComplete).isPresent();
+        if (newestIsComplete || (newestUsable && !previousIsComplete)) {
+            return new StoredSnapshot(newest.get().content(), false, notes);
         }
-        if (before != null && before.whole()) {
-            return new Found(before.content(), true, notes);
-        }
-        if (newest != null && newest.content() != null) {
-            return new Found(newest.content(), false, notes);
-        }
-        return new Found(before == null ? null : before.content(), before != null, notes);
+        StateSnapshot content = previous.map(DecodedSnapshot::content).orElse(null);
+        return new StoredSnapshot(content, previous.isPresent(), notes);
     }
 
-    private SnapshotCodec.Decoded decode(Path path, List<String> notes) {
+    /** Reads one file; empty if there is none, or if it cannot be read, which is noted. */
+    private Optional<DecodedSnapshot> decode(Path path, List<String> notes) {
         try {
-            byte[] bytes = disk.read(path, SnapshotCodec.MAX_BYTES);
-            if (bytes == null) {
-                return null;
-            }
-            SnapshotCodec.Decoded decoded = SnapshotCodec.decode(bytes);
-            decoded.faults().forEach(f -> notes.add(path + ": " + f));
-            decoded.skipped().forEach(f -> notes.add(path + ": skipped, " + f));
+            Optional<DecodedSnapshot> decoded =
+                    fileSystem.read(path, SnapshotCodec.MAX_BYTES).map(SnapshotCodec::decode);
+            decoded.ifPresent(snapshot -> {
+                snapshot.faults().forEach(fault -> notes.add(path + ": " + fault));
+                snapshot.skipped().forEach(section -> notes.add(path + ": skipped, " + section));
+            });
             return decoded;
         } catch (IOException e) {
-            notes.add(path + ": " + reason(e));
-            return null;
+            notes.add(path + ": " + describe(e));
+            return Optional.empty();
         }
     }
 
-    /** Puts a new generation in the file's place; the number it gets is one more than the last. @return its bytes */
-    public int write(StateSnapshot r) throws IOException {
-        byte[] bytes = SnapshotCodec.encode(new StateSnapshot(
-                r.site(), r.proxyNumber(), r.writtenMs(), generation + 1, r.pools(), r.serverStarts()));
-        disk.write(fresh, bytes);
-        if (whole) { // what is damaged must not push out the last that is whole
-            try {
-                disk.alias(file, old);
-            } catch (NoSuchFileException e) {
-                // somebody has removed it; the new one takes its place all the same
-            }
+    /**
+     * Writes a new generation. The snapshot's own generation is ignored: it gets one more than the last.
+     *
+     * @return the bytes written
+     * @throws IOException if the file system fails; one complete generation remains
+     * @throws IllegalArgumentException if the snapshot does not fit into a file
+     */
+    public int write(StateSnapshot snapshot) throws IOException {
+        StateSnapshot numbered = new StateSnapshot(
+                snapshot.site(),
+                snapshot.proxyNumber(),
+                snapshot.writtenMs(),
+                generation + 1,
+                snapshot.pools(),
+                snapshot.serverStarts());
+        byte[] bytes = SnapshotCodec.encode(numbered);
+        fileSystem.write(newFile, bytes);
+        if (newestComplete) { // a damaged file must not replace the last complete one
+            keepNewestAsPrevious();
         }
-        disk.rename(fresh, file);
-        whole = true;
+        fileSystem.rename(newFile, newestFile);
+        newestComplete = true;
         generation++;
-        disk.forceDirectory(file.getParent());
+        fileSystem.forceDirectory(newestFile.getParent());
         return bytes.length;
     }
 
-    /** An error of the file system in words; the exception's own message is often only the path. */
-    public static String reason(IOException e) {
-        if (e instanceof NoSuchFileException) {
+    private void keepNewestAsPrevious() throws IOException {
+        try {
+            fileSystem.link(newestFile, previousFile);
+        } catch (NoSuchFileException e) {
+            // The newest file has been removed; the new one takes its place all the same.
+        }
+    }
+
+    /** Describes a file system error in words for operators; the exception's message is often only the path. */
+    public static String describe(IOException error) {
+        if (error instanceof NoSuchFileException) {
             return "its directory is not there";
         }
-        if (e instanceof AccessDeniedException) {
+        if (error instanceof AccessDeniedException) {
             return "no permission";
         }
-        String why = e instanceof FileSystemException f && f.getReason() != null ? f.getReason() : e.getMessage();
-        return why == null
-                ? e.getClass().getSimpleName()
-                : why.lines().findFirst().orElse("");
+        String reason = error instanceof FileSystemException fileError && fileError.getReason() != null
+                ? fileError.getReason()
+                : error.getMessage();
+        return reason == null
+                ? error.getClass().getSimpleName()
+                : reason.lines().findFirst().orElse("");
     }
 
+    /** Releases the lock, if it is held. */
     @Override
     public void close() {
-        if (lockFile != null) {
-            try {
-                lockFile.close();
-            } catch (IOException e) {
-                // the lock ends with the process
-            }
-            lockFile = null;
+        if (lockChannel == null) {
+            return;
+        }
+        try {
+            lockChannel.close();
+        } catch (IOException e) {
+            // The lock ends with the process.
         }
+        lockChannel = null;
     }
 }
--- a/src/main/java/cacheproxy/snapshot/SnapshotWriter.java
+++ b/src/main/java/cacheproxy/snapshot/SnapshotWriter.java
@@ -8,46 +8,62 @@
 import java.util.function.Consumer;
 
 /**
- * Writes what it is handed on a thread of its own, so that a slow disk delays nothing else. One may wait; a newer one
- * takes its place. After each write it rests until the bytes written are within their bound. A disk that fails is told
- * of once, and once more when it works again; the daemon goes on without.
+ * Writes snapshots on a thread of its own, so that a slow disk delays no caller.
+ *
+ * <p>One snapshot may wait; a newer one replaces it. After each write the thread pauses until the rate of bytes is
+ * within its bound. A failing disk is reported once, and once more when it works again. All methods may be called from
+ * any thread.
  */
 public final class SnapshotWriter {
-    private final SnapshotStore files;
-    private final double bytesPerMs;
+    private static final String THREAD_NAME = "memory";
+    private static final double MS_PER_SECOND = 1000;
+    private static final double NANOS_PER_MS = 1e6;
+
+    private final SnapshotStore store;
+    private final double maxBytesPerMs;
     private final Consumer<String> log;
     private final Thread thread;
+
     private final ReentrantLock lock = new ReentrantLock();
     private final Condition changed = lock.newCondition();
+
+    /** The snapshot that waits; null: none. Guarded by the lock, as are all fields up to {@link #byteCount}. */
     private StateSnapshot next;
-    private boolean last;
+
+    /** Whether no snapshot is accepted after {@link #next}. */
+    private boolean closing;
+
     private boolean ended;
+    private long writeCount;
+    private long byteCount;
+
+    /** The last snapshot that was written; used by the writer's thread alone, as is the fault. */
     private StateSnapshot written;
+
+    /** Why the last write failed; null: it did not. */
     private String fault;
-    private long writes;
-    private long bytes;
 
     /**
-     * Starts.
+     * Starts the writer's thread, which closes the store when it ends.
      *
-     * @param bytesPerSecond bound on what is written, over a time that is long against one write
-     * @param log for lines to operators; called on the writer's thread
+     * @param maxBytesPerSecond bound of the bytes written, over a time that is long against one write
+     * @param log receives lines for operators, on the writer's thread
      */
-    public SnapshotWriter(SnapshotStore files, double bytesPerSecond, Consumer<String> log) {
-        this.files = files;
-        bytesPerMs = bytesPerSecond / 1000;
+    public SnapshotWriter(SnapshotStore store, double maxBytesPerSecond, Consumer<String> log) {
+        this.store = store;
+        maxBytesPerMs = maxBytesPerSecond / MS_PER_SECOND;
         this.log = log;
-        thread = new Thread(this::run, "memory");
+        thread = new Thread(this::run, THREAD_NAME);
         thread.setDaemon(true);
         thread.start();
     }
 
-    /** Hands over what is to be written next. Never blocks for long. */
-    public void offer(StateSnapshot r) {
+    /** Hands over the snapshot to be written next. Does not wait for the disk. */
+    public void offer(StateSnapshot snapshot) {
         lock.lock();
         try {
-            if (!last) {
-                next = r;
+            if (!closing) {
+                next = snapshot;
                 changed.signalAll();
             }
         } finally {
@@ -55,50 +71,53 @@
         }
     }
 
-    /** Writes this as the last, at once, and ends; returns when it is written, or after so long. */
-    public void finish(StateSnapshot r, long waitMs) throws InterruptedException {
+    /** Writes a last snapshot at once and ends; returns when it is written, or after {@code maxWaitMs}. */
+    public void writeLast(StateSnapshot snapshot, long maxWaitMs) throws InterruptedException {
         lock.lock();
         try {
-            next = r;
-            last = true;
-            changed.signalAll();
-            long left = TimeUnit.MILLISECONDS.toNanos(waitMs);
-            while (!ended && left > 0) {
-                left = changed.awaitNanos(left);
+            close(snapshot);
+            long leftNanos = TimeUnit.MILLISECONDS.toNanos(maxWaitMs);
+            while (!ended && leftNanos > 0) {
+                leftNanos = changed.awaitNanos(leftNanos);
             }
         } finally {
             lock.unlock();
         }
     }
 
-    /** Ends without another write, as when the process is killed; one that runs is completed first. */
-    public void abandon() throws InterruptedException {
+    /** Ends without another write; a write in progress is completed first. */
+    public void stopWithoutWriting() throws InterruptedException {
         lock.lock();
         try {
-            next = null;
-            last = true;
-            changed.signalAll();
+            close(null);
         } finally {
             lock.unlock();
         }
         thread.join();
     }
 
-    /** Files written so far. */
-    public long writes() {
+    /** The caller holds the lock. */
+    private void close(StateSnapshot lastSnapshot) {
+        next = lastSnapshot;
+        closing = true;
+        changed.signalAll();
+    }
+
+    /** Returns the number of files written so far. */
+    public long writeCount() {
         lock.lock();
         try {
-            return writes;
+            return writeCount;
         } finally {
             lock.unlock();
         }
     }
 
-    /** Bytes written so far. */
-    public long bytes() {
+    /** Returns the number of bytes written so far. */
+    public long byteCount() {
         lock.lock();
         try {
-            return bytes;
+            return byteCount;
         } finally {
             lock.unlock();
         }
@@ -106,72 +125,87 @@
 
     private void run() {
         try {
-            for (StateSnapshot r; (r = take()) != null; ) {
-                if (!same(r, written)) {
-                    rest(write(r));
+            StateSnapshot snapshot = take();
+            while (snapshot != null) {
+                if (!hasSameContent(snapshot, written)) {
+                    pauseAfter(write(snapshot));
                 }
+                snapshot = take();
             }
         } catch (InterruptedException e) {
-            // nobody interrupts it; if somebody does, it ends
+            // Nobody interrupts this thread; if somebody does, it ends.
         } finally {
-            files.close();
+            store.close();
             lock.lock();
-            ended = true;
-            changed.signalAll();
-            lock.unlock();
+            try {
+                ended = true;
+                changed.signalAll();
+            } finally {
+                lock.unlock();
+            }
         }
     }
 
-    /** The next one; null: there will be none. */
+    /** Waits for the next snapshot; null: there will be none. */
     private StateSnapshot take() throws InterruptedException {
         lock.lock();
         try {
-            while (next == null && !last) {
+            while (next == null && !closing) {
                 changed.await();
             }
-            StateSnapshot r = next;
+            StateSnapshot taken = next;
             next = null;
-            return r;
+            return taken;
         } finally {
             lock.unlock();
         }
     }
 
-    private int write(StateSnapshot r) {
+    /** Returns the bytes written, 0 if the write failed. */
+    private int write(StateSnapshot snapshot) {
         int size = 0;
-        String why = null;
+        String reason = null;
         try {
-            size = files.write(r);
-            written = r;
+            size = store.write(snapshot);
+            written = snapshot;
         } catch (IOException e) {
-            why = SnapshotStore.reason(e);
+            reason = SnapshotStore.describe(e);
         } catch (IllegalArgumentException e) {
-            why = e.getMessage();
+            reason = e.getMessage(); // the snapshot does not fit into a file
         }
-        lock.lock();
-        writes += why == null ? 1 : 0;
-        bytes += size;
-        lock.unlock();
-        if (why != null && !why.equals(fault)) {
-            log.accept("memory: can't write: " + why + "; goes on without");
-        } else if (why == null && fault != null) {
+        countWrite(reason == null, size);
+        if (reason != null && !reason.equals(fault)) {
+            log.accept("memory: can't write: " + reason + "; goes on without");
+        } else if (reason == null && fault != null) {
             log.accept("memory: writes again");
         }
-        fault = why;
+        fault = reason;
         return size;
     }
 
-    /** Whether nothing has happened but that time went by. */
-    private static boolean same(StateSnapshot a, StateSnapshot b) {
-        return b != null && a.pools().equals(b.pools()) && a.serverStarts().equals(b.serverStarts());
+    private void countWrite(boolean succeeded, int size) {
+        lock.lock();
+        try {
+            writeCount += succeeded ? 1 : 0;
+            byteCount += size;
+        } finally {
+            lock.unlock();
+        }
+    }
+
+    /** Whether two snapshots differ in nothing but their times. */
+    private static boolean hasSameContent(StateSnapshot snapshot, StateSnapshot other) {
+        return other != null
+                && snapshot.pools().equals(other.pools())
+                && snapshot.serverStarts().equals(other.serverStarts());
     }
 
-    private void rest(int size) throws InterruptedException {
-        long left = (long) (size / bytesPerMs * 1e6);
+    private void pauseAfter(int bytes) throws InterruptedException {
+        long leftNanos = (long) (bytes / maxBytesPerMs * NANOS_PER_MS);
         lock.lock();
         try {
-            while (left > 0 && !last) {
-                left = changed.awaitNanos(left);
+            while (leftNanos > 0 && !closing) {
+                leftNanos = changed.awaitNanos(leftNanos);
             }
         } finally {
             lock.unlock();
--- a/src/test/java/cacheproxy/DaemonJarIT.java
+++ b/src/test/java/cacheproxy/DaemonJarIT.java
@@ -175,7 +175,7 @@
                                         .anyMatch(k -> !k.learned().servers().isEmpty());
                     }
                 }
-                assertThat(cacheproxy.snapshot.SnapshotStore.at(memory).lock())
+                assertThat(cacheproxy.snapshot.SnapshotStore.at(memory).tryLock())
                         .as("a second process must run without")
                         .isFalse();
             } finally {
--- a/src/test/java/cacheproxy/snapshot/SnapshotCodecTest.java
+++ b/src/test/java/cacheproxy/snapshot/SnapshotCodecTest.java
@@ -14,6 +14,7 @@
 import cacheproxy.snapshot.state.StateSnapshot;
 import java.io.IOException;
 import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.HashMap;
@@ -21,11 +22,12 @@
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
+import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The bytes of a memory file. The samples were laid out from the page for operators by a program of their own. */
+/** The bytes of a snapshot file. The samples were made from the operators' page by a separate program. */
 class SnapshotCodecTest {
     static final StateSnapshot SMALL = new StateSnapshot(
             "site",
@@ -49,99 +51,100 @@
             List.of(new ServerStart(0xCAFE0001, "10.0.0.1:11211", 1e12 - 5000, true)));
 
     static byte[] sample(String name) throws IOException {
-        try (var in = SnapshotCodecTest.class.getResourceAsStream("/memory/" + name + ".mem")) {
-            return in.readAllBytes();
+        try (var resource = SnapshotCodecTest.class.getResourceAsStream("/memory/" + name + ".mem")) {
+            return resource.readAllBytes();
         }
     }
 
     @Test
-    void whatIsWrittenIsTheSampleByteForByte() throws Exception {
+    void encodesSampleByteForByte() throws Exception {
         assertThat(SnapshotCodec.encode(SMALL)).isEqualTo(sample("servers-v2"));
         assertThat(SnapshotCodec.decode(sample("servers-v2")))
-                .isEqualTo(new SnapshotCodec.Decoded(SMALL, List.of(), List.of()));
+                .isEqualTo(new DecodedSnapshot(SMALL, List.of(), List.of()));
     }
 
     @Test
-    void serversOfTheFirstVersionHadNoAddress() throws Exception {
-        SnapshotCodec.Decoded d = SnapshotCodec.decode(sample("servers-v1"));
-        assertThat(d.whole()).isTrue();
-        assertThat(d.content().pools().get("a").learned())
+    void decodesServersOfVersionOneWithoutAddresses() throws Exception {
+        DecodedSnapshot decoded = SnapshotCodec.decode(sample("servers-v1"));
+        assertThat(decoded.isComplete()).isTrue();
+        assertThat(decoded.content().pools().get("a").learned())
                 .isEqualTo(SMALL.pools().get("a").learned());
-        assertThat(d.content().pools().get("a").addresses()).isEmpty();
+        assertThat(decoded.content().pools().get("a").addresses()).isEmpty();
     }
 
     @Test
-    void sectionsOfANewerProgramAreSkippedAndANewerFormatIsNotRead() throws Exception {
-        SnapshotCodec.Decoded d = SnapshotCodec.decode(sample("newer-section"));
-        assertThat(d.whole()).isTrue();
-        assertThat(d.skipped()).hasSize(2).allMatch(l -> l.contains("of a newer program"));
-        assertThat(d.content().pools().get("a").learned().latency()).isEqualTo(new LearnedLatency(80, 3, 20, 4, 1));
-        assertThat(SnapshotCodec.decode(sample("newer-format"))).satisfies(n -> {
-            assertThat(n.content()).isNull();
-            assertThat(n.faults()).containsExactly("byte 8: format 2 is not known to this program, which reads 1");
+    void skipsNewerSectionsAndRejectsNewerFormat() throws Exception {
+        DecodedSnapshot decoded = SnapshotCodec.decode(sample("newer-section"));
+        assertThat(decoded.isComplete()).isTrue();
+        assertThat(decoded.skipped()).hasSize(2).allMatch(line -> line.contains("of a newer program"));
+        assertThat(decoded.content().pools().get("a").learned().latency())
+                .isEqualTo(new LearnedLatency(80, 3, 20, 4, 1));
+        assertThat(SnapshotCodec.decode(sample("newer-format"))).satisfies(newer -> {
+            assertThat(newer.content()).isNull();
+            assertThat(newer.faults()).containsExactly("byte 8: format 2 is not known to this program, which reads 1");
         });
     }
 
-    /** Whatever is read must have been written: a fact is there as it was, or it is not there. */
-    private static void onlyWhatWasWritten(SnapshotCodec.Decoded d, String as) {
-        if (d.content() == null) {
+    /** Checks that each fact is as it was written, or missing. */
+    private static void assertContainsOnlyWrittenState(DecodedSnapshot decoded, String description) {
+        if (decoded.content() == null) {
             return;
         }
-        StateSnapshot r = d.content();
-        assertThat(r.site()).as(as).isEqualTo(SMALL.site());
-        assertThat(r.proxyNumber()).as(as).isEqualTo(SMALL.proxyNumber());
-        assertThat(r.writtenMs()).as(as).isEqualTo(SMALL.writtenMs());
-        assertThat(r.serverStarts()).as(as).isIn(List.of(), SMALL.serverStarts());
-        r.pools().forEach((name, p) -> {
-            assertThat(name).as(as).isEqualTo("a");
-            LearnedState k = p.learned();
+        StateSnapshot snapshot = decoded.content();
+        assertThat(snapshot.site()).as(description).isEqualTo(SMALL.site());
+        assertThat(snapshot.proxyNumber()).as(description).isEqualTo(SMALL.proxyNumber());
+        assertThat(snapshot.writtenMs()).as(description).isEqualTo(SMALL.writtenMs());
+        assertThat(snapshot.serverStarts()).as(description).isIn(List.of(), SMALL.serverStarts());
+        snapshot.pools().forEach((name, pool) -> {
+            assertThat(name).as(description).isEqualTo("a");
+            LearnedState learned = pool.learned();
             LearnedState was = SMALL.pools().get("a").learned();
-            assertThat(k.servers()).as(as).isIn(List.of(), was.servers());
-            assertThat(k.latency()).as(as).isIn(LearnedState.NONE.latency(), was.latency());
-            assertThat(k.serverLoad()).as(as).isIn(LearnedState.NONE.serverLoad(), was.serverLoad());
-            assertThat(k.hotKeys()).as(as).isIn(LearnedState.NONE.hotKeys(), was.hotKeys());
+            assertThat(learned.servers()).as(description).isIn(List.of(), was.servers());
+            assertThat(learned.latency()).as(description).isIn(LearnedState.NONE.latency(), was.latency());
+            assertThat(learned.serverLoad()).as(description).isIn(LearnedState.NONE.serverLoad(), was.serverLoad());
+            assertThat(learned.hotKeys()).as(description).isIn(LearnedState.NONE.hotKeys(), was.hotKeys());
         });
     }
 
     @Test
-    void aBitFlippedAnywhereIsFoundAndTakesAtMostItsOwnSection() {
+    void detectsEveryFlippedBitAndLosesAtMostItsSection() {
         byte[] file = SnapshotCodec.encode(SMALL);
         int readInPart = 0;
         for (int bit = 0; bit < file.length * 8; bit++) {
-            byte[] bad = file.clone();
-            bad[bit / 8] ^= (byte) (1 << bit % 8);
-            SnapshotCodec.Decoded d = SnapshotCodec.decode(bad);
-            assertThat(d.whole()).as("bit " + bit).isFalse();
-            onlyWhatWasWritten(d, "bit " + bit);
-            readInPart += d.content() != null ? 1 : 0;
+            byte[] damaged = file.clone();
+            damaged[bit / 8] ^= (byte) (1 << bit % 8);
+            DecodedSnapshot decoded = SnapshotCodec.decode(damaged);
+            assertThat(decoded.isComplete()).as("bit " + bit).isFalse();
+            assertContainsOnlyWrittenState(decoded, "bit " + bit);
+            readInPart += decoded.content() != null ? 1 : 0;
         }
         assertThat(readInPart).as("most damage leaves the rest").isGreaterThan(file.length * 4);
     }
 
     @Test
-    void aFileCutAnywhereOrWithASectorOfZerosIsFound() {
+    void detectsTruncatedAndZeroedFiles() {
         byte[] file = SnapshotCodec.encode(SMALL);
         for (int length = 0; length < file.length; length++) {
-            SnapshotCodec.Decoded d = SnapshotCodec.decode(Arrays.copyOf(file, length));
-            assertThat(d.whole()).as("cut at " + length).isFalse();
-            onlyWhatWasWritten(d, "cut at " + length);
+            DecodedSnapshot decoded = SnapshotCodec.decode(Arrays.copyOf(file, length));
+            assertThat(decoded.isComplete()).as("cut at " + length).isFalse();
+            assertContainsOnlyWrittenState(decoded, "cut at " + length);
         }
         for (int from = 0; from < file.length; from += 16) {
-            byte[] bad = file.clone();
-            Arrays.fill(bad, from, Math.min(file.length, from + 16), (byte) 0);
-            assertThat(SnapshotCodec.decode(bad).whole())
+            byte[] damaged = file.clone();
+            Arrays.fill(damaged, from, Math.min(file.length, from + 16), (byte) 0);
+            assertThat(SnapshotCodec.decode(damaged).isComplete())
                     .as("zeros from " + from)
                     .isFalse();
-            onlyWhatWasWritten(SnapshotCodec.decode(bad), "zeros from " + from);
+            assertContainsOnlyWrittenState(SnapshotCodec.decode(damaged), "zeros from " + from);
         }
-        assertThat(SnapshotCodec.decode(Arrays.copyOf(file, file.length + 1)).whole())
+        assertThat(SnapshotCodec.decode(Arrays.copyOf(file, file.length + 1)).isComplete())
                 .as("a byte too many")
                 .isFalse();
     }
 
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 35, 36, 37, 4096, 1 << 20})
-    void noiseOfAnySizeIsNoMemory(int size) {
+    void rejectsNoiseOfAnySize(int size) {
         byte[] noise = new byte[size];
         new SplittableRandom(size).nextBytes(noise);
         assertThat(SnapshotCodec.decode(noise).content()).isNull();
@@ -150,64 +153,91 @@
     }
 
     /**
-     * Sections with a right checksum, but whose lengths, counts and values lie: written by hand, as no encoder would.
+     * Sections with a valid checksum whose lengths, counts or values are invalid, written by hand as no encoder would.
      */
     @Test
-    void lengthsCountsAndValuesThatCanNotBeAreFoundThoughTheirChecksumIsRight() {
-        List<byte[]> lies = new ArrayList<>();
+    void rejectsInvalidLengthsCountsAndValuesWithValidChecksum() {
+        List<byte[]> invalidSections = new ArrayList<>();
+        addInvalidCounts(invalidSections);
+        addInvalidNumbers(invalidSections);
+        addInvalidEntries(invalidSections);
+        for (byte[] invalidSection : invalidSections) {
+            DecodedSnapshot decoded = SnapshotCodec.decode(
+                    file(section(SectionKind.IDENTITY, 1, "site", body -> body.putInt(2)), invalidSection));
+            assertThat(decoded.content()).as("the rest is read").isNotNull();
+            assertThat(decoded.faults()).singleElement().asString().contains("section 2 says nothing that can be");
+            assertThat(decoded.content().pools().values())
+                    .allSatisfy(pool -> assertThat(pool.learned()).isEqualTo(LearnedState.NONE));
+            assertThat(decoded.content().serverStarts().stream().filter(start -> start.down() && start.startMs() == 1))
+                    .isEmpty();
+        }
+    }
+
+    private static void addInvalidCounts(List<byte[]> invalidSections) {
         for (int count : new int[] {-1, 3, 20_001, Integer.MAX_VALUE}) {
-            lies.add(section(
-                    SnapshotCodec.SERVERS,
+            invalidSections.add(section(
+                    SectionKind.SERVERS,
                     2,
                     "a",
-                    b -> b.putInt(count).putLong(0).putLong(0).putLong(0).putLong(0)));
-            lies.add(section(
-                    SnapshotCodec.HOT_KEYS,
+                    body -> body.putInt(count).putLong(0).putLong(0).putLong(0).putLong(0)));
+            invalidSections.add(section(
+                    SectionKind.HOT_KEYS,
                     1,
                     "a",
-                    b -> b.putShort((short) 0)
+                    body -> body.putShort((short) 0)
                             .putDouble(9)
                             .putInt(count)
                             .putLong(1)
                             .putInt(1)));
-            lies.add(section(SnapshotCodec.BIRTHS, 1, null, b -> b.putInt(count).putLong(0)));
+            invalidSections.add(section(
+                    SectionKind.SERVER_STARTS,
+                    1,
+                    null,
+                    body -> body.putInt(count).putLong(0)));
         }
+    }
+
+    private static void addInvalidNumbers(List<byte[]> invalidSections) {
         for (double value : new double[] {Double.NaN, -1, Double.POSITIVE_INFINITY, Double.NEGATIVE_INFINITY, 1e301}) {
-            lies.add(section(
-                    SnapshotCodec.PACE,
+            invalidSections.add(section(
+                    SectionKind.LATENCY,
                     1,
                     "a",
-                    b -> b.putDouble(1)
+                    body -> body.putDouble(1)
                             .putDouble(1)
                             .putDouble(value)
                             .putDouble(1)
                             .putDouble(1)));
-            lies.add(section(
-                    SnapshotCodec.PACE,
+            invalidSections.add(section(
+                    SectionKind.LATENCY,
                     1,
                     "a",
-                    b -> b.putDouble(1).putDouble(1).putDouble(1).putDouble(1).putDouble(value)));
-            lies.add(section(
-                    SnapshotCodec.LOAD,
+                    body -> body.putDouble(1)
+                            .putDouble(1)
+                            .putDouble(1)
+                            .putDouble(1)
+                            .putDouble(value)));
+            invalidSections.add(section(
+                    SectionKind.LOAD,
                     1,
                     "a",
-                    b -> b.putDouble(1).putDouble(1).putDouble(1).putDouble(value)));
-            lies.add(section(
-                    SnapshotCodec.SERVERS,
+                    body -> body.putDouble(1).putDouble(1).putDouble(1).putDouble(value)));
+            invalidSections.add(section(
+                    SectionKind.SERVERS,
                     2,
                     "a",
-                    b -> b.putInt(1)
+                    body -> body.putInt(1)
                             .putInt(1)
                             .putDouble(0)
                             .putShort((short) 1)
                             .putDouble(value)
                             .putShort((short) 1)
                             .putShort((short) 0)));
-            lies.add(section(
-                    SnapshotCodec.SERVERS,
+            invalidSections.add(section(
+                    SectionKind.SERVERS,
                     2,
                     "a",
-                    b -> b.putInt(1)
+                    body -> body.putInt(1)
                             .putInt(1)
                             .putDouble(value)
                             .putShort((short) 1)
@@ -215,109 +245,111 @@
                             .putShort((short) 1)
                             .putShort((short) 0)));
         }
-        lies.add(section(
-                SnapshotCodec.SERVERS,
+    }
+
+    private static void addInvalidEntries(List<byte[]> invalidSections) {
+        invalidSections.add(section(
+                SectionKind.SERVERS,
                 2,
                 "a",
-                b -> b.putInt(1)
+                body -> body.putInt(1)
                         .putInt(1)
                         .putDouble(0)
                         .putShort((short) -1)
                         .putDouble(0)
                         .putShort((short) 1)
                         .putShort((short) 0)));
-        lies.add(section(
-                SnapshotCodec.HOT_KEYS,
+        invalidSections.add(section(
+                SectionKind.HOT_KEYS,
                 1,
                 "a",
-                b -> b.putShort((short) 0).putDouble(5).putInt(1).putLong(1).putInt(6)));
-        lies.add(section(
-                SnapshotCodec.HOT_KEYS,
+                body -> body.putShort((short) 0)
+                        .putDouble(5)
+                        .putInt(1)
+                        .putLong(1)
+                        .putInt(6)));
+        invalidSections.add(section(
+                SectionKind.HOT_KEYS,
                 1,
                 "a",
-                b -> b.putShort((short) 0).putDouble(5).putInt(1).putLong(1).putInt(0)));
-        lies.add(section(
-                SnapshotCodec.PACE,
+                body -> body.putShort((short) 0)
+                        .putDouble(5)
+                        .putInt(1)
+                        .putLong(1)
+                        .putInt(0)));
+        invalidSections.add(section(
+                SectionKind.LATENCY,
                 1,
                 "a",
-                b -> b.putDouble(1)
+                body -> body.putDouble(1)
                         .putDouble(1)
                         .putDouble(1)
                         .putDouble(1)
                         .putDouble(1)
                         .put((byte) 0)));
-        lies.add(section(SnapshotCodec.PACE, 1, null, b -> b.putShort((short) 0x7FFF)));
-        lies.add(section(SnapshotCodec.PACE, 1, null, b -> b.putShort((short) 2).put(new byte[] {(byte) 0xC3, 0x28})));
-        lies.add(section(
-                SnapshotCodec.BIRTHS,
+        invalidSections.add(section(SectionKind.LATENCY, 1, null, body -> body.putShort((short) 0x7FFF)));
+        invalidSections.add(section(
+                SectionKind.LATENCY, 1, null, body -> body.putShort((short) 2).put(new byte[] {(byte) 0xC3, 0x28})));
+        invalidSections.add(section(
+                SectionKind.SERVER_STARTS,
                 1,
                 null,
-                b -> b.putInt(1).putInt(1).putDouble(1).put((byte) 2).putShort((short) 0)));
-        for (byte[] lie : lies) {
-            SnapshotCodec.Decoded d =
-                    SnapshotCodec.decode(file(section(SnapshotCodec.IDENTITY, 1, "site", b -> b.putInt(2)), lie));
-            assertThat(d.content()).as("the rest is read").isNotNull();
-            assertThat(d.faults()).singleElement().asString().contains("section 2 says nothing that can be");
-            assertThat(d.content().pools().values())
-                    .allSatisfy(p -> assertThat(p.learned()).isEqualTo(LearnedState.NONE));
-            assertThat(d.content().serverStarts().stream().filter(b -> b.down() && b.startMs() == 1))
-                    .isEmpty();
-        }
+                body -> body.putInt(1).putInt(1).putDouble(1).put((byte) 2).putShort((short) 0)));
     }
 
-    private static byte[] section(int kind, int version, String text, java.util.function.Consumer<ByteBuffer> body) {
-        ByteBuffer b = ByteBuffer.allocate(200)
-                .putShort((short) kind)
+    private static byte[] section(SectionKind kind, int version, String text, Consumer<ByteBuffer> body) {
+        ByteBuffer section = ByteBuffer.allocate(200)
+                .putShort((short) kind.code)
                 .putShort((short) version)
                 .putInt(0);
         if (text != null) {
-            b.putShort((short) text.length()).put(text.getBytes());
+            section.putShort((short) text.length()).put(text.getBytes(StandardCharsets.US_ASCII));
         }
-        body.accept(b);
-        b.putInt(4, b.position() - 8);
-        b.putInt(SnapshotCodec.crc(b.array(), 0, b.position()));
-        return Arrays.copyOf(b.array(), b.position());
+        body.accept(section);
+        section.putInt(4, section.position() - 8);
+        section.putInt(Checksums.crc32c(section.array(), 0, section.position()));
+        return Arrays.copyOf(section.array(), section.position());
     }
 
     private static byte[] file(byte[]... sections) {
-        int length = SnapshotCodec.HEAD
-                + Arrays.stream(sections).mapToInt(s -> s.length).sum();
-        ByteBuffer b = ByteBuffer.allocate(length)
-                .putLong(SnapshotCodec.MAGIC)
+        int length = SnapshotHeader.BYTES
+                + Arrays.stream(sections).mapToInt(section -> section.length).sum();
+        ByteBuffer file = ByteBuffer.allocate(length)
+                .putLong(SnapshotHeader.MAGIC)
                 .putShort((short) 1)
                 .putShort((short) sections.length)
                 .putInt(length)
                 .putLong(1)
                 .putDouble(1e12);
-        b.putInt(SnapshotCodec.crc(b.array(), 0, SnapshotCodec.HEAD - 4));
-        Arrays.stream(sections).forEach(b::put);
-        return b.array();
+        file.putInt(Checksums.crc32c(file.array(), 0, SnapshotHeader.BYTES - 4));
+        Arrays.stream(sections).forEach(file::put);
+        return file.array();
     }
 
     @Test
-    void whateverAModuleCanKnowIsReadAsItWasWritten() {
+    void decodesRandomStateAsEncoded() {
         SplittableRandom random = new SplittableRandom(11);
         for (int round = 0; round < 200; round++) {
             Map<String, PoolState> pools = new LinkedHashMap<>();
-            for (int p = random.nextInt(5); p > 0; p--) {
+            for (int pool = random.nextInt(5); pool > 0; pool--) {
                 List<LearnedServer> servers = new ArrayList<>();
                 Map<Integer, String> addresses = new HashMap<>();
-                for (int s = random.nextInt(300); s > 0; s--) {
+                for (int server = random.nextInt(300); server > 0; server--) {
                     servers.add(new LearnedServer(
                             random.nextInt(),
                             random.nextInt(3) * 1e12,
                             random.nextInt(100),
                             random.nextDouble() * 20_000,
                             random.nextInt(3)));
-                    addresses.put(servers.get(servers.size() - 1).id(), "10.0.0." + s + ":1");
+                    addresses.put(servers.get(servers.size() - 1).id(), "10.0.0." + server + ":1");
                 }
                 List<LearnedHotKey> keys = new ArrayList<>();
                 for (int k = random.nextInt(100); k > 0; k--) {
                     keys.add(new LearnedHotKey(random.nextLong(), 1 + random.nextInt(1000)));
                 }
-                LearnedHotKeys hot = keys.isEmpty() ? LearnedState.NONE.hotKeys() : new LearnedHotKeys(1e6, keys);
+                LearnedHotKeys hotKeys = keys.isEmpty() ? LearnedState.NONE.hotKeys() : new LearnedHotKeys(1e6, keys);
                 pools.put(
-                        "pool-\u00e4-" + p,
+                        "pool-\u00e4-" + pool,
                         new PoolState(
                                 keys.isEmpty() ? "" : "carp",
                                 new LearnedState(
@@ -326,18 +358,18 @@
                                                 random.nextDouble(), 0, random.nextDouble(), 1, random.nextDouble()),
                                         new LearnedLoad(random.nextInt(9), 0),
                                         new LearnedLoad(1, 2),
-                                        hot),
+                                        hotKeys),
                                 addresses));
             }
-            StateSnapshot r =
+            StateSnapshot snapshot =
                     new StateSnapshot("s\u00f4ng", random.nextInt(9), 1.7e12 + round, round, pools, List.of());
-            assertThat(SnapshotCodec.decode(SnapshotCodec.encode(r)))
-                    .isEqualTo(new SnapshotCodec.Decoded(r, List.of(), List.of()));
+            assertThat(SnapshotCodec.decode(SnapshotCodec.encode(snapshot)))
+                    .isEqualTo(new DecodedSnapshot(snapshot, List.of(), List.of()));
         }
     }
 
     @Test
-    void aFileHasItsBoundWhateverIsKnown() {
+    void limitsFileSizeWhateverTheState() {
         List<LearnedServer> servers = new ArrayList<>();
         List<LearnedHotKey> keys = new ArrayList<>();
         for (int i = 0; i < 30_000; i++) {
--- a/src/test/java/cacheproxy/snapshot/SnapshotStoreTest.java
+++ b/src/test/java/cacheproxy/snapshot/SnapshotStoreTest.java
@@ -15,6 +15,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.Semaphore;
 import java.util.function.BooleanSupplier;
@@ -24,7 +25,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Two generations on a disk that fails, and a world that ends at any moment of a write. */
+/** Two generations on a file system that fails, and a process that crashes at any moment of a write. */
 @Timeout(60)
 class SnapshotStoreTest {
     @TempDir
@@ -37,88 +38,93 @@
         file = folder.resolve("memory");
     }
 
-    /** The n-th state, told apart by its proxy's number. */
-    private static StateSnapshot state(int n) {
-        StateSnapshot s = SnapshotCodecTest.SMALL;
+    /** A state that is identified by its proxy's number. */
+    private static StateSnapshot state(int number) {
+        StateSnapshot small = SnapshotCodecTest.SMALL;
         return new StateSnapshot(
-                s.site(), n, s.writtenMs(), 0, s.pools(), List.of(new ServerStart(1, "10.0.0.1:1", n, false)));
+                small.site(),
+                number,
+                small.writtenMs(),
+                0,
+                small.pools(),
+                List.of(new ServerStart(1, "10.0.0.1:1", number, false)));
     }
 
     private static void await(BooleanSupplier event) throws InterruptedException {
         while (!event.getAsBoolean()) {
             if (Thread.interrupted()) {
-                throw new InterruptedException(); // the test's time is over
+                throw new InterruptedException(); // the test has timed out
             }
             Thread.onSpinWait();
         }
     }
 
-    /** The real disk up to the moment at which the process dies; of a write that is cut, so many bytes remain. */
-    private static final class Mortal implements SnapshotFileSystem {
+    /** The real file system up to a simulated crash; of an interrupted write, the first {@code cutAt} bytes remain. */
+    private static final class CrashingFileSystem implements SnapshotFileSystem {
         private int steps;
         private final int cutAt;
 
-        Mortal(int steps, int cutAt) {
+        CrashingFileSystem(int steps, int cutAt) {
             this.steps = steps;
             this.cutAt = cutAt;
         }
 
-        private static final class Death extends RuntimeException {
+        private static final class SimulatedCrash extends RuntimeException {
             private static final long serialVersionUID = 1L;
         }
 
         private void step() {
             if (steps-- == 0) {
-                throw new Death();
+                throw new SimulatedCrash();
             }
         }
 
         @Override
         public void write(Path at, byte[] bytes) throws IOException {
             if (cutAt >= 0 && steps == 0) {
-                REAL.write(at, Arrays.copyOf(bytes, Math.min(cutAt, bytes.length)));
+                SYSTEM.write(at, Arrays.copyOf(bytes, Math.min(cutAt, bytes.length)));
             }
             step();
-            REAL.write(at, bytes);
+            SYSTEM.write(at, bytes);
         }
 
         @Override
-        public void alias(Path at, Path name) throws IOException {
+        public void link(Path at, Path name) throws IOException {
             step();
-            REAL.alias(at, name);
+            SYSTEM.link(at, name);
         }
 
         @Override
         public void rename(Path from, Path to) throws IOException {
             step();
-            REAL.rename(from, to);
+            SYSTEM.rename(from, to);
         }
 
         @Override
         public void forceDirectory(Path directory) throws IOException {
             step();
-            REAL.forceDirectory(directory);
+            SYSTEM.forceDirectory(directory);
         }
 
         @Override
-        public byte[] read(Path at, int most) throws IOException {
-            return REAL.read(at, most);
+        public Optional<byte[]> read(Path at, int maxBytes) throws IOException {
+            return SYSTEM.read(at, maxBytes);
         }
     }
 
-    private SnapshotStore.Found found() {
+    private StoredSnapshot read() {
         return SnapshotStore.at(file).read();
     }
 
     @Test
-    void theNewestIsReadAndTheOneBeforeItIsKept() throws Exception {
-        assertThat(found()).isEqualTo(new SnapshotStore.Found(null, false, List.of()));
+    void readsNewestGenerationAndKeepsPrevious() throws Exception {
+        assertThat(read()).isEqualTo(new StoredSnapshot(null, false, List.of()));
         SnapshotStore files = SnapshotStore.at(file);
-        for (int n = 1; n <= 3; n++) {
-            files.write(state(n));
+        for (int number = 1; number <= 3; number++) {
+            files.write(state(number));
         }
-        assertThat(found().content().proxyNumber()).isEqualTo(3);
-        assertThat(found().content().generation()).isEqualTo(3);
+        assertThat(read().content().proxyNumber()).isEqualTo(3);
+        assertThat(read().content().generation()).isEqualTo(3);
         assertThat(SnapshotStore.at(folder.resolve("memory.old"))
                         .read()
                         .content()
@@ -127,65 +133,67 @@
         SnapshotStore next = SnapshotStore.at(file);
         next.read();
         next.write(state(4));
-        assertThat(found().content().generation()).as("counted on").isEqualTo(4);
+        assertThat(read().content().generation()).as("counted on").isEqualTo(4);
         try (var left = Files.list(folder)) {
-            assertThat(left.map(p -> p.getFileName().toString())).containsExactlyInAnyOrder("memory", "memory.old");
+            assertThat(left.map(path -> path.getFileName().toString()))
+                    .containsExactlyInAnyOrder("memory", "memory.old");
         }
     }
 
-    /** Each write is some steps; the process dies before each of them, and in the first after each byte. */
+    /** A write has several steps; the process crashes before each of them, and in the first after each byte. */
     @Test
-    void whereverAProcessDiesOneOfTheTwoIsWholeAndTheNextWritesOn() throws Exception {
+    void keepsOneCompleteGenerationWhereverProcessDies() throws Exception {
         int length = SnapshotCodec.encode(state(1)).length;
         int generations = 0;
-        for (int n = 1; n <= length + 5; n++) {
-            boolean cut = n <= length;
-            SnapshotStore dying = new SnapshotStore(file, new Mortal(cut ? 0 : n - length - 1, cut ? n - 1 : -1));
-            SnapshotStore.Found before = dying.read();
+        for (int number = 1; number <= length + 5; number++) {
+            boolean cut = number <= length;
+            SnapshotStore dying = new SnapshotStore(
+                    file, new CrashingFileSystem(cut ? 0 : number - length - 1, cut ? number - 1 : -1));
+            StoredSnapshot before = dying.read();
             int was = before.content() == null ? 0 : before.content().proxyNumber();
             boolean died = false;
             try {
                 dying.write(state(was + 1));
-            } catch (Mortal.Death e) {
+            } catch (CrashingFileSystem.SimulatedCrash exception) {
                 died = true;
             }
-            SnapshotStore.Found after = found();
+            StoredSnapshot after = read();
             if (generations > 0) {
-                assertThat(after.content()).as("death " + n).isNotNull();
-                assertThat(after.notes()).as("death " + n).isEmpty();
-                assertThat(after.content().proxyNumber()).as("death " + n).isIn(was, was + 1);
+                assertThat(after.content()).as("death " + number).isNotNull();
+                assertThat(after.notes()).as("death " + number).isEmpty();
+                assertThat(after.content().proxyNumber()).as("death " + number).isIn(was, was + 1);
                 assertThat(died || after.content().proxyNumber() == was + 1).isTrue();
             }
             SnapshotStore living = SnapshotStore.at(file);
-            SnapshotStore.Found found = living.read();
+            StoredSnapshot found = living.read();
             living.write(state((found.content() == null ? 0 : found.content().proxyNumber()) + 1));
             generations++;
         }
     }
 
-    /** A rename may reach the disk before the data does, after a loss of power. */
+    /** After a loss of power, a rename may have reached the disk before the data. */
     @Test
-    void whereTheDataOfTheNewestIsGoneTheOneBeforeHolds() throws Exception {
+    void fallsBackToPreviousGenerationWhenNewestIsDamaged() throws Exception {
         SnapshotStore files = SnapshotStore.at(file);
         files.write(state(1));
         files.write(state(2));
         byte[] good = Files.readAllBytes(file);
         for (byte[] bad : List.of(new byte[0], new byte[good.length], Arrays.copyOf(good, 100))) {
             Files.write(file, bad);
-            assertThat(found().content().proxyNumber()).isEqualTo(1);
-            assertThat(found().older()).isTrue();
-            assertThat(found().notes()).isNotEmpty().allMatch(l -> l.startsWith(file + ": byte "));
+            assertThat(read().content().proxyNumber()).isEqualTo(1);
+            assertThat(read().fromPreviousGeneration()).isTrue();
+            assertThat(read().notes()).isNotEmpty().allMatch(line -> line.startsWith(file + ": byte "));
         }
         // What is damaged does not push out the last that is whole, even if the next write dies half way.
-        SnapshotStore dying = new SnapshotStore(file, new Mortal(1, -1));
+        SnapshotStore dying = new SnapshotStore(file, new CrashingFileSystem(1, -1));
         dying.read();
-        assertThatThrownBy(() -> dying.write(state(3))).isInstanceOf(Mortal.Death.class);
-        assertThat(found().content().proxyNumber()).isEqualTo(1);
+        assertThatThrownBy(() -> dying.write(state(3))).isInstanceOf(CrashingFileSystem.SimulatedCrash.class);
+        assertThat(read().content().proxyNumber()).isEqualTo(1);
         SnapshotStore next = SnapshotStore.at(file);
         next.read();
         next.write(state(3));
-        assertThat(found().content().proxyNumber()).isEqualTo(3);
-        assertThat(found().content().generation())
+        assertThat(read().content().proxyNumber()).isEqualTo(3);
+        assertThat(read().content().generation())
                 .as("one after the newest that could be read")
                 .isEqualTo(3);
         assertThat(SnapshotStore.at(folder.resolve("memory.old"))
@@ -198,16 +206,16 @@
         part[part.length - 1] ^= 1;
         Files.write(file, part);
         Files.write(folder.resolve("memory.old"), new byte[5]);
-        assertThat(found().content().proxyNumber()).isEqualTo(3);
-        assertThat(found().content().serverStarts()).isEmpty();
+        assertThat(read().content().proxyNumber()).isEqualTo(3);
+        assertThat(read().content().serverStarts()).isEmpty();
     }
 
     @Test
-    void linksStrangersAndWhatIsNoFileAreToldAndNotRead() throws Exception {
+    void rejectsLinksAndNonRegularFiles() throws Exception {
         SnapshotStore.at(folder.resolve("elsewhere")).write(state(1));
         Files.createSymbolicLink(file, folder.resolve("elsewhere"));
-        assertThat(found().content()).isNull();
-        assertThat(found().notes()).containsExactly(file + ": it is a symbolic link; name the file itself");
+        assertThat(read().content()).isNull();
+        assertThat(read().notes()).containsExactly(file + ": it is a symbolic link; name the file itself");
         byte[] before = Files.readAllBytes(folder.resolve("elsewhere"));
         SnapshotStore files = SnapshotStore.at(file);
         files.read();
@@ -217,7 +225,7 @@
                 .isEqualTo(before);
         Files.delete(file);
         Files.createDirectory(file);
-        assertThat(found().notes()).containsExactly(file + ": it is no plain file");
+        assertThat(read().notes()).containsExactly(file + ": it is no plain file");
         Files.delete(file);
         // A link laid where the new file is to be written must not be written through.
         Files.createSymbolicLink(folder.resolve("memory.new"), folder.resolve("elsewhere"));
@@ -226,51 +234,51 @@
     }
 
     @Test
-    void aFileOfSomebodyElseIsNotBelieved() throws Exception {
+    void rejectsFileOfAnotherOwner() throws Exception {
         SnapshotStore.at(file).write(state(1));
         UserPrincipal other = null;
         try {
             other = file.getFileSystem().getUserPrincipalLookupService().lookupPrincipalByName("nobody");
             Files.setOwner(file, other);
-        } catch (IOException e) {
+        } catch (IOException exception) {
             Assumptions.abort("only a superuser can give a file away");
         }
-        assertThat(found().content()).isNull();
-        assertThat(found().notes()).singleElement().asString().contains("belongs to nobody");
+        assertThat(read().content()).isNull();
+        assertThat(read().notes()).singleElement().asString().contains("belongs to nobody");
     }
 
     @Test
-    void aHugeFileIsNotReadAtAll() throws Exception {
-        try (RandomAccessFile f = new RandomAccessFile(file.toFile(), "rw")) {
-            f.setLength(1L << 30);
+    void rejectsOversizedFileWithoutReadingIt() throws Exception {
+        try (RandomAccessFile sparse = new RandomAccessFile(file.toFile(), "rw")) {
+            sparse.setLength(1L << 30);
         }
-        assertThat(found().content()).isNull();
-        assertThat(found().notes())
+        assertThat(read().content()).isNull();
+        assertThat(read().notes())
                 .containsExactly(
                         file + ": it has 1073741824 bytes; a memory file has at most " + SnapshotCodec.MAX_BYTES);
     }
 
     @Test
-    void oneProcessHasThePathAtATime() throws Exception {
+    void allowsOneProcessPerPath() throws Exception {
         SnapshotStore first = SnapshotStore.at(file);
         SnapshotStore second = SnapshotStore.at(file);
-        assertThat(first.lock()).isTrue();
-        assertThat(second.lock()).isFalse();
+        assertThat(first.tryLock()).isTrue();
+        assertThat(second.tryLock()).isFalse();
         first.close();
-        assertThat(second.lock()).isTrue();
+        assertThat(second.tryLock()).isTrue();
         second.close();
         Files.delete(folder.resolve("memory.lock"));
         Files.createSymbolicLink(folder.resolve("memory.lock"), folder.resolve("x"));
-        assertThatThrownBy(() -> SnapshotStore.at(file).lock()).isInstanceOf(IOException.class);
+        assertThatThrownBy(() -> SnapshotStore.at(file).tryLock()).isInstanceOf(IOException.class);
         assertThatThrownBy(() -> SnapshotStore.at(folder.resolve("none").resolve("memory"))
-                        .lock())
+                        .tryLock())
                 .isInstanceOf(IOException.class)
-                .satisfies(
-                        e -> assertThat(SnapshotStore.reason((IOException) e)).isEqualTo("its directory is not there"));
+                .satisfies(exception -> assertThat(SnapshotStore.describe((IOException) exception))
+                        .isEqualTo("its directory is not there"));
     }
 
-    /** A disk whose writes can be made to fail or to wait. */
-    private static final class Faulty implements SnapshotFileSystem {
+    /** A file system whose writes can be made to fail or to wait. */
+    private static final class FaultyFileSystem implements SnapshotFileSystem {
         volatile IOException fault;
         final Semaphore gate = new Semaphore(1_000_000);
         final List<byte[]> written = new ArrayList<>();
@@ -284,75 +292,75 @@
             synchronized (written) {
                 written.add(bytes);
             }
-            REAL.write(at, bytes);
+            SYSTEM.write(at, bytes);
         }
 
         @Override
-        public void alias(Path at, Path name) throws IOException {
-            REAL.alias(at, name);
+        public void link(Path at, Path name) throws IOException {
+            SYSTEM.link(at, name);
         }
 
         @Override
         public void rename(Path from, Path to) throws IOException {
-            REAL.rename(from, to);
+            SYSTEM.rename(from, to);
         }
 
         @Override
         public void forceDirectory(Path directory) throws IOException {
-            REAL.forceDirectory(directory);
+            SYSTEM.forceDirectory(directory);
         }
 
         @Override
-        public byte[] read(Path at, int most) throws IOException {
-            return REAL.read(at, most);
+        public Optional<byte[]> read(Path at, int maxBytes) throws IOException {
+            return SYSTEM.read(at, maxBytes);
         }
     }
 
     @Test
-    void aFullDiskIsToldOfOnceAndTheOldFileStays() throws Exception {
-        Faulty disk = new Faulty();
-        List<String> told = java.util.Collections.synchronizedList(new ArrayList<>());
+    void reportsFullDiskOnceAndKeepsOldFile() throws Exception {
+        FaultyFileSystem disk = new FaultyFileSystem();
+        List<String> lines = java.util.Collections.synchronizedList(new ArrayList<>());
         CountDownLatch again = new CountDownLatch(2);
         SnapshotWriter writer = new SnapshotWriter(new SnapshotStore(file, disk), 1e12, line -> {
-            told.add(line);
+            lines.add(line);
             again.countDown();
         });
         writer.offer(state(1));
-        await(() -> writer.writes() == 1);
+        await(() -> writer.writeCount() == 1);
         disk.fault = new FileSystemException("memory.new", null, "No space left on device");
         for (int i = 2; i < 50; i++) {
             writer.offer(state(i));
         }
         await(() -> again.getCount() < 2);
-        assertThat(found().content().proxyNumber()).isEqualTo(1);
+        assertThat(read().content().proxyNumber()).isEqualTo(1);
         disk.fault = null;
         writer.offer(state(50));
         again.await();
-        writer.finish(state(51), 50_000);
-        assertThat(told)
+        writer.writeLast(state(51), 50_000);
+        assertThat(lines)
                 .containsExactly(
                         "memory: can't write: No space left on device; goes on without", "memory: writes again");
-        assertThat(found().content().proxyNumber()).isEqualTo(51);
+        assertThat(read().content().proxyNumber()).isEqualTo(51);
     }
 
     @Test
-    void aDirectoryThatMayNotBeWrittenIsToldAndTheLastWriteReturns() throws Exception {
-        Faulty disk = new Faulty();
+    void reportsMissingPermissionAndReturnsFromLastWrite() throws Exception {
+        FaultyFileSystem disk = new FaultyFileSystem();
         disk.fault = new java.nio.file.AccessDeniedException(
                 folder.resolve("memory.new").toString());
-        List<String> told = java.util.Collections.synchronizedList(new ArrayList<>());
-        SnapshotWriter writer = new SnapshotWriter(new SnapshotStore(file, disk), 1e12, told::add);
+        List<String> lines = java.util.Collections.synchronizedList(new ArrayList<>());
+        SnapshotWriter writer = new SnapshotWriter(new SnapshotStore(file, disk), 1e12, lines::add);
         writer.offer(state(1));
-        writer.finish(state(2), 50_000);
-        assertThat(told).containsExactly("memory: can't write: no permission; goes on without");
-        assertThat(writer.writes()).isZero();
-        assertThat(found().content()).isNull();
+        writer.writeLast(state(2), 50_000);
+        assertThat(lines).containsExactly("memory: can't write: no permission; goes on without");
+        assertThat(writer.writeCount()).isZero();
+        assertThat(read().content()).isNull();
     }
 
-    /** One may wait while the disk is slow; a newer one takes its place, and the last is written in any case. */
+    /** One snapshot may wait while the disk is slow; a newer one replaces it, and the last is written in any case. */
     @Test
-    void aSlowDiskHoldsUpNobodyAndOnlyTheNewestWaits() throws Exception {
-        Faulty disk = new Faulty();
+    void slowDiskBlocksNoCallerAndOnlyNewestSnapshotWaits() throws Exception {
+        FaultyFileSystem disk = new FaultyFileSystem();
         disk.gate.drainPermits();
         SnapshotWriter writer = new SnapshotWriter(new SnapshotStore(file, disk), 1e12, line -> {});
         for (int i = 1; i <= 10_000; i++) {
@@ -360,8 +368,8 @@
         }
         Thread last = new Thread(() -> {
             try {
-                writer.finish(state(10_001), 50_000);
-            } catch (InterruptedException e) {
+                writer.writeLast(state(10_001), 50_000);
+            } catch (InterruptedException exception) {
                 // the test has ended
             }
         });
@@ -369,21 +377,22 @@
         disk.gate.release(1_000_000);
         last.join();
         assertThat(disk.written.size()).isLessThanOrEqualTo(3);
-        assertThat(found().content().proxyNumber()).isEqualTo(10_001);
+        assertThat(read().content().proxyNumber()).isEqualTo(10_001);
         writer.offer(state(1));
-        assertThat(found().content().proxyNumber()).as("nothing after the last").isEqualTo(10_001);
+        assertThat(read().content().proxyNumber()).as("nothing after the last").isEqualTo(10_001);
     }
 
     @Test
-    void nothingIsWrittenWhereNothingHasHappenedAndAnAbandonedWriterWritesNoMore() throws Exception {
+    void skipsUnchangedSnapshotsAndWritesNothingAfterStop() throws Exception {
         SnapshotWriter writer = new SnapshotWriter(SnapshotStore.at(file), 1e12, line -> {});
-        StateSnapshot s = state(1);
-        writer.offer(s);
-        await(() -> writer.writes() == 1);
-        writer.offer(new StateSnapshot(s.site(), 1, s.writtenMs() + 5000, 0, Map.copyOf(s.pools()), s.serverStarts()));
-        writer.abandon();
+        StateSnapshot small = state(1);
+        writer.offer(small);
+        await(() -> writer.writeCount() == 1);
+        writer.offer(new StateSnapshot(
+                small.site(), 1, small.writtenMs() + 5000, 0, Map.copyOf(small.pools()), small.serverStarts()));
+        writer.stopWithoutWriting();
         writer.offer(state(2));
-        assertThat(writer.writes()).isEqualTo(1);
-        assertThat(writer.bytes()).isEqualTo(Files.size(file));
+        assertThat(writer.writeCount()).isEqualTo(1);
+        assertThat(writer.byteCount()).isEqualTo(Files.size(file));
     }
 }
