--- a/src/main/java/cacheproxy/daemon/snapshot/SnapshotSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/snapshot/SnapshotSubsystem.java
@@ -12,6 +12,7 @@
 import cacheproxy.proxy.EventLoopContext;
 import cacheproxy.snapshot.SnapshotStore;
 import cacheproxy.snapshot.SnapshotWriter;
+import cacheproxy.snapshot.StoredSnapshot;
 import cacheproxy.snapshot.state.StateSnapshot;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -52,11 +53,11 @@
         this.core = core;
         this.snapshot = snapshot;
         this.files = files;
-        SnapshotStore.Found found = files == null ? null : files.read();
+        StoredSnapshot found = files == null ? null : files.read();
         if (found != null) {
             found.notes().forEach(n -> core.log("memory: " + n));
             use(found.content(), false, spec.path().toString());
-            if (found.older() && found.content() != null) {
+            if (found.fromPreviousGeneration() && found.content() != null) {
                 core.log("memory: goes by the generation before the newest");
             }
         }
@@ -96,9 +97,9 @@
         SnapshotStore files = SnapshotStore.at(spec.path());
         String why;
         try {
-            why = files.lock() ? null : "another process keeps its memory there; give each a path of its own";
+            why = files.tryLock() ? null : "another process keeps its memory there; give each a path of its own";
         } catch (IOException e) {
-            why = SnapshotStore.reason(e);
+            why = SnapshotStore.describe(e);
         }
         if (why != null) {
             core.log("memory: can't use " + spec.path() + ": " + why + "; goes on without");
@@ -128,7 +129,7 @@
         if (sibling == null) {
             return;
         }
-        SnapshotStore.Found found = SnapshotStore.at(sibling).read();
+        StoredSnapshot found = SnapshotStore.at(sibling).read();
         found.notes().forEach(n -> core.log("memory: " + n));
         if (remembered != null) {
             core.log("memory: " + sibling + " is not needed, this proxy's own is there");
@@ -140,17 +141,19 @@
     }
 
     private void use(StateSnapshot content, boolean another, String path) {
-        String unfit = content == null
-                ? null
-                : content.unfit(file.site().name(), file.site().proxyIndex(), core.now(), another);
-        if (unfit != null) {
-            core.log("memory: " + path + " is not used: " + unfit);
-        } else if (content != null) {
-            remembered = content;
-            trust = another ? SIBLING_TRUST : 1;
-            core.log("memory: " + path + ", " + Math.round((core.now() - content.writtenMs()) / 1000) + " s old"
-                    + (another ? ", a sibling's" : ""));
+        if (content == null) {
+            return;
+        }
+        Optional<String> mismatch =
+                content.mismatch(file.site().name(), file.site().proxyIndex(), core.now(), another);
+        if (mismatch.isPresent()) {
+            core.log("memory: " + path + " is not used: " + mismatch.get());
+            return;
         }
+        remembered = content;
+        trust = another ? SIBLING_TRUST : 1;
+        core.log("memory: " + path + ", " + Math.round((core.now() - content.writtenMs()) / 1000) + " s old"
+                + (another ? ", a sibling's" : ""));
     }
 
     @Override
@@ -162,8 +165,8 @@
     public void restoreStartTimes(ServerStartTimes to, double now) {
         if (remembered != null) {
             remembered
-                    .births(now, LearnedStates.addresses(file))
-                    .forEach(b -> to.restore(b.id(), b.bornMs(), b.down(), now));
+                    .serverStarts(now, LearnedStates.addresses(file))
+                    .forEach(b -> to.restore(b.id(), b.startMs(), b.down(), now));
         }
     }
 
@@ -188,7 +191,7 @@
 
     /** Files written and bytes in all, for measurements. */
     public long[] written() {
-        return writer == null ? new long[2] : new long[] {writer.writes(), writer.bytes()};
+        return writer == null ? new long[2] : new long[] {writer.writeCount(), writer.byteCount()};
     }
 
     /** Writes a last time. */
@@ -201,7 +204,7 @@
                     .syncUninterruptibly()
                     .getNow();
             try {
-                writer.finish(last, FINISH_MS);
+                writer.writeLast(last, FINISH_MS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -224,7 +227,7 @@
         ended = true;
         if (writer != null) {
             try {
-                writer.abandon();
+                writer.stopWithoutWriting();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
--- a/src/test/java/cacheproxy/DaemonJarIT.java
+++ b/src/test/java/cacheproxy/DaemonJarIT.java
@@ -172,10 +172,10 @@
                         told = r != null
                                 && r.generation() > generation + 1
                                 && r.pools().values().stream()
-                                        .anyMatch(k -> !k.knowledge().servers().isEmpty());
+                                        .anyMatch(k -> !k.learned().servers().isEmpty());
                     }
                 }
-                assertThat(cacheproxy.snapshot.SnapshotStore.at(memory).lock())
+                assertThat(cacheproxy.snapshot.SnapshotStore.at(memory).tryLock())
                         .as("a second process must run without")
                         .isFalse();
             } finally {
