--- a/src/test/java/cacheproxy/control/ControlEndpointsGoldenTextTest.java
+++ b/src/test/java/cacheproxy/control/ControlEndpointsGoldenTextTest.java
@@ -5,48 +5,48 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import org.junit.jupiter.api.Test;
 
-/** What the operators' calls of a single proxy answer: code, text and the method to use. */
+/** Responses of the control address of a single-pool proxy: status, text and allowed method. */
 class ControlEndpointsGoldenTextTest {
-    private final AtomicBoolean active = new AtomicBoolean(true);
-    private final AtomicBoolean readable = new AtomicBoolean(true);
-    private final ControlEndpoints calls = new ControlEndpoints(
-            active::get,
-            () -> active.get() ? "active" : "standby",
+    private final AtomicBoolean acceptsClients = new AtomicBoolean(true);
+    private final AtomicBoolean reloadable = new AtomicBoolean(true);
+    private final ControlEndpoints endpoints = new ControlEndpoints(
+            acceptsClients::get,
+            () -> acceptsClients.get() ? "active" : "standby",
             () -> true,
             () -> false,
-            new DiagnosticEndpoints(() -> "violations=0 stopped=0", enabled -> {}, readable::get));
+            new DiagnosticEndpoints(() -> "violations=0 stopped=0", enabled -> {}, reloadable::get));
 
-    private String call(String method, String path) {
-        ControlResponse answer = calls.handle(method, path);
-        String allowed = answer.allowedMethod().map(name -> " [" + name + "]").orElse("");
-        return answer.status() + " " + answer.text() + allowed;
+    private String exchange(String method, String path) {
+        ControlResponse response = endpoints.handle(method, path);
+        String allowed = response.allowedMethod().map(name -> " [" + name + "]").orElse("");
+        return response.status() + " " + response.text() + allowed;
     }
 
     @Test
-    void statusIsAWordAndItsCodeSaysWhetherClientsAreTaken() {
-        assertThat(call("GET", "/status?x=1")).isEqualTo("200 active");
-        active.set(false);
-        assertThat(call("GET", "/status")).isEqualTo("503 standby");
+    void statusReportsStateAndWhetherClientsAreAccepted() {
+        assertThat(exchange("GET", "/status?x=1")).isEqualTo("200 active");
+        acceptsClients.set(false);
+        assertThat(exchange("GET", "/status")).isEqualTo("503 standby");
     }
 
     @Test
-    void diagnosticCallsAnswerALine() {
-        assertThat(call("GET", "/invariants")).isEqualTo("200 violations=0 stopped=0");
-        assertThat(call("POST", "/events/on")).isEqualTo("200 events on");
-        assertThat(call("POST", "/events/off")).isEqualTo("200 events off");
-        assertThat(call("POST", "/reload")).isEqualTo("202 reading the configuration");
-        readable.set(false);
-        assertThat(call("POST", "/reload")).isEqualTo("503 no configuration to read");
+    void diagnosticEndpointsRespondWithOneLine() {
+        assertThat(exchange("GET", "/invariants")).isEqualTo("200 violations=0 stopped=0");
+        assertThat(exchange("POST", "/events/on")).isEqualTo("200 events on");
+        assertThat(exchange("POST", "/events/off")).isEqualTo("200 events off");
+        assertThat(exchange("POST", "/reload")).isEqualTo("202 reading the configuration");
+        reloadable.set(false);
+        assertThat(exchange("POST", "/reload")).isEqualTo("503 no configuration to read");
     }
 
     @Test
-    void wrongCallsNameTheRightOnes() {
-        assertThat(call("POST", "/status")).isEqualTo("405 use GET /status [GET]");
-        assertThat(call("GET", "/standby")).isEqualTo("405 use POST /standby [POST]");
-        assertThat(call("GET", "/active")).isEqualTo("405 use POST /active [POST]");
-        assertThat(call("POST", "/invariants")).isEqualTo("405 use GET /invariants [GET]");
-        assertThat(call("GET", "/reload")).isEqualTo("405 use POST /reload [POST]");
-        assertThat(call("GET", "/other"))
+    void rejectedRequestsNameTheSupportedOnes() {
+        assertThat(exchange("POST", "/status")).isEqualTo("405 use GET /status [GET]");
+        assertThat(exchange("GET", "/standby")).isEqualTo("405 use POST /standby [POST]");
+        assertThat(exchange("GET", "/active")).isEqualTo("405 use POST /active [POST]");
+        assertThat(exchange("POST", "/invariants")).isEqualTo("405 use GET /invariants [GET]");
+        assertThat(exchange("GET", "/reload")).isEqualTo("405 use POST /reload [POST]");
+        assertThat(exchange("GET", "/other"))
                 .isEqualTo("404 the calls are GET /status, POST /standby, POST /active, GET /invariants,"
                         + " POST /events/on, POST /events/off and POST /reload");
     }
--- a/src/test/java/cacheproxy/eventlog/EventNamesGoldenTextTest.java
+++ b/src/test/java/cacheproxy/eventlog/EventNamesGoldenTextTest.java
@@ -5,10 +5,10 @@
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
-/** The first words of the event log's lines, and the environment variable that switches the log. */
+/** The event names of the log lines, and the environment variable that enables the log. */
 class EventNamesGoldenTextTest {
     @Test
-    void eachKindOfEventHasItsWord() {
+    void eventsHaveGoldenLabels() {
         assertThat(Arrays.stream(ProxyEvent.values()).map(ProxyEvent::label))
                 .containsExactly(
                         "request_received",
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void theLogIsSwitchedByItsVariable() {
+    void environmentVariableEnablesLog() {
         assertThat(EventLog.ENVIRONMENT_VARIABLE).isEqualTo("CORALBAY_EVENT_LOG");
         assertThat(EventLog.ENABLED_VALUE).isEqualTo("on");
     }
--- a/src/test/java/cacheproxy/invariant/SummaryGoldenTextTest.java
+++ b/src/test/java/cacheproxy/invariant/SummaryGoldenTextTest.java
@@ -5,10 +5,10 @@
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
 
-/** The line that {@code GET /invariants} answers, and the words that stand in it and in the event log. */
+/** The response of {@code GET /invariants}, and the labels in it and in the event log. */
 class SummaryGoldenTextTest {
     @Test
-    void eachInvariantHasItsWord() {
+    void invariantsHaveGoldenLabels() {
         assertThat(Arrays.stream(Invariant.values()).map(Invariant::label))
                 .containsExactly(
                         "deadline_open",
@@ -23,7 +23,7 @@
     }
 
     @Test
-    void theLineHasTheSumsAndThenWhatIsNotZero() {
+    void summaryHasTotalsThenNonZeroCounters() {
         InvariantMonitor monitor = new InvariantMonitor(new InvariantListener() {
             @Override
             public void stopped(Invariant invariant, String requestId, String reason) {}
