--- a/src/main/java/cacheproxy/bench/LeaseBench.java
+++ b/src/main/java/cacheproxy/bench/LeaseBench.java
@@ -1,5 +1,6 @@
 package cacheproxy.bench;
 
+import cacheproxy.fleet.lease.LeaseListener;
 import cacheproxy.fleet.lease.LeaseManager;
 import cacheproxy.fleet.lease.LeaseMessage;
 import cacheproxy.fleet.lease.LeaseTiming;
@@ -26,7 +27,8 @@
     private static final double LEASE_MS = 1000;
     private static final double TICK_MS = 20;
     /** Of a whole datagram: the envelope without a key, and the message. */
-    private static final int BYTES = DatagramEnvelope.MOST - DatagramEnvelope.MOST_PAYLOAD - 12 + LeaseMessage.LENGTH;
+    private static final int BYTES =
+            DatagramEnvelope.MOST - DatagramEnvelope.MOST_PAYLOAD - 12 + LeaseMessage.LENGTH_BYTES;
 
     private final PrintWriter out;
 
@@ -67,10 +69,10 @@
                 int me = i;
                 LeaseManager own = new LeaseManager(
                         names.get(i),
-                        new LeaseTiming(3000, LeaseTiming.DRIFT),
+                        new LeaseTiming(3000, LeaseTiming.MAX_CLOCK_DRIFT),
                         random.split(),
                         0,
-                        new LeaseManager.Out() {
+                        new LeaseListener() {
                             @Override
                             public void send(long to, LeaseMessage m) {
                                 sent++;
@@ -88,7 +90,7 @@
                             }
                         });
                 for (int d = 0; d < duties; d++) {
-                    own.stand("d" + d, LEASE_MS, electorates.get(d), 0);
+                    own.campaign("d" + d, LEASE_MS, electorates.get(d), 0);
                 }
                 due[i] = random.nextDouble() * TICK_MS;
                 peers.add(own);
@@ -114,7 +116,7 @@
                 double next = 0;
                 if (isMail) {
                     mail.poll();
-                    peers.get(who).heard(now, NameHash.of("p" + m.from), m.m, (long) now);
+                    peers.get(who).receive(now, NameHash.of("p" + m.from), m.m, (long) now);
                 } else {
                     ticks.poll();
                     next = peers.get(who).tick(now, (long) now);
--- a/src/main/java/cacheproxy/bench/QuotaBench.java
+++ b/src/main/java/cacheproxy/bench/QuotaBench.java
@@ -145,7 +145,7 @@
         }
         q.use(
                 all,
-                List.of(LeaseHandle.NOBODYS),
+                List.of(LeaseHandle.UNHELD),
                 IntStream.rangeClosed(1, peers).mapToObj(i -> (long) i).toList(),
                 peers,
                 false,
--- a/src/main/java/cacheproxy/daemon/fleet/FleetQuotas.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetQuotas.java
@@ -78,7 +78,7 @@
             quota = null;
             return;
         }
-        QuotaTiming figures = new QuotaTiming(spec.grantMs(), cacheproxy.fleet.lease.LeaseTiming.DRIFT);
+        QuotaTiming figures = new QuotaTiming(spec.grantMs(), cacheproxy.fleet.lease.LeaseTiming.MAX_CLOCK_DRIFT);
         if (quota == null || figures.grantMs() != rules.grantMs()) {
             // Other times: what was lent by the old ones is over once the longer of them is, so it begins in silence.
             double from = rules == null ? startMs : now + Math.max(0, rules.grantMs() - figures.grantMs()) * 4;
--- a/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
@@ -11,8 +11,10 @@
 import cacheproxy.daemon.Subsystem;
 import cacheproxy.fleet.lease.EventLoopHealth;
 import cacheproxy.fleet.lease.LeaseHandle;
+import cacheproxy.fleet.lease.LeaseListener;
 import cacheproxy.fleet.lease.LeaseManager;
 import cacheproxy.fleet.lease.LeaseMessage;
+import cacheproxy.fleet.lease.LeaseStatus;
 import cacheproxy.fleet.lease.LeaseTiming;
 import cacheproxy.fleet.lease.NameHash;
 import cacheproxy.fleet.lease.VoterSet;
@@ -97,9 +99,9 @@
         SplittableRandom random = new SplittableRandom(seed);
         duties = new LeaseManager(
                 me,
-                new LeaseTiming(spec.longestLeaseMs(), LeaseTiming.DRIFT),
+                new LeaseTiming(spec.longestLeaseMs(), LeaseTiming.MAX_CLOCK_DRIFT),
                 random.split(),
-                now + silentMs * (1 + LeaseTiming.DRIFT),
+                now + silentMs * (1 + LeaseTiming.MAX_CLOCK_DRIFT),
                 new Out());
         calls = new LeaseEndpoints(duties, core::now, NameHash.of(me));
         Link link = new Link();
@@ -179,7 +181,7 @@
         stands.keySet().stream().filter(d -> !wanted.containsKey(d)).forEach(d -> duties.withdraw(d, now));
         stands = wanted;
         duties.tick(now, System.currentTimeMillis());
-        wanted.forEach((name, s) -> duties.stand(
+        wanted.forEach((name, s) -> duties.campaign(
                 name, s.leaseMs, new VoterSet(name, spec.names(s.zone), spec.namesBefore(s.zone), s.voters), now));
         calls.use(names, wanted.keySet());
         users.forEach(u -> u.apply(file, now));
@@ -226,11 +228,11 @@
             return;
         }
         double now = core.now();
-        health.ran(now, now - dueMs);
-        boolean well = health.able(now);
+        health.recordTask(now, now - dueMs);
+        boolean well = health.isHealthy(now);
         if (!draining && (well && lists.able(now)) != able) {
             able = !able;
-            duties.able(able, well ? "it reaches no server, and others do" : "its event loop is late", now);
+            duties.setEligible(able, well ? "it reaches no server, and others do" : "its event loop is late", now);
         }
         double next = Math.min(duties.tick(now, System.currentTimeMillis()), now + TICK_MS);
         for (FleetProtocol u : users) {
@@ -250,16 +252,16 @@
     public void drain() {
         draining = true;
         double now = core.now();
-        for (LeaseManager.Sight s : duties.sights(now)) {
-            if (s.holding()) {
-                long to = duties.order(s.duty()).stream()
+        for (LeaseStatus s : duties.statuses(now)) {
+            if (s.heldHere()) {
+                long to = duties.candidateOrder(s.lease()).stream()
                         .filter(p -> p != NameHash.of(me) && heardAt.getOrDefault(p, -ALIVE_MS) > now - ALIVE_MS)
                         .findFirst()
                         .orElse(NameHash.NOBODY);
-                duties.transfer(s.duty(), to, now, "this process ends");
+                duties.transfer(s.lease(), to, now, "this process ends");
             }
         }
-        duties.able(false, "this process ends", now);
+        duties.setEligible(false, "this process ends", now);
         duties.tick(now, System.currentTimeMillis());
     }
 
@@ -267,7 +269,7 @@
     public void close() {
         closed = true;
         probes.close();
-        duties.able(false, "it is replaced or ends", core.now());
+        duties.setEligible(false, "it is replaced or ends", core.now());
         duties.tick(core.now(), System.currentTimeMillis());
         channel.close();
     }
@@ -341,7 +343,7 @@
 
         @Override
         public LeaseHandle tenure(String duty) {
-            return duties.tenure(duty);
+            return duties.handle(duty);
         }
 
         @Override
@@ -361,10 +363,10 @@
 
     // ---- messages
 
-    private final class Out implements LeaseManager.Out {
+    private final class Out implements LeaseListener {
         @Override
         public void send(long to, LeaseMessage m) {
-            FleetSubsystem.this.send(to, LEASES, m.bytes());
+            FleetSubsystem.this.send(to, LEASES, m.encode());
         }
 
         @Override
@@ -409,9 +411,9 @@
             double now = core.now();
             heardAt.put(o.sender(), now);
             if (o.topic() == LEASES) {
-                LeaseMessage m = LeaseMessage.of(o.payload());
+                LeaseMessage m = LeaseMessage.decode(o.payload());
                 if (m != null) {
-                    duties.heard(now, o.sender(), m, System.currentTimeMillis());
+                    duties.receive(now, o.sender(), m, System.currentTimeMillis());
                 }
                 return;
             }
--- a/src/main/java/cacheproxy/daemon/fleet/LeaseEndpoints.java
+++ b/src/main/java/cacheproxy/daemon/fleet/LeaseEndpoints.java
@@ -3,6 +3,7 @@
 import cacheproxy.control.ControlEndpoints.Answer;
 import cacheproxy.control.ControlRequestHandler;
 import cacheproxy.fleet.lease.LeaseManager;
+import cacheproxy.fleet.lease.LeaseStatus;
 import cacheproxy.fleet.lease.NameHash;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
@@ -69,15 +70,15 @@
     private JsonArray json() {
         JsonArray list = new JsonArray();
         double now = clock.getAsDouble();
-        for (LeaseManager.Sight s : duties.sights(now)) {
-            if (!told.contains(s.duty())) {
+        for (LeaseStatus s : duties.statuses(now)) {
+            if (!told.contains(s.lease())) {
                 continue;
             }
             JsonObject o = new JsonObject();
-            o.addProperty("duty", s.duty());
-            o.addProperty("holding", s.holding());
+            o.addProperty("duty", s.lease());
+            o.addProperty("holding", s.heldHere());
             o.addProperty("epoch", s.epoch());
-            o.addProperty("left_ms", Math.round(s.leftMs()));
+            o.addProperty("left_ms", Math.round(s.remainingMs()));
             o.addProperty("holder", names.get(s.holder()));
             list.add(o);
         }
--- a/src/main/java/cacheproxy/daemon/fleet/PeerListMonitor.java
+++ b/src/main/java/cacheproxy/daemon/fleet/PeerListMonitor.java
@@ -75,7 +75,7 @@
             return;
         }
         if (payload[PeerListTransition.LENGTH] == 1) {
-            reach.there(now);
+            reach.recordRemoteReport(now);
         }
         steps.heard(now, from, Arrays.copyOf(payload, PeerListTransition.LENGTH));
         if (steps.of(from, now) != Standing.DIFFERENT) {
@@ -95,7 +95,7 @@
             ConfigSnapshot g = generation.get();
             boolean reaches = g == null || g.pools.values().stream().anyMatch(p -> p.dispatcher.reachesAny());
             if (reaches) {
-                reach.here(now);
+                reach.recordLocalReach(now);
             }
             if (!others.isEmpty()) {
                 byte[] message = Arrays.copyOf(steps.message(), PeerListTransition.LENGTH + 1);
@@ -108,7 +108,7 @@
 
     /** Whether it reaches servers, or nobody does. */
     boolean able(double now) {
-        return reach.able(now);
+        return reach.isEligible(now);
     }
 
     @Override
--- a/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckCoordinator.java
+++ b/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckCoordinator.java
@@ -147,7 +147,7 @@
         long holder = t.holder(now);
         return holder != NameHash.NOBODY && holder != me
                 ? holder
-                : t.order().stream().filter(p -> p != me).findFirst().orElse(NameHash.NOBODY);
+                : t.candidateOrder().stream().filter(p -> p != me).findFirst().orElse(NameHash.NOBODY);
     }
 
     /** Whether others' word on a server is at odds with what is seen here, or has stood alone for long. */
--- a/src/main/java/cacheproxy/fleet/lease/EventLoopHealth.java
+++ b/src/main/java/cacheproxy/fleet/lease/EventLoopHealth.java
@@ -1,45 +1,55 @@
 package cacheproxy.fleet.lease;
 
+import java.util.Arrays;
+
 /**
- * Whether a process's loop is punctual enough to hold duties: one that is late again and again would lose them by
- * surprise, and does what it does under them late. Times in milliseconds.
+ * Whether an event loop is punctual enough for its process to hold leases. A loop that is repeatedly late loses leases
+ * unexpectedly, and acts late while it holds them.
  */
 public final class EventLoopHealth {
-    private final double lateMs;
-    private final int often;
-    private final double withinMs;
-    private final double[] lates;
-    private int next;
-    private double illUntilMs = Double.NEGATIVE_INFINITY;
+    private final double lateThresholdMs;
+    private final int maxLateTasks;
+    private final double windowMs;
+    /** When the last tasks were late, as a ring whose oldest entry is at {@link #nextIndex}. */
+    private final double[] lateAtMs;
+
+    private int nextIndex;
+    private double unhealthyUntilMs = Double.NEGATIVE_INFINITY;
 
     /**
-     * @param lateMs what counts as late
-     * @param often so many times
-     * @param withinMs within so long it is ill, and for as long again
+     * Creates a detector that has seen no task.
+     *
+     * @param lateThresholdMs a task with at least this delay counts as late, above 0
+     * @param maxLateTasks so many late tasks within the window make the loop unhealthy, at least 1
+     * @param windowMs length of the window, and for how long the loop then counts as unhealthy, above 0
+     * @throws IllegalArgumentException if a parameter is out of its range
      */
-    public EventLoopHealth(double lateMs, int often, double withinMs) {
-        if (!(lateMs > 0) || often < 1 || !(withinMs > 0)) {
-            throw new IllegalArgumentException("late " + lateMs + ", " + often + " times within " + withinMs);
+    public EventLoopHealth(double lateThresholdMs, int maxLateTasks, double windowMs) {
+        if (!(lateThresholdMs > 0) || maxLateTasks < 1 || !(windowMs > 0)) {
+            throw new IllegalArgumentException(
+                    "late " + lateThresholdMs + ", " + maxLateTasks + " times within " + windowMs);
         }
-        this.lateMs = lateMs;
-        this.often = often;
-        this.withinMs = withinMs;
-        lates = new double[often];
-        java.util.Arrays.fill(lates, Double.NEGATIVE_INFINITY);
+        this.lateThresholdMs = lateThresholdMs;
+        this.maxLateTasks = maxLateTasks;
+        this.windowMs = windowMs;
+        lateAtMs = new double[maxLateTasks];
+        Arrays.fill(lateAtMs, Double.NEGATIVE_INFINITY);
     }
 
-    /** A task of the loop ran so much later than it should have. */
-    public void ran(double now, double by) {
-        if (by >= lateMs) {
-            lates[next] = now;
-            next = (next + 1) % often;
-            if (now - lates[next] <= withinMs) {
-                illUntilMs = now + withinMs;
-            }
+    /** A task of the loop ran {@code lateByMs} after its due time. */
+    public void recordTask(double nowMs, double lateByMs) {
+        if (lateByMs < lateThresholdMs) {
+            return;
+        }
+        lateAtMs[nextIndex] = nowMs;
+        nextIndex = (nextIndex + 1) % maxLateTasks;
+        if (nowMs - lateAtMs[nextIndex] <= windowMs) {
+            unhealthyUntilMs = nowMs + windowMs;
         }
     }
 
-    public boolean able(double now) {
-        return now >= illUntilMs;
+    /** Whether the process may hold leases, as far as its event loop is concerned. */
+    public boolean isHealthy(double nowMs) {
+        return nowMs >= unhealthyUntilMs;
     }
 }
--- a/src/main/java/cacheproxy/fleet/lease/FencingTokenCheck.java
+++ b/src/main/java/cacheproxy/fleet/lease/FencingTokenCheck.java
@@ -3,20 +3,21 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** Whoever receives acts under duties refuses those of an older epoch than it has seen. */
+/** At the receiver of a holder's actions: rejects actions of an older epoch than the highest that it has seen. */
 public final class FencingTokenCheck {
-    /** Beyond these nothing is accepted that was not known before. */
-    public static final int MOST_DUTIES = 4096;
+    /** Leases that are remembered; actions under any further lease are rejected, which bounds the memory. */
+    public static final int MAX_LEASES = 4096;
 
-    private final Map<Long, Long> seen = new HashMap<>();
+    private final Map<Long, Long> highestEpochs = new HashMap<>();
 
-    /** Whether an act under this epoch is to be carried out. */
-    public boolean accepts(long duty, long epoch) {
-        Long known = seen.get(duty);
-        if (known == null && seen.size() >= MOST_DUTIES || known != null && epoch < known) {
+    /** Whether an action under this epoch may be carried out; if so, older epochs are rejected from now on. */
+    public boolean accepts(long leaseId, long epoch) {
+        Long highestEpoch = highestEpochs.get(leaseId);
+        boolean isTooMany = highestEpoch == null && highestEpochs.size() >= MAX_LEASES;
+        if (isTooMany || (highestEpoch != null && epoch < highestEpoch)) {
             return false;
         }
-        seen.put(duty, epoch);
+        highestEpochs.put(leaseId, epoch);
         return true;
     }
 }
--- a/src/main/java/cacheproxy/fleet/lease/LeaseCandidate.java
+++ b/src/main/java/cacheproxy/fleet/lease/LeaseCandidate.java
@@ -1,415 +1,369 @@
 package cacheproxy.fleet.lease;
 
 import cacheproxy.fleet.lease.LeaseMessage.Kind;
-import java.util.HashMap;
-import java.util.HashSet;
-import java.util.Map;
-import java.util.Set;
+import java.util.List;
 import java.util.SplittableRandom;
 
 /**
- * One process's side of one duty: it asks whether the duty is free, claims it, holds it and renews it, gives it back.
- * It asks before it claims, and voters take nothing from a holder whose lease runs, so one that comes and goes disturbs
- * nobody. Times in milliseconds of the process's own monotonic clock.
+ * One process's side of one lease, as candidate and as holder.
+ *
+ * <p>A candidate first queries the voters, which changes nothing there, and claims the lease only if a majority would
+ * grant it. Voters reject claims while another's grant runs. So a process that comes and goes does not disturb the
+ * holder.
  */
 final class LeaseCandidate {
-    /** Peers that stand at once; those behind them look more rarely, the further back the more so. */
-    static final int STANDING = 5;
-
-    private static final double RENEWALS = 3;
-    private static final double RANK_MS = 40;
-    private static final double MOST_RANK_MS = 400;
-    private static final double LOOK_MOST_MS = 30_000;
-    /** One who has been handed a duty looks again so soon: word to the voters may come after word to it. */
-    private static final double EAGER_MS = 15;
-
-    /** Where its messages go and what it tells. */
-    interface Out {
-        void send(long to, LeaseMessage m);
-
-        void gained(long epoch);
-
-        void lost(long epoch, String why);
-    }
-
     private enum State {
+        /** Waits for the time of its next query. */
         IDLE,
-        ASKING,
+        /** Has asked the voters whether they would grant a claim. */
+        QUERYING,
+        /** Has claimed the lease and waits for a majority of grants. */
         CLAIMING,
+        /** Is the holder, and renews its grant. */
         HOLDING
     }
 
-    private final long me;
-    /** Of this process: what one that had the same name before it holds is another's. */
-    private final long life;
-
-    private final long duty;
-    private double leaseMs;
-    private final LeaseTiming rules;
+    private final long selfId;
+    private final long incarnation;
+    private final String lease;
+    private final long leaseId;
+    private final LeaseTiming timing;
     private final SplittableRandom random;
-    private final Out out;
-    private VoterSet electorate;
+    private final LeaseDelays delays;
+    private final LeaseListener listener;
+    private final VoteCount votes = new VoteCount();
+    private final HeldLease held;
+    private double leaseMs;
+    private VoterSet voterSet;
+    private boolean eligible;
+    private boolean configured = true;
     private State state = State.IDLE;
-    private double nextMs;
-    /** The question that is out: its nonce, when it was sent, what came back. */
-    private long nonce;
-
-    private double sentMs;
-    /** The lease that was asked for, in the whole milliseconds that voters are told. */
-    private int askedMs;
-
-    private final Set<Long> yes = new HashSet<>();
-    private final Set<Long> no = new HashSet<>();
-    private final Map<Long, Long> holders = new HashMap<>();
-    private long seen;
-    private double leftMs;
-    private long epoch;
-    private double untilMs = Double.NEGATIVE_INFINITY;
-    /** Acts that have been permitted are over by then. */
-    private double busyUntilMs = Double.NEGATIVE_INFINITY;
-    /** Who holds it, as voters last said. */
-    private long holder = NameHash.NOBODY;
-
-    private boolean able;
-    /** Whether the file has it. */
-    private boolean wanted = true;
+    /** When the state's timer runs out. */
+    private double timerMs;
 
-    private double eagerUntilMs = Double.NEGATIVE_INFINITY;
+    private long epoch;
+    private long lastKnownHolder = NameHash.NOBODY;
+    private double transferredUntilMs = Double.NEGATIVE_INFINITY;
     private double claimsFromMs = Double.NEGATIVE_INFINITY;
-    private String leaving;
-    private long handTo = NameHash.NOBODY;
-
-    LeaseCandidate(
-            long me,
-            long life,
-            long duty,
-            double leaseMs,
-            VoterSet electorate,
-            LeaseTiming rules,
-            SplittableRandom random,
-            boolean able,
-            double now,
-            Out out) {
-        check(leaseMs, rules);
-        this.able = able;
-        this.me = me;
-        this.life = life;
-        this.duty = duty;
-        this.leaseMs = leaseMs;
-        this.electorate = electorate;
-        this.rules = rules;
+
+    /** @throws IllegalArgumentException if the duration of the lease is out of its range */
+    LeaseCandidate(LeaseCandidateConfig config, SplittableRandom random, double nowMs, LeaseListener listener) {
+        checkLeaseMs(config.leaseMs(), config.timing());
+        selfId = config.selfId();
+        incarnation = config.incarnation();
+        lease = config.lease();
+        leaseId = NameHash.of(lease);
+        leaseMs = config.leaseMs();
+        voterSet = config.voterSet();
+        timing = config.timing();
+        eligible = config.eligible();
         this.random = random;
-        this.out = out;
-        nextMs = now + stagger();
+        this.listener = listener;
+        delays = new LeaseDelays(selfId, random);
+        held = new HeldLease(timing);
+        timerMs = nowMs + delays.staggerMs(voterSet);
     }
 
-    private static void check(double leaseMs, LeaseTiming rules) {
-        if (!(leaseMs >= 1 && leaseMs <= rules.longestMs())) {
-            throw new IllegalArgumentException("lease " + leaseMs + ", from 1 to the longest, " + rules.longestMs());
+    private static void checkLeaseMs(double leaseMs, LeaseTiming timing) {
+        if (!(leaseMs >= 1 && leaseMs <= timing.maxLeaseMs())) {
+            throw new IllegalArgumentException("lease " + leaseMs + ", from 1 to the longest, " + timing.maxLeaseMs());
         }
     }
 
-    private double stagger() {
-        return Math.min(MOST_RANK_MS, electorate.rank(me) * RANK_MS) + random.nextDouble() * RANK_MS;
-    }
-
-    private double answersMs() {
-        return leaseMs / 6;
-    }
-
-    /** How long after a look it looks again, where somebody holds it. */
-    private double lookMs() {
-        int rank = electorate.rank(me);
-        return rank < STANDING ? 0 : Math.min(LOOK_MOST_MS, leaseMs * (rank / STANDING));
-    }
+    // ---- events from the process: configuration and eligibility
 
     /**
-     * The file has it, with this lease and these voters. What it holds it renews among them. Where the list is a new
-     * one alone, nothing new is claimed until what the list before it may have granted is over; while both lists vote
-     * there is no need, as they share a voter with either.
+     * The configuration has the lease, with this duration and these voters. A holder renews its grant among the new
+     * voters.
+     *
+     * <p>If the new list of peers replaces another at once, nothing is claimed until grants of the other list's voters
+     * have expired. While both lists vote this is not needed: any two majorities share a voter.
      */
-    void stand(double ms, VoterSet other, double now) {
-        check(ms, rules);
-        leaseMs = ms;
-        wanted = true;
-        if (!other.votesAs(electorate)) {
-            if (!other.isChanging()) {
-                claimsFromMs = now + rules.silenceMs();
+    void configure(double newLeaseMs, VoterSet newVoterSet, double nowMs) {
+        checkLeaseMs(newLeaseMs, timing);
+        leaseMs = newLeaseMs;
+        configured = true;
+        if (!newVoterSet.hasSameVoters(voterSet)) {
+            if (!newVoterSet.isChanging()) {
+                claimsFromMs = nowMs + timing.startupSilenceMs();
             }
-            dropClaim(now); // what came back is of other voters
+            abandonQuestion(nowMs); // its replies are of the former voters
         }
-        electorate = other;
-        if (!stands()) {
-            dropClaim(now);
-            leave(
-                    "no longer among the peers",
-                    other.order().isEmpty() ? NameHash.NOBODY : other.order().get(0));
+        voterSet = newVoterSet;
+        if (!mayClaim()) {
+            abandonQuestion(nowMs);
+            List<Long> order = newVoterSet.candidateOrder();
+            giveUp(LeaseLoss.notAPeer(order.isEmpty() ? NameHash.NOBODY : order.get(0)));
         }
     }
 
-    /** The file has it no longer. */
-    void withdraw(double now) {
-        wanted = false;
-        dropClaim(now);
-        leave("no longer in the file", NameHash.NOBODY);
+    /** The configuration no longer has the lease. */
+    void withdraw(double nowMs) {
+        configured = false;
+        abandonQuestion(nowMs);
+        giveUp(LeaseLoss.NOT_CONFIGURED);
     }
 
-    /** Whether it is neither wanted nor held. */
-    boolean isOver() {
-        return !wanted && state == State.IDLE;
+    /** Whether it is neither configured nor held, and can be forgotten. */
+    boolean isFinished() {
+        return !configured && state == State.IDLE;
     }
 
-    private void dropClaim(double now) {
-        if (state == State.ASKING || state == State.CLAIMING) {
-            giveUp(now);
+    /** Sets whether this process may hold leases; one that may not releases its grant and claims nothing. */
+    void setEligible(boolean nowEligible, String reason, double nowMs) {
+        eligible = nowEligible;
+        if (!nowEligible) {
+            abandonQuestion(nowMs);
+            giveUp(LeaseLoss.requested(reason, NameHash.NOBODY));
         }
     }
 
-    private boolean stands() {
-        return able && wanted && electorate.rank(me) != Integer.MAX_VALUE;
+    /** Releases a held lease as soon as the permitted actions are over. */
+    void giveUp(LeaseLoss loss) {
+        if (state == State.HOLDING) {
+            held.planLoss(loss);
+        }
     }
 
-    java.util.List<Long> order() {
-        return electorate.order();
+    private void abandonQuestion(double nowMs) {
+        if (state == State.QUERYING || state == State.CLAIMING) {
+            abandonClaim(nowMs);
+        }
     }
 
-    /**
-     * Whether an act that takes so long may begin now; ask right before it. The epoch under which it is done, or -1.
-     */
-    long permit(double now, double actMs) {
-        if (state != State.HOLDING || leaving != null || !rules.mayAct(now, untilMs, actMs)) {
-            return -1;
-        }
-        busyUntilMs = Math.max(busyUntilMs, now + actMs);
-        return epoch;
+    private boolean mayClaim() {
+        return eligible && configured && voterSet.rank(selfId) != VoterSet.NO_CANDIDATE;
     }
 
-    boolean holding(double now) {
-        return permit(now, 0) >= 0;
+    // ---- what the process asks
+
+    /** See {@link LeaseHandle#permit}. */
+    long permit(double nowMs, double actionMs) {
+        return state == State.HOLDING && held.permit(nowMs, actionMs) ? epoch : LeaseHandle.NOT_PERMITTED;
     }
 
-    long epoch() {
-        return epoch;
+    /** Whether this process may act as the holder now. */
+    boolean isHolding(double nowMs) {
+        return permit(nowMs, 0) >= 0;
     }
 
-    double leftMs(double now) {
-        return state == State.HOLDING ? Math.max(0, untilMs - now) : 0;
+    /** See {@link LeaseHandle#remainingMs}. */
+    double remainingMs(double nowMs) {
+        return state == State.HOLDING ? held.remainingMs(nowMs) : 0;
     }
 
-    long holder(double now) {
-        return holding(now) ? me : holder;
+    /** See {@link LeaseHandle#holder}. */
+    long holder(double nowMs) {
+        return isHolding(nowMs) ? selfId : lastKnownHolder;
     }
 
-    /** Whether it may hold; one that may not gives back what it holds and takes nothing. */
-    void able(boolean on, String why, double now) {
-        able = on;
-        if (!on) {
-            dropClaim(now);
-            leave(why, NameHash.NOBODY);
-        }
+    /** The ids of the candidates by rank. */
+    List<Long> candidateOrder() {
+        return voterSet.candidateOrder();
     }
 
-    /** Gives it back once the acts under way are over, to a peer if one is named. */
-    void leave(String why, long to) {
-        if (state == State.HOLDING && leaving == null) {
-            leaving = why;
-            handTo = to;
-        }
+    /** The lease as this process sees it. */
+    LeaseStatus status(double nowMs) {
+        return new LeaseStatus(lease, isHolding(nowMs), epoch, remainingMs(nowMs), holder(nowMs));
     }
 
-    // ---- time
+    // ---- events of time
 
     /** When {@link #tick} wants to be called at the latest. */
-    double nextMs(double now) {
+    double nextMs(double nowMs) {
+        return state == State.HOLDING ? held.nextMs(nowMs, timerMs) : timerMs;
+    }
+
+    /** Does what is due. */
+    void tick(double nowMs) {
         if (state == State.HOLDING) {
-            double change = leaving != null ? Math.max(now, busyUntilMs) : nextMs;
-            return Math.min(change, untilMs);
+            tickHolder(nowMs);
+        } else if (nowMs >= timerMs) {
+            onTimeout(nowMs);
         }
-        return nextMs;
     }
 
-    void tick(double now) {
-        if (state == State.HOLDING) {
-            hold(now);
-        } else if (now >= nextMs) {
-            switch (state) {
-                case IDLE -> {
-                    if (stands() && now >= claimsFromMs) {
-                        ask(now);
-                    } else {
-                        nextMs = Math.max(claimsFromMs, now + leaseMs);
-                    }
+    private void onTimeout(double nowMs) {
+        switch (state) {
+            case IDLE -> {
+                if (mayClaim() && nowMs >= claimsFromMs) {
+                    query(nowMs);
+                } else {
+                    timerMs = Math.max(claimsFromMs, nowMs + leaseMs);
                 }
-                case ASKING -> idle(now + leaseMs * random.nextDouble() / 2 + stagger());
-                default -> giveUp(now);
             }
+            case QUERYING -> becomeIdle(delays.retryAtMs(nowMs, leaseMs, voterSet));
+            default -> abandonClaim(nowMs);
         }
     }
 
-    private void hold(double now) {
-        if (now >= untilMs) {
-            String why = leaving != null ? leaving : "no majority renewed it in time";
-            lose(now, why, leaving != null);
-        } else if (leaving != null && now >= busyUntilMs) {
-            long to = handTo;
-            long given = epoch;
-            lose(now, leaving, true);
-            if (to != NameHash.NOBODY && to != me) {
-                out.send(to, new LeaseMessage(Kind.HAND, duty, 0, given, me, 0));
-                nextMs = now + leaseMs; // the other's turn
-            }
-        } else if (leaving == null && now >= nextMs) {
-            question(now, Kind.CLAIM, epoch);
-            nextMs = now + leaseMs / RENEWALS;
+    private void tickHolder(double nowMs) {
+        if (held.isExpired(nowMs)) {
+            lose(nowMs, held.plannedLoss().orElse(LeaseLoss.NOT_RENEWED));
+        } else if (held.isReadyToEnd(nowMs)) {
+            LeaseLoss loss = held.plannedLoss().orElseThrow();
+            lose(nowMs, loss);
+            transferTo(loss.successor(), nowMs);
+        } else if (!held.isEnding() && nowMs >= timerMs) {
+            askVoters(nowMs, Kind.CLAIM, epoch);
+            timerMs = nowMs + delays.renewalIntervalMs(leaseMs);
         }
     }
 
-    private void lose(double now, String why, boolean release) {
+    // ---- transitions
+
+    private void query(double nowMs) {
+        state = State.QUERYING;
+        votes.clearReports();
+        askVoters(nowMs, Kind.QUERY, 0);
+        timerMs = nowMs + delays.replyTimeoutMs(leaseMs);
+    }
+
+    private void claim(double nowMs, long wallMs) {
+        state = State.CLAIMING;
+        lastKnownHolder = NameHash.NOBODY;
+        epoch = timing.nextEpoch(Math.max(votes.highestEpoch(), epoch), wallMs);
+        askVoters(nowMs, Kind.CLAIM, epoch);
+        timerMs = nowMs + delays.replyTimeoutMs(leaseMs);
+    }
+
+    private void gain() {
+        state = State.HOLDING;
+        lastKnownHolder = selfId;
+        timerMs = votes.sentMs() + delays.renewalIntervalMs(leaseMs);
+        listener.gained(lease, epoch);
+    }
+
+    private void lose(double nowMs, LeaseLoss loss) {
         state = State.IDLE;
-        untilMs = Double.NEGATIVE_INFINITY;
-        busyUntilMs = Double.NEGATIVE_INFINITY;
-        leaving = null;
-        holder = handTo;
-        handTo = NameHash.NOBODY;
-        if (release) {
+        held.clear();
+        lastKnownHolder = loss.successor();
+        if (loss.reason().isReleased()) {
             release();
         }
-        nextMs = now + leaseMs / 4 + stagger();
-        out.lost(epoch, why);
+        timerMs = delays.afterLossAtMs(nowMs, leaseMs, voterSet);
+        listener.lost(lease, epoch, loss.logText());
     }
 
-    private void release() {
-        nonce = 0;
-        LeaseMessage m = new LeaseMessage(Kind.RELEASE, duty, 0, epoch, life, 0);
-        electorate.voters().forEach(v -> out.send(v, m));
+    private void transferTo(long successor, double nowMs) {
+        if (successor != NameHash.NOBODY && successor != selfId) {
+            listener.send(successor, new LeaseMessage(Kind.TRANSFER, leaseId, 0, epoch, selfId, 0));
+            timerMs = nowMs + leaseMs; // time for the successor to claim it
+        }
     }
 
-    private void ask(double now) {
-        state = State.ASKING;
-        seen = 0;
-        leftMs = 0;
-        holders.clear();
-        question(now, Kind.ASK, 0);
-        nextMs = now + answersMs();
+    private void becomeIdle(double untilMs) {
+        state = State.IDLE;
+        votes.close();
+        timerMs = untilMs;
     }
 
-    private void question(double now, Kind kind, long of) {
-        nonce = random.nextLong();
-        sentMs = now;
-        askedMs = (int) leaseMs;
-        yes.clear();
-        no.clear();
-        LeaseMessage m = new LeaseMessage(kind, duty, nonce, of, life, kind == Kind.CLAIM ? askedMs : 0);
-        electorate.voters().forEach(v -> out.send(v, m));
+    /** Releases what voters may have granted, as a claim without a majority must not block others. */
+    private void abandonClaim(double nowMs) {
+        release();
+        becomeIdle(delays.retryAtMs(nowMs, leaseMs, voterSet));
     }
 
-    private void idle(double until) {
-        state = State.IDLE;
-        nonce = 0;
-        nextMs = until;
+    private void release() {
+        votes.close();
+        sendToVoters(new LeaseMessage(Kind.RELEASE, leaseId, 0, epoch, incarnation, 0));
     }
 
-    /** A claim that got no majority in time must not stand in others' way. */
-    private void giveUp(double now) {
-        release();
-        idle(now + random.nextDouble() * leaseMs / 2 + stagger());
+    private void askVoters(double nowMs, Kind kind, long claimedEpoch) {
+        long nonce = random.nextLong();
+        int wholeLeaseMs = (int) leaseMs;
+        votes.open(nonce, nowMs, wholeLeaseMs);
+        int claimedMs = kind == Kind.CLAIM ? wholeLeaseMs : 0;
+        sendToVoters(new LeaseMessage(kind, leaseId, nonce, claimedEpoch, incarnation, claimedMs));
     }
 
-    // ---- answers
+    private void sendToVoters(LeaseMessage message) {
+        voterSet.voters().forEach(voter -> listener.send(voter, message));
+    }
 
-    /** @param wallMs the wall clock, a floor for epochs alone */
-    void heard(double now, long from, LeaseMessage m, long wallMs) {
-        if (m.kind() == Kind.HAND) {
-            if (state == State.IDLE && stands() && now >= claimsFromMs) {
-                eagerUntilMs = now + leaseMs / 2;
-                ask(now);
-            }
+    // ---- events from peers
+
+    /**
+     * A message to this candidate.
+     *
+     * @param wallMs the wall clock, used as a lower bound of new epochs only
+     */
+    void receive(double nowMs, long from, LeaseMessage message, long wallMs) {
+        if (message.kind() == Kind.TRANSFER) {
+            onTransfer(nowMs);
             return;
         }
-        if (m.nonce() != nonce || nonce == 0 || !electorate.voters().contains(from)) {
+        if (!votes.awaits(message.nonce()) || !voterSet.voters().contains(from)) {
             return;
         }
-        switch (m.kind()) {
-            case STATE -> {
-                if (state == State.ASKING) {
-                    told(now, from, m, wallMs);
-                }
+        switch (message.kind()) {
+            case STATUS -> onStatus(nowMs, from, message, wallMs);
+            case GRANT -> onGrant(nowMs, from, message);
+            case REJECT -> onReject(nowMs, from, message);
+            default -> {
+                // questions are answered by the voter
             }
-            case GRANT -> {
-                if (m.epoch() == epoch && (state == State.CLAIMING || state == State.HOLDING)) {
-                    granted(now, from);
-                }
-            }
-            case REFUSE -> {
-                if (state == State.CLAIMING) {
-                    no.add(from);
-                    seen = Math.max(seen, m.epoch());
-                    if (electorate.blocks(no)) {
-                        giveUp(now);
-                    }
-                }
-            }
-            default -> {}
         }
     }
 
-    private void told(double now, long from, LeaseMessage m, long wallMs) {
-        seen = Math.max(seen, m.epoch());
-        if (m.holder() == NameHash.NOBODY) {
-            yes.add(from);
-        } else {
-            no.add(from);
-            holders.put(from, m.holder());
-            leftMs = Math.max(leftMs, m.ms());
-        }
-        if (electorate.isMajority(yes)) {
-            holder = NameHash.NOBODY;
-            state = State.CLAIMING;
-            epoch = rules.epoch(Math.max(seen, epoch), wallMs);
-            question(now, Kind.CLAIM, epoch);
-            nextMs = now + answersMs();
-        } else if (electorate.blocks(no)) {
-            holder = mostNamed();
-            idle(
-                    now < eagerUntilMs
-                            ? now + EAGER_MS * (1 + random.nextDouble())
-                            : now + Math.max(leftMs, lookMs()) + stagger());
+    private void onTransfer(double nowMs) {
+        if (state == State.IDLE && mayClaim() && nowMs >= claimsFromMs) {
+            transferredUntilMs = nowMs + leaseMs / 2;
+            query(nowMs);
         }
     }
 
-    private long mostNamed() {
-        Map<Long, Integer> counts = new HashMap<>();
-        holders.values().forEach(h -> counts.merge(h, 1, Integer::sum));
-        return counts.entrySet().stream()
-                .max(Map.Entry.comparingByValue())
-                .map(Map.Entry::getKey)
-                .orElse(NameHash.NOBODY);
+    private void onStatus(double nowMs, long from, LeaseMessage status, long wallMs) {
+        if (state != State.QUERYING) {
+            return;
+        }
+        votes.report(from, status);
+        if (votes.isGranted(voterSet)) {
+            claim(nowMs, wallMs);
+        } else if (votes.isRejected(voterSet)) {
+            lastKnownHolder = votes.reportedHolder();
+            becomeIdle(
+                    nowMs < transferredUntilMs
+                            ? delays.transferRetryAtMs(nowMs)
+                            : delays.nextQueryAtMs(nowMs, leaseMs, votes.remainingMs(), voterSet));
+        }
     }
 
-    private void granted(double now, long from) {
-        yes.add(from);
-        double until = sentMs + rules.holderMs(askedMs);
-        if (!electorate.isMajority(yes) || until <= now) {
+    private void onGrant(double nowMs, long from, LeaseMessage grant) {
+        if (grant.epoch() != epoch || (state != State.CLAIMING && state != State.HOLDING)) {
             return;
         }
-        untilMs = Math.max(untilMs, until);
+        votes.grant(from);
+        double untilMs = votes.sentMs() + timing.holderLeaseMs(votes.claimedMs());
+        if (!votes.isGranted(voterSet) || untilMs <= nowMs) {
+            return;
+        }
+        held.extend(untilMs);
         if (state == State.CLAIMING) {
-            state = State.HOLDING;
-            holder = me;
-            nextMs = sentMs + leaseMs / RENEWALS;
-            out.gained(epoch);
+            gain();
+        }
+    }
+
+    private void onReject(double nowMs, long from, LeaseMessage rejection) {
+        if (state != State.CLAIMING) {
+            return;
+        }
+        votes.reject(from, rejection.epoch());
+        if (votes.isRejected(voterSet)) {
+            abandonClaim(nowMs);
         }
     }
 
-    boolean awaits(long question) {
-        return question != 0 && question == nonce;
+    // ---- for a model checker
+
+    /** Whether a reply with this nonce is awaited. */
+    boolean awaits(long nonce) {
+        return votes.awaits(nonce);
     }
 
-    /** All that decides what it does next, for a model checker. */
-    String fingerprint(double now) {
-        return state + " " + Math.round(Math.max(-1, nextMs - now)) + " " + (nonce != 0) + " "
-                + Math.round(Math.max(-5000, sentMs - now)) + " "
-                + new java.util.TreeSet<>(yes) + new java.util.TreeSet<>(no) + " " + seen + " " + epoch + " "
-                + Math.round(Math.max(-1, untilMs - now)) + " " + leaving + " " + able;
+    /** All that decides the next step. */
+    String fingerprint(double nowMs) {
+        return state + " " + Math.round(Math.max(-1, timerMs - nowMs)) + " " + votes.fingerprint(nowMs) + " " + epoch
+                + " " + held.fingerprint(nowMs) + " " + eligible;
     }
 }
--- a/src/main/java/cacheproxy/fleet/lease/LeaseHandle.java
+++ b/src/main/java/cacheproxy/fleet/lease/LeaseHandle.java
@@ -2,27 +2,34 @@
 
 import java.util.List;
 
-/** All that whoever acts under a duty sees of it. Times in milliseconds of the process's monotonic clock. */
+/**
+ * What users of a lease see of it: whether they may act as its holder, and who may if they may not.
+ *
+ * <p>All times are of the process's monotonic clock in milliseconds.
+ */
 public interface LeaseHandle {
-    /** A duty that nobody holds and for which nobody stands. */
-    LeaseHandle NOBODYS = new LeaseHandle() {
+    /** The result of {@link #permit} where the action may not begin. */
+    long NOT_PERMITTED = -1;
+
+    /** A lease without holder and candidates. */
+    LeaseHandle UNHELD = new LeaseHandle() {
         @Override
-        public long permit(double now, double actMs) {
-            return -1;
+        public long permit(double nowMs, double actionMs) {
+            return NOT_PERMITTED;
         }
 
         @Override
-        public double leftMs(double now) {
+        public double remainingMs(double nowMs) {
             return 0;
         }
 
         @Override
-        public long holder(double now) {
+        public long holder(double nowMs) {
             return NameHash.NOBODY;
         }
 
         @Override
-        public List<Long> order() {
+        public List<Long> candidateOrder() {
             return List.of();
         }
 
@@ -32,18 +39,23 @@
         }
     };
 
-    /** The epoch under which an act of so many milliseconds may begin now; -1: it may not. Ask right before the act. */
-    long permit(double now, double actMs);
+    /**
+     * Asks for permission to begin a leader action. To be called immediately before each action, never in advance.
+     *
+     * @param actionMs how long the action takes at most; the lease is not given up before its end
+     * @return the epoch to act under, as fencing token; {@link #NOT_PERMITTED} if the action may not begin
+     */
+    long permit(double nowMs, double actionMs);
 
-    /** What is left of the lease; 0 where it is not held here. */
-    double leftMs(double now);
+    /** The time left of this process's grant; 0 if it does not hold the lease. */
+    double remainingMs(double nowMs);
 
-    /** Who holds it by the voters' last word; {@link NameHash#NOBODY} if nobody does or it is not known. */
-    long holder(double now);
+    /** The holder according to the last replies of the voters; {@link NameHash#NOBODY} if none or unknown. */
+    long holder(double nowMs);
 
-    /** Peers in the order in which they stand for it: who is asked where the holder is not known. */
-    List<Long> order();
+    /** The candidates by rank: whom to ask where the holder is unknown. */
+    List<Long> candidateOrder();
 
-    /** The duty's id, as messages carry it. */
+    /** The lease's id, as in messages. */
     long id();
 }
--- a/src/main/java/cacheproxy/fleet/lease/LeaseManager.java
+++ b/src/main/java/cacheproxy/fleet/lease/LeaseManager.java
@@ -7,235 +7,247 @@
 import java.util.SplittableRandom;
 
 /**
- * All duties of one process, and its word on those of others. Free of I/O and clocks: messages and time are handed in,
- * what is to be sent goes to an {@link Out}. What acts on a duty asks {@link #permit} right before each act.
+ * All leases of one process: a {@link LeaseCandidate} for each that it is configured with, and its vote on those of
+ * others.
+ *
+ * <p>Not thread-safe. Does no I/O and reads no clock: time and messages are passed in, and what is to be sent goes to a
+ * {@link LeaseListener}. Whoever acts under a lease calls {@link #permit} immediately before each action.
  */
 public final class LeaseManager {
-    /** Duties of one process: those of a file and the program's own. */
-    public static final int MOST = 1400;
+    /** Leases of one process: those of its configuration and the program's own. */
+    public static final int MAX_LEASES = 1400;
 
-    /** Where messages go, and who is told of gains and losses. */
-    public interface Out {
-        void send(long to, LeaseMessage m);
-
-        void gained(String duty, long epoch);
-
-        void lost(String duty, long epoch, String why);
-    }
-
-    /**
-     * A duty as this process sees it.
-     *
-     * @param holder by the voters' last word; {@link NameHash#NOBODY} if unknown or nobody
-     * @param epoch of its own last grant
-     * @param leftMs of its own lease
-     */
-    public record Sight(String duty, boolean holding, long epoch, double leftMs, long holder) {}
-
-    private final long me;
-    private final long life;
-    private final LeaseTiming rules;
+    private final long selfId;
+    private final long incarnation;
+    private final LeaseTiming timing;
     private final SplittableRandom random;
-    private final Out out;
+    private final LeaseListener listener;
+    private final LeaseListener candidateListener = new LoopbackListener();
     private final LeaseVoter voter;
     private final Map<Long, String> names = new LinkedHashMap<>();
     private final Map<String, LeaseCandidate> candidates = new LinkedHashMap<>();
-    private boolean able = true;
+    /** Messages to this process's own voter, which are delivered at once and cost no datagram. */
+    private final List<LeaseMessage> loopback = new ArrayList<>();
 
-    /** @param startMs when the process started, by the clock that all times here are of */
-    public LeaseManager(String me, LeaseTiming rules, SplittableRandom random, double startMs, Out out) {
-        this.me = NameHash.of(me);
-        this.rules = rules;
+    private boolean eligible = true;
+
+    /**
+     * Creates a process without leases, whose voter is silent at first.
+     *
+     * @param selfName this process's name among the peers
+     * @param startMs when the process started, by the clock that all times here are of
+     */
+    public LeaseManager(
+            String selfName, LeaseTiming timing, SplittableRandom random, double startMs, LeaseListener listener) {
+        selfId = NameHash.of(selfName);
+        this.timing = timing;
         this.random = random;
-        life = random.nextLong();
-        this.out = out;
-        voter = new LeaseVoter(rules, startMs);
+        incarnation = random.nextLong();
+        this.listener = listener;
+        voter = new LeaseVoter(timing, startMs);
     }
 
-    /** Stands for a duty from now on, or goes on with another lease or among other voters. */
-    public void stand(String duty, double leaseMs, VoterSet electorate, double now) {
-        LeaseCandidate known = candidates.get(duty);
+    /**
+     * Is a candidate for a lease from now on, or continues with another duration or other voters.
+     *
+     * @throws IllegalArgumentException if the duration is out of its range, there are {@value #MAX_LEASES} leases
+     *     already, or another lease has the same id
+     */
+    public void campaign(String lease, double leaseMs, VoterSet voterSet, double nowMs) {
+        LeaseCandidate known = candidates.get(lease);
         if (known != null) {
-            known.stand(leaseMs, electorate, now);
+            known.configure(leaseMs, voterSet, nowMs);
             return;
         }
-        long id = NameHash.of(duty);
-        if (candidates.size() >= MOST || names.containsKey(id)) {
+        long id = NameHash.of(lease);
+        if (names.containsKey(id)) {
             throw new IllegalArgumentException(
-                    names.containsKey(id)
-                            ? "duties " + duty + " and " + names.get(id) + " have one id; rename one"
-                            : "more than " + MOST + " duties");
-        }
-        names.put(id, duty);
-        candidates.put(
-                duty,
-                new LeaseCandidate(
-                        me, life, id, leaseMs, electorate, rules, random.split(), able, now, new LeaseCandidate.Out() {
-                            @Override
-                            public void send(long to, LeaseMessage m) {
-                                if (to == me) {
-                                    // Its own word costs no message, and comes at once.
-                                    self.add(m);
-                                } else {
-                                    out.send(to, m);
-                                }
-                            }
-
-                            @Override
-                            public void gained(long epoch) {
-                                out.gained(duty, epoch);
-                            }
-
-                            @Override
-                            public void lost(long epoch, String why) {
-                                out.lost(duty, epoch, why);
-                            }
-                        }));
-    }
-
-    private final List<LeaseMessage> self = new ArrayList<>();
+                    "duties " + lease + " and " + names.get(id) + " have one id; rename one");
+        }
+        if (candidates.size() >= MAX_LEASES) {
+            throw new IllegalArgumentException("more than " + MAX_LEASES + " duties");
+        }
+        names.put(id, lease);
+        LeaseCandidateConfig config =
+                new LeaseCandidateConfig(selfId, incarnation, lease, leaseMs, voterSet, timing, eligible);
+        candidates.put(lease, new LeaseCandidate(config, random.split(), nowMs, candidateListener));
+    }
 
-    /**
-     * No longer stands for a duty; what it holds it gives back once the acts under way are over, and then is no more.
-     */
-    public void withdraw(String duty, double now) {
-        LeaseCandidate c = candidates.get(duty);
-        if (c != null) {
-            c.withdraw(now);
+    /** Is no longer a candidate for a lease; if it is held, it is released once the permitted actions are over. */
+    public void withdraw(String lease, double nowMs) {
+        LeaseCandidate candidate = candidates.get(lease);
+        if (candidate != null) {
+            candidate.withdraw(nowMs);
         }
     }
 
-    /** Peers in the order in which they stand for a duty; empty for one that is not known. */
-    public List<Long> order(String duty) {
-        LeaseCandidate c = candidates.get(duty);
-        return c == null ? List.of() : c.order();
+    /** The candidates for a lease by rank; empty for a lease that this process is not configured with. */
+    public List<Long> candidateOrder(String lease) {
+        LeaseCandidate candidate = candidates.get(lease);
+        return candidate == null ? List.of() : candidate.candidateOrder();
     }
 
-    /** A peer's message. */
-    public void heard(double now, long from, LeaseMessage m, long wallMs) {
-        switch (m.kind()) {
-            case ASK, CLAIM, RELEASE -> {
-                LeaseMessage answer = voter.heard(now, from, m);
-                if (answer != null) {
-                    out.send(from, answer);
-                }
-            }
+    /**
+     * A peer's message.
+     *
+     * @param wallMs the wall clock, used as a lower bound of new epochs only
+     */
+    public void receive(double nowMs, long from, LeaseMessage message, long wallMs) {
+        switch (message.kind()) {
+            case QUERY, CLAIM, RELEASE ->
+                voter.respond(nowMs, from, message).ifPresent(reply -> listener.send(from, reply));
             default -> {
-                LeaseCandidate c = candidates.get(names.getOrDefault(m.duty(), ""));
-                if (c != null) {
-                    c.heard(now, from, m, wallMs);
+                LeaseCandidate candidate = candidates.get(names.getOrDefault(message.leaseId(), ""));
+                if (candidate != null) {
+                    candidate.receive(nowMs, from, message, wallMs);
                 }
             }
         }
-        ownWord(now, wallMs);
+        deliverToSelf(nowMs, wallMs);
     }
 
-    /** Does what is due; when to call again, at the latest. */
-    public double tick(double now, long wallMs) {
-        double next = Double.POSITIVE_INFINITY;
-        for (LeaseCandidate c : candidates.values()) {
-            c.tick(now);
-            ownWord(now, wallMs);
-            next = Math.min(next, c.nextMs(now));
+    /** Does what is due; returns when to call again at the latest. */
+    public double tick(double nowMs, long wallMs) {
+        double nextMs = Double.POSITIVE_INFINITY;
+        for (LeaseCandidate candidate : candidates.values()) {
+            candidate.tick(nowMs);
+            deliverToSelf(nowMs, wallMs);
+            nextMs = Math.min(nextMs, candidate.nextMs(nowMs));
         }
-        if (candidates.values().removeIf(LeaseCandidate::isOver)) {
+        if (candidates.values().removeIf(LeaseCandidate::isFinished)) {
             names.values().retainAll(candidates.keySet());
         }
-        return next;
+        return nextMs;
     }
 
-    private void ownWord(double now, long wallMs) {
-        for (int i = 0; i < self.size(); i++) { // an answer may lead to the next message
-            LeaseMessage m = self.get(i);
-            LeaseMessage answer = voter.heard(now, me, m);
-            LeaseCandidate c = candidates.get(names.get(m.duty()));
-            if (answer != null && c != null) {
-                c.heard(now, me, answer, wallMs);
-            }
+    private void deliverToSelf(double nowMs, long wallMs) {
+        for (int i = 0; i < loopback.size(); i++) { // a reply may add the next message
+            LeaseMessage message = loopback.get(i);
+            LeaseCandidate candidate = candidates.get(names.get(message.leaseId()));
+            voter.respond(nowMs, selfId, message).ifPresent(reply -> {
+                if (candidate != null) {
+                    candidate.receive(nowMs, selfId, reply, wallMs);
+                }
+            });
         }
-        self.clear();
+        loopback.clear();
     }
 
-    /** The epoch under which an act of so many milliseconds may begin now; -1: it may not. Ask right before it. */
-    public long permit(String duty, double now, double actMs) {
-        LeaseCandidate c = candidates.get(duty);
-        return c == null ? -1 : c.permit(now, actMs);
+    /** See {@link LeaseHandle#permit}; not permitted for a lease that this process is not configured with. */
+    public long permit(String lease, double nowMs, double actionMs) {
+        LeaseCandidate candidate = candidates.get(lease);
+        return candidate == null ? LeaseHandle.NOT_PERMITTED : candidate.permit(nowMs, actionMs);
     }
 
-    /** What acts under a duty; it may be one that this process does not stand for. */
-    public LeaseHandle tenure(String duty) {
-        return new LeaseHandle() {
-            @Override
-            public long permit(double now, double actMs) {
-                return LeaseManager.this.permit(duty, now, actMs);
-            }
-
-            @Override
-            public double leftMs(double now) {
-                LeaseCandidate c = candidates.get(duty);
-                return c == null ? 0 : c.leftMs(now);
-            }
-
-            @Override
-            public long holder(double now) {
-                LeaseCandidate c = candidates.get(duty);
-                return c == null ? NameHash.NOBODY : c.holder(now);
-            }
-
-            @Override
-            public List<Long> order() {
-                return LeaseManager.this.order(duty);
-            }
+    /** The handle of a lease, which stays valid; the process need not be a candidate for it. */
+    public LeaseHandle handle(String lease) {
+        return new NamedLease(lease);
+    }
 
-            @Override
-            public long id() {
-                return NameHash.of(duty);
-            }
-        };
-    }
-
-    /** What is known of each. */
-    public List<Sight> sights(double now) {
-        return candidates.entrySet().stream()
-                .map(e -> new Sight(
-                        e.getKey(),
-                        e.getValue().holding(now),
-                        e.getValue().epoch(),
-                        e.getValue().leftMs(now),
-                        e.getValue().holder(now)))
+    /** All leases that this process is or was configured with, those that it still holds included. */
+    public List<LeaseStatus> statuses(double nowMs) {
+        return candidates.values().stream()
+                .map(candidate -> candidate.status(nowMs))
                 .toList();
     }
 
-    /** Gives one back, to a peer if one is named; whether it is held here. */
-    public boolean transfer(String duty, long to, double now, String why) {
-        LeaseCandidate c = candidates.get(duty);
-        if (c == null || !c.holding(now)) {
+    /**
+     * Releases a lease once the permitted actions are over.
+     *
+     * @param to the peer that is asked to claim it; {@link NameHash#NOBODY} if any may
+     * @param reason in words, for the log
+     * @return whether this process holds it
+     */
+    public boolean transfer(String lease, long to, double nowMs, String reason) {
+        LeaseCandidate candidate = candidates.get(lease);
+        if (candidate == null || !candidate.isHolding(nowMs)) {
             return false;
         }
-        c.leave(why, to);
+        candidate.giveUp(LeaseLoss.requested(reason, to));
         return true;
     }
 
-    /** Whether this process may hold duties; one that may not gives back what it holds. */
-    public void able(boolean on, String why, double now) {
-        able = on;
-        candidates.values().forEach(c -> c.able(on, why, now));
+    /**
+     * Sets whether this process may hold leases; one that may not releases those that it holds and claims none.
+     *
+     * @param reason in words, for the log
+     */
+    public void setEligible(boolean nowEligible, String reason, double nowMs) {
+        eligible = nowEligible;
+        candidates.values().forEach(candidate -> candidate.setEligible(nowEligible, reason, nowMs));
     }
 
-    /** For a model checker: whether this process's word keeps all others from a duty. */
-    boolean keepsFor(double now, String duty, long peer) {
-        return voter.keepsFor(now, NameHash.of(duty), peer);
+    /** For a model checker: whether this process's vote keeps all others from a lease. */
+    boolean reservesFor(double nowMs, String lease, long peer) {
+        return voter.reservesFor(nowMs, NameHash.of(lease), peer);
     }
 
-    /** For a model checker: whether an answer with this nonce is awaited. */
-    boolean awaits(String duty, long nonce) {
-        return candidates.containsKey(duty) && candidates.get(duty).awaits(nonce);
+    /** For a model checker: whether a reply with this nonce is awaited. */
+    boolean awaits(String lease, long nonce) {
+        return candidates.containsKey(lease) && candidates.get(lease).awaits(nonce);
     }
 
-    /** For a model checker. */
-    String fingerprint(double now) {
-        StringBuilder text = new StringBuilder(voter.fingerprint(now));
-        candidates.forEach((name, c) -> text.append('|').append(c.fingerprint(now)));
+    /** For a model checker: all that decides the next steps. */
+    String fingerprint(double nowMs) {
+        StringBuilder text = new StringBuilder(voter.fingerprint(nowMs));
+        candidates.values().forEach(candidate -> text.append('|').append(candidate.fingerprint(nowMs)));
         return text.toString();
     }
+
+    /** What the candidates report to: keeps messages to this process itself off the network. */
+    private final class LoopbackListener implements LeaseListener {
+        @Override
+        public void send(long to, LeaseMessage message) {
+            if (to == selfId) {
+                loopback.add(message);
+            } else {
+                listener.send(to, message);
+            }
+        }
+
+        @Override
+        public void gained(String lease, long epoch) {
+            listener.gained(lease, epoch);
+        }
+
+        @Override
+        public void lost(String lease, long epoch, String reason) {
+            listener.lost(lease, epoch, reason);
+        }
+    }
+
+    private final class NamedLease implements LeaseHandle {
+        private final String lease;
+
+        NamedLease(String lease) {
+            this.lease = lease;
+        }
+
+        @Override
+        public long permit(double nowMs, double actionMs) {
+            return LeaseManager.this.permit(lease, nowMs, actionMs);
+        }
+
+        @Override
+        public double remainingMs(double nowMs) {
+            LeaseCandidate candidate = candidates.get(lease);
+            return candidate == null ? 0 : candidate.remainingMs(nowMs);
+        }
+
+        @Override
+        public long holder(double nowMs) {
+            LeaseCandidate candidate = candidates.get(lease);
+            return candidate == null ? NameHash.NOBODY : candidate.holder(nowMs);
+        }
+
+        @Override
+        public List<Long> candidateOrder() {
+            return LeaseManager.this.candidateOrder(lease);
+        }
+
+        @Override
+        public long id() {
+            return NameHash.of(lease);
+        }
+    }
 }
--- a/src/main/java/cacheproxy/fleet/lease/LeaseMessage.java
+++ b/src/main/java/cacheproxy/fleet/lease/LeaseMessage.java
@@ -3,43 +3,54 @@
 import java.nio.ByteBuffer;
 
 /**
- * What proxies tell one another of leases: {@value #LENGTH} bytes, all of one form.
+ * A datagram between the processes of a fleet about one lease. All kinds have the same {@value #LENGTH_BYTES} bytes in
+ * network byte order: one for the kind, then the fields in the order of the components.
  *
- * @param duty the duty's id
- * @param nonce of the question that this asks or answers
- * @param epoch claimed, granted, given back; in answers the highest that the voter knows of
- * @param holder in STATE and REFUSE: the peer that holds it by that voter's word, {@link NameHash#NOBODY} if nobody or
- *     the asking process itself does; in ASK, CLAIM and RELEASE a number that the asking process drew at its start
- * @param ms in CLAIM the lease; in STATE and REFUSE what is left of it
+ * @param leaseId the lease's id, see {@link NameHash#of}
+ * @param nonce of the question that this asks or replies to; 0 where no reply is expected
+ * @param epoch claimed, granted or released; in STATUS and REJECT the highest that the voter knows of; 0 to
+ *     {@link #MAX_EPOCH}
+ * @param holder in STATUS and REJECT: the peer that the voter has granted the lease to, {@link NameHash#NOBODY} if that
+ *     is nobody or the asking process itself; in QUERY(0), CLAIM and RELEASE the asking process's incarnation; in
+ *     TRANSFER the former holder
+ * @param ms in CLAIM and GRANT the duration of the lease; in STATUS and REJECT the time left of the other's grant
  */
-public record LeaseMessage(Kind kind, long duty, long nonce, long epoch, long holder, int ms) {
-    public static final int LENGTH = 37;
-    /**
-     * No epoch is above this: it would be no whole number to who reads it as JSON, and by the wall clock none is in
-     * 250,000 years.
-     */
-    public static final long MOST_EPOCH = 1L << 53;
+public record LeaseMessage(Kind kind, long leaseId, long nonce, long epoch, long holder, int ms) {
+    /** The length of each message. */
+    public static final int LENGTH_BYTES = 37;
+    /** The highest epoch: the largest range of integers that JSON readers keep exactly. */
+    public static final long MAX_EPOCH = 1L << 53;
 
-    /** What it is. */
+    /** The kinds of message, in the order of their codes on the wire. */
     public enum Kind {
-        /** Would you grant it? Changes nothing at the voter. */
-        ASK,
-        /** The answer. */
-        STATE,
-        /** Grant it, or go on granting it. */
-        CLAIM,
-        GRANT,
-        REFUSE,
-        /** The holder, or a claim without a majority, gives a grant back. */
-        RELEASE,
-        /** The holder has given it back and would have the receiver take it. */
-        HAND
+        /** A candidate asks whether a claim would be granted; changes nothing at the voter. */
+        QUERY(0),
+        /** A voter's reply to a query. */
+        STATUS(1),
+        /** A candidate asks for a grant, or the holder for its renewal. */
+        CLAIM(2),
+        /** A voter grants a claim. */
+        GRANT(3),
+        /** A voter rejects a claim. */
+        REJECT(4),
+        /** The holder, or a candidate whose claim found no majority, gives its grants back. */
+        RELEASE(5),
+        /** The former holder asks the receiver to claim the lease. */
+        TRANSFER(6);
+
+        private static final Kind[] BY_CODE = values();
+        private final byte code;
+
+        Kind(int code) {
+            this.code = (byte) code;
+        }
     }
 
-    public byte[] bytes() {
-        return ByteBuffer.allocate(LENGTH)
-                .put((byte) kind.ordinal())
-                .putLong(duty)
+    /** The bytes of the datagram. */
+    public byte[] encode() {
+        return ByteBuffer.allocate(LENGTH_BYTES)
+                .put(kind.code)
+                .putLong(leaseId)
                 .putLong(nonce)
                 .putLong(epoch)
                 .putLong(holder)
@@ -47,14 +58,19 @@
                 .array();
     }
 
-    /** Null if these bytes are none. */
-    public static LeaseMessage of(byte[] bytes) {
-        if (bytes.length != LENGTH || bytes[0] < 0 || bytes[0] >= Kind.values().length) {
+    /** Reads a datagram; null if its length, kind, epoch or duration is invalid. */
+    public static LeaseMessage decode(byte[] bytes) {
+        if (bytes.length != LENGTH_BYTES || bytes[0] < 0 || bytes[0] >= Kind.BY_CODE.length) {
             return null;
         }
-        ByteBuffer b = ByteBuffer.wrap(bytes);
-        LeaseMessage m = new LeaseMessage(
-                Kind.values()[b.get()], b.getLong(), b.getLong(), b.getLong(), b.getLong(), b.getInt());
-        return m.epoch < 0 || m.epoch > MOST_EPOCH || m.ms < 0 ? null : m;
+        ByteBuffer buffer = ByteBuffer.wrap(bytes);
+        Kind kind = Kind.BY_CODE[buffer.get()];
+        long leaseId = buffer.getLong();
+        long nonce = buffer.getLong();
+        long epoch = buffer.getLong();
+        long holder = buffer.getLong();
+        int ms = buffer.getInt();
+        boolean isValid = epoch >= 0 && epoch <= MAX_EPOCH && ms >= 0;
+        return isValid ? new LeaseMessage(kind, leaseId, nonce, epoch, holder, ms) : null;
     }
 }
--- a/src/main/java/cacheproxy/fleet/lease/LeaseTiming.java
+++ b/src/main/java/cacheproxy/fleet/lease/LeaseTiming.java
@@ -1,70 +1,74 @@
 package cacheproxy.fleet.lease;
 
 /**
- * The figures on which the safety of leases rests. Each process counts by its own monotonic clock, and no two of them
- * run apart by more than {@link #drift} in either direction from true time. Times in milliseconds.
+ * The durations on which the safety of leases rests, in milliseconds.
  *
- * <p>A holder counts its lease from before it asked, and shorter by the drift; a voter counts from when it heard, and
- * longer by the drift. So in true time the holder's ends first, whatever the two clocks do within the bound and however
- * late the messages come.
+ * <p>Each process measures by its own monotonic clock, whose rate differs from true time by at most {@link #maxDrift}
+ * either way. A holder counts its lease from when it sent the claim, shortened by the drift; a voter counts its grant
+ * from when it received the claim, prolonged by the drift. So in true time the holder's lease ends before the grants,
+ * however late messages arrive.
  */
 public class LeaseTiming {
-    /**
-     * Clocks of machines of one kind drift by parts in ten thousand; this leaves room for ones that are being slewed.
-     */
-    public static final double DRIFT = 0.01;
+    /** Clocks of like machines drift by parts in 10,000; this also covers clocks that are being slewed. */
+    public static final double MAX_CLOCK_DRIFT = 0.01;
+
+    private static final double MAX_CONFIGURED_DRIFT = 0.1;
 
-    private final double longestMs;
-    private final double drift;
+    private final double maxLeaseMs;
+    private final double maxDrift;
 
     /**
-     * @param longestMs the longest lease that any process of the fleet may ask for, the same at all of them
-     * @param drift how far a clock may be off, as a share, 0 to 0.1
+     * Creates the durations of a fleet.
+     *
+     * @param maxLeaseMs the longest lease that any process may claim, the same at all processes; above 0
+     * @param maxDrift how far a clock's rate may be off, as a fraction, 0 to 0.1
+     * @throws IllegalArgumentException if a parameter is out of its range
      */
-    public LeaseTiming(double longestMs, double drift) {
-        if (!(longestMs > 0) || !(drift >= 0 && drift <= 0.1)) {
-            throw new IllegalArgumentException("longest lease " + longestMs + ", drift " + drift);
+    public LeaseTiming(double maxLeaseMs, double maxDrift) {
+        if (!(maxLeaseMs > 0) || !(maxDrift >= 0 && maxDrift <= MAX_CONFIGURED_DRIFT)) {
+            throw new IllegalArgumentException("longest lease " + maxLeaseMs + ", drift " + maxDrift);
         }
-        this.longestMs = longestMs;
-        this.drift = drift;
+        this.maxLeaseMs = maxLeaseMs;
+        this.maxDrift = maxDrift;
     }
 
-    public double longestMs() {
-        return longestMs;
+    /** The longest lease that may be claimed, in milliseconds. */
+    public double maxLeaseMs() {
+        return maxLeaseMs;
     }
 
-    public double drift() {
-        return drift;
+    /** How far a clock's rate may be off, as a fraction. */
+    public double maxDrift() {
+        return maxDrift;
     }
 
-    /**
-     * A voter that has started says nothing for so long: what it granted in an earlier life, and forgot, is over by
-     * then.
-     */
-    public double silenceMs() {
-        return longestMs * (1 + drift);
+    /** How long a voter is silent after its start: grants that it has forgotten expire in the meantime. */
+    public double startupSilenceMs() {
+        return maxLeaseMs * (1 + maxDrift);
     }
 
-    /** How long the holder may act, from before it asked. */
-    public double holderMs(double leaseMs) {
-        return leaseMs * (1 - drift);
+    /** How long the holder may act, from when it sent the claim. */
+    public double holderLeaseMs(double leaseMs) {
+        return leaseMs * (1 - maxDrift);
     }
 
-    /** How long the voter gives its word to nobody else, from when it heard. */
-    public double voterMs(double leaseMs) {
-        return leaseMs * (1 + drift);
+    /** How long a voter grants the lease to no other, from when it received the claim. */
+    public double voterLeaseMs(double leaseMs) {
+        return leaseMs * (1 + maxDrift);
     }
 
     /**
-     * The epoch of a new grant: above all that the voters told of. The wall clock is only a floor, for voters that have
-     * all forgotten; where it is behind, what the voters remember counts.
+     * The epoch of a new claim: higher than all that voters have reported.
+     *
+     * @param highestEpoch that the voters or this process know of
+     * @param wallMs a lower bound, for voters that have all restarted; has no effect while it is behind
      */
-    public long epoch(long seen, long wallMs) {
-        return Math.max(seen + 1, wallMs);
+    public long nextEpoch(long highestEpoch, long wallMs) {
+        return Math.max(highestEpoch + 1, wallMs);
     }
 
-    /** Whether an act that takes so long may begin: asked right before it, never in advance. */
-    public boolean mayAct(double now, double untilMs, double actMs) {
-        return now + actMs < untilMs;
+    /** Whether an action of this duration, begun now, ends before the lease does. */
+    public boolean permitsAction(double nowMs, double untilMs, double actionMs) {
+        return nowMs + actionMs < untilMs;
     }
 }
--- a/src/main/java/cacheproxy/fleet/lease/LeaseVoter.java
+++ b/src/main/java/cacheproxy/fleet/lease/LeaseVoter.java
@@ -3,113 +3,135 @@
 import cacheproxy.fleet.lease.LeaseMessage.Kind;
 import java.util.HashMap;
 import java.util.Map;
+import java.util.Optional;
 
 /**
- * A process's word on leases: for each duty to one peer at a time, until that peer's lease is over in true time.
- * Nothing is kept on disk: one that has started says nothing until all that it may have granted before is over
- * (PaxosLease: Trencseni, Gazso, Reinhardt, 2012).
+ * One process's votes: it grants each lease to one peer at a time until that peer's grant has expired in true time.
+ *
+ * <p>Nothing is stored. After a start the voter is silent until each grant that an earlier process may have made has
+ * expired (PaxosLease).
  */
 public final class LeaseVoter {
-    /** Duties that it keeps in mind; a claim on one more is not answered, so a flood of names can't push others out. */
-    public static final int MOST_DUTIES = 4096;
+    /** Leases that it can grant; claims on any further one are ignored, so that invented names displace no grant. */
+    public static final int MAX_LEASES = 4096;
 
-    private final LeaseTiming rules;
-    private final double speaksFromMs;
-    private final Map<Long, Word> words = new HashMap<>();
+    private final LeaseTiming timing;
+    private final double silentUntilMs;
+    private final Map<Long, Grant> grants = new HashMap<>();
 
-    private static final class Word {
+    private static final class Grant {
         long holder = NameHash.NOBODY;
-        /** Of the holder's process: another one of its name is another holder. */
-        long life;
+        /** Of the holder's process: a later process of the same name is another holder. */
+        long incarnation;
 
         long epoch;
         double untilMs = Double.NEGATIVE_INFINITY;
 
-        boolean is(long peer, long process) {
-            return holder == peer && life == process;
+        boolean isHeldBy(long peer, long peerIncarnation) {
+            return holder == peer && incarnation == peerIncarnation;
+        }
+
+        boolean isRunning(double nowMs) {
+            return nowMs < untilMs;
         }
     }
 
-    /** @param startMs when the process started, by its own clock */
-    public LeaseVoter(LeaseTiming rules, double startMs) {
-        this.rules = rules;
-        speaksFromMs = startMs + rules.silenceMs();
+    /**
+     * Creates a voter without grants.
+     *
+     * @param startMs when the process started, by its monotonic clock
+     */
+    public LeaseVoter(LeaseTiming timing, double startMs) {
+        this.timing = timing;
+        silentUntilMs = startMs + timing.startupSilenceMs();
     }
 
-    /** The answer to a peer's message; null: none. */
-    public LeaseMessage heard(double now, long from, LeaseMessage m) {
-        if (now < speaksFromMs) {
-            return null;
+    /** The reply to a peer's query, claim or release; empty if it gets none. */
+    public Optional<LeaseMessage> respond(double nowMs, long from, LeaseMessage message) {
+        if (nowMs < silentUntilMs) {
+            return Optional.empty();
         }
-        Word w = words.get(m.duty());
-        return switch (m.kind()) {
-            case ASK -> state(Kind.STATE, now, m, w, from);
-            case CLAIM -> claim(now, from, m, w);
+        Grant grant = grants.get(message.leaseId());
+        return switch (message.kind()) {
+            case QUERY -> Optional.of(report(Kind.STATUS, nowMs, from, message, grant));
+            case CLAIM -> claim(nowMs, from, message, grant);
             case RELEASE -> {
-                if (w != null && w.is(from, m.holder()) && w.epoch == m.epoch()) {
-                    w.untilMs = Double.NEGATIVE_INFINITY;
-                }
-                yield null;
+                release(from, message, grant);
+                yield Optional.empty();
             }
-            default -> null;
+            default -> Optional.empty();
         };
     }
 
-    private LeaseMessage claim(double now, long from, LeaseMessage m, Word known) {
-        if (m.ms() <= 0 || m.ms() > rules.longestMs() || known == null && words.size() >= MOST_DUTIES) {
-            return null;
+    private static void release(long from, LeaseMessage message, Grant grant) {
+        if (grant != null && grant.isHeldBy(from, message.holder()) && grant.epoch == message.epoch()) {
+            grant.untilMs = Double.NEGATIVE_INFINITY;
+        }
+    }
+
+    private Optional<LeaseMessage> claim(double nowMs, long from, LeaseMessage claim, Grant known) {
+        boolean isValid = claim.ms() > 0 && claim.ms() <= timing.maxLeaseMs();
+        if (!isValid || (known == null && grants.size() >= MAX_LEASES)) {
+            return Optional.empty();
         }
-        Word w = known == null ? new Word() : known;
-        boolean others = !w.is(from, m.holder()) && now < w.untilMs;
-        boolean older = m.epoch() < w.epoch || m.epoch() == w.epoch && !w.is(from, m.holder());
-        if (known != null && (others || older)) {
-            return state(Kind.REFUSE, now, m, w, from);
+        if (known != null && mustReject(nowMs, from, claim, known)) {
+            return Optional.of(report(Kind.REJECT, nowMs, from, claim, known));
         }
-        w.holder = from;
-        w.life = m.holder();
-        w.epoch = m.epoch();
-        w.untilMs = now + rules.voterMs(m.ms());
-        words.put(m.duty(), w);
-        return new LeaseMessage(Kind.GRANT, m.duty(), m.nonce(), m.epoch(), from, m.ms());
+        Grant grant = grants.computeIfAbsent(claim.leaseId(), id -> new Grant());
+        grant.holder = from;
+        grant.incarnation = claim.holder();
+        grant.epoch = claim.epoch();
+        grant.untilMs = nowMs + timing.voterLeaseMs(claim.ms());
+        return Optional.of(
+                new LeaseMessage(Kind.GRANT, claim.leaseId(), claim.nonce(), claim.epoch(), from, claim.ms()));
     }
 
-    private static LeaseMessage state(Kind kind, double now, LeaseMessage m, Word w, long from) {
-        boolean held = w != null && now < w.untilMs && !w.is(from, m.holder());
+    private static boolean mustReject(double nowMs, long from, LeaseMessage claim, Grant grant) {
+        if (grant.isHeldBy(from, claim.holder())) {
+            return claim.epoch() < grant.epoch;
+        }
+        return grant.isRunning(nowMs) || claim.epoch() <= grant.epoch;
+    }
+
+    private static LeaseMessage report(Kind kind, double nowMs, long from, LeaseMessage question, Grant grant) {
+        boolean heldByOther = grant != null && grant.isRunning(nowMs) && !grant.isHeldBy(from, question.holder());
         return new LeaseMessage(
                 kind,
-                m.duty(),
-                m.nonce(),
-                w == null ? 0 : w.epoch,
-                held ? w.holder : NameHash.NOBODY,
-                held ? (int) Math.min(Integer.MAX_VALUE, Math.ceil(w.untilMs - now)) : 0);
+                question.leaseId(),
+                question.nonce(),
+                grant == null ? 0 : grant.epoch,
+                heldByOther ? grant.holder : NameHash.NOBODY,
+                heldByOther ? (int) Math.min(Integer.MAX_VALUE, Math.ceil(grant.untilMs - nowMs)) : 0);
     }
 
-    /** Duties that it has given its word on. */
+    /** The number of leases that it has granted at any time. */
     public int size() {
-        return words.size();
+        return grants.size();
     }
 
-    /** Whether it would grant a duty to nobody but this peer now: its word is given, or it says nothing yet. */
-    boolean keepsFor(double now, long duty, long peer) {
-        Word w = words.get(duty);
-        return now < speaksFromMs || w != null && w.holder == peer && now < w.untilMs;
+    /** Whether it would grant a lease to nobody but this peer now; so it is too while it is silent. */
+    boolean reservesFor(double nowMs, long leaseId, long peer) {
+        Grant grant = grants.get(leaseId);
+        return nowMs < silentUntilMs || (grant != null && grant.holder == peer && grant.isRunning(nowMs));
     }
 
-    /** All that it knows, in one order, for a model checker. */
-    String fingerprint(double now) {
-        StringBuilder text = new StringBuilder(now < speaksFromMs ? "silent " + Math.round(speaksFromMs - now) : "");
-        words.entrySet().stream()
+    /** The whole state in a fixed order, for a model checker. */
+    String fingerprint(double nowMs) {
+        StringBuilder text = new StringBuilder();
+        if (nowMs < silentUntilMs) {
+            text.append("silent ").append(Math.round(silentUntilMs - nowMs));
+        }
+        grants.entrySet().stream()
                 .sorted(Map.Entry.comparingByKey())
-                .forEach(e -> text.append(';')
-                        .append(e.getKey())
-                        .append(' ')
-                        .append(e.getValue().holder)
-                        .append(' ')
-                        .append(e.getValue().life)
-                        .append(' ')
-                        .append(e.getValue().epoch)
-                        .append(' ')
-                        .append(Math.max(0, Math.round(e.getValue().untilMs - now))));
+                .forEach(entry -> append(text, nowMs, entry.getKey(), entry.getValue()));
         return text.toString();
     }
+
+    private static void append(StringBuilder text, double nowMs, long leaseId, Grant grant) {
+        text.append(';').append(leaseId);
+        text.append(' ').append(grant.holder);
+        text.append(' ').append(grant.incarnation);
+        text.append(' ').append(grant.epoch);
+        text.append(' ').append(Math.max(0, Math.round(grant.untilMs - nowMs)));
+    }
 }
--- a/src/main/java/cacheproxy/fleet/lease/NameHash.java
+++ b/src/main/java/cacheproxy/fleet/lease/NameHash.java
@@ -5,28 +5,30 @@
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
 
-/** Eight bytes that stand for a name in messages and in lots: the first of its SHA-256. Never 0, which is nobody. */
+/** Ids of names in messages, and hashes for choices that all processes make alike: the first 8 bytes of a SHA-256. */
 public final class NameHash {
+    /** The id of no name. */
     public static final long NOBODY = 0;
 
     private NameHash() {}
 
+    /** The id of a peer's or a lease's name; never {@link #NOBODY}. */
     public static long of(String name) {
         long id = hash(name);
         return id == NOBODY ? 1 : id;
     }
 
-    /** A lot that all processes draw alike for a name and a purpose. */
-    static long lot(String purpose, String duty, String peer) {
-        return hash(purpose + "\0" + duty + "\0" + peer);
+    /** A pseudo-random number for a peer, the same at all processes; independent for each purpose and lease. */
+    static long seededHash(String purpose, String lease, String peer) {
+        return hash(purpose + "\0" + lease + "\0" + peer);
     }
 
     private static long hash(String text) {
         try {
-            return ByteBuffer.wrap(MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8)))
-                    .getLong();
+            byte[] digest = MessageDigest.getInstance("SHA-256").digest(text.getBytes(StandardCharsets.UTF_8));
+            return ByteBuffer.wrap(digest).getLong();
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e); // every Java has it
+            throw new IllegalStateException("every Java runtime has SHA-256", e);
         }
     }
 }
--- a/src/main/java/cacheproxy/fleet/lease/ServerReachability.java
+++ b/src/main/java/cacheproxy/fleet/lease/ServerReachability.java
@@ -1,43 +1,49 @@
 package cacheproxy.fleet.lease;
 
 /**
- * Whether a process reaches the servers that others reach: one that does not, and so can do little under a duty, gives
- * its duties back. Where nobody reaches any, who holds a duty makes no difference, and all keep what they have: word
- * counts only if it was given so long after it reached one itself last that who lost them at the same time would have
- * known. Times in milliseconds.
+ * Whether a process reaches the cache servers that other processes reach. One that does not can do little under a lease
+ * and should release its leases.
+ *
+ * <p>Where no process reaches any server, a change of holder would gain nothing, and all keep their leases. Therefore a
+ * report of another process counts only if it is so much younger than this process's own last success that the reporter
+ * would have noticed a common outage.
  */
 public final class ServerReachability {
-    private final double outMs;
-    private final double wordMs;
-    private double lastHereMs;
-    private double lastThereMs = Double.NEGATIVE_INFINITY;
+    private final double unreachableAfterMs;
+    private final double reportValidMs;
+    private double lastLocalReachMs;
+    private double lastRemoteReportMs = Double.NEGATIVE_INFINITY;
 
     /**
-     * @param outMs it has reached none for so long
-     * @param wordMs another's word that it reaches some counts for so long
+     * Creates a detector that counts as having reached a server now.
+     *
+     * @param unreachableAfterMs how long without success means that no server is reachable, above 0
+     * @param reportValidMs how long a report of another process counts, above 0
+     * @throws IllegalArgumentException if a duration is not above 0
      */
-    public ServerReachability(double now, double outMs, double wordMs) {
-        if (!(outMs > 0) || !(wordMs > 0)) {
-            throw new IllegalArgumentException("out " + outMs + ", word " + wordMs);
+    public ServerReachability(double nowMs, double unreachableAfterMs, double reportValidMs) {
+        if (!(unreachableAfterMs > 0) || !(reportValidMs > 0)) {
+            throw new IllegalArgumentException("out " + unreachableAfterMs + ", word " + reportValidMs);
         }
-        this.outMs = outMs;
-        this.wordMs = wordMs;
-        lastHereMs = now;
+        this.unreachableAfterMs = unreachableAfterMs;
+        this.reportValidMs = reportValidMs;
+        lastLocalReachMs = nowMs;
     }
 
-    /** Some server is sound as seen from here, or there is none to be seen. */
-    public void here(double now) {
-        lastHereMs = now;
+    /** Some server is healthy as seen from here, or there is no server at all. */
+    public void recordLocalReach(double nowMs) {
+        lastLocalReachMs = nowMs;
     }
 
-    /** Another process says that it reaches some. */
-    public void there(double now) {
-        lastThereMs = now;
+    /** Another process reports that it reaches a server. */
+    public void recordRemoteReport(double nowMs) {
+        lastRemoteReportMs = nowMs;
     }
 
-    /** Whether it may hold duties. */
-    public boolean able(double now) {
-        boolean othersDo = lastThereMs - lastHereMs >= outMs && now - lastThereMs < wordMs;
-        return now - lastHereMs < outMs || !othersDo;
+    /** Whether this process may hold leases, as far as servers are concerned. */
+    public boolean isEligible(double nowMs) {
+        boolean othersReach = lastRemoteReportMs - lastLocalReachMs >= unreachableAfterMs
+                && nowMs - lastRemoteReportMs < reportValidMs;
+        return nowMs - lastLocalReachMs < unreachableAfterMs || !othersReach;
     }
 }
--- a/src/main/java/cacheproxy/fleet/lease/VoterSet.java
+++ b/src/main/java/cacheproxy/fleet/lease/VoterSet.java
@@ -9,89 +9,99 @@
 import java.util.Set;
 
 /**
- * Who votes on a duty, and in which order peers stand for it: both by lots over the configured peers (rendezvous
- * hashing: Thaler and Ravishankar, 1998) that all draw alike, so that many duties spread over all.
+ * Who votes on a lease, and the rank of each candidate for it. Both follow from the configured peers by rendezvous
+ * hashing (Thaler and Ravishankar, 1998), so all processes agree on them and the load of many leases is spread.
  *
- * <p>While the list of peers changes, voters of the old and of the new one count, and a grant needs a majority of both:
- * a process that goes by the old list alone and one that goes by both share a voter, as do one that goes by both and
- * one that goes by the new. So a list is changed in two steps, and the second only after all have taken the first.
+ * <p>While the list of peers changes, the voters of the old and of the new list count, and a grant needs a majority of
+ * both. A process with the old list and one with both share a voter, and so do one with both and one with the new list.
+ * Therefore a list is changed in two steps, the second after all processes have taken the first.
  */
 public final class VoterSet {
-    private final Set<Long> now;
-    private final Set<Long> before;
-    private final List<Long> all;
+    /** The {@link #rank} of a peer that is no candidate. */
+    public static final int NO_CANDIDATE = Integer.MAX_VALUE;
+
+    private static final String VOTER_PURPOSE = "vote";
+    private static final String CANDIDATE_PURPOSE = "stand";
+
+    private final Set<Long> currentVoters;
+    private final Set<Long> previousVoters;
+    private final List<Long> voters;
     private final Map<Long, Integer> ranks = new HashMap<>();
 
     /**
-     * @param peers names, this process's own among them; in any order
-     * @param peersBefore the names of the list that is being left; empty if none is
-     * @param voters how many vote, an odd number; all where there are fewer peers
+     * Chooses the voters of a lease and ranks its candidates.
+     *
+     * @param lease its name
+     * @param peers the names of the candidates, this process's own among them, in any order; not empty
+     * @param previousPeers the list that is being replaced; empty if none is
+     * @param maxVoters how many peers vote, an odd number from 1; all where there are fewer
+     * @throws IllegalArgumentException if there are no peers or no voters
      */
-    public VoterSet(String duty, List<String> peers, List<String> peersBefore, int voters) {
-        if (peers.isEmpty() || voters < 1) {
-            throw new IllegalArgumentException("peers " + peers + ", voters " + voters);
+    public VoterSet(String lease, List<String> peers, List<String> previousPeers, int maxVoters) {
+        if (peers.isEmpty() || maxVoters < 1) {
+            throw new IllegalArgumentException("peers " + peers + ", voters " + maxVoters);
         }
-        now = voters(duty, peers, voters);
-        before = peersBefore.isEmpty() ? Set.of() : voters(duty, peersBefore, voters);
-        Set<Long> both = new HashSet<>(now);
-        both.addAll(before);
-        all = both.stream().sorted().toList();
+        currentVoters = voters(lease, peers, maxVoters);
+        previousVoters = previousPeers.isEmpty() ? Set.of() : voters(lease, previousPeers, maxVoters);
+        Set<Long> both = new HashSet<>(currentVoters);
+        both.addAll(previousVoters);
+        voters = both.stream().sorted().toList();
         List<String> order = new ArrayList<>(peers);
-        order.sort(Comparator.comparingLong(p -> NameHash.lot("stand", duty, p)));
+        order.sort(Comparator.comparingLong(peer -> NameHash.seededHash(CANDIDATE_PURPOSE, lease, peer)));
         for (int i = 0; i < order.size(); i++) {
             ranks.put(NameHash.of(order.get(i)), i);
         }
     }
 
-    private static Set<Long> voters(String duty, List<String> peers, int count) {
+    private static Set<Long> voters(String lease, List<String> peers, int count) {
         return new HashSet<>(peers.stream()
                 .distinct()
-                .sorted(Comparator.comparingLong(p -> NameHash.lot("vote", duty, p)))
+                .sorted(Comparator.comparingLong(peer -> NameHash.seededHash(VOTER_PURPOSE, lease, peer)))
                 .limit(count)
                 .map(NameHash::of)
                 .toList());
     }
 
-    /** Whether the same vote in both. */
-    boolean votesAs(VoterSet other) {
-        return now.equals(other.now) && before.equals(other.before);
+    /** Whether the same peers vote, in the current and in the previous list. */
+    boolean hasSameVoters(VoterSet other) {
+        return currentVoters.equals(other.currentVoters) && previousVoters.equals(other.previousVoters);
     }
 
-    /** Whether two lists vote. */
+    /** Whether the list of peers is being replaced, so that the voters of two lists count. */
     boolean isChanging() {
-        return !before.isEmpty();
+        return !previousVoters.isEmpty();
     }
 
-    /** All who vote, each once. */
+    /** The ids of all voters, each once, in ascending order. */
     public List<Long> voters() {
-        return all;
+        return voters;
     }
 
-    /** Whether these are a majority, of both lists while there are two. */
-    public boolean isMajority(Set<Long> of) {
-        return most(now, of) && (before.isEmpty() || most(before, of));
+    /** Whether these peers are a majority of the voters; of both lists while there are two. */
+    public boolean isMajority(Set<Long> peers) {
+        return isMoreThanHalf(currentVoters, peers) && (!isChanging() || isMoreThanHalf(previousVoters, peers));
     }
 
-    /** Whether no majority can do without these. */
-    public boolean blocks(Set<Long> of) {
-        return half(now, of) || !before.isEmpty() && half(before, of);
+    /** Whether there is no majority without some of these peers. */
+    public boolean isBlocking(Set<Long> peers) {
+        return isHalf(currentVoters, peers) || (isChanging() && isHalf(previousVoters, peers));
     }
 
-    private static boolean most(Set<Long> voters, Set<Long> of) {
-        return voters.stream().filter(of::contains).count() * 2 > voters.size();
+    private static boolean isMoreThanHalf(Set<Long> voters, Set<Long> peers) {
+        return voters.stream().filter(peers::contains).count() * 2 > voters.size();
     }
 
-    private static boolean half(Set<Long> voters, Set<Long> of) {
-        return voters.stream().filter(of::contains).count() * 2 >= voters.size();
+    private static boolean isHalf(Set<Long> voters, Set<Long> peers) {
+        return voters.stream().filter(peers::contains).count() * 2 >= voters.size();
     }
 
-    /** Its place in the order in which peers stand, from 0; the last for one who may not. */
+    /** A candidate's place in the order, from 0; {@link #NO_CANDIDATE} for a peer that is none. */
     public int rank(long peer) {
-        return ranks.getOrDefault(peer, Integer.MAX_VALUE);
+        return ranks.getOrDefault(peer, NO_CANDIDATE);
     }
 
-    /** Peers in that order. */
-    public List<Long> order() {
+    /** The ids of the candidates by rank. */
+    public List<Long> candidateOrder() {
         return ranks.entrySet().stream()
                 .sorted(Map.Entry.comparingByValue())
                 .map(Map.Entry::getKey)
--- a/src/main/java/cacheproxy/fleet/quota/QuotaManager.java
+++ b/src/main/java/cacheproxy/fleet/quota/QuotaManager.java
@@ -278,7 +278,7 @@
         if (holder != NameHash.NOBODY && answers(holder, rules.beatMs(), now)) {
             return holder;
         }
-        for (long p : t.order()) {
+        for (long p : t.candidateOrder()) {
             if (answers(p, now)) {
                 return p;
             }
--- a/src/main/java/cacheproxy/simulation/QuotaSimulation.java
+++ b/src/main/java/cacheproxy/simulation/QuotaSimulation.java
@@ -144,7 +144,7 @@
                 }
                 quota.use(
                         List.of(plan.limit),
-                        List.of(plan.way == Way.PEERS ? LeaseHandle.NOBODYS : new Held(this)),
+                        List.of(plan.way == Way.PEERS ? LeaseHandle.UNHELD : new Held(this)),
                         ids,
                         plan.proxies,
                         false,
@@ -192,7 +192,7 @@
         }
 
         @Override
-        public double leftMs(double now) {
+        public double remainingMs(double now) {
             return permit(now, 0) < 0 ? 0 : holderUntilMs - trueMs;
         }
 
@@ -202,7 +202,7 @@
         }
 
         @Override
-        public List<Long> order() {
+        public List<Long> candidateOrder() {
             List<Long> ids = new ArrayList<>();
             for (int i = 0; i < plan.proxies; i++) {
                 ids.add(i + 1L);
--- a/src/test/java/cacheproxy/daemon/fleet/FleetSubsystemTest.java
+++ b/src/test/java/cacheproxy/daemon/fleet/FleetSubsystemTest.java
@@ -177,10 +177,10 @@
                                             LeaseMessage.Kind.CLAIM,
                                             NameHash.of("cron"),
                                             1,
-                                            LeaseMessage.MOST_EPOCH - 9,
+                                            LeaseMessage.MAX_EPOCH - 9,
                                             9,
                                             150)
-                                    .bytes());
+                                    .encode());
                     forger.send(new DatagramPacket(d, d.length, InetAddress.getByName("127.0.0.1"), ports[i % 3]));
                 }
             }
@@ -190,7 +190,7 @@
                     .isZero();
             long epoch = Long.parseLong(
                     await(all.get(next), "GET /duties/cron", "200 ").substring(4));
-            assertThat(epoch).as("no forged claim was heard").isLessThan(LeaseMessage.MOST_EPOCH / 2);
+            assertThat(epoch).as("no forged claim was heard").isLessThan(LeaseMessage.MAX_EPOCH / 2);
             assertThat(Cli.run(new String[] {"duties", "--control", to})).isZero();
             assertThat(Cli.run(new String[] {"duties", "--json", "--control", to}))
                     .isZero();
--- a/src/test/java/cacheproxy/discovery/DelegatedWatchTest.java
+++ b/src/test/java/cacheproxy/discovery/DelegatedWatchTest.java
@@ -57,7 +57,7 @@
                             }
 
                             @Override
-                            public double leftMs(double at) {
+                            public double remainingMs(double at) {
                                 return 0;
                             }
 
@@ -67,7 +67,7 @@
                             }
 
                             @Override
-                            public List<Long> order() {
+                            public List<Long> candidateOrder() {
                                 return List.of();
                             }
 
--- a/src/test/java/cacheproxy/fleet/healthcheck/HealthCheckCoordinatorTest.java
+++ b/src/test/java/cacheproxy/fleet/healthcheck/HealthCheckCoordinatorTest.java
@@ -103,7 +103,7 @@
                 }
 
                 @Override
-                public double leftMs(double at) {
+                public double remainingMs(double at) {
                     return holder[share] == me ? 1000 : 0;
                 }
 
@@ -113,7 +113,7 @@
                 }
 
                 @Override
-                public List<Long> order() {
+                public List<Long> candidateOrder() {
                     return List.of(1L, 2L, 3L);
                 }
 
--- a/src/test/java/cacheproxy/fleet/lease/EventLoopHealthTest.java
+++ b/src/test/java/cacheproxy/fleet/lease/EventLoopHealthTest.java
@@ -4,18 +4,21 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Late tasks against the window. */
 class EventLoopHealthTest {
     @Test
-    void oneThatIsLateThriceWithinFiveSecondsIsIllForFive() {
-        EventLoopHealth h = new EventLoopHealth(250, 3, 5000);
-        h.ran(0, 300);
-        h.ran(4000, 250);
-        h.ran(4500, 249);
-        assertThat(h.able(4500)).isTrue();
-        h.ran(5001, 400);
-        assertThat(h.able(5001)).as("the first is long ago").isTrue();
-        h.ran(6000, 400);
-        assertThat(h.able(10_999)).isFalse();
-        assertThat(h.able(11_000)).isTrue();
+    void isUnhealthyForAWindowAfterThreeLateTasksWithinIt() {
+        EventLoopHealth health = new EventLoopHealth(250, 3, 5000);
+        health.recordTask(0, 300);
+        health.recordTask(4000, 250);
+        health.recordTask(4500, 249);
+        assertThat(health.isHealthy(4500)).isTrue();
+        health.recordTask(5001, 400);
+        assertThat(health.isHealthy(5001))
+                .as("the first one is outside the window")
+                .isTrue();
+        health.recordTask(6000, 400);
+        assertThat(health.isHealthy(10_999)).isFalse();
+        assertThat(health.isHealthy(11_000)).isTrue();
     }
 }
--- a/src/test/java/cacheproxy/fleet/lease/LeaseStatesTest.java
+++ b/src/test/java/cacheproxy/fleet/lease/LeaseStatesTest.java
@@ -11,21 +11,21 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * All that can happen to some voters and candidates, three and two, breadth first, over the real code: each message
- * that is on its way may come next, in any order, may be lost or come twice; time goes on in quarters of a lease; one
- * process restarts with nothing, one stands still and goes on. A state is a path of choices, played again from the
- * start; states that are alike are looked at once. More of them: {@code -Dlease.states=1000000 -Dlease.voters=5
+ * Explores the reachable states of a few voters and candidates breadth first, over the real code: each message in
+ * flight may be delivered next in any order, be lost or be duplicated; time advances in quarters of a lease; one
+ * process restarts without its state, one pauses. A state is a path of choices, replayed from the start; states with
+ * the same fingerprint are explored once. For larger runs: {@code -Dlease.states=1000000 -Dlease.voters=5
  * -Dlease.candidates=3}.
  */
 class LeaseStatesTest {
-    private static final double LEASE = 1000;
+    private static final double LEASE_MS = 1000;
     private static final int STATES = Integer.getInteger("lease.states", 25_000);
     private static final int VOTERS = Integer.getInteger("lease.voters", 3);
     private static final int CANDIDATES = Integer.getInteger("lease.candidates", 2);
-    private static final int MOST_MAIL = 8;
+    private static final int MAX_MAIL = 8;
     private static final double STEP_MS = 260;
 
-    private enum What {
+    private enum Action {
         TIME,
         DELIVER,
         LOSE,
@@ -34,13 +34,13 @@
         PAUSE
     }
 
-    private record Step(What what, int which) {}
+    private record Step(Action action, int index) {}
 
     private record Path(Path before, Step step, int length) {
         List<Step> steps() {
             ArrayList<Step> steps = new ArrayList<>();
-            for (Path p = this; p != null && p.step != null; p = p.before) {
-                steps.add(0, p.step);
+            for (Path path = this; path != null && path.step != null; path = path.before) {
+                steps.add(0, path.step);
             }
             return steps;
         }
@@ -48,170 +48,179 @@
 
     private record Explored(int states, int depth, List<Step> trace, String fault) {}
 
-    /** A world with its messages in a bag. */
-    private static final class Bag {
-        final LeaseWorld w;
+    /** A world whose messages are delivered in any order. */
+    private static final class ReplayedState {
+        final LeaseWorld world;
         final List<LeaseWorld.Mail> mail = new ArrayList<>();
         int restarts;
         int pauses;
         int losses;
         int copies;
 
-        Bag(LeaseTiming rules, boolean held) {
-            w = new LeaseWorld(rules, LEASE, VOTERS, List.of("d"));
-            w.voters = VOTERS;
-            w.standing = CANDIDATES;
-            w.sent = (from, to, bytes) -> mail.add(new LeaseWorld.Mail(0, mail.size(), from, to, bytes));
-            w.processes.get(0).rate = 1 - LeaseTiming.DRIFT * 0.99;
-            w.processes.get(1).rate = 1 + LeaseTiming.DRIFT * 0.99;
-            w.processes.forEach(p -> p.start(new SplittableRandom(p.index)));
-            w.now = rules.silenceMs() * 1.02 + 1;
-            w.processes.forEach(LeaseWorld.Process::tick);
-            while (held && !w.held("d")) {
+        ReplayedState(LeaseTiming timing, boolean held) {
+            world = new LeaseWorld(timing, LEASE_MS, VOTERS, List.of("d"));
+            world.voterCount = VOTERS;
+            world.candidateCount = CANDIDATES;
+            world.network = (from, to, bytes) -> mail.add(new LeaseWorld.Mail(0, mail.size(), from, to, bytes));
+            world.processes.get(0).rate = 1 - LeaseTiming.MAX_CLOCK_DRIFT * 0.99;
+            world.processes.get(1).rate = 1 + LeaseTiming.MAX_CLOCK_DRIFT * 0.99;
+            world.processes.forEach(process -> process.start(new SplittableRandom(process.index)));
+            world.nowMs = timing.startupSilenceMs() * 1.02 + 1;
+            world.processes.forEach(LeaseWorld.Member::tick);
+            while (held && !world.held("d")) {
                 if (mail.isEmpty()) {
-                    play(new Step(What.TIME, 0));
+                    play(new Step(Action.TIME, 0));
                 } else {
-                    play(new Step(What.DELIVER, 0));
+                    play(new Step(Action.DELIVER, 0));
                 }
             }
         }
 
-        void play(Step s) {
-            switch (s.what) {
+        void play(Step step) {
+            switch (step.action) {
                 case TIME -> {
-                    w.now += STEP_MS;
-                    w.processes.forEach(LeaseWorld.Process::tick);
+                    world.nowMs += STEP_MS;
+                    world.processes.forEach(LeaseWorld.Member::tick);
                 }
                 case DELIVER, TWICE -> {
-                    LeaseWorld.Mail m = mail.get(s.which);
-                    if (s.what == What.DELIVER) {
-                        mail.remove(s.which);
+                    LeaseWorld.Mail message = mail.get(step.index);
+                    if (step.action == Action.DELIVER) {
+                        mail.remove(step.index);
                     } else {
                         copies++;
                     }
-                    w.processes.get(m.to()).heard(m.from(), m.bytes());
+                    world.processes.get(message.to()).receive(message.from(), message.bytes());
                 }
                 case LOSE -> {
                     losses++;
-                    mail.remove(s.which);
+                    mail.remove(step.index);
                 }
                 case RESTART -> {
                     restarts++;
-                    w.processes.get(s.which).start(new SplittableRandom(100 + s.which));
+                    world.processes.get(step.index).start(new SplittableRandom(100 + step.index));
                 }
                 default -> {
                     pauses++;
-                    w.processes.get(s.which).paused ^= true;
+                    world.processes.get(step.index).paused ^= true;
                 }
             }
-            w.judge();
+            world.check();
         }
 
         List<Step> choices() {
             List<Step> steps = new ArrayList<>();
             Set<String> alike = new HashSet<>();
-            for (int i = 0; i < mail.size() && i < MOST_MAIL; i++) {
+            for (int i = 0; i < mail.size() && i < MAX_MAIL; i++) {
                 if (alike.add(text(mail.get(i)))) {
-                    steps.add(new Step(What.DELIVER, i));
+                    steps.add(new Step(Action.DELIVER, i));
                     if (losses < 2) {
-                        steps.add(new Step(What.LOSE, i));
+                        steps.add(new Step(Action.LOSE, i));
                     }
                     if (copies < 1) {
-                        steps.add(new Step(What.TWICE, i));
+                        steps.add(new Step(Action.TWICE, i));
                     }
                 }
             }
-            if (mail.size() <= MOST_MAIL) {
-                steps.add(new Step(What.TIME, 0));
+            if (mail.size() <= MAX_MAIL) {
+                steps.add(new Step(Action.TIME, 0));
             }
             for (int i = 0; i < 3 && restarts < 1; i++) {
-                steps.add(new Step(What.RESTART, i));
+                steps.add(new Step(Action.RESTART, i));
             }
             for (int i = 0; i < 2 && pauses < 2; i++) {
-                steps.add(new Step(What.PAUSE, i));
+                steps.add(new Step(Action.PAUSE, i));
             }
             return steps;
         }
 
-        private String text(LeaseWorld.Mail m) {
-            LeaseMessage l = LeaseMessage.of(m.bytes());
-            boolean answer = l.kind() == LeaseMessage.Kind.STATE
-                    || l.kind() == LeaseMessage.Kind.GRANT
-                    || l.kind() == LeaseMessage.Kind.REFUSE;
-            boolean awaited = w.processes.get(answer ? m.to() : m.from()).duties.awaits("d", l.nonce());
-            return m.from() + ">" + m.to() + " " + l.kind() + " " + l.epoch() + " " + l.holder() + " " + l.ms() + " "
-                    + awaited;
+        private String text(LeaseWorld.Mail letter) {
+            LeaseMessage message = LeaseMessage.decode(letter.bytes());
+            boolean answer = message.kind() == LeaseMessage.Kind.STATUS
+                    || message.kind() == LeaseMessage.Kind.GRANT
+                    || message.kind() == LeaseMessage.Kind.REJECT;
+            boolean awaited = world.processes
+                    .get(answer ? letter.to() : letter.from())
+                    .manager
+                    .awaits("d", message.nonce());
+            return letter.from() + ">" + letter.to() + " " + message.kind() + " " + message.epoch() + " "
+                    + message.holder() + " " + message.ms() + " " + awaited;
         }
 
         String fingerprint() {
             StringBuilder text = new StringBuilder();
-            w.processes.forEach(p -> text.append(p.paused)
-                    .append(p.duties.fingerprint(p.local()))
+            world.processes.forEach(process -> text.append(process.paused)
+                    .append(process.manager.fingerprint(process.localMs()))
                     .append('/'));
-            mail.stream().map(this::text).sorted().forEach(t -> text.append(t).append('&'));
+            mail.stream()
+                    .map(this::text)
+                    .sorted()
+                    .forEach(mailText -> text.append(mailText).append('&'));
             return text.append(restarts)
                     .append(pauses)
                     .append(losses)
                     .append(copies)
-                    .append(w.epochs)
+                    .append(world.epochs)
                     .toString();
         }
     }
 
-    private static Explored explore(LeaseTiming rules, boolean held, int most) {
+    private static Explored explore(LeaseTiming timing, boolean held, int maxStates) {
         Set<String> known = new HashSet<>();
         ArrayDeque<Path> open = new ArrayDeque<>(List.of(new Path(null, null, 0)));
         int depth = 0;
-        while (!open.isEmpty() && known.size() < most) {
-            Path at = open.poll();
-            List<Step> before = at.steps();
-            depth = at.length;
-            for (Step s : played(rules, held, before).choices()) {
-                Bag b = played(rules, held, before);
-                b.play(s);
-                if (!b.w.faults().isEmpty()) {
+        while (!open.isEmpty() && known.size() < maxStates) {
+            Path path = open.poll();
+            List<Step> before = path.steps();
+            depth = path.length;
+            for (Step step : replay(timing, held, before).choices()) {
+                ReplayedState next = replay(timing, held, before);
+                next.play(step);
+                if (!next.world.violations().isEmpty()) {
                     List<Step> trace = new ArrayList<>(before);
-                    trace.add(s);
+                    trace.add(step);
                     return new Explored(
-                            known.size(), depth + 1, trace, b.w.faults().get(0));
+                            known.size(),
+                            depth + 1,
+                            trace,
+                            next.world.violations().get(0));
                 }
-                if (known.add(b.fingerprint())) {
-                    open.add(new Path(at, s, at.length + 1));
+                if (known.add(next.fingerprint())) {
+                    open.add(new Path(path, step, path.length + 1));
                 }
             }
         }
         return new Explored(known.size(), depth, List.of(), null);
     }
 
-    private static Bag played(LeaseTiming rules, boolean held, List<Step> steps) {
-        Bag b = new Bag(rules, held);
-        steps.forEach(b::play);
-        return b;
+    private static ReplayedState replay(LeaseTiming timing, boolean held, List<Step> steps) {
+        ReplayedState state = new ReplayedState(timing, held);
+        steps.forEach(state::play);
+        return state;
     }
 
     @Test
-    void noStateOfThreeVotersHasTwoThatMayAct() {
+    void noReachableStatePermitsTwoHoldersToAct() {
         for (boolean held : new boolean[] {false, true}) {
-            Explored e = explore(new LeaseTiming(LEASE, LeaseTiming.DRIFT), held, STATES / 2);
-            System.out.println(
-                    (held ? "from a held duty: " : "from none: ") + "states " + e.states() + ", depth " + e.depth());
-            assertThat(e.fault()).as(e.trace().toString()).isNull();
-            assertThat(e.states()).isGreaterThanOrEqualTo(STATES / 2);
+            Explored explored = explore(new LeaseTiming(LEASE_MS, LeaseTiming.MAX_CLOCK_DRIFT), held, STATES / 2);
+            System.out.println((held ? "from a held lease: " : "from none: ") + "states " + explored.states()
+                    + ", depth " + explored.depth());
+            assertThat(explored.fault()).as(explored.trace().toString()).isNull();
+            assertThat(explored.states()).isGreaterThanOrEqualTo(STATES / 2);
         }
     }
 
     @Test
-    void aVoterThatForgetsAndSpeaksAtOnceIsFoundWithItsShortestTrace() {
-        Explored e = explore(
-                new LeaseTiming(LEASE, LeaseTiming.DRIFT) {
+    void findsTheShortestTraceOfAVoterWithoutStartupSilence() {
+        Explored explored = explore(
+                new LeaseTiming(LEASE_MS, LeaseTiming.MAX_CLOCK_DRIFT) {
                     @Override
-                    public double silenceMs() {
+                    public double startupSilenceMs() {
                         return 0;
                     }
                 },
                 false,
                 400_000);
-        System.out.println("no silence: " + e);
-        assertThat(e.fault()).isNotNull();
+        System.out.println("no silence: " + explored);
+        assertThat(explored.fault()).isNotNull();
     }
 }
--- a/src/test/java/cacheproxy/fleet/lease/LeaseTest.java
+++ b/src/test/java/cacheproxy/fleet/lease/LeaseTest.java
@@ -13,120 +13,125 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** One voter, one candidate, and a small fleet by hand. */
+/** A voter, a candidate and small fleets, with messages by hand. */
 class LeaseTest {
-    private static final LeaseTiming RULES = new LeaseTiming(1000, 0.01);
-    private static final long DUTY = NameHash.of("d");
-    private static final long LIFE = 77;
-    private final LeaseVoter voter = new LeaseVoter(RULES, 0);
+    private static final LeaseTiming TIMING = new LeaseTiming(1000, 0.01);
+    private static final long LEASE_ID = NameHash.of("d");
+    private static final long INCARNATION = 77;
+    private final LeaseVoter voter = new LeaseVoter(TIMING, 0);
 
-    private LeaseMessage claim(double now, String from, long epoch) {
-        return voter.heard(now, NameHash.of(from), new LeaseMessage(Kind.CLAIM, DUTY, 7, epoch, LIFE, 1000));
+    /** The voter's reply; null if it is silent. */
+    private LeaseMessage respond(double nowMs, long from, LeaseMessage message) {
+        return voter.respond(nowMs, from, message).orElse(null);
+    }
+
+    private LeaseMessage claim(double nowMs, String from, long epoch) {
+        return respond(nowMs, NameHash.of(from), new LeaseMessage(Kind.CLAIM, LEASE_ID, 7, epoch, INCARNATION, 1000));
     }
 
     @Test
-    void aVoterSaysNothingUntilWhatItMayHaveGrantedBeforeIsOver() {
+    void voterIsSilentUntilEarlierGrantsHaveExpired() {
         assertThat(claim(1009, "a", 5)).isNull();
         assertThat(claim(1010, "a", 5).kind()).isEqualTo(Kind.GRANT);
     }
 
     @Test
-    void aVotersWordIsGivenToOneUntilItIsOverOrGivenBack() {
+    void rejectsClaimWhileAnotherHolderIsGranted() {
         assertThat(claim(2000, "a", 5).kind()).isEqualTo(Kind.GRANT);
-        LeaseMessage no = claim(3009, "b", 6);
-        assertThat(no.kind()).isEqualTo(Kind.REFUSE);
-        assertThat(no.holder()).isEqualTo(NameHash.of("a"));
-        assertThat(no.ms()).isEqualTo(1);
-        assertThat(claim(3010, "b", 5).kind()).as("an epoch that was another's").isEqualTo(Kind.REFUSE);
+        LeaseMessage rejection = claim(3009, "b", 6);
+        assertThat(rejection.kind()).isEqualTo(Kind.REJECT);
+        assertThat(rejection.holder()).isEqualTo(NameHash.of("a"));
+        assertThat(rejection.ms()).isEqualTo(1);
+        assertThat(claim(3010, "b", 5).kind()).as("an epoch of another holder").isEqualTo(Kind.REJECT);
         assertThat(claim(3010, "b", 6).kind()).isEqualTo(Kind.GRANT);
-        assertThat(claim(3100, "a", 5).kind()).as("a renewal from before").isEqualTo(Kind.REFUSE);
-        voter.heard(3100, NameHash.of("a"), new LeaseMessage(Kind.RELEASE, DUTY, 0, 6, LIFE, 0));
+        assertThat(claim(3100, "a", 5).kind()).as("a renewal of an older epoch").isEqualTo(Kind.REJECT);
+        respond(3100, NameHash.of("a"), new LeaseMessage(Kind.RELEASE, LEASE_ID, 0, 6, INCARNATION, 0));
         assertThat(claim(3101, "a", 9).kind())
-                .as("given back by one who has it not")
-                .isEqualTo(Kind.REFUSE);
-        voter.heard(3102, NameHash.of("b"), new LeaseMessage(Kind.RELEASE, DUTY, 0, 5, LIFE, 0));
-        assertThat(claim(3103, "a", 9).kind()).as("an older one given back").isEqualTo(Kind.REFUSE);
-        voter.heard(3104, NameHash.of("b"), new LeaseMessage(Kind.RELEASE, DUTY, 0, 6, LIFE, 0));
+                .as("released by a peer that does not hold it")
+                .isEqualTo(Kind.REJECT);
+        respond(3102, NameHash.of("b"), new LeaseMessage(Kind.RELEASE, LEASE_ID, 0, 5, INCARNATION, 0));
+        assertThat(claim(3103, "a", 9).kind()).as("release of an older epoch").isEqualTo(Kind.REJECT);
+        respond(3104, NameHash.of("b"), new LeaseMessage(Kind.RELEASE, LEASE_ID, 0, 6, INCARNATION, 0));
         assertThat(claim(3105, "a", 9).kind()).isEqualTo(Kind.GRANT);
     }
 
     @Test
-    void anotherProcessOfTheSameNameIsAnotherHolder() {
+    void treatsAnotherIncarnationAsAnotherHolder() {
         assertThat(claim(2000, "a", 5).kind()).isEqualTo(Kind.GRANT);
-        LeaseMessage twin = new LeaseMessage(Kind.CLAIM, DUTY, 7, 6, LIFE + 1, 1000);
-        assertThat(voter.heard(2001, NameHash.of("a"), twin).kind()).isEqualTo(Kind.REFUSE);
-        assertThat(voter.heard(2001, NameHash.of("a"), new LeaseMessage(Kind.ASK, DUTY, 7, 0, LIFE + 1, 0))
+        LeaseMessage twin = new LeaseMessage(Kind.CLAIM, LEASE_ID, 7, 6, INCARNATION + 1, 1000);
+        assertThat(respond(2001, NameHash.of("a"), twin).kind()).isEqualTo(Kind.REJECT);
+        assertThat(respond(2001, NameHash.of("a"), new LeaseMessage(Kind.QUERY, LEASE_ID, 7, 0, INCARNATION + 1, 0))
                         .holder())
                 .isEqualTo(NameHash.of("a"));
-        assertThat(voter.heard(2001, NameHash.of("a"), new LeaseMessage(Kind.ASK, DUTY, 7, 0, LIFE, 0))
+        assertThat(respond(2001, NameHash.of("a"), new LeaseMessage(Kind.QUERY, LEASE_ID, 7, 0, INCARNATION, 0))
                         .holder())
                 .isEqualTo(NameHash.NOBODY);
-        assertThat(voter.heard(3010, NameHash.of("a"), twin).kind()).isEqualTo(Kind.GRANT);
-        assertThat(claim(3011, "a", 6).kind()).as("its renewal").isEqualTo(Kind.REFUSE);
+        assertThat(respond(3010, NameHash.of("a"), twin).kind()).isEqualTo(Kind.GRANT);
+        assertThat(claim(3011, "a", 6).kind()).as("its renewal").isEqualTo(Kind.REJECT);
     }
 
     @Test
-    void aLeaseLongerThanAllAgreeOnAndADutyTooManyAreNotAnswered() {
-        assertThat(voter.heard(2000, 1, new LeaseMessage(Kind.CLAIM, DUTY, 7, 1, 0, 1001)))
+    void ignoresClaimOfTooLongALeaseOrOfOneLeaseTooMany() {
+        assertThat(respond(2000, 1, new LeaseMessage(Kind.CLAIM, LEASE_ID, 7, 1, 0, 1001)))
                 .isNull();
-        assertThat(voter.heard(2000, 1, new LeaseMessage(Kind.CLAIM, DUTY, 7, 1, 0, 0)))
+        assertThat(respond(2000, 1, new LeaseMessage(Kind.CLAIM, LEASE_ID, 7, 1, 0, 0)))
                 .isNull();
-        for (int i = 0; i < LeaseVoter.MOST_DUTIES; i++) {
-            assertThat(voter.heard(2000, 1, new LeaseMessage(Kind.CLAIM, i + 10, 7, 1, 0, 1000)))
+        for (int i = 0; i < LeaseVoter.MAX_LEASES; i++) {
+            assertThat(respond(2000, 1, new LeaseMessage(Kind.CLAIM, i + 10, 7, 1, 0, 1000)))
                     .isNotNull();
         }
-        assertThat(voter.heard(2000, 1, new LeaseMessage(Kind.CLAIM, 5, 7, 1, 0, 1000)))
+        assertThat(respond(2000, 1, new LeaseMessage(Kind.CLAIM, 5, 7, 1, 0, 1000)))
                 .isNull();
-        assertThat(voter.heard(2000, 1, new LeaseMessage(Kind.CLAIM, 11, 7, 1, 0, 1000))
+        assertThat(respond(2000, 1, new LeaseMessage(Kind.CLAIM, 11, 7, 1, 0, 1000))
                         .kind())
                 .as("a known one")
                 .isEqualTo(Kind.GRANT);
-        assertThat(voter.size()).isEqualTo(LeaseVoter.MOST_DUTIES);
+        assertThat(voter.size()).isEqualTo(LeaseVoter.MAX_LEASES);
     }
 
     @Test
-    void messagesAreReadBackAndWhatIsNoneIsDropped() {
-        LeaseMessage m = new LeaseMessage(Kind.REFUSE, 1, -2, 3, -4, 5);
-        assertThat(LeaseMessage.of(m.bytes())).isEqualTo(m);
-        assertThat(m.bytes()).hasSize(LeaseMessage.LENGTH);
-        assertThat(LeaseMessage.of(new LeaseMessage(Kind.CLAIM, 1, 2, LeaseMessage.MOST_EPOCH + 1, 4, 5).bytes()))
+    void decodesWhatItEncodesAndDropsCorruptedMessages() {
+        LeaseMessage message = new LeaseMessage(Kind.REJECT, 1, -2, 3, -4, 5);
+        assertThat(LeaseMessage.decode(message.encode())).isEqualTo(message);
+        assertThat(message.encode()).hasSize(LeaseMessage.LENGTH_BYTES);
+        assertThat(LeaseMessage.decode(new LeaseMessage(Kind.CLAIM, 1, 2, LeaseMessage.MAX_EPOCH + 1, 4, 5).encode()))
                 .isNull();
         SplittableRandom random = new SplittableRandom(3);
-        LeaseManager duties = new LeaseManager("p1", RULES, random.split(), 0, new Silent());
-        duties.stand("d", 1000, new VoterSet("d", List.of("p1", "p2", "p3"), List.of(), 3), 0);
+        LeaseManager manager = new LeaseManager("p1", TIMING, random.split(), 0, new IgnoringListener());
+        manager.campaign("d", 1000, new VoterSet("d", List.of("p1", "p2", "p3"), List.of(), 3), 0);
         int read = 0;
         for (int i = 0; i < 300_000; i++) {
-            byte[] spoilt = m.bytes();
-            for (int n = random.nextInt(1, 8); n > 0; n--) {
-                spoilt[random.nextInt(3) == 0 ? 0 : random.nextInt(spoilt.length)] = (byte) random.nextInt(256);
+            byte[] corrupted = message.encode();
+            for (int changes = random.nextInt(1, 8); changes > 0; changes--) {
+                corrupted[random.nextInt(3) == 0 ? 0 : random.nextInt(corrupted.length)] = (byte) random.nextInt(256);
             }
-            LeaseMessage got = LeaseMessage.of(
-                    random.nextInt(10) == 0 ? java.util.Arrays.copyOf(spoilt, random.nextInt(60)) : spoilt);
-            if (got != null) {
+            LeaseMessage decoded = LeaseMessage.decode(
+                    random.nextInt(10) == 0 ? java.util.Arrays.copyOf(corrupted, random.nextInt(60)) : corrupted);
+            if (decoded != null) {
                 read++;
-                duties.heard(2000 + i / 1000.0, random.nextInt(4), got, 1);
-                assertThat(duties.permit("d", 2000 + i / 1000.0, 0)).isEqualTo(-1);
+                manager.receive(2000 + i / 1000.0, random.nextInt(4), decoded, 1);
+                assertThat(manager.permit("d", 2000 + i / 1000.0, 0)).isEqualTo(-1);
             }
         }
         assertThat(read).isBetween(10_000, 299_000);
     }
 
     @Test
-    void votersAndStandingSpreadOverAllAndAListInChangeNeedsBothMajorities() {
+    void spreadsVotersAndCandidatesAndNeedsBothMajoritiesDuringAChange() {
         List<String> peers = new ArrayList<>();
         for (int i = 1; i <= 100; i++) {
             peers.add("p" + i);
         }
         Map<Long, Integer> votes = new HashMap<>();
         Map<Long, Integer> first = new HashMap<>();
-        for (int d = 0; d < 200; d++) {
-            VoterSet e = new VoterSet("duty" + d, peers, List.of(), 5);
-            assertThat(e.voters()).hasSize(5);
-            e.voters().forEach(v -> votes.merge(v, 1, Integer::sum));
-            first.merge(e.order().get(0), 1, Integer::sum);
+        for (int i = 0; i < 200; i++) {
+            VoterSet voterSet = new VoterSet("duty" + i, peers, List.of(), 5);
+            assertThat(voterSet.voters()).hasSize(5);
+            voterSet.voters().forEach(voter -> votes.merge(voter, 1, Integer::sum));
+            first.merge(voterSet.candidateOrder().get(0), 1, Integer::sum);
         }
-        assertThat(votes.values()).allMatch(n -> n < 30);
-        assertThat(first.values()).allMatch(n -> n < 10);
+        assertThat(votes.values()).allMatch(count -> count < 30);
+        assertThat(first.values()).allMatch(count -> count < 10);
         VoterSet old = new VoterSet("d", peers.subList(0, 5), List.of(), 5);
         VoterSet both = new VoterSet("d", peers.subList(2, 7), peers.subList(0, 5), 5);
         VoterSet next = new VoterSet("d", peers.subList(2, 7), List.of(), 5);
@@ -139,243 +144,243 @@
         assertThat(both.isMajority(firstThree)).isFalse();
         assertThat(both.isMajority(lastThree)).isFalse();
         assertThat(both.isMajority(ids("p3", "p4", "p5"))).isTrue();
-        assertThat(both.blocks(ids("p1", "p2", "p3"))).isTrue();
+        assertThat(both.isBlocking(ids("p1", "p2", "p3"))).isTrue();
     }
 
     private static Set<Long> ids(String... names) {
         Set<Long> ids = new HashSet<>();
-        for (String n : names) {
-            ids.add(NameHash.of(n));
+        for (String name : names) {
+            ids.add(NameHash.of(name));
         }
         return ids;
     }
 
-    private static class Silent implements LeaseManager.Out {
+    private static class IgnoringListener implements LeaseListener {
         @Override
-        public void send(long to, LeaseMessage m) {}
+        public void send(long to, LeaseMessage message) {}
 
         @Override
-        public void gained(String duty, long epoch) {}
+        public void gained(String lease, long epoch) {}
 
         @Override
-        public void lost(String duty, long epoch, String why) {}
+        public void lost(String lease, long epoch, String reason) {}
     }
 
-    /** Three or five processes whose messages take 1 ms; ticks each ms. */
+    /** Processes whose messages take 1 ms, without state at first. */
     private static LeaseWorld fleet(int count) {
-        LeaseWorld w = new LeaseWorld(RULES, 1000, count, List.of("d"));
-        w.sent = (from, to, bytes) -> w.mail.add(new LeaseWorld.Mail(w.now + 1, w.mails++, from, to, bytes));
-        w.processes.forEach(p -> p.start(new SplittableRandom(p.index)));
-        return w;
-    }
-
-    private static void go(LeaseWorld w, double ms) {
-        for (double end = w.now + ms; w.now < end; w.now++) {
-            while (!w.mail.isEmpty() && w.mail.peek().atMs() <= w.now) {
-                LeaseWorld.Mail m = w.mail.poll();
-                w.processes.get(m.to()).heard(m.from(), m.bytes());
-            }
-            w.processes.forEach(LeaseWorld.Process::tick);
-            w.judge();
-        }
+        LeaseWorld world = new LeaseWorld(TIMING, 1000, count, List.of("d"));
+        world.network = (from, to, bytes) ->
+                world.mail.add(new LeaseWorld.Mail(world.nowMs + 1, world.mailCount++, from, to, bytes));
+        world.processes.forEach(process -> process.start(new SplittableRandom(process.index)));
+        return world;
     }
 
-    private static LeaseWorld.Process holder(LeaseWorld w) {
-        return w.processes.stream().filter(p -> p.mayAct("d")).findFirst().orElse(null);
+    private static LeaseWorld.Member holder(LeaseWorld world) {
+        return world.processes.stream()
+                .filter(process -> process.isHolding("d"))
+                .findFirst()
+                .orElse(null);
     }
 
     @Test
-    void aDutyIsHandedOnWithinMillisecondsAndAfterItsActs() {
-        LeaseWorld w = fleet(5);
-        go(w, 3000);
-        LeaseWorld.Process a = holder(w);
-        LeaseWorld.Process b = w.processes.get((a.index + 1) % 5);
-        long epoch = a.duties.permit("d", a.local(), 30);
+    void transfersLeaseOnlyAfterItsActionsHaveEnded() {
+        LeaseWorld world = fleet(5);
+        world.run(3000);
+        LeaseWorld.Member holder = holder(world);
+        LeaseWorld.Member successor = world.processes.get((holder.index + 1) % 5);
+        long epoch = holder.manager.permit("d", holder.localMs(), 30);
         assertThat(epoch).isPositive();
-        assertThat(a.duties.transfer("d", NameHash.of(b.name), a.local(), "SIGTERM"))
+        assertThat(holder.manager.transfer("d", NameHash.of(successor.name), holder.localMs(), "SIGTERM"))
                 .isTrue();
-        assertThat(a.duties.permit("d", a.local(), 0)).as("nothing new").isEqualTo(-1);
-        go(w, 25);
-        assertThat(holder(w)).as("its act is under way").isNull();
-        go(w, 75);
-        assertThat(holder(w)).isSameAs(b);
-        assertThat(b.duties.permit("d", b.local(), 0)).isGreaterThan(epoch);
-        assertThat(w.faults()).isEmpty();
-        assertThat(w.losses).containsEntry("SIGTERM", 1);
-        assertThat(b.duties.transfer("d", NameHash.NOBODY, b.local(), "x")).isTrue();
-        assertThat(a.duties.transfer("d", NameHash.NOBODY, a.local(), "x"))
+        assertThat(holder.manager.permit("d", holder.localMs(), 0))
+                .as("no further action")
+                .isEqualTo(-1);
+        world.run(25);
+        assertThat(holder(world)).as("the permitted action is still running").isNull();
+        world.run(75);
+        assertThat(holder(world)).isSameAs(successor);
+        assertThat(successor.manager.permit("d", successor.localMs(), 0)).isGreaterThan(epoch);
+        assertThat(world.violations()).isEmpty();
+        assertThat(world.losses).containsEntry("SIGTERM", 1);
+        assertThat(successor.manager.transfer("d", NameHash.NOBODY, successor.localMs(), "x"))
+                .isTrue();
+        assertThat(holder.manager.transfer("d", NameHash.NOBODY, holder.localMs(), "x"))
                 .as("not held")
                 .isFalse();
     }
 
     @Test
-    void aHolderThatIsIllGivesItBackAndOneCutOffLosesItBeforeAnotherHasIt() {
-        LeaseWorld w = fleet(5);
-        go(w, 3000);
-        LeaseWorld.Process a = holder(w);
-        a.duties.able(false, "its loop is late", a.local());
-        go(w, 1500);
-        LeaseWorld.Process b = holder(w);
-        assertThat(b).isNotNull().isNotSameAs(a);
-        LeaseWorld.Sending whole = w.sent;
-        w.sent = (from, to, bytes) -> {
-            if (from != b.index) { // it is not heard, and hears
-                whole.send(from, to, bytes);
+    void ineligibleHolderReleasesAndPartitionedHolderExpiresBeforeTakeover() {
+        LeaseWorld world = fleet(5);
+        world.run(3000);
+        LeaseWorld.Member first = holder(world);
+        first.manager.setEligible(false, "its loop is late", first.localMs());
+        world.run(1500);
+        LeaseWorld.Member second = holder(world);
+        assertThat(second).isNotNull().isNotSameAs(first);
+        LeaseWorld.Network connected = world.network;
+        world.network = (from, to, bytes) -> {
+            if (from != second.index) { // receives, but is not received
+                connected.send(from, to, bytes);
             }
         };
-        go(w, 2500);
-        assertThat(holder(w)).isNotNull().isNotSameAs(a).isNotSameAs(b);
-        assertThat(w.losses).containsKey("no majority renewed it in time");
-        assertThat(w.faults()).isEmpty();
+        world.run(2500);
+        assertThat(holder(world)).isNotNull().isNotSameAs(first).isNotSameAs(second);
+        assertThat(world.losses).containsKey("no majority renewed it in time");
+        assertThat(world.violations()).isEmpty();
     }
 
     @Test
-    void anActThatWouldOutlastTheLeaseIsNotBegunAndOneOlderIsRefusedWhereItArrives() {
-        LeaseWorld w = fleet(3);
-        go(w, 3000);
-        LeaseWorld.Process a = holder(w);
-        long epoch = a.duties.permit("d", a.local(), 100);
-        assertThat(a.duties.permit("d", a.local(), 1000)).isEqualTo(-1);
-        a.paused = true; // it stands still past its lease
-        go(w, 3000);
-        LeaseWorld.Process b = holder(w);
-        assertThat(b).isNotNull().isNotSameAs(a);
-        assertThat(a.duties.permit("d", a.local(), 0))
-                .as("asked before anything else runs")
+    void deniesActionThatOutlastsTheLeaseAndRejectsOlderEpochs() {
+        LeaseWorld world = fleet(3);
+        world.run(3000);
+        LeaseWorld.Member first = holder(world);
+        long epoch = first.manager.permit("d", first.localMs(), 100);
+        assertThat(first.manager.permit("d", first.localMs(), 1000)).isEqualTo(-1);
+        first.paused = true; // past the end of its lease
+        world.run(3000);
+        LeaseWorld.Member second = holder(world);
+        assertThat(second).isNotNull().isNotSameAs(first);
+        assertThat(first.manager.permit("d", first.localMs(), 0))
+                .as("right after the pause, before any tick")
                 .isEqualTo(-1);
-        FencingTokenCheck guard = new FencingTokenCheck();
-        assertThat(guard.accepts(DUTY, epoch)).isTrue();
-        assertThat(guard.accepts(DUTY, b.duties.permit("d", b.local(), 0))).isTrue();
-        assertThat(guard.accepts(DUTY, epoch)).isFalse();
-        for (int i = 0; i < FencingTokenCheck.MOST_DUTIES; i++) {
-            guard.accepts(i + 1, 1);
+        FencingTokenCheck fencing = new FencingTokenCheck();
+        assertThat(fencing.accepts(LEASE_ID, epoch)).isTrue();
+        assertThat(fencing.accepts(LEASE_ID, second.manager.permit("d", second.localMs(), 0)))
+                .isTrue();
+        assertThat(fencing.accepts(LEASE_ID, epoch)).isFalse();
+        for (int i = 0; i < FencingTokenCheck.MAX_LEASES; i++) {
+            fencing.accepts(i + 1, 1);
         }
-        assertThat(guard.accepts(999_999, 1)).isFalse();
+        assertThat(fencing.accepts(999_999, 1)).isFalse();
     }
 
     @Test
-    void whatCanNotBeIsToldAtOnce() {
-        LeaseManager d = new LeaseManager("p1", RULES, new SplittableRandom(1), 0, new Silent());
-        VoterSet e = new VoterSet("d", List.of("p1"), List.of(), 5);
-        assertThatThrownBy(() -> d.stand("d", 1001, e, 0)).hasMessageContaining("lease 1001");
+    void rejectsInvalidArguments() {
+        LeaseManager manager = new LeaseManager("p1", TIMING, new SplittableRandom(1), 0, new IgnoringListener());
+        VoterSet voterSet = new VoterSet("d", List.of("p1"), List.of(), 5);
+        assertThatThrownBy(() -> manager.campaign("d", 1001, voterSet, 0)).hasMessageContaining("lease 1001");
         assertThatThrownBy(() -> new LeaseTiming(0, 0.01)).isInstanceOf(IllegalArgumentException.class);
         assertThatThrownBy(() -> new VoterSet("d", List.of(), List.of(), 5))
                 .isInstanceOf(IllegalArgumentException.class);
-        for (int i = 0; i < LeaseManager.MOST; i++) {
-            d.stand("x" + i, 100, e, 0);
+        for (int i = 0; i < LeaseManager.MAX_LEASES; i++) {
+            manager.campaign("x" + i, 100, voterSet, 0);
         }
-        assertThatThrownBy(() -> d.stand("one more", 100, e, 0)).hasMessageContaining("more than " + LeaseManager.MOST);
+        assertThatThrownBy(() -> manager.campaign("one more", 100, voterSet, 0))
+                .hasMessageContaining("more than " + LeaseManager.MAX_LEASES);
     }
 
-    /** Messages to and from the others, by hand: two voters that grant everything. */
-    private static final class Granting implements LeaseManager.Out {
-        final List<LeaseMessage> out = new ArrayList<>();
+    /** Keeps what a manager sends, and replies for two voters that grant everything. */
+    private static final class GrantingVoters implements LeaseListener {
+        final List<LeaseMessage> messages = new ArrayList<>();
         final List<String> gained = new ArrayList<>();
 
         @Override
-        public void send(long to, LeaseMessage m) {
-            out.add(m);
+        public void send(long to, LeaseMessage message) {
+            messages.add(message);
         }
 
         @Override
-        public void gained(String duty, long epoch) {
-            gained.add(duty);
+        public void gained(String lease, long epoch) {
+            gained.add(lease);
         }
 
         @Override
-        public void lost(String duty, long epoch, String why) {}
+        public void lost(String lease, long epoch, String reason) {}
 
-        /** All answer what was last asked. */
-        void answer(LeaseManager d, double now) {
-            List<LeaseMessage> asked = List.copyOf(out);
-            out.clear();
-            for (LeaseMessage m : asked) {
-                Kind kind = m.kind() == Kind.ASK ? Kind.STATE : Kind.GRANT;
-                if (m.kind() == Kind.ASK || m.kind() == Kind.CLAIM) {
-                    d.heard(
-                            now,
+        /** Replies to all questions since the last call. */
+        void answer(LeaseManager manager, double nowMs) {
+            List<LeaseMessage> asked = List.copyOf(messages);
+            messages.clear();
+            for (LeaseMessage message : asked) {
+                Kind kind = message.kind() == Kind.QUERY ? Kind.STATUS : Kind.GRANT;
+                if (message.kind() == Kind.QUERY || message.kind() == Kind.CLAIM) {
+                    manager.receive(
+                            nowMs,
                             NameHash.of("p2"),
-                            new LeaseMessage(kind, m.duty(), m.nonce(), m.epoch(), NameHash.NOBODY, 0),
+                            new LeaseMessage(
+                                    kind, message.leaseId(), message.nonce(), message.epoch(), NameHash.NOBODY, 0),
                             1);
-                    d.heard(
-                            now,
+                    manager.receive(
+                            nowMs,
                             NameHash.of("p3"),
-                            new LeaseMessage(kind, m.duty(), m.nonce(), m.epoch(), NameHash.NOBODY, 0),
+                            new LeaseMessage(
+                                    kind, message.leaseId(), message.nonce(), message.epoch(), NameHash.NOBODY, 0),
                             1);
                 }
             }
         }
     }
 
-    private static final VoterSet THREE = new VoterSet("d", List.of("p1", "p2", "p3"), List.of(), 3);
+    private static final VoterSet THREE_VOTERS = new VoterSet("d", List.of("p1", "p2", "p3"), List.of(), 3);
 
     @Test
-    void oneThatMayNotHoldDropsAClaimThatIsUnderWayAndStaysSoOverAReload() {
-        Granting out = new Granting();
-        LeaseManager d = new LeaseManager("p1", RULES, new SplittableRandom(1), 0, out);
-        d.stand("d", 1000, THREE, 0);
-        d.tick(500, 1);
-        out.answer(d, 501); // asked; now the claim is out
-        assertThat(out.out).anyMatch(m -> m.kind() == Kind.CLAIM);
-        d.able(false, "it ends", 502);
-        List<LeaseMessage> sent = List.copyOf(out.out);
-        assertThat(sent).as("given back").anyMatch(m -> m.kind() == Kind.RELEASE);
-        out.answer(d, 503);
-        assertThat(out.gained).isEmpty();
-        d.stand("d", 1000, THREE, 504); // a reload
-        d.stand("new", 1000, THREE, 504);
-        for (double now = 510; now < 5000; now += 10) {
-            d.tick(now, 1);
-            out.answer(d, now);
+    void ineligibleCandidateAbandonsItsClaimAndStaysIneligibleAcrossReload() {
+        GrantingVoters granting = new GrantingVoters();
+        LeaseManager manager = new LeaseManager("p1", TIMING, new SplittableRandom(1), 0, granting);
+        manager.campaign("d", 1000, THREE_VOTERS, 0);
+        manager.tick(500, 1);
+        granting.answer(manager, 501); // the query; now the claim is open
+        assertThat(granting.messages).anyMatch(message -> message.kind() == Kind.CLAIM);
+        manager.setEligible(false, "it ends", 502);
+        List<LeaseMessage> sent = List.copyOf(granting.messages);
+        assertThat(sent).as("released").anyMatch(message -> message.kind() == Kind.RELEASE);
+        granting.answer(manager, 503);
+        assertThat(granting.gained).isEmpty();
+        manager.campaign("d", 1000, THREE_VOTERS, 504); // a reload
+        manager.campaign("new", 1000, THREE_VOTERS, 504);
+        for (double nowMs = 510; nowMs < 5000; nowMs += 10) {
+            manager.tick(nowMs, 1);
+            granting.answer(manager, nowMs);
         }
-        assertThat(out.gained).isEmpty();
-        d.able(true, "", 5000);
-        for (double now = 5000; now < 8000; now += 10) {
-            d.tick(now, 1);
-            out.answer(d, now);
+        assertThat(granting.gained).isEmpty();
+        manager.setEligible(true, "", 5000);
+        for (double nowMs = 5000; nowMs < 8000; nowMs += 10) {
+            manager.tick(nowMs, 1);
+            granting.answer(manager, nowMs);
         }
-        assertThat(out.gained).contains("d", "new");
+        assertThat(granting.gained).contains("d", "new");
     }
 
     @Test
-    void aHolderCountsNoMoreThanTheVotersWereTold() {
-        Granting out = new Granting();
-        LeaseManager d = new LeaseManager("p1", RULES, new SplittableRandom(1), 0, out);
-        d.stand("d", 100.9, THREE, 0);
-        d.tick(500, 1);
-        out.answer(d, 500);
-        int told = out.out.stream()
-                .filter(m -> m.kind() == Kind.CLAIM)
+    void holderCountsNoLongerLeaseThanItClaimed() {
+        GrantingVoters granting = new GrantingVoters();
+        LeaseManager manager = new LeaseManager("p1", TIMING, new SplittableRandom(1), 0, granting);
+        manager.campaign("d", 100.9, THREE_VOTERS, 0);
+        manager.tick(500, 1);
+        granting.answer(manager, 500);
+        int claimedMs = granting.messages.stream()
+                .filter(message -> message.kind() == Kind.CLAIM)
                 .findFirst()
                 .orElseThrow()
                 .ms();
-        out.answer(d, 500);
-        double voters = RULES.voterMs(told) / (1 + RULES.drift()); // in true time, at the least
-        assertThat(d.permit("d", 500, 0)).isPositive();
-        assertThat(d.permit("d", 500 + voters * (1 - RULES.drift()), 0))
-                .as("by a slow clock the voters' time is over")
+        granting.answer(manager, 500);
+        double voterLeaseMs = TIMING.voterLeaseMs(claimedMs) / (1 + TIMING.maxDrift()); // in true time, at least
+        assertThat(manager.permit("d", 500, 0)).isPositive();
+        assertThat(manager.permit("d", 500 + voterLeaseMs * (1 - TIMING.maxDrift()), 0))
+                .as("a voter with a slow clock may have granted it to another")
                 .isEqualTo(-1);
-        // Another lease counts from the next question on, not for the one that is out.
-        d.stand("d", 1000, THREE, 501);
-        assertThat(d.permit("d", 500 + voters, 0)).isEqualTo(-1);
-        d.tick(540, 1);
-        assertThat(out.out)
-                .filteredOn(m -> m.kind() == Kind.CLAIM)
-                .allMatch(m -> m.ms() == 1000)
+        // Another duration counts for the next claim, not for the open one.
+        manager.campaign("d", 1000, THREE_VOTERS, 501);
+        assertThat(manager.permit("d", 500 + voterLeaseMs, 0)).isEqualTo(-1);
+        manager.tick(540, 1);
+        assertThat(granting.messages)
+                .filteredOn(message -> message.kind() == Kind.CLAIM)
+                .allMatch(message -> message.ms() == 1000)
                 .isNotEmpty();
-        out.answer(d, 541);
-        assertThat(d.permit("d", 1400, 0)).isPositive();
+        granting.answer(manager, 541);
+        assertThat(manager.permit("d", 1400, 0)).isPositive();
     }
 
     @Test
-    void dutiesThatAreNoLongerWantedLeaveNothingBehind() {
-        Granting out = new Granting();
-        LeaseManager d = new LeaseManager("p1", RULES, new SplittableRandom(1), 0, out);
-        for (int i = 0; i < 3 * LeaseManager.MOST; i++) {
-            d.stand("x" + i, 100, THREE, i);
-            d.withdraw("x" + i, i);
-            d.tick(i, 1);
+    void withdrawnLeasesAreForgotten() {
+        GrantingVoters granting = new GrantingVoters();
+        LeaseManager manager = new LeaseManager("p1", TIMING, new SplittableRandom(1), 0, granting);
+        for (int i = 0; i < 3 * LeaseManager.MAX_LEASES; i++) {
+            manager.campaign("x" + i, 100, THREE_VOTERS, i);
+            manager.withdraw("x" + i, i);
+            manager.tick(i, 1);
         }
-        assertThat(d.sights(9999)).isEmpty();
+        assertThat(manager.statuses(9999)).isEmpty();
     }
 }
--- a/src/test/java/cacheproxy/fleet/lease/LeaseWorld.java
+++ b/src/test/java/cacheproxy/fleet/lease/LeaseWorld.java
@@ -2,227 +2,256 @@
 
 import java.util.ArrayList;
 import java.util.HashMap;
+import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
 import java.util.PriorityQueue;
+import java.util.Set;
 import java.util.SplittableRandom;
 
 /**
- * Processes with real {@link LeaseManager}, each on a clock of its own, and the messages between them; judged in true
- * time.
+ * A simulated fleet: processes with a real {@link LeaseManager}, each on its own drifting clock, and the messages
+ * between them. Safety is checked in true time.
  */
 final class LeaseWorld {
-    /** A message on its way. */
-    record Mail(double atMs, long n, int from, int to, byte[] bytes) {}
+    /** A message in flight. */
+    @SuppressWarnings("ArrayRecordComponent") // never compared
+    record Mail(double atMs, long sequence, int from, int to, byte[] bytes) {}
 
-    /** What a process is. */
-    final class Process {
+    /** A process of the fleet. */
+    final class Member {
         final int index;
         final String name;
         final long id;
-        /** Local time is {@code zero + rate * true time}. */
+        /** The local clock shows {@code zeroMs + rate * nowMs}. */
         double rate = 1;
 
-        double zero;
+        double zeroMs;
         boolean paused;
         boolean down;
-        LeaseManager duties;
+        LeaseManager manager;
         SplittableRandom random;
 
-        Process(int index) {
+        Member(int index) {
             this.index = index;
             name = "p" + (index + 1);
             id = NameHash.of(name);
         }
 
-        double local() {
-            return zero + rate * now;
+        double localMs() {
+            return zeroMs + rate * nowMs;
         }
 
-        void start(SplittableRandom with) {
-            random = with;
+        void start(SplittableRandom seeded) {
+            random = seeded;
             down = false;
-            duties = new LeaseManager(name, rules, with, local(), new LeaseManager.Out() {
+            manager = new LeaseManager(name, timing, seeded, localMs(), new LeaseListener() {
                 @Override
-                public void send(long to, LeaseMessage m) {
-                    sent.send(index, byId.get(to), m.bytes());
+                public void send(long to, LeaseMessage message) {
+                    network.send(index, byId.get(to), message.encode());
                 }
 
                 @Override
-                public void gained(String duty, long epoch) {
+                public void gained(String lease, long epoch) {
                     gains++;
-                    Long last = epochs.put(duty, epoch);
+                    Long last = epochs.put(lease, epoch);
                     if (last != null && epoch <= last) {
-                        fault("epoch " + epoch + " of " + duty + " after " + last);
+                        reportViolation("epoch " + epoch + " of " + lease + " after " + last);
                     }
                 }
 
                 @Override
-                public void lost(String duty, long epoch, String why) {
-                    losses.merge(why, 1, Integer::sum);
+                public void lost(String lease, long epoch, String reason) {
+                    losses.merge(reason, 1, Integer::sum);
                 }
             });
-            for (String d : names) {
-                if (stands(index)) {
-                    duties.stand(d, leaseMs, electorate(index, d), local());
+            for (String leaseName : leaseNames) {
+                if (isCandidate(index)) {
+                    manager.campaign(leaseName, leaseMs, voterSet(index, leaseName), localMs());
                 }
             }
         }
 
         void tick() {
             if (!paused && !down) {
-                duties.tick(local(), wall());
+                manager.tick(localMs(), wallMs());
             }
         }
 
-        void heard(int from, byte[] bytes) {
+        void receive(int from, byte[] bytes) {
             if (!paused && !down) {
-                duties.heard(local(), processes.get(from).id, LeaseMessage.of(bytes), wall());
+                manager.receive(localMs(), processes.get(from).id, LeaseMessage.decode(bytes), wallMs());
             }
         }
 
-        /** Would act now if it were asked right before it. */
-        boolean mayAct(String duty) {
-            return !down && duties.permit(duty, local(), 0) >= 0;
+        /** Whether it would act as the holder now. */
+        boolean isHolding(String lease) {
+            return !down && manager.permit(lease, localMs(), 0) >= 0;
         }
     }
 
-    interface Sending {
+    /** What carries messages between processes. */
+    interface Network {
         void send(int from, int to, byte[] bytes);
     }
 
-    final LeaseTiming rules;
+    final LeaseTiming timing;
     final double leaseMs;
-    final List<String> names;
-    final List<Process> processes = new ArrayList<>();
+    final List<String> leaseNames;
+    final List<Member> processes = new ArrayList<>();
     final Map<Long, Integer> byId = new HashMap<>();
     final Map<String, Long> epochs = new HashMap<>();
     final Map<String, Integer> losses = new HashMap<>();
-    final PriorityQueue<Mail> mail =
-            new PriorityQueue<>((a, b) -> a.atMs != b.atMs ? Double.compare(a.atMs, b.atMs) : Long.compare(a.n, b.n));
-    int voters = 5;
-    int standing = Integer.MAX_VALUE;
-    Sending sent = (from, to, bytes) -> {};
-    double now;
+    final PriorityQueue<Mail> mail = new PriorityQueue<>((left, right) -> left.atMs != right.atMs
+            ? Double.compare(left.atMs, right.atMs)
+            : Long.compare(left.sequence, right.sequence));
+    int voterCount = 5;
+    int candidateCount = Integer.MAX_VALUE;
+    Network network = (from, to, bytes) -> {};
+    double nowMs;
     double wallStepMs;
-    long mails;
+    long mailCount;
     int gains;
-    private final List<String> faults = new ArrayList<>();
+    private final List<String> violations = new ArrayList<>();
 
-    LeaseWorld(LeaseTiming rules, double leaseMs, int count, List<String> names) {
-        this.rules = rules;
+    LeaseWorld(LeaseTiming timing, double leaseMs, int count, List<String> leaseNames) {
+        this.timing = timing;
         this.leaseMs = leaseMs;
-        this.names = names;
+        this.leaseNames = leaseNames;
         for (int i = 0; i < count; i++) {
-            processes.add(new Process(i));
+            processes.add(new Member(i));
             byId.put(NameHash.of("p" + (i + 1)), i);
         }
     }
 
-    boolean stands(int index) {
-        return index < standing;
+    /** Delivers a message that has been taken out of the mail. */
+    void deliver(Mail letter) {
+        processes.get(letter.to()).receive(letter.from(), letter.bytes());
     }
 
-    private final Map<String, VoterSet> electorates = new HashMap<>();
+    /** Runs for so long in steps of 1 ms. */
+    void run(double ms) {
+        for (double endMs = nowMs + ms; nowMs < endMs; nowMs++) {
+            while (!mail.isEmpty() && mail.peek().atMs() <= nowMs) {
+                deliver(mail.remove());
+            }
+            processes.forEach(Member::tick);
+            check();
+        }
+    }
+
+    boolean isCandidate(int index) {
+        return index < candidateCount;
+    }
+
+    private final Map<String, VoterSet> voterSets = new HashMap<>();
     /**
-     * The list that each process goes by while it changes: the old one, both, the new one; null: it does not change.
+     * The list of peers that each process uses: 0 the old one, 1 both, 2 the new one; null while it does not change.
      */
     int[] stage;
 
     List<String> oldList;
     List<String> newList;
 
-    /** One process goes by the next list. */
+    /** One process takes the next list of peers. */
     void advance(int index, int to) {
         stage[index] = to;
-        Process p = processes.get(index);
-        if (!p.down) {
-            names.forEach(d -> p.duties.stand(d, leaseMs, electorate(index, d), p.local()));
+        Member process = processes.get(index);
+        if (!process.down) {
+            leaseNames.forEach(
+                    lease -> process.manager.campaign(lease, leaseMs, voterSet(index, lease), process.localMs()));
         }
     }
 
-    private VoterSet of(String duty, List<String> list) {
-        return electorates.computeIfAbsent(duty + list, k -> new VoterSet(duty, list, List.of(), voters));
+    private VoterSet voterSetOf(String lease, List<String> list) {
+        return voterSets.computeIfAbsent(lease + list, key -> new VoterSet(lease, list, List.of(), voterCount));
     }
 
-    VoterSet electorate(int index, String duty) {
-        return electorates.computeIfAbsent(
-                (stage == null ? -1 : stage[index]) + duty,
-                k -> stage == null
-                        ? new VoterSet(duty, processes.stream().map(p -> p.name).toList(), List.of(), voters)
+    VoterSet voterSet(int index, String lease) {
+        return voterSets.computeIfAbsent(
+                (stage == null ? -1 : stage[index]) + lease,
+                key -> stage == null
+                        ? new VoterSet(
+                                lease,
+                                processes.stream().map(process -> process.name).toList(),
+                                List.of(),
+                                voterCount)
                         : stage[index] == 0
-                                ? new VoterSet(duty, oldList, List.of(), voters)
-                                : new VoterSet(duty, newList, stage[index] == 1 ? oldList : List.of(), voters));
+                                ? new VoterSet(lease, oldList, List.of(), voterCount)
+                                : new VoterSet(lease, newList, stage[index] == 1 ? oldList : List.of(), voterCount));
     }
 
-    /** The wall clock is off by so much from now on. */
+    /** Sets by how much all wall clocks are off. */
     void stepWall(double ms) {
         wallStepMs = ms;
-        if (rules instanceof ByWallClock by) {
-            by.stepMs = ms;
+        if (timing instanceof ByWallClock byWallClock) {
+            byWallClock.stepMs = ms;
         }
     }
 
-    /** A planted fault: the lease is held by the wall clock. */
+    /** A planted defect: the holder measures its lease by the wall clock. */
     static final class ByWallClock extends LeaseTiming {
         double stepMs;
 
         ByWallClock(double longestMs) {
-            super(longestMs, DRIFT);
+            super(longestMs, MAX_CLOCK_DRIFT);
         }
 
         @Override
-        public boolean mayAct(double now, double untilMs, double actMs) {
-            return super.mayAct(now + stepMs, untilMs, actMs);
+        public boolean permitsAction(double nowMs, double untilMs, double actionMs) {
+            return super.permitsAction(nowMs + stepMs, untilMs, actionMs);
         }
     }
 
-    long wall() {
-        return Math.max(0, (long) (1_000_000 + now + wallStepMs));
+    long wallMs() {
+        return Math.max(0, (long) (1_000_000 + nowMs + wallStepMs));
     }
 
-    void fault(String what) {
-        faults.add(Math.round(now) + " ms: " + what);
+    void reportViolation(String what) {
+        violations.add(Math.round(nowMs) + " ms: " + what);
     }
 
-    List<String> faults() {
-        return faults;
+    List<String> violations() {
+        return violations;
     }
 
-    /** Never two that may act; and what that rests on: while one may act, a majority keeps all others from it. */
-    void judge() {
-        for (String d : names) {
-            int n = 0;
-            for (Process p : processes) {
-                if (p.mayAct(d)) {
-                    n++;
-                    java.util.Set<Long> keep = new java.util.HashSet<>();
-                    for (Process v : processes) {
-                        if (v.down || v.duties.keepsFor(v.local(), d, p.id)) {
-                            keep.add(v.id);
+    /**
+     * At most one process may act under a lease, and while it may, a majority of the voters reserves the lease for it.
+     */
+    void check() {
+        for (String lease : leaseNames) {
+            int holders = 0;
+            for (Member process : processes) {
+                if (process.isHolding(lease)) {
+                    holders++;
+                    Set<Long> reserving = new HashSet<>();
+                    for (Member voter : processes) {
+                        if (voter.down || voter.manager.reservesFor(voter.localMs(), lease, process.id)) {
+                            reserving.add(voter.id);
                         }
                     }
-                    // While the list changes, a lease may stem from the list before the one that the holder goes by
-                    // now.
-                    boolean kept = stage == null
-                            ? electorate(p.index, d).isMajority(keep)
-                            : of(d, oldList).isMajority(keep) || of(d, newList).isMajority(keep);
-                    if (!kept) {
-                        fault(p.name + " may act on " + d + " and only " + keep.size() + " keep others from it");
+                    // While the list changes, a grant may stem from the list before the one that the holder uses now.
+                    boolean isReserved = stage == null
+                            ? voterSet(process.index, lease).isMajority(reserving)
+                            : voterSetOf(lease, oldList).isMajority(reserving)
+                                    || voterSetOf(lease, newList).isMajority(reserving);
+                    if (!isReserved) {
+                        reportViolation(process.name + " may act on " + lease + " and only " + reserving.size()
+                                + " keep others from it");
                     }
                 }
             }
-            if (n > 1) {
-                fault(n + " may act on " + d + ": "
+            if (holders > 1) {
+                reportViolation(holders + " may act on " + lease + ": "
                         + processes.stream()
-                                .filter(p -> p.mayAct(d))
-                                .map(p -> p.name)
+                                .filter(process -> process.isHolding(lease))
+                                .map(process -> process.name)
                                 .toList());
             }
         }
     }
 
-    boolean held(String duty) {
-        return processes.stream().anyMatch(p -> p.mayAct(duty));
+    boolean held(String lease) {
+        return processes.stream().anyMatch(process -> process.isHolding(lease));
     }
 }
--- a/src/test/java/cacheproxy/fleet/lease/ServerReachabilityTest.java
+++ b/src/test/java/cacheproxy/fleet/lease/ServerReachabilityTest.java
@@ -5,27 +5,32 @@
 
 import org.junit.jupiter.api.Test;
 
+/** Local successes and reports of others against the limits of each. */
 class ServerReachabilityTest {
     @Test
-    void oneThatReachesNoServerWhereOthersDoIsIllAndAllAreWellWhereNobodyDoes() {
-        ServerReachability r = new ServerReachability(0, 3000, 10_000);
-        assertThat(r.able(60_000)).as("nobody says that it reaches any").isTrue();
-        r.there(60_000);
-        assertThat(r.able(60_000)).isFalse();
-        r.here(60_500);
-        assertThat(r.able(63_499)).isTrue();
-        assertThat(r.able(63_501)).as("the word was of before").isTrue();
-        r.there(63_600);
-        assertThat(r.able(63_601)).isFalse();
-        assertThat(r.able(73_599)).isFalse();
-        assertThat(r.able(73_601)).as("the word is old").isTrue();
-        // All lose them at one time: what others said just before says nothing.
+    void isIneligibleOnlyWhileOthersReachServersThatItDoesNot() {
+        ServerReachability reachability = new ServerReachability(0, 3000, 10_000);
+        assertThat(reachability.isEligible(60_000))
+                .as("no process reports a server")
+                .isTrue();
+        reachability.recordRemoteReport(60_000);
+        assertThat(reachability.isEligible(60_000)).isFalse();
+        reachability.recordLocalReach(60_500);
+        assertThat(reachability.isEligible(63_499)).isTrue();
+        assertThat(reachability.isEligible(63_501))
+                .as("the report is older than the own success")
+                .isTrue();
+        reachability.recordRemoteReport(63_600);
+        assertThat(reachability.isEligible(63_601)).isFalse();
+        assertThat(reachability.isEligible(73_599)).isFalse();
+        assertThat(reachability.isEligible(73_601)).as("the report has expired").isTrue();
+        // A common outage: reports from just before it do not count.
         ServerReachability all = new ServerReachability(0, 3000, 10_000);
-        all.here(100_000);
-        all.there(100_900);
-        assertThat(all.able(104_000)).isTrue();
-        all.there(103_500);
-        assertThat(all.able(104_000)).as("others still do").isFalse();
+        all.recordLocalReach(100_000);
+        all.recordRemoteReport(100_900);
+        assertThat(all.isEligible(104_000)).isTrue();
+        all.recordRemoteReport(103_500);
+        assertThat(all.isEligible(104_000)).as("others still do").isFalse();
         assertThatThrownBy(() -> new ServerReachability(0, 0, 1)).isInstanceOf(IllegalArgumentException.class);
     }
 }
--- a/src/test/java/cacheproxy/fleet/quota/QuotaWalkTest.java
+++ b/src/test/java/cacheproxy/fleet/quota/QuotaWalkTest.java
@@ -305,7 +305,7 @@
         }
         SplittableRandom random = new SplittableRandom(1);
         QuotaManager q = new QuotaManager(1, RULES, random, 0, peer -> true, (to, x) -> {});
-        q.use(List.of(l), List.of(LeaseHandle.NOBODYS), List.of(1L, 2L), 2, false, true, 0);
+        q.use(List.of(l), List.of(LeaseHandle.UNHELD), List.of(1L, 2L), 2, false, true, 0);
         for (int i = 0; i < 20_000; i++) { // spoilt and hostile ones change nothing that is not bounded
             byte[] b = new byte[25 + 12 * random.nextInt(16)];
             random.nextBytes(b);
@@ -324,7 +324,7 @@
     void aLimitThatIsTakenOutAndPutBackIsSilentForAsLongAsItMayBeLent() {
         QuotaSpec l = new QuotaSpec("l", false, 100, 0, QuotaSpec.Alone.SHARE, 1, 0);
         QuotaManager q = new QuotaManager(1, RULES, new SplittableRandom(1), -1e6, peer -> true, (to, x) -> {});
-        q.use(List.of(l), List.of(LeaseHandle.NOBODYS), List.of(1L, 2L), 2, false, true, 0);
+        q.use(List.of(l), List.of(LeaseHandle.UNHELD), List.of(1L, 2L), 2, false, true, 0);
         assertThat(q.pocket("l").own(1)).isEqualTo(50);
         q.heard(
                 1,
@@ -332,13 +332,13 @@
                 new QuotaMessage(
                         QuotaMessage.Kind.CALL, 7, 1, 0, List.of(new QuotaMessage.Entry(NameHash.of("l"), 0))));
         assertThat(q.pocket("l").own(1)).as("lent").isLessThan(2);
-        q.use(List.of(), List.of(LeaseHandle.NOBODYS), List.of(1L, 2L), 2, false, true, 10);
-        q.use(List.of(l), List.of(LeaseHandle.NOBODYS), List.of(1L, 2L), 2, false, true, 20);
+        q.use(List.of(), List.of(LeaseHandle.UNHELD), List.of(1L, 2L), 2, false, true, 10);
+        q.use(List.of(l), List.of(LeaseHandle.UNHELD), List.of(1L, 2L), 2, false, true, 20);
         assertThat(q.pocket("l").own(30)).isZero();
         assertThat(q.pocket("l").own(RULES.keptMs(l))).isZero();
         assertThat(q.pocket("l").own(21 + RULES.keptMs(l))).isEqualTo(50);
         QuotaSpec other = new QuotaSpec("l", true, 10, 0, QuotaSpec.Alone.SHARE, 1, 500);
-        q.use(List.of(other), List.of(LeaseHandle.NOBODYS), List.of(1L, 2L), 2, false, true, 5000);
+        q.use(List.of(other), List.of(LeaseHandle.UNHELD), List.of(1L, 2L), 2, false, true, 5000);
         assertThat(q.pocket("l").mine(5001)).as("of another kind").isZero();
         assertThat(q.pocket("l").mine(5001 + RULES.keptMs(other))).isEqualTo(5);
     }
@@ -360,7 +360,7 @@
             }
 
             @Override
-            public double leftMs(double now) {
+            public double remainingMs(double now) {
                 return 1e6;
             }
 
@@ -370,7 +370,7 @@
             }
 
             @Override
-            public List<Long> order() {
+            public List<Long> candidateOrder() {
                 return List.of(1L);
             }
 
