--- a/src/main/java/cacheproxy/bench/QuotaBench.java
+++ b/src/main/java/cacheproxy/bench/QuotaBench.java
@@ -41,9 +41,10 @@
                         + rounds + " seeds");
         for (int n : new int[] {8, 50, 200, 1000}) {
             double amount = Math.max(200, 10 * n);
-            for (QuotaSpec.Alone alone : n > 200
-                    ? new QuotaSpec.Alone[] {QuotaSpec.Alone.SHARE}
-                    : new QuotaSpec.Alone[] {QuotaSpec.Alone.SHARE, QuotaSpec.Alone.NONE}) {
+            for (QuotaSpec.IsolationPolicy alone : n > 200
+                    ? new QuotaSpec.IsolationPolicy[] {QuotaSpec.IsolationPolicy.SHARE}
+                    : new QuotaSpec.IsolationPolicy[] {QuotaSpec.IsolationPolicy.SHARE, QuotaSpec.IsolationPolicy.NONE
+                    }) {
                 QuotaSpec l = new QuotaSpec("l", false, amount, amount / 10, alone, 1, 0);
                 out.printf(
                         Locale.ROOT,
@@ -56,7 +57,7 @@
                     StringBuilder line = new StringBuilder(String.format("  %-22s", c.name));
                     for (Way w : Way.values()) {
                         if (n > 50 && (w == Way.PEERS || w == Way.GOSSIP)
-                                || alone == QuotaSpec.Alone.NONE && w != Way.DEALER) {
+                                || alone == QuotaSpec.IsolationPolicy.NONE && w != Way.DEALER) {
                             continue;
                         }
                         Result[] r = IntStream.rangeClosed(1, rounds)
@@ -141,9 +142,9 @@
         QuotaManager q = new QuotaManager(1, RULES, new SplittableRandom(1), -1e6, peer -> true, (to, m) -> sent[0]++);
         List<QuotaSpec> all = new ArrayList<>();
         for (int i = 0; i < limits; i++) {
-            all.add(new QuotaSpec("l" + i, false, 1e6, 1e5, QuotaSpec.Alone.SHARE, 1, 0));
+            all.add(new QuotaSpec("l" + i, false, 1e6, 1e5, QuotaSpec.IsolationPolicy.SHARE, 1, 0));
         }
-        q.use(
+        q.configure(
                 all,
                 List.of(LeaseHandle.UNHELD),
                 IntStream.rangeClosed(1, peers).mapToObj(i -> (long) i).toList(),
@@ -160,16 +161,16 @@
         double[] nanos = new double[7];
         double[] bytes = new double[7];
         QuotaManager q = quota(1, 8, new long[1]);
-        LocalQuota p = q.pocket("l0");
+        LocalQuota p = q.localQuota("l0");
         double now = 0;
         for (int round = 0; round < nanos.length; round++) {
             long before = threads.getThreadAllocatedBytes(id);
             long from = System.nanoTime();
             for (int i = 0; i < TAKES; i++) {
                 now += 0.02;
-                if (p.ask(now) == 0) {
-                    p.take();
-                    p.give();
+                if (p.requestWaitMs(now) == 0) {
+                    p.consume();
+                    p.release();
                 }
             }
             nanos[round] = (double) (System.nanoTime() - from) / TAKES;
@@ -191,14 +192,14 @@
         long id = Thread.currentThread().getId();
         long[] sent = new long[1];
         long before = threads.getThreadAllocatedBytes(id);
-        QuotaManager q = quota(QuotaManager.MOST_LIMITS, 8, sent);
+        QuotaManager q = quota(QuotaManager.MAX_QUOTAS, 8, sent);
         long made = threads.getThreadAllocatedBytes(id) - before;
         double now = 0;
         long from = System.nanoTime();
         int ticks = 0;
         for (; now < 20_000; now += 20, ticks++) {
             for (int i = 0; i < 100; i++) {
-                q.pocket("l" + i).ask(now);
+                q.localQuota("l" + i).requestWaitMs(now);
             }
             q.tick(now);
         }
--- a/src/main/java/cacheproxy/daemon/RoutedRequest.java
+++ b/src/main/java/cacheproxy/daemon/RoutedRequest.java
@@ -122,7 +122,7 @@
 
     private static LocalQuota[] take(LocalQuota[] of) {
         for (LocalQuota p : of) {
-            p.take();
+            p.consume();
         }
         return of;
     }
@@ -130,7 +130,7 @@
     private static void give(LocalQuota[] of) {
         if (of != null) {
             for (LocalQuota p : of) {
-                p.give();
+                p.release();
             }
         }
     }
--- a/src/main/java/cacheproxy/daemon/fleet/FleetQuotas.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetQuotas.java
@@ -9,6 +9,7 @@
 import cacheproxy.fleet.quota.QuotaManager;
 import cacheproxy.fleet.quota.QuotaMessage;
 import cacheproxy.fleet.quota.QuotaSpec;
+import cacheproxy.fleet.quota.QuotaStatus;
 import cacheproxy.fleet.quota.QuotaTiming;
 import cacheproxy.proxy.ClientRequest;
 import cacheproxy.proxy.EventLoopContext;
@@ -84,7 +85,7 @@
             double from = rules == null ? startMs : now + Math.max(0, rules.grantMs() - figures.grantMs()) * 4;
             rules = figures;
             quota = new QuotaManager(
-                    link.me(), rules, random.split(), from, likely, (to, m) -> link.send(to, this, m.bytes()));
+                    link.me(), rules, random.split(), from, likely, (to, m) -> link.send(to, this, m.encode()));
         }
         boolean changing = fleet.peers().stream().anyMatch(p -> p.joining() || p.leaving());
         boolean owns = fleet.peers().stream()
@@ -105,7 +106,7 @@
                 scopes.put(name, l.scope());
             });
         });
-        quota.use(
+        quota.configure(
                 limits,
                 spec.duties().stream().map(link::tenure).toList(),
                 fleet.peers().stream()
@@ -125,7 +126,7 @@
                     if (mine) {
                         LocalQuota[] before = table[c * tenants + t];
                         LocalQuota[] more = java.util.Arrays.copyOf(before, before.length + 1);
-                        more[before.length] = quota.pocket(own.get(own.size() > 1 ? t : 0));
+                        more[before.length] = quota.localQuota(own.get(own.size() > 1 ? t : 0));
                         table[c * tenants + t] = more;
                     }
                 }
@@ -146,7 +147,7 @@
                 atOnce,
                 atOnce ? l.atOnce() : l.perSecond(),
                 atOnce ? 0 : l.burst(),
-                QuotaSpec.Alone.valueOf(l.whenAlone().toUpperCase(Locale.ROOT)),
+                QuotaSpec.IsolationPolicy.valueOf(l.whenAlone().toUpperCase(Locale.ROOT)),
                 l.sharePart(),
                 atOnce ? spec.holdMs() : 0);
     }
@@ -167,9 +168,9 @@
         double wait = 0;
         boolean hurry = false;
         for (LocalQuota p : of) {
-            double own = p.ask(now);
+            double own = p.requestWaitMs(now);
             wait = Math.max(wait, own);
-            hurry |= own > 0 && quota != null && quota.hurry(p, now);
+            hurry |= own > 0 && quota != null && quota.requestSoon(p, now);
         }
         if (hurry && !hurrying) {
             hurrying = true;
@@ -202,9 +203,9 @@
 
     @Override
     public void heard(double now, long from, byte[] payload) {
-        QuotaMessage m = QuotaMessage.of(payload);
+        QuotaMessage m = QuotaMessage.decode(payload);
         if (quota != null && m != null) {
-            quota.heard(now, from, m);
+            quota.receive(now, from, m);
             soon(now);
         }
     }
@@ -225,22 +226,22 @@
     private void count(double now) {
         double seconds = Math.min(10, (now - countedMs) / 1000);
         countedMs = now;
-        for (QuotaManager.Sight s : quota.sights(now)) {
-            long[] c = counted.computeIfAbsent(s.limit().name(), k -> new long[4]);
-            c[2] = Math.round((s.spent() - c[0]) / seconds);
-            c[3] = Math.round((s.refused() - c[1]) / seconds);
-            c[0] = s.spent();
-            c[1] = s.refused();
-            boolean isAlone = !Double.isNaN(s.aloneSinceMs());
-            Double since = alone.get(s.limit().name());
+        for (QuotaStatus s : quota.statuses(now)) {
+            long[] c = counted.computeIfAbsent(s.spec().name(), k -> new long[4]);
+            c[2] = Math.round((s.consumed() - c[0]) / seconds);
+            c[3] = Math.round((s.rejected() - c[1]) / seconds);
+            c[0] = s.consumed();
+            c[1] = s.rejected();
+            boolean isAlone = !Double.isNaN(s.isolatedSinceMs());
+            Double since = alone.get(s.spec().name());
             if (isAlone && since == null) {
-                alone.put(s.limit().name(), s.aloneSinceMs());
-                core.log("limit " + s.limit().name() + " alone: no proxy answers; this one spends "
-                        + String.format(Locale.ROOT, "%.1f", s.mine())
-                        + (s.limit().atOnce() ? " at once" : " a second"));
+                alone.put(s.spec().name(), s.isolatedSinceMs());
+                core.log("limit " + s.spec().name() + " alone: no proxy answers; this one spends "
+                        + String.format(Locale.ROOT, "%.1f", s.capacity())
+                        + (s.spec().concurrent() ? " at once" : " a second"));
             } else if (!isAlone && since != null) {
-                alone.remove(s.limit().name());
-                core.log("limit " + s.limit().name() + " no longer alone after " + Math.round(now - since) + " ms");
+                alone.remove(s.spec().name());
+                core.log("limit " + s.spec().name() + " no longer alone after " + Math.round(now - since) + " ms");
             }
         }
         counted.keySet().retainAll(scopes.keySet());
@@ -253,29 +254,29 @@
         JsonArray list = new JsonArray();
         double now = core.now();
         if (quota != null) {
-            quota.sights(now).forEach(s -> list.add(json(s, now)));
+            quota.statuses(now).forEach(s -> list.add(json(s, now)));
         }
         return new Answer(200, list.toString());
     }
 
-    private JsonObject json(QuotaManager.Sight s, double now) {
-        QuotaSpec l = s.limit();
+    private JsonObject json(QuotaStatus s, double now) {
+        QuotaSpec l = s.spec();
         long[] c = counted.getOrDefault(l.name(), new long[4]);
         JsonObject o = new JsonObject();
         o.addProperty("name", l.name());
         o.addProperty("scope", scopes.get(l.name()));
-        o.addProperty("kind", l.atOnce() ? "at_once" : "per_second");
+        o.addProperty("kind", l.concurrent() ? "at_once" : "per_second");
         o.addProperty("limit", l.amount());
-        o.addProperty("mine", round(s.mine()));
-        o.addProperty("own", round(s.own()));
-        o.addProperty("lent", round(s.lent()));
-        o.addProperty("used", l.atOnce() ? s.inHand() : c[2]);
+        o.addProperty("mine", round(s.capacity()));
+        o.addProperty("own", round(s.owned()));
+        o.addProperty("lent", round(s.donated()));
+        o.addProperty("used", l.concurrent() ? s.inUse() : c[2]);
         o.addProperty("waiting", c[3]);
-        if (!Double.isNaN(s.aloneSinceMs())) {
-            o.addProperty("alone_since_ms", Math.round(now - s.aloneSinceMs()));
+        if (!Double.isNaN(s.isolatedSinceMs())) {
+            o.addProperty("alone_since_ms", Math.round(now - s.isolatedSinceMs()));
         }
-        o.addProperty("over_bound", round(OvershootBound.over(l, rules, proxies, 1000)));
-        o.addProperty("idle_bound_one_gone", round(OvershootBound.idle(l, proxies, 1)));
+        o.addProperty("over_bound", round(OvershootBound.maxOvershoot(l, rules, proxies, 1000)));
+        o.addProperty("idle_bound_one_gone", round(OvershootBound.maxIdleFraction(l, proxies, 1)));
         return o;
     }
 
@@ -287,7 +288,7 @@
     public void tell(JsonObject state) {
         if (quota != null) {
             state.addProperty("limits", scopes.size());
-            state.addProperty("grants_of_older_epochs", quota.olderEpochs());
+            state.addProperty("grants_of_older_epochs", quota.staleGrants());
         }
     }
 }
--- a/src/main/java/cacheproxy/fleet/quota/AllocationLedger.java
+++ b/src/main/java/cacheproxy/fleet/quota/AllocationLedger.java
@@ -6,137 +6,175 @@
 import java.util.Map;
 
 /**
- * A dealer's account of one limit: who lends, who wants, what it has given out. It gives out only what is covered, at
- * the time of giving, by loans that outlast the grant and by the fleet's own part while that is its to deal; all that
- * it has given out and that is not over counts, whether it arrived or not. So however many dealers there are, and
- * whatever is lost, all spend no more than the limit. Free of clocks and I/O.
+ * An allocator's account of one quota: who has donated, who has requested, and which grants are outstanding.
+ *
+ * <p>A grant must be covered when it is made: by donations that outlast it, and by the shared pool while the allocator
+ * holds the lease. All grants that have not expired count, whether they arrived or not. So all proxies together spend
+ * no more than the quota, however many allocators there are and whatever is lost.
  */
 final class AllocationLedger {
-    private static final class Want {
+    /** Requests are forgotten after so many durations of a grant. */
+    private static final double REQUEST_GRANTS = 2;
+    /** A larger grant is sent before the next request if it grows by this fraction of the requested amount. */
+    private static final double NOTABLE_FRACTION = 0.02;
+    /** Rounding errors must not turn a whole number into the one below. */
+    private static final double ROUNDING = 1e-6;
+
+    private static final double NOT_GRANTED = -1;
+
+    private static final class PendingRequest {
         double amount;
-        long life;
-        long number;
-        double heardMs;
-        /** Given for this ask; less than nothing: not yet. */
-        double given;
+        long incarnation;
+        long requestId;
+        double receivedMs;
+        /** In reply to this request; {@link #NOT_GRANTED} before the first reply. */
+        double granted;
     }
 
-    /** What a peer is to be told. */
-    record Grant(long peer, long number, double amount) {}
+    /**
+     * A grant to be sent.
+     *
+     * @param requestId the request that it replies to
+     */
+    record Grant(long peer, long requestId, double amount) {}
 
-    private final QuotaTiming rules;
-    private final Map<Long, OutstandingGrants> loans = new HashMap<>();
+    private final QuotaTiming timing;
+    private final Map<Long, OutstandingGrants> donations = new HashMap<>();
     private final Map<Long, OutstandingGrants> grants = new HashMap<>();
-    private final Map<Long, Want> wants = new HashMap<>();
-    private QuotaSpec limit;
-    private double pool;
+    private final Map<Long, PendingRequest> requests = new HashMap<>();
+    private QuotaSpec spec;
+    private double sharedPool;
 
-    AllocationLedger(QuotaTiming rules) {
-        this.rules = rules;
+    AllocationLedger(QuotaTiming timing) {
+        this.timing = timing;
     }
 
-    /** @param ofNobody what is dealt out of nobody's share */
-    void use(QuotaSpec other, double ofNobody) {
-        limit = other;
-        pool = ofNobody;
+    /**
+     * Takes over the definition of the quota.
+     *
+     * @param newSharedPool what is in nobody's share
+     */
+    void configure(QuotaSpec newSpec, double newSharedPool) {
+        spec = newSpec;
+        sharedPool = newSharedPool;
     }
 
-    QuotaSpec limit() {
-        return limit;
+    /** The definition in use. */
+    QuotaSpec spec() {
+        return spec;
     }
 
     /**
-     * @param life of the asker's process: what an earlier one had in hand may still be, so that it gives nothing back
+     * A peer's request. It gives up what it holds beyond this amount.
+     *
+     * @param incarnation of the peer's process: one that has restarted cannot give up what its predecessor held
      */
-    void wanted(double now, long peer, long life, double amount, long number) {
-        Want w = wants.computeIfAbsent(peer, p -> new Want());
-        boolean same = w.life == life;
-        if (!same || number > w.number) {
-            OutstandingGrants line = grants.get(peer);
-            if (line != null && same) {
-                line.cap(amount); // it has given back the rest
-            }
-            w.life = life;
-            w.amount = Math.min(amount, limit.amount());
-            w.number = number;
-            w.heardMs = now;
-            w.given = -1;
+    void recordRequest(double nowMs, long peer, long incarnation, double amount, long requestId) {
+        PendingRequest request = requests.computeIfAbsent(peer, id -> new PendingRequest());
+        boolean isSameProcess = request.incarnation == incarnation;
+        if (isSameProcess && requestId <= request.requestId) {
+            return; // overtaken by a later one
         }
+        OutstandingGrants outstanding = grants.get(peer);
+        if (outstanding != null && isSameProcess) {
+            outstanding.cap(amount);
+        }
+        request.incarnation = incarnation;
+        request.amount = Math.min(amount, spec.amount());
+        request.requestId = requestId;
+        request.receivedMs = nowMs;
+        request.granted = NOT_GRANTED;
     }
 
-    /** @param calledMs when the call that this answers went out */
-    void lent(double now, long peer, double amount, double calledMs) {
-        loans.computeIfAbsent(peer, p -> new OutstandingGrants(false))
-                .add(Math.min(amount, limit.amount()), calledMs + rules.lentMs(limit));
+    /**
+     * A peer's donation.
+     *
+     * @param solicitedMs when it was solicited: the donation counts from then
+     */
+    void recordDonation(long peer, double amount, double solicitedMs) {
+        donations
+                .computeIfAbsent(peer, id -> new OutstandingGrants(false))
+                .add(Math.min(amount, spec.amount()), solicitedMs + timing.donationCountsMs(spec));
     }
 
-    /** Whether somebody wants more than he owns. */
-    boolean isWanted(double now) {
-        return wants.values().stream().anyMatch(w -> fresh(now, w));
+    /** Whether any peer has requested capacity lately. */
+    boolean isRequested(double nowMs) {
+        return requests.values().stream().anyMatch(request -> isRecent(nowMs, request));
     }
 
-    private boolean fresh(double now, Want w) {
-        return now - w.heardMs <= rules.grantMs() && w.amount > 0;
+    private boolean isRecent(double nowMs, PendingRequest request) {
+        return nowMs - request.receivedMs <= timing.grantMs() && request.amount > 0;
     }
 
-    /** Forgets what is over; whether nothing is left. */
-    boolean over(double now) {
-        loans.values().removeIf(l -> l.over(now));
-        grants.values().removeIf(l -> l.over(now));
-        wants.values().removeIf(w -> now - w.heardMs > 2 * rules.grantMs());
-        return loans.isEmpty() && grants.isEmpty() && wants.isEmpty();
+    /** Forgets what has expired; returns whether nothing is left. */
+    boolean removeExpired(double nowMs) {
+        donations.values().removeIf(donation -> donation.removeExpired(nowMs));
+        grants.values().removeIf(grant -> grant.removeExpired(nowMs));
+        requests.values().removeIf(request -> nowMs - request.receivedMs > REQUEST_GRANTS * timing.grantMs());
+        return donations.isEmpty() && grants.isEmpty() && requests.isEmpty();
     }
 
-    /** What is covered until a grant of now is over. */
-    double cover(double now, boolean poolToo) {
-        double until = now + rules.outMs(limit);
-        double sum = poolToo ? pool : 0;
-        for (OutstandingGrants l : loans.values()) {
-            sum += l.at(until);
+    /** What covers a grant made now until it expires. */
+    private double covered(double nowMs, boolean holdsLease) {
+        double untilMs = nowMs + timing.outstandingMs(spec);
+        double sum = holdsLease ? sharedPool : 0;
+        for (OutstandingGrants donation : donations.values()) {
+            sum += donation.amountAt(untilMs);
         }
         return sum;
     }
 
-    double out(double now) {
+    /** All grants that have not expired. */
+    double outstanding(double nowMs) {
         double sum = 0;
-        for (OutstandingGrants l : grants.values()) {
-            sum += l.at(now);
+        for (OutstandingGrants grant : grants.values()) {
+            sum += grant.amountAt(nowMs);
         }
         return sum;
     }
 
     /**
-     * Deals: to each whose ask has no answer yet, and to each who can have notably more than it was given for it.
+     * Grants what is covered by max-min fairness: to each request without a reply, and to each that can get notably
+     * more.
      *
-     * @param poolToo whether the fleet's own part is this dealer's to deal out now
+     * @param holdsLease whether the shared pool may be granted too
      */
-    List<Grant> deal(double now, boolean poolToo) {
-        List<Map.Entry<Long, Want>> fresh = new ArrayList<>();
-        wants.entrySet().stream().filter(e -> fresh(now, e.getValue())).forEach(fresh::add);
-        List<Grant> told = new ArrayList<>();
-        if (fresh.isEmpty()) {
-            return told;
+    List<Grant> allocate(double nowMs, boolean holdsLease) {
+        List<Map.Entry<Long, PendingRequest>> recent = new ArrayList<>();
+        requests.entrySet().stream()
+                .filter(entry -> isRecent(nowMs, entry.getValue()))
+                .forEach(recent::add);
+        List<Grant> made = new ArrayList<>();
+        if (recent.isEmpty()) {
+            return made;
         }
-        double cover = cover(now, poolToo);
-        double out = out(now);
-        double level = MaxMinFairness.level(
-                fresh.stream().mapToDouble(e -> e.getValue().amount).toArray(), cover);
-        for (Map.Entry<Long, Want> e : fresh) {
-            Want w = e.getValue();
-            OutstandingGrants line = grants.computeIfAbsent(e.getKey(), k -> new OutstandingGrants(true));
-            double own = line.at(now);
-            double amount = Math.min(Math.min(w.amount, level), Math.max(0, cover - (out - own)));
-            if (limit.atOnce()) {
-                amount = Math.floor(amount + 1e-6);
-            }
-            if (w.given >= 0 && amount < w.given + Math.max(limit.atOnce() ? 1 : 0, 0.02 * w.amount)) {
-                continue;
+        double covered = covered(nowMs, holdsLease);
+        double outstanding = outstanding(nowMs);
+        double[] requested =
+                recent.stream().mapToDouble(entry -> entry.getValue().amount).toArray();
+        double level = MaxMinFairness.fairLevel(requested, covered);
+        for (Map.Entry<Long, PendingRequest> entry : recent) {
+            PendingRequest request = entry.getValue();
+            OutstandingGrants peerGrants = grants.computeIfAbsent(entry.getKey(), id -> new OutstandingGrants(true));
+            double before = peerGrants.amountAt(nowMs);
+            double available = Math.max(0, covered - (outstanding - before));
+            double amount = wholeIfConcurrent(Math.min(Math.min(request.amount, level), available));
+            if (isWorthSending(request, amount)) {
+                request.granted = amount;
+                peerGrants.add(amount, nowMs + timing.outstandingMs(spec));
+                outstanding += peerGrants.amountAt(nowMs) - before;
+                made.add(new Grant(entry.getKey(), request.requestId, amount));
             }
-            w.given = amount;
-            line.add(amount, now + rules.outMs(limit));
-            out += line.at(now) - own;
-            told.add(new Grant(e.getKey(), w.number, amount));
         }
-        return told;
+        return made;
+    }
+
+    private double wholeIfConcurrent(double amount) {
+        return spec.concurrent() ? Math.floor(amount + ROUNDING) : amount;
+    }
+
+    private boolean isWorthSending(PendingRequest request, double amount) {
+        double notable = Math.max(spec.concurrent() ? 1 : 0, NOTABLE_FRACTION * request.amount);
+        return request.granted < 0 || amount >= request.granted + notable;
     }
 }
--- /dev/null
+++ b/src/main/java/cacheproxy/fleet/quota/AllocatorSelector.java
@@ -0,0 +1,86 @@
+package cacheproxy.fleet.quota;
+
+import cacheproxy.fleet.lease.LeaseHandle;
+import cacheproxy.fleet.lease.NameHash;
+import java.util.HashMap;
+import java.util.Map;
+import java.util.function.LongPredicate;
+
+/**
+ * Chooses whom a proxy requests capacity from: the holder of the allocator lease, or the first candidate for it that
+ * has not failed to reply lately. Any peer may act as allocator, so a wrong choice costs time and not safety.
+ */
+final class AllocatorSelector {
+    /** A request without a reply is overdue after this part of the interval of requests. */
+    private static final double REPLY_TIMEOUT_INTERVALS = 0.5;
+    /** A peer that did not reply is ejected for so many durations of a grant. */
+    private static final double EJECTION_GRANTS = 3;
+
+    private final long selfId;
+    private final QuotaTiming timing;
+    private final SentRequests requests;
+    private final LongPredicate isLikelyAlive;
+    private final Map<Long, Double> lastHeardMs = new HashMap<>();
+    private final Map<Long, Double> ejectedUntilMs = new HashMap<>();
+
+    /**
+     * Creates a selector that has heard of nobody.
+     *
+     * @param requests this process's requests for capacity
+     * @param isLikelyAlive whether a peer may be alive
+     */
+    AllocatorSelector(long selfId, QuotaTiming timing, SentRequests requests, LongPredicate isLikelyAlive) {
+        this.selfId = selfId;
+        this.timing = timing;
+        this.requests = requests;
+        this.isLikelyAlive = isLikelyAlive;
+    }
+
+    /** A peer's message has arrived. */
+    void recordMessage(long peer, double nowMs) {
+        lastHeardMs.put(peer, nowMs);
+        ejectedUntilMs.remove(peer);
+    }
+
+    /** The peer to request from; this process itself if no other is left. */
+    long select(LeaseHandle lease, double nowMs) {
+        long holder = holder(lease, nowMs);
+        // The voters have heard of the holder just now, so a missing reply may have been lost: a short ejection.
+        if (holder != NameHash.NOBODY && isResponsive(holder, timing.requestIntervalMs(), nowMs)) {
+            return holder;
+        }
+        for (long peer : lease.candidateOrder()) {
+            if (isResponsive(peer, EJECTION_GRANTS * timing.grantMs(), nowMs)) {
+                return peer;
+            }
+        }
+        return selfId;
+    }
+
+    /** The holder of the lease, where no other peer can grant anything. */
+    long holderOr(LeaseHandle lease, long otherwise, double nowMs) {
+        long holder = holder(lease, nowMs);
+        return holder == NameHash.NOBODY ? otherwise : holder;
+    }
+
+    private long holder(LeaseHandle lease, double nowMs) {
+        return lease.permit(nowMs, 0) >= 0 ? selfId : lease.holder(nowMs);
+    }
+
+    private boolean isResponsive(long peer, double ejectionMs, double nowMs) {
+        if (peer == selfId) {
+            return true;
+        }
+        Double untilMs = ejectedUntilMs.get(peer);
+        if ((untilMs != null && nowMs < untilMs) || !isLikelyAlive.test(peer)) {
+            return false;
+        }
+        double sentMs = requests.oldestSentMs(peer);
+        boolean isOverdue = nowMs - sentMs > timing.requestIntervalMs() * REPLY_TIMEOUT_INTERVALS
+                && lastHeardMs.getOrDefault(peer, Double.NEGATIVE_INFINITY) < sentMs;
+        if (isOverdue) {
+            ejectedUntilMs.put(peer, nowMs + ejectionMs);
+        }
+        return !isOverdue;
+    }
+}
--- a/src/main/java/cacheproxy/fleet/quota/DemandEstimator.java
+++ b/src/main/java/cacheproxy/fleet/quota/DemandEstimator.java
@@ -1,59 +1,69 @@
 package cacheproxy.fleet.quota;
 
 /**
- * How much comes in. A slow mean, unless a quick one is away from it by more than chance explains, or nothing has come
- * for longer than chance explains: so it is steady where little comes and follows a burst's begin and end at once. Of
- * what is in hand the most of the last while. Free of clocks; milliseconds that must not go back.
+ * Estimates the demand of one proxy. The rate is a slow exponential average, unless a fast one differs from it by more
+ * than chance explains, or the present pause is longer than chance explains. So it is steady at low rates and follows
+ * the begin and end of a burst at once. Concurrency is a decaying maximum.
  */
 final class DemandEstimator {
-    private static final double QUICK_MS = 200;
-    private static final double SLOW_MS = 2000;
-    /** What is asked for beyond what came: growth while the answer is on its way. */
-    private static final double ROOM = 1.1;
-    /** Standard deviations of the quick mean that chance is given. */
-    private static final double CHANCE = 2.5;
-    /** Mean gaps without anything that chance is given: one pause of 3,000. */
-    private static final double GAPS = 8;
+    private static final double FAST_AVERAGE_MS = 200;
+    private static final double SLOW_AVERAGE_MS = 2000;
+    private static final double MS_PER_SECOND = 1000;
+    /** Allows for growth while a request for capacity is under way. */
+    private static final double HEADROOM = 1.1;
+    /** The fast average may differ from the slow one by so many standard deviations. */
+    private static final double MAX_DEVIATIONS = 2.5;
+    /** A pause may be so many mean intervals long; one of 3,000 pauses is longer by chance. */
+    private static final double MAX_PAUSE_INTERVALS = 8;
+    /** A smaller maximum has decayed to nothing. */
+    private static final double MIN_CONCURRENT = 0.5;
 
-    private double quick;
-    private double slow;
-    private double peak;
-    private double at = Double.NaN;
-    private double cameMs = Double.NaN;
+    private double fastPerSecond;
+    private double slowPerSecond;
+    private double maxConcurrent;
+    private double decayedMs = Double.NaN;
+    private double lastRequestMs = Double.NaN;
 
-    private void age(double now) {
-        if (!Double.isNaN(at) && now > at) {
-            double by = now - at;
-            quick *= Math.exp(-by / QUICK_MS);
-            slow *= Math.exp(-by / SLOW_MS);
-            peak *= Math.exp(-by / SLOW_MS);
+    private void decay(double nowMs) {
+        if (!Double.isNaN(decayedMs) && nowMs > decayedMs) {
+            double elapsedMs = nowMs - decayedMs;
+            fastPerSecond *= Math.exp(-elapsedMs / FAST_AVERAGE_MS);
+            slowPerSecond *= Math.exp(-elapsedMs / SLOW_AVERAGE_MS);
+            maxConcurrent *= Math.exp(-elapsedMs / SLOW_AVERAGE_MS);
         }
-        at = now;
+        decayedMs = nowMs;
     }
 
-    /** Something was asked for, whether it got it or not; so many would then be in hand. */
-    void came(double now, int inHand) {
-        age(now);
-        quick += 1000 / QUICK_MS;
-        slow += 1000 / SLOW_MS;
-        peak = Math.max(peak, inHand);
-        cameMs = now;
+    /**
+     * A request has arrived, whether it is admitted or not.
+     *
+     * @param concurrent how many requests would be under way with it
+     */
+    void recordRequest(double nowMs, int concurrent) {
+        decay(nowMs);
+        fastPerSecond += MS_PER_SECOND / FAST_AVERAGE_MS;
+        slowPerSecond += MS_PER_SECOND / SLOW_AVERAGE_MS;
+        maxConcurrent = Math.max(maxConcurrent, concurrent);
+        lastRequestMs = nowMs;
     }
 
-    double perSecond(double now) {
-        age(now);
-        double chance = CHANCE * Math.sqrt(Math.max(1, slow) * 1000 / (2 * QUICK_MS));
-        double rate = Math.abs(quick - slow) > chance ? quick : slow;
-        double pause = now - cameMs;
-        if (pause * rate > GAPS * 1000) {
-            rate = 1000 / pause;
+    /** The demand in requests per second. */
+    double perSecond(double nowMs) {
+        decay(nowMs);
+        double deviation =
+                MAX_DEVIATIONS * Math.sqrt(Math.max(1, slowPerSecond) * MS_PER_SECOND / (2 * FAST_AVERAGE_MS));
+        double rate = Math.abs(fastPerSecond - slowPerSecond) > deviation ? fastPerSecond : slowPerSecond;
+        double pauseMs = nowMs - lastRequestMs;
+        if (pauseMs * rate > MAX_PAUSE_INTERVALS * MS_PER_SECOND) {
+            rate = MS_PER_SECOND / pauseMs;
         }
-        return Double.isNaN(cameMs) ? 0 : rate * ROOM;
+        return Double.isNaN(lastRequestMs) ? 0 : rate * HEADROOM;
     }
 
-    double atOnce(double now) {
-        age(now);
-        double most = peak * ROOM;
-        return most < 0.5 ? 0 : Math.ceil(most);
+    /** The demand in concurrent requests, a whole number. */
+    double concurrent(double nowMs) {
+        decay(nowMs);
+        double expected = maxConcurrent * HEADROOM;
+        return expected < MIN_CONCURRENT ? 0 : Math.ceil(expected);
     }
 }
--- a/src/main/java/cacheproxy/fleet/quota/LocalQuota.java
+++ b/src/main/java/cacheproxy/fleet/quota/LocalQuota.java
@@ -1,319 +1,264 @@
 package cacheproxy.fleet.quota;
 
-import java.util.HashMap;
-import java.util.Map;
-
 /**
- * What one proxy may spend of a limit: its share, less what it has lent, and what it was granted; of a rate through a
- * bucket. What may be spent is asked for right before it is spent, by the clock, so that a process that stood still
- * finds its grants over. Taking costs no garbage. Free of clocks and I/O; times in milliseconds that must not go back.
+ * One proxy's local quota: its static share, minus donated capacity, plus capacity granted by allocators. A rate is
+ * spent through a token bucket.
+ *
+ * <p>What may be spent is computed from the clock before each request, so a process that was paused finds its grants
+ * expired. Admitting a request allocates no memory.
  */
 public final class LocalQuota {
-    /** Dealers that hold loans of it at once; to others it lends nothing. */
-    static final int MOST_DEALERS = 4;
-    /** Of the share that nobody needs so much is kept all the same: what comes next finds something. */
-    static final double FLOOR = 0.02;
-
-    private static final double MOST_WAIT_MS = 1000;
-    private static final int ASKS = 16;
-    /** An ask without an answer for so long was lost, or its dealer does not answer. */
-    private static final double RETRY_MS = 80;
-    /** So many times what was asked for is notably more. */
-    private static final double MORE = 1.3;
-
-    private final QuotaTiming rules;
-    private final DemandEstimator demand = new DemandEstimator();
-    private final Map<Long, OutstandingGrants> lent = new HashMap<>();
+    /** The fraction of the share that is never donated, so that a first request is admitted at once. */
+    private static final double KEPT_FRACTION = 0.02;
+    /** Donations below this fraction of the share are not worth a message. */
+    private static final double MIN_DONATED_FRACTION = 0.02;
+    /** Requests for more rate than owned are sent from this fraction of the quota. */
+    private static final double MIN_REQUESTED_FRACTION = 1e-3;
+
+    private static final double MIN_REQUESTED_CONCURRENT = 0.5;
+    /** A demand so many times the last requested amount is requested before its time. */
+    private static final double URGENT_GROWTH = 1.3;
+    /** After this time a request or its reply counts as lost, or its allocator as failed. */
+    private static final double REPLY_TIMEOUT_MS = 80;
+
+    private static final double MIN_WAIT_MS = 1;
+    private static final double MAX_WAIT_MS = 1000;
+    /** The wait for a retry, as a part of the interval of requests for capacity. */
+    private static final double WAITS_PER_REQUEST_INTERVAL = 4;
+    /** Rounding errors must not turn a whole number into the one below. */
+    private static final double ROUNDING = 1e-6;
+
+    private final QuotaTiming timing;
     private final double spendsFromMs;
-    private QuotaSpec limit;
-    private int proxies;
-    private double share;
-    private double growTo;
-    private double growAtMs = Double.POSITIVE_INFINITY;
-    private double granted;
-    private double grantedUntilMs = Double.NEGATIVE_INFINITY;
-    private long grantedBy;
-    private long newest = Long.MIN_VALUE;
-    /**
-     * The asks that went out last, and how much each asked for: no more of any grant is kept, so that a dealer can
-     * count on it.
-     */
-    private final long[] asked = new long[ASKS];
-
-    private final double[] askedFor = new double[ASKS];
-    private int asks;
-    private double askedMs = Double.NEGATIVE_INFINITY;
-    private double tokens;
-    private double rateAt;
-    private double at = Double.NaN;
-    private int inHand;
-    private long spent;
-    private long refused;
-    private double wordMs = Double.NEGATIVE_INFINITY;
-    private double unheardSinceMs = Double.NaN;
-
-    /** @param startMs when the process started */
-    LocalQuota(QuotaSpec limit, QuotaTiming rules, double startMs) {
-        this.limit = limit;
-        this.rules = rules;
-        spendsFromMs = startMs + rules.silenceMs(limit);
-    }
+    private final DemandEstimator demand = new DemandEstimator();
+    private final StaticShare share = new StaticShare();
+    private final DonatedCapacity donated = new DonatedCapacity();
+    private final ReceivedGrant grant = new ReceivedGrant();
+    private final RequestHistory requests = new RequestHistory();
+    private final TokenBucket bucket = new TokenBucket();
+    private QuotaSpec spec;
+    private int inUse;
+    private long consumed;
+    private long rejected;
+    private double lastReplyMs = Double.NEGATIVE_INFINITY;
+    private double isolatedSinceMs = Double.NaN;
 
     /**
-     * The file counts from now on: a smaller share at once, a larger one when what others may still spend of it is
-     * over.
+     * Creates a quota without a share.
+     *
+     * @param startMs when the process started: what an earlier process may have donated is not spent
      */
-    void use(QuotaSpec other, double ownShare, int ofProxies, double now) {
-        boolean first = proxies == 0;
-        limit = other;
-        proxies = ofProxies;
-        if (first || ownShare <= share) {
-            share = ownShare;
-            growAtMs = Double.POSITIVE_INFINITY;
-        } else if (ownShare != growTo || growAtMs == Double.POSITIVE_INFINITY) {
-            growTo = ownShare;
-            growAtMs = now + rules.keptMs(limit);
-        }
+    LocalQuota(QuotaSpec spec, QuotaTiming timing, double startMs) {
+        this.spec = spec;
+        this.timing = timing;
+        spendsFromMs = startMs + timing.startupSilenceMs(spec);
     }
 
-    QuotaSpec limit() {
-        return limit;
+    /** Takes over the configuration: a smaller share at once, a larger one after others have given theirs up. */
+    void configure(QuotaSpec newSpec, double ownedShare, double nowMs) {
+        spec = newSpec;
+        share.configure(ownedShare, nowMs + timing.donorKeepsMs(spec));
     }
 
-    // ---- what it may spend
-
-    private double share(double now) {
-        if (now >= growAtMs) {
-            share = growTo;
-            growAtMs = Double.POSITIVE_INFINITY;
-        }
-        return share;
+    /** The definition in use. */
+    QuotaSpec spec() {
+        return spec;
     }
 
-    /** What is left of its own. */
-    double own(double now) {
-        return now < spendsFromMs ? 0 : Math.max(0, share(now) - lentOut(now));
+    // ---- capacity
+
+    /** What is left of the own share after donations. */
+    double owned(double nowMs) {
+        return nowMs < spendsFromMs ? 0 : Math.max(0, share.amountAt(nowMs) - donated(nowMs));
     }
 
-    double lentOut(double now) {
-        double sum = 0;
-        if (!lent.isEmpty()) {
-            for (OutstandingGrants l : lent.values()) {
-                sum += l.at(now);
-            }
-        }
-        return sum;
+    /** What is donated of the own share. */
+    double donated(double nowMs) {
+        return donated.total(nowMs);
     }
 
-    private double grantedNow(double now) {
-        if (now < grantedUntilMs) {
-            return granted;
-        }
-        double decays = limit.alone() == QuotaSpec.Alone.LAST ? QuotaSpec.DECAY * rules.grantMs() : 0;
-        return now < grantedUntilMs + decays ? granted * (1 - (now - grantedUntilMs) / decays) : 0;
+    private double granted(double nowMs) {
+        boolean decays = spec.whenIsolated() == QuotaSpec.IsolationPolicy.LAST;
+        return grant.amountAt(nowMs, decays ? QuotaSpec.DECAY_GRANTS * timing.grantMs() : 0);
     }
 
-    /** A second, or at once. */
-    public double mine(double now) {
-        double all = own(now) + grantedNow(now);
-        return limit.atOnce() ? Math.floor(all + 1e-6) : all;
+    /** What may be spent at present: requests per second, or a whole number of concurrent requests. */
+    public double capacity(double nowMs) {
+        double total = owned(nowMs) + granted(nowMs);
+        return spec.concurrent() ? Math.floor(total + ROUNDING) : total;
     }
 
-    private void fill(double now) {
-        double rate = mine(now);
-        if (!Double.isNaN(at) && now > at) {
-            // What changed in between changed at a time that is not known any more: the smaller counts.
-            tokens += Math.min(rateAt, rate) * (now - at) / 1000;
+    private void refill(double nowMs) {
+        if (!spec.concurrent()) {
+            double rate = capacity(nowMs);
+            bucket.refill(nowMs, rate, 1 + spec.burst() * Math.min(1, rate / spec.amount()));
         }
-        double room = 1 + limit.burst() * Math.min(1, rate / limit.amount());
-        tokens = Math.min(tokens, room);
-        rateAt = rate;
-        at = now;
     }
 
-    /** Looks at what has changed since; often enough that little is lost where nobody asks. */
-    void tick(double now) {
-        if (!limit.atOnce()) {
-            fill(now);
-        }
+    /** Refills the bucket. Called so often that little is lost where no request arrives. */
+    void tick(double nowMs) {
+        refill(nowMs);
     }
 
+    // ---- spending
+
     /**
-     * One more is asked for; it counts as wanted. 0: it may be taken; else milliseconds until it may be worth asking
-     * again.
+     * Asks to admit a request, which counts as demand either way.
+     *
+     * @return 0 if {@link #consume} may follow at once; else after how many milliseconds a retry may succeed
      */
-    public double ask(double now) {
-        demand.came(now, inHand + 1);
-        if (limit.atOnce()) {
-            if (inHand < mine(now)) {
-                return 0;
-            }
-        } else {
-            fill(now);
-            if (tokens >= 1) {
-                return 0;
-            }
+    public double requestWaitMs(double nowMs) {
+        demand.recordRequest(nowMs, inUse + 1);
+        refill(nowMs);
+        boolean admitted = spec.concurrent() ? inUse < capacity(nowMs) : bucket.hasToken();
+        if (admitted) {
+            return 0;
         }
-        refused++;
-        return limit.atOnce() || rateAt <= 0
-                ? rules.beatMs() / 4
-                : Math.min(MOST_WAIT_MS, Math.max(1, (1 - tokens) / rateAt * 1000));
+        rejected++;
+        return spec.concurrent() || bucket.rate() <= 0
+                ? timing.requestIntervalMs() / WAITS_PER_REQUEST_INTERVAL
+                : Math.min(MAX_WAIT_MS, Math.max(MIN_WAIT_MS, bucket.waitMs()));
     }
 
-    /** Takes one, right after {@link #ask} has said that it may be taken. */
-    public void take() {
-        spent++;
-        if (limit.atOnce()) {
-            inHand++;
+    /** Admits the request for which {@link #requestWaitMs} has just returned 0. */
+    public void consume() {
+        consumed++;
+        if (spec.concurrent()) {
+            inUse++;
         } else {
-            tokens--;
+            bucket.take();
         }
     }
 
-    /** One that was taken is over; of a rate nothing is given back. */
-    public void give() {
-        if (limit.atOnce() && inHand > 0) {
-            inHand--;
+    /** An admitted request has ended. Has no effect on a rate. */
+    public void release() {
+        if (spec.concurrent() && inUse > 0) {
+            inUse--;
         }
     }
 
-    // ---- what is wanted and lent
+    // ---- demand and donations
 
-    private double needs(double now) {
-        return limit.atOnce() ? Math.max(inHand, demand.atOnce(now)) : demand.perSecond(now);
+    /** What this proxy could use. */
+    double demand(double nowMs) {
+        return spec.concurrent() ? Math.max(inUse, demand.concurrent(nowMs)) : demand.perSecond(nowMs);
     }
 
-    /** How much more than its own it could use. */
-    double wants(double now) {
-        double more = needs(now) - own(now);
-        return more > (limit.atOnce() ? 0.5 : 1e-3 * limit.amount()) ? Math.min(more, limit.amount()) : 0;
+    /** How much more than its own this proxy could use; 0 if that is not worth a request. */
+    double missing(double nowMs) {
+        double missing = demand(nowMs) - owned(nowMs);
+        double minimum = spec.concurrent() ? MIN_REQUESTED_CONCURRENT : MIN_REQUESTED_FRACTION * spec.amount();
+        return missing > minimum ? Math.min(missing, spec.amount()) : 0;
     }
 
-    /** Lends a dealer what it can do without, and keeps to it from now on; 0: nothing. */
-    double lend(long dealer, double now) {
-        if (now < spendsFromMs) {
-            return 0; // it may be lent already
+    /** Donates what can be spared to an allocator, and spends none of it until it expires; returns the amount. */
+    double donate(long allocator, double nowMs) {
+        if (nowMs < spendsFromMs) {
+            return 0; // an earlier process may have donated it
         }
-        lent.values().removeIf(l -> l.over(now));
-        OutstandingGrants line = lent.get(dealer);
-        if (line == null && lent.size() >= MOST_DEALERS) {
+        if (!donated.accepts(allocator, nowMs)) {
             return 0;
         }
-        double elsewhere = lentOut(now) - (line == null ? 0 : line.at(now));
-        double free = share(now) - elsewhere - Math.max(needs(now), FLOOR * share(now));
-        if (limit.atOnce()) {
-            // What is in hand beyond its own is on grants, and these have their own cover.
-            free = Math.floor(free + 1e-6);
-        }
-        if (free <= (limit.atOnce() ? 0 : 0.02 * share(now))) {
+        double spare = spare(allocator, nowMs);
+        if (spare <= (spec.concurrent() ? 0 : MIN_DONATED_FRACTION * share.amountAt(nowMs))) {
             return 0;
         }
-        if (!limit.atOnce()) {
-            fill(now); // at the rate that was
-        }
-        lent.computeIfAbsent(dealer, d -> new OutstandingGrants(true)).add(free, now + rules.keptMs(limit));
-        if (!limit.atOnce()) {
-            fill(now);
-        }
-        return free;
+        refill(nowMs); // at the rate until now
+        donated.add(allocator, spare, nowMs + timing.donorKeepsMs(spec));
+        refill(nowMs);
+        return spare;
+    }
+
+    /** What can be donated; requests in use beyond the share are covered by grants. */
+    private double spare(long allocator, double nowMs) {
+        double elsewhere = donated.totalExcept(allocator, nowMs);
+        double kept = Math.max(demand(nowMs), KEPT_FRACTION * share.amountAt(nowMs));
+        double spare = share.amountAt(nowMs) - elsewhere - kept;
+        return spec.concurrent() ? Math.floor(spare + ROUNDING) : spare;
     }
 
-    /** Whether it holds a grant that it would have to give back. */
-    boolean holdsGrant(double now) {
-        return granted > 0 && now < grantedUntilMs;
+    // ---- requests for capacity and grants
+
+    /** Whether it holds a grant that it could give back. */
+    boolean holdsGrant(double nowMs) {
+        return grant.isRunning(nowMs);
     }
 
-    /** Whether it holds more than twice what it needs: others may be waiting for it. */
-    boolean holdsTooMuch(double now) {
-        return holdsGrant(now) && wants(now) < granted / 2;
+    /** Whether it holds more than twice what it needs, which others may be waiting for. */
+    boolean holdsTooMuch(double nowMs) {
+        return holdsGrant(nowMs) && missing(nowMs) < grant.amount() / 2;
     }
 
-    /** Whether it could use notably more than it has asked for lately. */
-    boolean needsMore(double now) {
-        double last = asks == 0 || now - askedMs > rules.beatMs() ? 0 : askedFor[(asks - 1) % ASKS];
-        return wants(now) > MORE * last;
+    /** Whether the demand has grown notably since the last request. */
+    boolean needsMore(double nowMs) {
+        boolean isRecent = nowMs - requests.lastSentMs() <= timing.requestIntervalMs();
+        return missing(nowMs) > URGENT_GROWTH * (isRecent ? requests.lastAmount() : 0);
     }
 
-    /** Whether its last ask has had no answer for some time. */
-    boolean unanswered(double now) {
-        return now - askedMs > RETRY_MS && wordMs < askedMs && wants(now) > 0;
+    /** Whether the last request is overdue. */
+    boolean isUnanswered(double nowMs) {
+        return nowMs - requests.lastSentMs() > REPLY_TIMEOUT_MS
+                && lastReplyMs < requests.lastSentMs()
+                && missing(nowMs) > 0;
     }
 
-    /** It asks for so much now, and gives back what it holds beyond that. */
-    void asks(double amount, long number, double now) {
-        askedMs = now;
-        asked[asks % ASKS] = number;
-        askedFor[asks++ % ASKS] = amount;
-        if (granted > amount) {
-            set(amount, grantedUntilMs, now);
+    /** A request for this amount is sent now; what is granted beyond it is given back. */
+    void recordRequest(double amount, long requestId, double nowMs) {
+        requests.add(requestId, amount, nowMs);
+        if (grant.amount() > amount) {
+            setGrant(amount, grant.untilMs(), nowMs);
         }
     }
 
     /**
-     * A dealer's answer to an ask that went out then. What another dealer granted before goes on where it is more: it
-     * is covered there, and that dealer can't be told.
+     * An allocator's reply to a request.
+     *
+     * @param requestedMs when the request was sent: the grant counts from then
      */
-    void granted(long dealer, double amount, long number, double askedMs, double now) {
-        double most = -1;
-        for (int i = Math.max(0, asks - ASKS); i < asks; i++) {
-            if (asked[i % ASKS] == number) {
-                most = askedFor[i % ASKS];
-            } else if (most >= 0) {
-                most = Math.min(most, askedFor[i % ASKS]);
-            }
-        }
-        double keeps = Math.min(amount, most);
-        if (most < 0 || number < newest || number == newest && keeps <= granted) {
-            return; // overtaken, or told again: more may have been lent since
-        }
-        if (dealer != grantedBy && now < grantedUntilMs && keeps < granted) {
+    void receiveGrant(long allocator, double amount, long requestId, double requestedMs, double nowMs) {
+        double limit = requests.smallestAmountSince(requestId);
+        double usable = Math.min(amount, limit);
+        if (limit < 0 || !grant.isReplacedBy(allocator, requestId, usable, nowMs)) {
             return;
         }
-        newest = number;
-        grantedBy = dealer;
-        set(Math.min(keeps, limit.amount()), askedMs + rules.usedMs(), now);
-    }
-
-    private void set(double amount, double untilMs, double now) {
-        if (limit.atOnce()) {
-            granted = amount;
-            grantedUntilMs = untilMs;
-        } else {
-            fill(now); // at the rate that was
-            granted = amount;
-            grantedUntilMs = untilMs;
-            fill(now);
-        }
-    }
-
-    /** A dealer has answered, whatever it gave. */
-    void word(double now) {
-        wordMs = now;
+        grant.setSource(allocator, requestId);
+        setGrant(Math.min(usable, spec.amount()), requestedMs + timing.spendableMs(), nowMs);
     }
 
-    /** Since when it wants more and nobody has answered for a grant's time; NaN where that is not so. */
-    double unheardSince(double now) {
-        if (wants(now) <= 0 || now - wordMs <= rules.grantMs()) {
-            unheardSinceMs = Double.NaN;
-        } else if (Double.isNaN(unheardSinceMs)) {
-            unheardSinceMs = now;
-        }
-        return unheardSinceMs;
+    private void setGrant(double amount, double untilMs, double nowMs) {
+        refill(nowMs); // at the rate until now
+        grant.set(amount, untilMs);
+        refill(nowMs);
     }
 
-    int inHand() {
-        return inHand;
+    /** An allocator has replied, whatever it granted. */
+    void recordReply(double nowMs) {
+        lastReplyMs = nowMs;
     }
 
-    long spent() {
-        return spent;
-    }
+    // ---- status
 
-    long refusedCount() {
-        return refused;
+    /** Since when it needs more and no allocator has replied for the duration of a grant; NaN if that is not so. */
+    double isolatedSinceMs(double nowMs) {
+        if (missing(nowMs) <= 0 || nowMs - lastReplyMs <= timing.grantMs()) {
+            isolatedSinceMs = Double.NaN;
+        } else if (Double.isNaN(isolatedSinceMs)) {
+            isolatedSinceMs = nowMs;
+        }
+        return isolatedSinceMs;
     }
 
-    double needsNow(double now) {
-        return needs(now);
+    /** The quota as this proxy sees it. */
+    QuotaStatus status(double nowMs) {
+        return new QuotaStatus(
+                spec,
+                capacity(nowMs),
+                owned(nowMs),
+                donated(nowMs),
+                demand(nowMs),
+                inUse,
+                consumed,
+                rejected,
+                isolatedSinceMs(nowMs));
     }
 }
--- a/src/main/java/cacheproxy/fleet/quota/MaxMinFairness.java
+++ b/src/main/java/cacheproxy/fleet/quota/MaxMinFairness.java
@@ -2,26 +2,27 @@
 
 import java.util.Arrays;
 
-/** Max-min fair parts: nobody gets more than he wants, and who gets less than that gets as much as any other. */
+/** Max-min fairness: nobody gets more than requested, and all who get less get the same. */
 public final class MaxMinFairness {
     private MaxMinFairness() {}
 
     /**
-     * The level up to which everybody is served, so that all together get no more than there is.
+     * The level at which to cap each request so that all together get no more than there is.
      *
-     * @param wanted each 0 or more
-     * @return positive infinity where there is enough for all
+     * @param requested each 0 or more
+     * @param amount what there is
+     * @return positive infinity if there is enough for all
      */
-    public static double level(double[] wanted, double amount) {
-        double[] sorted = wanted.clone();
+    public static double fairLevel(double[] requested, double amount) {
+        double[] sorted = requested.clone();
         Arrays.sort(sorted);
-        double left = Math.max(0, amount);
+        double remaining = Math.max(0, amount);
         for (int i = 0; i < sorted.length; i++) {
-            double each = left / (sorted.length - i);
-            if (sorted[i] > each) {
-                return each;
+            double equalPart = remaining / (sorted.length - i);
+            if (sorted[i] > equalPart) {
+                return equalPart;
             }
-            left -= sorted[i];
+            remaining -= sorted[i];
         }
         return Double.POSITIVE_INFINITY;
     }
--- a/src/main/java/cacheproxy/fleet/quota/OutstandingGrants.java
+++ b/src/main/java/cacheproxy/fleet/quota/OutstandingGrants.java
@@ -1,81 +1,95 @@
 package cacheproxy.fleet.quota;
 
 /**
- * Amounts that were promised one after another, each until a time that grows from one to the next. Who made them keeps
- * to the largest that is not over yet, as he can't know which of them arrived.
+ * Amounts promised one after another to one peer, each until a time that does not decrease. The largest one that has
+ * not expired counts, as the promiser cannot know which of them have arrived.
  */
 final class OutstandingGrants {
-    /**
-     * Beyond these the two oldest become one: of what is owed the larger until the later time, of what one counts on
-     * the later one.
-     */
-    static final int MOST = 12;
+    /** Beyond these the two oldest are merged into one. */
+    static final int MAX_ENTRIES = 12;
 
-    private final double[] amounts = new double[MOST];
-    private final double[] untils = new double[MOST];
+    private final double[] amounts = new double[MAX_ENTRIES];
+    private final double[] untilMs = new double[MAX_ENTRIES];
     private final boolean owed;
     private int size;
 
-    /** @param owed whether it is what one has to keep to; else it is what one counts on */
+    /**
+     * Creates an empty list.
+     *
+     * @param owed whether these are promises that this process has to keep, so that merging takes the larger amount;
+     *     else they are promises that it relies on, and merging takes the later one
+     */
     OutstandingGrants(boolean owed) {
         this.owed = owed;
     }
 
-    /** @param until not before that of any earlier one */
-    void add(double amount, double until) {
+    /**
+     * Adds a promise.
+     *
+     * @param newUntilMs not before that of any earlier one
+     */
+    void add(double amount, double newUntilMs) {
         while (size > 0 && amounts[size - 1] <= amount) {
-            size--; // the later one stands for longer and for no less
+            size--; // the new one is no smaller and expires later
         }
         if (amount <= 0) {
             return;
         }
-        if (size == MOST) {
-            if (owed) {
-                amounts[1] = amounts[0];
-            }
-            System.arraycopy(amounts, 1, amounts, 0, MOST - 1);
-            System.arraycopy(untils, 1, untils, 0, MOST - 1);
-            size--;
+        if (size == MAX_ENTRIES) {
+            mergeOldest();
         }
         amounts[size] = amount;
-        untils[size++] = Math.max(until, size > 1 ? untils[size - 2] : until);
+        untilMs[size] = size > 0 ? Math.max(newUntilMs, untilMs[size - 1]) : newUntilMs;
+        size++;
+    }
+
+    private void mergeOldest() {
+        if (owed) {
+            amounts[1] = amounts[0];
+        }
+        removeFirst(1);
+    }
+
+    private void removeFirst(int count) {
+        System.arraycopy(amounts, count, amounts, 0, size - count);
+        System.arraycopy(untilMs, count, untilMs, 0, size - count);
+        size -= count;
     }
 
-    /** The largest that is not over at a time. */
-    double at(double time) {
+    /** The largest amount that has not expired at a time; 0 if all have. */
+    double amountAt(double timeMs) {
         for (int i = 0; i < size; i++) {
-            if (untils[i] > time) {
+            if (untilMs[i] > timeMs) {
                 return amounts[i];
             }
         }
         return 0;
     }
 
-    /** Whoever it was promised to has said that he uses no more than this. */
-    void cap(double most) {
+    /** The peer has stated that it uses no more than this. */
+    void cap(double limit) {
         int kept = 0;
         for (int i = 0; i < size; i++) {
-            double amount = Math.min(amounts[i], most);
+            double amount = Math.min(amounts[i], limit);
             while (kept > 0 && amounts[kept - 1] <= amount) {
                 kept--;
             }
             if (amount > 0) {
                 amounts[kept] = amount;
-                untils[kept++] = untils[i];
+                untilMs[kept] = untilMs[i];
+                kept++;
             }
         }
         size = kept;
     }
 
-    /** Forgets what is over; whether nothing is left. */
-    boolean over(double now) {
-        int gone = 0;
-        while (gone < size && untils[gone] <= now) {
-            gone++;
+    /** Removes what has expired; returns whether nothing is left. */
+    boolean removeExpired(double nowMs) {
+        int expired = 0;
+        while (expired < size && untilMs[expired] <= nowMs) {
+            expired++;
         }
-        System.arraycopy(amounts, gone, amounts, 0, size - gone);
-        System.arraycopy(untils, gone, untils, 0, size - gone);
-        size -= gone;
+        removeFirst(expired);
         return size == 0;
     }
 }
--- a/src/main/java/cacheproxy/fleet/quota/OvershootBound.java
+++ b/src/main/java/cacheproxy/fleet/quota/OvershootBound.java
@@ -1,27 +1,31 @@
 package cacheproxy.fleet.quota;
 
-/** How far over a limit the whole fleet can be, by formula: the page says why. */
+/** Bounds on how far a fleet can exceed a quota, and on how much of it can lie idle. */
 public final class OvershootBound {
+    private static final double MS_PER_SECOND = 1000;
+
     private OvershootBound() {}
 
     /**
-     * Requests beyond the limit's part of any window, whatever links, processes and dealers do. At once: how many more
-     * may be in hand.
+     * How many requests a fleet can admit beyond its quota in any window, whatever links, processes and allocators do;
+     * of a concurrent quota, how many more can be under way.
      *
-     * @param windowMs its length; of no meaning at once
+     * @param windowMs the length of the window; without effect on a concurrent quota
      */
-    public static double over(QuotaSpec l, QuotaTiming rules, int proxies, double windowMs) {
-        double decays = l.alone() == QuotaSpec.Alone.LAST ? l.amount() * QuotaSpec.DECAY * rules.grantMs() / 2000 : 0;
-        if (l.atOnce()) {
-            return l.alone() == QuotaSpec.Alone.LAST ? l.amount() : 0;
+    public static double maxOvershoot(QuotaSpec spec, QuotaTiming timing, int proxies, double windowMs) {
+        boolean decays = spec.whenIsolated() == QuotaSpec.IsolationPolicy.LAST;
+        if (spec.concurrent()) {
+            return decays ? spec.amount() : 0;
         }
-        return l.saved(proxies) + l.amount() * windowMs / 1000 * rules.drift() + decays;
+        // A decaying grant spends half of what a constant one would.
+        double decaying = decays ? spec.amount() * QuotaSpec.DECAY_GRANTS * timing.grantMs() / (2 * MS_PER_SECOND) : 0;
+        return spec.maxBurst(proxies) + spec.amount() * windowMs / MS_PER_SECOND * timing.maxDrift() + decaying;
     }
 
     /**
-     * The part of the limit that can lie idle while some proxies are dead, or reach nobody and are asked for nothing.
+     * The fraction of a quota that can lie idle while so many proxies have failed, or are isolated without requests.
      */
-    public static double idle(QuotaSpec l, int proxies, int gone) {
-        return Math.min(1, l.share(proxies) * gone / l.amount());
+    public static double maxIdleFraction(QuotaSpec spec, int proxies, int failedProxies) {
+        return Math.min(1, spec.staticShare(proxies) * failedProxies / spec.amount());
     }
 }
--- /dev/null
+++ b/src/main/java/cacheproxy/fleet/quota/QuotaAllocator.java
@@ -0,0 +1,167 @@
+package cacheproxy.fleet.quota;
+
+import cacheproxy.fleet.quota.QuotaMessage.Entry;
+import cacheproxy.fleet.quota.QuotaMessage.Kind;
+import cacheproxy.fleet.quota.SentRequests.Sent;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.function.LongPredicate;
+
+/** One proxy as allocator: solicits donations for requested quotas, and grants what its ledgers cover. */
+final class QuotaAllocator {
+    /** Donations that arrive one after another are granted together. */
+    private static final double GATHER_MS = 4;
+    /** Each so many solicitations go to all peers, also to those that are thought to have failed. */
+    private static final int SOLICITATIONS_PER_BROADCAST = 6;
+
+    private final long selfId;
+    private final long ledgerId;
+    private final QuotaTiming timing;
+    private final RequestIds ids;
+    private final AllocatorLeases leases;
+    private final LongPredicate isLikelyAlive;
+    private final QuotaOutbox outbox;
+    private final Map<Long, AllocationLedger> ledgers = new HashMap<>();
+    private final SentRequests solicitations = new SentRequests();
+    private List<Long> peers = List.of();
+    private int solicitationCount;
+    private double solicitAtMs;
+    private double allocateAtMs = Double.POSITIVE_INFINITY;
+
+    /** What an allocator needs of its process. */
+    record Context(
+            long selfId,
+            long ledgerId,
+            QuotaTiming timing,
+            RequestIds ids,
+            AllocatorLeases leases,
+            LongPredicate isLikelyAlive) {}
+
+    QuotaAllocator(Context context, QuotaOutbox outbox) {
+        selfId = context.selfId();
+        ledgerId = context.ledgerId();
+        timing = context.timing();
+        ids = context.ids();
+        leases = context.leases();
+        isLikelyAlive = context.isLikelyAlive();
+        this.outbox = outbox;
+    }
+
+    /** Takes over the peers that donations are solicited from, this process among them. */
+    void setPeers(List<Long> newPeers) {
+        peers = List.copyOf(newPeers);
+    }
+
+    /**
+     * Takes over a definition, if there is a ledger of this quota. Other ledgers stay until all in them has expired.
+     */
+    void configure(long quotaId, QuotaSpec spec, double sharedPool) {
+        AllocationLedger ledger = ledgers.get(quotaId);
+        if (ledger != null) {
+            ledger.configure(spec, sharedPool);
+        }
+    }
+
+    /** The ledger of a quota; opened if there is none. */
+    AllocationLedger ledger(long quotaId, QuotaSpec spec, double sharedPool) {
+        AllocationLedger known = ledgers.get(quotaId);
+        if (known != null) {
+            return known;
+        }
+        AllocationLedger ledger = new AllocationLedger(timing);
+        ledger.configure(spec, sharedPool);
+        ledgers.put(quotaId, ledger);
+        return ledger;
+    }
+
+    /** Requests have arrived: grants what is covered at the next tick. */
+    void allocateSoon(double nowMs) {
+        allocateAtMs = Math.min(allocateAtMs, nowMs);
+    }
+
+    /** Requests for a quota have arrived that nobody has been asked to donate yet. */
+    void solicitSoon(double nowMs) {
+        solicitAtMs = nowMs;
+    }
+
+    /** Forgets solicitations whose donations no longer count. */
+    void forgetSolicitations(double nowMs) {
+        solicitations.forget(nowMs, timing.grantMs());
+    }
+
+    /** A donation; ignored if it is to another ledger or its solicitation is forgotten. */
+    void receiveDonation(double nowMs, long from, QuotaMessage donation) {
+        Optional<Sent> solicited = solicitations.find(donation.requestId());
+        if (donation.ledgerId() != ledgerId || solicited.isEmpty()) {
+            return;
+        }
+        for (Entry entry : donation.entries()) {
+            AllocationLedger ledger = ledgers.get(entry.quotaId());
+            if (ledger != null) {
+                ledger.recordDonation(from, entry.amount(), solicited.get().atMs());
+            }
+        }
+        allocateAtMs = Math.min(allocateAtMs, nowMs + GATHER_MS);
+    }
+
+    /** Does what is due. */
+    void tick(double nowMs) {
+        if (nowMs >= solicitAtMs) {
+            solicit(nowMs);
+            solicitAtMs = nowMs + timing.requestIntervalMs();
+        }
+        if (nowMs >= allocateAtMs) {
+            allocate(nowMs);
+        }
+    }
+
+    /** When to call {@link #tick} at the latest. */
+    double nextMs() {
+        return Math.min(solicitAtMs, allocateAtMs);
+    }
+
+    private void solicit(double nowMs) {
+        ledgers.values().removeIf(ledger -> ledger.removeExpired(nowMs));
+        List<Entry> requested = new ArrayList<>();
+        ledgers.forEach((quotaId, ledger) -> {
+            if (ledger.spec().staticFraction() > 0 && ledger.isRequested(nowMs)) {
+                requested.add(new Entry(quotaId, 0));
+            }
+        });
+        solicitationCount++;
+        boolean isBroadcast = solicitationCount % SOLICITATIONS_PER_BROADCAST == 0;
+        for (List<Entry> batch : QuotaBatches.of(requested)) {
+            if (solicitations.isFull()) {
+                return;
+            }
+            long requestId = ids.next();
+            solicitations.add(requestId, new Sent(nowMs, selfId));
+            QuotaMessage message = new QuotaMessage(Kind.SOLICIT, ledgerId, requestId, 0, batch);
+            peers.stream()
+                    .filter(peer -> isBroadcast || peer == selfId || isLikelyAlive.test(peer))
+                    .forEach(peer -> outbox.send(peer, message));
+        }
+    }
+
+    /** Grants of one message: replies to one request, under one epoch. */
+    private record GrantKey(long peer, long requestId, long epoch) {}
+
+    private void allocate(double nowMs) {
+        allocateAtMs = Double.POSITIVE_INFINITY;
+        Map<GrantKey, List<Entry>> granted = new LinkedHashMap<>();
+        ledgers.forEach((quotaId, ledger) -> {
+            long epoch = leases.epoch(ledger.spec(), quotaId, nowMs);
+            for (AllocationLedger.Grant grant : ledger.allocate(nowMs, epoch != AllocatorLeases.NO_EPOCH)) {
+                granted.computeIfAbsent(new GrantKey(grant.peer(), grant.requestId(), epoch), key -> new ArrayList<>())
+                        .add(new Entry(quotaId, grant.amount()));
+            }
+        });
+        granted.forEach((key, entries) -> QuotaBatches.of(entries)
+                .forEach(batch -> outbox.send(
+                        key.peer(), new QuotaMessage(Kind.GRANT, ledgerId, key.requestId(), key.epoch(), batch))));
+    }
+}
--- /dev/null
+++ b/src/main/java/cacheproxy/fleet/quota/QuotaBatches.java
@@ -0,0 +1,19 @@
+package cacheproxy.fleet.quota;
+
+import cacheproxy.fleet.quota.QuotaMessage.Entry;
+import java.util.ArrayList;
+import java.util.List;
+
+/** Splits entries into messages. */
+final class QuotaBatches {
+    private QuotaBatches() {}
+
+    /** The entries in their order, in lists that fit into one message each; none for no entries. */
+    static List<List<Entry>> of(List<Entry> entries) {
+        List<List<Entry>> batches = new ArrayList<>();
+        for (int i = 0; i < entries.size(); i += QuotaMessage.MAX_ENTRIES) {
+            batches.add(entries.subList(i, Math.min(entries.size(), i + QuotaMessage.MAX_ENTRIES)));
+        }
+        return batches;
+    }
+}
--- a/src/main/java/cacheproxy/fleet/quota/QuotaManager.java
+++ b/src/main/java/cacheproxy/fleet/quota/QuotaManager.java
@@ -5,485 +5,331 @@
 import cacheproxy.fleet.lease.NameHash;
 import cacheproxy.fleet.quota.QuotaMessage.Entry;
 import cacheproxy.fleet.quota.QuotaMessage.Kind;
+import cacheproxy.fleet.quota.SentRequests.Sent;
 import java.util.ArrayDeque;
 import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.Iterator;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.function.LongPredicate;
 
 /**
- * The limits of a fleet at one of its proxies: what it may spend ({@link LocalQuota}), and what it deals out where
- * others ask it ({@link AllocationLedger}). Limits are dealt into shares, each a duty; who holds it is asked first, and
- * alone deals out what is in nobody's share. Where it does not answer, the next in the duty's order is asked: whoever
- * is asked deals, since safety rests on loans and not on who deals. Free of clocks and I/O.
+ * The quotas of a fleet at one of its proxies: what it may spend ({@link LocalQuota}), its requests for more, and its
+ * role as allocator for others ({@link QuotaAllocator}).
+ *
+ * <p>Quotas are spread over some leases. The holder of a quota's lease is asked first, and it alone grants the shared
+ * pool. Where it does not reply, the next candidate is asked. Whoever is asked allocates: safety rests on donations and
+ * not on there being one allocator. Not thread-safe.
  */
 public final class QuotaManager {
-    public static final int MOST_LIMITS = 1000;
-    /** A burst is asked for at once, but not more often. */
-    private static final double URGENT_MS = 20;
-    /** All limits are looked at no more often, however many datagrams come. */
-    private static final double LOOK_MS = 15;
-    /** Loans that come one after another are dealt out together. */
-    private static final double GATHER_MS = 4;
-    /** Who has not answered for so many beats is passed over, and tried again after so many grants' times. */
-    private static final double PATIENCE_BEATS = 0.5;
+    /** Quotas of one configuration. */
+    public static final int MAX_QUOTAS = 1000;
 
-    private static final double SHUNNED = 3;
-    /** Each so many calls go to all, to those as well that are not thought to be there. */
-    private static final int CALL_ALL = 6;
-    /** Numbers of asks and calls whose times are kept. */
-    private static final int MOST_NUMBERS = 4096;
+    /** Urgent requests are sent at once, but no more often. */
+    private static final double URGENT_INTERVAL_MS = 20;
+    /** All quotas are inspected no more often, however many datagrams arrive. */
+    private static final double INSPECTION_INTERVAL_MS = 15;
+    /** The interval of requests varies at random between this part of it and the whole. */
+    private static final double MIN_INTERVAL_FRACTION = 0.9;
 
-    /** Where messages go. */
-    public interface Out {
-        void send(long to, QuotaMessage m);
-    }
-
-    /**
-     * A limit as this proxy sees it; {@code alone}: since when it wants more and nobody answers, NaN if that is not so.
-     */
-    public record Sight(
-            QuotaSpec limit,
-            double mine,
-            double own,
-            double lent,
-            double needs,
-            int inHand,
-            long spent,
-            long refused,
-            double aloneSinceMs) {}
-
-    private record Asked(double atMs, long to) {}
+    private static final double RANDOM_INTERVAL_FRACTION = 0.1;
 
-    private final long me;
-    private final long book;
-    private final QuotaTiming rules;
+    private final long selfId;
+    private final long ledgerId;
+    private final QuotaTiming timing;
     private final SplittableRandom random;
-    private final LongPredicate likely;
-    private final Out out;
+    private final QuotaOutbox outbox;
     private final double startMs;
-    private final Map<Long, LocalQuota> pockets = new LinkedHashMap<>();
-    private final Map<Long, AllocationLedger> books = new HashMap<>();
-    private final Map<Long, Asked> asks = new LinkedHashMap<>();
-    private final Map<Long, Double> calls = new LinkedHashMap<>();
-    private final Map<Long, Double> wordMs = new HashMap<>();
-    /** Peers that did not answer, until when they are passed over. */
-    private final Map<Long, Double> shunned = new HashMap<>();
-
-    private final Map<Integer, Double> ownedSinceMs = new HashMap<>();
-    private final ArrayDeque<QuotaMessage> self = new ArrayDeque<>();
-    private final Map<Long, Double> dropped = new HashMap<>();
-    private double longestHoldMs;
-    private Map<Long, QuotaSpec> limits = Map.of();
-    private List<LeaseHandle> shares = List.of();
-    private List<Long> peers = List.of();
+    private final RequestIds ids;
+    private final AllocatorLeases leases;
+    private final SentRequests requests = new SentRequests();
+    private final AllocatorSelector selector;
+    private final QuotaAllocator allocator;
+    private final RemovedQuotas removed;
+    private final FencingTokenCheck fencing = new FencingTokenCheck();
+    private final Map<Long, LocalQuota> localQuotas = new LinkedHashMap<>();
+    /** Messages to this process itself, which cost no datagram. */
+    private final ArrayDeque<QuotaMessage> loopback = new ArrayDeque<>();
+
+    private Map<Long, QuotaSpec> specs = Map.of();
+    private int peerCount;
     private int proxies = 1;
     private boolean changing;
-    private long number;
-    private int calling;
-    private double askAtMs;
-    private double callAtMs;
-    private double lookedMs = Double.NEGATIVE_INFINITY;
-    private double dealAtMs = Double.POSITIVE_INFINITY;
-    /** When any other was heard. */
-    private double heardMs = Double.NEGATIVE_INFINITY;
-
+    private double requestAtMs;
+    private double inspectedMs = Double.NEGATIVE_INFINITY;
+    private double lastHeardMs = Double.NEGATIVE_INFINITY;
     private double urgentFromMs = Double.NEGATIVE_INFINITY;
     private boolean urgent;
-    private long olderEpochs;
-    private final FencingTokenCheck guard = new FencingTokenCheck();
+    private long staleGrants;
 
-    /** @param likely whether a peer may be there: a guess, which hastens who is asked and allows nothing */
+    /**
+     * Creates a proxy without quotas.
+     *
+     * @param selfId this process's id among the peers
+     * @param startMs when the process started
+     * @param isLikelyAlive whether a peer may be alive: a guess that saves time and affects no safety
+     */
     public QuotaManager(
-            long me, QuotaTiming rules, SplittableRandom random, double startMs, LongPredicate likely, Out out) {
-        this.likely = likely;
-        this.me = me;
-        this.rules = rules;
+            long selfId,
+            QuotaTiming timing,
+            SplittableRandom random,
+            double startMs,
+            LongPredicate isLikelyAlive,
+            QuotaOutbox outbox) {
+        this.selfId = selfId;
+        this.timing = timing;
         this.random = random;
-        this.out = out;
+        this.outbox = outbox;
         this.startMs = startMs;
-        book = random.nextLong() | 1;
-        number = random.nextLong() >>> 2;
+        ledgerId = random.nextLong() | 1;
+        ids = new RequestIds(random.nextLong());
+        leases = new AllocatorLeases(timing, startMs);
+        selector = new AllocatorSelector(selfId, timing, requests, isLikelyAlive);
+        allocator = new QuotaAllocator(
+                new QuotaAllocator.Context(selfId, ledgerId, timing, ids, leases, isLikelyAlive), this::send);
+        removed = new RemovedQuotas(timing);
     }
 
+    // ---- configuration
+
     /**
-     * The file counts from now on.
+     * Takes over a configuration.
      *
-     * @param list the proxies that share the limits, this one among them
-     * @param proxyCount into how many shares they are cut: while the list changes those of both lists
-     * @param owns whether this proxy has a share: one that joins has none until the change is over, nor has one that
-     *     leaves
+     * @param newSpecs the quotas
+     * @param allocatorLeases the leases that the quotas are spread over, the same at all proxies; not empty
+     * @param peers the proxies that share the quotas, this one among them
+     * @param proxyCount into how many shares they are divided: while the list of peers changes, those of both lists
+     * @param isChanging whether the list of peers is being changed
+     * @param ownsShare whether this proxy has a share: one that joins has none until the change is over, nor has one
+     *     that leaves
+     * @throws IllegalArgumentException if there are more than {@value #MAX_QUOTAS} quotas or no leases
      */
-    public void use(
-            List<QuotaSpec> wanted,
-            List<LeaseHandle> duties,
-            List<Long> list,
+    public void configure(
+            List<QuotaSpec> newSpecs,
+            List<LeaseHandle> allocatorLeases,
+            List<Long> peers,
             int proxyCount,
             boolean isChanging,
-            boolean owns,
-            double now) {
-        if (wanted.size() > MOST_LIMITS || duties.isEmpty()) {
-            throw new IllegalArgumentException(wanted.size() + " limits, " + duties.size() + " duties");
+            boolean ownsShare,
+            double nowMs) {
+        if (newSpecs.size() > MAX_QUOTAS || allocatorLeases.isEmpty()) {
+            throw new IllegalArgumentException(newSpecs.size() + " limits, " + allocatorLeases.size() + " duties");
         }
-        Map<Long, QuotaSpec> named = new LinkedHashMap<>();
-        wanted.forEach(l -> named.put(NameHash.of(l.name()), l));
-        limits = named;
-        shares = List.copyOf(duties);
-        peers = List.copyOf(list);
+        Map<Long, QuotaSpec> byId = new LinkedHashMap<>();
+        newSpecs.forEach(spec -> byId.put(NameHash.of(spec.name()), spec));
+        specs = byId;
+        leases.configure(allocatorLeases);
+        allocator.setPeers(peers);
+        peerCount = peers.size();
         proxies = Math.max(1, proxyCount);
         changing = isChanging;
-        // What it has lent stands though the file no longer has the limit, or has one of another kind by its name.
-        dropped.values().removeIf(at -> now - at > 2 * QuotaTiming.LOAN * rules.grantMs() + longestHoldMs);
-        pockets.entrySet().removeIf(e -> {
-            QuotaSpec l = named.get(e.getKey());
-            longestHoldMs = Math.max(longestHoldMs, e.getValue().limit().holdMs());
-            boolean gone = l == null || l.atOnce() != e.getValue().limit().atOnce();
-            if (gone) {
-                dropped.put(e.getKey(), now);
-            }
-            return gone;
+        removeObsolete(nowMs);
+        byId.forEach((id, spec) -> {
+            localQuotas
+                    .computeIfAbsent(id, key -> new LocalQuota(spec, timing, removed.removedAtMs(id, startMs)))
+                    .configure(spec, ownsShare ? spec.staticShare(proxies) : 0, nowMs);
+            allocator.configure(id, spec, spec.sharedPool(proxies, changing));
         });
-        // Books of limits that are gone stay until what they gave out is over.
-        named.forEach((id, l) -> {
-            pockets.computeIfAbsent(id, k -> new LocalQuota(l, rules, dropped.getOrDefault(id, startMs)))
-                    .use(l, owns ? l.share(proxies) : 0, proxies, now);
-            AllocationLedger b = books.get(id);
-            if (b != null) {
-                b.use(l, l.pool(proxies, changing));
+    }
+
+    private void removeObsolete(double nowMs) {
+        removed.forget(nowMs);
+        localQuotas.entrySet().removeIf(entry -> {
+            QuotaSpec oldSpec = entry.getValue().spec();
+            QuotaSpec newSpec = specs.get(entry.getKey());
+            removed.recordInUse(oldSpec);
+            boolean isObsolete = newSpec == null || newSpec.concurrent() != oldSpec.concurrent();
+            if (isObsolete) {
+                removed.add(entry.getKey(), nowMs);
             }
+            return isObsolete;
         });
     }
 
-    /** What this proxy may spend of a limit; null if there is none of this name. */
-    public LocalQuota pocket(String name) {
-        return pockets.get(NameHash.of(name));
+    /** What this proxy may spend of a quota; null if there is none of this name. */
+    public LocalQuota localQuota(String name) {
+        return localQuotas.get(NameHash.of(name));
     }
 
     /**
-     * A request was refused: where notably more is needed than was asked for last, it is asked for soon, not at the
-     * next beat.
+     * A request has been rejected. If notably more capacity is needed than was last requested, it is requested soon and
+     * not only after the usual interval.
+     *
+     * @return whether {@link #tick} should be called soon
      */
-    public boolean hurry(LocalQuota p, double now) {
-        urgent |= p.needsMore(now);
+    public boolean requestSoon(LocalQuota localQuota, double nowMs) {
+        urgent |= localQuota.needsMore(nowMs);
         return urgent;
     }
 
-    private static int share(long limit, int of) {
-        return (int) Long.remainderUnsigned(limit * 0x9E3779B97F4A7C15L >>> 16, of);
-    }
-
     // ---- time
 
-    /** Does what is due; when to call again, at the latest. */
-    public double tick(double now) {
-        if (now - lookedMs >= LOOK_MS) {
-            lookedMs = now;
-            pockets.values().forEach(p -> {
-                p.tick(now);
-                urgent |= p.holdsTooMuch(now) || p.unanswered(now);
-            });
+    /** Does what is due; returns when to call again at the latest. */
+    public double tick(double nowMs) {
+        if (nowMs - inspectedMs >= INSPECTION_INTERVAL_MS) {
+            inspectedMs = nowMs;
+            localQuotas.values().forEach(localQuota -> inspect(localQuota, nowMs));
         }
-        owned(now);
-        boolean soon = urgent && now >= urgentFromMs;
-        if (now >= askAtMs || soon) {
-            ask(now);
-            askAtMs = now + rules.beatMs() * (0.9 + 0.1 * random.nextDouble());
-            urgentFromMs = now + URGENT_MS;
+        leases.tick(nowMs);
+        boolean isUrgentDue = urgent && nowMs >= urgentFromMs;
+        if (nowMs >= requestAtMs || isUrgentDue) {
+            requestCapacity(nowMs);
+            double fraction = MIN_INTERVAL_FRACTION + RANDOM_INTERVAL_FRACTION * random.nextDouble();
+            requestAtMs = nowMs + timing.requestIntervalMs() * fraction;
+            urgentFromMs = nowMs + URGENT_INTERVAL_MS;
             urgent = false;
         }
-        if (now >= callAtMs) {
-            call(now);
-            callAtMs = now + rules.beatMs();
-        }
-        if (now >= dealAtMs) {
-            deal(now);
-        }
-        deliver(now);
-        double next = Math.min(askAtMs, Math.min(callAtMs, dealAtMs));
-        return urgent ? Math.min(next, Math.max(now, urgentFromMs)) : next;
+        allocator.tick(nowMs);
+        deliverToSelf(nowMs);
+        double nextMs = Math.min(requestAtMs, allocator.nextMs());
+        return urgent ? Math.min(nextMs, Math.max(nowMs, urgentFromMs)) : nextMs;
     }
 
-    private void owned(double now) {
-        for (int i = 0; i < shares.size(); i++) {
-            if (shares.get(i).permit(now, 0) < 0) {
-                ownedSinceMs.remove(i);
-            } else {
-                ownedSinceMs.putIfAbsent(
-                        i, Math.max(now, startMs)); // it may begin in silence, for longer grants of before
-            }
-        }
+    private void inspect(LocalQuota localQuota, double nowMs) {
+        localQuota.tick(nowMs);
+        urgent |= localQuota.holdsTooMuch(nowMs) || localQuota.isUnanswered(nowMs);
     }
 
-    /** The epoch under which the fleet's own part of a limit is this one's to deal out; 0: it is not. */
-    private long epoch(QuotaSpec l, long id, double now) {
-        int share = share(id, shares.size());
-        Double since = ownedSinceMs.get(share);
-        long epoch = since == null ? -1 : shares.get(share).permit(now, 0);
-        return epoch > 0 && now >= since + rules.takeoverMs(l) ? epoch : 0;
+    private void requestCapacity(double nowMs) {
+        requests.forget(nowMs, timing.grantMs());
+        allocator.forgetSolicitations(nowMs);
+        entriesByAllocator(nowMs)
+                .forEach((to, entries) -> QuotaBatches.of(entries).forEach(batch -> {
+                    long requestId = ids.next();
+                    if (!requests.isFull()) {
+                        requests.add(requestId, new Sent(nowMs, to));
+                        batch.forEach(entry ->
+                                localQuotas.get(entry.quotaId()).recordRequest(entry.amount(), requestId, nowMs));
+                        send(to, new QuotaMessage(Kind.REQUEST, ledgerId, requestId, 0, batch));
+                    }
+                }));
     }
 
-    private void ask(double now) {
-        forget(asks.values().iterator(), now);
-        forgetTimes(calls.values().iterator(), now);
-        Map<Long, List<Entry>> byDealer = new LinkedHashMap<>();
-        long[] dealers = new long[shares.size()];
-        pockets.forEach((id, p) -> {
-            double wants = p.wants(now);
-            if (wants > 0 || p.holdsGrant(now)) {
-                int share = share(id, dealers.length);
-                if (dealers[share] == NameHash.NOBODY) {
-                    dealers[share] = dealer(shares.get(share), now);
+    private Map<Long, List<Entry>> entriesByAllocator(double nowMs) {
+        Map<Long, List<Entry>> byAllocator = new LinkedHashMap<>();
+        long[] selected = new long[leases.size()]; // one choice for all quotas of a lease
+        localQuotas.forEach((id, localQuota) -> {
+            double missing = localQuota.missing(nowMs);
+            if (missing > 0 || localQuota.holdsGrant(nowMs)) {
+                int index = leases.indexOf(id);
+                LeaseHandle lease = leases.get(index);
+                if (selected[index] == NameHash.NOBODY) {
+                    selected[index] = selector.select(lease, nowMs);
                 }
-                // What is in nobody's share only the holder deals out, so nobody else is worth asking.
-                long to = p.limit().sharePart() > 0 ? dealers[share] : holder(shares.get(share), dealers[share], now);
-                byDealer.computeIfAbsent(to, k -> new ArrayList<>()).add(new Entry(id, wants));
+                // Without shares there are no donations, and only the lease holder can grant anything.
+                long to = localQuota.spec().staticFraction() > 0
+                        ? selected[index]
+                        : selector.holderOr(lease, selected[index], nowMs);
+                byAllocator.computeIfAbsent(to, key -> new ArrayList<>()).add(new Entry(id, missing));
             }
         });
-        byDealer.forEach((to, entries) -> parts(entries).forEach(part -> {
-            QuotaMessage m = new QuotaMessage(Kind.WANT, book, ++number, 0, part);
-            if (asks.size() < MOST_NUMBERS) {
-                asks.put(number, new Asked(now, to));
-                part.forEach(e -> pockets.get(e.limit()).asks(e.amount(), number, now));
-                send(to, m);
-            }
-        }));
-    }
-
-    private void forget(Iterator<Asked> times, double now) {
-        while (times.hasNext()) {
-            Asked a = times.next();
-            if (now - a.atMs < rules.grantMs()) {
-                return;
-            }
-            times.remove();
-        }
-    }
-
-    private void forgetTimes(Iterator<Double> times, double now) {
-        while (times.hasNext() && now - times.next() >= rules.grantMs()) {
-            times.remove();
-        }
-    }
-
-    /**
-     * Who is asked about a limit: the holder of its duty, or the next in order that has not failed to answer lately.
-     */
-    private long dealer(LeaseHandle t, double now) {
-        long holder = t.permit(now, 0) >= 0 ? me : t.holder(now);
-        // It holds the duty by the voters' word, so it was there just now: the answer may have been lost.
-        if (holder != NameHash.NOBODY && answers(holder, rules.beatMs(), now)) {
-            return holder;
-        }
-        for (long p : t.candidateOrder()) {
-            if (answers(p, now)) {
-                return p;
-            }
-        }
-        return me;
-    }
-
-    private long holder(LeaseHandle t, long otherwise, double now) {
-        long holder = t.permit(now, 0) >= 0 ? me : t.holder(now);
-        return holder == NameHash.NOBODY ? otherwise : holder;
-    }
-
-    private boolean answers(long peer, double now) {
-        return answers(peer, SHUNNED * rules.grantMs(), now);
-    }
-
-    /** @param shunMs for so long one that does not answer is passed over */
-    private boolean answers(long peer, double shunMs, double now) {
-        if (peer == me) {
-            return true;
-        }
-        Double until = shunned.get(peer);
-        if (until != null && now < until || !likely.test(peer)) {
-            return false;
-        }
-        // Asked some time ago and not a word since: somebody else, for a while.
-        for (Asked a : asks.values()) {
-            if (a.to == peer) {
-                boolean late = now - a.atMs > rules.beatMs() * PATIENCE_BEATS
-                        && wordMs.getOrDefault(peer, Double.NEGATIVE_INFINITY) < a.atMs;
-                if (late) {
-                    shunned.put(peer, now + shunMs);
-                }
-                return !late;
-            }
-        }
-        return true;
-    }
-
-    private void call(double now) {
-        List<Entry> wanted = new ArrayList<>();
-        books.entrySet().removeIf(e -> e.getValue().over(now));
-        books.forEach((id, b) -> {
-            if (b.limit().sharePart() > 0 && b.isWanted(now)) {
-                wanted.add(new Entry(id, 0));
-            }
-        });
-        boolean all = ++calling % CALL_ALL == 0; // a guess may be wrong, also for long
-        for (List<Entry> part : parts(wanted)) {
-            if (calls.size() >= MOST_NUMBERS) {
-                return;
-            }
-            calls.put(++number, now);
-            QuotaMessage m = new QuotaMessage(Kind.CALL, book, number, 0, part);
-            peers.stream().filter(p -> all || p == me || likely.test(p)).forEach(p -> send(p, m));
-        }
-    }
-
-    private static List<List<Entry>> parts(List<Entry> all) {
-        List<List<Entry>> parts = new ArrayList<>();
-        for (int i = 0; i < all.size(); i += QuotaMessage.MOST_ENTRIES) {
-            parts.add(all.subList(i, Math.min(all.size(), i + QuotaMessage.MOST_ENTRIES)));
-        }
-        return parts;
-    }
-
-    private void deal(double now) {
-        dealAtMs = Double.POSITIVE_INFINITY;
-        // By peer, ask and epoch: entries of one ask go out in one message.
-        Map<List<Long>, List<Entry>> told = new LinkedHashMap<>();
-        books.forEach((id, b) -> {
-            long epoch = epoch(b.limit(), id, now);
-            b.deal(now, epoch > 0)
-                    .forEach(g -> told.computeIfAbsent(List.of(g.peer(), g.number(), epoch), k -> new ArrayList<>())
-                            .add(new Entry(id, g.amount())));
-        });
-        told.forEach((to, entries) -> parts(entries)
-                .forEach(part -> send(to.get(0), new QuotaMessage(Kind.GRANT, book, to.get(1), to.get(2), part))));
+        return byAllocator;
     }
 
     // ---- messages
 
-    private void send(long to, QuotaMessage m) {
-        if (to == me) {
-            self.add(m);
+    private void send(long to, QuotaMessage message) {
+        if (to == selfId) {
+            loopback.add(message);
         } else {
-            out.send(to, m);
+            outbox.send(to, message);
         }
     }
 
-    /** A peer's message; its own to itself come by {@link #tick}. */
-    public void heard(double now, long from, QuotaMessage m) {
-        wordMs.put(from, now);
-        heardMs = now;
-        shunned.remove(from);
-        take(now, from, m);
-        deliver(now);
+    /** Receives a peer's message. */
+    public void receive(double nowMs, long from, QuotaMessage message) {
+        lastHeardMs = nowMs;
+        selector.recordMessage(from, nowMs);
+        dispatch(nowMs, from, message);
+        deliverToSelf(nowMs);
     }
 
-    private void deliver(double now) {
-        for (QuotaMessage m; (m = self.poll()) != null; ) {
-            take(now, me, m);
+    private void deliverToSelf(double nowMs) {
+        while (!loopback.isEmpty()) {
+            dispatch(nowMs, selfId, loopback.remove());
         }
     }
 
-    private void take(double now, long from, QuotaMessage m) {
-        switch (m.kind()) {
-            case WANT -> wanted(now, from, m);
-            case CALL -> called(now, from, m);
-            case LOAN -> lent(now, from, m);
-            default -> granted(now, from, m);
+    private void dispatch(double nowMs, long from, QuotaMessage message) {
+        switch (message.kind()) {
+            case REQUEST -> onRequest(nowMs, from, message);
+            case SOLICIT -> onSolicit(nowMs, from, message);
+            case DONATE -> allocator.receiveDonation(nowMs, from, message);
+            default -> onGrant(nowMs, from, message);
         }
     }
 
-    private void wanted(double now, long from, QuotaMessage m) {
-        boolean fresh = false;
-        for (Entry e : m.entries()) {
-            QuotaSpec l = limits.get(e.limit());
-            if (l == null) {
-                continue; // its file has a limit that this one's lacks
+    private void onRequest(double nowMs, long from, QuotaMessage request) {
+        boolean needsDonations = false;
+        for (Entry entry : request.entries()) {
+            QuotaSpec spec = specs.get(entry.quotaId());
+            if (spec == null) {
+                continue; // the peer has another configuration
             }
-            AllocationLedger b = books.get(e.limit());
-            if (b == null) {
-                b = new AllocationLedger(rules);
-                b.use(l, l.pool(proxies, changing));
-                books.put(e.limit(), b);
-            }
-            fresh |= l.sharePart() > 0 && !b.isWanted(now);
-            b.wanted(now, from, m.book(), e.amount(), m.number());
+            AllocationLedger ledger = allocator.ledger(entry.quotaId(), spec, spec.sharedPool(proxies, changing));
+            needsDonations |= spec.staticFraction() > 0 && !ledger.isRequested(nowMs);
+            ledger.recordRequest(nowMs, from, request.ledgerId(), entry.amount(), request.requestId());
         }
-        if (fresh) {
-            callAtMs = now; // nobody has been asked to lend yet
+        if (needsDonations) {
+            allocator.solicitSoon(nowMs);
         }
-        dealAtMs = Math.min(dealAtMs, now);
+        allocator.allocateSoon(nowMs);
     }
 
-    private void called(double now, long from, QuotaMessage m) {
-        List<Entry> loans = new ArrayList<>();
-        for (Entry e : m.entries()) {
-            LocalQuota p = pockets.get(e.limit());
-            double amount = p == null ? 0 : p.lend(m.book(), now);
+    private void onSolicit(double nowMs, long from, QuotaMessage solicitation) {
+        List<Entry> donations = new ArrayList<>();
+        for (Entry entry : solicitation.entries()) {
+            LocalQuota localQuota = localQuotas.get(entry.quotaId());
+            double amount = localQuota == null ? 0 : localQuota.donate(solicitation.ledgerId(), nowMs);
             if (amount > 0) {
-                loans.add(new Entry(e.limit(), amount));
+                donations.add(new Entry(entry.quotaId(), amount));
             }
         }
-        if (!loans.isEmpty()) {
-            send(from, new QuotaMessage(Kind.LOAN, m.book(), m.number(), 0, loans));
-        }
-    }
-
-    private void lent(double now, long from, QuotaMessage m) {
-        Double called = calls.get(m.number());
-        if (m.book() != book || called == null) {
-            return; // lent to another, or so late that its time is not known any more
-        }
-        for (Entry e : m.entries()) {
-            AllocationLedger b = books.get(e.limit());
-            if (b != null) {
-                b.lent(now, from, e.amount(), called);
-            }
+        if (!donations.isEmpty()) {
+            send(from, new QuotaMessage(Kind.DONATE, solicitation.ledgerId(), solicitation.requestId(), 0, donations));
         }
-        dealAtMs = Math.min(dealAtMs, now + GATHER_MS);
     }
 
-    private void granted(double now, long from, QuotaMessage m) {
-        Asked asked = asks.get(m.number());
-        if (asked == null) {
+    private void onGrant(double nowMs, long from, QuotaMessage grant) {
+        Optional<Sent> request = requests.find(grant.requestId());
+        if (request.isEmpty()) {
             return;
         }
-        for (Entry e : m.entries()) {
-            LocalQuota p = pockets.get(e.limit());
-            if (p == null) {
+        for (Entry entry : grant.entries()) {
+            LocalQuota localQuota = localQuotas.get(entry.quotaId());
+            if (localQuota == null) {
                 continue;
             }
-            if (m.epoch() > 0 && !guard.accepts(e.limit(), m.epoch())) {
-                olderEpochs++;
+            if (grant.epoch() > 0 && !fencing.accepts(entry.quotaId(), grant.epoch())) {
+                staleGrants++;
                 continue;
             }
-            p.granted(m.book(), e.amount(), m.number(), asked.atMs, now);
-            // What it deals itself is no word of others, unless it is the one to deal or others have just lent.
-            if (from != me || m.epoch() > 0 || peers.size() < 2 || now - heardMs <= rules.grantMs()) {
-                p.word(now);
+            double sentMs = request.get().atMs();
+            localQuota.receiveGrant(grant.ledgerId(), entry.amount(), grant.requestId(), sentMs, nowMs);
+            if (showsContact(from, grant, nowMs)) {
+                localQuota.recordReply(nowMs);
             }
         }
     }
 
-    // ---- what is told
+    /** Whether a grant shows that this process is not isolated; its own only if it holds the lease or hears others. */
+    private boolean showsContact(long from, QuotaMessage grant, double nowMs) {
+        return from != selfId || grant.epoch() > 0 || peerCount < 2 || nowMs - lastHeardMs <= timing.grantMs();
+    }
+
+    // ---- status
 
-    public long olderEpochs() {
-        return olderEpochs;
+    /** The number of grants that were ignored because of an older epoch. */
+    public long staleGrants() {
+        return staleGrants;
     }
 
-    public List<Sight> sights(double now) {
-        List<Sight> list = new ArrayList<>();
-        pockets.values()
-                .forEach(p -> list.add(new Sight(
-                        p.limit(),
-                        p.mine(now),
-                        p.own(now),
-                        p.lentOut(now),
-                        p.needsNow(now),
-                        p.inHand(),
-                        p.spent(),
-                        p.refusedCount(),
-                        p.unheardSince(now))));
-        return list;
+    /** All quotas of the configuration as this proxy sees them. */
+    public List<QuotaStatus> statuses(double nowMs) {
+        return localQuotas.values().stream()
+                .map(localQuota -> localQuota.status(nowMs))
+                .toList();
     }
 }
--- a/src/main/java/cacheproxy/fleet/quota/QuotaMessage.java
+++ b/src/main/java/cacheproxy/fleet/quota/QuotaMessage.java
@@ -5,80 +5,96 @@
 import java.util.List;
 
 /**
- * What proxies tell one another of limits: {@value #HEAD} bytes and {@value #ENTRY} for each limit.
+ * A datagram between proxies about quotas, in network byte order: {@value #HEADER_BYTES} bytes with the kind, ledger,
+ * request and epoch, then {@value #ENTRY_BYTES} bytes for each entry.
  *
- * @param book the dealer's: what is lent to one is lent to no other; in WANT the asker's own, which tells two lives of
- *     a proxy apart
- * @param number of the ask that a grant answers, or of the call that a loan answers
- * @param epoch under which the whole fleet's part is dealt out; 0 where only loans are
+ * @param ledgerId of the allocator: a donation is to one ledger only; in REQUEST the requesting proxy's own, which
+ *     tells two incarnations of it apart
+ * @param requestId of a request and of the grant that replies to it, or of a solicitation and its donation
+ * @param epoch of the lease under which the shared pool is granted; 0 where only donations are
  */
-public record QuotaMessage(Kind kind, long book, long number, long epoch, List<Entry> entries) {
-    static final int HEAD = 25;
-    static final int ENTRY = 12;
-    /** So that a datagram holds them. */
-    public static final int MOST_ENTRIES = 15;
+public record QuotaMessage(Kind kind, long ledgerId, long requestId, long epoch, List<Entry> entries) {
+    static final int HEADER_BYTES = 25;
+    static final int ENTRY_BYTES = 12;
+    /** As many as fit into a datagram. */
+    public static final int MAX_ENTRIES = 15;
 
-    /** What it is. */
+    private static final double MAX_AMOUNT = 1e9;
+
+    /** The kinds of message, in the order of their codes on the wire. */
     public enum Kind {
-        /** I could use so much more than what I own. */
-        WANT,
-        /** You may spend so much more than what you own, counted from your ask. */
-        GRANT,
-        /** Who can do with less? */
-        CALL,
-        /** So much of what I own I shall not spend. */
-        LOAN
+        /** A proxy asks an allocator for so much more than it owns. */
+        REQUEST(0),
+        /** An allocator grants so much more than the receiver owns, counted from its request. */
+        GRANT(1),
+        /** An allocator asks for donations. */
+        SOLICIT(2),
+        /** A proxy does not spend so much of its share. */
+        DONATE(3);
+
+        private static final Kind[] BY_CODE = values();
+        private final byte code;
+
+        Kind(int code) {
+            this.code = (byte) code;
+        }
     }
 
-    /** @param amount a second, or at once; 0 or more */
-    public record Entry(long limit, double amount) {}
+    /**
+     * An amount of one quota.
+     *
+     * @param quotaId the hash of the quota's name
+     * @param amount requests per second or concurrent requests, 0 or more
+     */
+    public record Entry(long quotaId, double amount) {}
 
+    /** Checks the number of entries. */
     public QuotaMessage {
         entries = List.copyOf(entries);
-        if (entries.size() > MOST_ENTRIES) {
+        if (entries.size() > MAX_ENTRIES) {
             throw new IllegalArgumentException(entries.size() + " limits in one message");
         }
     }
 
-    public byte[] bytes() {
-        ByteBuffer b = ByteBuffer.allocate(HEAD + entries.size() * ENTRY)
-                .put((byte) kind.ordinal())
-                .putLong(book)
-                .putLong(number)
+    /** The bytes of the datagram. */
+    public byte[] encode() {
+        ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES + entries.size() * ENTRY_BYTES)
+                .put(kind.code)
+                .putLong(ledgerId)
+                .putLong(requestId)
                 .putLong(epoch);
-        entries.forEach(e -> b.putLong(e.limit).putFloat(down(e.amount)));
-        return b.array();
+        entries.forEach(entry -> buffer.putLong(entry.quotaId).putFloat(roundDown(entry.amount)));
+        return buffer.array();
     }
 
-    /** Never more than was meant: amounts are promises. */
-    private static float down(double amount) {
-        float f = (float) amount;
-        return f > amount ? Math.nextDown(f) : f;
+    /** The nearest float that is no larger: an amount is a promise. */
+    private static float roundDown(double amount) {
+        float nearest = (float) amount;
+        return nearest > amount ? Math.nextDown(nearest) : nearest;
     }
 
-    /** Null if these bytes are none. */
-    public static QuotaMessage of(byte[] bytes) {
-        int entries = (bytes.length - HEAD) / ENTRY;
-        if (bytes.length < HEAD
-                || bytes.length != HEAD + entries * ENTRY
-                || entries > MOST_ENTRIES
-                || bytes[0] < 0
-                || bytes[0] >= Kind.values().length) {
+    /** Reads a datagram; null if its length, kind, epoch or an amount is invalid. */
+    public static QuotaMessage decode(byte[] bytes) {
+        int count = (bytes.length - HEADER_BYTES) / ENTRY_BYTES;
+        boolean isLengthValid = bytes.length >= HEADER_BYTES
+                && bytes.length == HEADER_BYTES + count * ENTRY_BYTES
+                && count <= MAX_ENTRIES;
+        if (!isLengthValid || bytes[0] < 0 || bytes[0] >= Kind.BY_CODE.length) {
             return null;
         }
-        ByteBuffer b = ByteBuffer.wrap(bytes);
-        Kind kind = Kind.values()[b.get()];
-        long book = b.getLong();
-        long number = b.getLong();
-        long epoch = b.getLong();
-        List<Entry> list = new ArrayList<>(entries);
-        for (int i = 0; i < entries; i++) {
-            Entry e = new Entry(b.getLong(), b.getFloat());
-            if (!(e.amount >= 0) || e.amount > 1e9) {
+        ByteBuffer buffer = ByteBuffer.wrap(bytes);
+        Kind kind = Kind.BY_CODE[buffer.get()];
+        long ledgerId = buffer.getLong();
+        long requestId = buffer.getLong();
+        long epoch = buffer.getLong();
+        List<Entry> entries = new ArrayList<>(count);
+        for (int i = 0; i < count; i++) {
+            Entry entry = new Entry(buffer.getLong(), buffer.getFloat());
+            if (!(entry.amount >= 0 && entry.amount <= MAX_AMOUNT)) {
                 return null;
             }
-            list.add(e);
+            entries.add(entry);
         }
-        return epoch < 0 ? null : new QuotaMessage(kind, book, number, epoch, list);
+        return epoch < 0 ? null : new QuotaMessage(kind, ledgerId, requestId, epoch, entries);
     }
 }
--- /dev/null
+++ b/src/main/java/cacheproxy/fleet/quota/QuotaOutbox.java
@@ -0,0 +1,11 @@
+package cacheproxy.fleet.quota;
+
+/** Receives the messages that a {@link QuotaManager} wants sent. */
+public interface QuotaOutbox {
+    /**
+     * Sends a message to a peer. Messages may be lost, delayed or duplicated.
+     *
+     * @param to the peer's id
+     */
+    void send(long to, QuotaMessage message);
+}
--- a/src/main/java/cacheproxy/fleet/quota/QuotaSpec.java
+++ b/src/main/java/cacheproxy/fleet/quota/QuotaSpec.java
@@ -1,66 +1,79 @@
 package cacheproxy.fleet.quota;
 
 /**
- * A limit of the whole fleet.
+ * The definition of a fleet-wide quota.
  *
- * @param name as operators know it
- * @param atOnce whether it bounds what is in hand at once; else what comes in a second
- * @param amount requests a second, above 0, or at once, a whole number from 1
- * @param burst of a rate: what may be saved up for bursts by the whole fleet, besides one for each proxy
- * @param alone what a proxy does that nobody answers
- * @param sharePart the part of the amount that proxies own, in equal shares, and spend without a word of anybody; the
- *     rest is dealt out by whoever holds the duty. 0 to 1
- * @param holdMs for so long what was begun may go on: 0 for a rate, the longest deadline for what is in hand; the same
- *     at all proxies
+ * @param name as operators know it; not empty
+ * @param concurrent whether it limits concurrent requests; else requests per second
+ * @param amount requests per second, above 0, or concurrent requests, a whole number from 1
+ * @param burst of a rate: how many requests the fleet may save up beyond one for each proxy; from 0
+ * @param whenIsolated what a proxy may spend while no allocator replies
+ * @param staticFraction the part of the amount that the proxies own in equal shares, 0 to 1; the rest is granted by the
+ *     holder of the allocator lease
+ * @param maxHoldMs how long an admitted request may last: the longest deadline for concurrent requests, 0 for a rate;
+ *     the same at all proxies
  */
 public record QuotaSpec(
-        String name, boolean atOnce, double amount, double burst, Alone alone, double sharePart, double holdMs) {
-    /** What a proxy without word spends. */
-    public enum Alone {
-        /** Its share, which with those of all others makes the limit. */
+        String name,
+        boolean concurrent,
+        double amount,
+        double burst,
+        IsolationPolicy whenIsolated,
+        double staticFraction,
+        double maxHoldMs) {
+    /** What a proxy may spend while no allocator replies. The configuration has these names. */
+    public enum IsolationPolicy {
+        /** Its share; the shares of all proxies add up to the quota. */
         SHARE,
-        /** What it was last granted, less and less until it is the share. */
+        /** The last grant, which decays until only the share is left. */
         LAST,
-        /** Nothing: the whole limit is dealt out. */
+        /** Nothing: no proxy owns a share, and the whole quota is granted. */
         NONE
     }
 
-    /** A last grant decays over so many times the grants' time. */
-    static final double DECAY = 5;
+    /** Under {@link IsolationPolicy#LAST} the last grant decays over so many durations of a grant. */
+    static final double DECAY_GRANTS = 5;
 
+    /** Rounding errors must not turn a whole share into the one below. */
+    private static final double ROUNDING = 1e-9;
+
+    /**
+     * Checks the ranges; without shares the static fraction is 0.
+     *
+     * @throws IllegalArgumentException if a value is out of its range
+     */
     public QuotaSpec {
-        if (name.isEmpty()
-                || !(amount > 0)
-                || atOnce && amount != Math.rint(amount)
-                || !(burst >= 0)
-                || !(holdMs >= 0)
-                || !atOnce && holdMs > 0
-                || !(sharePart >= 0 && sharePart <= 1)) {
+        boolean isAmountValid = amount > 0 && (!concurrent || amount == Math.rint(amount));
+        boolean isHoldValid = maxHoldMs >= 0 && (concurrent || maxHoldMs == 0);
+        boolean isFractionValid = staticFraction >= 0 && staticFraction <= 1;
+        if (name.isEmpty() || !isAmountValid || !(burst >= 0) || !isHoldValid || !isFractionValid) {
             throw new IllegalArgumentException(
-                    "limit " + name + " of " + amount + ", burst " + burst + ", share part " + sharePart);
+                    "limit " + name + " of " + amount + ", burst " + burst + ", share part " + staticFraction);
         }
-        if (alone == Alone.NONE) {
-            sharePart = 0;
+        if (whenIsolated == IsolationPolicy.NONE) {
+            staticFraction = 0;
         }
     }
 
     /** What each of so many proxies owns. */
-    public double share(int proxies) {
-        double share = amount * sharePart / Math.max(1, proxies);
-        return atOnce ? Math.floor(share + 1e-9) : share;
+    public double staticShare(int proxies) {
+        double share = amount * staticFraction / Math.max(1, proxies);
+        return concurrent ? Math.floor(share + ROUNDING) : share;
     }
 
     /**
-     * What the holder of the duty deals out of nobody's share.
+     * What is in nobody's share, for the holder of the allocator lease to grant.
      *
-     * @param changing whether the list of proxies is being changed: then others may go by other shares
+     * @param changing whether the list of proxies is being changed, so that others may have shares of another size
      */
-    public double pool(int proxies, boolean changing) {
-        return atOnce && !changing ? amount - share(proxies) * Math.max(1, proxies) : amount * (1 - sharePart);
+    public double sharedPool(int proxies, boolean changing) {
+        return concurrent && !changing
+                ? amount - staticShare(proxies) * Math.max(1, proxies)
+                : amount * (1 - staticFraction);
     }
 
-    /** What all proxies together may have saved up. */
-    public double saved(int proxies) {
-        return atOnce ? 0 : burst + proxies;
+    /** How many requests all proxies together may have saved up. */
+    public double maxBurst(int proxies) {
+        return concurrent ? 0 : burst + proxies;
     }
 }
--- a/src/main/java/cacheproxy/fleet/quota/QuotaTiming.java
+++ b/src/main/java/cacheproxy/fleet/quota/QuotaTiming.java
@@ -1,75 +1,86 @@
 package cacheproxy.fleet.quota;
 
 /**
- * The times on which the safety of shared limits rests; milliseconds, each process by its own monotonic clock, none of
- * which is off true time by more than {@link #drift} in either direction.
+ * The durations on which the safety of quotas rests, in milliseconds. Each process measures by its own monotonic clock,
+ * whose rate differs from true time by at most {@link #maxDrift} either way.
  *
- * <p>Who may spend counts short, who must not counts long: a grant is used for {@link #usedMs} from before it was asked
- * for, and stands at its dealer for {@link #outMs} from when it was sent; a loan is kept for {@link #keptMs} from when
- * it was sent, and counts at its dealer for {@link #lentMs} from before it was called for. So whatever the clocks do
- * within the bound and however late messages are, a grant ends before the loans that cover it.
+ * <p>Who may spend counts from earlier and shorter, who must not counts from later and longer: a grant is spent for
+ * {@link #spendableMs} from when it was requested and is outstanding at its allocator for {@link #outstandingMs} from
+ * when it was sent; a donation is kept for {@link #donorKeepsMs} from when it was sent and counts at its allocator for
+ * {@link #donationCountsMs} from when it was solicited. So a grant ends before the donations that cover it, however
+ * late messages arrive.
  */
 public class QuotaTiming {
-    /** Asks, calls and answers go out so often in a grant's time, so that two in a row may be lost. */
-    static final double BEATS = 3;
-    /** A loan outlasts the grant that rests on it by so many times. */
-    static final double LOAN = 2;
+    /** Requests and solicitations are sent so often in the duration of a grant: two in a row may be lost. */
+    static final double REQUESTS_PER_GRANT = 3;
+    /** A donation lasts for so many durations of a grant. */
+    static final double DONATION_GRANTS = 2;
+
+    private static final double MIN_GRANT_MS = 100;
+    private static final double MAX_GRANT_MS = 60_000;
+    private static final double MAX_CONFIGURED_DRIFT = 0.1;
 
     private final double grantMs;
-    private final double drift;
+    private final double maxDrift;
 
     /**
+     * Creates the durations of a fleet.
+     *
      * @param grantMs for how long a grant may be spent, 100 to 60,000
-     * @param drift of a clock, as a share, 0 to 0.1
+     * @param maxDrift how far a clock's rate may be off, as a fraction, 0 to 0.1
+     * @throws IllegalArgumentException if a parameter is out of its range
      */
-    public QuotaTiming(double grantMs, double drift) {
-        if (!(grantMs >= 100 && grantMs <= 60_000) || !(drift >= 0 && drift <= 0.1)) {
-            throw new IllegalArgumentException("grant of " + grantMs + " ms, drift " + drift);
+    public QuotaTiming(double grantMs, double maxDrift) {
+        boolean isGrantValid = grantMs >= MIN_GRANT_MS && grantMs <= MAX_GRANT_MS;
+        if (!isGrantValid || !(maxDrift >= 0 && maxDrift <= MAX_CONFIGURED_DRIFT)) {
+            throw new IllegalArgumentException("grant of " + grantMs + " ms, drift " + maxDrift);
         }
         this.grantMs = grantMs;
-        this.drift = drift;
+        this.maxDrift = maxDrift;
     }
 
+    /** The nominal duration of a grant. */
     public double grantMs() {
         return grantMs;
     }
 
-    public double drift() {
-        return drift;
+    /** How far a clock's rate may be off, as a fraction. */
+    public double maxDrift() {
+        return maxDrift;
     }
 
-    /** Between two asks of one who wants, and two calls of who deals. */
-    public double beatMs() {
-        return grantMs / BEATS;
+    /** The interval of a proxy's requests, and of an allocator's solicitations. */
+    public double requestIntervalMs() {
+        return grantMs / REQUESTS_PER_GRANT;
     }
 
-    /** How long a grant may be spent, from before it was asked for. */
-    public double usedMs() {
-        return grantMs * (1 - drift);
+    /** How long a grant may be spent, from when it was requested. */
+    public double spendableMs() {
+        return grantMs * (1 - maxDrift);
     }
 
-    /** How long a grant stands at its dealer, from when it was sent. */
-    public double outMs(QuotaSpec l) {
-        return (grantMs + l.holdMs()) * (1 + drift);
+    /** How long a grant is outstanding at its allocator, from when it was sent. */
+    public double outstandingMs(QuotaSpec spec) {
+        return (grantMs + spec.maxHoldMs()) * (1 + maxDrift);
     }
 
-    /** How long a loan is kept, from when it was sent. */
-    public double keptMs(QuotaSpec l) {
-        return (grantMs * LOAN + l.holdMs()) * (1 + drift);
+    /** How long a donor keeps its donation, from when it was sent. */
+    public double donorKeepsMs(QuotaSpec spec) {
+        return (grantMs * DONATION_GRANTS + spec.maxHoldMs()) * (1 + maxDrift);
     }
 
-    /** How long a loan counts at the dealer, from before it was called for. */
-    public double lentMs(QuotaSpec l) {
-        return (grantMs * LOAN + l.holdMs()) * (1 - drift);
+    /** How long a donation counts at the allocator, from when it was solicited. */
+    public double donationCountsMs(QuotaSpec spec) {
+        return (grantMs * DONATION_GRANTS + spec.maxHoldMs()) * (1 - maxDrift);
     }
 
-    /** A process that has started spends nothing of its own for so long: an earlier life of it may have lent it. */
-    public double silenceMs(QuotaSpec l) {
-        return keptMs(l);
+    /** How long a process spends nothing of its share after its start: an earlier process may have donated it. */
+    public double startupSilenceMs(QuotaSpec spec) {
+        return donorKeepsMs(spec);
     }
 
-    /** Who has gained the duty deals out nothing but loans for so long: whoever held it before may have. */
-    public double takeoverMs(QuotaSpec l) {
-        return outMs(l);
+    /** How long a new lease holder grants nothing but donations: grants of the former holder may be outstanding. */
+    public double takeoverWaitMs(QuotaSpec spec) {
+        return outstandingMs(spec);
     }
 }
--- /dev/null
+++ b/src/main/java/cacheproxy/fleet/quota/RemovedQuotas.java
@@ -0,0 +1,39 @@
+package cacheproxy.fleet.quota;
+
+import java.util.HashMap;
+import java.util.Map;
+
+/** When quotas were removed from the configuration: what was donated of them stays donated if they are restored. */
+final class RemovedQuotas {
+    /** Kept for so many durations of a donation. */
+    private static final double KEPT_DONATIONS = 2;
+
+    private final QuotaTiming timing;
+    private final Map<Long, Double> removedAtMs = new HashMap<>();
+    private double longestHoldMs;
+
+    RemovedQuotas(QuotaTiming timing) {
+        this.timing = timing;
+    }
+
+    /** Forgets quotas whose donations have expired. */
+    void forget(double nowMs) {
+        double keptMs = KEPT_DONATIONS * QuotaTiming.DONATION_GRANTS * timing.grantMs() + longestHoldMs;
+        removedAtMs.values().removeIf(at -> nowMs - at > keptMs);
+    }
+
+    /** Notices the hold time of a quota in use. */
+    void recordInUse(QuotaSpec spec) {
+        longestHoldMs = Math.max(longestHoldMs, spec.maxHoldMs());
+    }
+
+    /** A quota has been removed, or replaced by one of another kind. */
+    void add(long quotaId, double nowMs) {
+        removedAtMs.put(quotaId, nowMs);
+    }
+
+    /** When a quota was removed; otherwise if it was not. */
+    double removedAtMs(long quotaId, double otherwise) {
+        return removedAtMs.getOrDefault(quotaId, otherwise);
+    }
+}
--- /dev/null
+++ b/src/main/java/cacheproxy/fleet/quota/TokenBucket.java
@@ -0,0 +1,46 @@
+package cacheproxy.fleet.quota;
+
+/** A token bucket whose rate and size change with the capacity of its quota. */
+final class TokenBucket {
+    private static final double MS_PER_SECOND = 1000;
+
+    private double tokens;
+    private double rate;
+    private double refilledMs = Double.NaN;
+
+    /**
+     * Adds the tokens of the time since the last call. The rate has changed at an unknown time in between, so the
+     * smaller one counts.
+     *
+     * @param newRate tokens per second from now on
+     * @param size the most tokens that are kept
+     */
+    void refill(double nowMs, double newRate, double size) {
+        if (!Double.isNaN(refilledMs) && nowMs > refilledMs) {
+            tokens += Math.min(rate, newRate) * (nowMs - refilledMs) / MS_PER_SECOND;
+        }
+        tokens = Math.min(tokens, size);
+        rate = newRate;
+        refilledMs = nowMs;
+    }
+
+    /** Whether there is a token to take. */
+    boolean hasToken() {
+        return tokens >= 1;
+    }
+
+    /** Takes a token. */
+    void take() {
+        tokens--;
+    }
+
+    /** Tokens per second since the last refill. */
+    double rate() {
+        return rate;
+    }
+
+    /** How long it takes until there is a token, at the present rate, which is above 0. */
+    double waitMs() {
+        return (1 - tokens) / rate * MS_PER_SECOND;
+    }
+}
--- a/src/main/java/cacheproxy/simulation/QuotaSimulation.java
+++ b/src/main/java/cacheproxy/simulation/QuotaSimulation.java
@@ -142,7 +142,7 @@
                 for (int i = 0; i < plan.proxies; i++) {
                     ids.add(i + 1L);
                 }
-                quota.use(
+                quota.configure(
                         List.of(plan.limit),
                         List.of(plan.way == Way.PEERS ? LeaseHandle.UNHELD : new Held(this)),
                         ids,
@@ -150,7 +150,7 @@
                         false,
                         true,
                         clock(t));
-                pocket = quota.pocket(plan.limit.name());
+                pocket = quota.localQuota(plan.limit.name());
             }
             push(t + random.nextDouble() * 10, TICK, index, -1, life, null);
         }
@@ -253,7 +253,7 @@
 
     private Result run() {
         for (int i = 0; i < plan.proxies; i++) {
-            proxies.add(new Proxy(i, plan.rules.drift() * (2 * random.nextDouble() - 1)));
+            proxies.add(new Proxy(i, plan.rules.maxDrift() * (2 * random.nextDouble() - 1)));
         }
         proxies.forEach(p -> p.born(0));
         for (int i = 0; i < plan.proxies; i++) {
@@ -280,7 +280,7 @@
                 inHand--;
                 Proxy p = proxies.get(e.who);
                 if (p.life == e.life && p.pocket != null) {
-                    p.pocket.give();
+                    p.pocket.release();
                 }
             }
             default -> {
@@ -307,7 +307,8 @@
         } else {
             p.bucket.rate = plan.limit.amount() / plan.proxies;
             if (plan.way == Way.GOSSIP) {
-                p.demandOf[p.index] += (p.bucket.demand * 1000 / plan.rules.beatMs() - p.demandOf[p.index]) / 3;
+                p.demandOf[p.index] +=
+                        (p.bucket.demand * 1000 / plan.rules.requestIntervalMs() - p.demandOf[p.index]) / 3;
                 p.bucket.demand = 0;
                 p.heardOf[p.index] = now;
                 double sum = 0;
@@ -321,7 +322,7 @@
                     }
                 }
             }
-            next = plan.rules.beatMs();
+            next = plan.rules.requestIntervalMs();
         }
         push(trueMs + Math.min(next, 20), TICK, p.index, -1, p.life, null);
     }
@@ -329,8 +330,8 @@
     private void hear(Proxy p, int from, Object what) {
         double now = p.clock(trueMs);
         if (what instanceof byte[] bytes) {
-            QuotaMessage m = QuotaMessage.of(bytes);
-            p.quota.heard(now, from + 1, m);
+            QuotaMessage m = QuotaMessage.decode(bytes);
+            p.quota.receive(now, from + 1, m);
             if (m.kind() != QuotaMessage.Kind.GRANT) {
                 p.quota.tick(now);
             }
@@ -342,7 +343,7 @@
 
     private void mail(int from, int to, Object what) {
         messages++;
-        Object sent = what instanceof QuotaMessage m ? m.bytes() : what;
+        Object sent = what instanceof QuotaMessage m ? m.encode() : what;
         double late = 0.1 + random.nextDouble();
         int copies = 1;
         for (Fault f : standing) {
@@ -386,11 +387,11 @@
         double now = p.clock(trueMs);
         boolean yes;
         if (p.pocket != null) {
-            yes = p.pocket.ask(now) == 0;
+            yes = p.pocket.requestWaitMs(now) == 0;
             if (yes) {
-                p.pocket.take();
+                p.pocket.consume();
             } else {
-                if (p.quota.hurry(p.pocket, now)) {
+                if (p.quota.requestSoon(p.pocket, now)) {
                     p.quota.tick(now);
                 }
             }
@@ -408,7 +409,7 @@
             spentAt = Arrays.copyOf(spentAt, spent * 2);
         }
         spentAt[spent++] = trueMs;
-        if (plan.limit.atOnce()) {
+        if (plan.limit.concurrent()) {
             mostInHand = Math.max(mostInHand, ++inHand);
             push(trueMs + plan.workMs * random.nextDouble(), DONE, p.index, -1, p.life, null);
         }
@@ -492,7 +493,7 @@
 
     private Result result() {
         double[] over = new double[WINDOWS.length];
-        if (plan.limit.atOnce()) {
+        if (plan.limit.concurrent()) {
             over[0] = mostInHand - plan.limit.amount();
         } else {
             for (int w = 0; w < WINDOWS.length; w++) {
@@ -509,7 +510,7 @@
         int seconds = (int) (plan.forMs / 1000);
         double[] idle = new double[seconds];
         for (int s = 0; s < seconds; s++) {
-            idle[s] = plan.limit.atOnce()
+            idle[s] = plan.limit.concurrent()
                     ? 0
                     : Math.min(refusedIn[s], Math.max(0, plan.limit.amount() - spentIn[s])) / plan.limit.amount();
         }
@@ -527,6 +528,6 @@
      * that the links fail.
      */
     public static double bound(QuotaSpec l, QuotaTiming rules, int proxies, double windowMs) {
-        return OvershootBound.over(l, rules, proxies, windowMs);
+        return OvershootBound.maxOvershoot(l, rules, proxies, windowMs);
     }
 }
--- a/src/test/java/cacheproxy/fleet/quota/QuotaGoldenBytesTest.java
+++ b/src/test/java/cacheproxy/fleet/quota/QuotaGoldenBytesTest.java
@@ -13,45 +13,45 @@
 
 /** The bytes of the datagrams about limits: another version of the program must read and write the same. */
 class QuotaGoldenBytesTest {
-    private static final long BOOK = 0x0102030405060708L;
-    private static final long NUMBER = 0x1112131415161718L;
+    private static final long LEDGER_ID = 0x0102030405060708L;
+    private static final long REQUEST_ID = 0x1112131415161718L;
     private static final long EPOCH = 0x0000019412345678L;
-    private static final long LIMIT = 0xf1f2f3f4f5f6f7f8L;
-    private static final String HEAD = "0102030405060708 1112131415161718 0000019412345678";
+    private static final long QUOTA_ID = 0xf1f2f3f4f5f6f7f8L;
+    private static final String HEADER = "0102030405060708 1112131415161718 0000019412345678";
 
     @Test
-    void eachKindHasItsBytes() {
-        assertBytes(Kind.WANT, "00");
+    void encodesAndDecodesEachKind() {
+        assertBytes(Kind.REQUEST, "00");
         assertBytes(Kind.GRANT, "01");
-        assertBytes(Kind.CALL, "02");
-        assertBytes(Kind.LOAN, "03");
+        assertBytes(Kind.SOLICIT, "02");
+        assertBytes(Kind.DONATE, "03");
         assertThat(Kind.values()).hasSize(4);
     }
 
     private static void assertBytes(Kind kind, String code) {
-        byte[] golden = HexBytes.parse(code + HEAD + "f1f2f3f4f5f6f7f8 40200000 0000000000000002 00000000");
-        QuotaMessage message =
-                new QuotaMessage(kind, BOOK, NUMBER, EPOCH, List.of(new Entry(LIMIT, 2.5), new Entry(2, 0)));
-        assertThat(message.bytes()).isEqualTo(golden);
-        assertThat(QuotaMessage.of(golden)).isEqualTo(message);
+        byte[] golden = HexBytes.parse(code + HEADER + "f1f2f3f4f5f6f7f8 40200000 0000000000000002 00000000");
+        QuotaMessage message = new QuotaMessage(
+                kind, LEDGER_ID, REQUEST_ID, EPOCH, List.of(new Entry(QUOTA_ID, 2.5), new Entry(2, 0)));
+        assertThat(message.encode()).isEqualTo(golden);
+        assertThat(QuotaMessage.decode(golden)).isEqualTo(message);
     }
 
     @Test
-    void aMessageWithoutLimitsAndWithoutAnEpochHasItsBytes() {
+    void encodesAndDecodesMessageWithoutEntriesAndEpoch() {
         byte[] golden = HexBytes.parse("02 ffffffffffffffff 0000000000000000 0000000000000000");
-        QuotaMessage message = new QuotaMessage(Kind.CALL, -1, 0, 0, List.of());
-        assertThat(message.bytes()).isEqualTo(golden);
-        assertThat(QuotaMessage.of(golden)).isEqualTo(message);
+        QuotaMessage message = new QuotaMessage(Kind.SOLICIT, -1, 0, 0, List.of());
+        assertThat(message.encode()).isEqualTo(golden);
+        assertThat(QuotaMessage.decode(golden)).isEqualTo(message);
     }
 
     @Test
-    void aFullMessageHasItsBytes() {
-        byte[] golden = HexBytes.parse("03" + HEAD + "f1f2f3f4f5f6f7f8 4e6e6b28".repeat(QuotaMessage.MOST_ENTRIES));
-        QuotaMessage message =
-                new QuotaMessage(Kind.LOAN, BOOK, NUMBER, EPOCH, Collections.nCopies(15, new Entry(LIMIT, 1e9)));
+    void encodesAndDecodesMessageWithMaxEntries() {
+        byte[] golden = HexBytes.parse("03" + HEADER + "f1f2f3f4f5f6f7f8 4e6e6b28".repeat(QuotaMessage.MAX_ENTRIES));
+        QuotaMessage message = new QuotaMessage(
+                Kind.DONATE, LEDGER_ID, REQUEST_ID, EPOCH, Collections.nCopies(15, new Entry(QUOTA_ID, 1e9)));
         assertThat(golden).hasSize(205);
-        assertThat(message.bytes()).isEqualTo(golden);
-        assertThat(QuotaMessage.of(golden)).isEqualTo(message);
+        assertThat(message.encode()).isEqualTo(golden);
+        assertThat(QuotaMessage.decode(golden)).isEqualTo(message);
     }
 
     /**
@@ -60,12 +60,12 @@
      */
     @ParameterizedTest
     @CsvSource({"0.1,3dcccccc", "0.3,3e999999", "0.7,3f333333"})
-    void anAmountIsRoundedDown(double amount, String bytes) {
-        byte[] golden = HexBytes.parse("01" + HEAD + "0000000000000001" + bytes);
-        assertThat(new QuotaMessage(Kind.GRANT, BOOK, NUMBER, EPOCH, List.of(new Entry(1, amount))).bytes())
+    void roundsAmountDown(double amount, String bytes) {
+        byte[] golden = HexBytes.parse("01" + HEADER + "0000000000000001" + bytes);
+        assertThat(new QuotaMessage(Kind.GRANT, LEDGER_ID, REQUEST_ID, EPOCH, List.of(new Entry(1, amount))).encode())
                 .isEqualTo(golden);
         double rounded = Float.intBitsToFloat(Integer.parseInt(bytes, 16));
-        assertThat(QuotaMessage.of(golden))
-                .isEqualTo(new QuotaMessage(Kind.GRANT, BOOK, NUMBER, EPOCH, List.of(new Entry(1, rounded))));
+        assertThat(QuotaMessage.decode(golden))
+                .isEqualTo(new QuotaMessage(Kind.GRANT, LEDGER_ID, REQUEST_ID, EPOCH, List.of(new Entry(1, rounded))));
     }
 }
--- a/src/test/java/cacheproxy/fleet/quota/QuotaWalkTest.java
+++ b/src/test/java/cacheproxy/fleet/quota/QuotaWalkTest.java
@@ -18,91 +18,53 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Fleets that share a limit through random troubles, on virtual time: what all spend together stays within the stated
- * bound, whatever befalls them.
+ * Simulated fleets that share a quota through random faults, on virtual time: together they must stay within
+ * {@link OvershootBound}, and runs with planted defects must exceed it. For longer runs: {@code -Dquota.walks=20000}.
  */
 class QuotaWalkTest {
     private static final int WALKS = Integer.getInteger("quota.walks", 400);
-    private static final QuotaTiming RULES = new QuotaTiming(600, 0.01);
+    private static final QuotaTiming TIMING = new QuotaTiming(600, 0.01);
 
-    private static Plan plan(long seed, QuotaTiming rules) {
-        SplittableRandom r = new SplittableRandom(seed);
-        int n = 2 + r.nextInt(8);
-        boolean atOnce = r.nextInt(4) == 0;
-        QuotaSpec.Alone alone =
-                atOnce ? QuotaSpec.Alone.values()[r.nextInt(2) * 2] : QuotaSpec.Alone.values()[r.nextInt(3)];
-        double work = atOnce ? 50 + r.nextInt(600) : 0;
-        double amount = atOnce ? 1 + r.nextInt(60) : 5 + r.nextInt(300);
-        QuotaSpec l = new QuotaSpec(
-                "l", atOnce, amount, atOnce ? 0 : r.nextInt(30), alone, r.nextInt(3) == 0 ? r.nextDouble() : 1, work);
-        int spans = 1 + r.nextInt(4);
-        double[][] offered = new double[spans][n];
-        double all = (atOnce ? amount * 1000 / work : amount) * (0.5 + 4 * r.nextDouble());
-        for (double[] span : offered) {
-            double sum = 0;
-            for (int i = 0; i < n; i++) {
-                span[i] = Math.pow(r.nextDouble(), 6);
-                sum += span[i];
-            }
-            for (int i = 0; i < n; i++) {
-                span[i] *= all / sum;
-            }
-        }
-        List<Fault> faults = new ArrayList<>();
-        for (int i = r.nextInt(12); i > 0; i--) {
-            Trouble t = Trouble.values()[r.nextInt(Trouble.values().length)];
-            List<Integer> who = new ArrayList<>();
-            double part = r.nextInt(4) == 0 ? 0.9 : 0.3;
-            IntStream.range(0, n).filter(p -> r.nextDouble() < part).forEach(who::add);
-            double figure = t == Trouble.LATE ? r.nextInt(3) == 0 ? 5000 : 400 : r.nextDouble() * 0.8;
-            faults.add(new Fault(
-                    t,
-                    500 + r.nextDouble() * 7000,
-                    50 + r.nextDouble() * (r.nextInt(3) == 0 ? 5000 : 1200),
-                    who,
-                    figure));
-        }
-        return new Plan(Way.DEALER, n, l, rules, offered, 300 + r.nextDouble() * 3000, work, 10_000, faults, seed);
-    }
-
-    /** By how much a plan's bound is passed; 0 or less: it is not. */
-    private static double passed(Plan p) {
-        Result result = QuotaSimulation.play(p);
-        if (p.limit().atOnce()) {
+    /** By how much a run exceeds its bound; 0 or less if it does not. */
+    private static double excessOverBound(Plan plan) {
+        Result result = QuotaSimulation.play(plan);
+        if (plan.limit().concurrent()) {
             return result.over()[0];
         }
-        // LAST: the links may fail several times in a window, and each time what was granted decays.
-        double fails = p.limit().alone() == QuotaSpec.Alone.LAST
-                ? p.faults().size() * p.limit().amount() * QuotaSpec.DECAY * RULES.grantMs() / 2000
+        // With LAST, links may fail several times in a window, and each time a grant decays.
+        double decaying = plan.limit().whenIsolated() == QuotaSpec.IsolationPolicy.LAST
+                ? plan.faults().size() * plan.limit().amount() * QuotaSpec.DECAY_GRANTS * TIMING.grantMs() / 2000
                 : 0;
-        double passed = Double.NEGATIVE_INFINITY;
-        for (int w = 0; w < QuotaSimulation.WINDOWS.length; w++) {
-            passed = Math.max(
-                    passed,
-                    result.over()[w]
-                            - fails
-                            - OvershootBound.over(p.limit(), p.rules(), p.proxies(), QuotaSimulation.WINDOWS[w]));
+        double excess = Double.NEGATIVE_INFINITY;
+        for (int i = 0; i < QuotaSimulation.WINDOWS.length; i++) {
+            excess = Math.max(
+                    excess,
+                    result.over()[i]
+                            - decaying
+                            - OvershootBound.maxOvershoot(
+                                    plan.limit(), plan.rules(), plan.proxies(), QuotaSimulation.WINDOWS[i]));
         }
-        return passed;
+        return excess;
     }
 
     @Test
-    void noTroublePushesAFleetOverItsBound() {
-        double[] passed = IntStream.range(0, WALKS)
+    void noFaultsPushAFleetOverItsBound() {
+        double[] excess = IntStream.range(0, WALKS)
                 .parallel()
-                .mapToDouble(seed -> passed(plan(seed, RULES)))
+                .mapToDouble(seed -> excessOverBound(RandomQuotaPlan.of(seed, TIMING)))
                 .toArray();
         for (int seed = 0; seed < WALKS; seed++) {
-            assertThat(passed[seed])
-                    .as("seed " + seed + ": " + plan(seed, RULES))
+            assertThat(excess[seed])
+                    .as("seed " + seed + ": " + RandomQuotaPlan.of(seed, TIMING))
                     .isLessThanOrEqualTo(0);
         }
         System.out.println("quota walks " + WALKS + ", nearest to the bound "
-                + Arrays.stream(passed).max().orElse(0));
+                + Arrays.stream(excess).max().orElse(0));
     }
 
-    /** Four proxies and 300 a second without room for bursts: first all of it is wanted at one, then at all. */
-    private static Plan aimed(QuotaTiming rules, QuotaSpec.Alone alone, int first, Fault... faults) {
+    /** Four proxies and 300 per second without bursts; the demand is first at one proxy, then at all. */
+    private static Plan targetedPlan(
+            QuotaTiming timing, QuotaSpec.IsolationPolicy whenIsolated, int first, Fault... faults) {
         double[] one = new double[4];
         one[first] = 900;
         double[] all = new double[4];
@@ -110,8 +72,8 @@
         return new Plan(
                 Way.DEALER,
                 4,
-                new QuotaSpec("l", false, 300, 0, alone, 1, 0),
-                rules,
+                new QuotaSpec("l", false, 300, 0, whenIsolated, 1, 0),
+                timing,
                 new double[][] {one, all, all},
                 5000,
                 0,
@@ -120,101 +82,107 @@
                 1);
     }
 
-    /** By the right rules the plan's bound holds, by the planted ones it does not. */
-    private static void found(
-            QuotaTiming right, QuotaTiming planted, QuotaSpec.Alone alone, int first, Fault... faults) {
-        assertThat(passed(aimed(right, alone, first, faults))).isLessThanOrEqualTo(0);
-        assertThat(passed(aimed(planted, alone, first, faults))).isPositive();
+    /** The bound holds with correct timing and is exceeded with the planted defect. */
+    private static void assertDefectIsFound(
+            QuotaTiming right,
+            QuotaTiming planted,
+            QuotaSpec.IsolationPolicy whenIsolated,
+            int first,
+            Fault... faults) {
+        assertThat(excessOverBound(targetedPlan(right, whenIsolated, first, faults)))
+                .isLessThanOrEqualTo(0);
+        assertThat(excessOverBound(targetedPlan(planted, whenIsolated, first, faults)))
+                .isPositive();
     }
 
     @Test
-    void grantsThatAreSpentAfterTheirEndAreFound() {
-        found(
-                RULES,
+    void findsGrantsSpentAfterTheirExpiry() {
+        assertDefectIsFound(
+                TIMING,
                 new QuotaTiming(600, 0.01) {
                     @Override
-                    public double usedMs() {
-                        return 10 * super.usedMs();
+                    public double spendableMs() {
+                        return 10 * super.spendableMs();
                     }
                 },
-                QuotaSpec.Alone.NONE,
+                QuotaSpec.IsolationPolicy.NONE,
                 1,
                 new Fault(Trouble.CUT, 4900, 5000, List.of(1), 0));
     }
 
     @Test
-    void aDealerThatForgetsWhatItHasGivenOutIsFound() {
-        found(
-                RULES,
+    void findsAnAllocatorThatForgetsItsOutstandingGrants() {
+        assertDefectIsFound(
+                TIMING,
                 new QuotaTiming(600, 0.01) {
                     @Override
-                    public double outMs(QuotaSpec l) {
+                    public double outstandingMs(QuotaSpec spec) {
                         return 1;
                     }
                 },
-                QuotaSpec.Alone.NONE,
+                QuotaSpec.IsolationPolicy.NONE,
                 1,
                 new Fault(Trouble.CUT, 4900, 5000, List.of(1), 0));
     }
 
     @Test
-    void loansThatAreTakenBackBeforeTheirEndAreFound() {
-        found(
-                RULES,
+    void findsDonationsReclaimedBeforeTheirExpiry() {
+        assertDefectIsFound(
+                TIMING,
                 new QuotaTiming(600, 0.01) {
                     @Override
-                    public double keptMs(QuotaSpec l) {
+                    public double donorKeepsMs(QuotaSpec spec) {
                         return 50;
                     }
 
                     @Override
-                    public double silenceMs(QuotaSpec l) {
-                        return super.keptMs(l);
+                    public double startupSilenceMs(QuotaSpec spec) {
+                        return super.donorKeepsMs(spec);
                     }
                 },
-                QuotaSpec.Alone.SHARE,
+                QuotaSpec.IsolationPolicy.SHARE,
                 1,
                 new Fault(Trouble.CUT, 4990, 5000, List.of(2, 3), 0));
     }
 
     @Test
-    void aProcessThatSpendsAtOnceWhatItsEarlierLifeHadLentIsFound() {
-        found(
-                RULES,
+    void findsARestartedProcessThatSpendsDonatedCapacity() {
+        assertDefectIsFound(
+                TIMING,
                 new QuotaTiming(600, 0.01) {
                     @Override
-                    public double silenceMs(QuotaSpec l) {
+                    public double startupSilenceMs(QuotaSpec spec) {
                         return 0;
                     }
                 },
-                QuotaSpec.Alone.SHARE,
+                QuotaSpec.IsolationPolicy.SHARE,
                 1,
                 new Fault(Trouble.KILL, 4950, 40, List.of(2, 3), 0));
     }
 
     @Test
-    void aNewHolderThatDealsAtOnceWhatTheLastOneGaveOutIsFound() {
+    void findsANewAllocatorThatDoesNotWaitForEarlierGrants() {
         QuotaTiming slow = new QuotaTiming(4000, 0.01);
-        found(
+        assertDefectIsFound(
                 slow,
                 new QuotaTiming(4000, 0.01) {
                     @Override
-                    public double takeoverMs(QuotaSpec l) {
+                    public double takeoverWaitMs(QuotaSpec spec) {
                         return 0;
                     }
                 },
-                QuotaSpec.Alone.NONE,
+                QuotaSpec.IsolationPolicy.NONE,
                 1,
                 new Fault(Trouble.KILL, 4500, 5000, List.of(0), 0));
     }
 
-    /** A proxy that stood still for longer than all that it held finds its grants over before it spends. */
+    /** A proxy that was paused for longer than its grants finds them expired before it spends. */
     @Test
-    void whoeverWakesWithAPocketFullOfOldGrantsSpendsNoneOfThem() {
-        for (QuotaSpec.Alone alone : QuotaSpec.Alone.values()) {
-            assertThat(passed(aimed(
-                            RULES,
-                            alone,
+    void resumedProcessSpendsNoExpiredGrant() {
+        for (QuotaSpec.IsolationPolicy whenIsolated : QuotaSpec.IsolationPolicy.values()) {
+            assertThat(excessOverBound(targetedPlan(
+                            TIMING,
+                            whenIsolated,
                             1,
                             new Fault(Trouble.STOP, 4900, 3000, List.of(1), 0),
                             new Fault(Trouble.STOP, 9000, 700, List.of(0, 1, 2), 0))))
@@ -222,150 +190,155 @@
         }
     }
 
-    /** Less than one a second for each. */
     @Test
-    void aLimitBelowOneASecondForEachProxyIsSharedAndKept() {
+    void sharesARateBelowOnePerSecondAndProxy() {
         double[] even = new double[100];
         Arrays.fill(even, 1);
-        Result r = QuotaSimulation.play(new Plan(
+        Result result = QuotaSimulation.play(new Plan(
                 Way.DEALER,
                 100,
-                new QuotaSpec("l", false, 25, 25, QuotaSpec.Alone.SHARE, 1, 0),
-                RULES,
+                new QuotaSpec("l", false, 25, 25, QuotaSpec.IsolationPolicy.SHARE, 1, 0),
+                TIMING,
                 new double[][] {even},
                 1000,
                 0,
                 12_000,
                 List.of(new Fault(Trouble.LOSS, 3000, 3000, List.of(0), 0.3)),
                 1));
-        assertThat(r.over()[2])
-                .isLessThanOrEqualTo(OvershootBound.over(
-                        new QuotaSpec("l", false, 25, 25, QuotaSpec.Alone.SHARE, 1, 0), RULES, 100, 10_000));
-        assertThat(r.spent()).as("of 300, some lie idle in buckets of one").isGreaterThan(150);
+        assertThat(result.over()[2])
+                .isLessThanOrEqualTo(OvershootBound.maxOvershoot(
+                        new QuotaSpec("l", false, 25, 25, QuotaSpec.IsolationPolicy.SHARE, 1, 0), TIMING, 100, 10_000));
+        assertThat(result.spent())
+                .as("of 300; the rest stays unused in buckets of one token")
+                .isGreaterThan(150);
     }
 
-    /**
-     * A peer that lies about what it wants gets its fair part and no more; one that gives nothing back delays others by
-     * a grant's time.
-     */
+    /** A peer that requests too much gets its fair part only, and delays others by the duration of a grant at most. */
     @Test
-    void whoeverWantsEverythingGetsItsFairPart() {
-        AllocationLedger book = new AllocationLedger(RULES);
-        QuotaSpec l = new QuotaSpec("l", false, 100, 0, QuotaSpec.Alone.NONE, 0, 0);
-        book.use(l, 100);
-        book.wanted(0, 1, 7, 1e9, 1);
-        book.wanted(0, 2, 8, 10, 1);
-        book.wanted(0, 3, 9, 80, 1);
+    void greedyPeerGetsItsFairShareOnly() {
+        AllocationLedger ledger = new AllocationLedger(TIMING);
+        QuotaSpec spec = new QuotaSpec("l", false, 100, 0, QuotaSpec.IsolationPolicy.NONE, 0, 0);
+        ledger.configure(spec, 100);
+        ledger.recordRequest(0, 1, 7, 1e9, 1);
+        ledger.recordRequest(0, 2, 8, 10, 1);
+        ledger.recordRequest(0, 3, 9, 80, 1);
         double[] got = new double[4];
-        book.deal(0, true).forEach(g -> got[(int) g.peer()] = g.amount());
+        ledger.allocate(0, true).forEach(grant -> got[(int) grant.peer()] = grant.amount());
         assertThat(got[2]).isEqualTo(10);
         assertThat(got[1]).isEqualTo(45);
         assertThat(got[3]).isEqualTo(45);
-        assertThat(book.out(0)).isLessThanOrEqualTo(100);
-        assertThat(book.out(RULES.outMs(l))).isZero();
-        book.wanted(10, 4, 5, 100, 1);
-        assertThat(book.deal(10, true)).allSatisfy(g -> assertThat(g.amount()).isZero());
-        book.wanted(20, 3, 9, 5, 2); // gives 40 back
-        book.deal(20, true).forEach(g -> got[g.peer() == 4 ? 0 : (int) g.peer()] = g.amount());
-        assertThat(got[0]).as("what was given back is dealt out at once").isPositive();
-        assertThat(book.out(20)).isLessThanOrEqualTo(100 + 1e-9);
+        assertThat(ledger.outstanding(0)).isLessThanOrEqualTo(100);
+        assertThat(ledger.outstanding(TIMING.outstandingMs(spec))).isZero();
+        ledger.recordRequest(10, 4, 5, 100, 1);
+        assertThat(ledger.allocate(10, true))
+                .allSatisfy(grant -> assertThat(grant.amount()).isZero());
+        ledger.recordRequest(20, 3, 9, 5, 2); // gives 40 back
+        ledger.allocate(20, true).forEach(grant -> got[grant.peer() == 4 ? 0 : (int) grant.peer()] = grant.amount());
+        assertThat(got[0]).as("what was given back is granted at once").isPositive();
+        assertThat(ledger.outstanding(20)).isLessThanOrEqualTo(100 + 1e-9);
     }
 
     @Test
-    void boundsOfBooksPocketsAndMessagesAreKept() {
-        OutstandingGrants line = new OutstandingGrants(true);
+    void corruptedMessagesAndManyDonationsStayWithinBounds() {
+        OutstandingGrants owed = new OutstandingGrants(true);
         OutstandingGrants counted = new OutstandingGrants(false);
         for (int i = 0; i < 100; i++) {
-            line.add(1000 - i, 10 + i);
+            owed.add(1000 - i, 10 + i);
             counted.add(1000 - i, 10 + i);
         }
-        assertThat(line.at(50))
-                .as("what is owed is never less than was promised")
+        assertThat(owed.amountAt(50))
+                .as("an owed amount is never less than promised")
                 .isGreaterThanOrEqualTo(1000 - 41);
-        assertThat(counted.at(50)).as("what one counts on is never more").isLessThanOrEqualTo(1000 - 41);
-        assertThat(line.at(109.5)).isZero();
-        QuotaSpec l = new QuotaSpec("l", false, 100, 0, QuotaSpec.Alone.SHARE, 1, 0);
-        LocalQuota p = new LocalQuota(l, RULES, -1e6);
-        p.use(l, 50, 2, 0);
-        for (int dealer = 1; dealer <= 10; dealer++) {
-            p.lend(dealer, 1);
+        assertThat(counted.amountAt(50))
+                .as("a relied on amount is never more than promised")
+                .isLessThanOrEqualTo(1000 - 41);
+        assertThat(owed.amountAt(109.5)).isZero();
+        QuotaSpec spec = new QuotaSpec("l", false, 100, 0, QuotaSpec.IsolationPolicy.SHARE, 1, 0);
+        LocalQuota local = new LocalQuota(spec, TIMING, -1e6);
+        local.configure(spec, 50, 0);
+        for (int allocator = 1; allocator <= 10; allocator++) {
+            local.donate(allocator, 1);
         }
-        assertThat(p.lentOut(1)).isLessThanOrEqualTo(50);
-        assertThat(p.own(1)).isGreaterThanOrEqualTo(0);
-        assertThat(QuotaMessage.of(new byte[3])).isNull();
-        QuotaMessage m = new QuotaMessage(QuotaMessage.Kind.LOAN, 1, 2, 3, List.of(new QuotaMessage.Entry(4, 0.1)));
-        assertThat(QuotaMessage.of(m.bytes()).entries().get(0).amount()).isLessThanOrEqualTo(0.1);
-        byte[] bytes = m.bytes();
+        assertThat(local.donated(1)).isLessThanOrEqualTo(50);
+        assertThat(local.owned(1)).isGreaterThanOrEqualTo(0);
+        assertThat(QuotaMessage.decode(new byte[3])).isNull();
+        QuotaMessage message =
+                new QuotaMessage(QuotaMessage.Kind.DONATE, 1, 2, 3, List.of(new QuotaMessage.Entry(4, 0.1)));
+        assertThat(QuotaMessage.decode(message.encode()).entries().get(0).amount())
+                .isLessThanOrEqualTo(0.1);
+        byte[] bytes = message.encode();
         for (int cut = 0; cut < bytes.length; cut++) {
-            assertThat(QuotaMessage.of(Arrays.copyOf(bytes, cut)))
+            assertThat(QuotaMessage.decode(Arrays.copyOf(bytes, cut)))
                     .as("cut at " + cut)
                     .satisfiesAnyOf(
-                            x -> assertThat(x).isNull(),
-                            x -> assertThat(x.entries()).isEmpty());
+                            decoded -> assertThat(decoded).isNull(),
+                            decoded -> assertThat(decoded.entries()).isEmpty());
         }
         SplittableRandom random = new SplittableRandom(1);
-        QuotaManager q = new QuotaManager(1, RULES, random, 0, peer -> true, (to, x) -> {});
-        q.use(List.of(l), List.of(LeaseHandle.UNHELD), List.of(1L, 2L), 2, false, true, 0);
-        for (int i = 0; i < 20_000; i++) { // spoilt and hostile ones change nothing that is not bounded
-            byte[] b = new byte[25 + 12 * random.nextInt(16)];
-            random.nextBytes(b);
-            b[0] = (byte) random.nextInt(4);
-            QuotaMessage spoilt = QuotaMessage.of(b);
-            if (spoilt != null) {
-                q.heard(i, 2, spoilt);
+        QuotaManager manager = new QuotaManager(1, TIMING, random, 0, peer -> true, (to, decoded) -> {});
+        manager.configure(List.of(spec), List.of(LeaseHandle.UNHELD), List.of(1L, 2L), 2, false, true, 0);
+        for (int i = 0; i < 20_000; i++) { // corrupted and hostile messages have bounded effects
+            byte[] corrupted = new byte[25 + 12 * random.nextInt(16)];
+            random.nextBytes(corrupted);
+            corrupted[0] = (byte) random.nextInt(4);
+            QuotaMessage parsed = QuotaMessage.decode(corrupted);
+            if (parsed != null) {
+                manager.receive(i, 2, parsed);
             }
         }
-        q.tick(30_000);
-        assertThat(q.pocket("l").mine(30_000)).isLessThanOrEqualTo(50);
+        manager.tick(30_000);
+        assertThat(manager.localQuota("l").capacity(30_000)).isLessThanOrEqualTo(50);
     }
 
-    /** A file without the limit, and the next with it again: what was lent meanwhile is still lent. */
+    /** A quota is removed from the configuration and restored: what was donated of it stays donated. */
     @Test
-    void aLimitThatIsTakenOutAndPutBackIsSilentForAsLongAsItMayBeLent() {
-        QuotaSpec l = new QuotaSpec("l", false, 100, 0, QuotaSpec.Alone.SHARE, 1, 0);
-        QuotaManager q = new QuotaManager(1, RULES, new SplittableRandom(1), -1e6, peer -> true, (to, x) -> {});
-        q.use(List.of(l), List.of(LeaseHandle.UNHELD), List.of(1L, 2L), 2, false, true, 0);
-        assertThat(q.pocket("l").own(1)).isEqualTo(50);
-        q.heard(
+    void restoredQuotaIsSilentUntilItsDonationsHaveExpired() {
+        QuotaSpec spec = new QuotaSpec("l", false, 100, 0, QuotaSpec.IsolationPolicy.SHARE, 1, 0);
+        QuotaManager manager =
+                new QuotaManager(1, TIMING, new SplittableRandom(1), -1e6, peer -> true, (to, message) -> {});
+        manager.configure(List.of(spec), List.of(LeaseHandle.UNHELD), List.of(1L, 2L), 2, false, true, 0);
+        assertThat(manager.localQuota("l").owned(1)).isEqualTo(50);
+        manager.receive(
                 1,
                 2,
                 new QuotaMessage(
-                        QuotaMessage.Kind.CALL, 7, 1, 0, List.of(new QuotaMessage.Entry(NameHash.of("l"), 0))));
-        assertThat(q.pocket("l").own(1)).as("lent").isLessThan(2);
-        q.use(List.of(), List.of(LeaseHandle.UNHELD), List.of(1L, 2L), 2, false, true, 10);
-        q.use(List.of(l), List.of(LeaseHandle.UNHELD), List.of(1L, 2L), 2, false, true, 20);
-        assertThat(q.pocket("l").own(30)).isZero();
-        assertThat(q.pocket("l").own(RULES.keptMs(l))).isZero();
-        assertThat(q.pocket("l").own(21 + RULES.keptMs(l))).isEqualTo(50);
-        QuotaSpec other = new QuotaSpec("l", true, 10, 0, QuotaSpec.Alone.SHARE, 1, 500);
-        q.use(List.of(other), List.of(LeaseHandle.UNHELD), List.of(1L, 2L), 2, false, true, 5000);
-        assertThat(q.pocket("l").mine(5001)).as("of another kind").isZero();
-        assertThat(q.pocket("l").mine(5001 + RULES.keptMs(other))).isEqualTo(5);
+                        QuotaMessage.Kind.SOLICIT, 7, 1, 0, List.of(new QuotaMessage.Entry(NameHash.of("l"), 0))));
+        assertThat(manager.localQuota("l").owned(1)).as("donated").isLessThan(2);
+        manager.configure(List.of(), List.of(LeaseHandle.UNHELD), List.of(1L, 2L), 2, false, true, 10);
+        manager.configure(List.of(spec), List.of(LeaseHandle.UNHELD), List.of(1L, 2L), 2, false, true, 20);
+        assertThat(manager.localQuota("l").owned(30)).isZero();
+        assertThat(manager.localQuota("l").owned(TIMING.donorKeepsMs(spec))).isZero();
+        assertThat(manager.localQuota("l").owned(21 + TIMING.donorKeepsMs(spec)))
+                .isEqualTo(50);
+        QuotaSpec other = new QuotaSpec("l", true, 10, 0, QuotaSpec.IsolationPolicy.SHARE, 1, 500);
+        manager.configure(List.of(other), List.of(LeaseHandle.UNHELD), List.of(1L, 2L), 2, false, true, 5000);
+        assertThat(manager.localQuota("l").capacity(5001))
+                .as("a quota of another kind")
+                .isZero();
+        assertThat(manager.localQuota("l").capacity(5001 + TIMING.donorKeepsMs(other)))
+                .isEqualTo(5);
     }
 
-    /**
-     * What was dealt out stands though the file no longer has the limit: with it back nothing of that is dealt out
-     * twice.
-     */
+    /** Grants stay outstanding while the configuration lacks the quota, so none of it is granted twice. */
     @Test
-    void aDealerWhoseFileDropsALimitAndTakesItBackStillCountsWhatItGaveOut() {
-        QuotaSpec l = new QuotaSpec("l", false, 100, 0, QuotaSpec.Alone.NONE, 0, 0);
+    void allocatorCountsOutstandingGrantsOfARemovedAndRestoredQuota() {
+        QuotaSpec spec = new QuotaSpec("l", false, 100, 0, QuotaSpec.IsolationPolicy.NONE, 0, 0);
         List<QuotaMessage> sent = new ArrayList<>();
-        QuotaManager q =
-                new QuotaManager(1, RULES, new SplittableRandom(1), -1e6, peer -> true, (to, m) -> sent.add(m));
+        QuotaManager manager = new QuotaManager(
+                1, TIMING, new SplittableRandom(1), -1e6, peer -> true, (to, message) -> sent.add(message));
         LeaseHandle holds = new LeaseHandle() {
             @Override
-            public long permit(double now, double actMs) {
+            public long permit(double nowMs, double actionMs) {
                 return 9;
             }
 
             @Override
-            public double remainingMs(double now) {
+            public double remainingMs(double nowMs) {
                 return 1e6;
             }
 
             @Override
-            public long holder(double now) {
+            public long holder(double nowMs) {
                 return 1;
             }
 
@@ -379,56 +352,57 @@
                 return 1;
             }
         };
-        q.use(List.of(l), List.of(holds), List.of(1L, 2L, 3L), 3, false, true, 0);
-        q.tick(0);
-        double dealt = RULES.takeoverMs(l) + 1;
-        assertThat(given(q, sent, 2, dealt)).isEqualTo(100);
-        q.use(List.of(), List.of(holds), List.of(1L, 2L, 3L), 3, false, true, dealt + 10);
-        q.use(List.of(l), List.of(holds), List.of(1L, 2L, 3L), 3, false, true, dealt + 20);
-        assertThat(given(q, sent, 3, dealt + 30)).isZero();
-        assertThat(given(q, sent, 3, dealt + RULES.outMs(l) + 30)).isEqualTo(100);
+        manager.configure(List.of(spec), List.of(holds), List.of(1L, 2L, 3L), 3, false, true, 0);
+        manager.tick(0);
+        double allocatesFromMs = TIMING.takeoverWaitMs(spec) + 1;
+        assertThat(largestGrant(manager, sent, 2, allocatesFromMs)).isEqualTo(100);
+        manager.configure(List.of(), List.of(holds), List.of(1L, 2L, 3L), 3, false, true, allocatesFromMs + 10);
+        manager.configure(List.of(spec), List.of(holds), List.of(1L, 2L, 3L), 3, false, true, allocatesFromMs + 20);
+        assertThat(largestGrant(manager, sent, 3, allocatesFromMs + 30)).isZero();
+        assertThat(largestGrant(manager, sent, 3, allocatesFromMs + TIMING.outstandingMs(spec) + 30))
+                .isEqualTo(100);
     }
 
-    /** What a dealer gives a peer that asks for all of the limit. */
-    private static double given(QuotaManager q, List<QuotaMessage> sent, long to, double now) {
+    /** What an allocator grants a peer that requests the whole quota. */
+    private static double largestGrant(QuotaManager manager, List<QuotaMessage> sent, long to, double nowMs) {
         sent.clear();
-        q.heard(
-                now,
+        manager.receive(
+                nowMs,
                 to,
                 new QuotaMessage(
-                        QuotaMessage.Kind.WANT,
+                        QuotaMessage.Kind.REQUEST,
                         to,
-                        (long) now,
+                        (long) nowMs,
                         0,
                         List.of(new QuotaMessage.Entry(NameHash.of("l"), 100))));
-        q.tick(now);
+        manager.tick(nowMs);
         return sent.stream()
-                .filter(m -> m.kind() == QuotaMessage.Kind.GRANT)
-                .mapToDouble(m -> m.entries().get(0).amount())
+                .filter(message -> message.kind() == QuotaMessage.Kind.GRANT)
+                .mapToDouble(message -> message.entries().get(0).amount())
                 .max()
                 .orElseThrow();
     }
 
-    /** Shares shrink at once and grow only once what others may still spend of them is over. */
+    /** Shares shrink at once, and grow after others can no longer spend them. */
     @Test
-    void aListThatChangesInTwoStepsNeverSumsToMoreThanTheLimit() {
-        QuotaSpec l = new QuotaSpec("l", false, 120, 0, QuotaSpec.Alone.SHARE, 1, 0);
-        LocalQuota stays = new LocalQuota(l, RULES, -1e6);
-        LocalQuota joins = new LocalQuota(l, RULES, -1e6);
-        stays.use(l, l.share(2), 2, 0); // 60 of two
-        assertThat(stays.own(0)).isEqualTo(60);
-        stays.use(l, l.share(3), 3, 100); // both lists: three names, the new one owns nothing yet
-        joins.use(l, 0, 3, 100);
-        assertThat(stays.own(100)).isEqualTo(40);
-        assertThat(joins.own(100)).isZero();
-        joins.use(l, l.share(3), 3, 200); // the new list alone
-        assertThat(joins.own(201)).isZero();
-        assertThat(joins.own(201 + RULES.keptMs(l))).isEqualTo(40);
-        stays.use(l, l.share(2), 2, 5000); // one left again: not at once
-        assertThat(stays.own(5001)).isEqualTo(40);
-        assertThat(stays.own(5001 + RULES.keptMs(l))).isEqualTo(60);
-        QuotaSpec lower = new QuotaSpec("l", false, 60, 0, QuotaSpec.Alone.SHARE, 1, 0);
-        stays.use(lower, lower.share(2), 2, 9000);
-        assertThat(stays.own(9000)).as("a lower limit counts at once").isEqualTo(30);
+    void sharesNeverExceedTheLimitWhileThePeerListChanges() {
+        QuotaSpec spec = new QuotaSpec("l", false, 120, 0, QuotaSpec.IsolationPolicy.SHARE, 1, 0);
+        LocalQuota stays = new LocalQuota(spec, TIMING, -1e6);
+        LocalQuota joins = new LocalQuota(spec, TIMING, -1e6);
+        stays.configure(spec, spec.staticShare(2), 0); // 60 of two
+        assertThat(stays.owned(0)).isEqualTo(60);
+        stays.configure(spec, spec.staticShare(3), 100); // both lists: three proxies, the new one has no share yet
+        joins.configure(spec, 0, 100);
+        assertThat(stays.owned(100)).isEqualTo(40);
+        assertThat(joins.owned(100)).isZero();
+        joins.configure(spec, spec.staticShare(3), 200); // the new list alone
+        assertThat(joins.owned(201)).isZero();
+        assertThat(joins.owned(201 + TIMING.donorKeepsMs(spec))).isEqualTo(40);
+        stays.configure(spec, spec.staticShare(2), 5000); // one has left: not at once
+        assertThat(stays.owned(5001)).isEqualTo(40);
+        assertThat(stays.owned(5001 + TIMING.donorKeepsMs(spec))).isEqualTo(60);
+        QuotaSpec lower = new QuotaSpec("l", false, 60, 0, QuotaSpec.IsolationPolicy.SHARE, 1, 0);
+        stays.configure(lower, lower.staticShare(2), 9000);
+        assertThat(stays.owned(9000)).as("a lower quota applies at once").isEqualTo(30);
     }
 }
