--- a/src/main/java/cacheproxy/fleet/quota/QuotaAllocator.java
+++ b/src/main/java/cacheproxy/fleet/quota/QuotaAllocator.java
@@ -32,16 +32,7 @@
     private double solicitAtMs;
     private double allocateAtMs = Double.POSITIVE_INFINITY;
 
-    /** What an allocator needs of its process. */
-    record Context(
-            long selfId,
-            long ledgerId,
-            QuotaTiming timing,
-            RequestIds ids,
-            AllocatorLeases leases,
-            LongPredicate isLikelyAlive) {}
-
-    QuotaAllocator(Context context, QuotaOutbox outbox) {
+    QuotaAllocator(AllocationContext context, QuotaOutbox outbox) {
         selfId = context.selfId();
         ledgerId = context.ledgerId();
         timing = context.timing();
--- a/src/main/java/cacheproxy/fleet/quota/QuotaManager.java
+++ b/src/main/java/cacheproxy/fleet/quota/QuotaManager.java
@@ -37,15 +37,13 @@
     private static final double RANDOM_INTERVAL_FRACTION = 0.1;
 
     private final long selfId;
-    private final long ledgerId;
     private final QuotaTiming timing;
     private final SplittableRandom random;
     private final QuotaOutbox outbox;
     private final double startMs;
-    private final RequestIds ids;
     private final AllocatorLeases leases;
-    private final SentRequests requests = new SentRequests();
     private final AllocatorSelector selector;
+    private final CapacityRequester requester;
     private final QuotaAllocator allocator;
     private final RemovedQuotas removed;
     private final FencingTokenCheck fencing = new FencingTokenCheck();
@@ -83,12 +81,14 @@
         this.random = random;
         this.outbox = outbox;
         this.startMs = startMs;
-        ledgerId = random.nextLong() | 1;
-        ids = new RequestIds(random.nextLong());
+        long ledgerId = random.nextLong() | 1; // never 0
+        RequestIds ids = new RequestIds(random.nextLong());
         leases = new AllocatorLeases(timing, startMs);
+        AllocationContext context = new AllocationContext(selfId, ledgerId, timing, ids, leases, isLikelyAlive);
+        SentRequests requests = new SentRequests();
         selector = new AllocatorSelector(selfId, timing, requests, isLikelyAlive);
-        allocator = new QuotaAllocator(
-                new QuotaAllocator.Context(selfId, ledgerId, timing, ids, leases, isLikelyAlive), this::send);
+        requester = new CapacityRequester(context, requests, selector, this::send);
+        allocator = new QuotaAllocator(context, this::send);
         removed = new RemovedQuotas(timing);
     }
 
@@ -175,7 +175,8 @@
         leases.tick(nowMs);
         boolean isUrgentDue = urgent && nowMs >= urgentFromMs;
         if (nowMs >= requestAtMs || isUrgentDue) {
-            requestCapacity(nowMs);
+            allocator.forgetSolicitations(nowMs);
+            requester.sendRequests(localQuotas, nowMs);
             double fraction = MIN_INTERVAL_FRACTION + RANDOM_INTERVAL_FRACTION * random.nextDouble();
             requestAtMs = nowMs + timing.requestIntervalMs() * fraction;
             urgentFromMs = nowMs + URGENT_INTERVAL_MS;
@@ -192,42 +193,6 @@
         urgent |= localQuota.holdsTooMuch(nowMs) || localQuota.isUnanswered(nowMs);
     }
 
-    private void requestCapacity(double nowMs) {
-        requests.forget(nowMs, timing.grantMs());
-        allocator.forgetSolicitations(nowMs);
-        entriesByAllocator(nowMs)
-                .forEach((to, entries) -> QuotaBatches.of(entries).forEach(batch -> {
-                    long requestId = ids.next();
-                    if (!requests.isFull()) {
-                        requests.add(requestId, new Sent(nowMs, to));
-                        batch.forEach(entry ->
-                                localQuotas.get(entry.quotaId()).recordRequest(entry.amount(), requestId, nowMs));
-                        send(to, new QuotaMessage(Kind.REQUEST, ledgerId, requestId, 0, batch));
-                    }
-                }));
-    }
-
-    private Map<Long, List<Entry>> entriesByAllocator(double nowMs) {
-        Map<Long, List<Entry>> byAllocator = new LinkedHashMap<>();
-        long[] selected = new long[leases.size()]; // one choice for all quotas of a lease
-        localQuotas.forEach((id, localQuota) -> {
-            double missing = localQuota.missing(nowMs);
-            if (missing > 0 || localQuota.holdsGrant(nowMs)) {
-                int index = leases.indexOf(id);
-                LeaseHandle lease = leases.get(index);
-                if (selected[index] == NameHash.NOBODY) {
-                    selected[index] = selector.select(lease, nowMs);
-                }
-                // Without shares there are no donations, and only the lease holder can grant anything.
-                long to = localQuota.spec().staticFraction() > 0
-                        ? selected[index]
-                        : selector.holderOr(lease, selected[index], nowMs);
-                byAllocator.computeIfAbsent(to, key -> new ArrayList<>()).add(new Entry(id, missing));
-            }
-        });
-        return byAllocator;
-    }
-
     // ---- messages
 
     private void send(long to, QuotaMessage message) {
@@ -293,7 +258,7 @@
     }
 
     private void onGrant(double nowMs, long from, QuotaMessage grant) {
-        Optional<Sent> request = requests.find(grant.requestId());
+        Optional<Sent> request = requester.find(grant.requestId());
         if (request.isEmpty()) {
             return;
         }
