--- a/src/main/java/cacheproxy/bench/ChoiceBench.java
+++ b/src/main/java/cacheproxy/bench/ChoiceBench.java
@@ -89,8 +89,8 @@
             int[] top = new int[RANKS];
             long[] keys = new SplittableRandom(4).longs(1024).toArray();
             String[] figures = {
-                time(i -> equal.top(keys[i & 1023], CarpHash.keyHash(keys[i & 1023]), RANKS, top)),
-                time(i -> unequal.top(keys[i & 1023], CarpHash.keyHash(keys[i & 1023]), RANKS, top)),
+                time(i -> equal.rank(keys[i & 1023], CarpHash.keyHash(keys[i & 1023]), RANKS, top)),
+                time(i -> unequal.rank(keys[i & 1023], CarpHash.keyHash(keys[i & 1023]), RANKS, top)),
                 time(i -> plain.top(CarpHash.keyHash(keys[i & 1023]), RANKS, top))
             };
             out.printf("%-10d %16s %16s %16s%n", n, micros(figures[0]), micros(figures[1]), micros(figures[2]));
@@ -99,12 +99,12 @@
     }
 
     private static String micros(String nanos) {
-        String[] parts = nanos.split(" ");
+        String[] parts = nanos.split(" ", 0);
         return String.format(
                 "%.3f (%.3f-%.3f)",
                 Double.parseDouble(parts[0]) / 1000,
-                Double.parseDouble(parts[1].substring(1).split("-")[0]) / 1000,
-                Double.parseDouble(parts[1].split("-")[1].replace(")", "")) / 1000);
+                Double.parseDouble(parts[1].substring(1).split("-", 0)[0]) / 1000,
+                Double.parseDouble(parts[1].split("-", 0)[1].replace(")", "")) / 1000);
     }
 
     private static List<Member> members(int n, boolean equal) {
--- a/src/main/java/cacheproxy/bench/LeaseBench.java
+++ b/src/main/java/cacheproxy/bench/LeaseBench.java
@@ -28,7 +28,7 @@
     private static final double TICK_MS = 20;
     /** Of a whole datagram: the envelope without a key, and the message. */
     private static final int BYTES =
-            DatagramEnvelope.MOST - DatagramEnvelope.MOST_PAYLOAD - 12 + LeaseMessage.LENGTH_BYTES;
+            DatagramEnvelope.MAX_DATAGRAM_BYTES - DatagramEnvelope.MAX_PAYLOAD_BYTES - 12 + LeaseMessage.LENGTH_BYTES;
 
     private final PrintWriter out;
 
--- a/src/main/java/cacheproxy/daemon/ConfigSnapshot.java
+++ b/src/main/java/cacheproxy/daemon/ConfigSnapshot.java
@@ -1,9 +1,11 @@
 package cacheproxy.daemon;
 
 import cacheproxy.config.DaemonConfig;
-import cacheproxy.config.SiblingConfig;
+import cacheproxy.config.ListenerConfig;
+import cacheproxy.config.SiblingsConfig;
 import cacheproxy.daemon.fleet.FleetQuotas;
 import cacheproxy.daemon.hooks.HookExecutor;
+import cacheproxy.daemon.hooks.HookSubsystem;
 import cacheproxy.hooks.HookRules;
 import cacheproxy.proxy.RequestValidator;
 import cacheproxy.routes.Route;
@@ -17,7 +19,7 @@
 public final class ConfigSnapshot {
     public final DaemonConfig file;
     /** Kept here since each request asks. */
-    final SiblingConfig siblings;
+    final SiblingsConfig siblings;
 
     public final Map<String, PoolRuntime> pools;
     final RequestValidator intake;
@@ -34,22 +36,19 @@
 
     private final Map<Route, List<PoolRuntime>> chains = new IdentityHashMap<>();
 
-    ConfigSnapshot(
-            DaemonConfig file,
-            Map<String, PoolRuntime> pools,
-            RequestValidator intake,
-            List<HookExecutor> runners,
-            FleetQuotas limits) {
+    ConfigSnapshot(DaemonConfig file, Map<String, PoolRuntime> pools, RequestValidator intake, Subsystems subsystems) {
         this.file = file;
-        this.limits = limits;
-        siblings = SiblingConfig.of(file);
+        FleetCoordination fleet = subsystems.get(FleetCoordination.class);
+        limits = fleet == null ? null : fleet.quotas();
+        siblings = SiblingsConfig.of(file);
         this.pools = pools;
         this.intake = intake;
-        this.runners = runners;
+        HookSubsystem hookSubsystem = subsystems.get(HookSubsystem.class);
+        runners = hookSubsystem == null ? List.of() : hookSubsystem.executors();
         file.routes().routes().forEach(r -> byName.put(r.name(), r));
         rules = new HookRules(
                 file.classes(), file.tenants().stream().map(t -> t.name()).toList(), byName.keySet());
-        for (DaemonConfig.Listen l : file.listeners()) {
+        for (ListenerConfig l : file.listeners()) {
             List<HookExecutor> own = runners.stream()
                     .filter(h ->
                             h.spec.listeners().isEmpty() || h.spec.listeners().contains(l.name()))
@@ -61,7 +60,7 @@
         for (Route r : file.routes().routes()) {
             if (r.action() instanceof Route.ToPools to) {
                 List<PoolRuntime> chain = new ArrayList<>();
-                file.chain(to.pools()).forEach(p -> chain.add(pools.get(p)));
+                file.fallbackChain(to.pools()).forEach(p -> chain.add(pools.get(p)));
                 chains.put(r, chain);
             }
         }
--- a/src/main/java/cacheproxy/daemon/SiblingSocket.java
+++ b/src/main/java/cacheproxy/daemon/SiblingSocket.java
@@ -2,7 +2,10 @@
 
 import cacheproxy.config.ConfigException;
 import cacheproxy.config.DaemonConfig;
+import cacheproxy.config.IcpConfig;
+import cacheproxy.config.PoolConfig;
 import cacheproxy.config.SiblingConfig;
+import cacheproxy.config.SiblingsConfig;
 import cacheproxy.icp.IcpCodec;
 import cacheproxy.icp.IcpMessage;
 import cacheproxy.icp.IcpMessage.Opcode;
@@ -23,6 +26,7 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.SplittableRandom;
 import java.util.function.IntConsumer;
 import java.util.function.Supplier;
@@ -33,6 +37,9 @@
  * and addresses; an answer is never longer than its question.
  */
 final class SiblingSocket implements Subsystem {
+    /** Its section of the configuration file. */
+    static final String SECTION = "icp";
+
     /** Servers that the digest tells apart. */
     private static final int MOST_SERVERS = 4096;
     /** Strangers that are remembered for what they were denied. */
@@ -40,14 +47,14 @@
     /** How long answers that come too late are known as such, and measured. */
     private static final double LATE_MS = 2000;
 
-    private final SiblingConfig spec;
+    private final SiblingsConfig spec;
     private final EventLoopContext core;
     private final SplittableRandom random;
     private final CacheDigest digest;
     private final PendingQueries<InetSocketAddress> questions;
     private final DenialLimiter<InetSocketAddress> denials = new DenialLimiter<>(MOST_STRANGERS);
     private final Map<String, SiblingStats> records;
-    private final Map<InetSocketAddress, SiblingConfig.Sibling> byAddress = new HashMap<>();
+    private final Map<InetSocketAddress, SiblingConfig> byAddress = new HashMap<>();
     private final Map<Integer, IntConsumer> waiting = new HashMap<>();
     private final TokenBucket questionRate;
     /** Each sibling has one, so that none can use up another's; all strangers share a small one. */
@@ -62,31 +69,34 @@
     private long overRate;
 
     private SiblingSocket(DaemonConfig file, EventLoopContext core, SiblingSocket before, int seed) {
-        spec = SiblingConfig.of(file);
+        spec = SiblingsConfig.of(file);
         this.core = core;
         random = new SplittableRandom(seed);
-        SiblingConfig.Icp icp = spec.icp();
-        digest = new CacheDigest(icp.keys(), icp.holdMs(), MOST_SERVERS);
-        questions = new PendingQueries<>(icp.questions(), LATE_MS, random.nextInt());
+        IcpConfig icp = spec.icp();
+        digest = new CacheDigest(icp.rememberedKeys(), icp.rememberMs(), MOST_SERVERS);
+        questions = new PendingQueries<>(icp.maxPendingQueries(), LATE_MS, random.nextInt());
         records = before == null ? new HashMap<>() : before.records;
-        questionRate = new TokenBucket(icp.perSecond(), Math.max(1, icp.perSecond() / 10));
-        strangersRate = new TokenBucket(Math.max(1, icp.perSecond() / 10), Math.max(1, icp.perSecond() / 100));
+        questionRate = new TokenBucket(icp.maxQueriesPerSecond(), Math.max(1, icp.maxQueriesPerSecond() / 10));
+        strangersRate = new TokenBucket(
+                Math.max(1, icp.maxQueriesPerSecond() / 10), Math.max(1, icp.maxQueriesPerSecond() / 100));
         spec.siblings().forEach(s -> {
-            byAddress.put(s.icp(), s);
-            answerRates.put(s.icp(), new TokenBucket(icp.perSecond(), Math.max(1, icp.perSecond() / 10)));
+            byAddress.put(s.icpAddress(), s);
+            answerRates.put(
+                    s.icpAddress(),
+                    new TokenBucket(icp.maxQueriesPerSecond(), Math.max(1, icp.maxQueriesPerSecond() / 10)));
         });
     }
 
-    /** Null where the file has no ICP. */
-    static Subsystem open(
-            DaemonConfig file, Subsystem before, EventLoopContext core, int seed, Supplier<ConfigSnapshot> generation)
+    /** Binds; empty if the file has no {@code [icp]}. */
+    static Optional<SiblingSocket> open(SubsystemContext context, DaemonConfig file, Subsystem previous)
             throws ConfigException, InterruptedException {
-        if (SiblingConfig.of(file).icp() == null) {
-            return null;
+        int seed = context.random().nextInt();
+        if (SiblingsConfig.of(file).icp() == null) {
+            return Optional.empty();
         }
-        SiblingSocket s = bind(file, core, (SiblingSocket) before, seed);
-        s.generation = generation;
-        return s;
+        SiblingSocket socket = bind(file, context.core(), (SiblingSocket) previous, seed);
+        socket.generation = context.configuration();
+        return Optional.of(socket);
     }
 
     private static SiblingSocket bind(DaemonConfig file, EventLoopContext core, SiblingSocket before, int seed)
@@ -114,18 +124,19 @@
 
     @Override
     public boolean fits(DaemonConfig other) {
-        return spec.equals(SiblingConfig.of(other));
+        return spec.equals(SiblingsConfig.of(other));
     }
 
-    InetSocketAddress address() {
-        return (InetSocketAddress) channel.localAddress();
+    @Override
+    public Optional<InetSocketAddress> address() {
+        return Optional.of((InetSocketAddress) channel.localAddress());
     }
 
-    SiblingStats record(SiblingConfig.Sibling s) {
+    SiblingStats record(SiblingConfig s) {
         return records.computeIfAbsent(s.name(), n -> new SiblingStats());
     }
 
-    PoolSiblings of(DaemonConfig.Pool pool) {
+    PoolSiblings of(PoolConfig pool) {
         return new PoolSiblings(
                 this, pool.siblings().stream().map(spec::sibling).toList(), random.split());
     }
@@ -150,22 +161,23 @@
         digest.gone(RequestValidator.keyNumber(key));
     }
 
-    void restarted(int server) {
+    @Override
+    public void serverRestarted(int server) {
         digest.restarted(server);
     }
 
     // ---- asking
 
     /** Asks; where a bound is reached nothing goes out, and the module goes on when its wait is over. */
-    void ask(String key, List<SiblingConfig.Sibling> whom, double waitMs, IntConsumer answer) {
+    void ask(String key, List<SiblingConfig> whom, double waitMs, IntConsumer answer) {
         double now = core.now();
-        if (!questionRate.take(now)) {
+        if (!questionRate.tryAcquire(now)) {
             overRate++;
             return;
         }
         String url = spec.icp().urlPrefix() + key;
         PendingQueries<InetSocketAddress>.Question q = questions.ask(
-                now, url, whom.stream().map(SiblingConfig.Sibling::icp).toList(), waitMs);
+                now, url, whom.stream().map(SiblingConfig::icpAddress).toList(), waitMs);
         if (q == null) {
             return;
         }
@@ -174,10 +186,10 @@
             q.end();
             waiting.remove(q.number);
         });
-        for (SiblingConfig.Sibling s : whom) {
+        for (SiblingConfig s : whom) {
             record(s).asked(now);
-            channel.write(
-                    new DatagramPacket(IcpCodec.encode(channel.alloc(), IcpMessage.query(q.number, 0, url)), s.icp()));
+            channel.write(new DatagramPacket(
+                    IcpCodec.encode(channel.alloc(), IcpMessage.query(q.number, 0, url)), s.icpAddress()));
         }
         channel.flush();
     }
@@ -250,7 +262,7 @@
             if (m.opcode().answers()) {
                 answered(packet.sender(), m);
             } else if (m.opcode() == Opcode.QUERY) {
-                if (!answerRates.getOrDefault(packet.sender(), strangersRate).take(core.now())) {
+                if (!answerRates.getOrDefault(packet.sender(), strangersRate).tryAcquire(core.now())) {
                     overRate++;
                     return;
                 }
--- a/src/main/java/cacheproxy/daemon/fleet/FleetQuotas.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetQuotas.java
@@ -2,8 +2,9 @@
 
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.FleetConfig;
-import cacheproxy.config.LimitsConfig;
-import cacheproxy.control.ControlEndpoints.Answer;
+import cacheproxy.config.QuotaConfig;
+import cacheproxy.config.QuotasConfig;
+import cacheproxy.control.ControlResponse;
 import cacheproxy.fleet.quota.LocalQuota;
 import cacheproxy.fleet.quota.OvershootBound;
 import cacheproxy.fleet.quota.QuotaManager;
@@ -71,15 +72,15 @@
 
     @Override
     public void apply(DaemonConfig file, double now) {
-        FleetConfig fleet = file.part(FleetConfig.class);
-        LimitsConfig spec = fleet.limits();
+        FleetConfig fleet = file.section(FleetConfig.class);
+        QuotasConfig spec = fleet.quotas();
         pockets.clear();
         scopes.clear();
-        if (spec.limits().isEmpty()) {
+        if (spec.quotas().isEmpty()) {
             quota = null;
             return;
         }
-        QuotaTiming figures = new QuotaTiming(spec.grantMs(), cacheproxy.fleet.lease.LeaseTiming.MAX_CLOCK_DRIFT);
+        QuotaTiming figures = new QuotaTiming(spec.grantTtlMs(), cacheproxy.fleet.lease.LeaseTiming.MAX_CLOCK_DRIFT);
         if (quota == null || figures.grantMs() != rules.grantMs()) {
             // Other times: what was lent by the old ones is over once the longer of them is, so it begins in silence.
             double from = rules == null ? startMs : now + Math.max(0, rules.grantMs() - figures.grantMs()) * 4;
@@ -92,9 +93,9 @@
                 .anyMatch(
                         p -> cacheproxy.fleet.lease.NameHash.of(p.name()) == link.me() && !p.joining() && !p.leaving());
         proxies = fleet.peers().size();
-        Map<LimitsConfig.Limit, List<String>> names = new LinkedHashMap<>();
+        Map<QuotaConfig, List<String>> names = new LinkedHashMap<>();
         List<QuotaSpec> limits = new ArrayList<>();
-        spec.limits().forEach(l -> names.put(l, new ArrayList<>()));
+        spec.quotas().forEach(l -> names.put(l, new ArrayList<>()));
         names.forEach((l, own) -> {
             if ("*".equals(l.tenant()) && !file.tenants().isEmpty()) {
                 file.tenants().forEach(t -> own.add(l.name() + ":" + t.name()));
@@ -108,7 +109,7 @@
         });
         quota.configure(
                 limits,
-                spec.duties().stream().map(link::tenure).toList(),
+                spec.leaseNames().stream().map(link::tenure).toList(),
                 fleet.peers().stream()
                         .map(p -> cacheproxy.fleet.lease.NameHash.of(p.name()))
                         .toList(),
@@ -140,16 +141,16 @@
         return table;
     }
 
-    private static QuotaSpec limit(String name, LimitsConfig.Limit l, LimitsConfig spec) {
-        boolean atOnce = l.atOnce() > 0;
+    private static QuotaSpec limit(String name, QuotaConfig l, QuotasConfig spec) {
+        boolean atOnce = l.maxInFlight() > 0;
         return new QuotaSpec(
                 name,
                 atOnce,
-                atOnce ? l.atOnce() : l.perSecond(),
+                atOnce ? l.maxInFlight() : l.perSecond(),
                 atOnce ? 0 : l.burst(),
-                QuotaSpec.IsolationPolicy.valueOf(l.whenAlone().toUpperCase(Locale.ROOT)),
-                l.sharePart(),
-                atOnce ? spec.holdMs() : 0);
+                QuotaSpec.IsolationPolicy.valueOf(l.whenIsolated().toUpperCase(Locale.ROOT)),
+                l.shareFraction(),
+                atOnce ? spec.maxHoldMs() : 0);
     }
 
     // ---- requests
@@ -247,16 +248,16 @@
         counted.keySet().retainAll(scopes.keySet());
     }
 
-    Answer call(String method, String uri) {
+    ControlResponse call(String method, String uri) {
         if (!method.equals("GET")) {
-            return new Answer(405, "use GET /limits", "GET");
+            return new ControlResponse(405, "use GET /limits", "GET");
         }
         JsonArray list = new JsonArray();
         double now = core.now();
         if (quota != null) {
             quota.statuses(now).forEach(s -> list.add(json(s, now)));
         }
-        return new Answer(200, list.toString());
+        return new ControlResponse(200, list.toString());
     }
 
     private JsonObject json(QuotaStatus s, double now) {
--- a/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
@@ -4,11 +4,14 @@
 import cacheproxy.config.ConfigException;
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.FleetConfig;
-import cacheproxy.control.ControlEndpoints.Answer;
+import cacheproxy.config.PoolConfig;
 import cacheproxy.control.ControlRequestHandler;
+import cacheproxy.control.ControlResponse;
 import cacheproxy.daemon.ConfigSnapshot;
+import cacheproxy.daemon.FleetCoordination;
 import cacheproxy.daemon.SocketBinder;
 import cacheproxy.daemon.Subsystem;
+import cacheproxy.daemon.SubsystemContext;
 import cacheproxy.fleet.lease.EventLoopHealth;
 import cacheproxy.fleet.lease.LeaseHandle;
 import cacheproxy.fleet.lease.LeaseListener;
@@ -19,6 +22,7 @@
 import cacheproxy.fleet.lease.NameHash;
 import cacheproxy.fleet.lease.VoterSet;
 import cacheproxy.fleet.peer.DatagramEnvelope;
+import cacheproxy.fleet.peer.OpenedDatagram;
 import cacheproxy.policy.PolicyApi.Outcome;
 import cacheproxy.proxy.Dispatcher;
 import cacheproxy.proxy.EventLoopContext;
@@ -37,6 +41,7 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.Supplier;
@@ -46,7 +51,7 @@
  * {@code lease}'s and {@code peers}'; this carries messages, calls them in time, and answers operators. On the event
  * loop only.
  */
-public final class FleetSubsystem implements Subsystem {
+public final class FleetSubsystem implements Subsystem, FleetCoordination {
     private static final byte LEASES = 1;
     /** Due times are looked at so often, at the least; by it the loop's lateness is seen, too. */
     private static final double TICK_MS = 20;
@@ -94,7 +99,7 @@
             FleetConfig spec, EventLoopContext core, long seed, double silentMs, Supplier<ConfigSnapshot> generation) {
         this.spec = spec;
         this.core = core;
-        me = spec.me();
+        me = spec.self();
         double now = core.now();
         SplittableRandom random = new SplittableRandom(seed);
         duties = new LeaseManager(
@@ -121,12 +126,12 @@
     }
 
     /** Binds; not on the event loop. */
-    public static Subsystem open(
-            DaemonConfig file, Subsystem before, EventLoopContext core, long seed, Supplier<ConfigSnapshot> generation)
+    public static Optional<FleetSubsystem> open(SubsystemContext context, DaemonConfig file, Subsystem before)
             throws ConfigException, InterruptedException {
-        FleetConfig spec = file.part(FleetConfig.class);
+        long seed = context.random().nextLong();
+        FleetConfig spec = file.section(FleetConfig.class);
         if (spec == null) {
-            return null;
+            return Optional.empty();
         }
         FleetSubsystem old = (FleetSubsystem) before;
         if (old != null && SocketBinder.same(old.spec.listen(), spec.listen())) {
@@ -135,16 +140,17 @@
         // What the one before has given its word on may run for its own longest lease.
         FleetSubsystem part = new FleetSubsystem(
                 spec,
-                core,
+                context.core(),
                 seed,
                 old == null ? 0 : Math.max(0, old.spec.longestLeaseMs() - spec.longestLeaseMs()),
-                generation);
+                context.configuration());
         part.listen(file);
-        return part;
+        return Optional.of(part);
     }
 
     private void listen(DaemonConfig asked) throws ConfigException, InterruptedException {
-        channel = SocketBinder.datagrams(core, asked, "fleet", spec.listen(), DatagramEnvelope.MOST, new Handler());
+        channel = SocketBinder.datagrams(
+                core, asked, "fleet", spec.listen(), DatagramEnvelope.MAX_DATAGRAM_BYTES, new Handler());
     }
 
     @Override
@@ -157,9 +163,9 @@
     /** Peers and duties may change under it; who it is and by what figures it has given its word may not. */
     @Override
     public boolean fits(DaemonConfig file) {
-        FleetConfig other = file.part(FleetConfig.class);
+        FleetConfig other = file.section(FleetConfig.class);
         return other != null
-                && other.me().equals(me)
+                && other.self().equals(me)
                 && other.listen().equals(spec.listen())
                 && other.keys().equals(spec.keys())
                 && other.longestLeaseMs() == spec.longestLeaseMs();
@@ -167,14 +173,14 @@
 
     @Override
     public void apply(DaemonConfig file) {
-        spec = file.part(FleetConfig.class);
+        spec = file.section(FleetConfig.class);
         addresses.clear();
         names.clear();
         spec.peers().forEach(p -> {
             addresses.put(NameHash.of(p.name()), p.address());
             names.put(NameHash.of(p.name()), p.name());
         });
-        envelope.senders(List.copyOf(names.keySet()));
+        envelope.useSenders(List.copyOf(names.keySet()));
         heardAt.keySet().retainAll(names.keySet());
         double now = core.now();
         Map<String, Stand> wanted = stands(file);
@@ -182,7 +188,10 @@
         stands = wanted;
         duties.tick(now, System.currentTimeMillis());
         wanted.forEach((name, s) -> duties.campaign(
-                name, s.leaseMs, new VoterSet(name, spec.names(s.zone), spec.namesBefore(s.zone), s.voters), now));
+                name,
+                s.leaseMs,
+                new VoterSet(name, spec.peerNames(s.zone), spec.previousPeerNames(s.zone), s.voters),
+                now));
         calls.use(names, wanted.keySet());
         users.forEach(u -> u.apply(file, now));
         if (dueMs == 0) {
@@ -195,21 +204,24 @@
     private record Stand(double leaseMs, int voters, String zone) {}
 
     private static Map<String, Stand> stands(DaemonConfig file) {
-        FleetConfig f = file.part(FleetConfig.class);
+        FleetConfig f = file.section(FleetConfig.class);
         Map<String, Stand> all = new LinkedHashMap<>();
-        f.duties().forEach(d -> all.put(d.name(), new Stand(d.leaseMs(), d.voters(), null)));
-        f.probeDuties()
-                .forEach(
-                        d -> all.put(d, new Stand(f.probe().leaseMs(), f.probe().voters(), null)));
-        f.limits()
-                .duties()
+        f.leases().forEach(d -> all.put(d.name(), new Stand(d.leaseMs(), d.voters(), null)));
+        f.healthCheckLeases()
+                .forEach(d -> all.put(
+                        d, new Stand(f.healthCheck().leaseMs(), f.healthCheck().voters(), null)));
+        f.quotas()
+                .leaseNames()
                 .forEach(d ->
-                        all.put(d, new Stand(f.limits().leaseMs(), f.limits().voters(), null)));
-        if (f.watch() != null && !f.names(f.zone()).isEmpty()) {
+                        all.put(d, new Stand(f.quotas().leaseMs(), f.quotas().voters(), null)));
+        if (f.delegatedWatch() != null && !f.peerNames(f.zone()).isEmpty()) {
             watched(file)
                     .forEach(p -> all.put(
-                            f.watchDuty(p),
-                            new Stand(f.watch().leaseMs(), f.watch().voters(), f.zone())));
+                            f.watchLease(p),
+                            new Stand(
+                                    f.delegatedWatch().leaseMs(),
+                                    f.delegatedWatch().voters(),
+                                    f.zone())));
         }
         return all;
     }
@@ -218,7 +230,7 @@
     static List<String> watched(DaemonConfig file) {
         return file.pools().values().stream()
                 .filter(p -> p.discovery() != null)
-                .map(DaemonConfig.Pool::name)
+                .map(PoolConfig::name)
                 .limit(MOST_WATCHED)
                 .toList();
     }
@@ -238,7 +250,7 @@
         for (FleetProtocol u : users) {
             next = Math.min(next, u.tick(now));
         }
-        for (long twin : ++ticks % LOOK_TICKS == 0 ? envelope.twins() : List.<Long>of()) {
+        for (long twin : ++ticks % LOOK_TICKS == 0 ? envelope.duplicateIds() : List.<Long>of()) {
             if (toldTwins.add(twin)) {
                 core.log("fleet: two processes send under the name " + names.get(twin)
                         + "; the newer one is heard; give each a name of its own");
@@ -276,18 +288,18 @@
 
     // ---- who acts under duties
 
-    /** What answers operators, by the first word of the path. */
-    public static Map<String, Supplier<ControlRequestHandler>> answers(Supplier<FleetSubsystem> present) {
-        Map<String, Supplier<ControlRequestHandler>> answers = new LinkedHashMap<>();
-        answers.put("/duties", () -> present.get() == null ? null : present.get().calls);
-        answers.put("/limits", () -> present.get() == null ? null : present.get().limits::call);
-        answers.put("/fleet", () -> present.get() == null ? null : present.get()::state);
-        return answers;
+    @Override
+    public Map<String, ControlRequestHandler> controlHandlers() {
+        Map<String, ControlRequestHandler> handlers = new LinkedHashMap<>();
+        handlers.put("/duties", calls);
+        handlers.put("/limits", limits::call);
+        handlers.put("/fleet", this::state);
+        return handlers;
     }
 
-    private Answer state(String method, String uri) {
+    private ControlResponse state(String method, String uri) {
         if (!method.equals("GET")) {
-            return new Answer(405, "use GET /fleet", "GET");
+            return new ControlResponse(405, "use GET /fleet", "GET");
         }
         JsonObject o = new JsonObject();
         o.addProperty("me", me);
@@ -302,36 +314,36 @@
         });
         o.add("peers", peers);
         users.forEach(u -> u.tell(o));
-        return new Answer(200, o.toString());
+        return new ControlResponse(200, o.toString());
     }
 
-    /** The fleet's limits at a daemon; null where it is of no fleet. */
-    public static FleetQuotas limits(FleetSubsystem part) {
-        return part == null ? null : part.limits;
+    @Override
+    public FleetQuotas quotas() {
+        return limits;
     }
 
-    /** Takes over a test of a server that a pool's module has ordered; false: the pool makes it. */
-    public boolean takeProbe(Dispatcher pool, int server) {
+    @Override
+    public boolean takeHealthCheck(Dispatcher pool, int server) {
         return !closed && probes.take(pool, server);
     }
 
-    /** Whether a pool's module may send a client's request to a server that seemed sick, as its trial. */
-    public boolean mayTry(Dispatcher pool, int server) {
+    @Override
+    public boolean mayProbe(Dispatcher pool, int server) {
         return closed || probes.mayTry(pool, server);
     }
 
-    /** An attempt of a request has ended. */
+    @Override
     public void attemptEnded(Dispatcher pool, int server, Outcome outcome) {
         probes.attemptEnded(pool, server, outcome);
     }
 
-    /** Whether a pool's list is to be watched closely from here. */
-    public boolean closely(String pool) {
+    @Override
+    public boolean watchesClosely(String pool) {
         return closed || watches.closely(pool);
     }
 
-    /** A list has come for a pool. */
-    public void have(String pool, long version) {
+    @Override
+    public void listReceived(String pool, long version) {
         watches.have(pool, version);
     }
 
@@ -400,7 +412,7 @@
             }
             byte[] datagram = ByteBufUtil.getBytes(packet.content());
             // Without keys the address is all that speaks for a sender, so it counts before anything else is believed.
-            DatagramEnvelope.Opened o = spec.keys().isEmpty()
+            OpenedDatagram o = spec.keys().isEmpty()
                             && !packet.sender().equals(addresses.get(DatagramEnvelope.claimedSender(datagram)))
                     ? null
                     : envelope.open(datagram, core.now());
--- a/src/main/java/cacheproxy/placement/NginxHashPlacement.java
+++ b/src/main/java/cacheproxy/placement/NginxHashPlacement.java
@@ -2,96 +2,108 @@
 
 import cacheproxy.policy.PolicyApi.Member;
 import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
-import java.util.HashMap;
+import java.util.Arrays;
 import java.util.List;
-import java.util.Map;
 import java.util.zip.CRC32;
 
 /**
- * nginx's {@code hash KEY} without {@code consistent}, which is that of Cache::Memcached: bits 16 to 30 of the key's
- * CRC-32 modulo the sum of weights; where that server is down or has been tried, the count of looks is put before the
- * key, hashed again and added. After {@value #LOOKS} looks in vain nginx goes round; here the file's order follows.
- * Keys are {@link PlacementKey}s.
+ * The ranking of nginx's {@code hash KEY} without {@code consistent}, which is that of Cache::Memcached: bits 16 to 30
+ * of the key's CRC-32, modulo the sum of weights. Where that server is down or already ranked, the number of the rehash
+ * is prepended to the key, hashed again and added. After {@value #MAX_REHASHES} hashes without a new server nginx falls
+ * back to round robin; here the remaining servers follow in the configuration's order. Keys are {@link PlacementKey}s.
  */
 public final class NginxHashPlacement implements Placement {
-    /** nginx gives up hashing after so many. */
-    static final int LOOKS = 20;
+    /** Hashes without a new server after which nginx stops rehashing. */
+    static final int MAX_REHASHES = 20;
 
-    private final int[] bounds;
-    /** Indexes of members by peer; -1: not ready. */
-    private final int[] ready;
+    private static final int HASH_MASK = 0x7FFF;
 
+    /** Sums of the weights up to and with each target. */
+    private final int[] cumulativeWeights;
+
+    /** Indexes of members by target; {@link PlacementTarget#NOT_READY} where a target is not ready. */
+    private final int[] memberIndexes;
+
+    /** Targets ranked so far; reused between rankings. */
     private final boolean[] taken;
-    /** CRC-32 of the look's number in decimal. */
-    private final int[] numbers;
 
-    private NginxHashPlacement(List<PlacementTarget> peers, List<Member> members) {
-        ready = ready(peers, members);
-        bounds = new int[peers.size()];
-        taken = new boolean[peers.size()];
+    /** CRC-32 of each rehash's number in decimal; 0, the first hash, has no prefix. */
+    private final int[] rehashPrefixCrcs;
+
+    private NginxHashPlacement(List<PlacementTarget> targets, List<Member> members) {
+        memberIndexes = PlacementTarget.memberIndexes(targets, members);
+        cumulativeWeights = new int[targets.size()];
+        taken = new boolean[targets.size()];
         int sum = 0;
-        for (int i = 0; i < bounds.length; i++) {
-            sum += peers.get(i).weight();
-            bounds[i] = sum;
+        for (int i = 0; i < cumulativeWeights.length; i++) {
+            sum += targets.get(i).weight();
+            cumulativeWeights[i] = sum;
         }
-        numbers = new int[LOOKS + 2 + bounds.length];
-        for (int i = 1; i < numbers.length; i++) {
+        rehashPrefixCrcs = new int[MAX_REHASHES + 2 + cumulativeWeights.length];
+        for (int i = 1; i < rehashPrefixCrcs.length; i++) {
             CRC32 crc = new CRC32();
             crc.update(Integer.toString(i).getBytes(StandardCharsets.US_ASCII));
-            numbers[i] = (int) crc.getValue();
+            rehashPrefixCrcs[i] = (int) crc.getValue();
         }
     }
 
-    /** Over peers in the file's order, whichever of them are ready. */
-    public static Factory over(List<PlacementTarget> peers) {
-        return members -> new NginxHashPlacement(peers, members);
-    }
-
-    /** For each peer its index among members; -1 where it is not there. */
-    static int[] ready(List<PlacementTarget> peers, List<Member> members) {
-        Map<Integer, Integer> at = new HashMap<>();
-        for (Member m : members) {
-            at.put(m.id(), at.size());
-        }
-        List<Integer> ready = new ArrayList<>();
-        peers.forEach(p -> ready.add(at.getOrDefault(p.id(), -1)));
-        return ready.stream().mapToInt(Integer::intValue).toArray();
+    /** Returns a factory over targets in the configuration's order, whether ready or not. */
+    public static PlacementFactory factory(List<PlacementTarget> targets) {
+        return members -> new NginxHashPlacement(targets, members);
     }
 
     @Override
-    public int spreadable() {
+    public int maxHotKeySpread() {
         return 1; // nginx sends a key to one server, however hot it is
     }
 
     @Override
-    public int top(long key, int keyHash, int want, int[] top) {
-        java.util.Arrays.fill(taken, false);
-        int n = 0;
-        int sum = bounds.length == 0 ? 0 : bounds[bounds.length - 1];
+    public int rank(long key, int keyHash, int wanted, int[] ranked) {
+        Arrays.fill(taken, false);
+        int weightSum = cumulativeWeights.length == 0 ? 0 : cumulativeWeights[cumulativeWeights.length - 1];
+        int count = weightSum == 0 ? 0 : rankByRehashing(key, weightSum, wanted, ranked);
+        return rankRemaining(count, wanted, ranked);
+    }
+
+    private int rankByRehashing(long key, int weightSum, int wanted, int[] ranked) {
+        int count = 0;
         int hash = 0;
-        for (int look = 0, vain = 0; sum > 0 && n < want && vain <= LOOKS && look < numbers.length; look++) {
-            int crc = look == 0 ? PlacementKey.crc(key) : PlacementKey.crcBehind(numbers[look], key);
-            hash += crc >>> 16 & 0x7FFF;
-            int at = peer(Integer.remainderUnsigned(hash, sum));
-            if (taken[at] || ready[at] < 0) {
-                vain++;
+        int skipped = 0;
+        for (int rehash = 0; rehash < rehashPrefixCrcs.length; rehash++) {
+            if (count >= wanted || skipped > MAX_REHASHES) {
+                break;
+            }
+            int crc = rehash == 0 ? PlacementKey.crc(key) : PlacementKey.crcWithPrefix(rehashPrefixCrcs[rehash], key);
+            hash += crc >>> 16 & HASH_MASK;
+            int target = targetOf(Integer.remainderUnsigned(hash, weightSum));
+            if (isAvailable(target)) {
+                taken[target] = true;
+                ranked[count++] = memberIndexes[target];
             } else {
-                taken[at] = true;
-                top[n++] = ready[at];
+                skipped++;
             }
         }
-        for (int i = 0; n < want && i < ready.length; i++) {
-            if (!taken[i] && ready[i] >= 0) {
-                taken[i] = true;
-                top[n++] = ready[i];
+        return count;
+    }
+
+    private int rankRemaining(int alreadyRanked, int wanted, int[] ranked) {
+        int count = alreadyRanked;
+        for (int target = 0; count < wanted && target < memberIndexes.length; target++) {
+            if (isAvailable(target)) {
+                taken[target] = true;
+                ranked[count++] = memberIndexes[target];
             }
         }
-        return n;
+        return count;
+    }
+
+    private boolean isAvailable(int target) {
+        return !taken[target] && memberIndexes[target] >= 0;
     }
 
-    private int peer(int place) {
-        int at = java.util.Arrays.binarySearch(bounds, place + 1);
+    /** Returns the target that owns a position, 0 to the sum of weights - 1. */
+    private int targetOf(int position) {
+        int at = Arrays.binarySearch(cumulativeWeights, position + 1);
         return at >= 0 ? at : -at - 1;
     }
 }
--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/Dispatcher.java
@@ -5,7 +5,7 @@
 import cacheproxy.invariant.SendGuard;
 import cacheproxy.placement.AdmissionControl;
 import cacheproxy.placement.CarpPlacement;
-import cacheproxy.placement.Placement;
+import cacheproxy.placement.PlacementFactory;
 import cacheproxy.policy.PolicyApi.Actions;
 import cacheproxy.policy.PolicyApi.AttemptEnd;
 import cacheproxy.policy.PolicyApi.Effect;
@@ -23,6 +23,7 @@
 import cacheproxy.snapshot.state.LearnedState;
 import io.netty.buffer.ByteBuf;
 import io.netty.util.collection.IntObjectHashMap;
+import io.netty.util.collection.IntObjectMap;
 import java.net.SocketAddress;
 import java.util.ArrayDeque;
 import java.util.HashSet;
@@ -158,7 +159,7 @@
             int mostConnections,
             int streamsPerConnection,
             boolean plainNodes,
-            Placement.Factory placements,
+            PlacementFactory placements,
             AdmissionControl admission) {
 
         /** The platform's one pool. Servers accept some forty connections each, for all proxies together. */
@@ -174,7 +175,7 @@
                     config.streamsPerConnection(),
                     false,
                     CarpPlacement::new,
-                    AdmissionControl.OPEN);
+                    AdmissionControl.UNLIMITED);
         }
     }
 
@@ -225,7 +226,7 @@
     /** Whether some cache server is sound, or there is none. */
     public boolean reachesAny() {
         boolean none = true;
-        for (IntObjectHashMap.PrimitiveEntry<Upstream> e : upstreams.entries()) {
+        for (IntObjectMap.PrimitiveEntry<Upstream> e : upstreams.entries()) {
             if (!e.value().origin) {
                 if (sound(e.key())) {
                     return true;
@@ -713,7 +714,7 @@
         }
         for (Attempt earlier : x.attempts) {
             if (earlier != a && earlier.begun) {
-                a.beginByMs = Math.min(a.beginByMs, SendGuard.repeatUntilMs(earlier.sentMs, kind.windowMs()));
+                a.beginByMs = Math.min(a.beginByMs, SendGuard.retryUntilMs(earlier.sentMs, kind.windowMs()));
             }
         }
         if (a.beginByMs < a.untilMs) {
@@ -731,13 +732,13 @@
         }
         Invariant violated = sendGuard.violatedBy(a, core.now());
         if (violated != null) {
-            core.invariants.stop(
+            core.invariants.recordStopped(
                     violated, a.exchange.command.id, "attempt " + a.index + " at " + name(a.server) + " was not begun");
             end(a, Outcome.NOT_SENT, 0, null, null, null);
             return false;
         }
         if (a.exchange.dueMs > a.exchange.command.clientDueMs) {
-            core.invariants.violation(
+            core.invariants.recordViolation(
                     Invariant.DEADLINE_WITHIN_CLIENTS,
                     a.exchange.command.id,
                     "its pool waits " + Math.round(a.exchange.dueMs - a.exchange.command.clientDueMs)
--- a/src/main/java/cacheproxy/proxy/Listener.java
+++ b/src/main/java/cacheproxy/proxy/Listener.java
@@ -144,7 +144,7 @@
                     @Override
                     protected void initChannel(Channel connection) {
                         ClientConnection client =
-                                new ClientConnection(core, Listener.this, Lifecycle.place(accepted++));
+                                new ClientConnection(core, Listener.this, Lifecycle.closingPosition(accepted++));
                         connection.pipeline().addLast(client);
                         own.add(client);
                         clients.accepted(client);
@@ -218,6 +218,7 @@
     }
 
     /** Takes no new connections. */
+    @SuppressWarnings("FutureReturnValueIgnored") // the close is observed where the channel becomes inactive
     void stopListening() {
         if (!draining) {
             draining = true;
--- a/src/test/java/cacheproxy/daemon/fleet/FleetSubsystemTest.java
+++ b/src/test/java/cacheproxy/daemon/fleet/FleetSubsystemTest.java
@@ -250,7 +250,8 @@
         try (DatagramSocket peer = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
                 Daemon d = daemon(fleetOf("p1", port, "", "p1@" + port, "p2@" + peer.getLocalPort()) + duty("cron"))) {
             peer.setSoTimeout(20_000);
-            DatagramPacket asked = new DatagramPacket(new byte[DatagramEnvelope.MOST], DatagramEnvelope.MOST);
+            DatagramPacket asked = new DatagramPacket(
+                    new byte[DatagramEnvelope.MAX_DATAGRAM_BYTES], DatagramEnvelope.MAX_DATAGRAM_BYTES);
             peer.receive(asked);
             String other = file(fleetOf("p1", port, "", "p1@" + port, "p2@" + peer.getLocalPort()) + duty("cron"))
                     .replace("longest_lease_ms = 150", "longest_lease_ms = 151")
@@ -320,21 +321,22 @@
         assertThatThrownBy(() -> DaemonConfigReader.parse("f", file(duty("x"))))
                 .hasMessageContaining("duties need [fleet]");
         FleetConfig open = DaemonConfigReader.parse("f", file(fleetOf("p1", 9, "", "p1@9", "p2@8")))
-                .part(FleetConfig.class);
+                .section(FleetConfig.class);
         assertThat(open.warnings()).singleElement().asString().contains("key_file");
-        assertThat(open.namesBefore()).isEmpty();
+        assertThat(open.previousPeerNames()).isEmpty();
         FleetConfig moving = DaemonConfigReader.parse(
                         "f",
                         file(fleetOf("p1", 9, "", "p1@9", "p2@8") + "leaving = true\n"
                                 + "[[fleet.peer]]\nname = \"p3\"\naddress = \"127.0.0.1:7\"\njoining = true\n"))
-                .part(FleetConfig.class);
-        assertThat(moving.names()).containsExactly("p1", "p3");
-        assertThat(moving.namesBefore()).containsExactly("p1", "p2");
+                .section(FleetConfig.class);
+        assertThat(moving.peerNames()).containsExactly("p1", "p3");
+        assertThat(moving.previousPeerNames()).containsExactly("p1", "p2");
     }
 
     /** A pool's test of a server that was asked of a peer, with the peer's socket; returns what the question says. */
     private byte[] askedFor(Daemon d, FakeCacheServer mute, DatagramSocket peer) throws Exception {
-        DatagramPacket in = new DatagramPacket(new byte[DatagramEnvelope.MOST], DatagramEnvelope.MOST);
+        DatagramPacket in =
+                new DatagramPacket(new byte[DatagramEnvelope.MAX_DATAGRAM_BYTES], DatagramEnvelope.MAX_DATAGRAM_BYTES);
         peer.setSoTimeout(50);
         for (int from = 0; ; from += 20) {
             int first = from;
@@ -347,7 +349,7 @@
                     if (in.getData()[2] == FleetHealthChecks.TOPIC) {
                         return java.util.Arrays.copyOfRange(
                                 in.getData(),
-                                DatagramEnvelope.MOST - DatagramEnvelope.MOST_PAYLOAD - 16,
+                                DatagramEnvelope.MAX_DATAGRAM_BYTES - DatagramEnvelope.MAX_PAYLOAD_BYTES - 16,
                                 in.getLength() - 4);
                     }
                 }
@@ -440,10 +442,10 @@
                                 NameHash.of("p1"),
                                 FleetHealthChecks.TOPIC,
                                 new HealthCheckMessage(
-                                                HealthCheckMessage.Kind.ANSWER,
-                                                asked.duty(),
+                                                HealthCheckMessage.Kind.RESULT,
+                                                asked.leaseId(),
                                                 asked.server(),
-                                                asked.number(),
+                                                asked.requestNumber(),
                                                 1,
                                                 0,
                                                 true,
@@ -498,7 +500,7 @@
                     .seal(
                             NameHash.of("p1"),
                             DelegatedWatches.TOPIC,
-                            new WatchVersionMessage(true, NameHash.of("watch.here.a"), 0, 0, 6).bytes());
+                            new WatchVersionMessage(true, NameHash.of("watch.here.a"), 0, 0, 6).encode());
             peer.send(new DatagramPacket(later, later.length, InetAddress.getByName("127.0.0.1"), port));
             // The silent call is given up 24 s after it was made, so a second one within half of that is the answer to
             // the word.
@@ -531,11 +533,11 @@
                         file(fleetOf("p1", 9, "", "p1@9", "p2@8")
                                         .replace("127.0.0.1:8\"\n", "127.0.0.1:8\"\nzone = \"b\"\n")
                                 + "[fleet.watch]\n"))
-                .part(FleetConfig.class);
-        assertThat(two.names("here")).containsExactly("p1");
-        assertThat(two.names("b")).containsExactly("p2");
-        assertThat(two.watchDuty("pages")).isEqualTo("watch.here.pages");
-        assertThat(two.probeDuties()).isEmpty();
-        assertThat(two.watch().leaseMs()).isEqualTo(150);
+                .section(FleetConfig.class);
+        assertThat(two.peerNames("here")).containsExactly("p1");
+        assertThat(two.peerNames("b")).containsExactly("p2");
+        assertThat(two.watchLease("pages")).isEqualTo("watch.here.pages");
+        assertThat(two.healthCheckLeases()).isEmpty();
+        assertThat(two.delegatedWatch().leaseMs()).isEqualTo(150);
     }
 }
--- a/src/test/java/cacheproxy/limits/ServerCapacityTest.java
+++ b/src/test/java/cacheproxy/limits/ServerCapacityTest.java
@@ -3,93 +3,118 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
+/** Backoff after refused connections, and the limit of one connection while any server refuses. */
 class ServerCapacityTest {
-    private final ServerCapacity.Shortage shortage = new ServerCapacity.Shortage();
+    private final ConnectionShortage shortage = new ConnectionShortage();
 
     @Test
-    void aNodeThatTurnedAConnectionAwayIsTriedAgainEverMoreSeldom() {
-        ServerCapacity room = new ServerCapacity(shortage);
-        double now = 1000;
+    void backsOffExponentiallyWhileConnectionsAreRefused() {
+        ServerCapacity capacity = new ServerCapacity(shortage);
+        double nowMs = 1000;
         List<Double> waits = new ArrayList<>();
         for (int i = 0; i < 5; i++) {
-            room.turnedAway(now);
-            double from = now;
-            while (!room.mayOpen(now, 0)) {
-                now += 250;
+            capacity.connectionRefused(nowMs);
+            double refusedAtMs = nowMs;
+            while (!capacity.mayOpen(nowMs, 0)) {
+                nowMs += 250;
             }
-            waits.add(now - from);
+            waits.add(nowMs - refusedAtMs);
         }
         assertThat(waits).containsExactly(500.0, 1000.0, 2000.0, 4000.0, 4000.0);
-        room.taken();
-        room.turnedAway(now);
-        assertThat(room.mayOpen(now + 500, 0)).isTrue();
+        capacity.connectionAccepted();
+        capacity.connectionRefused(nowMs);
+        assertThat(capacity.mayOpen(nowMs + 500, 0)).isTrue();
     }
 
     @Test
-    void whoIsTurnedAwayAnywhereOpensNoSecondConnectionElsewhere() {
+    void refusalAnywhereForbidsSecondConnectionsElsewhere() {
         ServerCapacity full = new ServerCapacity(shortage);
         ServerCapacity other = new ServerCapacity(shortage);
         assertThat(other.mayOpen(0, 1)).isTrue();
-        full.turnedAway(0);
+        full.connectionRefused(0);
         assertThat(other.mayOpen(1, 0)).isTrue();
         assertThat(other.mayOpen(1, 1)).isFalse();
-        assertThat(other.mayOpen(ServerCapacity.Shortage.SPAN_MS, 1)).isTrue();
+        assertThat(other.mayOpen(ConnectionShortage.DURATION_MS, 1)).isTrue();
     }
 
-    /** Fourteen proxies before nodes that take twelve each: nobody is left without for good where others hold two. */
+    /** With fourteen proxies and servers that accept twelve, none stays without while another has two. */
     @Test
-    void proxiesBeforeTooSmallNodesComeToHoldOneEach() {
-        int proxies = 14;
-        int nodes = 20;
-        int cap = 12;
-        SplittableRandom random = new SplittableRandom(7);
-        int[][] held = new int[proxies][nodes];
-        ServerCapacity.Shortage[] shortages = new ServerCapacity.Shortage[proxies];
-        ServerCapacity[][] rooms = new ServerCapacity[proxies][nodes];
-        for (int p = 0; p < proxies; p++) {
-            shortages[p] = new ServerCapacity.Shortage();
-            for (int n = 0; n < nodes; n++) {
-                rooms[p][n] = new ServerCapacity(shortages[p]);
+    void proxiesSettleOnOneConnectionEachWhenServersAreShort() {
+        ShortServers fleet = new ShortServers();
+        int refusedInSecondHalf = 0;
+        for (int nowMs = 0; nowMs < 60_000; nowMs++) {
+            boolean refused = fleet.sendRequest(nowMs);
+            refusedInSecondHalf += refused && nowMs >= 30_000 ? 1 : 0;
+            if (nowMs % 1000 == 0) {
+                fleet.closeSpareConnections(nowMs);
             }
         }
-        int turnedAway = 0;
-        for (int now = 0;
-                now < 60_000;
-                now++) { // one request a millisecond; every third comes while another is out there
-            int p = random.nextInt(proxies);
-            int n = random.nextInt(nodes);
-            boolean wants = held[p][n] == 0 || held[p][n] == 1 && random.nextInt(3) == 0;
-            if (wants && rooms[p][n].mayOpen(now, held[p][n])) {
-                int all = 0;
-                for (int[] of : held) {
-                    all += of[n];
-                }
-                if (all < cap) {
-                    held[p][n]++;
-                    rooms[p][n].taken();
-                } else {
-                    rooms[p][n].turnedAway(now);
-                    turnedAway += now >= 30_000 ? 1 : 0;
-                }
+        int without = 0;
+        for (int[] connectionsOfProxy : fleet.connections) {
+            for (int open : connectionsOfProxy) {
+                assertThat(open).isLessThanOrEqualTo(1);
+                without += open == 0 ? 1 : 0;
             }
-            for (int of = 0; now % 1000 == 0 && of < proxies * nodes; of++) { // spare ones go where there is a shortage
-                if (held[of / nodes][of % nodes] == 2 && shortages[of / nodes].scarce(now)) {
-                    held[of / nodes][of % nodes] = 1;
+        }
+        assertThat(without).isEqualTo((ShortServers.PROXIES - ShortServers.CONNECTION_LIMIT) * ShortServers.SERVERS);
+        assertThat(refusedInSecondHalf).as("of 30,000 requests").isLessThan(30_000 / 60);
+    }
+
+    /** Proxies that send one request a millisecond in all to servers with too few connections for them. */
+    private static final class ShortServers {
+        static final int PROXIES = 14;
+        static final int SERVERS = 20;
+        static final int CONNECTION_LIMIT = 12;
+
+        final int[][] connections = new int[PROXIES][SERVERS];
+        private final SplittableRandom random = new SplittableRandom(7);
+        private final ConnectionShortage[] shortages = new ConnectionShortage[PROXIES];
+        private final ServerCapacity[][] capacities = new ServerCapacity[PROXIES][SERVERS];
+
+        ShortServers() {
+            for (int proxy = 0; proxy < PROXIES; proxy++) {
+                shortages[proxy] = new ConnectionShortage();
+                for (int server = 0; server < SERVERS; server++) {
+                    capacities[proxy][server] = new ServerCapacity(shortages[proxy]);
                 }
             }
         }
-        int without = 0;
-        for (int[] of : held) {
-            for (int n : of) {
-                assertThat(n).isLessThanOrEqualTo(1);
-                without += n == 0 ? 1 : 0;
+
+        /** Sends one request, every third while another is pending; returns whether a new connection was refused. */
+        boolean sendRequest(int nowMs) {
+            int proxy = random.nextInt(PROXIES);
+            int server = random.nextInt(SERVERS);
+            int open = connections[proxy][server];
+            boolean needsConnection = open == 0 || (open == 1 && random.nextInt(3) == 0);
+            if (!needsConnection || !capacities[proxy][server].mayOpen(nowMs, open)) {
+                return false;
+            }
+            int openAtServer = Arrays.stream(connections)
+                    .mapToInt(ofProxy -> ofProxy[server])
+                    .sum();
+            if (openAtServer >= CONNECTION_LIMIT) {
+                capacities[proxy][server].connectionRefused(nowMs);
+                return true;
+            }
+            connections[proxy][server]++;
+            capacities[proxy][server].connectionAccepted();
+            return false;
+        }
+
+        /** Closes second connections of proxies that know of a shortage. */
+        void closeSpareConnections(int nowMs) {
+            for (int proxy = 0; proxy < PROXIES; proxy++) {
+                for (int server = 0; server < SERVERS; server++) {
+                    if (connections[proxy][server] == 2 && shortages[proxy].isActive(nowMs)) {
+                        connections[proxy][server] = 1;
+                    }
+                }
             }
         }
-        assertThat(without).isEqualTo((proxies - cap) * nodes);
-        assertThat(turnedAway).as("of 30,000 requests").isLessThan(30_000 / 60);
     }
 }
--- a/src/test/java/cacheproxy/nginx/importer/ImporterTest.java
+++ b/src/test/java/cacheproxy/nginx/importer/ImporterTest.java
@@ -4,6 +4,7 @@
 
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.DaemonConfigReader;
+import cacheproxy.config.ServerConfig;
 import cacheproxy.daemon.RouteExplainer;
 import cacheproxy.fakes.NginxReferenceModel;
 import cacheproxy.nginx.ConfParser;
@@ -16,6 +17,7 @@
 
 /** What becomes of directives, in the file and in the report; the location search against the model on random trees. */
 class ImporterTest {
+    @SuppressWarnings("StringConcatToTextBlock") // one line of the text a line of the source
     private static final String U = "upstream u { hash $uri; server 10.0.0.1:80; server 10.0.0.2:80; }\n"
             + "upstream v { hash $uri; server 10.0.1.1:80; server 10.0.1.2:80; }\n";
 
@@ -104,6 +106,7 @@
                 .contains(" pool=v ");
     }
 
+    @SuppressWarnings("StringConcatToTextBlock") // one line of the text a line of the source
     @Test
     void serversThatCantBeHadAreToldAndKeepTheirPartOfTheKeys() throws Exception {
         String text =
@@ -120,8 +123,8 @@
                 .anyMatch(s -> s.startsWith("not carried: max_conns=5"));
         DaemonConfig f = file(r);
         assertThat(f.pools().get("u").servers())
-                .filteredOn(DaemonConfig.Server::down)
-                .extracting(DaemonConfig.Server::name)
+                .filteredOn(ServerConfig::down)
+                .extracting(ServerConfig::name)
                 .containsExactly("unix:/run/x.sock", "app.example:80", "10.0.0.2:80");
         // The keys of the others are where they were: on the ring with all of them.
         NginxReferenceModel model = new NginxReferenceModel(ConfParser.parse("n", text.replace(" weight=0", " down")));
@@ -138,7 +141,7 @@
         assertThat(told.pools().get("u").servers())
                 .filteredOn(s -> s.name().equals("app.example:80"))
                 .singleElement()
-                .satisfies(s -> assertThat(s.dial().getPort()).isEqualTo(8080));
+                .satisfies(s -> assertThat(s.address().getPort()).isEqualTo(8080));
     }
 
     @Test
@@ -179,6 +182,7 @@
                 .isEqualTo(cacheproxy.policy.PolicyApi.Effect.UNSAFE);
     }
 
+    @SuppressWarnings("StringConcatToTextBlock") // one line of the text a line of the source
     @Test
     void whatKeysDoNotTellIsToldWithItsConsequence() throws Exception {
         Importer.Result r = run(
@@ -210,6 +214,7 @@
         assertThat(explained(f, "/a/1", false)).doesNotContain("pool=u");
     }
 
+    @SuppressWarnings("StringConcatToTextBlock") // one line of the text a line of the source
     @Test
     void methodsBecomeReadsAndWrites() throws Exception {
         DaemonConfig f = file(run(site(
