--- a/src/test/java/cacheproxy/discovery/SimulatedZone.java
+++ b/src/test/java/cacheproxy/discovery/SimulatedZone.java
@@ -113,7 +113,7 @@
         }
 
         @Override
-        public double leftMs(double atMs) {
+        public double remainingMs(double atMs) {
             return 0;
         }
 
@@ -123,7 +123,7 @@
         }
 
         @Override
-        public List<Long> order() {
+        public List<Long> candidateOrder() {
             return List.of();
         }
 
--- a/src/test/java/cacheproxy/fleet/healthcheck/HealthCheckCoordinatorTest.java
+++ b/src/test/java/cacheproxy/fleet/healthcheck/HealthCheckCoordinatorTest.java
@@ -107,7 +107,7 @@
                 }
 
                 @Override
-                public double leftMs(double at) {
+                public double remainingMs(double at) {
                     return holder[share] == index ? 1000 : 0;
                 }
 
@@ -117,7 +117,7 @@
                 }
 
                 @Override
-                public List<Long> order() {
+                public List<Long> candidateOrder() {
                     return List.of(1L, 2L, 3L);
                 }
 
