--- a/src/main/java/cacheproxy/bench/SnapshotBench.java
+++ b/src/main/java/cacheproxy/bench/SnapshotBench.java
@@ -3,6 +3,7 @@
 import cacheproxy.config.DaemonConfigReader;
 import cacheproxy.daemon.Daemon;
 import cacheproxy.daemon.snapshot.SnapshotSubsystem;
+import cacheproxy.daemon.snapshot.WriteTotals;
 import cacheproxy.fakes.FakeCacheServer;
 import cacheproxy.fakes.FakeFleet;
 import cacheproxy.fakes.LoadClient;
@@ -425,10 +426,12 @@
                 load.start(4, 1);
                 Thread.sleep(20_000);
                 over.set(true);
-                long[] written = d.subsystem(SnapshotSubsystem.class).written();
+                WriteTotals written = d.subsystem(SnapshotSubsystem.class).writeTotals();
                 out.printf(
                         "at the usual period of 2 s, under load: %d writes of %.0f bytes in 20 s, %.2f MB an hour%n",
-                        written[0], written[1] / (double) Math.max(1, written[0]), written[1] * 180 / 1e6);
+                        written.files(),
+                        written.bytes() / (double) Math.max(1, written.files()),
+                        written.bytes() * 180 / 1e6);
             }
         } finally {
             clients.shutdownGracefully(0, 1, TimeUnit.SECONDS);
--- /dev/null
+++ b/src/main/java/cacheproxy/daemon/snapshot/SnapshotSaver.java
@@ -0,0 +1,150 @@
+package cacheproxy.daemon.snapshot;
+
+import cacheproxy.config.SnapshotConfig;
+import cacheproxy.proxy.EventLoopContext;
+import cacheproxy.snapshot.SnapshotStore;
+import cacheproxy.snapshot.SnapshotWriter;
+import cacheproxy.snapshot.state.StateSnapshot;
+import java.io.IOException;
+import java.util.Optional;
+import java.util.concurrent.Future;
+import java.util.concurrent.TimeUnit;
+import java.util.function.IntFunction;
+
+/**
+ * Saves the pools' learned state periodically and at the end of the process. Saves nothing if the snapshot file cannot
+ * be locked.
+ */
+final class SnapshotSaver {
+    /** Longest wait for the last write; all clients have had their responses by then. */
+    private static final long MAX_LAST_WRITE_MS = 1000;
+
+    private final SnapshotConfig config;
+    private final EventLoopContext core;
+    private final IntFunction<StateSnapshot> learnedState;
+
+    /** Empty: the file could not be locked. Used off the event loop only. */
+    private Optional<SnapshotStore> store;
+
+    /** Null: nothing is written. Set off the event loop and read on it. */
+    private volatile SnapshotWriter writer;
+
+    private volatile boolean ended;
+
+    /** Null: not scheduled. */
+    private Future<?> timer;
+
+    /**
+     * Starts the writer, if there is a locked store.
+     *
+     * @param learnedState takes the state to be saved, with at most the given number of hot keys a pool; called on the
+     *     event loop
+     */
+    SnapshotSaver(
+            SnapshotConfig config,
+            EventLoopContext core,
+            IntFunction<StateSnapshot> learnedState,
+            Optional<SnapshotStore> store) {
+        this.config = config;
+        this.core = core;
+        this.learnedState = learnedState;
+        this.store = store;
+        startWriter();
+    }
+
+    /** Locks the configured file; empty, and logged, if that fails. */
+    static Optional<SnapshotStore> lockStore(SnapshotConfig config, EventLoopContext core) {
+        SnapshotStore store = SnapshotStore.at(config.path());
+        String failure;
+        try {
+            if (store.tryLock()) {
+                return Optional.of(store);
+            }
+            failure = "another process keeps its memory there; give each a path of its own";
+        } catch (IOException e) {
+            failure = SnapshotStore.describe(e);
+        }
+        core.log("memory: can't use " + config.path() + ": " + failure + "; goes on without");
+        return Optional.empty();
+    }
+
+    private void startWriter() {
+        writer = store.map(locked -> new SnapshotWriter(locked, config.bytesPerSecond(), this::logFromWriter))
+                .orElse(null);
+    }
+
+    private void logFromWriter(String line) {
+        core.loop().execute(() -> core.log(line));
+    }
+
+    /** Starts saving periodically, unless that has begun. On the event loop. */
+    void schedule() {
+        if (writer != null && timer == null) {
+            long periodMs = Math.round(config.periodMs());
+            timer = core.loop().scheduleWithFixedDelay(this::save, periodMs, periodMs, TimeUnit.MILLISECONDS);
+        }
+    }
+
+    private void save() {
+        if (!ended) {
+            writer.offer(learnedState.apply(config.keys()));
+        }
+    }
+
+    /** Stops saving periodically. */
+    void cancel() {
+        if (timer != null) {
+            timer.cancel(false);
+        }
+    }
+
+    /** Saves a last time, if saving was scheduled; blocks until it is written or takes too long. */
+    void saveLast() {
+        if (writer == null || timer == null) {
+            return;
+        }
+        timer.cancel(false);
+        StateSnapshot last = core.loop()
+                .submit(() -> learnedState.apply(config.keys()))
+                .syncUninterruptibly()
+                .getNow();
+        try {
+            writer.writeLast(last, MAX_LAST_WRITE_MS);
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    /** Ends without another write and releases the file; blocks. */
+    void end() {
+        if (ended) {
+            return;
+        }
+        ended = true;
+        if (writer == null) {
+            store.ifPresent(SnapshotStore::close);
+            return;
+        }
+        try {
+            writer.stopWithoutWriting();
+        } catch (InterruptedException e) {
+            Thread.currentThread().interrupt();
+        }
+    }
+
+    /** Locks the file again and goes on saving, if this has ended for a replacement that was then rejected; blocks. */
+    void restart() {
+        if (!ended) {
+            return;
+        }
+        ended = false;
+        store = lockStore(config, core);
+        store.ifPresent(SnapshotStore::read); // tells which generation the next one replaces
+        startWriter();
+    }
+
+    /** Returns what the present writer has written. */
+    WriteTotals writeTotals() {
+        return writer == null ? new WriteTotals(0, 0) : new WriteTotals(writer.writeCount(), writer.byteCount());
+    }
+}
