--- a/src/main/java/cacheproxy/daemon/snapshot/RestoredState.java
+++ b/src/main/java/cacheproxy/daemon/snapshot/RestoredState.java
@@ -1,6 +1,7 @@
 package cacheproxy.daemon.snapshot;
 
 import cacheproxy.config.DaemonConfig;
+import cacheproxy.config.PoolConfig;
 import cacheproxy.daemon.LearnedStateSource;
 import cacheproxy.daemon.LearnedStates;
 import cacheproxy.limits.ServerStartTimes;
@@ -69,7 +70,7 @@
 
     private void use(StateSnapshot content, boolean sibling, Path path) {
         Optional<String> mismatch =
-                content.mismatch(config.site().name(), config.site().me(), core.now(), sibling);
+                content.mismatch(config.site().name(), config.site().proxyIndex(), core.now(), sibling);
         if (mismatch.isPresent()) {
             core.log("memory: " + path + " is not used: " + mismatch.get());
             return;
@@ -81,7 +82,7 @@
     }
 
     @Override
-    public Dispatcher.Recollections recollections(DaemonConfig file, DaemonConfig.Pool pool) {
+    public Dispatcher.Recollections recollections(DaemonConfig file, PoolConfig pool) {
         return snapshot == null ? null : LearnedStates.recollections(snapshot, trust, file, pool);
     }
 
--- a/src/main/java/cacheproxy/daemon/snapshot/SnapshotSaver.java
+++ b/src/main/java/cacheproxy/daemon/snapshot/SnapshotSaver.java
@@ -87,7 +87,7 @@
 
     private void save() {
         if (!ended) {
-            writer.offer(learnedState.apply(config.keys()));
+            writer.offer(learnedState.apply(config.maxHotKeys()));
         }
     }
 
@@ -105,7 +105,7 @@
         }
         timer.cancel(false);
         StateSnapshot last = core.loop()
-                .submit(() -> learnedState.apply(config.keys()))
+                .submit(() -> learnedState.apply(config.maxHotKeys()))
                 .syncUninterruptibly()
                 .getNow();
         try {
--- a/src/main/java/cacheproxy/daemon/snapshot/SnapshotSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/snapshot/SnapshotSubsystem.java
@@ -1,6 +1,7 @@
 package cacheproxy.daemon.snapshot;
 
 import cacheproxy.config.DaemonConfig;
+import cacheproxy.config.PoolConfig;
 import cacheproxy.config.SnapshotConfig;
 import cacheproxy.daemon.LearnedStateSource;
 import cacheproxy.daemon.Subsystem;
@@ -57,7 +58,7 @@
     }
 
     private static Optional<SnapshotConfig> configOf(DaemonConfig file) {
-        return Optional.ofNullable(file.part(SnapshotConfig.class));
+        return Optional.ofNullable(file.section(SnapshotConfig.class));
     }
 
     private boolean savesTo(Optional<SnapshotConfig> other) {
@@ -95,7 +96,7 @@
     }
 
     @Override
-    public Dispatcher.Recollections recollections(DaemonConfig file, DaemonConfig.Pool pool) {
+    public Dispatcher.Recollections recollections(DaemonConfig file, PoolConfig pool) {
         return restored.recollections(file, pool);
     }
 
--- a/src/test/java/cacheproxy/config/DeployFilesGoldenTextTest.java
+++ b/src/test/java/cacheproxy/config/DeployFilesGoldenTextTest.java
@@ -39,6 +39,6 @@
         String text =
                 Files.readString(DEPLOY.resolve("coralbay.toml")) + Files.readString(DEPLOY.resolve("memory.toml"));
         DaemonConfig file = DaemonConfigReader.parse("deploy/coralbay-memory.toml", text);
-        GoldenFiles.assertSame("deploy/memory.txt", ValueText.of(file.part(SnapshotConfig.class)));
+        GoldenFiles.assertSame("deploy/memory.txt", ValueText.of(file.section(SnapshotConfig.class)));
     }
 }
--- a/src/test/java/cacheproxy/control/ControlEndpointsGoldenTextTest.java
+++ b/src/test/java/cacheproxy/control/ControlEndpointsGoldenTextTest.java
@@ -17,8 +17,9 @@
             new DiagnosticEndpoints(() -> "violations=0 stopped=0", enabled -> {}, readable::get));
 
     private String call(String method, String path) {
-        ControlEndpoints.Answer answer = calls.call(method, path);
-        return answer.code() + " " + answer.text() + (answer.allow() == null ? "" : " [" + answer.allow() + "]");
+        ControlResponse answer = calls.handle(method, path);
+        String allowed = answer.allowedMethod().map(name -> " [" + name + "]").orElse("");
+        return answer.status() + " " + answer.text() + allowed;
     }
 
     @Test
--- a/src/test/java/cacheproxy/proxy/InvariantEventsGoldenTextTest.java
+++ b/src/test/java/cacheproxy/proxy/InvariantEventsGoldenTextTest.java
@@ -27,8 +27,8 @@
             EventLoopContext core = new EventLoopContext(
                     group.next(), new PollClock(), NioSocketChannel.class, MAX_VALUE_BYTES, MAX_UPSTREAM, false);
             core.events.enable();
-            core.invariants.stop(Invariant.SINGLE_ANSWER, "r1", "two answers");
-            core.invariants.violation(Invariant.SERVER_ACCEPTS, "r2", "it drains");
+            core.invariants.recordStopped(Invariant.SINGLE_ANSWER, "r1", "two answers");
+            core.invariants.recordViolation(Invariant.SERVER_ACCEPTS, "r2", "it drains");
             core.events.close();
         } finally {
             System.setErr(standard);
