--- a/src/main/java/cacheproxy/bench/SnapshotCrashProcess.java
+++ b/src/main/java/cacheproxy/bench/SnapshotCrashProcess.java
@@ -1,7 +1,11 @@
 package cacheproxy.bench;
 
 import cacheproxy.snapshot.SnapshotStore;
+import cacheproxy.snapshot.StoredSnapshot;
+import cacheproxy.snapshot.state.LearnedLatency;
+import cacheproxy.snapshot.state.LearnedServer;
 import cacheproxy.snapshot.state.LearnedState;
+import cacheproxy.snapshot.state.PoolState;
 import cacheproxy.snapshot.state.StateSnapshot;
 import java.nio.file.Path;
 import java.util.ArrayList;
@@ -15,11 +19,11 @@
     /** Writes at the path that is given; a line on standard output once it has begun. */
     public static void main(String[] args) throws Exception {
         SnapshotStore files = SnapshotStore.at(Path.of(args[0]));
-        if (!files.lock()) {
+        if (!files.tryLock()) {
             throw new IllegalStateException("locked");
         }
-        SnapshotStore.Found found = files.read();
-        int n = found.content() == null ? 0 : found.content().me();
+        StoredSnapshot found = files.read();
+        int n = found.content() == null ? 0 : found.content().proxyNumber();
         System.out.println("writes");
         while (true) {
             files.write(state(++n));
@@ -28,9 +32,9 @@
 
     /** The n-th state: some kilobytes, more each time up to a bound. */
     static StateSnapshot state(int n) {
-        List<LearnedState.Server> servers = new ArrayList<>();
+        List<LearnedServer> servers = new ArrayList<>();
         for (int i = 0; i < 20 + n % 300; i++) {
-            servers.add(new LearnedState.Server(i, n, n % 7 + 1, n, 0));
+            servers.add(new LearnedServer(i, n, n % 7 + 1, n, 0));
         }
         return new StateSnapshot(
                 "victim",
@@ -39,14 +43,14 @@
                 0,
                 Map.of(
                         "a",
-                        new StateSnapshot.Pool(
+                        new PoolState(
                                 "",
                                 new LearnedState(
                                         servers,
-                                        new LearnedState.Pace(n, n, n, n, 1),
-                                        LearnedState.NONE.fetches(),
-                                        LearnedState.NONE.crowd(),
-                                        LearnedState.NONE.hot()),
+                                        new LearnedLatency(n, n, n, n, 1),
+                                        LearnedState.NONE.originLoad(),
+                                        LearnedState.NONE.serverLoad(),
+                                        LearnedState.NONE.hotKeys()),
                                 Map.of())),
                 List.of());
     }
--- a/src/main/java/cacheproxy/daemon/Daemon.java
+++ b/src/main/java/cacheproxy/daemon/Daemon.java
@@ -15,6 +15,7 @@
 import cacheproxy.proxy.RequestValidator;
 import cacheproxy.proxy.Transport;
 import cacheproxy.proxy.UpstreamRegistry;
+import cacheproxy.snapshot.state.PoolState;
 import cacheproxy.snapshot.state.StateSnapshot;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -290,7 +291,7 @@
     /** The state worth saving, with at most so many hot keys a pool. */
     private StateSnapshot learnedState(int maxKeys) {
         DaemonConfig file = router.configuration().file;
-        Map<String, StateSnapshot.Pool> pools = new LinkedHashMap<>();
+        Map<String, PoolState> pools = new LinkedHashMap<>();
         router.configuration().pools.forEach((name, pool) -> pools.put(name, pool.learned(maxKeys)));
         return new StateSnapshot(
                 file.site().name(),
--- a/src/main/java/cacheproxy/daemon/PoolRuntime.java
+++ b/src/main/java/cacheproxy/daemon/PoolRuntime.java
@@ -21,8 +21,9 @@
 import cacheproxy.routes.KeyHash;
 import cacheproxy.routes.Route;
 import cacheproxy.routes.RouteInput;
+import cacheproxy.snapshot.state.LearnedServer;
 import cacheproxy.snapshot.state.LearnedState;
-import cacheproxy.snapshot.state.StateSnapshot;
+import cacheproxy.snapshot.state.PoolState;
 import java.net.SocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -216,16 +217,16 @@
     }
 
     /** The state that its policy has learned, with at most so many hot keys. */
-    public StateSnapshot.Pool learned(int maxKeys) {
+    public PoolState learned(int maxKeys) {
         LearnedState state = dispatcher.knowledge(maxKeys);
         Map<Integer, String> addresses = new HashMap<>();
-        for (LearnedState.Server server : state.servers()) {
+        for (LearnedServer server : state.servers()) {
             SocketAddress address = dispatcher.dial(server.id());
             if (address != null) {
                 addresses.put(server.id(), Addresses.text(address));
             }
         }
-        return new StateSnapshot.Pool(PoolSettings.keyScheme(file, config), state, addresses);
+        return new PoolState(PoolSettings.keyScheme(file, config), state, addresses);
     }
 
     /** The configuration in force. */
--- a/src/main/java/cacheproxy/daemon/RoutedRequest.java
+++ b/src/main/java/cacheproxy/daemon/RoutedRequest.java
@@ -138,7 +138,7 @@
 
     private static LocalQuota[] take(LocalQuota[] quotas) {
         for (LocalQuota quota : quotas) {
-            quota.take();
+            quota.consume();
         }
         return quotas;
     }
@@ -146,7 +146,7 @@
     private static void release(LocalQuota[] quotas) {
         if (quotas != null) {
             for (LocalQuota quota : quotas) {
-                quota.give();
+                quota.release();
             }
         }
     }
--- a/src/main/java/cacheproxy/daemon/ServerStarts.java
+++ b/src/main/java/cacheproxy/daemon/ServerStarts.java
@@ -6,7 +6,7 @@
 import cacheproxy.limits.ServerStartTimes;
 import cacheproxy.limits.SlowStartBudget;
 import cacheproxy.limits.SlowStartConfig;
-import cacheproxy.snapshot.state.StateSnapshot;
+import cacheproxy.snapshot.state.ServerStart;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -96,12 +96,12 @@
     }
 
     /** The start times worth saving, of servers that have an address. */
-    List<StateSnapshot.Birth> snapshot(Map<Integer, String> addresses) {
-        List<StateSnapshot.Birth> starts = new ArrayList<>();
+    List<ServerStart> snapshot(Map<Integer, String> addresses) {
+        List<ServerStart> starts = new ArrayList<>();
         for (int server : times.knownServers()) {
             double startMs = times.startMs(server) == ServerStartTimes.NOT_YET_USED_MS ? 0 : times.startMs(server);
             if (addresses.containsKey(server) && (startMs > 0 || times.isDown(server))) {
-                starts.add(new StateSnapshot.Birth(server, addresses.get(server), startMs, times.isDown(server)));
+                starts.add(new ServerStart(server, addresses.get(server), startMs, times.isDown(server)));
             }
         }
         return starts;
