--- a/src/main/java/cacheproxy/daemon/fleet/FleetHealthChecks.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetHealthChecks.java
@@ -4,7 +4,9 @@
 import cacheproxy.config.FleetConfig;
 import cacheproxy.daemon.ConfigSnapshot;
 import cacheproxy.fleet.healthcheck.HealthCheckCoordinator;
+import cacheproxy.fleet.healthcheck.HealthCheckCounts;
 import cacheproxy.fleet.healthcheck.HealthCheckMessage;
+import cacheproxy.fleet.healthcheck.HealthCheckOutbox;
 import cacheproxy.fleet.healthcheck.HealthCheckTiming;
 import cacheproxy.fleet.lease.LeaseHandle;
 import cacheproxy.policy.PolicyApi.Outcome;
@@ -166,7 +168,7 @@
     @Override
     public void tell(JsonObject state) {
         if (desk != null) {
-            HealthCheckCoordinator.HealthCheckCounts c = desk.counts();
+            HealthCheckCounts c = desk.counts();
             JsonObject o = new JsonObject();
             o.addProperty("own", c.ownChecks());
             o.addProperty("for_others", c.checksForOthers());
@@ -177,7 +179,7 @@
         }
     }
 
-    private final class Out implements HealthCheckCoordinator.HealthCheckOutbox {
+    private final class Out implements HealthCheckOutbox {
         @Override
         public void send(long to, HealthCheckMessage m) {
             link.send(to, FleetHealthChecks.this, m.bytes());
--- a/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckCoordinator.java
+++ b/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckCoordinator.java
@@ -1,339 +1,278 @@
 package cacheproxy.fleet.healthcheck;
 
-import cacheproxy.fleet.healthcheck.HealthCheckMessage.Kind;
+import cacheproxy.fleet.healthcheck.PendingRequests.PendingRequest;
+import cacheproxy.fleet.healthcheck.RecentChecks.FinishedCheck;
+import cacheproxy.fleet.healthcheck.RunningChecks.RunningCheck;
+import cacheproxy.fleet.healthcheck.RunningChecks.Waiter;
 import cacheproxy.fleet.lease.FencingTokenCheck;
 import cacheproxy.fleet.lease.LeaseHandle;
 import cacheproxy.fleet.lease.NameHash;
-import java.util.ArrayList;
-import java.util.HashMap;
-import java.util.Iterator;
 import java.util.List;
-import java.util.Map;
 
 /**
- * Trials of servers that seem to be sick, made once for a whole fleet: servers are dealt into shares, each share is a
- * duty, and who holds it makes the trial that any proxy wants; the others ask it and take its word. Whoever gets no
- * word in time goes by itself, and now and then does so where word contradicts what it sees: the way to a server may be
- * at fault on one side only. So this saves trials and never keeps a server out for longer than
- * {@link HealthCheckTiming#OWN_EVERY} of them. Free of I/O and clocks.
+ * One proxy's part in the shared health checks: requests those that this proxy wants from the holder of the server's
+ * share, makes those that others want from this one, and makes its own where there is no result in time or results of
+ * others are unreliable. Times are milliseconds of a monotonic clock. Not thread-safe.
  */
 public final class HealthCheckCoordinator {
-    /** Servers that are asked about at once; for more one goes by oneself. */
-    public static final int MAX_PENDING = 1024;
-    /** Trials for others at once, and of who waits for each: who gets no word goes by itself. */
+    /** Checks that run at once for others. */
     public static final int MAX_RUNNING = 64;
-
-    public static final int MAX_WAITERS = 256;
-    /** Servers whose outcomes, or whose word, are kept in mind. */
+    /** Servers whose results, own or reported, are remembered. */
     public static final int MAX_REMEMBERED = 4096;
-    /** A trial without an end after so many times what it may take counts as failed. */
-    private static final double LATE = 2;
-    /** Asked in turn until one knows who holds the share. */
-    private static final int MOST_HOPS = 3;
-
-    /** Where messages and trials go, and who is told. */
-    public interface HealthCheckOutbox {
-        void send(long to, HealthCheckMessage m);
-
-        /** Makes a trial from here, whose outcome comes by {@link #ended}; false: the server is not known here. */
-        boolean start(int server);
-
-        /** The outcome of what was wanted. */
-        void report(int server, boolean sound);
-    }
-
-    /** Counts since the start, for operators. */
-    public record HealthCheckCounts(
-            long ownChecks, long checksForOthers, long reportedResults, long lateResults, long staleEpochResults) {}
-
-    private record Waiter(long peer, long number) {}
-
-    private static final class Want {
-        final long number;
-        final double untilMs;
-        int hops;
-
-        Want(long number, double untilMs) {
-            this.number = number;
-            this.untilMs = untilMs;
-        }
-    }
-
-    private static final class Trial {
-        final List<Waiter> waiting = new ArrayList<>();
-        /** Its end should have come by then; a server whose trial never ends would stay out. */
-        final double untilMs;
-
-        boolean wanted;
-
-        Trial(double untilMs) {
-            this.untilMs = untilMs;
-        }
-    }
-
-    private record Known(double atMs, boolean sound) {}
-
-    private static final class Word {
-        int unsound;
-        double soundAtMs = Double.NEGATIVE_INFINITY;
-    }
-
-    private final long me;
-    private final HealthCheckOutbox out;
-    private final FencingTokenCheck guard = new FencingTokenCheck();
-    private final Map<Integer, Want> wants = new HashMap<>();
-    private final Map<Integer, Trial> trials = new HashMap<>();
-    private final Map<Integer, Known> known = new HashMap<>();
-    private final Map<Integer, Word> words = new HashMap<>();
-    private HealthCheckTiming rules;
+    /** Fibonacci hashing: 2 to the 32nd over the golden ratio, so that neighbouring ids are in different shares. */
+    private static final int SHARE_MULTIPLIER = 0x9E3779B9;
+
+    private static final int SHARE_SHIFT = 8;
+    private static final long NOT_HELD = -1;
+
+    private final long ownId;
+    private final HealthCheckOutbox outbox;
+    private final FencingTokenCheck fencing = new FencingTokenCheck();
+    private final PendingRequests pending = new PendingRequests();
+    private final RunningChecks running = new RunningChecks();
+    private final RecentChecks recent = new RecentChecks(MAX_REMEMBERED);
+    private final ReportedResults reported = new ReportedResults(MAX_REMEMBERED);
+    private HealthCheckTiming timing;
     private List<LeaseHandle> shares;
-    private long numbers;
-    private long own;
-    private long forOthers;
-    private long byWord;
-    private long tooLate;
-    private long olderEpochs;
+    private long lastRequestNumber;
+    private long ownChecks;
+    private long checksForOthers;
+    private long reportedResults;
+    private long lateResults;
+    private long staleEpochResults;
 
     /**
-     * @param numbers where the numbers of its questions begin: another process of this name began elsewhere
-     * @param shares the duties, the same number at all proxies
+     * A coordinator without checks.
+     *
+     * @param ownId this proxy's id
+     * @param firstRequestNumber where request numbers begin; random, so that a restarted process does not repeat them
+     * @param shares the leases of the shares, the same number at all proxies
      */
     public HealthCheckCoordinator(
-            long me, long numbers, HealthCheckTiming rules, List<LeaseHandle> shares, HealthCheckOutbox out) {
-        this.me = me;
-        this.numbers = numbers;
-        this.out = out;
-        update(rules, shares);
+            long ownId,
+            long firstRequestNumber,
+            HealthCheckTiming timing,
+            List<LeaseHandle> shares,
+            HealthCheckOutbox outbox) {
+        this.ownId = ownId;
+        this.lastRequestNumber = firstRequestNumber;
+        this.outbox = outbox;
+        update(timing, shares);
     }
 
-    /** Other figures from now on. */
-    public void update(HealthCheckTiming other, List<LeaseHandle> duties) {
-        rules = other;
-        shares = List.copyOf(duties);
+    /** Replaces the times and the shares. */
+    public void update(HealthCheckTiming newTiming, List<LeaseHandle> newShares) {
+        timing = newTiming;
+        shares = List.copyOf(newShares);
     }
 
-    /** In which share a server is: by its number, so that all agree and neighbours are apart. */
+    /** The share of a server, 0 to {@code shares - 1}, the same at all proxies. */
     public static int shareOf(int server, int shares) {
-        return Math.floorMod((server * 0x9E3779B9) >>> 8, shares);
+        return Math.floorMod((server * SHARE_MULTIPLIER) >>> SHARE_SHIFT, shares);
     }
 
-    private LeaseHandle tenure(int server) {
+    private LeaseHandle leaseOf(int server) {
         return shares.get(shareOf(server, shares.size()));
     }
 
-    // ---- what is wanted here
+    // ---- checks that this proxy wants
 
     /**
-     * The module wants a trial; {@link Out#told} comes once, at the latest when one's own trial after the patience has
-     * ended.
+     * This proxy wants a check of a server. {@link HealthCheckOutbox#report} follows once, at the latest when a check
+     * of this proxy, begun after the result timeout, has ended.
      */
-    public void request(double now, int server) {
-        if (wants.containsKey(server)) {
+    public void request(double nowMs, int server) {
+        if (pending.contains(server)) {
             return;
         }
-        LeaseHandle t = tenure(server);
-        long to = whom(now, t);
-        if (wants.size() >= MAX_PENDING || mistrusts(now, server) || to == me || to == NameHash.NOBODY) {
-            alone(now, server);
+        LeaseHandle lease = leaseOf(server);
+        long receiver = receiverOfRequest(nowMs, lease);
+        boolean isOwn = receiver == ownId || receiver == NameHash.NOBODY;
+        if (isOwn || pending.isFull() || reported.isUnreliableFor(server, nowMs)) {
+            checkByItself(nowMs, server);
             return;
         }
-        Want w = new Want(++numbers, now + rules.resultTimeoutMs());
-        wants.put(server, w);
-        out.send(to, new HealthCheckMessage(Kind.REQUEST, t.id(), server, w.number, 0, 0, false, 0));
+        long requestNumber = ++lastRequestNumber;
+        pending.add(server, requestNumber, nowMs + timing.resultTimeoutMs());
+        outbox.send(receiver, HealthCheckMessage.request(lease.id(), server, requestNumber));
     }
 
-    private long whom(double now, LeaseHandle t) {
-        if (t.permit(now, rules.timeoutMs()) >= 0) {
-            return me;
+    /** The lease holder; where it is not known the first other candidate. */
+    private long receiverOfRequest(double nowMs, LeaseHandle lease) {
+        if (holdsForCheck(nowMs, lease)) {
+            return ownId;
+        }
+        long holder = lease.holder(nowMs);
+        if (holder != NameHash.NOBODY && holder != ownId) {
+            return holder;
         }
-        long holder = t.holder(now);
-        return holder != NameHash.NOBODY && holder != me
-                ? holder
-                : t.order().stream().filter(p -> p != me).findFirst().orElse(NameHash.NOBODY);
+        return lease.order().stream()
+                .filter(candidate -> candidate != ownId)
+                .findFirst()
+                .orElse(NameHash.NOBODY);
     }
 
-    /** Whether others' word on a server is at odds with what is seen here, or has stood alone for long. */
-    private boolean mistrusts(double now, int server) {
-        Word w = words.get(server);
-        return w != null
-                && (w.unsound >= HealthCheckTiming.OWN_CHECK_EVERY - 1
-                        || now - w.soundAtMs < HealthCheckTiming.CONTRADICTION_WINDOW_MS);
+    /** Whether this proxy holds the lease for as long as a check takes. */
+    private boolean holdsForCheck(double nowMs, LeaseHandle lease) {
+        return lease.permit(nowMs, timing.timeoutMs()) > NOT_HELD;
     }
 
-    private void alone(double now, int server) {
-        wants.remove(server);
-        own++;
-        Trial t = trials.get(server);
-        if (t == null) {
-            t = new Trial(now + LATE * rules.timeoutMs());
-            trials.put(server, t);
-            t.wanted = true;
-            if (!out.start(server)) {
-                trials.remove(server);
-                settled(server, false);
-            }
-        } else {
-            t.wanted = true;
+    private void checkByItself(double nowMs, int server) {
+        pending.remove(server);
+        ownChecks++;
+        RunningCheck check = running.get(server);
+        if (check != null) {
+            check.requestHere();
+            return;
+        }
+        running.begin(server, nowMs, timing.timeoutMs()).requestHere();
+        if (!outbox.start(server)) {
+            running.remove(server);
+            reportOwn(server, false);
         }
     }
 
-    private void settled(int server, boolean sound) {
-        words.remove(server);
-        out.report(server, sound);
+    private void reportOwn(int server, boolean healthy) {
+        reported.clear(server);
+        outbox.report(server, healthy);
     }
 
     // ---- messages
 
-    public void receive(double now, long from, HealthCheckMessage m) {
-        switch (m.kind()) {
-            case REQUEST -> asked(now, from, m);
-            case RESULT -> answered(now, m);
-            default -> elsewhere(now, from, m);
+    /** Takes a message of another proxy. */
+    public void receive(double nowMs, long from, HealthCheckMessage message) {
+        switch (message.kind()) {
+            case REQUEST -> receiveRequest(nowMs, from, message);
+            case RESULT -> receiveResult(nowMs, message);
+            default -> receiveRedirect(nowMs, from, message);
         }
     }
 
-    private void asked(double now, long from, HealthCheckMessage m) {
-        LeaseHandle t = tenure(m.server());
-        if (t.id() != m.leaseId()) {
-            return; // it deals them out otherwise, and will go by itself
+    private void receiveRequest(double nowMs, long from, HealthCheckMessage request) {
+        LeaseHandle lease = leaseOf(request.server());
+        if (lease.id() != request.leaseId()) {
+            return; // the sender has another number of shares; it will check by itself
         }
-        if (t.permit(now, rules.timeoutMs()) < 0) {
-            refer(from, m, t.holder(now) == me ? NameHash.NOBODY : t.holder(now));
+        if (!holdsForCheck(nowMs, lease)) {
+            long holder = lease.holder(nowMs);
+            redirect(from, request, holder == ownId ? NameHash.NOBODY : holder);
             return;
         }
-        Known k = known.get(m.server());
-        if (k != null && now - k.atMs <= rules.reuseMs()) {
-            answer(now, from, m.server(), m.requestNumber(), k);
+        FinishedCheck last = recent.find(request.server(), nowMs, timing.reuseMs());
+        if (last != null) {
+            sendResult(nowMs, new Waiter(from, request.requestNumber()), request.server(), last);
             return;
         }
-        Trial trial = trials.get(m.server());
-        if (trial == null) {
-            trial = new Trial(now + LATE * rules.timeoutMs());
-            trials.put(m.server(), trial);
-            if (trials.size() > MAX_RUNNING || !out.start(m.server())) {
-                trials.remove(m.server());
-                refer(from, m, NameHash.NOBODY);
-                return;
-            }
-            forOthers++;
+        RunningCheck check = running.get(request.server());
+        if (check == null) {
+            check = startForOthers(nowMs, request.server());
         }
-        if (trial.waiting.size() < MAX_WAITERS) {
-            trial.waiting.add(new Waiter(from, m.requestNumber()));
+        if (check == null) {
+            redirect(from, request, NameHash.NOBODY);
+        } else {
+            check.addWaiter(new Waiter(from, request.requestNumber()));
         }
     }
 
-    private void refer(long to, HealthCheckMessage m, long holder) {
-        out.send(
-                to,
-                new HealthCheckMessage(Kind.REDIRECT, m.leaseId(), m.server(), m.requestNumber(), 0, holder, false, 0));
+    /** Null if no further check may run, or the server is not known here. */
+    private RunningCheck startForOthers(double nowMs, int server) {
+        RunningCheck check = running.begin(server, nowMs, timing.timeoutMs());
+        if (running.size() > MAX_RUNNING || !outbox.start(server)) {
+            running.remove(server);
+            return null;
+        }
+        checksForOthers++;
+        return check;
     }
 
-    /** The epoch is asked for right before word goes out: who lost the duty during the trial says nothing. */
-    private void answer(double now, long to, int server, long number, Known k) {
-        LeaseHandle t = tenure(server);
-        long epoch = t.permit(now, 0);
-        if (epoch >= 0) {
-            out.send(to, new HealthCheckMessage(Kind.RESULT, t.id(), server, number, epoch, 0, k.sound, (int)
-                    Math.max(0, Math.round(now - k.atMs))));
+    private void redirect(long to, HealthCheckMessage request, long leaseHolder) {
+        outbox.send(to, HealthCheckMessage.redirect(request, leaseHolder));
+    }
+
+    /** The epoch is read right before sending: a proxy that lost the lease during the check sends no result. */
+    private void sendResult(double nowMs, Waiter waiter, int server, FinishedCheck check) {
+        LeaseHandle lease = leaseOf(server);
+        long epoch = lease.permit(nowMs, 0);
+        if (epoch > NOT_HELD) {
+            int ageMs = (int) Math.max(0, Math.round(nowMs - check.finishedMs()));
+            outbox.send(
+                    waiter.proxy(),
+                    new HealthCheckMessage(
+                            HealthCheckMessageKind.RESULT,
+                            lease.id(),
+                            server,
+                            waiter.requestNumber(),
+                            epoch,
+                            0,
+                            check.healthy(),
+                            ageMs));
         }
     }
 
-    private void answered(double now, HealthCheckMessage m) {
-        Want w = wants.get(m.server());
-        if (w == null
-                || w.number != m.requestNumber()
-                || now > w.untilMs
-                || m.ageMs() > rules.reuseMs() + rules.timeoutMs()) {
-            tooLate++;
+    private void receiveResult(double nowMs, HealthCheckMessage result) {
+        PendingRequest request = pending.answeredBy(result);
+        if (request == null || nowMs > request.expiresAtMs() || result.ageMs() > timing.maxResultAgeMs()) {
+            lateResults++;
             return;
         }
-        if (!guard.accepts(m.leaseId(), m.epoch())) {
-            olderEpochs++;
+        if (!fencing.accepts(result.leaseId(), result.epoch())) {
+            staleEpochResults++;
             return;
         }
-        wants.remove(m.server());
-        byWord++;
-        if (words.size() >= MAX_REMEMBERED) {
-            words.clear(); // as if all were new: trust, with the same bounds
-        }
-        Word word = words.computeIfAbsent(m.server(), k -> new Word());
-        word.unsound = m.healthy() ? 0 : word.unsound + 1;
-        word.soundAtMs = m.healthy() ? now : Double.NEGATIVE_INFINITY;
-        out.report(m.server(), m.healthy());
+        pending.remove(result.server());
+        reportedResults++;
+        reported.add(result.server(), result.healthy(), nowMs);
+        outbox.report(result.server(), result.healthy());
     }
 
-    private void elsewhere(double now, long from, HealthCheckMessage m) {
-        Want w = wants.get(m.server());
-        if (w == null || w.number != m.requestNumber()) {
+    private void receiveRedirect(double nowMs, long from, HealthCheckMessage redirect) {
+        PendingRequest request = pending.answeredBy(redirect);
+        if (request == null) {
             return;
         }
-        if (m.leaseHolder() == NameHash.NOBODY
-                || m.leaseHolder() == me
-                || m.leaseHolder() == from
-                || ++w.hops >= MOST_HOPS) {
-            alone(now, m.server());
+        long holder = redirect.leaseHolder();
+        boolean leadsNowhere = holder == NameHash.NOBODY || holder == ownId || holder == from;
+        if (leadsNowhere || !request.mayFollowRedirect()) {
+            checkByItself(nowMs, redirect.server());
         } else {
-            out.send(
-                    m.leaseHolder(),
-                    new HealthCheckMessage(Kind.REQUEST, m.leaseId(), m.server(), w.number, 0, 0, false, 0));
+            outbox.send(
+                    holder,
+                    HealthCheckMessage.request(redirect.leaseId(), redirect.server(), redirect.requestNumber()));
         }
     }
 
-    // ---- trials from here
+    // ---- checks that this proxy makes
 
-    /** What a trial from here has shown. */
-    public void finished(double now, int server, boolean sound) {
-        Trial t = trials.remove(server);
-        if (t == null) {
+    /** A check of this proxy has ended; one that is not running is ignored. */
+    public void finished(double nowMs, int server, boolean healthy) {
+        RunningCheck check = running.remove(server);
+        if (check == null) {
             return;
         }
-        if (known.size() >= MAX_REMEMBERED) {
-            forget(now);
-        }
-        Known k = new Known(now, sound);
-        if (known.size() < MAX_REMEMBERED) {
-            known.put(server, k);
-        }
-        t.waiting.forEach(w -> answer(now, w.peer, server, w.number, k));
-        if (t.wanted) {
-            settled(server, sound);
+        FinishedCheck result = new FinishedCheck(nowMs, healthy);
+        recent.add(server, result, timing.reuseMs());
+        check.waiters().forEach(waiter -> sendResult(nowMs, waiter, server, result));
+        if (check.isRequestedHere()) {
+            reportOwn(server, healthy);
         }
     }
 
-    /** A trial from here can't be made after all: nothing is said of it, and who waits goes by itself. */
+    /** A check of this proxy cannot be made after all: there is no result, and those that wait for it time out. */
     public void abandon(int server) {
-        trials.remove(server);
+        running.remove(server);
     }
 
-    private void forget(double now) {
-        known.values().removeIf(k -> now - k.atMs > rules.reuseMs());
-    }
-
-    /** Goes by itself where no word came in time; when to call again, at the latest. */
-    public double tick(double now) {
-        double next = Double.POSITIVE_INFINITY;
-        List<Integer> overdue = new ArrayList<>();
-        for (Iterator<Map.Entry<Integer, Want>> it = wants.entrySet().iterator(); it.hasNext(); ) {
-            Map.Entry<Integer, Want> e = it.next();
-            if (now >= e.getValue().untilMs) {
-                overdue.add(e.getKey());
-            } else {
-                next = Math.min(next, e.getValue().untilMs);
-            }
-        }
-        overdue.forEach(server -> alone(now, server));
-        List<Integer> endless = new ArrayList<>();
-        for (Map.Entry<Integer, Trial> e : trials.entrySet()) {
-            next = Math.min(next, Math.max(now, e.getValue().untilMs));
-            if (now >= e.getValue().untilMs) {
-                endless.add(e.getKey());
-            }
-        }
-        endless.forEach(server -> finished(now, server, false));
-        return next;
+    /** Makes the checks whose results did not come in time; returns when to call it again, at the latest. */
+    public double tick(double nowMs) {
+        List<Integer> expired = pending.expired(nowMs);
+        expired.forEach(server -> checkByItself(nowMs, server));
+        double nextMs = Math.min(pending.nextExpiryMs(), running.nextOverdueMs(nowMs));
+        running.overdue(nowMs).forEach(server -> finished(nowMs, server, false));
+        return nextMs;
     }
 
+    /** Counts since the start. */
     public HealthCheckCounts counts() {
-        return new HealthCheckCounts(own, forOthers, byWord, tooLate, olderEpochs);
+        return new HealthCheckCounts(ownChecks, checksForOthers, reportedResults, lateResults, staleEpochResults);
     }
 }
--- a/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckMessage.java
+++ b/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckMessage.java
@@ -3,18 +3,20 @@
 import java.nio.ByteBuffer;
 
 /**
- * What proxies tell one another of trials: {@value #LENGTH} bytes, all of one form.
+ * A message on the health check of a server: {@value #MESSAGE_BYTES} bytes, in the order of the components and in
+ * network byte order, the same layout for all kinds. Fields that a kind does not use are 0.
  *
- * @param duty of the share that the server is in
- * @param server its id
- * @param number of the question that this asks or answers
- * @param epoch in ANSWER: under which the trial was made
- * @param holder in ELSEWHERE: who is to be asked instead, 0 if that is not known
- * @param sound in ANSWER: whether the server answered
- * @param ageMs in ANSWER: how long ago
+ * @param kind what it asks or answers
+ * @param leaseId the lease of the server's share
+ * @param server the server's id
+ * @param requestNumber of the request that this is or answers
+ * @param epoch in a result: the epoch of the lease, not negative
+ * @param leaseHolder in a redirect: the proxy to ask instead; 0 if it is not known
+ * @param healthy in a result: whether the server answered
+ * @param ageMs in a result: time since the check, not negative
  */
 public record HealthCheckMessage(
-        Kind kind,
+        HealthCheckMessageKind kind,
         long leaseId,
         int server,
         long requestNumber,
@@ -22,21 +24,31 @@
         long leaseHolder,
         boolean healthy,
         int ageMs) {
+    /** Bytes of each message. */
     public static final int MESSAGE_BYTES = 42;
 
-    /** What it is. */
-    public enum Kind {
-        /** Is this server sound? */
-        REQUEST,
-        /** What a trial has shown. */
-        RESULT,
-        /** The trial is not this proxy's to make. */
-        REDIRECT
+    /** Asks for a check of a server. */
+    static HealthCheckMessage request(long leaseId, int server, long requestNumber) {
+        return new HealthCheckMessage(HealthCheckMessageKind.REQUEST, leaseId, server, requestNumber, 0, 0, false, 0);
     }
 
+    /** Points a request to the lease holder, or with holder 0 back to its sender's own check. */
+    static HealthCheckMessage redirect(HealthCheckMessage request, long leaseHolder) {
+        return new HealthCheckMessage(
+                HealthCheckMessageKind.REDIRECT,
+                request.leaseId,
+                request.server,
+                request.requestNumber,
+                0,
+                leaseHolder,
+                false,
+                0);
+    }
+
+    /** The message's bytes. */
     public byte[] bytes() {
         return ByteBuffer.allocate(MESSAGE_BYTES)
-                .put((byte) kind.ordinal())
+                .put(kind.wireCode())
                 .putLong(leaseId)
                 .putInt(server)
                 .putLong(requestNumber)
@@ -47,21 +59,25 @@
                 .array();
     }
 
-    /** Null if these bytes are none. */
+    /** The message that these bytes are; null if they are malformed. */
     public static HealthCheckMessage of(byte[] bytes) {
-        if (bytes.length != MESSAGE_BYTES || bytes[0] < 0 || bytes[0] >= Kind.values().length) {
+        if (bytes.length != MESSAGE_BYTES) {
+            return null;
+        }
+        ByteBuffer buffer = ByteBuffer.wrap(bytes);
+        HealthCheckMessageKind kind = HealthCheckMessageKind.ofWireCode(buffer.get());
+        if (kind == null) {
             return null;
         }
-        ByteBuffer b = ByteBuffer.wrap(bytes);
-        HealthCheckMessage m = new HealthCheckMessage(
-                Kind.values()[b.get()],
-                b.getLong(),
-                b.getInt(),
-                b.getLong(),
-                b.getLong(),
-                b.getLong(),
-                b.get() == 1,
-                b.getInt());
-        return m.epoch < 0 || m.ageMs < 0 ? null : m;
+        HealthCheckMessage message = new HealthCheckMessage(
+                kind,
+                buffer.getLong(),
+                buffer.getInt(),
+                buffer.getLong(),
+                buffer.getLong(),
+                buffer.getLong(),
+                buffer.get() == 1,
+                buffer.getInt());
+        return message.epoch < 0 || message.ageMs < 0 ? null : message;
     }
 }
--- /dev/null
+++ b/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckOutbox.java
@@ -0,0 +1,17 @@
+package cacheproxy.fleet.healthcheck;
+
+/** What a {@link HealthCheckCoordinator} has done for it: messages, checks and reports. */
+public interface HealthCheckOutbox {
+    /** Sends a message to another proxy; it may be lost. */
+    void send(long to, HealthCheckMessage message);
+
+    /**
+     * Starts a check of a server from this proxy, whose result goes to {@link HealthCheckCoordinator#finished}.
+     *
+     * @return false if the server is not known here
+     */
+    boolean start(int server);
+
+    /** The result of a check that was requested here. */
+    void report(int server, boolean healthy);
+}
--- a/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckTiming.java
+++ b/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckTiming.java
@@ -1,28 +1,31 @@
 package cacheproxy.fleet.healthcheck;
 
 /**
- * Times of trials, milliseconds. Word that is taken is at most {@link #oldestMs} old, by the asker's own clock from
- * before it asked.
+ * Times of shared health checks, in milliseconds.
  *
- * @param probeMs what a trial may take
- * @param patienceMs how long word is waited for; then one goes by oneself
- * @param reuseMs for so long a trial's outcome is told to others without another
+ * @param timeoutMs the longest that a check takes
+ * @param resultTimeoutMs wait for another proxy's result before a proxy checks by itself; longer than a check
+ * @param reuseMs age up to which a result is sent to others without another check
  */
 public record HealthCheckTiming(double timeoutMs, double resultTimeoutMs, double reuseMs) {
-    /** Trials in a row that others' word may call unsound before one's own way is tried: theirs may be the fault. */
+    /**
+     * Every so many checks in a row that others report as failed a proxy checks by itself: their path may be at fault.
+     */
     public static final int OWN_CHECK_EVERY = 4;
-    /** Wanted again so soon after word that it is sound, the word says nothing of one's own way to it. */
+    /** A check that is wanted again so soon after a healthy result contradicts it, in ms. */
     public static final double CONTRADICTION_WINDOW_MS = 60_000;
 
+    /** Checks the ranges; throws IllegalArgumentException naming the values. */
     public HealthCheckTiming {
         if (!(timeoutMs > 0) || !(resultTimeoutMs > timeoutMs) || !(reuseMs >= 0)) {
-            throw new IllegalArgumentException(
-                    "trial " + timeoutMs + ", patience " + resultTimeoutMs + ", reuse " + reuseMs);
+            throw new IllegalArgumentException("check timeout of " + timeoutMs + " ms, result timeout of "
+                    + resultTimeoutMs + " ms, reuse for " + reuseMs
+                    + " ms; expected a positive check timeout, a longer result timeout and no negative reuse");
         }
     }
 
-    /** The oldest that word can be when it is taken. */
-    public double maxResultAgeMs() {
-        return resultTimeoutMs + reuseMs;
+    /** The oldest that a result may be when it arrives. */
+    double maxResultAgeMs() {
+        return reuseMs + timeoutMs;
     }
 }
--- a/src/test/java/cacheproxy/daemon/fleet/FleetSubsystemTest.java
+++ b/src/test/java/cacheproxy/daemon/fleet/FleetSubsystemTest.java
@@ -16,6 +16,7 @@
 import cacheproxy.fakes.LoadClient;
 import cacheproxy.fakes.ScriptedServer;
 import cacheproxy.fleet.healthcheck.HealthCheckMessage;
+import cacheproxy.fleet.healthcheck.HealthCheckMessageKind;
 import cacheproxy.fleet.lease.LeaseMessage;
 import cacheproxy.fleet.lease.NameHash;
 import cacheproxy.fleet.peer.DatagramEnvelope;
@@ -442,7 +443,7 @@
                                 NameHash.of("p1"),
                                 FleetHealthChecks.TOPIC,
                                 new HealthCheckMessage(
-                                                HealthCheckMessage.Kind.RESULT,
+                                                HealthCheckMessageKind.RESULT,
                                                 asked.leaseId(),
                                                 asked.server(),
                                                 asked.requestNumber(),
--- a/src/test/java/cacheproxy/fleet/healthcheck/HealthCheckCoordinatorTest.java
+++ b/src/test/java/cacheproxy/fleet/healthcheck/HealthCheckCoordinatorTest.java
@@ -1,9 +1,10 @@
 package cacheproxy.fleet.healthcheck;
 
+import static cacheproxy.fleet.healthcheck.HealthCheckMessageKind.REQUEST;
+import static cacheproxy.fleet.healthcheck.HealthCheckMessageKind.RESULT;
 import static org.assertj.core.api.Assertions.assertThat;
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
-import cacheproxy.fleet.healthcheck.HealthCheckMessage.Kind;
 import cacheproxy.fleet.lease.LeaseHandle;
 import cacheproxy.fleet.lease.NameHash;
 import java.util.ArrayList;
@@ -16,7 +17,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Trials made once for all, on virtual time, with real desks and messages between them. */
+/** Shared health checks on virtual time, by real coordinators with messages between them. */
 class HealthCheckCoordinatorTest {
     private static final HealthCheckTiming TIMING = new HealthCheckTiming(250, 600, 1000);
     private static final int SHARES = 3;
@@ -25,7 +26,7 @@
 
     private record Report(double atMs, int coordinator, int server, boolean healthy) {}
 
-    /** Desks, who holds each share, which servers are sick for whom, and what is lost. */
+    /** Coordinators, the holder of each share, the servers that fail for each of them, and the loss of messages. */
     private static final class SimulatedFleet {
         final List<HealthCheckCoordinator> coordinators = new ArrayList<>();
         final PriorityQueue<Datagram> inFlight = new PriorityQueue<>((first, second) -> first.atMs != second.atMs
@@ -35,24 +36,20 @@
                 new PriorityQueue<>((first, second) -> Double.compare(first[0], second[0]));
         final int[] holder = new int[SHARES];
         final long[] epoch = new long[SHARES];
-        /** What each believes of who holds. */
+        /** The holder of all shares that a coordinator believes in, where that is not the real one. */
         final Map<Integer, Integer> believedHolder = new HashMap<>();
 
         final Set<Integer> unhealthy = new HashSet<>();
         final Set<String> partitioned = new HashSet<>();
         final List<Report> reports = new ArrayList<>();
         final SplittableRandom random;
-        final int count;
         double lossProbability;
         double maxDelayMs = 5;
         double nowMs;
         long nextNumber;
         int checks;
-        int overlappingChecks;
-        final Map<Integer, Integer> running = new HashMap<>();
 
         SimulatedFleet(int count, long seed) {
-            this.count = count;
             random = new SplittableRandom(seed);
             for (int i = 0; i < SHARES; i++) {
                 epoch[i] = 1;
@@ -64,56 +61,60 @@
                     shares.add(handle(index, share));
                 }
                 coordinators.add(new HealthCheckCoordinator(
-                        index + 1, index * 1000L, TIMING, shares, new HealthCheckCoordinator.HealthCheckOutbox() {
-                            @Override
-                            public void send(long to, HealthCheckMessage m) {
-                                if (random.nextDouble() >= lossProbability) {
-                                    for (int copies = random.nextInt(10) == 0 ? 2 : 1; copies > 0; copies--) {
-                                        inFlight.add(new Datagram(
-                                                nowMs + 0.1 + random.nextDouble() * maxDelayMs,
-                                                nextNumber++,
-                                                index,
-                                                (int) to - 1,
-                                                HealthCheckMessage.of(m.bytes())));
-                                    }
-                                }
-                            }
-
-                            @Override
-                            public boolean start(int server) {
-                                checks++;
-                                running.merge(server, 1, Integer::sum);
-                                overlappingChecks += running.get(server) > 1 ? 1 : 0;
-                                boolean failing =
-                                        unhealthy.contains(server) || partitioned.contains(index + "/" + server);
-                                completions.add(
-                                        new double[] {nowMs + (failing ? 250 : 2), index, server, failing ? 0 : 1});
-                                return true;
-                            }
-
-                            @Override
-                            public void report(int server, boolean healthy) {
-                                reports.add(new Report(nowMs, index, server, healthy));
-                            }
-                        }));
+                        index + 1, index * 1000L, TIMING, shares, new SimulatedOutbox(index)));
+            }
+        }
+
+        private final class SimulatedOutbox implements HealthCheckOutbox {
+            private final int index;
+
+            SimulatedOutbox(int index) {
+                this.index = index;
+            }
+
+            @Override
+            public void send(long to, HealthCheckMessage message) {
+                if (random.nextDouble() >= lossProbability) {
+                    for (int copies = random.nextInt(10) == 0 ? 2 : 1; copies > 0; copies--) {
+                        inFlight.add(new Datagram(
+                                nowMs + 0.1 + random.nextDouble() * maxDelayMs,
+                                nextNumber++,
+                                index,
+                                (int) to - 1,
+                                HealthCheckMessage.of(message.bytes())));
+                    }
+                }
+            }
+
+            @Override
+            public boolean start(int server) {
+                checks++;
+                boolean failing = unhealthy.contains(server) || partitioned.contains(index + "/" + server);
+                completions.add(new double[] {nowMs + (failing ? 250 : 2), index, server, failing ? 0 : 1});
+                return true;
+            }
+
+            @Override
+            public void report(int server, boolean healthy) {
+                reports.add(new Report(nowMs, index, server, healthy));
             }
         }
 
         LeaseHandle handle(int index, int share) {
             return new LeaseHandle() {
                 @Override
-                public long permit(double at, double actMs) {
+                public long permit(double atMs, double actMs) {
                     return holder[share] == index ? epoch[share] : -1;
                 }
 
                 @Override
-                public double leftMs(double at) {
+                public double leftMs(double atMs) {
                     return holder[share] == index ? 1000 : 0;
                 }
 
                 @Override
-                public long holder(double at) {
-                    return believedHolder.getOrDefault(index, holder[share]) + 1;
+                public long holder(double atMs) {
+                    return believedHolder.getOrDefault(index, holder[share]) + 1L;
                 }
 
                 @Override
@@ -130,21 +131,20 @@
 
         void runUntil(double ms) {
             while (true) {
-                double next = ms;
+                double nextMs = ms;
                 for (HealthCheckCoordinator coordinator : coordinators) {
-                    next = Math.min(next, coordinator.tick(nowMs));
+                    nextMs = Math.min(nextMs, coordinator.tick(nowMs));
                 }
                 double nextDatagramMs = inFlight.isEmpty() ? Double.POSITIVE_INFINITY : inFlight.peek().atMs;
                 double nextCompletionMs = completions.isEmpty()
                         ? Double.POSITIVE_INFINITY
                         : completions.peek()[0];
-                nowMs = Math.max(nowMs, Math.min(next, Math.min(nextDatagramMs, nextCompletionMs)));
+                nowMs = Math.max(nowMs, Math.min(nextMs, Math.min(nextDatagramMs, nextCompletionMs)));
                 if (nextDatagramMs <= nowMs && nextDatagramMs <= nextCompletionMs) {
                     Datagram datagram = inFlight.poll();
                     coordinators.get(datagram.to).receive(nowMs, datagram.from + 1, datagram.message);
                 } else if (nextCompletionMs <= nowMs) {
                     double[] completion = completions.poll();
-                    running.merge((int) completion[2], -1, Integer::sum);
                     coordinators.get((int) completion[1]).finished(nowMs, (int) completion[2], completion[3] == 1);
                 } else if (nowMs >= ms) {
                     return;
@@ -189,7 +189,7 @@
         simulation.runUntil(1000);
         assertThat(simulation.reports).singleElement().matches(report -> report.healthy && report.coordinator == 1);
         assertThat(simulation.coordinators.get(4).counts().checksForOthers()).isEqualTo(1);
-        // Nobody knows: it goes by itself at once, not after its patience.
+        // Nobody knows the holder: it checks by itself at once, not after the result timeout.
         simulation.believedHolder.put(2, -1);
         simulation.believedHolder.put(1, 2);
         simulation.reports.clear();
@@ -210,7 +210,7 @@
         assertThat(simulation.checks).isEqualTo(4);
     }
 
-    /** Trials: a holder that is cut off from a sound server keeps nobody else out for longer than three words. */
+    /** A holder that is cut off from a healthy server keeps nobody else from it for longer than three results. */
     @Test
     void checksItselfWhenReportedResultsContradictItsOwnView() {
         SimulatedFleet simulation = new SimulatedFleet(3, 4);
@@ -225,7 +225,7 @@
             reportedHealth.add(simulation.reports.get(0).healthy);
         }
         assertThat(reportedHealth).containsExactly(false, false, false, true);
-        // And the reverse: it is called sound, and is wanted again at once, since it is not from here.
+        // The reverse: it is reported healthy, and wanted again at once, since it fails from here.
         simulation.partitioned.clear();
         simulation.partitioned.add("0/7");
         reportedHealth.clear();
@@ -255,50 +255,22 @@
         simulation.coordinators.get(0).request(simulation.nowMs, otherServer);
         Datagram request = simulation.inFlight.peek();
         long leaseId = request.message.leaseId();
-        simulation
-                .coordinators
-                .get(0)
-                .receive(
-                        simulation.nowMs,
-                        2,
-                        new HealthCheckMessage(
-                                Kind.RESULT, leaseId, otherServer, request.message.requestNumber(), 8, 0, false, 0));
-        simulation
-                .coordinators
-                .get(0)
-                .receive(
-                        simulation.nowMs,
-                        2,
-                        new HealthCheckMessage(
-                                Kind.RESULT,
-                                leaseId,
-                                otherServer,
-                                request.message.requestNumber() + 1,
-                                9,
-                                0,
-                                false,
-                                0));
-        simulation
-                .coordinators
-                .get(0)
-                .receive(
-                        simulation.nowMs,
-                        2,
-                        new HealthCheckMessage(
-                                Kind.RESULT,
-                                leaseId,
-                                otherServer,
-                                request.message.requestNumber(),
-                                9,
-                                0,
-                                false,
-                                60_000));
+        long requestNumber = request.message.requestNumber();
+        receiveResult(simulation, new HealthCheckMessage(RESULT, leaseId, otherServer, requestNumber, 8, 0, false, 0));
+        receiveResult(
+                simulation, new HealthCheckMessage(RESULT, leaseId, otherServer, requestNumber + 1, 9, 0, false, 0));
+        receiveResult(
+                simulation, new HealthCheckMessage(RESULT, leaseId, otherServer, requestNumber, 9, 0, false, 60_000));
         assertThat(simulation.reports).isEmpty();
         assertThat(simulation.coordinators.get(0).counts().staleEpochResults()).isEqualTo(1);
         assertThat(simulation.coordinators.get(0).counts().lateResults()).isEqualTo(2);
     }
 
-    /** Its pool has gone in the midst of it: the server is not left waiting for an end that does not come. */
+    private static void receiveResult(SimulatedFleet simulation, HealthCheckMessage result) {
+        simulation.coordinators.get(0).receive(simulation.nowMs, 2, result);
+    }
+
+    /** The pool that made the check is gone: the server must not wait for a result that never comes. */
     @Test
     void checkThatNeverFinishesCountsAsFailed() {
         SimulatedFleet simulation = new SimulatedFleet(1, 11);
@@ -309,13 +281,13 @@
         simulation.runUntil(3 * TIMING.timeoutMs());
         assertThat(simulation.reports).singleElement().matches(report -> !report.healthy);
         simulation.coordinators.get(0).finished(simulation.nowMs, 7, true);
-        assertThat(simulation.reports).as("an end after that").hasSize(1);
+        assertThat(simulation.reports).as("a result after that").hasSize(1);
         simulation.coordinators.get(0).request(simulation.nowMs, 7);
         simulation.runUntil(simulation.nowMs + 100);
         assertThat(simulation.reports).hasSize(2).last().matches(report -> report.healthy);
     }
 
-    /** Whoever lost the duty during the trial says nothing of it. */
+    /** A proxy that lost the lease during the check sends no result. */
     @Test
     void doesNotReportCheckThatOutlastedTheLease() {
         SimulatedFleet simulation = new SimulatedFleet(3, 6);
@@ -346,70 +318,59 @@
     }
 
     @Test
-    void checksItselfBeyondBounds() {
+    void checksItselfBeyondMaxPendingRequests() {
         SimulatedFleet simulation = new SimulatedFleet(2, 8);
         simulation.lossProbability = 1;
         for (int i = 0; i < SHARES; i++) {
             simulation.holder[i] = 1;
         }
-        for (int server = 0; server < HealthCheckCoordinator.MAX_PENDING + 10; server++) {
+        for (int server = 0; server < PendingRequests.MAX_PENDING + 10; server++) {
             simulation.coordinators.get(0).request(0, server);
         }
         assertThat(simulation.checks).as("at once, beyond the bound").isEqualTo(10);
         simulation.runUntil(2000);
-        assertThat(simulation.reports).hasSize(HealthCheckCoordinator.MAX_PENDING + 10);
-        // A flood of what others want: as many trials as may be, the rest is told to go by itself.
+        assertThat(simulation.reports).hasSize(PendingRequests.MAX_PENDING + 10);
+    }
+
+    @Test
+    void redirectsRequestsBeyondMaxRunningChecks() {
         SimulatedFleet flooded = new SimulatedFleet(2, 9);
         for (int server = 0; server < 500; server++) {
             flooded.unhealthy.add(server);
-            flooded.coordinators
-                    .get(0)
-                    .receive(
-                            0,
-                            2,
-                            new HealthCheckMessage(
-                                    Kind.REQUEST,
-                                    NameHash.of("probe." + HealthCheckCoordinator.shareOf(server, SHARES)),
-                                    server,
-                                    server,
-                                    0,
-                                    0,
-                                    false,
-                                    0));
+            receiveRequest(flooded, server, server);
         }
         assertThat(flooded.checks).isEqualTo(HealthCheckCoordinator.MAX_RUNNING);
         assertThat(flooded.inFlight)
                 .hasSizeGreaterThanOrEqualTo(500 - HealthCheckCoordinator.MAX_RUNNING)
-                .allMatch(datagram -> datagram.message.kind() == Kind.REDIRECT);
+                .allMatch(datagram -> datagram.message.kind() == HealthCheckMessageKind.REDIRECT);
+    }
+
+    @Test
+    void sendsResultToNoMoreThanMaxWaiters() {
         SimulatedFleet crowded = new SimulatedFleet(2, 10);
         crowded.unhealthy.add(7);
-        for (int i = 0; i < 2 * HealthCheckCoordinator.MAX_WAITERS; i++) {
-            crowded.coordinators
-                    .get(0)
-                    .receive(
-                            0,
-                            2,
-                            new HealthCheckMessage(
-                                    Kind.REQUEST,
-                                    NameHash.of("probe." + HealthCheckCoordinator.shareOf(7, SHARES)),
-                                    7,
-                                    i,
-                                    0,
-                                    0,
-                                    false,
-                                    0));
+        for (int i = 0; i < 2 * RunningChecks.MAX_WAITERS; i++) {
+            receiveRequest(crowded, 7, i);
         }
         crowded.completions.poll();
         crowded.coordinators.get(0).finished(250, 7, false);
         assertThat(crowded.inFlight.stream()
                         .map(datagram -> datagram.message.requestNumber())
                         .distinct())
-                .hasSize(HealthCheckCoordinator.MAX_WAITERS);
+                .hasSize(RunningChecks.MAX_WAITERS);
+    }
+
+    private static void receiveRequest(SimulatedFleet simulation, int server, long requestNumber) {
+        long leaseId = NameHash.of("probe." + HealthCheckCoordinator.shareOf(server, SHARES));
+        simulation
+                .coordinators
+                .get(0)
+                .receive(0, 2, new HealthCheckMessage(REQUEST, leaseId, server, requestNumber, 0, 0, false, 0));
     }
 
     /**
-     * Whatever is lost, late, doubled, whoever holds: each want is told once, in time, and the number of trials never
-     * exceeds the wants.
+     * Messages are lost, late and doubled, and holders change: each request is reported once and in time, with no more
+     * than two checks a request.
      */
     @Test
     void reportsEveryRequestOnceInTimeDespiteLoss() {
@@ -455,7 +416,7 @@
 
     @Test
     void rejectsMalformedMessagesAndTimings() {
-        HealthCheckMessage message = new HealthCheckMessage(Kind.RESULT, 1, 2, 3, 4, 5, true, 6);
+        HealthCheckMessage message = new HealthCheckMessage(RESULT, 1, 2, 3, 4, 5, true, 6);
         assertThat(HealthCheckMessage.of(message.bytes())).isEqualTo(message);
         assertThat(HealthCheckMessage.of(new byte[HealthCheckMessage.MESSAGE_BYTES - 1]))
                 .isNull();
--- a/src/test/java/cacheproxy/fleet/healthcheck/HealthCheckGoldenBytesTest.java
+++ b/src/test/java/cacheproxy/fleet/healthcheck/HealthCheckGoldenBytesTest.java
@@ -3,10 +3,9 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.HexBytes;
-import cacheproxy.fleet.healthcheck.HealthCheckMessage.Kind;
 import org.junit.jupiter.api.Test;
 
-/** The bytes of the datagrams about probes of servers: another version of the program must read and write the same. */
+/** The bytes of the datagrams on health checks: other versions of the program read and write the same. */
 class HealthCheckGoldenBytesTest {
     private static final long LEASE_ID = 0x0102030405060708L;
     private static final int SERVER = 0xcafe0001;
@@ -16,14 +15,14 @@
 
     @Test
     void eachKindHasGoldenBytes() {
-        assertBytes(Kind.REQUEST, "00", false, "00");
-        assertBytes(Kind.RESULT, "01", true, "01");
-        assertBytes(Kind.RESULT, "01", false, "00");
-        assertBytes(Kind.REDIRECT, "02", false, "00");
-        assertThat(Kind.values()).hasSize(3);
+        assertBytes(HealthCheckMessageKind.REQUEST, "00", false, "00");
+        assertBytes(HealthCheckMessageKind.RESULT, "01", true, "01");
+        assertBytes(HealthCheckMessageKind.RESULT, "01", false, "00");
+        assertBytes(HealthCheckMessageKind.REDIRECT, "02", false, "00");
+        assertThat(HealthCheckMessageKind.values()).hasSize(3);
     }
 
-    private static void assertBytes(Kind kind, String code, boolean healthy, String healthyCode) {
+    private static void assertBytes(HealthCheckMessageKind kind, String code, boolean healthy, String healthyCode) {
         byte[] golden =
                 HexBytes.parse(code + "0102030405060708 cafe0001 1112131415161718 0000019412345678 f1f2f3f4f5f6f7f8"
                         + healthyCode + "000005dc");
@@ -37,13 +36,21 @@
     void extremeValuesHaveGoldenBytes() {
         byte[] minBytes = HexBytes.parse(
                 "02 0000000000000000 00000000 0000000000000000 0000000000000000 0000000000000000 00 00000000");
-        HealthCheckMessage minMessage = new HealthCheckMessage(Kind.REDIRECT, 0, 0, 0, 0, 0, false, 0);
+        HealthCheckMessage minMessage =
+                new HealthCheckMessage(HealthCheckMessageKind.REDIRECT, 0, 0, 0, 0, 0, false, 0);
         assertThat(minMessage.bytes()).isEqualTo(minBytes);
         assertThat(HealthCheckMessage.of(minBytes)).isEqualTo(minMessage);
         byte[] maxBytes = HexBytes.parse(
                 "01 ffffffffffffffff ffffffff 8000000000000000 7fffffffffffffff 7fffffffffffffff 01 7fffffff");
         HealthCheckMessage maxMessage = new HealthCheckMessage(
-                Kind.RESULT, -1, -1, Long.MIN_VALUE, Long.MAX_VALUE, Long.MAX_VALUE, true, Integer.MAX_VALUE);
+                HealthCheckMessageKind.RESULT,
+                -1,
+                -1,
+                Long.MIN_VALUE,
+                Long.MAX_VALUE,
+                Long.MAX_VALUE,
+                true,
+                Integer.MAX_VALUE);
         assertThat(maxMessage.bytes()).isEqualTo(maxBytes);
         assertThat(HealthCheckMessage.of(maxBytes)).isEqualTo(maxMessage);
     }
