--- a/src/main/java/cacheproxy/bench/SnapshotBench.java
+++ b/src/main/java/cacheproxy/bench/SnapshotBench.java
@@ -2,6 +2,7 @@
 
 import cacheproxy.config.DaemonConfigReader;
 import cacheproxy.daemon.Daemon;
+import cacheproxy.daemon.snapshot.SnapshotSubsystem;
 import cacheproxy.fakes.FakeCacheServer;
 import cacheproxy.fakes.FakeFleet;
 import cacheproxy.fakes.LoadClient;
@@ -269,6 +270,7 @@
         return t + (memory == null ? "" : "[memory]\npath = \"" + memory + "\"\nperiod_ms = " + periodMs + "\n");
     }
 
+    @SuppressWarnings("FutureReturnValueIgnored") // the run is over; nothing waits for these threads
     private void firstSeconds(Path folder) throws Exception {
         MultiThreadIoEventLoopGroup clients = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
         String[] arms = {"no file", "the file", "an hour old"};
@@ -365,6 +367,7 @@
     // ---- what writing costs
 
     /** Two daemons in one process, one of which writes, asked turn about. */
+    @SuppressWarnings("FutureReturnValueIgnored") // the load runs until the end of the process
     private void cost(Path folder) throws Exception {
         MultiThreadIoEventLoopGroup clients = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
         Path memory = folder.resolve("cost");
@@ -418,7 +421,7 @@
                 load.start(4, 1);
                 Thread.sleep(20_000);
                 over.set(true);
-                long[] written = d.memoryWritten();
+                long[] written = d.subsystem(SnapshotSubsystem.class).written();
                 out.printf(
                         "at the usual period of 2 s, under load: %d writes of %.0f bytes in 20 s, %.2f MB an hour%n",
                         written[0], written[1] / (double) Math.max(1, written[0]), written[1] * 180 / 1e6);
--- a/src/test/java/cacheproxy/PolicySiblingsTest.java
+++ b/src/test/java/cacheproxy/PolicySiblingsTest.java
@@ -44,7 +44,7 @@
 
     private Rig rig(boolean copies) {
         Settings s = Rig.withoutProbes(Rig.settings(true, false, copies, Group.ALL));
-        Rig rig = new Rig(s, new RoutingPolicy(s, 42, CarpPlacement::new, AdmissionControl.OPEN, siblings));
+        Rig rig = new Rig(s, new RoutingPolicy(s, 42, CarpPlacement::new, AdmissionControl.UNLIMITED, siblings));
         rig.fleet(4);
         rig.policy.onList(rig.now, ListKind.CHANGES, List.of(new Member(SIBLING, 0, 0, 0, State.READY, 1, 0)), rig);
         return rig;
@@ -166,8 +166,8 @@
             }
             rig.pass(25);
             assertThat(rig.placed.stream()
-                                    .filter(p -> p.request() == 2 && p.server() == Rig.ORIGIN
-                                            || p.request() == 2 && p.server() == SIBLING)
+                                    .filter(p -> (p.request() == 2 && p.server() == Rig.ORIGIN)
+                                            || (p.request() == 2 && p.server() == SIBLING))
                                     .count()
                             + rig.asked.stream().filter(a -> a == 2).count())
                     .isPositive();
