--- a/src/main/java/cacheproxy/daemon/fleet/DelegatedWatches.java
+++ b/src/main/java/cacheproxy/daemon/fleet/DelegatedWatches.java
@@ -27,7 +27,7 @@
     static final byte TOPIC = 3;
 
     private final EventLoopContext core;
-    private final Link link;
+    private final PeerLink link;
     private final Supplier<ConfigSnapshot> generation;
     private final SplittableRandom random;
     /** By pool, and by the duty, whose name has the zone in it. */
@@ -36,7 +36,8 @@
     private final Map<Long, DelegatedWatch> byDuty = new HashMap<>();
     private List<Long> zone = List.of();
 
-    DelegatedWatches(EventLoopContext core, Link link, Supplier<ConfigSnapshot> generation, SplittableRandom random) {
+    DelegatedWatches(
+            EventLoopContext core, PeerLink link, Supplier<ConfigSnapshot> generation, SplittableRandom random) {
         this.core = core;
         this.link = link;
         this.generation = generation;
@@ -67,13 +68,13 @@
                     spec.watch().gatherMs());
             String duty = spec.watchDuty(pool);
             DelegatedWatch w = watches.computeIfAbsent(
-                    pool, p -> new DelegatedWatch(link.tenure(duty), rules, random.split(), new Out(p)));
+                    pool, p -> new DelegatedWatch(link.lease(duty), rules, random.split(), new Out(p)));
             w.use(rules);
             byDuty.put(NameHash.of(duty), w);
         }
         zone = spec.names(spec.zone()).stream()
                 .map(NameHash::of)
-                .filter(id -> id != link.me())
+                .filter(id -> id != link.ownId())
                 .toList();
     }
 
@@ -91,7 +92,7 @@
     }
 
     @Override
-    public void heard(double now, long from, byte[] payload) {
+    public void receive(double now, long from, byte[] payload) {
         WatchVersionMessage word = WatchVersionMessage.of(payload);
         DelegatedWatch w = word == null ? null : byDuty.get(word.duty());
         if (w != null) {
@@ -109,7 +110,7 @@
     }
 
     @Override
-    public void tell(JsonObject state) {
+    public void describe(JsonObject state) {
         JsonObject all = new JsonObject();
         watches.forEach((pool, w) -> {
             JsonObject o = new JsonObject();
--- a/src/main/java/cacheproxy/daemon/fleet/FleetHealthChecks.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetHealthChecks.java
@@ -30,7 +30,7 @@
     private static final double BEGIN_MS = 1.5 * Dispatcher.PROBE_TIMEOUT_MS;
 
     private final EventLoopContext core;
-    private final Link link;
+    private final PeerLink link;
     private final Supplier<ConfigSnapshot> generation;
     private final long numbers;
     /** Pools that wait for word of a server. */
@@ -47,7 +47,7 @@
     private HealthCheckCoordinator desk;
 
     /** @param numbers where its questions' numbers begin */
-    FleetHealthChecks(EventLoopContext core, Link link, Supplier<ConfigSnapshot> generation, long numbers) {
+    FleetHealthChecks(EventLoopContext core, PeerLink link, Supplier<ConfigSnapshot> generation, long numbers) {
         this.core = core;
         this.link = link;
         this.generation = generation;
@@ -71,9 +71,9 @@
                 Dispatcher.PROBE_TIMEOUT_MS,
                 spec.probe().patienceMs(),
                 spec.probe().reuseMs());
-        List<LeaseHandle> shares = spec.probeDuties().stream().map(link::tenure).toList();
+        List<LeaseHandle> shares = spec.probeDuties().stream().map(link::lease).toList();
         if (desk == null) {
-            desk = new HealthCheckCoordinator(link.me(), numbers, rules, shares, new Out());
+            desk = new HealthCheckCoordinator(link.ownId(), numbers, rules, shares, new Out());
         } else {
             desk.update(rules, shares);
         }
@@ -141,7 +141,7 @@
     }
 
     @Override
-    public void heard(double now, long from, byte[] payload) {
+    public void receive(double now, long from, byte[] payload) {
         HealthCheckMessage m = HealthCheckMessage.of(payload);
         if (desk != null && m != null) {
             desk.receive(now, from, m);
@@ -166,7 +166,7 @@
     }
 
     @Override
-    public void tell(JsonObject state) {
+    public void describe(JsonObject state) {
         if (desk != null) {
             HealthCheckCounts c = desk.counts();
             JsonObject o = new JsonObject();
--- a/src/main/java/cacheproxy/daemon/fleet/FleetMembership.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetMembership.java
@@ -20,10 +20,10 @@
     private final SwimMembership members;
     private boolean on;
 
-    FleetMembership(EventLoopContext core, Link link, SplittableRandom random) {
+    FleetMembership(EventLoopContext core, PeerLink link, SplittableRandom random) {
         this.core = core;
         members = new SwimMembership(
-                link.me(), SwimTiming.DEFAULT, random, core.now(), (to, m) -> link.send(to, this, m.bytes()));
+                link.ownId(), SwimTiming.DEFAULT, random, core.now(), (to, m) -> link.send(to, this, m.bytes()));
     }
 
     @Override
@@ -41,12 +41,12 @@
     }
 
     /** Whether a peer may be there; where nobody looks all may. */
-    boolean likely(long peer) {
+    boolean isLikelyAlive(long peer) {
         return !on || members.statusOf(peer) == MemberStatus.ALIVE;
     }
 
     @Override
-    public void heard(double now, long from, byte[] payload) {
+    public void receive(double now, long from, byte[] payload) {
         SwimMessage m = SwimMessage.of(payload);
         if (m != null) {
             members.receive(now, from, m);
@@ -59,7 +59,7 @@
     }
 
     @Override
-    public void tell(JsonObject state) {
+    public void describe(JsonObject state) {
         if (!on) {
             return;
         }
--- a/src/main/java/cacheproxy/daemon/fleet/FleetQuotas.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetQuotas.java
@@ -34,7 +34,7 @@
     private static final double COUNT_MS = 1000;
 
     private final EventLoopContext core;
-    private final Link link;
+    private final PeerLink link;
     private final SplittableRandom random;
     private final LongPredicate likely;
     private final double startMs;
@@ -55,7 +55,7 @@
     private final Map<String, Double> alone = new LinkedHashMap<>();
 
     /** @param likely whether a peer may be there */
-    FleetQuotas(EventLoopContext core, Link link, SplittableRandom random, LongPredicate likely) {
+    FleetQuotas(EventLoopContext core, PeerLink link, SplittableRandom random, LongPredicate likely) {
         this.likely = likely;
         this.core = core;
         this.link = link;
@@ -84,12 +84,12 @@
             double from = rules == null ? startMs : now + Math.max(0, rules.grantMs() - figures.grantMs()) * 4;
             rules = figures;
             quota = new QuotaManager(
-                    link.me(), rules, random.split(), from, likely, (to, m) -> link.send(to, this, m.bytes()));
+                    link.ownId(), rules, random.split(), from, likely, (to, m) -> link.send(to, this, m.bytes()));
         }
         boolean changing = fleet.peers().stream().anyMatch(p -> p.joining() || p.leaving());
         boolean owns = fleet.peers().stream()
-                .anyMatch(
-                        p -> cacheproxy.fleet.lease.NameHash.of(p.name()) == link.me() && !p.joining() && !p.leaving());
+                .anyMatch(p ->
+                        cacheproxy.fleet.lease.NameHash.of(p.name()) == link.ownId() && !p.joining() && !p.leaving());
         proxies = fleet.peers().size();
         Map<LimitsConfig.Limit, List<String>> names = new LinkedHashMap<>();
         List<QuotaSpec> limits = new ArrayList<>();
@@ -107,7 +107,7 @@
         });
         quota.use(
                 limits,
-                spec.duties().stream().map(link::tenure).toList(),
+                spec.duties().stream().map(link::lease).toList(),
                 fleet.peers().stream()
                         .map(p -> cacheproxy.fleet.lease.NameHash.of(p.name()))
                         .toList(),
@@ -201,7 +201,7 @@
     }
 
     @Override
-    public void heard(double now, long from, byte[] payload) {
+    public void receive(double now, long from, byte[] payload) {
         QuotaMessage m = QuotaMessage.of(payload);
         if (quota != null && m != null) {
             quota.heard(now, from, m);
@@ -246,7 +246,7 @@
         counted.keySet().retainAll(scopes.keySet());
     }
 
-    Answer call(String method, String uri) {
+    Answer handle(String method, String uri) {
         if (!method.equals("GET")) {
             return new Answer(405, "use GET /limits", "GET");
         }
@@ -284,7 +284,7 @@
     }
 
     @Override
-    public void tell(JsonObject state) {
+    public void describe(JsonObject state) {
         if (quota != null) {
             state.addProperty("limits", scopes.size());
             state.addProperty("grants_of_older_epochs", quota.olderEpochs());
--- a/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
@@ -111,7 +111,7 @@
         watches = new DelegatedWatches(core, link, generation, random.split());
         lists = new PeerListMonitor(core, link, generation);
         members = new FleetMembership(core, link, random.split());
-        limits = new FleetQuotas(core, link, random.split(), members::likely);
+        limits = new FleetQuotas(core, link, random.split(), members::isLikelyAlive);
         users = List.of(probes, watches, lists, members, limits);
         envelope = new DatagramEnvelope(
                 NameHash.of(me),
@@ -283,7 +283,7 @@
     public Map<String, ControlRequestHandler> controlHandlers() {
         Map<String, ControlRequestHandler> handlers = new LinkedHashMap<>();
         handlers.put("/duties", calls);
-        handlers.put("/limits", limits::call);
+        handlers.put("/limits", limits::handle);
         handlers.put("/fleet", this::state);
         return handlers;
     }
@@ -304,7 +304,7 @@
             peers.add(p);
         });
         o.add("peers", peers);
-        users.forEach(u -> u.tell(o));
+        users.forEach(u -> u.describe(o));
         return new Answer(200, o.toString());
     }
 
@@ -338,19 +338,19 @@
         watches.have(pool, version);
     }
 
-    private final class Link implements FleetProtocol.Link {
+    private final class Link implements FleetProtocol.PeerLink {
         @Override
         public void send(long to, FleetProtocol from, byte[] payload) {
             FleetSubsystem.this.send(to, from.topic(), payload);
         }
 
         @Override
-        public LeaseHandle tenure(String duty) {
+        public LeaseHandle lease(String duty) {
             return duties.tenure(duty);
         }
 
         @Override
-        public long me() {
+        public long ownId() {
             return NameHash.of(me);
         }
     }
@@ -422,7 +422,7 @@
             }
             for (FleetProtocol u : users) {
                 if (u.topic() == o.topic()) {
-                    u.heard(now, o.sender(), o.payload());
+                    u.receive(now, o.sender(), o.payload());
                 }
             }
         }
--- a/src/main/java/cacheproxy/daemon/fleet/PeerListMonitor.java
+++ b/src/main/java/cacheproxy/daemon/fleet/PeerListMonitor.java
@@ -34,7 +34,7 @@
     private static final double TELL_AFTER_MS = 10_000;
 
     private final EventLoopContext core;
-    private final Link link;
+    private final PeerLink link;
     private final Supplier<ConfigSnapshot> generation;
     private final ServerReachability reach;
     private final PeerListTransition steps = new PeerListTransition();
@@ -45,7 +45,7 @@
     private int next;
     private double dueMs = Double.NEGATIVE_INFINITY;
 
-    PeerListMonitor(EventLoopContext core, Link link, Supplier<ConfigSnapshot> generation) {
+    PeerListMonitor(EventLoopContext core, PeerLink link, Supplier<ConfigSnapshot> generation) {
         this.generation = generation;
         reach = new ServerReachability(core.now(), OUT_MS, WORD_MS);
         this.core = core;
@@ -63,14 +63,14 @@
         names.clear();
         spec.peers().forEach(p -> names.put(NameHash.of(p.name()), p.name()));
         others = new ArrayList<>(names.keySet());
-        others.remove(link.me());
+        others.remove(link.ownId());
         steps.update(Set.copyOf(spec.names()), Set.copyOf(spec.namesBefore()), Set.copyOf(others));
         differsSince.clear();
         told.clear();
     }
 
     @Override
-    public void heard(double now, long from, byte[] payload) {
+    public void receive(double now, long from, byte[] payload) {
         if (payload.length != PeerListTransition.MESSAGE_BYTES + 1) {
             return;
         }
@@ -112,7 +112,7 @@
     }
 
     @Override
-    public void tell(JsonObject state) {
+    public void describe(JsonObject state) {
         JsonObject o = new JsonObject();
         others.forEach(
                 p -> o.addProperty(names.get(p), steps.relationOf(p, core.now()).jsonName()));
--- a/src/test/java/cacheproxy/daemon/fleet/FleetGoldenBytesTest.java
+++ b/src/test/java/cacheproxy/daemon/fleet/FleetGoldenBytesTest.java
@@ -30,10 +30,10 @@
 
     private static final String P1 = "f64551fcd6f07823";
     private static final String P2 = "3946ca64ff78d93c";
-    private static final int HEAD = 27;
-    private static final int SUM = 4;
-    private static final int RECEIVE_MS = 20_000;
-    private static final int LONGEST = 256;
+    private static final int HEADER_BYTES = 27;
+    private static final int CHECKSUM_BYTES = 4;
+    private static final int RECEIVE_TIMEOUT_MS = 20_000;
+    private static final int MAX_DATAGRAM_BYTES = 256;
     private FakeFleet fleet;
 
     @BeforeEach
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void theTopicsHaveTheirNumbers() {
+    void protocolsHaveGoldenTopics() {
         assertThat(FleetHealthChecks.TOPIC).isEqualTo((byte) 2);
         assertThat(DelegatedWatches.TOPIC).isEqualTo((byte) 3);
         assertThat(PeerListMonitor.TOPIC).isEqualTo((byte) 4);
@@ -57,12 +57,15 @@
 
     /** Leases are of topic 1; each first asks (kind 0) for the duty by its id. */
     @Test
-    void aDaemonAsksForEachDutyByItsId() throws Exception {
+    void daemonRequestsEachLeaseByItsId() throws Exception {
         try (DatagramSocket peer = peer();
                 Daemon daemon = daemon(peer)) {
-            for (String duty : new String[] {"c374eea599bb3c50", "3b398eadca71b726", "05638f7954aeeb33"}) {
-                byte[] asked = await(peer, d -> d.startsWith(START + "01" + P1) && d.startsWith("00" + duty, 2 * HEAD));
-                assertThat(asked).hasSize(HEAD + 37 + SUM);
+            for (String leaseId : new String[] {"c374eea599bb3c50", "3b398eadca71b726", "05638f7954aeeb33"}) {
+                byte[] request = await(
+                        peer,
+                        digits -> digits.startsWith(START + "01" + P1)
+                                && digits.startsWith("00" + leaseId, 2 * HEADER_BYTES));
+                assertThat(request).hasSize(HEADER_BYTES + 37 + CHECKSUM_BYTES);
             }
         }
     }
@@ -72,20 +75,24 @@
      * but p1 and p2.
      */
     @Test
-    void aDaemonTellsItsListAndAsksWhetherItsPeerIsThere() throws Exception {
+    void daemonReportsItsPeerListAndPingsItsPeer() throws Exception {
         try (DatagramSocket peer = peer();
                 Daemon daemon = daemon(peer)) {
-            byte[] list = await(peer, d -> d.startsWith(START + "04" + P1) && d.startsWith("01", 2 * (HEAD + 16)));
-            assertThat(Arrays.copyOfRange(list, HEAD, list.length - SUM))
+            byte[] list = await(
+                    peer,
+                    digits -> digits.startsWith(START + "04" + P1) && digits.startsWith("01", 2 * (HEADER_BYTES + 16)));
+            assertThat(Arrays.copyOfRange(list, HEADER_BYTES, list.length - CHECKSUM_BYTES))
                     .isEqualTo(HexBytes.parse("00000002a304f68f 0000000000000000 01"));
-            byte[] ping = await(peer, d -> d.startsWith(START + "06" + P1) && d.startsWith("00", 2 * HEAD));
-            assertThat(Arrays.copyOfRange(ping, HEAD + 9, HEAD + 17)).isEqualTo(HexBytes.parse(P2));
+            byte[] ping = await(
+                    peer, digits -> digits.startsWith(START + "06" + P1) && digits.startsWith("00", 2 * HEADER_BYTES));
+            assertThat(Arrays.copyOfRange(ping, HEADER_BYTES + 9, HEADER_BYTES + 17))
+                    .isEqualTo(HexBytes.parse(P2));
         }
     }
 
     private static DatagramSocket peer() throws Exception {
         DatagramSocket peer = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
-        peer.setSoTimeout(RECEIVE_MS);
+        peer.setSoTimeout(RECEIVE_TIMEOUT_MS);
         return peer;
     }
 
@@ -123,17 +130,17 @@
     }
 
     /** The first datagram whose hexadecimal digits are such. */
-    private static byte[] await(DatagramSocket peer, Predicate<String> such) throws Exception {
-        DatagramPacket in = new DatagramPacket(new byte[LONGEST], LONGEST);
-        long began = System.nanoTime();
-        while (System.nanoTime() - began < RECEIVE_MS * 1_000_000L) {
-            in.setLength(LONGEST);
-            peer.receive(in);
-            byte[] datagram = Arrays.copyOf(in.getData(), in.getLength());
-            if (such.test(HexFormat.of().formatHex(datagram))) {
+    private static byte[] await(DatagramSocket peer, Predicate<String> matches) throws Exception {
+        DatagramPacket received = new DatagramPacket(new byte[MAX_DATAGRAM_BYTES], MAX_DATAGRAM_BYTES);
+        long startNanos = System.nanoTime();
+        while (System.nanoTime() - startNanos < RECEIVE_TIMEOUT_MS * 1_000_000L) {
+            received.setLength(MAX_DATAGRAM_BYTES);
+            peer.receive(received);
+            byte[] datagram = Arrays.copyOf(received.getData(), received.getLength());
+            if (matches.test(HexFormat.of().formatHex(datagram))) {
                 return datagram;
             }
         }
-        throw new AssertionError("no such datagram within " + RECEIVE_MS + " ms");
+        throw new AssertionError("no such datagram within " + RECEIVE_TIMEOUT_MS + " ms");
     }
 }
--- a/src/test/java/cacheproxy/daemon/fleet/FleetQuotasTest.java
+++ b/src/test/java/cacheproxy/daemon/fleet/FleetQuotasTest.java
@@ -47,62 +47,63 @@
                 + "[[fleet.peer]]\nname = \"p1\"\naddress = \"127.0.0.1:" + port + "\"\n" + limits;
     }
 
-    private static JsonArray limits(Daemon d) throws IOException {
-        InetSocketAddress to = d.controlAddress();
-        try (Socket s = new Socket(to.getAddress(), to.getPort())) {
-            s.setSoTimeout(20_000);
-            s.getOutputStream().write("GET /limits HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
-            String text = new String(s.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+    private static JsonArray limits(Daemon daemon) throws IOException {
+        InetSocketAddress to = daemon.controlAddress();
+        try (Socket socket = new Socket(to.getAddress(), to.getPort())) {
+            socket.setSoTimeout(20_000);
+            socket.getOutputStream()
+                    .write("GET /limits HTTP/1.1\r\nHost: x\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
+            String text = new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
             return JsonParser.parseString(text.substring(text.indexOf("\r\n\r\n") + 4))
                     .getAsJsonArray();
         }
     }
 
-    private static JsonObject limit(Daemon d, String name) throws IOException {
-        for (var e : limits(d)) {
-            if (e.getAsJsonObject().get("name").getAsString().equals(name)) {
-                return e.getAsJsonObject();
+    private static JsonObject limit(Daemon daemon, String name) throws IOException {
+        for (var element : limits(daemon)) {
+            if (element.getAsJsonObject().get("name").getAsString().equals(name)) {
+                return element.getAsJsonObject();
             }
         }
         throw new AssertionError("no limit " + name);
     }
 
     @Test
-    void requestsBeyondALimitAreRefusedWithATimeToComeBackAndOthersServed() throws Exception {
+    void rejectsRequestsBeyondQuotaWithRetryTimeAndServesOthers() throws Exception {
         int port = Ports.free();
         String limits =
                 "[fleet.limits]\ngrant_ms = 100\nlease_ms = 100\n[[fleet.limit]]\nname = \"slow\"\nclass = \"page\"\nper_second = 0.5\nburst = 0\n"
                         + "[[fleet.limit]]\nname = \"hand\"\nclass = \"publish\"\nat_once = 2\nwhen_alone = \"none\"\n"
                         + "[[fleet.limit]]\nname = \"pool\"\npool = \"pages\"\nper_second = 100000\n";
-        try (Daemon d = Daemon.start(DaemonConfigReader.parse("f.toml", file(port, limits)), 5);
-                Socket s = new Socket()) {
-            s.connect(d.address("main"));
-            s.setSoTimeout(20_000);
+        try (Daemon daemon = Daemon.start(DaemonConfigReader.parse("f.toml", file(port, limits)), 5);
+                Socket socket = new Socket()) {
+            socket.connect(daemon.address("main"));
+            socket.setSoTimeout(20_000);
             int served = 0;
-            int refused = 0;
+            int rejected = 0;
             // A bucket of one that fills once in two seconds, empty at the start: one passes some time, and not two in
             // a row.
-            while (served == 0 || refused == 0) {
-                s.getOutputStream().write("mg a v Oq1 Pc=page,d=1000\r\n".getBytes(StandardCharsets.US_ASCII));
-                String line = line(s);
+            while (served == 0 || rejected == 0) {
+                socket.getOutputStream().write("mg a v Oq1 Pc=page,d=1000\r\n".getBytes(StandardCharsets.US_ASCII));
+                String line = line(socket);
                 if (line.startsWith("VA ")) {
-                    line(s);
+                    line(socket);
                     served++;
                 } else if (line.startsWith("EN") || line.startsWith("HD")) {
                     served++;
                 } else {
                     assertThat(line).startsWith("SERVER_ERROR busy").containsPattern("[0-9]");
-                    refused++;
+                    rejected++;
                 }
             }
-            JsonObject slow = limit(d, "slow");
+            JsonObject slow = limit(daemon, "slow");
             assertThat(slow.get("scope").getAsString()).isEqualTo("class page");
             assertThat(slow.get("limit").getAsDouble()).isEqualTo(0.5);
             assertThat(slow.get("mine").getAsDouble()).isLessThanOrEqualTo(0.5);
             assertThat(slow.get("over_bound").getAsDouble()).isGreaterThanOrEqualTo(1);
-            assertThat(limit(d, "hand").get("kind").getAsString()).isEqualTo("at_once");
-            assertThat(limit(d, "pool").get("scope").getAsString()).isEqualTo("pool pages");
-            String control = "127.0.0.1:" + d.controlAddress().getPort();
+            assertThat(limit(daemon, "hand").get("kind").getAsString()).isEqualTo("at_once");
+            assertThat(limit(daemon, "pool").get("scope").getAsString()).isEqualTo("pool pages");
+            String control = "127.0.0.1:" + daemon.controlAddress().getPort();
             assertThat(Cli.run(new String[] {"limits", "--control", control})).isZero();
             assertThat(Cli.run(new String[] {"limits", "--json", "--control", control}))
                     .isZero();
@@ -110,29 +111,29 @@
                     .isEqualTo(2);
 
             // Raised by a new file: what was refused is served; taken out, it is gone.
-            d.load(DaemonConfigReader.parse(
+            daemon.load(DaemonConfigReader.parse(
                     "f.toml", file(port, limits.replace("per_second = 0.5", "per_second = 50000"))));
-            while (limit(d, "slow").get("mine").getAsDouble() < 40_000) {
+            while (limit(daemon, "slow").get("mine").getAsDouble() < 40_000) {
                 Thread.onSpinWait();
             }
-            d.load(DaemonConfigReader.parse("f.toml", file(port, "")));
-            assertThat(limits(d)).isEmpty();
-            s.getOutputStream().write("mg a v Oq2 Pc=page,d=1000\r\n".getBytes(StandardCharsets.US_ASCII));
-            assertThat(line(s)).doesNotContain("busy");
+            daemon.load(DaemonConfigReader.parse("f.toml", file(port, "")));
+            assertThat(limits(daemon)).isEmpty();
+            socket.getOutputStream().write("mg a v Oq2 Pc=page,d=1000\r\n".getBytes(StandardCharsets.US_ASCII));
+            assertThat(line(socket)).doesNotContain("busy");
         }
     }
 
-    private static String line(Socket s) throws IOException {
+    private static String line(Socket socket) throws IOException {
         StringBuilder text = new StringBuilder();
-        for (int c; (c = s.getInputStream().read()) >= 0 && c != '\n'; ) {
-            text.append((char) c);
+        for (int character; (character = socket.getInputStream().read()) >= 0 && character != '\n'; ) {
+            text.append((char) character);
         }
         return text.toString().strip();
     }
 
     @Test
-    void wrongLimitsAreToldWithPlaceAndRemedy() {
-        String[][] wrong = {
+    void reportsInvalidQuotasWithPlaceAndRemedy() {
+        String[][] invalidQuotas = {
             {"name = \"a\"", "either per_second or at_once"},
             {"name = \"a\"\nper_second = 5\nat_once = 5", "either per_second or at_once"},
             {"name = \"a\"\nat_once = 5\nburst = 2", "burst goes with per_second"},
@@ -143,10 +144,11 @@
             {"name = \"a\"\nper_second = 5\nwhen_alone = \"none\"\nshare_part = 0.5", "own no share"},
             {"name = \"a b\"\nper_second = 5", "limit name 'a b'"}
         };
-        for (String[] w : wrong) {
-            assertThatThrownBy(() -> DaemonConfigReader.parse("f.toml", file(7, "[[fleet.limit]]\n" + w[0] + "\n")))
+        for (String[] invalid : invalidQuotas) {
+            assertThatThrownBy(
+                            () -> DaemonConfigReader.parse("f.toml", file(7, "[[fleet.limit]]\n" + invalid[0] + "\n")))
                     .isInstanceOf(ConfigException.class)
-                    .hasMessageContaining(w[1])
+                    .hasMessageContaining(invalid[1])
                     .hasMessageContaining("f.toml:");
         }
         assertThatThrownBy(() -> DaemonConfigReader.parse("f.toml", file(7, "[[duty]]\nname = \"limits.0\"\n")))
@@ -160,7 +162,7 @@
     }
 
     @Test
-    void aFileOfAThousandLimitsIsTakenAndEachTenantHasItsOwn() throws Exception {
+    void acceptsAThousandQuotas() throws Exception {
         StringBuilder many = new StringBuilder();
         for (int i = 0; i < 1000; i++) {
             many.append("[[fleet.limit]]\nname = \"l").append(i).append("\"\nper_second = 5\n");
--- a/src/test/java/cacheproxy/daemon/fleet/FleetSubsystemTest.java
+++ b/src/test/java/cacheproxy/daemon/fleet/FleetSubsystemTest.java
@@ -64,11 +64,11 @@
     private static String fleetOf(String me, int port, String keys, String... peers) {
         StringBuilder text = new StringBuilder(
                 "[fleet]\nme = \"" + me + "\"\nlisten = \"127.0.0.1:" + port + "\"\nlongest_lease_ms = 150\n" + keys);
-        for (String p : peers) {
+        for (String peer : peers) {
             text.append("[[fleet.peer]]\nname = \"")
-                    .append(p.split("@")[0])
+                    .append(peer.split("@")[0])
                     .append("\"\naddress = \"127.0.0.1:")
-                    .append(p.split("@")[1])
+                    .append(peer.split("@")[1])
                     .append("\"\n");
         }
         return text.toString();
@@ -82,22 +82,22 @@
         return Daemon.start(DaemonConfigReader.parse(folder.resolve("f.toml").toString(), file(more)), 5);
     }
 
-    private static String call(Daemon d, String call) throws IOException {
-        InetSocketAddress to = d.controlAddress();
-        try (Socket s = new Socket(to.getAddress(), to.getPort())) {
-            s.setSoTimeout(20_000);
-            s.getOutputStream()
+    private static String call(Daemon daemon, String call) throws IOException {
+        InetSocketAddress controlAddress = daemon.controlAddress();
+        try (Socket socket = new Socket(controlAddress.getAddress(), controlAddress.getPort())) {
+            socket.setSoTimeout(20_000);
+            socket.getOutputStream()
                     .write((call + " HTTP/1.1\r\nHost: x\r\nContent-Length: 0\r\n\r\n")
                             .getBytes(StandardCharsets.US_ASCII));
-            String text = new String(s.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+            String text = new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
             return text.substring(9, 12) + " "
                     + text.substring(text.indexOf("\r\n\r\n") + 4).strip();
         }
     }
 
-    private static String await(Daemon d, String call, String starts) throws IOException {
+    private static String await(Daemon daemon, String call, String starts) throws IOException {
         while (true) {
-            String answer = call(d, call);
+            String answer = call(daemon, call);
             if (answer.startsWith(starts)) {
                 return answer;
             }
@@ -106,43 +106,46 @@
     }
 
     @Test
-    void aFleetOfOneHoldsItsDutiesAndAReloadAddsAndTakesAway() throws Exception {
+    void fleetOfOneHoldsItsLeasesAndReloadAddsAndRemovesThem() throws Exception {
         int port = Ports.free();
         String one = fleetOf("p1", port, "", "p1@" + port);
-        try (Daemon d = daemon(one + duty("cron"))) {
-            long epoch = Long.parseLong(await(d, "GET /duties/cron", "200 ").substring(4));
+        try (Daemon daemon = daemon(one + duty("cron"))) {
+            long epoch =
+                    Long.parseLong(await(daemon, "GET /duties/cron", "200 ").substring(4));
             assertThat(epoch).isPositive();
-            assertThat(call(d, "GET /status")).isEqualTo("200 active");
-            assertThat(call(d, "GET /duties"))
+            assertThat(call(daemon, "GET /status")).isEqualTo("200 active");
+            assertThat(call(daemon, "GET /duties"))
                     .startsWith("200 [{\"duty\":\"cron\",\"holding\":true,\"epoch\":" + epoch + ",")
                     .endsWith("\"holder\":\"p1\"}]");
-            assertThat(call(d, "GET /duties/other")).startsWith("404");
-            assertThat(call(d, "POST /duties/cron")).startsWith("405");
-            assertThat(call(d, "POST /duties/cron/transfer?to=p9")).startsWith("400");
-            assertThat(call(d, "POST /duties/cron/transfer?to=p1"))
+            assertThat(call(daemon, "GET /duties/other")).startsWith("404");
+            assertThat(call(daemon, "POST /duties/cron")).startsWith("405");
+            assertThat(call(daemon, "POST /duties/cron/transfer?to=p9")).startsWith("400");
+            assertThat(call(daemon, "POST /duties/cron/transfer?to=p1"))
                     .as("to itself")
                     .startsWith("400");
-            assertThat(call(d, "GET /duties/cron/x")).startsWith("404");
-            assertThat(call(d, "GET /else")).startsWith("404");
+            assertThat(call(daemon, "GET /duties/cron/x")).startsWith("404");
+            assertThat(call(daemon, "GET /else")).startsWith("404");
 
-            d.load(DaemonConfigReader.parse("f", file(one + duty("cron") + duty("more"))));
-            await(d, "GET /duties/more", "200 ");
-            assertThat(call(d, "GET /duties/cron")).as("not moved by it").isEqualTo("200 " + epoch);
-            assertThatThrownBy(() -> d.load(DaemonConfigReader.parse(
+            daemon.load(DaemonConfigReader.parse("f", file(one + duty("cron") + duty("more"))));
+            await(daemon, "GET /duties/more", "200 ");
+            assertThat(call(daemon, "GET /duties/cron")).as("not moved by it").isEqualTo("200 " + epoch);
+            assertThatThrownBy(() -> daemon.load(DaemonConfigReader.parse(
                             "f",
                             file(fleetOf("p1", 1, "", "p1@1")
                                     .replace("127.0.0.1:1\"\nlongest", "192.0.2.1:9\"\nlongest")))))
                     .isInstanceOf(ConfigException.class)
                     .hasMessageContaining("fleet can't be bound to 192.0.2.1:9");
-            assertThat(call(d, "GET /duties/cron")).as("nothing has changed").isEqualTo("200 " + epoch);
-            d.load(DaemonConfigReader.parse("f", file(one + duty("more"))));
-            assertThat(call(d, "GET /duties/cron")).startsWith("404");
-            assertThat(call(d, "GET /duties")).doesNotContain("cron");
-            d.load(DaemonConfigReader.parse("f", file(one + duty("more") + duty("cron"))));
-            assertThat(Long.parseLong(await(d, "GET /duties/cron", "200 ").substring(4)))
+            assertThat(call(daemon, "GET /duties/cron"))
+                    .as("nothing has changed")
+                    .isEqualTo("200 " + epoch);
+            daemon.load(DaemonConfigReader.parse("f", file(one + duty("more"))));
+            assertThat(call(daemon, "GET /duties/cron")).startsWith("404");
+            assertThat(call(daemon, "GET /duties")).doesNotContain("cron");
+            daemon.load(DaemonConfigReader.parse("f", file(one + duty("more") + duty("cron"))));
+            assertThat(Long.parseLong(await(daemon, "GET /duties/cron", "200 ").substring(4)))
                     .isGreaterThan(epoch);
-            d.load(DaemonConfigReader.parse("f", file("")));
-            assertThat(call(d, "GET /duties")).as("no fleet any more").startsWith("404");
+            daemon.load(DaemonConfigReader.parse("f", file("")));
+            assertThat(call(daemon, "GET /duties")).as("no fleet any more").startsWith("404");
         }
     }
 
@@ -152,10 +155,10 @@
         int[] ports = {Ports.free(), Ports.free(), Ports.free()};
         String[] peers = {"p1@" + ports[0], "p2@" + ports[1], "p3@" + ports[2]};
         String key = "key_file = \"keys\"\n";
-        try (Daemon a = daemon(fleetOf("p1", ports[0], key, peers) + duty("cron"));
-                Daemon b = daemon(fleetOf("p2", ports[1], key, peers) + duty("cron"));
-                Daemon c = daemon(fleetOf("p3", ports[2], key, peers) + duty("cron"))) {
-            List<Daemon> all = List.of(a, b, c);
+        try (Daemon first = daemon(fleetOf("p1", ports[0], key, peers) + duty("cron"));
+                Daemon second = daemon(fleetOf("p2", ports[1], key, peers) + duty("cron"));
+                Daemon third = daemon(fleetOf("p3", ports[2], key, peers) + duty("cron"))) {
+            List<Daemon> all = List.of(first, second, third);
             int holder = -1;
             while (holder < 0) {
                 for (int i = 0; i < 3; i++) {
@@ -171,7 +174,7 @@
                         List.of("another secret of some length".getBytes(StandardCharsets.UTF_8)),
                         List.of());
                 for (int i = 0; i < 200; i++) {
-                    byte[] d = envelope.seal(
+                    byte[] daemon = envelope.seal(
                             NameHash.of("p" + (i % 3 + 1)),
                             (byte) 1,
                             new LeaseMessage(
@@ -182,7 +185,8 @@
                                             9,
                                             150)
                                     .bytes());
-                    forger.send(new DatagramPacket(d, d.length, InetAddress.getByName("127.0.0.1"), ports[i % 3]));
+                    forger.send(new DatagramPacket(
+                            daemon, daemon.length, InetAddress.getByName("127.0.0.1"), ports[i % 3]));
                 }
             }
             InetSocketAddress control = all.get(holder).controlAddress();
@@ -205,34 +209,34 @@
 
     /** Without a key the address counts before anything that a datagram says, its sender's life too. */
     @Test
-    void whoSendsFromNoPeersAddressMutesNobody() throws Exception {
+    void forgedDatagramsFromUnknownAddressSilenceNoPeer() throws Exception {
         int[] ports = {Ports.free(), Ports.free(), Ports.free()};
         String[] peers = {"p1@" + ports[0], "p2@" + ports[1], "p3@" + ports[2]};
         java.util.concurrent.atomic.AtomicBoolean over = new java.util.concurrent.atomic.AtomicBoolean();
-        try (Daemon a = daemon(fleetOf("p1", ports[0], "", peers) + duty("cron"));
-                Daemon b = daemon(fleetOf("p2", ports[1], "", peers) + duty("cron"));
-                Daemon c = daemon(fleetOf("p3", ports[2], "", peers) + duty("cron"));
+        try (Daemon first = daemon(fleetOf("p1", ports[0], "", peers) + duty("cron"));
+                Daemon second = daemon(fleetOf("p2", ports[1], "", peers) + duty("cron"));
+                Daemon third = daemon(fleetOf("p3", ports[2], "", peers) + duty("cron"));
                 DatagramSocket forger = new DatagramSocket()) {
             Thread forging = new Thread(() -> {
                 for (int i = 0; !over.get(); i++) {
-                    byte[] d = new DatagramEnvelope(
+                    byte[] daemon = new DatagramEnvelope(
                                     NameHash.of("p" + (i % 3 + 1)), Long.MAX_VALUE, List.of(), List.of())
                             .seal(0, (byte) 1, new byte[0]);
                     try {
-                        forger.send(
-                                new DatagramPacket(d, d.length, InetAddress.getByName("127.0.0.1"), ports[i / 3 % 3]));
+                        forger.send(new DatagramPacket(
+                                daemon, daemon.length, InetAddress.getByName("127.0.0.1"), ports[i / 3 % 3]));
                     } catch (IOException e) {
                         return;
                     }
                 }
             });
             forging.start();
-            List<Daemon> all = List.of(a, b, c);
+            List<Daemon> all = List.of(first, second, third);
             try {
-                for (int moves = 0, at = -1; moves < 3; ) {
+                for (int moves = 0, holder = -1; moves < 3; ) {
                     for (int i = 0; i < 3; i++) {
-                        if (i != at && call(all.get(i), "GET /duties/cron").startsWith("200")) {
-                            at = i;
+                        if (i != holder && call(all.get(i), "GET /duties/cron").startsWith("200")) {
+                            holder = i;
                             moves++;
                             call(all.get(i), "POST /duties/cron/transfer?to=p" + ((i + 1) % 3 + 1));
                         }
@@ -246,10 +250,11 @@
     }
 
     @Test
-    void aFileThatCanNotBeUsedLeavesTheSocketThatItWantedWhereItWas() throws Exception {
+    void rejectedConfigurationLeavesSocketBound() throws Exception {
         int port = Ports.free();
         try (DatagramSocket peer = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
-                Daemon d = daemon(fleetOf("p1", port, "", "p1@" + port, "p2@" + peer.getLocalPort()) + duty("cron"))) {
+                Daemon daemon =
+                        daemon(fleetOf("p1", port, "", "p1@" + port, "p2@" + peer.getLocalPort()) + duty("cron"))) {
             peer.setSoTimeout(20_000);
             DatagramPacket asked = new DatagramPacket(
                     new byte[DatagramEnvelope.MAX_DATAGRAM_BYTES], DatagramEnvelope.MAX_DATAGRAM_BYTES);
@@ -257,7 +262,7 @@
             String other = file(fleetOf("p1", port, "", "p1@" + port, "p2@" + peer.getLocalPort()) + duty("cron"))
                     .replace("longest_lease_ms = 150", "longest_lease_ms = 151")
                     .replace("[control]\nlisten = \"127.0.0.1:0\"", "[control]\nlisten = \"192.0.2.1:9\"");
-            assertThatThrownBy(() -> d.load(DaemonConfigReader.parse("f", other)))
+            assertThatThrownBy(() -> daemon.load(DaemonConfigReader.parse("f", other)))
                     .isInstanceOf(ConfigException.class)
                     .hasMessageContaining("control can't be bound");
             // What was on its way when the file was tried may be in the queue; the process's own life tells what came
@@ -266,27 +271,28 @@
                 peer.receive(asked);
             }
             assertThat(asked.getPort()).isEqualTo(port);
-            assertThat(call(d, "GET /status")).isEqualTo("200 active");
+            assertThat(call(daemon, "GET /status")).isEqualTo("200 active");
         }
     }
 
     @Test
-    void aVoterThatIsReplacedKeepsSilentForTheLongerOfBothLeases() throws Exception {
+    void replacedVoterGrantsNothingForTheLongerLease() throws Exception {
         int port = Ports.free();
         String one = fleetOf("p1", port, "", "p1@" + port) + duty("cron");
-        try (Daemon d = daemon(one.replace("longest_lease_ms = 150", "longest_lease_ms = 2000"))) {
-            await(d, "GET /duties/cron", "200 ");
-            long before = System.currentTimeMillis();
-            d.load(DaemonConfigReader.parse("f", file(one)));
-            long epoch = Long.parseLong(await(d, "GET /duties/cron", "200 ").substring(4));
-            assertThat(epoch - before)
+        try (Daemon daemon = daemon(one.replace("longest_lease_ms = 150", "longest_lease_ms = 2000"))) {
+            await(daemon, "GET /duties/cron", "200 ");
+            long startedMs = System.currentTimeMillis();
+            daemon.load(DaemonConfigReader.parse("f", file(one)));
+            long epoch =
+                    Long.parseLong(await(daemon, "GET /duties/cron", "200 ").substring(4));
+            assertThat(epoch - startedMs)
                     .as("epochs are times where nobody remembers")
                     .isGreaterThanOrEqualTo(2000);
         }
     }
 
     @Test
-    void whatIsWrongInTheFileIsToldWithItsPlace() throws Exception {
+    void reportsInvalidFleetSettingsWithTheirPlace() throws Exception {
         Files.writeString(folder.resolve("short"), "abc\n");
         assertThatThrownBy(() -> DaemonConfigReader.parse(folder.resolve("f").toString(), file("""
                 [fleet]
@@ -335,23 +341,23 @@
     }
 
     /** A pool's test of a server that was asked of a peer, with the peer's socket; returns what the question says. */
-    private byte[] askedFor(Daemon d, FakeCacheServer mute, DatagramSocket peer) throws Exception {
-        DatagramPacket in =
+    private byte[] awaitHealthCheckRequest(Daemon daemon, FakeCacheServer mute, DatagramSocket peer) throws Exception {
+        DatagramPacket received =
                 new DatagramPacket(new byte[DatagramEnvelope.MAX_DATAGRAM_BYTES], DatagramEnvelope.MAX_DATAGRAM_BYTES);
         peer.setSoTimeout(50);
         for (int from = 0; ; from += 20) {
             int first = from;
-            new LoadClient(fleet.loop(), d.address("main"), 20, i -> DaemonHarness.read("k/" + (first + i)))
+            new LoadClient(fleet.loop(), daemon.address("main"), 20, i -> DaemonHarness.read("k/" + (first + i)))
                     .start(4, 1)
                     .get(100, TimeUnit.SECONDS);
             try {
                 while (true) {
-                    peer.receive(in);
-                    if (in.getData()[2] == FleetHealthChecks.TOPIC) {
+                    peer.receive(received);
+                    if (received.getData()[2] == FleetHealthChecks.TOPIC) {
                         return java.util.Arrays.copyOfRange(
-                                in.getData(),
+                                received.getData(),
                                 DatagramEnvelope.MAX_DATAGRAM_BYTES - DatagramEnvelope.MAX_PAYLOAD_BYTES - 16,
-                                in.getLength() - 4);
+                                received.getLength() - 4);
                     }
                 }
             } catch (SocketTimeoutException e) {
@@ -373,7 +379,7 @@
     }
 
     @Test
-    void aTestThatIsAskedOfAPeerIsMadeHereWhenTheFleetIsReplacedOrThePeerIsSilent() throws Exception {
+    void delegatedHealthCheckIsMadeHereWhenFleetIsReplacedOrPeerIsSilent() throws Exception {
         fleet.close();
         fleet = new FakeFleet(2);
         FakeCacheServer mute = fleet.nodes.get(1);
@@ -381,36 +387,40 @@
         try (DatagramSocket peer = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
             String two = fleetOf("p1", port, "", "p1@" + port, "p2@" + peer.getLocalPort());
             mute.mute(true);
-            try (Daemon d = Daemon.start(
+            try (Daemon daemon = Daemon.start(
                     DaemonConfigReader.parse(
                             "f", withMute(two + "[fleet.probe]\nlease_ms = 150\npatience_ms = 10000\n")),
                     5)) {
-                askedFor(d, mute, peer);
+                awaitHealthCheckRequest(daemon, mute, peer);
                 mute.mute(false);
-                d.load(DaemonConfigReader.parse(
+                daemon.load(DaemonConfigReader.parse(
                         "f",
                         withMute(two.replace("longest_lease_ms = 150", "longest_lease_ms = 160")
                                 + "[fleet.probe]\nlease_ms = 150\npatience_ms = 10000\n")));
                 while (mute.tested() == 0) {
                     Thread.onSpinWait();
                 }
-                assertThat(call(d, "GET /fleet"))
+                assertThat(call(daemon, "GET /fleet"))
                         .startsWith("200 {\"me\":\"p1\"")
                         .contains("\"trials\":{\"own\":0")
                         .contains("\"p2\":\"unknown\"");
             }
             int before = mute.tested();
             mute.mute(true);
-            try (Daemon d = Daemon.start(
+            try (Daemon daemon = Daemon.start(
                     DaemonConfigReader.parse("f", withMute(two + "[fleet.probe]\nlease_ms = 150\npatience_ms = 300\n")),
                     5)) {
                 for (int from = 0; mute.tested() == before; from += 20) {
                     int first = from;
-                    new LoadClient(fleet.loop(), d.address("main"), 20, i -> DaemonHarness.read("k/" + (first + i)))
+                    new LoadClient(
+                                    fleet.loop(),
+                                    daemon.address("main"),
+                                    20,
+                                    i -> DaemonHarness.read("k/" + (first + i)))
                             .start(4, 1)
                             .get(100, TimeUnit.SECONDS);
                 }
-                assertThat(call(d, "POST /fleet")).startsWith("405");
+                assertThat(call(daemon, "POST /fleet")).startsWith("405");
             }
         }
     }
@@ -420,22 +430,22 @@
      * that it is sound lets them go again.
      */
     @Test
-    void aRequestIsNoTrialWhileWordOfTheHolderIsOut() throws Exception {
+    void requestIsNoHealthCheckWhileResultIsPending() throws Exception {
         fleet.close();
         fleet = new FakeFleet(2);
         FakeCacheServer mute = fleet.nodes.get(1);
         int port = Ports.free();
         try (DatagramSocket peer = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"))) {
             mute.mute(true);
-            try (Daemon d = Daemon.start(
+            try (Daemon daemon = Daemon.start(
                     DaemonConfigReader.parse(
                             "f",
                             withMute(fleetOf("p1", port, "", "p1@" + port, "p2@" + peer.getLocalPort())
                                     + "[fleet.probe]\nby = \"requests\"\nlease_ms = 150\npatience_ms = 10000\n")),
                     5)) {
-                HealthCheckMessage asked = HealthCheckMessage.of(askedFor(d, mute, peer));
+                HealthCheckMessage asked = HealthCheckMessage.of(awaitHealthCheckRequest(daemon, mute, peer));
                 int before = mute.commands();
-                ask(d, 40);
+                sendRequests(daemon, 40);
                 assertThat(mute.commands()).as("while the question is out").isEqualTo(before);
                 mute.mute(false);
                 byte[] sound = new DatagramEnvelope(NameHash.of("p2"), 1, List.of(), List.of(NameHash.of("p1")))
@@ -454,36 +464,36 @@
                                         .bytes());
                 peer.send(new DatagramPacket(sound, sound.length, InetAddress.getByName("127.0.0.1"), port));
                 while (mute.commands() == before) {
-                    ask(d, 20);
+                    sendRequests(daemon, 20);
                 }
                 assertThat(mute.tested()).as("empty commands").isZero();
-                assertThat(call(d, "GET /fleet")).contains("\"by_word\":1");
+                assertThat(call(daemon, "GET /fleet")).contains("\"by_word\":1");
             }
         }
     }
 
-    private void ask(Daemon d, int requests) throws Exception {
-        new LoadClient(fleet.loop(), d.address("main"), requests, i -> DaemonHarness.read("k/" + i))
+    private void sendRequests(Daemon daemon, int requests) throws Exception {
+        new LoadClient(fleet.loop(), daemon.address("main"), requests, i -> DaemonHarness.read("k/" + i))
                 .start(4, 1)
                 .get(100, TimeUnit.SECONDS);
     }
 
     /** Its watch is open and silent; another proxy has a later list and says so. */
     @Test
-    void aHolderWhoseWatchIsSilentAsksAnewWhenAnotherHasALaterList() throws Exception {
+    void holderOfSilentWatchPollsAgainWhenPeerHasNewerList() throws Exception {
         String host = "{\"host\":\"s-0000beef\",\"dial\":\""
                 + fleet.nodes.get(0).dial() + "\",\"site\":\"here\",\"class\":\"node\",\"block\":0,"
                 + "\"health\":\"up\",\"share\":1.0,\"born_ms\":0}";
         int port = Ports.free();
-        try (ScriptedServer discovery = new ScriptedServer(c -> {
-                    if (c.request().contains("since=0&")) {
-                        c.sayHttp(200, "", "{\"seq\":5,\"whole\":true,\"hosts\":[" + host + "]}");
-                        c.request();
+        try (ScriptedServer discovery = new ScriptedServer(third -> {
+                    if (third.request().contains("since=0&")) {
+                        third.sayHttp(200, "", "{\"seq\":5,\"whole\":true,\"hosts\":[" + host + "]}");
+                        third.request();
                     }
-                    c.awaitEnd();
+                    third.awaitEnd();
                 });
                 DatagramSocket peer = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
-                Daemon d = Daemon.start(
+                Daemon daemon = Daemon.start(
                         DaemonConfigReader.parse(
                                 "f",
                                 DaemonHarness.CLASSES + DaemonHarness.MAIN
@@ -496,7 +506,7 @@
                         5)) {
             assertThat(discovery.commands.take()).contains("since=0&");
             assertThat(discovery.commands.take()).contains("since=5&");
-            await(d, "GET /duties/watch.here.a", "200 ");
+            await(daemon, "GET /duties/watch.here.a", "200 ");
             byte[] later = new DatagramEnvelope(NameHash.of("p2"), 1, List.of(), List.of(NameHash.of("p1")))
                     .seal(
                             NameHash.of("p1"),
@@ -510,7 +520,7 @@
     }
 
     @Test
-    void whatIsWrongInTheProgramsOwnDutiesIsToldWithItsPlace() throws Exception {
+    void reportsInvalidInternalLeasesWithTheirPlace() throws Exception {
         String one = fleetOf("p1", 9, "", "p1@9");
         assertThatThrownBy(
                         () -> DaemonConfigReader.parse(
