--- a/src/main/java/cacheproxy/daemon/fleet/DelegatedWatches.java
+++ b/src/main/java/cacheproxy/daemon/fleet/DelegatedWatches.java
@@ -2,45 +2,37 @@
 
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.FleetConfig;
-import cacheproxy.daemon.ConfigSnapshot;
 import cacheproxy.daemon.PoolRuntime;
 import cacheproxy.discovery.DelegatedWatch;
 import cacheproxy.discovery.WatchVersionMessage;
 import cacheproxy.fleet.lease.NameHash;
 import cacheproxy.proxy.DiscoveryClient;
-import cacheproxy.proxy.EventLoopContext;
 import com.google.gson.JsonObject;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
 import java.util.SplittableRandom;
-import java.util.function.Consumer;
-import java.util.function.Supplier;
 
 /**
- * Discovery watched by one proxy of a zone for all: carries what {@link DelegatedWatch} decides, for each pool that
- * follows a list.
+ * The watch of discovery that one proxy of a zone keeps for all of them: carries what {@link DelegatedWatch} decides
+ * for each pool with discovery.
  */
 final class DelegatedWatches implements FleetProtocol {
     static final byte TOPIC = 3;
 
-    private final EventLoopContext core;
-    private final PeerLink link;
-    private final Supplier<ConfigSnapshot> generation;
+    private final FleetContext context;
     private final SplittableRandom random;
-    /** By pool, and by the duty, whose name has the zone in it. */
-    private final Map<String, DelegatedWatch> watches = new HashMap<>();
+    private final Map<String, DelegatedWatch> byPool = new HashMap<>();
+    /** The same by the id of the lease, whose name contains the zone. */
+    private final Map<Long, DelegatedWatch> byLease = new HashMap<>();
 
-    private final Map<Long, DelegatedWatch> byDuty = new HashMap<>();
-    private List<Long> zone = List.of();
+    private List<Long> otherPeersOfZone = List.of();
 
-    DelegatedWatches(
-            EventLoopContext core, PeerLink link, Supplier<ConfigSnapshot> generation, SplittableRandom random) {
-        this.core = core;
-        this.link = link;
-        this.generation = generation;
+    DelegatedWatches(FleetContext context, SplittableRandom random) {
+        this.context = context;
         this.random = random;
     }
 
@@ -50,111 +42,119 @@
     }
 
     @Override
-    public void apply(DaemonConfig file, double now) {
-        FleetConfig spec = file.part(FleetConfig.class);
-        Set<String> wanted = new HashSet<>(spec.watch() == null ? List.of() : FleetSubsystem.watched(file));
-        for (String pool : List.copyOf(watches.keySet())) {
-            if (!wanted.contains(pool) || !byDuty.containsKey(NameHash.of(spec.watchDuty(pool)))) {
-                watches.remove(pool);
-                client(pool, c -> c.pace(true));
-            }
-        }
-        byDuty.clear();
+    public void apply(DaemonConfig file, double nowMs) {
+        FleetConfig config = file.part(FleetConfig.class);
+        Set<String> wanted = new HashSet<>(config.watch() == null ? List.of() : LeaseSpec.watchedPools(file));
+        removeUnwanted(config, wanted);
+        byLease.clear();
         for (String pool : wanted) {
-            DelegatedWatch.Rules rules = new DelegatedWatch.Rules(
-                    spec.watch().beatMs(),
-                    spec.watch().wordMs(),
-                    spec.watch().lazyMs(),
-                    spec.watch().gatherMs());
-            String duty = spec.watchDuty(pool);
-            DelegatedWatch w = watches.computeIfAbsent(
-                    pool, p -> new DelegatedWatch(link.lease(duty), rules, random.split(), new Out(p)));
-            w.use(rules);
-            byDuty.put(NameHash.of(duty), w);
+            addOrUpdate(config, pool);
         }
-        zone = spec.names(spec.zone()).stream()
+        otherPeersOfZone = config.names(config.zone()).stream()
                 .map(NameHash::of)
-                .filter(id -> id != link.ownId())
+                .filter(id -> id != context.link().ownId())
                 .toList();
     }
 
-    /** How closely a pool's list is to be watched now. */
-    boolean closely(String pool) {
-        DelegatedWatch w = watches.get(pool);
-        return w == null || w.closely(core.now());
+    /** A watch ends with its pool, and with its lease where the zone has changed. */
+    private void removeUnwanted(FleetConfig config, Set<String> wanted) {
+        for (String pool : List.copyOf(byPool.keySet())) {
+            if (!wanted.contains(pool) || !byLease.containsKey(NameHash.of(config.watchDuty(pool)))) {
+                byPool.remove(pool);
+                discoveryOf(pool).ifPresent(client -> client.pace(true));
+            }
+        }
     }
 
-    void have(String pool, long version) {
-        DelegatedWatch w = watches.get(pool);
-        if (w != null) {
-            w.have(core.now(), version);
+    private void addOrUpdate(FleetConfig config, String pool) {
+        DelegatedWatch.Rules timing = new DelegatedWatch.Rules(
+                config.watch().beatMs(),
+                config.watch().wordMs(),
+                config.watch().lazyMs(),
+                config.watch().gatherMs());
+        String lease = config.watchDuty(pool);
+        DelegatedWatch watch = byPool.computeIfAbsent(
+                pool,
+                newPool -> new DelegatedWatch(
+                        context.link().lease(lease), timing, random.split(), new WatchOutbox(newPool)));
+        watch.use(timing);
+        byLease.put(NameHash.of(lease), watch);
+    }
+
+    /** Whether this proxy itself long-polls discovery for a pool. */
+    boolean watchesClosely(String pool) {
+        DelegatedWatch watch = byPool.get(pool);
+        return watch == null || watch.closely(context.nowMs());
+    }
+
+    /** An endpoint list has arrived for a pool. */
+    void listReceived(String pool, long version) {
+        DelegatedWatch watch = byPool.get(pool);
+        if (watch != null) {
+            watch.have(context.nowMs(), version);
         }
     }
 
     @Override
-    public void receive(double now, long from, byte[] payload) {
-        WatchVersionMessage word = WatchVersionMessage.of(payload);
-        DelegatedWatch w = word == null ? null : byDuty.get(word.duty());
-        if (w != null) {
-            w.heard(now, from, word);
+    public void receive(double nowMs, long from, byte[] payload) {
+        WatchVersionMessage message = WatchVersionMessage.of(payload);
+        DelegatedWatch watch = message == null ? null : byLease.get(message.duty());
+        if (watch != null) {
+            watch.heard(nowMs, from, message);
         }
     }
 
     @Override
-    public double tick(double now) {
-        double next = Double.POSITIVE_INFINITY;
-        for (DelegatedWatch w : watches.values()) {
-            next = Math.min(next, w.tick(now));
+    public double tick(double nowMs) {
+        double nextMs = Double.POSITIVE_INFINITY;
+        for (DelegatedWatch watch : byPool.values()) {
+            nextMs = Math.min(nextMs, watch.tick(nowMs));
         }
-        return next;
+        return nextMs;
     }
 
     @Override
     public void describe(JsonObject state) {
-        JsonObject all = new JsonObject();
-        watches.forEach((pool, w) -> {
-            JsonObject o = new JsonObject();
-            o.addProperty("closely", w.closely(core.now()));
-            o.addProperty("version", w.version());
-            all.add(pool, o);
+        JsonObject watches = new JsonObject();
+        byPool.forEach((pool, watch) -> {
+            JsonObject json = new JsonObject();
+            json.addProperty("closely", watch.closely(context.nowMs()));
+            json.addProperty("version", watch.version());
+            watches.add(pool, json);
         });
-        state.add("watches", all);
+        state.add("watches", watches);
     }
 
-    private void client(String pool, Consumer<DiscoveryClient> act) {
-        ConfigSnapshot g = generation.get();
-        PoolRuntime p = g == null ? null : g.pools.get(pool);
-        if (p != null && p.discovery() != null) {
-            act.accept(p.discovery());
-        }
+    private Optional<DiscoveryClient> discoveryOf(String pool) {
+        return context.pool(pool).map(PoolRuntime::discovery);
     }
 
-    private final class Out implements DelegatedWatch.Out {
+    private final class WatchOutbox implements DelegatedWatch.Out {
         private final String pool;
 
-        Out(String pool) {
+        WatchOutbox(String pool) {
             this.pool = pool;
         }
 
         @Override
-        public void tell(WatchVersionMessage w) {
-            byte[] bytes = w.bytes();
-            zone.forEach(to -> link.send(to, DelegatedWatches.this, bytes));
+        public void tell(WatchVersionMessage message) {
+            byte[] payload = message.bytes();
+            otherPeersOfZone.forEach(to -> context.link().send(to, DelegatedWatches.this, payload));
         }
 
         @Override
-        public void tell(long to, WatchVersionMessage w) {
-            link.send(to, DelegatedWatches.this, w.bytes());
+        public void tell(long to, WatchVersionMessage message) {
+            context.link().send(to, DelegatedWatches.this, message.bytes());
         }
 
         @Override
-        public void closely(boolean on) {
-            client(pool, c -> c.pace(on));
+        public void closely(boolean closely) {
+            discoveryOf(pool).ifPresent(client -> client.pace(closely));
         }
 
         @Override
         public void ask() {
-            client(pool, DiscoveryClient::ask);
+            discoveryOf(pool).ifPresent(DiscoveryClient::ask);
         }
     }
 }
--- a/src/main/java/cacheproxy/daemon/fleet/FleetHealthChecks.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetHealthChecks.java
@@ -2,7 +2,6 @@
 
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.FleetConfig;
-import cacheproxy.daemon.ConfigSnapshot;
 import cacheproxy.fleet.healthcheck.HealthCheckCoordinator;
 import cacheproxy.fleet.healthcheck.HealthCheckCounts;
 import cacheproxy.fleet.healthcheck.HealthCheckMessage;
@@ -11,47 +10,41 @@
 import cacheproxy.fleet.lease.LeaseHandle;
 import cacheproxy.policy.PolicyApi.Outcome;
 import cacheproxy.proxy.Dispatcher;
-import cacheproxy.proxy.EventLoopContext;
 import com.google.gson.JsonObject;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.Set;
-import java.util.function.Supplier;
+import java.util.stream.Stream;
 
 /**
- * Tests of servers that seem sick, by one proxy for all: carries what {@link HealthCheckCoordinator} decides between
- * pools and peers.
+ * Health checks of ejected servers by one proxy for all: carries what {@link HealthCheckCoordinator} decides between
+ * pools and peers. A check is an empty command of a pool, or, where the configuration says so, a client's request.
  */
 final class FleetHealthChecks implements FleetProtocol {
     static final byte TOPIC = 2;
-    /** A request that may be a trial is waited for so long: less than the desk waits for the trial's end. */
-    private static final double BEGIN_MS = 1.5 * Dispatcher.PROBE_TIMEOUT_MS;
-
-    private final EventLoopContext core;
-    private final PeerLink link;
-    private final Supplier<ConfigSnapshot> generation;
-    private final long numbers;
-    /** Pools that wait for word of a server. */
-    private final Map<Integer, Set<Dispatcher>> waiting = new HashMap<>();
+    /** Wait for a request that can be the check; shorter than the coordinator's wait for the check's end. */
+    private static final double REQUEST_WAIT_MS = 1.5 * Dispatcher.PROBE_TIMEOUT_MS;
+
+    private final FleetContext context;
+    private final long firstRequestNumber;
+    /** Pools that wait for the result of a server's check. */
+    private final Map<Integer, Set<Dispatcher>> waitingPools = new HashMap<>();
     /**
-     * Where clients' requests are the trials: servers whose next attempt from here is one, with the time by which it is
-     * to begin. What a module believes to be sick gets one request; what it believes to be sound is judged by what it
-     * gets anyway.
+     * Where clients' requests are the checks: servers whose next attempt from here is one, with the time by which it is
+     * to begin.
      */
-    private final Map<Integer, Double> armed = new HashMap<>();
-
-    private boolean requests;
-    /** Null while the file has none. */
-    private HealthCheckCoordinator desk;
-
-    /** @param numbers where its questions' numbers begin */
-    FleetHealthChecks(EventLoopContext core, PeerLink link, Supplier<ConfigSnapshot> generation, long numbers) {
-        this.core = core;
-        this.link = link;
-        this.generation = generation;
-        this.numbers = numbers;
+    private final Map<Integer, Double> armedUntilMs = new HashMap<>();
+
+    private boolean checksByRequests;
+    /** Null while the configuration has no shared health checks. */
+    private HealthCheckCoordinator coordinator;
+
+    FleetHealthChecks(FleetContext context, long firstRequestNumber) {
+        this.context = context;
+        this.firstRequestNumber = firstRequestNumber;
     }
 
     @Override
@@ -60,165 +53,165 @@
     }
 
     @Override
-    public void apply(DaemonConfig file, double now) {
-        FleetConfig spec = file.part(FleetConfig.class);
-        if (spec.probe() == null) {
+    public void apply(DaemonConfig file, double nowMs) {
+        FleetConfig config = file.part(FleetConfig.class);
+        if (config.probe() == null) {
             close();
             return;
         }
-        requests = spec.probe().requests();
-        HealthCheckTiming rules = new HealthCheckTiming(
+        checksByRequests = config.probe().requests();
+        HealthCheckTiming timing = new HealthCheckTiming(
                 Dispatcher.PROBE_TIMEOUT_MS,
-                spec.probe().patienceMs(),
-                spec.probe().reuseMs());
-        List<LeaseHandle> shares = spec.probeDuties().stream().map(link::lease).toList();
-        if (desk == null) {
-            desk = new HealthCheckCoordinator(link.ownId(), numbers, rules, shares, new Out());
+                config.probe().patienceMs(),
+                config.probe().reuseMs());
+        PeerLink link = context.link();
+        List<LeaseHandle> shares =
+                config.probeDuties().stream().map(link::lease).toList();
+        if (coordinator == null) {
+            coordinator = new HealthCheckCoordinator(
+                    link.ownId(), firstRequestNumber, timing, shares, new CoordinatorOutbox());
         } else {
-            desk.update(rules, shares);
+            coordinator.update(timing, shares);
         }
     }
 
-    /** Gives the tests that are waited for back to the pools: a server whose test has no end would stay out. */
+    /** Gives checks that have no result yet back to their pools: a server without a result would stay ejected. */
     void close() {
-        Map<Integer, Set<Dispatcher>> left = Map.copyOf(waiting);
-        waiting.clear();
-        armed.clear();
-        desk = null;
-        if (requests) {
-            return; // its modules ask again with the next request
+        Map<Integer, Set<Dispatcher>> unfinished = Map.copyOf(waitingPools);
+        waitingPools.clear();
+        armedUntilMs.clear();
+        coordinator = null;
+        if (checksByRequests) {
+            return; // the pools ask again with their next request
         }
-        left.forEach((server, pools) -> pools.forEach(p -> p.probe(server, null)));
+        unfinished.forEach((server, pools) -> pools.forEach(pool -> pool.probe(server, null)));
     }
 
-    /** Takes over a test that a pool's module has ordered; false: there is nobody to ask. */
+    /** Takes over a check that a pool has ordered; false if the pool has to make it. */
     boolean take(Dispatcher pool, int server) {
-        if (desk == null || requests) {
+        if (coordinator == null || checksByRequests) {
             return false;
         }
-        waiting.computeIfAbsent(server, k -> new HashSet<>()).add(pool);
-        core.loop()
-                .execute(
-                        () -> { // the module is still giving its orders
-                            if (desk != null) {
-                                desk.request(core.now(), server);
-                            }
-                        });
+        addWaitingPool(server, pool);
+        // The pool's policy is still giving its orders.
+        context.execute(() -> {
+            if (coordinator != null) {
+                coordinator.request(context.nowMs(), server);
+            }
+        });
         return true;
     }
 
+    private void addWaitingPool(int server, Dispatcher pool) {
+        waitingPools.computeIfAbsent(server, newServer -> new HashSet<>()).add(pool);
+    }
+
     /**
-     * Whether a client's request may be the trial of a server that seemed sick; if not, word of its holder is asked
-     * for.
+     * Whether a client's request may be the check of an ejected server; if not, the lease holder's result is requested.
      */
-    boolean mayTry(Dispatcher pool, int server) {
-        if (desk == null || !requests) {
+    boolean mayProbe(Dispatcher pool, int server) {
+        if (coordinator == null || !checksByRequests) {
             return true;
         }
-        if (!armed.containsKey(server)) {
-            waiting.computeIfAbsent(server, k -> new HashSet<>()).add(pool);
-            desk.request(core.now(), server);
+        if (!armedUntilMs.containsKey(server)) {
+            addWaitingPool(server, pool);
+            coordinator.request(context.nowMs(), server);
         }
-        // It stays armed until an attempt ends: by then the module has marked the trial as its own.
-        return armed.containsKey(server);
+        // It stays armed until an attempt ends: by then the pool has marked the attempt as its check.
+        return armedUntilMs.containsKey(server);
     }
 
-    /** The end of any attempt: where one is waited for, that is the trial's. */
+    /** An attempt has ended; where a server is armed, this was its check. */
     void attemptEnded(Dispatcher pool, int server, Outcome outcome) {
-        if (armed.isEmpty()
+        if (armedUntilMs.isEmpty()
                 || outcome == Outcome.CANCELLED
                 || outcome == Outcome.NOT_SENT
-                || armed.remove(server) == null) {
+                || armedUntilMs.remove(server) == null) {
             return;
         }
-        boolean sound = outcome == Outcome.OK || outcome == Outcome.MISS;
-        waiting.getOrDefault(server, Set.of()).remove(pool); // its module has seen it
-        core.loop().execute(() -> {
-            if (desk != null) {
-                desk.finished(core.now(), server, sound);
+        boolean healthy = outcome == Outcome.OK || outcome == Outcome.MISS;
+        waitingPools.getOrDefault(server, Set.of()).remove(pool); // it has seen the outcome itself
+        finishLater(server, healthy);
+    }
+
+    private void finishLater(int server, boolean healthy) {
+        context.execute(() -> {
+            if (coordinator != null) {
+                coordinator.finished(context.nowMs(), server, healthy);
             }
         });
     }
 
     @Override
-    public void receive(double now, long from, byte[] payload) {
-        HealthCheckMessage m = HealthCheckMessage.of(payload);
-        if (desk != null && m != null) {
-            desk.receive(now, from, m);
+    public void receive(double nowMs, long from, byte[] payload) {
+        HealthCheckMessage message = HealthCheckMessage.of(payload);
+        if (coordinator != null && message != null) {
+            coordinator.receive(nowMs, from, message);
         }
     }
 
     @Override
-    public double tick(double now) {
-        if (desk == null) {
+    public double tick(double nowMs) {
+        if (coordinator == null) {
             return Double.POSITIVE_INFINITY;
         }
-        // No request came for it: that says nothing of the server. Modules ask again with the next.
-        armed.entrySet().removeIf(e -> {
-            boolean over = now >= e.getValue();
-            if (over) {
-                waiting.remove(e.getKey());
-                desk.abandon(e.getKey());
+        armedUntilMs.entrySet().removeIf(armed -> {
+            boolean expired = nowMs >= armed.getValue();
+            if (expired) {
+                // No request came, which says nothing of the server; pools ask again with their next one.
+                waitingPools.remove(armed.getKey());
+                coordinator.abandon(armed.getKey());
             }
-            return over;
+            return expired;
         });
-        return desk.tick(now);
+        return coordinator.tick(nowMs);
     }
 
     @Override
     public void describe(JsonObject state) {
-        if (desk != null) {
-            HealthCheckCounts c = desk.counts();
-            JsonObject o = new JsonObject();
-            o.addProperty("own", c.ownChecks());
-            o.addProperty("for_others", c.checksForOthers());
-            o.addProperty("by_word", c.reportedResults());
-            o.addProperty("word_too_late", c.lateResults());
-            o.addProperty("word_of_older_epochs", c.staleEpochResults());
-            state.add("trials", o);
+        if (coordinator != null) {
+            HealthCheckCounts counts = coordinator.counts();
+            JsonObject json = new JsonObject();
+            json.addProperty("own", counts.ownChecks());
+            json.addProperty("for_others", counts.checksForOthers());
+            json.addProperty("by_word", counts.reportedResults());
+            json.addProperty("word_too_late", counts.lateResults());
+            json.addProperty("word_of_older_epochs", counts.staleEpochResults());
+            state.add("trials", json);
         }
     }
 
-    private final class Out implements HealthCheckOutbox {
+    private final class CoordinatorOutbox implements HealthCheckOutbox {
         @Override
-        public void send(long to, HealthCheckMessage m) {
-            link.send(to, FleetHealthChecks.this, m.bytes());
+        public void send(long to, HealthCheckMessage message) {
+            context.link().send(to, FleetHealthChecks.this, message.bytes());
         }
 
         @Override
         public boolean start(int server) {
-            Set<Dispatcher> asked = waiting.getOrDefault(server, Set.of());
-            Dispatcher by = asked.stream()
-                    .filter(d -> d.dial(server) != null)
-                    .findFirst()
-                    .orElseGet(() -> generation.get().pools.values().stream()
-                            .map(p -> p.dispatcher)
-                            .filter(d -> d.dial(server) != null)
-                            .findFirst()
-                            .orElse(null));
-            if (by == null) {
+            Optional<Dispatcher> pool = firstPoolWith(server, waitingPools.getOrDefault(server, Set.of()).stream())
+                    .or(() -> firstPoolWith(server, context.pools().stream().map(runtime -> runtime.dispatcher)));
+            if (pool.isEmpty()) {
                 return false;
             }
-            if (requests) {
-                armed.put(server, core.now() + BEGIN_MS);
-                return true;
+            if (checksByRequests) {
+                armedUntilMs.put(server, context.nowMs() + REQUEST_WAIT_MS);
+            } else {
+                pool.get().probe(server, outcome -> finishLater(server, outcome == Outcome.OK));
             }
-            by.probe(
-                    server,
-                    outcome -> core.loop().execute(() -> {
-                        if (desk != null) {
-                            desk.finished(core.now(), server, outcome == Outcome.OK);
-                        }
-                    }));
             return true;
         }
 
+        private static Optional<Dispatcher> firstPoolWith(int server, Stream<Dispatcher> pools) {
+            return pools.filter(pool -> pool.dial(server) != null).findFirst();
+        }
+
         @Override
-        public void report(int server, boolean sound) {
-            Set<Dispatcher> pools = waiting.remove(server);
+        public void report(int server, boolean healthy) {
+            Set<Dispatcher> pools = waitingPools.remove(server);
             if (pools != null) {
-                core.loop()
-                        .execute(() -> pools.forEach(p -> p.probed(server, sound))); // a module may be asking just now
+                // A pool's policy may be asking just now.
+                context.execute(() -> pools.forEach(pool -> pool.probed(server, healthy)));
             }
         }
     }
--- a/src/main/java/cacheproxy/daemon/fleet/FleetMembership.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetMembership.java
@@ -7,23 +7,25 @@
 import cacheproxy.fleet.membership.SwimMembership;
 import cacheproxy.fleet.membership.SwimMessage;
 import cacheproxy.fleet.membership.SwimTiming;
-import cacheproxy.proxy.EventLoopContext;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
 import java.util.SplittableRandom;
 
-/** Carries what {@link SwimMembership} decides between the proxies of a fleet. On the event loop only. */
+/** Carries the messages of {@link SwimMembership} between the proxies of a fleet. */
 final class FleetMembership implements FleetProtocol {
     static final byte TOPIC = 6;
 
-    private final EventLoopContext core;
-    private final SwimMembership members;
-    private boolean on;
+    private final SwimMembership membership;
+    private boolean enabled;
 
-    FleetMembership(EventLoopContext core, PeerLink link, SplittableRandom random) {
-        this.core = core;
-        members = new SwimMembership(
-                link.ownId(), SwimTiming.DEFAULT, random, core.now(), (to, m) -> link.send(to, this, m.bytes()));
+    FleetMembership(FleetContext context, SplittableRandom random) {
+        PeerLink link = context.link();
+        membership = new SwimMembership(
+                link.ownId(),
+                SwimTiming.DEFAULT,
+                random,
+                context.nowMs(),
+                (to, message) -> link.send(to, this, message.bytes()));
     }
 
     @Override
@@ -31,44 +33,44 @@
         return TOPIC;
     }
 
-    /** Only what uses it pays for it. */
+    /** Enabled only where there are quotas, which alone use it. */
     @Override
-    public void apply(DaemonConfig file, double now) {
-        FleetConfig spec = file.part(FleetConfig.class);
-        on = !spec.limits().limits().isEmpty();
-        members.updateMembers(
-                spec.peers().stream().map(p -> NameHash.of(p.name())).toList(), now);
+    public void apply(DaemonConfig file, double nowMs) {
+        FleetConfig config = file.part(FleetConfig.class);
+        enabled = !config.limits().limits().isEmpty();
+        membership.updateMembers(
+                config.peers().stream().map(peer -> NameHash.of(peer.name())).toList(), nowMs);
     }
 
-    /** Whether a peer may be there; where nobody looks all may. */
+    /** Whether a peer may be alive; each may where membership is not enabled. */
     boolean isLikelyAlive(long peer) {
-        return !on || members.statusOf(peer) == MemberStatus.ALIVE;
+        return !enabled || membership.statusOf(peer) == MemberStatus.ALIVE;
     }
 
     @Override
-    public void receive(double now, long from, byte[] payload) {
-        SwimMessage m = SwimMessage.of(payload);
-        if (m != null) {
-            members.receive(now, from, m);
+    public void receive(double nowMs, long from, byte[] payload) {
+        SwimMessage message = SwimMessage.of(payload);
+        if (message != null) {
+            membership.receive(nowMs, from, message);
         }
     }
 
     @Override
-    public double tick(double now) {
-        return on ? members.tick(now) : Double.POSITIVE_INFINITY;
+    public double tick(double nowMs) {
+        return enabled ? membership.tick(nowMs) : Double.POSITIVE_INFINITY;
     }
 
     @Override
     public void describe(JsonObject state) {
-        if (!on) {
+        if (!enabled) {
             return;
         }
-        state.addProperty("doubts_itself", members.localHealthScore());
-        for (JsonElement e : state.getAsJsonArray("peers")) {
-            JsonObject p = e.getAsJsonObject();
-            p.addProperty(
-                    "standing",
-                    members.statusOf(NameHash.of(p.get("name").getAsString())).jsonName());
+        state.addProperty("doubts_itself", membership.localHealthScore());
+        for (JsonElement element : state.getAsJsonArray("peers")) {
+            JsonObject peer = element.getAsJsonObject();
+            MemberStatus status =
+                    membership.statusOf(NameHash.of(peer.get("name").getAsString()));
+            peer.addProperty("standing", status.jsonName());
         }
     }
 }
--- a/src/main/java/cacheproxy/daemon/fleet/FleetProtocol.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetProtocol.java
@@ -1,33 +1,25 @@
 package cacheproxy.daemon.fleet;
 
 import cacheproxy.config.DaemonConfig;
-import cacheproxy.fleet.lease.LeaseHandle;
 import com.google.gson.JsonObject;
 
-/** What acts under the program's own duties and talks to its like at the other proxies. On the event loop only. */
+/**
+ * An exchange of messages between the proxies of a fleet under a topic of its own. {@link FleetSubsystem} calls all of
+ * it, on the event loop. Times are milliseconds of the event loop's monotonic clock.
+ */
 interface FleetProtocol {
-    /** What users have of the fleet. */
-    interface PeerLink {
-        /** To a peer; to nobody where it is none. */
-        void send(long to, FleetProtocol from, byte[] payload);
-
-        LeaseHandle lease(String duty);
-
-        /** This proxy's id among the peers. */
-        long ownId();
-    }
-
-    /** What its datagrams are about; leases have 1. */
+    /** The topic of its datagrams, different for each protocol; {@link FleetLeases#TOPIC} is that of the leases. */
     byte topic();
 
-    /** The file counts from now on; the duties that it names are stood for already. */
-    void apply(DaemonConfig file, double now);
+    /** Adopts a configuration; the leases that it names are already campaigned for. */
+    void apply(DaemonConfig file, double nowMs);
 
-    void receive(double now, long from, byte[] payload);
+    /** Takes a payload that a peer has sent under the topic; a malformed one is ignored. */
+    void receive(double nowMs, long from, byte[] payload);
 
-    /** Adds what operators may want to know of it. */
+    /** Adds what operators may want to know to the JSON of {@code GET /fleet}. */
     void describe(JsonObject state);
 
-    /** Does what is due; when to be called again, at the latest. */
-    double tick(double now);
+    /** Does what is due; returns when to call it again, at the latest. */
+    double tick(double nowMs);
 }
--- a/src/main/java/cacheproxy/daemon/fleet/FleetQuotas.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetQuotas.java
@@ -54,11 +54,11 @@
     private final Map<String, long[]> counted = new HashMap<>();
     private final Map<String, Double> alone = new LinkedHashMap<>();
 
-    /** @param likely whether a peer may be there */
-    FleetQuotas(EventLoopContext core, PeerLink link, SplittableRandom random, LongPredicate likely) {
+    /** @param likely whether a peer may be alive */
+    FleetQuotas(FleetContext context, SplittableRandom random, LongPredicate likely) {
         this.likely = likely;
-        this.core = core;
-        this.link = link;
+        this.core = context.core();
+        this.link = context.link();
         this.random = random;
         startMs = core.now();
     }
--- /dev/null
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetStateEndpoint.java
@@ -0,0 +1,50 @@
+package cacheproxy.daemon.fleet;
+
+import cacheproxy.control.ControlEndpoints.Answer;
+import cacheproxy.control.ControlRequestHandler;
+import com.google.gson.JsonArray;
+import com.google.gson.JsonObject;
+import java.util.List;
+import java.util.function.DoubleSupplier;
+
+/** Answers {@code GET /fleet}: the peers, and what each protocol adds. */
+final class FleetStateEndpoint implements ControlRequestHandler {
+    private static final int OK = 200;
+    private static final int METHOD_NOT_ALLOWED = 405;
+
+    private final String ownName;
+    private final FleetSocket socket;
+    private final List<FleetProtocol> protocols;
+    private final DoubleSupplier clock;
+
+    FleetStateEndpoint(String ownName, FleetSocket socket, List<FleetProtocol> protocols, DoubleSupplier clock) {
+        this.ownName = ownName;
+        this.socket = socket;
+        this.protocols = protocols;
+        this.clock = clock;
+    }
+
+    @Override
+    public Answer call(String method, String uri) {
+        if (!method.equals("GET")) {
+            return new Answer(METHOD_NOT_ALLOWED, "use GET /fleet", "GET");
+        }
+        JsonObject state = new JsonObject();
+        state.addProperty("me", ownName);
+        JsonArray peers = new JsonArray();
+        socket.names().forEach((id, name) -> peers.add(peerAsJson(id, name)));
+        state.add("peers", peers);
+        protocols.forEach(protocol -> protocol.describe(state));
+        return new Answer(OK, state.toString());
+    }
+
+    private JsonObject peerAsJson(long id, String name) {
+        JsonObject peer = new JsonObject();
+        peer.addProperty("name", name);
+        double lastReceivedMs = socket.lastReceivedMs(id);
+        if (lastReceivedMs > Double.NEGATIVE_INFINITY) {
+            peer.addProperty("heard_ms_ago", Math.round(clock.getAsDouble() - lastReceivedMs));
+        }
+        return peer;
+    }
+}
--- a/src/main/java/cacheproxy/daemon/fleet/LeaseEndpoints.java
+++ b/src/main/java/cacheproxy/daemon/fleet/LeaseEndpoints.java
@@ -12,75 +12,90 @@
 import java.util.Set;
 import java.util.function.DoubleSupplier;
 
-/** What operators ask of duties at the control address. */
+/** The requests on leases at the control address: their list, the epoch of one, and its transfer to another proxy. */
 final class LeaseEndpoints implements ControlRequestHandler {
-    private final LeaseManager duties;
+    private static final int OK = 200;
+    private static final int BAD_REQUEST = 400;
+    private static final int NOT_FOUND = 404;
+    private static final int METHOD_NOT_ALLOWED = 405;
+    private static final int CONFLICT = 409;
+    private static final int UNAVAILABLE = 503;
+    private static final String NOT_HELD = "not held here";
+
+    private final LeaseManager leases;
     private final DoubleSupplier clock;
-    private final long me;
-    private Map<Long, String> names = Map.of();
-    private Set<String> told = Set.of();
+    private final long ownId;
+    private Map<Long, String> peerNames = Map.of();
+    private Set<String> shownLeases = Set.of();
 
-    LeaseEndpoints(LeaseManager duties, DoubleSupplier clock, long me) {
-        this.duties = duties;
+    LeaseEndpoints(LeaseManager leases, DoubleSupplier clock, long ownId) {
+        this.leases = leases;
         this.clock = clock;
-        this.me = me;
+        this.ownId = ownId;
     }
 
-    /** Peers' names, and the duties that are told of. */
-    void use(Map<Long, String> peers, Set<String> known) {
-        names = Map.copyOf(peers);
-        told = Set.copyOf(known);
+    /** Replaces the peers' names by id, and the leases that operators are shown. */
+    void use(Map<Long, String> names, Set<String> shown) {
+        peerNames = Map.copyOf(names);
+        shownLeases = Set.copyOf(shown);
     }
 
     @Override
     public Answer call(String method, String uri) {
         QueryStringDecoder query = new QueryStringDecoder(uri);
         String[] path = query.path().substring(1).split("/", -1);
-        boolean transfer = path.length == 3 && path[2].equals("transfer");
-        String needed = transfer ? "POST" : "GET";
-        if (path.length > 2 && !transfer) {
+        boolean isTransfer = path.length == 3 && path[2].equals("transfer");
+        if (path.length > 2 && !isTransfer) {
             return new Answer(
-                    404, "the calls are GET /duties, GET /duties/NAME and POST /duties/NAME/transfer?to=PEER");
+                    NOT_FOUND, "the calls are GET /duties, GET /duties/NAME and POST /duties/NAME/transfer?to=PEER");
         }
-        if (!method.equals(needed)) {
-            return new Answer(405, "use " + needed + " " + query.path(), needed);
+        String allowed = isTransfer ? "POST" : "GET";
+        if (!method.equals(allowed)) {
+            return new Answer(METHOD_NOT_ALLOWED, "use " + allowed + " " + query.path(), allowed);
         }
         if (path.length == 1) {
-            return new Answer(200, json().toString());
+            return new Answer(OK, listAsJson().toString());
         }
-        if (!told.contains(path[1])) {
-            return new Answer(404, "there is no such duty");
+        if (!shownLeases.contains(path[1])) {
+            return new Answer(NOT_FOUND, "there is no such duty");
         }
-        double now = clock.getAsDouble();
-        if (transfer) {
-            List<String> to = query.parameters().getOrDefault("to", List.of());
-            long id = to.isEmpty() ? NameHash.NOBODY : NameHash.of(to.get(0));
-            if (!names.containsKey(id) || id == me) {
-                return new Answer(400, "say to=PEER, the name of another proxy");
-            }
-            return duties.transfer(path[1], id, now, "handed to " + names.get(id))
-                    ? new Answer(200, "handing it to " + names.get(id))
-                    : new Answer(409, "not held here");
+        return isTransfer ? transfer(path[1], query) : epoch(path[1]);
+    }
+
+    private Answer epoch(String lease) {
+        long epoch = leases.permit(lease, clock.getAsDouble(), 0);
+        return epoch >= 0 ? new Answer(OK, Long.toString(epoch)) : new Answer(UNAVAILABLE, NOT_HELD);
+    }
+
+    private Answer transfer(String lease, QueryStringDecoder query) {
+        List<String> receivers = query.parameters().getOrDefault("to", List.of());
+        long receiver = receivers.isEmpty() ? NameHash.NOBODY : NameHash.of(receivers.get(0));
+        String name = peerNames.get(receiver);
+        if (name == null || receiver == ownId) {
+            return new Answer(BAD_REQUEST, "say to=PEER, the name of another proxy");
         }
-        long epoch = duties.permit(path[1], now, 0);
-        return epoch >= 0 ? new Answer(200, Long.toString(epoch)) : new Answer(503, "not held here");
+        return leases.transfer(lease, receiver, clock.getAsDouble(), "handed to " + name)
+                ? new Answer(OK, "handing it to " + name)
+                : new Answer(CONFLICT, NOT_HELD);
     }
 
-    private JsonArray json() {
+    private JsonArray listAsJson() {
         JsonArray list = new JsonArray();
-        double now = clock.getAsDouble();
-        for (LeaseManager.Sight s : duties.sights(now)) {
-            if (!told.contains(s.duty())) {
-                continue;
+        for (LeaseManager.Sight lease : leases.sights(clock.getAsDouble())) {
+            if (shownLeases.contains(lease.duty())) {
+                list.add(asJson(lease));
             }
-            JsonObject o = new JsonObject();
-            o.addProperty("duty", s.duty());
-            o.addProperty("holding", s.holding());
-            o.addProperty("epoch", s.epoch());
-            o.addProperty("left_ms", Math.round(s.leftMs()));
-            o.addProperty("holder", names.get(s.holder()));
-            list.add(o);
         }
         return list;
     }
+
+    private JsonObject asJson(LeaseManager.Sight lease) {
+        JsonObject json = new JsonObject();
+        json.addProperty("duty", lease.duty());
+        json.addProperty("holding", lease.holding());
+        json.addProperty("epoch", lease.epoch());
+        json.addProperty("left_ms", Math.round(lease.leftMs()));
+        json.addProperty("holder", peerNames.get(lease.holder()));
+        return json;
+    }
 }
--- /dev/null
+++ b/src/main/java/cacheproxy/daemon/fleet/LeaseSpec.java
@@ -0,0 +1,58 @@
+package cacheproxy.daemon.fleet;
+
+import cacheproxy.config.DaemonConfig;
+import cacheproxy.config.FleetConfig;
+import cacheproxy.fleet.lease.VoterSet;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/**
+ * A lease that this proxy campaigns for.
+ *
+ * @param leaseMs the time of a grant
+ * @param voters how many peers vote on it
+ * @param zone whose peers take part; null: those of all zones
+ */
+record LeaseSpec(double leaseMs, int voters, String zone) {
+    /** Pools whose watch of discovery is delegated; further ones are watched by each proxy. */
+    private static final int MAX_WATCHED_POOLS = 256;
+
+    /** The leases of a configuration by name: the operators' own first, then those of the fleet's protocols. */
+    static Map<String, LeaseSpec> of(DaemonConfig file) {
+        FleetConfig config = file.part(FleetConfig.class);
+        Map<String, LeaseSpec> specs = new LinkedHashMap<>();
+        config.duties().forEach(duty -> specs.put(duty.name(), new LeaseSpec(duty.leaseMs(), duty.voters(), null)));
+        for (String name : config.probeDuties()) {
+            specs.put(
+                    name, new LeaseSpec(config.probe().leaseMs(), config.probe().voters(), null));
+        }
+        for (String name : config.limits().duties()) {
+            specs.put(
+                    name,
+                    new LeaseSpec(config.limits().leaseMs(), config.limits().voters(), null));
+        }
+        if (config.watch() != null && !config.names(config.zone()).isEmpty()) {
+            for (String pool : watchedPools(file)) {
+                specs.put(
+                        config.watchDuty(pool),
+                        new LeaseSpec(config.watch().leaseMs(), config.watch().voters(), config.zone()));
+            }
+        }
+        return specs;
+    }
+
+    /** Pools with discovery, up to the bound. */
+    static List<String> watchedPools(DaemonConfig file) {
+        return file.pools().values().stream()
+                .filter(pool -> pool.discovery() != null)
+                .map(DaemonConfig.Pool::name)
+                .limit(MAX_WATCHED_POOLS)
+                .toList();
+    }
+
+    /** The voters on the lease of this name. */
+    VoterSet voterSet(String name, FleetConfig config) {
+        return new VoterSet(name, config.names(zone), config.namesBefore(zone), voters);
+    }
+}
--- a/src/main/java/cacheproxy/daemon/fleet/PeerListMonitor.java
+++ b/src/main/java/cacheproxy/daemon/fleet/PeerListMonitor.java
@@ -2,12 +2,10 @@
 
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.FleetConfig;
-import cacheproxy.daemon.ConfigSnapshot;
 import cacheproxy.fleet.lease.NameHash;
 import cacheproxy.fleet.lease.ServerReachability;
 import cacheproxy.fleet.peer.PeerListRelation;
 import cacheproxy.fleet.peer.PeerListTransition;
-import cacheproxy.proxy.EventLoopContext;
 import com.google.gson.JsonObject;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -16,40 +14,38 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import java.util.function.Supplier;
 
 /**
- * Tells the others, one of them a second, by which list of peers this process goes and whether it reaches servers;
- * tells operators of those that go by another list. A process that reaches none where others do is not able to hold
- * duties.
+ * Reports this proxy's peer list and whether it reaches servers to one peer each second, warns operators of peers with
+ * another list, and tells whether this proxy may hold leases: one that reaches no server while others do may not.
  */
 final class PeerListMonitor implements FleetProtocol {
     static final byte TOPIC = 4;
-    private static final double EVERY_MS = 1000;
-    /** Without a sound server for so long it reaches none; another's word that it does counts for so long. */
-    private static final double OUT_MS = 3000;
+    /** A payload is a report of the peer list and a byte that is 1 if the sender reaches a server. */
+    private static final int PAYLOAD_BYTES = PeerListTransition.MESSAGE_BYTES + 1;
 
-    private static final double WORD_MS = 10_000;
-    /** While a file is being taken up by all, they differ for some time. */
-    private static final double TELL_AFTER_MS = 10_000;
+    private static final int REACHES_SERVERS_OFFSET = PeerListTransition.MESSAGE_BYTES;
+    private static final double REPORT_INTERVAL_MS = 1000;
+    /** Without a healthy server for so long this proxy reaches none. */
+    private static final double UNREACHABLE_AFTER_MS = 3000;
+    /** How long a peer's report that it reaches servers counts. */
+    private static final double REACHABILITY_EXPIRY_MS = 10_000;
+    /** While all proxies adopt a new configuration their lists may differ. */
+    private static final double WARN_AFTER_MS = 10_000;
 
-    private final EventLoopContext core;
-    private final PeerLink link;
-    private final Supplier<ConfigSnapshot> generation;
-    private final ServerReachability reach;
-    private final PeerListTransition steps = new PeerListTransition();
+    private final FleetContext context;
+    private final ServerReachability reachability;
+    private final PeerListTransition lists = new PeerListTransition();
     private final Map<Long, String> names = new LinkedHashMap<>();
-    private final Map<Long, Double> differsSince = new LinkedHashMap<>();
-    private final Set<Long> told = new HashSet<>();
+    private final Map<Long, Double> differentSinceMs = new LinkedHashMap<>();
+    private final Set<Long> warnedOf = new HashSet<>();
     private List<Long> others = List.of();
-    private int next;
+    private int nextReceiver;
     private double dueMs = Double.NEGATIVE_INFINITY;
 
-    PeerListMonitor(EventLoopContext core, PeerLink link, Supplier<ConfigSnapshot> generation) {
-        this.generation = generation;
-        reach = new ServerReachability(core.now(), OUT_MS, WORD_MS);
-        this.core = core;
-        this.link = link;
+    PeerListMonitor(FleetContext context) {
+        this.context = context;
+        reachability = new ServerReachability(context.nowMs(), UNREACHABLE_AFTER_MS, REACHABILITY_EXPIRY_MS);
     }
 
     @Override
@@ -58,64 +54,77 @@
     }
 
     @Override
-    public void apply(DaemonConfig file, double now) {
-        FleetConfig spec = file.part(FleetConfig.class);
+    public void apply(DaemonConfig file, double nowMs) {
+        FleetConfig config = file.part(FleetConfig.class);
         names.clear();
-        spec.peers().forEach(p -> names.put(NameHash.of(p.name()), p.name()));
+        config.peers().forEach(peer -> names.put(NameHash.of(peer.name()), peer.name()));
         others = new ArrayList<>(names.keySet());
-        others.remove(link.ownId());
-        steps.update(Set.copyOf(spec.names()), Set.copyOf(spec.namesBefore()), Set.copyOf(others));
-        differsSince.clear();
-        told.clear();
+        others.remove(context.link().ownId());
+        lists.update(Set.copyOf(config.names()), Set.copyOf(config.namesBefore()), Set.copyOf(others));
+        differentSinceMs.clear();
+        warnedOf.clear();
     }
 
     @Override
-    public void receive(double now, long from, byte[] payload) {
-        if (payload.length != PeerListTransition.MESSAGE_BYTES + 1) {
+    public void receive(double nowMs, long from, byte[] payload) {
+        if (payload.length != PAYLOAD_BYTES) {
             return;
         }
-        if (payload[PeerListTransition.MESSAGE_BYTES] == 1) {
-            reach.there(now);
+        if (payload[REACHES_SERVERS_OFFSET] == 1) {
+            reachability.there(nowMs);
         }
-        steps.receive(now, from, Arrays.copyOf(payload, PeerListTransition.MESSAGE_BYTES));
-        if (steps.relationOf(from, now) != PeerListRelation.DIFFERENT) {
-            differsSince.remove(from);
-            told.remove(from);
-        } else if (now - differsSince.computeIfAbsent(from, k -> now) > TELL_AFTER_MS && told.add(from)) {
-            core.log("fleet: " + names.get(from)
-                    + " goes by another list of peers, more than one step from this one's; duties may have two holders. "
-                    + "Give all the same [[fleet.peer]]");
+        lists.receive(nowMs, from, Arrays.copyOf(payload, PeerListTransition.MESSAGE_BYTES));
+        if (lists.relationOf(from, nowMs) == PeerListRelation.DIFFERENT) {
+            warnOfDifferentList(nowMs, from);
+        } else {
+            differentSinceMs.remove(from);
+            warnedOf.remove(from);
+        }
+    }
+
+    private void warnOfDifferentList(double nowMs, long peer) {
+        double sinceMs = differentSinceMs.computeIfAbsent(peer, newPeer -> nowMs);
+        if (nowMs - sinceMs > WARN_AFTER_MS && warnedOf.add(peer)) {
+            context.core()
+                    .log("fleet: " + names.get(peer)
+                            + " goes by another list of peers, more than one step from this one's; duties may have two"
+                            + " holders. Give all the same [[fleet.peer]]");
         }
     }
 
     @Override
-    public double tick(double now) {
-        if (now >= dueMs) {
-            dueMs = now + EVERY_MS;
-            ConfigSnapshot g = generation.get();
-            boolean reaches = g == null || g.pools.values().stream().anyMatch(p -> p.dispatcher.reachesAny());
-            if (reaches) {
-                reach.here(now);
-            }
-            if (!others.isEmpty()) {
-                byte[] message = Arrays.copyOf(steps.message(), PeerListTransition.MESSAGE_BYTES + 1);
-                message[PeerListTransition.MESSAGE_BYTES] = (byte) (reaches ? 1 : 0);
-                link.send(others.get(next++ % others.size()), this, message);
+    public double tick(double nowMs) {
+        if (nowMs >= dueMs) {
+            dueMs = nowMs + REPORT_INTERVAL_MS;
+            boolean reachesServers =
+                    !context.isConfigured() || context.pools().stream().anyMatch(pool -> pool.dispatcher.reachesAny());
+            if (reachesServers) {
+                reachability.here(nowMs);
             }
+            sendReport(reachesServers);
         }
         return dueMs;
     }
 
-    /** Whether it reaches servers, or nobody does. */
-    boolean able(double now) {
-        return reach.able(now);
+    private void sendReport(boolean reachesServers) {
+        if (others.isEmpty()) {
+            return;
+        }
+        byte[] payload = Arrays.copyOf(lists.message(), PAYLOAD_BYTES);
+        payload[REACHES_SERVERS_OFFSET] = (byte) (reachesServers ? 1 : 0);
+        context.link().send(others.get(nextReceiver++ % others.size()), this, payload);
+    }
+
+    /** Whether this proxy reaches servers, or none does. */
+    boolean mayHoldLeases(double nowMs) {
+        return reachability.able(nowMs);
     }
 
     @Override
     public void describe(JsonObject state) {
-        JsonObject o = new JsonObject();
-        others.forEach(
-                p -> o.addProperty(names.get(p), steps.relationOf(p, core.now()).jsonName()));
-        state.add("lists", o);
+        JsonObject relations = new JsonObject();
+        others.forEach(peer -> relations.addProperty(
+                names.get(peer), lists.relationOf(peer, context.nowMs()).jsonName()));
+        state.add("lists", relations);
     }
 }
