--- a/src/test/java/cacheproxy/daemon/fleet/FleetGoldenBytesTest.java
+++ b/src/test/java/cacheproxy/daemon/fleet/FleetGoldenBytesTest.java
@@ -91,7 +91,7 @@
     }
 
     private static DatagramSocket peer() throws Exception {
-        DatagramSocket peer = new DatagramSocket(0, InetAddress.getByName("127.0.0.1"));
+        DatagramSocket peer = new DatagramSocket(0, InetAddress.getLoopbackAddress());
         peer.setSoTimeout(RECEIVE_TIMEOUT_MS);
         return peer;
     }
