--- a/src/main/java/cacheproxy/daemon/fleet/FleetLeases.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetLeases.java
@@ -4,8 +4,10 @@
 import cacheproxy.config.FleetConfig;
 import cacheproxy.control.ControlRequestHandler;
 import cacheproxy.fleet.lease.LeaseHandle;
+import cacheproxy.fleet.lease.LeaseListener;
 import cacheproxy.fleet.lease.LeaseManager;
 import cacheproxy.fleet.lease.LeaseMessage;
+import cacheproxy.fleet.lease.LeaseStatus;
 import cacheproxy.fleet.lease.LeaseTiming;
 import cacheproxy.fleet.lease.NameHash;
 import cacheproxy.proxy.EventLoopContext;
@@ -50,7 +52,7 @@
         ownId = NameHash.of(config.me());
         manager = new LeaseManager(
                 config.me(),
-                new LeaseTiming(config.longestLeaseMs(), LeaseTiming.DRIFT),
+                new LeaseTiming(config.longestLeaseMs(), LeaseTiming.MAX_CLOCK_DRIFT),
                 random,
                 grantsFromMs,
                 new Outbox());
@@ -66,7 +68,7 @@
                 .forEach(name -> manager.withdraw(name, nowMs));
         specs = wanted;
         tick(nowMs);
-        wanted.forEach((name, spec) -> manager.stand(name, spec.leaseMs(), spec.voterSet(name, config), nowMs));
+        wanted.forEach((name, spec) -> manager.campaign(name, spec.leaseMs(), spec.voterSet(name, config), nowMs));
         endpoints.use(socket.names(), wanted.keySet());
     }
 
@@ -77,9 +79,9 @@
 
     /** Takes a lease datagram of a peer; a malformed one is ignored. */
     void receive(double nowMs, long from, byte[] payload) {
-        LeaseMessage message = LeaseMessage.of(payload);
+        LeaseMessage message = LeaseMessage.decode(payload);
         if (message != null) {
-            manager.heard(nowMs, from, message, System.currentTimeMillis());
+            manager.receive(nowMs, from, message, System.currentTimeMillis());
         }
     }
 
@@ -94,7 +96,7 @@
         if (!draining && nowEligible != eligible) {
             eligible = nowEligible;
             String reason = loopOnTime ? "it reaches no server, and others do" : "its event loop is late";
-            manager.able(eligible, reason, nowMs);
+            manager.setEligible(eligible, reason, nowMs);
         }
     }
 
@@ -102,17 +104,17 @@
     void drain() {
         draining = true;
         double nowMs = core.now();
-        for (LeaseManager.Sight lease : manager.sights(nowMs)) {
-            if (lease.holding()) {
-                manager.transfer(lease.duty(), successorOf(lease.duty(), nowMs), nowMs, PROCESS_ENDS);
+        for (LeaseStatus status : manager.statuses(nowMs)) {
+            if (status.heldHere()) {
+                manager.transfer(status.lease(), successorOf(status.lease(), nowMs), nowMs, PROCESS_ENDS);
             }
         }
-        manager.able(false, PROCESS_ENDS, nowMs);
+        manager.setEligible(false, PROCESS_ENDS, nowMs);
         tick(nowMs);
     }
 
     private long successorOf(String lease, double nowMs) {
-        return manager.order(lease).stream()
+        return manager.candidateOrder(lease).stream()
                 .filter(peer -> peer != ownId && socket.lastReceivedMs(peer) > nowMs - SUCCESSOR_SILENCE_MS)
                 .findFirst()
                 .orElse(NameHash.NOBODY);
@@ -120,13 +122,13 @@
 
     /** Gives up all leases. */
     void close() {
-        manager.able(false, "it is replaced or ends", core.now());
+        manager.setEligible(false, "it is replaced or ends", core.now());
         tick(core.now());
     }
 
     /** The lease of this name, held or not. */
     LeaseHandle lease(String name) {
-        return manager.tenure(name);
+        return manager.handle(name);
     }
 
     /** Answers the requests of operators on leases. */
@@ -134,10 +136,10 @@
         return endpoints;
     }
 
-    private final class Outbox implements LeaseManager.Out {
+    private final class Outbox implements LeaseListener {
         @Override
         public void send(long to, LeaseMessage message) {
-            socket.send(to, TOPIC, message.bytes());
+            socket.send(to, TOPIC, message.encode());
         }
 
         @Override
--- a/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
@@ -72,7 +72,7 @@
         double startedMs = core.now();
         SplittableRandom random = new SplittableRandom(seed);
         socket = new FleetSocket(core, config, startedMs, this::receive);
-        double grantsFromMs = startedMs + silentMs * (1 + LeaseTiming.DRIFT);
+        double grantsFromMs = startedMs + silentMs * (1 + LeaseTiming.MAX_CLOCK_DRIFT);
         leases = new FleetLeases(core, socket, config, random.split(), grantsFromMs);
         FleetContext context = new FleetContext(core, new Link(), configuration);
         healthChecks = new FleetHealthChecks(context, random.nextLong());
@@ -143,8 +143,8 @@
             return;
         }
         double nowMs = core.now();
-        loopHealth.ran(nowMs, nowMs - dueMs);
-        leases.updateEligibility(loopHealth.able(nowMs), peerLists.mayHoldLeases(nowMs), nowMs);
+        loopHealth.recordTask(nowMs, nowMs - dueMs);
+        leases.updateEligibility(loopHealth.isHealthy(nowMs), peerLists.mayHoldLeases(nowMs), nowMs);
         double nextMs = Math.min(leases.tick(nowMs), nowMs + MAX_TICK_INTERVAL_MS);
         for (FleetProtocol protocol : protocols) {
             nextMs = Math.min(nextMs, protocol.tick(nowMs));
--- a/src/main/java/cacheproxy/daemon/fleet/LeaseEndpoints.java
+++ b/src/main/java/cacheproxy/daemon/fleet/LeaseEndpoints.java
@@ -3,6 +3,7 @@
 import cacheproxy.control.ControlEndpoints.Answer;
 import cacheproxy.control.ControlRequestHandler;
 import cacheproxy.fleet.lease.LeaseManager;
+import cacheproxy.fleet.lease.LeaseStatus;
 import cacheproxy.fleet.lease.NameHash;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
@@ -81,21 +82,21 @@
 
     private JsonArray listAsJson() {
         JsonArray list = new JsonArray();
-        for (LeaseManager.Sight lease : leases.sights(clock.getAsDouble())) {
-            if (shownLeases.contains(lease.duty())) {
-                list.add(asJson(lease));
+        for (LeaseStatus status : leases.statuses(clock.getAsDouble())) {
+            if (shownLeases.contains(status.lease())) {
+                list.add(asJson(status));
             }
         }
         return list;
     }
 
-    private JsonObject asJson(LeaseManager.Sight lease) {
+    private JsonObject asJson(LeaseStatus status) {
         JsonObject json = new JsonObject();
-        json.addProperty("duty", lease.duty());
-        json.addProperty("holding", lease.holding());
-        json.addProperty("epoch", lease.epoch());
-        json.addProperty("left_ms", Math.round(lease.leftMs()));
-        json.addProperty("holder", peerNames.get(lease.holder()));
+        json.addProperty("duty", status.lease());
+        json.addProperty("holding", status.heldHere());
+        json.addProperty("epoch", status.epoch());
+        json.addProperty("left_ms", Math.round(status.remainingMs()));
+        json.addProperty("holder", peerNames.get(status.holder()));
         return json;
     }
 }
--- a/src/main/java/cacheproxy/daemon/fleet/PeerListMonitor.java
+++ b/src/main/java/cacheproxy/daemon/fleet/PeerListMonitor.java
@@ -71,7 +71,7 @@
             return;
         }
         if (payload[REACHES_SERVERS_OFFSET] == 1) {
-            reachability.there(nowMs);
+            reachability.recordRemoteReport(nowMs);
         }
         lists.receive(nowMs, from, Arrays.copyOf(payload, PeerListTransition.MESSAGE_BYTES));
         if (lists.relationOf(from, nowMs) == PeerListRelation.DIFFERENT) {
@@ -99,7 +99,7 @@
             boolean reachesServers =
                     !context.isConfigured() || context.pools().stream().anyMatch(pool -> pool.dispatcher.reachesAny());
             if (reachesServers) {
-                reachability.here(nowMs);
+                reachability.recordLocalReach(nowMs);
             }
             sendReport(reachesServers);
         }
@@ -117,7 +117,7 @@
 
     /** Whether this proxy reaches servers, or none does. */
     boolean mayHoldLeases(double nowMs) {
-        return reachability.able(nowMs);
+        return reachability.isEligible(nowMs);
     }
 
     @Override
--- a/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckCoordinator.java
+++ b/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckCoordinator.java
@@ -23,7 +23,6 @@
     private static final int SHARE_MULTIPLIER = 0x9E3779B9;
 
     private static final int SHARE_SHIFT = 8;
-    private static final long NOT_HELD = -1;
 
     private final long ownId;
     private final HealthCheckOutbox outbox;
@@ -106,7 +105,7 @@
         if (holder != NameHash.NOBODY && holder != ownId) {
             return holder;
         }
-        return lease.order().stream()
+        return lease.candidateOrder().stream()
                 .filter(candidate -> candidate != ownId)
                 .findFirst()
                 .orElse(NameHash.NOBODY);
@@ -114,7 +113,7 @@
 
     /** Whether this proxy holds the lease for as long as a check takes. */
     private boolean holdsForCheck(double nowMs, LeaseHandle lease) {
-        return lease.permit(nowMs, timing.timeoutMs()) > NOT_HELD;
+        return lease.permit(nowMs, timing.timeoutMs()) > LeaseHandle.NOT_PERMITTED;
     }
 
     private void checkByItself(double nowMs, int server) {
@@ -193,7 +192,7 @@
     private void sendResult(double nowMs, Waiter waiter, int server, FinishedCheck check) {
         LeaseHandle lease = leaseOf(server);
         long epoch = lease.permit(nowMs, 0);
-        if (epoch > NOT_HELD) {
+        if (epoch > LeaseHandle.NOT_PERMITTED) {
             int ageMs = (int) Math.max(0, Math.round(nowMs - check.finishedMs()));
             outbox.send(
                     waiter.proxy(),
--- a/src/test/java/cacheproxy/daemon/fleet/FleetSubsystemTest.java
+++ b/src/test/java/cacheproxy/daemon/fleet/FleetSubsystemTest.java
@@ -95,7 +95,7 @@
                     .isZero();
             long epoch = Long.parseLong(
                     await(all.get(next), "GET /duties/cron", "200 ").substring(4));
-            assertThat(epoch).as("no forged claim was accepted").isLessThan(LeaseMessage.MOST_EPOCH / 2);
+            assertThat(epoch).as("no forged claim was accepted").isLessThan(LeaseMessage.MAX_EPOCH / 2);
             assertThat(Cli.run(new String[] {"duties", "--control", to})).isZero();
             assertThat(Cli.run(new String[] {"duties", "--json", "--control", to}))
                     .isZero();
@@ -123,10 +123,10 @@
                                         LeaseMessage.Kind.CLAIM,
                                         NameHash.of("cron"),
                                         1,
-                                        LeaseMessage.MOST_EPOCH - 9,
+                                        LeaseMessage.MAX_EPOCH - 9,
                                         9,
                                         150)
-                                .bytes());
+                                .encode());
                 forger.send(new DatagramPacket(datagram, datagram.length, loopback(), ports[i % 3]));
             }
         }
--- a/src/test/java/cacheproxy/fleet/healthcheck/HealthCheckCoordinatorTest.java
+++ b/src/test/java/cacheproxy/fleet/healthcheck/HealthCheckCoordinatorTest.java
@@ -108,7 +108,7 @@
                 }
 
                 @Override
-                public double leftMs(double atMs) {
+                public double remainingMs(double atMs) {
                     return holder[share] == index ? 1000 : 0;
                 }
 
@@ -118,7 +118,7 @@
                 }
 
                 @Override
-                public List<Long> order() {
+                public List<Long> candidateOrder() {
                     return List.of(1L, 2L, 3L);
                 }
 
