--- a/src/main/java/cacheproxy/daemon/RoutedRequest.java
+++ b/src/main/java/cacheproxy/daemon/RoutedRequest.java
@@ -74,8 +74,8 @@
     /** Goes to the next pool that takes it, or ends. */
     void next() {
         if (at < 0 && generation.limits != null) {
-            LocalQuota[] all = generation.limits.of("", command);
-            double wait = generation.limits.ask(all, core.now());
+            LocalQuota[] all = generation.limits.quotasFor("", command);
+            double wait = generation.limits.requestWaitMs(all, core.now());
             if (wait > 0) {
                 over();
                 client.refused(wait);
@@ -94,8 +94,8 @@
             if (due <= now) {
                 break;
             }
-            LocalQuota[] own = generation.limits == null ? null : generation.limits.of(pool.name, command);
-            double wait = own == null ? 0 : generation.limits.ask(own, now);
+            LocalQuota[] own = generation.limits == null ? null : generation.limits.quotasFor(pool.name, command);
+            double wait = own == null ? 0 : generation.limits.requestWaitMs(own, now);
             wait = wait > 0 ? wait : pool.admit(now);
             if (wait > 0) {
                 advice = Math.max(advice, wait);
--- a/src/main/java/cacheproxy/daemon/fleet/FleetQuotas.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetQuotas.java
@@ -4,6 +4,8 @@
 import cacheproxy.config.FleetConfig;
 import cacheproxy.config.LimitsConfig;
 import cacheproxy.control.ControlEndpoints.Answer;
+import cacheproxy.fleet.lease.LeaseTiming;
+import cacheproxy.fleet.lease.NameHash;
 import cacheproxy.fleet.quota.LocalQuota;
 import cacheproxy.fleet.quota.OvershootBound;
 import cacheproxy.fleet.quota.QuotaManager;
@@ -25,43 +27,51 @@
 import java.util.function.LongPredicate;
 
 /**
- * The fleet's limits at this proxy: carries what {@link QuotaManager} decides between requests and peers, and tells
- * operators. On the event loop only.
+ * The fleet-wide quotas at this proxy: carries what {@link QuotaManager} decides between requests, peers and operators.
+ * On the event loop only.
  */
 public final class FleetQuotas implements FleetProtocol {
     static final byte TOPIC = 5;
-    private static final LocalQuota[] NONE = {};
-    /** Spent and refused are told over so long. */
-    private static final double COUNT_MS = 1000;
+    private static final LocalQuota[] NO_QUOTAS = {};
+    private static final int OK = 200;
+    private static final int METHOD_NOT_ALLOWED = 405;
+    /** The interval over which usage is measured. */
+    private static final double MEASURE_INTERVAL_MS = 1000;
+    /** The span for which operators are told the most that proxies together may exceed a quota by. */
+    private static final double OVERSHOOT_SPAN_MS = 1000;
+    /** Grant times after which donations under a former grant time are over. */
+    private static final double SILENCE_GRANT_TIMES = 4;
+    /** A timer may fire so much early. */
+    private static final double TIMER_TOLERANCE_MS = 0.5;
+
+    private static final double MIN_DELAY_MS = 1;
 
     private final EventLoopContext core;
     private final PeerLink link;
     private final SplittableRandom random;
-    private final LongPredicate likely;
-    private final double startMs;
-    /** Null while the file has none. */
-    private QuotaManager quota;
+    private final LongPredicate isLikelyAlive;
+    private final double startedMs;
+    private final QuotaUsageMonitor usage;
+    /** Null while the configuration has no quotas. */
+    private QuotaManager manager;
 
-    private QuotaTiming rules;
+    private QuotaTiming timing;
     private int proxies;
-    /** By pool, "" for what concerns all: by class and tenant. */
-    private final Map<String, LocalQuota[][]> pockets = new HashMap<>();
-
+    private QuotaTable table;
+    /** What each quota applies to, in words, by the quota's name. */
     private final Map<String, String> scopes = new HashMap<>();
-    private int tenants = 1;
-    private boolean hurrying;
+
+    private boolean requestScheduled;
     private double dueMs = Double.POSITIVE_INFINITY;
-    private double countedMs = Double.NEGATIVE_INFINITY;
-    private final Map<String, long[]> counted = new HashMap<>();
-    private final Map<String, Double> alone = new LinkedHashMap<>();
 
-    /** @param likely whether a peer may be alive */
-    FleetQuotas(FleetContext context, SplittableRandom random, LongPredicate likely) {
-        this.likely = likely;
+    /** @param isLikelyAlive whether a peer may be alive */
+    FleetQuotas(FleetContext context, SplittableRandom random, LongPredicate isLikelyAlive) {
+        this.isLikelyAlive = isLikelyAlive;
         this.core = context.core();
         this.link = context.link();
         this.random = random;
-        startMs = core.now();
+        startedMs = core.now();
+        usage = new QuotaUsageMonitor(core::log);
     }
 
     @Override
@@ -70,225 +80,193 @@
     }
 
     @Override
-    public void apply(DaemonConfig file, double now) {
+    public void apply(DaemonConfig file, double nowMs) {
         FleetConfig fleet = file.part(FleetConfig.class);
-        LimitsConfig spec = fleet.limits();
-        pockets.clear();
+        LimitsConfig config = fleet.limits();
+        table = null;
         scopes.clear();
-        if (spec.limits().isEmpty()) {
-            quota = null;
+        if (config.limits().isEmpty()) {
+            manager = null;
             return;
         }
-        QuotaTiming figures = new QuotaTiming(spec.grantMs(), cacheproxy.fleet.lease.LeaseTiming.MAX_CLOCK_DRIFT);
-        if (quota == null || figures.grantMs() != rules.grantMs()) {
-            // Other times: what was lent by the old ones is over once the longer of them is, so it begins in silence.
-            double from = rules == null ? startMs : now + Math.max(0, rules.grantMs() - figures.grantMs()) * 4;
-            rules = figures;
-            quota = new QuotaManager(
-                    link.ownId(), rules, random.split(), from, likely, (to, m) -> link.send(to, this, m.encode()));
-        }
-        boolean changing = fleet.peers().stream().anyMatch(p -> p.joining() || p.leaving());
-        boolean owns = fleet.peers().stream()
-                .anyMatch(p ->
-                        cacheproxy.fleet.lease.NameHash.of(p.name()) == link.ownId() && !p.joining() && !p.leaving());
+        useTiming(config, nowMs);
         proxies = fleet.peers().size();
         Map<LimitsConfig.Limit, List<String>> names = new LinkedHashMap<>();
-        List<QuotaSpec> limits = new ArrayList<>();
-        spec.limits().forEach(l -> names.put(l, new ArrayList<>()));
-        names.forEach((l, own) -> {
-            if ("*".equals(l.tenant()) && !file.tenants().isEmpty()) {
-                file.tenants().forEach(t -> own.add(l.name() + ":" + t.name()));
-            } else {
-                own.add(l.name());
-            }
-            own.forEach(name -> {
-                limits.add(limit(name, l, spec));
-                scopes.put(name, l.scope());
-            });
-        });
-        quota.configure(
-                limits,
-                spec.duties().stream().map(link::lease).toList(),
-                fleet.peers().stream()
-                        .map(p -> cacheproxy.fleet.lease.NameHash.of(p.name()))
-                        .toList(),
-                proxies,
-                changing,
-                owns,
-                now);
-        tenants = Math.max(1, file.tenants().size());
-        names.forEach((l, own) -> {
-            LocalQuota[][] table = pockets.computeIfAbsent(l.pool() == null ? "" : l.pool(), k -> table(file));
-            for (int c = 0; c < file.classes().size(); c++) {
-                for (int t = 0; t < tenants; t++) {
-                    boolean mine = (l.serviceClass() == null || file.classIndex(l.serviceClass()) == c)
-                            && (l.tenant() == null || l.tenant().equals("*") || file.tenantIndex(l.tenant()) == t);
-                    if (mine) {
-                        LocalQuota[] before = table[c * tenants + t];
-                        LocalQuota[] more = java.util.Arrays.copyOf(before, before.length + 1);
-                        more[before.length] = quota.localQuota(own.get(own.size() > 1 ? t : 0));
-                        table[c * tenants + t] = more;
-                    }
-                }
-            }
-        });
+        List<QuotaSpec> specs = new ArrayList<>();
+        for (LimitsConfig.Limit limit : config.limits()) {
+            names.put(limit, QuotaTable.namesOf(limit, file));
+        }
+        names.forEach((limit, quotaNames) -> quotaNames.forEach(name -> {
+            specs.add(specOf(name, limit, config));
+            scopes.put(name, limit.scope());
+        }));
+        configureManager(fleet, specs, nowMs);
+        table = new QuotaTable(file);
+        names.forEach((limit, quotaNames) -> table.add(limit, quotaNames, manager::localQuota));
     }
 
-    private LocalQuota[][] table(DaemonConfig file) {
-        LocalQuota[][] table = new LocalQuota[file.classes().size() * tenants][];
-        java.util.Arrays.fill(table, NONE);
-        return table;
+    private void useTiming(LimitsConfig config, double nowMs) {
+        QuotaTiming wanted = new QuotaTiming(config.grantMs(), LeaseTiming.MAX_CLOCK_DRIFT);
+        if (manager != null && wanted.grantMs() == timing.grantMs()) {
+            return;
+        }
+        // Donations under a longer grant time have to expire first, so the manager begins in silence.
+        double silentFromMs = timing == null
+                ? startedMs
+                : nowMs + Math.max(0, timing.grantMs() - wanted.grantMs()) * SILENCE_GRANT_TIMES;
+        timing = wanted;
+        manager = new QuotaManager(
+                link.ownId(),
+                timing,
+                random.split(),
+                silentFromMs,
+                isLikelyAlive,
+                (to, message) -> link.send(to, this, message.encode()));
     }
 
-    private static QuotaSpec limit(String name, LimitsConfig.Limit l, LimitsConfig spec) {
-        boolean atOnce = l.atOnce() > 0;
+    private void configureManager(FleetConfig fleet, List<QuotaSpec> specs, double nowMs) {
+        boolean listIsChanging = fleet.peers().stream().anyMatch(peer -> peer.joining() || peer.leaving());
+        boolean ownsShare = fleet.peers().stream()
+                .anyMatch(peer -> NameHash.of(peer.name()) == link.ownId() && !peer.joining() && !peer.leaving());
+        manager.configure(
+                specs,
+                fleet.limits().duties().stream().map(link::lease).toList(),
+                fleet.peers().stream().map(peer -> NameHash.of(peer.name())).toList(),
+                proxies,
+                listIsChanging,
+                ownsShare,
+                nowMs);
+    }
+
+    private static QuotaSpec specOf(String name, LimitsConfig.Limit limit, LimitsConfig config) {
+        boolean concurrent = limit.atOnce() > 0;
         return new QuotaSpec(
                 name,
-                atOnce,
-                atOnce ? l.atOnce() : l.perSecond(),
-                atOnce ? 0 : l.burst(),
-                QuotaSpec.IsolationPolicy.valueOf(l.whenAlone().toUpperCase(Locale.ROOT)),
-                l.sharePart(),
-                atOnce ? spec.holdMs() : 0);
+                concurrent,
+                concurrent ? limit.atOnce() : limit.perSecond(),
+                concurrent ? 0 : limit.burst(),
+                QuotaSpec.IsolationPolicy.valueOf(limit.whenAlone().toUpperCase(Locale.ROOT)),
+                limit.sharePart(),
+                concurrent ? config.holdMs() : 0);
     }
 
     // ---- requests
 
     /**
-     * What a request takes from; empty where no limit concerns it. @param pool "" for the limits that concern all pools
+     * The quotas that apply to a request; empty if there are none.
+     *
+     * @param pool its pool; empty: the quotas that apply to all pools
      */
-    public LocalQuota[] of(String pool, ClientRequest c) {
-        LocalQuota[][] table = pockets.get(pool);
-        int at = table == null ? 0 : c.serviceClass() * tenants + c.tenant();
-        return table == null || at >= table.length ? NONE : table[at];
+    public LocalQuota[] quotasFor(String pool, ClientRequest request) {
+        return table == null ? NO_QUOTAS : table.quotasFor(pool, request);
     }
 
-    /** 0: one more may be taken of each; else milliseconds until it is worth coming again. */
-    public double ask(LocalQuota[] of, double now) {
-        double wait = 0;
-        boolean hurry = false;
-        for (LocalQuota p : of) {
-            double own = p.requestWaitMs(now);
-            wait = Math.max(wait, own);
-            hurry |= own > 0 && quota != null && quota.requestSoon(p, now);
+    /** Milliseconds after which a request should be tried again; 0 if each of its quotas admits it now. */
+    public double requestWaitMs(LocalQuota[] quotas, double nowMs) {
+        double longestMs = 0;
+        boolean requestSoon = false;
+        for (LocalQuota quota : quotas) {
+            double waitMs = quota.requestWaitMs(nowMs);
+            longestMs = Math.max(longestMs, waitMs);
+            requestSoon |= waitMs > 0 && manager != null && manager.requestSoon(quota, nowMs);
         }
-        if (hurry && !hurrying) {
-            hurrying = true;
+        if (requestSoon && !requestScheduled) {
+            requestScheduled = true;
             core.loop().execute(() -> {
-                hurrying = false;
-                soon(core.now());
+                requestScheduled = false;
+                tickEarly(core.now());
             });
         }
-        return wait;
+        return longestMs;
     }
 
-    /** Does what is due at once, and asks for the time of what is due before the part's own next look. */
-    private void soon(double now) {
-        if (quota == null) {
+    /** Does what is due at once, and schedules what is due before the subsystem's next tick. */
+    private void tickEarly(double nowMs) {
+        if (manager == null) {
             return;
         }
-        double next = quota.tick(now);
-        if (next < dueMs || dueMs <= now) {
-            dueMs = next;
-            core.after(Math.max(1, next - now), () -> {
-                if (core.now() >= dueMs - 0.5) {
-                    dueMs = Double.POSITIVE_INFINITY;
-                    if (quota != null) {
-                        quota.tick(core.now());
-                    }
-                }
-            });
+        double nextMs = manager.tick(nowMs);
+        if (nextMs < dueMs || dueMs <= nowMs) {
+            dueMs = nextMs;
+            core.after(Math.max(MIN_DELAY_MS, nextMs - nowMs), this::tickIfDue);
+        }
+    }
+
+    private void tickIfDue() {
+        if (core.now() >= dueMs - TIMER_TOLERANCE_MS) {
+            dueMs = Double.POSITIVE_INFINITY;
+            if (manager != null) {
+                manager.tick(core.now());
+            }
         }
     }
 
     @Override
-    public void receive(double now, long from, byte[] payload) {
-        QuotaMessage m = QuotaMessage.decode(payload);
-        if (quota != null && m != null) {
-            quota.receive(now, from, m);
-            soon(now);
+    public void receive(double nowMs, long from, byte[] payload) {
+        QuotaMessage message = QuotaMessage.decode(payload);
+        if (manager != null && message != null) {
+            manager.receive(nowMs, from, message);
+            tickEarly(nowMs);
         }
     }
 
     @Override
-    public double tick(double now) {
-        if (quota == null) {
+    public double tick(double nowMs) {
+        if (manager == null) {
             return Double.POSITIVE_INFINITY;
         }
-        if (now - countedMs >= COUNT_MS) {
-            count(now);
+        if (nowMs - usage.measuredMs() >= MEASURE_INTERVAL_MS) {
+            usage.measure(manager.statuses(nowMs), scopes.keySet(), nowMs);
         }
-        return quota.tick(now);
+        return manager.tick(nowMs);
     }
 
     // ---- operators
 
-    private void count(double now) {
-        double seconds = Math.min(10, (now - countedMs) / 1000);
-        countedMs = now;
-        for (QuotaStatus s : quota.statuses(now)) {
-            long[] c = counted.computeIfAbsent(s.spec().name(), k -> new long[4]);
-            c[2] = Math.round((s.consumed() - c[0]) / seconds);
-            c[3] = Math.round((s.rejected() - c[1]) / seconds);
-            c[0] = s.consumed();
-            c[1] = s.rejected();
-            boolean isAlone = !Double.isNaN(s.isolatedSinceMs());
-            Double since = alone.get(s.spec().name());
-            if (isAlone && since == null) {
-                alone.put(s.spec().name(), s.isolatedSinceMs());
-                core.log("limit " + s.spec().name() + " alone: no proxy answers; this one spends "
-                        + String.format(Locale.ROOT, "%.1f", s.capacity())
-                        + (s.spec().concurrent() ? " at once" : " a second"));
-            } else if (!isAlone && since != null) {
-                alone.remove(s.spec().name());
-                core.log("limit " + s.spec().name() + " no longer alone after " + Math.round(now - since) + " ms");
-            }
-        }
-        counted.keySet().retainAll(scopes.keySet());
-    }
-
+    /** Answers {@code GET /limits}. */
     Answer handle(String method, String uri) {
         if (!method.equals("GET")) {
-            return new Answer(405, "use GET /limits", "GET");
+            return new Answer(METHOD_NOT_ALLOWED, "use GET /limits", "GET");
         }
         JsonArray list = new JsonArray();
-        double now = core.now();
-        if (quota != null) {
-            quota.statuses(now).forEach(s -> list.add(json(s, now)));
+        double nowMs = core.now();
+        if (manager != null) {
+            manager.statuses(nowMs).forEach(status -> list.add(asJson(status, nowMs)));
         }
-        return new Answer(200, list.toString());
+        return new Answer(OK, list.toString());
     }
 
-    private JsonObject json(QuotaStatus s, double now) {
-        QuotaSpec l = s.spec();
-        long[] c = counted.getOrDefault(l.name(), new long[4]);
-        JsonObject o = new JsonObject();
-        o.addProperty("name", l.name());
-        o.addProperty("scope", scopes.get(l.name()));
-        o.addProperty("kind", l.concurrent() ? "at_once" : "per_second");
-        o.addProperty("limit", l.amount());
-        o.addProperty("mine", round(s.capacity()));
-        o.addProperty("own", round(s.owned()));
-        o.addProperty("lent", round(s.donated()));
-        o.addProperty("used", l.concurrent() ? s.inUse() : c[2]);
-        o.addProperty("waiting", c[3]);
-        if (!Double.isNaN(s.isolatedSinceMs())) {
-            o.addProperty("alone_since_ms", Math.round(now - s.isolatedSinceMs()));
+    private JsonObject asJson(QuotaStatus status, double nowMs) {
+        QuotaSpec spec = status.spec();
+        String name = spec.name();
+        JsonObject json = new JsonObject();
+        json.addProperty("name", name);
+        json.addProperty("scope", scopes.get(name));
+        json.addProperty("kind", spec.concurrent() ? "at_once" : "per_second");
+        json.addProperty("limit", spec.amount());
+        json.addProperty("mine", round(status.capacity()));
+        json.addProperty("own", round(status.owned()));
+        json.addProperty("lent", round(status.donated()));
+        json.addProperty("used", spec.concurrent() ? status.inUse() : usage.consumedPerSecond(name));
+        json.addProperty("waiting", usage.rejectedPerSecond(name));
+        if (!Double.isNaN(status.isolatedSinceMs())) {
+            json.addProperty("alone_since_ms", Math.round(nowMs - status.isolatedSinceMs()));
         }
-        o.addProperty("over_bound", round(OvershootBound.maxOvershoot(l, rules, proxies, 1000)));
-        o.addProperty("idle_bound_one_gone", round(OvershootBound.maxIdleFraction(l, proxies, 1)));
-        return o;
+        json.addProperty("over_bound", round(OvershootBound.maxOvershoot(spec, timing, proxies, OVERSHOOT_SPAN_MS)));
+        json.addProperty("idle_bound_one_gone", round(OvershootBound.maxIdleFraction(spec, proxies, 1)));
+        return json;
     }
 
-    private static double round(double x) {
-        return Math.round(x * 100) / 100.0;
+    /** Two decimals. */
+    private static double round(double value) {
+        return Math.round(value * 100) / 100.0;
     }
 
     @Override
     public void describe(JsonObject state) {
-        if (quota != null) {
+        if (manager != null) {
             state.addProperty("limits", scopes.size());
-            state.addProperty("grants_of_older_epochs", quota.staleGrants());
+            state.addProperty("grants_of_older_epochs", manager.staleGrants());
         }
     }
 }
--- /dev/null
+++ b/src/main/java/cacheproxy/daemon/fleet/QuotaTable.java
@@ -0,0 +1,88 @@
+package cacheproxy.daemon.fleet;
+
+import cacheproxy.config.DaemonConfig;
+import cacheproxy.config.LimitsConfig;
+import cacheproxy.fleet.quota.LocalQuota;
+import cacheproxy.proxy.ClientRequest;
+import java.util.Arrays;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.function.Function;
+
+/** The quotas that apply to a request, by its pool, service class and tenant. Built anew for each configuration. */
+final class QuotaTable {
+    /** The pool's name for quotas that apply to all pools. */
+    static final String ALL_POOLS = "";
+
+    private static final LocalQuota[] NONE = {};
+    private static final String EACH_TENANT = "*";
+
+    private final DaemonConfig file;
+    private final int tenants;
+    private final Map<String, LocalQuota[][]> byPool = new HashMap<>();
+
+    QuotaTable(DaemonConfig file) {
+        this.file = file;
+        tenants = Math.max(1, file.tenants().size());
+    }
+
+    /** The names of the quotas that a limit of the configuration makes: one, or one for each tenant. */
+    static List<String> namesOf(LimitsConfig.Limit limit, DaemonConfig file) {
+        if (EACH_TENANT.equals(limit.tenant()) && !file.tenants().isEmpty()) {
+            return file.tenants().stream()
+                    .map(tenant -> limit.name() + ":" + tenant.name())
+                    .toList();
+        }
+        return List.of(limit.name());
+    }
+
+    /**
+     * Adds the quotas of a limit.
+     *
+     * @param names those of {@link #namesOf}
+     * @param quotas gives the quota of a name
+     */
+    void add(LimitsConfig.Limit limit, List<String> names, Function<String, LocalQuota> quotas) {
+        LocalQuota[][] table = byPool.computeIfAbsent(limit.pool() == null ? ALL_POOLS : limit.pool(), pool -> empty());
+        for (int serviceClass = 0; serviceClass < file.classes().size(); serviceClass++) {
+            for (int tenant = 0; tenant < tenants; tenant++) {
+                if (appliesTo(limit, serviceClass, tenant)) {
+                    int index = serviceClass * tenants + tenant;
+                    String name = names.get(names.size() > 1 ? tenant : 0);
+                    table[index] = append(table[index], quotas.apply(name));
+                }
+            }
+        }
+    }
+
+    private LocalQuota[][] empty() {
+        LocalQuota[][] table = new LocalQuota[file.classes().size() * tenants][];
+        Arrays.fill(table, NONE);
+        return table;
+    }
+
+    private boolean appliesTo(LimitsConfig.Limit limit, int serviceClass, int tenant) {
+        boolean classMatches = limit.serviceClass() == null || file.classIndex(limit.serviceClass()) == serviceClass;
+        boolean tenantMatches = limit.tenant() == null
+                || limit.tenant().equals(EACH_TENANT)
+                || file.tenantIndex(limit.tenant()) == tenant;
+        return classMatches && tenantMatches;
+    }
+
+    private static LocalQuota[] append(LocalQuota[] quotas, LocalQuota added) {
+        LocalQuota[] longer = Arrays.copyOf(quotas, quotas.length + 1);
+        longer[quotas.length] = added;
+        return longer;
+    }
+
+    /** The quotas that apply to a request; empty if there are none. */
+    LocalQuota[] quotasFor(String pool, ClientRequest request) {
+        LocalQuota[][] table = byPool.get(pool);
+        if (table == null) {
+            return NONE;
+        }
+        int index = request.serviceClass() * tenants + request.tenant();
+        return index < table.length ? table[index] : NONE;
+    }
+}
--- /dev/null
+++ b/src/main/java/cacheproxy/daemon/fleet/QuotaUsageMonitor.java
@@ -0,0 +1,86 @@
+package cacheproxy.daemon.fleet;
+
+import cacheproxy.fleet.quota.QuotaStatus;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Locale;
+import java.util.Map;
+import java.util.Set;
+import java.util.function.Consumer;
+
+/** Measures the use of each quota per second, and logs when a quota becomes isolated from the other proxies. */
+final class QuotaUsageMonitor {
+    /** The longest time that a rate is taken over, in seconds. */
+    private static final double MAX_SECONDS = 10;
+
+    private static final double MS_PER_SECOND = 1000;
+
+    /** Counts of a quota at the last measurement, and the rates since the one before. */
+    private static final class Usage {
+        long consumed;
+        long rejected;
+        long consumedPerSecond;
+        long rejectedPerSecond;
+    }
+
+    private final Consumer<String> log;
+    private final Map<String, Usage> usages = new HashMap<>();
+    private final Map<String, Double> isolatedSinceMs = new LinkedHashMap<>();
+    private double measuredMs = Double.NEGATIVE_INFINITY;
+
+    QuotaUsageMonitor(Consumer<String> log) {
+        this.log = log;
+    }
+
+    /** When it last measured; negative infinity if it has not. */
+    double measuredMs() {
+        return measuredMs;
+    }
+
+    /** Measures all quotas, and forgets others than these names. */
+    void measure(List<QuotaStatus> statuses, Set<String> names, double nowMs) {
+        double seconds = Math.min(MAX_SECONDS, (nowMs - measuredMs) / MS_PER_SECOND);
+        measuredMs = nowMs;
+        for (QuotaStatus status : statuses) {
+            measureRates(status, seconds);
+            logIsolation(status, nowMs);
+        }
+        usages.keySet().retainAll(names);
+    }
+
+    private void measureRates(QuotaStatus status, double seconds) {
+        Usage usage = usages.computeIfAbsent(status.spec().name(), name -> new Usage());
+        usage.consumedPerSecond = Math.round((status.consumed() - usage.consumed) / seconds);
+        usage.rejectedPerSecond = Math.round((status.rejected() - usage.rejected) / seconds);
+        usage.consumed = status.consumed();
+        usage.rejected = status.rejected();
+    }
+
+    private void logIsolation(QuotaStatus status, double nowMs) {
+        String name = status.spec().name();
+        boolean isIsolated = !Double.isNaN(status.isolatedSinceMs());
+        Double sinceMs = isolatedSinceMs.get(name);
+        if (isIsolated && sinceMs == null) {
+            isolatedSinceMs.put(name, status.isolatedSinceMs());
+            log.accept("limit " + name + " alone: no proxy answers; this one spends "
+                    + String.format(Locale.ROOT, "%.1f", status.capacity())
+                    + (status.spec().concurrent() ? " at once" : " a second"));
+        } else if (!isIsolated && sinceMs != null) {
+            isolatedSinceMs.remove(name);
+            log.accept("limit " + name + " no longer alone after " + Math.round(nowMs - sinceMs) + " ms");
+        }
+    }
+
+    /** What was consumed of a quota per second. */
+    long consumedPerSecond(String name) {
+        Usage usage = usages.get(name);
+        return usage == null ? 0 : usage.consumedPerSecond;
+    }
+
+    /** The requests that a quota has rejected per second. */
+    long rejectedPerSecond(String name) {
+        Usage usage = usages.get(name);
+        return usage == null ? 0 : usage.rejectedPerSecond;
+    }
+}
