--- a/src/main/java/cacheproxy/daemon/ControlSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/ControlSubsystem.java
@@ -3,8 +3,8 @@
 import cacheproxy.config.ConfigException;
 import cacheproxy.config.ControlConfig;
 import cacheproxy.config.DaemonConfig;
-import cacheproxy.control.ControlEndpoints.Answer;
 import cacheproxy.control.ControlRequestHandler;
+import cacheproxy.control.ControlResponse;
 import cacheproxy.control.ControlServer;
 import cacheproxy.control.DiagnosticEndpoints;
 import cacheproxy.proxy.Transport;
@@ -41,7 +41,7 @@
     /** Binds; empty if the file has no {@code [control]}. */
     static Optional<ControlSubsystem> open(SubsystemContext context, DaemonConfig file, Subsystem previous)
             throws ConfigException, InterruptedException {
-        ControlConfig spec = file.part(ControlConfig.class);
+        ControlConfig spec = file.section(ControlConfig.class);
         if (spec == null) {
             return Optional.empty();
         }
@@ -51,25 +51,26 @@
         return Optional.of(control);
     }
 
-    private Answer call(String method, String uri) {
+    private ControlResponse call(String method, String uri) {
         int query = uri.indexOf('?');
         String path = query < 0 ? uri : uri.substring(0, query);
         if (path.equals("/status")) {
             return !method.equals("GET")
-                    ? new Answer(405, "use GET /status", "GET")
-                    : draining ? new Answer(503, "draining") : new Answer(200, "active");
+                    ? new ControlResponse(405, "use GET /status", "GET")
+                    : draining ? new ControlResponse(503, "draining") : new ControlResponse(200, "active");
         }
-        if (DiagnosticEndpoints.method(path) != null) {
-            return diagnostics.call(method, uri);
+        if (DiagnosticEndpoints.requiredMethod(path) != null) {
+            return diagnostics.handle(method, uri);
         }
         List<String> words = new ArrayList<>(List.of("/status"));
         for (Map.Entry<String, ControlRequestHandler> other : others.get().entrySet()) {
             if (path.equals(other.getKey()) || path.startsWith(other.getKey() + "/")) {
-                return other.getValue().call(method, uri);
+                return other.getValue().handle(method, uri);
             }
             words.add(other.getKey());
         }
-        return new Answer(404, "the calls are GET " + String.join(", GET ", words) + ", " + DiagnosticEndpoints.NAMES);
+        return new ControlResponse(
+                404, "the calls are GET " + String.join(", GET ", words) + ", " + DiagnosticEndpoints.REQUEST_LIST);
     }
 
     @Override
@@ -79,7 +80,7 @@
 
     @Override
     public boolean fits(DaemonConfig file) {
-        return spec.equals(file.part(ControlConfig.class));
+        return spec.equals(file.section(ControlConfig.class));
     }
 
     @Override
--- a/src/main/java/cacheproxy/daemon/Daemon.java
+++ b/src/main/java/cacheproxy/daemon/Daemon.java
@@ -4,6 +4,9 @@
 import cacheproxy.config.ConfigException;
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.DaemonConfigReader;
+import cacheproxy.config.ListenerConfig;
+import cacheproxy.config.PoolConfig;
+import cacheproxy.config.ServerConfig;
 import cacheproxy.control.DiagnosticEndpoints;
 import cacheproxy.limits.ServerStartTimes;
 import cacheproxy.limits.SlowStartBudget;
@@ -17,6 +20,8 @@
 import cacheproxy.proxy.StandardMetaProtocol;
 import cacheproxy.proxy.Transport;
 import cacheproxy.proxy.UpstreamRegistry;
+import cacheproxy.snapshot.state.PoolState;
+import cacheproxy.snapshot.state.ServerStart;
 import cacheproxy.snapshot.state.StateSnapshot;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -107,7 +112,7 @@
                 this::snapshot,
                 () -> Optional.ofNullable(seedFrom),
                 parts::controlHandlers,
-                new DiagnosticEndpoints(core.invariants::summary, core.events::enabled, this::reloadElsewhere));
+                new DiagnosticEndpoints(core.invariants::summary, core.events::setEnabled, this::reloadElsewhere));
     }
 
     /** What {@code POST /reload} of the control address does, on a thread of its own. Null: nothing. */
@@ -223,7 +228,7 @@
     public synchronized void load(DaemonConfig file) throws ConfigException, InterruptedException {
         Map<String, Listener> fresh = new HashMap<>();
         List<String> faults = new ArrayList<>();
-        for (DaemonConfig.Listen l : file.listeners()) {
+        for (ListenerConfig l : file.listeners()) {
             Listener standing =
                     loop.submit(() -> listeners.get(l.name())).sync().getNow();
             if (standing != null && l.address().equals(asked.get(standing))) {
@@ -257,7 +262,7 @@
         change.endReplaced();
     }
 
-    private StandardMetaProtocol open(DaemonConfig file, DaemonConfig.Listen l) {
+    private StandardMetaProtocol open(DaemonConfig file, ListenerConfig l) {
         if (!l.open()) {
             return null;
         }
@@ -284,7 +289,7 @@
             restored.restoreStartTimes(births, now);
         }
         Map<String, PoolRuntime> pools = new LinkedHashMap<>();
-        for (DaemonConfig.Pool p : file.pools().values()) {
+        for (PoolConfig p : file.pools().values()) {
             PoolRuntime standing = before == null ? null : before.pools.get(p.name());
             if (standing != null && standing.fits(file, p)) {
                 standing.apply(file);
@@ -322,14 +327,14 @@
                 file.site().startCapacity(),
                 file.site().warmUpMs(),
                 file.site().fallMs(),
-                file.site().instances(),
+                file.site().proxyCount(),
                 file.limits().unknownCapacity());
         if (cold == null) {
             cold = new SlowStartBudget(figures);
         } else {
             cold.setConfig(figures);
         }
-        for (DaemonConfig.Pool p : file.pools().values()) {
+        for (PoolConfig p : file.pools().values()) {
             PoolSettings.all(p).forEach(s -> cold.setServerRate(s.id(), s.capacity()));
         }
     }
@@ -338,12 +343,12 @@
     private void births(DaemonConfig file, ConfigSnapshot before, double now) {
         Set<Integer> present = new HashSet<>();
         Set<Integer> warm = new HashSet<>();
-        for (DaemonConfig.Pool p : file.pools().values()) {
+        for (PoolConfig p : file.pools().values()) {
             PoolSettings.all(p).stream().filter(s -> !s.down()).forEach(s -> present.add(s.id()));
-            PoolSettings.all(p).stream().filter(DaemonConfig.Server::warm).forEach(s -> warm.add(s.id()));
+            PoolSettings.all(p).stream().filter(ServerConfig::warm).forEach(s -> warm.add(s.id()));
         }
         if (file.site().warmUpMs() > 0) {
-            for (DaemonConfig.Pool p : file.pools().values()) {
+            for (PoolConfig p : file.pools().values()) {
                 p.servers().stream()
                         .filter(s -> s.backup() && !s.down() && !warm.contains(s.id()) && !inUse(file, s.id()))
                         .forEach(s -> births.addedUnused(s.id()));
@@ -351,7 +356,7 @@
         }
         if (before != null) {
             Set<Integer> known = new HashSet<>();
-            for (DaemonConfig.Pool p : before.file.pools().values()) {
+            for (PoolConfig p : before.file.pools().values()) {
                 PoolSettings.all(p).stream().filter(s -> !s.down()).forEach(s -> known.add(s.id()));
             }
             present.stream()
@@ -370,7 +375,7 @@
 
     private void listeners(DaemonConfig file, Map<String, Listener> fresh) {
         Set<String> named = new HashSet<>();
-        for (DaemonConfig.Listen l : file.listeners()) {
+        for (ListenerConfig l : file.listeners()) {
             named.add(l.name());
             Listener listener = fresh.get(l.name());
             if (listener == null) {
@@ -437,7 +442,7 @@
             return;
         }
         Set<Integer> ready = new HashSet<>();
-        for (DaemonConfig.Pool p : router.generation().file.pools().values()) {
+        for (PoolConfig p : router.generation().file.pools().values()) {
             PoolSettings.all(p).stream().filter(s -> !s.down() && !s.drain()).forEach(s -> ready.add(s.id()));
         }
         leavingPools.removeIf(l -> {
@@ -492,17 +497,17 @@
     /** All that is worth remembering, with at most so many hot keys a pool. */
     private StateSnapshot snapshot(int mostKeys) {
         DaemonConfig file = router.generation().file;
-        Map<String, StateSnapshot.Pool> pools = new LinkedHashMap<>();
+        Map<String, PoolState> pools = new LinkedHashMap<>();
         router.generation().pools.forEach((name, p) -> pools.put(name, p.learned(mostKeys)));
         Map<Integer, String> addresses = LearnedStates.addresses(file);
-        List<StateSnapshot.Birth> told = new ArrayList<>();
+        List<ServerStart> told = new ArrayList<>();
         for (int server : births.knownServers()) {
             double born = births.startMs(server) == ServerStartTimes.NOT_YET_USED_MS ? 0 : births.startMs(server);
             if (addresses.containsKey(server) && (born > 0 || births.isDown(server))) {
-                told.add(new StateSnapshot.Birth(server, addresses.get(server), born, births.isDown(server)));
+                told.add(new ServerStart(server, addresses.get(server), born, births.isDown(server)));
             }
         }
-        return new StateSnapshot(file.site().name(), file.site().me(), core.now(), 0, pools, told);
+        return new StateSnapshot(file.site().name(), file.site().proxyIndex(), core.now(), 0, pools, told);
     }
 
     /** Ends at once. */
--- a/src/main/java/cacheproxy/daemon/LearnedStates.java
+++ b/src/main/java/cacheproxy/daemon/LearnedStates.java
@@ -2,8 +2,10 @@
 
 import cacheproxy.config.Addresses;
 import cacheproxy.config.DaemonConfig;
+import cacheproxy.config.PoolConfig;
 import cacheproxy.proxy.DiscoveryClient;
 import cacheproxy.proxy.Dispatcher;
+import cacheproxy.snapshot.state.CurrentServer;
 import cacheproxy.snapshot.state.StateSnapshot;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -15,11 +17,10 @@
     private LearnedStates() {}
 
     /** The state that a pool hands to the one that replaces it. */
-    static Dispatcher.Recollections handOver(
-            DaemonConfig file, DaemonConfig.Pool pool, PoolRuntime from, double nowMs) {
+    static Dispatcher.Recollections handOver(DaemonConfig file, PoolConfig pool, PoolRuntime from, double nowMs) {
         StateSnapshot snapshot = new StateSnapshot(
                 file.site().name(),
-                file.site().me(),
+                file.site().proxyIndex(),
                 nowMs,
                 0,
                 Map.of(pool.name(), from.learned(Integer.MAX_VALUE)),
@@ -33,27 +34,27 @@
      * @param trust weight of the restored figures, 0 to 1
      */
     public static Dispatcher.Recollections recollections(
-            StateSnapshot snapshot, double trust, DaemonConfig file, DaemonConfig.Pool pool) {
+            StateSnapshot snapshot, double trust, DaemonConfig file, PoolConfig pool) {
         String keyScheme = PoolSettings.keyScheme(file, pool);
         return (nowMs, servers) -> {
-            List<StateSnapshot.Present> present = new ArrayList<>();
+            List<CurrentServer> present = new ArrayList<>();
             for (DiscoveryClient.Host host : servers) {
-                present.add(new StateSnapshot.Present(
+                present.add(new CurrentServer(
                         host.member().id(),
                         Addresses.text(host.dial()),
                         host.member().bornMs()));
             }
-            return snapshot.left(pool.name(), keyScheme, nowMs, trust, present);
+            return snapshot.restore(pool.name(), keyScheme, nowMs, trust, present);
         };
     }
 
     /** The addresses of the servers that a configuration names, by server id. */
     public static Map<Integer, String> addresses(DaemonConfig file) {
         Map<Integer, String> addresses = new HashMap<>();
-        for (DaemonConfig.Pool pool : file.pools().values()) {
+        for (PoolConfig pool : file.pools().values()) {
             PoolSettings.all(pool).stream()
-                    .filter(server -> server.dial() != null)
-                    .forEach(server -> addresses.put(server.id(), Addresses.text(server.dial())));
+                    .filter(server -> server.address() != null)
+                    .forEach(server -> addresses.put(server.id(), Addresses.text(server.address())));
         }
         return addresses;
     }
--- a/src/main/java/cacheproxy/daemon/fleet/DelegatedWatches.java
+++ b/src/main/java/cacheproxy/daemon/fleet/DelegatedWatches.java
@@ -4,6 +4,8 @@
 import cacheproxy.config.FleetConfig;
 import cacheproxy.daemon.PoolRuntime;
 import cacheproxy.discovery.DelegatedWatch;
+import cacheproxy.discovery.DelegatedWatchActions;
+import cacheproxy.discovery.DelegatedWatchTiming;
 import cacheproxy.discovery.WatchVersionMessage;
 import cacheproxy.fleet.lease.NameHash;
 import cacheproxy.proxy.DiscoveryClient;
@@ -43,14 +45,14 @@
 
     @Override
     public void apply(DaemonConfig file, double nowMs) {
-        FleetConfig config = file.part(FleetConfig.class);
-        Set<String> wanted = new HashSet<>(config.watch() == null ? List.of() : LeaseSpec.watchedPools(file));
+        FleetConfig config = file.section(FleetConfig.class);
+        Set<String> wanted = new HashSet<>(config.delegatedWatch() == null ? List.of() : LeaseSpec.watchedPools(file));
         removeUnwanted(config, wanted);
         byLease.clear();
         for (String pool : wanted) {
             addOrUpdate(config, pool);
         }
-        otherPeersOfZone = config.names(config.zone()).stream()
+        otherPeersOfZone = config.peerNames(config.zone()).stream()
                 .map(NameHash::of)
                 .filter(id -> id != context.link().ownId())
                 .toList();
@@ -59,7 +61,7 @@
     /** A watch ends with its pool, and with its lease where the zone has changed. */
     private void removeUnwanted(FleetConfig config, Set<String> wanted) {
         for (String pool : List.copyOf(byPool.keySet())) {
-            if (!wanted.contains(pool) || !byLease.containsKey(NameHash.of(config.watchDuty(pool)))) {
+            if (!wanted.contains(pool) || !byLease.containsKey(NameHash.of(config.watchLease(pool)))) {
                 byPool.remove(pool);
                 discoveryOf(pool).ifPresent(client -> client.pace(true));
             }
@@ -67,40 +69,40 @@
     }
 
     private void addOrUpdate(FleetConfig config, String pool) {
-        DelegatedWatch.Rules timing = new DelegatedWatch.Rules(
-                config.watch().beatMs(),
-                config.watch().wordMs(),
-                config.watch().lazyMs(),
-                config.watch().gatherMs());
-        String lease = config.watchDuty(pool);
+        DelegatedWatchTiming timing = new DelegatedWatchTiming(
+                config.delegatedWatch().heartbeatMs(),
+                config.delegatedWatch().heartbeatTtlMs(),
+                config.delegatedWatch().followerPollMs(),
+                config.delegatedWatch().pollSpreadMs());
+        String lease = config.watchLease(pool);
         DelegatedWatch watch = byPool.computeIfAbsent(
                 pool,
                 newPool -> new DelegatedWatch(
                         context.link().lease(lease), timing, random.split(), new WatchOutbox(newPool)));
-        watch.use(timing);
+        watch.updateTiming(timing);
         byLease.put(NameHash.of(lease), watch);
     }
 
     /** Whether this proxy itself long-polls discovery for a pool. */
     boolean watchesClosely(String pool) {
         DelegatedWatch watch = byPool.get(pool);
-        return watch == null || watch.closely(context.nowMs());
+        return watch == null || watch.shouldLongPoll(context.nowMs());
     }
 
     /** An endpoint list has arrived for a pool. */
     void listReceived(String pool, long version) {
         DelegatedWatch watch = byPool.get(pool);
         if (watch != null) {
-            watch.have(context.nowMs(), version);
+            watch.listVersionChanged(context.nowMs(), version);
         }
     }
 
     @Override
     public void receive(double nowMs, long from, byte[] payload) {
-        WatchVersionMessage message = WatchVersionMessage.of(payload);
-        DelegatedWatch watch = message == null ? null : byLease.get(message.duty());
+        WatchVersionMessage message = WatchVersionMessage.decode(payload);
+        DelegatedWatch watch = message == null ? null : byLease.get(message.leaseId());
         if (watch != null) {
-            watch.heard(nowMs, from, message);
+            watch.received(nowMs, from, message);
         }
     }
 
@@ -118,7 +120,7 @@
         JsonObject watches = new JsonObject();
         byPool.forEach((pool, watch) -> {
             JsonObject json = new JsonObject();
-            json.addProperty("closely", watch.closely(context.nowMs()));
+            json.addProperty("closely", watch.shouldLongPoll(context.nowMs()));
             json.addProperty("version", watch.version());
             watches.add(pool, json);
         });
@@ -129,7 +131,7 @@
         return context.pool(pool).map(PoolRuntime::discovery);
     }
 
-    private final class WatchOutbox implements DelegatedWatch.Out {
+    private final class WatchOutbox implements DelegatedWatchActions {
         private final String pool;
 
         WatchOutbox(String pool) {
@@ -137,23 +139,23 @@
         }
 
         @Override
-        public void tell(WatchVersionMessage message) {
-            byte[] payload = message.bytes();
+        public void send(WatchVersionMessage message) {
+            byte[] payload = message.encode();
             otherPeersOfZone.forEach(to -> context.link().send(to, DelegatedWatches.this, payload));
         }
 
         @Override
-        public void tell(long to, WatchVersionMessage message) {
-            context.link().send(to, DelegatedWatches.this, message.bytes());
+        public void send(long to, WatchVersionMessage message) {
+            context.link().send(to, DelegatedWatches.this, message.encode());
         }
 
         @Override
-        public void closely(boolean closely) {
-            discoveryOf(pool).ifPresent(client -> client.pace(closely));
+        public void setLongPolling(boolean enabled) {
+            discoveryOf(pool).ifPresent(client -> client.pace(enabled));
         }
 
         @Override
-        public void ask() {
+        public void pollOnce() {
             discoveryOf(pool).ifPresent(DiscoveryClient::ask);
         }
     }
--- a/src/main/java/cacheproxy/daemon/fleet/FleetHealthChecks.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetHealthChecks.java
@@ -54,19 +54,19 @@
 
     @Override
     public void apply(DaemonConfig file, double nowMs) {
-        FleetConfig config = file.part(FleetConfig.class);
-        if (config.probe() == null) {
+        FleetConfig config = file.section(FleetConfig.class);
+        if (config.healthCheck() == null) {
             close();
             return;
         }
-        checksByRequests = config.probe().requests();
+        checksByRequests = config.healthCheck().byClientRequests();
         HealthCheckTiming timing = new HealthCheckTiming(
                 Dispatcher.PROBE_TIMEOUT_MS,
-                config.probe().patienceMs(),
-                config.probe().reuseMs());
+                config.healthCheck().resultTimeoutMs(),
+                config.healthCheck().resultTtlMs());
         PeerLink link = context.link();
         List<LeaseHandle> shares =
-                config.probeDuties().stream().map(link::lease).toList();
+                config.healthCheckLeases().stream().map(link::lease).toList();
         if (coordinator == null) {
             coordinator = new HealthCheckCoordinator(
                     link.ownId(), firstRequestNumber, timing, shares, new CoordinatorOutbox());
--- a/src/main/java/cacheproxy/daemon/fleet/FleetLeases.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetLeases.java
@@ -49,9 +49,9 @@
             double grantsFromMs) {
         this.core = core;
         this.socket = socket;
-        ownId = NameHash.of(config.me());
+        ownId = NameHash.of(config.self());
         manager = new LeaseManager(
-                config.me(),
+                config.self(),
                 new LeaseTiming(config.longestLeaseMs(), LeaseTiming.MAX_CLOCK_DRIFT),
                 random,
                 grantsFromMs,
@@ -61,7 +61,7 @@
 
     /** Campaigns for the leases of a configuration, and for no others. */
     void apply(DaemonConfig file, double nowMs) {
-        FleetConfig config = file.part(FleetConfig.class);
+        FleetConfig config = file.section(FleetConfig.class);
         Map<String, LeaseSpec> wanted = LeaseSpec.of(file);
         specs.keySet().stream()
                 .filter(name -> !wanted.containsKey(name))
--- a/src/main/java/cacheproxy/daemon/fleet/FleetMembership.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetMembership.java
@@ -36,8 +36,8 @@
     /** Enabled only where there are quotas, which alone use it. */
     @Override
     public void apply(DaemonConfig file, double nowMs) {
-        FleetConfig config = file.part(FleetConfig.class);
-        enabled = !config.limits().limits().isEmpty();
+        FleetConfig config = file.section(FleetConfig.class);
+        enabled = !config.quotas().quotas().isEmpty();
         membership.updateMembers(
                 config.peers().stream().map(peer -> NameHash.of(peer.name())).toList(), nowMs);
     }
--- a/src/main/java/cacheproxy/daemon/fleet/FleetQuotas.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetQuotas.java
@@ -2,8 +2,9 @@
 
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.FleetConfig;
-import cacheproxy.config.LimitsConfig;
-import cacheproxy.control.ControlEndpoints.Answer;
+import cacheproxy.config.QuotaConfig;
+import cacheproxy.config.QuotasConfig;
+import cacheproxy.control.ControlResponse;
 import cacheproxy.fleet.lease.LeaseTiming;
 import cacheproxy.fleet.lease.NameHash;
 import cacheproxy.fleet.quota.LocalQuota;
@@ -81,19 +82,19 @@
 
     @Override
     public void apply(DaemonConfig file, double nowMs) {
-        FleetConfig fleet = file.part(FleetConfig.class);
-        LimitsConfig config = fleet.limits();
+        FleetConfig fleet = file.section(FleetConfig.class);
+        QuotasConfig config = fleet.quotas();
         table = null;
         scopes.clear();
-        if (config.limits().isEmpty()) {
+        if (config.quotas().isEmpty()) {
             manager = null;
             return;
         }
         useTiming(config, nowMs);
         proxies = fleet.peers().size();
-        Map<LimitsConfig.Limit, List<String>> names = new LinkedHashMap<>();
+        Map<QuotaConfig, List<String>> names = new LinkedHashMap<>();
         List<QuotaSpec> specs = new ArrayList<>();
-        for (LimitsConfig.Limit limit : config.limits()) {
+        for (QuotaConfig limit : config.quotas()) {
             names.put(limit, QuotaTable.namesOf(limit, file));
         }
         names.forEach((limit, quotaNames) -> quotaNames.forEach(name -> {
@@ -105,8 +106,8 @@
         names.forEach((limit, quotaNames) -> table.add(limit, quotaNames, manager::localQuota));
     }
 
-    private void useTiming(LimitsConfig config, double nowMs) {
-        QuotaTiming wanted = new QuotaTiming(config.grantMs(), LeaseTiming.MAX_CLOCK_DRIFT);
+    private void useTiming(QuotasConfig config, double nowMs) {
+        QuotaTiming wanted = new QuotaTiming(config.grantTtlMs(), LeaseTiming.MAX_CLOCK_DRIFT);
         if (manager != null && wanted.grantMs() == timing.grantMs()) {
             return;
         }
@@ -130,7 +131,7 @@
                 .anyMatch(peer -> NameHash.of(peer.name()) == link.ownId() && !peer.joining() && !peer.leaving());
         manager.configure(
                 specs,
-                fleet.limits().duties().stream().map(link::lease).toList(),
+                fleet.quotas().leaseNames().stream().map(link::lease).toList(),
                 fleet.peers().stream().map(peer -> NameHash.of(peer.name())).toList(),
                 proxies,
                 listIsChanging,
@@ -138,16 +139,16 @@
                 nowMs);
     }
 
-    private static QuotaSpec specOf(String name, LimitsConfig.Limit limit, LimitsConfig config) {
-        boolean concurrent = limit.atOnce() > 0;
+    private static QuotaSpec specOf(String name, QuotaConfig limit, QuotasConfig config) {
+        boolean concurrent = limit.maxInFlight() > 0;
         return new QuotaSpec(
                 name,
                 concurrent,
-                concurrent ? limit.atOnce() : limit.perSecond(),
+                concurrent ? limit.maxInFlight() : limit.perSecond(),
                 concurrent ? 0 : limit.burst(),
-                QuotaSpec.IsolationPolicy.valueOf(limit.whenAlone().toUpperCase(Locale.ROOT)),
-                limit.sharePart(),
-                concurrent ? config.holdMs() : 0);
+                QuotaSpec.IsolationPolicy.valueOf(limit.whenIsolated().toUpperCase(Locale.ROOT)),
+                limit.shareFraction(),
+                concurrent ? config.maxHoldMs() : 0);
     }
 
     // ---- requests
@@ -224,16 +225,16 @@
     // ---- operators
 
     /** Answers {@code GET /limits}. */
-    Answer handle(String method, String uri) {
+    ControlResponse handle(String method, String uri) {
         if (!method.equals("GET")) {
-            return new Answer(METHOD_NOT_ALLOWED, "use GET /limits", "GET");
+            return new ControlResponse(METHOD_NOT_ALLOWED, "use GET /limits", "GET");
         }
         JsonArray list = new JsonArray();
         double nowMs = core.now();
         if (manager != null) {
             manager.statuses(nowMs).forEach(status -> list.add(asJson(status, nowMs)));
         }
-        return new Answer(OK, list.toString());
+        return new ControlResponse(OK, list.toString());
     }
 
     private JsonObject asJson(QuotaStatus status, double nowMs) {
--- a/src/main/java/cacheproxy/daemon/fleet/FleetSocket.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetSocket.java
@@ -4,6 +4,7 @@
 import cacheproxy.config.ConfigException;
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.FleetConfig;
+import cacheproxy.config.PeerConfig;
 import cacheproxy.daemon.SocketBinder;
 import cacheproxy.fleet.lease.NameHash;
 import cacheproxy.fleet.peer.DatagramEnvelope;
@@ -62,7 +63,7 @@
         List<byte[]> keys = config.keys().stream()
                 .map(key -> key.getBytes(StandardCharsets.UTF_8))
                 .toList();
-        envelope = new DatagramEnvelope(NameHash.of(config.me()), (long) startedMs, keys, List.of());
+        envelope = new DatagramEnvelope(NameHash.of(config.self()), (long) startedMs, keys, List.of());
     }
 
     /** Binds the configured address; not on the event loop. */
@@ -82,10 +83,10 @@
     }
 
     /** Replaces the peers. */
-    void usePeers(List<FleetConfig.Peer> peers) {
+    void usePeers(List<PeerConfig> peers) {
         addresses.clear();
         names.clear();
-        for (FleetConfig.Peer peer : peers) {
+        for (PeerConfig peer : peers) {
             long id = NameHash.of(peer.name());
             addresses.put(id, peer.address());
             names.put(id, peer.name());
--- a/src/main/java/cacheproxy/daemon/fleet/FleetStateEndpoint.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetStateEndpoint.java
@@ -1,7 +1,7 @@
 package cacheproxy.daemon.fleet;
 
-import cacheproxy.control.ControlEndpoints.Answer;
 import cacheproxy.control.ControlRequestHandler;
+import cacheproxy.control.ControlResponse;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import java.util.List;
@@ -25,9 +25,9 @@
     }
 
     @Override
-    public Answer call(String method, String uri) {
+    public ControlResponse handle(String method, String uri) {
         if (!method.equals("GET")) {
-            return new Answer(METHOD_NOT_ALLOWED, "use GET /fleet", "GET");
+            return new ControlResponse(METHOD_NOT_ALLOWED, "use GET /fleet", "GET");
         }
         JsonObject state = new JsonObject();
         state.addProperty("me", ownName);
@@ -35,7 +35,7 @@
         socket.names().forEach((id, name) -> peers.add(peerAsJson(id, name)));
         state.add("peers", peers);
         protocols.forEach(protocol -> protocol.describe(state));
-        return new Answer(OK, state.toString());
+        return new ControlResponse(OK, state.toString());
     }
 
     private JsonObject peerAsJson(long id, String name) {
--- a/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
@@ -68,7 +68,7 @@
             Supplier<ConfigSnapshot> configuration) {
         this.config = config;
         this.core = core;
-        ownName = config.me();
+        ownName = config.self();
         double startedMs = core.now();
         SplittableRandom random = new SplittableRandom(seed);
         socket = new FleetSocket(core, config, startedMs, this::receive);
@@ -88,7 +88,7 @@
     public static Optional<FleetSubsystem> open(SubsystemContext context, DaemonConfig file, Subsystem before)
             throws ConfigException, InterruptedException {
         long seed = context.random().nextLong();
-        FleetConfig config = file.part(FleetConfig.class);
+        FleetConfig config = file.section(FleetConfig.class);
         if (config == null) {
             return Optional.empty();
         }
@@ -116,9 +116,9 @@
     /** Peers and leases may change; its identity and the longest lease that it may have granted may not. */
     @Override
     public boolean fits(DaemonConfig file) {
-        FleetConfig other = file.part(FleetConfig.class);
+        FleetConfig other = file.section(FleetConfig.class);
         return other != null
-                && other.me().equals(ownName)
+                && other.self().equals(ownName)
                 && other.listen().equals(config.listen())
                 && other.keys().equals(config.keys())
                 && other.longestLeaseMs() == config.longestLeaseMs();
@@ -126,7 +126,7 @@
 
     @Override
     public void apply(DaemonConfig file) {
-        config = file.part(FleetConfig.class);
+        config = file.section(FleetConfig.class);
         socket.usePeers(config.peers());
         double nowMs = core.now();
         leases.apply(file, nowMs);
--- a/src/main/java/cacheproxy/daemon/fleet/LeaseEndpoints.java
+++ b/src/main/java/cacheproxy/daemon/fleet/LeaseEndpoints.java
@@ -1,7 +1,7 @@
 package cacheproxy.daemon.fleet;
 
-import cacheproxy.control.ControlEndpoints.Answer;
 import cacheproxy.control.ControlRequestHandler;
+import cacheproxy.control.ControlResponse;
 import cacheproxy.fleet.lease.LeaseManager;
 import cacheproxy.fleet.lease.LeaseStatus;
 import cacheproxy.fleet.lease.NameHash;
@@ -42,42 +42,42 @@
     }
 
     @Override
-    public Answer call(String method, String uri) {
+    public ControlResponse handle(String method, String uri) {
         QueryStringDecoder query = new QueryStringDecoder(uri);
         String[] path = query.path().substring(1).split("/", -1);
         boolean isTransfer = path.length == 3 && path[2].equals("transfer");
         if (path.length > 2 && !isTransfer) {
-            return new Answer(
+            return new ControlResponse(
                     NOT_FOUND, "the calls are GET /duties, GET /duties/NAME and POST /duties/NAME/transfer?to=PEER");
         }
         String allowed = isTransfer ? "POST" : "GET";
         if (!method.equals(allowed)) {
-            return new Answer(METHOD_NOT_ALLOWED, "use " + allowed + " " + query.path(), allowed);
+            return new ControlResponse(METHOD_NOT_ALLOWED, "use " + allowed + " " + query.path(), allowed);
         }
         if (path.length == 1) {
-            return new Answer(OK, listAsJson().toString());
+            return new ControlResponse(OK, listAsJson().toString());
         }
         if (!shownLeases.contains(path[1])) {
-            return new Answer(NOT_FOUND, "there is no such duty");
+            return new ControlResponse(NOT_FOUND, "there is no such duty");
         }
         return isTransfer ? transfer(path[1], query) : epoch(path[1]);
     }
 
-    private Answer epoch(String lease) {
+    private ControlResponse epoch(String lease) {
         long epoch = leases.permit(lease, clock.getAsDouble(), 0);
-        return epoch >= 0 ? new Answer(OK, Long.toString(epoch)) : new Answer(UNAVAILABLE, NOT_HELD);
+        return epoch >= 0 ? new ControlResponse(OK, Long.toString(epoch)) : new ControlResponse(UNAVAILABLE, NOT_HELD);
     }
 
-    private Answer transfer(String lease, QueryStringDecoder query) {
+    private ControlResponse transfer(String lease, QueryStringDecoder query) {
         List<String> receivers = query.parameters().getOrDefault("to", List.of());
         long receiver = receivers.isEmpty() ? NameHash.NOBODY : NameHash.of(receivers.get(0));
         String name = peerNames.get(receiver);
         if (name == null || receiver == ownId) {
-            return new Answer(BAD_REQUEST, "say to=PEER, the name of another proxy");
+            return new ControlResponse(BAD_REQUEST, "say to=PEER, the name of another proxy");
         }
         return leases.transfer(lease, receiver, clock.getAsDouble(), "handed to " + name)
-                ? new Answer(OK, "handing it to " + name)
-                : new Answer(CONFLICT, NOT_HELD);
+                ? new ControlResponse(OK, "handing it to " + name)
+                : new ControlResponse(CONFLICT, NOT_HELD);
     }
 
     private JsonArray listAsJson() {
--- a/src/main/java/cacheproxy/daemon/fleet/LeaseSpec.java
+++ b/src/main/java/cacheproxy/daemon/fleet/LeaseSpec.java
@@ -2,6 +2,7 @@
 
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.FleetConfig;
+import cacheproxy.config.PoolConfig;
 import cacheproxy.fleet.lease.VoterSet;
 import java.util.LinkedHashMap;
 import java.util.List;
@@ -20,23 +21,28 @@
 
     /** The leases of a configuration by name: the operators' own first, then those of the fleet's protocols. */
     static Map<String, LeaseSpec> of(DaemonConfig file) {
-        FleetConfig config = file.part(FleetConfig.class);
+        FleetConfig config = file.section(FleetConfig.class);
         Map<String, LeaseSpec> specs = new LinkedHashMap<>();
-        config.duties().forEach(duty -> specs.put(duty.name(), new LeaseSpec(duty.leaseMs(), duty.voters(), null)));
-        for (String name : config.probeDuties()) {
+        config.leases().forEach(duty -> specs.put(duty.name(), new LeaseSpec(duty.leaseMs(), duty.voters(), null)));
+        for (String name : config.healthCheckLeases()) {
             specs.put(
-                    name, new LeaseSpec(config.probe().leaseMs(), config.probe().voters(), null));
+                    name,
+                    new LeaseSpec(
+                            config.healthCheck().leaseMs(), config.healthCheck().voters(), null));
         }
-        for (String name : config.limits().duties()) {
+        for (String name : config.quotas().leaseNames()) {
             specs.put(
                     name,
-                    new LeaseSpec(config.limits().leaseMs(), config.limits().voters(), null));
+                    new LeaseSpec(config.quotas().leaseMs(), config.quotas().voters(), null));
         }
-        if (config.watch() != null && !config.names(config.zone()).isEmpty()) {
+        if (config.delegatedWatch() != null && !config.peerNames(config.zone()).isEmpty()) {
             for (String pool : watchedPools(file)) {
                 specs.put(
-                        config.watchDuty(pool),
-                        new LeaseSpec(config.watch().leaseMs(), config.watch().voters(), config.zone()));
+                        config.watchLease(pool),
+                        new LeaseSpec(
+                                config.delegatedWatch().leaseMs(),
+                                config.delegatedWatch().voters(),
+                                config.zone()));
             }
         }
         return specs;
@@ -46,13 +52,13 @@
     static List<String> watchedPools(DaemonConfig file) {
         return file.pools().values().stream()
                 .filter(pool -> pool.discovery() != null)
-                .map(DaemonConfig.Pool::name)
+                .map(PoolConfig::name)
                 .limit(MAX_WATCHED_POOLS)
                 .toList();
     }
 
     /** The voters on the lease of this name. */
     VoterSet voterSet(String name, FleetConfig config) {
-        return new VoterSet(name, config.names(zone), config.namesBefore(zone), voters);
+        return new VoterSet(name, config.peerNames(zone), config.previousPeerNames(zone), voters);
     }
 }
--- a/src/main/java/cacheproxy/daemon/fleet/PeerListMonitor.java
+++ b/src/main/java/cacheproxy/daemon/fleet/PeerListMonitor.java
@@ -55,12 +55,12 @@
 
     @Override
     public void apply(DaemonConfig file, double nowMs) {
-        FleetConfig config = file.part(FleetConfig.class);
+        FleetConfig config = file.section(FleetConfig.class);
         names.clear();
         config.peers().forEach(peer -> names.put(NameHash.of(peer.name()), peer.name()));
         others = new ArrayList<>(names.keySet());
         others.remove(context.link().ownId());
-        lists.update(Set.copyOf(config.names()), Set.copyOf(config.namesBefore()), Set.copyOf(others));
+        lists.update(Set.copyOf(config.peerNames()), Set.copyOf(config.previousPeerNames()), Set.copyOf(others));
         differentSinceMs.clear();
         warnedOf.clear();
     }
--- a/src/main/java/cacheproxy/daemon/fleet/QuotaTable.java
+++ b/src/main/java/cacheproxy/daemon/fleet/QuotaTable.java
@@ -1,7 +1,7 @@
 package cacheproxy.daemon.fleet;
 
 import cacheproxy.config.DaemonConfig;
-import cacheproxy.config.LimitsConfig;
+import cacheproxy.config.QuotaConfig;
 import cacheproxy.fleet.quota.LocalQuota;
 import cacheproxy.proxy.ClientRequest;
 import java.util.Arrays;
@@ -28,7 +28,7 @@
     }
 
     /** The names of the quotas that a limit of the configuration makes: one, or one for each tenant. */
-    static List<String> namesOf(LimitsConfig.Limit limit, DaemonConfig file) {
+    static List<String> namesOf(QuotaConfig limit, DaemonConfig file) {
         if (EACH_TENANT.equals(limit.tenant()) && !file.tenants().isEmpty()) {
             return file.tenants().stream()
                     .map(tenant -> limit.name() + ":" + tenant.name())
@@ -43,7 +43,7 @@
      * @param names those of {@link #namesOf}
      * @param quotas gives the quota of a name
      */
-    void add(LimitsConfig.Limit limit, List<String> names, Function<String, LocalQuota> quotas) {
+    void add(QuotaConfig limit, List<String> names, Function<String, LocalQuota> quotas) {
         LocalQuota[][] table = byPool.computeIfAbsent(limit.pool() == null ? ALL_POOLS : limit.pool(), pool -> empty());
         for (int serviceClass = 0; serviceClass < file.classes().size(); serviceClass++) {
             for (int tenant = 0; tenant < tenants; tenant++) {
@@ -62,7 +62,7 @@
         return table;
     }
 
-    private boolean appliesTo(LimitsConfig.Limit limit, int serviceClass, int tenant) {
+    private boolean appliesTo(QuotaConfig limit, int serviceClass, int tenant) {
         boolean classMatches = limit.serviceClass() == null || file.classIndex(limit.serviceClass()) == serviceClass;
         boolean tenantMatches = limit.tenant() == null
                 || limit.tenant().equals(EACH_TENANT)
--- a/src/main/java/cacheproxy/daemon/snapshot/SnapshotSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/snapshot/SnapshotSubsystem.java
@@ -1,6 +1,7 @@
 package cacheproxy.daemon.snapshot;
 
 import cacheproxy.config.DaemonConfig;
+import cacheproxy.config.PoolConfig;
 import cacheproxy.config.SnapshotConfig;
 import cacheproxy.daemon.LearnedStateSource;
 import cacheproxy.daemon.LearnedStates;
@@ -11,6 +12,7 @@
 import cacheproxy.proxy.EventLoopContext;
 import cacheproxy.snapshot.SnapshotStore;
 import cacheproxy.snapshot.SnapshotWriter;
+import cacheproxy.snapshot.StoredSnapshot;
 import cacheproxy.snapshot.state.StateSnapshot;
 import java.io.IOException;
 import java.nio.file.Path;
@@ -46,16 +48,16 @@
 
     private SnapshotSubsystem(
             DaemonConfig file, EventLoopContext core, IntFunction<StateSnapshot> snapshot, SnapshotStore files) {
-        spec = file.part(SnapshotConfig.class);
+        spec = file.section(SnapshotConfig.class);
         this.file = file;
         this.core = core;
         this.snapshot = snapshot;
         this.files = files;
-        SnapshotStore.Found found = files == null ? null : files.read();
+        StoredSnapshot found = files == null ? null : files.read();
         if (found != null) {
             found.notes().forEach(n -> core.log("memory: " + n));
             use(found.content(), false, spec.path().toString());
-            if (found.older() && found.content() != null) {
+            if (found.fromPreviousGeneration() && found.content() != null) {
                 core.log("memory: goes by the generation before the newest");
             }
         }
@@ -74,7 +76,7 @@
      * nothing is to be kept and there is no sibling's to start from.
      */
     public static Optional<SnapshotSubsystem> open(SubsystemContext context, DaemonConfig file, Subsystem before) {
-        SnapshotConfig spec = file.part(SnapshotConfig.class);
+        SnapshotConfig spec = file.section(SnapshotConfig.class);
         Path sibling = context.siblingSnapshot().get().orElse(null);
         if (spec == null && sibling == null) {
             return Optional.empty();
@@ -95,9 +97,9 @@
         SnapshotStore files = SnapshotStore.at(spec.path());
         String why;
         try {
-            why = files.lock() ? null : "another process keeps its memory there; give each a path of its own";
+            why = files.tryLock() ? null : "another process keeps its memory there; give each a path of its own";
         } catch (IOException e) {
-            why = SnapshotStore.reason(e);
+            why = SnapshotStore.describe(e);
         }
         if (why != null) {
             core.log("memory: can't use " + spec.path() + ": " + why + "; goes on without");
@@ -107,7 +109,7 @@
 
     @Override
     public boolean fits(DaemonConfig other) {
-        return java.util.Objects.equals(spec, other.part(SnapshotConfig.class));
+        return java.util.Objects.equals(spec, other.section(SnapshotConfig.class));
     }
 
     @Override
@@ -127,7 +129,7 @@
         if (sibling == null) {
             return;
         }
-        SnapshotStore.Found found = SnapshotStore.at(sibling).read();
+        StoredSnapshot found = SnapshotStore.at(sibling).read();
         found.notes().forEach(n -> core.log("memory: " + n));
         if (remembered != null) {
             core.log("memory: " + sibling + " is not needed, this proxy's own is there");
@@ -139,21 +141,23 @@
     }
 
     private void use(StateSnapshot content, boolean another, String path) {
-        String unfit = content == null
-                ? null
-                : content.unfit(file.site().name(), file.site().me(), core.now(), another);
-        if (unfit != null) {
-            core.log("memory: " + path + " is not used: " + unfit);
-        } else if (content != null) {
-            remembered = content;
-            trust = another ? SIBLING_TRUST : 1;
-            core.log("memory: " + path + ", " + Math.round((core.now() - content.writtenMs()) / 1000) + " s old"
-                    + (another ? ", a sibling's" : ""));
+        if (content == null) {
+            return;
+        }
+        Optional<String> mismatch =
+                content.mismatch(file.site().name(), file.site().proxyIndex(), core.now(), another);
+        if (mismatch.isPresent()) {
+            core.log("memory: " + path + " is not used: " + mismatch.get());
+            return;
         }
+        remembered = content;
+        trust = another ? SIBLING_TRUST : 1;
+        core.log("memory: " + path + ", " + Math.round((core.now() - content.writtenMs()) / 1000) + " s old"
+                + (another ? ", a sibling's" : ""));
     }
 
     @Override
-    public Dispatcher.Recollections recollections(DaemonConfig of, DaemonConfig.Pool pool) {
+    public Dispatcher.Recollections recollections(DaemonConfig of, PoolConfig pool) {
         return remembered == null ? null : LearnedStates.recollections(remembered, trust, of, pool);
     }
 
@@ -161,8 +165,8 @@
     public void restoreStartTimes(ServerStartTimes to, double now) {
         if (remembered != null) {
             remembered
-                    .births(now, LearnedStates.addresses(file))
-                    .forEach(b -> to.restore(b.id(), b.bornMs(), b.down(), now));
+                    .serverStarts(now, LearnedStates.addresses(file))
+                    .forEach(b -> to.restore(b.id(), b.startMs(), b.down(), now));
         }
     }
 
@@ -181,13 +185,13 @@
 
     private void offer() {
         if (!ended) {
-            writer.offer(snapshot.apply(spec.keys()));
+            writer.offer(snapshot.apply(spec.maxHotKeys()));
         }
     }
 
     /** Files written and bytes in all, for measurements. */
     public long[] written() {
-        return writer == null ? new long[2] : new long[] {writer.writes(), writer.bytes()};
+        return writer == null ? new long[2] : new long[] {writer.writeCount(), writer.byteCount()};
     }
 
     /** Writes a last time. */
@@ -196,11 +200,11 @@
         if (writer != null && ticks != null) {
             ticks.cancel(false);
             StateSnapshot last = core.loop()
-                    .submit(() -> snapshot.apply(spec.keys()))
+                    .submit(() -> snapshot.apply(spec.maxHotKeys()))
                     .syncUninterruptibly()
                     .getNow();
             try {
-                writer.finish(last, FINISH_MS);
+                writer.writeLast(last, FINISH_MS);
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
@@ -223,7 +227,7 @@
         ended = true;
         if (writer != null) {
             try {
-                writer.abandon();
+                writer.stopWithoutWriting();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
--- a/src/test/java/cacheproxy/daemon/fleet/DelegatedWatchesTest.java
+++ b/src/test/java/cacheproxy/daemon/fleet/DelegatedWatchesTest.java
@@ -53,7 +53,7 @@
                     .seal(
                             NameHash.of("p1"),
                             DelegatedWatches.TOPIC,
-                            new WatchVersionMessage(true, NameHash.of("watch.here.a"), 0, 0, 6).bytes());
+                            new WatchVersionMessage(true, NameHash.of("watch.here.a"), 0, 0, 6).encode());
             peer.send(new DatagramPacket(newer, newer.length, loopback(), port));
             // The silent long poll times out after 24 s, so another one within half of that answers the report.
             assertThat(discovery.commands.poll(12, TimeUnit.SECONDS)).contains("since=5&");
