--- a/src/main/java/cacheproxy/daemon/RoutedRequest.java
+++ b/src/main/java/cacheproxy/daemon/RoutedRequest.java
@@ -101,8 +101,8 @@
         if (config.quotas == null) {
             return true;
         }
-        LocalQuota[] all = config.quotas.of("", request);
-        double waitMs = config.quotas.ask(all, core.now());
+        LocalQuota[] all = config.quotas.quotasFor("", request);
+        double waitMs = config.quotas.requestWaitMs(all, core.now());
         if (waitMs > 0) {
             concluded();
             client.refused(waitMs);
@@ -114,8 +114,8 @@
 
     /** Takes the quotas of a pool and one of its places; false if it rejects the request. */
     private boolean admit(PoolRuntime pool, double nowMs) {
-        LocalQuota[] poolQuotas = config.quotas == null ? null : config.quotas.of(pool.name, request);
-        double quotaWaitMs = poolQuotas == null ? 0 : config.quotas.ask(poolQuotas, nowMs);
+        LocalQuota[] poolQuotas = config.quotas == null ? null : config.quotas.quotasFor(pool.name, request);
+        double quotaWaitMs = poolQuotas == null ? 0 : config.quotas.requestWaitMs(poolQuotas, nowMs);
         double waitMs = quotaWaitMs > 0 ? quotaWaitMs : pool.admit(nowMs);
         if (waitMs > 0) {
             longestRetryAfterMs = Math.max(longestRetryAfterMs, waitMs);
