--- a/src/main/java/cacheproxy/daemon/PoolRuntime.java
+++ b/src/main/java/cacheproxy/daemon/PoolRuntime.java
@@ -11,11 +11,9 @@
 import cacheproxy.limits.PoolLimiter;
 import cacheproxy.limits.RetryBudget;
 import cacheproxy.limits.ServerStartTimes;
-import cacheproxy.limits.SlowStartBudget;
 import cacheproxy.placement.BackupPlacement;
 import cacheproxy.policy.PolicyApi.ListKind;
 import cacheproxy.policy.PolicyApi.Member;
-import cacheproxy.policy.PolicyApi.Outcome;
 import cacheproxy.policy.PolicyApi.Settings;
 import cacheproxy.proxy.DiscoveryClient;
 import cacheproxy.proxy.Dispatcher;
@@ -32,231 +30,207 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
+import java.util.Objects;
 import java.util.Set;
 import java.util.function.IntPredicate;
-import java.util.function.Supplier;
 
-/** A pool at work: its module with what carries its orders out, and its bounds. On the event loop only. */
+/**
+ * A running pool: its policy with the dispatcher that carries its decisions out, its server list and its bounds. It
+ * continues under later configurations that it {@linkplain #fits fits}. On the event loop only.
+ */
 public final class PoolRuntime {
     final String name;
+    /** Carries the policy's decisions out. */
     public final Dispatcher dispatcher;
+
     private final Settings settings;
-    private final ServerStartTimes births;
+    private final ServerStartTimes startTimes;
     private final PoolAdmissionControl admission;
+    private final PoolFleetLink fleet;
     private final DiscoveryClient discovery;
-    private final Set<Integer> backups = new HashSet<>();
+    private final Set<Integer> backupServers = new HashSet<>();
     private DaemonConfig file;
-    private PoolConfig spec;
-    private PoolLimiter gate;
-    private KeyHash number;
-
+    private PoolConfig config;
+    private PoolLimiter limiter;
+    private KeyHash keyHash;
+
+    /**
+     * Starts a pool.
+     *
+     * @param seed of its random draws
+     * @param recollections the state of an earlier pool or process; null if there is none
+     */
     PoolRuntime(
-            EventLoopContext core,
+            PoolContext context,
             DaemonConfig file,
-            PoolConfig spec,
+            PoolConfig config,
             long seed,
-            SlowStartBudget cold,
-            ServerStartTimes births,
-            Dispatcher.Recollections recollections,
-            Subsystems subsystems) {
-        Supplier<FleetCoordination> fleet = () -> subsystems.get(FleetCoordination.class);
-        SiblingSocket siblings = subsystems.get(SiblingSocket.class);
-        name = spec.name();
+            Dispatcher.Recollections recollections) {
+        name = config.name();
         this.file = file;
-        this.spec = spec;
-        this.births = births;
-        settings = PoolSettings.of(file, spec);
-        number = PoolSettings.number(spec);
-        admission = new PoolAdmissionControl(cold, retries(spec), server -> mayTry(fleet.get(), server));
-        gate = new PoolLimiter(spec.maxPending(), spec.maxRequestsPerSecond());
-        dispatcher = new Dispatcher(
-                core,
-                new Dispatcher.Pool(
-                        settings,
-                        seed,
-                        file.limits().idleCloseMs(),
-                        spec.connections(),
-                        spec.originConnections(),
-                        spec.connections(),
-                        spec.streams(),
-                        spec.plainServers(),
-                        BackupPlacement.withBackups(
-                                members -> PoolSettings.placement(this.spec).create(members), backups::contains),
-                        admission));
+        this.config = config;
+        startTimes = context.startTimes();
+        settings = PoolSettings.of(file, config);
+        keyHash = PoolSettings.keyHash(config);
+        fleet = new PoolFleetLink(name, this::dispatcher, context.subsystems());
+        admission = new PoolAdmissionControl(context.slowStartBudget(), retryBudget(config), fleet::mayProbe);
+        limiter = new PoolLimiter(config.maxPending(), config.maxRequestsPerSecond());
+        dispatcher = newDispatcher(context.core(), seed);
         dispatcher.recall(recollections);
+        SiblingSocket siblings = context.subsystems().get(SiblingSocket.class);
         if (siblings != null) {
-            PoolSiblings own = siblings.of(spec);
-            dispatcher.siblings(own, own);
+            PoolSiblings poolSiblings = siblings.of(config);
+            dispatcher.siblings(poolSiblings, poolSiblings);
         }
-        dispatcher.probes(new Probes(fleet));
-        if (spec.discovery() == null) {
-            discovery = null;
+        dispatcher.probes(fleet);
+        discovery = config.discovery() == null ? null : newDiscoveryClient(context.core());
+        if (discovery == null) {
             dispatcher.start(Dispatcher.ListSource.NONE);
-            list();
+            applyServerList();
         } else {
-            DiscoveryConfig d = spec.discovery();
-            discovery = new DiscoveryClient(
-                    core,
-                    new DiscoveryClient.Source(d.address(), null, true, d.zones(), d.kinds()),
-                    dispatcher,
-                    new Pace(fleet));
             dispatcher.start(discovery);
             discovery.start();
         }
     }
 
-    private boolean mayTry(FleetCoordination fleet, int server) {
-        return fleet == null || fleet.mayProbe(dispatcher, server);
+    private Dispatcher newDispatcher(EventLoopContext core, long seed) {
+        return new Dispatcher(
+                core,
+                new Dispatcher.Pool(
+                        settings,
+                        seed,
+                        file.limits().idleCloseMs(),
+                        config.connections(),
+                        config.originConnections(),
+                        config.connections(),
+                        config.streams(),
+                        config.plainServers(),
+                        BackupPlacement.withBackups(
+                                members -> PoolSettings.placement(config).create(members), backupServers::contains),
+                        admission));
     }
 
-    private final class Probes implements Dispatcher.Probes {
-        private final Supplier<FleetCoordination> fleet;
-
-        Probes(Supplier<FleetCoordination> fleet) {
-            this.fleet = fleet;
-        }
-
-        @Override
-        public boolean take(int server) {
-            return fleet.get() != null && fleet.get().takeHealthCheck(dispatcher, server);
-        }
-
-        @Override
-        public void ended(int server, Outcome outcome) {
-            if (fleet.get() != null) {
-                fleet.get().attemptEnded(dispatcher, server, outcome);
-            }
-        }
+    private DiscoveryClient newDiscoveryClient(EventLoopContext core) {
+        DiscoveryConfig source = config.discovery();
+        return new DiscoveryClient(
+                core,
+                new DiscoveryClient.Source(source.address(), null, true, source.zones(), source.kinds()),
+                dispatcher,
+                fleet);
     }
 
-    /** Where the fleet has no say this proxy watches by itself. */
-    private final class Pace implements DiscoveryClient.Pace {
-        private final Supplier<FleetCoordination> fleet;
-
-        Pace(Supplier<FleetCoordination> fleet) {
-            this.fleet = fleet;
-        }
-
-        @Override
-        public boolean closely() {
-            return fleet.get() == null || fleet.get().watchesClosely(name);
-        }
-
-        @Override
-        public void have(long version) {
-            if (fleet.get() != null) {
-                fleet.get().listReceived(name, version);
-            }
-        }
+    private Dispatcher dispatcher() {
+        return dispatcher;
     }
 
-    /** Who follows its list; null: it is in the file. */
+    /** Follows the endpoint list; null if the servers are in the file. */
     public DiscoveryClient discovery() {
         return discovery;
     }
 
-    private static RetryBudget retries(PoolConfig spec) {
-        return new RetryBudget(spec.retryRatio(), spec.guaranteedRetries());
+    private static RetryBudget retryBudget(PoolConfig config) {
+        return new RetryBudget(config.retryRatio(), config.guaranteedRetries());
     }
 
-    /** Whether this pool can go on under another file; else a new one must take its place. */
+    /** Returns whether this pool can continue under another configuration; else a new one replaces it. */
     boolean fits(DaemonConfig other, PoolConfig next) {
         return settings.equals(PoolSettings.of(other, next))
-                && spec.connections() == next.connections()
-                && spec.originConnections() == next.originConnections()
-                && spec.streams() == next.streams()
-                && spec.plainServers() == next.plainServers()
-                && spec.placement().equals(next.placement())
-                && java.util.Objects.equals(spec.discovery(), next.discovery())
+                && config.connections() == next.connections()
+                && config.originConnections() == next.originConnections()
+                && config.streams() == next.streams()
+                && config.plainServers() == next.plainServers()
+                && config.placement().equals(next.placement())
+                && Objects.equals(config.discovery(), next.discovery())
                 && SiblingsConfig.of(file).equals(SiblingsConfig.of(other))
-                && spec.siblings().equals(next.siblings())
+                && config.siblings().equals(next.siblings())
                 && file.limits().idleCloseMs() == other.limits().idleCloseMs();
     }
 
-    /** Takes over what a new file says of servers and bounds. */
+    /** Adopts the servers and bounds of a configuration that it fits. */
     void apply(DaemonConfig next) {
         PoolConfig pool = next.pools().get(name);
-        boolean sameGate =
-                pool.maxPending() == spec.maxPending() && pool.maxRequestsPerSecond() == spec.maxRequestsPerSecond();
+        boolean sameGate = pool.maxPending() == config.maxPending()
+                && pool.maxRequestsPerSecond() == config.maxRequestsPerSecond();
         boolean sameRetries =
-                pool.retryRatio() == spec.retryRatio() && pool.guaranteedRetries() == spec.guaranteedRetries();
+                pool.retryRatio() == config.retryRatio() && pool.guaranteedRetries() == config.guaranteedRetries();
         file = next;
-        spec = pool;
-        number = PoolSettings.number(pool);
+        config = pool;
+        keyHash = PoolSettings.keyHash(pool);
         if (!sameGate) {
-            gate = new PoolLimiter(spec.maxPending(), spec.maxRequestsPerSecond());
+            limiter = new PoolLimiter(config.maxPending(), config.maxRequestsPerSecond());
         }
         if (!sameRetries) {
-            admission.setRetryBudget(retries(spec));
+            admission.setRetryBudget(retryBudget(config));
         }
-        if (spec.discovery() == null) {
-            list();
+        if (config.discovery() == null) {
+            applyServerList();
         }
     }
 
-    /** Hands the module the file's servers. */
-    void list() {
-        backups.clear();
-        spec.servers().stream().filter(ServerConfig::backup).forEach(s -> backups.add(s.id()));
-        dispatcher.listed(ListKind.FULL, hosts(s -> true));
+    /** Gives the policy the servers of the configuration. */
+    void applyServerList() {
+        backupServers.clear();
+        config.servers().stream().filter(ServerConfig::backup).forEach(server -> backupServers.add(server.id()));
+        dispatcher.listed(ListKind.FULL, hosts(server -> true));
     }
 
-    /** From now on only these servers are sent to, by requests that are in hand. */
-    void listOnly(IntPredicate server) {
-        if (spec.discovery() == null) {
+    /** Restricts pending requests to these servers. */
+    void restrictTo(IntPredicate server) {
+        if (config.discovery() == null) {
             dispatcher.listed(ListKind.FULL, hosts(server));
         }
     }
 
-    boolean has(int server) {
-        return spec.servers().stream().anyMatch(s -> s.id() == server)
-                || spec.origin() != null && spec.origin().id() == server;
+    /** Returns whether the configuration names this server, or origin, of the pool. */
+    boolean hasServer(int id) {
+        return PoolSettings.allServers(config).stream().anyMatch(server -> server.id() == id);
     }
 
     private List<DiscoveryClient.Host> hosts(IntPredicate wanted) {
         List<DiscoveryClient.Host> hosts = new ArrayList<>();
-        for (ServerConfig s : PoolSettings.all(spec)) {
-            if (!s.down() && wanted.test(s.id())) {
-                Member m = PoolSettings.member(file, spec, s, births.startMs(s.id()));
-                hosts.add(new DiscoveryClient.Host(m, s.address()));
+        for (ServerConfig server : PoolSettings.allServers(config)) {
+            if (!server.down() && wanted.test(server.id())) {
+                Member member = PoolSettings.member(file, config, server, startTimes.startMs(server.id()));
+                hosts.add(new DiscoveryClient.Host(member, server.address()));
             }
         }
-        for (String s : spec.siblings()) {
-            SiblingConfig sibling = SiblingsConfig.of(file).sibling(s);
-            hosts.add(new DiscoveryClient.Host(PoolSettings.sibling(spec, sibling), sibling.fetchAddress()));
+        for (String server : config.siblings()) {
+            SiblingConfig sibling = SiblingsConfig.of(file).sibling(server);
+            hosts.add(new DiscoveryClient.Host(PoolSettings.sibling(config, sibling), sibling.fetchAddress()));
         }
         return hosts;
     }
 
-    /** 0 if one more request may come in, which then counts; else the milliseconds after which to come again. */
-    double admit(double now) {
-        return gate.admit(now, dispatcher.inHand());
+    /** Admits a request and returns 0, or returns the milliseconds after which to retry. */
+    double admit(double nowMs) {
+        return limiter.admit(nowMs, dispatcher.inHand());
     }
 
-    /** The number by which this pool knows a request. */
-    long number(RouteInput s, Route route, String poolKey) {
-        return number.of(s, route, poolKey);
+    /** The hash by which this pool's placement knows a request. */
+    long keyHash(RouteInput input, Route route, String poolKey) {
+        return keyHash.of(input, route, poolKey);
     }
 
-    /** What drops repeats of keyed requests; null: nothing does. */
+    /** The group of pools that drop repeats of keyed requests together; null if none does. */
     String dedupGroup() {
-        return spec.dedupGroup();
+        return config.dedupGroup();
     }
 
-    /** What its module has learned, with at most so many hot keys. */
-    public PoolState learned(int mostKeys) {
-        LearnedState k = dispatcher.knowledge(mostKeys);
+    /** The state that its policy has learned, with at most so many hot keys. */
+    public PoolState learned(int maxKeys) {
+        LearnedState state = dispatcher.knowledge(maxKeys);
         Map<Integer, String> addresses = new HashMap<>();
-        for (LearnedServer s : k.servers()) {
-            SocketAddress dial = dispatcher.dial(s.id());
-            if (dial != null) {
-                addresses.put(s.id(), Addresses.text(dial));
+        for (LearnedServer server : state.servers()) {
+            SocketAddress address = dispatcher.dial(server.id());
+            if (address != null) {
+                addresses.put(server.id(), Addresses.text(address));
             }
         }
-        return new PoolState(PoolSettings.keyScheme(file, spec), k, addresses);
+        return new PoolState(PoolSettings.keyScheme(file, config), state, addresses);
     }
 
-    PoolConfig spec() {
-        return spec;
+    /** The configuration in force. */
+    PoolConfig config() {
+        return config;
     }
 }
--- a/src/main/java/cacheproxy/daemon/RoutedRequest.java
+++ b/src/main/java/cacheproxy/daemon/RoutedRequest.java
@@ -14,151 +14,167 @@
 import java.util.List;
 
 /**
- * A request on its way through the pools of its route: each pool's module has it until it serves it or gives it up, and
- * the client gets one answer. It is the responder of whichever pool has it.
+ * A request on its way through the pools of its route: each pool in turn serves or rejects it, and the client gets one
+ * response. It is the responder of the pool that currently has it. On the event loop only.
  */
 final class RoutedRequest implements Responder, RequestHandler.Handle {
     private final EventLoopContext core;
-    private final ConfigSnapshot generation;
+    private final ConfigSnapshot config;
     private final List<PoolRuntime> chain;
-    private final RouteInput subject;
+    private final RouteInput input;
     private final Route route;
-    private final ServiceClass kind;
-    /** As pools get it. */
-    private final ClientRequest command;
+    private final ServiceClass serviceClass;
+    /** As the pools get it. */
+    private final ClientRequest request;
     /** As the client sent it, where a route has changed the key; else null. */
     private final ClientRequest original;
 
     private final Responder client;
-    private int at = -1;
+    private int poolIndex = -1;
     private RequestContext current;
-    private boolean over;
+    private boolean concluded;
     private boolean mayHaveRun;
-    /** What drops repeats in all pools in which it may have run; null where that is nothing, or more than one. */
-    private String ranGroup;
+    /** The group that drops repeats in all pools in which it may have run; null if there is none, or more than one. */
+    private String dedupGroupRun;
 
     private boolean failed;
-    /** Whether the last pool that was asked has said that it lacks the key: then that is the answer. */
+    /** Whether the last pool tried lacks the key, which is then the answer. */
     private boolean missed;
 
-    private double advice;
-    /**
-     * What it has taken of the fleet's limits: of those that concern all pools, and of the present pool's; null:
-     * nothing.
-     */
-    private LocalQuota[] taken;
+    private double longestRetryAfterMs;
+    /** Quotas taken that concern all pools; null if none. */
+    private LocalQuota[] quotasTaken;
 
-    private LocalQuota[] takenOfPool;
+    /** Quotas taken of the current pool; null if none. */
+    private LocalQuota[] poolQuotasTaken;
 
-    /** Takes the commands over; {@code original} is null unless the key was changed. */
+    /** Takes over both requests; {@code original} is null unless the route has changed the key. */
     RoutedRequest(
             EventLoopContext core,
-            ConfigSnapshot generation,
-            RouteInput subject,
+            ConfigSnapshot config,
+            RouteInput input,
             Route route,
-            ClientRequest command,
+            ClientRequest request,
             ClientRequest original,
             Responder client) {
         this.core = core;
-        this.generation = generation;
-        this.subject = subject;
+        this.config = config;
+        this.input = input;
         this.route = route;
-        chain = generation.chain(route);
-        this.command = command;
+        chain = config.chain(route);
+        this.request = request;
         this.original = original;
         this.client = client;
-        kind = generation.file.classes().get(command.serviceClass());
-        generation.inHand++;
+        serviceClass = config.file.classes().get(request.serviceClass());
+        config.pendingRequests++;
     }
 
-    /** Goes to the next pool that takes it, or ends. */
+    /** Sends the request to the next pool that admits it, or concludes it. */
     void next() {
-        if (at < 0 && generation.limits != null) {
-            LocalQuota[] all = generation.limits.quotasFor("", command);
-            double wait = generation.limits.requestWaitMs(all, core.now());
-            if (wait > 0) {
-                over();
-                client.refused(wait);
-                return;
-            }
-            taken = take(all);
+        if (poolIndex < 0 && !takeQuotas()) {
+            return;
         }
-        while (++at < chain.size()) {
-            PoolRuntime pool = chain.get(at);
-            double now = core.now();
-            if (!Fallback.mayGoOn(kind, mayHaveRun, ranGroup, pool.dedupGroup(), now, command.arrivedMs())) {
+        while (++poolIndex < chain.size()) {
+            PoolRuntime pool = chain.get(poolIndex);
+            double nowMs = core.now();
+            if (!Fallback.mayGoOn(
+                    serviceClass, mayHaveRun, dedupGroupRun, pool.dedupGroup(), nowMs, request.arrivedMs())) {
                 break;
             }
-            double due =
-                    Fallback.dueMs(kind, mayHaveRun, at == chain.size() - 1, now, command.arrivedMs(), command.dueMs());
-            if (due <= now) {
+            boolean last = poolIndex == chain.size() - 1;
+            double dueMs = Fallback.dueMs(serviceClass, mayHaveRun, last, nowMs, request.arrivedMs(), request.dueMs());
+            if (dueMs <= nowMs) {
                 break;
             }
-            LocalQuota[] own = generation.limits == null ? null : generation.limits.quotasFor(pool.name, command);
-            double wait = own == null ? 0 : generation.limits.requestWaitMs(own, now);
-            wait = wait > 0 ? wait : pool.admit(now);
-            if (wait > 0) {
-                advice = Math.max(advice, wait);
-                continue;
+            if (admit(pool, nowMs)) {
+                current = RequestContext.of(
+                        pool.dispatcher, request, pool.keyHash(input, route, request.key()), this, dueMs);
+                pool.dispatcher.take(current);
+                return;
             }
-            RequestContext x =
-                    RequestContext.of(pool.dispatcher, command, pool.number(subject, route, command.key()), this, due);
-            current = x;
-            takenOfPool = own == null ? null : take(own);
-            pool.dispatcher.take(x);
-            return;
         }
-        if (failed || !Fallback.mayRefuse(kind, mayHaveRun)) {
-            over();
+        concludeUnserved();
+    }
+
+    /** Takes the quotas that concern all pools; false if the request was rejected for one of them. */
+    private boolean takeQuotas() {
+        if (config.quotas == null) {
+            return true;
+        }
+        LocalQuota[] all = config.quotas.quotasFor("", request);
+        double waitMs = config.quotas.requestWaitMs(all, core.now());
+        if (waitMs > 0) {
+            concluded();
+            client.refused(waitMs);
+            return false;
+        }
+        quotasTaken = take(all);
+        return true;
+    }
+
+    /** Takes the quotas of a pool and one of its places; false if it rejects the request. */
+    private boolean admit(PoolRuntime pool, double nowMs) {
+        LocalQuota[] poolQuotas = config.quotas == null ? null : config.quotas.quotasFor(pool.name, request);
+        double quotaWaitMs = poolQuotas == null ? 0 : config.quotas.requestWaitMs(poolQuotas, nowMs);
+        double waitMs = quotaWaitMs > 0 ? quotaWaitMs : pool.admit(nowMs);
+        if (waitMs > 0) {
+            longestRetryAfterMs = Math.max(longestRetryAfterMs, waitMs);
+            return false;
+        }
+        poolQuotasTaken = poolQuotas == null ? null : take(poolQuotas);
+        return true;
+    }
+
+    private void concludeUnserved() {
+        concluded();
+        if (failed || !Fallback.mayRefuse(serviceClass, mayHaveRun)) {
             client.failed();
         } else if (missed) {
-            over();
             client.miss();
         } else {
-            over();
-            client.refused(advice);
+            client.refused(longestRetryAfterMs);
         }
     }
 
-    private static LocalQuota[] take(LocalQuota[] of) {
-        for (LocalQuota p : of) {
-            p.consume();
+    private static LocalQuota[] take(LocalQuota[] quotas) {
+        for (LocalQuota quota : quotas) {
+            quota.consume();
         }
-        return of;
+        return quotas;
     }
 
-    private static void give(LocalQuota[] of) {
-        if (of != null) {
-            for (LocalQuota p : of) {
-                p.release();
+    private static void release(LocalQuota[] quotas) {
+        if (quotas != null) {
+            for (LocalQuota quota : quotas) {
+                quota.release();
             }
         }
     }
 
-    private void givenUp(boolean hasMissed, boolean hasFailed, double retryAfterMs) {
-        if (over) {
+    private void poolRejected(boolean hasMissed, boolean hasFailed, double retryAfterMs) {
+        if (concluded) {
             return;
         }
-        give(takenOfPool);
-        takenOfPool = null;
+        release(poolQuotasTaken);
+        poolQuotasTaken = null;
         if (current.mayHaveRun()) {
-            String group = chain.get(at).dedupGroup();
-            ranGroup = mayHaveRun && (ranGroup == null || !ranGroup.equals(group)) ? null : group;
+            String group = chain.get(poolIndex).dedupGroup();
+            dedupGroupRun = mayHaveRun && (dedupGroupRun == null || !dedupGroupRun.equals(group)) ? null : group;
             mayHaveRun = true;
         }
         failed = hasFailed;
         missed = hasMissed;
-        advice = Math.max(advice, retryAfterMs);
+        longestRetryAfterMs = Math.max(longestRetryAfterMs, retryAfterMs);
         next();
     }
 
-    private void over() {
-        over = true;
-        give(taken);
-        give(takenOfPool);
-        generation.inHand--;
-        core.closeId(command);
-        command.release(core);
+    private void concluded() {
+        concluded = true;
+        release(quotasTaken);
+        release(poolQuotasTaken);
+        config.pendingRequests--;
+        core.closeId(request);
+        request.release(core);
         if (original != null) {
             original.release(core);
         }
@@ -166,34 +182,34 @@
 
     @Override
     public void miss() {
-        givenUp(true, false, 0);
+        poolRejected(true, false, 0);
     }
 
     @Override
     public void refused(double retryAfterMs) {
-        givenUp(false, false, retryAfterMs);
+        poolRejected(false, false, retryAfterMs);
     }
 
     @Override
     public void failed() {
-        givenUp(false, true, 0);
+        poolRejected(false, true, 0);
     }
 
     @Override
     public void value(ByteBuf value) {
-        over();
+        concluded();
         client.value(value);
     }
 
     @Override
     public void receipt(String receipt) {
-        over();
+        concluded();
         client.receipt(receipt);
     }
 
     @Override
     public void rejected(String why) {
-        over();
+        concluded();
         client.rejected(why);
     }
 
@@ -209,22 +225,22 @@
 
     @Override
     public void end() {
-        over();
+        concluded();
         client.end();
     }
 
     @Override
     public void breakOff() {
-        if (!over) {
-            over();
+        if (!concluded) {
+            concluded();
         }
         client.breakOff();
     }
 
     @Override
     public void gone() {
-        if (!over) {
-            over();
+        if (!concluded) {
+            concluded();
             current.gone();
         }
     }
--- a/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
@@ -95,7 +95,7 @@
         FleetSubsystem previous = (FleetSubsystem) before;
         double silentMs = 0;
         if (previous != null) {
-            if (SocketBinder.same(previous.config.listen(), config.listen())) {
+            if (SocketBinder.conflict(previous.config.listen(), config.listen())) {
                 previous.socket.releaseAddress(); // there is no second socket at its address
             }
             // What the previous instance has granted may be valid for its own longest lease.
--- a/src/main/java/cacheproxy/daemon/hooks/HookSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookSubsystem.java
@@ -9,15 +9,15 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The hooks of a file. They are loaded anew with every file: a module may have changed behind its path. */
+/** The hooks of a configuration, loaded anew on each reload, as a module may have changed under the same path. */
 public final class HookSubsystem implements Subsystem {
     private final EventLoopContext core;
-    private final List<HookExecutor> runners;
-    private boolean used;
+    private final List<HookExecutor> executors;
+    private boolean applied;
 
     private HookSubsystem(EventLoopContext core, List<HookExecutor> runners) {
         this.core = core;
-        this.runners = runners;
+        this.executors = runners;
     }
 
     /** Loads and starts the hooks of a configuration, each on a thread of its own; empty if it has none. */
@@ -30,7 +30,7 @@
 
     /** The running hooks, in the order in which requests pass them. */
     public List<HookExecutor> executors() {
-        return runners;
+        return executors;
     }
 
     @Override
@@ -40,21 +40,18 @@
 
     @Override
     public void apply(DaemonConfig file) {
-        used = true;
-        runners.forEach(h -> {
-            h.log(core);
-            h.begin();
+        applied = true;
+        executors.forEach(executor -> {
+            executor.log(core);
+            executor.begin();
         });
     }
 
-    /**
-     * Requests that came under their file may still be at them, so the {@link ConfigSnapshot} ends those that were
-     * used.
-     */
+    /** Pending requests may still call the hooks, so a {@code ConfigSnapshot} ends those that were applied. */
     @Override
     public void close() {
-        if (!used) {
-            runners.forEach(HookExecutor::stop);
+        if (!applied) {
+            executors.forEach(HookExecutor::stop);
         }
     }
 }
--- a/src/main/java/cacheproxy/daemon/hooks/Hooks.java
+++ b/src/main/java/cacheproxy/daemon/hooks/Hooks.java
@@ -12,21 +12,21 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Reads and starts the hooks of a file; what is wrong with any of them is told, and then none is started. */
+/** Loads the modules of a configuration's hooks; if any can't be loaded all faults are reported and none is used. */
 public final class Hooks {
-    private static final long MAX_BYTES = 4 << 20;
+    private static final long MAX_MODULE_BYTES = 4 << 20;
 
     private Hooks() {}
 
-    /** Not on the event loop: reads files and compiles. */
+    /** Loads all hooks; not on the event loop, as it reads files and compiles. */
     static List<HookExecutor> load(DaemonConfig file) throws ConfigException {
         List<HookExecutor> all = new ArrayList<>();
         List<String> faults = new ArrayList<>();
-        for (HookConfig h : HooksConfig.of(file)) {
+        for (HookConfig hook : HooksConfig.of(file)) {
             try {
-                all.add(HookExecutor.start(h, read(h)));
+                all.add(HookExecutor.start(hook, read(hook)));
             } catch (HookException e) {
-                faults.add(h.place() + ": hook " + h.name() + " does not load: " + e.getMessage());
+                faults.add(hook.place() + ": hook " + hook.name() + " does not load: " + e.getMessage());
             }
         }
         if (!faults.isEmpty()) {
@@ -35,26 +35,27 @@
         return all;
     }
 
-    /** Whether all hooks of a file load; the exception has a line for each that does not. */
+    /** Loads all hooks of a configuration for their errors alone; the exception has a line for each that fails. */
     public static void check(DaemonConfig file) throws ConfigException {
         load(file);
     }
 
-    private static byte[] read(HookConfig h) throws HookException {
+    private static byte[] read(HookConfig hook) throws HookException {
         byte[] bytes;
         try {
-            if (Files.isDirectory(h.module()) || Files.size(h.module()) > MAX_BYTES) {
-                throw new HookException(h.module() + " is a directory, or has more than " + MAX_BYTES + " bytes");
+            if (Files.isDirectory(hook.module()) || Files.size(hook.module()) > MAX_MODULE_BYTES) {
+                throw new HookException(
+                        hook.module() + " is a directory, or has more than " + MAX_MODULE_BYTES + " bytes");
             }
-            bytes = Files.readAllBytes(h.module());
+            bytes = Files.readAllBytes(hook.module());
         } catch (NoSuchFileException e) {
-            throw new HookException("there is no file " + h.module());
+            throw new HookException("there is no file " + hook.module());
         } catch (IOException e) {
-            throw new HookException(h.module() + " can't be read");
+            throw new HookException(hook.module() + " can't be read");
         }
-        if (h.sha256() != null && !h.sha256().equals(HookModule.digest(bytes))) {
+        if (hook.sha256() != null && !hook.sha256().equals(HookModule.digest(bytes))) {
             throw new HookException(
-                    h.module() + " has the SHA-256 " + HookModule.digest(bytes) + ", not that of the file");
+                    hook.module() + " has the SHA-256 " + HookModule.digest(bytes) + ", not that of the file");
         }
         return bytes;
     }
