--- a/src/main/java/cacheproxy/daemon/hooks/HookedRequest.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookedRequest.java
@@ -230,7 +230,7 @@
             onLoop(() -> core.log("hook " + hook.config.name() + ": " + orders.note()));
         }
         if (orders.refuseMs() > 0) {
-            refuse(orders.refuseMs());
+            refuse((double) orders.refuseMs());
             return;
         }
         apply(orders, nowMs);
--- a/src/main/java/cacheproxy/snapshot/SnapshotHeader.java
+++ b/src/main/java/cacheproxy/snapshot/SnapshotHeader.java
@@ -39,6 +39,7 @@
     }
 
     /** Writes the header at the start of a buffer that is backed by an array. */
+    @SuppressWarnings("ByteBufferBackingArray") // the buffer is allocated here, on the heap, with no offset
     void write(ByteBuffer buffer) {
         buffer.putLong(0, MAGIC)
                 .putShort(VERSION_AT, (short) FORMAT_VERSION)
--- a/src/test/java/cacheproxy/daemon/ControlAnswersGoldenTextTest.java
+++ b/src/test/java/cacheproxy/daemon/ControlAnswersGoldenTextTest.java
@@ -23,6 +23,8 @@
     private static final long AWAIT_S = 20;
     private static final String CONTROL = "[control]\nlisten = \"127.0.0.1:0\"\n";
     private static final String DUTY = "[[duty]]\nname = \"cron\"\nlease_ms = 150\nvoters = 1\n";
+
+    @SuppressWarnings("StringConcatToTextBlock") // one line of the text a line of the source
     private static final String LIMITS = "[fleet.limits]\ngrant_ms = 200\nlease_ms = 150\nvoters = 1\nshares = 1\n"
             + "[[fleet.limit]]\nname = \"rate\"\npool = \"pages\"\nper_second = 500\nburst = 50\n"
             + "[[fleet.limit]]\nname = \"hand\"\nclass = \"page\"\nat_once = 200\nwhen_alone = \"none\"\n"
@@ -109,6 +111,7 @@
                 .replaceAll(name + "(?:true|false)", "\"$1\":B");
     }
 
+    @SuppressWarnings("StringConcatToTextBlock") // one line of the text a line of the source
     @Test
     void withoutAFleetThereAreTheCallsOfTheProcessAlone() throws Exception {
         try (Daemon daemon = daemon("")) {
--- a/src/test/java/cacheproxy/daemon/HooksInCallTest.java
+++ b/src/test/java/cacheproxy/daemon/HooksInCallTest.java
@@ -3,6 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.fakes.FakeFleet;
+import java.nio.charset.StandardCharsets;
 import java.nio.file.Path;
 import java.util.Arrays;
 import org.junit.jupiter.api.Test;
@@ -93,7 +94,7 @@
         try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet, "time_ms = 10000"));
                 DaemonHarness.Talk other = rig.talk()) {
             for (int call = 1; call < 10; call += 2) { // the orders' digit tells the calls apart
-                fleet.nodes.get(0).store("n" + (call + 1), "kept".getBytes());
+                fleet.nodes.get(0).store("n" + (call + 1), "kept".getBytes(StandardCharsets.UTF_8));
                 int before = fleet.nodes.get(0).commands();
                 DaemonHarness.Talk leaver = rig.talk();
                 leaver.say("mg w v\r\n");
--- a/src/test/java/cacheproxy/daemon/ImportedSitesTest.java
+++ b/src/test/java/cacheproxy/daemon/ImportedSitesTest.java
@@ -46,9 +46,9 @@
 
     static Stream<Path> sites() throws Exception {
         URI at = ImportedSitesTest.class.getResource("/nginx").toURI();
-        return Files.list(Path.of(at))
-                .filter(p -> p.toString().endsWith(".conf"))
-                .sorted();
+        try (Stream<Path> files = Files.list(Path.of(at))) {
+            return files.filter(p -> p.toString().endsWith(".conf")).sorted().toList().stream();
+        }
     }
 
     private static ConfSource alone(Path file) {
@@ -96,7 +96,7 @@
                 String known = names.get(full);
                 if (known == null) {
                     ScriptedServer node = ScriptedServer.node(
-                            command -> value(full + " " + command.split(" ")[1], ScriptedServer.id(command)));
+                            command -> value(full + " " + command.split(" ", 0)[1], ScriptedServer.id(command)));
                     nodes.add(node);
                     known = node.dial();
                     names.put(full, known);
@@ -160,7 +160,7 @@
                         continue;
                     }
                     assertThat(line).as(key + " goes to " + answer).startsWith("VA ");
-                    String[] reply = cache.line().split(" ");
+                    String[] reply = cache.line().split(" ", 0);
                     passedOn++;
                     if (!answer.get("X-Node").equals("-")) {
                         String node = answer.get("X-Node");
@@ -180,7 +180,7 @@
     private static Map<String, String> headers(BufferedReader in) throws IOException {
         Map<String, String> all = new LinkedHashMap<>();
         all.put("status", in.readLine());
-        for (String line; !(line = in.readLine()).isEmpty(); ) {
+        for (String line = in.readLine(); !line.isEmpty(); line = in.readLine()) {
             all.put(line.substring(0, line.indexOf(':')), line.substring(line.indexOf(':') + 2));
         }
         return all;
--- a/src/test/java/cacheproxy/daemon/ListenersTest.java
+++ b/src/test/java/cacheproxy/daemon/ListenersTest.java
@@ -11,7 +11,9 @@
 import cacheproxy.fakes.ScriptedServer;
 import cacheproxy.routes.RouteInput;
 import java.net.ConnectException;
+import java.net.InetAddress;
 import java.net.Socket;
+import java.nio.charset.StandardCharsets;
 import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
@@ -93,7 +95,7 @@
                 DaemonHarness.Talk client = rig.talk()) {
             StringBuilder all = new StringBuilder();
             for (int i = 0; i < 200; i++) {
-                byte[] value = ("value of page/" + i).getBytes();
+                byte[] value = ("value of page/" + i).getBytes(StandardCharsets.UTF_8);
                 String key = "page/" + i;
                 fleet.nodes.forEach(node -> node.store(key, value));
                 all.append("mg page/").append(i).append(" v O").append(i).append("\r\n");
@@ -172,7 +174,8 @@
                 }
             });
             asked.await();
-            assertThatThrownBy(() -> new Socket("127.0.0.1", port)).isInstanceOf(ConnectException.class);
+            assertThatThrownBy(() -> new Socket(InetAddress.getLoopbackAddress(), port))
+                    .isInstanceOf(ConnectException.class);
             known.countDown();
             try (Daemon daemon = starting.get();
                     DaemonHarness.Talk client = new DaemonHarness.Talk(daemon.address("main"))) {
--- a/src/test/java/cacheproxy/daemon/MemoryTest.java
+++ b/src/test/java/cacheproxy/daemon/MemoryTest.java
@@ -221,12 +221,12 @@
         try (fleet) {
             FakeCacheServer node = fleet.nodes.get(2);
             Path sibling = folder.resolve("sibling");
-            remember(sibling, 5, System.currentTimeMillis(), 0, id(node));
+            remember(sibling, 5, (double) System.currentTimeMillis(), 0, id(node));
             String without = file("").replaceAll("\\[memory]\npath.*\nperiod.*\n", "");
             assertThat(without).doesNotContain("[memory]");
             assertThat(askedOf(node, without, sibling)).isZero();
             assertThat(askedOf(node, file(""), sibling)).isZero();
-            remember(folder.resolve("memory"), 0, System.currentTimeMillis(), 0);
+            remember(folder.resolve("memory"), 0, (double) System.currentTimeMillis(), 0);
             assertThat(askedOf(node, file(""), sibling))
                     .as("its own says nothing of that node")
                     .isPositive();
@@ -240,7 +240,7 @@
             remember(
                     folder.resolve("memory"),
                     0,
-                    System.currentTimeMillis(),
+                    (double) System.currentTimeMillis(),
                     0,
                     fleet.nodes.stream().mapToInt(MemoryTest::id).toArray());
             try (Daemon daemon = daemon(file(""))) {
@@ -355,7 +355,7 @@
                     .write(new StateSnapshot(
                             "demo",
                             0,
-                            System.currentTimeMillis(),
+                            (double) System.currentTimeMillis(),
                             0,
                             Map.of(
                                     "pages",
--- a/src/test/java/cacheproxy/daemon/SiblingCachesTest.java
+++ b/src/test/java/cacheproxy/daemon/SiblingCachesTest.java
@@ -60,7 +60,7 @@
             for (int i = 0; i < siblings.size(); i++) {
                 names.append(i > 0 ? ", " : "")
                         .append('"')
-                        .append(siblings.get(i).split("\"")[1])
+                        .append(siblings.get(i).split("\"", 0)[1])
                         .append('"');
             }
             return DaemonHarness.LIMITS + CLASSES + DaemonHarness.MAIN + "[[listen]]\nname = \"siblings\"\naddress = \""
@@ -303,10 +303,11 @@
             try {
                 while (true) {
                     java.net.Socket s = fetches.accept();
-                    String line =
-                            new java.io.BufferedReader(new java.io.InputStreamReader(s.getInputStream())).readLine();
+                    String line = new java.io.BufferedReader(
+                                    new java.io.InputStreamReader(s.getInputStream(), StandardCharsets.UTF_8))
+                            .readLine();
                     if (line != null) {
-                        String id = line.substring(line.indexOf(" O") + 2).split(" ")[0];
+                        String id = line.substring(line.indexOf(" O") + 2).split(" ", 0)[0];
                         String answer = answers[asked.getAndIncrement() % answers.length].replace("%s", id);
                         s.getOutputStream().write(answer.getBytes(StandardCharsets.ISO_8859_1));
                     }
--- a/src/test/java/cacheproxy/daemon/fleet/FleetQuotasTest.java
+++ b/src/test/java/cacheproxy/daemon/fleet/FleetQuotasTest.java
@@ -68,6 +68,7 @@
         throw new AssertionError("no limit " + name);
     }
 
+    @SuppressWarnings("StringConcatToTextBlock") // one line of the text a line of the source
     @Test
     void rejectsRequestsBeyondQuotaWithRetryTimeAndServesOthers() throws Exception {
         int port = Ports.free();
--- a/src/test/java/cacheproxy/golden/ValueText.java
+++ b/src/test/java/cacheproxy/golden/ValueText.java
@@ -39,6 +39,7 @@
         return rendered.text.toString();
     }
 
+    @SuppressWarnings("EnumOrdinal") // the text must not change with a constant's name
     private void add(Object value) {
         if (value instanceof Optional<?> optional) {
             add(optional.orElse(null));
