--- a/src/main/java/cacheproxy/Main.java
+++ b/src/main/java/cacheproxy/Main.java
@@ -1,7 +1,7 @@
 package cacheproxy;
 
 import cacheproxy.cli.Cli;
-import cacheproxy.proxy.Proxy;
+import cacheproxy.proxy.process.Proxy;
 import cacheproxy.simulator.SimulatorAdapter;
 
 /**
--- a/src/main/java/cacheproxy/bench/ConstantRateClient.java
+++ b/src/main/java/cacheproxy/bench/ConstantRateClient.java
@@ -1,6 +1,6 @@
 package cacheproxy.bench;
 
-import cacheproxy.proxy.Transport;
+import cacheproxy.proxy.net.Transport;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
--- a/src/main/java/cacheproxy/bench/HookBench.java
+++ b/src/main/java/cacheproxy/bench/HookBench.java
@@ -9,7 +9,7 @@
 import cacheproxy.hooks.HookException;
 import cacheproxy.hooks.HookInstance;
 import cacheproxy.hooks.HookModule;
-import cacheproxy.proxy.Transport;
+import cacheproxy.proxy.net.Transport;
 import cacheproxy.routes.KeyPattern;
 import cacheproxy.routes.KeyRewrite;
 import cacheproxy.routes.Route;
--- a/src/main/java/cacheproxy/bench/HopBench.java
+++ b/src/main/java/cacheproxy/bench/HopBench.java
@@ -4,7 +4,7 @@
 import cacheproxy.daemon.Daemon;
 import cacheproxy.fakes.EffectLedger;
 import cacheproxy.fakes.FakeCacheServer;
-import cacheproxy.proxy.Transport;
+import cacheproxy.proxy.net.Transport;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
--- a/src/main/java/cacheproxy/bench/SiblingBench.java
+++ b/src/main/java/cacheproxy/bench/SiblingBench.java
@@ -8,7 +8,7 @@
 import cacheproxy.fakes.LossyDatagramLink;
 import cacheproxy.icp.IcpCodec;
 import cacheproxy.icp.IcpMessage;
-import cacheproxy.proxy.Transport;
+import cacheproxy.proxy.net.Transport;
 import cacheproxy.siblings.CacheDigest;
 import com.sun.management.ThreadMXBean;
 import io.netty.buffer.ByteBuf;
--- a/src/main/java/cacheproxy/bench/SnapshotBench.java
+++ b/src/main/java/cacheproxy/bench/SnapshotBench.java
@@ -7,7 +7,7 @@
 import cacheproxy.fakes.FakeCacheServer;
 import cacheproxy.fakes.FakeFleet;
 import cacheproxy.fakes.LoadClient;
-import cacheproxy.proxy.Transport;
+import cacheproxy.proxy.net.Transport;
 import cacheproxy.snapshot.SnapshotCodec;
 import cacheproxy.snapshot.SnapshotStore;
 import cacheproxy.snapshot.StoredSnapshot;
--- a/src/main/java/cacheproxy/cli/RunCommand.java
+++ b/src/main/java/cacheproxy/cli/RunCommand.java
@@ -3,7 +3,7 @@
 import cacheproxy.config.ConfigException;
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.daemon.Daemon;
-import cacheproxy.proxy.SighupHandler;
+import cacheproxy.proxy.process.SighupHandler;
 import java.io.PrintWriter;
 import java.nio.file.Path;
 import java.security.SecureRandom;
--- a/src/main/java/cacheproxy/daemon/ConfigSnapshot.java
+++ b/src/main/java/cacheproxy/daemon/ConfigSnapshot.java
@@ -7,7 +7,7 @@
 import cacheproxy.daemon.hooks.HookExecutor;
 import cacheproxy.daemon.hooks.HookSubsystem;
 import cacheproxy.hooks.HookRules;
-import cacheproxy.proxy.RequestValidator;
+import cacheproxy.proxy.request.RequestValidator;
 import cacheproxy.routes.Route;
 import java.util.ArrayList;
 import java.util.HashMap;
--- a/src/main/java/cacheproxy/daemon/ControlSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/ControlSubsystem.java
@@ -7,7 +7,7 @@
 import cacheproxy.control.ControlResponse;
 import cacheproxy.control.ControlServer;
 import cacheproxy.control.DiagnosticEndpoints;
-import cacheproxy.proxy.Transport;
+import cacheproxy.proxy.net.Transport;
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
--- a/src/main/java/cacheproxy/daemon/FleetCoordination.java
+++ b/src/main/java/cacheproxy/daemon/FleetCoordination.java
@@ -2,7 +2,7 @@
 
 import cacheproxy.daemon.fleet.FleetQuotas;
 import cacheproxy.policy.PolicyApi.Outcome;
-import cacheproxy.proxy.Dispatcher;
+import cacheproxy.proxy.dispatch.Dispatcher;
 
 /**
  * What pools and requests ask of the fleet that this proxy belongs to: health checks made by one proxy for all, the
--- a/src/main/java/cacheproxy/daemon/LearnedStateSource.java
+++ b/src/main/java/cacheproxy/daemon/LearnedStateSource.java
@@ -3,7 +3,7 @@
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.PoolConfig;
 import cacheproxy.limits.ServerStartTimes;
-import cacheproxy.proxy.Dispatcher;
+import cacheproxy.proxy.dispatch.Dispatcher;
 
 /** State of an earlier process, given to pools as they start. On the event loop only. */
 public interface LearnedStateSource {
--- a/src/main/java/cacheproxy/daemon/PoolContext.java
+++ b/src/main/java/cacheproxy/daemon/PoolContext.java
@@ -2,7 +2,7 @@
 
 import cacheproxy.limits.ServerStartTimes;
 import cacheproxy.limits.SlowStartBudget;
-import cacheproxy.proxy.EventLoopContext;
+import cacheproxy.proxy.upstream.EventLoopContext;
 
 /**
  * What all pools of the daemon share.
--- a/src/main/java/cacheproxy/daemon/PoolFleetLink.java
+++ b/src/main/java/cacheproxy/daemon/PoolFleetLink.java
@@ -1,8 +1,8 @@
 package cacheproxy.daemon;
 
 import cacheproxy.policy.PolicyApi.Outcome;
-import cacheproxy.proxy.DiscoveryClient;
-import cacheproxy.proxy.Dispatcher;
+import cacheproxy.proxy.discovery.DiscoveryClient;
+import cacheproxy.proxy.dispatch.Dispatcher;
 import java.util.function.Supplier;
 
 /**
--- a/src/main/java/cacheproxy/daemon/PoolSettings.java
+++ b/src/main/java/cacheproxy/daemon/PoolSettings.java
@@ -16,7 +16,7 @@
 import cacheproxy.policy.PolicyApi.Reports;
 import cacheproxy.policy.PolicyApi.Settings;
 import cacheproxy.policy.PolicyApi.State;
-import cacheproxy.proxy.RequestValidator;
+import cacheproxy.proxy.request.RequestValidator;
 import cacheproxy.routes.Explain;
 import cacheproxy.routes.KeyHash;
 import cacheproxy.routes.PlacementTemplate;
--- a/src/main/java/cacheproxy/daemon/PoolSiblings.java
+++ b/src/main/java/cacheproxy/daemon/PoolSiblings.java
@@ -3,7 +3,7 @@
 import cacheproxy.config.SiblingConfig;
 import cacheproxy.policy.PolicyApi.Member;
 import cacheproxy.policy.PolicyApi.Outcome;
-import cacheproxy.proxy.Dispatcher;
+import cacheproxy.proxy.dispatch.Dispatcher;
 import cacheproxy.siblings.SiblingQueryPolicy;
 import cacheproxy.siblings.SiblingStats;
 import cacheproxy.siblings.Siblings;
--- a/src/main/java/cacheproxy/daemon/ResponseObserver.java
+++ b/src/main/java/cacheproxy/daemon/ResponseObserver.java
@@ -1,7 +1,7 @@
 package cacheproxy.daemon;
 
 import cacheproxy.hooks.HookCall.Answer;
-import cacheproxy.proxy.Responder;
+import cacheproxy.proxy.request.Responder;
 import io.netty.buffer.ByteBuf;
 import java.util.function.Consumer;
 
--- a/src/main/java/cacheproxy/daemon/RoutedRequest.java
+++ b/src/main/java/cacheproxy/daemon/RoutedRequest.java
@@ -2,11 +2,11 @@
 
 import cacheproxy.fleet.quota.LocalQuota;
 import cacheproxy.policy.PolicyApi.ServiceClass;
-import cacheproxy.proxy.ClientRequest;
-import cacheproxy.proxy.EventLoopContext;
-import cacheproxy.proxy.RequestContext;
-import cacheproxy.proxy.RequestHandler;
-import cacheproxy.proxy.Responder;
+import cacheproxy.proxy.dispatch.RequestContext;
+import cacheproxy.proxy.request.ClientRequest;
+import cacheproxy.proxy.request.RequestHandler;
+import cacheproxy.proxy.request.Responder;
+import cacheproxy.proxy.upstream.EventLoopContext;
 import cacheproxy.routes.Fallback;
 import cacheproxy.routes.Route;
 import cacheproxy.routes.RouteInput;
--- a/src/main/java/cacheproxy/daemon/Router.java
+++ b/src/main/java/cacheproxy/daemon/Router.java
@@ -2,10 +2,10 @@
 
 import cacheproxy.daemon.hooks.HookExecutor;
 import cacheproxy.daemon.hooks.HookedRequest;
-import cacheproxy.proxy.ClientRequest;
-import cacheproxy.proxy.EventLoopContext;
-import cacheproxy.proxy.RequestHandler;
-import cacheproxy.proxy.Responder;
+import cacheproxy.proxy.request.ClientRequest;
+import cacheproxy.proxy.request.RequestHandler;
+import cacheproxy.proxy.request.Responder;
+import cacheproxy.proxy.upstream.EventLoopContext;
 import cacheproxy.routes.Route;
 import cacheproxy.routes.RouteInput;
 import java.util.List;
--- a/src/main/java/cacheproxy/daemon/StandardProtocols.java
+++ b/src/main/java/cacheproxy/daemon/StandardProtocols.java
@@ -4,7 +4,7 @@
 import cacheproxy.config.ListenerConfig;
 import cacheproxy.policy.PolicyApi.Effect;
 import cacheproxy.policy.PolicyApi.ServiceClass;
-import cacheproxy.proxy.StandardMetaProtocol;
+import cacheproxy.proxy.client.StandardMetaProtocol;
 import java.util.Set;
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.stream.Collectors;
--- a/src/main/java/cacheproxy/daemon/SubsystemContext.java
+++ b/src/main/java/cacheproxy/daemon/SubsystemContext.java
@@ -2,7 +2,7 @@
 
 import cacheproxy.control.ControlRequestHandler;
 import cacheproxy.control.DiagnosticEndpoints;
-import cacheproxy.proxy.EventLoopContext;
+import cacheproxy.proxy.upstream.EventLoopContext;
 import cacheproxy.snapshot.state.StateSnapshot;
 import java.nio.file.Path;
 import java.util.Map;
--- a/src/main/java/cacheproxy/daemon/fleet/DelegatedWatches.java
+++ b/src/main/java/cacheproxy/daemon/fleet/DelegatedWatches.java
@@ -8,7 +8,7 @@
 import cacheproxy.discovery.DelegatedWatchTiming;
 import cacheproxy.discovery.WatchVersionMessage;
 import cacheproxy.fleet.lease.NameHash;
-import cacheproxy.proxy.DiscoveryClient;
+import cacheproxy.proxy.discovery.DiscoveryClient;
 import com.google.gson.JsonObject;
 import java.util.HashMap;
 import java.util.HashSet;
--- a/src/main/java/cacheproxy/daemon/fleet/FleetContext.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetContext.java
@@ -2,7 +2,7 @@
 
 import cacheproxy.daemon.ConfigSnapshot;
 import cacheproxy.daemon.PoolRuntime;
-import cacheproxy.proxy.EventLoopContext;
+import cacheproxy.proxy.upstream.EventLoopContext;
 import java.util.Collection;
 import java.util.List;
 import java.util.Optional;
--- a/src/main/java/cacheproxy/daemon/fleet/FleetHealthChecks.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetHealthChecks.java
@@ -9,7 +9,7 @@
 import cacheproxy.fleet.healthcheck.HealthCheckTiming;
 import cacheproxy.fleet.lease.LeaseHandle;
 import cacheproxy.policy.PolicyApi.Outcome;
-import cacheproxy.proxy.Dispatcher;
+import cacheproxy.proxy.dispatch.Dispatcher;
 import com.google.gson.JsonObject;
 import java.util.HashMap;
 import java.util.HashSet;
--- a/src/main/java/cacheproxy/daemon/fleet/FleetLeases.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetLeases.java
@@ -10,7 +10,7 @@
 import cacheproxy.fleet.lease.LeaseStatus;
 import cacheproxy.fleet.lease.LeaseTiming;
 import cacheproxy.fleet.lease.NameHash;
-import cacheproxy.proxy.EventLoopContext;
+import cacheproxy.proxy.upstream.EventLoopContext;
 import java.util.Map;
 import java.util.SplittableRandom;
 
--- a/src/main/java/cacheproxy/daemon/fleet/FleetSocket.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetSocket.java
@@ -9,7 +9,7 @@
 import cacheproxy.fleet.lease.NameHash;
 import cacheproxy.fleet.peer.DatagramEnvelope;
 import cacheproxy.fleet.peer.OpenedDatagram;
-import cacheproxy.proxy.EventLoopContext;
+import cacheproxy.proxy.upstream.EventLoopContext;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
--- a/src/main/java/cacheproxy/daemon/fleet/QuotaTable.java
+++ b/src/main/java/cacheproxy/daemon/fleet/QuotaTable.java
@@ -3,7 +3,7 @@
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.QuotaConfig;
 import cacheproxy.fleet.quota.LocalQuota;
-import cacheproxy.proxy.ClientRequest;
+import cacheproxy.proxy.request.ClientRequest;
 import java.util.Arrays;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/cacheproxy/daemon/hooks/HookExecutor.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookExecutor.java
@@ -7,7 +7,7 @@
 import cacheproxy.hooks.HookInstance;
 import cacheproxy.hooks.HookModule;
 import cacheproxy.hooks.HookOrders;
-import cacheproxy.proxy.EventLoopContext;
+import cacheproxy.proxy.upstream.EventLoopContext;
 import java.util.List;
 import java.util.concurrent.ArrayBlockingQueue;
 import java.util.concurrent.CountDownLatch;
--- a/src/main/java/cacheproxy/daemon/hooks/HookSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookSubsystem.java
@@ -5,7 +5,7 @@
 import cacheproxy.config.HooksConfig;
 import cacheproxy.daemon.Subsystem;
 import cacheproxy.daemon.SubsystemContext;
-import cacheproxy.proxy.EventLoopContext;
+import cacheproxy.proxy.upstream.EventLoopContext;
 import java.util.List;
 import java.util.Optional;
 
--- a/src/main/java/cacheproxy/daemon/snapshot/SnapshotSaver.java
+++ b/src/main/java/cacheproxy/daemon/snapshot/SnapshotSaver.java
@@ -1,7 +1,7 @@
 package cacheproxy.daemon.snapshot;
 
 import cacheproxy.config.SnapshotConfig;
-import cacheproxy.proxy.EventLoopContext;
+import cacheproxy.proxy.upstream.EventLoopContext;
 import cacheproxy.snapshot.SnapshotStore;
 import cacheproxy.snapshot.SnapshotWriter;
 import cacheproxy.snapshot.state.StateSnapshot;
--- a/src/main/java/cacheproxy/fakes/FakeDiscovery.java
+++ b/src/main/java/cacheproxy/fakes/FakeDiscovery.java
@@ -1,6 +1,6 @@
 package cacheproxy.fakes;
 
-import cacheproxy.proxy.Transport;
+import cacheproxy.proxy.net.Transport;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import io.netty.bootstrap.ServerBootstrap;
--- a/src/main/java/cacheproxy/fakes/FakeFleet.java
+++ b/src/main/java/cacheproxy/fakes/FakeFleet.java
@@ -1,6 +1,6 @@
 package cacheproxy.fakes;
 
-import cacheproxy.proxy.Transport;
+import cacheproxy.proxy.net.Transport;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import java.util.ArrayList;
--- a/src/main/java/cacheproxy/fakes/FakeOrigin.java
+++ b/src/main/java/cacheproxy/fakes/FakeOrigin.java
@@ -1,6 +1,6 @@
 package cacheproxy.fakes;
 
-import cacheproxy.proxy.Transport;
+import cacheproxy.proxy.net.Transport;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
--- a/src/main/java/cacheproxy/faulttest/DatagramRelay.java
+++ b/src/main/java/cacheproxy/faulttest/DatagramRelay.java
@@ -1,7 +1,7 @@
 package cacheproxy.faulttest;
 
 import cacheproxy.faulttest.scenario.NetworkLinks;
-import cacheproxy.proxy.Transport;
+import cacheproxy.proxy.net.Transport;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.Unpooled;
--- a/src/main/java/cacheproxy/faulttest/FakeProcesses.java
+++ b/src/main/java/cacheproxy/faulttest/FakeProcesses.java
@@ -7,7 +7,7 @@
 import cacheproxy.faulttest.check.Event;
 import cacheproxy.faulttest.scenario.Scenario;
 import cacheproxy.faulttest.scenario.TargetSelector;
-import cacheproxy.proxy.Transport;
+import cacheproxy.proxy.net.Transport;
 import com.google.gson.JsonObject;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
--- a/src/main/java/cacheproxy/faulttest/FaultTestRunner.java
+++ b/src/main/java/cacheproxy/faulttest/FaultTestRunner.java
@@ -13,7 +13,7 @@
 import cacheproxy.faulttest.scenario.NetworkLinks;
 import cacheproxy.faulttest.scenario.RunValidity;
 import cacheproxy.faulttest.scenario.Scenario;
-import cacheproxy.proxy.Transport;
+import cacheproxy.proxy.net.Transport;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import java.io.IOException;
--- a/src/main/java/cacheproxy/faulttest/LeasePoller.java
+++ b/src/main/java/cacheproxy/faulttest/LeasePoller.java
@@ -2,7 +2,7 @@
 
 import cacheproxy.faulttest.check.Event;
 import cacheproxy.faulttest.scenario.TargetSelector;
-import cacheproxy.proxy.Transport;
+import cacheproxy.proxy.net.Transport;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
--- a/src/main/java/cacheproxy/faulttest/OpenLoopWorkload.java
+++ b/src/main/java/cacheproxy/faulttest/OpenLoopWorkload.java
@@ -4,7 +4,7 @@
 import cacheproxy.faulttest.check.Event;
 import cacheproxy.faulttest.scenario.Scenario;
 import cacheproxy.faulttest.scenario.TargetSelector;
-import cacheproxy.proxy.Transport;
+import cacheproxy.proxy.net.Transport;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
--- a/src/main/java/cacheproxy/proxy/ClientConnection.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientConnection.java
@@ -1,8 +1,13 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.client;
 
 import cacheproxy.eventlog.ProxyEvent;
 import cacheproxy.invariant.Invariant;
 import cacheproxy.limits.ConnectionEviction;
+import cacheproxy.proxy.request.ClientRequest;
+import cacheproxy.proxy.request.MetaCodec;
+import cacheproxy.proxy.request.RequestHandler;
+import cacheproxy.proxy.request.Responder;
+import cacheproxy.proxy.upstream.EventLoopContext;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.CompositeByteBuf;
@@ -21,7 +26,7 @@
  * A client that speaks the meta commands: reads its requests, hands them in, and writes their answers in the order of
  * the requests.
  */
-final class ClientConnection extends ByteToMessageDecoder {
+public final class ClientConnection extends ByteToMessageDecoder {
     /** Commands in hand on one connection; guards memory against a client that only writes. */
     private static final int MAX_PIPELINED = 32;
 
@@ -88,7 +93,7 @@
     private double wroteMs = Double.NEGATIVE_INFINITY;
 
     /** What a connection belongs to. */
-    interface Front {
+    public interface Front {
         RequestHandler handler();
 
         /** Whether this connection is to end between requests. */
@@ -110,7 +115,7 @@
     }
 
     /** @param place from 0 to under 1, by which connections that are to end are spread */
-    ClientConnection(EventLoopContext core, Front front, double place) {
+    public ClientConnection(EventLoopContext core, Front front, double place) {
         this.core = core;
         this.front = front;
         this.place = place;
--- a/src/main/java/cacheproxy/proxy/ClientRegistry.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientRegistry.java
@@ -1,5 +1,6 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.client;
 
+import cacheproxy.proxy.upstream.EventLoopContext;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
--- a/src/main/java/cacheproxy/proxy/Listener.java
+++ b/src/main/java/cacheproxy/proxy/client/Listener.java
@@ -1,6 +1,9 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.client;
 
 import cacheproxy.lifecycle.Lifecycle;
+import cacheproxy.proxy.net.Transport;
+import cacheproxy.proxy.request.RequestHandler;
+import cacheproxy.proxy.upstream.EventLoopContext;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -115,7 +118,7 @@
     }
 
     /** @param shared whether another process may listen at the same address, which then shares its connections */
-    ChannelFuture bind(SocketAddress address, boolean shared) {
+    public ChannelFuture bind(SocketAddress address, boolean shared) {
         ServerBootstrap bootstrap = bootstrap()
                 .channel(Transport.BEST.server())
                 .option(ChannelOption.SO_BACKLOG, BACKLOG)
@@ -127,7 +130,7 @@
     }
 
     /** Takes connections off a socket that listens already, and that another process may have, too. */
-    ChannelFuture adopt(int descriptor) {
+    public ChannelFuture adopt(int descriptor) {
         return opened(bootstrap()
                 .channelFactory(() -> new EpollServerSocketChannel(descriptor))
                 .register());
@@ -175,7 +178,7 @@
     }
 
     /** For tests that have an accept fail. */
-    Channel channel() {
+    public Channel channel() {
         return channel;
     }
 
@@ -218,7 +221,8 @@
     }
 
     /** Takes no new connections. */
-    @SuppressWarnings("FutureReturnValueIgnored") // the close is observed where the channel becomes inactive
+    @SuppressWarnings("FutureReturnValueIgnored")
+    public // the close is observed where the channel becomes inactive
     void stopListening() {
         if (!draining) {
             draining = true;
@@ -233,12 +237,12 @@
     }
 
     /** Whether this process says that it takes clients. */
-    void takesClients(boolean yes) {
+    public void takesClients(boolean yes) {
         takesClients = yes;
     }
 
     /** Connections of a place under this end between requests. To be called again until they have. */
-    void end(double under) {
+    public void end(double under) {
         endsUnder = under;
         double now = core.now();
         for (ClientConnection c : new ArrayList<>(own)) {
@@ -249,12 +253,12 @@
     }
 
     /** Nothing that comes on standing connections is taken any more. */
-    void takeNoMore() {
+    public void takeNoMore() {
         new ArrayList<>(own).forEach(ClientConnection::takeNoMore);
     }
 
     /** The socket's descriptor; -1 where the kind of channel has none to give. */
-    int descriptor() {
+    public int descriptor() {
         return channel instanceof EpollServerSocketChannel c ? c.fd().intValue() : -1;
     }
 
@@ -262,7 +266,7 @@
         return own.isEmpty();
     }
 
-    int size() {
+    public int size() {
         return own.size();
     }
 
--- a/src/main/java/cacheproxy/proxy/StandardMetaProtocol.java
+++ b/src/main/java/cacheproxy/proxy/client/StandardMetaProtocol.java
@@ -1,5 +1,7 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.client;
 
+import cacheproxy.proxy.request.ClientRequest;
+import cacheproxy.proxy.request.MetaCodec;
 import java.util.Set;
 import java.util.function.Supplier;
 
--- a/src/main/java/cacheproxy/proxy/DiscoveryClient.java
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.discovery;
 
 import cacheproxy.config.Addresses;
 import cacheproxy.discovery.DiscoveryPoll;
@@ -11,7 +11,13 @@
 import cacheproxy.policy.PolicyApi.Member;
 import cacheproxy.policy.PolicyApi.Settings;
 import cacheproxy.policy.PolicyApi.State;
-import cacheproxy.proxy.TimerWheel.Timer;
+import cacheproxy.proxy.dispatch.Dispatcher;
+import cacheproxy.proxy.net.HandlerInitializer;
+import cacheproxy.proxy.net.TimerWheel.Timer;
+import cacheproxy.proxy.net.Transport;
+import cacheproxy.proxy.process.PlatformConfig;
+import cacheproxy.proxy.upstream.EventLoopContext;
+import cacheproxy.proxy.upstream.UpstreamRegistry;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
@@ -75,7 +81,7 @@
      */
     public record Source(
             InetSocketAddress address, JsonObject known, boolean ask, List<String> zones, List<String> kinds) {
-        static Source of(PlatformConfig config) {
+        public static Source of(PlatformConfig config) {
             return new Source(
                     config.discovery(), config.known(), config.settings().askForList(), config.zones(), config.kinds());
         }
@@ -141,7 +147,7 @@
      * Discovery stands elsewhere from now on. The old address soon falls silent and what the new one has counts as
      * told, so it is asked at once, and for all: its versions need not go on from those of the old.
      */
-    void move(InetSocketAddress to) {
+    public void move(InetSocketAddress to) {
         if (to.equals(address)) {
             return;
         }
@@ -342,7 +348,7 @@
     }
 
     /** A message of another proxy that {@link VersionGossip#is} one of the list's version. */
-    void heard(int peer, byte[] message) {
+    public void heard(int peer, byte[] message) {
         long seq = VersionGossip.decodeVersion(message);
         news.received(peer, seq);
         if (seq > version) {
@@ -436,7 +442,7 @@
                     .channel(Transport.BEST.socket())
                     .option(ChannelOption.TCP_NODELAY, true)
                     .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-                    .handler(new ClientChannelInitializer(
+                    .handler(new HandlerInitializer(
                             new HttpClientCodec(), new HttpObjectAggregator(MAX_LIST), new Answer()))
                     .connect(address)
                     .addListener(f -> {
--- a/src/main/java/cacheproxy/proxy/PeerSocket.java
+++ b/src/main/java/cacheproxy/proxy/discovery/PeerSocket.java
@@ -1,5 +1,7 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.discovery;
 
+import cacheproxy.proxy.net.Transport;
+import cacheproxy.proxy.process.PlatformConfig;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -13,7 +15,7 @@
 import java.net.InetSocketAddress;
 
 /** Messages between the proxies of a tier: datagrams that come late or not at all. */
-final class PeerSocket {
+public final class PeerSocket {
     private static final int MAX_MESSAGE = 256;
 
     private final PlatformConfig config;
@@ -21,11 +23,11 @@
     private Channel channel;
 
     /** What takes the messages of peers. */
-    interface Receiver {
+    public interface Receiver {
         void heard(int peer, byte[] message);
     }
 
-    PeerSocket(EventLoop loop, PlatformConfig config, Receiver receiver) {
+    public PeerSocket(EventLoop loop, PlatformConfig config, Receiver receiver) {
         this.config = config;
         this.receiver = receiver;
         if (config.settings().peers() && config.peerListen() != null) {
@@ -41,12 +43,13 @@
         }
     }
 
-    InetSocketAddress address() {
+    public InetSocketAddress address() {
         return channel == null ? null : (InetSocketAddress) channel.localAddress();
     }
 
     /** Sends to the proxy of this number, or to all of the tier if it is negative. */
-    @SuppressWarnings("FutureReturnValueIgnored") // a failed write closes the channel, and the close is handled
+    @SuppressWarnings("FutureReturnValueIgnored")
+    public // a failed write closes the channel, and the close is handled
     void send(int peer, byte[] message) {
         InetSocketAddress to = peer < 0
                 ? config.peersAll()
--- a/src/main/java/cacheproxy/proxy/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/Dispatcher.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.dispatch;
 
 import cacheproxy.eventlog.ProxyEvent;
 import cacheproxy.invariant.Invariant;
@@ -17,8 +17,15 @@
 import cacheproxy.policy.PolicyApi.Settings;
 import cacheproxy.policy.PolicyApi.State;
 import cacheproxy.policy.RoutingPolicy;
-import cacheproxy.proxy.RequestContext.Attempt;
-import cacheproxy.proxy.TimerWheel.Timer;
+import cacheproxy.proxy.discovery.DiscoveryClient;
+import cacheproxy.proxy.discovery.PeerSocket;
+import cacheproxy.proxy.dispatch.RequestContext.Attempt;
+import cacheproxy.proxy.net.TimerWheel.Timer;
+import cacheproxy.proxy.process.PlatformConfig;
+import cacheproxy.proxy.request.ClientRequest;
+import cacheproxy.proxy.request.MetaCodec;
+import cacheproxy.proxy.upstream.EventLoopContext;
+import cacheproxy.proxy.upstream.Upstream;
 import cacheproxy.siblings.Siblings;
 import cacheproxy.snapshot.state.LearnedState;
 import io.netty.buffer.ByteBuf;
@@ -47,7 +54,7 @@
     /**
      * The part of the time after which servers close idle connections for which one may have been idle when it is used.
      */
-    static final double RETIRE_AT = 0.7;
+    public static final double RETIRE_AT = 0.7;
 
     private static final long SWEEP_MS = 1000;
 
@@ -163,7 +170,7 @@
             AdmissionControl admission) {
 
         /** The platform's one pool. Servers accept some forty connections each, for all proxies together. */
-        static Pool of(PlatformConfig config) {
+        public static Pool of(PlatformConfig config) {
             int proxies = Math.max(1, config.settings().instances());
             return new Pool(
                     config.settings(),
@@ -191,7 +198,7 @@
         start(source, null);
     }
 
-    void start(ListSource source, PeerSocket socket) {
+    public void start(ListSource source, PeerSocket socket) {
         discovery = source;
         peers = socket;
         module = new RoutingPolicy(settings, pool.seed(), pool.placements(), pool.admission(), siblings);
@@ -214,7 +221,7 @@
         probes = to;
     }
 
-    String classAt(int server) {
+    public String classAt(int server) {
         return questions.classAt(server);
     }
 
@@ -268,7 +275,7 @@
     }
 
     /** Answers every request that has no answer and none on its way: the process is to end before its deadline. */
-    void answerAll() {
+    public void answerAll() {
         for (RequestContext x : List.copyOf(exchanges.values())) {
             boolean harmless =
                     settings.classes().get(x.command.serviceClass).effect() == Effect.SAFE || !x.mayHaveRun();
@@ -276,23 +283,23 @@
         }
     }
 
-    List<String> reportNames() {
+    public List<String> reportNames() {
         return settings.reportNames();
     }
 
-    float[] report(String list) {
+    public float[] report(String list) {
         return settings.reports() == Reports.WITH_ANSWERS ? MetaCodec.report(list, settings.reportNames()) : null;
     }
 
-    boolean probesLoad() {
+    public boolean probesLoad() {
         return settings.reports() == Reports.BY_PROBE;
     }
 
-    boolean secondCopies() {
+    public boolean secondCopies() {
         return settings.secondCopies();
     }
 
-    boolean plainNodes() {
+    public boolean plainNodes() {
         return pool.plainNodes();
     }
 
@@ -301,7 +308,7 @@
     }
 
     /** For random choices of who acts for this pool. */
-    long seed() {
+    public long seed() {
         return pool.seed();
     }
 
@@ -424,7 +431,7 @@
         }
     }
 
-    void heard(int peer, byte[] message) {
+    public void heard(int peer, byte[] message) {
         tell(() -> module.onPeer(core.now(), peer, message, this));
     }
 
@@ -509,7 +516,7 @@
     // ---- ends of attempts
 
     /** The one end of an attempt. A value or receipt, where there is one, is the client's if none has come before. */
-    void end(Attempt a, Outcome outcome, int note, float[] report, ByteBuf value, String receipt) {
+    public void end(Attempt a, Outcome outcome, int note, float[] report, ByteBuf value, String receipt) {
         if (a.ended) {
             if (value != null) {
                 value.release();
@@ -610,7 +617,7 @@
     }
 
     /** A long answer begins; false if the request is over or another answer has begun. */
-    boolean begin(Attempt a, int length) {
+    public boolean begin(Attempt a, int length) {
         RequestContext x = a.exchange;
         if (a.ended || x.over || x.streaming) {
             return false;
@@ -629,7 +636,7 @@
         return true;
     }
 
-    void part(Attempt a, ByteBuf part) {
+    public void part(Attempt a, ByteBuf part) {
         if (a.ended || a.exchange.over) {
             part.release();
         } else {
@@ -726,7 +733,7 @@
      * The one place that every attempt of a request passes before its first byte, on whatever connection and however
      * long it has waited for it. One that may not begin ends here as not sent.
      */
-    boolean mayBegin(Attempt a) {
+    public boolean mayBegin(Attempt a) {
         if (a.exchange == null) {
             return true;
         }
--- a/src/main/java/cacheproxy/proxy/RequestContext.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/RequestContext.java
@@ -1,9 +1,13 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.dispatch;
 
 import cacheproxy.invariant.SendFacts;
 import cacheproxy.policy.PolicyApi.Effect;
 import cacheproxy.policy.PolicyApi.Outcome;
-import cacheproxy.proxy.TimerWheel.Timer;
+import cacheproxy.proxy.net.TimerWheel.Timer;
+import cacheproxy.proxy.request.ClientRequest;
+import cacheproxy.proxy.request.RequestHandler;
+import cacheproxy.proxy.request.Responder;
+import cacheproxy.proxy.upstream.UpstreamConnection;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
@@ -11,7 +15,7 @@
 /** A request in a pool's hands, with its attempts. */
 public final class RequestContext implements RequestHandler.Handle {
     final Dispatcher dispatcher;
-    final ClientRequest command;
+    public final ClientRequest command;
     final Responder responder;
     /** By which the pool's module knows the request. */
     final long keyNumber;
@@ -19,16 +23,16 @@
     final boolean holdsId;
 
     int id;
-    double dueMs;
+    public double dueMs;
     boolean over;
     boolean streaming;
-    int out;
+    public int out;
     /** Whether a server has answered that it lacks the key. */
     boolean missed;
     /** Whether an attempt that has ended may have run. */
     boolean mayHaveRun;
     /** What the attempt that ended last ended with; null: none has. */
-    Outcome lastOutcome;
+    public Outcome lastOutcome;
 
     Timer timer;
     final List<Attempt> attempts = new ArrayList<>(3);
@@ -59,28 +63,28 @@
         dispatcher.gone(this);
     }
 
-    static final class Attempt implements SendFacts {
+    public static final class Attempt implements SendFacts {
         /** Null for a probe. */
-        final RequestContext exchange;
+        public final RequestContext exchange;
 
-        final Dispatcher owner;
-        final int index;
-        final int server;
-        final double sentMs;
+        public final Dispatcher owner;
+        public final int index;
+        public final int server;
+        public final double sentMs;
         /** When the proxy stops waiting. */
-        final double untilMs;
+        public final double untilMs;
         /**
          * When it may still begin, where an earlier one may have run: servers drop a repeat for so long and no longer.
          */
         double beginByMs = Double.POSITIVE_INFINITY;
 
-        UpstreamConnection connection;
+        public UpstreamConnection connection;
         /** Its first byte has been handed on. */
-        boolean begun;
+        public boolean begun;
         /** Its last byte has been written. */
-        boolean written;
+        public boolean written;
         /** It has had its one outcome. */
-        boolean ended;
+        public boolean ended;
         /** Whether its outcome leaves open that it has run. */
         boolean mayHaveRun;
         /** When the first bytes of a long answer came, else 0. */
@@ -103,7 +107,7 @@
          * The deadline that its server is told: whole milliseconds until the proxy stops waiting, never more than the
          * client has left. To be reckoned anew each time that it is sent.
          */
-        int deadlineToTellMs(double nowMs) {
+        public int deadlineToTellMs(double nowMs) {
             double leftMs = Math.min(deadlineMs(), exchange.command.clientDueMs) - nowMs;
             return (int) Math.max(1, Math.min(Integer.MAX_VALUE, Math.floor(leftMs)));
         }
--- a/src/main/java/cacheproxy/proxy/SinglePoolHandler.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/SinglePoolHandler.java
@@ -1,12 +1,18 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.dispatch;
+
+import cacheproxy.proxy.request.ClientRequest;
+import cacheproxy.proxy.request.RequestHandler;
+import cacheproxy.proxy.request.RequestValidator;
+import cacheproxy.proxy.request.Responder;
+import cacheproxy.proxy.upstream.EventLoopContext;
 
 /** All requests go to one pool, as on the platform. */
-final class SinglePoolHandler implements RequestHandler {
+public final class SinglePoolHandler implements RequestHandler {
     private final EventLoopContext core;
     private final RequestValidator intake;
     private final Dispatcher pool;
 
-    SinglePoolHandler(EventLoopContext core, Dispatcher pool) {
+    public SinglePoolHandler(EventLoopContext core, Dispatcher pool) {
         this.core = core;
         this.pool = pool;
         intake = new RequestValidator(
--- a/src/main/java/cacheproxy/proxy/ClientChannelInitializer.java
+++ b/src/main/java/cacheproxy/proxy/net/HandlerInitializer.java
@@ -1,14 +1,14 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.net;
 
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandler;
 import io.netty.channel.ChannelInitializer;
 
 /** Puts the handlers of one new connection in place. */
-final class ClientChannelInitializer extends ChannelInitializer<Channel> {
+public final class HandlerInitializer extends ChannelInitializer<Channel> {
     private final ChannelHandler[] handlers;
 
-    ClientChannelInitializer(ChannelHandler... handlers) {
+    public HandlerInitializer(ChannelHandler... handlers) {
         this.handlers = handlers;
     }
 
--- a/src/main/java/cacheproxy/proxy/NettyDefaults.java
+++ b/src/main/java/cacheproxy/proxy/net/NettyDefaults.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.net;
 
 import io.netty.util.internal.logging.InternalLoggerFactory;
 import java.util.Map;
@@ -8,7 +8,7 @@
  * archives its classes; what the two differ in is not in the archive, and is read and verified at each start. What the
  * command line names goes before.
  */
-final class NettyDefaults {
+public final class NettyDefaults {
     private static final Map<String, String> VALUES = Map.ofEntries(
             // One loop: one arena of each kind, in chunks of 256 KiB.
             Map.entry("io.netty.allocator.type", "pooled"),
@@ -28,7 +28,7 @@
     private NettyDefaults() {}
 
     /** To be called before any class of Netty is loaded. */
-    static void apply() {
+    public static void apply() {
         VALUES.forEach((name, value) -> {
             if (System.getProperty(name) == null) {
                 System.setProperty(name, value);
--- a/src/main/java/cacheproxy/proxy/NettyLog.java
+++ b/src/main/java/cacheproxy/proxy/net/NettyLog.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.net;
 
 import io.netty.util.internal.logging.AbstractInternalLogger;
 import io.netty.util.internal.logging.InternalLogger;
--- a/src/main/java/cacheproxy/proxy/PollClock.java
+++ b/src/main/java/cacheproxy/proxy/net/PollClock.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.net;
 
 import io.netty.channel.IoHandlerFactory;
 import io.netty.channel.SelectStrategy;
@@ -16,7 +16,7 @@
  */
 public final class PollClock {
     /** How often the loop is to be woken where nothing else does. */
-    static final double HEARTBEAT_MS = 100;
+    public static final double HEARTBEAT_MS = 100;
     /** A poll that lasts longer has met a pause: the heartbeat's time and what its timer and a busy machine may add. */
     static final double MAX_POLL_MS = HEARTBEAT_MS + 25;
 
@@ -52,7 +52,7 @@
     }
 
     /** The loop handles an event. */
-    void handling(long nowNanos) {
+    public void handling(long nowNanos) {
         if (!handled) {
             handled = true;
             handledNanos = nowNanos;
@@ -60,14 +60,14 @@
     }
 
     /** Counts the loop's polls, from 1; 0 before the first and where the loop tells nothing. */
-    long turn() {
+    public long turn() {
         return turn;
     }
 
     /**
      * How long, in milliseconds, what is read now may have waited at the most, apart from a pause shorter than a poll.
      */
-    double unreadForMs(long nowNanos) {
+    public double unreadForMs(long nowNanos) {
         handling(nowNanos);
         if (turn == 0) {
             return 0;
--- a/src/main/java/cacheproxy/proxy/TimerWheel.java
+++ b/src/main/java/cacheproxy/proxy/net/TimerWheel.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.net;
 
 import io.netty.channel.EventLoop;
 import java.util.ArrayList;
@@ -36,7 +36,7 @@
 
     private List<Timer> spare = new ArrayList<>();
 
-    TimerWheel(EventLoop loop, PollClock polls) {
+    public TimerWheel(EventLoop loop, PollClock polls) {
         this.loop = loop;
         this.polls = polls;
         for (int i = 0; i < SLOTS; i++) {
@@ -45,7 +45,8 @@
     }
 
     /** Runs the task after this time, never before and up to a slot later; timers of one slot keep their order. */
-    @SuppressWarnings("FutureReturnValueIgnored") // the timer is never cancelled; what it runs handles its own errors
+    @SuppressWarnings("FutureReturnValueIgnored")
+    public // the timer is never cancelled; what it runs handles its own errors
     Timer after(double ms, Runnable task) {
         Timer timer = new Timer(task);
         long now = System.nanoTime() - start;
--- a/src/main/java/cacheproxy/proxy/Transport.java
+++ b/src/main/java/cacheproxy/proxy/net/Transport.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.net;
 
 import io.netty.channel.AdaptiveRecvByteBufAllocator;
 import io.netty.channel.Channel;
@@ -64,11 +64,11 @@
     }
 
     /** How much each connection reads at once, by what has come before. Each connection needs one of its own. */
-    static RecvByteBufAllocator reads() {
+    public static RecvByteBufAllocator reads() {
         return new AdaptiveRecvByteBufAllocator(256, 2048, MAX_READ);
     }
 
-    SocketAddress local(Path path) {
+    public SocketAddress local(Path path) {
         return socket == EpollSocketChannel.class
                 ? new DomainSocketAddress(path.toFile())
                 : UnixDomainSocketAddress.of(path);
--- a/src/main/java/cacheproxy/proxy/GracefulShutdown.java
+++ b/src/main/java/cacheproxy/proxy/process/GracefulShutdown.java
@@ -1,5 +1,6 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.process;
 
+import cacheproxy.proxy.upstream.EventLoopContext;
 import io.netty.channel.EventLoop;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
--- a/src/main/java/cacheproxy/proxy/OperatorActions.java
+++ b/src/main/java/cacheproxy/proxy/process/OperatorActions.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.process;
 
 import cacheproxy.control.ControlEndpoints;
 import cacheproxy.control.ControlServer;
@@ -9,6 +9,9 @@
 import cacheproxy.handover.InheritedSocket;
 import cacheproxy.lifecycle.Lifecycle;
 import cacheproxy.lifecycle.LifecycleState;
+import cacheproxy.proxy.client.Listener;
+import cacheproxy.proxy.net.Transport;
+import cacheproxy.proxy.upstream.EventLoopContext;
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoop;
 import io.netty.channel.epoll.Epoll;
--- a/src/main/java/cacheproxy/proxy/PlatformConfig.java
+++ b/src/main/java/cacheproxy/proxy/process/PlatformConfig.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.process;
 
 import cacheproxy.config.Addresses;
 import cacheproxy.policy.PolicyApi.Settings;
@@ -21,7 +21,7 @@
  * What the proxy is told at its start. Settings are read by the adapter's own parser, from the same paths and values;
  * addresses are literal, as there is no DNS.
  */
-record PlatformConfig(
+public record PlatformConfig(
         String name,
         InetSocketAddress listen,
         InetSocketAddress discovery,
@@ -55,7 +55,7 @@
         }
     }
 
-    static PlatformConfig parse(JsonObject json) {
+    public static PlatformConfig parse(JsonObject json) {
         Map<String, String> values = new HashMap<>();
         flatten("", need(json, "settings"), values);
         SettingsParser parser = new SettingsParser(values);
@@ -159,7 +159,7 @@
         }
     }
 
-    static String word(String text) {
+    public static String word(String text) {
         return text.replace(' ', '_').replace(',', '_');
     }
 }
--- a/src/main/java/cacheproxy/proxy/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/process/Proxy.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.process;
 
 import cacheproxy.discovery.VersionGossip;
 import cacheproxy.eventlog.ProxyEvent;
@@ -6,6 +6,16 @@
 import cacheproxy.lifecycle.LifecycleTiming;
 import cacheproxy.lifecycle.WarmUpPlan;
 import cacheproxy.policy.PolicyApi.ServiceClass;
+import cacheproxy.proxy.client.ClientRegistry;
+import cacheproxy.proxy.client.Listener;
+import cacheproxy.proxy.discovery.DiscoveryClient;
+import cacheproxy.proxy.discovery.PeerSocket;
+import cacheproxy.proxy.dispatch.Dispatcher;
+import cacheproxy.proxy.dispatch.SinglePoolHandler;
+import cacheproxy.proxy.net.NettyDefaults;
+import cacheproxy.proxy.net.PollClock;
+import cacheproxy.proxy.net.Transport;
+import cacheproxy.proxy.upstream.EventLoopContext;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import java.io.IOException;
@@ -136,7 +146,7 @@
     }
 
     /** Reads the configuration again for discovery's address; one that is of no use leaves all as it is. */
-    void reload(String path) {
+    public void reload(String path) {
         try {
             PlatformConfig read = PlatformConfig.read(path);
             InetSocketAddress to = read.discovery();
@@ -201,11 +211,11 @@
     }
 
     /** Starts without a warm-up. */
-    static Proxy start(PlatformConfig config) throws InterruptedException {
+    public static Proxy start(PlatformConfig config) throws InterruptedException {
         return new Proxy(config, false);
     }
 
-    InetSocketAddress address() {
+    public InetSocketAddress address() {
         return listener.address();
     }
 
@@ -213,42 +223,42 @@
         return operations.address();
     }
 
-    InetSocketAddress peerAddress() {
+    public InetSocketAddress peerAddress() {
         return peers.address();
     }
 
     /** Runs a task on the loop after so long; for tests that wait on the proxy's own clock. */
-    void after(double ms, Runnable task) {
+    public void after(double ms, Runnable task) {
         loop.execute(() -> core.after(ms, task));
     }
 
     /** Whether the module holds nothing against a server. */
-    boolean sound(int server) {
+    public boolean sound(int server) {
         return loop.submit(() -> dispatcher.sound(server)).syncUninterruptibly().getNow();
     }
 
     /** Connections of clients that the loop knows of. */
-    int clients() {
+    public int clients() {
         return loop.submit(listener::size).syncUninterruptibly().getNow();
     }
 
     /** Has an accept fail as the system would; for tests. */
-    void failAccept(IOException as) {
+    public void failAccept(IOException as) {
         listener.channel().pipeline().fireExceptionCaught(as);
     }
 
     /** What was stopped and violated so far, in a line. */
-    String invariants() {
+    public String invariants() {
         return loop.submit(core.invariants::summary).syncUninterruptibly().getNow();
     }
 
-    int inHand() {
+    public int inHand() {
         return loop.submit(dispatcher::inHand).syncUninterruptibly().getNow();
     }
 
     // ---- the end
 
-    void drain() {
+    public void drain() {
         new GracefulShutdown(loop, core, 0, this::drained).run(() -> {
             if (core.events.isEnabled()) {
                 core.events
@@ -287,7 +297,7 @@
     }
 
     /** Ends at once; for tests. */
-    void close() {
+    public void close() {
         if (operations != null) {
             loop.submit(operations::close).syncUninterruptibly();
         }
--- a/src/main/java/cacheproxy/proxy/SighupHandler.java
+++ b/src/main/java/cacheproxy/proxy/process/SighupHandler.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.process;
 
 /** The signal that tells of a new configuration. */
 public final class SighupHandler {
--- a/src/main/java/cacheproxy/proxy/WarmUp.java
+++ b/src/main/java/cacheproxy/proxy/process/WarmUp.java
@@ -1,9 +1,20 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.process;
 
 import cacheproxy.lifecycle.WarmUpPlan;
 import cacheproxy.policy.PolicyApi.ListKind;
 import cacheproxy.policy.PolicyApi.Member;
 import cacheproxy.policy.PolicyApi.State;
+import cacheproxy.proxy.client.ClientConnection;
+import cacheproxy.proxy.client.ClientRegistry;
+import cacheproxy.proxy.client.Listener;
+import cacheproxy.proxy.discovery.DiscoveryClient;
+import cacheproxy.proxy.dispatch.Dispatcher;
+import cacheproxy.proxy.dispatch.SinglePoolHandler;
+import cacheproxy.proxy.net.HandlerInitializer;
+import cacheproxy.proxy.net.PollClock;
+import cacheproxy.proxy.net.Transport;
+import cacheproxy.proxy.request.MetaCodec;
+import cacheproxy.proxy.upstream.EventLoopContext;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBuf;
@@ -86,7 +97,7 @@
             channels.add(new Bootstrap()
                     .group(loop)
                     .channel(Transport.BEST.localSocket())
-                    .handler(new ClientChannelInitializer(new Client()))
+                    .handler(new HandlerInitializer(new Client()))
                     .connect(dial.apply(proxy))
                     .sync()
                     .channel());
--- a/src/main/java/cacheproxy/proxy/ClientRequest.java
+++ b/src/main/java/cacheproxy/proxy/request/ClientRequest.java
@@ -1,5 +1,6 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.request;
 
+import cacheproxy.proxy.upstream.EventLoopContext;
 import io.netty.buffer.ByteBuf;
 
 /**
@@ -10,38 +11,38 @@
     /** Of {@code mg} and {@code ms}, with the space. */
     private static final int COMMAND_LENGTH = 3;
 
-    final String key;
-    final String id;
-    final boolean write;
+    public final String key;
+    public final String id;
+    public final boolean write;
     final String extras;
     /** The list up to the deadline's figure, and from there on. */
     private final String extrasHead;
 
     private final String extrasTail;
     /** The line for cache nodes up to the deadline's figure, and from there on. */
-    final String head;
+    public final String head;
 
-    final String tail;
+    public final String tail;
     /** A write's value with its line's end; null for reads. */
-    ByteBuf value;
+    public ByteBuf value;
     /** What is given back to the bound on clients' values with the value. */
     private int reserved;
 
     private int holders = 1;
 
     // What the intake has made of the list.
-    int serviceClass;
-    int tenant;
+    public int serviceClass;
+    public int tenant;
     /** The earliest that its last byte may have come; set by whoever read it, else by the intake. */
-    double arrivedMs = Double.NaN;
+    public double arrivedMs = Double.NaN;
 
-    double dueMs;
+    public double dueMs;
     /** When the client gives up, whatever others order; no server is told more than is left until then. */
-    double clientDueMs = Double.POSITIVE_INFINITY;
+    public double clientDueMs = Double.POSITIVE_INFINITY;
 
-    double costMs;
-    float bytes;
-    boolean repeat;
+    public double costMs;
+    public float bytes;
+    public boolean repeat;
 
     /**
      * A request whose line for cache nodes is put together around its list.
@@ -50,7 +51,7 @@
      * @param lineHead the line up to the list
      * @param lineTail the line after the list
      */
-    ClientRequest(String key, String id, boolean write, String extras, String lineHead, String lineTail) {
+    public ClientRequest(String key, String id, boolean write, String extras, String lineHead, String lineTail) {
         this.key = key;
         this.id = id;
         this.write = write;
@@ -75,7 +76,7 @@
     }
 
     /** A request that no client sent in the nodes' own grammar. */
-    static ClientRequest of(String key, String id, boolean write, int valueBytes, String extras) {
+    public static ClientRequest of(String key, String id, boolean write, int valueBytes, String extras) {
         return new ClientRequest(
                 key,
                 id,
@@ -86,11 +87,11 @@
     }
 
     /** The list with another deadline in place of the client's, or behind the list where that has none. */
-    String extras(int deadlineMs) {
+    public String extras(int deadlineMs) {
         return extrasHead + deadlineMs + extrasTail;
     }
 
-    void value(ByteBuf of, int room) {
+    public void value(ByteBuf of, int room) {
         value = of;
         reserved = room;
     }
@@ -167,7 +168,7 @@
     }
 
     /** One more holder; each releases once. */
-    ClientRequest retain() {
+    public ClientRequest retain() {
         holders++;
         return this;
     }
--- a/src/main/java/cacheproxy/proxy/DeadlineField.java
+++ b/src/main/java/cacheproxy/proxy/request/DeadlineField.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.request;
 
 /**
  * Where a request's list of names and values ({@code c=read,t=acme,d=480}) has its deadline, so that each attempt can
--- a/src/main/java/cacheproxy/proxy/MetaCodec.java
+++ b/src/main/java/cacheproxy/proxy/request/MetaCodec.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.request;
 
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
@@ -7,32 +7,32 @@
 import java.util.List;
 
 /** The grammar of the meta text protocol, shared by the sides of clients and of cache nodes. */
-final class MetaCodec {
+public final class MetaCodec {
     /** The longest value the protocol has. */
-    static final int MAX_VALUE = 4 << 20;
+    public static final int MAX_VALUE = 4 << 20;
     /** Answers up to this size are passed on whole, longer ones as they come. */
-    static final int WHOLE = 64 << 10;
+    public static final int WHOLE = 64 << 10;
 
-    static final int MAX_LINE = 4096;
+    public static final int MAX_LINE = 4096;
     /** A line's end, as a big-endian short. */
-    static final int CRLF = '\r' << 8 | '\n';
+    public static final int CRLF = '\r' << 8 | '\n';
 
-    static final String FAILED = "SERVER_ERROR failed\r\n";
-    static final String BUSY = "SERVER_ERROR busy";
+    public static final String FAILED = "SERVER_ERROR failed\r\n";
+    public static final String BUSY = "SERVER_ERROR busy";
 
     private MetaCodec() {}
 
     /** Input that is not the protocol's. */
-    static final class SyntaxException extends Exception {
+    public static final class SyntaxException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        SyntaxException(String message) {
+        public SyntaxException(String message) {
             super(message, null, false, false);
         }
     }
 
     /** Takes one line off the input, without its end; null while it is not all there. */
-    static String line(ByteBuf in) throws SyntaxException {
+    public static String line(ByteBuf in) throws SyntaxException {
         int start = in.readerIndex();
         int end = in.indexOf(start, Math.min(in.writerIndex(), start + MAX_LINE), (byte) '\n');
         if (end < 0) {
@@ -51,7 +51,7 @@
     }
 
     /** A decimal length between 0 and the longest value. */
-    static int length(String word) throws SyntaxException {
+    public static int length(String word) throws SyntaxException {
         int n = 0;
         for (int i = 0; i < word.length(); i++) {
             int digit = word.charAt(i) - '0';
@@ -67,7 +67,7 @@
     }
 
     /** Whether a line is of printing ASCII characters and spaces alone. */
-    static boolean printing(String line) {
+    public static boolean printing(String line) {
         for (int i = 0; i < line.length(); i++) {
             if (line.charAt(i) < ' ' || line.charAt(i) > '~') {
                 return false;
@@ -76,19 +76,19 @@
         return true;
     }
 
-    static String wordAt(String line, int start) {
+    public static String wordAt(String line, int start) {
         int end = line.indexOf(' ', start);
         return start >= line.length() ? "" : line.substring(start, end < 0 ? line.length() : end);
     }
 
     /** The flag that begins with this letter, without the letter; null if the line has none from there on. */
-    static String flag(String line, int from, char letter) {
+    public static String flag(String line, int from, char letter) {
         int at = flagAt(line, from, letter);
         return at < 0 ? null : wordAt(line, at);
     }
 
     /** Whether the flag that begins with this letter says just this. */
-    static boolean flagIs(String line, int from, char letter, String value) {
+    public static boolean flagIs(String line, int from, char letter, String value) {
         int at = flagAt(line, from, letter);
         int end = at + value.length();
         return at >= 0 && line.startsWith(value, at) && (end == line.length() || line.charAt(end) == ' ');
@@ -109,7 +109,7 @@
     }
 
     /** The value under this name in a list such as {@code c=read,d=480}; null if it is not there. */
-    static String named(String list, String name) {
+    public static String named(String list, String name) {
         int at = valueAt(list, name);
         if (at < 0) {
             return null;
@@ -119,7 +119,7 @@
     }
 
     /** Where the value under this name begins in a list, or -1. */
-    static int valueAt(String list, String name) {
+    public static int valueAt(String list, String name) {
         for (int at = 0; at >= 0 && at < list.length(); at = list.indexOf(',', at) + 1) {
             if (list.startsWith(name, at) && list.startsWith("=", at + name.length())) {
                 return at + name.length() + 1;
@@ -132,7 +132,7 @@
     }
 
     /** A load report as the module takes it; null where there is none or a figure is not one. */
-    static float[] report(String list, List<String> names) {
+    public static float[] report(String list, List<String> names) {
         if (list == null || names.isEmpty()) {
             return null;
         }
@@ -152,7 +152,7 @@
     }
 
     /** Writes a figure of 0 or more without a string in between. */
-    static void number(ByteBuf out, int n) {
+    public static void number(ByteBuf out, int n) {
         int power = 1;
         while (n / power >= 10) {
             power *= 10;
@@ -162,7 +162,7 @@
         }
     }
 
-    static ByteBuf text(ByteBufAllocator alloc, String text) {
+    public static ByteBuf text(ByteBufAllocator alloc, String text) {
         ByteBuf buf = alloc.buffer(text.length() + 2);
         ByteBufUtil.writeAscii(buf, text);
         return buf;
--- a/src/main/java/cacheproxy/proxy/RequestHandler.java
+++ b/src/main/java/cacheproxy/proxy/request/RequestHandler.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.request;
 
 /** What fronts hand requests to. */
 public interface RequestHandler {
--- a/src/main/java/cacheproxy/proxy/RequestValidator.java
+++ b/src/main/java/cacheproxy/proxy/request/RequestValidator.java
@@ -1,7 +1,8 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.request;
 
 import cacheproxy.policy.PolicyApi.ServiceClass;
 import cacheproxy.policy.PolicyApi.Tenant;
+import cacheproxy.proxy.upstream.EventLoopContext;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
--- a/src/main/java/cacheproxy/proxy/Responder.java
+++ b/src/main/java/cacheproxy/proxy/request/Responder.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.request;
 
 import io.netty.buffer.ByteBuf;
 
--- a/src/main/java/cacheproxy/proxy/CacheCodec.java
+++ b/src/main/java/cacheproxy/proxy/upstream/CacheCodec.java
@@ -1,8 +1,10 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.upstream;
 
 import cacheproxy.policy.PolicyApi;
 import cacheproxy.policy.PolicyApi.Outcome;
-import cacheproxy.proxy.RequestContext.Attempt;
+import cacheproxy.proxy.dispatch.RequestContext.Attempt;
+import cacheproxy.proxy.request.ClientRequest;
+import cacheproxy.proxy.request.MetaCodec;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.channel.Channel;
--- a/src/main/java/cacheproxy/proxy/EventLoopContext.java
+++ b/src/main/java/cacheproxy/proxy/upstream/EventLoopContext.java
@@ -1,11 +1,17 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.upstream;
 
 import cacheproxy.eventlog.EventLog;
 import cacheproxy.eventlog.ProxyEvent;
 import cacheproxy.invariant.Invariant;
 import cacheproxy.invariant.InvariantListener;
 import cacheproxy.invariant.InvariantMonitor;
-import cacheproxy.proxy.TimerWheel.Timer;
+import cacheproxy.proxy.net.PollClock;
+import cacheproxy.proxy.net.TimerWheel;
+import cacheproxy.proxy.net.TimerWheel.Timer;
+import cacheproxy.proxy.net.Transport;
+import cacheproxy.proxy.process.PlatformConfig;
+import cacheproxy.proxy.request.ClientRequest;
+import cacheproxy.proxy.request.MetaCodec;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelOption;
@@ -34,16 +40,16 @@
     private static final int MIN_STREAM = 8 << 10;
     private static final int MIN_STREAM_BYTES = 1 << 20;
 
-    final EventLoop loop;
+    public final EventLoop loop;
     /** Off unless switched on; see {@link EventLog}. */
     public final EventLog events = EventLog.onStandardError(this::now);
     /** Counts what was stopped or violated; used on the loop. */
     public final InvariantMonitor invariants = new InvariantMonitor(new InvariantLog());
 
-    final UpstreamRegistry servers;
+    public final UpstreamRegistry servers;
     private final PollClock polls;
     /** The clients' ids of requests that have no answer yet; as many as there are such requests. */
-    final Set<String> openIds = new HashSet<>();
+    public final Set<String> openIds = new HashSet<>();
 
     private final TimerWheel timers;
     private final ArrayDeque<Runnable> flushes = new ArrayDeque<>();
@@ -99,7 +105,7 @@
     }
 
     /** As the platform's configuration bounds it. */
-    static EventLoopContext of(
+    public static EventLoopContext of(
             EventLoop loop, PollClock polls, PlatformConfig config, Class<? extends Channel> upstream) {
         return new EventLoopContext(
                 loop,
@@ -119,18 +125,18 @@
      * Since when what is read now may have waited unread, on the clock of {@link #now}. Called before anything else
      * that reads.
      */
-    double unreadSinceMs() {
+    public double unreadSinceMs() {
         long nowNanos = System.nanoTime();
         return epochMs + (nowNanos - startNanos) / 1e6 - polls.unreadForMs(nowNanos);
     }
 
     /** Counts the loop's polls; 0 where they are not counted. */
-    long turn() {
+    public long turn() {
         return polls.turn();
     }
 
     /** Whether this turn of the loop is that one or the next, in which what stood unread until then is read. */
-    boolean follows(long turn) {
+    public boolean follows(long turn) {
         return polls.turn() > 0 && polls.turn() - turn <= 1;
     }
 
@@ -157,7 +163,7 @@
      * connection goes out in one call of the system, not in one for each request. Each connection asks once, so there
      * are as many as those. Else at once.
      */
-    void flushLater(Runnable flush) {
+    public void flushLater(Runnable flush) {
         if (!gathers) {
             flush.run();
             return;
@@ -196,7 +202,7 @@
     }
 
     /** Room for a client's value of this size; given back when its request is over. */
-    boolean reserve(int bytes) {
+    public boolean reserve(int bytes) {
         if (valueBytes + bytes > maxValueBytes) {
             return false;
         }
@@ -204,17 +210,17 @@
         return true;
     }
 
-    void giveBack(int bytes) {
+    public void giveBack(int bytes) {
         valueBytes -= bytes;
     }
 
     /** A long answer begins. @return how many bytes of it may wait for its client */
-    int streamOpened() {
+    public int streamOpened() {
         streams++;
         return (int) Math.max(MIN_STREAM, Math.min(MAX_STREAM, streamBytes / streams));
     }
 
-    void streamClosed() {
+    public void streamClosed() {
         streams--;
     }
 
--- a/src/main/java/cacheproxy/proxy/Upstream.java
+++ b/src/main/java/cacheproxy/proxy/upstream/Upstream.java
@@ -1,8 +1,10 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.upstream;
 
 import cacheproxy.limits.ServerCapacity;
 import cacheproxy.policy.PolicyApi.State;
-import cacheproxy.proxy.RequestContext.Attempt;
+import cacheproxy.proxy.dispatch.Dispatcher;
+import cacheproxy.proxy.dispatch.RequestContext.Attempt;
+import cacheproxy.proxy.net.HandlerInitializer;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandler;
@@ -14,20 +16,20 @@
  * A server of the list with our connections to it. An attempt takes the connection that was used last of those that
  * stand idle, so that the rest can age and be retired; else it opens one, up to a limit, or queues behind the fewest.
  */
-final class Upstream {
+public final class Upstream {
     /** What a second copy of an answer may take to follow the first: some milliseconds. */
-    static final double REST_MS = 10;
+    public static final double REST_MS = 10;
 
     final int id;
-    final boolean origin;
-    SocketAddress dial;
-    double bornMs;
+    public final boolean origin;
+    public SocketAddress dial;
+    public double bornMs;
     /** As the list has it; null before the first list. */
-    State state;
+    public State state;
     /** Since when it is known to drain or to be gone; infinite: it is ready. */
-    double leftMs = Double.POSITIVE_INFINITY;
+    public double leftMs = Double.POSITIVE_INFINITY;
     /** How many pools have this server on their lists. */
-    int holders;
+    public int holders;
 
     private final EventLoopContext core;
     private final Bootstrap bootstrap;
@@ -57,7 +59,7 @@
     }
 
     /** Sends the attempt; false if no connection has room for it. */
-    boolean send(Attempt attempt) {
+    public boolean send(Attempt attempt) {
         closeAged();
         UpstreamConnection best = pick(false);
         int all = connections.size() - ending();
@@ -159,10 +161,8 @@
         core.openedUpstream();
         ChannelHandler[] handlers =
                 origin ? OriginCodec.handlers(connection) : new ChannelHandler[] {new CacheCodec(connection)};
-        ChannelFuture future = bootstrap
-                .clone()
-                .handler(new ClientChannelInitializer(handlers))
-                .connect(dial);
+        ChannelFuture future =
+                bootstrap.clone().handler(new HandlerInitializer(handlers)).connect(dial);
         connection.opening(future, dial);
         return connection;
     }
@@ -173,7 +173,7 @@
         }
     }
 
-    void closeIdle(double sinceMs) {
+    public void closeIdle(double sinceMs) {
         for (UpstreamConnection c : List.copyOf(connections)) {
             if (c.empty() && c.idleSinceMs() <= sinceMs) {
                 c.close();
@@ -204,7 +204,7 @@
      * Its server is gone, restarted or elsewhere: nothing more goes out on what stands to it. Connections in use end
      * with their last attempt, else one to a silent machine, or to a stranger at its address, would be sent to.
      */
-    void retire() {
+    public void retire() {
         connections.forEach(UpstreamConnection::retire);
         closeIdle(Double.MAX_VALUE);
     }
@@ -213,7 +213,7 @@
         return connections.isEmpty();
     }
 
-    void close() {
+    public void close() {
         List.copyOf(connections).forEach(UpstreamConnection::close);
     }
 
--- a/src/main/java/cacheproxy/proxy/UpstreamConnection.java
+++ b/src/main/java/cacheproxy/proxy/upstream/UpstreamConnection.java
@@ -1,8 +1,10 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.upstream;
 
 import cacheproxy.eventlog.ProxyEvent;
 import cacheproxy.policy.PolicyApi.Outcome;
-import cacheproxy.proxy.RequestContext.Attempt;
+import cacheproxy.proxy.dispatch.RequestContext;
+import cacheproxy.proxy.dispatch.RequestContext.Attempt;
+import cacheproxy.proxy.request.Responder;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
@@ -13,7 +15,7 @@
  * One connection to a server with the attempts on it, in the order in which their answers come. How an attempt ends
  * when the connection does hangs on whether its last byte was written: only then may it have run.
  */
-final class UpstreamConnection implements Responder.Flow {
+public final class UpstreamConnection implements Responder.Flow {
     /** Turns an attempt into the server's protocol and its answers into calls of the methods below. */
     interface Codec {
         /** Writes without flushing; the future ends when the last byte is written. */
@@ -33,7 +35,7 @@
     private static final int LONG = 1000;
 
     /** Three times the longest pause: a short answer that has stopped for this long has been cut off. */
-    static final double CUT_MS = 300;
+    public static final double CUT_MS = 300;
 
     private final Upstream upstream;
     private final ArrayDeque<Attempt> attempts = new ArrayDeque<>(4);
@@ -193,7 +195,7 @@
     }
 
     /** Since when its server is known to drain or to be gone; infinite: it is ready. */
-    double serverLeftMs() {
+    public double serverLeftMs() {
         return upstream.leftMs;
     }
 
@@ -239,7 +241,7 @@
         channel.flush();
     }
 
-    boolean giveUp(Attempt attempt) {
+    public boolean giveUp(Attempt attempt) {
         if (!attempt.begun) {
             return withdraw(attempt);
         }
--- a/src/main/java/cacheproxy/proxy/UpstreamRegistry.java
+++ b/src/main/java/cacheproxy/proxy/upstream/UpstreamRegistry.java
@@ -1,6 +1,7 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.upstream;
 
 import cacheproxy.limits.ConnectionShortage;
+import cacheproxy.proxy.dispatch.Dispatcher;
 import io.netty.util.collection.IntObjectHashMap;
 import java.net.SocketAddress;
 import java.util.ArrayList;
@@ -40,7 +41,7 @@
         observers.add(by);
     }
 
-    void forget(Observer by) {
+    public void forget(Observer by) {
         observers.remove(by);
     }
 
@@ -57,7 +58,7 @@
     }
 
     /** The server of this id at this address, shared if it is there already; to be released once. */
-    Upstream hold(int id, boolean origin, SocketAddress dial, Dispatcher.Pool pool) {
+    public Upstream hold(int id, boolean origin, SocketAddress dial, Dispatcher.Pool pool) {
         List<Upstream> same = byId.get(id);
         if (same == null) {
             same = new ArrayList<>(1);
@@ -76,7 +77,7 @@
         return u;
     }
 
-    void release(Upstream u) {
+    public void release(Upstream u) {
         if (--u.holders == 0) {
             List<Upstream> same = byId.get(u.id);
             same.remove(u);
@@ -91,7 +92,7 @@
     }
 
     /** Once a second, for the servers of one pool; and those that no pool holds go with their last attempt. */
-    void sweep(Iterable<Upstream> of, double now, double idleSinceMs) {
+    public void sweep(Iterable<Upstream> of, double now, double idleSinceMs) {
         for (Upstream u : of) {
             u.closeIdle(idleSinceMs);
             if (!u.origin && shortage.isActive(now)) {
--- a/src/test/java/cacheproxy/DaemonJarIT.java
+++ b/src/test/java/cacheproxy/DaemonJarIT.java
@@ -237,7 +237,7 @@
         Process p = b.redirectErrorStream(true).start();
         String loaded = new String(p.getInputStream().readAllBytes(), UTF_8);
         assertThat(p.waitFor()).isZero();
-        assertThat(loaded).contains("cacheproxy.proxy.Dispatcher ");
+        assertThat(loaded).contains("cacheproxy.proxy.dispatch.Dispatcher ");
         assertThat(
                         loaded.lines()
                                 .filter(
--- a/src/test/java/cacheproxy/faulttest/RelayTest.java
+++ b/src/test/java/cacheproxy/faulttest/RelayTest.java
@@ -9,7 +9,7 @@
 import cacheproxy.faulttest.scenario.Fault.LinkFigures;
 import cacheproxy.faulttest.scenario.NetworkLinks;
 import cacheproxy.faulttest.scenario.TargetSelector;
-import cacheproxy.proxy.Transport;
+import cacheproxy.proxy.net.Transport;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import java.io.IOException;
--- a/src/test/java/cacheproxy/proxy/EndingsTest.java
+++ b/src/test/java/cacheproxy/proxy/EndingsTest.java
@@ -3,6 +3,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.fakes.ScriptedServer;
+import cacheproxy.proxy.upstream.Upstream;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.ServerSocket;
--- a/src/test/java/cacheproxy/proxy/Fleet.java
+++ b/src/test/java/cacheproxy/proxy/Fleet.java
@@ -3,6 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.fakes.ScriptedServer;
+import cacheproxy.proxy.process.PlatformConfig;
+import cacheproxy.proxy.process.Proxy;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import java.io.BufferedInputStream;
@@ -18,7 +20,7 @@
 import java.util.concurrent.CountDownLatch;
 
 /** A proxy on loopback with the servers that a test gives it, and clients of it. */
-final class Fleet implements AutoCloseable {
+public final class Fleet implements AutoCloseable {
     @SuppressWarnings("StringConcatToTextBlock") // one line of the text a line of the source
     static final String SETTINGS = String.join(
             "\n",
@@ -76,12 +78,12 @@
             "classes.2.late-share=0.2",
             "classes.2.stream=false");
 
-    final JsonObject config = new JsonObject();
-    final List<AutoCloseable> parts = new ArrayList<>();
-    final JsonArray hosts = new JsonArray();
-    Proxy proxy;
+    public final JsonObject config = new JsonObject();
+    public final List<AutoCloseable> parts = new ArrayList<>();
+    public final JsonArray hosts = new JsonArray();
+    public Proxy proxy;
 
-    Fleet() {
+    public Fleet() {
         config.addProperty("name", "n0");
         config.addProperty("listen", "127.0.0.1:0");
         config.addProperty("discovery", "127.0.0.1:9");
@@ -98,13 +100,13 @@
         return this;
     }
 
-    Fleet set(String path, String value) {
+    public Fleet set(String path, String value) {
         config.getAsJsonObject("settings").addProperty(path, value);
         return this;
     }
 
     /** One entry of discovery's list. */
-    static JsonObject host(String name, String kind, String dial, String health) {
+    public static JsonObject host(String name, String kind, String dial, String health) {
         JsonObject h = new JsonObject();
         h.addProperty("host", name);
         h.addProperty("dial", dial);
@@ -117,7 +119,7 @@
         return h;
     }
 
-    static JsonObject list(long seq, boolean whole, JsonArray hosts) {
+    public static JsonObject list(long seq, boolean whole, JsonArray hosts) {
         JsonObject list = new JsonObject();
         list.addProperty("seq", seq);
         list.addProperty("whole", whole);
@@ -125,30 +127,30 @@
         return list;
     }
 
-    Fleet node(ScriptedServer server) {
+    public Fleet node(ScriptedServer server) {
         hosts.add(host("s-%08x".formatted(hosts.size() + 1), "node-fast", server.dial(), "up"));
         parts.add(server);
         return this;
     }
 
-    Fleet node(String dial) {
+    public Fleet node(String dial) {
         hosts.add(host("s-%08x".formatted(hosts.size() + 1), "node-fast", dial, "up"));
         return this;
     }
 
-    Fleet origin(ScriptedServer server) {
+    public Fleet origin(ScriptedServer server) {
         hosts.add(host("s-0000aaaa", "origin", server.dial(), "up"));
         parts.add(server);
         return this;
     }
 
-    Fleet discovery(ScriptedServer server) {
+    public Fleet discovery(ScriptedServer server) {
         config.addProperty("discovery", server.dial());
         parts.add(server);
         return this;
     }
 
-    Fleet start() throws InterruptedException {
+    public Fleet start() throws InterruptedException {
         config.add("known", list(41, true, hosts));
         proxy = Proxy.start(PlatformConfig.parse(config));
         return this;
@@ -173,7 +175,7 @@
         return go;
     }
 
-    Client client() throws IOException {
+    public Client client() throws IOException {
         Client client = new Client(proxy.address());
         parts.add(client);
         return client;
@@ -192,7 +194,7 @@
     }
 
     /** A client with a blocking socket. */
-    static final class Client implements Closeable {
+    public static final class Client implements Closeable {
         final Socket socket;
         private final InputStream in;
 
@@ -203,31 +205,31 @@
             in = new BufferedInputStream(socket.getInputStream());
         }
 
-        Client say(String text) throws IOException {
+        public Client say(String text) throws IOException {
             return say(text.getBytes(StandardCharsets.ISO_8859_1));
         }
 
-        Client say(byte[] bytes) throws IOException {
+        public Client say(byte[] bytes) throws IOException {
             socket.getOutputStream().write(bytes);
             socket.getOutputStream().flush();
             return this;
         }
 
-        Client read(String id) throws IOException {
+        public Client read(String id) throws IOException {
             return say("mg 7f3a9c21e0b4d655 v O" + id + " Pc=text,d=20000\r\n");
         }
 
         /** A line without its end; null at the end of the stream. */
-        String line() throws IOException {
+        public String line() throws IOException {
             return ScriptedServer.line(in);
         }
 
-        byte[] bytes(int n) throws IOException {
+        public byte[] bytes(int n) throws IOException {
             return in.readNBytes(n);
         }
 
         /** Whether nothing but the end of the stream is left. */
-        boolean ended() throws IOException {
+        public boolean ended() throws IOException {
             return in.read() < 0;
         }
 
--- a/src/test/java/cacheproxy/proxy/InvariantEventsGoldenTextTest.java
+++ b/src/test/java/cacheproxy/proxy/InvariantEventsGoldenTextTest.java
@@ -3,6 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.invariant.Invariant;
+import cacheproxy.proxy.net.PollClock;
+import cacheproxy.proxy.upstream.EventLoopContext;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
 import io.netty.channel.socket.nio.NioSocketChannel;
--- a/src/test/java/cacheproxy/proxy/StreamTest.java
+++ b/src/test/java/cacheproxy/proxy/StreamTest.java
@@ -3,6 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.fakes.ScriptedServer;
+import cacheproxy.proxy.request.MetaCodec;
+import cacheproxy.proxy.upstream.UpstreamConnection;
 import java.io.IOException;
 import java.util.ArrayList;
 import java.util.List;
--- a/src/test/java/cacheproxy/proxy/ClientConnectionTest.java
+++ b/src/test/java/cacheproxy/proxy/client/ClientConnectionTest.java
@@ -1,9 +1,11 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.client;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.fakes.ScriptedServer;
+import cacheproxy.proxy.Fleet;
+import cacheproxy.proxy.request.MetaCodec;
 import com.google.gson.JsonObject;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
--- a/src/test/java/cacheproxy/proxy/DiscoveryClientTest.java
+++ b/src/test/java/cacheproxy/proxy/discovery/DiscoveryClientTest.java
@@ -1,8 +1,9 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.discovery;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.fakes.ScriptedServer;
+import cacheproxy.proxy.Fleet;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
 import java.net.DatagramPacket;
--- a/src/test/java/cacheproxy/proxy/PeerSocketTest.java
+++ b/src/test/java/cacheproxy/proxy/discovery/PeerSocketTest.java
@@ -1,8 +1,11 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.discovery;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.assertj.core.api.Assertions.assertThat;
 
+import cacheproxy.proxy.Fleet;
+import cacheproxy.proxy.net.Transport;
+import cacheproxy.proxy.process.PlatformConfig;
 import com.google.gson.JsonArray;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
--- a/src/test/java/cacheproxy/proxy/PollClockTest.java
+++ b/src/test/java/cacheproxy/proxy/net/PollClockTest.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.net;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/cacheproxy/proxy/OperatorActionsTest.java
+++ b/src/test/java/cacheproxy/proxy/process/OperatorActionsTest.java
@@ -1,9 +1,11 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.process;
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.fakes.ScriptedServer;
+import cacheproxy.proxy.Fleet;
+import cacheproxy.proxy.request.MetaCodec;
 import java.io.IOException;
 import java.net.InetAddress;
 import java.net.Socket;
--- a/src/test/java/cacheproxy/proxy/WarmUpTest.java
+++ b/src/test/java/cacheproxy/proxy/process/WarmUpTest.java
@@ -1,8 +1,9 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.process;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.lifecycle.WarmUpPlan;
+import cacheproxy.proxy.net.Transport;
 import com.google.gson.JsonParser;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.ChannelHandlerContext;
--- a/src/test/java/cacheproxy/proxy/DeadlineFieldTest.java
+++ b/src/test/java/cacheproxy/proxy/request/DeadlineFieldTest.java
@@ -1,4 +1,4 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.request;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
--- a/src/test/java/cacheproxy/proxy/UpstreamTest.java
+++ b/src/test/java/cacheproxy/proxy/upstream/UpstreamTest.java
@@ -1,9 +1,11 @@
-package cacheproxy.proxy;
+package cacheproxy.proxy.upstream;
 
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.fakes.ScriptedServer;
 import cacheproxy.policy.CarpHash;
+import cacheproxy.proxy.Fleet;
+import cacheproxy.proxy.request.MetaCodec;
 import java.net.InetAddress;
 import java.net.ServerSocket;
 import java.util.concurrent.CountDownLatch;
--- a/src/test/java/cacheproxy/soak/SoakRound.java
+++ b/src/test/java/cacheproxy/soak/SoakRound.java
@@ -1,7 +1,7 @@
 package cacheproxy.soak;
 
 import cacheproxy.fakes.FakeDiscovery;
-import cacheproxy.proxy.Transport;
+import cacheproxy.proxy.net.Transport;
 import cacheproxy.soak.SoakHistory.Outage;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
