--- a/src/main/java/cacheproxy/bench/ChoiceBench.java
+++ b/src/main/java/cacheproxy/bench/ChoiceBench.java
@@ -3,8 +3,8 @@
 import cacheproxy.placement.CarpPlacement;
 import cacheproxy.placement.Placement;
 import cacheproxy.policy.CarpHash;
-import cacheproxy.policy.PolicyApi.Member;
-import cacheproxy.policy.PolicyApi.State;
+import cacheproxy.policy.Endpoint;
+import cacheproxy.policy.EndpointState;
 import cacheproxy.routes.KeyPattern;
 import cacheproxy.routes.KeyRewrite;
 import cacheproxy.routes.Route;
@@ -83,7 +83,7 @@
         for (int n :
                 new int[] {10_000, 1_000, 100, 10}) { // a loop compiled for ten turns is not unrolled for ten thousand
             Placement equal = new CarpPlacement(members(n, true));
-            List<Member> weighted = members(n, false);
+            List<Endpoint> weighted = members(n, false);
             Placement unequal = new CarpPlacement(weighted);
             Plain plain = new Plain(weighted);
             int[] top = new int[RANKS];
@@ -107,11 +107,12 @@
                 Double.parseDouble(parts[1].split("-", 0)[1].replace(")", "")) / 1000);
     }
 
-    private static List<Member> members(int n, boolean equal) {
+    private static List<Endpoint> members(int n, boolean equal) {
         SplittableRandom random = new SplittableRandom(n);
-        List<Member> members = new ArrayList<>();
+        List<Endpoint> members = new ArrayList<>();
         for (int i = 0; i < n; i++) {
-            members.add(new Member(random.nextInt(), 0, 0, 0, State.READY, equal ? 1 : 0.5f + random.nextFloat(), 0));
+            members.add(new Endpoint(
+                    random.nextInt(), 0, 0, 0, EndpointState.READY, equal ? 1 : 0.5f + random.nextFloat(), 0));
         }
         members.sort((a, b) -> Integer.compareUnsigned(a.id(), b.id()));
         return members;
@@ -128,7 +129,7 @@
         private final Server[] ranked;
         private double[] scores = new double[RANKS];
 
-        Plain(List<Member> members) {
+        Plain(List<Endpoint> members) {
             float[] weights = new float[members.size()];
             for (int i = 0; i < weights.length; i++) {
                 weights[i] = members.get(i).weight();
--- a/src/main/java/cacheproxy/config/ConfigReferences.java
+++ b/src/main/java/cacheproxy/config/ConfigReferences.java
@@ -1,7 +1,7 @@
 package cacheproxy.config;
 
-import cacheproxy.policy.PolicyApi.ServiceClass;
-import cacheproxy.policy.PolicyApi.Tenant;
+import cacheproxy.policy.ServiceClass;
+import cacheproxy.policy.Tenant;
 import java.nio.file.InvalidPathException;
 import java.nio.file.Path;
 import java.util.List;
--- a/src/main/java/cacheproxy/config/QuotasConfig.java
+++ b/src/main/java/cacheproxy/config/QuotasConfig.java
@@ -1,6 +1,6 @@
 package cacheproxy.config;
 
-import cacheproxy.policy.PolicyApi.ServiceClass;
+import cacheproxy.policy.ServiceClass;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
--- a/src/main/java/cacheproxy/config/ServiceClassReader.java
+++ b/src/main/java/cacheproxy/config/ServiceClassReader.java
@@ -1,9 +1,9 @@
 package cacheproxy.config;
 
-import cacheproxy.policy.PolicyApi.Effect;
-import cacheproxy.policy.PolicyApi.Group;
-import cacheproxy.policy.PolicyApi.ServiceClass;
-import cacheproxy.policy.PolicyApi.Tenant;
+import cacheproxy.policy.DeduplicationScope;
+import cacheproxy.policy.Idempotency;
+import cacheproxy.policy.ServiceClass;
+import cacheproxy.policy.Tenant;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -23,7 +23,7 @@
 
     private static ServiceClass readClass(TomlTableReader table, Set<String> names) {
         String name = ConfigValues.uniqueName(table, names, "class");
-        Effect effect = readEffect(table, name);
+        Idempotency effect = readEffect(table, name);
         double deadlineMs = table.number("deadline_ms", 1000, 1, ConfigValues.HOUR_MS);
         double aimMs = table.number("aim_ms", deadlineMs / 2, 1, ConfigValues.HOUR_MS);
         if (aimMs > deadlineMs) {
@@ -31,14 +31,14 @@
                     "aim_ms", "aim_ms is " + (long) aimMs + ", more than the deadline; at most " + (long) deadlineMs);
         }
         double windowMs = table.number("window_ms", 0, 1, ConfigValues.HOUR_MS);
-        if (effect == Effect.KEYED && windowMs == 0) {
+        if (effect == Idempotency.KEYED && windowMs == 0) {
             table.error("effect", "a keyed class needs window_ms, for which servers drop repeats");
         }
         ServiceClass serviceClass = new ServiceClass(
                 name,
                 effect,
-                Group.ALL,
-                effect == Effect.KEYED ? windowMs : 0,
+                DeduplicationScope.ALL,
+                effect == Idempotency.KEYED ? windowMs : 0,
                 aimMs,
                 deadlineMs,
                 table.number("worth", 1, 0, 1e6),
@@ -48,7 +48,7 @@
         return serviceClass;
     }
 
-    private static Effect readEffect(TomlTableReader table, String className) {
+    private static Idempotency readEffect(TomlTableReader table, String className) {
         String effect = table.oneOf("effect", "unsafe", "safe", "keyed", "unsafe");
         if (!table.has("effect")) {
             table.error(
@@ -57,9 +57,9 @@
                             + "repeats), unsafe (must never run twice)");
         }
         return switch (effect) {
-            case "keyed" -> Effect.KEYED;
-            case "safe" -> Effect.SAFE;
-            default -> Effect.UNSAFE;
+            case "keyed" -> Idempotency.KEYED;
+            case "safe" -> Idempotency.SAFE;
+            default -> Idempotency.UNSAFE;
         };
     }
 
--- a/src/main/java/cacheproxy/daemon/Daemon.java
+++ b/src/main/java/cacheproxy/daemon/Daemon.java
@@ -5,7 +5,7 @@
 import cacheproxy.config.DaemonConfigReader;
 import cacheproxy.config.PoolConfig;
 import cacheproxy.control.DiagnosticEndpoints;
-import cacheproxy.policy.PolicyApi.ServiceClass;
+import cacheproxy.policy.ServiceClass;
 import cacheproxy.proxy.client.ClientRegistry;
 import cacheproxy.proxy.client.Listener;
 import cacheproxy.proxy.dispatch.Dispatcher;
--- a/src/main/java/cacheproxy/daemon/FleetCoordination.java
+++ b/src/main/java/cacheproxy/daemon/FleetCoordination.java
@@ -1,7 +1,7 @@
 package cacheproxy.daemon;
 
 import cacheproxy.daemon.fleet.FleetQuotas;
-import cacheproxy.policy.PolicyApi.Outcome;
+import cacheproxy.policy.AttemptOutcome;
 import cacheproxy.proxy.dispatch.Dispatcher;
 
 /**
@@ -20,7 +20,7 @@
     boolean mayProbe(Dispatcher pool, int server);
 
     /** Reports the outcome of an attempt of a client's request. */
-    void attemptEnded(Dispatcher pool, int server, Outcome outcome);
+    void attemptEnded(Dispatcher pool, int server, AttemptOutcome outcome);
 
     /** Returns whether this proxy itself long-polls discovery for a pool. */
     boolean watchesClosely(String pool);
--- a/src/main/java/cacheproxy/daemon/PoolFleetLink.java
+++ b/src/main/java/cacheproxy/daemon/PoolFleetLink.java
@@ -1,6 +1,6 @@
 package cacheproxy.daemon;
 
-import cacheproxy.policy.PolicyApi.Outcome;
+import cacheproxy.policy.AttemptOutcome;
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.proxy.dispatch.Dispatcher;
 import java.util.function.Supplier;
@@ -38,7 +38,7 @@
     }
 
     @Override
-    public void ended(int server, Outcome outcome) {
+    public void ended(int server, AttemptOutcome outcome) {
         FleetCoordination fleet = fleet();
         if (fleet != null) {
             fleet.attemptEnded(dispatcher.get(), server, outcome);
--- a/src/main/java/cacheproxy/daemon/PoolRuntime.java
+++ b/src/main/java/cacheproxy/daemon/PoolRuntime.java
@@ -12,9 +12,9 @@
 import cacheproxy.limits.RetryBudget;
 import cacheproxy.limits.ServerStartTimes;
 import cacheproxy.placement.BackupPlacement;
-import cacheproxy.policy.PolicyApi.ListKind;
-import cacheproxy.policy.PolicyApi.Member;
-import cacheproxy.policy.PolicyApi.Settings;
+import cacheproxy.policy.Endpoint;
+import cacheproxy.policy.EndpointListKind;
+import cacheproxy.policy.PolicySettings;
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.proxy.dispatch.Dispatcher;
 import cacheproxy.proxy.upstream.EventLoopContext;
@@ -43,7 +43,7 @@
     /** Carries the policy's decisions out. */
     public final Dispatcher dispatcher;
 
-    private final Settings settings;
+    private final PolicySettings settings;
     private final ServerStartTimes startTimes;
     private final PoolAdmissionControl admission;
     private final PoolFleetLink fleet;
@@ -171,13 +171,13 @@
     void applyServerList() {
         backupServers.clear();
         config.servers().stream().filter(ServerConfig::backup).forEach(server -> backupServers.add(server.id()));
-        dispatcher.listed(ListKind.FULL, hosts(server -> true));
+        dispatcher.listed(EndpointListKind.FULL, hosts(server -> true));
     }
 
     /** Restricts pending requests to these servers. */
     void restrictTo(IntPredicate server) {
         if (config.discovery() == null) {
-            dispatcher.listed(ListKind.FULL, hosts(server));
+            dispatcher.listed(EndpointListKind.FULL, hosts(server));
         }
     }
 
@@ -190,7 +190,7 @@
         List<DiscoveryClient.Host> hosts = new ArrayList<>();
         for (ServerConfig server : PoolSettings.allServers(config)) {
             if (!server.down() && wanted.test(server.id())) {
-                Member member = PoolSettings.member(file, config, server, startTimes.startMs(server.id()));
+                Endpoint member = PoolSettings.member(file, config, server, startTimes.startMs(server.id()));
                 hosts.add(new DiscoveryClient.Host(member, server.address()));
             }
         }
--- a/src/main/java/cacheproxy/daemon/PoolSettings.java
+++ b/src/main/java/cacheproxy/daemon/PoolSettings.java
@@ -12,10 +12,10 @@
 import cacheproxy.placement.PlacementKey;
 import cacheproxy.placement.PlacementRegistry;
 import cacheproxy.placement.PlacementTarget;
-import cacheproxy.policy.PolicyApi.Member;
-import cacheproxy.policy.PolicyApi.Reports;
-import cacheproxy.policy.PolicyApi.Settings;
-import cacheproxy.policy.PolicyApi.State;
+import cacheproxy.policy.Endpoint;
+import cacheproxy.policy.EndpointState;
+import cacheproxy.policy.LoadReportSource;
+import cacheproxy.policy.PolicySettings;
 import cacheproxy.proxy.request.RequestValidator;
 import cacheproxy.routes.Explain;
 import cacheproxy.routes.KeyHash;
@@ -78,7 +78,7 @@
     }
 
     /** The settings of the pool's policy. */
-    static Settings of(DaemonConfig file, PoolConfig pool) {
+    static PolicySettings of(DaemonConfig file, PoolConfig pool) {
         SiteConfig site = file.site();
         ProcessLimitsConfig limits = file.limits();
         boolean listed = pool.discovery() == null;
@@ -93,7 +93,7 @@
         int originKind = !hasOriginKind
                 ? -1
                 : listed ? kinds.size() - 1 : kinds.indexOf(pool.discovery().originKind());
-        return new Settings(
+        return new PolicySettings(
                 site.proxyIndex(),
                 site.proxyCount(),
                 Math.max(0, zones.indexOf(site.zone())),
@@ -102,7 +102,7 @@
                 !listed,
                 hasOriginKind,
                 originKind,
-                Reports.NONE,
+                LoadReportSource.NONE,
                 List.of(),
                 false,
                 file.tenants().size() > 1 ? 0.1 : 1,
@@ -128,22 +128,22 @@
     }
 
     /** A server as a member of the policy's list; {@code startMs} is 0 if it started long ago. */
-    static Member member(DaemonConfig file, PoolConfig pool, ServerConfig server, double startMs) {
+    static Endpoint member(DaemonConfig file, PoolConfig pool, ServerConfig server, double startMs) {
         boolean origin = server.equals(pool.origin());
         List<String> kinds = kinds(pool);
-        return new Member(
+        return new Endpoint(
                 server.id(),
                 zones(file, pool).indexOf(server.zone()),
                 origin ? kinds.size() - 1 : kinds.indexOf(server.kind()),
                 0,
-                server.drain() ? State.DRAINING : State.READY,
+                server.drain() ? EndpointState.DRAINING : EndpointState.READY,
                 (float) server.weight(),
                 startMs);
     }
 
     /** A sibling as a member of the policy's list. */
-    static Member sibling(PoolConfig pool, SiblingConfig server) {
-        return new Member(server.id(), 0, kinds(pool).indexOf(SIBLING_KIND), 0, State.READY, 1, 0);
+    static Endpoint sibling(PoolConfig pool, SiblingConfig server) {
+        return new Endpoint(server.id(), 0, kinds(pool).indexOf(SIBLING_KIND), 0, EndpointState.READY, 1, 0);
     }
 
     /** The placement that the pool is configured with. */
@@ -183,7 +183,7 @@
     static Explain explain(DaemonConfig file) {
         Map<String, Explain.PoolView> views = new LinkedHashMap<>();
         for (PoolConfig pool : file.pools().values()) {
-            List<Member> ready = new ArrayList<>();
+            List<Endpoint> ready = new ArrayList<>();
             Map<Integer, String> names = new HashMap<>();
             Set<Integer> backups = new HashSet<>();
             for (ServerConfig server : pool.servers()) {
--- a/src/main/java/cacheproxy/daemon/PoolSiblings.java
+++ b/src/main/java/cacheproxy/daemon/PoolSiblings.java
@@ -1,8 +1,8 @@
 package cacheproxy.daemon;
 
 import cacheproxy.config.SiblingConfig;
-import cacheproxy.policy.PolicyApi.Member;
-import cacheproxy.policy.PolicyApi.Outcome;
+import cacheproxy.policy.AttemptOutcome;
+import cacheproxy.policy.Endpoint;
 import cacheproxy.proxy.dispatch.Dispatcher;
 import cacheproxy.siblings.SiblingQueryPolicy;
 import cacheproxy.siblings.SiblingStats;
@@ -40,7 +40,7 @@
     }
 
     @Override
-    public boolean is(Member member) {
+    public boolean is(Endpoint member) {
         return !siblings.isEmpty() && indexById.containsKey(member.id());
     }
 
@@ -51,12 +51,12 @@
     }
 
     @Override
-    public void fetched(double nowMs, int sibling, Outcome outcome, double elapsedMs) {
-        if (outcome == Outcome.CANCELLED || outcome == Outcome.NOT_SENT) {
+    public void fetched(double nowMs, int sibling, AttemptOutcome outcome, double elapsedMs) {
+        if (outcome == AttemptOutcome.CANCELLED || outcome == AttemptOutcome.NOT_SENT) {
             return; // no evidence about the sibling
         }
-        stats.get(indexById.get(sibling)).fetched(outcome == Outcome.OK);
-        if (outcome == Outcome.OK) {
+        stats.get(indexById.get(sibling)).fetched(outcome == AttemptOutcome.OK);
+        if (outcome == AttemptOutcome.OK) {
             averageFetchMs += (elapsedMs - averageFetchMs) / 8;
         }
     }
--- a/src/main/java/cacheproxy/daemon/RoutedRequest.java
+++ b/src/main/java/cacheproxy/daemon/RoutedRequest.java
@@ -1,7 +1,7 @@
 package cacheproxy.daemon;
 
 import cacheproxy.fleet.quota.LocalQuota;
-import cacheproxy.policy.PolicyApi.ServiceClass;
+import cacheproxy.policy.ServiceClass;
 import cacheproxy.proxy.dispatch.RequestContext;
 import cacheproxy.proxy.request.ClientRequest;
 import cacheproxy.proxy.request.RequestHandler;
--- a/src/main/java/cacheproxy/daemon/StandardProtocols.java
+++ b/src/main/java/cacheproxy/daemon/StandardProtocols.java
@@ -2,8 +2,8 @@
 
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.ListenerConfig;
-import cacheproxy.policy.PolicyApi.Effect;
-import cacheproxy.policy.PolicyApi.ServiceClass;
+import cacheproxy.policy.Idempotency;
+import cacheproxy.policy.ServiceClass;
 import cacheproxy.proxy.client.StandardMetaProtocol;
 import java.util.Set;
 import java.util.concurrent.atomic.AtomicLong;
@@ -33,7 +33,7 @@
         String common = tenant + deadline;
         String writeClass = listener.writeClass() == null ? "" : "c=" + listener.writeClass();
         Set<String> keyedClasses = file.classes().stream()
-                .filter(serviceClass -> serviceClass.effect() == Effect.KEYED)
+                .filter(serviceClass -> serviceClass.effect() == Idempotency.KEYED)
                 .map(ServiceClass::name)
                 .collect(Collectors.toSet());
         return new StandardMetaProtocol(
--- a/src/main/java/cacheproxy/daemon/fleet/FleetHealthChecks.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetHealthChecks.java
@@ -8,7 +8,7 @@
 import cacheproxy.fleet.healthcheck.HealthCheckOutbox;
 import cacheproxy.fleet.healthcheck.HealthCheckTiming;
 import cacheproxy.fleet.lease.LeaseHandle;
-import cacheproxy.policy.PolicyApi.Outcome;
+import cacheproxy.policy.AttemptOutcome;
 import cacheproxy.proxy.dispatch.Dispatcher;
 import com.google.gson.JsonObject;
 import java.util.HashMap;
@@ -122,14 +122,14 @@
     }
 
     /** An attempt has ended; where a server is armed, this was its check. */
-    void attemptEnded(Dispatcher pool, int server, Outcome outcome) {
+    void attemptEnded(Dispatcher pool, int server, AttemptOutcome outcome) {
         if (armedUntilMs.isEmpty()
-                || outcome == Outcome.CANCELLED
-                || outcome == Outcome.NOT_SENT
+                || outcome == AttemptOutcome.CANCELLED
+                || outcome == AttemptOutcome.NOT_SENT
                 || armedUntilMs.remove(server) == null) {
             return;
         }
-        boolean healthy = outcome == Outcome.OK || outcome == Outcome.MISS;
+        boolean healthy = outcome == AttemptOutcome.OK || outcome == AttemptOutcome.MISS;
         waitingPools.getOrDefault(server, Set.of()).remove(pool); // it has seen the outcome itself
         finishLater(server, healthy);
     }
@@ -197,7 +197,7 @@
             if (checksByRequests) {
                 armedUntilMs.put(server, context.nowMs() + REQUEST_WAIT_MS);
             } else {
-                pool.get().probe(server, outcome -> finishLater(server, outcome == Outcome.OK));
+                pool.get().probe(server, outcome -> finishLater(server, outcome == AttemptOutcome.OK));
             }
             return true;
         }
--- a/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
@@ -14,7 +14,7 @@
 import cacheproxy.fleet.lease.LeaseTiming;
 import cacheproxy.fleet.lease.NameHash;
 import cacheproxy.fleet.peer.OpenedDatagram;
-import cacheproxy.policy.PolicyApi.Outcome;
+import cacheproxy.policy.AttemptOutcome;
 import cacheproxy.proxy.dispatch.Dispatcher;
 import cacheproxy.proxy.upstream.EventLoopContext;
 import java.util.LinkedHashMap;
@@ -207,7 +207,7 @@
     }
 
     @Override
-    public void attemptEnded(Dispatcher pool, int server, Outcome outcome) {
+    public void attemptEnded(Dispatcher pool, int server, AttemptOutcome outcome) {
         healthChecks.attemptEnded(pool, server, outcome);
     }
 
--- a/src/main/java/cacheproxy/daemon/hooks/HookedRequest.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookedRequest.java
@@ -5,7 +5,7 @@
 import cacheproxy.daemon.Router;
 import cacheproxy.hooks.HookCall;
 import cacheproxy.hooks.HookOrders;
-import cacheproxy.policy.PolicyApi.ServiceClass;
+import cacheproxy.policy.ServiceClass;
 import cacheproxy.proxy.net.TimerWheel;
 import cacheproxy.proxy.request.ClientRequest;
 import cacheproxy.proxy.request.RequestHandler;
--- a/src/main/java/cacheproxy/discovery/SilentWatchDetector.java
+++ b/src/main/java/cacheproxy/discovery/SilentWatchDetector.java
@@ -1,7 +1,7 @@
 package cacheproxy.discovery;
 
-import cacheproxy.policy.PolicyApi.Member;
-import cacheproxy.policy.PolicyApi.State;
+import cacheproxy.policy.Endpoint;
+import cacheproxy.policy.EndpointState;
 import java.util.Collection;
 import java.util.HashSet;
 import java.util.Set;
@@ -70,15 +70,15 @@
      * @param version of the list
      * @param whole whether {@code members} is the whole list; else its changes, perhaps none
      */
-    public void listReceived(long version, boolean whole, Collection<Member> members) {
+    public void listReceived(long version, boolean whole, Collection<Endpoint> members) {
         if (version >= claimedVersion) {
             resetClaims();
         }
         if (whole) {
             readyServers.clear();
         }
-        for (Member member : members) {
-            if (member.state() == State.READY) {
+        for (Endpoint member : members) {
+            if (member.state() == EndpointState.READY) {
                 readyServers.add(member.id());
             } else {
                 readyServers.remove(member.id());
--- a/src/main/java/cacheproxy/hooks/HookRules.java
+++ b/src/main/java/cacheproxy/hooks/HookRules.java
@@ -1,7 +1,7 @@
 package cacheproxy.hooks;
 
-import cacheproxy.policy.PolicyApi.Effect;
-import cacheproxy.policy.PolicyApi.ServiceClass;
+import cacheproxy.policy.Idempotency;
+import cacheproxy.policy.ServiceClass;
 import cacheproxy.routes.KeyRewrite;
 import java.util.List;
 import java.util.Set;
@@ -53,8 +53,8 @@
     }
 
     /** Safe requests may be repeated, keyed ones by those that drop repeats, unsafe ones never. */
-    private static int strictness(Effect e) {
-        return e == Effect.SAFE ? 0 : e == Effect.KEYED ? 1 : 2;
+    private static int strictness(Idempotency e) {
+        return e == Idempotency.SAFE ? 0 : e == Idempotency.KEYED ? 1 : 2;
     }
 
     public int classIndex(String name) {
--- a/src/main/java/cacheproxy/limits/PoolAdmissionControl.java
+++ b/src/main/java/cacheproxy/limits/PoolAdmissionControl.java
@@ -1,7 +1,7 @@
 package cacheproxy.limits;
 
 import cacheproxy.placement.AdmissionControl;
-import cacheproxy.policy.PolicyApi.Member;
+import cacheproxy.policy.Endpoint;
 import java.util.function.IntPredicate;
 
 /** Limits one pool's sends by its own retry budget and by the slow-start budget that all pools of the process share. */
@@ -30,12 +30,12 @@
     }
 
     @Override
-    public boolean admitWarmingUp(double nowMs, Member server, double startedMs) {
+    public boolean admitWarmingUp(double nowMs, Endpoint server, double startedMs) {
         return slowStartBudget.tryAcquire(nowMs, server.id(), server.bornMs(), startedMs);
     }
 
     @Override
-    public boolean admitHalfOpenProbe(double nowMs, Member server) {
+    public boolean admitHalfOpenProbe(double nowMs, Endpoint server) {
         return halfOpenProbeAllowed.test(server.id());
     }
 
--- a/src/main/java/cacheproxy/nginx/importer/ServerMoves.java
+++ b/src/main/java/cacheproxy/nginx/importer/ServerMoves.java
@@ -5,8 +5,8 @@
 import cacheproxy.placement.PlacementRegistry;
 import cacheproxy.placement.PlacementTarget;
 import cacheproxy.policy.CarpHash;
-import cacheproxy.policy.PolicyApi.Member;
-import cacheproxy.policy.PolicyApi.State;
+import cacheproxy.policy.Endpoint;
+import cacheproxy.policy.EndpointState;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.Collection;
@@ -39,13 +39,13 @@
 
     private static int moved(PoolTranslator.PoolSpec pool, int keys) {
         List<PlacementTarget> peers = new ArrayList<>();
-        List<Member> members = new ArrayList<>();
+        List<Endpoint> members = new ArrayList<>();
         for (int i = 0; i < pool.servers().size(); i++) {
             PoolTranslator.ServerSpec s = pool.servers().get(i);
             int id = cacheproxy.placement.ServerId.fromName(s.name());
             peers.add(new PlacementTarget(id, s.weight(), s.ring() == null ? s.name() : s.ring()));
             if (!s.down() && !s.backup()) {
-                members.add(new Member(id, 0, 0, 0, State.READY, s.weight(), 0));
+                members.add(new Endpoint(id, 0, 0, 0, EndpointState.READY, s.weight(), 0));
             }
         }
         members.sort((a, b) -> Integer.compareUnsigned(a.id(), b.id()));
--- a/src/main/java/cacheproxy/placement/AdmissionControl.java
+++ b/src/main/java/cacheproxy/placement/AdmissionControl.java
@@ -1,6 +1,6 @@
 package cacheproxy.placement;
 
-import cacheproxy.policy.PolicyApi.Member;
+import cacheproxy.policy.Endpoint;
 
 /**
  * Limits that reach further than one pool's routing decisions. The routing policy asks before it sends: what all pools
@@ -16,12 +16,12 @@
      *
      * @param startedMs when the server started, on the policy's clock
      */
-    default boolean admitWarmingUp(double nowMs, Member server, double startedMs) {
+    default boolean admitWarmingUp(double nowMs, Endpoint server, double startedMs) {
         return true;
     }
 
     /** Whether a client's request may now be the half-open probe of a server that was ejected. */
-    default boolean admitHalfOpenProbe(double nowMs, Member server) {
+    default boolean admitHalfOpenProbe(double nowMs, Endpoint server) {
         return true;
     }
 
--- a/src/main/java/cacheproxy/placement/BackupPlacement.java
+++ b/src/main/java/cacheproxy/placement/BackupPlacement.java
@@ -1,6 +1,6 @@
 package cacheproxy.placement;
 
-import cacheproxy.policy.PolicyApi.Member;
+import cacheproxy.policy.Endpoint;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.IntPredicate;
@@ -27,13 +27,13 @@
     /** Reused between rankings. */
     private int[] rankedBackups = new int[INITIAL_BACKUPS];
 
-    private BackupPlacement(List<Member> members, IntPredicate isBackup, PlacementFactory factory) {
-        List<Member> ordinaryMembers = new ArrayList<>();
-        List<Member> backupMembers = new ArrayList<>();
+    private BackupPlacement(List<Endpoint> members, IntPredicate isBackup, PlacementFactory factory) {
+        List<Endpoint> ordinaryMembers = new ArrayList<>();
+        List<Endpoint> backupMembers = new ArrayList<>();
         ordinaryIndexes = new int[members.size()];
         backupIndexes = new int[members.size()];
         for (int i = 0; i < members.size(); i++) {
-            Member member = members.get(i);
+            Endpoint member = members.get(i);
             if (isBackup.test(member.id())) {
                 backupIndexes[backupMembers.size()] = i;
                 backupMembers.add(member);
--- a/src/main/java/cacheproxy/placement/CarpPlacement.java
+++ b/src/main/java/cacheproxy/placement/CarpPlacement.java
@@ -1,7 +1,7 @@
 package cacheproxy.placement;
 
 import cacheproxy.policy.CarpHash;
-import cacheproxy.policy.PolicyApi.Member;
+import cacheproxy.policy.Endpoint;
 import java.util.Arrays;
 import java.util.List;
 import java.util.stream.IntStream;
@@ -54,7 +54,7 @@
      *
      * @param members in ascending order of their unsigned ids; their weights need not sum to 1
      */
-    public CarpPlacement(List<Member> members) {
+    public CarpPlacement(List<Endpoint> members) {
         int size = members.size();
         float[] weights = new float[size];
         for (int i = 0; i < size; i++) {
--- a/src/main/java/cacheproxy/placement/NginxConsistentPlacement.java
+++ b/src/main/java/cacheproxy/placement/NginxConsistentPlacement.java
@@ -1,6 +1,6 @@
 package cacheproxy.placement;
 
-import cacheproxy.policy.PolicyApi.Member;
+import cacheproxy.policy.Endpoint;
 import java.util.Arrays;
 import java.util.List;
 
@@ -24,7 +24,7 @@
     /** Targets ranked so far; reused between rankings. */
     private final boolean[] taken;
 
-    private NginxConsistentPlacement(KetamaRing ring, List<PlacementTarget> targets, List<Member> members) {
+    private NginxConsistentPlacement(KetamaRing ring, List<PlacementTarget> targets, List<Endpoint> members) {
         this.ring = ring;
         memberIndexes = PlacementTarget.memberIndexes(targets, members);
         readyTargets =
--- a/src/main/java/cacheproxy/placement/NginxHashPlacement.java
+++ b/src/main/java/cacheproxy/placement/NginxHashPlacement.java
@@ -1,6 +1,6 @@
 package cacheproxy.placement;
 
-import cacheproxy.policy.PolicyApi.Member;
+import cacheproxy.policy.Endpoint;
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 import java.util.List;
@@ -30,7 +30,7 @@
     /** CRC-32 of each rehash's number in decimal; 0, the first hash, has no prefix. */
     private final int[] rehashPrefixCrcs;
 
-    private NginxHashPlacement(List<PlacementTarget> targets, List<Member> members) {
+    private NginxHashPlacement(List<PlacementTarget> targets, List<Endpoint> members) {
         memberIndexes = PlacementTarget.memberIndexes(targets, members);
         cumulativeWeights = new int[targets.size()];
         taken = new boolean[targets.size()];
--- a/src/main/java/cacheproxy/placement/PlacementFactory.java
+++ b/src/main/java/cacheproxy/placement/PlacementFactory.java
@@ -1,6 +1,6 @@
 package cacheproxy.placement;
 
-import cacheproxy.policy.PolicyApi.Member;
+import cacheproxy.policy.Endpoint;
 import java.util.List;
 
 /** Builds the placement of one kind for each list of ready servers. */
@@ -11,5 +11,5 @@
      *
      * @param members the ready servers in ascending order of their unsigned ids; may be empty
      */
-    Placement create(List<Member> members);
+    Placement create(List<Endpoint> members);
 }
--- a/src/main/java/cacheproxy/placement/PlacementTarget.java
+++ b/src/main/java/cacheproxy/placement/PlacementTarget.java
@@ -1,6 +1,6 @@
 package cacheproxy.placement;
 
-import cacheproxy.policy.PolicyApi.Member;
+import cacheproxy.policy.Endpoint;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -18,9 +18,9 @@
     static final int NOT_READY = -1;
 
     /** Returns for each target its index among the members, or {@link #NOT_READY}. */
-    static int[] memberIndexes(List<PlacementTarget> targets, List<Member> members) {
+    static int[] memberIndexes(List<PlacementTarget> targets, List<Endpoint> members) {
         Map<Integer, Integer> indexById = new HashMap<>();
-        for (Member member : members) {
+        for (Endpoint member : members) {
             indexById.put(member.id(), indexById.size());
         }
         return targets.stream()
--- a/src/main/java/cacheproxy/placement/StartTimes.java
+++ b/src/main/java/cacheproxy/placement/StartTimes.java
@@ -1,6 +1,6 @@
 package cacheproxy.placement;
 
-import cacheproxy.policy.PolicyApi.Member;
+import cacheproxy.policy.Endpoint;
 import java.util.Collection;
 
 /**
@@ -28,8 +28,8 @@
      *
      * @param nowMs when the list arrived, on this proxy's clock
      */
-    public void recordList(double nowMs, Collection<Member> servers) {
-        for (Member server : servers) {
+    public void recordList(double nowMs, Collection<Endpoint> servers) {
+        for (Endpoint server : servers) {
             if (isStart(server.bornMs())) {
                 listClockAheadMs = Math.max(listClockAheadMs, server.bornMs() - nowMs);
             }
--- /dev/null
+++ b/src/main/java/cacheproxy/policy/Idempotency.java
@@ -0,0 +1,8 @@
+package cacheproxy.policy;
+
+/** How often a request may take effect. */
+public enum Idempotency {
+    SAFE,
+    KEYED,
+    UNSAFE
+}
--- a/src/main/java/cacheproxy/policy/RoutingPolicy.java
+++ b/src/main/java/cacheproxy/policy/RoutingPolicy.java
@@ -35,7 +35,7 @@
     private static final int RANKS = 8;
     private static final int SHUN_CONNECTS = 10;
 
-    private final Settings cfg;
+    private final PolicySettings cfg;
     private final SplittableRandom random;
     private final Map<Integer, Server> servers = new HashMap<>();
     private final Map<Integer, Flight> flights = new HashMap<>();
@@ -69,7 +69,7 @@
     /** One server of the list and what this instance has seen of it. */
     private static final class Server {
         final int id;
-        Member member;
+        Endpoint member;
         double share;
         int failures;
         double shunnedUntil;
@@ -87,7 +87,7 @@
     }
 
     private final class Flight {
-        final Request request;
+        final RoutingRequest request;
         final ServiceClass kind;
         final boolean safe;
         final double arrivedMs;
@@ -115,11 +115,11 @@
         Server maybeRanAt;
         ArrayDeque<Flight> followers;
 
-        Flight(Request request, double now) {
+        Flight(RoutingRequest request, double now) {
             this.request = request;
             arrivedMs = now;
             kind = cfg.classes().get(request.serviceClass());
-            safe = kind.effect() == Effect.SAFE;
+            safe = kind.effect() == Idempotency.SAFE;
             keyHash = CarpHash.keyHash(key());
         }
 
@@ -305,13 +305,17 @@
     }
 
     /** A fresh instance that knows nothing yet. */
-    public RoutingPolicy(Settings settings, long seed) {
+    public RoutingPolicy(PolicySettings settings, long seed) {
         this(settings, seed, CarpPlacement::new, AdmissionControl.UNLIMITED, Siblings.NONE);
     }
 
     /** One that ranks servers by this placement, keeps to these further bounds and may ask these siblings. */
     public RoutingPolicy(
-            Settings settings, long seed, PlacementFactory placements, AdmissionControl admission, Siblings siblings) {
+            PolicySettings settings,
+            long seed,
+            PlacementFactory placements,
+            AdmissionControl admission,
+            Siblings siblings) {
         cfg = settings;
         this.placements = placements;
         this.admission = admission;
@@ -334,13 +338,13 @@
     // ---- the list
 
     @Override
-    public void onList(double now, ListKind kind, List<Member> members, Actions out) {
-        if (kind == ListKind.FAILED) {
+    public void onList(double now, EndpointListKind kind, List<Endpoint> members, PolicyActions out) {
+        if (kind == EndpointListKind.FAILED) {
             asking = false;
             askAgain(out);
             return;
         }
-        if (kind == ListKind.CACHED && cfg.askForList()) {
+        if (kind == EndpointListKind.CACHED && cfg.askForList()) {
             // The list service is small: all instances starting together must not call at once.
             double span = Math.min(cfg.askWithinMs() / 2, cfg.instances() * cfg.connectTimeoutMs() / 2);
             timer(random.nextDouble() * span, WATCH, null, out);
@@ -349,14 +353,14 @@
             watchFailures = 0;
         }
         check(members);
-        if (kind != ListKind.CHANGES) {
+        if (kind != EndpointListKind.CHANGES) {
             Set<Integer> named = new HashSet<>();
             members.forEach(m -> named.add(m.id()));
             servers.values().removeIf(s -> !named.contains(s.id));
         }
         starts.recordList(now, members);
-        for (Member m : members) {
-            if (m.state() == State.GONE) {
+        for (Endpoint m : members) {
+            if (m.state() == EndpointState.GONE) {
                 servers.remove(m.id());
                 continue;
             }
@@ -417,9 +421,9 @@
         hot.recall(known.hotKeys(), now);
     }
 
-    private void check(List<Member> members) {
+    private void check(List<Endpoint> members) {
         Set<Integer> seen = new HashSet<>();
-        for (Member m : members) {
+        for (Endpoint m : members) {
             String id = Integer.toUnsignedString(m.id());
             if (!seen.add(m.id())) {
                 throw new IllegalArgumentException("member " + id + " is listed twice");
@@ -437,7 +441,7 @@
         origin = null;
         List<Server> list = new ArrayList<>();
         for (Server s : servers.values()) {
-            if (s.member.state() != State.READY || siblings.is(s.member)) {
+            if (s.member.state() != EndpointState.READY || siblings.is(s.member)) {
                 continue;
             }
             if (cfg.aside() && s.member.kind() == cfg.originKind()) {
@@ -460,7 +464,7 @@
         }
     }
 
-    private void askAgain(Actions out) {
+    private void askAgain(PolicyActions out) {
         watchFailures++;
         double wait = cfg.askWithinMs() / 16 * (1 << Math.min(watchFailures, 3));
         timer(wait * (0.5 + random.nextDouble() / 2), WATCH, null, out);
@@ -469,7 +473,7 @@
     // ---- requests
 
     @Override
-    public void onRequest(double now, Request request, Actions out) {
+    public void onRequest(double now, RoutingRequest request, PolicyActions out) {
         if (request.serviceClass() < 0
                 || request.serviceClass() >= cfg.classes().size()) {
             throw new IllegalArgumentException("class " + request.serviceClass() + " is not in the settings");
@@ -510,7 +514,7 @@
         return Math.max(1, Math.min(n, all));
     }
 
-    private void advance(double now, Flight f, Actions out) {
+    private void advance(double now, Flight f, PolicyActions out) {
         f.waiting = false;
         boolean worthless = f.safe && f.kind.lateShare() == 0 && now > f.arrivedMs + f.kind.aimMs();
         if (f.done || f.streaming) {
@@ -574,14 +578,14 @@
     }
 
     /** Those who waited with one that will not fetch go on without it. */
-    private void release(double now, Flight f, Actions out) {
+    private void release(double now, Flight f, PolicyActions out) {
         if (f.done && f.followers != null && !f.fetching && f.out == 0) {
             fetchEnded(now, f, false, out);
         }
     }
 
     /** After a miss siblings are asked before the origin, if that is worth the wait; one question a key. */
-    private boolean ask(double now, Flight f, Actions out) {
+    private boolean ask(double now, Flight f, PolicyActions out) {
         if (f.asked || f.missedAt == null || f.out > 0 || f.attempts + 2 > cfg.maxAttempts()) {
             return false;
         }
@@ -598,13 +602,13 @@
     }
 
     @Override
-    public void onSibling(double now, int request, int sibling, Actions out) {
+    public void onSibling(double now, int request, int sibling, PolicyActions out) {
         Flight f = flights.get(request);
         if (f == null || f.done || !f.waiting || f.fetching || fetches.get(f.request.key()) != f) {
             return;
         }
         Server s = servers.get(sibling);
-        if (s != null && siblings.is(s.member) && s.member.state() == State.READY) {
+        if (s != null && siblings.is(s.member) && s.member.state() == EndpointState.READY) {
             f.waiting = false;
             place(now, f, s, out);
         } else {
@@ -612,7 +616,7 @@
         }
     }
 
-    private void place(double now, Flight f, Server s, Actions out) {
+    private void place(double now, Flight f, Server s, PolicyActions out) {
         int a = f.attempts++;
         if (a == 0) {
             admission.recordFirstAttempt(now);
@@ -644,7 +648,7 @@
      * stays out, its answer clears the server; where it must be called off, one slow answer is no evidence, two in a
      * row are: shunning sound servers moves their keys to the origin.
      */
-    private void overdue(double now, Flight f, Actions out) {
+    private void overdue(double now, Flight f, PolicyActions out) {
         int a = f.attempts - 1;
         Server s = f.at[a];
         if (f.done || f.streaming || f.ended[a] || s == origin || now < f.overdueAt) {
@@ -684,12 +688,12 @@
         if (Double.isNaN(f.maybeRanSince) || f.safe) {
             return true;
         }
-        return f.kind.effect() == Effect.KEYED
+        return f.kind.effect() == Idempotency.KEYED
                 && now < f.maybeRanSince + f.kind.windowMs()
                 && sameGroup(f.kind.group(), f.maybeRanAt.member, s.member);
     }
 
-    private static boolean sameGroup(Group group, Member a, Member b) {
+    private static boolean sameGroup(DeduplicationScope group, Endpoint a, Endpoint b) {
         return switch (group) {
             case ALL -> true;
             case ZONE -> a.zone() == b.zone();
@@ -697,7 +701,7 @@
         };
     }
 
-    private void giveUp(Flight f, Actions out) {
+    private void giveUp(Flight f, PolicyActions out) {
         if (f.out > 0 && f.safe) {
             return;
         }
@@ -706,7 +710,7 @@
     }
 
     /** The final answer: a refusal only where no attempt may have run. */
-    private void answer(Flight f, Actions out) {
+    private void answer(Flight f, PolicyActions out) {
         if (f.safe || (Double.isNaN(f.maybeRanSince) && f.out == 0)) {
             // Told nothing, a client asks again at once, into the jam that it was turned away for. Within the
             // usual time of an answer places come free; spread over it, clients don't return together.
@@ -727,7 +731,7 @@
 
     // ---- choice of a server
 
-    private Server choose(double now, Flight f, Actions out) {
+    private Server choose(double now, Flight f, PolicyActions out) {
         int want = Math.min(ranked.length, Math.max(RANKS, f.spread + RANKS));
         int most = placement.maxRanked(want);
         if (top.length < most) {
@@ -763,7 +767,7 @@
         return false;
     }
 
-    private boolean open(double now, Flight f, Server s, Actions out) {
+    private boolean open(double now, Flight f, Server s, PolicyActions out) {
         if (s.failures == 0 || (s.probed && !s.trial)) {
             return warmEnough(now, f, s);
         }
@@ -809,7 +813,7 @@
     // ---- ends of attempts
 
     @Override
-    public void onAttemptEnd(double now, AttemptEnd end, Actions out) {
+    public void onAttemptEnd(double now, AttemptResult end, PolicyActions out) {
         Flight f = flights.get(end.request());
         if (f == null || end.attempt() >= f.attempts || f.ended[end.attempt()]) {
             return;
@@ -827,8 +831,8 @@
             finish(f);
         }
         if (f.followers != null && s == origin) {
-            fetchEnded(now, f, end.outcome() == Outcome.OK, out);
-        } else if (f.followers != null && end.outcome() == Outcome.OK && siblings.is(s.member)) {
+            fetchEnded(now, f, end.outcome() == AttemptOutcome.OK, out);
+        } else if (f.followers != null && end.outcome() == AttemptOutcome.OK && siblings.is(s.member)) {
             for (Flight w : unlead(f)) { // what it has is not stored here: each fetches it there
                 if (!w.done && w.waiting && w.attempts < cfg.maxAttempts()) {
                     w.waiting = false;
@@ -845,8 +849,8 @@
         }
     }
 
-    private void next(double now, Flight f, Server s, AttemptEnd end, Actions out) {
-        if (end.outcome() == Outcome.MISS && !siblings.is(s.member)) {
+    private void next(double now, Flight f, Server s, AttemptResult end, PolicyActions out) {
+        if (end.outcome() == AttemptOutcome.MISS && !siblings.is(s.member)) {
             f.toOrigin = true;
             f.missedAt = s;
             if (end.note() == NOTE_FETCH_OUT && f.attempts + 2 <= cfg.maxAttempts()) {
@@ -856,7 +860,7 @@
                 return;
             }
         } else if (s == origin
-                && end.outcome() == Outcome.FULL
+                && end.outcome() == AttemptOutcome.FULL
                 && f.request.write()
                 && f.attempts < cfg.maxAttempts()) {
             f.waiting = true;
@@ -870,7 +874,7 @@
         }
     }
 
-    private void cancelRest(Flight f, Actions out) {
+    private void cancelRest(Flight f, PolicyActions out) {
         for (int a = 0; cfg.mayCancel() && a < f.attempts; a++) {
             if (!f.ended[a]) {
                 out.cancel(f.request.id(), a);
@@ -879,7 +883,7 @@
     }
 
     /** Those who waited for a fetch find its object where it was missed; where the fetch failed, one of them tries. */
-    private void fetchEnded(double now, Flight f, boolean stored, Actions out) {
+    private void fetchEnded(double now, Flight f, boolean stored, PolicyActions out) {
         for (Flight w : unlead(f)) {
             if (w.done || !w.waiting) {
                 continue;
@@ -896,18 +900,18 @@
         return followers;
     }
 
-    private void learn(double now, Flight f, Server s, AttemptEnd end) {
+    private void learn(double now, Flight f, Server s, AttemptResult end) {
         if (siblings.is(s.member)) {
             siblings.fetched(now, s.id, end.outcome(), end.elapsedMs());
             return;
         }
         s.recalled = false;
-        if (f.doubted && end.attempt() > 0 && end.outcome() == Outcome.OK) {
+        if (f.doubted && end.attempt() > 0 && end.outcome() == AttemptOutcome.OK) {
             doubts++;
         }
         switch (end.outcome()) {
             case OK, MISS, FULL -> {
-                if (s != origin && end.outcome() == Outcome.FULL && end.attempt() > 0) {
+                if (s != origin && end.outcome() == AttemptOutcome.FULL && end.attempt() > 0) {
                     crowd.asked(now);
                 }
                 boolean timely = end.elapsedMs() <= f.kind.aimMs() || crowd.pressure(now) > Throttle.HEADROOM;
@@ -915,7 +919,7 @@
                     s.failures = s.doubts = 0;
                 }
                 s.trial = false;
-                if (s != origin && end.outcome() == Outcome.OK) {
+                if (s != origin && end.outcome() == AttemptOutcome.OK) {
                     crowd.asked(now);
                     if (end.elapsedMs() <= f.kind.aimMs() - fetchMs) {
                         crowd.answered(now);
@@ -925,7 +929,7 @@
                     pace += (x - pace) / 16;
                     doubts = Math.min(DOUBT_SAVED, doubts + DOUBT_SHARE);
                 }
-                if (s == origin && end.outcome() == Outcome.OK) {
+                if (s == origin && end.outcome() == AttemptOutcome.OK) {
                     if (now <= f.arrivedMs + f.kind.aimMs()) {
                         throttle.answered(now);
                     }
@@ -935,10 +939,10 @@
             case CONNECT_FAILED, RESET, TIMEOUT -> {
                 if (s != origin) {
                     boolean shared = crowd.pressure(now) > Throttle.HEADROOM;
-                    if (end.outcome() == Outcome.TIMEOUT && s.failures <= (shared ? 1 : 0)) {
+                    if (end.outcome() == AttemptOutcome.TIMEOUT && s.failures <= (shared ? 1 : 0)) {
                         crowd.asked(now);
                     }
-                    if (end.outcome() != Outcome.RESET || s.failures > 0 || ++s.doubts > 1) {
+                    if (end.outcome() != AttemptOutcome.RESET || s.failures > 0 || ++s.doubts > 1) {
                         suspect(now, s);
                     }
                 }
@@ -948,7 +952,7 @@
     }
 
     @Override
-    public void onFirstByte(double now, int request, int attempt, int server, Actions out) {
+    public void onFirstByte(double now, int request, int attempt, int server, PolicyActions out) {
         Flight f = flights.get(request);
         if (f != null) {
             f.streaming = true;
@@ -956,14 +960,14 @@
     }
 
     @Override
-    public void onGone(double now, int request, Actions out) {
+    public void onGone(double now, int request, PolicyActions out) {
         Flight f = flights.get(request);
         if (f != null && !f.done) {
             leave(now, f, out);
         }
     }
 
-    private void leave(double now, Flight f, Actions out) {
+    private void leave(double now, Flight f, PolicyActions out) {
         finish(f);
         if (f.streaming) {
             return;
@@ -977,7 +981,7 @@
     /** Whether a server is known to be sound: ready, warm and not left out; what siblings are told of. */
     public boolean sound(double now, int server) {
         Server s = servers.get(server);
-        return s != null && s.member.state() == State.READY && s.failures == 0 && !cold(now, s);
+        return s != null && s.member.state() == EndpointState.READY && s.failures == 0 && !cold(now, s);
     }
 
     /** Whether servers or origin lately answered too little in time to take in more than clients ask. */
@@ -986,7 +990,7 @@
     }
 
     @Override
-    public void onTimer(double now, int token, Actions out) {
+    public void onTimer(double now, int token, PolicyActions out) {
         Flight f = numbered.get(token >>> 2);
         switch (token & 3) {
             case DUE -> {
@@ -1014,17 +1018,18 @@
         }
     }
 
-    private void timer(double afterMs, int kind, Flight f, Actions out) {
+    private void timer(double afterMs, int kind, Flight f, PolicyActions out) {
         out.setTimer(afterMs, (f == null ? 0 : f.number << 2) | kind);
     }
 
     @Override
-    public void onProbed(double now, int server, Outcome outcome, double elapsedMs, float[] report, Actions out) {
+    public void onProbed(
+            double now, int server, AttemptOutcome outcome, double elapsedMs, float[] report, PolicyActions out) {
         Server s = servers.get(server);
         if (s == null || s.failures == 0) {
             return;
         }
-        if (outcome == Outcome.OK) {
+        if (outcome == AttemptOutcome.OK) {
             s.trial = false;
             s.probed = true;
         } else {
@@ -1033,5 +1038,5 @@
     }
 
     @Override
-    public void onPeer(double now, int peer, byte[] message, Actions out) {}
+    public void onPeer(double now, int peer, byte[] message, PolicyActions out) {}
 }
--- /dev/null
+++ b/src/main/java/cacheproxy/policy/RoutingRequest.java
@@ -0,0 +1,13 @@
+package cacheproxy.policy;
+
+/** A request taken from a client; key 0: none; cost hint NaN: none; due: when the client gives up. */
+public record RoutingRequest(
+        int id,
+        int serviceClass,
+        int tenant,
+        long key,
+        double dueMs,
+        double costMs,
+        float bytes,
+        boolean write,
+        boolean repeat) {}
--- a/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
@@ -7,10 +7,10 @@
 import cacheproxy.discovery.VersionGossip;
 import cacheproxy.eventlog.ProxyEvent;
 import cacheproxy.placement.ServerId;
-import cacheproxy.policy.PolicyApi.ListKind;
-import cacheproxy.policy.PolicyApi.Member;
-import cacheproxy.policy.PolicyApi.Settings;
-import cacheproxy.policy.PolicyApi.State;
+import cacheproxy.policy.Endpoint;
+import cacheproxy.policy.EndpointListKind;
+import cacheproxy.policy.EndpointState;
+import cacheproxy.policy.PolicySettings;
 import cacheproxy.proxy.dispatch.Dispatcher;
 import cacheproxy.proxy.net.HandlerInitializer;
 import cacheproxy.proxy.net.TimerWheel.Timer;
@@ -71,7 +71,7 @@
     private static final double LONGEST_DELAY = 0.25;
 
     /** A server of the list. */
-    public record Host(Member member, SocketAddress dial) {}
+    public record Host(Endpoint member, SocketAddress dial) {}
 
     /**
      * What is followed.
@@ -129,10 +129,10 @@
         this.pace = pace;
         this.core = core;
         loop = core.loop();
-        Settings settings = dispatcher.settings();
+        PolicySettings settings = dispatcher.settings();
         double within = settings.askWithinMs();
         double spread = Math.min(within * LONGEST_DELAY, settings.instances() * settings.connectTimeoutMs());
-        double place = (double) settings.me() / Math.max(1, settings.instances());
+        double place = (double) settings.instanceNumber() / Math.max(1, settings.instances());
         doubt = new SilentWatchDetector(within * NOTICE, within * QUICK, spread * place);
         newsMs = within * NEWS * place;
         this.source = source;
@@ -173,7 +173,7 @@
                 dispatcher.log("the list in the configuration is of no use: " + e.getMessage());
             }
         }
-        dispatcher.listed(ListKind.CACHED, known);
+        dispatcher.listed(EndpointListKind.CACHED, known);
         doubt.listReceived(version, true, known.stream().map(Host::member).toList());
         core.observe(this);
         if (!source.ask()) {
@@ -259,7 +259,7 @@
                 apply(need(json, why));
             } catch (RuntimeException e) {
                 dispatcher.log("discovery: " + e.getMessage());
-                dispatcher.listed(ListKind.FAILED, List.of());
+                dispatcher.listed(EndpointListKind.FAILED, List.of());
             }
         });
     }
@@ -326,7 +326,7 @@
             pace.have(seq);
         }
         doubt.listReceived(seq, whole, hosts.stream().map(Host::member).toList());
-        dispatcher.listed(whole ? ListKind.FULL : ListKind.CHANGES, hosts);
+        dispatcher.listed(whole ? EndpointListKind.FULL : EndpointListKind.CHANGES, hosts);
     }
 
     @Override
@@ -400,10 +400,10 @@
 
     private Host host(JsonObject h) {
         String name = h.get("host").getAsString();
-        State state = switch (h.get("health").getAsString()) {
-            case "up" -> State.READY;
-            case "draining" -> State.DRAINING;
-            case "removed" -> State.GONE;
+        EndpointState state = switch (h.get("health").getAsString()) {
+            case "up" -> EndpointState.READY;
+            case "draining" -> EndpointState.DRAINING;
+            case "removed" -> EndpointState.GONE;
             default -> throw new IllegalArgumentException("host " + name + ": unknown health");
         };
         int zone = source.zones().indexOf(PlatformConfig.word(h.get("site").getAsString()));
@@ -415,7 +415,7 @@
         double born = h.has("born_ms") ? h.get("born_ms").getAsDouble() : 0;
         int cell = h.has("block") ? h.get("block").getAsInt() : 0;
         return new Host(
-                new Member(ServerId.fromName(name), zone, kind, cell, state, weight, born),
+                new Endpoint(ServerId.fromName(name), zone, kind, cell, state, weight, born),
                 Addresses.parse(h.get("dial").getAsString()));
     }
 
--- a/src/main/java/cacheproxy/proxy/dispatch/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/Dispatcher.java
@@ -6,17 +6,17 @@
 import cacheproxy.placement.AdmissionControl;
 import cacheproxy.placement.CarpPlacement;
 import cacheproxy.placement.PlacementFactory;
-import cacheproxy.policy.PolicyApi.Actions;
-import cacheproxy.policy.PolicyApi.AttemptEnd;
-import cacheproxy.policy.PolicyApi.Effect;
-import cacheproxy.policy.PolicyApi.ListKind;
-import cacheproxy.policy.PolicyApi.Outcome;
-import cacheproxy.policy.PolicyApi.Reports;
-import cacheproxy.policy.PolicyApi.Request;
-import cacheproxy.policy.PolicyApi.ServiceClass;
-import cacheproxy.policy.PolicyApi.Settings;
-import cacheproxy.policy.PolicyApi.State;
+import cacheproxy.policy.AttemptOutcome;
+import cacheproxy.policy.AttemptResult;
+import cacheproxy.policy.EndpointListKind;
+import cacheproxy.policy.EndpointState;
+import cacheproxy.policy.Idempotency;
+import cacheproxy.policy.LoadReportSource;
+import cacheproxy.policy.PolicyActions;
+import cacheproxy.policy.PolicySettings;
 import cacheproxy.policy.RoutingPolicy;
+import cacheproxy.policy.RoutingRequest;
+import cacheproxy.policy.ServiceClass;
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.proxy.discovery.PeerSocket;
 import cacheproxy.proxy.dispatch.RequestContext.Attempt;
@@ -46,7 +46,7 @@
  * are in: an attempt ends once, a request is answered once. All of it runs on the event loop; the module is never
  * called from within one of its own orders, what happens meanwhile waits in line.
  */
-public final class Dispatcher implements Actions {
+public final class Dispatcher implements PolicyActions {
     /** What a request that the module left unanswered at its due time may still wait for it. */
     private static final double OVERDUE_MS = 10;
     /** What a test of a server takes at the most, ms. */
@@ -60,7 +60,7 @@
 
     private final EventLoopContext core;
     private final Pool pool;
-    private final Settings settings;
+    private final PolicySettings settings;
     private final SendGuard sendGuard;
     private final IntObjectHashMap<RequestContext> exchanges = new IntObjectHashMap<>();
     private final IntObjectHashMap<Upstream> upstreams = new IntObjectHashMap<>();
@@ -145,7 +145,7 @@
         boolean take(int server);
 
         /** An attempt of a request at a server has ended. */
-        default void ended(int server, Outcome outcome) {}
+        default void ended(int server, AttemptOutcome outcome) {}
     }
 
     /**
@@ -158,7 +158,7 @@
      * @param plainNodes whether nodes are stock ones, which give no receipts and no ids with a miss
      */
     public record Pool(
-            Settings settings,
+            PolicySettings settings,
             long seed,
             double idleCloseMs,
             int cacheConnections,
@@ -278,7 +278,7 @@
     public void answerAll() {
         for (RequestContext x : List.copyOf(exchanges.values())) {
             boolean harmless =
-                    settings.classes().get(x.command.serviceClass).effect() == Effect.SAFE || !x.mayHaveRun();
+                    settings.classes().get(x.command.serviceClass).effect() == Idempotency.SAFE || !x.mayHaveRun();
             finish(x, harmless ? 0 : Double.NaN);
         }
     }
@@ -288,11 +288,13 @@
     }
 
     public float[] report(String list) {
-        return settings.reports() == Reports.WITH_ANSWERS ? MetaCodec.report(list, settings.reportNames()) : null;
+        return settings.reports() == LoadReportSource.WITH_ANSWERS
+                ? MetaCodec.report(list, settings.reportNames())
+                : null;
     }
 
     public boolean probesLoad() {
-        return settings.reports() == Reports.BY_PROBE;
+        return settings.reports() == LoadReportSource.BY_PROBE;
     }
 
     public boolean secondCopies() {
@@ -303,7 +305,7 @@
         return pool.plainNodes();
     }
 
-    public Settings settings() {
+    public PolicySettings settings() {
         return settings;
     }
 
@@ -366,7 +368,7 @@
         }
     }
 
-    public void listed(ListKind kind, List<DiscoveryClient.Host> hosts) {
+    public void listed(EndpointListKind kind, List<DiscoveryClient.Host> hosts) {
         for (DiscoveryClient.Host h : hosts) {
             int id = h.member().id();
             Upstream u = upstreams.get(id);
@@ -382,7 +384,7 @@
                         .with("list", kind)
                         .write();
             }
-            if (h.member().state() == State.GONE) {
+            if (h.member().state() == EndpointState.GONE) {
                 forget(id);
                 continue;
             }
@@ -400,9 +402,9 @@
             }
             u.bornMs = h.member().bornMs();
             u.state = h.member().state();
-            u.leftMs = u.state == State.READY ? Double.POSITIVE_INFINITY : Math.min(u.leftMs, core.now());
+            u.leftMs = u.state == EndpointState.READY ? Double.POSITIVE_INFINITY : Math.min(u.leftMs, core.now());
         }
-        if (kind == ListKind.FULL || kind == ListKind.CACHED) {
+        if (kind == EndpointListKind.FULL || kind == EndpointListKind.CACHED) {
             Set<Integer> named = new HashSet<>();
             hosts.forEach(h -> named.add(h.member().id()));
             for (Integer id : List.copyOf(upstreams.keySet())) {
@@ -441,8 +443,8 @@
         x.id = ++nextId;
         exchanges.put(x.id, x);
         double now = core.now();
-        Request request =
-                new Request(x.id, c.serviceClass, c.tenant, x.keyNumber, x.dueMs, c.costMs, c.bytes, c.write, c.repeat);
+        RoutingRequest request = new RoutingRequest(
+                x.id, c.serviceClass, c.tenant, x.keyNumber, x.dueMs, c.costMs, c.bytes, c.write, c.repeat);
         // Before the module's own timer for the same time: a silent server's attempt ends as a time-out then.
         x.timer = core.after(x.dueMs - now, () -> due(x));
         if (core.events.isEnabled()) {
@@ -472,9 +474,9 @@
         if (!a.ended) {
             if (a.connection != null) {
                 boolean unsent = a.connection.giveUp(a);
-                end(a, unsent ? Outcome.CONNECT_FAILED : Outcome.TIMEOUT, 0, null, null, null);
+                end(a, unsent ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.TIMEOUT, 0, null, null, null);
             } else {
-                end(a, Outcome.NOT_SENT, 0, null, null, null);
+                end(a, AttemptOutcome.NOT_SENT, 0, null, null, null);
             }
         }
     }
@@ -505,7 +507,7 @@
                 withdraw(a);
             } else if (a.firstByteMs != 0) { // the rest of a long value is of no use to anyone
                 a.connection.giveUp(a);
-                end(a, Outcome.CANCELLED, 0, null, null, null);
+                end(a, AttemptOutcome.CANCELLED, 0, null, null, null);
             } else if (a.timer == null) {
                 a.timer = core.after(x.dueMs - core.now(), () -> expire(a));
             }
@@ -516,7 +518,7 @@
     // ---- ends of attempts
 
     /** The one end of an attempt. A value or receipt, where there is one, is the client's if none has come before. */
-    public void end(Attempt a, Outcome outcome, int note, float[] report, ByteBuf value, String receipt) {
+    public void end(Attempt a, AttemptOutcome outcome, int note, float[] report, ByteBuf value, String receipt) {
         if (a.ended) {
             if (value != null) {
                 value.release();
@@ -552,13 +554,13 @@
         }
         if (a.firstByteMs != 0) {
             over(x);
-            logAnswer(x, outcome == Outcome.OK ? "streamed" : "cut");
-            if (outcome == Outcome.OK) {
+            logAnswer(x, outcome == AttemptOutcome.OK ? "streamed" : "cut");
+            if (outcome == AttemptOutcome.OK) {
                 x.responder.end();
             } else {
                 x.responder.breakOff();
             }
-        } else if (outcome == Outcome.OK && !x.over && !x.streaming) {
+        } else if (outcome == AttemptOutcome.OK && !x.over && !x.streaming) {
             over(x);
             logAnswer(x, "served");
             if (value != null) {
@@ -575,14 +577,14 @@
         if (probes != null) {
             probes.ended(a.server, outcome);
         }
-        x.missed |= outcome == Outcome.MISS;
+        x.missed |= outcome == AttemptOutcome.MISS;
         x.mayHaveRun |= outcome.mayHaveRun();
         boolean over = x.over;
         tell(() -> guard(
                 x,
                 () -> module.onAttemptEnd(
                         core.now(),
-                        new AttemptEnd(x.id, a.index, a.server, outcome, elapsed, over, note, report),
+                        new AttemptResult(x.id, a.index, a.server, outcome, elapsed, over, note, report),
                         this)));
         free(x);
     }
@@ -607,12 +609,12 @@
         return u == null ? Integer.toHexString(server) : Integer.toHexString(server) + "@" + u.dial;
     }
 
-    private void tellSiblings(Attempt a, ClientRequest c, Outcome outcome) {
+    private void tellSiblings(Attempt a, ClientRequest c, AttemptOutcome outcome) {
         Upstream u = upstreams.get(a.server);
         if (c.write) {
             questions.written(c.key);
-        } else if (u != null && !u.origin && (outcome == Outcome.OK || outcome == Outcome.MISS)) {
-            questions.read(c.key, a.server, outcome == Outcome.OK);
+        } else if (u != null && !u.origin && (outcome == AttemptOutcome.OK || outcome == AttemptOutcome.MISS)) {
+            questions.read(c.key, a.server, outcome == AttemptOutcome.OK);
         }
     }
 
@@ -698,7 +700,7 @@
         x.out++;
         Upstream u = upstreams.get(server);
         if (u == null || wait <= 0 || a.index >= settings.maxAttempts()) {
-            tell(() -> end(a, Outcome.NOT_SENT, 0, null, null, null));
+            tell(() -> end(a, AttemptOutcome.NOT_SENT, 0, null, null, null));
             return;
         }
         if (wait < left) {
@@ -706,7 +708,7 @@
         }
         boundRepeat(x, a);
         if (!u.send(a)) { // want of room on our side says nothing against a sound node
-            tell(() -> end(a, u.origin ? Outcome.CONNECT_FAILED : Outcome.NOT_SENT, 0, null, null, null));
+            tell(() -> end(a, u.origin ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.NOT_SENT, 0, null, null, null));
         }
     }
 
@@ -716,7 +718,7 @@
      */
     private void boundRepeat(RequestContext x, Attempt a) {
         ServiceClass kind = settings.classes().get(x.command.serviceClass);
-        if (kind.effect() != Effect.KEYED) {
+        if (kind.effect() != Idempotency.KEYED) {
             return;
         }
         for (Attempt earlier : x.attempts) {
@@ -741,7 +743,7 @@
         if (violated != null) {
             core.invariants.recordStopped(
                     violated, a.exchange.command.id, "attempt " + a.index + " at " + name(a.server) + " was not begun");
-            end(a, Outcome.NOT_SENT, 0, null, null, null);
+            end(a, AttemptOutcome.NOT_SENT, 0, null, null, null);
             return false;
         }
         if (a.exchange.dueMs > a.exchange.command.clientDueMs) {
@@ -754,7 +756,7 @@
         return true;
     }
 
-    Effect effect(RequestContext x) {
+    Idempotency effect(RequestContext x) {
         return settings.classes().get(x.command.serviceClass).effect();
     }
 
@@ -762,7 +764,7 @@
     private void withdraw(Attempt a) {
         if (!a.ended && !a.begun && a.connection != null) {
             a.connection.giveUp(a);
-            end(a, Outcome.NOT_SENT, 0, null, null, null);
+            end(a, AttemptOutcome.NOT_SENT, 0, null, null, null);
         }
     }
 
@@ -792,7 +794,7 @@
         if (a.connection != null) {
             a.connection.giveUp(a);
         }
-        tell(() -> end(a, Outcome.CANCELLED, 0, null, null, null));
+        tell(() -> end(a, AttemptOutcome.CANCELLED, 0, null, null, null));
     }
 
     @Override
@@ -819,13 +821,13 @@
     }
 
     /** Tests a server; who asked hears of its end, and the module does where that is nobody (null). */
-    public void probe(int server, Consumer<Outcome> asked) {
+    public void probe(int server, Consumer<AttemptOutcome> asked) {
         Upstream u = upstreams.get(server);
         double now = core.now();
         Attempt a = new Attempt(this, null, 0, server, now, now + PROBE_TIMEOUT_MS);
         a.asked = asked;
         if (u == null || !u.send(a)) {
-            tell(() -> end(a, Outcome.CONNECT_FAILED, 0, null, null, null));
+            tell(() -> end(a, AttemptOutcome.CONNECT_FAILED, 0, null, null, null));
         } else {
             a.timer = core.after(PROBE_TIMEOUT_MS, () -> expire(a));
         }
@@ -833,7 +835,8 @@
 
     /** The end of a test that others have taken over. */
     public void probed(int server, boolean sound) {
-        tell(() -> module.onProbed(core.now(), server, sound ? Outcome.OK : Outcome.TIMEOUT, 0, null, this));
+        tell(() ->
+                module.onProbed(core.now(), server, sound ? AttemptOutcome.OK : AttemptOutcome.TIMEOUT, 0, null, this));
     }
 
     @Override
--- a/src/main/java/cacheproxy/proxy/dispatch/RequestContext.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/RequestContext.java
@@ -1,8 +1,8 @@
 package cacheproxy.proxy.dispatch;
 
 import cacheproxy.invariant.SendFacts;
-import cacheproxy.policy.PolicyApi.Effect;
-import cacheproxy.policy.PolicyApi.Outcome;
+import cacheproxy.policy.AttemptOutcome;
+import cacheproxy.policy.Idempotency;
 import cacheproxy.proxy.net.TimerWheel.Timer;
 import cacheproxy.proxy.request.ClientRequest;
 import cacheproxy.proxy.request.RequestHandler;
@@ -32,7 +32,7 @@
     /** Whether an attempt that has ended may have run. */
     boolean mayHaveRun;
     /** What the attempt that ended last ended with; null: none has. */
-    public Outcome lastOutcome;
+    public AttemptOutcome lastOutcome;
 
     Timer timer;
     final List<Attempt> attempts = new ArrayList<>(3);
@@ -90,7 +90,7 @@
         /** When the first bytes of a long answer came, else 0. */
         double firstByteMs;
         /** Who hears of a probe's end; null: the module. */
-        Consumer<Outcome> asked;
+        Consumer<AttemptOutcome> asked;
 
         Timer timer;
 
@@ -129,7 +129,7 @@
 
         @Override
         public boolean singleEffect() {
-            return owner.effect(exchange) == Effect.UNSAFE;
+            return owner.effect(exchange) == Idempotency.UNSAFE;
         }
 
         @Override
--- a/src/main/java/cacheproxy/proxy/process/PlatformConfig.java
+++ b/src/main/java/cacheproxy/proxy/process/PlatformConfig.java
@@ -1,7 +1,7 @@
 package cacheproxy.proxy.process;
 
 import cacheproxy.config.Addresses;
-import cacheproxy.policy.PolicyApi.Settings;
+import cacheproxy.policy.PolicySettings;
 import cacheproxy.simulator.SettingsParser;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
@@ -35,7 +35,7 @@
         InetSocketAddress control,
         Boolean eventLog,
         JsonObject known,
-        Settings settings,
+        PolicySettings settings,
         List<String> zones,
         List<String> kinds,
         double idleCloseMs,
--- a/src/main/java/cacheproxy/proxy/process/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/process/Proxy.java
@@ -5,7 +5,7 @@
 import cacheproxy.lifecycle.Lifecycle;
 import cacheproxy.lifecycle.LifecycleTiming;
 import cacheproxy.lifecycle.WarmUpPlan;
-import cacheproxy.policy.PolicyApi.ServiceClass;
+import cacheproxy.policy.ServiceClass;
 import cacheproxy.proxy.client.ClientRegistry;
 import cacheproxy.proxy.client.Listener;
 import cacheproxy.proxy.discovery.DiscoveryClient;
--- a/src/main/java/cacheproxy/proxy/process/WarmUp.java
+++ b/src/main/java/cacheproxy/proxy/process/WarmUp.java
@@ -1,9 +1,9 @@
 package cacheproxy.proxy.process;
 
 import cacheproxy.lifecycle.WarmUpPlan;
-import cacheproxy.policy.PolicyApi.ListKind;
-import cacheproxy.policy.PolicyApi.Member;
-import cacheproxy.policy.PolicyApi.State;
+import cacheproxy.policy.Endpoint;
+import cacheproxy.policy.EndpointListKind;
+import cacheproxy.policy.EndpointState;
 import cacheproxy.proxy.client.ClientConnection;
 import cacheproxy.proxy.client.ClientRegistry;
 import cacheproxy.proxy.client.Listener;
@@ -93,7 +93,7 @@
             int originKind = config.settings().originKind();
             List<DiscoveryClient.Host> hosts =
                     List.of(host(1, originKind == 0 ? 1 : 0, node), host(2, Math.max(0, originKind), origin));
-            loop.submit(() -> dispatcher.listed(ListKind.CACHED, hosts)).sync();
+            loop.submit(() -> dispatcher.listed(EndpointListKind.CACHED, hosts)).sync();
             channels.add(new Bootstrap()
                     .group(loop)
                     .channel(Transport.BEST.localSocket())
@@ -131,7 +131,7 @@
     }
 
     private static DiscoveryClient.Host host(int id, int kind, SocketAddress dial) {
-        return new DiscoveryClient.Host(new Member(id, 0, kind, 0, State.READY, 1, 0), dial);
+        return new DiscoveryClient.Host(new Endpoint(id, 0, kind, 0, EndpointState.READY, 1, 0), dial);
     }
 
     /**
--- a/src/main/java/cacheproxy/proxy/request/RequestValidator.java
+++ b/src/main/java/cacheproxy/proxy/request/RequestValidator.java
@@ -1,7 +1,7 @@
 package cacheproxy.proxy.request;
 
-import cacheproxy.policy.PolicyApi.ServiceClass;
-import cacheproxy.policy.PolicyApi.Tenant;
+import cacheproxy.policy.ServiceClass;
+import cacheproxy.policy.Tenant;
 import cacheproxy.proxy.upstream.EventLoopContext;
 import java.util.HashMap;
 import java.util.List;
--- a/src/main/java/cacheproxy/proxy/upstream/CacheCodec.java
+++ b/src/main/java/cacheproxy/proxy/upstream/CacheCodec.java
@@ -1,7 +1,7 @@
 package cacheproxy.proxy.upstream;
 
+import cacheproxy.policy.AttemptOutcome;
 import cacheproxy.policy.PolicyApi;
-import cacheproxy.policy.PolicyApi.Outcome;
 import cacheproxy.proxy.dispatch.RequestContext.Attempt;
 import cacheproxy.proxy.request.ClientRequest;
 import cacheproxy.proxy.request.MetaCodec;
@@ -102,9 +102,9 @@
         if (attempt.exchange == null) {
             probed(attempt, line);
         } else if (line.startsWith(MetaCodec.BUSY)) {
-            connection.ended(Outcome.FULL, 0, report(attempt, line), null, null);
+            connection.ended(AttemptOutcome.FULL, 0, report(attempt, line), null, null);
         } else if (line.startsWith("SERVER_ERROR")) {
-            connection.ended(Outcome.ERROR, 0, report(attempt, line), null, null);
+            connection.ended(AttemptOutcome.ERROR, 0, report(attempt, line), null, null);
         } else if (line.startsWith("VA ") && !attempt.exchange.command.write) {
             String word = MetaCodec.wordAt(line, 3);
             length = MetaCodec.length(word);
@@ -120,7 +120,7 @@
             if (receipt == null && !attempt.owner.plainNodes()) {
                 throw new MetaCodec.SyntaxException("no receipt");
             }
-            connection.ended(Outcome.OK, note, report, null, receipt);
+            connection.ended(AttemptOutcome.OK, note, report, null, receipt);
         } else if (line.startsWith("EN")) {
             if (attempt.owner.plainNodes() && line.equals("EN")) {
                 note = 2; // stock nodes say no more; answers keep their order all the same
@@ -128,7 +128,7 @@
             } else {
                 flags(attempt, line, 3);
             }
-            connection.ended(Outcome.MISS, note, report, null, null);
+            connection.ended(AttemptOutcome.MISS, note, report, null, null);
         } else {
             throw new MetaCodec.SyntaxException("unknown line");
         }
@@ -161,7 +161,7 @@
             ByteBuf value = in.readRetainedSlice(length);
             in.skipBytes(2);
             missing = -1;
-            connection.ended(Outcome.OK, note, report, value, null);
+            connection.ended(AttemptOutcome.OK, note, report, value, null);
             return;
         }
         // The value's end of line is passed on only when it is seen to be one.
@@ -178,7 +178,7 @@
             end(in, in.readerIndex());
             in.skipBytes(2);
             missing = -1;
-            connection.ended(Outcome.OK, note, report, null, null);
+            connection.ended(AttemptOutcome.OK, note, report, null, null);
         }
     }
 
@@ -196,7 +196,7 @@
             boolean ok = line.equals("MN") || line.equals("END");
             float[] figures = MetaCodec.report(stats, attempt.owner.reportNames());
             stats = "";
-            connection.ended(ok ? Outcome.OK : Outcome.ERROR, 0, figures, null, null);
+            connection.ended(ok ? AttemptOutcome.OK : AttemptOutcome.ERROR, 0, figures, null, null);
         }
     }
 
--- a/src/main/java/cacheproxy/proxy/upstream/OriginCodec.java
+++ b/src/main/java/cacheproxy/proxy/upstream/OriginCodec.java
@@ -1,7 +1,7 @@
 package cacheproxy.proxy.upstream;
 
 import cacheproxy.config.Addresses;
-import cacheproxy.policy.PolicyApi.Outcome;
+import cacheproxy.policy.AttemptOutcome;
 import cacheproxy.proxy.dispatch.RequestContext.Attempt;
 import cacheproxy.proxy.request.ClientRequest;
 import cacheproxy.proxy.request.MetaCodec;
@@ -237,14 +237,14 @@
         int code = r.status().code();
         if (attempt.exchange == null) {
             release(whole);
-            connection.ended(code == 200 ? Outcome.OK : Outcome.ERROR, 0, report, null, null);
+            connection.ended(code == 200 ? AttemptOutcome.OK : AttemptOutcome.ERROR, 0, report, null, null);
         } else if (code == 200) {
             answered(attempt.exchange.command, report, whole);
         } else {
             release(whole);
             boolean declined =
                     (code == 503 || code == 504) && "1".equals(r.headers().get("Srv-Declined"));
-            connection.ended(declined ? Outcome.FULL : Outcome.ERROR, 0, report, null, null);
+            connection.ended(declined ? AttemptOutcome.FULL : AttemptOutcome.ERROR, 0, report, null, null);
         }
     }
 
@@ -258,7 +258,7 @@
             resume();
         } else {
             forget();
-            connection.ended(Outcome.OK, 0, report, null, null);
+            connection.ended(AttemptOutcome.OK, 0, report, null, null);
         }
     }
 
@@ -271,7 +271,7 @@
                 continue;
             }
             forget();
-            connection.ended(Outcome.OK, 0, feedReport, null, null);
+            connection.ended(AttemptOutcome.OK, 0, feedReport, null, null);
             if (inactive) {
                 connection.closed();
             }
@@ -315,13 +315,13 @@
 
     private void answered(ClientRequest command, float[] report, ByteBuf whole) {
         if (whole == null) { // passed on as it came, or dropped
-            connection.ended(Outcome.OK, 0, report, null, null);
+            connection.ended(AttemptOutcome.OK, 0, report, null, null);
         } else if (command.write) {
             String receipt = whole.toString(StandardCharsets.ISO_8859_1).trim();
             whole.release();
-            connection.ended(Outcome.OK, 0, report, null, receipt);
+            connection.ended(AttemptOutcome.OK, 0, report, null, receipt);
         } else {
-            connection.ended(Outcome.OK, 0, report, whole, null);
+            connection.ended(AttemptOutcome.OK, 0, report, whole, null);
         }
     }
 
--- a/src/main/java/cacheproxy/proxy/upstream/Upstream.java
+++ b/src/main/java/cacheproxy/proxy/upstream/Upstream.java
@@ -1,7 +1,7 @@
 package cacheproxy.proxy.upstream;
 
 import cacheproxy.limits.ServerCapacity;
-import cacheproxy.policy.PolicyApi.State;
+import cacheproxy.policy.EndpointState;
 import cacheproxy.proxy.dispatch.Dispatcher;
 import cacheproxy.proxy.dispatch.RequestContext.Attempt;
 import cacheproxy.proxy.net.HandlerInitializer;
@@ -25,7 +25,7 @@
     public SocketAddress dial;
     public double bornMs;
     /** As the list has it; null before the first list. */
-    public State state;
+    public EndpointState state;
     /** Since when it is known to drain or to be gone; infinite: it is ready. */
     public double leftMs = Double.POSITIVE_INFINITY;
     /** How many pools have this server on their lists. */
--- a/src/main/java/cacheproxy/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/cacheproxy/proxy/upstream/UpstreamConnection.java
@@ -1,7 +1,7 @@
 package cacheproxy.proxy.upstream;
 
 import cacheproxy.eventlog.ProxyEvent;
-import cacheproxy.policy.PolicyApi.Outcome;
+import cacheproxy.policy.AttemptOutcome;
 import cacheproxy.proxy.dispatch.RequestContext;
 import cacheproxy.proxy.dispatch.RequestContext.Attempt;
 import cacheproxy.proxy.request.Responder;
@@ -321,12 +321,12 @@
     }
 
     /** A short answer or a long one's end has come whole. */
-    void ended(Outcome outcome, int note, float[] report, ByteBuf value, String receipt) {
+    void ended(AttemptOutcome outcome, int note, float[] report, ByteBuf value, String receipt) {
         Attempt attempt = attempts.poll();
         begun = false;
         partial = false;
         answered = true;
-        if (!taken && outcome != Outcome.FULL) {
+        if (!taken && outcome != AttemptOutcome.FULL) {
             taken = true;
             upstream.room(true);
         }
@@ -412,7 +412,7 @@
             if (!a.begun && !a.ended && (connected ? upstream.send(a) : upstream.sendElsewhere(a))) {
                 continue;
             }
-            Outcome outcome = a.written ? Outcome.RESET : Outcome.CONNECT_FAILED;
+            AttemptOutcome outcome = a.written ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED;
             a.owner.end(a, outcome, 0, null, null, null);
         }
     }
--- a/src/main/java/cacheproxy/routes/Explain.java
+++ b/src/main/java/cacheproxy/routes/Explain.java
@@ -2,7 +2,7 @@
 
 import cacheproxy.placement.Placement;
 import cacheproxy.policy.CarpHash;
-import cacheproxy.policy.PolicyApi.Member;
+import cacheproxy.policy.Endpoint;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
@@ -24,7 +24,7 @@
      * @param chain this pool and those that follow it
      */
     public record PoolView(
-            List<Member> ready,
+            List<Endpoint> ready,
             Map<Integer, String> names,
             Placement placement,
             KeyHash number,
--- a/src/main/java/cacheproxy/routes/Fallback.java
+++ b/src/main/java/cacheproxy/routes/Fallback.java
@@ -1,7 +1,7 @@
 package cacheproxy.routes;
 
-import cacheproxy.policy.PolicyApi.Effect;
-import cacheproxy.policy.PolicyApi.ServiceClass;
+import cacheproxy.policy.Idempotency;
+import cacheproxy.policy.ServiceClass;
 
 /**
  * What becomes of a request that a pool's module has given up on. The module has kept the rule on effects within its
@@ -24,10 +24,10 @@
      */
     public static boolean mayGoOn(
             ServiceClass kind, boolean mayHaveRun, String group, String nextGroup, double now, double arrivedMs) {
-        if (kind.effect() == Effect.SAFE || !mayHaveRun) {
+        if (kind.effect() == Idempotency.SAFE || !mayHaveRun) {
             return true;
         }
-        return kind.effect() == Effect.KEYED
+        return kind.effect() == Idempotency.KEYED
                 && group != null
                 && group.equals(nextGroup)
                 && now < arrivedMs + kind.windowMs();
@@ -43,10 +43,10 @@
     public static double dueMs(
             ServiceClass kind, boolean mayHaveRun, boolean last, double now, double arrivedMs, double clientDueMs) {
         double due = clientDueMs;
-        if (kind.effect() == Effect.SAFE && !last) {
+        if (kind.effect() == Idempotency.SAFE && !last) {
             due = now + (clientDueMs - now) * PART;
         }
-        if (kind.effect() == Effect.KEYED && mayHaveRun) {
+        if (kind.effect() == Idempotency.KEYED && mayHaveRun) {
             due = Math.min(due, arrivedMs + kind.windowMs());
         }
         return due;
@@ -54,6 +54,6 @@
 
     /** Whether a client may be told that it was turned away, so that a retry is harmless. */
     public static boolean mayRefuse(ServiceClass kind, boolean mayHaveRun) {
-        return kind.effect() == Effect.SAFE || !mayHaveRun;
+        return kind.effect() == Idempotency.SAFE || !mayHaveRun;
     }
 }
--- a/src/main/java/cacheproxy/siblings/Siblings.java
+++ b/src/main/java/cacheproxy/siblings/Siblings.java
@@ -1,7 +1,7 @@
 package cacheproxy.siblings;
 
-import cacheproxy.policy.PolicyApi.Member;
-import cacheproxy.policy.PolicyApi.Outcome;
+import cacheproxy.policy.AttemptOutcome;
+import cacheproxy.policy.Endpoint;
 
 /**
  * What the decision module needs to know of sibling caches: who they are, whether asking them is worth the wait, what
@@ -9,7 +9,7 @@
  */
 public interface Siblings {
     /** Whether this member is a sibling, which is no place for keys. */
-    boolean is(Member member);
+    boolean is(Endpoint member);
 
     /**
      * How long siblings' answers about one key are worth waiting for; 0: they are not to be asked.
@@ -21,12 +21,12 @@
     double waitMs(double now, double fetchMs, double leftMs, double pressure);
 
     /** A value that a sibling has promised came, or did not. */
-    void fetched(double now, int sibling, Outcome outcome, double elapsedMs);
+    void fetched(double now, int sibling, AttemptOutcome outcome, double elapsedMs);
 
     /** None. */
     Siblings NONE = new Siblings() {
         @Override
-        public boolean is(Member member) {
+        public boolean is(Endpoint member) {
             return false;
         }
 
@@ -36,6 +36,6 @@
         }
 
         @Override
-        public void fetched(double now, int sibling, Outcome outcome, double elapsedMs) {}
+        public void fetched(double now, int sibling, AttemptOutcome outcome, double elapsedMs) {}
     };
 }
--- a/src/main/java/cacheproxy/simulation/FleetSimulation.java
+++ b/src/main/java/cacheproxy/simulation/FleetSimulation.java
@@ -2,11 +2,11 @@
 
 import cacheproxy.placement.CarpPlacement;
 import cacheproxy.policy.CarpHash;
+import cacheproxy.policy.Endpoint;
+import cacheproxy.policy.EndpointListKind;
+import cacheproxy.policy.EndpointState;
 import cacheproxy.policy.PolicyApi;
-import cacheproxy.policy.PolicyApi.ListKind;
-import cacheproxy.policy.PolicyApi.Member;
-import cacheproxy.policy.PolicyApi.Settings;
-import cacheproxy.policy.PolicyApi.State;
+import cacheproxy.policy.PolicySettings;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.List;
@@ -36,7 +36,7 @@
 
     /** Makes the module of a proxy that starts. */
     public interface Modules {
-        PolicyApi of(Settings settings, long seed);
+        PolicyApi of(PolicySettings settings, long seed);
     }
 
     final VirtualClock clock = new VirtualClock(START_MS);
@@ -126,15 +126,17 @@
         }
     }
 
-    static Member member(SimulatedServer n) {
-        return new Member(n.id, n.zone, 0, 0, n.draining ? State.DRAINING : State.READY, 1, n.bornMs());
+    static Endpoint member(SimulatedServer n) {
+        return new Endpoint(
+                n.id, n.zone, 0, 0, n.draining ? EndpointState.DRAINING : EndpointState.READY, 1, n.bornMs());
     }
 
     private void start(int p) {
-        Settings settings = plan.settings(p);
+        PolicySettings settings = plan.settings(p);
         proxies[p] = new SimulatedProxy(this, settings, modules.of(settings, random.nextLong()));
         proxies[p].list(
-                ListKind.CACHED, nodes.values().stream().filter(n -> !n.ended).toList());
+                EndpointListKind.CACHED,
+                nodes.values().stream().filter(n -> !n.ended).toList());
     }
 
     // ---- clients
@@ -233,7 +235,7 @@
             int me = p;
             clock.after(
                     random.nextInt(4) == 0 ? 6000 : 700 + random.nextDouble() * 2400,
-                    () -> proxies[me].list(ListKind.CHANGES, changed));
+                    () -> proxies[me].list(EndpointListKind.CHANGES, changed));
         }
     }
 
@@ -242,7 +244,7 @@
      * number would send it this one from all proxies at once. 0 if no node is cold.
      */
     private long keyOfAColdNode() {
-        List<Member> members = new ArrayList<>();
+        List<Endpoint> members = new ArrayList<>();
         nodes.values().stream().filter(n -> !n.draining && !n.ended).forEach(n -> members.add(member(n)));
         if (members.stream().noneMatch(m -> m.bornMs() > 0)) {
             return 0;
@@ -252,7 +254,7 @@
         for (long key = 1_000_000; ; key++) {
             int hash = CarpHash.keyHash(key);
             placement.rank(key, hash, 1, top);
-            Member m = members.get(top[0]);
+            Endpoint m = members.get(top[0]);
             if (m.bornMs() > 0 && lot(hash, CarpHash.memberHash(m.id())) < 0.01) {
                 return key;
             }
--- a/src/main/java/cacheproxy/simulation/FleetSimulationConfig.java
+++ b/src/main/java/cacheproxy/simulation/FleetSimulationConfig.java
@@ -1,11 +1,11 @@
 package cacheproxy.simulation;
 
-import cacheproxy.policy.PolicyApi.Effect;
-import cacheproxy.policy.PolicyApi.Group;
-import cacheproxy.policy.PolicyApi.Reports;
-import cacheproxy.policy.PolicyApi.ServiceClass;
-import cacheproxy.policy.PolicyApi.Settings;
-import cacheproxy.policy.PolicyApi.Tenant;
+import cacheproxy.policy.DeduplicationScope;
+import cacheproxy.policy.Idempotency;
+import cacheproxy.policy.LoadReportSource;
+import cacheproxy.policy.PolicySettings;
+import cacheproxy.policy.ServiceClass;
+import cacheproxy.policy.Tenant;
 import java.util.List;
 import java.util.Set;
 
@@ -35,11 +35,11 @@
     }
 
     /** What a proxy of this fleet is told: the slowest warm-up that the first users' settings allow, and no probes. */
-    Settings settings(int me) {
+    PolicySettings settings(int me) {
         List<ServiceClass> classes = List.of(
-                new ServiceClass("read", Effect.SAFE, Group.ALL, 0, 300, 1000, 1, 0.2, false),
-                new ServiceClass("write", Effect.UNSAFE, Group.ALL, 0, 300, 1000, 5, 0.2, false));
-        return new Settings(
+                new ServiceClass("read", Idempotency.SAFE, DeduplicationScope.ALL, 0, 300, 1000, 1, 0.2, false),
+                new ServiceClass("write", Idempotency.UNSAFE, DeduplicationScope.ALL, 0, 300, 1000, 5, 0.2, false));
+        return new PolicySettings(
                 me,
                 proxies,
                 me % zones,
@@ -48,7 +48,7 @@
                 false,
                 true,
                 1,
-                Reports.NONE,
+                LoadReportSource.NONE,
                 List.of(),
                 false,
                 0.1,
--- a/src/main/java/cacheproxy/simulation/SimulatedProxy.java
+++ b/src/main/java/cacheproxy/simulation/SimulatedProxy.java
@@ -1,13 +1,14 @@
 package cacheproxy.simulation;
 
+import cacheproxy.policy.AttemptOutcome;
+import cacheproxy.policy.AttemptResult;
+import cacheproxy.policy.Endpoint;
+import cacheproxy.policy.EndpointListKind;
+import cacheproxy.policy.EndpointState;
+import cacheproxy.policy.PolicyActions;
 import cacheproxy.policy.PolicyApi;
-import cacheproxy.policy.PolicyApi.AttemptEnd;
-import cacheproxy.policy.PolicyApi.ListKind;
-import cacheproxy.policy.PolicyApi.Member;
-import cacheproxy.policy.PolicyApi.Outcome;
-import cacheproxy.policy.PolicyApi.Request;
-import cacheproxy.policy.PolicyApi.Settings;
-import cacheproxy.policy.PolicyApi.State;
+import cacheproxy.policy.PolicySettings;
+import cacheproxy.policy.RoutingRequest;
 import java.util.ArrayList;
 import java.util.Collection;
 import java.util.HashMap;
@@ -15,7 +16,7 @@
 import java.util.Map;
 
 /** One proxy: the real module, with sockets that are the fleet's figures. Killed, it says nothing more. */
-final class SimulatedProxy implements PolicyApi.Actions {
+final class SimulatedProxy implements PolicyActions {
     /** One way, in milliseconds. */
     private static final double NEAR_MS = 0.2;
 
@@ -52,13 +53,13 @@
     }
 
     private final FleetSimulation fleet;
-    private final Settings settings;
+    private final PolicySettings settings;
     private final PolicyApi module;
     private final Map<Integer, Held> held = new HashMap<>();
     private final Map<Integer, Double> bornAsTold = new HashMap<>();
     private boolean dead;
 
-    SimulatedProxy(FleetSimulation fleet, Settings settings, PolicyApi module) {
+    SimulatedProxy(FleetSimulation fleet, PolicySettings settings, PolicyApi module) {
         this.fleet = fleet;
         this.settings = settings;
         this.module = module;
@@ -76,17 +77,17 @@
         return dead ? 0 : (int) held.values().stream().filter(h -> !h.answered).count();
     }
 
-    void list(ListKind kind, Collection<SimulatedServer> nodes) {
+    void list(EndpointListKind kind, Collection<SimulatedServer> nodes) {
         if (dead) {
             return;
         }
-        List<Member> members = new ArrayList<>();
+        List<Endpoint> members = new ArrayList<>();
         for (SimulatedServer n : nodes) {
             bornAsTold.put(n.id, n.bornMs());
             members.add(FleetSimulation.member(n));
         }
-        if (kind == ListKind.CACHED) {
-            members.add(new Member(SimulatedOrigin.ID, 0, 1, 0, State.READY, 1, 0));
+        if (kind == EndpointListKind.CACHED) {
+            members.add(new Endpoint(SimulatedOrigin.ID, 0, 1, 0, EndpointState.READY, 1, 0));
         }
         decide(() -> module.onList(now(), kind, members, this));
     }
@@ -98,7 +99,7 @@
                 TRY_MS,
                 () -> { // the sockets' own end of what is still out
                     for (int i = 0; i < h.outs.size(); i++) {
-                        end(id, i, Outcome.TIMEOUT);
+                        end(id, i, AttemptOutcome.TIMEOUT);
                     }
                 });
         fleet.clock.after(TRY_MS + 1, () -> {
@@ -108,7 +109,7 @@
         });
         decide(() -> module.onRequest(
                 now(),
-                new Request(
+                new RoutingRequest(
                         id,
                         a.write() ? FleetSimulationConfig.WRITE : FleetSimulationConfig.READ,
                         0,
@@ -132,7 +133,7 @@
         fleet.count(near, copy);
         double way = near ? NEAR_MS : FAR_MS;
         if (timeoutMs > 0) {
-            fleet.clock.after(timeoutMs, () -> end(request, attempt, Outcome.TIMEOUT));
+            fleet.clock.after(timeoutMs, () -> end(request, attempt, AttemptOutcome.TIMEOUT));
         }
         fleet.clock.after(way, () -> {
             if (n == null) {
@@ -149,25 +150,25 @@
         }
         if (n.ended || n.silent) {
             fleet.dead();
-            later(n.silent ? settings.connectTimeoutMs() : way, request, attempt, Outcome.CONNECT_FAILED);
+            later(n.silent ? settings.connectTimeoutMs() : way, request, attempt, AttemptOutcome.CONNECT_FAILED);
             return;
         }
         SimulatedServer.Taken taken = n.take(now(), h.ask.key(), 0.5 + fleet.random.nextDouble());
         if (taken == null) {
             fleet.full();
-            later(way, request, attempt, Outcome.FULL);
+            later(way, request, attempt, AttemptOutcome.FULL);
             return;
         }
         if (!taken.hit()) {
             h.missedAt = n;
         }
-        later(taken.atMs() - now() + way, request, attempt, taken.hit() ? Outcome.OK : Outcome.MISS);
+        later(taken.atMs() - now() + way, request, attempt, taken.hit() ? AttemptOutcome.OK : AttemptOutcome.MISS);
     }
 
     private void origin(int request, int attempt, Held h, double way) {
         double done = fleet.origin(h.ask.write());
         if (Double.isNaN(done)) {
-            later(way, request, attempt, Outcome.FULL);
+            later(way, request, attempt, AttemptOutcome.FULL);
             return;
         }
         if (h.ask.write()) {
@@ -177,28 +178,28 @@
             if (h.missedAt != null) {
                 h.missedAt.keep(h.ask.key());
             }
-            later(way, request, attempt, Outcome.OK);
+            later(way, request, attempt, AttemptOutcome.OK);
         });
     }
 
-    private void later(double ms, int request, int attempt, Outcome outcome) {
+    private void later(double ms, int request, int attempt, AttemptOutcome outcome) {
         fleet.clock.after(ms, () -> end(request, attempt, outcome));
     }
 
-    private void end(int request, int attempt, Outcome outcome) {
+    private void end(int request, int attempt, AttemptOutcome outcome) {
         Held h = held.get(request);
         if (dead || h == null || h.outs.get(attempt).ended) {
             return;
         }
         Out o = h.outs.get(attempt);
         o.ended = true;
-        if (outcome == Outcome.OK && !h.answered) {
+        if (outcome == AttemptOutcome.OK && !h.answered) {
             h.answered = true;
             fleet.served();
         }
         decide(() -> module.onAttemptEnd(
                 now(),
-                new AttemptEnd(request, attempt, o.server, outcome, now() - o.sentAt, h.answered, 0, null),
+                new AttemptResult(request, attempt, o.server, outcome, now() - o.sentAt, h.answered, 0, null),
                 this));
     }
 
@@ -224,7 +225,7 @@
 
     @Override
     public void cancel(int request, int attempt) {
-        later(0, request, attempt, Outcome.CANCELLED);
+        later(0, request, attempt, AttemptOutcome.CANCELLED);
     }
 
     @Override
--- a/src/main/java/cacheproxy/simulation/SimulatedServer.java
+++ b/src/main/java/cacheproxy/simulation/SimulatedServer.java
@@ -1,6 +1,6 @@
 package cacheproxy.simulation;
 
-import cacheproxy.policy.PolicyApi.Settings;
+import cacheproxy.policy.PolicySettings;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -22,7 +22,7 @@
     final int id;
     final int zone;
     final double speed;
-    private final Settings settings;
+    private final PolicySettings settings;
     private final Set<Long> kept = new HashSet<>();
     private final List<Sent> cold = new ArrayList<>();
     private double bornMs;
@@ -34,7 +34,7 @@
     boolean silent;
 
     /** Three in five are twice as fast as the others. */
-    SimulatedServer(int id, int zones, double bornMs, Settings settings) {
+    SimulatedServer(int id, int zones, double bornMs, PolicySettings settings) {
         this.id = id;
         this.zone = id % zones;
         this.bornMs = bornMs;
--- a/src/main/java/cacheproxy/simulator/ReplyEncoder.java
+++ b/src/main/java/cacheproxy/simulator/ReplyEncoder.java
@@ -1,6 +1,6 @@
 package cacheproxy.simulator;
 
-import cacheproxy.policy.PolicyApi.Actions;
+import cacheproxy.policy.PolicyActions;
 import java.io.IOException;
 import java.io.OutputStream;
 import java.nio.ByteBuffer;
@@ -9,7 +9,7 @@
 import java.util.Arrays;
 
 /** The reply to one batch: an instance's actions become the wire's records. */
-final class ReplyEncoder implements Actions {
+final class ReplyEncoder implements PolicyActions {
     private static final int HEADER = 12;
     private static final int RECORD = 24;
 
--- a/src/main/java/cacheproxy/simulator/SettingsParser.java
+++ b/src/main/java/cacheproxy/simulator/SettingsParser.java
@@ -1,11 +1,11 @@
 package cacheproxy.simulator;
 
-import cacheproxy.policy.PolicyApi.Effect;
-import cacheproxy.policy.PolicyApi.Group;
-import cacheproxy.policy.PolicyApi.Reports;
-import cacheproxy.policy.PolicyApi.ServiceClass;
-import cacheproxy.policy.PolicyApi.Settings;
-import cacheproxy.policy.PolicyApi.Tenant;
+import cacheproxy.policy.DeduplicationScope;
+import cacheproxy.policy.Idempotency;
+import cacheproxy.policy.LoadReportSource;
+import cacheproxy.policy.PolicySettings;
+import cacheproxy.policy.ServiceClass;
+import cacheproxy.policy.Tenant;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -34,10 +34,10 @@
 
     /** The settings as the module takes them; a SimulatorProtocolException names what is missing or wrong. */
     @SuppressWarnings("EnumOrdinal") // the order of declaration is the code on the wire, pinned by golden tests
-    public Settings settings() {
+    public PolicySettings settings() {
         List<String> zones = list("zones");
         List<String> kinds = list("kinds");
-        return new Settings(
+        return new PolicySettings(
                 integer("me"),
                 integer("balancers"),
                 integer("locality"),
@@ -46,7 +46,7 @@
                 oneOf("discovery", "push", "ask") == 1,
                 values.containsKey("extra.mode") && oneOf("extra.mode", "through", "aside") == 1,
                 (int) number("extra.origin-kind", -1),
-                Reports.values()[oneOf("report.how", "silent", "piggyback", "pull")],
+                LoadReportSource.values()[oneOf("report.how", "silent", "piggyback", "pull")],
                 list("report.names"),
                 oneOf("value-by", "request", "work") == 1,
                 number("over-share-worth", 1),
@@ -76,12 +76,14 @@
         List<ServiceClass> result = new ArrayList<>();
         for (int i = 0; i < integer("classes.count"); i++) {
             String p = "classes." + i + ".";
-            Effect effect = Effect.values()[oneOf(p + "idempotency", "retryable", "dedup", "fragile")];
-            boolean keyed = effect == Effect.KEYED;
+            Idempotency effect = Idempotency.values()[oneOf(p + "idempotency", "retryable", "dedup", "fragile")];
+            boolean keyed = effect == Idempotency.KEYED;
             result.add(new ServiceClass(
                     text(p + "name"),
                     effect,
-                    keyed ? Group.values()[oneOf(p + "group", "all", "zone", "cell")] : Group.ALL,
+                    keyed
+                            ? DeduplicationScope.values()[oneOf(p + "group", "all", "zone", "cell")]
+                            : DeduplicationScope.ALL,
                     keyed ? number(p + "window") : 0,
                     number(p + "promise"),
                     number(p + "deadline"),
--- a/src/main/java/cacheproxy/simulator/SimulatorAdapter.java
+++ b/src/main/java/cacheproxy/simulator/SimulatorAdapter.java
@@ -1,13 +1,13 @@
 package cacheproxy.simulator;
 
+import cacheproxy.policy.AttemptOutcome;
+import cacheproxy.policy.AttemptResult;
+import cacheproxy.policy.Endpoint;
+import cacheproxy.policy.EndpointListKind;
+import cacheproxy.policy.EndpointState;
 import cacheproxy.policy.PolicyApi;
-import cacheproxy.policy.PolicyApi.AttemptEnd;
-import cacheproxy.policy.PolicyApi.ListKind;
-import cacheproxy.policy.PolicyApi.Member;
-import cacheproxy.policy.PolicyApi.Outcome;
-import cacheproxy.policy.PolicyApi.Request;
-import cacheproxy.policy.PolicyApi.State;
 import cacheproxy.policy.RoutingPolicy;
+import cacheproxy.policy.RoutingRequest;
 import java.io.BufferedInputStream;
 import java.io.DataInputStream;
 import java.io.EOFException;
@@ -27,7 +27,9 @@
     private static final int HEADER = 20;
     private static final int RECORD = 48;
     private static final int ENTRY = 22;
-    private static final ListKind[] FORMS = {ListKind.FULL, ListKind.CHANGES, ListKind.CACHED, ListKind.FAILED};
+    private static final EndpointListKind[] FORMS = {
+        EndpointListKind.FULL, EndpointListKind.CHANGES, EndpointListKind.CACHED, EndpointListKind.FAILED
+    };
 
     private final DataInputStream in;
     private final OutputStream out;
@@ -147,7 +149,7 @@
             case 50 ->
                 target.onAttemptEnd(
                         now,
-                        new AttemptEnd(
+                        new AttemptResult(
                                 frame.getInt(at + 3),
                                 frame.get(at + 7) & 255,
                                 frame.getInt(at + 8),
@@ -168,9 +170,9 @@
         }
     }
 
-    private Request request(int at) {
+    private RoutingRequest request(int at) {
         int attrs = frame.getShort(at + 7);
-        return new Request(
+        return new RoutingRequest(
                 frame.getInt(at + 3),
                 frame.getShort(at + 41) & 0xFFFF,
                 frame.getInt(at + 25),
@@ -183,21 +185,21 @@
     }
 
     @SuppressWarnings("EnumOrdinal") // the order of declaration is the code on the wire, pinned by golden tests
-    private List<Member> members(int at) {
+    private List<Endpoint> members(int at) {
         int start = tailSpan(at, ENTRY);
         int count = frame.getInt(at + 4);
-        List<Member> list = new ArrayList<>(count);
+        List<Endpoint> list = new ArrayList<>(count);
         for (int e = start; e < start + count * ENTRY; e += ENTRY) {
             int phase = frame.get(e + 9) & 255;
             if (phase > 2) {
                 throw new SimulatorProtocolException("unknown phase " + phase);
             }
-            list.add(new Member(
+            list.add(new Endpoint(
                     frame.getInt(e),
                     frame.getShort(e + 4) & 0xFFFF,
                     frame.get(e + 6) & 255,
                     frame.getShort(e + 7) & 0xFFFF,
-                    State.values()[phase],
+                    EndpointState.values()[phase],
                     frame.getFloat(e + 10),
                     frame.getDouble(e + 14)));
         }
@@ -219,18 +221,18 @@
         return values;
     }
 
-    private Outcome outcome(int at) {
+    private AttemptOutcome outcome(int at) {
         int status = frame.getShort(at) & 0xFFFF;
         return switch (status) {
-            case 100 -> Outcome.OK;
-            case 101 -> Outcome.MISS;
-            case 301 -> Outcome.ERROR;
-            case 302 -> Outcome.FULL;
-            case 303 -> Outcome.TIMEOUT;
-            case 304 -> Outcome.CONNECT_FAILED;
-            case 305 -> Outcome.RESET;
-            case 306 -> Outcome.CANCELLED;
-            case 307 -> Outcome.NOT_SENT;
+            case 100 -> AttemptOutcome.OK;
+            case 101 -> AttemptOutcome.MISS;
+            case 301 -> AttemptOutcome.ERROR;
+            case 302 -> AttemptOutcome.FULL;
+            case 303 -> AttemptOutcome.TIMEOUT;
+            case 304 -> AttemptOutcome.CONNECT_FAILED;
+            case 305 -> AttemptOutcome.RESET;
+            case 306 -> AttemptOutcome.CANCELLED;
+            case 307 -> AttemptOutcome.NOT_SENT;
             default -> throw new SimulatorProtocolException("unknown status " + status);
         };
     }
--- a/src/test/java/cacheproxy/PolicyRecallTest.java
+++ b/src/test/java/cacheproxy/PolicyRecallTest.java
@@ -2,10 +2,10 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.policy.PolicyApi.Group;
-import cacheproxy.policy.PolicyApi.Outcome;
-import cacheproxy.policy.PolicyApi.Request;
-import cacheproxy.policy.PolicyApi.State;
+import cacheproxy.policy.AttemptOutcome;
+import cacheproxy.policy.DeduplicationScope;
+import cacheproxy.policy.EndpointState;
+import cacheproxy.policy.RoutingRequest;
 import cacheproxy.snapshot.state.LearnedHotKey;
 import cacheproxy.snapshot.state.LearnedHotKeys;
 import cacheproxy.snapshot.state.LearnedLatency;
@@ -22,7 +22,7 @@
 /** What the module tells of what it has learned, and what it makes of what it is told. */
 class PolicyRecallTest {
     private static Rig rig(int servers) {
-        return new Rig(Rig.withoutProbes(Rig.settings(true, false, true, Group.ALL))).fleet(servers);
+        return new Rig(Rig.withoutProbes(Rig.settings(true, false, true, DeduplicationScope.ALL))).fleet(servers);
     }
 
     private static LearnedState bad(double shunnedForMs, int... ids) {
@@ -45,7 +45,7 @@
             int before = rig.placed.size();
             rig.read(i, 1000L + i);
             at.add(rig.placed.get(before).server());
-            rig.endAfter(rig.placed.get(before), Outcome.OK, 5);
+            rig.endAfter(rig.placed.get(before), AttemptOutcome.OK, 5);
         }
         return at;
     }
@@ -55,8 +55,8 @@
         Rig first = rig(4);
         first.read(1, 7);
         int slow = first.last().server();
-        first.end(first.last(), Outcome.TIMEOUT);
-        first.endAfter(first.last(), Outcome.OK, 5);
+        first.end(first.last(), AttemptOutcome.TIMEOUT);
+        first.endAfter(first.last(), AttemptOutcome.OK, 5);
         LearnedState told = first.policy.knowledge(first.now, 10);
         assertThat(told.servers()).singleElement().satisfies(s -> {
             assertThat(s.id()).isEqualTo(slow);
@@ -86,7 +86,7 @@
                 .as("one trial")
                 .hasSize(1);
         rig.endAfter(
-                rig.placed.stream().filter(p -> p.server() == 2).findFirst().orElseThrow(), Outcome.OK, 5);
+                rig.placed.stream().filter(p -> p.server() == 2).findFirst().orElseThrow(), AttemptOutcome.OK, 5);
         assertThat(firsts(rig, 200, 60)).contains(2);
         assertThat(rig.policy.knowledge(rig.now, 10).servers()).isEmpty();
     }
@@ -102,12 +102,12 @@
     @Test
     void itHoldsForTheSameProcessOnTheListAndNotAgainstWhatWasSeenSince() {
         Rig rig = rig(4);
-        rig.change(Rig.member(3, State.READY, 500));
+        rig.change(Rig.member(3, EndpointState.READY, 500));
         rig.policy.recall(
                 rig.now, bad(8000, 3, 77, Rig.ORIGIN)); // 3 has restarted, 77 is not there, the origin is no choice
         rig.pass(10_000);
         assertThat(firsts(rig, 1, 100)).contains(3);
-        rig.end(placedAt(rig, 1), Outcome.CONNECT_FAILED);
+        rig.end(placedAt(rig, 1), AttemptOutcome.CONNECT_FAILED);
         LearnedState before = rig.policy.knowledge(rig.now, 0);
         rig.policy.recall(rig.now, bad(1, 1));
         assertThat(rig.policy.knowledge(rig.now, 0).servers()).isEqualTo(before.servers());
@@ -146,7 +146,7 @@
             int fresh = 1 + random.nextInt(servers);
             for (Rig r : List.of(with, without)) {
                 r.now = 1e12;
-                r.change(Rig.member(fresh, State.READY, r.now - age));
+                r.change(Rig.member(fresh, EndpointState.READY, r.now - age));
             }
             with.policy.recall(with.now, worst);
             for (int i = 1; i <= 100; i++) {
@@ -200,7 +200,7 @@
                 Rig rig = rig(8);
                 rig.now = 1e12;
                 for (int id = 1; id <= 8; id++) {
-                    rig.change(Rig.member(id, State.READY, rig.now - 7900));
+                    rig.change(Rig.member(id, EndpointState.READY, rig.now - 7900));
                 }
                 if (k == 1) {
                     rig.policy.recall(
@@ -251,11 +251,11 @@
         for (int i = 1; i <= unanswered + 100; i++) {
             int before = rig.denied.size();
             rig.read(i, 5000L + i);
-            rig.end(rig.last(), Outcome.MISS);
+            rig.end(rig.last(), AttemptOutcome.MISS);
             if (i > unanswered) {
                 refused += rig.denied.size() > before ? 1 : 0;
                 if (rig.last().request() == i && rig.last().server() == Rig.ORIGIN) {
-                    rig.endAfter(rig.last(), Outcome.OK, 5);
+                    rig.endAfter(rig.last(), AttemptOutcome.OK, 5);
                 }
             }
         }
@@ -268,10 +268,10 @@
         for (int i = 1; i <= 200; i++) {
             first.policy.onRequest(
                     first.now,
-                    new Request(
+                    new RoutingRequest(
                             i, Rig.SAFE, 0, i % 2 == 0 ? 99 : 1000 + i, first.now + 1000, Double.NaN, 0, false, false),
                     first);
-            first.endAfter(first.last(), Outcome.OK, 5);
+            first.endAfter(first.last(), AttemptOutcome.OK, 5);
         }
         LearnedState told = first.policy.knowledge(first.now, 10);
         assertThat(told.hotKeys().keys()).first().satisfies(k -> {
@@ -301,7 +301,7 @@
         Rig rig = rig(300);
         for (int i = 1; i <= 60_000; i++) {
             rig.read(i, i / 6); // each hot for a moment, while few were asked for
-            rig.endAfter(rig.last(), Outcome.OK, 5);
+            rig.endAfter(rig.last(), AttemptOutcome.OK, 5);
         }
         assertThat(rig.policy.knowledge(rig.now, Integer.MAX_VALUE).hotKeys().keys())
                 .hasSizeLessThanOrEqualTo(256)
--- a/src/test/java/cacheproxy/PolicySiblingsTest.java
+++ b/src/test/java/cacheproxy/PolicySiblingsTest.java
@@ -4,12 +4,12 @@
 
 import cacheproxy.placement.AdmissionControl;
 import cacheproxy.placement.CarpPlacement;
-import cacheproxy.policy.PolicyApi.Group;
-import cacheproxy.policy.PolicyApi.ListKind;
-import cacheproxy.policy.PolicyApi.Member;
-import cacheproxy.policy.PolicyApi.Outcome;
-import cacheproxy.policy.PolicyApi.Settings;
-import cacheproxy.policy.PolicyApi.State;
+import cacheproxy.policy.AttemptOutcome;
+import cacheproxy.policy.DeduplicationScope;
+import cacheproxy.policy.Endpoint;
+import cacheproxy.policy.EndpointListKind;
+import cacheproxy.policy.EndpointState;
+import cacheproxy.policy.PolicySettings;
 import cacheproxy.policy.RoutingPolicy;
 import cacheproxy.siblings.Siblings;
 import java.util.ArrayList;
@@ -21,12 +21,12 @@
 class PolicySiblingsTest {
     private static final int SIBLING = 7000;
     private double wait = 20;
-    private final List<Outcome> fetched = new ArrayList<>();
+    private final List<AttemptOutcome> fetched = new ArrayList<>();
     private final List<Double> pressures = new ArrayList<>();
 
     private final Siblings siblings = new Siblings() {
         @Override
-        public boolean is(Member member) {
+        public boolean is(Endpoint member) {
             return member.id() == SIBLING;
         }
 
@@ -37,23 +37,27 @@
         }
 
         @Override
-        public void fetched(double now, int sibling, Outcome outcome, double elapsedMs) {
+        public void fetched(double now, int sibling, AttemptOutcome outcome, double elapsedMs) {
             fetched.add(outcome);
         }
     };
 
     private Rig rig(boolean copies) {
-        Settings s = Rig.withoutProbes(Rig.settings(true, false, copies, Group.ALL));
+        PolicySettings s = Rig.withoutProbes(Rig.settings(true, false, copies, DeduplicationScope.ALL));
         Rig rig = new Rig(s, new RoutingPolicy(s, 42, CarpPlacement::new, AdmissionControl.UNLIMITED, siblings));
         rig.fleet(4);
-        rig.policy.onList(rig.now, ListKind.CHANGES, List.of(new Member(SIBLING, 0, 0, 0, State.READY, 1, 0)), rig);
+        rig.policy.onList(
+                rig.now,
+                EndpointListKind.CHANGES,
+                List.of(new Endpoint(SIBLING, 0, 0, 0, EndpointState.READY, 1, 0)),
+                rig);
         return rig;
     }
 
     /** A read that has missed at its node. */
     private static void miss(Rig rig, int id, long key) {
         rig.read(id, key);
-        rig.end(rig.last(), Outcome.MISS);
+        rig.end(rig.last(), AttemptOutcome.MISS);
     }
 
     @Test
@@ -62,7 +66,7 @@
         for (int i = 1; i <= 200; i++) {
             rig.read(i, i * 7919L);
             assertThat(rig.last().server()).isNotEqualTo(SIBLING);
-            rig.endAfter(rig.last(), Outcome.OK, 5);
+            rig.endAfter(rig.last(), AttemptOutcome.OK, 5);
         }
         miss(rig, 500, 1);
         assertThat(rig.asked).containsExactly(500);
@@ -75,10 +79,10 @@
         miss(rig, 1, 5);
         rig.policy.onSibling(rig.now, 1, SIBLING, rig);
         assertThat(rig.last().server()).isEqualTo(SIBLING);
-        rig.endAfter(rig.last(), Outcome.OK, 4);
+        rig.endAfter(rig.last(), AttemptOutcome.OK, 4);
         rig.pass(2000);
         assertThat(rig.placed).hasSize(2).noneMatch(p -> p.server() == Rig.ORIGIN);
-        assertThat(fetched).containsExactly(Outcome.OK);
+        assertThat(fetched).containsExactly(AttemptOutcome.OK);
         assertThat(rig.answers()).isZero();
         assertThat(rig.policy.knowledge(rig.now, 0).servers()).isEmpty();
     }
@@ -105,15 +109,20 @@
 
     @Test
     void aSiblingThatLiesFailsOrIsSilentCostsOneAttempt() {
-        for (Outcome o : new Outcome[] {
-            Outcome.MISS, Outcome.ERROR, Outcome.FULL, Outcome.RESET, Outcome.CONNECT_FAILED, Outcome.TIMEOUT
+        for (AttemptOutcome o : new AttemptOutcome[] {
+            AttemptOutcome.MISS,
+            AttemptOutcome.ERROR,
+            AttemptOutcome.FULL,
+            AttemptOutcome.RESET,
+            AttemptOutcome.CONNECT_FAILED,
+            AttemptOutcome.TIMEOUT
         }) {
             Rig rig = rig(true);
             miss(rig, 1, 5);
             rig.policy.onSibling(rig.now, 1, SIBLING, rig);
             rig.end(rig.last(), o);
             assertThat(rig.last().server()).as(o.name()).isEqualTo(Rig.ORIGIN);
-            rig.endAfter(rig.last(), Outcome.OK, 10);
+            rig.endAfter(rig.last(), AttemptOutcome.OK, 10);
             assertThat(rig.answers()).isZero();
             assertThat(rig.asked).hasSize(1);
             assertThat(fetched).last().isEqualTo(o);
@@ -136,7 +145,7 @@
         }
         assertThat(rig.asked).containsExactly(1);
         rig.policy.onSibling(rig.now, 1, SIBLING, rig);
-        rig.endAfter(rig.last(), Outcome.OK, 4);
+        rig.endAfter(rig.last(), AttemptOutcome.OK, 4);
         assertThat(rig.placed.stream().filter(p -> p.server() == SIBLING).map(Rig.Placed::request))
                 .containsExactly(1, 2, 3, 4);
         rig.end(
@@ -144,7 +153,7 @@
                         .filter(p -> p.server() == SIBLING && p.request() == 3)
                         .findFirst()
                         .orElseThrow(),
-                Outcome.MISS);
+                AttemptOutcome.MISS);
         assertThat(rig.last()).as("its word did not hold for the third").satisfies(p -> {
             assertThat(p.server()).isEqualTo(Rig.ORIGIN);
             assertThat(p.request()).isEqualTo(3);
@@ -162,7 +171,7 @@
             }
             rig.policy.onGone(rig.now, 1, rig);
             if (atSibling) {
-                rig.end(rig.last(), Outcome.RESET);
+                rig.end(rig.last(), AttemptOutcome.RESET);
             }
             rig.pass(25);
             assertThat(rig.placed.stream()
@@ -182,9 +191,9 @@
         Rig rig = rig(true);
         rig.write(1, Rig.KEYED);
         rig.write(2, Rig.UNSAFE);
-        rig.end(rig.last(), Outcome.RESET);
+        rig.end(rig.last(), AttemptOutcome.RESET);
         rig.read(3, 9);
-        rig.end(rig.last(), Outcome.CONNECT_FAILED);
+        rig.end(rig.last(), AttemptOutcome.CONNECT_FAILED);
         assertThat(rig.asked).isEmpty();
         assertThat(rig.placed).noneMatch(p -> p.server() == SIBLING);
         wait = 0;
@@ -199,7 +208,14 @@
     @Test
     void anyOrderOfEventsLeavesEachRequestWithOneEnd() {
         SplittableRandom random = new SplittableRandom(8);
-        Outcome[] outcomes = {Outcome.OK, Outcome.MISS, Outcome.ERROR, Outcome.RESET, Outcome.TIMEOUT, Outcome.FULL};
+        AttemptOutcome[] outcomes = {
+            AttemptOutcome.OK,
+            AttemptOutcome.MISS,
+            AttemptOutcome.ERROR,
+            AttemptOutcome.RESET,
+            AttemptOutcome.TIMEOUT,
+            AttemptOutcome.FULL
+        };
         for (int round = 0; round < 300; round++) {
             Rig rig = rig(random.nextBoolean());
             List<Rig.Placed> open = new ArrayList<>();
@@ -216,10 +232,10 @@
                     case 2, 3 -> {
                         if (!open.isEmpty()) {
                             Rig.Placed p = open.remove(random.nextInt(open.size()));
-                            Outcome o = p.server() < 100 && random.nextInt(3) > 0
-                                    ? Outcome.MISS
+                            AttemptOutcome o = p.server() < 100 && random.nextInt(3) > 0
+                                    ? AttemptOutcome.MISS
                                     : outcomes[random.nextInt(outcomes.length)];
-                            boolean first = o == Outcome.OK
+                            boolean first = o == AttemptOutcome.OK
                                     && !ended.contains(p.request())
                                     && !rig.denied.contains(p.request())
                                     && !rig.failed.contains(p.request());
@@ -245,7 +261,7 @@
             for (; seen < rig.placed.size(); seen++) {
                 open.add(rig.placed.get(seen));
             }
-            open.forEach(p -> rig.end(p, Outcome.TIMEOUT));
+            open.forEach(p -> rig.end(p, AttemptOutcome.TIMEOUT));
             rig.pass(5000);
             for (int id = 1; id <= n; id++) {
                 int request = id;
--- a/src/test/java/cacheproxy/RandomRulesTest.java
+++ b/src/test/java/cacheproxy/RandomRulesTest.java
@@ -2,18 +2,18 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.policy.PolicyApi;
-import cacheproxy.policy.PolicyApi.AttemptEnd;
-import cacheproxy.policy.PolicyApi.Effect;
-import cacheproxy.policy.PolicyApi.Group;
-import cacheproxy.policy.PolicyApi.ListKind;
-import cacheproxy.policy.PolicyApi.Member;
-import cacheproxy.policy.PolicyApi.Outcome;
-import cacheproxy.policy.PolicyApi.Request;
-import cacheproxy.policy.PolicyApi.ServiceClass;
-import cacheproxy.policy.PolicyApi.Settings;
-import cacheproxy.policy.PolicyApi.State;
+import cacheproxy.policy.AttemptOutcome;
+import cacheproxy.policy.AttemptResult;
+import cacheproxy.policy.DeduplicationScope;
+import cacheproxy.policy.Endpoint;
+import cacheproxy.policy.EndpointListKind;
+import cacheproxy.policy.EndpointState;
+import cacheproxy.policy.Idempotency;
+import cacheproxy.policy.PolicyActions;
+import cacheproxy.policy.PolicySettings;
 import cacheproxy.policy.RoutingPolicy;
+import cacheproxy.policy.RoutingRequest;
+import cacheproxy.policy.ServiceClass;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -28,8 +28,8 @@
 /** Long random legal event sequences, every order checked against the rules and the wire's faults. */
 class RandomRulesTest {
     @SuppressWarnings("EnumOrdinal") // draws a constant, or checks its code on the wire
-    private static Settings settings(int n) {
-        return Rig.settings((n & 1) == 0, (n & 2) != 0, (n & 4) != 0, Group.values()[n % 3]);
+    private static PolicySettings settings(int n) {
+        return Rig.settings((n & 1) == 0, (n & 2) != 0, (n & 4) != 0, DeduplicationScope.values()[n % 3]);
     }
 
     @ParameterizedTest
@@ -54,12 +54,12 @@
 
     /** What the world knows of a request: the rules are judged by this, not by the module's own books. */
     private static final class Held {
-        Request request;
+        RoutingRequest request;
         ServiceClass kind;
         boolean over;
         final List<Integer> servers = new ArrayList<>();
         final List<Double> sentAt = new ArrayList<>();
-        final List<Outcome> outcomes = new ArrayList<>();
+        final List<AttemptOutcome> outcomes = new ArrayList<>();
 
         long out() {
             return outcomes.stream().filter(o -> o == null).count();
@@ -76,13 +76,13 @@
         }
     }
 
-    private static final class World implements PolicyApi.Actions {
-        final Settings cfg;
+    private static final class World implements PolicyActions {
+        final PolicySettings cfg;
         final Random random;
         final RoutingPolicy policy;
         final Map<Integer, Held> held = new HashMap<>();
         final List<Held> live = new ArrayList<>();
-        final Map<Integer, Member> list = new HashMap<>();
+        final Map<Integer, Endpoint> list = new HashMap<>();
         final Set<Integer> everListed = new HashSet<>();
         final List<double[]> timers = new ArrayList<>();
         final List<String> orders = new ArrayList<>();
@@ -91,22 +91,22 @@
         int answered;
         int placed;
 
-        World(Settings cfg, long seed) {
+        World(PolicySettings cfg, long seed) {
             this.cfg = cfg;
             random = new Random(seed);
             policy = new RoutingPolicy(cfg, seed);
-            List<Member> first = new ArrayList<>();
+            List<Endpoint> first = new ArrayList<>();
             for (int id = 1; id <= 10; id++) {
-                first.add(Rig.member(id, State.READY, 0));
+                first.add(Rig.member(id, EndpointState.READY, 0));
             }
             if (cfg.aside()) {
-                first.add(Rig.member(Rig.ORIGIN, State.READY, 0));
+                first.add(Rig.member(Rig.ORIGIN, EndpointState.READY, 0));
             }
-            send(ListKind.CACHED, first);
+            send(EndpointListKind.CACHED, first);
         }
 
-        private void send(ListKind kind, List<Member> members) {
-            if (kind != ListKind.CHANGES && kind != ListKind.FAILED) {
+        private void send(EndpointListKind kind, List<Endpoint> members) {
+            if (kind != EndpointListKind.CHANGES && kind != EndpointListKind.FAILED) {
                 list.clear();
             }
             members.forEach(m -> {
@@ -136,7 +136,7 @@
                         policy.onProbed(
                                 now,
                                 1 + random.nextInt(12),
-                                random.nextBoolean() ? Outcome.OK : Outcome.TIMEOUT,
+                                random.nextBoolean() ? AttemptOutcome.OK : AttemptOutcome.TIMEOUT,
                                 3,
                                 null,
                                 this);
@@ -170,7 +170,7 @@
         private void arrive() {
             Held h = new Held();
             int c = random.nextInt(3);
-            h.request = new Request(
+            h.request = new RoutingRequest(
                     nextId++,
                     c,
                     0,
@@ -191,19 +191,19 @@
             int id = 1 + random.nextInt(12);
             int roll = random.nextInt(6);
             if (roll == 0 && cfg.askForList()) {
-                policy.onList(now, ListKind.FAILED, List.of(), this);
+                policy.onList(now, EndpointListKind.FAILED, List.of(), this);
             } else if (roll == 1) {
                 send(
-                        ListKind.FULL,
+                        EndpointListKind.FULL,
                         List.copyOf(list.values().stream()
-                                .filter(m -> m.state() != State.GONE)
+                                .filter(m -> m.state() != EndpointState.GONE)
                                 .toList()));
             } else {
                 send(
-                        ListKind.CHANGES,
+                        EndpointListKind.CHANGES,
                         List.of(Rig.member(
                                 cfg.aside() && roll == 2 ? Rig.ORIGIN : id,
-                                State.values()[random.nextInt(3)],
+                                EndpointState.values()[random.nextInt(3)],
                                 random.nextBoolean() ? 0 : now)));
             }
         }
@@ -221,20 +221,20 @@
             for (Held h : List.copyOf(live)) {
                 for (int a = 0; a < h.outcomes.size(); a++) {
                     if (h.outcomes.get(a) == null && random.nextInt(12) == 0) {
-                        end(h, a, Outcome.values()[random.nextInt(Outcome.values().length)]);
+                        end(h, a, AttemptOutcome.values()[random.nextInt(AttemptOutcome.values().length)]);
                     }
                 }
             }
         }
 
-        private void end(Held h, int a, Outcome outcome) {
+        private void end(Held h, int a, AttemptOutcome outcome) {
             h.outcomes.set(a, outcome);
-            if (outcome == Outcome.OK) {
+            if (outcome == AttemptOutcome.OK) {
                 h.over = true;
             }
             policy.onAttemptEnd(
                     now,
-                    new AttemptEnd(
+                    new AttemptResult(
                             h.request.id(),
                             a,
                             h.servers.get(a),
@@ -253,7 +253,7 @@
             assertThat(h.over).as(what + " after its end").isFalse();
             assertThat(everListed).as(what + " was listed").contains(server);
             assertThat(list.get(server)).as(what + " is on the list").isNotNull();
-            assertThat(list.get(server).state()).as(what).isEqualTo(State.READY);
+            assertThat(list.get(server).state()).as(what).isEqualTo(EndpointState.READY);
             assertThat(h.servers.size()).as(what + ": attempts").isLessThan(cfg.maxAttempts());
             assertThat(timeoutMs).as(what).isNotNegative();
             assertThat(h.out() == 0 || cfg.secondCopies())
@@ -261,8 +261,8 @@
                     .isTrue();
             int maybe = h.maybeRan();
             if (maybe >= 0) {
-                assertThat(h.kind.effect()).as(what + " again").isNotEqualTo(Effect.UNSAFE);
-                if (h.kind.effect() == Effect.KEYED) {
+                assertThat(h.kind.effect()).as(what + " again").isNotEqualTo(Idempotency.UNSAFE);
+                if (h.kind.effect() == Idempotency.KEYED) {
                     assertThat(now).as(what).isLessThan(h.sentAt.get(maybe) + h.kind.windowMs());
                     int first = h.servers.get(maybe);
                     boolean same = switch (h.kind.group()) {
@@ -295,7 +295,7 @@
         public void deny(int request, double retryAfterMs) {
             Held h = held.get(request);
             if (h.maybeRan() >= 0) {
-                assertThat(h.kind.effect()).as("refusal of %d", request).isEqualTo(Effect.SAFE);
+                assertThat(h.kind.effect()).as("refusal of %d", request).isEqualTo(Idempotency.SAFE);
             }
             answer(request);
             orders.add("deny " + request);
--- a/src/test/java/cacheproxy/Rig.java
+++ b/src/test/java/cacheproxy/Rig.java
@@ -1,26 +1,26 @@
 package cacheproxy;
 
-import cacheproxy.policy.PolicyApi;
-import cacheproxy.policy.PolicyApi.AttemptEnd;
-import cacheproxy.policy.PolicyApi.Effect;
-import cacheproxy.policy.PolicyApi.Group;
-import cacheproxy.policy.PolicyApi.ListKind;
-import cacheproxy.policy.PolicyApi.Member;
-import cacheproxy.policy.PolicyApi.Outcome;
-import cacheproxy.policy.PolicyApi.Reports;
-import cacheproxy.policy.PolicyApi.Request;
-import cacheproxy.policy.PolicyApi.ServiceClass;
-import cacheproxy.policy.PolicyApi.Settings;
-import cacheproxy.policy.PolicyApi.State;
-import cacheproxy.policy.PolicyApi.Tenant;
+import cacheproxy.policy.AttemptOutcome;
+import cacheproxy.policy.AttemptResult;
+import cacheproxy.policy.DeduplicationScope;
+import cacheproxy.policy.Endpoint;
+import cacheproxy.policy.EndpointListKind;
+import cacheproxy.policy.EndpointState;
+import cacheproxy.policy.Idempotency;
+import cacheproxy.policy.LoadReportSource;
+import cacheproxy.policy.PolicyActions;
+import cacheproxy.policy.PolicySettings;
 import cacheproxy.policy.RoutingPolicy;
+import cacheproxy.policy.RoutingRequest;
+import cacheproxy.policy.ServiceClass;
+import cacheproxy.policy.Tenant;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
 
 /** One instance with its orders written down; time is a field the tests move. */
-public final class Rig implements PolicyApi.Actions {
+public final class Rig implements PolicyActions {
     public static final int ORIGIN = 9000;
     public static final int SAFE = 0;
     public static final int KEYED = 1;
@@ -48,30 +48,35 @@
     public int watches;
     public double now = 1000;
 
-    public Rig(Settings settings) {
+    public Rig(PolicySettings settings) {
         this(settings, new RoutingPolicy(settings, 42));
     }
 
-    public Rig(Settings settings, RoutingPolicy policy) {
+    public Rig(PolicySettings settings, RoutingPolicy policy) {
         this.policy = policy;
     }
 
-    public static Settings settings(boolean aside, boolean ask, boolean copies, Group group) {
+    public static PolicySettings settings(boolean aside, boolean ask, boolean copies, DeduplicationScope group) {
         return settings(aside, ask, copies, group, List.of(new Tenant("a", 1, 100)));
     }
 
     /** Two tenants with these quotas; what they send over them is worth a tenth. */
-    public static Settings tenants(double first, double second) {
+    public static PolicySettings tenants(double first, double second) {
         return settings(
-                true, false, false, Group.ALL, List.of(new Tenant("a", 0.5, first), new Tenant("b", 0.5, second)));
+                true,
+                false,
+                false,
+                DeduplicationScope.ALL,
+                List.of(new Tenant("a", 0.5, first), new Tenant("b", 0.5, second)));
     }
 
-    private static Settings settings(boolean aside, boolean ask, boolean copies, Group group, List<Tenant> tenants) {
+    private static PolicySettings settings(
+            boolean aside, boolean ask, boolean copies, DeduplicationScope group, List<Tenant> tenants) {
         List<ServiceClass> classes = List.of(
-                new ServiceClass("read", Effect.SAFE, Group.ALL, 0, 300, 1000, 1, 0.2, false),
-                new ServiceClass("save", Effect.KEYED, group, 400, 300, 1000, 1, 0.2, false),
-                new ServiceClass("pay", Effect.UNSAFE, Group.ALL, 0, 300, 1000, 1, 0.2, false));
-        return new Settings(
+                new ServiceClass("read", Idempotency.SAFE, DeduplicationScope.ALL, 0, 300, 1000, 1, 0.2, false),
+                new ServiceClass("save", Idempotency.KEYED, group, 400, 300, 1000, 1, 0.2, false),
+                new ServiceClass("pay", Idempotency.UNSAFE, DeduplicationScope.ALL, 0, 300, 1000, 1, 0.2, false));
+        return new PolicySettings(
                 0,
                 4,
                 0,
@@ -80,7 +85,7 @@
                 ask,
                 aside,
                 aside ? 1 : -1,
-                Reports.NONE,
+                LoadReportSource.NONE,
                 List.of(),
                 false,
                 0.1,
@@ -106,9 +111,9 @@
     }
 
     /** The same, where servers may not be probed. */
-    public static Settings withoutProbes(Settings s) {
-        return new Settings(
-                s.me(),
+    public static PolicySettings withoutProbes(PolicySettings s) {
+        return new PolicySettings(
+                s.instanceNumber(),
                 s.instances(),
                 s.zone(),
                 s.zones(),
@@ -143,53 +148,53 @@
 
     /** Aside mode, list pushed, no second copies: the ordinary case. */
     public static Rig aside() {
-        return new Rig(settings(true, false, false, Group.ALL));
+        return new Rig(settings(true, false, false, DeduplicationScope.ALL));
     }
 
-    public static Member member(int id, State state, double born) {
-        return new Member(id, id % 2, id == ORIGIN ? 1 : 0, id / 4, state, 1, born);
+    public static Endpoint member(int id, EndpointState state, double born) {
+        return new Endpoint(id, id % 2, id == ORIGIN ? 1 : 0, id / 4, state, 1, born);
     }
 
     /** Servers 1 to n, and the origin, all ready for long. */
     public Rig fleet(int n) {
-        List<Member> list = new ArrayList<>();
-        list.add(member(ORIGIN, State.READY, 0));
+        List<Endpoint> list = new ArrayList<>();
+        list.add(member(ORIGIN, EndpointState.READY, 0));
         for (int id = 1; id <= n; id++) {
-            list.add(member(id, State.READY, 0));
+            list.add(member(id, EndpointState.READY, 0));
         }
-        policy.onList(now, ListKind.CACHED, list, this);
+        policy.onList(now, EndpointListKind.CACHED, list, this);
         return this;
     }
 
-    public void change(Member... members) {
-        policy.onList(now, ListKind.CHANGES, List.of(members), this);
+    public void change(Endpoint... members) {
+        policy.onList(now, EndpointListKind.CHANGES, List.of(members), this);
     }
 
     public void read(int id, long key) {
-        policy.onRequest(now, new Request(id, SAFE, 0, key, now + 1000, Double.NaN, 0, false, false), this);
+        policy.onRequest(now, new RoutingRequest(id, SAFE, 0, key, now + 1000, Double.NaN, 0, false, false), this);
     }
 
     public void write(int id, int serviceClass) {
-        policy.onRequest(now, new Request(id, serviceClass, 0, 7, now + 1000, Double.NaN, 0, true, false), this);
+        policy.onRequest(now, new RoutingRequest(id, serviceClass, 0, 7, now + 1000, Double.NaN, 0, true, false), this);
     }
 
     public Placed last() {
         return placed.get(placed.size() - 1);
     }
 
-    public void end(Placed p, Outcome outcome) {
-        end(p, outcome, outcome == Outcome.OK, 0);
+    public void end(Placed p, AttemptOutcome outcome) {
+        end(p, outcome, outcome == AttemptOutcome.OK, 0);
     }
 
-    public void end(Placed p, Outcome outcome, boolean over, int note) {
+    public void end(Placed p, AttemptOutcome outcome, boolean over, int note) {
         policy.onAttemptEnd(
-                now, new AttemptEnd(p.request(), p.attempt(), p.server(), outcome, 10, over, note, null), this);
+                now, new AttemptResult(p.request(), p.attempt(), p.server(), outcome, 10, over, note, null), this);
     }
 
     /** Ends an attempt with its final answer after so long. */
-    public void endAfter(Placed p, Outcome outcome, double elapsedMs) {
+    public void endAfter(Placed p, AttemptOutcome outcome, double elapsedMs) {
         policy.onAttemptEnd(
-                now, new AttemptEnd(p.request(), p.attempt(), p.server(), outcome, elapsedMs, true, 0, null), this);
+                now, new AttemptResult(p.request(), p.attempt(), p.server(), outcome, elapsedMs, true, 0, null), this);
     }
 
     /** Moves time on, firing the timers that come due, in order. */
--- a/src/test/java/cacheproxy/discovery/SilentWatchDetectorTest.java
+++ b/src/test/java/cacheproxy/discovery/SilentWatchDetectorTest.java
@@ -2,8 +2,8 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.policy.PolicyApi.Member;
-import cacheproxy.policy.PolicyApi.State;
+import cacheproxy.policy.Endpoint;
+import cacheproxy.policy.EndpointState;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.stream.IntStream;
@@ -13,8 +13,8 @@
 class SilentWatchDetectorTest {
     private final SilentWatchDetector detector = new SilentWatchDetector(3500, 1000, 200);
 
-    private static Member member(int id, State state) {
-        return new Member(id, 0, 0, 0, state, 1, 0);
+    private static Endpoint member(int id, EndpointState state) {
+        return new Endpoint(id, 0, 0, 0, state, 1, 0);
     }
 
     private void listReadyServers(int servers) {
@@ -22,7 +22,7 @@
                 41,
                 true,
                 IntStream.rangeClosed(1, servers)
-                        .mapToObj(i -> member(i, State.READY))
+                        .mapToObj(i -> member(i, EndpointState.READY))
                         .toList());
     }
 
@@ -74,7 +74,7 @@
     @Test
     void ignoresRefusalsOfServersNotReady() {
         listReadyServers(60);
-        detector.listReceived(42, false, List.of(member(7, State.DRAINING), member(8, State.GONE)));
+        detector.listReceived(42, false, List.of(member(7, EndpointState.DRAINING), member(8, EndpointState.GONE)));
         detector.connectionRefused(0, 7);
         detector.connectionRefused(0, 8);
         detector.connectionRefused(0, 61);
@@ -91,12 +91,13 @@
             waits.add(detector.nextPollAtMs() - nowMs);
             nowMs = detector.nextPollAtMs();
             assertThat(detector.takeDuePoll(nowMs)).isTrue();
-            detector.listReceived(42, false, List.of(member(9, State.READY))); // a change, but of another server
+            detector.listReceived(
+                    42, false, List.of(member(9, EndpointState.READY))); // a change, but of another server
         }
         assertThat(waits).containsExactly(3700.0, 7200.0, 14200.0, 28200.0, 56200.0, 56200.0, 56200.0);
         detector.connectionRefused(nowMs, 7);
-        detector.listReceived(42, false, List.of(member(7, State.DRAINING)));
-        detector.listReceived(42, false, List.of(member(7, State.READY)));
+        detector.listReceived(42, false, List.of(member(7, EndpointState.DRAINING)));
+        detector.listReceived(42, false, List.of(member(7, EndpointState.READY)));
         detector.connectionRefused(nowMs, 7);
         assertThat(detector.nextPollAtMs()).isEqualTo(nowMs + 3700);
     }
--- a/src/test/java/cacheproxy/hooks/HookRulesTest.java
+++ b/src/test/java/cacheproxy/hooks/HookRulesTest.java
@@ -2,21 +2,24 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.policy.PolicyApi.Effect;
-import cacheproxy.policy.PolicyApi.Group;
-import cacheproxy.policy.PolicyApi.ServiceClass;
+import cacheproxy.policy.DeduplicationScope;
+import cacheproxy.policy.Idempotency;
+import cacheproxy.policy.ServiceClass;
 import java.util.List;
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
 /** What hooks may order, and when one is switched off. */
 class HookRulesTest {
-    private static ServiceClass kind(String name, Effect e) {
-        return new ServiceClass(name, e, Group.ALL, 100, 1, 2, 1, 0.3, false);
+    private static ServiceClass kind(String name, Idempotency e) {
+        return new ServiceClass(name, e, DeduplicationScope.ALL, 100, 1, 2, 1, 0.3, false);
     }
 
     private final HookRules rules = new HookRules(
-            List.of(kind("safe", Effect.SAFE), kind("keyed", Effect.KEYED), kind("unsafe", Effect.UNSAFE)),
+            List.of(
+                    kind("safe", Idempotency.SAFE),
+                    kind("keyed", Idempotency.KEYED),
+                    kind("unsafe", Idempotency.UNSAFE)),
             List.of("red"),
             Set.of("r"));
 
--- a/src/test/java/cacheproxy/nginx/importer/ImporterTest.java
+++ b/src/test/java/cacheproxy/nginx/importer/ImporterTest.java
@@ -179,7 +179,7 @@
         assertThat(f.classes()
                         .get(f.classIndex(f.listeners().get(0).writeClass()))
                         .effect())
-                .isEqualTo(cacheproxy.policy.PolicyApi.Effect.UNSAFE);
+                .isEqualTo(cacheproxy.policy.Idempotency.UNSAFE);
     }
 
     @SuppressWarnings("StringConcatToTextBlock") // one line of the text a line of the source
--- a/src/test/java/cacheproxy/placement/NginxPlacementTest.java
+++ b/src/test/java/cacheproxy/placement/NginxPlacementTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.policy.CarpHash;
-import cacheproxy.policy.PolicyApi.Member;
-import cacheproxy.policy.PolicyApi.State;
+import cacheproxy.policy.Endpoint;
+import cacheproxy.policy.EndpointState;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -39,12 +39,18 @@
         return peers;
     }
 
-    private static List<Member> ready(List<PlacementTarget> peers, Set<Integer> down) {
-        List<Member> members = new ArrayList<>();
+    private static List<Endpoint> ready(List<PlacementTarget> peers, Set<Integer> down) {
+        List<Endpoint> members = new ArrayList<>();
         for (int i = 0; i < peers.size(); i++) {
             if (!down.contains(i)) {
-                members.add(new Member(
-                        peers.get(i).id(), 0, 0, 0, State.READY, peers.get(i).weight(), 0));
+                members.add(new Endpoint(
+                        peers.get(i).id(),
+                        0,
+                        0,
+                        0,
+                        EndpointState.READY,
+                        peers.get(i).weight(),
+                        0));
             }
         }
         members.sort((left, right) -> Integer.compareUnsigned(left.id(), right.id()));
@@ -53,7 +59,7 @@
 
     /** The peers' indexes in their list, best first. */
     private static List<Integer> ranks(
-            Placement placement, List<PlacementTarget> peers, List<Member> members, byte[] text, int wanted) {
+            Placement placement, List<PlacementTarget> peers, List<Endpoint> members, byte[] text, int wanted) {
         int[] ranked = new int[Math.max(placement.maxRanked(wanted), members.size())];
         long key = PlacementKey.fromText(text);
         int count = placement.rank(key, CarpHash.keyHash(key), wanted, ranked);
@@ -69,7 +75,7 @@
     }
 
     private static int[] first(String kind, List<PlacementTarget> peers, Set<Integer> down) {
-        List<Member> members = ready(peers, down);
+        List<Endpoint> members = ready(peers, down);
         Placement placement = PlacementRegistry.factory(kind, peers).create(members);
         int[] first = new int[KEYS];
         for (int i = 0; i < KEYS; i++) {
@@ -118,7 +124,7 @@
                     down.add(i);
                 }
             }
-            List<Member> members = ready(peers, down);
+            List<Endpoint> members = ready(peers, down);
             Placement placement = PlacementRegistry.factory("nginx-hash", peers).create(members);
             for (int i = 0; i < 50; i++) {
                 assertThat(ranks(placement, peers, members, text(i), count)).isEqualTo(plainHash(peers, down, text(i)));
@@ -165,7 +171,7 @@
     void ranksEveryReadyServer() {
         for (String kind : List.of("nginx-hash", "nginx-consistent")) {
             List<PlacementTarget> peers = peers(1, 40, 1, 1, 7);
-            List<Member> members = ready(peers, Set.of(3));
+            List<Endpoint> members = ready(peers, Set.of(3));
             Placement placement = PlacementRegistry.factory(kind, peers).create(members);
             for (int i = 0; i < 500; i++) {
                 assertThat(ranks(placement, peers, members, text(i), 9)).containsExactlyInAnyOrder(0, 1, 2, 4);
@@ -216,7 +222,7 @@
     @Test
     void keyOnARingPointBelongsToItsServer() {
         List<PlacementTarget> peers = peers(1, 1, 1, 1);
-        List<Member> members = ready(peers, Set.of());
+        List<Endpoint> members = ready(peers, Set.of());
         Placement placement =
                 PlacementRegistry.factory("nginx-consistent", peers).create(members);
         for (int target = 0; target < 4; target++) {
--- a/src/test/java/cacheproxy/placement/PlacementTest.java
+++ b/src/test/java/cacheproxy/placement/PlacementTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.policy.CarpHash;
-import cacheproxy.policy.PolicyApi.Member;
-import cacheproxy.policy.PolicyApi.State;
+import cacheproxy.policy.Endpoint;
+import cacheproxy.policy.EndpointState;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
@@ -14,18 +14,18 @@
 
 /** Rankings: CARP's against scoring all members one by one, backups behind all others. */
 class PlacementTest {
-    private static List<Member> members(SplittableRandom random, int count, boolean equal) {
-        List<Member> members = new ArrayList<>();
+    private static List<Endpoint> members(SplittableRandom random, int count, boolean equal) {
+        List<Endpoint> members = new ArrayList<>();
         for (int i = 0; i < count; i++) {
             float weight = equal ? 1 : random.nextInt(8) / 4f;
-            members.add(new Member(random.nextInt(), 0, 0, 0, State.READY, weight, 0));
+            members.add(new Endpoint(random.nextInt(), 0, 0, 0, EndpointState.READY, weight, 0));
         }
         members.sort((left, right) -> Integer.compareUnsigned(left.id(), right.id()));
         return members;
     }
 
     /** Section 3.4 of the draft: score all members, sort by score, the best first. */
-    private static List<Integer> rankByScoringAll(List<Member> members, int keyHash, int wanted) {
+    private static List<Integer> rankByScoringAll(List<Endpoint> members, int keyHash, int wanted) {
         float[] weights = new float[members.size()];
         for (int i = 0; i < weights.length; i++) {
             weights[i] = members.get(i).weight();
@@ -49,7 +49,7 @@
     void carpRankingEqualsScoringAndSortingAllMembers() {
         SplittableRandom random = new SplittableRandom(11);
         for (int count : new int[] {0, 1, 2, 7, 8, 9, 255, 256, 257, 511, 1000, 4095, 4097, 9000}) {
-            List<Member> members = members(random, count, count % 2 == 0);
+            List<Endpoint> members = members(random, count, count % 2 == 0);
             Placement carp = new CarpPlacement(members);
             for (int i = 0; i < (count > 2000 ? 15 : 60); i++) {
                 long key = random.nextLong();
@@ -63,24 +63,24 @@
 
     @Test
     void membersWithEqualIdAndWeightKeepListOrder() {
-        Member twin = new Member(7, 0, 0, 0, State.READY, 1, 0);
+        Endpoint twin = new Endpoint(7, 0, 0, 0, EndpointState.READY, 1, 0);
         assertThat(rank(new CarpPlacement(List.of(twin, twin, twin)), 5, 3)).containsExactly(0, 1, 2);
     }
 
     @Test
     void ranksBackupsLastAndExcludesThemFromHotKeySpread() {
         SplittableRandom random = new SplittableRandom(12);
-        List<Member> members = members(random, 30, false);
+        List<Endpoint> members = members(random, 30, false);
         PlacementFactory factory = BackupPlacement.withBackups(CarpPlacement::new, id -> (id & 3) == 0);
         Placement placement = factory.create(members);
-        List<Member> ordinary =
+        List<Endpoint> ordinary =
                 members.stream().filter(member -> (member.id() & 3) != 0).toList();
         assertThat(placement.maxHotKeySpread()).isEqualTo(ordinary.size()).isLessThan(30);
         for (int i = 0; i < 200; i++) {
             long key = random.nextLong();
             List<Integer> top = rank(placement, key, 8);
             assertThat(top).doesNotHaveDuplicates();
-            List<Member> first =
+            List<Endpoint> first =
                     top.subList(0, ordinary.size()).stream().map(members::get).toList();
             assertThat(first)
                     .isEqualTo(rank(new CarpPlacement(ordinary), key, 30).stream()
@@ -95,7 +95,7 @@
 
     @Test
     void usesPlainPlacementWhenNoBackupIsListed() {
-        List<Member> members = members(new SplittableRandom(13), 12, false);
+        List<Endpoint> members = members(new SplittableRandom(13), 12, false);
         assertThat(BackupPlacement.withBackups(CarpPlacement::new, id -> false).create(members))
                 .isInstanceOf(CarpPlacement.class);
     }
--- a/src/test/java/cacheproxy/placement/StartTimesTest.java
+++ b/src/test/java/cacheproxy/placement/StartTimesTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.limits.ServerStartTimes;
-import cacheproxy.policy.PolicyApi.Member;
-import cacheproxy.policy.PolicyApi.State;
+import cacheproxy.policy.Endpoint;
+import cacheproxy.policy.EndpointState;
 import java.util.Arrays;
 import java.util.List;
 import java.util.Random;
@@ -15,11 +15,11 @@
     private static final double HOUR_MS = 3_600_000;
     private static final double NEVER = Double.NEGATIVE_INFINITY;
 
-    private static Member memberStartedAt(int id, double startMs) {
-        return new Member(id, 0, 0, 0, State.READY, 1, startMs);
+    private static Endpoint memberStartedAt(int id, double startMs) {
+        return new Endpoint(id, 0, 0, 0, EndpointState.READY, 1, startMs);
     }
 
-    private static List<Member> membersStartedAt(double... listedStartMs) {
+    private static List<Endpoint> membersStartedAt(double... listedStartMs) {
         return Arrays.stream(listedStartMs)
                 .mapToObj(startMs -> memberStartedAt((int) (startMs % 1000), startMs))
                 .toList();
--- a/src/test/java/cacheproxy/policy/RoutingPolicyTest.java
+++ b/src/test/java/cacheproxy/policy/RoutingPolicyTest.java
@@ -4,13 +4,6 @@
 import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import cacheproxy.Rig;
-import cacheproxy.policy.PolicyApi.Group;
-import cacheproxy.policy.PolicyApi.ListKind;
-import cacheproxy.policy.PolicyApi.Member;
-import cacheproxy.policy.PolicyApi.Outcome;
-import cacheproxy.policy.PolicyApi.Request;
-import cacheproxy.policy.PolicyApi.Settings;
-import cacheproxy.policy.PolicyApi.State;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
@@ -28,9 +21,9 @@
         rig.read(1, 77);
         int top = topRank(77, 12);
         assertThat(rig.last().server()).isEqualTo(top);
-        rig.end(rig.last(), Outcome.MISS);
+        rig.end(rig.last(), AttemptOutcome.MISS);
         assertThat(rig.last().server()).isEqualTo(Rig.ORIGIN);
-        rig.end(rig.last(), Outcome.OK);
+        rig.end(rig.last(), AttemptOutcome.OK);
         assertThat(rig.answers()).isZero();
     }
 
@@ -51,11 +44,11 @@
     void listOrderDoesNotMatter() {
         Rig up = Rig.aside().fleet(30);
         Rig down = Rig.aside();
-        List<Member> list = new java.util.ArrayList<>();
+        List<Endpoint> list = new java.util.ArrayList<>();
         for (int id = 30; id >= 1; id--) {
-            list.add(Rig.member(id, State.READY, 0));
+            list.add(Rig.member(id, EndpointState.READY, 0));
         }
-        down.policy.onList(down.now, ListKind.FULL, list, down);
+        down.policy.onList(down.now, EndpointListKind.FULL, list, down);
         for (int k = 1; k < 200; k++) {
             up.read(k, k);
             down.read(k, k);
@@ -65,9 +58,9 @@
 
     @ParameterizedTest
     @EnumSource(
-            value = Outcome.class,
+            value = AttemptOutcome.class,
             names = {"CONNECT_FAILED", "RESET"})
-    void theRunnerUpTakesFailedAndResetConnections(Outcome outcome) {
+    void theRunnerUpTakesFailedAndResetConnections(AttemptOutcome outcome) {
         Rig rig = Rig.aside().fleet(12);
         rig.read(1, 77);
         int top = rig.last().server();
@@ -75,7 +68,7 @@
         int runnerUp = rig.last().server();
         assertThat(runnerUp).isNotIn(top, Rig.ORIGIN);
         rig.read(2, 77);
-        if (outcome == Outcome.RESET) {
+        if (outcome == AttemptOutcome.RESET) {
             assertThat(rig.last().server())
                     .as("one broken connection is no evidence")
                     .isEqualTo(top);
@@ -97,7 +90,7 @@
 
     @Test
     void throughModeSendsWritesByRank() {
-        Rig rig = new Rig(Rig.settings(false, false, false, Group.ALL)).fleet(5);
+        Rig rig = new Rig(Rig.settings(false, false, false, DeduplicationScope.ALL)).fleet(5);
         rig.write(1, Rig.UNSAFE);
         assertThat(rig.last().server()).isEqualTo(topRank(7, 5));
     }
@@ -121,7 +114,8 @@
         Rig rig = Rig.aside().fleet(5);
         rig.policy.onRequest(
                 rig.now,
-                new Request(1, serviceClass, 0, 7, rig.now + 1000, Double.NaN, 0, serviceClass != Rig.SAFE, false),
+                new RoutingRequest(
+                        1, serviceClass, 0, 7, rig.now + 1000, Double.NaN, 0, serviceClass != Rig.SAFE, false),
                 rig);
         rig.pass(999);
         assertThat(rig.answers()).isZero();
@@ -141,8 +135,8 @@
         rig.policy.onGone(rig.now, 1, rig);
         int orders = rig.orders.size();
         rig.policy.onGone(rig.now, 1, rig);
-        rig.end(first, Outcome.TIMEOUT, true, 0);
-        rig.end(first, Outcome.TIMEOUT, true, 0);
+        rig.end(first, AttemptOutcome.TIMEOUT, true, 0);
+        rig.end(first, AttemptOutcome.TIMEOUT, true, 0);
         rig.policy.onTimer(rig.now, 123456, rig);
         rig.pass(3000);
         assertThat(rig.orders).hasSize(orders);
@@ -151,7 +145,7 @@
     @Test
     void anEmptyListIsAnsweredAtOnce() {
         Rig rig = Rig.aside();
-        rig.policy.onList(rig.now, ListKind.CACHED, List.of(), rig);
+        rig.policy.onList(rig.now, EndpointListKind.CACHED, List.of(), rig);
         rig.read(1, 7);
         rig.write(2, Rig.UNSAFE);
         assertThat(rig.denied).containsExactly(1, 2);
@@ -162,8 +156,10 @@
         Rig rig = Rig.aside();
         rig.policy.onList(
                 rig.now,
-                ListKind.FULL,
-                List.of(new Member(1, 0, 0, 0, State.READY, 0, 0), new Member(2, 0, 0, 0, State.READY, 0, 0)),
+                EndpointListKind.FULL,
+                List.of(
+                        new Endpoint(1, 0, 0, 0, EndpointState.READY, 0, 0),
+                        new Endpoint(2, 0, 0, 0, EndpointState.READY, 0, 0)),
                 rig);
         Set<Integer> used = new HashSet<>();
         for (int id = 1; id <= 40; id++) {
@@ -177,9 +173,9 @@
 
     @ParameterizedTest
     @EnumSource(
-            value = Outcome.class,
+            value = AttemptOutcome.class,
             names = {"ERROR", "TIMEOUT", "RESET", "CANCELLED"})
-    void anUnsafeRequestThatMayHaveRunIsFailedNotRepeated(Outcome outcome) {
+    void anUnsafeRequestThatMayHaveRunIsFailedNotRepeated(AttemptOutcome outcome) {
         Rig rig = Rig.aside().fleet(5);
         rig.write(1, Rig.UNSAFE);
         rig.end(rig.last(), outcome);
@@ -191,9 +187,9 @@
 
     @ParameterizedTest
     @EnumSource(
-            value = Outcome.class,
+            value = AttemptOutcome.class,
             names = {"FULL", "CONNECT_FAILED"})
-    void anUnsafeRequestKnownNotToHaveRunMayGoAgain(Outcome outcome) {
+    void anUnsafeRequestKnownNotToHaveRunMayGoAgain(AttemptOutcome outcome) {
         Rig rig = Rig.aside().fleet(5);
         rig.write(1, Rig.UNSAFE);
         rig.end(rig.last(), outcome);
@@ -203,34 +199,34 @@
 
     @Test
     void aKeyedRequestIsRepeatedOnlyInsideItsWindow() {
-        Rig inside = new Rig(Rig.settings(false, false, false, Group.ALL)).fleet(12);
+        Rig inside = new Rig(Rig.settings(false, false, false, DeduplicationScope.ALL)).fleet(12);
         inside.write(1, Rig.KEYED);
         inside.now += 399;
-        inside.end(inside.last(), Outcome.RESET);
+        inside.end(inside.last(), AttemptOutcome.RESET);
         assertThat(inside.placed).hasSize(2);
-        Rig late = new Rig(Rig.settings(false, false, false, Group.ALL)).fleet(12);
+        Rig late = new Rig(Rig.settings(false, false, false, DeduplicationScope.ALL)).fleet(12);
         late.write(1, Rig.KEYED);
         late.now += 400;
-        late.end(late.last(), Outcome.RESET);
+        late.end(late.last(), AttemptOutcome.RESET);
         assertThat(late.placed).hasSize(1);
         assertThat(late.answers()).isEqualTo(1);
     }
 
     @ParameterizedTest
     @EnumSource(
-            value = Group.class,
+            value = DeduplicationScope.class,
             names = {"ZONE", "CELL"})
-    void aKeyedRequestStaysInItsGroupAndIsNeverRefused(Group group) {
+    void aKeyedRequestStaysInItsGroupAndIsNeverRefused(DeduplicationScope group) {
         for (int key = 1; key < 60; key++) {
             Rig rig = new Rig(Rig.settings(false, false, false, group)).fleet(12);
             rig.policy.onRequest(
-                    rig.now, new Request(1, Rig.KEYED, 0, key, rig.now + 1000, Double.NaN, 0, true, false), rig);
+                    rig.now, new RoutingRequest(1, Rig.KEYED, 0, key, rig.now + 1000, Double.NaN, 0, true, false), rig);
             int first = rig.last().server();
-            rig.end(rig.last(), Outcome.RESET);
+            rig.end(rig.last(), AttemptOutcome.RESET);
             if (rig.placed.size() > 1) {
                 int then = rig.last().server();
-                assertThat(group == Group.ZONE ? then % 2 : then / 4)
-                        .isEqualTo(group == Group.ZONE ? first % 2 : first / 4);
+                assertThat(group == DeduplicationScope.ZONE ? then % 2 : then / 4)
+                        .isEqualTo(group == DeduplicationScope.ZONE ? first % 2 : first / 4);
             } else {
                 assertThat(rig.failed).containsExactly(1);
             }
@@ -243,7 +239,7 @@
         Rig rig = Rig.aside().fleet(12);
         rig.read(1, 7);
         for (int i = 0; i < 6 && rig.answers() == 0; i++) {
-            rig.end(rig.last(), Outcome.CONNECT_FAILED);
+            rig.end(rig.last(), AttemptOutcome.CONNECT_FAILED);
         }
         assertThat(rig.placed).hasSizeLessThanOrEqualTo(3);
         assertThat(rig.answers()).isEqualTo(1);
@@ -254,15 +250,15 @@
     @Test
     void aDrainingOrGoneServerGetsNothingNewNotEvenAWaitingRepeat() {
         Rig rig = Rig.aside().fleet(3);
-        rig.change(Rig.member(1, State.DRAINING, 0), Rig.member(2, State.GONE, 0));
+        rig.change(Rig.member(1, EndpointState.DRAINING, 0), Rig.member(2, EndpointState.GONE, 0));
         for (int id = 1; id <= 50; id++) {
             rig.read(id, id);
             assertThat(rig.last().server()).isEqualTo(3);
         }
         rig.read(99, 5);
-        rig.change(Rig.member(Rig.ORIGIN, State.DRAINING, 0));
+        rig.change(Rig.member(Rig.ORIGIN, EndpointState.DRAINING, 0));
         int sent = rig.placed.size();
-        rig.end(rig.last(), Outcome.MISS);
+        rig.end(rig.last(), AttemptOutcome.MISS);
         assertThat(rig.placed).hasSize(sent);
         assertThat(rig.denied).containsExactly(99);
     }
@@ -287,16 +283,16 @@
             int own = 0;
             int got = 0;
             for (int seed = 1; seed <= 8; seed++) {
-                Settings settings = Rig.settings(true, false, false, Group.ALL);
+                PolicySettings settings = Rig.settings(true, false, false, DeduplicationScope.ALL);
                 Rig rig = new Rig(settings, new RoutingPolicy(settings, seed)).fleet(12);
                 rig.now = 10_000_000 + wrong;
-                rig.change(Rig.member(5, State.READY, 10_000_000));
+                rig.change(Rig.member(5, EndpointState.READY, 10_000_000));
                 for (int key = 1; key <= 4000; key++) {
                     if (topRank(key, 12) == 5) {
                         rig.read(key, key);
                         own++;
                         got += rig.last().server() == 5 ? 1 : 0;
-                        rig.endAfter(rig.last(), Outcome.OK, 10);
+                        rig.endAfter(rig.last(), AttemptOutcome.OK, 10);
                     }
                 }
             }
@@ -320,10 +316,10 @@
     void whoHasSeenFewRequestsSendsAColdServerLess() {
         int sent = 0;
         for (int key = 1; key <= 2000; key++) {
-            Settings settings = Rig.settings(true, false, false, Group.ALL);
+            PolicySettings settings = Rig.settings(true, false, false, DeduplicationScope.ALL);
             Rig rig = new Rig(settings, new RoutingPolicy(settings, key)).fleet(12);
             rig.now = 100000 - 4000;
-            rig.change(Rig.member(5, State.READY, rig.now));
+            rig.change(Rig.member(5, EndpointState.READY, rig.now));
             rig.now = 100000;
             rig.read(key, key);
             sent += topRank(key, 12) == 5 && rig.last().server() == 5 ? 1 : 0;
@@ -337,15 +333,15 @@
         int own = 0;
         int got = 0;
         for (int seed = 1; seed <= 8; seed++) {
-            Settings settings = Rig.settings(true, false, false, Group.ALL);
+            PolicySettings settings = Rig.settings(true, false, false, DeduplicationScope.ALL);
             Rig rig = new Rig(settings, new RoutingPolicy(settings, seed)).fleet(12);
             rig.now = 100000 - age;
-            rig.change(Rig.member(5, State.READY, rig.now)); // news of a start come soon after it
+            rig.change(Rig.member(5, EndpointState.READY, rig.now)); // news of a start come soon after it
             rig.now = 100000;
             for (int i = 0; i < 300; i++) { // in a crowd three in four are late
                 rig.read(10_000 + i, 10_000 + i);
                 if (rig.last().request() == 10_000 + i) {
-                    rig.endAfter(rig.last(), Outcome.OK, crowd && i % 4 > 0 ? 900 : 10);
+                    rig.endAfter(rig.last(), AttemptOutcome.OK, crowd && i % 4 > 0 ? 900 : 10);
                 }
             }
             for (int key = 1; key <= 4000; key++) {
@@ -354,7 +350,7 @@
                     if (rig.last().request() == key) { // and has not been refused
                         own++;
                         got += rig.last().server() == 5 ? 1 : 0;
-                        rig.endAfter(rig.last(), Outcome.OK, crowd && key % 4 > 0 ? 900 : 10);
+                        rig.endAfter(rig.last(), AttemptOutcome.OK, crowd && key % 4 > 0 ? 900 : 10);
                     }
                 }
             }
@@ -366,15 +362,15 @@
     @Test
     void repeatsKeepOffAColdServer() {
         Rig rig = Rig.aside().fleet(3);
-        rig.change(Rig.member(2, State.READY, rig.now), Rig.member(3, State.READY, rig.now));
+        rig.change(Rig.member(2, EndpointState.READY, rig.now), Rig.member(3, EndpointState.READY, rig.now));
         for (int id = 1; id <= 200; id++) {
             rig.read(id, id);
             Rig.Placed p = rig.last();
             if (p.server() == 1) {
-                rig.end(p, Outcome.FULL);
+                rig.end(p, AttemptOutcome.FULL);
                 assertThat(rig.last().server()).isNotIn(2, 3);
             }
-            rig.end(rig.last(), Outcome.OK);
+            rig.end(rig.last(), AttemptOutcome.OK);
         }
     }
 
@@ -391,7 +387,7 @@
             if (id % 4 == 0 && id > 200) {
                 hot.add(rig.last().server());
             }
-            rig.end(rig.last(), Outcome.OK);
+            rig.end(rig.last(), AttemptOutcome.OK);
         }
         assertThat(hot).hasSizeBetween(5, 12);
         rig.now += 60000;
@@ -400,7 +396,7 @@
             rig.now += 3000;
             rig.read(id, 7);
             calm.add(rig.last().server());
-            rig.end(rig.last(), Outcome.OK);
+            rig.end(rig.last(), AttemptOutcome.OK);
         }
         assertThat(calm).containsExactly(topRank(7, 20));
     }
@@ -413,10 +409,10 @@
             rig.read(id, 7);
         }
         for (Rig.Placed p : List.copyOf(rig.placed)) {
-            rig.end(p, Outcome.MISS);
+            rig.end(p, AttemptOutcome.MISS);
         }
         assertThat(rig.placed.stream().filter(p -> p.server() == Rig.ORIGIN)).hasSize(1);
-        rig.end(rig.last(), Outcome.OK);
+        rig.end(rig.last(), AttemptOutcome.OK);
         assertThat(rig.placed).hasSize(8);
         assertThat(rig.last().server()).isEqualTo(topRank(7, 5));
     }
@@ -429,14 +425,14 @@
         Rig.Placed hung = rig.last();
         rig.pass(200);
         assertThat(rig.cancelled).containsExactly("1/0");
-        rig.end(hung, Outcome.CANCELLED);
+        rig.end(hung, AttemptOutcome.CANCELLED);
         assertThat(rig.last().server()).isNotIn(hung.server(), Rig.ORIGIN);
     }
 
     /** Doubts have a budget: when all servers slow down together, few requests are sent twice. */
     @Test
     void aSharedSlowdownIsNotRepeatedIntoAJam() {
-        Rig rig = new Rig(Rig.settings(true, false, true, Group.ALL)).fleet(12);
+        Rig rig = new Rig(Rig.settings(true, false, true, DeduplicationScope.ALL)).fleet(12);
         for (int id = 1; id <= 200; id++) {
             rig.now += 1;
             rig.read(id, id);
@@ -453,10 +449,10 @@
         for (int id = 1; id <= 100; id++) {
             rig.now += 20;
             rig.read(id, id);
-            rig.end(rig.last(), Outcome.MISS);
+            rig.end(rig.last(), AttemptOutcome.MISS);
             if (rig.last().server() == Rig.ORIGIN) {
                 late += id > 50 ? 1 : 0;
-                rig.end(rig.last(), Outcome.FULL);
+                rig.end(rig.last(), AttemptOutcome.FULL);
             }
         }
         assertThat(late).isLessThan(15);
@@ -471,28 +467,28 @@
         for (int id = 1; id <= 200; id++) {
             rig.now += 20;
             rig.read(id, id);
-            rig.end(rig.last(), Outcome.MISS);
+            rig.end(rig.last(), AttemptOutcome.MISS);
             if (rig.last().server() == Rig.ORIGIN) {
                 fetched++;
                 rig.now += 900;
-                rig.endAfter(rig.last(), Outcome.OK, 900);
+                rig.endAfter(rig.last(), AttemptOutcome.OK, 900);
             }
         }
         assertThat(fetched).isLessThan(150);
         rig.now += 30000;
         rig.read(1000, 1000);
-        rig.end(rig.last(), Outcome.MISS);
+        rig.end(rig.last(), AttemptOutcome.MISS);
         assertThat(rig.last().server()).isEqualTo(Rig.ORIGIN);
     }
 
     /** The instances of a fleet must not call the small list service together, nor at once after a failure. */
     @Test
     void theListIsAskedForOnceWithDelay() {
-        Rig rig = new Rig(Rig.settings(true, true, false, Group.ALL)).fleet(5);
+        Rig rig = new Rig(Rig.settings(true, true, false, DeduplicationScope.ALL)).fleet(5);
         assertThat(rig.watches).isZero();
         rig.pass(5000);
         assertThat(rig.watches).isEqualTo(1);
-        rig.policy.onList(rig.now, ListKind.FAILED, List.of(), rig);
+        rig.policy.onList(rig.now, EndpointListKind.FAILED, List.of(), rig);
         assertThat(rig.watches).isEqualTo(1);
         rig.pass(5000);
         assertThat(rig.watches).isEqualTo(2);
@@ -511,11 +507,13 @@
             int tenant = id % 10 == 0 ? 1 : 0;
             int before = rig.denied.size();
             rig.policy.onRequest(
-                    rig.now, new Request(id, Rig.SAFE, tenant, id, rig.now + 1000, Double.NaN, 0, false, false), rig);
+                    rig.now,
+                    new RoutingRequest(id, Rig.SAFE, tenant, id, rig.now + 1000, Double.NaN, 0, false, false),
+                    rig);
             if (rig.denied.size() > before) {
                 refused[tenant]++;
             } else {
-                rig.endAfter(rig.last(), Outcome.OK, id % 2 == 0 ? 290 : 20);
+                rig.endAfter(rig.last(), AttemptOutcome.OK, id % 2 == 0 ? 290 : 20);
             }
         }
         assertThat(refused[0]).isGreaterThan(150);
@@ -529,11 +527,11 @@
     void whatIsGivenUpIsAnsweredInThatVeryMomentWithATimeToComeBack() {
         Rig rig = Rig.aside().fleet(12);
         rig.read(1, 1);
-        rig.end(rig.last(), Outcome.MISS);
-        rig.end(rig.last(), Outcome.FULL);
+        rig.end(rig.last(), AttemptOutcome.MISS);
+        rig.end(rig.last(), AttemptOutcome.FULL);
         assertThat(rig.denied).containsExactly(1);
         rig.write(2, Rig.UNSAFE);
-        rig.end(rig.last(), Outcome.ERROR);
+        rig.end(rig.last(), AttemptOutcome.ERROR);
         assertThat(rig.failed).containsExactly(2);
         int id = 3;
         for (; rig.denied.size() < 50; id++) {
@@ -542,7 +540,7 @@
             int answers = rig.answers();
             rig.read(id, id);
             if (rig.placed.size() > sent) {
-                rig.endAfter(rig.last(), Outcome.OK, 290);
+                rig.endAfter(rig.last(), AttemptOutcome.OK, 290);
             } else {
                 assertThat(rig.answers()).as("request " + id).isEqualTo(answers + 1);
             }
@@ -559,7 +557,7 @@
             int sent = rig.placed.size();
             rig.read(id, id);
             if (rig.placed.size() > sent) {
-                rig.endAfter(rig.last(), Outcome.OK, 290);
+                rig.endAfter(rig.last(), AttemptOutcome.OK, 290);
             }
         }
         assertThat(rig.denied).hasSizeGreaterThan(150);
@@ -568,7 +566,7 @@
         for (int id = 1001; id <= 1300; id++) {
             rig.now += 10;
             rig.read(id, id);
-            rig.endAfter(rig.last(), Outcome.OK, 20);
+            rig.endAfter(rig.last(), AttemptOutcome.OK, 20);
         }
         assertThat(rig.denied).isEmpty();
     }
@@ -576,7 +574,7 @@
     /** A few hung servers are no crowd: their time-outs refuse nobody else. */
     @Test
     void hungServersDoNotShedTheOthers() {
-        Rig rig = new Rig(Rig.settings(true, false, true, Group.ALL)).fleet(12);
+        Rig rig = new Rig(Rig.settings(true, false, true, DeduplicationScope.ALL)).fleet(12);
         List<Rig.Placed> hung = new java.util.ArrayList<>();
         for (int id = 1; id <= 600; id++) {
             rig.pass(10);
@@ -586,7 +584,7 @@
                 if (rig.last().server() <= 2) {
                     hung.add(rig.last());
                 } else {
-                    rig.endAfter(rig.last(), Outcome.OK, 20);
+                    rig.endAfter(rig.last(), AttemptOutcome.OK, 20);
                 }
             }
         }
@@ -604,13 +602,13 @@
             key++;
         }
         rig.read(1, key);
-        rig.end(rig.last(), Outcome.CONNECT_FAILED);
-        rig.end(rig.last(), Outcome.OK);
+        rig.end(rig.last(), AttemptOutcome.CONNECT_FAILED);
+        rig.end(rig.last(), AttemptOutcome.OK);
         rig.now += 1100;
         rig.read(2, key);
         assertThat(rig.last().server()).isNotEqualTo(2);
         assertThat(rig.probed).containsExactly(2);
-        rig.policy.onProbed(rig.now, 2, Outcome.OK, 3, null, rig);
+        rig.policy.onProbed(rig.now, 2, AttemptOutcome.OK, 3, null, rig);
         rig.read(3, key);
         assertThat(rig.last().server()).isEqualTo(2);
     }
@@ -618,19 +616,23 @@
     /** A trial that a cold server's limit turns away is none: it would be out for good. */
     @Test
     void aTrialOfAColdServerThatWasNotSentDoesNotKeepItOut() {
-        Rig rig = new Rig(Rig.withoutProbes(Rig.settings(true, false, true, Group.ALL))).fleet(8);
-        rig.change(Rig.member(2, State.READY, rig.now));
+        Rig rig = new Rig(Rig.withoutProbes(Rig.settings(true, false, true, DeduplicationScope.ALL))).fleet(8);
+        rig.change(Rig.member(2, EndpointState.READY, rig.now));
         int id = 1;
         for (long key = 1; rig.placed.isEmpty() || rig.last().server() != 2; key++) {
             rig.read(id++, key);
         }
-        rig.end(rig.last(), Outcome.CONNECT_FAILED, true, 0);
+        rig.end(rig.last(), AttemptOutcome.CONNECT_FAILED, true, 0);
         rig.now += 1100; // shunned no more, still cold: most of its keys are not for it yet
         for (long key = 1; key <= 400; key++) {
             int sent = rig.placed.size();
             rig.read(id++, key);
             if (rig.placed.size() > sent) {
-                rig.end(rig.last(), rig.last().server() == 2 ? Outcome.CONNECT_FAILED : Outcome.OK, true, 0);
+                rig.end(
+                        rig.last(),
+                        rig.last().server() == 2 ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.OK,
+                        true,
+                        0);
             }
             rig.now += 10;
         }
@@ -638,7 +640,7 @@
         rig.placed.clear();
         for (long key = 1; key <= 400; key++) {
             rig.read(id++, key);
-            rig.end(rig.last(), Outcome.OK);
+            rig.end(rig.last(), AttemptOutcome.OK);
         }
         assertThat(rig.placed.stream().filter(p -> p.server() == 2).count()).isGreaterThan(20);
     }
@@ -646,16 +648,16 @@
     /** A trial that the crowd's throttle turns away is none: the server must not wait for its end for good. */
     @Test
     void aTrialThatWasNotSentDoesNotKeepItsServerOut() {
-        Rig rig = new Rig(Rig.withoutProbes(Rig.settings(true, false, true, Group.ALL))).fleet(12);
+        Rig rig = new Rig(Rig.withoutProbes(Rig.settings(true, false, true, DeduplicationScope.ALL))).fleet(12);
         rig.read(1, 77);
         int shunned = rig.last().server();
-        rig.end(rig.last(), Outcome.CONNECT_FAILED);
+        rig.end(rig.last(), AttemptOutcome.CONNECT_FAILED);
         for (int id = 2; id <= 400; id++) { // all others answer late: a jam
             rig.now += 10;
             int sent = rig.placed.size();
             rig.read(id, id);
             if (rig.placed.size() > sent) {
-                rig.endAfter(rig.last(), Outcome.OK, 290);
+                rig.endAfter(rig.last(), AttemptOutcome.OK, 290);
             }
         }
         int id = 1000;
@@ -663,13 +665,13 @@
             int sent = rig.placed.size();
             rig.read(id, 77);
             if (rig.placed.size() > sent) {
-                rig.end(rig.last(), Outcome.CONNECT_FAILED, true, 0);
+                rig.end(rig.last(), AttemptOutcome.CONNECT_FAILED, true, 0);
                 rig.now += 8000; // the shunning is over, the jam is not
                 for (int other = 2; other <= 400; other++) {
                     int before = rig.placed.size();
                     rig.read(id * 1000 + other, other);
                     if (rig.placed.size() > before) {
-                        rig.endAfter(rig.last(), Outcome.OK, 290);
+                        rig.endAfter(rig.last(), AttemptOutcome.OK, 290);
                     }
                 }
             }
@@ -679,7 +681,7 @@
             rig.now += 2000;
             rig.read(++id, 77);
             used.add(rig.last().server());
-            rig.end(rig.last(), Outcome.OK);
+            rig.end(rig.last(), AttemptOutcome.OK);
         }
         assertThat(used).contains(shunned);
     }
@@ -687,10 +689,10 @@
     /** The patience with an attempt that has ended must not run out on the one that followed it. */
     @Test
     void anAttemptIsDoubtedByItsOwnTime() {
-        Rig rig = new Rig(Rig.settings(true, false, true, Group.ALL)).fleet(12);
+        Rig rig = new Rig(Rig.settings(true, false, true, DeduplicationScope.ALL)).fleet(12);
         rig.read(1, 77);
         rig.pass(140);
-        rig.end(rig.last(), Outcome.RESET);
+        rig.end(rig.last(), AttemptOutcome.RESET);
         assertThat(rig.placed).hasSize(2);
         rig.pass(20); // the first one's 150 ms are over, the second's have begun
         assertThat(rig.placed).hasSize(2);
@@ -703,17 +705,18 @@
     @Test
     void nonsenseIsRefusedByName() {
         Rig rig = Rig.aside().fleet(3);
-        assertThatThrownBy(() -> rig.change(Rig.member(1, State.READY, 0), Rig.member(1, State.READY, 0)))
+        assertThatThrownBy(
+                        () -> rig.change(Rig.member(1, EndpointState.READY, 0), Rig.member(1, EndpointState.READY, 0)))
                 .hasMessageContaining("member 1 is listed twice");
-        assertThatThrownBy(() -> rig.change(new Member(8, 0, 0, 0, State.READY, Float.NaN, 0)))
+        assertThatThrownBy(() -> rig.change(new Endpoint(8, 0, 0, 0, EndpointState.READY, Float.NaN, 0)))
                 .hasMessageContaining("member 8 has weight NaN");
-        assertThatThrownBy(() -> rig.change(new Member(8, 5, 0, 0, State.READY, 1, 0)))
+        assertThatThrownBy(() -> rig.change(new Endpoint(8, 5, 0, 0, EndpointState.READY, 1, 0)))
                 .hasMessageContaining("zone 5");
-        assertThatThrownBy(() ->
-                        rig.policy.onRequest(rig.now, new Request(1, 9, 0, 1, rig.now + 10, 1, 0, false, false), rig))
+        assertThatThrownBy(() -> rig.policy.onRequest(
+                        rig.now, new RoutingRequest(1, 9, 0, 1, rig.now + 10, 1, 0, false, false), rig))
                 .hasMessageContaining("class 9");
-        assertThatThrownBy(() ->
-                        rig.policy.onRequest(rig.now, new Request(1, 0, 3, 1, rig.now + 10, 1, 0, false, false), rig))
+        assertThatThrownBy(() -> rig.policy.onRequest(
+                        rig.now, new RoutingRequest(1, 0, 3, 1, rig.now + 10, 1, 0, false, false), rig))
                 .hasMessageContaining("tenant 3");
     }
 }
--- a/src/test/java/cacheproxy/proxy/EventWordsGoldenTextTest.java
+++ b/src/test/java/cacheproxy/proxy/EventWordsGoldenTextTest.java
@@ -2,14 +2,16 @@
 
 import static org.assertj.core.api.Assertions.assertThat;
 
-import cacheproxy.policy.PolicyApi;
+import cacheproxy.policy.AttemptOutcome;
+import cacheproxy.policy.EndpointListKind;
+import cacheproxy.policy.EndpointState;
 import org.junit.jupiter.api.Test;
 
 /** Words of the routing interface that stand in the event log's fields as they are. */
 class EventWordsGoldenTextTest {
     @Test
     void outcomesOfAttempts() {
-        assertThat(PolicyApi.Outcome.values())
+        assertThat(AttemptOutcome.values())
                 .extracting(Object::toString)
                 .containsExactly(
                         "OK", "MISS", "ERROR", "FULL", "TIMEOUT", "CONNECT_FAILED", "RESET", "CANCELLED", "NOT_SENT");
@@ -17,8 +19,8 @@
 
     @Test
     void statesOfServersAndKindsOfLists() {
-        assertThat(PolicyApi.State.values()).extracting(Object::toString).containsExactly("GONE", "DRAINING", "READY");
-        assertThat(PolicyApi.ListKind.values())
+        assertThat(EndpointState.values()).extracting(Object::toString).containsExactly("GONE", "DRAINING", "READY");
+        assertThat(EndpointListKind.values())
                 .extracting(Object::toString)
                 .containsExactly("FULL", "CHANGES", "CACHED", "FAILED");
     }
