--- a/src/main/java/cacheproxy/daemon/Daemon.java
+++ b/src/main/java/cacheproxy/daemon/Daemon.java
@@ -14,7 +14,6 @@
 import cacheproxy.proxy.process.GracefulShutdown;
 import cacheproxy.proxy.request.RequestValidator;
 import cacheproxy.proxy.upstream.EventLoopContext;
-import cacheproxy.proxy.upstream.UpstreamRegistry;
 import cacheproxy.snapshot.state.PoolState;
 import cacheproxy.snapshot.state.StateSnapshot;
 import io.netty.channel.EventLoop;
@@ -38,15 +37,6 @@
     /** Connections are still accepted for this time after SIGTERM, until clients have seen the status. */
     private static final double ACCEPT_AFTER_SIGTERM_MS = 500;
 
-    /** File descriptors that are neither clients' nor servers'. */
-    private static final int OWN_DESCRIPTORS = 64;
-
-    private static final int MIN_CLIENT_SOCKETS = 16;
-    /** A third of the sockets is for servers. */
-    private static final int SERVER_SOCKETS_DIVISOR = 3;
-    /** An eighth of the memory is for clients' values. */
-    private static final int VALUE_MEMORY_DIVISOR = 8;
-
     private static final long CLIENT_SWEEP_MS = 250;
     private static final long COLLECT_MS = 20;
 
@@ -70,12 +60,11 @@
     private Daemon(DaemonConfig file, long seed) {
         random = new SplittableRandom(seed);
         StandardProtocols protocols = new StandardProtocols(random.nextLong());
-        int sockets = file.limits().sockets();
-        int serverSockets = sockets / SERVER_SOCKETS_DIVISOR;
-        long valueBytes = ((long) file.limits().memoryMb() << 20) / VALUE_MEMORY_DIVISOR;
-        core = new EventLoopContext(loop, polls, Transport.BEST.socket(), valueBytes, serverSockets, true);
+        ProcessBudget budget = ProcessBudget.of(file.limits());
+        core = new EventLoopContext(
+                loop, polls, Transport.BEST.socket(), budget.valueBytes(), budget.serverSockets(), true);
         core.watchPauses();
-        clients = new ClientRegistry(core, Math.max(MIN_CLIENT_SOCKETS, sockets - serverSockets - OWN_DESCRIPTORS));
+        clients = new ClientRegistry(core, budget.clientSockets());
         router = new Router(core);
         listeners = new ListenerSet(core, clients, router, protocols);
         subsystems = new Subsystems(task -> loop.submit(task).syncUninterruptibly(), StandardSubsystems.ALL);
@@ -119,7 +108,7 @@
     // The tasks end with the event loop, so that nobody needs their futures.
     @SuppressWarnings("FutureReturnValueIgnored")
     private void startPeriodicTasks() {
-        core.observe(new RestartObserver());
+        core.observe(new ServerRestartObserver(core, serverStarts, subsystems, router::configuration));
         loop.scheduleWithFixedDelay(clients::sweep, CLIENT_SWEEP_MS, CLIENT_SWEEP_MS, TimeUnit.MILLISECONDS);
         loop.scheduleWithFixedDelay(this::collectUnused, COLLECT_MS, COLLECT_MS, TimeUnit.MILLISECONDS);
     }
@@ -252,25 +241,6 @@
         retired.collect(router.configuration().file, core.now());
     }
 
-    /** Notices restarts of the servers of the file, which no endpoint list reports, by their connections. */
-    private final class RestartObserver implements UpstreamRegistry.Observer {
-        @Override
-        public void refused(int server) {
-            serverStarts.times().connectionRefused(server);
-        }
-
-        @Override
-        public void connected(int server) {
-            if (serverStarts.times().connectionAccepted(server, core.now())) {
-                subsystems.serverRestarted(server);
-                // Not within the connection's own event: the new list retires connections to a server that restarted.
-                loop.execute(() -> router.configuration().pools.values().stream()
-                        .filter(pool -> pool.config().discovery() == null && pool.hasServer(server))
-                        .forEach(PoolRuntime::applyServerList));
-            }
-        }
-    }
-
     /** Shuts down gracefully: serves pending requests, and returns once that is done or at the longest deadline. */
     public void drain() {
         loop.execute(subsystems::drain);
--- /dev/null
+++ b/src/main/java/cacheproxy/daemon/IcpResponder.java
@@ -0,0 +1,93 @@
+package cacheproxy.daemon;
+
+import cacheproxy.config.IcpConfig;
+import cacheproxy.icp.IcpMessage;
+import cacheproxy.icp.IcpMessage.Opcode;
+import cacheproxy.proxy.request.RequestValidator;
+import cacheproxy.proxy.upstream.EventLoopContext;
+import cacheproxy.routes.Route;
+import cacheproxy.routes.RouteInput;
+import cacheproxy.siblings.CacheDigest;
+import cacheproxy.siblings.DenialLimiter;
+import java.net.InetSocketAddress;
+import java.util.Optional;
+import java.util.function.Predicate;
+import java.util.function.Supplier;
+
+/**
+ * Decides how an ICP query is answered: by who asks, by the route of its key, and by what this proxy's own servers are
+ * known to hold. On the event loop only.
+ */
+final class IcpResponder {
+    /** Longest key of the protocol. */
+    private static final int MAX_KEY_CHARS = 250;
+    /** Unknown addresses whose denials are counted. */
+    private static final int MAX_STRANGERS = 1024;
+
+    private final IcpConfig icp;
+    private final EventLoopContext core;
+    private final CacheDigest digest;
+    private final Predicate<InetSocketAddress> isSibling;
+    /** Its routes and pools decide the answers. */
+    private final Supplier<ConfigSnapshot> configuration;
+
+    private final DenialLimiter<InetSocketAddress> denials = new DenialLimiter<>(MAX_STRANGERS);
+
+    IcpResponder(
+            IcpConfig icp,
+            EventLoopContext core,
+            CacheDigest digest,
+            Predicate<InetSocketAddress> isSibling,
+            Supplier<ConfigSnapshot> configuration) {
+        this.icp = icp;
+        this.core = core;
+        this.digest = digest;
+        this.isSibling = isSibling;
+        this.configuration = configuration;
+    }
+
+    /** The opcode of the answer to a query; empty if it gets none. */
+    Optional<Opcode> answer(InetSocketAddress from, IcpMessage query) {
+        boolean denied = !isSibling.test(from);
+        if (!denials.answer(from, denied)) {
+            return Optional.empty();
+        }
+        if (denied) {
+            return Optional.of(Opcode.DENIED);
+        }
+        ConfigSnapshot config = configuration.get();
+        if (config == null || !query.url().startsWith(icp.urlPrefix())) {
+            return Optional.of(Opcode.ERR);
+        }
+        String key = query.url().substring(icp.urlPrefix().length());
+        return Optional.of(lookUp(config, key));
+    }
+
+    private Opcode lookUp(ConfigSnapshot config, String key) {
+        if (key.isEmpty() || key.length() > MAX_KEY_CHARS || icp.listener() == null) {
+            return Opcode.MISS;
+        }
+        RouteInput input = config.file.keys().subject(icp.listener(), key, 0, 0, false);
+        if (input == null) {
+            return Opcode.MISS;
+        }
+        Route route = config.file.routes().find(input);
+        if (route == null || !(route.action() instanceof Route.ToPools)) {
+            return Opcode.MISS;
+        }
+        String poolKey = route.poolKey(input);
+        return poolKey == null ? Opcode.MISS : lookUpInPool(config.chain(route).get(0), poolKey);
+    }
+
+    private Opcode lookUpInPool(PoolRuntime pool, String poolKey) {
+        if (pool.dispatcher.pressed()) {
+            return Opcode.MISS_NOFETCH;
+        }
+        long number = RequestValidator.keyNumber(poolKey);
+        if (!digest.holds(core.now(), number)) {
+            return Opcode.MISS;
+        }
+        int server = digest.server(number);
+        return pool.hasServer(server) && pool.dispatcher.sound(server) ? Opcode.HIT : Opcode.MISS;
+    }
+}
--- /dev/null
+++ b/src/main/java/cacheproxy/daemon/ServerRestartObserver.java
@@ -0,0 +1,47 @@
+package cacheproxy.daemon;
+
+import cacheproxy.proxy.upstream.EventLoopContext;
+import cacheproxy.proxy.upstream.UpstreamRegistry;
+import java.util.function.Supplier;
+
+/**
+ * Notices restarts of the servers of the configuration file, which no endpoint list reports, by their connections. On
+ * the event loop only.
+ */
+final class ServerRestartObserver implements UpstreamRegistry.Observer {
+    private final EventLoopContext core;
+    private final ServerStarts serverStarts;
+    private final Subsystems subsystems;
+    private final Supplier<ConfigSnapshot> configuration;
+
+    ServerRestartObserver(
+            EventLoopContext core,
+            ServerStarts serverStarts,
+            Subsystems subsystems,
+            Supplier<ConfigSnapshot> configuration) {
+        this.core = core;
+        this.serverStarts = serverStarts;
+        this.subsystems = subsystems;
+        this.configuration = configuration;
+    }
+
+    @Override
+    public void refused(int server) {
+        serverStarts.times().connectionRefused(server);
+    }
+
+    @Override
+    public void connected(int server) {
+        if (serverStarts.times().connectionAccepted(server, core.now())) {
+            subsystems.serverRestarted(server);
+            // Not within the connection's own event: the new list retires connections to a server that restarted.
+            core.loop().execute(() -> applyServerLists(server));
+        }
+    }
+
+    private void applyServerLists(int server) {
+        configuration.get().pools.values().stream()
+                .filter(pool -> pool.config().discovery() == null && pool.hasServer(server))
+                .forEach(PoolRuntime::applyServerList);
+    }
+}
--- a/src/main/java/cacheproxy/daemon/SiblingSocket.java
+++ b/src/main/java/cacheproxy/daemon/SiblingSocket.java
@@ -12,10 +12,7 @@
 import cacheproxy.limits.TokenBucket;
 import cacheproxy.proxy.request.RequestValidator;
 import cacheproxy.proxy.upstream.EventLoopContext;
-import cacheproxy.routes.Route;
-import cacheproxy.routes.RouteInput;
 import cacheproxy.siblings.CacheDigest;
-import cacheproxy.siblings.DenialLimiter;
 import cacheproxy.siblings.PendingQueries;
 import cacheproxy.siblings.SiblingStats;
 import io.netty.channel.Channel;
@@ -40,12 +37,8 @@
     /** Its section of the configuration file. */
     static final String SECTION = "icp";
 
-    /** Longest key of the protocol. */
-    private static final int MAX_KEY_CHARS = 250;
     /** Servers that the digest can distinguish. */
     private static final int MAX_SERVERS = 4096;
-    /** Unknown addresses whose denials are counted. */
-    private static final int MAX_STRANGERS = 1024;
     /** For how long late answers are recognized and measured. */
     private static final double LATE_MS = 2000;
 
@@ -54,7 +47,7 @@
     private final SplittableRandom random;
     private final CacheDigest digest;
     private final PendingQueries<InetSocketAddress> pendingQueries;
-    private final DenialLimiter<InetSocketAddress> denials = new DenialLimiter<>(MAX_STRANGERS);
+    private final IcpResponder responder;
     private final Map<String, SiblingStats> statsByName;
     private final Map<InetSocketAddress, SiblingConfig> byAddress = new HashMap<>();
     private final Map<Integer, IntConsumer> callbacks = new HashMap<>();
@@ -63,19 +56,22 @@
     private final Map<InetSocketAddress, TokenBucket> answerRates = new HashMap<>();
 
     private final TokenBucket strangersRate;
-    /** Its routes and pools decide the answers. */
-    private Supplier<ConfigSnapshot> configuration = () -> null;
-
     private volatile Channel channel;
     private long malformedCount;
     private long overRateCount;
 
-    private SiblingSocket(DaemonConfig file, EventLoopContext core, SiblingSocket before, int seed) {
+    private SiblingSocket(
+            DaemonConfig file,
+            EventLoopContext core,
+            Supplier<ConfigSnapshot> configuration,
+            SiblingSocket before,
+            int seed) {
         spec = SiblingsConfig.of(file);
         this.core = core;
         random = new SplittableRandom(seed);
         IcpConfig icp = spec.icp();
         digest = new CacheDigest(icp.rememberedKeys(), icp.rememberMs(), MAX_SERVERS);
+        responder = new IcpResponder(icp, core, digest, byAddress::containsKey, configuration);
         pendingQueries = new PendingQueries<>(icp.maxPendingQueries(), LATE_MS, random.nextInt());
         statsByName = before == null ? new HashMap<>() : before.statsByName;
         queryRate = new TokenBucket(icp.maxQueriesPerSecond(), Math.max(1, icp.maxQueriesPerSecond() / 10));
@@ -96,26 +92,24 @@
         if (SiblingsConfig.of(file).icp() == null) {
             return Optional.empty();
         }
-        SiblingSocket socket = bind(file, context.core(), (SiblingSocket) previous, seed);
-        socket.configuration = context.configuration();
+        SiblingSocket previousSocket = (SiblingSocket) previous;
+        SiblingSocket socket = new SiblingSocket(file, context.core(), context.configuration(), previousSocket, seed);
+        socket.bind(file, previousSocket);
         return Optional.of(socket);
     }
 
-    private static SiblingSocket bind(DaemonConfig file, EventLoopContext core, SiblingSocket before, int seed)
-            throws ConfigException, InterruptedException {
-        SiblingSocket sibling = new SiblingSocket(file, core, before, seed);
-        if (before != null
+    private void bind(DaemonConfig file, SiblingSocket previous) throws ConfigException, InterruptedException {
+        if (previous != null
                 && SocketBinder.conflict(
-                        before.spec.icp().address(), sibling.spec.icp().address())) {
-            before.channel.close().sync(); // there is no second socket at its address
+                        previous.spec.icp().address(), spec.icp().address())) {
+            previous.channel.close().sync(); // there is no second socket at its address
         }
-        sibling.listen(file);
-        return sibling;
+        listen(file);
     }
 
     private void listen(DaemonConfig asked) throws ConfigException, InterruptedException {
-        channel =
-                SocketBinder.datagrams(core, asked, "icp", spec.icp().address(), IcpMessage.MAX_LENGTH, new Handler());
+        channel = SocketBinder.datagrams(
+                core, asked, "icp", spec.icp().address(), IcpMessage.MAX_LENGTH, new QueryHandler());
     }
 
     @Override
@@ -219,45 +213,7 @@
         }
     }
 
-    /** Null if the query gets no answer. */
-    private Opcode answer(InetSocketAddress from, IcpMessage query) {
-        boolean denied = !byAddress.containsKey(from);
-        if (!denials.answer(from, denied)) {
-            return null;
-        }
-        if (denied) {
-            return Opcode.DENIED;
-        }
-        ConfigSnapshot config = configuration.get();
-        String prefix = spec.icp().urlPrefix();
-        if (config == null || !query.url().startsWith(prefix)) {
-            return Opcode.ERR;
-        }
-        String key = query.url().substring(prefix.length());
-        RouteInput input =
-                key.isEmpty() || key.length() > MAX_KEY_CHARS || spec.icp().listener() == null
-                        ? null
-                        : config.file.keys().subject(spec.icp().listener(), key, 0, 0, false);
-        Route route = input == null ? null : config.file.routes().find(input);
-        String poolKey = route == null || !(route.action() instanceof Route.ToPools) ? null : route.poolKey(input);
-        return poolKey == null ? Opcode.MISS : answer(config.chain(route).get(0), poolKey);
-    }
-
-    private Opcode answer(PoolRuntime pool, String poolKey) {
-        if (pool.dispatcher.pressed()) {
-            return Opcode.MISS_NOFETCH;
-        }
-        long number = RequestValidator.keyNumber(poolKey);
-        if (digest.holds(core.now(), number)) {
-            int server = digest.server(number);
-            if (pool.hasServer(server) && pool.dispatcher.sound(server)) {
-                return Opcode.HIT;
-            }
-        }
-        return Opcode.MISS;
-    }
-
-    private final class Handler extends SimpleChannelInboundHandler<DatagramPacket> {
+    private final class QueryHandler extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
             IcpMessage message;
@@ -280,10 +236,10 @@
                 overRateCount++;
                 return;
             }
-            Opcode answer = answer(from, query);
-            if (answer != null) {
-                ctx.write(new DatagramPacket(IcpCodec.encode(ctx.alloc(), query.answer(answer)), from));
-            }
+            responder
+                    .answer(from, query)
+                    .ifPresent(opcode ->
+                            ctx.write(new DatagramPacket(IcpCodec.encode(ctx.alloc(), query.answer(opcode)), from)));
         }
 
         @Override
--- a/src/main/java/cacheproxy/daemon/fleet/LeaseSpec.java
+++ b/src/main/java/cacheproxy/daemon/fleet/LeaseSpec.java
@@ -23,7 +23,7 @@
     static Map<String, LeaseSpec> of(DaemonConfig file) {
         FleetConfig config = file.section(FleetConfig.class);
         Map<String, LeaseSpec> specs = new LinkedHashMap<>();
-        config.leases().forEach(duty -> specs.put(duty.name(), new LeaseSpec(duty.leaseMs(), duty.voters(), null)));
+        config.leases().forEach(lease -> specs.put(lease.name(), new LeaseSpec(lease.leaseMs(), lease.voters(), null)));
         for (String name : config.healthCheckLeases()) {
             specs.put(
                     name,
