--- a/src/main/java/cacheproxy/cli/RunCommand.java
+++ b/src/main/java/cacheproxy/cli/RunCommand.java
@@ -48,8 +48,8 @@
             return Cli.UNUSABLE;
         }
         daemon.reloadBy(() -> reload(daemon, err));
-        if (!SighupHandler.run(() -> reload(daemon, err))) {
-            err.println(SighupHandler.IGNORED);
+        if (!SighupHandler.install(() -> reload(daemon, err))) {
+            err.println(SighupHandler.IGNORED_MESSAGE);
         }
         Runtime.getRuntime().addShutdownHook(new Thread(daemon::drain));
         daemon.addresses()
--- a/src/main/java/cacheproxy/daemon/Daemon.java
+++ b/src/main/java/cacheproxy/daemon/Daemon.java
@@ -109,7 +109,7 @@
     @SuppressWarnings("FutureReturnValueIgnored")
     private void startPeriodicTasks() {
         core.observe(new ServerRestartObserver(core, serverStarts, subsystems, router::configuration));
-        loop.scheduleWithFixedDelay(clients::sweep, CLIENT_SWEEP_MS, CLIENT_SWEEP_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(clients::closeStalled, CLIENT_SWEEP_MS, CLIENT_SWEEP_MS, TimeUnit.MILLISECONDS);
         loop.scheduleWithFixedDelay(this::collectUnused, COLLECT_MS, COLLECT_MS, TimeUnit.MILLISECONDS);
     }
 
--- a/src/main/java/cacheproxy/daemon/IcpResponder.java
+++ b/src/main/java/cacheproxy/daemon/IcpResponder.java
@@ -83,7 +83,7 @@
         if (pool.dispatcher.pressed()) {
             return Opcode.MISS_NOFETCH;
         }
-        long number = RequestValidator.keyNumber(poolKey);
+        long number = RequestValidator.keyHash(poolKey);
         if (!digest.holds(core.now(), number)) {
             return Opcode.MISS;
         }
--- a/src/main/java/cacheproxy/daemon/ListenerSet.java
+++ b/src/main/java/cacheproxy/daemon/ListenerSet.java
@@ -88,7 +88,7 @@
             configured.add(config.name());
             Listener listener = reserved.get(config.name());
             if (listener == null) {
-                byName.get(config.name()).use(router.from(config.name()), protocols.protocolOf(file, config));
+                byName.get(config.name()).reconfigure(router.from(config.name()), protocols.protocolOf(file, config));
                 continue;
             }
             drain(byName.put(config.name(), listener));
@@ -156,7 +156,7 @@
     void removeDrained() {
         draining.removeIf(listener -> {
             listener.drain();
-            return listener.empty();
+            return listener.isEmpty();
         });
     }
 }
--- a/src/main/java/cacheproxy/daemon/PoolSettings.java
+++ b/src/main/java/cacheproxy/daemon/PoolSettings.java
@@ -162,7 +162,7 @@
         return (server, route, poolKey) -> {
             PlacementTemplate template = route.placeBy() == null ? poolTemplate : route.placeBy();
             if (carp) {
-                return RequestValidator.keyNumber(
+                return RequestValidator.keyHash(
                         template.equals(PlacementTemplate.KEY)
                                 ? poolKey
                                 : new String(template.bytes(server, route, poolKey), StandardCharsets.ISO_8859_1));
--- a/src/main/java/cacheproxy/daemon/ResponseObserver.java
+++ b/src/main/java/cacheproxy/daemon/ResponseObserver.java
@@ -23,9 +23,9 @@
     }
 
     @Override
-    public void receipt(String receipt) {
+    public void stored(String receipt) {
         observer.accept(Answer.SERVED);
-        client.receipt(receipt);
+        client.stored(receipt);
     }
 
     @Override
@@ -35,9 +35,9 @@
     }
 
     @Override
-    public void refused(double retryAfterMs) {
+    public void busy(double retryAfterMs) {
         observer.accept(Answer.REFUSED);
-        client.refused(retryAfterMs);
+        client.busy(retryAfterMs);
     }
 
     @Override
@@ -47,30 +47,30 @@
     }
 
     @Override
-    public void rejected(String why) {
+    public void badRequest(String why) {
         observer.accept(Answer.REJECTED);
-        client.rejected(why);
+        client.badRequest(why);
     }
 
     @Override
-    public void begin(int length, Flow source) {
-        client.begin(length, source);
+    public void beginValue(int length, ValueSource source) {
+        client.beginValue(length, source);
     }
 
     @Override
-    public void part(ByteBuf part) {
-        client.part(part);
+    public void valuePart(ByteBuf part) {
+        client.valuePart(part);
     }
 
     @Override
-    public void end() {
+    public void endValue() {
         observer.accept(Answer.SERVED);
-        client.end();
+        client.endValue();
     }
 
     @Override
-    public void breakOff() {
+    public void abortValue() {
         observer.accept(Answer.FAILED);
-        client.breakOff();
+        client.abortValue();
     }
 }
--- a/src/main/java/cacheproxy/daemon/RoutedRequest.java
+++ b/src/main/java/cacheproxy/daemon/RoutedRequest.java
@@ -105,7 +105,7 @@
         double waitMs = config.quotas.requestWaitMs(all, core.now());
         if (waitMs > 0) {
             concluded();
-            client.refused(waitMs);
+            client.busy(waitMs);
             return false;
         }
         quotasTaken = take(all);
@@ -132,7 +132,7 @@
         } else if (missed) {
             client.miss();
         } else {
-            client.refused(longestRetryAfterMs);
+            client.busy(longestRetryAfterMs);
         }
     }
 
@@ -186,7 +186,7 @@
     }
 
     @Override
-    public void refused(double retryAfterMs) {
+    public void busy(double retryAfterMs) {
         poolRejected(false, false, retryAfterMs);
     }
 
@@ -202,46 +202,46 @@
     }
 
     @Override
-    public void receipt(String receipt) {
+    public void stored(String receipt) {
         concluded();
-        client.receipt(receipt);
+        client.stored(receipt);
     }
 
     @Override
-    public void rejected(String why) {
+    public void badRequest(String why) {
         concluded();
-        client.rejected(why);
+        client.badRequest(why);
     }
 
     @Override
-    public void begin(int length, Flow source) {
-        client.begin(length, source);
+    public void beginValue(int length, ValueSource source) {
+        client.beginValue(length, source);
     }
 
     @Override
-    public void part(ByteBuf part) {
-        client.part(part);
+    public void valuePart(ByteBuf part) {
+        client.valuePart(part);
     }
 
     @Override
-    public void end() {
+    public void endValue() {
         concluded();
-        client.end();
+        client.endValue();
     }
 
     @Override
-    public void breakOff() {
+    public void abortValue() {
         if (!concluded) {
             concluded();
         }
-        client.breakOff();
+        client.abortValue();
     }
 
     @Override
-    public void gone() {
+    public void clientDisconnected() {
         if (!concluded) {
             concluded();
-            current.gone();
+            current.clientDisconnected();
         }
     }
 }
--- a/src/main/java/cacheproxy/daemon/Router.java
+++ b/src/main/java/cacheproxy/daemon/Router.java
@@ -39,13 +39,13 @@
         String fault = config.requestValidator.resolve(request);
         if (fault != null) {
             request.release(core);
-            responder.rejected(fault);
+            responder.badRequest(fault);
             return null;
         }
-        if (config.requestValidator.expired(request)) {
+        if (config.requestValidator.isExpired(request)) {
             core.closeId(request);
             request.release(core);
-            responder.refused(0);
+            responder.busy(0);
             return null;
         }
         List<HookExecutor> hooks = config.hooksOfListener.get(listener);
@@ -64,7 +64,7 @@
             ConfigSnapshot config, String listener, Route named, ClientRequest request, Responder responder) {
         RouteInput input = config.file
                 .keys()
-                .subject(listener, request.key(), request.serviceClass(), request.tenant(), request.write());
+                .subject(listener, request.key(), request.serviceClass(), request.tenant(), request.isWrite());
         Route route = input == null
                 ? null
                 : named != null ? named : config.file.routes().find(input);
@@ -74,11 +74,11 @@
         core.closeId(request);
         request.release(core);
         if (input == null) {
-            responder.rejected("key is no path");
+            responder.badRequest("key is no path");
         } else if (route == null) {
-            responder.rejected("no route takes this key");
+            responder.badRequest("no route takes this key");
         } else if (route.action() instanceof Route.Refuse refusal) {
-            responder.refused(refusal.afterMs());
+            responder.busy(refusal.afterMs());
         } else {
             responder.failed();
         }
@@ -96,14 +96,14 @@
         if (key == null) {
             core.closeId(request);
             request.release(core);
-            responder.rejected("route " + route.name() + " makes no legal key of this one");
+            responder.badRequest("route " + route.name() + " makes no legal key of this one");
             return null;
         }
-        if (fromSibling(config, listener) && (request.write() || mayFetch(config.chain(route)))) {
+        if (fromSibling(config, listener) && (request.isWrite() || mayFetch(config.chain(route)))) {
             core.closeId(request);
             request.release(core);
-            if (request.write()) {
-                responder.rejected("siblings do not write here");
+            if (request.isWrite()) {
+                responder.badRequest("siblings do not write here");
             } else {
                 responder.miss();
             }
--- a/src/main/java/cacheproxy/daemon/SiblingSocket.java
+++ b/src/main/java/cacheproxy/daemon/SiblingSocket.java
@@ -151,15 +151,15 @@
     /** A server of ours has answered a read of a key. */
     void read(String key, int server, boolean has) {
         if (has) {
-            digest.answered(core.now(), RequestValidator.keyNumber(key), server);
+            digest.answered(core.now(), RequestValidator.keyHash(key), server);
         } else {
-            digest.gone(RequestValidator.keyNumber(key));
+            digest.gone(RequestValidator.keyHash(key));
         }
     }
 
     /** A key has been written, so that what was remembered of it is void. */
     void written(String key) {
-        digest.gone(RequestValidator.keyNumber(key));
+        digest.gone(RequestValidator.keyHash(key));
     }
 
     @Override
--- a/src/main/java/cacheproxy/daemon/hooks/HookedRequest.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookedRequest.java
@@ -162,7 +162,7 @@
                 ? ""
                 : config.file.tenants().get(request.tenant()).name();
         return new HookCall(
-                request.key(), serviceClass.name(), tenant, request.write(), request.repeat(), (long) leftMs);
+                request.key(), serviceClass.name(), tenant, request.isWrite(), request.isRetry(), (long) leftMs);
     }
 
     private void route() {
@@ -178,7 +178,7 @@
     private boolean applies(HookExecutor hook) {
         RouteInput input = config.file
                 .keys()
-                .subject(listener, request.key(), request.serviceClass(), request.tenant(), request.write());
+                .subject(listener, request.key(), request.serviceClass(), request.tenant(), request.isWrite());
         Route route = routeByHook != null
                 ? routeByHook
                 : input == null ? null : config.file.routes().find(input);
@@ -239,9 +239,9 @@
 
     private void apply(HookOrders orders, double nowMs) {
         if (orders.key() != null && !orders.key().equals(request.key())) {
-            request = request.moved(orders.key());
+            request = request.moveToKey(orders.key());
         }
-        request.order(
+        request.reclassify(
                 orders.serviceClass() == null
                         ? request.serviceClass()
                         : config.hookRules.classIndex(orders.serviceClass()),
@@ -254,7 +254,7 @@
         onLoop(() -> {
             release();
             if (!gone) {
-                responder.refused(afterMs);
+                responder.busy(afterMs);
             }
         });
     }
@@ -271,10 +271,10 @@
     }
 
     @Override
-    public void gone() {
+    public void clientDisconnected() {
         gone = true;
         if (routed != null) {
-            routed.gone();
+            routed.clientDisconnected();
         }
     }
 }
--- a/src/main/java/cacheproxy/proxy/client/ClientConnection.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientConnection.java
@@ -50,7 +50,7 @@
 
     private final EventLoopContext core;
     private final Front front;
-    private final double place;
+    private final double closingPosition;
     private final ArrayDeque<Slot> slots = new ArrayDeque<>();
     /** Those of the commands that have come whole and are yet to be handed in; no more than there are slots. */
     private final ArrayDeque<Slot> fresh = new ArrayDeque<>(2);
@@ -97,36 +97,36 @@
         RequestHandler handler();
 
         /** Whether this connection is to end between requests. */
-        boolean ends(ClientConnection client);
+        boolean closesWhenIdle(ClientConnection client);
 
         /** Whether clients that ask are told to come. */
-        boolean takesClients();
+        boolean acceptsClients();
 
         /** Since when a connection that is accepted now may have waited for that. */
         double queuedSinceMs();
 
         /** Nothing is open on one any more. */
-        void idle(ClientConnection client);
+        void connectionIdle(ClientConnection client);
 
-        void left(ClientConnection client);
+        void connectionClosed(ClientConnection client);
 
         /** What plain commands of stock clients are given; null where commands must be the platform's. */
-        StandardMetaProtocol open();
+        StandardMetaProtocol standardProtocol();
     }
 
     /** @param place from 0 to under 1, by which connections that are to end are spread */
     public ClientConnection(EventLoopContext core, Front front, double place) {
         this.core = core;
         this.front = front;
-        this.place = place;
+        this.closingPosition = place;
     }
 
-    double place() {
-        return place;
+    double closingPosition() {
+        return closingPosition;
     }
 
     /** Whether it has asked something, or has had the time to. */
-    boolean heard(double now) {
+    boolean hasHadTimeToAsk(double now) {
         return asked || now - acceptedMs > FIRST_MS;
     }
 
@@ -141,13 +141,15 @@
     }
 
     /** Between requests: nothing owed and nothing begun. */
-    boolean idle() {
+    boolean isIdle() {
         return slots.isEmpty() && incoming == null && actualReadableBytes() == 0;
     }
 
     /** How soon this one is to make room for another; negative: not at all. */
-    double room(double now) {
-        return finished ? -1 : ConnectionEviction.rank(idle(), asked, !slots.isEmpty() || unwritten(), now - activeMs);
+    double evictionRank(double now) {
+        return finished
+                ? -1
+                : ConnectionEviction.rank(isIdle(), asked, !slots.isEmpty() || unwritten(), now - activeMs);
     }
 
     private boolean unwritten() {
@@ -160,16 +162,16 @@
      * come whole since the connection did: those that connect and say nothing would take the descriptors of those that
      * ask. One that waits for its answer is not stalled, as long as that may take.
      */
-    boolean stalled(double now) {
+    boolean isStalled(double now) {
         return (now - activeMs > STALLED_MS && (finished || unwritten()))
                 || (now - activeMs > SLOW_MS && midway())
-                || (!asked && now - acceptedMs > (idle() ? SILENT_MS : SLOW_MS));
+                || (!asked && now - acceptedMs > (isIdle() ? SILENT_MS : SLOW_MS));
     }
 
     /** Ends one that is stalled; what it has asked whole before is answered first. */
-    void endStalled() {
+    void closeStalled() {
         if (slots.stream().anyMatch(Slot::owed)) {
-            takeNoMore();
+            stopTakingRequests();
         } else {
             close("stalled");
         }
@@ -181,7 +183,7 @@
     }
 
     /** Whether it lingers: our side has ended it, and its client has not yet. */
-    boolean lingers() {
+    boolean isLingering() {
         return finished;
     }
 
@@ -191,7 +193,7 @@
      *
      * @return whether its descriptor is free at once; else it is when it has lingered
      */
-    boolean makeRoom(double now) {
+    boolean evict(double now) {
         if (now - wroteMs < ACKNOWLEDGED_MS) {
             finish();
             return false;
@@ -201,7 +203,7 @@
     }
 
     /** Whatever comes from now on is not taken; it ends once all that was has its answer. */
-    void takeNoMore() {
+    void stopTakingRequests() {
         closing = true;
         flushAnswers();
     }
@@ -262,7 +264,7 @@
             if (incoming != null) {
                 value(in);
             } else {
-                String line = MetaCodec.line(in);
+                String line = MetaCodec.readLine(in);
                 if (line != null) {
                     command(line);
                 }
@@ -283,10 +285,10 @@
 
     private void command(String line) throws MetaCodec.SyntaxException {
         if (line.equals("mn")) {
-            say(front.takesClients() ? "MN\r\n" : "SERVER_ERROR standby\r\n");
+            say(front.acceptsClients() ? "MN\r\n" : "SERVER_ERROR standby\r\n");
             return;
         }
-        if (front.open() != null) {
+        if (front.standardProtocol() != null) {
             openCommand(line);
             return;
         }
@@ -295,12 +297,12 @@
             say("ERROR\r\n");
             return;
         }
-        String key = MetaCodec.wordAt(line, 3);
+        String key = MetaCodec.tokenAt(line, 3);
         int flags = 3 + key.length() + 1;
         int length = 0;
         if (write) {
-            String word = MetaCodec.wordAt(line, flags);
-            length = MetaCodec.length(word);
+            String word = MetaCodec.tokenAt(line, flags);
+            length = MetaCodec.parseLength(word);
             flags += word.length() + 1;
         }
         String id = MetaCodec.flag(line, flags, 'O');
@@ -311,7 +313,7 @@
                 || id == null
                 || id.isEmpty()
                 || extras == null
-                || !MetaCodec.printing(line);
+                || !MetaCodec.isPrintable(line);
         if (bad && !write) {
             say("CLIENT_ERROR bad command line format\r\n");
             return;
@@ -326,7 +328,7 @@
 
     /** A stock client's command: it needs neither id nor list, and gets an answer line whatever it asks. */
     private void openCommand(String line) throws MetaCodec.SyntaxException {
-        StandardMetaProtocol.Parsed parsed = front.open().parse(line);
+        StandardMetaProtocol.Parsed parsed = front.standardProtocol().parse(line);
         if (parsed.write()) {
             openEcho = parsed.echo();
             openFault = parsed.fault();
@@ -345,7 +347,7 @@
         missing = length + 2;
         if (command != null && core.reserve(missing)) {
             reserved = missing;
-            command.value(ctx.alloc().buffer(Math.min(missing, 16 << 10), missing), missing);
+            command.setValue(ctx.alloc().buffer(Math.min(missing, 16 << 10), missing), missing);
         }
     }
 
@@ -372,7 +374,7 @@
             // No room for the value, or no request that could be made of it. Nothing was sent on.
             say(
                     !refused
-                            ? MetaCodec.BUSY + "\r\n"
+                            ? MetaCodec.BUSY_PREFIX + "\r\n"
                             : openFault != null ? openFault + "\r\n" : "CLIENT_ERROR bad command line format\r\n");
             return;
         }
@@ -382,7 +384,7 @@
             throw new MetaCodec.SyntaxException("bad data chunk");
         }
         reserved = 0; // given back when the request is over
-        boolean strict = front.open() == null;
+        boolean strict = front.standardProtocol() == null;
         hand(command, strict ? " O" + command.id : openEcho, strict);
     }
 
@@ -408,7 +410,7 @@
             ClientRequest command = slot.command;
             slot.command = null;
             try {
-                RequestHandler.Handle handle = front.handler().take(command, slot);
+                RequestHandler.Handle handle = front.handler().submit(command, slot);
                 if (!slot.whole) {
                     slot.handle = handle;
                 }
@@ -438,7 +440,7 @@
 
     /** Answers a command by the proxy itself. */
     private void say(String text) {
-        slot("", true).answer(MetaCodec.text(ctx.alloc(), text));
+        slot("", true).answer(MetaCodec.ascii(ctx.alloc(), text));
     }
 
     /** A command's place in the order of answers. */
@@ -458,7 +460,7 @@
         /** Whether some of a long answer has come. */
         private boolean begun;
         /** Holds back the rest of a long answer. */
-        private Flow source;
+        private ValueSource source;
 
         private boolean streaming;
 
@@ -485,7 +487,7 @@
         }
 
         private void say(String line) {
-            answer(MetaCodec.text(ctx.alloc(), line));
+            answer(MetaCodec.ascii(ctx.alloc(), line));
         }
 
         @Override
@@ -493,7 +495,7 @@
             int length = value.readableBytes();
             ByteBuf buf = ctx.alloc().buffer(24 + echo.length() + length);
             ByteBufUtil.writeAscii(buf, "VA ");
-            MetaCodec.number(buf, length);
+            MetaCodec.writeDecimal(buf, length);
             ByteBufUtil.writeAscii(buf, echo);
             buf.writeShort(MetaCodec.CRLF)
                     .writeBytes(value, value.readerIndex(), length)
@@ -503,7 +505,7 @@
         }
 
         @Override
-        public void receipt(String receipt) {
+        public void stored(String receipt) {
             say("HD" + echo + (receipt == null || !receipts ? "" : " c" + receipt) + "\r\n");
         }
 
@@ -513,32 +515,32 @@
         }
 
         @Override
-        public void refused(double retryAfterMs) {
-            say(MetaCodec.BUSY + (retryAfterMs >= 1 ? " " + Math.round(retryAfterMs) : "") + "\r\n");
+        public void busy(double retryAfterMs) {
+            say(MetaCodec.BUSY_PREFIX + (retryAfterMs >= 1 ? " " + Math.round(retryAfterMs) : "") + "\r\n");
         }
 
         @Override
         public void failed() {
-            say(MetaCodec.FAILED);
+            say(MetaCodec.FAILED_LINE);
         }
 
         @Override
-        public void rejected(String why) {
+        public void badRequest(String why) {
             say("CLIENT_ERROR " + why + "\r\n");
         }
 
         @Override
-        public void begin(int length, Flow flow) {
+        public void beginValue(int length, ValueSource flow) {
             source = flow;
             begun = true;
             int most = core.streamOpened();
             streaming = true;
             ctx.channel().config().setWriteBufferWaterMark(new WriteBufferWaterMark(most / 2, most));
-            part(MetaCodec.text(ctx.alloc(), "VA " + length + echo + "\r\n"));
+            valuePart(MetaCodec.ascii(ctx.alloc(), "VA " + length + echo + "\r\n"));
         }
 
         @Override
-        public void part(ByteBuf part) {
+        public void valuePart(ByteBuf part) {
             if (finished) {
                 part.release();
             } else if (answer == null) {
@@ -553,10 +555,10 @@
         }
 
         @Override
-        public void end() {
+        public void endValue() {
             ended();
             if (!finished) {
-                part(MetaCodec.text(ctx.alloc(), "\r\n"));
+                valuePart(MetaCodec.ascii(ctx.alloc(), "\r\n"));
             }
             whole = true;
             handle = null;
@@ -565,7 +567,7 @@
 
         /** Only the connection's end tells the client that the value is not whole. */
         @Override
-        public void breakOff() {
+        public void abortValue() {
             ended();
             close("answer_cut");
         }
@@ -596,7 +598,7 @@
         }
         if (wrote) {
             activeMs = wroteMs = core.now();
-            if (closing || front.ends(this)) {
+            if (closing || front.closesWhenIdle(this)) {
                 ctx.flush();
             } else if (!flushing) {
                 flushing = true;
@@ -604,10 +606,10 @@
             }
         }
         regulate();
-        if (slots.isEmpty() && (closing || (front.ends(this) && idle()))) {
+        if (slots.isEmpty() && (closing || (front.closesWhenIdle(this) && isIdle()))) {
             finish();
         } else if (wrote && slots.isEmpty()) {
-            front.idle(this);
+            front.connectionIdle(this);
         }
     }
 
@@ -615,7 +617,7 @@
     private void regulate() {
         for (Slot e : slots) {
             if (e.source != null) {
-                e.source.hold(e != slots.peek() || !ctx.channel().isWritable());
+                e.source.setPaused(e != slots.peek() || !ctx.channel().isWritable());
             }
         }
         if (readPaused && slots.size() < MAX_PIPELINED && ctx.channel().isWritable()) {
@@ -689,14 +691,14 @@
                 e.answer = null;
             }
             if (e.source != null) {
-                e.source.hold(false);
+                e.source.setPaused(false);
                 e.ended();
             }
             if (e.handle != null) {
-                e.handle.gone();
+                e.handle.clientDisconnected();
             }
         }
-        front.left(this);
+        front.connectionClosed(this);
     }
 
     @SuppressWarnings("FutureReturnValueIgnored") // the close is observed where the channel becomes inactive
--- a/src/main/java/cacheproxy/proxy/client/Listener.java
+++ b/src/main/java/cacheproxy/proxy/client/Listener.java
@@ -38,14 +38,14 @@
 
     private final EventLoopContext core;
     private final ClientRegistry clients;
-    private final Set<ClientConnection> own = new HashSet<>();
+    private final Set<ClientConnection> connections = new HashSet<>();
     private RequestHandler handler;
-    private StandardMetaProtocol open;
+    private StandardMetaProtocol standardProtocol;
     private Channel channel;
     /** Connections whose place is under this end between requests. */
     private double endsUnder;
 
-    private boolean takesClients = true;
+    private boolean acceptsClients = true;
     private boolean draining;
     /** Has the address until the channel has; null where there is none to wait for. */
     private Socket reserved;
@@ -69,7 +69,7 @@
         this.core = core;
         this.clients = clients;
         this.handler = handler;
-        this.open = open;
+        this.standardProtocol = open;
     }
 
     /**
@@ -149,8 +149,8 @@
                         ClientConnection client =
                                 new ClientConnection(core, Listener.this, Lifecycle.closingPosition(accepted++));
                         connection.pipeline().addLast(client);
-                        own.add(client);
-                        clients.accepted(client);
+                        connections.add(client);
+                        clients.connectionAccepted(client);
                     }
                 });
     }
@@ -209,15 +209,15 @@
     }
 
     /** Requests go there from now on, and get these defaults. */
-    public void use(RequestHandler to, StandardMetaProtocol defaults) {
+    public void reconfigure(RequestHandler to, StandardMetaProtocol defaults) {
         handler = to;
-        open = defaults;
+        standardProtocol = defaults;
     }
 
     /** Takes no new connections; those that are there end between requests. To be called until it is empty. */
     public void drain() {
         stopListening();
-        end(1);
+        closeIdle(1);
     }
 
     /** Takes no new connections. */
@@ -237,24 +237,24 @@
     }
 
     /** Whether this process says that it takes clients. */
-    public void takesClients(boolean yes) {
-        takesClients = yes;
+    public void acceptsClients(boolean yes) {
+        acceptsClients = yes;
     }
 
     /** Connections of a place under this end between requests. To be called again until they have. */
-    public void end(double under) {
+    public void closeIdle(double under) {
         endsUnder = under;
         double now = core.now();
-        for (ClientConnection c : new ArrayList<>(own)) {
-            if (ends(c) && c.idle() && (draining || c.heard(now))) {
+        for (ClientConnection c : new ArrayList<>(connections)) {
+            if (closesWhenIdle(c) && c.isIdle() && (draining || c.hasHadTimeToAsk(now))) {
                 c.finish();
             }
         }
     }
 
     /** Nothing that comes on standing connections is taken any more. */
-    public void takeNoMore() {
-        new ArrayList<>(own).forEach(ClientConnection::takeNoMore);
+    public void stopTakingRequests() {
+        new ArrayList<>(connections).forEach(ClientConnection::stopTakingRequests);
     }
 
     /** The socket's descriptor; -1 where the kind of channel has none to give. */
@@ -262,12 +262,12 @@
         return channel instanceof EpollServerSocketChannel c ? c.fd().intValue() : -1;
     }
 
-    public boolean empty() {
-        return own.isEmpty();
+    public boolean isEmpty() {
+        return connections.isEmpty();
     }
 
-    public int size() {
-        return own.size();
+    public int connectionCount() {
+        return connections.size();
     }
 
     @Override
@@ -276,13 +276,13 @@
     }
 
     @Override
-    public StandardMetaProtocol open() {
-        return open;
+    public StandardMetaProtocol standardProtocol() {
+        return standardProtocol;
     }
 
     @Override
-    public boolean ends(ClientConnection client) {
-        return client.place() < endsUnder;
+    public boolean closesWhenIdle(ClientConnection client) {
+        return client.closingPosition() < endsUnder;
     }
 
     /** What has queued up is accepted turn after turn; a turn without one has seen the queue empty. */
@@ -302,18 +302,18 @@
     }
 
     @Override
-    public boolean takesClients() {
-        return takesClients;
+    public boolean acceptsClients() {
+        return acceptsClients;
     }
 
     @Override
-    public void idle(ClientConnection client) {
-        clients.idle();
+    public void connectionIdle(ClientConnection client) {
+        clients.connectionIdle();
     }
 
     @Override
-    public void left(ClientConnection client) {
-        own.remove(client);
-        clients.left(client);
+    public void connectionClosed(ClientConnection client) {
+        connections.remove(client);
+        clients.connectionClosed(client);
     }
 }
--- a/src/main/java/cacheproxy/proxy/client/StandardMetaProtocol.java
+++ b/src/main/java/cacheproxy/proxy/client/StandardMetaProtocol.java
@@ -16,8 +16,8 @@
 
     private final String readDefaults;
     private final String writeDefaults;
-    private final Set<String> keyed;
-    private final Supplier<String> ids;
+    private final Set<String> keyedClasses;
+    private final Supplier<String> idGenerator;
 
     /**
      * @param readDefaults the list that a read without one gets, such as {@code c=page,t=acme,d=400}; names that the
@@ -28,8 +28,8 @@
     public StandardMetaProtocol(String readDefaults, String writeDefaults, Set<String> keyed, Supplier<String> ids) {
         this.readDefaults = readDefaults;
         this.writeDefaults = writeDefaults;
-        this.keyed = keyed;
-        this.ids = ids;
+        this.keyedClasses = keyed;
+        this.idGenerator = ids;
     }
 
     /**
@@ -41,22 +41,22 @@
     Parsed parse(String line) throws MetaCodec.SyntaxException {
         boolean write = line.startsWith("ms ");
         if (!write && !line.startsWith("mg ")) {
-            String word = MetaCodec.wordAt(line, 0);
+            String word = MetaCodec.tokenAt(line, 0);
             return fault(
                     "ERROR this listener takes mg, ms and mn"
                             + (word.length() == 2 && word.startsWith("m") ? ", not " + printable(word) : ""),
                     false,
                     0);
         }
-        String key = MetaCodec.wordAt(line, 3);
+        String key = MetaCodec.tokenAt(line, 3);
         int at = 3 + key.length() + 1;
         int length = 0;
         if (write) {
-            String word = MetaCodec.wordAt(line, at);
-            length = MetaCodec.length(word);
+            String word = MetaCodec.tokenAt(line, at);
+            length = MetaCodec.parseLength(word);
             at += word.length() + 1;
         }
-        if (key.isEmpty() || key.length() > 250 || !MetaCodec.printing(line)) {
+        if (key.isEmpty() || key.length() > 250 || !MetaCodec.isPrintable(line)) {
             return fault(
                     "CLIENT_ERROR a key has 1 to 250 printing ASCII characters, and so has the line", write, length);
         }
@@ -99,8 +99,10 @@
     /** The deadline is not left in the list: it is told to each node anew. */
     private ClientRequest command(String key, boolean write, int length, String list) {
         String extras = list;
-        String id = ids.get();
-        if (write && keyed.contains(MetaCodec.named(extras, "c")) && MetaCodec.valueAt(extras, "k") < 0) {
+        String id = idGenerator.get();
+        if (write
+                && keyedClasses.contains(MetaCodec.attribute(extras, "c"))
+                && MetaCodec.attributeValueIndex(extras, "k") < 0) {
             extras += ",k=" + id;
         }
         return ClientRequest.of(key, id, write, length, extras);
@@ -112,7 +114,7 @@
         }
         StringBuilder list = new StringBuilder(own);
         for (String pair : defaults.split(",", 0)) {
-            if (!pair.isEmpty() && MetaCodec.valueAt(own, pair.substring(0, pair.indexOf('='))) < 0) {
+            if (!pair.isEmpty() && MetaCodec.attributeValueIndex(own, pair.substring(0, pair.indexOf('='))) < 0) {
                 list.append(list.isEmpty() ? "" : ",").append(pair);
             }
         }
--- a/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
@@ -83,7 +83,11 @@
             InetSocketAddress address, JsonObject known, boolean ask, List<String> zones, List<String> kinds) {
         public static Source of(PlatformConfig config) {
             return new Source(
-                    config.discovery(), config.known(), config.settings().askForList(), config.zones(), config.kinds());
+                    config.discovery(),
+                    config.initialHosts(),
+                    config.settings().askForList(),
+                    config.zones(),
+                    config.kinds());
         }
     }
 
@@ -406,8 +410,10 @@
             case "removed" -> EndpointState.GONE;
             default -> throw new IllegalArgumentException("host " + name + ": unknown health");
         };
-        int zone = source.zones().indexOf(PlatformConfig.word(h.get("site").getAsString()));
-        int kind = source.kinds().indexOf(PlatformConfig.word(h.get("class").getAsString()));
+        int zone = source.zones()
+                .indexOf(PlatformConfig.toSettingName(h.get("site").getAsString()));
+        int kind = source.kinds()
+                .indexOf(PlatformConfig.toSettingName(h.get("class").getAsString()));
         float weight = h.has("share") ? h.get("share").getAsFloat() : 1;
         if (zone < 0 || kind < 0 || !(weight >= 0) || Float.isInfinite(weight)) {
             throw new IllegalArgumentException("host " + name + ": unknown site or class, or bad share");
--- a/src/main/java/cacheproxy/proxy/dispatch/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/Dispatcher.java
@@ -289,7 +289,7 @@
 
     public float[] report(String list) {
         return settings.reports() == LoadReportSource.WITH_ANSWERS
-                ? MetaCodec.report(list, settings.reportNames())
+                ? MetaCodec.parseLoadReport(list, settings.reportNames())
                 : null;
     }
 
@@ -444,7 +444,15 @@
         exchanges.put(x.id, x);
         double now = core.now();
         RoutingRequest request = new RoutingRequest(
-                x.id, c.serviceClass, c.tenant, x.keyNumber, x.dueMs, c.costMs, c.bytes, c.write, c.repeat);
+                x.id,
+                c.serviceClass,
+                c.tenant,
+                x.keyNumber,
+                x.dueMs,
+                c.workHintMs,
+                c.sizeHintBytes,
+                c.isWrite,
+                c.isRetry);
         // Before the module's own timer for the same time: a silent server's attempt ends as a time-out then.
         x.timer = core.after(x.dueMs - now, () -> due(x));
         if (core.events.isEnabled()) {
@@ -556,9 +564,9 @@
             over(x);
             logAnswer(x, outcome == AttemptOutcome.OK ? "streamed" : "cut");
             if (outcome == AttemptOutcome.OK) {
-                x.responder.end();
+                x.responder.endValue();
             } else {
-                x.responder.breakOff();
+                x.responder.abortValue();
             }
         } else if (outcome == AttemptOutcome.OK && !x.over && !x.streaming) {
             over(x);
@@ -566,7 +574,7 @@
             if (value != null) {
                 x.responder.value(value);
             } else {
-                x.responder.receipt(receipt);
+                x.responder.stored(receipt);
             }
         } else if (value != null) {
             value.release();
@@ -611,7 +619,7 @@
 
     private void tellSiblings(Attempt a, ClientRequest c, AttemptOutcome outcome) {
         Upstream u = upstreams.get(a.server);
-        if (c.write) {
+        if (c.isWrite) {
             questions.written(c.key);
         } else if (u != null && !u.origin && (outcome == AttemptOutcome.OK || outcome == AttemptOutcome.MISS)) {
             questions.read(c.key, a.server, outcome == AttemptOutcome.OK);
@@ -628,7 +636,7 @@
         a.firstByteMs = core.now();
         stop(x.timer);
         stop(a.timer);
-        x.responder.begin(length, a.connection);
+        x.responder.beginValue(length, a.connection);
         tell(() -> module.onFirstByte(core.now(), x.id, a.index, a.server, this));
         for (Attempt other : x.attempts) {
             if (other != a) {
@@ -642,7 +650,7 @@
         if (a.ended || a.exchange.over) {
             part.release();
         } else {
-            a.exchange.responder.part(part);
+            a.exchange.responder.valuePart(part);
         }
     }
 
@@ -668,7 +676,7 @@
             x.responder.miss();
         } else {
             logAnswer(x, "refused");
-            x.responder.refused(retryAfterMs >= 1 && settings.retryAdvice() ? retryAfterMs : 0);
+            x.responder.busy(retryAfterMs >= 1 && settings.retryAdvice() ? retryAfterMs : 0);
         }
         free(x);
     }
--- a/src/main/java/cacheproxy/proxy/dispatch/RequestContext.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/RequestContext.java
@@ -59,7 +59,7 @@
     }
 
     @Override
-    public void gone() {
+    public void clientDisconnected() {
         dispatcher.gone(this);
     }
 
--- a/src/main/java/cacheproxy/proxy/dispatch/SinglePoolHandler.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/SinglePoolHandler.java
@@ -20,20 +20,20 @@
     }
 
     @Override
-    public Handle take(ClientRequest command, Responder responder) {
+    public Handle submit(ClientRequest command, Responder responder) {
         String fault = intake.resolve(command);
         if (fault != null) {
             command.release(core);
-            responder.rejected(fault);
+            responder.badRequest(fault);
             return null;
         }
-        if (intake.expired(command)) {
+        if (intake.isExpired(command)) {
             core.closeId(command);
             command.release(core);
-            responder.refused(0);
+            responder.busy(0);
             return null;
         }
-        RequestContext x = new RequestContext(pool, command, RequestValidator.keyNumber(command.key), responder, true);
+        RequestContext x = new RequestContext(pool, command, RequestValidator.keyHash(command.key), responder, true);
         x.dueMs = command.dueMs;
         pool.take(x);
         return x;
--- a/src/main/java/cacheproxy/proxy/process/OperatorActions.java
+++ b/src/main/java/cacheproxy/proxy/process/OperatorActions.java
@@ -30,7 +30,7 @@
  */
 final class OperatorActions {
     /** Descriptors that the door and a successor's line need. */
-    static final int DESCRIPTORS = ControlServer.MAX_CONNECTIONS + 4;
+    static final int MAX_DESCRIPTORS = ControlServer.MAX_CONNECTIONS + 4;
     /** A process with part of a core may be halted for some time; a new one has 6 s in all. */
     private static final long TAKE_MS = 1500;
 
@@ -107,7 +107,7 @@
      * Whether a process that this one is to follow seems to serve. One that was killed may have left its path behind;
      * then this one starts with more care than it needs.
      */
-    static boolean standsBeside(InetSocketAddress listen, Path folder) {
+    static boolean predecessorSeemsToRun(InetSocketAddress listen, Path folder) {
         return Files.exists(HandoverPath.of(folder, listen.getPort()));
     }
 
@@ -134,8 +134,8 @@
     }
 
     private void look() {
-        listener.takesClients(lifecycle.acceptsClients());
-        listener.end(lifecycle.closingFraction(core.now()));
+        listener.acceptsClients(lifecycle.acceptsClients());
+        listener.closeIdle(lifecycle.closingFraction(core.now()));
         if (lifecycle.state() != LifecycleState.STANDBY && looking != null) {
             looking.cancel(false);
             looking = null;
--- a/src/main/java/cacheproxy/proxy/process/PlatformConfig.java
+++ b/src/main/java/cacheproxy/proxy/process/PlatformConfig.java
@@ -28,13 +28,13 @@
         long seed,
         double cores,
         int memoryMb,
-        int sockets,
+        int maxSockets,
         InetSocketAddress peerListen,
         List<InetSocketAddress> peers,
         InetSocketAddress peersAll,
         InetSocketAddress control,
         Boolean eventLog,
-        JsonObject known,
+        JsonObject initialHosts,
         PolicySettings settings,
         List<String> zones,
         List<String> kinds,
@@ -103,13 +103,13 @@
                 seed,
                 cores,
                 memoryMb,
-                sockets,
+                maxSockets,
                 any,
                 peers,
                 peersAll,
                 any,
                 eventLog,
-                known,
+                initialHosts,
                 settings,
                 zones,
                 kinds,
@@ -146,7 +146,7 @@
             int i = 0;
             for (JsonElement e : value.getAsJsonArray()) {
                 if (e.isJsonPrimitive()) {
-                    plain.add(word(e.getAsString()));
+                    plain.add(toSettingName(e.getAsString()));
                 } else {
                     flatten(path + "." + i, e, out);
                 }
@@ -159,7 +159,7 @@
         }
     }
 
-    public static String word(String text) {
+    public static String toSettingName(String text) {
         return text.replace(' ', '_').replace(',', '_');
     }
 }
--- a/src/main/java/cacheproxy/proxy/process/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/process/Proxy.java
@@ -48,7 +48,7 @@
     private final Dispatcher dispatcher;
     private final PeerSocket peers;
     private final DiscoveryClient discovery;
-    private final ClientRegistry clients;
+    private final ClientRegistry clientCount;
     private final Listener listener;
     private final Lifecycle lifecycle = new Lifecycle(LifecycleTiming.DEFAULT);
     /** Null where no control address is configured. */
@@ -60,7 +60,8 @@
     private Proxy(PlatformConfig config, boolean warm) throws InterruptedException {
         this.config = config;
         if (warm) {
-            boolean beside = config.control() != null && OperatorActions.standsBeside(config.listen(), folder());
+            boolean beside =
+                    config.control() != null && OperatorActions.predecessorSeemsToRun(config.listen(), folder());
             WarmUp.run(loop, config, WarmUpPlan.of(config.settings().instances(), beside));
         }
         core = EventLoopContext.of(loop, polls, config, Transport.BEST.socket());
@@ -68,22 +69,22 @@
         useEventLog(config);
         dispatcher = new Dispatcher(core, Dispatcher.Pool.of(config));
         peers = new PeerSocket(loop, config, this::heard);
-        clients = new ClientRegistry(
+        clientCount = new ClientRegistry(
                 core,
                 Math.max(
                         16,
-                        config.sockets()
-                                - config.sockets() / 3
+                        config.maxSockets()
+                                - config.maxSockets() / 3
                                 - OWN_DESCRIPTORS
-                                - (config.control() == null ? 0 : OperatorActions.DESCRIPTORS)));
+                                - (config.control() == null ? 0 : OperatorActions.MAX_DESCRIPTORS)));
         discovery = new DiscoveryClient(core, DiscoveryClient.Source.of(config), dispatcher);
         loop.submit(() -> {
                     dispatcher.start(discovery, peers);
                     discovery.start();
-                    loop.scheduleWithFixedDelay(clients::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+                    loop.scheduleWithFixedDelay(clientCount::closeStalled, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
                 })
                 .syncUninterruptibly();
-        listener = new Listener(core, clients, new SinglePoolHandler(core, dispatcher), null);
+        listener = new Listener(core, clientCount, new SinglePoolHandler(core, dispatcher), null);
         if (config.control() == null) {
             listener.bind(config.listen()).sync();
             operations = null;
@@ -131,12 +132,12 @@
         PlatformConfig config = configuration();
         String path = System.getenv("BALANCER_CONFIG");
         try {
-            boolean heard = SighupHandler.run(() -> {});
+            boolean heard = SighupHandler.install(() -> {});
             Proxy proxy = new Proxy(config, true);
             if (!heard) {
-                proxy.core.log(SighupHandler.IGNORED);
+                proxy.core.log(SighupHandler.IGNORED_MESSAGE);
             }
-            SighupHandler.run(() -> proxy.reload(path));
+            SighupHandler.install(() -> proxy.reload(path));
             proxy.reloadFrom = path;
             Runtime.getRuntime().addShutdownHook(new Thread(proxy::drain));
         } catch (Exception e) {
@@ -189,7 +190,7 @@
     public static int train() {
         NettyDefaults.apply();
         try {
-            SighupHandler.run(() -> {});
+            SighupHandler.install(() -> {});
             PlatformConfig config = configuration().forTraining();
             Proxy first = new Proxy(config, true);
             Proxy next = new Proxy(config, false);
@@ -228,31 +229,31 @@
     }
 
     /** Runs a task on the loop after so long; for tests that wait on the proxy's own clock. */
-    public void after(double ms, Runnable task) {
+    public void runAfter(double ms, Runnable task) {
         loop.execute(() -> core.after(ms, task));
     }
 
     /** Whether the module holds nothing against a server. */
-    public boolean sound(int server) {
+    public boolean isHealthy(int server) {
         return loop.submit(() -> dispatcher.sound(server)).syncUninterruptibly().getNow();
     }
 
     /** Connections of clients that the loop knows of. */
-    public int clients() {
-        return loop.submit(listener::size).syncUninterruptibly().getNow();
+    public int clientCount() {
+        return loop.submit(listener::connectionCount).syncUninterruptibly().getNow();
     }
 
     /** Has an accept fail as the system would; for tests. */
-    public void failAccept(IOException as) {
+    public void simulateAcceptFailure(IOException as) {
         listener.channel().pipeline().fireExceptionCaught(as);
     }
 
     /** What was stopped and violated so far, in a line. */
-    public String invariants() {
+    public String invariantSummary() {
         return loop.submit(core.invariants::summary).syncUninterruptibly().getNow();
     }
 
-    public int inHand() {
+    public int pendingRequests() {
         return loop.submit(dispatcher::inHand).syncUninterruptibly().getNow();
     }
 
@@ -275,7 +276,7 @@
             double lastMs = Math.max(LifecycleTiming.DEFAULT.extraListenMs(), LifecycleTiming.DEFAULT.shutdownDrainMs())
                     + Math.min(longest, LONGEST_LEFT_MS);
             core.after(lastMs, () -> {
-                listener.takeNoMore();
+                listener.stopTakingRequests();
                 dispatcher.answerAll();
             });
             return lastMs;
@@ -288,12 +289,12 @@
 
     private boolean drained() {
         double now = core.now();
-        listener.takesClients(lifecycle.acceptsClients());
+        listener.acceptsClients(lifecycle.acceptsClients());
         if (!lifecycle.acceptsConnections(now)) {
             listener.stopListening();
         }
-        listener.end(lifecycle.closingFraction(now));
-        return !lifecycle.acceptsConnections(now) && listener.empty();
+        listener.closeIdle(lifecycle.closingFraction(now));
+        return !lifecycle.acceptsConnections(now) && listener.isEmpty();
     }
 
     /** Ends at once; for tests. */
--- a/src/main/java/cacheproxy/proxy/process/SighupHandler.java
+++ b/src/main/java/cacheproxy/proxy/process/SighupHandler.java
@@ -3,7 +3,7 @@
 /** The signal that tells of a new configuration. */
 public final class SighupHandler {
     /** What operators are told where the signal will not come. */
-    public static final String IGNORED =
+    public static final String IGNORED_MESSAGE =
             "SIGHUP is ignored in this process, as under nohup: a new configuration is read by POST /reload at the "
                     + "control address alone";
 
@@ -16,7 +16,7 @@
      * @return whether the signal will come; not where it was ignored when the process started, as under nohup: then it
      *     stays so
      */
-    public static boolean run(Runnable task) throws ReflectiveOperationException {
+    public static boolean install(Runnable task) throws ReflectiveOperationException {
         Class<?> signal = Class.forName("sun.misc.Signal");
         Class<?> handler = Class.forName("sun.misc.SignalHandler");
         Object before = signal.getMethod("handle", signal, handler)
--- a/src/main/java/cacheproxy/proxy/process/WarmUp.java
+++ b/src/main/java/cacheproxy/proxy/process/WarmUp.java
@@ -138,7 +138,7 @@
      * One end of a connection that lasts as long as the warm-up. The other end may go with bytes unread, which resets
      * it: that is no fault, and nothing to tell anyone of.
      */
-    abstract static class End extends ByteToMessageDecoder {
+    abstract static class ResetTolerantDecoder extends ByteToMessageDecoder {
         @SuppressWarnings("FutureReturnValueIgnored") // the close is observed where the channel becomes inactive
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
@@ -147,32 +147,32 @@
     }
 
     /** Answers reads; one in four is a miss. */
-    private static final class Node extends End {
+    private static final class Node extends ResetTolerantDecoder {
         @SuppressWarnings("FutureReturnValueIgnored") // a failed write closes the channel, and the close is handled
         @Override
         protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) throws Exception {
-            String line = MetaCodec.line(in);
+            String line = MetaCodec.readLine(in);
             if (line != null) {
                 String id = MetaCodec.flag(line, 3, 'O');
                 boolean miss = id.endsWith("0");
-                ctx.writeAndFlush(MetaCodec.text(
+                ctx.writeAndFlush(MetaCodec.ascii(
                         ctx.alloc(), miss ? "EN O" + id + " h0\r\n" : "VA 5 O" + id + " h1\r\nhello\r\n"));
             }
         }
     }
 
-    private static final class Origin extends End {
+    private static final class Origin extends ResetTolerantDecoder {
         @SuppressWarnings("FutureReturnValueIgnored") // a failed write closes the channel, and the close is handled
         @Override
         protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) throws Exception {
-            String line = MetaCodec.line(in);
+            String line = MetaCodec.readLine(in);
             if (line != null && line.isEmpty()) {
-                ctx.writeAndFlush(MetaCodec.text(ctx.alloc(), "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"));
+                ctx.writeAndFlush(MetaCodec.ascii(ctx.alloc(), "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"));
             }
         }
     }
 
-    private final class Client extends End {
+    private final class Client extends ResetTolerantDecoder {
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             for (int i = 0; i < plan.concurrency(); i++) {
@@ -183,7 +183,7 @@
         @SuppressWarnings("FutureReturnValueIgnored") // a failed write closes the channel, and the close is handled
         private void send(ChannelHandlerContext ctx) {
             String id = Integer.toString(++sent, 4);
-            ctx.writeAndFlush(MetaCodec.text(
+            ctx.writeAndFlush(MetaCodec.ascii(
                     ctx.alloc(),
                     "mg " + Integer.toHexString(0x70000000 + sent * 7919) + " v O" + id + " Pc="
                             + config.settings().classes().get(0).name() + ",d=60000\r\n"));
@@ -191,7 +191,7 @@
 
         @Override
         protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) throws Exception {
-            String line = MetaCodec.line(in);
+            String line = MetaCodec.readLine(in);
             if (line == null || line.startsWith("VA")) {
                 return;
             }
--- a/src/main/java/cacheproxy/proxy/request/ClientRequest.java
+++ b/src/main/java/cacheproxy/proxy/request/ClientRequest.java
@@ -13,22 +13,22 @@
 
     public final String key;
     public final String id;
-    public final boolean write;
-    final String extras;
+    public final boolean isWrite;
+    final String attributes;
     /** The list up to the deadline's figure, and from there on. */
-    private final String extrasHead;
+    private final String attributesPrefix;
 
-    private final String extrasTail;
+    private final String attributesSuffix;
     /** The line for cache nodes up to the deadline's figure, and from there on. */
-    public final String head;
+    public final String linePrefix;
 
-    public final String tail;
+    public final String lineSuffix;
     /** A write's value with its line's end; null for reads. */
     public ByteBuf value;
     /** What is given back to the bound on clients' values with the value. */
-    private int reserved;
+    private int reservedBytes;
 
-    private int holders = 1;
+    private int referenceCount = 1;
 
     // What the intake has made of the list.
     public int serviceClass;
@@ -40,9 +40,9 @@
     /** When the client gives up, whatever others order; no server is told more than is left until then. */
     public double clientDueMs = Double.POSITIVE_INFINITY;
 
-    public double costMs;
-    public float bytes;
-    public boolean repeat;
+    public double workHintMs;
+    public float sizeHintBytes;
+    public boolean isRetry;
 
     /**
      * A request whose line for cache nodes is put together around its list.
@@ -51,90 +51,98 @@
      * @param lineHead the line up to the list
      * @param lineTail the line after the list
      */
-    public ClientRequest(String key, String id, boolean write, String extras, String lineHead, String lineTail) {
+    public ClientRequest(
+            String key,
+            String id,
+            boolean isWrite,
+            String attributes,
+            String beforeAttributes,
+            String afterAttributes) {
         this.key = key;
         this.id = id;
-        this.write = write;
-        this.extras = DeadlineField.withoutRepeats(extras);
-        DeadlineField deadline = DeadlineField.in(this.extras);
-        extrasHead = deadline.before(this.extras);
-        extrasTail = deadline.after(this.extras);
-        head = lineHead + extrasHead;
-        tail = extrasTail + lineTail;
+        this.isWrite = isWrite;
+        this.attributes = DeadlineField.withoutRepeats(attributes);
+        DeadlineField deadline = DeadlineField.in(this.attributes);
+        attributesPrefix = deadline.before(this.attributes);
+        attributesSuffix = deadline.after(this.attributes);
+        linePrefix = beforeAttributes + attributesPrefix;
+        lineSuffix = attributesSuffix + afterAttributes;
     }
 
     /** The same request for another key. */
     private ClientRequest(ClientRequest of, String otherKey) {
         key = otherKey;
         id = of.id;
-        write = of.write;
-        extras = of.extras;
-        extrasHead = of.extrasHead;
-        extrasTail = of.extrasTail;
-        head = of.head.substring(0, COMMAND_LENGTH) + otherKey + of.head.substring(COMMAND_LENGTH + of.key.length());
-        tail = of.tail;
+        isWrite = of.isWrite;
+        attributes = of.attributes;
+        attributesPrefix = of.attributesPrefix;
+        attributesSuffix = of.attributesSuffix;
+        linePrefix = of.linePrefix.substring(0, COMMAND_LENGTH)
+                + otherKey
+                + of.linePrefix.substring(COMMAND_LENGTH + of.key.length());
+        lineSuffix = of.lineSuffix;
     }
 
     /** A request that no client sent in the nodes' own grammar. */
-    public static ClientRequest of(String key, String id, boolean write, int valueBytes, String extras) {
+    public static ClientRequest of(String key, String id, boolean isWrite, int valueBytes, String attributes) {
         return new ClientRequest(
                 key,
                 id,
-                write,
-                extras,
-                write ? "ms " + key + " " + valueBytes + " O" + id + " P" : "mg " + key + " v O" + id + " P",
+                isWrite,
+                attributes,
+                isWrite ? "ms " + key + " " + valueBytes + " O" + id + " P" : "mg " + key + " v O" + id + " P",
                 "");
     }
 
     /** The list with another deadline in place of the client's, or behind the list where that has none. */
-    public String extras(int deadlineMs) {
-        return extrasHead + deadlineMs + extrasTail;
+    public String attributesWithDeadline(int deadlineMs) {
+        return attributesPrefix + deadlineMs + attributesSuffix;
     }
 
-    public void value(ByteBuf of, int room) {
-        value = of;
-        reserved = room;
+    public void setValue(ByteBuf newValue, int newReservedBytes) {
+        value = newValue;
+        reservedBytes = newReservedBytes;
     }
 
     /** The same request for another key. It shares the value and must be released, too. */
-    public ClientRequest withKey(String other) {
-        ClientRequest c = new ClientRequest(this, other);
+    public ClientRequest withKey(String otherKey) {
+        ClientRequest copy = new ClientRequest(this, otherKey);
         if (value != null) {
-            c.value = value.retainedDuplicate();
+            copy.value = value.retainedDuplicate();
         }
-        c.serviceClass = serviceClass;
-        c.tenant = tenant;
-        c.arrivedMs = arrivedMs;
-        c.dueMs = dueMs;
-        c.clientDueMs = clientDueMs;
-        c.costMs = costMs;
-        c.bytes = bytes;
-        c.repeat = repeat;
-        return c;
+        copy.serviceClass = serviceClass;
+        copy.tenant = tenant;
+        copy.arrivedMs = arrivedMs;
+        copy.dueMs = dueMs;
+        copy.clientDueMs = clientDueMs;
+        copy.workHintMs = workHintMs;
+        copy.sizeHintBytes = sizeHintBytes;
+        copy.isRetry = isRetry;
+        return copy;
     }
 
     /** The same request for another key, in this one's place: the value goes over to it. */
-    public ClientRequest moved(String other) {
-        ClientRequest c = withKey(other);
+    public ClientRequest moveToKey(String otherKey) {
+        ClientRequest copy = withKey(otherKey);
         if (value != null) {
             value.release();
             value = null;
         }
-        c.reserved = reserved;
-        reserved = 0;
-        return c;
+        copy.reservedBytes = reservedBytes;
+        reservedBytes = 0;
+        return copy;
     }
 
     /** Another class, tenant and end than the intake has found. */
-    public void order(int toClass, int toTenant, double toDueMs) {
+    public void reclassify(int toClass, int toTenant, double toDueMs) {
         serviceClass = toClass;
         tenant = toTenant;
         dueMs = toDueMs;
     }
 
     /** Whether the client says that it has sent this before. */
-    public boolean repeat() {
-        return repeat;
+    public boolean isRetry() {
+        return isRetry;
     }
 
     public String key() {
@@ -145,8 +153,8 @@
         return id;
     }
 
-    public boolean write() {
-        return write;
+    public boolean isWrite() {
+        return isWrite;
     }
 
     /** Index among the classes; set once the intake has resolved it, like all figures below. */
@@ -169,13 +177,13 @@
 
     /** One more holder; each releases once. */
     public ClientRequest retain() {
-        holders++;
+        referenceCount++;
         return this;
     }
 
-    public void release(EventLoopContext core) {
-        if (--holders == 0 && value != null) {
-            core.giveBack(reserved);
+    public void release(EventLoopContext loopContext) {
+        if (--referenceCount == 0 && value != null) {
+            loopContext.giveBack(reservedBytes);
             value.release();
             value = null;
         }
--- a/src/main/java/cacheproxy/proxy/request/DeadlineField.java
+++ b/src/main/java/cacheproxy/proxy/request/DeadlineField.java
@@ -14,7 +14,7 @@
 
     /** The place in a list that names the deadline at most once; see {@link #withoutRepeats}. */
     static DeadlineField in(String list) {
-        int from = MetaCodec.valueAt(list, NAME);
+        int from = MetaCodec.attributeValueIndex(list, NAME);
         if (from < 0) {
             return new DeadlineField(list.length(), list.length(), list.isEmpty() ? "d=" : NEXT);
         }
@@ -27,7 +27,7 @@
      * one would tell a server what the client had at first.
      */
     static String withoutRepeats(String list) {
-        int first = MetaCodec.valueAt(list, NAME);
+        int first = MetaCodec.attributeValueIndex(list, NAME);
         int next = first < 0 ? -1 : list.indexOf(NEXT, first);
         if (next < 0) {
             return list;
--- a/src/main/java/cacheproxy/proxy/request/MetaCodec.java
+++ b/src/main/java/cacheproxy/proxy/request/MetaCodec.java
@@ -9,16 +9,16 @@
 /** The grammar of the meta text protocol, shared by the sides of clients and of cache nodes. */
 public final class MetaCodec {
     /** The longest value the protocol has. */
-    public static final int MAX_VALUE = 4 << 20;
+    public static final int MAX_VALUE_BYTES = 4 << 20;
     /** Answers up to this size are passed on whole, longer ones as they come. */
-    public static final int WHOLE = 64 << 10;
+    public static final int MAX_BUFFERED_VALUE_BYTES = 64 << 10;
 
-    public static final int MAX_LINE = 4096;
+    public static final int MAX_LINE_BYTES = 4096;
     /** A line's end, as a big-endian short. */
     public static final int CRLF = '\r' << 8 | '\n';
 
-    public static final String FAILED = "SERVER_ERROR failed\r\n";
-    public static final String BUSY = "SERVER_ERROR busy";
+    public static final String FAILED_LINE = "SERVER_ERROR failed\r\n";
+    public static final String BUSY_PREFIX = "SERVER_ERROR busy";
 
     private MetaCodec() {}
 
@@ -32,11 +32,11 @@
     }
 
     /** Takes one line off the input, without its end; null while it is not all there. */
-    public static String line(ByteBuf in) throws SyntaxException {
+    public static String readLine(ByteBuf in) throws SyntaxException {
         int start = in.readerIndex();
-        int end = in.indexOf(start, Math.min(in.writerIndex(), start + MAX_LINE), (byte) '\n');
+        int end = in.indexOf(start, Math.min(in.writerIndex(), start + MAX_LINE_BYTES), (byte) '\n');
         if (end < 0) {
-            if (in.readableBytes() >= MAX_LINE) {
+            if (in.readableBytes() >= MAX_LINE_BYTES) {
                 throw new SyntaxException("line too long");
             }
             return null;
@@ -51,23 +51,23 @@
     }
 
     /** A decimal length between 0 and the longest value. */
-    public static int length(String word) throws SyntaxException {
+    public static int parseLength(String word) throws SyntaxException {
         int n = 0;
         for (int i = 0; i < word.length(); i++) {
             int digit = word.charAt(i) - '0';
-            if (digit < 0 || digit > 9 || n > MAX_VALUE) {
+            if (digit < 0 || digit > 9 || n > MAX_VALUE_BYTES) {
                 throw new SyntaxException("bad data length");
             }
             n = 10 * n + digit;
         }
-        if (word.isEmpty() || n > MAX_VALUE) {
+        if (word.isEmpty() || n > MAX_VALUE_BYTES) {
             throw new SyntaxException("bad data length");
         }
         return n;
     }
 
     /** Whether a line is of printing ASCII characters and spaces alone. */
-    public static boolean printing(String line) {
+    public static boolean isPrintable(String line) {
         for (int i = 0; i < line.length(); i++) {
             if (line.charAt(i) < ' ' || line.charAt(i) > '~') {
                 return false;
@@ -76,26 +76,26 @@
         return true;
     }
 
-    public static String wordAt(String line, int start) {
+    public static String tokenAt(String line, int start) {
         int end = line.indexOf(' ', start);
         return start >= line.length() ? "" : line.substring(start, end < 0 ? line.length() : end);
     }
 
     /** The flag that begins with this letter, without the letter; null if the line has none from there on. */
     public static String flag(String line, int from, char letter) {
-        int at = flagAt(line, from, letter);
-        return at < 0 ? null : wordAt(line, at);
+        int at = flagValueIndex(line, from, letter);
+        return at < 0 ? null : tokenAt(line, at);
     }
 
     /** Whether the flag that begins with this letter says just this. */
-    public static boolean flagIs(String line, int from, char letter, String value) {
-        int at = flagAt(line, from, letter);
+    public static boolean hasFlag(String line, int from, char letter, String value) {
+        int at = flagValueIndex(line, from, letter);
         int end = at + value.length();
         return at >= 0 && line.startsWith(value, at) && (end == line.length() || line.charAt(end) == ' ');
     }
 
     /** Where the first flag of this letter has its value; -1 if there is none. */
-    private static int flagAt(String line, int from, char letter) {
+    private static int flagValueIndex(String line, int from, char letter) {
         for (int at = from; at >= 0 && at < line.length(); at++) {
             if (line.charAt(at) == letter) {
                 return at + 1;
@@ -109,8 +109,8 @@
     }
 
     /** The value under this name in a list such as {@code c=read,d=480}; null if it is not there. */
-    public static String named(String list, String name) {
-        int at = valueAt(list, name);
+    public static String attribute(String list, String name) {
+        int at = attributeValueIndex(list, name);
         if (at < 0) {
             return null;
         }
@@ -119,7 +119,7 @@
     }
 
     /** Where the value under this name begins in a list, or -1. */
-    public static int valueAt(String list, String name) {
+    public static int attributeValueIndex(String list, String name) {
         for (int at = 0; at >= 0 && at < list.length(); at = list.indexOf(',', at) + 1) {
             if (list.startsWith(name, at) && list.startsWith("=", at + name.length())) {
                 return at + name.length() + 1;
@@ -132,13 +132,13 @@
     }
 
     /** A load report as the module takes it; null where there is none or a figure is not one. */
-    public static float[] report(String list, List<String> names) {
+    public static float[] parseLoadReport(String list, List<String> names) {
         if (list == null || names.isEmpty()) {
             return null;
         }
         float[] report = new float[Math.min(4, names.size())];
         for (int i = 0; i < report.length; i++) {
-            String value = named(list, names.get(i));
+            String value = attribute(list, names.get(i));
             if (value == null) {
                 return null;
             }
@@ -152,7 +152,7 @@
     }
 
     /** Writes a figure of 0 or more without a string in between. */
-    public static void number(ByteBuf out, int n) {
+    public static void writeDecimal(ByteBuf out, int n) {
         int power = 1;
         while (n / power >= 10) {
             power *= 10;
@@ -162,7 +162,7 @@
         }
     }
 
-    public static ByteBuf text(ByteBufAllocator alloc, String text) {
+    public static ByteBuf ascii(ByteBufAllocator alloc, String text) {
         ByteBuf buf = alloc.buffer(text.length() + 2);
         ByteBufUtil.writeAscii(buf, text);
         return buf;
--- a/src/main/java/cacheproxy/proxy/request/RequestHandler.java
+++ b/src/main/java/cacheproxy/proxy/request/RequestHandler.java
@@ -5,12 +5,12 @@
     /** A request in hand. */
     interface Handle {
         /** The client has left: no answer is owed any more, none will be given. */
-        void gone();
+        void clientDisconnected();
     }
 
     /**
      * Takes a request whose last byte has come. From here on its value belongs to the callee, and the responder gets
      * exactly one answer unless the client leaves before.
      */
-    Handle take(ClientRequest command, Responder responder);
+    Handle submit(ClientRequest request, Responder responder);
 }
--- a/src/main/java/cacheproxy/proxy/request/RequestValidator.java
+++ b/src/main/java/cacheproxy/proxy/request/RequestValidator.java
@@ -25,8 +25,8 @@
 
     /** Fills in the request's figures; what is wrong with it, or null. */
     public String resolve(ClientRequest c) {
-        Integer kind = classes.get(String.valueOf(MetaCodec.named(c.extras, "c")));
-        String owner = MetaCodec.named(c.extras, "t");
+        Integer kind = classes.get(String.valueOf(MetaCodec.attribute(c.attributes, "c")));
+        String owner = MetaCodec.attribute(c.attributes, "t");
         Integer tenant = tenants.isEmpty() || owner == null ? Integer.valueOf(0) : tenants.get(owner);
         double wait = kind == null ? 0 : deadline(c, kinds.get(kind).deadlineMs());
         if (kind == null || tenant == null || !(wait > 0 && wait <= Integer.MAX_VALUE)) {
@@ -44,26 +44,26 @@
         c.clientDueMs = c.dueMs;
         c.serviceClass = kind;
         c.tenant = tenant;
-        c.costMs = figure(c, "h", Double.NaN) / 1000;
-        c.bytes = (float) figure(c, "size", 0);
-        c.repeat = "1".equals(MetaCodec.named(c.extras, "r"));
+        c.workHintMs = figure(c, "h", Double.NaN) / 1000;
+        c.sizeHintBytes = (float) figure(c, "size", 0);
+        c.isRetry = "1".equals(MetaCodec.attribute(c.attributes, "r"));
         return null;
     }
 
     /** Whether its client has stopped waiting by now: a request that lay unread for too long. */
-    public boolean expired(ClientRequest c) {
+    public boolean isExpired(ClientRequest c) {
         return c.dueMs <= core.now();
     }
 
     /** A deadline that is there and is no number is 0: it must not pass for one that is absent. */
     private static double deadline(ClientRequest c, double absent) {
-        String text = MetaCodec.named(c.extras, "d");
+        String text = MetaCodec.attribute(c.attributes, "d");
         boolean number = text == null || text.chars().allMatch(d -> (d >= '0' && d <= '9') || d == '.');
         return number ? figure(c, "d", text == null ? absent : 0) : 0;
     }
 
     private static double figure(ClientRequest c, String name, double absent) {
-        String text = MetaCodec.named(c.extras, name);
+        String text = MetaCodec.attribute(c.attributes, name);
         try {
             return text == null ? absent : Double.parseDouble(text);
         } catch (NumberFormatException e) {
@@ -72,7 +72,7 @@
     }
 
     /** The module's key: what the text's hexadecimal digits say, else a hash of it that is alike everywhere. */
-    public static long keyNumber(String text) {
+    public static long keyHash(String text) {
         long hash = 0xcbf29ce484222325L;
         long value = 0;
         boolean hex = text.length() <= 16;
--- a/src/main/java/cacheproxy/proxy/request/Responder.java
+++ b/src/main/java/cacheproxy/proxy/request/Responder.java
@@ -10,37 +10,37 @@
  */
 public interface Responder {
     /** Lets a long answer go on, or holds it back while the client takes nothing. */
-    interface Flow {
-        void hold(boolean on);
+    interface ValueSource {
+        void setPaused(boolean on);
     }
 
     /** Served: a read's whole value, whose buffer the callee releases. */
     void value(ByteBuf value);
 
     /** Served: a write's receipt, null where its server gives none. */
-    void receipt(String receipt);
+    void stored(String receipt);
 
     /** No server has the key and there is no origin to ask. */
     void miss();
 
     /** Turned away: a retry is harmless, after so many milliseconds; 0: no advice. */
-    void refused(double retryAfterMs);
+    void busy(double retryAfterMs);
 
     /** Failed, nothing is promised. */
     void failed();
 
     /** The request itself is at fault; nothing was sent. */
-    void rejected(String why);
+    void badRequest(String reason);
 
     /** A value of so many bytes begins; {@code source} holds back what is to come. */
-    void begin(int length, Flow source);
+    void beginValue(int lengthBytes, ValueSource source);
 
     /** Some bytes of the value that has begun; the callee releases them. */
-    void part(ByteBuf part);
+    void valuePart(ByteBuf part);
 
     /** The value that has begun is whole. */
-    void end();
+    void endValue();
 
     /** The value that has begun will not become whole. */
-    void breakOff();
+    void abortValue();
 }
--- a/src/main/java/cacheproxy/proxy/upstream/CacheCodec.java
+++ b/src/main/java/cacheproxy/proxy/upstream/CacheCodec.java
@@ -37,20 +37,20 @@
     public ChannelFuture write(Channel channel, Attempt attempt, SocketAddress dial) {
         if (attempt.exchange == null) {
             String probe = attempt.owner.probesLoad() ? "stats load\r\n" : "mn\r\n";
-            return channel.write(MetaCodec.text(channel.alloc(), probe));
+            return channel.write(MetaCodec.ascii(channel.alloc(), probe));
         }
         ClientRequest command = attempt.exchange.command;
         int leftMs = attempt.deadlineToTellMs(connection.core().now());
         String as = attempt.owner.classAt(attempt.server);
         if (as != null) { // a sibling knows nothing of our classes, and has one of its own for such reads
-            return channel.write(MetaCodec.text(
+            return channel.write(MetaCodec.ascii(
                     channel.alloc(),
                     "mg " + command.key + " v O" + command.id + " Pc=" + as + ",d=" + leftMs + "\r\n"));
         }
-        ByteBuf head = channel.alloc().buffer(command.head.length() + command.tail.length() + 12);
-        ByteBufUtil.writeAscii(head, command.head);
-        MetaCodec.number(head, leftMs);
-        ByteBufUtil.writeAscii(head, command.tail);
+        ByteBuf head = channel.alloc().buffer(command.linePrefix.length() + command.lineSuffix.length() + 12);
+        ByteBufUtil.writeAscii(head, command.linePrefix);
+        MetaCodec.writeDecimal(head, leftMs);
+        ByteBufUtil.writeAscii(head, command.lineSuffix);
         head.writeShort(MetaCodec.CRLF);
         if (command.value == null) {
             return channel.write(head);
@@ -80,7 +80,7 @@
             if (missing >= 0) {
                 value(in);
             } else {
-                String line = MetaCodec.line(in);
+                String line = MetaCodec.readLine(in);
                 if (line != null) {
                     answer(line);
                 } else if (in.isReadable()) {
@@ -101,20 +101,20 @@
         }
         if (attempt.exchange == null) {
             probed(attempt, line);
-        } else if (line.startsWith(MetaCodec.BUSY)) {
+        } else if (line.startsWith(MetaCodec.BUSY_PREFIX)) {
             connection.ended(AttemptOutcome.FULL, 0, report(attempt, line), null, null);
         } else if (line.startsWith("SERVER_ERROR")) {
             connection.ended(AttemptOutcome.ERROR, 0, report(attempt, line), null, null);
-        } else if (line.startsWith("VA ") && !attempt.exchange.command.write) {
-            String word = MetaCodec.wordAt(line, 3);
-            length = MetaCodec.length(word);
+        } else if (line.startsWith("VA ") && !attempt.exchange.command.isWrite) {
+            String word = MetaCodec.tokenAt(line, 3);
+            length = MetaCodec.parseLength(word);
             flags(attempt, line, 4 + word.length());
             missing = length + 2;
-            streamed = length > MetaCodec.WHOLE;
+            streamed = length > MetaCodec.MAX_BUFFERED_VALUE_BYTES;
             if (streamed) {
                 dropped = !connection.begin(length);
             }
-        } else if (line.startsWith("HD ") && attempt.exchange.command.write) {
+        } else if (line.startsWith("HD ") && attempt.exchange.command.isWrite) {
             flags(attempt, line, 3);
             String receipt = MetaCodec.flag(line, 3, 'c');
             if (receipt == null && !attempt.owner.plainNodes()) {
@@ -135,17 +135,17 @@
     }
 
     private static float[] report(Attempt attempt, String line) {
-        return attempt.owner.report(MetaCodec.flag(line, MetaCodec.BUSY.length() + 1, 'L'));
+        return attempt.owner.report(MetaCodec.flag(line, MetaCodec.BUSY_PREFIX.length() + 1, 'L'));
     }
 
     /** What the flags tell; the id must be the attempt's, or answers have lost their order. */
     private void flags(Attempt attempt, String line, int from) throws MetaCodec.SyntaxException {
-        if (!MetaCodec.flagIs(line, from, 'O', attempt.exchange.command.id)) {
+        if (!MetaCodec.hasFlag(line, from, 'O', attempt.exchange.command.id)) {
             throw new MetaCodec.SyntaxException("answer to another request");
         }
-        note = MetaCodec.flagIs(line, from, 'h', "1")
+        note = MetaCodec.hasFlag(line, from, 'h', "1")
                 ? 1
-                : !MetaCodec.flagIs(line, from, 'h', "0")
+                : !MetaCodec.hasFlag(line, from, 'h', "0")
                         ? 0
                         : MetaCodec.flag(line, from, 'Z') != null ? PolicyApi.NOTE_FETCH_OUT : 2;
         report = attempt.owner.report(MetaCodec.flag(line, from, 'L'));
@@ -190,11 +190,11 @@
 
     private void probed(Attempt attempt, String line) {
         if (line.startsWith("STAT ")) {
-            String name = MetaCodec.wordAt(line, 5);
-            stats += name + "=" + MetaCodec.wordAt(line, 6 + name.length()) + ",";
+            String name = MetaCodec.tokenAt(line, 5);
+            stats += name + "=" + MetaCodec.tokenAt(line, 6 + name.length()) + ",";
         } else {
             boolean ok = line.equals("MN") || line.equals("END");
-            float[] figures = MetaCodec.report(stats, attempt.owner.reportNames());
+            float[] figures = MetaCodec.parseLoadReport(stats, attempt.owner.reportNames());
             stats = "";
             connection.ended(ok ? AttemptOutcome.OK : AttemptOutcome.ERROR, 0, figures, null, null);
         }
--- a/src/main/java/cacheproxy/proxy/upstream/EventLoopContext.java
+++ b/src/main/java/cacheproxy/proxy/upstream/EventLoopContext.java
@@ -99,7 +99,7 @@
         this.maxValueBytes = maxValueBytes;
         this.maxUpstream = maxUpstream;
         streamBytes = Math.max(MIN_STREAM_BYTES, maxValueBytes / 2);
-        maxBodies = (int) Math.max(1, maxValueBytes / MetaCodec.MAX_VALUE);
+        maxBodies = (int) Math.max(1, maxValueBytes / MetaCodec.MAX_VALUE_BYTES);
         timers = new TimerWheel(loop, polls);
         servers = new UpstreamRegistry(this);
     }
@@ -112,7 +112,7 @@
                 polls,
                 upstream,
                 Math.min((long) config.memoryMb() << 20 >> 3, MAX_VALUES),
-                config.sockets() / 3,
+                config.maxSockets() / 3,
                 false);
     }
 
--- a/src/main/java/cacheproxy/proxy/upstream/OriginCodec.java
+++ b/src/main/java/cacheproxy/proxy/upstream/OriginCodec.java
@@ -66,7 +66,7 @@
 
     static ChannelHandler[] handlers(UpstreamConnection connection) {
         return new ChannelHandler[] {
-            new HttpClientCodec(MetaCodec.MAX_LINE, MAX_HEAD, 64 << 10), new OriginCodec(connection)
+            new HttpClientCodec(MetaCodec.MAX_LINE_BYTES, MAX_HEAD, 64 << 10), new OriginCodec(connection)
         };
     }
 
@@ -79,18 +79,18 @@
         } else {
             ClientRequest command = attempt.exchange.command;
             String path = "/" + URLEncoder.encode(command.key, StandardCharsets.ISO_8859_1);
-            ByteBuf value = !command.write
+            ByteBuf value = !command.isWrite
                     ? Unpooled.EMPTY_BUFFER
                     : command.value.retainedSlice(0, command.value.readableBytes() - 2);
             request = new DefaultFullHttpRequest(
-                    HttpVersion.HTTP_1_1, command.write ? HttpMethod.PUT : HttpMethod.GET, path, value);
+                    HttpVersion.HTTP_1_1, command.isWrite ? HttpMethod.PUT : HttpMethod.GET, path, value);
             request.headers()
                     .set("Req-Id", command.id)
                     .set(
                             "Req-Extra",
-                            command.extras(
+                            command.attributesWithDeadline(
                                     attempt.deadlineToTellMs(connection.core().now())));
-            if (command.write) {
+            if (command.isWrite) {
                 request.headers().set(HttpHeaderNames.CONTENT_LENGTH, value.readableBytes());
             }
         }
@@ -144,14 +144,17 @@
         }
         response = r;
         missing = HttpUtil.getContentLength(r, -1L);
-        if (missing > MetaCodec.MAX_VALUE) {
+        if (missing > MetaCodec.MAX_VALUE_BYTES) {
             fail("too long");
             return;
         }
-        boolean value = r.status().code() == 200 && attempt.exchange != null && !attempt.exchange.command.write;
-        streamed = value && missing > MetaCodec.WHOLE;
+        boolean value = r.status().code() == 200 && attempt.exchange != null && !attempt.exchange.command.isWrite;
+        streamed = value && missing > MetaCodec.MAX_BUFFERED_VALUE_BYTES;
         if (!streamed) {
-            body = ctx.alloc().buffer(missing < 0 ? 1024 : (int) Math.min(missing, MetaCodec.WHOLE), MetaCodec.WHOLE);
+            body = ctx.alloc()
+                    .buffer(
+                            missing < 0 ? 1024 : (int) Math.min(missing, MetaCodec.MAX_BUFFERED_VALUE_BYTES),
+                            MetaCodec.MAX_BUFFERED_VALUE_BYTES);
             connection.partial();
         } else if (!connection.begin((int) missing)) {
             streamed = false; // nobody waits: what comes is read and dropped
@@ -177,11 +180,11 @@
         }
         if (response.status().code() != 200
                 || connection.head().exchange == null
-                || connection.head().exchange.command.write) {
+                || connection.head().exchange.command.isWrite) {
             fail("too long");
             return;
         }
-        if (moreBytes + body.readableBytes() + part.readableBytes() > MetaCodec.MAX_VALUE) {
+        if (moreBytes + body.readableBytes() + part.readableBytes() > MetaCodec.MAX_VALUE_BYTES) {
             fail("too long");
             return;
         }
@@ -316,7 +319,7 @@
     private void answered(ClientRequest command, float[] report, ByteBuf whole) {
         if (whole == null) { // passed on as it came, or dropped
             connection.ended(AttemptOutcome.OK, 0, report, null, null);
-        } else if (command.write) {
+        } else if (command.isWrite) {
             String receipt = whole.toString(StandardCharsets.ISO_8859_1).trim();
             whole.release();
             connection.ended(AttemptOutcome.OK, 0, report, null, receipt);
--- a/src/main/java/cacheproxy/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/cacheproxy/proxy/upstream/UpstreamConnection.java
@@ -15,7 +15,7 @@
  * One connection to a server with the attempts on it, in the order in which their answers come. How an attempt ends
  * when the connection does hangs on whether its last byte was written: only then may it have run.
  */
-public final class UpstreamConnection implements Responder.Flow {
+public final class UpstreamConnection implements Responder.ValueSource {
     /** Turns an attempt into the server's protocol and its answers into calls of the methods below. */
     interface Codec {
         /** Writes without flushing; the future ends when the last byte is written. */
@@ -258,7 +258,7 @@
     }
 
     @Override
-    public void hold(boolean on) {
+    public void setPaused(boolean on) {
         if (held != on) {
             held = on;
             progressMs = upstream.core().now();
@@ -336,7 +336,7 @@
         if (attempts.isEmpty()) {
             idleSinceMs = upstream.core().now();
         }
-        hold(false);
+        setPaused(false);
         attempt.owner.end(attempt, outcome, note, report, value, receipt);
         if (attempts.isEmpty() && retired) {
             close();
--- a/src/test/java/cacheproxy/proxy/EndingsTest.java
+++ b/src/test/java/cacheproxy/proxy/EndingsTest.java
@@ -81,7 +81,7 @@
 
     /** Until the proxy has seen what its peers did; the test's time limit interrupts it. */
     private static void awaitInHand(Fleet fleet, int n) {
-        for (int now; (now = fleet.proxy.inHand()) != n; ) {
+        for (int now; (now = fleet.proxy.pendingRequests()) != n; ) {
             assertThat(Thread.interrupted())
                     .as("time is over with %s requests in hand, not %s", now, n)
                     .isFalse();
@@ -286,7 +286,7 @@
             client.read("1");
             node.next();
             CountDownLatch over = new CountDownLatch(1);
-            fleet.proxy.after(150, over::countDown);
+            fleet.proxy.runAfter(150, over::countDown);
             over.await();
             late.countDown();
             assertThat(client.line()).startsWith("SERVER_ERROR busy");
@@ -360,7 +360,7 @@
             client.say("ms 7f3a 5 O1 Pc=fix,d=20000\r\nhello\r\n");
             assertThat(client.line()).isEqualTo("HD O1 cc1");
             CountDownLatch aged = new CountDownLatch(1);
-            fleet.proxy.after(800, aged::countDown);
+            fleet.proxy.runAfter(800, aged::countDown);
             aged.await();
             client.say("ms 7f3a 5 O2 Pc=fix,d=20000\r\nhello\r\n");
             assertThat(client.line()).isEqualTo("HD O2 cc2");
--- a/src/test/java/cacheproxy/proxy/Explorer.java
+++ b/src/test/java/cacheproxy/proxy/Explorer.java
@@ -301,11 +301,11 @@
     private void pump() throws Exception {
         long live = clients.stream().filter(c -> !c.ended).count();
         for (long until = System.nanoTime() + 5_000_000_000L;
-                fleet.proxy.clients() != live && System.nanoTime() < until; ) {
+                fleet.proxy.clientCount() != live && System.nanoTime() < until; ) {
             Thread.onSpinWait(); // the system may tell the proxy of a close later than of what came after it elsewhere
         }
         for (int i = 0; i < 3; i++) { // an event, what it has the loop do, what that writes
-            fleet.proxy.inHand();
+            fleet.proxy.pendingRequests();
         }
         accept(nodeDoor, nodes);
         accept(originDoor, origins);
@@ -428,11 +428,11 @@
             }
             c.end(false);
         }
-        while (fleet.proxy.inHand() > 0 && System.nanoTime() < until) {
+        while (fleet.proxy.pendingRequests() > 0 && System.nanoTime() < until) {
             pump();
         }
-        if (fleet.proxy.inHand() > 0) {
-            violations.add(fleet.proxy.inHand() + " requests are left at rest");
+        if (fleet.proxy.pendingRequests() > 0) {
+            violations.add(fleet.proxy.pendingRequests() + " requests are left at rest");
         }
     }
 
--- a/src/test/java/cacheproxy/proxy/Fleet.java
+++ b/src/test/java/cacheproxy/proxy/Fleet.java
@@ -163,7 +163,7 @@
     CountDownLatch hold() throws InterruptedException {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch go = new CountDownLatch(1);
-        proxy.after(0, () -> {
+        proxy.runAfter(0, () -> {
             held.countDown();
             try {
                 go.await();
@@ -184,7 +184,7 @@
     @Override
     public void close() throws Exception {
         if (proxy != null) {
-            String invariants = proxy.invariants();
+            String invariants = proxy.invariantSummary();
             proxy.close();
             assertThat(invariants).as("invariants").startsWith("violations=0 ");
         }
--- a/src/test/java/cacheproxy/proxy/StreamTest.java
+++ b/src/test/java/cacheproxy/proxy/StreamTest.java
@@ -19,7 +19,7 @@
 
 /** Values over 64 KiB: passed on as they come, held back while the client does not read. */
 class StreamTest {
-    private static final byte[] VALUE = new byte[MetaCodec.MAX_VALUE];
+    private static final byte[] VALUE = new byte[MetaCodec.MAX_VALUE_BYTES];
 
     static {
         new Random(7).nextBytes(VALUE);
@@ -178,7 +178,9 @@
 
     @Test
     void aValueThatTheConnectionsEndEndsIsServedWithItsLength() throws Exception {
-        for (int length : new int[] {0, 1, 1000, MetaCodec.WHOLE, MetaCodec.WHOLE + 1, VALUE.length}) {
+        for (int length : new int[] {
+            0, 1, 1000, MetaCodec.MAX_BUFFERED_VALUE_BYTES, MetaCodec.MAX_BUFFERED_VALUE_BYTES + 1, VALUE.length
+        }) {
             try (Fleet fleet = new Fleet()
                             .node(missing())
                             .origin(endsByClosing(length))
@@ -312,7 +314,7 @@
             client.read("1").line();
             assertThat(client.bytes(1000)).hasSize(1000);
             CountDownLatch pause = new CountDownLatch(1);
-            fleet.proxy.after(2 * UpstreamConnection.CUT_MS, pause::countDown);
+            fleet.proxy.runAfter(2 * UpstreamConnection.CUT_MS, pause::countDown);
             pause.await();
             go.countDown();
             assertThat(client.bytes(VALUE.length - 1000)).hasSize(VALUE.length - 1000);
--- a/src/test/java/cacheproxy/proxy/client/ClientConnectionTest.java
+++ b/src/test/java/cacheproxy/proxy/client/ClientConnectionTest.java
@@ -105,7 +105,7 @@
 
     @Test
     void aBinaryValueOfFourMebibytesReachesTheOriginWhole() throws Exception {
-        byte[] value = new byte[MetaCodec.MAX_VALUE];
+        byte[] value = new byte[MetaCodec.MAX_VALUE_BYTES];
         new Random(1).nextBytes(value);
         ScriptedServer origin = new ScriptedServer(c -> {
             c.request();
@@ -141,7 +141,7 @@
     void anAcceptThatFailsHoldsUpTheNextForAMomentOnly() throws Exception {
         try (Fleet fleet = new Fleet().node("127.0.0.1:9").start()) {
             for (int i = 0; i < 3; i++) {
-                fleet.proxy.failAccept(new IOException("accept(..) failed: Too many open files in system"));
+                fleet.proxy.simulateAcceptFailure(new IOException("accept(..) failed: Too many open files in system"));
                 long failed = System.nanoTime();
                 try (Fleet.Client client = fleet.client()) {
                     assertThat(client.say("mn\r\n").line()).isEqualTo("MN");
@@ -205,7 +205,7 @@
                 "ms 7f3a -5 O1 Pc=fix,d=500\r\n",
                 "ms 7f3a 5 O1 Pc=fix,d=500\r\nhelloXX",
                 "ms 7f3a 4194305 O1 Pc=fix,d=500\r\n",
-                "x".repeat(MetaCodec.MAX_LINE)
+                "x".repeat(MetaCodec.MAX_LINE_BYTES)
             }) {
                 try (Fleet.Client client = fleet.client()) {
                     client.say(lost);
@@ -315,7 +315,7 @@
             Fleet.Client[] busy = new Fleet.Client[17];
             for (int i = 0; i < busy.length; i++) {
                 busy[i] = fleet.client().read("b" + i);
-                while (fleet.proxy.inHand() <= i) {
+                while (fleet.proxy.pendingRequests() <= i) {
                     Thread.onSpinWait(); // until the proxy has taken it
                 }
             }
@@ -373,14 +373,14 @@
                 client.line();
                 assertThat(client.line()).isEqualTo("HD Ow" + i + " cfetch");
             }
-            assertThat(fleet.proxy.inHand()).isZero();
+            assertThat(fleet.proxy.pendingRequests()).isZero();
             client.read("silent");
             while (!ScriptedServer.id(node.next()).equals("silent")) {
                 // those before it
             }
-            assertThat(fleet.proxy.inHand()).isEqualTo(1);
+            assertThat(fleet.proxy.pendingRequests()).isEqualTo(1);
             client.close();
-            while (fleet.proxy.inHand() > 0) {
+            while (fleet.proxy.pendingRequests() > 0) {
                 Thread.onSpinWait(); // until the proxy has seen the client go
             }
         }
--- a/src/test/java/cacheproxy/proxy/discovery/DiscoveryClientTest.java
+++ b/src/test/java/cacheproxy/proxy/discovery/DiscoveryClientTest.java
@@ -259,7 +259,7 @@
             try (Fleet fleet = besidePeer(discovery, other).start()) {
                 assertThat(discovery.next()).contains("since=41&timeout_ms=2800");
                 other.send(new DatagramPacket(version(42), version(42).length, fleet.proxy.peerAddress()));
-                fleet.proxy.after(500, claimed::countDown); // its turn comes some time after that of the other
+                fleet.proxy.runAfter(500, claimed::countDown); // its turn comes some time after that of the other
                 assertThat(discovery.next()).contains("since=42&timeout_ms=2800");
                 assertThat(served(fleet)).isEqualTo("VA 5 O1");
             }
--- a/src/test/java/cacheproxy/proxy/process/OperatorActionsTest.java
+++ b/src/test/java/cacheproxy/proxy/process/OperatorActionsTest.java
@@ -85,7 +85,7 @@
      */
     @Test
     void statusIsAnsweredWhileALongValueStreamsAndAStandbyLetsItEnd() throws Exception {
-        byte[] value = new byte[MetaCodec.MAX_VALUE];
+        byte[] value = new byte[MetaCodec.MAX_VALUE_BYTES];
         new Random(5).nextBytes(value);
         ScriptedServer node = new ScriptedServer(c -> {
             c.say("VA " + value.length + " O" + ScriptedServer.id(c.command()) + " h1\r\n");
--- a/src/test/java/cacheproxy/proxy/process/WarmUpTest.java
+++ b/src/test/java/cacheproxy/proxy/process/WarmUpTest.java
@@ -24,7 +24,7 @@
     /** What reaches the end of a pipeline is printed with its trace, at the start of every proxy. */
     @Test
     void aConnectionOfTheWarmUpThatIsResetIsClosedWithoutAWord() {
-        EmbeddedChannel channel = new EmbeddedChannel(new WarmUp.End() {
+        EmbeddedChannel channel = new EmbeddedChannel(new WarmUp.ResetTolerantDecoder() {
             @Override
             protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {}
         });
--- a/src/test/java/cacheproxy/proxy/request/DeadlineFieldTest.java
+++ b/src/test/java/cacheproxy/proxy/request/DeadlineFieldTest.java
@@ -7,12 +7,12 @@
 /** The deadline's place in a request's list, wherever and however often the list names it. */
 class DeadlineFieldTest {
     private static String told(String extras, int deadlineMs) {
-        return new ClientRequest("key", "1", false, extras, "mg key v O1 P", " q").extras(deadlineMs);
+        return new ClientRequest("key", "1", false, extras, "mg key v O1 P", " q").attributesWithDeadline(deadlineMs);
     }
 
     private static String line(String extras) {
         ClientRequest c = new ClientRequest("key", "1", false, extras, "mg key v O1 P", " q");
-        return c.head + 7 + c.tail;
+        return c.linePrefix + 7 + c.lineSuffix;
     }
 
     @Test
@@ -41,7 +41,7 @@
     void anotherKeyKeepsTheListAndTheDeadlinesPlace() {
         ClientRequest other =
                 new ClientRequest("key", "1", false, "c=read,d=480,k=5c", "mg key v O1 P", " q").withKey("longer-key");
-        assertThat(other.head + 7 + other.tail).isEqualTo("mg longer-key v O1 Pc=read,d=7,k=5c q");
-        assertThat(other.extras(9)).isEqualTo("c=read,d=9,k=5c");
+        assertThat(other.linePrefix + 7 + other.lineSuffix).isEqualTo("mg longer-key v O1 Pc=read,d=7,k=5c q");
+        assertThat(other.attributesWithDeadline(9)).isEqualTo("c=read,d=9,k=5c");
     }
 }
--- a/src/test/java/cacheproxy/proxy/upstream/UpstreamTest.java
+++ b/src/test/java/cacheproxy/proxy/upstream/UpstreamTest.java
@@ -115,7 +115,7 @@
             // Tries come 0.5, 1.5, 3.5, 7.5 s after the first and then every 4 s, however long this took.
             long most = 5 + (System.nanoTime() - start) / 4_000_000_000L;
             assertThat((long) full.accepted.size()).as("tries for 40 requests").isBetween(1L, most);
-            assertThat(fleet.proxy.sound(1)).isTrue();
+            assertThat(fleet.proxy.isHealthy(1)).isTrue();
         }
     }
 
@@ -130,11 +130,11 @@
                     c.say(hit(line));
                     continue;
                 }
-                c.say("VA " + MetaCodec.MAX_VALUE + " Olong h1\r\n");
+                c.say("VA " + MetaCodec.MAX_VALUE_BYTES + " Olong h1\r\n");
                 c.out.write(new byte[1000]);
                 c.out.flush();
                 rest.await();
-                c.out.write(new byte[MetaCodec.MAX_VALUE - 1000]);
+                c.out.write(new byte[MetaCodec.MAX_VALUE_BYTES - 1000]);
                 c.say("\r\n");
             }
         });
@@ -145,10 +145,10 @@
             client.line();
             seen.await(); // from here on no node is to get a second connection
             client.say(read(keyOf(2), "long"));
-            assertThat(client.line()).isEqualTo("VA " + MetaCodec.MAX_VALUE + " Olong");
+            assertThat(client.line()).isEqualTo("VA " + MetaCodec.MAX_VALUE_BYTES + " Olong");
             assertThat(other.say(read(keyOf(2), "short")).line()).isEqualTo("VA 5 Oshort");
             rest.countDown();
-            assertThat(client.bytes(MetaCodec.MAX_VALUE)).hasSize(MetaCodec.MAX_VALUE);
+            assertThat(client.bytes(MetaCodec.MAX_VALUE_BYTES)).hasSize(MetaCodec.MAX_VALUE_BYTES);
         }
     }
 
