--- a/src/main/java/cacheproxy/daemon/PoolRuntime.java
+++ b/src/main/java/cacheproxy/daemon/PoolRuntime.java
@@ -16,7 +16,9 @@
 import cacheproxy.policy.EndpointListKind;
 import cacheproxy.policy.PolicySettings;
 import cacheproxy.proxy.discovery.DiscoveryClient;
+import cacheproxy.proxy.discovery.EndpointListSource;
 import cacheproxy.proxy.dispatch.Dispatcher;
+import cacheproxy.proxy.upstream.ConnectionLimits;
 import cacheproxy.proxy.upstream.EventLoopContext;
 import cacheproxy.routes.KeyHash;
 import cacheproxy.routes.Route;
@@ -85,7 +87,7 @@
         dispatcher.probes(fleet);
         discovery = config.discovery() == null ? null : newDiscoveryClient(context.core());
         if (discovery == null) {
-            dispatcher.start(Dispatcher.ListSource.NONE);
+            dispatcher.start(EndpointListSource.NONE);
             applyServerList();
         } else {
             dispatcher.start(discovery);
@@ -99,11 +101,13 @@
                 new Dispatcher.Pool(
                         settings,
                         seed,
-                        file.limits().idleCloseMs(),
-                        config.connections(),
-                        config.originConnections(),
-                        config.connections(),
-                        config.streams(),
+                        new ConnectionLimits(
+                                settings.connectTimeoutMs(),
+                                file.limits().idleCloseMs(),
+                                config.connections(),
+                                config.originConnections(),
+                                config.connections(),
+                                config.streams()),
                         config.plainServers(),
                         BackupPlacement.withBackups(
                                 members -> PoolSettings.placement(config).create(members), backupServers::contains),
--- a/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
@@ -11,7 +11,6 @@
 import cacheproxy.policy.EndpointListKind;
 import cacheproxy.policy.EndpointState;
 import cacheproxy.policy.PolicySettings;
-import cacheproxy.proxy.dispatch.Dispatcher;
 import cacheproxy.proxy.net.HandlerInitializer;
 import cacheproxy.proxy.net.TimerWheel.Timer;
 import cacheproxy.proxy.net.Transport;
@@ -48,7 +47,7 @@
 import java.util.function.BiConsumer;
 
 /** Follows discovery's list of servers for one pool. */
-public final class DiscoveryClient implements Dispatcher.ListSource, UpstreamRegistry.Observer {
+public final class DiscoveryClient implements EndpointListSource, UpstreamRegistry.Observer {
     /** Why a call failed of which nothing came. */
     private static final String SILENT = "no answer";
 
@@ -95,7 +94,7 @@
     private Timer looking;
     private double lookAt = Double.POSITIVE_INFINITY;
     private final Source source;
-    private final Dispatcher dispatcher;
+    private final EndpointListConsumer pool;
     private final Line watchLine = new Line();
     private final Line listLine = new Line();
     private InetSocketAddress address;
@@ -120,25 +119,24 @@
         void have(long version);
     }
 
-    public DiscoveryClient(EventLoopContext core, Source source, Dispatcher dispatcher) {
-        this(core, source, dispatcher, null);
+    public DiscoveryClient(EventLoopContext core, Source source, EndpointListConsumer pool) {
+        this(core, source, pool, null);
     }
 
     /** @param pace null: it always watches closely */
-    public DiscoveryClient(EventLoopContext core, Source source, Dispatcher dispatcher, Pace pace) {
+    public DiscoveryClient(EventLoopContext core, Source source, EndpointListConsumer pool, Pace pace) {
         this.pace = pace;
         this.core = core;
         loop = core.loop();
-        PolicySettings settings = dispatcher.settings();
+        PolicySettings settings = pool.settings();
         double within = settings.askWithinMs();
         double spread = Math.min(within * LONGEST_DELAY, settings.instances() * settings.connectTimeoutMs());
         double place = (double) settings.instanceNumber() / Math.max(1, settings.instances());
         doubt = new SilentWatchDetector(within * NOTICE, within * QUICK, spread * place);
         newsMs = within * NEWS * place;
         this.source = source;
-        this.dispatcher = dispatcher;
-        freshness =
-                new DiscoveryPollScheduler(source.ask(), settings.instances(), new SplittableRandom(dispatcher.seed()));
+        this.pool = pool;
+        freshness = new DiscoveryPollScheduler(source.ask(), settings.instances(), new SplittableRandom(pool.seed()));
         freshness.setLongPolling(core.now(), closely());
         address = source.address();
     }
@@ -170,10 +168,10 @@
                 known = hosts(source.known());
                 version = seq(source.known());
             } catch (RuntimeException e) {
-                dispatcher.log("the list in the configuration is of no use: " + e.getMessage());
+                pool.log("the list in the configuration is of no use: " + e.getMessage());
             }
         }
-        dispatcher.listed(EndpointListKind.CACHED, known);
+        pool.listed(EndpointListKind.CACHED, known);
         doubt.listReceived(version, true, known.stream().map(Host::member).toList());
         core.observe(this);
         if (!source.ask()) {
@@ -258,8 +256,8 @@
             try {
                 apply(need(json, why));
             } catch (RuntimeException e) {
-                dispatcher.log("discovery: " + e.getMessage());
-                dispatcher.listed(EndpointListKind.FAILED, List.of());
+                pool.log("discovery: " + e.getMessage());
+                pool.listed(EndpointListKind.FAILED, List.of());
             }
         });
     }
@@ -300,7 +298,7 @@
                         .write();
             }
             if ((n & n - 1) == 0) { // the first, the second, the fourth: an outage must not take all the log's lines
-                dispatcher.log("discovery: " + e.getMessage() + (n > 1 ? ", " + n + " failures in a row" : ""));
+                pool.log("discovery: " + e.getMessage() + (n > 1 ? ", " + n + " failures in a row" : ""));
             }
         }
         go();
@@ -326,7 +324,7 @@
             pace.have(seq);
         }
         doubt.listReceived(seq, whole, hosts.stream().map(Host::member).toList());
-        dispatcher.listed(whole ? EndpointListKind.FULL : EndpointListKind.CHANGES, hosts);
+        pool.listed(whole ? EndpointListKind.FULL : EndpointListKind.CHANGES, hosts);
     }
 
     @Override
@@ -343,7 +341,7 @@
     private void tellNews() {
         byte[] message = closed ? null : news.takeMessage(version);
         if (message != null) {
-            dispatcher.tell(-1, message);
+            pool.tell(-1, message);
         }
     }
 
@@ -374,7 +372,7 @@
         lookAt = Double.POSITIVE_INFINITY;
         if (!closed && core.now() >= freshness.protectedUntilMs() && doubt.takeDuePoll(core.now())) {
             if (freshness.inFlight()) {
-                dispatcher.log("discovery: the watch seems to have fallen silent, asking anew");
+                pool.log("discovery: the watch seems to have fallen silent, asking anew");
             }
             ask();
         }
--- a/src/main/java/cacheproxy/proxy/dispatch/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/Dispatcher.java
@@ -11,20 +11,22 @@
 import cacheproxy.policy.EndpointListKind;
 import cacheproxy.policy.EndpointState;
 import cacheproxy.policy.Idempotency;
-import cacheproxy.policy.LoadReportSource;
 import cacheproxy.policy.PolicyActions;
 import cacheproxy.policy.PolicySettings;
 import cacheproxy.policy.RoutingPolicy;
 import cacheproxy.policy.RoutingRequest;
 import cacheproxy.policy.ServiceClass;
 import cacheproxy.proxy.discovery.DiscoveryClient;
+import cacheproxy.proxy.discovery.EndpointListConsumer;
+import cacheproxy.proxy.discovery.EndpointListSource;
 import cacheproxy.proxy.discovery.PeerSocket;
-import cacheproxy.proxy.dispatch.RequestContext.Attempt;
 import cacheproxy.proxy.net.TimerWheel.Timer;
 import cacheproxy.proxy.process.PlatformConfig;
 import cacheproxy.proxy.request.ClientRequest;
-import cacheproxy.proxy.request.MetaCodec;
+import cacheproxy.proxy.upstream.Attempt;
+import cacheproxy.proxy.upstream.ConnectionLimits;
 import cacheproxy.proxy.upstream.EventLoopContext;
+import cacheproxy.proxy.upstream.PoolProtocol;
 import cacheproxy.proxy.upstream.Upstream;
 import cacheproxy.siblings.Siblings;
 import cacheproxy.snapshot.state.LearnedState;
@@ -46,15 +48,11 @@
  * are in: an attempt ends once, a request is answered once. All of it runs on the event loop; the module is never
  * called from within one of its own orders, what happens meanwhile waits in line.
  */
-public final class Dispatcher implements PolicyActions {
+public final class Dispatcher implements PolicyActions, EndpointListConsumer {
     /** What a request that the module left unanswered at its due time may still wait for it. */
     private static final double OVERDUE_MS = 10;
     /** What a test of a server takes at the most, ms. */
     public static final double PROBE_TIMEOUT_MS = 250;
-    /**
-     * The part of the time after which servers close idle connections for which one may have been idle when it is used.
-     */
-    public static final double RETIRE_AT = 0.7;
 
     private static final long SWEEP_MS = 1000;
 
@@ -62,11 +60,12 @@
     private final Pool pool;
     private final PolicySettings settings;
     private final SendGuard sendGuard;
+    private final PoolProtocol protocol;
     private final IntObjectHashMap<RequestContext> exchanges = new IntObjectHashMap<>();
     private final IntObjectHashMap<Upstream> upstreams = new IntObjectHashMap<>();
     private final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
     private RoutingPolicy module;
-    private ListSource discovery;
+    private EndpointListSource discovery;
     /** Null where nothing is remembered, and once it has been asked. */
     private Recollections recollections;
 
@@ -81,25 +80,6 @@
     private boolean stopped;
     private int nextId;
 
-    /** Where the module's calls for the list go. */
-    public interface ListSource {
-        void watch(boolean on);
-
-        void fetch();
-
-        /** Asks for nothing any more. */
-        default void close() {}
-
-        /** For lists that come from elsewhere. */
-        ListSource NONE = new ListSource() {
-            @Override
-            public void watch(boolean on) {}
-
-            @Override
-            public void fetch() {}
-        };
-    }
-
     /** What an earlier instance has learned of these servers; asked once, with the first list that has a server. */
     public interface Recollections {
         LearnedState of(double now, List<DiscoveryClient.Host> servers);
@@ -151,21 +131,13 @@
     /**
      * A pool's fixed figures.
      *
-     * @param cacheConnections connections to one cache node, from all pools of this process together
-     * @param originConnections the same for the origin
-     * @param mostConnections to any server, where some are taken up by long answers that slow clients read
-     * @param streamsPerConnection attempts on one connection of a cache node
-     * @param plainNodes whether nodes are stock ones, which give no receipts and no ids with a miss
+     * @param stockServers whether cache servers are stock ones, which give no receipts and no ids with a miss
      */
     public record Pool(
             PolicySettings settings,
             long seed,
-            double idleCloseMs,
-            int cacheConnections,
-            int originConnections,
-            int mostConnections,
-            int streamsPerConnection,
-            boolean plainNodes,
+            ConnectionLimits connections,
+            boolean stockServers,
             PlacementFactory placements,
             AdmissionControl admission) {
 
@@ -175,11 +147,13 @@
             return new Pool(
                     config.settings(),
                     config.seed(),
-                    config.idleCloseMs(),
-                    Math.max(1, Math.min(4, 28 / proxies)),
-                    Math.max(4, Math.min(48, 240 / proxies)),
-                    Math.max(1, 28 / proxies),
-                    config.streamsPerConnection(),
+                    new ConnectionLimits(
+                            config.settings().connectTimeoutMs(),
+                            config.idleCloseMs(),
+                            Math.max(1, Math.min(4, 28 / proxies)),
+                            Math.max(4, Math.min(48, 240 / proxies)),
+                            Math.max(1, 28 / proxies),
+                            config.streamsPerConnection()),
                     false,
                     CarpPlacement::new,
                     AdmissionControl.UNLIMITED);
@@ -191,14 +165,15 @@
         this.pool = pool;
         settings = pool.settings();
         sendGuard = new SendGuard(settings.drainGraceMs());
+        protocol = new PoolProtocol(pool.stockServers(), settings.reports(), settings.reportNames());
     }
 
     /** Starts the module; discovery and peers come to be used from here on. */
-    public void start(ListSource source) {
+    public void start(EndpointListSource source) {
         start(source, null);
     }
 
-    public void start(ListSource source, PeerSocket socket) {
+    public void start(EndpointListSource source, PeerSocket socket) {
         discovery = source;
         peers = socket;
         module = new RoutingPolicy(settings, pool.seed(), pool.placements(), pool.admission(), siblings);
@@ -221,7 +196,7 @@
         probes = to;
     }
 
-    public String classAt(int server) {
+    String classAt(int server) {
         return questions.classAt(server);
     }
 
@@ -283,33 +258,21 @@
         }
     }
 
-    public List<String> reportNames() {
-        return settings.reportNames();
-    }
-
-    public float[] report(String list) {
-        return settings.reports() == LoadReportSource.WITH_ANSWERS
-                ? MetaCodec.report(list, settings.reportNames())
-                : null;
-    }
-
-    public boolean probesLoad() {
-        return settings.reports() == LoadReportSource.BY_PROBE;
+    PoolProtocol protocol() {
+        return protocol;
     }
 
-    public boolean secondCopies() {
+    boolean secondCopies() {
         return settings.secondCopies();
     }
 
-    public boolean plainNodes() {
-        return pool.plainNodes();
-    }
-
+    @Override
     public PolicySettings settings() {
         return settings;
     }
 
     /** For random choices of who acts for this pool. */
+    @Override
     public long seed() {
         return pool.seed();
     }
@@ -326,7 +289,7 @@
 
     private void sweep() {
         double now = core.now();
-        core.servers.sweep(upstreams.values(), now, now - pool.idleCloseMs() * RETIRE_AT);
+        core.servers.sweep(upstreams.values(), now, now - pool.connections().retireIdleMs());
     }
 
     // ---- calls of the module
@@ -368,6 +331,7 @@
         }
     }
 
+    @Override
     public void listed(EndpointListKind kind, List<DiscoveryClient.Host> hosts) {
         for (DiscoveryClient.Host h : hosts) {
             int id = h.member().id();
@@ -394,7 +358,7 @@
                 u = null;
             }
             if (u == null) {
-                u = core.servers.hold(id, origin, h.dial(), pool);
+                u = core.servers.hold(id, origin, h.dial(), pool.connections());
                 upstreams.put(id, u);
             }
             if (u.bornMs != h.member().bornMs()) {
@@ -471,12 +435,12 @@
     }
 
     private void expire(Attempt a) {
-        if (!a.ended) {
-            if (a.connection != null) {
-                boolean unsent = a.connection.giveUp(a);
-                end(a, unsent ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.TIMEOUT, 0, null, null, null);
+        if (!a.hasEnded()) {
+            if (a.connection() != null) {
+                boolean unsent = a.connection().giveUp(a);
+                a.onEnd(unsent ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.TIMEOUT);
             } else {
-                end(a, AttemptOutcome.NOT_SENT, 0, null, null, null);
+                a.onEnd(AttemptOutcome.NOT_SENT);
             }
         }
     }
@@ -499,15 +463,15 @@
                     .write();
         }
         tell(() -> module.onGone(core.now(), x.id, this));
-        for (Attempt a : x.attempts) {
-            if (a.ended || a.connection == null) {
+        for (RequestAttempt a : x.attempts) {
+            if (a.hasEnded() || a.connection() == null) {
                 continue;
             }
-            if (!a.begun) {
+            if (!a.hasBegun()) {
                 withdraw(a);
             } else if (a.firstByteMs != 0) { // the rest of a long value is of no use to anyone
-                a.connection.giveUp(a);
-                end(a, AttemptOutcome.CANCELLED, 0, null, null, null);
+                a.connection().giveUp(a);
+                a.onEnd(AttemptOutcome.CANCELLED);
             } else if (a.timer == null) {
                 a.timer = core.after(x.dueMs - core.now(), () -> expire(a));
             }
@@ -518,37 +482,28 @@
     // ---- ends of attempts
 
     /** The one end of an attempt. A value or receipt, where there is one, is the client's if none has come before. */
-    public void end(Attempt a, AttemptOutcome outcome, int note, float[] report, ByteBuf value, String receipt) {
-        if (a.ended) {
+    public void end(RequestAttempt a, AttemptOutcome outcome, int note, float[] report, ByteBuf value, String receipt) {
+        if (a.hasEnded()) {
             if (value != null) {
                 value.release();
             }
             return;
         }
-        a.ended = true;
-        a.mayHaveRun = outcome.mayHaveRun();
+        a.end(outcome);
         stop(a.timer);
-        double elapsed = (a.firstByteMs != 0 ? a.firstByteMs : core.now()) - a.sentMs;
-        RequestContext x = a.exchange;
-        if (x == null) {
-            if (a.asked != null) {
-                a.asked.accept(outcome);
-            } else {
-                tell(() -> module.onProbed(core.now(), a.server, outcome, elapsed, report, this));
-            }
-            return;
-        }
+        double elapsed = (a.firstByteMs != 0 ? a.firstByteMs : core.now()) - a.startedMs();
+        RequestContext x = a.context;
         x.out--;
         x.lastOutcome = outcome;
         if (core.events.isEnabled()) {
             core.events
                     .line(ProxyEvent.ATTEMPT_ENDED)
                     .with("id", x.command.id)
-                    .with("n", a.index)
-                    .with("server", name(a.server))
+                    .with("n", a.index())
+                    .with("server", name(a.server()))
                     .with("outcome", outcome)
-                    .with("begun", a.begun)
-                    .with("written", a.written)
+                    .with("begun", a.hasBegun())
+                    .with("written", a.isWritten())
                     .withMs("ms", elapsed)
                     .write();
         }
@@ -575,7 +530,7 @@
             tellSiblings(a, x.command, outcome);
         }
         if (probes != null) {
-            probes.ended(a.server, outcome);
+            probes.ended(a.server(), outcome);
         }
         x.missed |= outcome == AttemptOutcome.MISS;
         x.mayHaveRun |= outcome.mayHaveRun();
@@ -584,11 +539,31 @@
                 x,
                 () -> module.onAttemptEnd(
                         core.now(),
-                        new AttemptResult(x.id, a.index, a.server, outcome, elapsed, over, note, report),
+                        new AttemptResult(x.id, a.index(), a.server(), outcome, elapsed, over, note, report),
                         this)));
         free(x);
     }
 
+    /** An attempt's first byte is about to go out. */
+    void logStart(RequestAttempt a) {
+        if (!core.events.isEnabled()) {
+            return;
+        }
+        RequestContext x = a.context;
+        String cause = a.index() == 0 ? "first" : x.out > 1 ? "hedge" : "after_" + x.lastOutcome;
+        core.events
+                .line(ProxyEvent.ATTEMPT_STARTED)
+                .with("id", x.command.id)
+                .with("n", a.index())
+                .with("server", a.connection().name())
+                .with("cause", cause)
+                .withMs("left_ms", a.timeoutAtMs() - core.now())
+                .withMs("client_left_ms", x.dueMs - core.now())
+                .withMs("queued_ms", core.now() - a.startedMs())
+                .with("depth", a.connection().queueLength())
+                .write();
+    }
+
     /** The cause of a refusal or failure is what the last attempt ended with, if there was one. */
     private void logAnswer(RequestContext x, String kind) {
         if (core.events.isEnabled()) {
@@ -609,40 +584,40 @@
         return u == null ? Integer.toHexString(server) : Integer.toHexString(server) + "@" + u.dial;
     }
 
-    private void tellSiblings(Attempt a, ClientRequest c, AttemptOutcome outcome) {
-        Upstream u = upstreams.get(a.server);
+    private void tellSiblings(RequestAttempt a, ClientRequest c, AttemptOutcome outcome) {
+        Upstream u = upstreams.get(a.server());
         if (c.write) {
             questions.written(c.key);
         } else if (u != null && !u.origin && (outcome == AttemptOutcome.OK || outcome == AttemptOutcome.MISS)) {
-            questions.read(c.key, a.server, outcome == AttemptOutcome.OK);
+            questions.read(c.key, a.server(), outcome == AttemptOutcome.OK);
         }
     }
 
     /** A long answer begins; false if the request is over or another answer has begun. */
-    public boolean begin(Attempt a, int length) {
-        RequestContext x = a.exchange;
-        if (a.ended || x.over || x.streaming) {
+    public boolean begin(RequestAttempt a, int length) {
+        RequestContext x = a.context;
+        if (a.hasEnded() || x.over || x.streaming) {
             return false;
         }
         x.streaming = true;
         a.firstByteMs = core.now();
         stop(x.timer);
         stop(a.timer);
-        x.responder.begin(length, a.connection);
-        tell(() -> module.onFirstByte(core.now(), x.id, a.index, a.server, this));
-        for (Attempt other : x.attempts) {
+        x.responder.begin(length, a.connection());
+        tell(() -> module.onFirstByte(core.now(), x.id, a.index(), a.server(), this));
+        for (RequestAttempt other : x.attempts) {
             if (other != a) {
-                cancel(x.id, other.index);
+                cancel(x.id, other.index());
             }
         }
         return true;
     }
 
-    public void part(Attempt a, ByteBuf part) {
-        if (a.ended || a.exchange.over) {
+    public void part(RequestAttempt a, ByteBuf part) {
+        if (a.hasEnded() || a.context.over) {
             part.release();
         } else {
-            a.exchange.responder.part(part);
+            a.context.responder.part(part);
         }
     }
 
@@ -695,12 +670,12 @@
         double now = core.now();
         double left = x.dueMs - now;
         double wait = timeoutMs == 0 ? left : Math.min(timeoutMs, left);
-        Attempt a = new Attempt(this, x, x.attempts.size(), server, now, now + wait);
+        RequestAttempt a = new RequestAttempt(x, x.attempts.size(), server, now, now + wait);
         x.attempts.add(a);
         x.out++;
         Upstream u = upstreams.get(server);
-        if (u == null || wait <= 0 || a.index >= settings.maxAttempts()) {
-            tell(() -> end(a, AttemptOutcome.NOT_SENT, 0, null, null, null));
+        if (u == null || wait <= 0 || a.index() >= settings.maxAttempts()) {
+            tell(() -> a.onEnd(AttemptOutcome.NOT_SENT));
             return;
         }
         if (wait < left) {
@@ -708,7 +683,7 @@
         }
         boundRepeat(x, a);
         if (!u.send(a)) { // want of room on our side says nothing against a sound node
-            tell(() -> end(a, u.origin ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.NOT_SENT, 0, null, null, null));
+            tell(() -> a.onEnd(u.origin ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.NOT_SENT));
         }
     }
 
@@ -716,17 +691,17 @@
      * The module lets a keyed request be repeated within its class's window. A repeat may then wait for a connection
      * that comes up late, and is not to go out once the window is over.
      */
-    private void boundRepeat(RequestContext x, Attempt a) {
+    private void boundRepeat(RequestContext x, RequestAttempt a) {
         ServiceClass kind = settings.classes().get(x.command.serviceClass);
         if (kind.effect() != Idempotency.KEYED) {
             return;
         }
-        for (Attempt earlier : x.attempts) {
-            if (earlier != a && earlier.begun) {
-                a.beginByMs = Math.min(a.beginByMs, SendGuard.retryUntilMs(earlier.sentMs, kind.windowMs()));
+        for (RequestAttempt earlier : x.attempts) {
+            if (earlier != a && earlier.hasBegun()) {
+                a.beginByMs = Math.min(a.beginByMs, SendGuard.retryUntilMs(earlier.startedMs(), kind.windowMs()));
             }
         }
-        if (a.beginByMs < a.untilMs) {
+        if (a.beginByMs < a.timeoutAtMs()) {
             core.after(a.beginByMs - core.now(), () -> withdraw(a));
         }
     }
@@ -735,22 +710,21 @@
      * The one place that every attempt of a request passes before its first byte, on whatever connection and however
      * long it has waited for it. One that may not begin ends here as not sent.
      */
-    public boolean mayBegin(Attempt a) {
-        if (a.exchange == null) {
-            return true;
-        }
+    public boolean mayBegin(RequestAttempt a) {
         Invariant violated = sendGuard.violatedBy(a, core.now());
         if (violated != null) {
             core.invariants.recordStopped(
-                    violated, a.exchange.command.id, "attempt " + a.index + " at " + name(a.server) + " was not begun");
-            end(a, AttemptOutcome.NOT_SENT, 0, null, null, null);
+                    violated,
+                    a.context.command.id,
+                    "attempt " + a.index() + " at " + name(a.server()) + " was not begun");
+            a.onEnd(AttemptOutcome.NOT_SENT);
             return false;
         }
-        if (a.exchange.dueMs > a.exchange.command.clientDueMs) {
+        if (a.context.dueMs > a.context.command.clientDueMs) {
             core.invariants.recordViolation(
                     Invariant.DEADLINE_WITHIN_CLIENTS,
-                    a.exchange.command.id,
-                    "its pool waits " + Math.round(a.exchange.dueMs - a.exchange.command.clientDueMs)
+                    a.context.command.id,
+                    "its pool waits " + Math.round(a.context.dueMs - a.context.command.clientDueMs)
                             + " ms longer than its client");
         }
         return true;
@@ -761,10 +735,10 @@
     }
 
     /** Ends an attempt that has not begun; one that has goes on. */
-    private void withdraw(Attempt a) {
-        if (!a.ended && !a.begun && a.connection != null) {
-            a.connection.giveUp(a);
-            end(a, AttemptOutcome.NOT_SENT, 0, null, null, null);
+    private void withdraw(RequestAttempt a) {
+        if (!a.hasEnded() && !a.hasBegun() && a.connection() != null) {
+            a.connection().giveUp(a);
+            a.onEnd(AttemptOutcome.NOT_SENT);
         }
     }
 
@@ -787,14 +761,14 @@
     @Override
     public void cancel(int request, int attempt) {
         RequestContext x = exchanges.get(request);
-        Attempt a = x == null || attempt >= x.attempts.size() ? null : x.attempts.get(attempt);
-        if (a == null || a.ended || a.firstByteMs != 0) {
+        RequestAttempt a = x == null || attempt >= x.attempts.size() ? null : x.attempts.get(attempt);
+        if (a == null || a.hasEnded() || a.firstByteMs != 0) {
             return;
         }
-        if (a.connection != null) {
-            a.connection.giveUp(a);
+        if (a.connection() != null) {
+            a.connection().giveUp(a);
         }
-        tell(() -> end(a, AttemptOutcome.CANCELLED, 0, null, null, null));
+        tell(() -> a.onEnd(AttemptOutcome.CANCELLED));
     }
 
     @Override
@@ -824,15 +798,31 @@
     public void probe(int server, Consumer<AttemptOutcome> asked) {
         Upstream u = upstreams.get(server);
         double now = core.now();
-        Attempt a = new Attempt(this, null, 0, server, now, now + PROBE_TIMEOUT_MS);
-        a.asked = asked;
+        HealthProbe a = new HealthProbe(this, server, now, now + PROBE_TIMEOUT_MS, asked);
         if (u == null || !u.send(a)) {
-            tell(() -> end(a, AttemptOutcome.CONNECT_FAILED, 0, null, null, null));
+            tell(() -> a.onEnd(AttemptOutcome.CONNECT_FAILED));
         } else {
             a.timer = core.after(PROBE_TIMEOUT_MS, () -> expire(a));
         }
     }
 
+    void endProbe(HealthProbe probe, AttemptOutcome outcome, float[] report, ByteBuf value) {
+        if (value != null) {
+            value.release();
+        }
+        if (probe.hasEnded()) {
+            return;
+        }
+        probe.end();
+        stop(probe.timer);
+        double elapsedMs = core.now() - probe.startedMs();
+        if (probe.asked != null) {
+            probe.asked.accept(outcome);
+        } else {
+            tell(() -> module.onProbed(core.now(), probe.server(), outcome, elapsedMs, report, this));
+        }
+    }
+
     /** The end of a test that others have taken over. */
     public void probed(int server, boolean sound) {
         tell(() ->
--- a/src/main/java/cacheproxy/proxy/process/WarmUp.java
+++ b/src/main/java/cacheproxy/proxy/process/WarmUp.java
@@ -8,6 +8,7 @@
 import cacheproxy.proxy.client.ClientRegistry;
 import cacheproxy.proxy.client.Listener;
 import cacheproxy.proxy.discovery.DiscoveryClient;
+import cacheproxy.proxy.discovery.EndpointListSource;
 import cacheproxy.proxy.dispatch.Dispatcher;
 import cacheproxy.proxy.dispatch.SinglePoolHandler;
 import cacheproxy.proxy.net.HandlerInitializer;
@@ -85,7 +86,7 @@
         Dispatcher dispatcher = new Dispatcher(core, Dispatcher.Pool.of(config));
         Listener front =
                 new Listener(core, new ClientRegistry(core, 16), new SinglePoolHandler(core, dispatcher), null);
-        loop.submit(() -> dispatcher.start(Dispatcher.ListSource.NONE, null)).sync();
+        loop.submit(() -> dispatcher.start(EndpointListSource.NONE, null)).sync();
         try {
             SocketAddress node = listen("n", Node::new);
             SocketAddress origin = listen("o", Origin::new);
--- a/src/main/java/cacheproxy/proxy/upstream/CacheCodec.java
+++ b/src/main/java/cacheproxy/proxy/upstream/CacheCodec.java
@@ -2,7 +2,6 @@
 
 import cacheproxy.policy.AttemptOutcome;
 import cacheproxy.policy.PolicyApi;
-import cacheproxy.proxy.dispatch.RequestContext.Attempt;
 import cacheproxy.proxy.request.ClientRequest;
 import cacheproxy.proxy.request.MetaCodec;
 import io.netty.buffer.ByteBuf;
@@ -35,13 +34,13 @@
     @SuppressWarnings("FutureReturnValueIgnored") // a failed write closes the channel, and the close is handled
     @Override
     public ChannelFuture write(Channel channel, Attempt attempt, SocketAddress dial) {
-        if (attempt.exchange == null) {
-            String probe = attempt.owner.probesLoad() ? "stats load\r\n" : "mn\r\n";
+        if (attempt.isProbe()) {
+            String probe = attempt.protocol().probesLoad() ? "stats load\r\n" : "mn\r\n";
             return channel.write(MetaCodec.text(channel.alloc(), probe));
         }
-        ClientRequest command = attempt.exchange.command;
+        ClientRequest command = attempt.request();
         int leftMs = attempt.deadlineToTellMs(connection.core().now());
-        String as = attempt.owner.classAt(attempt.server);
+        String as = attempt.siblingClass();
         if (as != null) { // a sibling knows nothing of our classes, and has one of its own for such reads
             return channel.write(MetaCodec.text(
                     channel.alloc(),
@@ -99,13 +98,13 @@
         if (attempt == null) {
             throw new MetaCodec.SyntaxException("answer to nothing");
         }
-        if (attempt.exchange == null) {
+        if (attempt.isProbe()) {
             probed(attempt, line);
         } else if (line.startsWith(MetaCodec.BUSY)) {
             connection.ended(AttemptOutcome.FULL, 0, report(attempt, line), null, null);
         } else if (line.startsWith("SERVER_ERROR")) {
             connection.ended(AttemptOutcome.ERROR, 0, report(attempt, line), null, null);
-        } else if (line.startsWith("VA ") && !attempt.exchange.command.write) {
+        } else if (line.startsWith("VA ") && !attempt.request().write) {
             String word = MetaCodec.wordAt(line, 3);
             length = MetaCodec.length(word);
             flags(attempt, line, 4 + word.length());
@@ -114,15 +113,15 @@
             if (streamed) {
                 dropped = !connection.begin(length);
             }
-        } else if (line.startsWith("HD ") && attempt.exchange.command.write) {
+        } else if (line.startsWith("HD ") && attempt.request().write) {
             flags(attempt, line, 3);
             String receipt = MetaCodec.flag(line, 3, 'c');
-            if (receipt == null && !attempt.owner.plainNodes()) {
+            if (receipt == null && !attempt.protocol().stockServers()) {
                 throw new MetaCodec.SyntaxException("no receipt");
             }
             connection.ended(AttemptOutcome.OK, note, report, null, receipt);
         } else if (line.startsWith("EN")) {
-            if (attempt.owner.plainNodes() && line.equals("EN")) {
+            if (attempt.protocol().stockServers() && line.equals("EN")) {
                 note = 2; // stock nodes say no more; answers keep their order all the same
                 report = null;
             } else {
@@ -135,12 +134,12 @@
     }
 
     private static float[] report(Attempt attempt, String line) {
-        return attempt.owner.report(MetaCodec.flag(line, MetaCodec.BUSY.length() + 1, 'L'));
+        return attempt.protocol().reportOf(MetaCodec.flag(line, MetaCodec.BUSY.length() + 1, 'L'));
     }
 
     /** What the flags tell; the id must be the attempt's, or answers have lost their order. */
     private void flags(Attempt attempt, String line, int from) throws MetaCodec.SyntaxException {
-        if (!MetaCodec.flagIs(line, from, 'O', attempt.exchange.command.id)) {
+        if (!MetaCodec.flagIs(line, from, 'O', attempt.request().id)) {
             throw new MetaCodec.SyntaxException("answer to another request");
         }
         note = MetaCodec.flagIs(line, from, 'h', "1")
@@ -148,7 +147,7 @@
                 : !MetaCodec.flagIs(line, from, 'h', "0")
                         ? 0
                         : MetaCodec.flag(line, from, 'Z') != null ? PolicyApi.NOTE_FETCH_OUT : 2;
-        report = attempt.owner.report(MetaCodec.flag(line, from, 'L'));
+        report = attempt.protocol().reportOf(MetaCodec.flag(line, from, 'L'));
     }
 
     private void value(ByteBuf in) throws MetaCodec.SyntaxException {
@@ -194,7 +193,7 @@
             stats += name + "=" + MetaCodec.wordAt(line, 6 + name.length()) + ",";
         } else {
             boolean ok = line.equals("MN") || line.equals("END");
-            float[] figures = MetaCodec.report(stats, attempt.owner.reportNames());
+            float[] figures = MetaCodec.report(stats, attempt.protocol().reportNames());
             stats = "";
             connection.ended(ok ? AttemptOutcome.OK : AttemptOutcome.ERROR, 0, figures, null, null);
         }
--- a/src/main/java/cacheproxy/proxy/upstream/OriginCodec.java
+++ b/src/main/java/cacheproxy/proxy/upstream/OriginCodec.java
@@ -2,7 +2,6 @@
 
 import cacheproxy.config.Addresses;
 import cacheproxy.policy.AttemptOutcome;
-import cacheproxy.proxy.dispatch.RequestContext.Attempt;
 import cacheproxy.proxy.request.ClientRequest;
 import cacheproxy.proxy.request.MetaCodec;
 import io.netty.buffer.ByteBuf;
@@ -73,11 +72,11 @@
     @Override
     public ChannelFuture write(Channel channel, Attempt attempt, SocketAddress dial) {
         FullHttpRequest request;
-        if (attempt.exchange == null) {
-            String path = attempt.owner.probesLoad() ? "/metrics/load" : "/alive";
+        if (attempt.isProbe()) {
+            String path = attempt.protocol().probesLoad() ? "/metrics/load" : "/alive";
             request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path, Unpooled.EMPTY_BUFFER);
         } else {
-            ClientRequest command = attempt.exchange.command;
+            ClientRequest command = attempt.request();
             String path = "/" + URLEncoder.encode(command.key, StandardCharsets.ISO_8859_1);
             ByteBuf value = !command.write
                     ? Unpooled.EMPTY_BUFFER
@@ -148,7 +147,7 @@
             fail("too long");
             return;
         }
-        boolean value = r.status().code() == 200 && attempt.exchange != null && !attempt.exchange.command.write;
+        boolean value = r.status().code() == 200 && !attempt.isProbe() && !attempt.request().write;
         streamed = value && missing > MetaCodec.WHOLE;
         if (!streamed) {
             body = ctx.alloc().buffer(missing < 0 ? 1024 : (int) Math.min(missing, MetaCodec.WHOLE), MetaCodec.WHOLE);
@@ -176,8 +175,8 @@
             return;
         }
         if (response.status().code() != 200
-                || connection.head().exchange == null
-                || connection.head().exchange.command.write) {
+                || connection.head().isProbe()
+                || connection.head().request().write) {
             fail("too long");
             return;
         }
@@ -227,7 +226,7 @@
             connection.retire();
         }
         Attempt attempt = connection.head();
-        float[] report = attempt.owner.report(r.headers().get("Srv-Load"));
+        float[] report = attempt.protocol().reportOf(r.headers().get("Srv-Load"));
         if (more != null) {
             feed(report);
             return;
@@ -235,11 +234,11 @@
         ByteBuf whole = body;
         body = null;
         int code = r.status().code();
-        if (attempt.exchange == null) {
+        if (attempt.isProbe()) {
             release(whole);
             connection.ended(code == 200 ? AttemptOutcome.OK : AttemptOutcome.ERROR, 0, report, null, null);
         } else if (code == 200) {
-            answered(attempt.exchange.command, report, whole);
+            answered(attempt.request(), report, whole);
         } else {
             release(whole);
             boolean declined =
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/upstream/PoolProtocol.java
@@ -0,0 +1,24 @@
+package cacheproxy.proxy.upstream;
+
+import cacheproxy.policy.LoadReportSource;
+import cacheproxy.proxy.request.MetaCodec;
+import java.util.List;
+
+/**
+ * How the servers of a pool speak.
+ *
+ * @param stockServers whether the cache servers are stock ones, which give no receipts and no ids with a miss
+ * @param reports where load figures come from
+ * @param reportNames the names of the load figures, in the order of a report
+ */
+public record PoolProtocol(boolean stockServers, LoadReportSource reports, List<String> reportNames) {
+    /** Whether a health probe asks for load figures. */
+    public boolean probesLoad() {
+        return reports == LoadReportSource.BY_PROBE;
+    }
+
+    /** The load figures in a response; null where responses bring none. */
+    float[] reportOf(String figures) {
+        return reports == LoadReportSource.WITH_ANSWERS ? MetaCodec.report(figures, reportNames) : null;
+    }
+}
--- a/src/main/java/cacheproxy/proxy/upstream/Upstream.java
+++ b/src/main/java/cacheproxy/proxy/upstream/Upstream.java
@@ -2,8 +2,6 @@
 
 import cacheproxy.limits.ServerCapacity;
 import cacheproxy.policy.EndpointState;
-import cacheproxy.proxy.dispatch.Dispatcher;
-import cacheproxy.proxy.dispatch.RequestContext.Attempt;
 import cacheproxy.proxy.net.HandlerInitializer;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelFuture;
@@ -42,16 +40,16 @@
     private final ServerCapacity room;
     private final List<UpstreamConnection> connections = new ArrayList<>(2);
 
-    Upstream(int id, boolean origin, EventLoopContext core, Dispatcher.Pool pool) {
+    Upstream(int id, boolean origin, EventLoopContext core, ConnectionLimits limits) {
         this.id = id;
         this.origin = origin;
         this.core = core;
         room = new ServerCapacity(core.servers.shortage);
-        bootstrap = core.bootstrap(pool.settings().connectTimeoutMs());
-        maxConnections = origin ? pool.originConnections() : pool.cacheConnections();
-        mostConnections = Math.max(maxConnections, pool.mostConnections());
-        maxDepth = origin ? 1 : pool.streamsPerConnection();
-        retireIdleMs = pool.idleCloseMs() * Dispatcher.RETIRE_AT;
+        bootstrap = core.bootstrap(limits.connectTimeoutMs());
+        maxConnections = origin ? limits.originConnections() : limits.cacheConnections();
+        mostConnections = Math.max(maxConnections, limits.maxConnections());
+        maxDepth = origin ? 1 : limits.streamsPerConnection();
+        retireIdleMs = limits.retireIdleMs();
     }
 
     EventLoopContext core() {
--- a/src/main/java/cacheproxy/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/cacheproxy/proxy/upstream/UpstreamConnection.java
@@ -2,8 +2,6 @@
 
 import cacheproxy.eventlog.ProxyEvent;
 import cacheproxy.policy.AttemptOutcome;
-import cacheproxy.proxy.dispatch.RequestContext;
-import cacheproxy.proxy.dispatch.RequestContext.Attempt;
 import cacheproxy.proxy.request.Responder;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -146,7 +144,7 @@
     }
 
     void send(Attempt attempt) {
-        attempt.connection = this;
+        attempt.assignTo(this);
         attempts.add(attempt);
         waiting++;
         writeWaiting();
@@ -160,7 +158,7 @@
     private void writeWaiting() {
         while (waiting > 0 && connected && !reading && !closed && channel.isActive() && channel.isWritable()) {
             Attempt next = firstWaiting();
-            if (next.owner.mayBegin(next)) {
+            if (next.mayBegin()) {
                 waiting--;
                 write(next);
             } else {
@@ -170,11 +168,11 @@
     }
 
     private Attempt firstWaiting() {
-        if (waiting == 1 && !attempts.peekLast().begun) {
+        if (waiting == 1 && !attempts.peekLast().hasBegun()) {
             return attempts.peekLast();
         }
         for (Attempt a : attempts) {
-            if (!a.begun) {
+            if (!a.hasBegun()) {
                 return a;
             }
         }
@@ -199,35 +197,22 @@
         return upstream.leftMs;
     }
 
-    private String name() {
-        return Integer.toHexString(upstream.id) + "@" + dial;
+    /** Attempts that wait for it or for their response on it. */
+    public int queueLength() {
+        return attempts.size();
     }
 
-    private void logStart(Attempt attempt) {
-        if (upstream.core().events.isEnabled() && attempt.exchange != null) {
-            RequestContext request = attempt.exchange;
-            String cause = attempt.index == 0 ? "first" : request.out > 1 ? "hedge" : "after_" + request.lastOutcome;
-            upstream.core()
-                    .events
-                    .line(ProxyEvent.ATTEMPT_STARTED)
-                    .with("id", request.command.id)
-                    .with("n", attempt.index)
-                    .with("server", name())
-                    .with("cause", cause)
-                    .withMs("left_ms", attempt.untilMs - upstream.core().now())
-                    .withMs("client_left_ms", request.dueMs - upstream.core().now())
-                    .withMs("queued_ms", upstream.core().now() - attempt.sentMs)
-                    .with("depth", attempts.size())
-                    .write();
-        }
+    /** How its server is named in the event log: its id and address. */
+    public String name() {
+        return Integer.toHexString(upstream.id) + "@" + dial;
     }
 
     private void write(Attempt attempt) {
-        attempt.begun = true;
-        logStart(attempt);
+        attempt.markBegun();
+        attempt.onBegin();
         codec.write(channel, attempt, dial).addListener(f -> {
             if (f.isSuccess()) {
-                attempt.written = true;
+                attempt.markWritten();
             }
         });
         if (!flushing) {
@@ -242,12 +227,12 @@
     }
 
     public boolean giveUp(Attempt attempt) {
-        if (!attempt.begun) {
+        if (!attempt.hasBegun()) {
             return withdraw(attempt);
         }
         if (attempts.contains(attempt)
                 && ++givenUp == attempts.size()
-                && (retired || upstream.core().mayClose(attempt.owner.secondCopies()))) {
+                && (retired || upstream.core().mayClose(attempt.hedgingAllowed()))) {
             close(); // a retired one takes no more attempts, so that keeping it would save none a new connection
         }
         return false;
@@ -285,7 +270,7 @@
 
     void sweep(double now) {
         Attempt head = attempts.peek();
-        boolean silent = connected && head != null && head.ended && now - head.untilMs > STALLED_MS;
+        boolean silent = connected && head != null && head.hasEnded() && now - head.timeoutAtMs() > STALLED_MS;
         if (silent || (begun && !held && now - progressMs > STALLED_MS)) {
             close();
         }
@@ -317,7 +302,7 @@
     /** The attempt whose answer comes next; null if none is out, so that what comes is not the protocol's. */
     Attempt head() {
         Attempt head = attempts.peek();
-        return head == null || head.begun ? head : null;
+        return head == null || head.hasBegun() ? head : null;
     }
 
     /** A short answer or a long one's end has come whole. */
@@ -330,14 +315,14 @@
             taken = true;
             upstream.room(true);
         }
-        if (attempt.ended) {
+        if (attempt.hasEnded()) {
             givenUp--;
         }
         if (attempts.isEmpty()) {
             idleSinceMs = upstream.core().now();
         }
         hold(false);
-        attempt.owner.end(attempt, outcome, note, report, value, receipt);
+        attempt.onEnd(outcome, note, report, value, receipt);
         if (attempts.isEmpty() && retired) {
             close();
         }
@@ -371,13 +356,13 @@
         partial = false;
         progressMs = upstream.core().now();
         Attempt attempt = attempts.peek();
-        return attempt.owner.begin(attempt, length);
+        return attempt.onValueBegin(length);
     }
 
     void part(ByteBuf part) {
         progressMs = upstream.core().now();
         Attempt attempt = attempts.peek();
-        attempt.owner.part(attempt, part);
+        attempt.onValuePart(part);
     }
 
     void garbage(String what) {
@@ -409,11 +394,11 @@
         }
         waiting = 0;
         for (Attempt a; (a = attempts.poll()) != null; ) {
-            if (!a.begun && !a.ended && (connected ? upstream.send(a) : upstream.sendElsewhere(a))) {
+            if (!a.hasBegun() && !a.hasEnded() && (connected ? upstream.send(a) : upstream.sendElsewhere(a))) {
                 continue;
             }
-            AttemptOutcome outcome = a.written ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED;
-            a.owner.end(a, outcome, 0, null, null, null);
+            AttemptOutcome outcome = a.isWritten() ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED;
+            a.onEnd(outcome);
         }
     }
 }
--- a/src/main/java/cacheproxy/proxy/upstream/UpstreamRegistry.java
+++ b/src/main/java/cacheproxy/proxy/upstream/UpstreamRegistry.java
@@ -1,7 +1,6 @@
 package cacheproxy.proxy.upstream;
 
 import cacheproxy.limits.ConnectionShortage;
-import cacheproxy.proxy.dispatch.Dispatcher;
 import io.netty.util.collection.IntObjectHashMap;
 import java.net.SocketAddress;
 import java.util.ArrayList;
@@ -58,7 +57,7 @@
     }
 
     /** The server of this id at this address, shared if it is there already; to be released once. */
-    public Upstream hold(int id, boolean origin, SocketAddress dial, Dispatcher.Pool pool) {
+    public Upstream hold(int id, boolean origin, SocketAddress dial, ConnectionLimits limits) {
         List<Upstream> same = byId.get(id);
         if (same == null) {
             same = new ArrayList<>(1);
@@ -70,7 +69,7 @@
                 return u;
             }
         }
-        Upstream u = new Upstream(id, origin, core, pool);
+        Upstream u = new Upstream(id, origin, core, limits);
         u.dial = dial;
         u.holders = 1;
         same.add(u);
