--- a/src/main/java/cacheproxy/proxy/upstream/Attempt.java
+++ b/src/main/java/cacheproxy/proxy/upstream/Attempt.java
@@ -90,14 +90,17 @@
         return (int) Math.max(1, Math.min(Integer.MAX_VALUE, Math.floor(leftMs)));
     }
 
+    /** Records the connection that sends it, or another one after that has failed. */
     final void assignTo(UpstreamConnection to) {
         connection = to;
     }
 
+    /** Sets {@link #hasBegun}. */
     final void markBegun() {
         begun = true;
     }
 
+    /** Sets {@link #isWritten}. */
     final void markWritten() {
         written = true;
     }
