--- a/src/main/java/cacheproxy/proxy/client/Listener.java
+++ b/src/main/java/cacheproxy/proxy/client/Listener.java
@@ -117,7 +117,11 @@
         return bind(address, false);
     }
 
-    /** @param shared whether another process may listen at the same address, which then shares its connections */
+    /**
+     * Binds; connections are taken from then on.
+     *
+     * @param shared whether another process may listen at the same address, which then shares its connections
+     */
     public ChannelFuture bind(SocketAddress address, boolean shared) {
         ServerBootstrap bootstrap = bootstrap()
                 .channel(Transport.BEST.server())
