--- a/src/main/java/cacheproxy/config/ServiceClassReader.java
+++ b/src/main/java/cacheproxy/config/ServiceClassReader.java
@@ -31,14 +31,14 @@
                     "aim_ms", "aim_ms is " + (long) aimMs + ", more than the deadline; at most " + (long) deadlineMs);
         }
         double windowMs = table.number("window_ms", 0, 1, ConfigValues.HOUR_MS);
-        if (effect == Idempotency.KEYED && windowMs == 0) {
+        if (effect == Idempotency.DEDUPLICATED && windowMs == 0) {
             table.error("effect", "a keyed class needs window_ms, for which servers drop repeats");
         }
         ServiceClass serviceClass = new ServiceClass(
                 name,
                 effect,
                 DeduplicationScope.ALL,
-                effect == Idempotency.KEYED ? windowMs : 0,
+                effect == Idempotency.DEDUPLICATED ? windowMs : 0,
                 aimMs,
                 deadlineMs,
                 table.number("worth", 1, 0, 1e6),
@@ -57,9 +57,9 @@
                             + "repeats), unsafe (must never run twice)");
         }
         return switch (effect) {
-            case "keyed" -> Idempotency.KEYED;
-            case "safe" -> Idempotency.SAFE;
-            default -> Idempotency.UNSAFE;
+            case "keyed" -> Idempotency.DEDUPLICATED;
+            case "safe" -> Idempotency.IDEMPOTENT;
+            default -> Idempotency.NON_IDEMPOTENT;
         };
     }
 
--- a/src/main/java/cacheproxy/daemon/LearnedStates.java
+++ b/src/main/java/cacheproxy/daemon/LearnedStates.java
@@ -42,7 +42,7 @@
                 present.add(new CurrentServer(
                         host.member().id(),
                         Addresses.text(host.dial()),
-                        host.member().bornMs()));
+                        host.member().startedMs()));
             }
             return snapshot.restore(pool.name(), keyScheme, nowMs, trust, present);
         };
--- a/src/main/java/cacheproxy/daemon/StandardProtocols.java
+++ b/src/main/java/cacheproxy/daemon/StandardProtocols.java
@@ -33,7 +33,7 @@
         String common = tenant + deadline;
         String writeClass = listener.writeClass() == null ? "" : "c=" + listener.writeClass();
         Set<String> keyedClasses = file.classes().stream()
-                .filter(serviceClass -> serviceClass.effect() == Idempotency.KEYED)
+                .filter(serviceClass -> serviceClass.idempotency() == Idempotency.DEDUPLICATED)
                 .map(ServiceClass::name)
                 .collect(Collectors.toSet());
         return new StandardMetaProtocol(
--- a/src/main/java/cacheproxy/hooks/HookRules.java
+++ b/src/main/java/cacheproxy/hooks/HookRules.java
@@ -33,8 +33,8 @@
             if (to < 0) {
                 return "there is no class '" + HookOrders.clean(o.serviceClass()) + "'";
             }
-            if (strictness(classes.get(to).effect())
-                    < strictness(classes.get(sentClass).effect())) {
+            if (strictness(classes.get(to).idempotency())
+                    < strictness(classes.get(sentClass).idempotency())) {
                 return "class " + o.serviceClass() + " is less strict about repeats than "
                         + classes.get(sentClass).name() + ", which the client sent";
             }
@@ -54,7 +54,7 @@
 
     /** Safe requests may be repeated, keyed ones by those that drop repeats, unsafe ones never. */
     private static int strictness(Idempotency e) {
-        return e == Idempotency.SAFE ? 0 : e == Idempotency.KEYED ? 1 : 2;
+        return e == Idempotency.IDEMPOTENT ? 0 : e == Idempotency.DEDUPLICATED ? 1 : 2;
     }
 
     public int classIndex(String name) {
--- a/src/main/java/cacheproxy/limits/PoolAdmissionControl.java
+++ b/src/main/java/cacheproxy/limits/PoolAdmissionControl.java
@@ -31,7 +31,7 @@
 
     @Override
     public boolean admitWarmingUp(double nowMs, Endpoint server, double startedMs) {
-        return slowStartBudget.tryAcquire(nowMs, server.id(), server.bornMs(), startedMs);
+        return slowStartBudget.tryAcquire(nowMs, server.id(), server.startedMs(), startedMs);
     }
 
     @Override
--- a/src/main/java/cacheproxy/placement/StartTimes.java
+++ b/src/main/java/cacheproxy/placement/StartTimes.java
@@ -30,8 +30,8 @@
      */
     public void recordList(double nowMs, Collection<Endpoint> servers) {
         for (Endpoint server : servers) {
-            if (isStart(server.bornMs())) {
-                listClockAheadMs = Math.max(listClockAheadMs, server.bornMs() - nowMs);
+            if (isStart(server.startedMs())) {
+                listClockAheadMs = Math.max(listClockAheadMs, server.startedMs() - nowMs);
             }
         }
     }
--- a/src/main/java/cacheproxy/policy/CarpHash.java
+++ b/src/main/java/cacheproxy/policy/CarpHash.java
@@ -18,15 +18,15 @@
     }
 
     private static int textHash(long value, int digits) {
-        int h = 0;
+        int hash = 0;
         for (int shift = 4 * (digits - 1); shift >= 0; shift -= 4) {
-            h += Integer.rotateLeft(h, 19) + Character.forDigit((int) (value >>> shift) & 15, 16);
+            hash += Integer.rotateLeft(hash, 19) + Character.forDigit((int) (value >>> shift) & 15, 16);
         }
-        return h;
+        return hash;
     }
 
-    private static int spread(int h) {
-        return Integer.rotateLeft(h + h * SPREAD, 21);
+    private static int spread(int hash) {
+        return Integer.rotateLeft(hash + hash * SPREAD, 21);
     }
 
     /**
@@ -48,32 +48,32 @@
      * so hundreds of members do not underflow; rounding below zero is clamped. All weights zero: equal.
      */
     public static float[] multipliers(float[] weights) {
-        int n = weights.length;
+        int count = weights.length;
         double sum = 0;
-        for (float w : weights) {
-            sum += w;
+        for (float weight : weights) {
+            sum += weight;
         }
-        Integer[] order = new Integer[n];
-        for (int i = 0; i < n; i++) {
+        Integer[] order = new Integer[count];
+        for (int i = 0; i < count; i++) {
             order[i] = i;
         }
-        java.util.Arrays.sort(order, (a, b) -> Float.compare(weights[a], weights[b]));
-        float[] x = new float[n];
+        java.util.Arrays.sort(order, (left, right) -> Float.compare(weights[left], weights[right]));
+        float[] multipliers = new float[count];
         double previousShare = 0;
         double logProduct = 0;
-        double logX = Double.NEGATIVE_INFINITY;
-        for (int i = 0; i < n; i++) {
-            int left = n - i;
-            double share = sum > 0 ? weights[order[i]] / sum : 1.0 / n;
-            double step = left * Math.max(0, share - previousShare);
-            double power = (step > 0 ? Math.exp(Math.log(step) - logProduct) : 0) + Math.exp(left * logX);
-            logX = Math.log(power) / left;
-            x[order[i]] = (float) Math.exp(logX);
+        double logMultiplier = Double.NEGATIVE_INFINITY;
+        for (int i = 0; i < count; i++) {
+            int remaining = count - i;
+            double share = sum > 0 ? weights[order[i]] / sum : 1.0 / count;
+            double step = remaining * Math.max(0, share - previousShare);
+            double power = (step > 0 ? Math.exp(Math.log(step) - logProduct) : 0) + Math.exp(remaining * logMultiplier);
+            logMultiplier = Math.log(power) / remaining;
+            multipliers[order[i]] = (float) Math.exp(logMultiplier);
             if (power > 0) {
-                logProduct += logX;
+                logProduct += logMultiplier;
             }
             previousShare = share;
         }
-        return x;
+        return multipliers;
     }
 }
--- a/src/main/java/cacheproxy/policy/Idempotency.java
+++ b/src/main/java/cacheproxy/policy/Idempotency.java
@@ -2,7 +2,7 @@
 
 /** How often a request may take effect. */
 public enum Idempotency {
-    SAFE,
-    KEYED,
-    UNSAFE
+    IDEMPOTENT,
+    DEDUPLICATED,
+    NON_IDEMPOTENT
 }
--- a/src/main/java/cacheproxy/policy/PolicyApi.java
+++ b/src/main/java/cacheproxy/policy/PolicyApi.java
@@ -5,32 +5,38 @@
 /** What the decision module is told and what it can order: its settings, events and actions. */
 public interface PolicyApi {
 
-    int NOTE_FETCH_OUT = 3;
+    int CACHE_STATUS_FETCH_PENDING = 3;
 
     /** News of the list of servers. */
-    void onList(double now, EndpointListKind kind, List<Endpoint> members, PolicyActions out);
+    void onEndpointList(double nowMs, EndpointListKind kind, List<Endpoint> endpoints, PolicyActions actions);
 
     /** A client's request; the instance now owes exactly one final answer. */
-    void onRequest(double now, RoutingRequest request, PolicyActions out);
+    void onRequest(double nowMs, RoutingRequest request, PolicyActions actions);
 
     /** A streamed answer has begun. */
-    void onFirstByte(double now, int request, int attempt, int server, PolicyActions out);
+    void onFirstByte(double nowMs, int requestId, int attempt, int serverId, PolicyActions actions);
 
     /** An attempt has ended. */
-    void onAttemptEnd(double now, AttemptResult end, PolicyActions out);
+    void onAttemptEnd(double nowMs, AttemptResult result, PolicyActions actions);
 
     /** The client has left; no answer is owed. */
-    void onGone(double now, int request, PolicyActions out);
+    void onClientGone(double nowMs, int requestId, PolicyActions actions);
 
     /** A timer has come due. */
-    void onTimer(double now, int token, PolicyActions out);
+    void onTimer(double nowMs, int token, PolicyActions actions);
 
     /** The result of a probe. */
-    void onProbed(double now, int server, AttemptOutcome outcome, double elapsedMs, float[] report, PolicyActions out);
+    void onProbeResult(
+            double nowMs,
+            int serverId,
+            AttemptOutcome outcome,
+            double elapsedMs,
+            float[] loadReport,
+            PolicyActions actions);
 
     /** A sibling says that it has the key of a request whose siblings were asked; 0: all of them say they lack it. */
-    default void onSibling(double now, int request, int sibling, PolicyActions out) {}
+    default void onSiblingResponse(double nowMs, int requestId, int siblingId, PolicyActions actions) {}
 
     /** A message of another instance. */
-    void onPeer(double now, int peer, byte[] message, PolicyActions out);
+    void onPeerMessage(double nowMs, int peerId, byte[] message, PolicyActions actions);
 }
--- a/src/main/java/cacheproxy/policy/RoutingPolicy.java
+++ b/src/main/java/cacheproxy/policy/RoutingPolicy.java
@@ -19,107 +19,107 @@
  * CARP's top score takes each request; what departs from it says at its place when it acts and what it guards.
  */
 public final class RoutingPolicy implements PolicyApi {
-    private static final int NUMBERS = (1 << 30) - 1;
-    private static final int DUE = 0, PATIENCE = 1, AGAIN = 2, WATCH = 3;
-    private static final int CACHE_TRIES = 2;
-    private static final double DOUBT_SHARE = 0.05;
-    private static final double DOUBT_SAVED = 5;
+    private static final int REQUEST_NUMBER_MASK = (1 << 30) - 1;
+    private static final int DEADLINE_TIMER = 0, HEDGING_TIMER = 1, RETRY_TIMER = 2, WATCH_TIMER = 3;
+    private static final int MAX_CACHE_ATTEMPTS = 2;
+    private static final double HEDGE_RATIO = 0.05;
+    private static final double MAX_HEDGE_TOKENS = 5;
     /**
      * In a crowd a cold server takes less than it could, by this at most: kept empty, it leaves the crowd to the
      * others. Half the fleet gone and all tried three times at load 0.68 is 4.1 times, by this 2.7.
      */
-    private static final double MOST_CROWDED = 1.5;
+    private static final double MAX_OVERLOAD_FACTOR = 1.5;
     /** Of a key's fair part: what a cold server may get at its first sight, and at each one after that. */
-    private static final double FIRST_SIGHT = 3, LATER_SIGHT = 0.5;
+    private static final double FIRST_REQUEST_FAIR_SHARES = 3, LATER_REQUEST_FAIR_SHARES = 0.5;
 
-    private static final int RANKS = 8;
-    private static final int SHUN_CONNECTS = 10;
+    private static final int RANKED_CANDIDATES = 8;
+    private static final int EJECTION_CONNECT_TIMEOUTS = 10;
 
-    private final PolicySettings cfg;
+    private final PolicySettings settings;
     private final SplittableRandom random;
-    private final Map<Integer, Server> servers = new HashMap<>();
-    private final Map<Integer, Flight> flights = new HashMap<>();
+    private final Map<Integer, ServerState> servers = new HashMap<>();
+    private final Map<Integer, PendingRequest> pendingById = new HashMap<>();
     /** Requests in hand by the number in their timers: a timer outlives its request, and must not keep it. */
-    private final Map<Integer, Flight> numbered = new HashMap<>();
-
-    private final Map<Long, Flight> fetches = new HashMap<>();
-    private final HotKeys hot = new HotKeys();
-    private final Throttle throttle = new Throttle();
-    private final Throttle crowd = new Throttle();
-    private final Shares shares;
-    private Server[] ranked = new Server[0];
+    private final Map<Integer, PendingRequest> pendingByNumber = new HashMap<>();
+
+    private final Map<Long, PendingRequest> fetchLeaders = new HashMap<>();
+    private final HotKeyTracker hotKeys = new HotKeyTracker();
+    private final AdaptiveThrottle originThrottle = new AdaptiveThrottle();
+    private final AdaptiveThrottle serverThrottle = new AdaptiveThrottle();
+    private final TenantShares tenantShares;
+    private ServerState[] rankedServers = new ServerState[0];
     private final PlacementFactory placements;
     private final AdmissionControl admission;
-    private final StartTimes starts = new StartTimes();
-    private boolean listed;
+    private final StartTimes startTimes = new StartTimes();
+    private boolean listReceived;
     private final Siblings siblings;
     private Placement placement;
-    private int[] top = new int[RANKS];
-    private Server origin;
-    private double fetchMs;
-    private double usualCost;
-    private double pace;
-    private double paceDeviation;
-    private double doubts = DOUBT_SAVED;
-    private double trials = 1;
-    private int nextNumber;
-    private boolean asking;
+    private int[] candidates = new int[RANKED_CANDIDATES];
+    private ServerState origin;
+    private double originLatencyMs;
+    private double averageCost;
+    private double averageLatencyMs;
+    private double latencyDeviationMs;
+    private double hedgeTokens = MAX_HEDGE_TOKENS;
+    private double probeTokens = 1;
+    private int lastRequestNumber;
+    private boolean watchRequested;
     private int watchFailures;
 
     /** One server of the list and what this instance has seen of it. */
-    private static final class Server {
+    private static final class ServerState {
         final int id;
-        Endpoint member;
-        double share;
+        Endpoint endpoint;
+        double weightFraction;
         int failures;
-        double shunnedUntil;
-        int doubts;
-        boolean trial;
-        boolean probed;
+        double ejectedUntilMs;
+        int overdueAttempts;
+        boolean probing;
+        boolean probeSucceeded;
         /** Whether its failures are only remembered: this instance has seen none of its answers yet. */
-        boolean recalled;
+        boolean restored;
         /** When it was seen to have started since an earlier list; negative infinity: it was on the first. */
-        double changedMs = Double.NEGATIVE_INFINITY;
+        double restartSeenMs = Double.NEGATIVE_INFINITY;
 
-        Server(int id) {
+        ServerState(int id) {
             this.id = id;
         }
     }
 
-    private final class Flight {
+    private final class PendingRequest {
         final RoutingRequest request;
-        final ServiceClass kind;
-        final boolean safe;
+        final ServiceClass serviceClass;
+        final boolean idempotent;
         final double arrivedMs;
         final int keyHash;
-        final int number = ++nextNumber & NUMBERS;
-        final Server[] at = new Server[cfg.maxAttempts()];
-        final double[] sentAt = new double[cfg.maxAttempts()];
-        final boolean[] ended = new boolean[cfg.maxAttempts()];
-        int spread = 1;
-        int seen = 1;
+        final int number = ++lastRequestNumber & REQUEST_NUMBER_MASK;
+        final ServerState[] attemptedServers = new ServerState[settings.maxAttempts()];
+        final double[] sentAtMs = new double[settings.maxAttempts()];
+        final boolean[] ended = new boolean[settings.maxAttempts()];
+        int hotKeySpread = 1;
+        int recentCount = 1;
         int attempts;
-        int out;
+        int inFlightAttempts;
         boolean done;
         boolean streaming;
         boolean toOrigin;
         boolean waiting;
-        boolean doubted;
+        boolean hedged;
         /** Whether siblings were asked, and whether it has gone on to the origin. */
-        boolean asked;
+        boolean siblingsQueried;
 
         boolean fetching;
-        double overdueAt;
-        Server missedAt;
-        double maybeRanSince = Double.NaN;
-        Server maybeRanAt;
-        ArrayDeque<Flight> followers;
+        double hedgeAtMs;
+        ServerState missedServer;
+        double maybeRanAtMs = Double.NaN;
+        ServerState maybeRanServer;
+        ArrayDeque<PendingRequest> waiters;
 
-        Flight(RoutingRequest request, double now) {
+        PendingRequest(RoutingRequest request, double nowMs) {
             this.request = request;
-            arrivedMs = now;
-            kind = cfg.classes().get(request.serviceClass());
-            safe = kind.effect() == Idempotency.SAFE;
+            arrivedMs = nowMs;
+            serviceClass = settings.classes().get(request.serviceClass());
+            idempotent = serviceClass.idempotency() == Idempotency.IDEMPOTENT;
             keyHash = CarpHash.keyHash(key());
         }
 
@@ -128,54 +128,56 @@
         }
 
         /** The work hinted at, in units of the usual; 1 where there is no hint. */
-        double work() {
-            return request.costMs() > 0 && usualCost > 0 ? request.costMs() / usualCost : 1;
+        double relativeCost() {
+            return request.costHintMs() > 0 && averageCost > 0 ? request.costHintMs() / averageCost : 1;
         }
     }
 
-    private static final class HotKeys {
+    private static final class HotKeyTracker {
         /** Halving span: long enough for a hot key to show at a proxy with a few requests a second. */
-        static final double SPAN_MS = 4000;
+        static final double HALVING_PERIOD_MS = 4000;
 
         static final int MIN_COUNT = 6;
-        static final int MOST_WIDE = 256;
+        static final int MAX_SPREAD_KEYS = 256;
         private final Map<Long, int[]> counts = new HashMap<>();
         /** Those that were spread since the last halving: the ones worth telling a successor. */
-        private final Set<Long> wide = new HashSet<>();
+        private final Set<Long> spreadKeys = new HashSet<>();
 
-        private double total;
+        private double totalCount;
         /** Lately, without what was remembered: more would make a hot key seem fair to a cold server. */
-        private double own, ownAt, halvedAt;
-
-        int seen(long key, double now) {
-            while (now - halvedAt > SPAN_MS) {
-                halvedAt = counts.isEmpty() ? now : halvedAt + SPAN_MS;
-                total /= 2;
-                counts.values().removeIf(c -> (c[0] /= 2) == 0);
-                wide.removeIf(k -> counts.getOrDefault(k, new int[1])[0] < MIN_COUNT);
+        private double ownCount, ownCountAtMs, halvedAtMs;
+
+        int record(long key, double nowMs) {
+            while (nowMs - halvedAtMs > HALVING_PERIOD_MS) {
+                halvedAtMs = counts.isEmpty() ? nowMs : halvedAtMs + HALVING_PERIOD_MS;
+                totalCount /= 2;
+                counts.values().removeIf(count -> (count[0] /= 2) == 0);
+                spreadKeys.removeIf(spreadKey -> counts.getOrDefault(spreadKey, new int[1])[0] < MIN_COUNT);
             }
-            total++;
-            own = own * Throttle.left(now - ownAt) + 1;
-            ownAt = now;
-            return ++counts.computeIfAbsent(key, k -> new int[1])[0];
+            totalCount++;
+            ownCount = ownCount * AdaptiveThrottle.remaining(nowMs - ownCountAtMs) + 1;
+            ownCountAtMs = nowMs;
+            return ++counts.computeIfAbsent(key, spreadKey -> new int[1])[0];
         }
 
-        LearnedHotKeys told(int most) {
+        LearnedHotKeys learned(int maxKeys) {
             List<LearnedHotKey> keys = new ArrayList<>();
-            for (Long k : wide) {
-                int[] count = counts.get(k);
+            for (Long key : spreadKeys) {
+                int[] count = counts.get(key);
                 if (count != null) {
-                    keys.add(new LearnedHotKey(k, count[0]));
+                    keys.add(new LearnedHotKey(key, count[0]));
                 }
             }
-            keys.sort((a, b) -> Integer.compare(b.count(), a.count()));
-            return new LearnedHotKeys(total, List.copyOf(keys.subList(0, Math.min(most, keys.size()))));
+            keys.sort((left, right) -> Integer.compare(right.count(), left.count()));
+            return new LearnedHotKeys(totalCount, List.copyOf(keys.subList(0, Math.min(maxKeys, keys.size()))));
         }
 
-        void recall(LearnedHotKeys told, double now) {
-            halvedAt = counts.isEmpty() ? now : halvedAt;
-            total += told.total();
-            told.keys().forEach(k -> counts.computeIfAbsent(k.key(), n -> new int[1])[0] += k.count());
+        void restore(LearnedHotKeys learned, double nowMs) {
+            halvedAtMs = counts.isEmpty() ? nowMs : halvedAtMs;
+            totalCount += learned.total();
+            learned.keys()
+                    .forEach(learnedKey ->
+                            counts.computeIfAbsent(learnedKey.key(), unused -> new int[1])[0] += learnedKey.count());
         }
     }
 
@@ -183,68 +185,70 @@
      * What the origin was asked and what it answered in time of that, both fading. Guards against the jam in which late
      * and refused fetches are asked for again and the origin works for nobody.
      */
-    private static final class Throttle {
+    private static final class AdaptiveThrottle {
         /** Halves in this time: some ten fetches at a proxy with a few a second. */
-        static final double HALF_MS = 4000;
+        static final double HALF_LIFE_MS = 4000;
 
         static final double HEADROOM = 1.2;
-        private double asked;
+        private double sent;
         private double answered;
         /** What an earlier instance counted, fading alike. */
-        private double priorAsked;
+        private double restoredSent;
 
-        private double priorAnswered;
-        private double at;
+        private double restoredAnswered;
+        private double decayedAtMs;
 
         /** What is left of a count after this time. */
-        static double left(double ms) {
-            return Math.pow(0.5, ms / HALF_MS);
+        static double remaining(double elapsedMs) {
+            return Math.pow(0.5, elapsedMs / HALF_LIFE_MS);
         }
 
-        private void fade(double now) {
-            double f = left(now - at);
-            asked *= f;
-            answered *= f;
-            priorAsked *= f;
-            priorAnswered *= f;
-            at = now;
+        private void decay(double nowMs) {
+            double factor = remaining(nowMs - decayedAtMs);
+            sent *= factor;
+            answered *= factor;
+            restoredSent *= factor;
+            restoredAnswered *= factor;
+            decayedAtMs = nowMs;
         }
 
         /** The part of what is wanted that should not be sent; what was recalled never lessens it. */
-        double excess(double now) {
-            fade(now);
-            return Math.max(excess(asked, answered), excess(asked + priorAsked, answered + priorAnswered));
+        double excess(double nowMs) {
+            decay(nowMs);
+            return Math.max(excess(sent, answered), excess(sent + restoredSent, answered + restoredAnswered));
         }
 
-        private static double excess(double asked, double answered) {
-            return (asked - HEADROOM * answered - 1) / (asked + 1);
+        private static double excess(double sent, double answered) {
+            return (sent - HEADROOM * answered - 1) / (sent + 1);
         }
 
-        double pressure(double now) {
-            fade(now);
+        double pressure(double nowMs) {
+            decay(nowMs);
             return Math.max(
                     1,
-                    Math.max((asked + 1) / (answered + 1), (asked + priorAsked + 1) / (answered + priorAnswered + 1)));
+                    Math.max(
+                            (sent + 1) / (answered + 1),
+                            (sent + restoredSent + 1) / (answered + restoredAnswered + 1)));
         }
 
-        LearnedLoad told(double now) {
-            fade(now);
-            return new LearnedLoad(asked + priorAsked, answered + priorAnswered);
+        LearnedLoad learned(double nowMs) {
+            decay(nowMs);
+            return new LearnedLoad(sent + restoredSent, answered + restoredAnswered);
         }
 
-        void recall(double now, LearnedLoad told) {
-            fade(now);
-            priorAsked += told.sent();
-            priorAnswered += told.answered();
+        void restore(double nowMs, LearnedLoad learned) {
+            decay(nowMs);
+            restoredSent += learned.sent();
+            restoredAnswered += learned.answered();
         }
 
-        void asked(double now) {
-            fade(now);
-            asked++;
+        void sent(double nowMs) {
+            decay(nowMs);
+            sent++;
         }
 
-        void answered(double now) {
-            fade(now);
+        void answered(double nowMs) {
+            decay(nowMs);
             answered++;
         }
     }
@@ -253,55 +257,59 @@
      * What each tenant asks of this instance, fading. What must be refused comes off those that ask most over their
      * quotas (max-min fair), as that is worth little. Clients' repeats swell all alike.
      */
-    private final class Shares {
-        private final double[] asked = new double[cfg.tenants().size()];
-        private double at;
-
-        void asked(double now, int tenant) {
-            double f = Throttle.left(now - at);
-            at = now;
-            for (int t = 0; t < asked.length; t++) {
-                asked[t] *= f;
+    private final class TenantShares {
+        private final double[] requested = new double[settings.tenants().size()];
+        private double decayedAtMs;
+
+        void requested(double nowMs, int tenant) {
+            double factor = AdaptiveThrottle.remaining(nowMs - decayedAtMs);
+            decayedAtMs = nowMs;
+            for (int i = 0; i < requested.length; i++) {
+                requested[i] *= factor;
             }
-            asked[tenant]++;
+            requested[tenant]++;
         }
 
-        private double granted(int tenant, double multiple) {
-            return Math.min(asked[tenant], multiple * cfg.tenants().get(tenant).quotaPerSecond());
+        private double allowed(int tenant, double quotaMultiple) {
+            return Math.min(
+                    requested[tenant],
+                    quotaMultiple * settings.tenants().get(tenant).quotaPerSecond());
         }
 
         /** The part of this tenant's requests to refuse so that in all the part {@code excess} is refused. */
-        double refuse(int tenant, double excess) {
-            double goal = 0;
-            double high = 0;
-            for (int t = 0; t < asked.length; t++) {
-                goal += asked[t] * (1 - excess);
-                high = Math.max(
-                        high, asked[t] / Math.max(1e-9, cfg.tenants().get(t).quotaPerSecond()));
+        double rejectionProbability(int tenant, double rejectedFraction) {
+            double allowedTotal = 0;
+            double highMultiple = 0;
+            for (int i = 0; i < requested.length; i++) {
+                allowedTotal += requested[i] * (1 - rejectedFraction);
+                highMultiple = Math.max(
+                        highMultiple,
+                        requested[i] / Math.max(1e-9, settings.tenants().get(i).quotaPerSecond()));
             }
-            double low = 0;
+            double lowMultiple = 0;
             for (int step = 0; step < 24; step++) {
-                double middle = (low + high) / 2;
-                double sum = 0;
-                for (int t = 0; t < asked.length; t++) {
-                    sum += granted(t, middle);
+                double multiple = (lowMultiple + highMultiple) / 2;
+                double total = 0;
+                for (int i = 0; i < requested.length; i++) {
+                    total += allowed(i, multiple);
                 }
-                if (sum < goal) {
-                    low = middle;
+                if (total < allowedTotal) {
+                    lowMultiple = multiple;
                 } else {
-                    high = middle;
+                    highMultiple = multiple;
                 }
             }
-            return 1 - granted(tenant, high) / asked[tenant];
+            return 1 - allowed(tenant, highMultiple) / requested[tenant];
         }
     }
 
     /** Whether to refuse this one where a part of all must be refused. */
-    private boolean refused(Flight f, double excess) {
+    private boolean shouldReject(PendingRequest pending, double excess) {
         if (excess <= 0) {
             return false;
         }
-        return random.nextDouble() < (shares == null ? excess : shares.refuse(f.request.tenant(), excess));
+        return random.nextDouble()
+                < (tenantShares == null ? excess : tenantShares.rejectionProbability(pending.request.tenant(), excess));
     }
 
     /** A fresh instance that knows nothing yet. */
@@ -316,20 +324,21 @@
             PlacementFactory placements,
             AdmissionControl admission,
             Siblings siblings) {
-        cfg = settings;
+        this.settings = settings;
         this.placements = placements;
         this.admission = admission;
         this.siblings = siblings;
         placement = placements.create(List.of());
         random = new SplittableRandom(seed);
-        shares = settings.overShareWorth() < 1 && settings.tenants().size() > 1 ? new Shares() : null;
+        tenantShares =
+                settings.overQuotaValueFraction() < 1 && settings.tenants().size() > 1 ? new TenantShares() : null;
         double shortestAim = settings.classes().stream()
-                .mapToDouble(ServiceClass::aimMs)
+                .mapToDouble(ServiceClass::latencyObjectiveMs)
                 .min()
                 .orElseThrow(() -> new IllegalArgumentException("settings name no class"));
-        fetchMs = shortestAim / 4;
-        pace = shortestAim / 8;
-        paceDeviation = pace;
+        originLatencyMs = shortestAim / 4;
+        averageLatencyMs = shortestAim / 8;
+        latencyDeviationMs = averageLatencyMs;
         if (settings.maxAttempts() < 1) {
             throw new IllegalArgumentException("max attempts " + settings.maxAttempts());
         }
@@ -338,61 +347,63 @@
     // ---- the list
 
     @Override
-    public void onList(double now, EndpointListKind kind, List<Endpoint> members, PolicyActions out) {
+    public void onEndpointList(double nowMs, EndpointListKind kind, List<Endpoint> endpoints, PolicyActions actions) {
         if (kind == EndpointListKind.FAILED) {
-            asking = false;
-            askAgain(out);
+            watchRequested = false;
+            scheduleWatchRetry(actions);
             return;
         }
-        if (kind == EndpointListKind.CACHED && cfg.askForList()) {
+        if (kind == EndpointListKind.CACHED && settings.pollsDiscovery()) {
             // The list service is small: all instances starting together must not call at once.
-            double span = Math.min(cfg.askWithinMs() / 2, cfg.instances() * cfg.connectTimeoutMs() / 2);
-            timer(random.nextDouble() * span, WATCH, null, out);
-        } else if (asking) {
-            asking = false;
+            double span =
+                    Math.min(settings.maxPollAgeMs() / 2, settings.instanceCount() * settings.connectTimeoutMs() / 2);
+            startTimer(random.nextDouble() * span, WATCH_TIMER, null, actions);
+        } else if (watchRequested) {
+            watchRequested = false;
             watchFailures = 0;
         }
-        check(members);
+        validate(endpoints);
         if (kind != EndpointListKind.CHANGES) {
-            Set<Integer> named = new HashSet<>();
-            members.forEach(m -> named.add(m.id()));
-            servers.values().removeIf(s -> !named.contains(s.id));
-        }
-        starts.recordList(now, members);
-        for (Endpoint m : members) {
-            if (m.state() == EndpointState.GONE) {
-                servers.remove(m.id());
+            Set<Integer> listedIds = new HashSet<>();
+            endpoints.forEach(endpoint -> listedIds.add(endpoint.id()));
+            servers.values().removeIf(server -> !listedIds.contains(server.id));
+        }
+        startTimes.recordList(nowMs, endpoints);
+        for (Endpoint endpoint : endpoints) {
+            if (endpoint.state() == EndpointState.GONE) {
+                servers.remove(endpoint.id());
                 continue;
             }
-            Server s = servers.computeIfAbsent(m.id(), Server::new);
-            if (s.member != null && s.member.bornMs() != m.bornMs()) {
-                s.failures = 0;
-                s.shunnedUntil = 0;
+            ServerState server = servers.computeIfAbsent(endpoint.id(), ServerState::new);
+            if (server.endpoint != null && server.endpoint.startedMs() != endpoint.startedMs()) {
+                server.failures = 0;
+                server.ejectedUntilMs = 0;
             }
-            if (listed && (s.member == null || s.member.bornMs() != m.bornMs())) {
-                s.changedMs = now;
+            if (listReceived && (server.endpoint == null || server.endpoint.startedMs() != endpoint.startedMs())) {
+                server.restartSeenMs = nowMs;
             }
-            s.member = m;
+            server.endpoint = endpoint;
         }
-        listed |= !servers.isEmpty();
-        rank();
+        listReceived |= !servers.isEmpty();
+        rebuildPlacement();
     }
 
     /** What this instance has learned, with at most so many hot keys. Spans count from now. */
-    public LearnedState knowledge(double now, int mostKeys) {
-        List<LearnedServer> told = new ArrayList<>();
-        for (Server s : servers.values()) {
-            if (s != origin && s.failures + s.doubts > 0) {
-                double left = Math.max(0, s.shunnedUntil - now);
-                told.add(new LearnedServer(s.id, s.member.bornMs(), s.failures, left, s.doubts));
+    public LearnedState learnedState(double nowMs, int maxKeys) {
+        List<LearnedServer> learnedServers = new ArrayList<>();
+        for (ServerState server : servers.values()) {
+            if (server != origin && server.failures + server.overdueAttempts > 0) {
+                double ejectedForMs = Math.max(0, server.ejectedUntilMs - nowMs);
+                learnedServers.add(new LearnedServer(
+                        server.id, server.endpoint.startedMs(), server.failures, ejectedForMs, server.overdueAttempts));
             }
         }
         return new LearnedState(
-                told,
-                new LearnedLatency(fetchMs, usualCost, pace, paceDeviation, 1),
-                throttle.told(now),
-                crowd.told(now),
-                hot.told(mostKeys));
+                learnedServers,
+                new LearnedLatency(originLatencyMs, averageCost, averageLatencyMs, latencyDeviationMs, 1),
+                originThrottle.learned(nowMs),
+                serverThrottle.learned(nowMs),
+                hotKeys.learned(maxKeys));
     }
 
     /**
@@ -400,236 +411,277 @@
      * advice: no server is left out for longer than this instance would leave it out itself, the next answer overrules
      * what is remembered, and no cold server is sent more for it.
      */
-    public void recall(double now, LearnedState known) {
-        for (LearnedServer k : known.servers()) {
-            Server s = servers.get(k.id());
-            if (s == null || s == origin || s.member.bornMs() != k.startMs() || s.failures + s.doubts > 0) {
+    public void restore(double nowMs, LearnedState learnedState) {
+        for (LearnedServer learned : learnedState.servers()) {
+            ServerState server = servers.get(learned.id());
+            if (server == null
+                    || server == origin
+                    || server.endpoint.startedMs() != learned.startMs()
+                    || server.failures + server.overdueAttempts > 0) {
                 continue;
             }
-            s.failures = k.failures();
-            s.doubts = k.overdueAttempts();
-            s.shunnedUntil = now + Math.min(k.ejectedForMs(), shunMs(k.failures() - 1));
-            s.recalled = k.failures() > 0;
-        }
-        LearnedLatency p = known.latency();
-        fetchMs += (p.originMs() - fetchMs) * p.weight();
-        pace += (p.averageMs() - pace) * p.weight();
-        paceDeviation += (p.deviationMs() - paceDeviation) * p.weight();
-        usualCost = usualCost > 0 || p.weight() == 0 ? usualCost : p.averageCost();
-        throttle.recall(now, known.originLoad());
-        crowd.recall(now, known.serverLoad());
-        hot.recall(known.hotKeys(), now);
+            server.failures = learned.failures();
+            server.overdueAttempts = learned.overdueAttempts();
+            server.ejectedUntilMs = nowMs + Math.min(learned.ejectedForMs(), ejectionMs(learned.failures() - 1));
+            server.restored = learned.failures() > 0;
+        }
+        LearnedLatency latency = learnedState.latency();
+        originLatencyMs += (latency.originMs() - originLatencyMs) * latency.weight();
+        averageLatencyMs += (latency.averageMs() - averageLatencyMs) * latency.weight();
+        latencyDeviationMs += (latency.deviationMs() - latencyDeviationMs) * latency.weight();
+        averageCost = averageCost > 0 || latency.weight() == 0 ? averageCost : latency.averageCost();
+        originThrottle.restore(nowMs, learnedState.originLoad());
+        serverThrottle.restore(nowMs, learnedState.serverLoad());
+        hotKeys.restore(learnedState.hotKeys(), nowMs);
     }
 
-    private void check(List<Endpoint> members) {
-        Set<Integer> seen = new HashSet<>();
-        for (Endpoint m : members) {
-            String id = Integer.toUnsignedString(m.id());
-            if (!seen.add(m.id())) {
+    private void validate(List<Endpoint> endpoints) {
+        Set<Integer> ids = new HashSet<>();
+        for (Endpoint endpoint : endpoints) {
+            String id = Integer.toUnsignedString(endpoint.id());
+            if (!ids.add(endpoint.id())) {
                 throw new IllegalArgumentException("member " + id + " is listed twice");
             }
-            if (!(m.weight() >= 0) || Float.isInfinite(m.weight())) {
-                throw new IllegalArgumentException("member " + id + " has weight " + m.weight());
+            if (!(endpoint.weight() >= 0) || Float.isInfinite(endpoint.weight())) {
+                throw new IllegalArgumentException("member " + id + " has weight " + endpoint.weight());
             }
-            if (m.zone() < 0 || m.zone() >= cfg.zones() || m.kind() < 0 || m.kind() >= cfg.kinds()) {
-                throw new IllegalArgumentException("member " + id + ": zone " + m.zone() + ", kind " + m.kind());
+            if (endpoint.zone() < 0
+                    || endpoint.zone() >= settings.zoneCount()
+                    || endpoint.kind() < 0
+                    || endpoint.kind() >= settings.kindCount()) {
+                throw new IllegalArgumentException(
+                        "member " + id + ": zone " + endpoint.zone() + ", kind " + endpoint.kind());
             }
         }
     }
 
-    private void rank() {
+    private void rebuildPlacement() {
         origin = null;
-        List<Server> list = new ArrayList<>();
-        for (Server s : servers.values()) {
-            if (s.member.state() != EndpointState.READY || siblings.is(s.member)) {
+        List<ServerState> ranked = new ArrayList<>();
+        for (ServerState server : servers.values()) {
+            if (server.endpoint.state() != EndpointState.READY || siblings.is(server.endpoint)) {
                 continue;
             }
-            if (cfg.aside() && s.member.kind() == cfg.originKind()) {
-                origin = s;
+            if (settings.cacheAside() && server.endpoint.kind() == settings.originKind()) {
+                origin = server;
             } else {
-                list.add(s);
+                ranked.add(server);
             }
         }
-        list.sort((a, b) -> Integer.compareUnsigned(a.id, b.id));
-        ranked = list.toArray(new Server[0]);
-        float[] weights = new float[ranked.length];
+        ranked.sort((attempt, b) -> Integer.compareUnsigned(attempt.id, b.id));
+        rankedServers = ranked.toArray(new ServerState[0]);
+        float[] weights = new float[rankedServers.length];
         double sum = 0;
-        for (int i = 0; i < ranked.length; i++) {
-            weights[i] = ranked[i].member.weight();
+        for (int i = 0; i < rankedServers.length; i++) {
+            weights[i] = rankedServers[i].endpoint.weight();
             sum += weights[i];
         }
-        placement = placements.create(list.stream().map(s -> s.member).toList());
-        for (int i = 0; i < ranked.length; i++) {
-            ranked[i].share = sum > 0 ? weights[i] / sum : 1.0 / ranked.length;
+        placement =
+                placements.create(ranked.stream().map(server -> server.endpoint).toList());
+        for (int i = 0; i < rankedServers.length; i++) {
+            rankedServers[i].weightFraction = sum > 0 ? weights[i] / sum : 1.0 / rankedServers.length;
         }
     }
 
-    private void askAgain(PolicyActions out) {
+    private void scheduleWatchRetry(PolicyActions actions) {
         watchFailures++;
-        double wait = cfg.askWithinMs() / 16 * (1 << Math.min(watchFailures, 3));
-        timer(wait * (0.5 + random.nextDouble() / 2), WATCH, null, out);
+        double waitMs = settings.maxPollAgeMs() / 16 * (1 << Math.min(watchFailures, 3));
+        startTimer(waitMs * (0.5 + random.nextDouble() / 2), WATCH_TIMER, null, actions);
     }
 
     // ---- requests
 
     @Override
-    public void onRequest(double now, RoutingRequest request, PolicyActions out) {
+    public void onRequest(double nowMs, RoutingRequest request, PolicyActions actions) {
         if (request.serviceClass() < 0
-                || request.serviceClass() >= cfg.classes().size()) {
+                || request.serviceClass() >= settings.classes().size()) {
             throw new IllegalArgumentException("class " + request.serviceClass() + " is not in the settings");
         }
         if (request.tenant() < 0
-                || (request.tenant() > 0 && request.tenant() >= cfg.tenants().size())) {
+                || (request.tenant() > 0
+                        && request.tenant() >= settings.tenants().size())) {
             throw new IllegalArgumentException("tenant " + request.tenant() + " is not in the settings");
         }
-        if (request.costMs() > 0) {
-            usualCost += (request.costMs() - usualCost) / (usualCost > 0 ? 32 : 1);
+        if (request.costHintMs() > 0) {
+            averageCost += (request.costHintMs() - averageCost) / (averageCost > 0 ? 32 : 1);
         }
-        if (shares != null) {
-            shares.asked(now, request.tenant());
+        if (tenantShares != null) {
+            tenantShares.requested(nowMs, request.tenant());
         }
-        trials = Math.min(1, trials + DOUBT_SHARE);
-        Flight f = new Flight(request, now);
-        flights.put(request.id(), f);
-        numbered.put(f.number, f);
-        timer(Math.max(0, request.dueMs() - now), DUE, f, out);
-        f.toOrigin = cfg.aside() && request.write();
-        if (!f.toOrigin && request.key() != 0) {
-            f.seen = hot.seen(request.key(), now);
-            f.spread = spread(request.key(), f.seen);
+        probeTokens = Math.min(1, probeTokens + HEDGE_RATIO);
+        PendingRequest pending = new PendingRequest(request, nowMs);
+        pendingById.put(request.id(), pending);
+        pendingByNumber.put(pending.number, pending);
+        startTimer(Math.max(0, request.deadlineMs() - nowMs), DEADLINE_TIMER, pending, actions);
+        pending.toOrigin = settings.cacheAside() && request.write();
+        if (!pending.toOrigin && request.key() != 0) {
+            pending.recentCount = hotKeys.record(request.key(), nowMs);
+            pending.hotKeySpread = hotKeySpread(request.key(), pending.recentCount);
         }
-        advance(now, f, out);
+        advance(nowMs, pending, actions);
     }
 
     /**
      * The draft sends all of a key to one member. A key that locally exceeds a server's fair part is spread over as
      * many of its top ranks as bring each under that, wherever it is as hot.
      */
-    private int spread(long key, int seen) {
-        int all = placement.maxHotKeySpread();
-        int n = seen < HotKeys.MIN_COUNT ? 1 : (int) Math.ceil(seen / hot.total * all);
-        if (n > 1 && hot.wide.size() < HotKeys.MOST_WIDE) {
-            hot.wide.add(key);
-        }
-        return Math.max(1, Math.min(n, all));
+    private int hotKeySpread(long key, int recentCount) {
+        int maxSpread = placement.maxHotKeySpread();
+        int spread = recentCount < HotKeyTracker.MIN_COUNT
+                ? 1
+                : (int) Math.ceil(recentCount / hotKeys.totalCount * maxSpread);
+        if (spread > 1 && hotKeys.spreadKeys.size() < HotKeyTracker.MAX_SPREAD_KEYS) {
+            hotKeys.spreadKeys.add(key);
+        }
+        return Math.max(1, Math.min(spread, maxSpread));
     }
 
-    private void advance(double now, Flight f, PolicyActions out) {
-        f.waiting = false;
-        boolean worthless = f.safe && f.kind.lateShare() == 0 && now > f.arrivedMs + f.kind.aimMs();
-        if (f.done || f.streaming) {
+    private void advance(double nowMs, PendingRequest pending, PolicyActions actions) {
+        pending.waiting = false;
+        boolean expired = pending.idempotent
+                && pending.serviceClass.lateValueFraction() == 0
+                && nowMs > pending.arrivedMs + pending.serviceClass.latencyObjectiveMs();
+        if (pending.done || pending.streaming) {
             return;
         }
-        Server s = null;
-        if (!worthless && f.attempts < cfg.maxAttempts() && now < f.request.dueMs()) {
-            s = f.toOrigin || (cfg.aside() && f.safe && f.attempts >= CACHE_TRIES && f.missedAt == null)
+        ServerState server = null;
+        if (!expired && pending.attempts < settings.maxAttempts() && nowMs < pending.request.deadlineMs()) {
+            server = pending.toOrigin
+                            || (settings.cacheAside()
+                                    && pending.idempotent
+                                    && pending.attempts >= MAX_CACHE_ATTEMPTS
+                                    && pending.missedServer == null)
                     ? origin
-                    : choose(now, f, out);
-            if (s == null && cfg.aside() && f.safe) {
-                s = origin;
+                    : chooseServer(nowMs, pending, actions);
+            if (server == null && settings.cacheAside() && pending.idempotent) {
+                server = origin;
             }
         }
-        if (s == null || !maySend(now, f, s)) {
-            giveUp(f, out);
-            release(now, f, out);
+        if (server == null || !mayRepeatAt(nowMs, pending, server)) {
+            conclude(pending, actions);
+            releaseWaiters(nowMs, pending, actions);
             return;
         }
         // A fetch after a miss is the request's ordinary way. All else is more work for a fleet in trouble.
-        if (f.attempts > 0 && !(s == origin && f.missedAt != null) && !admission.admitRetry(now)) {
-            giveUp(f, out);
+        if (pending.attempts > 0
+                && !(server == origin && pending.missedServer != null)
+                && !admission.admitRetry(nowMs)) {
+            conclude(pending, actions);
             return;
         }
-        if (s != origin && f.attempts == 0 && f.safe && refused(f, crowd.excess(now))) {
-            s.trial = false; // one that is not sent has no end that could clear it, and s would stay out
-            giveUp(f, out);
+        if (server != origin
+                && pending.attempts == 0
+                && pending.idempotent
+                && shouldReject(pending, serverThrottle.excess(nowMs))) {
+            server.probing = false; // one that is not sent has no end that could clear it, and s would stay out
+            conclude(pending, actions);
             return;
         }
-        if (s == origin && !f.request.write() && f.request.key() != 0) {
-            Flight leader = fetches.get(f.request.key());
-            if (leader != null && (leader != f || f.fetching)) {
-                f.waiting = leader != f && leader.followers.add(f);
+        if (server == origin && !pending.request.write() && pending.request.key() != 0) {
+            PendingRequest leader = fetchLeaders.get(pending.request.key());
+            if (leader != null && (leader != pending || pending.fetching)) {
+                pending.waiting = leader != pending && leader.waiters.add(pending);
                 return;
             }
-            if (ask(now, f, out)) {
+            if (querySiblings(nowMs, pending, actions)) {
                 return;
             }
-            double excess = throttle.excess(now);
-            boolean tooLate = excess > 0 && now + fetchMs > f.arrivedMs + f.kind.aimMs();
+            double excess = originThrottle.excess(nowMs);
+            boolean tooLate = excess > 0
+                    && nowMs + originLatencyMs > pending.arrivedMs + pending.serviceClass.latencyObjectiveMs();
             if (!tooLate) { // who is turned away as too late does not count, or the throttle stays shut
-                throttle.asked(now);
+                originThrottle.sent(nowMs);
             }
-            if (tooLate || refused(f, excess)) {
-                giveUp(f, out);
-                release(now, f, out);
+            if (tooLate || shouldReject(pending, excess)) {
+                conclude(pending, actions);
+                releaseWaiters(nowMs, pending, actions);
                 return;
             }
-            lead(f);
-            f.fetching = true;
-        } else if (s == origin) {
-            throttle.asked(now);
+            leadFetch(pending);
+            pending.fetching = true;
+        } else if (server == origin) {
+            originThrottle.sent(nowMs);
         }
-        place(now, f, s, out);
+        sendAttempt(nowMs, pending, server, actions);
     }
 
-    private void lead(Flight f) {
-        if (fetches.putIfAbsent(f.request.key(), f) == null) {
-            f.followers = new ArrayDeque<>();
+    private void leadFetch(PendingRequest pending) {
+        if (fetchLeaders.putIfAbsent(pending.request.key(), pending) == null) {
+            pending.waiters = new ArrayDeque<>();
         }
     }
 
     /** Those who waited with one that will not fetch go on without it. */
-    private void release(double now, Flight f, PolicyActions out) {
-        if (f.done && f.followers != null && !f.fetching && f.out == 0) {
-            fetchEnded(now, f, false, out);
+    private void releaseWaiters(double nowMs, PendingRequest pending, PolicyActions actions) {
+        if (pending.done && pending.waiters != null && !pending.fetching && pending.inFlightAttempts == 0) {
+            resumeWaiters(nowMs, pending, false, actions);
         }
     }
 
     /** After a miss siblings are asked before the origin, if that is worth the wait; one question a key. */
-    private boolean ask(double now, Flight f, PolicyActions out) {
-        if (f.asked || f.missedAt == null || f.out > 0 || f.attempts + 2 > cfg.maxAttempts()) {
+    private boolean querySiblings(double nowMs, PendingRequest pending, PolicyActions actions) {
+        if (pending.siblingsQueried
+                || pending.missedServer == null
+                || pending.inFlightAttempts > 0
+                || pending.attempts + 2 > settings.maxAttempts()) {
             return false;
         }
-        double left = Math.min(f.arrivedMs + f.kind.aimMs(), f.request.dueMs()) - now;
-        double wait = siblings.waitMs(now, fetchMs, left, throttle.pressure(now));
-        if (wait <= 0) {
+        double leftMs =
+                Math.min(pending.arrivedMs + pending.serviceClass.latencyObjectiveMs(), pending.request.deadlineMs())
+                        - nowMs;
+        double waitMs = siblings.waitMs(nowMs, originLatencyMs, leftMs, originThrottle.pressure(nowMs));
+        if (waitMs <= 0) {
             return false;
         }
-        f.asked = f.waiting = true;
-        lead(f);
-        timer(wait, AGAIN, f, out);
-        out.ask(f.request.id(), wait);
+        pending.siblingsQueried = pending.waiting = true;
+        leadFetch(pending);
+        startTimer(waitMs, RETRY_TIMER, pending, actions);
+        actions.querySiblings(pending.request.id(), waitMs);
         return true;
     }
 
     @Override
-    public void onSibling(double now, int request, int sibling, PolicyActions out) {
-        Flight f = flights.get(request);
-        if (f == null || f.done || !f.waiting || f.fetching || fetches.get(f.request.key()) != f) {
+    public void onSiblingResponse(double nowMs, int requestId, int siblingId, PolicyActions actions) {
+        PendingRequest pending = pendingById.get(requestId);
+        if (pending == null
+                || pending.done
+                || !pending.waiting
+                || pending.fetching
+                || fetchLeaders.get(pending.request.key()) != pending) {
             return;
         }
-        Server s = servers.get(sibling);
-        if (s != null && siblings.is(s.member) && s.member.state() == EndpointState.READY) {
-            f.waiting = false;
-            place(now, f, s, out);
+        ServerState server = servers.get(siblingId);
+        if (server != null && siblings.is(server.endpoint) && server.endpoint.state() == EndpointState.READY) {
+            pending.waiting = false;
+            sendAttempt(nowMs, pending, server, actions);
         } else {
-            advance(now, f, out);
+            advance(nowMs, pending, actions);
         }
     }
 
-    private void place(double now, Flight f, Server s, PolicyActions out) {
-        int a = f.attempts++;
-        if (a == 0) {
-            admission.recordFirstAttempt(now);
-        }
-        f.at[a] = s;
-        f.sentAt[a] = now;
-        f.out++;
-        boolean worthlessLate = s != origin && f.safe && f.kind.lateShare() == 0;
-        out.place(f.request.id(), s.id, worthlessLate ? Math.max(1, f.arrivedMs + f.kind.aimMs() - now) : 0);
-        if (s != origin && f.safe && f.attempts < cfg.maxAttempts() && f.attempts <= CACHE_TRIES) {
-            double patience = patience(now, f);
-            f.overdueAt = now + patience;
-            timer(patience, PATIENCE, f, out);
+    private void sendAttempt(double nowMs, PendingRequest pending, ServerState server, PolicyActions actions) {
+        int attempt = pending.attempts++;
+        if (attempt == 0) {
+            admission.recordFirstAttempt(nowMs);
+        }
+        pending.attemptedServers[attempt] = server;
+        pending.sentAtMs[attempt] = nowMs;
+        pending.inFlightAttempts++;
+        boolean noValueWhenLate =
+                server != origin && pending.idempotent && pending.serviceClass.lateValueFraction() == 0;
+        actions.sendAttempt(
+                pending.request.id(),
+                server.id,
+                noValueWhenLate
+                        ? Math.max(1, pending.arrivedMs + pending.serviceClass.latencyObjectiveMs() - nowMs)
+                        : 0);
+        if (server != origin
+                && pending.idempotent
+                && pending.attempts < settings.maxAttempts()
+                && pending.attempts <= MAX_CACHE_ATTEMPTS) {
+            double patience = hedgingDelayMs(nowMs, pending);
+            pending.hedgeAtMs = nowMs + patience;
+            startTimer(patience, HEDGING_TIMER, pending, actions);
         }
     }
 
@@ -637,10 +689,10 @@
      * How long a cache server may take before it is doubted: three deviations over the usual time for the work hinted
      * at, but early enough that runner-up and origin can still answer within the aim.
      */
-    private double patience(double now, Flight f) {
-        double usual = (pace + 3 * paceDeviation) * f.work();
-        double left = Math.min(f.kind.aimMs(), f.request.dueMs() - now);
-        return Math.max(left / 4, Math.min(usual, left - 2 * fetchMs));
+    private double hedgingDelayMs(double nowMs, PendingRequest pending) {
+        double usualMs = (averageLatencyMs + 3 * latencyDeviationMs) * pending.relativeCost();
+        double leftMs = Math.min(pending.serviceClass.latencyObjectiveMs(), pending.request.deadlineMs() - nowMs);
+        return Math.max(leftMs / 4, Math.min(usualMs, leftMs - 2 * originLatencyMs));
     }
 
     /**
@@ -648,395 +700,426 @@
      * stays out, its answer clears the server; where it must be called off, one slow answer is no evidence, two in a
      * row are: shunning sound servers moves their keys to the origin.
      */
-    private void overdue(double now, Flight f, PolicyActions out) {
-        int a = f.attempts - 1;
-        Server s = f.at[a];
-        if (f.done || f.streaming || f.ended[a] || s == origin || now < f.overdueAt) {
+    private void hedgingDelayElapsed(double nowMs, PendingRequest pending, PolicyActions actions) {
+        int attempt = pending.attempts - 1;
+        ServerState server = pending.attemptedServers[attempt];
+        if (pending.done
+                || pending.streaming
+                || pending.ended[attempt]
+                || server == origin
+                || nowMs < pending.hedgeAtMs) {
             return; // the timer of an attempt that has ended says nothing of the one that followed it
         }
-        if (!siblings.is(s.member) && (cfg.secondCopies() || ++s.doubts > 1)) {
-            suspect(now, s);
+        if (!siblings.is(server.endpoint) && (settings.hedgingAllowed() || ++server.overdueAttempts > 1)) {
+            eject(nowMs, server);
         }
-        if (doubts < 1 || f.request.dueMs() - now < fetchMs || (!cfg.secondCopies() && !cfg.mayCancel())) {
+        if (hedgeTokens < 1
+                || pending.request.deadlineMs() - nowMs < originLatencyMs
+                || (!settings.hedgingAllowed() && !settings.cancellationAllowed())) {
             return;
         }
-        doubts--;
-        f.doubted = true;
-        if (cfg.secondCopies()) {
-            advance(now, f, out);
+        hedgeTokens--;
+        pending.hedged = true;
+        if (settings.hedgingAllowed()) {
+            advance(nowMs, pending, actions);
         } else {
-            out.cancel(f.request.id(), a);
+            actions.cancelAttempt(pending.request.id(), attempt);
         }
     }
 
-    private void suspect(double now, Server s) {
-        s.trial = false;
-        s.probed = false;
-        s.shunnedUntil = now + shunMs(s.failures);
-        s.failures++;
+    private void eject(double nowMs, ServerState server) {
+        server.probing = false;
+        server.probeSucceeded = false;
+        server.ejectedUntilMs = nowMs + ejectionMs(server.failures);
+        server.failures++;
     }
 
     /** How long a server is left out that has failed so often before. */
-    private double shunMs(int failures) {
-        return SHUN_CONNECTS * cfg.connectTimeoutMs() * (1 << Math.max(0, Math.min(failures, 3)));
+    private double ejectionMs(int failures) {
+        return EJECTION_CONNECT_TIMEOUTS * settings.connectTimeoutMs() * (1 << Math.max(0, Math.min(failures, 3)));
     }
 
-    private boolean maySend(double now, Flight f, Server s) {
-        if (f.out > 0 && !(cfg.secondCopies() && f.safe)) {
+    private boolean mayRepeatAt(double nowMs, PendingRequest pending, ServerState server) {
+        if (pending.inFlightAttempts > 0 && !(settings.hedgingAllowed() && pending.idempotent)) {
             return false;
         }
-        if (Double.isNaN(f.maybeRanSince) || f.safe) {
+        if (Double.isNaN(pending.maybeRanAtMs) || pending.idempotent) {
             return true;
         }
-        return f.kind.effect() == Idempotency.KEYED
-                && now < f.maybeRanSince + f.kind.windowMs()
-                && sameGroup(f.kind.group(), f.maybeRanAt.member, s.member);
+        return pending.serviceClass.idempotency() == Idempotency.DEDUPLICATED
+                && nowMs < pending.maybeRanAtMs + pending.serviceClass.deduplicationWindowMs()
+                && inSameScope(
+                        pending.serviceClass.deduplicationScope(), pending.maybeRanServer.endpoint, server.endpoint);
     }
 
-    private static boolean sameGroup(DeduplicationScope group, Endpoint a, Endpoint b) {
-        return switch (group) {
+    private static boolean inSameScope(DeduplicationScope scope, Endpoint first, Endpoint second) {
+        return switch (scope) {
             case ALL -> true;
-            case ZONE -> a.zone() == b.zone();
-            case CELL -> a.cell() == b.cell();
+            case ZONE -> first.zone() == second.zone();
+            case CELL -> first.cell() == second.cell();
         };
     }
 
-    private void giveUp(Flight f, PolicyActions out) {
-        if (f.out > 0 && f.safe) {
+    private void conclude(PendingRequest pending, PolicyActions actions) {
+        if (pending.inFlightAttempts > 0 && pending.idempotent) {
             return;
         }
-        answer(f, out);
-        finish(f);
+        rejectOrFail(pending, actions);
+        finish(pending);
     }
 
     /** The final answer: a refusal only where no attempt may have run. */
-    private void answer(Flight f, PolicyActions out) {
-        if (f.safe || (Double.isNaN(f.maybeRanSince) && f.out == 0)) {
+    private void rejectOrFail(PendingRequest pending, PolicyActions actions) {
+        if (pending.idempotent || (Double.isNaN(pending.maybeRanAtMs) && pending.inFlightAttempts == 0)) {
             // Told nothing, a client asks again at once, into the jam that it was turned away for. Within the
             // usual time of an answer places come free; spread over it, clients don't return together.
-            double wait = Math.max(1, Math.min(cfg.maxRetryAfterMs(), pace * random.nextDouble()));
-            out.deny(f.request.id(), cfg.retryAdvice() ? wait : 0);
+            double retryAfterMs =
+                    Math.max(1, Math.min(settings.maxRetryAfterMs(), averageLatencyMs * random.nextDouble()));
+            actions.reject(pending.request.id(), settings.retryAfterAllowed() ? retryAfterMs : 0);
         } else {
-            out.fail(f.request.id());
+            actions.fail(pending.request.id());
         }
     }
 
-    private void finish(Flight f) {
-        f.done = true;
-        if (f.out == 0) {
-            flights.remove(f.request.id());
-            numbered.remove(f.number);
+    private void finish(PendingRequest pending) {
+        pending.done = true;
+        if (pending.inFlightAttempts == 0) {
+            pendingById.remove(pending.request.id());
+            pendingByNumber.remove(pending.number);
         }
     }
 
     // ---- choice of a server
 
-    private Server choose(double now, Flight f, PolicyActions out) {
-        int want = Math.min(ranked.length, Math.max(RANKS, f.spread + RANKS));
-        int most = placement.maxRanked(want);
-        if (top.length < most) {
-            top = new int[most];
-        }
-        int count = want == 0 ? 0 : placement.rank(f.key(), f.keyHash, want, top);
-        int offset = f.spread > 1 ? random.nextInt(f.spread) : 0;
-        Server untried = null;
-        boolean remembered = false;
+    private ServerState chooseServer(double nowMs, PendingRequest pending, PolicyActions actions) {
+        int wanted =
+                Math.min(rankedServers.length, Math.max(RANKED_CANDIDATES, pending.hotKeySpread + RANKED_CANDIDATES));
+        int capacity = placement.maxRanked(wanted);
+        if (candidates.length < capacity) {
+            candidates = new int[capacity];
+        }
+        int count = wanted == 0 ? 0 : placement.rank(pending.key(), pending.keyHash, wanted, candidates);
+        int offset = pending.hotKeySpread > 1 ? random.nextInt(pending.hotKeySpread) : 0;
+        ServerState firstUntried = null;
+        boolean sawRestored = false;
         for (int i = 0; i < count; i++) {
-            Server s = ranked[top[i < f.spread ? (i + offset) % f.spread : i]];
-            if (tried(f, s) && s != f.missedAt) {
+            ServerState server =
+                    rankedServers[candidates[i < pending.hotKeySpread ? (i + offset) % pending.hotKeySpread : i]];
+            if (wasAttempted(pending, server) && server != pending.missedServer) {
                 continue;
             }
-            if (untried == null && !cold(now, s)) {
-                untried = s;
+            if (firstUntried == null && !isWarmingUp(nowMs, server)) {
+                firstUntried = server;
             }
             // Without the memory of those before it, a cold server would not have been reached.
-            if (!(remembered && cold(now, s)) && open(now, f, s, out)) {
-                return s;
+            if (!(sawRestored && isWarmingUp(nowMs, server)) && accepts(nowMs, pending, server, actions)) {
+                return server;
             }
-            remembered |= s.recalled;
+            sawRestored |= server.restored;
         }
-        return untried;
+        return firstUntried;
     }
 
-    private static boolean tried(Flight f, Server s) {
-        for (int a = 0; a < f.attempts; a++) {
-            if (f.at[a] == s) {
+    private static boolean wasAttempted(PendingRequest pending, ServerState server) {
+        for (int attempt = 0; attempt < pending.attempts; attempt++) {
+            if (pending.attemptedServers[attempt] == server) {
                 return true;
             }
         }
         return false;
     }
 
-    private boolean open(double now, Flight f, Server s, PolicyActions out) {
-        if (s.failures == 0 || (s.probed && !s.trial)) {
-            return warmEnough(now, f, s);
+    private boolean accepts(double nowMs, PendingRequest pending, ServerState server, PolicyActions actions) {
+        if (server.failures == 0 || (server.probeSucceeded && !server.probing)) {
+            return admitsWarmingUp(nowMs, pending, server);
         }
         // A trial that a cold server's limit turns away has no end that could clear it, and s would stay out.
-        if (now < s.shunnedUntil
-                || s.trial
-                || !f.safe
-                || f.attempts > 0
-                || trials < 1
-                || (!cfg.mayProbe() && !(warmEnough(now, f, s) && admission.admitHalfOpenProbe(now, s.member)))) {
+        if (nowMs < server.ejectedUntilMs
+                || server.probing
+                || !pending.idempotent
+                || pending.attempts > 0
+                || probeTokens < 1
+                || (!settings.probingAllowed()
+                        && !(admitsWarmingUp(nowMs, pending, server)
+                                && admission.admitHalfOpenProbe(nowMs, server.endpoint)))) {
             return false;
         }
-        trials--;
-        s.trial = true;
-        if (cfg.mayProbe()) {
-            out.probe(s.id);
+        probeTokens--;
+        server.probing = true;
+        if (settings.probingAllowed()) {
+            actions.probeServer(server.id);
         }
-        return !cfg.mayProbe();
+        return !settings.probingAllowed();
     }
 
-    private boolean warmEnough(double now, Flight f, Server s) {
-        if (!cold(now, s)) {
+    private boolean admitsWarmingUp(double nowMs, PendingRequest pending, ServerState server) {
+        if (!isWarmingUp(nowMs, server)) {
             return true;
         }
-        if (f.attempts > 0 || f.spread > 1) {
+        if (pending.attempts > 0 || pending.hotKeySpread > 1) {
             return false;
         }
-        double started = starts.startedMs(s.member.bornMs(), s.changedMs);
-        double age = now - started;
-        double capacity = cfg.startCapacity() + (1 - cfg.startCapacity()) * Math.max(0, age) / cfg.warmUpMs();
-        double ramp = capacity / Math.min(MOST_CROWDED, crowd.pressure(now));
+        double startedMs = startTimes.startedMs(server.endpoint.startedMs(), server.restartSeenMs);
+        double ageMs = nowMs - startedMs;
+        double capacity = settings.initialCapacityFraction()
+                + (1 - settings.initialCapacityFraction()) * Math.max(0, ageMs) / settings.warmUpMs();
+        double acceptedFraction = capacity / Math.min(MAX_OVERLOAD_FACTOR, serverThrottle.pressure(nowMs));
         // Each takes its part by chance: of keys chosen alike by all, a new hot one would come from all. Who
         // has just started takes each hot key for a new one, and lets few in until it has seen some requests.
-        double part = hot.own * s.share * (f.seen > 1 ? LATER_SIGHT : FIRST_SIGHT);
-        return random.nextDouble() < ramp * Math.min(1, part / f.seen)
-                && admission.admitWarmingUp(now, s.member, started);
+        double fairRequests = hotKeys.ownCount
+                * server.weightFraction
+                * (pending.recentCount > 1 ? LATER_REQUEST_FAIR_SHARES : FIRST_REQUEST_FAIR_SHARES);
+        return random.nextDouble() < acceptedFraction * Math.min(1, fairRequests / pending.recentCount)
+                && admission.admitWarmingUp(nowMs, server.endpoint, startedMs);
     }
 
-    private boolean cold(double now, Server s) {
-        return s.member.bornMs() != 0 && now - starts.startedMs(s.member.bornMs(), s.changedMs) < cfg.warmUpMs();
+    private boolean isWarmingUp(double nowMs, ServerState server) {
+        return server.endpoint.startedMs() != 0
+                && nowMs - startTimes.startedMs(server.endpoint.startedMs(), server.restartSeenMs)
+                        < settings.warmUpMs();
     }
 
     // ---- ends of attempts
 
     @Override
-    public void onAttemptEnd(double now, AttemptResult end, PolicyActions out) {
-        Flight f = flights.get(end.request());
-        if (f == null || end.attempt() >= f.attempts || f.ended[end.attempt()]) {
+    public void onAttemptEnd(double nowMs, AttemptResult result, PolicyActions actions) {
+        PendingRequest pending = pendingById.get(result.requestId());
+        if (pending == null || result.attempt() >= pending.attempts || pending.ended[result.attempt()]) {
             return;
         }
-        Server s = f.at[end.attempt()];
-        f.ended[end.attempt()] = true;
-        f.out--;
-        learn(now, f, s, end);
-        if (end.outcome().mayHaveRun() && Double.isNaN(f.maybeRanSince)) {
-            f.maybeRanSince = f.sentAt[end.attempt()];
-            f.maybeRanAt = s;
-        }
-        boolean wasDone = f.done;
-        if (end.over() || f.done) {
-            finish(f);
-        }
-        if (f.followers != null && s == origin) {
-            fetchEnded(now, f, end.outcome() == AttemptOutcome.OK, out);
-        } else if (f.followers != null && end.outcome() == AttemptOutcome.OK && siblings.is(s.member)) {
-            for (Flight w : unlead(f)) { // what it has is not stored here: each fetches it there
-                if (!w.done && w.waiting && w.attempts < cfg.maxAttempts()) {
-                    w.waiting = false;
-                    w.asked = true;
-                    place(now, w, s, out);
+        ServerState server = pending.attemptedServers[result.attempt()];
+        pending.ended[result.attempt()] = true;
+        pending.inFlightAttempts--;
+        recordResult(nowMs, pending, server, result);
+        if (result.outcome().mayHaveRun() && Double.isNaN(pending.maybeRanAtMs)) {
+            pending.maybeRanAtMs = pending.sentAtMs[result.attempt()];
+            pending.maybeRanServer = server;
+        }
+        boolean wasDone = pending.done;
+        if (result.answered() || pending.done) {
+            finish(pending);
+        }
+        if (pending.waiters != null && server == origin) {
+            resumeWaiters(nowMs, pending, result.outcome() == AttemptOutcome.OK, actions);
+        } else if (pending.waiters != null && result.outcome() == AttemptOutcome.OK && siblings.is(server.endpoint)) {
+            for (PendingRequest waiter :
+                    endFetchLead(pending)) { // what it has is not stored here: each fetches it there
+                if (!waiter.done && waiter.waiting && waiter.attempts < settings.maxAttempts()) {
+                    waiter.waiting = false;
+                    waiter.siblingsQueried = true;
+                    sendAttempt(nowMs, waiter, server, actions);
                 }
             }
         }
-        release(now, f, out);
-        if (!wasDone && end.over()) {
-            cancelRest(f, out);
-        } else if (!f.done) {
-            next(now, f, s, end, out);
+        releaseWaiters(nowMs, pending, actions);
+        if (!wasDone && result.answered()) {
+            cancelInFlight(pending, actions);
+        } else if (!pending.done) {
+            attemptAgain(nowMs, pending, server, result, actions);
         }
     }
 
-    private void next(double now, Flight f, Server s, AttemptResult end, PolicyActions out) {
-        if (end.outcome() == AttemptOutcome.MISS && !siblings.is(s.member)) {
-            f.toOrigin = true;
-            f.missedAt = s;
-            if (end.note() == NOTE_FETCH_OUT && f.attempts + 2 <= cfg.maxAttempts()) {
-                f.toOrigin = false;
-                f.waiting = true;
-                timer(fetchMs, AGAIN, f, out);
+    private void attemptAgain(
+            double nowMs, PendingRequest pending, ServerState server, AttemptResult result, PolicyActions actions) {
+        if (result.outcome() == AttemptOutcome.MISS && !siblings.is(server.endpoint)) {
+            pending.toOrigin = true;
+            pending.missedServer = server;
+            if (result.cacheStatus() == CACHE_STATUS_FETCH_PENDING && pending.attempts + 2 <= settings.maxAttempts()) {
+                pending.toOrigin = false;
+                pending.waiting = true;
+                startTimer(originLatencyMs, RETRY_TIMER, pending, actions);
                 return;
             }
-        } else if (s == origin
-                && end.outcome() == AttemptOutcome.FULL
-                && f.request.write()
-                && f.attempts < cfg.maxAttempts()) {
-            f.waiting = true;
-            timer(fetchMs * (0.5 + random.nextDouble()), AGAIN, f, out);
+        } else if (server == origin
+                && result.outcome() == AttemptOutcome.FULL
+                && pending.request.write()
+                && pending.attempts < settings.maxAttempts()) {
+            pending.waiting = true;
+            startTimer(originLatencyMs * (0.5 + random.nextDouble()), RETRY_TIMER, pending, actions);
             return;
         }
-        if (s == origin && !f.request.write()) {
-            giveUp(f, out);
-        } else if (f.out == 0 || (f.safe && cfg.secondCopies())) {
-            advance(now, f, out);
+        if (server == origin && !pending.request.write()) {
+            conclude(pending, actions);
+        } else if (pending.inFlightAttempts == 0 || (pending.idempotent && settings.hedgingAllowed())) {
+            advance(nowMs, pending, actions);
         }
     }
 
-    private void cancelRest(Flight f, PolicyActions out) {
-        for (int a = 0; cfg.mayCancel() && a < f.attempts; a++) {
-            if (!f.ended[a]) {
-                out.cancel(f.request.id(), a);
+    private void cancelInFlight(PendingRequest pending, PolicyActions actions) {
+        for (int attempt = 0; settings.cancellationAllowed() && attempt < pending.attempts; attempt++) {
+            if (!pending.ended[attempt]) {
+                actions.cancelAttempt(pending.request.id(), attempt);
             }
         }
     }
 
     /** Those who waited for a fetch find its object where it was missed; where the fetch failed, one of them tries. */
-    private void fetchEnded(double now, Flight f, boolean stored, PolicyActions out) {
-        for (Flight w : unlead(f)) {
-            if (w.done || !w.waiting) {
+    private void resumeWaiters(double nowMs, PendingRequest pending, boolean stored, PolicyActions actions) {
+        for (PendingRequest waiter : endFetchLead(pending)) {
+            if (waiter.done || !waiter.waiting) {
                 continue;
             }
-            w.toOrigin = !stored || w.attempts + 2 > cfg.maxAttempts();
-            advance(now, w, out);
+            waiter.toOrigin = !stored || waiter.attempts + 2 > settings.maxAttempts();
+            advance(nowMs, waiter, actions);
         }
     }
 
-    private ArrayDeque<Flight> unlead(Flight f) {
-        ArrayDeque<Flight> followers = f.followers;
-        fetches.remove(f.request.key());
-        f.followers = null;
+    private ArrayDeque<PendingRequest> endFetchLead(PendingRequest pending) {
+        ArrayDeque<PendingRequest> followers = pending.waiters;
+        fetchLeaders.remove(pending.request.key());
+        pending.waiters = null;
         return followers;
     }
 
-    private void learn(double now, Flight f, Server s, AttemptResult end) {
-        if (siblings.is(s.member)) {
-            siblings.fetched(now, s.id, end.outcome(), end.elapsedMs());
+    private void recordResult(double nowMs, PendingRequest pending, ServerState server, AttemptResult result) {
+        if (siblings.is(server.endpoint)) {
+            siblings.fetched(nowMs, server.id, result.outcome(), result.elapsedMs());
             return;
         }
-        s.recalled = false;
-        if (f.doubted && end.attempt() > 0 && end.outcome() == AttemptOutcome.OK) {
-            doubts++;
+        server.restored = false;
+        if (pending.hedged && result.attempt() > 0 && result.outcome() == AttemptOutcome.OK) {
+            hedgeTokens++;
         }
-        switch (end.outcome()) {
+        switch (result.outcome()) {
             case OK, MISS, FULL -> {
-                if (s != origin && end.outcome() == AttemptOutcome.FULL && end.attempt() > 0) {
-                    crowd.asked(now);
+                if (server != origin && result.outcome() == AttemptOutcome.FULL && result.attempt() > 0) {
+                    serverThrottle.sent(nowMs);
                 }
-                boolean timely = end.elapsedMs() <= f.kind.aimMs() || crowd.pressure(now) > Throttle.HEADROOM;
-                if (s == origin || timely) {
-                    s.failures = s.doubts = 0;
+                boolean timely = result.elapsedMs() <= pending.serviceClass.latencyObjectiveMs()
+                        || serverThrottle.pressure(nowMs) > AdaptiveThrottle.HEADROOM;
+                if (server == origin || timely) {
+                    server.failures = server.overdueAttempts = 0;
                 }
-                s.trial = false;
-                if (s != origin && end.outcome() == AttemptOutcome.OK) {
-                    crowd.asked(now);
-                    if (end.elapsedMs() <= f.kind.aimMs() - fetchMs) {
-                        crowd.answered(now);
+                server.probing = false;
+                if (server != origin && result.outcome() == AttemptOutcome.OK) {
+                    serverThrottle.sent(nowMs);
+                    if (result.elapsedMs() <= pending.serviceClass.latencyObjectiveMs() - originLatencyMs) {
+                        serverThrottle.answered(nowMs);
                     }
-                    double x = end.elapsedMs() / f.work();
-                    paceDeviation += (Math.abs(x - pace) - paceDeviation) / 16;
-                    pace += (x - pace) / 16;
-                    doubts = Math.min(DOUBT_SAVED, doubts + DOUBT_SHARE);
+                    double relativeLatencyMs = result.elapsedMs() / pending.relativeCost();
+                    latencyDeviationMs += (Math.abs(relativeLatencyMs - averageLatencyMs) - latencyDeviationMs) / 16;
+                    averageLatencyMs += (relativeLatencyMs - averageLatencyMs) / 16;
+                    hedgeTokens = Math.min(MAX_HEDGE_TOKENS, hedgeTokens + HEDGE_RATIO);
                 }
-                if (s == origin && end.outcome() == AttemptOutcome.OK) {
-                    if (now <= f.arrivedMs + f.kind.aimMs()) {
-                        throttle.answered(now);
+                if (server == origin && result.outcome() == AttemptOutcome.OK) {
+                    if (nowMs <= pending.arrivedMs + pending.serviceClass.latencyObjectiveMs()) {
+                        originThrottle.answered(nowMs);
                     }
-                    fetchMs += (end.elapsedMs() - fetchMs) / 8;
+                    originLatencyMs += (result.elapsedMs() - originLatencyMs) / 8;
                 }
             }
             case CONNECT_FAILED, RESET, TIMEOUT -> {
-                if (s != origin) {
-                    boolean shared = crowd.pressure(now) > Throttle.HEADROOM;
-                    if (end.outcome() == AttemptOutcome.TIMEOUT && s.failures <= (shared ? 1 : 0)) {
-                        crowd.asked(now);
+                if (server != origin) {
+                    boolean overloaded = serverThrottle.pressure(nowMs) > AdaptiveThrottle.HEADROOM;
+                    if (result.outcome() == AttemptOutcome.TIMEOUT && server.failures <= (overloaded ? 1 : 0)) {
+                        serverThrottle.sent(nowMs);
                     }
-                    if (end.outcome() != AttemptOutcome.RESET || s.failures > 0 || ++s.doubts > 1) {
-                        suspect(now, s);
+                    if (result.outcome() != AttemptOutcome.RESET
+                            || server.failures > 0
+                            || ++server.overdueAttempts > 1) {
+                        eject(nowMs, server);
                     }
                 }
             }
-            default -> s.trial = false;
+            default -> server.probing = false;
         }
     }
 
     @Override
-    public void onFirstByte(double now, int request, int attempt, int server, PolicyActions out) {
-        Flight f = flights.get(request);
-        if (f != null) {
-            f.streaming = true;
+    public void onFirstByte(double nowMs, int requestId, int attempt, int serverId, PolicyActions actions) {
+        PendingRequest pending = pendingById.get(requestId);
+        if (pending != null) {
+            pending.streaming = true;
         }
     }
 
     @Override
-    public void onGone(double now, int request, PolicyActions out) {
-        Flight f = flights.get(request);
-        if (f != null && !f.done) {
-            leave(now, f, out);
+    public void onClientGone(double nowMs, int requestId, PolicyActions actions) {
+        PendingRequest pending = pendingById.get(requestId);
+        if (pending != null && !pending.done) {
+            abandon(nowMs, pending, actions);
         }
     }
 
-    private void leave(double now, Flight f, PolicyActions out) {
-        finish(f);
-        if (f.streaming) {
+    private void abandon(double nowMs, PendingRequest pending, PolicyActions actions) {
+        finish(pending);
+        if (pending.streaming) {
             return;
         }
-        if (f.followers == null || f.followers.isEmpty()) {
-            cancelRest(f, out);
+        if (pending.waiters == null || pending.waiters.isEmpty()) {
+            cancelInFlight(pending, actions);
         }
-        release(now, f, out);
+        releaseWaiters(nowMs, pending, actions);
     }
 
     /** Whether a server is known to be sound: ready, warm and not left out; what siblings are told of. */
-    public boolean sound(double now, int server) {
-        Server s = servers.get(server);
-        return s != null && s.member.state() == EndpointState.READY && s.failures == 0 && !cold(now, s);
+    public boolean isHealthy(double nowMs, int serverId) {
+        ServerState server = servers.get(serverId);
+        return server != null
+                && server.endpoint.state() == EndpointState.READY
+                && server.failures == 0
+                && !isWarmingUp(nowMs, server);
     }
 
     /** Whether servers or origin lately answered too little in time to take in more than clients ask. */
-    public boolean pressed(double now) {
-        return crowd.pressure(now) > Throttle.HEADROOM || throttle.pressure(now) > Throttle.HEADROOM;
+    public boolean isOverloaded(double nowMs) {
+        return serverThrottle.pressure(nowMs) > AdaptiveThrottle.HEADROOM
+                || originThrottle.pressure(nowMs) > AdaptiveThrottle.HEADROOM;
     }
 
     @Override
-    public void onTimer(double now, int token, PolicyActions out) {
-        Flight f = numbered.get(token >>> 2);
+    public void onTimer(double nowMs, int token, PolicyActions actions) {
+        PendingRequest pending = pendingByNumber.get(token >>> 2);
         switch (token & 3) {
-            case DUE -> {
-                if (f != null && !f.done && !f.streaming) {
-                    answer(f, out);
-                    leave(now, f, out);
+            case DEADLINE_TIMER -> {
+                if (pending != null && !pending.done && !pending.streaming) {
+                    rejectOrFail(pending, actions);
+                    abandon(nowMs, pending, actions);
                 }
             }
-            case PATIENCE -> {
-                if (f != null) {
-                    overdue(now, f, out);
+            case HEDGING_TIMER -> {
+                if (pending != null) {
+                    hedgingDelayElapsed(nowMs, pending, actions);
                 }
             }
-            case AGAIN -> {
-                if (f != null && f.waiting) {
-                    advance(now, f, out);
+            case RETRY_TIMER -> {
+                if (pending != null && pending.waiting) {
+                    advance(nowMs, pending, actions);
                 }
             }
-            case WATCH -> {
-                if (!asking) {
-                    asking = true;
-                    out.watch(true);
+            case WATCH_TIMER -> {
+                if (!watchRequested) {
+                    watchRequested = true;
+                    actions.watchEndpointList(true);
                 }
             }
         }
     }
 
-    private void timer(double afterMs, int kind, Flight f, PolicyActions out) {
-        out.setTimer(afterMs, (f == null ? 0 : f.number << 2) | kind);
+    private void startTimer(double delayMs, int kind, PendingRequest pending, PolicyActions actions) {
+        actions.setTimer(delayMs, (pending == null ? 0 : pending.number << 2) | kind);
     }
 
     @Override
-    public void onProbed(
-            double now, int server, AttemptOutcome outcome, double elapsedMs, float[] report, PolicyActions out) {
-        Server s = servers.get(server);
-        if (s == null || s.failures == 0) {
+    public void onProbeResult(
+            double nowMs,
+            int serverId,
+            AttemptOutcome outcome,
+            double elapsedMs,
+            float[] loadReport,
+            PolicyActions actions) {
+        ServerState server = servers.get(serverId);
+        if (server == null || server.failures == 0) {
             return;
         }
         if (outcome == AttemptOutcome.OK) {
-            s.trial = false;
-            s.probed = true;
+            server.probing = false;
+            server.probeSucceeded = true;
         } else {
-            suspect(now, s);
+            eject(nowMs, server);
         }
     }
 
     @Override
-    public void onPeer(double now, int peer, byte[] message, PolicyActions out) {}
+    public void onPeerMessage(double nowMs, int peerId, byte[] message, PolicyActions actions) {}
 }
--- a/src/main/java/cacheproxy/policy/RoutingRequest.java
+++ b/src/main/java/cacheproxy/policy/RoutingRequest.java
@@ -6,8 +6,8 @@
         int serviceClass,
         int tenant,
         long key,
-        double dueMs,
-        double costMs,
-        float bytes,
+        double deadlineMs,
+        double costHintMs,
+        float valueSizeHint,
         boolean write,
-        boolean repeat) {}
+        boolean clientRetry) {}
--- a/src/main/java/cacheproxy/policy/ServiceClass.java
+++ b/src/main/java/cacheproxy/policy/ServiceClass.java
@@ -3,11 +3,11 @@
 /** A class of requests; times in milliseconds. */
 public record ServiceClass(
         String name,
-        Idempotency effect,
-        DeduplicationScope group,
-        double windowMs,
-        double aimMs,
+        Idempotency idempotency,
+        DeduplicationScope deduplicationScope,
+        double deduplicationWindowMs,
+        double latencyObjectiveMs,
         double deadlineMs,
-        double worth,
-        double lateShare,
-        boolean stream) {}
+        double priorityWeight,
+        double lateValueFraction,
+        boolean streamed) {}
--- a/src/main/java/cacheproxy/policy/Tenant.java
+++ b/src/main/java/cacheproxy/policy/Tenant.java
@@ -1,4 +1,4 @@
 package cacheproxy.policy;
 
 /** A tenant and the rate, over all instances, that is within its share. */
-public record Tenant(String name, double share, double quotaPerSecond) {}
+public record Tenant(String name, double trafficFraction, double quotaPerSecond) {}
--- a/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
@@ -83,7 +83,11 @@
             InetSocketAddress address, JsonObject known, boolean ask, List<String> zones, List<String> kinds) {
         public static Source of(PlatformConfig config) {
             return new Source(
-                    config.discovery(), config.known(), config.settings().askForList(), config.zones(), config.kinds());
+                    config.discovery(),
+                    config.known(),
+                    config.settings().pollsDiscovery(),
+                    config.zones(),
+                    config.kinds());
         }
     }
 
@@ -130,15 +134,15 @@
         this.core = core;
         loop = core.loop();
         PolicySettings settings = dispatcher.settings();
-        double within = settings.askWithinMs();
-        double spread = Math.min(within * LONGEST_DELAY, settings.instances() * settings.connectTimeoutMs());
-        double place = (double) settings.instanceNumber() / Math.max(1, settings.instances());
+        double within = settings.maxPollAgeMs();
+        double spread = Math.min(within * LONGEST_DELAY, settings.instanceCount() * settings.connectTimeoutMs());
+        double place = (double) settings.instanceIndex() / Math.max(1, settings.instanceCount());
         doubt = new SilentWatchDetector(within * NOTICE, within * QUICK, spread * place);
         newsMs = within * NEWS * place;
         this.source = source;
         this.dispatcher = dispatcher;
-        freshness =
-                new DiscoveryPollScheduler(source.ask(), settings.instances(), new SplittableRandom(dispatcher.seed()));
+        freshness = new DiscoveryPollScheduler(
+                source.ask(), settings.instanceCount(), new SplittableRandom(dispatcher.seed()));
         freshness.setLongPolling(core.now(), closely());
         address = source.address();
     }
@@ -343,7 +347,7 @@
     private void tellNews() {
         byte[] message = closed ? null : news.takeMessage(version);
         if (message != null) {
-            dispatcher.tell(-1, message);
+            dispatcher.sendToPeer(-1, message);
         }
     }
 
--- a/src/main/java/cacheproxy/proxy/discovery/PeerSocket.java
+++ b/src/main/java/cacheproxy/proxy/discovery/PeerSocket.java
@@ -30,7 +30,7 @@
     public PeerSocket(EventLoop loop, PlatformConfig config, Receiver receiver) {
         this.config = config;
         this.receiver = receiver;
-        if (config.settings().peers() && config.peerListen() != null) {
+        if (config.settings().peerMessagesAllowed() && config.peerListen() != null) {
             // What is sent before the socket is bound is lost without a word, so this waits for it.
             Bootstrap bootstrap = new Bootstrap()
                     .group(loop)
--- a/src/main/java/cacheproxy/proxy/dispatch/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/Dispatcher.java
@@ -171,7 +171,7 @@
 
         /** The platform's one pool. Servers accept some forty connections each, for all proxies together. */
         public static Pool of(PlatformConfig config) {
-            int proxies = Math.max(1, config.settings().instances());
+            int proxies = Math.max(1, config.settings().instanceCount());
             return new Pool(
                     config.settings(),
                     config.seed(),
@@ -227,7 +227,7 @@
 
     /** Whether siblings may be told that a server has a value. */
     public boolean sound(int server) {
-        return module.sound(core.now(), server);
+        return module.isHealthy(core.now(), server);
     }
 
     /** Whether some cache server is sound, or there is none. */
@@ -246,12 +246,12 @@
 
     /** Whether there is more to do than is done in time. */
     public boolean pressed() {
-        return module.pressed(core.now());
+        return module.isOverloaded(core.now());
     }
 
     /** What the module has learned, with at most so many hot keys. */
     public LearnedState knowledge(int mostKeys) {
-        return module.knowledge(core.now(), mostKeys);
+        return module.learnedState(core.now(), mostKeys);
     }
 
     /** Where a server stands; null: it is not on the list. */
@@ -277,28 +277,28 @@
     /** Answers every request that has no answer and none on its way: the process is to end before its deadline. */
     public void answerAll() {
         for (RequestContext x : List.copyOf(exchanges.values())) {
-            boolean harmless =
-                    settings.classes().get(x.command.serviceClass).effect() == Idempotency.SAFE || !x.mayHaveRun();
+            boolean harmless = settings.classes().get(x.command.serviceClass).idempotency() == Idempotency.IDEMPOTENT
+                    || !x.mayHaveRun();
             finish(x, harmless ? 0 : Double.NaN);
         }
     }
 
     public List<String> reportNames() {
-        return settings.reportNames();
+        return settings.loadReportFields();
     }
 
     public float[] report(String list) {
-        return settings.reports() == LoadReportSource.WITH_ANSWERS
-                ? MetaCodec.report(list, settings.reportNames())
+        return settings.loadReportSource() == LoadReportSource.WITH_ANSWERS
+                ? MetaCodec.report(list, settings.loadReportFields())
                 : null;
     }
 
     public boolean probesLoad() {
-        return settings.reports() == LoadReportSource.BY_PROBE;
+        return settings.loadReportSource() == LoadReportSource.BY_PROBE;
     }
 
     public boolean secondCopies() {
-        return settings.secondCopies();
+        return settings.hedgingAllowed();
     }
 
     public boolean plainNodes() {
@@ -375,12 +375,12 @@
             if (core.events.isEnabled()
                     && (u == null
                             || u.state != h.member().state()
-                            || u.bornMs != h.member().bornMs())) {
+                            || u.bornMs != h.member().startedMs())) {
                 core.events
                         .line(ProxyEvent.SERVER_LISTED)
                         .with("server", Integer.toHexString(id) + "@" + h.dial())
                         .with("state", h.member().state())
-                        .with("born_ms", (long) h.member().bornMs())
+                        .with("born_ms", (long) h.member().startedMs())
                         .with("list", kind)
                         .write();
             }
@@ -388,7 +388,7 @@
                 forget(id);
                 continue;
             }
-            boolean origin = settings.aside() && h.member().kind() == settings.originKind();
+            boolean origin = settings.cacheAside() && h.member().kind() == settings.originKind();
             if (u != null && !u.dial.equals(h.dial())) {
                 forget(id);
                 u = null;
@@ -397,10 +397,10 @@
                 u = core.servers.hold(id, origin, h.dial(), pool);
                 upstreams.put(id, u);
             }
-            if (u.bornMs != h.member().bornMs()) {
+            if (u.bornMs != h.member().startedMs()) {
                 u.retire();
             }
-            u.bornMs = h.member().bornMs();
+            u.bornMs = h.member().startedMs();
             u.state = h.member().state();
             u.leftMs = u.state == EndpointState.READY ? Double.POSITIVE_INFINITY : Math.min(u.leftMs, core.now());
         }
@@ -413,7 +413,7 @@
                 }
             }
         }
-        tell(() -> module.onList(
+        tell(() -> module.onEndpointList(
                 core.now(),
                 kind,
                 hosts.stream().map(DiscoveryClient.Host::member).toList(),
@@ -421,7 +421,7 @@
         if (recollections != null && listed()) {
             Recollections from = recollections;
             recollections = null;
-            tell(() -> module.recall(core.now(), from.of(core.now(), hosts)));
+            tell(() -> module.restore(core.now(), from.of(core.now(), hosts)));
         }
     }
 
@@ -434,7 +434,7 @@
     }
 
     public void heard(int peer, byte[] message) {
-        tell(() -> module.onPeer(core.now(), peer, message, this));
+        tell(() -> module.onPeerMessage(core.now(), peer, message, this));
     }
 
     /** Takes a request; it will be answered once. */
@@ -498,7 +498,7 @@
                     .with("in_flight", x.out)
                     .write();
         }
-        tell(() -> module.onGone(core.now(), x.id, this));
+        tell(() -> module.onClientGone(core.now(), x.id, this));
         for (Attempt a : x.attempts) {
             if (a.ended || a.connection == null) {
                 continue;
@@ -534,7 +534,7 @@
             if (a.asked != null) {
                 a.asked.accept(outcome);
             } else {
-                tell(() -> module.onProbed(core.now(), a.server, outcome, elapsed, report, this));
+                tell(() -> module.onProbeResult(core.now(), a.server, outcome, elapsed, report, this));
             }
             return;
         }
@@ -632,7 +632,7 @@
         tell(() -> module.onFirstByte(core.now(), x.id, a.index, a.server, this));
         for (Attempt other : x.attempts) {
             if (other != a) {
-                cancel(x.id, other.index);
+                cancelAttempt(x.id, other.index);
             }
         }
         return true;
@@ -663,12 +663,12 @@
         if (Double.isNaN(retryAfterMs)) {
             logAnswer(x, "failed");
             x.responder.failed();
-        } else if (x.missed && !settings.aside()) {
+        } else if (x.missed && !settings.cacheAside()) {
             logAnswer(x, "missed");
             x.responder.miss();
         } else {
             logAnswer(x, "refused");
-            x.responder.refused(retryAfterMs >= 1 && settings.retryAdvice() ? retryAfterMs : 0);
+            x.responder.refused(retryAfterMs >= 1 && settings.retryAfterAllowed() ? retryAfterMs : 0);
         }
         free(x);
     }
@@ -686,7 +686,7 @@
     // ---- the module's orders
 
     @Override
-    public void place(int request, int server, double timeoutMs) {
+    public void sendAttempt(int request, int server, double timeoutMs) {
         RequestContext x = exchanges.get(request);
         if (x == null || x.over) {
             log("order for a request that is over");
@@ -718,12 +718,13 @@
      */
     private void boundRepeat(RequestContext x, Attempt a) {
         ServiceClass kind = settings.classes().get(x.command.serviceClass);
-        if (kind.effect() != Idempotency.KEYED) {
+        if (kind.idempotency() != Idempotency.DEDUPLICATED) {
             return;
         }
         for (Attempt earlier : x.attempts) {
             if (earlier != a && earlier.begun) {
-                a.beginByMs = Math.min(a.beginByMs, SendGuard.retryUntilMs(earlier.sentMs, kind.windowMs()));
+                a.beginByMs =
+                        Math.min(a.beginByMs, SendGuard.retryUntilMs(earlier.sentMs, kind.deduplicationWindowMs()));
             }
         }
         if (a.beginByMs < a.untilMs) {
@@ -757,7 +758,7 @@
     }
 
     Idempotency effect(RequestContext x) {
-        return settings.classes().get(x.command.serviceClass).effect();
+        return settings.classes().get(x.command.serviceClass).idempotency();
     }
 
     /** Ends an attempt that has not begun; one that has goes on. */
@@ -769,7 +770,7 @@
     }
 
     @Override
-    public void deny(int request, double retryAfterMs) {
+    public void reject(int request, double retryAfterMs) {
         RequestContext x = exchanges.get(request);
         if (x != null) {
             finish(x, retryAfterMs);
@@ -785,7 +786,7 @@
     }
 
     @Override
-    public void cancel(int request, int attempt) {
+    public void cancelAttempt(int request, int attempt) {
         RequestContext x = exchanges.get(request);
         Attempt a = x == null || attempt >= x.attempts.size() ? null : x.attempts.get(attempt);
         if (a == null || a.ended || a.firstByteMs != 0) {
@@ -798,13 +799,14 @@
     }
 
     @Override
-    public void ask(int request, double waitMs) {
+    public void querySiblings(int request, double waitMs) {
         RequestContext x = exchanges.get(request);
         if (x != null) {
             questions.ask(
                     x.command.key,
                     waitMs,
-                    sibling -> tell(() -> guard(x, () -> module.onSibling(core.now(), request, sibling, this))));
+                    sibling ->
+                            tell(() -> guard(x, () -> module.onSiblingResponse(core.now(), request, sibling, this))));
         }
     }
 
@@ -814,7 +816,7 @@
     }
 
     @Override
-    public void probe(int server) {
+    public void probeServer(int server) {
         if (probes == null || !probes.take(server)) {
             probe(server, null);
         }
@@ -835,12 +837,12 @@
 
     /** The end of a test that others have taken over. */
     public void probed(int server, boolean sound) {
-        tell(() ->
-                module.onProbed(core.now(), server, sound ? AttemptOutcome.OK : AttemptOutcome.TIMEOUT, 0, null, this));
+        tell(() -> module.onProbeResult(
+                core.now(), server, sound ? AttemptOutcome.OK : AttemptOutcome.TIMEOUT, 0, null, this));
     }
 
     @Override
-    public void closeIdle(int server) {
+    public void closeIdleConnections(int server) {
         Upstream u = upstreams.get(server);
         if (u != null) {
             u.closeIdle(Double.MAX_VALUE);
@@ -848,19 +850,19 @@
     }
 
     @Override
-    public void tell(int peer, byte[] message) {
+    public void sendToPeer(int peer, byte[] message) {
         if (peers != null) {
             peers.send(peer, message);
         }
     }
 
     @Override
-    public void watch(boolean on) {
+    public void watchEndpointList(boolean on) {
         discovery.watch(on);
     }
 
     @Override
-    public void fetchList() {
+    public void fetchEndpointList() {
         discovery.fetch();
     }
 
--- a/src/main/java/cacheproxy/proxy/dispatch/RequestContext.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/RequestContext.java
@@ -129,7 +129,7 @@
 
         @Override
         public boolean singleEffect() {
-            return owner.effect(exchange) == Idempotency.UNSAFE;
+            return owner.effect(exchange) == Idempotency.NON_IDEMPOTENT;
         }
 
         @Override
--- a/src/main/java/cacheproxy/proxy/process/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/process/Proxy.java
@@ -61,7 +61,7 @@
         this.config = config;
         if (warm) {
             boolean beside = config.control() != null && OperatorActions.standsBeside(config.listen(), folder());
-            WarmUp.run(loop, config, WarmUpPlan.of(config.settings().instances(), beside));
+            WarmUp.run(loop, config, WarmUpPlan.of(config.settings().instanceCount(), beside));
         }
         core = EventLoopContext.of(loop, polls, config, Transport.BEST.socket());
         core.watchPauses();
--- a/src/main/java/cacheproxy/proxy/upstream/CacheCodec.java
+++ b/src/main/java/cacheproxy/proxy/upstream/CacheCodec.java
@@ -147,7 +147,7 @@
                 ? 1
                 : !MetaCodec.flagIs(line, from, 'h', "0")
                         ? 0
-                        : MetaCodec.flag(line, from, 'Z') != null ? PolicyApi.NOTE_FETCH_OUT : 2;
+                        : MetaCodec.flag(line, from, 'Z') != null ? PolicyApi.CACHE_STATUS_FETCH_PENDING : 2;
         report = attempt.owner.report(MetaCodec.flag(line, from, 'L'));
     }
 
--- a/src/main/java/cacheproxy/routes/Fallback.java
+++ b/src/main/java/cacheproxy/routes/Fallback.java
@@ -24,13 +24,13 @@
      */
     public static boolean mayGoOn(
             ServiceClass kind, boolean mayHaveRun, String group, String nextGroup, double now, double arrivedMs) {
-        if (kind.effect() == Idempotency.SAFE || !mayHaveRun) {
+        if (kind.idempotency() == Idempotency.IDEMPOTENT || !mayHaveRun) {
             return true;
         }
-        return kind.effect() == Idempotency.KEYED
+        return kind.idempotency() == Idempotency.DEDUPLICATED
                 && group != null
                 && group.equals(nextGroup)
-                && now < arrivedMs + kind.windowMs();
+                && now < arrivedMs + kind.deduplicationWindowMs();
     }
 
     /**
@@ -43,17 +43,17 @@
     public static double dueMs(
             ServiceClass kind, boolean mayHaveRun, boolean last, double now, double arrivedMs, double clientDueMs) {
         double due = clientDueMs;
-        if (kind.effect() == Idempotency.SAFE && !last) {
+        if (kind.idempotency() == Idempotency.IDEMPOTENT && !last) {
             due = now + (clientDueMs - now) * PART;
         }
-        if (kind.effect() == Idempotency.KEYED && mayHaveRun) {
-            due = Math.min(due, arrivedMs + kind.windowMs());
+        if (kind.idempotency() == Idempotency.DEDUPLICATED && mayHaveRun) {
+            due = Math.min(due, arrivedMs + kind.deduplicationWindowMs());
         }
         return due;
     }
 
     /** Whether a client may be told that it was turned away, so that a retry is harmless. */
     public static boolean mayRefuse(ServiceClass kind, boolean mayHaveRun) {
-        return kind.effect() == Idempotency.SAFE || !mayHaveRun;
+        return kind.idempotency() == Idempotency.IDEMPOTENT || !mayHaveRun;
     }
 }
--- a/src/main/java/cacheproxy/simulation/FleetSimulation.java
+++ b/src/main/java/cacheproxy/simulation/FleetSimulation.java
@@ -246,7 +246,7 @@
     private long keyOfAColdNode() {
         List<Endpoint> members = new ArrayList<>();
         nodes.values().stream().filter(n -> !n.draining && !n.ended).forEach(n -> members.add(member(n)));
-        if (members.stream().noneMatch(m -> m.bornMs() > 0)) {
+        if (members.stream().noneMatch(m -> m.startedMs() > 0)) {
             return 0;
         }
         CarpPlacement placement = new CarpPlacement(members);
@@ -255,7 +255,7 @@
             int hash = CarpHash.keyHash(key);
             placement.rank(key, hash, 1, top);
             Endpoint m = members.get(top[0]);
-            if (m.bornMs() > 0 && lot(hash, CarpHash.memberHash(m.id())) < 0.01) {
+            if (m.startedMs() > 0 && lot(hash, CarpHash.memberHash(m.id())) < 0.01) {
                 return key;
             }
         }
--- a/src/main/java/cacheproxy/simulation/FleetSimulationConfig.java
+++ b/src/main/java/cacheproxy/simulation/FleetSimulationConfig.java
@@ -37,8 +37,9 @@
     /** What a proxy of this fleet is told: the slowest warm-up that the first users' settings allow, and no probes. */
     PolicySettings settings(int me) {
         List<ServiceClass> classes = List.of(
-                new ServiceClass("read", Idempotency.SAFE, DeduplicationScope.ALL, 0, 300, 1000, 1, 0.2, false),
-                new ServiceClass("write", Idempotency.UNSAFE, DeduplicationScope.ALL, 0, 300, 1000, 5, 0.2, false));
+                new ServiceClass("read", Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 300, 1000, 1, 0.2, false),
+                new ServiceClass(
+                        "write", Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, 300, 1000, 5, 0.2, false));
         return new PolicySettings(
                 me,
                 proxies,
--- a/src/main/java/cacheproxy/simulation/SimulatedProxy.java
+++ b/src/main/java/cacheproxy/simulation/SimulatedProxy.java
@@ -89,7 +89,7 @@
         if (kind == EndpointListKind.CACHED) {
             members.add(new Endpoint(SimulatedOrigin.ID, 0, 1, 0, EndpointState.READY, 1, 0));
         }
-        decide(() -> module.onList(now(), kind, members, this));
+        decide(() -> module.onEndpointList(now(), kind, members, this));
     }
 
     void take(int id, Ask a) {
@@ -123,7 +123,7 @@
     }
 
     @Override
-    public void place(int request, int server, double timeoutMs) {
+    public void sendAttempt(int request, int server, double timeoutMs) {
         Held h = held.get(request);
         int attempt = h.outs.size();
         boolean copy = h.outs.stream().anyMatch(o -> !o.ended);
@@ -204,7 +204,7 @@
     }
 
     @Override
-    public void deny(int request, double retryAfterMs) {
+    public void reject(int request, double retryAfterMs) {
         refused(request, true);
     }
 
@@ -224,7 +224,7 @@
     }
 
     @Override
-    public void cancel(int request, int attempt) {
+    public void cancelAttempt(int request, int attempt) {
         later(0, request, attempt, AttemptOutcome.CANCELLED);
     }
 
@@ -242,19 +242,19 @@
      * another.
      */
     @Override
-    public void probe(int server) {}
+    public void probeServer(int server) {}
 
     @Override
-    public void closeIdle(int server) {}
+    public void closeIdleConnections(int server) {}
 
     @Override
-    public void tell(int peer, byte[] message) {}
+    public void sendToPeer(int peer, byte[] message) {}
 
     @Override
-    public void watch(boolean on) {}
+    public void watchEndpointList(boolean on) {}
 
     @Override
-    public void fetchList() {}
+    public void fetchEndpointList() {}
 
     @Override
     public void log(String line) {}
--- a/src/main/java/cacheproxy/simulation/SimulatedServer.java
+++ b/src/main/java/cacheproxy/simulation/SimulatedServer.java
@@ -61,8 +61,8 @@
                 ? 1
                 : Math.min(
                         1,
-                        settings.startCapacity()
-                                + (1 - settings.startCapacity()) * (now - bornMs) / settings.warmUpMs());
+                        settings.initialCapacityFraction()
+                                + (1 - settings.initialCapacityFraction()) * (now - bornMs) / settings.warmUpMs());
     }
 
     boolean isCold(double now) {
@@ -99,12 +99,14 @@
         for (int last = 0; last < cold.size(); last++) {
             double to = cold.get(last).at();
             told += cold.get(last).told() ? 1 : 0;
-            for (; cold.get(first).at() < to - settings.fallMs(); first++) {
+            for (; cold.get(first).at() < to - settings.collapseAfterMs(); first++) {
                 told -= cold.get(first).told() ? 1 : 0;
             }
             int count = last - first + 1;
             if (told >= count * 2 / 3.0) {
-                double can = speed * part(Math.max(bornMs, to - settings.fallMs() / 2)) * settings.fallMs();
+                double can = speed
+                        * part(Math.max(bornMs, to - settings.collapseAfterMs() / 2))
+                        * settings.collapseAfterMs();
                 worst = Math.max(worst, count * WORK_MS / can);
             }
         }
--- a/src/main/java/cacheproxy/simulator/ReplyEncoder.java
+++ b/src/main/java/cacheproxy/simulator/ReplyEncoder.java
@@ -72,13 +72,13 @@
     }
 
     @Override
-    public void place(int request, int server, double timeoutMs) {
+    public void sendAttempt(int request, int server, double timeoutMs) {
         record(10).putInt(request).putInt(server).putDouble(timeoutMs);
         end();
     }
 
     @Override
-    public void deny(int request, double retryAfterMs) {
+    public void reject(int request, double retryAfterMs) {
         record(20).putInt(request).putDouble(retryAfterMs);
         end();
     }
@@ -90,7 +90,7 @@
     }
 
     @Override
-    public void cancel(int request, int attempt) {
+    public void cancelAttempt(int request, int attempt) {
         record(40).putInt(request).put((byte) attempt);
         end();
     }
@@ -102,19 +102,19 @@
     }
 
     @Override
-    public void probe(int server) {
+    public void probeServer(int server) {
         record(60).putInt(server);
         end();
     }
 
     @Override
-    public void closeIdle(int server) {
+    public void closeIdleConnections(int server) {
         record(70).putInt(server);
         end();
     }
 
     @Override
-    public void tell(int peer, byte[] message) {
+    public void sendToPeer(int peer, byte[] message) {
         record(80).putInt(peer);
         bytes(message);
     }
@@ -131,13 +131,13 @@
     }
 
     @Override
-    public void watch(boolean on) {
+    public void watchEndpointList(boolean on) {
         record(110).put((byte) (on ? 1 : 0));
         end();
     }
 
     @Override
-    public void fetchList() {
+    public void fetchEndpointList() {
         record(120);
         end();
     }
--- a/src/main/java/cacheproxy/simulator/SettingsParser.java
+++ b/src/main/java/cacheproxy/simulator/SettingsParser.java
@@ -77,7 +77,7 @@
         for (int i = 0; i < integer("classes.count"); i++) {
             String p = "classes." + i + ".";
             Idempotency effect = Idempotency.values()[oneOf(p + "idempotency", "retryable", "dedup", "fragile")];
-            boolean keyed = effect == Idempotency.KEYED;
+            boolean keyed = effect == Idempotency.DEDUPLICATED;
             result.add(new ServiceClass(
                     text(p + "name"),
                     effect,
--- a/src/main/java/cacheproxy/simulator/SimulatorAdapter.java
+++ b/src/main/java/cacheproxy/simulator/SimulatorAdapter.java
@@ -141,7 +141,7 @@
                 if (form >= FORMS.length) {
                     throw new SimulatorProtocolException("unknown list form " + form);
                 }
-                target.onList(now, FORMS[form], members(at + 12), reply);
+                target.onEndpointList(now, FORMS[form], members(at + 12), reply);
             }
             case 30 -> target.onRequest(now, request(at), reply);
             case 40 ->
@@ -159,13 +159,14 @@
                                 frame.getInt(at + 23),
                                 report(at + 27)),
                         reply);
-            case 60 -> target.onGone(now, frame.getInt(at + 3), reply);
+            case 60 -> target.onClientGone(now, frame.getInt(at + 3), reply);
             case 70 -> target.onTimer(now, frame.getInt(at + 3), reply);
             case 80 ->
-                target.onProbed(
+                target.onProbeResult(
                         now, frame.getInt(at + 3), outcome(at + 7), frame.getDouble(at + 9), report(at + 17), reply);
             case 90 ->
-                target.onPeer(now, frame.getInt(at + 3), bytes(tailSpan(at + 7, 1), frame.getInt(at + 11)), reply);
+                target.onPeerMessage(
+                        now, frame.getInt(at + 3), bytes(tailSpan(at + 7, 1), frame.getInt(at + 11)), reply);
             default -> throw new SimulatorProtocolException("unknown event code " + code);
         }
     }
--- a/src/test/java/cacheproxy/PolicyRecallTest.java
+++ b/src/test/java/cacheproxy/PolicyRecallTest.java
@@ -57,16 +57,16 @@
         int slow = first.last().server();
         first.end(first.last(), AttemptOutcome.TIMEOUT);
         first.endAfter(first.last(), AttemptOutcome.OK, 5);
-        LearnedState told = first.policy.knowledge(first.now, 10);
+        LearnedState told = first.policy.learnedState(first.now, 10);
         assertThat(told.servers()).singleElement().satisfies(s -> {
             assertThat(s.id()).isEqualTo(slow);
             assertThat(s.failures()).isPositive();
             assertThat(s.ejectedForMs()).isPositive();
         });
         Rig next = rig(4);
-        next.policy.recall(next.now, told);
+        next.policy.restore(next.now, told);
         assertThat(firsts(next, 1, 60)).doesNotContain(slow).hasSize(3);
-        assertThat(next.policy.knowledge(next.now, 10).servers())
+        assertThat(next.policy.learnedState(next.now, 10).servers())
                 .as("handed on")
                 .isEqualTo(told.servers());
         assertThat(firsts(rig(4), 1, 60)).as("without it").contains(slow);
@@ -75,7 +75,7 @@
     @Test
     void whenItsTimeIsOverOneRequestTriesItAndItsAnswerClearsIt() {
         Rig rig = rig(4);
-        rig.policy.recall(rig.now, bad(500, 2));
+        rig.policy.restore(rig.now, bad(500, 2));
         assertThat(firsts(rig, 1, 60)).doesNotContain(2);
         rig.pass(501);
         rig.placed.clear();
@@ -88,13 +88,13 @@
         rig.endAfter(
                 rig.placed.stream().filter(p -> p.server() == 2).findFirst().orElseThrow(), AttemptOutcome.OK, 5);
         assertThat(firsts(rig, 200, 60)).contains(2);
-        assertThat(rig.policy.knowledge(rig.now, 10).servers()).isEmpty();
+        assertThat(rig.policy.learnedState(rig.now, 10).servers()).isEmpty();
     }
 
     @Test
     void nobodyCanMakeItLeaveAServerOutForLongerThanItWouldItself() {
         Rig rig = rig(4);
-        rig.policy.recall(rig.now, bad(1e14, 2));
+        rig.policy.restore(rig.now, bad(1e14, 2));
         rig.pass(10 * 100 * 8 + 1); // ten times the connect timeout, doubled three times
         assertThat(firsts(rig, 1, 100)).contains(2);
     }
@@ -103,14 +103,14 @@
     void itHoldsForTheSameProcessOnTheListAndNotAgainstWhatWasSeenSince() {
         Rig rig = rig(4);
         rig.change(Rig.member(3, EndpointState.READY, 500));
-        rig.policy.recall(
+        rig.policy.restore(
                 rig.now, bad(8000, 3, 77, Rig.ORIGIN)); // 3 has restarted, 77 is not there, the origin is no choice
         rig.pass(10_000);
         assertThat(firsts(rig, 1, 100)).contains(3);
         rig.end(placedAt(rig, 1), AttemptOutcome.CONNECT_FAILED);
-        LearnedState before = rig.policy.knowledge(rig.now, 0);
-        rig.policy.recall(rig.now, bad(1, 1));
-        assertThat(rig.policy.knowledge(rig.now, 0).servers()).isEqualTo(before.servers());
+        LearnedState before = rig.policy.learnedState(rig.now, 0);
+        rig.policy.restore(rig.now, bad(1, 1));
+        assertThat(rig.policy.learnedState(rig.now, 0).servers()).isEqualTo(before.servers());
     }
 
     private static Rig.Placed placedAt(Rig rig, int server) {
@@ -125,7 +125,7 @@
     @Test
     void whereAllAreRememberedAsBadItServesAndFindsOut() {
         Rig rig = rig(4);
-        rig.policy.recall(rig.now, bad(8000, 1, 2, 3, 4));
+        rig.policy.restore(rig.now, bad(8000, 1, 2, 3, 4));
         assertThat(firsts(rig, 1, 100)).isNotEmpty();
         assertThat(rig.answers()).as("nothing was turned away").isZero();
         rig.pass(8001);
@@ -148,7 +148,7 @@
                 r.now = 1e12;
                 r.change(Rig.member(fresh, EndpointState.READY, r.now - age));
             }
-            with.policy.recall(with.now, worst);
+            with.policy.restore(with.now, worst);
             for (int i = 1; i <= 100; i++) {
                 long key = random.nextLong();
                 with.read(i, key);
@@ -203,7 +203,7 @@
                     rig.change(Rig.member(id, EndpointState.READY, rig.now - 7900));
                 }
                 if (k == 1) {
-                    rig.policy.recall(
+                    rig.policy.restore(
                             rig.now,
                             new LearnedState(
                                     List.of(),
@@ -239,7 +239,7 @@
      */
     private static int refused(LearnedLoad fetches, int unanswered) {
         Rig rig = rig(4);
-        rig.policy.recall(
+        rig.policy.restore(
                 rig.now,
                 new LearnedState(
                         List.of(),
@@ -273,14 +273,14 @@
                     first);
             first.endAfter(first.last(), AttemptOutcome.OK, 5);
         }
-        LearnedState told = first.policy.knowledge(first.now, 10);
+        LearnedState told = first.policy.learnedState(first.now, 10);
         assertThat(told.hotKeys().keys()).first().satisfies(k -> {
             assertThat(k.key()).isEqualTo(99);
             assertThat(k.count()).isEqualTo(100);
         });
-        assertThat(first.policy.knowledge(first.now, 0).hotKeys().keys()).isEmpty();
+        assertThat(first.policy.learnedState(first.now, 0).hotKeys().keys()).isEmpty();
         Rig next = rig(8);
-        next.policy.recall(next.now, told);
+        next.policy.restore(next.now, told);
         Set<Integer> at = new HashSet<>();
         for (int i = 1; i <= 5; i++) {
             next.read(i, 99);
@@ -303,7 +303,7 @@
             rig.read(i, i / 6); // each hot for a moment, while few were asked for
             rig.endAfter(rig.last(), AttemptOutcome.OK, 5);
         }
-        assertThat(rig.policy.knowledge(rig.now, Integer.MAX_VALUE).hotKeys().keys())
+        assertThat(rig.policy.learnedState(rig.now, Integer.MAX_VALUE).hotKeys().keys())
                 .hasSizeLessThanOrEqualTo(256)
                 .isNotEmpty();
     }
@@ -312,8 +312,8 @@
     void theUsualPaceIsTakenOverByItsWeight() {
         LearnedLatency usual = new LearnedLatency(80, 3, 20, 4, 1);
         Rig rig = rig(4);
-        LearnedLatency own = rig.policy.knowledge(rig.now, 0).latency();
-        rig.policy.recall(
+        LearnedLatency own = rig.policy.learnedState(rig.now, 0).latency();
+        rig.policy.restore(
                 rig.now,
                 new LearnedState(
                         List.of(),
@@ -321,9 +321,9 @@
                         LearnedState.NONE.originLoad(),
                         LearnedState.NONE.serverLoad(),
                         LearnedState.NONE.hotKeys()));
-        assertThat(rig.policy.knowledge(rig.now, 0).latency()).isEqualTo(usual);
+        assertThat(rig.policy.learnedState(rig.now, 0).latency()).isEqualTo(usual);
         Rig half = rig(4);
-        half.policy.recall(
+        half.policy.restore(
                 half.now,
                 new LearnedState(
                         List.of(),
@@ -331,9 +331,9 @@
                         LearnedState.NONE.originLoad(),
                         LearnedState.NONE.serverLoad(),
                         LearnedState.NONE.hotKeys()));
-        assertThat(half.policy.knowledge(half.now, 0).latency().averageMs()).isEqualTo((own.averageMs() + 20) / 2);
+        assertThat(half.policy.learnedState(half.now, 0).latency().averageMs()).isEqualTo((own.averageMs() + 20) / 2);
         Rig none = rig(4);
-        none.policy.recall(none.now, LearnedState.NONE);
-        assertThat(none.policy.knowledge(none.now, 0).latency()).isEqualTo(own);
+        none.policy.restore(none.now, LearnedState.NONE);
+        assertThat(none.policy.learnedState(none.now, 0).latency()).isEqualTo(own);
     }
 }
--- a/src/test/java/cacheproxy/PolicySiblingsTest.java
+++ b/src/test/java/cacheproxy/PolicySiblingsTest.java
@@ -46,7 +46,7 @@
         PolicySettings s = Rig.withoutProbes(Rig.settings(true, false, copies, DeduplicationScope.ALL));
         Rig rig = new Rig(s, new RoutingPolicy(s, 42, CarpPlacement::new, AdmissionControl.UNLIMITED, siblings));
         rig.fleet(4);
-        rig.policy.onList(
+        rig.policy.onEndpointList(
                 rig.now,
                 EndpointListKind.CHANGES,
                 List.of(new Endpoint(SIBLING, 0, 0, 0, EndpointState.READY, 1, 0)),
@@ -77,14 +77,14 @@
     void aHitIsFetchedAndAnsweredAndTheOriginIsSpared() {
         Rig rig = rig(true);
         miss(rig, 1, 5);
-        rig.policy.onSibling(rig.now, 1, SIBLING, rig);
+        rig.policy.onSiblingResponse(rig.now, 1, SIBLING, rig);
         assertThat(rig.last().server()).isEqualTo(SIBLING);
         rig.endAfter(rig.last(), AttemptOutcome.OK, 4);
         rig.pass(2000);
         assertThat(rig.placed).hasSize(2).noneMatch(p -> p.server() == Rig.ORIGIN);
         assertThat(fetched).containsExactly(AttemptOutcome.OK);
         assertThat(rig.answers()).isZero();
-        assertThat(rig.policy.knowledge(rig.now, 0).servers()).isEmpty();
+        assertThat(rig.policy.learnedState(rig.now, 0).servers()).isEmpty();
     }
 
     @Test
@@ -93,17 +93,17 @@
         miss(rig, 1, 5);
         rig.pass(21);
         assertThat(rig.last().server()).isEqualTo(Rig.ORIGIN);
-        rig.policy.onSibling(rig.now, 1, SIBLING, rig); // too late
+        rig.policy.onSiblingResponse(rig.now, 1, SIBLING, rig); // too late
         assertThat(rig.last().server()).isEqualTo(Rig.ORIGIN);
         miss(rig, 2, 6);
-        rig.policy.onSibling(rig.now, 2, 0, rig);
+        rig.policy.onSiblingResponse(rig.now, 2, 0, rig);
         assertThat(rig.last()).satisfies(p -> assertThat(p.server()).isEqualTo(Rig.ORIGIN));
         rig.pass(100);
         assertThat(rig.placed.stream().filter(p -> p.request() == 2 && p.server() == Rig.ORIGIN))
                 .as("once")
                 .hasSize(1);
         miss(rig, 3, 7);
-        rig.policy.onSibling(rig.now, 3, 1, rig); // a server that is no sibling
+        rig.policy.onSiblingResponse(rig.now, 3, 1, rig); // a server that is no sibling
         assertThat(rig.last().server()).isEqualTo(Rig.ORIGIN);
     }
 
@@ -119,7 +119,7 @@
         }) {
             Rig rig = rig(true);
             miss(rig, 1, 5);
-            rig.policy.onSibling(rig.now, 1, SIBLING, rig);
+            rig.policy.onSiblingResponse(rig.now, 1, SIBLING, rig);
             rig.end(rig.last(), o);
             assertThat(rig.last().server()).as(o.name()).isEqualTo(Rig.ORIGIN);
             rig.endAfter(rig.last(), AttemptOutcome.OK, 10);
@@ -129,10 +129,10 @@
         }
         Rig rig = rig(true);
         miss(rig, 1, 5);
-        rig.policy.onSibling(rig.now, 1, SIBLING, rig);
+        rig.policy.onSiblingResponse(rig.now, 1, SIBLING, rig);
         rig.pass(300);
         assertThat(rig.last().server()).as("silent").isEqualTo(Rig.ORIGIN);
-        assertThat(rig.policy.knowledge(rig.now, 0).servers())
+        assertThat(rig.policy.learnedState(rig.now, 0).servers())
                 .as("nothing is held against it as a server")
                 .isEmpty();
     }
@@ -144,7 +144,7 @@
             miss(rig, i, 5);
         }
         assertThat(rig.asked).containsExactly(1);
-        rig.policy.onSibling(rig.now, 1, SIBLING, rig);
+        rig.policy.onSiblingResponse(rig.now, 1, SIBLING, rig);
         rig.endAfter(rig.last(), AttemptOutcome.OK, 4);
         assertThat(rig.placed.stream().filter(p -> p.server() == SIBLING).map(Rig.Placed::request))
                 .containsExactly(1, 2, 3, 4);
@@ -167,9 +167,9 @@
             miss(rig, 1, 5);
             miss(rig, 2, 5);
             if (atSibling) {
-                rig.policy.onSibling(rig.now, 1, SIBLING, rig);
+                rig.policy.onSiblingResponse(rig.now, 1, SIBLING, rig);
             }
-            rig.policy.onGone(rig.now, 1, rig);
+            rig.policy.onClientGone(rig.now, 1, rig);
             if (atSibling) {
                 rig.end(rig.last(), AttemptOutcome.RESET);
             }
@@ -247,7 +247,7 @@
                     }
                     case 4 -> {
                         if (n > 0) {
-                            rig.policy.onSibling(
+                            rig.policy.onSiblingResponse(
                                     rig.now, 1 + random.nextInt(n), random.nextBoolean() ? SIBLING : 0, rig);
                         }
                     }
--- a/src/test/java/cacheproxy/RandomRulesTest.java
+++ b/src/test/java/cacheproxy/RandomRulesTest.java
@@ -99,7 +99,7 @@
             for (int id = 1; id <= 10; id++) {
                 first.add(Rig.member(id, EndpointState.READY, 0));
             }
-            if (cfg.aside()) {
+            if (cfg.cacheAside()) {
                 first.add(Rig.member(Rig.ORIGIN, EndpointState.READY, 0));
             }
             send(EndpointListKind.CACHED, first);
@@ -113,7 +113,7 @@
                 list.put(m.id(), m);
                 everListed.add(m.id());
             });
-            policy.onList(now, kind, members, this);
+            policy.onEndpointList(now, kind, members, this);
         }
 
         void play(int steps) {
@@ -133,7 +133,7 @@
                         }
                     }
                     case 5 ->
-                        policy.onProbed(
+                        policy.onProbeResult(
                                 now,
                                 1 + random.nextInt(12),
                                 random.nextBoolean() ? AttemptOutcome.OK : AttemptOutcome.TIMEOUT,
@@ -161,7 +161,7 @@
             }
             live.removeIf(h -> h.over && h.out() == 0);
             for (Held h : live) {
-                assertThat(h.over || now <= h.request.dueMs() + cfg.answerGraceMs())
+                assertThat(h.over || now <= h.request.deadlineMs() + cfg.responseGraceMs())
                         .as("request %d answered by its due time", h.request.id())
                         .isTrue();
             }
@@ -190,8 +190,8 @@
         private void listNews() {
             int id = 1 + random.nextInt(12);
             int roll = random.nextInt(6);
-            if (roll == 0 && cfg.askForList()) {
-                policy.onList(now, EndpointListKind.FAILED, List.of(), this);
+            if (roll == 0 && cfg.pollsDiscovery()) {
+                policy.onEndpointList(now, EndpointListKind.FAILED, List.of(), this);
             } else if (roll == 1) {
                 send(
                         EndpointListKind.FULL,
@@ -202,7 +202,7 @@
                 send(
                         EndpointListKind.CHANGES,
                         List.of(Rig.member(
-                                cfg.aside() && roll == 2 ? Rig.ORIGIN : id,
+                                cfg.cacheAside() && roll == 2 ? Rig.ORIGIN : id,
                                 EndpointState.values()[random.nextInt(3)],
                                 random.nextBoolean() ? 0 : now)));
             }
@@ -212,7 +212,7 @@
             if (!live.isEmpty()) {
                 Held h = live.get(random.nextInt(live.size()));
                 h.over = true;
-                policy.onGone(now, h.request.id(), this);
+                policy.onClientGone(now, h.request.id(), this);
             }
         }
 
@@ -247,7 +247,7 @@
         }
 
         @Override
-        public void place(int request, int server, double timeoutMs) {
+        public void sendAttempt(int request, int server, double timeoutMs) {
             Held h = held.get(request);
             String what = "request " + request + " to " + server;
             assertThat(h.over).as(what + " after its end").isFalse();
@@ -256,16 +256,16 @@
             assertThat(list.get(server).state()).as(what).isEqualTo(EndpointState.READY);
             assertThat(h.servers.size()).as(what + ": attempts").isLessThan(cfg.maxAttempts());
             assertThat(timeoutMs).as(what).isNotNegative();
-            assertThat(h.out() == 0 || cfg.secondCopies())
+            assertThat(h.out() == 0 || cfg.hedgingAllowed())
                     .as(what + " together with another")
                     .isTrue();
             int maybe = h.maybeRan();
             if (maybe >= 0) {
-                assertThat(h.kind.effect()).as(what + " again").isNotEqualTo(Idempotency.UNSAFE);
-                if (h.kind.effect() == Idempotency.KEYED) {
-                    assertThat(now).as(what).isLessThan(h.sentAt.get(maybe) + h.kind.windowMs());
+                assertThat(h.kind.idempotency()).as(what + " again").isNotEqualTo(Idempotency.NON_IDEMPOTENT);
+                if (h.kind.idempotency() == Idempotency.DEDUPLICATED) {
+                    assertThat(now).as(what).isLessThan(h.sentAt.get(maybe) + h.kind.deduplicationWindowMs());
                     int first = h.servers.get(maybe);
-                    boolean same = switch (h.kind.group()) {
+                    boolean same = switch (h.kind.deduplicationScope()) {
                         case ALL -> true;
                         case ZONE -> first % 2 == server % 2;
                         case CELL -> first / 4 == server / 4;
@@ -292,10 +292,10 @@
         }
 
         @Override
-        public void deny(int request, double retryAfterMs) {
+        public void reject(int request, double retryAfterMs) {
             Held h = held.get(request);
             if (h.maybeRan() >= 0) {
-                assertThat(h.kind.effect()).as("refusal of %d", request).isEqualTo(Idempotency.SAFE);
+                assertThat(h.kind.idempotency()).as("refusal of %d", request).isEqualTo(Idempotency.IDEMPOTENT);
             }
             answer(request);
             orders.add("deny " + request);
@@ -308,7 +308,7 @@
         }
 
         @Override
-        public void cancel(int request, int attempt) {
+        public void cancelAttempt(int request, int attempt) {
             assertThat(attempt).isLessThan(held.get(request).servers.size());
             orders.add("cancel " + request + " " + attempt);
         }
@@ -320,29 +320,29 @@
         }
 
         @Override
-        public void probe(int server) {
-            assertThat(cfg.mayProbe()).isTrue();
+        public void probeServer(int server) {
+            assertThat(cfg.probingAllowed()).isTrue();
             assertThat(everListed).contains(server);
             orders.add("probe " + server);
         }
 
         @Override
-        public void closeIdle(int server) {
+        public void closeIdleConnections(int server) {
             assertThat(everListed).contains(server);
         }
 
         @Override
-        public void tell(int peer, byte[] message) {
-            assertThat(cfg.peers()).isTrue();
+        public void sendToPeer(int peer, byte[] message) {
+            assertThat(cfg.peerMessagesAllowed()).isTrue();
         }
 
         @Override
-        public void watch(boolean on) {
+        public void watchEndpointList(boolean on) {
             orders.add("watch");
         }
 
         @Override
-        public void fetchList() {
+        public void fetchEndpointList() {
             orders.add("fetch");
         }
 
--- a/src/test/java/cacheproxy/Rig.java
+++ b/src/test/java/cacheproxy/Rig.java
@@ -73,9 +73,10 @@
     private static PolicySettings settings(
             boolean aside, boolean ask, boolean copies, DeduplicationScope group, List<Tenant> tenants) {
         List<ServiceClass> classes = List.of(
-                new ServiceClass("read", Idempotency.SAFE, DeduplicationScope.ALL, 0, 300, 1000, 1, 0.2, false),
-                new ServiceClass("save", Idempotency.KEYED, group, 400, 300, 1000, 1, 0.2, false),
-                new ServiceClass("pay", Idempotency.UNSAFE, DeduplicationScope.ALL, 0, 300, 1000, 1, 0.2, false));
+                new ServiceClass("read", Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 300, 1000, 1, 0.2, false),
+                new ServiceClass("save", Idempotency.DEDUPLICATED, group, 400, 300, 1000, 1, 0.2, false),
+                new ServiceClass(
+                        "pay", Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, 300, 1000, 1, 0.2, false));
         return new PolicySettings(
                 0,
                 4,
@@ -113,35 +114,35 @@
     /** The same, where servers may not be probed. */
     public static PolicySettings withoutProbes(PolicySettings s) {
         return new PolicySettings(
-                s.instanceNumber(),
-                s.instances(),
+                s.instanceIndex(),
+                s.instanceCount(),
                 s.zone(),
-                s.zones(),
-                s.kinds(),
-                s.askForList(),
-                s.aside(),
+                s.zoneCount(),
+                s.kindCount(),
+                s.pollsDiscovery(),
+                s.cacheAside(),
                 s.originKind(),
-                s.reports(),
-                s.reportNames(),
-                s.worthByWork(),
-                s.overShareWorth(),
-                s.mayCancel(),
+                s.loadReportSource(),
+                s.loadReportFields(),
+                s.valueByWork(),
+                s.overQuotaValueFraction(),
+                s.cancellationAllowed(),
                 false,
-                s.peers(),
-                s.secondCopies(),
-                s.retryAdvice(),
+                s.peerMessagesAllowed(),
+                s.hedgingAllowed(),
+                s.retryAfterAllowed(),
                 s.maxAttempts(),
                 s.maxRetryAfterMs(),
                 s.connectTimeoutMs(),
                 s.drainGraceMs(),
-                s.answerGraceMs(),
-                s.startCapacity(),
+                s.responseGraceMs(),
+                s.initialCapacityFraction(),
                 s.warmUpMs(),
-                s.tipMultiple(),
-                s.fallMs(),
-                s.askWithinMs(),
-                s.originFallMultiple(),
-                s.originFallMs(),
+                s.collapseLoadMultiple(),
+                s.collapseAfterMs(),
+                s.maxPollAgeMs(),
+                s.originCollapseLoadMultiple(),
+                s.originCollapseAfterMs(),
                 s.classes(),
                 s.tenants());
     }
@@ -162,12 +163,12 @@
         for (int id = 1; id <= n; id++) {
             list.add(member(id, EndpointState.READY, 0));
         }
-        policy.onList(now, EndpointListKind.CACHED, list, this);
+        policy.onEndpointList(now, EndpointListKind.CACHED, list, this);
         return this;
     }
 
     public void change(Endpoint... members) {
-        policy.onList(now, EndpointListKind.CHANGES, List.of(members), this);
+        policy.onEndpointList(now, EndpointListKind.CHANGES, List.of(members), this);
     }
 
     public void read(int id, long key) {
@@ -222,14 +223,14 @@
     }
 
     @Override
-    public void place(int request, int server, double timeoutMs) {
+    public void sendAttempt(int request, int server, double timeoutMs) {
         int a = attempts.merge(request, 1, Integer::sum) - 1;
         placed.add(new Placed(request, a, server, timeoutMs));
         orders.add("place " + request + " " + server + " " + timeoutMs);
     }
 
     @Override
-    public void deny(int request, double retryAfterMs) {
+    public void reject(int request, double retryAfterMs) {
         denied.add(request);
         waits.add(retryAfterMs);
         orders.add("deny " + request);
@@ -242,7 +243,7 @@
     }
 
     @Override
-    public void cancel(int request, int attempt) {
+    public void cancelAttempt(int request, int attempt) {
         cancelled.add(request + "/" + attempt);
         orders.add("cancel " + request + "/" + attempt);
     }
@@ -254,35 +255,35 @@
     }
 
     @Override
-    public void ask(int request, double waitMs) {
+    public void querySiblings(int request, double waitMs) {
         asked.add(request);
         orders.add("ask " + request + " " + waitMs);
     }
 
     @Override
-    public void probe(int server) {
+    public void probeServer(int server) {
         probed.add(server);
         orders.add("probe " + server);
     }
 
     @Override
-    public void closeIdle(int server) {
+    public void closeIdleConnections(int server) {
         orders.add("close " + server);
     }
 
     @Override
-    public void tell(int peer, byte[] message) {
+    public void sendToPeer(int peer, byte[] message) {
         orders.add("tell " + peer);
     }
 
     @Override
-    public void watch(boolean on) {
+    public void watchEndpointList(boolean on) {
         watches++;
         orders.add("watch " + on);
     }
 
     @Override
-    public void fetchList() {
+    public void fetchEndpointList() {
         orders.add("fetch list");
     }
 
--- a/src/test/java/cacheproxy/hooks/HookRulesTest.java
+++ b/src/test/java/cacheproxy/hooks/HookRulesTest.java
@@ -17,9 +17,9 @@
 
     private final HookRules rules = new HookRules(
             List.of(
-                    kind("safe", Idempotency.SAFE),
-                    kind("keyed", Idempotency.KEYED),
-                    kind("unsafe", Idempotency.UNSAFE)),
+                    kind("safe", Idempotency.IDEMPOTENT),
+                    kind("keyed", Idempotency.DEDUPLICATED),
+                    kind("unsafe", Idempotency.NON_IDEMPOTENT)),
             List.of("red"),
             Set.of("r"));
 
--- a/src/test/java/cacheproxy/nginx/importer/ImporterTest.java
+++ b/src/test/java/cacheproxy/nginx/importer/ImporterTest.java
@@ -178,8 +178,8 @@
         DaemonConfig f = file(r);
         assertThat(f.classes()
                         .get(f.classIndex(f.listeners().get(0).writeClass()))
-                        .effect())
-                .isEqualTo(cacheproxy.policy.Idempotency.UNSAFE);
+                        .idempotency())
+                .isEqualTo(cacheproxy.policy.Idempotency.NON_IDEMPOTENT);
     }
 
     @SuppressWarnings("StringConcatToTextBlock") // one line of the text a line of the source
--- a/src/test/java/cacheproxy/policy/RoutingPolicyTest.java
+++ b/src/test/java/cacheproxy/policy/RoutingPolicyTest.java
@@ -48,7 +48,7 @@
         for (int id = 30; id >= 1; id--) {
             list.add(Rig.member(id, EndpointState.READY, 0));
         }
-        down.policy.onList(down.now, EndpointListKind.FULL, list, down);
+        down.policy.onEndpointList(down.now, EndpointListKind.FULL, list, down);
         for (int k = 1; k < 200; k++) {
             up.read(k, k);
             down.read(k, k);
@@ -132,9 +132,9 @@
         Rig rig = Rig.aside().fleet(5);
         rig.read(1, 7);
         Rig.Placed first = rig.last();
-        rig.policy.onGone(rig.now, 1, rig);
+        rig.policy.onClientGone(rig.now, 1, rig);
         int orders = rig.orders.size();
-        rig.policy.onGone(rig.now, 1, rig);
+        rig.policy.onClientGone(rig.now, 1, rig);
         rig.end(first, AttemptOutcome.TIMEOUT, true, 0);
         rig.end(first, AttemptOutcome.TIMEOUT, true, 0);
         rig.policy.onTimer(rig.now, 123456, rig);
@@ -145,7 +145,7 @@
     @Test
     void anEmptyListIsAnsweredAtOnce() {
         Rig rig = Rig.aside();
-        rig.policy.onList(rig.now, EndpointListKind.CACHED, List.of(), rig);
+        rig.policy.onEndpointList(rig.now, EndpointListKind.CACHED, List.of(), rig);
         rig.read(1, 7);
         rig.write(2, Rig.UNSAFE);
         assertThat(rig.denied).containsExactly(1, 2);
@@ -154,7 +154,7 @@
     @Test
     void zeroWeightsShareEqually() {
         Rig rig = Rig.aside();
-        rig.policy.onList(
+        rig.policy.onEndpointList(
                 rig.now,
                 EndpointListKind.FULL,
                 List.of(
@@ -488,7 +488,7 @@
         assertThat(rig.watches).isZero();
         rig.pass(5000);
         assertThat(rig.watches).isEqualTo(1);
-        rig.policy.onList(rig.now, EndpointListKind.FAILED, List.of(), rig);
+        rig.policy.onEndpointList(rig.now, EndpointListKind.FAILED, List.of(), rig);
         assertThat(rig.watches).isEqualTo(1);
         rig.pass(5000);
         assertThat(rig.watches).isEqualTo(2);
@@ -608,7 +608,7 @@
         rig.read(2, key);
         assertThat(rig.last().server()).isNotEqualTo(2);
         assertThat(rig.probed).containsExactly(2);
-        rig.policy.onProbed(rig.now, 2, AttemptOutcome.OK, 3, null, rig);
+        rig.policy.onProbeResult(rig.now, 2, AttemptOutcome.OK, 3, null, rig);
         rig.read(3, key);
         assertThat(rig.last().server()).isEqualTo(2);
     }
--- a/src/test/java/cacheproxy/routes/FallbackTest.java
+++ b/src/test/java/cacheproxy/routes/FallbackTest.java
@@ -11,7 +11,15 @@
 class FallbackTest {
     private static ServiceClass kind(Idempotency effect) {
         return new ServiceClass(
-                "c", effect, DeduplicationScope.ALL, effect == Idempotency.KEYED ? 1500 : 0, 250, 1000, 1, 0.3, false);
+                "c",
+                effect,
+                DeduplicationScope.ALL,
+                effect == Idempotency.DEDUPLICATED ? 1500 : 0,
+                250,
+                1000,
+                1,
+                0.3,
+                false);
     }
 
     @Test
@@ -24,34 +32,34 @@
 
     @Test
     void whatMayHaveRunGoesOnOnlyIfItIsSafeOrItsRepeatIsDropped() {
-        assertThat(Fallback.mayGoOn(kind(Idempotency.SAFE), true, null, null, 5000, 0))
+        assertThat(Fallback.mayGoOn(kind(Idempotency.IDEMPOTENT), true, null, null, 5000, 0))
                 .isTrue();
-        assertThat(Fallback.mayGoOn(kind(Idempotency.UNSAFE), true, "g", "g", 0, 0))
+        assertThat(Fallback.mayGoOn(kind(Idempotency.NON_IDEMPOTENT), true, "g", "g", 0, 0))
                 .isFalse();
-        assertThat(Fallback.mayGoOn(kind(Idempotency.KEYED), true, "g", "g", 1499, 0))
+        assertThat(Fallback.mayGoOn(kind(Idempotency.DEDUPLICATED), true, "g", "g", 1499, 0))
                 .isTrue();
-        assertThat(Fallback.mayGoOn(kind(Idempotency.KEYED), true, "g", "g", 1500, 0))
+        assertThat(Fallback.mayGoOn(kind(Idempotency.DEDUPLICATED), true, "g", "g", 1500, 0))
                 .isFalse();
-        assertThat(Fallback.mayGoOn(kind(Idempotency.KEYED), true, "g", "h", 1, 0))
+        assertThat(Fallback.mayGoOn(kind(Idempotency.DEDUPLICATED), true, "g", "h", 1, 0))
                 .isFalse();
-        assertThat(Fallback.mayGoOn(kind(Idempotency.KEYED), true, null, null, 1, 0))
+        assertThat(Fallback.mayGoOn(kind(Idempotency.DEDUPLICATED), true, null, null, 1, 0))
                 .isFalse();
-        assertThat(Fallback.mayRefuse(kind(Idempotency.SAFE), true)).isTrue();
-        assertThat(Fallback.mayRefuse(kind(Idempotency.KEYED), true)).isFalse();
-        assertThat(Fallback.mayRefuse(kind(Idempotency.UNSAFE), true)).isFalse();
+        assertThat(Fallback.mayRefuse(kind(Idempotency.IDEMPOTENT), true)).isTrue();
+        assertThat(Fallback.mayRefuse(kind(Idempotency.DEDUPLICATED), true)).isFalse();
+        assertThat(Fallback.mayRefuse(kind(Idempotency.NON_IDEMPOTENT), true)).isFalse();
     }
 
     @Test
     void aSafeRequestLeavesTimeForTheNextPoolAndOthersKeepTheirs() {
-        assertThat(Fallback.dueMs(kind(Idempotency.SAFE), false, false, 100, 0, 1000))
+        assertThat(Fallback.dueMs(kind(Idempotency.IDEMPOTENT), false, false, 100, 0, 1000))
                 .isEqualTo(550);
-        assertThat(Fallback.dueMs(kind(Idempotency.SAFE), true, true, 100, 0, 1000))
+        assertThat(Fallback.dueMs(kind(Idempotency.IDEMPOTENT), true, true, 100, 0, 1000))
                 .isEqualTo(1000);
-        assertThat(Fallback.dueMs(kind(Idempotency.UNSAFE), false, false, 100, 0, 1000))
+        assertThat(Fallback.dueMs(kind(Idempotency.NON_IDEMPOTENT), false, false, 100, 0, 1000))
                 .isEqualTo(1000);
-        assertThat(Fallback.dueMs(kind(Idempotency.KEYED), false, false, 100, 0, 3000))
+        assertThat(Fallback.dueMs(kind(Idempotency.DEDUPLICATED), false, false, 100, 0, 3000))
                 .isEqualTo(3000);
-        assertThat(Fallback.dueMs(kind(Idempotency.KEYED), true, true, 100, 0, 3000))
+        assertThat(Fallback.dueMs(kind(Idempotency.DEDUPLICATED), true, true, 100, 0, 3000))
                 .isEqualTo(1500);
     }
 }
--- a/src/test/java/cacheproxy/simulator/ReplyEncoderGoldenBytesTest.java
+++ b/src/test/java/cacheproxy/simulator/ReplyEncoderGoldenBytesTest.java
@@ -37,22 +37,22 @@
         ReplyEncoder frame = new ReplyEncoder();
         frame.begin();
         frame.actAs(3);
-        frame.place(0x5d3a91c4, 0xf211902c, 1500.25);
-        frame.deny(0x5d3a91c4, 20.5);
+        frame.sendAttempt(0x5d3a91c4, 0xf211902c, 1500.25);
+        frame.reject(0x5d3a91c4, 20.5);
         frame.fail(0x5d3a91c4);
-        frame.cancel(0x5d3a91c4, 2);
+        frame.cancelAttempt(0x5d3a91c4, 2);
         frame.setTimer(20.5, 0x80000009);
         frame.actAs(0xffff);
-        frame.probe(0xf211902c);
-        frame.closeIdle(0xf211902c);
-        frame.tell(-1, new byte[] {0x56, 0, -1});
-        frame.tell(2, new byte[0]);
+        frame.probeServer(0xf211902c);
+        frame.closeIdleConnections(0xf211902c);
+        frame.sendToPeer(-1, new byte[] {0x56, 0, -1});
+        frame.sendToPeer(2, new byte[0]);
         frame.log("g\u00e9 pa");
         frame.fault("a class is wrong");
         frame.actAs(3);
-        frame.watch(true);
-        frame.watch(false);
-        frame.fetchList();
+        frame.watchEndpointList(true);
+        frame.watchEndpointList(false);
+        frame.fetchEndpointList();
         assertThat(written(frame, 0x01020304)).isEqualTo(HexBytes.parse(EACH_RECORD));
     }
 
@@ -62,7 +62,7 @@
         ReplyEncoder frame = new ReplyEncoder();
         frame.begin();
         frame.actAs(-1);
-        frame.place(-1, -1, Double.NaN);
+        frame.sendAttempt(-1, -1, Double.NaN);
         frame.log("x");
         written(frame, -1);
         frame.begin();
