--- a/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
@@ -84,7 +84,7 @@
             return new Source(
                     config.discovery(),
                     config.initialHosts(),
-                    config.settings().askForList(),
+                    config.settings().pollsDiscovery(),
                     config.zones(),
                     config.kinds());
         }
@@ -133,14 +133,15 @@
         this.core = core;
         loop = core.loop();
         PolicySettings settings = pool.settings();
-        double within = settings.askWithinMs();
-        double spread = Math.min(within * LONGEST_DELAY, settings.instances() * settings.connectTimeoutMs());
-        double place = (double) settings.instanceNumber() / Math.max(1, settings.instances());
+        double within = settings.maxPollAgeMs();
+        double spread = Math.min(within * LONGEST_DELAY, settings.instanceCount() * settings.connectTimeoutMs());
+        double place = (double) settings.instanceIndex() / Math.max(1, settings.instanceCount());
         doubt = new SilentWatchDetector(within * NOTICE, within * QUICK, spread * place);
         newsMs = within * NEWS * place;
         this.source = source;
         this.pool = pool;
-        freshness = new DiscoveryPollScheduler(source.ask(), settings.instances(), new SplittableRandom(pool.seed()));
+        freshness =
+                new DiscoveryPollScheduler(source.ask(), settings.instanceCount(), new SplittableRandom(pool.seed()));
         freshness.setLongPolling(core.now(), closely());
         address = source.address();
     }
@@ -345,7 +346,7 @@
     private void tellNews() {
         byte[] message = closed ? null : news.takeMessage(version);
         if (message != null) {
-            pool.tell(-1, message);
+            pool.sendToPeer(-1, message);
         }
     }
 
--- a/src/main/java/cacheproxy/proxy/dispatch/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/Dispatcher.java
@@ -143,7 +143,7 @@
 
         /** The platform's one pool. Servers accept some forty connections each, for all proxies together. */
         public static Pool of(PlatformConfig config) {
-            int proxies = Math.max(1, config.settings().instances());
+            int proxies = Math.max(1, config.settings().instanceCount());
             return new Pool(
                     config.settings(),
                     config.seed(),
@@ -165,7 +165,7 @@
         this.pool = pool;
         settings = pool.settings();
         sendGuard = new SendGuard(settings.drainGraceMs());
-        protocol = new PoolProtocol(pool.stockServers(), settings.reports(), settings.reportNames());
+        protocol = new PoolProtocol(pool.stockServers(), settings.loadReportSource(), settings.loadReportFields());
     }
 
     /** Starts the module; discovery and peers come to be used from here on. */
@@ -202,7 +202,7 @@
 
     /** Whether siblings may be told that a server has a value. */
     public boolean sound(int server) {
-        return module.sound(core.now(), server);
+        return module.isHealthy(core.now(), server);
     }
 
     /** Whether some cache server is sound, or there is none. */
@@ -221,12 +221,12 @@
 
     /** Whether there is more to do than is done in time. */
     public boolean pressed() {
-        return module.pressed(core.now());
+        return module.isOverloaded(core.now());
     }
 
     /** What the module has learned, with at most so many hot keys. */
     public LearnedState knowledge(int mostKeys) {
-        return module.knowledge(core.now(), mostKeys);
+        return module.learnedState(core.now(), mostKeys);
     }
 
     /** Where a server stands; null: it is not on the list. */
@@ -252,8 +252,8 @@
     /** Answers every request that has no answer and none on its way: the process is to end before its deadline. */
     public void answerAll() {
         for (RequestContext x : List.copyOf(exchanges.values())) {
-            boolean harmless =
-                    settings.classes().get(x.command.serviceClass).effect() == Idempotency.SAFE || !x.mayHaveRun();
+            boolean harmless = settings.classes().get(x.command.serviceClass).idempotency() == Idempotency.IDEMPOTENT
+                    || !x.mayHaveRun();
             finish(x, harmless ? 0 : Double.NaN);
         }
     }
@@ -262,8 +262,8 @@
         return protocol;
     }
 
-    boolean secondCopies() {
-        return settings.secondCopies();
+    boolean hedgingAllowed() {
+        return settings.hedgingAllowed();
     }
 
     @Override
@@ -339,12 +339,12 @@
             if (core.events.isEnabled()
                     && (u == null
                             || u.state != h.member().state()
-                            || u.bornMs != h.member().bornMs())) {
+                            || u.bornMs != h.member().startedMs())) {
                 core.events
                         .line(ProxyEvent.SERVER_LISTED)
                         .with("server", Integer.toHexString(id) + "@" + h.dial())
                         .with("state", h.member().state())
-                        .with("born_ms", (long) h.member().bornMs())
+                        .with("born_ms", (long) h.member().startedMs())
                         .with("list", kind)
                         .write();
             }
@@ -352,7 +352,7 @@
                 forget(id);
                 continue;
             }
-            boolean origin = settings.aside() && h.member().kind() == settings.originKind();
+            boolean origin = settings.cacheAside() && h.member().kind() == settings.originKind();
             if (u != null && !u.dial.equals(h.dial())) {
                 forget(id);
                 u = null;
@@ -361,10 +361,10 @@
                 u = core.servers.hold(id, origin, h.dial(), pool.connections());
                 upstreams.put(id, u);
             }
-            if (u.bornMs != h.member().bornMs()) {
+            if (u.bornMs != h.member().startedMs()) {
                 u.retire();
             }
-            u.bornMs = h.member().bornMs();
+            u.bornMs = h.member().startedMs();
             u.state = h.member().state();
             u.leftMs = u.state == EndpointState.READY ? Double.POSITIVE_INFINITY : Math.min(u.leftMs, core.now());
         }
@@ -377,7 +377,7 @@
                 }
             }
         }
-        tell(() -> module.onList(
+        tell(() -> module.onEndpointList(
                 core.now(),
                 kind,
                 hosts.stream().map(DiscoveryClient.Host::member).toList(),
@@ -385,7 +385,7 @@
         if (recollections != null && listed()) {
             Recollections from = recollections;
             recollections = null;
-            tell(() -> module.recall(core.now(), from.of(core.now(), hosts)));
+            tell(() -> module.restore(core.now(), from.of(core.now(), hosts)));
         }
     }
 
@@ -398,7 +398,7 @@
     }
 
     public void heard(int peer, byte[] message) {
-        tell(() -> module.onPeer(core.now(), peer, message, this));
+        tell(() -> module.onPeerMessage(core.now(), peer, message, this));
     }
 
     /** Takes a request; it will be answered once. */
@@ -470,7 +470,7 @@
                     .with("in_flight", x.out)
                     .write();
         }
-        tell(() -> module.onGone(core.now(), x.id, this));
+        tell(() -> module.onClientGone(core.now(), x.id, this));
         for (RequestAttempt a : x.attempts) {
             if (a.hasEnded() || a.connection() == null) {
                 continue;
@@ -615,7 +615,7 @@
         tell(() -> module.onFirstByte(core.now(), x.id, a.index(), a.server(), this));
         for (RequestAttempt other : x.attempts) {
             if (other != a) {
-                cancel(x.id, other.index());
+                cancelAttempt(x.id, other.index());
             }
         }
         return true;
@@ -646,12 +646,12 @@
         if (Double.isNaN(retryAfterMs)) {
             logAnswer(x, "failed");
             x.responder.failed();
-        } else if (x.missed && !settings.aside()) {
+        } else if (x.missed && !settings.cacheAside()) {
             logAnswer(x, "missed");
             x.responder.miss();
         } else {
             logAnswer(x, "refused");
-            x.responder.busy(retryAfterMs >= 1 && settings.retryAdvice() ? retryAfterMs : 0);
+            x.responder.busy(retryAfterMs >= 1 && settings.retryAfterAllowed() ? retryAfterMs : 0);
         }
         free(x);
     }
@@ -669,7 +669,7 @@
     // ---- the module's orders
 
     @Override
-    public void place(int request, int server, double timeoutMs) {
+    public void sendAttempt(int request, int server, double timeoutMs) {
         RequestContext x = exchanges.get(request);
         if (x == null || x.over) {
             log("order for a request that is over");
@@ -701,12 +701,13 @@
      */
     private void boundRepeat(RequestContext x, RequestAttempt a) {
         ServiceClass kind = settings.classes().get(x.command.serviceClass);
-        if (kind.effect() != Idempotency.KEYED) {
+        if (kind.idempotency() != Idempotency.DEDUPLICATED) {
             return;
         }
         for (RequestAttempt earlier : x.attempts) {
             if (earlier != a && earlier.hasBegun()) {
-                a.beginByMs = Math.min(a.beginByMs, SendGuard.retryUntilMs(earlier.startedMs(), kind.windowMs()));
+                a.beginByMs = Math.min(
+                        a.beginByMs, SendGuard.retryUntilMs(earlier.startedMs(), kind.deduplicationWindowMs()));
             }
         }
         if (a.beginByMs < a.timeoutAtMs()) {
@@ -739,7 +740,7 @@
     }
 
     Idempotency effect(RequestContext x) {
-        return settings.classes().get(x.command.serviceClass).effect();
+        return settings.classes().get(x.command.serviceClass).idempotency();
     }
 
     /** Ends an attempt that has not begun; one that has goes on. */
@@ -751,7 +752,7 @@
     }
 
     @Override
-    public void deny(int request, double retryAfterMs) {
+    public void reject(int request, double retryAfterMs) {
         RequestContext x = exchanges.get(request);
         if (x != null) {
             finish(x, retryAfterMs);
@@ -767,7 +768,7 @@
     }
 
     @Override
-    public void cancel(int request, int attempt) {
+    public void cancelAttempt(int request, int attempt) {
         RequestContext x = exchanges.get(request);
         RequestAttempt a = x == null || attempt >= x.attempts.size() ? null : x.attempts.get(attempt);
         if (a == null || a.hasEnded() || a.firstByteMs != 0) {
@@ -780,13 +781,14 @@
     }
 
     @Override
-    public void ask(int request, double waitMs) {
+    public void querySiblings(int request, double waitMs) {
         RequestContext x = exchanges.get(request);
         if (x != null) {
             questions.ask(
                     x.command.key,
                     waitMs,
-                    sibling -> tell(() -> guard(x, () -> module.onSibling(core.now(), request, sibling, this))));
+                    sibling ->
+                            tell(() -> guard(x, () -> module.onSiblingResponse(core.now(), request, sibling, this))));
         }
     }
 
@@ -796,7 +798,7 @@
     }
 
     @Override
-    public void probe(int server) {
+    public void probeServer(int server) {
         if (probes == null || !probes.take(server)) {
             probe(server, null);
         }
@@ -827,18 +829,18 @@
         if (probe.asked != null) {
             probe.asked.accept(outcome);
         } else {
-            tell(() -> module.onProbed(core.now(), probe.server(), outcome, elapsedMs, report, this));
+            tell(() -> module.onProbeResult(core.now(), probe.server(), outcome, elapsedMs, report, this));
         }
     }
 
     /** The end of a test that others have taken over. */
     public void probed(int server, boolean sound) {
-        tell(() ->
-                module.onProbed(core.now(), server, sound ? AttemptOutcome.OK : AttemptOutcome.TIMEOUT, 0, null, this));
+        tell(() -> module.onProbeResult(
+                core.now(), server, sound ? AttemptOutcome.OK : AttemptOutcome.TIMEOUT, 0, null, this));
     }
 
     @Override
-    public void closeIdle(int server) {
+    public void closeIdleConnections(int server) {
         Upstream u = upstreams.get(server);
         if (u != null) {
             u.closeIdle(Double.MAX_VALUE);
@@ -846,19 +848,19 @@
     }
 
     @Override
-    public void tell(int peer, byte[] message) {
+    public void sendToPeer(int peer, byte[] message) {
         if (peers != null) {
             peers.send(peer, message);
         }
     }
 
     @Override
-    public void watch(boolean on) {
+    public void watchEndpointList(boolean on) {
         discovery.watch(on);
     }
 
     @Override
-    public void fetchList() {
+    public void fetchEndpointList() {
         discovery.fetch();
     }
 
--- a/src/main/java/cacheproxy/proxy/dispatch/HealthProbe.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/HealthProbe.java
@@ -39,7 +39,7 @@
 
     @Override
     public boolean hedgingAllowed() {
-        return dispatcher.secondCopies();
+        return dispatcher.hedgingAllowed();
     }
 
     @Override
