--- a/src/main/java/cacheproxy/daemon/ProcessBudget.java
+++ b/src/main/java/cacheproxy/daemon/ProcessBudget.java
@@ -19,6 +19,7 @@
     /** An eighth of the memory is for clients' values. */
     private static final int VALUE_MEMORY_DIVISOR = 8;
 
+    /** Divides what the process may use. */
     static ProcessBudget of(ProcessLimitsConfig limits) {
         int serverSockets = limits.sockets() / SERVER_SOCKETS_DIVISOR;
         int clientSockets = Math.max(MIN_CLIENT_SOCKETS, limits.sockets() - serverSockets - OWN_DESCRIPTORS);
