--- a/src/main/java/cacheproxy/bench/SiblingBench.java
+++ b/src/main/java/cacheproxy/bench/SiblingBench.java
@@ -180,7 +180,7 @@
         CacheDigest digest = new CacheDigest(1 << 16, 60_000, 100);
         Map<Long, Integer> map = new HashMap<>();
         for (int i = 0; i < 60_000; i++) {
-            digest.answered(1e12, i * 0x9E37L, i % 100);
+            digest.add(1e12, i * 0x9E37L, i % 100);
             map.put(i * 0x9E37L, i % 100);
         }
         out.printf("%-34s %22s %12s%n", "on one thread", "ns", "garbage B");
@@ -197,9 +197,9 @@
                 throw new IllegalStateException(e);
             }
         });
-        time("digest asked", i -> digest.holds(1e12, (i & 65_535) * 0x9E37L) ? 1 : 0);
+        time("digest asked", i -> digest.contains(1e12, (i & 65_535) * 0x9E37L) ? 1 : 0);
         time("digest told", i -> {
-            digest.answered(1e12 + i, (i & 65_535) * 0x9E37L, i & 63);
+            digest.add(1e12 + i, (i & 65_535) * 0x9E37L, i & 63);
             return 1;
         });
         time("a hash map asked", i -> map.getOrDefault((i & 65_535) * 0x9E37L, 0));
--- a/src/main/java/cacheproxy/daemon/IcpResponder.java
+++ b/src/main/java/cacheproxy/daemon/IcpResponder.java
@@ -49,7 +49,7 @@
     /** The opcode of the answer to a query; empty if it gets none. */
     Optional<Opcode> answer(InetSocketAddress from, IcpMessage query) {
         boolean denied = !isSibling.test(from);
-        if (!denials.answer(from, denied)) {
+        if (!denials.shouldAnswer(from, denied)) {
             return Optional.empty();
         }
         if (denied) {
@@ -84,10 +84,10 @@
             return Opcode.MISS_NOFETCH;
         }
         long number = RequestValidator.keyNumber(poolKey);
-        if (!digest.holds(core.now(), number)) {
+        if (!digest.contains(core.now(), number)) {
             return Opcode.MISS;
         }
-        int server = digest.server(number);
+        int server = digest.serverOf(number);
         return pool.hasServer(server) && pool.dispatcher.sound(server) ? Opcode.HIT : Opcode.MISS;
     }
 }
--- a/src/main/java/cacheproxy/daemon/PoolSiblings.java
+++ b/src/main/java/cacheproxy/daemon/PoolSiblings.java
@@ -55,7 +55,7 @@
         if (outcome == AttemptOutcome.CANCELLED || outcome == AttemptOutcome.NOT_SENT) {
             return; // no evidence about the sibling
         }
-        stats.get(indexById.get(sibling)).fetched(outcome == AttemptOutcome.OK);
+        stats.get(indexById.get(sibling)).recordFetch(outcome == AttemptOutcome.OK);
         if (outcome == AttemptOutcome.OK) {
             averageFetchMs += (elapsedMs - averageFetchMs) / 8;
         }
--- a/src/main/java/cacheproxy/daemon/SiblingSocket.java
+++ b/src/main/java/cacheproxy/daemon/SiblingSocket.java
@@ -14,6 +14,8 @@
 import cacheproxy.proxy.upstream.EventLoopContext;
 import cacheproxy.siblings.CacheDigest;
 import cacheproxy.siblings.PendingQueries;
+import cacheproxy.siblings.PendingQuery;
+import cacheproxy.siblings.ReplyVerdict;
 import cacheproxy.siblings.SiblingStats;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
@@ -151,20 +153,20 @@
     /** A server of ours has answered a read of a key. */
     void read(String key, int server, boolean has) {
         if (has) {
-            digest.answered(core.now(), RequestValidator.keyNumber(key), server);
+            digest.add(core.now(), RequestValidator.keyNumber(key), server);
         } else {
-            digest.gone(RequestValidator.keyNumber(key));
+            digest.remove(RequestValidator.keyNumber(key));
         }
     }
 
     /** A key has been written, so that what was remembered of it is void. */
     void written(String key) {
-        digest.gone(RequestValidator.keyNumber(key));
+        digest.remove(RequestValidator.keyNumber(key));
     }
 
     @Override
     public void serverRestarted(int server) {
-        digest.restarted(server);
+        digest.removeServer(server);
     }
 
     /** Sends a query; where a bound is reached nothing is sent, and the policy goes on when its wait is over. */
@@ -176,36 +178,37 @@
             return;
         }
         String url = spec.icp().urlPrefix() + key;
-        PendingQueries<InetSocketAddress>.Question pending = pendingQueries.ask(
+        PendingQuery<InetSocketAddress> pending = pendingQueries.open(
                 nowMs, url, queried.stream().map(SiblingConfig::icpAddress).toList(), waitMs);
         if (pending == null) {
             return;
         }
-        callbacks.put(pending.number, answer);
+        callbacks.put(pending.number(), answer);
         core.after(waitMs, () -> {
-            pending.end();
-            callbacks.remove(pending.number);
+            pending.close();
+            callbacks.remove(pending.number());
         });
         for (SiblingConfig sibling : queried) {
-            stats(sibling).asked(nowMs);
+            stats(sibling).recordQuery(nowMs);
             channel.write(new DatagramPacket(
-                    IcpCodec.encode(channel.alloc(), IcpMessage.query(pending.number, 0, url)), sibling.icpAddress()));
+                    IcpCodec.encode(channel.alloc(), IcpMessage.query(pending.number(), 0, url)),
+                    sibling.icpAddress()));
         }
         channel.flush();
     }
 
     private void answered(InetSocketAddress from, IcpMessage message) {
         boolean hit = message.opcode() == Opcode.HIT || message.opcode() == Opcode.HIT_OBJ;
-        PendingQueries.Reply<PendingQueries<InetSocketAddress>.Question> reply =
-                pendingQueries.answered(core.now(), message.requestNumber(), from, message.url(), hit);
+        PendingQueries.Reply reply =
+                pendingQueries.matchReply(core.now(), message.requestNumber(), from, message.url(), hit);
         switch (reply.verdict()) {
-            case FIRST_HIT, COUNTED, LAST, LATE -> stats(byAddress.get(from)).answered(reply.elapsedMs(), hit);
+            case FIRST_HIT, MISS, ALL_MISSED, LATE -> stats(byAddress.get(from)).recordReply(reply.elapsedMs(), hit);
             default -> {
                 return; // counted, but it belongs to no pending query
             }
         }
-        boolean last = reply.verdict() == PendingQueries.Verdict.LAST;
-        if (last || reply.verdict() == PendingQueries.Verdict.FIRST_HIT) {
+        boolean last = reply.verdict() == ReplyVerdict.ALL_MISSED;
+        if (last || reply.verdict() == ReplyVerdict.FIRST_HIT) {
             IntConsumer answer = callbacks.remove(message.requestNumber());
             if (answer != null) {
                 answer.accept(last ? 0 : byAddress.get(from).id());
@@ -265,7 +268,7 @@
      * Datagrams that claimed to be answers, by verdict. Without a caller until log lines report them: see
      * docs/ROADMAP.md, "Next, in this order", item 1.
      */
-    long count(PendingQueries.Verdict verdict) {
+    long count(ReplyVerdict verdict) {
         return pendingQueries.count(verdict);
     }
 }
--- a/src/main/java/cacheproxy/siblings/CacheDigest.java
+++ b/src/main/java/cacheproxy/siblings/CacheDigest.java
@@ -3,149 +3,192 @@
 import java.util.Arrays;
 
 /**
- * The keys that our servers lately answered, so that a sibling's question can be answered though nothing is kept here.
- * A fixed number of places in buckets of eight: a key has one bucket, and where that is full the one longest not seen
- * makes room. An entry holds for a time and for the process of the server that it names; a restart voids all of a
- * server's at once by its epoch. Nothing is allocated after the start. It may forget a key; it never invents one, but
- * for two keys of one 64-bit number. Free of clocks; times in milliseconds. One thread's.
+ * A bounded digest of the keys that this proxy's servers have answered lately, from which the queries of siblings are
+ * answered.
+ *
+ * <p>The digest is a set-associative table: a key belongs to one bucket of {@value #BUCKET_SIZE} entries, and where the
+ * bucket is full the entry that was refreshed longest ago is replaced. An entry is valid for a fixed time and for the
+ * incarnation of the server that it names: {@link #removeServer} invalidates all entries of a server by advancing that
+ * server's epoch. The digest may omit a key; it reports a key that was not added only if two keys share their 64-bit
+ * hash.
+ *
+ * <p>Allocates nothing after construction, reads no clock and is confined to one thread.
  */
 public final class CacheDigest {
-    private static final int WAYS = 8;
-    private static final int MOST_SERVERS = 1 << 16;
-    /** What one step of an entry's time stands for. */
+    /** Entries of one bucket. */
+    private static final int BUCKET_SIZE = 8;
+
+    private static final int MAX_CAPACITY = 1 << 24;
+    private static final int MAX_SERVERS = (1 << 16) - 1;
+    private static final double MAX_VALIDITY_MS = 365 * 86_400_000.0;
+    /** Resolution of the times in entries. */
     private static final double TICK_MS = 100;
 
+    private static final int EPOCH_SHIFT = 32;
+    private static final int SLOT_SHIFT = 48;
+    private static final long EMPTY = 0;
+
     private final long[] keys;
-    /** Server's slot (16), its epoch (16), tick of being seen (32); 0 is an empty place. */
-    private final long[] facts;
+    /** By entry: the server's slot (16 bits), the server's epoch (16), the tick of the last refresh (32). */
+    private final long[] entries;
+
+    private final int bucketMask;
+    private final double validityTicks;
+    /**
+     * Ids of the known servers by slot, from slot 1 on; slot 0 stays unused, so that no entry equals {@link #EMPTY}.
+     */
+    private final int[] serverIds;
 
-    private final int mask;
-    private final double holdsTicks;
-    private final int[] servers;
     private final short[] epochs;
-    private int known;
+    private int knownServers;
 
     /**
-     * @param places keys at most, a power of two from 8 to 2^24; 16 octets each
-     * @param holdsMs for how long an answer speaks for the next; up to a year
-     * @param servers servers at most, 1 to 65,535; those beyond are not noted
+     * Creates an empty digest.
+     *
+     * @param capacity number of entries, a power of two from 8 to 2^24; each takes 16 octets
+     * @param validityMs for how long an entry is valid after it was added, above 0 and up to a year
+     * @param maxServers number of servers, 1 to 65,535; keys of further servers are not added
+     * @throws IllegalArgumentException if an argument is out of its range
      */
-    public CacheDigest(int places, double holdsMs, int servers) {
-        if (places < WAYS
-                || places > 1 << 24
-                || Integer.bitCount(places) != 1
-                || !(holdsMs > 0 && holdsMs <= 365 * 86_400_000.0)
-                || servers < 1
-                || servers >= MOST_SERVERS) {
-            throw new IllegalArgumentException(places + " places, " + holdsMs + " ms, " + servers + " servers");
+    public CacheDigest(int capacity, double validityMs, int maxServers) {
+        boolean capacityInRange =
+                capacity >= BUCKET_SIZE && capacity <= MAX_CAPACITY && Integer.bitCount(capacity) == 1;
+        boolean validityInRange = validityMs > 0 && validityMs <= MAX_VALIDITY_MS;
+        boolean serversInRange = maxServers >= 1 && maxServers <= MAX_SERVERS;
+        if (!capacityInRange || !validityInRange || !serversInRange) {
+            throw new IllegalArgumentException(
+                    capacity + " entries, " + validityMs + " ms, " + maxServers + " servers");
         }
-        keys = new long[places];
-        facts = new long[places];
-        mask = places / WAYS - 1;
-        holdsTicks = holdsMs / TICK_MS;
-        this.servers = new int[servers + 1];
-        epochs = new short[servers + 1];
+        keys = new long[capacity];
+        entries = new long[capacity];
+        bucketMask = capacity / BUCKET_SIZE - 1;
+        validityTicks = validityMs / TICK_MS;
+        serverIds = new int[maxServers + 1];
+        epochs = new short[maxServers + 1];
     }
 
-    private int bucket(long key) {
-        long h = key * 0x9E3779B97F4A7C15L;
-        return (int) (h >>> 40 & mask) * WAYS;
+    /** Adds or refreshes a key for which a server has just returned a value. */
+    public void add(double nowMs, long key, int serverId) {
+        int slot = slotOrNew(serverId);
+        if (slot == 0) {
+            return;
+        }
+        int tick = tick(nowMs);
+        int index = indexToWrite(key, tick);
+        keys[index] = key;
+        entries[index] = (long) slot << SLOT_SHIFT | (epochs[slot] & 0xFFFFL) << EPOCH_SHIFT | (tick & 0xFFFFFFFFL);
     }
 
-    private static int tick(double now) {
-        return (int) (long) (now / TICK_MS); // wraps in 13 years; compared by difference
+    /** Removes a key whose value is gone or may have changed: after a write, a miss or a sibling's invalidation. */
+    public void remove(long key) {
+        int index = find(key, bucketStart(key));
+        if (index >= 0) {
+            entries[index] = EMPTY;
+        }
     }
 
-    /** A server's slot from 1 on; 0: it has none. */
-    private int slot(int server, boolean add) {
-        for (int i = 1; i <= known; i++) {
-            if (servers[i] == server) {
-                return i;
-            }
-        }
-        if (!add || known == servers.length - 1) {
-            return 0;
+    /** Removes all keys of a server that has restarted or left. */
+    public void removeServer(int serverId) {
+        int slot = slot(serverId);
+        if (slot > 0 && ++epochs[slot] == 0) {
+            epochs[slot] = 1;
+            clearEntriesOf(slot); // the epoch has wrapped: old entries would become valid again
         }
-        servers[++known] = server;
-        epochs[known] = 1;
-        return known;
     }
 
-    private int find(long key, int bucket) {
-        for (int i = bucket; i < bucket + WAYS; i++) {
-            if (facts[i] != 0 && keys[i] == key) {
-                return i;
-            }
-        }
-        return -1;
+    /** Removes all keys. */
+    public void clear() {
+        Arrays.fill(entries, EMPTY);
     }
 
-    /** A server has answered with this key's value. */
-    public void answered(double now, long key, int server) {
-        int slot = slot(server, true);
-        if (slot == 0) {
-            return;
+    /** Whether a server is known to hold this key; {@link #serverOf} returns which one. */
+    public boolean contains(double nowMs, long key) {
+        int index = find(key, bucketStart(key));
+        if (index < 0) {
+            return false;
         }
-        int bucket = bucket(key);
-        int tick = tick(now);
-        int at = find(key, bucket);
-        for (int i = bucket; at < 0 && i < bucket + WAYS; i++) {
-            at = facts[i] == 0 ? i : -1;
+        if (!isValid(entries[index], tick(nowMs))) {
+            entries[index] = EMPTY;
+            return false;
         }
-        if (at < 0) {
-            at = bucket;
-            for (int i = bucket + 1; i < bucket + WAYS; i++) {
-                if (tick - (int) facts[i] > tick - (int) facts[at]) {
-                    at = i;
-                }
+        return true;
+    }
+
+    /** The id of the server that returned this key's value last. Only for a key that the digest contains. */
+    public int serverOf(long key) {
+        return serverIds[slotOf(entries[find(key, bucketStart(key))])];
+    }
+
+    private boolean isValid(long entry, int nowTick) {
+        return (short) (entry >>> EPOCH_SHIFT) == epochs[slotOf(entry)] && nowTick - (int) entry <= validityTicks;
+    }
+
+    private static int slotOf(long entry) {
+        return (int) (entry >>> SLOT_SHIFT);
+    }
+
+    private int bucketStart(long key) {
+        long hash = key * 0x9E3779B97F4A7C15L;
+        return (int) (hash >>> 40 & bucketMask) * BUCKET_SIZE;
+    }
+
+    private static int tick(double nowMs) {
+        return (int) (long) (nowMs / TICK_MS); // wraps in 13 years; ticks are compared by their difference
+    }
+
+    private int slot(int serverId) {
+        for (int i = 1; i <= knownServers; i++) {
+            if (serverIds[i] == serverId) {
+                return i;
             }
         }
-        keys[at] = key;
-        facts[at] = (long) slot << 48 | (epochs[slot] & 0xFFFFL) << 32 | (tick & 0xFFFFFFFFL);
+        return 0;
     }
 
-    /** The key is not there any more, or may be another: a write, a miss, a word from a sibling. */
-    public void gone(long key) {
-        int at = find(key, bucket(key));
-        if (at >= 0) {
-            facts[at] = 0;
+    /** The slot of a server, a new one if it has none; 0 where all are taken. */
+    private int slotOrNew(int serverId) {
+        int known = slot(serverId);
+        if (known > 0 || knownServers == serverIds.length - 1) {
+            return known;
         }
+        serverIds[++knownServers] = serverId;
+        epochs[knownServers] = 1;
+        return knownServers;
     }
 
-    /** All that a server had is gone: it has restarted or left. */
-    public void restarted(int server) {
-        int slot = slot(server, false);
-        if (slot > 0 && ++epochs[slot] == 0) {
-            epochs[slot] = 1;
-            for (int i = 0; i < facts.length; i++) { // an epoch comes again after 65,535 restarts
-                if (facts[i] >>> 48 == slot) {
-                    facts[i] = 0;
-                }
+    private int find(long key, int bucketStart) {
+        for (int i = bucketStart; i < bucketStart + BUCKET_SIZE; i++) {
+            if (entries[i] != EMPTY && keys[i] == key) {
+                return i;
             }
         }
+        return -1;
     }
 
-    /** Forgets all. */
-    public void clear() {
-        Arrays.fill(facts, 0);
-    }
-
-    /** Whether a server is said to hold this key now; {@link #server} tells which. */
-    public boolean holds(double now, long key) {
-        int at = find(key, bucket(key));
-        if (at < 0) {
-            return false;
+    /** Where to write a key: its own entry, else the first empty one of its bucket, else the oldest. */
+    private int indexToWrite(long key, int nowTick) {
+        int start = bucketStart(key);
+        int own = find(key, start);
+        if (own >= 0) {
+            return own;
         }
-        int slot = (int) (facts[at] >>> 48);
-        if ((short) (facts[at] >>> 32) != epochs[slot] || tick(now) - (int) facts[at] > holdsTicks) {
-            facts[at] = 0;
-            return false;
+        int oldest = start;
+        for (int i = start; i < start + BUCKET_SIZE; i++) {
+            if (entries[i] == EMPTY) {
+                return i;
+            }
+            if (nowTick - (int) entries[i] > nowTick - (int) entries[oldest]) {
+                oldest = i;
+            }
         }
-        return true;
+        return oldest;
     }
 
-    /** Of a key that is held: the server that answered last. */
-    public int server(long key) {
-        return servers[(int) (facts[find(key, bucket(key))] >>> 48)];
+    private void clearEntriesOf(int slot) {
+        for (int i = 0; i < entries.length; i++) {
+            if (slotOf(entries[i]) == slot) {
+                entries[i] = EMPTY;
+            }
+        }
     }
 }
--- a/src/main/java/cacheproxy/siblings/DenialLimiter.java
+++ b/src/main/java/cacheproxy/siblings/DenialLimiter.java
@@ -4,38 +4,60 @@
 import java.util.Map;
 
 /**
- * When to stop telling somebody that he is denied. One whose questions are nearly all denied gains nothing from hearing
- * it, and an answer to a forged address is an attack on whom it belongs to: RFC 2187 has Squid's figures, which are
- * taken over. Bounded: those longest not heard from are forgotten. Pure.
+ * Decides whether a denied query is answered at all. A client whose queries are nearly all denied gains nothing from
+ * the answers, and an answer to a forged address attacks the owner of that address. The thresholds are those that RFC
+ * 2187 gives for Squid. Bounded: the addresses that have been silent longest are forgotten. Reads no clock.
  *
- * @param <A> an address
+ * @param <A> the type of an address
  */
 public final class DenialLimiter<A> {
-    static final int LEAST_QUESTIONS = 150;
-    static final double DENIED_SHARE = 0.95;
-    private final Map<A, int[]> counts;
+    /** Fewer queries of an address are always answered. */
+    static final int MIN_QUERIES = 150;
+    /** From this share of denied queries on, denials are no longer sent. */
+    private static final double MAX_DENIED_SHARE = 0.95;
+    /** At this count an address's counts are halved, so that old queries lose their weight. */
+    private static final int MAX_COUNT = 1 << 20;
 
-    /** @param most addresses kept in mind */
-    public DenialLimiter(int most) {
-        counts = new LinkedHashMap<>(16, 0.75f, true) {
+    private final Map<A, QueryCounts> countsByAddress;
+
+    private static final class QueryCounts {
+        private int queries;
+        private int denied;
+
+        void add(boolean isDenied) {
+            if (queries >= MAX_COUNT) {
+                queries >>= 1;
+                denied >>= 1;
+            }
+            queries++;
+            denied += isDenied ? 1 : 0;
+        }
+
+        boolean isMostlyDenied() {
+            return queries >= MIN_QUERIES && denied >= MAX_DENIED_SHARE * queries;
+        }
+    }
+
+    /**
+     * Creates a limiter that knows no address.
+     *
+     * @param maxAddresses number of addresses whose counts are kept
+     */
+    public DenialLimiter(int maxAddresses) {
+        countsByAddress = new LinkedHashMap<>(16, 0.75f, true) {
             private static final long serialVersionUID = 1L;
 
             @Override
-            protected boolean removeEldestEntry(Map.Entry<A, int[]> eldest) {
-                return size() > most;
+            protected boolean removeEldestEntry(Map.Entry<A, QueryCounts> eldest) {
+                return size() > maxAddresses;
             }
         };
     }
 
-    /** Notes a question and whether it was denied; true if it is to be answered. */
-    public boolean answer(A from, boolean denied) {
-        int[] c = counts.computeIfAbsent(from, a -> new int[2]);
-        if (c[0] >= 1 << 20) { // old ones fade, or a reformed client would stay unheard
-            c[0] >>= 1;
-            c[1] >>= 1;
-        }
-        c[0]++;
-        c[1] += denied ? 1 : 0;
-        return !denied || c[0] < LEAST_QUESTIONS || c[1] < DENIED_SHARE * c[0];
+    /** Counts a query and returns whether it is to be answered; a query that is not denied always is. */
+    public boolean shouldAnswer(A from, boolean denied) {
+        QueryCounts counts = countsByAddress.computeIfAbsent(from, address -> new QueryCounts());
+        counts.add(denied);
+        return !denied || !counts.isMostlyDenied();
     }
 }
--- a/src/main/java/cacheproxy/siblings/PendingQueries.java
+++ b/src/main/java/cacheproxy/siblings/PendingQueries.java
@@ -5,140 +5,84 @@
 import java.util.Map;
 
 /**
- * Questions that are out, and which of the datagrams that come back answer one: of the right number, from an address
- * that was asked, about the same key, once from each, in time. Everything else is counted by what is wrong with it and
- * changes nothing. Pure; times in milliseconds.
+ * The queries that await replies, and the check which of the datagrams that arrive is a reply to one: it has the number
+ * of a known query, comes from an address that was queried, is about the same key, is the first from there, and is in
+ * time. All other datagrams are counted by {@link ReplyVerdict} and change nothing. Reads no clock; confined to one
+ * thread.
  *
- * @param <A> an address
+ * @param <A> the type of an address
  */
 public final class PendingQueries<A> {
-    /** What became of a datagram that claims to be an answer. */
-    public enum Verdict {
-        FIRST_HIT,
-        COUNTED,
-        LAST,
-        LATE,
-        DOUBLE,
-        NOT_ASKED,
-        NO_QUESTION,
-        OTHER_KEY
-    }
-
-    private final int most;
-    private final double keepMs;
-    private final Map<Integer, Question> open = new LinkedHashMap<>();
-    private final Map<Verdict, Long> counts = new EnumMap<>(Verdict.class);
-    private int next;
+    private final int maxQueries;
+    private final double retentionMs;
+    private final Map<Integer, PendingQuery<A>> queryByNumber = new LinkedHashMap<>();
+    private final Map<ReplyVerdict, Long> countByVerdict = new EnumMap<>(ReplyVerdict.class);
+    private int lastNumber;
 
     /**
-     * One question. Kept for a while after it is over, so that late answers can be told from forged ones and measured.
+     * What a datagram that claims to be a reply was found to be.
+     *
+     * @param elapsedMs since the query was sent; NaN where the number is that of no known query
      */
-    public final class Question {
-        public final int number;
-        public final String key;
-        final Map<A, Boolean> waiting = new LinkedHashMap<>();
-        final double askedMs;
-        final double untilMs;
-        private boolean over;
-        private int left;
-
-        Question(int number, String key, Iterable<A> asked, double now, double waitMs) {
-            this.number = number;
-            this.key = key;
-            asked.forEach(a -> waiting.put(a, true));
-            left = waiting.size();
-            askedMs = now;
-            untilMs = now + waitMs;
-        }
-
-        /** No answer counts from now on. */
-        public void end() {
-            over = true;
-        }
-
-        public boolean isOver() {
-            return over;
-        }
-    }
+    public record Reply(ReplyVerdict verdict, double elapsedMs) {}
 
     /**
-     * What is made of an answer.
+     * Creates an empty table.
      *
-     * @param question null where there is none
-     * @param elapsedMs since it was asked; NaN where there is none
+     * @param maxQueries number of queries that are known at once
+     * @param retentionMs for how long a query is known after its deadline
+     * @param firstNumber a random number, so that the numbers after a start can't be guessed
      */
-    public record Reply<Q>(Verdict verdict, Q question, double elapsedMs) {}
+    public PendingQueries(int maxQueries, double retentionMs, int firstNumber) {
+        this.maxQueries = maxQueries;
+        this.retentionMs = retentionMs;
+        lastNumber = firstNumber;
+    }
 
     /**
-     * @param most questions at once; where there are as many none is asked
-     * @param keepMs how long a question is known after its time
-     * @param first the first number, by chance, so that numbers can't be guessed from a start
+     * Opens a query.
+     *
+     * @param waitMs for how long replies are in time
+     * @return the query; null where as many as allowed are known already
      */
-    public PendingQueries(int most, double keepMs, int first) {
-        this.most = most;
-        this.keepMs = keepMs;
-        next = first;
-    }
-
-    /** Opens a question; null where there are too many. */
-    public Question ask(double now, String key, Iterable<A> asked, double waitMs) {
-        open.values().removeIf(q -> now > q.untilMs + keepMs);
-        if (open.size() >= most) {
+    public PendingQuery<A> open(double nowMs, String key, Iterable<A> queried, double waitMs) {
+        queryByNumber.values().removeIf(query -> isForgotten(query, nowMs));
+        if (queryByNumber.size() >= maxQueries) {
             return null;
         }
         do {
-            next++;
-        } while (open.containsKey(next));
-        Question q = new Question(next, key, asked, now, waitMs);
-        open.put(q.number, q);
-        return q;
+            lastNumber++;
+        } while (queryByNumber.containsKey(lastNumber));
+        PendingQuery<A> query = new PendingQuery<>(lastNumber, key, queried, nowMs, waitMs);
+        queryByNumber.put(lastNumber, query);
+        return query;
     }
 
-    /** An answer has come. {@code key} null: the protocol does not repeat it. */
-    public Reply<Question> answered(double now, int number, A from, String key, boolean hit) {
-        Question q = open.get(number);
-        Verdict v = verdict(now, q, from, key, hit);
-        counts.merge(v, 1L, Long::sum);
-        return new Reply<>(v, q, q == null ? Double.NaN : now - q.askedMs);
+    /**
+     * Matches a datagram that claims to be a reply with its query.
+     *
+     * @param key null where the protocol does not repeat the key in replies
+     */
+    public Reply matchReply(double nowMs, int number, A from, String key, boolean hit) {
+        PendingQuery<A> query = queryByNumber.get(number);
+        ReplyVerdict verdict = query == null || isForgotten(query, nowMs)
+                ? ReplyVerdict.UNKNOWN_QUERY
+                : query.accept(nowMs, from, key, hit);
+        countByVerdict.merge(verdict, 1L, Long::sum);
+        return new Reply(verdict, query == null ? Double.NaN : nowMs - query.sentMs());
     }
 
-    private Verdict verdict(double now, Question q, A from, String key, boolean hit) {
-        if (q == null || now > q.untilMs + keepMs) {
-            return Verdict.NO_QUESTION;
-        }
-        Boolean waits = q.waiting.get(from);
-        if (waits == null) {
-            return Verdict.NOT_ASKED;
-        }
-        if (key != null && !key.equals(q.key)) {
-            return Verdict.OTHER_KEY;
-        }
-        if (!waits) {
-            return Verdict.DOUBLE;
-        }
-        q.waiting.put(from, false);
-        q.left--;
-        if (q.over || now > q.untilMs) {
-            return Verdict.LATE;
-        }
-        if (hit) {
-            q.end();
-            return Verdict.FIRST_HIT;
-        }
-        if (q.left == 0) {
-            q.end();
-            return Verdict.LAST;
-        }
-        return Verdict.COUNTED;
+    private boolean isForgotten(PendingQuery<A> query, double nowMs) {
+        return nowMs > query.deadlineMs() + retentionMs;
     }
 
-    /** How many of each have come. */
-    public long count(Verdict v) {
-        return counts.getOrDefault(v, 0L);
+    /** The number of datagrams with this verdict so far. */
+    public long count(ReplyVerdict verdict) {
+        return countByVerdict.getOrDefault(verdict, 0L);
     }
 
-    /** Questions that are known. */
+    /** The number of queries that are known, closed ones included. */
     public int size() {
-        return open.size();
+        return queryByNumber.size();
     }
 }
--- a/src/main/java/cacheproxy/siblings/ReplayGuard.java
+++ b/src/main/java/cacheproxy/siblings/ReplayGuard.java
@@ -1,47 +1,64 @@
 package cacheproxy.siblings;
 
 import java.nio.ByteBuffer;
-import java.util.HashMap;
-import java.util.Map;
+import java.util.Comparator;
+import java.util.HashSet;
 import java.util.PriorityQueue;
+import java.util.Set;
 
 /**
- * Signed messages that were taken already: each signature counts once until it expires, after which its own time window
- * keeps it out (RFC 2756). Bounded; when it is full nothing is forgotten early, as that would let a replay in: nothing
- * new is taken until some have expired. Pure; times in seconds of Unix time.
+ * Accepts each signed message once (RFC 2756): remembers signatures until they expire, after which the message's own
+ * validity period keeps it out. Bounded: when it is full, nothing is forgotten early, as that would admit a replay; new
+ * messages are rejected until some signatures have expired. Reads no clock; confined to one thread.
+ *
+ * <p>Has no caller yet: receiving signed HTCP messages is on the roadmap.
  */
 public final class ReplayGuard {
-    private record Entry(long expires, ByteBuffer signature) {}
+    private record SeenSignature(long expiresAtSeconds, ByteBuffer signature) {}
 
-    private final int most;
-    private final long longest;
-    private final Map<ByteBuffer, Long> seen = new HashMap<>();
-    private final PriorityQueue<Entry> byExpiry = new PriorityQueue<>((a, b) -> Long.compare(a.expires, b.expires));
+    private final int maxSignatures;
+    private final long maxValiditySeconds;
+    private final Set<ByteBuffer> seen = new HashSet<>();
+    private final PriorityQueue<SeenSignature> byExpiry =
+            new PriorityQueue<>(Comparator.comparingLong(SeenSignature::expiresAtSeconds));
 
     /**
-     * @param most signatures kept
-     * @param longest seconds that a signature may hold; one that holds for longer is not taken, as it would stay for as
-     *     long
+     * Creates a guard that has seen nothing.
+     *
+     * @param maxSignatures number of signatures that are remembered at once
+     * @param maxValiditySeconds longest time until a signature expires; one that is valid for longer is rejected, as it
+     *     would be remembered for as long
      */
-    public ReplayGuard(int most, long longest) {
-        this.most = most;
-        this.longest = longest;
+    public ReplayGuard(int maxSignatures, long maxValiditySeconds) {
+        this.maxSignatures = maxSignatures;
+        this.maxValiditySeconds = maxValiditySeconds;
     }
 
-    /** Takes a message whose signature is known to be right; false: it was taken before, or can't be kept in mind. */
-    public boolean take(long now, byte[] signature, long expires) {
-        for (Entry e; (e = byExpiry.peek()) != null && e.expires < now; ) {
-            byExpiry.poll();
-            seen.remove(e.signature);
-        }
-        if (expires < now || expires - now > longest || seen.size() >= most) {
+    /**
+     * Accepts a message whose signature has been verified.
+     *
+     * @param nowSeconds the present time, in seconds of Unix time
+     * @param expiresAtSeconds the signature's last second, in Unix time
+     * @return false if the message has expired, was accepted before, or can't be remembered
+     */
+    public boolean accept(long nowSeconds, byte[] signature, long expiresAtSeconds) {
+        forgetExpired(nowSeconds);
+        if (expiresAtSeconds < nowSeconds
+                || expiresAtSeconds - nowSeconds > maxValiditySeconds
+                || seen.size() >= maxSignatures) {
             return false;
         }
         ByteBuffer key = ByteBuffer.wrap(signature.clone());
-        if (seen.putIfAbsent(key, expires) != null) {
+        if (!seen.add(key)) {
             return false;
         }
-        byExpiry.add(new Entry(expires, key));
+        byExpiry.add(new SeenSignature(expiresAtSeconds, key));
         return true;
     }
+
+    private void forgetExpired(long nowSeconds) {
+        while (!byExpiry.isEmpty() && byExpiry.peek().expiresAtSeconds < nowSeconds) {
+            seen.remove(byExpiry.poll().signature);
+        }
+    }
 }
--- a/src/main/java/cacheproxy/siblings/SiblingQueryPolicy.java
+++ b/src/main/java/cacheproxy/siblings/SiblingQueryPolicy.java
@@ -4,27 +4,28 @@
 import java.util.List;
 
 /**
- * Whether siblings are asked before the origin is, whom, and for how long their answers are waited for. A question
- * costs every request that misses the wait; it gains where a sibling has the value and the origin is slow, throttled or
- * gone. So it is asked where the expected gain is more than the expected cost, by what was measured, and now and then
- * where that is not known. Pure; times in milliseconds, chance comes in as a number.
+ * Decides whether siblings are queried before the origin, which ones, and how long their replies are awaited. A query
+ * delays every request that misses at the siblings; it saves time where a sibling has the value and the origin is slow,
+ * throttled or unreachable. Siblings are therefore queried where the expected saving exceeds the expected delay, by
+ * measured figures, and otherwise in a small share of cases, so that a change is noticed. Stateless; randomness is
+ * passed in.
  */
 public final class SiblingQueryPolicy {
-    /** At most this part of what is left of the aim is spent on waiting. */
-    static final double WAIT_SHARE = 0.25;
-    /** Siblings asked about one key. */
-    public static final int MOST_ASKED = 4;
-    /** Where asking does not pay one question in so many is asked all the same, so that a change shows. */
-    static final int EXPLORE = 50;
-    /** Under pressure a fetch at the origin that is avoided is worth as many as this at most. */
-    private static final double MOST_PRESSURE = 20;
+    /** The share of a request's remaining latency objective that may be spent on waiting for replies. */
+    static final double MAX_WAIT_SHARE = 0.25;
+    /** Number of siblings that are queried about one key. */
+    public static final int MAX_SIBLINGS_QUERIED = 4;
+    /** Where querying does not pay, one in so many queries is sent all the same. */
+    private static final int EXPLORATION_INTERVAL = 50;
+    /** Bounds the factor by which the origin's overload multiplies the saving. */
+    private static final double MAX_ORIGIN_PRESSURE = 20;
 
     private SiblingQueryPolicy() {}
 
     /**
      * What to do about one key.
      *
-     * @param siblings to ask, by their index; empty: none
+     * @param siblings whom to query, as indexes into the list that was passed; empty: nobody
      * @param waitMs how long to wait for the first hit
      */
     public record Plan(List<Integer> siblings, double waitMs) {
@@ -32,50 +33,57 @@
     }
 
     /**
-     * Decides.
+     * Plans the query about one key.
      *
-     * @param fetchMs what a fetch at the origin usually takes
-     * @param siblingMs what a fetch at a sibling usually takes
-     * @param leftMs until the request's aim
-     * @param pressure of the origin: asked for each answered in time, from 1
-     * @param chance 0 to 1, uniform
+     * @param siblings the measured figures of all siblings
+     * @param originFetchMs how long a fetch from the origin usually takes
+     * @param siblingFetchMs how long a fetch from a sibling usually takes
+     * @param remainingMs what is left of the request's latency objective
+     * @param originPressure requests sent to the origin for each that it answers in time, from 1
+     * @param randomDraw uniform, from 0 to below 1
      */
     public static Plan plan(
-            double now,
-            List<SiblingStats> records,
-            double fetchMs,
-            double siblingMs,
-            double leftMs,
-            double pressure,
-            double chance) {
-        double cap = leftMs * WAIT_SHARE;
-        if (!(cap > 0) || records.isEmpty()) {
+            double nowMs,
+            List<SiblingStats> siblings,
+            double originFetchMs,
+            double siblingFetchMs,
+            double remainingMs,
+            double originPressure,
+            double randomDraw) {
+        double maxWaitMs = remainingMs * MAX_WAIT_SHARE;
+        if (!(maxWaitMs > 0) || siblings.isEmpty()) {
             return Plan.NONE;
         }
-        List<Integer> able = new ArrayList<>();
-        for (int i = 0; i < records.size(); i++) {
-            SiblingStats r = records.get(i);
-            if (r.mayAsk(now) && r.patienceMs(cap) <= cap * 2) { // one that is always too late is asked by trials only
-                able.add(i);
-            }
-        }
-        able.sort(
-                (a, b) -> Double.compare(records.get(b).worth(), records.get(a).worth()));
-        List<Integer> whom = able.subList(0, Math.min(MOST_ASKED, able.size()));
-        if (whom.isEmpty()) {
+        List<Integer> queried = mostPromising(nowMs, siblings, maxWaitMs);
+        if (queried.isEmpty()) {
             return Plan.NONE;
         }
-        double wait = 0;
-        double miss = 1;
-        for (int i : whom) {
-            wait = Math.max(wait, Math.min(cap, records.get(i).patienceMs(cap)));
-            miss *= 1 - records.get(i).worth();
+        double waitMs = 0;
+        double missProbability = 1;
+        for (int i : queried) {
+            SiblingStats stats = siblings.get(i);
+            waitMs = Math.max(waitMs, Math.min(maxWaitMs, stats.replyTimeoutMs(maxWaitMs)));
+            missProbability *= 1 - stats.valueRate();
+        }
+        double savedMs = originFetchMs * Math.min(MAX_ORIGIN_PRESSURE, Math.max(1, originPressure)) - siblingFetchMs;
+        boolean pays = (1 - missProbability) * savedMs > missProbability * waitMs;
+        boolean valueArrivesInTime = waitMs + siblingFetchMs <= remainingMs;
+        boolean explores = randomDraw * EXPLORATION_INTERVAL < 1;
+        return valueArrivesInTime && (pays || explores) ? new Plan(List.copyOf(queried), waitMs) : Plan.NONE;
+    }
+
+    /** The eligible siblings that return a value most often, the best one first. */
+    private static List<Integer> mostPromising(double nowMs, List<SiblingStats> siblings, double maxWaitMs) {
+        List<Integer> eligible = new ArrayList<>();
+        for (int i = 0; i < siblings.size(); i++) {
+            SiblingStats stats = siblings.get(i);
+            boolean isTooSlow = stats.replyTimeoutMs(maxWaitMs) > maxWaitMs * 2;
+            if (stats.isEligible(nowMs) && !isTooSlow) {
+                eligible.add(i);
+            }
         }
-        double hit = 1 - miss;
-        double avoided = fetchMs * Math.min(MOST_PRESSURE, Math.max(1, pressure));
-        boolean pays = hit * (avoided - siblingMs) > miss * wait;
-        // What can't end in time needs no question: a sibling's value must still arrive.
-        boolean inTime = wait + siblingMs <= leftMs;
-        return inTime && (pays || chance * EXPLORE < 1) ? new Plan(List.copyOf(whom), wait) : Plan.NONE;
+        eligible.sort((left, right) -> Double.compare(
+                siblings.get(right).valueRate(), siblings.get(left).valueRate()));
+        return eligible.subList(0, Math.min(MAX_SIBLINGS_QUERIED, eligible.size()));
     }
 }
--- a/src/main/java/cacheproxy/siblings/SiblingStats.java
+++ b/src/main/java/cacheproxy/siblings/SiblingStats.java
@@ -1,83 +1,91 @@
 package cacheproxy.siblings;
 
 /**
- * What one sibling has been worth: how long its answers take, how often it answers, says hit, and keeps its word. All
- * of it fades, so that one that has changed is found out either way. Pure; times in milliseconds.
+ * Measured figures of one sibling: how long its replies take, how often it replies, how often it reports a hit, and how
+ * many of its hits were true. Old observations decay, so that a change in either direction is noticed. Reads no clock;
+ * confined to one thread.
  */
 public final class SiblingStats {
-    /** Halves in this many questions. */
-    private static final double MEMORY = 64;
+    /** Number of observations in which the weight of an older one halves. */
+    private static final double HALF_LIFE = 64;
 
-    private static final double GAIN = Math.pow(0.5, 1 / MEMORY);
-    /** Under this share of answers a sibling is only tried. */
-    private static final double LEAST_ANSWERS = 0.2;
-    /** Under this share of hits that were true a sibling is only tried. */
-    private static final double LEAST_TRUTH = 0.5;
-    /** A sibling that is only tried gets a question this often. */
-    static final double TRIAL_MS = 2000;
+    private static final double DECAY = Math.pow(0.5, 1 / HALF_LIFE);
+    /** A sibling that replies to a smaller share of queries is only probed. */
+    private static final double MIN_REPLY_RATE = 0.2;
+    /** A sibling with a smaller share of true hits is only probed. */
+    private static final double MIN_HIT_ACCURACY = 0.5;
+    /** Time between two queries to a sibling that is only probed. */
+    static final double PROBE_INTERVAL_MS = 2000;
 
-    private double asked = 1;
-    private double answered = 1;
-    /** A new one is given the benefit of the doubt, for some questions. */
+    /** Weights of the smoothed mean and deviation, and how many deviations above the mean count as a timeout. */
+    private static final double MEAN_WEIGHT = 1.0 / 8;
+
+    private static final double DEVIATION_WEIGHT = 1.0 / 4;
+    private static final double TIMEOUT_DEVIATIONS = 4;
+
+    private double queries = 1;
+    private double replies = 1;
+    /** Not 0 at first, so that a new sibling is queried. */
     private double hits = 0.5;
 
-    private double fetched = 1;
-    private double kept = 1;
-    private double timeMs;
+    private double fetches = 1;
+    private double valuesReceived = 1;
+    private double meanMs;
     private double deviationMs;
-    private boolean measured;
-    private double nextTrialMs = Double.NEGATIVE_INFINITY;
+    private boolean isMeasured;
+    private double nextProbeMs = Double.NEGATIVE_INFINITY;
 
-    /** It was asked. */
-    public void asked(double now) {
-        asked = asked * GAIN + 1;
-        answered *= GAIN;
-        hits *= GAIN;
-        nextTrialMs = now + TRIAL_MS;
+    /** Counts a query sent to the sibling. */
+    public void recordQuery(double nowMs) {
+        queries = queries * DECAY + 1;
+        replies *= DECAY;
+        hits *= DECAY;
+        nextProbeMs = nowMs + PROBE_INTERVAL_MS;
     }
 
-    /** It answered after so long, also where the answer came too late. Smoothed as RFC 6298 smooths round trips. */
-    public void answered(double elapsedMs, boolean hit) {
-        answered++;
+    /** Counts a reply, a late one too. Times are smoothed as RFC 6298 smooths round-trip times. */
+    public void recordReply(double elapsedMs, boolean hit) {
+        replies++;
         hits += hit ? 1 : 0;
-        if (!measured) {
-            measured = true;
-            timeMs = elapsedMs;
+        if (!isMeasured) {
+            isMeasured = true;
+            meanMs = elapsedMs;
             deviationMs = elapsedMs / 2;
             return;
         }
-        deviationMs += (Math.abs(elapsedMs - timeMs) - deviationMs) / 4;
-        timeMs += (elapsedMs - timeMs) / 8;
+        deviationMs += (Math.abs(elapsedMs - meanMs) - deviationMs) * DEVIATION_WEIGHT;
+        meanMs += (elapsedMs - meanMs) * MEAN_WEIGHT;
     }
 
-    /** A hit of its was fetched. {@code kept}: the value came. */
-    public void fetched(boolean wordKept) {
-        fetched = fetched * GAIN + 1;
-        kept = kept * GAIN + (wordKept ? 1 : 0);
+    /** Counts a fetch from the sibling after it reported a hit. */
+    public void recordFetch(boolean valueReceived) {
+        fetches = fetches * DECAY + 1;
+        valuesReceived = valuesReceived * DECAY + (valueReceived ? 1 : 0);
     }
 
-    /** How long an answer of its may take before it counts as lost; {@code unknownMs} while none has come. */
-    public double patienceMs(double unknownMs) {
-        return measured ? timeMs + 4 * deviationMs : unknownMs;
+    /** After how long a reply counts as lost; {@code defaultMs} while no reply has been measured. */
+    public double replyTimeoutMs(double defaultMs) {
+        return isMeasured ? meanMs + TIMEOUT_DEVIATIONS * deviationMs : defaultMs;
     }
 
-    /** The share of questions that it answers, 0 to 1. */
-    public double answers() {
-        return Math.min(1, answered / asked);
+    /** The share of queries to which the sibling replies, 0 to 1. */
+    public double replyRate() {
+        return Math.min(1, replies / queries);
     }
 
-    /** The share of questions that end with its value, 0 to 1. */
-    public double worth() {
-        return Math.min(1, hits / asked) * truth();
+    /** The share of queries that end with a value from the sibling, 0 to 1. */
+    public double valueRate() {
+        return Math.min(1, hits / queries) * hitAccuracy();
     }
 
-    /** The share of its hits that were true, 0 to 1. */
-    public double truth() {
-        return Math.min(1, kept / fetched);
+    /** The share of reported hits whose value the sibling then returned, 0 to 1. */
+    public double hitAccuracy() {
+        return Math.min(1, valuesReceived / fetches);
     }
 
-    /** Whether it is to be asked now: as a rule, or as a trial of one that is silent or lies. */
-    public boolean mayAsk(double now) {
-        return (answers() >= LEAST_ANSWERS && truth() >= LEAST_TRUTH) || now >= nextTrialMs;
+    /** Whether the sibling may be queried now: as a rule, or as a probe of one that is silent or inaccurate. */
+    public boolean isEligible(double nowMs) {
+        boolean isReliable = replyRate() >= MIN_REPLY_RATE && hitAccuracy() >= MIN_HIT_ACCURACY;
+        return isReliable || nowMs >= nextProbeMs;
     }
 }
--- a/src/main/java/cacheproxy/siblings/Siblings.java
+++ b/src/main/java/cacheproxy/siblings/Siblings.java
@@ -4,26 +4,11 @@
 import cacheproxy.policy.Endpoint;
 
 /**
- * What the decision module needs to know of sibling caches: who they are, whether asking them is worth the wait, what
- * came of it.
+ * The siblings of one pool as the routing policy sees them: which endpoints are siblings, whether querying them is
+ * worth the wait, and what came of a fetch. Called on the event loop of the policy.
  */
 public interface Siblings {
-    /** Whether this member is a sibling, which is no place for keys. */
-    boolean is(Endpoint member);
-
-    /**
-     * How long siblings' answers about one key are worth waiting for; 0: they are not to be asked.
-     *
-     * @param fetchMs what a fetch at the origin usually takes
-     * @param leftMs until the request's aim
-     * @param pressure of the origin, from 1
-     */
-    double waitMs(double now, double fetchMs, double leftMs, double pressure);
-
-    /** A value that a sibling has promised came, or did not. */
-    void fetched(double now, int sibling, AttemptOutcome outcome, double elapsedMs);
-
-    /** None. */
+    /** A pool without siblings. */
     Siblings NONE = new Siblings() {
         @Override
         public boolean is(Endpoint member) {
@@ -31,11 +16,26 @@
         }
 
         @Override
-        public double waitMs(double now, double fetchMs, double leftMs, double pressure) {
+        public double waitMs(double nowMs, double originFetchMs, double remainingMs, double originPressure) {
             return 0;
         }
 
         @Override
-        public void fetched(double now, int sibling, AttemptOutcome outcome, double elapsedMs) {}
+        public void fetched(double nowMs, int siblingId, AttemptOutcome outcome, double elapsedMs) {}
     };
+
+    /** Whether this endpoint is a sibling; keys are never placed at one. */
+    boolean is(Endpoint member);
+
+    /**
+     * How long to wait for siblings' replies about one key, in milliseconds; 0: they are not to be queried.
+     *
+     * @param originFetchMs how long a fetch from the origin usually takes
+     * @param remainingMs what is left of the request's latency objective
+     * @param originPressure requests sent to the origin for each that it answers in time, from 1
+     */
+    double waitMs(double nowMs, double originFetchMs, double remainingMs, double originPressure);
+
+    /** Records how a fetch from a sibling that had reported a hit ended. */
+    void fetched(double nowMs, int siblingId, AttemptOutcome outcome, double elapsedMs);
 }
--- a/src/main/java/cacheproxy/siblings/package-info.java
+++ b/src/main/java/cacheproxy/siblings/package-info.java
@@ -1,5 +1,11 @@
 /**
- * Whether sibling proxies are asked before the origin, which and for how long, and what their queries are answered. No
- * I/O, no clocks.
+ * Decisions about sibling proxies: whether they are queried before the origin, which ones and for how long
+ * ({@link cacheproxy.siblings.SiblingQueryPolicy}, from the figures in {@link cacheproxy.siblings.SiblingStats}), which
+ * datagrams are replies to a query ({@link cacheproxy.siblings.PendingQueries}), and how the queries of siblings are
+ * answered ({@link cacheproxy.siblings.CacheDigest}, {@link cacheproxy.siblings.DenialLimiter}).
+ *
+ * <p>The caller owns the instances and confines each to its event loop. Nothing here does I/O, reads a clock or draws
+ * random numbers; parameters {@code nowMs} are the caller's clock in milliseconds. The messages themselves are those of
+ * {@link cacheproxy.icp}.
  */
 package cacheproxy.siblings;
