--- a/src/main/java/cacheproxy/proxy/net/NettyDefaults.java
+++ b/src/main/java/cacheproxy/proxy/net/NettyDefaults.java
@@ -4,13 +4,13 @@
 import java.util.Map;
 
 /**
- * How the platform's proxy wants Netty: small, and soon there. Set in one place for the service and for the run that
- * archives its classes; what the two differ in is not in the archive, and is read and verified at each start. What the
- * command line names goes before.
+ * Netty's system properties for the platform's proxy, chosen for little memory and a fast start. The service and the
+ * run that writes its class archive (CDS) share them: classes that only one of the two loads are not in the archive,
+ * and are then read and verified at each start. Properties of the command line take precedence.
  */
 public final class NettyDefaults {
     private static final Map<String, String> VALUES = Map.ofEntries(
-            // One loop: one arena of each kind, in chunks of 256 KiB.
+            // There is one event loop, so one arena of each kind is enough; chunks are of 256 KiB.
             Map.entry("io.netty.allocator.type", "pooled"),
             Map.entry("io.netty.allocator.numHeapArenas", "1"),
             Map.entry("io.netty.allocator.numDirectArenas", "1"),
@@ -18,16 +18,16 @@
             Map.entry("io.netty.allocator.smallCacheSize", "32"),
             Map.entry("io.netty.allocator.normalCacheSize", "8"),
             Map.entry("io.netty.allocator.maxCachedBufferCapacity", "16384"),
-            // Flight recorder events of buffers, which load the recorder: 150 ms of a start.
+            // JFR events of buffers would load the flight recorder, which takes 150 ms of the start.
             Map.entry("io.netty.jfr.enabled", "false"),
-            // Ids of channels hold these; to find a hardware address asks all the interfaces.
+            // Parts of channel ids. Netty would query all network interfaces for a hardware address.
             Map.entry("io.netty.machineId", "02:00:00:00:00:01"),
             Map.entry("io.netty.processId", "1"),
             Map.entry("io.netty.leakDetection.level", "disabled"));
 
     private NettyDefaults() {}
 
-    /** To be called before any class of Netty is loaded. */
+    /** Sets the properties and Netty's log. To be called before any class of Netty is loaded. */
     public static void apply() {
         VALUES.forEach((name, value) -> {
             if (System.getProperty(name) == null) {
--- a/src/main/java/cacheproxy/proxy/net/NettyLog.java
+++ b/src/main/java/cacheproxy/proxy/net/NettyLog.java
@@ -5,22 +5,25 @@
 import io.netty.util.internal.logging.InternalLoggerFactory;
 
 /**
- * Netty's log as short lines on standard error: warnings and errors, a line each with its cause's message, as many as a
- * process may need and no more. To find a logging framework by itself costs Netty 20 ms of a start, and the JDK's
- * prints stack traces.
+ * Netty's logger: writes warnings and errors to standard error, one line each with the message of the cause, and drops
+ * all other levels. Netty's own search for a logging framework takes 20 ms of the start, and the JDK's logger prints
+ * stack traces. May be used from any thread.
  */
 final class NettyLog extends AbstractInternalLogger {
     private static final long serialVersionUID = 1;
-    /** Lines of one process; a peer that provokes warnings must not fill a disk. */
+    /** Bound of the lines of one process, as a peer that provokes warnings must not fill a disk. */
     static final int MAX_LINES = 100;
 
-    private static int lines;
+    private static final int MAX_MESSAGE_CHARS = 300;
+    private static final String PLACEHOLDER = "{}";
+
+    private static int linesWritten;
 
     private NettyLog(String name) {
         super(name);
     }
 
-    /** Who logs for Netty from now on; to be set before any other class of it is loaded. */
+    /** Creates Netty's loggers; to be set before any other class of Netty is loaded. */
     static final class Factory extends InternalLoggerFactory {
         @Override
         protected InternalLogger newInstance(String name) {
@@ -28,34 +31,42 @@
         }
     }
 
-    private void line(String message, Throwable cause) {
+    private void writeLine(String message, Throwable cause) {
         synchronized (NettyLog.class) {
-            if (lines >= MAX_LINES) {
+            if (linesWritten >= MAX_LINES) {
                 return;
             }
-            lines++;
+            linesWritten++;
         }
-        String first = String.valueOf(message).lines().findFirst().orElse("");
-        System.err.println("netty: " + name().substring(name().lastIndexOf('.') + 1) + ": "
-                + (first.length() > 300 ? first.substring(0, 300) : first) + (cause == null ? "" : ": " + cause));
+        String firstLine = String.valueOf(message).lines().findFirst().orElse("");
+        String shortened =
+                firstLine.length() > MAX_MESSAGE_CHARS ? firstLine.substring(0, MAX_MESSAGE_CHARS) : firstLine;
+        String simpleName = name().substring(name().lastIndexOf('.') + 1);
+        System.err.println("netty: " + simpleName + ": " + shortened + (cause == null ? "" : ": " + cause));
+    }
+
+    private void writeFormatted(String format, Object... values) {
+        writeLine(format(format, values), causeIn(values));
     }
 
-    private static String filled(String format, Object... values) {
+    /** Replaces the placeholders by the values, in order; surplus values are left out. */
+    private static String format(String format, Object... values) {
         StringBuilder text = new StringBuilder();
         int from = 0;
         for (Object value : values) {
-            int at = format.indexOf("{}", from);
+            int at = format.indexOf(PLACEHOLDER, from);
             if (at < 0) {
                 break;
             }
             text.append(format, from, at).append(value);
-            from = at + 2;
+            from = at + PLACEHOLDER.length();
         }
         return text.append(format.substring(from)).toString();
     }
 
-    private static Throwable cause(Object... values) {
-        return values.length > 0 && values[values.length - 1] instanceof Throwable t ? t : null;
+    /** By Netty's convention, a cause is the last value; null if there is none. */
+    private static Throwable causeIn(Object... values) {
+        return values.length > 0 && values[values.length - 1] instanceof Throwable cause ? cause : null;
     }
 
     @Override
@@ -87,10 +98,10 @@
     public void trace(String message) {}
 
     @Override
-    public void trace(String format, Object a) {}
+    public void trace(String format, Object value) {}
 
     @Override
-    public void trace(String format, Object a, Object b) {}
+    public void trace(String format, Object first, Object second) {}
 
     @Override
     public void trace(String format, Object... values) {}
@@ -102,10 +113,10 @@
     public void debug(String message) {}
 
     @Override
-    public void debug(String format, Object a) {}
+    public void debug(String format, Object value) {}
 
     @Override
-    public void debug(String format, Object a, Object b) {}
+    public void debug(String format, Object first, Object second) {}
 
     @Override
     public void debug(String format, Object... values) {}
@@ -117,10 +128,10 @@
     public void info(String message) {}
 
     @Override
-    public void info(String format, Object a) {}
+    public void info(String format, Object value) {}
 
     @Override
-    public void info(String format, Object a, Object b) {}
+    public void info(String format, Object first, Object second) {}
 
     @Override
     public void info(String format, Object... values) {}
@@ -130,51 +141,51 @@
 
     @Override
     public void warn(String message) {
-        line(message, null);
+        writeLine(message, null);
     }
 
     @Override
-    public void warn(String format, Object a) {
-        line(filled(format, a), cause(a));
+    public void warn(String format, Object value) {
+        writeFormatted(format, value);
     }
 
     @Override
-    public void warn(String format, Object a, Object b) {
-        line(filled(format, a, b), cause(a, b));
+    public void warn(String format, Object first, Object second) {
+        writeFormatted(format, first, second);
     }
 
     @Override
     public void warn(String format, Object... values) {
-        line(filled(format, values), cause(values));
+        writeFormatted(format, values);
     }
 
     @Override
     public void warn(String message, Throwable cause) {
-        line(message, cause);
+        writeLine(message, cause);
     }
 
     @Override
     public void error(String message) {
-        line(message, null);
+        writeLine(message, null);
     }
 
     @Override
-    public void error(String format, Object a) {
-        line(filled(format, a), cause(a));
+    public void error(String format, Object value) {
+        writeFormatted(format, value);
     }
 
     @Override
-    public void error(String format, Object a, Object b) {
-        line(filled(format, a, b), cause(a, b));
+    public void error(String format, Object first, Object second) {
+        writeFormatted(format, first, second);
     }
 
     @Override
     public void error(String format, Object... values) {
-        line(filled(format, values), cause(values));
+        writeFormatted(format, values);
     }
 
     @Override
     public void error(String message, Throwable cause) {
-        line(message, cause);
+        writeLine(message, cause);
     }
 }
--- a/src/main/java/cacheproxy/proxy/net/PollClock.java
+++ b/src/main/java/cacheproxy/proxy/net/PollClock.java
@@ -6,33 +6,34 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Knows when an event loop last looked at its sockets, and so how long what it reads now may have waited unread: for
- * the whole of a pause of the process (a stop signal, a busy machine, a long collection) the loop sees no time pass,
- * but its clients do.
+ * Bounds how long the data that an event loop reads now may have waited unread, from the times at which the loop polled
+ * its sockets. During a pause of the process (a stop signal, a busy machine, a long garbage collection) the loop
+ * notices no time passing, but its clients do.
  *
- * <p>The loop is to do something every {@link #HEARTBEAT_MS}: a poll that lasts longer than {@link #MAX_POLL_MS} then
- * has met a pause. A pause that is shorter than a poll may last can't be told from one. Used on its loop only; times
- * are those of {@link System#nanoTime}.
+ * <p>The loop is woken every {@link #HEARTBEAT_MS}, so a poll that lasts longer than {@link #MAX_POLL_MS} shows a
+ * pause. A shorter pause can't be told from a poll that found nothing. Used on its event loop only; times are those of
+ * {@link System#nanoTime}.
  */
 public final class PollClock {
-    /** How often the loop is to be woken where nothing else does. */
+    /** Interval in which the loop is to be woken, in milliseconds. */
     public static final double HEARTBEAT_MS = 100;
-    /** A poll that lasts longer has met a pause: the heartbeat's time and what its timer and a busy machine may add. */
+    /** A poll that lasts longer shows a pause: the heartbeat, plus what its timer and a busy machine may add. */
     static final double MAX_POLL_MS = HEARTBEAT_MS + 25;
 
     private static final long MAX_POLL_NANOS = (long) (MAX_POLL_MS * 1e6);
 
+    /** Number of the current iteration of the loop, which begins with a poll. */
     private long turn;
-    /** When this turn's poll began. */
+    /** When the poll of this turn began. */
     private long pollNanos;
-    /** When the first event of this turn was handled. */
+    /** When the first event of this turn was handled; valid if {@link #handled}. */
     private long handledNanos;
 
     private boolean handled;
-    /** How long the turn before this one was at work after its poll, or in a poll that met a pause. */
-    private long busyNanos;
+    /** How long the previous turn spent in handling events, or in a poll that met a pause. */
+    private long previousBusyNanos;
 
-    /** Handlers of a loop that tells this clock of each poll. */
+    /** Returns the factory of an event loop that reports each poll to this clock. */
     public IoHandlerFactory watch(Transport transport) {
         SelectStrategyFactory strategies = () -> (selectNow, hasTasks) -> {
             polling(System.nanoTime());
@@ -44,14 +45,14 @@
     /** The loop is about to poll its sockets. */
     void polling(long nowNanos) {
         if (turn > 0) {
-            busyNanos = handled || paused(nowNanos) ? nowNanos - workedSinceNanos(nowNanos) : 0;
+            previousBusyNanos = handled || paused(nowNanos) ? nowNanos - unpolledSinceNanos(nowNanos) : 0;
         }
         pollNanos = nowNanos;
         handled = false;
         turn++;
     }
 
-    /** The loop handles an event. */
+    /** The loop handles an event; only the first call of each turn has an effect. */
     public void handling(long nowNanos) {
         if (!handled) {
             handled = true;
@@ -59,33 +60,31 @@
         }
     }
 
-    /** Counts the loop's polls, from 1; 0 before the first and where the loop tells nothing. */
+    /** The number of polls so far; 0 before the first, and if the loop does not report to this clock. */
     public long turn() {
         return turn;
     }
 
-    /**
-     * How long, in milliseconds, what is read now may have waited at the most, apart from a pause shorter than a poll.
-     */
+    /** Upper bound of the time, in milliseconds, for which data read now has been unread, apart from short pauses. */
     public double unreadForMs(long nowNanos) {
         handling(nowNanos);
         if (turn == 0) {
             return 0;
         }
-        long since = workedSinceNanos(nowNanos) - busyNanos;
+        long since = unpolledSinceNanos(nowNanos) - previousBusyNanos;
         return (nowNanos - since) / (double) TimeUnit.MILLISECONDS.toNanos(1);
     }
 
-    /** Whether this turn's poll has met a pause; of a turn that has handled nothing yet, by now. */
+    /** Whether the poll of this turn has met a pause; if no event has been handled yet, by now. */
     private boolean paused(long nowNanos) {
         return (handled ? handledNanos : nowNanos) - pollNanos > MAX_POLL_NANOS;
     }
 
     /**
-     * Since when this turn has not looked at its sockets. A poll that a pause ended may have come back without seeing
-     * what came in it.
+     * Since when the sockets have not been polled in this turn. A poll that met a pause may have returned without the
+     * events that occurred during the pause.
      */
-    private long workedSinceNanos(long nowNanos) {
+    private long unpolledSinceNanos(long nowNanos) {
         return paused(nowNanos) ? pollNanos : handledNanos;
     }
 }
--- a/src/main/java/cacheproxy/proxy/net/TimerWheel.java
+++ b/src/main/java/cacheproxy/proxy/net/TimerWheel.java
@@ -6,36 +6,65 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
+/**
+ * A hashed timer wheel for the timers of one event loop, most of which are cancelled before they run. It needs one task
+ * of the event loop for all timers of a slot; a cancelled timer costs nothing but its place in its slot. Used on its
+ * event loop only.
+ */
 public final class TimerWheel {
-    private static final long SLOT_NANOS = 2_000_000;
-    /** A power of two; with the slot's length it covers the longest deadline. Later timers are set anew then. */
+    private static final long SLOT_NANOS = TimeUnit.MILLISECONDS.toNanos(2);
+    /** A power of two. The wheel covers this many slots; later timers are scheduled with the event loop itself. */
     private static final int SLOTS = 2048;
 
-    /** A task that may be called off. */
+    private static final double NANOS_PER_MS = 1e6;
+
+    /** No slot: slots are counted from 1. */
+    private static final long NONE = 0;
+
+    /** A scheduled task that can be cancelled. */
     public static final class Timer {
+        /** Null once the task has run or was cancelled. */
         private Runnable task;
 
         private Timer(Runnable task) {
             this.task = task;
         }
 
+        /** Cancels the task; no effect if it has run already. */
         public void cancel() {
             task = null;
         }
+
+        private void run() {
+            Runnable pending = task;
+            if (pending != null) {
+                task = null;
+                pending.run();
+            }
+        }
     }
 
     private final EventLoop loop;
     private final PollClock polls;
-    private final long start = System.nanoTime();
+    private final long startNanos = System.nanoTime();
+    /**
+     * The timers of each slot, in the order in which they were scheduled; a slot's index is its number modulo SLOTS.
+     */
     private final List<List<Timer>> slots = new ArrayList<>(SLOTS);
-    private final BitSet used = new BitSet(SLOTS);
+    /** The indices of slots that have timers. */
+    private final BitSet occupied = new BitSet(SLOTS);
     /** The last slot, counted from the start, whose timers have run. */
-    private long done;
-    /** The slot that the event loop will wake for; 0 for none. */
-    private long armed;
-
+    private long lastRunSlot;
+    /** The slot for which the event loop will call {@link #runDue}; {@link #NONE} if there is none. */
+    private long armedSlot = NONE;
+    /** An empty list that replaces that of the slot that is run. */
     private List<Timer> spare = new ArrayList<>();
 
+    /**
+     * Creates an empty wheel.
+     *
+     * @param polls is told when timers begin to run
+     */
     public TimerWheel(EventLoop loop, PollClock polls) {
         this.loop = loop;
         this.polls = polls;
@@ -44,70 +73,76 @@
         }
     }
 
-    /** Runs the task after this time, never before and up to a slot later; timers of one slot keep their order. */
-    @SuppressWarnings("FutureReturnValueIgnored")
-    public // the timer is never cancelled; what it runs handles its own errors
-    Timer after(double ms, Runnable task) {
+    /**
+     * Runs the task after this time, never earlier and up to a slot later. Timers of one slot run in the order in which
+     * they were scheduled. The task never runs from within this call.
+     */
+    @SuppressWarnings("FutureReturnValueIgnored") // the timer is never cancelled; what it runs handles its own errors
+    public Timer after(double ms, Runnable task) {
         Timer timer = new Timer(task);
-        long now = System.nanoTime() - start;
-        long slot = Math.max(done + 1, (now + (long) (Math.max(0, ms) * 1e6)) / SLOT_NANOS + 1);
-        if (slot - done >= SLOTS) {
-            loop.schedule(() -> run(timer), (long) (ms * 1e6), TimeUnit.NANOSECONDS);
+        long nowNanos = nanosSinceStart();
+        long slot = Math.max(lastRunSlot + 1, (nowNanos + (long) (Math.max(0, ms) * NANOS_PER_MS)) / SLOT_NANOS + 1);
+        if (slot - lastRunSlot >= SLOTS) {
+            loop.schedule(timer::run, (long) (ms * NANOS_PER_MS), TimeUnit.NANOSECONDS);
             return timer;
         }
-        int at = (int) (slot & SLOTS - 1);
-        slots.get(at).add(timer);
-        used.set(at);
-        if (armed == 0 || slot < armed) {
-            arm(slot, now);
+        int index = index(slot);
+        slots.get(index).add(timer);
+        occupied.set(index);
+        if (armedSlot == NONE || slot < armedSlot) {
+            arm(slot, nowNanos);
         }
         return timer;
     }
 
+    private long nanosSinceStart() {
+        return System.nanoTime() - startNanos;
+    }
+
+    private static int index(long slot) {
+        return (int) (slot & SLOTS - 1);
+    }
+
     @SuppressWarnings("FutureReturnValueIgnored") // the timer is never cancelled; what it runs handles its own errors
-    private void arm(long slot, long now) {
-        armed = slot;
-        loop.schedule(() -> tick(slot), Math.max(0, slot * SLOT_NANOS - now), TimeUnit.NANOSECONDS);
+    private void arm(long slot, long nowNanos) {
+        armedSlot = slot;
+        loop.schedule(() -> runDue(slot), Math.max(0, slot * SLOT_NANOS - nowNanos), TimeUnit.NANOSECONDS);
     }
 
-    private void tick(long slot) {
+    private void runDue(long slot) {
         polls.handling(System.nanoTime());
-        if (slot != armed) {
-            return; // an earlier one has been armed since, and has armed this one's again
+        if (slot != armedSlot) {
+            return; // an earlier slot was armed after this one, and this one again after that
         }
-        armed = 0;
-        long last = (System.nanoTime() - start) / SLOT_NANOS;
-        for (long next; (next = next()) != 0 && next <= last; ) {
-            done = next;
-            int at = (int) (next & SLOTS - 1);
-            List<Timer> due = slots.set(at, spare);
-            used.clear(at);
-            due.forEach(this::run);
-            due.clear();
-            spare = due;
+        armedSlot = NONE;
+        long currentSlot = nanosSinceStart() / SLOT_NANOS;
+        for (long next; (next = nextOccupiedSlot()) != NONE && next <= currentSlot; ) {
+            runSlot(next);
         }
-        done = Math.max(done, last);
-        long next = next();
-        if (next != 0 && (armed == 0 || next < armed)) {
-            arm(next, System.nanoTime() - start);
+        lastRunSlot = Math.max(lastRunSlot, currentSlot);
+        long next = nextOccupiedSlot();
+        if (next != NONE && (armedSlot == NONE || next < armedSlot)) {
+            arm(next, nanosSinceStart());
         }
     }
 
-    /** The first slot after the last that has run and that has timers; 0 if none has. */
-    private long next() {
-        int from = (int) (done + 1 & SLOTS - 1);
-        int at = used.nextSetBit(from);
-        if (at < 0) {
-            at = used.nextSetBit(0);
-        }
-        return at < 0 ? 0 : done + 1 + (at - from & SLOTS - 1);
+    private void runSlot(long slot) {
+        lastRunSlot = slot;
+        int index = index(slot);
+        List<Timer> due = slots.set(index, spare);
+        occupied.clear(index);
+        due.forEach(Timer::run);
+        due.clear();
+        spare = due;
     }
 
-    private void run(Timer timer) {
-        Runnable task = timer.task;
-        if (task != null) {
-            timer.task = null;
-            task.run();
+    /** The first slot after the last that has run and that has timers. */
+    private long nextOccupiedSlot() {
+        int from = index(lastRunSlot + 1);
+        int index = occupied.nextSetBit(from);
+        if (index < 0) {
+            index = occupied.nextSetBit(0);
         }
+        return index < 0 ? NONE : lastRunSlot + 1 + (index - from & SLOTS - 1);
     }
 }
--- a/src/main/java/cacheproxy/proxy/net/Transport.java
+++ b/src/main/java/cacheproxy/proxy/net/Transport.java
@@ -26,8 +26,15 @@
 import java.nio.file.Path;
 
 /**
- * The kinds of channel in use: Linux's epoll by Netty's native library, which costs less for each event, or the JDK's
- * own where that can't be loaded.
+ * The channel types of one I/O implementation: epoll by Netty's native library, which takes less CPU per event, or the
+ * JDK's NIO where that can't be loaded.
+ *
+ * @param io creates the I/O handlers of event loops that use these channels
+ * @param server listening TCP sockets
+ * @param socket TCP connections
+ * @param datagram UDP sockets
+ * @param localServer listening Unix domain sockets
+ * @param localSocket connections on Unix domain sockets
  */
 public record Transport(
         IoHandlerFactory io,
@@ -37,9 +44,12 @@
         Class<? extends ServerChannel> localServer,
         Class<? extends Channel> localSocket) {
 
-    /** The most that one read takes off a socket: each connection that is being read needs as much. */
-    private static final int MAX_READ = 16 << 10;
+    private static final int MIN_READ_BYTES = 256;
+    private static final int INITIAL_READ_BYTES = 2048;
+    /** Each connection that is being read needs a buffer of up to this size. */
+    private static final int MAX_READ_BYTES = 16 << 10;
 
+    /** The best implementation that this machine has. */
     public static final Transport BEST = Epoll.isAvailable()
             ? new Transport(
                     EpollIoHandler.newFactory(),
@@ -56,18 +66,19 @@
                     NioServerDomainSocketChannel.class,
                     NioDomainSocketChannel.class);
 
-    /** The same kind of I/O with another strategy for its polls. */
+    /** The same I/O implementation with other strategies for its polls. */
     IoHandlerFactory io(SelectStrategyFactory strategies) {
         return server == EpollServerSocketChannel.class
                 ? EpollIoHandler.newFactory(0, strategies)
                 : NioIoHandler.newFactory(SelectorProvider.provider(), strategies);
     }
 
-    /** How much each connection reads at once, by what has come before. Each connection needs one of its own. */
+    /** Creates an allocator for one channel's reads, whose sizes adapt to those of the reads before. */
     public static RecvByteBufAllocator reads() {
-        return new AdaptiveRecvByteBufAllocator(256, 2048, MAX_READ);
+        return new AdaptiveRecvByteBufAllocator(MIN_READ_BYTES, INITIAL_READ_BYTES, MAX_READ_BYTES);
     }
 
+    /** The address of a Unix domain socket in the form that {@link #localServer} and {@link #localSocket} take. */
     public SocketAddress local(Path path) {
         return socket == EpollSocketChannel.class
                 ? new DomainSocketAddress(path.toFile())
