--- a/src/test/java/cacheproxy/proxy/discovery/DiscoveryClientTest.java
+++ b/src/test/java/cacheproxy/proxy/discovery/DiscoveryClientTest.java
@@ -6,10 +6,12 @@
 import cacheproxy.proxy.Fleet;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
+import java.io.IOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
+import java.net.Socket;
 import java.net.SocketAddress;
 import java.nio.ByteBuffer;
 import java.util.Arrays;
@@ -127,12 +129,17 @@
         }
     }
 
-    /** Its first watch falls silent for good; without a doubt it would be believed for 24 s, past the next change. */
+    /** A socket whose port refuses connections; while it is open, no other process can listen there. */
+    private static Socket boundWithoutListening() throws IOException {
+        Socket socket = new Socket();
+        socket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+        return socket;
+    }
+
+    /** The first watch falls silent for good. Without the refusals it would be trusted past the next change. */
     @Test
     void aWatchThatFellSilentIsBegunAnewWhenServersThatItCallsReadyRefuseConnections() throws Exception {
         ScriptedServer successor = hits();
-        ScriptedServer gone = hits();
-        gone.close();
         CountDownLatch told = new CountDownLatch(1);
         ScriptedServer discovery = new ScriptedServer(c -> {
             c.request();
@@ -143,12 +150,13 @@
             told.countDown();
             c.awaitEnd();
         });
-        try (Fleet fleet = new Fleet()
-                .node(gone.dial())
-                .discovery(discovery)
-                .set("caps.connect-timeout", "50.0")
-                .set("guarantees.ask-within", "200.0")
-                .start()) {
+        try (Socket gone = boundWithoutListening();
+                Fleet fleet = new Fleet()
+                        .node("127.0.0.1:" + gone.getLocalPort())
+                        .discovery(discovery)
+                        .set("caps.connect-timeout", "50.0")
+                        .set("guarantees.ask-within", "200.0")
+                        .start()) {
             fleet.parts.add(successor);
             assertThat(discovery.next()).contains("since=41&");
             assertThat(served(fleet)).startsWith("SERVER_ERROR busy"); // refused, and no origin to go to
