--- a/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
@@ -1,74 +1,39 @@
 package cacheproxy.proxy.discovery;
 
-import cacheproxy.config.Addresses;
-import cacheproxy.discovery.DiscoveryPoll;
 import cacheproxy.discovery.DiscoveryPollScheduler;
 import cacheproxy.discovery.SilentWatchDetector;
 import cacheproxy.discovery.VersionGossip;
-import cacheproxy.eventlog.ProxyEvent;
-import cacheproxy.placement.ServerId;
 import cacheproxy.policy.Endpoint;
 import cacheproxy.policy.EndpointListKind;
-import cacheproxy.policy.EndpointState;
 import cacheproxy.policy.PolicySettings;
 import cacheproxy.proxy.dispatch.Dispatcher;
-import cacheproxy.proxy.net.HandlerInitializer;
-import cacheproxy.proxy.net.TimerWheel.Timer;
-import cacheproxy.proxy.net.Transport;
 import cacheproxy.proxy.process.PlatformConfig;
 import cacheproxy.proxy.upstream.EventLoopContext;
 import cacheproxy.proxy.upstream.UpstreamRegistry;
-import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
-import com.google.gson.JsonParser;
-import io.netty.bootstrap.Bootstrap;
-import io.netty.buffer.Unpooled;
-import io.netty.channel.Channel;
-import io.netty.channel.ChannelFuture;
-import io.netty.channel.ChannelHandlerContext;
-import io.netty.channel.ChannelOption;
-import io.netty.channel.EventLoop;
-import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.handler.codec.http.DefaultFullHttpRequest;
-import io.netty.handler.codec.http.FullHttpResponse;
-import io.netty.handler.codec.http.HttpClientCodec;
-import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpMethod;
-import io.netty.handler.codec.http.HttpObjectAggregator;
-import io.netty.handler.codec.http.HttpUtil;
-import io.netty.handler.codec.http.HttpVersion;
 import java.net.InetSocketAddress;
 import java.net.SocketAddress;
-import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
-import java.util.HashSet;
 import java.util.List;
-import java.util.Set;
 import java.util.SplittableRandom;
-import java.util.function.BiConsumer;
 
-/** Follows discovery's list of servers for one pool. */
+/**
+ * Follows the endpoint list of one pool at the discovery service, and hands each list and each change to the pool's
+ * dispatcher. Used on its event loop only.
+ */
 public final class DiscoveryClient implements Dispatcher.ListSource, UpstreamRegistry.Observer {
-    /** Why a call failed of which nothing came. */
-    private static final String SILENT = "no answer";
+    private static final double FETCH_TIMEOUT_MS = 4000;
+    private static final int ALL_PEERS = -1;
 
-    private static final int CONNECT_MS = 1000;
-    /** Of a call that takes whatever there is, all told. */
-    private static final int FETCH_MS = 4000;
+    // Fractions of PolicySettings#askWithinMs, the time after which a proxy has to poll a discovery that is silent:
 
-    private static final int MAX_LIST = 4 << 20;
-    /**
-     * What discovery may take to tell of a process that has ended, as a part of the time after which a proxy has to
-     * ask. The operators name 3.1 s as the most they saw, where that is 10 s, and news come in rounds of up to half a
-     * second.
-     */
-    private static final double NOTICE = 0.35;
-
-    private static final double QUICK = 0.1;
-    /** Within which all proxies tell of a version, one after another; several times as long as a message takes. */
-    private static final double NEWS = 0.03;
-    /** No call is put off for longer, as a part of the same. */
-    private static final double LONGEST_DELAY = 0.25;
+    /** Within this, discovery reports that a process has ended. */
+    private static final double REPORT_DELAY_FRACTION = 0.35;
+    /** The same if many processes have ended, or if another proxy has the report. */
+    private static final double SHORT_REPORT_DELAY_FRACTION = 0.1;
+    /** Over this, the proxies spread their announcements of a new version; several times a message's way. */
+    private static final double ANNOUNCEMENT_SPREAD_FRACTION = 0.03;
+    /** Over at most this, the proxies spread their polls of a discovery that is silent. */
+    private static final double MAX_STAGGER_FRACTION = 0.25;
 
     /** A server of the list. */
     public record Host(Endpoint member, SocketAddress dial) {}
@@ -76,39 +41,18 @@
     /**
      * What is followed.
      *
-     * @param known the list as it was last had, in discovery's form; null for none
-     * @param ask whether the module asks for the list; else it is followed from the start
+     * @param known the list as it was last received, in discovery's JSON form; null for none
+     * @param ask whether the policy asks for the list; else it is followed from the start
      */
     public record Source(
             InetSocketAddress address, JsonObject known, boolean ask, List<String> zones, List<String> kinds) {
+        /** The source that the platform's settings name. */
         public static Source of(PlatformConfig config) {
             return new Source(
                     config.discovery(), config.known(), config.settings().askForList(), config.zones(), config.kinds());
         }
     }
 
-    private final EventLoopContext core;
-    private final EventLoop loop;
-    private final SilentWatchDetector doubt;
-    private final VersionGossip news = new VersionGossip();
-    private final double newsMs;
-    private Timer looking;
-    private double lookAt = Double.POSITIVE_INFINITY;
-    private final Source source;
-    private final Dispatcher dispatcher;
-    private final Line watchLine = new Line();
-    private final Line listLine = new Line();
-    private InetSocketAddress address;
-    private final Pace pace;
-    private long version;
-    private final DiscoveryPollScheduler freshness;
-    /** When {@link #go} comes back by itself. */
-    private Timer calling;
-    /** Whether the last answer was of an earlier version than the list held: the next call asks for all there is. */
-    private boolean fell;
-
-    private boolean closed;
-
     /** How closely the list is watched, where others may do so for this proxy. */
     public interface Pace {
         /**
@@ -120,418 +64,172 @@
         void have(long version);
     }
 
+    private final EventLoopContext core;
+    private final Source source;
+    private final Dispatcher dispatcher;
+    /** Null if this proxy always long-polls. */
+    private final Pace pace;
+
+    private final EndpointListParser parser;
+    private final ListVersion version = new ListVersion();
+    private final LongPollLoop polls;
+    private final SilentWatchMonitor silentWatch;
+    /** For the complete lists that the policy fetches. */
+    private final DiscoveryConnection fetches;
+
+    private final VersionGossip gossip = new VersionGossip();
+    private final double announcementDelayMs;
+
+    /** Creates a client that always long-polls. */
     public DiscoveryClient(EventLoopContext core, Source source, Dispatcher dispatcher) {
         this(core, source, dispatcher, null);
     }
 
-    /** @param pace null: it always watches closely */
+    /**
+     * Creates a client that another proxy may relieve from long-polling.
+     *
+     * @param pace null if it always long-polls
+     */
     public DiscoveryClient(EventLoopContext core, Source source, Dispatcher dispatcher, Pace pace) {
-        this.pace = pace;
         this.core = core;
-        loop = core.loop();
-        PolicySettings settings = dispatcher.settings();
-        double within = settings.askWithinMs();
-        double spread = Math.min(within * LONGEST_DELAY, settings.instances() * settings.connectTimeoutMs());
-        double place = (double) settings.instanceNumber() / Math.max(1, settings.instances());
-        doubt = new SilentWatchDetector(within * NOTICE, within * QUICK, spread * place);
-        newsMs = within * NEWS * place;
         this.source = source;
         this.dispatcher = dispatcher;
-        freshness =
+        this.pace = pace;
+        parser = new EndpointListParser(source.zones(), source.kinds());
+        fetches = new DiscoveryConnection(core);
+        PolicySettings settings = dispatcher.settings();
+        DiscoveryPollScheduler scheduler =
                 new DiscoveryPollScheduler(source.ask(), settings.instances(), new SplittableRandom(dispatcher.seed()));
-        freshness.setLongPolling(core.now(), closely());
-        address = source.address();
-    }
-
-    /**
-     * Discovery stands elsewhere from now on. The old address soon falls silent and what the new one has counts as
-     * told, so it is asked at once, and for all: its versions need not go on from those of the old.
-     */
-    public void move(InetSocketAddress to) {
-        if (to.equals(address)) {
-            return;
-        }
-        address = to;
-        version = 0;
-        news.reset();
-        doubt.resetClaims();
-        fell = false;
-        listLine.close();
-        watchLine.close();
-        freshness.addressChanged(core.now());
-        go();
+        polls = new LongPollLoop(core, scheduler, source.address(), version, this::apply);
+        scheduler.setLongPolling(core.now(), shouldLongPoll());
+        double askWithinMs = settings.askWithinMs();
+        double staggerMs =
+                Math.min(askWithinMs * MAX_STAGGER_FRACTION, settings.instances() * settings.connectTimeoutMs());
+        double place = (double) settings.instanceNumber() / Math.max(1, settings.instances());
+        SilentWatchDetector detector = new SilentWatchDetector(
+                askWithinMs * REPORT_DELAY_FRACTION, askWithinMs * SHORT_REPORT_DELAY_FRACTION, staggerMs * place);
+        silentWatch = new SilentWatchMonitor(core, detector, polls);
+        announcementDelayMs = askWithinMs * ANNOUNCEMENT_SPREAD_FRACTION * place;
     }
 
-    /** Hands over the list as it was last had and, where lists are pushed, begins to follow it. */
+    /** Hands over the list of the configuration, if any, and follows discovery unless the policy is to ask for that. */
     public void start() {
         List<Host> known = List.of();
         if (source.known() != null) {
             try {
-                known = hosts(source.known());
-                version = seq(source.known());
+                known = parser.servers(source.known());
+                version.reset(parser.version(source.known()));
             } catch (RuntimeException e) {
                 dispatcher.log("the list in the configuration is of no use: " + e.getMessage());
             }
         }
         dispatcher.listed(EndpointListKind.CACHED, known);
-        doubt.listReceived(version, true, known.stream().map(Host::member).toList());
+        silentWatch.listReceived(
+                version.held(), true, known.stream().map(Host::member).toList());
         core.observe(this);
         if (!source.ask()) {
             watch(true);
         }
     }
 
-    @Override
-    public void watch(boolean on) {
-        freshness.setLongPolling(core.now(), closely());
-        freshness.setFollowing(core.now(), on);
-        go();
-    }
-
-    /** Does what is due: begins a call, ends one that is not wanted any more, comes back when the next is due. */
-    private void go() {
-        if (closed) {
+    /**
+     * Follows the list at another address of discovery from now on. The old one soon falls silent, so the new one is
+     * polled immediately, and for the complete list, as its versions need not continue those of the old one.
+     */
+    public void move(InetSocketAddress to) {
+        if (to.equals(polls.address())) {
             return;
         }
-        if (calling != null) {
-            calling.cancel();
-            calling = null;
-        }
-        if (!freshness.inFlight()) {
-            watchLine.giveUp();
-        }
-        double now = core.now();
-        double dueAt = freshness.nextPollAtMs();
-        if (dueAt <= now) {
-            DiscoveryPoll call = freshness.beginPoll(now);
-            if (core.events.isEnabled()) {
-                core.events
-                        .line(ProxyEvent.DISCOVERY_CALLED)
-                        .with("at", address)
-                        .with("since", fell ? 0 : version)
-                        .with("wait_ms", call.waitMs())
-                        .withMs("limit_ms", call.timeoutMs())
-                        .write();
-            }
-            watchLine.call(
-                    "/discovery/hosts?since=" + (fell ? 0 : version) + "&timeout_ms=" + call.waitMs(),
-                    call.timeoutMs(),
-                    this::watched);
-        } else if (dueAt < Double.POSITIVE_INFINITY) {
-            calling = core.after(dueAt - now, this::go);
-        }
+        version.reset(0);
+        gossip.reset();
+        silentWatch.resetClaims();
+        fetches.close();
+        polls.moveTo(to);
+    }
+
+    @Override
+    public void watch(boolean enabled) {
+        polls.setFollowing(enabled, shouldLongPoll());
     }
 
-    private boolean closely() {
+    private boolean shouldLongPoll() {
         return pace == null || pace.closely();
     }
 
-    /**
-     * There is a later list: calls for it. A watch that is out should have told, so it has fallen silent and is begun
-     * anew.
-     */
+    /** Polls immediately, as there is a newer list. A long poll in flight should have delivered it and is replaced. */
     public void ask() {
-        freshness.pollNow(core.now());
-        go();
+        polls.pollNow();
     }
 
-    /** The pace has changed: a call is to be out from now on, or only the one that is. */
+    /** Long-polls from now on, or leaves that to another proxy. */
     public void pace(boolean closely) {
-        freshness.setLongPolling(core.now(), closely);
-        go();
+        polls.setLongPolling(closely);
     }
 
     @Override
     public void close() {
-        closed = true;
-        if (calling != null) {
-            calling.cancel();
-        }
+        polls.close();
         core.servers.forget(this);
-        listLine.close();
-        watchLine.close();
+        fetches.close();
     }
 
     @Override
     public void fetch() {
-        listLine.call("/discovery/hosts", FETCH_MS, (json, why) -> {
-            try {
-                apply(need(json, why));
-            } catch (RuntimeException e) {
-                dispatcher.log("discovery: " + e.getMessage());
-                dispatcher.listed(EndpointListKind.FAILED, List.of());
-            }
-        });
-    }
-
-    private static JsonObject need(JsonObject json, String why) {
-        if (json == null) {
-            throw new IllegalArgumentException(why);
+        if (!polls.isClosed()) {
+            fetches.get(polls.address(), "/discovery/hosts", FETCH_TIMEOUT_MS, this::fetched);
         }
-        return json;
     }
 
-    /**
-     * The end of a call. A watch lasts only while each call follows the last answer within 200 ms. Without the next one
-     * the list stays as it is for good, but where another proxy says when to call: drained and departed servers go on
-     * being sent to, also at reused addresses.
-     */
-    @SuppressWarnings("ReferenceEquality") // identity is meant
-    private void watched(JsonObject json, String why) {
+    private void fetched(DiscoveryResponse response) {
         try {
-            apply(need(json, why));
-            freshness.succeeded(core.now());
-            if (core.events.isEnabled()) {
-                core.events
-                        .line(ProxyEvent.DISCOVERY_ANSWERED)
-                        .with("version", version)
-                        .write();
-            }
+            apply(response.body());
         } catch (RuntimeException e) {
-            freshness.failed(core.now(), why == SILENT);
-            int n = freshness.consecutiveFailures();
-            if (core.events.isEnabled()) {
-                core.events
-                        .line(ProxyEvent.DISCOVERY_FAILED)
-                        .with("cause", e.getMessage())
-                        .with("failures", n)
-                        .withMs("age_ms", freshness.stalenessMs(core.now()))
-                        .withMs("next_ms", freshness.nextPollAtMs() - core.now())
-                        .write();
-            }
-            if ((n & n - 1) == 0) { // the first, the second, the fourth: an outage must not take all the log's lines
-                dispatcher.log("discovery: " + e.getMessage() + (n > 1 ? ", " + n + " failures in a row" : ""));
-            }
+            dispatcher.log("discovery: " + e.getMessage());
+            dispatcher.listed(EndpointListKind.FAILED, List.of());
         }
-        go();
     }
 
-    private void apply(JsonObject json) {
-        List<Host> hosts = hosts(json);
-        boolean whole = json.get("whole").getAsBoolean();
-        long seq = seq(json);
-        if (seq < version && !(whole && fell)) {
-            // An answer that was late, or a discovery that counts anew: then all that it has, asked for as such, says
-            // so again.
-            fell = whole;
-            throw new IllegalArgumentException("version " + seq + " after " + version);
-        }
-        fell = false;
-        if (seq > version) {
-            news.versionChanged();
-            core.after(newsMs, this::tellNews);
+    /**
+     * Takes over a list or its changes.
+     *
+     * @throws RuntimeException if it is invalid or older than the list held, which then stays as it is
+     */
+    private void apply(JsonObject list) {
+        EndpointListUpdate update = parser.parse(list);
+        if (version.accept(update)) {
+            gossip.versionChanged();
+            core.after(announcementDelayMs, this::announceVersion);
         }
-        version = seq;
         if (pace != null) {
-            pace.have(seq);
+            pace.have(update.version());
         }
-        doubt.listReceived(seq, whole, hosts.stream().map(Host::member).toList());
-        dispatcher.listed(whole ? EndpointListKind.FULL : EndpointListKind.CHANGES, hosts);
-    }
-
-    @Override
-    public void refused(int server) {
-        doubt.connectionRefused(core.now(), server);
-        look();
+        silentWatch.listReceived(update.version(), update.complete(), update.endpoints());
+        dispatcher.listed(update.complete() ? EndpointListKind.FULL : EndpointListKind.CHANGES, update.servers());
     }
 
-    @Override
-    public void connected(int server) {
-        doubt.connected(server);
-    }
-
-    private void tellNews() {
-        byte[] message = closed ? null : news.takeMessage(version);
+    private void announceVersion() {
+        byte[] message = polls.isClosed() ? null : gossip.takeMessage(version.held());
         if (message != null) {
-            dispatcher.tell(-1, message);
+            dispatcher.tell(ALL_PEERS, message);
         }
     }
 
-    /** A message of another proxy that {@link VersionGossip#is} one of the list's version. */
+    /** Another proxy, given by its number, has sent a message that {@link VersionGossip#isVersionMessage} accepts. */
     public void heard(int peer, byte[] message) {
-        long seq = VersionGossip.decodeVersion(message);
-        news.received(peer, seq);
-        if (seq > version) {
-            doubt.versionClaimed(core.now(), seq);
-            look();
-        }
-    }
-
-    /** Comes back when the doubt is due. One that has moved to later since finds out then. */
-    private void look() {
-        double dueAt = Math.max(doubt.nextPollAtMs(), freshness.protectedUntilMs());
-        if (dueAt < lookAt && !closed) {
-            if (looking != null) {
-                looking.cancel();
-            }
-            lookAt = dueAt;
-            looking = core.after(lookAt - core.now(), this::doubt);
-        }
-    }
-
-    /** A watch that has fallen silent is begun anew; between two watches the module asks by itself. */
-    private void doubt() {
-        lookAt = Double.POSITIVE_INFINITY;
-        if (!closed && core.now() >= freshness.protectedUntilMs() && doubt.takeDuePoll(core.now())) {
-            if (freshness.inFlight()) {
-                dispatcher.log("discovery: the watch seems to have fallen silent, asking anew");
-            }
-            ask();
+        long announced = VersionGossip.decodeVersion(message);
+        gossip.received(peer, announced);
+        if (announced > version.held()) {
+            silentWatch.versionClaimed(announced);
         }
-        look();
     }
 
-    private static long seq(JsonObject json) {
-        return json.get("seq").getAsLong();
-    }
-
-    private List<Host> hosts(JsonObject json) {
-        List<Host> hosts = new ArrayList<>();
-        Set<Integer> ids = new HashSet<>();
-        for (JsonElement e : json.getAsJsonArray("hosts")) {
-            Host h = host(e.getAsJsonObject());
-            if (!ids.add(h.member().id())) {
-                throw new IllegalArgumentException("a host is listed twice");
-            }
-            hosts.add(h);
-        }
-        return hosts;
-    }
-
-    private Host host(JsonObject h) {
-        String name = h.get("host").getAsString();
-        EndpointState state = switch (h.get("health").getAsString()) {
-            case "up" -> EndpointState.READY;
-            case "draining" -> EndpointState.DRAINING;
-            case "removed" -> EndpointState.GONE;
-            default -> throw new IllegalArgumentException("host " + name + ": unknown health");
-        };
-        int zone = source.zones().indexOf(PlatformConfig.word(h.get("site").getAsString()));
-        int kind = source.kinds().indexOf(PlatformConfig.word(h.get("class").getAsString()));
-        float weight = h.has("share") ? h.get("share").getAsFloat() : 1;
-        if (zone < 0 || kind < 0 || !(weight >= 0) || Float.isInfinite(weight)) {
-            throw new IllegalArgumentException("host " + name + ": unknown site or class, or bad share");
-        }
-        double born = h.has("born_ms") ? h.get("born_ms").getAsDouble() : 0;
-        int cell = h.has("block") ? h.get("block").getAsInt() : 0;
-        return new Host(
-                new Endpoint(ServerId.fromName(name), zone, kind, cell, state, weight, born),
-                Addresses.parse(h.get("dial").getAsString()));
+    @Override
+    public void refused(int server) {
+        silentWatch.connectionRefused(server);
     }
 
-    /** A connection for one call at a time, kept between calls. */
-    private final class Line {
-        private Channel channel;
-        private BiConsumer<JsonObject, String> waiting;
-        private Timer timer;
-
-        /** Calls; the consumer gets the answer, or null and why there is none that can be used. */
-        void call(String path, double limitMs, BiConsumer<JsonObject, String> then) {
-            if (closed) {
-                return;
-            }
-            giveUp();
-            waiting = then;
-            timer = core.after(limitMs, () -> done(null, SILENT));
-            if (channel != null && channel.isActive()) {
-                write(channel, path);
-                return;
-            }
-            channel = new Bootstrap()
-                    .group(loop)
-                    .channel(Transport.BEST.socket())
-                    .option(ChannelOption.TCP_NODELAY, true)
-                    .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MS)
-                    .handler(new HandlerInitializer(
-                            new HttpClientCodec(), new HttpObjectAggregator(MAX_LIST), new Answer()))
-                    .connect(address)
-                    .addListener(f -> {
-                        if (f.isSuccess()) {
-                            write(((ChannelFuture) f).channel(), path);
-                        } else if (waiting == then) { // not a call that has taken the place of this one
-                            done(null, "no connection");
-                        }
-                    })
-                    .channel();
-        }
-
-        @SuppressWarnings("FutureReturnValueIgnored") // a failed write closes the channel, and the close is handled
-        private void write(Channel to, String path) {
-            DefaultFullHttpRequest request =
-                    new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path, Unpooled.EMPTY_BUFFER);
-            request.headers().set(HttpHeaderNames.HOST, Addresses.text(address));
-            to.writeAndFlush(request);
-        }
-
-        /** Ends the call that is out, if one is; its answer, if there is one yet to come, with its connection. */
-        void giveUp() {
-            if (waiting != null) {
-                close();
-            }
-        }
-
-        @SuppressWarnings("FutureReturnValueIgnored") // the close is observed where the channel becomes inactive
-        void close() {
-            waiting = null;
-            if (timer != null) {
-                timer.cancel();
-            }
-            if (channel != null) {
-                channel.close();
-                channel = null;
-            }
-        }
-
-        private void done(JsonObject json, String why) {
-            BiConsumer<JsonObject, String> then = waiting;
-            if (json == null) {
-                close();
-            }
-            if (then != null) {
-                waiting = null;
-                timer.cancel();
-                then.accept(json, why);
-            }
-        }
-
-        private final class Answer extends SimpleChannelInboundHandler<FullHttpResponse> {
-            @SuppressWarnings("FutureReturnValueIgnored") // the close is observed where the channel becomes inactive
-            @Override
-            protected void channelRead0(ChannelHandlerContext ctx, FullHttpResponse response) {
-                JsonObject json = null;
-                if (response.status().code() == 200 && response.decoderResult().isSuccess()) {
-                    try {
-                        json = JsonParser.parseString(response.content().toString(StandardCharsets.UTF_8))
-                                .getAsJsonObject();
-                    } catch (RuntimeException e) {
-                        // told by whoever called
-                    }
-                }
-                if (!HttpUtil.isKeepAlive(response)) {
-                    ctx.close();
-                    channel = null;
-                }
-                if (ctx.channel() == channel || channel == null) {
-                    done(
-                            json,
-                            response.status().code() == 200
-                                    ? "no JSON"
-                                    : "status " + response.status().code());
-                }
-            }
-
-            @Override
-            public void channelInactive(ChannelHandlerContext ctx) {
-                if (ctx.channel() == channel) {
-                    done(null, "cut off");
-                }
-            }
-
-            @SuppressWarnings("FutureReturnValueIgnored") // the close is observed where the channel becomes inactive
-            @Override
-            public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-                ctx.close();
-            }
-        }
+    @Override
+    public void connected(int server) {
+        silentWatch.connected(server);
     }
 }
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoveryResponse.java
@@ -0,0 +1,32 @@
+package cacheproxy.proxy.discovery;
+
+import com.google.gson.JsonObject;
+
+/** How a request to discovery ended. */
+sealed interface DiscoveryResponse {
+    /**
+     * Returns the body of a successful response.
+     *
+     * @throws DiscoveryException if the request failed, with the cause
+     */
+    JsonObject body();
+
+    /** Returns whether nothing was received until the timeout. */
+    boolean timedOut();
+
+    /** A response with status 200 whose body is a JSON object. */
+    record Received(JsonObject body) implements DiscoveryResponse {
+        @Override
+        public boolean timedOut() {
+            return false;
+        }
+    }
+
+    /** The request had no response, or one that is not a list. */
+    record Failed(String cause, boolean timedOut) implements DiscoveryResponse {
+        @Override
+        public JsonObject body() {
+            throw new DiscoveryException(cause);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/discovery/ListVersion.java
@@ -0,0 +1,42 @@
+package cacheproxy.proxy.discovery;
+
+/** The version of the endpoint list that this proxy has, and the version from which it requests changes. */
+final class ListVersion {
+    private long version;
+    /** Whether the last response was older than the list held, so that the next poll requests the complete list. */
+    private boolean completeListWanted;
+
+    /** The version held; 0 if there is no list. */
+    long held() {
+        return version;
+    }
+
+    /** The version since which to request changes; 0 requests the complete list. */
+    long since() {
+        return completeListWanted ? 0 : version;
+    }
+
+    /** Takes over the version of a list from another source than discovery, or 0 to start again without a list. */
+    void reset(long initial) {
+        version = initial;
+        completeListWanted = false;
+    }
+
+    /**
+     * Takes over the version of a response, and returns whether it is newer than the one held. An older version is a
+     * late response, or discovery has restarted its numbering. Only the complete list, requested as such, shows that it
+     * is the latter, and is then accepted.
+     *
+     * @throws DiscoveryException if the response must not replace the list held
+     */
+    boolean accept(EndpointListUpdate update) {
+        if (update.version() < version && !(update.complete() && completeListWanted)) {
+            completeListWanted = update.complete();
+            throw new DiscoveryException("version " + update.version() + " after " + version);
+        }
+        completeListWanted = false;
+        boolean newer = update.version() > version;
+        version = update.version();
+        return newer;
+    }
+}
--- a/src/main/java/cacheproxy/proxy/discovery/PeerSocket.java
+++ b/src/main/java/cacheproxy/proxy/discovery/PeerSocket.java
@@ -14,24 +14,29 @@
 import io.netty.channel.unix.UnixChannelOption;
 import java.net.InetSocketAddress;
 
-/** Messages between the proxies of a tier: datagrams that come late or not at all. */
+/**
+ * The datagram socket for messages between the proxies of a tier. Messages may be lost, delayed or duplicated; those of
+ * other senders are dropped. Receives on its event loop, sends from any thread.
+ */
 public final class PeerSocket {
-    private static final int MAX_MESSAGE = 256;
+    private static final int MAX_MESSAGE_BYTES = 256;
 
     private final PlatformConfig config;
     private final Receiver receiver;
     private Channel channel;
 
-    /** What takes the messages of peers. */
+    /** Receives the messages of the other proxies. */
     public interface Receiver {
+        /** Takes a message of the proxy that has this number among the peers. */
         void heard(int peer, byte[] message);
     }
 
+    /** Binds the socket if the configuration has peers and an address to listen on; waits until it is bound. */
     public PeerSocket(EventLoop loop, PlatformConfig config, Receiver receiver) {
         this.config = config;
         this.receiver = receiver;
         if (config.settings().peers() && config.peerListen() != null) {
-            // What is sent before the socket is bound is lost without a word, so this waits for it.
+            // A datagram that is written before the socket is bound would be lost without an error.
             Bootstrap bootstrap = new Bootstrap()
                     .group(loop)
                     .channel(Transport.BEST.datagram())
@@ -43,36 +48,39 @@
         }
     }
 
+    /** The address that the socket is bound to; null if there is no socket. */
     public InetSocketAddress address() {
         return channel == null ? null : (InetSocketAddress) channel.localAddress();
     }
 
-    /** Sends to the proxy of this number, or to all of the tier if it is negative. */
-    @SuppressWarnings("FutureReturnValueIgnored")
-    public // a failed write closes the channel, and the close is handled
-    void send(int peer, byte[] message) {
+    /**
+     * Sends to the proxy of this number, or to all of the tier if it is negative. Messages of over 256 bytes and those
+     * to unknown peers are dropped.
+     */
+    @SuppressWarnings("FutureReturnValueIgnored") // a message that could not be sent counts as lost
+    public void send(int peer, byte[] message) {
         InetSocketAddress to = peer < 0
                 ? config.peersAll()
                 : peer < config.peers().size() ? config.peers().get(peer) : null;
-        if (channel == null || to == null || message.length > MAX_MESSAGE) {
+        if (channel == null || to == null || message.length > MAX_MESSAGE_BYTES) {
             return;
         }
         channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(message), to));
     }
 
-    /** What does not come from a peer, or is longer than the protocol has it, is dropped. */
+    /** Drops what does not come from a peer, and what is longer than any message. */
     private final class Handler extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
             int peer = config.peers().indexOf(packet.sender());
-            if (peer >= 0 && packet.content().readableBytes() <= MAX_MESSAGE) {
+            if (peer >= 0 && packet.content().readableBytes() <= MAX_MESSAGE_BYTES) {
                 receiver.heard(peer, ByteBufUtil.getBytes(packet.content()));
             }
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // A datagram that did not arrive says nothing of the next.
+            // One datagram that could not be received does not affect the next.
         }
     }
 }
