--- a/src/main/java/cacheproxy/daemon/Daemon.java
+++ b/src/main/java/cacheproxy/daemon/Daemon.java
@@ -14,6 +14,7 @@
 import cacheproxy.proxy.process.GracefulShutdown;
 import cacheproxy.proxy.request.RequestValidator;
 import cacheproxy.proxy.upstream.EventLoopContext;
+import cacheproxy.proxy.upstream.EventLoopLimits;
 import cacheproxy.snapshot.state.PoolState;
 import cacheproxy.snapshot.state.StateSnapshot;
 import io.netty.channel.EventLoop;
@@ -62,7 +63,10 @@
         StandardProtocols protocols = new StandardProtocols(random.nextLong());
         ProcessBudget budget = ProcessBudget.of(file.limits());
         core = new EventLoopContext(
-                loop, polls, Transport.BEST.socket(), budget.valueBytes(), budget.serverSockets(), true);
+                loop,
+                polls,
+                Transport.BEST.socket(),
+                new EventLoopLimits(budget.valueBytes(), budget.serverSockets(), true));
         core.watchPauses();
         clients = new ClientRegistry(core, budget.clientSockets());
         router = new Router(core);
--- a/src/main/java/cacheproxy/daemon/RoutedRequest.java
+++ b/src/main/java/cacheproxy/daemon/RoutedRequest.java
@@ -173,7 +173,7 @@
         release(quotasTaken);
         release(poolQuotasTaken);
         config.pendingRequests--;
-        core.closeId(request);
+        core.closeId(request.id);
         request.release(core);
         if (original != null) {
             original.release(core);
--- a/src/main/java/cacheproxy/daemon/Router.java
+++ b/src/main/java/cacheproxy/daemon/Router.java
@@ -43,7 +43,7 @@
             return null;
         }
         if (config.requestValidator.expired(request)) {
-            core.closeId(request);
+            core.closeId(request.id);
             request.release(core);
             responder.refused(0);
             return null;
@@ -71,7 +71,7 @@
         if (route != null && route.action() instanceof Route.ToPools) {
             return to(config, listener, input, route, request, responder);
         }
-        core.closeId(request);
+        core.closeId(request.id);
         request.release(core);
         if (input == null) {
             responder.rejected("key is no path");
@@ -94,13 +94,13 @@
             Responder responder) {
         String key = route.poolKey(input);
         if (key == null) {
-            core.closeId(request);
+            core.closeId(request.id);
             request.release(core);
             responder.rejected("route " + route.name() + " makes no legal key of this one");
             return null;
         }
         if (fromSibling(config, listener) && (request.write() || mayFetch(config.chain(route)))) {
-            core.closeId(request);
+            core.closeId(request.id);
             request.release(core);
             if (request.write()) {
                 responder.rejected("siblings do not write here");
--- a/src/main/java/cacheproxy/daemon/hooks/HookedRequest.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookedRequest.java
@@ -261,7 +261,7 @@
 
     private void release() {
         over();
-        core.closeId(request);
+        core.closeId(request.id);
         request.release(core);
     }
 
--- a/src/main/java/cacheproxy/proxy/dispatch/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/Dispatcher.java
@@ -649,7 +649,7 @@
     private void over(RequestContext x) {
         x.over = true;
         if (x.holdsId) {
-            core.openIds.remove(x.command.id);
+            core.closeId(x.command.id);
         }
         stop(x.timer);
     }
--- a/src/main/java/cacheproxy/proxy/dispatch/SinglePoolHandler.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/SinglePoolHandler.java
@@ -28,7 +28,7 @@
             return null;
         }
         if (intake.expired(command)) {
-            core.closeId(command);
+            core.closeId(command.id);
             command.release(core);
             responder.refused(0);
             return null;
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/net/FlushBatcher.java
@@ -0,0 +1,43 @@
+package cacheproxy.proxy.net;
+
+import io.netty.channel.EventLoop;
+import java.util.ArrayDeque;
+
+/**
+ * Delays flushes to the end of a turn of the event loop, so that everything that one turn writes to a connection takes
+ * one system call. That saves CPU at high rates. A process with a fraction of a core may be stopped within a turn,
+ * which would delay all its responses, so batching can be off; a flush then runs at once. Used on its event loop only.
+ */
+public final class FlushBatcher {
+    private final EventLoop loop;
+    private final boolean enabled;
+    private final ArrayDeque<Runnable> pending = new ArrayDeque<>();
+    private final Runnable runPending = this::runPending;
+
+    /** Creates a batcher, which runs flushes at once unless it is enabled. */
+    public FlushBatcher(EventLoop loop, boolean enabled) {
+        this.loop = loop;
+        this.enabled = enabled;
+    }
+
+    /** Runs the flush. Each connection has at most one flush pending, so their number is bounded by that. */
+    public void flushLater(Runnable flush) {
+        if (!enabled) {
+            flush.run();
+            return;
+        }
+        pending.add(flush);
+        if (pending.size() == 1) {
+            loop.execute(runPending);
+        }
+    }
+
+    private void runPending() {
+        for (int left = pending.size(); left > 0; left--) {
+            pending.poll().run();
+        }
+        if (!pending.isEmpty()) {
+            loop.execute(runPending);
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/net/StandardErrorLog.java
@@ -0,0 +1,27 @@
+package cacheproxy.proxy.net;
+
+import java.nio.charset.StandardCharsets;
+
+/** Writes a bounded number of lines of bounded length to standard error, and drops the rest. */
+public final class StandardErrorLog {
+    private static final int MAX_LINES = 300;
+    private static final int MAX_LINE_BYTES = 500;
+
+    /** Changed on the event loop only. */
+    private volatile int linesWritten;
+
+    /** Whether a line would still be written; from any thread. */
+    public boolean acceptsLines() {
+        return linesWritten < MAX_LINES;
+    }
+
+    /** Writes a line, without its end; on the event loop only. */
+    @SuppressWarnings("NonAtomicVolatileUpdate") // written on the event loop alone
+    public void write(String line) {
+        if (acceptsLines()) {
+            linesWritten = linesWritten + 1;
+            boolean tooLong = line.getBytes(StandardCharsets.UTF_8).length > MAX_LINE_BYTES;
+            System.err.println(tooLong ? line.substring(0, MAX_LINE_BYTES) : line);
+        }
+    }
+}
--- a/src/main/java/cacheproxy/proxy/process/PlatformConfig.java
+++ b/src/main/java/cacheproxy/proxy/process/PlatformConfig.java
@@ -2,6 +2,7 @@
 
 import cacheproxy.config.Addresses;
 import cacheproxy.policy.PolicySettings;
+import cacheproxy.proxy.upstream.EventLoopLimits;
 import cacheproxy.simulator.SettingsParser;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
@@ -41,6 +42,22 @@
         double idleCloseMs,
         int streamsPerConnection) {
 
+    /**
+     * Memory of values, as buffers may take no more than a bound on the platform's command line, which leaves room for
+     * what is being read and written.
+     */
+    private static final long MAX_VALUE_BYTES = 10 << 20;
+    /** A third of the sockets is for servers. */
+    private static final int SERVER_SOCKETS_DIVISOR = 3;
+    /** An eighth of the memory is for clients' values. */
+    private static final int VALUE_MEMORY_DIVISOR = 8;
+
+    /** The limits of the process's one event loop. */
+    EventLoopLimits eventLoopLimits() {
+        long valueBytes = Math.min(((long) memoryMb << 20) / VALUE_MEMORY_DIVISOR, MAX_VALUE_BYTES);
+        return new EventLoopLimits(valueBytes, sockets / SERVER_SOCKETS_DIVISOR, false);
+    }
+
     /** Reads the file; an IllegalArgumentException says in one line what is wrong. */
     static PlatformConfig read(String path) {
         if (path == null || path.isEmpty()) {
--- a/src/main/java/cacheproxy/proxy/process/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/process/Proxy.java
@@ -63,7 +63,7 @@
             boolean beside = config.control() != null && OperatorActions.standsBeside(config.listen(), folder());
             WarmUp.run(loop, config, WarmUpPlan.of(config.settings().instances(), beside));
         }
-        core = EventLoopContext.of(loop, polls, config, Transport.BEST.socket());
+        core = new EventLoopContext(loop, polls, Transport.BEST.socket(), config.eventLoopLimits());
         core.watchPauses();
         useEventLog(config);
         dispatcher = new Dispatcher(core, Dispatcher.Pool.of(config));
--- a/src/main/java/cacheproxy/proxy/process/WarmUp.java
+++ b/src/main/java/cacheproxy/proxy/process/WarmUp.java
@@ -81,7 +81,8 @@
     }
 
     private void run(UnaryOperator<SocketAddress> dial) throws InterruptedException, IOException {
-        EventLoopContext core = EventLoopContext.of(loop, new PollClock(), config, Transport.BEST.localSocket());
+        EventLoopContext core =
+                new EventLoopContext(loop, new PollClock(), Transport.BEST.localSocket(), config.eventLoopLimits());
         Dispatcher dispatcher = new Dispatcher(core, Dispatcher.Pool.of(config));
         Listener front =
                 new Listener(core, new ClientRegistry(core, 16), new SinglePoolHandler(core, dispatcher), null);
--- a/src/main/java/cacheproxy/proxy/request/RequestValidator.java
+++ b/src/main/java/cacheproxy/proxy/request/RequestValidator.java
@@ -32,7 +32,7 @@
         if (kind == null || tenant == null || !(wait > 0 && wait <= Integer.MAX_VALUE)) {
             return "unknown class, tenant or deadline";
         }
-        if (!core.openIds.add(c.id)) {
+        if (!core.openId(c.id)) {
             // Ids are new with every request. Servers tell answers apart by them, so a second request under the id of
             // one that is open could be served with the other's value.
             return "id is in use";
--- a/src/main/java/cacheproxy/proxy/upstream/EventLoopContext.java
+++ b/src/main/java/cacheproxy/proxy/upstream/EventLoopContext.java
@@ -1,326 +1,200 @@
 package cacheproxy.proxy.upstream;
 
 import cacheproxy.eventlog.EventLog;
-import cacheproxy.eventlog.ProxyEvent;
-import cacheproxy.invariant.Invariant;
-import cacheproxy.invariant.InvariantListener;
 import cacheproxy.invariant.InvariantMonitor;
+import cacheproxy.proxy.net.EventLoopClock;
+import cacheproxy.proxy.net.FlushBatcher;
 import cacheproxy.proxy.net.PollClock;
+import cacheproxy.proxy.net.StandardErrorLog;
 import cacheproxy.proxy.net.TimerWheel;
 import cacheproxy.proxy.net.TimerWheel.Timer;
-import cacheproxy.proxy.net.Transport;
-import cacheproxy.proxy.process.PlatformConfig;
-import cacheproxy.proxy.request.ClientRequest;
-import cacheproxy.proxy.request.MetaCodec;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
-import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
-import java.nio.charset.StandardCharsets;
-import java.util.ArrayDeque;
 import java.util.HashSet;
 import java.util.Set;
 
 /**
- * What all pools and fronts of one event loop share: the clock, timers, the servers with their connections, and the
- * bounds on values, descriptors and log lines. Used on that loop only.
+ * What all pools and listeners of one event loop share: its clock and timers, its logs, the servers with their
+ * connections, the ids of open requests, and the limits on memory and connections. Each concern has a type of its own;
+ * this one holds them together. Used on that event loop only, unless a method says otherwise.
  */
 public final class EventLoopContext {
-    private static final int MAX_LOG_LINES = 300;
-    /** What the system may hold of a server's answer that is not being read. */
-    private static final int RECEIVED = 64 << 10;
-    /** A part of what the platform's command line lets buffers take; the rest is for what is being read and written. */
-    private static final long MAX_VALUES = 10 << 20;
-
-    private static final double CLOSES_PER_SECOND = 10;
-    private static final double CLOSES_SAVED = 10;
-    /** What of one long answer may wait for its client; the fewer there are the more, so that all have room. */
-    private static final int MAX_STREAM = 64 << 10;
-
-    private static final int MIN_STREAM = 8 << 10;
-    private static final int MIN_STREAM_BYTES = 1 << 20;
-
     public final EventLoop loop;
-    /** Off unless switched on; see {@link EventLog}. */
+    /** Disabled unless {@linkplain EventLog#enable enabled}. */
     public final EventLog events = EventLog.onStandardError(this::now);
-    /** Counts what was stopped or violated; used on the loop. */
-    public final InvariantMonitor invariants = new InvariantMonitor(new InvariantLog());
+
+    private final StandardErrorLog errors = new StandardErrorLog();
+    /** Counts and logs the actions that an invariant stopped, and violations. */
+    public final InvariantMonitor invariants = new InvariantMonitor(new InvariantEventLog(events, errors));
 
     public final UpstreamRegistry servers;
-    private final PollClock polls;
-    /** The clients' ids of requests that have no answer yet; as many as there are such requests. */
-    public final Set<String> openIds = new HashSet<>();
 
+    private final EventLoopClock clock;
     private final TimerWheel timers;
-    private final ArrayDeque<Runnable> flushes = new ArrayDeque<>();
-    private final Runnable flushAll = this::flushAll;
-    private final Class<? extends Channel> upstream;
-    private final double epochMs = System.currentTimeMillis();
-    private final long startNanos = System.nanoTime();
-    private final long maxValueBytes;
-    private final int maxUpstream;
-    private final boolean gathers;
-    private double closes = CLOSES_SAVED;
-    private double closesAtMs;
-    private int upstreamCount;
-    /** Long answers on their way, and what may wait for their clients in all. */
-    private int streams;
-
-    private final long streamBytes;
-    /** Long answers that are gathered whole, as their length was not told, and who waits to gather one. */
-    private int bodies;
-
-    private final int maxBodies;
-    private final ArrayDeque<Runnable> wantBodies = new ArrayDeque<>();
-    /** Written on the loop alone. */
-    private volatile int logLines;
-
-    private long valueBytes;
+    private final FlushBatcher flushes;
+    /** The clients' ids of requests that have no response yet. */
+    private final Set<String> openRequestIds = new HashSet<>();
+
+    private final ByteBudget valueBytes;
+    private final StreamBudget streams;
+    private final BufferedBodyLimit bufferedBodies;
+    private final ConnectionCloseLimiter closes = new ConnectionCloseLimiter();
+    private final UpstreamBootstraps bootstraps;
+    private final int maxServerConnections;
+    private int serverConnections;
 
     /**
-     * @param polls told of the loop's polls; a new one where it is not
-     * @param upstream the kind of channel towards servers
-     * @param maxValueBytes what clients' values in hand may take together
-     * @param maxUpstream connections to all servers together
-     * @param gathers whether a turn of the loop flushes once for all it writes. That saves CPU at high rates; a process
-     *     with part of a core may be halted in the middle of a turn, and what it had to say with it
+     * Creates the context of an event loop that has none yet.
+     *
+     * @param polls to which the loop reports its polls, or a new one if it does not
+     * @param serverChannels the type of channels to servers
      */
     public EventLoopContext(
-            EventLoop loop,
-            PollClock polls,
-            Class<? extends Channel> upstream,
-            long maxValueBytes,
-            int maxUpstream,
-            boolean gathers) {
-        this.gathers = gathers;
+            EventLoop loop, PollClock polls, Class<? extends Channel> serverChannels, EventLoopLimits limits) {
         this.loop = loop;
-        this.polls = polls;
-        this.upstream = upstream;
-        this.maxValueBytes = maxValueBytes;
-        this.maxUpstream = maxUpstream;
-        streamBytes = Math.max(MIN_STREAM_BYTES, maxValueBytes / 2);
-        maxBodies = (int) Math.max(1, maxValueBytes / MetaCodec.MAX_VALUE);
+        clock = new EventLoopClock(polls);
         timers = new TimerWheel(loop, polls);
+        flushes = new FlushBatcher(loop, limits.batchFlushes());
+        valueBytes = new ByteBudget(limits.maxValueBytes());
+        streams = new StreamBudget(limits.maxValueBytes());
+        bufferedBodies = new BufferedBodyLimit(loop, limits.maxValueBytes());
+        bootstraps = new UpstreamBootstraps(loop, serverChannels);
+        maxServerConnections = limits.maxServerConnections();
         servers = new UpstreamRegistry(this);
     }
 
-    /** As the platform's configuration bounds it. */
-    public static EventLoopContext of(
-            EventLoop loop, PollClock polls, PlatformConfig config, Class<? extends Channel> upstream) {
-        return new EventLoopContext(
-                loop,
-                polls,
-                upstream,
-                Math.min((long) config.memoryMb() << 20 >> 3, MAX_VALUES),
-                config.sockets() / 3,
-                false);
+    /** The event loop. */
+    public EventLoop loop() {
+        return loop;
     }
 
-    /** Unix time in milliseconds at the start, monotonic from there: list times need no conversion. */
+    // ---- time
+
+    /** The time in milliseconds; see {@link EventLoopClock}. From any thread. */
     public double now() {
-        return epochMs + (System.nanoTime() - startNanos) / 1e6;
+        return clock.nowMs();
     }
 
-    /**
-     * Since when what is read now may have waited unread, on the clock of {@link #now}. Called before anything else
-     * that reads.
-     */
+    /** Since when data read now may have waited unread. To be called before anything else that reads. */
     public double unreadSinceMs() {
-        long nowNanos = System.nanoTime();
-        return epochMs + (nowNanos - startNanos) / 1e6 - polls.unreadForMs(nowNanos);
+        return clock.unreadSinceMs();
     }
 
-    /** Counts the loop's polls; 0 where they are not counted. */
+    /** The number of the loop's polls so far; 0 if they are not counted. */
     public long turn() {
-        return polls.turn();
+        return clock.turn();
     }
 
-    /** Whether this turn of the loop is that one or the next, in which what stood unread until then is read. */
+    /** Whether this turn of the loop is the given one or the next, which reads what was unread until then. */
     public boolean follows(long turn) {
-        return polls.turn() > 0 && polls.turn() - turn <= 1;
+        return clock.isTurnOrNext(turn);
     }
 
-    /** An event is being handled: what comes later in this turn may have waited since then. */
+    /** An event is handled: what is read later in this turn may have waited since now. */
     void handling() {
-        polls.handling(System.nanoTime());
+        clock.handling();
     }
 
-    /** Has the loop do something often enough for {@link #unreadSinceMs} to know of pauses. Once, from any thread. */
+    /** Wakes the loop often enough for {@link #unreadSinceMs} to notice pauses. To be called once, from any thread. */
     public void watchPauses() {
-        loop.execute(this::beat);
+        loop.execute(this::heartbeat);
     }
 
-    private void beat() {
-        after(PollClock.HEARTBEAT_MS, this::beat);
+    private void heartbeat() {
+        after(PollClock.HEARTBEAT_MS, this::heartbeat);
     }
 
+    /** Runs the task after this time, in milliseconds; see {@link TimerWheel#after}. */
     public Timer after(double ms, Runnable task) {
         return timers.after(ms, task);
     }
 
-    /**
-     * Runs once the events that the loop has in hand are done, where writes are gathered: what they write to one
-     * connection goes out in one call of the system, not in one for each request. Each connection asks once, so there
-     * are as many as those. Else at once.
-     */
+    /** Runs the flush at once, or at the end of this turn where flushes are batched; see {@link FlushBatcher}. */
     public void flushLater(Runnable flush) {
-        if (!gathers) {
-            flush.run();
-            return;
-        }
-        flushes.add(flush);
-        if (flushes.size() == 1) {
-            loop.execute(flushAll);
-        }
+        flushes.flushLater(flush);
     }
 
-    private void flushAll() {
-        for (int n = flushes.size(); n > 0; n--) {
-            flushes.poll().run();
-        }
-        if (!flushes.isEmpty()) {
-            loop.execute(flushAll);
-        }
-    }
+    // ---- logs
 
-    Bootstrap bootstrap(double connectTimeoutMs) {
-        Bootstrap bootstrap = new Bootstrap()
-                .group(loop)
-                .channel(upstream)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) connectTimeoutMs)
-                .option(ChannelOption.RECVBUF_ALLOCATOR, Transport.reads());
-        if (upstream == Transport.BEST.socket()) {
-            // Once a server has ended its sending, Netty reads what has come to its end, also where reading is held
-            // back
-            // for a slow client. So no more than this may have come.
-            bootstrap.option(ChannelOption.SO_RCVBUF, RECEIVED);
-        }
-        if (upstream == Transport.BEST.socket()) {
-            bootstrap.option(ChannelOption.TCP_NODELAY, true);
-        }
-        return bootstrap;
+    /** Writes a line to standard error, unless there have been too many. */
+    public void log(String line) {
+        errors.write(line);
     }
 
-    /** Room for a client's value of this size; given back when its request is over. */
-    public boolean reserve(int bytes) {
-        if (valueBytes + bytes > maxValueBytes) {
-            return false;
-        }
-        valueBytes += bytes;
-        return true;
+    /** Whether a line would still be written; from any thread. */
+    public boolean takesLines() {
+        return errors.acceptsLines();
     }
 
-    public void giveBack(int bytes) {
-        valueBytes -= bytes;
-    }
+    // ---- open requests
 
-    /** A long answer begins. @return how many bytes of it may wait for its client */
-    public int streamOpened() {
-        streams++;
-        return (int) Math.max(MIN_STREAM, Math.min(MAX_STREAM, streamBytes / streams));
+    /** Records that a request is open; false if another with the same id is. */
+    public boolean openId(String id) {
+        return openRequestIds.add(id);
     }
 
-    public void streamClosed() {
-        streams--;
+    /** The request with this id has its response: the id may be used again. */
+    public void closeId(String id) {
+        openRequestIds.remove(id);
     }
 
-    /**
-     * Runs once there is room for one more long answer that is gathered whole, perhaps at once. One waits a connection.
-     */
-    void gatherBody(Runnable granted) {
-        if (bodies < maxBodies) {
-            bodies++;
-            granted.run();
-        } else {
-            wantBodies.add(granted);
-        }
-    }
+    // ---- memory
 
-    /** One that was granted is over. */
-    void bodyDone() {
-        Runnable next = wantBodies.poll();
-        if (next == null) {
-            bodies--;
-        } else {
-            loop.execute(next); // not from within the event that made the room
-        }
+    /** Reserves memory for the value of a write, to be given back once; or returns false if there is too little. */
+    public boolean reserve(int bytes) {
+        return valueBytes.reserve(bytes);
     }
 
-    /** Whether a connection may be closed for the sake of one attempt; where no second copies are allowed it must. */
-    boolean mayClose(boolean secondCopies) {
-        double now = now();
-        closes = Math.min(CLOSES_SAVED, closes + (now - closesAtMs) / 1000 * CLOSES_PER_SECOND);
-        closesAtMs = now;
-        if (closes < 1 && secondCopies) {
-            return false;
-        }
-        closes--;
-        return true;
+    /** Gives back reserved memory. */
+    public void giveBack(int bytes) {
+        valueBytes.release(bytes);
     }
 
-    boolean roomUpstream() {
-        return upstreamCount < maxUpstream;
+    /** A streamed response begins. Returns how many bytes of it may wait for its client. */
+    public int streamOpened() {
+        return streams.opened();
     }
 
-    void openedUpstream() {
-        upstreamCount++;
+    /** A streamed response has ended. */
+    public void streamClosed() {
+        streams.closed();
     }
 
-    void closedUpstream() {
-        upstreamCount--;
+    /** The limit on bodies that are buffered whole. */
+    BufferedBodyLimit bufferedBodies() {
+        return bufferedBodies;
     }
 
-    public EventLoop loop() {
-        return loop;
-    }
+    // ---- connections to servers
 
-    /** Adds one that is told of servers that refuse connections and of those that take them again. */
+    /** Adds an observer of servers that refuse connections, and of those that accept them again. */
     public void observe(UpstreamRegistry.Observer observer) {
         servers.observe(observer);
     }
 
-    /** The id of a request that has had its answer may come again. */
-    public void closeId(ClientRequest command) {
-        openIds.remove(command.id);
+    /** Creates a bootstrap that lacks the handler and the address. */
+    Bootstrap bootstrap(double connectTimeoutMs) {
+        return bootstraps.create(connectTimeoutMs);
     }
 
-    /** Whether a line would still be written; from any thread. */
-    public boolean takesLines() {
-        return logLines < MAX_LOG_LINES;
+    /** Whether one more connection to a server may be opened. */
+    boolean mayOpenConnection() {
+        return serverConnections < maxServerConnections;
     }
 
-    /** What was stopped is an event of many; a violation is a line of its own, whether or not the event log is on. */
-    private final class InvariantLog implements InvariantListener {
-        @Override
-        public void stopped(Invariant invariant, String requestId, String reason) {
-            if (events.isEnabled()) {
-                events.line(ProxyEvent.ACTION_STOPPED)
-                        .with("id", requestId)
-                        .with("invariant", invariant.label())
-                        .with("reason", reason)
-                        .write();
-            }
-        }
-
-        @Override
-        public void violated(Invariant invariant, String requestId, String reason) {
-            log("invariant violated: " + invariant.label() + ", request " + requestId + ": " + reason);
-            if (events.isEnabled()) {
-                events.line(ProxyEvent.INVARIANT_VIOLATED)
-                        .with("id", requestId)
-                        .with("invariant", invariant.label())
-                        .with("reason", reason)
-                        .write();
-            }
-        }
+    /** A connection to a server is being opened. */
+    void connectionOpened() {
+        serverConnections++;
     }
 
-    /** A line on standard error; their number is bounded. */
-    @SuppressWarnings("NonAtomicVolatileUpdate") // written on the event loop alone
-    public void log(String line) {
-        if (takesLines()) {
-            logLines = logLines + 1;
-            System.err.println(line.getBytes(StandardCharsets.UTF_8).length > 500 ? line.substring(0, 500) : line);
-        }
+    /** A connection to a server has been closed, or did not come up. */
+    void connectionClosed() {
+        serverConnections--;
+    }
+
+    /** Whether a connection may be closed to abandon one attempt; see {@link ConnectionCloseLimiter#mayClose}. */
+    boolean mayClose(boolean hedgingAllowed) {
+        return closes.mayClose(now(), hedgingAllowed);
     }
 }
--- a/src/main/java/cacheproxy/proxy/upstream/OriginCodec.java
+++ b/src/main/java/cacheproxy/proxy/upstream/OriginCodec.java
@@ -207,9 +207,9 @@
             // What comes waits with the system until there is room; the request's own deadline goes on.
             paused = true;
             connection.read(false);
-            connection.core().gatherBody(() -> {
+            connection.core().bufferedBodies().acquire(() -> {
                 if (!asked) {
-                    connection.core().bodyDone(); // it has ended meanwhile
+                    connection.core().bufferedBodies().release(); // it has ended meanwhile
                 } else {
                     granted = true;
                     if (!feeding) { // else all of it came with the read that asked, and the next answer is not due yet
@@ -302,7 +302,7 @@
         goOn(); // an answer that was whole before there was room must not leave its connection unread
         if (granted) {
             granted = false;
-            connection.core().bodyDone();
+            connection.core().bufferedBodies().release();
         }
         release(body);
         body = null;
--- a/src/main/java/cacheproxy/proxy/upstream/Upstream.java
+++ b/src/main/java/cacheproxy/proxy/upstream/Upstream.java
@@ -68,7 +68,7 @@
                 && standing < maxConnections
                 && all < mostConnections
                 && (origin || room.mayOpen(core.now(), standing))
-                && core.roomUpstream()) {
+                && core.mayOpenConnection()) {
             best = open();
         }
         if (best == null || !best.usable(maxDepth)) { // a new one may have failed at once, for want of a descriptor
@@ -158,7 +158,7 @@
     private UpstreamConnection open() {
         UpstreamConnection connection = new UpstreamConnection(this);
         connections.add(connection);
-        core.openedUpstream();
+        core.connectionOpened();
         ChannelHandler[] handlers =
                 origin ? OriginCodec.handlers(connection) : new ChannelHandler[] {new CacheCodec(connection)};
         ChannelFuture future =
@@ -169,7 +169,7 @@
 
     void closed(UpstreamConnection connection) {
         if (connections.remove(connection)) {
-            core.closedUpstream();
+            core.connectionClosed();
         }
     }
 
--- a/src/test/java/cacheproxy/proxy/InvariantEventsGoldenTextTest.java
+++ b/src/test/java/cacheproxy/proxy/InvariantEventsGoldenTextTest.java
@@ -5,6 +5,7 @@
 import cacheproxy.invariant.Invariant;
 import cacheproxy.proxy.net.PollClock;
 import cacheproxy.proxy.upstream.EventLoopContext;
+import cacheproxy.proxy.upstream.EventLoopLimits;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import io.netty.channel.nio.NioIoHandler;
 import io.netty.channel.socket.nio.NioSocketChannel;
@@ -27,7 +28,10 @@
         System.setErr(new PrintStream(out, true, StandardCharsets.UTF_8));
         try {
             EventLoopContext core = new EventLoopContext(
-                    group.next(), new PollClock(), NioSocketChannel.class, MAX_VALUE_BYTES, MAX_UPSTREAM, false);
+                    group.next(),
+                    new PollClock(),
+                    NioSocketChannel.class,
+                    new EventLoopLimits(MAX_VALUE_BYTES, MAX_UPSTREAM, false));
             core.events.enable();
             core.invariants.recordStopped(Invariant.SINGLE_ANSWER, "r1", "two answers");
             core.invariants.recordViolation(Invariant.SERVER_ACCEPTS, "r2", "it drains");
