--- a/src/main/java/cacheproxy/proxy/dispatch/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/Dispatcher.java
@@ -632,7 +632,7 @@
     private void over(RequestContext x) {
         x.over = true;
         if (x.holdsId) {
-            core.openIds.remove(x.command.id);
+            core.closeId(x.command.id);
         }
         stop(x.timer);
     }
