--- /dev/null
+++ b/src/main/java/cacheproxy/policy/ExponentialDecay.java
@@ -0,0 +1,14 @@
+package cacheproxy.policy;
+
+/** Exponential decay of the counts that describe recent load. */
+final class ExponentialDecay {
+    /** Half-life in milliseconds: some ten fetches at a proxy with a few a second. */
+    private static final double HALF_LIFE_MS = 4000;
+
+    private ExponentialDecay() {}
+
+    /** Returns the fraction of a count that remains after a time in milliseconds. */
+    static double remaining(double elapsedMs) {
+        return Math.pow(0.5, elapsedMs / HALF_LIFE_MS);
+    }
+}
--- /dev/null
+++ b/src/main/java/cacheproxy/policy/PendingRequest.java
@@ -0,0 +1,279 @@
+package cacheproxy.policy;
+
+import java.util.ArrayDeque;
+
+/**
+ * A request that has no final response yet, or whose attempts have not all ended. The object records what has happened
+ * to the request; decisions are made elsewhere.
+ *
+ * <p>Attempts are numbered from 0 in the order of sending. Times are milliseconds of the policy's clock.
+ */
+final class PendingRequest {
+    private final RoutingRequest request;
+    private final ServiceClass serviceClass;
+    private final double arrivedMs;
+    private final int keyHash;
+    private final int number;
+    private final ServerState[] attemptedServers;
+    private final double[] sentAtMs;
+    private final boolean[] ended;
+    private int attempts;
+    private int inFlightAttempts;
+    private int hotKeySpread = 1;
+    private int recentKeyRequests = 1;
+    private boolean concluded;
+    private boolean streaming;
+    private boolean originOnly;
+    private boolean waiting;
+    private boolean hedged;
+    private boolean siblingsQueried;
+    private boolean fetching;
+    private double hedgeAtMs;
+    private ServerState missedServer;
+    private double mayHaveRunSinceMs = Double.NaN;
+    private ServerState mayHaveRunAt;
+    private ArrayDeque<PendingRequest> waiters;
+
+    /**
+     * Creates a request without attempts.
+     *
+     * @param number identifies the request in its timers
+     */
+    PendingRequest(double nowMs, RoutingRequest request, ServiceClass serviceClass, int number, int maxAttempts) {
+        this.request = request;
+        this.serviceClass = serviceClass;
+        this.number = number;
+        arrivedMs = nowMs;
+        keyHash = CarpHash.keyHash(placementKey());
+        attemptedServers = new ServerState[maxAttempts];
+        sentAtMs = new double[maxAttempts];
+        ended = new boolean[maxAttempts];
+    }
+
+    RoutingRequest request() {
+        return request;
+    }
+
+    int id() {
+        return request.id();
+    }
+
+    int number() {
+        return number;
+    }
+
+    ServiceClass serviceClass() {
+        return serviceClass;
+    }
+
+    boolean isIdempotent() {
+        return serviceClass.idempotency() == Idempotency.IDEMPOTENT;
+    }
+
+    /** Returns when the service class's latency objective is over. */
+    double objectiveAtMs() {
+        return arrivedMs + serviceClass.latencyObjectiveMs();
+    }
+
+    /** Whether a response after the latency objective is worth nothing and may be given up. */
+    boolean isWorthlessWhenLate() {
+        return isIdempotent() && serviceClass.lateValueFraction() == 0;
+    }
+
+    /** Returns the key that servers are ranked for: the request's own, or its id if it has none. */
+    long placementKey() {
+        return request.key() != 0 ? request.key() : Integer.toUnsignedLong(request.id());
+    }
+
+    /** Returns {@link CarpHash#keyHash} of {@link #placementKey}. */
+    int keyHash() {
+        return keyHash;
+    }
+
+    /** Sets how hot the request's key is: its recent requests and how many servers it is spread over. */
+    void setKeyHeat(int recentRequests, int spread) {
+        recentKeyRequests = recentRequests;
+        hotKeySpread = spread;
+    }
+
+    /** Returns the recent requests for the key, at least 1. */
+    int recentKeyRequests() {
+        return recentKeyRequests;
+    }
+
+    /** Returns how many servers the key is spread over, at least 1. */
+    int hotKeySpread() {
+        return hotKeySpread;
+    }
+
+    /** Records an attempt that is sent; returns its number. */
+    int startAttempt(double nowMs, ServerState server) {
+        int attempt = attempts++;
+        attemptedServers[attempt] = server;
+        sentAtMs[attempt] = nowMs;
+        inFlightAttempts++;
+        return attempt;
+    }
+
+    /** Records the end of an attempt. */
+    void endAttempt(int attempt) {
+        ended[attempt] = true;
+        inFlightAttempts--;
+    }
+
+    /** Notes that an attempt may have taken effect; the first such attempt counts. */
+    void markMayHaveRun(int attempt) {
+        if (Double.isNaN(mayHaveRunSinceMs)) {
+            mayHaveRunSinceMs = sentAtMs[attempt];
+            mayHaveRunAt = attemptedServers[attempt];
+        }
+    }
+
+    /** Whether an attempt that has ended may have taken effect. */
+    boolean mayHaveRun() {
+        return !Double.isNaN(mayHaveRunSinceMs);
+    }
+
+    /** Returns when the first attempt that may have taken effect was sent; NaN: there is none. */
+    double mayHaveRunSinceMs() {
+        return mayHaveRunSinceMs;
+    }
+
+    /** Returns the server of the first attempt that may have taken effect; null: there is none. */
+    ServerState mayHaveRunAt() {
+        return mayHaveRunAt;
+    }
+
+    int attempts() {
+        return attempts;
+    }
+
+    int inFlightAttempts() {
+        return inFlightAttempts;
+    }
+
+    ServerState server(int attempt) {
+        return attemptedServers[attempt];
+    }
+
+    boolean hasEnded(int attempt) {
+        return ended[attempt];
+    }
+
+    boolean wasSentTo(ServerState server) {
+        for (int attempt = 0; attempt < attempts; attempt++) {
+            if (attemptedServers[attempt] == server) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    /** Whether the final response is given, or the client has left. */
+    boolean isConcluded() {
+        return concluded;
+    }
+
+    void markConcluded() {
+        concluded = true;
+    }
+
+    /** Whether an attempt's response is being passed on to the client. */
+    boolean isStreaming() {
+        return streaming;
+    }
+
+    void markStreaming() {
+        streaming = true;
+    }
+
+    /** Whether only the origin can serve the request. */
+    boolean isOriginOnly() {
+        return originOnly;
+    }
+
+    void setOriginOnly(boolean only) {
+        originOnly = only;
+    }
+
+    /** Whether the request waits for a timer, for siblings or for another request's fetch. */
+    boolean isWaiting() {
+        return waiting;
+    }
+
+    void setWaiting(boolean waits) {
+        waiting = waits;
+    }
+
+    /** Whether an attempt has exceeded its hedging delay and was hedged or cancelled for it. */
+    boolean isHedged() {
+        return hedged;
+    }
+
+    void markHedged() {
+        hedged = true;
+    }
+
+    /** Returns when the newest attempt exceeds its hedging delay. */
+    double hedgeAtMs() {
+        return hedgeAtMs;
+    }
+
+    void setHedgeAtMs(double atMs) {
+        hedgeAtMs = atMs;
+    }
+
+    /** Returns the server that has answered with a miss; null: none has. */
+    ServerState missedServer() {
+        return missedServer;
+    }
+
+    /** Records a server's miss: the origin is next. */
+    void recordMiss(ServerState server) {
+        missedServer = server;
+        originOnly = true;
+    }
+
+    boolean isSiblingsQueried() {
+        return siblingsQueried;
+    }
+
+    void markSiblingsQueried() {
+        siblingsQueried = true;
+    }
+
+    /** Whether the request has gone on to fetch its object from the origin. */
+    boolean isFetching() {
+        return fetching;
+    }
+
+    void markFetching() {
+        fetching = true;
+    }
+
+    /** Whether the request leads the fetch of its key, so that others may wait for it. */
+    boolean isLeading() {
+        return waiters != null;
+    }
+
+    boolean hasWaiters() {
+        return waiters != null && !waiters.isEmpty();
+    }
+
+    /** The request leads the fetch of its key from now on. */
+    void startLeading() {
+        waiters = new ArrayDeque<>();
+    }
+
+    /** Adds a request that waits for this one's fetch. */
+    void addWaiter(PendingRequest waiter) {
+        waiters.add(waiter);
+    }
+
+    /** The request leads no longer; returns those that have waited for it, first come first. */
+    ArrayDeque<PendingRequest> stopLeading() {
+        ArrayDeque<PendingRequest> released = waiters;
+        waiters = null;
+        return released;
+    }
+}
--- a/src/main/java/cacheproxy/policy/RoutingPolicy.java
+++ b/src/main/java/cacheproxy/policy/RoutingPolicy.java
@@ -6,13 +6,17 @@
 import cacheproxy.placement.PlacementFactory;
 import cacheproxy.placement.StartTimes;
 import cacheproxy.siblings.Siblings;
-import cacheproxy.snapshot.state.LearnedHotKey;
-import cacheproxy.snapshot.state.LearnedHotKeys;
 import cacheproxy.snapshot.state.LearnedLatency;
-import cacheproxy.snapshot.state.LearnedLoad;
 import cacheproxy.snapshot.state.LearnedServer;
 import cacheproxy.snapshot.state.LearnedState;
-import java.util.*;
+import java.util.ArrayDeque;
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.SplittableRandom;
 
 /**
  * The decisions of one balancer instance. Types, events and actions: PolicyApi.java; hashes and ranking: Carp.java.
@@ -66,241 +70,9 @@
     private boolean watchRequested;
     private int watchFailures;
 
-    /** One server of the list and what this instance has seen of it. */
-    private static final class ServerState {
-        final int id;
-        Endpoint endpoint;
-        double weightFraction;
-        int failures;
-        double ejectedUntilMs;
-        int overdueAttempts;
-        boolean probing;
-        boolean probeSucceeded;
-        /** Whether its failures are only remembered: this instance has seen none of its answers yet. */
-        boolean restored;
-        /** When it was seen to have started since an earlier list; negative infinity: it was on the first. */
-        double restartSeenMs = Double.NEGATIVE_INFINITY;
-
-        ServerState(int id) {
-            this.id = id;
-        }
-    }
-
-    private final class PendingRequest {
-        final RoutingRequest request;
-        final ServiceClass serviceClass;
-        final boolean idempotent;
-        final double arrivedMs;
-        final int keyHash;
-        final int number = ++lastRequestNumber & REQUEST_NUMBER_MASK;
-        final ServerState[] attemptedServers = new ServerState[settings.maxAttempts()];
-        final double[] sentAtMs = new double[settings.maxAttempts()];
-        final boolean[] ended = new boolean[settings.maxAttempts()];
-        int hotKeySpread = 1;
-        int recentCount = 1;
-        int attempts;
-        int inFlightAttempts;
-        boolean done;
-        boolean streaming;
-        boolean toOrigin;
-        boolean waiting;
-        boolean hedged;
-        /** Whether siblings were asked, and whether it has gone on to the origin. */
-        boolean siblingsQueried;
-
-        boolean fetching;
-        double hedgeAtMs;
-        ServerState missedServer;
-        double maybeRanAtMs = Double.NaN;
-        ServerState maybeRanServer;
-        ArrayDeque<PendingRequest> waiters;
-
-        PendingRequest(RoutingRequest request, double nowMs) {
-            this.request = request;
-            arrivedMs = nowMs;
-            serviceClass = settings.classes().get(request.serviceClass());
-            idempotent = serviceClass.idempotency() == Idempotency.IDEMPOTENT;
-            keyHash = CarpHash.keyHash(key());
-        }
-
-        long key() {
-            return request.key() != 0 ? request.key() : Integer.toUnsignedLong(request.id());
-        }
-
-        /** The work hinted at, in units of the usual; 1 where there is no hint. */
-        double relativeCost() {
-            return request.costHintMs() > 0 && averageCost > 0 ? request.costHintMs() / averageCost : 1;
-        }
-    }
-
-    private static final class HotKeyTracker {
-        /** Halving span: long enough for a hot key to show at a proxy with a few requests a second. */
-        static final double HALVING_PERIOD_MS = 4000;
-
-        static final int MIN_COUNT = 6;
-        static final int MAX_SPREAD_KEYS = 256;
-        private final Map<Long, int[]> counts = new HashMap<>();
-        /** Those that were spread since the last halving: the ones worth telling a successor. */
-        private final Set<Long> spreadKeys = new HashSet<>();
-
-        private double totalCount;
-        /** Lately, without what was remembered: more would make a hot key seem fair to a cold server. */
-        private double ownCount, ownCountAtMs, halvedAtMs;
-
-        int record(long key, double nowMs) {
-            while (nowMs - halvedAtMs > HALVING_PERIOD_MS) {
-                halvedAtMs = counts.isEmpty() ? nowMs : halvedAtMs + HALVING_PERIOD_MS;
-                totalCount /= 2;
-                counts.values().removeIf(count -> (count[0] /= 2) == 0);
-                spreadKeys.removeIf(spreadKey -> counts.getOrDefault(spreadKey, new int[1])[0] < MIN_COUNT);
-            }
-            totalCount++;
-            ownCount = ownCount * AdaptiveThrottle.remaining(nowMs - ownCountAtMs) + 1;
-            ownCountAtMs = nowMs;
-            return ++counts.computeIfAbsent(key, spreadKey -> new int[1])[0];
-        }
-
-        LearnedHotKeys learned(int maxKeys) {
-            List<LearnedHotKey> keys = new ArrayList<>();
-            for (Long key : spreadKeys) {
-                int[] count = counts.get(key);
-                if (count != null) {
-                    keys.add(new LearnedHotKey(key, count[0]));
-                }
-            }
-            keys.sort((left, right) -> Integer.compare(right.count(), left.count()));
-            return new LearnedHotKeys(totalCount, List.copyOf(keys.subList(0, Math.min(maxKeys, keys.size()))));
-        }
-
-        void restore(LearnedHotKeys learned, double nowMs) {
-            halvedAtMs = counts.isEmpty() ? nowMs : halvedAtMs;
-            totalCount += learned.total();
-            learned.keys()
-                    .forEach(learnedKey ->
-                            counts.computeIfAbsent(learnedKey.key(), unused -> new int[1])[0] += learnedKey.count());
-        }
-    }
-
-    /**
-     * What the origin was asked and what it answered in time of that, both fading. Guards against the jam in which late
-     * and refused fetches are asked for again and the origin works for nobody.
-     */
-    private static final class AdaptiveThrottle {
-        /** Halves in this time: some ten fetches at a proxy with a few a second. */
-        static final double HALF_LIFE_MS = 4000;
-
-        static final double HEADROOM = 1.2;
-        private double sent;
-        private double answered;
-        /** What an earlier instance counted, fading alike. */
-        private double restoredSent;
-
-        private double restoredAnswered;
-        private double decayedAtMs;
-
-        /** What is left of a count after this time. */
-        static double remaining(double elapsedMs) {
-            return Math.pow(0.5, elapsedMs / HALF_LIFE_MS);
-        }
-
-        private void decay(double nowMs) {
-            double factor = remaining(nowMs - decayedAtMs);
-            sent *= factor;
-            answered *= factor;
-            restoredSent *= factor;
-            restoredAnswered *= factor;
-            decayedAtMs = nowMs;
-        }
-
-        /** The part of what is wanted that should not be sent; what was recalled never lessens it. */
-        double excess(double nowMs) {
-            decay(nowMs);
-            return Math.max(excess(sent, answered), excess(sent + restoredSent, answered + restoredAnswered));
-        }
-
-        private static double excess(double sent, double answered) {
-            return (sent - HEADROOM * answered - 1) / (sent + 1);
-        }
-
-        double pressure(double nowMs) {
-            decay(nowMs);
-            return Math.max(
-                    1,
-                    Math.max(
-                            (sent + 1) / (answered + 1),
-                            (sent + restoredSent + 1) / (answered + restoredAnswered + 1)));
-        }
-
-        LearnedLoad learned(double nowMs) {
-            decay(nowMs);
-            return new LearnedLoad(sent + restoredSent, answered + restoredAnswered);
-        }
-
-        void restore(double nowMs, LearnedLoad learned) {
-            decay(nowMs);
-            restoredSent += learned.sent();
-            restoredAnswered += learned.answered();
-        }
-
-        void sent(double nowMs) {
-            decay(nowMs);
-            sent++;
-        }
-
-        void answered(double nowMs) {
-            decay(nowMs);
-            answered++;
-        }
-    }
-
-    /**
-     * What each tenant asks of this instance, fading. What must be refused comes off those that ask most over their
-     * quotas (max-min fair), as that is worth little. Clients' repeats swell all alike.
-     */
-    private final class TenantShares {
-        private final double[] requested = new double[settings.tenants().size()];
-        private double decayedAtMs;
-
-        void requested(double nowMs, int tenant) {
-            double factor = AdaptiveThrottle.remaining(nowMs - decayedAtMs);
-            decayedAtMs = nowMs;
-            for (int i = 0; i < requested.length; i++) {
-                requested[i] *= factor;
-            }
-            requested[tenant]++;
-        }
-
-        private double allowed(int tenant, double quotaMultiple) {
-            return Math.min(
-                    requested[tenant],
-                    quotaMultiple * settings.tenants().get(tenant).quotaPerSecond());
-        }
-
-        /** The part of this tenant's requests to refuse so that in all the part {@code excess} is refused. */
-        double rejectionProbability(int tenant, double rejectedFraction) {
-            double allowedTotal = 0;
-            double highMultiple = 0;
-            for (int i = 0; i < requested.length; i++) {
-                allowedTotal += requested[i] * (1 - rejectedFraction);
-                highMultiple = Math.max(
-                        highMultiple,
-                        requested[i] / Math.max(1e-9, settings.tenants().get(i).quotaPerSecond()));
-            }
-            double lowMultiple = 0;
-            for (int step = 0; step < 24; step++) {
-                double multiple = (lowMultiple + highMultiple) / 2;
-                double total = 0;
-                for (int i = 0; i < requested.length; i++) {
-                    total += allowed(i, multiple);
-                }
-                if (total < allowedTotal) {
-                    lowMultiple = multiple;
-                } else {
-                    highMultiple = multiple;
-                }
-            }
-            return 1 - allowed(tenant, highMultiple) / requested[tenant];
-        }
+    /** The work hinted at, in units of the usual; 1 where there is no hint. */
+    private double relativeCost(RoutingRequest request) {
+        return request.costHintMs() > 0 && averageCost > 0 ? request.costHintMs() / averageCost : 1;
     }
 
     /** Whether to refuse this one where a part of all must be refused. */
@@ -309,7 +81,9 @@
             return false;
         }
         return random.nextDouble()
-                < (tenantShares == null ? excess : tenantShares.rejectionProbability(pending.request.tenant(), excess));
+                < (tenantShares == null
+                        ? excess
+                        : tenantShares.rejectionProbability(pending.request().tenant(), excess));
     }
 
     /** A fresh instance that knows nothing yet. */
@@ -331,7 +105,9 @@
         placement = placements.create(List.of());
         random = new SplittableRandom(seed);
         tenantShares =
-                settings.overQuotaValueFraction() < 1 && settings.tenants().size() > 1 ? new TenantShares() : null;
+                settings.overQuotaValueFraction() < 1 && settings.tenants().size() > 1
+                        ? new TenantShares(settings.tenants())
+                        : null;
         double shortestAim = settings.classes().stream()
                 .mapToDouble(ServiceClass::latencyObjectiveMs)
                 .min()
@@ -366,7 +142,7 @@
         if (kind != EndpointListKind.CHANGES) {
             Set<Integer> listedIds = new HashSet<>();
             endpoints.forEach(endpoint -> listedIds.add(endpoint.id()));
-            servers.values().removeIf(server -> !listedIds.contains(server.id));
+            servers.values().removeIf(server -> !listedIds.contains(server.id()));
         }
         startTimes.recordList(nowMs, endpoints);
         for (Endpoint endpoint : endpoints) {
@@ -375,14 +151,7 @@
                 continue;
             }
             ServerState server = servers.computeIfAbsent(endpoint.id(), ServerState::new);
-            if (server.endpoint != null && server.endpoint.startedMs() != endpoint.startedMs()) {
-                server.failures = 0;
-                server.ejectedUntilMs = 0;
-            }
-            if (listReceived && (server.endpoint == null || server.endpoint.startedMs() != endpoint.startedMs())) {
-                server.restartSeenMs = nowMs;
-            }
-            server.endpoint = endpoint;
+            server.update(nowMs, endpoint, !listReceived);
         }
         listReceived |= !servers.isEmpty();
         rebuildPlacement();
@@ -392,10 +161,14 @@
     public LearnedState learnedState(double nowMs, int maxKeys) {
         List<LearnedServer> learnedServers = new ArrayList<>();
         for (ServerState server : servers.values()) {
-            if (server != origin && server.failures + server.overdueAttempts > 0) {
-                double ejectedForMs = Math.max(0, server.ejectedUntilMs - nowMs);
+            if (server != origin && server.failures() + server.overdueAttempts() > 0) {
+                double ejectedForMs = Math.max(0, server.ejectedUntilMs() - nowMs);
                 learnedServers.add(new LearnedServer(
-                        server.id, server.endpoint.startedMs(), server.failures, ejectedForMs, server.overdueAttempts));
+                        server.id(),
+                        server.endpoint().startedMs(),
+                        server.failures(),
+                        ejectedForMs,
+                        server.overdueAttempts()));
             }
         }
         return new LearnedState(
@@ -416,14 +189,11 @@
             ServerState server = servers.get(learned.id());
             if (server == null
                     || server == origin
-                    || server.endpoint.startedMs() != learned.startMs()
-                    || server.failures + server.overdueAttempts > 0) {
+                    || server.endpoint().startedMs() != learned.startMs()
+                    || server.failures() + server.overdueAttempts() > 0) {
                 continue;
             }
-            server.failures = learned.failures();
-            server.overdueAttempts = learned.overdueAttempts();
-            server.ejectedUntilMs = nowMs + Math.min(learned.ejectedForMs(), ejectionMs(learned.failures() - 1));
-            server.restored = learned.failures() > 0;
+            server.restore(learned, nowMs + Math.min(learned.ejectedForMs(), ejectionMs(learned.failures() - 1)));
         }
         LearnedLatency latency = learnedState.latency();
         originLatencyMs += (latency.originMs() - originLatencyMs) * latency.weight();
@@ -459,27 +229,27 @@
         origin = null;
         List<ServerState> ranked = new ArrayList<>();
         for (ServerState server : servers.values()) {
-            if (server.endpoint.state() != EndpointState.READY || siblings.is(server.endpoint)) {
+            if (server.endpoint().state() != EndpointState.READY || siblings.is(server.endpoint())) {
                 continue;
             }
-            if (settings.cacheAside() && server.endpoint.kind() == settings.originKind()) {
+            if (settings.cacheAside() && server.endpoint().kind() == settings.originKind()) {
                 origin = server;
             } else {
                 ranked.add(server);
             }
         }
-        ranked.sort((attempt, b) -> Integer.compareUnsigned(attempt.id, b.id));
+        ranked.sort((left, right) -> Integer.compareUnsigned(left.id(), right.id()));
         rankedServers = ranked.toArray(new ServerState[0]);
         float[] weights = new float[rankedServers.length];
         double sum = 0;
         for (int i = 0; i < rankedServers.length; i++) {
-            weights[i] = rankedServers[i].endpoint.weight();
+            weights[i] = rankedServers[i].endpoint().weight();
             sum += weights[i];
         }
-        placement =
-                placements.create(ranked.stream().map(server -> server.endpoint).toList());
+        placement = placements.create(
+                ranked.stream().map(server -> server.endpoint()).toList());
         for (int i = 0; i < rankedServers.length; i++) {
-            rankedServers[i].weightFraction = sum > 0 ? weights[i] / sum : 1.0 / rankedServers.length;
+            rankedServers[i].setWeightFraction(sum > 0 ? weights[i] / sum : 1.0 / rankedServers.length);
         }
     }
 
@@ -506,54 +276,47 @@
             averageCost += (request.costHintMs() - averageCost) / (averageCost > 0 ? 32 : 1);
         }
         if (tenantShares != null) {
-            tenantShares.requested(nowMs, request.tenant());
+            tenantShares.recordRequest(nowMs, request.tenant());
         }
         probeTokens = Math.min(1, probeTokens + HEDGE_RATIO);
-        PendingRequest pending = new PendingRequest(request, nowMs);
+        PendingRequest pending = new PendingRequest(
+                nowMs,
+                request,
+                settings.classes().get(request.serviceClass()),
+                ++lastRequestNumber & REQUEST_NUMBER_MASK,
+                settings.maxAttempts());
         pendingById.put(request.id(), pending);
-        pendingByNumber.put(pending.number, pending);
+        pendingByNumber.put(pending.number(), pending);
         startTimer(Math.max(0, request.deadlineMs() - nowMs), DEADLINE_TIMER, pending, actions);
-        pending.toOrigin = settings.cacheAside() && request.write();
-        if (!pending.toOrigin && request.key() != 0) {
-            pending.recentCount = hotKeys.record(request.key(), nowMs);
-            pending.hotKeySpread = hotKeySpread(request.key(), pending.recentCount);
+        pending.setOriginOnly(settings.cacheAside() && request.write());
+        if (!pending.isOriginOnly() && request.key() != 0) {
+            int recentRequests = hotKeys.record(request.key(), nowMs);
+            pending.setKeyHeat(
+                    recentRequests, hotKeys.spread(request.key(), recentRequests, placement.maxHotKeySpread()));
         }
         advance(nowMs, pending, actions);
     }
 
-    /**
-     * The draft sends all of a key to one member. A key that locally exceeds a server's fair part is spread over as
-     * many of its top ranks as bring each under that, wherever it is as hot.
-     */
-    private int hotKeySpread(long key, int recentCount) {
-        int maxSpread = placement.maxHotKeySpread();
-        int spread = recentCount < HotKeyTracker.MIN_COUNT
-                ? 1
-                : (int) Math.ceil(recentCount / hotKeys.totalCount * maxSpread);
-        if (spread > 1 && hotKeys.spreadKeys.size() < HotKeyTracker.MAX_SPREAD_KEYS) {
-            hotKeys.spreadKeys.add(key);
-        }
-        return Math.max(1, Math.min(spread, maxSpread));
-    }
-
     private void advance(double nowMs, PendingRequest pending, PolicyActions actions) {
-        pending.waiting = false;
-        boolean expired = pending.idempotent
-                && pending.serviceClass.lateValueFraction() == 0
-                && nowMs > pending.arrivedMs + pending.serviceClass.latencyObjectiveMs();
-        if (pending.done || pending.streaming) {
+        pending.setWaiting(false);
+        boolean expired = pending.isIdempotent()
+                && pending.serviceClass().lateValueFraction() == 0
+                && nowMs > pending.objectiveAtMs();
+        if (pending.isConcluded() || pending.isStreaming()) {
             return;
         }
         ServerState server = null;
-        if (!expired && pending.attempts < settings.maxAttempts() && nowMs < pending.request.deadlineMs()) {
-            server = pending.toOrigin
+        if (!expired
+                && pending.attempts() < settings.maxAttempts()
+                && nowMs < pending.request().deadlineMs()) {
+            server = pending.isOriginOnly()
                             || (settings.cacheAside()
-                                    && pending.idempotent
-                                    && pending.attempts >= MAX_CACHE_ATTEMPTS
-                                    && pending.missedServer == null)
+                                    && pending.isIdempotent()
+                                    && pending.attempts() >= MAX_CACHE_ATTEMPTS
+                                    && pending.missedServer() == null)
                     ? origin
                     : chooseServer(nowMs, pending, actions);
-            if (server == null && settings.cacheAside() && pending.idempotent) {
+            if (server == null && settings.cacheAside() && pending.isIdempotent()) {
                 server = origin;
             }
         }
@@ -563,34 +326,36 @@
             return;
         }
         // A fetch after a miss is the request's ordinary way. All else is more work for a fleet in trouble.
-        if (pending.attempts > 0
-                && !(server == origin && pending.missedServer != null)
+        if (pending.attempts() > 0
+                && !(server == origin && pending.missedServer() != null)
                 && !admission.admitRetry(nowMs)) {
             conclude(pending, actions);
             return;
         }
         if (server != origin
-                && pending.attempts == 0
-                && pending.idempotent
+                && pending.attempts() == 0
+                && pending.isIdempotent()
                 && shouldReject(pending, serverThrottle.excess(nowMs))) {
-            server.probing = false; // one that is not sent has no end that could clear it, and s would stay out
+            server.endProbe(); // one that is not sent has no end that could clear it, and s would stay out
             conclude(pending, actions);
             return;
         }
-        if (server == origin && !pending.request.write() && pending.request.key() != 0) {
-            PendingRequest leader = fetchLeaders.get(pending.request.key());
-            if (leader != null && (leader != pending || pending.fetching)) {
-                pending.waiting = leader != pending && leader.waiters.add(pending);
+        if (server == origin && !pending.request().write() && pending.request().key() != 0) {
+            PendingRequest leader = fetchLeaders.get(pending.request().key());
+            if (leader != null && (leader != pending || pending.isFetching())) {
+                if (leader != pending) {
+                    leader.addWaiter(pending);
+                    pending.setWaiting(true);
+                }
                 return;
             }
             if (querySiblings(nowMs, pending, actions)) {
                 return;
             }
             double excess = originThrottle.excess(nowMs);
-            boolean tooLate = excess > 0
-                    && nowMs + originLatencyMs > pending.arrivedMs + pending.serviceClass.latencyObjectiveMs();
+            boolean tooLate = excess > 0 && nowMs + originLatencyMs > pending.objectiveAtMs();
             if (!tooLate) { // who is turned away as too late does not count, or the throttle stays shut
-                originThrottle.sent(nowMs);
+                originThrottle.recordSent(nowMs);
             }
             if (tooLate || shouldReject(pending, excess)) {
                 conclude(pending, actions);
@@ -598,45 +363,44 @@
                 return;
             }
             leadFetch(pending);
-            pending.fetching = true;
+            pending.markFetching();
         } else if (server == origin) {
-            originThrottle.sent(nowMs);
+            originThrottle.recordSent(nowMs);
         }
         sendAttempt(nowMs, pending, server, actions);
     }
 
     private void leadFetch(PendingRequest pending) {
-        if (fetchLeaders.putIfAbsent(pending.request.key(), pending) == null) {
-            pending.waiters = new ArrayDeque<>();
+        if (fetchLeaders.putIfAbsent(pending.request().key(), pending) == null) {
+            pending.startLeading();
         }
     }
 
     /** Those who waited with one that will not fetch go on without it. */
     private void releaseWaiters(double nowMs, PendingRequest pending, PolicyActions actions) {
-        if (pending.done && pending.waiters != null && !pending.fetching && pending.inFlightAttempts == 0) {
+        if (pending.isConcluded() && pending.isLeading() && !pending.isFetching() && pending.inFlightAttempts() == 0) {
             resumeWaiters(nowMs, pending, false, actions);
         }
     }
 
     /** After a miss siblings are asked before the origin, if that is worth the wait; one question a key. */
     private boolean querySiblings(double nowMs, PendingRequest pending, PolicyActions actions) {
-        if (pending.siblingsQueried
-                || pending.missedServer == null
-                || pending.inFlightAttempts > 0
-                || pending.attempts + 2 > settings.maxAttempts()) {
+        if (pending.isSiblingsQueried()
+                || pending.missedServer() == null
+                || pending.inFlightAttempts() > 0
+                || pending.attempts() + 2 > settings.maxAttempts()) {
             return false;
         }
-        double leftMs =
-                Math.min(pending.arrivedMs + pending.serviceClass.latencyObjectiveMs(), pending.request.deadlineMs())
-                        - nowMs;
+        double leftMs = Math.min(pending.objectiveAtMs(), pending.request().deadlineMs()) - nowMs;
         double waitMs = siblings.waitMs(nowMs, originLatencyMs, leftMs, originThrottle.pressure(nowMs));
         if (waitMs <= 0) {
             return false;
         }
-        pending.siblingsQueried = pending.waiting = true;
+        pending.markSiblingsQueried();
+        pending.setWaiting(true);
         leadFetch(pending);
         startTimer(waitMs, RETRY_TIMER, pending, actions);
-        actions.querySiblings(pending.request.id(), waitMs);
+        actions.querySiblings(pending.request().id(), waitMs);
         return true;
     }
 
@@ -644,15 +408,17 @@
     public void onSiblingResponse(double nowMs, int requestId, int siblingId, PolicyActions actions) {
         PendingRequest pending = pendingById.get(requestId);
         if (pending == null
-                || pending.done
-                || !pending.waiting
-                || pending.fetching
-                || fetchLeaders.get(pending.request.key()) != pending) {
+                || pending.isConcluded()
+                || !pending.isWaiting()
+                || pending.isFetching()
+                || fetchLeaders.get(pending.request().key()) != pending) {
             return;
         }
         ServerState server = servers.get(siblingId);
-        if (server != null && siblings.is(server.endpoint) && server.endpoint.state() == EndpointState.READY) {
-            pending.waiting = false;
+        if (server != null
+                && siblings.is(server.endpoint())
+                && server.endpoint().state() == EndpointState.READY) {
+            pending.setWaiting(false);
             sendAttempt(nowMs, pending, server, actions);
         } else {
             advance(nowMs, pending, actions);
@@ -660,27 +426,23 @@
     }
 
     private void sendAttempt(double nowMs, PendingRequest pending, ServerState server, PolicyActions actions) {
-        int attempt = pending.attempts++;
+        int attempt = pending.startAttempt(nowMs, server);
         if (attempt == 0) {
             admission.recordFirstAttempt(nowMs);
         }
-        pending.attemptedServers[attempt] = server;
-        pending.sentAtMs[attempt] = nowMs;
-        pending.inFlightAttempts++;
-        boolean noValueWhenLate =
-                server != origin && pending.idempotent && pending.serviceClass.lateValueFraction() == 0;
+        boolean noValueWhenLate = server != origin
+                && pending.isIdempotent()
+                && pending.serviceClass().lateValueFraction() == 0;
         actions.sendAttempt(
-                pending.request.id(),
-                server.id,
-                noValueWhenLate
-                        ? Math.max(1, pending.arrivedMs + pending.serviceClass.latencyObjectiveMs() - nowMs)
-                        : 0);
+                pending.request().id(),
+                server.id(),
+                noValueWhenLate ? Math.max(1, pending.objectiveAtMs() - nowMs) : 0);
         if (server != origin
-                && pending.idempotent
-                && pending.attempts < settings.maxAttempts()
-                && pending.attempts <= MAX_CACHE_ATTEMPTS) {
+                && pending.isIdempotent()
+                && pending.attempts() < settings.maxAttempts()
+                && pending.attempts() <= MAX_CACHE_ATTEMPTS) {
             double patience = hedgingDelayMs(nowMs, pending);
-            pending.hedgeAtMs = nowMs + patience;
+            pending.setHedgeAtMs(nowMs + patience);
             startTimer(patience, HEDGING_TIMER, pending, actions);
         }
     }
@@ -690,8 +452,9 @@
      * at, but early enough that runner-up and origin can still answer within the aim.
      */
     private double hedgingDelayMs(double nowMs, PendingRequest pending) {
-        double usualMs = (averageLatencyMs + 3 * latencyDeviationMs) * pending.relativeCost();
-        double leftMs = Math.min(pending.serviceClass.latencyObjectiveMs(), pending.request.deadlineMs() - nowMs);
+        double usualMs = (averageLatencyMs + 3 * latencyDeviationMs) * relativeCost(pending.request());
+        double leftMs = Math.min(
+                pending.serviceClass().latencyObjectiveMs(), pending.request().deadlineMs() - nowMs);
         return Math.max(leftMs / 4, Math.min(usualMs, leftMs - 2 * originLatencyMs));
     }
 
@@ -701,37 +464,34 @@
      * row are: shunning sound servers moves their keys to the origin.
      */
     private void hedgingDelayElapsed(double nowMs, PendingRequest pending, PolicyActions actions) {
-        int attempt = pending.attempts - 1;
-        ServerState server = pending.attemptedServers[attempt];
-        if (pending.done
-                || pending.streaming
-                || pending.ended[attempt]
+        int attempt = pending.attempts() - 1;
+        ServerState server = pending.server(attempt);
+        if (pending.isConcluded()
+                || pending.isStreaming()
+                || pending.hasEnded(attempt)
                 || server == origin
-                || nowMs < pending.hedgeAtMs) {
+                || nowMs < pending.hedgeAtMs()) {
             return; // the timer of an attempt that has ended says nothing of the one that followed it
         }
-        if (!siblings.is(server.endpoint) && (settings.hedgingAllowed() || ++server.overdueAttempts > 1)) {
+        if (!siblings.is(server.endpoint()) && (settings.hedgingAllowed() || server.countOverdueAttempt() > 1)) {
             eject(nowMs, server);
         }
         if (hedgeTokens < 1
-                || pending.request.deadlineMs() - nowMs < originLatencyMs
+                || pending.request().deadlineMs() - nowMs < originLatencyMs
                 || (!settings.hedgingAllowed() && !settings.cancellationAllowed())) {
             return;
         }
         hedgeTokens--;
-        pending.hedged = true;
+        pending.markHedged();
         if (settings.hedgingAllowed()) {
             advance(nowMs, pending, actions);
         } else {
-            actions.cancelAttempt(pending.request.id(), attempt);
+            actions.cancelAttempt(pending.request().id(), attempt);
         }
     }
 
     private void eject(double nowMs, ServerState server) {
-        server.probing = false;
-        server.probeSucceeded = false;
-        server.ejectedUntilMs = nowMs + ejectionMs(server.failures);
-        server.failures++;
+        server.eject(nowMs + ejectionMs(server.failures()));
     }
 
     /** How long a server is left out that has failed so often before. */
@@ -740,16 +500,18 @@
     }
 
     private boolean mayRepeatAt(double nowMs, PendingRequest pending, ServerState server) {
-        if (pending.inFlightAttempts > 0 && !(settings.hedgingAllowed() && pending.idempotent)) {
+        if (pending.inFlightAttempts() > 0 && !(settings.hedgingAllowed() && pending.isIdempotent())) {
             return false;
         }
-        if (Double.isNaN(pending.maybeRanAtMs) || pending.idempotent) {
+        if (!pending.mayHaveRun() || pending.isIdempotent()) {
             return true;
         }
-        return pending.serviceClass.idempotency() == Idempotency.DEDUPLICATED
-                && nowMs < pending.maybeRanAtMs + pending.serviceClass.deduplicationWindowMs()
+        return pending.serviceClass().idempotency() == Idempotency.DEDUPLICATED
+                && nowMs < pending.mayHaveRunSinceMs() + pending.serviceClass().deduplicationWindowMs()
                 && inSameScope(
-                        pending.serviceClass.deduplicationScope(), pending.maybeRanServer.endpoint, server.endpoint);
+                        pending.serviceClass().deduplicationScope(),
+                        pending.mayHaveRunAt().endpoint(),
+                        server.endpoint());
     }
 
     private static boolean inSameScope(DeduplicationScope scope, Endpoint first, Endpoint second) {
@@ -761,7 +523,7 @@
     }
 
     private void conclude(PendingRequest pending, PolicyActions actions) {
-        if (pending.inFlightAttempts > 0 && pending.idempotent) {
+        if (pending.inFlightAttempts() > 0 && pending.isIdempotent()) {
             return;
         }
         rejectOrFail(pending, actions);
@@ -770,22 +532,22 @@
 
     /** The final answer: a refusal only where no attempt may have run. */
     private void rejectOrFail(PendingRequest pending, PolicyActions actions) {
-        if (pending.idempotent || (Double.isNaN(pending.maybeRanAtMs) && pending.inFlightAttempts == 0)) {
+        if (pending.isIdempotent() || (!pending.mayHaveRun() && pending.inFlightAttempts() == 0)) {
             // Told nothing, a client asks again at once, into the jam that it was turned away for. Within the
             // usual time of an answer places come free; spread over it, clients don't return together.
             double retryAfterMs =
                     Math.max(1, Math.min(settings.maxRetryAfterMs(), averageLatencyMs * random.nextDouble()));
-            actions.reject(pending.request.id(), settings.retryAfterAllowed() ? retryAfterMs : 0);
+            actions.reject(pending.request().id(), settings.retryAfterAllowed() ? retryAfterMs : 0);
         } else {
-            actions.fail(pending.request.id());
+            actions.fail(pending.request().id());
         }
     }
 
     private void finish(PendingRequest pending) {
-        pending.done = true;
-        if (pending.inFlightAttempts == 0) {
-            pendingById.remove(pending.request.id());
-            pendingByNumber.remove(pending.number);
+        pending.markConcluded();
+        if (pending.inFlightAttempts() == 0) {
+            pendingById.remove(pending.request().id());
+            pendingByNumber.remove(pending.number());
         }
     }
 
@@ -793,19 +555,19 @@
 
     private ServerState chooseServer(double nowMs, PendingRequest pending, PolicyActions actions) {
         int wanted =
-                Math.min(rankedServers.length, Math.max(RANKED_CANDIDATES, pending.hotKeySpread + RANKED_CANDIDATES));
+                Math.min(rankedServers.length, Math.max(RANKED_CANDIDATES, pending.hotKeySpread() + RANKED_CANDIDATES));
         int capacity = placement.maxRanked(wanted);
         if (candidates.length < capacity) {
             candidates = new int[capacity];
         }
-        int count = wanted == 0 ? 0 : placement.rank(pending.key(), pending.keyHash, wanted, candidates);
-        int offset = pending.hotKeySpread > 1 ? random.nextInt(pending.hotKeySpread) : 0;
+        int count = wanted == 0 ? 0 : placement.rank(pending.placementKey(), pending.keyHash(), wanted, candidates);
+        int offset = pending.hotKeySpread() > 1 ? random.nextInt(pending.hotKeySpread()) : 0;
         ServerState firstUntried = null;
         boolean sawRestored = false;
         for (int i = 0; i < count; i++) {
             ServerState server =
-                    rankedServers[candidates[i < pending.hotKeySpread ? (i + offset) % pending.hotKeySpread : i]];
-            if (wasAttempted(pending, server) && server != pending.missedServer) {
+                    rankedServers[candidates[i < pending.hotKeySpread() ? (i + offset) % pending.hotKeySpread() : i]];
+            if (pending.wasSentTo(server) && server != pending.missedServer()) {
                 continue;
             }
             if (firstUntried == null && !isWarmingUp(nowMs, server)) {
@@ -815,39 +577,30 @@
             if (!(sawRestored && isWarmingUp(nowMs, server)) && accepts(nowMs, pending, server, actions)) {
                 return server;
             }
-            sawRestored |= server.restored;
+            sawRestored |= server.hasRestoredFailures();
         }
         return firstUntried;
     }
 
-    private static boolean wasAttempted(PendingRequest pending, ServerState server) {
-        for (int attempt = 0; attempt < pending.attempts; attempt++) {
-            if (pending.attemptedServers[attempt] == server) {
-                return true;
-            }
-        }
-        return false;
-    }
-
     private boolean accepts(double nowMs, PendingRequest pending, ServerState server, PolicyActions actions) {
-        if (server.failures == 0 || (server.probeSucceeded && !server.probing)) {
+        if (server.isTrusted()) {
             return admitsWarmingUp(nowMs, pending, server);
         }
         // A trial that a cold server's limit turns away has no end that could clear it, and s would stay out.
-        if (nowMs < server.ejectedUntilMs
-                || server.probing
-                || !pending.idempotent
-                || pending.attempts > 0
+        if (nowMs < server.ejectedUntilMs()
+                || server.isProbing()
+                || !pending.isIdempotent()
+                || pending.attempts() > 0
                 || probeTokens < 1
                 || (!settings.probingAllowed()
                         && !(admitsWarmingUp(nowMs, pending, server)
-                                && admission.admitHalfOpenProbe(nowMs, server.endpoint)))) {
+                                && admission.admitHalfOpenProbe(nowMs, server.endpoint())))) {
             return false;
         }
         probeTokens--;
-        server.probing = true;
+        server.startProbe();
         if (settings.probingAllowed()) {
-            actions.probeServer(server.id);
+            actions.probeServer(server.id());
         }
         return !settings.probingAllowed();
     }
@@ -856,26 +609,26 @@
         if (!isWarmingUp(nowMs, server)) {
             return true;
         }
-        if (pending.attempts > 0 || pending.hotKeySpread > 1) {
+        if (pending.attempts() > 0 || pending.hotKeySpread() > 1) {
             return false;
         }
-        double startedMs = startTimes.startedMs(server.endpoint.startedMs(), server.restartSeenMs);
+        double startedMs = startTimes.startedMs(server.endpoint().startedMs(), server.restartSeenMs());
         double ageMs = nowMs - startedMs;
         double capacity = settings.initialCapacityFraction()
                 + (1 - settings.initialCapacityFraction()) * Math.max(0, ageMs) / settings.warmUpMs();
         double acceptedFraction = capacity / Math.min(MAX_OVERLOAD_FACTOR, serverThrottle.pressure(nowMs));
         // Each takes its part by chance: of keys chosen alike by all, a new hot one would come from all. Who
         // has just started takes each hot key for a new one, and lets few in until it has seen some requests.
-        double fairRequests = hotKeys.ownCount
-                * server.weightFraction
-                * (pending.recentCount > 1 ? LATER_REQUEST_FAIR_SHARES : FIRST_REQUEST_FAIR_SHARES);
-        return random.nextDouble() < acceptedFraction * Math.min(1, fairRequests / pending.recentCount)
-                && admission.admitWarmingUp(nowMs, server.endpoint, startedMs);
+        double fairRequests = hotKeys.ownCount()
+                * server.weightFraction()
+                * (pending.recentKeyRequests() > 1 ? LATER_REQUEST_FAIR_SHARES : FIRST_REQUEST_FAIR_SHARES);
+        return random.nextDouble() < acceptedFraction * Math.min(1, fairRequests / pending.recentKeyRequests())
+                && admission.admitWarmingUp(nowMs, server.endpoint(), startedMs);
     }
 
     private boolean isWarmingUp(double nowMs, ServerState server) {
-        return server.endpoint.startedMs() != 0
-                && nowMs - startTimes.startedMs(server.endpoint.startedMs(), server.restartSeenMs)
+        return server.endpoint().startedMs() != 0
+                && nowMs - startTimes.startedMs(server.endpoint().startedMs(), server.restartSeenMs())
                         < settings.warmUpMs();
     }
 
@@ -884,29 +637,27 @@
     @Override
     public void onAttemptEnd(double nowMs, AttemptResult result, PolicyActions actions) {
         PendingRequest pending = pendingById.get(result.requestId());
-        if (pending == null || result.attempt() >= pending.attempts || pending.ended[result.attempt()]) {
+        if (pending == null || result.attempt() >= pending.attempts() || pending.hasEnded(result.attempt())) {
             return;
         }
-        ServerState server = pending.attemptedServers[result.attempt()];
-        pending.ended[result.attempt()] = true;
-        pending.inFlightAttempts--;
+        ServerState server = pending.server(result.attempt());
+        pending.endAttempt(result.attempt());
         recordResult(nowMs, pending, server, result);
-        if (result.outcome().mayHaveRun() && Double.isNaN(pending.maybeRanAtMs)) {
-            pending.maybeRanAtMs = pending.sentAtMs[result.attempt()];
-            pending.maybeRanServer = server;
+        if (result.outcome().mayHaveRun()) {
+            pending.markMayHaveRun(result.attempt());
         }
-        boolean wasDone = pending.done;
-        if (result.answered() || pending.done) {
+        boolean wasDone = pending.isConcluded();
+        if (result.answered() || pending.isConcluded()) {
             finish(pending);
         }
-        if (pending.waiters != null && server == origin) {
+        if (pending.isLeading() && server == origin) {
             resumeWaiters(nowMs, pending, result.outcome() == AttemptOutcome.OK, actions);
-        } else if (pending.waiters != null && result.outcome() == AttemptOutcome.OK && siblings.is(server.endpoint)) {
+        } else if (pending.isLeading() && result.outcome() == AttemptOutcome.OK && siblings.is(server.endpoint())) {
             for (PendingRequest waiter :
                     endFetchLead(pending)) { // what it has is not stored here: each fetches it there
-                if (!waiter.done && waiter.waiting && waiter.attempts < settings.maxAttempts()) {
-                    waiter.waiting = false;
-                    waiter.siblingsQueried = true;
+                if (!waiter.isConcluded() && waiter.isWaiting() && waiter.attempts() < settings.maxAttempts()) {
+                    waiter.setWaiting(false);
+                    waiter.markSiblingsQueried();
                     sendAttempt(nowMs, waiter, server, actions);
                 }
             }
@@ -914,41 +665,42 @@
         releaseWaiters(nowMs, pending, actions);
         if (!wasDone && result.answered()) {
             cancelInFlight(pending, actions);
-        } else if (!pending.done) {
+        } else if (!pending.isConcluded()) {
             attemptAgain(nowMs, pending, server, result, actions);
         }
     }
 
     private void attemptAgain(
             double nowMs, PendingRequest pending, ServerState server, AttemptResult result, PolicyActions actions) {
-        if (result.outcome() == AttemptOutcome.MISS && !siblings.is(server.endpoint)) {
-            pending.toOrigin = true;
-            pending.missedServer = server;
-            if (result.cacheStatus() == CACHE_STATUS_FETCH_PENDING && pending.attempts + 2 <= settings.maxAttempts()) {
-                pending.toOrigin = false;
-                pending.waiting = true;
+        if (result.outcome() == AttemptOutcome.MISS && !siblings.is(server.endpoint())) {
+            pending.setOriginOnly(true);
+            pending.recordMiss(server);
+            if (result.cacheStatus() == CACHE_STATUS_FETCH_PENDING
+                    && pending.attempts() + 2 <= settings.maxAttempts()) {
+                pending.setOriginOnly(false);
+                pending.setWaiting(true);
                 startTimer(originLatencyMs, RETRY_TIMER, pending, actions);
                 return;
             }
         } else if (server == origin
                 && result.outcome() == AttemptOutcome.FULL
-                && pending.request.write()
-                && pending.attempts < settings.maxAttempts()) {
-            pending.waiting = true;
+                && pending.request().write()
+                && pending.attempts() < settings.maxAttempts()) {
+            pending.setWaiting(true);
             startTimer(originLatencyMs * (0.5 + random.nextDouble()), RETRY_TIMER, pending, actions);
             return;
         }
-        if (server == origin && !pending.request.write()) {
+        if (server == origin && !pending.request().write()) {
             conclude(pending, actions);
-        } else if (pending.inFlightAttempts == 0 || (pending.idempotent && settings.hedgingAllowed())) {
+        } else if (pending.inFlightAttempts() == 0 || (pending.isIdempotent() && settings.hedgingAllowed())) {
             advance(nowMs, pending, actions);
         }
     }
 
     private void cancelInFlight(PendingRequest pending, PolicyActions actions) {
-        for (int attempt = 0; settings.cancellationAllowed() && attempt < pending.attempts; attempt++) {
-            if (!pending.ended[attempt]) {
-                actions.cancelAttempt(pending.request.id(), attempt);
+        for (int attempt = 0; settings.cancellationAllowed() && attempt < pending.attempts(); attempt++) {
+            if (!pending.hasEnded(attempt)) {
+                actions.cancelAttempt(pending.request().id(), attempt);
             }
         }
     }
@@ -956,72 +708,71 @@
     /** Those who waited for a fetch find its object where it was missed; where the fetch failed, one of them tries. */
     private void resumeWaiters(double nowMs, PendingRequest pending, boolean stored, PolicyActions actions) {
         for (PendingRequest waiter : endFetchLead(pending)) {
-            if (waiter.done || !waiter.waiting) {
+            if (waiter.isConcluded() || !waiter.isWaiting()) {
                 continue;
             }
-            waiter.toOrigin = !stored || waiter.attempts + 2 > settings.maxAttempts();
+            waiter.setOriginOnly(!stored || waiter.attempts() + 2 > settings.maxAttempts());
             advance(nowMs, waiter, actions);
         }
     }
 
     private ArrayDeque<PendingRequest> endFetchLead(PendingRequest pending) {
-        ArrayDeque<PendingRequest> followers = pending.waiters;
-        fetchLeaders.remove(pending.request.key());
-        pending.waiters = null;
-        return followers;
+        ArrayDeque<PendingRequest> waiters = pending.stopLeading();
+        fetchLeaders.remove(pending.request().key());
+        return waiters;
     }
 
     private void recordResult(double nowMs, PendingRequest pending, ServerState server, AttemptResult result) {
-        if (siblings.is(server.endpoint)) {
-            siblings.fetched(nowMs, server.id, result.outcome(), result.elapsedMs());
+        if (siblings.is(server.endpoint())) {
+            siblings.fetched(nowMs, server.id(), result.outcome(), result.elapsedMs());
             return;
         }
-        server.restored = false;
-        if (pending.hedged && result.attempt() > 0 && result.outcome() == AttemptOutcome.OK) {
+        server.markObserved();
+        if (pending.isHedged() && result.attempt() > 0 && result.outcome() == AttemptOutcome.OK) {
             hedgeTokens++;
         }
         switch (result.outcome()) {
             case OK, MISS, FULL -> {
                 if (server != origin && result.outcome() == AttemptOutcome.FULL && result.attempt() > 0) {
-                    serverThrottle.sent(nowMs);
+                    serverThrottle.recordSent(nowMs);
                 }
-                boolean timely = result.elapsedMs() <= pending.serviceClass.latencyObjectiveMs()
-                        || serverThrottle.pressure(nowMs) > AdaptiveThrottle.HEADROOM;
+                boolean timely = result.elapsedMs() <= pending.serviceClass().latencyObjectiveMs()
+                        || serverThrottle.isOverloaded(nowMs);
                 if (server == origin || timely) {
-                    server.failures = server.overdueAttempts = 0;
+                    server.clearFailures();
                 }
-                server.probing = false;
+                server.endProbe();
                 if (server != origin && result.outcome() == AttemptOutcome.OK) {
-                    serverThrottle.sent(nowMs);
-                    if (result.elapsedMs() <= pending.serviceClass.latencyObjectiveMs() - originLatencyMs) {
-                        serverThrottle.answered(nowMs);
+                    serverThrottle.recordSent(nowMs);
+                    if (result.elapsedMs() <= pending.serviceClass().latencyObjectiveMs() - originLatencyMs) {
+                        serverThrottle.recordAnswered(nowMs);
                     }
-                    double relativeLatencyMs = result.elapsedMs() / pending.relativeCost();
+                    double relativeLatencyMs = result.elapsedMs() / relativeCost(pending.request());
                     latencyDeviationMs += (Math.abs(relativeLatencyMs - averageLatencyMs) - latencyDeviationMs) / 16;
                     averageLatencyMs += (relativeLatencyMs - averageLatencyMs) / 16;
                     hedgeTokens = Math.min(MAX_HEDGE_TOKENS, hedgeTokens + HEDGE_RATIO);
                 }
                 if (server == origin && result.outcome() == AttemptOutcome.OK) {
-                    if (nowMs <= pending.arrivedMs + pending.serviceClass.latencyObjectiveMs()) {
-                        originThrottle.answered(nowMs);
+                    if (nowMs <= pending.objectiveAtMs()) {
+                        originThrottle.recordAnswered(nowMs);
                     }
                     originLatencyMs += (result.elapsedMs() - originLatencyMs) / 8;
                 }
             }
             case CONNECT_FAILED, RESET, TIMEOUT -> {
                 if (server != origin) {
-                    boolean overloaded = serverThrottle.pressure(nowMs) > AdaptiveThrottle.HEADROOM;
-                    if (result.outcome() == AttemptOutcome.TIMEOUT && server.failures <= (overloaded ? 1 : 0)) {
-                        serverThrottle.sent(nowMs);
+                    boolean overloaded = serverThrottle.isOverloaded(nowMs);
+                    if (result.outcome() == AttemptOutcome.TIMEOUT && server.failures() <= (overloaded ? 1 : 0)) {
+                        serverThrottle.recordSent(nowMs);
                     }
                     if (result.outcome() != AttemptOutcome.RESET
-                            || server.failures > 0
-                            || ++server.overdueAttempts > 1) {
+                            || server.failures() > 0
+                            || server.countOverdueAttempt() > 1) {
                         eject(nowMs, server);
                     }
                 }
             }
-            default -> server.probing = false;
+            default -> server.endProbe();
         }
     }
 
@@ -1029,24 +780,24 @@
     public void onFirstByte(double nowMs, int requestId, int attempt, int serverId, PolicyActions actions) {
         PendingRequest pending = pendingById.get(requestId);
         if (pending != null) {
-            pending.streaming = true;
+            pending.markStreaming();
         }
     }
 
     @Override
     public void onClientGone(double nowMs, int requestId, PolicyActions actions) {
         PendingRequest pending = pendingById.get(requestId);
-        if (pending != null && !pending.done) {
+        if (pending != null && !pending.isConcluded()) {
             abandon(nowMs, pending, actions);
         }
     }
 
     private void abandon(double nowMs, PendingRequest pending, PolicyActions actions) {
         finish(pending);
-        if (pending.streaming) {
+        if (pending.isStreaming()) {
             return;
         }
-        if (pending.waiters == null || pending.waiters.isEmpty()) {
+        if (!pending.hasWaiters()) {
             cancelInFlight(pending, actions);
         }
         releaseWaiters(nowMs, pending, actions);
@@ -1056,15 +807,14 @@
     public boolean isHealthy(double nowMs, int serverId) {
         ServerState server = servers.get(serverId);
         return server != null
-                && server.endpoint.state() == EndpointState.READY
-                && server.failures == 0
+                && server.endpoint().state() == EndpointState.READY
+                && server.failures() == 0
                 && !isWarmingUp(nowMs, server);
     }
 
     /** Whether servers or origin lately answered too little in time to take in more than clients ask. */
     public boolean isOverloaded(double nowMs) {
-        return serverThrottle.pressure(nowMs) > AdaptiveThrottle.HEADROOM
-                || originThrottle.pressure(nowMs) > AdaptiveThrottle.HEADROOM;
+        return serverThrottle.isOverloaded(nowMs) || originThrottle.isOverloaded(nowMs);
     }
 
     @Override
@@ -1072,7 +822,7 @@
         PendingRequest pending = pendingByNumber.get(token >>> 2);
         switch (token & 3) {
             case DEADLINE_TIMER -> {
-                if (pending != null && !pending.done && !pending.streaming) {
+                if (pending != null && !pending.isConcluded() && !pending.isStreaming()) {
                     rejectOrFail(pending, actions);
                     abandon(nowMs, pending, actions);
                 }
@@ -1083,7 +833,7 @@
                 }
             }
             case RETRY_TIMER -> {
-                if (pending != null && pending.waiting) {
+                if (pending != null && pending.isWaiting()) {
                     advance(nowMs, pending, actions);
                 }
             }
@@ -1097,7 +847,7 @@
     }
 
     private void startTimer(double delayMs, int kind, PendingRequest pending, PolicyActions actions) {
-        actions.setTimer(delayMs, (pending == null ? 0 : pending.number << 2) | kind);
+        actions.setTimer(delayMs, (pending == null ? 0 : pending.number() << 2) | kind);
     }
 
     @Override
@@ -1109,12 +859,11 @@
             float[] loadReport,
             PolicyActions actions) {
         ServerState server = servers.get(serverId);
-        if (server == null || server.failures == 0) {
+        if (server == null || server.failures() == 0) {
             return;
         }
         if (outcome == AttemptOutcome.OK) {
-            server.probing = false;
-            server.probeSucceeded = true;
+            server.passProbe();
         } else {
             eject(nowMs, server);
         }
