--- a/src/main/java/cacheproxy/policy/AttemptOutcome.java
+++ b/src/main/java/cacheproxy/policy/AttemptOutcome.java
@@ -1,15 +1,24 @@
 package cacheproxy.policy;
 
-/** How an attempt ended. */
+/** How an attempt, or a probe, ended. */
 public enum AttemptOutcome {
+    /** The request was served. */
     OK(true),
+    /** The cache server does not have the key; the request had no effect. */
     MISS(false),
+    /** The server responded with an error. */
     ERROR(true),
+    /** The server rejected the request unprocessed: its queue is full or it is draining. */
     FULL(false),
+    /** No response came in time. */
     TIMEOUT(true),
+    /** No connection was established in time, or it broke before the request was written. */
     CONNECT_FAILED(false),
+    /** The connection broke while the attempt was in flight. */
     RESET(true),
+    /** The attempt was cancelled. */
     CANCELLED(true),
+    /** The attempt was never sent: the request had ended, its time was over or the limit on attempts was reached. */
     NOT_SENT(false);
 
     private final boolean mayHaveRun;
@@ -18,7 +27,7 @@
         this.mayHaveRun = mayHaveRun;
     }
 
-    /** Whether the request may have taken effect (or may yet). */
+    /** Whether the request may have taken effect, or may do so yet. */
     public boolean mayHaveRun() {
         return mayHaveRun;
     }
--- a/src/main/java/cacheproxy/policy/CarpHash.java
+++ b/src/main/java/cacheproxy/policy/CarpHash.java
@@ -1,26 +1,35 @@
 package cacheproxy.policy;
 
-/** The pure functions of CARP v1.0 (draft-vinod-carp-v1-03, sections 3.1 to 3.4) as our design fixes them. */
+import java.util.Arrays;
+
+/** The hash functions of CARP v1.0 (draft-vinod-carp-v1-03, sections 3.1 to 3.4), with one departure. */
 public final class CarpHash {
-    /** The draft's multiplier of section 3.2. */
+    /** The multiplier of section 3.2. */
     public static final int SPREAD = 0x62531965;
 
+    private static final int KEY_DIGITS = 16;
+    private static final int MEMBER_DIGITS = 8;
+    private static final int BITS_PER_DIGIT = 4;
+    private static final int RADIX = 16;
+    private static final long UNSIGNED_INT_MASK = 0xFFFFFFFFL;
+
     private CarpHash() {}
 
-    /** Draft 3.1 over the key's text form: 16 lower-case hexadecimal digits. */
+    /** Returns the hash of section 3.1 of a key's text form: 16 lower-case hexadecimal digits. */
     public static int keyHash(long key) {
-        return textHash(key, 16);
+        return textHash(key, KEY_DIGITS);
     }
 
-    /** Draft 3.1 for members over the id's text form: 8 lower-case hexadecimal digits. */
+    /** Returns the member hash of section 3.1 of an id's text form: 8 lower-case hexadecimal digits. */
     public static int memberHash(int id) {
-        return spread(textHash(Integer.toUnsignedLong(id), 8));
+        return spread(textHash(Integer.toUnsignedLong(id), MEMBER_DIGITS));
     }
 
     private static int textHash(long value, int digits) {
         int hash = 0;
-        for (int shift = 4 * (digits - 1); shift >= 0; shift -= 4) {
-            hash += Integer.rotateLeft(hash, 19) + Character.forDigit((int) (value >>> shift) & 15, 16);
+        for (int shift = BITS_PER_DIGIT * (digits - 1); shift >= 0; shift -= BITS_PER_DIGIT) {
+            int digit = (int) (value >>> shift) & (RADIX - 1);
+            hash += Integer.rotateLeft(hash, 19) + Character.forDigit(digit, RADIX);
         }
         return hash;
     }
@@ -30,22 +39,27 @@
     }
 
     /**
-     * Draft 3.2: both hashes combined, to be read as unsigned. Departure, always on: the draft's two steps run once
-     * more. After one pass the top ten bits hang on ten bits of the XOR alone, so keys fall into 1,024 lots and in a
-     * fleet of 120 equal members one gets 2.2 times its share; a second pass spreads them as evenly as chance.
+     * Returns the combined hash of section 3.2, to be read as unsigned.
+     *
+     * <p>Departing from the draft, its two steps run twice. After one pass the upper ten bits depend on ten bits of the
+     * XOR alone, so that keys fall into 1,024 groups; of 120 equal members one then gets 2.2 times its share. A second
+     * pass distributes them as evenly as random draws.
      */
     public static int combine(int keyHash, int memberHash) {
         return spread(spread(keyHash ^ memberHash));
     }
 
-    /** Draft 3.3 and 3.4: the score of a member for a key. */
+    /** Returns a member's score for a key, by sections 3.3 and 3.4. */
     public static double score(int keyHash, int memberHash, float multiplier) {
-        return (combine(keyHash, memberHash) & 0xFFFFFFFFL) * (double) multiplier;
+        return (combine(keyHash, memberHash) & UNSIGNED_INT_MASK) * (double) multiplier;
     }
 
     /**
-     * Draft 3.3: the load factor multipliers, in the order of the weights. The running product is kept as a logarithm,
-     * so hundreds of members do not underflow; rounding below zero is clamped. All weights zero: equal.
+     * Returns the load factor multipliers of section 3.3, in the order of the weights. The running product is kept as a
+     * logarithm, so that hundreds of members do not underflow; rounding below zero is clamped. If all weights are zero,
+     * members are equal.
+     *
+     * @param weights finite and not negative
      */
     public static float[] multipliers(float[] weights) {
         int count = weights.length;
@@ -53,11 +67,7 @@
         for (float weight : weights) {
             sum += weight;
         }
-        Integer[] order = new Integer[count];
-        for (int i = 0; i < count; i++) {
-            order[i] = i;
-        }
-        java.util.Arrays.sort(order, (left, right) -> Float.compare(weights[left], weights[right]));
+        Integer[] order = ascending(weights);
         float[] multipliers = new float[count];
         double previousShare = 0;
         double logProduct = 0;
@@ -76,4 +86,14 @@
         }
         return multipliers;
     }
+
+    /** Returns the indexes of weights in ascending order of the weights. */
+    private static Integer[] ascending(float[] weights) {
+        Integer[] order = new Integer[weights.length];
+        for (int i = 0; i < order.length; i++) {
+            order[i] = i;
+        }
+        Arrays.sort(order, (left, right) -> Float.compare(weights[left], weights[right]));
+        return order;
+    }
 }
--- a/src/main/java/cacheproxy/policy/DeduplicationScope.java
+++ b/src/main/java/cacheproxy/policy/DeduplicationScope.java
@@ -1,8 +1,11 @@
 package cacheproxy.policy;
 
-/** The servers that drop a repeat of a keyed request: all, those of one zone, or those of one cell. */
+/** The servers that recognize the repetition of a request by its idempotency key. */
 public enum DeduplicationScope {
+    /** All servers of the pool. */
     ALL,
+    /** The servers in the zone of the server that had the request first. */
     ZONE,
+    /** The servers in the cell of the server that had the request first. */
     CELL
 }
--- /dev/null
+++ b/src/main/java/cacheproxy/policy/LatencyEstimates.java
@@ -0,0 +1,96 @@
+package cacheproxy.policy;
+
+import cacheproxy.snapshot.state.LearnedLatency;
+import java.util.List;
+
+/**
+ * Exponentially weighted averages of latencies and of cost hints, as TCP estimates round-trip times (RFC 6298): an
+ * average and a mean deviation. Latencies of cache servers are divided by the request's relative cost.
+ */
+final class LatencyEstimates {
+    /** Initial estimates, as divisors of the shortest latency objective. */
+    private static final int INITIAL_ORIGIN_DIVISOR = 4;
+
+    private static final int INITIAL_SERVER_DIVISOR = 8;
+
+    /** Weights of a new sample, as divisors. */
+    private static final int ORIGIN_DIVISOR = 8;
+
+    private static final int SERVER_DIVISOR = 16;
+    private static final int COST_DIVISOR = 32;
+
+    /** Deviations above the average up to which a latency is usual. */
+    private static final int USUAL_DEVIATIONS = 3;
+
+    private double originMs;
+    private double serverMs;
+    private double serverDeviationMs;
+    private double cost;
+
+    /**
+     * Creates initial estimates.
+     *
+     * @throws IllegalArgumentException if there is no class
+     */
+    LatencyEstimates(List<ServiceClass> classes) {
+        double shortestObjectiveMs = classes.stream()
+                .mapToDouble(ServiceClass::latencyObjectiveMs)
+                .min()
+                .orElseThrow(() -> new IllegalArgumentException("settings name no class"));
+        originMs = shortestObjectiveMs / INITIAL_ORIGIN_DIVISOR;
+        serverMs = shortestObjectiveMs / INITIAL_SERVER_DIVISOR;
+        serverDeviationMs = serverMs;
+    }
+
+    /** Records a request's cost hint, if it has one; the first is the average. */
+    void recordCost(RoutingRequest request) {
+        if (request.costHintMs() > 0) {
+            cost += (request.costHintMs() - cost) / (cost > 0 ? COST_DIVISOR : 1);
+        }
+    }
+
+    /** Records the latency of a fetch from the origin. */
+    void recordOrigin(double elapsedMs) {
+        originMs += (elapsedMs - originMs) / ORIGIN_DIVISOR;
+    }
+
+    /** Records the latency of a cache server. */
+    void recordServer(RoutingRequest request, double elapsedMs) {
+        double relativeMs = elapsedMs / relativeCost(request);
+        serverDeviationMs += (Math.abs(relativeMs - serverMs) - serverDeviationMs) / SERVER_DIVISOR;
+        serverMs += (relativeMs - serverMs) / SERVER_DIVISOR;
+    }
+
+    /** Returns the average latency of a fetch from the origin. */
+    double originMs() {
+        return originMs;
+    }
+
+    /** Returns the average latency of a cache server for a request of average cost. */
+    double serverMs() {
+        return serverMs;
+    }
+
+    /** Returns the latency that a cache server rarely exceeds for a request. */
+    double usualServerMs(RoutingRequest request) {
+        return (serverMs + USUAL_DEVIATIONS * serverDeviationMs) * relativeCost(request);
+    }
+
+    /** Returns the cost that a request hints at as a multiple of the average; 1 without a hint. */
+    private double relativeCost(RoutingRequest request) {
+        return request.costHintMs() > 0 && cost > 0 ? request.costHintMs() / cost : 1;
+    }
+
+    /** Returns the estimates for a snapshot. */
+    LearnedLatency learned() {
+        return new LearnedLatency(originMs, cost, serverMs, serverDeviationMs, 1);
+    }
+
+    /** Moves the estimates towards those of an earlier process, by their weight. */
+    void restore(LearnedLatency learned) {
+        originMs += (learned.originMs() - originMs) * learned.weight();
+        serverMs += (learned.averageMs() - serverMs) * learned.weight();
+        serverDeviationMs += (learned.deviationMs() - serverDeviationMs) * learned.weight();
+        cost = cost > 0 || learned.weight() == 0 ? cost : learned.averageCost();
+    }
+}
--- /dev/null
+++ b/src/main/java/cacheproxy/policy/LoadShedder.java
@@ -0,0 +1,41 @@
+package cacheproxy.policy;
+
+import java.util.SplittableRandom;
+
+/** Rejects a fraction of requests under overload, chosen at random, those of tenants over their quotas first. */
+final class LoadShedder {
+    private final SplittableRandom random;
+
+    /** Null if all requests are worth the same, so that tenants are not told apart. */
+    private final TenantShares tenantShares;
+
+    LoadShedder(PolicySettings settings, SplittableRandom random) {
+        this.random = random;
+        boolean byTenant =
+                settings.overQuotaValueFraction() < 1 && settings.tenants().size() > 1;
+        tenantShares = byTenant ? new TenantShares(settings.tenants()) : null;
+    }
+
+    /** Records a client's request. */
+    void recordRequest(double nowMs, RoutingRequest request) {
+        if (tenantShares != null) {
+            tenantShares.recordRequest(nowMs, request.tenant());
+        }
+    }
+
+    /**
+     * Whether to reject a request.
+     *
+     * @param excess fraction of all requests to reject; none if it is not above 0
+     */
+    boolean shouldReject(PendingRequest pending, double excess) {
+        if (excess <= 0) {
+            return false;
+        }
+        return random.nextDouble() < rejectionProbability(pending.request().tenant(), excess);
+    }
+
+    private double rejectionProbability(int tenant, double excess) {
+        return tenantShares == null ? excess : tenantShares.rejectionProbability(tenant, excess);
+    }
+}
--- a/src/main/java/cacheproxy/policy/PendingRequest.java
+++ b/src/main/java/cacheproxy/policy/PendingRequest.java
@@ -50,22 +50,27 @@
         ended = new boolean[maxAttempts];
     }
 
+    /** Returns the request as the client has sent it. */
     RoutingRequest request() {
         return request;
     }
 
+    /** Returns the request's id. */
     int id() {
         return request.id();
     }
 
+    /** Returns the number that identifies the request in its timers. */
     int number() {
         return number;
     }
 
+    /** Returns the request's class. */
     ServiceClass serviceClass() {
         return serviceClass;
     }
 
+    /** Whether the request may be repeated without restriction. */
     boolean isIdempotent() {
         return serviceClass.idempotency() == Idempotency.IDEMPOTENT;
     }
@@ -144,22 +149,37 @@
         return mayHaveRunAt;
     }
 
+    /** Returns how many attempts were sent. */
     int attempts() {
         return attempts;
     }
 
+    /** Returns how many attempts may still be sent. */
+    int attemptsLeft() {
+        return attemptedServers.length - attempts;
+    }
+
+    /** Whether the request may have another attempt and after it one at the origin. */
+    boolean leavesAttemptForOrigin() {
+        return attemptsLeft() >= 2;
+    }
+
+    /** Returns how many attempts have not ended. */
     int inFlightAttempts() {
         return inFlightAttempts;
     }
 
+    /** Returns the server that an attempt was sent to. */
     ServerState server(int attempt) {
         return attemptedServers[attempt];
     }
 
+    /** Whether an attempt has ended. */
     boolean hasEnded(int attempt) {
         return ended[attempt];
     }
 
+    /** Whether an attempt was sent to a server. */
     boolean wasSentTo(ServerState server) {
         for (int attempt = 0; attempt < attempts; attempt++) {
             if (attemptedServers[attempt] == server) {
@@ -174,6 +194,7 @@
         return concluded;
     }
 
+    /** The final response is given, or the client has left. */
     void markConcluded() {
         concluded = true;
     }
@@ -183,6 +204,7 @@
         return streaming;
     }
 
+    /** An attempt's response has begun to reach the client. */
     void markStreaming() {
         streaming = true;
     }
@@ -192,6 +214,7 @@
         return originOnly;
     }
 
+    /** Sets whether only the origin can serve the request. */
     void setOriginOnly(boolean only) {
         originOnly = only;
     }
@@ -201,6 +224,7 @@
         return waiting;
     }
 
+    /** Sets whether the request waits. */
     void setWaiting(boolean waits) {
         waiting = waits;
     }
@@ -210,6 +234,7 @@
         return hedged;
     }
 
+    /** An attempt has exceeded its hedging delay, and the request is hedged. */
     void markHedged() {
         hedged = true;
     }
@@ -219,6 +244,7 @@
         return hedgeAtMs;
     }
 
+    /** Sets when the newest attempt exceeds its hedging delay. */
     void setHedgeAtMs(double atMs) {
         hedgeAtMs = atMs;
     }
@@ -234,10 +260,12 @@
         originOnly = true;
     }
 
+    /** Whether siblings were queried for the request. */
     boolean isSiblingsQueried() {
         return siblingsQueried;
     }
 
+    /** Siblings are queried, which happens once. */
     void markSiblingsQueried() {
         siblingsQueried = true;
     }
@@ -247,6 +275,7 @@
         return fetching;
     }
 
+    /** The request goes on to fetch its object from the origin. */
     void markFetching() {
         fetching = true;
     }
@@ -256,6 +285,7 @@
         return waiters != null;
     }
 
+    /** Whether requests wait for this one. */
     boolean hasWaiters() {
         return waiters != null && !waiters.isEmpty();
     }
--- a/src/main/java/cacheproxy/policy/PolicyActions.java
+++ b/src/main/java/cacheproxy/policy/PolicyActions.java
@@ -1,40 +1,52 @@
 package cacheproxy.policy;
 
-/** Where the module's orders go. They are carried out in order, at the time of the event. */
+/** Receives the policy's actions, which are carried out in order at the time of the event. Times are milliseconds. */
 public interface PolicyActions {
-    /** Sends an attempt of a request to a server; a timeout of 0 waits until the request is due. Milliseconds. */
+    /**
+     * Sends an attempt of a request. Attempts of a request are numbered from 0 in the order of sending.
+     *
+     * @param timeoutMs how long to wait for its end; 0: until the request's deadline
+     */
     void sendAttempt(int requestId, int serverId, double timeoutMs);
 
-    /** Final answer: turned away, a retry is harmless. Advice 0: none. */
+    /**
+     * Gives the final response that the request was rejected, so that a retry by the client is harmless.
+     *
+     * @param retryAfterMs when the client should retry; 0: it is not told
+     */
     void reject(int requestId, double retryAfterMs);
 
-    /** Final answer: failed, nothing promised. */
+    /** Gives the final response that the request has failed and may have taken effect. */
     void fail(int requestId);
 
-    /** Stops waiting for an attempt. */
+    /** Stops waiting for an attempt; its end is still reported. */
     void cancelAttempt(int requestId, int attempt);
 
-    /** Asks for {@link PolicyApi#onTimer} after this time. */
+    /** Asks for {@link PolicyApi#onTimer} with a token after a delay. Timers cannot be cancelled. */
     void setTimer(double delayMs, int token);
 
-    /** Asks siblings about a request's key; {@link PolicyApi#onSibling} tells of the first that has it. */
+    /**
+     * Asks siblings whether they have a request's key; {@link PolicyApi#onSiblingResponse} reports the first that has.
+     *
+     * @param waitMs how long their answers are waited for
+     */
     default void querySiblings(int requestId, double waitMs) {}
 
-    /** Tests a server. */
+    /** Sends a health check to a server; {@link PolicyApi#onProbeResult} reports its result. */
     void probeServer(int serverId);
 
     /** Closes the idle connections to a server. */
     void closeIdleConnections(int serverId);
 
-    /** Sends bytes to another instance; -1: to all. */
+    /** Sends bytes to another proxy, given by its index; -1: to all. */
     void sendToPeer(int peerId, byte[] message);
 
-    /** Subscribes to changes of the list, or ends that. */
+    /** Subscribes to changes of the endpoint list, or ends the subscription. */
     void watchEndpointList(boolean enabled);
 
-    /** Asks for the whole list once. */
+    /** Asks for the whole endpoint list once. */
     void fetchEndpointList();
 
-    /** A line for the operators. */
+    /** Writes a line for the operators. */
     void log(String line);
 }
--- /dev/null
+++ b/src/main/java/cacheproxy/policy/RequestConclusion.java
@@ -0,0 +1,61 @@
+package cacheproxy.policy;
+
+import java.util.SplittableRandom;
+
+/** Ends requests: gives the final response and cancels attempts that nobody waits for any more. */
+final class RequestConclusion {
+    private static final double MIN_RETRY_AFTER_MS = 1;
+
+    private final PolicySettings settings;
+    private final SplittableRandom random;
+    private final LatencyEstimates latencies;
+    private final PendingRequestTable requests;
+
+    RequestConclusion(
+            PolicySettings settings,
+            SplittableRandom random,
+            LatencyEstimates latencies,
+            PendingRequestTable requests) {
+        this.settings = settings;
+        this.random = random;
+        this.latencies = latencies;
+        this.requests = requests;
+    }
+
+    /** Gives up a request that gets no further attempt, unless one in flight can still bring its response. */
+    void giveUp(PendingRequest pending, PolicyActions actions) {
+        if (pending.inFlightAttempts() > 0 && pending.isIdempotent()) {
+            return;
+        }
+        rejectOrFail(pending, actions);
+        requests.finish(pending);
+    }
+
+    /**
+     * Gives the final response: rejected if a retry by the client is harmless, else failed. Without a time to retry
+     * after, clients would retry at once, into the overload that they were rejected for; within the average latency
+     * capacity comes free, and a random time in it keeps clients from returning together.
+     */
+    void rejectOrFail(PendingRequest pending, PolicyActions actions) {
+        if (pending.isIdempotent() || (!pending.mayHaveRun() && pending.inFlightAttempts() == 0)) {
+            double retryAfterMs = Math.max(
+                    MIN_RETRY_AFTER_MS,
+                    Math.min(settings.maxRetryAfterMs(), latencies.serverMs() * random.nextDouble()));
+            actions.reject(pending.id(), settings.retryAfterAllowed() ? retryAfterMs : 0);
+        } else {
+            actions.fail(pending.id());
+        }
+    }
+
+    /** Cancels a request's attempts in flight, where that is possible. */
+    void cancelInFlight(PendingRequest pending, PolicyActions actions) {
+        if (!settings.cancellationAllowed()) {
+            return;
+        }
+        for (int attempt = 0; attempt < pending.attempts(); attempt++) {
+            if (!pending.hasEnded(attempt)) {
+                actions.cancelAttempt(pending.id(), attempt);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/cacheproxy/policy/RequestRouter.java
@@ -0,0 +1,328 @@
+package cacheproxy.policy;
+
+import cacheproxy.placement.AdmissionControl;
+
+/**
+ * Takes each request from its arrival to its final response: decides after every event whether the next step is an
+ * attempt at a cache server, a sibling or the origin, waiting, or the end.
+ *
+ * <p>Events of a request that has ended are ignored, as they may arrive late.
+ */
+final class RequestRouter {
+    private final PolicySettings settings;
+    private final PolicyEnvironment environment;
+    private final AdmissionControl admission;
+    private final LoadEstimates estimates;
+    private final EndpointList endpoints;
+    private final OutlierEjection ejection;
+    private final PendingRequestTable requests;
+    private final ServerSelector selector;
+    private final RetryRules retryRules;
+    private final HedgingPolicy hedging;
+    private final LoadShedder shedder;
+    private final FetchCoalescer coalescer = new FetchCoalescer();
+    private final AttemptSender sender;
+    private final OriginFetchPolicy originFetches;
+    private final RequestConclusion conclusion;
+    private final AttemptFeedback feedback;
+
+    RequestRouter(
+            PolicyEnvironment environment,
+            EndpointList endpoints,
+            LoadEstimates estimates,
+            OutlierEjection ejection,
+            SlowStart slowStart) {
+        this.environment = environment;
+        this.endpoints = endpoints;
+        this.estimates = estimates;
+        this.ejection = ejection;
+        settings = environment.settings();
+        admission = environment.admission();
+        requests = new PendingRequestTable(settings);
+        selector = new ServerSelector(environment, endpoints, ejection, slowStart);
+        retryRules = new RetryRules(settings);
+        hedging = new HedgingPolicy(settings, estimates.latencies());
+        shedder = new LoadShedder(settings, environment.random());
+        sender = new AttemptSender(admission, endpoints, hedging);
+        originFetches = new OriginFetchPolicy(environment.siblings(), estimates, coalescer, shedder, sender);
+        conclusion = new RequestConclusion(settings, environment.random(), estimates.latencies(), requests);
+        feedback = new AttemptFeedback(environment.siblings(), endpoints, estimates, ejection, hedging);
+    }
+
+    /** Routes a new request, whose class and tenant are in the settings. */
+    void requestReceived(double nowMs, RoutingRequest request, PolicyActions actions) {
+        estimates.latencies().recordCost(request);
+        shedder.recordRequest(nowMs, request);
+        ejection.recordRequest();
+        PendingRequest pending = requests.add(nowMs, request);
+        sender.startDeadline(nowMs, pending, actions);
+        pending.setOriginOnly(settings.cacheAside() && request.write());
+        if (!pending.isOriginOnly() && request.key() != 0) {
+            HotKeyTracker hotKeys = estimates.hotKeys();
+            int recent = hotKeys.record(request.key(), nowMs);
+            int maxSpread = endpoints.placement().maxHotKeySpread();
+            pending.setKeyHeat(recent, hotKeys.spread(request.key(), recent, maxSpread));
+        }
+        advance(nowMs, pending, actions);
+    }
+
+    /** A response of an attempt has begun to reach the client: no other attempt can serve the request. */
+    void responseStarted(int requestId) {
+        PendingRequest pending = requests.byId(requestId);
+        if (pending != null) {
+            pending.markStreaming();
+        }
+    }
+
+    /** An attempt has ended. An end that was already reported, or of an attempt never sent, is ignored. */
+    void attemptEnded(double nowMs, AttemptResult result, PolicyActions actions) {
+        PendingRequest pending = requests.byId(result.requestId());
+        int attempt = result.attempt();
+        if (pending == null || attempt >= pending.attempts() || pending.hasEnded(attempt)) {
+            return;
+        }
+        ServerState server = pending.server(attempt);
+        pending.endAttempt(attempt);
+        feedback.record(nowMs, pending, server, result);
+        if (result.outcome().mayHaveRun()) {
+            pending.markMayHaveRun(attempt);
+        }
+        boolean wasConcluded = pending.isConcluded();
+        if (result.answered() || wasConcluded) {
+            requests.finish(pending);
+        }
+        if (pending.isLeading()) {
+            continueWaiters(nowMs, pending, server, result.outcome() == AttemptOutcome.OK, actions);
+        }
+        releaseWaiters(nowMs, pending, actions);
+        if (!wasConcluded && result.answered()) {
+            conclusion.cancelInFlight(pending, actions);
+        } else if (!pending.isConcluded()) {
+            retry(nowMs, pending, server, result, actions);
+        }
+    }
+
+    /**
+     * The first sibling that has a request's key, or 0: none of those that were asked has it. Late answers are ignored.
+     */
+    void siblingAnswered(double nowMs, int requestId, int siblingId, PolicyActions actions) {
+        PendingRequest pending = requests.byId(requestId);
+        if (pending == null
+                || pending.isConcluded()
+                || !pending.isWaiting()
+                || pending.isFetching()
+                || !coalescer.isLeader(pending)) {
+            return;
+        }
+        ServerState server = endpoints.server(siblingId);
+        if (server != null && endpoints.isSibling(server) && server.isReady()) {
+            pending.setWaiting(false);
+            sender.send(nowMs, pending, server, actions);
+        } else {
+            advance(nowMs, pending, actions);
+        }
+    }
+
+    /** The client has left. */
+    void clientLeft(double nowMs, int requestId, PolicyActions actions) {
+        PendingRequest pending = requests.byId(requestId);
+        if (pending != null && !pending.isConcluded()) {
+            abandon(nowMs, pending, actions);
+        }
+    }
+
+    /** A timer of a request is due; ignored if the request has ended. */
+    void timerDue(double nowMs, PolicyTimer timer, int token, PolicyActions actions) {
+        PendingRequest pending = requests.byToken(token);
+        if (pending == null) {
+            return;
+        }
+        switch (timer) {
+            case DEADLINE -> deadlineReached(nowMs, pending, actions);
+            case HEDGING -> hedgingDelayElapsed(nowMs, pending, actions);
+            case RETRY -> {
+                if (pending.isWaiting()) {
+                    advance(nowMs, pending, actions);
+                }
+            }
+            default -> throw new IllegalArgumentException(timer + " is no timer of a request");
+        }
+    }
+
+    private void deadlineReached(double nowMs, PendingRequest pending, PolicyActions actions) {
+        if (!pending.isConcluded() && !pending.isStreaming()) {
+            conclusion.rejectOrFail(pending, actions);
+            abandon(nowMs, pending, actions);
+        }
+    }
+
+    /** Ends a request that nobody waits for. Its attempt goes on if others wait for what it fetches. */
+    private void abandon(double nowMs, PendingRequest pending, PolicyActions actions) {
+        requests.finish(pending);
+        if (pending.isStreaming()) {
+            return;
+        }
+        if (!pending.hasWaiters()) {
+            conclusion.cancelInFlight(pending, actions);
+        }
+        releaseWaiters(nowMs, pending, actions);
+    }
+
+    /**
+     * Ejects the server and hedges. The timer may also be that of an earlier attempt, which says nothing of this one.
+     */
+    private void hedgingDelayElapsed(double nowMs, PendingRequest pending, PolicyActions actions) {
+        int attempt = pending.attempts() - 1;
+        ServerState server = pending.server(attempt);
+        if (pending.isConcluded()
+                || pending.isStreaming()
+                || pending.hasEnded(attempt)
+                || endpoints.isOrigin(server)
+                || nowMs < pending.hedgeAtMs()) {
+            return;
+        }
+        if (!endpoints.isSibling(server) && (hedging.ejectsAtOnce() || server.countOverdueAttempt() > 1)) {
+            ejection.eject(nowMs, server);
+        }
+        if (!hedging.tryAcquire(nowMs, pending)) {
+            return;
+        }
+        pending.markHedged();
+        if (hedging.keepsOverdueAttempt()) {
+            advance(nowMs, pending, actions);
+        } else {
+            actions.cancelAttempt(pending.id(), attempt);
+        }
+    }
+
+    /** Decides what follows an attempt without a final response. */
+    private void retry(
+            double nowMs, PendingRequest pending, ServerState server, AttemptResult result, PolicyActions actions) {
+        boolean isOrigin = endpoints.isOrigin(server);
+        boolean isMiss = result.outcome() == AttemptOutcome.MISS && !endpoints.isSibling(server);
+        if (isMiss) {
+            pending.recordMiss(server);
+        }
+        if (isMiss && isFetchedElsewhere(pending, result)) {
+            pending.setOriginOnly(false);
+            sender.waitAndRetry(estimates.latencies().originMs(), pending, actions);
+        } else if (isOrigin && isRejectedWrite(pending, result)) {
+            double jitter = 0.5 + environment.random().nextDouble();
+            sender.waitAndRetry(estimates.latencies().originMs() * jitter, pending, actions);
+        } else if (isOrigin && !pending.request().write()) {
+            conclusion.giveUp(pending, actions);
+        } else if (pending.inFlightAttempts() == 0 || (pending.isIdempotent() && settings.hedgingAllowed())) {
+            advance(nowMs, pending, actions);
+        }
+    }
+
+    /** Whether another proxy's fetch will bring the missed object to the server, so that it can be read there. */
+    private static boolean isFetchedElsewhere(PendingRequest pending, AttemptResult result) {
+        return result.cacheStatus() == PolicyApi.CACHE_STATUS_FETCH_PENDING && pending.leavesAttemptForOrigin();
+    }
+
+    private static boolean isRejectedWrite(PendingRequest pending, AttemptResult result) {
+        return result.outcome() == AttemptOutcome.FULL && pending.request().write() && pending.attemptsLeft() > 0;
+    }
+
+    /** Sends a request's next attempt, lets it wait, or gives it up. */
+    private void advance(double nowMs, PendingRequest pending, PolicyActions actions) {
+        pending.setWaiting(false);
+        if (pending.isConcluded() || pending.isStreaming()) {
+            return;
+        }
+        ServerState server = nextServer(nowMs, pending, actions);
+        if (server == null || !retryRules.maySend(nowMs, pending, server)) {
+            giveUp(nowMs, pending, actions);
+            return;
+        }
+        boolean isOrigin = endpoints.isOrigin(server);
+        // A fetch after a miss is no retry but the normal course; everything else is additional load.
+        boolean isRetry = pending.attempts() > 0 && !(isOrigin && pending.missedServer() != null);
+        if (isRetry && !admission.admitRetry(nowMs)) {
+            conclusion.giveUp(pending, actions);
+        } else if (isOrigin) {
+            fetch(nowMs, pending, server, actions);
+        } else if (mayShed(pending)
+                && shedder.shouldReject(pending, estimates.serverThrottle().excess(nowMs))) {
+            server.endProbe(); // a probe that is not sent has no result, and its server would stay ejected
+            conclusion.giveUp(pending, actions);
+        } else {
+            sender.send(nowMs, pending, server, actions);
+        }
+    }
+
+    private static boolean mayShed(PendingRequest pending) {
+        return pending.attempts() == 0 && pending.isIdempotent();
+    }
+
+    /**
+     * Returns the server for a request's next attempt; null: there is none, or the request is out of time or attempts.
+     */
+    private ServerState nextServer(double nowMs, PendingRequest pending, PolicyActions actions) {
+        boolean worthless = pending.isWorthlessWhenLate() && nowMs > pending.objectiveAtMs();
+        if (worthless
+                || pending.attemptsLeft() == 0
+                || !(nowMs < pending.request().deadlineMs())) {
+            return null;
+        }
+        boolean mayFetch = settings.cacheAside() && pending.isIdempotent();
+        boolean cachesTried = pending.attempts() >= HedgingPolicy.MAX_CACHE_ATTEMPTS && pending.missedServer() == null;
+        if (pending.isOriginOnly() || (mayFetch && cachesTried)) {
+            return endpoints.origin();
+        }
+        ServerState server = selector.select(nowMs, pending, actions);
+        return server == null && mayFetch ? endpoints.origin() : server;
+    }
+
+    private void fetch(double nowMs, PendingRequest pending, ServerState origin, PolicyActions actions) {
+        switch (originFetches.decide(nowMs, pending, actions)) {
+            case SEND -> sender.send(nowMs, pending, origin, actions);
+            case GIVE_UP -> giveUp(nowMs, pending, actions);
+            default -> {} // waits
+        }
+    }
+
+    private void giveUp(double nowMs, PendingRequest pending, PolicyActions actions) {
+        conclusion.giveUp(pending, actions);
+        releaseWaiters(nowMs, pending, actions);
+    }
+
+    /** Lets those that wait for a request go on without it if the request has ended and will not fetch. */
+    private void releaseWaiters(double nowMs, PendingRequest pending, PolicyActions actions) {
+        if (pending.isConcluded() && pending.isLeading() && !pending.isFetching() && pending.inFlightAttempts() == 0) {
+            resumeWaiters(nowMs, pending, false, actions);
+        }
+    }
+
+    /** An attempt of a leading request has ended: those that wait for it go on if it was the fetch they wait for. */
+    private void continueWaiters(
+            double nowMs, PendingRequest leader, ServerState server, boolean succeeded, PolicyActions actions) {
+        if (endpoints.isOrigin(server)) {
+            resumeWaiters(nowMs, leader, succeeded, actions);
+        } else if (succeeded && endpoints.isSibling(server)) {
+            fetchFromSibling(nowMs, leader, server, actions);
+        }
+    }
+
+    /** Waiters find a fetched object at the server that missed it; after a failed fetch the first of them fetches. */
+    private void resumeWaiters(double nowMs, PendingRequest leader, boolean stored, PolicyActions actions) {
+        for (PendingRequest waiter : coalescer.endLead(leader)) {
+            if (!waiter.isConcluded() && waiter.isWaiting()) {
+                waiter.setOriginOnly(!stored || !waiter.leavesAttemptForOrigin());
+                advance(nowMs, waiter, actions);
+            }
+        }
+    }
+
+    /** What a sibling has served is not stored at this proxy's servers, so each waiter fetches it from the sibling. */
+    private void fetchFromSibling(double nowMs, PendingRequest leader, ServerState sibling, PolicyActions actions) {
+        for (PendingRequest waiter : coalescer.endLead(leader)) {
+            if (!waiter.isConcluded() && waiter.isWaiting() && waiter.attemptsLeft() > 0) {
+                waiter.setWaiting(false);
+                waiter.markSiblingsQueried();
+                sender.send(nowMs, waiter, sibling, actions);
+            }
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/cacheproxy/policy/RetryRules.java
@@ -0,0 +1,39 @@
+package cacheproxy.policy;
+
+/**
+ * Whether a request may be sent again without the risk of taking effect twice. An idempotent request always may. Others
+ * may not while an attempt is in flight, and after an attempt that may have run only if the servers deduplicate by the
+ * request's idempotency key: within the window, and at a server that knows the key.
+ */
+final class RetryRules {
+    private final PolicySettings settings;
+
+    RetryRules(PolicySettings settings) {
+        this.settings = settings;
+    }
+
+    /** Whether a request's next attempt, which may be its first, may be sent to a server. */
+    boolean maySend(double nowMs, PendingRequest pending, ServerState server) {
+        if (pending.inFlightAttempts() > 0 && !(settings.hedgingAllowed() && pending.isIdempotent())) {
+            return false;
+        }
+        if (!pending.mayHaveRun() || pending.isIdempotent()) {
+            return true;
+        }
+        ServiceClass serviceClass = pending.serviceClass();
+        return serviceClass.idempotency() == Idempotency.DEDUPLICATED
+                && nowMs < pending.mayHaveRunSinceMs() + serviceClass.deduplicationWindowMs()
+                && inSameScope(
+                        serviceClass.deduplicationScope(),
+                        pending.mayHaveRunAt().endpoint(),
+                        server.endpoint());
+    }
+
+    private static boolean inSameScope(DeduplicationScope scope, Endpoint first, Endpoint second) {
+        return switch (scope) {
+            case ALL -> true;
+            case ZONE -> first.zone() == second.zone();
+            case CELL -> first.cell() == second.cell();
+        };
+    }
+}
--- /dev/null
+++ b/src/main/java/cacheproxy/policy/ServerSelector.java
@@ -0,0 +1,91 @@
+package cacheproxy.policy;
+
+import cacheproxy.placement.Placement;
+
+/**
+ * Selects the cache server for an attempt: the best ranked one of the request's key that is healthy and, if it is
+ * warming up, admits the request. A hot key starts at a random one of the servers that it is spread over.
+ */
+final class ServerSelector {
+    /** Servers ranked beyond those that a key is spread over. */
+    private static final int RANKED_CANDIDATES = 8;
+
+    private final PolicyEnvironment environment;
+    private final EndpointList endpoints;
+    private final OutlierEjection ejection;
+    private final SlowStart slowStart;
+
+    /** Indexes of ranked servers; reused between selections. */
+    private int[] candidates = new int[RANKED_CANDIDATES];
+
+    ServerSelector(
+            PolicyEnvironment environment, EndpointList endpoints, OutlierEjection ejection, SlowStart slowStart) {
+        this.environment = environment;
+        this.endpoints = endpoints;
+        this.ejection = ejection;
+        this.slowStart = slowStart;
+    }
+
+    /**
+     * Selects a server for a request's next attempt and may start half-open probes. Servers that had the request before
+     * are left out, except the one that missed. If none accepts the request, the best one that has warmed up is taken
+     * although it is ejected.
+     *
+     * @return null if there is no such server
+     */
+    ServerState select(double nowMs, PendingRequest pending, PolicyActions actions) {
+        int count = rank(pending);
+        int spread = pending.hotKeySpread();
+        int offset = spread > 1 ? environment.random().nextInt(spread) : 0;
+        ServerState fallback = null;
+        boolean passedRestored = false;
+        for (int i = 0; i < count; i++) {
+            ServerState server = endpoints.ranked(candidates[i < spread ? (i + offset) % spread : i]);
+            if (pending.wasSentTo(server) && server != pending.missedServer()) {
+                continue;
+            }
+            boolean warmingUp = slowStart.isWarmingUp(nowMs, server);
+            if (fallback == null && !warmingUp) {
+                fallback = server;
+            }
+            // A server that warms up must not receive more because of failures that are only restored.
+            if (!(passedRestored && warmingUp) && accepts(nowMs, pending, server, actions)) {
+                return server;
+            }
+            passedRestored |= server.hasRestoredFailures();
+        }
+        return fallback;
+    }
+
+    /** Ranks servers for the request's key into {@link #candidates}; returns how many. */
+    private int rank(PendingRequest pending) {
+        int wanted = Math.min(endpoints.rankedCount(), pending.hotKeySpread() + RANKED_CANDIDATES);
+        if (wanted == 0) {
+            return 0;
+        }
+        Placement placement = endpoints.placement();
+        int capacity = placement.maxRanked(wanted);
+        if (candidates.length < capacity) {
+            candidates = new int[capacity];
+        }
+        return placement.rank(pending.placementKey(), pending.keyHash(), wanted, candidates);
+    }
+
+    /**
+     * Whether a server accepts a request. A half-open probe starts only after all other conditions hold: one that is
+     * not sent has no result, and its server would stay ejected.
+     */
+    private boolean accepts(double nowMs, PendingRequest pending, ServerState server, PolicyActions actions) {
+        if (server.isTrusted()) {
+            return slowStart.admits(nowMs, pending, server);
+        }
+        return ejection.isProbeDue(nowMs, pending, server)
+                && (environment.settings().probingAllowed() || admitsProbe(nowMs, pending, server))
+                && ejection.startProbe(server, actions);
+    }
+
+    private boolean admitsProbe(double nowMs, PendingRequest pending, ServerState server) {
+        return slowStart.admits(nowMs, pending, server)
+                && environment.admission().admitHalfOpenProbe(nowMs, server.endpoint());
+    }
+}
--- a/src/main/java/cacheproxy/policy/ServerState.java
+++ b/src/main/java/cacheproxy/policy/ServerState.java
@@ -35,6 +35,11 @@
         return endpoint;
     }
 
+    /** Whether the server is listed as ready. */
+    boolean isReady() {
+        return endpoint.state() == EndpointState.READY;
+    }
+
     /** Takes over a listing; a restarted server has no failures. */
     void update(double nowMs, Endpoint listed, boolean firstList) {
         boolean isNew = endpoint == null;
--- a/src/test/java/cacheproxy/ModuleSizeTest.java
+++ b/src/test/java/cacheproxy/ModuleSizeTest.java
@@ -27,6 +27,6 @@
             assertThat(text).allSatisfy(l -> assertThat(l.length()).as(l).isLessThanOrEqualTo(120));
             files++;
         }
-        assertThat(files).isEqualTo(13);
+        assertThat(files).isEqualTo(33);
     }
 }
