--- a/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
@@ -11,7 +11,6 @@
 import cacheproxy.policy.EndpointListKind;
 import cacheproxy.policy.EndpointState;
 import cacheproxy.policy.PolicySettings;
-import cacheproxy.proxy.dispatch.Dispatcher;
 import cacheproxy.proxy.net.HandlerInitializer;
 import cacheproxy.proxy.net.TimerWheel.Timer;
 import cacheproxy.proxy.net.Transport;
@@ -48,7 +47,7 @@
 import java.util.function.BiConsumer;
 
 /** Follows discovery's list of servers for one pool. */
-public final class DiscoveryClient implements Dispatcher.ListSource, UpstreamRegistry.Observer {
+public final class DiscoveryClient implements EndpointListSource, UpstreamRegistry.Observer {
     /** Why a call failed of which nothing came. */
     private static final String SILENT = "no answer";
 
@@ -84,7 +83,7 @@
         public static Source of(PlatformConfig config) {
             return new Source(
                     config.discovery(),
-                    config.known(),
+                    config.initialHosts(),
                     config.settings().pollsDiscovery(),
                     config.zones(),
                     config.kinds());
@@ -99,7 +98,7 @@
     private Timer looking;
     private double lookAt = Double.POSITIVE_INFINITY;
     private final Source source;
-    private final Dispatcher dispatcher;
+    private final EndpointListConsumer pool;
     private final Line watchLine = new Line();
     private final Line listLine = new Line();
     private InetSocketAddress address;
@@ -124,25 +123,25 @@
         void have(long version);
     }
 
-    public DiscoveryClient(EventLoopContext core, Source source, Dispatcher dispatcher) {
-        this(core, source, dispatcher, null);
+    public DiscoveryClient(EventLoopContext core, Source source, EndpointListConsumer pool) {
+        this(core, source, pool, null);
     }
 
     /** @param pace null: it always watches closely */
-    public DiscoveryClient(EventLoopContext core, Source source, Dispatcher dispatcher, Pace pace) {
+    public DiscoveryClient(EventLoopContext core, Source source, EndpointListConsumer pool, Pace pace) {
         this.pace = pace;
         this.core = core;
         loop = core.loop();
-        PolicySettings settings = dispatcher.settings();
+        PolicySettings settings = pool.settings();
         double within = settings.maxPollAgeMs();
         double spread = Math.min(within * LONGEST_DELAY, settings.instanceCount() * settings.connectTimeoutMs());
         double place = (double) settings.instanceIndex() / Math.max(1, settings.instanceCount());
         doubt = new SilentWatchDetector(within * NOTICE, within * QUICK, spread * place);
         newsMs = within * NEWS * place;
         this.source = source;
-        this.dispatcher = dispatcher;
-        freshness = new DiscoveryPollScheduler(
-                source.ask(), settings.instanceCount(), new SplittableRandom(dispatcher.seed()));
+        this.pool = pool;
+        freshness =
+                new DiscoveryPollScheduler(source.ask(), settings.instanceCount(), new SplittableRandom(pool.seed()));
         freshness.setLongPolling(core.now(), closely());
         address = source.address();
     }
@@ -174,10 +173,10 @@
                 known = hosts(source.known());
                 version = seq(source.known());
             } catch (RuntimeException e) {
-                dispatcher.log("the list in the configuration is of no use: " + e.getMessage());
+                pool.log("the list in the configuration is of no use: " + e.getMessage());
             }
         }
-        dispatcher.listed(EndpointListKind.CACHED, known);
+        pool.listed(EndpointListKind.CACHED, known);
         doubt.listReceived(version, true, known.stream().map(Host::member).toList());
         core.observe(this);
         if (!source.ask()) {
@@ -262,8 +261,8 @@
             try {
                 apply(need(json, why));
             } catch (RuntimeException e) {
-                dispatcher.log("discovery: " + e.getMessage());
-                dispatcher.listed(EndpointListKind.FAILED, List.of());
+                pool.log("discovery: " + e.getMessage());
+                pool.listed(EndpointListKind.FAILED, List.of());
             }
         });
     }
@@ -304,7 +303,7 @@
                         .write();
             }
             if ((n & n - 1) == 0) { // the first, the second, the fourth: an outage must not take all the log's lines
-                dispatcher.log("discovery: " + e.getMessage() + (n > 1 ? ", " + n + " failures in a row" : ""));
+                pool.log("discovery: " + e.getMessage() + (n > 1 ? ", " + n + " failures in a row" : ""));
             }
         }
         go();
@@ -330,7 +329,7 @@
             pace.have(seq);
         }
         doubt.listReceived(seq, whole, hosts.stream().map(Host::member).toList());
-        dispatcher.listed(whole ? EndpointListKind.FULL : EndpointListKind.CHANGES, hosts);
+        pool.listed(whole ? EndpointListKind.FULL : EndpointListKind.CHANGES, hosts);
     }
 
     @Override
@@ -347,7 +346,7 @@
     private void tellNews() {
         byte[] message = closed ? null : news.takeMessage(version);
         if (message != null) {
-            dispatcher.sendToPeer(-1, message);
+            pool.sendToPeer(-1, message);
         }
     }
 
@@ -378,7 +377,7 @@
         lookAt = Double.POSITIVE_INFINITY;
         if (!closed && core.now() >= freshness.protectedUntilMs() && doubt.takeDuePoll(core.now())) {
             if (freshness.inFlight()) {
-                dispatcher.log("discovery: the watch seems to have fallen silent, asking anew");
+                pool.log("discovery: the watch seems to have fallen silent, asking anew");
             }
             ask();
         }
@@ -410,8 +409,10 @@
             case "removed" -> EndpointState.GONE;
             default -> throw new IllegalArgumentException("host " + name + ": unknown health");
         };
-        int zone = source.zones().indexOf(PlatformConfig.word(h.get("site").getAsString()));
-        int kind = source.kinds().indexOf(PlatformConfig.word(h.get("class").getAsString()));
+        int zone = source.zones()
+                .indexOf(PlatformConfig.toSettingName(h.get("site").getAsString()));
+        int kind = source.kinds()
+                .indexOf(PlatformConfig.toSettingName(h.get("class").getAsString()));
         float weight = h.has("share") ? h.get("share").getAsFloat() : 1;
         if (zone < 0 || kind < 0 || !(weight >= 0) || Float.isInfinite(weight)) {
             throw new IllegalArgumentException("host " + name + ": unknown site or class, or bad share");
--- a/src/main/java/cacheproxy/proxy/upstream/CacheCodec.java
+++ b/src/main/java/cacheproxy/proxy/upstream/CacheCodec.java
@@ -2,7 +2,6 @@
 
 import cacheproxy.policy.AttemptOutcome;
 import cacheproxy.policy.PolicyApi;
-import cacheproxy.proxy.dispatch.RequestContext.Attempt;
 import cacheproxy.proxy.request.ClientRequest;
 import cacheproxy.proxy.request.MetaCodec;
 import io.netty.buffer.ByteBuf;
@@ -35,22 +34,22 @@
     @SuppressWarnings("FutureReturnValueIgnored") // a failed write closes the channel, and the close is handled
     @Override
     public ChannelFuture write(Channel channel, Attempt attempt, SocketAddress dial) {
-        if (attempt.exchange == null) {
-            String probe = attempt.owner.probesLoad() ? "stats load\r\n" : "mn\r\n";
-            return channel.write(MetaCodec.text(channel.alloc(), probe));
+        if (attempt.isProbe()) {
+            String probe = attempt.protocol().probesLoad() ? "stats load\r\n" : "mn\r\n";
+            return channel.write(MetaCodec.ascii(channel.alloc(), probe));
         }
-        ClientRequest command = attempt.exchange.command;
+        ClientRequest command = attempt.request();
         int leftMs = attempt.deadlineToTellMs(connection.core().now());
-        String as = attempt.owner.classAt(attempt.server);
+        String as = attempt.siblingClass();
         if (as != null) { // a sibling knows nothing of our classes, and has one of its own for such reads
-            return channel.write(MetaCodec.text(
+            return channel.write(MetaCodec.ascii(
                     channel.alloc(),
                     "mg " + command.key + " v O" + command.id + " Pc=" + as + ",d=" + leftMs + "\r\n"));
         }
-        ByteBuf head = channel.alloc().buffer(command.head.length() + command.tail.length() + 12);
-        ByteBufUtil.writeAscii(head, command.head);
-        MetaCodec.number(head, leftMs);
-        ByteBufUtil.writeAscii(head, command.tail);
+        ByteBuf head = channel.alloc().buffer(command.linePrefix.length() + command.lineSuffix.length() + 12);
+        ByteBufUtil.writeAscii(head, command.linePrefix);
+        MetaCodec.writeDecimal(head, leftMs);
+        ByteBufUtil.writeAscii(head, command.lineSuffix);
         head.writeShort(MetaCodec.CRLF);
         if (command.value == null) {
             return channel.write(head);
@@ -80,7 +79,7 @@
             if (missing >= 0) {
                 value(in);
             } else {
-                String line = MetaCodec.line(in);
+                String line = MetaCodec.readLine(in);
                 if (line != null) {
                     answer(line);
                 } else if (in.isReadable()) {
@@ -99,30 +98,30 @@
         if (attempt == null) {
             throw new MetaCodec.SyntaxException("answer to nothing");
         }
-        if (attempt.exchange == null) {
+        if (attempt.isProbe()) {
             probed(attempt, line);
-        } else if (line.startsWith(MetaCodec.BUSY)) {
+        } else if (line.startsWith(MetaCodec.BUSY_PREFIX)) {
             connection.ended(AttemptOutcome.FULL, 0, report(attempt, line), null, null);
         } else if (line.startsWith("SERVER_ERROR")) {
             connection.ended(AttemptOutcome.ERROR, 0, report(attempt, line), null, null);
-        } else if (line.startsWith("VA ") && !attempt.exchange.command.write) {
-            String word = MetaCodec.wordAt(line, 3);
-            length = MetaCodec.length(word);
+        } else if (line.startsWith("VA ") && !attempt.request().isWrite) {
+            String word = MetaCodec.tokenAt(line, 3);
+            length = MetaCodec.parseLength(word);
             flags(attempt, line, 4 + word.length());
             missing = length + 2;
-            streamed = length > MetaCodec.WHOLE;
+            streamed = length > MetaCodec.MAX_BUFFERED_VALUE_BYTES;
             if (streamed) {
                 dropped = !connection.begin(length);
             }
-        } else if (line.startsWith("HD ") && attempt.exchange.command.write) {
+        } else if (line.startsWith("HD ") && attempt.request().isWrite) {
             flags(attempt, line, 3);
             String receipt = MetaCodec.flag(line, 3, 'c');
-            if (receipt == null && !attempt.owner.plainNodes()) {
+            if (receipt == null && !attempt.protocol().stockServers()) {
                 throw new MetaCodec.SyntaxException("no receipt");
             }
             connection.ended(AttemptOutcome.OK, note, report, null, receipt);
         } else if (line.startsWith("EN")) {
-            if (attempt.owner.plainNodes() && line.equals("EN")) {
+            if (attempt.protocol().stockServers() && line.equals("EN")) {
                 note = 2; // stock nodes say no more; answers keep their order all the same
                 report = null;
             } else {
@@ -135,20 +134,20 @@
     }
 
     private static float[] report(Attempt attempt, String line) {
-        return attempt.owner.report(MetaCodec.flag(line, MetaCodec.BUSY.length() + 1, 'L'));
+        return attempt.protocol().reportOf(MetaCodec.flag(line, MetaCodec.BUSY_PREFIX.length() + 1, 'L'));
     }
 
     /** What the flags tell; the id must be the attempt's, or answers have lost their order. */
     private void flags(Attempt attempt, String line, int from) throws MetaCodec.SyntaxException {
-        if (!MetaCodec.flagIs(line, from, 'O', attempt.exchange.command.id)) {
+        if (!MetaCodec.hasFlag(line, from, 'O', attempt.request().id)) {
             throw new MetaCodec.SyntaxException("answer to another request");
         }
-        note = MetaCodec.flagIs(line, from, 'h', "1")
+        note = MetaCodec.hasFlag(line, from, 'h', "1")
                 ? 1
-                : !MetaCodec.flagIs(line, from, 'h', "0")
+                : !MetaCodec.hasFlag(line, from, 'h', "0")
                         ? 0
                         : MetaCodec.flag(line, from, 'Z') != null ? PolicyApi.CACHE_STATUS_FETCH_PENDING : 2;
-        report = attempt.owner.report(MetaCodec.flag(line, from, 'L'));
+        report = attempt.protocol().reportOf(MetaCodec.flag(line, from, 'L'));
     }
 
     private void value(ByteBuf in) throws MetaCodec.SyntaxException {
@@ -190,11 +189,12 @@
 
     private void probed(Attempt attempt, String line) {
         if (line.startsWith("STAT ")) {
-            String name = MetaCodec.wordAt(line, 5);
-            stats += name + "=" + MetaCodec.wordAt(line, 6 + name.length()) + ",";
+            String name = MetaCodec.tokenAt(line, 5);
+            stats += name + "=" + MetaCodec.tokenAt(line, 6 + name.length()) + ",";
         } else {
             boolean ok = line.equals("MN") || line.equals("END");
-            float[] figures = MetaCodec.report(stats, attempt.owner.reportNames());
+            float[] figures =
+                    MetaCodec.parseLoadReport(stats, attempt.protocol().reportNames());
             stats = "";
             connection.ended(ok ? AttemptOutcome.OK : AttemptOutcome.ERROR, 0, figures, null, null);
         }
