--- a/src/main/java/cacheproxy/proxy/discovery/EndpointListConsumer.java
+++ b/src/main/java/cacheproxy/proxy/discovery/EndpointListConsumer.java
@@ -16,7 +16,7 @@
     void listed(EndpointListKind kind, List<DiscoveryClient.Host> hosts);
 
     /** Sends a message to another proxy, or to all if the number is negative. */
-    void tell(int peer, byte[] message);
+    void sendToPeer(int peer, byte[] message);
 
     /** Writes a line for the operators. */
     void log(String line);
--- a/src/main/java/cacheproxy/proxy/dispatch/RequestAttempt.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/RequestAttempt.java
@@ -91,7 +91,7 @@
 
     @Override
     public boolean singleEffect() {
-        return context.dispatcher.effect(context) == Idempotency.UNSAFE;
+        return context.dispatcher.effect(context) == Idempotency.NON_IDEMPOTENT;
     }
 
     @Override
