--- a/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
@@ -6,7 +6,6 @@
 import cacheproxy.policy.Endpoint;
 import cacheproxy.policy.EndpointListKind;
 import cacheproxy.policy.PolicySettings;
-import cacheproxy.proxy.dispatch.Dispatcher;
 import cacheproxy.proxy.process.PlatformConfig;
 import cacheproxy.proxy.upstream.EventLoopContext;
 import cacheproxy.proxy.upstream.UpstreamRegistry;
@@ -18,13 +17,13 @@
 
 /**
  * Follows the endpoint list of one pool at the discovery service, and hands each list and each change to the pool's
- * dispatcher. Used on its event loop only.
+ * policy. Used on its event loop only.
  */
-public final class DiscoveryClient implements Dispatcher.ListSource, UpstreamRegistry.Observer {
+public final class DiscoveryClient implements EndpointListSource, UpstreamRegistry.Observer {
     private static final double FETCH_TIMEOUT_MS = 4000;
     private static final int ALL_PEERS = -1;
 
-    // Fractions of PolicySettings#askWithinMs, the time after which a proxy has to poll a discovery that is silent:
+    // Fractions of PolicySettings#maxPollAgeMs, the time after which a proxy has to poll a discovery that is silent:
 
     /** Within this, discovery reports that a process has ended. */
     private static final double REPORT_DELAY_FRACTION = 0.35;
@@ -49,7 +48,11 @@
         /** The source that the platform's settings name. */
         public static Source of(PlatformConfig config) {
             return new Source(
-                    config.discovery(), config.known(), config.settings().askForList(), config.zones(), config.kinds());
+                    config.discovery(),
+                    config.known(),
+                    config.settings().pollsDiscovery(),
+                    config.zones(),
+                    config.kinds());
         }
     }
 
@@ -66,7 +69,7 @@
 
     private final EventLoopContext core;
     private final Source source;
-    private final Dispatcher dispatcher;
+    private final EndpointListConsumer pool;
     /** Null if this proxy always long-polls. */
     private final Pace pace;
 
@@ -81,8 +84,8 @@
     private final double announcementDelayMs;
 
     /** Creates a client that always long-polls. */
-    public DiscoveryClient(EventLoopContext core, Source source, Dispatcher dispatcher) {
-        this(core, source, dispatcher, null);
+    public DiscoveryClient(EventLoopContext core, Source source, EndpointListConsumer pool) {
+        this(core, source, pool, null);
     }
 
     /**
@@ -90,26 +93,26 @@
      *
      * @param pace null if it always long-polls
      */
-    public DiscoveryClient(EventLoopContext core, Source source, Dispatcher dispatcher, Pace pace) {
+    public DiscoveryClient(EventLoopContext core, Source source, EndpointListConsumer pool, Pace pace) {
         this.core = core;
         this.source = source;
-        this.dispatcher = dispatcher;
+        this.pool = pool;
         this.pace = pace;
         parser = new EndpointListParser(source.zones(), source.kinds());
         fetches = new DiscoveryConnection(core);
-        PolicySettings settings = dispatcher.settings();
+        PolicySettings settings = pool.settings();
         DiscoveryPollScheduler scheduler =
-                new DiscoveryPollScheduler(source.ask(), settings.instances(), new SplittableRandom(dispatcher.seed()));
+                new DiscoveryPollScheduler(source.ask(), settings.instanceCount(), new SplittableRandom(pool.seed()));
         polls = new LongPollLoop(core, scheduler, source.address(), version, this::apply);
         scheduler.setLongPolling(core.now(), shouldLongPoll());
-        double askWithinMs = settings.askWithinMs();
+        double maxPollAgeMs = settings.maxPollAgeMs();
         double staggerMs =
-                Math.min(askWithinMs * MAX_STAGGER_FRACTION, settings.instances() * settings.connectTimeoutMs());
-        double place = (double) settings.instanceNumber() / Math.max(1, settings.instances());
+                Math.min(maxPollAgeMs * MAX_STAGGER_FRACTION, settings.instanceCount() * settings.connectTimeoutMs());
+        double place = (double) settings.instanceIndex() / Math.max(1, settings.instanceCount());
         SilentWatchDetector detector = new SilentWatchDetector(
-                askWithinMs * REPORT_DELAY_FRACTION, askWithinMs * SHORT_REPORT_DELAY_FRACTION, staggerMs * place);
+                maxPollAgeMs * REPORT_DELAY_FRACTION, maxPollAgeMs * SHORT_REPORT_DELAY_FRACTION, staggerMs * place);
         silentWatch = new SilentWatchMonitor(core, detector, polls);
-        announcementDelayMs = askWithinMs * ANNOUNCEMENT_SPREAD_FRACTION * place;
+        announcementDelayMs = maxPollAgeMs * ANNOUNCEMENT_SPREAD_FRACTION * place;
     }
 
     /** Hands over the list of the configuration, if any, and follows discovery unless the policy is to ask for that. */
@@ -120,10 +123,10 @@
                 known = parser.servers(source.known());
                 version.reset(parser.version(source.known()));
             } catch (RuntimeException e) {
-                dispatcher.log("the list in the configuration is of no use: " + e.getMessage());
+                pool.log("the list in the configuration is of no use: " + e.getMessage());
             }
         }
-        dispatcher.listed(EndpointListKind.CACHED, known);
+        pool.listed(EndpointListKind.CACHED, known);
         silentWatch.listReceived(
                 version.held(), true, known.stream().map(Host::member).toList());
         core.observe(this);
@@ -184,8 +187,8 @@
         try {
             apply(response.body());
         } catch (RuntimeException e) {
-            dispatcher.log("discovery: " + e.getMessage());
-            dispatcher.listed(EndpointListKind.FAILED, List.of());
+            pool.log("discovery: " + e.getMessage());
+            pool.listed(EndpointListKind.FAILED, List.of());
         }
     }
 
@@ -204,13 +207,13 @@
             pace.have(update.version());
         }
         silentWatch.listReceived(update.version(), update.complete(), update.endpoints());
-        dispatcher.listed(update.complete() ? EndpointListKind.FULL : EndpointListKind.CHANGES, update.servers());
+        pool.listed(update.complete() ? EndpointListKind.FULL : EndpointListKind.CHANGES, update.servers());
     }
 
     private void announceVersion() {
         byte[] message = polls.isClosed() ? null : gossip.takeMessage(version.held());
         if (message != null) {
-            dispatcher.tell(ALL_PEERS, message);
+            pool.sendToPeer(ALL_PEERS, message);
         }
     }
 
--- a/src/main/java/cacheproxy/proxy/discovery/PeerSocket.java
+++ b/src/main/java/cacheproxy/proxy/discovery/PeerSocket.java
@@ -35,7 +35,7 @@
     public PeerSocket(EventLoop loop, PlatformConfig config, Receiver receiver) {
         this.config = config;
         this.receiver = receiver;
-        if (config.settings().peers() && config.peerListen() != null) {
+        if (config.settings().peerMessagesAllowed() && config.peerListen() != null) {
             // A datagram that is written before the socket is bound would be lost without an error.
             Bootstrap bootstrap = new Bootstrap()
                     .group(loop)
