--- a/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
@@ -49,7 +49,7 @@
         public static Source of(PlatformConfig config) {
             return new Source(
                     config.discovery(),
-                    config.known(),
+                    config.initialHosts(),
                     config.settings().pollsDiscovery(),
                     config.zones(),
                     config.kinds());
--- a/src/main/java/cacheproxy/proxy/discovery/EndpointListParser.java
+++ b/src/main/java/cacheproxy/proxy/discovery/EndpointListParser.java
@@ -53,8 +53,9 @@
     private DiscoveryClient.Host server(JsonObject json) {
         String name = json.get("host").getAsString();
         EndpointState state = state(name, json.get("health").getAsString());
-        int zone = zones.indexOf(PlatformConfig.word(json.get("site").getAsString()));
-        int kind = serverKinds.indexOf(PlatformConfig.word(json.get("class").getAsString()));
+        int zone = zones.indexOf(PlatformConfig.toSettingName(json.get("site").getAsString()));
+        int kind = serverKinds.indexOf(
+                PlatformConfig.toSettingName(json.get("class").getAsString()));
         float weight = json.has("share") ? json.get("share").getAsFloat() : 1;
         if (zone < 0 || kind < 0 || !(weight >= 0) || Float.isInfinite(weight)) {
             throw new DiscoveryException("host " + name + ": unknown site or class, or bad share");
--- a/src/main/java/cacheproxy/proxy/dispatch/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/Dispatcher.java
@@ -262,7 +262,7 @@
         return protocol;
     }
 
-    boolean secondCopies() {
+    boolean hedgingAllowed() {
         return settings.hedgingAllowed();
     }
 
@@ -408,7 +408,15 @@
         exchanges.put(x.id, x);
         double now = core.now();
         RoutingRequest request = new RoutingRequest(
-                x.id, c.serviceClass, c.tenant, x.keyNumber, x.dueMs, c.costMs, c.bytes, c.write, c.repeat);
+                x.id,
+                c.serviceClass,
+                c.tenant,
+                x.keyNumber,
+                x.dueMs,
+                c.workHintMs,
+                c.sizeHintBytes,
+                c.isWrite,
+                c.isRetry);
         // Before the module's own timer for the same time: a silent server's attempt ends as a time-out then.
         x.timer = core.after(x.dueMs - now, () -> due(x));
         if (core.events.isEnabled()) {
@@ -511,9 +519,9 @@
             over(x);
             logAnswer(x, outcome == AttemptOutcome.OK ? "streamed" : "cut");
             if (outcome == AttemptOutcome.OK) {
-                x.responder.end();
+                x.responder.endValue();
             } else {
-                x.responder.breakOff();
+                x.responder.abortValue();
             }
         } else if (outcome == AttemptOutcome.OK && !x.over && !x.streaming) {
             over(x);
@@ -521,7 +529,7 @@
             if (value != null) {
                 x.responder.value(value);
             } else {
-                x.responder.receipt(receipt);
+                x.responder.stored(receipt);
             }
         } else if (value != null) {
             value.release();
@@ -586,7 +594,7 @@
 
     private void tellSiblings(RequestAttempt a, ClientRequest c, AttemptOutcome outcome) {
         Upstream u = upstreams.get(a.server());
-        if (c.write) {
+        if (c.isWrite) {
             questions.written(c.key);
         } else if (u != null && !u.origin && (outcome == AttemptOutcome.OK || outcome == AttemptOutcome.MISS)) {
             questions.read(c.key, a.server(), outcome == AttemptOutcome.OK);
@@ -603,7 +611,7 @@
         a.firstByteMs = core.now();
         stop(x.timer);
         stop(a.timer);
-        x.responder.begin(length, a.connection());
+        x.responder.beginValue(length, a.connection());
         tell(() -> module.onFirstByte(core.now(), x.id, a.index(), a.server(), this));
         for (RequestAttempt other : x.attempts) {
             if (other != a) {
@@ -617,7 +625,7 @@
         if (a.hasEnded() || a.context.over) {
             part.release();
         } else {
-            a.context.responder.part(part);
+            a.context.responder.valuePart(part);
         }
     }
 
@@ -643,7 +651,7 @@
             x.responder.miss();
         } else {
             logAnswer(x, "refused");
-            x.responder.refused(retryAfterMs >= 1 && settings.retryAfterAllowed() ? retryAfterMs : 0);
+            x.responder.busy(retryAfterMs >= 1 && settings.retryAfterAllowed() ? retryAfterMs : 0);
         }
         free(x);
     }
--- a/src/main/java/cacheproxy/proxy/dispatch/RequestAttempt.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/RequestAttempt.java
@@ -43,7 +43,7 @@
 
     @Override
     public boolean hedgingAllowed() {
-        return context.dispatcher.secondCopies();
+        return context.dispatcher.hedgingAllowed();
     }
 
     @Override
--- a/src/main/java/cacheproxy/proxy/process/PlatformConfig.java
+++ b/src/main/java/cacheproxy/proxy/process/PlatformConfig.java
@@ -29,13 +29,13 @@
         long seed,
         double cores,
         int memoryMb,
-        int sockets,
+        int maxSockets,
         InetSocketAddress peerListen,
         List<InetSocketAddress> peers,
         InetSocketAddress peersAll,
         InetSocketAddress control,
         Boolean eventLog,
-        JsonObject known,
+        JsonObject initialHosts,
         PolicySettings settings,
         List<String> zones,
         List<String> kinds,
@@ -55,7 +55,7 @@
     /** The limits of the process's one event loop. */
     EventLoopLimits eventLoopLimits() {
         long valueBytes = Math.min(((long) memoryMb << 20) / VALUE_MEMORY_DIVISOR, MAX_VALUE_BYTES);
-        return new EventLoopLimits(valueBytes, sockets / SERVER_SOCKETS_DIVISOR, false);
+        return new EventLoopLimits(valueBytes, maxSockets / SERVER_SOCKETS_DIVISOR, false);
     }
 
     /** Reads the file; an IllegalArgumentException says in one line what is wrong. */
@@ -120,13 +120,13 @@
                 seed,
                 cores,
                 memoryMb,
-                sockets,
+                maxSockets,
                 any,
                 peers,
                 peersAll,
                 any,
                 eventLog,
-                known,
+                initialHosts,
                 settings,
                 zones,
                 kinds,
@@ -163,7 +163,7 @@
             int i = 0;
             for (JsonElement e : value.getAsJsonArray()) {
                 if (e.isJsonPrimitive()) {
-                    plain.add(word(e.getAsString()));
+                    plain.add(toSettingName(e.getAsString()));
                 } else {
                     flatten(path + "." + i, e, out);
                 }
@@ -176,7 +176,7 @@
         }
     }
 
-    public static String word(String text) {
+    public static String toSettingName(String text) {
         return text.replace(' ', '_').replace(',', '_');
     }
 }
--- a/src/main/java/cacheproxy/proxy/upstream/BufferedBodyLimit.java
+++ b/src/main/java/cacheproxy/proxy/upstream/BufferedBodyLimit.java
@@ -19,7 +19,7 @@
      */
     BufferedBodyLimit(EventLoop loop, long maxValueBytes) {
         this.loop = loop;
-        maxBodies = (int) Math.max(1, maxValueBytes / MetaCodec.MAX_VALUE);
+        maxBodies = (int) Math.max(1, maxValueBytes / MetaCodec.MAX_VALUE_BYTES);
     }
 
     /** Calls {@code onAcquired} once a body may be buffered, perhaps from within this call; then to be released. */
--- a/src/main/java/cacheproxy/proxy/upstream/PoolProtocol.java
+++ b/src/main/java/cacheproxy/proxy/upstream/PoolProtocol.java
@@ -19,6 +19,6 @@
 
     /** The load figures in a response; null where responses bring none. */
     float[] reportOf(String figures) {
-        return reports == LoadReportSource.WITH_ANSWERS ? MetaCodec.report(figures, reportNames) : null;
+        return reports == LoadReportSource.WITH_ANSWERS ? MetaCodec.parseLoadReport(figures, reportNames) : null;
     }
 }
