--- a/src/main/java/cacheproxy/daemon/StandardProtocols.java
+++ b/src/main/java/cacheproxy/daemon/StandardProtocols.java
@@ -4,6 +4,7 @@
 import cacheproxy.config.ListenerConfig;
 import cacheproxy.policy.Idempotency;
 import cacheproxy.policy.ServiceClass;
+import cacheproxy.proxy.client.MetaProtocol;
 import cacheproxy.proxy.client.StandardMetaProtocol;
 import java.util.Set;
 import java.util.concurrent.atomic.AtomicLong;
@@ -23,10 +24,10 @@
         idPrefix = Long.toHexString((randomBits & ID_PREFIX_MASK) | ID_PREFIX_TOP_BIT);
     }
 
-    /** The translation for a listener; null if it takes no plain commands. */
-    StandardMetaProtocol protocolOf(DaemonConfig file, ListenerConfig listener) {
+    /** The grammar of a listener's commands. */
+    MetaProtocol protocolOf(DaemonConfig file, ListenerConfig listener) {
         if (!listener.open()) {
-            return null;
+            return MetaProtocol.platform();
         }
         String tenant = listener.tenant() == null ? "" : ",t=" + listener.tenant();
         String deadline = listener.deadlineMs() == 0 ? "" : ",d=" + Math.round(listener.deadlineMs());
--- a/src/main/java/cacheproxy/proxy/client/ClientRegistry.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientRegistry.java
@@ -6,82 +6,96 @@
 import java.util.List;
 import java.util.Set;
 
-/** The clients of all listeners of one event loop, and the bound on them. */
+/**
+ * The client connections of all listeners of one event loop. While there are too many of them, idle ones are evicted
+ * and, if there is none, accepting pauses.
+ */
 public final class ClientRegistry {
-    private final EventLoopContext core;
+    private final EventLoopContext loopContext;
     private final int maxConnections;
     private final Set<ClientConnection> connections = new HashSet<>();
     private final List<Listener> listeners = new ArrayList<>();
 
-    /** @param max connections of clients; one that has stood idle makes room for a new one */
-    public ClientRegistry(EventLoopContext core, int max) {
-        this.core = core;
-        this.maxConnections = max;
+    /** No connection yet; at most {@code maxConnections} are kept open. */
+    public ClientRegistry(EventLoopContext loopContext, int maxConnections) {
+        this.loopContext = loopContext;
+        this.maxConnections = maxConnections;
     }
 
+    /** Pauses and resumes accepting at this listener, too. */
     void add(Listener listener) {
         listeners.add(listener);
     }
 
+    /** Forgets a listener that accepts no more. */
     void remove(Listener listener) {
         listeners.remove(listener);
     }
 
-    /**
-     * A connection that the kernel has accepted counts as taken, so where there are too many the one that has stood
-     * idle longest makes room.
-     */
-    void connectionAccepted(ClientConnection client) {
-        connections.add(client);
-        if (connections.size() > maxConnections && !evictOne(client)) {
-            listeners.forEach(l -> l.accept(false));
+    /** Counts a connection that the kernel has accepted; evicts another, or pauses accepting, if there are too many. */
+    void connectionAccepted(ClientConnection connection) {
+        connections.add(connection);
+        if (hasTooMany() && !evictOne(connection)) {
+            listeners.forEach(listener -> listener.setAccepting(false));
         }
     }
 
-    /** Ends the connection that is to make room first, but for this one; false if there is no room yet. */
-    private boolean evictOne(ClientConnection but) {
-        ClientConnection first = null;
-        double rank = 0;
-        double now = core.now();
+    private boolean hasTooMany() {
+        return connections.size() > maxConnections;
+    }
+
+    /**
+     * Evicts the connection with the highest rank.
+     *
+     * @param spared a connection that is not evicted; may be null
+     * @return whether its descriptor is free at once
+     */
+    private boolean evictOne(ClientConnection spared) {
+        ClientConnection candidate = null;
+        double highestRank = 0;
+        double nowMs = loopContext.now();
         int lingering = 0;
-        for (ClientConnection c : connections) {
-            lingering += c.isLingering() ? 1 : 0;
-            double r = c == but ? -1 : c.evictionRank(now);
-            if (r >= rank) {
-                first = c;
-                rank = r;
+        for (ClientConnection connection : connections) {
+            lingering += connection.isFinished() ? 1 : 0;
+            double rank = connection == spared ? -1 : connection.evictionRank(nowMs);
+            if (rank >= highestRank) {
+                candidate = connection;
+                highestRank = rank;
             }
         }
         if (connections.size() - lingering <= maxConnections) {
-            return false; // it is on its way: those that linger go soon
+            return false; // enough of them close soon
         }
-        return first != null && first.evict(now);
+        return candidate != null && candidate.evict(nowMs);
     }
 
-    void connectionClosed(ClientConnection client) {
-        connections.remove(client);
-        if (connections.size() <= maxConnections) {
-            listeners.forEach(l -> l.accept(true));
+    /** Counts a closed connection out, and lets listeners accept again if there are no longer too many. */
+    void connectionClosed(ClientConnection connection) {
+        connections.remove(connection);
+        if (!hasTooMany()) {
+            listeners.forEach(listener -> listener.setAccepting(true));
         }
     }
 
+    /** Closes stalled connections, and evicts one if there are too many; to be called periodically. */
     public void closeStalled() {
-        double now = core.now();
-        for (ClientConnection c : List.copyOf(connections)) {
-            if (c.isStalled(now)) {
-                c.closeStalled();
+        double nowMs = loopContext.now();
+        for (ClientConnection connection : List.copyOf(connections)) {
+            if (connection.isStalled(nowMs)) {
+                connection.closeStalled();
             }
         }
-        if (connections.size() > maxConnections) {
-            // All were busy when the last one came. Clients keep connections that have become idle since, and those
-            // that wait to be accepted would wait for one to leave.
-            evictOne(null);
-        }
+        evictIfTooMany();
     }
 
-    /** One connection has become idle: where clients wait to be accepted, it makes room at once. */
+    /** A connection has become idle, so that it can be evicted if accepting is paused. */
     void connectionIdle() {
-        if (connections.size() > maxConnections) {
+        evictIfTooMany();
+    }
+
+    /** Idle clients keep their connections, and those in the accept queue would wait for one of them to leave. */
+    private void evictIfTooMany() {
+        if (hasTooMany()) {
             evictOne(null);
         }
     }
--- a/src/main/java/cacheproxy/proxy/client/Listener.java
+++ b/src/main/java/cacheproxy/proxy/client/Listener.java
@@ -7,6 +7,7 @@
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelHandler;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.ChannelInitializer;
@@ -17,107 +18,87 @@
 import io.netty.util.concurrent.Future;
 import java.io.IOException;
 import java.net.InetSocketAddress;
-import java.net.Socket;
 import java.net.SocketAddress;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.Set;
 
-/** An address where clients connect, and the clients that came there. */
-public final class Listener implements ClientConnection.Front {
+/**
+ * A listening socket and the client connections that were accepted there. On the event loop, but for reserving and
+ * binding its address.
+ */
+public final class Listener implements ConnectionOwner {
     private static final int BACKLOG = 512;
-    /** Where the loop has not looked for longer than this, connections may have queued up. */
-    private static final double QUEUES_UP_MS = 25;
-    /**
-     * How long it may take to accept those that had queued up: one a turn of the loop, for as long as each turn has
-     * one.
-     */
-    private static final double DRAINS_WITHIN_MS = 100;
-    /** How long none is accepted after the system had none to give, for want of descriptors or memory. */
+    private static final WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(64 << 10, 128 << 10);
+    /** How long none is accepted after an accept has failed, for want of descriptors or memory. */
     private static final double ACCEPT_RETRY_MS = 20;
 
-    private final EventLoopContext core;
+    private final EventLoopContext loopContext;
     private final ClientRegistry clients;
     private final Set<ClientConnection> connections = new HashSet<>();
+    private final AcceptQueue acceptQueue;
     private RequestHandler handler;
-    private StandardMetaProtocol standardProtocol;
+    private MetaProtocol protocol;
     private Channel channel;
-    /** Connections whose place is under this end between requests. */
-    private double endsUnder;
+    /** Holds the address until the channel has it; null if none was reserved. */
+    private ReservedAddress reserved;
+    /** Connections with a closing position below this are closed once idle. */
+    private double closingFraction;
 
     private boolean acceptsClients = true;
     private boolean draining;
-    /** Has the address until the channel has; null where there is none to wait for. */
-    private Socket reserved;
-
-    private long accepted;
-    /**
-     * Since when connections may have waited in the system's queue, until it has been seen empty; infinite where none
-     * has.
-     */
-    private double queuedSinceMs = Double.POSITIVE_INFINITY;
-
-    private double queueDrainsMs;
-    private long acceptTurn;
-    /** Whether the bound on clients lets connections be accepted. */
-    private boolean mayAccept = true;
+    /** Whether the bound on client connections lets further ones be accepted. */
+    private boolean accepting = true;
 
-    private long acceptFailures;
+    private long acceptedCount;
+    private long failureCount;
 
-    /** @param open what stock clients' commands are given; null for the platform's clients */
-    public Listener(EventLoopContext core, ClientRegistry clients, RequestHandler handler, StandardMetaProtocol open) {
-        this.core = core;
+    /** A listener without an address yet; its requests go to the handler. */
+    public Listener(
+            EventLoopContext loopContext, ClientRegistry clients, RequestHandler handler, MetaProtocol protocol) {
+        this.loopContext = loopContext;
         this.clients = clients;
         this.handler = handler;
-        this.standardProtocol = open;
+        this.protocol = protocol;
+        acceptQueue = new AcceptQueue(loopContext);
     }
 
+    // ---- the address
+
     /**
-     * Takes the address without listening there until {@link #listen}: what connected before would wait in the system's
-     * queue, its requests' time running, where a refused connection goes elsewhere at once. The exception says why it
-     * can't be had.
+     * Reserves the address without listening there until {@link #listen}.
+     *
+     * @throws IOException if the address can't be bound, with the system's reason
      */
     public void reserve(SocketAddress address) throws IOException {
-        Socket socket = new Socket();
-        try {
-            socket.setReuseAddress(true); // else the listening socket could not have the address as long as this has it
-            socket.bind(address);
-        } catch (IOException e) {
-            socket.close();
-            throw e;
-        }
-        reserved = socket;
+        reserved = ReservedAddress.bind(address);
     }
 
-    /** Takes connections at the reserved address from now on, unless it drains already. */
+    /** Accepts connections at the reserved address from now on, unless the listener drains already. */
     public Future<?> listen() {
         if (draining) {
-            return core.loop.newSucceededFuture(null);
+            return loopContext.loop.newSucceededFuture(null);
         }
-        return bind(reserved.getLocalSocketAddress()).addListener(f -> unreserve());
+        return bind(reserved.address()).addListener(bound -> releaseAddress());
     }
 
-    private void unreserve() {
-        try {
-            if (reserved != null) {
-                reserved.close();
-            }
-        } catch (IOException e) {
-            // it has no connection that could be lost
-        }
+    /** Gives the address back that is reserved and not listened at. */
+    public void close() {
+        releaseAddress();
     }
 
-    /** Gives the address back where it was only reserved. */
-    public void close() {
-        unreserve();
+    private void releaseAddress() {
+        if (reserved != null) {
+            reserved.close();
+        }
     }
 
-    /** Binds; connections are taken from then on. Its future's channel has the address. */
+    /** Binds the address and accepts connections from then on. */
     public ChannelFuture bind(SocketAddress address) {
         return bind(address, false);
     }
 
-    /** @param shared whether another process may listen at the same address, which then shares its connections */
+    /** Like {@link #bind(SocketAddress)}; with {@code shared}, other processes may listen at the same address. */
     public ChannelFuture bind(SocketAddress address, boolean shared) {
         ServerBootstrap bootstrap = bootstrap()
                 .channel(Transport.BEST.server())
@@ -126,194 +107,204 @@
         if (shared && Transport.BEST.server() == EpollServerSocketChannel.class) {
             bootstrap.option(UnixChannelOption.SO_REUSEPORT, true);
         }
-        return opened(bootstrap.bind(address));
+        return register(bootstrap.bind(address));
     }
 
-    /** Takes connections off a socket that listens already, and that another process may have, too. */
+    /** Accepts connections from a socket that listens already, and that another process may have, too. */
     public ChannelFuture adopt(int descriptor) {
-        return opened(bootstrap()
+        return register(bootstrap()
                 .channelFactory(() -> new EpollServerSocketChannel(descriptor))
                 .register());
     }
 
     private ServerBootstrap bootstrap() {
         return new ServerBootstrap()
-                .group(core.loop)
-                .handler(new AcceptFailures())
+                .group(loopContext.loop)
+                .handler(new AcceptFailureHandler())
                 .childOption(ChannelOption.TCP_NODELAY, true)
-                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, new WriteBufferWaterMark(64 << 10, 128 << 10))
+                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WATER_MARK)
                 .childOption(ChannelOption.RECVBUF_ALLOCATOR, Transport.reads())
                 .childHandler(new ChannelInitializer<>() {
                     @Override
-                    protected void initChannel(Channel connection) {
-                        ClientConnection client =
-                                new ClientConnection(core, Listener.this, Lifecycle.closingPosition(accepted++));
-                        connection.pipeline().addLast(client);
-                        connections.add(client);
-                        clients.connectionAccepted(client);
+                    protected void initChannel(Channel accepted) {
+                        addConnection(accepted);
                     }
                 });
     }
 
-    /**
-     * What the system says when it has no connection to give: one that was reset in its queue, too few descriptors or
-     * buffers for a moment. Netty's own way is to accept nothing for a second, in which requests that wait in the queue
-     * would run out of time.
-     */
-    private final class AcceptFailures extends ChannelInboundHandlerAdapter {
-        @Override
-        public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            acceptFailures++;
-            if ((acceptFailures & acceptFailures - 1)
-                    == 0) { // the first, the second, the fourth: a shortage must not take all the log's lines
-                core.log("accept failed, " + acceptFailures + " in all: " + cause.getMessage());
-            }
-            reading(false);
-            core.after(ACCEPT_RETRY_MS, () -> {
-                if (mayAccept && !draining) {
-                    reading(true);
-                }
-            });
-        }
+    private ChannelFuture register(ChannelFuture bound) {
+        channel = bound.channel();
+        loopContext.loop.execute(() -> clients.add(this));
+        return bound;
     }
 
-    /** For tests that have an accept fail. */
+    /** The channel that accepts connections; null if there is none. */
     public Channel channel() {
         return channel;
     }
 
-    private ChannelFuture opened(ChannelFuture bound) {
-        channel = bound.channel();
-        core.loop.execute(() -> clients.add(this));
-        return bound;
+    /** The address that is listened at or reserved. */
+    public InetSocketAddress address() {
+        return channel == null ? reserved.address() : (InetSocketAddress) channel.localAddress();
     }
 
-    public InetSocketAddress address() {
-        return (InetSocketAddress) (channel == null ? reserved.getLocalSocketAddress() : channel.localAddress());
+    /** The listening socket's file descriptor; -1 if this kind of channel has none. */
+    public int descriptor() {
+        return channel instanceof EpollServerSocketChannel epollChannel
+                ? epollChannel.fd().intValue()
+                : -1;
+    }
+
+    // ---- accepting
+
+    private void addConnection(Channel accepted) {
+        ClientConnection connection =
+                new ClientConnection(loopContext, this, Lifecycle.closingPosition(acceptedCount++));
+        accepted.pipeline().addLast(connection);
+        connections.add(connection);
+        clients.connectionAccepted(connection);
     }
 
-    void accept(boolean on) {
-        mayAccept = on;
-        reading(on);
+    /** A handler for a connection that was not accepted here, and is not counted among this listener's. */
+    public ChannelHandler newUncountedConnection() {
+        return new ClientConnection(loopContext, this, 0);
     }
 
-    private void reading(boolean on) {
-        if (channel.config().isAutoRead() != on) {
-            if (!on) {
-                queuedSinceMs = Math.min(queuedSinceMs, core.now());
+    /**
+     * Handles errors of the system's accept: a connection that was reset in the queue, or a momentary shortage of
+     * descriptors or buffers. Netty's default is to accept none for a second, in which requests that wait in the queue
+     * would time out.
+     */
+    private final class AcceptFailureHandler extends ChannelInboundHandlerAdapter {
+        @Override
+        public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
+            failureCount++;
+            if (Long.bitCount(failureCount) == 1) { // the 1st, 2nd, 4th, ...: they must not use up the log's lines
+                loopContext.log("accept failed, " + failureCount + " in all: " + cause.getMessage());
             }
-            queueDrainsMs = core.now() + DRAINS_WITHIN_MS;
-            acceptTurn = core.turn();
-            channel.config().setAutoRead(on);
+            setReading(false);
+            loopContext.after(ACCEPT_RETRY_MS, () -> {
+                if (accepting && !draining) {
+                    setReading(true);
+                }
+            });
         }
     }
 
-    /** Requests go there from now on, and get these defaults. */
-    public void reconfigure(RequestHandler to, StandardMetaProtocol defaults) {
-        handler = to;
-        standardProtocol = defaults;
+    /** Pauses or resumes accepting, for the bound on client connections. */
+    void setAccepting(boolean newAccepting) {
+        accepting = newAccepting;
+        setReading(newAccepting);
     }
 
-    /** Takes no new connections; those that are there end between requests. To be called until it is empty. */
+    private void setReading(boolean reading) {
+        if (channel.config().isAutoRead() != reading) {
+            acceptQueue.switched(reading);
+            channel.config().setAutoRead(reading);
+        }
+    }
+
+    /** Sends later requests to another handler, and parses later commands by another protocol. */
+    public void reconfigure(RequestHandler newHandler, MetaProtocol newProtocol) {
+        handler = newHandler;
+        protocol = newProtocol;
+    }
+
+    // ---- draining
+
+    /** Stops listening and closes the connections once idle. To be called again until {@link #isEmpty}. */
     public void drain() {
         stopListening();
         closeIdle(1);
     }
 
-    /** Takes no new connections. */
-    @SuppressWarnings("FutureReturnValueIgnored")
-    public // the close is observed where the channel becomes inactive
-    void stopListening() {
-        if (!draining) {
-            draining = true;
-            if (channel == null) {
-                unreserve();
-                return;
-            }
-            // Another process may have the same socket. Then closing ours would not take it out of our selector.
-            channel.deregister().addListener(f -> channel.close());
-            clients.remove(this);
+    /** Accepts no further connections; those that are open go on. */
+    @SuppressWarnings("FutureReturnValueIgnored") // the close is observed where the channel becomes inactive
+    public void stopListening() {
+        if (draining) {
+            return;
         }
+        draining = true;
+        if (channel == null) {
+            releaseAddress();
+            return;
+        }
+        // Another process may have the same socket; then closing ours would not take it out of our selector.
+        channel.deregister().addListener(deregistered -> channel.close());
+        clients.remove(this);
     }
 
-    /** Whether this process says that it takes clients. */
-    public void acceptsClients(boolean yes) {
-        acceptsClients = yes;
+    /** Sets what clients that ask by {@code mn} are told: whether the proxy takes requests. */
+    public void setAcceptsClients(boolean newAcceptsClients) {
+        acceptsClients = newAcceptsClients;
     }
 
-    /** Connections of a place under this end between requests. To be called again until they have. */
-    public void closeIdle(double under) {
-        endsUnder = under;
-        double now = core.now();
-        for (ClientConnection c : new ArrayList<>(connections)) {
-            if (closesWhenIdle(c) && c.isIdle() && (draining || c.hasHadTimeToAsk(now))) {
-                c.finish();
+    /**
+     * Closes connections once idle, in the order of their closing positions. To be called again, as connections become
+     * idle and clients have had the time to send their first request.
+     *
+     * @param fraction the part of the connections, from 0 to 1
+     */
+    public void closeIdle(double fraction) {
+        closingFraction = fraction;
+        double nowMs = loopContext.now();
+        for (ClientConnection connection : new ArrayList<>(connections)) {
+            if (closesWhenIdle(connection) && connection.isIdle() && (draining || connection.hasHadTimeToAsk(nowMs))) {
+                connection.finish();
             }
         }
     }
 
-    /** Nothing that comes on standing connections is taken any more. */
+    /** Takes no further requests on any connection; each ends after its last response. */
     public void stopTakingRequests() {
         new ArrayList<>(connections).forEach(ClientConnection::stopTakingRequests);
     }
 
-    /** The socket's descriptor; -1 where the kind of channel has none to give. */
-    public int descriptor() {
-        return channel instanceof EpollServerSocketChannel c ? c.fd().intValue() : -1;
-    }
-
+    /** Whether no connection is open. */
     public boolean isEmpty() {
         return connections.isEmpty();
     }
 
+    /** The number of open connections. */
     public int connectionCount() {
         return connections.size();
     }
 
+    // ---- for connections
+
     @Override
     public RequestHandler handler() {
         return handler;
     }
 
     @Override
-    public StandardMetaProtocol standardProtocol() {
-        return standardProtocol;
+    public MetaProtocol protocol() {
+        return protocol;
     }
 
     @Override
-    public boolean closesWhenIdle(ClientConnection client) {
-        return client.closingPosition() < endsUnder;
+    public boolean closesWhenIdle(ClientConnection connection) {
+        return connection.closingPosition() < closingFraction;
     }
 
-    /** What has queued up is accepted turn after turn; a turn without one has seen the queue empty. */
     @Override
-    public double queuedSinceMs() {
-        double unreadSinceMs = core.unreadSinceMs();
-        double now = core.now();
-        if (now > queueDrainsMs || !core.follows(acceptTurn)) {
-            queuedSinceMs = Double.POSITIVE_INFINITY;
-        }
-        if (now - unreadSinceMs > QUEUES_UP_MS) {
-            queuedSinceMs = Math.min(queuedSinceMs, unreadSinceMs);
-            queueDrainsMs = now + DRAINS_WITHIN_MS;
-        }
-        acceptTurn = core.turn();
-        return Math.min(queuedSinceMs, unreadSinceMs);
+    public boolean acceptsClients() {
+        return acceptsClients;
     }
 
     @Override
-    public boolean acceptsClients() {
-        return acceptsClients;
+    public double queuedSinceMs() {
+        return acceptQueue.accepted();
     }
 
     @Override
-    public void connectionIdle(ClientConnection client) {
+    public void connectionIdle(ClientConnection connection) {
         clients.connectionIdle();
     }
 
     @Override
-    public void connectionClosed(ClientConnection client) {
-        connections.remove(client);
-        clients.connectionClosed(client);
+    public void connectionClosed(ClientConnection connection) {
+        connections.remove(connection);
+        clients.connectionClosed(connection);
     }
 }
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/client/RequestDecoder.java
@@ -0,0 +1,166 @@
+package cacheproxy.proxy.client;
+
+import cacheproxy.proxy.request.ClientRequest;
+import cacheproxy.proxy.request.MetaCodec;
+import cacheproxy.proxy.upstream.EventLoopContext;
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.ByteBufAllocator;
+
+/**
+ * Decodes the commands of one client connection. The value of a write is read into a buffer if the bound on clients'
+ * values allows it, and otherwise skipped.
+ */
+final class RequestDecoder implements MetaCommandHandler {
+    /** The line end behind a value. */
+    private static final int CRLF_BYTES = 2;
+    /** A value's buffer begins with at most this size and grows with what arrives. */
+    private static final int MAX_INITIAL_BUFFER_BYTES = 16 << 10;
+
+    private final EventLoopContext loopContext;
+    private final ConnectionOwner owner;
+    private final Output output;
+
+    private boolean readingValue;
+    /** The write whose value is being read; null if it can't be carried out. */
+    private ClientRequest write;
+    /** The bytes of the value, with its line end, that have not arrived yet. */
+    private int missingBytes;
+    /** What has been reserved for the value that is being read. */
+    private int reservedBytes;
+    /** The echo of the last write in the standard grammar. */
+    private String standardEcho;
+    /** The response to the last write in the standard grammar if it can't be carried out, else null. */
+    private String standardErrorLine;
+
+    /** What the decoder has decoded. */
+    interface Output {
+        /** A request is complete. */
+        void request(ClientRequest request, MetaProtocol protocol, String echo);
+
+        /** A command gets this line, with its end, as the response from the proxy itself. */
+        void respond(String responseLine);
+    }
+
+    RequestDecoder(EventLoopContext loopContext, ConnectionOwner owner, Output output) {
+        this.loopContext = loopContext;
+        this.owner = owner;
+        this.output = output;
+    }
+
+    /** Whether a write's value has begun and is not complete. */
+    boolean isReadingValue() {
+        return readingValue;
+    }
+
+    /**
+     * Decodes at most one command line or a part of one value.
+     *
+     * @throws MetaCodec.SyntaxException if the beginning of the next command can't be known
+     */
+    void decode(ByteBuf input, ByteBufAllocator allocator) throws MetaCodec.SyntaxException {
+        if (readingValue) {
+            readValue(input);
+            return;
+        }
+        String line = MetaCodec.readLine(input);
+        if (line == null) {
+            return;
+        }
+        if (line.equals("mn")) {
+            output.respond(owner.acceptsClients() ? "MN\r\n" : "SERVER_ERROR standby\r\n");
+            return;
+        }
+        owner.protocol().parse(line, this);
+        if (readingValue && write != null) {
+            reserveValue(allocator);
+        }
+    }
+
+    @Override
+    public void onRead(ClientRequest request, String echo) {
+        output.request(request, owner.protocol(), echo);
+    }
+
+    @Override
+    public void onWrite(ClientRequest request, int valueBytes) {
+        readingValue = true;
+        write = request;
+        missingBytes = valueBytes + CRLF_BYTES;
+    }
+
+    @Override
+    public void onStandardWrite(ClientRequest request, int valueBytes, String echo, String errorLine) {
+        standardEcho = echo;
+        standardErrorLine = errorLine;
+        onWrite(request, valueBytes);
+    }
+
+    @Override
+    public void onInvalid(String errorLine) {
+        output.respond(errorLine + "\r\n");
+    }
+
+    private void reserveValue(ByteBufAllocator allocator) {
+        if (loopContext.reserve(missingBytes)) {
+            reservedBytes = missingBytes;
+            write.setValue(
+                    allocator.buffer(Math.min(missingBytes, MAX_INITIAL_BUFFER_BYTES), missingBytes), missingBytes);
+        }
+    }
+
+    private void readValue(ByteBuf input) throws MetaCodec.SyntaxException {
+        int bytes = Math.min(missingBytes, input.readableBytes());
+        missingBytes -= bytes;
+        if (write == null || write.value == null) {
+            input.skipBytes(bytes);
+        } else {
+            write.value.writeBytes(input, bytes);
+        }
+        if (missingBytes == 0) {
+            completeWrite();
+        }
+    }
+
+    private void completeWrite() throws MetaCodec.SyntaxException {
+        ClientRequest request = write;
+        readingValue = false;
+        write = null;
+        if (request == null) {
+            onInvalid(standardErrorLine != null ? standardErrorLine : PlatformMetaProtocol.BAD_COMMAND_LINE);
+            return;
+        }
+        if (request.value == null) {
+            output.respond(MetaCodec.BUSY_PREFIX + "\r\n");
+            return;
+        }
+        if (!endsWithCrlf(request.value)) {
+            discardValue(request);
+            throw new MetaCodec.SyntaxException("bad data chunk");
+        }
+        reservedBytes = 0; // the request gives it back when it is released
+        MetaProtocol protocol = owner.protocol();
+        output.request(request, protocol, protocol.writeEcho(request, standardEcho));
+    }
+
+    private static boolean endsWithCrlf(ByteBuf value) {
+        return value.getShort(value.writerIndex() - CRLF_BYTES) == MetaCodec.CRLF;
+    }
+
+    /** The connection is closed: releases the value that is being read. */
+    void close() {
+        if (readingValue) {
+            discardValue(write);
+            readingValue = false;
+            write = null;
+        }
+    }
+
+    private void discardValue(ClientRequest request) {
+        if (request != null && request.value != null) {
+            request.value.release();
+            request.value = null;
+        }
+        loopContext.giveBack(reservedBytes);
+        reservedBytes = 0;
+    }
+}
--- a/src/main/java/cacheproxy/proxy/client/StandardMetaProtocol.java
+++ b/src/main/java/cacheproxy/proxy/client/StandardMetaProtocol.java
@@ -6,13 +6,16 @@
 import java.util.function.Supplier;
 
 /**
- * The meta commands as stock clients send them, without id and list (memcached's protocol.txt, "Meta Commands"):
- * {@code mg KEY v} and {@code ms KEY LENGTH}, with the flags {@code O} (opaque), {@code k} (the key comes back) and
- * {@code P} (our list, which may name class, tenant and deadline). What is not understood is told in a line.
+ * The meta commands as stock memcached clients send them, without id and attributes (memcached's protocol.txt, "Meta
+ * Commands"): {@code mg KEY v} and {@code ms KEY LENGTH}. Flags are {@code O} (opaque), {@code k} (the response repeats
+ * the key) and {@code P} (the platform's attributes, which may name class, tenant and deadline). Other commands and
+ * flags are answered by a line that names the unsupported part.
  */
-public final class StandardMetaProtocol {
+public final class StandardMetaProtocol extends MetaProtocol {
     private static final String READ_FLAGS = "vOkP";
     private static final String WRITE_FLAGS = "OkP";
+    /** The longest opaque of memcached's protocol.txt, in characters. */
+    private static final int MAX_OPAQUE_LENGTH = 32;
 
     private final String readDefaults;
     private final String writeDefaults;
@@ -20,112 +23,171 @@
     private final Supplier<String> idGenerator;
 
     /**
-     * @param readDefaults the list that a read without one gets, such as {@code c=page,t=acme,d=400}; names that the
-     *     request's own list has are left out
-     * @param keyed names of classes whose repeats servers drop by a key; a request without one gets its id
-     * @param ids new ids for requests
+     * Defines what is added to requests.
+     *
+     * @param readDefaults the attributes of a read that names none, such as {@code c=page,t=acme,d=400}; an attribute
+     *     that the request names itself takes precedence
+     * @param writeDefaults the same for writes
+     * @param keyedClasses names of classes whose repeated writes servers drop by a deduplication key; a write without
+     *     one gets its id as the key
+     * @param idGenerator ids for new requests
      */
-    public StandardMetaProtocol(String readDefaults, String writeDefaults, Set<String> keyed, Supplier<String> ids) {
+    public StandardMetaProtocol(
+            String readDefaults, String writeDefaults, Set<String> keyedClasses, Supplier<String> idGenerator) {
         this.readDefaults = readDefaults;
         this.writeDefaults = writeDefaults;
-        this.keyedClasses = keyed;
-        this.idGenerator = ids;
+        this.keyedClasses = keyedClasses;
+        this.idGenerator = idGenerator;
     }
 
-    /**
-     * A line as understood: a command, or the error line that answers it. A write's value follows in either case, as
-     * long as its length could be read.
-     */
-    record Parsed(ClientRequest command, String fault, boolean write, int length, String echo) {}
-
-    Parsed parse(String line) throws MetaCodec.SyntaxException {
-        boolean write = line.startsWith("ms ");
-        if (!write && !line.startsWith("mg ")) {
-            String word = MetaCodec.tokenAt(line, 0);
-            return fault(
-                    "ERROR this listener takes mg, ms and mn"
-                            + (word.length() == 2 && word.startsWith("m") ? ", not " + printable(word) : ""),
-                    false,
-                    0);
+    @Override
+    void parse(String line, MetaCommandHandler handler) throws MetaCodec.SyntaxException {
+        if (isWrite(line)) {
+            parseWrite(line, handler);
+        } else if (isRead(line)) {
+            parseRead(line, handler);
+        } else {
+            handler.onInvalid(unsupportedCommand(line));
+        }
+    }
+
+    private static String unsupportedCommand(String line) {
+        String command = MetaCodec.tokenAt(line, 0);
+        boolean metaCommand = command.length() == 2 && command.startsWith("m");
+        return "ERROR this listener takes mg, ms and mn" + (metaCommand ? ", not " + printableOr(command, "that") : "");
+    }
+
+    private void parseRead(String line, MetaCommandHandler handler) {
+        String key = MetaCodec.tokenAt(line, COMMAND_LENGTH);
+        Flags flags = new Flags();
+        String error = validate(line, key, COMMAND_LENGTH + key.length() + 1, READ_FLAGS, flags);
+        if (error == null && !flags.valueWanted) {
+            error = "CLIENT_ERROR mg needs the flag v";
         }
-        String key = MetaCodec.tokenAt(line, 3);
-        int at = 3 + key.length() + 1;
-        int length = 0;
-        if (write) {
-            String word = MetaCodec.tokenAt(line, at);
-            length = MetaCodec.parseLength(word);
-            at += word.length() + 1;
+        if (error == null) {
+            error = flags.opaqueError();
         }
-        if (key.isEmpty() || key.length() > 250 || !MetaCodec.isPrintable(line)) {
-            return fault(
-                    "CLIENT_ERROR a key has 1 to 250 printing ASCII characters, and so has the line", write, length);
+        if (error != null) {
+            handler.onInvalid(error);
+            return;
         }
-        String opaque = null;
-        String list = "";
-        boolean echoKey = false;
-        boolean value = false;
-        for (int end; at < line.length(); at = end + 1) {
-            end = line.indexOf(' ', at);
-            end = end < 0 ? line.length() : end;
-            if (end == at) {
-                continue;
-            }
-            char flag = line.charAt(at);
-            if ((write ? WRITE_FLAGS : READ_FLAGS).indexOf(flag) < 0 || (end - at > 1 && flag != 'O' && flag != 'P')) {
-                return fault(
-                        "CLIENT_ERROR flag " + flag + " is not offered; "
-                                + (write ? "ms takes O, k and P" : "mg takes v, O, k and P"),
-                        write,
-                        length);
+        String attributes = withDefaults(flags.attributes, readDefaults);
+        handler.onRead(ClientRequest.of(key, idGenerator.get(), false, 0, attributes), flags.echo(key));
+    }
+
+    private void parseWrite(String line, MetaCommandHandler handler) throws MetaCodec.SyntaxException {
+        String key = MetaCodec.tokenAt(line, COMMAND_LENGTH);
+        int lengthIndex = COMMAND_LENGTH + key.length() + 1;
+        String length = MetaCodec.tokenAt(line, lengthIndex);
+        int valueBytes = MetaCodec.parseLength(length);
+        Flags flags = new Flags();
+        String error = validate(line, key, lengthIndex + length.length() + 1, WRITE_FLAGS, flags);
+        if (error == null) {
+            error = flags.opaqueError();
+        }
+        if (error != null) {
+            handler.onStandardWrite(null, valueBytes, "", error);
+            return;
+        }
+        String attributes = withDefaults(flags.attributes, writeDefaults);
+        handler.onStandardWrite(writeRequest(key, valueBytes, attributes), valueBytes, flags.echo(key), null);
+    }
+
+    private ClientRequest writeRequest(String key, int valueBytes, String attributes) {
+        String id = idGenerator.get();
+        boolean needsKey = keyedClasses.contains(MetaCodec.attribute(attributes, "c"))
+                && MetaCodec.attributeValueIndex(attributes, "k") < 0;
+        return ClientRequest.of(key, id, true, valueBytes, needsKey ? attributes + ",k=" + id : attributes);
+    }
+
+    /** Checks the key and characters and reads the flags; returns the error line, or null if there is no error. */
+    private static String validate(String line, String key, int flagsIndex, String supportedFlags, Flags flags) {
+        if (!isValidKey(key) || !MetaCodec.isPrintable(line)) {
+            return "CLIENT_ERROR a key has 1 to 250 printing ASCII characters, and so has the line";
+        }
+        return flags.read(line, flagsIndex, supportedFlags);
+    }
+
+    /** The flags of one command line. */
+    private static final class Flags {
+        private String opaque;
+        private String attributes = "";
+        private boolean echoKey;
+        private boolean valueWanted;
+
+        /** Reads the flags from this index on; returns the error line for the first unsupported one, else null. */
+        String read(String line, int from, String supported) {
+            int end;
+            for (int start = from; start < line.length(); start = end + 1) {
+                int space = line.indexOf(' ', start);
+                end = space < 0 ? line.length() : space;
+                if (end == start) {
+                    continue;
+                }
+                char flag = line.charAt(start);
+                boolean takesArgument = flag == 'O' || flag == 'P';
+                if (supported.indexOf(flag) < 0 || (end - start > 1 && !takesArgument)) {
+                    return "CLIENT_ERROR flag " + flag + " is not offered; "
+                            + (supported.equals(WRITE_FLAGS) ? "ms takes O, k and P" : "mg takes v, O, k and P");
+                }
+                set(flag, line, start + 1, end);
             }
+            return null;
+        }
+
+        private void set(char flag, String line, int argumentStart, int argumentEnd) {
             switch (flag) {
-                case 'O' -> opaque = line.substring(at + 1, end);
-                case 'P' -> list = line.substring(at + 1, end);
+                case 'O' -> opaque = line.substring(argumentStart, argumentEnd);
+                case 'P' -> attributes = line.substring(argumentStart, argumentEnd);
                 case 'k' -> echoKey = true;
-                default -> value = true;
+                default -> valueWanted = true;
             }
         }
-        if (!write && !value) {
-            return fault("CLIENT_ERROR mg needs the flag v", false, 0);
-        }
-        if (opaque != null && opaque.length() > 32) {
-            return fault("CLIENT_ERROR an opaque has 32 characters at most", write, length);
+
+        /** The error line for an opaque that is too long, else null. */
+        String opaqueError() {
+            return opaque != null && opaque.length() > MAX_OPAQUE_LENGTH
+                    ? "CLIENT_ERROR an opaque has 32 characters at most"
+                    : null;
         }
-        String extras = extras(list, write ? writeDefaults : readDefaults);
-        String echo = (opaque != null ? " O" + opaque : "") + (echoKey ? " k" + key : "");
-        return new Parsed(command(key, write, length, extras), null, write, length, echo);
-    }
 
-    /** The deadline is not left in the list: it is told to each node anew. */
-    private ClientRequest command(String key, boolean write, int length, String list) {
-        String extras = list;
-        String id = idGenerator.get();
-        if (write
-                && keyedClasses.contains(MetaCodec.attribute(extras, "c"))
-                && MetaCodec.attributeValueIndex(extras, "k") < 0) {
-            extras += ",k=" + id;
+        String echo(String key) {
+            return (opaque != null ? " O" + opaque : "") + (echoKey ? " k" + key : "");
         }
-        return ClientRequest.of(key, id, write, length, extras);
     }
 
-    private static String extras(String own, String defaults) {
-        if (own.isEmpty()) {
+    private static String withDefaults(String attributes, String defaults) {
+        if (attributes.isEmpty()) {
             return defaults;
         }
-        StringBuilder list = new StringBuilder(own);
+        StringBuilder merged = new StringBuilder(attributes);
         for (String pair : defaults.split(",", 0)) {
-            if (!pair.isEmpty() && MetaCodec.attributeValueIndex(own, pair.substring(0, pair.indexOf('='))) < 0) {
-                list.append(list.isEmpty() ? "" : ",").append(pair);
+            if (!pair.isEmpty()
+                    && MetaCodec.attributeValueIndex(attributes, pair.substring(0, pair.indexOf('='))) < 0) {
+                merged.append(merged.isEmpty() ? "" : ",").append(pair);
             }
         }
-        return list.toString();
+        return merged.toString();
+    }
+
+    private static String printableOr(String text, String replacement) {
+        return text.chars().allMatch(character -> character > ' ' && character <= '~') ? text : replacement;
+    }
+
+    @Override
+    String writeEcho(ClientRequest request, String standardEcho) {
+        return standardEcho;
     }
 
-    private static String printable(String word) {
-        return word.chars().allMatch(c -> c > ' ' && c <= '~') ? word : "that";
+    /** Stock clients know no receipts. */
+    @Override
+    String storedLine(String echo, String receipt) {
+        return "HD" + echo + "\r\n";
     }
 
-    private static Parsed fault(String line, boolean write, int length) {
-        return new Parsed(null, line, write, length, "");
+    /** In the standard, a miss repeats no flags. */
+    @Override
+    String missLine(String echo) {
+        return "EN\r\n";
     }
 }
--- a/src/main/java/cacheproxy/proxy/client/package-info.java
+++ b/src/main/java/cacheproxy/proxy/client/package-info.java
@@ -1,6 +1,20 @@
 /**
- * The client side: listeners, client connections and the protocols spoken there. A connection owns the order of its
- * responses and its back-pressure; it hands requests to a {@link cacheproxy.proxy.request.RequestHandler} and knows no
- * servers.
+ * The client side: listeners, client connections and the protocols spoken there.
+ *
+ * <ul>
+ *   <li>{@link cacheproxy.proxy.client.Listener} accepts connections at one address and closes them when it drains.
+ *   <li>{@link cacheproxy.proxy.client.ClientRegistry} bounds the connections of all listeners of an event loop.
+ *   <li>{@link cacheproxy.proxy.client.ClientConnection} submits a connection's requests and writes the responses in
+ *       their order. Its parts own one state each: {@link cacheproxy.proxy.client.RequestDecoder} the command that is
+ *       being read, {@link cacheproxy.proxy.client.ResponseQueue} the open responses,
+ *       {@link cacheproxy.proxy.client.ReadControl} the pauses in reading,
+ *       {@link cacheproxy.proxy.client.ConnectionCloser} the steps of closing, and
+ *       {@link cacheproxy.proxy.client.ConnectionActivity} the times that timeouts count from.
+ *   <li>{@link cacheproxy.proxy.client.MetaProtocol} is the grammar: the platform's, or that of stock clients after
+ *       memcached's protocol.txt.
+ * </ul>
+ *
+ * <p>Everything runs on the event loop unless a method says otherwise. Requests go to a
+ * {@link cacheproxy.proxy.request.RequestHandler}; servers are not known here.
  */
 package cacheproxy.proxy.client;
--- a/src/main/java/cacheproxy/proxy/process/OperatorActions.java
+++ b/src/main/java/cacheproxy/proxy/process/OperatorActions.java
@@ -134,7 +134,7 @@
     }
 
     private void look() {
-        listener.acceptsClients(lifecycle.acceptsClients());
+        listener.setAcceptsClients(lifecycle.acceptsClients());
         listener.closeIdle(lifecycle.closingFraction(core.now()));
         if (lifecycle.state() != LifecycleState.STANDBY && looking != null) {
             looking.cancel(false);
--- a/src/main/java/cacheproxy/proxy/process/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/process/Proxy.java
@@ -8,6 +8,7 @@
 import cacheproxy.policy.ServiceClass;
 import cacheproxy.proxy.client.ClientRegistry;
 import cacheproxy.proxy.client.Listener;
+import cacheproxy.proxy.client.MetaProtocol;
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.proxy.discovery.PeerSocket;
 import cacheproxy.proxy.dispatch.Dispatcher;
@@ -84,7 +85,7 @@
                     loop.scheduleWithFixedDelay(clientCount::closeStalled, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
                 })
                 .syncUninterruptibly();
-        listener = new Listener(core, clientCount, new SinglePoolHandler(core, dispatcher), null);
+        listener = new Listener(core, clientCount, new SinglePoolHandler(core, dispatcher), MetaProtocol.platform());
         if (config.control() == null) {
             listener.bind(config.listen()).sync();
             operations = null;
@@ -289,7 +290,7 @@
 
     private boolean drained() {
         double now = core.now();
-        listener.acceptsClients(lifecycle.acceptsClients());
+        listener.setAcceptsClients(lifecycle.acceptsClients());
         if (!lifecycle.acceptsConnections(now)) {
             listener.stopListening();
         }
--- a/src/main/java/cacheproxy/proxy/process/WarmUp.java
+++ b/src/main/java/cacheproxy/proxy/process/WarmUp.java
@@ -4,9 +4,9 @@
 import cacheproxy.policy.Endpoint;
 import cacheproxy.policy.EndpointListKind;
 import cacheproxy.policy.EndpointState;
-import cacheproxy.proxy.client.ClientConnection;
 import cacheproxy.proxy.client.ClientRegistry;
 import cacheproxy.proxy.client.Listener;
+import cacheproxy.proxy.client.MetaProtocol;
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.proxy.dispatch.Dispatcher;
 import cacheproxy.proxy.dispatch.SinglePoolHandler;
@@ -83,13 +83,13 @@
     private void run(UnaryOperator<SocketAddress> dial) throws InterruptedException, IOException {
         EventLoopContext core = EventLoopContext.of(loop, new PollClock(), config, Transport.BEST.localSocket());
         Dispatcher dispatcher = new Dispatcher(core, Dispatcher.Pool.of(config));
-        Listener front =
-                new Listener(core, new ClientRegistry(core, 16), new SinglePoolHandler(core, dispatcher), null);
+        Listener front = new Listener(
+                core, new ClientRegistry(core, 16), new SinglePoolHandler(core, dispatcher), MetaProtocol.platform());
         loop.submit(() -> dispatcher.start(Dispatcher.ListSource.NONE, null)).sync();
         try {
             SocketAddress node = listen("n", Node::new);
             SocketAddress origin = listen("o", Origin::new);
-            SocketAddress proxy = listen("p", () -> new ClientConnection(core, front, 0));
+            SocketAddress proxy = listen("p", front::newUncountedConnection);
             int originKind = config.settings().originKind();
             List<DiscoveryClient.Host> hosts =
                     List.of(host(1, originKind == 0 ? 1 : 0, node), host(2, Math.max(0, originKind), origin));
--- a/src/test/java/cacheproxy/ArchitectureTest.java
+++ b/src/test/java/cacheproxy/ArchitectureTest.java
@@ -276,11 +276,7 @@
     void frontsKnowNoConnectionsToServers() {
         noClasses()
                 .that()
-                .haveSimpleNameStartingWith("ClientConnection")
-                .or()
-                .haveSimpleNameStartingWith("StandardMetaProtocol")
-                .or()
-                .haveSimpleNameStartingWith("Listener")
+                .resideInAPackage("cacheproxy.proxy.client..")
                 .should()
                 .dependOnClassesThat()
                 .haveSimpleNameStartingWith("Upstream")
