--- a/src/main/java/cacheproxy/daemon/ConfigSnapshot.java
+++ b/src/main/java/cacheproxy/daemon/ConfigSnapshot.java
@@ -92,7 +92,7 @@
 
     /** Whether every pool has its endpoint list. */
     boolean allPoolsListed() {
-        return pools.values().stream().allMatch(pool -> pool.dispatcher.listed());
+        return pools.values().stream().allMatch(pool -> pool.dispatcher.hasServers());
     }
 
     /** Returns whether requests of this configuration may use a pool. */
--- a/src/main/java/cacheproxy/daemon/Daemon.java
+++ b/src/main/java/cacheproxy/daemon/Daemon.java
@@ -8,7 +8,7 @@
 import cacheproxy.policy.ServiceClass;
 import cacheproxy.proxy.client.ClientRegistry;
 import cacheproxy.proxy.client.Listener;
-import cacheproxy.proxy.dispatch.Dispatcher;
+import cacheproxy.proxy.dispatch.LearnedStateProvider;
 import cacheproxy.proxy.net.PollClock;
 import cacheproxy.proxy.net.Transport;
 import cacheproxy.proxy.process.GracefulShutdown;
@@ -226,7 +226,7 @@
         }
         long seed = random.nextLong();
         LearnedStateSource restored = subsystems.get(LearnedStateSource.class);
-        Dispatcher.Recollections learned = null;
+        LearnedStateProvider learned = null;
         if (current != null) {
             learned = LearnedStates.handOver(file, pool, current, nowMs);
         } else if (restored != null) {
--- a/src/main/java/cacheproxy/daemon/IcpResponder.java
+++ b/src/main/java/cacheproxy/daemon/IcpResponder.java
@@ -80,7 +80,7 @@
     }
 
     private Opcode lookUpInPool(PoolRuntime pool, String poolKey) {
-        if (pool.dispatcher.pressed()) {
+        if (pool.dispatcher.isOverloaded()) {
             return Opcode.MISS_NOFETCH;
         }
         long number = RequestValidator.keyNumber(poolKey);
@@ -88,6 +88,6 @@
             return Opcode.MISS;
         }
         int server = digest.server(number);
-        return pool.hasServer(server) && pool.dispatcher.sound(server) ? Opcode.HIT : Opcode.MISS;
+        return pool.hasServer(server) && pool.dispatcher.isHealthy(server) ? Opcode.HIT : Opcode.MISS;
     }
 }
--- a/src/main/java/cacheproxy/daemon/LearnedStates.java
+++ b/src/main/java/cacheproxy/daemon/LearnedStates.java
@@ -4,7 +4,7 @@
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.PoolConfig;
 import cacheproxy.proxy.discovery.DiscoveryClient;
-import cacheproxy.proxy.dispatch.Dispatcher;
+import cacheproxy.proxy.dispatch.LearnedStateProvider;
 import cacheproxy.snapshot.state.CurrentServer;
 import cacheproxy.snapshot.state.StateSnapshot;
 import java.util.ArrayList;
@@ -17,7 +17,7 @@
     private LearnedStates() {}
 
     /** The state that a pool hands to the one that replaces it. */
-    static Dispatcher.Recollections handOver(DaemonConfig file, PoolConfig pool, PoolRuntime from, double nowMs) {
+    static LearnedStateProvider handOver(DaemonConfig file, PoolConfig pool, PoolRuntime from, double nowMs) {
         StateSnapshot snapshot = new StateSnapshot(
                 file.site().name(),
                 file.site().proxyIndex(),
@@ -33,7 +33,7 @@
      *
      * @param trust weight of the restored figures, 0 to 1
      */
-    public static Dispatcher.Recollections recollections(
+    public static LearnedStateProvider recollections(
             StateSnapshot snapshot, double trust, DaemonConfig file, PoolConfig pool) {
         String keyScheme = PoolSettings.keyScheme(file, pool);
         return (nowMs, servers) -> {
--- a/src/main/java/cacheproxy/daemon/PoolFleetLink.java
+++ b/src/main/java/cacheproxy/daemon/PoolFleetLink.java
@@ -3,13 +3,14 @@
 import cacheproxy.policy.AttemptOutcome;
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.proxy.dispatch.Dispatcher;
+import cacheproxy.proxy.dispatch.HealthCheckDelegate;
 import java.util.function.Supplier;
 
 /**
  * A pool's questions to the fleet. Where this proxy belongs to none, the pool makes health checks and watches discovery
  * by itself. The fleet's subsystem may be replaced at any time, so it is looked up on each call.
  */
-final class PoolFleetLink implements Dispatcher.Probes, DiscoveryClient.Pace {
+final class PoolFleetLink implements HealthCheckDelegate, DiscoveryClient.Pace {
     private final String pool;
     private final Supplier<Dispatcher> dispatcher;
     private final Subsystems subsystems;
@@ -38,7 +39,7 @@
     }
 
     @Override
-    public void ended(int server, AttemptOutcome outcome) {
+    public void attemptEnded(int server, AttemptOutcome outcome) {
         FleetCoordination fleet = fleet();
         if (fleet != null) {
             fleet.attemptEnded(dispatcher.get(), server, outcome);
--- a/src/main/java/cacheproxy/daemon/PoolRuntime.java
+++ b/src/main/java/cacheproxy/daemon/PoolRuntime.java
@@ -18,6 +18,8 @@
 import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.proxy.discovery.EndpointListSource;
 import cacheproxy.proxy.dispatch.Dispatcher;
+import cacheproxy.proxy.dispatch.LearnedStateProvider;
+import cacheproxy.proxy.dispatch.PoolOptions;
 import cacheproxy.proxy.upstream.ConnectionLimits;
 import cacheproxy.proxy.upstream.EventLoopContext;
 import cacheproxy.routes.KeyHash;
@@ -63,11 +65,7 @@
      * @param recollections the state of an earlier pool or process; null if there is none
      */
     PoolRuntime(
-            PoolContext context,
-            DaemonConfig file,
-            PoolConfig config,
-            long seed,
-            Dispatcher.Recollections recollections) {
+            PoolContext context, DaemonConfig file, PoolConfig config, long seed, LearnedStateProvider recollections) {
         name = config.name();
         this.file = file;
         this.config = config;
@@ -78,13 +76,13 @@
         admission = new PoolAdmissionControl(context.slowStartBudget(), retryBudget(config), fleet::mayProbe);
         limiter = new PoolLimiter(config.maxPending(), config.maxRequestsPerSecond());
         dispatcher = newDispatcher(context.core(), seed);
-        dispatcher.recall(recollections);
+        dispatcher.restoreFrom(recollections);
         SiblingSocket siblings = context.subsystems().get(SiblingSocket.class);
         if (siblings != null) {
             PoolSiblings poolSiblings = siblings.of(config);
-            dispatcher.siblings(poolSiblings, poolSiblings);
+            dispatcher.useSiblings(poolSiblings, poolSiblings);
         }
-        dispatcher.probes(fleet);
+        dispatcher.delegateHealthChecks(fleet);
         discovery = config.discovery() == null ? null : newDiscoveryClient(context.core());
         if (discovery == null) {
             dispatcher.start(EndpointListSource.NONE);
@@ -98,7 +96,7 @@
     private Dispatcher newDispatcher(EventLoopContext core, long seed) {
         return new Dispatcher(
                 core,
-                new Dispatcher.Pool(
+                new PoolOptions(
                         settings,
                         seed,
                         new ConnectionLimits(
@@ -207,7 +205,7 @@
 
     /** Admits a request and returns 0, or returns the milliseconds after which to retry. */
     double admit(double nowMs) {
-        return limiter.admit(nowMs, dispatcher.inHand());
+        return limiter.admit(nowMs, dispatcher.pendingRequests());
     }
 
     /** The hash by which this pool's placement knows a request. */
@@ -222,10 +220,10 @@
 
     /** The state that its policy has learned, with at most so many hot keys. */
     public PoolState learned(int maxKeys) {
-        LearnedState state = dispatcher.knowledge(maxKeys);
+        LearnedState state = dispatcher.learnedState(maxKeys);
         Map<Integer, String> addresses = new HashMap<>();
         for (LearnedServer server : state.servers()) {
-            SocketAddress address = dispatcher.dial(server.id());
+            SocketAddress address = dispatcher.address(server.id());
             if (address != null) {
                 addresses.put(server.id(), Addresses.text(address));
             }
--- a/src/main/java/cacheproxy/daemon/PoolSiblings.java
+++ b/src/main/java/cacheproxy/daemon/PoolSiblings.java
@@ -3,7 +3,7 @@
 import cacheproxy.config.SiblingConfig;
 import cacheproxy.policy.AttemptOutcome;
 import cacheproxy.policy.Endpoint;
-import cacheproxy.proxy.dispatch.Dispatcher;
+import cacheproxy.proxy.dispatch.SiblingQueries;
 import cacheproxy.siblings.SiblingQueryPolicy;
 import cacheproxy.siblings.SiblingStats;
 import cacheproxy.siblings.Siblings;
@@ -18,7 +18,7 @@
  * The siblings of one pool: answers the policy's questions about them and passes its queries on to the socket. On the
  * event loop only.
  */
-final class PoolSiblings implements Siblings, Dispatcher.Questions {
+final class PoolSiblings implements Siblings, SiblingQueries {
     private final SiblingSocket socket;
     private final List<SiblingConfig> siblings;
     private final List<SiblingStats> stats = new ArrayList<>();
@@ -63,27 +63,27 @@
 
     /** Called through the policy, right after {@link #waitMs} has made the plan. */
     @Override
-    public void ask(String key, double waitMs, IntConsumer answer) {
+    public void query(String key, double waitMs, IntConsumer response) {
         List<SiblingConfig> queried = new ArrayList<>();
         plan.siblings().forEach(index -> queried.add(siblings.get(index)));
-        socket.query(key, queried, waitMs, answer);
+        socket.query(key, queried, waitMs, response);
     }
 
     @Override
-    public String classAt(int server) {
+    public String siblingClass(int server) {
         Integer index = siblings.isEmpty() ? null : indexById.get(server);
         return index == null ? null : siblings.get(index).className();
     }
 
     @Override
-    public void read(String key, int server, boolean has) {
+    public void readCompleted(String key, int server, boolean found) {
         if (!indexById.containsKey(server)) {
-            socket.read(key, server, has);
+            socket.read(key, server, found);
         }
     }
 
     @Override
-    public void written(String key) {
+    public void writeCompleted(String key) {
         socket.written(key);
     }
 }
--- a/src/main/java/cacheproxy/daemon/RetiredConfigs.java
+++ b/src/main/java/cacheproxy/daemon/RetiredConfigs.java
@@ -56,7 +56,7 @@
 
     private boolean endIfUnused(RetiredPool retired, Set<Integer> ready, double nowMs) {
         boolean reachable = configs.stream().anyMatch(config -> config.uses(retired.pool));
-        if (retired.pool.dispatcher.inHand() == 0 && !reachable) {
+        if (retired.pool.dispatcher.pendingRequests() == 0 && !reachable) {
             retired.pool.dispatcher.stop();
             return true;
         }
--- a/src/main/java/cacheproxy/daemon/RoutedRequest.java
+++ b/src/main/java/cacheproxy/daemon/RoutedRequest.java
@@ -87,9 +87,9 @@
                 break;
             }
             if (admit(pool, nowMs)) {
-                current = RequestContext.of(
-                        pool.dispatcher, request, pool.keyHash(input, route, request.key()), this, dueMs);
-                pool.dispatcher.take(current);
+                current = pool.dispatcher.newRoutedRequest(
+                        request, pool.keyHash(input, route, request.key()), this, dueMs);
+                pool.dispatcher.dispatch(current);
                 return;
             }
         }
--- a/src/main/java/cacheproxy/daemon/fleet/FleetHealthChecks.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetHealthChecks.java
@@ -84,7 +84,7 @@
         if (checksByRequests) {
             return; // the pools ask again with their next request
         }
-        unfinished.forEach((server, pools) -> pools.forEach(pool -> pool.probe(server, null)));
+        unfinished.forEach((server, pools) -> pools.forEach(pool -> pool.probe(server)));
     }
 
     /** Takes over a check that a pool has ordered; false if the pool has to make it. */
@@ -203,7 +203,7 @@
         }
 
         private static Optional<Dispatcher> firstPoolWith(int server, Stream<Dispatcher> pools) {
-            return pools.filter(pool -> pool.dial(server) != null).findFirst();
+            return pools.filter(pool -> pool.address(server) != null).findFirst();
         }
 
         @Override
@@ -211,7 +211,7 @@
             Set<Dispatcher> pools = waitingPools.remove(server);
             if (pools != null) {
                 // A pool's policy may be asking just now.
-                context.execute(() -> pools.forEach(pool -> pool.probed(server, healthy)));
+                context.execute(() -> pools.forEach(pool -> pool.healthCheckCompleted(server, healthy)));
             }
         }
     }
--- a/src/main/java/cacheproxy/daemon/fleet/PeerListMonitor.java
+++ b/src/main/java/cacheproxy/daemon/fleet/PeerListMonitor.java
@@ -96,8 +96,8 @@
     public double tick(double nowMs) {
         if (nowMs >= dueMs) {
             dueMs = nowMs + REPORT_INTERVAL_MS;
-            boolean reachesServers =
-                    !context.isConfigured() || context.pools().stream().anyMatch(pool -> pool.dispatcher.reachesAny());
+            boolean reachesServers = !context.isConfigured()
+                    || context.pools().stream().anyMatch(pool -> pool.dispatcher.hasHealthyCacheServer());
             if (reachesServers) {
                 reachability.recordLocalReach(nowMs);
             }
--- a/src/main/java/cacheproxy/daemon/snapshot/RestoredState.java
+++ b/src/main/java/cacheproxy/daemon/snapshot/RestoredState.java
@@ -5,7 +5,7 @@
 import cacheproxy.daemon.LearnedStateSource;
 import cacheproxy.daemon.LearnedStates;
 import cacheproxy.limits.ServerStartTimes;
-import cacheproxy.proxy.dispatch.Dispatcher;
+import cacheproxy.proxy.dispatch.LearnedStateProvider;
 import cacheproxy.proxy.upstream.EventLoopContext;
 import cacheproxy.snapshot.SnapshotStore;
 import cacheproxy.snapshot.StoredSnapshot;
@@ -82,7 +82,7 @@
     }
 
     @Override
-    public Dispatcher.Recollections recollections(DaemonConfig file, PoolConfig pool) {
+    public LearnedStateProvider recollections(DaemonConfig file, PoolConfig pool) {
         return snapshot == null ? null : LearnedStates.recollections(snapshot, trust, file, pool);
     }
 
--- a/src/main/java/cacheproxy/daemon/snapshot/SnapshotSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/snapshot/SnapshotSubsystem.java
@@ -7,7 +7,7 @@
 import cacheproxy.daemon.Subsystem;
 import cacheproxy.daemon.SubsystemContext;
 import cacheproxy.limits.ServerStartTimes;
-import cacheproxy.proxy.dispatch.Dispatcher;
+import cacheproxy.proxy.dispatch.LearnedStateProvider;
 import cacheproxy.proxy.upstream.EventLoopContext;
 import cacheproxy.snapshot.SnapshotStore;
 import java.nio.file.Path;
@@ -96,7 +96,7 @@
     }
 
     @Override
-    public Dispatcher.Recollections recollections(DaemonConfig file, PoolConfig pool) {
+    public LearnedStateProvider recollections(DaemonConfig file, PoolConfig pool) {
         return restored.recollections(file, pool);
     }
 
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/dispatch/AttemptResults.java
@@ -0,0 +1,134 @@
+package cacheproxy.proxy.dispatch;
+
+import cacheproxy.policy.AttemptOutcome;
+import cacheproxy.policy.AttemptResult;
+import cacheproxy.proxy.request.ClientRequest;
+import cacheproxy.proxy.request.Responder;
+import io.netty.buffer.ByteBuf;
+
+/**
+ * Takes what servers respond to the attempts of a pool's requests: passes the first value or receipt of a request on to
+ * its client, and reports each attempt's end to the policy, once. On the event loop only.
+ */
+final class AttemptResults {
+    private final PoolServices pool;
+    private final RequestLifecycle requests;
+
+    AttemptResults(PoolServices pool, RequestLifecycle requests) {
+        this.pool = pool;
+        this.requests = requests;
+    }
+
+    /**
+     * A long value begins. The other attempts of its request are cancelled.
+     *
+     * @return false if the client has had something or has disconnected
+     */
+    boolean valueBegun(RequestAttempt attempt, int length) {
+        RequestContext context = attempt.context();
+        if (attempt.hasEnded() || !context.isPending()) {
+            return false;
+        }
+        context.beginStreaming();
+        attempt.beginStreaming(pool.core().now());
+        context.responder().begin(length, attempt.connection());
+        pool.policy().firstByteReceived(attempt);
+        for (RequestAttempt other : context.attempts()) {
+            if (other != attempt) {
+                other.cancel(pool.policy());
+            }
+        }
+        return true;
+    }
+
+    /** Some bytes of the long value that has begun; dropped if nobody waits for them any more. */
+    void valuePart(RequestAttempt attempt, ByteBuf part) {
+        if (attempt.hasEnded() || attempt.context().isConcluded()) {
+            part.release();
+        } else {
+            attempt.context().responder().part(part);
+        }
+    }
+
+    /** An attempt has ended; the parameters are those of {@link RequestAttempt#onEnd}. A second end is ignored. */
+    void ended(
+            RequestAttempt attempt, AttemptOutcome outcome, int note, float[] report, ByteBuf value, String receipt) {
+        if (attempt.hasEnded()) {
+            release(value);
+            return;
+        }
+        attempt.end(outcome);
+        double elapsedMs = attempt.elapsedMs(pool.core().now());
+        RequestContext context = attempt.context();
+        context.attemptEnded(outcome);
+        pool.log().attemptEnded(attempt, outcome, elapsedMs);
+        respond(attempt, outcome, value, receipt);
+        reportToSiblings(attempt, outcome);
+        pool.extensions().healthChecks().attemptEnded(attempt.server(), outcome);
+        AttemptResult result = new AttemptResult(
+                context.id(),
+                attempt.index(),
+                attempt.server(),
+                outcome,
+                elapsedMs,
+                context.isConcluded(),
+                note,
+                report);
+        pool.policy().attemptEnded(context, result);
+        requests.releaseIfDone(context);
+    }
+
+    /** Concludes the request if this end does. Takes over the value. */
+    private void respond(RequestAttempt attempt, AttemptOutcome outcome, ByteBuf value, String receipt) {
+        if (attempt.isStreaming()) {
+            endStream(attempt.context(), outcome);
+        } else if (outcome == AttemptOutcome.OK && attempt.context().isPending()) {
+            serve(attempt.context(), value, receipt);
+        } else {
+            release(value);
+        }
+    }
+
+    private void endStream(RequestContext context, AttemptOutcome outcome) {
+        boolean complete = outcome == AttemptOutcome.OK;
+        requests.conclude(context);
+        pool.log().requestConcluded(context, complete ? ResponseKind.STREAMED : ResponseKind.CUT_OFF);
+        Responder responder = context.responder();
+        if (complete) {
+            responder.end();
+        } else {
+            responder.breakOff();
+        }
+    }
+
+    private void serve(RequestContext context, ByteBuf value, String receipt) {
+        requests.conclude(context);
+        pool.log().requestConcluded(context, ResponseKind.SERVED);
+        Responder responder = context.responder();
+        if (value != null) {
+            responder.value(value);
+        } else {
+            responder.receipt(receipt);
+        }
+    }
+
+    private void reportToSiblings(RequestAttempt attempt, AttemptOutcome outcome) {
+        SiblingQueries siblings = pool.extensions().siblings();
+        if (siblings == SiblingQueries.NONE) {
+            return;
+        }
+        ClientRequest request = attempt.context().request();
+        boolean responded = outcome == AttemptOutcome.OK || outcome == AttemptOutcome.MISS;
+        if (request.write()) {
+            siblings.writeCompleted(request.key());
+        } else if (responded && pool.servers().isCacheServer(attempt.server())) {
+            siblings.readCompleted(request.key(), attempt.server(), outcome == AttemptOutcome.OK);
+        }
+    }
+
+    private static void release(ByteBuf value) {
+        if (value != null) {
+            value.release();
+        }
+    }
+}
--- a/src/main/java/cacheproxy/proxy/dispatch/HealthProbe.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/HealthProbe.java
@@ -1,35 +1,37 @@
 package cacheproxy.proxy.dispatch;
 
 import cacheproxy.policy.AttemptOutcome;
-import cacheproxy.proxy.net.TimerWheel.Timer;
-import cacheproxy.proxy.upstream.Attempt;
 import cacheproxy.proxy.upstream.PoolProtocol;
 import io.netty.buffer.ByteBuf;
-import java.util.function.Consumer;
 
 /** A health probe: asks a server for a sign of life, and for its load figures where the pool wants them. */
-final class HealthProbe extends Attempt {
-    private final Dispatcher dispatcher;
-    /** Gets the outcome; null: the pool's policy gets it. */
-    final Consumer<AttemptOutcome> asked;
+final class HealthProbe extends PoolAttempt {
+    /** Gets the end of a probe. */
+    @FunctionalInterface
+    interface Listener {
+        /** The probe has ended; {@code report} has the server's load figures and is null if there are none. */
+        void ended(AttemptOutcome outcome, double elapsedMs, float[] report);
+    }
 
-    Timer timer;
+    private final HealthProber owner;
+    private final Listener listener;
 
-    HealthProbe(
-            Dispatcher dispatcher, int server, double startedMs, double timeoutAtMs, Consumer<AttemptOutcome> asked) {
+    /** Creates a probe that is on no connection yet. */
+    HealthProbe(HealthProber owner, int server, double startedMs, double timeoutAtMs, Listener listener) {
         super(null, 0, server, startedMs, timeoutAtMs);
-        this.dispatcher = dispatcher;
-        this.asked = asked;
+        this.owner = owner;
+        this.listener = listener;
     }
 
     @Override
     public PoolProtocol protocol() {
-        return dispatcher.protocol();
+        return owner.protocol();
     }
 
+    /** Null: a probe names no class. */
     @Override
     public String siblingClass() {
-        return dispatcher.classAt(server());
+        return null;
     }
 
     @Override
@@ -39,7 +41,7 @@
 
     @Override
     public boolean hedgingAllowed() {
-        return dispatcher.secondCopies();
+        return owner.hedgingAllowed();
     }
 
     @Override
@@ -60,13 +62,17 @@
         throw new IllegalStateException("a health probe of server " + server() + " was given a part of a long value");
     }
 
+    /** Reports its first end and ignores any later one. */
     @Override
     public void onEnd(AttemptOutcome outcome, int note, float[] report, ByteBuf value, String receipt) {
-        dispatcher.endProbe(this, outcome, report, value);
-    }
-
-    /** Sets {@link #hasEnded}. */
-    void end() {
+        if (value != null) {
+            value.release();
+        }
+        if (hasEnded()) {
+            return;
+        }
         markEnded();
+        cancelTimeout();
+        listener.ended(outcome, owner.nowMs() - startedMs(), report);
     }
 }
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/dispatch/PoolAttempt.java
@@ -0,0 +1,48 @@
+package cacheproxy.proxy.dispatch;
+
+import cacheproxy.policy.AttemptOutcome;
+import cacheproxy.proxy.net.TimerWheel.Timer;
+import cacheproxy.proxy.request.ClientRequest;
+import cacheproxy.proxy.upstream.Attempt;
+import cacheproxy.proxy.upstream.EventLoopContext;
+
+/** An attempt or a probe of a pool, which ends as timed out if its server is silent. */
+abstract class PoolAttempt extends Attempt {
+    /** Null while it has no timeout of its own. */
+    private Timer timeout;
+
+    /** Creates one that is on no connection yet; the parameters are those of {@link Attempt}. */
+    PoolAttempt(ClientRequest request, int index, int server, double startedMs, double timeoutAtMs) {
+        super(request, index, server, startedMs, timeoutAtMs);
+    }
+
+    /** Ends it, unless it has ended, with an outcome that says how far it had come. */
+    final void expire() {
+        if (hasEnded()) {
+            return;
+        }
+        if (connection() == null) {
+            onEnd(AttemptOutcome.NOT_SENT);
+            return;
+        }
+        boolean neverBegun = connection().giveUp(this);
+        onEnd(neverBegun ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.TIMEOUT);
+    }
+
+    /** Has it expire after this time. */
+    final void expireAfter(EventLoopContext core, double delayMs) {
+        timeout = core.after(delayMs, this::expire);
+    }
+
+    /** Whether it has a timeout of its own. */
+    final boolean hasTimeout() {
+        return timeout != null;
+    }
+
+    /** Lets it take as long as it needs. */
+    final void cancelTimeout() {
+        if (timeout != null) {
+            timeout.cancel();
+        }
+    }
+}
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/dispatch/PoolServices.java
@@ -0,0 +1,39 @@
+package cacheproxy.proxy.dispatch;
+
+import cacheproxy.policy.PolicySettings;
+import cacheproxy.proxy.upstream.EventLoopContext;
+
+/**
+ * What the parts of a pool share.
+ *
+ * @param core the event loop's clock, timers, servers and limits
+ * @param options the pool's fixed figures
+ * @param policy reports events to the routing policy
+ * @param servers the servers on the endpoint list
+ * @param log writes the event log's lines on requests
+ * @param extensions links to siblings and to the fleet's health checks
+ */
+record PoolServices(
+        EventLoopContext core,
+        PoolOptions options,
+        PolicyEvents policy,
+        PoolServers servers,
+        RequestEventLog log,
+        PoolExtensions extensions) {
+    /** The parts that depend on no others, for a pool of these options. */
+    static PoolServices of(EventLoopContext core, PoolOptions options) {
+        PoolServers servers = new PoolServers(core, options);
+        return new PoolServices(
+                core,
+                options,
+                new PolicyEvents(core),
+                servers,
+                new RequestEventLog(core, options.settings(), servers),
+                new PoolExtensions());
+    }
+
+    /** The settings of the routing policy. */
+    PolicySettings settings() {
+        return options.settings();
+    }
+}
--- a/src/main/java/cacheproxy/proxy/dispatch/RequestAttempt.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/RequestAttempt.java
@@ -3,85 +3,139 @@
 import cacheproxy.invariant.SendFacts;
 import cacheproxy.policy.AttemptOutcome;
 import cacheproxy.policy.Idempotency;
-import cacheproxy.proxy.net.TimerWheel.Timer;
-import cacheproxy.proxy.upstream.Attempt;
 import cacheproxy.proxy.upstream.PoolProtocol;
 import io.netty.buffer.ByteBuf;
 import java.util.List;
 
 /** One attempt to have a server handle a client's request. */
-final class RequestAttempt extends Attempt implements SendFacts {
-    final RequestContext context;
+final class RequestAttempt extends PoolAttempt implements SendFacts {
+    private final RequestAttempts owner;
+    private final RequestContext context;
     /** When it may begin at the latest, as servers drop duplicates of an earlier attempt for so long and no longer. */
-    double beginByMs = Double.POSITIVE_INFINITY;
+    private double beginByMs = Double.POSITIVE_INFINITY;
     /** Whether it has ended with an outcome that leaves open whether the server processed it. */
-    boolean mayHaveRun;
+    private boolean mayHaveRun;
     /** When the first bytes of a long value came, else 0. */
-    double firstByteMs;
-    /** Of its timeout; null if it ends with its request's deadline. */
-    Timer timer;
+    private double firstByteMs;
 
-    RequestAttempt(RequestContext context, int index, int server, double startedMs, double timeoutAtMs) {
-        super(context.command, index, server, startedMs, timeoutAtMs);
+    /** Creates the next attempt of a request. */
+    RequestAttempt(RequestAttempts owner, RequestContext context, int server, double startedMs, double timeoutAtMs) {
+        super(context.request(), context.attempts().size(), server, startedMs, timeoutAtMs);
+        this.owner = owner;
         this.context = context;
     }
 
+    /** Its request. */
+    RequestContext context() {
+        return context;
+    }
+
+    // ---- its course
+
+    /** Lets it begin until this time at the latest, or until the time set before if that is earlier. */
+    void limitBegin(double latestMs) {
+        beginByMs = Math.min(beginByMs, latestMs);
+    }
+
+    /** When it may begin at the latest; infinite if any time is. */
+    double beginByMs() {
+        return beginByMs;
+    }
+
+    /** The first bytes of a long value have come; its timeout no longer counts. */
+    void beginStreaming(double nowMs) {
+        firstByteMs = nowMs;
+        cancelTimeout();
+    }
+
+    /** Whether the first bytes of a long value have come. */
+    boolean isStreaming() {
+        return firstByteMs != 0;
+    }
+
+    /** How long its server has taken to respond, up to the first bytes of a long value. */
+    double elapsedMs(double nowMs) {
+        return (isStreaming() ? firstByteMs : nowMs) - startedMs();
+    }
+
+    /** Records its outcome. */
+    void end(AttemptOutcome outcome) {
+        markEnded();
+        mayHaveRun = outcome.mayHaveRun();
+        cancelTimeout();
+    }
+
+    /** Ends it as not sent if it has not begun; one that has goes on. */
+    void withdraw() {
+        if (!hasEnded() && !hasBegun() && connection() != null) {
+            connection().giveUp(this);
+            onEnd(AttemptOutcome.NOT_SENT);
+        }
+    }
+
+    /** Gives it up unless it has ended or its value has begun. Its end is an event after the current one. */
+    void cancel(PolicyEvents policy) {
+        if (hasEnded() || isStreaming()) {
+            return;
+        }
+        if (connection() != null) {
+            connection().giveUp(this);
+        }
+        policy.run(() -> onEnd(AttemptOutcome.CANCELLED));
+    }
+
+    // ---- what its connection asks and reports
+
     @Override
     public PoolProtocol protocol() {
-        return context.dispatcher.protocol();
+        return owner.protocol();
     }
 
     @Override
     public String siblingClass() {
-        return context.dispatcher.classAt(server());
+        return owner.siblingClass(server());
     }
 
     @Override
     public double deadlineMs() {
-        return Math.min(timeoutAtMs(), context.dueMs);
+        return Math.min(timeoutAtMs(), context.dueMs());
     }
 
     @Override
     public boolean hedgingAllowed() {
-        return context.dispatcher.secondCopies();
+        return owner.hedgingAllowed();
     }
 
     @Override
     public boolean mayBegin() {
-        return context.dispatcher.mayBegin(this);
+        return owner.mayBegin(this);
     }
 
     @Override
     public void onBegin() {
-        context.dispatcher.logStart(this);
+        owner.begun(this);
     }
 
     @Override
     public boolean onValueBegin(int length) {
-        return context.dispatcher.begin(this, length);
+        return owner.results().valueBegun(this, length);
     }
 
     @Override
     public void onValuePart(ByteBuf part) {
-        context.dispatcher.part(this, part);
+        owner.results().valuePart(this, part);
     }
 
     @Override
     public void onEnd(AttemptOutcome outcome, int note, float[] report, ByteBuf value, String receipt) {
-        context.dispatcher.end(this, outcome, note, report, value, receipt);
-    }
-
-    /** Records its outcome. */
-    void end(AttemptOutcome outcome) {
-        markEnded();
-        mayHaveRun = outcome.mayHaveRun();
+        owner.results().ended(this, outcome, note, report, value, receipt);
     }
 
     // ---- facts for the send guard
 
     @Override
     public boolean abandoned() {
-        return context.over;
+        return context.isConcluded();
     }
 
     @Override
@@ -91,12 +145,12 @@
 
     @Override
     public boolean singleEffect() {
-        return context.dispatcher.effect(context) == Idempotency.NON_IDEMPOTENT;
+        return owner.idempotencyOf(context) == Idempotency.NON_IDEMPOTENT;
     }
 
     @Override
     public boolean earlierAttemptMayHaveRun() {
-        List<RequestAttempt> all = context.attempts;
+        List<RequestAttempt> all = context.attempts();
         for (int i = 0; i < all.size(); i++) {
             RequestAttempt other = all.get(i);
             if (other != this && other.hasBegun() && (!other.hasEnded() || other.mayHaveRun)) {
@@ -108,7 +162,7 @@
 
     @Override
     public boolean earlierAttemptInFlight() {
-        List<RequestAttempt> all = context.attempts;
+        List<RequestAttempt> all = context.attempts();
         for (int i = 0; i < all.size(); i++) {
             RequestAttempt other = all.get(i);
             if (other != this && other.hasBegun() && !other.hasEnded()) {
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/dispatch/RequestAttempts.java
@@ -0,0 +1,132 @@
+package cacheproxy.proxy.dispatch;
+
+import cacheproxy.invariant.Invariant;
+import cacheproxy.invariant.SendGuard;
+import cacheproxy.policy.AttemptOutcome;
+import cacheproxy.policy.Idempotency;
+import cacheproxy.policy.ServiceClass;
+import cacheproxy.proxy.upstream.EventLoopContext;
+import cacheproxy.proxy.upstream.PoolProtocol;
+import cacheproxy.proxy.upstream.Upstream;
+
+/** Starts the attempts of a pool's requests, and checks each right before its first byte. On the event loop only. */
+final class RequestAttempts {
+    private final EventLoopContext core;
+    private final PoolServices pool;
+    private final AttemptResults results;
+    private final PoolProtocol protocol;
+    private final SendGuard sendGuard;
+
+    RequestAttempts(PoolServices pool, AttemptResults results, PoolProtocol protocol) {
+        this.pool = pool;
+        this.results = results;
+        this.protocol = protocol;
+        core = pool.core();
+        sendGuard = new SendGuard(pool.settings().drainGraceMs());
+    }
+
+    /**
+     * Sends an attempt of a request to a server. One that cannot be sent ends by an event after the current one.
+     *
+     * @param timeoutMs how long to wait for the server; 0: until the request is due
+     */
+    void send(RequestContext context, int server, double timeoutMs) {
+        double nowMs = core.now();
+        double leftMs = context.dueMs() - nowMs;
+        double waitMs = timeoutMs == 0 ? leftMs : Math.min(timeoutMs, leftMs);
+        RequestAttempt attempt = new RequestAttempt(this, context, server, nowMs, nowMs + waitMs);
+        context.attemptStarted(attempt);
+        Upstream upstream = pool.servers().find(server);
+        if (upstream == null
+                || waitMs <= 0
+                || attempt.index() >= pool.settings().maxAttempts()) {
+            pool.policy().run(() -> attempt.onEnd(AttemptOutcome.NOT_SENT));
+            return;
+        }
+        if (waitMs < leftMs) {
+            attempt.expireAfter(core, waitMs);
+        }
+        limitToDeduplicationWindow(context, attempt);
+        if (!upstream.send(attempt)) {
+            // A want of connections on this side says nothing against a cache server.
+            AttemptOutcome outcome = upstream.origin ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.NOT_SENT;
+            pool.policy().run(() -> attempt.onEnd(outcome));
+        }
+    }
+
+    /**
+     * Servers drop duplicates of a deduplicated request for a limited time. A retry within that time may still wait for
+     * a connection that comes up late; it must not begin once the time is over.
+     */
+    private void limitToDeduplicationWindow(RequestContext context, RequestAttempt attempt) {
+        ServiceClass serviceClass = context.serviceClass(pool.settings());
+        if (serviceClass.idempotency() != Idempotency.DEDUPLICATED) {
+            return;
+        }
+        for (RequestAttempt earlier : context.attempts()) {
+            if (earlier != attempt && earlier.hasBegun()) {
+                attempt.limitBegin(SendGuard.retryUntilMs(earlier.startedMs(), serviceClass.deduplicationWindowMs()));
+            }
+        }
+        if (attempt.beginByMs() < attempt.timeoutAtMs()) {
+            core.after(attempt.beginByMs() - core.now(), attempt::withdraw);
+        }
+    }
+
+    /**
+     * Checks an attempt right before its first byte, on whatever connection and however long it has waited for that.
+     * One that may not begin ends here as not sent.
+     */
+    boolean mayBegin(RequestAttempt attempt) {
+        RequestContext context = attempt.context();
+        Invariant violated = sendGuard.violatedBy(attempt, core.now());
+        if (violated != null) {
+            String server = pool.servers().name(attempt.server());
+            core.invariants.recordStopped(
+                    violated,
+                    context.request().id(),
+                    "attempt " + attempt.index() + " at " + server + " was not begun");
+            attempt.onEnd(AttemptOutcome.NOT_SENT);
+            return false;
+        }
+        double clientDueMs = context.request().clientDueMs;
+        if (context.dueMs() > clientDueMs) {
+            long excessMs = Math.round(context.dueMs() - clientDueMs);
+            core.invariants.recordViolation(
+                    Invariant.DEADLINE_WITHIN_CLIENTS,
+                    context.request().id(),
+                    "its pool waits " + excessMs + " ms longer than its client");
+        }
+        return true;
+    }
+
+    /** An attempt's first byte is about to be written. */
+    void begun(RequestAttempt attempt) {
+        pool.log().attemptStarted(attempt);
+    }
+
+    /** Takes what attempts bring. */
+    AttemptResults results() {
+        return results;
+    }
+
+    /** How the pool's servers speak. */
+    PoolProtocol protocol() {
+        return protocol;
+    }
+
+    /** The request class that a sibling expects; null if the server is no sibling. */
+    String siblingClass(int server) {
+        return pool.extensions().siblings().siblingClass(server);
+    }
+
+    /** Whether two attempts of a request may be in flight at once. */
+    boolean hedgingAllowed() {
+        return pool.settings().hedgingAllowed();
+    }
+
+    /** Whether a request may be processed more than once. */
+    Idempotency idempotencyOf(RequestContext context) {
+        return context.serviceClass(pool.settings()).idempotency();
+    }
+}
--- a/src/main/java/cacheproxy/proxy/dispatch/RequestContext.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/RequestContext.java
@@ -1,6 +1,9 @@
 package cacheproxy.proxy.dispatch;
 
 import cacheproxy.policy.AttemptOutcome;
+import cacheproxy.policy.PolicySettings;
+import cacheproxy.policy.RoutingRequest;
+import cacheproxy.policy.ServiceClass;
 import cacheproxy.proxy.net.TimerWheel.Timer;
 import cacheproxy.proxy.request.ClientRequest;
 import cacheproxy.proxy.request.RequestHandler;
@@ -8,54 +11,204 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A request in a pool's hands, with its attempts. */
+/**
+ * A request in a pool, with its attempts. It is pending until a long value begins for its client or it is concluded; it
+ * stays known to the pool until its last attempt has ended. On the event loop only.
+ */
 public final class RequestContext implements RequestHandler.Handle {
-    final Dispatcher dispatcher;
-    public final ClientRequest command;
-    final Responder responder;
-    /** By which the pool's module knows the request. */
-    final long keyNumber;
-    /** Whether the request's id is open for as long as this is: not where another holds the request, too. */
-    final boolean holdsId;
-
-    int id;
-    public double dueMs;
-    boolean over;
-    boolean streaming;
-    public int out;
-    /** Whether a server has answered that it lacks the key. */
-    boolean missed;
-    /** Whether an attempt that has ended may have run. */
-    boolean mayHaveRun;
-    /** What the attempt that ended last ended with; null: none has. */
-    public AttemptOutcome lastOutcome;
-
-    Timer timer;
-    final List<RequestAttempt> attempts = new ArrayList<>(3);
-
-    RequestContext(Dispatcher dispatcher, ClientRequest command, long keyNumber, Responder responder, boolean holdsId) {
-        this.dispatcher = dispatcher;
-        this.command = command;
-        this.keyNumber = keyNumber;
+    /** Most requests have no more attempts. */
+    private static final int USUAL_ATTEMPTS = 3;
+
+    private enum State {
+        /** The client has had nothing yet. */
+        PENDING,
+        /** The client is being sent a long value. */
+        STREAMING,
+        /** The client has had its response, or has disconnected. */
+        CONCLUDED
+    }
+
+    private final RequestLifecycle lifecycle;
+    private final ClientRequest request;
+    private final long keyHash;
+    private final Responder responder;
+    private final boolean holdsRequestId;
+    private final List<RequestAttempt> attempts = new ArrayList<>(USUAL_ATTEMPTS);
+
+    private int id;
+    private double dueMs;
+    private State state = State.PENDING;
+    private int inFlightAttempts;
+    private boolean missed;
+    private boolean endedAttemptMayHaveRun;
+    private AttemptOutcome lastOutcome;
+    private Timer deadlineTimer;
+
+    /**
+     * Creates a request that is due when its client gives up.
+     *
+     * @param keyHash by which the policy places the key
+     * @param holdsRequestId whether the id that its client gave it is in use until this is concluded; false where
+     *     another object holds the request, too
+     */
+    RequestContext(
+            RequestLifecycle lifecycle,
+            ClientRequest request,
+            long keyHash,
+            Responder responder,
+            boolean holdsRequestId) {
+        this.lifecycle = lifecycle;
+        this.request = request;
+        this.keyHash = keyHash;
         this.responder = responder;
-        this.holdsId = holdsId;
+        this.holdsRequestId = holdsRequestId;
+        dueMs = request.dueMs();
+    }
+
+    /** Sets another deadline than the client's. */
+    void setDueMs(double deadlineMs) {
+        dueMs = deadlineMs;
     }
 
-    /** One that a router hands on; it holds the command until its attempts have ended. */
-    public static RequestContext of(
-            Dispatcher pool, ClientRequest command, long keyNumber, Responder responder, double dueMs) {
-        RequestContext x = new RequestContext(pool, command.retain(), keyNumber, responder, false);
-        x.dueMs = dueMs;
-        return x;
+    /** Sets the number by which the policy knows it. */
+    void setId(int number) {
+        id = number;
     }
 
-    /** Whether any attempt may have run, or may yet. */
+    /** Whether any attempt may have been processed by its server, or may yet be. */
     public boolean mayHaveRun() {
-        return mayHaveRun || out > 0;
+        return endedAttemptMayHaveRun || inFlightAttempts > 0;
     }
 
     @Override
     public void gone() {
-        dispatcher.gone(this);
+        lifecycle.clientGone(this);
+    }
+
+    /** Concludes it as failed unless its client has had something. */
+    void fail() {
+        lifecycle.fail(this);
+    }
+
+    /** What the policy is told of it. */
+    RoutingRequest toRoutingRequest() {
+        return new RoutingRequest(
+                id,
+                request.serviceClass(),
+                request.tenant(),
+                keyHash,
+                dueMs,
+                request.costMs,
+                request.bytes,
+                request.write(),
+                request.repeat());
+    }
+
+    // ---- state
+
+    /** Whether its client has had nothing yet and still waits. */
+    boolean isPending() {
+        return state == State.PENDING;
+    }
+
+    /** Whether its client is being sent a long value. */
+    boolean isStreaming() {
+        return state == State.STREAMING;
+    }
+
+    /** Whether its client has had its response or has disconnected. */
+    boolean isConcluded() {
+        return state == State.CONCLUDED;
+    }
+
+    /** A long value begins for the client; its deadline no longer counts. */
+    void beginStreaming() {
+        state = State.STREAMING;
+        cancelDeadline();
+    }
+
+    /** Its client has had its response or has disconnected. */
+    void conclude() {
+        state = State.CONCLUDED;
+        cancelDeadline();
+    }
+
+    /** Replaces the timer of its deadline. */
+    void setDeadlineTimer(Timer timer) {
+        deadlineTimer = timer;
+    }
+
+    private void cancelDeadline() {
+        if (deadlineTimer != null) {
+            deadlineTimer.cancel();
+        }
+    }
+
+    // ---- attempts
+
+    /** An attempt of it is in flight from now on. */
+    void attemptStarted(RequestAttempt attempt) {
+        attempts.add(attempt);
+        inFlightAttempts++;
+    }
+
+    /** One of its attempts has ended. */
+    void attemptEnded(AttemptOutcome outcome) {
+        inFlightAttempts--;
+        lastOutcome = outcome;
+        missed |= outcome == AttemptOutcome.MISS;
+        endedAttemptMayHaveRun |= outcome.mayHaveRun();
+    }
+
+    /** All attempts in the order of their start, also those that have ended. */
+    List<RequestAttempt> attempts() {
+        return attempts;
+    }
+
+    /** How many attempts have not ended. */
+    int inFlightAttempts() {
+        return inFlightAttempts;
+    }
+
+    /** Whether a server has responded that it lacks the key. */
+    boolean hasMissed() {
+        return missed;
+    }
+
+    /** The outcome of the attempt that ended last; null if none has. */
+    AttemptOutcome lastOutcome() {
+        return lastOutcome;
+    }
+
+    // ---- what it is
+
+    /** By which the policy knows it; unique in the pool. */
+    int id() {
+        return id;
+    }
+
+    /** What the client has asked for. */
+    ClientRequest request() {
+        return request;
+    }
+
+    /** Where the response goes. */
+    Responder responder() {
+        return responder;
+    }
+
+    /** When the pool stops waiting for it. */
+    double dueMs() {
+        return dueMs;
+    }
+
+    /** Whether it frees the id that its client gave it as it is concluded. */
+    boolean holdsRequestId() {
+        return holdsRequestId;
+    }
+
+    /** The class that its client has named. */
+    ServiceClass serviceClass(PolicySettings settings) {
+        return settings.classes().get(request.serviceClass());
     }
 }
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/dispatch/RequestEventLog.java
@@ -0,0 +1,94 @@
+package cacheproxy.proxy.dispatch;
+
+import cacheproxy.eventlog.EventLine;
+import cacheproxy.eventlog.ProxyEvent;
+import cacheproxy.policy.AttemptOutcome;
+import cacheproxy.policy.PolicySettings;
+import cacheproxy.proxy.upstream.EventLoopContext;
+
+/** Writes the event log's lines on a pool's requests and their attempts; nothing while the log is off. */
+final class RequestEventLog {
+    private final EventLoopContext core;
+    private final PolicySettings settings;
+    private final PoolServers servers;
+
+    RequestEventLog(EventLoopContext core, PolicySettings settings, PoolServers servers) {
+        this.core = core;
+        this.settings = settings;
+        this.servers = servers;
+    }
+
+    /** A request has arrived. */
+    void requestReceived(RequestContext context, double nowMs) {
+        if (core.events.isEnabled()) {
+            line(ProxyEvent.REQUEST_RECEIVED, context)
+                    .with("class", context.serviceClass(settings).name())
+                    .withMs("left_ms", context.dueMs() - nowMs)
+                    .write();
+        }
+    }
+
+    /** The client of a request has disconnected before its response. */
+    void requestAbandoned(RequestContext context) {
+        if (core.events.isEnabled()) {
+            line(ProxyEvent.REQUEST_ABANDONED, context)
+                    .withMs("left_ms", context.dueMs() - core.now())
+                    .with("in_flight", context.inFlightAttempts())
+                    .write();
+        }
+    }
+
+    /** The cause that is written is the outcome of the attempt that ended last, if there was one. */
+    void requestConcluded(RequestContext context, ResponseKind kind) {
+        if (core.events.isEnabled()) {
+            line(ProxyEvent.REQUEST_ANSWERED, context)
+                    .with("kind", kind.label())
+                    .with("attempts", context.attempts().size())
+                    .with("cause", context.lastOutcome() == null ? "not_sent_on" : context.lastOutcome())
+                    .withMs("left_ms", context.dueMs() - core.now())
+                    .write();
+        }
+    }
+
+    /** An attempt's first byte is about to be written. */
+    void attemptStarted(RequestAttempt attempt) {
+        if (core.events.isEnabled()) {
+            RequestContext context = attempt.context();
+            line(ProxyEvent.ATTEMPT_STARTED, context)
+                    .with("n", attempt.index())
+                    .with("server", attempt.connection().name())
+                    .with("cause", causeOf(attempt))
+                    .withMs("left_ms", attempt.timeoutAtMs() - core.now())
+                    .withMs("client_left_ms", context.dueMs() - core.now())
+                    .withMs("queued_ms", core.now() - attempt.startedMs())
+                    .with("depth", attempt.connection().queueLength())
+                    .write();
+        }
+    }
+
+    private static String causeOf(RequestAttempt attempt) {
+        if (attempt.index() == 0) {
+            return "first";
+        }
+        RequestContext context = attempt.context();
+        return context.inFlightAttempts() > 1 ? "hedge" : "after_" + context.lastOutcome();
+    }
+
+    /** An attempt has ended. */
+    void attemptEnded(RequestAttempt attempt, AttemptOutcome outcome, double elapsedMs) {
+        if (core.events.isEnabled()) {
+            line(ProxyEvent.ATTEMPT_ENDED, attempt.context())
+                    .with("n", attempt.index())
+                    .with("server", servers.name(attempt.server()))
+                    .with("outcome", outcome)
+                    .with("begun", attempt.hasBegun())
+                    .with("written", attempt.isWritten())
+                    .withMs("ms", elapsedMs)
+                    .write();
+        }
+    }
+
+    private EventLine line(ProxyEvent event, RequestContext context) {
+        return core.events.line(event).with("id", context.request().id());
+    }
+}
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/dispatch/RequestLifecycle.java
@@ -0,0 +1,158 @@
+package cacheproxy.proxy.dispatch;
+
+import cacheproxy.policy.AttemptOutcome;
+import cacheproxy.policy.Idempotency;
+import cacheproxy.proxy.upstream.EventLoopContext;
+import io.netty.util.collection.IntObjectHashMap;
+import java.util.List;
+
+/**
+ * The requests of a pool, from their arrival until their last attempt has ended. Each is concluded once: by a server's
+ * response, by the policy, by its client's disconnection, or here if the policy leaves it without a response. On the
+ * event loop only.
+ */
+final class RequestLifecycle {
+    /** How long after its deadline the policy may still conclude a request. */
+    private static final double CONCLUSION_GRACE_MS = 10;
+
+    private final EventLoopContext core;
+    private final PoolServices pool;
+    private final IntObjectHashMap<RequestContext> requests = new IntObjectHashMap<>();
+    private int lastId;
+
+    RequestLifecycle(PoolServices pool) {
+        this.pool = pool;
+        core = pool.core();
+    }
+
+    /** Takes a request and reports it to the policy. */
+    void start(RequestContext context) {
+        context.setId(++lastId);
+        requests.put(context.id(), context);
+        double nowMs = core.now();
+        // Before the policy's own timer for the same time: an attempt at a silent server ends as timed out then.
+        context.setDeadlineTimer(core.after(context.dueMs() - nowMs, () -> deadlineReached(context)));
+        pool.log().requestReceived(context, nowMs);
+        pool.policy().requestReceived(context, nowMs);
+    }
+
+    private void deadlineReached(RequestContext context) {
+        List<RequestAttempt> attempts = context.attempts();
+        for (int i = 0; i < attempts.size() && !context.isStreaming(); i++) {
+            attempts.get(i).expire();
+        }
+        context.setDeadlineTimer(core.after(CONCLUSION_GRACE_MS, () -> failUnlessConcluded(context)));
+    }
+
+    private void failUnlessConcluded(RequestContext context) {
+        if (context.isPending()) {
+            core.log("request left unanswered by the module");
+            fail(context);
+        }
+    }
+
+    /** The request of this id; null if it is unknown or its last attempt has ended. */
+    RequestContext find(int id) {
+        return requests.get(id);
+    }
+
+    /** How many requests are known, also those that are concluded but have attempts in flight. */
+    int count() {
+        return requests.size();
+    }
+
+    /**
+     * The client has disconnected: none of the request's attempts begins from now on. Those that have begun go on until
+     * the deadline, as other requests may wait for their result, but for long values, which nobody else gets.
+     */
+    void clientGone(RequestContext context) {
+        if (context.isConcluded()) {
+            return;
+        }
+        conclude(context);
+        pool.log().requestAbandoned(context);
+        pool.policy().clientGone(context);
+        for (RequestAttempt attempt : context.attempts()) {
+            abandon(attempt);
+        }
+        releaseIfDone(context);
+    }
+
+    private void abandon(RequestAttempt attempt) {
+        if (attempt.hasEnded() || attempt.connection() == null) {
+            return;
+        }
+        if (!attempt.hasBegun()) {
+            attempt.withdraw();
+        } else if (attempt.isStreaming()) {
+            attempt.connection().giveUp(attempt);
+            attempt.onEnd(AttemptOutcome.CANCELLED);
+        } else if (!attempt.hasTimeout()) { // it would have ended by the request's own timer, which has been cancelled
+            attempt.expireAfter(core, attempt.context().dueMs() - core.now());
+        }
+    }
+
+    /** Rejects every request that is safe to retry and fails the others: the process is about to end. */
+    void concludeAll() {
+        for (RequestContext context : List.copyOf(requests.values())) {
+            boolean safeToRetry = context.serviceClass(pool.settings()).idempotency() == Idempotency.IDEMPOTENT
+                    || !context.mayHaveRun();
+            if (safeToRetry) {
+                reject(context, 0);
+            } else {
+                fail(context);
+            }
+        }
+    }
+
+    /** Responds that the request has failed, unless its client has had something. */
+    void fail(RequestContext context) {
+        if (!context.isPending()) {
+            return;
+        }
+        conclude(context);
+        pool.log().requestConcluded(context, ResponseKind.FAILED);
+        context.responder().failed();
+        releaseIfDone(context);
+    }
+
+    /**
+     * Responds that the request was rejected, or that the key is missing if a server has said so and there is no origin
+     * to ask. Does nothing if the client has had something.
+     *
+     * @param retryAfterMs advice to the client; 0 for none
+     */
+    void reject(RequestContext context, double retryAfterMs) {
+        if (!context.isPending()) {
+            return;
+        }
+        conclude(context);
+        if (context.hasMissed() && !pool.settings().cacheAside()) {
+            pool.log().requestConcluded(context, ResponseKind.MISSED);
+            context.responder().miss();
+        } else {
+            boolean advises = retryAfterMs >= 1 && pool.settings().retryAfterAllowed();
+            pool.log().requestConcluded(context, ResponseKind.REJECTED);
+            context.responder().refused(advises ? retryAfterMs : 0);
+        }
+        releaseIfDone(context);
+    }
+
+    /** Records that the client has had its response or has disconnected. */
+    void conclude(RequestContext context) {
+        context.conclude();
+        if (context.holdsRequestId()) {
+            core.closeId(context.request());
+        }
+    }
+
+    /** Forgets a request that is concluded once its last attempt has ended; the policy may cancel one until then. */
+    void releaseIfDone(RequestContext context) {
+        if (!context.isConcluded() || context.inFlightAttempts() > 0) {
+            return;
+        }
+        if (requests.remove(context.id()) != null) {
+            context.request().release(core);
+        }
+    }
+}
--- a/src/main/java/cacheproxy/proxy/dispatch/SinglePoolHandler.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/SinglePoolHandler.java
@@ -1,41 +1,42 @@
 package cacheproxy.proxy.dispatch;
 
+import cacheproxy.policy.PolicySettings;
 import cacheproxy.proxy.request.ClientRequest;
 import cacheproxy.proxy.request.RequestHandler;
 import cacheproxy.proxy.request.RequestValidator;
 import cacheproxy.proxy.request.Responder;
 import cacheproxy.proxy.upstream.EventLoopContext;
 
-/** All requests go to one pool, as on the platform. */
+/** Validates requests and hands all of them to one pool, as on the platform. */
 public final class SinglePoolHandler implements RequestHandler {
     private final EventLoopContext core;
-    private final RequestValidator intake;
+    private final RequestValidator validator;
     private final Dispatcher pool;
 
+    /** Hands requests to this pool. */
     public SinglePoolHandler(EventLoopContext core, Dispatcher pool) {
         this.core = core;
         this.pool = pool;
-        intake = new RequestValidator(
-                core, pool.settings().classes(), pool.settings().tenants());
+        PolicySettings settings = pool.settings();
+        validator = new RequestValidator(core, settings.classes(), settings.tenants());
     }
 
     @Override
-    public Handle take(ClientRequest command, Responder responder) {
-        String fault = intake.resolve(command);
+    public Handle take(ClientRequest request, Responder responder) {
+        String fault = validator.resolve(request);
         if (fault != null) {
-            command.release(core);
+            request.release(core);
             responder.rejected(fault);
             return null;
         }
-        if (intake.expired(command)) {
-            core.closeId(command);
-            command.release(core);
+        if (validator.expired(request)) {
+            core.closeId(request);
+            request.release(core);
             responder.refused(0);
             return null;
         }
-        RequestContext x = new RequestContext(pool, command, RequestValidator.keyNumber(command.key), responder, true);
-        x.dueMs = command.dueMs;
-        pool.take(x);
-        return x;
+        RequestContext context = pool.newRequest(request, RequestValidator.keyNumber(request.key()), responder);
+        pool.dispatch(context);
+        return context;
     }
 }
--- a/src/main/java/cacheproxy/proxy/process/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/process/Proxy.java
@@ -66,7 +66,7 @@
         core = EventLoopContext.of(loop, polls, config, Transport.BEST.socket());
         core.watchPauses();
         useEventLog(config);
-        dispatcher = new Dispatcher(core, Dispatcher.Pool.of(config));
+        dispatcher = new Dispatcher(core, PlatformPool.options(config));
         peers = new PeerSocket(loop, config, this::heard);
         clients = new ClientRegistry(
                 core,
@@ -78,7 +78,7 @@
                                 - (config.control() == null ? 0 : OperatorActions.DESCRIPTORS)));
         discovery = new DiscoveryClient(core, DiscoveryClient.Source.of(config), dispatcher);
         loop.submit(() -> {
-                    dispatcher.start(discovery, peers);
+                    dispatcher.start(discovery, peers::send);
                     discovery.start();
                     loop.scheduleWithFixedDelay(clients::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
                 })
@@ -114,7 +114,7 @@
 
     private void heard(int peer, byte[] message) {
         if (!VersionGossip.isVersionMessage(message)) {
-            dispatcher.heard(peer, message);
+            dispatcher.peerMessageReceived(peer, message);
         } else if (discovery != null) {
             discovery.heard(peer, message);
         }
@@ -234,7 +234,9 @@
 
     /** Whether the module holds nothing against a server. */
     public boolean sound(int server) {
-        return loop.submit(() -> dispatcher.sound(server)).syncUninterruptibly().getNow();
+        return loop.submit(() -> dispatcher.isHealthy(server))
+                .syncUninterruptibly()
+                .getNow();
     }
 
     /** Connections of clients that the loop knows of. */
@@ -253,7 +255,7 @@
     }
 
     public int inHand() {
-        return loop.submit(dispatcher::inHand).syncUninterruptibly().getNow();
+        return loop.submit(dispatcher::pendingRequests).syncUninterruptibly().getNow();
     }
 
     // ---- the end
@@ -264,7 +266,7 @@
                 core.events
                         .line(ProxyEvent.STATE_CHANGED)
                         .with("state", "draining")
-                        .with("in_hand", dispatcher.inHand())
+                        .with("in_hand", dispatcher.pendingRequests())
                         .write();
             }
             lifecycle.beginShutdown(core.now(), operations != null && operations.hasSuccessor());
@@ -276,7 +278,7 @@
                     + Math.min(longest, LONGEST_LEFT_MS);
             core.after(lastMs, () -> {
                 listener.takeNoMore();
-                dispatcher.answerAll();
+                dispatcher.concludeAll();
             });
             return lastMs;
         });
--- a/src/main/java/cacheproxy/proxy/process/WarmUp.java
+++ b/src/main/java/cacheproxy/proxy/process/WarmUp.java
@@ -83,10 +83,10 @@
 
     private void run(UnaryOperator<SocketAddress> dial) throws InterruptedException, IOException {
         EventLoopContext core = EventLoopContext.of(loop, new PollClock(), config, Transport.BEST.localSocket());
-        Dispatcher dispatcher = new Dispatcher(core, Dispatcher.Pool.of(config));
+        Dispatcher dispatcher = new Dispatcher(core, PlatformPool.options(config));
         Listener front =
                 new Listener(core, new ClientRegistry(core, 16), new SinglePoolHandler(core, dispatcher), null);
-        loop.submit(() -> dispatcher.start(EndpointListSource.NONE, null)).sync();
+        loop.submit(() -> dispatcher.start(EndpointListSource.NONE)).sync();
         try {
             SocketAddress node = listen("n", Node::new);
             SocketAddress origin = listen("o", Origin::new);
