--- a/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
@@ -83,7 +83,7 @@
         public static Source of(PlatformConfig config) {
             return new Source(
                     config.discovery(),
-                    config.known(),
+                    config.initialHosts(),
                     config.settings().pollsDiscovery(),
                     config.zones(),
                     config.kinds());
@@ -409,8 +409,10 @@
             case "removed" -> EndpointState.GONE;
             default -> throw new IllegalArgumentException("host " + name + ": unknown health");
         };
-        int zone = source.zones().indexOf(PlatformConfig.word(h.get("site").getAsString()));
-        int kind = source.kinds().indexOf(PlatformConfig.word(h.get("class").getAsString()));
+        int zone = source.zones()
+                .indexOf(PlatformConfig.toSettingName(h.get("site").getAsString()));
+        int kind = source.kinds()
+                .indexOf(PlatformConfig.toSettingName(h.get("class").getAsString()));
         float weight = h.has("share") ? h.get("share").getAsFloat() : 1;
         if (zone < 0 || kind < 0 || !(weight >= 0) || Float.isInfinite(weight)) {
             throw new IllegalArgumentException("host " + name + ": unknown site or class, or bad share");
--- a/src/main/java/cacheproxy/proxy/dispatch/AttemptResults.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/AttemptResults.java
@@ -31,7 +31,7 @@
         }
         context.beginStreaming();
         attempt.beginStreaming(pool.core().now());
-        context.responder().begin(length, attempt.connection());
+        context.responder().beginValue(length, attempt.connection());
         pool.policy().firstByteReceived(attempt);
         for (RequestAttempt other : context.attempts()) {
             if (other != attempt) {
@@ -46,7 +46,7 @@
         if (attempt.hasEnded() || attempt.context().isConcluded()) {
             part.release();
         } else {
-            attempt.context().responder().part(part);
+            attempt.context().responder().valuePart(part);
         }
     }
 
@@ -95,9 +95,9 @@
         pool.log().requestConcluded(context, complete ? ResponseKind.STREAMED : ResponseKind.CUT_OFF);
         Responder responder = context.responder();
         if (complete) {
-            responder.end();
+            responder.endValue();
         } else {
-            responder.breakOff();
+            responder.abortValue();
         }
     }
 
@@ -108,7 +108,7 @@
         if (value != null) {
             responder.value(value);
         } else {
-            responder.receipt(receipt);
+            responder.stored(receipt);
         }
     }
 
@@ -119,7 +119,7 @@
         }
         ClientRequest request = attempt.context().request();
         boolean responded = outcome == AttemptOutcome.OK || outcome == AttemptOutcome.MISS;
-        if (request.write()) {
+        if (request.isWrite()) {
             siblings.writeCompleted(request.key());
         } else if (responded && pool.servers().isCacheServer(attempt.server())) {
             siblings.readCompleted(request.key(), attempt.server(), outcome == AttemptOutcome.OK);
--- a/src/main/java/cacheproxy/proxy/dispatch/RequestContext.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/RequestContext.java
@@ -81,8 +81,8 @@
     }
 
     @Override
-    public void gone() {
-        lifecycle.clientGone(this);
+    public void clientDisconnected() {
+        lifecycle.clientDisconnected(this);
     }
 
     /** Concludes it as failed unless its client has had something. */
@@ -98,10 +98,10 @@
                 request.tenant(),
                 keyHash,
                 dueMs,
-                request.costMs,
-                request.bytes,
-                request.write(),
-                request.repeat());
+                request.workHintMs,
+                request.sizeHintBytes,
+                request.isWrite(),
+                request.isRetry());
     }
 
     // ---- state
--- a/src/main/java/cacheproxy/proxy/dispatch/RequestLifecycle.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/RequestLifecycle.java
@@ -65,7 +65,7 @@
      * The client has disconnected: none of the request's attempts begins from now on. Those that have begun go on until
      * the deadline, as other requests may wait for their result, but for long values, which nobody else gets.
      */
-    void clientGone(RequestContext context) {
+    void clientDisconnected(RequestContext context) {
         if (context.isConcluded()) {
             return;
         }
@@ -133,7 +133,7 @@
         } else {
             boolean advises = retryAfterMs >= 1 && pool.settings().retryAfterAllowed();
             pool.log().requestConcluded(context, ResponseKind.REJECTED);
-            context.responder().refused(advises ? retryAfterMs : 0);
+            context.responder().busy(advises ? retryAfterMs : 0);
         }
         releaseIfDone(context);
     }
--- a/src/main/java/cacheproxy/proxy/dispatch/SinglePoolHandler.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/SinglePoolHandler.java
@@ -22,20 +22,20 @@
     }
 
     @Override
-    public Handle take(ClientRequest request, Responder responder) {
+    public Handle submit(ClientRequest request, Responder responder) {
         String fault = validator.resolve(request);
         if (fault != null) {
             request.release(core);
-            responder.rejected(fault);
+            responder.badRequest(fault);
             return null;
         }
-        if (validator.expired(request)) {
+        if (validator.isExpired(request)) {
             core.closeId(request);
             request.release(core);
-            responder.refused(0);
+            responder.busy(0);
             return null;
         }
-        RequestContext context = pool.newRequest(request, RequestValidator.keyNumber(request.key()), responder);
+        RequestContext context = pool.newRequest(request, RequestValidator.keyHash(request.key()), responder);
         pool.dispatch(context);
         return context;
     }
