--- a/src/main/java/cacheproxy/proxy/dispatch/RequestLifecycle.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/RequestLifecycle.java
@@ -142,7 +142,7 @@
     void conclude(RequestContext context) {
         context.conclude();
         if (context.holdsRequestId()) {
-            core.closeId(context.request());
+            core.closeId(context.request().id());
         }
     }
 
--- a/src/main/java/cacheproxy/proxy/dispatch/SinglePoolHandler.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/SinglePoolHandler.java
@@ -30,7 +30,7 @@
             return null;
         }
         if (validator.isExpired(request)) {
-            core.closeId(request);
+            core.closeId(request.id());
             request.release(core);
             responder.busy(0);
             return null;
