--- a/src/main/java/cacheproxy/proxy/client/ClientConnection.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientConnection.java
@@ -210,7 +210,7 @@
      */
     @Override
     public void request(ClientRequest request, MetaProtocol protocol, String echo) {
-        request.arrivedMs = readControl.unreadSinceMs();
+        request.setArrivedMs(readControl.unreadSinceMs());
         unsubmitted.add(addResponse(protocol, echo, request));
         if (!submitScheduled) {
             submitScheduled = true;
--- a/src/main/java/cacheproxy/proxy/client/PlatformMetaProtocol.java
+++ b/src/main/java/cacheproxy/proxy/client/PlatformMetaProtocol.java
@@ -59,7 +59,7 @@
 
     @Override
     String writeEcho(ClientRequest request, String standardEcho) {
-        return " O" + request.id;
+        return " O" + request.id();
     }
 
     @Override
--- a/src/main/java/cacheproxy/proxy/client/RequestDecoder.java
+++ b/src/main/java/cacheproxy/proxy/client/RequestDecoder.java
@@ -25,8 +25,6 @@
     private ClientRequest write;
     /** The bytes of the value, with its line end, that have not arrived yet. */
     private int missingBytes;
-    /** What has been reserved for the value that is being read. */
-    private int reservedBytes;
     /** The echo of the last write in the standard grammar. */
     private String standardEcho;
     /** The response to the last write in the standard grammar if it can't be carried out, else null. */
@@ -102,7 +100,6 @@
 
     private void reserveValue(ByteBufAllocator allocator) {
         if (loopContext.reserve(missingBytes)) {
-            reservedBytes = missingBytes;
             write.setValue(
                     allocator.buffer(Math.min(missingBytes, MAX_INITIAL_BUFFER_BYTES), missingBytes), missingBytes);
         }
@@ -111,10 +108,10 @@
     private void readValue(ByteBuf input) throws MetaCodec.SyntaxException {
         int bytes = Math.min(missingBytes, input.readableBytes());
         missingBytes -= bytes;
-        if (write == null || write.value == null) {
+        if (write == null || write.value() == null) {
             input.skipBytes(bytes);
         } else {
-            write.value.writeBytes(input, bytes);
+            write.value().writeBytes(input, bytes);
         }
         if (missingBytes == 0) {
             completeWrite();
@@ -129,15 +126,14 @@
             onInvalid(standardErrorLine != null ? standardErrorLine : PlatformMetaProtocol.BAD_COMMAND_LINE);
             return;
         }
-        if (request.value == null) {
+        if (request.value() == null) {
             output.respond(MetaCodec.BUSY_PREFIX + "\r\n");
             return;
         }
-        if (!endsWithCrlf(request.value)) {
-            discardValue(request);
+        if (!endsWithCrlf(request.value())) {
+            request.release(loopContext);
             throw new MetaCodec.SyntaxException("bad data chunk");
         }
-        reservedBytes = 0; // the request gives it back when it is released
         MetaProtocol protocol = owner.protocol();
         output.request(request, protocol, protocol.writeEcho(request, standardEcho));
     }
@@ -148,19 +144,10 @@
 
     /** The connection is closed: releases the value that is being read. */
     void close() {
-        if (readingValue) {
-            discardValue(write);
-            readingValue = false;
+        if (write != null) {
+            write.release(loopContext);
             write = null;
         }
-    }
-
-    private void discardValue(ClientRequest request) {
-        if (request != null && request.value != null) {
-            request.value.release();
-            request.value = null;
-        }
-        loopContext.giveBack(reservedBytes);
-        reservedBytes = 0;
+        readingValue = false;
     }
 }
--- a/src/main/java/cacheproxy/proxy/request/ClientRequest.java
+++ b/src/main/java/cacheproxy/proxy/request/ClientRequest.java
@@ -4,52 +4,48 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * A request as fronts hand it in: its key, id and list of names and values, and the line in which cache nodes are to
- * get it, which is the client's own where that was of the same grammar.
+ * A client's request: its key, id, attributes and value, and the line in which cache nodes get it. That line is the
+ * client's own, but for the deadline, if the client speaks the nodes' grammar.
+ *
+ * <p>{@link RequestValidator#resolve} sets class, tenant, times and hints from the attributes. Times are milliseconds
+ * of {@link EventLoopContext#now}. The request is reference-counted for its value; it belongs to one thread at a time.
  */
 public final class ClientRequest {
-    /** Of {@code mg} and {@code ms}, with the space. */
+    /** The length of {@code mg} or {@code ms} with the space behind it. */
     private static final int COMMAND_LENGTH = 3;
 
     public final String key;
     public final String id;
     public final boolean isWrite;
-    final String attributes;
-    /** The list up to the deadline's figure, and from there on. */
+    private final String attributes;
+    /** The attributes up to the figure of the deadline. */
     private final String attributesPrefix;
-
+    /** The attributes behind the figure of the deadline. */
     private final String attributesSuffix;
-    /** The line for cache nodes up to the deadline's figure, and from there on. */
-    public final String linePrefix;
 
+    public final String linePrefix;
     public final String lineSuffix;
-    /** A write's value with its line's end; null for reads. */
     public ByteBuf value;
-    /** What is given back to the bound on clients' values with the value. */
+    /** What is given back to the bound on clients' values when the value is released. */
     private int reservedBytes;
 
     private int referenceCount = 1;
 
-    // What the intake has made of the list.
     public int serviceClass;
     public int tenant;
-    /** The earliest that its last byte may have come; set by whoever read it, else by the intake. */
-    public double arrivedMs = Double.NaN;
-
+    private double arrivedMs = Double.NaN;
     public double dueMs;
-    /** When the client gives up, whatever others order; no server is told more than is left until then. */
     public double clientDueMs = Double.POSITIVE_INFINITY;
-
     public double workHintMs;
     public float sizeHintBytes;
     public boolean isRetry;
 
     /**
-     * A request whose line for cache nodes is put together around its list.
+     * A request whose line for cache nodes consists of its attributes and what is around them.
      *
-     * @param extras the list of names and values; of several deadlines in it the first counts
-     * @param lineHead the line up to the list
-     * @param lineTail the line after the list
+     * @param attributes names and values; of several deadlines the first counts, the others are removed
+     * @param beforeAttributes the line up to the attributes
+     * @param afterAttributes the line behind the attributes
      */
     public ClientRequest(
             String key,
@@ -69,59 +65,88 @@
         lineSuffix = attributesSuffix + afterAttributes;
     }
 
-    /** The same request for another key. */
-    private ClientRequest(ClientRequest of, String otherKey) {
+    /** A copy for another key, which shares the value. */
+    private ClientRequest(ClientRequest original, String otherKey) {
         key = otherKey;
-        id = of.id;
-        isWrite = of.isWrite;
-        attributes = of.attributes;
-        attributesPrefix = of.attributesPrefix;
-        attributesSuffix = of.attributesSuffix;
-        linePrefix = of.linePrefix.substring(0, COMMAND_LENGTH)
+        id = original.id;
+        isWrite = original.isWrite;
+        attributes = original.attributes;
+        attributesPrefix = original.attributesPrefix;
+        attributesSuffix = original.attributesSuffix;
+        linePrefix = original.linePrefix.substring(0, COMMAND_LENGTH)
                 + otherKey
-                + of.linePrefix.substring(COMMAND_LENGTH + of.key.length());
-        lineSuffix = of.lineSuffix;
+                + original.linePrefix.substring(COMMAND_LENGTH + original.key.length());
+        lineSuffix = original.lineSuffix;
+        value = original.value == null ? null : original.value.retainedDuplicate();
+        serviceClass = original.serviceClass;
+        tenant = original.tenant;
+        arrivedMs = original.arrivedMs;
+        dueMs = original.dueMs;
+        clientDueMs = original.clientDueMs;
+        workHintMs = original.workHintMs;
+        sizeHintBytes = original.sizeHintBytes;
+        isRetry = original.isRetry;
+    }
+
+    /** A request of a client that does not speak the nodes' grammar; {@code valueBytes} counts for writes only. */
+    public static ClientRequest of(String key, String id, boolean isWrite, int valueBytes, String attributes) {
+        String beforeAttributes =
+                isWrite ? "ms " + key + " " + valueBytes + " O" + id + " P" : "mg " + key + " v O" + id + " P";
+        return new ClientRequest(key, id, isWrite, attributes, beforeAttributes, "");
     }
 
-    /** A request that no client sent in the nodes' own grammar. */
-    public static ClientRequest of(String key, String id, boolean isWrite, int valueBytes, String attributes) {
-        return new ClientRequest(
-                key,
-                id,
-                isWrite,
-                attributes,
-                isWrite ? "ms " + key + " " + valueBytes + " O" + id + " P" : "mg " + key + " v O" + id + " P",
-                "");
+    /** The key that the client asks for, or the one that a route or hook has put in its place. */
+    public String key() {
+        return key;
+    }
+
+    /** The client's id of the request; unique among open requests. */
+    public String id() {
+        return id;
+    }
+
+    /** Whether this is a write. */
+    public boolean isWrite() {
+        return isWrite;
     }
 
-    /** The list with another deadline in place of the client's, or behind the list where that has none. */
+    /** The attributes with this deadline in place of the client's, or behind the attributes if they name none. */
     public String attributesWithDeadline(int deadlineMs) {
         return attributesPrefix + deadlineMs + attributesSuffix;
     }
 
+    /** The attributes as the client sent them; of several deadlines the first. */
+    String attributes() {
+        return attributes;
+    }
+
+    /** The line for cache nodes up to the figure of the deadline. */
+    public String linePrefix() {
+        return linePrefix;
+    }
+
+    /** The line for cache nodes behind the figure of the deadline. */
+    public String lineSuffix() {
+        return lineSuffix;
+    }
+
+    /** A write's value with its line end; null for reads, and once it has been released. */
+    public ByteBuf value() {
+        return value;
+    }
+
+    /** Sets the value, which belongs to the request from now on, and what has been reserved for it. */
     public void setValue(ByteBuf newValue, int newReservedBytes) {
         value = newValue;
         reservedBytes = newReservedBytes;
     }
 
-    /** The same request for another key. It shares the value and must be released, too. */
+    /** A copy for another key. It shares the value and must be released, too. */
     public ClientRequest withKey(String otherKey) {
-        ClientRequest copy = new ClientRequest(this, otherKey);
-        if (value != null) {
-            copy.value = value.retainedDuplicate();
-        }
-        copy.serviceClass = serviceClass;
-        copy.tenant = tenant;
-        copy.arrivedMs = arrivedMs;
-        copy.dueMs = dueMs;
-        copy.clientDueMs = clientDueMs;
-        copy.workHintMs = workHintMs;
-        copy.sizeHintBytes = sizeHintBytes;
-        copy.isRetry = isRetry;
-        return copy;
+        return new ClientRequest(this, otherKey);
     }
 
-    /** The same request for another key, in this one's place: the value goes over to it. */
+    /** A copy for another key that takes the place of this request: the value passes to it. */
     public ClientRequest moveToKey(String otherKey) {
         ClientRequest copy = withKey(otherKey);
         if (value != null) {
@@ -133,54 +158,78 @@
         return copy;
     }
 
-    /** Another class, tenant and end than the intake has found. */
-    public void reclassify(int toClass, int toTenant, double toDueMs) {
-        serviceClass = toClass;
-        tenant = toTenant;
-        dueMs = toDueMs;
+    /** The index of the class among the configured ones. */
+    public int serviceClass() {
+        return serviceClass;
+    }
+
+    /** The index of the tenant among the configured ones; 0 if there are none. */
+    public int tenant() {
+        return tenant;
     }
 
-    /** Whether the client says that it has sent this before. */
-    public boolean isRetry() {
-        return isRetry;
+    /** The earliest time that the request's last byte may have arrived; NaN if it is neither set nor resolved yet. */
+    public double arrivedMs() {
+        return arrivedMs;
     }
 
-    public String key() {
-        return key;
+    /** Sets the earliest time that the request's last byte may have arrived. */
+    public void setArrivedMs(double newArrivedMs) {
+        arrivedMs = newArrivedMs;
     }
 
-    public String id() {
-        return id;
+    /** When the request must have its response. */
+    public double dueMs() {
+        return dueMs;
     }
 
-    public boolean isWrite() {
-        return isWrite;
+    /** When the client stops waiting, whatever {@link #dueMs} a hook has set; servers get no later deadline. */
+    public double clientDueMs() {
+        return clientDueMs;
     }
 
-    /** Index among the classes; set once the intake has resolved it, like all figures below. */
-    public int serviceClass() {
-        return serviceClass;
+    /** The client's estimate of the work to make the value, in milliseconds; NaN if it gives none. */
+    public double workHintMs() {
+        return workHintMs;
     }
 
-    public int tenant() {
-        return tenant;
+    /** The client's estimate of the value's size in bytes; 0 if it gives none. */
+    public float sizeHintBytes() {
+        return sizeHintBytes;
     }
 
-    public double arrivedMs() {
-        return arrivedMs;
+    /** Whether the client says that it has sent this request before. */
+    public boolean isRetry() {
+        return isRetry;
     }
 
-    /** When the client gives up, on the core's clock. */
-    public double dueMs() {
-        return dueMs;
+    /** Sets class, tenant and the time until which the client waits. */
+    void resolve(int newServiceClass, int newTenant, double newDueMs) {
+        reclassify(newServiceClass, newTenant, newDueMs);
+        clientDueMs = newDueMs;
+    }
+
+    /** Sets what the client says of the request. */
+    void setHints(double newWorkHintMs, float newSizeHintBytes, boolean retry) {
+        workHintMs = newWorkHintMs;
+        sizeHintBytes = newSizeHintBytes;
+        isRetry = retry;
+    }
+
+    /** Replaces class, tenant and due time, which {@link RequestValidator#resolve} has found. */
+    public void reclassify(int newServiceClass, int newTenant, double newDueMs) {
+        serviceClass = newServiceClass;
+        tenant = newTenant;
+        dueMs = newDueMs;
     }
 
-    /** One more holder; each releases once. */
+    /** Adds a holder, which has to release the request once. */
     public ClientRequest retain() {
         referenceCount++;
         return this;
     }
 
+    /** Releases the request for one holder; the last one frees the value and what was reserved for it. */
     public void release(EventLoopContext loopContext) {
         if (--referenceCount == 0 && value != null) {
             loopContext.giveBack(reservedBytes);
--- a/src/main/java/cacheproxy/proxy/request/DeadlineField.java
+++ b/src/main/java/cacheproxy/proxy/request/DeadlineField.java
@@ -1,53 +1,54 @@
 package cacheproxy.proxy.request;
 
 /**
- * Where a request's list of names and values ({@code c=read,t=acme,d=480}) has its deadline, so that each attempt can
- * be told the time that is left without reading the list again.
+ * Where a request's attributes ({@code c=read,t=acme,d=480}) have the deadline, so that each attempt can be sent with
+ * the time that is left without parsing them again.
  *
- * @param from where the deadline's figure begins in the list; the list's length where it names none
- * @param to where the figure ends
- * @param prefix what has to stand before the figure where the list names no deadline; else empty
+ * @param from the index at which the deadline's figure begins; the length of the attributes if they name none
+ * @param to the index behind the figure
+ * @param prefix what has to stand before the figure if the attributes name no deadline; otherwise empty
  */
 record DeadlineField(int from, int to, String prefix) {
     private static final String NAME = "d";
-    private static final String NEXT = ",d=";
+    private static final String SEPARATOR_AND_NAME = ",d=";
 
-    /** The place in a list that names the deadline at most once; see {@link #withoutRepeats}. */
-    static DeadlineField in(String list) {
-        int from = MetaCodec.attributeValueIndex(list, NAME);
+    /** Finds the deadline in attributes that name it at most once; see {@link #withoutRepeats}. */
+    static DeadlineField in(String attributes) {
+        int from = MetaCodec.attributeValueIndex(attributes, NAME);
         if (from < 0) {
-            return new DeadlineField(list.length(), list.length(), list.isEmpty() ? "d=" : NEXT);
+            int length = attributes.length();
+            return new DeadlineField(length, length, attributes.isEmpty() ? "d=" : SEPARATOR_AND_NAME);
         }
-        int end = list.indexOf(',', from);
-        return new DeadlineField(from, end < 0 ? list.length() : end, "");
+        int end = attributes.indexOf(',', from);
+        return new DeadlineField(from, end < 0 ? attributes.length() : end, "");
     }
 
     /**
-     * The list with its first deadline alone. Which of several counts is for each reader to choose, so that a second
-     * one would tell a server what the client had at first.
+     * The attributes without all deadlines but the first. Each reader chooses for itself which of several it takes, so
+     * a second one could give a server the client's original figure.
      */
-    static String withoutRepeats(String list) {
-        int first = MetaCodec.attributeValueIndex(list, NAME);
-        int next = first < 0 ? -1 : list.indexOf(NEXT, first);
-        if (next < 0) {
-            return list;
+    static String withoutRepeats(String attributes) {
+        int first = MetaCodec.attributeValueIndex(attributes, NAME);
+        int repeat = first < 0 ? -1 : attributes.indexOf(SEPARATOR_AND_NAME, first);
+        if (repeat < 0) {
+            return attributes;
         }
-        StringBuilder rest = new StringBuilder(list);
-        while (next >= 0) {
-            int end = rest.indexOf(",", next + 1);
-            rest.delete(next, end < 0 ? rest.length() : end);
-            next = rest.indexOf(NEXT, first);
+        StringBuilder result = new StringBuilder(attributes);
+        while (repeat >= 0) {
+            int end = result.indexOf(",", repeat + 1);
+            result.delete(repeat, end < 0 ? result.length() : end);
+            repeat = result.indexOf(SEPARATOR_AND_NAME, first);
         }
-        return rest.toString();
+        return result.toString();
     }
 
-    /** The list before the figure. */
-    String before(String list) {
-        return list.substring(0, from) + prefix;
+    /** The attributes before the figure. */
+    String before(String attributes) {
+        return attributes.substring(0, from) + prefix;
     }
 
-    /** The list after the figure. */
-    String after(String list) {
-        return list.substring(to);
+    /** The attributes behind the figure. */
+    String after(String attributes) {
+        return attributes.substring(to);
     }
 }
--- a/src/main/java/cacheproxy/proxy/request/MetaCodec.java
+++ b/src/main/java/cacheproxy/proxy/request/MetaCodec.java
@@ -6,67 +6,81 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** The grammar of the meta text protocol, shared by the sides of clients and of cache nodes. */
+/** The grammar of the meta text protocol, for clients and for cache nodes. */
 public final class MetaCodec {
-    /** The longest value the protocol has. */
+    /** The longest value of the protocol. */
     public static final int MAX_VALUE_BYTES = 4 << 20;
-    /** Answers up to this size are passed on whole, longer ones as they come. */
+    /** Values up to this size are passed on as a whole, longer ones in parts as they arrive. */
     public static final int MAX_BUFFERED_VALUE_BYTES = 64 << 10;
-
+    /** The longest line, with its end. */
     public static final int MAX_LINE_BYTES = 4096;
-    /** A line's end, as a big-endian short. */
+    /** The end of a line, as a big-endian short. */
     public static final int CRLF = '\r' << 8 | '\n';
-
+    /** The response to a request that failed, with the line's end. */
     public static final String FAILED_LINE = "SERVER_ERROR failed\r\n";
+    /** How the response to a rejected request begins. */
     public static final String BUSY_PREFIX = "SERVER_ERROR busy";
 
+    /** The most figures that a load report has. */
+    private static final int MAX_REPORT_FIGURES = 4;
+
     private MetaCodec() {}
 
-    /** Input that is not the protocol's. */
+    /** Input that violates the protocol; the message says what is wrong. It has no stack trace. */
     public static final class SyntaxException extends Exception {
         private static final long serialVersionUID = 1L;
 
+        /** The input is wrong in this way. */
         public SyntaxException(String message) {
             super(message, null, false, false);
         }
     }
 
-    /** Takes one line off the input, without its end; null while it is not all there. */
-    public static String readLine(ByteBuf in) throws SyntaxException {
-        int start = in.readerIndex();
-        int end = in.indexOf(start, Math.min(in.writerIndex(), start + MAX_LINE_BYTES), (byte) '\n');
+    /**
+     * Reads one line.
+     *
+     * @return the line without its end; null if it has not arrived whole
+     * @throws SyntaxException if the line is too long
+     */
+    public static String readLine(ByteBuf input) throws SyntaxException {
+        int start = input.readerIndex();
+        int end = input.indexOf(start, Math.min(input.writerIndex(), start + MAX_LINE_BYTES), (byte) '\n');
         if (end < 0) {
-            if (in.readableBytes() >= MAX_LINE_BYTES) {
+            if (input.readableBytes() >= MAX_LINE_BYTES) {
                 throw new SyntaxException("line too long");
             }
             return null;
         }
         int length = end - start;
-        if (length > 0 && in.getByte(end - 1) == '\r') {
+        if (length > 0 && input.getByte(end - 1) == '\r') {
             length--;
         }
-        String line = in.toString(start, length, StandardCharsets.ISO_8859_1);
-        in.readerIndex(end + 1);
+        String line = input.toString(start, length, StandardCharsets.ISO_8859_1);
+        input.readerIndex(end + 1);
         return line;
     }
 
-    /** A decimal length between 0 and the longest value. */
-    public static int parseLength(String word) throws SyntaxException {
-        int n = 0;
-        for (int i = 0; i < word.length(); i++) {
-            int digit = word.charAt(i) - '0';
-            if (digit < 0 || digit > 9 || n > MAX_VALUE_BYTES) {
+    /**
+     * Parses the length of a value.
+     *
+     * @throws SyntaxException if it is no decimal number from 0 to {@link #MAX_VALUE_BYTES}
+     */
+    public static int parseLength(String digits) throws SyntaxException {
+        int length = 0;
+        for (int i = 0; i < digits.length(); i++) {
+            int digit = digits.charAt(i) - '0';
+            if (digit < 0 || digit > 9 || length > MAX_VALUE_BYTES) {
                 throw new SyntaxException("bad data length");
             }
-            n = 10 * n + digit;
+            length = 10 * length + digit;
         }
-        if (word.isEmpty() || n > MAX_VALUE_BYTES) {
+        if (digits.isEmpty() || length > MAX_VALUE_BYTES) {
             throw new SyntaxException("bad data length");
         }
-        return n;
+        return length;
     }
 
-    /** Whether a line is of printing ASCII characters and spaces alone. */
+    /** Whether the line consists of printable ASCII characters and spaces alone. */
     public static boolean isPrintable(String line) {
         for (int i = 0; i < line.length(); i++) {
             if (line.charAt(i) < ' ' || line.charAt(i) > '~') {
@@ -76,69 +90,69 @@
         return true;
     }
 
+    /** The token from this index to the next space or the line's end; empty if the index is behind the line. */
     public static String tokenAt(String line, int start) {
         int end = line.indexOf(' ', start);
         return start >= line.length() ? "" : line.substring(start, end < 0 ? line.length() : end);
     }
 
-    /** The flag that begins with this letter, without the letter; null if the line has none from there on. */
+    /** The argument of the first flag with this letter from the index on; null if there is none. */
     public static String flag(String line, int from, char letter) {
-        int at = flagValueIndex(line, from, letter);
-        return at < 0 ? null : tokenAt(line, at);
+        int index = flagValueIndex(line, from, letter);
+        return index < 0 ? null : tokenAt(line, index);
     }
 
-    /** Whether the flag that begins with this letter says just this. */
-    public static boolean hasFlag(String line, int from, char letter, String value) {
-        int at = flagValueIndex(line, from, letter);
-        int end = at + value.length();
-        return at >= 0 && line.startsWith(value, at) && (end == line.length() || line.charAt(end) == ' ');
+    /** Whether the first flag with this letter from the index on has this argument. */
+    public static boolean hasFlag(String line, int from, char letter, String argument) {
+        int index = flagValueIndex(line, from, letter);
+        int end = index + argument.length();
+        return index >= 0 && line.startsWith(argument, index) && (end == line.length() || line.charAt(end) == ' ');
     }
 
-    /** Where the first flag of this letter has its value; -1 if there is none. */
+    /** The index of the argument of the first flag with this letter; -1 if there is none. */
     private static int flagValueIndex(String line, int from, char letter) {
-        for (int at = from; at >= 0 && at < line.length(); at++) {
-            if (line.charAt(at) == letter) {
-                return at + 1;
-            }
-            at = line.indexOf(' ', at);
-            if (at < 0) {
-                break;
+        int index = from;
+        while (index >= 0 && index < line.length()) {
+            if (line.charAt(index) == letter) {
+                return index + 1;
             }
+            int space = line.indexOf(' ', index);
+            index = space < 0 ? -1 : space + 1;
         }
         return -1;
     }
 
-    /** The value under this name in a list such as {@code c=read,d=480}; null if it is not there. */
-    public static String attribute(String list, String name) {
-        int at = attributeValueIndex(list, name);
-        if (at < 0) {
+    /** The value of this name in attributes such as {@code c=read,d=480}; null if they do not have it. */
+    public static String attribute(String attributes, String name) {
+        int start = attributeValueIndex(attributes, name);
+        if (start < 0) {
             return null;
         }
-        int end = list.indexOf(',', at);
-        return list.substring(at, end < 0 ? list.length() : end);
+        int end = attributes.indexOf(',', start);
+        return attributes.substring(start, end < 0 ? attributes.length() : end);
     }
 
-    /** Where the value under this name begins in a list, or -1. */
-    public static int attributeValueIndex(String list, String name) {
-        for (int at = 0; at >= 0 && at < list.length(); at = list.indexOf(',', at) + 1) {
-            if (list.startsWith(name, at) && list.startsWith("=", at + name.length())) {
-                return at + name.length() + 1;
-            }
-            if (list.indexOf(',', at) < 0) {
-                break;
+    /** The index at which the value of this name begins in attributes; -1 if they do not have it. */
+    public static int attributeValueIndex(String attributes, String name) {
+        int start = 0;
+        while (start >= 0 && start < attributes.length()) {
+            if (attributes.startsWith(name, start) && attributes.startsWith("=", start + name.length())) {
+                return start + name.length() + 1;
             }
+            int comma = attributes.indexOf(',', start);
+            start = comma < 0 ? -1 : comma + 1;
         }
         return -1;
     }
 
-    /** A load report as the module takes it; null where there is none or a figure is not one. */
-    public static float[] parseLoadReport(String list, List<String> names) {
-        if (list == null || names.isEmpty()) {
+    /** Parses the figures of a load report, in the order of the names; null if one is missing or no number. */
+    public static float[] parseLoadReport(String attributes, List<String> names) {
+        if (attributes == null || names.isEmpty()) {
             return null;
         }
-        float[] report = new float[Math.min(4, names.size())];
+        float[] report = new float[Math.min(MAX_REPORT_FIGURES, names.size())];
         for (int i = 0; i < report.length; i++) {
-            String value = attribute(list, names.get(i));
+            String value = attribute(attributes, names.get(i));
             if (value == null) {
                 return null;
             }
@@ -151,20 +165,21 @@
         return report;
     }
 
-    /** Writes a figure of 0 or more without a string in between. */
-    public static void writeDecimal(ByteBuf out, int n) {
+    /** Writes a number of 0 or more in decimal digits, without a string in between. */
+    public static void writeDecimal(ByteBuf output, int number) {
         int power = 1;
-        while (n / power >= 10) {
+        while (number / power >= 10) {
             power *= 10;
         }
         for (; power > 0; power /= 10) {
-            out.writeByte('0' + n / power % 10);
+            output.writeByte('0' + number / power % 10);
         }
     }
 
-    public static ByteBuf ascii(ByteBufAllocator alloc, String text) {
-        ByteBuf buf = alloc.buffer(text.length() + 2);
-        ByteBufUtil.writeAscii(buf, text);
-        return buf;
+    /** A new buffer with the text, which must be ASCII. */
+    public static ByteBuf ascii(ByteBufAllocator allocator, String text) {
+        ByteBuf buffer = allocator.buffer(text.length() + 2);
+        ByteBufUtil.writeAscii(buffer, text);
+        return buffer;
     }
 }
--- a/src/main/java/cacheproxy/proxy/request/RequestHandler.java
+++ b/src/main/java/cacheproxy/proxy/request/RequestHandler.java
@@ -1,16 +1,18 @@
 package cacheproxy.proxy.request;
 
-/** What fronts hand requests to. */
+/** What client connections submit requests to; on the event loop. */
 public interface RequestHandler {
-    /** A request in hand. */
+    /** A submitted request. */
     interface Handle {
-        /** The client has left: no answer is owed any more, none will be given. */
+        /** The client has closed its connection: there will be no response. */
         void clientDisconnected();
     }
 
     /**
-     * Takes a request whose last byte has come. From here on its value belongs to the callee, and the responder gets
-     * exactly one answer unless the client leaves before.
+     * Takes a request that has been received whole. From here on its value belongs to the handler, and the responder
+     * gets exactly one response unless the client disconnects before.
+     *
+     * @return null if the request has its response already
      */
     Handle submit(ClientRequest request, Responder responder);
 }
--- a/src/main/java/cacheproxy/proxy/request/RequestValidator.java
+++ b/src/main/java/cacheproxy/proxy/request/RequestValidator.java
@@ -7,63 +7,84 @@
 import java.util.List;
 import java.util.Map;
 
-/** Reads what a request's list of names and values says, and turns away what can't be a request. */
+/**
+ * Reads class, tenant, deadline and hints from a request's attributes, and rejects requests that have invalid ones or
+ * the id of another open request.
+ */
 public final class RequestValidator {
-    private final EventLoopContext core;
-    private final List<ServiceClass> kinds;
-    private final Map<String, Integer> classes = new HashMap<>();
-    private final Map<String, Integer> tenants = new HashMap<>();
+    private static final double MICROS_PER_MS = 1000;
+    private static final int HEX_RADIX = 16;
+    /** Hexadecimal digits of a 64-bit number. */
+    private static final int MAX_HEX_DIGITS = 16;
 
-    public RequestValidator(EventLoopContext core, List<ServiceClass> kinds, List<Tenant> owners) {
-        this.core = core;
-        this.kinds = kinds;
-        for (ServiceClass c : kinds) {
-            classes.put(c.name(), classes.size());
-        }
-        owners.forEach(t -> tenants.put(t.name(), tenants.size()));
+    private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+    private static final long FNV_PRIME = 0x100000001b3L;
+
+    private final EventLoopContext loopContext;
+    private final List<ServiceClass> classes;
+    private final Map<String, Integer> classIndices = new HashMap<>();
+    private final Map<String, Integer> tenantIndices = new HashMap<>();
+
+    /** Knows these classes and tenants; without tenants, the attribute that names one is not looked at. */
+    public RequestValidator(EventLoopContext loopContext, List<ServiceClass> classes, List<Tenant> tenants) {
+        this.loopContext = loopContext;
+        this.classes = classes;
+        classes.forEach(serviceClass -> classIndices.put(serviceClass.name(), classIndices.size()));
+        tenants.forEach(tenant -> tenantIndices.put(tenant.name(), tenantIndices.size()));
     }
 
-    /** Fills in the request's figures; what is wrong with it, or null. */
-    public String resolve(ClientRequest c) {
-        Integer kind = classes.get(String.valueOf(MetaCodec.attribute(c.attributes, "c")));
-        String owner = MetaCodec.attribute(c.attributes, "t");
-        Integer tenant = tenants.isEmpty() || owner == null ? Integer.valueOf(0) : tenants.get(owner);
-        double wait = kind == null ? 0 : deadline(c, kinds.get(kind).deadlineMs());
-        if (kind == null || tenant == null || !(wait > 0 && wait <= Integer.MAX_VALUE)) {
+    /**
+     * Sets the request's class, tenant, times and hints, and opens its id.
+     *
+     * @return what is wrong with the request, or null; with an error, its id is not opened
+     */
+    public String resolve(ClientRequest request) {
+        String attributes = request.attributes();
+        Integer serviceClass = classIndices.get(String.valueOf(MetaCodec.attribute(attributes, "c")));
+        Integer tenant = tenantIndex(MetaCodec.attribute(attributes, "t"));
+        double deadlineMs = serviceClass == null
+                ? 0
+                : deadlineMs(attributes, classes.get(serviceClass).deadlineMs());
+        if (serviceClass == null || tenant == null || !(deadlineMs > 0 && deadlineMs <= Integer.MAX_VALUE)) {
             return "unknown class, tenant or deadline";
         }
-        if (!core.openIds.add(c.id)) {
-            // Ids are new with every request. Servers tell answers apart by them, so a second request under the id of
-            // one that is open could be served with the other's value.
+        if (!loopContext.openIds.add(request.id())) {
+            // Servers match responses to requests by the id. A second request under the id of an open one could be
+            // served with the other's value.
             return "id is in use";
         }
-        if (Double.isNaN(c.arrivedMs)) {
-            c.arrivedMs = core.now();
+        if (Double.isNaN(request.arrivedMs())) {
+            request.setArrivedMs(loopContext.now());
         }
-        c.dueMs = c.arrivedMs + wait;
-        c.clientDueMs = c.dueMs;
-        c.serviceClass = kind;
-        c.tenant = tenant;
-        c.workHintMs = figure(c, "h", Double.NaN) / 1000;
-        c.sizeHintBytes = (float) figure(c, "size", 0);
-        c.isRetry = "1".equals(MetaCodec.attribute(c.attributes, "r"));
+        request.resolve(serviceClass, tenant, request.arrivedMs() + deadlineMs);
+        request.setHints(
+                number(attributes, "h", Double.NaN) / MICROS_PER_MS,
+                (float) number(attributes, "size", 0),
+                "1".equals(MetaCodec.attribute(attributes, "r")));
         return null;
     }
 
-    /** Whether its client has stopped waiting by now: a request that lay unread for too long. */
-    public boolean isExpired(ClientRequest c) {
-        return c.dueMs <= core.now();
+    private Integer tenantIndex(String name) {
+        return tenantIndices.isEmpty() || name == null ? Integer.valueOf(0) : tenantIndices.get(name);
     }
 
-    /** A deadline that is there and is no number is 0: it must not pass for one that is absent. */
-    private static double deadline(ClientRequest c, double absent) {
-        String text = MetaCodec.attribute(c.attributes, "d");
-        boolean number = text == null || text.chars().allMatch(d -> (d >= '0' && d <= '9') || d == '.');
-        return number ? figure(c, "d", text == null ? absent : 0) : 0;
+    /** Whether the client has stopped waiting by now, as the request was read too late. */
+    public boolean isExpired(ClientRequest request) {
+        return request.dueMs() <= loopContext.now();
+    }
+
+    /** The deadline; 0, which is invalid, if it is there and no number, as it must not pass for an absent one. */
+    private static double deadlineMs(String attributes, double defaultMs) {
+        String text = MetaCodec.attribute(attributes, "d");
+        if (text == null) {
+            return defaultMs;
+        }
+        boolean decimal = text.chars().allMatch(digit -> (digit >= '0' && digit <= '9') || digit == '.');
+        return decimal ? number(attributes, "d", 0) : 0;
     }
 
-    private static double figure(ClientRequest c, String name, double absent) {
-        String text = MetaCodec.attribute(c.attributes, name);
+    private static double number(String attributes, String name, double absent) {
+        String text = MetaCodec.attribute(attributes, name);
         try {
             return text == null ? absent : Double.parseDouble(text);
         } catch (NumberFormatException e) {
@@ -71,17 +92,20 @@
         }
     }
 
-    /** The module's key: what the text's hexadecimal digits say, else a hash of it that is alike everywhere. */
-    public static long keyHash(String text) {
-        long hash = 0xcbf29ce484222325L;
+    /**
+     * The number of a key that servers are chosen by: the value of up to 16 hexadecimal digits, unless that is 0, and
+     * otherwise the FNV-1a hash of the characters, which is the same in every process.
+     */
+    public static long keyHash(String key) {
+        long hash = FNV_OFFSET_BASIS;
         long value = 0;
-        boolean hex = text.length() <= 16;
-        for (int i = 0; i < text.length(); i++) {
-            int digit = Character.digit(text.charAt(i), 16);
-            hex &= digit >= 0;
+        boolean hexadecimal = key.length() <= MAX_HEX_DIGITS;
+        for (int i = 0; i < key.length(); i++) {
+            int digit = Character.digit(key.charAt(i), HEX_RADIX);
+            hexadecimal &= digit >= 0;
             value = value << 4 | (digit & 15);
-            hash = (hash ^ text.charAt(i)) * 0x100000001b3L;
+            hash = (hash ^ key.charAt(i)) * FNV_PRIME;
         }
-        return hex && value != 0 ? value : hash;
+        return hexadecimal && value != 0 ? value : hash;
     }
 }
--- a/src/main/java/cacheproxy/proxy/request/Responder.java
+++ b/src/main/java/cacheproxy/proxy/request/Responder.java
@@ -3,44 +3,45 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * Where the one answer to a request goes. A front writes it in its own grammar. Exactly one of {@link #value},
- * {@link #receipt}, {@link #miss}, {@link #refused}, {@link #failed} and {@link #rejected} is called, or {@link #begin}
- * and then parts up to {@link #end} or {@link #breakOff}. All calls come on the event loop, perhaps before the call
- * that handed the request in has returned.
+ * Receives the one response to a request and writes it in the client's grammar. The caller calls exactly one of
+ * {@link #value}, {@link #stored}, {@link #miss}, {@link #busy}, {@link #failed} and {@link #badRequest}; or
+ * {@link #beginValue}, then any number of {@link #valuePart}, and {@link #endValue} or {@link #abortValue}. Calls come
+ * on the event loop, perhaps before the call that submitted the request has returned.
  */
 public interface Responder {
-    /** Lets a long answer go on, or holds it back while the client takes nothing. */
+    /** Where the parts of a value come from. */
     interface ValueSource {
-        void setPaused(boolean on);
+        /** Holds back further parts while the client does not take those that were sent, or lets them go on. */
+        void setPaused(boolean paused);
     }
 
-    /** Served: a read's whole value, whose buffer the callee releases. */
+    /** A read was served: the whole value, whose buffer the callee releases. */
     void value(ByteBuf value);
 
-    /** Served: a write's receipt, null where its server gives none. */
+    /** A write was served; the receipt is null if the server gives none. */
     void stored(String receipt);
 
-    /** No server has the key and there is no origin to ask. */
+    /** No server has the key, and there is no origin to ask. */
     void miss();
 
-    /** Turned away: a retry is harmless, after so many milliseconds; 0: no advice. */
+    /** The request was rejected, so that a retry is harmless after this time in milliseconds; under 1: no advice. */
     void busy(double retryAfterMs);
 
-    /** Failed, nothing is promised. */
+    /** The request failed; it may have been carried out. */
     void failed();
 
-    /** The request itself is at fault; nothing was sent. */
+    /** The request itself is invalid, and nothing was sent to a server. */
     void badRequest(String reason);
 
-    /** A value of so many bytes begins; {@code source} holds back what is to come. */
+    /** A value of this length begins, whose parts follow as they arrive. */
     void beginValue(int lengthBytes, ValueSource source);
 
-    /** Some bytes of the value that has begun; the callee releases them. */
+    /** Some bytes of the value that has begun, whose buffer the callee releases. */
     void valuePart(ByteBuf part);
 
-    /** The value that has begun is whole. */
+    /** The value that has begun is complete. */
     void endValue();
 
-    /** The value that has begun will not become whole. */
+    /** The value that has begun will not be completed. */
     void abortValue();
 }
