--- a/src/main/java/cacheproxy/proxy/process/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/process/Proxy.java
@@ -65,7 +65,7 @@
                     config.control() != null && OperatorActions.predecessorSeemsToRun(config.listen(), folder());
             WarmUp.run(loop, config, WarmUpPlan.of(config.settings().instanceCount(), beside));
         }
-        core = EventLoopContext.of(loop, polls, config, Transport.BEST.socket());
+        core = new EventLoopContext(loop, polls, Transport.BEST.socket(), config.eventLoopLimits());
         core.watchPauses();
         useEventLog(config);
         dispatcher = new Dispatcher(core, Dispatcher.Pool.of(config));
--- a/src/main/java/cacheproxy/proxy/request/RequestValidator.java
+++ b/src/main/java/cacheproxy/proxy/request/RequestValidator.java
@@ -48,7 +48,7 @@
         if (serviceClass == null || tenant == null || !(deadlineMs > 0 && deadlineMs <= Integer.MAX_VALUE)) {
             return "unknown class, tenant or deadline";
         }
-        if (!loopContext.openIds.add(request.id())) {
+        if (!loopContext.openId(request.id())) {
             // Servers match responses to requests by the id. A second request under the id of an open one could be
             // served with the other's value.
             return "id is in use";
