--- a/src/main/java/cacheproxy/Main.java
+++ b/src/main/java/cacheproxy/Main.java
@@ -1,7 +1,7 @@
 package cacheproxy;
 
 import cacheproxy.cli.Cli;
-import cacheproxy.proxy.process.Proxy;
+import cacheproxy.proxy.process.PlatformCommands;
 import cacheproxy.simulator.SimulatorAdapter;
 
 /**
@@ -16,8 +16,8 @@
     /** Runs until the input ends ({@code adapter}) or the process is told to end ({@code serve}). */
     public static void main(String[] args) {
         switch (args.length == 1 ? args[0] : "") {
-            case "serve" -> Proxy.main();
-            case "train" -> System.exit(Proxy.train());
+            case "serve" -> PlatformCommands.serve();
+            case "train" -> System.exit(PlatformCommands.train());
             case "adapter", "drill" -> System.exit(SimulatorAdapter.main());
             default -> System.exit(Cli.run(args));
         }
--- a/src/main/java/cacheproxy/proxy/process/GracefulShutdown.java
+++ b/src/main/java/cacheproxy/proxy/process/GracefulShutdown.java
@@ -5,42 +5,52 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
+import java.util.function.DoubleSupplier;
 
 /**
- * The end of a process that has been told to go: for {@link Listener}'s grace it listens on, as clients may not have
- * heard, then it answers what it has and takes nothing new.
+ * The shutdown of a process: it listens on for a grace period, as clients may not know of it yet, and then responds to
+ * the requests that it has, until the longest deadline at most.
  */
 public final class GracefulShutdown {
-    /** What an answer may take to reach its client once the last deadline is over. */
-    private static final double LAST_MS = 150;
+    /** What a response may take to reach its client after the last deadline. */
+    private static final double LAST_RESPONSE_MS = 150;
 
-    private static final int LOOK_MS = 20;
+    private static final int POLL_INTERVAL_MS = 20;
 
     private final EventLoop loop;
-    private final EventLoopContext core;
-    private final double listenOnMs;
-    private final BooleanSupplier empty;
+    private final EventLoopContext loopContext;
+    private final double listenGraceMs;
+    private final BooleanSupplier drained;
     private final CountDownLatch ended = new CountDownLatch(1);
     private double listenEndsMs;
     private double drainEndsMs;
 
     /**
-     * @param listenOnMs how long new connections are still taken
-     * @param empty takes nothing new from now on, and says whether all is answered; called on the loop, again and again
+     * A shutdown that has not begun.
+     *
+     * @param listenGraceMs how long connections are still accepted, in milliseconds
+     * @param drained stops accepting requests, and returns whether all have their responses; called repeatedly on the
+     *     event loop after the grace period
      */
-    public GracefulShutdown(EventLoop loop, EventLoopContext core, double listenOnMs, BooleanSupplier empty) {
+    public GracefulShutdown(
+            EventLoop loop, EventLoopContext loopContext, double listenGraceMs, BooleanSupplier drained) {
         this.loop = loop;
-        this.core = core;
-        this.listenOnMs = listenOnMs;
-        this.empty = empty;
+        this.loopContext = loopContext;
+        this.listenGraceMs = listenGraceMs;
+        this.drained = drained;
     }
 
-    /** Returns when all is answered, or the longest deadline, asked for on the loop, is over. */
-    public void run(java.util.function.DoubleSupplier longestDeadlineMs) {
+    /**
+     * Shuts down; returns when all requests have their responses or the longest deadline is over, or when the thread is
+     * interrupted. Not on the event loop.
+     *
+     * @param longestDeadlineMs called once on the event loop
+     */
+    public void run(DoubleSupplier longestDeadlineMs) {
         loop.execute(() -> {
-            listenEndsMs = core.now() + listenOnMs;
-            drainEndsMs = listenEndsMs + longestDeadlineMs.getAsDouble() + LAST_MS;
-            look();
+            listenEndsMs = loopContext.now() + listenGraceMs;
+            drainEndsMs = listenEndsMs + longestDeadlineMs.getAsDouble() + LAST_RESPONSE_MS;
+            poll();
         });
         try {
             ended.await();
@@ -50,12 +60,12 @@
     }
 
     @SuppressWarnings("FutureReturnValueIgnored") // the timer is never cancelled; what it runs handles its own errors
-    private void look() {
-        double now = core.now();
-        if (now >= listenEndsMs && (empty.getAsBoolean() || now >= drainEndsMs)) {
+    private void poll() {
+        double nowMs = loopContext.now();
+        if (nowMs >= listenEndsMs && (drained.getAsBoolean() || nowMs >= drainEndsMs)) {
             ended.countDown();
             return;
         }
-        loop.schedule(this::look, LOOK_MS, TimeUnit.MILLISECONDS);
+        loop.schedule(this::poll, POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 }
--- a/src/main/java/cacheproxy/proxy/process/OperatorActions.java
+++ b/src/main/java/cacheproxy/proxy/process/OperatorActions.java
@@ -25,126 +25,145 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * What operators do with a running proxy: ask it whether it takes clients, send them away and call them back, and start
- * its next version beside it. Loaded only where a control address is configured.
+ * What operators do with a running proxy: ask whether it accepts clients, put it into standby and back, have it reload
+ * its configuration, and start its next version beside it, which takes over the listening socket. Loaded only if a
+ * control address is configured. Requests are handled on the event loop.
  */
 final class OperatorActions {
-    /** Descriptors that the door and a successor's line need. */
+    /** Descriptors of the control address and of the handover to a successor. */
     static final int MAX_DESCRIPTORS = ControlServer.MAX_CONNECTIONS + 4;
-    /** A process with part of a core may be halted for some time; a new one has 6 s in all. */
-    private static final long TAKE_MS = 1500;
+    /**
+     * How long the listening socket is awaited from a predecessor, which may be halted for some time if it has part of
+     * a core; a new process has 6 s in all.
+     */
+    private static final long HANDOVER_TIMEOUT_MS = 1500;
 
-    private static final long LOOK_MS = 20;
+    private static final long STANDBY_POLL_INTERVAL_MS = 20;
 
     private final EventLoop loop;
-    private final EventLoopContext core;
+    private final EventLoopContext loopContext;
     private final Lifecycle lifecycle;
     private final Listener listener;
-    private final ControlServer door;
+    private final ControlServer controlServer;
+    /** Null if a successor can't get the listening socket. */
     private Handover handover;
-    private Future<?> looking;
+    /** Null unless the proxy is in standby. */
+    private Future<?> standbyPoll;
 
     private OperatorActions(
-            EventLoop loop, EventLoopContext core, Lifecycle lifecycle, Listener listener, BooleanSupplier reload) {
-        this.loop = loop;
-        this.core = core;
+            EventLoopContext loopContext, Lifecycle lifecycle, Listener listener, BooleanSupplier reload) {
+        loop = loopContext.loop();
+        this.loopContext = loopContext;
         this.lifecycle = lifecycle;
         this.listener = listener;
-        door = new ControlServer(
+        controlServer = new ControlServer(
                 loop,
                 Transport.BEST.server(),
                 new ControlEndpoints(
                         () -> lifecycle.state() == LifecycleState.ACTIVE,
                         () -> lifecycle.state().statusText(),
-                        this::standby,
-                        this::active,
-                        new DiagnosticEndpoints(core.invariants::summary, core.events::setEnabled, reload)));
+                        this::enterStandby,
+                        this::leaveStandby,
+                        new DiagnosticEndpoints(
+                                loopContext.invariants::summary, loopContext.events::setEnabled, reload)));
     }
 
     /**
-     * Takes clients, from a running process at the same address if there is one, and then calls of operators.
+     * Accepts clients, at the socket of a process that runs at the same address if there is one, and then requests of
+     * operators.
      *
-     * @param folder one that this process shares with its next version
-     * @param reload has the configuration read again; false where there is none
+     * @param reload begins to read the configuration again; returns false if there is none to read
+     * @throws IllegalStateException if the control address can't be bound
      */
     static OperatorActions start(
-            EventLoop loop,
-            EventLoopContext core,
+            EventLoopContext loopContext,
             Lifecycle lifecycle,
             Listener listener,
-            InetSocketAddress listen,
-            InetSocketAddress control,
-            Path folder,
+            PlatformConfig config,
             BooleanSupplier reload)
             throws InterruptedException {
-        OperatorActions o = new OperatorActions(loop, core, lifecycle, listener, reload);
-        Path path = HandoverPath.of(folder, listen.getPort());
+        OperatorActions actions = new OperatorActions(loopContext, lifecycle, listener, reload);
+        actions.listen(config);
+        InetSocketAddress control = config.control();
+        try {
+            actions.controlServer.bind(control).sync();
+        } catch (Exception e) {
+            throw new IllegalStateException("control " + control + ": " + e.getMessage(), e);
+        }
+        return actions;
+    }
+
+    private void listen(PlatformConfig config) throws InterruptedException {
+        Path path = handoverPath(config);
         Optional<InheritedSocket> inherited =
-                Epoll.isAvailable() ? HandoverReceiver.receive(loop, path, TAKE_MS) : Optional.empty();
+                Epoll.isAvailable() ? HandoverReceiver.receive(loop, path, HANDOVER_TIMEOUT_MS) : Optional.empty();
         if (inherited.isPresent()) {
             listener.adopt(inherited.get().descriptor()).sync();
         } else {
-            listener.bind(listen, true).sync();
+            listener.bind(config.listen(), true).sync();
         }
         if (listener.descriptor() >= 0) {
-            try {
-                Channel predecessor =
-                        inherited.map(InheritedSocket::predecessor).orElse(null);
-                o.handover = Handover.offer(loop, path, listener.descriptor(), predecessor);
-            } catch (IOException | RuntimeException e) {
-                core.log("a next version will have a queue of its own: " + e.getMessage());
-            }
+            offerHandover(path, inherited.map(InheritedSocket::predecessor).orElse(null));
         }
+    }
+
+    private void offerHandover(Path path, Channel predecessor) {
         try {
-            o.door.bind(control).sync();
-        } catch (Exception e) {
-            throw new IllegalStateException("control " + control + ": " + e.getMessage(), e);
+            handover = Handover.offer(loop, path, listener.descriptor(), predecessor);
+        } catch (IOException | RuntimeException e) {
+            loopContext.log("a next version will have a queue of its own: " + e.getMessage());
         }
-        return o;
+    }
+
+    private static Path handoverPath(PlatformConfig config) {
+        return HandoverPath.of(Proxy.sharedFolder(), config.listen().getPort());
     }
 
     /**
-     * Whether a process that this one is to follow seems to serve. One that was killed may have left its path behind;
-     * then this one starts with more care than it needs.
+     * Whether a process seems to run that this one is to follow. A process that was killed may have left its path
+     * behind; then this one starts with more care than it needs.
      */
-    static boolean predecessorSeemsToRun(InetSocketAddress listen, Path folder) {
-        return Files.exists(HandoverPath.of(folder, listen.getPort()));
+    static boolean predecessorSeemsToRun(PlatformConfig config) {
+        return Files.exists(handoverPath(config));
     }
 
+    /** The control address, with the port that the system chose for port 0. */
     InetSocketAddress address() {
-        return door.address();
+        return controlServer.address();
     }
 
+    /** Whether another process has taken over the listening socket. */
     boolean hasSuccessor() {
         return handover != null && handover.hasSuccessor();
     }
 
-    private boolean standby() {
-        boolean yes = lifecycle.enterStandby(core.now());
-        if (yes && looking == null) {
-            looking = loop.scheduleWithFixedDelay(this::look, 0, LOOK_MS, TimeUnit.MILLISECONDS);
+    private boolean enterStandby() {
+        boolean entered = lifecycle.enterStandby(loopContext.now());
+        if (entered && standbyPoll == null) {
+            standbyPoll = loop.scheduleWithFixedDelay(
+                    this::applyLifecycle, 0, STANDBY_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
         }
-        return yes;
+        return entered;
     }
 
-    private boolean active() {
-        boolean yes = lifecycle.leaveStandby();
-        look();
-        return yes;
+    private boolean leaveStandby() {
+        boolean left = lifecycle.leaveStandby();
+        applyLifecycle();
+        return left;
     }
 
-    private void look() {
+    private void applyLifecycle() {
         listener.setAcceptsClients(lifecycle.acceptsClients());
-        listener.closeIdle(lifecycle.closingFraction(core.now()));
-        if (lifecycle.state() != LifecycleState.STANDBY && looking != null) {
-            looking.cancel(false);
-            looking = null;
+        listener.closeIdle(lifecycle.closingFraction(loopContext.now()));
+        if (lifecycle.state() != LifecycleState.STANDBY && standbyPoll != null) {
+            standbyPoll.cancel(false);
+            standbyPoll = null;
         }
     }
 
-    /** The process ends: no further call is taken, and the next version asks somebody else. */
+    /** The process ends: no further request is taken, and a next version finds no socket to take over. */
     void close() {
-        door.close();
+        controlServer.close();
         if (handover != null) {
             handover.close();
         }
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/process/PlatformCommands.java
@@ -0,0 +1,84 @@
+package cacheproxy.proxy.process;
+
+import cacheproxy.proxy.net.NettyDefaults;
+import java.io.IOException;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+import java.util.List;
+
+/** The platform's commands: {@code serve} runs one proxy, {@code train} makes the class archive of the build. */
+public final class PlatformCommands {
+    /** The environment variable that names the configuration's file. */
+    private static final String CONFIG_VARIABLE = "BALANCER_CONFIG";
+
+    private static final List<String> OPERATOR_REQUESTS = List.of("GET /status", "POST /standby", "POST /active");
+
+    private PlatformCommands() {}
+
+    /**
+     * Starts a proxy by the configuration that the environment names; SIGTERM ends it. Exits with status 2 if the
+     * configuration is invalid, and 1 if the proxy can't be started.
+     */
+    public static void serve() {
+        NettyDefaults.apply();
+        PlatformConfig config = readConfigOrExit();
+        String path = System.getenv(CONFIG_VARIABLE);
+        try {
+            boolean getsSighup = SighupHandler.install(() -> {});
+            Proxy proxy = Proxy.startWarm(config);
+            if (!getsSighup) {
+                proxy.log(SighupHandler.IGNORED_MESSAGE);
+            }
+            SighupHandler.install(() -> proxy.reload(path));
+            proxy.setReloadPath(path);
+            Runtime.getRuntime().addShutdownHook(new Thread(proxy::drain));
+        } catch (Exception e) {
+            System.err.println("can't listen on " + config.listen() + ": " + e.getMessage());
+            System.exit(1);
+        }
+    }
+
+    private static PlatformConfig readConfigOrExit() {
+        try {
+            return PlatformConfig.read(System.getenv(CONFIG_VARIABLE));
+        } catch (IllegalArgumentException e) {
+            System.err.println(e.getMessage());
+            System.exit(2);
+            throw e;
+        }
+    }
+
+    /**
+     * Starts a proxy and its next version, sends the requests of operators and shuts both down, so that the build can
+     * archive the classes that a proxy loads. Each start has to load and verify other classes anew.
+     *
+     * @return the exit status
+     */
+    public static int train() {
+        NettyDefaults.apply();
+        try {
+            SighupHandler.install(() -> {});
+            PlatformConfig config = readConfigOrExit().forTraining();
+            Proxy first = Proxy.startWarm(config);
+            Proxy next = Proxy.start(config);
+            for (String request : OPERATOR_REQUESTS) {
+                sendToControl(config, next, request);
+            }
+            first.drain();
+            next.drain();
+            return 0;
+        } catch (InterruptedException | IOException | ReflectiveOperationException e) {
+            System.err.println("no training: " + e);
+            return 1;
+        }
+    }
+
+    private static void sendToControl(PlatformConfig config, Proxy proxy, String request) throws IOException {
+        try (Socket operator =
+                new Socket(config.listen().getAddress(), proxy.controlAddress().getPort())) {
+            String head = request + " HTTP/1.1\r\nHost: train\r\n\r\n";
+            operator.getOutputStream().write(head.getBytes(StandardCharsets.US_ASCII));
+            operator.getInputStream().readAllBytes();
+        }
+    }
+}
--- a/src/main/java/cacheproxy/proxy/process/PlatformConfig.java
+++ b/src/main/java/cacheproxy/proxy/process/PlatformConfig.java
@@ -1,26 +1,37 @@
 package cacheproxy.proxy.process;
 
-import cacheproxy.config.Addresses;
 import cacheproxy.policy.PolicySettings;
 import cacheproxy.proxy.upstream.EventLoopLimits;
-import cacheproxy.simulator.SettingsParser;
-import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
-import com.google.gson.JsonPrimitive;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.net.ServerSocket;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.ArrayList;
-import java.util.HashMap;
 import java.util.List;
-import java.util.Map;
 
 /**
- * What the proxy is told at its start. Settings are read by the adapter's own parser, from the same paths and values;
- * addresses are literal, as there is no DNS.
+ * The configuration of the platform's proxy process, from the JSON file that the environment names.
+ *
+ * @param name the proxy's name
+ * @param listen the address for clients
+ * @param discovery the address of the discovery service
+ * @param seed the seed of the policy's random choices
+ * @param cores the CPU that the process may use
+ * @param memoryMb the memory that the process may use, in MiB
+ * @param maxSockets the file descriptors that the process may use
+ * @param peerListen the address for messages of other proxies; null if there is none
+ * @param peers the addresses of the proxies by their numbers
+ * @param peersAll the address that reaches all proxies; null if there is none
+ * @param control the address for operators; null if there is none
+ * @param eventLog whether the event log is on; null leaves it as it is
+ * @param initialHosts an endpoint list to begin with, in discovery's form; null if there is none
+ * @param settings the policy's settings
+ * @param zones the names of zones; servers name theirs, settings use the index
+ * @param kinds the names of server kinds; servers name theirs, settings use the index
+ * @param idleCloseMs the time after which servers close idle connections, in milliseconds
+ * @param streamsPerConnection the attempts that may share a connection to a cache node, at least 1
  */
 public record PlatformConfig(
         String name,
@@ -51,14 +62,19 @@
     private static final int SERVER_SOCKETS_DIVISOR = 3;
     /** An eighth of the memory is for clients' values. */
     private static final int VALUE_MEMORY_DIVISOR = 8;
+    /**
+     * Descriptors of the JVM and its files, the listening socket, discovery and peers: 41 in a running process, and a
+     * few to spare.
+     */
+    private static final int PROCESS_DESCRIPTORS = 48;
 
-    /** The limits of the process's one event loop. */
-    EventLoopLimits eventLoopLimits() {
-        long valueBytes = Math.min(((long) memoryMb << 20) / VALUE_MEMORY_DIVISOR, MAX_VALUE_BYTES);
-        return new EventLoopLimits(valueBytes, maxSockets / SERVER_SOCKETS_DIVISOR, false);
-    }
+    private static final int MIN_CLIENT_CONNECTIONS = 16;
 
-    /** Reads the file; an IllegalArgumentException says in one line what is wrong. */
+    /**
+     * Reads the file.
+     *
+     * @throws IllegalArgumentException if it can't be read or is invalid; the message names it in one line
+     */
     static PlatformConfig read(String path) {
         if (path == null || path.isEmpty()) {
             throw new IllegalArgumentException("BALANCER_CONFIG names no file");
@@ -67,64 +83,67 @@
             return parse(JsonParser.parseString(Files.readString(Path.of(path))).getAsJsonObject());
         } catch (Exception e) {
             String message = String.valueOf(e.getMessage()).lines().findFirst().orElse("");
-            throw new IllegalArgumentException("configuration " + path + ": "
-                    + (e instanceof IllegalArgumentException ? "" : e.getClass().getSimpleName() + " ") + message);
+            String type =
+                    e instanceof IllegalArgumentException ? "" : e.getClass().getSimpleName() + " ";
+            throw new IllegalArgumentException("configuration " + path + ": " + type + message, e);
         }
     }
 
+    /**
+     * Parses a configuration.
+     *
+     * @throws RuntimeException if a value is missing or invalid
+     */
     public static PlatformConfig parse(JsonObject json) {
-        Map<String, String> values = new HashMap<>();
-        flatten("", need(json, "settings"), values);
-        SettingsParser parser = new SettingsParser(values);
-        JsonObject limits = json.has("limits") ? json.getAsJsonObject("limits") : new JsonObject();
-        List<InetSocketAddress> peers = new ArrayList<>();
-        if (json.has("peers")) {
-            json.getAsJsonArray("peers").forEach(p -> peers.add(Addresses.parse(p.getAsString())));
-        }
-        return new PlatformConfig(
-                json.has("name") ? json.get("name").getAsString() : "proxy",
-                Addresses.parse(need(json, "listen").getAsString()),
-                Addresses.parse(need(json, "discovery").getAsString()),
-                Long.parseUnsignedLong(need(json, "seed").getAsString(), 16),
-                number(limits, "cores", 1),
-                (int) number(limits, "memory_mb", 192),
-                (int) number(limits, "sockets", 1024),
-                optionalAddress(json, "peer_listen"),
-                List.copyOf(peers),
-                optionalAddress(json, "peers_all"),
-                optionalAddress(json, "control"),
-                json.has("event_log") ? json.get("event_log").getAsBoolean() : null,
-                json.has("known") ? json.getAsJsonObject("known") : null,
-                parser.settings(),
-                parser.list("zones"),
-                parser.list("kinds"),
-                parser.number("caps.idle-close", 15_000),
-                Math.max(1, (int) parser.number("caps.streams-per-conn", 1)));
+        return PlatformConfigParser.parse(json);
+    }
+
+    /** A name of discovery's as settings have it: without spaces and commas. */
+    public static String toSettingName(String name) {
+        return PlatformConfigParser.toSettingName(name);
+    }
+
+    /** The limits of the process's one event loop. */
+    EventLoopLimits eventLoopLimits() {
+        long valueBytes = Math.min(((long) memoryMb << 20) / VALUE_MEMORY_DIVISOR, MAX_VALUE_BYTES);
+        return new EventLoopLimits(valueBytes, serverSockets(), false);
+    }
+
+    /** How many client connections may be open: the sockets that nothing else needs. */
+    int maxClientConnections() {
+        int operatorDescriptors = control == null ? 0 : OperatorActions.MAX_DESCRIPTORS;
+        return Math.max(
+                MIN_CLIENT_CONNECTIONS, maxSockets - serverSockets() - PROCESS_DESCRIPTORS - operatorDescriptors);
+    }
+
+    private int serverSockets() {
+        return maxSockets / SERVER_SOCKETS_DIVISOR;
     }
 
     /**
-     * The same with all that a platform may configure, on ports of the system's choice. The listening one is chosen
-     * now: it names the path of the handover, which another build at the same time must not have.
+     * A copy for the training of the class archive: everything that a platform may configure is on, at ports of the
+     * system's choice. The port for clients is chosen now, as it names the path of the handover, which another build at
+     * the same time must not have.
      */
     PlatformConfig forTraining() throws IOException {
-        InetSocketAddress any = new InetSocketAddress(listen.getAddress(), 0);
-        InetSocketAddress chosen;
-        try (ServerSocket free = new ServerSocket()) {
-            free.bind(any);
-            chosen = (InetSocketAddress) free.getLocalSocketAddress();
+        InetSocketAddress anyPort = new InetSocketAddress(listen.getAddress(), 0);
+        InetSocketAddress chosenPort;
+        try (ServerSocket socket = new ServerSocket()) {
+            socket.bind(anyPort);
+            chosenPort = (InetSocketAddress) socket.getLocalSocketAddress();
         }
         return new PlatformConfig(
                 name,
-                chosen,
+                chosenPort,
                 discovery,
                 seed,
                 cores,
                 memoryMb,
                 maxSockets,
-                any,
+                anyPort,
                 peers,
                 peersAll,
-                any,
+                anyPort,
                 eventLog,
                 initialHosts,
                 settings,
@@ -133,50 +152,4 @@
                 idleCloseMs,
                 streamsPerConnection);
     }
-
-    private static JsonElement need(JsonObject json, String key) {
-        JsonElement value = json.get(key);
-        if (value == null || value.isJsonNull()) {
-            throw new IllegalArgumentException("'" + key + "' is missing");
-        }
-        return value;
-    }
-
-    private static double number(JsonObject json, String key, double absent) {
-        return json.has(key) ? json.get(key).getAsDouble() : absent;
-    }
-
-    private static InetSocketAddress optionalAddress(JsonObject json, String key) {
-        String text =
-                json.has(key) && json.get(key).isJsonPrimitive() ? json.get(key).getAsString() : "";
-        return text.isEmpty() ? null : Addresses.parse(text);
-    }
-
-    /** The simulator's form: lists of plain values joined by commas, lists of objects counted and numbered. */
-    private static void flatten(String path, JsonElement value, Map<String, String> out) {
-        if (value.isJsonObject()) {
-            value.getAsJsonObject()
-                    .entrySet()
-                    .forEach(e -> flatten(path.isEmpty() ? e.getKey() : path + "." + e.getKey(), e.getValue(), out));
-        } else if (value.isJsonArray()) {
-            List<String> plain = new ArrayList<>();
-            int i = 0;
-            for (JsonElement e : value.getAsJsonArray()) {
-                if (e.isJsonPrimitive()) {
-                    plain.add(toSettingName(e.getAsString()));
-                } else {
-                    flatten(path + "." + i, e, out);
-                }
-                i++;
-            }
-            out.put(path + ".count", Integer.toString(i));
-            out.put(path, String.join(",", plain));
-        } else if (value instanceof JsonPrimitive p) {
-            out.put(path, p.getAsString());
-        }
-    }
-
-    public static String toSettingName(String text) {
-        return text.replace(' ', '_').replace(',', '_');
-    }
 }
--- a/src/main/java/cacheproxy/proxy/process/WarmUp.java
+++ b/src/main/java/cacheproxy/proxy/process/WarmUp.java
@@ -36,14 +36,26 @@
 import java.util.function.Supplier;
 import java.util.function.UnaryOperator;
 
+/**
+ * Sends requests through the code of a proxy before it accepts clients, so that this code is loaded and compiled. A
+ * client, a cache node and an origin run in this process, on the proxy's event loop, connected by Unix sockets in a
+ * temporary folder.
+ */
 final class WarmUp {
+    private static final int MAX_CONNECTIONS = 16;
+    private static final int NODE_ID = 1;
+    private static final int ORIGIN_ID = 2;
+
     private final EventLoop loop;
     private final PlatformConfig config;
     private final Path folder;
     private final WarmUpPlan plan;
     private final CountDownLatch done = new CountDownLatch(1);
     private final List<Channel> channels = new ArrayList<>();
+    private final List<Path> socketPaths = new ArrayList<>();
+    /** Requests with a response; on the event loop. */
     private int answered;
+
     private int sent;
 
     private WarmUp(EventLoop loop, PlatformConfig config, Path folder, WarmUpPlan plan) {
@@ -53,22 +65,31 @@
         this.plan = plan;
     }
 
-    /** Warms up; a failure to do so is only told, as the proxy can do without. @return requests answered */
+    /**
+     * Warms up. A failure is only reported, as the proxy can run without.
+     *
+     * @return the number of requests that got a response
+     */
     static int run(EventLoop loop, PlatformConfig config, WarmUpPlan plan) {
-        return run(loop, config, plan, Path.of(System.getenv().getOrDefault("TMPDIR", "/tmp")), a -> a);
+        return run(loop, config, plan, Proxy.sharedFolder(), UnaryOperator.identity());
     }
 
-    /** The same in this folder, where a client dials what is made of the proxy's address. */
+    /**
+     * Warms up with sockets under this folder.
+     *
+     * @param toDialed the address that the client connects to, made of the proxy's
+     */
     static int run(
-            EventLoop loop, PlatformConfig config, WarmUpPlan plan, Path temporary, UnaryOperator<SocketAddress> dial) {
+            EventLoop loop,
+            PlatformConfig config,
+            WarmUpPlan plan,
+            Path temporaryFolder,
+            UnaryOperator<SocketAddress> toDialed) {
         try {
-            // Named by the clock: the library's way draws a secure random number, for which it loads the security
-            // providers.
-            Path folder = Files.createDirectory(temporary.resolve("warm" + Long.toHexString(System.nanoTime()) + "-"
-                    + ProcessHandle.current().pid()));
+            Path folder = Files.createDirectory(temporaryFolder.resolve(uniqueName()));
             WarmUp warmUp = new WarmUp(loop, config, folder, plan);
             try {
-                warmUp.run(dial);
+                warmUp.run(toDialed);
             } finally {
                 Files.delete(folder);
             }
@@ -81,42 +102,59 @@
         return 0;
     }
 
-    private void run(UnaryOperator<SocketAddress> dial) throws InterruptedException, IOException {
-        EventLoopContext core =
+    /** Made from the clock, as the JDK's temporary names draw secure random numbers and load the security providers. */
+    private static String uniqueName() {
+        return "warm" + Long.toHexString(System.nanoTime()) + "-"
+                + ProcessHandle.current().pid();
+    }
+
+    private void run(UnaryOperator<SocketAddress> toDialed) throws InterruptedException, IOException {
+        EventLoopContext loopContext =
                 new EventLoopContext(loop, new PollClock(), Transport.BEST.localSocket(), config.eventLoopLimits());
-        Dispatcher dispatcher = new Dispatcher(core, Dispatcher.Pool.of(config));
-        Listener front = new Listener(
-                core, new ClientRegistry(core, 16), new SinglePoolHandler(core, dispatcher), MetaProtocol.platform());
+        Dispatcher dispatcher = new Dispatcher(loopContext, Dispatcher.Pool.of(config));
+        Listener listener = new Listener(
+                loopContext,
+                new ClientRegistry(loopContext, MAX_CONNECTIONS),
+                new SinglePoolHandler(loopContext, dispatcher),
+                MetaProtocol.platform());
         loop.submit(() -> dispatcher.start(EndpointListSource.NONE, null)).sync();
         try {
-            SocketAddress node = listen("n", Node::new);
-            SocketAddress origin = listen("o", Origin::new);
-            SocketAddress proxy = listen("p", front::newUncountedConnection);
-            int originKind = config.settings().originKind();
-            List<DiscoveryClient.Host> hosts =
-                    List.of(host(1, originKind == 0 ? 1 : 0, node), host(2, Math.max(0, originKind), origin));
-            loop.submit(() -> dispatcher.listed(EndpointListKind.CACHED, hosts)).sync();
-            channels.add(new Bootstrap()
-                    .group(loop)
-                    .channel(Transport.BEST.localSocket())
-                    .handler(new HandlerInitializer(new Client()))
-                    .connect(dial.apply(proxy))
-                    .sync()
-                    .channel());
-            done.await((long) plan.timeLimitMs(), TimeUnit.MILLISECONDS);
-        } finally { // also where such sockets are refused, or each start would leave three, a sweep and a folder
+            sendRequests(dispatcher, listener, toDialed);
+        } finally { // also if sockets are refused, as each start would leave its sockets, a timer and a folder behind
             loop.submit(dispatcher::stop).sync();
-            for (Channel c : channels) {
-                c.close().sync();
+            for (Channel channel : channels) {
+                channel.close().sync();
             }
-            for (String name : new String[] {"n", "o", "p"}) {
-                Files.deleteIfExists(folder.resolve(name));
+            for (Path path : socketPaths) {
+                Files.deleteIfExists(path);
             }
         }
     }
 
+    private void sendRequests(Dispatcher dispatcher, Listener listener, UnaryOperator<SocketAddress> toDialed)
+            throws InterruptedException {
+        SocketAddress node = listen("n", CacheNode::new);
+        SocketAddress origin = listen("o", Origin::new);
+        SocketAddress proxy = listen("p", listener::newUncountedConnection);
+        int originKind = config.settings().originKind();
+        int nodeKind = originKind == 0 ? 1 : 0;
+        List<DiscoveryClient.Host> hosts =
+                List.of(host(NODE_ID, nodeKind, node), host(ORIGIN_ID, Math.max(0, originKind), origin));
+        loop.submit(() -> dispatcher.listed(EndpointListKind.CACHED, hosts)).sync();
+        channels.add(new Bootstrap()
+                .group(loop)
+                .channel(Transport.BEST.localSocket())
+                .handler(new HandlerInitializer(new Client()))
+                .connect(toDialed.apply(proxy))
+                .sync()
+                .channel());
+        done.await((long) plan.timeLimitMs(), TimeUnit.MILLISECONDS);
+    }
+
     private SocketAddress listen(String name, Supplier<ChannelHandler> handler) throws InterruptedException {
-        SocketAddress address = Transport.BEST.local(folder.resolve(name));
+        Path path = folder.resolve(name);
+        socketPaths.add(path);
+        SocketAddress address = Transport.BEST.local(path);
         channels.add(new ServerBootstrap()
                 .group(loop)
                 .channel(Transport.BEST.localServer())
@@ -132,13 +170,13 @@
         return address;
     }
 
-    private static DiscoveryClient.Host host(int id, int kind, SocketAddress dial) {
-        return new DiscoveryClient.Host(new Endpoint(id, 0, kind, 0, EndpointState.READY, 1, 0), dial);
+    private static DiscoveryClient.Host host(int id, int kind, SocketAddress address) {
+        return new DiscoveryClient.Host(new Endpoint(id, 0, kind, 0, EndpointState.READY, 1, 0), address);
     }
 
     /**
-     * One end of a connection that lasts as long as the warm-up. The other end may go with bytes unread, which resets
-     * it: that is no fault, and nothing to tell anyone of.
+     * One end of a connection of the warm-up. The other end may be closed with unread bytes, which resets the
+     * connection; that is no error to report.
      */
     abstract static class ResetTolerantDecoder extends ByteToMessageDecoder {
         @SuppressWarnings("FutureReturnValueIgnored") // the close is observed where the channel becomes inactive
@@ -148,33 +186,39 @@
         }
     }
 
-    /** Answers reads; one in four is a miss. */
-    private static final class Node extends ResetTolerantDecoder {
+    /** A cache node that misses a quarter of the keys. */
+    private static final class CacheNode extends ResetTolerantDecoder {
         @SuppressWarnings("FutureReturnValueIgnored") // a failed write closes the channel, and the close is handled
         @Override
-        protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) throws Exception {
-            String line = MetaCodec.readLine(in);
-            if (line != null) {
-                String id = MetaCodec.flag(line, 3, 'O');
-                boolean miss = id.endsWith("0");
-                ctx.writeAndFlush(MetaCodec.ascii(
-                        ctx.alloc(), miss ? "EN O" + id + " h0\r\n" : "VA 5 O" + id + " h1\r\nhello\r\n"));
+        protected void decode(ChannelHandlerContext ctx, ByteBuf input, List<Object> output) throws Exception {
+            String line = MetaCodec.readLine(input);
+            if (line == null) {
+                return;
             }
+            String id = MetaCodec.flag(line, 3, 'O');
+            boolean miss = id.endsWith("0"); // ids are numbers of base 4
+            String response = miss ? "EN O" + id + " h0\r\n" : "VA 5 O" + id + " h1\r\nhello\r\n";
+            ctx.writeAndFlush(MetaCodec.ascii(ctx.alloc(), response));
         }
     }
 
+    /** An origin that has every key. */
     private static final class Origin extends ResetTolerantDecoder {
         @SuppressWarnings("FutureReturnValueIgnored") // a failed write closes the channel, and the close is handled
         @Override
-        protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) throws Exception {
-            String line = MetaCodec.readLine(in);
-            if (line != null && line.isEmpty()) {
+        protected void decode(ChannelHandlerContext ctx, ByteBuf input, List<Object> output) throws Exception {
+            String line = MetaCodec.readLine(input);
+            if (line != null && line.isEmpty()) { // the end of the request's head
                 ctx.writeAndFlush(MetaCodec.ascii(ctx.alloc(), "HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nhello"));
             }
         }
     }
 
+    /** A client that keeps the plan's number of requests open until all have responses. */
     private final class Client extends ResetTolerantDecoder {
+        private static final int KEY_BASE = 0x70000000;
+        private static final int KEY_STEP = 7919;
+
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
             for (int i = 0; i < plan.concurrency(); i++) {
@@ -184,20 +228,22 @@
 
         @SuppressWarnings("FutureReturnValueIgnored") // a failed write closes the channel, and the close is handled
         private void send(ChannelHandlerContext ctx) {
-            String id = Integer.toString(++sent, 4);
-            ctx.writeAndFlush(MetaCodec.ascii(
-                    ctx.alloc(),
-                    "mg " + Integer.toHexString(0x70000000 + sent * 7919) + " v O" + id + " Pc="
-                            + config.settings().classes().get(0).name() + ",d=60000\r\n"));
+            sent++;
+            String id = Integer.toString(sent, 4);
+            String key = Integer.toHexString(KEY_BASE + sent * KEY_STEP);
+            String serviceClass = config.settings().classes().get(0).name();
+            ctx.writeAndFlush(
+                    MetaCodec.ascii(ctx.alloc(), "mg " + key + " v O" + id + " Pc=" + serviceClass + ",d=60000\r\n"));
         }
 
         @Override
-        protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) throws Exception {
-            String line = MetaCodec.readLine(in);
-            if (line == null || line.startsWith("VA")) {
+        protected void decode(ChannelHandlerContext ctx, ByteBuf input, List<Object> output) throws Exception {
+            String line = MetaCodec.readLine(input);
+            if (line == null || line.startsWith("VA")) { // the value's line follows
                 return;
             }
-            if (++answered == plan.requests()) {
+            answered++;
+            if (answered == plan.requests()) {
                 done.countDown();
             } else if (answered < plan.requests()) {
                 send(ctx);
