--- a/src/main/java/cacheproxy/proxy/upstream/CacheCodec.java
+++ b/src/main/java/cacheproxy/proxy/upstream/CacheCodec.java
@@ -2,10 +2,8 @@
 
 import cacheproxy.policy.AttemptOutcome;
 import cacheproxy.policy.PolicyApi;
-import cacheproxy.proxy.request.ClientRequest;
 import cacheproxy.proxy.request.MetaCodec;
 import io.netty.buffer.ByteBuf;
-import io.netty.buffer.ByteBufUtil;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
@@ -13,203 +11,248 @@
 import java.net.SocketAddress;
 import java.util.List;
 
-final class CacheCodec extends ByteToMessageDecoder implements UpstreamConnection.Codec {
+/**
+ * The meta text protocol of cache servers and sibling proxies. A long value is passed on as it comes, other responses
+ * are passed on whole. Responses carry the id of their request; one that carries another's shows that the connection
+ * has lost the order of responses.
+ */
+final class CacheCodec extends ByteToMessageDecoder implements UpstreamCodec {
+    /** What the server says of the key's state: nothing, that it had the key, or that it lacked it. */
+    private static final int CACHE_STATUS_UNKNOWN = 0;
+
+    private static final int CACHE_STATUS_HIT = 1;
+    private static final int CACHE_STATUS_MISS = 2;
+
+    private static final String ERROR_PREFIX = "SERVER_ERROR";
+    private static final String VALUE_PREFIX = "VA ";
+    private static final String STORED_PREFIX = "HD ";
+    private static final String MISS = "EN";
+    private static final String STAT_PREFIX = "STAT ";
+
+    private static final char ID_FLAG = 'O';
+    private static final char HIT_FLAG = 'h';
+    private static final char FETCH_PENDING_FLAG = 'Z';
+    private static final char LOAD_FLAG = 'L';
+    private static final char RECEIPT_FLAG = 'c';
+
+    private static final int CRLF_BYTES = 2;
+    /** The value of {@link #missingBytes} between values. */
+    private static final int NO_VALUE = -1;
+
     private final UpstreamConnection connection;
-    /** Bytes of the value and its line's end that are to come; negative: none, a line is next. */
-    private int missing = -1;
+    /** Bytes of the value and its line's end that have not been read; {@link #NO_VALUE} if a line is next. */
+    private int missingBytes = NO_VALUE;
 
-    private int length;
+    private int valueBytes;
+    /** Whether the value is passed on, or dropped, as it comes. */
     private boolean streamed;
+
     private boolean dropped;
-    private int note;
+    /** From the flags of the response that is being read, as are the load figures. */
+    private int cacheStatus;
+
     private float[] report;
-    /** The figures of a probe's answer so far. */
+    /** The load figures of a probe's response so far. */
     private String stats = "";
 
     CacheCodec(UpstreamConnection connection) {
         this.connection = connection;
-        connection.use(this);
+        connection.setCodec(this);
     }
 
-    @SuppressWarnings("FutureReturnValueIgnored") // a failed write closes the channel, and the close is handled
     @Override
-    public ChannelFuture write(Channel channel, Attempt attempt, SocketAddress dial) {
-        if (attempt.isProbe()) {
-            String probe = attempt.protocol().probesLoad() ? "stats load\r\n" : "mn\r\n";
-            return channel.write(MetaCodec.ascii(channel.alloc(), probe));
-        }
-        ClientRequest command = attempt.request();
-        int leftMs = attempt.deadlineToTellMs(connection.core().now());
-        String as = attempt.siblingClass();
-        if (as != null) { // a sibling knows nothing of our classes, and has one of its own for such reads
-            return channel.write(MetaCodec.ascii(
-                    channel.alloc(),
-                    "mg " + command.key + " v O" + command.id + " Pc=" + as + ",d=" + leftMs + "\r\n"));
-        }
-        ByteBuf head = channel.alloc().buffer(command.linePrefix.length() + command.lineSuffix.length() + 12);
-        ByteBufUtil.writeAscii(head, command.linePrefix);
-        MetaCodec.writeDecimal(head, leftMs);
-        ByteBufUtil.writeAscii(head, command.lineSuffix);
-        head.writeShort(MetaCodec.CRLF);
-        if (command.value == null) {
-            return channel.write(head);
-        }
-        channel.write(head);
-        return channel.write(command.value.retainedDuplicate());
+    public ChannelFuture write(Channel channel, Attempt attempt, SocketAddress server) {
+        return CacheRequestEncoder.write(channel, attempt, connection.core().now());
     }
 
+    // ---- input
+
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
         connection.core().handling();
-        connection.reading(true);
+        connection.setReading(true);
         super.channelRead(ctx, message);
     }
 
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        connection.reading(false);
-        // Not the decoder's own, which reads on where it has fired no message, also while reading is held back.
+        connection.setReading(false);
+        // Not the decoder's own, which would read on if it had decoded no message, even while reading is suspended.
         discardSomeReadBytes();
         ctx.fireChannelReadComplete();
     }
 
     @Override
-    protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {
+    protected void decode(ChannelHandlerContext ctx, ByteBuf input, List<Object> out) {
         try {
-            if (missing >= 0) {
-                value(in);
+            if (missingBytes >= 0) {
+                decodeValue(input);
             } else {
-                String line = MetaCodec.readLine(in);
-                if (line != null) {
-                    answer(line);
-                } else if (in.isReadable()) {
-                    connection.partial();
-                }
+                decodeLine(input);
             }
         } catch (MetaCodec.SyntaxException e) {
-            in.skipBytes(in.readableBytes());
-            missing = -1;
-            connection.garbage(e.getMessage());
+            input.skipBytes(input.readableBytes());
+            missingBytes = NO_VALUE;
+            connection.onProtocolError(e.getMessage());
         }
     }
 
-    private void answer(String line) throws MetaCodec.SyntaxException {
-        Attempt attempt = connection.head();
+    private void decodeLine(ByteBuf input) throws MetaCodec.SyntaxException {
+        String line = MetaCodec.readLine(input);
+        if (line != null) {
+            onLine(line);
+        } else if (input.isReadable()) {
+            connection.onPartialResponse();
+        }
+    }
+
+    private void onLine(String line) throws MetaCodec.SyntaxException {
+        Attempt attempt = connection.currentAttempt();
         if (attempt == null) {
             throw new MetaCodec.SyntaxException("answer to nothing");
         }
         if (attempt.isProbe()) {
-            probed(attempt, line);
-        } else if (line.startsWith(MetaCodec.BUSY_PREFIX)) {
-            connection.ended(AttemptOutcome.FULL, 0, report(attempt, line), null, null);
-        } else if (line.startsWith("SERVER_ERROR")) {
-            connection.ended(AttemptOutcome.ERROR, 0, report(attempt, line), null, null);
-        } else if (line.startsWith("VA ") && !attempt.request().isWrite) {
-            String word = MetaCodec.tokenAt(line, 3);
-            length = MetaCodec.parseLength(word);
-            flags(attempt, line, 4 + word.length());
-            missing = length + 2;
-            streamed = length > MetaCodec.MAX_BUFFERED_VALUE_BYTES;
-            if (streamed) {
-                dropped = !connection.begin(length);
-            }
-        } else if (line.startsWith("HD ") && attempt.request().isWrite) {
-            flags(attempt, line, 3);
-            String receipt = MetaCodec.flag(line, 3, 'c');
-            if (receipt == null && !attempt.protocol().stockServers()) {
-                throw new MetaCodec.SyntaxException("no receipt");
-            }
-            connection.ended(AttemptOutcome.OK, note, report, null, receipt);
-        } else if (line.startsWith("EN")) {
-            if (attempt.protocol().stockServers() && line.equals("EN")) {
-                note = 2; // stock nodes say no more; answers keep their order all the same
-                report = null;
-            } else {
-                flags(attempt, line, 3);
-            }
-            connection.ended(AttemptOutcome.MISS, note, report, null, null);
+            onProbeLine(attempt, line);
+        } else if (line.startsWith(ERROR_PREFIX)) {
+            onError(attempt, line);
+        } else if (line.startsWith(VALUE_PREFIX) && !attempt.request().isWrite) {
+            onValueLine(attempt, line);
+        } else if (line.startsWith(STORED_PREFIX) && attempt.request().isWrite) {
+            onStored(attempt, line);
+        } else if (line.startsWith(MISS)) {
+            onMiss(attempt, line);
         } else {
             throw new MetaCodec.SyntaxException("unknown line");
         }
     }
 
-    private static float[] report(Attempt attempt, String line) {
-        return attempt.protocol().reportOf(MetaCodec.flag(line, MetaCodec.BUSY_PREFIX.length() + 1, 'L'));
+    // ---- responses of one line
+
+    private void onError(Attempt attempt, String line) {
+        AttemptOutcome outcome = line.startsWith(MetaCodec.BUSY_PREFIX) ? AttemptOutcome.FULL : AttemptOutcome.ERROR;
+        String load = MetaCodec.flag(line, MetaCodec.BUSY_PREFIX.length() + 1, LOAD_FLAG);
+        connection.onResponse(outcome, CACHE_STATUS_UNKNOWN, attempt.protocol().reportOf(load));
     }
 
-    /** What the flags tell; the id must be the attempt's, or answers have lost their order. */
-    private void flags(Attempt attempt, String line, int from) throws MetaCodec.SyntaxException {
-        if (!MetaCodec.hasFlag(line, from, 'O', attempt.request().id)) {
-            throw new MetaCodec.SyntaxException("answer to another request");
+    private void onStored(Attempt attempt, String line) throws MetaCodec.SyntaxException {
+        readFlags(attempt, line, STORED_PREFIX.length());
+        String receipt = MetaCodec.flag(line, STORED_PREFIX.length(), RECEIPT_FLAG);
+        if (receipt == null && !attempt.protocol().stockServers()) {
+            throw new MetaCodec.SyntaxException("no receipt");
         }
-        note = MetaCodec.hasFlag(line, from, 'h', "1")
-                ? 1
-                : !MetaCodec.hasFlag(line, from, 'h', "0")
-                        ? 0
-                        : MetaCodec.flag(line, from, 'Z') != null ? PolicyApi.CACHE_STATUS_FETCH_PENDING : 2;
-        report = attempt.protocol().reportOf(MetaCodec.flag(line, from, 'L'));
-    }
-
-    private void value(ByteBuf in) throws MetaCodec.SyntaxException {
-        if (!streamed) {
-            if (in.readableBytes() < missing) {
-                connection.partial();
-                return;
-            }
-            end(in, in.readerIndex() + length);
-            ByteBuf value = in.readRetainedSlice(length);
-            in.skipBytes(2);
-            missing = -1;
-            connection.ended(AttemptOutcome.OK, note, report, value, null);
+        connection.onResponse(AttemptOutcome.OK, cacheStatus, report, null, receipt);
+    }
+
+    private void onMiss(Attempt attempt, String line) throws MetaCodec.SyntaxException {
+        if (attempt.protocol().stockServers() && line.equals(MISS)) {
+            // Stock servers name no id with a miss; their responses are in order nevertheless.
+            cacheStatus = CACHE_STATUS_MISS;
+            report = null;
+        } else {
+            readFlags(attempt, line, MISS.length() + 1);
+        }
+        connection.onResponse(AttemptOutcome.MISS, cacheStatus, report);
+    }
+
+    private void onProbeLine(Attempt attempt, String line) {
+        if (line.startsWith(STAT_PREFIX)) {
+            String name = MetaCodec.tokenAt(line, STAT_PREFIX.length());
+            String figure = MetaCodec.tokenAt(line, STAT_PREFIX.length() + name.length() + 1);
+            stats += name + "=" + figure + ",";
             return;
         }
-        // The value's end of line is passed on only when it is seen to be one.
-        int n = Math.min(missing - 2, in.readableBytes());
-        if (n > 0) {
-            missing -= n;
+        boolean healthy = line.equals("MN") || line.equals("END");
+        float[] figures = MetaCodec.parseLoadReport(stats, attempt.protocol().reportNames());
+        stats = "";
+        connection.onResponse(healthy ? AttemptOutcome.OK : AttemptOutcome.ERROR, CACHE_STATUS_UNKNOWN, figures);
+    }
+
+    /** Reads what the flags say; the id must be the attempt's. */
+    private void readFlags(Attempt attempt, String line, int from) throws MetaCodec.SyntaxException {
+        if (!MetaCodec.hasFlag(line, from, ID_FLAG, attempt.request().id)) {
+            throw new MetaCodec.SyntaxException("answer to another request");
+        }
+        cacheStatus = readCacheStatus(line, from);
+        report = attempt.protocol().reportOf(MetaCodec.flag(line, from, LOAD_FLAG));
+    }
+
+    private static int readCacheStatus(String line, int from) {
+        if (MetaCodec.hasFlag(line, from, HIT_FLAG, "1")) {
+            return CACHE_STATUS_HIT;
+        }
+        if (!MetaCodec.hasFlag(line, from, HIT_FLAG, "0")) {
+            return CACHE_STATUS_UNKNOWN;
+        }
+        boolean fetchPending = MetaCodec.flag(line, from, FETCH_PENDING_FLAG) != null;
+        return fetchPending ? PolicyApi.CACHE_STATUS_FETCH_PENDING : CACHE_STATUS_MISS;
+    }
+
+    // ---- values
+
+    private void onValueLine(Attempt attempt, String line) throws MetaCodec.SyntaxException {
+        String length = MetaCodec.tokenAt(line, VALUE_PREFIX.length());
+        valueBytes = MetaCodec.parseLength(length);
+        readFlags(attempt, line, VALUE_PREFIX.length() + length.length() + 1);
+        missingBytes = valueBytes + CRLF_BYTES;
+        streamed = valueBytes > MetaCodec.MAX_BUFFERED_VALUE_BYTES;
+        if (streamed) {
+            dropped = !connection.onLongValueBegin(valueBytes);
+        }
+    }
+
+    private void decodeValue(ByteBuf input) throws MetaCodec.SyntaxException {
+        if (streamed) {
+            decodeLongValue(input);
+        } else if (input.readableBytes() < missingBytes) {
+            connection.onPartialResponse();
+        } else {
+            requireCrlf(input, input.readerIndex() + valueBytes);
+            ByteBuf value = input.readRetainedSlice(valueBytes);
+            input.skipBytes(CRLF_BYTES);
+            missingBytes = NO_VALUE;
+            connection.onResponse(AttemptOutcome.OK, cacheStatus, report, value, null);
+        }
+    }
+
+    /**
+     * Passes on what there is of the value. The value has ended only when the line's end behind it has been checked.
+     */
+    private void decodeLongValue(ByteBuf input) throws MetaCodec.SyntaxException {
+        int partBytes = Math.min(missingBytes - CRLF_BYTES, input.readableBytes());
+        if (partBytes > 0) {
+            missingBytes -= partBytes;
             if (dropped) {
-                in.skipBytes(n);
+                input.skipBytes(partBytes);
             } else {
-                connection.part(in.readRetainedSlice(n));
+                connection.onLongValuePart(input.readRetainedSlice(partBytes));
             }
         }
-        if (missing == 2 && in.readableBytes() >= 2) {
-            end(in, in.readerIndex());
-            in.skipBytes(2);
-            missing = -1;
-            connection.ended(AttemptOutcome.OK, note, report, null, null);
+        if (missingBytes == CRLF_BYTES && input.readableBytes() >= CRLF_BYTES) {
+            requireCrlf(input, input.readerIndex());
+            input.skipBytes(CRLF_BYTES);
+            missingBytes = NO_VALUE;
+            connection.onResponse(AttemptOutcome.OK, cacheStatus, report);
         }
     }
 
-    private static void end(ByteBuf in, int at) throws MetaCodec.SyntaxException {
-        if (in.getByte(at) != '\r' || in.getByte(at + 1) != '\n') {
+    private static void requireCrlf(ByteBuf input, int at) throws MetaCodec.SyntaxException {
+        if (input.getByte(at) != '\r' || input.getByte(at + 1) != '\n') {
             throw new MetaCodec.SyntaxException("value without end");
         }
     }
 
-    private void probed(Attempt attempt, String line) {
-        if (line.startsWith("STAT ")) {
-            String name = MetaCodec.tokenAt(line, 5);
-            stats += name + "=" + MetaCodec.tokenAt(line, 6 + name.length()) + ",";
-        } else {
-            boolean ok = line.equals("MN") || line.equals("END");
-            float[] figures =
-                    MetaCodec.parseLoadReport(stats, attempt.protocol().reportNames());
-            stats = "";
-            connection.ended(ok ? AttemptOutcome.OK : AttemptOutcome.ERROR, 0, figures, null, null);
-        }
-    }
+    // ---- other events
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        connection.writabilityChanged();
+        connection.onWritabilityChanged();
         ctx.fireChannelWritabilityChanged();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) throws Exception {
         super.channelInactive(ctx);
-        connection.closed();
+        connection.onClosed();
     }
 
     @SuppressWarnings("FutureReturnValueIgnored") // the close is observed where the channel becomes inactive
--- a/src/main/java/cacheproxy/proxy/upstream/OriginCodec.java
+++ b/src/main/java/cacheproxy/proxy/upstream/OriginCodec.java
@@ -1,364 +1,297 @@
 package cacheproxy.proxy.upstream;
 
-import cacheproxy.config.Addresses;
 import cacheproxy.policy.AttemptOutcome;
-import cacheproxy.proxy.request.ClientRequest;
 import cacheproxy.proxy.request.MetaCodec;
 import io.netty.buffer.ByteBuf;
-import io.netty.buffer.Unpooled;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandler;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.SimpleChannelInboundHandler;
-import io.netty.handler.codec.http.DefaultFullHttpRequest;
-import io.netty.handler.codec.http.FullHttpRequest;
 import io.netty.handler.codec.http.HttpClientCodec;
 import io.netty.handler.codec.http.HttpContent;
-import io.netty.handler.codec.http.HttpHeaderNames;
-import io.netty.handler.codec.http.HttpMethod;
 import io.netty.handler.codec.http.HttpObject;
 import io.netty.handler.codec.http.HttpResponse;
+import io.netty.handler.codec.http.HttpResponseStatus;
 import io.netty.handler.codec.http.HttpUtil;
-import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
 import java.net.SocketAddress;
-import java.net.URLEncoder;
 import java.nio.charset.StandardCharsets;
-import java.util.ArrayDeque;
 
-/** HTTP/1.1 towards the origin. */
-final class OriginCodec extends SimpleChannelInboundHandler<HttpObject> implements UpstreamConnection.Codec {
-    private final UpstreamConnection connection;
-    /** A head may bring notes of some kilobytes; one that does not end must not take memory for long. */
-    private static final int MAX_HEAD = 64 << 10;
-    /** What a long answer that is held whole gives its client at once. */
-    private static final int PIECE = 16 << 10;
-
-    private HttpResponse response;
-    /** A short answer's body so far, or the first of one whose length was not told; null where it is not gathered. */
-    private ByteBuf body;
-    /** What of a body has come beyond the length of short ones, in chunks; few, as pieces may be of any size. */
-    private ArrayDeque<ByteBuf> more;
-
-    private int moreBytes;
-    /** Where a long body of unknown length stands: whether it has asked for room, and whether it has it. */
-    private boolean asked;
+/**
+ * HTTP/1.1 to the origin. A long value of announced length is passed on as it comes. Any other body is buffered until
+ * it is complete, as a client must be told the length first; a long one is then passed on as fast as its client takes
+ * it.
+ */
+final class OriginCodec extends SimpleChannelInboundHandler<HttpObject> implements UpstreamCodec {
+    /** Heads may carry headers of some kilobytes; an endless one must not take memory for long. */
+    private static final int MAX_HEAD_BYTES = 64 << 10;
 
-    private boolean granted;
-    /** Reading is off until there is room. */
-    private boolean paused;
+    private static final int MAX_CHUNK_BYTES = 64 << 10;
+    private static final String LOAD_HEADER = "Srv-Load";
+    private static final String DECLINED_HEADER = "Srv-Declined";
+    private static final String DECLINED = "1";
+    /** The origin says nothing of what it has cached. */
+    private static final int CACHE_STATUS_UNKNOWN = 0;
 
-    private long missing;
+    private final UpstreamConnection connection;
+    private final BufferedBody body = new BufferedBody();
+    private final BodyBufferClaim claim;
+    /** The head of the response that is being received; null between responses. */
+    private HttpResponse response;
+    /** Whether its body is passed on as it comes. */
     private boolean streamed;
-    private boolean broken;
-    /** The body is whole and goes to the client from here. */
-    private boolean feeding;
+    /** Whether a long body has been buffered completely, and is being passed on. */
+    private boolean forwarding;
+    /** The load figures of the response whose body is being passed on. */
+    private float[] forwardedReport;
+    /** Whether input is ignored, as the connection is to end. */
+    private boolean ended;
 
-    private float[] feedReport;
     private boolean inactive;
 
     private OriginCodec(UpstreamConnection connection) {
         this.connection = connection;
-        connection.use(this);
+        claim = new BodyBufferClaim(connection, () -> forwarding);
+        connection.setCodec(this);
     }
 
+    /** Creates the handlers of a connection to the origin. */
     static ChannelHandler[] handlers(UpstreamConnection connection) {
         return new ChannelHandler[] {
-            new HttpClientCodec(MetaCodec.MAX_LINE_BYTES, MAX_HEAD, 64 << 10), new OriginCodec(connection)
+            new HttpClientCodec(MetaCodec.MAX_LINE_BYTES, MAX_HEAD_BYTES, MAX_CHUNK_BYTES), new OriginCodec(connection)
         };
     }
 
     @Override
-    public ChannelFuture write(Channel channel, Attempt attempt, SocketAddress dial) {
-        FullHttpRequest request;
-        if (attempt.isProbe()) {
-            String path = attempt.protocol().probesLoad() ? "/metrics/load" : "/alive";
-            request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path, Unpooled.EMPTY_BUFFER);
-        } else {
-            ClientRequest command = attempt.request();
-            String path = "/" + URLEncoder.encode(command.key, StandardCharsets.ISO_8859_1);
-            ByteBuf value = !command.isWrite
-                    ? Unpooled.EMPTY_BUFFER
-                    : command.value.retainedSlice(0, command.value.readableBytes() - 2);
-            request = new DefaultFullHttpRequest(
-                    HttpVersion.HTTP_1_1, command.isWrite ? HttpMethod.PUT : HttpMethod.GET, path, value);
-            request.headers()
-                    .set("Req-Id", command.id)
-                    .set(
-                            "Req-Extra",
-                            command.attributesWithDeadline(
-                                    attempt.deadlineToTellMs(connection.core().now())));
-            if (command.isWrite) {
-                request.headers().set(HttpHeaderNames.CONTENT_LENGTH, value.readableBytes());
-            }
-        }
-        request.headers().set(HttpHeaderNames.HOST, Addresses.text(dial));
-        return channel.write(request);
+    public ChannelFuture write(Channel channel, Attempt attempt, SocketAddress server) {
+        return channel.write(
+                OriginRequestEncoder.encode(attempt, server, connection.core().now()));
     }
 
+    // ---- input
+
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
-        connection.reading(false);
+        connection.setReading(false);
         ctx.fireChannelReadComplete();
     }
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
         connection.core().handling();
-        connection.reading(true);
-        if (broken) {
+        connection.setReading(true);
+        if (ended) {
             return;
         }
         if (message.decoderResult().isFailure()) {
             fail("not HTTP");
             return;
         }
-        if (message instanceof HttpResponse r) {
-            begin(ctx, r);
+        if (message instanceof HttpResponse head) {
+            onHead(ctx, head);
         }
         if (response != null && message instanceof HttpContent content) {
-            content(ctx, content);
-            if (!broken && content instanceof LastHttpContent) {
-                end();
+            onContent(ctx, content.content());
+            if (!ended && content instanceof LastHttpContent) {
+                onResponseEnd();
             }
         }
     }
 
-    private void begin(ChannelHandlerContext ctx, HttpResponse r) {
-        Attempt attempt = connection.head();
-        if (r.status().code() < 200) {
+    private void onHead(ChannelHandlerContext ctx, HttpResponse head) {
+        if (head.status().code() < HttpResponseStatus.OK.code()) { // an interim response
             response = null;
             return;
         }
+        Attempt attempt = connection.currentAttempt();
         if (attempt == null) {
             fail("answer to nothing");
             return;
         }
-        if (r.headers().entries().stream().anyMatch(h -> h.getValue().isEmpty())) {
-            // Netty takes a line without a colon for a header without a value. A head that can't be read is no
-            // better than one that Netty refuses: what follows may not be this request's.
+        if (hasEmptyHeader(head)) {
+            // Netty takes a line without a colon for a header without a value. As with a head that Netty rejects, what
+            // follows may not belong to this response.
             fail("header without a value");
             return;
         }
-        response = r;
-        missing = HttpUtil.getContentLength(r, -1L);
-        if (missing > MetaCodec.MAX_VALUE_BYTES) {
+        response = head;
+        long length = HttpUtil.getContentLength(head, -1L);
+        if (length > MetaCodec.MAX_VALUE_BYTES) {
             fail("too long");
             return;
         }
-        boolean value = r.status().code() == 200 && !attempt.isProbe() && !attempt.request().isWrite;
-        streamed = value && missing > MetaCodec.MAX_BUFFERED_VALUE_BYTES;
+        streamed = isValueOf(attempt) && length > MetaCodec.MAX_BUFFERED_VALUE_BYTES;
         if (!streamed) {
-            body = ctx.alloc()
-                    .buffer(
-                            missing < 0 ? 1024 : (int) Math.min(missing, MetaCodec.MAX_BUFFERED_VALUE_BYTES),
-                            MetaCodec.MAX_BUFFERED_VALUE_BYTES);
-            connection.partial();
-        } else if (!connection.begin((int) missing)) {
-            streamed = false; // nobody waits: what comes is read and dropped
+            body.begin(ctx.alloc(), length);
+            connection.onPartialResponse();
+        } else if (!connection.onLongValueBegin((int) length)) {
+            streamed = false; // nobody waits for it: without a buffer it is dropped
         }
     }
 
-    private void content(ChannelHandlerContext ctx, HttpContent content) {
-        ByteBuf part = content.content();
-        if (streamed) {
-            if (part.isReadable()) {
-                connection.part(part.retain());
-            }
+    private static boolean hasEmptyHeader(HttpResponse head) {
+        return head.headers().entries().stream()
+                .anyMatch(header -> header.getValue().isEmpty());
+    }
+
+    /** Whether the current response carries the value that this attempt reads. */
+    private boolean isValueOf(Attempt attempt) {
+        return isOk(response) && !attempt.isProbe() && !attempt.request().isWrite;
+    }
+
+    private static boolean isOk(HttpResponse head) {
+        return head.status().code() == HttpResponseStatus.OK.code();
+    }
+
+    private void onContent(ChannelHandlerContext ctx, ByteBuf part) {
+        if (!part.isReadable()) {
             return;
         }
-        if (body == null || !part.isReadable()) {
-            return;
+        if (streamed) {
+            connection.onLongValuePart(part.retain());
+        } else if (body.hasBegun()) {
+            buffer(ctx, part);
         }
-        connection.partial();
-        int n = Math.min(part.readableBytes(), body.maxWritableBytes());
-        body.writeBytes(part, n);
+    }
+
+    private void buffer(ChannelHandlerContext ctx, ByteBuf part) {
+        connection.onPartialResponse();
+        body.append(part);
         if (!part.isReadable()) {
             return;
         }
-        if (response.status().code() != 200
-                || connection.head().isProbe()
-                || connection.head().request().isWrite) {
-            fail("too long");
-            return;
-        }
-        if (moreBytes + body.readableBytes() + part.readableBytes() > MetaCodec.MAX_VALUE_BYTES) {
+        if (!isValueOf(connection.currentAttempt())
+                || body.length() + part.readableBytes() > MetaCodec.MAX_VALUE_BYTES) {
             fail("too long");
             return;
         }
-        gather(ctx, part);
+        body.appendLong(ctx.alloc(), part);
+        claim.request();
     }
 
-    /** A body of unknown length that is long: its client must be told the length first, so all of it is kept. */
-    private void gather(ChannelHandlerContext ctx, ByteBuf part) {
-        if (more == null) {
-            more = new ArrayDeque<>();
-        }
-        moreBytes += part.readableBytes();
-        while (part.isReadable()) {
-            ByteBuf last = more.peekLast();
-            if (last == null || !last.isWritable()) {
-                last = ctx.alloc().buffer(PIECE, PIECE);
-                more.add(last);
-            }
-            last.writeBytes(part, Math.min(part.readableBytes(), last.writableBytes()));
-        }
-        if (!asked) {
-            asked = true;
-            // What comes waits with the system until there is room; the request's own deadline goes on.
-            paused = true;
-            connection.read(false);
-            connection.core().bufferedBodies().acquire(() -> {
-                if (!asked) {
-                    connection.core().bufferedBodies().release(); // it has ended meanwhile
-                } else {
-                    granted = true;
-                    if (!feeding) { // else all of it came with the read that asked, and the next answer is not due yet
-                        goOn();
-                    }
-                }
-            });
-        }
-    }
+    // ---- ends of responses
 
-    private void end() {
-        HttpResponse r = response;
+    private void onResponseEnd() {
+        HttpResponse head = response;
         response = null;
-        if (!HttpUtil.isKeepAlive(r)) {
+        if (!HttpUtil.isKeepAlive(head)) {
             connection.retire();
         }
-        Attempt attempt = connection.head();
-        float[] report = attempt.protocol().reportOf(r.headers().get("Srv-Load"));
-        if (more != null) {
-            feed(report);
-            return;
+        Attempt attempt = connection.currentAttempt();
+        float[] report = attempt.protocol().reportOf(head.headers().get(LOAD_HEADER));
+        if (body.isLong()) {
+            beginForwarding(report);
+        } else if (isOk(head) && !attempt.isProbe()) {
+            onSuccess(attempt, report);
+        } else {
+            body.release();
+            connection.onResponse(outcome(attempt, head), CACHE_STATUS_UNKNOWN, report);
         }
-        ByteBuf whole = body;
-        body = null;
-        int code = r.status().code();
+    }
+
+    /** The outcome of a response without a value or receipt. */
+    private static AttemptOutcome outcome(Attempt attempt, HttpResponse head) {
         if (attempt.isProbe()) {
-            release(whole);
-            connection.ended(code == 200 ? AttemptOutcome.OK : AttemptOutcome.ERROR, 0, report, null, null);
-        } else if (code == 200) {
-            answered(attempt.request(), report, whole);
+            return isOk(head) ? AttemptOutcome.OK : AttemptOutcome.ERROR;
+        }
+        int code = head.status().code();
+        boolean overloaded = code == HttpResponseStatus.SERVICE_UNAVAILABLE.code()
+                || code == HttpResponseStatus.GATEWAY_TIMEOUT.code();
+        boolean declined = overloaded && DECLINED.equals(head.headers().get(DECLINED_HEADER));
+        return declined ? AttemptOutcome.FULL : AttemptOutcome.ERROR;
+    }
+
+    private void onSuccess(Attempt attempt, float[] report) {
+        ByteBuf complete = body.take();
+        if (complete == null) { // it was passed on as it came, or dropped
+            connection.onResponse(AttemptOutcome.OK, CACHE_STATUS_UNKNOWN, report);
+        } else if (attempt.request().isWrite) {
+            String receipt = complete.toString(StandardCharsets.ISO_8859_1).trim();
+            complete.release();
+            connection.onResponse(AttemptOutcome.OK, CACHE_STATUS_UNKNOWN, report, null, receipt);
         } else {
-            release(whole);
-            boolean declined =
-                    (code == 503 || code == 504) && "1".equals(r.headers().get("Srv-Declined"));
-            connection.ended(declined ? AttemptOutcome.FULL : AttemptOutcome.ERROR, 0, report, null, null);
+            connection.onResponse(AttemptOutcome.OK, CACHE_STATUS_UNKNOWN, report, complete, null);
         }
     }
 
-    /** Passes on what has been gathered as a long answer that comes as fast as its client takes it. */
-    private void feed(float[] report) {
-        feedReport = report;
-        feeding = true;
-        if (connection.begin(body.readableBytes() + moreBytes)) {
-            more.addFirst(body);
-            body = null;
+    /** Passes on a long body that has been buffered, as a long value whose length is known now. */
+    private void beginForwarding(float[] report) {
+        forwardedReport = report;
+        forwarding = true;
+        if (connection.onLongValueBegin(body.length())) {
+            body.beginTaking();
             resume();
         } else {
-            forget();
-            connection.ended(AttemptOutcome.OK, 0, report, null, null);
+            releaseBody();
+            connection.onResponse(AttemptOutcome.OK, CACHE_STATUS_UNKNOWN, report);
         }
     }
 
     @Override
     public void resume() {
-        while (feeding && !connection.held()) {
-            ByteBuf piece = more.poll();
-            if (piece != null) {
-                connection.part(piece);
-                continue;
-            }
-            forget();
-            connection.ended(AttemptOutcome.OK, 0, feedReport, null, null);
-            if (inactive) {
-                connection.closed();
+        while (forwarding && !connection.isPaused()) {
+            ByteBuf chunk = body.takeChunk();
+            if (chunk != null) {
+                connection.onLongValuePart(chunk);
+            } else {
+                endForwarding();
             }
         }
     }
 
-    @Override
-    public void drop() {
-        broken = true; // our own end of the connection does not end a body either
-        boolean fed = feeding;
-        forget();
-        if (fed && inactive) {
-            connection.closed();
+    private void endForwarding() {
+        releaseBody();
+        connection.onResponse(AttemptOutcome.OK, CACHE_STATUS_UNKNOWN, forwardedReport);
+        if (inactive) {
+            connection.onClosed();
         }
     }
 
-    private void goOn() {
-        if (paused) {
-            paused = false;
-            connection.read(true);
-        }
+    private void releaseBody() {
+        forwarding = false;
+        claim.release();
+        body.release();
     }
 
-    /** Lets go of all that has been gathered. */
-    private void forget() {
-        feeding = false;
-        asked = false;
-        goOn(); // an answer that was whole before there was room must not leave its connection unread
-        if (granted) {
-            granted = false;
-            connection.core().bufferedBodies().release();
-        }
-        release(body);
-        body = null;
-        if (more != null) {
-            more.forEach(ByteBuf::release);
-            more = null;
-            moreBytes = 0;
-        }
-    }
+    // ---- the end of the connection
 
-    private void answered(ClientRequest command, float[] report, ByteBuf whole) {
-        if (whole == null) { // passed on as it came, or dropped
-            connection.ended(AttemptOutcome.OK, 0, report, null, null);
-        } else if (command.isWrite) {
-            String receipt = whole.toString(StandardCharsets.ISO_8859_1).trim();
-            whole.release();
-            connection.ended(AttemptOutcome.OK, 0, report, null, receipt);
-        } else {
-            connection.ended(AttemptOutcome.OK, 0, report, whole, null);
-        }
+    private void fail(String reason) {
+        ended = true;
+        releaseBody();
+        connection.onProtocolError(reason);
     }
 
-    private static void release(ByteBuf buf) {
-        if (buf != null) {
-            buf.release();
+    @Override
+    public void discard() {
+        ended = true; // a body whose end is the connection's is not complete if the proxy ends the connection
+        boolean wasForwarding = forwarding;
+        releaseBody();
+        if (wasForwarding && inactive) {
+            connection.onClosed();
         }
     }
 
-    private void fail(String what) {
-        broken = true;
-        forget();
-        connection.garbage(what);
-    }
-
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext ctx) {
-        connection.writabilityChanged();
+        connection.onWritabilityChanged();
         ctx.fireChannelWritabilityChanged();
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        broken = true;
+        ended = true;
         inactive = true;
-        if (!feeding) { // else the last of it goes to the client first
-            forget();
-            connection.closed();
+        if (!forwarding) { // else the client gets the rest first
+            releaseBody();
+            connection.onClosed();
         }
     }
 
     @SuppressWarnings("FutureReturnValueIgnored") // the close is observed where the channel becomes inactive
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        broken = true; // a body that the connection's end ends must not pass for whole
+        ended = true; // a body whose end is the connection's is not complete after a failure
         ctx.close();
     }
 }
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/upstream/OriginRequestEncoder.java
@@ -0,0 +1,55 @@
+package cacheproxy.proxy.upstream;
+
+import cacheproxy.config.Addresses;
+import cacheproxy.proxy.request.ClientRequest;
+import io.netty.buffer.ByteBuf;
+import io.netty.buffer.Unpooled;
+import io.netty.handler.codec.http.DefaultFullHttpRequest;
+import io.netty.handler.codec.http.FullHttpRequest;
+import io.netty.handler.codec.http.HttpHeaderNames;
+import io.netty.handler.codec.http.HttpMethod;
+import io.netty.handler.codec.http.HttpVersion;
+import java.net.SocketAddress;
+import java.net.URLEncoder;
+import java.nio.charset.StandardCharsets;
+
+/** Makes the HTTP requests of attempts at the origin: reads are GETs and writes are PUTs of the key as path. */
+final class OriginRequestEncoder {
+    private static final String HEALTH_PROBE_PATH = "/alive";
+    private static final String LOAD_PROBE_PATH = "/metrics/load";
+    private static final String ID_HEADER = "Req-Id";
+    private static final String ATTRIBUTES_HEADER = "Req-Extra";
+    /** A request's value is kept with the line's end behind it. */
+    private static final int CRLF_BYTES = 2;
+
+    private OriginRequestEncoder() {}
+
+    /** Makes the request of an attempt, whose deadline is counted from {@code nowMs}. */
+    static FullHttpRequest encode(Attempt attempt, SocketAddress server, double nowMs) {
+        FullHttpRequest request = attempt.isProbe() ? probe(attempt) : request(attempt, nowMs);
+        request.headers().set(HttpHeaderNames.HOST, Addresses.text(server));
+        return request;
+    }
+
+    private static FullHttpRequest probe(Attempt attempt) {
+        String path = attempt.protocol().probesLoad() ? LOAD_PROBE_PATH : HEALTH_PROBE_PATH;
+        return new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, HttpMethod.GET, path, Unpooled.EMPTY_BUFFER);
+    }
+
+    private static FullHttpRequest request(Attempt attempt, double nowMs) {
+        ClientRequest source = attempt.request();
+        String path = "/" + URLEncoder.encode(source.key, StandardCharsets.ISO_8859_1);
+        ByteBuf value = source.isWrite
+                ? source.value.retainedSlice(0, source.value.readableBytes() - CRLF_BYTES)
+                : Unpooled.EMPTY_BUFFER;
+        HttpMethod method = source.isWrite ? HttpMethod.PUT : HttpMethod.GET;
+        FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, path, value);
+        request.headers()
+                .set(ID_HEADER, source.id)
+                .set(ATTRIBUTES_HEADER, source.attributesWithDeadline(attempt.deadlineToTellMs(nowMs)));
+        if (source.isWrite) {
+            request.headers().set(HttpHeaderNames.CONTENT_LENGTH, value.readableBytes());
+        }
+        return request;
+    }
+}
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/upstream/ResponseProgress.java
@@ -0,0 +1,72 @@
+package cacheproxy.proxy.upstream;
+
+import java.util.function.BooleanSupplier;
+
+/**
+ * Notices when a response stops in its middle. Servers pause within a response for 0.1 s at most; one that has paused
+ * for longer will not continue.
+ */
+final class ResponseProgress {
+    /** How long the connection waits for the rest of a short response: three times the longest pause. */
+    static final double CUT_MS = 300;
+
+    private final EventLoopContext context;
+    private final BooleanSupplier closed;
+    private final Runnable onCut;
+    /** When the last bytes came, or the response could continue again. */
+    private double lastMs;
+    /** Whether a part of a short response, and not all of it, has come. */
+    private boolean partial;
+
+    private boolean timerSet;
+
+    /**
+     * Creates the progress of a connection's responses.
+     *
+     * @param closed whether the connection is closed, so that nothing is expected any more
+     * @param onCut runs when the rest of a short response has not come in time
+     */
+    ResponseProgress(EventLoopContext context, BooleanSupplier closed, Runnable onCut) {
+        this.context = context;
+        this.closed = closed;
+        this.onCut = onCut;
+    }
+
+    /** Bytes have come, or reading has been suspended or resumed. */
+    void advanced() {
+        lastMs = context.now();
+    }
+
+    /** A part of a short response has come, and the rest is expected within {@link #CUT_MS}. */
+    void partialReceived() {
+        partial = true;
+        advanced();
+        if (!timerSet) {
+            timerSet = true;
+            setTimer(CUT_MS);
+        }
+    }
+
+    /** No rest of a short response is expected: it is complete, is a long value's head, or is not being read. */
+    void expectNothing() {
+        partial = false;
+    }
+
+    /** For how long nothing has come, in milliseconds. */
+    double pausedForMs(double nowMs) {
+        return nowMs - lastMs;
+    }
+
+    private void setTimer(double ms) {
+        context.after(ms, () -> {
+            double leftMs = CUT_MS - pausedForMs(context.now());
+            boolean expecting = partial && !closed.getAsBoolean();
+            timerSet = expecting && leftMs > 0;
+            if (timerSet) {
+                setTimer(leftMs);
+            } else if (expecting) {
+                onCut.run();
+            }
+        });
+    }
+}
--- a/src/main/java/cacheproxy/proxy/upstream/Upstream.java
+++ b/src/main/java/cacheproxy/proxy/upstream/Upstream.java
@@ -9,67 +9,72 @@
 import java.net.SocketAddress;
 import java.util.ArrayList;
 import java.util.List;
+import java.util.function.Predicate;
 
 /**
- * A server of the list with our connections to it. An attempt takes the connection that was used last of those that
- * stand idle, so that the rest can age and be retired; else it opens one, up to a limit, or queues behind the fewest.
+ * A server with this process's connections to it, which all its pools share. An attempt takes the connection that was
+ * used last of the idle ones, so that the others can grow old and be closed; else it opens one, up to a limit, or
+ * queues behind the fewest attempts. Used on the event loop only.
  */
 public final class Upstream {
-    /** What a second copy of an answer may take to follow the first: some milliseconds. */
+    /**
+     * How long an idle connection to the origin is not reused after a response, in milliseconds: a duplicate of the
+     * response, which is told only by coming unasked for, would follow within a few milliseconds.
+     */
     public static final double REST_MS = 10;
 
     final int id;
     public final boolean origin;
+    /** The server's address. */
     public SocketAddress dial;
+    /** When the server's process started, as the endpoint list has it. */
     public double bornMs;
-    /** As the list has it; null before the first list. */
+    /** The state in the endpoint list; null before the first list. */
     public EndpointState state;
-    /** Since when it is known to drain or to be gone; infinite: it is ready. */
+    /** Since when it is known to drain or to be gone; infinite if it is ready. */
     public double leftMs = Double.POSITIVE_INFINITY;
     /** How many pools have this server on their lists. */
     public int holders;
 
     private final EventLoopContext core;
     private final Bootstrap bootstrap;
+    /** Bound of the connections that can take another attempt. */
     private final int maxConnections;
-    /** The same, with those on which a long answer waits for its client. */
-    private final int mostConnections;
+    /** Bound of all connections, including those on which a long value waits for its client. */
+    private final int maxConnectionsWithLongValues;
 
     private final int maxDepth;
     private final double retireIdleMs;
-    private final ServerCapacity room;
+    private final ServerCapacity capacity;
     private final List<UpstreamConnection> connections = new ArrayList<>(2);
 
     Upstream(int id, boolean origin, EventLoopContext core, ConnectionLimits limits) {
         this.id = id;
         this.origin = origin;
         this.core = core;
-        room = new ServerCapacity(core.servers.shortage);
+        capacity = new ServerCapacity(core.servers.shortage());
         bootstrap = core.bootstrap(limits.connectTimeoutMs());
         maxConnections = origin ? limits.originConnections() : limits.cacheConnections();
-        mostConnections = Math.max(maxConnections, limits.maxConnections());
+        maxConnectionsWithLongValues = Math.max(maxConnections, limits.maxConnections());
         maxDepth = origin ? 1 : limits.streamsPerConnection();
         retireIdleMs = limits.retireIdleMs();
     }
 
+    /** The context of the event loop that owns this server. */
     EventLoopContext core() {
         return core;
     }
 
-    /** Sends the attempt; false if no connection has room for it. */
+    // ---- the choice of a connection
+
+    /** Sends the attempt; false if no connection can take it. */
     public boolean send(Attempt attempt) {
         closeAged();
-        UpstreamConnection best = pick(false);
-        int all = connections.size() - ending();
-        int standing = all - onLong(); // behind a long answer one would wait for its client
-        if ((best == null || best.depth() > 0 || !rested(best))
-                && standing < maxConnections
-                && all < mostConnections
-                && (origin || room.mayOpen(core.now(), standing))
-                && core.mayOpenConnection()) {
+        UpstreamConnection best = best(false);
+        if ((best == null || best.depth() > 0 || !isRested(best)) && mayOpen()) {
             best = open();
         }
-        if (best == null || !best.usable(maxDepth)) { // a new one may have failed at once, for want of a descriptor
+        if (best == null || !best.isUsable(maxDepth)) { // a new one may have failed at once, for want of a descriptor
             return false;
         }
         best.send(attempt);
@@ -77,80 +82,71 @@
     }
 
     /**
-     * The server may be about to close what has been idle for long: of what went out on it nobody could tell whether it
-     * has run.
+     * Sends an attempt whose own connection did not come up; false if no connection that is up can take it. While
+     * others are up, the failure shows only that the server accepts no more connections.
      */
-    private void closeAged() {
-        double since = core.now() - retireIdleMs;
-        for (UpstreamConnection c : connections) {
-            if (c.empty() && c.connected() && c.idleSinceMs() < since) {
-                c.close(); // it leaves the list with the event of its end, not here
-            }
+    boolean sendOnConnected(Attempt attempt) {
+        UpstreamConnection best = best(true);
+        if (best == null) {
+            return false;
         }
+        best.send(attempt);
+        return true;
     }
 
-    /** Those that are closed on our side and on which nothing is owed. */
-    private int ending() {
-        int n = 0;
-        for (UpstreamConnection c : connections) {
-            if (c.ending()) {
-                n++;
-            }
-        }
-        return n;
+    private boolean mayOpen() {
+        int current = connections.size() - count(UpstreamConnection::isEnding);
+        // An attempt behind a long value would wait for the client of that.
+        int available = current - count(UpstreamConnection::isReceivingLongValue);
+        return available < maxConnections
+                && current < maxConnectionsWithLongValues
+                && (origin || capacity.mayOpen(core.now(), available))
+                && core.mayOpenConnection();
     }
 
-    private int onLong() {
-        int n = 0;
-        for (UpstreamConnection c : connections) {
-            if (c.onLong()) {
-                n++;
+    private int count(Predicate<UpstreamConnection> condition) {
+        int count = 0;
+        for (UpstreamConnection connection : connections) {
+            if (condition.test(connection)) {
+                count++;
             }
         }
-        return n;
-    }
-
-    /**
-     * A further connection did not come up while others stand: the server has as many as it takes, which says nothing
-     * against it. What was to go out on that one, and did not, goes behind the rest.
-     */
-    boolean sendElsewhere(Attempt attempt) {
-        UpstreamConnection best = pick(true);
-        if (best == null) {
-            return false;
-        }
-        best.send(attempt);
-        return true;
+        return count;
     }
 
     /**
-     * The connection with the fewest attempts on it, of idle ones that used last; null if none has room. Answers come
-     * in order: behind a busy one while another is idle, an attempt would wait for what is before it.
+     * The connection with the fewest attempts, and of the idle ones that used last; null if none can take more.
+     * Responses come in order, so an attempt behind others waits for theirs.
      */
-    private UpstreamConnection pick(boolean standing) {
+    private UpstreamConnection best(boolean connectedOnly) {
         UpstreamConnection best = null;
-        for (UpstreamConnection c : connections) {
-            if (c.usable(maxDepth) && (c.connected() || !standing) && (best == null || before(c, best))) {
-                best = c;
+        for (UpstreamConnection candidate : connections) {
+            if (candidate.isUsable(maxDepth)
+                    && (candidate.isConnected() || !connectedOnly)
+                    && (best == null || isBetter(candidate, best))) {
+                best = candidate;
             }
         }
         return best;
     }
 
-    private boolean before(UpstreamConnection c, UpstreamConnection best) {
-        if (c.depth() != best.depth()) {
-            return c.depth() < best.depth();
+    private boolean isBetter(UpstreamConnection candidate, UpstreamConnection best) {
+        if (candidate.depth() != best.depth()) {
+            return candidate.depth() < best.depth();
         }
-        return rested(c) != rested(best) ? rested(c) : c.idleSinceMs() > best.idleSinceMs();
+        boolean rested = isRested(candidate);
+        return rested != isRested(best) ? rested : candidate.idleSinceMs() > best.idleSinceMs();
     }
 
     /**
-     * Whether what comes on an idle connection can be told from the next request's answer. The origin's answers bear no
-     * id, and a second copy of one may come some milliseconds after it: it ends the connection if nothing has gone out
-     * there by then.
+     * Whether a duplicate of the last response could be told from the response of an attempt that is sent now. The
+     * origin's responses carry no id; a duplicate that comes while no attempt has begun closes the connection.
      */
-    private boolean rested(UpstreamConnection c) {
-        return !origin || !c.connected() || !c.used() || core.now() - c.idleSinceMs() >= REST_MS;
+    private boolean isRested(UpstreamConnection connection) {
+        return !origin
+                || !connection.isConnected()
+                || !connection.hasResponded()
+                || core.now() - connection.idleSinceMs() >= REST_MS;
     }
 
     private UpstreamConnection open() {
@@ -159,66 +155,90 @@
         core.connectionOpened();
         ChannelHandler[] handlers =
                 origin ? OriginCodec.handlers(connection) : new ChannelHandler[] {new CacheCodec(connection)};
-        ChannelFuture future =
+        ChannelFuture connect =
                 bootstrap.clone().handler(new HandlerInitializer(handlers)).connect(dial);
-        connection.opening(future, dial);
+        connection.opening(connect, dial);
         return connection;
     }
 
-    void closed(UpstreamConnection connection) {
+    // ---- what connections report
+
+    /** A connection has closed, or did not come up. */
+    void onClosed(UpstreamConnection connection) {
         if (connections.remove(connection)) {
             core.connectionClosed();
         }
     }
 
+    /** The server has served an attempt on a new connection. */
+    void onConnectionAccepted() {
+        capacity.connectionAccepted();
+    }
+
+    /** The server has closed a new connection without serving an attempt. */
+    void onConnectionRefused() {
+        if (!origin) {
+            capacity.connectionRefused(core.now());
+        }
+    }
+
+    // ---- closing
+
+    /**
+     * Closes connections that were idle for so long that the server may be about to close them: whether it has
+     * processed an attempt that was written meanwhile could not be known.
+     */
+    private void closeAged() {
+        double sinceMs = core.now() - retireIdleMs;
+        for (UpstreamConnection connection : connections) {
+            if (connection.isEmpty() && connection.isConnected() && connection.idleSinceMs() < sinceMs) {
+                connection.close(); // it is removed from the list when the channel has closed, not within this loop
+            }
+        }
+    }
+
+    /** Closes connections that have been idle since this time or longer. */
     public void closeIdle(double sinceMs) {
-        for (UpstreamConnection c : List.copyOf(connections)) {
-            if (c.empty() && c.idleSinceMs() <= sinceMs) {
-                c.close();
+        for (UpstreamConnection connection : List.copyOf(connections)) {
+            if (connection.isEmpty() && connection.idleSinceMs() <= sinceMs) {
+                connection.close();
             }
         }
     }
 
-    /** All idle ones but one. */
+    /** Closes all idle connections but one. */
     void closeSpare() {
-        UpstreamConnection kept = connections.size() > 1 ? pick(true) : null;
-        for (UpstreamConnection c : List.copyOf(connections)) {
-            if (kept != null && c != kept && c.empty() && c.connected()) {
-                c.close();
+        UpstreamConnection kept = connections.size() > 1 ? best(true) : null;
+        for (UpstreamConnection connection : List.copyOf(connections)) {
+            if (kept != null && connection != kept && connection.isEmpty() && connection.isConnected()) {
+                connection.close();
             }
         }
     }
 
-    /** Whether the server had room for a new connection. */
-    void room(boolean taken) {
-        if (taken) {
-            room.connectionAccepted();
-        } else if (!origin) {
-            room.connectionRefused(core.now());
+    /** Closes connections whose server has stopped responding. */
+    void closeStalled(double nowMs) {
+        for (UpstreamConnection connection : List.copyOf(connections)) {
+            connection.closeIfStalled(nowMs);
         }
     }
 
     /**
-     * Its server is gone, restarted or elsewhere: nothing more goes out on what stands to it. Connections in use end
-     * with their last attempt, else one to a silent machine, or to a stranger at its address, would be sent to.
+     * Sends nothing more on the connections there are, as their server is gone, restarted or moved: they would lead to
+     * a silent machine, or to another server at its address. Those in use close with their last attempt.
      */
     public void retire() {
         connections.forEach(UpstreamConnection::retire);
         closeIdle(Double.MAX_VALUE);
     }
 
-    boolean idle() {
-        return connections.isEmpty();
-    }
-
+    /** Closes all connections, in use or not. */
     public void close() {
         List.copyOf(connections).forEach(UpstreamConnection::close);
     }
 
-    /** Ends attempts whose answer has stopped in its middle. */
-    void sweep(double now) {
-        for (UpstreamConnection c : List.copyOf(connections)) {
-            c.sweep(now);
-        }
+    /** Whether there is no connection. */
+    boolean hasNoConnection() {
+        return connections.isEmpty();
     }
 }
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/upstream/UpstreamCodec.java
@@ -0,0 +1,17 @@
+package cacheproxy.proxy.upstream;
+
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
+import java.net.SocketAddress;
+
+/** Writes attempts in the protocol of a server, and reports what the server sends to the {@link UpstreamConnection}. */
+interface UpstreamCodec {
+    /** Writes an attempt without flushing. The future ends when the last byte has been written. */
+    ChannelFuture write(Channel channel, Attempt attempt, SocketAddress server);
+
+    /** A paused value may continue; the codec may hold parts of it. */
+    default void resume() {}
+
+    /** The connection is being closed: the codec releases what it holds, and ignores further input. */
+    default void discard() {}
+}
--- a/src/main/java/cacheproxy/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/cacheproxy/proxy/upstream/UpstreamConnection.java
@@ -7,398 +7,397 @@
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import java.net.SocketAddress;
-import java.util.ArrayDeque;
 
 /**
- * One connection to a server with the attempts on it, in the order in which their answers come. How an attempt ends
- * when the connection does hangs on whether its last byte was written: only then may it have run.
+ * One connection to a server, with the attempts on it. When it ends, an attempt on it may have been processed only if
+ * its last byte had been written; that decides about its outcome. Used on the event loop only.
  */
 public final class UpstreamConnection implements Responder.ValueSource {
-    /** Turns an attempt into the server's protocol and its answers into calls of the methods below. */
-    interface Codec {
-        /** Writes without flushing; the future ends when the last byte is written. */
-        ChannelFuture write(Channel channel, Attempt attempt, SocketAddress dial);
+    /** How long a connection waits for the rest of a short response, in milliseconds. */
+    public static final double CUT_MS = ResponseProgress.CUT_MS;
 
-        /** A long answer may go on, of which the codec holds what is still to come. */
-        default void resume() {}
-
-        /** The connection is to end: what the codec still holds is of no use. */
-        default void drop() {}
-    }
-
-    /** A server pauses for 0.1 s at most within an answer; one that stops for this long will not go on. */
+    /** A long value that has not continued for this long, or a response that is late by this much, will not come. */
     private static final double STALLED_MS = 3000;
 
-    /** How many short answers a long one stands for in the choice of a connection. */
-    private static final int LONG = 1000;
-
-    /** Three times the longest pause: a short answer that has stopped for this long has been cut off. */
-    public static final double CUT_MS = 300;
+    /** For how many short responses a long value counts in the choice of a connection. */
+    private static final int LONG_VALUE_DEPTH = 1000;
 
     private final Upstream upstream;
-    private final ArrayDeque<Attempt> attempts = new ArrayDeque<>(4);
-    private Codec codec;
+    private final AttemptQueue attempts = new AttemptQueue();
+    private final ResponseProgress progress;
+    private final Runnable flush = this::flush;
+    private UpstreamCodec codec;
     private Channel channel;
-    private SocketAddress dial;
+    private SocketAddress address;
     private boolean connected;
     private boolean closed;
-    private boolean closedByUs;
+    private boolean closedByProxy;
+    /** Whether no more attempts are sent on it. */
     private boolean retired;
-    private boolean held;
-    private int givenUp;
-    /** Attempts that have not begun; they stand behind those that have. */
-    private int waiting;
-
-    private double idleSinceMs;
-    private double progressMs;
-    private boolean begun;
-    private boolean partial;
-    private boolean watched;
+    /** Whether input is being handled, so that attempts are not written until its end. */
     private boolean reading;
-    private boolean flushing;
-    /** Whether the server has answered on it, and whether otherwise than by busy. */
-    private boolean answered;
+    /** Whether the client that takes a long value has paused it. */
+    private boolean paused;
+    /** Whether a long value is being received. */
+    private boolean receivingLongValue;
 
-    private boolean taken;
-    private final Runnable flush = this::flush;
+    private boolean flushPending;
+    /** Whether the server has responded on it. */
+    private boolean responded;
+    /** Whether the server has responded otherwise than by refusing for overload, and so has accepted the connection. */
+    private boolean accepted;
+
+    private double idleSinceMs;
 
     UpstreamConnection(Upstream upstream) {
         this.upstream = upstream;
+        progress = new ResponseProgress(upstream.core(), () -> closed, this::close);
         idleSinceMs = upstream.core().now();
     }
 
+    /** The context of the event loop that owns this connection. */
     EventLoopContext core() {
         return upstream.core();
     }
 
-    void use(Codec by) {
-        codec = by;
-    }
-
-    void opening(ChannelFuture future, SocketAddress to) {
-        channel = future.channel();
-        dial = to;
-        future.addListener(f -> {
-            upstream.core().servers.opened(upstream, f.cause());
-            if (upstream.core().events.isEnabled()) {
-                upstream.core()
-                        .events
-                        .line(ProxyEvent.SERVER_CONNECTED)
-                        .with("server", name())
-                        .with("queued", attempts.size())
-                        .with(
-                                "cause",
-                                f.isSuccess() ? "ok" : f.cause().getClass().getSimpleName())
-                        .write();
-            }
-            if (!f.isSuccess()) {
-                // No handler is told of a channel that never became active: without this its attempts would stay
-                // out until they time out as if they might have run, and it would hold a place for good.
-                closed();
-                return;
-            }
-            connected = true;
-            if (attempts.isEmpty()) {
-                idleSinceMs = upstream.core().now();
-            }
-            writeWaiting();
-        });
+    /** Sets the codec; to be called once, before {@link #opening}. */
+    void setCodec(UpstreamCodec newCodec) {
+        codec = newCodec;
+    }
+
+    /** Takes over the channel while it connects. */
+    void opening(ChannelFuture connect, SocketAddress server) {
+        channel = connect.channel();
+        address = server;
+        connect.addListener(done -> connectEnded(done.cause()));
     }
 
-    boolean connected() {
+    private void connectEnded(Throwable failure) {
+        core().servers.opened(upstream, failure);
+        logConnected(failure);
+        if (failure != null) {
+            // A channel that was never active reports no end to its handlers, so it has to be done here. Else attempts
+            // would time out as ones that may have been processed, and the connection would count for good.
+            onClosed();
+            return;
+        }
+        connected = true;
+        if (attempts.isEmpty()) {
+            idleSinceMs = core().now();
+        }
+        writeWaiting();
+    }
+
+    // ---- state, for the choice of a connection
+
+    boolean isConnected() {
         return connected;
     }
 
-    /** Attempts on it. Behind a long answer one waits for a client to take it, which may last for seconds. */
+    /** Its attempts, where a long value counts as many: a client takes it, which may last for seconds. */
     int depth() {
-        return begun ? attempts.size() + LONG : attempts.size();
+        return receivingLongValue ? attempts.size() + LONG_VALUE_DEPTH : attempts.size();
     }
 
-    /** Whether a long answer is on its way. */
-    boolean onLong() {
-        return begun;
+    /** Whether a long value is being received. */
+    boolean isReceivingLongValue() {
+        return receivingLongValue;
     }
 
-    boolean empty() {
+    /** Whether no attempt is on it. */
+    boolean isEmpty() {
         return attempts.isEmpty();
     }
 
-    boolean ending() {
+    /** Whether it is being closed by the proxy, with no response outstanding. */
+    boolean isEnding() {
         return retired && connected && attempts.isEmpty();
     }
 
-    /** Whether its server has answered on it. */
-    boolean used() {
-        return answered;
+    /** Whether its server has responded on it. */
+    boolean hasResponded() {
+        return responded;
     }
 
+    /** Since when no attempt has been on it; valid if {@link #isEmpty}. */
     double idleSinceMs() {
         return idleSinceMs;
     }
 
-    boolean usable(int maxDepth) {
+    /** Whether an attempt may be sent on it, given the greatest number of attempts. */
+    boolean isUsable(int maxDepth) {
         return !closed
                 && !retired
                 && attempts.size() < maxDepth
                 && (!connected || (channel.isActive() && channel.isWritable()));
     }
 
+    /** Since when its server is known to drain or to be gone; infinite if it is ready. */
+    public double serverLeftMs() {
+        return upstream.leftMs;
+    }
+
+    /** Attempts that wait for it or for their response on it. */
+    public int queueLength() {
+        return attempts.size();
+    }
+
+    /** How its server is named in the event log: its id and address. */
+    public String name() {
+        return Integer.toHexString(upstream.id) + "@" + address;
+    }
+
+    // ---- sending
+
+    /** Sends an attempt, or queues it until the connection is up and takes more. */
     void send(Attempt attempt) {
         attempt.assignTo(this);
         attempts.add(attempt);
-        waiting++;
         writeWaiting();
     }
 
     /**
-     * Begins those that wait, in their order, for as long as the connection takes more: what is told of the time that
-     * is left holds for what goes out soon, not for what would stand behind a long value. What may not begin any more
-     * ends here.
+     * Writes those that wait, in their order, for as long as the connection takes more: the deadline that is written
+     * with a request holds only if it goes out soon, not if it is buffered behind a long value. Those that may not
+     * begin any more are removed.
      */
     private void writeWaiting() {
-        while (waiting > 0 && connected && !reading && !closed && channel.isActive() && channel.isWritable()) {
-            Attempt next = firstWaiting();
+        while (attempts.hasWaiting()
+                && connected
+                && !reading
+                && !closed
+                && channel.isActive()
+                && channel.isWritable()) {
+            Attempt next = attempts.firstWaiting();
             if (next.mayBegin()) {
-                waiting--;
+                attempts.begin(next);
                 write(next);
             } else {
-                withdraw(next);
-            }
-        }
-    }
-
-    private Attempt firstWaiting() {
-        if (waiting == 1 && !attempts.peekLast().hasBegun()) {
-            return attempts.peekLast();
-        }
-        for (Attempt a : attempts) {
-            if (!a.hasBegun()) {
-                return a;
+                attempts.removeWaiting(next);
             }
         }
-        throw new IllegalStateException("none of " + attempts.size() + " attempts waits");
-    }
-
-    private boolean withdraw(Attempt attempt) {
-        boolean there = attempts.remove(attempt);
-        if (there) {
-            waiting--;
-        }
-        return there;
-    }
-
-    /** The channel takes more again, or no more for now. */
-    void writabilityChanged() {
-        writeWaiting();
-    }
-
-    /** Since when its server is known to drain or to be gone; infinite: it is ready. */
-    public double serverLeftMs() {
-        return upstream.leftMs;
-    }
-
-    /** Attempts that wait for it or for their response on it. */
-    public int queueLength() {
-        return attempts.size();
-    }
-
-    /** How its server is named in the event log: its id and address. */
-    public String name() {
-        return Integer.toHexString(upstream.id) + "@" + dial;
     }
 
     private void write(Attempt attempt) {
-        attempt.markBegun();
         attempt.onBegin();
-        codec.write(channel, attempt, dial).addListener(f -> {
-            if (f.isSuccess()) {
+        codec.write(channel, attempt, address).addListener(done -> {
+            if (done.isSuccess()) {
                 attempt.markWritten();
             }
         });
-        if (!flushing) {
-            flushing = true;
-            upstream.core().flushLater(flush);
+        if (!flushPending) {
+            flushPending = true;
+            core().flushLater(flush);
         }
     }
 
     private void flush() {
-        flushing = false;
+        flushPending = false;
         channel.flush();
     }
 
+    /**
+     * Nobody needs the response of an attempt any more. If it has not begun, it is removed. If all on this connection
+     * are abandoned, the connection is closed, unless too many have been.
+     *
+     * @return whether it was removed before it had begun
+     */
     public boolean giveUp(Attempt attempt) {
         if (!attempt.hasBegun()) {
-            return withdraw(attempt);
+            return attempts.removeWaiting(attempt);
         }
-        if (attempts.contains(attempt)
-                && ++givenUp == attempts.size()
-                && (retired || upstream.core().mayClose(attempt.hedgingAllowed()))) {
-            close(); // a retired one takes no more attempts, so that keeping it would save none a new connection
+        // A retired one takes no more attempts, so that keeping it would not save a new connection.
+        if (attempts.abandon(attempt) && (retired || core().mayClose(attempt.hedgingAllowed()))) {
+            close();
         }
         return false;
     }
 
-    void retire() {
-        retired = true;
+    /** The channel takes more again, or no more for now. */
+    void onWritabilityChanged() {
+        writeWaiting();
     }
 
+    // ---- flow control
+
     @Override
-    public void setPaused(boolean on) {
-        if (held != on) {
-            held = on;
-            progressMs = upstream.core().now();
-            channel.config().setAutoRead(!on);
-            if (!on) {
+    public void setPaused(boolean pause) {
+        if (paused != pause) {
+            paused = pause;
+            progress.advanced();
+            channel.config().setAutoRead(!pause);
+            if (!pause) {
                 codec.resume();
             }
         }
     }
 
-    /** Whether input is taken; what has been asked for since the last answer waits with the system else. */
-    void read(boolean on) {
-        progressMs = upstream.core().now();
-        partial = on;
-        if (on) {
-            partial();
+    /** Whether the client that takes a long value has paused it. */
+    boolean isPaused() {
+        return paused;
+    }
+
+    /** Suspends or resumes reading for the codec's sake. */
+    void setReadable(boolean readable) {
+        if (readable) {
+            progress.partialReceived();
+        } else {
+            progress.advanced();
+            progress.expectNothing();
         }
-        channel.config().setAutoRead(on && !held);
+        channel.config().setAutoRead(readable && !paused);
     }
 
-    boolean held() {
-        return held;
+    // ---- responses, as the codec reads them
+
+    /**
+     * Input begins to be handled, or has been handled. Attempts are not written meanwhile: bytes that follow a response
+     * at once are not part of it, and would pass for the response of an attempt that is written now, as the origin's
+     * responses carry no id.
+     */
+    void setReading(boolean handling) {
+        reading = handling;
+        writeWaiting();
     }
 
-    void sweep(double now) {
-        Attempt head = attempts.peek();
-        boolean silent = connected && head != null && head.hasEnded() && now - head.timeoutAtMs() > STALLED_MS;
-        if (silent || (begun && !held && now - progressMs > STALLED_MS)) {
-            close();
-        }
+    /** The attempt whose response comes next; null if none has begun, so that no response is due. */
+    Attempt currentAttempt() {
+        Attempt first = attempts.first();
+        return first == null || first.hasBegun() ? first : null;
     }
 
-    @SuppressWarnings("FutureReturnValueIgnored") // the close is observed where the channel becomes inactive
-    void close() {
-        closedByUs = true;
-        retired = true;
-        if (channel != null) {
-            channel.close();
-        }
-        if (codec != null) {
-            codec.drop();
-        }
+    /** A part of a short response has come. */
+    void onPartialResponse() {
+        progress.partialReceived();
     }
 
-    // ---- what the codec has read
+    /** A long value begins. Returns false if nobody waits for it, so that it is to be dropped. */
+    boolean onLongValueBegin(int length) {
+        receivingLongValue = true;
+        // Its head may have come in parts; the limit on pauses of short responses no longer applies.
+        progress.expectNothing();
+        progress.advanced();
+        return attempts.first().onValueBegin(length);
+    }
 
-    /**
-     * Whether input is being read. What is to go out meanwhile waits for the end of that: more than belongs to an
-     * answer, right behind it, would pass for the answer of the next attempt, and the origin's bear no id.
-     */
-    void reading(boolean on) {
-        reading = on;
-        writeWaiting();
+    /** A part of a long value, which the callee releases. */
+    void onLongValuePart(ByteBuf part) {
+        progress.advanced();
+        attempts.first().onValuePart(part);
     }
 
-    /** The attempt whose answer comes next; null if none is out, so that what comes is not the protocol's. */
-    Attempt head() {
-        Attempt head = attempts.peek();
-        return head == null || head.hasBegun() ? head : null;
+    /** A response without a value or receipt, or the end of a long value, has come. */
+    void onResponse(AttemptOutcome outcome, int cacheStatus, float[] report) {
+        onResponse(outcome, cacheStatus, report, null, null);
     }
 
-    /** A short answer or a long one's end has come whole. */
-    void ended(AttemptOutcome outcome, int note, float[] report, ByteBuf value, String receipt) {
-        Attempt attempt = attempts.poll();
-        begun = false;
-        partial = false;
-        answered = true;
-        if (!taken && outcome != AttemptOutcome.FULL) {
-            taken = true;
-            upstream.room(true);
-        }
-        if (attempt.hasEnded()) {
-            givenUp--;
+    /**
+     * A response, or the end of a long value, has come; see {@link Attempt#onEnd}.
+     *
+     * @param value which the callee releases; null if there is none, or it has come in parts
+     * @param receipt null if there is none
+     */
+    void onResponse(AttemptOutcome outcome, int cacheStatus, float[] report, ByteBuf value, String receipt) {
+        Attempt attempt = attempts.removeResponded();
+        receivingLongValue = false;
+        progress.expectNothing();
+        responded = true;
+        if (!accepted && outcome != AttemptOutcome.FULL) {
+            accepted = true;
+            upstream.onConnectionAccepted();
         }
         if (attempts.isEmpty()) {
-            idleSinceMs = upstream.core().now();
+            idleSinceMs = core().now();
         }
         setPaused(false);
-        attempt.onEnd(outcome, note, report, value, receipt);
+        attempt.onEnd(outcome, cacheStatus, report, value, receipt);
         if (attempts.isEmpty() && retired) {
             close();
         }
     }
 
-    void partial() {
-        partial = true;
-        progressMs = upstream.core().now();
-        if (!watched) {
-            watched = true;
-            watch(CUT_MS);
-        }
+    /** Input violates the protocol. */
+    void onProtocolError(String reason) {
+        core().log("bad answer of " + address + ": " + reason);
+        close();
     }
 
-    private void watch(double ms) {
-        upstream.core().after(ms, () -> {
-            double left = CUT_MS - (upstream.core().now() - progressMs);
-            watched = partial && !closed && left > 0;
-            if (watched) {
-                watch(left);
-            } else if (partial && !closed) {
-                close();
-            }
-        });
-    }
+    // ---- the end
 
-    /** A long answer begins; false if nobody waits for it, so that it is to be dropped. */
-    boolean begin(int length) {
-        begun = true;
-        // Its head may have come in pieces. The short answers' patience would cut it at the first pause.
-        partial = false;
-        progressMs = upstream.core().now();
-        Attempt attempt = attempts.peek();
-        return attempt.onValueBegin(length);
+    /** Sends no more attempts on it. */
+    void retire() {
+        retired = true;
     }
 
-    void part(ByteBuf part) {
-        progressMs = upstream.core().now();
-        Attempt attempt = attempts.peek();
-        attempt.onValuePart(part);
+    /** Closes it if its server has stopped responding. */
+    void closeIfStalled(double nowMs) {
+        Attempt first = attempts.first();
+        boolean silent = connected && first != null && first.hasEnded() && nowMs - first.timeoutAtMs() > STALLED_MS;
+        if (silent || (receivingLongValue && !paused && progress.pausedForMs(nowMs) > STALLED_MS)) {
+            close();
+        }
     }
 
-    void garbage(String what) {
-        upstream.core().log("bad answer of " + dial + ": " + what);
-        close();
+    /** Closes it; its attempts end when the channel has closed. */
+    @SuppressWarnings("FutureReturnValueIgnored") // the close is observed where the channel becomes inactive
+    void close() {
+        closedByProxy = true;
+        retired = true;
+        if (channel != null) {
+            channel.close();
+        }
+        if (codec != null) {
+            codec.discard();
+        }
     }
 
-    /** The connection never came up or has ended. */
-    void closed() {
+    /** It has closed, or has never come up: ends its attempts, or sends them elsewhere if they have not begun. */
+    void onClosed() {
         if (closed) {
             return;
         }
         closed = true;
-        // Busy, and closed without ever having served: it had no room for the connection, whatever its queue.
-        if (answered && !taken && !retired) {
-            upstream.room(false);
+        if (responded && !accepted && !retired) {
+            // The server only refused for overload, and closed it: it has no capacity for one more connection.
+            upstream.onConnectionRefused();
+        }
+        upstream.onClosed(this);
+        logDisconnected();
+        for (Attempt attempt; (attempt = attempts.removeFirst()) != null; ) {
+            if (!sendElsewhere(attempt)) {
+                attempt.onEnd(attempt.isWritten() ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED);
+            }
+        }
+    }
+
+    private boolean sendElsewhere(Attempt attempt) {
+        if (attempt.hasBegun() || attempt.hasEnded()) {
+            return false;
         }
-        upstream.closed(this);
-        if (upstream.core().events.isEnabled()) {
-            upstream.core()
-                    .events
+        return connected ? upstream.send(attempt) : upstream.sendOnConnected(attempt);
+    }
+
+    private void logConnected(Throwable failure) {
+        if (core().events.isEnabled()) {
+            core().events
+                    .line(ProxyEvent.SERVER_CONNECTED)
+                    .with("server", name())
+                    .with("queued", attempts.size())
+                    .with("cause", failure == null ? "ok" : failure.getClass().getSimpleName())
+                    .write();
+        }
+    }
+
+    private void logDisconnected() {
+        if (core().events.isEnabled()) {
+            core().events
                     .line(ProxyEvent.SERVER_DISCONNECTED)
                     .with("server", name())
-                    .with("by", closedByUs ? "proxy" : "server")
+                    .with("by", closedByProxy ? "proxy" : "server")
                     .with("connected", connected)
                     .with("retired", retired)
                     .with("out", attempts.size())
                     .write();
         }
-        waiting = 0;
-        for (Attempt a; (a = attempts.poll()) != null; ) {
-            if (!a.hasBegun() && !a.hasEnded() && (connected ? upstream.send(a) : upstream.sendElsewhere(a))) {
-                continue;
-            }
-            AttemptOutcome outcome = a.isWritten() ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED;
-            a.onEnd(outcome);
-        }
     }
 }
--- a/src/main/java/cacheproxy/proxy/upstream/UpstreamRegistry.java
+++ b/src/main/java/cacheproxy/proxy/upstream/UpstreamRegistry.java
@@ -1,107 +1,128 @@
 package cacheproxy.proxy.upstream;
 
 import cacheproxy.limits.ConnectionShortage;
+import io.netty.channel.ConnectTimeoutException;
 import io.netty.util.collection.IntObjectHashMap;
+import java.net.ConnectException;
 import java.net.SocketAddress;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * The servers of all pools. One that stands in several pools under the same id and address is one: its connections are
- * shared and their bound holds for all pools together.
+ * The servers of all pools. Pools that have a server under the same id and address share it, so that its connections,
+ * and the limits on them, are those of all pools together. Used on the event loop only.
  */
 public final class UpstreamRegistry {
-    /** Told when a server is found to be down and when it is there again. */
+    /** Observes whether servers accept connections. */
     public interface Observer {
-        /** It refused a connection: no process listens. */
+        /** A server has refused a connection, so that no process listens there. */
         void refused(int server);
 
-        /** It took a connection. */
+        /** A server has accepted a connection. */
         void connected(int server);
     }
 
     private final EventLoopContext core;
-    /** By id; more than one where pools hold different addresses for an id. */
+    /** By id; more than one where pools have different addresses for an id. */
     private final IntObjectHashMap<List<Upstream>> byId = new IntObjectHashMap<>();
-    /** Those that no pool holds any more and that still have connections with attempts. */
+    /** Servers that no pool has any more, with connections on which attempts have not ended. */
     private final List<Upstream> leaving = new ArrayList<>();
 
-    /** What all cache nodes have shown of their room for connections. */
-    final ConnectionShortage shortage = new ConnectionShortage();
-    /** One for the process and one for each pool that follows discovery; a pool may end while they are told. */
+    private final ConnectionShortage shortage = new ConnectionShortage();
+    /** Copied on write, as a pool may end, and be removed from here, while observers are called. */
     private final List<Observer> observers = new CopyOnWriteArrayList<>();
 
     UpstreamRegistry(EventLoopContext core) {
         this.core = core;
     }
 
-    void observe(Observer by) {
-        observers.add(by);
+    /** Whether cache servers have refused connections recently, over all servers. */
+    ConnectionShortage shortage() {
+        return shortage;
     }
 
-    public void forget(Observer by) {
-        observers.remove(by);
+    /** Adds an observer. */
+    void observe(Observer observer) {
+        observers.add(observer);
     }
 
-    void opened(Upstream u, Throwable failure) {
-        boolean refused = failure instanceof java.net.ConnectException
-                && !(failure instanceof io.netty.channel.ConnectTimeoutException);
-        for (Observer o : observers) {
+    /** Removes an observer. */
+    public void forget(Observer observer) {
+        observers.remove(observer);
+    }
+
+    /** A connection to a server has come up, or has failed to. */
+    void opened(Upstream server, Throwable failure) {
+        boolean refused = failure instanceof ConnectException && !(failure instanceof ConnectTimeoutException);
+        for (Observer observer : observers) {
             if (failure == null) {
-                o.connected(u.id);
+                observer.connected(server.id);
             } else if (refused) {
-                o.refused(u.id);
+                observer.refused(server.id);
             }
         }
     }
 
-    /** The server of this id at this address, shared if it is there already; to be released once. */
-    public Upstream hold(int id, boolean origin, SocketAddress dial, ConnectionLimits limits) {
-        List<Upstream> same = byId.get(id);
-        if (same == null) {
-            same = new ArrayList<>(1);
-            byId.put(id, same);
+    /**
+     * Returns the server of this id at this address, which is shared with other pools that have it; to be released
+     * once.
+     *
+     * @param limits used if no pool has the server yet
+     */
+    public Upstream hold(int id, boolean origin, SocketAddress address, ConnectionLimits limits) {
+        List<Upstream> sameId = byId.get(id);
+        if (sameId == null) {
+            sameId = new ArrayList<>(1);
+            byId.put(id, sameId);
         }
-        for (Upstream u : same) {
-            if (u.dial.equals(dial) && u.origin == origin) {
-                u.holders++;
-                return u;
+        for (Upstream server : sameId) {
+            if (server.dial.equals(address) && server.origin == origin) {
+                server.holders++;
+                return server;
             }
         }
-        Upstream u = new Upstream(id, origin, core, limits);
-        u.dial = dial;
-        u.holders = 1;
-        same.add(u);
-        return u;
+        Upstream server = new Upstream(id, origin, core, limits);
+        server.dial = address;
+        server.holders = 1;
+        sameId.add(server);
+        return server;
     }
 
-    public void release(Upstream u) {
-        if (--u.holders == 0) {
-            List<Upstream> same = byId.get(u.id);
-            same.remove(u);
-            if (same.isEmpty()) {
-                byId.remove(u.id);
-            }
-            u.retire();
-            if (!u.idle()) {
-                leaving.add(u);
-            }
+    /** A pool does not have this server any more; its connections are retired if no other pool has it. */
+    public void release(Upstream server) {
+        server.holders--;
+        if (server.holders != 0) {
+            return;
+        }
+        List<Upstream> sameId = byId.get(server.id);
+        sameId.remove(server);
+        if (sameId.isEmpty()) {
+            byId.remove(server.id);
+        }
+        server.retire();
+        if (!server.hasNoConnection()) {
+            leaving.add(server);
         }
     }
 
-    /** Once a second, for the servers of one pool; and those that no pool holds go with their last attempt. */
-    public void sweep(Iterable<Upstream> of, double now, double idleSinceMs) {
-        for (Upstream u : of) {
-            u.closeIdle(idleSinceMs);
-            if (!u.origin && shortage.isActive(now)) {
-                u.closeSpare();
+    /**
+     * Closes connections that should not be kept: of the given servers, and stalled ones of servers that no pool has
+     * any more. To be called once a second by each pool.
+     *
+     * @param idleSinceMs connections that have been idle since then or longer are closed
+     */
+    public void sweep(Iterable<Upstream> servers, double nowMs, double idleSinceMs) {
+        for (Upstream server : servers) {
+            server.closeIdle(idleSinceMs);
+            if (!server.origin && shortage.isActive(nowMs)) {
+                server.closeSpare();
             }
-            u.sweep(now);
+            server.closeStalled(nowMs);
         }
-        leaving.removeIf(u -> {
-            u.sweep(now);
-            return u.idle();
+        leaving.removeIf(server -> {
+            server.closeStalled(nowMs);
+            return server.hasNoConnection();
         });
     }
 }
--- a/src/main/java/cacheproxy/proxy/upstream/package-info.java
+++ b/src/main/java/cacheproxy/proxy/upstream/package-info.java
@@ -1,5 +1,20 @@
 /**
- * The server side: the servers of all pools, their connections, and the codecs for cache nodes and the origin. A
- * connection owns the attempts written to it, in the order in which their responses come.
+ * The connections to servers: cache servers and siblings by the meta text protocol, the origin by HTTP/1.1.
+ *
+ * <ul>
+ *   <li>{@link cacheproxy.proxy.upstream.UpstreamRegistry} has the servers of all pools of an event loop, and
+ *       {@link cacheproxy.proxy.upstream.Upstream} the connections to one of them. It decides which connection takes an
+ *       attempt, and when connections are opened and closed.
+ *   <li>{@link cacheproxy.proxy.upstream.UpstreamConnection} has the attempts on one connection, in the order in which
+ *       their responses come. It decides when they are written, and how they end if the connection does.
+ *   <li>{@code CacheCodec} and {@code OriginCodec} read the two protocols; each keeps the state of the response that is
+ *       being received.
+ *   <li>{@link cacheproxy.proxy.upstream.Attempt} is what a connection knows of an exchange. Its subclass, outside this
+ *       package, is told of its progress and its end.
+ *   <li>{@link cacheproxy.proxy.upstream.EventLoopContext} has what the users of one event loop share, and the limits
+ *       on memory and connections.
+ * </ul>
+ *
+ * <p>Everything is owned by one event loop and used on it, unless a method says otherwise.
  */
 package cacheproxy.proxy.upstream;
