--- a/src/main/java/cacheproxy/proxy/dispatch/SinglePoolHandler.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/SinglePoolHandler.java
@@ -28,7 +28,7 @@
             return null;
         }
         if (intake.isExpired(command)) {
-            core.closeId(command);
+            core.closeId(command.id);
             command.release(core);
             responder.busy(0);
             return null;
