--- a/src/main/java/cacheproxy/daemon/PoolSettings.java
+++ b/src/main/java/cacheproxy/daemon/PoolSettings.java
@@ -14,7 +14,6 @@
 import cacheproxy.placement.PlacementTarget;
 import cacheproxy.policy.Endpoint;
 import cacheproxy.policy.EndpointState;
-import cacheproxy.policy.LoadReportSource;
 import cacheproxy.policy.PolicySettings;
 import cacheproxy.proxy.request.RequestValidator;
 import cacheproxy.routes.Explain;
@@ -93,38 +92,33 @@
         int originKind = !hasOriginKind
                 ? -1
                 : listed ? kinds.size() - 1 : kinds.indexOf(pool.discovery().originKind());
-        return new PolicySettings(
-                site.proxyIndex(),
-                site.proxyCount(),
-                Math.max(0, zones.indexOf(site.zone())),
-                zones.size(),
-                kinds.size(),
-                !listed,
-                hasOriginKind,
-                originKind,
-                LoadReportSource.NONE,
-                List.of(),
-                false,
-                file.tenants().size() > 1 ? 0.1 : 1,
-                true,
-                byTests,
-                false,
-                limits.hedging(),
-                true,
-                limits.maxAttempts(),
-                limits.maxRetryAfterMs(),
-                limits.connectTimeoutMs(),
-                site.drainGraceMs(),
-                20,
-                site.startCapacity(),
-                site.warmUpMs(),
-                site.tipMultiple(),
-                site.fallMs(),
-                MAX_POLL_AGE_MS,
-                0,
-                0,
-                file.classes(),
-                file.tenants());
+        return PolicySettings.builder()
+                .instanceIndex(site.proxyIndex())
+                .instanceCount(site.proxyCount())
+                .zone(Math.max(0, zones.indexOf(site.zone())))
+                .zoneCount(zones.size())
+                .kindCount(kinds.size())
+                .pollsDiscovery(!listed)
+                .cacheAside(hasOriginKind)
+                .originKind(originKind)
+                .overQuotaValueFraction(file.tenants().size() > 1 ? 0.1 : 1)
+                .cancellationAllowed(true)
+                .probingAllowed(byTests)
+                .hedgingAllowed(limits.hedging())
+                .retryAfterAllowed(true)
+                .maxAttempts(limits.maxAttempts())
+                .maxRetryAfterMs(limits.maxRetryAfterMs())
+                .connectTimeoutMs(limits.connectTimeoutMs())
+                .drainGraceMs(site.drainGraceMs())
+                .responseGraceMs(20)
+                .initialCapacityFraction(site.startCapacity())
+                .warmUpMs(site.warmUpMs())
+                .collapseLoadMultiple(site.tipMultiple())
+                .collapseAfterMs(site.fallMs())
+                .maxPollAgeMs(MAX_POLL_AGE_MS)
+                .classes(file.classes())
+                .tenants(file.tenants())
+                .build();
     }
 
     /** A server as a member of the policy's list; {@code startMs} is 0 if it started long ago. */
--- a/src/main/java/cacheproxy/policy/PolicySettings.java
+++ b/src/main/java/cacheproxy/policy/PolicySettings.java
@@ -68,4 +68,15 @@
         double originCollapseLoadMultiple,
         double originCollapseAfterMs,
         List<ServiceClass> classes,
-        List<Tenant> tenants) {}
+        List<Tenant> tenants) {
+
+    /** Returns a builder without settings. */
+    public static PolicySettingsBuilder builder() {
+        return new PolicySettingsBuilder();
+    }
+
+    /** Returns a builder with these settings. */
+    public PolicySettingsBuilder toBuilder() {
+        return new PolicySettingsBuilder(this);
+    }
+}
--- a/src/main/java/cacheproxy/simulation/FleetSimulationConfig.java
+++ b/src/main/java/cacheproxy/simulation/FleetSimulationConfig.java
@@ -2,7 +2,6 @@
 
 import cacheproxy.policy.DeduplicationScope;
 import cacheproxy.policy.Idempotency;
-import cacheproxy.policy.LoadReportSource;
 import cacheproxy.policy.PolicySettings;
 import cacheproxy.policy.ServiceClass;
 import cacheproxy.policy.Tenant;
@@ -40,37 +39,29 @@
                 new ServiceClass("read", Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 300, 1000, 1, 0.2, false),
                 new ServiceClass(
                         "write", Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, 300, 1000, 5, 0.2, false));
-        return new PolicySettings(
-                me,
-                proxies,
-                me % zones,
-                zones,
-                2,
-                false,
-                true,
-                1,
-                LoadReportSource.NONE,
-                List.of(),
-                false,
-                0.1,
-                true,
-                false,
-                false,
-                true,
-                true,
-                3,
-                500,
-                100,
-                500,
-                20,
-                0.3,
-                8000,
-                3,
-                1500,
-                0,
-                0,
-                0,
-                classes,
-                List.of(new Tenant("all", 1, 100)));
+        return PolicySettings.builder()
+                .instanceIndex(me)
+                .instanceCount(proxies)
+                .zone(me % zones)
+                .zoneCount(zones)
+                .kindCount(2)
+                .cacheAside(true)
+                .originKind(1)
+                .overQuotaValueFraction(0.1)
+                .cancellationAllowed(true)
+                .hedgingAllowed(true)
+                .retryAfterAllowed(true)
+                .maxAttempts(3)
+                .maxRetryAfterMs(500)
+                .connectTimeoutMs(100)
+                .drainGraceMs(500)
+                .responseGraceMs(20)
+                .initialCapacityFraction(0.3)
+                .warmUpMs(8000)
+                .collapseLoadMultiple(3)
+                .collapseAfterMs(1500)
+                .classes(classes)
+                .tenants(List.of(new Tenant("all", 1, 100)))
+                .build();
     }
 }
--- a/src/main/java/cacheproxy/simulator/SettingsParser.java
+++ b/src/main/java/cacheproxy/simulator/SettingsParser.java
@@ -37,38 +37,39 @@
     public PolicySettings settings() {
         List<String> zones = list("zones");
         List<String> kinds = list("kinds");
-        return new PolicySettings(
-                integer("me"),
-                integer("balancers"),
-                integer("locality"),
-                zones.size(),
-                kinds.size(),
-                oneOf("discovery", "push", "ask") == 1,
-                values.containsKey("extra.mode") && oneOf("extra.mode", "through", "aside") == 1,
-                (int) number("extra.origin-kind", -1),
-                LoadReportSource.values()[oneOf("report.how", "silent", "piggyback", "pull")],
-                list("report.names"),
-                oneOf("value-by", "request", "work") == 1,
-                number("over-share-worth", 1),
-                flag("caps.may-cancel"),
-                flag("caps.may-probe"),
-                flag("caps.peers"),
-                flag("caps.second-copies"),
-                flag("caps.retry-after"),
-                integer("caps.max-attempts"),
-                number("caps.max-retry-after", 0),
-                number("caps.connect-timeout"),
-                number("guarantees.drain-grace"),
-                number("guarantees.grace-to-answer"),
-                number("guarantees.start-capacity"),
-                number("guarantees.warm-up"),
-                number("guarantees.tip-multiple"),
-                number("guarantees.fall"),
-                number("guarantees.ask-within", 0),
-                number("extra.origin-fall-multiple", 0),
-                number("extra.origin-fall", 0),
-                classes(),
-                tenants());
+        return PolicySettings.builder()
+                .instanceIndex(integer("me"))
+                .instanceCount(integer("balancers"))
+                .zone(integer("locality"))
+                .zoneCount(zones.size())
+                .kindCount(kinds.size())
+                .pollsDiscovery(oneOf("discovery", "push", "ask") == 1)
+                .cacheAside(values.containsKey("extra.mode") && oneOf("extra.mode", "through", "aside") == 1)
+                .originKind((int) number("extra.origin-kind", -1))
+                .loadReportSource(LoadReportSource.values()[oneOf("report.how", "silent", "piggyback", "pull")])
+                .loadReportFields(list("report.names"))
+                .valueByWork(oneOf("value-by", "request", "work") == 1)
+                .overQuotaValueFraction(number("over-share-worth", 1))
+                .cancellationAllowed(flag("caps.may-cancel"))
+                .probingAllowed(flag("caps.may-probe"))
+                .peerMessagesAllowed(flag("caps.peers"))
+                .hedgingAllowed(flag("caps.second-copies"))
+                .retryAfterAllowed(flag("caps.retry-after"))
+                .maxAttempts(integer("caps.max-attempts"))
+                .maxRetryAfterMs(number("caps.max-retry-after", 0))
+                .connectTimeoutMs(number("caps.connect-timeout"))
+                .drainGraceMs(number("guarantees.drain-grace"))
+                .responseGraceMs(number("guarantees.grace-to-answer"))
+                .initialCapacityFraction(number("guarantees.start-capacity"))
+                .warmUpMs(number("guarantees.warm-up"))
+                .collapseLoadMultiple(number("guarantees.tip-multiple"))
+                .collapseAfterMs(number("guarantees.fall"))
+                .maxPollAgeMs(number("guarantees.ask-within", 0))
+                .originCollapseLoadMultiple(number("extra.origin-fall-multiple", 0))
+                .originCollapseAfterMs(number("extra.origin-fall", 0))
+                .classes(classes())
+                .tenants(tenants())
+                .build();
     }
 
     @SuppressWarnings("EnumOrdinal") // the order of declaration is the code on the wire, pinned by golden tests
--- a/src/test/java/cacheproxy/policy/PolicyHarness.java
+++ b/src/test/java/cacheproxy/policy/PolicyHarness.java
@@ -69,74 +69,38 @@
                 new ServiceClass("save", Idempotency.DEDUPLICATED, deduplicationScope, 400, 300, 1000, 1, 0.2, false),
                 new ServiceClass(
                         "pay", Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, 300, 1000, 1, 0.2, false));
-        return new PolicySettings(
-                0,
-                4,
-                0,
-                2,
-                2,
-                pollsDiscovery,
-                cacheAside,
-                cacheAside ? 1 : -1,
-                LoadReportSource.NONE,
-                List.of(),
-                false,
-                0.1,
-                true,
-                true,
-                false,
-                hedgingAllowed,
-                true,
-                3,
-                500,
-                100,
-                500,
-                20,
-                0.3,
-                8000,
-                3,
-                2000,
-                pollsDiscovery ? 10000 : 0,
-                0,
-                0,
-                classes,
-                tenants);
+        return PolicySettings.builder()
+                .instanceIndex(0)
+                .instanceCount(4)
+                .zone(0)
+                .zoneCount(2)
+                .kindCount(2)
+                .pollsDiscovery(pollsDiscovery)
+                .cacheAside(cacheAside)
+                .originKind(cacheAside ? 1 : -1)
+                .overQuotaValueFraction(0.1)
+                .cancellationAllowed(true)
+                .probingAllowed(true)
+                .hedgingAllowed(hedgingAllowed)
+                .retryAfterAllowed(true)
+                .maxAttempts(3)
+                .maxRetryAfterMs(500)
+                .connectTimeoutMs(100)
+                .drainGraceMs(500)
+                .responseGraceMs(20)
+                .initialCapacityFraction(0.3)
+                .warmUpMs(8000)
+                .collapseLoadMultiple(3)
+                .collapseAfterMs(2000)
+                .maxPollAgeMs(pollsDiscovery ? 10000 : 0)
+                .classes(classes)
+                .tenants(tenants)
+                .build();
     }
 
     /** Returns the same settings without health checks. */
     static PolicySettings withoutProbing(PolicySettings settings) {
-        return new PolicySettings(
-                settings.instanceIndex(),
-                settings.instanceCount(),
-                settings.zone(),
-                settings.zoneCount(),
-                settings.kindCount(),
-                settings.pollsDiscovery(),
-                settings.cacheAside(),
-                settings.originKind(),
-                settings.loadReportSource(),
-                settings.loadReportFields(),
-                settings.valueByWork(),
-                settings.overQuotaValueFraction(),
-                settings.cancellationAllowed(),
-                false,
-                settings.peerMessagesAllowed(),
-                settings.hedgingAllowed(),
-                settings.retryAfterAllowed(),
-                settings.maxAttempts(),
-                settings.maxRetryAfterMs(),
-                settings.connectTimeoutMs(),
-                settings.drainGraceMs(),
-                settings.responseGraceMs(),
-                settings.initialCapacityFraction(),
-                settings.warmUpMs(),
-                settings.collapseLoadMultiple(),
-                settings.collapseAfterMs(),
-                settings.maxPollAgeMs(),
-                settings.originCollapseLoadMultiple(),
-                settings.originCollapseAfterMs(),
-                settings.classes(),
-                settings.tenants());
+        return settings.toBuilder().probingAllowed(false).build();
     }
 
     /** Returns a harness of a cache-aside pool whose list is pushed, without hedging. */
