--- a/src/main/java/cacheproxy/policy/RequestRouter.java
+++ b/src/main/java/cacheproxy/policy/RequestRouter.java
@@ -231,7 +231,7 @@
         if (pending.isConcluded() || pending.isStreaming()) {
             return;
         }
-        ServerState server = nextServer(nowMs, pending, actions);
+        ServerState server = selector.selectNext(nowMs, pending, actions);
         if (server == null || !retryRules.maySend(nowMs, pending, server)) {
             giveUp(nowMs, pending, actions);
             return;
@@ -256,25 +256,6 @@
         return pending.attempts() == 0 && pending.isIdempotent();
     }
 
-    /**
-     * Returns the server for a request's next attempt; null: there is none, or the request is out of time or attempts.
-     */
-    private ServerState nextServer(double nowMs, PendingRequest pending, PolicyActions actions) {
-        boolean worthless = pending.isWorthlessWhenLate() && nowMs > pending.objectiveAtMs();
-        if (worthless
-                || pending.attemptsLeft() == 0
-                || !(nowMs < pending.request().deadlineMs())) {
-            return null;
-        }
-        boolean mayFetch = settings.cacheAside() && pending.isIdempotent();
-        boolean cachesTried = pending.attempts() >= HedgingPolicy.MAX_CACHE_ATTEMPTS && pending.missedServer() == null;
-        if (pending.isOriginOnly() || (mayFetch && cachesTried)) {
-            return endpoints.origin();
-        }
-        ServerState server = selector.select(nowMs, pending, actions);
-        return server == null && mayFetch ? endpoints.origin() : server;
-    }
-
     private void fetch(double nowMs, PendingRequest pending, ServerState origin, PolicyActions actions) {
         switch (originFetches.decide(nowMs, pending, actions)) {
             case SEND -> sender.send(nowMs, pending, origin, actions);
--- a/src/main/java/cacheproxy/policy/ServerSelector.java
+++ b/src/main/java/cacheproxy/policy/ServerSelector.java
@@ -3,8 +3,8 @@
 import cacheproxy.placement.Placement;
 
 /**
- * Selects the cache server for an attempt: the best ranked one of the request's key that is healthy and, if it is
- * warming up, admits the request. A hot key starts at a random one of the servers that it is spread over.
+ * Selects the server of an attempt: of the cache servers the best ranked one of the request's key that is healthy and,
+ * if it is warming up, admits the request. A hot key starts at a random one of the servers that it is spread over.
  */
 final class ServerSelector {
     /** Servers ranked beyond those that a key is spread over. */
@@ -27,13 +27,34 @@
     }
 
     /**
-     * Selects a server for a request's next attempt and may start half-open probes. Servers that had the request before
-     * are left out, except the one that missed. If none accepts the request, the best one that has warmed up is taken
-     * although it is ejected.
+     * Selects the server of a request's next attempt. In a cache-aside pool it is the origin where only that can serve
+     * the request, after enough attempts at cache servers, and where no cache server is left.
+     *
+     * @return null if there is none, or if the request is out of time or attempts
+     */
+    ServerState selectNext(double nowMs, PendingRequest pending, PolicyActions actions) {
+        boolean worthless = pending.isWorthlessWhenLate() && nowMs > pending.objectiveAtMs();
+        boolean beforeDeadline = nowMs < pending.request().deadlineMs();
+        if (worthless || pending.attemptsLeft() == 0 || !beforeDeadline) {
+            return null;
+        }
+        boolean mayFetch = environment.settings().cacheAside() && pending.isIdempotent();
+        boolean cachesTried = pending.attempts() >= HedgingPolicy.MAX_CACHE_ATTEMPTS && pending.missedServer() == null;
+        if (pending.isOriginOnly() || (mayFetch && cachesTried)) {
+            return endpoints.origin();
+        }
+        ServerState server = selectCacheServer(nowMs, pending, actions);
+        return server == null && mayFetch ? endpoints.origin() : server;
+    }
+
+    /**
+     * Selects a cache server and may start half-open probes. Servers that had the request before are left out, except
+     * the one that missed. If none accepts the request, the best one that has warmed up is taken although it is
+     * ejected.
      *
      * @return null if there is no such server
      */
-    ServerState select(double nowMs, PendingRequest pending, PolicyActions actions) {
+    private ServerState selectCacheServer(double nowMs, PendingRequest pending, PolicyActions actions) {
         int count = rank(pending);
         int spread = pending.hotKeySpread();
         int offset = spread > 1 ? environment.random().nextInt(spread) : 0;
