--- a/src/main/java/cacheproxy/proxy/request/ClientRequest.java
+++ b/src/main/java/cacheproxy/proxy/request/ClientRequest.java
@@ -47,9 +47,9 @@
     /**
      * A request whose line for cache nodes is put together around its list.
      *
-     * @param extras the list of names and values; of several deadlines in it the first counts
-     * @param lineHead the line up to the list
-     * @param lineTail the line after the list
+     * @param attributes the list of names and values; of several deadlines in it the first counts
+     * @param beforeAttributes the line up to the list
+     * @param afterAttributes the line after the list
      */
     public ClientRequest(
             String key,
