--- a/src/main/java/cacheproxy/proxy/process/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/process/Proxy.java
@@ -67,7 +67,7 @@
         core = new EventLoopContext(loop, polls, Transport.BEST.socket(), config.eventLoopLimits());
         core.watchPauses();
         useEventLog(config);
-        dispatcher = new Dispatcher(core, Dispatcher.Pool.of(config));
+        dispatcher = new Dispatcher(core, PlatformPool.options(config));
         peers = new PeerSocket(loop, config, this::heard);
         clientCount = new ClientRegistry(
                 core,
@@ -79,7 +79,7 @@
                                 - (config.control() == null ? 0 : OperatorActions.MAX_DESCRIPTORS)));
         discovery = new DiscoveryClient(core, DiscoveryClient.Source.of(config), dispatcher);
         loop.submit(() -> {
-                    dispatcher.start(discovery, peers);
+                    dispatcher.start(discovery, peers::send);
                     discovery.start();
                     loop.scheduleWithFixedDelay(clientCount::closeStalled, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
                 })
@@ -115,7 +115,7 @@
 
     private void heard(int peer, byte[] message) {
         if (!VersionGossip.isVersionMessage(message)) {
-            dispatcher.heard(peer, message);
+            dispatcher.peerMessageReceived(peer, message);
         } else if (discovery != null) {
             discovery.heard(peer, message);
         }
@@ -235,7 +235,9 @@
 
     /** Whether the module holds nothing against a server. */
     public boolean isHealthy(int server) {
-        return loop.submit(() -> dispatcher.sound(server)).syncUninterruptibly().getNow();
+        return loop.submit(() -> dispatcher.isHealthy(server))
+                .syncUninterruptibly()
+                .getNow();
     }
 
     /** Connections of clients that the loop knows of. */
@@ -254,7 +256,7 @@
     }
 
     public int pendingRequests() {
-        return loop.submit(dispatcher::inHand).syncUninterruptibly().getNow();
+        return loop.submit(dispatcher::pendingRequests).syncUninterruptibly().getNow();
     }
 
     // ---- the end
@@ -265,7 +267,7 @@
                 core.events
                         .line(ProxyEvent.STATE_CHANGED)
                         .with("state", "draining")
-                        .with("in_hand", dispatcher.inHand())
+                        .with("in_hand", dispatcher.pendingRequests())
                         .write();
             }
             lifecycle.beginShutdown(core.now(), operations != null && operations.hasSuccessor());
@@ -277,7 +279,7 @@
                     + Math.min(longest, LONGEST_LEFT_MS);
             core.after(lastMs, () -> {
                 listener.stopTakingRequests();
-                dispatcher.answerAll();
+                dispatcher.concludeAll();
             });
             return lastMs;
         });
