--- a/src/main/java/cacheproxy/daemon/Daemon.java
+++ b/src/main/java/cacheproxy/daemon/Daemon.java
@@ -112,7 +112,7 @@
     // The tasks end with the event loop, so that nobody needs their futures.
     @SuppressWarnings("FutureReturnValueIgnored")
     private void startPeriodicTasks() {
-        core.observe(new ServerRestartObserver(core, serverStarts, subsystems, router::configuration));
+        core.addServerObserver(new ServerRestartObserver(core, serverStarts, subsystems, router::configuration));
         loop.scheduleWithFixedDelay(clients::closeStalled, CLIENT_SWEEP_MS, CLIENT_SWEEP_MS, TimeUnit.MILLISECONDS);
         loop.scheduleWithFixedDelay(this::collectUnused, COLLECT_MS, COLLECT_MS, TimeUnit.MILLISECONDS);
     }
--- a/src/main/java/cacheproxy/daemon/LearnedStates.java
+++ b/src/main/java/cacheproxy/daemon/LearnedStates.java
@@ -3,7 +3,7 @@
 import cacheproxy.config.Addresses;
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.PoolConfig;
-import cacheproxy.proxy.discovery.DiscoveryClient;
+import cacheproxy.proxy.discovery.ListedServer;
 import cacheproxy.proxy.dispatch.LearnedStateProvider;
 import cacheproxy.snapshot.state.CurrentServer;
 import cacheproxy.snapshot.state.StateSnapshot;
@@ -38,11 +38,11 @@
         String keyScheme = PoolSettings.keyScheme(file, pool);
         return (nowMs, servers) -> {
             List<CurrentServer> present = new ArrayList<>();
-            for (DiscoveryClient.Host host : servers) {
+            for (ListedServer host : servers) {
                 present.add(new CurrentServer(
-                        host.member().id(),
-                        Addresses.text(host.dial()),
-                        host.member().startedMs()));
+                        host.endpoint().id(),
+                        Addresses.text(host.address()),
+                        host.endpoint().startedMs()));
             }
             return snapshot.restore(pool.name(), keyScheme, nowMs, trust, present);
         };
--- a/src/main/java/cacheproxy/daemon/PoolFleetLink.java
+++ b/src/main/java/cacheproxy/daemon/PoolFleetLink.java
@@ -1,7 +1,7 @@
 package cacheproxy.daemon;
 
 import cacheproxy.policy.AttemptOutcome;
-import cacheproxy.proxy.discovery.DiscoveryClient;
+import cacheproxy.proxy.discovery.WatchCoordination;
 import cacheproxy.proxy.dispatch.Dispatcher;
 import cacheproxy.proxy.dispatch.HealthCheckDelegate;
 import java.util.function.Supplier;
@@ -10,7 +10,7 @@
  * A pool's questions to the fleet. Where this proxy belongs to none, the pool makes health checks and watches discovery
  * by itself. The fleet's subsystem may be replaced at any time, so it is looked up on each call.
  */
-final class PoolFleetLink implements HealthCheckDelegate, DiscoveryClient.Pace {
+final class PoolFleetLink implements HealthCheckDelegate, WatchCoordination {
     private final String pool;
     private final Supplier<Dispatcher> dispatcher;
     private final Subsystems subsystems;
@@ -47,13 +47,13 @@
     }
 
     @Override
-    public boolean closely() {
+    public boolean shouldLongPoll() {
         FleetCoordination fleet = fleet();
         return fleet == null || fleet.watchesClosely(pool);
     }
 
     @Override
-    public void have(long version) {
+    public void listReceived(long version) {
         FleetCoordination fleet = fleet();
         if (fleet != null) {
             fleet.listReceived(pool, version);
--- a/src/main/java/cacheproxy/daemon/PoolRuntime.java
+++ b/src/main/java/cacheproxy/daemon/PoolRuntime.java
@@ -16,7 +16,9 @@
 import cacheproxy.policy.EndpointListKind;
 import cacheproxy.policy.PolicySettings;
 import cacheproxy.proxy.discovery.DiscoveryClient;
+import cacheproxy.proxy.discovery.DiscoverySource;
 import cacheproxy.proxy.discovery.EndpointListSource;
+import cacheproxy.proxy.discovery.ListedServer;
 import cacheproxy.proxy.dispatch.Dispatcher;
 import cacheproxy.proxy.dispatch.LearnedStateProvider;
 import cacheproxy.proxy.dispatch.PoolOptions;
@@ -116,7 +118,7 @@
         DiscoveryConfig source = config.discovery();
         return new DiscoveryClient(
                 core,
-                new DiscoveryClient.Source(source.address(), null, true, source.zones(), source.kinds()),
+                new DiscoverySource(source.address(), null, true, source.zones(), source.kinds()),
                 dispatcher,
                 fleet);
     }
@@ -188,17 +190,17 @@
         return PoolSettings.allServers(config).stream().anyMatch(server -> server.id() == id);
     }
 
-    private List<DiscoveryClient.Host> hosts(IntPredicate wanted) {
-        List<DiscoveryClient.Host> hosts = new ArrayList<>();
+    private List<ListedServer> hosts(IntPredicate wanted) {
+        List<ListedServer> hosts = new ArrayList<>();
         for (ServerConfig server : PoolSettings.allServers(config)) {
             if (!server.down() && wanted.test(server.id())) {
                 Endpoint member = PoolSettings.member(file, config, server, startTimes.startMs(server.id()));
-                hosts.add(new DiscoveryClient.Host(member, server.address()));
+                hosts.add(new ListedServer(member, server.address()));
             }
         }
         for (String server : config.siblings()) {
             SiblingConfig sibling = SiblingsConfig.of(file).sibling(server);
-            hosts.add(new DiscoveryClient.Host(PoolSettings.sibling(config, sibling), sibling.fetchAddress()));
+            hosts.add(new ListedServer(PoolSettings.sibling(config, sibling), sibling.fetchAddress()));
         }
         return hosts;
     }
--- a/src/main/java/cacheproxy/daemon/ServerRestartObserver.java
+++ b/src/main/java/cacheproxy/daemon/ServerRestartObserver.java
@@ -26,12 +26,12 @@
     }
 
     @Override
-    public void refused(int server) {
+    public void connectionRefused(int server) {
         serverStarts.times().connectionRefused(server);
     }
 
     @Override
-    public void connected(int server) {
+    public void connectionAccepted(int server) {
         if (serverStarts.times().connectionAccepted(server, core.now())) {
             subsystems.serverRestarted(server);
             // Not within the connection's own event: the new list retires connections to a server that restarted.
--- a/src/main/java/cacheproxy/daemon/fleet/DelegatedWatches.java
+++ b/src/main/java/cacheproxy/daemon/fleet/DelegatedWatches.java
@@ -63,7 +63,7 @@
         for (String pool : List.copyOf(byPool.keySet())) {
             if (!wanted.contains(pool) || !byLease.containsKey(NameHash.of(config.watchLease(pool)))) {
                 byPool.remove(pool);
-                discoveryOf(pool).ifPresent(client -> client.pace(true));
+                discoveryOf(pool).ifPresent(client -> client.setLongPolling(true));
             }
         }
     }
@@ -151,12 +151,12 @@
 
         @Override
         public void setLongPolling(boolean enabled) {
-            discoveryOf(pool).ifPresent(client -> client.pace(enabled));
+            discoveryOf(pool).ifPresent(client -> client.setLongPolling(enabled));
         }
 
         @Override
         public void pollOnce() {
-            discoveryOf(pool).ifPresent(DiscoveryClient::ask);
+            discoveryOf(pool).ifPresent(DiscoveryClient::pollNow);
         }
     }
 }
--- a/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
@@ -3,15 +3,12 @@
 import cacheproxy.discovery.DiscoveryPollScheduler;
 import cacheproxy.discovery.SilentWatchDetector;
 import cacheproxy.discovery.VersionGossip;
-import cacheproxy.policy.Endpoint;
 import cacheproxy.policy.EndpointListKind;
 import cacheproxy.policy.PolicySettings;
-import cacheproxy.proxy.process.PlatformConfig;
 import cacheproxy.proxy.upstream.EventLoopContext;
 import cacheproxy.proxy.upstream.UpstreamRegistry;
 import com.google.gson.JsonObject;
 import java.net.InetSocketAddress;
-import java.net.SocketAddress;
 import java.util.List;
 import java.util.SplittableRandom;
 
@@ -34,44 +31,10 @@
     /** Over at most this, the proxies spread their polls of a discovery that is silent. */
     private static final double MAX_STAGGER_FRACTION = 0.25;
 
-    /** A server of the list. */
-    public record Host(Endpoint member, SocketAddress dial) {}
-
-    /**
-     * What is followed.
-     *
-     * @param known the list as it was last received, in discovery's JSON form; null for none
-     * @param ask whether the policy asks for the list; else it is followed from the start
-     */
-    public record Source(
-            InetSocketAddress address, JsonObject known, boolean ask, List<String> zones, List<String> kinds) {
-        /** The source that the platform's settings name. */
-        public static Source of(PlatformConfig config) {
-            return new Source(
-                    config.discovery(),
-                    config.initialHosts(),
-                    config.settings().pollsDiscovery(),
-                    config.zones(),
-                    config.kinds());
-        }
-    }
-
-    /** How closely the list is watched, where others may do so for this proxy. */
-    public interface Pace {
-        /**
-         * Whether a call is to be out at all times; else there is one only when {@link DiscoveryClient#ask} says so.
-         */
-        boolean closely();
-
-        /** A list of this version has come. */
-        void have(long version);
-    }
-
     private final EventLoopContext core;
-    private final Source source;
+    private final DiscoverySource source;
     private final EndpointListConsumer pool;
-    /** Null if this proxy always long-polls. */
-    private final Pace pace;
+    private final WatchCoordination coordination;
 
     private final EndpointListParser parser;
     private final ListVersion version = new ListVersion();
@@ -84,25 +47,22 @@
     private final double announcementDelayMs;
 
     /** Creates a client that always long-polls. */
-    public DiscoveryClient(EventLoopContext core, Source source, EndpointListConsumer pool) {
-        this(core, source, pool, null);
+    public DiscoveryClient(EventLoopContext core, DiscoverySource source, EndpointListConsumer pool) {
+        this(core, source, pool, WatchCoordination.NONE);
     }
 
-    /**
-     * Creates a client that another proxy may relieve from long-polling.
-     *
-     * @param pace null if it always long-polls
-     */
-    public DiscoveryClient(EventLoopContext core, Source source, EndpointListConsumer pool, Pace pace) {
+    /** Creates a client that long-polls while the coordination says so. */
+    public DiscoveryClient(
+            EventLoopContext core, DiscoverySource source, EndpointListConsumer pool, WatchCoordination coordination) {
         this.core = core;
         this.source = source;
         this.pool = pool;
-        this.pace = pace;
-        parser = new EndpointListParser(source.zones(), source.kinds());
+        this.coordination = coordination;
+        parser = new EndpointListParser(source.zones(), source.serverKinds());
         fetches = new DiscoveryConnection(core);
         PolicySettings settings = pool.settings();
-        DiscoveryPollScheduler scheduler =
-                new DiscoveryPollScheduler(source.ask(), settings.instanceCount(), new SplittableRandom(pool.seed()));
+        DiscoveryPollScheduler scheduler = new DiscoveryPollScheduler(
+                source.onRequest(), settings.instanceCount(), new SplittableRandom(pool.seed()));
         polls = new LongPollLoop(core, scheduler, source.address(), version, this::apply);
         scheduler.setLongPolling(core.now(), shouldLongPoll());
         double maxPollAgeMs = settings.maxPollAgeMs();
@@ -117,20 +77,20 @@
 
     /** Hands over the list of the configuration, if any, and follows discovery unless the policy is to ask for that. */
     public void start() {
-        List<Host> known = List.of();
-        if (source.known() != null) {
+        List<ListedServer> known = List.of();
+        if (source.initialList() != null) {
             try {
-                known = parser.servers(source.known());
-                version.reset(parser.version(source.known()));
+                known = parser.servers(source.initialList());
+                version.reset(parser.version(source.initialList()));
             } catch (RuntimeException e) {
                 pool.log("the list in the configuration is of no use: " + e.getMessage());
             }
         }
         pool.listed(EndpointListKind.CACHED, known);
         silentWatch.listReceived(
-                version.held(), true, known.stream().map(Host::member).toList());
-        core.observe(this);
-        if (!source.ask()) {
+                version.held(), true, known.stream().map(ListedServer::endpoint).toList());
+        core.addServerObserver(this);
+        if (!source.onRequest()) {
             watch(true);
         }
     }
@@ -139,7 +99,7 @@
      * Follows the list at another address of discovery from now on. The old one soon falls silent, so the new one is
      * polled immediately, and for the complete list, as its versions need not continue those of the old one.
      */
-    public void move(InetSocketAddress to) {
+    public void moveTo(InetSocketAddress to) {
         if (to.equals(polls.address())) {
             return;
         }
@@ -156,23 +116,23 @@
     }
 
     private boolean shouldLongPoll() {
-        return pace == null || pace.closely();
+        return coordination.shouldLongPoll();
     }
 
     /** Polls immediately, as there is a newer list. A long poll in flight should have delivered it and is replaced. */
-    public void ask() {
+    public void pollNow() {
         polls.pollNow();
     }
 
     /** Long-polls from now on, or leaves that to another proxy. */
-    public void pace(boolean closely) {
-        polls.setLongPolling(closely);
+    public void setLongPolling(boolean enabled) {
+        polls.setLongPolling(enabled);
     }
 
     @Override
     public void close() {
         polls.close();
-        core.servers.forget(this);
+        core.servers.removeObserver(this);
         fetches.close();
     }
 
@@ -203,9 +163,7 @@
             gossip.versionChanged();
             core.after(announcementDelayMs, this::announceVersion);
         }
-        if (pace != null) {
-            pace.have(update.version());
-        }
+        coordination.listReceived(update.version());
         silentWatch.listReceived(update.version(), update.complete(), update.endpoints());
         pool.listed(update.complete() ? EndpointListKind.FULL : EndpointListKind.CHANGES, update.servers());
     }
@@ -218,7 +176,7 @@
     }
 
     /** Another proxy, given by its number, has sent a message that {@link VersionGossip#isVersionMessage} accepts. */
-    public void heard(int peer, byte[] message) {
+    public void versionAnnounced(int peer, byte[] message) {
         long announced = VersionGossip.decodeVersion(message);
         gossip.received(peer, announced);
         if (announced > version.held()) {
@@ -227,12 +185,12 @@
     }
 
     @Override
-    public void refused(int server) {
+    public void connectionRefused(int server) {
         silentWatch.connectionRefused(server);
     }
 
     @Override
-    public void connected(int server) {
+    public void connectionAccepted(int server) {
         silentWatch.connected(server);
     }
 }
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoverySource.java
@@ -0,0 +1,21 @@
+package cacheproxy.proxy.discovery;
+
+import com.google.gson.JsonObject;
+import java.net.InetSocketAddress;
+import java.util.List;
+
+/**
+ * Where a pool's endpoint list comes from.
+ *
+ * @param address of the discovery service
+ * @param initialList the list to start with, in discovery's JSON form; null if there is none
+ * @param onRequest whether the list is followed only when the policy asks for that; else from the start
+ * @param zones the zones of servers, in the policy's order
+ * @param serverKinds the kinds of servers, in the policy's order
+ */
+public record DiscoverySource(
+        InetSocketAddress address,
+        JsonObject initialList,
+        boolean onRequest,
+        List<String> zones,
+        List<String> serverKinds) {}
--- a/src/main/java/cacheproxy/proxy/discovery/EndpointListParser.java
+++ b/src/main/java/cacheproxy/proxy/discovery/EndpointListParser.java
@@ -37,12 +37,12 @@
     }
 
     /** Reads the servers alone, in their order. */
-    List<DiscoveryClient.Host> servers(JsonObject list) {
-        List<DiscoveryClient.Host> servers = new ArrayList<>();
+    List<ListedServer> servers(JsonObject list) {
+        List<ListedServer> servers = new ArrayList<>();
         Set<Integer> ids = new HashSet<>();
         for (JsonElement element : list.getAsJsonArray("hosts")) {
-            DiscoveryClient.Host server = server(element.getAsJsonObject());
-            if (!ids.add(server.member().id())) {
+            ListedServer server = server(element.getAsJsonObject());
+            if (!ids.add(server.endpoint().id())) {
                 throw new DiscoveryException("a host is listed twice");
             }
             servers.add(server);
@@ -50,7 +50,7 @@
         return servers;
     }
 
-    private DiscoveryClient.Host server(JsonObject json) {
+    private ListedServer server(JsonObject json) {
         String name = json.get("host").getAsString();
         EndpointState state = state(name, json.get("health").getAsString());
         int zone = zones.indexOf(PlatformConfig.toSettingName(json.get("site").getAsString()));
@@ -62,7 +62,7 @@
         }
         double startedMs = json.has("born_ms") ? json.get("born_ms").getAsDouble() : 0;
         int cell = json.has("block") ? json.get("block").getAsInt() : 0;
-        return new DiscoveryClient.Host(
+        return new ListedServer(
                 new Endpoint(ServerId.fromName(name), zone, kind, cell, state, weight, startedMs),
                 Addresses.parse(json.get("dial").getAsString()));
     }
--- a/src/main/java/cacheproxy/proxy/discovery/EndpointListUpdate.java
+++ b/src/main/java/cacheproxy/proxy/discovery/EndpointListUpdate.java
@@ -10,9 +10,9 @@
  * @param complete whether {@code servers} is the complete list; else its changes, perhaps none
  * @param version of the list, by discovery's numbering, which increases until discovery restarts it
  */
-record EndpointListUpdate(List<DiscoveryClient.Host> servers, boolean complete, long version) {
+record EndpointListUpdate(List<ListedServer> servers, boolean complete, long version) {
     /** The servers as the policy knows them, in their order. */
     List<Endpoint> endpoints() {
-        return servers.stream().map(DiscoveryClient.Host::member).toList();
+        return servers.stream().map(ListedServer::endpoint).toList();
     }
 }
--- a/src/main/java/cacheproxy/proxy/discovery/PeerSocket.java
+++ b/src/main/java/cacheproxy/proxy/discovery/PeerSocket.java
@@ -28,7 +28,7 @@
     /** Receives the messages of the other proxies. */
     public interface Receiver {
         /** Takes a message of the proxy that has this number among the peers. */
-        void heard(int peer, byte[] message);
+        void received(int peer, byte[] message);
     }
 
     /** Binds the socket if the configuration has peers and an address to listen on; waits until it is bound. */
@@ -74,7 +74,7 @@
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
             int peer = config.peers().indexOf(packet.sender());
             if (peer >= 0 && packet.content().readableBytes() <= MAX_MESSAGE_BYTES) {
-                receiver.heard(peer, ByteBufUtil.getBytes(packet.content()));
+                receiver.received(peer, ByteBufUtil.getBytes(packet.content()));
             }
         }
 
--- a/src/main/java/cacheproxy/proxy/dispatch/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/Dispatcher.java
@@ -4,9 +4,9 @@
 import cacheproxy.policy.EndpointListKind;
 import cacheproxy.policy.PolicySettings;
 import cacheproxy.policy.RoutingPolicy;
-import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.proxy.discovery.EndpointListConsumer;
 import cacheproxy.proxy.discovery.EndpointListSource;
+import cacheproxy.proxy.discovery.ListedServer;
 import cacheproxy.proxy.request.ClientRequest;
 import cacheproxy.proxy.request.Responder;
 import cacheproxy.proxy.upstream.EventLoopContext;
@@ -142,10 +142,10 @@
     // ---- servers
 
     @Override
-    public void listed(EndpointListKind kind, List<DiscoveryClient.Host> hosts) {
+    public void listed(EndpointListKind kind, List<ListedServer> hosts) {
         servers.apply(kind, hosts);
         events.endpointListReceived(
-                kind, hosts.stream().map(DiscoveryClient.Host::member).toList());
+                kind, hosts.stream().map(ListedServer::endpoint).toList());
         if (learnedState != null && hasServers()) {
             LearnedStateProvider provider = learnedState;
             learnedState = null;
@@ -161,7 +161,7 @@
     /** The address of a server; null if it is not on the list. */
     public SocketAddress address(int server) {
         Upstream upstream = servers.find(server);
-        return upstream == null ? null : upstream.dial;
+        return upstream == null ? null : upstream.address();
     }
 
     /** Whether the policy holds nothing against a server. */
--- a/src/main/java/cacheproxy/proxy/dispatch/LearnedStateProvider.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/LearnedStateProvider.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy.dispatch;
 
-import cacheproxy.proxy.discovery.DiscoveryClient;
+import cacheproxy.proxy.discovery.ListedServer;
 import cacheproxy.snapshot.state.LearnedState;
 import java.util.List;
 
@@ -8,5 +8,5 @@
 @FunctionalInterface
 public interface LearnedStateProvider {
     /** The state for these servers. Called once, with the first list that has a server, on the event loop. */
-    LearnedState restore(double nowMs, List<DiscoveryClient.Host> servers);
+    LearnedState restore(double nowMs, List<ListedServer> servers);
 }
--- a/src/main/java/cacheproxy/proxy/dispatch/PoolServers.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/PoolServers.java
@@ -5,7 +5,7 @@
 import cacheproxy.policy.EndpointListKind;
 import cacheproxy.policy.EndpointState;
 import cacheproxy.policy.PolicySettings;
-import cacheproxy.proxy.discovery.DiscoveryClient;
+import cacheproxy.proxy.discovery.ListedServer;
 import cacheproxy.proxy.upstream.EventLoopContext;
 import cacheproxy.proxy.upstream.Upstream;
 import io.netty.util.collection.IntObjectHashMap;
@@ -31,11 +31,11 @@
     }
 
     /** Applies a list: a full one replaces all servers, changes concern those that they name. */
-    void apply(EndpointListKind kind, List<DiscoveryClient.Host> hosts) {
-        for (DiscoveryClient.Host host : hosts) {
+    void apply(EndpointListKind kind, List<ListedServer> hosts) {
+        for (ListedServer host : hosts) {
             logChange(kind, host);
-            if (host.member().state() == EndpointState.GONE) {
-                remove(host.member().id());
+            if (host.endpoint().state() == EndpointState.GONE) {
+                remove(host.endpoint().id());
             } else {
                 update(host);
             }
@@ -45,16 +45,16 @@
         }
     }
 
-    private void logChange(EndpointListKind kind, DiscoveryClient.Host host) {
+    private void logChange(EndpointListKind kind, ListedServer host) {
         if (!core.events.isEnabled()) {
             return;
         }
-        Endpoint endpoint = host.member();
+        Endpoint endpoint = host.endpoint();
         Upstream known = servers.get(endpoint.id());
-        if (known == null || known.state != endpoint.state() || known.bornMs != endpoint.startedMs()) {
+        if (known == null || !known.isListedAs(endpoint.state(), endpoint.startedMs())) {
             core.events
                     .line(ProxyEvent.SERVER_LISTED)
-                    .with("server", name(endpoint.id(), host.dial()))
+                    .with("server", name(endpoint.id(), host.address()))
                     .with("state", endpoint.state())
                     .with("born_ms", (long) endpoint.startedMs())
                     .with("list", kind)
@@ -62,22 +62,16 @@
         }
     }
 
-    private void update(DiscoveryClient.Host host) {
-        Endpoint endpoint = host.member();
-        Upstream server = hold(endpoint, host.dial());
-        if (server.bornMs != endpoint.startedMs()) {
-            server.retire();
-        }
-        server.bornMs = endpoint.startedMs();
-        server.state = endpoint.state();
-        server.leftMs =
-                server.state == EndpointState.READY ? Double.POSITIVE_INFINITY : Math.min(server.leftMs, core.now());
+    private void update(ListedServer host) {
+        Endpoint endpoint = host.endpoint();
+        Upstream server = hold(endpoint, host.address());
+        server.listed(endpoint.state(), endpoint.startedMs());
     }
 
     /** The server of this id at this address, in place of one at another address. */
     private Upstream hold(Endpoint endpoint, SocketAddress address) {
         Upstream known = servers.get(endpoint.id());
-        if (known != null && known.dial.equals(address)) {
+        if (known != null && known.address().equals(address)) {
             return known;
         }
         remove(endpoint.id());
@@ -88,9 +82,9 @@
         return server;
     }
 
-    private void removeUnlisted(List<DiscoveryClient.Host> hosts) {
+    private void removeUnlisted(List<ListedServer> hosts) {
         Set<Integer> listed = new HashSet<>();
-        hosts.forEach(host -> listed.add(host.member().id()));
+        hosts.forEach(host -> listed.add(host.endpoint().id()));
         for (Integer id : List.copyOf(servers.keySet())) {
             if (!listed.contains(id)) {
                 remove(id);
@@ -101,7 +95,7 @@
     private void remove(int id) {
         Upstream server = servers.remove(id);
         if (server != null) {
-            server.leftMs = Math.min(server.leftMs, core.now());
+            server.markUnavailable();
             core.servers.release(server);
         }
     }
@@ -125,7 +119,7 @@
     void close() {
         for (Integer id : List.copyOf(servers.keySet())) {
             Upstream server = servers.remove(id);
-            if (server.holders == 1) {
+            if (server.hasOneHolder()) {
                 server.close();
             }
             core.servers.release(server);
@@ -145,14 +139,14 @@
     /** Whether this is a listed server that is no origin. */
     boolean isCacheServer(int id) {
         Upstream server = servers.get(id);
-        return server != null && !server.origin;
+        return server != null && !server.isOrigin();
     }
 
     /** Whether some cache server fulfils a condition, or none is listed. */
     boolean anyCacheServer(IntPredicate condition) {
         boolean none = true;
         for (IntObjectMap.PrimitiveEntry<Upstream> entry : servers.entries()) {
-            if (!entry.value().origin) {
+            if (!entry.value().isOrigin()) {
                 if (condition.test(entry.key())) {
                     return true;
                 }
@@ -165,7 +159,7 @@
     /** How a server is named in the event log: its id, with its address while it is listed. */
     String name(int id) {
         Upstream server = servers.get(id);
-        return server == null ? Integer.toHexString(id) : name(id, server.dial);
+        return server == null ? Integer.toHexString(id) : name(id, server.address());
     }
 
     private static String name(int id, SocketAddress address) {
--- a/src/main/java/cacheproxy/proxy/dispatch/RequestAttempts.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/RequestAttempts.java
@@ -49,7 +49,7 @@
         limitToDeduplicationWindow(context, attempt);
         if (!upstream.send(attempt)) {
             // A want of connections on this side says nothing against a cache server.
-            AttemptOutcome outcome = upstream.origin ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.NOT_SENT;
+            AttemptOutcome outcome = upstream.isOrigin() ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.NOT_SENT;
             pool.policy().run(() -> attempt.onEnd(outcome));
         }
     }
--- a/src/main/java/cacheproxy/proxy/process/PlatformConfig.java
+++ b/src/main/java/cacheproxy/proxy/process/PlatformConfig.java
@@ -2,6 +2,7 @@
 
 import cacheproxy.config.Addresses;
 import cacheproxy.policy.PolicySettings;
+import cacheproxy.proxy.discovery.DiscoverySource;
 import cacheproxy.proxy.upstream.EventLoopLimits;
 import cacheproxy.simulator.SettingsParser;
 import com.google.gson.JsonElement;
@@ -58,6 +59,11 @@
         return new EventLoopLimits(valueBytes, maxSockets / SERVER_SOCKETS_DIVISOR, false);
     }
 
+    /** Where the process's one pool has its endpoint list from. */
+    DiscoverySource discoverySource() {
+        return new DiscoverySource(discovery, initialHosts, settings.pollsDiscovery(), zones, kinds);
+    }
+
     /** Reads the file; an IllegalArgumentException says in one line what is wrong. */
     static PlatformConfig read(String path) {
         if (path == null || path.isEmpty()) {
--- a/src/main/java/cacheproxy/proxy/process/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/process/Proxy.java
@@ -77,7 +77,7 @@
                                 - config.maxSockets() / 3
                                 - OWN_DESCRIPTORS
                                 - (config.control() == null ? 0 : OperatorActions.MAX_DESCRIPTORS)));
-        discovery = new DiscoveryClient(core, DiscoveryClient.Source.of(config), dispatcher);
+        discovery = new DiscoveryClient(core, config.discoverySource(), dispatcher);
         loop.submit(() -> {
                     dispatcher.start(discovery, peers::send);
                     discovery.start();
@@ -117,7 +117,7 @@
         if (!VersionGossip.isVersionMessage(message)) {
             dispatcher.peerMessageReceived(peer, message);
         } else if (discovery != null) {
-            discovery.heard(peer, message);
+            discovery.versionAnnounced(peer, message);
         }
     }
 
@@ -159,7 +159,7 @@
                         .with("discovery", to)
                         .write();
             }
-            loop.execute(() -> discovery.move(to));
+            loop.execute(() -> discovery.moveTo(to));
         } catch (IllegalArgumentException e) {
             System.err.println(e.getMessage());
         }
--- a/src/main/java/cacheproxy/proxy/process/WarmUp.java
+++ b/src/main/java/cacheproxy/proxy/process/WarmUp.java
@@ -7,8 +7,8 @@
 import cacheproxy.proxy.client.ClientConnection;
 import cacheproxy.proxy.client.ClientRegistry;
 import cacheproxy.proxy.client.Listener;
-import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.proxy.discovery.EndpointListSource;
+import cacheproxy.proxy.discovery.ListedServer;
 import cacheproxy.proxy.dispatch.Dispatcher;
 import cacheproxy.proxy.dispatch.SinglePoolHandler;
 import cacheproxy.proxy.net.HandlerInitializer;
@@ -93,7 +93,7 @@
             SocketAddress origin = listen("o", Origin::new);
             SocketAddress proxy = listen("p", () -> new ClientConnection(core, front, 0));
             int originKind = config.settings().originKind();
-            List<DiscoveryClient.Host> hosts =
+            List<ListedServer> hosts =
                     List.of(host(1, originKind == 0 ? 1 : 0, node), host(2, Math.max(0, originKind), origin));
             loop.submit(() -> dispatcher.listed(EndpointListKind.CACHED, hosts)).sync();
             channels.add(new Bootstrap()
@@ -132,8 +132,8 @@
         return address;
     }
 
-    private static DiscoveryClient.Host host(int id, int kind, SocketAddress dial) {
-        return new DiscoveryClient.Host(new Endpoint(id, 0, kind, 0, EndpointState.READY, 1, 0), dial);
+    private static ListedServer host(int id, int kind, SocketAddress dial) {
+        return new ListedServer(new Endpoint(id, 0, kind, 0, EndpointState.READY, 1, 0), dial);
     }
 
     /**
--- a/src/main/java/cacheproxy/proxy/upstream/EventLoopContext.java
+++ b/src/main/java/cacheproxy/proxy/upstream/EventLoopContext.java
@@ -169,8 +169,8 @@
     // ---- connections to servers
 
     /** Adds an observer of servers that refuse connections, and of those that accept them again. */
-    public void observe(UpstreamRegistry.Observer observer) {
-        servers.observe(observer);
+    public void addServerObserver(UpstreamRegistry.Observer observer) {
+        servers.addObserver(observer);
     }
 
     /** Creates a bootstrap that lacks the handler and the address. */
--- a/src/main/java/cacheproxy/proxy/upstream/Upstream.java
+++ b/src/main/java/cacheproxy/proxy/upstream/Upstream.java
@@ -23,18 +23,19 @@
      */
     public static final double REST_MS = 10;
 
-    final int id;
-    public final boolean origin;
-    /** The server's address. */
-    public SocketAddress dial;
+    private static final double READY = Double.POSITIVE_INFINITY;
+
+    private final int id;
+    private final boolean origin;
+    private final SocketAddress address;
     /** When the server's process started, as the endpoint list has it. */
-    public double bornMs;
+    private double startedMs;
     /** The state in the endpoint list; null before the first list. */
-    public EndpointState state;
-    /** Since when it is known to drain or to be gone; infinite if it is ready. */
-    public double leftMs = Double.POSITIVE_INFINITY;
+    private EndpointState state;
+    /** Since when it is known to drain or to be gone; {@link #READY} if neither. */
+    private double unavailableSinceMs = READY;
     /** How many pools have this server on their lists. */
-    public int holders;
+    private int holders;
 
     private final EventLoopContext core;
     private final Bootstrap bootstrap;
@@ -48,8 +49,9 @@
     private final ServerCapacity capacity;
     private final List<UpstreamConnection> connections = new ArrayList<>(2);
 
-    Upstream(int id, boolean origin, EventLoopContext core, ConnectionLimits limits) {
+    Upstream(int id, boolean origin, SocketAddress address, EventLoopContext core, ConnectionLimits limits) {
         this.id = id;
+        this.address = address;
         this.origin = origin;
         this.core = core;
         capacity = new ServerCapacity(core.servers.shortage());
@@ -65,6 +67,70 @@
         return core;
     }
 
+    // ---- the server in the endpoint list
+
+    /** The server's id, by its name. */
+    public int id() {
+        return id;
+    }
+
+    /** Whether it is an origin server; else it is a cache server or a sibling. */
+    public boolean isOrigin() {
+        return origin;
+    }
+
+    /** The server's address. */
+    public SocketAddress address() {
+        return address;
+    }
+
+    /** Since when it is known to drain or to be gone, in milliseconds; infinite if it is ready. */
+    public double unavailableSinceMs() {
+        return unavailableSinceMs;
+    }
+
+    /** Whether the list has had this state and start time of the server already. */
+    public boolean isListedAs(EndpointState otherState, double otherStartedMs) {
+        return state == otherState && startedMs == otherStartedMs;
+    }
+
+    /**
+     * Takes over what the list says. If the server has been restarted, the connections to its old process are retired.
+     */
+    public void listed(EndpointState newState, double newStartedMs) {
+        if (startedMs != newStartedMs) {
+            retire();
+        }
+        startedMs = newStartedMs;
+        state = newState;
+        if (state == EndpointState.READY) {
+            unavailableSinceMs = READY;
+        } else {
+            markUnavailable();
+        }
+    }
+
+    /** The server is known to drain or to be gone from now on, or since the time that is known already. */
+    public void markUnavailable() {
+        unavailableSinceMs = Math.min(unavailableSinceMs, core.now());
+    }
+
+    /** Another pool has it on its list. */
+    void addHolder() {
+        holders++;
+    }
+
+    /** A pool does not have it any more. Returns whether no pool has it now. */
+    boolean removeHolder() {
+        holders--;
+        return holders == 0;
+    }
+
+    /** Whether exactly one pool has it. */
+    public boolean hasOneHolder() {
+        return holders == 1;
+    }
+
     // ---- the choice of a connection
 
     /** Sends the attempt; false if no connection can take it. */
@@ -156,8 +222,8 @@
         ChannelHandler[] handlers =
                 origin ? OriginCodec.handlers(connection) : new ChannelHandler[] {new CacheCodec(connection)};
         ChannelFuture connect =
-                bootstrap.clone().handler(new HandlerInitializer(handlers)).connect(dial);
-        connection.opening(connect, dial);
+                bootstrap.clone().handler(new HandlerInitializer(handlers)).connect(address);
+        connection.opening(connect, address);
         return connection;
     }
 
--- a/src/main/java/cacheproxy/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/cacheproxy/proxy/upstream/UpstreamConnection.java
@@ -1,6 +1,5 @@
 package cacheproxy.proxy.upstream;
 
-import cacheproxy.eventlog.ProxyEvent;
 import cacheproxy.policy.AttemptOutcome;
 import cacheproxy.proxy.request.Responder;
 import io.netty.buffer.ByteBuf;
@@ -74,7 +73,7 @@
 
     private void connectEnded(Throwable failure) {
         core().servers.opened(upstream, failure);
-        logConnected(failure);
+        UpstreamEvents.logConnected(core().events, this, failure);
         if (failure != null) {
             // A channel that was never active reports no end to its handlers, so it has to be done here. Else attempts
             // would time out as ones that may have been processed, and the connection would count for good.
@@ -104,6 +103,16 @@
         return receivingLongValue;
     }
 
+    /** Whether no more attempts are sent on it. */
+    boolean isRetired() {
+        return retired;
+    }
+
+    /** Whether the proxy has closed it; else the server has, or the network. */
+    boolean isClosedByProxy() {
+        return closedByProxy;
+    }
+
     /** Whether no attempt is on it. */
     boolean isEmpty() {
         return attempts.isEmpty();
@@ -134,7 +143,7 @@
 
     /** Since when its server is known to drain or to be gone; infinite if it is ready. */
     public double serverLeftMs() {
-        return upstream.leftMs;
+        return upstream.unavailableSinceMs();
     }
 
     /** Attempts that wait for it or for their response on it. */
@@ -144,7 +153,7 @@
 
     /** How its server is named in the event log: its id and address. */
     public String name() {
-        return Integer.toHexString(upstream.id) + "@" + address;
+        return Integer.toHexString(upstream.id()) + "@" + address;
     }
 
     // ---- sending
@@ -362,7 +371,7 @@
             upstream.onConnectionRefused();
         }
         upstream.onClosed(this);
-        logDisconnected();
+        UpstreamEvents.logDisconnected(core().events, this);
         for (Attempt attempt; (attempt = attempts.removeFirst()) != null; ) {
             if (!sendElsewhere(attempt)) {
                 attempt.onEnd(attempt.isWritten() ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED);
@@ -376,28 +385,4 @@
         }
         return connected ? upstream.send(attempt) : upstream.sendOnConnected(attempt);
     }
-
-    private void logConnected(Throwable failure) {
-        if (core().events.isEnabled()) {
-            core().events
-                    .line(ProxyEvent.SERVER_CONNECTED)
-                    .with("server", name())
-                    .with("queued", attempts.size())
-                    .with("cause", failure == null ? "ok" : failure.getClass().getSimpleName())
-                    .write();
-        }
-    }
-
-    private void logDisconnected() {
-        if (core().events.isEnabled()) {
-            core().events
-                    .line(ProxyEvent.SERVER_DISCONNECTED)
-                    .with("server", name())
-                    .with("by", closedByProxy ? "proxy" : "server")
-                    .with("connected", connected)
-                    .with("retired", retired)
-                    .with("out", attempts.size())
-                    .write();
-        }
-    }
 }
--- a/src/main/java/cacheproxy/proxy/upstream/UpstreamRegistry.java
+++ b/src/main/java/cacheproxy/proxy/upstream/UpstreamRegistry.java
@@ -17,10 +17,10 @@
     /** Observes whether servers accept connections. */
     public interface Observer {
         /** A server has refused a connection, so that no process listens there. */
-        void refused(int server);
+        void connectionRefused(int server);
 
         /** A server has accepted a connection. */
-        void connected(int server);
+        void connectionAccepted(int server);
     }
 
     private final EventLoopContext core;
@@ -43,12 +43,12 @@
     }
 
     /** Adds an observer. */
-    void observe(Observer observer) {
+    void addObserver(Observer observer) {
         observers.add(observer);
     }
 
     /** Removes an observer. */
-    public void forget(Observer observer) {
+    public void removeObserver(Observer observer) {
         observers.remove(observer);
     }
 
@@ -57,9 +57,9 @@
         boolean refused = failure instanceof ConnectException && !(failure instanceof ConnectTimeoutException);
         for (Observer observer : observers) {
             if (failure == null) {
-                observer.connected(server.id);
+                observer.connectionAccepted(server.id());
             } else if (refused) {
-                observer.refused(server.id);
+                observer.connectionRefused(server.id());
             }
         }
     }
@@ -77,28 +77,26 @@
             byId.put(id, sameId);
         }
         for (Upstream server : sameId) {
-            if (server.dial.equals(address) && server.origin == origin) {
-                server.holders++;
+            if (server.address().equals(address) && server.isOrigin() == origin) {
+                server.addHolder();
                 return server;
             }
         }
-        Upstream server = new Upstream(id, origin, core, limits);
-        server.dial = address;
-        server.holders = 1;
+        Upstream server = new Upstream(id, origin, address, core, limits);
+        server.addHolder();
         sameId.add(server);
         return server;
     }
 
     /** A pool does not have this server any more; its connections are retired if no other pool has it. */
     public void release(Upstream server) {
-        server.holders--;
-        if (server.holders != 0) {
+        if (!server.removeHolder()) {
             return;
         }
-        List<Upstream> sameId = byId.get(server.id);
+        List<Upstream> sameId = byId.get(server.id());
         sameId.remove(server);
         if (sameId.isEmpty()) {
-            byId.remove(server.id);
+            byId.remove(server.id());
         }
         server.retire();
         if (!server.hasNoConnection()) {
@@ -115,7 +113,7 @@
     public void sweep(Iterable<Upstream> servers, double nowMs, double idleSinceMs) {
         for (Upstream server : servers) {
             server.closeIdle(idleSinceMs);
-            if (!server.origin && shortage.isActive(nowMs)) {
+            if (!server.isOrigin() && shortage.isActive(nowMs)) {
                 server.closeSpare();
             }
             server.closeStalled(nowMs);
