--- a/src/main/java/cacheproxy/proxy/process/ConfigReloader.java
+++ b/src/main/java/cacheproxy/proxy/process/ConfigReloader.java
@@ -51,7 +51,7 @@
                         .with("discovery", discoveryAddress)
                         .write();
             }
-            loopContext.loop().execute(() -> discovery.move(discoveryAddress));
+            loopContext.loop().execute(() -> discovery.moveTo(discoveryAddress));
         } catch (IllegalArgumentException e) {
             System.err.println(e.getMessage());
         }
--- a/src/main/java/cacheproxy/proxy/process/PlatformConfig.java
+++ b/src/main/java/cacheproxy/proxy/process/PlatformConfig.java
@@ -1,6 +1,7 @@
 package cacheproxy.proxy.process;
 
 import cacheproxy.policy.PolicySettings;
+import cacheproxy.proxy.discovery.DiscoverySource;
 import cacheproxy.proxy.upstream.EventLoopLimits;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
@@ -70,6 +71,11 @@
 
     private static final int MIN_CLIENT_CONNECTIONS = 16;
 
+    /** Where the process's one pool has its endpoint list from. */
+    DiscoverySource discoverySource() {
+        return new DiscoverySource(discovery, initialHosts, settings.pollsDiscovery(), zones, kinds);
+    }
+
     /**
      * Reads the file.
      *
--- a/src/main/java/cacheproxy/proxy/process/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/process/Proxy.java
@@ -61,7 +61,7 @@
         dispatcher = new Dispatcher(loopContext, PlatformPool.options(config));
         peers = new PeerSocket(loop, config, this::peerMessage);
         clients = new ClientRegistry(loopContext, config.maxClientConnections());
-        discovery = new DiscoveryClient(loopContext, DiscoveryClient.Source.of(config), dispatcher);
+        discovery = new DiscoveryClient(loopContext, config.discoverySource(), dispatcher);
         reloader = new ConfigReloader(loopContext, discovery);
         loop.submit(this::startDispatching).syncUninterruptibly();
         listener = new Listener(
@@ -92,7 +92,7 @@
         if (!VersionGossip.isVersionMessage(message)) {
             dispatcher.peerMessageReceived(peer, message);
         } else if (discovery != null) { // a message may come before the constructor has set it
-            discovery.heard(peer, message);
+            discovery.versionAnnounced(peer, message);
         }
     }
 
--- a/src/main/java/cacheproxy/proxy/process/WarmUp.java
+++ b/src/main/java/cacheproxy/proxy/process/WarmUp.java
@@ -7,8 +7,8 @@
 import cacheproxy.proxy.client.ClientRegistry;
 import cacheproxy.proxy.client.Listener;
 import cacheproxy.proxy.client.MetaProtocol;
-import cacheproxy.proxy.discovery.DiscoveryClient;
 import cacheproxy.proxy.discovery.EndpointListSource;
+import cacheproxy.proxy.discovery.ListedServer;
 import cacheproxy.proxy.dispatch.Dispatcher;
 import cacheproxy.proxy.dispatch.SinglePoolHandler;
 import cacheproxy.proxy.net.HandlerInitializer;
@@ -138,7 +138,7 @@
         SocketAddress proxy = listen("p", listener::newUncountedConnection);
         int originKind = config.settings().originKind();
         int nodeKind = originKind == 0 ? 1 : 0;
-        List<DiscoveryClient.Host> hosts =
+        List<ListedServer> hosts =
                 List.of(host(NODE_ID, nodeKind, node), host(ORIGIN_ID, Math.max(0, originKind), origin));
         loop.submit(() -> dispatcher.listed(EndpointListKind.CACHED, hosts)).sync();
         channels.add(new Bootstrap()
@@ -170,8 +170,8 @@
         return address;
     }
 
-    private static DiscoveryClient.Host host(int id, int kind, SocketAddress address) {
-        return new DiscoveryClient.Host(new Endpoint(id, 0, kind, 0, EndpointState.READY, 1, 0), address);
+    private static ListedServer host(int id, int kind, SocketAddress address) {
+        return new ListedServer(new Endpoint(id, 0, kind, 0, EndpointState.READY, 1, 0), address);
     }
 
     /**
