--- /dev/null
+++ b/src/test/java/cacheproxy/proxy/CacheResponses.java
@@ -0,0 +1,13 @@
+package cacheproxy.proxy;
+
+import cacheproxy.fakes.ScriptedServer;
+
+/** Responses of cache servers as tests script them. */
+final class CacheResponses {
+    private CacheResponses() {}
+
+    /** A hit with a value of five bytes. */
+    static String hit(String command) {
+        return "VA 5 O" + ScriptedServer.id(command) + " h1\r\nhello\r\n";
+    }
+}
--- /dev/null
+++ b/src/test/java/cacheproxy/proxy/ClientDisconnectTest.java
@@ -0,0 +1,179 @@
+package cacheproxy.proxy;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import cacheproxy.fakes.ScriptedServer;
+import java.io.IOException;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.atomic.AtomicInteger;
+import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
+
+/** What becomes of requests whose client disconnects while they are pending. */
+@Timeout(20)
+class ClientDisconnectTest {
+    /** Also where attempts may not be cancelled: one without a connection has not begun. */
+    @Test
+    void doesNotSendRequestThatWaitsForConnectionAfterClientDisconnects() throws Exception {
+        for (String mayCancel : new String[] {"false", "true"}) {
+            try (BackloggedServer node = new BackloggedServer();
+                    Fleet fleet = new Fleet()
+                            .node(node.dial())
+                            .set("caps.may-cancel", mayCancel)
+                            .set("caps.connect-timeout", "20000.0")
+                            .set("caps.second-copies", "false")
+                            .start()) {
+                Fleet.Client client = fleet.client();
+                client.read("left");
+                fleet.awaitPendingRequests(1);
+                client.close();
+                fleet.awaitPendingRequests(0);
+                ScriptedServer.Connection accepted = node.letIn();
+                try (Fleet.Client other = fleet.client()) {
+                    other.read("stays");
+                    assertThat(ScriptedServer.id(accepted.line()))
+                            .as("may cancel: " + mayCancel)
+                            .isEqualTo("stays");
+                    accepted.say(CacheResponses.hit("mg 1 v Ostays"));
+                    assertThat(other.line()).isEqualTo("VA 5 Ostays");
+                }
+            }
+        }
+    }
+
+    /** The fetch has not begun, so that it goes on under the id of a client that still waits for it. */
+    @Test
+    void sendsCoalescedFetchUnderIdOfRemainingClientAfterLeaderDisconnects() throws Exception {
+        ScriptedServer node = missesAllBut("turn");
+        try (BackloggedServer origin = new BackloggedServer();
+                Fleet fleet = fleetOf(node, origin.dial());
+                Fleet.Client stays = fleet.client();
+                Fleet.Client turn = fleet.client()) {
+            Fleet.Client leaves = fleet.client();
+            leaves.read("leaves");
+            node.next();
+            stays.read("stays");
+            node.next();
+            turn.say("mg 1 v Oturn Pc=text,d=20000\r\n")
+                    .line(); // both misses have been read by now, as responses come in order
+            leaves.close();
+            fleet.awaitPendingRequests(1);
+            ScriptedServer.Connection accepted = origin.letIn();
+            assertThat(ScriptedServer.id(BackloggedServer.readRequestHead(accepted)))
+                    .isEqualTo("stays");
+            accepted.sayHttp(200, "", "fetch");
+            assertThat(stays.line()).isEqualTo("VA 5 Ostays");
+        }
+    }
+
+    private static ScriptedServer missesAllBut(String id) throws IOException {
+        return ScriptedServer.node(line -> ScriptedServer.id(line).equals(id)
+                ? CacheResponses.hit(line)
+                : "EN O" + ScriptedServer.id(line) + " h0\r\n");
+    }
+
+    private static Fleet fleetOf(ScriptedServer node, String origin) throws Exception {
+        Fleet fleet = new Fleet().node(node).set("caps.connect-timeout", "20000.0");
+        fleet.hosts.add(Fleet.host("s-0000aaaa", "origin", origin, "up"));
+        return fleet.start();
+    }
+
+    /** Otherwise other clients would wait for a silent origin until their own deadlines. */
+    @Test
+    void endsCoalescedFetchAtItsOwnDeadlineAfterLeaderDisconnects() throws Exception {
+        ScriptedServer node = missesAllBut("turn");
+        ScriptedServer origin = new ScriptedServer(connection -> {
+            for (String head; (head = connection.request()) != null; ) {
+                if (ScriptedServer.id(head).equals("stays")) {
+                    connection.sayHttp(200, "", "fetch");
+                }
+            }
+        });
+        try (Fleet fleet = new Fleet().node(node).origin(origin).start();
+                Fleet.Client stays = fleet.client();
+                Fleet.Client turn = fleet.client()) {
+            Fleet.Client leaves = fleet.client();
+            leaves.say("mg 7f3a9c21e0b4d655 v Oleaves Pc=text,d=1000\r\n");
+            assertThat(ScriptedServer.id(origin.next())).isEqualTo("leaves");
+            stays.read("stays");
+            node.next();
+            node.next();
+            turn.say("mg 1 v Oturn Pc=text,d=20000\r\n").line();
+            leaves.close();
+            assertThat(ScriptedServer.id(origin.next())).isEqualTo("stays");
+            assertThat(stays.line()).isEqualTo("VA 5 Ostays");
+        }
+    }
+
+    /** A busy event loop reads the command and the end of the connection at once. */
+    @Test
+    void doesNotSendRequestReadTogetherWithClientsDisconnection() throws Exception {
+        for (boolean reset : new boolean[] {false, true}) {
+            AtomicInteger connections = new AtomicInteger();
+            ScriptedServer node = new ScriptedServer(connection -> {
+                int number = connections.incrementAndGet();
+                for (String line; (line = connection.command()) != null; ) {
+                    connection.say("VA 1 O" + ScriptedServer.id(line) + " h1\r\n" + number + "\r\n");
+                }
+            });
+            try (Fleet fleet = new Fleet().node(node).start();
+                    Fleet.Client other = fleet.client()) {
+                other.read("first"); // from now on an attempt finds a connection that is up
+                other.line();
+                assertThat(other.line()).isEqualTo("1");
+                Fleet.Client leaves = fleet.client();
+                leaves.say("mn\r\n").line(); // accepted and registered
+                CountDownLatch resume = fleet.hold();
+                leaves.read("left").say("ms 7f3a 5 Oput Pc=fix,d=20000\r\nhello\r\n");
+                if (reset) {
+                    leaves.socket.setSoLinger(true, 0);
+                }
+                leaves.close();
+                resume.countDown();
+                fleet.awaitPendingRequests(0);
+                other.read("stays");
+                assertThat(other.line()).isEqualTo("VA 1 Ostays");
+                assertThat(other.line())
+                        .as("an attempt for nobody would have taken the first connection")
+                        .isEqualTo("1");
+                assertThat(node.commands)
+                        .as("reset: " + reset)
+                        .hasSize(2)
+                        .noneMatch(connection -> connection.contains("Oleft"));
+            }
+        }
+    }
+
+    /** Reading pauses at 32 pending requests; what the client has sent beyond those is never begun. */
+    @Test
+    void noticesDisconnectionOfClientWhoseInputIsPaused() throws Exception {
+        AtomicInteger asked = new AtomicInteger();
+        ScriptedServer node = new ScriptedServer(connection -> {
+            while (connection.command() != null) {
+                asked.incrementAndGet();
+            }
+        });
+        try (Fleet fleet = new Fleet().node(node).start()) {
+            for (boolean reset : new boolean[] {false, true}) {
+                Fleet.Client client = fleet.client();
+                StringBuilder many = new StringBuilder();
+                for (int i = 0; i < 64; i++) {
+                    many.append("mg k")
+                            .append(i)
+                            .append(" v O")
+                            .append(reset)
+                            .append(i)
+                            .append(" Pc=text,d=20000\r\n");
+                }
+                client.say(many.toString());
+                fleet.awaitPendingRequests(32);
+                if (reset) {
+                    client.socket.setSoLinger(true, 0);
+                }
+                client.close();
+                fleet.awaitPendingRequests(0);
+            }
+            assertThat(asked.get()).isLessThanOrEqualTo(2 * 2 * 32); // with hedged requests to the silent server
+        }
+    }
+}
--- a/src/test/java/cacheproxy/proxy/DrainTest.java
+++ b/src/test/java/cacheproxy/proxy/DrainTest.java
@@ -3,19 +3,25 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.fakes.ScriptedServer;
+import java.io.IOException;
+import java.io.UncheckedIOException;
+import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.LinkedBlockingQueue;
 import org.junit.jupiter.api.Test;
+import org.junit.jupiter.api.Timeout;
 
-/** What SIGTERM begins: everything taken is answered, connections end between requests, and it comes to an end. */
+/** Graceful shutdown: every request taken is answered, connections close between requests, and it ends in time. */
+@Timeout(20)
 class DrainTest {
     @Test
-    void whatIsInHandIsAnsweredBeforeItsConnectionEnds() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        ScriptedServer node = new ScriptedServer(c -> {
-            String line = c.command();
-            go.await();
-            c.say("VA 5 O" + ScriptedServer.id(line) + " h1\r\nhello\r\n");
-            c.awaitEnd();
+    void answersPendingRequestBeforeClosingItsConnection() throws Exception {
+        CountDownLatch resume = new CountDownLatch(1);
+        ScriptedServer node = new ScriptedServer(connection -> {
+            String line = connection.command();
+            resume.await();
+            connection.say("VA 5 O" + ScriptedServer.id(line) + " h1\r\nhello\r\n");
+            connection.awaitEnd();
         });
         try (Fleet fleet = new Fleet().node(node).start();
                 Fleet.Client idle = fleet.client();
@@ -29,7 +35,7 @@
             Thread drain = new Thread(fleet.proxy::drain);
             drain.start();
             assertThat(idle.ended()).isTrue();
-            go.countDown();
+            resume.countDown();
             assertThat(busy.line()).isEqualTo("VA 5 O1");
             assertThat(busy.line()).isEqualTo("hello");
             assertThat(busy.ended()).isTrue();
@@ -42,4 +48,75 @@
             drain.join();
         }
     }
+
+    /** The platform kills a process 3.7 s after SIGTERM, also where a request's deadline is later. */
+    @Test
+    void concludesRequestsBeforePlatformKillsProcess() throws Exception {
+        ScriptedServer silent = new ScriptedServer(ScriptedServer.Connection::awaitEnd);
+        ScriptedServer origin = new ScriptedServer(ScriptedServer.Connection::awaitEnd);
+        try (Fleet fleet = new Fleet().node(silent).origin(origin).start();
+                Fleet.Client reads = fleet.client();
+                Fleet.Client writes = fleet.client()) {
+            reads.read("1");
+            writes.say("ms 7f3a 5 O2 Pc=fix,d=20000\r\nhello\r\n");
+            fleet.awaitPendingRequests(2);
+            Thread drain = new Thread(fleet.proxy::drain);
+            drain.start();
+            assertThat(reads.line()).startsWith("SERVER_ERROR busy");
+            assertThat(writes.line()).isEqualTo("SERVER_ERROR failed"); // it may have been processed
+            assertThat(reads.ended()).isTrue();
+            reads.close();
+            writes.close();
+            drain.join();
+        }
+    }
+
+    /**
+     * Connections close between two requests; this client is never there. Its last requests are answered or rejected.
+     */
+    @Test
+    void closesConnectionThatAlwaysHasRequestPending() throws Exception {
+        BlockingQueue<Runnable> owed = new LinkedBlockingQueue<>();
+        ScriptedServer node = new ScriptedServer(connection -> {
+            for (String line; (line = connection.command()) != null; ) {
+                String answer = CacheResponses.hit(line);
+                owed.add(() -> sayQuietly(connection, answer));
+                if (owed.size() > 1) {
+                    owed.take().run(); // one response for each further command: one is pending at all times
+                }
+            }
+        });
+        try (Fleet fleet = new Fleet()
+                        .node(node)
+                        .set("caps.second-copies", "false")
+                        .set("caps.may-cancel", "false")
+                        .start();
+                Fleet.Client client = fleet.client()) {
+            client.read("a0").read("a1");
+            Thread drain = new Thread(fleet.proxy::drain);
+            drain.start();
+            int answers = 0;
+            int refused = 0;
+            for (String line; (line = client.line()) != null; ) {
+                if (line.startsWith("VA ")) {
+                    answers++;
+                    client.read("a" + (answers + 1));
+                } else if (line.startsWith("SERVER_ERROR busy")) {
+                    refused++;
+                }
+            }
+            client.close();
+            drain.join();
+            assertThat(refused).isBetween(1, 2);
+            assertThat(node.commands).as("what was sent on").hasSize(answers + refused);
+        }
+    }
+
+    private static void sayQuietly(ScriptedServer.Connection connection, String text) {
+        try {
+            connection.say(text);
+        } catch (IOException e) {
+            throw new UncheckedIOException(e);
+        }
+    }
 }
--- a/src/test/java/cacheproxy/proxy/Fleet.java
+++ b/src/test/java/cacheproxy/proxy/Fleet.java
@@ -175,6 +175,15 @@
         return go;
     }
 
+    /** Waits until the proxy has so many pending requests; the test's time limit interrupts it. */
+    public void awaitPendingRequests(int expected) {
+        for (int pending; (pending = proxy.pendingRequests()) != expected; ) {
+            assertThat(Thread.interrupted())
+                    .as("time is over with %s pending requests, not %s", pending, expected)
+                    .isFalse();
+        }
+    }
+
     public Client client() throws IOException {
         Client client = new Client(proxy.address());
         parts.add(client);
--- a/src/test/java/cacheproxy/proxy/StreamTest.java
+++ b/src/test/java/cacheproxy/proxy/StreamTest.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 
-/** Values over 64 KiB: passed on as they come, held back while the client does not read. */
+/** Long values: passed on as they come, paused while the client does not read. */
 class StreamTest {
     private static final byte[] VALUE = new byte[MetaCodec.MAX_VALUE_BYTES];
 
@@ -25,17 +25,17 @@
         new Random(7).nextBytes(VALUE);
     }
 
-    private static void head(ScriptedServer.Connection c, String command) throws IOException {
-        c.say("VA " + VALUE.length + " O" + ScriptedServer.id(command) + " h1\r\n");
+    private static void head(ScriptedServer.Connection connection, String command) throws IOException {
+        connection.say("VA " + VALUE.length + " O" + ScriptedServer.id(command) + " h1\r\n");
     }
 
     @Test
-    void aLongValueOfANodePassesWholeAndTheNextAnswerAfterIt() throws Exception {
-        ScriptedServer node = new ScriptedServer(c -> {
-            for (String line; (line = c.command()) != null; ) {
-                head(c, line);
-                c.out.write(VALUE);
-                c.say("\r\n");
+    void passesLongCacheValueAndResponseAfterIt() throws Exception {
+        ScriptedServer node = new ScriptedServer(connection -> {
+            for (String line; (line = connection.command()) != null; ) {
+                head(connection, line);
+                connection.out.write(VALUE);
+                connection.say("\r\n");
             }
         });
         try (Fleet fleet = new Fleet().node(node).start();
@@ -50,13 +50,13 @@
     }
 
     @Test
-    void aLongValueOfTheOriginPassesWhole() throws Exception {
-        ScriptedServer origin = new ScriptedServer(c -> {
-            c.request();
-            c.say("HTTP/1.1 200 OK\r\nContent-Length: " + VALUE.length + "\r\n\r\n");
-            c.out.write(VALUE);
-            c.out.flush();
-            c.awaitEnd();
+    void passesLongOriginValue() throws Exception {
+        ScriptedServer origin = new ScriptedServer(connection -> {
+            connection.request();
+            connection.say("HTTP/1.1 200 OK\r\nContent-Length: " + VALUE.length + "\r\n\r\n");
+            connection.out.write(VALUE);
+            connection.out.flush();
+            connection.awaitEnd();
         });
         ScriptedServer node = ScriptedServer.node(line -> "EN O" + ScriptedServer.id(line) + " h0\r\n");
         try (Fleet fleet = new Fleet().node(node).origin(origin).start();
@@ -68,16 +68,16 @@
     }
 
     @Test
-    void theFirstBytesDoNotWaitForTheLast() throws Exception {
+    void passesFirstBytesBeforeLastBytesArrive() throws Exception {
         CountDownLatch seen = new CountDownLatch(1);
-        ScriptedServer node = new ScriptedServer(c -> {
-            head(c, c.command());
-            c.out.write(VALUE, 0, 1000);
-            c.out.flush();
+        ScriptedServer node = new ScriptedServer(connection -> {
+            head(connection, connection.command());
+            connection.out.write(VALUE, 0, 1000);
+            connection.out.flush();
             seen.await();
-            c.out.write(VALUE, 1000, VALUE.length - 1000);
-            c.say("\r\n");
-            c.awaitEnd();
+            connection.out.write(VALUE, 1000, VALUE.length - 1000);
+            connection.say("\r\n");
+            connection.awaitEnd();
         });
         try (Fleet fleet = new Fleet().node(node).start();
                 Fleet.Client client = fleet.client()) {
@@ -89,18 +89,18 @@
     }
 
     @Test
-    void aClientThatDoesNotReadHoldsTheNodeBack() throws Exception {
+    void pausesServerWhileClientDoesNotRead() throws Exception {
         AtomicLong sent = new AtomicLong();
         CountDownLatch over = new CountDownLatch(1);
-        ScriptedServer node = new ScriptedServer(c -> {
-            c.socket.setSendBufferSize(64 << 10);
-            for (String line; (line = c.command()) != null; ) {
-                head(c, line);
+        ScriptedServer node = new ScriptedServer(connection -> {
+            connection.socket.setSendBufferSize(64 << 10);
+            for (String line; (line = connection.command()) != null; ) {
+                head(connection, line);
                 for (int at = 0; at < VALUE.length; at += 1 << 14) {
-                    c.out.write(VALUE, at, 1 << 14);
+                    connection.out.write(VALUE, at, 1 << 14);
                     sent.addAndGet(1 << 14);
                 }
-                c.say("\r\n");
+                connection.say("\r\n");
             }
             over.countDown();
         });
@@ -127,11 +127,11 @@
     }
 
     @Test
-    void aValueCutInTheMiddleEndsTheClientsConnectionAndNothingElse() throws Exception {
-        ScriptedServer node = new ScriptedServer(c -> {
-            head(c, c.command());
-            c.out.write(VALUE, 0, 100_000);
-            c.out.flush();
+    void closesOnlyItsClientsConnectionWhenLongValueBreaksOff() throws Exception {
+        ScriptedServer node = new ScriptedServer(connection -> {
+            head(connection, connection.command());
+            connection.out.write(VALUE, 0, 100_000);
+            connection.out.flush();
         });
         try (Fleet fleet = new Fleet().node(node).start();
                 Fleet.Client client = fleet.client()) {
@@ -143,13 +143,13 @@
     }
 
     @Test
-    void aClientThatLeavesInTheMiddleFreesTheNodesConnection() throws Exception {
+    void freesServerConnectionWhenClientDisconnectsDuringValue() throws Exception {
         CountDownLatch ended = new CountDownLatch(1);
-        ScriptedServer node = new ScriptedServer(c -> {
-            head(c, c.command());
-            c.out.write(VALUE, 0, 100_000);
-            c.out.flush();
-            c.awaitEnd();
+        ScriptedServer node = new ScriptedServer(connection -> {
+            head(connection, connection.command());
+            connection.out.write(VALUE, 0, 100_000);
+            connection.out.flush();
+            connection.awaitEnd();
             ended.countDown();
         });
         try (Fleet fleet = new Fleet().node(node).start()) {
@@ -166,18 +166,18 @@
 
     /** An origin that answers each connection once, tells no length and ends it (RFC 9112, 6.3). */
     private static ScriptedServer endsByClosing(int length) throws IOException {
-        return new ScriptedServer(c -> {
-            c.request();
-            c.say("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
-            c.out.write(VALUE, 0, length);
-            c.out.flush();
-            c.socket.shutdownOutput();
-            c.awaitEnd();
+        return new ScriptedServer(connection -> {
+            connection.request();
+            connection.say("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
+            connection.out.write(VALUE, 0, length);
+            connection.out.flush();
+            connection.socket.shutdownOutput();
+            connection.awaitEnd();
         });
     }
 
     @Test
-    void aValueThatTheConnectionsEndEndsIsServedWithItsLength() throws Exception {
+    void servesValueEndedByConnectionCloseWithItsLength() throws Exception {
         for (int length : new int[] {
             0, 1, 1000, MetaCodec.MAX_BUFFERED_VALUE_BYTES, MetaCodec.MAX_BUFFERED_VALUE_BYTES + 1, VALUE.length
         }) {
@@ -197,19 +197,19 @@
     }
 
     @Test
-    void aChunkedValueInPiecesOfAnySizeIsServedWithItsLength() throws Exception {
-        ScriptedServer origin = new ScriptedServer(c -> {
+    void servesChunkedValueInPiecesOfAnySizeWithItsLength() throws Exception {
+        ScriptedServer origin = new ScriptedServer(connection -> {
             Random random = new Random(3);
-            for (String head; (head = c.request()) != null; ) {
-                c.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
-                for (int at = 0, n; at < 300_000; at += n) {
-                    n = Math.min(
+            for (String head; (head = connection.request()) != null; ) {
+                connection.say("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n");
+                for (int at = 0, length; at < 300_000; at += length) {
+                    length = Math.min(
                             300_000 - at, random.nextInt(3) == 0 ? 1 + random.nextInt(9) : 1 + random.nextInt(40_000));
-                    c.say(Integer.toHexString(n) + "\r\n");
-                    c.out.write(VALUE, at, n);
-                    c.say("\r\n");
+                    connection.say(Integer.toHexString(length) + "\r\n");
+                    connection.out.write(VALUE, at, length);
+                    connection.say("\r\n");
                 }
-                c.say("0\r\n\r\n");
+                connection.say("0\r\n\r\n");
             }
         });
         try (Fleet fleet = new Fleet().node(missing()).origin(origin).start();
@@ -224,15 +224,15 @@
     }
 
     @Test
-    void aConnectionThatBreaksEndsNoValue() throws Exception {
+    void doesNotServeValueOfUnknownLengthWhenConnectionIsReset() throws Exception {
         for (int length : new int[] {1000, 200_000}) {
-            ScriptedServer origin = new ScriptedServer(c -> {
-                c.request();
-                c.say("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
-                c.out.write(VALUE, 0, length);
-                c.out.flush();
-                c.socket.setSoLinger(true, 0);
-                c.socket.close();
+            ScriptedServer origin = new ScriptedServer(connection -> {
+                connection.request();
+                connection.say("HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n");
+                connection.out.write(VALUE, 0, length);
+                connection.out.flush();
+                connection.socket.setSoLinger(true, 0);
+                connection.socket.close();
             });
             try (Fleet fleet = new Fleet().node(missing()).origin(origin).start();
                     Fleet.Client client = fleet.client()) {
@@ -243,7 +243,7 @@
     }
 
     @Test
-    void valuesOfUnknownLengthWaitForRoomAndAllAreServedWhole() throws Exception {
+    void servesAllValuesOfUnknownLengthWithinMemoryLimit() throws Exception {
         int clients = 12; // room is for two of this length
         try (Fleet fleet =
                 new Fleet().node(missing()).origin(endsByClosing(VALUE.length)).start()) {
@@ -264,8 +264,8 @@
                     return key;
                 }));
             }
-            for (Future<Integer> f : all) {
-                f.get();
+            for (Future<Integer> reader : all) {
+                reader.get();
             }
             readers.shutdown();
         }
@@ -276,7 +276,7 @@
     }
 
     @Test
-    void aClientThatLeavesGivesBackTheRoomOfItsValue() throws Exception {
+    void freesMemoryOfValueWhenClientDisconnects() throws Exception {
         try (Fleet fleet =
                 new Fleet().node(missing()).origin(endsByClosing(VALUE.length)).start()) {
             for (int i = 0; i < 12; i++) {
@@ -294,19 +294,19 @@
     }
 
     @Test
-    void aHeadInPiecesDoesNotMakeTheValueAShortOneWhosePausesCutIt() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        ScriptedServer node = new ScriptedServer(c -> {
-            String id = ScriptedServer.id(c.command());
-            c.say("VA " + VALUE.length);
-            c.out.flush();
-            c.say(" O" + id + " h1\r\n");
-            c.out.write(VALUE, 0, 1000);
-            c.out.flush();
-            go.await();
-            c.out.write(VALUE, 1000, VALUE.length - 1000);
-            c.say("\r\n");
-            c.awaitEnd();
+    void doesNotCutOffLongValueWhoseHeadArrivesInPieces() throws Exception {
+        CountDownLatch resume = new CountDownLatch(1);
+        ScriptedServer node = new ScriptedServer(connection -> {
+            String id = ScriptedServer.id(connection.command());
+            connection.say("VA " + VALUE.length);
+            connection.out.flush();
+            connection.say(" O" + id + " h1\r\n");
+            connection.out.write(VALUE, 0, 1000);
+            connection.out.flush();
+            resume.await();
+            connection.out.write(VALUE, 1000, VALUE.length - 1000);
+            connection.say("\r\n");
+            connection.awaitEnd();
         });
         try (Fleet fleet = new Fleet().node(node).start();
                 Fleet.Client client = fleet.client();
@@ -316,7 +316,7 @@
             CountDownLatch pause = new CountDownLatch(1);
             fleet.proxy.runAfter(2 * UpstreamConnection.CUT_MS, pause::countDown);
             pause.await();
-            go.countDown();
+            resume.countDown();
             assertThat(client.bytes(VALUE.length - 1000)).hasSize(VALUE.length - 1000);
         }
     }
