--- a/src/main/java/cacheproxy/daemon/Daemon.java
+++ b/src/main/java/cacheproxy/daemon/Daemon.java
@@ -234,7 +234,7 @@
         if (current != null) {
             learned = LearnedStates.handOver(file, pool, current, nowMs);
         } else if (restored != null) {
-            learned = restored.recollections(file, pool);
+            learned = restored.learnedStateFor(file, pool);
         }
         PoolContext poolContext = new PoolContext(core, serverStarts.budget(), serverStarts.times(), subsystems);
         return new PoolRuntime(poolContext, file, pool, seed, learned);
--- a/src/main/java/cacheproxy/daemon/LearnedStates.java
+++ b/src/main/java/cacheproxy/daemon/LearnedStates.java
@@ -25,7 +25,7 @@
                 0,
                 Map.of(pool.name(), from.learned(Integer.MAX_VALUE)),
                 List.of());
-        return recollections(snapshot, 1, file, pool);
+        return providerOf(snapshot, 1, file, pool);
     }
 
     /**
@@ -33,7 +33,7 @@
      *
      * @param trust weight of the restored figures, 0 to 1
      */
-    public static LearnedStateProvider recollections(
+    public static LearnedStateProvider providerOf(
             StateSnapshot snapshot, double trust, DaemonConfig file, PoolConfig pool) {
         String keyScheme = PoolSettings.keyScheme(file, pool);
         return (nowMs, servers) -> {
--- a/src/main/java/cacheproxy/daemon/PoolRuntime.java
+++ b/src/main/java/cacheproxy/daemon/PoolRuntime.java
@@ -62,10 +62,10 @@
      * Starts a pool.
      *
      * @param seed of its random draws
-     * @param recollections the state of an earlier pool or process; null if there is none
+     * @param learnedState the state of an earlier pool or process; null if there is none
      */
     PoolRuntime(
-            PoolContext context, DaemonConfig file, PoolConfig config, long seed, LearnedStateProvider recollections) {
+            PoolContext context, DaemonConfig file, PoolConfig config, long seed, LearnedStateProvider learnedState) {
         name = config.name();
         this.file = file;
         this.config = config;
@@ -76,7 +76,7 @@
         admission = new PoolAdmissionControl(context.slowStartBudget(), retryBudget(config), fleet::mayProbe);
         limiter = new PoolLimiter(config.maxPending(), config.maxRequestsPerSecond());
         dispatcher = newDispatcher(context.core(), seed);
-        dispatcher.restoreFrom(recollections);
+        dispatcher.restoreFrom(learnedState);
         SiblingSocket siblings = context.subsystems().get(SiblingSocket.class);
         if (siblings != null) {
             PoolSiblings poolSiblings = siblings.of(config);
--- a/src/main/java/cacheproxy/daemon/snapshot/RestoredState.java
+++ b/src/main/java/cacheproxy/daemon/snapshot/RestoredState.java
@@ -82,8 +82,8 @@
     }
 
     @Override
-    public LearnedStateProvider recollections(DaemonConfig file, PoolConfig pool) {
-        return snapshot == null ? null : LearnedStates.recollections(snapshot, trust, file, pool);
+    public LearnedStateProvider learnedStateFor(DaemonConfig file, PoolConfig pool) {
+        return snapshot == null ? null : LearnedStates.providerOf(snapshot, trust, file, pool);
     }
 
     @Override
--- a/src/main/java/cacheproxy/daemon/snapshot/SnapshotSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/snapshot/SnapshotSubsystem.java
@@ -96,8 +96,8 @@
     }
 
     @Override
-    public LearnedStateProvider recollections(DaemonConfig file, PoolConfig pool) {
-        return restored.recollections(file, pool);
+    public LearnedStateProvider learnedStateFor(DaemonConfig file, PoolConfig pool) {
+        return restored.learnedStateFor(file, pool);
     }
 
     @Override
