--- a/src/test/java/cacheproxy/proxy/DrainTest.java
+++ b/src/test/java/cacheproxy/proxy/DrainTest.java
@@ -9,13 +9,13 @@
 /** What SIGTERM begins: everything taken is answered, connections end between requests, and it comes to an end. */
 class DrainTest {
     @Test
-    void whatIsInHandIsAnsweredBeforeItsConnectionEnds() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        ScriptedServer node = new ScriptedServer(c -> {
-            String line = c.command();
-            go.await();
-            c.say("VA 5 O" + ScriptedServer.id(line) + " h1\r\nhello\r\n");
-            c.awaitEnd();
+    void respondsToPendingRequestsBeforeClosing() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        ScriptedServer node = new ScriptedServer(connection -> {
+            String line = connection.command();
+            release.await();
+            connection.say("VA 5 O" + ScriptedServer.id(line) + " h1\r\nhello\r\n");
+            connection.awaitEnd();
         });
         try (Fleet fleet = new Fleet().node(node).start();
                 Fleet.Client idle = fleet.client();
@@ -29,7 +29,7 @@
             Thread drain = new Thread(fleet.proxy::drain);
             drain.start();
             assertThat(idle.ended()).isTrue();
-            go.countDown();
+            release.countDown();
             assertThat(busy.line()).isEqualTo("VA 5 O1");
             assertThat(busy.line()).isEqualTo("hello");
             assertThat(busy.ended()).isTrue();
--- a/src/test/java/cacheproxy/proxy/client/ClientConnectionTest.java
+++ b/src/test/java/cacheproxy/proxy/client/ClientConnectionTest.java
@@ -24,7 +24,7 @@
     }
 
     @Test
-    void aClientThatWritesAndReadsNothingIsNotReadOn() throws Exception {
+    void stopsReadingFromClientThatTakesNoResponses() throws Exception {
         try (Fleet fleet = new Fleet().node("127.0.0.1:9").start();
                 Fleet.Client writer = fleet.client();
                 Fleet.Client other = fleet.client()) {
@@ -50,7 +50,7 @@
     }
 
     @Test
-    void commandsComeInPiecesAndInHeapsAndAreAnsweredInOrder() throws Exception {
+    void respondsInOrderToSplitAndPipelinedCommands() throws Exception {
         try (Fleet fleet = new Fleet()
                         .node(ScriptedServer.node(ClientConnectionTest::hit))
                         .start();
@@ -68,16 +68,16 @@
     }
 
     @Test
-    void aSlowFirstAnswerHoldsBackAQuickSecond() throws Exception {
+    void holdsBackSecondResponseUntilFirstIsWritten() throws Exception {
         CountDownLatch second = new CountDownLatch(1);
-        ScriptedServer node = new ScriptedServer(c -> {
-            String line = c.command();
+        ScriptedServer node = new ScriptedServer(connection -> {
+            String line = connection.command();
             if (ScriptedServer.id(line).equals("1")) {
                 second.await();
             }
-            c.say(hit(line));
+            connection.say(hit(line));
             second.countDown();
-            c.awaitEnd();
+            connection.awaitEnd();
         });
         try (Fleet fleet = new Fleet().node(node).start();
                 Fleet.Client client = fleet.client()) {
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void theCommandGoesOnUnchangedButForTheDeadline() throws Exception {
+    void passesCommandOnUnchangedExceptDeadline() throws Exception {
         ScriptedServer node = ScriptedServer.node(ClientConnectionTest::hit);
         try (Fleet fleet = new Fleet().node(node).start();
                 Fleet.Client client = fleet.client()) {
@@ -104,12 +104,12 @@
     }
 
     @Test
-    void aBinaryValueOfFourMebibytesReachesTheOriginWhole() throws Exception {
+    void passesLongestBinaryValueToOrigin() throws Exception {
         byte[] value = new byte[MetaCodec.MAX_VALUE_BYTES];
         new Random(1).nextBytes(value);
-        ScriptedServer origin = new ScriptedServer(c -> {
-            c.request();
-            c.sayHttp(200, "", "r1");
+        ScriptedServer origin = new ScriptedServer(connection -> {
+            connection.request();
+            connection.sayHttp(200, "", "r1");
         });
         try (Fleet fleet = new Fleet().origin(origin).start();
                 Fleet.Client client = fleet.client()) {
@@ -122,7 +122,7 @@
             // What is left when it is sent on: never the client's whole figure, which the value's transfer has begun to
             // use up.
             assertThat(request.lines()
-                            .filter(l -> l.toLowerCase(Locale.ROOT).startsWith("req-extra: "))
+                            .filter(line -> line.toLowerCase(Locale.ROOT).startsWith("req-extra: "))
                             .toList())
                     .singleElement()
                     .asString()
@@ -138,7 +138,7 @@
      * later.
      */
     @Test
-    void anAcceptThatFailsHoldsUpTheNextForAMomentOnly() throws Exception {
+    void acceptsAgainSoonAfterFailedAccept() throws Exception {
         try (Fleet fleet = new Fleet().node("127.0.0.1:9").start()) {
             for (int i = 0; i < 3; i++) {
                 fleet.proxy.simulateAcceptFailure(new IOException("accept(..) failed: Too many open files in system"));
@@ -157,15 +157,15 @@
      * Whoever stops in the middle of a command and stays is owed a close within 3 s, also one that has asked before.
      */
     @Test
-    void aClientThatStopsInTheMiddleOfALaterCommandIsClosedAndWhatItAskedBeforeIsAnswered() throws Exception {
+    void closesClientThatStopsWithinLaterCommandAfterPendingResponses() throws Exception {
         CountDownLatch stopped = new CountDownLatch(1);
-        ScriptedServer node = new ScriptedServer(c -> {
-            String first = c.command();
-            c.say(hit(first));
-            String second = c.command();
+        ScriptedServer node = new ScriptedServer(connection -> {
+            String first = connection.command();
+            connection.say(hit(first));
+            String second = connection.command();
             stopped.await();
-            c.say(hit(second));
-            c.awaitEnd();
+            connection.say(hit(second));
+            connection.awaitEnd();
         });
         try (Fleet fleet = new Fleet().node(node).start();
                 Fleet.Client idle = fleet.client();
@@ -188,7 +188,7 @@
     }
 
     @Test
-    void brokenCommandsAreToldAndOnlyLostFramingEndsTheConnection() throws Exception {
+    void reportsInvalidCommandsAndClosesOnlyWhenFramingIsLost() throws Exception {
         try (Fleet fleet =
                 new Fleet().node(ScriptedServer.node(ClientConnectionTest::hit)).start()) {
             try (Fleet.Client client = fleet.client()) {
@@ -217,14 +217,14 @@
     }
 
     @Test
-    void aDeadlineThatIsNoneIsToldAndNothingIsSentOn() throws Exception {
+    void rejectsInvalidDeadlineWithoutSendingRequest() throws Exception {
         ScriptedServer node = ScriptedServer.node(ClientConnectionTest::hit);
         try (Fleet fleet = new Fleet().node(node).start();
                 Fleet.Client client = fleet.client()) {
-            for (String d :
+            for (String deadline :
                     new String[] {"soon", "", "-5", "0", "NaN", "Infinity", "20000d", "1.2.3", "9".repeat(400)}) {
-                client.say("mg 7f3a v O1 Pc=text,d=" + d + "\r\n");
-                assertThat(client.line()).as(d).startsWith("CLIENT_ERROR");
+                client.say("mg 7f3a v O1 Pc=text,d=" + deadline + "\r\n");
+                assertThat(client.line()).as(deadline).startsWith("CLIENT_ERROR");
             }
             client.say("mg 7f3a v O2 Pc=text\r\n"); // the class's own
             assertThat(client.line()).isEqualTo("VA 5 O2");
@@ -233,12 +233,12 @@
     }
 
     @Test
-    void theIdOfAnOpenRequestIsTakenUntilItsAnswer() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        ScriptedServer node = new ScriptedServer(c -> {
-            for (String line; (line = c.command()) != null; ) {
-                go.await();
-                c.say(hit(line));
+    void rejectsIdOfOpenRequestUntilItsResponse() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        ScriptedServer node = new ScriptedServer(connection -> {
+            for (String line; (line = connection.command()) != null; ) {
+                release.await();
+                connection.say(hit(line));
             }
         });
         try (Fleet fleet = new Fleet().node(node).start();
@@ -249,7 +249,7 @@
             thief.say("mg 7f3b v O1 Pc=text,d=20000\r\nms 7f3b 5 O1 Pc=fix,d=20000\r\nhello\r\n");
             assertThat(thief.line()).startsWith("CLIENT_ERROR");
             assertThat(thief.line()).startsWith("CLIENT_ERROR");
-            go.countDown();
+            release.countDown();
             assertThat(client.line()).isEqualTo("VA 5 O1");
             client.line();
             assertThat(client.read("1").line()).isEqualTo("VA 5 O1");
@@ -258,7 +258,7 @@
     }
 
     @Test
-    void aConnectionOnWhichNothingIsAskedIsClosedAndOneThatAskedIsKept() throws Exception {
+    void closesConnectionsWithoutWholeCommandAndKeepsOthers() throws Exception {
         try (Fleet fleet = new Fleet()
                         .node(ScriptedServer.node(ClientConnectionTest::hit))
                         .start();
@@ -278,10 +278,10 @@
     }
 
     @Test
-    void bytesThatCannotGoOnAreToldAndCostNoConnectionToTheOrigin() throws Exception {
-        ScriptedServer origin = new ScriptedServer(c -> {
-            while (c.request() != null) {
-                c.sayHttp(200, "", "r1");
+    void rejectsUnprintableBytesWithoutOriginConnection() throws Exception {
+        ScriptedServer origin = new ScriptedServer(connection -> {
+            while (connection.request() != null) {
+                connection.sayHttp(200, "", "r1");
             }
         });
         try (Fleet fleet = new Fleet().origin(origin).start();
@@ -299,12 +299,12 @@
     }
 
     @Test
-    void aConnectionThatCameWhenAllWereBusyGetsRoomOnceOneIsIdle() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        ScriptedServer node = new ScriptedServer(c -> {
-            for (String line; (line = c.command()) != null; ) {
-                go.await();
-                c.say(hit(line));
+    void evictsIdleConnectionForOneThatCameWhileAllWereBusy() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        ScriptedServer node = new ScriptedServer(connection -> {
+            for (String line; (line = connection.command()) != null; ) {
+                release.await();
+                connection.say(hit(line));
             }
         });
         Fleet setup = new Fleet().node(node);
@@ -320,7 +320,7 @@
                 }
             }
             Fleet.Client late = fleet.client().read("late");
-            go.countDown();
+            release.countDown();
             for (int i = 0; i < busy.length; i++) {
                 assertThat(busy[i].line()).isEqualTo("VA 5 Ob" + i);
             }
@@ -329,11 +329,11 @@
     }
 
     @Test
-    void aClientThatGoesAwayTakesItsAttemptsAlong() throws Exception {
+    void cancelsAttemptsOfDisconnectedClient() throws Exception {
         CountDownLatch ended = new CountDownLatch(1);
-        ScriptedServer node = new ScriptedServer(c -> {
-            c.command();
-            c.awaitEnd();
+        ScriptedServer node = new ScriptedServer(connection -> {
+            connection.command();
+            connection.awaitEnd();
             ended.countDown();
         });
         try (Fleet fleet = new Fleet().node(node).start()) {
@@ -347,20 +347,20 @@
 
     @Test
     @Timeout(60)
-    void nothingIsKeptOfRequestsThatAreOver() throws Exception {
-        ScriptedServer node = new ScriptedServer(c -> {
-            for (String line; (line = c.command()) != null; ) {
+    void keepsNothingOfConcludedRequests() throws Exception {
+        ScriptedServer node = new ScriptedServer(connection -> {
+            for (String line; (line = connection.command()) != null; ) {
                 if (!ScriptedServer.id(line).equals("silent")) {
-                    c.say(
+                    connection.say(
                             ScriptedServer.id(line).startsWith("m")
                                     ? "EN O" + ScriptedServer.id(line) + " h0\r\n"
                                     : hit(line));
                 }
             }
         });
-        ScriptedServer origin = new ScriptedServer(c -> {
-            while (c.request() != null) {
-                c.sayHttp(200, "", "fetch");
+        ScriptedServer origin = new ScriptedServer(connection -> {
+            while (connection.request() != null) {
+                connection.sayHttp(200, "", "fetch");
             }
         });
         try (Fleet fleet = new Fleet().node(node).origin(origin).start();
@@ -387,9 +387,9 @@
     }
 
     @Test
-    void aValueThatFindsNoRoomIsTurnedAwayUnseen() throws Exception {
-        ScriptedServer origin =
-                new ScriptedServer(c -> c.sayHttp(200, "", c.request().substring(0, 3)));
+    void rejectsValueWithoutMemoryBeforeSendingIt() throws Exception {
+        ScriptedServer origin = new ScriptedServer(
+                connection -> connection.sayHttp(200, "", connection.request().substring(0, 3)));
         Fleet setup = new Fleet().origin(origin);
         JsonObject limits = new JsonObject();
         limits.addProperty("memory_mb", 8);
--- a/src/test/java/cacheproxy/proxy/process/OperatorActionsTest.java
+++ b/src/test/java/cacheproxy/proxy/process/OperatorActionsTest.java
@@ -25,20 +25,20 @@
     }
 
     private static String call(Fleet fleet, String line) throws IOException {
-        try (Socket s = new Socket(
+        try (Socket operator = new Socket(
                 InetAddress.getLoopbackAddress(), fleet.proxy.controlAddress().getPort())) {
-            s.getOutputStream().write((line + " HTTP/1.1\r\nHost: x\r\n\r\n").getBytes(UTF_8));
-            return new String(s.getInputStream().readAllBytes(), UTF_8).substring(9, 12);
+            operator.getOutputStream().write((line + " HTTP/1.1\r\nHost: x\r\n\r\n").getBytes(UTF_8));
+            return new String(operator.getInputStream().readAllBytes(), UTF_8).substring(9, 12);
         }
     }
 
     @Test
-    void standbySaysNoEndsConnectionsBetweenRequestsAndLosesNone() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
-        ScriptedServer node = new ScriptedServer(c -> {
-            for (String line; (line = c.command()) != null; ) {
-                go.await();
-                c.say("VA 5 O" + ScriptedServer.id(line) + " h1\r\nhello\r\n");
+    void standbyClosesIdleConnectionsAndLosesNoRequest() throws Exception {
+        CountDownLatch release = new CountDownLatch(1);
+        ScriptedServer node = new ScriptedServer(connection -> {
+            for (String line; (line = connection.command()) != null; ) {
+                release.await();
+                connection.say("VA 5 O" + ScriptedServer.id(line) + " h1\r\nhello\r\n");
             }
         });
         try (Fleet fleet = fleet().node(node).start();
@@ -60,7 +60,7 @@
             // Whoever has not heard is served all the same, and sent away after.
             try (Fleet.Client late = fleet.client()) {
                 late.read("2");
-                go.countDown();
+                release.countDown();
                 assertThat(late.line()).isEqualTo("VA 5 O2");
                 assertThat(late.line()).isEqualTo("hello");
                 assertThat(late.ended()).isTrue();
@@ -84,14 +84,14 @@
      * whole.
      */
     @Test
-    void statusIsAnsweredWhileALongValueStreamsAndAStandbyLetsItEnd() throws Exception {
+    void answersStatusDuringStreamedValueThatStandbyLetsEnd() throws Exception {
         byte[] value = new byte[MetaCodec.MAX_VALUE_BYTES];
         new Random(5).nextBytes(value);
-        ScriptedServer node = new ScriptedServer(c -> {
-            c.say("VA " + value.length + " O" + ScriptedServer.id(c.command()) + " h1\r\n");
-            c.out.write(value);
-            c.say("\r\n");
-            c.awaitEnd();
+        ScriptedServer node = new ScriptedServer(connection -> {
+            connection.say("VA " + value.length + " O" + ScriptedServer.id(connection.command()) + " h1\r\n");
+            connection.out.write(value);
+            connection.say("\r\n");
+            connection.awaitEnd();
         });
         try (Fleet fleet = fleet().node(node).start();
                 Fleet.Client reader = fleet.client()) {
@@ -113,7 +113,7 @@
     }
 
     @Test
-    void aConnectionThatHasNotAskedYetIsNotEndedAsSoonAsItIsTaken() throws Exception {
+    void keepsNewConnectionInStandbyUntilItsFirstRequest() throws Exception {
         try (Fleet fleet = fleet().node("127.0.0.1:9").start();
                 Fleet.Client first = fleet.client()) {
             assertThat(first.say("mn\r\n").line()).isEqualTo("MN");
--- a/src/test/java/cacheproxy/proxy/process/WarmUpTest.java
+++ b/src/test/java/cacheproxy/proxy/process/WarmUpTest.java
@@ -20,13 +20,14 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
+/** Warms up through Unix sockets, and survives a reset or refused connection. */
 class WarmUpTest {
     /** What reaches the end of a pipeline is printed with its trace, at the start of every proxy. */
     @Test
-    void aConnectionOfTheWarmUpThatIsResetIsClosedWithoutAWord() {
+    void closesResetConnectionSilently() {
         EmbeddedChannel channel = new EmbeddedChannel(new WarmUp.ResetTolerantDecoder() {
             @Override
-            protected void decode(ChannelHandlerContext ctx, ByteBuf in, List<Object> out) {}
+            protected void decode(ChannelHandlerContext ctx, ByteBuf input, List<Object> output) {}
         });
         channel.pipeline().fireExceptionCaught(new IOException("Connection reset by peer"));
         channel.checkException();
@@ -34,7 +35,7 @@
     }
 
     @Test
-    void aWarmUpAnswersAllItsRequestsAndOneThatTakesTooLongIsLeft() throws Exception {
+    void answersAllRequestsAndGivesUpAtTimeLimit() throws Exception {
         PlatformConfig config =
                 PlatformConfig.parse(JsonParser.parseString(Files.readString(Path.of("src/test/resources/config.json")))
                         .getAsJsonObject());
@@ -53,14 +54,14 @@
      * As where nobody may come to a Unix socket: a start that goes on without a warm-up must not pay for it for good.
      */
     @Test
-    void aWarmUpThatIsRefusedLeavesNoSocketAndNoFileBehind(@TempDir Path folder) throws Exception {
+    void leavesNoSocketOrFileWhenConnectionIsRefused(@TempDir Path folder) throws Exception {
         PlatformConfig config =
                 PlatformConfig.parse(JsonParser.parseString(Files.readString(Path.of("src/test/resources/config.json")))
                         .getAsJsonObject());
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
         try {
             List<String> opened = new ArrayList<>();
-            int answered = WarmUp.run(group.next(), config, new WarmUpPlan(40, 8, 60_000), folder, a -> {
+            int answered = WarmUp.run(group.next(), config, new WarmUpPlan(40, 8, 60_000), folder, proxyAddress -> {
                 opened.addAll(sockets(folder));
                 return Transport.BEST.local(folder.resolve("nobody"));
             });
@@ -78,7 +79,7 @@
     /** Unix sockets that are bound under this folder, as the system lists them. */
     private static List<String> sockets(Path folder) {
         try (Stream<String> lines = Files.lines(Path.of("/proc/net/unix"))) {
-            return lines.filter(l -> l.contains(folder.toString())).toList();
+            return lines.filter(line -> line.contains(folder.toString())).toList();
         } catch (IOException e) {
             throw new UncheckedIOException(e);
         }
