--- a/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
@@ -17,13 +17,13 @@
 
 /**
  * Follows the endpoint list of one pool at the discovery service, and hands each list and each change to the pool's
- * pool. Used on its event loop only.
+ * policy. Used on its event loop only.
  */
 public final class DiscoveryClient implements EndpointListSource, UpstreamRegistry.Observer {
     private static final double FETCH_TIMEOUT_MS = 4000;
     private static final int ALL_PEERS = -1;
 
-    // Fractions of PolicySettings#askWithinMs, the time after which a proxy has to poll a discovery that is silent:
+    // Fractions of PolicySettings#maxPollAgeMs, the time after which a proxy has to poll a discovery that is silent:
 
     /** Within this, discovery reports that a process has ended. */
     private static final double REPORT_DELAY_FRACTION = 0.35;
@@ -105,14 +105,14 @@
                 new DiscoveryPollScheduler(source.ask(), settings.instanceCount(), new SplittableRandom(pool.seed()));
         polls = new LongPollLoop(core, scheduler, source.address(), version, this::apply);
         scheduler.setLongPolling(core.now(), shouldLongPoll());
-        double askWithinMs = settings.maxPollAgeMs();
+        double maxPollAgeMs = settings.maxPollAgeMs();
         double staggerMs =
-                Math.min(askWithinMs * MAX_STAGGER_FRACTION, settings.instanceCount() * settings.connectTimeoutMs());
+                Math.min(maxPollAgeMs * MAX_STAGGER_FRACTION, settings.instanceCount() * settings.connectTimeoutMs());
         double place = (double) settings.instanceIndex() / Math.max(1, settings.instanceCount());
         SilentWatchDetector detector = new SilentWatchDetector(
-                askWithinMs * REPORT_DELAY_FRACTION, askWithinMs * SHORT_REPORT_DELAY_FRACTION, staggerMs * place);
+                maxPollAgeMs * REPORT_DELAY_FRACTION, maxPollAgeMs * SHORT_REPORT_DELAY_FRACTION, staggerMs * place);
         silentWatch = new SilentWatchMonitor(core, detector, polls);
-        announcementDelayMs = askWithinMs * ANNOUNCEMENT_SPREAD_FRACTION * place;
+        announcementDelayMs = maxPollAgeMs * ANNOUNCEMENT_SPREAD_FRACTION * place;
     }
 
     /** Hands over the list of the configuration, if any, and follows discovery unless the policy is to ask for that. */
