--- a/src/main/java/cacheproxy/proxy/request/ClientRequest.java
+++ b/src/main/java/cacheproxy/proxy/request/ClientRequest.java
@@ -1,6 +1,5 @@
 package cacheproxy.proxy.request;
 
-import cacheproxy.proxy.upstream.EventLoopContext;
 import io.netty.buffer.ByteBuf;
 
 /**
@@ -8,7 +7,7 @@
  * client's own, but for the deadline, if the client speaks the nodes' grammar.
  *
  * <p>{@link RequestValidator#resolve} sets class, tenant, times and hints from the attributes. Times are milliseconds
- * of {@link EventLoopContext#now}. The request is reference-counted for its value; it belongs to one thread at a time.
+ * of {@link RequestAccounting#now}. The request is reference-counted for its value; it belongs to one thread at a time.
  */
 public final class ClientRequest {
     /** The length of {@code mg} or {@code ms} with the space behind it. */
@@ -230,9 +229,9 @@
     }
 
     /** Releases the request for one holder; the last one frees the value and what was reserved for it. */
-    public void release(EventLoopContext loopContext) {
+    public void release(RequestAccounting accounting) {
         if (--referenceCount == 0 && value != null) {
-            loopContext.giveBack(reservedBytes);
+            accounting.giveBack(reservedBytes);
             value.release();
             value = null;
         }
--- a/src/main/java/cacheproxy/proxy/request/RequestValidator.java
+++ b/src/main/java/cacheproxy/proxy/request/RequestValidator.java
@@ -2,7 +2,6 @@
 
 import cacheproxy.policy.ServiceClass;
 import cacheproxy.policy.Tenant;
-import cacheproxy.proxy.upstream.EventLoopContext;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
@@ -20,14 +19,14 @@
     private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
     private static final long FNV_PRIME = 0x100000001b3L;
 
-    private final EventLoopContext loopContext;
+    private final RequestAccounting accounting;
     private final List<ServiceClass> classes;
     private final Map<String, Integer> classIndices = new HashMap<>();
     private final Map<String, Integer> tenantIndices = new HashMap<>();
 
     /** Knows these classes and tenants; without tenants, the attribute that names one is not looked at. */
-    public RequestValidator(EventLoopContext loopContext, List<ServiceClass> classes, List<Tenant> tenants) {
-        this.loopContext = loopContext;
+    public RequestValidator(RequestAccounting accounting, List<ServiceClass> classes, List<Tenant> tenants) {
+        this.accounting = accounting;
         this.classes = classes;
         classes.forEach(serviceClass -> classIndices.put(serviceClass.name(), classIndices.size()));
         tenants.forEach(tenant -> tenantIndices.put(tenant.name(), tenantIndices.size()));
@@ -48,13 +47,13 @@
         if (serviceClass == null || tenant == null || !(deadlineMs > 0 && deadlineMs <= Integer.MAX_VALUE)) {
             return "unknown class, tenant or deadline";
         }
-        if (!loopContext.openId(request.id())) {
+        if (!accounting.openId(request.id())) {
             // Servers match responses to requests by the id. A second request under the id of an open one could be
             // served with the other's value.
             return "id is in use";
         }
         if (Double.isNaN(request.arrivedMs())) {
-            request.setArrivedMs(loopContext.now());
+            request.setArrivedMs(accounting.now());
         }
         request.resolve(serviceClass, tenant, request.arrivedMs() + deadlineMs);
         request.setHints(
@@ -70,7 +69,7 @@
 
     /** Whether the client has stopped waiting by now, as the request was read too late. */
     public boolean isExpired(ClientRequest request) {
-        return request.dueMs() <= loopContext.now();
+        return request.dueMs() <= accounting.now();
     }
 
     /** The deadline; 0, which is invalid, if it is there and no number, as it must not pass for an absent one. */
--- a/src/main/java/cacheproxy/proxy/upstream/EventLoopContext.java
+++ b/src/main/java/cacheproxy/proxy/upstream/EventLoopContext.java
@@ -8,6 +8,7 @@
 import cacheproxy.proxy.net.StandardErrorLog;
 import cacheproxy.proxy.net.TimerWheel;
 import cacheproxy.proxy.net.TimerWheel.Timer;
+import cacheproxy.proxy.request.RequestAccounting;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoop;
@@ -19,7 +20,7 @@
  * connections, the ids of open requests, and the limits on memory and connections. Each concern has a type of its own;
  * this one holds them together. Used on that event loop only, unless a method says otherwise.
  */
-public final class EventLoopContext {
+public final class EventLoopContext implements RequestAccounting {
     public final EventLoop loop;
     /** Disabled unless {@linkplain EventLog#enable enabled}. */
     public final EventLog events = EventLog.onStandardError(this::now);
@@ -72,6 +73,7 @@
     // ---- time
 
     /** The time in milliseconds; see {@link EventLoopClock}. From any thread. */
+    @Override
     public double now() {
         return clock.nowMs();
     }
@@ -130,6 +132,7 @@
     // ---- open requests
 
     /** Records that a request is open; false if another with the same id is. */
+    @Override
     public boolean openId(String id) {
         return openRequestIds.add(id);
     }
@@ -147,6 +150,7 @@
     }
 
     /** Gives back reserved memory. */
+    @Override
     public void giveBack(int bytes) {
         valueBytes.release(bytes);
     }
--- a/src/test/java/cacheproxy/ArchitectureTest.java
+++ b/src/test/java/cacheproxy/ArchitectureTest.java
@@ -282,4 +282,33 @@
                 .haveSimpleNameStartingWith("Upstream")
                 .check(ALL);
     }
+
+    @Test
+    void requestsKnowNoListenersServersOrProcess() {
+        noClasses()
+                .that()
+                .resideInAPackage("cacheproxy.proxy.request..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "cacheproxy.proxy.client..",
+                        "cacheproxy.proxy.upstream..",
+                        "cacheproxy.proxy.dispatch..",
+                        "cacheproxy.proxy.discovery..",
+                        "cacheproxy.proxy.process..",
+                        "cacheproxy.proxy.net..")
+                .check(ALL);
+    }
+
+    @Test
+    void clientSideKnowsNoDispatchDiscoveryOrProcess() {
+        noClasses()
+                .that()
+                .resideInAPackage("cacheproxy.proxy.client..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "cacheproxy.proxy.dispatch..", "cacheproxy.proxy.discovery..", "cacheproxy.proxy.process..")
+                .check(ALL);
+    }
 }
