--- a/src/main/java/cacheproxy/proxy/upstream/Upstream.java
+++ b/src/main/java/cacheproxy/proxy/upstream/Upstream.java
@@ -19,7 +19,7 @@
 public final class Upstream {
     /**
      * How long an idle connection to the origin is not reused after a response, in milliseconds: a duplicate of the
-     * response, which is told only by coming unasked for, would follow within a few milliseconds.
+     * response, which is recognized only by coming before an attempt begins, would follow within a few milliseconds.
      */
     public static final double REST_MS = 10;
 
--- a/src/test/java/cacheproxy/proxy/discovery/DiscoveryClientTest.java
+++ b/src/test/java/cacheproxy/proxy/discovery/DiscoveryClientTest.java
@@ -20,7 +20,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** What discovery does to the proxy, on loopback sockets. */
+/** How the proxy handles what discovery does, on loopback sockets. */
 class DiscoveryClientTest {
     private static ScriptedServer hits() throws Exception {
         return ScriptedServer.node(line -> "VA 5 O" + ScriptedServer.id(line) + " h1\r\nhello\r\n");
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void failuresAndNonsenseLeaveTheListAndAreAskedAgain() throws Exception {
+    void keepsListAndPollsAgainAfterFailuresAndInvalidResponses() throws Exception {
         ScriptedServer node = hits();
         JsonObject unknown = Fleet.list(44, true, new JsonArray());
         unknown.getAsJsonArray("hosts").add(Fleet.host("s-1", "no-such-class", "127.0.0.1:1", "up"));
@@ -61,21 +61,22 @@
             Fleet.list(40, false, new JsonArray()).toString()
         }; // the last one comes out of order
         CountDownLatch all = new CountDownLatch(bad.length + 3);
-        ScriptedServer discovery = new ScriptedServer(c -> {
-            for (String request; (request = c.request()) != null; ) {
+        ScriptedServer discovery = new ScriptedServer(connection -> {
+            for (String request; (request = connection.request()) != null; ) {
                 int call = (int) (bad.length + 3 - all.getCount());
                 all.countDown();
                 if (call == 0) {
-                    c.sayHttp(503, "", "");
+                    connection.sayHttp(503, "", "");
                 } else if (call == 1) {
-                    c.reset();
+                    connection.reset();
                 } else if (call == 2) {
-                    c.say("HTTP/1.1 200 X\r\nContent-Length: 1000\r\n\r\n{\"seq\":44,\"whole\":true,\"hosts\":[]}");
+                    connection.say(
+                            "HTTP/1.1 200 X\r\nContent-Length: 1000\r\n\r\n{\"seq\":44,\"whole\":true,\"hosts\":[]}");
                     return; // cut off
                 } else if (call < bad.length + 3) {
-                    c.sayHttp(200, "", bad[call - 3]);
+                    connection.sayHttp(200, "", bad[call - 3]);
                 } else {
-                    c.awaitEnd();
+                    connection.awaitEnd();
                 }
             }
         });
@@ -93,23 +94,23 @@
     }
 
     @Test
-    void aWatchGoesOnAfterEachAnswerAndItsChangesAreFollowed() throws Exception {
+    void pollsAgainAfterEachResponseAndAppliesChanges() throws Exception {
         ScriptedServer first = hits();
         ScriptedServer then = hits();
         CountDownLatch served = new CountDownLatch(1);
         CountDownLatch told = new CountDownLatch(1);
-        ScriptedServer discovery = new ScriptedServer(c -> {
-            c.request();
-            c.sayHttp(200, "", list(first, true));
-            c.request();
+        ScriptedServer discovery = new ScriptedServer(connection -> {
+            connection.request();
+            connection.sayHttp(200, "", list(first, true));
+            connection.request();
             served.await();
             JsonArray changes = new JsonArray();
             changes.add(Fleet.host("s-0000beef", "node-fast", first.dial(), "draining"));
             changes.add(Fleet.host("s-0000cafe", "node-fast", then.dial(), "up"));
-            c.sayHttp(200, "", Fleet.list(44, false, changes).toString());
-            c.request();
+            connection.sayHttp(200, "", Fleet.list(44, false, changes).toString());
+            connection.request();
             told.countDown();
-            c.awaitEnd();
+            connection.awaitEnd();
         });
         try (Fleet fleet = new Fleet()
                 .discovery(discovery)
@@ -138,17 +139,17 @@
 
     /** The first watch falls silent for good. Without the refusals it would be trusted past the next change. */
     @Test
-    void aWatchThatFellSilentIsBegunAnewWhenServersThatItCallsReadyRefuseConnections() throws Exception {
+    void replacesSilentLongPollWhenReadyServersRefuseConnections() throws Exception {
         ScriptedServer successor = hits();
         CountDownLatch told = new CountDownLatch(1);
-        ScriptedServer discovery = new ScriptedServer(c -> {
-            c.request();
+        ScriptedServer discovery = new ScriptedServer(connection -> {
+            connection.request();
             if (told.getCount() == 0) {
-                c.sayHttp(200, "", list(successor, true));
-                c.request();
+                connection.sayHttp(200, "", list(successor, true));
+                connection.request();
             }
             told.countDown();
-            c.awaitEnd();
+            connection.awaitEnd();
         });
         try (Socket gone = boundWithoutListening();
                 Fleet fleet = new Fleet()
@@ -171,22 +172,22 @@
      * of.
      */
     @Test
-    void aWatchThatIsSilentFromItsFirstSecondIsBegunAnewWithinTheBound() throws Exception {
+    void replacesLongPollThatIsSilentFromItsStartWithinStalenessBound() throws Exception {
         for (String mode : new String[] {"ask", "push"}) {
             ScriptedServer drained = hits();
             ScriptedServer other = hits();
             CountDownLatch told = new CountDownLatch(1);
-            ScriptedServer discovery = new ScriptedServer(c -> {
-                c.request();
+            ScriptedServer discovery = new ScriptedServer(connection -> {
+                connection.request();
                 if (told.getCount() == 0) {
                     JsonArray changes = new JsonArray();
                     changes.add(Fleet.host("s-00000001", "node-fast", drained.dial(), "draining"));
                     changes.add(Fleet.host("s-0000cafe", "node-fast", other.dial(), "up"));
-                    c.sayHttp(200, "", Fleet.list(42, false, changes).toString());
-                    c.request();
+                    connection.sayHttp(200, "", Fleet.list(42, false, changes).toString());
+                    connection.request();
                 }
                 told.countDown();
-                c.awaitEnd();
+                connection.awaitEnd();
             });
             try (Fleet fleet = new Fleet()
                     .node(drained)
@@ -214,17 +215,17 @@
      * has.
      */
     @Test
-    void anEarlierWholeListIsTakenOnlyWhenAllThereIsWasAskedFor() throws Exception {
+    void acceptsOlderCompleteListOnlyAfterRequestingIt() throws Exception {
         ScriptedServer node = hits();
         JsonArray hosts = new JsonArray();
         hosts.add(Fleet.host("s-0000cafe", "node-fast", node.dial(), "up"));
-        ScriptedServer discovery = new ScriptedServer(c -> {
+        ScriptedServer discovery = new ScriptedServer(connection -> {
             for (int i = 0; i < 2; i++) {
-                c.request();
-                c.sayHttp(200, "", Fleet.list(7, true, hosts).toString());
+                connection.request();
+                connection.sayHttp(200, "", Fleet.list(7, true, hosts).toString());
             }
-            c.request();
-            c.awaitEnd();
+            connection.request();
+            connection.awaitEnd();
         });
         try (Fleet fleet = new Fleet()
                 .discovery(discovery)
@@ -254,14 +255,14 @@
 
     /** Discovery tells its callers in turn: whoever gives up a call that waits comes last again, or is turned away. */
     @Test
-    void aCallThatWaitsIsNotGivenUpBecauseAnotherProxyWasToldBefore() throws Exception {
+    void keepsWaitingPollWhenAnotherProxyIsServedFirst() throws Exception {
         CountDownLatch claimed = new CountDownLatch(1);
-        ScriptedServer discovery = new ScriptedServer(c -> {
-            c.request();
+        ScriptedServer discovery = new ScriptedServer(connection -> {
+            connection.request();
             claimed.await();
-            c.sayHttp(200, "", Fleet.list(42, false, new JsonArray()).toString());
-            c.request();
-            c.awaitEnd();
+            connection.sayHttp(200, "", Fleet.list(42, false, new JsonArray()).toString());
+            connection.request();
+            connection.awaitEnd();
         });
         try (DatagramSocket other = new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
             try (Fleet fleet = besidePeer(discovery, other).start()) {
@@ -276,10 +277,10 @@
 
     /** It refuses nothing and says nothing; noise, cut messages and versions that it has already change nothing. */
     @Test
-    void aWatchThatFellSilentIsBegunAnewWhenAnotherProxyHasALaterVersion() throws Exception {
-        ScriptedServer discovery = new ScriptedServer(c -> {
-            c.request();
-            c.awaitEnd();
+    void replacesSilentLongPollWhenAnotherProxyHasNewerVersion() throws Exception {
+        ScriptedServer discovery = new ScriptedServer(connection -> {
+            connection.request();
+            connection.awaitEnd();
         });
         try (DatagramSocket other = new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
             try (Fleet fleet = besidePeer(discovery, other).start()) {
@@ -295,18 +296,18 @@
     }
 
     @Test
-    void aNewVersionIsToldToTheOtherProxiesOnceAndAnOldOneNot() throws Exception {
+    void announcesOnlyNewVersionsAndEachOnce() throws Exception {
         ScriptedServer node = hits();
         CountDownLatch heard = new CountDownLatch(1); // two versions within a moment are told as one
-        ScriptedServer discovery = new ScriptedServer(c -> {
-            c.request();
-            c.sayHttp(200, "", list(node, true));
-            c.request();
-            c.sayHttp(200, "", Fleet.list(43, false, new JsonArray()).toString());
-            c.request();
+        ScriptedServer discovery = new ScriptedServer(connection -> {
+            connection.request();
+            connection.sayHttp(200, "", list(node, true));
+            connection.request();
+            connection.sayHttp(200, "", Fleet.list(43, false, new JsonArray()).toString());
+            connection.request();
             heard.await();
-            c.sayHttp(200, "", Fleet.list(44, false, new JsonArray()).toString());
-            c.awaitEnd();
+            connection.sayHttp(200, "", Fleet.list(44, false, new JsonArray()).toString());
+            connection.awaitEnd();
         });
         try (DatagramSocket other = new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
             other.setSoTimeout(20_000);
@@ -334,27 +335,27 @@
     }
 
     @Test
-    void aConnectionInUseToAServerThatMovedOrWentEndsWithItsLastAnswer() throws Exception {
+    void closesConnectionToMovedOrRemovedServerAfterLastResponse() throws Exception {
         for (String health : new String[] {"up", "removed"}) {
-            CountDownLatch go = new CountDownLatch(1);
+            CountDownLatch mayRespond = new CountDownLatch(1);
             CountDownLatch ended = new CountDownLatch(1);
-            ScriptedServer old = new ScriptedServer(c -> {
-                String line = c.command();
-                go.await();
-                c.say("VA 5 O" + ScriptedServer.id(line) + " h1\r\nhello\r\n");
-                c.awaitEnd();
+            ScriptedServer old = new ScriptedServer(connection -> {
+                String line = connection.command();
+                mayRespond.await();
+                connection.say("VA 5 O" + ScriptedServer.id(line) + " h1\r\nhello\r\n");
+                connection.awaitEnd();
                 ended.countDown();
             });
             ScriptedServer moved = hits();
             CountDownLatch taken = new CountDownLatch(1);
-            ScriptedServer discovery = new ScriptedServer(c -> {
-                c.request();
+            ScriptedServer discovery = new ScriptedServer(connection -> {
+                connection.request();
                 taken.await();
                 JsonArray changes = new JsonArray();
                 changes.add(Fleet.host("s-00000001", "node-fast", moved.dial(), health));
-                c.sayHttp(200, "", Fleet.list(42, false, changes).toString());
-                c.request();
-                c.awaitEnd();
+                connection.sayHttp(200, "", Fleet.list(42, false, changes).toString());
+                connection.request();
+                connection.awaitEnd();
             });
             try (Fleet fleet = new Fleet()
                             .node(old)
@@ -368,7 +369,7 @@
                 discovery.next();
                 taken.countDown();
                 discovery.next(); // the change has been applied
-                go.countDown();
+                mayRespond.countDown();
                 assertThat(client.line()).isEqualTo("VA 5 O1");
                 client.line();
                 assertThat(ended.await(20, TimeUnit.SECONDS)).as(health).isTrue();
@@ -381,7 +382,7 @@
     }
 
     @Test
-    void idsComeFromTheHostsNames() {
+    void derivesServerIdsFromHostNames() {
         assertThat(cacheproxy.placement.ServerId.fromName("s-5be2a07c")).isEqualTo(0x5be2a07c);
         assertThat(cacheproxy.placement.ServerId.fromName("s-f2ffffff")).isEqualTo(0xf2ffffff);
         assertThat(cacheproxy.placement.ServerId.fromName("cache.example"))
--- a/src/test/java/cacheproxy/proxy/discovery/PeerSocketTest.java
+++ b/src/test/java/cacheproxy/proxy/discovery/PeerSocketTest.java
@@ -30,7 +30,7 @@
     }
 
     @Test
-    void messagesGoToOneOrAllAndComeFromPeersOnly() throws Exception {
+    void sendsToOneOrAllPeersAndReceivesOnlyFromPeers() throws Exception {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
         InetAddress local = InetAddress.getLoopbackAddress();
         try (DatagramSocket peer = new DatagramSocket(0, local);
--- a/src/test/java/cacheproxy/proxy/net/NettyLogTest.java
+++ b/src/test/java/cacheproxy/proxy/net/NettyLogTest.java
@@ -12,7 +12,7 @@
 /** Netty's warnings: a line each, without stack traces, and not without end. */
 class NettyLogTest {
     @Test
-    void warningsAreShortLinesAndBounded() {
+    void writesBoundedNumberOfShortLines() {
         ByteArrayOutputStream told = new ByteArrayOutputStream();
         PrintStream standard = System.err;
         System.setErr(new PrintStream(told, true, StandardCharsets.UTF_8));
@@ -33,7 +33,7 @@
         // What other tests' loops have to say meanwhile is not ours.
         String[] lines = told.toString(StandardCharsets.UTF_8)
                 .lines()
-                .filter(l -> l.startsWith("netty: Pipeline"))
+                .filter(line -> line.startsWith("netty: Pipeline"))
                 .toArray(String[]::new);
         assertThat(lines).hasSize(NettyLog.MAX_LINES);
         assertThat(lines[0]).isEqualTo("netty: Pipeline: An exception x reached the end:: java.io.IOException: reset");
--- a/src/test/java/cacheproxy/proxy/net/PollClockTest.java
+++ b/src/test/java/cacheproxy/proxy/net/PollClockTest.java
@@ -14,12 +14,12 @@
     private final PollClock clock = new PollClock();
 
     @Test
-    void aLoopThatTellsNothingHoldsNothingAgainstItsClients() {
+    void reportsNoWaitIfLoopDoesNotReportPolls() {
         assertThat(clock.unreadForMs(5 * MS)).isZero();
     }
 
     @Test
-    void inCalmNothingHasWaitedHoweverLongThePollWasWithinTheHeartbeat() {
+    void reportsNoWaitAfterPollWithinHeartbeat() {
         clock.polling(0);
         clock.handling(100 * MS);
         clock.polling(100 * MS + 1000);
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void aPauseInsideAPollCountsFromThePollsBeginning() {
+    void countsPauseWithinPollFromStartOfPoll() {
         clock.polling(0);
         clock.handling(10 * MS);
         clock.polling(10 * MS);
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void workBeforeThePollAndInThisTurnCounts() {
+    void countsWorkBeforePollAndInThisTurn() {
         clock.polling(0);
         clock.handling(10 * MS);
         clock.polling(310 * MS);
@@ -47,7 +47,7 @@
 
     /** The system may end a poll for a timer that is overdue and tell of what is to be read with the next. */
     @Test
-    void aPollThatAPauseEndedNeedNotHaveSeenWhatCameInIt() {
+    void countsPollThatMetPauseAsNotHavingSeenItsInput() {
         clock.polling(0);
         clock.handling(10 * MS);
         clock.polling(10 * MS);
@@ -63,7 +63,7 @@
      * and pauses.
      */
     @Test
-    void itIsNeverLessThanWhatARequestHasWaitedButForAPauseShorterThanAPoll() {
+    void boundsWaitOfEveryRequestApartFromShortPauses() {
         double most = 0;
         for (int seed = 1; seed <= 2000; seed++) {
             Random random = new Random(seed);
--- a/src/test/java/cacheproxy/proxy/net/TimerWheelTest.java
+++ b/src/test/java/cacheproxy/proxy/net/TimerWheelTest.java
@@ -14,7 +14,7 @@
 /** Timers run once, in order and never early; those called off do not run. */
 class TimerWheelTest {
     @Test
-    void allRunOnceNeverEarlyButThoseCalledOff() throws Exception {
+    void runsTimersOnceAndNeverEarlyUnlessCancelled() throws Exception {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
         EventLoop loop = group.next();
         int count = 2000;
--- a/src/test/java/cacheproxy/proxy/upstream/UpstreamTest.java
+++ b/src/test/java/cacheproxy/proxy/upstream/UpstreamTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** What cache nodes and the origin do to the proxy, on loopback sockets. */
+/** How the proxy handles what cache servers and the origin do, on loopback sockets. */
 class UpstreamTest {
     private static String hit(String command) {
         return "VA 5 O" + ScriptedServer.id(command) + " h1\r\nhello\r\n";
@@ -21,9 +21,9 @@
 
     /** An origin that answers every request in this way. */
     private static ScriptedServer origin(int status, String headers, String body) throws Exception {
-        return new ScriptedServer(c -> {
-            while (c.request() != null) {
-                c.sayHttp(status, headers, body);
+        return new ScriptedServer(connection -> {
+            while (connection.request() != null) {
+                connection.sayHttp(status, headers, body);
             }
         });
     }
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void aMissIsFetchedFromTheOrigin() throws Exception {
+    void fetchesMissFromOrigin() throws Exception {
         ScriptedServer node = ScriptedServer.node(line -> "EN O" + ScriptedServer.id(line) + " h0\r\n");
         try (Fleet fleet =
                         new Fleet().node(node).origin(origin(200, "", "master")).start();
@@ -47,7 +47,7 @@
     }
 
     @Test
-    void oneConnectionServesRequestAfterRequest() throws Exception {
+    void reusesConnectionForSuccessiveRequests() throws Exception {
         ScriptedServer node = ScriptedServer.node(UpstreamTest::hit);
         try (Fleet fleet = new Fleet().node(node).start();
                 Fleet.Client client = fleet.client()) {
@@ -61,7 +61,7 @@
     }
 
     @Test
-    void aNodeThatRefusesConnectionsOrTurnsAwayIsPassedOver() throws Exception {
+    void skipsServerThatRefusesConnectionsOrRequests() throws Exception {
         AtomicInteger busy = new AtomicInteger();
         ScriptedServer full = ScriptedServer.node(line -> {
             busy.incrementAndGet();
@@ -88,18 +88,18 @@
      * it.
      */
     private static ScriptedServer withoutRoom(CountDownLatch seen) throws Exception {
-        return new ScriptedServer(c -> {
-            c.command();
-            c.say("SERVER_ERROR busy\r\n");
-            c.socket.shutdownOutput();
-            c.awaitEnd();
+        return new ScriptedServer(connection -> {
+            connection.command();
+            connection.say("SERVER_ERROR busy\r\n");
+            connection.socket.shutdownOutput();
+            connection.awaitEnd();
             seen.countDown();
         });
     }
 
     /** Each try would cost an attempt; want of room says nothing against the node, which would be left out for it. */
     @Test
-    void aNodeWithoutRoomForAConnectionIsNotTriedAnewForEachRequestAndNotTakenForADeadOne() throws Exception {
+    void backsOffFromServerWithoutConnectionCapacityWithoutTakingItForDown() throws Exception {
         CountDownLatch seen = new CountDownLatch(1);
         ScriptedServer full = withoutRoom(seen);
         long start = System.nanoTime();
@@ -121,21 +121,21 @@
 
     /** One connection a node is enough for short answers; behind a long one, they would wait for its client. */
     @Test
-    void whereConnectionsAreShortALongAnswerStillKeepsNobodyWaiting() throws Exception {
+    void opensAnotherConnectionBesideLongValueDuringConnectionShortage() throws Exception {
         CountDownLatch seen = new CountDownLatch(1);
         CountDownLatch rest = new CountDownLatch(1);
-        ScriptedServer sound = new ScriptedServer(c -> {
-            for (String line; (line = c.command()) != null; ) {
+        ScriptedServer sound = new ScriptedServer(connection -> {
+            for (String line; (line = connection.command()) != null; ) {
                 if (!ScriptedServer.id(line).equals("long")) {
-                    c.say(hit(line));
+                    connection.say(hit(line));
                     continue;
                 }
-                c.say("VA " + MetaCodec.MAX_VALUE_BYTES + " Olong h1\r\n");
-                c.out.write(new byte[1000]);
-                c.out.flush();
+                connection.say("VA " + MetaCodec.MAX_VALUE_BYTES + " Olong h1\r\n");
+                connection.out.write(new byte[1000]);
+                connection.out.flush();
                 rest.await();
-                c.out.write(new byte[MetaCodec.MAX_VALUE_BYTES - 1000]);
-                c.say("\r\n");
+                connection.out.write(new byte[MetaCodec.MAX_VALUE_BYTES - 1000]);
+                connection.say("\r\n");
             }
         });
         try (Fleet fleet = new Fleet().node(withoutRoom(seen)).node(sound).start();
@@ -156,15 +156,15 @@
      * They keep others out where there is no room; one by one they would go only after they have stood idle for long.
      */
     @Test
-    void whereConnectionsAreShortSecondOnesThatStandIdleAreClosed() throws Exception {
+    void closesSpareIdleConnectionsDuringConnectionShortage() throws Exception {
         CountDownLatch seen = new CountDownLatch(1);
         CountDownLatch both = new CountDownLatch(2);
         CountDownLatch closed = new CountDownLatch(1);
-        ScriptedServer sound = new ScriptedServer(c -> {
-            for (String line; (line = c.command()) != null; ) {
+        ScriptedServer sound = new ScriptedServer(connection -> {
+            for (String line; (line = connection.command()) != null; ) {
                 both.countDown();
                 both.await();
-                c.say(hit(line));
+                connection.say(hit(line));
             }
             closed.countDown();
         });
@@ -204,7 +204,7 @@
     }
 
     @Test
-    void anOriginThatRefusesConnectionsIsKnownAtOnceNotToHaveRunTheWrite() throws Exception {
+    void reportsWriteAsNotProcessedWhenOriginRefusesConnections() throws Exception {
         Fleet setup = new Fleet().node(ScriptedServer.node(UpstreamTest::hit));
         setup.hosts.add(Fleet.host("s-0000aaaa", "origin", refused(), "up"));
         try (Fleet fleet = setup.start();
@@ -218,7 +218,7 @@
     }
 
     @Test
-    void aRefusalTellsAtOnceWhenToComeBackWhereClientsMayKnow() throws Exception {
+    void includesRetryAdviceInRejectionWhereEnabled() throws Exception {
         for (boolean told : new boolean[] {true, false}) {
             Fleet setup = new Fleet().node(refused()).set("caps.retry-after", Boolean.toString(told));
             try (Fleet fleet = setup.start();
@@ -230,10 +230,10 @@
     }
 
     @Test
-    void anUnsafeWriteWhoseLastByteWentOutIsNeverSentAgain() throws Exception {
-        ScriptedServer origin = new ScriptedServer(c -> {
-            c.request();
-            c.reset();
+    void neverRetriesUnsafeWriteWhoseLastByteWasWritten() throws Exception {
+        ScriptedServer origin = new ScriptedServer(connection -> {
+            connection.request();
+            connection.reset();
         });
         try (Fleet fleet = new Fleet().origin(origin).start();
                 Fleet.Client client = fleet.client()) {
@@ -245,15 +245,15 @@
     }
 
     @Test
-    void garbageEndsTheAttemptAndTheConnection() throws Exception {
+    void closesConnectionAndEndsAttemptOnProtocolError() throws Exception {
         for (String garbage : new String[] {
             "VA x O1\r\n", "VA 5 O7 h1\r\nhello\r\n", "VA 5 O1\r\nhelloXX", "\u0000\r\n", "HD O1 cx\r\n"
         }) {
             CountDownLatch ended = new CountDownLatch(1);
-            ScriptedServer node = new ScriptedServer(c -> {
-                c.command();
-                c.say(garbage);
-                c.awaitEnd();
+            ScriptedServer node = new ScriptedServer(connection -> {
+                connection.command();
+                connection.say(garbage);
+                connection.awaitEnd();
                 ended.countDown();
             });
             try (Fleet fleet = new Fleet()
@@ -274,10 +274,10 @@
             "HTTP/1.1 2x0 OK\r\nContent-Length: 2",
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nr1\r\nzz"
         }) {
-            ScriptedServer broken = new ScriptedServer(c -> {
-                c.request();
-                c.say(head + "\r\n\r\nr1");
-                c.awaitEnd();
+            ScriptedServer broken = new ScriptedServer(connection -> {
+                connection.request();
+                connection.say(head + "\r\n\r\nr1");
+                connection.awaitEnd();
             });
             try (Fleet fleet = new Fleet().origin(broken).start();
                     Fleet.Client client = fleet.client()) {
@@ -288,24 +288,25 @@
     }
 
     @Test
-    void whatStandsBehindAnAnswerIsNotTheNextRequestsAnswer() throws Exception {
+    void doesNotTakeSurplusInputForNextResponse() throws Exception {
         CountDownLatch missed = new CountDownLatch(2);
-        CountDownLatch go = new CountDownLatch(1);
-        ScriptedServer node = new ScriptedServer(c -> {
-            for (String line; (line = c.command()) != null; ) {
-                c.say("EN O" + ScriptedServer.id(line) + " h0\r\n");
+        CountDownLatch mayRespond = new CountDownLatch(1);
+        ScriptedServer node = new ScriptedServer(connection -> {
+            for (String line; (line = connection.command()) != null; ) {
+                connection.say("EN O" + ScriptedServer.id(line) + " h0\r\n");
                 missed.countDown();
             }
         });
-        ScriptedServer origin = new ScriptedServer(c -> {
-            c.request();
-            if (go.getCount() > 0) {
-                go.await();
-                c.say("HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 X\r\nContent-Length: 5\r\n\r\nwrong");
+        ScriptedServer origin = new ScriptedServer(connection -> {
+            connection.request();
+            if (mayRespond.getCount() > 0) {
+                mayRespond.await();
+                connection.say(
+                        "HTTP/1.1 500 X\r\nContent-Length: 0\r\n\r\nHTTP/1.1 200 X\r\nContent-Length: 5\r\n\r\nwrong");
             } else {
-                c.sayHttp(200, "", "right");
+                connection.sayHttp(200, "", "right");
             }
-            c.awaitEnd();
+            connection.awaitEnd();
         });
         try (Fleet fleet = new Fleet().node(node).origin(origin).start();
                 Fleet.Client client = fleet.client();
@@ -315,7 +316,7 @@
             other.read("2"); // waits for the fetch, and goes to the origin once that has failed
             missed.await();
             fleet.client().say("mn\r\n").line();
-            go.countDown();
+            mayRespond.countDown();
             assertThat(client.line()).startsWith("SERVER_ERROR");
             assertThat(other.line()).isEqualTo("VA 5 O2");
             assertThat(other.line()).isEqualTo("right");
@@ -323,12 +324,12 @@
     }
 
     @Test
-    void anIdleConnectionThatTheNodeClosedIsNotWrittenTo() throws Exception {
+    void doesNotWriteToIdleConnectionClosedByServer() throws Exception {
         java.util.concurrent.Semaphore closed = new java.util.concurrent.Semaphore(0); // once for each connection
-        ScriptedServer origin = new ScriptedServer(c -> {
-            c.request();
-            c.sayHttp(200, "", "r1");
-            c.socket.close();
+        ScriptedServer origin = new ScriptedServer(connection -> {
+            connection.request();
+            connection.sayHttp(200, "", "r1");
+            connection.socket.close();
             closed.release();
         });
         try (Fleet fleet = new Fleet().origin(origin).start();
@@ -343,17 +344,17 @@
     }
 
     @Test
-    void anAttemptGoesToAnIdleConnectionAndElseBehindTheFewest() throws Exception {
-        CountDownLatch go = new CountDownLatch(1);
+    void sendsAttemptOnIdleConnectionOrBehindFewestAttempts() throws Exception {
+        CountDownLatch mayRespond = new CountDownLatch(1);
         CountDownLatch never = new CountDownLatch(1);
-        ScriptedServer node = new ScriptedServer(c -> {
-            for (String line; (line = c.command()) != null; ) {
+        ScriptedServer node = new ScriptedServer(connection -> {
+            for (String line; (line = connection.command()) != null; ) {
                 if (ScriptedServer.id(line).startsWith("held")) {
                     never.await();
                 } else if (ScriptedServer.id(line).equals("first")) {
-                    go.await();
+                    mayRespond.await();
                 }
-                c.say(hit(line));
+                connection.say(hit(line));
             }
         });
         try (Fleet fleet = new Fleet().node(node).start();
@@ -365,7 +366,7 @@
                 node.next();
             }
             assertThat(node.accepted).hasSize(4);
-            go.countDown();
+            mayRespond.countDown();
             assertThat(client.line()).isEqualTo("VA 5 Ofirst");
             client.line();
             for (int i = 0; i < 3; i++) { // the one that stands idle, not that opened last
@@ -379,14 +380,14 @@
     }
 
     @Test
-    void givingUpOneAttemptSparesTheOthersOnItsConnection() throws Exception {
+    void keepsOtherAttemptsOnConnectionOfAbandonedAttempt() throws Exception {
         CountDownLatch gone = new CountDownLatch(1);
-        ScriptedServer pipelined = new ScriptedServer(c -> {
-            String first = c.command();
-            String second = c.command();
+        ScriptedServer pipelined = new ScriptedServer(connection -> {
+            String first = connection.command();
+            String second = connection.command();
             gone.await();
-            c.say(hit(first) + hit(second));
-            c.awaitEnd();
+            connection.say(hit(first) + hit(second));
+            connection.awaitEnd();
         });
         Fleet setup = new Fleet().node(pipelined).set("balancers", "60");
         try (Fleet fleet = setup.start();
@@ -404,9 +405,9 @@
     }
 
     @Test
-    void aSpellOfGivenUpAttemptsKeepsItsConnections() throws Exception {
-        ScriptedServer node = new ScriptedServer(c -> {
-            while (c.command() != null) {
+    void keepsConnectionsWhenManyAttemptsAreAbandoned() throws Exception {
+        ScriptedServer node = new ScriptedServer(connection -> {
+            while (connection.command() != null) {
                 // never answered
             }
         });
@@ -424,21 +425,21 @@
     }
 
     @Test
-    void anAnswerThatStopsInItsMiddleIsNotWaitedFor() throws Exception {
+    void endsAttemptWhoseResponseStopsInItsMiddle() throws Exception {
         CountDownLatch ended = new CountDownLatch(2);
-        ScriptedServer node = new ScriptedServer(c -> {
-            c.say("VA 5 O" + ScriptedServer.id(c.command()) + " h1\r\nhel");
-            c.awaitEnd();
+        ScriptedServer node = new ScriptedServer(connection -> {
+            connection.say("VA 5 O" + ScriptedServer.id(connection.command()) + " h1\r\nhel");
+            connection.awaitEnd();
             ended.countDown();
         });
-        ScriptedServer origin = new ScriptedServer(c -> {
-            for (String request; (request = c.request()) != null; ) {
+        ScriptedServer origin = new ScriptedServer(connection -> {
+            for (String request; (request = connection.request()) != null; ) {
                 if (request.startsWith("PUT")) {
-                    c.say("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nr");
-                    c.awaitEnd();
+                    connection.say("HTTP/1.1 200 OK\r\nContent-Length: 5\r\n\r\nr");
+                    connection.awaitEnd();
                     ended.countDown();
                 } else {
-                    c.sayHttp(200, "", "fetch");
+                    connection.sayHttp(200, "", "fetch");
                 }
             }
         });
