--- a/src/main/java/cacheproxy/bench/ChoiceBench.java
+++ b/src/main/java/cacheproxy/bench/ChoiceBench.java
@@ -8,13 +8,13 @@
 import cacheproxy.routes.KeyPattern;
 import cacheproxy.routes.KeyRewrite;
 import cacheproxy.routes.Route;
+import cacheproxy.routes.RouteConditions;
 import cacheproxy.routes.RouteInput;
 import cacheproxy.routes.RouteTable;
 import java.io.PrintWriter;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
-import java.util.Set;
 import java.util.SplittableRandom;
 import java.util.function.IntToLongFunction;
 
@@ -41,20 +41,15 @@
                 int kind = i % 10;
                 // One in ten is a pattern, as where locations were written by hand; the rest halves.
                 String key = "svc" + i + "/list/";
-                routes.add(new Route(
-                        "r" + i,
-                        0,
-                        i,
-                        Set.of(),
-                        kind < 5 ? key + "index" : null,
-                        kind >= 5 && kind < 9 ? key : null,
-                        kind == 9 ? new KeyPattern("^svc" + i + "/v[0-9]+/") : null,
-                        Set.of(),
-                        Set.of(),
-                        null,
-                        null,
-                        KeyRewrite.NONE,
-                        new Route.Fail()));
+                RouteConditions conditions = RouteConditions.NONE;
+                if (kind < 5) {
+                    conditions = conditions.withExact(key + "index");
+                } else if (kind < 9) {
+                    conditions = conditions.withPrefix(key);
+                } else {
+                    conditions = conditions.withPattern(new KeyPattern("^svc" + i + "/v[0-9]+/"));
+                }
+                routes.add(new Route("r" + i, 0, i, conditions, KeyRewrite.NONE, null, new Route.Fail()));
             }
             SplittableRandom random = new SplittableRandom(3);
             for (int i = 0; i < 1024; i++) {
--- a/src/main/java/cacheproxy/bench/HookBench.java
+++ b/src/main/java/cacheproxy/bench/HookBench.java
@@ -13,6 +13,7 @@
 import cacheproxy.routes.KeyPattern;
 import cacheproxy.routes.KeyRewrite;
 import cacheproxy.routes.Route;
+import cacheproxy.routes.RouteConditions;
 import cacheproxy.routes.RouteInput;
 import cacheproxy.routes.RouteTable;
 import com.sun.management.ThreadMXBean;
@@ -25,7 +26,6 @@
 import java.nio.file.Path;
 import java.util.Arrays;
 import java.util.List;
-import java.util.Set;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.IntToLongFunction;
@@ -114,20 +114,14 @@
     }
 
     private static Route rule(int position, String regex, String replace) {
-        KeyPattern p = new KeyPattern(regex);
+        KeyPattern pattern = new KeyPattern(regex);
         return new Route(
                 "r" + position,
                 0,
                 position,
-                Set.of(),
+                RouteConditions.NONE.withPattern(pattern),
+                new KeyRewrite(null, pattern, replace, null),
                 null,
-                null,
-                p,
-                Set.of(),
-                Set.of(),
-                null,
-                null,
-                new KeyRewrite(null, p, replace, null),
                 new Route.ToPools(List.of("a")));
     }
 
--- a/src/main/java/cacheproxy/bench/ImportBench.java
+++ b/src/main/java/cacheproxy/bench/ImportBench.java
@@ -169,7 +169,7 @@
         for (int r = -3; r < ns.length; r++) {
             long at = System.nanoTime();
             for (int i = 0; i < turns; i++) {
-                RouteInput s = file.keys().subject(file.listeners().get(0).name(), keys[i & 1023], 0, 0, false);
+                RouteInput s = file.keys().parse(file.listeners().get(0).name(), keys[i & 1023], 0, 0, false);
                 sink += file.routes().find(s).position();
             }
             if (r >= 0) {
--- a/src/main/java/cacheproxy/cli/ExplainCommand.java
+++ b/src/main/java/cacheproxy/cli/ExplainCommand.java
@@ -74,7 +74,7 @@
         }
         RouteExplainer explain = new RouteExplainer(f);
         for (String key : keys) {
-            RouteInput s = f.keys().subject(at.name(), key, k, t, write);
+            RouteInput s = f.keys().parse(at.name(), key, k, t, write);
             if (s == null) {
                 out.println(key + " route=- answer=rejected (the key is no path)");
                 continue;
--- a/src/main/java/cacheproxy/cli/NginxComparison.java
+++ b/src/main/java/cacheproxy/cli/NginxComparison.java
@@ -73,7 +73,7 @@
 
     private Goal here(String key) {
         ListenerConfig at = imported.listeners().get(0);
-        RouteInput s = imported.keys().subject(at.name(), key, imported.classIndex(at.readClass()), 0, false);
+        RouteInput s = imported.keys().parse(at.name(), key, imported.classIndex(at.readClass()), 0, false);
         String line = s == null ? "" : explainer.lines(s, false).get(0);
         int pool = line.indexOf(" pool=");
         int server = line.indexOf(" server=", pool);
--- a/src/main/java/cacheproxy/config/HostReader.java
+++ b/src/main/java/cacheproxy/config/HostReader.java
@@ -87,7 +87,7 @@
         if (pattern.startsWith("~")) {
             return KeyPatterns.compile(table, "names", pattern.substring(1)) != null;
         }
-        if (!VirtualHosts.isName(pattern)) {
+        if (!VirtualHosts.isValidName(pattern)) {
             table.error("names", "'" + pattern + "' is no host; allowed: a.example, *.example, .example, a.*, ~regex");
             return false;
         }
--- a/src/main/java/cacheproxy/config/PlacementTemplates.java
+++ b/src/main/java/cacheproxy/config/PlacementTemplates.java
@@ -18,10 +18,10 @@
         }
         try {
             PlacementTemplate template = new PlacementTemplate(text);
-            if (template.groups() > groups) {
+            if (template.highestGroup() > groups) {
                 String remedy =
                         groups == 0 ? "only routes with a regex have groups" : "the route's first regex has " + groups;
-                table.error(key, key + ": '$" + template.groups() + "' is no group; " + remedy);
+                table.error(key, key + ": '$" + template.highestGroup() + "' is no group; " + remedy);
             }
             return template;
         } catch (IllegalArgumentException e) {
--- a/src/main/java/cacheproxy/config/RouteReader.java
+++ b/src/main/java/cacheproxy/config/RouteReader.java
@@ -7,6 +7,7 @@
 import cacheproxy.routes.KeyRewrite;
 import cacheproxy.routes.PlacementTemplate;
 import cacheproxy.routes.Route;
+import cacheproxy.routes.RouteConditions;
 import cacheproxy.routes.RouteTable;
 import cacheproxy.routes.TrafficShare;
 import cacheproxy.routes.VirtualHosts;
@@ -65,49 +66,53 @@
         }
         RouteTable routeTable = new RouteTable(routes, hosts);
         if (errors.count() == errorsBefore) {
-            routeTable.shadowed().forEach(shadowed -> rejectUnreachable(shadowed, tablesByName));
+            routeTable.shadowedRoutes().forEach(shadowed -> rejectUnreachable(shadowed, tablesByName));
         }
         return routeTable;
     }
 
-    private static void rejectUnreachable(RouteTable.Shadowed shadowed, Map<String, TomlTableReader> tablesByName) {
+    private static void rejectUnreachable(
+            RouteTable.ShadowedRoute shadowed, Map<String, TomlTableReader> tablesByName) {
         String name = shadowed.route().name();
         tablesByName
                 .get(name)
                 .error(
                         "name",
                         "route '" + name + "' is never reached: '"
-                                + shadowed.by().name() + "' takes all of its requests before; give it a "
+                                + shadowed.shadowedBy().name() + "' takes all of its requests before; give it a "
                                 + "lower order, or leave it out");
     }
 
     /** Null if it has no action, after an error. */
     private Route readRoute(TomlTableReader table, int position) {
         String name = ConfigValues.uniqueName(table, names, "route");
+        RouteConditions conditions = readConditions(table, name);
+        List<KeyPattern> patterns = conditions.patterns();
+        KeyPattern firstPattern = patterns.isEmpty() ? null : patterns.get(0);
+        KeyRewrite rewrite = readRewrite(table, firstPattern);
+        PlacementTemplate placeBy =
+                PlacementTemplates.read(table, "place_by", firstPattern == null ? 0 : firstPattern.groupCount());
+        Route.Action action = readAction(table, name);
+        int order = table.integer("order", 0, -MAX_ORDER, MAX_ORDER);
+        table.rejectUnknownKeys();
+        if (action == null) {
+            return null;
+        }
+        return new Route(name, order, position, conditions, rewrite, placeBy, action);
+    }
+
+    private RouteConditions readConditions(TomlTableReader table, String name) {
         String key = table.text("key", null);
         String prefix = table.text("prefix", null);
         checkKeyAndPrefix(table, name, key, prefix);
         List<KeyPattern> patterns = readPatterns(table);
-        KeyPattern firstPattern = patterns.isEmpty() ? null : patterns.get(0);
         String host = table.reference("host", hostReader.names(), "host");
         Set<String> from = Set.copyOf(table.references("listener", listeners, "listener"));
         Set<Integer> ofClasses = indexes(table.references("class", classes, "class"), classes);
         Set<Integer> ofTenants = indexes(table.references("tenant", tenants, "tenant"), tenants);
         Boolean write = table.flagOrNull("write");
         TrafficShare share = TrafficShareReader.read(table);
-        KeyRewrite rewrite = readRewrite(table, firstPattern);
-        PlacementTemplate placeBy =
-                PlacementTemplates.read(table, "place_by", firstPattern == null ? 0 : firstPattern.groups());
-        Route.Action action = readAction(table, name);
-        int order = table.integer("order", 0, -MAX_ORDER, MAX_ORDER);
-        table.rejectUnknownKeys();
-        if (action == null) {
-            return null;
-        }
-        return new Route(
-                name,
-                order,
-                position,
+        return new RouteConditions(
                 from,
                 host,
                 key,
@@ -116,20 +121,17 @@
                 ofClasses,
                 ofTenants,
                 write,
-                share,
-                rewrite,
-                placeBy,
-                action);
+                share);
     }
 
     private static void checkKeyAndPrefix(TomlTableReader table, String name, String key, String prefix) {
         if (key != null && prefix != null) {
             table.error("name", "route '" + name + "' has key and prefix; one at most");
         }
-        if (key != null && !KeyRewrite.legal(key)) {
+        if (key != null && !KeyRewrite.isLegalKey(key)) {
             table.error("key", "no request has this key; keys have 1 to 250 printing characters without space");
         }
-        if (prefix != null && !prefix.isEmpty() && !KeyRewrite.legal(prefix)) {
+        if (prefix != null && !prefix.isEmpty() && !KeyRewrite.isLegalKey(prefix)) {
             table.error("prefix", "no key begins with this; keys have 1 to 250 printing characters without space");
         }
     }
@@ -157,7 +159,7 @@
         String strip = table.text("strip", null);
         String add = table.text("add", null);
         String replace = table.text("replace", null);
-        if (add != null && !KeyRewrite.legal(add)) {
+        if (add != null && !KeyRewrite.isLegalKey(add)) {
             table.error(
                     "add", "add puts something into keys that servers don't take; printing characters without space");
             return KeyRewrite.NONE;
@@ -187,7 +189,7 @@
             return null;
         }
         if (refuse) {
-            return new Route.Refuse(table.number("refuse_ms", 1, 1, ConfigValues.HOUR_MS));
+            return new Route.Reject(table.number("refuse_ms", 1, 1, ConfigValues.HOUR_MS));
         }
         return fail ? new Route.Fail() : readPools(table, to);
     }
--- a/src/main/java/cacheproxy/config/TrafficShareReader.java
+++ b/src/main/java/cacheproxy/config/TrafficShareReader.java
@@ -25,8 +25,8 @@
     /** A share by nginx's hash, as {@code split_clients} has it. */
     private static TrafficShare readSplitShare(TomlTableReader table) {
         PlacementTemplate template = PlacementTemplates.read(table, "by", 0);
-        long from = (long) table.number("from_hash", 0, 0, SplitShare.ALL);
-        long to = (long) table.number("to_hash", SplitShare.ALL, 0, SplitShare.ALL);
+        long from = (long) table.number("from_hash", 0, 0, SplitShare.HASH_RANGE);
+        long to = (long) table.number("to_hash", SplitShare.HASH_RANGE, 0, SplitShare.HASH_RANGE);
         table.rejectUnknownKeys();
         if (from >= to) {
             table.error("to_hash", "the share is empty; from_hash must be under to_hash");
--- a/src/main/java/cacheproxy/daemon/IcpResponder.java
+++ b/src/main/java/cacheproxy/daemon/IcpResponder.java
@@ -67,7 +67,7 @@
         if (key.isEmpty() || key.length() > MAX_KEY_CHARS || icp.listener() == null) {
             return Opcode.MISS;
         }
-        RouteInput input = config.file.keys().subject(icp.listener(), key, 0, 0, false);
+        RouteInput input = config.file.keys().parse(icp.listener(), key, 0, 0, false);
         if (input == null) {
             return Opcode.MISS;
         }
--- a/src/main/java/cacheproxy/daemon/PoolSettings.java
+++ b/src/main/java/cacheproxy/daemon/PoolSettings.java
@@ -17,9 +17,9 @@
 import cacheproxy.policy.LoadReportSource;
 import cacheproxy.policy.PolicySettings;
 import cacheproxy.proxy.request.RequestValidator;
-import cacheproxy.routes.Explain;
 import cacheproxy.routes.KeyHash;
 import cacheproxy.routes.PlacementTemplate;
+import cacheproxy.routes.RouteExplanation;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -165,9 +165,9 @@
                 return RequestValidator.keyNumber(
                         template.equals(PlacementTemplate.KEY)
                                 ? poolKey
-                                : new String(template.bytes(server, route, poolKey), StandardCharsets.ISO_8859_1));
+                                : new String(template.hashInput(server, route, poolKey), StandardCharsets.ISO_8859_1));
             }
-            byte[] text = template.bytes(server, route, poolKey);
+            byte[] text = template.hashInput(server, route, poolKey);
             // For an empty text nginx uses round robin; the key spreads such requests as well.
             return PlacementKey.fromText(text.length > 0 ? text : poolKey.getBytes(StandardCharsets.ISO_8859_1));
         };
@@ -180,8 +180,8 @@
     }
 
     /** The pools of a configuration for the command {@code explain}. */
-    static Explain explain(DaemonConfig file) {
-        Map<String, Explain.PoolView> views = new LinkedHashMap<>();
+    static RouteExplanation explain(DaemonConfig file) {
+        Map<String, RouteExplanation.PoolView> views = new LinkedHashMap<>();
         for (PoolConfig pool : file.pools().values()) {
             List<Endpoint> ready = new ArrayList<>();
             Map<Integer, String> names = new HashMap<>();
@@ -198,7 +198,7 @@
             ready.sort((first, second) -> Integer.compareUnsigned(first.id(), second.id()));
             views.put(
                     pool.name(),
-                    new Explain.PoolView(
+                    new RouteExplanation.PoolView(
                             ready,
                             names,
                             BackupPlacement.withBackups(placement(pool), backups::contains)
@@ -208,6 +208,6 @@
                             pool.discovery() == null,
                             file.fallbackChain(List.of(pool.name()))));
         }
-        return new Explain(file.routes(), views);
+        return new RouteExplanation(file.routes(), views);
     }
 }
--- a/src/main/java/cacheproxy/daemon/RouteExplainer.java
+++ b/src/main/java/cacheproxy/daemon/RouteExplainer.java
@@ -1,13 +1,13 @@
 package cacheproxy.daemon;
 
 import cacheproxy.config.DaemonConfig;
-import cacheproxy.routes.Explain;
+import cacheproxy.routes.RouteExplanation;
 import cacheproxy.routes.RouteInput;
 import java.util.List;
 
 /** Explains where requests would be sent under a configuration, without starting it. */
 public final class RouteExplainer {
-    private final Explain explain;
+    private final RouteExplanation explain;
 
     /** Explains this configuration. */
     public RouteExplainer(DaemonConfig file) {
--- a/src/main/java/cacheproxy/daemon/RoutedRequest.java
+++ b/src/main/java/cacheproxy/daemon/RoutedRequest.java
@@ -7,7 +7,7 @@
 import cacheproxy.proxy.request.RequestHandler;
 import cacheproxy.proxy.request.Responder;
 import cacheproxy.proxy.upstream.EventLoopContext;
-import cacheproxy.routes.Fallback;
+import cacheproxy.routes.FallbackRules;
 import cacheproxy.routes.Route;
 import cacheproxy.routes.RouteInput;
 import io.netty.buffer.ByteBuf;
@@ -77,12 +77,13 @@
         while (++poolIndex < chain.size()) {
             PoolRuntime pool = chain.get(poolIndex);
             double nowMs = core.now();
-            if (!Fallback.mayGoOn(
+            if (!FallbackRules.mayTryNextPool(
                     serviceClass, mayHaveRun, dedupGroupRun, pool.dedupGroup(), nowMs, request.arrivedMs())) {
                 break;
             }
             boolean last = poolIndex == chain.size() - 1;
-            double dueMs = Fallback.dueMs(serviceClass, mayHaveRun, last, nowMs, request.arrivedMs(), request.dueMs());
+            double dueMs = FallbackRules.deadlineMs(
+                    serviceClass, mayHaveRun, last, nowMs, request.arrivedMs(), request.dueMs());
             if (dueMs <= nowMs) {
                 break;
             }
@@ -127,7 +128,7 @@
 
     private void concludeUnserved() {
         concluded();
-        if (failed || !Fallback.mayRefuse(serviceClass, mayHaveRun)) {
+        if (failed || !FallbackRules.mayReject(serviceClass, mayHaveRun)) {
             client.failed();
         } else if (missed) {
             client.miss();
--- a/src/main/java/cacheproxy/daemon/Router.java
+++ b/src/main/java/cacheproxy/daemon/Router.java
@@ -64,7 +64,7 @@
             ConfigSnapshot config, String listener, Route named, ClientRequest request, Responder responder) {
         RouteInput input = config.file
                 .keys()
-                .subject(listener, request.key(), request.serviceClass(), request.tenant(), request.write());
+                .parse(listener, request.key(), request.serviceClass(), request.tenant(), request.write());
         Route route = input == null
                 ? null
                 : named != null ? named : config.file.routes().find(input);
@@ -77,8 +77,8 @@
             responder.rejected("key is no path");
         } else if (route == null) {
             responder.rejected("no route takes this key");
-        } else if (route.action() instanceof Route.Refuse refusal) {
-            responder.refused(refusal.afterMs());
+        } else if (route.action() instanceof Route.Reject refusal) {
+            responder.refused(refusal.retryAfterMs());
         } else {
             responder.failed();
         }
--- a/src/main/java/cacheproxy/daemon/hooks/HookedRequest.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookedRequest.java
@@ -178,7 +178,7 @@
     private boolean applies(HookExecutor hook) {
         RouteInput input = config.file
                 .keys()
-                .subject(listener, request.key(), request.serviceClass(), request.tenant(), request.write());
+                .parse(listener, request.key(), request.serviceClass(), request.tenant(), request.write());
         Route route = routeByHook != null
                 ? routeByHook
                 : input == null ? null : config.file.routes().find(input);
--- a/src/main/java/cacheproxy/hooks/HookRules.java
+++ b/src/main/java/cacheproxy/hooks/HookRules.java
@@ -25,7 +25,7 @@
      * @param remainingMs until the client gives up
      */
     public String refused(HookOrders o, int sentClass, long remainingMs) {
-        if (o.key() != null && !KeyRewrite.legal(o.key())) {
+        if (o.key() != null && !KeyRewrite.isLegalKey(o.key())) {
             return "its key is not legal; 1 to 250 printing characters without space";
         }
         if (o.serviceClass() != null) {
--- a/src/main/java/cacheproxy/nginx/importer/Conditions.java
+++ b/src/main/java/cacheproxy/nginx/importer/Conditions.java
@@ -44,15 +44,15 @@
         }
         SplitShare both = share == null ? other.share : share;
         if (share != null && other.share != null) {
-            if (!share.by().equals(other.share.by())) {
+            if (!share.template().equals(other.share.template())) {
                 throw new Unable("two splits at once");
             }
-            long from = Math.max(share.from(), other.share.from());
-            long to = Math.min(share.to(), other.share.to());
+            long from = Math.max(share.fromHash(), other.share.fromHash());
+            long to = Math.min(share.toHash(), other.share.toHash());
             if (from >= to) {
                 return null;
             }
-            both = new SplitShare(share.by(), from, to);
+            both = new SplitShare(share.template(), from, to);
         }
         List<String> all = new ArrayList<>(patterns);
         other.patterns.stream().filter(p -> !all.contains(p)).forEach(all::add);
--- a/src/main/java/cacheproxy/nginx/importer/FileText.java
+++ b/src/main/java/cacheproxy/nginx/importer/FileText.java
@@ -74,13 +74,13 @@
         head("[[host]]");
         line("name", quoted(h.name()));
         line("listener", list(h.listeners().stream().sorted().toList()));
-        if (!h.names().isEmpty()) {
-            line("names", list(h.names()));
+        if (!h.serverNames().isEmpty()) {
+            line("names", list(h.serverNames()));
         }
-        if (h.fallback()) {
+        if (h.isDefault()) {
             line("default", "true");
-        } else if (!h.fallbackOf().isEmpty()) {
-            line("default_of", list(h.fallbackOf().stream().sorted().toList()));
+        } else if (!h.defaultOfListeners().isEmpty()) {
+            line("default_of", list(h.defaultOfListeners().stream().sorted().toList()));
         }
     }
 
@@ -144,9 +144,9 @@
         if (r.when().share() != null) {
             line(
                     "share",
-                    "{ by = " + quoted(r.when().share().by().text()) + ", from_hash = "
-                            + r.when().share().from() + ", to_hash = "
-                            + r.when().share().to() + " }");
+                    "{ by = " + quoted(r.when().share().template().text()) + ", from_hash = "
+                            + r.when().share().fromHash() + ", to_hash = "
+                            + r.when().share().toHash() + " }");
         }
         if (r.strip() != null) {
             line("strip", quoted(r.strip()));
--- a/src/main/java/cacheproxy/nginx/importer/Importer.java
+++ b/src/main/java/cacheproxy/nginx/importer/Importer.java
@@ -143,7 +143,7 @@
         return pools.pools().values().stream().anyMatch(p -> p.placeBy() != null && values.asksQuery(p.placeBy()))
                 || routes.stream()
                         .anyMatch(r -> r.when().share() != null
-                                && values.asksQuery(r.when().share().by().text()));
+                                && values.asksQuery(r.when().share().template().text()));
     }
 
     @SuppressWarnings("ReferenceEquality") // identity is meant
@@ -201,7 +201,7 @@
                         names.add("~" + r.text());
                     }
                 } else if (!n.isEmpty() && !n.equals("_")) {
-                    if (VirtualHosts.isName(n)) {
+                    if (VirtualHosts.isValidName(n)) {
                         names.add(n);
                     } else {
                         report.not(s.directive(), "server name " + n + " is none that a request could have");
@@ -330,7 +330,7 @@
         }
         RouteTable table = new RouteTable(built);
         Set<String> dead = new HashSet<>();
-        table.shadowed().forEach(s -> dead.add(s.route().name()));
+        table.shadowedRoutes().forEach(s -> dead.add(s.route().name()));
         routes.removeIf(r -> dead.contains(r.name()));
         return dead.isEmpty()
                 ? table
--- a/src/main/java/cacheproxy/nginx/importer/RouteSpec.java
+++ b/src/main/java/cacheproxy/nginx/importer/RouteSpec.java
@@ -3,6 +3,7 @@
 import cacheproxy.routes.KeyPattern;
 import cacheproxy.routes.KeyRewrite;
 import cacheproxy.routes.Route;
+import cacheproxy.routes.RouteConditions;
 import java.util.List;
 import java.util.Set;
 
@@ -30,10 +31,7 @@
 
     /** As far as it matters for which requests it takes. */
     Route route(int position) {
-        return new Route(
-                name,
-                order,
-                position,
+        RouteConditions conditions = new RouteConditions(
                 Set.of(),
                 host,
                 exact,
@@ -42,9 +40,7 @@
                 Set.of(),
                 Set.of(),
                 when.write(),
-                when.share(),
-                KeyRewrite.NONE,
-                null,
-                new Route.Fail());
+                when.share());
+        return new Route(name, order, position, conditions, KeyRewrite.NONE, null, new Route.Fail());
     }
 }
--- a/src/main/java/cacheproxy/nginx/importer/RouteTranslator.java
+++ b/src/main/java/cacheproxy/nginx/importer/RouteTranslator.java
@@ -394,7 +394,9 @@
         }
         if (parts[1].equals("=") || parts[1].equals("!=")) {
             return new Asked(
-                    Conditions.pattern("^" + RegexTranslation.quoted(PathKey.encode(right)) + "$"), negated, null);
+                    Conditions.pattern("^" + RegexTranslation.quoted(PathKey.encodePercent(right)) + "$"),
+                    negated,
+                    null);
         }
         RegexTranslation r = RegexTranslation.of(right, parts[1].endsWith("*"));
         if (r.text() == null) {
@@ -453,11 +455,11 @@
             if (when == null) {
                 continue;
             }
-            String exact = s.exact() == null ? null : PathKey.encode(s.exact());
-            String prefix = s.prefix() == null ? null : PathKey.encode(s.prefix());
+            String exact = s.exact() == null ? null : PathKey.encodePercent(s.exact());
+            String prefix = s.prefix() == null ? null : PathKey.encodePercent(s.prefix());
             all |= "/".equals(prefix) && s.regexes().isEmpty();
             String text = exact != null ? exact : prefix;
-            if (text != null && !KeyRewrite.legal(text)) {
+            if (text != null && !KeyRewrite.isLegalKey(text)) {
                 report.not(s.location().directive, "no key is so long; nothing comes to it");
                 continue;
             }
@@ -532,7 +534,7 @@
         if (!text.startsWith("/")) {
             return null;
         }
-        String encoded = PathKey.encode(text);
+        String encoded = PathKey.encodePercent(text);
         Location best = null;
         boolean patternsAsked = false;
         for (LocationSearch.Step s : search.steps()) {
@@ -756,7 +758,7 @@
         } else if (r == null) {
             boolean same = uri.literal().equals(w.location.text); // "location /a/" with "proxy_pass http://u/a/"
             change = given && !same
-                    ? new Change(PathKey.encode(w.location.text), uri.literal(), null, w.when)
+                    ? new Change(PathKey.encodePercent(w.location.text), uri.literal(), null, w.when)
                     : new Change(null, null, null, w.when);
         } else {
             Expression path = r.path;
@@ -774,7 +776,7 @@
             String t = path.parts().isEmpty() ? null : template(path, r.pattern);
             change = t == null ? null : new Change(null, null, t, r.pattern == null ? w.when : w.when.first(r.pattern));
         }
-        if (change == null || (change.add != null && !KeyRewrite.legal(change.add))) {
+        if (change == null || (change.add != null && !KeyRewrite.isLegalKey(change.add))) {
             report.not(d, "the path that it makes can't be expressed; these requests fail");
             end(w, d, false, "502");
             return;
@@ -838,7 +840,7 @@
                 && path.parts().get(1).variable()
                 && Set.of("uri", "request_uri", "document_uri")
                         .contains(path.parts().get(1).text())) {
-            return new Change(null, PathKey.encode(path.head()), null, w.when);
+            return new Change(null, PathKey.encodePercent(path.head()), null, w.when);
         }
         if (path.parts().isEmpty() || path.head().isEmpty() || !path.head().startsWith("/")) {
             return null;
@@ -852,11 +854,11 @@
         StringBuilder t = new StringBuilder();
         for (Expression.Part p : path.parts()) {
             if (!p.variable()) {
-                t.append(PathKey.encode(p.text()).replace("$", "$$"));
+                t.append(PathKey.encodePercent(p.text()).replace("$", "$$"));
                 continue;
             }
             int group = p.text().matches("[1-9]") ? Integer.parseInt(p.text()) : group(pattern, p.text());
-            if (group <= 0 || group > 9 || pattern == null || group > new KeyPattern(pattern).groups()) {
+            if (group <= 0 || group > 9 || pattern == null || group > new KeyPattern(pattern).groupCount()) {
                 return null;
             }
             t.append('$').append(group);
--- a/src/main/java/cacheproxy/nginx/importer/Values.java
+++ b/src/main/java/cacheproxy/nginx/importer/Values.java
@@ -181,7 +181,7 @@
         for (Directive e : map.block()) {
             if (!special(e) && !e.name().startsWith("~")) {
                 // Texts are compared without regard to case, and to what their escapes stand for.
-                String pattern = "(?i)^" + RegexTranslation.quoted(PathKey.encode(plain(e))) + "$";
+                String pattern = "(?i)^" + RegexTranslation.quoted(PathKey.encodePercent(plain(e))) + "$";
                 add(all, Conditions.pattern(pattern), e.arg(0), scope, depth);
             }
         }
@@ -246,7 +246,7 @@
                 continue;
             }
             // nginx's own arithmetic, so that the bounds are the same to the last key.
-            long to = Math.min(SplitShare.ALL - 1, last + share * 0xFFFFFFFFL / 10_000);
+            long to = Math.min(SplitShare.HASH_RANGE - 1, last + share * 0xFFFFFFFFL / 10_000);
             if (to > last) {
                 add(all, Conditions.share(text, last, to), e.arg(0), scope, depth);
             }
--- a/src/main/java/cacheproxy/routes/KeyHash.java
+++ b/src/main/java/cacheproxy/routes/KeyHash.java
@@ -1,7 +1,12 @@
 package cacheproxy.routes;
 
-/** The 64-bit key by which a pool's module and placement know a request. */
+/** Computes the 64-bit hash of a key by which a pool's policy and placement know a request. */
+@FunctionalInterface
 public interface KeyHash {
-    /** For a request on this route whose pool gets this key; any value but 0, which would mean none. */
-    long of(RouteInput s, Route r, String poolKey);
+    /**
+     * The hash for a request on this route whose pool gets this key; never 0, which stands for no key.
+     *
+     * @param route null where the request is on no route
+     */
+    long of(RouteInput input, Route route, String poolKey);
 }
--- a/src/main/java/cacheproxy/routes/KeyPattern.java
+++ b/src/main/java/cacheproxy/routes/KeyPattern.java
@@ -3,24 +3,29 @@
 import com.google.re2j.Matcher;
 import com.google.re2j.Pattern;
 import com.google.re2j.PatternSyntaxException;
-import java.util.ArrayList;
-import java.util.List;
 
 /**
- * A regular expression on keys, in RE2's syntax: time linear in the key, whatever the expression, but no
- * back-references and no look-around. It is found anywhere in the key unless it is anchored.
+ * A regular expression on keys in the syntax of RE2, which has neither back-references nor look-around and takes time
+ * linear in the key. It is found anywhere in the key unless it is anchored.
  */
 public final class KeyPattern {
-    /** An expression's text may be so long; bounds what a compiled one takes. */
+    /** Longest text of an expression, in characters. */
     public static final int MAX_LENGTH = 1000;
-    /** Bounds what compiled repetitions such as {@code (a{1000}){1000}} take; RE2 itself refuses more than 1,000. */
-    static final int MAX_PROGRAM = 20_000;
+    /** Most instructions of a compiled expression; nested repetitions multiply them. */
+    private static final int MAX_PROGRAM_SIZE = 20_000;
+    /** Characters besides letters and digits that have no special meaning in an expression. */
+    private static final String PLAIN_CHARACTERS = "/_-:%~@,=&";
+
+    private static final String QUANTIFIERS_FROM_ZERO = "?*{";
 
     private final Pattern pattern;
-    /** What a key must begin with; empty if that can't be told from the expression. */
-    private final String literal;
+    private final String requiredPrefix;
 
-    /** Compiles; an IllegalArgumentException says why it can't be. */
+    /**
+     * Compiles an expression.
+     *
+     * @throws IllegalArgumentException if it is too long, not valid, or too large when compiled
+     */
     public KeyPattern(String text) {
         if (text.length() > MAX_LENGTH) {
             throw new IllegalArgumentException("a pattern has " + MAX_LENGTH + " characters at most");
@@ -30,98 +35,62 @@
         } catch (PatternSyntaxException e) {
             throw new IllegalArgumentException(
                     e.getDescription() + (e.getPattern().isEmpty() ? "" : ": " + e.getPattern())
-                            + "; patterns are RE2's, without back-references and look-around");
+                            + "; patterns are RE2's, without back-references and look-around",
+                    e);
         }
-        if (pattern.programSize() > MAX_PROGRAM) {
+        if (pattern.programSize() > MAX_PROGRAM_SIZE) {
             throw new IllegalArgumentException("the pattern's repetitions make " + pattern.programSize()
-                    + " instructions of it, " + MAX_PROGRAM + " at most");
+                    + " instructions of it, " + MAX_PROGRAM_SIZE + " at most");
         }
-        literal = literal(text);
+        requiredPrefix = requiredPrefix(text);
     }
 
-    /** The plain characters behind a leading {@code ^}, up to the first that may mean something else. */
-    private static String literal(String text) {
+    /** The plain characters after a leading {@code ^}, up to the first that may have a special meaning. */
+    private static String requiredPrefix(String text) {
         if (!text.startsWith("^") || text.indexOf('|') >= 0) {
             return "";
         }
         int end = 1;
-        while (end < text.length()
-                && (Character.isLetterOrDigit(text.charAt(end)) || "/_-:%~@,=&".indexOf(text.charAt(end)) >= 0)) {
+        while (end < text.length() && isPlain(text.charAt(end))) {
             end++;
         }
-        // A following ? * or { makes the last character optional.
-        boolean optional = end < text.length() && "?*{".indexOf(text.charAt(end)) >= 0;
-        return text.substring(1, Math.max(1, optional ? end - 1 : end));
+        boolean lastIsOptional = end < text.length() && QUANTIFIERS_FROM_ZERO.indexOf(text.charAt(end)) >= 0;
+        return text.substring(1, Math.max(1, lastIsOptional ? end - 1 : end));
+    }
+
+    private static boolean isPlain(char character) {
+        return Character.isLetterOrDigit(character) || PLAIN_CHARACTERS.indexOf(character) >= 0;
     }
 
+    /** The expression as it was written. */
     public String text() {
         return pattern.pattern();
     }
 
-    public int groups() {
+    /** The number of capturing groups. */
+    public int groupCount() {
         return pattern.groupCount();
     }
 
-    /** What every key begins with in which it is found; empty where that can't be told. */
-    String literal() {
-        return literal;
+    /** What every key begins with in which the pattern is found; empty where that is not known. */
+    String requiredPrefix() {
+        return requiredPrefix;
     }
 
+    /** Whether the pattern is found in a key. */
     public boolean matches(String key) {
-        return key.startsWith(literal) && pattern.matcher(key).find();
+        return key.startsWith(requiredPrefix) && pattern.matcher(key).find();
     }
 
-    /** A group's text; null if the pattern is not found or the group took no part. */
-    String group(String key, int group) {
-        Matcher m = pattern.matcher(key);
-        return m.find() && group <= m.groupCount() ? m.group(group) : null;
+    /** The matcher at the first occurrence of the pattern in a key; null if there is none. */
+    Matcher findFirst(String key) {
+        Matcher matcher = pattern.matcher(key);
+        return matcher.find() ? matcher : null;
     }
 
-    /** A key made from the groups of a match: literal parts and {@code $0} to {@code $9}, {@code $$} for a dollar. */
-    static final class Template {
-        private final List<Object> parts = new ArrayList<>();
-
-        /** An IllegalArgumentException names a group that the pattern does not have. */
-        Template(String text, int groups) {
-            StringBuilder plain = new StringBuilder();
-            for (int i = 0; i < text.length(); i++) {
-                char c = text.charAt(i);
-                if (c != '$') {
-                    plain.append(c);
-                    continue;
-                }
-                char next = i + 1 < text.length() ? text.charAt(++i) : ' ';
-                if (next == '$') {
-                    plain.append('$');
-                } else if (next >= '0' && next <= '9' && next - '0' <= groups) {
-                    parts.add(plain.toString());
-                    parts.add(next - '0');
-                    plain.setLength(0);
-                } else {
-                    throw new IllegalArgumentException("'$" + next + "' names no group of the pattern, which has "
-                            + groups + "; a dollar itself is $$");
-                }
-            }
-            parts.add(plain.toString());
-        }
-
-        /** The new key where no pattern has groups for it. */
-        String plain() {
-            return (String) parts.get(parts.size() - 1);
-        }
-
-        /** The new key, or null if the pattern is not found in this one. */
-        String apply(KeyPattern by, String key) {
-            Matcher m = by.pattern.matcher(key);
-            if (!m.find()) {
-                return null;
-            }
-            StringBuilder out = new StringBuilder();
-            for (Object part : parts) {
-                String s = part instanceof Integer g ? m.group(g) : (String) part;
-                out.append(s == null ? "" : s);
-            }
-            return out.toString();
-        }
+    /** The text of a capturing group; null if the pattern is not found, or has no such group in this key. */
+    String group(String key, int group) {
+        Matcher matcher = findFirst(key);
+        return matcher != null && group <= matcher.groupCount() ? matcher.group(group) : null;
     }
 }
--- a/src/main/java/cacheproxy/routes/KeyRewrite.java
+++ b/src/main/java/cacheproxy/routes/KeyRewrite.java
@@ -1,49 +1,57 @@
 package cacheproxy.routes;
 
 /**
- * How a route changes the key before a pool sees it: a prefix comes off, or the whole key is made anew from a pattern's
- * groups; then a prefix may go on.
+ * How a route changes a key before a pool gets it: a prefix is removed, or the whole key is replaced by one made from
+ * the groups of a pattern; then a prefix may be added.
  */
 public final class KeyRewrite {
+    /** Leaves keys as they are. */
     public static final KeyRewrite NONE = new KeyRewrite(null, null, null, null);
 
-    private final String strip;
+    /** Longest key of memcached's protocol, in octets. */
+    private static final int MAX_KEY_LENGTH = 250;
+
+    private final String strippedPrefix;
     private final KeyPattern pattern;
-    private final KeyPattern.Template replace;
-    private final String add;
+    private final KeyTemplate replacement;
+    private final String addedPrefix;
 
     /**
-     * @param strip a prefix to take off where the key has it; null: none
-     * @param pattern what {@code replace} takes its groups from; null if there is none
-     * @param replace the new key with {@code $1} and so on; null: none
-     * @param add a prefix to put on; null: none
+     * Compiles a rewrite.
+     *
+     * @param strippedPrefix a prefix to remove from keys that have it; null: none
+     * @param pattern what the replacement takes its groups from; null if it has none
+     * @param replacement the new key, in the syntax of {@link KeyTemplate}; null: none
+     * @param addedPrefix a prefix to add; null: none
+     * @throws IllegalArgumentException if the replacement names a group that the pattern does not have
      */
-    public KeyRewrite(String strip, KeyPattern pattern, String replace, String add) {
-        this.strip = strip;
+    public KeyRewrite(String strippedPrefix, KeyPattern pattern, String replacement, String addedPrefix) {
+        this.strippedPrefix = strippedPrefix;
         this.pattern = pattern;
-        this.replace =
-                replace == null ? null : new KeyPattern.Template(replace, pattern == null ? 0 : pattern.groups());
-        this.add = add;
+        this.replacement =
+                replacement == null ? null : new KeyTemplate(replacement, pattern == null ? 0 : pattern.groupCount());
+        this.addedPrefix = addedPrefix;
     }
 
-    /** The key as the pool gets it; null if no key comes of it that servers would take. */
+    /** The key as the pool gets it; null if it is one that servers don't take. */
     public String apply(String key) {
         if (this == NONE) {
             return key;
         }
-        String k = strip != null && key.startsWith(strip) ? key.substring(strip.length()) : key;
-        if (replace != null) {
-            k = pattern == null ? replace.plain() : replace.apply(pattern, k);
+        String rewritten =
+                strippedPrefix != null && key.startsWith(strippedPrefix) ? key.substring(strippedPrefix.length()) : key;
+        if (replacement != null) {
+            rewritten = pattern == null ? replacement.literal() : replacement.expand(pattern, rewritten);
         }
-        if (add != null && k != null) {
-            k = add + k;
+        if (addedPrefix != null && rewritten != null) {
+            rewritten = addedPrefix + rewritten;
         }
-        return legal(k) ? k : null;
+        return isLegalKey(rewritten) ? rewritten : null;
     }
 
-    /** 1 to 250 printing ASCII characters, as in memcached's protocol. */
-    public static boolean legal(String key) {
-        if (key == null || key.isEmpty() || key.length() > 250) {
+    /** Whether servers take this key: 1 to 250 printing ASCII characters, as in memcached's protocol. */
+    public static boolean isLegalKey(String key) {
+        if (key == null || key.isEmpty() || key.length() > MAX_KEY_LENGTH) {
             return false;
         }
         for (int i = 0; i < key.length(); i++) {
--- a/src/main/java/cacheproxy/routes/KeyShare.java
+++ b/src/main/java/cacheproxy/routes/KeyShare.java
@@ -1,55 +1,68 @@
 package cacheproxy.routes;
 
 /**
- * A share of all keys, always the same ones: for canaries. Two shares with the same salt and touching ranges split the
- * keys between them.
+ * A share of all keys, for canary releases. Keys are hashed into {@value #BUCKETS} buckets; shares with the same salt
+ * and adjacent ranges partition the keys.
  *
- * @param salt shares with other salts choose independently of each other
- * @param from first ten-thousandth, 0 to 9,999
- * @param to behind the last, up to 10,000
+ * @param salt shares with different salts choose independently of each other
+ * @param fromBucket first bucket, 0 to 9,999
+ * @param toBucket the bucket after the last, up to 10,000
  */
-public record KeyShare(String salt, int from, int to) implements TrafficShare {
-    public static final int ALL = 10_000;
+public record KeyShare(String salt, int fromBucket, int toBucket) implements TrafficShare {
+    /** Number of buckets: the resolution of a share. */
+    public static final int BUCKETS = 10_000;
 
+    private static final long FNV_OFFSET_BASIS = 0xcbf29ce484222325L;
+    private static final long FNV_PRIME = 0x100000001b3L;
+    private static final int SEPARATOR = 0xFF;
+
+    /** Checks the range. */
     public KeyShare {
-        if (from < 0 || to > ALL || from >= to) {
-            throw new IllegalArgumentException("share from " + from + " to " + to);
+        if (fromBucket < 0 || toBucket > BUCKETS || fromBucket >= toBucket) {
+            throw new IllegalArgumentException("share from " + fromBucket + " to " + toBucket);
         }
     }
 
-    /** The key's place among ten thousand: FNV-1a over salt and key, then MurmurHash3's finaliser. */
-    public static int place(String salt, String key) {
-        long h = 0xcbf29ce484222325L;
-        for (int i = 0; i < salt.length(); i++) {
-            h = (h ^ salt.charAt(i)) * 0x100000001b3L;
-        }
-        h = (h ^ 0xFF) * 0x100000001b3L;
-        for (int i = 0; i < key.length(); i++) {
-            h = (h ^ key.charAt(i)) * 0x100000001b3L;
+    /** The bucket of a key: FNV-1a over salt and key, then the finalizer of MurmurHash3. */
+    public static int bucketOf(String salt, String key) {
+        long hash = fnv(FNV_OFFSET_BASIS, salt);
+        hash = (hash ^ SEPARATOR) * FNV_PRIME;
+        hash = fnv(hash, key);
+        hash = (hash ^ hash >>> 33) * 0xff51afd7ed558ccdL;
+        hash = (hash ^ hash >>> 33) * 0xc4ceb9fe1a85ec53L;
+        return (int) Long.remainderUnsigned(hash ^ hash >>> 33, BUCKETS);
+    }
+
+    private static long fnv(long start, String text) {
+        long hash = start;
+        for (int i = 0; i < text.length(); i++) {
+            hash = (hash ^ text.charAt(i)) * FNV_PRIME;
         }
-        h = (h ^ h >>> 33) * 0xff51afd7ed558ccdL;
-        h = (h ^ h >>> 33) * 0xc4ceb9fe1a85ec53L;
-        return (int) Long.remainderUnsigned(h ^ h >>> 33, ALL);
+        return hash;
     }
 
-    /** A query is no part of what is split: {@code place} of the path, or of the whole text. */
+    /** The query of a path does not take part: requests for one path are on one side. */
     @Override
-    public boolean has(RouteInput s) {
-        return has(s.key());
+    public boolean contains(RouteInput input) {
+        return contains(input.key());
     }
 
-    public boolean has(String key) {
-        int place = place(salt, key);
-        return place >= from && place < to;
+    /** Whether a key belongs to the share. */
+    public boolean contains(String key) {
+        int bucket = bucketOf(salt, key);
+        return bucket >= fromBucket && bucket < toBucket;
     }
 
     @Override
     public boolean covers(TrafficShare other) {
-        return other instanceof KeyShare o && salt.equals(o.salt) && from <= o.from && to >= o.to;
+        return other instanceof KeyShare share
+                && salt.equals(share.salt)
+                && fromBucket <= share.fromBucket
+                && toBucket >= share.toBucket;
     }
 
     @Override
-    public String without(RouteInput s) {
-        return "key is outside the share, at " + place(salt, s.key()) + " of " + ALL;
+    public String mismatch(RouteInput input) {
+        return "key is outside the share, at " + bucketOf(salt, input.key()) + " of " + BUCKETS;
     }
 }
--- a/src/main/java/cacheproxy/routes/PathKey.java
+++ b/src/main/java/cacheproxy/routes/PathKey.java
@@ -2,134 +2,153 @@
 
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
+import java.util.Arrays;
 import java.util.List;
 import java.util.Locale;
 
 /**
- * A key that is a URI without its scheme: {@code host/path?query}, of which host and query may be missing. The path is
- * normalised as HTTP proxies do (RFC 3986, section 6.2.2; nginx's documentation of {@code location}): escapes are
- * decoded, {@code .} and {@code ..} resolved, adjacent slashes made one. Bytes that no key can have, and {@code %},
- * {@code ?} and {@code #}, stay escaped, so that equal paths are equal texts and normalising twice changes nothing.
+ * A key that is a URI without its scheme: {@code host/path?query}, of which host and query may be missing.
  *
- * @param host in lower case; empty where the key begins with its path
- * @param raw the path as it was sent, without the query
- * @param path normalised
+ * <p>The path is normalized as HTTP proxies do (RFC 3986, section 6.2.2; nginx's documentation of {@code location}):
+ * escapes are decoded, {@code .} and {@code ..} are resolved, adjacent slashes are merged. Octets that no key can have,
+ * and {@code %}, {@code ?} and {@code #}, stay escaped, so that equal paths are equal texts and normalization is
+ * idempotent.
+ *
+ * @param host in lower case, without a port; empty where the key begins with its path
+ * @param rawPath the path as it was sent, without the query
+ * @param path the normalized path
  * @param query what follows the first question mark; null where there is none
  */
-public record PathKey(String host, String raw, String path, String query) {
-    private static final String HEX = "0123456789ABCDEF";
+public record PathKey(String host, String rawPath, String path, String query) {
+    private static final String HEX_DIGITS = "0123456789ABCDEF";
+
+    /** Parses a key; null if its path has a broken escape or more {@code ..} than segments. */
+    public static PathKey parse(String key) {
+        int pathStart = hostLength(key);
+        String host = normalizeHost(key.substring(0, pathStart));
+        int fragment = key.indexOf('#', pathStart);
+        int end = fragment < 0 ? key.length() : fragment;
+        int question = key.indexOf('?');
+        boolean hasQuery = question >= 0 && question < end;
+        String rawPath = key.substring(pathStart, hasQuery ? question : end);
+        String path = normalizePath(rawPath);
+        return path == null
+                ? null
+                : new PathKey(host, rawPath, path, hasQuery ? key.substring(question + 1, end) : null);
+    }
 
-    /** Null if no such path can be: a broken escape, or more {@code ..} than there is to go up. */
-    public static PathKey of(String key) {
+    /** The length of the text before the path; 0 where there is no slash before the query. */
+    private static int hostLength(String key) {
         int slash = key.indexOf('/');
         int question = key.indexOf('?');
-        // A slash behind a question mark is the query's.
-        String host = slash <= 0 || (question >= 0 && question < slash) ? "" : host(key.substring(0, slash));
-        int start = host.isEmpty() ? 0 : slash;
-        int hash = key.indexOf('#', start);
-        int end = hash < 0 ? key.length() : hash;
-        int query = question >= 0 && question < end ? question : end;
-        String raw = key.substring(start, query);
-        String path = normal(raw);
-        return path == null ? null : new PathKey(host, raw, path, query < end ? key.substring(query + 1, end) : null);
+        boolean slashIsOfQuery = question >= 0 && question < slash;
+        return slash <= 0 || slashIsOfQuery ? 0 : slash;
     }
 
-    private static String host(String text) {
-        String h = text.toLowerCase(Locale.ROOT);
-        int colon = h.lastIndexOf(':');
-        if (colon > 0
-                && h.indexOf(']', colon) < 0
-                && h.substring(colon + 1).chars().allMatch(c -> c >= '0' && c <= '9')) {
-            h = h.substring(0, colon);
+    private static String normalizeHost(String text) {
+        String host = text.toLowerCase(Locale.ROOT);
+        int colon = host.lastIndexOf(':');
+        if (colon > 0 && host.indexOf(']', colon) < 0 && isDigits(host.substring(colon + 1))) {
+            host = host.substring(0, colon);
         }
-        return h.endsWith(".") && h.length() > 1 ? h.substring(0, h.length() - 1) : h;
+        return host.endsWith(".") && host.length() > 1 ? host.substring(0, host.length() - 1) : host;
     }
 
-    private static String normal(String raw) {
-        if (raw.indexOf('%') < 0 && !raw.contains("//") && !raw.contains("/.")) {
-            return raw;
+    private static boolean isDigits(String text) {
+        return text.chars().allMatch(character -> character >= '0' && character <= '9');
+    }
+
+    private static String normalizePath(String rawPath) {
+        if (rawPath.indexOf('%') < 0 && !rawPath.contains("//") && !rawPath.contains("/.")) {
+            return rawPath;
         }
-        byte[] bytes = decode(raw);
-        if (bytes == null) {
+        byte[] octets = decodePercent(rawPath);
+        if (octets == null) {
             return null;
         }
-        String text = new String(bytes, StandardCharsets.ISO_8859_1);
-        if (!text.startsWith("/")) {
-            return encode(text);
+        String decoded = new String(octets, StandardCharsets.ISO_8859_1);
+        if (!decoded.startsWith("/")) {
+            return encodePercent(decoded);
         }
-        List<String> parts = new ArrayList<>();
-        boolean open = false; // whether the path ends in a slash
-        for (String part : text.substring(1).split("/", -1)) {
-            open = part.isEmpty() || part.equals(".") || part.equals("..");
-            if (part.equals("..")) {
-                if (parts.isEmpty()) {
+        String resolved = resolveDotSegments(decoded);
+        return resolved == null ? null : encodePercent(resolved);
+    }
+
+    /** Null where a {@code ..} leads above the root. */
+    private static String resolveDotSegments(String absolutePath) {
+        List<String> segments = new ArrayList<>();
+        boolean endsInSlash = false;
+        for (String segment : absolutePath.substring(1).split("/", -1)) {
+            endsInSlash = segment.isEmpty() || segment.equals(".") || segment.equals("..");
+            if (segment.equals("..")) {
+                if (segments.isEmpty()) {
                     return null;
                 }
-                parts.remove(parts.size() - 1);
-            } else if (!open) {
-                parts.add(part);
+                segments.remove(segments.size() - 1);
+            } else if (!endsInSlash) {
+                segments.add(segment);
             }
         }
-        return encode("/" + String.join("/", parts) + (open && !parts.isEmpty() ? "/" : ""));
+        return "/" + String.join("/", segments) + (endsInSlash && !segments.isEmpty() ? "/" : "");
     }
 
-    /** The bytes that a text with escapes stands for; null if an escape is broken or is that of NUL. */
-    public static byte[] decode(String text) {
-        byte[] out = new byte[text.length()];
-        int n = 0;
+    /** The octets of a text with percent escapes; null if an escape is broken or is that of NUL. */
+    public static byte[] decodePercent(String text) {
+        byte[] octets = new byte[text.length()];
+        int length = 0;
         for (int i = 0; i < text.length(); i++) {
-            char c = text.charAt(i);
-            if (c != '%') {
-                out[n++] = (byte) c;
+            if (text.charAt(i) != '%') {
+                octets[length++] = (byte) text.charAt(i);
                 continue;
             }
-            boolean whole = i + 2 < text.length();
-            int high = whole ? Character.digit(text.charAt(i + 1), 16) : -1;
-            int low = whole ? Character.digit(text.charAt(i + 2), 16) : -1;
+            boolean isComplete = i + 2 < text.length();
+            int high = isComplete ? Character.digit(text.charAt(i + 1), 16) : -1;
+            int low = isComplete ? Character.digit(text.charAt(i + 2), 16) : -1;
             if (high < 0 || low < 0 || high + low == 0) {
                 return null;
             }
-            out[n++] = (byte) (high << 4 | low);
+            octets[length++] = (byte) (high << 4 | low);
             i += 2;
         }
-        return java.util.Arrays.copyOf(out, n);
+        return Arrays.copyOf(octets, length);
     }
 
-    /** Escapes what a path's text may not have; each char is one byte. */
-    public static String encode(String bytes) {
-        StringBuilder out = new StringBuilder(bytes.length() + 8);
-        for (int i = 0; i < bytes.length(); i++) {
-            char c = bytes.charAt(i);
-            if (c <= ' ' || c > '~' || c == '%' || c == '?' || c == '#') {
-                out.append('%').append(HEX.charAt(c >> 4 & 15)).append(HEX.charAt(c & 15));
+    /** Escapes what the text of a path may not have; each character of the argument stands for one octet. */
+    public static String encodePercent(String octets) {
+        StringBuilder encoded = new StringBuilder(octets.length() + 8);
+        for (int i = 0; i < octets.length(); i++) {
+            char octet = octets.charAt(i);
+            if (octet <= ' ' || octet > '~' || octet == '%' || octet == '?' || octet == '#') {
+                encoded.append('%').append(HEX_DIGITS.charAt(octet >> 4 & 15)).append(HEX_DIGITS.charAt(octet & 15));
             } else {
-                out.append(c);
+                encoded.append(octet);
             }
         }
-        return out.toString();
+        return encoded.toString();
     }
 
-    /** The same request with another path: what a pool gets. */
-    public String with(String other) {
-        return host + other + (query == null ? "" : "?" + query);
+    /** The text of this key with another path, as a pool gets it. */
+    public String withPath(String otherPath) {
+        return host + otherPath + (query == null ? "" : "?" + query);
     }
 
     /** The path and query as they were sent, like nginx's {@code $request_uri}. */
-    public String request() {
-        return query == null ? raw : raw + "?" + query;
+    public String requestUri() {
+        return query == null ? rawPath : rawPath + "?" + query;
     }
 
-    /** An argument of the query by its name, whose case is ignored; null where there is none. */
-    public String argument(String name) {
-        for (int at = 0; query != null && at <= query.length(); ) {
-            int end = query.indexOf('&', at);
-            end = end < 0 ? query.length() : end;
-            if (end - at > name.length()
-                    && query.charAt(at + name.length()) == '='
-                    && query.regionMatches(true, at, name, 0, name.length())) {
-                return query.substring(at + name.length() + 1, end);
+    /** The value of an argument of the query, whose name is compared without case; null where there is none. */
+    public String queryArgument(String name) {
+        int start = 0;
+        while (query != null && start <= query.length()) {
+            int ampersand = query.indexOf('&', start);
+            int end = ampersand < 0 ? query.length() : ampersand;
+            if (end - start > name.length()
+                    && query.charAt(start + name.length()) == '='
+                    && query.regionMatches(true, start, name, 0, name.length())) {
+                return query.substring(start + name.length() + 1, end);
             }
-            at = end + 1;
+            start = end + 1;
         }
         return null;
     }
--- a/src/main/java/cacheproxy/routes/PrefixIndex.java
+++ b/src/main/java/cacheproxy/routes/PrefixIndex.java
@@ -3,51 +3,56 @@
 import java.util.Arrays;
 import java.util.Collection;
 
-/** Finds all texts of a set that a key begins with, the longest first, whatever their number. Allocates nothing. */
+/** A set of prefixes that finds all those of a key, the longest first, by binary search and without allocation. */
 final class PrefixIndex {
-    private final String[] texts;
-    /** For each text, the longest other one that it begins with; -1: none. */
-    private final int[] parent;
-
-    PrefixIndex(Collection<String> set) {
-        texts = set.stream().sorted().toArray(String[]::new);
-        parent = new int[texts.length];
-        for (int i = 0; i < texts.length; i++) {
-            int p = i - 1;
-            while (p >= 0 && !texts[i].startsWith(texts[p])) {
-                p = parent[p];
+    private static final int NONE = -1;
+
+    private final String[] prefixes;
+    /** By prefix, the index of the longest other one that it begins with. */
+    private final int[] parents;
+
+    PrefixIndex(Collection<String> distinctPrefixes) {
+        prefixes = distinctPrefixes.stream().sorted().toArray(String[]::new);
+        parents = new int[prefixes.length];
+        for (int i = 0; i < prefixes.length; i++) {
+            int parent = i - 1;
+            while (parent >= 0 && !prefixes[i].startsWith(prefixes[parent])) {
+                parent = parents[parent];
             }
-            parent[i] = p;
+            parents[i] = parent;
         }
     }
 
+    /** The number of prefixes. */
     int size() {
-        return texts.length;
+        return prefixes.length;
     }
 
-    /** The place of a text that is in the set. */
-    int indexOf(String text) {
-        return Arrays.binarySearch(texts, text);
+    /** The index of a prefix that is in the set. */
+    int indexOf(String prefix) {
+        return Arrays.binarySearch(prefixes, prefix);
     }
 
-    /** The place of the longest text that the key begins with; -1: none. */
-    int longest(String key) {
-        if (texts.length == 0) {
-            return -1;
+    /**
+     * The index of the longest prefix of a key; -1: none.
+     *
+     * <p>The search starts at the last prefix that sorts no later than the key. Whatever sorts between a prefix of the
+     * key and the key begins with that prefix too, so all prefixes of the key are found by following parents.
+     */
+    int longestPrefixOf(String key) {
+        if (prefixes.length == 0) {
+            return NONE;
         }
-        // The last text that sorts no later than the key: what sorts between a prefix of the key and the key begins
-        // with
-        // that prefix, too, so that all prefixes of the key are it or among those that it begins with.
-        int at = Arrays.binarySearch(texts, key);
-        at = at >= 0 ? at : -at - 2;
-        while (at >= 0 && !key.startsWith(texts[at])) {
-            at = parent[at];
+        int found = Arrays.binarySearch(prefixes, key);
+        int index = found >= 0 ? found : -found - 2;
+        while (index >= 0 && !key.startsWith(prefixes[index])) {
+            index = parents[index];
         }
-        return at;
+        return index;
     }
 
-    /** The next shorter one. */
-    int shorter(int place) {
-        return parent[place];
+    /** The index of the next shorter prefix of the same key; -1: none. */
+    int nextShorter(int index) {
+        return parents[index];
     }
 }
--- a/src/main/java/cacheproxy/routes/RouteInput.java
+++ b/src/main/java/cacheproxy/routes/RouteInput.java
@@ -1,24 +1,28 @@
 package cacheproxy.routes;
 
 /**
- * What routes look at: a request as its listener had it. Class and tenant are indexes in the file's order.
+ * A request as routes see it.
  *
- * @param text the key as sent
- * @param sent its parts where keys are paths; null where they are plain texts
+ * @param listener name of the listener that received it
+ * @param rawKey the key as it was sent
+ * @param path the parts of the key where keys are paths; null where they are plain texts
+ * @param serviceClass index of the service class, in the configuration's order
+ * @param tenant index of the tenant, in the configuration's order
+ * @param write whether it is a write
  */
-public record RouteInput(String listener, String text, PathKey sent, int serviceClass, int tenant, boolean write) {
-    /** One whose key is a plain text. */
+public record RouteInput(String listener, String rawKey, PathKey path, int serviceClass, int tenant, boolean write) {
+    /** A request whose key is a plain text. */
     public RouteInput(String listener, String key, int serviceClass, int tenant, boolean write) {
         this(listener, key, null, serviceClass, tenant, write);
     }
 
-    /** What exact keys, prefixes and patterns are held against: the normalised path, or the whole text. */
+    /** What exact keys, prefixes and patterns are compared with: the normalized path, or the whole text. */
     public String key() {
-        return sent == null ? text : sent.path();
+        return path == null ? rawKey : path.path();
     }
 
-    /** The host; empty where none is told. */
+    /** The host of the key; empty where it has none. */
     public String host() {
-        return sent == null ? "" : sent.host();
+        return path == null ? "" : path.host();
     }
 }
--- a/src/main/java/cacheproxy/routes/SplitShare.java
+++ b/src/main/java/cacheproxy/routes/SplitShare.java
@@ -1,57 +1,67 @@
 package cacheproxy.routes;
 
 /**
- * A share as nginx's {@code split_clients} chooses it: MurmurHash2 of a text, held against bounds.
+ * A share as nginx's {@code split_clients} chooses it: a range of the MurmurHash2 of a text.
  *
- * @param by the text
- * @param from least hash that belongs to it, 0 to 2^32 - 1
- * @param to behind the greatest, up to 2^32
+ * @param template the text to hash
+ * @param fromHash first hash of the share, 0 to 2^32 - 1
+ * @param toHash the hash after the last, up to 2^32
  */
-public record SplitShare(PlacementTemplate by, long from, long to) implements TrafficShare {
-    public static final long ALL = 1L << 32;
+public record SplitShare(PlacementTemplate template, long fromHash, long toHash) implements TrafficShare {
+    /** Number of hashes. */
+    public static final long HASH_RANGE = 1L << 32;
 
+    private static final int MURMUR_MULTIPLIER = 0x5bd1e995;
+
+    /** Checks the range. */
     public SplitShare {
-        if (from < 0 || to > ALL || from >= to) {
-            throw new IllegalArgumentException("share from " + from + " to " + to);
+        if (fromHash < 0 || toHash > HASH_RANGE || fromHash >= toHash) {
+            throw new IllegalArgumentException("share from " + fromHash + " to " + toHash);
         }
     }
 
-    /** Austin Appleby's MurmurHash2 with the seed 0 XOR length; unsigned. */
+    /** Austin Appleby's MurmurHash2 with seed 0, as an unsigned number. */
     public static long hash(byte[] text) {
-        final int m = 0x5bd1e995;
-        int h = text.length;
+        int hash = text.length;
         int i = 0;
         for (; text.length - i >= 4; i += 4) {
-            int k = (text[i] & 255) | (text[i + 1] & 255) << 8 | (text[i + 2] & 255) << 16 | text[i + 3] << 24;
-            k *= m;
-            k ^= k >>> 24;
-            h = h * m ^ k * m;
+            int word = (text[i] & 255) | (text[i + 1] & 255) << 8 | (text[i + 2] & 255) << 16 | text[i + 3] << 24;
+            word *= MURMUR_MULTIPLIER;
+            word ^= word >>> 24;
+            hash = hash * MURMUR_MULTIPLIER ^ word * MURMUR_MULTIPLIER;
         }
-        int left = text.length - i;
-        if (left > 0) {
-            for (int j = left - 1; j >= 0; j--) {
-                h ^= (text[i + j] & 255) << (8 * j);
+        int remaining = text.length - i;
+        if (remaining > 0) {
+            for (int j = remaining - 1; j >= 0; j--) {
+                hash ^= (text[i + j] & 255) << (8 * j);
             }
-            h *= m;
+            hash *= MURMUR_MULTIPLIER;
         }
-        h ^= h >>> 13;
-        h *= m;
-        return (h ^ h >>> 15) & 0xFFFFFFFFL;
+        hash ^= hash >>> 13;
+        hash *= MURMUR_MULTIPLIER;
+        return (hash ^ hash >>> 15) & 0xFFFFFFFFL;
+    }
+
+    private long hash(RouteInput input) {
+        return hash(template.hashInput(input, null, input.rawKey()));
     }
 
     @Override
-    public boolean has(RouteInput s) {
-        long h = hash(by.bytes(s, null, s.text()));
-        return h >= from && h < to;
+    public boolean contains(RouteInput input) {
+        long hash = hash(input);
+        return hash >= fromHash && hash < toHash;
     }
 
     @Override
     public boolean covers(TrafficShare other) {
-        return other instanceof SplitShare o && by.equals(o.by) && from <= o.from && to >= o.to;
+        return other instanceof SplitShare share
+                && template.equals(share.template)
+                && fromHash <= share.fromHash
+                && toHash >= share.toHash;
     }
 
     @Override
-    public String without(RouteInput s) {
-        return "key is outside the share, at " + hash(by.bytes(s, null, s.text())) + " of " + ALL;
+    public String mismatch(RouteInput input) {
+        return "key is outside the share, at " + hash(input) + " of " + HASH_RANGE;
     }
 }
--- a/src/main/java/cacheproxy/routes/TrafficShare.java
+++ b/src/main/java/cacheproxy/routes/TrafficShare.java
@@ -1,12 +1,13 @@
 package cacheproxy.routes;
 
-/** A share of all requests, always the same ones. */
+/** A fixed share of all requests, chosen by a hash of the request. */
 public sealed interface TrafficShare permits KeyShare, SplitShare {
-    boolean has(RouteInput s);
+    /** Whether a request belongs to the share. */
+    boolean contains(RouteInput input);
 
-    /** Whether it has all that the other has; true only where that is certain. */
+    /** Whether all requests of the other share belong to this one; true only where that is certain. */
     boolean covers(TrafficShare other);
 
-    /** In words, why it does not have a request. */
-    String without(RouteInput s);
+    /** Describes why a request does not belong to the share. */
+    String mismatch(RouteInput input);
 }
--- a/src/main/java/cacheproxy/routes/VirtualHosts.java
+++ b/src/main/java/cacheproxy/routes/VirtualHosts.java
@@ -7,107 +7,153 @@
 import java.util.Set;
 
 /**
- * Finds the host, in the file's sense, that a request is for. Order, as nginx documents it for {@code server_name}: an
- * exact name, the longest that begins with {@code *.}, the longest that ends with {@code .*}, the first pattern in the
- * file's order, the listener's default. Names are found by hash; patterns are tried one after another.
+ * Finds the configured host that a request is for, in the order that nginx documents for {@code server_name}: an exact
+ * name, the longest name that begins with {@code *.}, the longest that ends with {@code .*}, the first pattern in the
+ * file's order, the listener's default host. Names are found by hash; patterns are tried one after another. Immutable.
  */
 public final class VirtualHosts {
+    /** No hosts. */
     public static final VirtualHosts NONE = new VirtualHosts(List.of());
 
+    private final List<Host> hosts;
+    private final Map<String, ListenerHosts> byListener = new HashMap<>();
+    private final ListenerHosts otherListeners = new ListenerHosts();
+
     /**
-     * A host of the file.
+     * A configured host.
      *
-     * @param listeners where it is found; empty: at all
-     * @param names exact in lower case, {@code *.x}, {@code x.*}, {@code .x} for x and *.x; or {@code ~} with a pattern
-     * @param fallback whether it takes what no name of its listeners takes
-     * @param fallbackOf the same for these listeners alone
+     * @param listeners names of the listeners that it belongs to; empty: to all
+     * @param serverNames exact names in lower case; {@code *.x}; {@code x.*}; {@code .x} for x and *.x; or {@code ~}
+     *     followed by a pattern
+     * @param isDefault whether it gets the requests that no name of its listeners fits
+     * @param defaultOfListeners the listeners for which alone it is the default
      */
     public record Host(
-            String name, Set<String> listeners, List<String> names, boolean fallback, Set<String> fallbackOf) {}
-
-    private record Pattern(KeyPattern pattern, String host) {}
-
-    /** The names of one listener. */
-    private static final class Names {
-        final Map<String, String> exact = new HashMap<>();
-        final Map<String, String> tails = new HashMap<>();
-        final Map<String, String> heads = new HashMap<>();
-        final List<Pattern> patterns = new ArrayList<>();
-        String fallback;
-
-        void add(Host h, String listener) {
-            for (String n : h.names()) {
-                if (n.startsWith("~")) {
-                    patterns.add(new Pattern(new KeyPattern(n.substring(1)), h.name()));
-                } else if (n.startsWith("*.")) {
-                    tails.putIfAbsent(n.substring(1), h.name());
-                } else if (n.startsWith(".")) {
-                    exact.putIfAbsent(n.substring(1), h.name());
-                    tails.putIfAbsent(n, h.name());
-                } else if (n.endsWith(".*")) {
-                    heads.putIfAbsent(n.substring(0, n.length() - 1), h.name());
-                } else {
-                    exact.putIfAbsent(n, h.name());
-                }
+            String name,
+            Set<String> listeners,
+            List<String> serverNames,
+            boolean isDefault,
+            Set<String> defaultOfListeners) {}
+
+    private record HostPattern(KeyPattern pattern, String host) {}
+
+    /** The hosts of one listener, by their kinds of names. */
+    private static final class ListenerHosts {
+        private final Map<String, String> byExactName = new HashMap<>();
+        /** By what follows the asterisk. */
+        private final Map<String, String> bySuffix = new HashMap<>();
+        /** By what precedes the asterisk. */
+        private final Map<String, String> byPrefix = new HashMap<>();
+
+        private final List<HostPattern> patterns = new ArrayList<>();
+        private String defaultHost;
+
+        void add(Host host, String listener) {
+            host.serverNames().forEach(serverName -> add(serverName, host.name()));
+            if ((host.isDefault() || host.defaultOfListeners().contains(listener)) && defaultHost == null) {
+                defaultHost = host.name();
             }
-            if ((h.fallback() || h.fallbackOf().contains(listener)) && fallback == null) {
-                fallback = h.name();
+        }
+
+        private void add(String serverName, String host) {
+            if (serverName.startsWith("~")) {
+                patterns.add(new HostPattern(new KeyPattern(serverName.substring(1)), host));
+            } else if (serverName.startsWith("*.")) {
+                bySuffix.putIfAbsent(serverName.substring(1), host);
+            } else if (serverName.startsWith(".")) {
+                byExactName.putIfAbsent(serverName.substring(1), host);
+                bySuffix.putIfAbsent(serverName, host);
+            } else if (serverName.endsWith(".*")) {
+                byPrefix.putIfAbsent(serverName.substring(0, serverName.length() - 1), host);
+            } else {
+                byExactName.putIfAbsent(serverName, host);
             }
         }
 
-        String find(String host) {
-            String found = exact.get(host);
-            for (int dot = host.indexOf('.', 1); found == null && dot > 0; dot = host.indexOf('.', dot + 1)) {
-                found = tails.get(host.substring(dot)); // the first dot leaves the longest tail
+        /** Null if there is no host for this name. */
+        String find(String name) {
+            String found = byExactName.get(name);
+            found = found != null ? found : findByLongestSuffix(name);
+            found = found != null ? found : findByLongestPrefix(name);
+            found = found != null ? found : findByPattern(name);
+            return found != null ? found : defaultHost;
+        }
+
+        private String findByLongestSuffix(String name) {
+            for (int dot = name.indexOf('.', 1); dot > 0; dot = name.indexOf('.', dot + 1)) {
+                String found = bySuffix.get(name.substring(dot));
+                if (found != null) {
+                    return found;
+                }
             }
-            for (int dot = host.lastIndexOf('.'); found == null && dot > 0; dot = host.lastIndexOf('.', dot - 1)) {
-                found = heads.get(host.substring(0, dot + 1));
+            return null;
+        }
+
+        private String findByLongestPrefix(String name) {
+            for (int dot = name.lastIndexOf('.'); dot > 0; dot = name.lastIndexOf('.', dot - 1)) {
+                String found = byPrefix.get(name.substring(0, dot + 1));
+                if (found != null) {
+                    return found;
+                }
             }
-            for (int i = 0; found == null && i < patterns.size(); i++) {
-                found = patterns.get(i).pattern().matches(host)
-                        ? patterns.get(i).host()
-                        : null;
+            return null;
+        }
+
+        private String findByPattern(String name) {
+            for (int i = 0; i < patterns.size(); i++) {
+                if (patterns.get(i).pattern().matches(name)) {
+                    return patterns.get(i).host();
+                }
             }
-            return found != null ? found : fallback;
+            return null;
         }
     }
 
-    private final List<Host> hosts;
-    private final Map<String, Names> byListener = new HashMap<>();
-    private final Names anywhere = new Names();
-
+    /** Compiles hosts, whose order decides between equal names, patterns and defaults. */
     public VirtualHosts(List<Host> hosts) {
         this.hosts = List.copyOf(hosts);
-        for (Host h : hosts) {
-            h.listeners().forEach(l -> byListener.putIfAbsent(l, new Names()));
-            h.fallbackOf().forEach(l -> byListener.putIfAbsent(l, new Names()));
+        for (Host host : hosts) {
+            host.listeners().forEach(listener -> byListener.putIfAbsent(listener, new ListenerHosts()));
+            host.defaultOfListeners().forEach(listener -> byListener.putIfAbsent(listener, new ListenerHosts()));
         }
-        for (Host h : hosts) {
-            if (h.listeners().isEmpty()) {
-                anywhere.add(h, "");
-                byListener.forEach((l, n) -> n.add(h, l));
+        for (Host host : hosts) {
+            if (host.listeners().isEmpty()) {
+                otherListeners.add(host, "");
+                byListener.forEach((listener, listenerHosts) -> listenerHosts.add(host, listener));
             } else {
-                h.listeners().forEach(l -> byListener.get(l).add(h, l));
+                host.listeners().forEach(listener -> byListener.get(listener).add(host, listener));
             }
         }
     }
 
-    /** Whether a host may have this name, its pattern aside. */
-    public static boolean isName(String n) {
-        String plain = n.startsWith("*.")
-                ? n.substring(2)
-                : n.startsWith(".") ? n.substring(1) : n.endsWith(".*") ? n.substring(0, n.length() - 2) : n;
-        return n.startsWith("~") || (plain.indexOf('*') < 0 && plain.indexOf('/') < 0 && KeyRewrite.legal(plain));
+    /** Whether a host may have this server name; the text of a pattern is not checked. */
+    public static boolean isValidName(String serverName) {
+        if (serverName.startsWith("~")) {
+            return true;
+        }
+        String plain = withoutWildcard(serverName);
+        return plain.indexOf('*') < 0 && plain.indexOf('/') < 0 && KeyRewrite.isLegalKey(plain);
+    }
+
+    private static String withoutWildcard(String serverName) {
+        if (serverName.startsWith("*.")) {
+            return serverName.substring(2);
+        }
+        if (serverName.startsWith(".")) {
+            return serverName.substring(1);
+        }
+        return serverName.endsWith(".*") ? serverName.substring(0, serverName.length() - 2) : serverName;
     }
 
+    /** All hosts, in the order of the file. */
     public List<Host> hosts() {
         return hosts;
     }
 
-    /** The name of the host; null if there is none for it. */
-    public String find(String listener, String host) {
+    /** The name of the host for a request to this listener; null if there is none. */
+    public String find(String listener, String name) {
         return hosts.isEmpty()
                 ? null
-                : byListener.getOrDefault(listener, anywhere).find(host);
+                : byListener.getOrDefault(listener, otherListeners).find(name);
     }
 }
--- a/src/test/java/cacheproxy/daemon/ImportedSitesTest.java
+++ b/src/test/java/cacheproxy/daemon/ImportedSitesTest.java
@@ -168,9 +168,9 @@
                                 .as(key)
                                 .isEqualTo(node.matches(".*[\\].0-9]:[0-9]+") ? node : node + ":80");
                     }
-                    assertThat(PathKey.of(reply[1]).path())
+                    assertThat(PathKey.parse(reply[1]).path())
                             .as("path that the node gets for " + key)
-                            .isEqualTo(PathKey.of(answer.get("X-Uri")).path());
+                            .isEqualTo(PathKey.parse(answer.get("X-Uri")).path());
                 }
             }
         }
--- a/src/test/java/cacheproxy/nginx/importer/ImporterTest.java
+++ b/src/test/java/cacheproxy/nginx/importer/ImporterTest.java
@@ -44,7 +44,7 @@
     }
 
     private static String explained(DaemonConfig f, String key, boolean write) {
-        RouteInput s = f.keys().subject(f.listeners().get(0).name(), key, write ? 1 : 0, 0, write);
+        RouteInput s = f.keys().parse(f.listeners().get(0).name(), key, write ? 1 : 0, 0, write);
         return new RouteExplainer(f).lines(s, false).get(0);
     }
 
--- /dev/null
+++ b/src/test/java/cacheproxy/routes/FallbackRulesTest.java
@@ -0,0 +1,66 @@
+package cacheproxy.routes;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import cacheproxy.policy.DeduplicationScope;
+import cacheproxy.policy.Idempotency;
+import cacheproxy.policy.ServiceClass;
+import org.junit.jupiter.api.Test;
+
+/** Which requests may go on from pool to pool, for every kind of effect. */
+class FallbackRulesTest {
+    private static ServiceClass kind(Idempotency idempotency) {
+        return new ServiceClass(
+                "c",
+                idempotency,
+                DeduplicationScope.ALL,
+                idempotency == Idempotency.KEYED ? 1500 : 0,
+                250,
+                1000,
+                1,
+                0.3,
+                false);
+    }
+
+    @Test
+    void allowsNextPoolForAnyClassWhenNothingCanHaveRun() {
+        for (Idempotency effect : Idempotency.values()) {
+            assertThat(FallbackRules.mayTryNextPool(kind(effect), false, null, null, 999, 0))
+                    .isTrue();
+            assertThat(FallbackRules.mayReject(kind(effect), false)).isTrue();
+        }
+    }
+
+    @Test
+    void allowsNextPoolAfterPossibleExecutionOnlyIfSafeOrDeduplicated() {
+        assertThat(FallbackRules.mayTryNextPool(kind(Idempotency.SAFE), true, null, null, 5000, 0))
+                .isTrue();
+        assertThat(FallbackRules.mayTryNextPool(kind(Idempotency.UNSAFE), true, "g", "g", 0, 0))
+                .isFalse();
+        assertThat(FallbackRules.mayTryNextPool(kind(Idempotency.KEYED), true, "g", "g", 1499, 0))
+                .isTrue();
+        assertThat(FallbackRules.mayTryNextPool(kind(Idempotency.KEYED), true, "g", "g", 1500, 0))
+                .isFalse();
+        assertThat(FallbackRules.mayTryNextPool(kind(Idempotency.KEYED), true, "g", "h", 1, 0))
+                .isFalse();
+        assertThat(FallbackRules.mayTryNextPool(kind(Idempotency.KEYED), true, null, null, 1, 0))
+                .isFalse();
+        assertThat(FallbackRules.mayReject(kind(Idempotency.SAFE), true)).isTrue();
+        assertThat(FallbackRules.mayReject(kind(Idempotency.KEYED), true)).isFalse();
+        assertThat(FallbackRules.mayReject(kind(Idempotency.UNSAFE), true)).isFalse();
+    }
+
+    @Test
+    void onlySafeRequestsLeaveTimeForTheNextPool() {
+        assertThat(FallbackRules.deadlineMs(kind(Idempotency.SAFE), false, false, 100, 0, 1000))
+                .isEqualTo(550);
+        assertThat(FallbackRules.deadlineMs(kind(Idempotency.SAFE), true, true, 100, 0, 1000))
+                .isEqualTo(1000);
+        assertThat(FallbackRules.deadlineMs(kind(Idempotency.UNSAFE), false, false, 100, 0, 1000))
+                .isEqualTo(1000);
+        assertThat(FallbackRules.deadlineMs(kind(Idempotency.KEYED), false, false, 100, 0, 3000))
+                .isEqualTo(3000);
+        assertThat(FallbackRules.deadlineMs(kind(Idempotency.KEYED), true, true, 100, 0, 3000))
+                .isEqualTo(1500);
+    }
+}
--- a/src/test/java/cacheproxy/routes/PathsAndHostsTest.java
+++ b/src/test/java/cacheproxy/routes/PathsAndHostsTest.java
@@ -9,11 +9,11 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Keys that are paths: how they are taken apart, which host they are for, what placements hash of them. */
+/** Keys that are paths: how they are parsed, which host they are for, and what is hashed to place them. */
 class PathsAndHostsTest {
     @Test
-    void pathsAreNormalised() {
-        for (String[] c : new String[][] {
+    void normalizesPaths() {
+        for (String[] expectation : new String[][] {
             {"/a/b", "/a/b"},
             {"/a//b", "/a/b"},
             {"/a/./b/", "/a/b/"},
@@ -37,50 +37,52 @@
             {"/caf%c3%A9", "/caf%C3%A9"},
             {"//", "/"}
         }) {
-            PathKey p = PathKey.of(c[0]);
-            assertThat(p == null ? null : p.path()).as(c[0]).isEqualTo(c[1]);
+            PathKey path = PathKey.parse(expectation[0]);
+            assertThat(path == null ? null : path.path()).as(expectation[0]).isEqualTo(expectation[1]);
         }
     }
 
     @Test
-    void hostQueryAndArguments() {
-        PathKey p = PathKey.of("Media.Example:8080/a//b?x=1&User=7&u=/z#frag");
-        assertThat(p).isEqualTo(new PathKey("media.example", "/a//b", "/a/b", "x=1&User=7&u=/z"));
-        assertThat(p.argument("user")).isEqualTo("7");
-        assertThat(p.argument("use")).isNull();
-        assertThat(p.request()).isEqualTo("/a//b?x=1&User=7&u=/z");
-        assertThat(p.with("/c")).isEqualTo("media.example/c?x=1&User=7&u=/z");
-        assertThat(PathKey.of("/a?b/c").host()).isEmpty();
-        assertThat(PathKey.of("plain").path()).isEqualTo("plain");
-        assertThat(PathKey.of("x.example./").host()).isEqualTo("x.example");
-        assertThat(KeyFormat.PATH.subject("l", "/a?b", 0, 0, false).sent().query())
+    void parsesHostQueryAndArguments() {
+        PathKey path = PathKey.parse("Media.Example:8080/a//b?x=1&User=7&u=/z#frag");
+        assertThat(path).isEqualTo(new PathKey("media.example", "/a//b", "/a/b", "x=1&User=7&u=/z"));
+        assertThat(path.queryArgument("user")).isEqualTo("7");
+        assertThat(path.queryArgument("use")).isNull();
+        assertThat(path.requestUri()).isEqualTo("/a//b?x=1&User=7&u=/z");
+        assertThat(path.withPath("/c")).isEqualTo("media.example/c?x=1&User=7&u=/z");
+        assertThat(PathKey.parse("/a?b/c").host()).isEmpty();
+        assertThat(PathKey.parse("plain").path()).isEqualTo("plain");
+        assertThat(PathKey.parse("x.example./").host()).isEqualTo("x.example");
+        assertThat(KeyFormat.PATH.parse("l", "/a?b", 0, 0, false).path().query())
                 .isNull();
         assertThat(KeyFormat.PATH_AND_QUERY
-                        .subject("l", "/a?b", 0, 0, false)
-                        .sent()
+                        .parse("l", "/a?b", 0, 0, false)
+                        .path()
                         .query())
                 .isEqualTo("b");
-        assertThat(KeyFormat.PATH.subject("l", "/..", 0, 0, false)).isNull();
+        assertThat(KeyFormat.PATH.parse("l", "/..", 0, 0, false)).isNull();
     }
 
     @Test
-    void normalisingTwiceChangesNothing() {
+    void normalizationIsIdempotent() {
         SplittableRandom random = new SplittableRandom(4);
         String alphabet = "/.ab%2F5eE?#";
         for (int i = 0; i < 50_000; i++) {
             StringBuilder text = new StringBuilder("/");
-            for (int n = random.nextInt(12); n > 0; n--) {
+            for (int remaining = random.nextInt(12); remaining > 0; remaining--) {
                 text.append(alphabet.charAt(random.nextInt(alphabet.length())));
             }
-            PathKey once = PathKey.of(text.toString());
+            PathKey once = PathKey.parse(text.toString());
             if (once != null) {
-                assertThat(PathKey.of(once.path()).path()).as(text.toString()).isEqualTo(once.path());
+                assertThat(PathKey.parse(once.path()).path())
+                        .as(text.toString())
+                        .isEqualTo(once.path());
             }
         }
     }
 
     @Test
-    void hostsAreFoundAsNginxFindsThem() {
+    void findsHostsInTheOrderOfNginx() {
         VirtualHosts hosts = new VirtualHosts(List.of(
                 new VirtualHosts.Host("exact", Set.of(), List.of("a.example", "www.a.example"), false, Set.of()),
                 new VirtualHosts.Host("tail", Set.of(), List.of("*.example"), false, Set.of()),
@@ -89,7 +91,7 @@
                 new VirtualHosts.Host("head", Set.of(), List.of("mail.*"), false, Set.of()),
                 new VirtualHosts.Host("regex", Set.of(), List.of("~^x[0-9]+$"), false, Set.of()),
                 new VirtualHosts.Host("rest", Set.of(), List.of(), false, Set.of("l"))));
-        for (String[] c : new String[][] {
+        for (String[] expectation : new String[][] {
             {"a.example", "exact"},
             {"x.example", "tail"},
             {"b.example", "tail"},
@@ -103,14 +105,14 @@
             {"none", "rest"},
             {"", "rest"}
         }) {
-            assertThat(hosts.find("l", c[0])).as(c[0]).isEqualTo(c[1]);
+            assertThat(hosts.find("l", expectation[0])).as(expectation[0]).isEqualTo(expectation[1]);
         }
         assertThat(hosts.find("other", "c.example")).isEqualTo("tail");
         assertThat(hosts.find("other", "none")).isNull();
     }
 
     @Test
-    void routesOfAHostAreLookedAtForThatHostAloneAmongThoseForAny() {
+    void considersHostRoutesOnlyForTheirHost() {
         VirtualHosts hosts = new VirtualHosts(List.of(
                 new VirtualHosts.Host("a", Set.of(), List.of("a.example"), false, Set.of()),
                 new VirtualHosts.Host("b", Set.of(), List.of("b.example"), true, Set.of())));
@@ -121,20 +123,21 @@
                         route("a2", 0, "a", "/x", List.of("\\.vtt$")),
                         route("b1", 2, "b", "/x", List.of())),
                 hosts);
-        assertThat(table.find(KeyFormat.PATH.subject("l", "a.example/x", 0, 0, false))
+        assertThat(table.find(KeyFormat.PATH.parse("l", "a.example/x", 0, 0, false))
                         .name())
                 .isEqualTo("a1");
-        assertThat(table.find(KeyFormat.PATH.subject("l", "a.example/y", 0, 0, false))
+        assertThat(table.find(KeyFormat.PATH.parse("l", "a.example/y", 0, 0, false))
                         .name())
                 .isEqualTo("any");
-        assertThat(table.find(KeyFormat.PATH.subject("l", "b.example/x", 0, 0, false))
+        assertThat(table.find(KeyFormat.PATH.parse("l", "b.example/x", 0, 0, false))
                         .name())
                 .isEqualTo("any");
-        assertThat(table.passedOver(KeyFormat.PATH.subject("l", "a.example/y", 0, 0, false)))
-                .extracting(p -> p.route().name())
+        assertThat(table.skippedRoutes(KeyFormat.PATH.parse("l", "a.example/y", 0, 0, false)))
+                .extracting(path -> path.route().name())
                 .containsExactly("a1", "a2");
-        assertThat(table.shadowed())
-                .extracting(s -> s.route().name() + " by " + s.by().name())
+        assertThat(table.shadowedRoutes())
+                .extracting(input ->
+                        input.route().name() + " by " + input.shadowedBy().name())
                 .containsExactly("a2 by a1", "b1 by any");
     }
 
@@ -143,50 +146,43 @@
                 name,
                 order,
                 name.length() + order * 10 + patterns.size(),
-                Set.of(),
-                host,
-                null,
-                prefix,
-                patterns.stream().map(KeyPattern::new).toList(),
-                Set.of(),
-                Set.of(),
-                null,
-                null,
+                new RouteConditions(
+                        Set.of(),
+                        host,
+                        null,
+                        prefix,
+                        patterns.stream().map(KeyPattern::new).toList(),
+                        Set.of(),
+                        Set.of(),
+                        null,
+                        null),
                 KeyRewrite.NONE,
                 null,
                 new Route.Fail());
     }
 
-    private static String hashed(String by, String key) {
-        RouteInput s = KeyFormat.PATH_AND_QUERY.subject("l", key, 0, 0, false);
-        Route r = new Route(
+    private static String hashed(String template, String key) {
+        RouteInput input = KeyFormat.PATH_AND_QUERY.parse("l", key, 0, 0, false);
+        Route route = new Route(
                 "r",
                 0,
                 0,
-                Set.of(),
-                null,
-                null,
-                null,
-                List.of(new KeyPattern("^/([a-z]+)/(.*)$")),
-                Set.of(),
-                Set.of(),
-                null,
-                null,
+                RouteConditions.NONE.withPattern(new KeyPattern("^/([a-z]+)/(.*)$")),
                 KeyRewrite.NONE,
                 null,
                 new Route.Fail());
-        return new String(new PlacementTemplate(by).bytes(s, r, "POOL"), StandardCharsets.ISO_8859_1);
+        return new String(new PlacementTemplate(template).hashInput(input, route, "POOL"), StandardCharsets.ISO_8859_1);
     }
 
     @Test
-    void placementsHashWhatTheyAreToldTo() {
+    void templatesExpandToTheirHashInput() {
         assertThat(hashed("$key", "h/a/b")).isEqualTo("POOL");
         assertThat(hashed("$host$uri", "H/a//%62%20c?q=1")).isEqualTo("h/a/b c");
         assertThat(hashed("$request_uri", "h/a//%62?q=1")).isEqualTo("/a//%62?q=1");
         assertThat(hashed("${uri}x$$$arg_q-$args$is_args", "/a?q=1")).isEqualTo("/ax$1-q=1?");
         assertThat(hashed("$2:$1", "/ab/c%20d")).isEqualTo("c d:ab");
         assertThat(hashed("$arg_none", "/a")).isEmpty();
-        assertThat(new PlacementTemplate("/x/$12").groups()).isEqualTo(1);
+        assertThat(new PlacementTemplate("/x/$12").highestGroup()).isEqualTo(1);
         for (String wrong : new String[] {"$", "$nosuch", "${uri", "$arg_", "$0", "$uri".repeat(9), "x".repeat(1001)}) {
             assertThatThrownBy(() -> new PlacementTemplate(wrong))
                     .as(wrong)
@@ -195,19 +191,19 @@
     }
 
     @Test
-    void splitsTakeTheirPartAndLeaveNone() {
+    void splitSharesPartitionTheKeys() {
         PlacementTemplate uri = new PlacementTemplate("$uri");
-        SplitShare some = new SplitShare(uri, 0, SplitShare.ALL / 20);
-        SplitShare rest = new SplitShare(uri, SplitShare.ALL / 20, SplitShare.ALL);
-        int had = 0;
+        SplitShare some = new SplitShare(uri, 0, SplitShare.HASH_RANGE / 20);
+        SplitShare rest = new SplitShare(uri, SplitShare.HASH_RANGE / 20, SplitShare.HASH_RANGE);
+        int included = 0;
         for (int i = 0; i < 10_000; i++) {
-            RouteInput s = KeyFormat.PATH.subject("l", "/k/" + i, 0, 0, false);
-            assertThat(some.has(s)).isNotEqualTo(rest.has(s));
-            had += some.has(s) ? 1 : 0;
+            RouteInput input = KeyFormat.PATH.parse("l", "/k/" + i, 0, 0, false);
+            assertThat(some.contains(input)).isNotEqualTo(rest.contains(input));
+            included += some.contains(input) ? 1 : 0;
         }
-        assertThat(had).isBetween(420, 580);
+        assertThat(included).isBetween(420, 580);
         assertThat(some.covers(rest)).isFalse();
-        assertThat(new SplitShare(uri, 0, SplitShare.ALL).covers(rest)).isTrue();
+        assertThat(new SplitShare(uri, 0, SplitShare.HASH_RANGE).covers(rest)).isTrue();
         // Published values of MurmurHash2 with this seed are rare: one worked out by hand for one byte.
         assertThat(SplitShare.hash(new byte[0])).isZero();
     }
--- a/src/test/java/cacheproxy/routes/RouteTableTest.java
+++ b/src/test/java/cacheproxy/routes/RouteTableTest.java
@@ -9,24 +9,29 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Routes: the first match against a plain statement of the order, rewrites, shares and what no request reaches. */
+/** Finding routes, compared with a reference search; rewrites, patterns, shares and unreachable routes. */
 class RouteTableTest {
     private static final Route.Action POOL = new Route.ToPools(List.of("a"));
 
+    private static final String[] PATTERNS = {"^a+/", "b$", "a/b", "^(a|b)", "^ab?/", "//"};
+
     private static Route route(String name, int order, int position, String exact, String prefix, String regex) {
         return new Route(
                 name,
                 order,
                 position,
-                Set.of(),
-                exact,
-                prefix,
-                regex == null ? null : new KeyPattern(regex),
-                Set.of(),
-                Set.of(),
-                null,
-                null,
+                new RouteConditions(
+                        Set.of(),
+                        null,
+                        exact,
+                        prefix,
+                        regex == null ? List.of() : List.of(new KeyPattern(regex)),
+                        Set.of(),
+                        Set.of(),
+                        null,
+                        null),
                 KeyRewrite.NONE,
+                null,
                 POOL);
     }
 
@@ -35,7 +40,7 @@
     }
 
     @Test
-    void exactThenLongestPrefixThenPatternsThenTheRest() {
+    void findsExactThenLongestPrefixThenPatternThenUnconditional() {
         RouteTable table = new RouteTable(List.of(
                 route("rest", 0, 0, null, null, null),
                 route("regex", 0, 1, null, null, "\\.vtt$"),
@@ -47,96 +52,111 @@
         assertThat(table.find(read("a/c.vtt")).name()).isEqualTo("short");
         assertThat(table.find(read("c.vtt")).name()).isEqualTo("regex");
         assertThat(table.find(read("c")).name()).isEqualTo("rest");
-        assertThat(table.passedOver(read("c.vtt")))
-                .extracting(p -> p.route().name())
+        assertThat(table.skippedRoutes(read("c.vtt")))
+                .extracting(skipped -> skipped.route().name())
                 .containsExactly("exact", "long", "short");
     }
 
-    /** The documented order, restated: sort by order, kind, prefix length and place; take the first that fits. */
-    private static Route plainly(List<Route> routes, RouteInput s) {
+    /** The documented order: by order, kind of condition, prefix length and position; the first match wins. */
+    private static Route referenceFind(List<Route> routes, RouteInput input) {
         Route best = null;
-        for (Route r : routes) {
-            if (r.misfit(s, null) == null && (best == null || before(r, best))) {
-                best = r;
+        for (Route route : routes) {
+            if (route.conditions().mismatch(input, null) == null && (best == null || isBefore(route, best))) {
+                best = route;
             }
         }
         return best;
     }
 
-    private static boolean before(Route a, Route b) {
-        if (a.order() != b.order()) {
-            return a.order() < b.order();
+    private static int kind(RouteConditions conditions) {
+        if (conditions.exact() != null) {
+            return 0;
+        }
+        if (conditions.prefix() != null) {
+            return 1;
+        }
+        return conditions.patterns().isEmpty() ? 3 : 2;
+    }
+
+    private static boolean isBefore(Route left, Route right) {
+        if (left.order() != right.order()) {
+            return left.order() < right.order();
         }
-        int ka = a.exact() != null ? 0 : a.prefix() != null ? 1 : !a.patterns().isEmpty() ? 2 : 3;
-        int kb = b.exact() != null ? 0 : b.prefix() != null ? 1 : !b.patterns().isEmpty() ? 2 : 3;
-        if (ka != kb) {
-            return ka < kb;
+        int leftKind = kind(left.conditions());
+        int rightKind = kind(right.conditions());
+        if (leftKind != rightKind) {
+            return leftKind < rightKind;
         }
-        if (ka == 1 && a.prefix().length() != b.prefix().length()) {
-            return a.prefix().length() > b.prefix().length();
+        String leftPrefix = left.conditions().prefix();
+        String rightPrefix = right.conditions().prefix();
+        if (leftKind == 1 && leftPrefix.length() != rightPrefix.length()) {
+            return leftPrefix.length() > rightPrefix.length();
         }
-        return a.position() < b.position();
+        return left.position() < right.position();
     }
 
     private static String text(SplittableRandom random, int most) {
-        StringBuilder b = new StringBuilder();
-        for (int n = 1 + random.nextInt(most); n > 0; n--) {
-            b.append("ab/".charAt(random.nextInt(3)));
+        StringBuilder right = new StringBuilder();
+        for (int remaining = 1 + random.nextInt(most); remaining > 0; remaining--) {
+            right.append("ab/".charAt(random.nextInt(3)));
         }
-        return b.toString();
+        return right.toString();
+    }
+
+    private static Route randomRoute(SplittableRandom random, int position) {
+        int kind = random.nextInt(4);
+        int order = random.nextInt(3);
+        RouteConditions conditions = new RouteConditions(
+                random.nextInt(4) == 0 ? Set.of("other") : Set.of(),
+                null,
+                kind == 0 ? text(random, 5) : null,
+                kind == 1 ? text(random, 4) : null,
+                kind == 2 ? List.of(new KeyPattern(PATTERNS[random.nextInt(PATTERNS.length)])) : List.of(),
+                random.nextInt(3) == 0 ? Set.of(random.nextInt(3)) : Set.of(),
+                random.nextInt(4) == 0 ? Set.of(1) : Set.of(),
+                random.nextInt(3) == 0 ? Boolean.valueOf(random.nextBoolean()) : null,
+                random.nextInt(5) == 0 ? new KeyShare("s", 0, 5000) : null);
+        return new Route("r" + position, order, position, conditions, KeyRewrite.NONE, null, POOL);
     }
 
     @Test
-    void aCompiledTableFindsWhatThePlainOrderFinds() {
+    void findsTheSameRouteAsAReferenceSearch() {
         SplittableRandom random = new SplittableRandom(21);
-        String[] patterns = {"^a+/", "b$", "a/b", "^(a|b)", "^ab?/", "//"};
         for (int round = 0; round < 300; round++) {
             List<Route> routes = new ArrayList<>();
             for (int i = 0; i < 40; i++) {
-                int kind = random.nextInt(4);
-                routes.add(new Route(
-                        "r" + i,
-                        random.nextInt(3),
-                        i,
-                        random.nextInt(4) == 0 ? Set.of("other") : Set.of(),
-                        kind == 0 ? text(random, 5) : null,
-                        kind == 1 ? text(random, 4) : null,
-                        kind == 2 ? new KeyPattern(patterns[random.nextInt(patterns.length)]) : null,
-                        random.nextInt(3) == 0 ? Set.of(random.nextInt(3)) : Set.of(),
-                        random.nextInt(4) == 0 ? Set.of(1) : Set.of(),
-                        random.nextInt(3) == 0 ? Boolean.valueOf(random.nextBoolean()) : null,
-                        random.nextInt(5) == 0 ? new KeyShare("s", 0, 5000) : null,
-                        KeyRewrite.NONE,
-                        POOL));
+                routes.add(randomRoute(random, i));
             }
             RouteTable table = new RouteTable(routes);
             Set<Route> found = new java.util.HashSet<>();
             for (int i = 0; i < 200; i++) {
-                RouteInput s = new RouteInput(
+                RouteInput input = new RouteInput(
                         random.nextBoolean() ? "main" : "other",
                         text(random, 6),
                         random.nextInt(3),
                         random.nextInt(2),
                         random.nextBoolean());
-                Route r = table.find(s);
-                assertThat(r).isSameAs(plainly(routes, s));
-                found.add(r);
-                assertThat(table.passedOver(s))
-                        .hasSize(r == null ? routes.size() : table.routes().indexOf(r));
+                Route route = table.find(input);
+                assertThat(route).isSameAs(referenceFind(routes, input));
+                found.add(route);
+                assertThat(table.skippedRoutes(input))
+                        .hasSize(route == null ? routes.size() : table.routes().indexOf(route));
             }
-            assertThat(table.shadowed()).extracting(RouteTable.Shadowed::route).doesNotContainAnyElementsOf(found);
+            assertThat(table.shadowedRoutes())
+                    .extracting(RouteTable.ShadowedRoute::route)
+                    .doesNotContainAnyElementsOf(found);
         }
     }
 
     @Test
-    void whatNoRequestCanReachIsFound() {
+    void reportsRoutesThatNoRequestCanReach() {
         Route all = route("all", -1, 0, null, null, null);
         Route under = route("under", 0, 1, null, "a", null);
-        assertThat(new RouteTable(List.of(all, under)).shadowed())
+        assertThat(new RouteTable(List.of(all, under)).shadowedRoutes())
                 .singleElement()
-                .satisfies(s -> {
-                    assertThat(s.route()).isSameAs(under);
-                    assertThat(s.by()).isSameAs(all);
+                .satisfies(input -> {
+                    assertThat(input.route()).isSameAs(under);
+                    assertThat(input.shadowedBy()).isSameAs(all);
                 });
         assertThat(new RouteTable(List.of(
                                 route("1", 0, 0, null, "a/", null),
@@ -146,48 +166,49 @@
                                 route("5", 2, 4, "xx", null, null),
                                 route("6", 2, 5, null, null, "x"),
                                 route("7", 2, 6, null, "b", null)))
-                        .shadowed())
-                .extracting(s -> s.route().name())
+                        .shadowedRoutes())
+                .extracting(input -> input.route().name())
                 .containsExactlyInAnyOrder("2", "3", "5", "6");
     }
 
     @Test
-    void aShareIsStableAndOfItsSizeAndSharesOfOneSaltSplitTheKeys() {
+    void keySharesOfOneSaltPartitionTheKeys() {
         KeyShare five = new KeyShare("canary", 0, 500);
-        KeyShare rest = new KeyShare("canary", 500, KeyShare.ALL);
-        int in = 0;
+        KeyShare rest = new KeyShare("canary", 500, KeyShare.BUCKETS);
+        int included = 0;
         for (int i = 0; i < 100_000; i++) {
             String key = "page/" + i;
-            assertThat(five.has(key)).isNotEqualTo(rest.has(key));
-            in += five.has(key) ? 1 : 0;
+            assertThat(five.contains(key)).isNotEqualTo(rest.contains(key));
+            included += five.contains(key) ? 1 : 0;
         }
-        assertThat(in).isBetween(4700, 5300);
-        // Worked out once: a share that moved between releases would move canaries' keys.
-        assertThat(KeyShare.place("canary", "page/1"))
-                .isEqualTo(KeyShare.place("canary", "page/1"))
+        assertThat(included).isBetween(4700, 5300);
+        // A bucket that changed between releases would move the keys of canaries.
+        assertThat(KeyShare.bucketOf("canary", "page/1"))
+                .isEqualTo(KeyShare.bucketOf("canary", "page/1"))
                 .isBetween(0, 9999);
     }
 
     @Test
-    void rewritesStripAddAndBuildFromGroupsAndRefuseIllegalKeys() {
+    void rewritesKeysAndReturnsNullForIllegalOnes() {
         assertThat(new KeyRewrite("old/", null, null, "new/").apply("old/x")).isEqualTo("new/x");
         assertThat(new KeyRewrite("old/", null, null, "new/").apply("x")).isEqualTo("new/x");
-        KeyPattern p = new KeyPattern("^([a-z]+)-(\\d+)$");
-        assertThat(new KeyRewrite(null, p, "$2/$1$$", null).apply("ab-12")).isEqualTo("12/ab$");
-        assertThat(new KeyRewrite(null, p, "$1", null).apply("nothing")).isNull();
+        KeyPattern pattern = new KeyPattern("^([a-z]+)-(\\d+)$");
+        assertThat(new KeyRewrite(null, pattern, "$2/$1$$", null).apply("ab-12"))
+                .isEqualTo("12/ab$");
+        assertThat(new KeyRewrite(null, pattern, "$1", null).apply("nothing")).isNull();
         assertThat(new KeyRewrite("x", null, null, null).apply("x")).isNull();
         assertThat(new KeyRewrite(null, null, null, "a".repeat(20)).apply("b".repeat(250)))
                 .isNull();
         assertThat(new KeyRewrite(null, new KeyPattern("^(.*)$"), "$1 $1", null).apply("a"))
                 .isNull();
-        assertThatThrownBy(() -> new KeyRewrite(null, p, "$3", null)).hasMessageContaining("$3");
+        assertThatThrownBy(() -> new KeyRewrite(null, pattern, "$3", null)).hasMessageContaining("$3");
         assertThat(KeyRewrite.NONE.apply("k".repeat(250))).hasSize(250);
     }
 
     @Test
-    void aHostilePatternCostsNoMoreThanTheKeysLength() {
-        KeyPattern p = new KeyPattern("^(a+)+$");
-        assertThat(p.matches("a".repeat(249) + "!")).isFalse();
+    void rejectsPatternsThatCannotRunInLinearTime() {
+        KeyPattern pattern = new KeyPattern("^(a+)+$");
+        assertThat(pattern.matches("a".repeat(249) + "!")).isFalse();
         assertThatThrownBy(() -> new KeyPattern("(a)\\1")).hasMessageContaining("back-references");
         assertThatThrownBy(() -> new KeyPattern("(?=a)b")).isInstanceOf(IllegalArgumentException.class);
         assertThatThrownBy(() -> new KeyPattern("((a{1,200}){1,200}){1,200}"))
@@ -196,8 +217,8 @@
     }
 
     @Test
-    void whatMustStandAtTheBeginningIsReadFromTheExpressionOnlyWhereItIsSure() {
-        for (String[] c : new String[][] {
+    void derivesARequiredPrefixOnlyWhereItIsCertain() {
+        for (String[] expectation : new String[][] {
             {"^ab?c", "ac"},
             {"^ab*", "a"},
             {"^a{0,1}b", "b"},
@@ -209,13 +230,15 @@
             {"(?i)^AB", "ab"},
             {"^", "x"}
         }) {
-            assertThat(new KeyPattern(c[0]).matches(c[1])).as(c[0]).isTrue();
+            assertThat(new KeyPattern(expectation[0]).matches(expectation[1]))
+                    .as(expectation[0])
+                    .isTrue();
         }
         assertThat(new KeyPattern("^abc").matches("xabc")).isFalse();
     }
 
     @Test
-    void tenThousandRoutesOfEachKindAreFound() {
+    void findsEachOfTenThousandExactAndPrefixRoutes() {
         List<Route> routes = new ArrayList<>();
         for (int i = 0; i < 10_000; i++) {
             routes.add(route("e" + i, 0, 2 * i, "key/" + i, null, null));
