--- a/src/main/java/cacheproxy/daemon/Router.java
+++ b/src/main/java/cacheproxy/daemon/Router.java
@@ -39,13 +39,13 @@
         String fault = config.requestValidator.resolve(request);
         if (fault != null) {
             request.release(core);
-            responder.rejected(fault);
+            responder.badRequest(fault);
             return null;
         }
-        if (config.requestValidator.expired(request)) {
-            core.closeId(request);
+        if (config.requestValidator.isExpired(request)) {
+            core.closeId(request.id);
             request.release(core);
-            responder.refused(0);
+            responder.busy(0);
             return null;
         }
         List<HookExecutor> hooks = config.hooksOfListener.get(listener);
@@ -64,21 +64,21 @@
             ConfigSnapshot config, String listener, Route named, ClientRequest request, Responder responder) {
         RouteInput input = config.file
                 .keys()
-                .parse(listener, request.key(), request.serviceClass(), request.tenant(), request.write());
+                .parse(listener, request.key(), request.serviceClass(), request.tenant(), request.isWrite());
         Route route = input == null
                 ? null
                 : named != null ? named : config.file.routes().find(input);
         if (route != null && route.action() instanceof Route.ToPools) {
             return to(config, listener, input, route, request, responder);
         }
-        core.closeId(request);
+        core.closeId(request.id);
         request.release(core);
         if (input == null) {
-            responder.rejected("key is no path");
+            responder.badRequest("key is no path");
         } else if (route == null) {
-            responder.rejected("no route takes this key");
+            responder.badRequest("no route takes this key");
         } else if (route.action() instanceof Route.Reject refusal) {
-            responder.refused(refusal.retryAfterMs());
+            responder.busy(refusal.retryAfterMs());
         } else {
             responder.failed();
         }
@@ -94,16 +94,16 @@
             Responder responder) {
         String key = route.poolKey(input);
         if (key == null) {
-            core.closeId(request);
+            core.closeId(request.id);
             request.release(core);
-            responder.rejected("route " + route.name() + " makes no legal key of this one");
+            responder.badRequest("route " + route.name() + " makes no legal key of this one");
             return null;
         }
-        if (fromSibling(config, listener) && (request.write() || mayFetch(config.chain(route)))) {
-            core.closeId(request);
+        if (fromSibling(config, listener) && (request.isWrite() || mayFetch(config.chain(route)))) {
+            core.closeId(request.id);
             request.release(core);
-            if (request.write()) {
-                responder.rejected("siblings do not write here");
+            if (request.isWrite()) {
+                responder.badRequest("siblings do not write here");
             } else {
                 responder.miss();
             }
--- a/src/main/java/cacheproxy/daemon/SiblingSocket.java
+++ b/src/main/java/cacheproxy/daemon/SiblingSocket.java
@@ -153,15 +153,15 @@
     /** A server of ours has answered a read of a key. */
     void read(String key, int server, boolean has) {
         if (has) {
-            digest.add(core.now(), RequestValidator.keyNumber(key), server);
+            digest.add(core.now(), RequestValidator.keyHash(key), server);
         } else {
-            digest.remove(RequestValidator.keyNumber(key));
+            digest.remove(RequestValidator.keyHash(key));
         }
     }
 
     /** A key has been written, so that what was remembered of it is void. */
     void written(String key) {
-        digest.remove(RequestValidator.keyNumber(key));
+        digest.remove(RequestValidator.keyHash(key));
     }
 
     @Override
--- a/src/main/java/cacheproxy/proxy/upstream/Upstream.java
+++ b/src/main/java/cacheproxy/proxy/upstream/Upstream.java
@@ -2,8 +2,6 @@
 
 import cacheproxy.limits.ServerCapacity;
 import cacheproxy.policy.EndpointState;
-import cacheproxy.proxy.dispatch.Dispatcher;
-import cacheproxy.proxy.dispatch.RequestContext.Attempt;
 import cacheproxy.proxy.net.HandlerInitializer;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.channel.ChannelFuture;
@@ -42,16 +40,16 @@
     private final ServerCapacity room;
     private final List<UpstreamConnection> connections = new ArrayList<>(2);
 
-    Upstream(int id, boolean origin, EventLoopContext core, Dispatcher.Pool pool) {
+    Upstream(int id, boolean origin, EventLoopContext core, ConnectionLimits limits) {
         this.id = id;
         this.origin = origin;
         this.core = core;
         room = new ServerCapacity(core.servers.shortage);
-        bootstrap = core.bootstrap(pool.settings().connectTimeoutMs());
-        maxConnections = origin ? pool.originConnections() : pool.cacheConnections();
-        mostConnections = Math.max(maxConnections, pool.mostConnections());
-        maxDepth = origin ? 1 : pool.streamsPerConnection();
-        retireIdleMs = pool.idleCloseMs() * Dispatcher.RETIRE_AT;
+        bootstrap = core.bootstrap(limits.connectTimeoutMs());
+        maxConnections = origin ? limits.originConnections() : limits.cacheConnections();
+        mostConnections = Math.max(maxConnections, limits.maxConnections());
+        maxDepth = origin ? 1 : limits.streamsPerConnection();
+        retireIdleMs = limits.retireIdleMs();
     }
 
     EventLoopContext core() {
@@ -68,7 +66,7 @@
                 && standing < maxConnections
                 && all < mostConnections
                 && (origin || room.mayOpen(core.now(), standing))
-                && core.roomUpstream()) {
+                && core.mayOpenConnection()) {
             best = open();
         }
         if (best == null || !best.usable(maxDepth)) { // a new one may have failed at once, for want of a descriptor
@@ -158,7 +156,7 @@
     private UpstreamConnection open() {
         UpstreamConnection connection = new UpstreamConnection(this);
         connections.add(connection);
-        core.openedUpstream();
+        core.connectionOpened();
         ChannelHandler[] handlers =
                 origin ? OriginCodec.handlers(connection) : new ChannelHandler[] {new CacheCodec(connection)};
         ChannelFuture future =
@@ -169,7 +167,7 @@
 
     void closed(UpstreamConnection connection) {
         if (connections.remove(connection)) {
-            core.closedUpstream();
+            core.connectionClosed();
         }
     }
 
--- a/src/main/java/cacheproxy/routes/FallbackRules.java
+++ b/src/main/java/cacheproxy/routes/FallbackRules.java
@@ -29,13 +29,13 @@
             String nextDedupGroup,
             double nowMs,
             double arrivedMs) {
-        if (serviceClass.effect() == Idempotency.SAFE || !mayHaveRun) {
+        if (serviceClass.idempotency() == Idempotency.IDEMPOTENT || !mayHaveRun) {
             return true;
         }
-        return serviceClass.effect() == Idempotency.KEYED
+        return serviceClass.idempotency() == Idempotency.DEDUPLICATED
                 && dedupGroup != null
                 && dedupGroup.equals(nextDedupGroup)
-                && nowMs < arrivedMs + serviceClass.windowMs();
+                && nowMs < arrivedMs + serviceClass.deduplicationWindowMs();
     }
 
     /**
@@ -53,17 +53,17 @@
             double nowMs,
             double arrivedMs,
             double clientDeadlineMs) {
-        if (serviceClass.effect() == Idempotency.SAFE && !last) {
+        if (serviceClass.idempotency() == Idempotency.IDEMPOTENT && !last) {
             return nowMs + (clientDeadlineMs - nowMs) * SHARE_BEFORE_NEXT_POOL;
         }
-        if (serviceClass.effect() == Idempotency.KEYED && mayHaveRun) {
-            return Math.min(clientDeadlineMs, arrivedMs + serviceClass.windowMs());
+        if (serviceClass.idempotency() == Idempotency.DEDUPLICATED && mayHaveRun) {
+            return Math.min(clientDeadlineMs, arrivedMs + serviceClass.deduplicationWindowMs());
         }
         return clientDeadlineMs;
     }
 
     /** Whether a client may be told that its request was rejected, after which a retry has to be harmless. */
     public static boolean mayReject(ServiceClass serviceClass, boolean mayHaveRun) {
-        return serviceClass.effect() == Idempotency.SAFE || !mayHaveRun;
+        return serviceClass.idempotency() == Idempotency.IDEMPOTENT || !mayHaveRun;
     }
 }
--- a/src/test/java/cacheproxy/routes/FallbackRulesTest.java
+++ b/src/test/java/cacheproxy/routes/FallbackRulesTest.java
@@ -14,7 +14,7 @@
                 "c",
                 idempotency,
                 DeduplicationScope.ALL,
-                idempotency == Idempotency.KEYED ? 1500 : 0,
+                idempotency == Idempotency.DEDUPLICATED ? 1500 : 0,
                 250,
                 1000,
                 1,
@@ -33,34 +33,36 @@
 
     @Test
     void allowsNextPoolAfterPossibleExecutionOnlyIfSafeOrDeduplicated() {
-        assertThat(FallbackRules.mayTryNextPool(kind(Idempotency.SAFE), true, null, null, 5000, 0))
+        assertThat(FallbackRules.mayTryNextPool(kind(Idempotency.IDEMPOTENT), true, null, null, 5000, 0))
                 .isTrue();
-        assertThat(FallbackRules.mayTryNextPool(kind(Idempotency.UNSAFE), true, "g", "g", 0, 0))
+        assertThat(FallbackRules.mayTryNextPool(kind(Idempotency.NON_IDEMPOTENT), true, "g", "g", 0, 0))
                 .isFalse();
-        assertThat(FallbackRules.mayTryNextPool(kind(Idempotency.KEYED), true, "g", "g", 1499, 0))
+        assertThat(FallbackRules.mayTryNextPool(kind(Idempotency.DEDUPLICATED), true, "g", "g", 1499, 0))
                 .isTrue();
-        assertThat(FallbackRules.mayTryNextPool(kind(Idempotency.KEYED), true, "g", "g", 1500, 0))
+        assertThat(FallbackRules.mayTryNextPool(kind(Idempotency.DEDUPLICATED), true, "g", "g", 1500, 0))
                 .isFalse();
-        assertThat(FallbackRules.mayTryNextPool(kind(Idempotency.KEYED), true, "g", "h", 1, 0))
+        assertThat(FallbackRules.mayTryNextPool(kind(Idempotency.DEDUPLICATED), true, "g", "h", 1, 0))
                 .isFalse();
-        assertThat(FallbackRules.mayTryNextPool(kind(Idempotency.KEYED), true, null, null, 1, 0))
+        assertThat(FallbackRules.mayTryNextPool(kind(Idempotency.DEDUPLICATED), true, null, null, 1, 0))
+                .isFalse();
+        assertThat(FallbackRules.mayReject(kind(Idempotency.IDEMPOTENT), true)).isTrue();
+        assertThat(FallbackRules.mayReject(kind(Idempotency.DEDUPLICATED), true))
+                .isFalse();
+        assertThat(FallbackRules.mayReject(kind(Idempotency.NON_IDEMPOTENT), true))
                 .isFalse();
-        assertThat(FallbackRules.mayReject(kind(Idempotency.SAFE), true)).isTrue();
-        assertThat(FallbackRules.mayReject(kind(Idempotency.KEYED), true)).isFalse();
-        assertThat(FallbackRules.mayReject(kind(Idempotency.UNSAFE), true)).isFalse();
     }
 
     @Test
     void onlySafeRequestsLeaveTimeForTheNextPool() {
-        assertThat(FallbackRules.deadlineMs(kind(Idempotency.SAFE), false, false, 100, 0, 1000))
+        assertThat(FallbackRules.deadlineMs(kind(Idempotency.IDEMPOTENT), false, false, 100, 0, 1000))
                 .isEqualTo(550);
-        assertThat(FallbackRules.deadlineMs(kind(Idempotency.SAFE), true, true, 100, 0, 1000))
+        assertThat(FallbackRules.deadlineMs(kind(Idempotency.IDEMPOTENT), true, true, 100, 0, 1000))
                 .isEqualTo(1000);
-        assertThat(FallbackRules.deadlineMs(kind(Idempotency.UNSAFE), false, false, 100, 0, 1000))
+        assertThat(FallbackRules.deadlineMs(kind(Idempotency.NON_IDEMPOTENT), false, false, 100, 0, 1000))
                 .isEqualTo(1000);
-        assertThat(FallbackRules.deadlineMs(kind(Idempotency.KEYED), false, false, 100, 0, 3000))
+        assertThat(FallbackRules.deadlineMs(kind(Idempotency.DEDUPLICATED), false, false, 100, 0, 3000))
                 .isEqualTo(3000);
-        assertThat(FallbackRules.deadlineMs(kind(Idempotency.KEYED), true, true, 100, 0, 3000))
+        assertThat(FallbackRules.deadlineMs(kind(Idempotency.DEDUPLICATED), true, true, 100, 0, 3000))
                 .isEqualTo(1500);
     }
 }
