--- a/src/main/java/cacheproxy/daemon/Router.java
+++ b/src/main/java/cacheproxy/daemon/Router.java
@@ -64,7 +64,7 @@
             ConfigSnapshot config, String listener, Route named, ClientRequest request, Responder responder) {
         RouteInput input = config.file
                 .keys()
-                .subject(listener, request.key(), request.serviceClass(), request.tenant(), request.isWrite());
+                .parse(listener, request.key(), request.serviceClass(), request.tenant(), request.isWrite());
         Route route = input == null
                 ? null
                 : named != null ? named : config.file.routes().find(input);
@@ -77,8 +77,8 @@
             responder.badRequest("key is no path");
         } else if (route == null) {
             responder.badRequest("no route takes this key");
-        } else if (route.action() instanceof Route.Refuse refusal) {
-            responder.busy(refusal.afterMs());
+        } else if (route.action() instanceof Route.Reject refusal) {
+            responder.busy(refusal.retryAfterMs());
         } else {
             responder.failed();
         }
