--- a/src/main/java/cacheproxy/bench/SiblingBench.java
+++ b/src/main/java/cacheproxy/bench/SiblingBench.java
@@ -8,6 +8,7 @@
 import cacheproxy.fakes.LossyDatagramLink;
 import cacheproxy.icp.IcpCodec;
 import cacheproxy.icp.IcpMessage;
+import cacheproxy.icp.MalformedMessageException;
 import cacheproxy.proxy.net.Transport;
 import cacheproxy.siblings.CacheDigest;
 import com.sun.management.ThreadMXBean;
@@ -193,7 +194,7 @@
         time("question read", i -> {
             try {
                 return IcpCodec.decode(datagram).requestNumber();
-            } catch (IcpCodec.Malformed e) {
+            } catch (MalformedMessageException e) {
                 throw new IllegalStateException(e);
             }
         });
--- a/src/main/java/cacheproxy/daemon/SiblingSocket.java
+++ b/src/main/java/cacheproxy/daemon/SiblingSocket.java
@@ -9,6 +9,7 @@
 import cacheproxy.icp.IcpCodec;
 import cacheproxy.icp.IcpMessage;
 import cacheproxy.icp.IcpMessage.Opcode;
+import cacheproxy.icp.MalformedMessageException;
 import cacheproxy.limits.TokenBucket;
 import cacheproxy.proxy.request.RequestValidator;
 import cacheproxy.proxy.upstream.EventLoopContext;
@@ -222,11 +223,11 @@
             IcpMessage message;
             try {
                 message = IcpCodec.decode(packet.content());
-            } catch (IcpCodec.Malformed e) {
+            } catch (MalformedMessageException e) {
                 malformedCount++;
                 return;
             }
-            if (message.opcode().answers()) {
+            if (message.opcode().isReply()) {
                 answered(packet.sender(), message);
             } else if (message.opcode() == Opcode.QUERY) {
                 queried(ctx, packet.sender(), message);
@@ -242,7 +243,7 @@
             responder
                     .answer(from, query)
                     .ifPresent(opcode ->
-                            ctx.write(new DatagramPacket(IcpCodec.encode(ctx.alloc(), query.answer(opcode)), from)));
+                            ctx.write(new DatagramPacket(IcpCodec.encode(ctx.alloc(), query.reply(opcode)), from)));
         }
 
         @Override
--- /dev/null
+++ b/src/main/java/cacheproxy/htcp/HtcpDecoder.java
@@ -0,0 +1,155 @@
+package cacheproxy.htcp;
+
+import cacheproxy.htcp.HtcpMessage.Body;
+import cacheproxy.htcp.HtcpMessage.CacheHeaders;
+import cacheproxy.htcp.HtcpMessage.Change;
+import cacheproxy.htcp.HtcpMessage.Clear;
+import cacheproxy.htcp.HtcpMessage.Detail;
+import cacheproxy.htcp.HtcpMessage.Empty;
+import cacheproxy.htcp.HtcpMessage.Identity;
+import cacheproxy.htcp.HtcpMessage.Monitor;
+import cacheproxy.htcp.HtcpMessage.Opcode;
+import cacheproxy.htcp.HtcpMessage.Specifier;
+import java.nio.BufferUnderflowException;
+import java.nio.ByteBuffer;
+import java.nio.charset.StandardCharsets;
+
+/** Decodes datagrams. Every length is checked against what contains it before it is used. */
+final class HtcpDecoder {
+    private static final int RESPONSE_BIT = 1;
+    private static final int FLAG_BIT = 2;
+
+    private HtcpDecoder() {}
+
+    /** Decodes one datagram, as {@link HtcpCodec#decode} describes. */
+    static HtcpDatagram decode(byte[] octets, int offset, int length) throws MalformedMessageException {
+        ByteBuffer in = ByteBuffer.wrap(octets, offset, length).slice();
+        int dataLength = checkLengths(in, length);
+        int majorVersion = in.get(2) & 0xFF;
+        int minorVersion = in.get(3) & 0xFF;
+        byte[] data = new byte[dataLength];
+        in.get(HtcpCodec.HEADER_LENGTH, data);
+        int authStart = HtcpCodec.HEADER_LENGTH + dataLength;
+        HtcpAuth auth = auth(in.slice(authStart, length - authStart));
+        int opcode = (data[2] & 0xFF) >> 4;
+        boolean isResponse = (data[3] & RESPONSE_BIT) != 0;
+        HtcpMessage message =
+                majorVersion == 0 && Opcode.of(opcode) != null ? message(minorVersion, Opcode.of(opcode), data) : null;
+        int transactionId = ByteBuffer.wrap(data).getInt(4);
+        return new HtcpDatagram(majorVersion, minorVersion, opcode, transactionId, isResponse, message, auth, data);
+    }
+
+    /** Checks the lengths of the message and of DATA, and returns the latter. */
+    private static int checkLengths(ByteBuffer in, int length) throws MalformedMessageException {
+        if (length < HtcpCodec.HEADER_LENGTH + HtcpCodec.DATA_HEADER_LENGTH + HtcpCodec.NO_AUTH_LENGTH) {
+            throw new MalformedMessageException("shorter than header, data and authentication can be");
+        }
+        if ((in.getShort(0) & 0xFFFF) != length) {
+            throw new MalformedMessageException("message length is not that of the datagram");
+        }
+        int dataLength = in.getShort(HtcpCodec.HEADER_LENGTH) & 0xFFFF;
+        if (dataLength < HtcpCodec.DATA_HEADER_LENGTH
+                || dataLength > length - HtcpCodec.HEADER_LENGTH - HtcpCodec.NO_AUTH_LENGTH) {
+            throw new MalformedMessageException("length of DATA is not within the message");
+        }
+        return dataLength;
+    }
+
+    /** Decodes AUTH; what follows it is padding. Null where the message is not signed. */
+    private static HtcpAuth auth(ByteBuffer in) throws MalformedMessageException {
+        int length = in.getShort(0) & 0xFFFF;
+        if (length == HtcpCodec.NO_AUTH_LENGTH) {
+            return null;
+        }
+        if (length < HtcpCodec.MIN_AUTH_LENGTH || length > in.remaining()) {
+            throw new MalformedMessageException("length of AUTH is not within the message");
+        }
+        ByteBuffer auth = in.slice(2, length - 2);
+        try {
+            int signedAtSeconds = auth.getInt();
+            int expiresAtSeconds = auth.getInt();
+            String keyName = text(auth);
+            byte[] signature = text(auth).getBytes(StandardCharsets.ISO_8859_1);
+            if (auth.hasRemaining()) {
+                throw new MalformedMessageException("octets behind the signature");
+            }
+            return new HtcpAuth(signedAtSeconds, expiresAtSeconds, keyName, signature);
+        } catch (BufferUnderflowException e) {
+            throw new MalformedMessageException("AUTH ends early");
+        }
+    }
+
+    private static HtcpMessage message(int minorVersion, Opcode opcode, byte[] data) throws MalformedMessageException {
+        int responseCode = data[2] & 15;
+        boolean isResponse = (data[3] & RESPONSE_BIT) != 0;
+        boolean flag = (data[3] & FLAG_BIT) != 0;
+        int transactionId = ByteBuffer.wrap(data).getInt(4);
+        Body body = isResponse && flag ? new Empty() : body(opcode, responseCode, isResponse, data);
+        return new HtcpMessage(minorVersion, opcode, responseCode, flag, isResponse, transactionId, body);
+    }
+
+    private static Body body(Opcode opcode, int responseCode, boolean isResponse, byte[] data)
+            throws MalformedMessageException {
+        ByteBuffer in = ByteBuffer.wrap(data, HtcpCodec.DATA_HEADER_LENGTH, data.length - HtcpCodec.DATA_HEADER_LENGTH)
+                .slice();
+        try {
+            Body body = isResponse ? responseBody(opcode, responseCode, in) : requestBody(opcode, in);
+            if (in.hasRemaining()) {
+                throw new MalformedMessageException("octets behind OP-DATA");
+            }
+            return body;
+        } catch (BufferUnderflowException e) {
+            throw new MalformedMessageException("OP-DATA ends early");
+        }
+    }
+
+    private static Body requestBody(Opcode opcode, ByteBuffer in) throws MalformedMessageException {
+        return switch (opcode) {
+            case NOP -> new Empty();
+            case TST -> specifier(in);
+            case MON -> new Monitor(in.get() & 0xFF);
+            case SET -> identity(in);
+            case CLR -> {
+                int reason = in.getShort() & 15; // the other 12 bits are reserved
+                yield new Clear(reason, specifier(in));
+            }
+        };
+    }
+
+    private static Body responseBody(Opcode opcode, int code, ByteBuffer in) throws MalformedMessageException {
+        return switch (opcode) {
+            case NOP, SET, CLR -> new Empty();
+            case TST -> code == HtcpMessage.TST_PRESENT ? detail(in) : new CacheHeaders(text(in));
+            case MON -> code == HtcpMessage.MON_ACCEPTED ? change(in) : new Empty();
+        };
+    }
+
+    private static Change change(ByteBuffer in) throws MalformedMessageException {
+        int remainingSeconds = in.get() & 0xFF;
+        int actionAndReason = in.get() & 0xFF;
+        return new Change(remainingSeconds, actionAndReason >> 4, actionAndReason & 15, identity(in));
+    }
+
+    private static Specifier specifier(ByteBuffer in) throws MalformedMessageException {
+        return new Specifier(text(in), text(in), text(in), text(in));
+    }
+
+    private static Detail detail(ByteBuffer in) throws MalformedMessageException {
+        return new Detail(text(in), text(in), text(in));
+    }
+
+    private static Identity identity(ByteBuffer in) throws MalformedMessageException {
+        return new Identity(specifier(in), detail(in));
+    }
+
+    /** COUNTSTR: a length of 16 bits, which does not count itself, and so many octets. */
+    private static String text(ByteBuffer in) throws MalformedMessageException {
+        int length = in.getShort() & 0xFFFF;
+        if (length > in.remaining()) {
+            throw new MalformedMessageException("a string is longer than what holds it");
+        }
+        byte[] octets = new byte[length];
+        in.get(octets);
+        return new String(octets, StandardCharsets.ISO_8859_1);
+    }
+}
--- a/src/main/java/cacheproxy/htcp/HtcpSigner.java
+++ b/src/main/java/cacheproxy/htcp/HtcpSigner.java
@@ -1,6 +1,5 @@
 package cacheproxy.htcp;
 
-import cacheproxy.htcp.HtcpCodec.Auth;
 import java.net.InetSocketAddress;
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
@@ -10,81 +9,126 @@
 import javax.crypto.spec.SecretKeySpec;
 
 /**
- * Signs and checks messages by a shared key: HMAC-MD5 (RFC 2104) over addresses, ports, version, times, DATA and the
- * key's name (RFC 2756). Times come in. What it does not do: remember what it has seen; {@code siblings.ReplayGuard}
- * does.
+ * Signs and verifies messages with a shared key: HMAC-MD5 (RFC 2104) over addresses, ports, version, times, DATA and
+ * the key's name (RFC 2756). Reads no clock; confined to one thread. Replays are not detected here but by
+ * {@code cacheproxy.siblings.ReplayGuard}.
+ *
+ * <p>Has no caller yet: receiving signed HTCP messages is on the roadmap.
  */
 public final class HtcpSigner {
-    private final String name;
+    private static final String ALGORITHM = "HmacMD5";
+
+    private final String keyName;
     private final Mac mac;
 
-    /** @param secret not empty */
-    public HtcpSigner(String name, byte[] secret) {
-        this.name = name;
+    /** The result of verifying a signature. */
+    public enum Verdict {
+        VALID,
+        NOT_SIGNED,
+        /** Signed with a key of another name. */
+        UNKNOWN_KEY,
+        /** Signed in the future, by more than the allowed clock skew. */
+        NOT_YET_VALID,
+        EXPIRED,
+        /** Signed with another secret, or changed since. */
+        BAD_SIGNATURE
+    }
+
+    /**
+     * Creates a signer for one shared key.
+     *
+     * @param secret not empty
+     */
+    public HtcpSigner(String keyName, byte[] secret) {
+        this.keyName = keyName;
         try {
-            mac = Mac.getInstance("HmacMD5");
-            mac.init(new SecretKeySpec(secret, "HmacMD5"));
+            mac = Mac.getInstance(ALGORITHM);
+            mac.init(new SecretKeySpec(secret, ALGORITHM));
         } catch (GeneralSecurityException e) {
             throw new IllegalStateException(e);
         }
     }
 
-    /** Why a signature does not hold. */
-    public enum Verdict {
-        GOOD,
-        NOT_SIGNED,
-        OTHER_KEY,
-        NOT_YET,
-        EXPIRED,
-        WRONG
-    }
-
-    /** A signature for a message from here to there that holds for so many seconds from then on. */
-    public Auth sign(byte[] data, InetSocketAddress from, InetSocketAddress to, int now, int seconds) {
-        return new Auth(now, now + seconds, name, digest(data, from, to, 0, now, now + seconds));
+    /** Signs a message between two addresses, for so many seconds from now on. */
+    public HtcpAuth sign(
+            byte[] data, InetSocketAddress source, InetSocketAddress destination, int nowSeconds, int validitySeconds) {
+        int expiresAtSeconds = nowSeconds + validitySeconds;
+        return new HtcpAuth(
+                nowSeconds,
+                expiresAtSeconds,
+                keyName,
+                digest(data, source, destination, 0, nowSeconds, expiresAtSeconds));
     }
 
     /**
-     * Whether a signature holds now.
+     * Verifies the signature of a message between two addresses.
      *
-     * @param now seconds of Unix time
-     * @param skew seconds by which the other's clock may be ahead
+     * @param nowSeconds the present time, in unsigned seconds of Unix time
+     * @param maxSkewSeconds by how much the signer's clock may be ahead
      */
-    public Verdict check(HtcpCodec.Datagram d, InetSocketAddress from, InetSocketAddress to, int now, int skew) {
-        Auth a = d.auth();
-        if (a == null) {
+    public Verdict verify(
+            HtcpDatagram datagram,
+            InetSocketAddress source,
+            InetSocketAddress destination,
+            int nowSeconds,
+            int maxSkewSeconds) {
+        HtcpAuth auth = datagram.auth();
+        if (auth == null) {
             return Verdict.NOT_SIGNED;
         }
-        if (!a.keyName().equals(name)) {
-            return Verdict.OTHER_KEY;
+        if (!auth.keyName().equals(keyName)) {
+            return Verdict.UNKNOWN_KEY;
         }
-        // Compared in constant time, and before the times: who has no key learns nothing of our clock.
-        if (!MessageDigest.isEqual(a.signature(), digest(d.data(), from, to, d.minor(), a.time(), a.expires()))) {
-            return Verdict.WRONG;
+        byte[] expected = digest(
+                datagram.data(),
+                source,
+                destination,
+                datagram.minorVersion(),
+                auth.signedAtSeconds(),
+                auth.expiresAtSeconds());
+        // In constant time, and before the times are looked at: who lacks the key learns nothing of this clock.
+        return MessageDigest.isEqual(auth.signature(), expected)
+                ? verifyTimes(auth, nowSeconds, maxSkewSeconds)
+                : Verdict.BAD_SIGNATURE;
+    }
+
+    private static Verdict verifyTimes(HtcpAuth auth, int nowSeconds, int maxSkewSeconds) {
+        long signedAt = Integer.toUnsignedLong(auth.signedAtSeconds());
+        long expiresAt = Integer.toUnsignedLong(auth.expiresAtSeconds());
+        long now = Integer.toUnsignedLong(nowSeconds);
+        if (signedAt > now + maxSkewSeconds) {
+            return Verdict.NOT_YET_VALID;
         }
-        long made = Integer.toUnsignedLong(a.time());
-        long until = Integer.toUnsignedLong(a.expires());
-        long at = Integer.toUnsignedLong(now);
-        return made > at + skew ? Verdict.NOT_YET : until < at || until < made ? Verdict.EXPIRED : Verdict.GOOD;
+        return expiresAt < now || expiresAt < signedAt ? Verdict.EXPIRED : Verdict.VALID;
     }
 
-    private byte[] digest(byte[] data, InetSocketAddress from, InetSocketAddress to, int minor, int time, int expires) {
-        put(from);
-        put(to);
-        byte[] key = name.getBytes(StandardCharsets.ISO_8859_1);
+    private byte[] digest(
+            byte[] data,
+            InetSocketAddress source,
+            InetSocketAddress destination,
+            int minorVersion,
+            int signedAtSeconds,
+            int expiresAtSeconds) {
+        update(source);
+        update(destination);
         mac.update(ByteBuffer.allocate(10)
                 .put((byte) 0)
-                .put((byte) minor)
-                .putInt(time)
-                .putInt(expires)
+                .put((byte) minorVersion)
+                .putInt(signedAtSeconds)
+                .putInt(expiresAtSeconds)
                 .flip());
         mac.update(data);
-        mac.update(ByteBuffer.allocate(2).putShort((short) key.length).flip());
-        return mac.doFinal(key);
+        byte[] name = keyName.getBytes(StandardCharsets.ISO_8859_1);
+        updateShort(name.length);
+        return mac.doFinal(name);
+    }
+
+    private void update(InetSocketAddress address) {
+        mac.update(address.getAddress().getAddress());
+        updateShort(address.getPort());
     }
 
-    private void put(InetSocketAddress a) {
-        mac.update(a.getAddress().getAddress());
-        mac.update(ByteBuffer.allocate(2).putShort((short) a.getPort()).flip());
+    private void updateShort(int value) {
+        mac.update(ByteBuffer.allocate(2).putShort((short) value).flip());
     }
 }
--- a/src/main/java/cacheproxy/icp/IcpCodec.java
+++ b/src/main/java/cacheproxy/icp/IcpCodec.java
@@ -6,149 +6,185 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * ICP version 2 to and from datagrams (RFC 2186). Every field is checked against the datagram before it is believed;
- * nothing is allocated by a length that was not.
+ * Encodes and decodes datagrams of ICP version 2 (RFC 2186). Every length is checked against the datagram before
+ * anything is allocated by it. Stateless.
  *
  * <pre>
- *  0  opcode      1  version     2  message length (16)
+ *  0  opcode      1  version     2  message length (16 bits)
  *  4  request number             8  options
  * 12  option data               16  sender host address
- * 20  payload: query: requester host address (32), URL, NUL; hit_obj: URL, NUL, object size (16), object; else URL, NUL
+ * 20  payload: QUERY: requester host address (32 bits), URL, NUL
+ *              HIT_OBJ: URL, NUL, object size (16 bits), object
+ *              all others: URL, NUL
  * </pre>
  */
-@SuppressWarnings("StaticAssignmentOfThrowable") // no stack trace is taken: a flood of bad datagrams must stay cheap
+@SuppressWarnings("StaticAssignmentOfThrowable") // the exceptions have no stack trace
 public final class IcpCodec {
-    static final int HEADER = 20;
-    static final int VERSION = 2;
-    private static final int KNOWN_OPTIONS = IcpMessage.HIT_OBJ | IcpMessage.SRC_RTT;
+    private static final int VERSION = 2;
+    private static final int VERSION_OFFSET = 1;
+    private static final int LENGTH_OFFSET = 2;
+    private static final int REQUEST_NUMBER_OFFSET = 4;
+    private static final int OPTIONS_OFFSET = 8;
+    private static final int OPTION_DATA_OFFSET = 12;
+    private static final int SENDER_OFFSET = 16;
+    private static final int HEADER_LENGTH = 20;
+    private static final int ADDRESS_LENGTH = 4;
+    private static final int OBJECT_SIZE_LENGTH = 2;
+    private static final byte NUL = 0;
+    private static final int DELETE = 127;
+    private static final int KNOWN_OPTIONS = IcpMessage.FLAG_HIT_OBJ | IcpMessage.FLAG_SRC_RTT;
 
-    private IcpCodec() {}
-
-    /** What is wrong with a datagram, in words without its content. */
-    public static final class Malformed extends Exception {
-        private static final long serialVersionUID = 1L;
+    private static final MalformedMessageException TOO_SHORT = new MalformedMessageException("shorter than a header");
+    private static final MalformedMessageException TOO_LONG =
+            new MalformedMessageException("longer than " + IcpMessage.MAX_LENGTH + " octets");
+    private static final MalformedMessageException LENGTH_MISMATCH =
+            new MalformedMessageException("message length is not that of the datagram");
+    private static final MalformedMessageException UNKNOWN_VERSION = new MalformedMessageException("version is not 2");
+    private static final MalformedMessageException UNKNOWN_OPCODE =
+            new MalformedMessageException("opcode is none of RFC 2186");
+    private static final MalformedMessageException UNTERMINATED_URL =
+            new MalformedMessageException("URL does not end within the message");
+    private static final MalformedMessageException ILLEGAL_URL =
+            new MalformedMessageException("URL has octets that are not printing US-ASCII");
+    private static final MalformedMessageException TRAILING_OCTETS =
+            new MalformedMessageException("octets behind the payload");
+    private static final MalformedMessageException OBJECT_SIZE_MISMATCH =
+            new MalformedMessageException("object is not as long as it says");
 
-        Malformed(String message) {
-            super(message, null, false, false); // no trace: a flood of bad datagrams must stay cheap
-        }
-    }
-
-    private static final Malformed SHORT = new Malformed("shorter than a header");
-    private static final Malformed LONG = new Malformed("longer than " + IcpMessage.MAX_LENGTH + " octets");
-    private static final Malformed LENGTH = new Malformed("message length is not that of the datagram");
-    private static final Malformed OTHER_VERSION = new Malformed("version is not 2");
-    private static final Malformed OPCODE = new Malformed("opcode is none of RFC 2186");
-    private static final Malformed NO_URL = new Malformed("URL does not end within the message");
-    private static final Malformed ODD_URL = new Malformed("URL has octets that are not printing US-ASCII");
-    private static final Malformed REST = new Malformed("octets behind the payload");
-    private static final Malformed OBJECT = new Malformed("object is not as long as it says");
+    private IcpCodec() {}
 
     /**
-     * Reads one datagram, from the buffer's reader index to its end; the buffer stays the caller's.
+     * Decodes one datagram, from the buffer's reader index to its end. The buffer stays the caller's and unchanged.
+     * Option bits without a meaning are cleared, so that no caller acts on one.
      *
-     * @throws Malformed what is wrong with it; it is to be dropped
+     * @throws MalformedMessageException if it is not an ICP message, and is to be dropped
      */
-    public static IcpMessage decode(ByteBuf in) throws Malformed {
-        int at = in.readerIndex();
+    public static IcpMessage decode(ByteBuf in) throws MalformedMessageException {
+        int start = in.readerIndex();
+        Opcode opcode = checkHeader(in, start);
+        int urlStart = start + HEADER_LENGTH;
+        int requesterAddress = 0;
+        if (opcode == Opcode.QUERY) {
+            if (in.readableBytes() < HEADER_LENGTH + ADDRESS_LENGTH) {
+                throw UNTERMINATED_URL;
+            }
+            requesterAddress = in.getInt(urlStart);
+            urlStart += ADDRESS_LENGTH;
+        }
+        int urlEnd = findUrlEnd(in, urlStart);
+        byte[] object = readObject(in, opcode, urlEnd + 1);
+        return new IcpMessage(
+                opcode,
+                in.getInt(start + REQUEST_NUMBER_OFFSET),
+                in.getInt(start + OPTIONS_OFFSET) & KNOWN_OPTIONS,
+                in.getInt(start + OPTION_DATA_OFFSET),
+                in.getInt(start + SENDER_OFFSET),
+                requesterAddress,
+                in.toString(urlStart, urlEnd - urlStart, StandardCharsets.US_ASCII),
+                object);
+    }
+
+    private static Opcode checkHeader(ByteBuf in, int start) throws MalformedMessageException {
         int length = in.readableBytes();
-        if (length < HEADER) {
-            throw SHORT;
+        if (length < HEADER_LENGTH) {
+            throw TOO_SHORT;
         }
         if (length > IcpMessage.MAX_LENGTH) {
-            throw LONG;
+            throw TOO_LONG;
         }
-        if (in.getUnsignedShort(at + 2) != length) {
-            throw LENGTH;
+        if (in.getUnsignedShort(start + LENGTH_OFFSET) != length) {
+            throw LENGTH_MISMATCH;
         }
-        if (in.getByte(at + 1) != VERSION) {
-            throw OTHER_VERSION;
+        if (in.getByte(start + VERSION_OFFSET) != VERSION) {
+            throw UNKNOWN_VERSION;
         }
-        Opcode opcode = Opcode.of(in.getUnsignedByte(at));
+        Opcode opcode = Opcode.of(in.getUnsignedByte(start));
         if (opcode == null) {
-            throw OPCODE;
+            throw UNKNOWN_OPCODE;
         }
-        int from = at + HEADER;
-        int requester = 0;
-        if (opcode == Opcode.QUERY) {
-            if (length < HEADER + 4) {
-                throw NO_URL;
-            }
-            requester = in.getInt(from);
-            from += 4;
-        }
-        int end = in.indexOf(from, at + length, (byte) 0);
+        return opcode;
+    }
+
+    /** The index of the NUL that ends the URL. */
+    private static int findUrlEnd(ByteBuf in, int urlStart) throws MalformedMessageException {
+        int end = in.indexOf(urlStart, in.writerIndex(), NUL);
         if (end < 0) {
-            throw NO_URL;
+            throw UNTERMINATED_URL;
         }
-        for (int i = from; i < end; i++) {
-            int b = in.getByte(i);
-            if (b <= ' ' || b == 127) {
-                throw ODD_URL;
+        for (int i = urlStart; i < end; i++) {
+            int octet = in.getByte(i); // signed: octets from 128 on are below the space, too
+            if (octet <= ' ' || octet == DELETE) {
+                throw ILLEGAL_URL;
             }
         }
-        int behind = at + length - end - 1;
-        byte[] object = null;
-        if (opcode == Opcode.HIT_OBJ) {
-            if (behind < 2 || in.getUnsignedShort(end + 1) != behind - 2) {
-                throw OBJECT;
+        return end;
+    }
+
+    /** The object after the URL; null, and nothing after the URL, for opcodes without one. */
+    private static byte[] readObject(ByteBuf in, Opcode opcode, int start) throws MalformedMessageException {
+        int remaining = in.writerIndex() - start;
+        if (opcode != Opcode.HIT_OBJ) {
+            if (remaining != 0) {
+                throw TRAILING_OCTETS;
             }
-            object = new byte[behind - 2];
-            in.getBytes(end + 3, object);
-        } else if (behind != 0) {
-            throw REST;
+            return null;
         }
-        // Bits without a meaning are left out, so that no caller acts on one ("Options").
-        return new IcpMessage(
-                opcode,
-                in.getInt(at + 4),
-                in.getInt(at + 8) & KNOWN_OPTIONS,
-                in.getInt(at + 12),
-                in.getInt(at + 16),
-                requester,
-                in.toString(from, end - from, StandardCharsets.US_ASCII),
-                object);
+        int size = remaining - OBJECT_SIZE_LENGTH;
+        if (size < 0 || in.getUnsignedShort(start) != size) {
+            throw OBJECT_SIZE_MISMATCH;
+        }
+        byte[] object = new byte[size];
+        in.getBytes(start + OBJECT_SIZE_LENGTH, object);
+        return object;
     }
 
-    /** Octets of a message. */
-    public static int length(IcpMessage m) {
-        return HEADER
-                + (m.opcode() == Opcode.QUERY ? 4 : 0)
-                + m.url().length()
+    /** The length of an encoded message, in octets. */
+    public static int encodedLength(IcpMessage message) {
+        return HEADER_LENGTH
+                + (message.opcode() == Opcode.QUERY ? ADDRESS_LENGTH : 0)
+                + message.url().length()
                 + 1
-                + (m.opcode() == Opcode.HIT_OBJ ? 2 + m.object().length : 0);
+                + (message.opcode() == Opcode.HIT_OBJ ? OBJECT_SIZE_LENGTH + message.object().length : 0);
     }
 
     /**
-     * A datagram, the caller's to release.
+     * Encodes a message into a buffer that the caller releases.
      *
-     * @throws IllegalArgumentException if it would be too long, has an object where none belongs or a URL that can't be
+     * @throws IllegalArgumentException if the message is too long, has an object where none belongs, lacks one, or has
+     *     illegal options or an illegal URL
      */
-    public static ByteBuf encode(ByteBufAllocator alloc, IcpMessage m) {
-        int length = length(m);
+    public static ByteBuf encode(ByteBufAllocator allocator, IcpMessage message) {
+        int length = encodedLength(message);
         if (length > IcpMessage.MAX_LENGTH) {
             throw new IllegalArgumentException(length + " octets");
         }
-        if ((m.object() != null) != (m.opcode() == Opcode.HIT_OBJ)
-                || (m.options() & ~KNOWN_OPTIONS) != 0
-                || !m.url().chars().allMatch(c -> c > ' ' && c < 127)) {
-            throw new IllegalArgumentException("no message of ICP: " + m);
+        if (!isEncodable(message)) {
+            throw new IllegalArgumentException("no message of ICP: " + message);
         }
-        ByteBuf out = alloc.buffer(length, length);
-        out.writeByte(m.opcode().code)
+        ByteBuf out = allocator.buffer(length, length);
+        out.writeByte(message.opcode().code())
                 .writeByte(VERSION)
                 .writeShort(length)
-                .writeInt(m.requestNumber())
-                .writeInt(m.options())
-                .writeInt(m.optionData())
-                .writeInt(m.sender());
-        if (m.opcode() == Opcode.QUERY) {
-            out.writeInt(m.requester());
+                .writeInt(message.requestNumber())
+                .writeInt(message.options())
+                .writeInt(message.optionData())
+                .writeInt(message.senderAddress());
+        if (message.opcode() == Opcode.QUERY) {
+            out.writeInt(message.requesterAddress());
         }
-        out.writeCharSequence(m.url(), StandardCharsets.US_ASCII);
-        out.writeByte(0);
-        if (m.opcode() == Opcode.HIT_OBJ) {
-            out.writeShort(m.object().length).writeBytes(m.object());
+        out.writeCharSequence(message.url(), StandardCharsets.US_ASCII);
+        out.writeByte(NUL);
+        if (message.opcode() == Opcode.HIT_OBJ) {
+            out.writeShort(message.object().length).writeBytes(message.object());
         }
         return out;
     }
+
+    private static boolean isEncodable(IcpMessage message) {
+        boolean objectFitsOpcode = (message.object() != null) == (message.opcode() == Opcode.HIT_OBJ);
+        boolean optionsAreKnown = (message.options() & ~KNOWN_OPTIONS) == 0;
+        return objectFitsOpcode
+                && optionsAreKnown
+                && message.url().chars().allMatch(character -> character > ' ' && character < DELETE);
+    }
 }
--- a/src/main/java/cacheproxy/icp/IcpMessage.java
+++ b/src/main/java/cacheproxy/icp/IcpMessage.java
@@ -3,12 +3,12 @@
 /**
  * A message of ICP version 2 (RFC 2186).
  *
- * @param requestNumber names the question, 32 bits, the same in its answer
- * @param options bits of {@link #HIT_OBJ} and {@link #SRC_RTT}; others are 0
- * @param optionData with {@link #SRC_RTT} in an answer its low 16 bits are the milliseconds to the origin
- * @param sender what the message says of its sender's IPv4 address; it proves nothing ("Sender Host Address")
- * @param requester of a query: its client's IPv4 address, 0 if not told; else 0
- * @param url what it is about; US-ASCII without NUL, may be empty in an error
+ * @param requestNumber identifies a query, the same in its replies
+ * @param options bits {@link #FLAG_HIT_OBJ} and {@link #FLAG_SRC_RTT}; all others are 0
+ * @param optionData with {@link #FLAG_SRC_RTT} in a reply, its low 16 bits are the round-trip time to the origin in ms
+ * @param senderAddress the sender's IPv4 address according to the message, which proves nothing
+ * @param requesterAddress of a query: its client's IPv4 address, 0 if unknown; else 0
+ * @param url the URL asked about; US-ASCII without NUL, may be empty in an error
  * @param object of {@link Opcode#HIT_OBJ}: the object; else null
  */
 @SuppressWarnings("ArrayRecordComponent") // the arrays are read only, and instances are not compared
@@ -17,18 +17,18 @@
         int requestNumber,
         int options,
         int optionData,
-        int sender,
-        int requester,
+        int senderAddress,
+        int requesterAddress,
         String url,
         byte[] object) {
-    /** No message is larger, in octets ("Message Length"). */
+    /** Longest message, in octets. */
     public static final int MAX_LENGTH = 16_384;
-    /** In a query: the object itself may be sent in the answer. */
-    public static final int HIT_OBJ = 0x80000000;
-    /** In a query: tell the time to the origin. In an answer: it is told. */
-    public static final int SRC_RTT = 0x40000000;
+    /** In a query: the reply may contain the object itself. */
+    public static final int FLAG_HIT_OBJ = 0x80000000;
+    /** In a query: asks for the round-trip time to the origin. In a reply: the time is given. */
+    public static final int FLAG_SRC_RTT = 0x40000000;
 
-    /** The opcodes. */
+    /** The opcodes of RFC 2186, with their codes; 0 is {@code ICP_OP_INVALID}, which is never sent. */
     public enum Opcode {
         QUERY(1),
         HIT(2),
@@ -40,45 +40,53 @@
         DENIED(22),
         HIT_OBJ(23);
 
-        final int code;
+        private static final Opcode[] BY_CODE = byCode();
+
+        private final int code;
 
         Opcode(int code) {
             this.code = code;
         }
 
-        /** Null where there is none of this code; 0 is {@code ICP_OP_INVALID}, which is never sent. */
-        static Opcode of(int code) {
-            for (Opcode o : values()) {
-                if (o.code == code) {
-                    return o;
-                }
+        private static Opcode[] byCode() {
+            Opcode[] opcodes = new Opcode[HIT_OBJ.code + 1];
+            for (Opcode opcode : values()) {
+                opcodes[opcode.code] = opcode;
             }
-            return null;
+            return opcodes;
+        }
+
+        /** The code in a message. */
+        int code() {
+            return code;
+        }
+
+        /** The opcode with this code; null if there is none. */
+        static Opcode of(int code) {
+            return code >= 0 && code < BY_CODE.length ? BY_CODE[code] : null;
         }
 
-        /** Whether it ends a question. */
-        public boolean answers() {
-            return this == HIT
-                    || this == MISS
-                    || this == ERR
-                    || this == MISS_NOFETCH
-                    || this == DENIED
-                    || this == HIT_OBJ;
+        /** Whether a message with this opcode replies to a query. */
+        public boolean isReply() {
+            return switch (this) {
+                case HIT, MISS, ERR, MISS_NOFETCH, DENIED, HIT_OBJ -> true;
+                case QUERY, SECHO, DECHO -> false;
+            };
         }
     }
 
-    /** A question. */
+    /** A query. */
     public static IcpMessage query(int requestNumber, int options, String url) {
         return new IcpMessage(Opcode.QUERY, requestNumber, options, 0, 0, 0, url, null);
     }
 
-    /** An answer without an object to this query. */
-    public IcpMessage answer(Opcode with) {
-        return new IcpMessage(with, requestNumber, 0, 0, 0, 0, url, null);
+    /** A reply to this query, without an object. */
+    public IcpMessage reply(Opcode replyOpcode) {
+        return new IcpMessage(replyOpcode, requestNumber, 0, 0, 0, 0, url, null);
     }
 
-    /** The milliseconds to the origin that an answer tells of, 0 to 65,535; -1: none. */
+    /** The round-trip time to the origin that a reply gives, 0 to 65,535 ms; -1 if it gives none. */
     public int sourceRttMs() {
-        return opcode != Opcode.QUERY && (options & SRC_RTT) != 0 ? optionData & 0xFFFF : -1;
+        return opcode != Opcode.QUERY && (options & FLAG_SRC_RTT) != 0 ? optionData & 0xFFFF : -1;
     }
 }
--- a/src/main/java/cacheproxy/icp/package-info.java
+++ b/src/main/java/cacheproxy/icp/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Codec of ICP version 2 (RFC 2186): datagrams to messages and back. Malformed datagrams are an exception without a
- * stack trace.
+ * Codec of the Internet Cache Protocol, version 2 (RFC 2186): {@link cacheproxy.icp.IcpCodec} turns datagrams into
+ * {@link cacheproxy.icp.IcpMessage messages} and back. Stateless, and free of sockets: the socket and the decisions
+ * about queries and replies are elsewhere ({@code cacheproxy.daemon}, {@link cacheproxy.siblings}).
  */
 package cacheproxy.icp;
--- a/src/test/java/cacheproxy/daemon/SiblingCachesTest.java
+++ b/src/test/java/cacheproxy/daemon/SiblingCachesTest.java
@@ -287,7 +287,7 @@
                             DatagramPacket p = new DatagramPacket(buf, buf.length);
                             icp.receive(p);
                             IcpMessage q = IcpCodec.decode(Unpooled.wrappedBuffer(buf, 0, p.getLength()));
-                            ByteBuf out = IcpCodec.encode(ByteBufAllocator.DEFAULT, q.answer(Opcode.HIT));
+                            ByteBuf out = IcpCodec.encode(ByteBufAllocator.DEFAULT, q.reply(Opcode.HIT));
                             byte[] bytes = new byte[out.readableBytes()];
                             out.readBytes(bytes).release();
                             icp.send(new DatagramPacket(bytes, bytes.length, p.getSocketAddress()));
@@ -447,7 +447,7 @@
             }
             packet.setLength(buf.length);
         }
-        int length = IcpCodec.length(m);
+        int length = IcpCodec.encodedLength(m);
         assertThat(m.url()).isEqualTo(url);
         assertThat(length).as("no amplification").isLessThanOrEqualTo(24 + url.length() + 1);
         assertThat(new String(buf, 20, url.length(), StandardCharsets.US_ASCII)).isEqualTo(url);
--- a/src/test/java/cacheproxy/htcp/HtcpCodecTest.java
+++ b/src/test/java/cacheproxy/htcp/HtcpCodecTest.java
@@ -38,73 +38,74 @@
         return HexFormat.of().parseHex(text.replace(" ", ""));
     }
 
-    private static HtcpCodec.Datagram decode(byte[] bytes) throws HtcpCodec.Malformed {
+    private static HtcpDatagram decode(byte[] bytes) throws MalformedMessageException {
         return HtcpCodec.decode(bytes, 0, bytes.length);
     }
 
-    private static byte[] encode(HtcpMessage m) {
-        return HtcpCodec.datagram(HtcpCodec.data(m), null);
+    private static byte[] encode(HtcpMessage message) {
+        return HtcpCodec.encodeDatagram(HtcpCodec.encodeData(message), null);
     }
 
     /** 14 octets, 0.0; DATA of 8: NOP, RD, transaction 0x0a0b0c0d; AUTH of 2. */
     @Test
-    void aNopByHand() throws Exception {
+    void encodesAndDecodesTheGoldenNop() throws Exception {
         byte[] bytes = hex("000e 00 00 0008 00 02 0a0b0c0d 0002");
-        HtcpMessage m = HtcpMessage.request(Opcode.NOP, 0x0a0b0c0d, new Empty());
-        assertThat(decode(bytes).message()).isEqualTo(m);
+        HtcpMessage message = HtcpMessage.request(Opcode.NOP, 0x0a0b0c0d, new Empty());
+        assertThat(decode(bytes).message()).isEqualTo(message);
         assertThat(decode(bytes).auth()).isNull();
-        assertThat(encode(m)).isEqualTo(bytes);
-        assertThat(encode(m.respond(0, new Empty()))).isEqualTo(hex("000e 00 00 0008 00 01 0a0b0c0d 0002"));
-        assertThat(encode(m.refuse(HtcpMessage.INAPPROPRIATE))).isEqualTo(hex("000e 00 00 0008 05 03 0a0b0c0d 0002"));
+        assertThat(encode(message)).isEqualTo(bytes);
+        assertThat(encode(message.respond(0, new Empty()))).isEqualTo(hex("000e 00 00 0008 00 01 0a0b0c0d 0002"));
+        assertThat(encode(message.rejectMessage(HtcpMessage.INAPPROPRIATE)))
+                .isEqualTo(hex("000e 00 00 0008 05 03 0a0b0c0d 0002"));
     }
 
     /** TST of GET a: four strings of 3, 1, 3 and 0 octets, each behind its length. */
     @Test
-    void aTestAndItsResponsesByHand() throws Exception {
+    void encodesAndDecodesTheGoldenTestAndItsResponses() throws Exception {
         byte[] bytes = hex("001d 00 00 0017 10 02 00000001 0003474554 000161 0003312e31 0000 0002");
-        HtcpMessage m = HtcpMessage.request(Opcode.TST, 1, GET);
-        assertThat(encode(m)).isEqualTo(bytes);
-        assertThat(decode(bytes).message()).isEqualTo(m);
+        HtcpMessage message = HtcpMessage.request(Opcode.TST, 1, GET);
+        assertThat(encode(message)).isEqualTo(bytes);
+        assertThat(decode(bytes).message()).isEqualTo(message);
         byte[] present = hex("0020 00 00 001a 10 01 00000001 0006413a20620d0a 0000 0006433a20640d0a 0002");
-        assertThat(decode(present).message()).isEqualTo(m.respond(HtcpMessage.TST_PRESENT, DETAIL));
-        assertThat(encode(m.respond(HtcpMessage.TST_PRESENT, DETAIL))).isEqualTo(present);
+        assertThat(decode(present).message()).isEqualTo(message.respond(HtcpMessage.TST_PRESENT, DETAIL));
+        assertThat(encode(message.respond(HtcpMessage.TST_PRESENT, DETAIL))).isEqualTo(present);
         byte[] absent = hex("0010 00 00 000a 11 01 00000001 0000 0002");
-        assertThat(decode(absent).message()).isEqualTo(m.respond(HtcpMessage.TST_ABSENT, new CacheHeaders("")));
-        assertThat(encode(m.respond(HtcpMessage.TST_ABSENT, new CacheHeaders(""))))
+        assertThat(decode(absent).message()).isEqualTo(message.respond(HtcpMessage.TST_ABSENT, new CacheHeaders("")));
+        assertThat(encode(message.respond(HtcpMessage.TST_ABSENT, new CacheHeaders(""))))
                 .isEqualTo(absent);
     }
 
     /** CLR: 12 reserved bits, 4 of the reason, then the specifier. */
     @Test
-    void aClearByHand() throws Exception {
+    void encodesAndDecodesTheGoldenClear() throws Exception {
         byte[] bytes = hex("001f 00 00 0019 40 02 00000001 0001 0003474554 000161 0003312e31 0000 0002");
-        HtcpMessage m = HtcpMessage.request(Opcode.CLR, 1, new Clear(1, GET));
-        assertThat(encode(m)).isEqualTo(bytes);
-        assertThat(decode(bytes).message()).isEqualTo(m);
+        HtcpMessage message = HtcpMessage.request(Opcode.CLR, 1, new Clear(1, GET));
+        assertThat(encode(message)).isEqualTo(bytes);
+        assertThat(decode(bytes).message()).isEqualTo(message);
         assertThat(decode(hex("001f 00 00 0019 40 02 00000001 fff1 0003474554 000161 0003312e31 0000 0002"))
                         .message())
                 .as("reserved bits say nothing")
-                .isEqualTo(m);
+                .isEqualTo(message);
     }
 
     /** MON: one octet of seconds; its response: seconds, action and reason of four bits each, an identity. */
     @Test
-    void aMonitorByHand() throws Exception {
+    void encodesAndDecodesTheGoldenMonitor() throws Exception {
         byte[] bytes = hex("000f 00 00 0009 20 02 00000001 ff 0002");
-        HtcpMessage m = HtcpMessage.request(Opcode.MON, 1, new Monitor(255));
-        assertThat(encode(m)).isEqualTo(bytes);
-        assertThat(decode(bytes).message()).isEqualTo(m);
-        HtcpMessage change =
-                m.respond(HtcpMessage.MON_ACCEPTED, new Change(200, 3, 5, new Identity(GET, new Detail("", "", ""))));
+        HtcpMessage message = HtcpMessage.request(Opcode.MON, 1, new Monitor(255));
+        assertThat(encode(message)).isEqualTo(bytes);
+        assertThat(decode(bytes).message()).isEqualTo(message);
+        HtcpMessage change = message.respond(
+                HtcpMessage.MON_ACCEPTED, new Change(200, 3, 5, new Identity(GET, new Detail("", "", ""))));
         byte[] told = hex("0025 00 00 001f 20 01 00000001 c8 35 0003474554 000161 0003312e31 0000 0000 0000 0000 0002");
         assertThat(encode(change)).isEqualTo(told);
         assertThat(decode(told).message()).isEqualTo(change);
-        assertThat(decode(hex("000e 00 00 0008 21 01 00000001 0002")).message().response())
+        assertThat(decode(hex("000e 00 00 0008 21 01 00000001 0002")).message().responseCode())
                 .isEqualTo(HtcpMessage.MON_REFUSED);
     }
 
     @Test
-    void everyBodyIsReadAsItWasWritten() throws Exception {
+    void decodesEveryBodyThatItEncodes() throws Exception {
         List<HtcpMessage> all = List.of(
                 HtcpMessage.request(Opcode.SET, 7, new Identity(GET, DETAIL)),
                 HtcpMessage.request(Opcode.SET, 7, new Identity(GET, DETAIL))
@@ -112,22 +113,22 @@
                 HtcpMessage.request(Opcode.CLR, 7, new Clear(0, GET)).respond(HtcpMessage.CLR_ABSENT, new Empty()),
                 HtcpMessage.request(
                         Opcode.TST, 7, new Specifier("HEAD", "http://\u00e4/", "HTTP/1.0", "X: y\r\n".repeat(999))));
-        for (HtcpMessage m : all) {
-            assertThat(decode(encode(m)).message()).isEqualTo(m);
+        for (HtcpMessage message : all) {
+            assertThat(decode(encode(message)).message()).isEqualTo(message);
         }
     }
 
     /** A major version that is not known can be told of, by its transaction; so can an opcode. */
     @Test
-    void whatIsNotKnownIsReadAsFarAsAnAnswerNeedsIt() throws Exception {
-        HtcpCodec.Datagram other = decode(hex("000e 01 07 0008 f0 02 0a0b0c0d 0002"));
-        assertThat(other.major()).isEqualTo(1);
+    void decodesUnknownVersionsAndOpcodesAsFarAsAResponseNeeds() throws Exception {
+        HtcpDatagram other = decode(hex("000e 01 07 0008 f0 02 0a0b0c0d 0002"));
+        assertThat(other.majorVersion()).isEqualTo(1);
         assertThat(other.message()).isNull();
-        assertThat(other.transaction()).isEqualTo(0x0a0b0c0d);
-        HtcpCodec.Datagram opcode = decode(hex("000e 00 00 0008 50 02 0a0b0c0d 0002"));
+        assertThat(other.transactionId()).isEqualTo(0x0a0b0c0d);
+        HtcpDatagram opcode = decode(hex("000e 00 00 0008 50 02 0a0b0c0d 0002"));
         assertThat(opcode.message()).isNull();
         assertThat(opcode.opcode()).isEqualTo(5);
-        assertThat(decode(hex("000e 00 09 0008 00 02 0a0b0c0d 0002")).message().minor())
+        assertThat(decode(hex("000e 00 09 0008 00 02 0a0b0c0d 0002")).message().minorVersion())
                 .isEqualTo(9);
         // Octets behind AUTH are padding; reserved bits of DATA say nothing.
         assertThat(decode(hex("0011 00 00 0008 00 fe 0a0b0c0d 0002 ffffff")).message())
@@ -159,25 +160,25 @@
                 "001a 00 00 0008 00 02 0a0b0c0d 000e 00000000 00000000 0003 0000 | a string is longer",
                 "001b 00 00 0008 00 02 0a0b0c0d 000f 00000000 00000000 0000 0000 00 | octets behind the signature"
             })
-    void whatIsCutTooLongOrInconsistentIsTold(String bytes, String why) {
+    void rejectsTruncatedOverlongAndInconsistentDatagrams(String bytes, String why) {
         assertThatThrownBy(() -> decode(hex(bytes)))
-                .isInstanceOf(HtcpCodec.Malformed.class)
+                .isInstanceOf(MalformedMessageException.class)
                 .hasMessageContaining(why);
     }
 
     @SuppressWarnings("EnumOrdinal") // draws a constant, or checks its code on the wire
     @Test
-    void damagedAndInventedDatagramsAreReadOrRefusedAndNeverMore() throws Exception {
+    void decodesOrRejectsCorruptedDatagrams() throws Exception {
         SplittableRandom random = new SplittableRandom(3);
         HtcpSigner signer = new HtcpSigner("k", new byte[] {1});
         Body[] bodies = {new Empty(), GET, new Monitor(9), new Identity(GET, DETAIL), new Clear(1, GET)};
         int read = 0;
         for (int i = 0; i < 60_000; i++) {
             int op = random.nextInt(5);
-            byte[] data = HtcpCodec.data(HtcpMessage.request(Opcode.values()[op], i, bodies[op]));
+            byte[] data = HtcpCodec.encodeData(HtcpMessage.request(Opcode.values()[op], i, bodies[op]));
             byte[] bytes =
-                    HtcpCodec.datagram(data, random.nextBoolean() ? null : signer.sign(data, HERE, THERE, i, 60));
-            for (int n = random.nextInt(3); n > 0; n--) {
+                    HtcpCodec.encodeDatagram(data, random.nextBoolean() ? null : signer.sign(data, HERE, THERE, i, 60));
+            for (int remaining = random.nextInt(3); remaining > 0; remaining--) {
                 bytes[random.nextInt(bytes.length)] = (byte) random.nextInt();
             }
             if (random.nextInt(4) == 0) {
@@ -188,13 +189,14 @@
                 }
             }
             try {
-                HtcpCodec.Datagram d = decode(bytes);
-                if (d.message() != null && !(d.reply() && d.message().flag())) {
-                    assertThat(decode(encode(d.message())).message().body())
-                            .isEqualTo(d.message().body());
+                HtcpDatagram datagram = decode(bytes);
+                if (datagram.message() != null
+                        && !(datagram.isResponse() && datagram.message().flag())) {
+                    assertThat(decode(encode(datagram.message())).message().body())
+                            .isEqualTo(datagram.message().body());
                 }
                 read++;
-            } catch (HtcpCodec.Malformed e) {
+            } catch (MalformedMessageException e) {
                 assertThat(e.getMessage()).isNotBlank();
             }
         }
@@ -205,8 +207,8 @@
 
     /** The octets that the RFC lists, put together here without the signer. */
     @Test
-    void aSignatureCoversWhatTheRfcLists() throws Exception {
-        byte[] data = HtcpCodec.data(HtcpMessage.request(Opcode.TST, 1, GET));
+    void signatureCoversTheFieldsOfTheRfc() throws Exception {
+        byte[] data = HtcpCodec.encodeData(HtcpMessage.request(Opcode.TST, 1, GET));
         byte[] secret = "secret".getBytes(StandardCharsets.US_ASCII);
         ByteBuffer text = ByteBuffer.allocate(200)
                 .put(hex("7f000001 12db 7f000002 12dc 00 00 00000064 000000a0"))
@@ -216,41 +218,43 @@
         Mac mac = Mac.getInstance("HmacMD5");
         mac.init(new SecretKeySpec(secret, "HmacMD5"));
         mac.update(text.array(), 0, text.position());
-        HtcpCodec.Auth auth = new HtcpSigner("key", secret).sign(data, HERE, THERE, 100, 60);
-        assertThat(auth).isEqualTo(new HtcpCodec.Auth(100, 160, "key", mac.doFinal()));
-        byte[] datagram = HtcpCodec.datagram(data, auth);
+        HtcpAuth auth = new HtcpSigner("key", secret).sign(data, HERE, THERE, 100, 60);
+        assertThat(auth).isEqualTo(new HtcpAuth(100, 160, "key", mac.doFinal()));
+        byte[] datagram = HtcpCodec.encodeDatagram(data, auth);
         assertThat(decode(datagram).auth()).isEqualTo(auth);
         assertThat(Arrays.copyOfRange(datagram, 4 + data.length, 4 + data.length + 15))
                 .isEqualTo(hex("0021 00000064 000000a0 00036b6579"));
     }
 
     @Test
-    void onlyTheRightKeyTimeAndPlaceAreGood() throws Exception {
+    void verifiesOnlyTheRightKeyTimeAndAddresses() throws Exception {
         HtcpSigner signer = new HtcpSigner("key", new byte[] {1, 2, 3});
-        byte[] data = HtcpCodec.data(HtcpMessage.request(Opcode.CLR, 1, new Clear(0, GET)));
-        byte[] bytes = HtcpCodec.datagram(data, signer.sign(data, HERE, THERE, 1000, 60));
-        HtcpCodec.Datagram d = decode(bytes);
-        assertThat(signer.check(d, HERE, THERE, 1000, 5)).isEqualTo(HtcpSigner.Verdict.GOOD);
-        assertThat(signer.check(d, HERE, THERE, 1060, 5)).isEqualTo(HtcpSigner.Verdict.GOOD);
-        assertThat(signer.check(d, HERE, THERE, 1061, 5)).isEqualTo(HtcpSigner.Verdict.EXPIRED);
-        assertThat(signer.check(d, HERE, THERE, 995, 5)).isEqualTo(HtcpSigner.Verdict.GOOD);
-        assertThat(signer.check(d, HERE, THERE, 994, 5)).isEqualTo(HtcpSigner.Verdict.NOT_YET);
-        assertThat(signer.check(d, THERE, HERE, 1000, 5)).as("turned round").isEqualTo(HtcpSigner.Verdict.WRONG);
-        assertThat(signer.check(d, HERE, new InetSocketAddress("127.0.0.2", 1), 1000, 5))
-                .isEqualTo(HtcpSigner.Verdict.WRONG);
-        assertThat(new HtcpSigner("key", new byte[] {1, 2, 4}).check(d, HERE, THERE, 1000, 5))
-                .isEqualTo(HtcpSigner.Verdict.WRONG);
-        assertThat(new HtcpSigner("other", new byte[] {1, 2, 3}).check(d, HERE, THERE, 1000, 5))
-                .isEqualTo(HtcpSigner.Verdict.OTHER_KEY);
-        assertThat(signer.check(decode(HtcpCodec.datagram(data, null)), HERE, THERE, 1000, 5))
+        byte[] data = HtcpCodec.encodeData(HtcpMessage.request(Opcode.CLR, 1, new Clear(0, GET)));
+        byte[] bytes = HtcpCodec.encodeDatagram(data, signer.sign(data, HERE, THERE, 1000, 60));
+        HtcpDatagram datagram = decode(bytes);
+        assertThat(signer.verify(datagram, HERE, THERE, 1000, 5)).isEqualTo(HtcpSigner.Verdict.VALID);
+        assertThat(signer.verify(datagram, HERE, THERE, 1060, 5)).isEqualTo(HtcpSigner.Verdict.VALID);
+        assertThat(signer.verify(datagram, HERE, THERE, 1061, 5)).isEqualTo(HtcpSigner.Verdict.EXPIRED);
+        assertThat(signer.verify(datagram, HERE, THERE, 995, 5)).isEqualTo(HtcpSigner.Verdict.VALID);
+        assertThat(signer.verify(datagram, HERE, THERE, 994, 5)).isEqualTo(HtcpSigner.Verdict.NOT_YET_VALID);
+        assertThat(signer.verify(datagram, THERE, HERE, 1000, 5))
+                .as("turned round")
+                .isEqualTo(HtcpSigner.Verdict.BAD_SIGNATURE);
+        assertThat(signer.verify(datagram, HERE, new InetSocketAddress("127.0.0.2", 1), 1000, 5))
+                .isEqualTo(HtcpSigner.Verdict.BAD_SIGNATURE);
+        assertThat(new HtcpSigner("key", new byte[] {1, 2, 4}).verify(datagram, HERE, THERE, 1000, 5))
+                .isEqualTo(HtcpSigner.Verdict.BAD_SIGNATURE);
+        assertThat(new HtcpSigner("other", new byte[] {1, 2, 3}).verify(datagram, HERE, THERE, 1000, 5))
+                .isEqualTo(HtcpSigner.Verdict.UNKNOWN_KEY);
+        assertThat(signer.verify(decode(HtcpCodec.encodeDatagram(data, null)), HERE, THERE, 1000, 5))
                 .isEqualTo(HtcpSigner.Verdict.NOT_SIGNED);
         int good = 0;
         for (int bit = 16; bit < bytes.length * 8; bit++) {
             byte[] bad = bytes.clone();
             bad[bit / 8] ^= (byte) (1 << bit % 8);
             try {
-                good += signer.check(decode(bad), HERE, THERE, 1000, 5) == HtcpSigner.Verdict.GOOD ? 1 : 0;
-            } catch (HtcpCodec.Malformed e) {
+                good += signer.verify(decode(bad), HERE, THERE, 1000, 5) == HtcpSigner.Verdict.VALID ? 1 : 0;
+            } catch (MalformedMessageException e) {
                 // dropped
             }
         }
--- a/src/test/java/cacheproxy/htcp/HtcpGoldenBytesTest.java
+++ b/src/test/java/cacheproxy/htcp/HtcpGoldenBytesTest.java
@@ -25,9 +25,10 @@
     private static final InetSocketAddress HERE = new InetSocketAddress(InetAddress.getLoopbackAddress(), 4827);
     private static final InetSocketAddress THERE = new InetSocketAddress("127.0.0.2", 4828);
 
-    private static void assertBytes(HtcpMessage message, String digits) throws HtcpCodec.Malformed {
+    private static void assertBytes(HtcpMessage message, String digits) throws MalformedMessageException {
         byte[] golden = HexBytes.parse(digits);
-        assertThat(HtcpCodec.datagram(HtcpCodec.data(message), null)).isEqualTo(golden);
+        assertThat(HtcpCodec.encodeDatagram(HtcpCodec.encodeData(message), null))
+                .isEqualTo(golden);
         assertThat(HtcpCodec.decode(golden, 0, golden.length).message()).isEqualTo(message);
     }
 
@@ -47,7 +48,7 @@
         HtcpMessage clear =
                 HtcpMessage.request(Opcode.CLR, 1, new Clear(0, new Specifier("HEAD", "a", "1.1", "A: b\r\n")));
         assertBytes(clear, "0026 00 00 0020 40 02 00000001 0000 000448454144 000161 0003312e31 0006413a20620d0a 0002");
-        assertBytes(clear.respond(HtcpMessage.CLR_GONE, new Empty()), "000e 00 00 0008 40 01 00000001 0002");
+        assertBytes(clear.respond(HtcpMessage.CLR_REMOVED, new Empty()), "000e 00 00 0008 40 01 00000001 0002");
         assertBytes(clear.respond(HtcpMessage.CLR_KEPT, new Empty()), "000e 00 00 0008 41 01 00000001 0002");
         assertBytes(clear.respond(HtcpMessage.CLR_ABSENT, new Empty()), "000e 00 00 0008 42 01 00000001 0002");
     }
@@ -58,11 +59,11 @@
         assertBytes(
                 test.respond(HtcpMessage.TST_ABSENT, new CacheHeaders("C: d\r\n")),
                 "0016 00 00 0010 11 01 00000001 0006433a20640d0a 0002");
-        assertBytes(test.refuse(HtcpMessage.AUTH_REQUIRED), "000e 00 00 0008 10 03 00000001 0002");
-        assertBytes(test.refuse(HtcpMessage.AUTH_FAILED), "000e 00 00 0008 11 03 00000001 0002");
-        assertBytes(test.refuse(HtcpMessage.NOT_IMPLEMENTED), "000e 00 00 0008 12 03 00000001 0002");
-        assertBytes(test.refuse(HtcpMessage.MAJOR_NOT_SUPPORTED), "000e 00 00 0008 13 03 00000001 0002");
-        assertBytes(test.refuse(HtcpMessage.MINOR_NOT_SUPPORTED), "000e 00 00 0008 14 03 00000001 0002");
+        assertBytes(test.rejectMessage(HtcpMessage.AUTH_REQUIRED), "000e 00 00 0008 10 03 00000001 0002");
+        assertBytes(test.rejectMessage(HtcpMessage.AUTH_FAILED), "000e 00 00 0008 11 03 00000001 0002");
+        assertBytes(test.rejectMessage(HtcpMessage.NOT_IMPLEMENTED), "000e 00 00 0008 12 03 00000001 0002");
+        assertBytes(test.rejectMessage(HtcpMessage.MAJOR_NOT_SUPPORTED), "000e 00 00 0008 13 03 00000001 0002");
+        assertBytes(test.rejectMessage(HtcpMessage.MINOR_NOT_SUPPORTED), "000e 00 00 0008 14 03 00000001 0002");
         assertBytes(
                 HtcpMessage.request(Opcode.MON, 1, new HtcpMessage.Monitor(0))
                         .respond(HtcpMessage.MON_REFUSED, new Empty()),
@@ -75,12 +76,12 @@
         byte[] golden = HexBytes.parse("003c 00 00 0017 10 02 00000001 0003474554 000161 0003312e31 0000"
                 + "0021 00000064 000000a0 00036b6579 0010772fb61cadd0389bba618b29bad08cbc");
         HtcpMessage test = HtcpMessage.request(Opcode.TST, 1, GET);
-        byte[] data = HtcpCodec.data(test);
+        byte[] data = HtcpCodec.encodeData(test);
         HtcpSigner signer = new HtcpSigner("key", "secret".getBytes(StandardCharsets.US_ASCII));
-        assertThat(HtcpCodec.datagram(data, signer.sign(data, HERE, THERE, 100, 60)))
+        assertThat(HtcpCodec.encodeDatagram(data, signer.sign(data, HERE, THERE, 100, 60)))
                 .isEqualTo(golden);
-        HtcpCodec.Datagram read = HtcpCodec.decode(golden, 0, golden.length);
+        HtcpDatagram read = HtcpCodec.decode(golden, 0, golden.length);
         assertThat(read.message()).isEqualTo(test);
-        assertThat(signer.check(read, HERE, THERE, 100, 0)).isEqualTo(HtcpSigner.Verdict.GOOD);
+        assertThat(signer.verify(read, HERE, THERE, 100, 0)).isEqualTo(HtcpSigner.Verdict.VALID);
     }
 }
--- a/src/test/java/cacheproxy/icp/IcpCodecTest.java
+++ b/src/test/java/cacheproxy/icp/IcpCodecTest.java
@@ -20,12 +20,12 @@
         return HexFormat.of().parseHex(text.replace(" ", ""));
     }
 
-    private static IcpMessage decode(byte[] bytes) throws IcpCodec.Malformed {
+    private static IcpMessage decode(byte[] bytes) throws MalformedMessageException {
         return IcpCodec.decode(Unpooled.wrappedBuffer(bytes));
     }
 
-    private static byte[] encode(IcpMessage m) {
-        ByteBuf buf = IcpCodec.encode(ByteBufAllocator.DEFAULT, m);
+    private static byte[] encode(IcpMessage message) {
+        ByteBuf buf = IcpCodec.encode(ByteBufAllocator.DEFAULT, message);
         try {
             byte[] bytes = new byte[buf.readableBytes()];
             buf.readBytes(bytes);
@@ -43,22 +43,22 @@
             "01 02 0023 01020304 c0000000 00000000 0a000001 0a000002 687474703a2f2f612f62 00";
 
     @Test
-    void aQueryByHand() throws Exception {
-        IcpMessage m = new IcpMessage(
+    void encodesAndDecodesTheGoldenQuery() throws Exception {
+        IcpMessage message = new IcpMessage(
                 Opcode.QUERY,
                 0x01020304,
-                IcpMessage.HIT_OBJ | IcpMessage.SRC_RTT,
+                IcpMessage.FLAG_HIT_OBJ | IcpMessage.FLAG_SRC_RTT,
                 0,
                 0x0a000001,
                 0x0a000002,
                 "http://a/b",
                 null);
-        assertThat(decode(hex(QUERY))).isEqualTo(m);
-        assertThat(encode(m)).isEqualTo(hex(QUERY));
-        assertThat(m.answer(Opcode.MISS)).satisfies(a -> {
-            assertThat(a.requestNumber()).isEqualTo(0x01020304);
-            assertThat(a.url()).isEqualTo("http://a/b");
-            assertThat(a.options())
+        assertThat(decode(hex(QUERY))).isEqualTo(message);
+        assertThat(encode(message)).isEqualTo(hex(QUERY));
+        assertThat(message.reply(Opcode.MISS)).satisfies(reply -> {
+            assertThat(reply.requestNumber()).isEqualTo(0x01020304);
+            assertThat(reply.url()).isEqualTo("http://a/b");
+            assertThat(reply.options())
                     .as("an option is told only where it is used")
                     .isZero();
         });
@@ -68,13 +68,13 @@
      * Answers have no requester's address. MISS with a time to the origin of 300 ms in the low half of the option data.
      */
     @Test
-    void aMissThatTellsTheTimeToTheOriginByHand() throws Exception {
+    void encodesAndDecodesTheGoldenMissWithRoundTripTime() throws Exception {
         byte[] bytes = hex("03 02 0018 ffffffff 40000000 abcd012c 00000000 782f79 00");
-        IcpMessage m = decode(bytes);
-        assertThat(m.opcode()).isEqualTo(Opcode.MISS);
-        assertThat(m.requestNumber()).isEqualTo(-1);
-        assertThat(m.sourceRttMs()).isEqualTo(300);
-        assertThat(encode(m)).isEqualTo(bytes);
+        IcpMessage message = decode(bytes);
+        assertThat(message.opcode()).isEqualTo(Opcode.MISS);
+        assertThat(message.requestNumber()).isEqualTo(-1);
+        assertThat(message.sourceRttMs()).isEqualTo(300);
+        assertThat(encode(message)).isEqualTo(bytes);
         assertThat(decode(hex(QUERY)).sourceRttMs()).as("a query tells none").isEqualTo(-1);
         assertThat(decode(hex("03 02 0018 ffffffff 00000000 abcd012c 00000000 782f79 00"))
                         .sourceRttMs())
@@ -83,12 +83,12 @@
 
     /** URL, NUL, two octets of size, the object. */
     @Test
-    void aHitWithItsObjectByHand() throws Exception {
+    void encodesAndDecodesTheGoldenHitWithObject() throws Exception {
         byte[] bytes = hex("17 02 001b 00000007 80000000 00000000 00000000 78 00 0003 000aff");
-        IcpMessage m = decode(bytes);
-        assertThat(m.opcode()).isEqualTo(Opcode.HIT_OBJ);
-        assertThat(m.object()).isEqualTo(new byte[] {0, 10, -1});
-        assertThat(encode(m)).isEqualTo(bytes);
+        IcpMessage message = decode(bytes);
+        assertThat(message.opcode()).isEqualTo(Opcode.HIT_OBJ);
+        assertThat(message.object()).isEqualTo(new byte[] {0, 10, -1});
+        assertThat(encode(message)).isEqualTo(bytes);
     }
 
     @ParameterizedTest
@@ -103,12 +103,12 @@
         "DENIED,22",
         "HIT_OBJ,23"
     })
-    void eachOpcodeHasItsNumber(Opcode opcode, int number) throws Exception {
+    void encodesEachOpcodeWithItsCode(Opcode opcode, int number) throws Exception {
         byte[] object = opcode == Opcode.HIT_OBJ ? new byte[5] : null;
         byte[] bytes = encode(new IcpMessage(opcode, 9, 0, 0, 0, 0, "k", object));
         assertThat(bytes[0]).isEqualTo((byte) number);
         assertThat(decode(bytes).opcode()).isEqualTo(opcode);
-        assertThat(opcode.answers())
+        assertThat(opcode.isReply())
                 .isEqualTo(opcode != Opcode.QUERY && opcode != Opcode.SECHO && opcode != Opcode.DECHO);
     }
 
@@ -136,14 +136,14 @@
                 "17 02 001a 00000007 00000000 00000000 00000000 78 00 0003 000a | not as long as it says",
                 "17 02 001c 00000007 00000000 00000000 00000000 78 00 0003 000aff00 | not as long as it says"
             })
-    void whatIsCutTooLongOrInconsistentIsTold(String bytes, String why) {
+    void rejectsTruncatedOverlongAndInconsistentDatagrams(String bytes, String why) {
         assertThatThrownBy(() -> decode(hex(bytes)))
-                .isInstanceOf(IcpCodec.Malformed.class)
+                .isInstanceOf(MalformedMessageException.class)
                 .hasMessageContaining(why);
     }
 
     @Test
-    void noMessageIsLongerThanTheProtocolsBound() throws Exception {
+    void rejectsMessagesLongerThanTheMaximum() throws Exception {
         String url = "u".repeat(IcpMessage.MAX_LENGTH - 25);
         byte[] most = encode(IcpMessage.query(1, 0, url));
         assertThat(most).hasSize(IcpMessage.MAX_LENGTH);
@@ -158,7 +158,7 @@
 
     /** Bits that have no meaning are neither believed nor sent. */
     @Test
-    void unknownOptionsAreLeftOut() throws Exception {
+    void clearsUnknownOptions() throws Exception {
         assertThat(decode(hex(QUERY.replace("c0000000", "3fffffff"))).options()).isZero();
         assertThatThrownBy(() -> encode(IcpMessage.query(1, 1, "a"))).isInstanceOf(IllegalArgumentException.class);
     }
@@ -166,14 +166,14 @@
     @SuppressWarnings("EnumOrdinal") // draws a constant, or checks its code on the wire
     @ParameterizedTest
     @EnumSource(Opcode.class)
-    void damagedAndInventedDatagramsAreReadOrRefusedAndNeverMore(Opcode opcode) throws Exception {
+    void decodesOrRejectsCorruptedDatagrams(Opcode opcode) throws Exception {
         SplittableRandom random = new SplittableRandom(opcode.ordinal());
         int read = 0;
         for (int i = 0; i < 20_000; i++) {
             byte[] object = opcode == Opcode.HIT_OBJ ? new byte[random.nextInt(40)] : null;
             byte[] bytes = encode(
                     new IcpMessage(opcode, random.nextInt(), 0, random.nextInt(), 0, 0, "http://a/" + i, object));
-            for (int n = random.nextInt(4); n > 0; n--) {
+            for (int remaining = random.nextInt(4); remaining > 0; remaining--) {
                 bytes[random.nextInt(bytes.length)] = (byte) random.nextInt();
             }
             if (random.nextInt(4) == 0) {
@@ -181,10 +181,10 @@
             }
             ByteBuf buf = Unpooled.wrappedBuffer(bytes);
             try {
-                IcpMessage m = IcpCodec.decode(buf);
-                assertThat(decode(encode(m))).usingRecursiveComparison().isEqualTo(m);
+                IcpMessage message = IcpCodec.decode(buf);
+                assertThat(decode(encode(message))).usingRecursiveComparison().isEqualTo(message);
                 read++;
-            } catch (IcpCodec.Malformed e) {
+            } catch (MalformedMessageException e) {
                 assertThat(e.getMessage()).isNotBlank();
             }
             assertThat(buf.readerIndex()).as("the caller's buffer is as it was").isZero();
