--- a/src/main/java/cacheproxy/htcp/HtcpDecoder.java
+++ b/src/main/java/cacheproxy/htcp/HtcpDecoder.java
@@ -23,14 +23,14 @@
 
     /** Decodes one datagram, as {@link HtcpCodec#decode} describes. */
     static HtcpDatagram decode(byte[] octets, int offset, int length) throws MalformedMessageException {
-        ByteBuffer in = ByteBuffer.wrap(octets, offset, length).slice();
-        int dataLength = checkLengths(in, length);
-        int majorVersion = in.get(2) & 0xFF;
-        int minorVersion = in.get(3) & 0xFF;
+        ByteBuffer input = ByteBuffer.wrap(octets, offset, length).slice();
+        int dataLength = checkLengths(input, length);
+        int majorVersion = input.get(2) & 0xFF;
+        int minorVersion = input.get(3) & 0xFF;
         byte[] data = new byte[dataLength];
-        in.get(HtcpCodec.HEADER_LENGTH, data);
+        input.get(HtcpCodec.HEADER_LENGTH, data);
         int authStart = HtcpCodec.HEADER_LENGTH + dataLength;
-        HtcpAuth auth = auth(in.slice(authStart, length - authStart));
+        HtcpAuth auth = auth(input.slice(authStart, length - authStart));
         int opcode = (data[2] & 0xFF) >> 4;
         boolean isResponse = (data[3] & RESPONSE_BIT) != 0;
         HtcpMessage message =
@@ -40,14 +40,14 @@
     }
 
     /** Checks the lengths of the message and of DATA, and returns the latter. */
-    private static int checkLengths(ByteBuffer in, int length) throws MalformedMessageException {
+    private static int checkLengths(ByteBuffer input, int length) throws MalformedMessageException {
         if (length < HtcpCodec.HEADER_LENGTH + HtcpCodec.DATA_HEADER_LENGTH + HtcpCodec.NO_AUTH_LENGTH) {
             throw new MalformedMessageException("shorter than header, data and authentication can be");
         }
-        if ((in.getShort(0) & 0xFFFF) != length) {
+        if ((input.getShort(0) & 0xFFFF) != length) {
             throw new MalformedMessageException("message length is not that of the datagram");
         }
-        int dataLength = in.getShort(HtcpCodec.HEADER_LENGTH) & 0xFFFF;
+        int dataLength = input.getShort(HtcpCodec.HEADER_LENGTH) & 0xFFFF;
         if (dataLength < HtcpCodec.DATA_HEADER_LENGTH
                 || dataLength > length - HtcpCodec.HEADER_LENGTH - HtcpCodec.NO_AUTH_LENGTH) {
             throw new MalformedMessageException("length of DATA is not within the message");
@@ -56,15 +56,15 @@
     }
 
     /** Decodes AUTH; what follows it is padding. Null where the message is not signed. */
-    private static HtcpAuth auth(ByteBuffer in) throws MalformedMessageException {
-        int length = in.getShort(0) & 0xFFFF;
+    private static HtcpAuth auth(ByteBuffer input) throws MalformedMessageException {
+        int length = input.getShort(0) & 0xFFFF;
         if (length == HtcpCodec.NO_AUTH_LENGTH) {
             return null;
         }
-        if (length < HtcpCodec.MIN_AUTH_LENGTH || length > in.remaining()) {
+        if (length < HtcpCodec.MIN_AUTH_LENGTH || length > input.remaining()) {
             throw new MalformedMessageException("length of AUTH is not within the message");
         }
-        ByteBuffer auth = in.slice(2, length - 2);
+        ByteBuffer auth = input.slice(2, length - 2);
         try {
             int signedAtSeconds = auth.getInt();
             int expiresAtSeconds = auth.getInt();
@@ -90,11 +90,12 @@
 
     private static Body body(Opcode opcode, int responseCode, boolean isResponse, byte[] data)
             throws MalformedMessageException {
-        ByteBuffer in = ByteBuffer.wrap(data, HtcpCodec.DATA_HEADER_LENGTH, data.length - HtcpCodec.DATA_HEADER_LENGTH)
+        ByteBuffer input = ByteBuffer.wrap(
+                        data, HtcpCodec.DATA_HEADER_LENGTH, data.length - HtcpCodec.DATA_HEADER_LENGTH)
                 .slice();
         try {
-            Body body = isResponse ? responseBody(opcode, responseCode, in) : requestBody(opcode, in);
-            if (in.hasRemaining()) {
+            Body body = isResponse ? responseBody(opcode, responseCode, input) : requestBody(opcode, input);
+            if (input.hasRemaining()) {
                 throw new MalformedMessageException("octets behind OP-DATA");
             }
             return body;
@@ -103,53 +104,53 @@
         }
     }
 
-    private static Body requestBody(Opcode opcode, ByteBuffer in) throws MalformedMessageException {
+    private static Body requestBody(Opcode opcode, ByteBuffer input) throws MalformedMessageException {
         return switch (opcode) {
             case NOP -> new Empty();
-            case TST -> specifier(in);
-            case MON -> new Monitor(in.get() & 0xFF);
-            case SET -> identity(in);
+            case TST -> specifier(input);
+            case MON -> new Monitor(input.get() & 0xFF);
+            case SET -> identity(input);
             case CLR -> {
-                int reason = in.getShort() & 15; // the other 12 bits are reserved
-                yield new Clear(reason, specifier(in));
+                int reason = input.getShort() & 15; // the other 12 bits are reserved
+                yield new Clear(reason, specifier(input));
             }
         };
     }
 
-    private static Body responseBody(Opcode opcode, int code, ByteBuffer in) throws MalformedMessageException {
+    private static Body responseBody(Opcode opcode, int code, ByteBuffer input) throws MalformedMessageException {
         return switch (opcode) {
             case NOP, SET, CLR -> new Empty();
-            case TST -> code == HtcpMessage.TST_PRESENT ? detail(in) : new CacheHeaders(text(in));
-            case MON -> code == HtcpMessage.MON_ACCEPTED ? change(in) : new Empty();
+            case TST -> code == HtcpMessage.TST_PRESENT ? detail(input) : new CacheHeaders(text(input));
+            case MON -> code == HtcpMessage.MON_ACCEPTED ? change(input) : new Empty();
         };
     }
 
-    private static Change change(ByteBuffer in) throws MalformedMessageException {
-        int remainingSeconds = in.get() & 0xFF;
-        int actionAndReason = in.get() & 0xFF;
-        return new Change(remainingSeconds, actionAndReason >> 4, actionAndReason & 15, identity(in));
+    private static Change change(ByteBuffer input) throws MalformedMessageException {
+        int remainingSeconds = input.get() & 0xFF;
+        int actionAndReason = input.get() & 0xFF;
+        return new Change(remainingSeconds, actionAndReason >> 4, actionAndReason & 15, identity(input));
     }
 
-    private static Specifier specifier(ByteBuffer in) throws MalformedMessageException {
-        return new Specifier(text(in), text(in), text(in), text(in));
+    private static Specifier specifier(ByteBuffer input) throws MalformedMessageException {
+        return new Specifier(text(input), text(input), text(input), text(input));
     }
 
-    private static Detail detail(ByteBuffer in) throws MalformedMessageException {
-        return new Detail(text(in), text(in), text(in));
+    private static Detail detail(ByteBuffer input) throws MalformedMessageException {
+        return new Detail(text(input), text(input), text(input));
     }
 
-    private static Identity identity(ByteBuffer in) throws MalformedMessageException {
-        return new Identity(specifier(in), detail(in));
+    private static Identity identity(ByteBuffer input) throws MalformedMessageException {
+        return new Identity(specifier(input), detail(input));
     }
 
     /** COUNTSTR: a length of 16 bits, which does not count itself, and so many octets. */
-    private static String text(ByteBuffer in) throws MalformedMessageException {
-        int length = in.getShort() & 0xFFFF;
-        if (length > in.remaining()) {
+    private static String text(ByteBuffer input) throws MalformedMessageException {
+        int length = input.getShort() & 0xFFFF;
+        if (length > input.remaining()) {
             throw new MalformedMessageException("a string is longer than what holds it");
         }
         byte[] octets = new byte[length];
-        in.get(octets);
+        input.get(octets);
         return new String(octets, StandardCharsets.ISO_8859_1);
     }
 }
--- a/src/main/java/cacheproxy/icp/IcpCodec.java
+++ b/src/main/java/cacheproxy/icp/IcpCodec.java
@@ -59,46 +59,46 @@
      *
      * @throws MalformedMessageException if it is not an ICP message, and is to be dropped
      */
-    public static IcpMessage decode(ByteBuf in) throws MalformedMessageException {
-        int start = in.readerIndex();
-        Opcode opcode = checkHeader(in, start);
+    public static IcpMessage decode(ByteBuf input) throws MalformedMessageException {
+        int start = input.readerIndex();
+        Opcode opcode = checkHeader(input, start);
         int urlStart = start + HEADER_LENGTH;
         int requesterAddress = 0;
         if (opcode == Opcode.QUERY) {
-            if (in.readableBytes() < HEADER_LENGTH + ADDRESS_LENGTH) {
+            if (input.readableBytes() < HEADER_LENGTH + ADDRESS_LENGTH) {
                 throw UNTERMINATED_URL;
             }
-            requesterAddress = in.getInt(urlStart);
+            requesterAddress = input.getInt(urlStart);
             urlStart += ADDRESS_LENGTH;
         }
-        int urlEnd = findUrlEnd(in, urlStart);
-        byte[] object = readObject(in, opcode, urlEnd + 1);
+        int urlEnd = findUrlEnd(input, urlStart);
+        byte[] object = readObject(input, opcode, urlEnd + 1);
         return new IcpMessage(
                 opcode,
-                in.getInt(start + REQUEST_NUMBER_OFFSET),
-                in.getInt(start + OPTIONS_OFFSET) & KNOWN_OPTIONS,
-                in.getInt(start + OPTION_DATA_OFFSET),
-                in.getInt(start + SENDER_OFFSET),
+                input.getInt(start + REQUEST_NUMBER_OFFSET),
+                input.getInt(start + OPTIONS_OFFSET) & KNOWN_OPTIONS,
+                input.getInt(start + OPTION_DATA_OFFSET),
+                input.getInt(start + SENDER_OFFSET),
                 requesterAddress,
-                in.toString(urlStart, urlEnd - urlStart, StandardCharsets.US_ASCII),
+                input.toString(urlStart, urlEnd - urlStart, StandardCharsets.US_ASCII),
                 object);
     }
 
-    private static Opcode checkHeader(ByteBuf in, int start) throws MalformedMessageException {
-        int length = in.readableBytes();
+    private static Opcode checkHeader(ByteBuf input, int start) throws MalformedMessageException {
+        int length = input.readableBytes();
         if (length < HEADER_LENGTH) {
             throw TOO_SHORT;
         }
         if (length > IcpMessage.MAX_LENGTH) {
             throw TOO_LONG;
         }
-        if (in.getUnsignedShort(start + LENGTH_OFFSET) != length) {
+        if (input.getUnsignedShort(start + LENGTH_OFFSET) != length) {
             throw LENGTH_MISMATCH;
         }
-        if (in.getByte(start + VERSION_OFFSET) != VERSION) {
+        if (input.getByte(start + VERSION_OFFSET) != VERSION) {
             throw UNKNOWN_VERSION;
         }
-        Opcode opcode = Opcode.of(in.getUnsignedByte(start));
+        Opcode opcode = Opcode.of(input.getUnsignedByte(start));
         if (opcode == null) {
             throw UNKNOWN_OPCODE;
         }
@@ -106,13 +106,13 @@
     }
 
     /** The index of the NUL that ends the URL. */
-    private static int findUrlEnd(ByteBuf in, int urlStart) throws MalformedMessageException {
-        int end = in.indexOf(urlStart, in.writerIndex(), NUL);
+    private static int findUrlEnd(ByteBuf input, int urlStart) throws MalformedMessageException {
+        int end = input.indexOf(urlStart, input.writerIndex(), NUL);
         if (end < 0) {
             throw UNTERMINATED_URL;
         }
         for (int i = urlStart; i < end; i++) {
-            int octet = in.getByte(i); // signed: octets from 128 on are below the space, too
+            int octet = input.getByte(i); // signed: octets from 128 on are below the space, too
             if (octet <= ' ' || octet == DELETE) {
                 throw ILLEGAL_URL;
             }
@@ -121,8 +121,8 @@
     }
 
     /** The object after the URL; null, and nothing after the URL, for opcodes without one. */
-    private static byte[] readObject(ByteBuf in, Opcode opcode, int start) throws MalformedMessageException {
-        int remaining = in.writerIndex() - start;
+    private static byte[] readObject(ByteBuf input, Opcode opcode, int start) throws MalformedMessageException {
+        int remaining = input.writerIndex() - start;
         if (opcode != Opcode.HIT_OBJ) {
             if (remaining != 0) {
                 throw TRAILING_OCTETS;
@@ -130,11 +130,11 @@
             return null;
         }
         int size = remaining - OBJECT_SIZE_LENGTH;
-        if (size < 0 || in.getUnsignedShort(start) != size) {
+        if (size < 0 || input.getUnsignedShort(start) != size) {
             throw OBJECT_SIZE_MISMATCH;
         }
         byte[] object = new byte[size];
-        in.getBytes(start + OBJECT_SIZE_LENGTH, object);
+        input.getBytes(start + OBJECT_SIZE_LENGTH, object);
         return object;
     }
 
--- a/src/main/java/cacheproxy/routes/KeyTemplate.java
+++ b/src/main/java/cacheproxy/routes/KeyTemplate.java
@@ -21,13 +21,16 @@
      */
     KeyTemplate(String text, int groupCount) {
         StringBuilder literal = new StringBuilder();
-        for (int i = 0; i < text.length(); i++) {
-            if (text.charAt(i) != '$') {
-                literal.append(text.charAt(i));
+        int position = 0;
+        while (position < text.length()) {
+            char current = text.charAt(position);
+            if (current != '$') {
+                literal.append(current);
+                position++;
                 continue;
             }
-            i++;
-            char next = i < text.length() ? text.charAt(i) : ' ';
+            char next = position + 1 < text.length() ? text.charAt(position + 1) : ' ';
+            position += 2;
             int group = next - '0';
             if (next == '$') {
                 literal.append('$');
