--- a/src/test/java/cacheproxy/proxy/EventLinesGoldenTextTest.java
+++ b/src/test/java/cacheproxy/proxy/EventLinesGoldenTextTest.java
@@ -135,11 +135,10 @@
 
     @Test
     void aServerThatRefusesConnections() throws Exception {
-        ScriptedServer gone = node();
-        gone.close();
         Fleet made = new Fleet();
         made.config.addProperty("event_log", true);
-        try (Fleet fleet = made.node(gone.dial()).start();
+        try (RefusingAddress gone = new RefusingAddress();
+                Fleet fleet = made.node(gone.dial()).start();
                 Fleet.Client client = fleet.client()) {
             client.read("1");
             assertThat(next("server_connected"))
--- a/src/test/java/cacheproxy/proxy/discovery/DiscoveryClientTest.java
+++ b/src/test/java/cacheproxy/proxy/discovery/DiscoveryClientTest.java
@@ -4,14 +4,13 @@
 
 import cacheproxy.fakes.ScriptedServer;
 import cacheproxy.proxy.Fleet;
+import cacheproxy.proxy.RefusingAddress;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import java.io.IOException;
 import java.net.DatagramPacket;
 import java.net.DatagramSocket;
 import java.net.InetAddress;
 import java.net.InetSocketAddress;
-import java.net.Socket;
 import java.net.SocketAddress;
 import java.nio.ByteBuffer;
 import java.util.Arrays;
@@ -130,13 +129,6 @@
         }
     }
 
-    /** A socket whose port refuses connections; while it is open, no other process can listen there. */
-    private static Socket boundWithoutListening() throws IOException {
-        Socket socket = new Socket();
-        socket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-        return socket;
-    }
-
     /** The first watch falls silent for good. Without the refusals it would be trusted past the next change. */
     @Test
     void replacesSilentLongPollWhenReadyServersRefuseConnections() throws Exception {
@@ -151,9 +143,9 @@
             told.countDown();
             connection.awaitEnd();
         });
-        try (Socket gone = boundWithoutListening();
+        try (RefusingAddress gone = new RefusingAddress();
                 Fleet fleet = new Fleet()
-                        .node("127.0.0.1:" + gone.getLocalPort())
+                        .node(gone.dial())
                         .discovery(discovery)
                         .set("caps.connect-timeout", "50.0")
                         .set("guarantees.ask-within", "200.0")
--- a/src/test/java/cacheproxy/proxy/upstream/UpstreamTest.java
+++ b/src/test/java/cacheproxy/proxy/upstream/UpstreamTest.java
@@ -5,9 +5,8 @@
 import cacheproxy.fakes.ScriptedServer;
 import cacheproxy.policy.CarpHash;
 import cacheproxy.proxy.Fleet;
+import cacheproxy.proxy.RefusingAddress;
 import cacheproxy.proxy.request.MetaCodec;
-import java.net.InetAddress;
-import java.net.ServerSocket;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
@@ -28,12 +27,6 @@
         });
     }
 
-    private static String refused() throws Exception {
-        try (ServerSocket socket = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            return "127.0.0.1:" + socket.getLocalPort();
-        }
-    }
-
     @Test
     void fetchesMissFromOrigin() throws Exception {
         ScriptedServer node = ScriptedServer.node(line -> "EN O" + ScriptedServer.id(line) + " h0\r\n");
@@ -67,8 +60,9 @@
             busy.incrementAndGet();
             return "SERVER_ERROR busy\r\n";
         });
-        try (Fleet fleet = new Fleet()
-                        .node(refused())
+        try (RefusingAddress refusing = new RefusingAddress();
+                Fleet fleet = new Fleet()
+                        .node(refusing.dial())
                         .node(full)
                         .node(ScriptedServer.node(UpstreamTest::hit))
                         .origin(origin(200, "", "fetch"))
@@ -206,8 +200,10 @@
     @Test
     void reportsWriteAsNotProcessedWhenOriginRefusesConnections() throws Exception {
         Fleet setup = new Fleet().node(ScriptedServer.node(UpstreamTest::hit));
-        setup.hosts.add(Fleet.host("s-0000aaaa", "origin", refused(), "up"));
-        try (Fleet fleet = setup.start();
+        RefusingAddress refusing = new RefusingAddress();
+        setup.hosts.add(Fleet.host("s-0000aaaa", "origin", refusing.dial(), "up"));
+        try (refusing;
+                Fleet fleet = setup.start();
                 Fleet.Client client = fleet.client()) {
             // More than the connections that one server may have: a failed one must not keep its place.
             for (int i = 0; i < 60; i++) {
@@ -220,8 +216,10 @@
     @Test
     void includesRetryAdviceInRejectionWhereEnabled() throws Exception {
         for (boolean told : new boolean[] {true, false}) {
-            Fleet setup = new Fleet().node(refused()).set("caps.retry-after", Boolean.toString(told));
-            try (Fleet fleet = setup.start();
+            RefusingAddress refusing = new RefusingAddress();
+            Fleet setup = new Fleet().node(refusing.dial()).set("caps.retry-after", Boolean.toString(told));
+            try (refusing;
+                    Fleet fleet = setup.start();
                     Fleet.Client client = fleet.client()) {
                 client.read("1");
                 assertThat(client.line()).matches(told ? "SERVER_ERROR busy [1-9]\\d{0,2}" : "SERVER_ERROR busy");
