--- a/src/main/java/cacheproxy/daemon/PoolSettings.java
+++ b/src/main/java/cacheproxy/daemon/PoolSettings.java
@@ -33,6 +33,12 @@
 public final class PoolSettings {
     /** A proxy polls discovery at least this often. */
     private static final double MAX_POLL_AGE_MS = 10_000;
+    /** What a request of a tenant over its quota is worth, as a fraction of one within it. */
+    private static final double OVER_QUOTA_VALUE_FRACTION = 0.1;
+
+    private static final double RESPONSE_GRACE_MS = 20;
+    /** The index of no kind. */
+    private static final int NO_KIND = -1;
 
     /** Kinds of their own, whatever the file calls its servers. */
     private static final String SIBLING_KIND = "\0sibling";
@@ -80,37 +86,26 @@
     static PolicySettings of(DaemonConfig file, PoolConfig pool) {
         SiteConfig site = file.site();
         ProcessLimitsConfig limits = file.limits();
-        boolean listed = pool.discovery() == null;
-        List<String> kinds = kinds(pool);
         List<String> zones = zones(file, pool);
-        boolean hasOriginKind =
-                listed ? pool.origin() != null : pool.discovery().originKind() != null;
-        FleetConfig fleet = file.section(FleetConfig.class);
-        boolean byTests = fleet != null
-                && fleet.healthCheck() != null
-                && !fleet.healthCheck().byClientRequests(); // else clients' requests try what was sick
-        int originKind = !hasOriginKind
-                ? -1
-                : listed ? kinds.size() - 1 : kinds.indexOf(pool.discovery().originKind());
         return PolicySettings.builder()
                 .instanceIndex(site.proxyIndex())
                 .instanceCount(site.proxyCount())
                 .zone(Math.max(0, zones.indexOf(site.zone())))
                 .zoneCount(zones.size())
-                .kindCount(kinds.size())
-                .pollsDiscovery(!listed)
-                .cacheAside(hasOriginKind)
-                .originKind(originKind)
-                .overQuotaValueFraction(file.tenants().size() > 1 ? 0.1 : 1)
+                .kindCount(kinds(pool).size())
+                .pollsDiscovery(pool.discovery() != null)
+                .cacheAside(hasOrigin(pool))
+                .originKind(originKind(pool))
+                .overQuotaValueFraction(file.tenants().size() > 1 ? OVER_QUOTA_VALUE_FRACTION : 1)
                 .cancellationAllowed(true)
-                .probingAllowed(byTests)
+                .probingAllowed(probesServers(file))
                 .hedgingAllowed(limits.hedging())
                 .retryAfterAllowed(true)
                 .maxAttempts(limits.maxAttempts())
                 .maxRetryAfterMs(limits.maxRetryAfterMs())
                 .connectTimeoutMs(limits.connectTimeoutMs())
                 .drainGraceMs(site.drainGraceMs())
-                .responseGraceMs(20)
+                .responseGraceMs(RESPONSE_GRACE_MS)
                 .initialCapacityFraction(site.startCapacity())
                 .warmUpMs(site.warmUpMs())
                 .collapseLoadMultiple(site.tipMultiple())
@@ -121,6 +116,31 @@
                 .build();
     }
 
+    private static boolean hasOrigin(PoolConfig pool) {
+        return pool.discovery() == null
+                ? pool.origin() != null
+                : pool.discovery().originKind() != null;
+    }
+
+    /** The index of the origin's kind among the pool's kinds; {@link #NO_KIND} if the pool has no origin. */
+    private static int originKind(PoolConfig pool) {
+        if (!hasOrigin(pool)) {
+            return NO_KIND;
+        }
+        List<String> kinds = kinds(pool);
+        return pool.discovery() == null
+                ? kinds.size() - 1
+                : kinds.indexOf(pool.discovery().originKind());
+    }
+
+    /** Whether ejected servers are probed by health checks; else they are tried with clients' requests. */
+    private static boolean probesServers(DaemonConfig file) {
+        FleetConfig fleet = file.section(FleetConfig.class);
+        return fleet != null
+                && fleet.healthCheck() != null
+                && !fleet.healthCheck().byClientRequests();
+    }
+
     /** A server as a member of the policy's list; {@code startMs} is 0 if it started long ago. */
     static Endpoint member(DaemonConfig file, PoolConfig pool, ServerConfig server, double startMs) {
         boolean origin = server.equals(pool.origin());
