--- a/src/main/java/cacheproxy/discovery/DelegatedWatchTiming.java
+++ b/src/main/java/cacheproxy/discovery/DelegatedWatchTiming.java
@@ -19,8 +19,10 @@
                 || !(heartbeatTimeoutMs > heartbeatIntervalMs)
                 || !(maxPollIntervalMs >= heartbeatTimeoutMs)
                 || !(coalescingWindowMs >= 0)) {
-            throw new IllegalArgumentException("beat " + heartbeatIntervalMs + ", word " + heartbeatTimeoutMs
-                    + ", lazy " + maxPollIntervalMs + ", gather " + coalescingWindowMs);
+            throw new IllegalArgumentException(
+                    "expected 0 < heartbeat interval < heartbeat timeout <= poll interval and"
+                            + " a coalescing window of at least 0, but found " + heartbeatIntervalMs + ", "
+                            + heartbeatTimeoutMs + ", " + maxPollIntervalMs + ", " + coalescingWindowMs + " ms");
         }
     }
 }
--- a/src/main/java/cacheproxy/fleet/lease/ServerReachability.java
+++ b/src/main/java/cacheproxy/fleet/lease/ServerReachability.java
@@ -23,7 +23,8 @@
      */
     public ServerReachability(double nowMs, double unreachableAfterMs, double reportValidMs) {
         if (!(unreachableAfterMs > 0) || !(reportValidMs > 0)) {
-            throw new IllegalArgumentException("out " + unreachableAfterMs + ", word " + reportValidMs);
+            throw new IllegalArgumentException("expected durations above 0, but found unreachable after "
+                    + unreachableAfterMs + " ms and reports valid for " + reportValidMs + " ms");
         }
         this.unreachableAfterMs = unreachableAfterMs;
         this.reportValidMs = reportValidMs;
--- a/src/main/java/cacheproxy/fleet/quota/QuotaManager.java
+++ b/src/main/java/cacheproxy/fleet/quota/QuotaManager.java
@@ -115,7 +115,9 @@
             boolean ownsShare,
             double nowMs) {
         if (newSpecs.size() > MAX_QUOTAS || allocatorLeases.isEmpty()) {
-            throw new IllegalArgumentException(newSpecs.size() + " limits, " + allocatorLeases.size() + " duties");
+            throw new IllegalArgumentException(
+                    "expected at most " + MAX_QUOTAS + " quotas and some allocator lease, but" + " found "
+                            + newSpecs.size() + " and " + allocatorLeases.size());
         }
         Map<Long, QuotaSpec> byId = new LinkedHashMap<>();
         newSpecs.forEach(spec -> byId.put(NameHash.of(spec.name()), spec));
