--- a/src/main/java/cacheproxy/daemon/Daemon.java
+++ b/src/main/java/cacheproxy/daemon/Daemon.java
@@ -79,7 +79,7 @@
                 this::learnedState,
                 () -> Optional.ofNullable(seedFrom),
                 subsystems::controlHandlers,
-                new DiagnosticEndpoints(core.invariants::summary, core.events::setEnabled, this::reloadElsewhere));
+                new DiagnosticEndpoints(core.invariants()::summary, core.events()::setEnabled, this::reloadElsewhere));
     }
 
     /** Starts a daemon; the exception says which address could not be bound. */
@@ -202,7 +202,7 @@
     }
 
     private void commit(DaemonConfig file, Map<String, Listener> reserved) {
-        double nowMs = core.now();
+        double nowMs = core.nowMs();
         ConfigSnapshot previous = router.configuration();
         serverStarts.apply(file, previous == null ? null : previous.file, nowMs);
         LearnedStateSource restored = subsystems.get(LearnedStateSource.class);
@@ -242,7 +242,7 @@
 
     private void collectUnused() {
         listeners.removeDrained();
-        retired.collect(router.configuration().file, core.now());
+        retired.collect(router.configuration().file, core.nowMs());
     }
 
     /** Shuts down gracefully: serves pending requests, and returns once that is done or at the longest deadline. */
@@ -270,7 +270,7 @@
         return new StateSnapshot(
                 file.site().name(),
                 file.site().proxyIndex(),
-                core.now(),
+                core.nowMs(),
                 0,
                 pools,
                 serverStarts.snapshot(LearnedStates.addresses(file)));
--- a/src/main/java/cacheproxy/daemon/IcpResponder.java
+++ b/src/main/java/cacheproxy/daemon/IcpResponder.java
@@ -84,7 +84,7 @@
             return Opcode.MISS_NOFETCH;
         }
         long number = RequestValidator.keyHash(poolKey);
-        if (!digest.contains(core.now(), number)) {
+        if (!digest.contains(core.nowMs(), number)) {
             return Opcode.MISS;
         }
         int server = digest.serverOf(number);
--- a/src/main/java/cacheproxy/daemon/ListenerSet.java
+++ b/src/main/java/cacheproxy/daemon/ListenerSet.java
@@ -94,7 +94,7 @@
             drain(byName.put(config.name(), listener));
             configuredAddresses.put(listener, config.address());
         }
-        acceptOnceListed(List.copyOf(reserved.values()), core.now() + MAX_LIST_WAIT_MS);
+        acceptOnceListed(List.copyOf(reserved.values()), core.nowMs() + MAX_LIST_WAIT_MS);
         for (String name : List.copyOf(byName.keySet())) {
             if (!configured.contains(name)) {
                 drain(byName.remove(name));
@@ -104,7 +104,7 @@
 
     /** A proxy that does not know its servers yet could only reject requests. */
     private void acceptOnceListed(List<Listener> listeners, double latestMs) {
-        if (core.now() < latestMs && !router.configuration().allPoolsListed()) {
+        if (core.nowMs() < latestMs && !router.configuration().allPoolsListed()) {
             core.after(LIST_POLL_MS, () -> acceptOnceListed(listeners, latestMs));
             return;
         }
--- a/src/main/java/cacheproxy/daemon/RoutedRequest.java
+++ b/src/main/java/cacheproxy/daemon/RoutedRequest.java
@@ -76,7 +76,7 @@
         }
         while (++poolIndex < chain.size()) {
             PoolRuntime pool = chain.get(poolIndex);
-            double nowMs = core.now();
+            double nowMs = core.nowMs();
             if (!FallbackRules.mayTryNextPool(
                     serviceClass, mayHaveRun, dedupGroupRun, pool.dedupGroup(), nowMs, request.arrivedMs())) {
                 break;
@@ -103,7 +103,7 @@
             return true;
         }
         LocalQuota[] all = config.quotas.quotasFor("", request);
-        double waitMs = config.quotas.requestWaitMs(all, core.now());
+        double waitMs = config.quotas.requestWaitMs(all, core.nowMs());
         if (waitMs > 0) {
             concluded();
             client.busy(waitMs);
@@ -174,7 +174,7 @@
         release(quotasTaken);
         release(poolQuotasTaken);
         config.pendingRequests--;
-        core.closeId(request.id);
+        core.closeId(request.id());
         request.release(core);
         if (original != null) {
             original.release(core);
--- a/src/main/java/cacheproxy/daemon/Router.java
+++ b/src/main/java/cacheproxy/daemon/Router.java
@@ -43,7 +43,7 @@
             return null;
         }
         if (config.requestValidator.isExpired(request)) {
-            core.closeId(request.id);
+            core.closeId(request.id());
             request.release(core);
             responder.busy(0);
             return null;
@@ -71,7 +71,7 @@
         if (route != null && route.action() instanceof Route.ToPools) {
             return to(config, listener, input, route, request, responder);
         }
-        core.closeId(request.id);
+        core.closeId(request.id());
         request.release(core);
         if (input == null) {
             responder.badRequest("key is no path");
@@ -94,13 +94,13 @@
             Responder responder) {
         String key = route.poolKey(input);
         if (key == null) {
-            core.closeId(request.id);
+            core.closeId(request.id());
             request.release(core);
             responder.badRequest("route " + route.name() + " makes no legal key of this one");
             return null;
         }
         if (fromSibling(config, listener) && (request.isWrite() || mayFetch(config.chain(route)))) {
-            core.closeId(request.id);
+            core.closeId(request.id());
             request.release(core);
             if (request.isWrite()) {
                 responder.badRequest("siblings do not write here");
--- a/src/main/java/cacheproxy/daemon/ServerRestartObserver.java
+++ b/src/main/java/cacheproxy/daemon/ServerRestartObserver.java
@@ -32,7 +32,7 @@
 
     @Override
     public void connectionAccepted(int server) {
-        if (serverStarts.times().connectionAccepted(server, core.now())) {
+        if (serverStarts.times().connectionAccepted(server, core.nowMs())) {
             subsystems.serverRestarted(server);
             // Not within the connection's own event: the new list retires connections to a server that restarted.
             core.loop().execute(() -> applyServerLists(server));
--- a/src/main/java/cacheproxy/daemon/SiblingSocket.java
+++ b/src/main/java/cacheproxy/daemon/SiblingSocket.java
@@ -154,7 +154,7 @@
     /** A server of ours has answered a read of a key. */
     void read(String key, int server, boolean has) {
         if (has) {
-            digest.add(core.now(), RequestValidator.keyHash(key), server);
+            digest.add(core.nowMs(), RequestValidator.keyHash(key), server);
         } else {
             digest.remove(RequestValidator.keyHash(key));
         }
@@ -173,7 +173,7 @@
     /** Sends a query; where a bound is reached nothing is sent, and the policy goes on when its wait is over. */
     @SuppressWarnings("FutureReturnValueIgnored") // a datagram that is not sent is like one that is lost
     void query(String key, List<SiblingConfig> queried, double waitMs, IntConsumer answer) {
-        double nowMs = core.now();
+        double nowMs = core.nowMs();
         if (!queryRate.tryAcquire(nowMs)) {
             overRateCount++;
             return;
@@ -201,7 +201,7 @@
     private void answered(InetSocketAddress from, IcpMessage message) {
         boolean hit = message.opcode() == Opcode.HIT || message.opcode() == Opcode.HIT_OBJ;
         PendingQueries.Reply reply =
-                pendingQueries.matchReply(core.now(), message.requestNumber(), from, message.url(), hit);
+                pendingQueries.matchReply(core.nowMs(), message.requestNumber(), from, message.url(), hit);
         switch (reply.verdict()) {
             case FIRST_HIT, MISS, ALL_MISSED, LATE -> stats(byAddress.get(from)).recordReply(reply.elapsedMs(), hit);
             default -> {
@@ -236,7 +236,7 @@
 
         @SuppressWarnings("FutureReturnValueIgnored") // a datagram that is not sent is like one that is lost
         private void queried(ChannelHandlerContext ctx, InetSocketAddress from, IcpMessage query) {
-            if (!answerRates.getOrDefault(from, strangersRate).tryAcquire(core.now())) {
+            if (!answerRates.getOrDefault(from, strangersRate).tryAcquire(core.nowMs())) {
                 overRateCount++;
                 return;
             }
--- a/src/main/java/cacheproxy/daemon/fleet/FleetContext.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetContext.java
@@ -18,7 +18,7 @@
 record FleetContext(EventLoopContext core, PeerLink link, Supplier<ConfigSnapshot> configuration) {
     /** The event loop's monotonic time. */
     double nowMs() {
-        return core.now();
+        return core.nowMs();
     }
 
     /** Runs a task on the event loop once the present call has returned. */
--- a/src/main/java/cacheproxy/daemon/fleet/FleetLeases.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetLeases.java
@@ -56,7 +56,7 @@
                 random,
                 grantsFromMs,
                 new Outbox());
-        endpoints = new LeaseEndpoints(manager, core::now, ownId);
+        endpoints = new LeaseEndpoints(manager, core::nowMs, ownId);
     }
 
     /** Campaigns for the leases of a configuration, and for no others. */
@@ -103,7 +103,7 @@
     /** Hands each lease to the first candidate that was received from lately, and campaigns no more. */
     void drain() {
         draining = true;
-        double nowMs = core.now();
+        double nowMs = core.nowMs();
         for (LeaseStatus status : manager.statuses(nowMs)) {
             if (status.heldHere()) {
                 manager.transfer(status.lease(), successorOf(status.lease(), nowMs), nowMs, PROCESS_ENDS);
@@ -122,8 +122,8 @@
 
     /** Gives up all leases. */
     void close() {
-        manager.setEligible(false, "it is replaced or ends", core.now());
-        tick(core.now());
+        manager.setEligible(false, "it is replaced or ends", core.nowMs());
+        tick(core.nowMs());
     }
 
     /** The lease of this name, held or not. */
--- a/src/main/java/cacheproxy/daemon/fleet/FleetQuotas.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetQuotas.java
@@ -71,7 +71,7 @@
         this.core = context.core();
         this.link = context.link();
         this.random = random;
-        startedMs = core.now();
+        startedMs = core.nowMs();
         usage = new QuotaUsageMonitor(core::log);
     }
 
@@ -175,7 +175,7 @@
             requestScheduled = true;
             core.loop().execute(() -> {
                 requestScheduled = false;
-                tickEarly(core.now());
+                tickEarly(core.nowMs());
             });
         }
         return longestMs;
@@ -194,10 +194,10 @@
     }
 
     private void tickIfDue() {
-        if (core.now() >= dueMs - TIMER_TOLERANCE_MS) {
+        if (core.nowMs() >= dueMs - TIMER_TOLERANCE_MS) {
             dueMs = Double.POSITIVE_INFINITY;
             if (manager != null) {
-                manager.tick(core.now());
+                manager.tick(core.nowMs());
             }
         }
     }
@@ -230,7 +230,7 @@
             return new ControlResponse(METHOD_NOT_ALLOWED, "use GET /limits", "GET");
         }
         JsonArray list = new JsonArray();
-        double nowMs = core.now();
+        double nowMs = core.nowMs();
         if (manager != null) {
             manager.statuses(nowMs).forEach(status -> list.add(asJson(status, nowMs)));
         }
--- a/src/main/java/cacheproxy/daemon/fleet/FleetSocket.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetSocket.java
@@ -149,7 +149,7 @@
                 return;
             }
             byte[] datagram = ByteBufUtil.getBytes(packet.content());
-            double nowMs = core.now();
+            double nowMs = core.nowMs();
             OpenedDatagram opened = mayBeOpened(packet.sender(), datagram) ? envelope.open(datagram, nowMs) : null;
             if (opened == null) {
                 reject(packet.sender());
--- a/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
@@ -69,7 +69,7 @@
         this.config = config;
         this.core = core;
         ownName = config.self();
-        double startedMs = core.now();
+        double startedMs = core.nowMs();
         SplittableRandom random = new SplittableRandom(seed);
         socket = new FleetSocket(core, config, startedMs, this::receive);
         double grantsFromMs = startedMs + silentMs * (1 + LeaseTiming.MAX_CLOCK_DRIFT);
@@ -81,7 +81,7 @@
         FleetMembership membership = new FleetMembership(context, random.split());
         quotas = new FleetQuotas(context, random.split(), membership::isLikelyAlive);
         protocols = List.of(healthChecks, watches, peerLists, membership, quotas);
-        stateEndpoint = new FleetStateEndpoint(ownName, socket, protocols, core::now);
+        stateEndpoint = new FleetStateEndpoint(ownName, socket, protocols, core::nowMs);
     }
 
     /** Opens the fleet of a configuration and binds its socket; empty if there is none. Not on the event loop. */
@@ -128,7 +128,7 @@
     public void apply(DaemonConfig file) {
         config = file.section(FleetConfig.class);
         socket.usePeers(config.peers());
-        double nowMs = core.now();
+        double nowMs = core.nowMs();
         leases.apply(file, nowMs);
         protocols.forEach(protocol -> protocol.apply(file, nowMs));
         boolean isFirst = dueMs == 0;
@@ -142,7 +142,7 @@
         if (closed) {
             return;
         }
-        double nowMs = core.now();
+        double nowMs = core.nowMs();
         loopHealth.recordTask(nowMs, nowMs - dueMs);
         leases.updateEligibility(loopHealth.isHealthy(nowMs), peerLists.mayHoldLeases(nowMs), nowMs);
         double nextMs = Math.min(leases.tick(nowMs), nowMs + MAX_TICK_INTERVAL_MS);
--- a/src/main/java/cacheproxy/daemon/hooks/HookedRequest.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookedRequest.java
@@ -81,7 +81,7 @@
                 .mapToDouble(hook -> hook.config.limits().timeMs())
                 .min()
                 .orElse(0);
-        watchTimer(Math.min(shortest, (request.dueMs() - core.now()) * MAX_FRACTION_OF_TIME_LEFT));
+        watchTimer(Math.min(shortest, (request.dueMs() - core.nowMs()) * MAX_FRACTION_OF_TIME_LEFT));
         next();
         return this;
     }
@@ -90,7 +90,7 @@
     private void watchTimer(double afterMs) {
         watchTimer = core.after(Math.max(MIN_TIMER_MS, afterMs), () -> {
             HookExecutor.Task task = runningTask;
-            double leftMs = task == null ? 0 : task.untilMs - core.now();
+            double leftMs = task == null ? 0 : task.untilMs - core.nowMs();
             watchTimer(leftMs); // before the timeout, which may conclude the request
             if (task != null && leftMs <= 0) {
                 task.expire();
@@ -117,7 +117,7 @@
                 return;
             }
             hookIndex++;
-            double nowMs = core.now();
+            double nowMs = core.nowMs();
             boolean applies = !ofSomeRoutes || applies(hook);
             if (applies && !skip(hook, nowMs)) {
                 return;
@@ -186,7 +186,7 @@
     }
 
     private void answered(HookCall.Answer answer) {
-        long elapsedMs = Math.round(core.now() - request.arrivedMs());
+        long elapsedMs = Math.round(core.nowMs() - request.arrivedMs());
         callsByHook.forEach((hook, call) -> hook.answered(call, answer, elapsedMs));
     }
 
@@ -207,7 +207,7 @@
     }
 
     private void ended(HookExecutor hook, HookOrders orders, String failure, boolean called) {
-        double nowMs = core.now();
+        double nowMs = core.nowMs();
         double leftMs = request.dueMs() - nowMs;
         String fault =
                 failure != null ? failure : config.hookRules.refused(orders, sentClass, (long) Math.max(0, leftMs));
@@ -261,7 +261,7 @@
 
     private void release() {
         over();
-        core.closeId(request.id);
+        core.closeId(request.id());
         request.release(core);
     }
 
--- a/src/main/java/cacheproxy/daemon/snapshot/RestoredState.java
+++ b/src/main/java/cacheproxy/daemon/snapshot/RestoredState.java
@@ -70,14 +70,14 @@
 
     private void use(StateSnapshot content, boolean sibling, Path path) {
         Optional<String> mismatch =
-                content.mismatch(config.site().name(), config.site().proxyIndex(), core.now(), sibling);
+                content.mismatch(config.site().name(), config.site().proxyIndex(), core.nowMs(), sibling);
         if (mismatch.isPresent()) {
             core.log("memory: " + path + " is not used: " + mismatch.get());
             return;
         }
         snapshot = content;
         trust = sibling ? SIBLING_TRUST : OWN_TRUST;
-        long ageSeconds = Math.round((core.now() - content.writtenMs()) / MS_PER_SECOND);
+        long ageSeconds = Math.round((core.nowMs() - content.writtenMs()) / MS_PER_SECOND);
         core.log("memory: " + path + ", " + ageSeconds + " s old" + (sibling ? ", a sibling's" : ""));
     }
 
--- a/src/main/java/cacheproxy/proxy/client/AcceptQueue.java
+++ b/src/main/java/cacheproxy/proxy/client/AcceptQueue.java
@@ -27,16 +27,16 @@
     /** Accepting begins, or stops, so that connections queue up from now on. */
     void switched(boolean accepting) {
         if (!accepting) {
-            queuedSinceMs = Math.min(queuedSinceMs, loopContext.now());
+            queuedSinceMs = Math.min(queuedSinceMs, loopContext.nowMs());
         }
-        drainedMs = loopContext.now() + MAX_DRAIN_MS;
+        drainedMs = loopContext.nowMs() + MAX_DRAIN_MS;
         lastTurn = loopContext.turn();
     }
 
     /** A connection is accepted; returns the earliest time that it may have come, in milliseconds. */
     double accepted() {
         double unreadSinceMs = loopContext.unreadSinceMs();
-        double nowMs = loopContext.now();
+        double nowMs = loopContext.nowMs();
         if (nowMs > drainedMs || !loopContext.follows(lastTurn)) {
             queuedSinceMs = Double.POSITIVE_INFINITY;
         }
--- a/src/main/java/cacheproxy/proxy/client/ClientConnection.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientConnection.java
@@ -77,7 +77,7 @@
     public void handlerAdded(ChannelHandlerContext context) {
         ctx = context;
         readControl.accepted(owner.queuedSinceMs());
-        activity.accepted(loopContext.now());
+        activity.accepted(loopContext.nowMs());
     }
 
     // ---- state
@@ -176,7 +176,7 @@
 
     @Override
     protected void decode(ChannelHandlerContext context, ByteBuf input, List<Object> output) {
-        activity.active(loopContext.now());
+        activity.active(loopContext.nowMs());
         if (closer.isClosing()) {
             input.skipBytes(input.readableBytes());
             return;
@@ -249,7 +249,7 @@
     void writeResponses() {
         boolean wrote = responses.writeReady(ctx, closer);
         if (wrote) {
-            activity.responseWritten(loopContext.now());
+            activity.responseWritten(loopContext.nowMs());
             flushWritten();
         }
         regulate();
@@ -286,7 +286,7 @@
 
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
-        activity.active(loopContext.now());
+        activity.active(loopContext.nowMs());
         regulate();
     }
 
--- a/src/main/java/cacheproxy/proxy/client/ClientRegistry.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientRegistry.java
@@ -53,7 +53,7 @@
     private boolean evictOne(ClientConnection spared) {
         ClientConnection candidate = null;
         double highestRank = 0;
-        double nowMs = loopContext.now();
+        double nowMs = loopContext.nowMs();
         int lingering = 0;
         for (ClientConnection connection : connections) {
             lingering += connection.isFinished() ? 1 : 0;
@@ -79,7 +79,7 @@
 
     /** Closes stalled connections, and evicts one if there are too many; to be called periodically. */
     public void closeStalled() {
-        double nowMs = loopContext.now();
+        double nowMs = loopContext.nowMs();
         for (ClientConnection connection : List.copyOf(connections)) {
             if (connection.isStalled(nowMs)) {
                 connection.closeStalled();
--- a/src/main/java/cacheproxy/proxy/client/ConnectionActivity.java
+++ b/src/main/java/cacheproxy/proxy/client/ConnectionActivity.java
@@ -2,7 +2,7 @@
 
 /**
  * When a client connection was accepted, last active and last written to, and which timeouts follow from that. Times
- * are milliseconds of {@link cacheproxy.proxy.upstream.EventLoopContext#now}.
+ * are milliseconds of {@link cacheproxy.proxy.upstream.EventLoopContext#nowMs}.
  */
 final class ConnectionActivity {
     /** How long a client may go without taking a response, or without closing a connection that the proxy has ended. */
--- a/src/main/java/cacheproxy/proxy/client/ConnectionCloser.java
+++ b/src/main/java/cacheproxy/proxy/client/ConnectionCloser.java
@@ -79,9 +79,9 @@
 
     /** The channel is closed, by whichever side. */
     void closed(ChannelHandlerContext ctx, int unreadBytes) {
-        if (loopContext.events.isEnabled()) {
+        if (loopContext.events().isEnabled()) {
             loopContext
-                    .events
+                    .events()
                     .line(ProxyEvent.CLIENT_CLOSED)
                     .with("client", ctx.channel().remoteAddress())
                     .with("by", isClosedByProxy() ? "proxy" : "client")
--- a/src/main/java/cacheproxy/proxy/client/Listener.java
+++ b/src/main/java/cacheproxy/proxy/client/Listener.java
@@ -77,7 +77,7 @@
     /** Accepts connections at the reserved address from now on, unless the listener drains already. */
     public Future<?> listen() {
         if (draining) {
-            return loopContext.loop.newSucceededFuture(null);
+            return loopContext.loop().newSucceededFuture(null);
         }
         return bind(reserved.address()).addListener(bound -> releaseAddress());
     }
@@ -119,7 +119,7 @@
 
     private ServerBootstrap bootstrap() {
         return new ServerBootstrap()
-                .group(loopContext.loop)
+                .group(loopContext.loop())
                 .handler(new AcceptFailureHandler())
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WATER_MARK)
@@ -134,7 +134,7 @@
 
     private ChannelFuture register(ChannelFuture bound) {
         channel = bound.channel();
-        loopContext.loop.execute(() -> clients.add(this));
+        loopContext.loop().execute(() -> clients.add(this));
         return bound;
     }
 
@@ -247,7 +247,7 @@
      */
     public void closeIdle(double fraction) {
         closingFraction = fraction;
-        double nowMs = loopContext.now();
+        double nowMs = loopContext.nowMs();
         for (ClientConnection connection : new ArrayList<>(connections)) {
             if (closesWhenIdle(connection) && connection.isIdle() && (draining || connection.hasHadTimeToAsk(nowMs))) {
                 connection.finish();
--- a/src/main/java/cacheproxy/proxy/client/PendingResponse.java
+++ b/src/main/java/cacheproxy/proxy/client/PendingResponse.java
@@ -94,7 +94,7 @@
     void recordUnansweredClose(CloseCause cause) {
         connection
                 .loopContext()
-                .invariants
+                .invariants()
                 .recordViolation(
                         Invariant.CLOSE_OWES_NOTHING, echo.trim(), "its connection is closed, " + cause.label());
     }
@@ -127,7 +127,7 @@
         if (complete || begun) {
             connection
                     .loopContext()
-                    .invariants
+                    .invariants()
                     .recordViolation(Invariant.SINGLE_ANSWER, echo.trim(), "a second answer was dropped");
             response.release();
             return;
--- a/src/main/java/cacheproxy/proxy/client/ReadControl.java
+++ b/src/main/java/cacheproxy/proxy/client/ReadControl.java
@@ -49,7 +49,7 @@
     /** Stops reading from the socket. */
     void pause(ChannelHandlerContext ctx) {
         if (!paused) {
-            heldSinceMs = loopContext.now();
+            heldSinceMs = loopContext.nowMs();
         }
         paused = true;
         ctx.channel().config().setAutoRead(false);
--- a/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
@@ -64,7 +64,7 @@
         DiscoveryPollScheduler scheduler = new DiscoveryPollScheduler(
                 source.onRequest(), settings.instanceCount(), new SplittableRandom(pool.seed()));
         polls = new LongPollLoop(core, scheduler, source.address(), version, this::apply);
-        scheduler.setLongPolling(core.now(), shouldLongPoll());
+        scheduler.setLongPolling(core.nowMs(), shouldLongPoll());
         double maxPollAgeMs = settings.maxPollAgeMs();
         double staggerMs =
                 Math.min(maxPollAgeMs * MAX_STAGGER_FRACTION, settings.instanceCount() * settings.connectTimeoutMs());
@@ -132,7 +132,7 @@
     @Override
     public void close() {
         polls.close();
-        core.servers.removeObserver(this);
+        core.servers().removeObserver(this);
         fetches.close();
     }
 
--- a/src/main/java/cacheproxy/proxy/discovery/LongPollLoop.java
+++ b/src/main/java/cacheproxy/proxy/discovery/LongPollLoop.java
@@ -47,20 +47,20 @@
 
     /** Starts or stops following the list, by long polls or only by immediate ones. */
     void setFollowing(boolean following, boolean longPolling) {
-        scheduler.setLongPolling(context.now(), longPolling);
-        scheduler.setFollowing(context.now(), following);
+        scheduler.setLongPolling(context.nowMs(), longPolling);
+        scheduler.setFollowing(context.nowMs(), following);
         advance();
     }
 
     /** Starts or stops long-polling; see {@link DiscoveryPollScheduler#setLongPolling}. */
     void setLongPolling(boolean enabled) {
-        scheduler.setLongPolling(context.now(), enabled);
+        scheduler.setLongPolling(context.nowMs(), enabled);
         advance();
     }
 
     /** Polls immediately, in place of a long poll in flight. */
     void pollNow() {
-        scheduler.pollNow(context.now());
+        scheduler.pollNow(context.nowMs());
         advance();
     }
 
@@ -68,7 +68,7 @@
     void moveTo(InetSocketAddress newAddress) {
         address = newAddress;
         connection.close();
-        scheduler.addressChanged(context.now());
+        scheduler.addressChanged(context.nowMs());
         advance();
     }
 
@@ -113,7 +113,7 @@
         if (!scheduler.inFlight()) {
             connection.cancel();
         }
-        double nowMs = context.now();
+        double nowMs = context.nowMs();
         double dueAtMs = scheduler.nextPollAtMs();
         if (dueAtMs <= nowMs) {
             poll(scheduler.beginPoll(nowMs));
@@ -123,8 +123,8 @@
     }
 
     private void poll(DiscoveryPoll poll) {
-        if (context.events.isEnabled()) {
-            context.events
+        if (context.events().isEnabled()) {
+            context.events()
                     .line(ProxyEvent.DISCOVERY_CALLED)
                     .with("at", address)
                     .with("since", version.since())
@@ -142,18 +142,18 @@
     private void ended(DiscoveryResponse response) {
         try {
             onList.accept(response.body());
-            scheduler.succeeded(context.now());
+            scheduler.succeeded(context.nowMs());
             logSuccess();
         } catch (RuntimeException e) {
-            scheduler.failed(context.now(), response.timedOut());
+            scheduler.failed(context.nowMs(), response.timedOut());
             logFailure(e);
         }
         advance();
     }
 
     private void logSuccess() {
-        if (context.events.isEnabled()) {
-            context.events
+        if (context.events().isEnabled()) {
+            context.events()
                     .line(ProxyEvent.DISCOVERY_ANSWERED)
                     .with("version", version.held())
                     .write();
@@ -162,13 +162,13 @@
 
     private void logFailure(RuntimeException cause) {
         int failures = scheduler.consecutiveFailures();
-        if (context.events.isEnabled()) {
-            context.events
+        if (context.events().isEnabled()) {
+            context.events()
                     .line(ProxyEvent.DISCOVERY_FAILED)
                     .with("cause", cause.getMessage())
                     .with("failures", failures)
-                    .withMs("age_ms", scheduler.stalenessMs(context.now()))
-                    .withMs("next_ms", scheduler.nextPollAtMs() - context.now())
+                    .withMs("age_ms", scheduler.stalenessMs(context.nowMs()))
+                    .withMs("next_ms", scheduler.nextPollAtMs() - context.nowMs())
                     .write();
         }
         if (Integer.bitCount(failures) == 1) { // 1, 2, 4...: the number of log lines is bounded
--- a/src/main/java/cacheproxy/proxy/discovery/SilentWatchMonitor.java
+++ b/src/main/java/cacheproxy/proxy/discovery/SilentWatchMonitor.java
@@ -31,7 +31,7 @@
 
     /** A server has refused a connection. */
     void connectionRefused(int server) {
-        detector.connectionRefused(context.now(), server);
+        detector.connectionRefused(context.nowMs(), server);
         scheduleCheck();
     }
 
@@ -42,7 +42,7 @@
 
     /** Another proxy claims to have a version newer than the one held here. */
     void versionClaimed(long version) {
-        detector.versionClaimed(context.now(), version);
+        detector.versionClaimed(context.nowMs(), version);
         scheduleCheck();
     }
 
@@ -59,13 +59,13 @@
                 check.cancel();
             }
             checkAtMs = dueAtMs;
-            check = context.after(checkAtMs - context.now(), this::check);
+            check = context.after(checkAtMs - context.nowMs(), this::check);
         }
     }
 
     private void check() {
         checkAtMs = Double.POSITIVE_INFINITY;
-        if (!polls.isClosed() && context.now() >= polls.protectedUntilMs() && detector.takeDuePoll(context.now())) {
+        if (!polls.isClosed() && context.nowMs() >= polls.protectedUntilMs() && detector.takeDuePoll(context.nowMs())) {
             if (polls.inFlight()) {
                 context.log("discovery: the watch seems to have fallen silent, asking anew");
             }
--- a/src/main/java/cacheproxy/proxy/dispatch/AttemptResults.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/AttemptResults.java
@@ -30,7 +30,7 @@
             return false;
         }
         context.beginStreaming();
-        attempt.beginStreaming(pool.core().now());
+        attempt.beginStreaming(pool.core().nowMs());
         context.responder().beginValue(length, attempt.connection());
         pool.policy().firstByteReceived(attempt);
         for (RequestAttempt other : context.attempts()) {
@@ -58,7 +58,7 @@
             return;
         }
         attempt.end(outcome);
-        double elapsedMs = attempt.elapsedMs(pool.core().now());
+        double elapsedMs = attempt.elapsedMs(pool.core().nowMs());
         RequestContext context = attempt.context();
         context.attemptEnded(outcome);
         pool.log().attemptEnded(attempt, outcome, elapsedMs);
--- a/src/main/java/cacheproxy/proxy/dispatch/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/Dispatcher.java
@@ -94,7 +94,7 @@
         policy = new RoutingPolicy(
                 options.settings(), options.seed(), options.placements(), options.admission(), siblingDecisions);
         events.start(policy, actions);
-        sweeper = core.loop.scheduleWithFixedDelay(servers::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+        sweeper = core.loop().scheduleWithFixedDelay(servers::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Ends at once, without a response to pending requests. Closes connections that no other pool uses. */
@@ -149,7 +149,7 @@
         if (learnedState != null && hasServers()) {
             LearnedStateProvider provider = learnedState;
             learnedState = null;
-            events.restore(() -> provider.restore(core.now(), hosts));
+            events.restore(() -> provider.restore(core.nowMs(), hosts));
         }
     }
 
@@ -166,7 +166,7 @@
 
     /** Whether the policy holds nothing against a server. */
     public boolean isHealthy(int server) {
-        return policy.isHealthy(core.now(), server);
+        return policy.isHealthy(core.nowMs(), server);
     }
 
     /** Whether some cache server is healthy, or none is listed. */
@@ -203,12 +203,12 @@
 
     /** Whether the policy has more requests than its servers handle in time. */
     public boolean isOverloaded() {
-        return policy.isOverloaded(core.now());
+        return policy.isOverloaded(core.nowMs());
     }
 
     /** What the policy has learned, with at most so many hot keys. */
     public LearnedState learnedState(int maxHotKeys) {
-        return policy.learnedState(core.now(), maxHotKeys);
+        return policy.learnedState(core.nowMs(), maxHotKeys);
     }
 
     /** Reports a message of another proxy to the policy. */
--- a/src/main/java/cacheproxy/proxy/dispatch/HealthProber.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/HealthProber.java
@@ -36,7 +36,7 @@
     }
 
     private void send(int server, HealthProbe.Listener listener) {
-        double nowMs = core.now();
+        double nowMs = core.nowMs();
         HealthProbe probe = new HealthProbe(this, server, nowMs, nowMs + Dispatcher.PROBE_TIMEOUT_MS, listener);
         Upstream upstream = pool.servers().find(server);
         if (upstream != null && upstream.send(probe)) {
@@ -58,6 +58,6 @@
 
     /** The time by the event loop's clock. */
     double nowMs() {
-        return core.now();
+        return core.nowMs();
     }
 }
--- a/src/main/java/cacheproxy/proxy/dispatch/PolicyEvents.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/PolicyEvents.java
@@ -93,46 +93,46 @@
 
     /** The first bytes of a long value have come for an attempt. */
     void firstByteReceived(RequestAttempt attempt) {
-        run(() -> policy.onFirstByte(core.now(), attempt.context().id(), attempt.index(), attempt.server(), actions));
+        run(() -> policy.onFirstByte(core.nowMs(), attempt.context().id(), attempt.index(), attempt.server(), actions));
     }
 
     /** An attempt of a request has ended. */
     void attemptEnded(RequestContext context, AttemptResult result) {
-        runFor(context, () -> policy.onAttemptEnd(core.now(), result, actions));
+        runFor(context, () -> policy.onAttemptEnd(core.nowMs(), result, actions));
     }
 
     /** The client of a request has disconnected. */
     void clientGone(RequestContext context) {
-        run(() -> policy.onClientGone(core.now(), context.id(), actions));
+        run(() -> policy.onClientGone(core.nowMs(), context.id(), actions));
     }
 
     /** A sibling has the key of a request, or none if its id is 0. */
     void siblingResponded(RequestContext context, int sibling) {
-        runFor(context, () -> policy.onSiblingResponse(core.now(), context.id(), sibling, actions));
+        runFor(context, () -> policy.onSiblingResponse(core.nowMs(), context.id(), sibling, actions));
     }
 
     /** A timer that the policy has set has expired. */
     void timerExpired(int token) {
-        run(() -> policy.onTimer(core.now(), token, actions));
+        run(() -> policy.onTimer(core.nowMs(), token, actions));
     }
 
     /** A health probe has ended; the report has the server's load figures and is null if there are none. */
     void probeEnded(int server, AttemptOutcome outcome, double elapsedMs, float[] report) {
-        run(() -> policy.onProbeResult(core.now(), server, outcome, elapsedMs, report, actions));
+        run(() -> policy.onProbeResult(core.nowMs(), server, outcome, elapsedMs, report, actions));
     }
 
     /** An endpoint list or the changes of one have come. */
     void endpointListReceived(EndpointListKind kind, List<Endpoint> endpoints) {
-        run(() -> policy.onEndpointList(core.now(), kind, endpoints, actions));
+        run(() -> policy.onEndpointList(core.nowMs(), kind, endpoints, actions));
     }
 
     /** A message of another proxy has come. */
     void peerMessageReceived(int peer, byte[] message) {
-        run(() -> policy.onPeerMessage(core.now(), peer, message, actions));
+        run(() -> policy.onPeerMessage(core.nowMs(), peer, message, actions));
     }
 
     /** Gives the policy what an earlier one has learned. */
     void restore(Supplier<LearnedState> state) {
-        run(() -> policy.restore(core.now(), state.get()));
+        run(() -> policy.restore(core.nowMs(), state.get()));
     }
 }
--- a/src/main/java/cacheproxy/proxy/dispatch/PoolServers.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/PoolServers.java
@@ -46,13 +46,13 @@
     }
 
     private void logChange(EndpointListKind kind, ListedServer host) {
-        if (!core.events.isEnabled()) {
+        if (!core.events().isEnabled()) {
             return;
         }
         Endpoint endpoint = host.endpoint();
         Upstream known = servers.get(endpoint.id());
         if (known == null || !known.isListedAs(endpoint.state(), endpoint.startedMs())) {
-            core.events
+            core.events()
                     .line(ProxyEvent.SERVER_LISTED)
                     .with("server", name(endpoint.id(), host.address()))
                     .with("state", endpoint.state())
@@ -77,7 +77,7 @@
         remove(endpoint.id());
         PolicySettings settings = options.settings();
         boolean origin = settings.cacheAside() && endpoint.kind() == settings.originKind();
-        Upstream server = core.servers.hold(endpoint.id(), origin, address, options.connections());
+        Upstream server = core.servers().hold(endpoint.id(), origin, address, options.connections());
         servers.put(endpoint.id(), server);
         return server;
     }
@@ -96,14 +96,14 @@
         Upstream server = servers.remove(id);
         if (server != null) {
             server.markUnavailable();
-            core.servers.release(server);
+            core.servers().release(server);
         }
     }
 
     /** Closes connections that have been idle for long and those whose value has stopped coming. Once a second. */
     void sweep() {
-        double nowMs = core.now();
-        core.servers.sweep(
+        double nowMs = core.nowMs();
+        core.servers().sweep(
                 servers.values(), nowMs, nowMs - options.connections().retireIdleMs());
     }
 
@@ -122,7 +122,7 @@
             if (server.hasOneHolder()) {
                 server.close();
             }
-            core.servers.release(server);
+            core.servers().release(server);
         }
     }
 
--- a/src/main/java/cacheproxy/proxy/dispatch/RequestAttempts.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/RequestAttempts.java
@@ -31,7 +31,7 @@
      * @param timeoutMs how long to wait for the server; 0: until the request is due
      */
     void send(RequestContext context, int server, double timeoutMs) {
-        double nowMs = core.now();
+        double nowMs = core.nowMs();
         double leftMs = context.dueMs() - nowMs;
         double waitMs = timeoutMs == 0 ? leftMs : Math.min(timeoutMs, leftMs);
         RequestAttempt attempt = new RequestAttempt(this, context, server, nowMs, nowMs + waitMs);
@@ -69,7 +69,7 @@
             }
         }
         if (attempt.beginByMs() < attempt.timeoutAtMs()) {
-            core.after(attempt.beginByMs() - core.now(), attempt::withdraw);
+            core.after(attempt.beginByMs() - core.nowMs(), attempt::withdraw);
         }
     }
 
@@ -79,20 +79,20 @@
      */
     boolean mayBegin(RequestAttempt attempt) {
         RequestContext context = attempt.context();
-        Invariant violated = sendGuard.violatedBy(attempt, core.now());
+        Invariant violated = sendGuard.violatedBy(attempt, core.nowMs());
         if (violated != null) {
             String server = pool.servers().name(attempt.server());
-            core.invariants.recordStopped(
+            core.invariants().recordStopped(
                     violated,
                     context.request().id(),
                     "attempt " + attempt.index() + " at " + server + " was not begun");
             attempt.onEnd(AttemptOutcome.NOT_SENT);
             return false;
         }
-        double clientDueMs = context.request().clientDueMs;
+        double clientDueMs = context.request().clientDueMs();
         if (context.dueMs() > clientDueMs) {
             long excessMs = Math.round(context.dueMs() - clientDueMs);
-            core.invariants.recordViolation(
+            core.invariants().recordViolation(
                     Invariant.DEADLINE_WITHIN_CLIENTS,
                     context.request().id(),
                     "its pool waits " + excessMs + " ms longer than its client");
--- a/src/main/java/cacheproxy/proxy/dispatch/RequestContext.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/RequestContext.java
@@ -98,8 +98,8 @@
                 request.tenant(),
                 keyHash,
                 dueMs,
-                request.workHintMs,
-                request.sizeHintBytes,
+                request.workHintMs(),
+                request.sizeHintBytes(),
                 request.isWrite(),
                 request.isRetry());
     }
--- a/src/main/java/cacheproxy/proxy/dispatch/RequestLifecycle.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/RequestLifecycle.java
@@ -29,7 +29,7 @@
     void start(RequestContext context) {
         context.setId(++lastId);
         requests.put(context.id(), context);
-        double nowMs = core.now();
+        double nowMs = core.nowMs();
         // Before the policy's own timer for the same time: an attempt at a silent server ends as timed out then.
         context.setDeadlineTimer(core.after(context.dueMs() - nowMs, () -> deadlineReached(context)));
         pool.log().requestReceived(context, nowMs);
@@ -88,7 +88,7 @@
             attempt.connection().giveUp(attempt);
             attempt.onEnd(AttemptOutcome.CANCELLED);
         } else if (!attempt.hasTimeout()) { // it would have ended by the request's own timer, which has been cancelled
-            attempt.expireAfter(core, attempt.context().dueMs() - core.now());
+            attempt.expireAfter(core, attempt.context().dueMs() - core.nowMs());
         }
     }
 
--- a/src/main/java/cacheproxy/proxy/process/ConfigReloader.java
+++ b/src/main/java/cacheproxy/proxy/process/ConfigReloader.java
@@ -43,9 +43,9 @@
             PlatformConfig config = PlatformConfig.read(file);
             InetSocketAddress discoveryAddress = config.discovery();
             applyEventLog(loopContext, config);
-            if (loopContext.events.isEnabled()) {
+            if (loopContext.events().isEnabled()) {
                 loopContext
-                        .events
+                        .events()
                         .line(ProxyEvent.STATE_CHANGED)
                         .with("state", "reloaded")
                         .with("discovery", discoveryAddress)
@@ -60,7 +60,7 @@
     /** Switches the event log on or off, if the configuration says so. */
     static void applyEventLog(EventLoopContext loopContext, PlatformConfig config) {
         if (config.eventLog() != null) {
-            loopContext.events.setEnabled(config.eventLog());
+            loopContext.events().setEnabled(config.eventLog());
         }
     }
 }
--- a/src/main/java/cacheproxy/proxy/process/GracefulShutdown.java
+++ b/src/main/java/cacheproxy/proxy/process/GracefulShutdown.java
@@ -48,7 +48,7 @@
      */
     public void run(DoubleSupplier longestDeadlineMs) {
         loop.execute(() -> {
-            listenEndsMs = loopContext.now() + listenGraceMs;
+            listenEndsMs = loopContext.nowMs() + listenGraceMs;
             drainEndsMs = listenEndsMs + longestDeadlineMs.getAsDouble() + LAST_RESPONSE_MS;
             poll();
         });
@@ -61,7 +61,7 @@
 
     @SuppressWarnings("FutureReturnValueIgnored") // the timer is never cancelled; what it runs handles its own errors
     private void poll() {
-        double nowMs = loopContext.now();
+        double nowMs = loopContext.nowMs();
         if (nowMs >= listenEndsMs && (drained.getAsBoolean() || nowMs >= drainEndsMs)) {
             ended.countDown();
             return;
--- a/src/main/java/cacheproxy/proxy/process/OperatorActions.java
+++ b/src/main/java/cacheproxy/proxy/process/OperatorActions.java
@@ -65,7 +65,7 @@
                         this::enterStandby,
                         this::leaveStandby,
                         new DiagnosticEndpoints(
-                                loopContext.invariants::summary, loopContext.events::setEnabled, reload)));
+                                loopContext.invariants()::summary, loopContext.events()::setEnabled, reload)));
     }
 
     /**
@@ -138,7 +138,7 @@
     }
 
     private boolean enterStandby() {
-        boolean entered = lifecycle.enterStandby(loopContext.now());
+        boolean entered = lifecycle.enterStandby(loopContext.nowMs());
         if (entered && standbyPoll == null) {
             standbyPoll = loop.scheduleWithFixedDelay(
                     this::applyLifecycle, 0, STANDBY_POLL_INTERVAL_MS, TimeUnit.MILLISECONDS);
@@ -154,7 +154,7 @@
 
     private void applyLifecycle() {
         listener.setAcceptsClients(lifecycle.acceptsClients());
-        listener.closeIdle(lifecycle.closingFraction(loopContext.now()));
+        listener.closeIdle(lifecycle.closingFraction(loopContext.nowMs()));
         if (lifecycle.state() != LifecycleState.STANDBY && standbyPoll != null) {
             standbyPoll.cancel(false);
             standbyPoll = null;
--- a/src/main/java/cacheproxy/proxy/process/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/process/Proxy.java
@@ -159,7 +159,7 @@
 
     /** How many actions were stopped by an invariant, and how many violated one, in a line. */
     public String invariantSummary() {
-        return loop.submit(loopContext.invariants::summary)
+        return loop.submit(loopContext.invariants()::summary)
                 .syncUninterruptibly()
                 .getNow();
     }
@@ -185,20 +185,20 @@
     public void drain() {
         new GracefulShutdown(loop, loopContext, 0, this::isDrained).run(this::beginDraining);
         closeOperatorActions();
-        loopContext.events.close();
+        loopContext.events().close();
     }
 
     /** Begins the shutdown; returns the time, in milliseconds, after which no more requests are taken. */
     private double beginDraining() {
-        if (loopContext.events.isEnabled()) {
+        if (loopContext.events().isEnabled()) {
             loopContext
-                    .events
+                    .events()
                     .line(ProxyEvent.STATE_CHANGED)
                     .with("state", "draining")
                     .with("in_hand", dispatcher.pendingRequests())
                     .write();
         }
-        lifecycle.beginShutdown(loopContext.now(), operatorActions != null && operatorActions.hasSuccessor());
+        lifecycle.beginShutdown(loopContext.nowMs(), operatorActions != null && operatorActions.hasSuccessor());
         double longestDeadlineMs = config.settings().classes().stream()
                 .mapToDouble(ServiceClass::deadlineMs)
                 .max()
@@ -214,7 +214,7 @@
     }
 
     private boolean isDrained() {
-        double nowMs = loopContext.now();
+        double nowMs = loopContext.nowMs();
         listener.setAcceptsClients(lifecycle.acceptsClients());
         if (!lifecycle.acceptsConnections(nowMs)) {
             listener.stopListening();
--- a/src/main/java/cacheproxy/proxy/request/ClientRequest.java
+++ b/src/main/java/cacheproxy/proxy/request/ClientRequest.java
@@ -7,37 +7,37 @@
  * client's own, but for the deadline, if the client speaks the nodes' grammar.
  *
  * <p>{@link RequestValidator#resolve} sets class, tenant, times and hints from the attributes. Times are milliseconds
- * of {@link RequestAccounting#now}. The request is reference-counted for its value; it belongs to one thread at a time.
+ * of {@link RequestAccounting#nowMs}. The request is reference-counted for its value; it belongs to one thread at a time.
  */
 public final class ClientRequest {
     /** The length of {@code mg} or {@code ms} with the space behind it. */
     private static final int COMMAND_LENGTH = 3;
 
-    public final String key;
-    public final String id;
-    public final boolean isWrite;
+    private final String key;
+    private final String id;
+    private final boolean isWrite;
     private final String attributes;
     /** The attributes up to the figure of the deadline. */
     private final String attributesPrefix;
     /** The attributes behind the figure of the deadline. */
     private final String attributesSuffix;
 
-    public final String linePrefix;
-    public final String lineSuffix;
-    public ByteBuf value;
+    private final String linePrefix;
+    private final String lineSuffix;
+    private ByteBuf value;
     /** What is given back to the bound on clients' values when the value is released. */
     private int reservedBytes;
 
     private int referenceCount = 1;
 
-    public int serviceClass;
-    public int tenant;
+    private int serviceClass;
+    private int tenant;
     private double arrivedMs = Double.NaN;
-    public double dueMs;
-    public double clientDueMs = Double.POSITIVE_INFINITY;
-    public double workHintMs;
-    public float sizeHintBytes;
-    public boolean isRetry;
+    private double dueMs;
+    private double clientDueMs = Double.POSITIVE_INFINITY;
+    private double workHintMs;
+    private float sizeHintBytes;
+    private boolean isRetry;
 
     /**
      * A request whose line for cache nodes consists of its attributes and what is around them.
--- a/src/main/java/cacheproxy/proxy/request/RequestValidator.java
+++ b/src/main/java/cacheproxy/proxy/request/RequestValidator.java
@@ -53,7 +53,7 @@
             return "id is in use";
         }
         if (Double.isNaN(request.arrivedMs())) {
-            request.setArrivedMs(accounting.now());
+            request.setArrivedMs(accounting.nowMs());
         }
         request.resolve(serviceClass, tenant, request.arrivedMs() + deadlineMs);
         request.setHints(
@@ -69,7 +69,7 @@
 
     /** Whether the client has stopped waiting by now, as the request was read too late. */
     public boolean isExpired(ClientRequest request) {
-        return request.dueMs() <= accounting.now();
+        return request.dueMs() <= accounting.nowMs();
     }
 
     /** The deadline; 0, which is invalid, if it is there and no number, as it must not pass for an absent one. */
--- a/src/main/java/cacheproxy/proxy/upstream/Attempt.java
+++ b/src/main/java/cacheproxy/proxy/upstream/Attempt.java
@@ -86,7 +86,7 @@
      * than the client has left. Computed anew each time that a request is written.
      */
     final int deadlineToTellMs(double nowMs) {
-        double leftMs = Math.min(deadlineMs(), request.clientDueMs) - nowMs;
+        double leftMs = Math.min(deadlineMs(), request.clientDueMs()) - nowMs;
         return (int) Math.max(1, Math.min(Integer.MAX_VALUE, Math.floor(leftMs)));
     }
 
--- a/src/main/java/cacheproxy/proxy/upstream/CacheCodec.java
+++ b/src/main/java/cacheproxy/proxy/upstream/CacheCodec.java
@@ -62,7 +62,7 @@
 
     @Override
     public ChannelFuture write(Channel channel, Attempt attempt, SocketAddress server) {
-        return CacheRequestEncoder.write(channel, attempt, connection.core().now());
+        return CacheRequestEncoder.write(channel, attempt, connection.core().nowMs());
     }
 
     // ---- input
@@ -115,9 +115,9 @@
             onProbeLine(attempt, line);
         } else if (line.startsWith(ERROR_PREFIX)) {
             onError(attempt, line);
-        } else if (line.startsWith(VALUE_PREFIX) && !attempt.request().isWrite) {
+        } else if (line.startsWith(VALUE_PREFIX) && !attempt.request().isWrite()) {
             onValueLine(attempt, line);
-        } else if (line.startsWith(STORED_PREFIX) && attempt.request().isWrite) {
+        } else if (line.startsWith(STORED_PREFIX) && attempt.request().isWrite()) {
             onStored(attempt, line);
         } else if (line.startsWith(MISS)) {
             onMiss(attempt, line);
@@ -169,7 +169,7 @@
 
     /** Reads what the flags say; the id must be the attempt's. */
     private void readFlags(Attempt attempt, String line, int from) throws MetaCodec.SyntaxException {
-        if (!MetaCodec.hasFlag(line, from, ID_FLAG, attempt.request().id)) {
+        if (!MetaCodec.hasFlag(line, from, ID_FLAG, attempt.request().id())) {
             throw new MetaCodec.SyntaxException("answer to another request");
         }
         cacheStatus = readCacheStatus(line, from);
--- a/src/main/java/cacheproxy/proxy/upstream/CacheRequestEncoder.java
+++ b/src/main/java/cacheproxy/proxy/upstream/CacheRequestEncoder.java
@@ -33,22 +33,22 @@
     /** A sibling does not know this proxy's request classes, but has one for reads of siblings. */
     private static ChannelFuture writeToSibling(
             Channel channel, ClientRequest request, String siblingClass, int deadlineMs) {
-        String line = "mg " + request.key + " v O" + request.id + " Pc=" + siblingClass + ",d=" + deadlineMs + "\r\n";
+        String line = "mg " + request.key() + " v O" + request.id() + " Pc=" + siblingClass + ",d=" + deadlineMs + "\r\n";
         return channel.write(MetaCodec.ascii(channel.alloc(), line));
     }
 
     @SuppressWarnings("FutureReturnValueIgnored") // a failed write closes the channel, and the close is handled
     private static ChannelFuture writeToServer(Channel channel, ClientRequest request, int deadlineMs) {
-        int maxLength = request.linePrefix.length() + request.lineSuffix.length() + MAX_DEADLINE_AND_CRLF_BYTES;
+        int maxLength = request.linePrefix().length() + request.lineSuffix().length() + MAX_DEADLINE_AND_CRLF_BYTES;
         ByteBuf line = channel.alloc().buffer(maxLength);
-        ByteBufUtil.writeAscii(line, request.linePrefix);
+        ByteBufUtil.writeAscii(line, request.linePrefix());
         MetaCodec.writeDecimal(line, deadlineMs);
-        ByteBufUtil.writeAscii(line, request.lineSuffix);
+        ByteBufUtil.writeAscii(line, request.lineSuffix());
         line.writeShort(MetaCodec.CRLF);
-        if (request.value == null) {
+        if (request.value() == null) {
             return channel.write(line);
         }
         channel.write(line);
-        return channel.write(request.value.retainedDuplicate());
+        return channel.write(request.value().retainedDuplicate());
     }
 }
--- a/src/main/java/cacheproxy/proxy/upstream/EventLoopContext.java
+++ b/src/main/java/cacheproxy/proxy/upstream/EventLoopContext.java
@@ -21,15 +21,13 @@
  * this one holds them together. Used on that event loop only, unless a method says otherwise.
  */
 public final class EventLoopContext implements RequestAccounting {
-    public final EventLoop loop;
-    /** Disabled unless {@linkplain EventLog#enable enabled}. */
-    public final EventLog events = EventLog.onStandardError(this::now);
+    private final EventLoop loop;
+    private final EventLog events = EventLog.onStandardError(this::nowMs);
 
     private final StandardErrorLog errors = new StandardErrorLog();
-    /** Counts and logs the actions that an invariant stopped, and violations. */
-    public final InvariantMonitor invariants = new InvariantMonitor(new InvariantEventLog(events, errors));
+    private final InvariantMonitor invariants = new InvariantMonitor(new InvariantEventLog(events, errors));
 
-    public final UpstreamRegistry servers;
+    private final UpstreamRegistry servers;
 
     private final EventLoopClock clock;
     private final TimerWheel timers;
@@ -74,7 +72,7 @@
 
     /** The time in milliseconds; see {@link EventLoopClock}. From any thread. */
     @Override
-    public double now() {
+    public double nowMs() {
         return clock.nowMs();
     }
 
@@ -119,6 +117,16 @@
 
     // ---- logs
 
+    /** The log of requests' events; disabled unless {@linkplain EventLog#enable enabled}. */
+    public EventLog events() {
+        return events;
+    }
+
+    /** Counts and logs the actions that an invariant stopped, and violations. */
+    public InvariantMonitor invariants() {
+        return invariants;
+    }
+
     /** Writes a line to standard error, unless there have been too many. */
     public void log(String line) {
         errors.write(line);
@@ -172,6 +180,11 @@
 
     // ---- connections to servers
 
+    /** The servers of all pools of this event loop. */
+    public UpstreamRegistry servers() {
+        return servers;
+    }
+
     /** Adds an observer of servers that refuse connections, and of those that accept them again. */
     public void addServerObserver(UpstreamRegistry.Observer observer) {
         servers.addObserver(observer);
@@ -199,6 +212,6 @@
 
     /** Whether a connection may be closed to abandon one attempt; see {@link ConnectionCloseLimiter#mayClose}. */
     boolean mayClose(boolean hedgingAllowed) {
-        return closes.mayClose(now(), hedgingAllowed);
+        return closes.mayClose(nowMs(), hedgingAllowed);
     }
 }
--- a/src/main/java/cacheproxy/proxy/upstream/OriginCodec.java
+++ b/src/main/java/cacheproxy/proxy/upstream/OriginCodec.java
@@ -66,7 +66,7 @@
     @Override
     public ChannelFuture write(Channel channel, Attempt attempt, SocketAddress server) {
         return channel.write(
-                OriginRequestEncoder.encode(attempt, server, connection.core().now()));
+                OriginRequestEncoder.encode(attempt, server, connection.core().nowMs()));
     }
 
     // ---- input
@@ -137,7 +137,7 @@
 
     /** Whether the current response carries the value that this attempt reads. */
     private boolean isValueOf(Attempt attempt) {
-        return isOk(response) && !attempt.isProbe() && !attempt.request().isWrite;
+        return isOk(response) && !attempt.isProbe() && !attempt.request().isWrite();
     }
 
     private static boolean isOk(HttpResponse head) {
@@ -206,7 +206,7 @@
         ByteBuf complete = body.take();
         if (complete == null) { // it was passed on as it came, or dropped
             connection.onResponse(AttemptOutcome.OK, CACHE_STATUS_UNKNOWN, report);
-        } else if (attempt.request().isWrite) {
+        } else if (attempt.request().isWrite()) {
             String receipt = complete.toString(StandardCharsets.ISO_8859_1).trim();
             complete.release();
             connection.onResponse(AttemptOutcome.OK, CACHE_STATUS_UNKNOWN, report, null, receipt);
--- a/src/main/java/cacheproxy/proxy/upstream/OriginRequestEncoder.java
+++ b/src/main/java/cacheproxy/proxy/upstream/OriginRequestEncoder.java
@@ -38,16 +38,16 @@
 
     private static FullHttpRequest request(Attempt attempt, double nowMs) {
         ClientRequest source = attempt.request();
-        String path = "/" + URLEncoder.encode(source.key, StandardCharsets.ISO_8859_1);
-        ByteBuf value = source.isWrite
-                ? source.value.retainedSlice(0, source.value.readableBytes() - CRLF_BYTES)
+        String path = "/" + URLEncoder.encode(source.key(), StandardCharsets.ISO_8859_1);
+        ByteBuf value = source.isWrite()
+                ? source.value().retainedSlice(0, source.value().readableBytes() - CRLF_BYTES)
                 : Unpooled.EMPTY_BUFFER;
-        HttpMethod method = source.isWrite ? HttpMethod.PUT : HttpMethod.GET;
+        HttpMethod method = source.isWrite() ? HttpMethod.PUT : HttpMethod.GET;
         FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, path, value);
         request.headers()
-                .set(ID_HEADER, source.id)
+                .set(ID_HEADER, source.id())
                 .set(ATTRIBUTES_HEADER, source.attributesWithDeadline(attempt.deadlineToTellMs(nowMs)));
-        if (source.isWrite) {
+        if (source.isWrite()) {
             request.headers().set(HttpHeaderNames.CONTENT_LENGTH, value.readableBytes());
         }
         return request;
--- a/src/main/java/cacheproxy/proxy/upstream/ResponseProgress.java
+++ b/src/main/java/cacheproxy/proxy/upstream/ResponseProgress.java
@@ -34,7 +34,7 @@
 
     /** Bytes have come, or reading has been suspended or resumed. */
     void advanced() {
-        lastMs = context.now();
+        lastMs = context.nowMs();
     }
 
     /** A part of a short response has come, and the rest is expected within {@link #CUT_MS}. */
@@ -59,7 +59,7 @@
 
     private void setTimer(double ms) {
         context.after(ms, () -> {
-            double leftMs = CUT_MS - pausedForMs(context.now());
+            double leftMs = CUT_MS - pausedForMs(context.nowMs());
             boolean expecting = partial && !closed.getAsBoolean();
             timerSet = expecting && leftMs > 0;
             if (timerSet) {
--- a/src/main/java/cacheproxy/proxy/upstream/Upstream.java
+++ b/src/main/java/cacheproxy/proxy/upstream/Upstream.java
@@ -54,7 +54,7 @@
         this.address = address;
         this.origin = origin;
         this.core = core;
-        capacity = new ServerCapacity(core.servers.shortage());
+        capacity = new ServerCapacity(core.servers().shortage());
         bootstrap = core.bootstrap(limits.connectTimeoutMs());
         maxConnections = origin ? limits.originConnections() : limits.cacheConnections();
         maxConnectionsWithLongValues = Math.max(maxConnections, limits.maxConnections());
@@ -112,7 +112,7 @@
 
     /** The server is known to drain or to be gone from now on, or since the time that is known already. */
     public void markUnavailable() {
-        unavailableSinceMs = Math.min(unavailableSinceMs, core.now());
+        unavailableSinceMs = Math.min(unavailableSinceMs, core.nowMs());
     }
 
     /** Another pool has it on its list. */
@@ -166,7 +166,7 @@
         int available = current - count(UpstreamConnection::isReceivingLongValue);
         return available < maxConnections
                 && current < maxConnectionsWithLongValues
-                && (origin || capacity.mayOpen(core.now(), available))
+                && (origin || capacity.mayOpen(core.nowMs(), available))
                 && core.mayOpenConnection();
     }
 
@@ -212,7 +212,7 @@
         return !origin
                 || !connection.isConnected()
                 || !connection.hasResponded()
-                || core.now() - connection.idleSinceMs() >= REST_MS;
+                || core.nowMs() - connection.idleSinceMs() >= REST_MS;
     }
 
     private UpstreamConnection open() {
@@ -244,7 +244,7 @@
     /** The server has closed a new connection without serving an attempt. */
     void onConnectionRefused() {
         if (!origin) {
-            capacity.connectionRefused(core.now());
+            capacity.connectionRefused(core.nowMs());
         }
     }
 
@@ -255,7 +255,7 @@
      * processed an attempt that was written meanwhile could not be known.
      */
     private void closeAged() {
-        double sinceMs = core.now() - retireIdleMs;
+        double sinceMs = core.nowMs() - retireIdleMs;
         for (UpstreamConnection connection : connections) {
             if (connection.isEmpty() && connection.isConnected() && connection.idleSinceMs() < sinceMs) {
                 connection.close(); // it is removed from the list when the channel has closed, not within this loop
--- a/src/main/java/cacheproxy/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/cacheproxy/proxy/upstream/UpstreamConnection.java
@@ -51,7 +51,7 @@
     UpstreamConnection(Upstream upstream) {
         this.upstream = upstream;
         progress = new ResponseProgress(upstream.core(), () -> closed, this::close);
-        idleSinceMs = upstream.core().now();
+        idleSinceMs = upstream.core().nowMs();
     }
 
     /** The context of the event loop that owns this connection. */
@@ -72,8 +72,8 @@
     }
 
     private void connectEnded(Throwable failure) {
-        core().servers.opened(upstream, failure);
-        UpstreamEvents.logConnected(core().events, this, failure);
+        core().servers().opened(upstream, failure);
+        UpstreamEvents.logConnected(core().events(), this, failure);
         if (failure != null) {
             // A channel that was never active reports no end to its handlers, so it has to be done here. Else attempts
             // would time out as ones that may have been processed, and the connection would count for good.
@@ -82,7 +82,7 @@
         }
         connected = true;
         if (attempts.isEmpty()) {
-            idleSinceMs = core().now();
+            idleSinceMs = core().nowMs();
         }
         writeWaiting();
     }
@@ -316,7 +316,7 @@
             upstream.onConnectionAccepted();
         }
         if (attempts.isEmpty()) {
-            idleSinceMs = core().now();
+            idleSinceMs = core().nowMs();
         }
         setPaused(false);
         attempt.onEnd(outcome, cacheStatus, report, value, receipt);
@@ -371,7 +371,7 @@
             upstream.onConnectionRefused();
         }
         upstream.onClosed(this);
-        UpstreamEvents.logDisconnected(core().events, this);
+        UpstreamEvents.logDisconnected(core().events(), this);
         for (Attempt attempt; (attempt = attempts.removeFirst()) != null; ) {
             if (!sendElsewhere(attempt)) {
                 attempt.onEnd(attempt.isWritten() ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED);
--- a/src/test/java/cacheproxy/proxy/InvariantEventsGoldenTextTest.java
+++ b/src/test/java/cacheproxy/proxy/InvariantEventsGoldenTextTest.java
@@ -32,10 +32,10 @@
                     new PollClock(),
                     NioSocketChannel.class,
                     new EventLoopLimits(MAX_VALUE_BYTES, MAX_UPSTREAM, false));
-            core.events.enable();
-            core.invariants.recordStopped(Invariant.SINGLE_ANSWER, "r1", "two answers");
-            core.invariants.recordViolation(Invariant.SERVER_ACCEPTS, "r2", "it drains");
-            core.events.close();
+            core.events().enable();
+            core.invariants().recordStopped(Invariant.SINGLE_ANSWER, "r1", "two answers");
+            core.invariants().recordViolation(Invariant.SERVER_ACCEPTS, "r2", "it drains");
+            core.events().close();
         } finally {
             System.setErr(standard);
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
