--- a/src/main/java/cacheproxy/proxy/dispatch/PoolServers.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/PoolServers.java
@@ -103,8 +103,8 @@
     /** Closes connections that have been idle for long and those whose value has stopped coming. Once a second. */
     void sweep() {
         double nowMs = core.nowMs();
-        core.servers().sweep(
-                servers.values(), nowMs, nowMs - options.connections().retireIdleMs());
+        core.servers()
+                .sweep(servers.values(), nowMs, nowMs - options.connections().retireIdleMs());
     }
 
     /** Closes the idle connections to a server; does nothing if it is not listed. */
--- a/src/main/java/cacheproxy/proxy/dispatch/RequestAttempts.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/RequestAttempts.java
@@ -82,20 +82,22 @@
         Invariant violated = sendGuard.violatedBy(attempt, core.nowMs());
         if (violated != null) {
             String server = pool.servers().name(attempt.server());
-            core.invariants().recordStopped(
-                    violated,
-                    context.request().id(),
-                    "attempt " + attempt.index() + " at " + server + " was not begun");
+            core.invariants()
+                    .recordStopped(
+                            violated,
+                            context.request().id(),
+                            "attempt " + attempt.index() + " at " + server + " was not begun");
             attempt.onEnd(AttemptOutcome.NOT_SENT);
             return false;
         }
         double clientDueMs = context.request().clientDueMs();
         if (context.dueMs() > clientDueMs) {
             long excessMs = Math.round(context.dueMs() - clientDueMs);
-            core.invariants().recordViolation(
-                    Invariant.DEADLINE_WITHIN_CLIENTS,
-                    context.request().id(),
-                    "its pool waits " + excessMs + " ms longer than its client");
+            core.invariants()
+                    .recordViolation(
+                            Invariant.DEADLINE_WITHIN_CLIENTS,
+                            context.request().id(),
+                            "its pool waits " + excessMs + " ms longer than its client");
         }
         return true;
     }
--- a/src/main/java/cacheproxy/proxy/request/ClientRequest.java
+++ b/src/main/java/cacheproxy/proxy/request/ClientRequest.java
@@ -7,7 +7,8 @@
  * client's own, but for the deadline, if the client speaks the nodes' grammar.
  *
  * <p>{@link RequestValidator#resolve} sets class, tenant, times and hints from the attributes. Times are milliseconds
- * of {@link RequestAccounting#nowMs}. The request is reference-counted for its value; it belongs to one thread at a time.
+ * of {@link RequestAccounting#nowMs}. The request is reference-counted for its value; it belongs to one thread at a
+ * time.
  */
 public final class ClientRequest {
     /** The length of {@code mg} or {@code ms} with the space behind it. */
--- a/src/main/java/cacheproxy/proxy/upstream/CacheRequestEncoder.java
+++ b/src/main/java/cacheproxy/proxy/upstream/CacheRequestEncoder.java
@@ -33,7 +33,8 @@
     /** A sibling does not know this proxy's request classes, but has one for reads of siblings. */
     private static ChannelFuture writeToSibling(
             Channel channel, ClientRequest request, String siblingClass, int deadlineMs) {
-        String line = "mg " + request.key() + " v O" + request.id() + " Pc=" + siblingClass + ",d=" + deadlineMs + "\r\n";
+        String line =
+                "mg " + request.key() + " v O" + request.id() + " Pc=" + siblingClass + ",d=" + deadlineMs + "\r\n";
         return channel.write(MetaCodec.ascii(channel.alloc(), line));
     }
 
