--- a/src/test/java/cacheproxy/fleet/lease/LeaseTest.java
+++ b/src/test/java/cacheproxy/fleet/lease/LeaseTest.java
@@ -209,6 +209,35 @@
                 .isFalse();
     }
 
+    /** A transfer is sent once and is no claim: a candidate that awaits replies to a query of its own ignores it. */
+    @Test
+    void transferToPeerThatAwaitsRepliesIsIgnoredAndAnotherMayClaimTheLease() {
+        LeaseWorld world = fleet(3);
+        world.run(3000);
+        LeaseWorld.Member holder = holder(world);
+        LeaseWorld.Member successor = world.processes.get((holder.index + 1) % 3);
+        LeaseWorld.Network connected = world.network;
+        world.network = (from, to, bytes) -> {
+            if (to != successor.index || LeaseMessage.decode(bytes).kind() == LeaseMessage.Kind.TRANSFER) {
+                connected.send(from, to, bytes); // no reply reaches the successor
+            }
+        };
+        while (!successor.manager.fingerprint(successor.localMs()).contains("QUERYING")) {
+            world.run(1);
+        }
+        assertThat(holder.manager.transfer("d", NameHash.of(successor.name), holder.localMs(), "x"))
+                .isTrue();
+        world.run(20);
+        world.network = connected;
+        world.run(100);
+        assertThat(successor.isHolding("d"))
+                .as("within the time that a transfer takes")
+                .isFalse();
+        world.run(3000);
+        assertThat(holder(world)).as("claimed by any of the three").isNotNull();
+        assertThat(world.violations()).isEmpty();
+    }
+
     @Test
     void ineligibleHolderReleasesAndPartitionedHolderExpiresBeforeTakeover() {
         LeaseWorld world = fleet(5);
