--- a/src/main/java/cacheproxy/proxy/discovery/EndpointListParser.java
+++ b/src/main/java/cacheproxy/proxy/discovery/EndpointListParser.java
@@ -4,7 +4,6 @@
 import cacheproxy.placement.ServerId;
 import cacheproxy.policy.Endpoint;
 import cacheproxy.policy.EndpointState;
-import cacheproxy.proxy.process.PlatformConfig;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
 import java.util.ArrayList;
@@ -53,9 +52,9 @@
     private ListedServer server(JsonObject json) {
         String name = json.get("host").getAsString();
         EndpointState state = state(name, json.get("health").getAsString());
-        int zone = zones.indexOf(PlatformConfig.toSettingName(json.get("site").getAsString()));
-        int kind = serverKinds.indexOf(
-                PlatformConfig.toSettingName(json.get("class").getAsString()));
+        int zone = zones.indexOf(SettingNames.toSettingName(json.get("site").getAsString()));
+        int kind =
+                serverKinds.indexOf(SettingNames.toSettingName(json.get("class").getAsString()));
         float weight = json.has("share") ? json.get("share").getAsFloat() : 1;
         if (zone < 0 || kind < 0 || !(weight >= 0) || Float.isInfinite(weight)) {
             throw new DiscoveryException("host " + name + ": unknown site or class, or bad share");
--- a/src/main/java/cacheproxy/proxy/discovery/PeerSocket.java
+++ b/src/main/java/cacheproxy/proxy/discovery/PeerSocket.java
@@ -1,7 +1,6 @@
 package cacheproxy.proxy.discovery;
 
 import cacheproxy.proxy.net.Transport;
-import cacheproxy.proxy.process.PlatformConfig;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.buffer.Unpooled;
@@ -21,7 +20,7 @@
 public final class PeerSocket {
     private static final int MAX_MESSAGE_BYTES = 256;
 
-    private final PlatformConfig config;
+    private final PeerAddresses addresses;
     private final Receiver receiver;
     private Channel channel;
 
@@ -31,20 +30,20 @@
         void received(int peer, byte[] message);
     }
 
-    /** Binds the socket if the configuration has peers and an address to listen on; waits until it is bound. */
-    public PeerSocket(EventLoop loop, PlatformConfig config, Receiver receiver) {
-        this.config = config;
+    /** Binds the socket if there is an address to listen on; waits until it is bound. */
+    public PeerSocket(EventLoop loop, PeerAddresses addresses, Receiver receiver) {
+        this.addresses = addresses;
         this.receiver = receiver;
-        if (config.settings().peerMessagesAllowed() && config.peerListen() != null) {
+        if (addresses.listen() != null) {
             // A datagram that is written before the socket is bound would be lost without an error.
             Bootstrap bootstrap = new Bootstrap()
                     .group(loop)
                     .channel(Transport.BEST.datagram())
                     .handler(new Handler());
-            if (config.control() != null && Transport.BEST.datagram() == EpollDatagramChannel.class) {
+            if (addresses.shared() && Transport.BEST.datagram() == EpollDatagramChannel.class) {
                 bootstrap.option(UnixChannelOption.SO_REUSEPORT, true); // the next version has the same address
             }
-            channel = bootstrap.bind(config.peerListen()).awaitUninterruptibly().channel();
+            channel = bootstrap.bind(addresses.listen()).awaitUninterruptibly().channel();
         }
     }
 
@@ -60,8 +59,8 @@
     @SuppressWarnings("FutureReturnValueIgnored") // a message that could not be sent counts as lost
     public void send(int peer, byte[] message) {
         InetSocketAddress to = peer < 0
-                ? config.peersAll()
-                : peer < config.peers().size() ? config.peers().get(peer) : null;
+                ? addresses.all()
+                : peer < addresses.peers().size() ? addresses.peers().get(peer) : null;
         if (channel == null || to == null || message.length > MAX_MESSAGE_BYTES) {
             return;
         }
@@ -72,7 +71,7 @@
     private final class Handler extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-            int peer = config.peers().indexOf(packet.sender());
+            int peer = addresses.peers().indexOf(packet.sender());
             if (peer >= 0 && packet.content().readableBytes() <= MAX_MESSAGE_BYTES) {
                 receiver.received(peer, ByteBufUtil.getBytes(packet.content()));
             }
--- a/src/main/java/cacheproxy/proxy/process/PlatformConfig.java
+++ b/src/main/java/cacheproxy/proxy/process/PlatformConfig.java
@@ -2,6 +2,7 @@
 
 import cacheproxy.policy.PolicySettings;
 import cacheproxy.proxy.discovery.DiscoverySource;
+import cacheproxy.proxy.discovery.PeerAddresses;
 import cacheproxy.proxy.upstream.EventLoopLimits;
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
@@ -76,6 +77,12 @@
         return new DiscoverySource(discovery, initialHosts, settings.pollsDiscovery(), zones, kinds);
     }
 
+    /** Where messages of other proxies are received; without an address of its own if the policy sends none. */
+    public PeerAddresses peerAddresses() {
+        InetSocketAddress ownAddress = settings.peerMessagesAllowed() ? peerListen : null;
+        return new PeerAddresses(ownAddress, control != null, peers, peersAll);
+    }
+
     /**
      * Reads the file.
      *
@@ -104,11 +111,6 @@
         return PlatformConfigParser.parse(json);
     }
 
-    /** A name of discovery's as settings have it: without spaces and commas. */
-    public static String toSettingName(String name) {
-        return PlatformConfigParser.toSettingName(name);
-    }
-
     /** The limits of the process's one event loop. */
     EventLoopLimits eventLoopLimits() {
         long valueBytes = Math.min(((long) memoryMb << 20) / VALUE_MEMORY_DIVISOR, MAX_VALUE_BYTES);
--- a/src/main/java/cacheproxy/proxy/process/PlatformConfigParser.java
+++ b/src/main/java/cacheproxy/proxy/process/PlatformConfigParser.java
@@ -1,6 +1,7 @@
 package cacheproxy.proxy.process;
 
 import cacheproxy.config.Addresses;
+import cacheproxy.proxy.discovery.SettingNames;
 import cacheproxy.simulator.SettingsParser;
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
@@ -97,7 +98,7 @@
         int index = 0;
         for (JsonElement element : elements) {
             if (element.isJsonPrimitive()) {
-                plainValues.add(toSettingName(element.getAsString()));
+                plainValues.add(SettingNames.toSettingName(element.getAsString()));
             } else {
                 flatten(path + "." + index, element, settings);
             }
@@ -106,9 +107,4 @@
         settings.put(path + ".count", Integer.toString(index));
         settings.put(path, String.join(",", plainValues));
     }
-
-    /** The text without spaces and commas, which separate the simulator's settings. */
-    static String toSettingName(String text) {
-        return text.replace(' ', '_').replace(',', '_');
-    }
 }
--- a/src/main/java/cacheproxy/proxy/process/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/process/Proxy.java
@@ -59,7 +59,7 @@
         loopContext.watchPauses();
         ConfigReloader.applyEventLog(loopContext, config);
         dispatcher = new Dispatcher(loopContext, PlatformPool.options(config));
-        peers = new PeerSocket(loop, config, this::peerMessage);
+        peers = new PeerSocket(loop, config.peerAddresses(), this::peerMessage);
         clients = new ClientRegistry(loopContext, config.maxClientConnections());
         discovery = new DiscoveryClient(loopContext, config.discoverySource(), dispatcher);
         reloader = new ConfigReloader(loopContext, discovery);
--- a/src/test/java/cacheproxy/ArchitectureTest.java
+++ b/src/test/java/cacheproxy/ArchitectureTest.java
@@ -311,4 +311,16 @@
                         "cacheproxy.proxy.dispatch..", "cacheproxy.proxy.discovery..", "cacheproxy.proxy.process..")
                 .check(ALL);
     }
+
+    @Test
+    void discoveryKnowsNoClientsDispatchOrProcess() {
+        noClasses()
+                .that()
+                .resideInAPackage("cacheproxy.proxy.discovery..")
+                .should()
+                .dependOnClassesThat()
+                .resideInAnyPackage(
+                        "cacheproxy.proxy.client..", "cacheproxy.proxy.dispatch..", "cacheproxy.proxy.process..")
+                .check(ALL);
+    }
 }
--- a/src/test/java/cacheproxy/proxy/discovery/PeerSocketTest.java
+++ b/src/test/java/cacheproxy/proxy/discovery/PeerSocketTest.java
@@ -46,8 +46,8 @@
             PlatformConfig config = PlatformConfig.parse(fleet.config);
             EventLoop loop = group.next();
             LinkedBlockingQueue<String> heard = new LinkedBlockingQueue<>();
-            PeerSocket socket =
-                    new PeerSocket(loop, config, (from, message) -> heard.add(from + new String(message, UTF_8)));
+            PeerSocket socket = new PeerSocket(
+                    loop, config.peerAddresses(), (from, message) -> heard.add(from + new String(message, UTF_8)));
             socket.send(1, "to one".getBytes(UTF_8));
             assertThat(receive(peer)).isEqualTo("to one");
             socket.send(-1, "to all".getBytes(UTF_8));
