--- a/src/main/java/cacheproxy/config/ConfigErrors.java
+++ b/src/main/java/cacheproxy/config/ConfigErrors.java
@@ -46,4 +46,9 @@
                 .map(error -> file + ":" + error.line + ":" + error.column + ": " + error.message)
                 .toList();
     }
+
+    /** A message of a library, on one line. */
+    static String oneLine(String message) {
+        return String.valueOf(message).replaceAll("\\s+", " ");
+    }
 }
--- a/src/main/java/cacheproxy/config/KeyPatterns.java
+++ b/src/main/java/cacheproxy/config/KeyPatterns.java
@@ -11,7 +11,7 @@
         try {
             return new KeyPattern(regex);
         } catch (IllegalArgumentException e) {
-            table.error(key, key + " can't be used: " + TomlTableReader.oneLine(e.getMessage()));
+            table.error(key, key + " can't be used: " + ConfigErrors.oneLine(e.getMessage()));
             return null;
         }
     }
--- a/src/main/java/cacheproxy/config/TomlTableReader.java
+++ b/src/main/java/cacheproxy/config/TomlTableReader.java
@@ -19,33 +19,14 @@
     /** Whole numbers below this are printed without a fraction; a double holds all of them exactly. */
     private static final double MAX_PRINTED_WHOLE = 1e15;
 
-    private final List<Fragment> fragments;
+    private final FragmentedTable content;
     private final String name;
     private final TomlPosition position;
     private final ConfigErrors errors;
     private final Set<String> knownKeys = new LinkedHashSet<>();
 
-    /** The part of a table that one chunk of the file has. */
-    private record Fragment(TomlTable table, int linesBefore) {
-        boolean has(String key) {
-            return table.contains(List.of(key));
-        }
-
-        Object get(String key) {
-            return table.get(List.of(key));
-        }
-
-        TomlPosition positionOf(String key) {
-            return inFile(table.inputPositionOf(List.of(key)));
-        }
-
-        TomlPosition inFile(TomlPosition inChunk) {
-            return inChunk == null ? null : TomlPosition.positionAt(inChunk.line() + linesBefore, inChunk.column());
-        }
-    }
-
-    private TomlTableReader(List<Fragment> fragments, String name, TomlPosition position, ConfigErrors errors) {
-        this.fragments = fragments;
+    private TomlTableReader(FragmentedTable content, String name, TomlPosition position, ConfigErrors errors) {
+        this.content = content;
         this.name = name;
         this.position = position;
         this.errors = errors;
@@ -65,24 +46,20 @@
         for (ChunkedTomlParser.Chunk chunk : chunks) {
             chunk.toml()
                     .errors()
-                    .forEach(error -> errors.add(chunk.inFile(error.position()), oneLine(error.getMessage())));
+                    .forEach(error ->
+                            errors.add(chunk.inFile(error.position()), ConfigErrors.oneLine(error.getMessage())));
         }
         errors.throwIfAny();
-        List<Fragment> fragments = chunks.stream()
-                .map(chunk -> new Fragment(chunk.toml(), chunk.linesBefore()))
+        List<TomlFragment> fragments = chunks.stream()
+                .map(chunk -> new TomlFragment(chunk.toml(), chunk.linesBefore()))
                 .toList();
-        TomlTableReader root = new TomlTableReader(fragments, "", null, errors);
+        TomlTableReader root = new TomlTableReader(new FragmentedTable(fragments), "", null, errors);
         T result = reader.apply(root);
         root.rejectUnknownKeys();
         errors.throwIfAny();
         return result;
     }
 
-    /** A message of a library, on one line. */
-    static String oneLine(String message) {
-        return String.valueOf(message).replaceAll("\\s+", " ");
-    }
-
     /** The errors of the whole file. */
     ConfigErrors errors() {
         return errors;
@@ -90,13 +67,7 @@
 
     /** The position of a key, or of the table if the key is absent. */
     TomlPosition positionOf(String key) {
-        for (Fragment fragment : fragments) {
-            TomlPosition found = fragment.positionOf(key);
-            if (found != null) {
-                return found;
-            }
-        }
-        return position;
+        return content.positionOf(key).orElse(position);
     }
 
     /** Reports an error at a key, or at the table if the key is absent. */
@@ -107,30 +78,19 @@
     /** Returns whether the table has a key, which is known from then on. */
     public boolean has(String key) {
         knownKeys.add(key);
-        return fragmentWith(key) != null;
-    }
-
-    /** The first fragment with a key; null if there is none. */
-    private Fragment fragmentWith(String key) {
-        for (Fragment fragment : fragments) {
-            if (fragment.has(key)) {
-                return fragment;
-            }
-        }
-        return null;
+        return content.fragmentWith(key).isPresent();
     }
 
     private Object value(String key) {
         knownKeys.add(key);
-        Fragment fragment = fragmentWith(key);
-        return fragment == null ? null : fragment.get(key);
+        return content.fragmentWith(key).map(fragment -> fragment.get(key)).orElse(null);
     }
 
     /** A required, non-empty text; empty after an error. */
     public String text(String key) {
         String value = text(key, null);
         if (value == null) {
-            if (fragmentWith(key) == null) {
+            if (content.fragmentWith(key).isEmpty()) {
                 errors.add(position, name + " has no " + key + "; it must have one, a text");
             }
             return "";
@@ -257,13 +217,12 @@
         }
         List<String> texts = new ArrayList<>();
         if (value instanceof TomlArray array) {
+            TomlFragment fragment = content.fragmentWith(key).orElseThrow();
             for (int i = 0; i < array.size(); i++) {
                 if (array.get(i) instanceof String text) {
                     texts.add(text);
                 } else {
-                    errors.add(
-                            fragmentWith(key).inFile(array.inputPositionOf(i)),
-                            key + " holds something that is no text");
+                    errors.add(fragment.inFile(array.inputPositionOf(i)), key + " holds something that is no text");
                 }
             }
         } else if (value != null) {
@@ -277,8 +236,9 @@
         Object value = value(key);
         rejectRepeatedDefinitions(key);
         if (value instanceof TomlTable table) {
-            List<Fragment> fragment = List.of(new Fragment(table, fragmentWith(key).linesBefore));
-            return new TomlTableReader(fragment, name.isEmpty() ? key : name + "." + key, positionOf(key), errors);
+            TomlFragment inner = content.fragmentWith(key).orElseThrow().inner(table);
+            String innerName = name.isEmpty() ? key : name + "." + key;
+            return new TomlTableReader(FragmentedTable.of(inner), innerName, positionOf(key), errors);
         }
         if (value != null) {
             error(key, key + " is no table; write " + key + " = { ... } or [" + key + "]");
@@ -289,24 +249,22 @@
     /** The table under a key; where it is absent an empty one, of which every value is the default. */
     TomlTableReader tableOrEmpty(String key) {
         TomlTableReader table = table(key);
-        return table != null ? table : new TomlTableReader(List.of(), key, position, errors);
+        return table != null ? table : new TomlTableReader(FragmentedTable.empty(), key, position, errors);
     }
 
-    /** The TOML parser sees repeats within a chunk only. */
     private void rejectRepeatedDefinitions(String key) {
-        fragments.stream()
-                .filter(fragment -> fragment.has(key))
-                .skip(1)
-                .forEach(repeat -> errors.add(
-                        repeat.positionOf(key),
-                        key + " previously defined at line " + positionOf(key).line()));
+        for (TomlPosition repeat : content.repeatedDefinitions(key)) {
+            errors.add(
+                    repeat,
+                    key + " previously defined at line " + positionOf(key).line());
+        }
     }
 
     /** The tables under a key, in the file's order. */
     public List<TomlTableReader> tables(String key) {
         knownKeys.add(key);
         List<TomlTableReader> tables = new ArrayList<>();
-        for (Fragment fragment : fragments) {
+        for (TomlFragment fragment : content.fragments()) {
             Object value = fragment.get(key);
             if (value instanceof TomlArray array) {
                 addTables(key, fragment, array, tables);
@@ -317,13 +275,12 @@
         return tables;
     }
 
-    private void addTables(String key, Fragment fragment, TomlArray array, List<TomlTableReader> tables) {
+    private void addTables(String key, TomlFragment fragment, TomlArray array, List<TomlTableReader> tables) {
         for (int i = 0; i < array.size(); i++) {
             TomlPosition start = fragment.inFile(array.inputPositionOf(i));
             if (array.get(i) instanceof TomlTable table) {
                 String title = table.get(List.of("name")) instanceof String text ? key + " " + text : key;
-                List<Fragment> whole = List.of(new Fragment(table, fragment.linesBefore));
-                tables.add(new TomlTableReader(whole, title, start, errors));
+                tables.add(new TomlTableReader(FragmentedTable.of(fragment.inner(table)), title, start, errors));
             } else {
                 errors.add(start, key + " holds something that is no table");
             }
@@ -332,8 +289,7 @@
 
     /** Reports the keys that nothing has asked for; to be called once all have been. */
     public void rejectUnknownKeys() {
-        Set<String> keys = new LinkedHashSet<>();
-        fragments.forEach(fragment -> keys.addAll(fragment.table.keySet()));
+        Set<String> keys = content.keys();
         keys.removeAll(knownKeys);
         for (String key : keys) {
             error(
