--- a/src/main/java/cacheproxy/cli/FleetCommand.java
+++ b/src/main/java/cacheproxy/cli/FleetCommand.java
@@ -44,7 +44,7 @@
     }
 
     private static int code(Verdict v) {
-        return v.held() ? 0 : v.doubts().isEmpty() ? 1 : NO_VERDICT;
+        return v.passed() ? 0 : v.invalidReasons().isEmpty() ? 1 : NO_VERDICT;
     }
 
     private interface Task {
--- a/src/main/java/cacheproxy/faulttest/FakeProcesses.java
+++ b/src/main/java/cacheproxy/faulttest/FakeProcesses.java
@@ -47,14 +47,14 @@
         this.history = history;
         names = s.endpoints();
         lag = EventLoopLag.of(loop);
-        ledger.observe(mark -> history.add(lag.nowUs(), "origin", Event.EFFECT, mark, "", 0));
+        ledger.observe(mark -> history.add(lag.nowUs(), "origin", Event.WRITE_APPLIED, mark, "", 0));
         origin = FakeOrigin.start(loop, ledger);
         for (int i = 0; i < s.nodes(); i++) {
             String name = TargetSelector.node(i);
             nodes.add(FakeCacheServer.start(loop, ledger)
                     .work(1000 / s.nodePerSecond())
                     .room(s.nodeRoom())
-                    .observe(id -> history.add(lag.nowUs(), name, Event.ARRIVED, id == null ? "" : id, "", 0)));
+                    .observe(id -> history.add(lag.nowUs(), name, Event.COMMAND_ARRIVED, id == null ? "" : id, "", 0)));
         }
         origin.serves(nodes);
         byProxy = s.relayNodes() && s.proxies() * s.nodes() <= MOST_FACES;
@@ -130,7 +130,7 @@
     }
 
     void kill(int node) {
-        history.add(0, TargetSelector.node(node), Event.DIED, "", "", 0);
+        history.add(0, TargetSelector.node(node), Event.SERVER_KILLED, "", "", 0);
         nodes.get(node).kill();
     }
 
@@ -142,7 +142,7 @@
             Thread.currentThread().interrupt();
             throw new IOException(e);
         }
-        history.add(0, TargetSelector.node(node), Event.BORN, "", "", 0);
+        history.add(0, TargetSelector.node(node), Event.SERVER_STARTED, "", "", 0);
         put(node, "up", (double) System.currentTimeMillis());
     }
 
@@ -151,11 +151,11 @@
         // what they send
         // by that word would seem to go to a draining node.
         if (!on) {
-            history.add(0, TargetSelector.node(node), Event.UP, "", "", 0);
+            history.add(0, TargetSelector.node(node), Event.SERVER_UP, "", "", 0);
         }
         put(node, on ? "draining" : "up", 0);
         if (on) {
-            history.add(0, TargetSelector.node(node), Event.DRAINING, "", "", 0);
+            history.add(0, TargetSelector.node(node), Event.SERVER_DRAINING, "", "", 0);
         }
     }
 
--- a/src/main/java/cacheproxy/faulttest/FaultInjector.java
+++ b/src/main/java/cacheproxy/faulttest/FaultInjector.java
@@ -117,8 +117,13 @@
             at(
                     f.atMs(),
                     () -> history.add(
-                            0, "rig", Event.FAULT, id, Fault.word(f.kind()) + " " + String.join(",", f.who()), 0));
-            at(f.endMs(), () -> history.add(0, "rig", Event.HEALED, id, "", 0));
+                            0,
+                            "rig",
+                            Event.FAULT_STARTED,
+                            id,
+                            Fault.word(f.kind()) + " " + String.join(",", f.who()),
+                            0));
+            at(f.endMs(), () -> history.add(0, "rig", Event.FAULT_ENDED, id, "", 0));
         }
     }
 
@@ -127,7 +132,7 @@
             history.add(
                     0,
                     "rig",
-                    Event.FAULT,
+                    Event.FAULT_STARTED,
                     id,
                     "link " + String.join(",", f.who()) + " to " + String.join(",", f.to()),
                     0);
@@ -143,7 +148,7 @@
                 })
                 .syncUninterruptibly();
         if (!on) {
-            history.add(0, "rig", Event.HEALED, id, "", 0);
+            history.add(0, "rig", Event.FAULT_ENDED, id, "", 0);
         }
     }
 
--- a/src/main/java/cacheproxy/faulttest/FaultTestRunner.java
+++ b/src/main/java/cacheproxy/faulttest/FaultTestRunner.java
@@ -3,9 +3,8 @@
 import cacheproxy.config.ConfigException;
 import cacheproxy.faulttest.check.Checker;
 import cacheproxy.faulttest.check.Event;
-import cacheproxy.faulttest.check.FencingChecker;
-import cacheproxy.faulttest.check.MutualExclusionChecker;
-import cacheproxy.faulttest.check.QuotaChecker;
+import cacheproxy.faulttest.check.LeaseStats;
+import cacheproxy.faulttest.check.QuotaStats;
 import cacheproxy.faulttest.check.RunHistory;
 import cacheproxy.faulttest.check.ServiceStats;
 import cacheproxy.faulttest.check.Verdict;
@@ -56,8 +55,8 @@
             int unsent) {
         private static double loadFromMs(RunHistory run) {
             return run.events().stream()
-                    .filter(e -> e.what().equals(Event.DUTY))
-                    .mapToDouble(Event::ms)
+                    .filter(e -> e.type().equals(Event.LEASE_POLLED))
+                    .mapToDouble(Event::timeMs)
                     .findFirst()
                     .orElse(0);
         }
@@ -90,7 +89,7 @@
                             discoveryCalls / seconds,
                             watches,
                             tests,
-                            ServiceStats.sentToSick(run)),
+                            ServiceStats.countSentToStalledServers(run)),
                     String.format(
                             "lag ms: relay p99 %.1f max %.1f, load p99 %.1f, proxies without a fault p99 %.1f; all processors busy %.2f",
                             quality.relayP99(),
@@ -99,7 +98,7 @@
                             quality.childP99(),
                             quality.busy())));
             for (String duty : s.duties()) {
-                List<double[]> gaps = MutualExclusionChecker.gaps(
+                List<LeaseStats.Gap> gaps = LeaseStats.gapsWithoutHolder(
                         run,
                         duty,
                         Math.max(100, 2.5 * s.pollMs()),
@@ -108,14 +107,15 @@
                 lines.add(String.format(
                         "duty %s: epochs %d, longest gaps: %s",
                         duty,
-                        MutualExclusionChecker.moves(run, duty),
+                        LeaseStats.countTenures(run, duty),
                         String.join(
                                 " ",
                                 gaps.stream()
-                                        .map(g -> String.format("%.0f ms at %.1f s", g[1] - g[0], g[0] / 1000))
+                                        .map(gap ->
+                                                String.format("%.0f ms at %.1f s", gap.lengthMs(), gap.fromMs() / 1000))
                                         .toList())));
             }
-            MutualExclusionChecker.takeovers(run)
+            LeaseStats.takeoverTimesMs(run)
                     .forEach((kind, gaps) -> lines.add(String.format(
                             "%s of the holder: %d, without another for ms p50 %.0f p99 %.0f max %.0f",
                             kind,
@@ -124,13 +124,14 @@
                             gaps[(gaps.length - 1) * 99 / 100],
                             gaps[gaps.length - 1])));
             if (!s.duties().isEmpty()) {
-                lines.add("acts under older epochs, refused where they were received: " + FencingChecker.refused(run));
+                lines.add("acts under older epochs, refused where they were received: "
+                        + LeaseStats.countRejectedActions(run));
             }
             if (run.scenario().limit() != null && run.scenario().limit().perSecond() > 0) {
-                double[] over = QuotaChecker.over(run);
+                double[] over = QuotaStats.excessByWindow(run);
                 lines.add(String.format(
                         "limit: over by %.0f in 100 ms, %.0f in 1 s, %.0f in 10 s; idle while refused %.4f from the fourth second of the load on",
-                        over[0], over[1], over[2], QuotaChecker.idle(run, 3000)));
+                        over[0], over[1], over[2], QuotaStats.unusedShare(run, 3000)));
             }
             lines.addAll(verdict.lines());
             return lines;
@@ -275,8 +276,9 @@
     /** Of empty calls at proxies that nothing had befallen within a second before. */
     private static double pulseP99(RunHistory run) {
         double[] took = run.events().stream()
-                .filter(e -> e.what().equals(Event.PULSE)
-                        && !run.troubled(e.who(), e.us() - (long) (e.value() * 1000) - 1_000_000, e.us()))
+                .filter(e -> e.type().equals(Event.PROXY_PINGED)
+                        && !run.wasPausedOrDown(
+                                e.endpoint(), e.timeUs() - (long) (e.value() * 1000) - 1_000_000, e.timeUs()))
                 .mapToDouble(Event::value)
                 .sorted()
                 .toArray();
@@ -291,10 +293,10 @@
         return new cacheproxy.faulttest.scenario.Shrinker(
                         faults -> {
                             Outcome o = play(scenario.with(faults), folder.resolve("try" + ++n[0]), checkers, s -> {});
-                            boolean broken = o.verdict().doubts().isEmpty()
-                                    && o.verdict().broken();
+                            boolean broken = o.verdict().invalidReasons().isEmpty()
+                                    && o.verdict().violated();
                             log.accept("try " + n[0] + ": " + faults.size() + " faults, "
-                                    + (broken ? "broken" : o.verdict().held() ? "held" : "no verdict"));
+                                    + (broken ? "broken" : o.verdict().passed() ? "held" : "no verdict"));
                             return broken;
                         },
                         tries,
--- a/src/main/java/cacheproxy/faulttest/FencedWriter.java
+++ b/src/main/java/cacheproxy/faulttest/FencedWriter.java
@@ -45,8 +45,12 @@
                     busy[proxy][number] = false;
                     boolean accepted = guard.accepts(NameHash.of(duty), epoch);
                     history.add(
-                            0, TargetSelector.proxy(proxy), Event.ACT, duty, accepted ? "accepted" : "refused", (double)
-                                    epoch);
+                            0,
+                            TargetSelector.proxy(proxy),
+                            Event.LEADER_ACTION,
+                            duty,
+                            accepted ? "accepted" : "refused",
+                            (double) epoch);
                 },
                 (long) (takes * 1000),
                 TimeUnit.MICROSECONDS);
--- a/src/main/java/cacheproxy/faulttest/History.java
+++ b/src/main/java/cacheproxy/faulttest/History.java
@@ -101,13 +101,13 @@
         try (JsonWriter json = new JsonWriter(text)) {
             json.beginObject()
                     .name("us")
-                    .value(e.us())
+                    .value(e.timeUs())
                     .name("off")
-                    .value(e.offUs())
+                    .value(e.uncertaintyUs())
                     .name("who")
-                    .value(e.who())
+                    .value(e.endpoint())
                     .name("what")
-                    .value(e.what());
+                    .value(e.type());
             if (!e.id().isEmpty()) {
                 json.name("id").value(e.id());
             }
@@ -163,7 +163,7 @@
                 } catch (IOException | IllegalStateException | NumberFormatException x) {
                     throw ConfigException.of(List.of(file + ":" + n + ":1: no event: " + x.getMessage()));
                 }
-                if (e.what().equals(Event.SCENARIO)) {
+                if (e.type().equals(Event.SCENARIO)) {
                     scenario = ScenarioReader.parse(e.id(), e.detail(), null);
                 } else {
                     events.add(e);
--- a/src/main/java/cacheproxy/faulttest/LeasePoller.java
+++ b/src/main/java/cacheproxy/faulttest/LeasePoller.java
@@ -139,8 +139,12 @@
             boolean yes = text.indexOf("HTTP/1.1 200") == 0;
             long epoch = yes ? Long.parseLong(text.substring(body + 4).strip()) : 0;
             history.add(
-                    history.now() - sentUs, TargetSelector.proxy(proxy), Event.DUTY, duty, yes ? "yes" : "no", (double)
-                            epoch);
+                    history.now() - sentUs,
+                    TargetSelector.proxy(proxy),
+                    Event.LEASE_POLLED,
+                    duty,
+                    yes ? "yes" : "no",
+                    (double) epoch);
             if (yes) {
                 holders.put(duty, TargetSelector.proxy(proxy));
                 acts.may(proxy, number, duty, epoch);
--- a/src/main/java/cacheproxy/faulttest/OpenLoopWorkload.java
+++ b/src/main/java/cacheproxy/faulttest/OpenLoopWorkload.java
@@ -277,11 +277,11 @@
         void send(Request r) {
             request = r;
             open++;
-            history.add(0, target.name, Event.ASKED, r.id, r.kind, load.deadlineMs());
+            history.add(0, target.name, Event.REQUEST_SENT, r.id, r.kind, load.deadlineMs());
             ctx.writeAndFlush(ByteBufUtil.writeAscii(ctx.alloc(), r.text()));
             patience = loop.schedule(
                     () -> {
-                        over(Event.LEFT, "");
+                        over(Event.CLIENT_TIMED_OUT, "");
                         ctx.close();
                     },
                     (long) (load.deadlineMs() + PATIENCE_MS),
@@ -317,10 +317,10 @@
                     .toString()
                     .trim();
             if (pulseAt != 0) {
-                history.add(0, target.name, Event.PULSE, "", "", (System.nanoTime() - pulseAt) / 1e6);
+                history.add(0, target.name, Event.PROXY_PINGED, "", "", (System.nanoTime() - pulseAt) / 1e6);
                 pulseAt = 0;
             } else if (request == null) {
-                history.add(0, target.name, Event.ANSWERED, "", "wrong", 0);
+                history.add(0, target.name, Event.RESPONSE_RECEIVED, "", "wrong", 0);
             } else if (!line.startsWith("SERVER_ERROR")
                     && !line.endsWith(" O" + request.id)
                     && !line.contains(" O" + request.id + " ")) {
@@ -335,7 +335,7 @@
         }
 
         private void answered(String how) {
-            over(Event.ANSWERED, how);
+            over(Event.RESPONSE_RECEIVED, how);
             target.idle.push(this);
         }
 
@@ -348,7 +348,7 @@
             target.connections--;
             target.idle.remove(this);
             if (request != null) {
-                Request r = over(Event.GONE, "");
+                Request r = over(Event.CONNECTION_CLOSED, "");
                 // Nobody can tell whether it ran, so what must not run twice is not sent again.
                 if (!r.again && !r.kind.equals("unsafe") && targets.length > 1) {
                     r.again = true;
--- a/src/main/java/cacheproxy/faulttest/ProxyProcesses.java
+++ b/src/main/java/cacheproxy/faulttest/ProxyProcesses.java
@@ -116,14 +116,14 @@
         builder.environment().put("TMPDIR", temporary.toString());
         Process process = builder.start();
         all[i].process = process;
-        history.add(0, name, Event.STARTED, "", "", (double) process.pid());
+        history.add(0, name, Event.PROCESS_STARTED, "", "", (double) process.pid());
         Files.writeString(own.resolve("pid"), process.pid() + "\n");
         Thread reader = new Thread(() -> read(name, process, own.resolve("log")), "log " + name);
         reader.setDaemon(true);
         all[i].reader = reader;
         reader.start();
         awaitReady(i, process);
-        history.add(0, name, Event.READY, "", "", (double) process.pid());
+        history.add(0, name, Event.PROCESS_READY, "", "", (double) process.pid());
     }
 
     private void read(String name, Process process, Path log) {
@@ -134,7 +134,7 @@
             for (String line; (line = in.readLine()) != null; ) {
                 if (lines++ < MOST_LINES) {
                     String text = line.length() > MOST_LINE ? line.substring(0, MOST_LINE) : line;
-                    history.add(1000, name, Event.SAID, "", text, 0);
+                    history.add(1000, name, Event.LOG_LINE, "", text, 0);
                     out.write(text + "\n");
                     out.flush();
                 }
@@ -145,7 +145,7 @@
         try {
             int code = process.waitFor();
             if (!closing) {
-                history.add(1000, name, Event.ENDED, "", "", code);
+                history.add(1000, name, Event.PROCESS_EXITED, "", "", code);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
@@ -208,7 +208,7 @@
             return;
         }
         if (o.stops++ == 0) {
-            history.add(0, TargetSelector.proxy(i), Event.STOPPED, "", "", 0);
+            history.add(0, TargetSelector.proxy(i), Event.PROCESS_PAUSED, "", "", 0);
             signals.send("STOP", o.process.pid());
         }
     }
@@ -220,7 +220,7 @@
         }
         if (--o.stops == 0) {
             signals.send("CONT", o.process.pid());
-            history.add(0, TargetSelector.proxy(i), Event.CONTINUED, "", "", 0);
+            history.add(0, TargetSelector.proxy(i), Event.PROCESS_RESUMED, "", "", 0);
         }
     }
 
@@ -231,7 +231,7 @@
             return false;
         }
         o.down = true;
-        history.add(0, TargetSelector.proxy(i), kill ? Event.KILLED : Event.TERMED, "", "", 0);
+        history.add(0, TargetSelector.proxy(i), kill ? Event.PROCESS_KILLED : Event.PROCESS_TERMINATING, "", "", 0);
         if (kill) {
             o.process.destroyForcibly();
         } else {
@@ -304,7 +304,7 @@
         starters.shutdownNow();
         for (int i = 0; i < all.length; i++) {
             if (all[i].process != null) {
-                history.add(0, TargetSelector.proxy(i), Event.KILLED, "", "at the run's end", 0);
+                history.add(0, TargetSelector.proxy(i), Event.PROCESS_KILLED, "", "at the run's end", 0);
                 all[i].process.destroyForcibly();
             }
         }
--- a/src/main/java/cacheproxy/faulttest/check/AtMostOnceChecker.java
+++ b/src/main/java/cacheproxy/faulttest/check/AtMostOnceChecker.java
@@ -6,8 +6,8 @@
 import java.util.Set;
 
 /**
- * No write takes effect twice, whatever befalls; and one that was answered as served has taken effect. Nothing is
- * excused.
+ * No write takes effect twice, whatever faults there are, and a write whose response says that it was served has taken
+ * effect. No fault excuses a violation.
  */
 public final class AtMostOnceChecker implements Checker {
     @Override
@@ -17,27 +17,26 @@
 
     @Override
     public Violations check(RunHistory run) {
-        Violations f = new Violations();
-        Map<String, Integer> effects = new HashMap<>();
+        Violations violations = new Violations();
+        Map<String, Integer> appliedById = new HashMap<>();
         Set<String> writes = new HashSet<>();
-        for (Event e : run.events()) {
-            if (e.what().equals(Event.EFFECT)) {
-                if (effects.merge(e.id(), 1, Integer::sum) == 2) {
-                    f.broken(e, "write " + e.id() + " took effect again");
+        for (Event event : run.events()) {
+            if (event.is(Event.WRITE_APPLIED)) {
+                if (appliedById.merge(event.id(), 1, Integer::sum) == 2) {
+                    violations.add(event, "write " + event.id() + " took effect again");
                 }
-            } else if (e.what().equals(Event.ASKED) && !e.detail().equals("read")) {
-                f.looked();
-                writes.add(e.id());
+            } else if (event.is(Event.REQUEST_SENT) && !event.detail().equals(Event.READ)) {
+                violations.countJudged();
+                writes.add(event.id());
             }
         }
-        for (Event e : run.events()) {
-            if (e.what().equals(Event.ANSWERED)
-                    && e.detail().equals("served")
-                    && writes.contains(e.id())
-                    && !effects.containsKey(e.id())) {
-                f.broken(e, "write " + e.id() + " was answered as done and had no effect");
+        for (Event event : run.events()) {
+            if (event.is(Event.RESPONSE_RECEIVED, Event.SERVED)
+                    && writes.contains(event.id())
+                    && !appliedById.containsKey(event.id())) {
+                violations.add(event, "write " + event.id() + " was answered as done and had no effect");
             }
         }
-        return f;
+        return violations;
     }
 }
--- a/src/main/java/cacheproxy/faulttest/check/Checker.java
+++ b/src/main/java/cacheproxy/faulttest/check/Checker.java
@@ -2,15 +2,15 @@
 
 import java.util.List;
 
-/** An invariant over a whole history, judged from outside the processes. */
+/** An invariant that is checked over the whole history of a run, as seen from outside the processes. */
 public interface Checker {
-    /** A word for it. */
+    /** The short name under which results are reported. */
     String name();
 
-    /** What breaks it; empty if nothing does. At most {@link Violations#MOST} are told in words. */
+    /** Judges a history. */
     Violations check(RunHistory run);
 
-    /** All that hold for any scenario. */
+    /** All checkers whose invariants hold in any scenario. */
     static List<Checker> all() {
         return List.of(
                 new SingleResponseChecker(),
--- a/src/main/java/cacheproxy/faulttest/check/CrashChecker.java
+++ b/src/main/java/cacheproxy/faulttest/check/CrashChecker.java
@@ -3,7 +3,7 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** No process ends that nobody ended. */
+/** No process exits that the test neither killed nor asked to terminate. */
 public final class CrashChecker implements Checker {
     @Override
     public String name() {
@@ -12,23 +12,23 @@
 
     @Override
     public Violations check(RunHistory run) {
-        Violations f = new Violations();
-        Set<String> told = new HashSet<>();
-        for (Event e : run.events()) {
-            switch (e.what()) {
-                case Event.STARTED -> {
-                    f.looked();
-                    told.remove(e.who());
+        Violations violations = new Violations();
+        Set<String> expectedToExit = new HashSet<>();
+        for (Event event : run.events()) {
+            switch (event.type()) {
+                case Event.PROCESS_STARTED -> {
+                    violations.countJudged();
+                    expectedToExit.remove(event.endpoint());
                 }
-                case Event.KILLED, Event.TERMED -> told.add(e.who());
-                case Event.ENDED -> {
-                    if (!told.contains(e.who())) {
-                        f.broken(e, e.who() + " ended by itself, exit code " + (int) e.value());
+                case Event.PROCESS_KILLED, Event.PROCESS_TERMINATING -> expectedToExit.add(event.endpoint());
+                case Event.PROCESS_EXITED -> {
+                    if (!expectedToExit.contains(event.endpoint())) {
+                        violations.add(event, event.endpoint() + " ended by itself, exit code " + (int) event.value());
                     }
                 }
                 default -> {}
             }
         }
-        return f;
+        return violations;
     }
 }
--- a/src/main/java/cacheproxy/faulttest/check/DrainChecker.java
+++ b/src/main/java/cacheproxy/faulttest/check/DrainChecker.java
@@ -4,13 +4,14 @@
 import java.util.Map;
 
 /**
- * Nothing new goes to a node that has been called draining for the grace. Whoever could not hear of it counts as told
- * so much after it could again.
+ * No proxy sends a new request to a cache server that has been draining for longer than the grace period. For a proxy
+ * that could not reach discovery the period starts later, when it can be expected to have been notified.
  */
 public final class DrainChecker implements Checker {
-    static final long GRACE_US = 2_050_000;
-    /** What discovery has to tell counts as told by then, whether or not it arrived. */
-    static final long TOLD_US = 6_000_000;
+    /** How long requests may still be sent to a draining server. */
+    static final long GRACE_PERIOD_US = 2_050_000;
+    /** How long after it can reach discovery again a proxy may take to be notified. */
+    static final long NOTIFICATION_TIME_US = 6_000_000;
 
     @Override
     public String name() {
@@ -19,31 +20,37 @@
 
     @Override
     public Violations check(RunHistory run) {
-        Violations f = new Violations();
-        Map<String, Long> draining = new HashMap<>();
-        Map<String, String> askedAt = new HashMap<>();
-        for (Event e : run.events()) {
-            switch (e.what()) {
-                case Event.ASKED -> askedAt.put(e.id(), e.who());
-                case Event.DRAINING -> draining.put(e.who(), e.us());
-                case Event.UP, Event.DIED -> draining.remove(e.who());
-                case Event.ARRIVED -> {
-                    Long since = draining.get(e.who());
-                    String proxy = askedAt.get(e.id());
-                    if (since != null && proxy != null) {
-                        f.looked();
-                        long heard = run.informedFrom(proxy, since);
-                        if (e.earliest() > heard + GRACE_US + (heard > since ? TOLD_US : 0)) {
-                            f.broken(
-                                    e,
-                                    proxy + " sent " + e.id() + " to " + e.who() + " " + (e.us() - since) / 1000
-                                            + " ms after it was called draining");
-                        }
+        Violations violations = new Violations();
+        Map<String, Long> drainingSinceUs = new HashMap<>();
+        Map<String, String> proxyByRequest = new HashMap<>();
+        for (Event event : run.events()) {
+            switch (event.type()) {
+                case Event.REQUEST_SENT -> proxyByRequest.put(event.id(), event.endpoint());
+                case Event.SERVER_DRAINING -> drainingSinceUs.put(event.endpoint(), event.timeUs());
+                case Event.SERVER_UP, Event.SERVER_KILLED -> drainingSinceUs.remove(event.endpoint());
+                case Event.COMMAND_ARRIVED -> {
+                    Long sinceUs = drainingSinceUs.get(event.endpoint());
+                    String proxy = proxyByRequest.get(event.id());
+                    if (sinceUs != null && proxy != null) {
+                        violations.countJudged();
+                        judge(run, event, proxy, sinceUs, violations);
                     }
                 }
                 default -> {}
             }
         }
-        return f;
+        return violations;
+    }
+
+    private static void judge(RunHistory run, Event arrival, String proxy, long sinceUs, Violations violations) {
+        long reachableUs = run.discoveryReachableFromUs(proxy, sinceUs);
+        long notificationUs = reachableUs > sinceUs ? NOTIFICATION_TIME_US : 0;
+        if (arrival.earliestUs() > reachableUs + GRACE_PERIOD_US + notificationUs) {
+            long afterMs = (arrival.timeUs() - sinceUs) / 1000;
+            violations.add(
+                    arrival,
+                    proxy + " sent " + arrival.id() + " to " + arrival.endpoint() + " " + afterMs
+                            + " ms after it was called draining");
+        }
     }
 }
--- a/src/main/java/cacheproxy/faulttest/check/Event.java
+++ b/src/main/java/cacheproxy/faulttest/check/Event.java
@@ -1,79 +1,119 @@
 package cacheproxy.faulttest.check;
 
 /**
- * One thing that happened to one of the processes of a run.
+ * One observation of a fault test run, made from outside the processes. Its types and details are plain strings as they
+ * stand in the history file, so that a history with types of another release can still be read; checkers ignore types
+ * that they don't know.
  *
- * @param us when, microseconds since the run's beginning, on the rig's monotonic clock
- * @param offUs how much earlier it may have been: what the rig was late in noticing
- * @param who the endpoint it happened to, or {@code rig}
- * @param what one of the words below
- * @param id the request's, or the mark of a write; empty where it is of none
- * @param detail a word or a line more; may be empty
- * @param value a figure more
+ * @param timeUs when it was noticed, microseconds since the run's start on the runner's monotonic clock
+ * @param uncertaintyUs how much earlier it may have happened, microseconds: the delay of the runner in noticing it
+ * @param endpoint the proxy or server that it happened to, or {@link #RUNNER}
+ * @param type one of the event types below
+ * @param id the id of the request, write, lease or fault; empty where there is none
+ * @param detail a result or text that depends on the type; may be empty
+ * @param value a number that depends on the type; 0 where there is none
  */
-public record Event(long us, long offUs, String who, String what, String id, String detail, double value) {
-    /** The scenario as it was played, in {@code detail}; the first of a history. */
+public record Event(
+        long timeUs, long uncertaintyUs, String endpoint, String type, String id, String detail, double value) {
+    /** The {@link #endpoint} of what the test harness itself did. */
+    public static final String RUNNER = "rig";
+
+    /** The scenario as it was played: name in {@code id}, TOML in {@code detail}; the first event of a history. */
     public static final String SCENARIO = "scenario";
     /**
-     * A client's request has been sent to proxy {@code who}; detail: read, keyed, unsafe; value: its deadline in ms.
+     * A client's request was sent to a proxy. Detail: {@link #READ}, {@link #KEYED_WRITE} or {@link #UNSAFE_WRITE};
+     * value: its deadline, ms.
      */
-    public static final String ASKED = "asked";
-    /** Its answer; detail: served, refused, failed, wrong. */
-    public static final String ANSWERED = "answered";
-    /** Its connection ended without a whole answer. */
-    public static final String GONE = "gone";
-    /** The client waits no longer. */
-    public static final String LEFT = "left";
-    /** A command of this request came to node {@code who}. */
-    public static final String ARRIVED = "arrived";
-    /** A write took effect, at whichever node or the origin. */
-    public static final String EFFECT = "effect";
-    /** Discovery calls node {@code who} draining, or up again. */
-    public static final String DRAINING = "draining";
-
-    public static final String UP = "up";
-    /** A node died; it is back, empty. */
-    public static final String DIED = "died";
-
-    public static final String BORN = "born";
-    /** What befell a proxy's process. */
-    public static final String STARTED = "started";
-
-    public static final String READY = "ready";
-    public static final String STOPPED = "stopped";
-    public static final String CONTINUED = "continued";
-    public static final String KILLED = "killed";
-    public static final String TERMED = "termed";
-    /** The process has ended; value: its exit code. */
-    public static final String ENDED = "ended";
-    /** A process wrote a line, in {@code detail}. */
-    public static final String SAID = "said";
-    /** A fault was put in, taken back; detail: which. */
-    public static final String FAULT = "fault";
-
-    public static final String HEALED = "healed";
-
-    /** A proxy answered an empty call; value: after so many ms. */
-    public static final String PULSE = "pulse";
-
+    public static final String REQUEST_SENT = "asked";
+    /** The response came. Detail: {@link #SERVED}, {@link #REJECTED}, {@link #FAILED} or {@link #WRONG}. */
+    public static final String RESPONSE_RECEIVED = "answered";
+    /** The request's connection ended without a complete response. */
+    public static final String CONNECTION_CLOSED = "gone";
+    /** The client stopped waiting. */
+    public static final String CLIENT_TIMED_OUT = "left";
+    /** A command of the request arrived at a cache server. */
+    public static final String COMMAND_ARRIVED = "arrived";
+    /** A write took effect, at a cache server or at the origin. */
+    public static final String WRITE_APPLIED = "effect";
+    /** Discovery lists a cache server as draining. */
+    public static final String SERVER_DRAINING = "draining";
+    /** Discovery lists a cache server as up again. */
+    public static final String SERVER_UP = "up";
+    /** A cache server was killed. */
+    public static final String SERVER_KILLED = "died";
+    /** A cache server is back, empty and cold. */
+    public static final String SERVER_STARTED = "born";
+    /** A proxy's process was started; value: its process id. */
+    public static final String PROCESS_STARTED = "started";
+    /** A proxy's process is ready to serve; value: its process id. */
+    public static final String PROCESS_READY = "ready";
+    /** A proxy's process was paused by SIGSTOP. */
+    public static final String PROCESS_PAUSED = "stopped";
+    /** A proxy's process was resumed by SIGCONT. */
+    public static final String PROCESS_RESUMED = "continued";
+    /** A proxy's process was sent SIGKILL. */
+    public static final String PROCESS_KILLED = "killed";
+    /** A proxy's process was sent SIGTERM. */
+    public static final String PROCESS_TERMINATING = "termed";
+    /** A proxy's process exited; value: its exit code. */
+    public static final String PROCESS_EXITED = "ended";
+    /** A proxy's process wrote a line; detail: the line. */
+    public static final String LOG_LINE = "said";
+    /** A fault began; id: its index in the scenario; detail: its kind and targets. */
+    public static final String FAULT_STARTED = "fault";
+    /** A fault ended; id: its index in the scenario. */
+    public static final String FAULT_ENDED = "healed";
+    /** A proxy responded to an empty call; value: its latency, ms. */
+    public static final String PROXY_PINGED = "pulse";
     /**
-     * Proxy {@code who} was asked whether it holds duty {@code id}; from the question on; detail: yes or no; value: its
-     * epoch.
+     * A proxy was asked whether it holds lease {@code id}, and answered. The uncertainty reaches back to the question.
+     * Detail: {@link #HELD} or {@link #NOT_HELD}; value: the epoch.
      */
-    public static final String DUTY = "duty";
-
+    public static final String LEASE_POLLED = "duty";
     /**
-     * What a job beside proxy {@code who} did under duty {@code id} has reached its store; detail: accepted, refused;
-     * value: its epoch.
+     * An action that a job beside a proxy took under lease {@code id} reached its store. Detail: {@link #ACCEPTED} or
+     * {@link #REJECTED}; value: the epoch.
      */
-    public static final String ACT = "act";
+    public static final String LEADER_ACTION = "act";
+
+    /** Detail of {@link #REQUEST_SENT}: a read. */
+    public static final String READ = "read";
+    /** Detail of {@link #REQUEST_SENT}: a write with an idempotency key. */
+    public static final String KEYED_WRITE = "keyed";
+    /** Detail of {@link #REQUEST_SENT}: a write that must not be repeated. */
+    public static final String UNSAFE_WRITE = "unsafe";
+    /** Detail of {@link #RESPONSE_RECEIVED}: a success with the expected content. */
+    public static final String SERVED = "served";
+    /** Detail of {@link #RESPONSE_RECEIVED} and {@link #LEADER_ACTION}: a rejection. */
+    public static final String REJECTED = "refused";
+    /** Detail of {@link #RESPONSE_RECEIVED}: an error. */
+    public static final String FAILED = "failed";
+    /** Detail of {@link #RESPONSE_RECEIVED}: content that was never made for the request. */
+    public static final String WRONG = "wrong";
+    /** Detail of {@link #LEASE_POLLED}: the proxy holds the lease. */
+    public static final String HELD = "yes";
+    /** Detail of {@link #LEASE_POLLED}: the proxy does not hold the lease. */
+    public static final String NOT_HELD = "no";
+    /** Detail of {@link #LEADER_ACTION}: the store accepted it. */
+    public static final String ACCEPTED = "accepted";
+
+    /** Whether it is of this type. */
+    public boolean is(String expectedType) {
+        return type.equals(expectedType);
+    }
+
+    /** Whether it is of this type and has this detail. */
+    public boolean is(String expectedType, String expectedDetail) {
+        return type.equals(expectedType) && detail.equals(expectedDetail);
+    }
 
-    /** The earliest that it can have been. */
-    public long earliest() {
-        return us - offUs;
+    /** The earliest time at which it can have happened, microseconds since the run's start. */
+    public long earliestUs() {
+        return timeUs - uncertaintyUs;
     }
 
-    public double ms() {
-        return us / 1000.0;
+    /** When it was noticed, milliseconds since the run's start. */
+    public double timeMs() {
+        return timeUs / 1000.0;
     }
 }
--- a/src/main/java/cacheproxy/faulttest/check/FencingChecker.java
+++ b/src/main/java/cacheproxy/faulttest/check/FencingChecker.java
@@ -3,7 +3,10 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** No act under a duty is taken once one of a later epoch was: whatever stood still in the midst of it does no harm. */
+/**
+ * No store accepts a leader action with the fencing token of an older epoch after one of a newer epoch, however long
+ * the sender was paused in between.
+ */
 public final class FencingChecker implements Checker {
     @Override
     public String name() {
@@ -12,30 +15,24 @@
 
     @Override
     public Violations check(RunHistory run) {
-        Violations f = new Violations();
-        Map<String, Event> last = new HashMap<>();
-        for (Event e : run.events()) {
-            if (!e.what().equals(Event.ACT) || !e.detail().equals("accepted")) {
+        Violations violations = new Violations();
+        Map<String, Event> newestByLease = new HashMap<>();
+        for (Event event : run.events()) {
+            if (!event.is(Event.LEADER_ACTION, Event.ACCEPTED)) {
                 continue;
             }
-            f.looked();
-            Event before = last.get(e.id());
-            if (before != null && before.value() > e.value()) {
-                f.broken(
-                        e,
-                        "an act of " + e.who() + " under " + e.id() + ", epoch " + (long) e.value()
-                                + ", was taken after one of " + before.who() + " under epoch " + (long) before.value());
+            violations.countJudged();
+            Event newest = newestByLease.get(event.id());
+            if (newest != null && newest.value() > event.value()) {
+                violations.add(
+                        event,
+                        "an act of " + event.endpoint() + " under " + event.id() + ", epoch " + (long) event.value()
+                                + ", was taken after one of " + newest.endpoint() + " under epoch "
+                                + (long) newest.value());
             } else {
-                last.put(e.id(), e);
+                newestByLease.put(event.id(), event);
             }
         }
-        return f;
-    }
-
-    /** Acts of older epochs that were refused where they were received. */
-    public static long refused(RunHistory run) {
-        return run.events().stream()
-                .filter(e -> e.what().equals(Event.ACT) && e.detail().equals("refused"))
-                .count();
+        return violations;
     }
 }
--- a/src/main/java/cacheproxy/faulttest/check/QuotaChecker.java
+++ b/src/main/java/cacheproxy/faulttest/check/QuotaChecker.java
@@ -2,26 +2,29 @@
 
 import cacheproxy.faulttest.scenario.Scenario;
 import java.util.ArrayList;
-import java.util.Arrays;
+import java.util.Comparator;
 import java.util.HashMap;
 import java.util.HashSet;
 import java.util.List;
+import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 
 /**
- * What all proxies together send to the nodes of the requests that a scenario's limit bounds, counted as it comes to
- * them: a request once, however often it is tried. In no window may surely have come more than the limit's part of it,
- * what may be saved up, and what clocks that run fast make of it. At once: a request is surely in hand from when it
- * came to a node until {@value #ANSWER_MS} ms before its client had the answer, which may have been on its way for so
- * long.
+ * The proxies together keep the fleet-wide quota of the scenario, measured where requests arrive at cache servers. A
+ * request counts once, however many attempts it takes.
+ *
+ * <p>Rate: in no window did certainly more requests arrive than the rate, the burst, and the drift of fast clocks
+ * allow. Concurrency: a request is certainly in flight from its arrival at a server until
+ * {@value #MAX_RESPONSE_TRANSIT_MS} ms before its client had the response, which may have been on its way for so long.
  */
 public final class QuotaChecker implements Checker {
-    /** Windows over which it is judged, ms. */
-    static final double[] WINDOWS = {100, 1000, 10_000};
-
-    private static final double DRIFT = 0.01;
-    static final double ANSWER_MS = 25;
+    /** Lengths of the windows over which a rate is judged, ms. */
+    static final double[] WINDOWS_MS = {100, 1000, 10_000};
+    /** How long a response may be on its way to the client, ms. */
+    static final double MAX_RESPONSE_TRANSIT_MS = 25;
+    /** By which share a process's clock may run fast. */
+    private static final double MAX_CLOCK_DRIFT = 0.01;
 
     @Override
     public String name() {
@@ -30,152 +33,128 @@
 
     @Override
     public Violations check(RunHistory run) {
-        Violations f = new Violations();
-        Scenario.Limit limit = run.scenario().limit();
-        if (limit == null) {
-            return f;
+        Violations violations = new Violations();
+        Scenario.Limit quota = run.scenario().limit();
+        if (quota == null) {
+            return violations;
         }
-        List<Event> came = arrivals(run);
-        came.forEach(e -> f.looked());
-        if (limit.atOnce() > 0) {
-            inHand(run, limit, f);
-            return f;
+        List<Event> arrivals = arrivals(run);
+        arrivals.forEach(arrival -> violations.countJudged());
+        if (quota.atOnce() > 0) {
+            checkConcurrency(run, quota, arrivals, violations);
+        } else {
+            checkRate(quota, arrivals, violations);
         }
-        for (double window : WINDOWS) {
-            int[] most = most(came, window);
-            double allowed = allowed(limit, window);
-            if (most[0] > allowed) {
-                f.broken(
-                        came.get(most[1]),
+        return violations;
+    }
+
+    private static void checkRate(Scenario.Limit quota, List<Event> arrivals, Violations violations) {
+        for (double windowMs : WINDOWS_MS) {
+            BusiestWindow busiest = BusiestWindow.of(arrivals, windowMs);
+            double allowed = allowed(quota, windowMs);
+            if (busiest.requests() > allowed) {
+                violations.add(
+                        arrivals.get(busiest.lastIndex()),
                         String.format(
-                                java.util.Locale.ROOT,
+                                Locale.ROOT,
                                 "%d came within %.0f ms, where the limit and its bound allow %.1f",
-                                most[0],
-                                window,
+                                busiest.requests(),
+                                windowMs,
                                 allowed));
             }
         }
-        return f;
     }
 
-    /** What may come in a window. */
-    public static double allowed(Scenario.Limit limit, double windowMs) {
-        return limit.perSecond() * windowMs / 1000 * (1 + DRIFT) + limit.saved();
+    /** How many requests may arrive in a window of this length. */
+    public static double allowed(Scenario.Limit quota, double windowMs) {
+        return quota.perSecond() * windowMs / 1000 * (1 + MAX_CLOCK_DRIFT) + quota.saved();
     }
 
-    /** First arrivals of requests that the limit bounds. */
+    /** The first arrival at a server of each request that the scenario's quota limits. */
     static List<Event> arrivals(RunHistory run) {
-        Set<String> bounded = new HashSet<>();
+        Set<String> limited = new HashSet<>();
         Set<String> seen = new HashSet<>();
-        List<Event> came = new ArrayList<>();
-        for (Event e : run.events()) {
-            if (e.what().equals(Event.ASKED)
-                    && e.detail().equals(run.scenario().limit().kind())) {
-                bounded.add(e.id());
-            } else if (e.what().equals(Event.ARRIVED) && bounded.contains(e.id()) && seen.add(e.id())) {
-                came.add(e);
-            }
-        }
-        return came;
-    }
-
-    /** How many surely came within one window, and the event with which the window ends. */
-    static int[] most(List<Event> came, double windowMs) {
-        int[] most = {0, 0};
-        long window = (long) (windowMs * 1000);
-        // Each that certainly lies between a begin and its end: neither earlier than the one nor later than the other.
-        long[] earliest = came.stream().mapToLong(Event::earliest).toArray();
-        for (int last = 0, from = 0; last < came.size(); last++) {
-            long begin = came.get(last).us() - window;
-            while (from < last && came.get(from).us() < begin) {
-                from++;
-            }
-            int n = 0;
-            for (int i = from; i <= last; i++) {
-                n += earliest[i] >= begin ? 1 : 0;
-            }
-            if (n > most[0]) {
-                most[0] = n;
-                most[1] = last;
+        List<Event> arrivals = new ArrayList<>();
+        for (Event event : run.events()) {
+            if (event.is(Event.REQUEST_SENT, run.scenario().limit().kind())) {
+                limited.add(event.id());
+            } else if (event.is(Event.COMMAND_ARRIVED) && limited.contains(event.id()) && seen.add(event.id())) {
+                arrivals.add(event);
             }
         }
-        return most;
+        return arrivals;
     }
 
-    /** Spans in which each is surely in hand, and how many of them are at once. */
-    private static void inHand(RunHistory run, Scenario.Limit limit, Violations f) {
-        Map<String, Event> came = new HashMap<>();
-        arrivals(run).forEach(e -> came.put(e.id(), e));
-        List<long[]> turns = new ArrayList<>();
-        Set<String> over = new HashSet<>();
-        for (Event e : run.events()) {
-            boolean end = e.what().equals(Event.ANSWERED)
-                    || e.what().equals(Event.GONE)
-                    || e.what().equals(Event.LEFT);
-            Event from = end && over.add(e.id()) ? came.get(e.id()) : null;
-            long until = e.earliest() - (long) (ANSWER_MS * 1000);
-            if (from != null && until > from.us()) {
-                turns.add(new long[] {from.us(), 1});
-                turns.add(new long[] {until, -1});
-            }
-        }
-        turns.sort((a, b) -> a[0] != b[0] ? Long.compare(a[0], b[0]) : Long.compare(a[1], b[1]));
-        int inHand = 0;
-        for (long[] t : turns) {
-            inHand += (int) t[1];
-            if (t[1] > 0 && inHand > limit.atOnce() + limit.saved()) {
-                f.broken(
-                        new Event(t[0], 0, "rig", Event.ARRIVED, "", "", inHand),
-                        inHand + " in hand, where " + limit.atOnce() + " and " + limit.saved() + " are allowed");
+    /**
+     * The window in which most requests certainly arrived.
+     *
+     * @param requests how many arrived in it
+     * @param lastIndex the index of the arrival with which it ends
+     */
+    record BusiestWindow(int requests, int lastIndex) {
+        /** The busiest window of a length, over arrivals in the order of time. */
+        static BusiestWindow of(List<Event> arrivals, double windowMs) {
+            BusiestWindow busiest = new BusiestWindow(0, 0);
+            long windowUs = (long) (windowMs * 1000);
+            long[] earliestUs = arrivals.stream().mapToLong(Event::earliestUs).toArray();
+            int first = 0;
+            for (int last = 0; last < arrivals.size(); last++) {
+                long startUs = arrivals.get(last).timeUs() - windowUs;
+                while (first < last && arrivals.get(first).timeUs() < startUs) {
+                    first++;
+                }
+                // Only those count that can't have arrived before the window's start.
+                int requests = 0;
+                for (int i = first; i <= last; i++) {
+                    requests += earliestUs[i] >= startUs ? 1 : 0;
+                }
+                if (requests > busiest.requests) {
+                    busiest = new BusiestWindow(requests, last);
+                }
             }
+            return busiest;
         }
     }
 
-    /** By window: the most that came, over what the limit alone allows. */
-    public static double[] over(RunHistory run) {
-        List<Event> came = arrivals(run);
-        return Arrays.stream(WINDOWS)
-                .map(w -> most(came, w)[0] - run.scenario().limit().perSecond() * w / 1000)
-                .toArray();
+    /** The start or end of a span in which one request is certainly in flight; change is 1 or -1. */
+    private record FlightChange(long timeUs, int change) {
+        static final Comparator<FlightChange> ENDS_BEFORE_STARTS =
+                Comparator.comparingLong(FlightChange::timeUs).thenComparingInt(FlightChange::change);
     }
 
-    /** The part of a rate that lay idle while as much was refused, in whole seconds of the load but its first ones. */
-    public static double idle(RunHistory run, double skippedMs) {
-        double[] asked = run.events().stream()
-                .filter(e -> e.what().equals(Event.ASKED))
-                .mapToDouble(Event::ms)
-                .toArray();
-        return asked.length == 0 ? 0 : idle(run, asked[0] + skippedMs, asked[asked.length - 1]);
+    private static void checkConcurrency(
+            RunHistory run, Scenario.Limit quota, List<Event> arrivals, Violations violations) {
+        int inFlight = 0;
+        for (FlightChange flight : flightChanges(run, arrivals)) {
+            inFlight += flight.change;
+            if (flight.change > 0 && inFlight > quota.atOnce() + quota.saved()) {
+                violations.add(
+                        new Event(flight.timeUs, 0, Event.RUNNER, Event.COMMAND_ARRIVED, "", "", inFlight),
+                        inFlight + " in hand, where " + quota.atOnce() + " and " + quota.saved() + " are allowed");
+            }
+        }
     }
 
-    private static double idle(RunHistory run, double fromMs, double toMs) {
-        double perSecond = run.scenario().limit().perSecond();
-        int seconds = (int) Math.max(1, (toMs - fromMs) / 1000);
-        double[] came = new double[seconds];
-        double[] refused = new double[seconds];
-        for (Event e : arrivals(run)) {
-            count(came, e, fromMs);
-        }
-        Set<String> bounded = new HashSet<>();
-        for (Event e : run.events()) {
-            if (e.what().equals(Event.ASKED)
-                    && e.detail().equals(run.scenario().limit().kind())) {
-                bounded.add(e.id());
-            } else if (e.what().equals(Event.ANSWERED) && e.detail().equals("refused") && bounded.contains(e.id())) {
-                count(refused, e, fromMs);
+    private static List<FlightChange> flightChanges(RunHistory run, List<Event> arrivals) {
+        Map<String, Event> arrivalById = new HashMap<>();
+        arrivals.forEach(arrival -> arrivalById.put(arrival.id(), arrival));
+        List<FlightChange> changes = new ArrayList<>();
+        Set<String> finished = new HashSet<>();
+        for (Event event : run.events()) {
+            Event arrival = finishesRequest(event) && finished.add(event.id()) ? arrivalById.get(event.id()) : null;
+            long endUs = event.earliestUs() - (long) (MAX_RESPONSE_TRANSIT_MS * 1000);
+            if (arrival != null && endUs > arrival.timeUs()) {
+                changes.add(new FlightChange(arrival.timeUs(), 1));
+                changes.add(new FlightChange(endUs, -1));
             }
         }
-        double idle = 0;
-        for (int s = 0; s < seconds; s++) {
-            idle += Math.min(refused[s], Math.max(0, perSecond - came[s]));
-        }
-        return idle / perSecond / seconds;
+        changes.sort(FlightChange.ENDS_BEFORE_STARTS);
+        return changes;
     }
 
-    private static void count(double[] of, Event e, double fromMs) {
-        int s = (int) Math.floor((e.ms() - fromMs) / 1000);
-        if (s >= 0 && s < of.length) {
-            of[s]++;
-        }
+    private static boolean finishesRequest(Event event) {
+        return event.is(Event.RESPONSE_RECEIVED)
+                || event.is(Event.CONNECTION_CLOSED)
+                || event.is(Event.CLIENT_TIMED_OUT);
     }
 }
--- /dev/null
+++ b/src/main/java/cacheproxy/faulttest/check/QuotaStats.java
@@ -0,0 +1,65 @@
+package cacheproxy.faulttest.check;
+
+import cacheproxy.faulttest.scenario.Scenario;
+import java.util.Arrays;
+import java.util.HashSet;
+import java.util.List;
+import java.util.Set;
+
+/** Figures about the rate of a fleet-wide quota over a run: how far it was exceeded, and how much of it lay unused. */
+public final class QuotaStats {
+    private QuotaStats() {}
+
+    /** By window of 100 ms, 1 s and 10 s: the most requests that arrived, minus what the rate alone allows. */
+    public static double[] excessByWindow(RunHistory run) {
+        List<Event> arrivals = QuotaChecker.arrivals(run);
+        double perSecond = run.scenario().limit().perSecond();
+        return Arrays.stream(QuotaChecker.WINDOWS_MS)
+                .map(windowMs ->
+                        QuotaChecker.BusiestWindow.of(arrivals, windowMs).requests() - perSecond * windowMs / 1000)
+                .toArray();
+    }
+
+    /**
+     * The share of the rate, 0 to 1, that lay unused while requests were rejected. By whole seconds of the load.
+     *
+     * @param skippedMs so long a time at the load's start does not count
+     */
+    public static double unusedShare(RunHistory run, double skippedMs) {
+        double[] sentMs = run.events().stream()
+                .filter(event -> event.is(Event.REQUEST_SENT))
+                .mapToDouble(Event::timeMs)
+                .toArray();
+        return sentMs.length == 0 ? 0 : unusedShare(run, sentMs[0] + skippedMs, sentMs[sentMs.length - 1]);
+    }
+
+    private static double unusedShare(RunHistory run, double fromMs, double toMs) {
+        Scenario.Limit quota = run.scenario().limit();
+        int seconds = (int) Math.max(1, (toMs - fromMs) / 1000);
+        double[] arrived = new double[seconds];
+        double[] rejected = new double[seconds];
+        for (Event arrival : QuotaChecker.arrivals(run)) {
+            count(arrived, arrival, fromMs);
+        }
+        Set<String> limited = new HashSet<>();
+        for (Event event : run.events()) {
+            if (event.is(Event.REQUEST_SENT, quota.kind())) {
+                limited.add(event.id());
+            } else if (event.is(Event.RESPONSE_RECEIVED, Event.REJECTED) && limited.contains(event.id())) {
+                count(rejected, event, fromMs);
+            }
+        }
+        double unused = 0;
+        for (int second = 0; second < seconds; second++) {
+            unused += Math.min(rejected[second], Math.max(0, quota.perSecond() - arrived[second]));
+        }
+        return unused / quota.perSecond() / seconds;
+    }
+
+    private static void count(double[] countBySecond, Event event, double fromMs) {
+        int second = (int) Math.floor((event.timeMs() - fromMs) / 1000);
+        if (second >= 0 && second < countBySecond.length) {
+            countBySecond[second]++;
+        }
+    }
+}
--- a/src/main/java/cacheproxy/faulttest/check/RunHistory.java
+++ b/src/main/java/cacheproxy/faulttest/check/RunHistory.java
@@ -2,170 +2,155 @@
 
 import cacheproxy.faulttest.scenario.Fault;
 import cacheproxy.faulttest.scenario.Scenario;
+import cacheproxy.faulttest.scenario.TargetSelector;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.stream.Stream;
 
-/** A whole history in the order of time, with what befell each proxy. */
+/**
+ * The whole history of a run in the order of time, with the spans in which each proxy was paused, down or cut off from
+ * discovery. Times in microseconds since the run's start.
+ */
 public final class RunHistory {
-    /** A span in microseconds. */
-    record Span(long from, long to) {
-        boolean meets(long a, long b) {
-            return from <= b && a <= to;
-        }
-    }
-
-    /** Who could be told for so long has been told. */
-    private static final long HEARS_US = 300_000;
+    /** A proxy that can reach discovery for so long is notified of changes. */
+    private static final long NOTIFIABLE_US = 300_000;
 
     private final Scenario scenario;
     private final List<Event> events;
-    /** Spans in which a process stood still, or ran in beats, or was not there. */
-    private final Map<String, List<Span>> stopped = new HashMap<>();
-
-    private final Map<String, List<Span>> gone = new HashMap<>();
-    private final Map<String, List<Span>> cutOff = new HashMap<>();
-    /** Spans of {@link #gone} that began with a kill, or with an end that nobody ordered. */
-    private final Map<String, List<Span>> killed = new HashMap<>();
-
     private final long endUs;
+    /** From SIGSTOP to SIGCONT or exit. */
+    private final EndpointSpans paused = new EndpointSpans();
+    /** From SIGTERM, SIGKILL or exit until the next process is ready. */
+    private final EndpointSpans down = new EndpointSpans();
+    /** Spans of {@link #down} from SIGKILL, or from an exit that the test did not cause. */
+    private final EndpointSpans killed = new EndpointSpans();
+    /** Faults on the links to discovery. */
+    private final EndpointSpans cutOff = new EndpointSpans();
 
-    /** @param events in any order */
+    /**
+     * Makes a history.
+     *
+     * @param events in any order
+     */
     public RunHistory(Scenario scenario, List<Event> events) {
         this.scenario = scenario;
         this.events = new ArrayList<>(events);
-        this.events.sort(Comparator.comparingLong(Event::us));
-        endUs = events.isEmpty() ? 0 : this.events.get(events.size() - 1).us();
-        Map<String, Long> stop = new HashMap<>();
-        Map<String, Long> down = new HashMap<>();
-        Map<String, Long> dead = new HashMap<>();
-        for (Event e : this.events) {
-            switch (e.what()) {
-                case Event.STOPPED -> stop.putIfAbsent(e.who(), e.earliest());
-                case Event.CONTINUED -> close(stop, stopped, e);
-                case Event.KILLED -> {
-                    down.putIfAbsent(e.who(), e.earliest());
-                    dead.putIfAbsent(e.who(), e.earliest());
-                }
-                case Event.TERMED -> down.putIfAbsent(e.who(), e.earliest());
-                case Event.ENDED -> {
-                    close(stop, stopped, e);
-                    if (!down.containsKey(e.who())) {
-                        dead.putIfAbsent(e.who(), e.earliest());
-                    }
-                    down.putIfAbsent(e.who(), e.earliest());
-                }
-                case Event.READY -> {
-                    close(down, gone, e);
-                    close(dead, killed, e);
-                }
-                default -> {}
-            }
-        }
-        stop.forEach((who, from) -> span(stopped, who, from, endUs));
-        down.forEach((who, from) -> span(gone, who, from, endUs));
-        dead.forEach((who, from) -> span(killed, who, from, endUs));
-        cuts();
+        this.events.sort(Comparator.comparingLong(Event::timeUs));
+        endUs = events.isEmpty() ? 0 : this.events.get(events.size() - 1).timeUs();
+        this.events.forEach(this::followProcess);
+        Stream.of(paused, down, killed).forEach(spans -> spans.endAll(endUs));
+        findDiscoveryCuts();
     }
 
-    private static void close(Map<String, Long> open, Map<String, List<Span>> spans, Event e) {
-        Long from = open.remove(e.who());
-        if (from != null) {
-            span(spans, e.who(), from, e.us());
+    private void followProcess(Event event) {
+        String endpoint = event.endpoint();
+        switch (event.type()) {
+            case Event.PROCESS_PAUSED -> paused.begin(endpoint, event.earliestUs());
+            case Event.PROCESS_RESUMED -> paused.end(endpoint, event.timeUs());
+            case Event.PROCESS_KILLED -> {
+                down.begin(endpoint, event.earliestUs());
+                killed.begin(endpoint, event.earliestUs());
+            }
+            case Event.PROCESS_TERMINATING -> down.begin(endpoint, event.earliestUs());
+            case Event.PROCESS_EXITED -> {
+                paused.end(endpoint, event.timeUs());
+                if (!down.isOpen(endpoint)) {
+                    killed.begin(endpoint, event.earliestUs());
+                }
+                down.begin(endpoint, event.earliestUs());
+            }
+            case Event.PROCESS_READY -> {
+                down.end(endpoint, event.timeUs());
+                killed.end(endpoint, event.timeUs());
+            }
+            default -> {}
         }
     }
 
-    private static void span(Map<String, List<Span>> spans, String who, long from, long to) {
-        spans.computeIfAbsent(who, k -> new ArrayList<>()).add(new Span(from, to));
-    }
-
-    /** Cuts between proxies and discovery, by the fault's and the healing's events. */
-    private void cuts() {
-        Map<String, Event> begun = new HashMap<>();
-        for (Event e : events) {
-            if (e.what().equals(Event.FAULT)) {
-                begun.put(e.id(), e);
-            } else if (e.what().equals(Event.HEALED) && begun.containsKey(e.id())) {
-                cut(e.id(), begun.remove(e.id()).earliest(), e.us());
+    private void findDiscoveryCuts() {
+        Map<String, Event> openFaults = new HashMap<>();
+        for (Event event : events) {
+            if (event.is(Event.FAULT_STARTED)) {
+                openFaults.put(event.id(), event);
+            } else if (event.is(Event.FAULT_ENDED) && openFaults.containsKey(event.id())) {
+                addCut(event.id(), openFaults.remove(event.id()).earliestUs(), event.timeUs());
             }
         }
-        begun.forEach((id, e) -> cut(id, e.earliest(), endUs));
+        openFaults.forEach((id, event) -> addCut(id, event.earliestUs(), endUs));
     }
 
-    private void cut(String id, long from, long to) {
-        int index = Integer.parseInt(id);
+    private void addCut(String faultId, long fromUs, long toUs) {
+        int index = Integer.parseInt(faultId);
         if (index >= scenario.faults().size()) {
             return;
         }
-        Fault f = scenario.faults().get(index);
-        if (!f.onLinks()) {
+        Fault fault = scenario.faults().get(index);
+        if (!fault.onLinks()) {
             return;
         }
-        boolean here = f.to().contains("discovery");
-        boolean there = f.who().contains("discovery");
-        if (here || there) {
-            (here ? f.who() : f.to()).forEach(p -> span(cutOff, p, from, to));
+        if (fault.to().contains(TargetSelector.DISCOVERY)) {
+            fault.who().forEach(proxy -> cutOff.add(proxy, fromUs, toUs));
+        } else if (fault.who().contains(TargetSelector.DISCOVERY)) {
+            fault.to().forEach(proxy -> cutOff.add(proxy, fromUs, toUs));
         }
     }
 
+    /** The scenario as it was played. */
     public Scenario scenario() {
         return scenario;
     }
 
-    /** In the order of time. */
+    /** All events, in the order of time. */
     public List<Event> events() {
         return events;
     }
 
+    /** The time of the last event. */
     public long endUs() {
         return endUs;
     }
 
-    /** Whether a process stood still or was not there at some time of a span. */
-    public boolean troubled(String proxy, long from, long to) {
-        return meets(stopped, proxy, from, to) || meets(gone, proxy, from, to);
+    /** Whether a proxy was paused or down at some time of a span. */
+    public boolean wasPausedOrDown(String proxy, long fromUs, long toUs) {
+        return paused.overlaps(proxy, fromUs, toUs) || down.overlaps(proxy, fromUs, toUs);
     }
 
-    /** Whether it was being ended or was not there. */
-    public boolean ending(String proxy, long from, long to) {
-        return meets(gone, proxy, from, to);
+    /** Whether a proxy was terminating, not running, or not ready yet at some time of a span. */
+    public boolean wasDown(String proxy, long fromUs, long toUs) {
+        return down.overlaps(proxy, fromUs, toUs);
     }
 
     /**
-     * Whether a process was dead at some time of a span: killed, or crashed; one that was asked to end is not until it
-     * is killed.
+     * Whether a proxy was down after a kill or a crash at some time of a span. One that terminates on request is not,
+     * until it is killed.
      */
-    public boolean dead(String proxy, long from, long to) {
-        return meets(killed, proxy, from, to);
+    public boolean wasKilled(String proxy, long fromUs, long toUs) {
+        return killed.overlaps(proxy, fromUs, toUs);
     }
 
-    /** How long it stood still in a span, microseconds. */
-    public long stoppedUs(String proxy, long from, long to) {
-        return stopped.getOrDefault(proxy, List.of()).stream()
-                .mapToLong(s -> Math.max(0, Math.min(to, s.to) - Math.max(from, s.from)))
-                .sum();
+    /** How long a proxy was paused within a span, microseconds. */
+    public long pausedUs(String proxy, long fromUs, long toUs) {
+        return paused.overlapUs(proxy, fromUs, toUs);
     }
 
     /**
-     * From when on word of discovery could reach a proxy: the given time, or the end of the troubles that stood in the
-     * way from then on without a pause in which it could have heard.
+     * From when on a proxy could be notified by discovery: the given time, or the end of the faults that prevented it
+     * from then on, with no pause between them that was long enough for a notification.
      */
-    public long informedFrom(String proxy, long from) {
-        List<Span> troubles = new ArrayList<>();
-        List.of(stopped, gone, cutOff).forEach(kind -> troubles.addAll(kind.getOrDefault(proxy, List.of())));
-        troubles.sort(Comparator.comparingLong(Span::from));
-        long free = from;
-        for (Span s : troubles) {
-            if (s.to >= free && s.from < free + HEARS_US) {
-                free = s.to;
+    public long discoveryReachableFromUs(String proxy, long fromUs) {
+        List<EndpointSpans.Span> faults = Stream.of(paused, down, cutOff)
+                .flatMap(spans -> spans.of(proxy).stream())
+                .sorted(Comparator.comparingLong(EndpointSpans.Span::fromUs))
+                .toList();
+        long reachableUs = fromUs;
+        for (EndpointSpans.Span fault : faults) {
+            if (fault.toUs() >= reachableUs && fault.fromUs() < reachableUs + NOTIFIABLE_US) {
+                reachableUs = fault.toUs();
             }
         }
-        return free;
-    }
-
-    private static boolean meets(Map<String, List<Span>> spans, String who, long from, long to) {
-        return spans.getOrDefault(who, List.of()).stream().anyMatch(s -> s.meets(from, to));
+        return reachableUs;
     }
 }
--- a/src/main/java/cacheproxy/faulttest/check/ServiceStats.java
+++ b/src/main/java/cacheproxy/faulttest/check/ServiceStats.java
@@ -3,140 +3,180 @@
 import cacheproxy.faulttest.scenario.TargetSelector;
 import java.util.Arrays;
 import java.util.HashMap;
+import java.util.Locale;
 import java.util.Map;
 import java.util.Set;
 
 /**
- * What was served and how the load was spread, over a part of a run.
+ * How requests were served and how load was spread over cache servers, in a part of a run.
  *
- * @param asked requests
- * @param inTime of them answered as served within their deadline
- * @param waited the median and the 99th percentile of what served ones took, ms
- * @param nodeMax commands at the busiest node over the mean
- * @param nodeVariation their coefficient of variation
- * @param idle nodes that were sent nothing
- * @param attemptsEach commands at nodes for each request
+ * @param requests how many were sent
+ * @param withinDeadline of them served within their deadline
+ * @param served of them served
+ * @param rejected of them rejected
+ * @param failed of them answered otherwise
+ * @param unanswered of them without a response
+ * @param medianMs median latency of served requests; NaN if there are none
+ * @param p99Ms 99th percentile of the latency of served requests; NaN if there are none
+ * @param busiestServerRatio commands at the busiest server over the mean of all
+ * @param serverVariation coefficient of variation of commands by server
+ * @param idleServers servers without a command
+ * @param attemptsPerRequest commands at servers for each request
  */
-@SuppressWarnings("ArrayRecordComponent") // the arrays are read only, and instances are not compared
 public record ServiceStats(
-        int asked,
-        int inTime,
+        int requests,
+        int withinDeadline,
         int served,
-        int refused,
+        int rejected,
         int failed,
         int unanswered,
-        double[] waited,
-        double nodeMax,
-        double nodeVariation,
-        int idle,
-        double attemptsEach) {
+        double medianMs,
+        double p99Ms,
+        double busiestServerRatio,
+        double serverVariation,
+        int idleServers,
+        double attemptsPerRequest) {
+    private static final String STALL_PREFIX = "node-stall ";
 
-    /** Over requests sent in a span of a run, milliseconds. */
+    /** Over the requests that were sent in a span of the run, milliseconds since its start; its end is exclusive. */
     public static ServiceStats of(RunHistory run, double fromMs, double toMs) {
-        Map<String, Event> open = new HashMap<>();
-        int[] of = new int[6];
-        int[] arrivals = new int[run.scenario().nodes()];
-        double[] times = new double[run.events().size()];
-        TargetSelector names = run.scenario().endpoints();
-        int attempts = 0;
-        for (Event e : run.events()) {
-            switch (e.what()) {
-                case Event.ASKED -> {
-                    if (e.ms() >= fromMs && e.ms() < toMs && open.put(e.id(), e) == null) {
-                        of[0]++;
+        Tally tally = new Tally(run);
+        for (Event event : run.events()) {
+            tally.add(event, fromMs, toMs);
+        }
+        return tally.stats();
+    }
+
+    /** Counts while a history is read. */
+    private static final class Tally {
+        private final Map<String, Event> requestById = new HashMap<>();
+        private final TargetSelector endpoints;
+        private final int[] commandsByServer;
+        private final double[] latenciesMs;
+        private int requests;
+        private int withinDeadline;
+        private int served;
+        private int rejected;
+        private int failed;
+        private int commands;
+
+        Tally(RunHistory run) {
+            endpoints = run.scenario().endpoints();
+            commandsByServer = new int[run.scenario().nodes()];
+            latenciesMs = new double[run.events().size()];
+        }
+
+        void add(Event event, double fromMs, double toMs) {
+            switch (event.type()) {
+                case Event.REQUEST_SENT -> {
+                    if (event.timeMs() >= fromMs
+                            && event.timeMs() < toMs
+                            && requestById.put(event.id(), event) == null) {
+                        requests++;
                     }
                 }
-                case Event.ARRIVED -> {
-                    if (open.containsKey(e.id())) {
-                        arrivals[names.index(e.who()) - names.proxies()]++;
-                        attempts++;
+                case Event.COMMAND_ARRIVED -> {
+                    if (requestById.containsKey(event.id())) {
+                        commandsByServer[endpoints.index(event.endpoint()) - endpoints.proxies()]++;
+                        commands++;
                     }
                 }
-                case Event.ANSWERED -> {
-                    Event asked = open.get(e.id());
-                    if (asked != null) {
-                        double took = (e.us() - asked.us()) / 1000.0;
-                        switch (e.detail()) {
-                            case "served" -> {
-                                of[1] += took <= asked.value() ? 1 : 0;
-                                times[of[2]++] = took;
-                            }
-                            case "refused" -> of[3]++;
-                            default -> of[4]++;
-                        }
+                case Event.RESPONSE_RECEIVED -> {
+                    Event request = requestById.get(event.id());
+                    if (request != null) {
+                        addResponse(request, event);
                     }
                 }
                 default -> {}
             }
         }
-        double[] served = Arrays.copyOf(times, of[2]);
-        Arrays.sort(served);
-        double[] waited = served.length == 0
-                ? new double[] {Double.NaN, Double.NaN}
-                : new double[] {served[served.length / 2], served[served.length * 99 / 100]};
-        double mean = Arrays.stream(arrivals).average().orElse(0);
-        double variance = Arrays.stream(arrivals)
-                .mapToDouble(n -> (n - mean) * (n - mean))
-                .average()
-                .orElse(0);
-        return new ServiceStats(
-                of[0],
-                of[1],
-                of[2],
-                of[3],
-                of[4],
-                of[0] - of[2] - of[3] - of[4],
-                waited,
-                mean == 0 ? 0 : Arrays.stream(arrivals).max().orElse(0) / mean,
-                mean == 0 ? 0 : Math.sqrt(variance) / mean,
-                (int) Arrays.stream(arrivals).filter(n -> n == 0).count(),
-                of[0] == 0 ? 0 : (double) attempts / of[0]);
+
+        private void addResponse(Event request, Event response) {
+            switch (response.detail()) {
+                case Event.SERVED -> {
+                    double latencyMs = (response.timeUs() - request.timeUs()) / 1000.0;
+                    withinDeadline += latencyMs <= request.value() ? 1 : 0;
+                    latenciesMs[served++] = latencyMs;
+                }
+                case Event.REJECTED -> rejected++;
+                default -> failed++;
+            }
+        }
+
+        ServiceStats stats() {
+            double[] sortedMs = Arrays.copyOf(latenciesMs, served);
+            Arrays.sort(sortedMs);
+            double mean = Arrays.stream(commandsByServer).average().orElse(0);
+            double variance = Arrays.stream(commandsByServer)
+                    .mapToDouble(count -> (count - mean) * (count - mean))
+                    .average()
+                    .orElse(0);
+            return new ServiceStats(
+                    requests,
+                    withinDeadline,
+                    served,
+                    rejected,
+                    failed,
+                    requests - served - rejected - failed,
+                    served == 0 ? Double.NaN : sortedMs[served / 2],
+                    served == 0 ? Double.NaN : sortedMs[served * 99 / 100],
+                    mean == 0 ? 0 : Arrays.stream(commandsByServer).max().orElse(0) / mean,
+                    mean == 0 ? 0 : Math.sqrt(variance) / mean,
+                    (int) Arrays.stream(commandsByServer)
+                            .filter(count -> count == 0)
+                            .count(),
+                    requests == 0 ? 0 : (double) commands / requests);
+        }
     }
 
-    /** Commands that came to nodes while these stood still. */
-    public static int sentToSick(RunHistory run) {
-        Map<String, Set<String>> by = new HashMap<>();
-        int n = 0;
-        for (Event e : run.events()) {
-            switch (e.what()) {
-                case Event.FAULT -> {
-                    if (e.detail().startsWith("node-stall ")) {
-                        by.put(e.id(), Set.of(e.detail().substring(11).split(",")));
+    /** How many commands arrived at cache servers while these were stalled by a fault. */
+    public static int countSentToStalledServers(RunHistory run) {
+        Map<String, Set<String>> stalledByFault = new HashMap<>();
+        int sent = 0;
+        for (Event event : run.events()) {
+            switch (event.type()) {
+                case Event.FAULT_STARTED -> {
+                    if (event.detail().startsWith(STALL_PREFIX)) {
+                        stalledByFault.put(
+                                event.id(),
+                                Set.of(event.detail()
+                                        .substring(STALL_PREFIX.length())
+                                        .split(",")));
                     }
                 }
-                case Event.HEALED -> by.remove(e.id());
-                case Event.ARRIVED -> {
-                    if (by.values().stream().anyMatch(s -> s.contains(e.who()))) {
-                        n++;
+                case Event.FAULT_ENDED -> stalledByFault.remove(event.id());
+                case Event.COMMAND_ARRIVED -> {
+                    if (stalledByFault.values().stream().anyMatch(servers -> servers.contains(event.endpoint()))) {
+                        sent++;
                     }
                 }
                 default -> {}
             }
         }
-        return n;
+        return sent;
     }
 
     @Override
     public String toString() {
         return String.format(
-                java.util.Locale.ROOT,
+                Locale.ROOT,
                 "asked %d, in time %.4f, served %.4f, refused %.4f, failed %.4f, unanswered %.4f; ms p50 %.1f "
                         + "p99 %.1f; attempts each %.3f; nodes: max over mean %.2f, variation %.3f, idle %d",
-                asked,
-                part(inTime),
-                part(served),
-                part(refused),
-                part(failed),
-                part(unanswered),
-                waited[0],
-                waited[1],
-                attemptsEach,
-                nodeMax,
-                nodeVariation,
-                idle);
+                requests,
+                shareOfRequests(withinDeadline),
+                shareOfRequests(served),
+                shareOfRequests(rejected),
+                shareOfRequests(failed),
+                shareOfRequests(unanswered),
+                medianMs,
+                p99Ms,
+                attemptsPerRequest,
+                busiestServerRatio,
+                serverVariation,
+                idleServers);
     }
 
-    private double part(int n) {
-        return asked == 0 ? 0 : (double) n / asked;
+    private double shareOfRequests(int count) {
+        return requests == 0 ? 0 : (double) count / requests;
     }
 }
--- a/src/main/java/cacheproxy/faulttest/check/SingleResponseChecker.java
+++ b/src/main/java/cacheproxy/faulttest/check/SingleResponseChecker.java
@@ -6,27 +6,17 @@
 import java.util.Set;
 
 /**
- * Each request that a proxy has taken gets one final answer, in time, also from one that was asked to end. Excused are
- * those of a process that was killed with them in hand, and for as long as a process stood still nobody can ask it for
- * an answer. A connection that ended between requests at a planned end may have crossed one, which then must not have
- * been carried on.
+ * Each request that a proxy has accepted gets one final response, in time, also during a graceful shutdown.
+ *
+ * <p>Excused are requests in flight at a process that was killed; and the time for which a process was paused does not
+ * count. A connection that is closed by a graceful shutdown may cross a new request, which then must not have been
+ * forwarded.
  */
 public final class SingleResponseChecker implements Checker {
-    /** What the rules grant beyond a request's time. */
+    /** How much later than its deadline a response may come. */
     private static final long SLACK_US = 550_000;
-    /** A reset and the kill that it comes of are noticed by two threads. */
-    private static final long NOTICED_US = 100_000;
-
-    private static final class Open {
-        final Event asked;
-        boolean answered;
-        boolean gone;
-        boolean arrived;
-
-        Open(Event asked) {
-            this.asked = asked;
-        }
-    }
+    /** Two threads notice a kill and the reset connections that it causes; so far apart may they be. */
+    private static final long MAX_NOTICE_SKEW_US = 100_000;
 
     @Override
     public String name() {
@@ -35,94 +25,143 @@
 
     @Override
     public Violations check(RunHistory run) {
-        Violations f = new Violations();
-        Map<String, Open> open = new HashMap<>();
-        Set<String> over = new HashSet<>();
-        for (Event e : run.events()) {
-            switch (e.what()) {
-                case Event.ASKED -> {
-                    f.looked();
-                    open.put(e.id(), new Open(e));
-                }
-                case Event.ARRIVED, Event.EFFECT -> {
-                    Open o = open.get(e.id());
-                    if (o != null) {
-                        o.arrived = true;
-                    }
+        Judge judge = new Judge(run);
+        run.events().forEach(judge::follow);
+        judge.findUnanswered();
+        return judge.violations;
+    }
+
+    /** A request and what became of it so far. */
+    private static final class Request {
+        final Event sent;
+        boolean concluded;
+        boolean connectionClosed;
+        boolean forwarded;
+
+        Request(Event sent) {
+            this.sent = sent;
+        }
+
+        String proxy() {
+            return sent.endpoint();
+        }
+
+        /** Its deadline, as a span from when it was sent. */
+        long deadlineUs() {
+            return (long) (sent.value() * 1000);
+        }
+
+        long ageMs(Event event) {
+            return (event.timeUs() - sent.timeUs()) / 1000;
+        }
+
+        String text() {
+            return sent.id() + " at " + sent.endpoint();
+        }
+    }
+
+    /** One pass over a history. */
+    private static final class Judge {
+        final Violations violations = new Violations();
+        private final RunHistory run;
+        private final Map<String, Request> requests = new HashMap<>();
+        private final Set<String> answered = new HashSet<>();
+
+        Judge(RunHistory run) {
+            this.run = run;
+        }
+
+        void follow(Event event) {
+            Request request = requests.get(event.id());
+            switch (event.type()) {
+                case Event.REQUEST_SENT -> {
+                    violations.countJudged();
+                    requests.put(event.id(), new Request(event));
                 }
-                case Event.ANSWERED -> answered(run, f, open.get(e.id()), e, over);
-                case Event.GONE -> gone(run, f, open.get(e.id()), e);
-                case Event.LEFT -> {
-                    Open o = open.get(e.id());
-                    if (o != null && !o.answered && !excused(run, o, e)) {
-                        f.broken(
-                                e,
-                                e.id() + " at " + e.who() + " had no answer " + since(o, e) + " ms after it was sent");
-                    }
-                    if (o != null) {
-                        o.answered = true;
+                case Event.COMMAND_ARRIVED, Event.WRITE_APPLIED -> {
+                    if (request != null) {
+                        request.forwarded = true;
                     }
                 }
+                case Event.RESPONSE_RECEIVED -> judgeResponse(request, event);
+                case Event.CONNECTION_CLOSED -> judgeClose(request, event);
+                case Event.CLIENT_TIMED_OUT -> judgeTimeout(request, event);
                 default -> {}
             }
         }
-        for (Open o : open.values()) {
-            // Whether its process was ended counts at its own time: at the run's end all are.
-            long due = o.asked.us() + (long) (o.asked.value() * 1000) + SLACK_US;
-            if (!o.answered
-                    && !o.gone
-                    && run.endUs() > due
-                    && !run.dead(o.asked.who(), o.asked.earliest(), due)
-                    && !stood(run, o, run.endUs())) {
-                f.broken(o.asked, o.asked.id() + " at " + o.asked.who() + " never had an answer");
+
+        private void judgeResponse(Request request, Event response) {
+            String text = response.id() + " at " + response.endpoint();
+            if (response.detail().equals(Event.WRONG)) {
+                violations.add(response, text + " was answered with what nobody made for it");
+            }
+            if (!answered.add(response.id())) {
+                violations.add(response, response.id() + " was answered twice");
+                return;
+            }
+            if (request == null) {
+                violations.add(response, response.id() + " was answered and never asked");
+                return;
+            }
+            request.concluded = true;
+            long lateUs = response.earliestUs() - request.sent.timeUs() - request.deadlineUs() - SLACK_US;
+            if (lateUs > 0 && !isExcused(request, response)) {
+                violations.add(response, text + " had its answer after " + request.ageMs(response) + " ms");
             }
         }
-        return f;
-    }
 
-    private static void answered(RunHistory run, Violations f, Open o, Event e, Set<String> over) {
-        if (e.detail().equals("wrong")) {
-            f.broken(e, e.id() + " at " + e.who() + " was answered with what nobody made for it");
-        }
-        if (!over.add(e.id())) {
-            f.broken(e, e.id() + " was answered twice");
-            return;
-        }
-        if (o == null) {
-            f.broken(e, e.id() + " was answered and never asked");
-            return;
-        }
-        o.answered = true;
-        long late = e.earliest() - o.asked.us() - (long) (o.asked.value() * 1000) - SLACK_US;
-        if (late > 0 && !excused(run, o, e)) {
-            f.broken(e, e.id() + " at " + e.who() + " had its answer after " + since(o, e) + " ms");
+        private void judgeClose(Request request, Event close) {
+            if (request == null || request.concluded) {
+                return;
+            }
+            request.connectionClosed = true;
+            String proxy = close.endpoint();
+            long fromUs = close.earliestUs() - MAX_NOTICE_SKEW_US;
+            if (run.wasKilled(proxy, fromUs, close.timeUs() + MAX_NOTICE_SKEW_US)) {
+                return;
+            }
+            if (!run.wasDown(proxy, fromUs, close.timeUs()) || request.forwarded) {
+                violations.add(close, close.id() + " at " + proxy + " lost its connection, with no whole answer");
+            }
         }
-    }
 
-    private static void gone(RunHistory run, Violations f, Open o, Event e) {
-        if (o == null || o.answered) {
-            return;
-        }
-        o.gone = true;
-        if (run.dead(e.who(), e.earliest() - NOTICED_US, e.us() + NOTICED_US)) {
-            return;
-        }
-        if (!run.ending(e.who(), e.earliest() - NOTICED_US, e.us()) || o.arrived) {
-            f.broken(e, e.id() + " at " + e.who() + " lost its connection, with no whole answer");
+        private void judgeTimeout(Request request, Event timeout) {
+            if (request == null) {
+                return;
+            }
+            if (!request.concluded && !isExcused(request, timeout)) {
+                violations.add(
+                        timeout,
+                        timeout.id() + " at " + timeout.endpoint() + " had no answer " + request.ageMs(timeout)
+                                + " ms after it was sent");
+            }
+            request.concluded = true;
         }
-    }
 
-    private static boolean excused(RunHistory run, Open o, Event e) {
-        return run.dead(o.asked.who(), o.asked.earliest(), e.us()) || stood(run, o, e.earliest());
-    }
+        /** Requests that had neither a response nor a closed connection when the history ended. */
+        void findUnanswered() {
+            for (Request request : requests.values()) {
+                // A kill counts until the request was due: all processes are killed at the run's end.
+                long dueUs = request.sent.timeUs() + request.deadlineUs() + SLACK_US;
+                if (!request.concluded
+                        && !request.connectionClosed
+                        && run.endUs() > dueUs
+                        && !run.wasKilled(request.proxy(), request.sent.earliestUs(), dueUs)
+                        && !isExcusedByPause(request, run.endUs())) {
+                    violations.add(request.sent, request.text() + " never had an answer");
+                }
+            }
+        }
 
-    /** Whether the time that its process had, without that in which it stood still, is within what the rules allow. */
-    private static boolean stood(RunHistory run, Open o, long until) {
-        long stood = run.stoppedUs(o.asked.who(), o.asked.earliest(), until);
-        return stood > 0 && until - o.asked.us() - stood < (long) (o.asked.value() * 1000) + SLACK_US;
-    }
+        private boolean isExcused(Request request, Event event) {
+            return run.wasKilled(request.proxy(), request.sent.earliestUs(), event.timeUs())
+                    || isExcusedByPause(request, event.earliestUs());
+        }
 
-    private static long since(Open o, Event e) {
-        return (e.us() - o.asked.us()) / 1000;
+        /** Whether a request is in time once the time for which its proxy was paused is taken off. */
+        private boolean isExcusedByPause(Request request, long untilUs) {
+            long pausedUs = run.pausedUs(request.proxy(), request.sent.earliestUs(), untilUs);
+            return pausedUs > 0 && untilUs - request.sent.timeUs() - pausedUs < request.deadlineUs() + SLACK_US;
+        }
     }
 }
--- a/src/main/java/cacheproxy/faulttest/check/SlowStartChecker.java
+++ b/src/main/java/cacheproxy/faulttest/check/SlowStartChecker.java
@@ -2,76 +2,101 @@
 
 import java.util.ArrayDeque;
 import java.util.HashMap;
+import java.util.Locale;
 import java.util.Map;
 
 /**
- * What all proxies together send to a node that has come back cold, in any span of the fall time, against what it could
- * do when the span began.
+ * All proxies together respect the slow start of a cache server that has come back cold: in no window do they send it
+ * more than a multiple of its capacity at the window's start.
  */
 public final class SlowStartChecker implements Checker {
-    static final double START = 0.3;
+    /** The share of its capacity that a server has when it starts. */
+    static final double INITIAL_CAPACITY_SHARE = 0.3;
+    /** How long its capacity takes to grow to the whole, in a straight line. */
     static final double WARM_UP_MS = 9000;
-    static final double TIP = 3;
-    static final double FALL_MS = 1500;
+    /** The multiple of its capacity from which on commands are a violation. */
+    static final double MAX_CAPACITY_RATIO = 3;
+    /** Length of the windows over which commands are counted. */
+    static final double WINDOW_MS = 1500;
 
-    private static final class Cold {
-        final double bornMs;
-        final ArrayDeque<Double> arrivals = new ArrayDeque<>();
-        boolean told;
-
-        Cold(double bornMs) {
-            this.bornMs = bornMs;
-        }
-    }
-
-    private double worst;
+    private double worstRatio;
 
     @Override
     public String name() {
         return "cold-sum";
     }
 
-    /** The most of all nodes in the run that was checked last, as a multiple of what the node could do. */
-    public double worst() {
-        return worst;
+    /** The most that any server was sent in the run that was checked last, as a multiple of its capacity. */
+    public double worstRatio() {
+        return worstRatio;
     }
 
     @Override
     public Violations check(RunHistory run) {
-        Violations f = new Violations();
-        worst = 0;
-        Map<String, Cold> cold = new HashMap<>();
-        for (Event e : run.events()) {
-            if (e.what().equals(Event.BORN)) {
-                cold.put(e.who(), new Cold(e.ms()));
-            } else if (e.what().equals(Event.DIED)) {
-                cold.remove(e.who());
-            } else if (e.what().equals(Event.ARRIVED) && cold.containsKey(e.who())) {
-                Cold c = cold.get(e.who());
-                if (e.ms() - c.bornMs > WARM_UP_MS) {
-                    cold.remove(e.who());
-                    continue;
-                }
-                f.looked();
-                c.arrivals.add(e.ms());
-                while (c.arrivals.peek() < e.ms() - FALL_MS) {
-                    c.arrivals.poll();
-                }
-                double from = Math.max(0, c.arrivals.peek() - c.bornMs);
-                double can =
-                        run.scenario().nodePerSecond() * (START + (1 - START) * from / WARM_UP_MS) * FALL_MS / 1000;
-                double times = c.arrivals.size() / can;
-                worst = Math.max(worst, times);
-                if (times > TIP && !c.told) {
-                    c.told = true;
-                    f.broken(
-                            e,
-                            e.who() + " was sent " + c.arrivals.size() + " commands in " + (int) FALL_MS + " ms, "
-                                    + String.format(java.util.Locale.ROOT, "%.2f", times)
-                                    + " times what it can do when so cold");
+        Violations violations = new Violations();
+        worstRatio = 0;
+        Map<String, ColdServer> coldServers = new HashMap<>();
+        for (Event event : run.events()) {
+            String endpoint = event.endpoint();
+            switch (event.type()) {
+                case Event.SERVER_STARTED -> coldServers.put(endpoint, new ColdServer(event.timeMs()));
+                case Event.SERVER_KILLED -> coldServers.remove(endpoint);
+                case Event.COMMAND_ARRIVED -> {
+                    ColdServer server = coldServers.get(endpoint);
+                    if (server != null && server.isWarmAt(event.timeMs())) {
+                        coldServers.remove(endpoint);
+                    } else if (server != null) {
+                        violations.countJudged();
+                        judge(server, event, run.scenario().nodePerSecond(), violations);
+                    }
                 }
+                default -> {}
+            }
+        }
+        return violations;
+    }
+
+    private void judge(ColdServer server, Event arrival, double warmPerSecond, Violations violations) {
+        server.addArrival(arrival.timeMs());
+        double ratio = server.capacityRatio(warmPerSecond);
+        worstRatio = Math.max(worstRatio, ratio);
+        if (ratio > MAX_CAPACITY_RATIO && !server.reported) {
+            server.reported = true;
+            violations.add(
+                    arrival,
+                    arrival.endpoint() + " was sent " + server.arrivalsMs.size() + " commands in " + (int) WINDOW_MS
+                            + " ms, " + String.format(Locale.ROOT, "%.2f", ratio)
+                            + " times what it can do when so cold");
+        }
+    }
+
+    /** A server that is warming up, and the commands that arrived at it within the window. */
+    private static final class ColdServer {
+        final double startedMs;
+        final ArrayDeque<Double> arrivalsMs = new ArrayDeque<>();
+        boolean reported;
+
+        ColdServer(double startedMs) {
+            this.startedMs = startedMs;
+        }
+
+        boolean isWarmAt(double timeMs) {
+            return timeMs - startedMs > WARM_UP_MS;
+        }
+
+        void addArrival(double timeMs) {
+            arrivalsMs.add(timeMs);
+            while (arrivalsMs.peek() < timeMs - WINDOW_MS) {
+                arrivalsMs.poll();
             }
         }
-        return f;
+
+        /** Commands in the window over what the server could do at the window's start. */
+        double capacityRatio(double warmPerSecond) {
+            double ageMs = Math.max(0, arrivalsMs.peek() - startedMs);
+            double capacityShare = INITIAL_CAPACITY_SHARE + (1 - INITIAL_CAPACITY_SHARE) * ageMs / WARM_UP_MS;
+            double capacity = warmPerSecond * capacityShare * WINDOW_MS / 1000;
+            return arrivalsMs.size() / capacity;
+        }
     }
 }
--- a/src/main/java/cacheproxy/faulttest/check/Verdict.java
+++ b/src/main/java/cacheproxy/faulttest/check/Verdict.java
@@ -6,41 +6,46 @@
 import java.util.Map;
 
 /**
- * What came of a run.
+ * The result of a fault test run.
  *
- * @param doubts why it does not count; empty if it does
- * @param findings by the checkers' names
+ * @param invalidReasons why the run does not count; empty if it does
+ * @param violationsByChecker what each checker found, by its name, in the order of the checks
  */
-public record Verdict(List<String> doubts, Map<String, Violations> findings) {
-    /** Checks a run. */
-    public static Verdict of(RunHistory run, List<String> doubts, List<Checker> checkers) {
-        Map<String, Violations> findings = new LinkedHashMap<>();
-        checkers.forEach(c -> findings.put(c.name(), c.check(run)));
-        return new Verdict(List.copyOf(doubts), findings);
+public record Verdict(List<String> invalidReasons, Map<String, Violations> violationsByChecker) {
+    /** Runs all checkers over a history. */
+    public static Verdict of(RunHistory run, List<String> invalidReasons, List<Checker> checkers) {
+        Map<String, Violations> violationsByChecker = new LinkedHashMap<>();
+        checkers.forEach(checker -> violationsByChecker.put(checker.name(), checker.check(run)));
+        return new Verdict(List.copyOf(invalidReasons), violationsByChecker);
     }
 
-    /** Whether the run counts and nothing is broken. */
-    public boolean held() {
-        return doubts.isEmpty() && !broken();
+    /** Whether the run counts and no invariant was violated. */
+    public boolean passed() {
+        return invalidReasons.isEmpty() && !violated();
     }
 
-    /**
-     * Whether something was broken that no slowness of the machine excuses; if the run is in doubt this says nothing.
-     */
-    public boolean broken() {
-        return findings.values().stream().anyMatch(f -> f.count() > 0);
+    /** Whether any invariant was violated. This proves nothing if the run does not count. */
+    public boolean violated() {
+        return violationsByChecker.values().stream().anyMatch(violations -> violations.count() > 0);
     }
 
-    /** A line for each invariant, then the verdict. */
+    /** A line for each invariant, its messages below it, and the verdict last. */
     public List<String> lines() {
         List<String> lines = new ArrayList<>();
-        findings.forEach((name, f) -> {
-            lines.add(String.format(
-                    "%-16s %s, %d judged", name, f.count() == 0 ? "held" : f.count() + " BROKEN", f.judged()));
-            f.words().forEach(w -> lines.add("    " + w));
+        violationsByChecker.forEach((name, violations) -> {
+            String result = violations.count() == 0 ? "held" : violations.count() + " BROKEN";
+            lines.add(String.format("%-16s %s, %d judged", name, result, violations.judged()));
+            violations.messages().forEach(message -> lines.add("    " + message));
         });
-        doubts.forEach(d -> lines.add("in doubt: " + d));
-        lines.add(!doubts.isEmpty() ? "NO VERDICT: the machine was too slow" : broken() ? "BROKEN" : "HELD");
+        invalidReasons.forEach(reason -> lines.add("in doubt: " + reason));
+        lines.add(summary());
         return lines;
     }
+
+    private String summary() {
+        if (!invalidReasons.isEmpty()) {
+            return "NO VERDICT: the machine was too slow";
+        }
+        return violated() ? "BROKEN" : "HELD";
+    }
 }
--- a/src/main/java/cacheproxy/faulttest/check/Violations.java
+++ b/src/main/java/cacheproxy/faulttest/check/Violations.java
@@ -2,39 +2,45 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 
 /**
- * What breaks an invariant: the first in words, all of them counted; and how much was looked at, as none of none says
- * nothing.
+ * What a checker found: the number of violations, messages for the first of them, and how many items were judged, as no
+ * violation among no items proves nothing.
  */
 public final class Violations {
-    public static final int MOST = 20;
+    /** Violations that get a message; later ones are only counted. */
+    public static final int MAX_MESSAGES = 20;
 
-    private final List<String> words = new ArrayList<>();
+    private final List<String> messages = new ArrayList<>();
     private int count;
-    private long looked;
+    private long judged;
 
-    void looked() {
-        looked++;
+    /** Counts one item that the checker judged. */
+    void countJudged() {
+        judged++;
     }
 
-    void broken(Event at, String what) {
+    /** Adds a violation, noticed with this event. */
+    void add(Event event, String message) {
         count++;
-        if (words.size() < MOST) {
-            words.add(String.format(java.util.Locale.ROOT, "%.3f s: %s", at.us() / 1e6, what));
+        if (messages.size() < MAX_MESSAGES) {
+            messages.add(String.format(Locale.ROOT, "%.3f s: %s", event.timeUs() / 1e6, message));
         }
     }
 
+    /** How many violations there are. */
     public int count() {
         return count;
     }
 
     /** How many requests, writes or the like were judged. */
     public long judged() {
-        return looked;
+        return judged;
     }
 
-    public List<String> words() {
-        return words;
+    /** Messages of the first {@link #MAX_MESSAGES} violations. */
+    public List<String> messages() {
+        return messages;
     }
 }
--- a/src/main/java/cacheproxy/faulttest/check/package-info.java
+++ b/src/main/java/cacheproxy/faulttest/check/package-info.java
@@ -1,5 +1,10 @@
 /**
- * Checkers that judge a history of a fault test: at most one response, no effect twice, drains, mutual exclusion,
- * quotas. No I/O, no clocks.
+ * Checkers that judge the history of a fault test run, and figures over it.
+ * {@link cacheproxy.faulttest.check.RunHistory} is a run's events in the order of time; each
+ * {@link cacheproxy.faulttest.check.Checker} reads it for one invariant and returns
+ * {@link cacheproxy.faulttest.check.Violations}, which a {@link cacheproxy.faulttest.check.Verdict} sums up; the
+ * {@code ...Stats} types compute figures that no verdict depends on.
+ *
+ * <p>Nothing here does I/O, reads a clock or keeps state between runs; a history is built and judged on one thread.
  */
 package cacheproxy.faulttest.check;
--- a/src/test/java/cacheproxy/faulttest/FaultTestRuns.java
+++ b/src/test/java/cacheproxy/faulttest/FaultTestRuns.java
@@ -15,11 +15,11 @@
 
     static FaultTestRunner.Outcome held(String scenario, Path folder) throws Exception {
         FaultTestRunner.Outcome o = null;
-        for (int i = 0; i < TRIES && (o == null || !o.verdict().doubts().isEmpty()); i++) {
+        for (int i = 0; i < TRIES && (o == null || !o.verdict().invalidReasons().isEmpty()); i++) {
             o = FaultTestRunner.play(
                     ScenarioReader.parse("test", scenario, null), folder.resolve("run" + i), Checker.all(), line -> {});
         }
-        assertThat(o.verdict().held()).as(String.join("\n", o.lines())).isTrue();
+        assertThat(o.verdict().passed()).as(String.join("\n", o.lines())).isTrue();
         return o;
     }
 
--- a/src/test/java/cacheproxy/faulttest/FleetIT.java
+++ b/src/test/java/cacheproxy/faulttest/FleetIT.java
@@ -1,6 +1,7 @@
 package cacheproxy.faulttest;
 
 import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import cacheproxy.faulttest.check.AtMostOnceChecker;
 import cacheproxy.faulttest.check.Checker;
@@ -113,17 +114,18 @@
     @ValueSource(strings = {"serve", "run"})
     void fourProcessesKeepTheRulesThroughEveryKindOfFault(String program) throws Exception {
         FaultTestRunner.Outcome o = play(everyFault(program));
-        assertThat(o.service().asked()).isGreaterThan(700);
-        assertThat(o.service().served()).isGreaterThan(o.service().asked() / 2);
+        assertThat(o.service().requests()).isGreaterThan(700);
+        assertThat(o.service().served()).isGreaterThan(o.service().requests() / 2);
         RunHistory run = o.run();
         assertThat(run.events().stream()
-                        .filter(e -> e.what().equals(Event.READY))
+                        .filter(e -> e.type().equals(Event.PROCESS_READY))
                         .count())
                 .as("four, and two again")
                 .isEqualTo(6);
-        assertThat(run.stoppedUs("p1", 0, run.endUs())).as("it stood still").isPositive();
+        assertThat(run.pausedUs("p1", 0, run.endUs())).as("it stood still").isPositive();
         assertThat(run.events())
-                .anyMatch(e -> e.what().equals(Event.ENDED) && e.who().equals("p3") && e.value() == 143);
+                .anyMatch(e ->
+                        e.type().equals(Event.PROCESS_EXITED) && e.endpoint().equals("p3") && e.value() == 143);
         plantedFaultsAreFound(run);
     }
 
@@ -131,25 +133,25 @@
     private static void plantedFaultsAreFound(RunHistory run) {
         // p4 neither stands still nor ends, so nothing of it is excused.
         Event served = run.events().stream()
-                .filter(e -> e.what().equals(Event.ANSWERED)
+                .filter(e -> e.type().equals(Event.RESPONSE_RECEIVED)
                         && e.detail().equals("served")
-                        && e.who().equals("p4"))
+                        && e.endpoint().equals("p4"))
                 .findFirst()
                 .orElseThrow();
         Event effect = run.events().stream()
-                .filter(e -> e.what().equals(Event.EFFECT))
+                .filter(e -> e.type().equals(Event.WRITE_APPLIED))
                 .findFirst()
                 .orElseThrow();
         Event drain = run.events().stream()
-                .filter(e -> e.what().equals(Event.DRAINING))
+                .filter(e -> e.type().equals(Event.SERVER_DRAINING))
                 .findFirst()
                 .orElseThrow();
         Event born = run.events().stream()
-                .filter(e -> e.what().equals(Event.BORN))
+                .filter(e -> e.type().equals(Event.SERVER_STARTED))
                 .findFirst()
                 .orElseThrow();
         assertThat(new SingleResponseChecker()
-                        .check(with(run, later(served, served.us() + 1000, served.who())))
+                        .check(with(run, later(served, served.timeUs() + 1000, served.endpoint())))
                         .count())
                 .as("twice")
                 .isEqualTo(1);
@@ -157,32 +159,32 @@
                 .as("never")
                 .isEqualTo(1);
         assertThat(new AtMostOnceChecker()
-                        .check(with(run, later(effect, effect.us() + 1000, effect.who())))
+                        .check(with(run, later(effect, effect.timeUs() + 1000, effect.endpoint())))
                         .count())
                 .isEqualTo(1);
         Event stray = run.events().stream()
-                .filter(e -> e.what().equals(Event.ARRIVED)
-                        && e.us() > drain.us() + 2_200_000
+                .filter(e -> e.type().equals(Event.COMMAND_ARRIVED)
+                        && e.timeUs() > drain.timeUs() + 2_200_000
                         && run.events().stream()
-                                .anyMatch(a -> a.what().equals(Event.ASKED)
+                                .anyMatch(a -> a.type().equals(Event.REQUEST_SENT)
                                         && a.id().equals(e.id())
-                                        && a.who().equals("p4")))
+                                        && a.endpoint().equals("p4")))
                 .findFirst()
                 .orElseThrow();
         assertThat(new DrainChecker()
-                        .check(with(run, later(stray, stray.us(), drain.who())))
+                        .check(with(run, later(stray, stray.timeUs(), drain.endpoint())))
                         .count())
                 .as("p4, to a draining node")
                 .isGreaterThan(0);
         Event[] flood = new Event[400];
         for (int i = 0; i < flood.length; i++) {
-            flood[i] = later(stray, born.us() + 1000 + i, born.who());
+            flood[i] = later(stray, born.timeUs() + 1000 + i, born.endpoint());
         }
         assertThat(new SlowStartChecker().check(with(run, flood)).count()).isEqualTo(1);
     }
 
     private static Event later(Event e, long us, String who) {
-        return new Event(us, 0, who, e.what(), e.id(), e.detail(), e.value());
+        return new Event(us, 0, who, e.type(), e.id(), e.detail(), e.value());
     }
 
     private static RunHistory with(RunHistory run, Event... planted) {
@@ -227,7 +229,7 @@
                 .start();
         try {
             Path history = out.resolve("history.jsonl");
-            while (!Files.exists(history) || !Files.readString(history).contains("\"" + Event.STOPPED + "\"")) {
+            while (!Files.exists(history) || !Files.readString(history).contains("\"" + Event.PROCESS_PAUSED + "\"")) {
                 assertThat(rig.isAlive()).isTrue();
                 rig.waitFor(50, TimeUnit.MILLISECONDS);
             }
@@ -253,8 +255,7 @@
     void aProxyThatCanNotStartIsToldByNameAndNothingIsLeft() throws Exception {
         Scenario s = ScenarioReader.parse(
                 "test", "[fleet]\nprogram = \"run\"\nproxies = 2\nnodes = 1\nextra = \"[nonsense]\"\n", null);
-        org.assertj.core.api.Assertions.assertThatThrownBy(
-                        () -> FaultTestRunner.play(s, folder, Checker.all(), line -> {}))
+        assertThatThrownBy(() -> FaultTestRunner.play(s, folder, Checker.all(), line -> {}))
                 .hasMessageContaining("ended before it was ready, exit code 2")
                 .hasMessageContaining("log");
         assertThat(Files.readString(folder.resolve("p1/log"))).contains("unknown key 'nonsense'");
--- a/src/test/java/cacheproxy/faulttest/KnownStateIT.java
+++ b/src/test/java/cacheproxy/faulttest/KnownStateIT.java
@@ -32,12 +32,12 @@
                         + fault("node-drain", 2200, 12_000, "n2", "") + fault("stop", 3000, 1500, "p2", "")
                         + fault("kill", 13_000, 300, "p3", ""),
                 folder);
-        assertThat(o.verdict().findings().get("drains-kept").judged())
+        assertThat(o.verdict().violationsByChecker().get("drains-kept").judged())
                 .as("sends to draining nodes that were looked at")
                 .isPositive();
         long late = o.run().events().stream()
-                .filter(e -> e.what().equals(Event.ARRIVED) && e.ms() > 11_000 && e.ms() < 14_000)
-                .map(Event::who)
+                .filter(e -> e.type().equals(Event.COMMAND_ARRIVED) && e.timeMs() > 11_000 && e.timeMs() < 14_000)
+                .map(Event::endpoint)
                 .distinct()
                 .count();
         assertThat(late)
--- a/src/test/java/cacheproxy/faulttest/LeaseUsersIT.java
+++ b/src/test/java/cacheproxy/faulttest/LeaseUsersIT.java
@@ -45,10 +45,10 @@
     /** A proxy that is told nothing any more: whatever it does not know of the nodes shows by its own requests. */
     private static long served(FaultTestRunner.Outcome o, String proxy, double fromMs) {
         return o.run().events().stream()
-                .filter(e -> e.what().equals(Event.ANSWERED)
-                        && e.who().equals(proxy)
+                .filter(e -> e.type().equals(Event.RESPONSE_RECEIVED)
+                        && e.endpoint().equals(proxy)
                         && e.detail().equals("served")
-                        && e.ms() > fromMs)
+                        && e.timeMs() > fromMs)
                 .count();
     }
 
@@ -61,8 +61,9 @@
                 fault("node-stall", 2000, 4500, "n1", "")
                         + fault("node-stall", 8000, 3000, "n2", "")
                         + fault("link", 7500, 5000, "p5", "to = \"proxies\"\nlose = 1"));
-        assertThat(o.verdict().findings().get("one-holder").judged()).isGreaterThan(20);
-        assertThat(o.verdict().findings().get("acts-in-order").judged()).isGreaterThan(20);
+        assertThat(o.verdict().violationsByChecker().get("one-holder").judged()).isGreaterThan(20);
+        assertThat(o.verdict().violationsByChecker().get("acts-in-order").judged())
+                .isGreaterThan(20);
         assertThat(o.tests())
                 .as("tests came at all; how many are saved is measured, not tested here")
                 .isPositive();
@@ -89,7 +90,9 @@
             assertThat(served(o, "p" + p, 11_500)).as("p" + p).isPositive();
             assertThat(o.run().events())
                     .as(who + " gets requests again")
-                    .anyMatch(e -> e.what().equals(Event.ARRIVED) && e.who().equals(who) && e.ms() > 12_000);
+                    .anyMatch(e -> e.type().equals(Event.COMMAND_ARRIVED)
+                            && e.endpoint().equals(who)
+                            && e.timeMs() > 12_000);
         }
     }
 
@@ -106,8 +109,8 @@
         }
         FaultTestRunner.Outcome o = play(PROBE, "\"probe.0\"", 15, faults.toString());
         long late = o.run().events().stream()
-                .filter(e -> e.what().equals(Event.ARRIVED) && e.ms() > 13_500)
-                .map(Event::who)
+                .filter(e -> e.type().equals(Event.COMMAND_ARRIVED) && e.timeMs() > 13_500)
+                .map(Event::endpoint)
                 .distinct()
                 .count();
         assertThat(late).as("all nodes get requests again").isEqualTo(4);
@@ -128,7 +131,7 @@
                         + fault("node-drain", 8200, 2000, "n3", "")
                         + fault("link", 10_500, 2000, "p1,p2", "to = \"p3-p5\"\nlose = 1")
                         + fault("node-drain", 10_700, 1500, "n4", ""));
-        assertThat(o.verdict().findings().get("one-holder").judged()).isGreaterThan(20);
+        assertThat(o.verdict().violationsByChecker().get("one-holder").judged()).isGreaterThan(20);
         assertThat(o.watches())
                 .as("calls that wait at discovery once all is calm")
                 .isLessThan(5);
--- a/src/test/java/cacheproxy/faulttest/LeasesIT.java
+++ b/src/test/java/cacheproxy/faulttest/LeasesIT.java
@@ -4,7 +4,7 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import cacheproxy.faulttest.check.Event;
-import cacheproxy.faulttest.check.MutualExclusionChecker;
+import cacheproxy.faulttest.check.LeaseStats;
 import cacheproxy.faulttest.check.RunHistory;
 import java.nio.file.Path;
 import java.util.List;
@@ -38,7 +38,7 @@
         String s = "[fleet]\nprogram = \"run\"\nproxies = " + proxies + "\nnodes = 3\n" + DUTY + "[load]\nseconds = "
                 + seconds + "\nper_second = 40\n" + faults;
         FaultTestRunner.Outcome o = FaultTestRuns.held(s, folder);
-        assertThat(o.verdict().findings().get("one-holder").judged()).isGreaterThan(20);
+        assertThat(o.verdict().violationsByChecker().get("one-holder").judged()).isGreaterThan(20);
         return o;
     }
 
@@ -47,21 +47,21 @@
      */
     private static boolean heldAfter(RunHistory run, double ms) {
         return run.events().stream()
-                .anyMatch(e -> e.what().equals(Event.DUTY) && e.detail().equals("yes") && e.ms() > ms);
+                .anyMatch(e -> e.type().equals(Event.LEASE_POLLED) && e.detail().equals("yes") && e.timeMs() > ms);
     }
 
     private static double lastHealed(RunHistory run) {
         return run.events().stream()
-                .filter(e -> e.what().equals(Event.HEALED))
-                .mapToDouble(Event::ms)
+                .filter(e -> e.type().equals(Event.FAULT_ENDED))
+                .mapToDouble(Event::timeMs)
                 .max()
                 .orElseThrow();
     }
 
     private static List<String> said(RunHistory run, String part) {
         return run.events().stream()
-                .filter(e -> e.what().equals(Event.SAID) && e.detail().contains(part))
-                .map(e -> e.who() + " " + e.detail())
+                .filter(e -> e.type().equals(Event.LOG_LINE) && e.detail().contains(part))
+                .map(e -> e.endpoint() + " " + e.detail())
                 .toList();
     }
 
@@ -78,7 +78,7 @@
         assertThat(said(o.run(), "why=this process ends"))
                 .as("the holder was among them")
                 .isNotEmpty();
-        assertThat(MutualExclusionChecker.moves(o.run(), "cron")).isGreaterThan(1);
+        assertThat(LeaseStats.countTenures(o.run(), "cron")).isGreaterThan(1);
         assertThat(heldAfter(o.run(), lastHealed(o.run()))).isTrue();
     }
 
@@ -100,7 +100,7 @@
                                 "to = \"proxies\"\nlose = 0.3\ntwice = 0.5\njitter_ms = 150\ndelay_ms = 50\ncorrupt = 0.1"));
         assertThat(heldAfter(o.run(), lastHealed(o.run()))).isTrue();
         assertThat(o.run().events())
-                .anyMatch(e -> e.what().equals(Event.SAID) && e.detail().contains("duty cron gained epoch="));
+                .anyMatch(e -> e.type().equals(Event.LOG_LINE) && e.detail().contains("duty cron gained epoch="));
     }
 
     @Test
@@ -123,14 +123,14 @@
                                 "to = \"proxies\"\ntwice = 1\ndelay_ms = 1800\njitter_ms = 400")
                         + fault("slow", 9000, 3000, "p4", "share = 0.1")
                         + flaps);
-        assertThat(MutualExclusionChecker.moves(o.run(), "cron")).isGreaterThan(1);
+        assertThat(LeaseStats.countTenures(o.run(), "cron")).isGreaterThan(1);
         assertThat(heldAfter(o.run(), 13_000)).as("after the last fault").isTrue();
     }
 
     @Test
     void allVotersKilledWithinASecondAgreeAgainUnderALaterEpoch() throws Exception {
         FaultTestRunner.Outcome o = play(3, 9, fault("kill", 2500, 100, "p1,p2,p3", "stagger_ms = 150"));
-        assertThat(MutualExclusionChecker.moves(o.run(), "cron")).isGreaterThan(1);
+        assertThat(LeaseStats.countTenures(o.run(), "cron")).isGreaterThan(1);
     }
 
     /**
@@ -162,7 +162,7 @@
                 + fault("link", 5000, 8000, "p3", "holder_of = \"cron\"\nto = \"nodes\"\nlose = 1")
                 + fault("link", 9500, 1500, "p4,p5", "to = \"discovery\"\nlose = 1");
         FaultTestRunner.Outcome o = FaultTestRuns.held(s, folder);
-        assertThat(o.verdict().findings().get("one-holder").judged()).isGreaterThan(20);
+        assertThat(o.verdict().violationsByChecker().get("one-holder").judged()).isGreaterThan(20);
         assertThat(heldAfter(o.run(), lastHealed(o.run()))).isTrue();
         assertThat(said(o.run(), "fleet: p1 goes by another list of peers")).isNotEmpty();
         assertThat(said(o.run(), "why=it reaches no server, and others do"))
--- a/src/test/java/cacheproxy/faulttest/QuotasIT.java
+++ b/src/test/java/cacheproxy/faulttest/QuotasIT.java
@@ -26,7 +26,7 @@
                 + "[[fleet.limit]]\nname = \"reads\"\nclass = \"read\"\n" + limit + "'''\n[load]\n" + load + "[limit]\n"
                 + judged + faults;
         FaultTestRunner.Outcome o = FaultTestRuns.held(s, folder);
-        assertThat(o.verdict().findings().get("limit-kept").judged())
+        assertThat(o.verdict().violationsByChecker().get("limit-kept").judged())
                 .as(String.join("\n", o.lines()))
                 .isGreaterThan(100);
         return o;
@@ -56,8 +56,8 @@
                         + fault("term", 13_000, 300, "p2", ""));
         assertThat(o.run().events())
                 .as("who is cut off and has load says that it is alone")
-                .anyMatch(e -> e.what().equals(Event.SAID) && e.detail().contains("limit reads alone"));
-        assertThat(o.service().refused()).isPositive();
+                .anyMatch(e -> e.type().equals(Event.LOG_LINE) && e.detail().contains("limit reads alone"));
+        assertThat(o.service().rejected()).isPositive();
     }
 
     /**
@@ -73,7 +73,7 @@
                 fault("stop", 3000, 2500, "p1", "holder_of = \"limits.0\"")
                         + fault("kill", 6500, 300, "p1", "holder_of = \"limits.0\"")
                         + fault("link", 9000, 1500, "p4", "to = \"proxies\"\nlose = 1"));
-        assertThat(o.service().refused()).isPositive();
+        assertThat(o.service().rejected()).isPositive();
     }
 
     @Test
--- a/src/test/java/cacheproxy/faulttest/RelayTest.java
+++ b/src/test/java/cacheproxy/faulttest/RelayTest.java
@@ -2,6 +2,7 @@
 
 import static java.nio.charset.StandardCharsets.UTF_8;
 import static org.assertj.core.api.Assertions.assertThat;
+import static org.assertj.core.api.Assertions.assertThatThrownBy;
 
 import cacheproxy.fakes.ScriptedServer;
 import cacheproxy.faulttest.scenario.Fault;
@@ -156,9 +157,7 @@
                 });
                 s.getOutputStream().write("2\n".getBytes(UTF_8));
                 s.setSoTimeout(100);
-                org.assertj.core.api.Assertions.assertThatThrownBy(
-                                () -> s.getInputStream().read())
-                        .isInstanceOf(SocketTimeoutException.class);
+                assertThatThrownBy(() -> s.getInputStream().read()).isInstanceOf(SocketTimeoutException.class);
                 s.setSoTimeout(PATIENCE_MS);
                 on(() -> {
                     links.end(cut);
@@ -169,7 +168,7 @@
                     links.begin(fault(List.of("p1"), List.of("n1"), true, new LinkFigures(0, 0, 0, 0, 0, true)));
                     relay.changed();
                 });
-                org.assertj.core.api.Assertions.assertThatThrownBy(() -> {
+                assertThatThrownBy(() -> {
                             if (s.getInputStream().read() < 0) {
                                 throw new IOException("ended");
                             }
