--- a/src/main/java/cacheproxy/cli/CheckCommand.java
+++ b/src/main/java/cacheproxy/cli/CheckCommand.java
@@ -4,13 +4,16 @@
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.FleetConfig;
 import cacheproxy.daemon.hooks.Hooks;
+import java.io.PrintWriter;
 import java.nio.file.Path;
+import java.util.Optional;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
+/** {@code check}: validates a configuration file and its hook modules without starting the daemon. */
 @Command(
         name = "check",
         mixinStandardHelpOptions = true,
@@ -25,24 +28,35 @@
 
     @Override
     public Integer call() {
-        DaemonConfig f = Files.read(file, spec.commandLine().getErr());
-        if (f == null) {
-            return Cli.UNUSABLE;
+        PrintWriter err = spec.commandLine().getErr();
+        Optional<DaemonConfig> config = ConfigFiles.read(file, err);
+        if (config.isEmpty() || !hooksLoad(config.get(), err)) {
+            return ExitCode.UNUSABLE;
         }
+        printWarnings(config.get(), err);
+        printSummary(config.get(), spec.commandLine().getOut());
+        return ExitCode.OK;
+    }
+
+    private static boolean hooksLoad(DaemonConfig config, PrintWriter err) {
         try {
-            Hooks.check(f);
+            Hooks.check(config);
+            return true;
         } catch (ConfigException e) {
-            e.errors().forEach(spec.commandLine().getErr()::println);
-            return Cli.UNUSABLE;
+            e.errors().forEach(err::println);
+            return false;
         }
-        FleetConfig fleet = f.section(FleetConfig.class);
+    }
+
+    private void printWarnings(DaemonConfig config, PrintWriter err) {
+        FleetConfig fleet = config.section(FleetConfig.class);
         if (fleet != null) {
-            fleet.warnings().forEach(w -> spec.commandLine().getErr().println(file + ": warning: " + w));
+            fleet.warnings().forEach(warning -> err.println(file + ": warning: " + warning));
         }
-        spec.commandLine()
-                .getOut()
-                .println(file + ": good; " + f.listeners().size() + " listeners, "
-                        + f.pools().size() + " pools, " + f.routes().routes().size() + " routes");
-        return 0;
+    }
+
+    private void printSummary(DaemonConfig config, PrintWriter out) {
+        out.println(file + ": good; " + config.listeners().size() + " listeners, "
+                + config.pools().size() + " pools, " + config.routes().routes().size() + " routes");
     }
 }
--- a/src/main/java/cacheproxy/cli/Cli.java
+++ b/src/main/java/cacheproxy/cli/Cli.java
@@ -4,7 +4,7 @@
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
-/** The daemon's command line. Exit codes: 0 done, 1 it ran and found what it looks for, 2 it could not run. */
+/** The daemon's command line: the root of all commands. Their exit codes are those of {@link ExitCode}. */
 @Command(
         name = "coralbay",
         mixinStandardHelpOptions = true,
@@ -26,25 +26,31 @@
         },
         footer = {"", "The platform's own commands, which take no options: serve, drill, train."})
 public final class Cli implements Runnable {
-    /** Wrong input: a file, a flag, an address. */
-    static final int UNUSABLE = 2;
+    private static final String NETTY_ALLOCATOR_PROPERTY = "io.netty.allocator.type";
 
     @CommandLine.Spec
     private CommandLine.Model.CommandSpec spec;
 
-    /** Runs a command line; its exit code. */
+    /**
+     * Runs a command line and prints to standard output and standard error.
+     *
+     * @return the {@link ExitCode exit code}
+     */
     public static int run(String[] args) {
-        if (System.getProperty("io.netty.allocator.type") == null) {
+        if (System.getProperty(NETTY_ALLOCATOR_PROPERTY) == null) {
             // Netty's default for many threads costs more than it saves on one event loop.
-            System.setProperty("io.netty.allocator.type", "pooled");
+            System.setProperty(NETTY_ALLOCATOR_PROPERTY, "pooled");
         }
-        CommandLine line = new CommandLine(new Cli());
-        line.setExecutionExceptionHandler((e, c, r) -> {
-            String message = e.getMessage() == null ? e.getClass().getSimpleName() : e.getMessage();
-            c.getErr().println(message.lines().findFirst().orElse(""));
-            return UNUSABLE;
-        });
-        return line.execute(args);
+        CommandLine commandLine = new CommandLine(new Cli());
+        commandLine.setExecutionExceptionHandler(Cli::printException);
+        return commandLine.execute(args);
+    }
+
+    /** Prints the first line of an exception that a command did not handle itself. */
+    private static int printException(Exception exception, CommandLine command, CommandLine.ParseResult parsed) {
+        String message = exception.getMessage() == null ? exception.getClass().getSimpleName() : exception.getMessage();
+        command.getErr().println(message.lines().findFirst().orElse(""));
+        return ExitCode.UNUSABLE;
     }
 
     @Override
--- /dev/null
+++ b/src/main/java/cacheproxy/cli/ControlClient.java
@@ -0,0 +1,67 @@
+package cacheproxy.cli;
+
+import cacheproxy.config.Addresses;
+import java.io.IOException;
+import java.net.InetSocketAddress;
+import java.net.Socket;
+import java.nio.charset.StandardCharsets;
+
+/** A blocking HTTP client of a running proxy's control address, one connection a call. */
+final class ControlClient {
+    private static final int TIMEOUT_MS = 3000;
+    private static final int STATUS_OK = 200;
+    private static final int STATUS_DIGITS = 3;
+    private static final String STATUS_LINE_START = "HTTP/1.1 ";
+    private static final String HEADERS_END = "\r\n\r\n";
+
+    private final String control;
+
+    /** Creates a client of the control address {@code control}, as {@code host:port}. */
+    ControlClient(String control) {
+        this.control = control;
+    }
+
+    private record Response(int status, String text) {}
+
+    /**
+     * Calls the proxy and waits up to 3 s for each part of the response.
+     *
+     * @param path the path with its query, as it is sent
+     * @return the response's body, stripped
+     * @throws ControlCallException if no valid response came, or one with a status other than 200
+     */
+    String call(String method, String path) throws ControlCallException {
+        Response response;
+        try {
+            response = parse(exchange(method, path));
+        } catch (IOException | IllegalArgumentException e) {
+            throw ControlCallException.unreachable(control, e);
+        }
+        if (response.status != STATUS_OK) {
+            throw ControlCallException.rejected(control, response.text);
+        }
+        return response.text;
+    }
+
+    private String exchange(String method, String path) throws IOException {
+        InetSocketAddress address = Addresses.parse(control);
+        String request = method + " " + path + " HTTP/1.1\r\nHost: " + control + "\r\nContent-Length: 0\r\n\r\n";
+        try (Socket socket = new Socket()) {
+            socket.connect(address, TIMEOUT_MS);
+            socket.setSoTimeout(TIMEOUT_MS);
+            socket.getOutputStream().write(request.getBytes(StandardCharsets.US_ASCII));
+            return new String(socket.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
+        }
+    }
+
+    private static Response parse(String received) throws IOException {
+        int headersEnd = received.indexOf(HEADERS_END);
+        if (!received.startsWith(STATUS_LINE_START) || headersEnd < 0) {
+            throw new IOException("no answer in HTTP");
+        }
+        int statusAt = STATUS_LINE_START.length();
+        int status = Integer.parseInt(received.substring(statusAt, statusAt + STATUS_DIGITS));
+        return new Response(
+                status, received.substring(headersEnd + HEADERS_END.length()).strip());
+    }
+}
--- a/src/main/java/cacheproxy/cli/DemoCommand.java
+++ b/src/main/java/cacheproxy/cli/DemoCommand.java
@@ -8,15 +8,14 @@
 import java.io.PrintWriter;
 import java.net.InetSocketAddress;
 import java.util.List;
-import java.util.SplittableRandom;
 import java.util.concurrent.Callable;
-import java.util.concurrent.CompletableFuture;
 import java.util.concurrent.CountDownLatch;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
+/** {@code demo}: the daemon in front of fake servers in one process, optionally under load and faults. */
 @Command(
         name = "demo",
         mixinStandardHelpOptions = true,
@@ -24,7 +23,10 @@
                 + "them. Without --requests it goes on until Ctrl-C.")
 final class DemoCommand implements Callable<Integer> {
     private static final int CONNECTIONS = 16;
-    private static final int DEPTH = 2;
+    private static final int REQUESTS_PER_CONNECTION = 2;
+    private static final int MAX_REQUESTS = 10_000_000;
+    private static final double NODE_SERVICE_MS = 0.05;
+    private static final double ORIGIN_SERVICE_MS = 5;
 
     @Spec
     private CommandSpec spec;
@@ -41,72 +43,46 @@
 
     @Override
     public Integer call() throws Exception {
-        PrintWriter out = spec.commandLine().getOut();
-        if (requests < 0 || requests > 10_000_000) {
-            spec.commandLine().getErr().println("--requests takes 1 to 10000000");
-            return Cli.UNUSABLE;
+        if (requests < 0 || requests > MAX_REQUESTS) {
+            spec.commandLine().getErr().println("--requests takes 1 to " + MAX_REQUESTS);
+            return ExitCode.UNUSABLE;
         }
         try (FakeFleet fleet = new FakeFleet(Demo.NODES)) {
-            fleet.nodes.forEach(n -> n.work(0.05));
-            fleet.origin.work(5);
+            fleet.nodes.forEach(server -> server.work(NODE_SERVICE_MS));
+            fleet.origin.work(ORIGIN_SERVICE_MS);
             Demo.warm(fleet);
             try (Daemon daemon = Daemon.start(DaemonConfigReader.parse("demo", Demo.file(fleet)), seed)) {
                 InetSocketAddress address = daemon.address("main");
-                out.println("coralbay on 127.0.0.1:" + address.getPort() + " before " + Demo.NODES
-                        + " stand-in cache nodes, an origin and discovery");
-                out.println("try:  printf 'mg page/1 v\\r\\n' | nc -q 1 127.0.0.1 " + address.getPort());
-                out.flush();
+                printIntroduction(address);
                 if (requests == 0) {
                     new CountDownLatch(1).await();
                 }
-                return load(fleet, address, out);
+                return runLoad(fleet, address);
             }
         }
     }
 
-    private int load(FakeFleet fleet, InetSocketAddress address, PrintWriter out) throws Exception {
-        List<LoadClient.Ask> asks = Demo.asks(requests, seed);
-        SplittableRandom random = new SplittableRandom(seed);
-        int step = Math.max(1, requests / 10);
-        int[] told = new int[1];
-        CompletableFuture<LoadClient.Account> done = new LoadClient(fleet.loop(), address, requests, asks::get)
-                .onProgress(n -> {
-                    if (n < (told[0] + 1) * step || told[0] == 10) {
-                        return;
-                    }
-                    told[0]++;
-                    out.println(told[0] * 10 + "%: " + trouble(fleet, random, told[0]));
-                    out.flush();
-                })
-                .start(CONNECTIONS, DEPTH);
-        LoadClient.Account a = done.get();
-        a.faults.forEach(out::println);
-        out.println("sent " + a.sent + " served " + a.served + " refused " + a.refused + " failed "
-                + (a.failed + a.missing) + " lost " + a.lost + " repeated " + fleet.ledger.repeated());
+    private void printIntroduction(InetSocketAddress address) {
+        PrintWriter out = spec.commandLine().getOut();
+        out.println("coralbay on 127.0.0.1:" + address.getPort() + " before " + Demo.NODES
+                + " stand-in cache nodes, an origin and discovery");
+        out.println("try:  printf 'mg page/1 v\\r\\n' | nc -q 1 127.0.0.1 " + address.getPort());
         out.flush();
-        return a.lost == 0 && fleet.ledger.repeated() == 0 ? 0 : 1;
     }
 
-    /** What befalls the fleet now, in words. Called on its loop, so it only orders it. */
-    private static String trouble(FakeFleet fleet, SplittableRandom random, int tenth) {
-        int node = random.nextInt(Demo.NODES);
-        int other = (node + 1 + random.nextInt(Demo.NODES - 1)) % Demo.NODES;
-        if (tenth == 5) {
-            new Thread(() -> {
-                        try {
-                            fleet.restart(node);
-                        } catch (InterruptedException e) {
-                            Thread.currentThread().interrupt();
-                        }
-                    })
-                    .start();
-            return "node " + node + " restarts cold";
-        }
-        if (tenth < 10) {
-            fleet.nodes.get(node).stall(Demo.STALL_MS);
-            fleet.nodes.get(other).stall(Demo.STALL_MS);
-            return "nodes " + node + " and " + other + " stall for " + (int) Demo.STALL_MS + " ms";
-        }
-        return "done";
+    private int runLoad(FakeFleet fleet, InetSocketAddress address) throws Exception {
+        PrintWriter out = spec.commandLine().getOut();
+        List<LoadClient.Ask> plan = Demo.asks(requests, seed);
+        DemoFaultSchedule faults = new DemoFaultSchedule(fleet, requests, seed, out);
+        LoadClient.Account account = new LoadClient(fleet.loop(), address, requests, plan::get)
+                .onProgress(faults::onProgress)
+                .start(CONNECTIONS, REQUESTS_PER_CONNECTION)
+                .get();
+        account.faults.forEach(out::println);
+        out.println("sent " + account.sent + " served " + account.served + " refused " + account.refused + " failed "
+                + (account.failed + account.missing) + " lost " + account.lost + " repeated "
+                + fleet.ledger.repeated());
+        out.flush();
+        return account.lost == 0 && fleet.ledger.repeated() == 0 ? ExitCode.OK : ExitCode.FAILED;
     }
 }
--- a/src/main/java/cacheproxy/cli/ExplainCommand.java
+++ b/src/main/java/cacheproxy/cli/ExplainCommand.java
@@ -7,6 +7,7 @@
 import java.io.PrintWriter;
 import java.nio.file.Path;
 import java.util.List;
+import java.util.Optional;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -14,6 +15,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
+/** {@code explain}: prints the route, pool and server of keys by the configuration file alone. */
 @Command(
         name = "explain",
         mixinStandardHelpOptions = true,
@@ -51,36 +53,65 @@
 
     @Override
     public Integer call() {
-        PrintWriter out = spec.commandLine().getOut();
         PrintWriter err = spec.commandLine().getErr();
-        DaemonConfig f = Files.read(file, err);
-        if (f == null) {
-            return Cli.UNUSABLE;
+        Optional<DaemonConfig> read = ConfigFiles.read(file, err);
+        if (read.isEmpty()) {
+            return ExitCode.UNUSABLE;
         }
-        ListenerConfig at = f.listeners().stream()
-                .filter(l -> listener == null || l.name().equals(listener))
-                .findFirst()
-                .orElse(null);
-        if (at == null) {
+        DaemonConfig config = read.get();
+        Optional<ListenerConfig> found = findListener(config);
+        if (found.isEmpty()) {
             err.println("there is no listener '" + listener + "' in " + file);
-            return Cli.UNUSABLE;
+            return ExitCode.UNUSABLE;
+        }
+        ListenerConfig source = found.get();
+        String className = className(source);
+        int classIndex = className == null ? 0 : config.classIndex(className);
+        if (classIndex < 0) {
+            err.println("there is no class '" + className + "' in " + file);
+            return ExitCode.UNUSABLE;
         }
-        String kind = serviceClass != null ? serviceClass : write ? at.writeClass() : at.readClass();
-        int k = kind == null ? 0 : f.classIndex(kind);
-        int t = tenant == null && at.tenant() == null ? 0 : f.tenantIndex(tenant != null ? tenant : at.tenant());
-        if (k < 0 || t < 0) {
-            err.println("there is no " + (k < 0 ? "class '" + kind : "tenant '" + tenant) + "' in " + file);
-            return Cli.UNUSABLE;
+        int tenantIndex = tenantIndex(config, source);
+        if (tenantIndex < 0) {
+            err.println("there is no tenant '" + tenant + "' in " + file);
+            return ExitCode.UNUSABLE;
         }
-        RouteExplainer explain = new RouteExplainer(f);
+        RouteExplainer explainer = new RouteExplainer(config);
         for (String key : keys) {
-            RouteInput s = f.keys().parse(at.name(), key, k, t, write);
-            if (s == null) {
-                out.println(key + " route=- answer=rejected (the key is no path)");
-                continue;
-            }
-            explain.lines(s, why).forEach(out::println);
+            RouteInput input = config.keys().parse(source.name(), key, classIndex, tenantIndex, write);
+            print(key, input, explainer);
+        }
+        return ExitCode.OK;
+    }
+
+    private Optional<ListenerConfig> findListener(DaemonConfig config) {
+        return config.listeners().stream()
+                .filter(candidate -> listener == null || candidate.name().equals(listener))
+                .findFirst();
+    }
+
+    /** The name of the request's class, or null where neither the options nor the listener name one. */
+    private String className(ListenerConfig source) {
+        if (serviceClass != null) {
+            return serviceClass;
+        }
+        return write ? source.writeClass() : source.readClass();
+    }
+
+    private int tenantIndex(DaemonConfig config, ListenerConfig source) {
+        if (tenant == null && source.tenant() == null) {
+            return 0;
+        }
+        return config.tenantIndex(tenant != null ? tenant : source.tenant());
+    }
+
+    /** Prints the explanation of one key; {@code input} is null if the key does not have the form that routes need. */
+    private void print(String key, RouteInput input, RouteExplainer explainer) {
+        PrintWriter out = spec.commandLine().getOut();
+        if (input == null) {
+            out.println(key + " route=- answer=rejected (the key is no path)");
+        } else {
+            explainer.lines(input, why).forEach(out::println);
         }
-        return 0;
     }
 }
--- a/src/main/java/cacheproxy/cli/FleetCommand.java
+++ b/src/main/java/cacheproxy/cli/FleetCommand.java
@@ -5,22 +5,25 @@
 import cacheproxy.faulttest.ScenarioReader;
 import cacheproxy.faulttest.check.Checker;
 import cacheproxy.faulttest.check.Verdict;
-import cacheproxy.faulttest.scenario.Fault;
 import cacheproxy.faulttest.scenario.Scenario;
-import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
 import java.nio.file.Path;
-import java.util.List;
 import java.util.concurrent.Callable;
+import java.util.function.Consumer;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
+import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Exit codes of all: 0 held, 1 broken, 2 could not run, 3 the machine was too slow for a verdict. */
+/**
+ * {@code fleet}: fault tests of many processes. Its subcommands return {@link ExitCode#OK} if all invariants held,
+ * {@link ExitCode#FAILED} if one was violated, {@link ExitCode#UNUSABLE} if the test could not run and
+ * {@link ExitCode#NO_VERDICT} if the machine was too slow to tell.
+ */
 @Command(
         name = "fleet",
         mixinStandardHelpOptions = true,
@@ -29,29 +32,26 @@
         subcommands = {
             FleetCommand.Play.class,
             FleetCommand.Check.class,
-            FleetCommand.Shrink.class,
+            FleetShrinkCommand.class,
             FleetCommand.Plan.class
         })
 final class FleetCommand implements Runnable {
-    private static final int NO_VERDICT = 3;
-
     @Spec
     private CommandSpec spec;
 
     @Override
     public void run() {
-        throw new picocli.CommandLine.ParameterException(spec.commandLine(), "name one of play, check, shrink, plan");
-    }
-
-    private static int code(Verdict v) {
-        return v.held() ? 0 : v.doubts().isEmpty() ? 1 : NO_VERDICT;
+        throw new ParameterException(spec.commandLine(), "name one of play, check, shrink, plan");
     }
 
-    private interface Task {
+    /** The body of a subcommand. */
+    interface Task {
+        /** Runs the subcommand and returns its exit code; exceptions other than interrupts are printed. */
         int run() throws Exception;
     }
 
-    private static int told(PrintWriter err, Task task) throws InterruptedException {
+    /** Runs a subcommand's body and prints what it throws; {@link ExitCode#UNUSABLE} then. */
+    static int runPrintingErrors(PrintWriter err, Task task) throws InterruptedException {
         try {
             return task.run();
         } catch (ConfigException e) {
@@ -62,54 +62,72 @@
             err.println(e.getMessage());
         }
         err.flush();
-        return Cli.UNUSABLE;
+        return ExitCode.UNUSABLE;
+    }
+
+    /** A consumer of progress lines that are shown at once. */
+    static Consumer<String> printingLines(PrintWriter writer) {
+        return line -> {
+            writer.println(line);
+            writer.flush();
+        };
+    }
+
+    private static int exitCode(Verdict verdict) {
+        if (verdict.held()) {
+            return ExitCode.OK;
+        }
+        return verdict.doubts().isEmpty() ? ExitCode.FAILED : ExitCode.NO_VERDICT;
     }
 
-    /** Which scenario, by which seed. */
-    static final class Choice {
+    /** The scenario file of a subcommand, and the seed that replaces the file's own. */
+    static final class ScenarioOptions {
         @Parameters(paramLabel = "SCENARIO", description = "The scenario's file.")
         private Path file;
 
         @Option(names = "--seed", paramLabel = "N", description = "Instead of the file's.")
         private Long seed;
 
+        /** Reads the scenario. */
         Scenario read() throws ConfigException {
             return ScenarioReader.read(file, seed);
         }
     }
 
+    /** {@code fleet play}: runs a scenario and checks its history. */
     @Command(name = "play", mixinStandardHelpOptions = true, description = "Plays a scenario and gives a verdict.")
     static final class Play implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
 
         @Mixin
-        private Choice choice;
+        private ScenarioOptions scenarioOptions;
 
         @Option(
                 names = "--out",
                 paramLabel = "DIR",
                 description = "For the history, the faults as played, logs; a new folder of the " + "system's else.")
-        private Path out;
+        private Path outputDirectory;
 
         @Override
         public Integer call() throws Exception {
-            PrintWriter print = spec.commandLine().getOut();
-            return told(spec.commandLine().getErr(), () -> {
-                Scenario s = choice.read();
-                Path folder = out == null ? Files.createTempDirectory("fleet") : out;
-                FaultTestRunner.Outcome o = FaultTestRunner.play(s, folder, Checker.all(), line -> {
-                    print.println(line);
-                    print.flush();
-                });
-                o.lines().forEach(print::println);
-                print.println("history: " + folder.resolve("history.jsonl"));
-                print.flush();
-                return code(o.verdict());
-            });
+            return runPrintingErrors(spec.commandLine().getErr(), this::play);
+        }
+
+        private int play() throws Exception {
+            PrintWriter out = spec.commandLine().getOut();
+            Scenario scenario = scenarioOptions.read();
+            Path directory = outputDirectory == null ? Files.createTempDirectory("fleet") : outputDirectory;
+            FaultTestRunner.Outcome outcome =
+                    FaultTestRunner.play(scenario, directory, Checker.all(), printingLines(out));
+            outcome.lines().forEach(out::println);
+            out.println("history: " + directory.resolve("history.jsonl"));
+            out.flush();
+            return exitCode(outcome.verdict());
         }
     }
 
+    /** {@code fleet check}: checks the history of an earlier run. */
     @Command(name = "check", mixinStandardHelpOptions = true, description = "Checks a history that was written before.")
     static final class Check implements Callable<Integer> {
         @Spec
@@ -120,15 +138,19 @@
 
         @Override
         public Integer call() throws Exception {
-            return told(spec.commandLine().getErr(), () -> {
-                Verdict v = FaultTestRunner.check(file, Checker.all());
-                v.lines().forEach(spec.commandLine().getOut()::println);
-                spec.commandLine().getOut().flush();
-                return code(v);
-            });
+            return runPrintingErrors(spec.commandLine().getErr(), this::check);
+        }
+
+        private int check() throws Exception {
+            PrintWriter out = spec.commandLine().getOut();
+            Verdict verdict = FaultTestRunner.check(file, Checker.all());
+            verdict.lines().forEach(out::println);
+            out.flush();
+            return exitCode(verdict);
         }
     }
 
+    /** {@code fleet plan}: prints a scenario after its random choices have been made. */
     @Command(
             name = "plan",
             mixinStandardHelpOptions = true,
@@ -138,79 +160,15 @@
         private CommandSpec spec;
 
         @Mixin
-        private Choice choice;
-
-        @Override
-        public Integer call() throws Exception {
-            return told(spec.commandLine().getErr(), () -> {
-                spec.commandLine().getOut().print(choice.read().toToml());
-                spec.commandLine().getOut().flush();
-                return 0;
-            });
-        }
-    }
-
-    @Command(
-            name = "shrink",
-            mixinStandardHelpOptions = true,
-            description = "Finds fewer, shorter faults that still break an invariant, and prints them as a scenario.")
-    static final class Shrink implements Callable<Integer> {
-        @Spec
-        private CommandSpec spec;
-
-        @Mixin
-        private Choice choice;
-
-        @Option(names = "--invariant", paramLabel = "NAME", description = "Only this one counts; else all do.")
-        private String invariant;
-
-        @Option(
-                names = "--tries",
-                paramLabel = "N",
-                defaultValue = "2",
-                description = "Of each list of faults (default: ${DEFAULT-VALUE}).")
-        private int tries;
-
-        @Option(
-                names = "--runs",
-                paramLabel = "N",
-                defaultValue = "60",
-                description = "In all (default: ${DEFAULT-VALUE}).")
-        private int runs;
+        private ScenarioOptions scenarioOptions;
 
         @Override
         public Integer call() throws Exception {
-            PrintWriter print = spec.commandLine().getOut();
-            PrintWriter err = spec.commandLine().getErr();
-            return told(err, () -> {
-                Scenario s = choice.read();
-                List<Checker> checkers = Checker.all().stream()
-                        .filter(c -> invariant == null || c.name().equals(invariant))
-                        .toList();
-                if (checkers.isEmpty() || tries < 1 || runs < 1) {
-                    throw new IOException(
-                            checkers.isEmpty()
-                                    ? "there is no invariant '" + invariant + "'; there are: "
-                                            + String.join(
-                                                    ", ",
-                                                    Checker.all().stream()
-                                                            .map(Checker::name)
-                                                            .toList())
-                                    : "--tries and --runs are from 1 on");
-                }
-                List<Fault> found =
-                        FaultTestRunner.shrink(s, Files.createTempDirectory("shrink"), checkers, tries, runs, line -> {
-                            err.println(line);
-                            err.flush();
-                        });
-                if (found == null) {
-                    print.println("held in " + tries + " tries");
-                    print.flush();
-                    return 0;
-                }
-                print.print(s.with(found).toToml());
-                print.flush();
-                return 1;
+            PrintWriter out = spec.commandLine().getOut();
+            return runPrintingErrors(spec.commandLine().getErr(), () -> {
+                out.print(scenarioOptions.read().toToml());
+                out.flush();
+                return ExitCode.OK;
             });
         }
     }
--- a/src/main/java/cacheproxy/cli/HookCommand.java
+++ b/src/main/java/cacheproxy/cli/HookCommand.java
@@ -19,6 +19,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
+/** {@code hook}: runs hook modules outside of the daemon. */
 @Command(
         name = "hook",
         mixinStandardHelpOptions = true,
@@ -33,13 +34,17 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "name a command");
     }
 
+    /** {@code hook test}: calls a module once and prints the orders that it returns. */
     @Command(
             name = "test",
             mixinStandardHelpOptions = true,
             description = "Runs one call and prints what it orders, its fuel and "
                     + "time. Exit 0: it gave orders, or none; 1: the call failed; 2: the module does not load.")
     static final class Test implements Callable<Integer> {
-        private static final int TIMED = 2000;
+        private static final int TIMED_CALLS = 2000;
+        private static final long LOAD_FUEL = 10_000_000;
+        private static final double CALL_TIMEOUT_MS = 1000;
+        private static final double NANOS_PER_MICRO = 1e3;
 
         @Spec
         private CommandSpec spec;
@@ -64,7 +69,7 @@
                 paramLabel = "MS",
                 defaultValue = "1000",
                 description = "Until the client gives up.")
-        private long remaining;
+        private long remainingMs;
 
         @Option(names = "--config", paramLabel = "TEXT", defaultValue = "", description = "The hook's configuration.")
         private String config;
@@ -73,59 +78,74 @@
         private long fuel;
 
         @Option(names = "--memory-pages", paramLabel = "N", defaultValue = "16", description = "Pages of 64 KiB.")
-        private int pages;
+        private int memoryPages;
 
         @Option(names = "--interpret", description = "Interpreted, not compiled.")
         private boolean interpret;
 
         @Override
         public Integer call() {
-            PrintWriter out = spec.commandLine().getOut();
             PrintWriter err = spec.commandLine().getErr();
-            HookModule.Limits limits = new HookModule.Limits(pages, fuel, 10_000_000, 1000, !interpret);
-            HookCall call = new HookCall(key, serviceClass, tenant, write, false, remaining);
             HookInstance instance;
             try {
-                byte[] bytes = Files.readAllBytes(module);
-                out.println("sha256 " + HookModule.digest(bytes));
-                instance = new HookInstance(HookModule.load(bytes, limits, config), System::currentTimeMillis);
+                instance = load();
             } catch (IOException e) {
                 err.println(module + " can't be read");
-                return Cli.UNUSABLE;
+                return ExitCode.UNUSABLE;
             } catch (HookException e) {
                 err.println(module + " does not load: " + e.getMessage());
-                return Cli.UNUSABLE;
+                return ExitCode.UNUSABLE;
             }
             try {
-                HookInstance.Result r = instance.call(call);
-                r.log().forEach(l -> out.println("log " + l));
-                lines(r.orders()).forEach(out::println);
-                long at = System.nanoTime();
-                for (int i = 0; i < TIMED; i++) {
-                    instance.call(call);
-                }
-                out.printf("fuel %d of %d, %.1f us a call%n", r.fuel(), fuel, (System.nanoTime() - at) / 1e3 / TIMED);
-                return 0;
+                callAndPrint(instance);
+                return ExitCode.OK;
             } catch (HookException e) {
-                instance.lastLog().forEach(l -> out.println("log " + l));
+                printLog(instance.lastLog());
                 err.println("the call failed: " + e.getMessage());
-                return 1;
+                return ExitCode.FAILED;
             }
         }
 
-        private static List<String> lines(HookOrders o) {
+        private HookInstance load() throws IOException, HookException {
+            byte[] bytes = Files.readAllBytes(module);
+            spec.commandLine().getOut().println("sha256 " + HookModule.digest(bytes));
+            HookModule.Limits limits = new HookModule.Limits(memoryPages, fuel, LOAD_FUEL, CALL_TIMEOUT_MS, !interpret);
+            return new HookInstance(HookModule.load(bytes, limits, config), System::currentTimeMillis);
+        }
+
+        /** Prints the result of the first call, then the mean time of further ones. */
+        private void callAndPrint(HookInstance instance) throws HookException {
+            PrintWriter out = spec.commandLine().getOut();
+            HookCall call = new HookCall(key, serviceClass, tenant, write, false, remainingMs);
+            HookInstance.Result result = instance.call(call);
+            printLog(result.log());
+            describe(result.orders()).forEach(out::println);
+            long startNanos = System.nanoTime();
+            for (int i = 0; i < TIMED_CALLS; i++) {
+                instance.call(call);
+            }
+            double microsPerCall = (System.nanoTime() - startNanos) / NANOS_PER_MICRO / TIMED_CALLS;
+            out.printf("fuel %d of %d, %.1f us a call%n", result.fuel(), fuel, microsPerCall);
+        }
+
+        private void printLog(List<String> messages) {
+            messages.forEach(message -> spec.commandLine().getOut().println("log " + message));
+        }
+
+        private static List<String> describe(HookOrders orders) {
             List<String> lines = new ArrayList<>();
-            add(lines, "key", o.key());
-            add(lines, "class", o.serviceClass());
-            add(lines, "tenant", o.tenant());
-            add(lines, "route", o.route());
-            add(lines, "refuse", o.refuseMs() > 0 ? o.refuseMs() + " ms" : null);
-            add(lines, "remaining", o.remainingMs() > 0 ? o.remainingMs() + " ms" : null);
-            add(lines, "note", o.note());
+            addLine(lines, "key", orders.key());
+            addLine(lines, "class", orders.serviceClass());
+            addLine(lines, "tenant", orders.tenant());
+            addLine(lines, "route", orders.route());
+            addLine(lines, "refuse", orders.refuseMs() > 0 ? orders.refuseMs() + " ms" : null);
+            addLine(lines, "remaining", orders.remainingMs() > 0 ? orders.remainingMs() + " ms" : null);
+            addLine(lines, "note", orders.note());
             return lines.isEmpty() ? List.of("no orders") : lines;
         }
 
-        private static void add(List<String> lines, String name, String value) {
+        /** Adds a line, with unprintable characters replaced, unless the value is null. */
+        private static void addLine(List<String> lines, String name, String value) {
             if (value != null) {
                 lines.add(name + " " + value.replaceAll("[^ -~]", "?"));
             }
--- a/src/main/java/cacheproxy/cli/ImportNginxCommand.java
+++ b/src/main/java/cacheproxy/cli/ImportNginxCommand.java
@@ -9,18 +9,15 @@
 import cacheproxy.nginx.importer.ImportOptions;
 import cacheproxy.nginx.importer.Importer;
 import cacheproxy.nginx.importer.Report;
-import com.google.gson.GsonBuilder;
-import com.google.gson.JsonArray;
-import com.google.gson.JsonObject;
 import java.io.IOException;
 import java.io.PrintWriter;
-import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
+import java.util.Optional;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -28,6 +25,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
+/** {@code import-nginx}: converts an nginx configuration, or compares the result with the original. */
 @Command(
         name = "import-nginx",
         mixinStandardHelpOptions = true,
@@ -35,6 +33,10 @@
                 "Makes the daemon's file of an nginx configuration. Exit 0: all carried over; 1: some things were "
                         + "not, as the report tells; 2: the configuration can't be read, nothing is written.")
 final class ImportNginxCommand implements Callable<Integer> {
+    private static final List<String> WRITE_EFFECTS = List.of("unsafe", "keyed", "safe");
+    private static final double MIN_WINDOW_MS = 1;
+    private static final double MAX_WINDOW_MS = 3_600_000;
+
     @Spec
     private CommandSpec spec;
 
@@ -48,7 +50,7 @@
     private Path prefix;
 
     @Option(names = "--out", paramLabel = "FILE", description = "Where the daemon's file goes; else standard output.")
-    private Path outFile;
+    private Path outputFile;
 
     @Option(names = "--report", paramLabel = "FILE", description = "Where the report goes; else standard error.")
     private Path reportFile;
@@ -61,20 +63,20 @@
             paramLabel = "ADDRESS:PORT",
             defaultValue = "127.0.0.1:11211",
             description = "Address of the first listener; each further one takes the next port.")
-    private String listen;
+    private String listenAddress;
 
     @Option(
             names = "--dial",
             paramLabel = "WRITTEN=ADDRESS:PORT",
             description = "Where a server is reached that is written so; for names, and for servers elsewhere.")
-    private Map<String, String> dial = new LinkedHashMap<>();
+    private Map<String, String> dialAddresses = new LinkedHashMap<>();
 
     @Option(
             names = "--writes",
             paramLabel = "EFFECT",
             defaultValue = "unsafe",
             description = "What methods other than GET and HEAD are: unsafe, keyed, safe.")
-    private String writes;
+    private String writeEffect;
 
     @Option(
             names = "--window-ms",
@@ -93,108 +95,113 @@
             names = "--keys",
             paramLabel = "FILE",
             description = "Keys, one a line: /path, or host/path where hosts differ.")
-    private Path keys;
+    private Path keysFile;
 
     @Override
     public Integer call() throws IOException {
         PrintWriter err = spec.commandLine().getErr();
-        ImportOptions options = options(err);
-        if (options == null) {
-            return Cli.UNUSABLE;
+        Optional<ImportOptions> options = importOptions(err);
+        if (options.isEmpty()) {
+            return ExitCode.UNUSABLE;
         }
-        Path main = file.toAbsolutePath();
-        Path base = prefix != null ? prefix.toAbsolutePath() : main.getParent();
         ConfParser.Conf conf;
         try {
-            String name = main.startsWith(base) ? base.relativize(main).toString() : main.toString();
-            conf = ConfParser.read(new ConfDirectory(base), name);
+            conf = parse();
         } catch (NginxSyntaxException e) {
             err.println(e.getMessage());
-            return Cli.UNUSABLE;
+            return ExitCode.UNUSABLE;
         }
-        Importer.Result result = Importer.run(conf, options);
+        Importer.Result result = Importer.run(conf, options.get());
         if (result.file() == null) {
             result.report().lines().forEach(err::println);
             err.println(file + ": nothing in it can be served: no server block, or no upstream with a usable server");
-            return Cli.UNUSABLE;
+            return ExitCode.UNUSABLE;
         }
-        DaemonConfig checked;
-        try {
-            checked = DaemonConfigReader.parse(outFile == null ? "imported" : outFile.toString(), result.file());
-        } catch (ConfigException e) {
-            // The importer's own fault: better nothing than a file that is not served.
-            err.println("the file made of " + file + " is not accepted; please report this:");
-            e.errors().forEach(err::println);
-            return Cli.UNUSABLE;
+        Optional<DaemonConfig> imported = validate(result, err);
+        if (imported.isEmpty()) {
+            return ExitCode.UNUSABLE;
         }
         if (compare) {
-            return new NginxComparison(conf, checked, result.hostInKeys())
-                    .run(keys, spec.commandLine().getOut(), err);
-        }
-        if (outFile == null) {
-            spec.commandLine().getOut().print(result.file());
-            spec.commandLine().getOut().flush();
-        } else {
-            Files.writeString(outFile, result.file());
+            return new NginxComparison(conf, imported.get(), result.hostInKeys())
+                    .run(keysFile, spec.commandLine().getOut(), err);
         }
-        String report = json ? json(result) : String.join("\n", result.report().lines()) + "\n";
-        if (reportFile != null) {
-            Files.writeString(reportFile, report, StandardCharsets.UTF_8);
-        } else {
-            err.print(report);
-            err.flush();
-        }
-        return result.report().complete() ? 0 : 1;
+        writeConfig(result.file());
+        writeReport(result.report(), err);
+        return result.report().complete() ? ExitCode.OK : ExitCode.FAILED;
     }
 
-    private ImportOptions options(PrintWriter err) {
-        if (compare && keys == null) {
+    private boolean optionsAreValid(PrintWriter err) {
+        if (compare && keysFile == null) {
             err.println("--compare needs --keys FILE");
-            return null;
+            return false;
         }
-        if (!List.of("unsafe", "keyed", "safe").contains(writes) || !(windowMs >= 1 && windowMs <= 3_600_000)) {
+        boolean windowIsValid = windowMs >= MIN_WINDOW_MS && windowMs <= MAX_WINDOW_MS;
+        if (!WRITE_EFFECTS.contains(writeEffect) || !windowIsValid) {
             err.println("--writes is one of unsafe, keyed, safe; --window-ms from 1 to 3600000");
-            return null;
+            return false;
+        }
+        return true;
+    }
+
+    /** Returns the import's options, or nothing after printing what is wrong with the command's. */
+    private Optional<ImportOptions> importOptions(PrintWriter err) {
+        if (!optionsAreValid(err)) {
+            return Optional.empty();
         }
         try {
-            InetSocketAddress at = Addresses.parse(listen);
-            for (Map.Entry<String, String> e : dial.entrySet()) {
-                if (Addresses.parse(e.getValue()).getPort() == 0) {
-                    throw new IllegalArgumentException("'" + e.getValue() + "' has port 0");
-                }
-            }
-            String host = listen.substring(0, listen.lastIndexOf(':'));
-            return new ImportOptions(host, at.getPort(), dial, writes, windowMs);
+            return Optional.of(parseAddresses());
         } catch (IllegalArgumentException e) {
             err.println(e.getMessage() + "; --listen and --dial take literal addresses, such as 127.0.0.1:11211");
-            return null;
+            return Optional.empty();
+        }
+    }
+
+    private ImportOptions parseAddresses() {
+        int port = Addresses.parse(listenAddress).getPort();
+        for (String address : dialAddresses.values()) {
+            if (Addresses.parse(address).getPort() == 0) {
+                throw new IllegalArgumentException("'" + address + "' has port 0");
+            }
+        }
+        String host = listenAddress.substring(0, listenAddress.lastIndexOf(':'));
+        return new ImportOptions(host, port, dialAddresses, writeEffect, windowMs);
+    }
+
+    private ConfParser.Conf parse() throws NginxSyntaxException {
+        Path main = file.toAbsolutePath();
+        Path base = prefix != null ? prefix.toAbsolutePath() : main.getParent();
+        String name = main.startsWith(base) ? base.relativize(main).toString() : main.toString();
+        return ConfParser.read(new NginxConfDirectory(base), name);
+    }
+
+    /** Parses the imported file as the daemon would; what fails here is the importer's own fault. */
+    private Optional<DaemonConfig> validate(Importer.Result result, PrintWriter err) {
+        try {
+            String name = outputFile == null ? "imported" : outputFile.toString();
+            return Optional.of(DaemonConfigReader.parse(name, result.file()));
+        } catch (ConfigException e) {
+            err.println("the file made of " + file + " is not accepted; please report this:");
+            e.errors().forEach(err::println);
+            return Optional.empty();
         }
     }
 
-    private static String json(Importer.Result result) {
-        JsonObject all = new JsonObject();
-        JsonArray entries = new JsonArray();
-        for (Report.Entry e : result.report().entries()) {
-            JsonObject o = new JsonObject();
-            o.addProperty("file", e.directive().at().file());
-            o.addProperty("line", e.directive().at().line());
-            o.addProperty("column", e.directive().at().column());
-            o.addProperty("directive", e.directive().toString());
-            o.addProperty("became", e.level().text);
-            o.addProperty("text", e.text());
-            entries.add(o);
+    private void writeConfig(String text) throws IOException {
+        if (outputFile == null) {
+            spec.commandLine().getOut().print(text);
+            spec.commandLine().getOut().flush();
+        } else {
+            Files.writeString(outputFile, text);
         }
-        all.add("entries", entries);
-        JsonArray notes = new JsonArray();
-        result.report().notes().forEach(notes::add);
-        all.add("notes", notes);
-        for (Report.Level l : Report.Level.values()) {
-            all.addProperty(l.text.replace(' ', '_'), result.report().count(l));
+    }
+
+    private void writeReport(Report report, PrintWriter err) throws IOException {
+        String text = json ? ImportReportJson.write(report) : String.join("\n", report.lines()) + "\n";
+        if (reportFile != null) {
+            Files.writeString(reportFile, text, StandardCharsets.UTF_8);
+        } else {
+            err.print(text);
+            err.flush();
         }
-        return new GsonBuilder()
-                        .setPrettyPrinting()
-                        .disableHtmlEscaping()
-                        .create()
-                        .toJson(all) + "\n";
     }
 }
--- a/src/main/java/cacheproxy/cli/LeasesCommand.java
+++ b/src/main/java/cacheproxy/cli/LeasesCommand.java
@@ -6,6 +6,7 @@
 import com.google.gson.JsonParser;
 import java.io.PrintWriter;
 import java.util.concurrent.Callable;
+import java.util.regex.Pattern;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
@@ -14,7 +15,7 @@
 import picocli.CommandLine.ScopeType;
 import picocli.CommandLine.Spec;
 
-/** Exit codes: 0 done, 1 the proxy said no, 2 it could not be asked. */
+/** {@code duties}: lists the leases of a running proxy, or has one transferred to another proxy. */
 @Command(
         name = "duties",
         mixinStandardHelpOptions = true,
@@ -35,44 +36,57 @@
     @Option(names = "--json", description = "As the proxy gives it.")
     private boolean json;
 
+    /** One lease as the control address reports it. */
+    private record LeaseStatus(String name, boolean held, long epoch, long remainingMs, String holder) {
+        private static LeaseStatus parse(JsonObject lease) {
+            return new LeaseStatus(
+                    lease.get("duty").getAsString(),
+                    lease.get("holding").getAsBoolean(),
+                    lease.get("epoch").getAsLong(),
+                    lease.get("left_ms").getAsLong(),
+                    lease.has("holder") ? lease.get("holder").getAsString() : "-");
+        }
+    }
+
     @Override
     public Integer call() {
-        ControlCall.Answer a = calls().ask("GET", "/duties");
         PrintWriter out = spec.commandLine().getOut();
-        if (a == null || a.code() != 200) {
-            return calls().no(a);
+        String text;
+        try {
+            text = new ControlClient(control).call("GET", "/duties");
+        } catch (ControlCallException e) {
+            return e.report(spec.commandLine().getErr());
         }
         if (json) {
-            out.println(a.text());
+            out.println(text);
         } else {
-            JsonArray list = JsonParser.parseString(a.text()).getAsJsonArray();
-            out.printf("%-24s %-8s %18s %9s %s%n", "duty", "holding", "epoch", "left ms", "holder");
-            for (JsonElement e : list) {
-                JsonObject o = e.getAsJsonObject();
-                out.printf(
-                        "%-24s %-8s %18d %9d %s%n",
-                        o.get("duty").getAsString(),
-                        o.get("holding").getAsBoolean() ? "yes" : "no",
-                        o.get("epoch").getAsLong(),
-                        o.get("left_ms").getAsLong(),
-                        o.has("holder") ? o.get("holder").getAsString() : "-");
-            }
+            printTable(text, out);
         }
         out.flush();
-        return 0;
+        return ExitCode.OK;
     }
 
-    private ControlCall calls() {
-        return new ControlCall(control, spec.commandLine().getErr());
+    private static void printTable(String text, PrintWriter out) {
+        JsonArray leases = JsonParser.parseString(text).getAsJsonArray();
+        out.printf("%-24s %-8s %18s %9s %s%n", "duty", "holding", "epoch", "left ms", "holder");
+        for (JsonElement element : leases) {
+            LeaseStatus lease = LeaseStatus.parse(element.getAsJsonObject());
+            out.printf(
+                    "%-24s %-8s %18d %9d %s%n",
+                    lease.name, lease.held ? "yes" : "no", lease.epoch, lease.remainingMs, lease.holder);
+        }
     }
 
+    /** {@code duties transfer}: has the proxy transfer a lease that it holds to another proxy. */
     @Command(
             name = "transfer",
             mixinStandardHelpOptions = true,
             description = "Has the proxy hand a duty that it holds to another.")
     static final class Transfer implements Callable<Integer> {
+        private static final Pattern NAME = Pattern.compile("[A-Za-z0-9_.-]+");
+
         @ParentCommand
-        private LeasesCommand duties;
+        private LeasesCommand parent;
 
         @Spec
         private CommandSpec spec;
@@ -85,17 +99,19 @@
 
         @Override
         public Integer call() {
-            if (!(name + to).matches("[A-Za-z0-9_.-]+")) {
-                spec.commandLine().getErr().println("names are letters, digits, dots, dashes and underscores");
-                return Cli.UNUSABLE;
+            PrintWriter err = spec.commandLine().getErr();
+            if (!NAME.matcher(name + to).matches()) {
+                err.println("names are letters, digits, dots, dashes and underscores");
+                return ExitCode.UNUSABLE;
             }
-            ControlCall.Answer a = duties.calls().ask("POST", "/duties/" + name + "/transfer?to=" + to);
-            if (a == null || a.code() != 200) {
-                return duties.calls().no(a);
+            try {
+                String text = new ControlClient(parent.control).call("POST", "/duties/" + name + "/transfer?to=" + to);
+                spec.commandLine().getOut().println(text);
+            } catch (ControlCallException e) {
+                return e.report(err);
             }
-            spec.commandLine().getOut().println(a.text());
             spec.commandLine().getOut().flush();
-            return 0;
+            return ExitCode.OK;
         }
     }
 }
--- a/src/main/java/cacheproxy/cli/LimitsCommand.java
+++ b/src/main/java/cacheproxy/cli/LimitsCommand.java
@@ -11,7 +11,7 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Exit codes: 0 done, 1 the proxy said no, 2 it could not be asked. */
+/** {@code limits}: lists the fleet-wide quotas as a running proxy sees them. */
 @Command(
         name = "limits",
         mixinStandardHelpOptions = true,
@@ -26,36 +26,64 @@
     @Option(names = "--json", description = "As the proxy gives it.")
     private boolean json;
 
+    /** One quota as the control address reports it; {@code isolatedSinceMs} is "-" while the proxy is not isolated. */
+    private record QuotaStatus(
+            String name,
+            String scope,
+            double limit,
+            double localAllocation,
+            long used,
+            long waiting,
+            String isolatedSinceMs,
+            double overshootBound) {
+        private static QuotaStatus parse(JsonObject quota) {
+            return new QuotaStatus(
+                    quota.get("name").getAsString(),
+                    quota.get("scope").getAsString(),
+                    quota.get("limit").getAsDouble(),
+                    quota.get("mine").getAsDouble(),
+                    quota.get("used").getAsLong(),
+                    quota.get("waiting").getAsLong(),
+                    quota.has("alone_since_ms") ? quota.get("alone_since_ms").getAsString() : "-",
+                    quota.get("over_bound").getAsDouble());
+        }
+    }
+
     @Override
     public Integer call() {
         PrintWriter out = spec.commandLine().getOut();
-        ControlCall calls = new ControlCall(control, spec.commandLine().getErr());
-        ControlCall.Answer a = calls.ask("GET", "/limits");
-        if (a == null || a.code() != 200) {
-            return calls.no(a);
+        String text;
+        try {
+            text = new ControlClient(control).call("GET", "/limits");
+        } catch (ControlCallException e) {
+            return e.report(spec.commandLine().getErr());
         }
         if (json) {
-            out.println(a.text());
+            out.println(text);
         } else {
-            out.printf(
-                    "%-20s %-28s %10s %10s %8s %8s %9s %9s%n",
-                    "limit", "scope", "of all", "mine", "used", "waiting", "alone ms", "over by");
-            for (JsonElement e : JsonParser.parseString(a.text()).getAsJsonArray()) {
-                JsonObject o = e.getAsJsonObject();
-                out.printf(
-                        Locale.ROOT,
-                        "%-20s %-28s %10.1f %10.1f %8d %8d %9s %9.1f%n",
-                        o.get("name").getAsString(),
-                        o.get("scope").getAsString(),
-                        o.get("limit").getAsDouble(),
-                        o.get("mine").getAsDouble(),
-                        o.get("used").getAsLong(),
-                        o.get("waiting").getAsLong(),
-                        o.has("alone_since_ms") ? o.get("alone_since_ms").getAsString() : "-",
-                        o.get("over_bound").getAsDouble());
-            }
+            printTable(text, out);
         }
         out.flush();
-        return 0;
+        return ExitCode.OK;
+    }
+
+    private static void printTable(String text, PrintWriter out) {
+        out.printf(
+                "%-20s %-28s %10s %10s %8s %8s %9s %9s%n",
+                "limit", "scope", "of all", "mine", "used", "waiting", "alone ms", "over by");
+        for (JsonElement element : JsonParser.parseString(text).getAsJsonArray()) {
+            QuotaStatus quota = QuotaStatus.parse(element.getAsJsonObject());
+            out.printf(
+                    Locale.ROOT,
+                    "%-20s %-28s %10.1f %10.1f %8d %8d %9s %9.1f%n",
+                    quota.name,
+                    quota.scope,
+                    quota.limit,
+                    quota.localAllocation,
+                    quota.used,
+                    quota.waiting,
+                    quota.isolatedSinceMs,
+                    quota.overshootBound);
+        }
     }
 }
--- a/src/main/java/cacheproxy/cli/NginxComparison.java
+++ b/src/main/java/cacheproxy/cli/NginxComparison.java
@@ -14,13 +14,21 @@
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 
-/** Holds the imported file against a model of the original, key by key. */
+/** Compares, key by key, where nginx and the imported configuration send a request. */
 final class NginxComparison {
+    private static final String POOL_FIELD = " pool=";
+    private static final String SERVER_FIELD = " server=";
+
     private final NginxReferenceModel model;
     private final DaemonConfig imported;
     private final RouteExplainer explainer;
     private final boolean hostInKeys;
 
+    /**
+     * Creates a comparison of a configuration with what was imported of it.
+     *
+     * @param hostInKeys whether a key's part before its first slash is the host
+     */
     NginxComparison(ConfParser.Conf conf, DaemonConfig imported, boolean hostInKeys) {
         model = new NginxReferenceModel(conf.directives());
         this.imported = imported;
@@ -28,60 +36,96 @@
         this.hostInKeys = hostInKeys;
     }
 
-    /** Where a key goes, on either side; a server of - where any of the pool may get it, or where none does. */
-    private record Goal(String pool, String server) {
+    /** Where a key is sent; as server {@code any} if each of the pool may get it, {@code -} if none does. */
+    private record Target(String pool, String server) {
+        private static final Target NONE = new Target("-", "-");
+
+        private boolean isAnyOfPool() {
+            return server.equals("any");
+        }
+
         @Override
         public String toString() {
             return pool + " " + server;
         }
     }
 
+    /** How many keys have which result. */
+    private static final class Counts {
+        private long sameServer;
+        private long samePool;
+        private long different;
+
+        private void add(Target original, boolean equal) {
+            if (!equal) {
+                different++;
+            } else if (original.isAnyOfPool()) {
+                samePool++;
+            } else {
+                sameServer++;
+            }
+        }
+    }
+
+    /**
+     * Compares the keys of a file, one a line, and prints each with both targets, then the counts.
+     *
+     * @return the command's exit code: {@link ExitCode#FAILED} if a key's targets differ
+     */
     int run(Path keys, PrintWriter out, PrintWriter err) throws IOException {
-        long same = 0;
-        long anyOfPool = 0;
-        long differ = 0;
-        try (BufferedReader in = Files.newBufferedReader(keys, StandardCharsets.ISO_8859_1)) {
-            for (String key; (key = in.readLine()) != null; ) {
-                if (key.isBlank()) {
-                    continue;
+        Counts counts = new Counts();
+        try (BufferedReader reader = Files.newBufferedReader(keys, StandardCharsets.ISO_8859_1)) {
+            for (String key = reader.readLine(); key != null; key = reader.readLine()) {
+                if (!key.isBlank()) {
+                    compare(key, counts, out);
                 }
-                Goal original = original(key);
-                Goal here = here(key);
-                boolean any = original.server.equals("any");
-                boolean equal = any ? original.pool.equals(here.pool) : original.equals(here);
-                same += equal && !any ? 1 : 0;
-                anyOfPool += equal && any ? 1 : 0;
-                differ += equal ? 0 : 1;
-                out.println(key + " nginx=" + original + " imported=" + here + (equal ? "" : " DIFFERS"));
             }
         } catch (NoSuchFileException e) {
             err.println(keys + ": there is no such file");
-            return Cli.UNUSABLE;
+            return ExitCode.UNUSABLE;
         }
-        out.println(same + " the same, " + anyOfPool
-                + " of the same pool, in which nginx chooses by more than the key, " + differ + " differ");
-        return differ == 0 ? 0 : 1;
+        out.println(counts.sameServer + " the same, " + counts.samePool
+                + " of the same pool, in which nginx chooses by more than the key, " + counts.different + " differ");
+        return counts.different == 0 ? ExitCode.OK : ExitCode.FAILED;
+    }
+
+    private void compare(String key, Counts counts, PrintWriter out) {
+        Target original = originalTarget(key);
+        Target actual = importedTarget(key);
+        boolean equal = original.isAnyOfPool() ? original.pool.equals(actual.pool) : original.equals(actual);
+        counts.add(original, equal);
+        out.println(key + " nginx=" + original + " imported=" + actual + (equal ? "" : " DIFFERS"));
     }
 
-    private Goal original(String key) {
+    private Target originalTarget(String key) {
         int slash = key.indexOf('/');
         String host = hostInKeys && slash > 0 ? key.substring(0, slash) : "";
-        NginxReferenceModel.Answer a =
-                model.ask(model.firstSocket(), "GET", host, slash > 0 ? key.substring(slash) : key);
-        return a.status() != 0 ? new Goal("-", "-") : new Goal(a.pool(), a.node() == null ? "any" : a.node());
+        String path = slash > 0 ? key.substring(slash) : key;
+        NginxReferenceModel.Answer answer = model.ask(model.firstSocket(), "GET", host, path);
+        if (answer.status() != 0) {
+            return Target.NONE;
+        }
+        return new Target(answer.pool(), answer.node() == null ? "any" : answer.node());
+    }
+
+    private Target importedTarget(String key) {
+        ListenerConfig listener = imported.listeners().get(0);
+        int classIndex = imported.classIndex(listener.readClass());
+        RouteInput input = imported.keys().parse(listener.name(), key, classIndex, 0, false);
+        return input == null
+                ? Target.NONE
+                : parseTarget(explainer.lines(input, false).get(0));
     }
 
-    private Goal here(String key) {
-        ListenerConfig at = imported.listeners().get(0);
-        RouteInput s = imported.keys().parse(at.name(), key, imported.classIndex(at.readClass()), 0, false);
-        String line = s == null ? "" : explainer.lines(s, false).get(0);
-        int pool = line.indexOf(" pool=");
-        int server = line.indexOf(" server=", pool);
-        if (pool < 0) {
-            return new Goal("-", "-");
+    private static Target parseTarget(String explanation) {
+        int poolAt = explanation.indexOf(POOL_FIELD);
+        if (poolAt < 0) {
+            return Target.NONE;
         }
-        String name = line.substring(server + " server=".length());
-        int end = name.indexOf(' ');
-        return new Goal(line.substring(pool + " pool=".length(), server), end < 0 ? name : name.substring(0, end));
+        int serverAt = explanation.indexOf(SERVER_FIELD, poolAt);
+        String pool = explanation.substring(poolAt + POOL_FIELD.length(), serverAt);
+        String rest = explanation.substring(serverAt + SERVER_FIELD.length());
+        int end = rest.indexOf(' ');
+        return new Target(pool, end < 0 ? rest : rest.substring(0, end));
     }
 }
--- /dev/null
+++ b/src/main/java/cacheproxy/cli/NginxConfDirectory.java
@@ -0,0 +1,109 @@
+package cacheproxy.cli;
+
+import cacheproxy.nginx.ConfSource;
+import java.io.IOException;
+import java.nio.charset.StandardCharsets;
+import java.nio.file.AccessDeniedException;
+import java.nio.file.DirectoryStream;
+import java.nio.file.Files;
+import java.nio.file.InvalidPathException;
+import java.nio.file.NoSuchFileException;
+import java.nio.file.Path;
+import java.util.ArrayList;
+import java.util.List;
+import java.util.regex.PatternSyntaxException;
+
+/** An nginx configuration's files on disk, below the prefix that relative names are resolved against. */
+final class NginxConfDirectory implements ConfSource {
+    private static final long MAX_FILE_BYTES = 64L << 20;
+
+    private final Path prefix;
+
+    NginxConfDirectory(Path prefix) {
+        this.prefix = prefix;
+    }
+
+    @Override
+    public String read(String path) throws Unreadable {
+        Path file = resolve(path);
+        if (Files.isDirectory(file)) {
+            throw new Unreadable("it is a directory");
+        }
+        try {
+            if (Files.size(file) > MAX_FILE_BYTES) {
+                throw new Unreadable("it has more than " + MAX_FILE_BYTES + " bytes");
+            }
+            return new String(Files.readAllBytes(file), StandardCharsets.ISO_8859_1);
+        } catch (NoSuchFileException e) {
+            throw new Unreadable("there is no such file");
+        } catch (AccessDeniedException e) {
+            throw new Unreadable("it may not be read");
+        } catch (IOException e) {
+            throw new Unreadable(String.valueOf(e.getMessage()));
+        }
+    }
+
+    private Path resolve(String path) throws Unreadable {
+        try {
+            return prefix.resolve(path);
+        } catch (InvalidPathException e) {
+            throw new Unreadable("this is no name of a file");
+        }
+    }
+
+    @Override
+    public List<String> glob(String pattern) throws Unreadable {
+        boolean absolute = pattern.startsWith("/");
+        List<Path> matches = List.of(absolute ? Path.of("/") : prefix);
+        for (String segment : pattern.split("/", 0)) {
+            if (!segment.isEmpty()) {
+                matches = matchSegment(matches, segment);
+            }
+        }
+        return matches.stream()
+                .filter(Files::isRegularFile)
+                .map(file ->
+                        absolute ? file.toString() : prefix.relativize(file).toString())
+                .toList();
+    }
+
+    /** Returns the entries of the directories whose names match one segment of a pattern. */
+    private static List<Path> matchSegment(List<Path> directories, String segment) throws Unreadable {
+        List<Path> matches = new ArrayList<>();
+        for (Path directory : directories) {
+            if (!hasWildcard(segment)) {
+                Path entry = directory.resolve(segment);
+                if (Files.exists(entry)) {
+                    matches.add(entry);
+                }
+            } else if (Files.isDirectory(directory)) {
+                matches.addAll(listMatching(directory, segment));
+            }
+        }
+        return matches;
+    }
+
+    private static boolean hasWildcard(String segment) {
+        return segment.indexOf('*') >= 0 || segment.indexOf('?') >= 0 || segment.indexOf('[') >= 0;
+    }
+
+    /**
+     * Lists a directory's entries that match, sorted; as in glob(3), hidden ones only if the pattern begins with a dot.
+     */
+    private static List<Path> listMatching(Path directory, String segment) throws Unreadable {
+        List<Path> matches = new ArrayList<>();
+        try (DirectoryStream<Path> entries = Files.newDirectoryStream(directory, segment.replace("{", "\\{"))) {
+            for (Path entry : entries) {
+                if (segment.startsWith(".") || !entry.getFileName().toString().startsWith(".")) {
+                    matches.add(entry);
+                }
+            }
+        } catch (PatternSyntaxException e) {
+            throw new Unreadable("the pattern is broken: " + e.getDescription());
+        } catch (IOException e) {
+            throw new Unreadable(directory + " can't be listed");
+        }
+        matches.sort(null);
+        return matches;
+    }
+}
--- a/src/main/java/cacheproxy/cli/RunCommand.java
+++ b/src/main/java/cacheproxy/cli/RunCommand.java
@@ -7,6 +7,7 @@
 import java.io.PrintWriter;
 import java.nio.file.Path;
 import java.security.SecureRandom;
+import java.util.Optional;
 import java.util.concurrent.Callable;
 import java.util.concurrent.CountDownLatch;
 import picocli.CommandLine.Command;
@@ -15,6 +16,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
+/** {@code run}: starts the daemon and blocks until the process is told to end. */
 @Command(
         name = "run",
         mixinStandardHelpOptions = true,
@@ -31,35 +33,44 @@
             paramLabel = "MEMORY",
             description = "A sibling's memory file: what it has learned counts for "
                     + "half, where this proxy remembers nothing itself.")
-    private Path seedFrom;
+    private Path siblingSnapshot;
 
     @Override
     public Integer call() throws Exception {
         PrintWriter err = spec.commandLine().getErr();
-        DaemonConfig f = Files.read(file, err);
-        if (f == null) {
-            return Cli.UNUSABLE;
+        Optional<DaemonConfig> config = ConfigFiles.read(file, err);
+        if (config.isEmpty()) {
+            return ExitCode.UNUSABLE;
         }
         Daemon daemon;
         try {
-            daemon = Daemon.start(f, new SecureRandom().nextLong(), seedFrom);
+            daemon = Daemon.start(config.get(), new SecureRandom().nextLong(), siblingSnapshot);
         } catch (ConfigException e) {
             e.errors().forEach(err::println);
-            return Cli.UNUSABLE;
+            return ExitCode.UNUSABLE;
         }
+        handleSignals(daemon, err);
+        printListeners(daemon, err);
+        new CountDownLatch(1).await(); // the shutdown hook ends the process
+        return ExitCode.OK;
+    }
+
+    private void handleSignals(Daemon daemon, PrintWriter err) throws ReflectiveOperationException {
         daemon.reloadBy(() -> reload(daemon, err));
         if (!SighupHandler.install(() -> reload(daemon, err))) {
             err.println(SighupHandler.IGNORED_MESSAGE);
         }
         Runtime.getRuntime().addShutdownHook(new Thread(daemon::drain));
+    }
+
+    private static void printListeners(Daemon daemon, PrintWriter err) {
         daemon.addresses()
                 .forEach((name, address) -> err.println("listening on "
                         + address.getAddress().getHostAddress() + ":" + address.getPort() + " (" + name + ")"));
         err.flush();
-        new CountDownLatch(1).await(); // the shutdown hook ends the process
-        return 0;
     }
 
+    /** Reloads the file; if it is invalid, the daemon keeps its configuration. */
     private void reload(Daemon daemon, PrintWriter err) {
         try {
             daemon.reload(file);
--- a/src/main/java/cacheproxy/cli/SnapshotCommand.java
+++ b/src/main/java/cacheproxy/cli/SnapshotCommand.java
@@ -3,25 +3,23 @@
 import cacheproxy.snapshot.DecodedSnapshot;
 import cacheproxy.snapshot.SnapshotCodec;
 import cacheproxy.snapshot.SnapshotStore;
-import cacheproxy.snapshot.state.LearnedHotKey;
-import cacheproxy.snapshot.state.LearnedServer;
-import cacheproxy.snapshot.state.LearnedState;
-import cacheproxy.snapshot.state.PoolState;
-import cacheproxy.snapshot.state.ServerStart;
 import cacheproxy.snapshot.state.StateSnapshot;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
+import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
 import java.time.Instant;
+import java.util.Optional;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
+import picocli.CommandLine.Mixin;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.ParameterException;
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Looks into memory files, those of a running daemon too. */
+/** {@code memory}: verifies and prints snapshot files, also those of a running daemon. */
 @Command(
         name = "memory",
         mixinStandardHelpOptions = true,
@@ -36,23 +34,45 @@
         throw new ParameterException(spec.commandLine(), "name show or verify");
     }
 
-    /** Reads one file, not the generation behind it; null after an error has been told. */
-    private static DecodedSnapshot read(Path file, PrintWriter err) {
-        try {
-            if (Files.size(file) > SnapshotCodec.MAX_BYTES) {
-                err.println(file + ": it has " + Files.size(file) + " bytes; a memory file has at most "
-                        + SnapshotCodec.MAX_BYTES);
-                return null;
+    /** The file that a subcommand reads: that one alone, not the previous generation behind it. */
+    private static final class SnapshotFile {
+        @Parameters(paramLabel = "FILE", description = "The memory file, or FILE.old behind it.")
+        private Path file;
+
+        /** Decodes the file and prints what is damaged or skipped; nothing if no part of it can be used. */
+        private Optional<DecodedSnapshot> read(PrintWriter err) {
+            Optional<DecodedSnapshot> decoded = decode(err);
+            decoded.ifPresent(snapshot -> {
+                snapshot.faults().forEach(fault -> err.println(file + ": " + fault));
+                snapshot.skipped().forEach(section -> err.println(file + ": skipped, " + section));
+            });
+            return decoded.filter(snapshot -> snapshot.content() != null);
+        }
+
+        private Optional<DecodedSnapshot> decode(PrintWriter err) {
+            try {
+                long bytes = Files.size(file);
+                if (bytes > SnapshotCodec.MAX_BYTES) {
+                    err.println(file + ": it has " + bytes + " bytes; a memory file has at most "
+                            + SnapshotCodec.MAX_BYTES);
+                    return Optional.empty();
+                }
+                return Optional.of(SnapshotCodec.decode(Files.readAllBytes(file)));
+            } catch (NoSuchFileException e) {
+                err.println(file + ": there is no such file");
+            } catch (IOException e) {
+                err.println(file + ": " + SnapshotStore.describe(e));
             }
-            return SnapshotCodec.decode(Files.readAllBytes(file));
-        } catch (java.nio.file.NoSuchFileException e) {
-            err.println(file + ": there is no such file");
-        } catch (IOException e) {
-            err.println(file + ": " + SnapshotStore.describe(e));
+            return Optional.empty();
         }
-        return null;
     }
 
+    /** Whether the file is complete and all of its sections are known to this version. */
+    private static boolean isIntact(DecodedSnapshot snapshot) {
+        return snapshot.isComplete() && snapshot.skipped().isEmpty();
+    }
+
+    /** {@code memory verify}: checks a file and prints one line about it. */
     @Command(
             name = "verify",
             mixinStandardHelpOptions = true,
@@ -62,30 +82,26 @@
         @Spec
         private CommandSpec spec;
 
-        @Parameters(paramLabel = "FILE", description = "The memory file, or FILE.old behind it.")
-        private Path file;
+        @Mixin
+        private SnapshotFile source;
 
         @Override
         public Integer call() {
-            DecodedSnapshot d = read(file, spec.commandLine().getErr());
-            if (d == null) {
-                return Cli.UNUSABLE;
+            Optional<DecodedSnapshot> read = source.read(spec.commandLine().getErr());
+            if (read.isEmpty()) {
+                return ExitCode.UNUSABLE;
             }
-            d.faults().forEach(f -> spec.commandLine().getErr().println(file + ": " + f));
-            d.skipped().forEach(f -> spec.commandLine().getErr().println(file + ": skipped, " + f));
-            if (d.content() == null) {
-                return Cli.UNUSABLE;
-            }
-            boolean good = d.isComplete() && d.skipped().isEmpty();
+            boolean intact = isIntact(read.get());
+            StateSnapshot content = read.get().content();
             spec.commandLine()
                     .getOut()
-                    .println(file + ": " + (good ? "whole" : "readable in part") + ", generation "
-                            + d.content().generation() + ", written "
-                            + Instant.ofEpochMilli((long) d.content().writtenMs()));
-            return good ? 0 : 1;
+                    .println(source.file + ": " + (intact ? "whole" : "readable in part") + ", generation "
+                            + content.generation() + ", written " + Instant.ofEpochMilli((long) content.writtenMs()));
+            return intact ? ExitCode.OK : ExitCode.FAILED;
         }
     }
 
+    /** {@code memory show}: prints the content of a file. */
     @Command(
             name = "show",
             mixinStandardHelpOptions = true,
@@ -94,67 +110,17 @@
         @Spec
         private CommandSpec spec;
 
-        @Parameters(paramLabel = "FILE", description = "The memory file, or FILE.old behind it.")
-        private Path file;
+        @Mixin
+        private SnapshotFile source;
 
         @Override
         public Integer call() {
-            PrintWriter out = spec.commandLine().getOut();
-            DecodedSnapshot d = read(file, spec.commandLine().getErr());
-            if (d != null) {
-                d.faults().forEach(f -> spec.commandLine().getErr().println(file + ": " + f));
-                d.skipped().forEach(f -> spec.commandLine().getErr().println(file + ": skipped, " + f));
-            }
-            if (d == null || d.content() == null) {
-                return Cli.UNUSABLE;
-            }
-            StateSnapshot r = d.content();
-            double age = System.currentTimeMillis() - r.writtenMs();
-            out.printf(
-                    "site %s, proxy %d, generation %d, written %s, %.0f s ago%n",
-                    r.site(), r.proxyNumber(), r.generation(), Instant.ofEpochMilli((long) r.writtenMs()), age / 1000);
-            r.pools().forEach((name, p) -> pool(out, name, p));
-            for (ServerStart b : r.serverStarts()) {
-                out.printf(
-                        "start %08x at %s: %s%s%n",
-                        b.id(),
-                        b.address(),
-                        b.startMs() == 0
-                                ? "not known"
-                                : Instant.ofEpochMilli((long) b.startMs()).toString(),
-                        b.down() ? ", was down" : "");
-            }
-            return d.isComplete() && d.skipped().isEmpty() ? 0 : 1;
-        }
-
-        private static void pool(PrintWriter out, String name, PoolState p) {
-            LearnedState k = p.learned();
-            out.printf(
-                    "pool %s: answers take %.1f ms, deviation %.1f ms, fetches %.1f ms%n",
-                    name,
-                    k.latency().averageMs(),
-                    k.latency().deviationMs(),
-                    k.latency().originMs());
-            out.printf(
-                    "  lately asked and answered in time: servers %.1f of %.1f, origin %.1f of %.1f%n",
-                    k.serverLoad().answered(),
-                    k.serverLoad().sent(),
-                    k.originLoad().answered(),
-                    k.originLoad().sent());
-            for (LearnedServer s : k.servers()) {
-                out.printf(
-                        "  server %08x at %s: %d failures, %d doubts, left out for %.0f ms more%n",
-                        s.id(),
-                        p.addresses().getOrDefault(s.id(), "?"),
-                        s.failures(),
-                        s.overdueAttempts(),
-                        s.ejectedForMs());
-            }
-            for (LearnedHotKey h : k.hotKeys().keys()) {
-                out.printf(
-                        "  hot key %016x: %d of %.0f (%s)%n",
-                        h.key(), h.count(), k.hotKeys().total(), p.keyScheme());
+            Optional<DecodedSnapshot> read = source.read(spec.commandLine().getErr());
+            if (read.isEmpty()) {
+                return ExitCode.UNUSABLE;
             }
+            new SnapshotPrinter(spec.commandLine().getOut()).print(read.get().content(), System.currentTimeMillis());
+            return isIntact(read.get()) ? ExitCode.OK : ExitCode.FAILED;
         }
     }
 }
--- a/src/test/java/cacheproxy/cli/ImportNginxCommandTest.java
+++ b/src/test/java/cacheproxy/cli/ImportNginxCommandTest.java
@@ -4,13 +4,10 @@
 
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
-import java.io.PrintWriter;
-import java.io.StringWriter;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import picocli.CommandLine;
 
 /** The command with files on disk: exit codes, what is written and what is not. */
 class ImportNginxCommandTest {
@@ -24,27 +21,23 @@
     private String out;
     private String err;
 
+    /** Runs a command line; what it prints is in {@code out} and {@code err} then. */
     private int run(String... args) {
-        StringWriter o = new StringWriter();
-        StringWriter e = new StringWriter();
-        int code = new CommandLine(new Cli())
-                .setOut(new PrintWriter(o))
-                .setErr(new PrintWriter(e))
-                .execute(args);
-        out = o.toString();
-        err = e.toString();
-        return code;
+        CommandResult result = CommandResult.run(args);
+        out = result.out();
+        err = result.err();
+        return result.exitCode();
     }
 
     private String file(String name, String text) throws Exception {
-        Path p = dir.resolve(name);
-        Files.createDirectories(p.getParent());
-        Files.writeString(p, text);
-        return p.toString();
+        Path path = dir.resolve(name);
+        Files.createDirectories(path.getParent());
+        Files.writeString(path, text);
+        return path.toString();
     }
 
     @Test
-    void whatIsCarriedOverWholeIsChecked() throws Exception {
+    void writesFileThatCheckAcceptsWhereAllIsImported() throws Exception {
         String conf = file("nginx.conf", "events { }\nhttp { include sites/*.conf; }\n");
         file("sites/b.conf", GOOD);
         file("sites/.hidden.conf", "broken {");
@@ -62,7 +55,7 @@
     }
 
     @Test
-    void whatIsNotCarriedOverIsReportedAndTheFileWrittenAllTheSame() throws Exception {
+    void reportsWhatIsNotImportedAndWritesTheFile() throws Exception {
         String conf = file("n.conf", GOOD.replace("proxy_pass", "limit_req zone=x; proxy_pass"));
         String toml = dir.resolve("out.toml").toString();
         assertThat(run("import-nginx", conf, "--out", toml, "--json")).isEqualTo(1);
@@ -73,9 +66,9 @@
     }
 
     @Test
-    void whatCantBeReadLeavesNothingBehind() throws Exception {
+    void writesNothingForUnreadableConfigurationsAndOptions() throws Exception {
         String toml = dir.resolve("out.toml").toString();
-        for (String[] c : new String[][] {
+        for (String[] textAndError : new String[][] {
             {"a;\nb {\n", "n.conf:2: the block that opens here is not closed"},
             {"include no.conf;", "n.conf:1: can't read no.conf: there is no such file"},
             {"include n.conf;", "n.conf:1: n.conf includes itself"},
@@ -84,9 +77,11 @@
             {"events { }", "nothing in it can be served"}
         }) {
             Files.createDirectories(dir.resolve("sub"));
-            String conf = file("n.conf", c[0]);
-            assertThat(run("import-nginx", conf, "--out", toml)).as(c[0]).isEqualTo(2);
-            assertThat(err).contains(c[1]).doesNotContain("Exception");
+            String conf = file("n.conf", textAndError[0]);
+            assertThat(run("import-nginx", conf, "--out", toml))
+                    .as(textAndError[0])
+                    .isEqualTo(2);
+            assertThat(err).contains(textAndError[1]).doesNotContain("Exception");
             assertThat(Files.exists(Path.of(toml))).isFalse();
         }
         assertThat(run("import-nginx", dir + "/none.conf")).isEqualTo(2);
@@ -99,7 +94,7 @@
     }
 
     @Test
-    void comparisonTellsEachKeyAndCountsThoseThatDiffer() throws Exception {
+    void comparesEachKeyAndCountsDifferences() throws Exception {
         String conf = file(
                 "n.conf", GOOD.replace("location /", "location ~ (?=/x) { proxy_pass http://10.0.0.9; }\nlocation /"));
         String keys = file("keys", "/a\n/b\n\n/x\n");
@@ -116,7 +111,7 @@
 
     @SuppressWarnings("StringConcatToTextBlock") // one line of the text a line of the source
     @Test
-    void tenThousandRoutesAreChecked() throws Exception {
+    void checksTenThousandRoutes() throws Exception {
         StringBuilder text = new StringBuilder("[[class]]\nname = \"r\"\neffect = \"safe\"\n[[listen]]\nname = \"l\"\n"
                 + "address = \"127.0.0.1:0\"\nopen = true\nclass = \"r\"\n[[pool]]\nname = \"p\"\nnodes = \"plain\"\n"
                 + "[[pool.server]]\nname = \"s\"\ndial = \"127.0.0.1:1\"\n");
