--- a/src/main/java/cacheproxy/bench/ImportBench.java
+++ b/src/main/java/cacheproxy/bench/ImportBench.java
@@ -89,10 +89,10 @@
         return ConfParser.read(
                 new ConfSource() {
                     @Override
-                    public String read(String path) throws Unreadable {
+                    public String read(String path) throws UnreadableFileException {
                         String text = files.get(path);
                         if (text == null) {
-                            throw new Unreadable("there is no such file");
+                            throw new UnreadableFileException("there is no such file");
                         }
                         return text;
                     }
--- a/src/main/java/cacheproxy/cli/ConfDirectory.java
+++ b/src/main/java/cacheproxy/cli/ConfDirectory.java
@@ -22,32 +22,32 @@
     }
 
     @Override
-    public String read(String path) throws Unreadable {
+    public String read(String path) throws UnreadableFileException {
         Path file;
         try {
             file = prefix.resolve(path);
         } catch (InvalidPathException e) {
-            throw new Unreadable("this is no name of a file");
+            throw new UnreadableFileException("this is no name of a file");
         }
         if (Files.isDirectory(file)) {
-            throw new Unreadable("it is a directory");
+            throw new UnreadableFileException("it is a directory");
         }
         try {
             if (Files.size(file) > MAX_FILE) {
-                throw new Unreadable("it has more than " + MAX_FILE + " bytes");
+                throw new UnreadableFileException("it has more than " + MAX_FILE + " bytes");
             }
             return new String(Files.readAllBytes(file), StandardCharsets.ISO_8859_1);
         } catch (NoSuchFileException e) {
-            throw new Unreadable("there is no such file");
+            throw new UnreadableFileException("there is no such file");
         } catch (java.nio.file.AccessDeniedException e) {
-            throw new Unreadable("it may not be read");
+            throw new UnreadableFileException("it may not be read");
         } catch (IOException e) {
-            throw new Unreadable(String.valueOf(e.getMessage()));
+            throw new UnreadableFileException(String.valueOf(e.getMessage()));
         }
     }
 
     @Override
-    public List<String> glob(String pattern) throws Unreadable {
+    public List<String> glob(String pattern) throws UnreadableFileException {
         List<Path> found = List.of(pattern.startsWith("/") ? Path.of("/") : prefix);
         for (String part : pattern.split("/", 0)) {
             if (part.isEmpty()) {
@@ -72,9 +72,9 @@
                             }
                         });
                     } catch (java.util.regex.PatternSyntaxException e) {
-                        throw new Unreadable("the pattern is broken: " + e.getDescription());
+                        throw new UnreadableFileException("the pattern is broken: " + e.getDescription());
                     } catch (IOException e) {
-                        throw new Unreadable(dir + " can't be listed");
+                        throw new UnreadableFileException(dir + " can't be listed");
                     }
                     own.sort(null);
                     next.addAll(own);
--- a/src/main/java/cacheproxy/nginx/ConfLexer.java
+++ b/src/main/java/cacheproxy/nginx/ConfLexer.java
@@ -1,210 +1,243 @@
 package cacheproxy.nginx;
 
 /**
- * Cuts a file into words, semicolons and braces as nginx does: quotes count only where a word begins, {@code #} begins
- * a comment only there, <code>${</code> opens no block, a word without quotes ends at white space, {@code ;} and <code>
+ * Splits a file into words, semicolons and braces as nginx does: quotes count only where a word begins, {@code #}
+ * begins a comment only there, <code>${</code> opens no block, a word without quotes ends at white space, {@code ;} and
+ * <code>
  * {</code>.
  */
 final class ConfLexer {
+    /** Kinds of tokens. */
     enum Kind {
         WORD,
         SEMICOLON,
-        OPEN,
-        CLOSE,
-        END
+        OPEN_BRACE,
+        CLOSE_BRACE,
+        END_OF_FILE
     }
 
-    /** nginx's own bound on what it reads a word into. */
-    static final int MAX_WORD = 4095;
+    /** The longest word, in bytes: nginx's own bound. */
+    static final int MAX_WORD_BYTES = 4095;
+
+    /** UTF-8's byte order mark, as ISO 8859-1 text. */
+    private static final String BYTE_ORDER_MARK = "\u00EF\u00BB\u00BF";
+
+    private static final char DELETE = 0x7F;
 
     private final String file;
     private final String text;
+    /** Index of the next character to read. */
     private int next;
+
     private int line = 1;
     private int lineStart;
-    /** Of the last word. */
-    String word;
 
+    private String word = "";
     private int tokenLine;
     private int tokenColumn;
 
+    /**
+     * Creates a lexer.
+     *
+     * @param file the file's name, for positions
+     * @param text its bytes as ISO 8859-1 text
+     */
     ConfLexer(String file, String text) {
         this.file = file;
         this.text = text;
-        if (text.startsWith("\u00EF\u00BB\u00BF")) { // a byte order mark
-            next = 3;
-            lineStart = 3;
+        if (text.startsWith(BYTE_ORDER_MARK)) {
+            next = BYTE_ORDER_MARK.length();
+            lineStart = next;
         }
     }
 
-    /** Where the last token stands. */
+    /** The position of the last token. */
     Position at() {
         return new Position(file, tokenLine, tokenColumn);
     }
 
+    /** The last word, without its quotes and with its escapes resolved. */
+    String word() {
+        return word;
+    }
+
+    /**
+     * Reads a token.
+     *
+     * @throws NginxSyntaxException if the text is binary, a quote is not closed or a word too long
+     */
     Kind next() throws NginxSyntaxException {
-        skip();
+        skipBlanksAndComments();
         tokenLine = line;
-        tokenColumn = next - lineStart + 1;
+        tokenColumn = column();
         if (next == text.length()) {
-            return Kind.END;
+            return Kind.END_OF_FILE;
         }
-        char c = text.charAt(next);
-        return switch (c) {
-            case ';' -> {
-                next++;
-                yield Kind.SEMICOLON;
-            }
-            case '{' -> {
-                next++;
-                yield Kind.OPEN;
-            }
-            case '}' -> {
-                next++;
-                yield Kind.CLOSE;
-            }
+        char first = text.charAt(next);
+        return switch (first) {
+            case ';' -> single(Kind.SEMICOLON);
+            case '{' -> single(Kind.OPEN_BRACE);
+            case '}' -> single(Kind.CLOSE_BRACE);
             case '"', '\'' -> {
-                quotedWord(c);
+                word = quotedWord(first);
                 yield Kind.WORD;
             }
             default -> {
-                plainWord();
+                word = unquotedWord();
                 yield Kind.WORD;
             }
         };
     }
 
-    private void skip() {
+    /**
+     * Reads the text of a Lua block, after its opening brace and with its closing one. Braces in Lua's strings and
+     * comments don't count.
+     *
+     * @throws NginxSyntaxException if the block is not closed
+     */
+    String rawBlock() throws NginxSyntaxException {
+        Position open = at();
+        int start = next;
+        int depth = 1;
+        while (next < text.length()) {
+            char character = checkedCharacter();
+            if (character == '-' && text.startsWith("--", next)) {
+                next = endOfLine();
+                continue;
+            }
+            if (character == '"' || character == '\'') {
+                skipLuaString(character);
+            } else if (character == '{') {
+                depth++;
+            } else if (character == '}' && --depth == 0) {
+                return text.substring(start, next++);
+            }
+            next++;
+        }
+        throw new NginxSyntaxException(open, "the block that opens here is not closed");
+    }
+
+    private Kind single(Kind kind) {
+        next++;
+        return kind;
+    }
+
+    private void skipBlanksAndComments() {
         for (; next < text.length(); next++) {
-            char c = text.charAt(next);
-            if (c == '#') {
-                int end = text.indexOf('\n', next);
-                next = (end < 0 ? text.length() : end) - 1;
-            } else if (c == '\n') {
-                newLine();
-            } else if (c != ' ' && c != '\t' && c != '\r') {
+            char character = text.charAt(next);
+            if (character == '#') {
+                next = endOfLine() - 1;
+            } else if (character == '\n') {
+                beginLine();
+            } else if (character != ' ' && character != '\t' && character != '\r') {
                 return;
             }
         }
     }
 
-    private void newLine() {
+    /** Index of the next line break, or the end of the text. */
+    private int endOfLine() {
+        int end = text.indexOf('\n', next);
+        return end < 0 ? text.length() : end;
+    }
+
+    private void beginLine() {
         line++;
         lineStart = next + 1;
     }
 
-    private char checked() throws NginxSyntaxException {
-        char c = text.charAt(next);
-        if ((c < ' ' && c != '\t' && c != '\r' && c != '\n') || c == 0x7F) {
+    private int column() {
+        return next - lineStart + 1;
+    }
+
+    /** The next character, counted if it is a line break; control characters are rejected. */
+    private char checkedCharacter() throws NginxSyntaxException {
+        char character = text.charAt(next);
+        boolean blank = character == '\t' || character == '\r' || character == '\n';
+        if ((character < ' ' && !blank) || character == DELETE) {
             throw new NginxSyntaxException(
-                    new Position(file, line, next - lineStart + 1),
-                    "byte 0x" + String.format("%02x", (int) c) + " in column " + (next - lineStart + 1)
+                    new Position(file, line, column()),
+                    "byte 0x" + String.format("%02x", (int) character) + " in column " + column()
                             + "; this is no text");
         }
-        if (c == '\n') {
-            newLine();
+        if (character == '\n') {
+            beginLine();
         }
-        return c;
+        return character;
     }
 
-    private void quotedWord(char quote) throws NginxSyntaxException {
+    private String quotedWord(char quote) throws NginxSyntaxException {
         StringBuilder out = new StringBuilder();
         next++;
         for (; ; next++) {
             if (next >= text.length()) {
                 throw new NginxSyntaxException(at(), "the quote that opens here is not closed");
             }
-            char c = checked();
-            if (c == quote) {
+            char character = checkedCharacter();
+            if (character == quote) {
                 break;
             }
-            if (c == '\\' && next + 1 < text.length()) {
-                next++;
-                escape(checked(), out);
-            } else {
-                out.append(c);
-            }
-            bound(out);
+            appendUnescaped(character, out);
         }
         next++;
+        checkEndOfQuotedWord();
+        return out.toString();
+    }
+
+    private void checkEndOfQuotedWord() throws NginxSyntaxException {
         char after = next < text.length() ? text.charAt(next) : ' ';
         if (" \t\r\n;{)".indexOf(after) < 0) {
             throw new NginxSyntaxException(
-                    new Position(file, line, next - lineStart + 1),
+                    new Position(file, line, column()),
                     "unexpected '" + after + "' behind a closing quote; white space, ; or { must follow");
         }
-        word = out.toString();
     }
 
-    private void plainWord() throws NginxSyntaxException {
+    private String unquotedWord() throws NginxSyntaxException {
         StringBuilder out = new StringBuilder();
-        boolean variable = false;
+        boolean afterDollar = false;
         for (; next < text.length(); next++) {
-            char c = text.charAt(next);
-            boolean brace = c == '{' && variable;
-            if (" \t\r\n;".indexOf(c) >= 0 || (c == '{' && !brace)) {
+            char character = text.charAt(next);
+            boolean opensBlock = character == '{' && !afterDollar;
+            if (" \t\r\n;".indexOf(character) >= 0 || opensBlock) {
                 break;
             }
-            checked();
-            variable = c == '$';
-            if (c == '\\' && next + 1 < text.length()) {
-                next++;
-                escape(checked(), out);
-            } else {
-                out.append(c);
-            }
-            bound(out);
+            appendUnescaped(checkedCharacter(), out);
+            afterDollar = character == '$';
         }
-        word = out.toString();
+        return out.toString();
     }
 
-    /** Other escapes stay as they are: they are the regular expressions'. */
-    private static void escape(char c, StringBuilder out) {
-        switch (c) {
-            case '"', '\'', '\\' -> out.append(c);
-            case 't' -> out.append('\t');
-            case 'r' -> out.append('\r');
-            case 'n' -> out.append('\n');
-            default -> out.append('\\').append(c);
+    /** Appends the character at {@code next}, or what it escapes, which is read with it. */
+    private void appendUnescaped(char character, StringBuilder out) throws NginxSyntaxException {
+        if (character == '\\' && next + 1 < text.length()) {
+            next++;
+            appendEscaped(checkedCharacter(), out);
+        } else {
+            out.append(character);
         }
-    }
-
-    private void bound(StringBuilder out) throws NginxSyntaxException {
-        if (out.length() > MAX_WORD) {
+        if (out.length() > MAX_WORD_BYTES) {
             throw new NginxSyntaxException(
                     at(),
-                    "a parameter of more than " + MAX_WORD
+                    "a parameter of more than " + MAX_WORD_BYTES
                             + " bytes begins here; probably a closing quote or a semicolon is missing");
         }
     }
 
-    /** The text up to the brace that closes the one just read, of another grammar: Lua's strings and comments count. */
-    String rawBlock() throws NginxSyntaxException {
-        Position open = at();
-        int from = next;
-        int depth = 1;
-        while (next < text.length()) {
-            char c = checked();
-            if (c == '-' && text.startsWith("--", next)) {
-                int end = text.indexOf('\n', next);
-                next = end < 0 ? text.length() : end;
-                continue;
-            }
-            if (c == '"' || c == '\'') {
-                skipString(c);
-            } else if (c == '{') {
-                depth++;
-            } else if (c == '}' && --depth == 0) {
-                return text.substring(from, next++);
-            }
-            next++;
+    /** Appends what a backslash and this character stand for. Other escapes are kept for regular expressions. */
+    private static void appendEscaped(char character, StringBuilder out) {
+        switch (character) {
+            case '"', '\'', '\\' -> out.append(character);
+            case 't' -> out.append('\t');
+            case 'r' -> out.append('\r');
+            case 'n' -> out.append('\n');
+            default -> out.append('\\').append(character);
         }
-        throw new NginxSyntaxException(open, "the block that opens here is not closed");
     }
 
-    private void skipString(char quote) throws NginxSyntaxException {
+    private void skipLuaString(char quote) throws NginxSyntaxException {
         for (next++; next < text.length() && text.charAt(next) != quote && text.charAt(next) != '\n'; next++) {
-            if (checked() == '\\') {
+            if (checkedCharacter() == '\\') {
                 next++;
             }
         }
--- a/src/main/java/cacheproxy/nginx/ConfParser.java
+++ b/src/main/java/cacheproxy/nginx/ConfParser.java
@@ -6,176 +6,226 @@
 import java.util.List;
 
 /**
- * Reads a configuration with all that it includes into a tree. Every directive keeps its file, line and column. Bounds:
- * {@value #MAX_FILES} files, {@value #MAX_BYTES} bytes in all, {@value #MAX_DEPTH} blocks and {@value #MAX_INCLUDES}
- * includes in each other.
+ * Reads a configuration and all files that it includes into a tree of directives. Bounds: {@value #MAX_FILES} files,
+ * {@value #MAX_BYTES} bytes in all, {@value #MAX_BLOCK_DEPTH} nested blocks and {@value #MAX_INCLUDE_DEPTH} nested
+ * includes.
  */
 public final class ConfParser {
+    /** The most files of a configuration; a file that is included twice counts twice. */
     public static final int MAX_FILES = 20_000;
+
+    /** The most bytes of all files. */
     public static final long MAX_BYTES = 256L << 20;
-    public static final int MAX_DEPTH = 64;
-    public static final int MAX_INCLUDES = 64;
+
+    /** The most blocks within each other. */
+    public static final int MAX_BLOCK_DEPTH = 64;
+
+    /** The most files that include each other. */
+    public static final int MAX_INCLUDE_DEPTH = 64;
+
+    private static final String LUA_BLOCK_SUFFIX = "_by_lua_block";
 
     private final ConfSource source;
-    private final Deque<String> reading = new ArrayDeque<>();
-    private final List<Empty> empty = new ArrayList<>();
-    private int files;
-    private long bytes;
+    /** The files being read, each included by the one before it. */
+    private final Deque<String> openFiles = new ArrayDeque<>();
 
-    /** An include whose pattern matches no file, which nginx lets pass. */
+    private final List<Empty> emptyIncludes = new ArrayList<>();
+    private int fileCount;
+    private long byteCount;
+
+    /** An include whose pattern matches no file, which nginx accepts. */
     public record Empty(Directive include) {}
 
-    /** A configuration as read. */
+    /**
+     * A configuration as read.
+     *
+     * @param directives the tree, with the included files' directives in place of the includes
+     * @param empty includes that matched no file
+     * @param files number of files read
+     * @param bytes size of all files
+     */
     public record Conf(List<Directive> directives, List<Empty> empty, int files, long bytes) {}
 
     private ConfParser(ConfSource source) {
         this.source = source;
     }
 
-    /** Reads a file and what it includes. */
+    /**
+     * Reads a file and what it includes.
+     *
+     * @throws NginxSyntaxException if a file can't be read, is malformed or exceeds a bound
+     */
     public static Conf read(ConfSource source, String file) throws NginxSyntaxException {
         ConfParser parser = new ConfParser(source);
-        List<Directive> all = new ArrayList<>();
-        parser.file(file, null, all, 0);
-        return new Conf(all, parser.empty, parser.files, parser.bytes);
+        List<Directive> directives = new ArrayList<>();
+        parser.readFile(file, null, directives, 0);
+        return new Conf(directives, parser.emptyIncludes, parser.fileCount, parser.byteCount);
     }
 
-    /** Reads a text that includes nothing. */
+    /**
+     * Reads a text that includes nothing.
+     *
+     * @param name the file name for positions
+     * @throws NginxSyntaxException if the text is malformed, exceeds a bound or includes a file
+     */
     public static List<Directive> parse(String name, String text) throws NginxSyntaxException {
-        return read(
-                        new ConfSource() {
-                            @Override
-                            public String read(String path) throws Unreadable {
-                                if (!path.equals(name)) {
-                                    throw new Unreadable("a text alone can't include files");
-                                }
-                                return text;
-                            }
-
-                            @Override
-                            public List<String> glob(String pattern) {
-                                return List.of();
-                            }
-                        },
-                        name)
-                .directives();
+        return read(new SingleText(name, text), name).directives();
     }
 
-    private void file(String path, Position from, List<Directive> into, int depth) throws NginxSyntaxException {
-        if (reading.contains(path)) {
-            throw new NginxSyntaxException(
-                    from, path + " includes itself: " + String.join(" -> ", way()) + " -> " + path);
+    /** One text in place of files. */
+    private record SingleText(String name, String text) implements ConfSource {
+        @Override
+        public String read(String path) throws UnreadableFileException {
+            if (!path.equals(name)) {
+                throw new UnreadableFileException("a text alone can't include files");
+            }
+            return text;
         }
-        if (reading.size() >= MAX_INCLUDES || ++files > MAX_FILES) {
+
+        @Override
+        public List<String> glob(String pattern) {
+            return List.of();
+        }
+    }
+
+    /**
+     * Reads a file.
+     *
+     * @param includedAt the include; null for the main file
+     * @param blockDepth number of blocks around the include
+     */
+    private void readFile(String path, Position includedAt, List<Directive> into, int blockDepth)
+            throws NginxSyntaxException {
+        checkInclude(path, includedAt);
+        String text = readText(path, includedAt);
+        byteCount += text.length();
+        if (byteCount > MAX_BYTES) {
+            throw new NginxSyntaxException(path, "the configuration has more than " + MAX_BYTES + " bytes");
+        }
+        openFiles.addLast(path);
+        readBlock(new ConfLexer(path, text), null, into, blockDepth);
+        openFiles.removeLast();
+    }
+
+    private void checkInclude(String path, Position includedAt) throws NginxSyntaxException {
+        if (openFiles.contains(path)) {
             throw new NginxSyntaxException(
-                    from,
-                    "more than "
-                            + (reading.size() >= MAX_INCLUDES
-                                    ? MAX_INCLUDES + " includes in each other"
-                                    : MAX_FILES + " files"));
+                    includedAt, path + " includes itself: " + String.join(" -> ", openFiles) + " -> " + path);
         }
-        String text;
-        try {
-            text = source.read(path);
-        } catch (ConfSource.Unreadable e) {
-            String why = "can't read " + path + ": " + e.getMessage();
-            throw from == null
-                    ? new NginxSyntaxException(path, "can't be read: " + e.getMessage())
-                    : new NginxSyntaxException(from, why);
+        if (openFiles.size() >= MAX_INCLUDE_DEPTH) {
+            throw new NginxSyntaxException(includedAt, "more than " + MAX_INCLUDE_DEPTH + " includes in each other");
         }
-        bytes += text.length();
-        if (bytes > MAX_BYTES) {
-            throw new NginxSyntaxException(path, "the configuration has more than " + MAX_BYTES + " bytes");
+        fileCount++;
+        if (fileCount > MAX_FILES) {
+            throw new NginxSyntaxException(includedAt, "more than " + MAX_FILES + " files");
         }
-        reading.addLast(path);
-        ConfLexer lexer = new ConfLexer(path, text);
-        block(lexer, null, into, depth);
-        reading.removeLast();
     }
 
-    private List<String> way() {
-        return List.copyOf(reading);
+    private String readText(String path, Position includedAt) throws NginxSyntaxException {
+        try {
+            return source.read(path);
+        } catch (ConfSource.UnreadableFileException e) {
+            throw includedAt == null
+                    ? new NginxSyntaxException(path, "can't be read: " + e.getMessage())
+                    : new NginxSyntaxException(includedAt, "can't read " + path + ": " + e.getMessage());
+        }
     }
 
-    /** Directives up to the block's end, or the file's where {@code open} is null. */
-    private void block(ConfLexer lexer, Position open, List<Directive> into, int depth) throws NginxSyntaxException {
-        if (depth > MAX_DEPTH) {
-            throw new NginxSyntaxException(open, "more than " + MAX_DEPTH + " blocks in each other");
+    /**
+     * Reads directives up to the end of a block or file.
+     *
+     * @param open the block's opening brace; null for a file
+     */
+    private void readBlock(ConfLexer lexer, Position open, List<Directive> into, int blockDepth)
+            throws NginxSyntaxException {
+        if (blockDepth > MAX_BLOCK_DEPTH) {
+            throw new NginxSyntaxException(open, "more than " + MAX_BLOCK_DEPTH + " blocks in each other");
         }
         for (; ; ) {
             ConfLexer.Kind kind = lexer.next();
             switch (kind) {
-                case END -> {
+                case WORD -> readDirective(lexer, into, blockDepth);
+                case END_OF_FILE -> {
                     if (open != null) {
                         throw new NginxSyntaxException(open, "the block that opens here is not closed");
                     }
                     return;
                 }
-                case CLOSE -> {
+                case CLOSE_BRACE -> {
                     if (open == null) {
                         throw new NginxSyntaxException(lexer.at(), "unexpected '}': no block is open");
                     }
                     return;
                 }
                 case SEMICOLON -> throw new NginxSyntaxException(lexer.at(), "unexpected ';': no directive before it");
-                case OPEN -> throw new NginxSyntaxException(lexer.at(), "unexpected '{': no directive before it");
-                case WORD -> directive(lexer, into, depth);
+                case OPEN_BRACE -> throw new NginxSyntaxException(lexer.at(), "unexpected '{': no directive before it");
+                default -> throw new IllegalStateException("unknown token " + kind);
             }
         }
     }
 
-    private void directive(ConfLexer lexer, List<Directive> into, int depth) throws NginxSyntaxException {
-        String name = lexer.word;
+    /** Reads a directive whose name is the lexer's last word. */
+    private void readDirective(ConfLexer lexer, List<Directive> into, int blockDepth) throws NginxSyntaxException {
+        String name = lexer.word();
         Position at = lexer.at();
         List<String> args = new ArrayList<>();
         for (; ; ) {
             ConfLexer.Kind kind = lexer.next();
             switch (kind) {
-                case WORD -> args.add(lexer.word);
+                case WORD -> args.add(lexer.word());
                 case SEMICOLON -> {
-                    Directive d = new Directive(name, args, null, null, at);
-                    if (name.equals("include") && args.size() == 1) {
-                        include(d, into, depth);
-                    } else {
-                        into.add(d);
-                    }
+                    addSimple(new Directive(name, args, null, null, at), into, blockDepth);
                     return;
                 }
-                case OPEN -> {
-                    if (name.endsWith("_by_lua_block")) {
-                        into.add(new Directive(name, args, List.of(), lexer.rawBlock(), at));
-                        return;
-                    }
-                    List<Directive> inner = new ArrayList<>();
-                    block(lexer, lexer.at(), inner, depth + 1);
-                    into.add(new Directive(name, args, inner, null, at));
+                case OPEN_BRACE -> {
+                    into.add(blockDirective(lexer, name, args, at, blockDepth));
                     return;
                 }
-                case CLOSE ->
+                case CLOSE_BRACE ->
                     throw new NginxSyntaxException(
                             lexer.at(), "unexpected '}': '" + name + "' of line " + at.line() + " ends without ';'");
-                case END -> throw new NginxSyntaxException(at, "'" + name + "' is not ended by ';' or a block");
+                case END_OF_FILE -> throw new NginxSyntaxException(at, "'" + name + "' is not ended by ';' or a block");
+                default -> throw new IllegalStateException("unknown token " + kind);
             }
         }
     }
 
-    private void include(Directive d, List<Directive> into, int depth) throws NginxSyntaxException {
-        String pattern = d.arg(0);
-        if (pattern.indexOf('*') < 0 && pattern.indexOf('?') < 0 && pattern.indexOf('[') < 0) {
-            file(pattern, d.at(), into, depth);
+    private Directive blockDirective(ConfLexer lexer, String name, List<String> args, Position at, int blockDepth)
+            throws NginxSyntaxException {
+        if (name.endsWith(LUA_BLOCK_SUFFIX)) {
+            return new Directive(name, args, List.of(), lexer.rawBlock(), at);
+        }
+        List<Directive> inner = new ArrayList<>();
+        readBlock(lexer, lexer.at(), inner, blockDepth + 1);
+        return new Directive(name, args, inner, null, at);
+    }
+
+    private void addSimple(Directive directive, List<Directive> into, int blockDepth) throws NginxSyntaxException {
+        if (directive.name().equals("include") && directive.args().size() == 1) {
+            include(directive, into, blockDepth);
+        } else {
+            into.add(directive);
+        }
+    }
+
+    private void include(Directive include, List<Directive> into, int blockDepth) throws NginxSyntaxException {
+        String pattern = include.arg(0);
+        boolean isPattern = pattern.chars().anyMatch(character -> "*?[".indexOf(character) >= 0);
+        if (!isPattern) {
+            readFile(pattern, include.at(), into, blockDepth);
             return;
         }
         List<String> found;
         try {
             found = source.glob(pattern);
-        } catch (ConfSource.Unreadable e) {
-            throw new NginxSyntaxException(d.at(), "can't look for " + pattern + ": " + e.getMessage());
+        } catch (ConfSource.UnreadableFileException e) {
+            throw new NginxSyntaxException(include.at(), "can't look for " + pattern + ": " + e.getMessage());
         }
         if (found.isEmpty()) {
-            empty.add(new Empty(d));
+            emptyIncludes.add(new Empty(include));
         }
         for (String path : found) {
-            file(path, d.at(), into, depth);
+            readFile(path, include.at(), into, blockDepth);
         }
     }
 }
--- a/src/main/java/cacheproxy/nginx/ConfPrinter.java
+++ b/src/main/java/cacheproxy/nginx/ConfPrinter.java
@@ -2,10 +2,14 @@
 
 import java.util.List;
 
-/** Writes a tree so that reading it again gives an equal one. */
+/** Writes a tree of directives as a configuration file. */
 public final class ConfPrinter {
+    private static final String INDENT = "    ";
+    private static final char DELETE = 0x7F;
+
     private ConfPrinter() {}
 
+    /** The text of these directives; {@link ConfParser#parse} makes an equal tree of it. */
     public static String print(List<Directive> directives) {
         StringBuilder out = new StringBuilder();
         print(directives, "", out);
@@ -13,39 +17,42 @@
     }
 
     private static void print(List<Directive> directives, String indent, StringBuilder out) {
-        for (Directive d : directives) {
-            out.append(indent).append(word(d.name()));
-            d.args().forEach(a -> out.append(' ').append(word(a)));
-            if (d.raw() != null) {
-                out.append(" {").append(d.raw()).append("}\n");
-            } else if (d.block() == null) {
+        for (Directive directive : directives) {
+            out.append(indent).append(quotedIfNeeded(directive.name()));
+            directive.args().forEach(argument -> out.append(' ').append(quotedIfNeeded(argument)));
+            if (directive.raw() != null) {
+                out.append(" {").append(directive.raw()).append("}\n");
+            } else if (directive.block() == null) {
                 out.append(";\n");
             } else {
                 out.append(" {\n");
-                print(d.block(), indent + "    ", out);
+                print(directive.block(), indent + INDENT, out);
                 out.append(indent).append("}\n");
             }
         }
     }
 
-    private static String word(String text) {
-        boolean plain =
-                !text.isEmpty() && text.chars().allMatch(c -> c > ' ' && c != 0x7F && "\"'\\{};#".indexOf(c) < 0);
+    private static String quotedIfNeeded(String text) {
+        boolean plain = !text.isEmpty() && text.chars().allMatch(ConfPrinter::isPlain);
         if (plain) {
             return text;
         }
         StringBuilder out = new StringBuilder("\"");
         for (int i = 0; i < text.length(); i++) {
-            char c = text.charAt(i);
-            switch (c) {
+            char character = text.charAt(i);
+            switch (character) {
                 case '"' -> out.append("\\\"");
                 case '\t' -> out.append("\\t");
                 case '\r' -> out.append("\\r");
                 case '\n' -> out.append("\\n");
                 case '\\' -> out.append("\\\\");
-                default -> out.append(c);
+                default -> out.append(character);
             }
         }
         return out.append('"').toString();
     }
+
+    private static boolean isPlain(int character) {
+        return character > ' ' && character != DELETE && "\"'\\{};#".indexOf(character) < 0;
+    }
 }
--- a/src/main/java/cacheproxy/nginx/ConfSource.java
+++ b/src/main/java/cacheproxy/nginx/ConfSource.java
@@ -2,20 +2,35 @@
 
 import java.util.List;
 
-/** The files of a configuration, by paths relative to its prefix or absolute. */
+/** The files of a configuration, by paths that are absolute or relative to its prefix. */
 public interface ConfSource {
-    /** A file or directory that can't be read; the message says why. */
-    final class Unreadable extends Exception {
+    /** A file or directory can't be read; the message says why. */
+    final class UnreadableFileException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        public Unreadable(String why) {
-            super(why);
+        /**
+         * Creates the exception.
+         *
+         * @param reason why the file can't be read, in words that may follow its name and a colon
+         */
+        public UnreadableFileException(String reason) {
+            super(reason);
         }
     }
 
-    /** A file's bytes as ISO 8859-1 text: nginx's grammar is one of bytes. */
-    String read(String path) throws Unreadable;
+    /**
+     * Reads a file.
+     *
+     * @return its bytes as ISO 8859-1 text: nginx's grammar is one of bytes
+     * @throws UnreadableFileException if there is no such file, or it can't be read
+     */
+    String read(String path) throws UnreadableFileException;
 
-    /** The files that a pattern with {@code *}, {@code ?} or {@code [...]} names, in the order of their names. */
-    List<String> glob(String pattern) throws Unreadable;
+    /**
+     * Lists the files that match a pattern with {@code *}, {@code ?} or {@code [...]}.
+     *
+     * @return their paths, ordered by name; empty if none matches
+     * @throws UnreadableFileException if the pattern is malformed or a directory can't be listed
+     */
+    List<String> glob(String pattern) throws UnreadableFileException;
 }
--- a/src/main/java/cacheproxy/nginx/Directive.java
+++ b/src/main/java/cacheproxy/nginx/Directive.java
@@ -1,34 +1,44 @@
 package cacheproxy.nginx;
 
 import java.util.List;
+import java.util.Objects;
 
 /**
- * A directive with its parameters, and with what stands between its braces. Parameters are as nginx gets them: without
- * quotes, escapes of quotes, backslashes, tabs and line ends resolved. Two are equal if they say the same, wherever
- * they stand.
+ * A directive with its parameters and its block. Parameters are as nginx gets them: without quotes, with escapes of
+ * quotes, backslashes, tabs and line breaks resolved. Two directives are equal if they say the same, at any position.
  *
- * @param block null where it ends with a semicolon
- * @param raw the text of a block that is of another grammar (Lua); null for others
+ * @param args the parameters, without the directive's name
+ * @param block the directives between its braces; null if it ends with a semicolon
+ * @param raw the text of a block of another grammar (Lua); null for other directives
+ * @param at where it begins
  */
 public record Directive(String name, List<String> args, List<Directive> block, String raw, Position at) {
+    /** Copies the lists. */
     public Directive {
         args = List.copyOf(args);
         block = block == null ? null : List.copyOf(block);
     }
 
-    /** A parameter; empty where there is none. */
-    public String arg(int i) {
-        return i < args.size() ? args.get(i) : "";
+    /** The parameter at an index from 0; empty if there is none. */
+    public String arg(int index) {
+        return index < args.size() ? args.get(index) : "";
     }
 
-    /** Those of a name directly in its block. */
+    /** The last parameter; empty if there is none. */
+    public String lastArg() {
+        return args.isEmpty() ? "" : args.get(args.size() - 1);
+    }
+
+    /** The directives of a name directly in its block. */
     public List<Directive> all(String wanted) {
         return block == null
                 ? List.of()
-                : block.stream().filter(d -> d.name.equals(wanted)).toList();
+                : block.stream()
+                        .filter(directive -> directive.name.equals(wanted))
+                        .toList();
     }
 
-    /** The last of a name directly in its block; null where there is none. */
+    /** The last directive of a name directly in its block; null if there is none. */
     public Directive last(String wanted) {
         for (int i = block == null ? -1 : block.size() - 1; i >= 0; i--) {
             if (block.get(i).name.equals(wanted)) {
@@ -39,12 +49,12 @@
     }
 
     @Override
-    public boolean equals(Object o) {
-        return o instanceof Directive d
-                && name.equals(d.name)
-                && args.equals(d.args)
-                && java.util.Objects.equals(block, d.block)
-                && java.util.Objects.equals(raw, d.raw);
+    public boolean equals(Object other) {
+        return other instanceof Directive directive
+                && name.equals(directive.name)
+                && args.equals(directive.args)
+                && Objects.equals(block, directive.block)
+                && Objects.equals(raw, directive.raw);
     }
 
     @Override
@@ -52,7 +62,7 @@
         return name.hashCode() * 31 + args.hashCode();
     }
 
-    /** As it begins, for reports: name and parameters. */
+    /** The name and the parameters, for reports. */
     @Override
     public String toString() {
         return args.isEmpty() ? name : name + " " + String.join(" ", args);
--- a/src/main/java/cacheproxy/nginx/NginxSyntaxException.java
+++ b/src/main/java/cacheproxy/nginx/NginxSyntaxException.java
@@ -1,14 +1,16 @@
 package cacheproxy.nginx;
 
-/** A configuration that can't be read, with its place and the reason. */
+/** A configuration can't be read; the message begins with the file, and the line where it is known. */
 public final class NginxSyntaxException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    public NginxSyntaxException(Position at, String why) {
-        super(at.file() + ":" + at.line() + ": " + why);
+    /** Reports a fault at a position. */
+    public NginxSyntaxException(Position at, String reason) {
+        super(at.file() + ":" + at.line() + ": " + reason);
     }
 
-    public NginxSyntaxException(String file, String why) {
-        super(file + ": " + why);
+    /** Reports a fault of a whole file. */
+    public NginxSyntaxException(String file, String reason) {
+        super(file + ": " + reason);
     }
 }
--- a/src/main/java/cacheproxy/nginx/Position.java
+++ b/src/main/java/cacheproxy/nginx/Position.java
@@ -1,6 +1,11 @@
 package cacheproxy.nginx;
 
-/** Where a directive stands; line and column from 1. */
+/**
+ * A position in a file.
+ *
+ * @param line from 1
+ * @param column from 1, in bytes
+ */
 public record Position(String file, int line, int column) {
     @Override
     public String toString() {
--- a/src/test/java/cacheproxy/nginx/ConfParserTest.java
+++ b/src/test/java/cacheproxy/nginx/ConfParserTest.java
@@ -10,14 +10,14 @@
 import java.util.TreeMap;
 import org.junit.jupiter.api.Test;
 
-/** nginx's grammar: what is a word, where it stands, what includes do, and what is no configuration. */
+/** The grammar of nginx: words and their positions, includes, and what is rejected as malformed. */
 class ConfParserTest {
-    /** Files in memory; a pattern's star stands for anything but a slash. */
+    /** Files in memory; a pattern's star matches anything but a slash. */
     record Files(Map<String, String> texts) implements ConfSource {
         @Override
-        public String read(String path) throws Unreadable {
+        public String read(String path) throws UnreadableFileException {
             if (!texts.containsKey(path)) {
-                throw new Unreadable("there is no such file");
+                throw new UnreadableFileException("there is no such file");
             }
             return texts.get(path);
         }
@@ -26,7 +26,7 @@
         public List<String> glob(String pattern) {
             String regex = pattern.replace(".", "\\.").replace("*", "[^/]*");
             return new TreeMap<>(texts)
-                    .keySet().stream().filter(p -> p.matches(regex)).toList();
+                    .keySet().stream().filter(path -> path.matches(regex)).toList();
         }
     }
 
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void wordsQuotesEscapesAndComments() throws Exception {
+    void splitsWordsWithQuotesEscapesAndComments() throws Exception {
         List<Directive> all = parse("a 1 \"two words\" 'it''s'".replace("''s'", "' s") + ";# c ; }\n"
                 + "b \"x\\\"y\\\\z\\t\\.\" ${v}x a#b \\. 'a;{}b';\n  location ~ \\.(a|b)$ { c\td; }\n");
         assertThat(all.get(0).args()).containsExactly("1", "two words", "it", "s");
@@ -47,8 +47,8 @@
     }
 
     @Test
-    void whatIsNoConfigurationIsToldWithItsLine() {
-        for (String[] wrong : new String[][] {
+    void rejectsMalformedTextNamingItsLine() {
+        for (String[] textAndMessage : new String[][] {
             {"a;\nb {\n c;\n", "f:2: the block that opens here is not closed"},
             {"a;\n}\n", "f:2: unexpected '}': no block is open"},
             {"a {\n b\n}\n", "f:3: unexpected '}': 'b' of line 2 ends without ';'"},
@@ -62,34 +62,34 @@
             {"a {".repeat(100), "f:1: more than 64 blocks in each other"},
             {"include g;", "f:1: can't read g: a text alone can't include files"}
         }) {
-            assertThatThrownBy(() -> parse(wrong[0]))
-                    .as(wrong[0])
+            assertThatThrownBy(() -> parse(textAndMessage[0]))
+                    .as(textAndMessage[0])
                     .isInstanceOf(NginxSyntaxException.class)
-                    .hasMessageStartingWith(wrong[1]);
+                    .hasMessageStartingWith(textAndMessage[1]);
         }
     }
 
     @Test
-    void luaBlocksAreKeptAsTheyAre() throws Exception {
+    void keepsTextOfLuaBlocks() throws Exception {
         List<Directive> all = parse("content_by_lua_block { if x then y = \"}\" end -- }\n t = {1} }\na;");
         assertThat(all.get(0).raw()).isEqualTo(" if x then y = \"}\" end -- }\n t = {1} ");
         assertThat(all.get(1).name()).isEqualTo("a");
     }
 
     @Test
-    void aTreeOfIncludesIsReadInOrderWithItsPlaces() throws Exception {
+    void readsIncludedFilesInOrderWithTheirPositions() throws Exception {
         Map<String, String> texts = new TreeMap<>();
-        StringBuilder main = new StringBuilder("include none/*.conf;\nhttp { include sites/*.conf;\n");
+        StringBuilder mainFile = new StringBuilder("include none/*.conf;\nhttp { include sites/*.conf;\n");
         for (int i = 0; i < 200; i++) {
             texts.put(String.format("sites/%03d.conf", i), "server { include parts/" + i + "; }");
             texts.put("parts/" + i, "\n\nlisten " + (1000 + i) + ";");
         }
-        texts.put("main", main.append("}").toString());
+        texts.put("main", mainFile.append("}").toString());
         ConfParser.Conf conf = ConfParser.read(new Files(texts), "main");
         assertThat(conf.files()).isEqualTo(401);
         assertThat(conf.empty())
                 .singleElement()
-                .satisfies(e -> assertThat(e.include().arg(0)).isEqualTo("none/*.conf"));
+                .satisfies(empty -> assertThat(empty.include().arg(0)).isEqualTo("none/*.conf"));
         List<Directive> servers = conf.directives().get(0).block();
         assertThat(servers).hasSize(200);
         assertThat(servers.get(17).block().get(0).arg(0)).isEqualTo("1017");
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void loopsAndMissingFilesAreToldWhereTheyAreIncluded() {
+    void rejectsIncludeLoopsAndMissingFilesNamingTheInclude() {
         assertThatThrownBy(() -> ConfParser.read(
                         new Files(Map.of("a", "x;\ninclude b;", "b", "include *c;", "c", "include a;")), "a"))
                 .hasMessage("c:1: a includes itself: a -> b -> c -> a");
@@ -114,14 +114,14 @@
     }
 
     @Test
-    void tenMegabytesAreRead() throws Exception {
+    void readsTenMegabytes() throws Exception {
         String server = "server { listen 80; location /x { proxy_pass http://u; } }\n";
         List<Directive> all = parse(server.repeat(10_000_000 / server.length() + 1));
         assertThat(all).hasSize(10_000_000 / server.length() + 1);
     }
 
     @Test
-    void parsedPrintedAndParsedAgainIsTheSame() throws Exception {
+    void parsesPrintedTreeToAnEqualTree() throws Exception {
         SplittableRandom random = new SplittableRandom(5);
         for (int i = 0; i < 2000; i++) {
             List<Directive> tree = tree(random, 0);
@@ -133,45 +133,44 @@
     }
 
     @Test
-    void noiseIsRefusedAndNeverMore() {
+    void rejectsRandomTextBySyntaxExceptionOnly() {
         SplittableRandom random = new SplittableRandom(6);
         String alphabet = "ab ;{}\"'\\#$\n\t\u0000~*/";
-        int good = 0;
+        int accepted = 0;
         for (int i = 0; i < 20_000; i++) {
             StringBuilder text = new StringBuilder();
-            for (int n = random.nextInt(30); n > 0; n--) {
+            for (int remaining = random.nextInt(30); remaining > 0; remaining--) {
                 text.append(alphabet.charAt(random.nextInt(alphabet.length())));
             }
             try {
                 parse(text.toString());
-                good++;
+                accepted++;
             } catch (NginxSyntaxException e) {
                 assertThat(e.getMessage()).matches("f:[0-9]+: (?s).+");
             }
         }
-        assertThat(good).isBetween(100, 10_000);
+        assertThat(accepted).isBetween(100, 10_000);
     }
 
     private static List<Directive> tree(SplittableRandom random, int depth) {
         List<Directive> all = new ArrayList<>();
-        for (int n = random.nextInt(4); n > 0; n--) {
+        for (int remaining = random.nextInt(4); remaining > 0; remaining--) {
             List<String> args = new ArrayList<>();
-            for (int a = random.nextInt(3); a > 0; a--) {
-                args.add(word(random, 0));
+            for (int remainingArgs = random.nextInt(3); remainingArgs > 0; remainingArgs--) {
+                args.add(word(random));
             }
             List<Directive> block = depth < 4 && random.nextInt(3) == 0 ? tree(random, depth + 1) : null;
-            all.add(new Directive("d" + word(random, 0), args, block, null, new Position("f", 1, 1)));
+            all.add(new Directive("d" + word(random), args, block, null, new Position("f", 1, 1)));
         }
         return all;
     }
 
-    private static String word(SplittableRandom random, int least) {
+    private static String word(SplittableRandom random) {
         String alphabet = "abc09 ;{}\"'\\#$~^*/.()\t\n=\u00e9";
         StringBuilder text = new StringBuilder();
-        for (int n = least + random.nextInt(8); n > 0; n--) {
+        for (int remaining = random.nextInt(8); remaining > 0; remaining--) {
             text.append(alphabet.charAt(random.nextInt(alphabet.length())));
         }
-        // Other escapes stay as they are, so that a backslash before such a letter is itself only if written twice.
         return text.toString();
     }
 }
