--- a/src/main/java/cacheproxy/nginx/importer/Importer.java
+++ b/src/main/java/cacheproxy/nginx/importer/Importer.java
@@ -49,7 +49,7 @@
         List<HttpModel.Fault> shapes = new ArrayList<>();
         this.conf = new ConfParser.Conf(
                 DirectiveShapes.checked(conf.directives(), shapes), conf.empty(), conf.files(), conf.bytes());
-        shapes.forEach(f -> report.not(f.at(), f.why()));
+        shapes.forEach(f -> report.not(f.at(), f.reason()));
         model = new HttpModel(this.conf.directives());
         values = new Values(model, report);
         pools = new PoolTranslator(options, report);
@@ -60,8 +60,8 @@
     }
 
     private Result result() {
-        model.faults.forEach(f -> report.not(f.at(), f.why()));
-        model.upstreams.values().forEach(pools::upstream);
+        model.faults().forEach(f -> report.not(f.at(), f.reason()));
+        model.upstreams().values().forEach(pools::upstream);
         listens();
         boolean hostInKeys = hostsApart();
         hosts(hostInKeys);
@@ -69,7 +69,7 @@
         timeouts();
         boolean query = asksQuery();
         ServerMoves.note(pools.pools().values(), report);
-        if (conf.empty().isEmpty() && model.servers.isEmpty()) {
+        if (conf.empty().isEmpty() && model.servers().isEmpty()) {
             report.note("there is no server block: there is nothing to route");
         }
         report.finish(conf);
@@ -90,7 +90,7 @@
     // ---- listeners and hosts
 
     private void listens() {
-        for (ServerBlock s : model.servers) {
+        for (ServerBlock s : model.servers()) {
             for (ServerBlock.Listen l : s.listens()) {
                 if (l.socket().startsWith("unix:")) {
                     report.not(l.directive(), "sockets of Unix are not listened on");
@@ -120,13 +120,14 @@
     /** Whether keys must tell the host: some socket has more than one server, or something depends on the host. */
     private boolean hostsApart() {
         Map<String, Integer> counts = new HashMap<>();
-        model.servers.forEach(s -> s.listens().stream()
-                .map(ServerBlock.Listen::socket)
-                .distinct()
-                .forEach(l -> counts.merge(l, 1, Integer::sum)));
+        model.servers()
+                .forEach(s -> s.listens().stream()
+                        .map(ServerBlock.Listen::socket)
+                        .distinct()
+                        .forEach(l -> counts.merge(l, 1, Integer::sum)));
         return counts.values().stream().anyMatch(n -> n > 1)
-                || model.servers.stream().anyMatch(s -> asksHost(s.directive()))
-                || model.upstreams.values().stream().anyMatch(u -> values.asksHost(u.key()));
+                || model.servers().stream().anyMatch(s -> asksHost(s.directive()))
+                || model.upstreams().values().stream().anyMatch(u -> values.asksHost(u.key()));
     }
 
     private boolean asksHost(Directive block) {
@@ -153,8 +154,8 @@
         Map<String, Set<String>> takenHosts = new HashMap<>();
         Set<String> asked = apart ? literals() : Set.of();
         VirtualHosts whole = new VirtualHosts(plainHosts());
-        for (int i = 0; i < model.servers.size(); i++) {
-            ServerBlock s = model.servers.get(i);
+        for (int i = 0; i < model.servers().size(); i++) {
+            ServerBlock s = model.servers().get(i);
             Set<String> at = new LinkedHashSet<>();
             Set<String> defaultAt = new LinkedHashSet<>();
             for (ServerBlock.Listen l : s.listens()) {
@@ -241,8 +242,9 @@
     /** All names that a map, a condition or a server gives in full. */
     private Set<String> literals() {
         Set<String> all = new LinkedHashSet<>();
-        model.servers.forEach(s -> s.names().stream().filter(Importer::isExact).forEach(all::add));
-        model.variables.values().stream()
+        model.servers()
+                .forEach(s -> s.names().stream().filter(Importer::isExact).forEach(all::add));
+        model.variables().values().stream()
                 .filter(d -> d.name().equals("map") && values.asksHost(d.arg(0)))
                 .forEach(d -> d.block().forEach(e -> {
                     String n = e.name().toLowerCase(Locale.ROOT);
@@ -250,7 +252,7 @@
                         all.add(n);
                     }
                 }));
-        model.servers.forEach(s -> conditions(s.directive(), all));
+        model.servers().forEach(s -> conditions(s.directive(), all));
         return all;
     }
 
@@ -273,8 +275,8 @@
     @SuppressWarnings("ReferenceEquality") // identity is meant
     private List<VirtualHosts.Host> plainHosts() {
         List<VirtualHosts.Host> list = new ArrayList<>();
-        for (int i = 0; i < model.servers.size(); i++) {
-            ServerBlock s = model.servers.get(i);
+        for (int i = 0; i < model.servers().size(); i++) {
+            ServerBlock s = model.servers().get(i);
             Set<String> at = new HashSet<>();
             Set<String> defaultAt = new HashSet<>();
             s.listens().forEach(l -> {
@@ -345,7 +347,7 @@
 
     private void timeouts() {
         List<Directive> all = new ArrayList<>();
-        collect(model.http, all);
+        collect(model.http(), all);
         double connect = 0;
         double read = 0;
         double tries = 0;
--- a/src/main/java/cacheproxy/nginx/importer/PoolTranslator.java
+++ b/src/main/java/cacheproxy/nginx/importer/PoolTranslator.java
@@ -65,7 +65,7 @@
         String by = null;
         Directive m = u.methodAt();
         switch (u.method()) {
-            case HASH, CONSISTENT -> {
+            case HASH, CONSISTENT_HASH -> {
                 by = key(u);
                 if (by == null) {
                     report.not(m, "keys do not tell " + u.key() + ": servers are chosen by CARP over the key");
@@ -157,7 +157,7 @@
         boolean same = first.backup() == again.backup()
                 && first.down() == again.down()
                 && (first.ring() == null ? first.name() : first.ring()).equals(again.address());
-        boolean consistent = u.method() == Method.CONSISTENT;
+        boolean consistent = u.method() == Method.CONSISTENT_HASH;
         if (!same || (u.method() == Method.HASH && !adjacent)) {
             report.not(again.directive(), "written a second time; here it is one server, so that some keys move");
         } else {
@@ -180,7 +180,7 @@
     }
 
     private void parameters(UpstreamBlock.Server s) {
-        s.others().forEach((name, value) -> {
+        s.otherParameters().forEach((name, value) -> {
             switch (name) {
                 case "max_fails", "fail_timeout" ->
                     report.changed(
--- a/src/main/java/cacheproxy/nginx/importer/RouteTranslator.java
+++ b/src/main/java/cacheproxy/nginx/importer/RouteTranslator.java
@@ -137,16 +137,16 @@
         report.carried(s.directive());
         errorPages = s.directive().all("error_page");
         if (errorPages.isEmpty()) {
-            errorPages = model.http.stream()
+            errorPages = model.http().stream()
                     .filter(d -> d.name().equals("error_page"))
                     .toList();
         }
         search = new LocationSearch(
                 s.locations(),
-                l -> l.directive.last("proxy_pass") != null || l.directive.last("memcached_pass") != null);
+                l -> l.directive().last("proxy_pass") != null || l.directive().last("memcached_pass") != null);
         search.unreachable()
                 .forEach(l -> report.add(
-                        l.directive,
+                        l.directive(),
                         Report.Level.LEFT,
                         "a longer prefix outside of its own location has all of its requests, in nginx too"));
         Walk start = new Walk(null, Conditions.NONE, null, Map.of(), null, null, null, 0);
@@ -448,7 +448,7 @@
                 try {
                     when = r.text() == null || when == null ? null : when.and(Conditions.pattern(r.text()));
                 } catch (Conditions.Unable e) {
-                    report.not(s.location().directive, "can't be expressed: " + e.getMessage());
+                    report.not(s.location().directive(), "can't be expressed: " + e.getMessage());
                     when = null;
                 }
             }
@@ -460,7 +460,7 @@
             all |= "/".equals(prefix) && s.regexes().isEmpty();
             String text = exact != null ? exact : prefix;
             if (text != null && !KeyRewrite.isLegalKey(text)) {
-                report.not(s.location().directive, "no key is so long; nothing comes to it");
+                report.not(s.location().directive(), "no key is so long; nothing comes to it");
                 continue;
             }
             Place place = new Place(base + s.tier().ordinal(), exact, prefix);
@@ -469,15 +469,15 @@
             Walk in = new Walk(place, when, w.rewritten, w.set, s.location(), captures, null, w.cycles);
             if (s.redirect()) {
                 report.changed(
-                        s.location().directive,
+                        s.location().directive(),
                         "nginx redirects " + s.exact() + " to " + s.exact() + "/; here it fails");
-                end(in, s.location().directive, false, "301");
-            } else if (s.location().directive.last("internal") != null) {
-                report.changed(s.location().directive.last("internal"), "requests for it fail, without a status");
-                end(in, s.location().directive, false, "404");
+                end(in, s.location().directive(), false, "301");
+            } else if (s.location().directive().last("internal") != null) {
+                report.changed(s.location().directive().last("internal"), "requests for it fail, without a status");
+                end(in, s.location().directive(), false, "404");
             } else {
-                report.carried(s.location().directive);
-                go(rewriting(s.location().directive), in);
+                report.carried(s.location().directive());
+                go(rewriting(s.location().directive()), in);
             }
         }
         if (!all) {
@@ -493,10 +493,10 @@
 
     private RegexTranslation pattern(Location l) {
         return patterns.computeIfAbsent(l, k -> {
-            RegexTranslation r = RegexTranslation.of(l.text, l.kind == Location.Kind.REGEX_ANY_CASE);
+            RegexTranslation r = RegexTranslation.of(l.text(), l.kind() == Location.Kind.REGEX_IGNORING_CASE);
             if (r.text() == null) {
                 report.not(
-                        l.directive,
+                        l.directive(),
                         "pattern can't be expressed (" + r.why()
                                 + "): its requests go to the location that would be next");
             }
@@ -506,7 +506,7 @@
 
     /** The search for the path that a rewrite has made. */
     private void searchAgain(Walk w) {
-        Directive at = w.location == null ? server.directive() : w.location.directive;
+        Directive at = w.location == null ? server.directive() : w.location.directive();
         if (w.cycles >= MAX_CYCLES) {
             report.not(
                     at,
@@ -521,10 +521,11 @@
             end(w, at, false, "500");
             return;
         }
-        report.carried(found.directive);
+        report.carried(found.directive());
         go(
-                rewriting(found.directive),
-                w.rewritten(w.rewritten.next(Next.FOUND)).in(found, found.kind.isRegex() ? null : w.rewritten.pattern));
+                rewriting(found.directive()),
+                w.rewritten(w.rewritten.next(Next.FOUND))
+                        .in(found, found.kind().isRegex() ? null : w.rewritten.pattern));
     }
 
     /** The location of all paths that an expression can make; null if that is not one. */
@@ -558,11 +559,11 @@
                     || (own != null && !own.equals(s.prefix()))) {
                 continue;
             }
-            if (s.tier() == LocationSearch.Tier.OWN) {
+            if (s.tier() == LocationSearch.Tier.OWN_SEARCH) {
                 own = s.prefix();
             }
             if (s.regexes().isEmpty()) {
-                best = best == null || s.prefix().length() > best.text.length() ? s.location() : best;
+                best = best == null || s.prefix().length() > best.text().length() ? s.location() : best;
             } else if (whole) {
                 boolean all = s.regexes().stream()
                         .allMatch(l -> pattern(l).text() != null
@@ -577,7 +578,7 @@
         if (patternsAsked && best != null) {
             report.not(
                     at,
-                    "paths made " + path + " go to location " + best.text
+                    "paths made " + path + " go to location " + best.text()
                             + "; those that a pattern location would take go astray");
         }
         return best;
@@ -586,7 +587,7 @@
     // ---- what a location does
 
     private void content(Walk w) {
-        Directive block = w.location.directive;
+        Directive block = w.location.directive();
         Directive limit = block.last("limit_except");
         Walk walk = w;
         if (limit != null && limit.block() != null) {
@@ -652,8 +653,8 @@
             Location named = named(last);
             if (named != null && w.cycles < MAX_CYCLES) {
                 report.changed(d, "there are no files here: all requests go to " + last);
-                report.carried(named.directive);
-                go(rewriting(named.directive), w.in(named, null));
+                report.carried(named.directive());
+                go(rewriting(named.directive()), w.in(named, null));
                 return;
             }
             report.not(d, "there is no location " + last + "; these requests fail");
@@ -674,7 +675,7 @@
 
     private Location named(String name) {
         return server.locations().stream()
-                .filter(l -> l.kind == Location.Kind.NAMED && l.text.equals(name))
+                .filter(l -> l.kind() == Location.Kind.NAMED && l.text().equals(name))
                 .findFirst()
                 .orElse(null);
     }
@@ -743,9 +744,9 @@
         boolean given = !uri.parts().isEmpty();
         Change change;
         Rewritten r = w.rewritten;
-        if ((given && !variables && w.location.kind.isRegex())
+        if ((given && !variables && w.location.kind().isRegex())
                 || (given && !variables && w.handler != null)
-                || (given && !variables && w.location.kind == Location.Kind.NAMED)) {
+                || (given && !variables && w.location.kind() == Location.Kind.NAMED)) {
             report.not(
                     d,
                     "nginx refuses this: \"proxy_pass\" cannot have URI part in location given by regular expression, "
@@ -756,20 +757,23 @@
         if (given && variables) {
             change = template(uri, w);
         } else if (r == null) {
-            boolean same = uri.literal().equals(w.location.text); // "location /a/" with "proxy_pass http://u/a/"
+            boolean same = uri.literal().equals(w.location.text()); // "location /a/" with "proxy_pass http://u/a/"
             change = given && !same
-                    ? new Change(PathKey.encodePercent(w.location.text), uri.literal(), null, w.when)
+                    ? new Change(PathKey.encodePercent(w.location.text()), uri.literal(), null, w.when)
                     : new Change(null, null, null, w.when);
         } else {
             Expression path = r.path;
             if (given && r.next != Next.STAYS) {
-                boolean inside = path.head().startsWith(w.location.text);
+                boolean inside = path.head().startsWith(w.location.text());
                 List<Expression.Part> parts = new ArrayList<>(path.parts());
                 if (inside) {
                     parts.set(
                             0,
                             new Expression.Part(
-                                    false, uri.literal() + path.head().substring(w.location.text.length())));
+                                    false,
+                                    uri.literal()
+                                            + path.head()
+                                                    .substring(w.location.text().length())));
                 }
                 path = inside ? Expression.joined(parts) : new Expression(List.of());
             }
@@ -814,7 +818,7 @@
                 change.add,
                 change.replace,
                 by,
-                w.location.directive.toString()));
+                w.location.directive().toString()));
     }
 
     /** The change that makes a whole new path of variables; null if none does. */
@@ -899,16 +903,16 @@
     /** The pool of the named location that takes what this one fails to answer; null: none. */
     private String fallback(Walk w, String pool) {
         Location at = w.location;
-        while (at != null && at.directive.last("error_page") == null) {
-            at = at.parent;
+        while (at != null && at.directive().last("error_page") == null) {
+            at = at.parent();
         }
-        List<Directive> all = at != null ? at.directive.all("error_page") : errorPages;
+        List<Directive> all = at != null ? at.directive().all("error_page") : errorPages;
         String found = null;
         for (Directive e : all) {
             String target = e.args().isEmpty() ? "" : e.args().get(e.args().size() - 1);
             boolean lost = e.args().stream().anyMatch(c -> c.equals("502") || c.equals("503") || c.equals("504"));
             Location named = target.startsWith("@") ? named(target) : null;
-            Directive pass = named == null ? null : named.directive.last("proxy_pass");
+            Directive pass = named == null ? null : named.directive().last("proxy_pass");
             if (!lost || pass == null || !pass.arg(0).matches("https?://[^/$]+")) {
                 report.not(
                         e,
@@ -923,7 +927,7 @@
                         e,
                         "requests that no server answers go to " + p.name() + ", those that may not be repeated "
                                 + "excepted");
-                report.carried(named.directive);
+                report.carried(named.directive());
                 report.carried(pass);
                 found = p.name();
             }
@@ -948,7 +952,7 @@
                 null,
                 null,
                 null,
-                (w.location == null ? d : w.location.directive) + " -> " + status));
+                (w.location == null ? d : w.location.directive()) + " -> " + status));
     }
 
     /** A route is called by the file and line that it comes from. */
--- a/src/main/java/cacheproxy/nginx/importer/Values.java
+++ b/src/main/java/cacheproxy/nginx/importer/Values.java
@@ -75,7 +75,7 @@
         if (scope.host != null && (name.equals("host") || name.equals("http_host"))) {
             return List.of(new Alternative(Conditions.NONE, Expression.of(scope.host)));
         }
-        Directive d = model.variables.get(name);
+        Directive d = model.variables().get(name);
         if (d == null) {
             return List.of(new Alternative(Conditions.NONE, new Expression(List.of(new Expression.Part(true, name)))));
         }
@@ -303,7 +303,7 @@
 
     private boolean asks(Expression e, int depth, List<String> names) {
         for (Expression.Part p : e.parts()) {
-            Directive d = p.variable() ? model.variables.get(p.text()) : null;
+            Directive d = p.variable() ? model.variables().get(p.text()) : null;
             if ((p.variable()
                             && (names.contains(p.text())
                                     || (names.contains("args") && p.text().startsWith("arg_"))))
--- a/src/main/java/cacheproxy/nginx/model/DirectiveShapes.java
+++ b/src/main/java/cacheproxy/nginx/model/DirectiveShapes.java
@@ -8,116 +8,135 @@
 import java.util.Set;
 
 /**
- * Leaves out directives with a wrong number of parameters, or with a block where none belongs and the other way round:
- * nginx would not start with them, and all that follows may rely on what is left. Of directives that nothing here
- * relies on, the shape is not asked.
+ * Drops directives with a wrong number of parameters, with a block where none belongs or without one where one does.
+ * nginx would not start with them, and all later steps rely on the form of what remains. Directives that nothing here
+ * interprets may have any form.
  */
 public final class DirectiveShapes {
-    private record Shape(int least, int most, boolean block) {}
+    /** The form of a directive: bounds on the number of its parameters, and whether it has a block. */
+    private record Shape(int minArgs, int maxArgs, boolean hasBlock) {
+        String mismatch(Directive directive) {
+            if (hasBlock && directive.block() == null) {
+                return "directive \"" + directive.name() + "\" has no opening \"{\"";
+            }
+            if (!hasBlock && directive.block() != null) {
+                return "directive \"" + directive.name() + "\" is not terminated by \";\"";
+            }
+            int count = directive.args().size();
+            return count < minArgs || count > maxArgs
+                    ? "invalid number of arguments in \"" + directive.name() + "\" directive"
+                    : null;
+        }
+    }
 
-    private static final int ANY = Integer.MAX_VALUE;
+    private static final int UNBOUNDED = Integer.MAX_VALUE;
+    private static final Shape HTTP_SERVER = new Shape(0, 0, true);
+    private static final Shape UPSTREAM_SERVER = new Shape(1, UNBOUNDED, false);
     private static final Map<String, Shape> SHAPES = new HashMap<>();
+    /** Blocks whose directives are entries of a table, with one value each. */
     private static final Set<String> TABLES = Set.of("map", "split_clients", "geo");
-    /** Their parameters alone count, not their number. */
-    private static final Set<String> TABLE_WORDS = Set.of("hostnames", "volatile", "ranges", "proxy_recursive");
+    /** Entries of tables that are flags or take any number of parameters. */
+    private static final Set<String> TABLE_OPTIONS = Set.of("hostnames", "volatile", "ranges", "proxy_recursive");
 
     static {
-        put("http", 0, 0, true);
-        put("upstream", 1, 1, true);
-        put("location", 1, 2, true);
-        put("if", 1, ANY, true);
-        put("limit_except", 1, ANY, true);
-        put("map", 2, 2, true);
-        put("split_clients", 2, 2, true);
-        put("geo", 1, 2, true);
-        put("set", 2, 2, false);
-        put("rewrite", 2, 3, false);
-        put("return", 1, 2, false);
-        put("break", 0, 0, false);
-        put("proxy_pass", 1, 1, false);
-        put("memcached_pass", 1, 1, false);
-        put("try_files", 2, ANY, false);
-        put("error_page", 2, ANY, false);
-        put("listen", 1, ANY, false);
-        put("server_name", 1, ANY, false);
-        put("internal", 0, 0, false);
-        put("hash", 1, 2, false);
-        put("proxy_next_upstream", 1, ANY, false);
-        put("proxy_next_upstream_tries", 1, 1, false);
-        put("proxy_connect_timeout", 1, 1, false);
-        put("proxy_read_timeout", 1, 1, false);
-        put("deny", 1, 1, false);
+        block("http", 0, 0);
+        block("upstream", 1, 1);
+        block("location", 1, 2);
+        block("if", 1, UNBOUNDED);
+        block("limit_except", 1, UNBOUNDED);
+        block("map", 2, 2);
+        block("split_clients", 2, 2);
+        block("geo", 1, 2);
+        simple("set", 2, 2);
+        simple("rewrite", 2, 3);
+        simple("return", 1, 2);
+        simple("break", 0, 0);
+        simple("proxy_pass", 1, 1);
+        simple("memcached_pass", 1, 1);
+        simple("try_files", 2, UNBOUNDED);
+        simple("error_page", 2, UNBOUNDED);
+        simple("listen", 1, UNBOUNDED);
+        simple("server_name", 1, UNBOUNDED);
+        simple("internal", 0, 0);
+        simple("hash", 1, 2);
+        simple("proxy_next_upstream", 1, UNBOUNDED);
+        simple("proxy_next_upstream_tries", 1, 1);
+        simple("proxy_connect_timeout", 1, 1);
+        simple("proxy_read_timeout", 1, 1);
+        simple("deny", 1, 1);
     }
 
     private DirectiveShapes() {}
 
-    private static void put(String name, int least, int most, boolean block) {
-        SHAPES.put(name, new Shape(least, most, block));
+    private static void block(String name, int minArgs, int maxArgs) {
+        SHAPES.put(name, new Shape(minArgs, maxArgs, true));
+    }
+
+    private static void simple(String name, int minArgs, int maxArgs) {
+        SHAPES.put(name, new Shape(minArgs, maxArgs, false));
     }
 
     /**
-     * The tree without what is of a wrong shape; that goes to {@code faults}. Directives that stay whole are the same
-     * objects.
+     * Returns the tree without directives of a wrong form, and adds those to {@code faults}. Directives in which
+     * nothing was dropped are the same objects as before.
      */
     public static List<Directive> checked(List<Directive> tree, List<HttpModel.Fault> faults) {
         return checked(tree, "", faults);
     }
 
-    private static List<Directive> checked(List<Directive> block, String within, List<HttpModel.Fault> faults) {
-        List<Directive> good = new ArrayList<>(block.size());
-        for (Directive d : block) {
-            String wrong = wrong(d, within);
-            if (wrong != null) {
-                faults.add(new HttpModel.Fault(d, "nginx refuses this: " + wrong + "; it is left out"));
-                continue;
-            }
-            if (d.block() == null || d.block().isEmpty()) {
-                good.add(d);
-                continue;
+    private static List<Directive> checked(
+            List<Directive> directives, String enclosingName, List<HttpModel.Fault> faults) {
+        List<Directive> valid = new ArrayList<>(directives.size());
+        for (Directive directive : directives) {
+            String mismatch = mismatch(directive, enclosingName);
+            if (mismatch != null) {
+                faults.add(new HttpModel.Fault(directive, "nginx refuses this: " + mismatch + "; it is left out"));
+            } else {
+                valid.add(withCheckedBlock(directive, faults));
             }
-            List<Directive> inner = checked(d.block(), d.name(), faults);
-            good.add(
-                    inner.size() == d.block().size() && same(inner, d.block())
-                            ? d
-                            : new Directive(d.name(), d.args(), inner, d.raw(), d.at()));
         }
-        return good;
+        return valid;
+    }
+
+    private static Directive withCheckedBlock(Directive directive, List<HttpModel.Fault> faults) {
+        if (directive.block() == null || directive.block().isEmpty()) {
+            return directive;
+        }
+        List<Directive> block = checked(directive.block(), directive.name(), faults);
+        return isSame(block, directive.block())
+                ? directive
+                : new Directive(directive.name(), directive.args(), block, directive.raw(), directive.at());
     }
 
     @SuppressWarnings("ReferenceEquality") // identity is meant
-    private static boolean same(List<Directive> a, List<Directive> b) {
-        for (int i = 0; i < a.size(); i++) {
-            if (a.get(i) != b.get(i)) {
+    private static boolean isSame(List<Directive> left, List<Directive> right) {
+        if (left.size() != right.size()) {
+            return false;
+        }
+        for (int i = 0; i < left.size(); i++) {
+            if (left.get(i) != right.get(i)) {
                 return false;
             }
         }
         return true;
     }
 
-    /** Null if nothing is. */
-    private static String wrong(Directive d, String within) {
-        if (TABLES.contains(within)) {
-            boolean word = TABLE_WORDS.contains(d.name());
-            return d.block() != null || (!word && d.args().size() != 1)
-                    ? "invalid number of the " + within + " parameters"
+    /** What is wrong with a directive's form; null if nothing is. */
+    private static String mismatch(Directive directive, String enclosingName) {
+        if (TABLES.contains(enclosingName)) {
+            boolean isOption = TABLE_OPTIONS.contains(directive.name());
+            return directive.block() != null || (!isOption && directive.args().size() != 1)
+                    ? "invalid number of the " + enclosingName + " parameters"
                     : null;
         }
-        Shape s = d.name().equals("server")
-                ? new Shape(
-                        within.equals("upstream") ? 1 : 0,
-                        within.equals("upstream") ? ANY : 0,
-                        !within.equals("upstream"))
-                : SHAPES.get(d.name());
-        if (s == null) {
-            return null;
-        }
-        if (s.block != (d.block() != null)) {
-            return s.block
-                    ? "directive \"" + d.name() + "\" has no opening \"{\""
-                    : "directive \"" + d.name() + "\" is not terminated by \";\"";
+        Shape shape = shape(directive.name(), enclosingName);
+        return shape == null ? null : shape.mismatch(directive);
+    }
+
+    private static Shape shape(String name, String enclosingName) {
+        if (name.equals("server")) {
+            return enclosingName.equals("upstream") ? UPSTREAM_SERVER : HTTP_SERVER;
         }
-        return d.args().size() < s.least || d.args().size() > s.most
-                ? "invalid number of arguments in \"" + d.name() + "\" directive"
-                : null;
+        return SHAPES.get(name);
     }
 }
--- a/src/main/java/cacheproxy/nginx/model/LocationSearch.java
+++ b/src/main/java/cacheproxy/nginx/model/LocationSearch.java
@@ -1,6 +1,7 @@
 package cacheproxy.nginx.model;
 
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.Comparator;
 import java.util.HashSet;
 import java.util.List;
@@ -8,164 +9,206 @@
 import java.util.function.Predicate;
 
 /**
- * nginx's search for a location as a list of steps: for the keys of a step the first one whose conditions hold is the
- * one. A level's longest prefix is searched first, with all that is nested in it; then, unless that prefix is
- * {@code ^~}, the level's patterns in order; an exact path ends the search at once.
+ * nginx's search for a location as a list of steps, of which the first whose conditions hold for a path decides.
+ *
+ * <p>nginx searches the longest prefix of a level first, with all that is nested in it; then, unless that prefix is
+ * {@code ^~}, the level's patterns in order. An exact path ends the search at once.
  */
 public final class LocationSearch {
-    /** Where steps stand to each other. */
+    /** Groups of steps, in the order in which they are tried. */
     public enum Tier {
-        /** Exact paths, and prefixes with a search of their own. Of a key's prefixes the longest counts. */
-        OWN,
+        /** Exact paths, and prefixes with a search of their own. Of the prefixes of a path the longest decides. */
+        OWN_SEARCH,
         /** Patterns of the server's level, in order. */
         PATTERNS,
-        /** Prefixes that are looked at after those patterns, the longest first. */
-        PREFIXES
+        /** Prefixes that are tried after those patterns, the longest first. */
+        PLAIN_PREFIXES
     }
 
     /**
-     * A step.
+     * A step of the search.
      *
-     * @param exact the path; null for others
-     * @param prefix the paths' beginning; null for others
-     * @param regexes locations whose patterns must all be found
-     * @param redirect whether nginx answers with a redirect to the path with a slash behind it
+     * @param exact the whole path; null for other steps
+     * @param prefix the beginning of the path; null for other steps
+     * @param regexes locations whose patterns must all match; empty if none
+     * @param location where the path goes if all of this holds
+     * @param redirect whether nginx answers with a redirect to the path with a slash appended
      */
     public record Step(
             Tier tier, String exact, String prefix, List<Location> regexes, Location location, boolean redirect) {}
 
-    private final List<Step> steps = new ArrayList<>();
-    private final List<Location> unreachable = new ArrayList<>();
-
-    /** A prefix with what is to be tried for its keys before it. */
-    private record Prefix(Location location, List<List<Location>> before, boolean plain) {}
-
-    private final List<Prefix> prefixes = new ArrayList<>();
-    private final Set<String> exact = new HashSet<>();
-
-    /** Over a server's locations; {@code passes} tells those that hand requests on to servers. */
-    public LocationSearch(List<Location> level, Predicate<Location> passes) {
-        level(level, List.of(), passes, List.of());
-        // A plain prefix below one with its own search would be hidden by that one.
-        Set<String> own = new HashSet<>();
-        prefixes.stream().filter(p -> !p.plain).forEach(p -> own.add(p.location.text));
-        // Of equal ones the inner is searched after the outer, and found.
-        prefixes.sort(Comparator.comparingInt((Prefix p) -> p.location.text.length())
-                .thenComparingInt(p -> depth(p.location))
-                .reversed());
-        for (Prefix p : prefixes) {
-            boolean ownSearch = !p.plain;
-            for (int n = 0; !ownSearch && n < p.location.text.length(); n++) {
-                ownSearch = own.contains(p.location.text.substring(0, n));
-            }
-            Tier tier = ownSearch ? Tier.OWN : Tier.PREFIXES;
-            for (List<Location> regexes : ownSearch ? p.before : List.<List<Location>>of()) {
-                steps.add(new Step(tier, null, p.location.text, regexes, regexes.get(regexes.size() - 1), false));
-            }
-            steps.add(new Step(tier, null, p.location.text, List.of(), p.location, false));
+    /** Pattern locations, each nested in the one before it, that must all match. */
+    private record RegexChain(List<Location> regexes) {
+        Location innermost() {
+            return regexes.get(regexes.size() - 1);
         }
-        for (List<Location> regexes : expanded(level)) {
-            steps.add(new Step(Tier.PATTERNS, null, null, regexes, regexes.get(regexes.size() - 1), false));
+    }
+
+    /**
+     * A prefix location.
+     *
+     * @param before what is tried before it for paths of which it is the longest prefix
+     * @param plain whether that is just the patterns of the server's level
+     */
+    private record Prefix(Location location, List<RegexChain> before, boolean plain) {
+        String text() {
+            return location.text();
         }
     }
 
-    private static int depth(Location l) {
-        int depth = 0;
-        for (Location p = l.parent; p != null; p = p.parent) {
-            depth++;
+    private final Predicate<Location> passesRequests;
+    private final List<Step> steps = new ArrayList<>();
+    private final List<Location> unreachable = new ArrayList<>();
+    private final List<Prefix> prefixes = new ArrayList<>();
+    private final Set<String> exactPaths = new HashSet<>();
+
+    /**
+     * Builds the steps of a server.
+     *
+     * @param serverLevel the server's own locations
+     * @param passesRequests tells which locations pass requests to servers
+     */
+    public LocationSearch(List<Location> serverLevel, Predicate<Location> passesRequests) {
+        this.passesRequests = passesRequests;
+        addLevel(serverLevel, List.of(), List.of());
+        addPrefixSteps();
+        for (RegexChain chain : regexChains(serverLevel)) {
+            steps.add(new Step(Tier.PATTERNS, null, null, chain.regexes, chain.innermost(), false));
         }
-        return depth;
     }
 
-    /** In order within each tier. */
+    /** The steps; within each tier they are in the order of the search. */
     public List<Step> steps() {
-        return steps;
+        return Collections.unmodifiableList(steps);
     }
 
     /** Locations that no request reaches. */
     public List<Location> unreachable() {
-        return unreachable;
+        return Collections.unmodifiableList(unreachable);
+    }
+
+    private void addPrefixSteps() {
+        Set<String> ownSearches = new HashSet<>();
+        prefixes.stream().filter(prefix -> !prefix.plain).forEach(prefix -> ownSearches.add(prefix.text()));
+        // Of equal texts the inner location is searched after the outer one, and found.
+        prefixes.sort(Comparator.comparingInt((Prefix prefix) -> prefix.text().length())
+                .thenComparingInt(prefix -> prefix.location.depth())
+                .reversed());
+        for (Prefix prefix : prefixes) {
+            // A plain prefix that extends one with its own search would be hidden by that one.
+            if (!prefix.plain || extendsAny(prefix.text(), ownSearches)) {
+                for (RegexChain chain : prefix.before) {
+                    steps.add(new Step(Tier.OWN_SEARCH, null, prefix.text(), chain.regexes, chain.innermost(), false));
+                }
+                steps.add(new Step(Tier.OWN_SEARCH, null, prefix.text(), List.of(), prefix.location, false));
+            } else {
+                steps.add(new Step(Tier.PLAIN_PREFIXES, null, prefix.text(), List.of(), prefix.location, false));
+            }
+        }
+    }
+
+    private static boolean extendsAny(String text, Set<String> prefixes) {
+        for (int length = 0; length < text.length(); length++) {
+            if (prefixes.contains(text.substring(0, length))) {
+                return true;
+            }
+        }
+        return false;
     }
 
-    /** A level's patterns with those nested in them before them, as chains that must match as a whole. */
-    private static List<List<Location>> expanded(List<Location> level) {
-        List<List<Location>> all = new ArrayList<>();
-        for (Location r : level) {
-            if (!r.kind.isRegex()) {
+    /** The chains of a level's patterns in the order of the search: nested ones before the one around them. */
+    private static List<RegexChain> regexChains(List<Location> level) {
+        List<RegexChain> chains = new ArrayList<>();
+        for (Location location : level) {
+            if (!location.kind().isRegex()) {
                 continue;
             }
-            for (List<Location> inner : expanded(r.children)) {
-                List<Location> chain = new ArrayList<>(List.of(r));
-                chain.addAll(inner);
-                all.add(chain);
+            for (RegexChain inner : regexChains(location.children())) {
+                List<Location> regexes = new ArrayList<>(List.of(location));
+                regexes.addAll(inner.regexes);
+                chains.add(new RegexChain(regexes));
             }
-            all.add(List.of(r));
+            chains.add(new RegexChain(List.of(location)));
         }
-        return all;
+        return chains;
     }
 
     /**
-     * @param after the outer levels' patterns that follow a level's own, for a key whose longest prefix is in this
-     *     level
-     * @param hiding prefixes of outer levels: what begins with one is not searched here
+     * Adds the exact paths and prefixes of a level and of those nested in it.
+     *
+     * @param outerChains patterns of the levels around it that are tried after its own
+     * @param longerOuterPrefixes for each level around it, the prefixes that would be found instead of this level
      */
-    private void level(
-            List<Location> level, List<List<Location>> after, Predicate<Location> passes, List<Set<String>> hiding) {
-        Set<String> prefixTexts = new HashSet<>();
-        Set<String> texts = new HashSet<>();
-        List<Location> reached = new ArrayList<>();
-        for (Location l : level) {
-            if (!l.kind.isPrefix() && l.kind != Location.Kind.EXACT) {
-                continue;
+    private void addLevel(List<Location> level, List<RegexChain> outerChains, List<Set<String>> longerOuterPrefixes) {
+        List<Location> reachable = new ArrayList<>();
+        for (Location location : level) {
+            if (location.kind().isPrefix() || location.kind() == Location.Kind.EXACT) {
+                addExactOrCollect(location, longerOuterPrefixes, reachable);
             }
-            texts.add(l.text);
-            if (l.kind.isPrefix()) {
-                prefixTexts.add(l.text);
+        }
+        Set<String> levelTexts = texts(level, true);
+        reachable.forEach(location -> addRedirect(location, levelTexts, longerOuterPrefixes));
+        List<RegexChain> levelChains = regexChains(level);
+        Set<String> levelPrefixes = texts(level, false);
+        for (Location location : reachable) {
+            List<RegexChain> search = new ArrayList<>();
+            if (location.kind() != Location.Kind.PREFIX_WITHOUT_REGEX) {
+                search.addAll(levelChains);
             }
-            if (hidden(l.text, hiding)) {
-                unreachable.add(l);
-            } else if (l.kind.isPrefix()) {
-                reached.add(l);
-            } else if (exact.add(l.text)) { // outer levels come first, as in the search
-                steps.add(new Step(Tier.OWN, l.text, null, List.of(), l, false));
-            } else {
-                unreachable.add(l);
+            search.addAll(outerChains); // a prefix rules out the patterns of its own level only
+            addPrefix(location, search);
+            if (!location.children().isEmpty()) {
+                List<Set<String>> longerPrefixes = new ArrayList<>(longerOuterPrefixes);
+                longerPrefixes.add(extensions(levelPrefixes, location.text()));
+                addLevel(location.children(), search, longerPrefixes);
             }
         }
-        reached.forEach(l -> redirect(l, texts, passes, hiding));
-        List<List<Location>> own = expanded(level);
-        for (Location l : reached) {
-            List<List<Location>> search = new ArrayList<>();
-            if (l.kind != Location.Kind.PREFIX_ALONE) {
-                search.addAll(own);
-            }
-            search.addAll(after); // each level asks its own prefix alone whether its patterns count
-            List<List<Location>> nested = expanded(l.children);
-            boolean plain = l.parent == null && l.kind == Location.Kind.PREFIX && nested.isEmpty();
-            List<List<Location>> before = new ArrayList<>(nested);
-            before.addAll(search);
-            prefixes.add(new Prefix(l, before, plain));
-            if (!l.children.isEmpty()) {
-                List<Set<String>> inner = new ArrayList<>(hiding);
-                inner.add(longer(prefixTexts, l.text));
-                level(l.children, search, passes, inner);
+    }
+
+    /** Texts of the level's prefixes, and of its exact paths if they are asked for. */
+    private static Set<String> texts(List<Location> level, boolean withExact) {
+        Set<String> texts = new HashSet<>();
+        for (Location location : level) {
+            if (location.kind().isPrefix() || (withExact && location.kind() == Location.Kind.EXACT)) {
+                texts.add(location.text());
             }
         }
+        return texts;
+    }
+
+    private void addExactOrCollect(
+            Location location, List<Set<String>> longerOuterPrefixes, List<Location> reachablePrefixes) {
+        if (isHidden(location.text(), longerOuterPrefixes)) {
+            unreachable.add(location);
+        } else if (location.kind().isPrefix()) {
+            reachablePrefixes.add(location);
+        } else if (exactPaths.add(location.text())) { // outer levels come first, as in the search
+            steps.add(new Step(Tier.OWN_SEARCH, location.text(), null, List.of(), location, false));
+        } else {
+            unreachable.add(location);
+        }
+    }
+
+    private void addPrefix(Location location, List<RegexChain> search) {
+        List<RegexChain> before = new ArrayList<>(regexChains(location.children()));
+        boolean plain = location.parent() == null && location.kind() == Location.Kind.PREFIX && before.isEmpty();
+        before.addAll(search);
+        prefixes.add(new Prefix(location, before, plain));
     }
 
-    private static Set<String> longer(Set<String> texts, String than) {
+    private static Set<String> extensions(Set<String> texts, String prefix) {
         Set<String> longer = new HashSet<>();
         texts.stream()
-                .filter(t -> t.length() > than.length() && t.startsWith(than))
+                .filter(text -> text.length() > prefix.length() && text.startsWith(prefix))
                 .forEach(longer::add);
         return longer;
     }
 
-    /** Whether an outer level has a longer prefix for what begins with this text. */
-    private static boolean hidden(String text, List<Set<String>> hiding) {
-        for (Set<String> longer : hiding) {
-            for (int n = 1; !longer.isEmpty() && n <= text.length(); n++) {
-                if (longer.contains(text.substring(0, n))) {
+    /** Whether a level around has a longer prefix of this text, which would be found instead. */
+    private static boolean isHidden(String text, List<Set<String>> longerOuterPrefixes) {
+        for (Set<String> prefixes : longerOuterPrefixes) {
+            for (int length = 1; !prefixes.isEmpty() && length <= text.length(); length++) {
+                if (prefixes.contains(text.substring(0, length))) {
                     return true;
                 }
             }
@@ -173,15 +216,17 @@
         return false;
     }
 
-    /** A prefix with a slash behind it that passes requests on: nginx redirects its path without the slash. */
-    private void redirect(Location l, Set<String> level, Predicate<Location> passes, List<Set<String>> hiding) {
-        if (!l.text.endsWith("/") || l.text.length() < 2 || !passes.test(l)) {
+    /** Adds the redirect of a path without the final slash to a prefix with it that passes requests to servers. */
+    private void addRedirect(Location location, Set<String> levelTexts, List<Set<String>> longerOuterPrefixes) {
+        if (!location.text().endsWith("/") || location.text().length() < 2 || !passesRequests.test(location)) {
             return;
         }
-        String path = l.text.substring(0, l.text.length() - 1);
-        boolean searched = (l.parent == null || path.startsWith(l.parent.text)) && !hidden(path, hiding);
-        if (searched && !level.contains(path) && exact.add(path)) {
-            steps.add(new Step(Tier.OWN, path, null, List.of(), l, true));
+        String path = location.text().substring(0, location.text().length() - 1);
+        boolean insideParent =
+                location.parent() == null || path.startsWith(location.parent().text());
+        boolean searched = insideParent && !isHidden(path, longerOuterPrefixes);
+        if (searched && !levelTexts.contains(path) && exactPaths.add(path)) {
+            steps.add(new Step(Tier.OWN_SEARCH, path, null, List.of(), location, true));
         }
     }
 }
--- a/src/main/java/cacheproxy/nginx/model/ServerBlock.java
+++ b/src/main/java/cacheproxy/nginx/model/ServerBlock.java
@@ -6,16 +6,17 @@
 /**
  * A {@code server} block.
  *
- * @param listens where it listens; {@code *:80} where it says nothing
- * @param names of {@code server_name}, in lower case but for patterns; may be empty
- * @param locations of its own block, nested ones within them
+ * @param listens its sockets; {@code *:80} by default
+ * @param names parameters of {@code server_name}, patterns as written and others in lower case; may be empty
+ * @param locations of its own level, with nested ones in them
  */
 public record ServerBlock(Directive directive, List<Listen> listens, List<String> names, List<Location> locations) {
     /**
-     * A socket.
+     * A socket that it listens on.
      *
-     * @param socket {@code address:port}, {@code *:80} for all addresses, or {@code unix:path}
-     * @param isDefault whether it is marked as the default server there
+     * @param socket {@code address:port}, {@code *:port} for all addresses, or {@code unix:path}
+     * @param isDefault whether it is marked as the default server of this socket
+     * @param directive the {@code listen}; null for the default of {@code *:80}
      */
     public record Listen(String socket, boolean isDefault, Directive directive) {}
 }
--- a/src/main/java/cacheproxy/nginx/model/UpstreamBlock.java
+++ b/src/main/java/cacheproxy/nginx/model/UpstreamBlock.java
@@ -7,15 +7,18 @@
 /**
  * An {@code upstream} block.
  *
- * @param method how it chooses
- * @param methodAt the directive that says so; null for round robin
+ * @param method how it selects a server
+ * @param methodAt the directive that sets the method; null for round robin
+ * @param servers in the order of the file
  */
 public record UpstreamBlock(String name, Directive directive, Method method, Directive methodAt, List<Server> servers) {
-    /** Ways to choose a server. */
+    /** How an upstream selects a server. */
     public enum Method {
         ROUND_ROBIN,
+        /** {@code hash KEY}. */
         HASH,
-        CONSISTENT,
+        /** {@code hash KEY consistent}. */
+        CONSISTENT_HASH,
         IP_HASH,
         LEAST_CONN,
         RANDOM,
@@ -25,19 +28,19 @@
     /**
      * A server as it is written.
      *
-     * @param address without scheme; port and all as in the file
+     * @param address without scheme; the port as in the file
      * @param weight 1 or more
-     * @param others parameters with a value that are none of the others' fields
+     * @param otherParameters parameters that are none of the other components, by name; empty values for those without
      */
     public record Server(
             String address,
             int weight,
             boolean backup,
             boolean down,
-            Map<String, String> others,
+            Map<String, String> otherParameters,
             Directive directive) {}
 
-    /** Its key as written; empty unless it hashes one. */
+    /** The text that its method hashes, as written; empty if it hashes none. */
     public String key() {
         return methodAt == null ? "" : methodAt.arg(0);
     }
