--- a/src/main/java/cacheproxy/cli/NginxConfDirectory.java
+++ b/src/main/java/cacheproxy/cli/NginxConfDirectory.java
@@ -24,35 +24,35 @@
     }
 
     @Override
-    public String read(String path) throws Unreadable {
+    public String read(String path) throws UnreadableFileException {
         Path file = resolve(path);
         if (Files.isDirectory(file)) {
-            throw new Unreadable("it is a directory");
+            throw new UnreadableFileException("it is a directory");
         }
         try {
             if (Files.size(file) > MAX_FILE_BYTES) {
-                throw new Unreadable("it has more than " + MAX_FILE_BYTES + " bytes");
+                throw new UnreadableFileException("it has more than " + MAX_FILE_BYTES + " bytes");
             }
             return new String(Files.readAllBytes(file), StandardCharsets.ISO_8859_1);
         } catch (NoSuchFileException e) {
-            throw new Unreadable("there is no such file");
+            throw new UnreadableFileException("there is no such file");
         } catch (AccessDeniedException e) {
-            throw new Unreadable("it may not be read");
+            throw new UnreadableFileException("it may not be read");
         } catch (IOException e) {
-            throw new Unreadable(String.valueOf(e.getMessage()));
+            throw new UnreadableFileException(String.valueOf(e.getMessage()));
         }
     }
 
-    private Path resolve(String path) throws Unreadable {
+    private Path resolve(String path) throws UnreadableFileException {
         try {
             return prefix.resolve(path);
         } catch (InvalidPathException e) {
-            throw new Unreadable("this is no name of a file");
+            throw new UnreadableFileException("this is no name of a file");
         }
     }
 
     @Override
-    public List<String> glob(String pattern) throws Unreadable {
+    public List<String> glob(String pattern) throws UnreadableFileException {
         boolean absolute = pattern.startsWith("/");
         List<Path> matches = List.of(absolute ? Path.of("/") : prefix);
         for (String segment : pattern.split("/", 0)) {
@@ -68,7 +68,7 @@
     }
 
     /** Returns the entries of the directories whose names match one segment of a pattern. */
-    private static List<Path> matchSegment(List<Path> directories, String segment) throws Unreadable {
+    private static List<Path> matchSegment(List<Path> directories, String segment) throws UnreadableFileException {
         List<Path> matches = new ArrayList<>();
         for (Path directory : directories) {
             if (!hasWildcard(segment)) {
@@ -90,7 +90,7 @@
     /**
      * Lists a directory's entries that match, sorted; as in glob(3), hidden ones only if the pattern begins with a dot.
      */
-    private static List<Path> listMatching(Path directory, String segment) throws Unreadable {
+    private static List<Path> listMatching(Path directory, String segment) throws UnreadableFileException {
         List<Path> matches = new ArrayList<>();
         try (DirectoryStream<Path> entries = Files.newDirectoryStream(directory, segment.replace("{", "\\{"))) {
             for (Path entry : entries) {
@@ -99,9 +99,9 @@
                 }
             }
         } catch (PatternSyntaxException e) {
-            throw new Unreadable("the pattern is broken: " + e.getDescription());
+            throw new UnreadableFileException("the pattern is broken: " + e.getDescription());
         } catch (IOException e) {
-            throw new Unreadable(directory + " can't be listed");
+            throw new UnreadableFileException(directory + " can't be listed");
         }
         matches.sort(null);
         return matches;
