--- a/src/main/java/cacheproxy/config/FragmentedTable.java
+++ b/src/main/java/cacheproxy/config/FragmentedTable.java
@@ -9,10 +9,12 @@
 
 /** A TOML table as the chunks of its file have it. Of a key that stands in several, the first counts. */
 record FragmentedTable(List<TomlFragment> fragments) {
+    /** A table that stands in one chunk. */
     static FragmentedTable of(TomlFragment fragment) {
         return new FragmentedTable(List.of(fragment));
     }
 
+    /** A table without keys. */
     static FragmentedTable empty() {
         return new FragmentedTable(List.of());
     }
--- a/src/main/java/cacheproxy/config/TomlFragment.java
+++ b/src/main/java/cacheproxy/config/TomlFragment.java
@@ -10,6 +10,7 @@
  * @param linesBefore the lines of the file before the chunk
  */
 record TomlFragment(TomlTable table, int linesBefore) {
+    /** Whether this part has a key. */
     boolean has(String key) {
         return table.contains(List.of(key));
     }
