--- a/src/main/java/cacheproxy/proxy/upstream/BodyBufferClaim.java
+++ b/src/main/java/cacheproxy/proxy/upstream/BodyBufferClaim.java
@@ -31,7 +31,7 @@
         }
         requested = true;
         readingSuspended = true;
-        connection.setReadable(false);
+        connection.responses().setReadable(false);
         limit().acquire(this::onAcquired);
     }
 
@@ -59,7 +59,7 @@
     private void resumeReading() {
         if (readingSuspended) {
             readingSuspended = false;
-            connection.setReadable(true);
+            connection.responses().setReadable(true);
         }
     }
 
--- a/src/main/java/cacheproxy/proxy/upstream/CacheCodec.java
+++ b/src/main/java/cacheproxy/proxy/upstream/CacheCodec.java
@@ -40,6 +40,7 @@
     private static final int NO_VALUE = -1;
 
     private final UpstreamConnection connection;
+    private final ResponseReceiver responses;
     /** Bytes of the value and its line's end that have not been read; {@link #NO_VALUE} if a line is next. */
     private int missingBytes = NO_VALUE;
 
@@ -57,6 +58,7 @@
 
     CacheCodec(UpstreamConnection connection) {
         this.connection = connection;
+        responses = connection.responses();
         connection.setCodec(this);
     }
 
@@ -102,12 +104,12 @@
         if (line != null) {
             onLine(line);
         } else if (input.isReadable()) {
-            connection.onPartialResponse();
+            responses.onPartialResponse();
         }
     }
 
     private void onLine(String line) throws MetaCodec.SyntaxException {
-        Attempt attempt = connection.currentAttempt();
+        Attempt attempt = responses.currentAttempt();
         if (attempt == null) {
             throw new MetaCodec.SyntaxException("answer to nothing");
         }
@@ -131,7 +133,7 @@
     private void onError(Attempt attempt, String line) {
         AttemptOutcome outcome = line.startsWith(MetaCodec.BUSY_PREFIX) ? AttemptOutcome.FULL : AttemptOutcome.ERROR;
         String load = MetaCodec.flag(line, MetaCodec.BUSY_PREFIX.length() + 1, LOAD_FLAG);
-        connection.onResponse(outcome, CACHE_STATUS_UNKNOWN, attempt.protocol().reportOf(load));
+        responses.onResponse(outcome, CACHE_STATUS_UNKNOWN, attempt.protocol().reportOf(load));
     }
 
     private void onStored(Attempt attempt, String line) throws MetaCodec.SyntaxException {
@@ -140,7 +142,7 @@
         if (receipt == null && !attempt.protocol().stockServers()) {
             throw new MetaCodec.SyntaxException("no receipt");
         }
-        connection.onResponse(AttemptOutcome.OK, cacheStatus, report, null, receipt);
+        responses.onResponse(AttemptOutcome.OK, cacheStatus, report, null, receipt);
     }
 
     private void onMiss(Attempt attempt, String line) throws MetaCodec.SyntaxException {
@@ -151,7 +153,7 @@
         } else {
             readFlags(attempt, line, MISS.length() + 1);
         }
-        connection.onResponse(AttemptOutcome.MISS, cacheStatus, report);
+        responses.onResponse(AttemptOutcome.MISS, cacheStatus, report);
     }
 
     private void onProbeLine(Attempt attempt, String line) {
@@ -164,7 +166,7 @@
         boolean healthy = line.equals("MN") || line.equals("END");
         float[] figures = MetaCodec.parseLoadReport(stats, attempt.protocol().reportNames());
         stats = "";
-        connection.onResponse(healthy ? AttemptOutcome.OK : AttemptOutcome.ERROR, CACHE_STATUS_UNKNOWN, figures);
+        responses.onResponse(healthy ? AttemptOutcome.OK : AttemptOutcome.ERROR, CACHE_STATUS_UNKNOWN, figures);
     }
 
     /** Reads what the flags say; the id must be the attempt's. */
@@ -196,7 +198,7 @@
         missingBytes = valueBytes + CRLF_BYTES;
         streamed = valueBytes > MetaCodec.MAX_BUFFERED_VALUE_BYTES;
         if (streamed) {
-            dropped = !connection.onLongValueBegin(valueBytes);
+            dropped = !responses.onLongValueBegin(valueBytes);
         }
     }
 
@@ -204,13 +206,13 @@
         if (streamed) {
             decodeLongValue(input);
         } else if (input.readableBytes() < missingBytes) {
-            connection.onPartialResponse();
+            responses.onPartialResponse();
         } else {
             requireCrlf(input, input.readerIndex() + valueBytes);
             ByteBuf value = input.readRetainedSlice(valueBytes);
             input.skipBytes(CRLF_BYTES);
             missingBytes = NO_VALUE;
-            connection.onResponse(AttemptOutcome.OK, cacheStatus, report, value, null);
+            responses.onResponse(AttemptOutcome.OK, cacheStatus, report, value, null);
         }
     }
 
@@ -224,14 +226,14 @@
             if (dropped) {
                 input.skipBytes(partBytes);
             } else {
-                connection.onLongValuePart(input.readRetainedSlice(partBytes));
+                responses.onLongValuePart(input.readRetainedSlice(partBytes));
             }
         }
         if (missingBytes == CRLF_BYTES && input.readableBytes() >= CRLF_BYTES) {
             requireCrlf(input, input.readerIndex());
             input.skipBytes(CRLF_BYTES);
             missingBytes = NO_VALUE;
-            connection.onResponse(AttemptOutcome.OK, cacheStatus, report);
+            responses.onResponse(AttemptOutcome.OK, cacheStatus, report);
         }
     }
 
--- a/src/main/java/cacheproxy/proxy/upstream/OriginCodec.java
+++ b/src/main/java/cacheproxy/proxy/upstream/OriginCodec.java
@@ -35,6 +35,7 @@
     private static final int CACHE_STATUS_UNKNOWN = 0;
 
     private final UpstreamConnection connection;
+    private final ResponseReceiver responses;
     private final BufferedBody body = new BufferedBody();
     private final BodyBufferClaim claim;
     /** The head of the response that is being received; null between responses. */
@@ -52,6 +53,7 @@
 
     private OriginCodec(UpstreamConnection connection) {
         this.connection = connection;
+        responses = connection.responses();
         claim = new BodyBufferClaim(connection, () -> forwarding);
         connection.setCodec(this);
     }
@@ -104,7 +106,7 @@
             response = null;
             return;
         }
-        Attempt attempt = connection.currentAttempt();
+        Attempt attempt = responses.currentAttempt();
         if (attempt == null) {
             fail("answer to nothing");
             return;
@@ -124,8 +126,8 @@
         streamed = isValueOf(attempt) && length > MetaCodec.MAX_BUFFERED_VALUE_BYTES;
         if (!streamed) {
             body.begin(ctx.alloc(), length);
-            connection.onPartialResponse();
-        } else if (!connection.onLongValueBegin((int) length)) {
+            responses.onPartialResponse();
+        } else if (!responses.onLongValueBegin((int) length)) {
             streamed = false; // nobody waits for it: without a buffer it is dropped
         }
     }
@@ -149,19 +151,19 @@
             return;
         }
         if (streamed) {
-            connection.onLongValuePart(part.retain());
+            responses.onLongValuePart(part.retain());
         } else if (body.hasBegun()) {
             buffer(ctx, part);
         }
     }
 
     private void buffer(ChannelHandlerContext ctx, ByteBuf part) {
-        connection.onPartialResponse();
+        responses.onPartialResponse();
         body.append(part);
         if (!part.isReadable()) {
             return;
         }
-        if (!isValueOf(connection.currentAttempt())
+        if (!isValueOf(responses.currentAttempt())
                 || body.length() + part.readableBytes() > MetaCodec.MAX_VALUE_BYTES) {
             fail("too long");
             return;
@@ -178,7 +180,7 @@
         if (!HttpUtil.isKeepAlive(head)) {
             connection.retire();
         }
-        Attempt attempt = connection.currentAttempt();
+        Attempt attempt = responses.currentAttempt();
         float[] report = attempt.protocol().reportOf(head.headers().get(LOAD_HEADER));
         if (body.isLong()) {
             beginForwarding(report);
@@ -186,7 +188,7 @@
             onSuccess(attempt, report);
         } else {
             body.release();
-            connection.onResponse(outcome(attempt, head), CACHE_STATUS_UNKNOWN, report);
+            responses.onResponse(outcome(attempt, head), CACHE_STATUS_UNKNOWN, report);
         }
     }
 
@@ -205,13 +207,13 @@
     private void onSuccess(Attempt attempt, float[] report) {
         ByteBuf complete = body.take();
         if (complete == null) { // it was passed on as it came, or dropped
-            connection.onResponse(AttemptOutcome.OK, CACHE_STATUS_UNKNOWN, report);
+            responses.onResponse(AttemptOutcome.OK, CACHE_STATUS_UNKNOWN, report);
         } else if (attempt.request().isWrite()) {
             String receipt = complete.toString(StandardCharsets.ISO_8859_1).trim();
             complete.release();
-            connection.onResponse(AttemptOutcome.OK, CACHE_STATUS_UNKNOWN, report, null, receipt);
+            responses.onResponse(AttemptOutcome.OK, CACHE_STATUS_UNKNOWN, report, null, receipt);
         } else {
-            connection.onResponse(AttemptOutcome.OK, CACHE_STATUS_UNKNOWN, report, complete, null);
+            responses.onResponse(AttemptOutcome.OK, CACHE_STATUS_UNKNOWN, report, complete, null);
         }
     }
 
@@ -219,21 +221,21 @@
     private void beginForwarding(float[] report) {
         forwardedReport = report;
         forwarding = true;
-        if (connection.onLongValueBegin(body.length())) {
+        if (responses.onLongValueBegin(body.length())) {
             body.beginTaking();
             resume();
         } else {
             releaseBody();
-            connection.onResponse(AttemptOutcome.OK, CACHE_STATUS_UNKNOWN, report);
+            responses.onResponse(AttemptOutcome.OK, CACHE_STATUS_UNKNOWN, report);
         }
     }
 
     @Override
     public void resume() {
-        while (forwarding && !connection.isPaused()) {
+        while (forwarding && !responses.isPaused()) {
             ByteBuf chunk = body.takeChunk();
             if (chunk != null) {
-                connection.onLongValuePart(chunk);
+                responses.onLongValuePart(chunk);
             } else {
                 endForwarding();
             }
@@ -242,7 +244,7 @@
 
     private void endForwarding() {
         releaseBody();
-        connection.onResponse(AttemptOutcome.OK, CACHE_STATUS_UNKNOWN, forwardedReport);
+        responses.onResponse(AttemptOutcome.OK, CACHE_STATUS_UNKNOWN, forwardedReport);
         if (inactive) {
             connection.onClosed();
         }
--- a/src/main/java/cacheproxy/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/cacheproxy/proxy/upstream/UpstreamConnection.java
@@ -2,7 +2,6 @@
 
 import cacheproxy.policy.AttemptOutcome;
 import cacheproxy.proxy.request.Responder;
-import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import java.net.SocketAddress;
@@ -15,16 +14,13 @@
     /** How long a connection waits for the rest of a short response, in milliseconds. */
     public static final double CUT_MS = ResponseProgress.CUT_MS;
 
-    /** A long value that has not continued for this long, or a response that is late by this much, will not come. */
-    private static final double STALLED_MS = 3000;
-
     /** For how many short responses a long value counts in the choice of a connection. */
     private static final int LONG_VALUE_DEPTH = 1000;
 
     private final Upstream upstream;
     private final AttemptQueue attempts = new AttemptQueue();
-    private final ResponseProgress progress;
-    private final Runnable flush = this::flush;
+    private final AttemptWriter writer;
+    private final ResponseReceiver responses;
     private UpstreamCodec codec;
     private Channel channel;
     private SocketAddress address;
@@ -33,24 +29,13 @@
     private boolean closedByProxy;
     /** Whether no more attempts are sent on it. */
     private boolean retired;
-    /** Whether input is being handled, so that attempts are not written until its end. */
-    private boolean reading;
-    /** Whether the client that takes a long value has paused it. */
-    private boolean paused;
-    /** Whether a long value is being received. */
-    private boolean receivingLongValue;
-
-    private boolean flushPending;
-    /** Whether the server has responded on it. */
-    private boolean responded;
-    /** Whether the server has responded otherwise than by refusing for overload, and so has accepted the connection. */
-    private boolean accepted;
 
     private double idleSinceMs;
 
     UpstreamConnection(Upstream upstream) {
         this.upstream = upstream;
-        progress = new ResponseProgress(upstream.core(), () -> closed, this::close);
+        writer = new AttemptWriter(this, attempts);
+        responses = new ResponseReceiver(this, attempts);
         idleSinceMs = upstream.core().nowMs();
     }
 
@@ -59,6 +44,26 @@
         return upstream.core();
     }
 
+    /** Its responses, to which its codec hands what it reads. */
+    ResponseReceiver responses() {
+        return responses;
+    }
+
+    /** The codec; null before {@link #setCodec}. */
+    UpstreamCodec codec() {
+        return codec;
+    }
+
+    /** The channel; null before {@link #opening}. */
+    Channel channel() {
+        return channel;
+    }
+
+    /** The server's address; null before {@link #opening}. */
+    SocketAddress address() {
+        return address;
+    }
+
     /** Sets the codec; to be called once, before {@link #opening}. */
     void setCodec(UpstreamCodec newCodec) {
         codec = newCodec;
@@ -81,10 +86,8 @@
             return;
         }
         connected = true;
-        if (attempts.isEmpty()) {
-            idleSinceMs = core().nowMs();
-        }
-        writeWaiting();
+        beginIdleIfEmpty();
+        writer.writeWaiting();
     }
 
     // ---- state, for the choice of a connection
@@ -93,14 +96,19 @@
         return connected;
     }
 
+    /** Whether it has closed, or has failed to come up. */
+    boolean isClosed() {
+        return closed;
+    }
+
     /** Its attempts, where a long value counts as many: a client takes it, which may last for seconds. */
     int depth() {
-        return receivingLongValue ? attempts.size() + LONG_VALUE_DEPTH : attempts.size();
+        return responses.isReceivingLongValue() ? attempts.size() + LONG_VALUE_DEPTH : attempts.size();
     }
 
     /** Whether a long value is being received. */
     boolean isReceivingLongValue() {
-        return receivingLongValue;
+        return responses.isReceivingLongValue();
     }
 
     /** Whether no more attempts are sent on it. */
@@ -125,7 +133,7 @@
 
     /** Whether its server has responded on it. */
     boolean hasResponded() {
-        return responded;
+        return responses.hasResponded();
     }
 
     /** Since when no attempt has been on it; valid if {@link #isEmpty}. */
@@ -162,47 +170,7 @@
     void send(Attempt attempt) {
         attempt.assignTo(this);
         attempts.add(attempt);
-        writeWaiting();
-    }
-
-    /**
-     * Writes those that wait, in their order, for as long as the connection takes more: the deadline that is written
-     * with a request holds only if it goes out soon, not if it is buffered behind a long value. Those that may not
-     * begin any more are removed.
-     */
-    private void writeWaiting() {
-        while (attempts.hasWaiting()
-                && connected
-                && !reading
-                && !closed
-                && channel.isActive()
-                && channel.isWritable()) {
-            Attempt next = attempts.firstWaiting();
-            if (next.mayBegin()) {
-                attempts.begin(next);
-                write(next);
-            } else {
-                attempts.removeWaiting(next);
-            }
-        }
-    }
-
-    private void write(Attempt attempt) {
-        attempt.onBegin();
-        codec.write(channel, attempt, address).addListener(done -> {
-            if (done.isSuccess()) {
-                attempt.markWritten();
-            }
-        });
-        if (!flushPending) {
-            flushPending = true;
-            core().flushLater(flush);
-        }
-    }
-
-    private void flush() {
-        flushPending = false;
-        channel.flush();
+        writer.writeWaiting();
     }
 
     /**
@@ -222,104 +190,37 @@
         return false;
     }
 
-    /** The channel takes more again, or no more for now. */
-    void onWritabilityChanged() {
-        writeWaiting();
-    }
-
-    // ---- flow control
-
     @Override
     public void setPaused(boolean pause) {
-        if (paused != pause) {
-            paused = pause;
-            progress.advanced();
-            channel.config().setAutoRead(!pause);
-            if (!pause) {
-                codec.resume();
-            }
-        }
+        responses.setPaused(pause);
     }
 
-    /** Whether the client that takes a long value has paused it. */
-    boolean isPaused() {
-        return paused;
-    }
+    // ---- what the codec and the responses report
 
-    /** Suspends or resumes reading for the codec's sake. */
-    void setReadable(boolean readable) {
-        if (readable) {
-            progress.partialReceived();
-        } else {
-            progress.advanced();
-            progress.expectNothing();
-        }
-        channel.config().setAutoRead(readable && !paused);
+    /** The channel takes more again, or no more for now. */
+    void onWritabilityChanged() {
+        writer.writeWaiting();
     }
 
-    // ---- responses, as the codec reads them
-
-    /**
-     * Input begins to be handled, or has been handled. Attempts are not written meanwhile: bytes that follow a response
-     * at once are not part of it, and would pass for the response of an attempt that is written now, as the origin's
-     * responses carry no id.
-     */
+    /** Input begins to be handled, or has been handled; see {@link AttemptWriter#setReading}. */
     void setReading(boolean handling) {
-        reading = handling;
-        writeWaiting();
+        writer.setReading(handling);
     }
 
-    /** The attempt whose response comes next; null if none has begun, so that no response is due. */
-    Attempt currentAttempt() {
-        Attempt first = attempts.first();
-        return first == null || first.hasBegun() ? first : null;
+    /** The server has responded otherwise than by refusing for overload. */
+    void onAccepted() {
+        upstream.onConnectionAccepted();
     }
 
-    /** A part of a short response has come. */
-    void onPartialResponse() {
-        progress.partialReceived();
-    }
-
-    /** A long value begins. Returns false if nobody waits for it, so that it is to be dropped. */
-    boolean onLongValueBegin(int length) {
-        receivingLongValue = true;
-        // Its head may have come in parts; the limit on pauses of short responses no longer applies.
-        progress.expectNothing();
-        progress.advanced();
-        return attempts.first().onValueBegin(length);
-    }
-
-    /** A part of a long value, which the callee releases. */
-    void onLongValuePart(ByteBuf part) {
-        progress.advanced();
-        attempts.first().onValuePart(part);
-    }
-
-    /** A response without a value or receipt, or the end of a long value, has come. */
-    void onResponse(AttemptOutcome outcome, int cacheStatus, float[] report) {
-        onResponse(outcome, cacheStatus, report, null, null);
-    }
-
-    /**
-     * A response, or the end of a long value, has come; see {@link Attempt#onEnd}.
-     *
-     * @param value which the callee releases; null if there is none, or it has come in parts
-     * @param receipt null if there is none
-     */
-    void onResponse(AttemptOutcome outcome, int cacheStatus, float[] report, ByteBuf value, String receipt) {
-        Attempt attempt = attempts.removeResponded();
-        receivingLongValue = false;
-        progress.expectNothing();
-        responded = true;
-        if (!accepted && outcome != AttemptOutcome.FULL) {
-            accepted = true;
-            upstream.onConnectionAccepted();
-        }
+    /** If no attempt is left, it is idle from now on. */
+    void beginIdleIfEmpty() {
         if (attempts.isEmpty()) {
             idleSinceMs = core().nowMs();
         }
-        setPaused(false);
-        attempt.onEnd(outcome, cacheStatus, report, value, receipt);
+    }
+
+    /** Closes it if no attempt is left and none will be sent on it. */
+    void closeIfRetiredAndEmpty() {
         if (attempts.isEmpty() && retired) {
             close();
         }
@@ -340,9 +241,7 @@
 
     /** Closes it if its server has stopped responding. */
     void closeIfStalled(double nowMs) {
-        Attempt first = attempts.first();
-        boolean silent = connected && first != null && first.hasEnded() && nowMs - first.timeoutAtMs() > STALLED_MS;
-        if (silent || (receivingLongValue && !paused && progress.pausedForMs(nowMs) > STALLED_MS)) {
+        if (responses.isStalled(nowMs)) {
             close();
         }
     }
@@ -366,7 +265,7 @@
             return;
         }
         closed = true;
-        if (responded && !accepted && !retired) {
+        if (responses.hasOnlyRefused() && !retired) {
             // The server only refused for overload, and closed it: it has no capacity for one more connection.
             upstream.onConnectionRefused();
         }
--- a/src/main/java/cacheproxy/proxy/upstream/package-info.java
+++ b/src/main/java/cacheproxy/proxy/upstream/package-info.java
@@ -6,7 +6,8 @@
  *       {@link cacheproxy.proxy.upstream.Upstream} the connections to one of them. It decides which connection takes an
  *       attempt, and when connections are opened and closed.
  *   <li>{@link cacheproxy.proxy.upstream.UpstreamConnection} has the attempts on one connection, in the order in which
- *       their responses come. It decides when they are written, and how they end if the connection does.
+ *       their responses come. It decides how they end if the connection does; its {@code AttemptWriter} when they are
+ *       written, and its {@code ResponseReceiver} hands each response to its attempt and controls reading.
  *   <li>{@code CacheCodec} and {@code OriginCodec} read the two protocols; each keeps the state of the response that is
  *       being received.
  *   <li>{@link cacheproxy.proxy.upstream.Attempt} is what a connection knows of an exchange. Its subclass, outside this
