--- a/src/main/java/cacheproxy/proxy/client/ClientConnection.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientConnection.java
@@ -11,7 +11,6 @@
 import io.netty.channel.ChannelOutboundBuffer;
 import io.netty.channel.WriteBufferWaterMark;
 import io.netty.handler.codec.ByteToMessageDecoder;
-import java.util.ArrayDeque;
 import java.util.List;
 
 /**
@@ -30,13 +29,9 @@
     private final ReadControl readControl;
     private final ConnectionCloser closer;
     private final ConnectionActivity activity = new ConnectionActivity();
-    /** The responses whose requests are complete and not submitted yet. */
-    private final ArrayDeque<PendingResponse> unsubmitted = new ArrayDeque<>(2);
-
-    private final Runnable submitRequests = this::submitRequests;
+    private final RequestSubmitter submitter;
     private final Runnable flush = this::flush;
     private ChannelHandlerContext ctx;
-    private boolean submitScheduled;
     private boolean flushScheduled;
 
     /**
@@ -51,6 +46,7 @@
         decoder = new RequestDecoder(loopContext, owner, this);
         readControl = new ReadControl(loopContext);
         closer = new ConnectionCloser(loopContext, responses);
+        submitter = new RequestSubmitter(this, owner);
     }
 
     /** From 0 to under 1; connections are closed in this order. */
@@ -63,6 +59,11 @@
         return loopContext;
     }
 
+    /** The handler's context; null before it is added to a channel. */
+    ChannelHandlerContext context() {
+        return ctx;
+    }
+
     /** The allocator of the channel's buffers. */
     ByteBufAllocator allocator() {
         return ctx.alloc();
@@ -204,31 +205,10 @@
         return responses.size() < MAX_PIPELINED && ctx.channel().isWritable();
     }
 
-    /**
-     * Submits a request once all that is read now has been decoded. The client's end may be behind it, and the request
-     * of a client that has left meanwhile, perhaps long ago on a busy loop, must not be sent to a server.
-     */
     @Override
     public void request(ClientRequest request, MetaProtocol protocol, String echo) {
         request.setArrivedMs(readControl.unreadSinceMs());
-        unsubmitted.add(addResponse(protocol, echo, request));
-        if (!submitScheduled) {
-            submitScheduled = true;
-            ctx.executor().execute(submitRequests);
-        }
-    }
-
-    private void submitRequests() {
-        submitScheduled = false;
-        // When the channel is no longer active, channelInactive is still to come and releases what is left here.
-        PendingResponse response;
-        while (ctx.channel().isActive() && (response = unsubmitted.poll()) != null) {
-            try {
-                response.submit(owner.handler());
-            } catch (RuntimeException e) {
-                exceptionCaught(ctx, e);
-            }
-        }
+        submitter.submitLater(addResponse(protocol, echo, request));
     }
 
     @Override
@@ -295,7 +275,7 @@
         closer.closed(ctx, actualReadableBytes());
         super.channelInactive(context);
         decoder.close();
-        unsubmitted.clear();
+        submitter.clear();
         responses.close(loopContext);
         owner.connectionClosed(this);
     }
--- a/src/main/java/cacheproxy/proxy/client/Listener.java
+++ b/src/main/java/cacheproxy/proxy/client/Listener.java
@@ -1,20 +1,14 @@
 package cacheproxy.proxy.client;
 
 import cacheproxy.lifecycle.Lifecycle;
-import cacheproxy.proxy.net.Transport;
 import cacheproxy.proxy.request.RequestHandler;
 import cacheproxy.proxy.upstream.EventLoopContext;
-import io.netty.bootstrap.ServerBootstrap;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandler;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
-import io.netty.channel.ChannelInitializer;
-import io.netty.channel.ChannelOption;
-import io.netty.channel.WriteBufferWaterMark;
 import io.netty.channel.epoll.EpollServerSocketChannel;
-import io.netty.channel.unix.UnixChannelOption;
 import io.netty.util.concurrent.Future;
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -28,8 +22,6 @@
  * binding its address.
  */
 public final class Listener implements ConnectionOwner {
-    private static final int BACKLOG = 512;
-    private static final WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(64 << 10, 128 << 10);
     /** How long none is accepted after an accept has failed, for want of descriptors or memory. */
     private static final double ACCEPT_RETRY_MS = 20;
 
@@ -100,36 +92,16 @@
 
     /** Like {@link #bind(SocketAddress)}; with {@code shared}, other processes may listen at the same address. */
     public ChannelFuture bind(SocketAddress address, boolean shared) {
-        ServerBootstrap bootstrap = bootstrap()
-                .channel(Transport.BEST.server())
-                .option(ChannelOption.SO_BACKLOG, BACKLOG)
-                .option(ChannelOption.SO_REUSEADDR, true);
-        if (shared && Transport.BEST.server() == EpollServerSocketChannel.class) {
-            bootstrap.option(UnixChannelOption.SO_REUSEPORT, true);
-        }
-        return register(bootstrap.bind(address));
+        return register(bootstrap().bind(address, shared));
     }
 
     /** Accepts connections from a socket that listens already, and that another process may have, too. */
     public ChannelFuture adopt(int descriptor) {
-        return register(bootstrap()
-                .channelFactory(() -> new EpollServerSocketChannel(descriptor))
-                .register());
-    }
-
-    private ServerBootstrap bootstrap() {
-        return new ServerBootstrap()
-                .group(loopContext.loop())
-                .handler(new AcceptFailureHandler())
-                .childOption(ChannelOption.TCP_NODELAY, true)
-                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WATER_MARK)
-                .childOption(ChannelOption.RECVBUF_ALLOCATOR, Transport.reads())
-                .childHandler(new ChannelInitializer<>() {
-                    @Override
-                    protected void initChannel(Channel accepted) {
-                        addConnection(accepted);
-                    }
-                });
+        return register(bootstrap().adopt(descriptor));
+    }
+
+    private ListenerBootstrap bootstrap() {
+        return new ListenerBootstrap(loopContext.loop(), new AcceptFailureHandler(), this::addConnection);
     }
 
     private ChannelFuture register(ChannelFuture bound) {
--- /dev/null
+++ b/src/main/java/cacheproxy/proxy/client/ListenerBootstrap.java
@@ -0,0 +1,64 @@
+package cacheproxy.proxy.client;
+
+import cacheproxy.proxy.net.Transport;
+import io.netty.bootstrap.ServerBootstrap;
+import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
+import io.netty.channel.ChannelHandler;
+import io.netty.channel.ChannelInitializer;
+import io.netty.channel.ChannelOption;
+import io.netty.channel.EventLoop;
+import io.netty.channel.WriteBufferWaterMark;
+import io.netty.channel.epoll.EpollServerSocketChannel;
+import io.netty.channel.unix.UnixChannelOption;
+import java.net.SocketAddress;
+import java.util.function.Consumer;
+
+/** Opens one listening socket, with the options of the sockets that are accepted there. */
+final class ListenerBootstrap {
+    private static final int BACKLOG = 512;
+    private static final WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(64 << 10, 128 << 10);
+
+    private final ServerBootstrap bootstrap;
+
+    /**
+     * Creates a bootstrap.
+     *
+     * @param loop of the listening channel and of those that it accepts
+     * @param listeningHandler the handler of the listening channel
+     * @param onAccepted gets each accepted channel while it is registered, to add its handlers
+     */
+    ListenerBootstrap(EventLoop loop, ChannelHandler listeningHandler, Consumer<Channel> onAccepted) {
+        bootstrap = new ServerBootstrap()
+                .group(loop)
+                .handler(listeningHandler)
+                .childOption(ChannelOption.TCP_NODELAY, true)
+                .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WATER_MARK)
+                .childOption(ChannelOption.RECVBUF_ALLOCATOR, Transport.reads())
+                .childHandler(new ChannelInitializer<>() {
+                    @Override
+                    protected void initChannel(Channel accepted) {
+                        onAccepted.accept(accepted);
+                    }
+                });
+    }
+
+    /** Binds the address; with {@code shared}, other processes may listen at the same address. */
+    ChannelFuture bind(SocketAddress address, boolean shared) {
+        bootstrap
+                .channel(Transport.BEST.server())
+                .option(ChannelOption.SO_BACKLOG, BACKLOG)
+                .option(ChannelOption.SO_REUSEADDR, true);
+        if (shared && Transport.BEST.server() == EpollServerSocketChannel.class) {
+            bootstrap.option(UnixChannelOption.SO_REUSEPORT, true);
+        }
+        return bootstrap.bind(address);
+    }
+
+    /** Takes a socket that listens already. */
+    ChannelFuture adopt(int descriptor) {
+        return bootstrap
+                .channelFactory(() -> new EpollServerSocketChannel(descriptor))
+                .register();
+    }
+}
--- a/src/main/java/cacheproxy/proxy/client/package-info.java
+++ b/src/main/java/cacheproxy/proxy/client/package-info.java
@@ -6,7 +6,8 @@
  *   <li>{@link cacheproxy.proxy.client.ClientRegistry} bounds the connections of all listeners of an event loop.
  *   <li>{@link cacheproxy.proxy.client.ClientConnection} submits a connection's requests and writes the responses in
  *       their order. Its parts own one state each: {@link cacheproxy.proxy.client.RequestDecoder} the command that is
- *       being read, {@link cacheproxy.proxy.client.ResponseQueue} the open responses,
+ *       being read, {@link cacheproxy.proxy.client.RequestSubmitter} the requests that are complete and not submitted
+ *       yet, {@link cacheproxy.proxy.client.ResponseQueue} the open responses,
  *       {@link cacheproxy.proxy.client.ReadControl} the pauses in reading,
  *       {@link cacheproxy.proxy.client.ConnectionCloser} the steps of closing, and
  *       {@link cacheproxy.proxy.client.ConnectionActivity} the times that timeouts count from.
--- a/src/main/java/cacheproxy/proxy/upstream/Upstream.java
+++ b/src/main/java/cacheproxy/proxy/upstream/Upstream.java
@@ -48,6 +48,7 @@
     private final double retireIdleMs;
     private final ServerCapacity capacity;
     private final List<UpstreamConnection> connections = new ArrayList<>(2);
+    private final ConnectionSelector selector;
 
     Upstream(int id, boolean origin, SocketAddress address, EventLoopContext core, ConnectionLimits limits) {
         this.id = id;
@@ -59,6 +60,7 @@
         maxConnections = origin ? limits.originConnections() : limits.cacheConnections();
         maxConnectionsWithLongValues = Math.max(maxConnections, limits.maxConnections());
         maxDepth = origin ? 1 : limits.streamsPerConnection();
+        selector = new ConnectionSelector(core, origin, maxDepth, connections);
         retireIdleMs = limits.retireIdleMs();
     }
 
@@ -136,8 +138,8 @@
     /** Sends the attempt; false if no connection can take it. */
     public boolean send(Attempt attempt) {
         closeAged();
-        UpstreamConnection best = best(false);
-        if ((best == null || best.depth() > 0 || !isRested(best)) && mayOpen()) {
+        UpstreamConnection best = selector.best(false);
+        if ((best == null || best.depth() > 0 || !selector.isRested(best)) && mayOpen()) {
             best = open();
         }
         if (best == null || !best.isUsable(maxDepth)) { // a new one may have failed at once, for want of a descriptor
@@ -152,7 +154,7 @@
      * others are up, the failure shows only that the server accepts no more connections.
      */
     boolean sendOnConnected(Attempt attempt) {
-        UpstreamConnection best = best(true);
+        UpstreamConnection best = selector.best(true);
         if (best == null) {
             return false;
         }
@@ -180,41 +182,6 @@
         return count;
     }
 
-    /**
-     * The connection with the fewest attempts, and of the idle ones that used last; null if none can take more.
-     * Responses come in order, so an attempt behind others waits for theirs.
-     */
-    private UpstreamConnection best(boolean connectedOnly) {
-        UpstreamConnection best = null;
-        for (UpstreamConnection candidate : connections) {
-            if (candidate.isUsable(maxDepth)
-                    && (candidate.isConnected() || !connectedOnly)
-                    && (best == null || isBetter(candidate, best))) {
-                best = candidate;
-            }
-        }
-        return best;
-    }
-
-    private boolean isBetter(UpstreamConnection candidate, UpstreamConnection best) {
-        if (candidate.depth() != best.depth()) {
-            return candidate.depth() < best.depth();
-        }
-        boolean rested = isRested(candidate);
-        return rested != isRested(best) ? rested : candidate.idleSinceMs() > best.idleSinceMs();
-    }
-
-    /**
-     * Whether a duplicate of the last response could be told from the response of an attempt that is sent now. The
-     * origin's responses carry no id; a duplicate that comes while no attempt has begun closes the connection.
-     */
-    private boolean isRested(UpstreamConnection connection) {
-        return !origin
-                || !connection.isConnected()
-                || !connection.hasResponded()
-                || core.nowMs() - connection.idleSinceMs() >= REST_MS;
-    }
-
     private UpstreamConnection open() {
         UpstreamConnection connection = new UpstreamConnection(this);
         connections.add(connection);
@@ -274,7 +241,7 @@
 
     /** Closes all idle connections but one. */
     void closeSpare() {
-        UpstreamConnection kept = connections.size() > 1 ? best(true) : null;
+        UpstreamConnection kept = connections.size() > 1 ? selector.best(true) : null;
         for (UpstreamConnection connection : List.copyOf(connections)) {
             if (kept != null && connection != kept && connection.isEmpty() && connection.isConnected()) {
                 connection.close();
--- a/src/main/java/cacheproxy/proxy/upstream/package-info.java
+++ b/src/main/java/cacheproxy/proxy/upstream/package-info.java
@@ -3,8 +3,8 @@
  *
  * <ul>
  *   <li>{@link cacheproxy.proxy.upstream.UpstreamRegistry} has the servers of all pools of an event loop, and
- *       {@link cacheproxy.proxy.upstream.Upstream} the connections to one of them. It decides which connection takes an
- *       attempt, and when connections are opened and closed.
+ *       {@link cacheproxy.proxy.upstream.Upstream} the connections to one of them. It decides when connections are
+ *       opened and closed; its {@code ConnectionSelector} which of them takes an attempt.
  *   <li>{@link cacheproxy.proxy.upstream.UpstreamConnection} has the attempts on one connection, in the order in which
  *       their responses come. It decides how they end if the connection does; its {@code AttemptWriter} when they are
  *       written, and its {@code ResponseReceiver} hands each response to its attempt and controls reading.
