--- a/src/main/java/cacheproxy/policy/AttemptSender.java
+++ b/src/main/java/cacheproxy/policy/AttemptSender.java
@@ -26,7 +26,7 @@
             admission.recordFirstAttempt(nowMs);
         }
         boolean isOrigin = endpoints.isOrigin(server);
-        boolean endsAtObjective = !isOrigin && pending.isWorthlessWhenLate();
+        boolean endsAtObjective = !isOrigin && pending.serviceClass().isWorthlessWhenLate();
         double timeoutMs = endsAtObjective ? Math.max(MIN_TIMEOUT_MS, pending.objectiveAtMs() - nowMs) : 0;
         actions.sendAttempt(pending.id(), server.id(), timeoutMs);
         if (!isOrigin && hedging.appliesTo(pending)) {
--- a/src/main/java/cacheproxy/policy/HedgingPolicy.java
+++ b/src/main/java/cacheproxy/policy/HedgingPolicy.java
@@ -28,7 +28,9 @@
 
     /** Whether the newest attempt of a request, sent to a cache server or sibling, is hedged after a delay. */
     boolean appliesTo(PendingRequest pending) {
-        return pending.isIdempotent() && pending.attemptsLeft() > 0 && pending.attempts() <= MAX_CACHE_ATTEMPTS;
+        return pending.serviceClass().isIdempotent()
+                && pending.attemptsLeft() > 0
+                && pending.attempts() <= MAX_CACHE_ATTEMPTS;
     }
 
     /**
--- a/src/main/java/cacheproxy/policy/LoadShedder.java
+++ b/src/main/java/cacheproxy/policy/LoadShedder.java
@@ -23,6 +23,11 @@
         }
     }
 
+    /** Whether a request may be rejected at all: only an idempotent one, before its first attempt. */
+    static boolean mayReject(PendingRequest pending) {
+        return pending.attempts() == 0 && pending.serviceClass().isIdempotent();
+    }
+
     /**
      * Whether to reject a request.
      *
--- a/src/main/java/cacheproxy/policy/OutlierEjection.java
+++ b/src/main/java/cacheproxy/policy/OutlierEjection.java
@@ -44,7 +44,7 @@
     boolean isProbeDue(double nowMs, PendingRequest pending, ServerState server) {
         return nowMs >= server.ejectedUntilMs()
                 && !server.isProbing()
-                && pending.isIdempotent()
+                && pending.serviceClass().isIdempotent()
                 && pending.attempts() == 0
                 && probeTokens >= 1;
     }
--- a/src/main/java/cacheproxy/policy/PendingRequest.java
+++ b/src/main/java/cacheproxy/policy/PendingRequest.java
@@ -70,21 +70,11 @@
         return serviceClass;
     }
 
-    /** Whether the request may be repeated without restriction. */
-    boolean isIdempotent() {
-        return serviceClass.idempotency() == Idempotency.IDEMPOTENT;
-    }
-
     /** Returns when the service class's latency objective is over. */
     double objectiveAtMs() {
         return arrivedMs + serviceClass.latencyObjectiveMs();
     }
 
-    /** Whether a response after the latency objective is worth nothing and may be given up. */
-    boolean isWorthlessWhenLate() {
-        return isIdempotent() && serviceClass.lateValueFraction() == 0;
-    }
-
     /** Returns the key that servers are ranked for: the request's own, or its id if it has none. */
     long placementKey() {
         return request.key() != 0 ? request.key() : Integer.toUnsignedLong(request.id());
--- a/src/main/java/cacheproxy/policy/RequestConclusion.java
+++ b/src/main/java/cacheproxy/policy/RequestConclusion.java
@@ -24,7 +24,7 @@
 
     /** Gives up a request that gets no further attempt, unless one in flight can still bring its response. */
     void giveUp(PendingRequest pending, PolicyActions actions) {
-        if (pending.inFlightAttempts() > 0 && pending.isIdempotent()) {
+        if (pending.inFlightAttempts() > 0 && pending.serviceClass().isIdempotent()) {
             return;
         }
         rejectOrFail(pending, actions);
@@ -37,7 +37,7 @@
      * capacity comes free, and a random time in it keeps clients from returning together.
      */
     void rejectOrFail(PendingRequest pending, PolicyActions actions) {
-        if (pending.isIdempotent() || (!pending.mayHaveRun() && pending.inFlightAttempts() == 0)) {
+        if (pending.serviceClass().isIdempotent() || (!pending.mayHaveRun() && pending.inFlightAttempts() == 0)) {
             double retryAfterMs = Math.max(
                     MIN_RETRY_AFTER_MS,
                     Math.min(settings.maxRetryAfterMs(), latencies.serverMs() * random.nextDouble()));
--- a/src/main/java/cacheproxy/policy/RequestRouter.java
+++ b/src/main/java/cacheproxy/policy/RequestRouter.java
@@ -203,28 +203,20 @@
         if (isMiss) {
             pending.recordMiss(server);
         }
-        if (isMiss && isFetchedElsewhere(pending, result)) {
+        if (isMiss && RetryRules.mayReadAfterPendingFetch(pending, result)) {
             pending.setOriginOnly(false);
             sender.waitAndRetry(estimates.latencies().originMs(), pending, actions);
-        } else if (isOrigin && isRejectedWrite(pending, result)) {
+        } else if (isOrigin && RetryRules.mayRepeatRejectedWrite(pending, result)) {
             double jitter = 0.5 + environment.random().nextDouble();
             sender.waitAndRetry(estimates.latencies().originMs() * jitter, pending, actions);
         } else if (isOrigin && !pending.request().write()) {
             conclusion.giveUp(pending, actions);
-        } else if (pending.inFlightAttempts() == 0 || (pending.isIdempotent() && settings.hedgingAllowed())) {
+        } else if (pending.inFlightAttempts() == 0
+                || (pending.serviceClass().isIdempotent() && settings.hedgingAllowed())) {
             advance(nowMs, pending, actions);
         }
     }
 
-    /** Whether another proxy's fetch will bring the missed object to the server, so that it can be read there. */
-    private static boolean isFetchedElsewhere(PendingRequest pending, AttemptResult result) {
-        return result.cacheStatus() == PolicyApi.CACHE_STATUS_FETCH_PENDING && pending.leavesAttemptForOrigin();
-    }
-
-    private static boolean isRejectedWrite(PendingRequest pending, AttemptResult result) {
-        return result.outcome() == AttemptOutcome.FULL && pending.request().write() && pending.attemptsLeft() > 0;
-    }
-
     /** Sends a request's next attempt, lets it wait, or gives it up. */
     private void advance(double nowMs, PendingRequest pending, PolicyActions actions) {
         pending.setWaiting(false);
@@ -243,7 +235,7 @@
             conclusion.giveUp(pending, actions);
         } else if (isOrigin) {
             fetch(nowMs, pending, server, actions);
-        } else if (mayShed(pending)
+        } else if (LoadShedder.mayReject(pending)
                 && shedder.shouldReject(pending, estimates.serverThrottle().excess(nowMs))) {
             server.endProbe(); // a probe that is not sent has no result, and its server would stay ejected
             conclusion.giveUp(pending, actions);
@@ -252,10 +244,6 @@
         }
     }
 
-    private static boolean mayShed(PendingRequest pending) {
-        return pending.attempts() == 0 && pending.isIdempotent();
-    }
-
     private void fetch(double nowMs, PendingRequest pending, ServerState origin, PolicyActions actions) {
         switch (originFetches.decide(nowMs, pending, actions)) {
             case SEND -> sender.send(nowMs, pending, origin, actions);
--- a/src/main/java/cacheproxy/policy/RetryRules.java
+++ b/src/main/java/cacheproxy/policy/RetryRules.java
@@ -3,7 +3,8 @@
 /**
  * Whether a request may be sent again without the risk of taking effect twice. An idempotent request always may. Others
  * may not while an attempt is in flight, and after an attempt that may have run only if the servers deduplicate by the
- * request's idempotency key: within the window, and at a server that knows the key.
+ * request's idempotency key: within the window, and at a server that knows the key. The static rules are about attempts
+ * that have had no effect.
  */
 final class RetryRules {
     private final PolicySettings settings;
@@ -14,10 +15,11 @@
 
     /** Whether a request's next attempt, which may be its first, may be sent to a server. */
     boolean maySend(double nowMs, PendingRequest pending, ServerState server) {
-        if (pending.inFlightAttempts() > 0 && !(settings.hedgingAllowed() && pending.isIdempotent())) {
+        if (pending.inFlightAttempts() > 0
+                && !(settings.hedgingAllowed() && pending.serviceClass().isIdempotent())) {
             return false;
         }
-        if (!pending.mayHaveRun() || pending.isIdempotent()) {
+        if (!pending.mayHaveRun() || pending.serviceClass().isIdempotent()) {
             return true;
         }
         ServiceClass serviceClass = pending.serviceClass();
@@ -29,6 +31,16 @@
                         server.endpoint());
     }
 
+    /** Whether another proxy's fetch will bring the missed object to the server, so that it can be read there. */
+    static boolean mayReadAfterPendingFetch(PendingRequest pending, AttemptResult result) {
+        return result.cacheStatus() == PolicyApi.CACHE_STATUS_FETCH_PENDING && pending.leavesAttemptForOrigin();
+    }
+
+    /** Whether a write that the origin has rejected for overload may be sent again. */
+    static boolean mayRepeatRejectedWrite(PendingRequest pending, AttemptResult result) {
+        return result.outcome() == AttemptOutcome.FULL && pending.request().write() && pending.attemptsLeft() > 0;
+    }
+
     private static boolean inSameScope(DeduplicationScope scope, Endpoint first, Endpoint second) {
         return switch (scope) {
             case ALL -> true;
--- a/src/main/java/cacheproxy/policy/ServerSelector.java
+++ b/src/main/java/cacheproxy/policy/ServerSelector.java
@@ -33,12 +33,13 @@
      * @return null if there is none, or if the request is out of time or attempts
      */
     ServerState selectNext(double nowMs, PendingRequest pending, PolicyActions actions) {
-        boolean worthless = pending.isWorthlessWhenLate() && nowMs > pending.objectiveAtMs();
+        boolean worthless = pending.serviceClass().isWorthlessWhenLate() && nowMs > pending.objectiveAtMs();
         boolean beforeDeadline = nowMs < pending.request().deadlineMs();
         if (worthless || pending.attemptsLeft() == 0 || !beforeDeadline) {
             return null;
         }
-        boolean mayFetch = environment.settings().cacheAside() && pending.isIdempotent();
+        boolean mayFetch =
+                environment.settings().cacheAside() && pending.serviceClass().isIdempotent();
         boolean cachesTried = pending.attempts() >= HedgingPolicy.MAX_CACHE_ATTEMPTS && pending.missedServer() == null;
         if (pending.isOriginOnly() || (mayFetch && cachesTried)) {
             return endpoints.origin();
--- a/src/main/java/cacheproxy/policy/ServiceClass.java
+++ b/src/main/java/cacheproxy/policy/ServiceClass.java
@@ -23,4 +23,15 @@
         double deadlineMs,
         double priorityWeight,
         double lateValueFraction,
-        boolean streamed) {}
+        boolean streamed) {
+
+    /** Whether requests may be repeated without restriction. */
+    boolean isIdempotent() {
+        return idempotency == Idempotency.IDEMPOTENT;
+    }
+
+    /** Whether a response after the latency objective is worth nothing and may be given up. */
+    boolean isWorthlessWhenLate() {
+        return isIdempotent() && lateValueFraction == 0;
+    }
+}
