--- a/src/main/java/cacheproxy/fleet/lease/LeaseCandidate.java
+++ b/src/main/java/cacheproxy/fleet/lease/LeaseCandidate.java
@@ -24,19 +24,14 @@
     }
 
     private final long selfId;
-    private final long incarnation;
     private final String lease;
-    private final long leaseId;
     private final LeaseTiming timing;
-    private final SplittableRandom random;
     private final LeaseDelays delays;
     private final LeaseListener listener;
+    private final Candidacy candidacy;
     private final VoteCount votes = new VoteCount();
+    private final VoterRequests requests;
     private final HeldLease held;
-    private double leaseMs;
-    private VoterSet voterSet;
-    private boolean eligible;
-    private boolean configured = true;
     private State state = State.IDLE;
     /** When the state's timer runs out. */
     private double timerMs;
@@ -44,53 +39,36 @@
     private long epoch;
     private long lastKnownHolder = NameHash.NOBODY;
     private double transferredUntilMs = Double.NEGATIVE_INFINITY;
-    private double claimsFromMs = Double.NEGATIVE_INFINITY;
 
     /** @throws IllegalArgumentException if the duration of the lease is out of its range */
     LeaseCandidate(LeaseCandidateConfig config, SplittableRandom random, double nowMs, LeaseListener listener) {
-        checkLeaseMs(config.leaseMs(), config.timing());
+        candidacy = new Candidacy(config);
         selfId = config.selfId();
-        incarnation = config.incarnation();
         lease = config.lease();
-        leaseId = NameHash.of(lease);
-        leaseMs = config.leaseMs();
-        voterSet = config.voterSet();
         timing = config.timing();
-        eligible = config.eligible();
-        this.random = random;
         this.listener = listener;
-        delays = new LeaseDelays(selfId, random);
+        delays = new LeaseDelays(selfId, candidacy, random);
+        requests = new VoterRequests(config, candidacy, votes, random, listener);
         held = new HeldLease(timing);
-        timerMs = nowMs + delays.staggerMs(voterSet);
-    }
-
-    private static void checkLeaseMs(double leaseMs, LeaseTiming timing) {
-        if (!(leaseMs >= 1 && leaseMs <= timing.maxLeaseMs())) {
-            throw new IllegalArgumentException("lease " + leaseMs + ", from 1 to the longest, " + timing.maxLeaseMs());
-        }
+        timerMs = nowMs + delays.staggerMs();
     }
 
     // ---- events from the process: configuration and eligibility
 
     /**
      * The configuration has the lease, with this duration and these voters. A holder renews its grant among the new
-     * voters.
+     * voters; for a candidate see {@link Candidacy#setVoterSet}.
      *
-     * <p>If the new list of peers replaces another at once, nothing is claimed until grants of the other list's voters
-     * have expired. While both lists vote this is not needed: any two majorities share a voter.
+     * @throws IllegalArgumentException if the duration is out of its range; nothing has changed then
      */
     void configure(double newLeaseMs, VoterSet newVoterSet, double nowMs) {
-        checkLeaseMs(newLeaseMs, timing);
-        leaseMs = newLeaseMs;
-        configured = true;
-        if (!newVoterSet.hasSameVoters(voterSet)) {
-            if (!newVoterSet.isChanging()) {
-                claimsFromMs = nowMs + timing.startupSilenceMs();
-            }
+        candidacy.setLeaseMs(newLeaseMs);
+        candidacy.setConfigured(true);
+        if (!newVoterSet.hasSameVoters(candidacy.voterSet())) {
             abandonQuestion(nowMs); // its replies are of the former voters
         }
-        voterSet = newVoterSet;
-        if (!mayClaim()) {
+        candidacy.setVoterSet(newVoterSet, nowMs);
+        if (!candidacy.mayClaim()) {
             abandonQuestion(nowMs);
             List<Long> order = newVoterSet.candidateOrder();
             giveUp(LeaseLoss.notAPeer(order.isEmpty() ? NameHash.NOBODY : order.get(0)));
@@ -99,19 +77,19 @@
 
     /** The configuration no longer has the lease. */
     void withdraw(double nowMs) {
-        configured = false;
+        candidacy.setConfigured(false);
         abandonQuestion(nowMs);
         giveUp(LeaseLoss.NOT_CONFIGURED);
     }
 
     /** Whether it is neither configured nor held, and can be forgotten. */
     boolean isFinished() {
-        return !configured && state == State.IDLE;
+        return !candidacy.isConfigured() && state == State.IDLE;
     }
 
     /** Sets whether this process may hold leases; one that may not releases its grant and claims nothing. */
     void setEligible(boolean nowEligible, String reason, double nowMs) {
-        eligible = nowEligible;
+        candidacy.setEligible(nowEligible);
         if (!nowEligible) {
             abandonQuestion(nowMs);
             giveUp(LeaseLoss.requested(reason, NameHash.NOBODY));
@@ -131,10 +109,6 @@
         }
     }
 
-    private boolean mayClaim() {
-        return eligible && configured && voterSet.rank(selfId) != VoterSet.NO_CANDIDATE;
-    }
-
     // ---- what the process asks
 
     /** See {@link LeaseHandle#permit}. */
@@ -159,7 +133,7 @@
 
     /** The ids of the candidates by rank. */
     List<Long> candidateOrder() {
-        return voterSet.candidateOrder();
+        return candidacy.voterSet().candidateOrder();
     }
 
     /** The lease as this process sees it. */
@@ -186,13 +160,13 @@
     private void onTimeout(double nowMs) {
         switch (state) {
             case IDLE -> {
-                if (mayClaim() && nowMs >= claimsFromMs) {
+                if (candidacy.mayClaimAt(nowMs)) {
                     query(nowMs);
                 } else {
-                    timerMs = Math.max(claimsFromMs, nowMs + leaseMs);
+                    timerMs = Math.max(candidacy.claimsFromMs(), nowMs + candidacy.leaseMs());
                 }
             }
-            case QUERYING -> becomeIdle(delays.retryAtMs(nowMs, leaseMs, voterSet));
+            case QUERYING -> becomeIdle(delays.retryAtMs(nowMs));
             default -> abandonClaim(nowMs);
         }
     }
@@ -205,8 +179,8 @@
             lose(nowMs, loss);
             transferTo(loss.successor(), nowMs);
         } else if (!held.isEnding() && nowMs >= timerMs) {
-            askVoters(nowMs, Kind.CLAIM, epoch);
-            timerMs = nowMs + delays.renewalIntervalMs(leaseMs);
+            requests.claim(nowMs, epoch);
+            timerMs = nowMs + delays.renewalIntervalMs();
         }
     }
 
@@ -214,23 +188,22 @@
 
     private void query(double nowMs) {
         state = State.QUERYING;
-        votes.clearReports();
-        askVoters(nowMs, Kind.QUERY, 0);
-        timerMs = nowMs + delays.replyTimeoutMs(leaseMs);
+        requests.query(nowMs);
+        timerMs = nowMs + delays.replyTimeoutMs();
     }
 
     private void claim(double nowMs, long wallMs) {
         state = State.CLAIMING;
         lastKnownHolder = NameHash.NOBODY;
         epoch = timing.nextEpoch(Math.max(votes.highestEpoch(), epoch), wallMs);
-        askVoters(nowMs, Kind.CLAIM, epoch);
-        timerMs = nowMs + delays.replyTimeoutMs(leaseMs);
+        requests.claim(nowMs, epoch);
+        timerMs = nowMs + delays.replyTimeoutMs();
     }
 
     private void gain() {
         state = State.HOLDING;
         lastKnownHolder = selfId;
-        timerMs = votes.sentMs() + delays.renewalIntervalMs(leaseMs);
+        timerMs = votes.sentMs() + delays.renewalIntervalMs();
         listener.gained(lease, epoch);
     }
 
@@ -239,16 +212,16 @@
         held.clear();
         lastKnownHolder = loss.successor();
         if (loss.reason().isReleased()) {
-            release();
+            requests.release(epoch);
         }
-        timerMs = delays.afterLossAtMs(nowMs, leaseMs, voterSet);
+        timerMs = delays.afterLossAtMs(nowMs);
         listener.lost(lease, epoch, loss.logText());
     }
 
     private void transferTo(long successor, double nowMs) {
         if (successor != NameHash.NOBODY && successor != selfId) {
-            listener.send(successor, new LeaseMessage(Kind.TRANSFER, leaseId, 0, epoch, selfId, 0));
-            timerMs = nowMs + leaseMs; // time for the successor to claim it
+            requests.transferTo(successor, epoch);
+            timerMs = nowMs + candidacy.leaseMs(); // time for the successor to claim it
         }
     }
 
@@ -260,25 +233,8 @@
 
     /** Releases what voters may have granted, as a claim without a majority must not block others. */
     private void abandonClaim(double nowMs) {
-        release();
-        becomeIdle(delays.retryAtMs(nowMs, leaseMs, voterSet));
-    }
-
-    private void release() {
-        votes.close();
-        sendToVoters(new LeaseMessage(Kind.RELEASE, leaseId, 0, epoch, incarnation, 0));
-    }
-
-    private void askVoters(double nowMs, Kind kind, long claimedEpoch) {
-        long nonce = random.nextLong();
-        int wholeLeaseMs = (int) leaseMs;
-        votes.open(nonce, nowMs, wholeLeaseMs);
-        int claimedMs = kind == Kind.CLAIM ? wholeLeaseMs : 0;
-        sendToVoters(new LeaseMessage(kind, leaseId, nonce, claimedEpoch, incarnation, claimedMs));
-    }
-
-    private void sendToVoters(LeaseMessage message) {
-        voterSet.voters().forEach(voter -> listener.send(voter, message));
+        requests.release(epoch);
+        becomeIdle(delays.retryAtMs(nowMs));
     }
 
     // ---- events from peers
@@ -293,7 +249,7 @@
             onTransfer(nowMs);
             return;
         }
-        if (!votes.awaits(message.nonce()) || !voterSet.voters().contains(from)) {
+        if (!votes.awaits(message.nonce()) || !candidacy.voterSet().voters().contains(from)) {
             return;
         }
         switch (message.kind()) {
@@ -307,8 +263,8 @@
     }
 
     private void onTransfer(double nowMs) {
-        if (state == State.IDLE && mayClaim() && nowMs >= claimsFromMs) {
-            transferredUntilMs = nowMs + leaseMs / 2;
+        if (state == State.IDLE && candidacy.mayClaimAt(nowMs)) {
+            transferredUntilMs = nowMs + candidacy.leaseMs() / 2;
             query(nowMs);
         }
     }
@@ -318,14 +274,14 @@
             return;
         }
         votes.report(from, status);
-        if (votes.isGranted(voterSet)) {
+        if (votes.isGranted(candidacy.voterSet())) {
             claim(nowMs, wallMs);
-        } else if (votes.isRejected(voterSet)) {
+        } else if (votes.isRejected(candidacy.voterSet())) {
             lastKnownHolder = votes.reportedHolder();
             becomeIdle(
                     nowMs < transferredUntilMs
                             ? delays.transferRetryAtMs(nowMs)
-                            : delays.nextQueryAtMs(nowMs, leaseMs, votes.remainingMs(), voterSet));
+                            : delays.nextQueryAtMs(nowMs, votes.remainingMs()));
         }
     }
 
@@ -335,7 +291,7 @@
         }
         votes.grant(from);
         double untilMs = votes.sentMs() + timing.holderLeaseMs(votes.claimedMs());
-        if (!votes.isGranted(voterSet) || untilMs <= nowMs) {
+        if (!votes.isGranted(candidacy.voterSet()) || untilMs <= nowMs) {
             return;
         }
         held.extend(untilMs);
@@ -349,7 +305,7 @@
             return;
         }
         votes.reject(from, rejection.epoch());
-        if (votes.isRejected(voterSet)) {
+        if (votes.isRejected(candidacy.voterSet())) {
             abandonClaim(nowMs);
         }
     }
@@ -364,6 +320,6 @@
     /** All that decides the next step. */
     String fingerprint(double nowMs) {
         return state + " " + Math.round(Math.max(-1, timerMs - nowMs)) + " " + votes.fingerprint(nowMs) + " " + epoch
-                + " " + held.fingerprint(nowMs) + " " + eligible;
+                + " " + held.fingerprint(nowMs) + " " + candidacy.isEligible();
     }
 }
--- a/src/main/java/cacheproxy/fleet/lease/LeaseDelays.java
+++ b/src/main/java/cacheproxy/fleet/lease/LeaseDelays.java
@@ -20,21 +20,24 @@
     private static final double TRANSFER_RETRY_MS = 15;
 
     private final long selfId;
+    private final Candidacy candidacy;
     private final SplittableRandom random;
 
-    LeaseDelays(long selfId, SplittableRandom random) {
+    LeaseDelays(long selfId, Candidacy candidacy, SplittableRandom random) {
         this.selfId = selfId;
+        this.candidacy = candidacy;
         this.random = random;
     }
 
     /** Grows with this candidate's rank, and has a random part. */
-    double staggerMs(VoterSet voterSet) {
-        return Math.min(MAX_RANK_DELAY_MS, voterSet.rank(selfId) * RANK_STEP_MS) + random.nextDouble() * RANK_STEP_MS;
+    double staggerMs() {
+        return Math.min(MAX_RANK_DELAY_MS, candidacy.voterSet().rank(selfId) * RANK_STEP_MS)
+                + random.nextDouble() * RANK_STEP_MS;
     }
 
     /** When to query again after a query or a claim without a majority: within half a lease. */
-    double retryAtMs(double nowMs, double leaseMs, VoterSet voterSet) {
-        return nowMs + random.nextDouble() * leaseMs / 2 + staggerMs(voterSet);
+    double retryAtMs(double nowMs) {
+        return nowMs + random.nextDouble() * candidacy.leaseMs() / 2 + staggerMs();
     }
 
     /** When to query again after a rejected query in answer to a transfer. */
@@ -47,24 +50,24 @@
      *
      * @param remainingMs of the holder's grant
      */
-    double nextQueryAtMs(double nowMs, double leaseMs, double remainingMs, VoterSet voterSet) {
-        int rankGroup = voterSet.rank(selfId) / FREQUENT_CANDIDATES;
-        double intervalMs = Math.min(MAX_QUERY_INTERVAL_MS, leaseMs * rankGroup);
-        return nowMs + Math.max(remainingMs, intervalMs) + staggerMs(voterSet);
+    double nextQueryAtMs(double nowMs, double remainingMs) {
+        int rankGroup = candidacy.voterSet().rank(selfId) / FREQUENT_CANDIDATES;
+        double intervalMs = Math.min(MAX_QUERY_INTERVAL_MS, candidacy.leaseMs() * rankGroup);
+        return nowMs + Math.max(remainingMs, intervalMs) + staggerMs();
     }
 
     /** When a former holder queries again. */
-    double afterLossAtMs(double nowMs, double leaseMs, VoterSet voterSet) {
-        return nowMs + leaseMs / LOSS_PAUSES_PER_LEASE + staggerMs(voterSet);
+    double afterLossAtMs(double nowMs) {
+        return nowMs + candidacy.leaseMs() / LOSS_PAUSES_PER_LEASE + staggerMs();
     }
 
     /** How long to wait for the replies to a query or a claim. */
-    double replyTimeoutMs(double leaseMs) {
-        return leaseMs / REPLY_TIMEOUTS_PER_LEASE;
+    double replyTimeoutMs() {
+        return candidacy.leaseMs() / REPLY_TIMEOUTS_PER_LEASE;
     }
 
     /** How long after a claim the grant is renewed. */
-    double renewalIntervalMs(double leaseMs) {
-        return leaseMs / RENEWALS_PER_LEASE;
+    double renewalIntervalMs() {
+        return candidacy.leaseMs() / RENEWALS_PER_LEASE;
     }
 }
--- /dev/null
+++ b/src/main/java/cacheproxy/fleet/lease/VoterRequests.java
@@ -0,0 +1,63 @@
+package cacheproxy.fleet.lease;
+
+import cacheproxy.fleet.lease.LeaseMessage.Kind;
+import java.util.SplittableRandom;
+
+/** The questions of one candidate to the voters of a lease, of which one is open at a time, and its other messages. */
+final class VoterRequests {
+    private final long selfId;
+    private final long incarnation;
+    private final long leaseId;
+    private final Candidacy candidacy;
+    private final VoteCount votes;
+    private final SplittableRandom random;
+    private final LeaseListener listener;
+
+    /** @param votes which counts the replies to the open question */
+    VoterRequests(
+            LeaseCandidateConfig config,
+            Candidacy candidacy,
+            VoteCount votes,
+            SplittableRandom random,
+            LeaseListener listener) {
+        selfId = config.selfId();
+        incarnation = config.incarnation();
+        leaseId = NameHash.of(config.lease());
+        this.candidacy = candidacy;
+        this.votes = votes;
+        this.random = random;
+        this.listener = listener;
+    }
+
+    /** Asks whether a claim would be granted, which changes nothing at the voters. */
+    void query(double nowMs) {
+        votes.clearReports();
+        ask(nowMs, Kind.QUERY, 0, 0);
+    }
+
+    /** Claims the lease, or renews the grant, for the configured duration. */
+    void claim(double nowMs, long epoch) {
+        ask(nowMs, Kind.CLAIM, epoch, (int) candidacy.leaseMs());
+    }
+
+    private void ask(double nowMs, Kind kind, long epoch, int claimedMs) {
+        long nonce = random.nextLong();
+        votes.open(nonce, nowMs, (int) candidacy.leaseMs());
+        sendToVoters(new LeaseMessage(kind, leaseId, nonce, epoch, incarnation, claimedMs));
+    }
+
+    /** Releases what voters may have granted, and ignores replies that are still on their way. */
+    void release(long epoch) {
+        votes.close();
+        sendToVoters(new LeaseMessage(Kind.RELEASE, leaseId, 0, epoch, incarnation, 0));
+    }
+
+    /** Asks a peer to claim the lease; the message is sent once. */
+    void transferTo(long successor, long epoch) {
+        listener.send(successor, new LeaseMessage(Kind.TRANSFER, leaseId, 0, epoch, selfId, 0));
+    }
+
+    private void sendToVoters(LeaseMessage message) {
+        candidacy.voterSet().voters().forEach(voter -> listener.send(voter, message));
+    }
+}
