--- a/src/main/java/cacheproxy/nginx/importer/Conditions.java
+++ b/src/main/java/cacheproxy/nginx/importer/Conditions.java
@@ -6,67 +6,74 @@
 import java.util.List;
 
 /**
- * What a route asks beyond its exact key or prefix.
+ * What a route requires of a request beyond its exact key or prefix.
  *
- * @param patterns all must be found
- * @param write null: reads and writes
- * @param share null: all
+ * @param patterns patterns that must all match the path
+ * @param write whether the request is a write; null: reads and writes
+ * @param share the share of keys; null: all
  */
 record Conditions(List<String> patterns, Boolean write, SplitShare share) {
+    /** The most patterns of a route. */
     static final int MAX_PATTERNS = 4;
+
+    /** No condition. */
     static final Conditions NONE = new Conditions(List.of(), null, null);
 
-    static Conditions pattern(String text) {
-        return new Conditions(List.of(text), null, null);
+    /** One pattern. */
+    static Conditions pattern(String pattern) {
+        return new Conditions(List.of(pattern), null, null);
     }
 
+    /** Writes only, or reads only. */
     static Conditions write(boolean write) {
         return new Conditions(List.of(), write, null);
     }
 
-    static Conditions share(PlacementTemplate by, long from, long to) {
-        return new Conditions(List.of(), null, new SplitShare(by, from, to));
-    }
-
-    /** Thrown where routes can't say both at once. */
-    static final class Unable extends Exception {
-        private static final long serialVersionUID = 1L;
-
-        Unable(String why) {
-            super(why);
-        }
+    /** The keys whose hash of a template is from a bound, included, to a bound, excluded. */
+    static Conditions share(PlacementTemplate hashed, long fromHash, long toHash) {
+        return new Conditions(List.of(), null, new SplitShare(hashed, fromHash, toHash));
     }
 
-    /** Both; null if nothing meets both. */
-    Conditions and(Conditions other) throws Unable {
+    /**
+     * Both conditions; null if no request meets both.
+     *
+     * @throws UnsupportedDirectiveException if one route can't have both
+     */
+    Conditions and(Conditions other) throws UnsupportedDirectiveException {
         if (write != null && other.write != null && !write.equals(other.write)) {
             return null;
         }
-        SplitShare both = share == null ? other.share : share;
+        SplitShare bothShares = share == null ? other.share : share;
         if (share != null && other.share != null) {
-            if (!share.template().equals(other.share.template())) {
-                throw new Unable("two splits at once");
-            }
-            long from = Math.max(share.fromHash(), other.share.fromHash());
-            long to = Math.min(share.toHash(), other.share.toHash());
-            if (from >= to) {
+            bothShares = intersection(share, other.share);
+            if (bothShares == null) {
                 return null;
             }
-            both = new SplitShare(share.template(), from, to);
         }
-        List<String> all = new ArrayList<>(patterns);
-        other.patterns.stream().filter(p -> !all.contains(p)).forEach(all::add);
-        if (all.size() > MAX_PATTERNS) {
-            throw new Unable("more than " + MAX_PATTERNS + " patterns at once");
+        List<String> allPatterns = new ArrayList<>(patterns);
+        other.patterns.stream()
+                .filter(pattern -> !allPatterns.contains(pattern))
+                .forEach(allPatterns::add);
+        if (allPatterns.size() > MAX_PATTERNS) {
+            throw new UnsupportedDirectiveException("more than " + MAX_PATTERNS + " patterns at once");
+        }
+        return new Conditions(allPatterns, write == null ? other.write : write, bothShares);
+    }
+
+    private static SplitShare intersection(SplitShare left, SplitShare right) throws UnsupportedDirectiveException {
+        if (!left.template().equals(right.template())) {
+            throw new UnsupportedDirectiveException("two splits at once");
         }
-        return new Conditions(all, write == null ? other.write : write, both);
+        long fromHash = Math.max(left.fromHash(), right.fromHash());
+        long toHash = Math.min(left.toHash(), right.toHash());
+        return fromHash >= toHash ? null : new SplitShare(left.template(), fromHash, toHash);
     }
 
-    /** The same with a pattern in front: groups are taken from the first. */
-    Conditions first(String pattern) {
-        List<String> all = new ArrayList<>(patterns);
-        all.remove(pattern);
-        all.add(0, pattern);
-        return new Conditions(all, write, share);
+    /** The same with a pattern in front: a route takes its groups from its first pattern. */
+    Conditions withFirstPattern(String pattern) {
+        List<String> reordered = new ArrayList<>(patterns);
+        reordered.remove(pattern);
+        reordered.add(0, pattern);
+        return new Conditions(reordered, write, share);
     }
 }
--- a/src/main/java/cacheproxy/nginx/importer/Durations.java
+++ b/src/main/java/cacheproxy/nginx/importer/Durations.java
@@ -3,31 +3,38 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** Times as nginx writes them: {@code 1m 30s}, {@code 500ms}, {@code 10} for seconds. */
+/** Durations as nginx writes them: {@code 1m 30s}, {@code 500ms}, {@code 10} for seconds. */
 final class Durations {
     private static final Pattern PART = Pattern.compile("([0-9]+)(ms|s|m|h|d|w|M|y)?\\s*");
+    private static final double SECOND_MS = 1000;
+    private static final double MINUTE_MS = 60_000;
+    private static final double HOUR_MS = 3_600_000;
+    private static final double DAY_MS = 86_400_000;
 
     private Durations() {}
 
-    /** In milliseconds; -1 if it is none. */
+    /** A duration in milliseconds; -1 if the text is none. */
     static double ms(String text) {
-        Matcher m = PART.matcher(text);
-        double sum = 0;
+        Matcher part = PART.matcher(text);
+        double sumMs = 0;
         int end = 0;
-        while (end < text.length() && m.find(end) && m.start() == end) {
-            double unit = switch (m.group(2) == null ? "s" : m.group(2)) {
-                case "ms" -> 1;
-                case "m" -> 60_000;
-                case "h" -> 3_600_000;
-                case "d" -> 86_400_000;
-                case "w" -> 7 * 86_400_000.0;
-                case "M" -> 30 * 86_400_000.0;
-                case "y" -> 365 * 86_400_000.0;
-                default -> 1000;
-            };
-            sum += Double.parseDouble(m.group(1)) * unit;
-            end = m.end();
+        while (end < text.length() && part.find(end) && part.start() == end) {
+            sumMs += Double.parseDouble(part.group(1)) * unitMs(part.group(2));
+            end = part.end();
         }
-        return text.isEmpty() || end < text.length() ? -1 : sum;
+        return text.isEmpty() || end < text.length() ? -1 : sumMs;
+    }
+
+    private static double unitMs(String unit) {
+        return switch (unit == null ? "s" : unit) {
+            case "ms" -> 1;
+            case "m" -> MINUTE_MS;
+            case "h" -> HOUR_MS;
+            case "d" -> DAY_MS;
+            case "w" -> 7 * DAY_MS;
+            case "M" -> 30 * DAY_MS;
+            case "y" -> 365 * DAY_MS;
+            default -> SECOND_MS;
+        };
     }
 }
--- a/src/main/java/cacheproxy/nginx/importer/Expression.java
+++ b/src/main/java/cacheproxy/nginx/importer/Expression.java
@@ -6,81 +6,99 @@
 
 /** A parameter with variables, such as {@code http://$backend$request_uri}. */
 record Expression(List<Part> parts) {
+    /** The empty text. */
+    static final Expression EMPTY = new Expression(List.of());
+
     /**
-     * A piece of it.
+     * A literal text or a variable.
      *
      * @param variable whether {@code text} is a variable's name, without its dollar
      */
-    record Part(boolean variable, String text) {}
+    record Part(boolean variable, String text) {
+        /** Whether it is one of these variables. */
+        boolean isVariable(String... names) {
+            return variable && List.of(names).contains(text);
+        }
+    }
 
+    /** Parses a parameter. A dollar that no name follows is a literal one. */
     static Expression of(String text) {
         List<Part> parts = new ArrayList<>();
         StringBuilder literal = new StringBuilder();
-        for (int i = 0; i < text.length(); i++) {
-            boolean braced = text.startsWith("${", i);
-            int from = braced ? i + 2 : i + 1;
-            int to = from;
-            while (text.charAt(i) == '$'
-                    && to < text.length()
-                    && (Character.isLetterOrDigit(text.charAt(to)) || text.charAt(to) == '_')) {
-                to++;
-            }
-            if (text.charAt(i) != '$' || to == from) {
-                literal.append(text.charAt(i));
+        int next = 0;
+        while (next < text.length()) {
+            int nameStart = text.startsWith("${", next) ? next + 2 : next + 1;
+            int nameEnd = text.charAt(next) == '$' ? endOfName(text, nameStart) : nameStart;
+            if (nameEnd == nameStart) {
+                literal.append(text.charAt(next));
+                next++;
                 continue;
             }
-            // $1 is one digit: "$12" is the first group and a 2.
-            if (!braced && Character.isDigit(text.charAt(from))) {
-                to = from + 1;
-            }
-            if (literal.length() > 0) {
-                parts.add(new Part(false, literal.toString()));
-                literal.setLength(0);
+            boolean braced = text.charAt(next + 1) == '{';
+            if (!braced && Character.isDigit(text.charAt(nameStart))) {
+                nameEnd = nameStart + 1; // groups have one digit: "$12" is the first group and a 2
             }
-            parts.add(new Part(true, text.substring(from, to)));
-            i = braced ? to : to - 1;
+            addLiteral(literal, parts);
+            parts.add(new Part(true, text.substring(nameStart, nameEnd)));
+            next = braced ? nameEnd + 1 : nameEnd;
+        }
+        addLiteral(literal, parts);
+        return new Expression(parts);
+    }
+
+    private static int endOfName(String text, int start) {
+        int end = start;
+        while (end < text.length() && (Character.isLetterOrDigit(text.charAt(end)) || text.charAt(end) == '_')) {
+            end++;
         }
+        return end;
+    }
+
+    private static void addLiteral(StringBuilder literal, List<Part> parts) {
         if (literal.length() > 0) {
             parts.add(new Part(false, literal.toString()));
+            literal.setLength(0);
         }
-        return new Expression(parts);
     }
 
+    /** An expression of these parts, with adjacent literals joined. */
+    static Expression joined(List<Part> parts) {
+        List<Part> joined = new ArrayList<>();
+        for (Part part : parts) {
+            Part last = joined.isEmpty() ? null : joined.get(joined.size() - 1);
+            if (last != null && !last.variable && !part.variable) {
+                joined.set(joined.size() - 1, new Part(false, last.text + part.text));
+            } else {
+                joined.add(part);
+            }
+        }
+        return new Expression(joined);
+    }
+
+    /** Whether it has no variable. */
     boolean isLiteral() {
         return parts.stream().noneMatch(Part::variable);
     }
 
-    /** Its text, if it is literal. */
+    /** Its text; meant for literal expressions. */
     String literal() {
         return parts.stream().map(Part::text).collect(Collectors.joining());
     }
 
-    /** Whether it is one variable and nothing else. */
-    boolean is(String... names) {
-        return parts.size() == 1 && parts.get(0).variable && List.of(names).contains(parts.get(0).text);
-    }
-
-    /** With neighbouring literals joined. */
-    static Expression joined(List<Part> parts) {
-        List<Part> out = new ArrayList<>();
-        for (Part p : parts) {
-            Part last = out.isEmpty() ? null : out.get(out.size() - 1);
-            if (last != null && !last.variable && !p.variable) {
-                out.set(out.size() - 1, new Part(false, last.text + p.text));
-            } else {
-                out.add(p);
-            }
-        }
-        return new Expression(out);
+    /** Whether it is one of these variables and nothing else. */
+    boolean isVariable(String... names) {
+        return parts.size() == 1 && parts.get(0).isVariable(names);
     }
 
-    /** Its first part, if that is literal; else empty. */
+    /** The literal text that it begins with; empty if it begins with a variable. */
     String head() {
         return parts.isEmpty() || parts.get(0).variable ? "" : parts.get(0).text;
     }
 
     @Override
     public String toString() {
-        return parts.stream().map(p -> p.variable ? "$" + p.text : p.text).collect(Collectors.joining());
+        return parts.stream()
+                .map(part -> part.variable ? "$" + part.text : part.text)
+                .collect(Collectors.joining());
     }
 }
--- /dev/null
+++ b/src/main/java/cacheproxy/nginx/importer/FallbackTranslator.java
@@ -0,0 +1,77 @@
+package cacheproxy.nginx.importer;
+
+import cacheproxy.nginx.Directive;
+import cacheproxy.nginx.model.Location;
+import java.util.List;
+import java.util.Set;
+
+/** Translates {@code error_page}s that pass requests to other servers when all of a pool have failed. */
+final class FallbackTranslator {
+    /** Statuses that nginx answers if no server has answered. */
+    private static final Set<String> UNANSWERED_STATUSES = Set.of("502", "503", "504");
+
+    private static final String LITERAL_AUTHORITY_URL = "https?://[^/$]+";
+
+    private final ServerContext context;
+    private final Report report;
+
+    FallbackTranslator(ServerContext context) {
+        this.context = context;
+        report = context.report();
+    }
+
+    /**
+     * The pool that takes what another fails to answer.
+     *
+     * @param pool the name of the pool that fails
+     * @return its name; null if there is none
+     */
+    String fallbackPool(Location location, String pool) {
+        String fallback = null;
+        for (Directive errorPage : errorPages(location)) {
+            Directive pass = fallbackPass(errorPage);
+            if (pass == null) {
+                continue;
+            }
+            String url = pass.arg(0);
+            PoolSpec other = context.pools().poolFor(url.substring(url.indexOf("//") + 2), pass);
+            if (other != null && !other.name().equals(pool) && fallback == null) {
+                report.changed(
+                        errorPage,
+                        "requests that no server answers go to " + other.name()
+                                + ", those that may not be repeated excepted");
+                report.carried(context.namedLocation(errorPage.lastArg()).directive());
+                report.carried(pass);
+                fallback = other.name();
+            }
+        }
+        return fallback;
+    }
+
+    /** The {@code error_page}s of a location: its own, or those of the next location around it that has any. */
+    private List<Directive> errorPages(Location location) {
+        for (Location level = location; level != null; level = level.parent()) {
+            List<Directive> own = level.directive().all("error_page");
+            if (!own.isEmpty()) {
+                return own;
+            }
+        }
+        return context.errorPages();
+    }
+
+    /** The {@code proxy_pass} of an error page's named location; null, after an entry in the report, if it has none. */
+    private Directive fallbackPass(Directive errorPage) {
+        String target = errorPage.lastArg();
+        boolean unanswered = errorPage.args().stream().anyMatch(UNANSWERED_STATUSES::contains);
+        Location named = target.startsWith("@") ? context.namedLocation(target) : null;
+        Directive pass = named == null ? null : named.directive().last("proxy_pass");
+        if (unanswered && pass != null && pass.arg(0).matches(LITERAL_AUTHORITY_URL)) {
+            return pass;
+        }
+        report.notCarried(
+                errorPage,
+                "statuses are not told here, so that nothing is answered in their place"
+                        + (unanswered ? "" : "; " + target + " is not asked for"));
+        return null;
+    }
+}
--- /dev/null
+++ b/src/main/java/cacheproxy/nginx/importer/MapTable.java
@@ -0,0 +1,97 @@
+package cacheproxy.nginx.importer;
+
+import cacheproxy.nginx.Directive;
+import cacheproxy.routes.KeyPattern;
+import java.util.List;
+import java.util.Locale;
+import java.util.Set;
+
+/** The entries of a {@code map} block. */
+record MapTable(Directive map) {
+    private static final Set<String> OPTIONS = Set.of("default", "hostnames", "volatile");
+
+    /** Added to the rank of masks at the front, which are preferred to any at the end. */
+    private static final int FRONT_MASK_RANK = 1000;
+
+    private static final int NO_MATCH = -1;
+
+    /** Entries that compare the whole text. */
+    List<Directive> literalEntries() {
+        return map.block().stream()
+                .filter(entry -> !OPTIONS.contains(entry.name()) && !isRegex(entry))
+                .toList();
+    }
+
+    /** Entries with a pattern. */
+    List<Directive> regexEntries() {
+        return map.block().stream().filter(MapTable::isRegex).toList();
+    }
+
+    /** The text that a literal entry compares: a backslash marks a text that would be an option or pattern. */
+    static String literalText(Directive entry) {
+        return entry.name().startsWith("\\") ? entry.name().substring(1) : entry.name();
+    }
+
+    /** The value for texts that no entry matches. */
+    String defaultValue() {
+        Directive entry = map.last("default");
+        return entry == null ? "" : entry.arg(0);
+    }
+
+    /** Whether hosts are matched by more than their whole names. */
+    boolean matchesHostsByPattern() {
+        return map.block().stream()
+                .anyMatch(entry -> isRegex(entry) || entry.name().contains("*"));
+    }
+
+    /** The value for a known text: that of an equal entry, else of a mask, of the first pattern, or the default. */
+    String lookUp(String text) {
+        for (Directive entry : literalEntries()) {
+            if (literalText(entry).equalsIgnoreCase(text)) {
+                return entry.arg(0);
+            }
+        }
+        String byMask = map.all("hostnames").isEmpty() ? null : lookUpMask(text.toLowerCase(Locale.ROOT));
+        if (byMask != null) {
+            return byMask;
+        }
+        for (Directive entry : regexEntries()) {
+            RegexTranslation regex = RegexTranslation.ofTagged(entry.name());
+            if (regex.isSupported() && new KeyPattern(regex.text()).matches(text)) {
+                return entry.arg(0);
+            }
+        }
+        return defaultValue();
+    }
+
+    private String lookUpMask(String host) {
+        String found = null;
+        int bestRank = NO_MATCH;
+        for (Directive entry : map.block()) {
+            int rank = entry.name().equals("default")
+                    ? NO_MATCH
+                    : maskRank(entry.name().toLowerCase(Locale.ROOT), host);
+            if (rank > bestRank) {
+                bestRank = rank;
+                found = entry.arg(0);
+            }
+        }
+        return found;
+    }
+
+    /** The rank of a mask that matches a host: of those at the front or at the end the longest is preferred. */
+    private static int maskRank(String mask, String host) {
+        boolean matchesEnd =
+                mask.startsWith("*.") && host.endsWith(mask.substring(1)) && host.length() >= mask.length();
+        boolean matchesDomain = mask.startsWith(".") && (host.endsWith(mask) || host.equals(mask.substring(1)));
+        if (matchesEnd || matchesDomain) {
+            return FRONT_MASK_RANK + mask.length();
+        }
+        boolean matchesBeginning = mask.endsWith(".*") && host.startsWith(mask.substring(0, mask.length() - 1));
+        return matchesBeginning ? mask.length() : NO_MATCH;
+    }
+
+    private static boolean isRegex(Directive entry) {
+        return entry.name().startsWith("~");
+    }
+}
--- /dev/null
+++ b/src/main/java/cacheproxy/nginx/importer/ProxyPassTranslator.java
@@ -0,0 +1,147 @@
+package cacheproxy.nginx.importer;
+
+import cacheproxy.nginx.Directive;
+import cacheproxy.nginx.model.Location;
+import cacheproxy.routes.KeyRewrite;
+import java.util.ArrayList;
+import java.util.List;
+
+/** Makes routes to pools of {@code proxy_pass} and {@code memcached_pass}. */
+final class ProxyPassTranslator {
+    private static final String URI_TEMPLATE = "${uri}";
+
+    private final ServerContext context;
+    private final Report report;
+    private final ForwardedPathTranslator paths;
+    private final FallbackTranslator fallbacks;
+
+    ProxyPassTranslator(ServerContext context) {
+        this.context = context;
+        report = context.report();
+        paths = new ForwardedPathTranslator();
+        fallbacks = new FallbackTranslator(context);
+    }
+
+    /**
+     * Makes the routes of a directive.
+     *
+     * @param target the URL that requests are passed to
+     * @param uriCounts whether the path of the URL replaces that of the request
+     */
+    void translate(Directive directive, Expression target, boolean uriCounts, RequestState state) {
+        List<Alternative> targets;
+        try {
+            targets = context.resolve(target, state);
+        } catch (UnsupportedDirectiveException e) {
+            report.notCarried(directive, "can't be expressed (" + e.getMessage() + "); these requests fail");
+            context.routes().fail(state, directive, "502");
+            return;
+        }
+        boolean variable = !target.isLiteral();
+        for (Alternative alternative : targets) {
+            Conditions both = context.both(state.when(), alternative.when(), directive);
+            if (both != null) {
+                passTo(directive, alternative.value(), variable, uriCounts, state.withWhen(both));
+            }
+        }
+    }
+
+    /** Makes the route to one target, in which no variables are left that conditions could tell. */
+    private void passTo(
+            Directive directive, Expression target, boolean variable, boolean uriCounts, RequestState state) {
+        ProxyTarget parsed = ProxyTarget.parse(target);
+        if (parsed == null) {
+            reject(
+                    directive,
+                    target.parts().isEmpty()
+                            ? "for some requests it has no target; they fail"
+                            : target + " is told by no key; these requests fail",
+                    "502",
+                    state);
+            return;
+        }
+        if (parsed.encrypted()) {
+            report.changed(directive, "connections to servers are not encrypted here");
+        }
+        if (!parsed.hasLiteralAuthority()) {
+            reject(directive, target + " names a server that no key tells; these requests fail", "502", state);
+            return;
+        }
+        PoolSpec pool = context.pools().poolFor(parsed.authority(), directive);
+        if (pool == null) {
+            context.routes().fail(state, directive, "502");
+        } else {
+            forward(directive, pool, uriCounts ? parsed.uri() : Expression.EMPTY, variable, state);
+        }
+    }
+
+    private void reject(Directive directive, String reason, String status, RequestState state) {
+        report.notCarried(directive, reason);
+        context.routes().fail(state, directive, status);
+    }
+
+    private void forward(Directive directive, PoolSpec pool, Expression uri, boolean variable, RequestState state) {
+        ForwardedPath path = forwardedPath(directive, uri, variable, state);
+        if (path == null) {
+            return;
+        }
+        String placeBy = null;
+        RewrittenPath rewritten = state.rewritten();
+        if (rewritten != null && pool.placeBy() != null && pool.placeBy().contains(URI_TEMPLATE)) {
+            placeBy = placementOfRewritten(directive, pool, path, rewritten);
+            path = placeBy == null ? path : new ForwardedPath(path.rewrite(), rewritten.withGroups(path.when()));
+        }
+        List<String> pools = new ArrayList<>(List.of(pool.name()));
+        String fallback = fallbacks.fallbackPool(state.location(), pool.name());
+        if (fallback != null) {
+            pools.add(fallback);
+        }
+        context.routes().forward(state, directive, path, pools, placeBy);
+    }
+
+    /** The path that the pool is asked for; null, after its requests were failed, if there is none. */
+    private ForwardedPath forwardedPath(Directive directive, Expression uri, boolean variable, RequestState state) {
+        boolean replacesPrefix = !uri.parts().isEmpty() && !variable;
+        if (replacesPrefix && !hasReplaceablePrefix(state)) {
+            reject(
+                    directive,
+                    "nginx refuses this: \"proxy_pass\" cannot have URI part in location given by regular expression, "
+                            + "or inside named location, or inside \"if\" statement; these requests fail",
+                    "500",
+                    state);
+            return null;
+        }
+        ForwardedPath path = paths.translate(uri, variable, state);
+        String added = path == null ? null : path.rewrite().added();
+        if (path == null || (added != null && !KeyRewrite.isLegalKey(added))) {
+            reject(directive, "the path that it makes can't be expressed; these requests fail", "502", state);
+            return null;
+        }
+        return path;
+    }
+
+    /** Whether the location has a prefix that the path of a URL can replace. */
+    private static boolean hasReplaceablePrefix(RequestState state) {
+        Location.Kind kind = state.location().kind();
+        return !kind.isRegex() && kind != Location.Kind.NAMED && state.handler() == null;
+    }
+
+    /**
+     * What a pool's placement hashes of a rewritten path: nginx hashes the path that the rewrite has made, before the
+     * one for the servers is made of it.
+     *
+     * @return null, after an entry in the report, if routes can't express it
+     */
+    private String placementOfRewritten(
+            Directive directive, PoolSpec pool, ForwardedPath path, RewrittenPath rewritten) {
+        boolean hasGroups = rewritten.pattern() == null
+                ? rewritten.path().isLiteral()
+                : path.when().patterns().contains(rewritten.pattern());
+        if (rewritten.replacement() == null || !hasGroups) {
+            report.notCarried(directive, "the path that nginx hashes can't be told here; keys may move");
+            return null;
+        }
+        String made = PathTemplates.placementText(rewritten.path(), rewritten.pattern());
+        return pool.placeBy().replace(URI_TEMPLATE, made);
+    }
+}
--- a/src/main/java/cacheproxy/nginx/importer/Report.java
+++ b/src/main/java/cacheproxy/nginx/importer/Report.java
@@ -3,22 +3,31 @@
 import cacheproxy.nginx.ConfParser;
 import cacheproxy.nginx.Directive;
 import java.util.ArrayList;
+import java.util.Collections;
 import java.util.IdentityHashMap;
 import java.util.List;
+import java.util.Set;
 
-/** What became of each directive. None is without an entry: what nothing has spoken of is told as not carried. */
+/**
+ * What became of each directive. Every directive has an entry: those of which no part of the importer has said anything
+ * get one by {@link DirectiveTable}.
+ */
 public final class Report {
+    private static final int MAX_DIRECTIVE_LENGTH = 80;
+    private static final String ELLIPSIS = "...";
+
     /** What can become of a directive, the worst last. */
     public enum Level {
-        /** It says nothing about where requests go. */
+        /** It does not affect where requests go. */
         LEFT("left"),
-        /** The file says the same. */
+        /** The imported file says the same. */
         CARRIED("carried"),
-        /** The file says something near it; the text tells the difference. */
+        /** The imported file says something similar; the entry's text tells the difference. */
         CHANGED("changed"),
-        /** Requests fare otherwise than before; the text tells which and how. */
+        /** Requests are treated in another way than by nginx; the entry's text tells which and how. */
         NOT("not carried");
 
+        /** The level's name for operators. */
         public final String text;
 
         Level(String text) {
@@ -26,114 +35,139 @@
         }
     }
 
-    /** One entry. */
+    /**
+     * An entry.
+     *
+     * @param text remarks for operators; may be empty
+     */
     public record Entry(Directive directive, Level level, String text) {}
 
-    private final IdentityHashMap<Directive, List<Entry>> entries = new IdentityHashMap<>();
-    private List<Entry> inOrder = List.of();
+    /** Entries by directive, until {@link #finish}. */
+    private final IdentityHashMap<Directive, List<Entry>> entriesByDirective = new IdentityHashMap<>();
+
+    private List<Entry> entries = List.of();
     private final List<String> notes = new ArrayList<>();
 
-    /** Says what becomes of a directive; said twice, it is told once. */
-    public void add(Directive d, Level level, String text) {
-        if (d == null) {
+    /** Adds an entry, unless the directive is null or has an equal one. */
+    public void add(Directive directive, Level level, String text) {
+        if (directive == null) {
             return;
         }
-        List<Entry> list = entries.computeIfAbsent(d, k -> new ArrayList<>(1));
-        if (list.stream().noneMatch(e -> e.level == level && e.text.equals(text))) {
-            list.add(new Entry(d, level, text));
+        List<Entry> known = entriesByDirective.computeIfAbsent(directive, absent -> new ArrayList<>(1));
+        if (known.stream().noneMatch(entry -> entry.level == level && entry.text.equals(text))) {
+            known.add(new Entry(directive, level, text));
         }
     }
 
-    void carried(Directive d) {
-        if (!entries.containsKey(d)) {
-            add(d, Level.CARRIED, "");
+    /** Reports a directive as carried over, unless it has an entry already. */
+    void carried(Directive directive) {
+        if (!entriesByDirective.containsKey(directive)) {
+            add(directive, Level.CARRIED, "");
         }
     }
 
-    void not(Directive d, String text) {
-        add(d, Level.NOT, text);
+    /** Reports a directive as not carried over. */
+    void notCarried(Directive directive, String text) {
+        add(directive, Level.NOT, text);
     }
 
-    void changed(Directive d, String text) {
-        add(d, Level.CHANGED, text);
+    /** Reports a directive as carried over with a difference. */
+    void changed(Directive directive, String text) {
+        add(directive, Level.CHANGED, text);
     }
 
-    /** Something to know that belongs to no directive. */
+    /** Adds a remark that belongs to no directive. */
     void note(String text) {
         notes.add(text);
     }
 
+    /** Remarks that belong to no directive. */
     public List<String> notes() {
-        return notes;
+        return Collections.unmodifiableList(notes);
     }
 
-    /** Tells of all that nothing has been said of, and puts the entries into the configuration's order. */
+    /** Adds entries for the remaining directives, and orders all as in the configuration. */
     void finish(ConfParser.Conf conf) {
-        List<Entry> all = new ArrayList<>();
-        finish(conf.directives(), false, all);
-        // What has been left out of the tree has entries, too.
-        IdentityHashMap<Directive, Boolean> told = new IdentityHashMap<>();
-        all.forEach(e -> told.put(e.directive, true));
-        entries.forEach((d, own) -> own.stream()
-                .filter(e -> !told.containsKey(d) && e.level == Level.NOT)
-                .forEach(all::add));
-        conf.empty().forEach(e -> all.add(new Entry(e.include(), Level.LEFT, "no file has such a name")));
-        inOrder = all;
-    }
-
-    private void finish(List<Directive> directives, boolean within, List<Entry> all) {
-        for (Directive d : directives) {
-            List<Entry> own = entries.get(d);
+        List<Entry> ordered = new ArrayList<>();
+        addInOrder(conf.directives(), false, ordered);
+        addDropped(ordered);
+        conf.empty().forEach(empty -> ordered.add(new Entry(empty.include(), Level.LEFT, "no file has such a name")));
+        entries = ordered;
+    }
+
+    private void addInOrder(List<Directive> directives, boolean withinNotCarried, List<Entry> into) {
+        for (Directive directive : directives) {
+            List<Entry> own = entriesByDirective.get(directive);
             if (own == null) {
-                own = List.of(DirectiveTable.unspoken(d, within));
+                own = List.of(DirectiveTable.defaultEntry(directive, withinNotCarried));
             }
-            // Carried as far as nothing else was said.
             Level worst = own.stream().map(Entry::level).max(Level::compareTo).orElse(Level.NOT);
+            // "Carried" says nothing beside another entry.
             own.stream()
-                    .filter(e -> worst == Level.CARRIED || e.level != Level.CARRIED)
-                    .forEach(all::add);
-            boolean whole = DirectiveTable.isWhole(d)
-                    || (worst == Level.NOT
-                            && (d.name().equals("if")
-                                    || (d.name().equals("location")
-                                            && own.stream().anyMatch(e -> e.text.startsWith("nginx refuses")))));
-            if (d.block() != null && !whole) {
-                finish(d.block(), worst == Level.NOT || within, all);
+                    .filter(entry -> worst == Level.CARRIED || entry.level != Level.CARRIED)
+                    .forEach(into::add);
+            if (directive.block() != null && !isReportedAsWhole(directive, own, worst)) {
+                addInOrder(directive.block(), worst == Level.NOT || withinNotCarried, into);
             }
         }
     }
 
-    /** In the configuration's order. */
+    /** Whether a directive's entries speak for everything in its block. */
+    private static boolean isReportedAsWhole(Directive directive, List<Entry> own, Level worst) {
+        if (DirectiveTable.isWhole(directive)) {
+            return true;
+        }
+        if (worst != Level.NOT) {
+            return false;
+        }
+        boolean rejectedLocation = directive.name().equals("location")
+                && own.stream().anyMatch(entry -> entry.text.startsWith("nginx refuses"));
+        return rejectedLocation || directive.name().equals("if");
+    }
+
+    /** Adds entries of directives that were dropped from the tree. */
+    private void addDropped(List<Entry> ordered) {
+        Set<Directive> reported = Collections.newSetFromMap(new IdentityHashMap<>());
+        ordered.forEach(entry -> reported.add(entry.directive));
+        entriesByDirective.forEach((directive, own) -> own.stream()
+                .filter(entry -> !reported.contains(directive) && entry.level == Level.NOT)
+                .forEach(ordered::add));
+    }
+
+    /** All entries in the configuration's order, once the import is finished. */
     public List<Entry> entries() {
-        return inOrder;
+        return Collections.unmodifiableList(entries);
     }
 
+    /** Number of entries of a level. */
     public long count(Level level) {
-        return inOrder.stream().filter(e -> e.level == level).count();
+        return entries.stream().filter(entry -> entry.level == level).count();
     }
 
-    /** Whether nothing was not carried over. */
+    /** Whether everything was carried over, if with changes. */
     public boolean complete() {
         return count(Level.NOT) == 0;
     }
 
-    /** Lines for people: what needs their attention, then the counts. */
+    /** Lines for operators: entries that need attention, notes, and the count of each level. */
     public List<String> lines() {
         List<String> lines = new ArrayList<>();
-        for (Entry e : inOrder) {
-            if (e.level != Level.CARRIED) {
-                lines.add(e.directive.at() + ": " + e.level.text + ": " + shortened(e.directive)
-                        + (e.text.isEmpty() ? "" : ": " + e.text));
+        for (Entry entry : entries) {
+            if (entry.level != Level.CARRIED) {
+                lines.add(entry.directive.at() + ": " + entry.level.text + ": " + shortened(entry.directive)
+                        + (entry.text.isEmpty() ? "" : ": " + entry.text));
             }
         }
-        notes.forEach(n -> lines.add("note: " + n));
+        notes.forEach(note -> lines.add("note: " + note));
         lines.add(count(Level.CARRIED) + " carried, " + count(Level.CHANGED) + " changed, " + count(Level.LEFT)
                 + " left, " + count(Level.NOT) + " not carried");
         return lines;
     }
 
-    static String shortened(Directive d) {
-        String text = d.toString().replaceAll("\\s+", " ");
-        return text.length() <= 80 ? text : text.substring(0, 77) + "...";
+    private static String shortened(Directive directive) {
+        String text = directive.toString().replaceAll("\\s+", " ");
+        return text.length() <= MAX_DIRECTIVE_LENGTH
+                ? text
+                : text.substring(0, MAX_DIRECTIVE_LENGTH - ELLIPSIS.length()) + ELLIPSIS;
     }
 }
--- /dev/null
+++ b/src/main/java/cacheproxy/nginx/importer/RewrittenPathSearch.java
@@ -0,0 +1,134 @@
+package cacheproxy.nginx.importer;
+
+import cacheproxy.nginx.Directive;
+import cacheproxy.nginx.model.Location;
+import cacheproxy.nginx.model.LocationSearch;
+import cacheproxy.routes.KeyPattern;
+import cacheproxy.routes.PathKey;
+
+/** Finds the one location of all paths that a rewrite can make. */
+final class RewrittenPathSearch {
+    private final ServerContext context;
+
+    RewrittenPathSearch(ServerContext context) {
+        this.context = context;
+    }
+
+    /**
+     * Finds the location of a path.
+     *
+     * @param at the directive to report
+     * @return null if the path may be in several locations, or in none
+     */
+    Location find(Expression path, Directive at) {
+        boolean known = path.isLiteral();
+        String beginning = known ? path.literal() : path.head();
+        if (!beginning.startsWith("/")) {
+            return null;
+        }
+        if (known) {
+            LocationSearch.Step exact = exactStep(beginning);
+            if (exact != null) {
+                return exact.redirect() ? null : exact.location();
+            }
+            return findKnown(beginning);
+        }
+        return dependsOnRest(beginning) ? null : findByBeginning(path, beginning, at);
+    }
+
+    private LocationSearch.Step exactStep(String path) {
+        for (LocationSearch.Step step : context.search().steps()) {
+            if (path.equals(step.exact())) {
+                return step;
+            }
+        }
+        return null;
+    }
+
+    /** Whether a path that begins so may be in a location whose text is longer. */
+    private boolean dependsOnRest(String beginning) {
+        for (LocationSearch.Step step : context.search().steps()) {
+            String text = step.exact() != null ? step.exact() : step.prefix();
+            if (text != null && text.length() > beginning.length() && text.startsWith(beginning)) {
+                return true;
+            }
+        }
+        return false;
+    }
+
+    private Location findKnown(String path) {
+        String encoded = PathKey.encodePercent(path);
+        Candidates candidates = new Candidates(path);
+        for (LocationSearch.Step step : context.search().steps()) {
+            if (!candidates.accepts(step)) {
+                continue;
+            }
+            if (step.regexes().isEmpty()) {
+                candidates.addPrefix(step);
+            } else if (step.regexes().stream().allMatch(regex -> matches(regex, encoded))) {
+                return step.location();
+            }
+        }
+        return candidates.longest;
+    }
+
+    private boolean matches(Location regex, String encodedPath) {
+        String pattern = context.patterns().of(regex);
+        return pattern != null && new KeyPattern(pattern).matches(encodedPath);
+    }
+
+    private Location findByBeginning(Expression path, String beginning, Directive at) {
+        Candidates candidates = new Candidates(beginning);
+        boolean patternsTried = false;
+        for (LocationSearch.Step step : context.search().steps()) {
+            if (!candidates.accepts(step)) {
+                continue;
+            }
+            if (step.regexes().isEmpty()) {
+                candidates.addPrefix(step);
+            } else {
+                patternsTried = true;
+            }
+        }
+        if (patternsTried && candidates.longest != null) {
+            context.report()
+                    .notCarried(
+                            at,
+                            "paths made " + path + " go to location " + candidates.longest.text()
+                                    + "; those that a pattern location would take go astray");
+        }
+        return candidates.longest;
+    }
+
+    /** The steps that concern a path, and the longest prefix among them. */
+    private static final class Candidates {
+        private final String path;
+        /** The prefix whose own search decides; null: none so far. The longest comes first in the steps. */
+        private String ownSearch;
+
+        private Location longest;
+        private int longestLength;
+
+        Candidates(String path) {
+            this.path = path;
+        }
+
+        boolean accepts(LocationSearch.Step step) {
+            boolean otherPath = step.exact() != null || (step.prefix() != null && !path.startsWith(step.prefix()));
+            if (otherPath || (ownSearch != null && !ownSearch.equals(step.prefix()))) {
+                return false;
+            }
+            if (step.tier() == LocationSearch.Tier.OWN_SEARCH) {
+                ownSearch = step.prefix();
+            }
+            return true;
+        }
+
+        void addPrefix(LocationSearch.Step step) {
+            if (longest == null || step.prefix().length() > longestLength) {
+                longest = step.location();
+                longestLength = step.prefix().length();
+            }
+        }
+    }
+}
--- a/src/main/java/cacheproxy/nginx/importer/RouteSpec.java
+++ b/src/main/java/cacheproxy/nginx/importer/RouteSpec.java
@@ -10,37 +10,42 @@
 /**
  * A route to be written.
  *
- * @param pools empty where it ends the request
- * @param refuse whether it ends it with a time to come back; else as failed
- * @param placeBy null: the pool's
+ * @param host name of its virtual host
+ * @param when conditions beyond the position
+ * @param pools the pool, and the one that takes what it fails to answer; empty unless it forwards requests
+ * @param placeBy template of what the placement hashes; null: the pool's
+ * @param comment the directive that it is made of, and the status for which it is an ending
  */
 record RouteSpec(
         String name,
-        int order,
         String host,
-        String exact,
-        String prefix,
+        RoutePosition position,
         Conditions when,
+        Outcome outcome,
         List<String> pools,
-        boolean refuse,
-        String strip,
-        String add,
-        String replace,
+        PathRewrite rewrite,
         String placeBy,
         String comment) {
+    /** What becomes of its requests. */
+    enum Outcome {
+        FORWARD,
+        /** They end with a time after which the client should retry. */
+        REJECT,
+        FAIL
+    }
 
-    /** As far as it matters for which requests it takes. */
-    Route route(int position) {
+    /** The route as far as it decides which requests it takes. */
+    Route matchingRoute(int index) {
         RouteConditions conditions = new RouteConditions(
                 Set.of(),
                 host,
-                exact,
-                prefix,
+                position.exact(),
+                position.prefix(),
                 when.patterns().stream().map(KeyPattern::new).toList(),
                 Set.of(),
                 Set.of(),
                 when.write(),
                 when.share());
-        return new Route(name, order, position, conditions, KeyRewrite.NONE, null, new Route.Fail());
+        return new Route(name, position.order(), index, conditions, KeyRewrite.NONE, null, new Route.Fail());
     }
 }
--- /dev/null
+++ b/src/main/java/cacheproxy/nginx/importer/ServerContext.java
@@ -0,0 +1,63 @@
+package cacheproxy.nginx.importer;
+
+import cacheproxy.nginx.Directive;
+import cacheproxy.nginx.model.Location;
+import cacheproxy.nginx.model.LocationSearch;
+import cacheproxy.nginx.model.ServerBlock;
+import java.util.List;
+import java.util.Set;
+
+/**
+ * What all phases of one server's translation share.
+ *
+ * @param host the only host of its requests; null: any but those that are known by name
+ * @param errorPages the {@code error_page}s that its locations inherit
+ * @param routes takes the routes
+ */
+record ServerContext(
+        ServerBlock server,
+        String host,
+        LocationSearch search,
+        LocationPatterns patterns,
+        List<Directive> errorPages,
+        ExpressionResolver resolver,
+        PoolTranslator pools,
+        RouteSink routes,
+        Report report) {
+    private static final Set<String> REWRITE_DIRECTIVES = Set.of("set", "if", "rewrite", "return", "break");
+
+    /** The directives of a block that nginx's rewrite phase runs, in order. */
+    static List<Directive> rewriteDirectives(Directive block) {
+        return block.block().stream()
+                .filter(directive -> REWRITE_DIRECTIVES.contains(directive.name()))
+                .toList();
+    }
+
+    /** The values that an expression can have for a request. */
+    List<Alternative> resolve(Expression expression, RequestState state) throws UnsupportedDirectiveException {
+        return resolver.resolve(expression, VariableScope.of(state.variables(), host));
+    }
+
+    /**
+     * Both conditions; null if no request meets both or, after an entry in the report, if routes can't express them.
+     *
+     * @param at the directive to report
+     */
+    Conditions both(Conditions left, Conditions right, Directive at) {
+        try {
+            return left.and(right);
+        } catch (UnsupportedDirectiveException e) {
+            report.notCarried(at, "can't be expressed: " + e.getMessage());
+            return null;
+        }
+    }
+
+    /** The server's location with a name such as {@code @fallback}; null if there is none. */
+    Location namedLocation(String name) {
+        return server.locations().stream()
+                .filter(location -> location.kind() == Location.Kind.NAMED
+                        && location.text().equals(name))
+                .findFirst()
+                .orElse(null);
+    }
+}
--- /dev/null
+++ b/src/main/java/cacheproxy/nginx/importer/TimeoutTranslator.java
@@ -0,0 +1,117 @@
+package cacheproxy.nginx.importer;
+
+import cacheproxy.nginx.Directive;
+import java.util.LinkedHashMap;
+import java.util.List;
+import java.util.Map;
+
+/** Translates timeouts and bounds on retries, which hold for all requests here, from all blocks that set them. */
+final class TimeoutTranslator {
+    /** nginx's default of {@code proxy_read_timeout}. */
+    private static final double DEFAULT_DEADLINE_MS = 60_000;
+
+    private static final double MIN_DEADLINE_MS = 1;
+    private static final double MAX_DEADLINE_MS = 3_600_000;
+    private static final double MIN_CONNECT_TIMEOUT_MS = 10;
+    private static final double MAX_CONNECT_TIMEOUT_MS = 60_000;
+    private static final double MIN_ATTEMPTS = 1;
+    private static final double MAX_ATTEMPTS = 8;
+
+    private final Report report;
+    /** The shortest; 0: none so far. */
+    private double connectTimeoutMs;
+    /** The longest; 0: none so far. */
+    private double readTimeoutMs;
+    /** The fewest; 0: none so far. */
+    private double attempts;
+
+    private TimeoutTranslator(Report report) {
+        this.report = report;
+    }
+
+    /** Translates all timeouts within these directives. */
+    static RequestLimits translate(List<Directive> http, Report report) {
+        TimeoutTranslator translator = new TimeoutTranslator(report);
+        translator.visit(http);
+        return translator.limits();
+    }
+
+    private void visit(List<Directive> directives) {
+        for (Directive directive : directives) {
+            visit(directive);
+            if (directive.block() != null && !DirectiveTable.isWhole(directive)) {
+                visit(directive.block());
+            }
+        }
+    }
+
+    private void visit(Directive directive) {
+        switch (directive.name()) {
+            case "proxy_connect_timeout" -> {
+                double ms = Durations.ms(directive.arg(0));
+                connectTimeoutMs = connectTimeoutMs == 0 ? ms : Math.min(connectTimeoutMs, ms);
+                report.changed(
+                        directive, "one bound for all servers, the shortest: connect_timeout_ms, from 10 to 60,000");
+            }
+            case "proxy_read_timeout" -> {
+                readTimeoutMs = Math.max(readTimeoutMs, Durations.ms(directive.arg(0)));
+                report.changed(directive, "one deadline for all requests, the longest, and for the whole answer");
+            }
+            case "proxy_next_upstream_tries" -> {
+                addAttempts(directive.arg(0));
+                report.changed(directive, "one bound for all requests, the least: max_attempts, from 1 to 8");
+            }
+            case "proxy_next_upstream_timeout" ->
+                report.changed(
+                        directive, "requests are tried again as long as their deadline leaves time for an answer");
+            case "proxy_next_upstream" -> reportRetryConditions(directive);
+            default -> {}
+        }
+    }
+
+    private void addAttempts(String text) {
+        int tries = text.matches("[0-9]{1,6}") ? Integer.parseInt(text) : 0;
+        if (tries > 0) { // nginx: 0 is no bound
+            attempts = attempts == 0 ? tries : Math.min(attempts, tries);
+        }
+    }
+
+    private void reportRetryConditions(Directive directive) {
+        List<String> conditions = directive.args();
+        if (conditions.contains("non_idempotent")) {
+            report.notCarried(directive, "non_idempotent is refused: a write that may have run would run twice");
+        }
+        if (conditions.contains("off")) {
+            report.notCarried(
+                    directive,
+                    "reads go to another server where one has failed them; max_attempts = 1 would keep all requests from it");
+            return;
+        }
+        List<String> statuses = conditions.stream()
+                .filter(condition -> condition.startsWith("http_") || condition.equals("invalid_header"))
+                .toList();
+        if (statuses.isEmpty()) {
+            report.carried(directive);
+        } else {
+            report.changed(
+                    directive, "servers tell no statuses here: " + String.join(", ", statuses) + " do not count");
+        }
+    }
+
+    private RequestLimits limits() {
+        Map<String, Double> limits = new LinkedHashMap<>();
+        if (connectTimeoutMs > 0) {
+            limits.put("connect_timeout_ms", bounded(connectTimeoutMs, MIN_CONNECT_TIMEOUT_MS, MAX_CONNECT_TIMEOUT_MS));
+        }
+        if (attempts > 0) {
+            limits.put("max_attempts", bounded(attempts, MIN_ATTEMPTS, MAX_ATTEMPTS));
+        }
+        double deadlineMs =
+                readTimeoutMs > 0 ? bounded(readTimeoutMs, MIN_DEADLINE_MS, MAX_DEADLINE_MS) : DEFAULT_DEADLINE_MS;
+        return new RequestLimits(limits, deadlineMs);
+    }
+
+    private static double bounded(double value, double min, double max) {
+        return Math.max(min, Math.min(max, value));
+    }
+}
