--- a/src/test/java/cacheproxy/cli/ImportNginxCommandTest.java
+++ b/src/test/java/cacheproxy/cli/ImportNginxCommandTest.java
@@ -25,26 +25,26 @@
     private String err;
 
     private int run(String... args) {
-        StringWriter o = new StringWriter();
-        StringWriter e = new StringWriter();
+        StringWriter outWriter = new StringWriter();
+        StringWriter errWriter = new StringWriter();
         int code = new CommandLine(new Cli())
-                .setOut(new PrintWriter(o))
-                .setErr(new PrintWriter(e))
+                .setOut(new PrintWriter(outWriter))
+                .setErr(new PrintWriter(errWriter))
                 .execute(args);
-        out = o.toString();
-        err = e.toString();
+        out = outWriter.toString();
+        err = errWriter.toString();
         return code;
     }
 
     private String file(String name, String text) throws Exception {
-        Path p = dir.resolve(name);
-        Files.createDirectories(p.getParent());
-        Files.writeString(p, text);
-        return p.toString();
+        Path path = dir.resolve(name);
+        Files.createDirectories(path.getParent());
+        Files.writeString(path, text);
+        return path.toString();
     }
 
     @Test
-    void whatIsCarriedOverWholeIsChecked() throws Exception {
+    void writesAFileThatCheckAccepts() throws Exception {
         String conf = file("nginx.conf", "events { }\nhttp { include sites/*.conf; }\n");
         file("sites/b.conf", GOOD);
         file("sites/.hidden.conf", "broken {");
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void whatIsNotCarriedOverIsReportedAndTheFileWrittenAllTheSame() throws Exception {
+    void reportsWhatIsNotCarriedOverAndWritesTheFile() throws Exception {
         String conf = file("n.conf", GOOD.replace("proxy_pass", "limit_req zone=x; proxy_pass"));
         String toml = dir.resolve("out.toml").toString();
         assertThat(run("import-nginx", conf, "--out", toml, "--json")).isEqualTo(1);
@@ -73,9 +73,9 @@
     }
 
     @Test
-    void whatCantBeReadLeavesNothingBehind() throws Exception {
+    void writesNothingIfTheConfigurationIsUnreadable() throws Exception {
         String toml = dir.resolve("out.toml").toString();
-        for (String[] c : new String[][] {
+        for (String[] textAndMessage : new String[][] {
             {"a;\nb {\n", "n.conf:2: the block that opens here is not closed"},
             {"include no.conf;", "n.conf:1: can't read no.conf: there is no such file"},
             {"include n.conf;", "n.conf:1: n.conf includes itself"},
@@ -84,9 +84,11 @@
             {"events { }", "nothing in it can be served"}
         }) {
             Files.createDirectories(dir.resolve("sub"));
-            String conf = file("n.conf", c[0]);
-            assertThat(run("import-nginx", conf, "--out", toml)).as(c[0]).isEqualTo(2);
-            assertThat(err).contains(c[1]).doesNotContain("Exception");
+            String conf = file("n.conf", textAndMessage[0]);
+            assertThat(run("import-nginx", conf, "--out", toml))
+                    .as(textAndMessage[0])
+                    .isEqualTo(2);
+            assertThat(err).contains(textAndMessage[1]).doesNotContain("Exception");
             assertThat(Files.exists(Path.of(toml))).isFalse();
         }
         assertThat(run("import-nginx", dir + "/none.conf")).isEqualTo(2);
@@ -99,7 +101,7 @@
     }
 
     @Test
-    void comparisonTellsEachKeyAndCountsThoseThatDiffer() throws Exception {
+    void compareListsEachKeyAndCountsThoseThatDiffer() throws Exception {
         String conf = file(
                 "n.conf", GOOD.replace("location /", "location ~ (?=/x) { proxy_pass http://10.0.0.9; }\nlocation /"));
         String keys = file("keys", "/a\n/b\n\n/x\n");
@@ -116,7 +118,7 @@
 
     @SuppressWarnings("StringConcatToTextBlock") // one line of the text a line of the source
     @Test
-    void tenThousandRoutesAreChecked() throws Exception {
+    void checksTenThousandRoutes() throws Exception {
         StringBuilder text = new StringBuilder("[[class]]\nname = \"r\"\neffect = \"safe\"\n[[listen]]\nname = \"l\"\n"
                 + "address = \"127.0.0.1:0\"\nopen = true\nclass = \"r\"\n[[pool]]\nname = \"p\"\nnodes = \"plain\"\n"
                 + "[[pool.server]]\nname = \"s\"\ndial = \"127.0.0.1:1\"\n");
--- a/src/test/java/cacheproxy/nginx/importer/ImporterFuzzTest.java
+++ b/src/test/java/cacheproxy/nginx/importer/ImporterFuzzTest.java
@@ -7,6 +7,7 @@
 import cacheproxy.nginx.ConfParser;
 import cacheproxy.nginx.ConfPrinter;
 import cacheproxy.nginx.Directive;
+import cacheproxy.nginx.NginxSyntaxException;
 import cacheproxy.nginx.Position;
 import java.util.ArrayList;
 import java.util.List;
@@ -14,7 +15,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Whatever directives stand in whatever places: the importer makes a file that is accepted, or none, and says why. */
+/** Imports random directives in random blocks: the result must be a file that the daemon accepts, or none. */
 class ImporterFuzzTest {
     private static final String[] WORDS = {
         "/",
@@ -141,7 +142,7 @@
 
     private static List<Directive> block(SplittableRandom random, int depth) {
         List<Directive> all = new ArrayList<>();
-        for (int n = random.nextInt(depth == 0 ? 9 : 6); n > 0; n--) {
+        for (int remaining = random.nextInt(depth == 0 ? 9 : 6); remaining > 0; remaining--) {
             all.add(directive(random, depth));
         }
         return all;
@@ -153,12 +154,24 @@
 
     private static Directive directive(SplittableRandom random, int depth) {
         String name = NAMES[random.nextInt(NAMES.length)];
-        List<String> args = new ArrayList<>();
         boolean plausible = random.nextInt(12) > 0;
-        int count = switch (plausible ? name : "") {
-            case "location" -> 1 + random.nextInt(2);
+        List<String> args = new ArrayList<>();
+        int count = plausible ? plausibleArgCount(random, name) : random.nextInt(4);
+        for (int remaining = count; remaining > 0; remaining--) {
+            args.add(word(random));
+        }
+        if (!plausible) {
+            List<Directive> block = random.nextInt(3) == 0 && depth < 4 ? block(random, depth + 1) : null;
+            return new Directive(name, args, block, null, at());
+        }
+        return plausibleDirective(random, name, args, depth);
+    }
+
+    private static int plausibleArgCount(SplittableRandom random, String name) {
+        return switch (name) {
+            case "location", "hash" -> 1 + random.nextInt(2);
             case "if" -> random.nextBoolean() ? 1 : 3;
-            case "rewrite" -> 2 + random.nextInt(2);
+            case "rewrite", "try_files", "error_page" -> 2 + random.nextInt(2);
             case "return",
                     "proxy_pass",
                     "memcached_pass",
@@ -167,79 +180,97 @@
                     "proxy_connect_timeout",
                     "deny",
                     "fastcgi_pass" -> 1;
-            case "try_files", "error_page" -> 2 + random.nextInt(2);
             case "internal", "break", "least_conn", "ip_hash", "http" -> 0;
-            case "hash" -> 1 + random.nextInt(2);
-            default -> plausible ? 1 + random.nextInt(2) : random.nextInt(4);
+            default -> 1 + random.nextInt(2);
         };
-        for (int n = count; n > 0; n--) {
-            args.add(word(random));
-        }
-        List<Directive> block = null;
-        switch (plausible ? name : "") {
-            case "server" -> {
-                if (depth == 0) {
-                    block = block(random, depth + 1);
-                    args.clear();
-                } else {
-                    args.add(0, "10.0.0." + random.nextInt(5) + ":80");
-                }
+    }
+
+    private static Directive plausibleDirective(SplittableRandom random, String name, List<String> args, int depth) {
+        return switch (name) {
+            case "server" -> server(random, args, depth);
+            case "location", "if", "limit_except" -> {
+                List<Directive> block = depth < 4 ? block(random, depth + 1) : List.of();
+                yield new Directive(name, args, block, null, at());
             }
-            case "location", "if", "limit_except" -> block = depth < 4 ? block(random, depth + 1) : List.of();
             case "upstream" -> {
-                args = List.of(random.nextBoolean() ? "u" : "v");
-                block = block(random, 1);
+                String upstream = random.nextBoolean() ? "u" : "v";
+                yield new Directive(name, List.of(upstream), block(random, 1), null, at());
             }
             case "map", "split_clients", "geo" -> {
-                args = List.of(word(random), random.nextBoolean() ? "$x" : "$y");
-                block = new ArrayList<>();
-                for (int n = random.nextInt(5); n > 0; n--) {
-                    block.add(new Directive(word(random), List.of(word(random)), null, null, at()));
-                }
+                List<String> variables = List.of(word(random), random.nextBoolean() ? "$x" : "$y");
+                yield new Directive(name, variables, tableEntries(random), null, at());
             }
-            case "set" -> args = List.of(random.nextBoolean() ? "$x" : "$z", word(random));
-            default -> block = !plausible && random.nextInt(3) == 0 && depth < 4 ? block(random, depth + 1) : null;
+            case "set" -> {
+                String variable = random.nextBoolean() ? "$x" : "$z";
+                yield new Directive(name, List.of(variable, word(random)), null, null, at());
+            }
+            default -> new Directive(name, args, null, null, at());
+        };
+    }
+
+    /** A server block at the top, or a server of an upstream. */
+    private static Directive server(SplittableRandom random, List<String> args, int depth) {
+        if (depth == 0) {
+            return new Directive("server", List.of(), block(random, depth + 1), null, at());
+        }
+        List<String> withAddress = new ArrayList<>(args);
+        withAddress.add(0, "10.0.0." + random.nextInt(5) + ":80");
+        return new Directive("server", withAddress, null, null, at());
+    }
+
+    private static List<Directive> tableEntries(SplittableRandom random) {
+        List<Directive> entries = new ArrayList<>();
+        for (int remaining = random.nextInt(5); remaining > 0; remaining--) {
+            entries.add(new Directive(word(random), List.of(word(random)), null, null, at()));
         }
-        return new Directive(name, args, block, null, at());
+        return entries;
     }
 
     private static Position at() {
         return new Position("f.conf", 1, 1);
     }
 
+    /** A random configuration, in which there is always something to import. */
+    private static List<Directive> configuration(SplittableRandom random) {
+        List<Directive> tree = block(random, 0);
+        tree.add(new Directive("server", List.of(), block(random, 1), null, at()));
+        tree.add(new Directive(
+                "upstream",
+                List.of("spare"),
+                List.of(new Directive("server", List.of("10.1.1.1:80"), null, null, at())),
+                null,
+                at()));
+        return tree;
+    }
+
+    private static Importer.Result imported(String text) throws NginxSyntaxException {
+        List<Directive> tree = ConfParser.parse("f.conf", text);
+        try {
+            return Importer.run(
+                    new ConfParser.Conf(tree, List.of(), 1, 1),
+                    new ImportOptions("127.0.0.1", 0, Map.of(), "unsafe", 0));
+        } catch (RuntimeException e) {
+            throw new AssertionError(text, e);
+        }
+    }
+
     @Test
-    void whateverIsImportedIsAcceptedAndEveryDirectiveHasAnEntry() throws Exception {
+    void importsRandomDirectivesToAnAcceptedFileOrNone() throws Exception {
         SplittableRandom random = new SplittableRandom(21);
-        int made = 0;
+        int filesMade = 0;
         for (int i = 0; i < 6000; i++) {
-            List<Directive> tree = block(random, 0);
-            tree.add(new Directive("server", List.of(), block(random, 1), null, at()));
-            tree.add(new Directive(
-                    "upstream",
-                    List.of("spare"),
-                    List.of(new Directive("server", List.of("10.1.1.1:80"), null, null, at())),
-                    null,
-                    at()));
-            String text = ConfPrinter.print(tree);
-            List<Directive> read = ConfParser.parse("f.conf", text);
-            Importer.Result r;
-            try {
-                r = Importer.run(
-                        new ConfParser.Conf(read, List.of(), 1, 1),
-                        new ImportOptions("127.0.0.1", 0, Map.of(), "unsafe", 0));
-            } catch (RuntimeException e) {
-                throw new AssertionError(text, e);
-            }
-            assertThat(r.report().entries()).isNotEmpty();
-            if (r.file() != null) {
-                made++;
+            String text = ConfPrinter.print(configuration(random));
+            Importer.Result result = imported(text);
+            assertThat(result.report().entries()).isNotEmpty();
+            if (result.file() != null) {
+                filesMade++;
                 try {
-                    DaemonConfigReader.parse("imported", r.file());
+                    DaemonConfigReader.parse("imported", result.file());
                 } catch (ConfigException e) {
-                    throw new AssertionError(text + "\n" + r.file(), e);
+                    throw new AssertionError(text + "\n" + result.file(), e);
                 }
             }
         }
-        assertThat(made).isGreaterThan(4000);
+        assertThat(filesMade).isGreaterThan(4000);
     }
 }
