--- a/src/main/java/cacheproxy/cli/FleetCommand.java
+++ b/src/main/java/cacheproxy/cli/FleetCommand.java
@@ -208,7 +208,7 @@
                     print.flush();
                     return 0;
                 }
-                print.print(s.with(found).toToml());
+                print.print(s.withFaults(found).toToml());
                 print.flush();
                 return 1;
             });
--- a/src/main/java/cacheproxy/faulttest/ChildFiles.java
+++ b/src/main/java/cacheproxy/faulttest/ChildFiles.java
@@ -24,7 +24,7 @@
         this.known = known;
         this.s = s;
         this.space = space;
-        names = s.endpoints();
+        names = s.targetSelector();
     }
 
     String of(int proxy, long seed) {
@@ -33,7 +33,7 @@
 
     private String serve(int proxy, long seed) {
         JsonObject json = new JsonObject();
-        json.addProperty("name", TargetSelector.proxy(proxy));
+        json.addProperty("name", TargetSelector.proxyName(proxy));
         json.addProperty("listen", AddressSpace.text(space.proxy(proxy, AddressSpace.CLIENTS)));
         json.addProperty("discovery", AddressSpace.text(space.face(proxy, AddressSpace.DISCOVERY)));
         json.addProperty("seed", "%016x".formatted(seed));
@@ -175,7 +175,7 @@
                 "memory_mb = " + MEMORY_MB,
                 "sockets = " + SOCKETS,
                 "max_retry_after_ms = 500",
-                "unknown_capacity = " + s.nodePerSecond(),
+                "unknown_capacity = " + s.serverPerSecond(),
                 "",
                 serviceClass("read", "safe", ""),
                 serviceClass("put", "keyed", "window_ms = 5000\n"),
@@ -196,7 +196,11 @@
                 "name = \"all\"",
                 "pools = [\"pages\"]",
                 "",
-                replaced(s.old().contains(TargetSelector.proxy(proxy)) ? s.oldExtra() : s.extra(), proxy),
+                replaced(
+                        s.oldProxies().contains(TargetSelector.proxyName(proxy))
+                                ? s.oldConfigSuffix()
+                                : s.configSuffix(),
+                        proxy),
                 "");
     }
 
@@ -211,7 +215,7 @@
         if (text.contains("{peers}") || text.contains("{peers-but-last}")) {
             for (int i = 0; i < s.proxies() - (text.contains("{peers}") ? 0 : 1); i++) {
                 peers.append("[[fleet.peer]]\nname = \"")
-                        .append(TargetSelector.proxy(i))
+                        .append(TargetSelector.proxyName(i))
                         .append("\"\naddress = \"")
                         .append(AddressSpace.text(space.face(i, AddressSpace.PEERS)))
                         .append("\"\nzone = \"")
@@ -219,7 +223,7 @@
                         .append("\"\n");
             }
         }
-        return text.replace("{me}", TargetSelector.proxy(proxy))
+        return text.replace("{me}", TargetSelector.proxyName(proxy))
                 .replace("{ip}", space.proxy(proxy))
                 .replace("{control}", AddressSpace.text(space.proxy(proxy, AddressSpace.CONTROL)))
                 .replace("{listen}", AddressSpace.text(space.proxy(proxy, AddressSpace.PEERS)))
--- a/src/main/java/cacheproxy/faulttest/DatagramRelay.java
+++ b/src/main/java/cacheproxy/faulttest/DatagramRelay.java
@@ -101,7 +101,7 @@
 
     @SuppressWarnings("FutureReturnValueIgnored") // the timer is never cancelled; what it runs handles its own errors
     private void relay(int from, int to, ByteBuf content) {
-        List<NetworkLinks.Delivery> deliveries = links.datagram(from, to, random);
+        List<NetworkLinks.Delivery> deliveries = links.deliveries(from, to, random);
         if (deliveries.isEmpty()) {
             lost.incrementAndGet();
         }
--- a/src/main/java/cacheproxy/faulttest/FakeProcesses.java
+++ b/src/main/java/cacheproxy/faulttest/FakeProcesses.java
@@ -45,28 +45,28 @@
     FakeProcesses(Scenario s, AddressSpace space, TcpRelay relay, EventLoop relayLoop, History history)
             throws InterruptedException {
         this.history = history;
-        names = s.endpoints();
+        names = s.targetSelector();
         lag = EventLoopLag.of(loop);
         ledger.observe(mark -> history.add(lag.nowUs(), "origin", Event.WRITE_APPLIED, mark, "", 0));
         origin = FakeOrigin.start(loop, ledger);
-        for (int i = 0; i < s.nodes(); i++) {
-            String name = TargetSelector.node(i);
+        for (int i = 0; i < s.servers(); i++) {
+            String name = TargetSelector.serverName(i);
             nodes.add(FakeCacheServer.start(loop, ledger)
-                    .work(1000 / s.nodePerSecond())
-                    .room(s.nodeRoom())
+                    .work(1000 / s.serverPerSecond())
+                    .room(s.serverQueueLimit())
                     .observe(id -> history.add(lag.nowUs(), name, Event.COMMAND_ARRIVED, id == null ? "" : id, "", 0)));
         }
         origin.serves(nodes);
-        byProxy = s.relayNodes() && s.proxies() * s.nodes() <= MOST_FACES;
-        byZone = (s.relayNodes() && !byProxy) || (s.ownDiscovery() && !byProxy);
+        byProxy = s.relayServers() && s.proxies() * s.servers() <= MOST_FACES;
+        byZone = (s.relayServers() && !byProxy) || (s.discoveryByZone() && !byProxy);
         int count = byProxy ? s.proxies() : byZone ? s.zones().size() : 1;
         for (int v = 0; v < count; v++) {
             views.add(FakeDiscovery.start(loop));
-            String[] dial = new String[s.nodes()];
+            String[] dial = new String[s.servers()];
             dials.add(dial);
-            for (int n = 0; n < s.nodes(); n++) {
+            for (int n = 0; n < s.servers(); n++) {
                 dial[n] = nodes.get(n).dial();
-                if (s.relayNodes()) {
+                if (s.relayServers()) {
                     InetSocketAddress at =
                             byProxy ? space.face(v, AddressSpace.NODES + n) : space.zoneFace(v, AddressSpace.NODES + n);
                     FakeCacheServer node = nodes.get(n);
@@ -75,7 +75,7 @@
                 }
             }
         }
-        for (int n = 0; n < s.nodes(); n++) {
+        for (int n = 0; n < s.servers(); n++) {
             put(n, "up", 0);
         }
         views.forEach(v -> v.put("origin", origin.dial(), s.zones().get(0), "origin", "up", 0));
@@ -84,7 +84,7 @@
             relay.face(
                     space.face(p, AddressSpace.DISCOVERY),
                     p,
-                    names.discovery(),
+                    names.discoveryIndex(),
                     () -> address(view(proxy).dial()));
         }
     }
@@ -104,7 +104,7 @@
                     .put(
                             host(node),
                             dials.get(v)[node],
-                            names.zones().get(names.zoneOfNode(node)),
+                            names.zones().get(names.zoneOfServer(node)),
                             "node",
                             health,
                             bornMs);
@@ -130,7 +130,7 @@
     }
 
     void kill(int node) {
-        history.add(0, TargetSelector.node(node), Event.SERVER_KILLED, "", "", 0);
+        history.add(0, TargetSelector.serverName(node), Event.SERVER_KILLED, "", "", 0);
         nodes.get(node).kill();
     }
 
@@ -142,7 +142,7 @@
             Thread.currentThread().interrupt();
             throw new IOException(e);
         }
-        history.add(0, TargetSelector.node(node), Event.SERVER_STARTED, "", "", 0);
+        history.add(0, TargetSelector.serverName(node), Event.SERVER_STARTED, "", "", 0);
         put(node, "up", (double) System.currentTimeMillis());
     }
 
@@ -151,11 +151,11 @@
         // what they send
         // by that word would seem to go to a draining node.
         if (!on) {
-            history.add(0, TargetSelector.node(node), Event.SERVER_UP, "", "", 0);
+            history.add(0, TargetSelector.serverName(node), Event.SERVER_UP, "", "", 0);
         }
         put(node, on ? "draining" : "up", 0);
         if (on) {
-            history.add(0, TargetSelector.node(node), Event.SERVER_DRAINING, "", "", 0);
+            history.add(0, TargetSelector.serverName(node), Event.SERVER_DRAINING, "", "", 0);
         }
     }
 
--- a/src/main/java/cacheproxy/faulttest/FaultInjector.java
+++ b/src/main/java/cacheproxy/faulttest/FaultInjector.java
@@ -55,7 +55,7 @@
             UnaryOperator<String> holders) {
         this.holders = holders;
         this.scenario = scenario;
-        names = scenario.endpoints();
+        names = scenario.targetSelector();
         this.proxies = proxies;
         this.standIns = standIns;
         this.links = links;
@@ -99,10 +99,11 @@
     /** The same from now on, befalling who holds the duty. */
     private Fault onHolder(Fault f) {
         String holder = holders.apply(f.holderOf());
-        List<String> who = holder == null ? f.who() : List.of(holder);
-        List<String> rest = new ArrayList<>(names.choose("proxies", new SplittableRandom(0)));
+        List<String> who = holder == null ? f.targets() : List.of(holder);
+        List<String> rest = new ArrayList<>(names.select("proxies", new SplittableRandom(0)));
         rest.removeAll(who);
-        return f.at(0, who, f.to().stream().allMatch(t -> t.startsWith("p")) && f.onLinks() ? rest : f.to());
+        return f.withTimeAndTargets(
+                0, who, f.linkPeers().stream().allMatch(t -> t.startsWith("p")) && f.onLinks() ? rest : f.linkPeers());
     }
 
     private void put(String id, Fault f) {
@@ -110,8 +111,8 @@
             at(f.atMs(), () -> links(id, f, true));
             at(f.endMs(), () -> links(id, f, false));
         } else {
-            for (int w = 0; w < f.who().size(); w++) {
-                int index = names.index(f.who().get(w));
+            for (int w = 0; w < f.targets().size(); w++) {
+                int index = names.indexOf(f.targets().get(w));
                 befall(f, index, f.atMs() + w * f.staggerMs());
             }
             at(
@@ -121,7 +122,7 @@
                             "rig",
                             Event.FAULT_STARTED,
                             id,
-                            Fault.word(f.kind()) + " " + String.join(",", f.who()),
+                            f.kind().tomlName() + " " + String.join(",", f.targets()),
                             0));
             at(f.endMs(), () -> history.add(0, "rig", Event.FAULT_ENDED, id, "", 0));
         }
@@ -134,7 +135,7 @@
                     "rig",
                     Event.FAULT_STARTED,
                     id,
-                    "link " + String.join(",", f.who()) + " to " + String.join(",", f.to()),
+                    "link " + String.join(",", f.targets()) + " to " + String.join(",", f.linkPeers()),
                     0);
         }
         relayLoop
@@ -153,22 +154,22 @@
     }
 
     private void befall(Fault f, int index, double atMs) {
-        double endMs = atMs + f.forMs();
+        double endMs = atMs + f.durationMs();
         switch (f.kind()) {
-            case STOP -> {
+            case PAUSE -> {
                 at(atMs, () -> proxies.stop(index));
                 at(endMs, () -> proxies.proceed(index));
             }
-            case SLOW -> at(atMs, () -> beat(f, index, System.nanoTime() + (long) (f.forMs() * 1e6)));
-            case KILL, TERM ->
+            case SLOW -> at(atMs, () -> beat(f, index, System.nanoTime() + (long) (f.durationMs() * 1e6)));
+            case KILL, TERMINATE ->
                 at(atMs, () -> {
                     if (proxies.end(index, f.kind() == Fault.Kind.KILL)) {
                         restarting++;
                         at(
-                                f.forMs(),
+                                f.durationMs(),
                                 () -> proxies.again(
                                         index,
-                                        f.loseDisk(),
+                                        f.emptyDisk(),
                                         failed -> at(0, () -> {
                                             restarting--;
                                             if (failed != null) {
@@ -178,9 +179,9 @@
                                         })));
                     }
                 });
-            case NODE_STALL -> at(atMs, () -> standIns.stall(index - names.proxies(), f.forMs()));
-            case NODE_KILL -> node(index, atMs, endMs, n -> standIns.kill(n), standIns::revive);
-            case NODE_DRAIN -> node(index, atMs, endMs, n -> standIns.drain(n, true), n -> standIns.drain(n, false));
+            case SERVER_STALL -> at(atMs, () -> standIns.stall(index - names.proxies(), f.durationMs()));
+            case SERVER_KILL -> node(index, atMs, endMs, n -> standIns.kill(n), standIns::revive);
+            case SERVER_DRAIN -> node(index, atMs, endMs, n -> standIns.drain(n, true), n -> standIns.drain(n, false));
             default -> throw new IllegalArgumentException(f.kind() + " befalls no process");
         }
     }
@@ -205,10 +206,10 @@
     /** One beat after another: it runs for its share of each. */
     private void beat(Fault f, int index, long untilNanos) throws IOException {
         proxies.stop(index);
-        at(f.beatMs() * (1 - f.share()), () -> {
+        at(f.cycleMs() * (1 - f.speedShare()), () -> {
             proxies.proceed(index);
             if (System.nanoTime() < untilNanos) {
-                at(f.beatMs() * f.share(), () -> beat(f, index, untilNanos));
+                at(f.cycleMs() * f.speedShare(), () -> beat(f, index, untilNanos));
             }
         });
     }
--- a/src/main/java/cacheproxy/faulttest/FaultTestRunner.java
+++ b/src/main/java/cacheproxy/faulttest/FaultTestRunner.java
@@ -70,7 +70,7 @@
                             "%d proxies (%s), %d nodes, seed %d, %.0f s; ready after %.1f s; MB each %.0f, at most %.0f",
                             s.proxies(),
                             s.program(),
-                            s.nodes(),
+                            s.servers(),
                             s.seed(),
                             seconds,
                             startSeconds,
@@ -92,12 +92,12 @@
                             ServiceStats.countSentToStalledServers(run)),
                     String.format(
                             "lag ms: relay p99 %.1f max %.1f, load p99 %.1f, proxies without a fault p99 %.1f; all processors busy %.2f",
-                            quality.relayP99(),
-                            quality.relayMax(),
-                            quality.loadP99(),
-                            quality.childP99(),
-                            quality.busy())));
-            for (String duty : s.duties()) {
+                            quality.relayLagP99Ms(),
+                            quality.relayLagMaxMs(),
+                            quality.scheduleLagP99Ms(),
+                            quality.pingP99Ms(),
+                            quality.busyShare())));
+            for (String duty : s.leases()) {
                 List<LeaseStats.Gap> gaps = LeaseStats.gapsWithoutHolder(
                         run,
                         duty,
@@ -123,11 +123,11 @@
                             gaps[gaps.length / 2],
                             gaps[(gaps.length - 1) * 99 / 100],
                             gaps[gaps.length - 1])));
-            if (!s.duties().isEmpty()) {
+            if (!s.leases().isEmpty()) {
                 lines.add("acts under older epochs, refused where they were received: "
                         + LeaseStats.countRejectedActions(run));
             }
-            if (run.scenario().limit() != null && run.scenario().limit().perSecond() > 0) {
+            if (run.scenario().quota() != null && run.scenario().quota().perSecond() > 0) {
                 double[] over = QuotaStats.excessByWindow(run);
                 lines.add(String.format(
                         "limit: over by %.0f in 100 ms, %.0f in 1 s, %.0f in 10 s; idle while refused %.4f from the fourth second of the load on",
@@ -152,7 +152,7 @@
         MultiThreadIoEventLoopGroup relayGroup = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
         MultiThreadIoEventLoopGroup loadGroup = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
         EventLoop relayLoop = relayGroup.next();
-        NetworkLinks links = new NetworkLinks(scenario.endpoints());
+        NetworkLinks links = new NetworkLinks(scenario.targetSelector());
         double startSeconds;
         double[] resident;
         long[] datagrams;
@@ -170,7 +170,7 @@
                 FakeProcesses standIns = new FakeProcesses(scenario, space, connections, relayLoop, history);
                 ProxyProcesses proxies = new ProxyProcesses(scenario, space, folder, history, standIns::known);
                 HostLoad machine = new HostLoad()) {
-            if (scenario.warm()) {
+            if (scenario.warmServers()) {
                 standIns.warm(scenario.load().keys());
             }
             log.accept("starting " + scenario.proxies() + " proxies");
@@ -196,14 +196,14 @@
                     connections,
                     history,
                     duty -> asking[0] == null ? null : asking[0].holder(duty))) {
-                LeasePoller polls = scenario.duties().isEmpty()
+                LeasePoller polls = scenario.leases().isEmpty()
                         ? null
                         : LeasePoller.start(
                                 loadGroup.next(),
                                 space,
                                 history,
                                 scenario.proxies(),
-                                scenario.duties(),
+                                scenario.leases(),
                                 scenario.pollMs(),
                                 scenario.seed());
                 asking[0] = polls; // before the director's thread starts, which reads it
@@ -241,7 +241,7 @@
         RunValidity quality = new RunValidity(lags[0], lags[1], lags[2], pulseP99(run), lags[3], dropped, relayDropped);
         return new Outcome(
                 run,
-                Verdict.of(run, quality.faults(), checkers),
+                Verdict.of(run, quality.problems(), checkers),
                 quality,
                 ServiceStats.of(run, 0, Double.MAX_VALUE),
                 startSeconds,
@@ -257,7 +257,7 @@
     /** Checks a history that was written before. The machine's part in it is judged by the empty calls alone. */
     public static Verdict check(Path history, List<Checker> checkers) throws IOException, ConfigException {
         RunHistory run = History.read(history);
-        return Verdict.of(run, new RunValidity(0, 0, 0, pulseP99(run), 0, 0, 0).faults(), checkers);
+        return Verdict.of(run, new RunValidity(0, 0, 0, pulseP99(run), 0, 0, 0).problems(), checkers);
     }
 
     private static double[] resident(ProxyProcesses proxies, int count) {
@@ -292,7 +292,8 @@
         int[] n = {0};
         return new cacheproxy.faulttest.scenario.Shrinker(
                         faults -> {
-                            Outcome o = play(scenario.with(faults), folder.resolve("try" + ++n[0]), checkers, s -> {});
+                            Outcome o = play(
+                                    scenario.withFaults(faults), folder.resolve("try" + ++n[0]), checkers, s -> {});
                             boolean broken = o.verdict().invalidReasons().isEmpty()
                                     && o.verdict().violated();
                             log.accept("try " + n[0] + ": " + faults.size() + " faults, "
--- a/src/main/java/cacheproxy/faulttest/FencedWriter.java
+++ b/src/main/java/cacheproxy/faulttest/FencedWriter.java
@@ -46,7 +46,7 @@
                     boolean accepted = guard.accepts(NameHash.of(duty), epoch);
                     history.add(
                             0,
-                            TargetSelector.proxy(proxy),
+                            TargetSelector.proxyName(proxy),
                             Event.LEADER_ACTION,
                             duty,
                             accepted ? "accepted" : "refused",
--- a/src/main/java/cacheproxy/faulttest/HostLoad.java
+++ b/src/main/java/cacheproxy/faulttest/HostLoad.java
@@ -31,7 +31,7 @@
         double load = machine.getCpuLoad();
         if (load >= 0) {
             looks++;
-            busy += load > RunValidity.BUSY_LOAD ? 1 : 0;
+            busy += load > RunValidity.BUSY_CPU_LOAD ? 1 : 0;
         }
     }
 
--- a/src/main/java/cacheproxy/faulttest/LeasePoller.java
+++ b/src/main/java/cacheproxy/faulttest/LeasePoller.java
@@ -140,13 +140,13 @@
             long epoch = yes ? Long.parseLong(text.substring(body + 4).strip()) : 0;
             history.add(
                     history.now() - sentUs,
-                    TargetSelector.proxy(proxy),
+                    TargetSelector.proxyName(proxy),
                     Event.LEASE_POLLED,
                     duty,
                     yes ? "yes" : "no",
                     (double) epoch);
             if (yes) {
-                holders.put(duty, TargetSelector.proxy(proxy));
+                holders.put(duty, TargetSelector.proxyName(proxy));
                 acts.may(proxy, number, duty, epoch);
             }
             ctx.close();
--- a/src/main/java/cacheproxy/faulttest/OpenLoopWorkload.java
+++ b/src/main/java/cacheproxy/faulttest/OpenLoopWorkload.java
@@ -139,15 +139,15 @@
         String id = Integer.toHexString(0x10000000 + asked++);
         Request r;
         double kind = random.nextDouble();
-        if (kind < load.writes()) {
-            boolean keyed = kind < load.writes() / 2;
+        if (kind < load.writeShare()) {
+            boolean keyed = kind < load.writeShare() / 2;
             r = new Request(id, keyed ? "keyed" : "unsafe", "w/" + id);
         } else {
-            int key = random.nextDouble() < load.hot() ? 0 : random.nextInt(load.keys());
+            int key = random.nextDouble() < load.hotShare() ? 0 : random.nextInt(load.keys());
             r = new Request(id, "read", key(key));
         }
         int part = Math.min(proxies.length - 1, to < 0 ? -to - 1 : to);
-        long turns = load.turnMs() > 0 ? (long) ((nextAt - startedAt) / 1e6 / load.turnMs()) : 0;
+        long turns = load.rotationMs() > 0 ? (long) ((nextAt - startedAt) / 1e6 / load.rotationMs()) : 0;
         targets[(int) ((part + turns) % proxies.length)].send(r);
     }
 
@@ -185,7 +185,7 @@
 
         Target(int index) {
             this.index = index;
-            name = TargetSelector.proxy(index);
+            name = TargetSelector.proxyName(index);
         }
 
         void send(Request r) {
--- a/src/main/java/cacheproxy/faulttest/ProxyProcesses.java
+++ b/src/main/java/cacheproxy/faulttest/ProxyProcesses.java
@@ -64,7 +64,7 @@
         this.history = history;
         files = new ChildFiles(scenario, space, known);
         seeds = new SplittableRandom(scenario.seed() + 99);
-        starters = Executors.newFixedThreadPool(scenario.waves(), r -> {
+        starters = Executors.newFixedThreadPool(scenario.concurrentStarts(), r -> {
             Thread t = new Thread(r, "starter");
             t.setDaemon(true);
             return t;
@@ -95,7 +95,7 @@
     }
 
     private void start(int i) throws IOException, InterruptedException {
-        String name = TargetSelector.proxy(i);
+        String name = TargetSelector.proxyName(i);
         Path own = folder.resolve(name);
         Path temporary = own.resolve("tmp");
         Files.createDirectories(temporary);
@@ -156,12 +156,13 @@
         long until = System.nanoTime() + (long) (READY_SECONDS * 1e9);
         while (true) {
             if (!process.isAlive()) {
-                throw new IOException(TargetSelector.proxy(i) + " ended before it was ready, exit code "
+                throw new IOException(TargetSelector.proxyName(i) + " ended before it was ready, exit code "
                         + process.exitValue() + "; see "
-                        + folder.resolve(TargetSelector.proxy(i)).resolve("log"));
+                        + folder.resolve(TargetSelector.proxyName(i)).resolve("log"));
             }
             if (System.nanoTime() > until) {
-                throw new IOException(TargetSelector.proxy(i) + " was not ready within " + (int) READY_SECONDS + " s");
+                throw new IOException(
+                        TargetSelector.proxyName(i) + " was not ready within " + (int) READY_SECONDS + " s");
             }
             try (Socket s = new Socket()) {
                 s.connect(space.proxy(i, AddressSpace.CLIENTS), 500);
@@ -208,7 +209,7 @@
             return;
         }
         if (o.stops++ == 0) {
-            history.add(0, TargetSelector.proxy(i), Event.PROCESS_PAUSED, "", "", 0);
+            history.add(0, TargetSelector.proxyName(i), Event.PROCESS_PAUSED, "", "", 0);
             signals.send("STOP", o.process.pid());
         }
     }
@@ -220,7 +221,7 @@
         }
         if (--o.stops == 0) {
             signals.send("CONT", o.process.pid());
-            history.add(0, TargetSelector.proxy(i), Event.PROCESS_RESUMED, "", "", 0);
+            history.add(0, TargetSelector.proxyName(i), Event.PROCESS_RESUMED, "", "", 0);
         }
     }
 
@@ -231,7 +232,7 @@
             return false;
         }
         o.down = true;
-        history.add(0, TargetSelector.proxy(i), kill ? Event.PROCESS_KILLED : Event.PROCESS_TERMINATING, "", "", 0);
+        history.add(0, TargetSelector.proxyName(i), kill ? Event.PROCESS_KILLED : Event.PROCESS_TERMINATING, "", "", 0);
         if (kill) {
             o.process.destroyForcibly();
         } else {
@@ -263,11 +264,11 @@
     private void restart(int i, boolean loseDisk) throws IOException, InterruptedException {
         One o = all[i];
         if (!o.process.waitFor(20, TimeUnit.SECONDS)) {
-            throw new IOException(TargetSelector.proxy(i) + " had not ended 20 s after it was told to");
+            throw new IOException(TargetSelector.proxyName(i) + " had not ended 20 s after it was told to");
         }
         o.reader.join(READER_MS); // else its end could be noted behind the next one's start, as if that one had ended
         if (loseDisk) {
-            empty(folder.resolve(TargetSelector.proxy(i)).resolve("tmp"));
+            empty(folder.resolve(TargetSelector.proxyName(i)).resolve("tmp"));
         }
         if (!closing) {
             start(i);
@@ -304,7 +305,7 @@
         starters.shutdownNow();
         for (int i = 0; i < all.length; i++) {
             if (all[i].process != null) {
-                history.add(0, TargetSelector.proxy(i), Event.PROCESS_KILLED, "", "at the run's end", 0);
+                history.add(0, TargetSelector.proxyName(i), Event.PROCESS_KILLED, "", "at the run's end", 0);
                 all[i].process.destroyForcibly();
             }
         }
--- a/src/main/java/cacheproxy/faulttest/ScenarioReader.java
+++ b/src/main/java/cacheproxy/faulttest/ScenarioReader.java
@@ -4,7 +4,7 @@
 import cacheproxy.config.TomlTableReader;
 import cacheproxy.faulttest.scenario.Fault;
 import cacheproxy.faulttest.scenario.Fault.Kind;
-import cacheproxy.faulttest.scenario.Fault.LinkFigures;
+import cacheproxy.faulttest.scenario.Fault.LinkFault;
 import cacheproxy.faulttest.scenario.RandomFaults;
 import cacheproxy.faulttest.scenario.Scenario;
 import cacheproxy.faulttest.scenario.TargetSelector;
@@ -95,19 +95,19 @@
         if (faults.size() > MOST_FAULTS) {
             root.error("fault", faults.size() + " faults; at most " + MOST_FAULTS);
         }
-        return bare.with(faults);
+        return bare.withFaults(faults);
     }
 
-    private static Scenario.Limit limit(TomlTableReader s) {
+    private static Scenario.Quota limit(TomlTableReader s) {
         if (s == null) {
             return null;
         }
-        Scenario.Limit limit = new Scenario.Limit(
+        Scenario.Quota limit = new Scenario.Quota(
                 s.oneOf("kind", "read", "read", "keyed", "unsafe"),
                 s.number("per_second", 0, 0.001, 1e7),
                 s.integer("at_once", 0, 1, 1_000_000),
                 s.number("saved", 0, 0, 1e7));
-        if (limit.perSecond() > 0 == limit.atOnce() > 0) {
+        if (limit.perSecond() > 0 == limit.maxInFlight() > 0) {
             s.error("kind", "a limit has either per_second or at_once");
         }
         s.rejectUnknownKeys();
@@ -138,15 +138,15 @@
         double lasts = s.number("for_ms", 1000, 1, 24 * HOUR_MS);
         String holderOf = s.text("holder_of", "");
         List<String> who = !holderOf.isEmpty() && !s.has("who")
-                ? List.of(TargetSelector.proxy(0))
+                ? List.of(TargetSelector.proxyName(0))
                 : choose(s, "who", endpoints, random);
         List<String> to = List.of();
-        LinkFigures figures = null;
+        LinkFault figures = null;
         boolean twoWay = false;
         if (kind == Kind.LINK) {
             to = s.has("to") ? choose(s, "to", endpoints, random) : rest(who, endpoints);
             twoWay = s.flag("two_way", true);
-            figures = new LinkFigures(
+            figures = new LinkFault(
                     s.number("lose", 0, 0, 1),
                     s.number("delay_ms", 0, 0, 60_000),
                     s.number("jitter_ms", 0, 0, 60_000),
@@ -156,7 +156,7 @@
         }
         double share = kind == Kind.SLOW ? s.number("share", 0.1, 0.01, 0.99) : 1;
         double beat = kind == Kind.SLOW ? s.number("beat_ms", 50, 5, 10_000) : 0;
-        boolean loseDisk = (kind == Kind.TERM || kind == Kind.KILL) && s.flag("lose_disk", false);
+        boolean loseDisk = (kind == Kind.TERMINATE || kind == Kind.KILL) && s.flag("lose_disk", false);
         Fault f = new Fault(
                 kind,
                 at,
@@ -170,19 +170,19 @@
                 loseDisk,
                 s.number("stagger_ms", 0, 0, HOUR_MS),
                 holderOf);
-        if (who.stream().anyMatch(n -> !f.onLinks() && n.charAt(0) != (f.onNodes() ? 'n' : 'p'))) {
-            s.error("who", Fault.word(kind) + " befalls " + (f.onNodes() ? "nodes" : "proxies") + " alone");
+        if (who.stream().anyMatch(n -> !f.onLinks() && n.charAt(0) != (f.onServers() ? 'n' : 'p'))) {
+            s.error("who", kind.tomlName() + " befalls " + (f.onServers() ? "nodes" : "proxies") + " alone");
         }
         int times = s.integer("times", 1, 1, MOST_FAULTS);
         double every = s.number("every_ms", 10_000, 1, HOUR_MS);
         for (int i = 0; i < times; i++) {
-            faults.add(f.at(at + i * every, f.who(), f.to()));
+            faults.add(f.withTimeAndTargets(at + i * every, f.targets(), f.linkPeers()));
         }
     }
 
     /** What a link's fault lies between where the file does not say: the chosen ones and all other proxies. */
     private static List<String> rest(List<String> who, TargetSelector endpoints) {
-        List<String> rest = new ArrayList<>(endpoints.choose("proxies", new SplittableRandom(0)));
+        List<String> rest = new ArrayList<>(endpoints.select("proxies", new SplittableRandom(0)));
         rest.removeAll(who);
         return rest;
     }
@@ -191,7 +191,7 @@
             TomlTableReader s, String key, TargetSelector endpoints, SplittableRandom random) {
         String words = s.text(key);
         try {
-            return words.isEmpty() ? List.of() : endpoints.choose(words, random);
+            return words.isEmpty() ? List.of() : endpoints.select(words, random);
         } catch (IllegalArgumentException e) {
             s.error(key, e.getMessage());
             return List.of();
@@ -200,7 +200,7 @@
 
     private static Kind kind(TomlTableReader s, String word, String key) {
         for (Kind k : Kind.values()) {
-            if (Fault.word(k).equals(word)) {
+            if (k.tomlName().equals(word)) {
                 return k;
             }
         }
@@ -211,10 +211,10 @@
                             + String.join(
                                     ", ",
                                     Arrays.stream(Kind.values())
-                                            .map(Fault::word)
+                                            .map(Kind::tomlName)
                                             .toList()));
         }
-        return Kind.STOP;
+        return Kind.PAUSE;
     }
 
     private static void chaos(
@@ -230,6 +230,6 @@
             return;
         }
         faults.addAll(new RandomFaults(count, kinds.isEmpty() ? List.of(Kind.values()) : kinds, from, to, longest)
-                .faults(endpoints, seed));
+                .draw(endpoints, seed));
     }
 }
--- a/src/main/java/cacheproxy/faulttest/TcpRelay.java
+++ b/src/main/java/cacheproxy/faulttest/TcpRelay.java
@@ -88,7 +88,7 @@
             far = new End(this, to, from);
             near.channel = channel;
             pipes.add(this);
-            if (links.resets(from, to)) {
+            if (links.resetsConnections(from, to)) {
                 end(true);
                 return;
             }
@@ -110,7 +110,7 @@
         }
 
         void changed() {
-            if (links.resets(from, to)) {
+            if (links.resetsConnections(from, to)) {
                 end(true);
             } else {
                 near.go();
@@ -160,7 +160,7 @@
 
         /** Reads on if it may; gives on what was held. */
         void go() {
-            if (!connected() || links.holds(from, to)) {
+            if (!connected() || links.blocksConnections(from, to)) {
                 return;
             }
             for (ByteBuf b; (b = held.poll()) != null; ) {
@@ -176,7 +176,7 @@
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             ByteBuf b = (ByteBuf) message;
-            if (links.holds(from, to) || !held.isEmpty()) {
+            if (links.blocksConnections(from, to) || !held.isEmpty()) {
                 held.add(b); // no more is read until the link is whole
             } else {
                 pass(b);
@@ -221,7 +221,7 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             ended = true;
-            if (held.isEmpty() && onTheWay == 0 && !links.holds(from, to)) {
+            if (held.isEmpty() && onTheWay == 0 && !links.blocksConnections(from, to)) {
                 pipe.end(false);
             }
         }
--- a/src/main/java/cacheproxy/faulttest/check/QuotaChecker.java
+++ b/src/main/java/cacheproxy/faulttest/check/QuotaChecker.java
@@ -34,13 +34,13 @@
     @Override
     public Violations check(RunHistory run) {
         Violations violations = new Violations();
-        Scenario.Limit quota = run.scenario().limit();
+        Scenario.Quota quota = run.scenario().quota();
         if (quota == null) {
             return violations;
         }
         List<Event> arrivals = arrivals(run);
         arrivals.forEach(arrival -> violations.countJudged());
-        if (quota.atOnce() > 0) {
+        if (quota.maxInFlight() > 0) {
             checkConcurrency(run, quota, arrivals, violations);
         } else {
             checkRate(quota, arrivals, violations);
@@ -48,7 +48,7 @@
         return violations;
     }
 
-    private static void checkRate(Scenario.Limit quota, List<Event> arrivals, Violations violations) {
+    private static void checkRate(Scenario.Quota quota, List<Event> arrivals, Violations violations) {
         for (double windowMs : WINDOWS_MS) {
             BusiestWindow busiest = BusiestWindow.of(arrivals, windowMs);
             double allowed = allowed(quota, windowMs);
@@ -66,8 +66,8 @@
     }
 
     /** How many requests may arrive in a window of this length. */
-    public static double allowed(Scenario.Limit quota, double windowMs) {
-        return quota.perSecond() * windowMs / 1000 * (1 + MAX_CLOCK_DRIFT) + quota.saved();
+    public static double allowed(Scenario.Quota quota, double windowMs) {
+        return quota.perSecond() * windowMs / 1000 * (1 + MAX_CLOCK_DRIFT) + quota.allowance();
     }
 
     /** The first arrival at a server of each request that the scenario's quota limits. */
@@ -76,7 +76,7 @@
         Set<String> seen = new HashSet<>();
         List<Event> arrivals = new ArrayList<>();
         for (Event event : run.events()) {
-            if (event.is(Event.REQUEST_SENT, run.scenario().limit().kind())) {
+            if (event.is(Event.REQUEST_SENT, run.scenario().quota().requestKind())) {
                 limited.add(event.id());
             } else if (event.is(Event.COMMAND_ARRIVED) && limited.contains(event.id()) && seen.add(event.id())) {
                 arrivals.add(event);
@@ -123,14 +123,15 @@
     }
 
     private static void checkConcurrency(
-            RunHistory run, Scenario.Limit quota, List<Event> arrivals, Violations violations) {
+            RunHistory run, Scenario.Quota quota, List<Event> arrivals, Violations violations) {
         int inFlight = 0;
         for (FlightChange flight : flightChanges(run, arrivals)) {
             inFlight += flight.change;
-            if (flight.change > 0 && inFlight > quota.atOnce() + quota.saved()) {
+            if (flight.change > 0 && inFlight > quota.maxInFlight() + quota.allowance()) {
                 violations.add(
                         new Event(flight.timeUs, 0, Event.RUNNER, Event.COMMAND_ARRIVED, "", "", inFlight),
-                        inFlight + " in hand, where " + quota.atOnce() + " and " + quota.saved() + " are allowed");
+                        inFlight + " in hand, where " + quota.maxInFlight() + " and " + quota.allowance()
+                                + " are allowed");
             }
         }
     }
--- a/src/main/java/cacheproxy/faulttest/check/QuotaStats.java
+++ b/src/main/java/cacheproxy/faulttest/check/QuotaStats.java
@@ -13,7 +13,7 @@
     /** By window of 100 ms, 1 s and 10 s: the most requests that arrived, minus what the rate alone allows. */
     public static double[] excessByWindow(RunHistory run) {
         List<Event> arrivals = QuotaChecker.arrivals(run);
-        double perSecond = run.scenario().limit().perSecond();
+        double perSecond = run.scenario().quota().perSecond();
         return Arrays.stream(QuotaChecker.WINDOWS_MS)
                 .map(windowMs ->
                         QuotaChecker.BusiestWindow.of(arrivals, windowMs).requests() - perSecond * windowMs / 1000)
@@ -34,7 +34,7 @@
     }
 
     private static double unusedShare(RunHistory run, double fromMs, double toMs) {
-        Scenario.Limit quota = run.scenario().limit();
+        Scenario.Quota quota = run.scenario().quota();
         int seconds = (int) Math.max(1, (toMs - fromMs) / 1000);
         double[] arrived = new double[seconds];
         double[] rejected = new double[seconds];
@@ -43,7 +43,7 @@
         }
         Set<String> limited = new HashSet<>();
         for (Event event : run.events()) {
-            if (event.is(Event.REQUEST_SENT, quota.kind())) {
+            if (event.is(Event.REQUEST_SENT, quota.requestKind())) {
                 limited.add(event.id());
             } else if (event.is(Event.RESPONSE_RECEIVED, Event.REJECTED) && limited.contains(event.id())) {
                 count(rejected, event, fromMs);
--- a/src/main/java/cacheproxy/faulttest/check/RunHistory.java
+++ b/src/main/java/cacheproxy/faulttest/check/RunHistory.java
@@ -91,10 +91,10 @@
         if (!fault.onLinks()) {
             return;
         }
-        if (fault.to().contains(TargetSelector.DISCOVERY)) {
-            fault.who().forEach(proxy -> cutOff.add(proxy, fromUs, toUs));
-        } else if (fault.who().contains(TargetSelector.DISCOVERY)) {
-            fault.to().forEach(proxy -> cutOff.add(proxy, fromUs, toUs));
+        if (fault.linkPeers().contains(TargetSelector.DISCOVERY)) {
+            fault.targets().forEach(proxy -> cutOff.add(proxy, fromUs, toUs));
+        } else if (fault.targets().contains(TargetSelector.DISCOVERY)) {
+            fault.linkPeers().forEach(proxy -> cutOff.add(proxy, fromUs, toUs));
         }
     }
 
--- a/src/main/java/cacheproxy/faulttest/check/ServiceStats.java
+++ b/src/main/java/cacheproxy/faulttest/check/ServiceStats.java
@@ -61,8 +61,8 @@
         private int commands;
 
         Tally(RunHistory run) {
-            endpoints = run.scenario().endpoints();
-            commandsByServer = new int[run.scenario().nodes()];
+            endpoints = run.scenario().targetSelector();
+            commandsByServer = new int[run.scenario().servers()];
             latenciesMs = new double[run.events().size()];
         }
 
@@ -77,7 +77,7 @@
                 }
                 case Event.COMMAND_ARRIVED -> {
                     if (requestById.containsKey(event.id())) {
-                        commandsByServer[endpoints.index(event.endpoint()) - endpoints.proxies()]++;
+                        commandsByServer[endpoints.indexOf(event.endpoint()) - endpoints.proxies()]++;
                         commands++;
                     }
                 }
--- a/src/main/java/cacheproxy/faulttest/check/SlowStartChecker.java
+++ b/src/main/java/cacheproxy/faulttest/check/SlowStartChecker.java
@@ -47,7 +47,7 @@
                         coldServers.remove(endpoint);
                     } else if (server != null) {
                         violations.countJudged();
-                        judge(server, event, run.scenario().nodePerSecond(), violations);
+                        judge(server, event, run.scenario().serverPerSecond(), violations);
                     }
                 }
                 default -> {}
--- a/src/main/java/cacheproxy/faulttest/scenario/Fault.java
+++ b/src/main/java/cacheproxy/faulttest/scenario/Fault.java
@@ -3,192 +3,234 @@
 import java.util.List;
 
 /**
- * One fault, put in at a time and taken back after another. Times in milliseconds from the load's start.
+ * One fault that is injected at a time and ends after another. Times in milliseconds from the load's start. Which
+ * components count depends on the kind.
  *
- * @param kind what it does; which of the other figures count hangs on it
+ * @param kind what happens
  * @param atMs when it begins
- * @param forMs how long it lasts; a process that was ended is started again then
- * @param who endpoints that it befalls, or where what it befalls comes from
- * @param to the other ends of links; empty where it befalls no link
+ * @param durationMs how long it lasts; a process that was ended is started again then
+ * @param targets endpoints that it hits, or one end of the links that it hits
+ * @param linkPeers the other ends of the links; empty for other kinds
  * @param twoWay whether links are faulty in both directions
- * @param figures what a link does
- * @param share the part of its speed that a slowed process keeps, 0 to 1
- * @param beatMs length of one beat of a slowed process
- * @param loseDisk whether a process that is started again finds its folder empty
- * @param holderOf a duty: it befalls who holds that when it begins, and {@code who} only where nobody is known to;
- *     empty: always {@code who}
- * @param staggerMs each of {@code who} is befallen so much later than the one before
+ * @param linkFault what happens on the links; null for other kinds
+ * @param speedShare the share of its speed that a slowed process keeps, 0 to 1
+ * @param cycleMs how often a slowed process is paused and resumed
+ * @param emptyDisk whether a process that is started again finds its folder empty
+ * @param staggerMs how much later each target is hit than the one before
+ * @param holderOf a lease: the fault hits its holder at the time when it begins, and {@code targets} only where no
+ *     holder is known; empty: always {@code targets}
  */
 public record Fault(
         Kind kind,
         double atMs,
-        double forMs,
-        List<String> who,
-        List<String> to,
+        double durationMs,
+        List<String> targets,
+        List<String> linkPeers,
         boolean twoWay,
-        LinkFigures figures,
-        double share,
-        double beatMs,
-        boolean loseDisk,
+        LinkFault linkFault,
+        double speedShare,
+        double cycleMs,
+        boolean emptyDisk,
         double staggerMs,
         String holderOf) {
 
-    /** One that befalls {@code who}. */
+    /** Makes a fault that hits the given targets, whoever holds a lease. */
     public Fault(
             Kind kind,
             double atMs,
-            double forMs,
-            List<String> who,
-            List<String> to,
+            double durationMs,
+            List<String> targets,
+            List<String> linkPeers,
             boolean twoWay,
-            LinkFigures figures,
-            double share,
-            double beatMs,
-            boolean loseDisk,
+            LinkFault linkFault,
+            double speedShare,
+            double cycleMs,
+            boolean emptyDisk,
             double staggerMs) {
-        this(kind, atMs, forMs, who, to, twoWay, figures, share, beatMs, loseDisk, staggerMs, "");
+        this(
+                kind,
+                atMs,
+                durationMs,
+                targets,
+                linkPeers,
+                twoWay,
+                linkFault,
+                speedShare,
+                cycleMs,
+                emptyDisk,
+                staggerMs,
+                "");
     }
 
-    /** Figures that say nothing of its kind are set to what says nothing. */
+    /** Makes a fault; components that don't count for its kind get neutral values. */
     public Fault {
-        share = kind == Kind.SLOW ? share : 1;
-        beatMs = kind == Kind.SLOW ? beatMs : 0;
-        loseDisk &= kind == Kind.TERM || kind == Kind.KILL;
-        who = List.copyOf(who);
-        to = List.copyOf(to);
+        speedShare = kind == Kind.SLOW ? speedShare : 1;
+        cycleMs = kind == Kind.SLOW ? cycleMs : 0;
+        emptyDisk &= kind.restartsProcess();
+        targets = List.copyOf(targets);
+        linkPeers = List.copyOf(linkPeers);
     }
 
-    /** What befalls whom. */
+    /** What happens to which endpoints. */
     public enum Kind {
-        /**
-         * Links between {@code who} and {@code to}: datagrams by the figures; of connections those that are cut, reset,
-         * late.
-         */
-        LINK,
-        /** SIGSTOP, and SIGCONT at the end. */
-        STOP,
-        /** SIGSTOP and SIGCONT in turns. */
-        SLOW,
-        /** SIGTERM; started again at the end. */
-        TERM,
-        /** SIGKILL; started again at the end. */
-        KILL,
-        /** A cache node answers nothing, and then all that came. */
-        NODE_STALL,
-        /** A cache node dies, and is back empty and cold. */
-        NODE_KILL,
-        /** Discovery calls a cache node draining, and up again at the end. */
-        NODE_DRAIN
+        /** A {@link LinkFault} on the links between targets and peers. */
+        LINK("link"),
+        /** SIGSTOP to a proxy, and SIGCONT at the end. */
+        PAUSE("stop"),
+        /** SIGSTOP and SIGCONT to a proxy in turns. */
+        SLOW("slow"),
+        /** SIGTERM to a proxy; it is started again at the end. */
+        TERMINATE("term"),
+        /** SIGKILL to a proxy; it is started again at the end. */
+        KILL("kill"),
+        /** A cache server responds to nothing, and at the end to all that came. */
+        SERVER_STALL("node-stall"),
+        /** A cache server dies; it is back empty and cold at the end. */
+        SERVER_KILL("node-kill"),
+        /** Discovery lists a cache server as draining, and as up again at the end. */
+        SERVER_DRAIN("node-drain");
+
+        private final String tomlName;
+
+        Kind(String tomlName) {
+            this.tomlName = tomlName;
+        }
+
+        /** Its name in scenario files, histories and reports. */
+        public String tomlName() {
+            return tomlName;
+        }
+
+        /** Whether a process ends when it begins, and is started again when it ends. */
+        boolean restartsProcess() {
+            return this == TERMINATE || this == KILL;
+        }
+
+        /** Whether its targets are cache servers. */
+        boolean hitsServers() {
+            return this == SERVER_STALL || this == SERVER_KILL || this == SERVER_DRAIN;
+        }
     }
 
     /**
-     * What a faulty link does.
+     * What happens on a faulty link.
      *
-     * @param lose share of datagrams that vanish; 1: all of them, and connections are open and silent
-     * @param delayMs each comes so much later
-     * @param jitterMs and up to so much more, each by itself, so that some overtake others
-     * @param twice share that come twice
-     * @param corrupt share of which a byte is changed
-     * @param reset whether connections are reset and new ones refused
+     * @param lossShare share of datagrams that are lost, 0 to 1; at 1 connections stay open and transfer nothing
+     * @param delayMs how much later each datagram arrives
+     * @param jitterMs up to how much more each datagram is delayed at random, so that they are reordered
+     * @param duplicateShare share of datagrams that arrive twice, 0 to 1
+     * @param corruptShare share of datagrams of which one byte is changed, 0 to 1
+     * @param resetsConnections whether connections are reset and new ones refused
      */
-    public record LinkFigures(
-            double lose, double delayMs, double jitterMs, double twice, double corrupt, boolean reset) {
-        public static final LinkFigures CUT = new LinkFigures(1, 0, 0, 0, 0, false);
-
-        public LinkFigures {
-            if (!share(lose) || !share(twice) || !share(corrupt) || !(delayMs >= 0) || !(jitterMs >= 0)) {
-                throw new IllegalArgumentException(
-                        "link " + lose + ", " + delayMs + ", " + jitterMs + ", " + twice + ", " + corrupt);
+    public record LinkFault(
+            double lossShare,
+            double delayMs,
+            double jitterMs,
+            double duplicateShare,
+            double corruptShare,
+            boolean resetsConnections) {
+        /** A link that transfers nothing. */
+        public static final LinkFault CUT = new LinkFault(1, 0, 0, 0, 0, false);
+
+        /** Makes one; an IllegalArgumentException says which values are out of range. */
+        public LinkFault {
+            if (!isShare(lossShare)
+                    || !isShare(duplicateShare)
+                    || !isShare(corruptShare)
+                    || !(delayMs >= 0)
+                    || !(jitterMs >= 0)) {
+                throw new IllegalArgumentException("link " + lossShare + ", " + delayMs + ", " + jitterMs + ", "
+                        + duplicateShare + ", " + corruptShare);
             }
         }
 
-        private static boolean share(double x) {
-            return x >= 0 && x <= 1;
+        private static boolean isShare(double value) {
+            return value >= 0 && value <= 1;
         }
     }
 
-    /** Until when it lasts for all that it befalls. */
+    /** When it has ended for all its targets. */
     public double endMs() {
-        return atMs + forMs + staggerMs * Math.max(0, who.size() - 1);
+        return atMs + durationMs + staggerMs * Math.max(0, targets.size() - 1);
     }
 
+    /** Whether it hits links. */
     public boolean onLinks() {
         return kind == Kind.LINK;
     }
 
-    public boolean onNodes() {
-        return kind == Kind.NODE_STALL || kind == Kind.NODE_KILL || kind == Kind.NODE_DRAIN;
+    /** Whether it hits cache servers. */
+    public boolean onServers() {
+        return kind.hitsServers();
     }
 
-    /** The same, for as long. */
-    public Fault lasting(double ms) {
-        return new Fault(kind, atMs, ms, who, to, twoWay, figures, share, beatMs, loseDisk, staggerMs, holderOf);
+    /** The same fault with another duration. */
+    public Fault withDuration(double newDurationMs) {
+        return new Fault(
+                kind,
+                atMs,
+                newDurationMs,
+                targets,
+                linkPeers,
+                twoWay,
+                linkFault,
+                speedShare,
+                cycleMs,
+                emptyDisk,
+                staggerMs,
+                holderOf);
     }
 
-    /** The same at another time, and befalling whoever it befalls then. */
-    public Fault at(double ms, List<String> whom, List<String> others) {
-        return new Fault(kind, ms, forMs, whom, others, twoWay, figures, share, beatMs, loseDisk, staggerMs, holderOf);
+    /** The same fault with other targets. */
+    public Fault withTargets(List<String> newTargets, List<String> newLinkPeers) {
+        return withTimeAndTargets(atMs, newTargets, newLinkPeers);
     }
 
-    /** The same, befalling others. */
-    public Fault befalling(List<String> whom, List<String> others) {
+    /** The same fault at another time with other targets. */
+    public Fault withTimeAndTargets(double newAtMs, List<String> newTargets, List<String> newLinkPeers) {
         return new Fault(
-                kind, atMs, forMs, whom, others, twoWay, figures, share, beatMs, loseDisk, staggerMs, holderOf);
+                kind,
+                newAtMs,
+                durationMs,
+                newTargets,
+                newLinkPeers,
+                twoWay,
+                linkFault,
+                speedShare,
+                cycleMs,
+                emptyDisk,
+                staggerMs,
+                holderOf);
     }
 
-    /** As it is written in a scenario's file, so that a run can be repeated. */
+    /** Its table in a scenario file, so that a run can be repeated. */
     public String toToml() {
-        StringBuilder text = new StringBuilder("[[fault]]\nkind = \"")
-                .append(word(kind))
-                .append("\"\nat_ms = ")
-                .append(figure(atMs))
-                .append("\nfor_ms = ")
-                .append(figure(forMs))
-                .append("\nwho = \"")
-                .append(String.join(",", who))
-                .append("\"\n");
+        StringBuilder text = new StringBuilder("[[fault]]\n")
+                .append("kind = \"" + kind.tomlName() + "\"\n")
+                .append("at_ms = " + number(atMs) + "\n")
+                .append("for_ms = " + number(durationMs) + "\n")
+                .append("who = \"" + String.join(",", targets) + "\"\n");
         if (onLinks()) {
-            text.append("to = \"")
-                    .append(String.join(",", to))
-                    .append("\"\ntwo_way = ")
-                    .append(twoWay)
-                    .append("\nlose = ")
-                    .append(figures.lose)
-                    .append("\ndelay_ms = ")
-                    .append(figure(figures.delayMs))
-                    .append("\njitter_ms = ")
-                    .append(figure(figures.jitterMs))
-                    .append("\ntwice = ")
-                    .append(figures.twice)
-                    .append("\ncorrupt = ")
-                    .append(figures.corrupt)
-                    .append("\nreset = ")
-                    .append(figures.reset)
-                    .append('\n');
+            text.append("to = \"" + String.join(",", linkPeers) + "\"\n")
+                    .append("two_way = " + twoWay + "\n")
+                    .append("lose = " + linkFault.lossShare + "\n")
+                    .append("delay_ms = " + number(linkFault.delayMs) + "\n")
+                    .append("jitter_ms = " + number(linkFault.jitterMs) + "\n")
+                    .append("twice = " + linkFault.duplicateShare + "\n")
+                    .append("corrupt = " + linkFault.corruptShare + "\n")
+                    .append("reset = " + linkFault.resetsConnections + "\n");
         } else if (kind == Kind.SLOW) {
-            text.append("share = ")
-                    .append(share)
-                    .append("\nbeat_ms = ")
-                    .append(figure(beatMs))
-                    .append('\n');
-        } else if (kind == Kind.TERM || kind == Kind.KILL) {
-            text.append("lose_disk = ").append(loseDisk).append('\n');
+            text.append("share = " + speedShare + "\n").append("beat_ms = " + number(cycleMs) + "\n");
+        } else if (kind.restartsProcess()) {
+            text.append("lose_disk = " + emptyDisk + "\n");
         }
         if (!holderOf.isEmpty()) {
-            text.append("holder_of = \"").append(holderOf).append("\"\n");
+            text.append("holder_of = \"" + holderOf + "\"\n");
         }
-        return text.append("stagger_ms = ")
-                .append(figure(staggerMs))
-                .append('\n')
-                .toString();
-    }
-
-    private static String figure(double x) {
-        return x == Math.rint(x) ? Long.toString((long) x) : Double.toString(x);
+        return text.append("stagger_ms = " + number(staggerMs) + "\n").toString();
     }
 
-    /** A kind's name in files. */
-    public static String word(Kind kind) {
-        return kind.name().toLowerCase(java.util.Locale.ROOT).replace('_', '-');
+    private static String number(double value) {
+        return value == Math.rint(value) ? Long.toString((long) value) : Double.toString(value);
     }
 }
--- a/src/main/java/cacheproxy/faulttest/scenario/NetworkLinks.java
+++ b/src/main/java/cacheproxy/faulttest/scenario/NetworkLinks.java
@@ -1,92 +1,110 @@
 package cacheproxy.faulttest.scenario;
 
-import cacheproxy.faulttest.scenario.Fault.LinkFigures;
+import cacheproxy.faulttest.scenario.Fault.LinkFault;
 import java.util.ArrayList;
 import java.util.BitSet;
 import java.util.List;
 import java.util.SplittableRandom;
 
 /**
- * Which links are faulty now, and what becomes of what is sent on them. Where several faults lie on one link each has
- * its turn: what one lets through the next may still lose, delays add up. By ordered pair of {@link TargetSelector}'
- * indices.
+ * Which links are faulty now, and what happens to traffic on them. Links are ordered pairs of {@link TargetSelector}
+ * indices. Several faults on one link apply one after another: what one lets through the next may still lose, and
+ * delays add up. Not thread-safe; the relays' event loop owns it.
  */
 public final class NetworkLinks {
-    /** Of one that is sent: how much later it comes, and whether a byte of it is changed. */
+    /**
+     * One arrival of a datagram.
+     *
+     * @param delayMs how much later it arrives
+     * @param corrupt whether one byte of it is changed
+     */
     public record Delivery(double delayMs, boolean corrupt) {}
 
-    private static final Delivery AT_ONCE = new Delivery(0, false);
-    private static final List<Delivery> CLEAN = List.of(AT_ONCE);
+    private static final List<Delivery> UNDISTURBED = List.of(new Delivery(0, false));
 
-    private record Rule(Fault fault, BitSet who, BitSet to) {
-        boolean on(int from, int dest) {
-            return (who.get(from) && to.get(dest)) || (fault.twoWay() && to.get(from) && who.get(dest));
+    private record Rule(Fault fault, BitSet targets, BitSet linkPeers) {
+        boolean applies(int from, int to) {
+            return (targets.get(from) && linkPeers.get(to))
+                    || (fault.twoWay() && linkPeers.get(from) && targets.get(to));
         }
     }
 
     private final TargetSelector endpoints;
     private final List<Rule> rules = new ArrayList<>();
 
+    /** Makes links without faults. */
     public NetworkLinks(TargetSelector endpoints) {
         this.endpoints = endpoints;
     }
 
+    /** Begins a link fault. */
     public void begin(Fault fault) {
-        rules.add(new Rule(fault, set(fault.who()), set(fault.to())));
+        rules.add(new Rule(fault, indicesOf(fault.targets()), indicesOf(fault.linkPeers())));
     }
 
+    /** Ends a link fault; it must be the same object that began. */
     @SuppressWarnings("ReferenceEquality") // identity is meant
     public void end(Fault fault) {
-        rules.removeIf(r -> r.fault == fault);
+        rules.removeIf(rule -> rule.fault == fault);
     }
 
-    private BitSet set(List<String> names) {
-        BitSet set = new BitSet(endpoints.count());
-        names.forEach(n -> set.set(endpoints.index(n)));
-        return set;
+    private BitSet indicesOf(List<String> names) {
+        BitSet indices = new BitSet(endpoints.size());
+        names.forEach(name -> indices.set(endpoints.indexOf(name)));
+        return indices;
     }
 
-    /** What becomes of a datagram: it comes as often as the list is long. */
-    public List<Delivery> datagram(int from, int to, SplittableRandom random) {
-        List<Delivery> out = CLEAN;
-        for (Rule r : rules) {
-            if (!r.on(from, to)) {
+    /** How a datagram arrives: once for each element of the list, and not at all if it is empty. */
+    public List<Delivery> deliveries(int from, int to, SplittableRandom random) {
+        List<Delivery> deliveries = UNDISTURBED;
+        for (Rule rule : rules) {
+            if (rule.applies(from, to)) {
+                deliveries = disturb(deliveries, rule.fault.linkFault(), random);
+            }
+        }
+        return deliveries;
+    }
+
+    private static List<Delivery> disturb(List<Delivery> deliveries, LinkFault linkFault, SplittableRandom random) {
+        List<Delivery> disturbed = new ArrayList<>(deliveries.size());
+        for (Delivery delivery : deliveries) {
+            if (happens(linkFault.lossShare(), random)) {
                 continue;
             }
-            LinkFigures f = r.fault.figures();
-            List<Delivery> next = new ArrayList<>(out.size());
-            for (Delivery d : out) {
-                if (f.lose() > 0 && random.nextDouble() < f.lose()) {
-                    continue;
-                }
-                int copies = f.twice() > 0 && random.nextDouble() < f.twice() ? 2 : 1;
-                for (int i = 0; i < copies; i++) {
-                    next.add(new Delivery(
-                            d.delayMs + f.delayMs() + (f.jitterMs() > 0 ? random.nextDouble() * f.jitterMs() : 0),
-                            d.corrupt || (f.corrupt() > 0 && random.nextDouble() < f.corrupt())));
-                }
+            int copies = happens(linkFault.duplicateShare(), random) ? 2 : 1;
+            for (int i = 0; i < copies; i++) {
+                double jitterMs = linkFault.jitterMs() > 0 ? random.nextDouble() * linkFault.jitterMs() : 0;
+                double delayMs = delivery.delayMs + linkFault.delayMs() + jitterMs;
+                boolean corrupt = delivery.corrupt || happens(linkFault.corruptShare(), random);
+                disturbed.add(new Delivery(delayMs, corrupt));
             }
-            out = next;
         }
-        return out;
+        return disturbed;
+    }
+
+    /** Draws only where the share is above 0. */
+    private static boolean happens(double share, SplittableRandom random) {
+        return share > 0 && random.nextDouble() < share;
     }
 
-    /** Whether connections between the two are reset and new ones refused, in whichever direction it is said. */
-    public boolean resets(int a, int b) {
-        return rules.stream().anyMatch(r -> r.fault.figures().reset() && (r.on(a, b) || r.on(b, a)));
+    /** Whether connections between two endpoints are reset and new ones refused, whichever direction is faulty. */
+    public boolean resetsConnections(int from, int to) {
+        return rules.stream()
+                .anyMatch(rule -> rule.fault.linkFault().resetsConnections()
+                        && (rule.applies(from, to) || rule.applies(to, from)));
     }
 
-    /** Whether bytes of a connection in this direction are held back: it stays open and silent. */
-    public boolean holds(int from, int to) {
-        return rules.stream().anyMatch(r -> r.fault.figures().lose() == 1 && r.on(from, to));
+    /** Whether a connection stays open and transfers no bytes in this direction. */
+    public boolean blocksConnections(int from, int to) {
+        return rules.stream().anyMatch(rule -> rule.fault.linkFault().lossShare() == 1 && rule.applies(from, to));
     }
 
-    /** How much later bytes of a connection come in this direction; their order stays. */
+    /** How much later bytes of a connection arrive in this direction, milliseconds; their order stays. */
     public double delayMs(int from, int to) {
-        double sum = 0;
-        for (Rule r : rules) {
-            sum += r.on(from, to) ? r.fault.figures().delayMs() : 0;
+        double sumMs = 0;
+        for (Rule rule : rules) {
+            sumMs += rule.applies(from, to) ? rule.fault.linkFault().delayMs() : 0;
         }
-        return sum;
+        return sumMs;
     }
 }
--- a/src/main/java/cacheproxy/faulttest/scenario/RandomFaults.java
+++ b/src/main/java/cacheproxy/faulttest/scenario/RandomFaults.java
@@ -1,74 +1,72 @@
 package cacheproxy.faulttest.scenario;
 
 import cacheproxy.faulttest.scenario.Fault.Kind;
-import cacheproxy.faulttest.scenario.Fault.LinkFigures;
+import cacheproxy.faulttest.scenario.Fault.LinkFault;
 import java.util.ArrayList;
 import java.util.Comparator;
 import java.util.List;
 import java.util.SplittableRandom;
 
 /**
- * Faults by lot: the same seed makes the same ones. Between two that befall the same process there may be no gap; the
- * driver lets the later one have its turn.
+ * Random faults; the same seed gives the same ones. Faults of the same process may overlap; the fault injector decides
+ * what becomes of the later one.
  *
- * @param faults how many
- * @param kinds which; LINK stands for cuts, one-way cuts, losses, doubling and delays alike
- * @param fromMs the first may begin then
- * @param toMs the last has ended then
- * @param longestMs the longest that one lasts, a tenth of it the shortest
+ * @param count how many
+ * @param kinds of which kinds; LINK stands for cuts, one-way cuts, losses, duplicates and delays alike
+ * @param fromMs when the first may begin
+ * @param toMs when the last must have ended
+ * @param maxDurationMs how long one may last; the shortest lasts a tenth of it
  */
-public record RandomFaults(int faults, List<Kind> kinds, double fromMs, double toMs, double longestMs) {
-    private static final double BEAT_MS = 50;
+public record RandomFaults(int count, List<Kind> kinds, double fromMs, double toMs, double maxDurationMs) {
+    private static final double CYCLE_MS = 50;
+    private static final double SLOW_SPEED_SHARE = 0.1;
 
+    /** Makes one; an IllegalArgumentException says which values don't fit together. */
     public RandomFaults {
         kinds = List.copyOf(kinds);
-        if (faults < 0 || kinds.isEmpty() || !(toMs - fromMs >= longestMs) || !(longestMs > 0)) {
+        if (count < 0 || kinds.isEmpty() || !(toMs - fromMs >= maxDurationMs) || !(maxDurationMs > 0)) {
             throw new IllegalArgumentException(
-                    "chaos of " + faults + " from " + fromMs + " to " + toMs + ", longest " + longestMs);
+                    "chaos of " + count + " from " + fromMs + " to " + toMs + ", longest " + maxDurationMs);
         }
     }
 
-    /** In the order of their beginnings, with names, not choices by lot. */
-    public List<Fault> faults(TargetSelector endpoints, long seed) {
+    /** Draws the faults, in the order of their beginnings. Targets are names, so that no later draw is needed. */
+    public List<Fault> draw(TargetSelector endpoints, long seed) {
         SplittableRandom random = new SplittableRandom(seed);
-        List<Fault> list = new ArrayList<>();
-        for (int i = 0; i < faults; i++) {
+        List<Fault> drawn = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
             Kind kind = kinds.get(random.nextInt(kinds.size()));
-            double lasts = Math.round(longestMs * (0.1 + 0.9 * random.nextDouble()));
-            double at = Math.round(fromMs + random.nextDouble() * (toMs - fromMs - lasts));
-            list.add(fault(kind, at, lasts, endpoints, random));
+            double durationMs = Math.round(maxDurationMs * (0.1 + 0.9 * random.nextDouble()));
+            double atMs = Math.round(fromMs + random.nextDouble() * (toMs - fromMs - durationMs));
+            drawn.add(
+                    kind == Kind.LINK
+                            ? drawLinkFault(atMs, durationMs, endpoints, random)
+                            : drawEndpointFault(kind, atMs, durationMs, endpoints, random));
         }
-        list.sort(Comparator.comparingDouble(Fault::atMs));
-        return list;
+        drawn.sort(Comparator.comparingDouble(Fault::atMs));
+        return drawn;
     }
 
-    private static Fault fault(Kind kind, double at, double lasts, TargetSelector endpoints, SplittableRandom random) {
-        if (kind == Kind.LINK) {
-            boolean twoWay = random.nextInt(3) > 0;
-            List<String> some = endpoints.choose(
-                    (1 + random.nextInt(Math.max(1, endpoints.proxies() / 2))) + " of proxies", random);
-            List<String> rest = new ArrayList<>(endpoints.choose("proxies", random));
-            rest.removeAll(some);
-            LinkFigures figures = switch (random.nextInt(4)) {
-                case 0 -> new LinkFigures(0.3 + 0.3 * random.nextDouble(), 0, 20, 0.1, 0, false);
-                case 1 -> new LinkFigures(0, random.nextInt(500), 500, 1, 0.05, false);
-                default -> LinkFigures.CUT;
-            };
-            return new Fault(kind, at, lasts, some, rest, twoWay, figures, 1, 0, false, 0);
-        }
-        boolean node = kind == Kind.NODE_DRAIN || kind == Kind.NODE_KILL || kind == Kind.NODE_STALL;
-        List<String> who = endpoints.choose(node ? "1 of nodes" : "1 of proxies", random);
+    private static Fault drawLinkFault(
+            double atMs, double durationMs, TargetSelector endpoints, SplittableRandom random) {
+        boolean twoWay = random.nextInt(3) > 0;
+        int targetCount = 1 + random.nextInt(Math.max(1, endpoints.proxies() / 2));
+        List<String> targets = endpoints.select(targetCount + " of proxies", random);
+        List<String> linkPeers = new ArrayList<>(endpoints.select("proxies", random));
+        linkPeers.removeAll(targets);
+        LinkFault linkFault = switch (random.nextInt(4)) {
+            case 0 -> new LinkFault(0.3 + 0.3 * random.nextDouble(), 0, 20, 0.1, 0, false);
+            case 1 -> new LinkFault(0, random.nextInt(500), 500, 1, 0.05, false);
+            default -> LinkFault.CUT;
+        };
+        return new Fault(Kind.LINK, atMs, durationMs, targets, linkPeers, twoWay, linkFault, 1, 0, false, 0);
+    }
+
+    private static Fault drawEndpointFault(
+            Kind kind, double atMs, double durationMs, TargetSelector endpoints, SplittableRandom random) {
+        List<String> targets = endpoints.select(kind.hitsServers() ? "1 of nodes" : "1 of proxies", random);
+        boolean emptyDisk = random.nextBoolean();
         return new Fault(
-                kind,
-                at,
-                lasts,
-                who,
-                List.of(),
-                false,
-                null,
-                kind == Kind.SLOW ? 0.1 : 1,
-                BEAT_MS,
-                random.nextBoolean(),
-                0);
+                kind, atMs, durationMs, targets, List.of(), false, null, SLOW_SPEED_SHARE, CYCLE_MS, emptyDisk, 0);
     }
 }
--- a/src/main/java/cacheproxy/faulttest/scenario/RunValidity.java
+++ b/src/main/java/cacheproxy/faulttest/scenario/RunValidity.java
@@ -2,65 +2,67 @@
 
 import java.util.ArrayList;
 import java.util.List;
+import java.util.Locale;
 
 /**
- * Whether the machine kept up, so that a run counts. A machine that was too slow gives no verdict rather than a wrong
- * one. All in milliseconds.
+ * Whether the machine kept up, so that a run counts. On a machine that was too slow there is no verdict rather than a
+ * wrong one.
  *
- * @param relayP99 how late the relay's own ticks were
- * @param relayMax the latest of them
- * @param loadP99 how far behind its schedule requests were sent
- * @param childP99 how long proxies that no fault had befallen took for an empty call
- * @param busy share of half seconds in which nearly all processors were busy
- * @param dropped events that did not fit into the history
- * @param relayDropped datagrams that the rig itself lost
+ * @param relayLagP99Ms 99th percentile of the lag of the relay's event loop
+ * @param relayLagMaxMs its maximum
+ * @param scheduleLagP99Ms 99th percentile of how much later than scheduled requests were sent
+ * @param pingP99Ms 99th percentile of the latency of an empty call to proxies without a fault
+ * @param busyShare share of samples, 0 to 1, in which nearly all processors were busy
+ * @param droppedEvents events that did not fit into the history
+ * @param droppedDatagrams datagrams that the relay dropped without a fault
  */
 public record RunValidity(
-        double relayP99,
-        double relayMax,
-        double loadP99,
-        double childP99,
-        double busy,
-        long dropped,
-        long relayDropped) {
-    public static final double RELAY_P99 = 50;
-    public static final double RELAY_MAX = 1500;
-    public static final double LOAD_P99 = 100;
-    public static final double CHILD_P99 = 300;
-    /**
-     * Nearly all: above this, of all processors; and how much of a run may be so. A start of all loads and compiles for
-     * a while.
-     */
-    public static final double BUSY_LOAD = 0.9;
+        double relayLagP99Ms,
+        double relayLagMaxMs,
+        double scheduleLagP99Ms,
+        double pingP99Ms,
+        double busyShare,
+        long droppedEvents,
+        long droppedDatagrams) {
+    /** The most that {@link #relayLagP99Ms} may be. */
+    public static final double MAX_RELAY_LAG_P99_MS = 50;
+    /** The most that {@link #relayLagMaxMs} may be. */
+    public static final double MAX_RELAY_LAG_MS = 1500;
+    /** The most that {@link #scheduleLagP99Ms} may be. */
+    public static final double MAX_SCHEDULE_LAG_P99_MS = 100;
+    /** The most that {@link #pingP99Ms} may be. */
+    public static final double MAX_PING_P99_MS = 300;
+    /** CPU load of the machine, 0 to 1, above which nearly all processors are busy. */
+    public static final double BUSY_CPU_LOAD = 0.9;
+    /** The most that {@link #busyShare} may be: processes that start together need the processors for a while. */
+    public static final double MAX_BUSY_SHARE = 0.1;
 
-    public static final double BUSY_SHARE = 0.1;
-
-    /** Why the run does not count; empty if it does. */
-    public List<String> faults() {
-        List<String> faults = new ArrayList<>();
-        over(faults, "the relay was late by (p99)", relayP99, RELAY_P99);
-        over(faults, "the relay was late by (max)", relayMax, RELAY_MAX);
-        over(faults, "the load was behind its schedule by (p99)", loadP99, LOAD_P99);
-        over(faults, "proxies without a fault took for an empty call (p99)", childP99, CHILD_P99);
-        if (!(busy <= BUSY_SHARE)) {
-            faults.add(String.format(
-                    java.util.Locale.ROOT,
+    /** Why the run does not count; empty if it does. A value that is NaN is a problem as well. */
+    public List<String> problems() {
+        List<String> problems = new ArrayList<>();
+        addIfOver(problems, "the relay was late by (p99)", relayLagP99Ms, MAX_RELAY_LAG_P99_MS);
+        addIfOver(problems, "the relay was late by (max)", relayLagMaxMs, MAX_RELAY_LAG_MS);
+        addIfOver(problems, "the load was behind its schedule by (p99)", scheduleLagP99Ms, MAX_SCHEDULE_LAG_P99_MS);
+        addIfOver(problems, "proxies without a fault took for an empty call (p99)", pingP99Ms, MAX_PING_P99_MS);
+        if (!(busyShare <= MAX_BUSY_SHARE)) {
+            problems.add(String.format(
+                    Locale.ROOT,
                     "all processors were busy for %.0f%% of the time, at most %.0f",
-                    busy * 100,
-                    BUSY_SHARE * 100));
+                    busyShare * 100,
+                    MAX_BUSY_SHARE * 100));
         }
-        if (dropped > 0) {
-            faults.add("the history lacks " + dropped + " events");
+        if (droppedEvents > 0) {
+            problems.add("the history lacks " + droppedEvents + " events");
         }
-        if (relayDropped > 0) {
-            faults.add("the relay dropped " + relayDropped + " datagrams that no fault lost");
+        if (droppedDatagrams > 0) {
+            problems.add("the relay dropped " + droppedDatagrams + " datagrams that no fault lost");
         }
-        return faults;
+        return problems;
     }
 
-    private static void over(List<String> faults, String what, double ms, double most) {
-        if (!(ms <= most)) {
-            faults.add(String.format(java.util.Locale.ROOT, "%s %.0f ms, at most %.0f", what, ms, most));
+    private static void addIfOver(List<String> problems, String what, double ms, double maxMs) {
+        if (!(ms <= maxMs)) {
+            problems.add(String.format(Locale.ROOT, "%s %.0f ms, at most %.0f", what, ms, maxMs));
         }
     }
 }
--- a/src/main/java/cacheproxy/faulttest/scenario/Scenario.java
+++ b/src/main/java/cacheproxy/faulttest/scenario/Scenario.java
@@ -3,134 +3,170 @@
 import java.util.List;
 
 /**
- * What a run is made of. Times in milliseconds.
+ * A scenario: the fleet, its load and the faults of a run. Times in milliseconds from the load's start.
  *
- * @param program {@code serve} or {@code run}
- * @param zones dealt out to proxies and nodes in turn
- * @param nodePerSecond what a warm node can do, requests a second
- * @param nodeRoom commands that may wait at a node
- * @param warm whether nodes hold all keys from the start
- * @param relayNodes whether connections to nodes go through the rig; those to discovery always do
- * @param ownDiscovery whether each zone has a discovery of its own, with the same lists
- * @param extra for {@code run}: text at the end of each proxy's file, with {@code {me}}, {@code {peers}} and others
- *     replaced
- * @param old proxies that have {@code oldExtra} instead: another release's file, or one that is wrong
- * @param duties that each proxy is asked for at its control address
- * @param pollMs so often, at the most
- * @param limit null: none is judged
- * @param waves proxies that start at the same time
+ * @param name where it was read
+ * @param program the command that proxies run: {@code serve} or {@code run}
+ * @param proxies how many there are
+ * @param servers cache servers, how many there are
+ * @param zones assigned to proxies and servers in turn
+ * @param seed of all random draws
+ * @param serverPerSecond capacity of a warm server, requests a second
+ * @param serverQueueLimit commands that may wait at a server
+ * @param warmServers whether servers hold all keys from the start
+ * @param relayServers whether connections to servers go through the relay; those to discovery always do
+ * @param discoveryByZone whether each zone has a discovery of its own, with the same lists
+ * @param configSuffix for {@code run}: text at the end of each proxy's file, with {@code {me}}, {@code {peers}} and
+ *     others replaced
+ * @param oldProxies proxies that have {@code oldConfigSuffix} instead: another release's file, or an invalid one
+ * @param oldConfigSuffix text at the end of their files
+ * @param leases that each proxy is polled for at its control address
+ * @param pollMs the least time between two polls of one lease at one proxy
+ * @param concurrentStarts proxies that start at the same time
+ * @param load what clients send
+ * @param quota the quota that is judged; null: none
+ * @param faults in the order of the file, then random ones
  */
 public record Scenario(
         String name,
         String program,
         int proxies,
-        int nodes,
+        int servers,
         List<String> zones,
         long seed,
-        double nodePerSecond,
-        int nodeRoom,
-        boolean warm,
-        boolean relayNodes,
-        boolean ownDiscovery,
-        String extra,
-        List<String> old,
-        String oldExtra,
-        List<String> duties,
+        double serverPerSecond,
+        int serverQueueLimit,
+        boolean warmServers,
+        boolean relayServers,
+        boolean discoveryByZone,
+        String configSuffix,
+        List<String> oldProxies,
+        String oldConfigSuffix,
+        List<String> leases,
         double pollMs,
-        int waves,
+        int concurrentStarts,
         Load load,
-        Limit limit,
+        Quota quota,
         List<Fault> faults) {
 
     /**
-     * A limit of the whole fleet that is judged at the nodes.
+     * A fleet-wide quota that is judged at the cache servers. It limits either a rate or requests in flight.
      *
-     * @param kind of the requests that it bounds: read, keyed, unsafe
-     * @param perSecond 0: it bounds what is in hand
-     * @param atOnce 0: it bounds a rate
-     * @param saved by so much it may be passed in any window
+     * @param requestKind of the requests that it limits: read, keyed, unsafe
+     * @param perSecond requests a second; 0: it limits requests in flight
+     * @param maxInFlight requests in flight; 0: it limits a rate
+     * @param allowance by how many requests it may be exceeded in any window
      */
-    public record Limit(String kind, double perSecond, int atOnce, double saved) {}
+    public record Quota(String requestKind, double perSecond, int maxInFlight, double allowance) {}
 
     /**
-     * What clients ask.
+     * What clients send.
      *
      * @param seconds how long
      * @param perSecond requests a second, at all proxies together
-     * @param skew 0: all proxies alike; 1: the part of the i-th of them is as 1/i
-     * @param turnMs after so long all proxies' parts move on by one proxy; 0: never
-     * @param hot share of reads that ask one key
-     * @param writes share of requests that write, half of them keyed, half of them not to be repeated
+     * @param skew 0: all proxies get the same share; 1: the share of the i-th is proportional to 1/i
+     * @param rotationMs after how long the proxies' shares move on by one proxy; 0: never
+     * @param keys how many keys are read
+     * @param hotShare share of reads of one key, 0 to 1
+     * @param writeShare share of requests that write, 0 to 1; half of them keyed, half of them unsafe
+     * @param deadlineMs deadline of a request
      */
     public record Load(
             double seconds,
             double perSecond,
             double skew,
-            double turnMs,
+            double rotationMs,
             int keys,
-            double hot,
-            double writes,
-            double deadlineMs) {}
+            double hotShare,
+            double writeShare,
+            double deadlineMs) {
+        private String toToml() {
+            return "\n[load]\n"
+                    + "seconds = " + seconds + "\n"
+                    + "per_second = " + perSecond + "\n"
+                    + "skew = " + skew + "\n"
+                    + "turn_ms = " + rotationMs + "\n"
+                    + "keys = " + keys + "\n"
+                    + "hot = " + hotShare + "\n"
+                    + "writes = " + writeShare + "\n"
+                    + "deadline_ms = " + deadlineMs + "\n";
+        }
+    }
 
-    public TargetSelector endpoints() {
-        return new TargetSelector(proxies, nodes, zones);
+    /** The names of its endpoints. */
+    public TargetSelector targetSelector() {
+        return new TargetSelector(proxies, servers, zones);
     }
 
-    /** The same with other faults. */
-    public Scenario with(List<Fault> others) {
+    /** The same scenario with other faults. */
+    public Scenario withFaults(List<Fault> newFaults) {
         return new Scenario(
                 name,
                 program,
                 proxies,
-                nodes,
+                servers,
                 zones,
                 seed,
-                nodePerSecond,
-                nodeRoom,
-                warm,
-                relayNodes,
-                ownDiscovery,
-                extra,
-                old,
-                oldExtra,
-                duties,
+                serverPerSecond,
+                serverQueueLimit,
+                warmServers,
+                relayServers,
+                discoveryByZone,
+                configSuffix,
+                oldProxies,
+                oldConfigSuffix,
+                leases,
                 pollMs,
-                waves,
+                concurrentStarts,
                 load,
-                limit,
-                List.copyOf(others));
+                quota,
+                List.copyOf(newFaults));
     }
 
-    /** As a file, with each fault by its names and times. */
+    /** Its file, with all random draws made: each fault has its targets' names and times. */
     public String toToml() {
-        StringBuilder text =
-                new StringBuilder("[fleet]\nprogram = \"" + program + "\"\nproxies = " + proxies + "\nnodes = " + nodes
-                        + "\nzones = [\"" + String.join("\", \"", zones) + "\"]\nseed = " + seed
-                        + "\nnode_per_second = " + nodePerSecond
-                        + "\nnode_room = " + nodeRoom + "\nwarm = " + warm + "\nrelay_nodes = " + relayNodes
-                        + "\nown_discovery = "
-                        + ownDiscovery + "\nwaves = " + waves + "\n"
-                        + (duties.isEmpty()
-                                ? ""
-                                : "duties = [\"" + String.join("\", \"", duties) + "\"]\npoll_ms = " + pollMs + "\n")
-                        + (old.isEmpty()
-                                ? ""
-                                : "old = \"" + String.join(",", old) + "\"\nold_extra = '''\n" + oldExtra + "'''\n")
-                        + (extra.isEmpty() ? "" : "extra = '''\n" + extra + "'''\n")
-                        + "\n[load]\nseconds = " + load.seconds + "\nper_second = " + load.perSecond + "\nskew = "
-                        + load.skew + "\nturn_ms = " + load.turnMs + "\nkeys = "
-                        + load.keys + "\nhot = " + load.hot + "\nwrites = " + load.writes + "\ndeadline_ms = "
-                        + load.deadlineMs + "\n");
-        if (limit != null) {
-            text.append("\n[limit]\nkind = \"")
-                    .append(limit.kind)
-                    .append("\"\n")
-                    .append(limit.atOnce > 0 ? "at_once = " + limit.atOnce : "per_second = " + limit.perSecond)
-                    .append("\nsaved = ")
-                    .append(limit.saved)
-                    .append('\n');
+        StringBuilder text = new StringBuilder(fleetToml()).append(load.toToml());
+        if (quota != null) {
+            text.append(quotaToml());
+        }
+        faults.forEach(fault -> text.append('\n').append(fault.toToml()));
+        return text.toString();
+    }
+
+    private String fleetToml() {
+        StringBuilder text = new StringBuilder("[fleet]\n")
+                .append("program = \"" + program + "\"\n")
+                .append("proxies = " + proxies + "\n")
+                .append("nodes = " + servers + "\n")
+                .append("zones = " + quoted(zones) + "\n")
+                .append("seed = " + seed + "\n")
+                .append("node_per_second = " + serverPerSecond + "\n")
+                .append("node_room = " + serverQueueLimit + "\n")
+                .append("warm = " + warmServers + "\n")
+                .append("relay_nodes = " + relayServers + "\n")
+                .append("own_discovery = " + discoveryByZone + "\n")
+                .append("waves = " + concurrentStarts + "\n");
+        if (!leases.isEmpty()) {
+            text.append("duties = " + quoted(leases) + "\n").append("poll_ms = " + pollMs + "\n");
+        }
+        if (!oldProxies.isEmpty()) {
+            text.append("old = \"" + String.join(",", oldProxies) + "\"\n")
+                    .append("old_extra = '''\n" + oldConfigSuffix + "'''\n");
+        }
+        if (!configSuffix.isEmpty()) {
+            text.append("extra = '''\n" + configSuffix + "'''\n");
         }
-        faults.forEach(f -> text.append('\n').append(f.toToml()));
         return text.toString();
     }
+
+    private String quotaToml() {
+        return "\n[limit]\n"
+                + "kind = \"" + quota.requestKind + "\"\n"
+                + (quota.maxInFlight > 0 ? "at_once = " + quota.maxInFlight : "per_second = " + quota.perSecond) + "\n"
+                + "saved = " + quota.allowance + "\n";
+    }
+
+    private static String quoted(List<String> words) {
+        return "[\"" + String.join("\", \"", words) + "\"]";
+    }
 }
--- a/src/main/java/cacheproxy/faulttest/scenario/Shrinker.java
+++ b/src/main/java/cacheproxy/faulttest/scenario/Shrinker.java
@@ -4,105 +4,119 @@
 import java.util.List;
 
 /**
- * Finds a shorter list of faults that still breaks what the whole list broke (delta debugging: Zeller and Hildebrandt,
- * "Simplifying and Isolating Failure-Inducing Input", 2002), then shorter faults, then fewer that each befalls. A run
- * of processes is no function of its faults alone, so each list is tried some times and counts as breaking if one try
- * does.
+ * Finds a smaller list of faults that still violates what the whole list violated: first fewer faults, by delta
+ * debugging (Zeller and Hildebrandt, "Simplifying and Isolating Failure-Inducing Input", 2002), then shorter ones, then
+ * fewer targets of each. As a run of processes is not determined by its faults alone, each list is run several times,
+ * and one violation is enough.
  */
 public final class Shrinker {
-    /** Runs a list of faults; whether it breaks what is looked for. */
-    public interface Breaks {
-        boolean with(List<Fault> faults) throws Exception;
+    /** One run of a list of faults. */
+    public interface Trial {
+        /** Whether the run violates an invariant. */
+        boolean violates(List<Fault> faults) throws Exception;
     }
 
-    private static final double SHORTEST_MS = 50;
+    /** Faults are not made shorter than this. */
+    private static final double MIN_DURATION_MS = 50;
 
-    private final Breaks breaks;
-    private final int tries;
+    private final Trial trial;
+    private final int attempts;
     private int runsLeft;
 
     /**
-     * @param tries of each list before it counts as harmless
-     * @param mostRuns in all; what has been found by then is the answer
+     * Makes one; an IllegalArgumentException says which number is below 1.
+     *
+     * @param attempts runs of each list before it counts as harmless
+     * @param maxRuns runs in all; the smallest list found by then is the result
      */
-    public Shrinker(Breaks breaks, int tries, int mostRuns) {
-        if (tries < 1 || mostRuns < 1) {
-            throw new IllegalArgumentException("tries " + tries + ", runs " + mostRuns);
+    public Shrinker(Trial trial, int attempts, int maxRuns) {
+        if (attempts < 1 || maxRuns < 1) {
+            throw new IllegalArgumentException("tries " + attempts + ", runs " + maxRuns);
         }
-        this.breaks = breaks;
-        this.tries = tries;
-        runsLeft = mostRuns;
+        this.trial = trial;
+        this.attempts = attempts;
+        runsLeft = maxRuns;
     }
 
-    private boolean breaks(List<Fault> faults) throws Exception {
-        for (int i = 0; i < tries && runsLeft > 0; i++) {
+    /** The smaller list; null if the whole list violates nothing either. */
+    public List<Fault> shrink(List<Fault> all) throws Exception {
+        if (!violates(all)) {
+            return null;
+        }
+        return removeTargets(shortenFaults(removeFaults(new ArrayList<>(all))));
+    }
+
+    private boolean violates(List<Fault> faults) throws Exception {
+        for (int i = 0; i < attempts && runsLeft > 0; i++) {
             runsLeft--;
-            if (breaks.with(faults)) {
+            if (trial.violates(faults)) {
                 return true;
             }
         }
         return false;
     }
 
-    /** Null if the whole list does not break it either. */
-    public List<Fault> shrink(List<Fault> all) throws Exception {
-        if (!breaks(all)) {
-            return null;
+    private List<Fault> removeFaults(List<Fault> faults) throws Exception {
+        int partCount = 2;
+        List<Fault> best = faults;
+        while (best.size() > 1 && runsLeft > 0) {
+            List<Fault> reduced = removePart(best, partCount);
+            if (reduced != null) {
+                best = reduced;
+                partCount = Math.max(2, partCount - 1);
+            } else if (partCount >= best.size()) {
+                break;
+            } else {
+                partCount = Math.min(best.size(), partCount * 2);
+            }
         }
-        return narrower(shorter(fewer(new ArrayList<>(all))));
+        return best;
     }
 
-    private List<Fault> fewer(List<Fault> faults) throws Exception {
-        int parts = 2;
-        List<Fault> now = faults;
-        while (now.size() > 1 && runsLeft > 0) {
-            int size = (now.size() + parts - 1) / parts;
-            List<Fault> found = null;
-            for (int from = 0; from < now.size() && found == null; from += size) {
-                List<Fault> without = new ArrayList<>(now);
-                without.subList(from, Math.min(now.size(), from + size)).clear();
-                found = !without.isEmpty() && breaks(without) ? without : null;
-            }
-            if (found != null) {
-                now = found;
-                parts = Math.max(2, parts - 1);
-            } else if (parts >= now.size()) {
-                break;
-            } else {
-                parts = Math.min(now.size(), parts * 2);
+    /** The first list without one of so many parts that still violates; null if none does. */
+    private List<Fault> removePart(List<Fault> faults, int partCount) throws Exception {
+        int partSize = (faults.size() + partCount - 1) / partCount;
+        for (int from = 0; from < faults.size(); from += partSize) {
+            List<Fault> without = new ArrayList<>(faults);
+            without.subList(from, Math.min(faults.size(), from + partSize)).clear();
+            if (!without.isEmpty() && violates(without)) {
+                return without;
             }
         }
-        return now;
+        return null;
     }
 
-    private List<Fault> shorter(List<Fault> faults) throws Exception {
-        List<Fault> now = faults;
-        for (int i = 0; i < now.size(); i++) {
-            for (double half = now.get(i).forMs() / 2; half >= SHORTEST_MS && runsLeft > 0; half /= 2) {
-                List<Fault> tried = new ArrayList<>(now);
-                tried.set(i, now.get(i).lasting((double) Math.round(half)));
-                if (!breaks(tried)) {
+    private List<Fault> shortenFaults(List<Fault> faults) throws Exception {
+        List<Fault> best = faults;
+        for (int i = 0; i < best.size(); i++) {
+            double durationMs = best.get(i).durationMs() / 2;
+            while (durationMs >= MIN_DURATION_MS && runsLeft > 0) {
+                List<Fault> candidate = new ArrayList<>(best);
+                candidate.set(i, best.get(i).withDuration((double) Math.round(durationMs)));
+                if (!violates(candidate)) {
                     break;
                 }
-                now = tried;
+                best = candidate;
+                durationMs /= 2;
             }
         }
-        return now;
+        return best;
     }
 
-    private List<Fault> narrower(List<Fault> faults) throws Exception {
-        List<Fault> now = faults;
-        for (int i = 0; i < now.size(); i++) {
-            for (int w = now.get(i).who().size() - 1; w >= 0 && now.get(i).who().size() > 1 && runsLeft > 0; w--) {
-                List<String> who = new ArrayList<>(now.get(i).who());
-                who.remove(w);
-                List<Fault> tried = new ArrayList<>(now);
-                tried.set(i, now.get(i).befalling(who, now.get(i).to()));
-                if (breaks(tried)) {
-                    now = tried;
+    private List<Fault> removeTargets(List<Fault> faults) throws Exception {
+        List<Fault> best = faults;
+        for (int i = 0; i < best.size(); i++) {
+            int last = best.get(i).targets().size() - 1;
+            for (int j = last; j >= 0 && best.get(i).targets().size() > 1 && runsLeft > 0; j--) {
+                List<String> targets = new ArrayList<>(best.get(i).targets());
+                targets.remove(j);
+                List<Fault> candidate = new ArrayList<>(best);
+                candidate.set(i, best.get(i).withTargets(targets, best.get(i).linkPeers()));
+                if (violates(candidate)) {
+                    best = candidate;
                 }
             }
         }
-        return now;
+        return best;
     }
 }
--- a/src/main/java/cacheproxy/faulttest/scenario/TargetSelector.java
+++ b/src/main/java/cacheproxy/faulttest/scenario/TargetSelector.java
@@ -5,152 +5,182 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
+import java.util.function.IntFunction;
+import java.util.function.IntPredicate;
+import java.util.stream.IntStream;
 
 /**
- * The names of what a run consists of, and the words that choose among them: {@code p3}, {@code n12},
- * {@code discovery}; {@code p1-p5}; {@code proxies}, {@code nodes}, {@code all}; {@code zone:a}, the proxies of a zone,
- * and {@code nodes:a}; {@code 3 of proxies} and {@code 0.1 of zone:a}, so many or such a part by lot; several of these
- * with commas between them.
+ * The names and indices of a run's endpoints, and the expressions that select some of them. Indices count proxies
+ * first, then cache servers, then discovery.
+ *
+ * <p>An expression is a list of terms with commas between them: a name ({@code p3}, {@code n12}, {@code discovery}); a
+ * range ({@code p1-p5}); {@code proxies}, {@code nodes} or {@code all}; the proxies or servers of a zone
+ * ({@code zone:a}, {@code nodes:a}); or a random choice among a term, by number or by share ({@code 3 of proxies},
+ * {@code 0.1 of zone:a}).
  */
 public final class TargetSelector {
+    /** The name of discovery. */
     public static final String DISCOVERY = "discovery";
 
+    private static final String RANDOM_CHOICE = " of ";
+
     private final int proxies;
-    private final int nodes;
+    private final int servers;
     private final List<String> zones;
 
-    /** @param zones dealt out to proxies and nodes in turn */
-    public TargetSelector(int proxies, int nodes, List<String> zones) {
-        if (proxies < 1 || nodes < 1 || zones.isEmpty()) {
-            throw new IllegalArgumentException("proxies " + proxies + ", nodes " + nodes + ", zones " + zones);
+    /**
+     * Makes one; an IllegalArgumentException says what is missing.
+     *
+     * @param zones assigned to proxies and servers in turn
+     */
+    public TargetSelector(int proxies, int servers, List<String> zones) {
+        if (proxies < 1 || servers < 1 || zones.isEmpty()) {
+            throw new IllegalArgumentException("proxies " + proxies + ", nodes " + servers + ", zones " + zones);
         }
         this.proxies = proxies;
-        this.nodes = nodes;
+        this.servers = servers;
         this.zones = List.copyOf(zones);
     }
 
+    /** How many proxies there are. */
     public int proxies() {
         return proxies;
     }
 
-    public int nodes() {
-        return nodes;
+    /** How many cache servers there are. */
+    public int servers() {
+        return servers;
     }
 
+    /** The names of the zones. */
     public List<String> zones() {
         return zones;
     }
 
-    /** Of all: proxies first, then nodes, then discovery. */
-    public int count() {
-        return proxies + nodes + 1;
+    /** How many endpoints there are. */
+    public int size() {
+        return proxies + servers + 1;
     }
 
-    public static String proxy(int i) {
-        return "p" + (i + 1);
+    /** The name of a proxy, counted from 0. */
+    public static String proxyName(int proxy) {
+        return "p" + (proxy + 1);
     }
 
-    public static String node(int i) {
-        return "n" + (i + 1);
+    /** The name of a cache server, counted from 0. */
+    public static String serverName(int server) {
+        return "n" + (server + 1);
     }
 
-    public int discovery() {
-        return proxies + nodes;
+    /** The index of discovery among all endpoints. */
+    public int discoveryIndex() {
+        return proxies + servers;
     }
 
+    /** The index of the zone of a proxy, which is counted from 0. */
     public int zoneOfProxy(int proxy) {
         return proxy % zones.size();
     }
 
-    public int zoneOfNode(int node) {
-        return node % zones.size();
+    /** The index of the zone of a cache server, which is counted from 0. */
+    public int zoneOfServer(int server) {
+        return server % zones.size();
     }
 
-    public String name(int index) {
-        return index < proxies ? proxy(index) : index < proxies + nodes ? node(index - proxies) : DISCOVERY;
+    /** The name of the endpoint with an index. */
+    public String nameOf(int index) {
+        if (index < proxies) {
+            return proxyName(index);
+        }
+        return index < proxies + servers ? serverName(index - proxies) : DISCOVERY;
     }
 
-    /** The index of a name. */
-    public int index(String name) {
+    /** The index of the endpoint with a name; an IllegalArgumentException says which names there are. */
+    public int indexOf(String name) {
         if (name.equals(DISCOVERY)) {
-            return discovery();
+            return discoveryIndex();
         }
-        boolean proxy = name.startsWith("p");
-        if ((proxy || name.startsWith("n")) && name.matches("[pn][0-9]{1,6}")) {
-            int i = Integer.parseInt(name.substring(1)) - 1;
-            if (i >= 0 && i < (proxy ? proxies : nodes)) {
-                return proxy ? i : proxies + i;
+        if (name.matches("[pn][0-9]{1,6}")) {
+            boolean isProxy = name.startsWith("p");
+            int number = Integer.parseInt(name.substring(1)) - 1;
+            if (number >= 0 && number < (isProxy ? proxies : servers)) {
+                return isProxy ? number : proxies + number;
             }
         }
         throw new IllegalArgumentException(
-                "there is no '" + name + "'; there are p1 to p" + proxies + ", n1 to n" + nodes + " and discovery");
+                "there is no '" + name + "'; there are p1 to p" + proxies + ", n1 to n" + servers + " and discovery");
     }
 
-    /** The names that words choose, each once; an IllegalArgumentException says what is wrong with them. */
-    public List<String> choose(String words, SplittableRandom random) {
-        Set<String> chosen = new LinkedHashSet<>();
-        for (String word : words.split(",", 0)) {
-            chosen.addAll(one(word.trim(), random));
-        }
-        return List.copyOf(chosen);
-    }
-
-    private List<String> one(String word, SplittableRandom random) {
-        int of = word.indexOf(" of ");
-        if (of > 0) {
-            List<String> among = new ArrayList<>(one(word.substring(of + 4).trim(), random));
-            double n;
-            try {
-                n = Double.parseDouble(word.substring(0, of).trim());
-            } catch (NumberFormatException e) {
-                throw new IllegalArgumentException("'" + word + "': a number is wanted before 'of'");
-            }
-            if (!(n > 0)) {
-                throw new IllegalArgumentException("'" + word + "': more than 0 is wanted before 'of'");
-            }
-            int count = (int) Math.min(among.size(), n < 1 ? Math.max(1, Math.round(n * among.size())) : n);
-            List<String> lot = new ArrayList<>();
-            for (int i = 0; i < count; i++) {
-                lot.add(among.remove(random.nextInt(among.size())));
-            }
-            return lot;
+    /** The names that an expression selects, each once; an IllegalArgumentException says what is wrong with it. */
+    public List<String> select(String expression, SplittableRandom random) {
+        Set<String> selected = new LinkedHashSet<>();
+        for (String term : expression.split(",", 0)) {
+            selected.addAll(selectTerm(term.trim(), random));
         }
-        List<String> list = new ArrayList<>();
-        if (word.equals("all")) {
-            for (int i = 0; i < count(); i++) {
-                list.add(name(i));
-            }
-        } else if (word.equals("proxies") || word.startsWith("zone:")) {
-            for (int i = 0; i < proxies; i++) {
-                if (word.equals("proxies") || zone(word) == zoneOfProxy(i)) {
-                    list.add(proxy(i));
-                }
-            }
-        } else if (word.equals("nodes") || word.startsWith("nodes:")) {
-            for (int i = 0; i < nodes; i++) {
-                if (word.equals("nodes") || zone(word) == zoneOfNode(i)) {
-                    list.add(node(i));
-                }
-            }
-        } else if (word.contains("-")) {
-            int from = index(word.substring(0, word.indexOf('-')));
-            int to = index(word.substring(word.indexOf('-') + 1));
-            if (from > to || from < proxies != to < proxies || to == discovery()) {
-                throw new IllegalArgumentException("'" + word + "' is no range of proxies or of nodes");
-            }
-            for (int i = from; i <= to; i++) {
-                list.add(name(i));
-            }
+        return List.copyOf(selected);
+    }
+
+    private List<String> selectTerm(String term, SplittableRandom random) {
+        if (term.indexOf(RANDOM_CHOICE) > 0) {
+            return selectRandom(term, random);
+        } else if (term.equals("all")) {
+            return names(size(), index -> true, this::nameOf);
+        } else if (term.equals("proxies")) {
+            return names(proxies, proxy -> true, TargetSelector::proxyName);
+        } else if (term.startsWith("zone:")) {
+            int zone = zoneIndex(term);
+            return names(proxies, proxy -> zone == zoneOfProxy(proxy), TargetSelector::proxyName);
+        } else if (term.equals("nodes")) {
+            return names(servers, server -> true, TargetSelector::serverName);
+        } else if (term.startsWith("nodes:")) {
+            int zone = zoneIndex(term);
+            return names(servers, server -> zone == zoneOfServer(server), TargetSelector::serverName);
+        } else if (term.contains("-")) {
+            return selectRange(term);
         } else {
-            list.add(name(index(word)));
+            return List.of(nameOf(indexOf(term)));
+        }
+    }
+
+    private static List<String> names(int count, IntPredicate selected, IntFunction<String> name) {
+        return IntStream.range(0, count).filter(selected).mapToObj(name).toList();
+    }
+
+    private List<String> selectRandom(String term, SplittableRandom random) {
+        int split = term.indexOf(RANDOM_CHOICE);
+        List<String> candidates = new ArrayList<>(
+                selectTerm(term.substring(split + RANDOM_CHOICE.length()).trim(), random));
+        double wanted;
+        try {
+            wanted = Double.parseDouble(term.substring(0, split).trim());
+        } catch (NumberFormatException e) {
+            throw new IllegalArgumentException("'" + term + "': a number is wanted before 'of'");
+        }
+        if (!(wanted > 0)) {
+            throw new IllegalArgumentException("'" + term + "': more than 0 is wanted before 'of'");
+        }
+        double count = wanted < 1 ? Math.max(1, Math.round(wanted * candidates.size())) : wanted;
+        int limit = (int) Math.min(candidates.size(), count);
+        List<String> drawn = new ArrayList<>();
+        for (int i = 0; i < limit; i++) {
+            drawn.add(candidates.remove(random.nextInt(candidates.size())));
+        }
+        return drawn;
+    }
+
+    private List<String> selectRange(String term) {
+        int from = indexOf(term.substring(0, term.indexOf('-')));
+        int to = indexOf(term.substring(term.indexOf('-') + 1));
+        if (from > to || from < proxies != to < proxies || to == discoveryIndex()) {
+            throw new IllegalArgumentException("'" + term + "' is no range of proxies or of nodes");
         }
-        return list;
+        return IntStream.rangeClosed(from, to).mapToObj(this::nameOf).toList();
     }
 
-    private int zone(String word) {
-        int zone = zones.indexOf(word.substring(word.indexOf(':') + 1));
+    private int zoneIndex(String term) {
+        int zone = zones.indexOf(term.substring(term.indexOf(':') + 1));
         if (zone < 0) {
-            throw new IllegalArgumentException("'" + word + "': there are the zones " + String.join(", ", zones));
+            throw new IllegalArgumentException("'" + term + "': there are the zones " + String.join(", ", zones));
         }
         return zone;
     }
--- a/src/test/java/cacheproxy/faulttest/RelayTest.java
+++ b/src/test/java/cacheproxy/faulttest/RelayTest.java
@@ -7,7 +7,7 @@
 import cacheproxy.fakes.ScriptedServer;
 import cacheproxy.faulttest.scenario.Fault;
 import cacheproxy.faulttest.scenario.Fault.Kind;
-import cacheproxy.faulttest.scenario.Fault.LinkFigures;
+import cacheproxy.faulttest.scenario.Fault.LinkFault;
 import cacheproxy.faulttest.scenario.NetworkLinks;
 import cacheproxy.faulttest.scenario.TargetSelector;
 import cacheproxy.proxy.net.Transport;
@@ -51,7 +51,7 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    private Fault fault(List<String> who, List<String> to, boolean twoWay, LinkFigures figures) {
+    private Fault fault(List<String> who, List<String> to, boolean twoWay, LinkFault figures) {
         return new Fault(Kind.LINK, 0, 1, who, to, twoWay, figures, 1, 0, false, 0);
     }
 
@@ -92,7 +92,7 @@
             assertThat(text(heard(b))).isEqualTo("all");
             assertThat(text(heard(c))).isEqualTo("all");
 
-            Fault oneWay = fault(List.of("p1"), List.of("p2"), false, LinkFigures.CUT);
+            Fault oneWay = fault(List.of("p1"), List.of("p2"), false, LinkFault.CUT);
             on(() -> links.begin(oneWay));
             say(a, space.face(1, AddressSpace.PEERS), "cut");
             say(a, space.face(2, AddressSpace.PEERS), "past it");
@@ -104,7 +104,7 @@
             say(a, space.face(1, AddressSpace.PEERS), "healed");
             assertThat(text(heard(b))).as("what was cut is lost").isEqualTo("healed");
 
-            on(() -> links.begin(fault(List.of("p1"), List.of("p2"), true, new LinkFigures(0, 10, 0, 1, 1, false))));
+            on(() -> links.begin(fault(List.of("p1"), List.of("p2"), true, new LinkFault(0, 10, 0, 1, 1, false))));
             say(a, space.face(1, AddressSpace.PEERS), "spoilt");
             assertThat(text(heard(b))).hasSize(6).isNotEqualTo("spoilt");
             assertThat(text(heard(b))).hasSize(6).isNotEqualTo("spoilt");
@@ -121,8 +121,7 @@
     void whatIsLateOnPurposeIsBoundedAndTold() throws Exception {
         try (DatagramRelay relay = new DatagramRelay(loop, space, 3, links, 1);
                 DatagramSocket a = new DatagramSocket(space.proxy(0, AddressSpace.PEERS))) {
-            on(() ->
-                    links.begin(fault(List.of("p1"), List.of("p2"), true, new LinkFigures(0, 60_000, 0, 0, 0, false))));
+            on(() -> links.begin(fault(List.of("p1"), List.of("p2"), true, new LinkFault(0, 60_000, 0, 0, 0, false))));
             while (relay.dropped() == 0) {
                 for (int i = 0; i < 1000; i++) {
                     say(a, space.face(1, AddressSpace.PEERS), "x");
@@ -150,7 +149,7 @@
                 s.setSoTimeout(PATIENCE_MS);
                 s.getOutputStream().write("1\n".getBytes(UTF_8));
                 assertThat(ScriptedServer.line(s.getInputStream())).isEqualTo("heard 1");
-                Fault cut = fault(List.of("p1"), List.of("n1"), true, LinkFigures.CUT);
+                Fault cut = fault(List.of("p1"), List.of("n1"), true, LinkFault.CUT);
                 on(() -> {
                     links.begin(cut);
                     relay.changed();
@@ -165,7 +164,7 @@
                 });
                 assertThat(ScriptedServer.line(s.getInputStream())).isEqualTo("heard 2");
                 on(() -> {
-                    links.begin(fault(List.of("p1"), List.of("n1"), true, new LinkFigures(0, 0, 0, 0, 0, true)));
+                    links.begin(fault(List.of("p1"), List.of("n1"), true, new LinkFault(0, 0, 0, 0, 0, true)));
                     relay.changed();
                 });
                 assertThatThrownBy(() -> {
--- a/src/test/java/cacheproxy/faulttest/PlanTest.java
+++ b/src/test/java/cacheproxy/faulttest/ScenarioTest.java
@@ -6,7 +6,7 @@
 import cacheproxy.config.ConfigException;
 import cacheproxy.faulttest.scenario.Fault;
 import cacheproxy.faulttest.scenario.Fault.Kind;
-import cacheproxy.faulttest.scenario.Fault.LinkFigures;
+import cacheproxy.faulttest.scenario.Fault.LinkFault;
 import cacheproxy.faulttest.scenario.NetworkLinks;
 import cacheproxy.faulttest.scenario.RandomFaults;
 import cacheproxy.faulttest.scenario.RunValidity;
@@ -18,81 +18,99 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** What a run is made of: choices, lots, links, shrinking, and what the file may say of them. */
-class PlanTest {
+/** Scenarios: target selection, random faults, links, shrinking, validity, and their file. */
+class ScenarioTest {
     private final TargetSelector names = new TargetSelector(6, 4, List.of("a", "b"));
     private final SplittableRandom random = new SplittableRandom(1);
 
     private static Fault link(
-            double lose, double delay, double twice, boolean twoWay, List<String> who, List<String> to) {
+            double lossShare,
+            double delayMs,
+            double duplicateShare,
+            boolean twoWay,
+            List<String> targets,
+            List<String> peers) {
         return new Fault(
-                Kind.LINK, 0, 100, who, to, twoWay, new LinkFigures(lose, delay, 0, twice, 0, false), 1, 0, false, 0);
+                Kind.LINK,
+                0,
+                100,
+                targets,
+                peers,
+                twoWay,
+                new LinkFault(lossShare, delayMs, 0, duplicateShare, 0, false),
+                1,
+                0,
+                false,
+                0);
     }
 
-    private static Fault stop(String who, double forMs) {
-        return new Fault(Kind.STOP, 0, forMs, List.of(who), List.of(), false, null, 1, 0, false, 0);
+    private static Fault pause(String proxy, double durationMs) {
+        return new Fault(Kind.PAUSE, 0, durationMs, List.of(proxy), List.of(), false, null, 1, 0, false, 0);
     }
 
     @Test
-    void wordsChooseNamesRangesZonesAndLots() {
-        assertThat(names.choose("p2-p4, n1", random)).containsExactly("p2", "p3", "p4", "n1");
-        assertThat(names.choose("zone:b", random)).containsExactly("p2", "p4", "p6");
-        assertThat(names.choose("nodes:a,discovery", random)).containsExactly("n1", "n3", "discovery");
-        assertThat(names.choose("2 of proxies", random)).hasSize(2).allMatch(n -> n.startsWith("p"));
-        assertThat(names.choose("0.5 of nodes", random)).hasSize(2).doesNotHaveDuplicates();
-        assertThat(names.choose("0.01 of nodes", random)).as("at least one").hasSize(1);
+    void selectsNamesRangesZonesAndRandomTargets() {
+        assertThat(names.select("p2-p4, n1", random)).containsExactly("p2", "p3", "p4", "n1");
+        assertThat(names.select("zone:b", random)).containsExactly("p2", "p4", "p6");
+        assertThat(names.select("nodes:a,discovery", random)).containsExactly("n1", "n3", "discovery");
+        assertThat(names.select("2 of proxies", random)).hasSize(2).allMatch(name -> name.startsWith("p"));
+        assertThat(names.select("0.5 of nodes", random)).hasSize(2).doesNotHaveDuplicates();
+        assertThat(names.select("0.01 of nodes", random)).as("at least one").hasSize(1);
         for (String wrong : new String[] {
             "p7", "p0", "n5", "zone:c", "p3-n2", "p4-p2", "x of proxies", "0 of proxies", "", "n1-discovery"
         }) {
-            assertThatThrownBy(() -> names.choose(wrong, random))
+            assertThatThrownBy(() -> names.select(wrong, random))
                     .as(wrong)
                     .isInstanceOf(IllegalArgumentException.class);
         }
     }
 
     @Test
-    void faultsOnALinkAddUpAndAOneWayCutIsOneWay() {
+    void combinesFaultsOfOneLinkAndKeepsOneWayCutOneWay() {
         NetworkLinks links = new NetworkLinks(names);
-        assertThat(links.datagram(0, 1, random)).containsExactly(new NetworkLinks.Delivery(0, false));
+        assertThat(links.deliveries(0, 1, random)).containsExactly(new NetworkLinks.Delivery(0, false));
         Fault cut = link(1, 0, 0, false, List.of("p1"), List.of("p2"));
         Fault late = link(0, 30, 1, true, List.of("p1"), List.of("p2", "p3"));
         links.begin(late);
-        assertThat(links.datagram(1, 0, random))
+        assertThat(links.deliveries(1, 0, random))
                 .containsExactly(new NetworkLinks.Delivery(30, false), new NetworkLinks.Delivery(30, false));
         links.begin(link(0, 20, 0, true, List.of("p3"), List.of("p1")));
-        assertThat(links.datagram(0, 2, random)).hasSize(2).allMatch(d -> d.delayMs() == 50);
+        assertThat(links.deliveries(0, 2, random)).hasSize(2).allMatch(delivery -> delivery.delayMs() == 50);
         links.begin(cut);
-        assertThat(links.datagram(0, 1, random)).isEmpty();
-        assertThat(links.datagram(1, 0, random)).as("the other way").hasSize(2);
-        assertThat(links.holds(0, 1)).isTrue();
-        assertThat(links.holds(1, 0)).isFalse();
+        assertThat(links.deliveries(0, 1, random)).isEmpty();
+        assertThat(links.deliveries(1, 0, random)).as("the other way").hasSize(2);
+        assertThat(links.blocksConnections(0, 1)).isTrue();
+        assertThat(links.blocksConnections(1, 0)).isFalse();
         links.end(cut);
-        assertThat(links.datagram(0, 1, random)).hasSize(2);
+        assertThat(links.deliveries(0, 1, random)).hasSize(2);
         int passed = 0;
         NetworkLinks lossy = new NetworkLinks(names);
         lossy.begin(link(0.3, 0, 0, true, List.of("p1"), List.of("p2")));
         for (int i = 0; i < 10_000; i++) {
-            passed += lossy.datagram(0, 1, random).size();
+            passed += lossy.deliveries(0, 1, random).size();
         }
         assertThat(passed).isBetween(6_700, 7_300);
     }
 
     @Test
-    void lotsHangOnTheSeedAloneAndStayWithinTheirTimes() {
-        RandomFaults chaos = new RandomFaults(200, List.of(Kind.values()), 500, 9000, 2000);
-        List<Fault> faults = chaos.faults(names, 7);
-        assertThat(faults).hasSize(200).isEqualTo(chaos.faults(names, 7)).isNotEqualTo(chaos.faults(names, 8));
+    void drawsSameRandomFaultsForSameSeedWithinTheirTimes() {
+        RandomFaults randomFaults = new RandomFaults(200, List.of(Kind.values()), 500, 9000, 2000);
+        List<Fault> faults = randomFaults.draw(names, 7);
         assertThat(faults)
-                .allMatch(f -> f.atMs() >= 500
-                        && f.endMs() <= 9000
-                        && f.forMs() >= 200
-                        && !f.who().isEmpty());
+                .hasSize(200)
+                .isEqualTo(randomFaults.draw(names, 7))
+                .isNotEqualTo(randomFaults.draw(names, 8));
+        assertThat(faults)
+                .allMatch(fault -> fault.atMs() >= 500
+                        && fault.endMs() <= 9000
+                        && fault.durationMs() >= 200
+                        && !fault.targets().isEmpty());
         assertThat(faults.stream().map(Fault::kind).distinct()).containsExactlyInAnyOrder(Kind.values());
     }
 
     @Test
-    void aScenarioIsReadBackAsItWasPlayed() throws Exception {
-        Scenario s = ScenarioReader.parse("s", """
+    void readsBackWrittenScenario() throws Exception {
+        Scenario scenario = ScenarioReader.parse("s", """
                 [fleet]
                 proxies = 6
                 nodes = 4
@@ -125,16 +143,16 @@
                 faults = 20
                 longest_ms = 700
                 """, 42L);
-        assertThat(s.faults()).hasSize(22);
-        assertThat(s.faults().get(0).to())
+        assertThat(scenario.faults()).hasSize(22);
+        assertThat(scenario.faults().get(0).linkPeers())
                 .as("the others")
                 .hasSize(4)
-                .doesNotContainAnyElementsOf(s.faults().get(0).who());
-        assertThat(ScenarioReader.parse("s", s.toToml(), null)).isEqualTo(s);
+                .doesNotContainAnyElementsOf(scenario.faults().get(0).targets());
+        assertThat(ScenarioReader.parse("s", scenario.toToml(), null)).isEqualTo(scenario);
     }
 
     @Test
-    void everythingWrongInAScenarioIsToldWithItsPlace() {
+    void reportsAllErrorsOfScenarioWithTheirPlaces() {
         assertThatThrownBy(() -> ScenarioReader.parse("s", """
                 [fleet]
                 proxies = 0
@@ -154,7 +172,7 @@
                 """, null))
                 .isInstanceOfSatisfying(
                         ConfigException.class,
-                        e -> assertThat(String.join("\n", e.errors()))
+                        refused -> assertThat(String.join("\n", refused.errors()))
                                 .contains("s:2:1: proxies is 0")
                                 .contains("s:3:1: zones")
                                 .contains("s:5:1: there is no fault 'stpo'")
@@ -168,24 +186,26 @@
     }
 
     @Test
-    void shrinkingFindsTheTwoFaultsThatBreakItAndHowLongTheyMustLast() throws Exception {
+    void shrinksToTwoViolatingFaultsAndTheirShortestDurations() throws Exception {
         List<Fault> all = new ArrayList<>();
         for (int i = 0; i < 20; i++) {
-            all.add(stop("p" + (1 + i % 6), 1600).lasting(1600 + i));
+            all.add(pause("p" + (1 + i % 6), 1600).withDuration(1600 + i));
         }
-        Fault a = all.get(3);
-        Fault b = new Fault(Kind.STOP, 0, 1600, List.of("p1", "p2", "p3"), List.of(), false, null, 1, 0, false, 5);
-        all.set(11, b);
+        Fault single = all.get(3);
+        Fault staggered =
+                new Fault(Kind.PAUSE, 0, 1600, List.of("p1", "p2", "p3"), List.of(), false, null, 1, 0, false, 5);
+        all.set(11, staggered);
         int[] runs = {0};
         List<Fault> found = new Shrinker(
                         faults -> {
                             runs[0]++;
                             return faults.stream()
-                                            .anyMatch(f ->
-                                                    f.who().equals(a.who()) && f.forMs() >= 400 && f.staggerMs() == 0)
+                                            .anyMatch(fault -> fault.targets().equals(single.targets())
+                                                    && fault.durationMs() >= 400
+                                                    && fault.staggerMs() == 0)
                                     && faults.stream()
-                                            .anyMatch(f -> f.staggerMs() == 5
-                                                    && f.who().contains("p2"));
+                                            .anyMatch(fault -> fault.staggerMs() == 5
+                                                    && fault.targets().contains("p2"));
                         },
                         1,
                         500)
@@ -193,17 +213,17 @@
         assertThat(found).hasSize(2);
         Fault longer = found.get(found.get(0).staggerMs() == 5 ? 1 : 0);
         Fault narrow = found.get(found.get(0).staggerMs() == 5 ? 0 : 1);
-        assertThat(longer.forMs()).isBetween(400.0, 800.0);
-        assertThat(narrow.who()).containsExactly("p2");
-        assertThat(narrow.forMs()).isLessThan(100);
+        assertThat(longer.durationMs()).isBetween(400.0, 800.0);
+        assertThat(narrow.targets()).containsExactly("p2");
+        assertThat(narrow.durationMs()).isLessThan(100);
         assertThat(runs[0]).isLessThan(120);
-        assertThat(new Shrinker(f -> false, 3, 50).shrink(all)).isNull();
+        assertThat(new Shrinker(fault -> false, 3, 50).shrink(all)).isNull();
     }
 
     @Test
-    void aRunOfASlowMachineSaysWhyItDoesNotCount() {
-        assertThat(new RunValidity(3, 200, 4, 5, 0.1, 0, 0).faults()).isEmpty();
-        assertThat(new RunValidity(90, 2000, 400, 900, 0.2, 7, 3).faults()).hasSize(7);
-        assertThat(new RunValidity(Double.NaN, 0, 0, 0, 0, 0, 0).faults()).hasSize(1);
+    void listsWhyRunOfSlowMachineDoesNotCount() {
+        assertThat(new RunValidity(3, 200, 4, 5, 0.1, 0, 0).problems()).isEmpty();
+        assertThat(new RunValidity(90, 2000, 400, 900, 0.2, 7, 3).problems()).hasSize(7);
+        assertThat(new RunValidity(Double.NaN, 0, 0, 0, 0, 0, 0).problems()).hasSize(1);
     }
 }
