--- a/src/main/java/cacheproxy/cli/FleetShrinkCommand.java
+++ b/src/main/java/cacheproxy/cli/FleetShrinkCommand.java
@@ -70,7 +70,7 @@
             out.flush();
             return ExitCode.OK;
         }
-        out.print(scenario.with(faults).toToml());
+        out.print(scenario.withFaults(faults).toToml());
         out.flush();
         return ExitCode.FAILED;
     }
