--- /dev/null
+++ b/src/test/java/cacheproxy/proxy/client/ConnectionActivityTest.java
@@ -0,0 +1,86 @@
+package cacheproxy.proxy.client;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import org.junit.jupiter.api.BeforeEach;
+import org.junit.jupiter.api.Test;
+
+/** Which clients count as stalled, on a clock of the test's own. */
+class ConnectionActivityTest {
+    private static final double START_MS = 1000;
+
+    private final ConnectionActivity activity = new ConnectionActivity();
+
+    @BeforeEach
+    void accept() {
+        activity.accepted(START_MS);
+    }
+
+    private boolean isStalledSilent(double afterMs) {
+        return activity.isStalled(START_MS + afterMs, false, false, true);
+    }
+
+    private boolean isStalledWithinRequest(double afterMs) {
+        return activity.isStalled(START_MS + afterMs, false, true, false);
+    }
+
+    private boolean isStalledWithUnwrittenBytes(double afterMs) {
+        return activity.isStalled(START_MS + afterMs, true, false, false);
+    }
+
+    @Test
+    void aSilentClientIsStalledAfterTwoSeconds() {
+        assertThat(isStalledSilent(2000)).isFalse();
+        assertThat(isStalledSilent(2001)).isTrue();
+        activity.asked();
+        assertThat(isStalledSilent(3_600_000))
+                .as("between requests it may be idle")
+                .isFalse();
+    }
+
+    @Test
+    void aClientThatPausesWithinARequestIsStalledLater() {
+        assertThat(isStalledWithinRequest(2600)).isFalse();
+        assertThat(isStalledWithinRequest(2601)).isTrue();
+        activity.active(START_MS + 1000);
+        assertThat(isStalledWithinRequest(2601)).as("its first request is late").isTrue();
+        activity.asked();
+        assertThat(isStalledWithinRequest(3600)).isFalse();
+        assertThat(isStalledWithinRequest(3601)).isTrue();
+    }
+
+    @Test
+    void aClientThatTakesNothingIsStalledAfterTenSeconds() {
+        activity.asked();
+        assertThat(isStalledWithUnwrittenBytes(10_000)).isFalse();
+        assertThat(isStalledWithUnwrittenBytes(10_001)).isTrue();
+        activity.responseWritten(START_MS + 5000);
+        assertThat(isStalledWithUnwrittenBytes(15_000)).isFalse();
+        assertThat(isStalledWithUnwrittenBytes(15_001)).isTrue();
+    }
+
+    @Test
+    void aClientThatWaitsForItsResponseIsNotStalled() {
+        activity.asked();
+        assertThat(activity.isStalled(START_MS + 60_000, false, false, false)).isFalse();
+    }
+
+    @Test
+    void aClientHasHadTimeToAskOnceItHasOrAfterHalfASecond() {
+        assertThat(activity.hasHadTimeToAsk(START_MS + 500)).isFalse();
+        assertThat(activity.hasHadTimeToAsk(START_MS + 501)).isTrue();
+        assertThat(activity.hasAsked()).isFalse();
+        activity.asked();
+        assertThat(activity.hasAsked()).isTrue();
+        assertThat(activity.hasHadTimeToAsk(START_MS)).isTrue();
+    }
+
+    @Test
+    void aResponseMayBeOnItsWayForATenthOfASecond() {
+        assertThat(activity.mayLackLastResponse(START_MS)).as("there was none").isFalse();
+        activity.responseWritten(START_MS + 1000);
+        assertThat(activity.mayLackLastResponse(START_MS + 1099)).isTrue();
+        assertThat(activity.mayLackLastResponse(START_MS + 1100)).isFalse();
+        assertThat(activity.quietMs(START_MS + 1100)).isEqualTo(100);
+    }
+}
--- /dev/null
+++ b/src/test/java/cacheproxy/proxy/upstream/ConnectionCloseLimiterTest.java
@@ -0,0 +1,65 @@
+package cacheproxy.proxy.upstream;
+
+import static org.assertj.core.api.Assertions.assertThat;
+
+import java.util.Random;
+import org.junit.jupiter.api.Test;
+
+/** How often connections may be closed to abandon an attempt, on a clock of the test's own. */
+class ConnectionCloseLimiterTest {
+    private static final double START_MS = 5000;
+
+    private final ConnectionCloseLimiter limiter = new ConnectionCloseLimiter();
+
+    private void use(int closes) {
+        for (int close = 0; close < closes; close++) {
+            assertThat(limiter.mayClose(START_MS, true)).as("close %d", close).isTrue();
+        }
+    }
+
+    @Test
+    void allowsTenAtOnceAndTenEachSecond() {
+        use(10);
+        assertThat(limiter.mayClose(START_MS, true)).isFalse();
+        assertThat(limiter.mayClose(START_MS + 50, true)).isFalse();
+        assertThat(limiter.mayClose(START_MS + 100, true))
+                .as("a refusal costs nothing")
+                .isTrue();
+        assertThat(limiter.mayClose(START_MS + 100, true)).isFalse();
+    }
+
+    @Test
+    void savesTenAtMost() {
+        use(10);
+        double laterMs = START_MS + 60_000;
+        for (int close = 0; close < 10; close++) {
+            assertThat(limiter.mayClose(laterMs, true)).isTrue();
+        }
+        assertThat(limiter.mayClose(laterMs, true)).isFalse();
+    }
+
+    @Test
+    void closesWithoutHedgingAreAlwaysAllowedAndLeaveADebt() {
+        use(10);
+        for (int close = 0; close < 3; close++) {
+            assertThat(limiter.mayClose(START_MS, false)).isTrue();
+        }
+        assertThat(limiter.mayClose(START_MS + 350, true))
+                .as("the debt is paid first")
+                .isFalse();
+        assertThat(limiter.mayClose(START_MS + 401, true)).isTrue();
+    }
+
+    @Test
+    void neverAllowsMoreThanTheRateAndLittleLess() {
+        Random random = new Random(23);
+        double nowMs = START_MS;
+        int allowed = 0;
+        for (int step = 0; step < 20_000; step++) {
+            nowMs += random.nextDouble() * 40;
+            allowed += limiter.mayClose(nowMs, true) ? 1 : 0;
+            assertThat((double) allowed).isLessThanOrEqualTo(10 + (nowMs - START_MS) / 100 + 1e-6);
+        }
+        assertThat(allowed).as("and not much less").isGreaterThan((int) ((nowMs - START_MS) / 100 * 0.99));
+    }
+}
