--- /dev/null
+++ b/src/main/java/cacheproxy/fakes/nginx/RequestInterpreter.java
@@ -0,0 +1,98 @@
+package cacheproxy.fakes.nginx;
+
+import cacheproxy.nginx.Directive;
+import java.util.List;
+
+/** Interprets a configuration for requests, phase by phase. */
+public final class RequestInterpreter {
+    /** nginx fails a request after so many changes of its location. */
+    private static final int MAX_LOCATION_CHANGES = 10;
+
+    private final ServerSelector servers;
+    private final LocationFinder locations;
+    private final RewriteInterpreter rewrites;
+    private final ContentHandler contents;
+
+    /** Creates an interpreter of a configuration. */
+    public RequestInterpreter(List<Directive> tree) {
+        HttpBlock http = HttpBlock.of(tree);
+        PatternCache patterns = new PatternCache();
+        VariableExpander variables = new VariableExpander(http.directives(), patterns);
+        servers = new ServerSelector(http.servers(), patterns);
+        locations = new LocationFinder(patterns);
+        rewrites = new RewriteInterpreter(patterns, variables);
+        contents = new ContentHandler(http.upstreams(), variables, rewrites);
+    }
+
+    /** The first socket of the configuration. */
+    public String firstSocket() {
+        return servers.firstSocket();
+    }
+
+    /**
+     * Interprets a request.
+     *
+     * @param socket where it comes in: {@code address:port}, or {@code *:port}
+     * @param requestUri path and query
+     */
+    public Response respond(String socket, String method, String host, String requestUri) {
+        SimulatedRequest request = SimulatedRequest.of(method, host, requestUri);
+        if (request == null) {
+            return Response.ofStatus(400);
+        }
+        Directive server = servers.select(socket, request.host());
+        if (server == null) {
+            return Response.ofStatus(404);
+        }
+        rewrites.run(server.block(), request);
+        request.setRewriteEnded(false);
+        boolean searches = !request.isAnswered();
+        for (int changes = 0; searches; changes++) {
+            if (changes > MAX_LOCATION_CHANGES) {
+                return Response.ofStatus(500);
+            }
+            searches = runLocation(server, request);
+        }
+        return request.response();
+    }
+
+    /** Finds the location and runs it; returns whether a location is to be searched again. */
+    private boolean runLocation(Directive server, SimulatedRequest request) {
+        Directive location = locations.find(server.block(), request);
+        if (request.isAnswered()) {
+            return false;
+        }
+        if (!isServed(server, location, request)) {
+            request.answer(404);
+            return false;
+        }
+        if (location != null) {
+            runRewrites(location, request);
+            boolean pathChanged = request.isPathChangedInLocation() && !request.isRewriteEnded();
+            if (pathChanged && !request.isAnswered()) {
+                return true;
+            }
+            request.setRewriteEnded(false);
+        }
+        String path = contents.handle(server, location == null ? server : location, request);
+        if (path == null) {
+            return false;
+        }
+        request.redirectTo(path);
+        return !request.isAnswered();
+    }
+
+    private void runRewrites(Directive location, SimulatedRequest request) {
+        request.enterLocation();
+        request.setHandler(null);
+        rewrites.run(location.block(), request);
+    }
+
+    /** Whether a location, or the server without one, takes requests from clients. */
+    private static boolean isServed(Directive server, Directive location, SimulatedRequest request) {
+        if (location == null) {
+            return server.last("try_files") != null;
+        }
+        return location.last("internal") == null || request.isPathEverChanged();
+    }
+}
--- a/src/test/java/cacheproxy/ArchitectureTest.java
+++ b/src/test/java/cacheproxy/ArchitectureTest.java
@@ -135,6 +135,8 @@
                 .haveSimpleNameStartingWith("NginxReferenceModel")
                 .or()
                 .haveSimpleNameStartingWith("FakeNginx")
+                .or()
+                .resideInAPackage("cacheproxy.fakes.nginx..")
                 .should()
                 .dependOnClassesThat()
                 .resideInAnyPackage(
