--- a/src/main/java/cacheproxy/faulttest/AddressSpace.java
+++ b/src/main/java/cacheproxy/faulttest/AddressSpace.java
@@ -6,85 +6,92 @@
 import java.net.ServerSocket;
 
 /**
- * Addresses of one run in 127.0.0.0/8: each process has one of its own, with the same ports, and keeps it when it is
- * started again. Two runs on one machine take different second octets; a bound socket says that one is taken.
+ * The addresses of one run in 127.0.0.0/8. Each process has an address of its own, with the same ports as all others,
+ * and keeps it when it is started again. Two runs on one machine use different second octets; a bound socket marks one
+ * as in use.
  */
 final class AddressSpace implements AutoCloseable {
-    static final int CLIENTS = 11211;
-    static final int PEERS = 7946;
-    static final int DISCOVERY = 8500;
-    static final int CONTROL = 9000;
-    /** Of the first node's faces; the others' follow. */
-    static final int NODES = 20_000;
-
-    private static final int LOCK = 7900;
-    private static final int PER_OCTET = 250;
-    /** Third octets: of the proxies, of what stands for them, of what stands for zones, of all at once. */
-    private static final int OWN = 1;
-
-    private static final int FACES = 101;
-    private static final int ZONES = 201;
-    private static final int ALL = 250;
-
-    private final int octet;
+    /** Where a proxy listens for clients. */
+    static final int CLIENT_PORT = 11211;
+    /** Where a proxy listens for datagrams of its peers. */
+    static final int PEER_PORT = 7946;
+    /** Where the relay listens for a proxy's connections to discovery. */
+    static final int DISCOVERY_PORT = 8500;
+    /** Where a proxy listens for control calls. */
+    static final int CONTROL_PORT = 9000;
+    /** Where the relay listens for connections to the first cache server; the ports of the others follow. */
+    static final int FIRST_SERVER_PORT = 20_000;
+
+    private static final int LOCK_PORT = 7900;
+    private static final int HOSTS_PER_OCTET = 250;
+    private static final int FIRST_SECOND_OCTET = 20;
+    private static final int SECOND_OCTETS = 200;
+    private static final int PROXY_THIRD_OCTET = 1;
+    private static final int RELAY_THIRD_OCTET = 101;
+    private static final int ZONE_RELAY_THIRD_OCTET = 201;
+    private static final int BROADCAST_THIRD_OCTET = 250;
+
+    private final int secondOctet;
     private final ServerSocket lock;
 
-    private AddressSpace(int octet, ServerSocket lock) {
-        this.octet = octet;
+    private AddressSpace(int secondOctet, ServerSocket lock) {
+        this.secondOctet = secondOctet;
         this.lock = lock;
     }
 
-    static AddressSpace take() throws IOException {
-        int first = (int) (ProcessHandle.current().pid() % 200);
-        for (int i = 0; i < 200; i++) {
-            int octet = 20 + (first + i) % 200;
+    /** Reserves addresses that no other run uses, until they are closed. */
+    static AddressSpace reserve() throws IOException {
+        int first = (int) (ProcessHandle.current().pid() % SECOND_OCTETS);
+        for (int i = 0; i < SECOND_OCTETS; i++) {
+            int octet = FIRST_SECOND_OCTET + (first + i) % SECOND_OCTETS;
             ServerSocket socket = new ServerSocket();
             try {
-                socket.bind(new InetSocketAddress(
-                        InetAddress.getByAddress(new byte[] {127, (byte) octet, (byte) 255, 1}), LOCK));
+                InetAddress lockHost = InetAddress.getByAddress(new byte[] {127, (byte) octet, (byte) 255, 1});
+                socket.bind(new InetSocketAddress(lockHost, LOCK_PORT));
                 return new AddressSpace(octet, socket);
             } catch (IOException e) {
-                socket.close(); // another run has it
+                socket.close(); // another run uses it
             }
         }
         throw new IOException("no free address space in 127.20.0.0 to 127.219.0.0");
     }
 
-    private String host(int third, int i) {
-        return "127." + octet + "." + (third + i / PER_OCTET) + "." + (1 + i % PER_OCTET);
+    private String host(int thirdOctet, int index) {
+        return "127." + secondOctet + "." + (thirdOctet + index / HOSTS_PER_OCTET) + "."
+                + (1 + index % HOSTS_PER_OCTET);
     }
 
-    String proxy(int i) {
-        return host(OWN, i);
+    /** The address of a proxy's own sockets, without a port. */
+    String proxyHost(int proxy) {
+        return host(PROXY_THIRD_OCTET, proxy);
     }
 
-    InetSocketAddress proxy(int i, int port) {
-        return new InetSocketAddress(proxy(i), port);
+    /** The address of a proxy's own socket. */
+    InetSocketAddress proxyAddress(int proxy, int port) {
+        return new InetSocketAddress(proxyHost(proxy), port);
     }
 
     /**
-     * What the other proxies, and the proxy itself, take for proxy i's surroundings: its name to peers, discovery,
-     * nodes.
+     * The address at which the relay stands between a proxy and the others: at the peer port for its peers, at other
+     * ports for what the proxy itself connects to.
      */
-    String face(int i) {
-        return host(FACES, i);
-    }
-
-    InetSocketAddress face(int i, int port) {
-        return new InetSocketAddress(face(i), port);
+    InetSocketAddress relayAddress(int proxy, int port) {
+        return new InetSocketAddress(host(RELAY_THIRD_OCTET, proxy), port);
     }
 
-    InetSocketAddress zoneFace(int zone, int port) {
-        return new InetSocketAddress(host(ZONES, zone), port);
+    /** The address at which the relay stands between all proxies of a zone and what they connect to. */
+    InetSocketAddress zoneRelayAddress(int zone, int port) {
+        return new InetSocketAddress(host(ZONE_RELAY_THIRD_OCTET, zone), port);
     }
 
-    /** Where a datagram to all goes. */
-    InetSocketAddress all() {
-        return new InetSocketAddress(host(ALL, 0), PEERS);
+    /** Where a datagram to all proxies is sent. */
+    InetSocketAddress broadcastAddress() {
+        return new InetSocketAddress(host(BROADCAST_THIRD_OCTET, 0), PEER_PORT);
     }
 
-    static String text(InetSocketAddress a) {
-        return a.getHostString() + ":" + a.getPort();
+    /** An address as it stands in configuration files. */
+    static String text(InetSocketAddress address) {
+        return address.getHostString() + ":" + address.getPort();
     }
 
     @Override
@@ -92,7 +99,7 @@
         try {
             lock.close();
         } catch (IOException e) {
-            // nothing waits for it
+            // Nothing depends on it.
         }
     }
 }
--- a/src/main/java/cacheproxy/faulttest/DatagramRelay.java
+++ b/src/main/java/cacheproxy/faulttest/DatagramRelay.java
@@ -12,6 +12,7 @@
 import io.netty.channel.SimpleChannelInboundHandler;
 import io.netty.channel.socket.DatagramPacket;
 import java.io.IOException;
+import java.net.ConnectException;
 import java.net.InetSocketAddress;
 import java.net.PortUnreachableException;
 import java.util.HashMap;
@@ -22,28 +23,30 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * The way of every datagram between proxies. All know proxy i by one socket of the relay, its face; what comes there
- * goes on to i from the face of whoever sent it, so that both know each other by the configured addresses. One socket a
- * proxy.
+ * Relays all datagrams between proxies over faulty links. Peers know each proxy by one socket of the relay; what
+ * arrives there is forwarded to the proxy from the socket of its sender, so that both know each other by their
+ * configured addresses. The counters are read from any thread; all other state belongs to the event loop.
  */
 final class DatagramRelay implements AutoCloseable {
-    private static final int RECEIVED = 1 << 20;
-    /** Datagrams that are late on purpose and wait in the relay. */
-    static final int MOST_LATE = 100_000;
+    private static final int RECEIVE_BUFFER_BYTES = 1 << 20;
+    /** Datagrams that faults delay and that wait in the relay; more are dropped. */
+    static final int MAX_DELAYED = 100_000;
+
+    private static final int BROADCAST = -1;
 
     private final EventLoop loop;
     private final NetworkLinks links;
     private final SplittableRandom random;
     private final InetSocketAddress[] proxies;
-    private final Channel[] faces;
-    private final Channel all;
-    private final Map<InetSocketAddress, Integer> senders = new HashMap<>();
-    private final AtomicLong passed = new AtomicLong();
+    private final Channel[] sockets;
+    private final Channel broadcastSocket;
+    private final Map<InetSocketAddress, Integer> proxyByAddress = new HashMap<>();
+    private final AtomicLong forwarded = new AtomicLong();
     private final AtomicLong bytes = new AtomicLong();
     private final AtomicLong lost = new AtomicLong();
     private final AtomicLong dropped = new AtomicLong();
-    private final AtomicLong strangers = new AtomicLong();
-    private int late;
+    private final AtomicLong fromUnknownSenders = new AtomicLong();
+    private int delayed;
 
     /** @param links used on the loop alone */
     DatagramRelay(EventLoop loop, AddressSpace space, int count, NetworkLinks links, long seed)
@@ -52,51 +55,54 @@
         this.links = links;
         random = new SplittableRandom(seed);
         proxies = new InetSocketAddress[count];
-        faces = new Channel[count];
+        sockets = new Channel[count];
         try {
             for (int i = 0; i < count; i++) {
-                proxies[i] = space.proxy(i, AddressSpace.PEERS);
-                senders.put(proxies[i], i);
-                faces[i] = bind(space.face(i, AddressSpace.PEERS), i);
+                proxies[i] = space.proxyAddress(i, AddressSpace.PEER_PORT);
+                proxyByAddress.put(proxies[i], i);
+                sockets[i] = bind(space.relayAddress(i, AddressSpace.PEER_PORT), i);
             }
-            all = bind(space.all(), -1);
+            broadcastSocket = bind(space.broadcastAddress(), BROADCAST);
         } catch (Exception e) {
             close();
             throw new IOException("relay: " + e.getMessage(), e);
         }
     }
 
-    private Channel bind(InetSocketAddress to, int face) throws InterruptedException {
+    private Channel bind(InetSocketAddress address, int receiver) throws InterruptedException {
         return new Bootstrap()
                 .group(loop)
                 .channel(Transport.BEST.datagram())
-                .option(ChannelOption.SO_RCVBUF, RECEIVED)
-                .handler(new Face(face))
-                .bind(to)
+                .option(ChannelOption.SO_RCVBUF, RECEIVE_BUFFER_BYTES)
+                .handler(new Receiver(receiver))
+                .bind(address)
                 .sync()
                 .channel();
     }
 
-    /** Datagrams that came through, their bytes, those that faults lost, those that the relay itself dropped. */
-    long passed() {
-        return passed.get();
+    /** Datagrams that were forwarded. */
+    long forwarded() {
+        return forwarded.get();
     }
 
+    /** Bytes of the datagrams that were forwarded. */
     long bytes() {
         return bytes.get();
     }
 
+    /** Datagrams that faults lost. */
     long lost() {
         return lost.get();
     }
 
+    /** Datagrams that the relay dropped without a fault that loses them. */
     long dropped() {
         return dropped.get();
     }
 
-    /** Those from nobody's configured address. */
-    long strangers() {
-        return strangers.get();
+    /** Datagrams from an address of no proxy, which are not forwarded. */
+    long fromUnknownSenders() {
+        return fromUnknownSenders.get();
     }
 
     @SuppressWarnings("FutureReturnValueIgnored") // the timer is never cancelled; what it runs handles its own errors
@@ -105,71 +111,76 @@
         if (deliveries.isEmpty()) {
             lost.incrementAndGet();
         }
-        for (NetworkLinks.Delivery d : deliveries) {
-            ByteBuf copy = Unpooled.copiedBuffer(
-                    content); // on the heap: what is late when the run ends is nobody's to release
-            if (d.corrupt() && copy.readableBytes() > 0) {
-                int at = random.nextInt(copy.readableBytes());
-                copy.setByte(at, copy.getByte(at) ^ 1 + random.nextInt(255));
+        for (NetworkLinks.Delivery delivery : deliveries) {
+            // On the heap, as nobody releases what is still delayed when the run ends.
+            ByteBuf copy = Unpooled.copiedBuffer(content);
+            if (delivery.corrupt() && copy.readableBytes() > 0) {
+                changeOneByte(copy);
             }
-            if (d.delayMs() <= 0) {
+            if (delivery.delayMs() <= 0) {
                 send(from, to, copy);
-            } else if (late >= MOST_LATE) {
+            } else if (delayed >= MAX_DELAYED) {
                 dropped.incrementAndGet();
                 copy.release();
             } else {
-                late++;
+                delayed++;
                 loop.schedule(
                         () -> {
-                            late--;
+                            delayed--;
                             send(from, to, copy);
                         },
-                        (long) (d.delayMs() * 1e6),
+                        (long) (delivery.delayMs() * 1e6),
                         TimeUnit.NANOSECONDS);
             }
         }
     }
 
+    private void changeOneByte(ByteBuf content) {
+        int index = random.nextInt(content.readableBytes());
+        content.setByte(index, content.getByte(index) ^ 1 + random.nextInt(255));
+    }
+
     private void send(int from, int to, ByteBuf content) {
-        passed.incrementAndGet();
+        forwarded.incrementAndGet();
         bytes.addAndGet(content.readableBytes());
-        faces[from].writeAndFlush(new DatagramPacket(content, proxies[to])).addListener(f -> {
-            // Nobody listens at a proxy that is down.
-            if (!f.isSuccess()
-                    && !(f.cause() instanceof PortUnreachableException)
-                    && !(f.cause() instanceof java.net.ConnectException)) {
+        sockets[from].writeAndFlush(new DatagramPacket(content, proxies[to])).addListener(sent -> {
+            if (!sent.isSuccess() && !isOfAbsentProxy(sent.cause())) {
                 dropped.incrementAndGet();
             }
         });
     }
 
+    private static boolean isOfAbsentProxy(Throwable cause) {
+        return cause instanceof PortUnreachableException || cause instanceof ConnectException;
+    }
+
     @Override
     public void close() {
-        for (Channel c : faces) {
-            if (c != null) {
-                c.close().syncUninterruptibly();
+        for (Channel socket : sockets) {
+            if (socket != null) {
+                socket.close().syncUninterruptibly();
             }
         }
-        if (all != null) {
-            all.close().syncUninterruptibly();
+        if (broadcastSocket != null) {
+            broadcastSocket.close().syncUninterruptibly();
         }
     }
 
-    private final class Face extends SimpleChannelInboundHandler<DatagramPacket> {
-        /** Negative: of all. */
-        private final int of;
+    /** The handler of a socket that stands for a proxy, or for all of them. */
+    private final class Receiver extends SimpleChannelInboundHandler<DatagramPacket> {
+        private final int receiver;
 
-        Face(int of) {
-            this.of = of;
+        Receiver(int receiver) {
+            this.receiver = receiver;
         }
 
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
-            Integer from = senders.get(packet.sender());
+            Integer from = proxyByAddress.get(packet.sender());
             if (from == null) {
-                strangers.incrementAndGet();
-            } else if (of >= 0) {
-                relay(from, of, packet.content());
+                fromUnknownSenders.incrementAndGet();
+            } else if (receiver != BROADCAST) {
+                relay(from, receiver, packet.content());
             } else {
                 for (int to = 0; to < proxies.length; to++) {
                     if (to != from) {
@@ -181,7 +192,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            // A proxy that is not there; what is lost is counted where it is sent.
+            // A proxy is down; what is lost is counted where it is sent.
         }
     }
 }
--- a/src/main/java/cacheproxy/faulttest/EventLoopLag.java
+++ b/src/main/java/cacheproxy/faulttest/EventLoopLag.java
@@ -5,47 +5,52 @@
 import org.HdrHistogram.ConcurrentHistogram;
 import org.HdrHistogram.Histogram;
 
-/** How late an event loop is, by a task that should run every so often. */
+/** Measures the lag of an event loop by a periodic task. Written on the loop, read from any thread. */
 final class EventLoopLag {
-    private static final long EVERY_NANOS = 10_000_000;
+    private static final long PERIOD_NANOS = 10_000_000;
+    private static final long MAX_RECORDED_US = 3_600_000_000L;
 
-    private final Histogram micros = new ConcurrentHistogram(3_600_000_000L, 2);
-    private volatile long due;
-    private volatile long lastLate;
+    private final Histogram lagUs = new ConcurrentHistogram(MAX_RECORDED_US, 2);
+    private volatile long dueNanos;
+    private volatile long lastLagNanos;
 
+    private EventLoopLag() {}
+
+    /** Measures from now on until the loop shuts down. */
     static EventLoopLag of(EventLoop loop) {
         EventLoopLag lag = new EventLoopLag();
-        lag.due = System.nanoTime() + EVERY_NANOS;
-        lag.next(loop);
+        lag.dueNanos = System.nanoTime() + PERIOD_NANOS;
+        lag.scheduleNext(loop);
         return lag;
     }
 
     @SuppressWarnings("FutureReturnValueIgnored") // the timer is never cancelled; what it runs handles its own errors
-    private void next(EventLoop loop) {
+    private void scheduleNext(EventLoop loop) {
         if (!loop.isShuttingDown()) {
-            loop.schedule(
-                    () -> {
-                        long late = Math.max(0, System.nanoTime() - due);
-                        lastLate = late;
-                        micros.recordValue(Math.min(3_600_000_000L, late / 1000));
-                        due = System.nanoTime() + EVERY_NANOS;
-                        next(loop);
-                    },
-                    EVERY_NANOS,
-                    TimeUnit.NANOSECONDS);
+            loop.schedule(() -> measure(loop), PERIOD_NANOS, TimeUnit.NANOSECONDS);
         }
     }
 
-    /** How late what the loop sees now may be, microseconds. */
+    private void measure(EventLoop loop) {
+        long lagNanos = Math.max(0, System.nanoTime() - dueNanos);
+        lastLagNanos = lagNanos;
+        lagUs.recordValue(Math.min(MAX_RECORDED_US, lagNanos / 1000));
+        dueNanos = System.nanoTime() + PERIOD_NANOS;
+        scheduleNext(loop);
+    }
+
+    /** How much later than it happened the loop may notice something now, microseconds. */
     long nowUs() {
-        return Math.max(lastLate, Math.max(0, System.nanoTime() - due)) / 1000;
+        return Math.max(lastLagNanos, Math.max(0, System.nanoTime() - dueNanos)) / 1000;
     }
 
+    /** The 99th percentile, milliseconds. */
     double p99Ms() {
-        return micros.getValueAtPercentile(99) / 1000.0;
+        return lagUs.getValueAtPercentile(99) / 1000.0;
     }
 
+    /** The maximum, milliseconds. */
     double maxMs() {
-        return micros.getMaxValue() / 1000.0;
+        return lagUs.getMaxValue() / 1000.0;
     }
 }
--- a/src/main/java/cacheproxy/faulttest/FakeProcesses.java
+++ b/src/main/java/cacheproxy/faulttest/FakeProcesses.java
@@ -19,175 +19,213 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Nodes, origin and discovery of a run, on one thread. Where connections to nodes go through the relay, each proxy has
- * a view of discovery of its own, with the addresses that stand for the nodes there; with many proxies and nodes each
- * zone has one.
+ * The fake cache servers, origin and discovery of a run, on one event loop. Where connections to servers go through the
+ * relay, the servers' addresses differ by who connects: then each proxy has a discovery of its own that lists its
+ * addresses, or, with many proxies and servers, each zone has one. Methods may be called from any thread.
  */
 final class FakeProcesses implements AutoCloseable {
-    /** Sockets that stand for nodes; with more of them zones share theirs. */
-    static final int MOST_FACES = 2000;
+    /** Sockets of the relay that stand for servers; where more would be needed the proxies of a zone share them. */
+    static final int MAX_RELAY_SOCKETS = 2000;
+
+    /** Who shares a discovery. */
+    private enum DiscoveryScope {
+        PROXY,
+        ZONE,
+        FLEET;
+
+        static DiscoveryScope of(Scenario scenario) {
+            if (scenario.relayServers() && scenario.proxies() * scenario.servers() <= MAX_RELAY_SOCKETS) {
+                return PROXY;
+            }
+            return scenario.relayServers() || scenario.discoveryByZone() ? ZONE : FLEET;
+        }
+
+        int count(Scenario scenario) {
+            return switch (this) {
+                case PROXY -> scenario.proxies();
+                case ZONE -> scenario.zones().size();
+                case FLEET -> 1;
+            };
+        }
+    }
 
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
     private final EventLoop loop = group.next();
-    private final TargetSelector names;
+    private final Scenario scenario;
+    private final AddressSpace space;
+    private final TcpRelay relay;
+    private final TargetSelector endpoints;
     private final History history;
     private final EventLoopLag lag;
     private final EffectLedger ledger = new EffectLedger();
-    private final List<FakeCacheServer> nodes = new ArrayList<>();
+    private final List<FakeCacheServer> servers = new ArrayList<>();
     private final FakeOrigin origin;
-    private final List<FakeDiscovery> views = new ArrayList<>();
-    /** By view and node: where the node is to be found. */
-    private final List<String[]> dials = new ArrayList<>();
-
-    private final boolean byProxy;
-    private final boolean byZone;
-
-    FakeProcesses(Scenario s, AddressSpace space, TcpRelay relay, EventLoop relayLoop, History history)
-            throws InterruptedException {
+    private final DiscoveryScope scope;
+    private final List<FakeDiscovery> discoveries = new ArrayList<>();
+    /** By discovery and server: the address that it lists. */
+    private final List<String[]> listedAddresses = new ArrayList<>();
+
+    FakeProcesses(Scenario scenario, AddressSpace space, TcpRelay relay, History history) throws InterruptedException {
+        this.scenario = scenario;
+        this.space = space;
+        this.relay = relay;
         this.history = history;
-        names = s.targetSelector();
+        endpoints = scenario.targetSelector();
+        scope = DiscoveryScope.of(scenario);
         lag = EventLoopLag.of(loop);
-        ledger.observe(mark -> history.add(lag.nowUs(), "origin", Event.WRITE_APPLIED, mark, "", 0));
+        ledger.observe(write -> history.add(lag.nowUs(), "origin", Event.WRITE_APPLIED, write, "", 0));
         origin = FakeOrigin.start(loop, ledger);
-        for (int i = 0; i < s.servers(); i++) {
-            String name = TargetSelector.serverName(i);
-            nodes.add(FakeCacheServer.start(loop, ledger)
-                    .work(1000 / s.serverPerSecond())
-                    .room(s.serverQueueLimit())
-                    .observe(id -> history.add(lag.nowUs(), name, Event.COMMAND_ARRIVED, id == null ? "" : id, "", 0)));
+        for (int i = 0; i < scenario.servers(); i++) {
+            servers.add(startServer(TargetSelector.serverName(i)));
         }
-        origin.serves(nodes);
-        byProxy = s.relayServers() && s.proxies() * s.servers() <= MOST_FACES;
-        byZone = (s.relayServers() && !byProxy) || (s.discoveryByZone() && !byProxy);
-        int count = byProxy ? s.proxies() : byZone ? s.zones().size() : 1;
-        for (int v = 0; v < count; v++) {
-            views.add(FakeDiscovery.start(loop));
-            String[] dial = new String[s.servers()];
-            dials.add(dial);
-            for (int n = 0; n < s.servers(); n++) {
-                dial[n] = nodes.get(n).dial();
-                if (s.relayServers()) {
-                    InetSocketAddress at =
-                            byProxy ? space.face(v, AddressSpace.NODES + n) : space.zoneFace(v, AddressSpace.NODES + n);
-                    FakeCacheServer node = nodes.get(n);
-                    relay.face(at, v, names.proxies() + n, node::address);
-                    dial[n] = AddressSpace.text(at);
-                }
-            }
+        origin.serves(servers);
+        for (int i = 0; i < scope.count(scenario); i++) {
+            discoveries.add(FakeDiscovery.start(loop));
+            listedAddresses.add(serverAddressesFor(i));
         }
-        for (int n = 0; n < s.servers(); n++) {
-            put(n, "up", 0);
+        for (int i = 0; i < scenario.servers(); i++) {
+            list(i, "up", 0);
         }
-        views.forEach(v -> v.put("origin", origin.dial(), s.zones().get(0), "origin", "up", 0));
-        for (int p = 0; p < s.proxies(); p++) {
-            int proxy = p;
-            relay.face(
-                    space.face(p, AddressSpace.DISCOVERY),
-                    p,
-                    names.discoveryIndex(),
-                    () -> address(view(proxy).dial()));
+        String originZone = scenario.zones().get(0);
+        discoveries.forEach(discovery -> discovery.put("origin", origin.dial(), originZone, "origin", "up", 0));
+        relayDiscovery();
+    }
+
+    private FakeCacheServer startServer(String name) throws InterruptedException {
+        return FakeCacheServer.start(loop, ledger)
+                .work(1000 / scenario.serverPerSecond())
+                .room(scenario.serverQueueLimit())
+                .observe(id -> history.add(lag.nowUs(), name, Event.COMMAND_ARRIVED, id == null ? "" : id, "", 0));
+    }
+
+    private String[] serverAddressesFor(int discovery) throws InterruptedException {
+        String[] addresses = new String[servers.size()];
+        for (int i = 0; i < addresses.length; i++) {
+            FakeCacheServer server = servers.get(i);
+            addresses[i] = server.dial();
+            if (scenario.relayServers()) {
+                int port = AddressSpace.FIRST_SERVER_PORT + i;
+                InetSocketAddress address = scope == DiscoveryScope.PROXY
+                        ? space.relayAddress(discovery, port)
+                        : space.zoneRelayAddress(discovery, port);
+                relay.listen(address, discovery, endpoints.proxies() + i, server::address);
+                addresses[i] = AddressSpace.text(address);
+            }
         }
+        return addresses;
     }
 
-    private FakeDiscovery view(int proxy) {
-        return views.get(byProxy ? proxy : byZone ? names.zoneOfProxy(proxy) : 0);
+    private void relayDiscovery() throws InterruptedException {
+        for (int i = 0; i < scenario.proxies(); i++) {
+            int proxy = i;
+            relay.listen(
+                    space.relayAddress(proxy, AddressSpace.DISCOVERY_PORT),
+                    proxy,
+                    endpoints.discoveryIndex(),
+                    () -> address(discoveryOf(proxy).dial()));
+        }
     }
 
-    private static InetSocketAddress address(String dial) {
-        int colon = dial.indexOf(':');
-        return new InetSocketAddress(dial.substring(0, colon), Integer.parseInt(dial.substring(colon + 1)));
+    private FakeDiscovery discoveryOf(int proxy) {
+        return discoveries.get(
+                switch (scope) {
+                    case PROXY -> proxy;
+                    case ZONE -> endpoints.zoneOfProxy(proxy);
+                    case FLEET -> 0;
+                });
     }
 
-    private void put(int node, String health, double bornMs) {
-        for (int v = 0; v < views.size(); v++) {
-            views.get(v)
-                    .put(
-                            host(node),
-                            dials.get(v)[node],
-                            names.zones().get(names.zoneOfServer(node)),
-                            "node",
-                            health,
-                            bornMs);
-        }
+    private static InetSocketAddress address(String hostAndPort) {
+        int colon = hostAndPort.indexOf(':');
+        return new InetSocketAddress(
+                hostAndPort.substring(0, colon), Integer.parseInt(hostAndPort.substring(colon + 1)));
     }
 
-    private static String host(int node) {
-        return "s-%08x".formatted(node + 1);
+    private void list(int server, String health, double startedMs) {
+        String zone = scenario.zones().get(endpoints.zoneOfServer(server));
+        for (int i = 0; i < discoveries.size(); i++) {
+            String address = listedAddresses.get(i)[server];
+            discoveries.get(i).put("s-%08x".formatted(server + 1), address, zone, "node", health, startedMs);
+        }
     }
 
-    /** As after some hours: each node holds every key. */
+    /** Stores all keys at each server, as after some hours of service. */
     void warm(int keys) {
         for (int i = 0; i < keys; i++) {
             String key = OpenLoopWorkload.key(i);
             byte[] value = FakeOrigin.value(key).getBytes(StandardCharsets.ISO_8859_1);
-            nodes.forEach(n -> n.store(key, value));
+            servers.forEach(server -> server.store(key, value));
         }
         loop.submit(() -> {}).syncUninterruptibly();
     }
 
-    void stall(int node, double ms) {
-        nodes.get(node).stall(ms);
+    /** Has a server respond to nothing for a time. */
+    void stall(int server, double durationMs) {
+        servers.get(server).stall(durationMs);
     }
 
-    void kill(int node) {
-        history.add(0, TargetSelector.serverName(node), Event.SERVER_KILLED, "", "", 0);
-        nodes.get(node).kill();
+    /** Kills a server. */
+    void kill(int server) {
+        history.add(0, TargetSelector.serverName(server), Event.SERVER_KILLED, "", "", 0);
+        servers.get(server).kill();
     }
 
-    /** Back at the same address, empty; discovery tells its start. */
-    void revive(int node) throws IOException {
+    /** Starts a killed server again at the same address, empty; discovery lists its start time. */
+    void revive(int server) throws IOException {
         try {
-            nodes.get(node).revive();
+            servers.get(server).revive();
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
             throw new IOException(e);
         }
-        history.add(0, TargetSelector.serverName(node), Event.SERVER_STARTED, "", "", 0);
-        put(node, "up", (double) System.currentTimeMillis());
+        history.add(0, TargetSelector.serverName(server), Event.SERVER_STARTED, "", "", 0);
+        list(server, "up", (double) System.currentTimeMillis());
     }
 
-    void drain(int node, boolean on) {
-        // Proxies are told within the call. That it drains may be noted later than they know, that it is up again not:
-        // what they send
-        // by that word would seem to go to a draining node.
-        if (!on) {
-            history.add(0, TargetSelector.serverName(node), Event.SERVER_UP, "", "", 0);
-        }
-        put(node, on ? "draining" : "up", 0);
-        if (on) {
-            history.add(0, TargetSelector.serverName(node), Event.SERVER_DRAINING, "", "", 0);
-        }
+    /** Lists a server as draining. */
+    void beginDrain(int server) {
+        // Proxies are notified within the call. This event may be later than that, but not earlier.
+        list(server, "draining", 0);
+        history.add(0, TargetSelector.serverName(server), Event.SERVER_DRAINING, "", "", 0);
+    }
+
+    /** Lists a server as up again. */
+    void endDrain(int server) {
+        // Proxies are notified within the call. What they send then must not seem to go to a draining server.
+        history.add(0, TargetSelector.serverName(server), Event.SERVER_UP, "", "", 0);
+        list(server, "up", 0);
     }
 
-    /** The list as it is now, as the platform gives it to a proxy that starts. */
-    JsonObject known(int proxy) {
-        return view(proxy).whole();
+    /** The endpoint list as it is now, as the platform gives it to a proxy that starts. */
+    JsonObject knownList(int proxy) {
+        return discoveryOf(proxy).whole();
     }
 
     /** Calls that discovery has had, watches among them. */
     int discoveryCalls() {
-        return views.stream().mapToInt(FakeDiscovery::calls).sum();
+        return discoveries.stream().mapToInt(FakeDiscovery::calls).sum();
     }
 
-    /** Calls that wait there for a change. */
-    int waitingAtDiscovery() {
-        return views.stream().mapToInt(FakeDiscovery::waiting).sum();
+    /** Watches that wait at discovery for a change. */
+    int waitingWatches() {
+        return discoveries.stream().mapToInt(FakeDiscovery::waiting).sum();
     }
 
-    /** Tests of nodes: empty commands of proxies. */
-    int tests() {
-        return nodes.stream().mapToInt(FakeCacheServer::tested).sum();
+    /** Health checks that servers have had: empty commands of proxies. */
+    int healthChecks() {
+        return servers.stream().mapToInt(FakeCacheServer::tested).sum();
     }
 
+    /** The lag of the fakes' event loop. */
     EventLoopLag lag() {
         return lag;
     }
 
     @Override
     public void close() {
-        nodes.forEach(FakeCacheServer::close);
+        servers.forEach(FakeCacheServer::close);
         origin.close();
-        views.forEach(FakeDiscovery::close);
+        discoveries.forEach(FakeDiscovery::close);
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 }
--- a/src/main/java/cacheproxy/faulttest/FaultInjector.java
+++ b/src/main/java/cacheproxy/faulttest/FaultInjector.java
@@ -12,223 +12,234 @@
 import java.util.List;
 import java.util.Set;
 import java.util.SplittableRandom;
+import java.util.concurrent.ExecutionException;
 import java.util.concurrent.Executors;
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 import java.util.function.UnaryOperator;
 
 /**
- * Puts the faults of a scenario in and takes them back, each at its time. Where two befall the same thing the later one
- * has no effect there; standing still and links add up.
+ * Begins and ends the faults of a scenario, each at its time. Where two of them end or drain the same target the later
+ * one has no effect there; pauses and link faults add up. All state belongs to one thread.
  */
 final class FaultInjector implements AutoCloseable {
+    private static final int RESTART_POLL_MS = 50;
+
     private final Scenario scenario;
-    private final TargetSelector names;
+    private final TargetSelector endpoints;
     private final ProxyProcesses proxies;
-    private final FakeProcesses standIns;
+    private final FakeProcesses fakes;
     private final NetworkLinks links;
     private final EventLoop relayLoop;
-    private final TcpRelay connections;
+    private final TcpRelay relay;
     private final History history;
-    private final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor(r -> {
-        Thread t = new Thread(r, "director");
-        t.setDaemon(true);
-        return t;
-    });
-    /** Nodes that a fault has taken away or calls draining. */
-    private final Set<Integer> nodesDown = new HashSet<>();
-
-    private final List<String> troubles = new ArrayList<>();
-    /** Who holds a duty; null: not known. */
     private final UnaryOperator<String> holders;
+    private final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor(task -> {
+        Thread injector = new Thread(task, "director");
+        injector.setDaemon(true);
+        return injector;
+    });
+    /** Servers that a fault has killed or drains. */
+    private final Set<Integer> serversDown = new HashSet<>();
 
+    private final List<String> failures = new ArrayList<>();
     private int restarting;
 
+    /**
+     * Makes an injector.
+     *
+     * @param links used on the relay's loop alone
+     * @param holders the holder of a lease; null where none is known
+     */
     FaultInjector(
             Scenario scenario,
             ProxyProcesses proxies,
-            FakeProcesses standIns,
+            FakeProcesses fakes,
             NetworkLinks links,
             EventLoop relayLoop,
-            TcpRelay connections,
+            TcpRelay relay,
             History history,
             UnaryOperator<String> holders) {
-        this.holders = holders;
         this.scenario = scenario;
-        names = scenario.targetSelector();
+        endpoints = scenario.targetSelector();
         this.proxies = proxies;
-        this.standIns = standIns;
+        this.fakes = fakes;
         this.links = links;
         this.relayLoop = relayLoop;
-        this.connections = connections;
+        this.relay = relay;
         this.history = history;
+        this.holders = holders;
     }
 
-    /** Whatever goes wrong in the faults themselves is told by {@link #finish}. */
-    private interface Act {
+    /** A step of a fault; {@link #finish} reports the first that failed. */
+    private interface Step {
         void run() throws IOException;
     }
 
+    /** A step at a target, by its index. */
+    private interface TargetStep {
+        void run(int index) throws IOException;
+    }
+
     @SuppressWarnings("FutureReturnValueIgnored") // the timer is never cancelled; what it runs handles its own errors
-    private void at(double ms, Act act) {
+    private void schedule(double delayMs, Step step) {
         thread.schedule(
                 () -> {
                     try {
-                        act.run();
+                        step.run();
                     } catch (IOException | RuntimeException e) {
-                        troubles.add(e.toString());
+                        failures.add(e.toString());
                     }
                 },
-                (long) (ms * 1000),
+                (long) (delayMs * 1000),
                 TimeUnit.MICROSECONDS);
     }
 
-    /** From now on. */
+    /** Schedules all faults from now on. */
     void start() {
-        for (int n = 0; n < scenario.faults().size(); n++) {
-            Fault f = scenario.faults().get(n);
-            String id = Integer.toString(n);
-            if (f.holderOf().isEmpty()) {
-                put(id, f);
+        for (int i = 0; i < scenario.faults().size(); i++) {
+            Fault fault = scenario.faults().get(i);
+            String id = Integer.toString(i);
+            if (fault.holderOf().isEmpty()) {
+                schedule(id, fault);
             } else {
-                at(f.atMs(), () -> put(id, onHolder(f)));
+                schedule(fault.atMs(), () -> schedule(id, atHolder(fault)));
             }
         }
     }
 
-    /** The same from now on, befalling who holds the duty. */
-    private Fault onHolder(Fault f) {
-        String holder = holders.apply(f.holderOf());
-        List<String> who = holder == null ? f.targets() : List.of(holder);
-        List<String> rest = new ArrayList<>(names.select("proxies", new SplittableRandom(0)));
-        rest.removeAll(who);
-        return f.withTimeAndTargets(
-                0, who, f.linkPeers().stream().allMatch(t -> t.startsWith("p")) && f.onLinks() ? rest : f.linkPeers());
-    }
-
-    private void put(String id, Fault f) {
-        if (f.onLinks()) {
-            at(f.atMs(), () -> links(id, f, true));
-            at(f.endMs(), () -> links(id, f, false));
-        } else {
-            for (int w = 0; w < f.targets().size(); w++) {
-                int index = names.indexOf(f.targets().get(w));
-                befall(f, index, f.atMs() + w * f.staggerMs());
-            }
-            at(
-                    f.atMs(),
-                    () -> history.add(
-                            0,
-                            "rig",
-                            Event.FAULT_STARTED,
-                            id,
-                            f.kind().tomlName() + " " + String.join(",", f.targets()),
-                            0));
-            at(f.endMs(), () -> history.add(0, "rig", Event.FAULT_ENDED, id, "", 0));
+    /** The same fault from now on, at the holder of its lease. */
+    private Fault atHolder(Fault fault) {
+        String holder = holders.apply(fault.holderOf());
+        List<String> targets = holder == null ? fault.targets() : List.of(holder);
+        boolean betweenProxies = fault.onLinks() && fault.linkPeers().stream().allMatch(name -> name.startsWith("p"));
+        if (!betweenProxies) {
+            return fault.withTimeAndTargets(0, targets, fault.linkPeers());
         }
+        List<String> others = new ArrayList<>(endpoints.select("proxies", new SplittableRandom(0)));
+        others.removeAll(targets);
+        return fault.withTimeAndTargets(0, targets, others);
     }
 
-    private void links(String id, Fault f, boolean on) {
-        if (on) {
-            history.add(
-                    0,
-                    "rig",
-                    Event.FAULT_STARTED,
-                    id,
-                    "link " + String.join(",", f.targets()) + " to " + String.join(",", f.linkPeers()),
-                    0);
+    private void schedule(String id, Fault fault) {
+        if (fault.onLinks()) {
+            schedule(fault.atMs(), () -> beginLinkFault(id, fault));
+            schedule(fault.endMs(), () -> endLinkFault(id, fault));
+            return;
         }
+        for (int i = 0; i < fault.targets().size(); i++) {
+            int index = endpoints.indexOf(fault.targets().get(i));
+            scheduleAtTarget(fault, index, fault.atMs() + i * fault.staggerMs());
+        }
+        String text = fault.kind().tomlName() + " " + String.join(",", fault.targets());
+        schedule(fault.atMs(), () -> recordStart(id, text));
+        schedule(fault.endMs(), () -> recordEnd(id));
+    }
+
+    private void recordStart(String id, String text) {
+        history.add(0, Event.RUNNER, Event.FAULT_STARTED, id, text, 0);
+    }
+
+    private void recordEnd(String id) {
+        history.add(0, Event.RUNNER, Event.FAULT_ENDED, id, "", 0);
+    }
+
+    private void beginLinkFault(String id, Fault fault) {
+        recordStart(id, "link " + String.join(",", fault.targets()) + " to " + String.join(",", fault.linkPeers()));
+        changeLinks(() -> links.begin(fault));
+    }
+
+    private void endLinkFault(String id, Fault fault) {
+        changeLinks(() -> links.end(fault));
+        recordEnd(id);
+    }
+
+    private void changeLinks(Runnable change) {
         relayLoop
                 .submit(() -> {
-                    if (on) {
-                        links.begin(f);
-                    } else {
-                        links.end(f);
-                    }
-                    connections.changed();
+                    change.run();
+                    relay.linksChanged();
                 })
                 .syncUninterruptibly();
-        if (!on) {
-            history.add(0, "rig", Event.FAULT_ENDED, id, "", 0);
-        }
     }
 
-    private void befall(Fault f, int index, double atMs) {
-        double endMs = atMs + f.durationMs();
-        switch (f.kind()) {
+    private void scheduleAtTarget(Fault fault, int index, double atMs) {
+        double durationMs = fault.durationMs();
+        double endMs = atMs + durationMs;
+        switch (fault.kind()) {
             case PAUSE -> {
-                at(atMs, () -> proxies.stop(index));
-                at(endMs, () -> proxies.proceed(index));
+                schedule(atMs, () -> proxies.get(index).pause());
+                schedule(endMs, () -> proxies.get(index).resume());
             }
-            case SLOW -> at(atMs, () -> beat(f, index, System.nanoTime() + (long) (f.durationMs() * 1e6)));
-            case KILL, TERMINATE ->
-                at(atMs, () -> {
-                    if (proxies.end(index, f.kind() == Fault.Kind.KILL)) {
-                        restarting++;
-                        at(
-                                f.durationMs(),
-                                () -> proxies.again(
-                                        index,
-                                        f.emptyDisk(),
-                                        failed -> at(0, () -> {
-                                            restarting--;
-                                            if (failed != null) {
-                                                throw new IOException(failed);
-                                            }
-                                            proxies.isUp(index);
-                                        })));
-                    }
-                });
-            case SERVER_STALL -> at(atMs, () -> standIns.stall(index - names.proxies(), f.durationMs()));
-            case SERVER_KILL -> node(index, atMs, endMs, n -> standIns.kill(n), standIns::revive);
-            case SERVER_DRAIN -> node(index, atMs, endMs, n -> standIns.drain(n, true), n -> standIns.drain(n, false));
-            default -> throw new IllegalArgumentException(f.kind() + " befalls no process");
+            case SLOW ->
+                schedule(atMs, () -> pauseForCycle(fault, index, System.nanoTime() + (long) (durationMs * 1e6)));
+            case KILL, TERMINATE -> schedule(atMs, () -> endProxy(fault, index));
+            case SERVER_STALL -> schedule(atMs, () -> fakes.stall(index - endpoints.proxies(), durationMs));
+            case SERVER_KILL -> scheduleAtServer(index, atMs, endMs, fakes::kill, fakes::revive);
+            case SERVER_DRAIN -> scheduleAtServer(index, atMs, endMs, fakes::beginDrain, fakes::endDrain);
+            default -> throw new IllegalArgumentException(fault.kind() + " befalls no process");
         }
     }
 
-    private interface NodeAct {
-        void on(int node) throws IOException;
+    private void endProxy(Fault fault, int proxy) throws IOException {
+        if (proxies.get(proxy).end(fault.kind() == Fault.Kind.KILL)) {
+            restarting++;
+            schedule(
+                    fault.durationMs(),
+                    () -> proxies.restart(
+                            proxy, fault.emptyDisk(), failure -> schedule(0, () -> restarted(proxy, failure))));
+        }
+    }
+
+    private void restarted(int proxy, Exception failure) throws IOException {
+        restarting--;
+        if (failure != null) {
+            throw new IOException(failure);
+        }
+        proxies.get(proxy).markUp();
     }
 
-    private void node(int index, double atMs, double endMs, NodeAct begin, NodeAct end) {
-        int node = index - names.proxies();
-        at(atMs, () -> {
-            if (nodesDown.add(node)) {
-                begin.on(node);
-                at(endMs - atMs, () -> {
-                    end.on(node);
-                    nodesDown.remove(node);
+    private void scheduleAtServer(int index, double atMs, double endMs, TargetStep begin, TargetStep end) {
+        int server = index - endpoints.proxies();
+        schedule(atMs, () -> {
+            if (serversDown.add(server)) {
+                begin.run(server);
+                schedule(endMs - atMs, () -> {
+                    end.run(server);
+                    serversDown.remove(server);
                 });
             }
         });
     }
 
-    /** One beat after another: it runs for its share of each. */
-    private void beat(Fault f, int index, long untilNanos) throws IOException {
-        proxies.stop(index);
-        at(f.cycleMs() * (1 - f.speedShare()), () -> {
-            proxies.proceed(index);
+    /** Pauses a slowed proxy for a part of each cycle, one cycle after another. */
+    private void pauseForCycle(Fault fault, int proxy, long untilNanos) throws IOException {
+        proxies.get(proxy).pause();
+        schedule(fault.cycleMs() * (1 - fault.speedShare()), () -> {
+            proxies.get(proxy).resume();
             if (System.nanoTime() < untilNanos) {
-                at(f.cycleMs() * f.speedShare(), () -> beat(f, index, untilNanos));
+                schedule(fault.cycleMs() * fault.speedShare(), () -> pauseForCycle(fault, proxy, untilNanos));
             }
         });
     }
 
-    /** Waits until all that was ended is up again; throws if a fault could not be put in or taken back. */
-    void finish(double mostMs) throws IOException, InterruptedException {
-        long until = System.nanoTime() + (long) (mostMs * 1e6);
+    /** Waits until all proxies are up again; throws if they are not in time, or if a step of a fault failed. */
+    void finish(double maxMs) throws IOException, InterruptedException {
+        long untilNanos = System.nanoTime() + (long) (maxMs * 1e6);
         try {
-            while (thread.schedule(() -> restarting, 50, TimeUnit.MILLISECONDS).get() > 0) {
-                if (System.nanoTime() > until) {
+            while (thread.schedule(() -> restarting, RESTART_POLL_MS, TimeUnit.MILLISECONDS)
+                            .get()
+                    > 0) {
+                if (System.nanoTime() > untilNanos) {
                     throw new IOException(
-                            restarting + " proxies were not back " + (int) (mostMs / 1000) + " s after the load's end");
+                            restarting + " proxies were not back " + (int) (maxMs / 1000) + " s after the load's end");
                 }
             }
-            List<String> told = thread.submit(() -> List.copyOf(troubles)).get();
-            if (!told.isEmpty()) {
-                throw new IOException("a fault failed: " + told.get(0));
+            List<String> failed = thread.submit(() -> List.copyOf(failures)).get();
+            if (!failed.isEmpty()) {
+                throw new IOException("a fault failed: " + failed.get(0));
             }
-        } catch (java.util.concurrent.ExecutionException e) {
+        } catch (ExecutionException e) {
             throw new IOException(e);
         }
     }
--- a/src/main/java/cacheproxy/faulttest/FencedWriter.java
+++ b/src/main/java/cacheproxy/faulttest/FencedWriter.java
@@ -9,50 +9,45 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * What is done under duties, counted where it is received: a job beside each proxy that hears that it may act does so,
- * some after having stood still in the midst of it for longer than any lease, and a store takes what it writes unless
- * it comes under an older epoch than it has seen. On one event loop.
+ * Leader actions under leases, recorded where they are received. Beside each proxy there is a job that acts while the
+ * proxy holds a lease, sometimes after a pause longer than any lease; a store accepts its writes unless they come under
+ * an older epoch than one that it has seen. Used on one event loop.
  */
 final class FencedWriter {
-    private static final double STANDS_STILL = 0.05;
-    private static final double LONGEST_MS = 4000;
-    private static final double USUAL_MS = 20;
+    private static final double PAUSE_SHARE = 0.05;
+    private static final double MAX_PAUSED_MS = 4000;
+    private static final double MAX_USUAL_MS = 20;
 
     private final EventLoop loop;
     private final History history;
     private final SplittableRandom random;
-    private final FencingTokenCheck guard = new FencingTokenCheck();
-    /** By proxy and duty: whether a job is at it. */
-    private final boolean[][] busy;
+    private final FencingTokenCheck store = new FencingTokenCheck();
+    /** By proxy and lease: whether the job is acting. */
+    private final boolean[][] acting;
 
-    FencedWriter(EventLoop loop, History history, int proxies, int duties, long seed) {
+    FencedWriter(EventLoop loop, History history, int proxies, int leases, long seed) {
         this.loop = loop;
         this.history = history;
         random = new SplittableRandom(seed + 7);
-        busy = new boolean[proxies][duties];
+        acting = new boolean[proxies][leases];
     }
 
-    /** A proxy has said that the job beside it may act. */
+    /** Lets the job beside a proxy act, as the proxy reported that it holds a lease; ignored while the job acts. */
     @SuppressWarnings("FutureReturnValueIgnored") // the timer is never cancelled; what it runs handles its own errors
-    void may(int proxy, int number, String duty, long epoch) {
-        if (busy[proxy][number]) {
+    void act(int proxy, int leaseIndex, String lease, long epoch) {
+        if (acting[proxy][leaseIndex]) {
             return;
         }
-        busy[proxy][number] = true;
-        double takes = random.nextDouble() * (random.nextDouble() < STANDS_STILL ? LONGEST_MS : USUAL_MS);
+        acting[proxy][leaseIndex] = true;
+        double durationMs = random.nextDouble() * (random.nextDouble() < PAUSE_SHARE ? MAX_PAUSED_MS : MAX_USUAL_MS);
         loop.schedule(
                 () -> {
-                    busy[proxy][number] = false;
-                    boolean accepted = guard.accepts(NameHash.of(duty), epoch);
-                    history.add(
-                            0,
-                            TargetSelector.proxyName(proxy),
-                            Event.LEADER_ACTION,
-                            duty,
-                            accepted ? "accepted" : "refused",
-                            (double) epoch);
+                    acting[proxy][leaseIndex] = false;
+                    boolean accepted = store.accepts(NameHash.of(lease), epoch);
+                    String detail = accepted ? Event.ACCEPTED : Event.REJECTED;
+                    history.add(0, TargetSelector.proxyName(proxy), Event.LEADER_ACTION, lease, detail, (double) epoch);
                 },
-                (long) (takes * 1000),
+                (long) (durationMs * 1000),
                 TimeUnit.MICROSECONDS);
     }
 }
--- a/src/main/java/cacheproxy/faulttest/History.java
+++ b/src/main/java/cacheproxy/faulttest/History.java
@@ -20,68 +20,78 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * All events of a run in one file, a line of JSON each, on one clock. From any thread; what does not fit is counted.
+ * The history file of a run: a line of JSON for each event, all on one clock. Events come from any thread and are
+ * written by a thread of its own; those that don't fit into the queue are counted and dropped.
  */
 final class History implements AutoCloseable {
-    private static final int WAITING = 200_000;
+    private static final int QUEUE_LIMIT = 200_000;
+    /** Ends the writer. */
     private static final Event END = new Event(0, 0, "", "", "", "", 0);
 
     private final long startNanos = System.nanoTime();
-    private final BlockingQueue<Event> waiting = new ArrayBlockingQueue<>(WAITING);
+    private final BlockingQueue<Event> queue = new ArrayBlockingQueue<>(QUEUE_LIMIT);
     private final AtomicLong dropped = new AtomicLong();
     private final Thread writer;
-    private volatile IOException failed;
+    private volatile IOException failure;
 
+    /** Opens a file; its first event is the scenario. */
     History(Path file, Scenario scenario) throws IOException {
         BufferedWriter out = Files.newBufferedWriter(file);
-        writer = new Thread(() -> write(out), "history");
+        writer = new Thread(() -> writeAll(out), "history");
         writer.start();
-        add(0, "rig", Event.SCENARIO, scenario.name(), scenario.toToml(), 0);
+        add(0, Event.RUNNER, Event.SCENARIO, scenario.name(), scenario.toToml(), 0);
     }
 
     /** Microseconds since the start. */
-    long now() {
+    long nowUs() {
         return (System.nanoTime() - startNanos) / 1000;
     }
 
-    void add(long offUs, String who, String what, String id, String detail, double value) {
-        if (!waiting.offer(new Event(now(), offUs, who, what, id, detail, value))) {
+    /** Adds an event that was noticed now; see {@link Event} for what its parts are. */
+    void add(long uncertaintyUs, String endpoint, String type, String id, String detail, double value) {
+        if (!queue.offer(new Event(nowUs(), uncertaintyUs, endpoint, type, id, detail, value))) {
             dropped.incrementAndGet();
         }
     }
 
+    /** Events that did not fit into the queue. */
     long dropped() {
         return dropped.get();
     }
 
     @SuppressWarnings("ReferenceEquality") // identity is meant
-    private void write(BufferedWriter out) {
+    private void writeAll(BufferedWriter out) {
         try (out) {
-            for (Event e; (e = waiting.take()) != END; ) {
-                if (failed == null) {
-                    try {
-                        out.write(line(e));
-                        out.write('\n');
-                    } catch (IOException f) {
-                        failed = f;
-                    }
+            for (Event event; (event = queue.take()) != END; ) {
+                if (failure == null) {
+                    write(out, event);
                 }
             }
-        } catch (IOException f) {
-            failed = f;
-        } catch (InterruptedException f) {
+        } catch (IOException e) {
+            failure = e;
+        } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
+    /** After a failure the queue is still emptied, so that nobody waits for it. */
+    private void write(BufferedWriter out, Event event) {
+        try {
+            out.write(toJson(event));
+            out.write('\n');
+        } catch (IOException e) {
+            failure = e;
+        }
+    }
+
     /** Waits until all is written; throws if it could not be. */
     void finish() throws IOException, InterruptedException {
         if (writer.isAlive()) {
-            waiting.put(END);
+            queue.put(END);
             writer.join();
         }
-        if (failed != null) {
-            throw failed;
+        if (failure != null) {
+            throw failure;
         }
     }
 
@@ -90,43 +100,39 @@
         try {
             finish();
         } catch (IOException e) {
-            // finish has told it, or nobody asks for the file any more
+            // An earlier call has thrown it, or nobody needs the file any more.
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    static String line(Event e) throws IOException {
+    private static String toJson(Event event) throws IOException {
         StringWriter text = new StringWriter(96);
         try (JsonWriter json = new JsonWriter(text)) {
-            json.beginObject()
-                    .name("us")
-                    .value(e.timeUs())
-                    .name("off")
-                    .value(e.uncertaintyUs())
-                    .name("who")
-                    .value(e.endpoint())
-                    .name("what")
-                    .value(e.type());
-            if (!e.id().isEmpty()) {
-                json.name("id").value(e.id());
+            json.beginObject();
+            json.name("us").value(event.timeUs());
+            json.name("off").value(event.uncertaintyUs());
+            json.name("who").value(event.endpoint());
+            json.name("what").value(event.type());
+            if (!event.id().isEmpty()) {
+                json.name("id").value(event.id());
             }
-            if (!e.detail().isEmpty()) {
-                json.name("detail").value(e.detail());
+            if (!event.detail().isEmpty()) {
+                json.name("detail").value(event.detail());
             }
-            if (e.value() != 0) {
-                json.name("value").value(e.value());
+            if (event.value() != 0) {
+                json.name("value").value(event.value());
             }
             json.endObject();
         }
         return text.toString();
     }
 
-    static Event event(String line) throws IOException {
-        long us = 0;
-        long off = 0;
-        String who = "";
-        String what = "";
+    private static Event fromJson(String line) throws IOException {
+        long timeUs = 0;
+        long uncertaintyUs = 0;
+        String endpoint = "";
+        String type = "";
         String id = "";
         String detail = "";
         double value = 0;
@@ -134,10 +140,10 @@
             json.beginObject();
             while (json.hasNext()) {
                 switch (json.nextName()) {
-                    case "us" -> us = json.nextLong();
-                    case "off" -> off = json.nextLong();
-                    case "who" -> who = json.nextString();
-                    case "what" -> what = json.nextString();
+                    case "us" -> timeUs = json.nextLong();
+                    case "off" -> uncertaintyUs = json.nextLong();
+                    case "who" -> endpoint = json.nextString();
+                    case "what" -> type = json.nextString();
                     case "id" -> id = json.nextString();
                     case "detail" -> detail = json.nextString();
                     case "value" -> value = json.nextDouble();
@@ -146,27 +152,22 @@
             }
             json.endObject();
         }
-        return new Event(us, off, who, what, id, detail, value);
+        return new Event(timeUs, uncertaintyUs, endpoint, type, id, detail, value);
     }
 
-    /** Reads a file; the exception says which line is of no use. */
+    /** Reads a file; a ConfigException says which line is malformed, or that there is no scenario. */
     static RunHistory read(Path file) throws IOException, ConfigException {
         List<Event> events = new ArrayList<>();
         Scenario scenario = null;
-        try (BufferedReader in = Files.newBufferedReader(file)) {
-            int n = 0;
-            for (String line; (line = in.readLine()) != null; ) {
-                n++;
-                Event e;
-                try {
-                    e = event(line);
-                } catch (IOException | IllegalStateException | NumberFormatException x) {
-                    throw ConfigException.of(List.of(file + ":" + n + ":1: no event: " + x.getMessage()));
-                }
-                if (e.type().equals(Event.SCENARIO)) {
-                    scenario = ScenarioReader.parse(e.id(), e.detail(), null);
+        try (BufferedReader lines = Files.newBufferedReader(file)) {
+            int lineNumber = 0;
+            for (String line; (line = lines.readLine()) != null; ) {
+                lineNumber++;
+                Event event = parse(line, file + ":" + lineNumber + ":1");
+                if (event.is(Event.SCENARIO)) {
+                    scenario = ScenarioReader.parse(event.id(), event.detail(), null);
                 } else {
-                    events.add(e);
+                    events.add(event);
                 }
             }
         }
@@ -175,4 +176,12 @@
         }
         return new RunHistory(scenario, events);
     }
+
+    private static Event parse(String line, String place) throws ConfigException {
+        try {
+            return fromJson(line);
+        } catch (IOException | IllegalStateException | NumberFormatException e) {
+            throw ConfigException.of(List.of(place + ": no event: " + e.getMessage()));
+        }
+    }
 }
--- a/src/main/java/cacheproxy/faulttest/HostLoad.java
+++ b/src/main/java/cacheproxy/faulttest/HostLoad.java
@@ -7,41 +7,41 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** How often nearly all processors of the machine were busy, with whatever: looked at every half second. */
+/** Samples how often nearly all processors of the machine are busy, with whatever program. Thread-safe. */
 final class HostLoad implements AutoCloseable {
-    private static final long EVERY_MS = 500;
+    private static final long PERIOD_MS = 500;
 
     private final OperatingSystemMXBean machine = (OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
-    private final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor(r -> {
-        Thread t = new Thread(r, "machine load");
-        t.setDaemon(true);
-        return t;
+    private final ScheduledExecutorService sampler = Executors.newSingleThreadScheduledExecutor(task -> {
+        Thread thread = new Thread(task, "machine load");
+        thread.setDaemon(true);
+        return thread;
     });
-    private int looks;
-    private int busy;
+    private int samples;
+    private int busySamples;
 
-    /** Looks from now on. */
+    /** Samples from now on. */
     @SuppressWarnings("FutureReturnValueIgnored") // the timer is never cancelled; what it runs handles its own errors
-    void begin() {
-        machine.getCpuLoad(); // the first look has nothing to compare with
-        thread.scheduleAtFixedRate(this::look, EVERY_MS, EVERY_MS, TimeUnit.MILLISECONDS);
+    void start() {
+        machine.getCpuLoad(); // the first value has nothing to compare with
+        sampler.scheduleAtFixedRate(this::sample, PERIOD_MS, PERIOD_MS, TimeUnit.MILLISECONDS);
     }
 
-    private synchronized void look() {
+    private synchronized void sample() {
         double load = machine.getCpuLoad();
         if (load >= 0) {
-            looks++;
-            busy += load > RunValidity.BUSY_CPU_LOAD ? 1 : 0;
+            samples++;
+            busySamples += load > RunValidity.BUSY_CPU_LOAD ? 1 : 0;
         }
     }
 
-    /** Share of the looks so far. */
-    synchronized double busy() {
-        return looks == 0 ? 0 : (double) busy / looks;
+    /** The share of the samples so far, 0 to 1, in which nearly all processors were busy. */
+    synchronized double busyShare() {
+        return samples == 0 ? 0 : (double) busySamples / samples;
     }
 
     @Override
     public void close() {
-        thread.shutdownNow();
+        sampler.shutdownNow();
     }
 }
--- a/src/main/java/cacheproxy/faulttest/LeasePoller.java
+++ b/src/main/java/cacheproxy/faulttest/LeasePoller.java
@@ -1,18 +1,19 @@
 package cacheproxy.faulttest;
 
 import cacheproxy.faulttest.check.Event;
+import cacheproxy.faulttest.scenario.Scenario;
 import cacheproxy.faulttest.scenario.TargetSelector;
 import cacheproxy.proxy.net.Transport;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
 import io.netty.channel.Channel;
+import io.netty.channel.ChannelFuture;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
 import io.netty.channel.ChannelInitializer;
 import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
-import java.net.InetSocketAddress;
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 import java.util.Map;
@@ -21,135 +22,142 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Asks each proxy at its control address whether it holds a duty, as those who act under it would, one call of each at
- * a time.
+ * Polls each proxy at its control address whether it holds a lease, as jobs that act under the lease do; one call at a
+ * time for each proxy and lease. Used on one event loop but for {@link #holder}.
  */
 final class LeasePoller {
-    private static final long PATIENCE_MS = 60_000;
+    private static final long CALL_TIMEOUT_MS = 60_000;
+    private static final int CONNECT_TIMEOUT_MS = 2000;
+    private static final String END_OF_HEADERS = "\r\n\r\n";
 
     private final EventLoop loop;
     private final AddressSpace space;
     private final History history;
-    private final FencedWriter acts;
+    private final List<String> leases;
+    private final FencedWriter writer;
     private final Map<String, String> holders = new ConcurrentHashMap<>();
+    /** By proxy and lease: whether a call is open. */
+    private final boolean[][] polling;
+
     private Future<?> ticks;
 
-    private LeasePoller(EventLoop loop, AddressSpace space, History history, FencedWriter acts) {
-        this.acts = acts;
+    private LeasePoller(EventLoop loop, AddressSpace space, History history, Scenario scenario) {
         this.loop = loop;
         this.space = space;
         this.history = history;
+        leases = scenario.leases();
+        writer = new FencedWriter(loop, history, scenario.proxies(), leases.size(), scenario.seed());
+        polling = new boolean[scenario.proxies()][leases.size()];
     }
 
-    static LeasePoller start(
-            EventLoop loop,
-            AddressSpace space,
-            History history,
-            int proxies,
-            List<String> duties,
-            double everyMs,
-            long seed) {
-        LeasePoller polls =
-                new LeasePoller(loop, space, history, new FencedWriter(loop, history, proxies, duties.size(), seed));
-        boolean[][] out = new boolean[proxies][duties.size()];
-        polls.ticks = loop.scheduleAtFixedRate(
-                () -> {
-                    for (int p = 0; p < proxies; p++) {
-                        for (int d = 0; d < duties.size(); d++) {
-                            if (!out[p][d]) {
-                                out[p][d] = true;
-                                int proxy = p;
-                                int duty = d;
-                                polls.ask(proxy, duty, duties.get(duty), () -> out[proxy][duty] = false);
-                            }
-                        }
-                    }
-                },
-                (long) everyMs,
-                (long) everyMs,
-                TimeUnit.MILLISECONDS);
-        return polls;
+    /** Polls for the leases of a scenario from now on. */
+    static LeasePoller start(EventLoop loop, AddressSpace space, History history, Scenario scenario) {
+        LeasePoller poller = new LeasePoller(loop, space, history, scenario);
+        long periodMs = (long) scenario.pollMs();
+        poller.ticks = loop.scheduleAtFixedRate(poller::pollAll, periodMs, periodMs, TimeUnit.MILLISECONDS);
+        return poller;
     }
 
-    /** Who said last that it holds a duty; null: nobody has. From any thread. */
-    String holder(String duty) {
-        return holders.get(duty);
+    /** The proxy that last reported that it holds a lease; null if none has. From any thread. */
+    String holder(String lease) {
+        return holders.get(lease);
     }
 
+    /** Begins no more calls. */
     void stop() {
         ticks.cancel(false);
     }
 
+    private void pollAll() {
+        for (int proxy = 0; proxy < polling.length; proxy++) {
+            for (int leaseIndex = 0; leaseIndex < leases.size(); leaseIndex++) {
+                if (!polling[proxy][leaseIndex]) {
+                    polling[proxy][leaseIndex] = true;
+                    poll(proxy, leaseIndex);
+                }
+            }
+        }
+    }
+
     @SuppressWarnings("FutureReturnValueIgnored") // the timer is never cancelled; what it runs handles its own errors
-    private void ask(int proxy, int number, String duty, Runnable over) {
-        InetSocketAddress to = space.proxy(proxy, AddressSpace.CONTROL);
-        new Bootstrap()
+    private void poll(int proxy, int leaseIndex) {
+        ChannelFuture connect = new Bootstrap()
                 .group(loop)
                 .channel(Transport.BEST.socket())
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, 2000)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MS)
                 .handler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new Call(proxy, number, duty));
+                        channel.pipeline().addLast(new Call(proxy, leaseIndex));
                     }
                 })
-                .connect(to)
-                .addListener(f -> {
-                    Channel channel = ((io.netty.channel.ChannelFuture) f).channel();
-                    if (!f.isSuccess()) {
-                        over.run();
-                        return;
-                    }
-                    channel.closeFuture().addListener(g -> over.run());
-                    loop.schedule(() -> channel.close(), PATIENCE_MS, TimeUnit.MILLISECONDS);
-                });
+                .connect(space.proxyAddress(proxy, AddressSpace.CONTROL_PORT));
+        connect.addListener(connected -> {
+            if (!connected.isSuccess()) {
+                polling[proxy][leaseIndex] = false;
+                return;
+            }
+            Channel channel = connect.channel();
+            channel.closeFuture().addListener(closed -> polling[proxy][leaseIndex] = false);
+            loop.schedule(() -> channel.close(), CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
+        });
     }
 
+    /** One call on a connection of its own. */
     private final class Call extends ChannelInboundHandlerAdapter {
         private final int proxy;
-        private final int number;
-        private final String duty;
-        private final StringBuilder text = new StringBuilder();
+        private final int leaseIndex;
+        private final String lease;
+        private final StringBuilder response = new StringBuilder();
         private long sentUs;
 
-        Call(int proxy, int number, String duty) {
+        Call(int proxy, int leaseIndex) {
             this.proxy = proxy;
-            this.number = number;
-            this.duty = duty;
+            this.leaseIndex = leaseIndex;
+            lease = leases.get(leaseIndex);
         }
 
         @SuppressWarnings("FutureReturnValueIgnored") // a failed write closes the channel, and the close is handled
         @Override
         public void channelActive(ChannelHandlerContext ctx) {
-            sentUs = history.now();
+            sentUs = history.nowUs();
             ctx.writeAndFlush(
-                    ByteBufUtil.writeAscii(ctx.alloc(), "GET /duties/" + duty + " HTTP/1.1\r\nHost: rig\r\n\r\n"));
+                    ByteBufUtil.writeAscii(ctx.alloc(), "GET /duties/" + lease + " HTTP/1.1\r\nHost: rig\r\n\r\n"));
         }
 
         @SuppressWarnings("FutureReturnValueIgnored") // the close is observed where the channel becomes inactive
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
-            ByteBuf in = (ByteBuf) message;
-            text.append(in.toString(StandardCharsets.ISO_8859_1));
-            in.release();
-            int body = text.indexOf("\r\n\r\n");
-            if (body < 0 || text.indexOf("\n", body + 4) < 0) {
+            ByteBuf input = (ByteBuf) message;
+            response.append(input.toString(StandardCharsets.ISO_8859_1));
+            input.release();
+            int headersEnd = response.indexOf(END_OF_HEADERS);
+            if (headersEnd < 0) {
+                return;
+            }
+            int bodyStart = headersEnd + END_OF_HEADERS.length();
+            if (response.indexOf("\n", bodyStart) < 0) {
                 return;
             }
-            boolean yes = text.indexOf("HTTP/1.1 200") == 0;
-            long epoch = yes ? Long.parseLong(text.substring(body + 4).strip()) : 0;
+            report(response.substring(bodyStart).strip());
+            ctx.close();
+        }
+
+        private void report(String body) {
+            boolean held = response.indexOf("HTTP/1.1 200") == 0;
+            long epoch = held ? Long.parseLong(body) : 0;
+            String name = TargetSelector.proxyName(proxy);
             history.add(
-                    history.now() - sentUs,
-                    TargetSelector.proxyName(proxy),
+                    history.nowUs() - sentUs,
+                    name,
                     Event.LEASE_POLLED,
-                    duty,
-                    yes ? "yes" : "no",
+                    lease,
+                    held ? Event.HELD : Event.NOT_HELD,
                     (double) epoch);
-            if (yes) {
-                holders.put(duty, TargetSelector.proxyName(proxy));
-                acts.may(proxy, number, duty, epoch);
+            if (held) {
+                holders.put(lease, name);
+                writer.act(proxy, leaseIndex, lease, epoch);
             }
-            ctx.close();
         }
 
         @SuppressWarnings("FutureReturnValueIgnored") // the close is observed where the channel becomes inactive
--- a/src/main/java/cacheproxy/faulttest/ParentWatchdog.java
+++ b/src/main/java/cacheproxy/faulttest/ParentWatchdog.java
@@ -4,30 +4,30 @@
 import java.io.IOException;
 
 /**
- * The program as a child of the rig: all that differs is a thread that reads standard input, whose end is the parent's
- * end. So no child outlives a rig that was killed.
+ * The program as a child of a fault test: besides the program, a thread reads standard input, which ends when the
+ * parent ends. So no child outlives a parent that was killed.
  */
 public final class ParentWatchdog {
-    private static final int ORPHAN = 97;
+    private static final int PARENT_ENDED_EXIT_CODE = 97;
 
     private ParentWatchdog() {}
 
-    /** Takes the program's own words. */
+    /** Runs the program with its own arguments. */
     public static void main(String[] args) {
-        Thread parent = new Thread(
-                () -> {
-                    try {
-                        while (System.in.read() >= 0) {
-                            // nobody writes
-                        }
-                    } catch (IOException e) {
-                        // an end as well
-                    }
-                    Runtime.getRuntime().halt(ORPHAN);
-                },
-                "parent");
-        parent.setDaemon(true);
-        parent.start();
+        Thread watchdog = new Thread(ParentWatchdog::awaitParentEnd, "parent");
+        watchdog.setDaemon(true);
+        watchdog.start();
         Main.main(args);
     }
+
+    private static void awaitParentEnd() {
+        try {
+            while (System.in.read() >= 0) {
+                // Nobody writes.
+            }
+        } catch (IOException e) {
+            // The parent has ended as well.
+        }
+        Runtime.getRuntime().halt(PARENT_ENDED_EXIT_CODE);
+    }
 }
--- a/src/main/java/cacheproxy/faulttest/ProcessSignals.java
+++ b/src/main/java/cacheproxy/faulttest/ProcessSignals.java
@@ -5,10 +5,20 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Stops and continues processes, by a shell that lives as long as this process: once it reads no more orders it
- * continues all that it has stopped, so that nothing stands still for good when this process is killed.
+ * Sends signals to processes through a shell that lives as long as this process. When its input ends, the shell resumes
+ * all processes that it has paused, so that none stays paused when this process is killed. Thread-safe.
  */
 final class ProcessSignals implements AutoCloseable {
+    /** Signals that can be sent. */
+    enum Signal {
+        /** Pauses a process. */
+        STOP,
+        /** Resumes a process. */
+        CONT,
+        /** Asks a process to terminate. */
+        TERM
+    }
+
     private static final String SCRIPT = """
             held=' '
             while read signal pid; do
@@ -23,20 +33,21 @@
             """;
 
     private final Process shell;
-    private final BufferedReader done;
+    private final BufferedReader confirmations;
 
     ProcessSignals() throws IOException {
         shell = new ProcessBuilder("sh", "-c", SCRIPT)
                 .redirectError(ProcessBuilder.Redirect.DISCARD)
                 .start();
-        done = shell.inputReader(StandardCharsets.US_ASCII);
+        confirmations = shell.inputReader(StandardCharsets.US_ASCII);
     }
 
-    /** Returns once the signal is sent. */
-    synchronized void send(String signal, long pid) throws IOException {
-        shell.getOutputStream().write((signal + " " + pid + "\n").getBytes(StandardCharsets.US_ASCII));
+    /** Sends a signal and returns once it is sent. */
+    synchronized void send(Signal signal, long pid) throws IOException {
+        String command = signal.name() + " " + pid + "\n";
+        shell.getOutputStream().write(command.getBytes(StandardCharsets.US_ASCII));
         shell.getOutputStream().flush();
-        if (done.readLine() == null) {
+        if (confirmations.readLine() == null) {
             throw new IOException("the shell that sends signals has ended");
         }
     }
--- a/src/main/java/cacheproxy/faulttest/ProxyCommandLine.java
+++ b/src/main/java/cacheproxy/faulttest/ProxyCommandLine.java
@@ -6,11 +6,11 @@
 import java.util.List;
 
 /**
- * How a child is started: the packaged program with the flags of the platform's {@code run}, its class archive among
- * them.
+ * The command line of a proxy's process: the packaged program with the flags of the platform's {@code run}, its class
+ * data archive among them.
  */
 final class ProxyCommandLine {
-    private static final List<String> FLAGS = List.of(
+    private static final List<String> JVM_FLAGS = List.of(
             "-XX:+UseSerialGC",
             "-XX:TieredStopAtLevel=1",
             "-Xms24m",
@@ -23,38 +23,38 @@
 
     private ProxyCommandLine() {}
 
-    /** Without the program's own words. */
+    /** The command without the program's own arguments. */
     static List<String> command() {
         Path jar = jar();
-        List<String> words = new ArrayList<>(
-                List.of(Path.of(System.getProperty("java.home"), "bin", "java").toString()));
-        words.addAll(FLAGS);
+        List<String> command = new ArrayList<>();
+        command.add(Path.of(System.getProperty("java.home"), "bin", "java").toString());
+        command.addAll(JVM_FLAGS);
         Path archive = jar.resolveSibling("cacheproxy.jsa");
         if (Files.exists(archive)) {
-            words.add("-XX:SharedArchiveFile=" + archive);
-            words.add("-Xlog:cds=off");
-            words.add("-Xlog:cds+dynamic=off");
+            command.add("-XX:SharedArchiveFile=" + archive);
+            command.add("-Xlog:cds=off");
+            command.add("-Xlog:cds+dynamic=off");
         }
-        words.add("-Djava.library.path=" + jar.resolveSibling("native/META-INF/native"));
-        words.add("-cp");
-        words.add(jar.toString());
-        words.add(ParentWatchdog.class.getName());
-        return words;
+        command.add("-Djava.library.path=" + jar.resolveSibling("native/META-INF/native"));
+        command.add("-cp");
+        command.add(jar.toString());
+        command.add(ParentWatchdog.class.getName());
+        return command;
     }
 
-    /** The jar that this class came from, or the one that the build leaves. */
+    /** The jar that this class was loaded from, or the one that the build makes. */
     private static Path jar() {
-        String from = ProxyCommandLine.class
+        String origin = ProxyCommandLine.class
                 .getProtectionDomain()
                 .getCodeSource()
                 .getLocation()
                 .getPath();
-        Path jar = from.endsWith(".jar") ? Path.of(from) : Path.of("target/cache-proxy.jar");
+        Path jar = origin.endsWith(".jar") ? Path.of(origin) : Path.of("target/cache-proxy.jar");
         if (!Files.exists(jar)) {
             throw new IllegalStateException("there is no " + jar + "; build it with mvn -q -DskipTests package");
         }
-        // As the build's own run names it: the archive is good for this path alone.
-        Path here = Path.of("").toAbsolutePath();
-        return jar.isAbsolute() && jar.startsWith(here) ? here.relativize(jar) : jar;
+        // The build's own run uses a relative path, and the class data archive is valid for that path alone.
+        Path workingDirectory = Path.of("").toAbsolutePath();
+        return jar.isAbsolute() && jar.startsWith(workingDirectory) ? workingDirectory.relativize(jar) : jar;
     }
 }
--- a/src/main/java/cacheproxy/faulttest/ScenarioReader.java
+++ b/src/main/java/cacheproxy/faulttest/ScenarioReader.java
@@ -17,19 +17,22 @@
 import java.util.SplittableRandom;
 
 /**
- * Reads a scenario's file, finds all that is wrong with it, and draws the lots that it asks for: what comes out names
- * each fault.
+ * Reads a scenario's file, finds all errors in it, and makes the random draws that it asks for, so that each fault
+ * names its targets.
  */
 public final class ScenarioReader {
     private static final double HOUR_MS = 3_600_000;
-    private static final int MOST_FAULTS = 10_000;
+    private static final double DAY_MS = 24 * HOUR_MS;
+    private static final int MAX_FAULTS = 10_000;
+    private static final String ZONE_NAME = "[a-z0-9]{1,16}";
 
     private ScenarioReader() {}
 
     /**
      * Reads a scenario file.
      *
-     * @param seed instead of the file's; null: the file's
+     * @param seed replaces the file's seed; null: the file's
+     * @throws ConfigException with all errors and their places
      */
     public static Scenario read(Path path, Long seed) throws ConfigException {
         try {
@@ -39,197 +42,228 @@
         }
     }
 
+    /**
+     * Reads a scenario from the text of its file.
+     *
+     * @param name the scenario's name, which stands in errors as well
+     * @param seed replaces the text's seed; null: the text's
+     * @throws ConfigException with all errors and their places
+     */
     public static Scenario parse(String name, String text, Long seed) throws ConfigException {
-        return TomlTableReader.parse(name, text, root -> scenario(name, root, seed));
+        return TomlTableReader.parse(name, text, root -> readScenario(name, root, seed));
     }
 
-    private static Scenario scenario(String name, TomlTableReader root, Long given) {
-        TomlTableReader f = root.table("fleet");
-        if (f == null) {
+    private static Scenario readScenario(String name, TomlTableReader root, Long givenSeed) {
+        TomlTableReader fleet = root.table("fleet");
+        if (fleet == null) {
             root.error("fleet", "no [fleet]; write one with proxies and nodes");
             return null;
         }
-        int proxies = f.integer("proxies", 5, 1, 1000);
-        int nodes = f.integer("nodes", 8, 1, 1000);
-        List<String> zones = f.has("zones") ? f.texts("zones") : List.of("a");
-        if (zones.isEmpty() || zones.stream().anyMatch(z -> !z.matches("[a-z0-9]{1,16}"))) {
-            f.error("zones", "zones are words of a-z and 0-9, at least one");
-            zones = List.of("a");
-        }
-        TargetSelector endpoints = new TargetSelector(proxies, nodes, zones);
-        int own = f.integer("seed", 1, 0, Integer.MAX_VALUE);
-        long seed = given != null ? given : own;
-        Scenario bare = new Scenario(
+        Scenario scenario = readFleet(name, root, fleet, givenSeed);
+        fleet.rejectUnknownKeys();
+        return scenario.withFaults(readFaults(root, scenario));
+    }
+
+    private static Scenario readFleet(String name, TomlTableReader root, TomlTableReader fleet, Long givenSeed) {
+        int proxies = fleet.integer("proxies", 5, 1, 1000);
+        int servers = fleet.integer("nodes", 8, 1, 1000);
+        List<String> zones = readZones(fleet);
+        int fileSeed = fleet.integer("seed", 1, 0, Integer.MAX_VALUE);
+        long seed = givenSeed != null ? givenSeed : fileSeed;
+        TargetSelector endpoints = new TargetSelector(proxies, servers, zones);
+        return new Scenario(
                 name,
-                f.oneOf("program", "serve", "serve", "run"),
+                fleet.oneOf("program", "serve", "serve", "run"),
                 proxies,
-                nodes,
+                servers,
                 zones,
                 seed,
-                f.number("node_per_second", 500, 1, 1e5),
-                f.integer("node_room", 20, 1, 100_000),
-                f.flag("warm", true),
-                f.flag("relay_nodes", false),
-                f.flag("own_discovery", false),
-                f.text("extra", ""),
-                f.has("old") ? choose(f, "old", endpoints, new SplittableRandom(seed)) : List.of(),
-                f.text("old_extra", ""),
-                f.texts("duties"),
-                f.number("poll_ms", 20, 5, 10_000),
-                f.integer("waves", 16, 1, 200),
-                load(root.table("load")),
-                limit(root.table("limit")),
+                fleet.number("node_per_second", 500, 1, 1e5),
+                fleet.integer("node_room", 20, 1, 100_000),
+                fleet.flag("warm", true),
+                fleet.flag("relay_nodes", false),
+                fleet.flag("own_discovery", false),
+                fleet.text("extra", ""),
+                fleet.has("old") ? select(fleet, "old", endpoints, new SplittableRandom(seed)) : List.of(),
+                fleet.text("old_extra", ""),
+                fleet.texts("duties"),
+                fleet.number("poll_ms", 20, 5, 10_000),
+                fleet.integer("waves", 16, 1, 200),
+                readLoad(root.table("load")),
+                readQuota(root.table("limit")),
                 List.of());
-        f.rejectUnknownKeys();
-        SplittableRandom random = new SplittableRandom(seed);
-        List<Fault> faults = new ArrayList<>();
-        for (TomlTableReader s : root.tables("fault")) {
-            fault(s, endpoints, random.split(), faults);
-            s.rejectUnknownKeys();
-        }
-        TomlTableReader chaos = root.table("chaos");
-        if (chaos != null) {
-            chaos(chaos, endpoints, seed, bare.load().seconds() * 1000, faults);
-            chaos.rejectUnknownKeys();
-        }
-        if (faults.size() > MOST_FAULTS) {
-            root.error("fault", faults.size() + " faults; at most " + MOST_FAULTS);
+    }
+
+    private static List<String> readZones(TomlTableReader fleet) {
+        List<String> zones = fleet.has("zones") ? fleet.texts("zones") : List.of("a");
+        if (zones.isEmpty() || zones.stream().anyMatch(zone -> !zone.matches(ZONE_NAME))) {
+            fleet.error("zones", "zones are words of a-z and 0-9, at least one");
+            return List.of("a");
         }
-        return bare.withFaults(faults);
+        return zones;
     }
 
-    private static Scenario.Quota limit(TomlTableReader s) {
-        if (s == null) {
+    private static Scenario.Quota readQuota(TomlTableReader table) {
+        if (table == null) {
             return null;
         }
-        Scenario.Quota limit = new Scenario.Quota(
-                s.oneOf("kind", "read", "read", "keyed", "unsafe"),
-                s.number("per_second", 0, 0.001, 1e7),
-                s.integer("at_once", 0, 1, 1_000_000),
-                s.number("saved", 0, 0, 1e7));
-        if (limit.perSecond() > 0 == limit.maxInFlight() > 0) {
-            s.error("kind", "a limit has either per_second or at_once");
+        Scenario.Quota quota = new Scenario.Quota(
+                table.oneOf("kind", "read", "read", "keyed", "unsafe"),
+                table.number("per_second", 0, 0.001, 1e7),
+                table.integer("at_once", 0, 1, 1_000_000),
+                table.number("saved", 0, 0, 1e7));
+        if (quota.perSecond() > 0 == quota.maxInFlight() > 0) {
+            table.error("kind", "a limit has either per_second or at_once");
         }
-        s.rejectUnknownKeys();
-        return limit;
+        table.rejectUnknownKeys();
+        return quota;
     }
 
-    private static Scenario.Load load(TomlTableReader s) {
-        if (s == null) {
+    private static Scenario.Load readLoad(TomlTableReader table) {
+        if (table == null) {
             return new Scenario.Load(5, 200, 0, 0, 500, 0.05, 0.05, 1000);
         }
         Scenario.Load load = new Scenario.Load(
-                s.number("seconds", 5, 0.1, 24 * 3600),
-                s.number("per_second", 200, 0.1, 1e6),
-                s.number("skew", 0, 0, 20),
-                s.number("turn_ms", 0, 0, HOUR_MS),
-                s.integer("keys", 500, 1, 1_000_000),
-                s.number("hot", 0.05, 0, 1),
-                s.number("writes", 0.05, 0, 1),
-                s.number("deadline_ms", 1000, 10, 60_000));
-        s.rejectUnknownKeys();
+                table.number("seconds", 5, 0.1, 24 * 3600),
+                table.number("per_second", 200, 0.1, 1e6),
+                table.number("skew", 0, 0, 20),
+                table.number("turn_ms", 0, 0, HOUR_MS),
+                table.integer("keys", 500, 1, 1_000_000),
+                table.number("hot", 0.05, 0, 1),
+                table.number("writes", 0.05, 0, 1),
+                table.number("deadline_ms", 1000, 10, 60_000));
+        table.rejectUnknownKeys();
         return load;
     }
 
-    private static void fault(
-            TomlTableReader s, TargetSelector endpoints, SplittableRandom random, List<Fault> faults) {
-        Kind kind = kind(s, s.text("kind"), "kind");
-        double at = s.number("at_ms", 0, 0, 24 * HOUR_MS);
-        double lasts = s.number("for_ms", 1000, 1, 24 * HOUR_MS);
-        String holderOf = s.text("holder_of", "");
-        List<String> who = !holderOf.isEmpty() && !s.has("who")
+    private static List<Fault> readFaults(TomlTableReader root, Scenario scenario) {
+        TargetSelector endpoints = scenario.targetSelector();
+        SplittableRandom random = new SplittableRandom(scenario.seed());
+        List<Fault> faults = new ArrayList<>();
+        for (TomlTableReader table : root.tables("fault")) {
+            faults.addAll(readRepeatedFault(table, endpoints, random.split()));
+            table.rejectUnknownKeys();
+        }
+        TomlTableReader chaos = root.table("chaos");
+        if (chaos != null) {
+            faults.addAll(readRandomFaults(chaos, endpoints, scenario));
+            chaos.rejectUnknownKeys();
+        }
+        if (faults.size() > MAX_FAULTS) {
+            root.error("fault", faults.size() + " faults; at most " + MAX_FAULTS);
+        }
+        return faults;
+    }
+
+    private static List<Fault> readRepeatedFault(
+            TomlTableReader table, TargetSelector endpoints, SplittableRandom random) {
+        Fault fault = readFault(table, endpoints, random);
+        char targetLetter = fault.onServers() ? 'n' : 'p';
+        if (!fault.onLinks() && fault.targets().stream().anyMatch(name -> name.charAt(0) != targetLetter)) {
+            table.error(
+                    "who",
+                    fault.kind().tomlName() + " befalls " + (fault.onServers() ? "nodes" : "proxies") + " alone");
+        }
+        int times = table.integer("times", 1, 1, MAX_FAULTS);
+        double periodMs = table.number("every_ms", 10_000, 1, HOUR_MS);
+        List<Fault> repeated = new ArrayList<>();
+        for (int i = 0; i < times; i++) {
+            repeated.add(fault.withTimeAndTargets(fault.atMs() + i * periodMs, fault.targets(), fault.linkPeers()));
+        }
+        return repeated;
+    }
+
+    private static Fault readFault(TomlTableReader table, TargetSelector endpoints, SplittableRandom random) {
+        Kind kind = readKind(table, "kind", table.text("kind"));
+        double atMs = table.number("at_ms", 0, 0, DAY_MS);
+        double durationMs = table.number("for_ms", 1000, 1, DAY_MS);
+        String holderOf = table.text("holder_of", "");
+        List<String> targets = !holderOf.isEmpty() && !table.has("who")
                 ? List.of(TargetSelector.proxyName(0))
-                : choose(s, "who", endpoints, random);
-        List<String> to = List.of();
-        LinkFault figures = null;
-        boolean twoWay = false;
-        if (kind == Kind.LINK) {
-            to = s.has("to") ? choose(s, "to", endpoints, random) : rest(who, endpoints);
-            twoWay = s.flag("two_way", true);
-            figures = new LinkFault(
-                    s.number("lose", 0, 0, 1),
-                    s.number("delay_ms", 0, 0, 60_000),
-                    s.number("jitter_ms", 0, 0, 60_000),
-                    s.number("twice", 0, 0, 1),
-                    s.number("corrupt", 0, 0, 1),
-                    s.flag("reset", false));
-        }
-        double share = kind == Kind.SLOW ? s.number("share", 0.1, 0.01, 0.99) : 1;
-        double beat = kind == Kind.SLOW ? s.number("beat_ms", 50, 5, 10_000) : 0;
-        boolean loseDisk = (kind == Kind.TERMINATE || kind == Kind.KILL) && s.flag("lose_disk", false);
-        Fault f = new Fault(
+                : select(table, "who", endpoints, random);
+        boolean onLinks = kind == Kind.LINK;
+        List<String> linkPeers = onLinks ? readLinkPeers(table, targets, endpoints, random) : List.of();
+        boolean twoWay = onLinks && table.flag("two_way", true);
+        LinkFault linkFault = onLinks ? readLinkFault(table) : null;
+        boolean slow = kind == Kind.SLOW;
+        double speedShare = slow ? table.number("share", 0.1, 0.01, 0.99) : 1;
+        double cycleMs = slow ? table.number("beat_ms", 50, 5, 10_000) : 0;
+        boolean emptyDisk = (kind == Kind.TERMINATE || kind == Kind.KILL) && table.flag("lose_disk", false);
+        double staggerMs = table.number("stagger_ms", 0, 0, HOUR_MS);
+        return new Fault(
                 kind,
-                at,
-                lasts,
-                who,
-                to,
+                atMs,
+                durationMs,
+                targets,
+                linkPeers,
                 twoWay,
-                figures,
-                share,
-                beat,
-                loseDisk,
-                s.number("stagger_ms", 0, 0, HOUR_MS),
+                linkFault,
+                speedShare,
+                cycleMs,
+                emptyDisk,
+                staggerMs,
                 holderOf);
-        if (who.stream().anyMatch(n -> !f.onLinks() && n.charAt(0) != (f.onServers() ? 'n' : 'p'))) {
-            s.error("who", kind.tomlName() + " befalls " + (f.onServers() ? "nodes" : "proxies") + " alone");
-        }
-        int times = s.integer("times", 1, 1, MOST_FAULTS);
-        double every = s.number("every_ms", 10_000, 1, HOUR_MS);
-        for (int i = 0; i < times; i++) {
-            faults.add(f.withTimeAndTargets(at + i * every, f.targets(), f.linkPeers()));
+    }
+
+    /** The other ends of links; where the file does not say: all proxies that are no targets. */
+    private static List<String> readLinkPeers(
+            TomlTableReader table, List<String> targets, TargetSelector endpoints, SplittableRandom random) {
+        if (table.has("to")) {
+            return select(table, "to", endpoints, random);
         }
+        List<String> others = new ArrayList<>(endpoints.select("proxies", new SplittableRandom(0)));
+        others.removeAll(targets);
+        return others;
     }
 
-    /** What a link's fault lies between where the file does not say: the chosen ones and all other proxies. */
-    private static List<String> rest(List<String> who, TargetSelector endpoints) {
-        List<String> rest = new ArrayList<>(endpoints.select("proxies", new SplittableRandom(0)));
-        rest.removeAll(who);
-        return rest;
+    private static LinkFault readLinkFault(TomlTableReader table) {
+        return new LinkFault(
+                table.number("lose", 0, 0, 1),
+                table.number("delay_ms", 0, 0, 60_000),
+                table.number("jitter_ms", 0, 0, 60_000),
+                table.number("twice", 0, 0, 1),
+                table.number("corrupt", 0, 0, 1),
+                table.flag("reset", false));
     }
 
-    private static List<String> choose(
-            TomlTableReader s, String key, TargetSelector endpoints, SplittableRandom random) {
-        String words = s.text(key);
+    private static List<String> select(
+            TomlTableReader table, String key, TargetSelector endpoints, SplittableRandom random) {
+        String expression = table.text(key);
         try {
-            return words.isEmpty() ? List.of() : endpoints.select(words, random);
+            return expression.isEmpty() ? List.of() : endpoints.select(expression, random);
         } catch (IllegalArgumentException e) {
-            s.error(key, e.getMessage());
+            table.error(key, e.getMessage());
             return List.of();
         }
     }
 
-    private static Kind kind(TomlTableReader s, String word, String key) {
-        for (Kind k : Kind.values()) {
-            if (k.tomlName().equals(word)) {
-                return k;
+    private static Kind readKind(TomlTableReader table, String key, String tomlName) {
+        for (Kind kind : Kind.values()) {
+            if (kind.tomlName().equals(tomlName)) {
+                return kind;
             }
         }
-        if (!word.isEmpty()) {
-            s.error(
-                    key,
-                    "there is no fault '" + word + "'; allowed: "
-                            + String.join(
-                                    ", ",
-                                    Arrays.stream(Kind.values())
-                                            .map(Kind::tomlName)
-                                            .toList()));
+        if (!tomlName.isEmpty()) {
+            List<String> allowed =
+                    Arrays.stream(Kind.values()).map(Kind::tomlName).toList();
+            table.error(key, "there is no fault '" + tomlName + "'; allowed: " + String.join(", ", allowed));
         }
         return Kind.PAUSE;
     }
 
-    private static void chaos(
-            TomlTableReader s, TargetSelector endpoints, long seed, double loadMs, List<Fault> faults) {
+    private static List<Fault> readRandomFaults(TomlTableReader table, TargetSelector endpoints, Scenario scenario) {
         List<Kind> kinds = new ArrayList<>();
-        s.texts("kinds").forEach(k -> kinds.add(kind(s, k, "kinds")));
-        double from = s.number("from_ms", 0, 0, 24 * HOUR_MS);
-        double to = s.number("to_ms", loadMs, 1, 24 * HOUR_MS);
-        double longest = s.number("longest_ms", 1000, 1, 24 * HOUR_MS);
-        int count = s.integer("faults", 10, 0, MOST_FAULTS);
-        if (to - from < longest) {
-            s.error("longest_ms", "longest_ms is " + longest + " and does not fit between from_ms and to_ms");
-            return;
-        }
-        faults.addAll(new RandomFaults(count, kinds.isEmpty() ? List.of(Kind.values()) : kinds, from, to, longest)
-                .draw(endpoints, seed));
+        table.texts("kinds").forEach(tomlName -> kinds.add(readKind(table, "kinds", tomlName)));
+        double loadMs = scenario.load().seconds() * 1000;
+        double fromMs = table.number("from_ms", 0, 0, DAY_MS);
+        double toMs = table.number("to_ms", loadMs, 1, DAY_MS);
+        double maxDurationMs = table.number("longest_ms", 1000, 1, DAY_MS);
+        int count = table.integer("faults", 10, 0, MAX_FAULTS);
+        if (toMs - fromMs < maxDurationMs) {
+            table.error("longest_ms", "longest_ms is " + maxDurationMs + " and does not fit between from_ms and to_ms");
+            return List.of();
+        }
+        List<Kind> drawnKinds = kinds.isEmpty() ? List.of(Kind.values()) : kinds;
+        return new RandomFaults(count, drawnKinds, fromMs, toMs, maxDurationMs).draw(endpoints, scenario.seed());
     }
 }
--- a/src/main/java/cacheproxy/faulttest/TcpRelay.java
+++ b/src/main/java/cacheproxy/faulttest/TcpRelay.java
@@ -21,15 +21,18 @@
 import java.util.function.Supplier;
 
 /**
- * The way of connections from proxies to discovery and nodes. A cut link leaves them open and silent and gives back
- * what came meanwhile once it is whole again, as TCP does; a resetting one ends them and refuses new ones by a reset.
- * Bytes that wait are bounded as each side is read only while the other takes.
+ * Relays connections from proxies to discovery and cache servers over faulty links. A blocked link leaves them open and
+ * silent and delivers afterwards what came meanwhile, as TCP does; a resetting link ends them and refuses new ones by a
+ * reset. Buffered bytes are bounded, as each side is read only while the other side is writable. All state belongs to
+ * the event loop.
  */
 final class TcpRelay implements AutoCloseable {
+    private static final int BACKLOG = 256;
+
     private final EventLoop loop;
     private final NetworkLinks links;
-    private final List<Channel> servers = new ArrayList<>();
-    private final Set<Pipe> pipes = new HashSet<>();
+    private final List<Channel> listeners = new ArrayList<>();
+    private final Set<RelayedConnection> connections = new HashSet<>();
 
     /** @param links used on the loop alone */
     TcpRelay(EventLoop loop, NetworkLinks links) {
@@ -38,119 +41,125 @@
     }
 
     /**
-     * Stands for an endpoint towards another.
+     * Listens in place of an endpoint.
      *
-     * @param from index of who connects
-     * @param to index of who is connected to
-     * @param target asked at each connection: a server may have moved
+     * @param from index of the endpoint that connects
+     * @param to index of the endpoint that it connects to
+     * @param target the endpoint's address, read at each connection as it may change
      */
-    void face(InetSocketAddress at, int from, int to, Supplier<InetSocketAddress> target) throws InterruptedException {
-        servers.add(new ServerBootstrap()
+    void listen(InetSocketAddress address, int from, int to, Supplier<InetSocketAddress> target)
+            throws InterruptedException {
+        listeners.add(new ServerBootstrap()
                 .group(loop)
                 .channel(Transport.BEST.server())
-                .option(ChannelOption.SO_BACKLOG, 256)
+                .option(ChannelOption.SO_BACKLOG, BACKLOG)
                 .option(ChannelOption.SO_REUSEADDR, true)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.AUTO_READ, false)
                 .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new Pipe(channel, from, to, target).near);
+                        channel.pipeline().addLast(new RelayedConnection(channel, from, to, target).near);
                     }
                 })
-                .bind(at)
+                .bind(address)
                 .sync()
                 .channel());
     }
 
-    /** The faults have changed; on the loop. */
-    void changed() {
-        List.copyOf(pipes).forEach(Pipe::changed);
+    /** Applies changed faults to open connections; on the loop. */
+    void linksChanged() {
+        List.copyOf(connections).forEach(RelayedConnection::linksChanged);
     }
 
     @Override
     public void close() {
-        servers.forEach(s -> s.close().syncUninterruptibly());
-        loop.submit(() -> List.copyOf(pipes).forEach(p -> p.end(false))).syncUninterruptibly();
+        listeners.forEach(listener -> listener.close().syncUninterruptibly());
+        loop.submit(() -> List.copyOf(connections).forEach(connection -> connection.close(false)))
+                .syncUninterruptibly();
     }
 
-    /** A connection and the one behind it. */
-    private final class Pipe {
+    /** A connection that was accepted, and the one to its target. */
+    private final class RelayedConnection {
         final int from;
         final int to;
-        final End near;
-        final End far;
+        final Side near;
+        final Side far;
 
-        Pipe(Channel channel, int from, int to, Supplier<InetSocketAddress> target) {
+        RelayedConnection(Channel accepted, int from, int to, Supplier<InetSocketAddress> target) {
             this.from = from;
             this.to = to;
-            near = new End(this, from, to);
-            far = new End(this, to, from);
-            near.channel = channel;
-            pipes.add(this);
+            near = new Side(this, from, to);
+            far = new Side(this, to, from);
+            near.channel = accepted;
+            connections.add(this);
             if (links.resetsConnections(from, to)) {
-                end(true);
-                return;
+                close(true);
+            } else {
+                connect(target.get());
             }
+        }
+
+        private void connect(InetSocketAddress target) {
             new Bootstrap()
                     .group(loop)
                     .channel(Transport.BEST.socket())
                     .option(ChannelOption.TCP_NODELAY, true)
                     .option(ChannelOption.AUTO_READ, false)
                     .handler(far)
-                    .connect(target.get())
-                    .addListener(f -> {
-                        if (f.isSuccess()) {
-                            near.go();
-                            far.go();
+                    .connect(target)
+                    .addListener(connected -> {
+                        if (connected.isSuccess()) {
+                            near.proceed();
+                            far.proceed();
                         } else {
-                            end(true);
+                            close(true);
                         }
                     });
         }
 
-        void changed() {
+        boolean isConnected() {
+            return near.channel != null && far.channel != null && (far.channel.isActive() || far.ended);
+        }
+
+        void linksChanged() {
             if (links.resetsConnections(from, to)) {
-                end(true);
+                close(true);
             } else {
-                near.go();
-                far.go();
+                near.proceed();
+                far.proceed();
             }
         }
 
-        void end(boolean reset) {
-            if (pipes.remove(this)) {
-                near.end(reset);
-                far.end(reset);
+        void close(boolean reset) {
+            if (connections.remove(this)) {
+                near.close(reset);
+                far.close(reset);
             }
         }
     }
 
-    /** One side; what it reads goes to the other in order. */
-    private final class End extends ChannelInboundHandlerAdapter {
-        private final Pipe pipe;
+    /** One side of a relayed connection; what it reads goes to the other side in order. */
+    private final class Side extends ChannelInboundHandlerAdapter {
+        private final RelayedConnection connection;
         private final int from;
         private final int to;
-        private final ArrayDeque<ByteBuf> held = new ArrayDeque<>();
+        /** What was read while the link was blocked. */
+        private final ArrayDeque<ByteBuf> blocked = new ArrayDeque<>();
+
         private Channel channel;
-        private long lastAt;
-        private int onTheWay;
+        private long lastDeliveryNanos;
+        private int delayedBuffers;
         private boolean ended;
 
-        End(Pipe pipe, int from, int to) {
-            this.pipe = pipe;
+        Side(RelayedConnection connection, int from, int to) {
+            this.connection = connection;
             this.from = from;
             this.to = to;
         }
 
-        private boolean connected() {
-            return pipe.near.channel != null
-                    && pipe.far.channel != null
-                    && (pipe.far.channel.isActive() || pipe.far.ended);
-        }
-
-        private End other() {
-            return pipe.near == this ? pipe.far : pipe.near;
+        private Side other() {
+            return connection.near == this ? connection.far : connection.near;
         }
 
         @Override
@@ -158,16 +167,16 @@
             channel = ctx.channel();
         }
 
-        /** Reads on if it may; gives on what was held. */
-        void go() {
-            if (!connected() || links.blocksConnections(from, to)) {
+        /** Forwards what was blocked, and reads on, if the link allows it. */
+        void proceed() {
+            if (!connection.isConnected() || links.blocksConnections(from, to)) {
                 return;
             }
-            for (ByteBuf b; (b = held.poll()) != null; ) {
-                pass(b);
+            for (ByteBuf buffer; (buffer = blocked.poll()) != null; ) {
+                forward(buffer);
             }
-            if (ended && onTheWay == 0) {
-                pipe.end(false);
+            if (ended && delayedBuffers == 0) {
+                connection.close(false);
             } else if (channel.isActive() && other().channel.isWritable()) {
                 channel.read();
             }
@@ -175,66 +184,66 @@
 
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
-            ByteBuf b = (ByteBuf) message;
-            if (links.blocksConnections(from, to) || !held.isEmpty()) {
-                held.add(b); // no more is read until the link is whole
+            ByteBuf buffer = (ByteBuf) message;
+            if (links.blocksConnections(from, to) || !blocked.isEmpty()) {
+                blocked.add(buffer); // nothing more is read while the link is blocked
             } else {
-                pass(b);
+                forward(buffer);
             }
         }
 
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
-            go();
+            proceed();
         }
 
         @SuppressWarnings("FutureReturnValueIgnored") // a failed write closes the channel, and the close is handled
-        private void pass(ByteBuf b) {
-            double delay = links.delayMs(from, to);
-            long now = System.nanoTime();
-            long at = Math.max(lastAt, now + (long) (delay * 1e6));
-            if (at <= now) {
-                other().channel.writeAndFlush(b);
+        private void forward(ByteBuf buffer) {
+            long delayNanos = (long) (links.delayMs(from, to) * 1e6);
+            long nowNanos = System.nanoTime();
+            long deliveryNanos = Math.max(lastDeliveryNanos, nowNanos + delayNanos);
+            if (deliveryNanos <= nowNanos) {
+                other().channel.writeAndFlush(buffer);
                 return;
             }
-            lastAt = at;
-            onTheWay++;
-            loop.schedule(
-                    () -> {
-                        onTheWay--;
-                        other().channel.writeAndFlush(b);
-                        if (ended && onTheWay == 0 && held.isEmpty()) {
-                            pipe.end(false);
-                        }
-                    },
-                    at - now,
-                    TimeUnit.NANOSECONDS);
+            lastDeliveryNanos = deliveryNanos;
+            delayedBuffers++;
+            loop.schedule(() -> deliverDelayed(buffer), deliveryNanos - nowNanos, TimeUnit.NANOSECONDS);
+        }
+
+        @SuppressWarnings("FutureReturnValueIgnored") // a failed write closes the channel, and the close is handled
+        private void deliverDelayed(ByteBuf buffer) {
+            delayedBuffers--;
+            other().channel.writeAndFlush(buffer);
+            if (ended && delayedBuffers == 0 && blocked.isEmpty()) {
+                connection.close(false);
+            }
         }
 
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext ctx) {
             if (ctx.channel().isWritable() && other().channel != null) {
-                other().go();
+                other().proceed();
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
             ended = true;
-            if (held.isEmpty() && onTheWay == 0 && !links.blocksConnections(from, to)) {
-                pipe.end(false);
+            if (blocked.isEmpty() && delayedBuffers == 0 && !links.blocksConnections(from, to)) {
+                connection.close(false);
             }
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-            pipe.end(true);
+            connection.close(true);
         }
 
         @SuppressWarnings("FutureReturnValueIgnored") // the close is observed where the channel becomes inactive
-        void end(boolean reset) {
-            held.forEach(ByteBuf::release);
-            held.clear();
+        void close(boolean reset) {
+            blocked.forEach(ByteBuf::release);
+            blocked.clear();
             if (channel != null) {
                 if (reset && channel.isOpen()) {
                     channel.config().setOption(ChannelOption.SO_LINGER, 0);
--- a/src/test/java/cacheproxy/faulttest/FaultTestRuns.java
+++ b/src/test/java/cacheproxy/faulttest/FaultTestRuns.java
@@ -6,26 +6,32 @@
 import java.nio.file.Path;
 
 /**
- * Plays of a scenario in tests: again where the machine was too slow to say anything, and all invariants are to hold.
+ * Runs scenarios in tests, again where the machine was too slow for a verdict, and asserts that all invariants hold.
  */
 final class FaultTestRuns {
-    private static final int TRIES = 3;
+    private static final int MAX_ATTEMPTS = 3;
 
     private FaultTestRuns() {}
 
+    /** The outcome of a scenario that violates no invariant. */
     static FaultTestRunner.Outcome held(String scenario, Path folder) throws Exception {
-        FaultTestRunner.Outcome o = null;
-        for (int i = 0; i < TRIES && (o == null || !o.verdict().invalidReasons().isEmpty()); i++) {
-            o = FaultTestRunner.play(
-                    ScenarioReader.parse("test", scenario, null), folder.resolve("run" + i), Checker.all(), line -> {});
+        FaultTestRunner.Outcome outcome = play(scenario, folder.resolve("run0"));
+        for (int i = 1; i < MAX_ATTEMPTS && !outcome.verdict().invalidReasons().isEmpty(); i++) {
+            outcome = play(scenario, folder.resolve("run" + i));
         }
-        assertThat(o.verdict().passed()).as(String.join("\n", o.lines())).isTrue();
-        return o;
+        assertThat(outcome.verdict().passed())
+                .as(String.join("\n", outcome.lines()))
+                .isTrue();
+        return outcome;
     }
 
-    /** A scenario's fault. */
-    static String fault(String kind, int at, int lasts, String who, String more) {
-        return "[[fault]]\nkind = \"" + kind + "\"\nat_ms = " + at + "\nfor_ms = " + lasts + "\nwho = \"" + who + "\"\n"
-                + more + "\n";
+    private static FaultTestRunner.Outcome play(String scenario, Path folder) throws Exception {
+        return FaultTestRunner.play(ScenarioReader.parse("test", scenario, null), folder, Checker.all(), line -> {});
+    }
+
+    /** A fault's table in a scenario; more lines may follow. */
+    static String fault(String kind, int atMs, int durationMs, String targets, String moreLines) {
+        return "[[fault]]\nkind = \"" + kind + "\"\nat_ms = " + atMs + "\nfor_ms = " + durationMs + "\nwho = \""
+                + targets + "\"\n" + moreLines + "\n";
     }
 }
--- a/src/test/java/cacheproxy/faulttest/FleetIT.java
+++ b/src/test/java/cacheproxy/faulttest/FleetIT.java
@@ -16,6 +16,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.concurrent.TimeUnit;
+import java.util.function.Predicate;
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
@@ -26,6 +27,82 @@
 /** Several processes of the packaged program with faults between them. */
 @Timeout(180)
 class FleetIT {
+    /** One fault of each kind; the program is filled in. */
+    private static final String EVERY_FAULT = """
+            [fleet]
+            program = "%s"
+            proxies = 4
+            nodes = 6
+            zones = ["a", "b"]
+            node_per_second = 200
+            relay_nodes = true
+            seed = 3
+            [load]
+            seconds = 6.5
+            per_second = 150
+            writes = 0.2
+            [[fault]]
+            kind = "stop"
+            at_ms = 300
+            for_ms = 1200
+            who = "p1"
+            [[fault]]
+            kind = "node-drain"
+            at_ms = 400
+            for_ms = 5000
+            who = "n1"
+            [[fault]]
+            kind = "node-kill"
+            at_ms = 500
+            for_ms = 300
+            who = "n2"
+            [[fault]]
+            kind = "kill"
+            at_ms = 600
+            for_ms = 200
+            who = "p2"
+            [[fault]]
+            kind = "link"
+            at_ms = 1000
+            for_ms = 900
+            who = "p3"
+            to = "n3,n4"
+            lose = 1
+            [[fault]]
+            kind = "link"
+            at_ms = 1500
+            for_ms = 800
+            who = "p4"
+            to = "n5"
+            reset = true
+            [[fault]]
+            kind = "link"
+            at_ms = 1000
+            for_ms = 3000
+            who = "proxies"
+            to = "proxies"
+            lose = 0.4
+            twice = 0.3
+            jitter_ms = 200
+            corrupt = 0.1
+            [[fault]]
+            kind = "term"
+            at_ms = 2500
+            for_ms = 500
+            who = "p3"
+            [[fault]]
+            kind = "slow"
+            at_ms = 3000
+            for_ms = 1000
+            who = "p4"
+            share = 0.2
+            [[fault]]
+            kind = "node-stall"
+            at_ms = 4000
+            for_ms = 300
+            who = "n6"
+            """;
+
     @TempDir
     private Path folder;
 
@@ -33,123 +110,34 @@
         return FaultTestRuns.held(text, folder);
     }
 
-    private static String everyFault(String program) {
-        return """
-                [fleet]
-                program = "%s"
-                proxies = 4
-                nodes = 6
-                zones = ["a", "b"]
-                node_per_second = 200
-                relay_nodes = true
-                seed = 3
-                [load]
-                seconds = 6.5
-                per_second = 150
-                writes = 0.2
-                [[fault]]
-                kind = "stop"
-                at_ms = 300
-                for_ms = 1200
-                who = "p1"
-                [[fault]]
-                kind = "node-drain"
-                at_ms = 400
-                for_ms = 5000
-                who = "n1"
-                [[fault]]
-                kind = "node-kill"
-                at_ms = 500
-                for_ms = 300
-                who = "n2"
-                [[fault]]
-                kind = "kill"
-                at_ms = 600
-                for_ms = 200
-                who = "p2"
-                [[fault]]
-                kind = "link"
-                at_ms = 1000
-                for_ms = 900
-                who = "p3"
-                to = "n3,n4"
-                lose = 1
-                [[fault]]
-                kind = "link"
-                at_ms = 1500
-                for_ms = 800
-                who = "p4"
-                to = "n5"
-                reset = true
-                [[fault]]
-                kind = "link"
-                at_ms = 1000
-                for_ms = 3000
-                who = "proxies"
-                to = "proxies"
-                lose = 0.4
-                twice = 0.3
-                jitter_ms = 200
-                corrupt = 0.1
-                [[fault]]
-                kind = "term"
-                at_ms = 2500
-                for_ms = 500
-                who = "p3"
-                [[fault]]
-                kind = "slow"
-                at_ms = 3000
-                for_ms = 1000
-                who = "p4"
-                share = 0.2
-                [[fault]]
-                kind = "node-stall"
-                at_ms = 4000
-                for_ms = 300
-                who = "n6"
-                """.formatted(program);
-    }
-
     @ParameterizedTest
     @ValueSource(strings = {"serve", "run"})
-    void fourProcessesKeepTheRulesThroughEveryKindOfFault(String program) throws Exception {
-        FaultTestRunner.Outcome o = play(everyFault(program));
-        assertThat(o.service().requests()).isGreaterThan(700);
-        assertThat(o.service().served()).isGreaterThan(o.service().requests() / 2);
-        RunHistory run = o.run();
+    void keepsAllInvariantsThroughEveryKindOfFault(String program) throws Exception {
+        FaultTestRunner.Outcome outcome = play(EVERY_FAULT.formatted(program));
+        assertThat(outcome.serviceStats().requests()).isGreaterThan(700);
+        assertThat(outcome.serviceStats().served())
+                .isGreaterThan(outcome.serviceStats().requests() / 2);
+        RunHistory run = outcome.run();
         assertThat(run.events().stream()
-                        .filter(e -> e.type().equals(Event.PROCESS_READY))
+                        .filter(event -> event.type().equals(Event.PROCESS_READY))
                         .count())
                 .as("four, and two again")
                 .isEqualTo(6);
         assertThat(run.pausedUs("p1", 0, run.endUs())).as("it stood still").isPositive();
         assertThat(run.events())
-                .anyMatch(e ->
-                        e.type().equals(Event.PROCESS_EXITED) && e.endpoint().equals("p3") && e.value() == 143);
+                .anyMatch(event -> event.type().equals(Event.PROCESS_EXITED)
+                        && event.endpoint().equals("p3")
+                        && event.value() == 143);
         plantedFaultsAreFound(run);
     }
 
     /** Faults put into the history of a real run are found in it. */
     private static void plantedFaultsAreFound(RunHistory run) {
         // p4 neither stands still nor ends, so nothing of it is excused.
-        Event served = run.events().stream()
-                .filter(e -> e.type().equals(Event.RESPONSE_RECEIVED)
-                        && e.detail().equals("served")
-                        && e.endpoint().equals("p4"))
-                .findFirst()
-                .orElseThrow();
-        Event effect = run.events().stream()
-                .filter(e -> e.type().equals(Event.WRITE_APPLIED))
-                .findFirst()
-                .orElseThrow();
-        Event drain = run.events().stream()
-                .filter(e -> e.type().equals(Event.SERVER_DRAINING))
-                .findFirst()
-                .orElseThrow();
-        Event born = run.events().stream()
-                .filter(e -> e.type().equals(Event.SERVER_STARTED))
-                .findFirst()
-                .orElseThrow();
+        Event served = first(
+                run,
+                event -> event.is(Event.RESPONSE_RECEIVED, "served")
+                        && event.endpoint().equals("p4"));
         assertThat(new SingleResponseChecker()
                         .check(with(run, later(served, served.timeUs() + 1000, served.endpoint())))
                         .count())
@@ -158,19 +146,25 @@
         assertThat(new SingleResponseChecker().check(without(run, served)).count())
                 .as("never")
                 .isEqualTo(1);
+        Event effect = first(run, event -> event.is(Event.WRITE_APPLIED));
         assertThat(new AtMostOnceChecker()
                         .check(with(run, later(effect, effect.timeUs() + 1000, effect.endpoint())))
                         .count())
                 .isEqualTo(1);
-        Event stray = run.events().stream()
-                .filter(e -> e.type().equals(Event.COMMAND_ARRIVED)
-                        && e.timeUs() > drain.timeUs() + 2_200_000
+        plantedCommandsAreFound(run);
+    }
+
+    private static void plantedCommandsAreFound(RunHistory run) {
+        Event drain = first(run, event -> event.is(Event.SERVER_DRAINING));
+        Event born = first(run, event -> event.is(Event.SERVER_STARTED));
+        Event stray = first(
+                run,
+                event -> event.is(Event.COMMAND_ARRIVED)
+                        && event.timeUs() > drain.timeUs() + 2_200_000
                         && run.events().stream()
-                                .anyMatch(a -> a.type().equals(Event.REQUEST_SENT)
-                                        && a.id().equals(e.id())
-                                        && a.endpoint().equals("p4")))
-                .findFirst()
-                .orElseThrow();
+                                .anyMatch(sent -> sent.is(Event.REQUEST_SENT)
+                                        && sent.id().equals(event.id())
+                                        && sent.endpoint().equals("p4")));
         assertThat(new DrainChecker()
                         .check(with(run, later(stray, stray.timeUs(), drain.endpoint())))
                         .count())
@@ -183,8 +177,12 @@
         assertThat(new SlowStartChecker().check(with(run, flood)).count()).isEqualTo(1);
     }
 
-    private static Event later(Event e, long us, String who) {
-        return new Event(us, 0, who, e.type(), e.id(), e.detail(), e.value());
+    private static Event first(RunHistory run, Predicate<Event> condition) {
+        return run.events().stream().filter(condition).findFirst().orElseThrow();
+    }
+
+    private static Event later(Event event, long timeUs, String endpoint) {
+        return new Event(timeUs, 0, endpoint, event.type(), event.id(), event.detail(), event.value());
     }
 
     private static RunHistory with(RunHistory run, Event... planted) {
@@ -201,7 +199,7 @@
 
     /** The rig killed in the midst of it, with one child standing still: nobody is left. */
     @Test
-    void noChildOutlivesARigThatIsKilled() throws Exception {
+    void leavesNoChildProcessWhenRunnerIsKilled() throws Exception {
         Path scenario = folder.resolve("s.toml");
         Files.writeString(scenario, """
                 [fleet]
@@ -235,9 +233,9 @@
             }
             List<ProcessHandle> children = new ArrayList<>();
             try (Stream<Path> files = Files.walk(out)) {
-                for (Path pid : files.filter(f -> f.endsWith("pid")).toList()) {
+                for (Path pidFile : files.filter(file -> file.endsWith("pid")).toList()) {
                     children.add(ProcessHandle.of(
-                                    Long.parseLong(Files.readString(pid).trim()))
+                                    Long.parseLong(Files.readString(pidFile).trim()))
                             .orElseThrow());
                 }
             }
@@ -252,10 +250,10 @@
     }
 
     @Test
-    void aProxyThatCanNotStartIsToldByNameAndNothingIsLeft() throws Exception {
-        Scenario s = ScenarioReader.parse(
+    void reportsProxyThatCannotStartByNameAndLeavesNothing() throws Exception {
+        Scenario scenario = ScenarioReader.parse(
                 "test", "[fleet]\nprogram = \"run\"\nproxies = 2\nnodes = 1\nextra = \"[nonsense]\"\n", null);
-        assertThatThrownBy(() -> FaultTestRunner.play(s, folder, Checker.all(), line -> {}))
+        assertThatThrownBy(() -> FaultTestRunner.play(scenario, folder, Checker.all(), line -> {}))
                 .hasMessageContaining("ended before it was ready, exit code 2")
                 .hasMessageContaining("log");
         assertThat(Files.readString(folder.resolve("p1/log"))).contains("unknown key 'nonsense'");
--- a/src/test/java/cacheproxy/faulttest/KnownStateIT.java
+++ b/src/test/java/cacheproxy/faulttest/KnownStateIT.java
@@ -24,19 +24,21 @@
      * tells the others.
      */
     @Test
-    void drainsThatOpenWatchesNeverToldOfAreKept() throws Exception {
-        FaultTestRunner.Outcome o = FaultTestRuns.held(
+    void keepsDrainsThatOpenWatchesDidNotReport() throws Exception {
+        FaultTestRunner.Outcome outcome = FaultTestRuns.held(
                 "[fleet]\nproxies = 5\nnodes = 5\n[load]\nseconds = 15\nper_second = 200\n"
                         + fault("link", 1500, 1200, "proxies", "to = \"discovery\"\nlose = 1")
                         + fault("node-drain", 1900, 12_500, "n1", "")
                         + fault("node-drain", 2200, 12_000, "n2", "") + fault("stop", 3000, 1500, "p2", "")
                         + fault("kill", 13_000, 300, "p3", ""),
                 folder);
-        assertThat(o.verdict().violationsByChecker().get("drains-kept").judged())
+        assertThat(outcome.verdict().violationsByChecker().get("drains-kept").judged())
                 .as("sends to draining nodes that were looked at")
                 .isPositive();
-        long late = o.run().events().stream()
-                .filter(e -> e.type().equals(Event.COMMAND_ARRIVED) && e.timeMs() > 11_000 && e.timeMs() < 14_000)
+        long late = outcome.run().events().stream()
+                .filter(event -> event.type().equals(Event.COMMAND_ARRIVED)
+                        && event.timeMs() > 11_000
+                        && event.timeMs() < 14_000)
                 .map(Event::endpoint)
                 .distinct()
                 .count();
--- a/src/test/java/cacheproxy/faulttest/LeaseUsersIT.java
+++ b/src/test/java/cacheproxy/faulttest/LeaseUsersIT.java
@@ -36,46 +36,47 @@
 
     private FaultTestRunner.Outcome play(String sections, String duties, double seconds, String faults)
             throws Exception {
-        String s = "[fleet]\nprogram = \"run\"\nproxies = 5\nnodes = 4\n" + FLEET.formatted(sections, duties)
+        String scenario = "[fleet]\nprogram = \"run\"\nproxies = 5\nnodes = 4\n" + FLEET.formatted(sections, duties)
                 + "[load]\nseconds = " + seconds + "\nper_second = 200\n" + faults;
-        FaultTestRunner.Outcome o = FaultTestRuns.held(s, folder);
-        return o;
+        FaultTestRunner.Outcome outcome = FaultTestRuns.held(scenario, folder);
+        return outcome;
     }
 
     /** A proxy that is told nothing any more: whatever it does not know of the nodes shows by its own requests. */
-    private static long served(FaultTestRunner.Outcome o, String proxy, double fromMs) {
-        return o.run().events().stream()
-                .filter(e -> e.type().equals(Event.RESPONSE_RECEIVED)
-                        && e.endpoint().equals(proxy)
-                        && e.detail().equals("served")
-                        && e.timeMs() > fromMs)
+    private static long served(FaultTestRunner.Outcome outcome, String proxy, double fromMs) {
+        return outcome.run().events().stream()
+                .filter(event -> event.type().equals(Event.RESPONSE_RECEIVED)
+                        && event.endpoint().equals(proxy)
+                        && event.detail().equals("served")
+                        && event.timeMs() > fromMs)
                 .count();
     }
 
     @Test
-    void aNodeThatStandsStillIsTriedByOneForAllAndByEachThatIsCutOff() throws Exception {
-        FaultTestRunner.Outcome o = play(
+    void checksStalledServerByOneProxyForAllAndByEachThatIsCutOff() throws Exception {
+        FaultTestRunner.Outcome outcome = play(
                 PROBE,
                 "\"probe.0\", \"probe.1\"",
                 13,
                 fault("node-stall", 2000, 4500, "n1", "")
                         + fault("node-stall", 8000, 3000, "n2", "")
                         + fault("link", 7500, 5000, "p5", "to = \"proxies\"\nlose = 1"));
-        assertThat(o.verdict().violationsByChecker().get("one-holder").judged()).isGreaterThan(20);
-        assertThat(o.verdict().violationsByChecker().get("acts-in-order").judged())
+        assertThat(outcome.verdict().violationsByChecker().get("one-holder").judged())
                 .isGreaterThan(20);
-        assertThat(o.tests())
+        assertThat(outcome.verdict().violationsByChecker().get("acts-in-order").judged())
+                .isGreaterThan(20);
+        assertThat(outcome.measurements().healthChecks())
                 .as("tests came at all; how many are saved is measured, not tested here")
                 .isPositive();
-        for (int p = 1; p <= 5; p++) {
-            assertThat(served(o, "p" + p, 11_500)).as("p" + p).isPositive();
+        for (int proxy = 1; proxy <= 5; proxy++) {
+            assertThat(served(outcome, "p" + proxy, 11_500)).as("p" + proxy).isPositive();
         }
     }
 
     /** Where nodes take no tests one proxy's clients find out for all, and whoever is cut off finds out by its own. */
     @Test
-    void clientsRequestsAreTheTrialsWhereNodesTakeNoTests() throws Exception {
-        FaultTestRunner.Outcome o = play(
+    void checksHealthByClientRequestsWhereServersTakeNoHealthChecks() throws Exception {
+        FaultTestRunner.Outcome outcome = play(
                 PROBE + "by = \"requests\"\n",
                 "\"probe.0\", \"probe.1\"",
                 13,
@@ -84,15 +85,17 @@
                         + fault("link", 7500, 5000, "p5", "to = \"proxies\"\nlose = 1")
                         + fault("kill", 3000, 500, "p1", "")
                         + fault("stop", 4000, 1500, "p2", ""));
-        assertThat(o.tests()).as("empty commands at nodes").isZero();
-        for (int p = 1; p <= 5; p++) {
-            String who = "n" + Math.min(p, 4);
-            assertThat(served(o, "p" + p, 11_500)).as("p" + p).isPositive();
-            assertThat(o.run().events())
+        assertThat(outcome.measurements().healthChecks())
+                .as("empty commands at nodes")
+                .isZero();
+        for (int proxy = 1; proxy <= 5; proxy++) {
+            String who = "n" + Math.min(proxy, 4);
+            assertThat(served(outcome, "p" + proxy, 11_500)).as("p" + proxy).isPositive();
+            assertThat(outcome.run().events())
                     .as(who + " gets requests again")
-                    .anyMatch(e -> e.type().equals(Event.COMMAND_ARRIVED)
-                            && e.endpoint().equals(who)
-                            && e.timeMs() > 12_000);
+                    .anyMatch(event -> event.type().equals(Event.COMMAND_ARRIVED)
+                            && event.endpoint().equals(who)
+                            && event.timeMs() > 12_000);
         }
     }
 
@@ -101,15 +104,15 @@
      * end.
      */
     @Test
-    void holdersThatEndInTheMidstOfTrialsKeepNoNodeOut() throws Exception {
+    void returnsServersToServiceThoughHealthCheckersEnd() throws Exception {
         StringBuilder faults = new StringBuilder();
         for (int i = 0; i < 5; i++) {
             faults.append(fault("node-stall", 1500 + i * 2000, 1200, "n" + (i % 4 + 1), ""))
                     .append(fault(i % 2 == 0 ? "stop" : "kill", 2000 + i * 2000, 900, "p" + (i + 1), ""));
         }
-        FaultTestRunner.Outcome o = play(PROBE, "\"probe.0\"", 15, faults.toString());
-        long late = o.run().events().stream()
-                .filter(e -> e.type().equals(Event.COMMAND_ARRIVED) && e.timeMs() > 13_500)
+        FaultTestRunner.Outcome outcome = play(PROBE, "\"probe.0\"", 15, faults.toString());
+        long late = outcome.run().events().stream()
+                .filter(event -> event.type().equals(Event.COMMAND_ARRIVED) && event.timeMs() > 13_500)
                 .map(Event::endpoint)
                 .distinct()
                 .count();
@@ -117,8 +120,8 @@
     }
 
     @Test
-    void oneWatchesDiscoveryForAllAndDrainsAreKeptWhateverBecomesOfIt() throws Exception {
-        FaultTestRunner.Outcome o = play(
+    void watchesDiscoveryByOneProxyForAllAndKeepsDrainsThroughFaults() throws Exception {
+        FaultTestRunner.Outcome outcome = play(
                 WATCH,
                 "\"watch.a.pages\"",
                 14,
@@ -131,8 +134,9 @@
                         + fault("node-drain", 8200, 2000, "n3", "")
                         + fault("link", 10_500, 2000, "p1,p2", "to = \"p3-p5\"\nlose = 1")
                         + fault("node-drain", 10_700, 1500, "n4", ""));
-        assertThat(o.verdict().violationsByChecker().get("one-holder").judged()).isGreaterThan(20);
-        assertThat(o.watches())
+        assertThat(outcome.verdict().violationsByChecker().get("one-holder").judged())
+                .isGreaterThan(20);
+        assertThat(outcome.measurements().waitingWatches())
                 .as("calls that wait at discovery once all is calm")
                 .isLessThan(5);
     }
--- a/src/test/java/cacheproxy/faulttest/LeasesIT.java
+++ b/src/test/java/cacheproxy/faulttest/LeasesIT.java
@@ -35,11 +35,12 @@
     private Path folder;
 
     private FaultTestRunner.Outcome play(int proxies, double seconds, String faults) throws Exception {
-        String s = "[fleet]\nprogram = \"run\"\nproxies = " + proxies + "\nnodes = 3\n" + DUTY + "[load]\nseconds = "
-                + seconds + "\nper_second = 40\n" + faults;
-        FaultTestRunner.Outcome o = FaultTestRuns.held(s, folder);
-        assertThat(o.verdict().violationsByChecker().get("one-holder").judged()).isGreaterThan(20);
-        return o;
+        String scenario = "[fleet]\nprogram = \"run\"\nproxies = " + proxies + "\nnodes = 3\n" + DUTY
+                + "[load]\nseconds = " + seconds + "\nper_second = 40\n" + faults;
+        FaultTestRunner.Outcome outcome = FaultTestRuns.held(scenario, folder);
+        assertThat(outcome.verdict().violationsByChecker().get("one-holder").judged())
+                .isGreaterThan(20);
+        return outcome;
     }
 
     /**
@@ -47,12 +48,14 @@
      */
     private static boolean heldAfter(RunHistory run, double ms) {
         return run.events().stream()
-                .anyMatch(e -> e.type().equals(Event.LEASE_POLLED) && e.detail().equals("yes") && e.timeMs() > ms);
+                .anyMatch(event -> event.type().equals(Event.LEASE_POLLED)
+                        && event.detail().equals("yes")
+                        && event.timeMs() > ms);
     }
 
     private static double lastHealed(RunHistory run) {
         return run.events().stream()
-                .filter(e -> e.type().equals(Event.FAULT_ENDED))
+                .filter(event -> event.type().equals(Event.FAULT_ENDED))
                 .mapToDouble(Event::timeMs)
                 .max()
                 .orElseThrow();
@@ -60,31 +63,32 @@
 
     private static List<String> said(RunHistory run, String part) {
         return run.events().stream()
-                .filter(e -> e.type().equals(Event.LOG_LINE) && e.detail().contains(part))
-                .map(e -> e.endpoint() + " " + e.detail())
+                .filter(event ->
+                        event.type().equals(Event.LOG_LINE) && event.detail().contains(part))
+                .map(event -> event.endpoint() + " " + event.detail())
                 .toList();
     }
 
     @Test
-    void aDutyIsGivenBackAndHandedOnAtAPlannedEnd() throws Exception {
+    void handsOverLeaseAtGracefulShutdown() throws Exception {
         // Each proxy is ended in turn, so the holder is, whoever it is; all are back and have their word again before
         // the next.
-        FaultTestRunner.Outcome o = play(
+        FaultTestRunner.Outcome outcome = play(
                 3,
                 11.5,
                 fault("term", 2500, 300, "p1", "")
                         + fault("term", 5500, 300, "p2", "")
                         + fault("term", 8500, 300, "p3", ""));
-        assertThat(said(o.run(), "why=this process ends"))
+        assertThat(said(outcome.run(), "why=this process ends"))
                 .as("the holder was among them")
                 .isNotEmpty();
-        assertThat(LeaseStats.countTenures(o.run(), "cron")).isGreaterThan(1);
-        assertThat(heldAfter(o.run(), lastHealed(o.run()))).isTrue();
+        assertThat(LeaseStats.countTenures(outcome.run(), "cron")).isGreaterThan(1);
+        assertThat(heldAfter(outcome.run(), lastHealed(outcome.run()))).isTrue();
     }
 
     @Test
-    void stopsCutsSplitsAndLossesLeaveOneHolderAndSoonOneAgain() throws Exception {
-        FaultTestRunner.Outcome o = play(
+    void keepsOneHolderAndSoonHasOneAgainThroughPausesCutsSplitsAndLosses() throws Exception {
+        FaultTestRunner.Outcome outcome = play(
                 5,
                 14,
                 fault("stop", 2000, 1500, "p1", "")
@@ -98,18 +102,19 @@
                                 1500,
                                 "proxies",
                                 "to = \"proxies\"\nlose = 0.3\ntwice = 0.5\njitter_ms = 150\ndelay_ms = 50\ncorrupt = 0.1"));
-        assertThat(heldAfter(o.run(), lastHealed(o.run()))).isTrue();
-        assertThat(o.run().events())
-                .anyMatch(e -> e.type().equals(Event.LOG_LINE) && e.detail().contains("duty cron gained epoch="));
+        assertThat(heldAfter(outcome.run(), lastHealed(outcome.run()))).isTrue();
+        assertThat(outcome.run().events())
+                .anyMatch(event ->
+                        event.type().equals(Event.LOG_LINE) && event.detail().contains("duty cron gained epoch="));
     }
 
     @Test
-    void aThreeWaySplitHeavyLossLateDoublesAndAFlappingVoterLeaveOneHolder() throws Exception {
+    void keepsOneHolderThroughThreeWaySplitHeavyLossLateDuplicatesAndFlappingVoter() throws Exception {
         StringBuilder flaps = new StringBuilder();
         for (int at = 9000; at < 13_000; at += 1000) {
             flaps.append(fault("kill", at, 100, "p2", "")); // back and gone again before its silence is over
         }
-        FaultTestRunner.Outcome o = play(
+        FaultTestRunner.Outcome outcome = play(
                 5,
                 14,
                 fault("link", 2000, 1500, "p1,p2", "to = \"p3-p5\"\nlose = 1")
@@ -123,14 +128,14 @@
                                 "to = \"proxies\"\ntwice = 1\ndelay_ms = 1800\njitter_ms = 400")
                         + fault("slow", 9000, 3000, "p4", "share = 0.1")
                         + flaps);
-        assertThat(LeaseStats.countTenures(o.run(), "cron")).isGreaterThan(1);
-        assertThat(heldAfter(o.run(), 13_000)).as("after the last fault").isTrue();
+        assertThat(LeaseStats.countTenures(outcome.run(), "cron")).isGreaterThan(1);
+        assertThat(heldAfter(outcome.run(), 13_000)).as("after the last fault").isTrue();
     }
 
     @Test
-    void allVotersKilledWithinASecondAgreeAgainUnderALaterEpoch() throws Exception {
-        FaultTestRunner.Outcome o = play(3, 9, fault("kill", 2500, 100, "p1,p2,p3", "stagger_ms = 150"));
-        assertThat(LeaseStats.countTenures(o.run(), "cron")).isGreaterThan(1);
+    void agreesOnLaterEpochAfterAllVotersWereKilledWithinSecond() throws Exception {
+        FaultTestRunner.Outcome outcome = play(3, 9, fault("kill", 2500, 100, "p1,p2,p3", "stagger_ms = 150"));
+        assertThat(LeaseStats.countTenures(outcome.run(), "cron")).isGreaterThan(1);
     }
 
     /**
@@ -138,7 +143,7 @@
      * own discovery.
      */
     @Test
-    void anOldReleaseAListThatDiffersASplitAndAHolderWithoutNodesLeaveOneHolderAndAreToldOf() throws Exception {
+    void keepsOneHolderAndReportsOldReleaseDifferentPeerListsSplitAndHolderWithoutServers() throws Exception {
         String section = """
                 [control]
                 listen = "{control}"
@@ -151,21 +156,25 @@
                 name = "cron"
                 lease_ms = 600
                 %s""";
-        String s = "[fleet]\nprogram = \"run\"\nproxies = 5\nnodes = 4\nzones = [\"a\", \"b\"]\nrelay_nodes = true\n"
-                + "own_discovery = true\nduties = [\"cron\"]\nold = \"p1\"\nold_extra = \'\'\'\n"
-                + section.formatted("{peers-but-last}", "")
-                + "\'\'\'\nextra = \'\'\'\n"
-                + section.formatted(
-                        "{peers}", "[fleet.probe]\nlease_ms = 600\n[fleet.watch]\nlease_ms = 600\nbeat_ms = 200\n")
-                + "\'\'\'\n[load]\nseconds = 15\nper_second = 100\n"
-                + fault("link", 2000, 2500, "p1,p3,p5", "to = \"p2,p4\"\nlose = 1")
-                + fault("link", 5000, 8000, "p3", "holder_of = \"cron\"\nto = \"nodes\"\nlose = 1")
-                + fault("link", 9500, 1500, "p4,p5", "to = \"discovery\"\nlose = 1");
-        FaultTestRunner.Outcome o = FaultTestRuns.held(s, folder);
-        assertThat(o.verdict().violationsByChecker().get("one-holder").judged()).isGreaterThan(20);
-        assertThat(heldAfter(o.run(), lastHealed(o.run()))).isTrue();
-        assertThat(said(o.run(), "fleet: p1 goes by another list of peers")).isNotEmpty();
-        assertThat(said(o.run(), "why=it reaches no server, and others do"))
+        String scenario =
+                "[fleet]\nprogram = \"run\"\nproxies = 5\nnodes = 4\nzones = [\"a\", \"b\"]\nrelay_nodes = true\n"
+                        + "own_discovery = true\nduties = [\"cron\"]\nold = \"p1\"\nold_extra = \'\'\'\n"
+                        + section.formatted("{peers-but-last}", "")
+                        + "\'\'\'\nextra = \'\'\'\n"
+                        + section.formatted(
+                                "{peers}",
+                                "[fleet.probe]\nlease_ms = 600\n[fleet.watch]\nlease_ms = 600\nbeat_ms = 200\n")
+                        + "\'\'\'\n[load]\nseconds = 15\nper_second = 100\n"
+                        + fault("link", 2000, 2500, "p1,p3,p5", "to = \"p2,p4\"\nlose = 1")
+                        + fault("link", 5000, 8000, "p3", "holder_of = \"cron\"\nto = \"nodes\"\nlose = 1")
+                        + fault("link", 9500, 1500, "p4,p5", "to = \"discovery\"\nlose = 1");
+        FaultTestRunner.Outcome outcome = FaultTestRuns.held(scenario, folder);
+        assertThat(outcome.verdict().violationsByChecker().get("one-holder").judged())
+                .isGreaterThan(20);
+        assertThat(heldAfter(outcome.run(), lastHealed(outcome.run()))).isTrue();
+        assertThat(said(outcome.run(), "fleet: p1 goes by another list of peers"))
+                .isNotEmpty();
+        assertThat(said(outcome.run(), "why=it reaches no server, and others do"))
                 .as("the holder, which has peers and no nodes")
                 .isNotEmpty();
     }
--- a/src/test/java/cacheproxy/faulttest/QuotasIT.java
+++ b/src/test/java/cacheproxy/faulttest/QuotasIT.java
@@ -20,16 +20,16 @@
 
     private FaultTestRunner.Outcome play(String fleet, String limit, String load, String judged, String faults)
             throws Exception {
-        String s = "[fleet]\nprogram = \"run\"\nproxies = 4\nnodes = 3\n" + fleet
+        String scenario = "[fleet]\nprogram = \"run\"\nproxies = 4\nnodes = 3\n" + fleet
                 + "extra = '''\n[control]\nlisten = \"{control}\"\n"
                 + "[fleet]\nme = \"{me}\"\nlisten = \"{listen}\"\nlongest_lease_ms = 600\n{peers}\n[fleet.limits]\ngrant_ms = 600\nlease_ms = 600\nshares = 1\n"
                 + "[[fleet.limit]]\nname = \"reads\"\nclass = \"read\"\n" + limit + "'''\n[load]\n" + load + "[limit]\n"
                 + judged + faults;
-        FaultTestRunner.Outcome o = FaultTestRuns.held(s, folder);
-        assertThat(o.verdict().violationsByChecker().get("limit-kept").judged())
-                .as(String.join("\n", o.lines()))
+        FaultTestRunner.Outcome outcome = FaultTestRuns.held(scenario, folder);
+        assertThat(outcome.verdict().violationsByChecker().get("limit-kept").judged())
+                .as(String.join("\n", outcome.lines()))
                 .isGreaterThan(100);
-        return o;
+        return outcome;
     }
 
     /**
@@ -37,8 +37,8 @@
      * while load moves from one to the next.
      */
     @Test
-    void aRateIsKeptWhateverBecomesOfDealersAndLinks() throws Exception {
-        FaultTestRunner.Outcome o = play(
+    void keepsRateThroughFaultsOfAllocatorsAndLinks() throws Exception {
+        FaultTestRunner.Outcome outcome = play(
                 "duties = [\"limits.0\"]\n",
                 "per_second = 100\nburst = 10\n",
                 "seconds = 15.5\nper_second = 300\nwrites = 0\nskew = 0.5\nturn_ms = 1000\n",
@@ -54,18 +54,19 @@
                                 "proxies",
                                 "to = \"proxies\"\nlose = 0.3\ntwice = 0.5\ndelay_ms = 50\njitter_ms = 400")
                         + fault("term", 13_000, 300, "p2", ""));
-        assertThat(o.run().events())
+        assertThat(outcome.run().events())
                 .as("who is cut off and has load says that it is alone")
-                .anyMatch(e -> e.type().equals(Event.LOG_LINE) && e.detail().contains("limit reads alone"));
-        assertThat(o.service().rejected()).isPositive();
+                .anyMatch(event ->
+                        event.type().equals(Event.LOG_LINE) && event.detail().contains("limit reads alone"));
+        assertThat(outcome.serviceStats().rejected()).isPositive();
     }
 
     /**
      * What is dealt out by the holder alone: who is cut off refuses, and nothing is over when another holds the duty.
      */
     @Test
-    void aRateThatNobodyOwnsAShareOfIsKeptOverHoldersThatChange() throws Exception {
-        FaultTestRunner.Outcome o = play(
+    void keepsRateWithoutStaticSharesWhenAllocatorsChange() throws Exception {
+        FaultTestRunner.Outcome outcome = play(
                 "duties = [\"limits.0\"]\n",
                 "per_second = 100\nburst = 10\nwhen_alone = \"none\"\n",
                 "seconds = 12\nper_second = 250\nwrites = 0\n",
@@ -73,11 +74,11 @@
                 fault("stop", 3000, 2500, "p1", "holder_of = \"limits.0\"")
                         + fault("kill", 6500, 300, "p1", "holder_of = \"limits.0\"")
                         + fault("link", 9000, 1500, "p4", "to = \"proxies\"\nlose = 1"));
-        assertThat(o.service().rejected()).isPositive();
+        assertThat(outcome.serviceStats().rejected()).isPositive();
     }
 
     @Test
-    void whatIsInHandAtOnceIsKeptWhateverBecomesOfProxies() throws Exception {
+    void keepsConcurrencyThroughFaultsOfProxies() throws Exception {
         play(
                 "node_per_second = 12\nnode_room = 100\n",
                 "at_once = 8\n",
--- a/src/test/java/cacheproxy/faulttest/RelayTest.java
+++ b/src/test/java/cacheproxy/faulttest/RelayTest.java
@@ -28,11 +28,11 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The rig's links between sockets of its own. */
+/** The relays of datagrams and connections over faulty links. */
 @Timeout(60)
 class RelayTest {
     /** A test that waits in vain fails; JUnit's limit does not end a blocked read. */
-    private static final int PATIENCE_MS = 20_000;
+    private static final int READ_TIMEOUT_MS = 20_000;
 
     private final TargetSelector names = new TargetSelector(3, 1, List.of("a"));
     private final NetworkLinks links = new NetworkLinks(names);
@@ -41,12 +41,12 @@
     private AddressSpace space;
 
     @BeforeEach
-    void take() throws IOException {
-        space = AddressSpace.take();
+    void reserveAddresses() throws IOException {
+        space = AddressSpace.reserve();
     }
 
     @AfterEach
-    void end() {
+    void close() {
         space.close();
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
@@ -55,120 +55,122 @@
         return new Fault(Kind.LINK, 0, 1, who, to, twoWay, figures, 1, 0, false, 0);
     }
 
-    private void on(Runnable change) {
+    private void runOnLoop(Runnable change) {
         loop.submit(change).syncUninterruptibly();
     }
 
-    private static DatagramPacket heard(DatagramSocket socket) throws IOException {
-        socket.setSoTimeout(PATIENCE_MS);
-        DatagramPacket p = new DatagramPacket(new byte[512], 512);
-        socket.receive(p);
-        return p;
+    private static DatagramPacket receive(DatagramSocket socket) throws IOException {
+        socket.setSoTimeout(READ_TIMEOUT_MS);
+        DatagramPacket packet = new DatagramPacket(new byte[512], 512);
+        socket.receive(packet);
+        return packet;
     }
 
-    private static String text(DatagramPacket p) {
-        return new String(p.getData(), 0, p.getLength(), UTF_8);
+    private static String text(DatagramPacket packet) {
+        return new String(packet.getData(), 0, packet.getLength(), UTF_8);
     }
 
-    private void say(DatagramSocket from, SocketAddress to, String text) throws IOException {
+    private void send(DatagramSocket from, SocketAddress to, String text) throws IOException {
         from.send(new DatagramPacket(text.getBytes(UTF_8), text.length(), to));
     }
 
     @Test
-    void proxiesKnowOneAnotherByTheirFacesAndHearWhatTheLinksLetThrough() throws Exception {
+    void relaysDatagramsBetweenConfiguredAddressesAsLinksAllow() throws Exception {
         try (DatagramRelay relay = new DatagramRelay(loop, space, 3, links, 1);
-                DatagramSocket a = new DatagramSocket(space.proxy(0, AddressSpace.PEERS));
-                DatagramSocket b = new DatagramSocket(space.proxy(1, AddressSpace.PEERS));
-                DatagramSocket c = new DatagramSocket(space.proxy(2, AddressSpace.PEERS));
+                DatagramSocket first = new DatagramSocket(space.proxyAddress(0, AddressSpace.PEER_PORT));
+                DatagramSocket second = new DatagramSocket(space.proxyAddress(1, AddressSpace.PEER_PORT));
+                DatagramSocket third = new DatagramSocket(space.proxyAddress(2, AddressSpace.PEER_PORT));
                 DatagramSocket stranger =
                         new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
-            say(a, space.face(1, AddressSpace.PEERS), "one");
-            DatagramPacket p = heard(b);
-            assertThat(text(p)).isEqualTo("one");
-            assertThat(p.getSocketAddress()).isEqualTo(space.face(0, AddressSpace.PEERS));
-            say(b, p.getSocketAddress(), "back");
-            assertThat(text(heard(a))).isEqualTo("back");
-            say(a, space.all(), "all");
-            assertThat(text(heard(b))).isEqualTo("all");
-            assertThat(text(heard(c))).isEqualTo("all");
+            send(first, space.relayAddress(1, AddressSpace.PEER_PORT), "one");
+            DatagramPacket packet = receive(second);
+            assertThat(text(packet)).isEqualTo("one");
+            assertThat(packet.getSocketAddress()).isEqualTo(space.relayAddress(0, AddressSpace.PEER_PORT));
+            send(second, packet.getSocketAddress(), "back");
+            assertThat(text(receive(first))).isEqualTo("back");
+            send(first, space.broadcastAddress(), "all");
+            assertThat(text(receive(second))).isEqualTo("all");
+            assertThat(text(receive(third))).isEqualTo("all");
 
             Fault oneWay = fault(List.of("p1"), List.of("p2"), false, LinkFault.CUT);
-            on(() -> links.begin(oneWay));
-            say(a, space.face(1, AddressSpace.PEERS), "cut");
-            say(a, space.face(2, AddressSpace.PEERS), "past it");
-            assertThat(text(heard(c))).isEqualTo("past it");
+            runOnLoop(() -> links.begin(oneWay));
+            send(first, space.relayAddress(1, AddressSpace.PEER_PORT), "cut");
+            send(first, space.relayAddress(2, AddressSpace.PEER_PORT), "past it");
+            assertThat(text(receive(third))).isEqualTo("past it");
             assertThat(relay.lost()).isEqualTo(1);
-            say(b, space.face(0, AddressSpace.PEERS), "the other way");
-            assertThat(text(heard(a))).isEqualTo("the other way");
-            on(() -> links.end(oneWay));
-            say(a, space.face(1, AddressSpace.PEERS), "healed");
-            assertThat(text(heard(b))).as("what was cut is lost").isEqualTo("healed");
-
-            on(() -> links.begin(fault(List.of("p1"), List.of("p2"), true, new LinkFault(0, 10, 0, 1, 1, false))));
-            say(a, space.face(1, AddressSpace.PEERS), "spoilt");
-            assertThat(text(heard(b))).hasSize(6).isNotEqualTo("spoilt");
-            assertThat(text(heard(b))).hasSize(6).isNotEqualTo("spoilt");
-
-            say(stranger, space.face(2, AddressSpace.PEERS), "who?");
-            say(a, space.face(2, AddressSpace.PEERS), "I");
-            assertThat(text(heard(c))).isEqualTo("I");
-            assertThat(relay.strangers()).isEqualTo(1);
+            send(second, space.relayAddress(0, AddressSpace.PEER_PORT), "the other way");
+            assertThat(text(receive(first))).isEqualTo("the other way");
+            runOnLoop(() -> links.end(oneWay));
+            send(first, space.relayAddress(1, AddressSpace.PEER_PORT), "healed");
+            assertThat(text(receive(second))).as("what was cut is lost").isEqualTo("healed");
+
+            runOnLoop(
+                    () -> links.begin(fault(List.of("p1"), List.of("p2"), true, new LinkFault(0, 10, 0, 1, 1, false))));
+            send(first, space.relayAddress(1, AddressSpace.PEER_PORT), "spoilt");
+            assertThat(text(receive(second))).hasSize(6).isNotEqualTo("spoilt");
+            assertThat(text(receive(second))).hasSize(6).isNotEqualTo("spoilt");
+
+            send(stranger, space.relayAddress(2, AddressSpace.PEER_PORT), "who?");
+            send(first, space.relayAddress(2, AddressSpace.PEER_PORT), "I");
+            assertThat(text(receive(third))).isEqualTo("I");
+            assertThat(relay.fromUnknownSenders()).isEqualTo(1);
             assertThat(relay.dropped()).isZero();
         }
     }
 
     @Test
-    void whatIsLateOnPurposeIsBoundedAndTold() throws Exception {
+    void boundsAndCountsDelayedDatagrams() throws Exception {
         try (DatagramRelay relay = new DatagramRelay(loop, space, 3, links, 1);
-                DatagramSocket a = new DatagramSocket(space.proxy(0, AddressSpace.PEERS))) {
-            on(() -> links.begin(fault(List.of("p1"), List.of("p2"), true, new LinkFault(0, 60_000, 0, 0, 0, false))));
+                DatagramSocket first = new DatagramSocket(space.proxyAddress(0, AddressSpace.PEER_PORT))) {
+            runOnLoop(() ->
+                    links.begin(fault(List.of("p1"), List.of("p2"), true, new LinkFault(0, 60_000, 0, 0, 0, false))));
             while (relay.dropped() == 0) {
                 for (int i = 0; i < 1000; i++) {
-                    say(a, space.face(1, AddressSpace.PEERS), "x");
+                    send(first, space.relayAddress(1, AddressSpace.PEER_PORT), "x");
                 }
             }
-            assertThat(relay.passed()).isZero();
+            assertThat(relay.forwarded()).isZero();
         }
     }
 
     @Test
-    void aCutConnectionIsOpenAndSilentAndGoesOnOnceHealedAndAResetOneEnds() throws Exception {
+    void holdsCutConnectionOpenUntilFaultEndsAndResetsConnection() throws Exception {
         try (TcpRelay relay = new TcpRelay(loop, links);
-                ScriptedServer server = new ScriptedServer(c -> {
-                    for (String line; (line = c.line()) != null; ) {
-                        c.say("heard " + line + "\n");
+                ScriptedServer server = new ScriptedServer(third -> {
+                    for (String line; (line = third.line()) != null; ) {
+                        third.say("heard " + line + "\n");
                     }
                 })) {
-            InetSocketAddress at = space.face(0, AddressSpace.NODES);
-            relay.face(
+            InetSocketAddress at = space.relayAddress(0, AddressSpace.FIRST_SERVER_PORT);
+            relay.listen(
                     at,
                     0,
                     names.proxies(),
                     () -> new InetSocketAddress(InetAddress.getLoopbackAddress(), server.port()));
-            try (Socket s = new Socket(at.getAddress(), at.getPort())) {
-                s.setSoTimeout(PATIENCE_MS);
-                s.getOutputStream().write("1\n".getBytes(UTF_8));
-                assertThat(ScriptedServer.line(s.getInputStream())).isEqualTo("heard 1");
+            try (Socket socket = new Socket(at.getAddress(), at.getPort())) {
+                socket.setSoTimeout(READ_TIMEOUT_MS);
+                socket.getOutputStream().write("1\n".getBytes(UTF_8));
+                assertThat(ScriptedServer.line(socket.getInputStream())).isEqualTo("heard 1");
                 Fault cut = fault(List.of("p1"), List.of("n1"), true, LinkFault.CUT);
-                on(() -> {
+                runOnLoop(() -> {
                     links.begin(cut);
-                    relay.changed();
+                    relay.linksChanged();
                 });
-                s.getOutputStream().write("2\n".getBytes(UTF_8));
-                s.setSoTimeout(100);
-                assertThatThrownBy(() -> s.getInputStream().read()).isInstanceOf(SocketTimeoutException.class);
-                s.setSoTimeout(PATIENCE_MS);
-                on(() -> {
+                socket.getOutputStream().write("2\n".getBytes(UTF_8));
+                socket.setSoTimeout(100);
+                assertThatThrownBy(() -> socket.getInputStream().read()).isInstanceOf(SocketTimeoutException.class);
+                socket.setSoTimeout(READ_TIMEOUT_MS);
+                runOnLoop(() -> {
                     links.end(cut);
-                    relay.changed();
+                    relay.linksChanged();
                 });
-                assertThat(ScriptedServer.line(s.getInputStream())).isEqualTo("heard 2");
-                on(() -> {
+                assertThat(ScriptedServer.line(socket.getInputStream())).isEqualTo("heard 2");
+                runOnLoop(() -> {
                     links.begin(fault(List.of("p1"), List.of("n1"), true, new LinkFault(0, 0, 0, 0, 0, true)));
-                    relay.changed();
+                    relay.linksChanged();
                 });
                 assertThatThrownBy(() -> {
-                            if (s.getInputStream().read() < 0) {
+                            if (socket.getInputStream().read() < 0) {
                                 throw new IOException("ended");
                             }
                         })
