--- a/src/main/java/cacheproxy/faulttest/FaultTestRunner.java
+++ b/src/main/java/cacheproxy/faulttest/FaultTestRunner.java
@@ -3,9 +3,8 @@
 import cacheproxy.config.ConfigException;
 import cacheproxy.faulttest.check.Checker;
 import cacheproxy.faulttest.check.Event;
-import cacheproxy.faulttest.check.FencingChecker;
-import cacheproxy.faulttest.check.MutualExclusionChecker;
-import cacheproxy.faulttest.check.QuotaChecker;
+import cacheproxy.faulttest.check.LeaseStats;
+import cacheproxy.faulttest.check.QuotaStats;
 import cacheproxy.faulttest.check.RunHistory;
 import cacheproxy.faulttest.check.ServiceStats;
 import cacheproxy.faulttest.check.Verdict;
@@ -56,8 +55,8 @@
             int unsent) {
         private static double loadFromMs(RunHistory run) {
             return run.events().stream()
-                    .filter(e -> e.what().equals(Event.DUTY))
-                    .mapToDouble(Event::ms)
+                    .filter(e -> e.type().equals(Event.LEASE_POLLED))
+                    .mapToDouble(Event::timeMs)
                     .findFirst()
                     .orElse(0);
         }
@@ -71,7 +70,7 @@
                             "%d proxies (%s), %d nodes, seed %d, %.0f s; ready after %.1f s; MB each %.0f, at most %.0f",
                             s.proxies(),
                             s.program(),
-                            s.nodes(),
+                            s.servers(),
                             s.seed(),
                             seconds,
                             startSeconds,
@@ -90,16 +89,16 @@
                             discoveryCalls / seconds,
                             watches,
                             tests,
-                            ServiceStats.sentToSick(run)),
+                            ServiceStats.countSentToStalledServers(run)),
                     String.format(
                             "lag ms: relay p99 %.1f max %.1f, load p99 %.1f, proxies without a fault p99 %.1f; all processors busy %.2f",
-                            quality.relayP99(),
-                            quality.relayMax(),
-                            quality.loadP99(),
-                            quality.childP99(),
-                            quality.busy())));
-            for (String duty : s.duties()) {
-                List<double[]> gaps = MutualExclusionChecker.gaps(
+                            quality.relayLagP99Ms(),
+                            quality.relayLagMaxMs(),
+                            quality.scheduleLagP99Ms(),
+                            quality.pingP99Ms(),
+                            quality.busyShare())));
+            for (String duty : s.leases()) {
+                List<LeaseStats.Gap> gaps = LeaseStats.gapsWithoutHolder(
                         run,
                         duty,
                         Math.max(100, 2.5 * s.pollMs()),
@@ -108,14 +107,15 @@
                 lines.add(String.format(
                         "duty %s: epochs %d, longest gaps: %s",
                         duty,
-                        MutualExclusionChecker.moves(run, duty),
+                        LeaseStats.countTenures(run, duty),
                         String.join(
                                 " ",
                                 gaps.stream()
-                                        .map(g -> String.format("%.0f ms at %.1f s", g[1] - g[0], g[0] / 1000))
+                                        .map(gap ->
+                                                String.format("%.0f ms at %.1f s", gap.lengthMs(), gap.fromMs() / 1000))
                                         .toList())));
             }
-            MutualExclusionChecker.takeovers(run)
+            LeaseStats.takeoverTimesMs(run)
                     .forEach((kind, gaps) -> lines.add(String.format(
                             "%s of the holder: %d, without another for ms p50 %.0f p99 %.0f max %.0f",
                             kind,
@@ -123,14 +123,15 @@
                             gaps[gaps.length / 2],
                             gaps[(gaps.length - 1) * 99 / 100],
                             gaps[gaps.length - 1])));
-            if (!s.duties().isEmpty()) {
-                lines.add("acts under older epochs, refused where they were received: " + FencingChecker.refused(run));
+            if (!s.leases().isEmpty()) {
+                lines.add("acts under older epochs, refused where they were received: "
+                        + LeaseStats.countRejectedActions(run));
             }
-            if (run.scenario().limit() != null && run.scenario().limit().perSecond() > 0) {
-                double[] over = QuotaChecker.over(run);
+            if (run.scenario().quota() != null && run.scenario().quota().perSecond() > 0) {
+                double[] over = QuotaStats.excessByWindow(run);
                 lines.add(String.format(
                         "limit: over by %.0f in 100 ms, %.0f in 1 s, %.0f in 10 s; idle while refused %.4f from the fourth second of the load on",
-                        over[0], over[1], over[2], QuotaChecker.idle(run, 3000)));
+                        over[0], over[1], over[2], QuotaStats.unusedShare(run, 3000)));
             }
             lines.addAll(verdict.lines());
             return lines;
@@ -151,7 +152,7 @@
         MultiThreadIoEventLoopGroup relayGroup = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
         MultiThreadIoEventLoopGroup loadGroup = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
         EventLoop relayLoop = relayGroup.next();
-        NetworkLinks links = new NetworkLinks(scenario.endpoints());
+        NetworkLinks links = new NetworkLinks(scenario.targetSelector());
         double startSeconds;
         double[] resident;
         long[] datagrams;
@@ -169,7 +170,7 @@
                 FakeProcesses standIns = new FakeProcesses(scenario, space, connections, relayLoop, history);
                 ProxyProcesses proxies = new ProxyProcesses(scenario, space, folder, history, standIns::known);
                 HostLoad machine = new HostLoad()) {
-            if (scenario.warm()) {
+            if (scenario.warmServers()) {
                 standIns.warm(scenario.load().keys());
             }
             log.accept("starting " + scenario.proxies() + " proxies");
@@ -195,14 +196,14 @@
                     connections,
                     history,
                     duty -> asking[0] == null ? null : asking[0].holder(duty))) {
-                LeasePoller polls = scenario.duties().isEmpty()
+                LeasePoller polls = scenario.leases().isEmpty()
                         ? null
                         : LeasePoller.start(
                                 loadGroup.next(),
                                 space,
                                 history,
                                 scenario.proxies(),
-                                scenario.duties(),
+                                scenario.leases(),
                                 scenario.pollMs(),
                                 scenario.seed());
                 asking[0] = polls; // before the director's thread starts, which reads it
@@ -240,7 +241,7 @@
         RunValidity quality = new RunValidity(lags[0], lags[1], lags[2], pulseP99(run), lags[3], dropped, relayDropped);
         return new Outcome(
                 run,
-                Verdict.of(run, quality.faults(), checkers),
+                Verdict.of(run, quality.problems(), checkers),
                 quality,
                 ServiceStats.of(run, 0, Double.MAX_VALUE),
                 startSeconds,
@@ -256,7 +257,7 @@
     /** Checks a history that was written before. The machine's part in it is judged by the empty calls alone. */
     public static Verdict check(Path history, List<Checker> checkers) throws IOException, ConfigException {
         RunHistory run = History.read(history);
-        return Verdict.of(run, new RunValidity(0, 0, 0, pulseP99(run), 0, 0, 0).faults(), checkers);
+        return Verdict.of(run, new RunValidity(0, 0, 0, pulseP99(run), 0, 0, 0).problems(), checkers);
     }
 
     private static double[] resident(ProxyProcesses proxies, int count) {
@@ -275,8 +276,9 @@
     /** Of empty calls at proxies that nothing had befallen within a second before. */
     private static double pulseP99(RunHistory run) {
         double[] took = run.events().stream()
-                .filter(e -> e.what().equals(Event.PULSE)
-                        && !run.troubled(e.who(), e.us() - (long) (e.value() * 1000) - 1_000_000, e.us()))
+                .filter(e -> e.type().equals(Event.PROXY_PINGED)
+                        && !run.wasPausedOrDown(
+                                e.endpoint(), e.timeUs() - (long) (e.value() * 1000) - 1_000_000, e.timeUs()))
                 .mapToDouble(Event::value)
                 .sorted()
                 .toArray();
@@ -290,11 +292,12 @@
         int[] n = {0};
         return new cacheproxy.faulttest.scenario.Shrinker(
                         faults -> {
-                            Outcome o = play(scenario.with(faults), folder.resolve("try" + ++n[0]), checkers, s -> {});
-                            boolean broken = o.verdict().doubts().isEmpty()
-                                    && o.verdict().broken();
+                            Outcome o = play(
+                                    scenario.withFaults(faults), folder.resolve("try" + ++n[0]), checkers, s -> {});
+                            boolean broken = o.verdict().invalidReasons().isEmpty()
+                                    && o.verdict().violated();
                             log.accept("try " + n[0] + ": " + faults.size() + " faults, "
-                                    + (broken ? "broken" : o.verdict().held() ? "held" : "no verdict"));
+                                    + (broken ? "broken" : o.verdict().passed() ? "held" : "no verdict"));
                             return broken;
                         },
                         tries,
--- a/src/main/java/cacheproxy/faulttest/OpenLoopWorkload.java
+++ b/src/main/java/cacheproxy/faulttest/OpenLoopWorkload.java
@@ -139,15 +139,15 @@
         String id = Integer.toHexString(0x10000000 + asked++);
         Request r;
         double kind = random.nextDouble();
-        if (kind < load.writes()) {
-            boolean keyed = kind < load.writes() / 2;
+        if (kind < load.writeShare()) {
+            boolean keyed = kind < load.writeShare() / 2;
             r = new Request(id, keyed ? "keyed" : "unsafe", "w/" + id);
         } else {
-            int key = random.nextDouble() < load.hot() ? 0 : random.nextInt(load.keys());
+            int key = random.nextDouble() < load.hotShare() ? 0 : random.nextInt(load.keys());
             r = new Request(id, "read", key(key));
         }
         int part = Math.min(proxies.length - 1, to < 0 ? -to - 1 : to);
-        long turns = load.turnMs() > 0 ? (long) ((nextAt - startedAt) / 1e6 / load.turnMs()) : 0;
+        long turns = load.rotationMs() > 0 ? (long) ((nextAt - startedAt) / 1e6 / load.rotationMs()) : 0;
         targets[(int) ((part + turns) % proxies.length)].send(r);
     }
 
@@ -185,7 +185,7 @@
 
         Target(int index) {
             this.index = index;
-            name = TargetSelector.proxy(index);
+            name = TargetSelector.proxyName(index);
         }
 
         void send(Request r) {
@@ -277,11 +277,11 @@
         void send(Request r) {
             request = r;
             open++;
-            history.add(0, target.name, Event.ASKED, r.id, r.kind, load.deadlineMs());
+            history.add(0, target.name, Event.REQUEST_SENT, r.id, r.kind, load.deadlineMs());
             ctx.writeAndFlush(ByteBufUtil.writeAscii(ctx.alloc(), r.text()));
             patience = loop.schedule(
                     () -> {
-                        over(Event.LEFT, "");
+                        over(Event.CLIENT_TIMED_OUT, "");
                         ctx.close();
                     },
                     (long) (load.deadlineMs() + PATIENCE_MS),
@@ -317,10 +317,10 @@
                     .toString()
                     .trim();
             if (pulseAt != 0) {
-                history.add(0, target.name, Event.PULSE, "", "", (System.nanoTime() - pulseAt) / 1e6);
+                history.add(0, target.name, Event.PROXY_PINGED, "", "", (System.nanoTime() - pulseAt) / 1e6);
                 pulseAt = 0;
             } else if (request == null) {
-                history.add(0, target.name, Event.ANSWERED, "", "wrong", 0);
+                history.add(0, target.name, Event.RESPONSE_RECEIVED, "", "wrong", 0);
             } else if (!line.startsWith("SERVER_ERROR")
                     && !line.endsWith(" O" + request.id)
                     && !line.contains(" O" + request.id + " ")) {
@@ -335,7 +335,7 @@
         }
 
         private void answered(String how) {
-            over(Event.ANSWERED, how);
+            over(Event.RESPONSE_RECEIVED, how);
             target.idle.push(this);
         }
 
@@ -348,7 +348,7 @@
             target.connections--;
             target.idle.remove(this);
             if (request != null) {
-                Request r = over(Event.GONE, "");
+                Request r = over(Event.CONNECTION_CLOSED, "");
                 // Nobody can tell whether it ran, so what must not run twice is not sent again.
                 if (!r.again && !r.kind.equals("unsafe") && targets.length > 1) {
                     r.again = true;
--- a/src/test/java/cacheproxy/cli/ImportNginxCommandTest.java
+++ b/src/test/java/cacheproxy/cli/ImportNginxCommandTest.java
@@ -4,13 +4,10 @@
 
 import com.google.gson.JsonObject;
 import com.google.gson.JsonParser;
-import java.io.PrintWriter;
-import java.io.StringWriter;
 import java.nio.file.Files;
 import java.nio.file.Path;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
-import picocli.CommandLine;
 
 /** The command with files on disk: exit codes, what is written and what is not. */
 class ImportNginxCommandTest {
@@ -24,16 +21,12 @@
     private String out;
     private String err;
 
+    /** Runs a command line; what it prints is in {@code out} and {@code err} then. */
     private int run(String... args) {
-        StringWriter outWriter = new StringWriter();
-        StringWriter errWriter = new StringWriter();
-        int code = new CommandLine(new Cli())
-                .setOut(new PrintWriter(outWriter))
-                .setErr(new PrintWriter(errWriter))
-                .execute(args);
-        out = outWriter.toString();
-        err = errWriter.toString();
-        return code;
+        CommandResult result = CommandResult.run(args);
+        out = result.out();
+        err = result.err();
+        return result.exitCode();
     }
 
     private String file(String name, String text) throws Exception {
@@ -44,7 +37,7 @@
     }
 
     @Test
-    void writesAFileThatCheckAccepts() throws Exception {
+    void writesFileThatCheckAcceptsWhereAllIsImported() throws Exception {
         String conf = file("nginx.conf", "events { }\nhttp { include sites/*.conf; }\n");
         file("sites/b.conf", GOOD);
         file("sites/.hidden.conf", "broken {");
@@ -62,7 +55,7 @@
     }
 
     @Test
-    void reportsWhatIsNotCarriedOverAndWritesTheFile() throws Exception {
+    void reportsWhatIsNotImportedAndWritesTheFile() throws Exception {
         String conf = file("n.conf", GOOD.replace("proxy_pass", "limit_req zone=x; proxy_pass"));
         String toml = dir.resolve("out.toml").toString();
         assertThat(run("import-nginx", conf, "--out", toml, "--json")).isEqualTo(1);
@@ -73,9 +66,9 @@
     }
 
     @Test
-    void writesNothingIfTheConfigurationIsUnreadable() throws Exception {
+    void writesNothingForUnreadableConfigurationsAndOptions() throws Exception {
         String toml = dir.resolve("out.toml").toString();
-        for (String[] textAndMessage : new String[][] {
+        for (String[] textAndError : new String[][] {
             {"a;\nb {\n", "n.conf:2: the block that opens here is not closed"},
             {"include no.conf;", "n.conf:1: can't read no.conf: there is no such file"},
             {"include n.conf;", "n.conf:1: n.conf includes itself"},
@@ -84,11 +77,11 @@
             {"events { }", "nothing in it can be served"}
         }) {
             Files.createDirectories(dir.resolve("sub"));
-            String conf = file("n.conf", textAndMessage[0]);
+            String conf = file("n.conf", textAndError[0]);
             assertThat(run("import-nginx", conf, "--out", toml))
-                    .as(textAndMessage[0])
+                    .as(textAndError[0])
                     .isEqualTo(2);
-            assertThat(err).contains(textAndMessage[1]).doesNotContain("Exception");
+            assertThat(err).contains(textAndError[1]).doesNotContain("Exception");
             assertThat(Files.exists(Path.of(toml))).isFalse();
         }
         assertThat(run("import-nginx", dir + "/none.conf")).isEqualTo(2);
@@ -101,7 +94,7 @@
     }
 
     @Test
-    void compareListsEachKeyAndCountsThoseThatDiffer() throws Exception {
+    void comparesEachKeyAndCountsDifferences() throws Exception {
         String conf = file(
                 "n.conf", GOOD.replace("location /", "location ~ (?=/x) { proxy_pass http://10.0.0.9; }\nlocation /"));
         String keys = file("keys", "/a\n/b\n\n/x\n");
