--- a/src/main/java/cacheproxy/cli/CheckCommand.java
+++ b/src/main/java/cacheproxy/cli/CheckCommand.java
@@ -3,7 +3,7 @@
 import cacheproxy.config.ConfigException;
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.FleetConfig;
-import cacheproxy.daemon.hooks.Hooks;
+import cacheproxy.daemon.hooks.HookLoader;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
@@ -30,7 +30,7 @@
             return Cli.UNUSABLE;
         }
         try {
-            Hooks.check(f);
+            HookLoader.check(f);
         } catch (ConfigException e) {
             e.errors().forEach(spec.commandLine().getErr()::println);
             return Cli.UNUSABLE;
--- a/src/main/java/cacheproxy/cli/HookCommand.java
+++ b/src/main/java/cacheproxy/cli/HookCommand.java
@@ -87,7 +87,7 @@
             HookInstance instance;
             try {
                 byte[] bytes = Files.readAllBytes(module);
-                out.println("sha256 " + HookModule.digest(bytes));
+                out.println("sha256 " + HookModule.sha256Hex(bytes));
                 instance = new HookInstance(HookModule.load(bytes, limits, config), System::currentTimeMillis);
             } catch (IOException e) {
                 err.println(module + " can't be read");
@@ -98,7 +98,7 @@
             }
             try {
                 HookInstance.Result r = instance.call(call);
-                r.log().forEach(l -> out.println("log " + l));
+                r.logLines().forEach(l -> out.println("log " + l));
                 lines(r.orders()).forEach(out::println);
                 long at = System.nanoTime();
                 for (int i = 0; i < TIMED; i++) {
@@ -107,7 +107,7 @@
                 out.printf("fuel %d of %d, %.1f us a call%n", r.fuel(), fuel, (System.nanoTime() - at) / 1e3 / TIMED);
                 return 0;
             } catch (HookException e) {
-                instance.lastLog().forEach(l -> out.println("log " + l));
+                instance.lastLogLines().forEach(l -> out.println("log " + l));
                 err.println("the call failed: " + e.getMessage());
                 return 1;
             }
--- a/src/main/java/cacheproxy/daemon/hooks/HookExecutor.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookExecutor.java
@@ -1,8 +1,8 @@
 package cacheproxy.daemon.hooks;
 
 import cacheproxy.config.HookConfig;
-import cacheproxy.hooks.HookBreaker;
 import cacheproxy.hooks.HookCall;
+import cacheproxy.hooks.HookCircuitBreaker;
 import cacheproxy.hooks.HookException;
 import cacheproxy.hooks.HookInstance;
 import cacheproxy.hooks.HookModule;
@@ -28,19 +28,19 @@
     /** Its section of the configuration. */
     public final HookConfig config;
 
-    final HookBreaker breaker;
+    final HookCircuitBreaker breaker;
     private final HookModule module;
     private final ArrayBlockingQueue<Task> queue;
     private final Thread worker;
     private final boolean wantsAnswers;
     private volatile boolean stopping;
-    private volatile Consumer<String> log = line -> {};
+    private volatile Consumer<String> logTo = line -> {};
     private HookInstance instance;
 
     /** Receives the end of a call, once: on the hook's thread, or on the event loop after a timeout. */
-    interface Ended {
+    interface CompletionListener {
         /** Receives orders, or why there are none; {@code called} tells whether the hook was called at all. */
-        void ended(HookOrders orders, String failure, boolean called);
+        void completed(HookOrders orders, String failure, boolean called);
     }
 
     private enum State {
@@ -51,18 +51,18 @@
 
     /** One call: queued, running or ended; whoever ends it first reports it. */
     final class Task {
-        final double untilMs;
+        final double deadlineMs;
         private final HookCall call;
-        private final Ended ended;
+        private final CompletionListener ended;
         private final AtomicReference<State> state = new AtomicReference<>(State.QUEUED);
         /** Null for a request. */
         private final HookCall.Answer answer;
 
         private final long elapsedMs;
 
-        private Task(HookCall call, double untilMs, Ended ended, HookCall.Answer answer, long elapsedMs) {
+        private Task(HookCall call, double untilMs, CompletionListener ended, HookCall.Answer answer, long elapsedMs) {
             this.call = call;
-            this.untilMs = untilMs;
+            this.deadlineMs = untilMs;
             this.ended = ended;
             this.answer = answer;
             this.elapsedMs = elapsedMs;
@@ -78,7 +78,7 @@
                 }
             }
             if (previous != State.ENDED) {
-                ended.ended(
+                ended.completed(
                         null,
                         previous == State.RUNNING ? "it took longer than it may" : "it waited too long for its turn",
                         previous == State.RUNNING);
@@ -101,7 +101,7 @@
         this.module = module;
         instance = first;
         wantsAnswers = first.wantsAnswers();
-        breaker = new HookBreaker(config.breakerFailureRatio(), config.breakerOffMs());
+        breaker = new HookCircuitBreaker(config.breakerFailureRatio(), config.breakerOffMs());
         queue = new ArrayBlockingQueue<>(config.queueCapacity());
         worker = new Thread(null, this::work, "hook " + config.name(), STACK_BYTES);
         worker.setDaemon(true);
@@ -146,17 +146,17 @@
     }
 
     /** Starts the hook's thread. */
-    void begin() {
+    void startWorker() {
         worker.start();
     }
 
     /** A call with a deadline on the event loop's clock, to be offered, and expired at the deadline. */
-    Task task(HookCall call, double untilMs, Ended ended) {
+    Task task(HookCall call, double untilMs, CompletionListener ended) {
         return new Task(call, untilMs, ended, null, 0);
     }
 
     /** Reports a response to the module, unless the queue is full; nothing waits for it. */
-    void answered(HookCall call, HookCall.Answer answer, long elapsedMs) {
+    void notifyAnswer(HookCall call, HookCall.Answer answer, long elapsedMs) {
         queue.offer(new Task(call, 0, (orders, failure, called) -> {}, answer, elapsedMs));
     }
 
@@ -183,15 +183,15 @@
                     instance = new HookInstance(module, System::currentTimeMillis);
                 }
                 if (task.answer != null) {
-                    logged(instance.answered(task.call, task.answer, task.elapsedMs));
+                    logged(instance.notifyAnswer(task.call, task.answer, task.elapsedMs));
                 } else {
                     HookInstance.Result result = instance.call(task.call);
                     orders = result.orders();
-                    logged(result.log());
+                    logged(result.logLines());
                 }
             } catch (HookException e) {
                 failure = e.getMessage();
-                logged(instance == null ? List.of() : instance.lastLog());
+                logged(instance == null ? List.of() : instance.lastLogLines());
                 instance = null; // its state is undefined now
             } catch (RuntimeException | Error e) { // a fault of the WebAssembly runtime must not end the thread
                 failure = "the host failed: " + HookExecutor.text(e);
@@ -203,7 +203,7 @@
                 Thread.interrupted(); // its timeout may have come late
             }
             if (first) {
-                task.ended.ended(orders, failure, true);
+                task.ended.completed(orders, failure, true);
             }
         }
     }
@@ -213,8 +213,8 @@
     }
 
     /** Logs the module's lines on the event loop from now on. */
-    void log(EventLoopContext core) {
-        log = line -> {
+    void logTo(EventLoopContext core) {
+        logTo = line -> {
             if (core.takesLines()) { // a hook that writes without end would keep the loop busy with lines that it drops
                 core.loop().execute(() -> core.log(line));
             }
@@ -222,7 +222,7 @@
     }
 
     private void logged(List<String> lines) {
-        lines.forEach(text -> log.accept("hook " + config.name() + ": " + text));
+        lines.forEach(text -> logTo.accept("hook " + config.name() + ": " + text));
     }
 
     /** Ends the hook's thread; calls in the queue are not run. */
--- a/src/main/java/cacheproxy/daemon/hooks/Hooks.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookLoader.java
@@ -13,10 +13,10 @@
 import java.util.List;
 
 /** Loads the modules of a configuration's hooks; if any can't be loaded all faults are reported and none is used. */
-public final class Hooks {
+public final class HookLoader {
     private static final long MAX_MODULE_BYTES = 4 << 20;
 
-    private Hooks() {}
+    private HookLoader() {}
 
     /** Loads all hooks; not on the event loop, as it reads files and compiles. */
     static List<HookExecutor> load(DaemonConfig file) throws ConfigException {
@@ -53,9 +53,9 @@
         } catch (IOException e) {
             throw new HookException(hook.module() + " can't be read");
         }
-        if (hook.sha256() != null && !hook.sha256().equals(HookModule.digest(bytes))) {
+        if (hook.sha256() != null && !hook.sha256().equals(HookModule.sha256Hex(bytes))) {
             throw new HookException(
-                    hook.module() + " has the SHA-256 " + HookModule.digest(bytes) + ", not that of the file");
+                    hook.module() + " has the SHA-256 " + HookModule.sha256Hex(bytes) + ", not that of the file");
         }
         return bytes;
     }
--- a/src/main/java/cacheproxy/daemon/hooks/HookSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookSubsystem.java
@@ -25,7 +25,7 @@
             throws ConfigException {
         return HooksConfig.of(file).isEmpty()
                 ? Optional.empty()
-                : Optional.of(new HookSubsystem(context.core(), Hooks.load(file)));
+                : Optional.of(new HookSubsystem(context.core(), HookLoader.load(file)));
     }
 
     /** The running hooks, in the order in which requests pass them. */
@@ -42,8 +42,8 @@
     public void apply(DaemonConfig file) {
         applied = true;
         executors.forEach(executor -> {
-            executor.log(core);
-            executor.begin();
+            executor.logTo(core);
+            executor.startWorker();
         });
     }
 
--- a/src/main/java/cacheproxy/daemon/hooks/HookedRequest.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookedRequest.java
@@ -90,7 +90,7 @@
     private void watchTimer(double afterMs) {
         watchTimer = core.after(Math.max(MIN_TIMER_MS, afterMs), () -> {
             HookExecutor.Task task = runningTask;
-            double leftMs = task == null ? 0 : task.untilMs - core.nowMs();
+            double leftMs = task == null ? 0 : task.deadlineMs - core.nowMs();
             watchTimer(leftMs); // before the timeout, which may conclude the request
             if (task != null && leftMs <= 0) {
                 task.expire();
@@ -133,7 +133,7 @@
             refuse(hook.config.retryAfterMs());
             return false;
         }
-        if (!hook.breaker.call(nowMs)) {
+        if (!hook.breaker.tryCall(nowMs)) {
             return !rejectedByFailure(hook);
         }
         HookCall call = newCall(leftMs);
@@ -152,7 +152,7 @@
             return false;
         }
         callsByHook.remove(hook);
-        hook.breaker.notRun();
+        hook.breaker.recordNotRun();
         return !rejectedByFailure(hook);
     }
 
@@ -187,7 +187,7 @@
 
     private void answered(HookCall.Answer answer) {
         long elapsedMs = Math.round(core.nowMs() - request.arrivedMs());
-        callsByHook.forEach((hook, call) -> hook.answered(call, answer, elapsedMs));
+        callsByHook.forEach((hook, call) -> hook.notifyAnswer(call, answer, elapsedMs));
     }
 
     /** Rejects the request if the hook's failure has to; returns whether it did. */
@@ -200,7 +200,7 @@
     }
 
     private void recordOutcome(HookExecutor hook, double nowMs, boolean failure, String fault) {
-        if (hook.breaker.ended(nowMs, failure)) {
+        if (hook.breaker.recordResult(nowMs, failure)) {
             onLoop(() -> core.log("hook " + hook.config.name() + " is switched off for "
                     + Math.round(hook.config.breakerOffMs()) + " ms, as too many calls fail; the last: " + fault));
         }
@@ -210,11 +210,11 @@
         double nowMs = core.nowMs();
         double leftMs = request.dueMs() - nowMs;
         String fault =
-                failure != null ? failure : config.hookRules.refused(orders, sentClass, (long) Math.max(0, leftMs));
+                failure != null ? failure : config.hookRules.violation(orders, sentClass, (long) Math.max(0, leftMs));
         if (called) {
             recordOutcome(hook, nowMs, fault != null, fault);
         } else {
-            hook.breaker.notRun();
+            hook.breaker.recordNotRun();
         }
         if (gone) {
             onLoop(this::release);
--- a/src/main/java/cacheproxy/hooks/HookCall.java
+++ b/src/main/java/cacheproxy/hooks/HookCall.java
@@ -8,12 +8,21 @@
  * What a hook is told of a request. Bytes, little-endian: version 1 (u8), flags (u8: 1 write, 2 repeat), remaining
  * milliseconds (u32), then key, class and tenant, each a length (u16) and its bytes.
  *
+ * @param key of the object that is asked for
+ * @param serviceClass name of the request's class
+ * @param tenant name of the request's tenant; empty if there are no tenants
+ * @param write whether it may change the object
+ * @param repeat whether the client has sent it before
  * @param remainingMs until the client gives up
  */
 public record HookCall(
         String key, String serviceClass, String tenant, boolean write, boolean repeat, long remainingMs) {
-    /** The version of this form and of all else that module and host agree on. */
-    public static final int ABI = 1;
+    private static final int FLAG_WRITE = 1;
+    private static final int FLAG_REPEAT = 2;
+    /** Version, flags, remaining milliseconds and the lengths of three texts. */
+    private static final int FIXED_BYTES = 2 * Byte.BYTES + Integer.BYTES + 3 * Short.BYTES;
+    /** The answer and the milliseconds that it took. */
+    private static final int ANSWER_BYTES = Byte.BYTES + Integer.BYTES;
 
     /** What a client was told; the number is the place here, from 0. */
     public enum Answer {
@@ -24,25 +33,39 @@
         REJECTED
     }
 
-    /** The request, and behind it the answer (u8) and the milliseconds that it took (u32). */
+    /** Encodes the request, and behind it the answer (u8) and the milliseconds that it took (u32). */
     @SuppressWarnings("EnumOrdinal") // the order of declaration is the code on the wire, pinned by golden tests
-    byte[] bytes(Answer answer, long elapsedMs) {
-        byte[] request = bytes();
-        ByteBuffer b = ByteBuffer.allocate(request.length + 5).order(ByteOrder.LITTLE_ENDIAN);
-        b.put(request).put((byte) answer.ordinal()).putInt((int) Math.max(0, Math.min(Integer.MAX_VALUE, elapsedMs)));
-        return b.array();
+    byte[] encode(Answer answer, long elapsedMs) {
+        byte[] request = encode();
+        ByteBuffer buffer = ByteBuffer.allocate(request.length + ANSWER_BYTES).order(ByteOrder.LITTLE_ENDIAN);
+        buffer.put(request);
+        buffer.put((byte) answer.ordinal());
+        buffer.putInt(clampToInt(elapsedMs));
+        return buffer.array();
     }
 
-    byte[] bytes() {
-        byte[] k = key.getBytes(StandardCharsets.UTF_8);
-        byte[] c = serviceClass.getBytes(StandardCharsets.UTF_8);
-        byte[] t = tenant.getBytes(StandardCharsets.UTF_8);
-        ByteBuffer b = ByteBuffer.allocate(12 + k.length + c.length + t.length).order(ByteOrder.LITTLE_ENDIAN);
-        b.put((byte) ABI).put((byte) ((write ? 1 : 0) | (repeat ? 2 : 0)));
-        b.putInt((int) Math.max(0, Math.min(Integer.MAX_VALUE, remainingMs)));
-        for (byte[] part : new byte[][] {k, c, t}) {
-            b.putShort((short) part.length).put(part);
-        }
-        return b.array();
+    /** Encodes the request. */
+    byte[] encode() {
+        byte[] keyBytes = key.getBytes(StandardCharsets.UTF_8);
+        byte[] classBytes = serviceClass.getBytes(StandardCharsets.UTF_8);
+        byte[] tenantBytes = tenant.getBytes(StandardCharsets.UTF_8);
+        int length = FIXED_BYTES + keyBytes.length + classBytes.length + tenantBytes.length;
+        ByteBuffer buffer = ByteBuffer.allocate(length).order(ByteOrder.LITTLE_ENDIAN);
+        buffer.put((byte) HookAbi.VERSION);
+        buffer.put((byte) ((write ? FLAG_WRITE : 0) | (repeat ? FLAG_REPEAT : 0)));
+        buffer.putInt(clampToInt(remainingMs));
+        putText(buffer, keyBytes);
+        putText(buffer, classBytes);
+        putText(buffer, tenantBytes);
+        return buffer.array();
+    }
+
+    private static void putText(ByteBuffer buffer, byte[] text) {
+        buffer.putShort((short) text.length);
+        buffer.put(text);
+    }
+
+    private static int clampToInt(long ms) {
+        return (int) Math.max(0, Math.min(Integer.MAX_VALUE, ms));
     }
 }
--- a/src/main/java/cacheproxy/hooks/HookException.java
+++ b/src/main/java/cacheproxy/hooks/HookException.java
@@ -4,7 +4,8 @@
 public final class HookException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    public HookException(String why) {
-        super(why);
+    /** @param message why, as the rest of a sentence about the module or the call */
+    public HookException(String message) {
+        super(message);
     }
 }
--- a/src/main/java/cacheproxy/hooks/HookInstance.java
+++ b/src/main/java/cacheproxy/hooks/HookInstance.java
@@ -1,15 +1,11 @@
 package cacheproxy.hooks;
 
 import com.dylibso.chicory.runtime.ExportFunction;
-import com.dylibso.chicory.runtime.HostFunction;
-import com.dylibso.chicory.runtime.ImportValues;
 import com.dylibso.chicory.runtime.Instance;
 import com.dylibso.chicory.wasm.ChicoryException;
 import com.dylibso.chicory.wasm.types.FunctionType;
 import com.dylibso.chicory.wasm.types.MemoryLimits;
 import com.dylibso.chicory.wasm.types.ValType;
-import java.nio.charset.StandardCharsets;
-import java.util.ArrayList;
 import java.util.List;
 import java.util.function.LongSupplier;
 
@@ -18,60 +14,71 @@
  * called again.
  */
 public final class HookInstance {
-    /** Of one call; the rest is dropped. */
-    static final int MAX_LOG_LINES = 8;
-
     private final HookModule module;
-    private final LongSupplier clockMs;
+    private final HookHost host;
     private final Instance instance;
-    private final ExportFunction alloc;
+    private final ExportFunction allocate;
     private final ExportFunction onRequest;
     /** Null where the module has none. */
     private final ExportFunction onAnswer;
 
-    private List<String> log = new ArrayList<>();
-    private long counter;
-
     /**
      * What a call came to.
      *
-     * @param log lines that it wrote, each fit for one line
+     * @param orders what the module wants done with the request
+     * @param logLines lines that it wrote, each fit for one line
+     * @param fuel that the call has taken
      */
-    public record Result(HookOrders orders, List<String> log, long fuel) {}
+    public record Result(HookOrders orders, List<String> logLines, long fuel) {}
 
-    /** Instantiates and calls {@code on_load}; {@code clockMs} is what the module may ask the time of. */
+    /**
+     * Instantiates and calls {@code on_load}.
+     *
+     * @param clockMs the time that the module may ask for
+     * @throws HookException if it lacks what is called here, or fails
+     */
     public HookInstance(HookModule module, LongSupplier clockMs) throws HookException {
         this.module = module;
-        this.clockMs = clockMs;
+        host = new HookHost(clockMs, module.config);
         try {
             if (module.pages == 0) {
                 throw new HookException("it has no memory");
             }
             instance = module.builder()
-                    .withImportValues(imports())
+                    .withImportValues(host.imports())
                     .withMemoryLimits(new MemoryLimits(module.pages, module.limits.memoryPages()))
                     .build();
-            alloc = function("alloc", "(i32)->(i32)");
-            onRequest = function("on_request", "(i32,i32)->(i64)");
-            onAnswer = exports("on_answer") ? function("on_answer", "(i32,i32)->()") : null;
-            long version = function("abi_version", "()->(i32)").apply()[0];
-            if (version != HookCall.ABI) {
-                throw new HookException("it is of ABI version " + version + "; " + HookCall.ABI + " is spoken here");
-            }
-            if (exports("on_load")) {
-                instance.global(module.fuelGlobal).setValue(module.limits.loadFuel());
-                long no = function("on_load", "()->(i32)").apply()[0];
-                if (no != 0) {
-                    throw new HookException(
-                            "on_load returned " + no + (log.isEmpty() ? "" : ": " + log.get(log.size() - 1)));
-                }
-            }
+            allocate = function(HookAbi.ALLOCATE_EXPORT, "(i32)->(i32)");
+            onRequest = function(HookAbi.ON_REQUEST_EXPORT, "(i32,i32)->(i64)");
+            onAnswer = exports(HookAbi.ON_ANSWER_EXPORT) ? function(HookAbi.ON_ANSWER_EXPORT, "(i32,i32)->()") : null;
+            checkVersion();
+            load();
         } catch (ChicoryException | StackOverflowError | OutOfMemoryError | AssertionError | LinkageError e) {
-            throw new HookException("it can't be started: " + why(e));
+            throw new HookException("it can't be started: " + describe(e));
         } catch (RuntimeException e) {
-            throw new HookException("it can't be started: " + HookOrders.clean(String.valueOf(e.getMessage())));
+            throw new HookException("it can't be started: " + HookOrders.sanitize(String.valueOf(e.getMessage())));
+        }
+        host.beginCall(); // the lines of on_load belong to no call
+    }
+
+    private void checkVersion() throws HookException {
+        long version = function(HookAbi.VERSION_EXPORT, "()->(i32)").apply()[0];
+        if (version != HookAbi.VERSION) {
+            throw new HookException("it is of ABI version " + version + "; " + HookAbi.VERSION + " is spoken here");
+        }
+    }
+
+    private void load() throws HookException {
+        if (!exports(HookAbi.ON_LOAD_EXPORT)) {
+            return;
+        }
+        setFuel(module.limits.loadFuel());
+        long status = function(HookAbi.ON_LOAD_EXPORT, "()->(i32)").apply()[0];
+        if (status != 0) {
+            List<String> lines = host.logLines();
+            throw new HookException(
+                    "on_load returned " + status + (lines.isEmpty() ? "" : ": " + lines.get(lines.size() - 1)));
         }
-        log = new ArrayList<>();
     }
 
     private boolean exports(String name) {
@@ -82,128 +89,121 @@
         }
     }
 
-    private ExportFunction function(String name, String type) throws HookException {
+    private ExportFunction function(String name, String signature) throws HookException {
         if (!exports(name)) {
-            throw new HookException("it exports no function " + name + " " + type);
+            throw new HookException("it exports no function " + name + " " + signature);
         }
-        FunctionType t = instance.exportType(name);
-        String have = "(" + types(t.params()) + ")->(" + types(t.returns()) + ")";
-        if (!have.equals(type)) {
-            throw new HookException("its " + name + " is " + have + "; " + type + " is wanted");
+        FunctionType type = instance.exportType(name);
+        String actual = "(" + typeNames(type.params()) + ")->(" + typeNames(type.returns()) + ")";
+        if (!actual.equals(signature)) {
+            throw new HookException("its " + name + " is " + actual + "; " + signature + " is wanted");
         }
         return instance.export(name);
     }
 
-    private static String types(List<ValType> list) {
-        return String.join(
-                ",",
-                list.stream()
-                        .map(t -> t.equals(ValType.I32) ? "i32" : t.equals(ValType.I64) ? "i64" : "another")
-                        .toList());
-    }
-
-    private ImportValues imports() {
-        List<ValType> none = List.of();
-        List<ValType> one = List.of(ValType.I32);
-        return ImportValues.builder()
-                .addFunction(
-                        new HostFunction(
-                                HookModule.HOST,
-                                "log",
-                                FunctionType.of(List.of(ValType.I32, ValType.I32), none),
-                                (i, args) -> {
-                                    if (log.size() < MAX_LOG_LINES) {
-                                        int length = (int) Math.min(400, args[1] & 0xFFFFFFFFL);
-                                        log.add(HookOrders.clean(new String(
-                                                i.memory().readBytes((int) args[0], length), StandardCharsets.UTF_8)));
-                                    }
-                                    return new long[0];
-                                }),
-                        new HostFunction(
-                                HookModule.HOST, "now_ms", FunctionType.of(none, List.of(ValType.I64)), (i, args) ->
-                                        new long[] {clockMs.getAsLong()}),
-                        new HostFunction(
-                                HookModule.HOST, "count", FunctionType.of(none, List.of(ValType.I64)), (i, args) ->
-                                        new long[] {counter++}),
-                        new HostFunction(HookModule.HOST, "config_length", FunctionType.of(none, one), (i, args) ->
-                                new long[] {module.configBytes().length}),
-                        new HostFunction(HookModule.HOST, "config_read", FunctionType.of(one, none), (i, args) -> {
-                            i.memory().write((int) args[0], module.configBytes());
-                            return new long[0];
-                        }))
-                .build();
-    }
-
-    /** Whether it wants to be told of answers. */
+    private static String typeNames(List<ValType> types) {
+        return String.join(",", types.stream().map(HookInstance::typeName).toList());
+    }
+
+    private static String typeName(ValType type) {
+        if (type.equals(ValType.I32)) {
+            return "i32";
+        }
+        return type.equals(ValType.I64) ? "i64" : "another";
+    }
+
+    /** Returns whether the module wants to know responses. */
     public boolean wantsAnswers() {
         return onAnswer != null;
     }
 
-    /** Runs {@code on_answer}; its lines of the log. After an exception this instance is not to be used again. */
-    public List<String> answered(HookCall call, HookCall.Answer answer, long elapsedMs) throws HookException {
-        log = new ArrayList<>();
-        instance.global(module.fuelGlobal).setValue(module.limits.fuel());
+    /**
+     * Runs {@code on_answer}, which the module must have.
+     *
+     * @return the lines that it logged
+     * @throws HookException if the call fails; this instance is not to be used again then
+     */
+    public List<String> notifyAnswer(HookCall call, HookCall.Answer answer, long elapsedMs) throws HookException {
+        host.beginCall();
+        setFuel(module.limits.fuel());
         try {
-            byte[] bytes = call.bytes(answer, elapsedMs);
-            int at = (int) alloc.apply(bytes.length)[0];
-            instance.memory().write(at, bytes);
-            onAnswer.apply(at, bytes.length);
-            return log;
+            byte[] argument = call.encode(answer, elapsedMs);
+            int address = copyIn(argument);
+            onAnswer.apply(address, argument.length);
+            return host.logLines();
         } catch (ChicoryException | StackOverflowError | OutOfMemoryError | AssertionError | LinkageError e) {
-            throw new HookException(why(e));
+            throw new HookException(describe(e));
         } catch (RuntimeException e) {
-            throw new HookException(HookOrders.clean(String.valueOf(e.getMessage())));
+            throw new HookException(HookOrders.sanitize(String.valueOf(e.getMessage())));
         }
     }
 
-    /** Runs {@code on_request}. After an exception this instance is not to be used again. */
+    /**
+     * Runs {@code on_request}.
+     *
+     * @throws HookException if the call fails or its orders are malformed; this instance is not to be used again then
+     */
     public Result call(HookCall call) throws HookException {
-        log = new ArrayList<>();
-        instance.global(module.fuelGlobal).setValue(module.limits.fuel());
+        host.beginCall();
+        setFuel(module.limits.fuel());
         try {
-            byte[] request = call.bytes();
-            int at = (int) alloc.apply(request.length)[0];
-            instance.memory().write(at, request);
-            long packed = onRequest.apply(at, request.length)[0];
-            int length = (int) packed;
-            if (length < 0 || length > HookOrders.MAX_BYTES) {
-                throw new HookException("its orders have " + Integer.toUnsignedString(length) + " bytes; at most "
-                        + HookOrders.MAX_BYTES);
-            }
-            HookOrders orders = length == 0
-                    ? HookOrders.NONE
-                    : HookOrders.read(instance.memory().readBytes((int) (packed >>> 32), length));
-            return new Result(
-                    orders,
-                    log,
-                    module.limits.fuel() - instance.global(module.fuelGlobal).getValue());
+            byte[] argument = call.encode();
+            int address = copyIn(argument);
+            long addressAndLength = onRequest.apply(address, argument.length)[0];
+            HookOrders orders = readOrders((int) (addressAndLength >>> Integer.SIZE), (int) addressAndLength);
+            return new Result(orders, host.logLines(), module.limits.fuel() - remainingFuel());
         } catch (ChicoryException | StackOverflowError | OutOfMemoryError | AssertionError | LinkageError e) {
-            throw new HookException(why(e));
+            throw new HookException(describe(e));
         } catch (IndexOutOfBoundsException e) {
             throw new HookException("it points out of its memory");
         } catch (RuntimeException e) {
-            throw new HookException(HookOrders.clean(String.valueOf(e.getMessage())));
+            throw new HookException(HookOrders.sanitize(String.valueOf(e.getMessage())));
         }
     }
 
-    private String why(Throwable e) {
-        if (e instanceof StackOverflowError || String.valueOf(e.getMessage()).contains("stack exhausted")) {
+    private int copyIn(byte[] argument) {
+        int address = (int) allocate.apply(argument.length)[0];
+        instance.memory().write(address, argument);
+        return address;
+    }
+
+    private HookOrders readOrders(int address, int length) throws HookException {
+        if (length < 0 || length > HookOrders.MAX_BYTES) {
+            throw new HookException(
+                    "its orders have " + Integer.toUnsignedString(length) + " bytes; at most " + HookOrders.MAX_BYTES);
+        }
+        return length == 0
+                ? HookOrders.NONE
+                : HookOrdersDecoder.decode(instance.memory().readBytes(address, length));
+    }
+
+    private void setFuel(long fuel) {
+        instance.global(module.fuelGlobal).setValue(fuel);
+    }
+
+    private long remainingFuel() {
+        return instance.global(module.fuelGlobal).getValue();
+    }
+
+    private String describe(Throwable failure) {
+        String message = String.valueOf(failure.getMessage());
+        if (failure instanceof StackOverflowError || message.contains("stack exhausted")) {
             return "it calls itself too deep";
         }
-        if (e instanceof OutOfMemoryError) {
+        if (failure instanceof OutOfMemoryError) {
             return "there is no memory left for it";
         }
-        if (instance != null && instance.global(module.fuelGlobal).getValue() < 0) {
+        if (instance != null && remainingFuel() < 0) {
             return "it has used up its fuel, " + module.limits.fuel();
         }
-        if (Thread.interrupted() || e.getClass().getSimpleName().contains("Interrupted")) {
+        if (Thread.interrupted() || failure.getClass().getSimpleName().contains("Interrupted")) {
             return "it took longer than " + module.limits.timeMs() + " ms";
         }
-        return "it trapped: " + HookOrders.clean(String.valueOf(e.getMessage()));
+        return "it trapped: " + HookOrders.sanitize(message);
     }
 
-    /** Lines that it wrote in the call that failed. */
-    public List<String> lastLog() {
-        return log;
+    /** Returns the lines that the module wrote in the call that failed. */
+    public List<String> lastLogLines() {
+        return host.logLines();
     }
 }
--- a/src/main/java/cacheproxy/hooks/HookModule.java
+++ b/src/main/java/cacheproxy/hooks/HookModule.java
@@ -5,29 +5,13 @@
 import com.dylibso.chicory.runtime.Machine;
 import com.dylibso.chicory.wasm.Parser;
 import com.dylibso.chicory.wasm.WasmModule;
-import java.nio.charset.StandardCharsets;
 import java.security.MessageDigest;
 import java.security.NoSuchAlgorithmException;
 import java.util.HexFormat;
-import java.util.Map;
 import java.util.function.Function;
 
 /** A module that has been checked, metered and compiled; any number of instances come of it. */
 public final class HookModule {
-    static final String HOST = "coralbay";
-    /** What is offered, with its types. */
-    static final Map<String, String> OFFERED = Map.of(
-            HOST + ".log",
-            "(i32,i32)->()",
-            HOST + ".now_ms",
-            "()->(i64)",
-            HOST + ".count",
-            "()->(i64)",
-            HOST + ".config_length",
-            "()->(i32)",
-            HOST + ".config_read",
-            "(i32)->()");
-
     /**
      * Bounds of a hook.
      *
@@ -40,11 +24,16 @@
     public record Limits(int memoryPages, long fuel, long loadFuel, double timeMs, boolean compiled) {}
 
     final Limits limits;
+    /** Index of the global that holds the fuel. */
     final int fuelGlobal;
+    /** Pages of 64 KiB that its memory has at the start; 0: it has no memory. */
     final int pages;
+    /** Text that the module may read. */
     final String config;
+
     private final WasmModule module;
-    private final Function<Instance, Machine> machines;
+    /** Makes the machine of an instance; null: it is interpreted. */
+    private final Function<Instance, Machine> machineFactory;
 
     private HookModule(Limits limits, WasmMeter.Metered metered, WasmModule module, String config) {
         this.limits = limits;
@@ -52,36 +41,40 @@
         this.config = config;
         fuelGlobal = metered.fuelGlobal();
         pages = metered.pages();
-        machines = limits.compiled() ? MachineFactoryCompiler.compile(module) : null;
+        machineFactory = limits.compiled() ? MachineFactoryCompiler.compile(module) : null;
     }
 
-    /** Checks, meters and compiles; instances must then be tried, too. */
+    /**
+     * Checks, meters and compiles a module; whether it can be started shows with its first instance.
+     *
+     * @param bytes the module's binary form
+     * @param config text that the module may read
+     * @throws HookException if the module is not valid, or not within the limits
+     */
     public static HookModule load(byte[] bytes, Limits limits, String config) throws HookException {
-        WasmMeter.Metered metered = WasmMeter.meter(bytes, limits.memoryPages(), OFFERED, limits.loadFuel());
+        WasmMeter.Metered metered =
+                WasmMeter.meter(bytes, limits.memoryPages(), HookAbi.OFFERED_IMPORTS, limits.loadFuel());
         try {
             WasmModule module = Parser.parse(metered.module());
             return new HookModule(limits, metered, module, config);
         } catch (RuntimeException | StackOverflowError | OutOfMemoryError | AssertionError | LinkageError e) {
             // What the meter has let pass and the parser, the compiler or the Java machine's verifier does not.
-            throw new HookException("the module is not valid: " + HookOrders.clean(String.valueOf(e.getMessage())));
+            throw new HookException("the module is not valid: " + HookOrders.sanitize(String.valueOf(e.getMessage())));
         }
     }
 
-    /** SHA-256, in lower-case hexadecimal digits. */
-    public static String digest(byte[] bytes) {
+    /** Returns the SHA-256 digest of a module's bytes, in lower-case hexadecimal digits. */
+    public static String sha256Hex(byte[] bytes) {
         try {
             return HexFormat.of().formatHex(MessageDigest.getInstance("SHA-256").digest(bytes));
         } catch (NoSuchAlgorithmException e) {
-            throw new IllegalStateException(e); // every Java has it
+            throw new IllegalStateException(e); // every Java platform has to offer SHA-256
         }
     }
 
+    /** Returns a builder of an instance, which still lacks its imports and the limits of its memory. */
     Instance.Builder builder() {
-        Instance.Builder b = Instance.builder(module);
-        return machines == null ? b : b.withMachineFactory(machines);
-    }
-
-    byte[] configBytes() {
-        return config.getBytes(StandardCharsets.UTF_8);
+        Instance.Builder builder = Instance.builder(module);
+        return machineFactory == null ? builder : builder.withMachineFactory(machineFactory);
     }
 }
--- a/src/main/java/cacheproxy/hooks/HookRules.java
+++ b/src/main/java/cacheproxy/hooks/HookRules.java
@@ -6,12 +6,17 @@
 import java.util.List;
 import java.util.Set;
 
-/** What a hook may order. Pure: what it may not is told in words, and none of its orders is carried out then. */
+/** What a hook may order. Orders that break a rule are described for operators, and none of them is carried out. */
 public final class HookRules {
     private final List<ServiceClass> classes;
     private final List<String> tenants;
     private final Set<String> routes;
 
+    /**
+     * @param classes of requests, by their indices
+     * @param tenants names, by their indices
+     * @param routes names that a hook may choose from
+     */
     public HookRules(List<ServiceClass> classes, List<String> tenants, Set<String> routes) {
         this.classes = classes;
         this.tenants = tenants;
@@ -19,44 +24,58 @@
     }
 
     /**
-     * Why orders can't be carried out; null if they can.
+     * Returns why orders can't be carried out; null if they can.
      *
-     * @param sentClass index of the class that the client sent: hooks in a row are held against that one, each
+     * @param sentClass index of the class that the client sent: each of several hooks is held against that one
      * @param remainingMs until the client gives up
      */
-    public String refused(HookOrders o, int sentClass, long remainingMs) {
-        if (o.key() != null && !KeyRewrite.isLegalKey(o.key())) {
+    public String violation(HookOrders orders, int sentClass, long remainingMs) {
+        if (orders.key() != null && !KeyRewrite.isLegalKey(orders.key())) {
             return "its key is not legal; 1 to 250 printing characters without space";
         }
-        if (o.serviceClass() != null) {
-            int to = classIndex(o.serviceClass());
-            if (to < 0) {
-                return "there is no class '" + HookOrders.clean(o.serviceClass()) + "'";
-            }
-            if (strictness(classes.get(to).idempotency())
-                    < strictness(classes.get(sentClass).idempotency())) {
-                return "class " + o.serviceClass() + " is less strict about repeats than "
-                        + classes.get(sentClass).name() + ", which the client sent";
-            }
+        String classViolation = classViolation(orders.serviceClass(), sentClass);
+        if (classViolation != null) {
+            return classViolation;
         }
-        if (o.tenant() != null && tenantIndex(o.tenant()) < 0) {
-            return "there is no tenant '" + HookOrders.clean(o.tenant()) + "'";
+        if (orders.tenant() != null && tenantIndex(orders.tenant()) < 0) {
+            return "there is no tenant '" + HookOrders.sanitize(orders.tenant()) + "'";
         }
-        if (o.route() != null && !routes.contains(o.route())) {
-            return "there is no route '" + HookOrders.clean(o.route()) + "'";
+        if (orders.route() != null && !routes.contains(orders.route())) {
+            return "there is no route '" + HookOrders.sanitize(orders.route()) + "'";
         }
-        if (o.remainingMs() > remainingMs) {
-            return "a deadline may only be shortened; " + o.remainingMs() + " ms are more than the " + remainingMs
+        if (orders.remainingMs() > remainingMs) {
+            return "a deadline may only be shortened; " + orders.remainingMs() + " ms are more than the " + remainingMs
                     + " left";
         }
         return null;
     }
 
-    /** Safe requests may be repeated, keyed ones by those that drop repeats, unsafe ones never. */
-    private static int strictness(Idempotency e) {
-        return e == Idempotency.IDEMPOTENT ? 0 : e == Idempotency.DEDUPLICATED ? 1 : 2;
+    private String classViolation(String orderedClass, int sentClass) {
+        if (orderedClass == null) {
+            return null;
+        }
+        int index = classIndex(orderedClass);
+        if (index < 0) {
+            return "there is no class '" + HookOrders.sanitize(orderedClass) + "'";
+        }
+        ServiceClass sent = classes.get(sentClass);
+        if (strictness(classes.get(index).idempotency()) < strictness(sent.idempotency())) {
+            return "class " + orderedClass + " is less strict about repeats than " + sent.name()
+                    + ", which the client sent";
+        }
+        return null;
+    }
+
+    /** Idempotent requests may be repeated, deduplicated ones by those that drop repeats, others never. */
+    private static int strictness(Idempotency idempotency) {
+        return switch (idempotency) {
+            case IDEMPOTENT -> 0;
+            case DEDUPLICATED -> 1;
+            case NON_IDEMPOTENT -> 2;
+        };
     }
 
+    /** Returns the index of a class; -1 if there is none of that name. */
     public int classIndex(String name) {
         for (int i = 0; i < classes.size(); i++) {
             if (classes.get(i).name().equals(name)) {
@@ -66,6 +85,7 @@
         return -1;
     }
 
+    /** Returns the index of a tenant; -1 if there is none of that name. */
     public int tenantIndex(String name) {
         return tenants.indexOf(name);
     }
--- a/src/test/java/cacheproxy/hooks/HookInstanceTest.java
+++ b/src/test/java/cacheproxy/hooks/HookInstanceTest.java
@@ -10,6 +10,7 @@
 import java.util.Arrays;
 import java.util.List;
 import java.util.Map;
+import java.util.SplittableRandom;
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.atomic.AtomicReference;
 import java.util.stream.Stream;
@@ -38,9 +39,9 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void theKitDoesWhatItSays(boolean compiled) throws Exception {
+    void runsModulesOfTheKit(boolean compiled) throws Exception {
         HookInstance keys = start(bytes(KIT, "key-schemes"), "", compiled);
-        for (String[] c : new String[][] {
+        for (String[] pair : new String[][] {
             {"A:7/vi", "sub/7/vi"},
             {"b-7-vi", "sub/7/vi"},
             {"C|vi|7", "sub/7/vi"},
@@ -48,9 +49,9 @@
             {"other", null},
             {"A:", null}
         }) {
-            HookOrders o = keys.call(new HookCall(c[0], "page", "red", false, false, 500))
+            HookOrders orders = keys.call(new HookCall(pair[0], "page", "red", false, false, 500))
                     .orders();
-            assertThat(o.key()).as(c[0]).isEqualTo(c[1]);
+            assertThat(orders.key()).as(pair[0]).isEqualTo(pair[1]);
         }
         HookInstance classes = start(bytes(KIT, "class-by-suffix"), ".vtt=page\n.post=submit\n", compiled);
         assertThat(classes.call(new HookCall("x.post", "page", "", true, false, 1))
@@ -71,25 +72,26 @@
     }
 
     @Test
-    void builtModulesBelongToTheirSources() throws Exception {
-        int seen = 0;
+    void keepsBuiltModulesInStepWithTheirSources() throws Exception {
+        int modules = 0;
         for (Path dir : List.of(KIT, HOSTILE)) {
             try (Stream<Path> files = Files.list(dir)) {
-                for (Path wat : files.filter(f -> f.toString().endsWith(".wat")).toList()) {
-                    byte[] module = Files.readAllBytes(Path.of(wat.toString().replace(".wat", ".wasm")));
-                    byte[] digest = MessageDigest.getInstance("SHA-256").digest(Files.readAllBytes(wat));
+                for (Path source :
+                        files.filter(file -> file.toString().endsWith(".wat")).toList()) {
+                    byte[] module = Files.readAllBytes(Path.of(source.toString().replace(".wat", ".wasm")));
+                    byte[] digest = MessageDigest.getInstance("SHA-256").digest(Files.readAllBytes(source));
                     assertThat(Arrays.copyOfRange(module, module.length - 32, module.length))
-                            .as(wat + ": run hooks/build.mjs")
+                            .as(source + ": run hooks/build.mjs")
                             .isEqualTo(digest);
-                    seen++;
+                    modules++;
                 }
             }
         }
-        assertThat(seen).isGreaterThan(40);
+        assertThat(modules).isGreaterThan(40);
     }
 
     @Test
-    void fuelIsTheSameHoweverAModuleIsRun() throws Exception {
+    void takesSameFuelCompiledAndInterpreted() throws Exception {
         for (String name : List.of("key-schemes", "tenant-list", "class-by-suffix")) {
             HookInstance compiled = start(bytes(KIT, name), ".vtt=page\nred", true);
             HookInstance interpreted = start(bytes(KIT, name), ".vtt=page\nred", false);
@@ -123,14 +125,14 @@
                 "steals-fuel | used up its fuel",
                 "copies | used up its fuel"
             })
-    void hostileCallsFail(String name, String why) throws Exception {
+    void reportsWhyHostileCallFails(String name, String why) throws Exception {
         for (boolean compiled : new boolean[] {true, false}) {
             HookInstance hook = start(bytes(HOSTILE, name), "x", compiled);
             assertThatThrownBy(() -> hook.call(CALL))
                     .as(name)
                     .isInstanceOf(HookException.class)
-                    .satisfies(e -> assertThat(why.split(";"))
-                            .anyMatch(w -> e.getMessage().contains(w.trim())));
+                    .satisfies(thrown -> assertThat(why.split(";"))
+                            .anyMatch(part -> thrown.getMessage().contains(part.trim())));
         }
     }
 
@@ -149,7 +151,7 @@
                 "no-load | on_load returned 7",
                 "no-memory | memory"
             })
-    void hostileModulesDoNotLoad(String name, String why) throws Exception {
+    void reportsWhyHostileModuleDoesNotLoad(String name, String why) throws Exception {
         for (boolean compiled : new boolean[] {true, false}) {
             byte[] module = bytes(HOSTILE, name);
             assertThatThrownBy(() -> start(module, "", compiled))
@@ -160,22 +162,24 @@
     }
 
     @Test
-    void whatIsNoModuleDoesNotLoad() throws Exception {
+    void rejectsTruncatedForeignAndOversizedModulesAndSurvivesMutatedOnes() throws Exception {
         byte[] whole = bytes(KIT, "key-schemes");
-        for (int n = 0; n < whole.length - 50; n++) {
-            byte[] cut = Arrays.copyOf(whole, n);
-            boolean compiled = n % 2 == 0;
-            assertThatThrownBy(() -> start(cut, "", compiled)).as("cut at " + n).isInstanceOf(HookException.class);
+        for (int length = 0; length < whole.length - 50; length++) {
+            byte[] cut = Arrays.copyOf(whole, length);
+            boolean compiled = length % 2 == 0;
+            assertThatThrownBy(() -> start(cut, "", compiled))
+                    .as("cut at " + length)
+                    .isInstanceOf(HookException.class);
         }
         assertThatThrownBy(() -> start("#!/bin/sh\n".getBytes(StandardCharsets.US_ASCII), "", true))
                 .hasMessageContaining("no WebAssembly module");
         assertThatThrownBy(() -> start(new byte[64 << 20], "", true)).hasMessageContaining("at most");
-        java.util.SplittableRandom random = new java.util.SplittableRandom(5);
+        SplittableRandom random = new SplittableRandom(5);
         for (int i = 0; i < 3000; i++) {
-            byte[] bent = whole.clone();
-            bent[8 + random.nextInt(bent.length - 60)] = (byte) random.nextInt();
+            byte[] mutated = whole.clone();
+            mutated[8 + random.nextInt(mutated.length - 60)] = (byte) random.nextInt();
             try {
-                start(bent, "", i % 4 == 0).call(CALL);
+                start(mutated, "", i % 4 == 0).call(CALL);
             } catch (HookException e) {
                 assertThat(e.getMessage()).doesNotContain("\n");
             }
@@ -185,13 +189,13 @@
     /** For what fuel does not see: a call with fuel without end is ended by the interrupt of its thread. */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void aCallThatTakesTooLongIsInterrupted(boolean compiled) throws Exception {
+    void interruptsCallThatTakesTooLong(boolean compiled) throws Exception {
         HookModule module = HookModule.load(
                 bytes(HOSTILE, "spin"), new HookModule.Limits(16, Long.MAX_VALUE, 1_000_000, 20, compiled), "");
         HookInstance hook = new HookInstance(module, () -> 42);
         CountDownLatch running = new CountDownLatch(1);
         AtomicReference<String> why = new AtomicReference<>();
-        Thread t = new Thread(() -> {
+        Thread caller = new Thread(() -> {
             running.countDown();
             try {
                 hook.call(CALL);
@@ -199,46 +203,46 @@
                 why.set(e.getMessage());
             }
         });
-        t.setDaemon(true);
-        t.start();
+        caller.setDaemon(true);
+        caller.start();
         running.await();
-        while (t.isAlive()) {
-            t.interrupt(); // the call may not have begun
-            t.join(10);
+        while (caller.isAlive()) {
+            caller.interrupt(); // the call may not have begun
+            caller.join(10);
         }
         assertThat(why.get()).isEqualTo("it took longer than 20.0 ms");
     }
 
     /** The global that counts is added behind the module's own: it must not be able to name it. */
     @Test
-    void noModuleReachesTheCounter() throws Exception {
+    void rejectsModuleThatNamesTheFuelGlobal() throws Exception {
         byte[] module = bytes(HOSTILE, "steals-fuel");
-        int set = -1;
+        int globalSet = -1;
         for (int i = 8; i < module.length - 1; i++) {
-            set = module[i] == 0x24 && module[i + 1] == 0 ? i : set;
+            globalSet = module[i] == 0x24 && module[i + 1] == 0 ? i : globalSet;
         }
-        assertThat(set).as("its global.set 0").isPositive();
-        for (int op : new int[] {0x24, 0x23}) {
-            byte[] bent = module.clone();
-            bent[set] = (byte) op;
-            bent[set + 1] = 1;
-            assertThatThrownBy(() -> start(bent, "", true)).hasMessageContaining("there is no global 1");
+        assertThat(globalSet).as("its global.set 0").isPositive();
+        for (int opcode : new int[] {0x24, 0x23}) {
+            byte[] mutated = module.clone();
+            mutated[globalSet] = (byte) opcode;
+            mutated[globalSet + 1] = 1;
+            assertThatThrownBy(() -> start(mutated, "", true)).hasMessageContaining("there is no global 1");
         }
     }
 
     @Test
-    void answersAreTold() throws Exception {
+    void notifiesModuleOfAnswers() throws Exception {
         HookInstance answers = start(bytes(HOSTILE, "answers"), "", true);
         assertThat(answers.wantsAnswers()).isTrue();
-        assertThat(answers.answered(CALL, HookCall.Answer.SERVED, 7)).containsExactly("served");
-        assertThat(answers.answered(CALL, HookCall.Answer.REFUSED, 7)).containsExactly("refuse");
+        assertThat(answers.notifyAnswer(CALL, HookCall.Answer.SERVED, 7)).containsExactly("served");
+        assertThat(answers.notifyAnswer(CALL, HookCall.Answer.REFUSED, 7)).containsExactly("refuse");
         assertThat(start(bytes(HOSTILE, "idle"), "", true).wantsAnswers()).isFalse();
-        assertThat(new HookCall("", "", "", false, false, 0).bytes(HookCall.Answer.FAILED, 258))
+        assertThat(new HookCall("", "", "", false, false, 0).encode(HookCall.Answer.FAILED, 258))
                 .containsExactly(1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 3, 2, 1, 0, 0);
     }
 
     @Test
-    void growingEndsAtTheBoundAndLogLinesAreBounded() throws Exception {
+    void boundsMemoryAndLogLines() throws Exception {
         HookInstance.Result touch =
                 start(bytes(HOSTILE, "grow-touch"), "", true).call(CALL);
         assertThat(touch.orders()).isEqualTo(HookOrders.NONE);
@@ -248,12 +252,12 @@
         assertThat(start(bytes(HOSTILE, "grow"), "", true).call(CALL).orders()).isEqualTo(HookOrders.NONE);
         HookInstance logs = start(bytes(HOSTILE, "logs"), "", true);
         assertThatThrownBy(() -> logs.call(CALL)).isInstanceOf(HookException.class);
-        assertThat(logs.lastLog()).hasSize(HookInstance.MAX_LOG_LINES).allMatch(l -> l.length() <= 200);
+        assertThat(logs.lastLogLines()).hasSize(HookHost.MAX_LOG_LINES).allMatch(line -> line.length() <= 200);
     }
 
     @Test
-    void importsAndOrdersAreWhatTheAbiSays() throws Exception {
-        assertThat(HookModule.OFFERED)
+    void offersImportsAndEncodesCallsAsTheAbiSays() throws Exception {
+        assertThat(HookAbi.OFFERED_IMPORTS)
                 .isEqualTo(Map.of(
                         "coralbay.log",
                         "(i32,i32)->()",
@@ -265,7 +269,7 @@
                         "()->(i32)",
                         "coralbay.config_read",
                         "(i32)->()"));
-        assertThat(new HookCall("ab", "c", "t", true, true, 258).bytes())
+        assertThat(new HookCall("ab", "c", "t", true, true, 258).encode())
                 .containsExactly(1, 3, 2, 1, 0, 0, 2, 0, 'a', 'b', 1, 0, 'c', 1, 0, 't');
     }
 }
