--- a/src/main/java/cacheproxy/daemon/hooks/HookLoader.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookLoader.java
@@ -14,17 +14,15 @@
 
 /** Loads the modules of a configuration's hooks; if any can't be loaded all faults are reported and none is used. */
 public final class HookLoader {
-    private static final long MAX_MODULE_BYTES = 4 << 20;
-
     private HookLoader() {}
 
     /** Loads all hooks; not on the event loop, as it reads files and compiles. */
     static List<HookExecutor> load(DaemonConfig file) throws ConfigException {
-        List<HookExecutor> all = new ArrayList<>();
+        List<HookExecutor> executors = new ArrayList<>();
         List<String> faults = new ArrayList<>();
         for (HookConfig hook : HooksConfig.of(file)) {
             try {
-                all.add(HookExecutor.start(hook, read(hook)));
+                executors.add(HookExecutor.load(hook, read(hook)));
             } catch (HookException e) {
                 faults.add(hook.place() + ": hook " + hook.name() + " does not load: " + e.getMessage());
             }
@@ -32,7 +30,7 @@
         if (!faults.isEmpty()) {
             throw ConfigException.of(faults);
         }
-        return all;
+        return executors;
     }
 
     /** Loads all hooks of a configuration for their errors alone; the exception has a line for each that fails. */
@@ -43,9 +41,9 @@
     private static byte[] read(HookConfig hook) throws HookException {
         byte[] bytes;
         try {
-            if (Files.isDirectory(hook.module()) || Files.size(hook.module()) > MAX_MODULE_BYTES) {
+            if (Files.isDirectory(hook.module()) || Files.size(hook.module()) > HookModule.MAX_BYTES) {
                 throw new HookException(
-                        hook.module() + " is a directory, or has more than " + MAX_MODULE_BYTES + " bytes");
+                        hook.module() + " is a directory, or has more than " + HookModule.MAX_BYTES + " bytes");
             }
             bytes = Files.readAllBytes(hook.module());
         } catch (NoSuchFileException e) {
--- a/src/main/java/cacheproxy/daemon/hooks/HookSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookSubsystem.java
@@ -15,9 +15,9 @@
     private final List<HookExecutor> executors;
     private boolean applied;
 
-    private HookSubsystem(EventLoopContext core, List<HookExecutor> runners) {
+    private HookSubsystem(EventLoopContext core, List<HookExecutor> executors) {
         this.core = core;
-        this.executors = runners;
+        this.executors = executors;
     }
 
     /** Loads and starts the hooks of a configuration, each on a thread of its own; empty if it has none. */
--- a/src/main/java/cacheproxy/daemon/hooks/HookedRequest.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookedRequest.java
@@ -44,13 +44,16 @@
     private final IdentityHashMap<HookExecutor, HookCall> callsByHook = new IdentityHashMap<>(2);
 
     private ClientRequest request;
+    /** Null where no hook has ordered a route. */
     private Route routeByHook;
+
     private int hookIndex;
     /** The call in progress; its timeout is watched by the event loop. */
-    private volatile HookExecutor.Task runningTask;
+    private volatile HookTask runningTask;
 
-    private TimerWheel.Timer watchTimer;
-    private volatile boolean gone;
+    private TimerWheel.Timer timeoutTimer;
+    private volatile boolean clientGone;
+    /** Null until the request is routed. */
     private RequestHandler.Handle routed;
 
     /** Takes the request over. */
@@ -69,7 +72,7 @@
         this.listener = listener;
         this.request = request;
         this.responder = hooks.stream().anyMatch(HookExecutor::wantsAnswers)
-                ? new ResponseObserver(responder, this::answered)
+                ? new ResponseObserver(responder, this::notifyHooks)
                 : responder;
         sentClass = request.serviceClass();
         config.pendingRequests++;
@@ -77,21 +80,22 @@
 
     /** Calls the first hook; on the event loop. */
     public RequestHandler.Handle start() {
-        double shortest = hooks.stream()
+        double shortestTimeoutMs = hooks.stream()
                 .mapToDouble(hook -> hook.config.limits().timeMs())
                 .min()
                 .orElse(0);
-        watchTimer(Math.min(shortest, (request.dueMs() - core.nowMs()) * MAX_FRACTION_OF_TIME_LEFT));
+        double leftMs = request.dueMs() - core.nowMs();
+        setTimer(Math.min(shortestTimeoutMs, leftMs * MAX_FRACTION_OF_TIME_LEFT));
         next();
         return this;
     }
 
     /** One timer serves all calls: it is set for the earliest timeout, and then again for the call in progress. */
-    private void watchTimer(double afterMs) {
-        watchTimer = core.after(Math.max(MIN_TIMER_MS, afterMs), () -> {
-            HookExecutor.Task task = runningTask;
-            double leftMs = task == null ? 0 : task.deadlineMs - core.nowMs();
-            watchTimer(leftMs); // before the timeout, which may conclude the request
+    private void setTimer(double afterMs) {
+        timeoutTimer = core.after(Math.max(MIN_TIMER_MS, afterMs), () -> {
+            HookTask task = runningTask;
+            double leftMs = task == null ? 0 : task.deadlineMs() - core.nowMs();
+            setTimer(leftMs); // before the timeout, which may conclude the request
             if (task != null && leftMs <= 0) {
                 task.expire();
             }
@@ -118,42 +122,45 @@
             }
             hookIndex++;
             double nowMs = core.nowMs();
-            boolean applies = !ofSomeRoutes || applies(hook);
-            if (applies && !skip(hook, nowMs)) {
+            boolean applies = !ofSomeRoutes || takesRouteOf(hook);
+            if (applies && callOrReject(hook, nowMs)) {
                 return;
             }
         }
         onLoop(this::route);
     }
 
-    /** Calls a hook unless it can't be called now; returns whether the request goes on to the next hook at once. */
-    private boolean skip(HookExecutor hook, double nowMs) {
+    /**
+     * Calls a hook, or rejects the request for want of time or for the hook's failure.
+     *
+     * @return false if neither: the request goes on to the next hook at once
+     */
+    private boolean callOrReject(HookExecutor hook, double nowMs) {
         double leftMs = request.dueMs() - nowMs;
         if (leftMs < MIN_TIME_LEFT_MS) {
-            refuse(hook.config.retryAfterMs());
-            return false;
+            reject(hook.config.retryAfterMs());
+            return true;
         }
         if (!hook.breaker.tryCall(nowMs)) {
-            return !rejectedByFailure(hook);
+            return rejectIfRequired(hook);
         }
         HookCall call = newCall(leftMs);
         if (hook.wantsAnswers()) {
             callsByHook.put(hook, call);
         }
-        HookExecutor.Task task = hook.task(
-                call,
-                nowMs + Math.min(hook.config.limits().timeMs(), leftMs * MAX_FRACTION_OF_TIME_LEFT),
-                (orders, failure, called) -> ended(hook, orders, failure, called));
+        double timeoutMs = Math.min(hook.config.limits().timeMs(), leftMs * MAX_FRACTION_OF_TIME_LEFT);
+        HookTask task = hook.newTask(
+                call, nowMs + timeoutMs, (orders, failure, called) -> completed(hook, orders, failure, called));
         runningTask = task;
-        if (task.offer()) {
-            return false; // the hook's thread may have it already
+        if (hook.offer(task)) {
+            return true; // the hook's thread may have it already
         }
         if (!task.withdraw()) {
-            return false;
+            return true; // its timeout goes on with the request
         }
         callsByHook.remove(hook);
         hook.breaker.recordNotRun();
-        return !rejectedByFailure(hook);
+        return rejectIfRequired(hook);
     }
 
     private HookCall newCall(double leftMs) {
@@ -166,16 +173,16 @@
     }
 
     private void route() {
-        if (gone) {
+        if (clientGone) {
             release();
             return;
         }
-        over();
+        endHooks();
         routed = router.route(config, listener, routeByHook, request, responder);
     }
 
     /** Returns whether the request, as it is now, takes one of the hook's routes. */
-    private boolean applies(HookExecutor hook) {
+    private boolean takesRouteOf(HookExecutor hook) {
         RouteInput input = config.file
                 .keys()
                 .parse(listener, request.key(), request.serviceClass(), request.tenant(), request.isWrite());
@@ -185,28 +192,28 @@
         return route != null && hook.config.routes().contains(route.name());
     }
 
-    private void answered(HookCall.Answer answer) {
+    private void notifyHooks(HookCall.Answer answer) {
         long elapsedMs = Math.round(core.nowMs() - request.arrivedMs());
         callsByHook.forEach((hook, call) -> hook.notifyAnswer(call, answer, elapsedMs));
     }
 
-    /** Rejects the request if the hook's failure has to; returns whether it did. */
-    private boolean rejectedByFailure(HookExecutor hook) {
+    /** Rejects the request if that is what the hook's failure is to do; returns whether it did. */
+    private boolean rejectIfRequired(HookExecutor hook) {
         if (hook.config.rejectOnFailure()) {
-            refuse(hook.config.retryAfterMs());
+            reject(hook.config.retryAfterMs());
             return true;
         }
         return false;
     }
 
-    private void recordOutcome(HookExecutor hook, double nowMs, boolean failure, String fault) {
-        if (hook.breaker.recordResult(nowMs, failure)) {
+    private void recordOutcome(HookExecutor hook, double nowMs, boolean failed, String fault) {
+        if (hook.breaker.recordResult(nowMs, failed)) {
             onLoop(() -> core.log("hook " + hook.config.name() + " is switched off for "
                     + Math.round(hook.config.breakerOffMs()) + " ms, as too many calls fail; the last: " + fault));
         }
     }
 
-    private void ended(HookExecutor hook, HookOrders orders, String failure, boolean called) {
+    private void completed(HookExecutor hook, HookOrders orders, String failure, boolean called) {
         double nowMs = core.nowMs();
         double leftMs = request.dueMs() - nowMs;
         String fault =
@@ -216,12 +223,12 @@
         } else {
             hook.breaker.recordNotRun();
         }
-        if (gone) {
+        if (clientGone) {
             onLoop(this::release);
             return;
         }
         if (fault != null) {
-            if (!rejectedByFailure(hook)) {
+            if (!rejectIfRequired(hook)) {
                 next();
             }
             return;
@@ -230,7 +237,7 @@
             onLoop(() -> core.log("hook " + hook.config.name() + ": " + orders.note()));
         }
         if (orders.refuseMs() > 0) {
-            refuse((double) orders.refuseMs());
+            reject((double) orders.refuseMs());
             return;
         }
         apply(orders, nowMs);
@@ -250,29 +257,29 @@
         routeByHook = orders.route() == null ? routeByHook : config.route(orders.route());
     }
 
-    private void refuse(double afterMs) {
+    private void reject(double afterMs) {
         onLoop(() -> {
             release();
-            if (!gone) {
+            if (!clientGone) {
                 responder.busy(afterMs);
             }
         });
     }
 
     private void release() {
-        over();
+        endHooks();
         core.closeId(request.id());
         request.release(core);
     }
 
-    private void over() {
-        watchTimer.cancel();
+    private void endHooks() {
+        timeoutTimer.cancel();
         config.pendingRequests--;
     }
 
     @Override
     public void clientDisconnected() {
-        gone = true;
+        clientGone = true;
         if (routed != null) {
             routed.clientDisconnected();
         }
--- a/src/main/java/cacheproxy/daemon/hooks/package-info.java
+++ b/src/main/java/cacheproxy/daemon/hooks/package-info.java
@@ -1,8 +1,11 @@
 /**
  * Runs WebAssembly plug-ins (hooks) on requests before they are routed.
  *
- * <p>Each hook has a thread and a bounded queue ({@link cacheproxy.daemon.hooks.HookExecutor}); a request passes its
- * hooks one after another ({@link cacheproxy.daemon.hooks.HookedRequest}) and is routed or rejected in time whatever a
- * hook does. Circuit breakers and checks of what hooks ask for are decided in {@code cacheproxy.hooks}.
+ * <p>{@link cacheproxy.daemon.hooks.HookLoader} loads the modules of a configuration and
+ * {@link cacheproxy.daemon.hooks.HookSubsystem} owns them. Each hook has a thread, an instance of its module and a
+ * bounded queue of calls, {@code HookTask}; all belong to its {@link cacheproxy.daemon.hooks.HookExecutor}. A request
+ * passes its hooks one after another ({@link cacheproxy.daemon.hooks.HookedRequest}) and is routed or rejected in time
+ * whatever a hook does: the event loop watches the timeouts. Circuit breakers and checks of what hooks ask for are
+ * decided in {@code cacheproxy.hooks}.
  */
 package cacheproxy.daemon.hooks;
--- a/src/main/java/cacheproxy/hooks/HookModule.java
+++ b/src/main/java/cacheproxy/hooks/HookModule.java
@@ -12,6 +12,9 @@
 
 /** A module that has been checked, metered and compiled; any number of instances come of it. */
 public final class HookModule {
+    /** Size of a module's binary form, at most. */
+    public static final int MAX_BYTES = 4 << 20;
+
     /**
      * Bounds of a hook.
      *
--- a/src/main/java/cacheproxy/hooks/WasmInstructionReader.java
+++ b/src/main/java/cacheproxy/hooks/WasmInstructionReader.java
@@ -86,9 +86,10 @@
             case WasmOpcode.F64_CONST -> reader.skip(Double.BYTES);
             case WasmOpcode.PREFIX_FC -> skipPrefixed();
             default ->
-                throw new HookException("instruction 0x" + Integer.toHexString(opcode) + " at byte "
-                        + (reader.position() - 1)
-                        + " is not taken; compile for WebAssembly 2.0 without vectors, threads, exceptions and tail calls");
+                throw new HookException(
+                        "instruction 0x" + Integer.toHexString(opcode) + " at byte "
+                                + (reader.position() - 1)
+                                + " is not taken; compile for WebAssembly 2.0 without vectors, threads, exceptions and tail calls");
         }
     }
 
--- a/src/main/java/cacheproxy/hooks/WasmMeter.java
+++ b/src/main/java/cacheproxy/hooks/WasmMeter.java
@@ -12,9 +12,6 @@
  * the globals and of the code are changed.
  */
 final class WasmMeter {
-    /** Larger modules are rejected before they are read. */
-    static final int MAX_MODULE_BYTES = 4 << 20;
-
     /** The magic number and the version. */
     private static final int PREAMBLE_BYTES = 8;
 
@@ -49,8 +46,8 @@
      */
     static Metered meter(byte[] module, int maxPages, Map<String, String> offeredImports, long initialFuel)
             throws HookException {
-        if (module.length > MAX_MODULE_BYTES) {
-            throw new HookException("the module has " + module.length + " bytes; at most " + MAX_MODULE_BYTES);
+        if (module.length > HookModule.MAX_BYTES) {
+            throw new HookException("the module has " + module.length + " bytes; at most " + HookModule.MAX_BYTES);
         }
         try {
             return new WasmMeter(module, maxPages, offeredImports).meter(initialFuel);
