--- a/src/main/java/cacheproxy/simulator/ReplyEncoder.java
+++ b/src/main/java/cacheproxy/simulator/ReplyEncoder.java
@@ -8,137 +8,163 @@
 import java.nio.charset.StandardCharsets;
 import java.util.Arrays;
 
-/** The reply to one batch: an instance's actions become the wire's records. */
+/**
+ * The reply to one batch: the actions of instances become records of one size, little-endian, and what varies in size
+ * goes to the tail behind them.
+ */
 final class ReplyEncoder implements PolicyActions {
-    private static final int HEADER = 12;
-    private static final int RECORD = 24;
-
-    private ByteBuffer records = buffer(1 << 16);
-    private ByteBuffer tail = buffer(1 << 12);
-    private int count;
+    private static final int SEND_ATTEMPT = 10;
+    private static final int REJECT = 20;
+    private static final int FAIL = 30;
+    private static final int CANCEL_ATTEMPT = 40;
+    private static final int SET_TIMER = 50;
+    private static final int PROBE_SERVER = 60;
+    private static final int CLOSE_IDLE_CONNECTIONS = 70;
+    private static final int SEND_TO_PEER = 80;
+    private static final int LOG = 90;
+    private static final int FAULT = 100;
+    private static final int WATCH_ENDPOINT_LIST = 110;
+    private static final int FETCH_ENDPOINT_LIST = 120;
+
+    private static final int LENGTH_OFFSET = 0;
+    private static final int RECORD_COUNT_OFFSET = 4;
+    private static final int BATCH_NUMBER_OFFSET = 8;
+    private static final int HEADER_BYTES = 12;
+    private static final int RECORD_BYTES = 24;
+
+    private ByteBuffer records = newBuffer(1 << 16);
+    private ByteBuffer tail = newBuffer(1 << 12);
+    private int recordCount;
     private int instance;
 
-    private static ByteBuffer buffer(int size) {
-        return ByteBuffer.allocate(size).order(ByteOrder.LITTLE_ENDIAN);
+    private static ByteBuffer newBuffer(int bytes) {
+        return ByteBuffer.allocate(bytes).order(ByteOrder.LITTLE_ENDIAN);
     }
 
-    private static ByteBuffer room(ByteBuffer b, int need) {
-        if (b.remaining() >= need) {
-            return b;
+    /** Returns a buffer with the same content and space for so many bytes more. */
+    private static ByteBuffer ensureRemaining(ByteBuffer buffer, int bytes) {
+        if (buffer.remaining() >= bytes) {
+            return buffer;
         }
-        b.flip();
-        return buffer(Math.max(2 * b.capacity(), b.limit() + need)).put(b);
+        buffer.flip();
+        return newBuffer(Math.max(2 * buffer.capacity(), buffer.limit() + bytes))
+                .put(buffer);
     }
 
+    /** Begins a reply, which has no records yet. */
     void begin() {
         records.clear();
         tail.clear();
-        records.position(HEADER);
-        count = 0;
+        records.position(HEADER_BYTES);
+        recordCount = 0;
     }
 
-    void actAs(int i) {
-        instance = i;
+    /** Makes the actions from now on those of an instance. */
+    void actAs(int actingInstance) {
+        instance = actingInstance;
     }
 
+    /** Writes the reply to a batch. */
     @SuppressWarnings("ByteBufferBackingArray") // both buffers are allocated on the heap, here, with no offset
-    void write(OutputStream out, int batch) throws IOException {
-        records.putInt(0, records.position() + tail.position());
-        records.putInt(4, count);
-        records.putInt(8, batch);
+    void write(OutputStream out, int batchNumber) throws IOException {
+        records.putInt(LENGTH_OFFSET, records.position() + tail.position());
+        records.putInt(RECORD_COUNT_OFFSET, recordCount);
+        records.putInt(BATCH_NUMBER_OFFSET, batchNumber);
         out.write(records.array(), 0, records.position());
         out.write(tail.array(), 0, tail.position());
         out.flush();
     }
 
     @SuppressWarnings("ByteBufferBackingArray") // both buffers are allocated on the heap, here, with no offset
-    private ByteBuffer record(int code) {
-        records = room(records, RECORD);
+    private ByteBuffer beginRecord(int code) {
+        records = ensureRemaining(records, RECORD_BYTES);
         int start = records.position();
-        Arrays.fill(records.array(), start, start + RECORD, (byte) 0);
+        Arrays.fill(records.array(), start, start + RECORD_BYTES, (byte) 0);
         records.put((byte) code).putShort((short) instance);
-        count++;
+        recordCount++;
         return records;
     }
 
-    private void end() {
-        records.position(HEADER + RECORD * count);
+    private void endRecord() {
+        records.position(HEADER_BYTES + RECORD_BYTES * recordCount);
     }
 
-    private void bytes(byte[] data) {
-        records.putInt(tail.position()).putInt(data.length);
-        tail = room(tail, data.length).put(data);
-        end();
+    /** Ends a record whose last field is these bytes: their offset and length, and the bytes in the tail. */
+    private void endRecord(byte[] tailBytes) {
+        records.putInt(tail.position()).putInt(tailBytes.length);
+        tail = ensureRemaining(tail, tailBytes.length).put(tailBytes);
+        endRecord();
     }
 
     @Override
     public void sendAttempt(int request, int server, double timeoutMs) {
-        record(10).putInt(request).putInt(server).putDouble(timeoutMs);
-        end();
+        beginRecord(SEND_ATTEMPT).putInt(request).putInt(server).putDouble(timeoutMs);
+        endRecord();
     }
 
     @Override
     public void reject(int request, double retryAfterMs) {
-        record(20).putInt(request).putDouble(retryAfterMs);
-        end();
+        beginRecord(REJECT).putInt(request).putDouble(retryAfterMs);
+        endRecord();
     }
 
     @Override
     public void fail(int request) {
-        record(30).putInt(request);
-        end();
+        beginRecord(FAIL).putInt(request);
+        endRecord();
     }
 
     @Override
     public void cancelAttempt(int request, int attempt) {
-        record(40).putInt(request).put((byte) attempt);
-        end();
+        beginRecord(CANCEL_ATTEMPT).putInt(request).put((byte) attempt);
+        endRecord();
     }
 
     @Override
     public void setTimer(double afterMs, int token) {
-        record(50).putDouble(afterMs).putInt(token);
-        end();
+        beginRecord(SET_TIMER).putDouble(afterMs).putInt(token);
+        endRecord();
     }
 
     @Override
     public void probeServer(int server) {
-        record(60).putInt(server);
-        end();
+        beginRecord(PROBE_SERVER).putInt(server);
+        endRecord();
     }
 
     @Override
     public void closeIdleConnections(int server) {
-        record(70).putInt(server);
-        end();
+        beginRecord(CLOSE_IDLE_CONNECTIONS).putInt(server);
+        endRecord();
     }
 
     @Override
     public void sendToPeer(int peer, byte[] message) {
-        record(80).putInt(peer);
-        bytes(message);
+        beginRecord(SEND_TO_PEER).putInt(peer);
+        endRecord(message);
     }
 
     @Override
     public void log(String line) {
-        record(90);
-        bytes(line.getBytes(StandardCharsets.UTF_8));
+        beginRecord(LOG);
+        endRecord(line.getBytes(StandardCharsets.UTF_8));
     }
 
+    /** Reports that an instance's policy has failed. */
     void fault(String cause) {
-        record(100);
-        bytes(cause.getBytes(StandardCharsets.UTF_8));
+        beginRecord(FAULT);
+        endRecord(cause.getBytes(StandardCharsets.UTF_8));
     }
 
     @Override
-    public void watchEndpointList(boolean on) {
-        record(110).put((byte) (on ? 1 : 0));
-        end();
+    public void watchEndpointList(boolean enabled) {
+        beginRecord(WATCH_ENDPOINT_LIST).put((byte) (enabled ? 1 : 0));
+        endRecord();
     }
 
     @Override
     public void fetchEndpointList() {
-        record(120);
-        end();
+        beginRecord(FETCH_ENDPOINT_LIST);
+        endRecord();
     }
 }
--- a/src/main/java/cacheproxy/simulator/SettingsParser.java
+++ b/src/main/java/cacheproxy/simulator/SettingsParser.java
@@ -15,24 +15,30 @@
 public final class SettingsParser {
     private final Map<String, String> values;
 
-    /** Over values by path, as the real proxy's configuration has them once flattened. */
+    /** @param values by path, as the proxy's configuration has them once flattened */
     public SettingsParser(Map<String, String> values) {
         this.values = values;
     }
 
-    /** Over path=value lines, as the simulator sends them. */
+    /** Returns a parser of {@code path=value} lines, as the simulator sends them; other lines are skipped. */
     static SettingsParser ofLines(String text) {
         Map<String, String> values = new HashMap<>();
         for (String line : text.split("\n", 0)) {
-            int eq = line.indexOf('=');
-            if (eq > 0) {
-                values.put(line.substring(0, eq).trim(), line.substring(eq + 1).trim());
+            int separator = line.indexOf('=');
+            if (separator > 0) {
+                values.put(
+                        line.substring(0, separator).trim(),
+                        line.substring(separator + 1).trim());
             }
         }
         return new SettingsParser(values);
     }
 
-    /** The settings as the module takes them; a SimulatorProtocolException names what is missing or wrong. */
+    /**
+     * Returns the settings as a policy takes them.
+     *
+     * @throws SimulatorProtocolException if one is missing or malformed, with its path
+     */
     @SuppressWarnings("EnumOrdinal") // the order of declaration is the code on the wire, pinned by golden tests
     public PolicySettings settings() {
         List<String> zones = list("zones");
@@ -72,36 +78,44 @@
                 .build();
     }
 
-    @SuppressWarnings("EnumOrdinal") // the order of declaration is the code on the wire, pinned by golden tests
     private List<ServiceClass> classes() {
-        List<ServiceClass> result = new ArrayList<>();
+        List<ServiceClass> classes = new ArrayList<>();
         for (int i = 0; i < integer("classes.count"); i++) {
-            String p = "classes." + i + ".";
-            Idempotency effect = Idempotency.values()[oneOf(p + "idempotency", "retryable", "dedup", "fragile")];
-            boolean keyed = effect == Idempotency.DEDUPLICATED;
-            result.add(new ServiceClass(
-                    text(p + "name"),
-                    effect,
-                    keyed
-                            ? DeduplicationScope.values()[oneOf(p + "group", "all", "zone", "cell")]
-                            : DeduplicationScope.ALL,
-                    keyed ? number(p + "window") : 0,
-                    number(p + "promise"),
-                    number(p + "deadline"),
-                    number(p + "gain", 1),
-                    number(p + "late-share", 0),
-                    flag(p + "stream")));
+            classes.add(serviceClass("classes." + i + "."));
+        }
+        return classes;
+    }
+
+    @SuppressWarnings("EnumOrdinal") // the order of declaration is the code on the wire, pinned by golden tests
+    private ServiceClass serviceClass(String prefix) {
+        String name = text(prefix + "name");
+        Idempotency idempotency = Idempotency.values()[oneOf(prefix + "idempotency", "retryable", "dedup", "fragile")];
+        DeduplicationScope scope = DeduplicationScope.ALL;
+        double windowMs = 0;
+        if (idempotency == Idempotency.DEDUPLICATED) {
+            scope = DeduplicationScope.values()[oneOf(prefix + "group", "all", "zone", "cell")];
+            windowMs = number(prefix + "window");
         }
-        return result;
+        return new ServiceClass(
+                name,
+                idempotency,
+                scope,
+                windowMs,
+                number(prefix + "promise"),
+                number(prefix + "deadline"),
+                number(prefix + "gain", 1),
+                number(prefix + "late-share", 0),
+                flag(prefix + "stream"));
     }
 
     private List<Tenant> tenants() {
-        List<Tenant> result = new ArrayList<>();
+        List<Tenant> tenants = new ArrayList<>();
         for (int i = 0; i < (int) number("tenants.count", 0); i++) {
-            String p = "tenants." + i + ".";
-            result.add(new Tenant(text(p + "name"), number(p + "fraction", 0), number(p + "quota-per-s", 0)));
+            String prefix = "tenants." + i + ".";
+            tenants.add(new Tenant(
+                    text(prefix + "name"), number(prefix + "fraction", 0), number(prefix + "quota-per-s", 0)));
         }
-        return result;
+        return tenants;
     }
 
     private String text(String key) {
@@ -119,14 +133,18 @@
                 return value;
             }
         } catch (NumberFormatException e) {
-            // told below, with the key
+            // reported below, with the key
         }
         throw new SimulatorProtocolException("setting '" + key + "' is not a number: " + values.get(key));
     }
 
-    /** A number, or this one where the key is absent. */
-    public double number(String key, double absent) {
-        return values.containsKey(key) ? number(key) : absent;
+    /**
+     * Returns a number, or a default where the key is absent.
+     *
+     * @throws SimulatorProtocolException if the value is not a finite number
+     */
+    public double number(String key, double defaultValue) {
+        return values.containsKey(key) ? number(key) : defaultValue;
     }
 
     private int integer(String key) {
@@ -137,18 +155,19 @@
         return oneOf(key, "false", "true") == 1;
     }
 
-    /** A list of plain values; empty where the key is absent. */
+    /** Returns a list of texts, which commas separate; empty where the key is absent. */
     public List<String> list(String key) {
         String value = values.getOrDefault(key, "");
         return value.isEmpty() ? List.of() : List.of(value.split(",", 0));
     }
 
-    private int oneOf(String key, String... words) {
-        int i = List.of(words).indexOf(text(key));
-        if (i < 0) {
+    /** Returns the index of the value among those that it may have. */
+    private int oneOf(String key, String... allowed) {
+        int index = List.of(allowed).indexOf(text(key));
+        if (index < 0) {
             throw new SimulatorProtocolException(
-                    "setting '" + key + "' is none of " + String.join(", ", words) + ": " + text(key));
+                    "setting '" + key + "' is none of " + String.join(", ", allowed) + ": " + text(key));
         }
-        return i;
+        return index;
     }
 }
--- a/src/test/java/cacheproxy/simulator/ReplyEncoderGoldenBytesTest.java
+++ b/src/test/java/cacheproxy/simulator/ReplyEncoderGoldenBytesTest.java
@@ -33,42 +33,42 @@
             """;
 
     @Test
-    void eachRecordHasItsBytes() throws IOException {
-        ReplyEncoder frame = new ReplyEncoder();
-        frame.begin();
-        frame.actAs(3);
-        frame.sendAttempt(0x5d3a91c4, 0xf211902c, 1500.25);
-        frame.reject(0x5d3a91c4, 20.5);
-        frame.fail(0x5d3a91c4);
-        frame.cancelAttempt(0x5d3a91c4, 2);
-        frame.setTimer(20.5, 0x80000009);
-        frame.actAs(0xffff);
-        frame.probeServer(0xf211902c);
-        frame.closeIdleConnections(0xf211902c);
-        frame.sendToPeer(-1, new byte[] {0x56, 0, -1});
-        frame.sendToPeer(2, new byte[0]);
-        frame.log("g\u00e9 pa");
-        frame.fault("a class is wrong");
-        frame.actAs(3);
-        frame.watchEndpointList(true);
-        frame.watchEndpointList(false);
-        frame.fetchEndpointList();
-        assertThat(written(frame, 0x01020304)).isEqualTo(HexBytes.parse(EACH_RECORD));
+    void encodesEachAction() throws IOException {
+        ReplyEncoder encoder = new ReplyEncoder();
+        encoder.begin();
+        encoder.actAs(3);
+        encoder.sendAttempt(0x5d3a91c4, 0xf211902c, 1500.25);
+        encoder.reject(0x5d3a91c4, 20.5);
+        encoder.fail(0x5d3a91c4);
+        encoder.cancelAttempt(0x5d3a91c4, 2);
+        encoder.setTimer(20.5, 0x80000009);
+        encoder.actAs(0xffff);
+        encoder.probeServer(0xf211902c);
+        encoder.closeIdleConnections(0xf211902c);
+        encoder.sendToPeer(-1, new byte[] {0x56, 0, -1});
+        encoder.sendToPeer(2, new byte[0]);
+        encoder.log("g\u00e9 pa");
+        encoder.fault("a class is wrong");
+        encoder.actAs(3);
+        encoder.watchEndpointList(true);
+        encoder.watchEndpointList(false);
+        encoder.fetchEndpointList();
+        assertThat(written(encoder, 0x01020304)).isEqualTo(HexBytes.parse(EACH_RECORD));
     }
 
     /** What an earlier batch left in the buffer is in no later reply. */
     @Test
-    void aSecondReplyHasItsBytes() throws IOException {
-        ReplyEncoder frame = new ReplyEncoder();
-        frame.begin();
-        frame.actAs(-1);
-        frame.sendAttempt(-1, -1, Double.NaN);
-        frame.log("x");
-        written(frame, -1);
-        frame.begin();
-        frame.actAs(1);
-        frame.fail(7);
-        assertThat(written(frame, 2)).isEqualTo(HexBytes.parse("""
+    void encodesSecondReplyWithoutRestOfFirst() throws IOException {
+        ReplyEncoder encoder = new ReplyEncoder();
+        encoder.begin();
+        encoder.actAs(-1);
+        encoder.sendAttempt(-1, -1, Double.NaN);
+        encoder.log("x");
+        written(encoder, -1);
+        encoder.begin();
+        encoder.actAs(1);
+        encoder.fail(7);
+        assertThat(written(encoder, 2)).isEqualTo(HexBytes.parse("""
                 24000000 01000000 02000000
                 1e 0100 07000000 0000000000000000 000000000000000000
                 """));
@@ -76,23 +76,23 @@
 
     /** Records and tail grow past the sizes that they begin with. */
     @Test
-    void aLargeReplyIsWhole() throws IOException {
-        ReplyEncoder frame = new ReplyEncoder();
-        frame.begin();
-        frame.actAs(1);
+    void growsForLargeReply() throws IOException {
+        ReplyEncoder encoder = new ReplyEncoder();
+        encoder.begin();
+        encoder.actAs(1);
         for (int i = 0; i < 4000; i++) {
-            frame.log("0123");
+            encoder.log("0123");
         }
-        byte[] reply = written(frame, 1);
+        byte[] reply = written(encoder, 1);
         assertThat(reply).startsWith(HexBytes.parse("8cb50100 a00f0000 01000000 5a 0100 00000000 04000000"));
         assertThat(new String(reply, 12 + 24 * 4000, 16_000, StandardCharsets.US_ASCII))
                 .isEqualTo("0123".repeat(4000));
         assertThat(reply).hasSize(12 + 24 * 4000 + 16_000);
     }
 
-    private static byte[] written(ReplyEncoder frame, int batch) throws IOException {
+    private static byte[] written(ReplyEncoder encoder, int batch) throws IOException {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        frame.write(out, batch);
+        encoder.write(out, batch);
         return out.toByteArray();
     }
 }
--- a/src/test/java/cacheproxy/simulator/SessionGoldenBytesTest.java
+++ b/src/test/java/cacheproxy/simulator/SessionGoldenBytesTest.java
@@ -21,7 +21,7 @@
  */
 class SessionGoldenBytesTest {
     @Test
-    void theRecordedEventsAreAnsweredWithTheRecordedReplies() throws IOException {
+    void repliesToRecordedEventsAsRecorded() throws IOException {
         List<String> events = lines("session-events");
         List<String> replies = lines("session-replies");
         ByteArrayOutputStream out = new ByteArrayOutputStream();
--- a/src/test/java/cacheproxy/simulator/SimulatorAdapterTest.java
+++ b/src/test/java/cacheproxy/simulator/SimulatorAdapterTest.java
@@ -9,9 +9,11 @@
 import java.nio.ByteBuffer;
 import java.nio.ByteOrder;
 import java.nio.charset.StandardCharsets;
+import java.util.Arrays;
 import java.util.HexFormat;
 import org.junit.jupiter.api.Test;
 
+/** What the simulator gets for batches of events, and for input that is malformed. */
 class SimulatorAdapterTest {
     @SuppressWarnings("StringConcatToTextBlock") // one line of the text a line of the source
     private static final String SETTINGS = String.join(
@@ -50,16 +52,16 @@
 
     /** Builds one batch; records are written with their fields at the stated places. */
     private static final class Batch {
-        final ByteBuffer b =
+        final ByteBuffer buffer =
                 ByteBuffer.allocate(4096).order(ByteOrder.LITTLE_ENDIAN).position(20);
         final ByteArrayOutputStream tail = new ByteArrayOutputStream();
         int count;
 
         ByteBuffer record(int code, int instance) {
             int start = 20 + 48 * count++;
-            b.position(start + 48);
-            b.put(start, (byte) code).putShort(start + 1, (short) instance);
-            return b.slice(start, 48).order(ByteOrder.LITTLE_ENDIAN);
+            buffer.position(start + 48);
+            buffer.put(start, (byte) code).putShort(start + 1, (short) instance);
+            return buffer.slice(start, 48).order(ByteOrder.LITTLE_ENDIAN);
         }
 
         void span(ByteBuffer record, int at, byte[] data, int length) {
@@ -81,13 +83,13 @@
         }
 
         byte[] bytes() {
-            b.putInt(0, b.position() + tail.size())
+            buffer.putInt(0, buffer.position() + tail.size())
                     .putDouble(4, 100)
                     .putInt(12, count)
                     .putInt(16, 7);
-            b.put(tail.toByteArray());
-            byte[] all = new byte[b.position()];
-            b.get(0, all);
+            buffer.put(tail.toByteArray());
+            byte[] all = new byte[buffer.position()];
+            buffer.get(0, all);
             return all;
         }
     }
@@ -98,9 +100,9 @@
         return out.toByteArray();
     }
 
-    /** The page's example: an empty batch with its reply. */
+    /** The protocol's example: an empty batch with its reply. */
     @Test
-    void anEmptyBatchIsAnsweredAsOnThePage() throws IOException {
+    void answersEmptyBatchAsDocumented() throws IOException {
         HexFormat hex = HexFormat.of();
         byte[] reply = run(hex.parseHex("1400000000000000206ec0400000000001000000"));
         assertThat(hex.formatHex(reply)).isEqualTo("0c0000000000000001000000");
@@ -108,15 +110,15 @@
     }
 
     @Test
-    void aRequestIsPlacedOnTheListedServer() throws IOException {
+    void sendsRequestToListedServer() throws IOException {
         Batch batch = new Batch().start(SETTINGS);
         batch.record(30, 3).putInt(3, 0x5D3A91C4).putDouble(9, 900).putLong(33, 99);
         ByteBuffer reply = ByteBuffer.wrap(run(batch.bytes())).order(ByteOrder.LITTLE_ENDIAN);
         assertThat(reply.getInt(0)).isEqualTo(reply.capacity());
         assertThat(reply.getInt(8)).isEqualTo(7);
         boolean placed = false;
-        for (int r = 0; r < reply.getInt(4); r++) {
-            int at = 12 + 24 * r;
+        for (int i = 0; i < reply.getInt(4); i++) {
+            int at = 12 + 24 * i;
             if (reply.get(at) == 10) {
                 placed = true;
                 assertThat(reply.getShort(at + 1)).isEqualTo((short) 3);
@@ -128,7 +130,7 @@
     }
 
     @Test
-    void anInstanceMayStopAndStartInOneBatch() throws IOException {
+    void stopsAndStartsInstanceInOneBatch() throws IOException {
         Batch batch = new Batch().start(SETTINGS);
         batch.record(100, 3);
         batch.start(SETTINGS);
@@ -139,7 +141,7 @@
     }
 
     @Test
-    void anExceptionInTheModuleBecomesTheFaultAction() throws IOException {
+    void reportsExceptionOfPolicyAsFault() throws IOException {
         Batch batch = new Batch().start(SETTINGS);
         batch.record(30, 3).putInt(3, 1).putDouble(9, 900).putShort(41, (short) 5);
         byte[] reply = run(batch.bytes());
@@ -150,10 +152,9 @@
     }
 
     @Test
-    void badFramesAreNamed() {
+    void reportsWhereInputIsMalformed() {
         byte[] good = new Batch().start(SETTINGS).bytes();
-        assertThatThrownBy(() -> run(java.util.Arrays.copyOf(good, good.length - 1)))
-                .hasMessageContaining("inside a frame");
+        assertThatThrownBy(() -> run(Arrays.copyOf(good, good.length - 1))).hasMessageContaining("inside a frame");
         assertThatThrownBy(() -> run(new byte[] {5, 0, 0, 0, 0})).hasMessageContaining("frame of 5 bytes");
         Batch unknown = new Batch().start(SETTINGS);
         unknown.record(31, 3);
@@ -172,7 +173,7 @@
     }
 
     @Test
-    void missingAndUnreadableSettingsAreNamed() {
+    void reportsMissingAndMalformedSettings() {
         assertThatThrownBy(() -> SettingsParser.ofLines(SETTINGS.replace("caps.max-attempts=3", ""))
                         .settings())
                 .hasMessageContaining("caps.max-attempts");
