--- a/src/main/java/damsonworks/Main.java
+++ b/src/main/java/cacheproxy/Main.java
@@ -1,8 +1,8 @@
-package damsonworks;
+package cacheproxy;
 
-import damsonworks.cli.Cli;
-import damsonworks.proxy.Proxy;
-import damsonworks.wire.Drill;
+import cacheproxy.cli.Cli;
+import cacheproxy.proxy.Proxy;
+import cacheproxy.simulator.SimulatorAdapter;
 
 /**
  * Command line. The platform's commands come first and load nothing of the others: {@code serve} is one real proxy
@@ -17,7 +17,7 @@
         switch (args.length == 1 ? args[0] : "") {
             case "serve" -> Proxy.main();
             case "train" -> System.exit(Proxy.train());
-            case "drill" -> System.exit(Drill.main());
+            case "drill" -> System.exit(SimulatorAdapter.main());
             default -> System.exit(Cli.run(args));
         }
     }
--- a/src/main/java/damsonworks/bench/BenchCommand.java
+++ b/src/main/java/cacheproxy/bench/BenchCommand.java
@@ -1,4 +1,4 @@
-package damsonworks.bench;
+package cacheproxy.bench;
 
 import java.io.PrintWriter;
 import java.util.List;
@@ -47,16 +47,16 @@
             new HookBench(out).run("hostile".equals(only), rounds, seconds);
         }
         if (only != null && List.of("memory", "memory-cost", "kills", "cycles").contains(only)) {
-            new MemoryBench(out, rounds, seconds).run(only);
+            new SnapshotBench(out, rounds, seconds).run(only);
         }
         if ("siblings".equals(only)) {
             new SiblingBench(out, rounds, seconds).run();
         }
         if ("duties".equals(only)) {
-            new DutyBench(out).run(rounds);
+            new LeaseBench(out).run(rounds);
         }
         if ("limits".equals(only)) {
-            new LimitBench(out).run(rounds);
+            new QuotaBench(out).run(rounds);
         }
         if ("fleet".equals(only)) {
             new FleetBench(out).run(rounds);
--- a/src/main/java/damsonworks/bench/ChoiceBench.java
+++ b/src/main/java/cacheproxy/bench/ChoiceBench.java
@@ -1,15 +1,15 @@
-package damsonworks.bench;
+package cacheproxy.bench;
 
-import damsonworks.Carp;
-import damsonworks.RoutingApi.Member;
-import damsonworks.RoutingApi.State;
-import damsonworks.placement.CarpPlacement;
-import damsonworks.placement.Placement;
-import damsonworks.routes.KeyPattern;
-import damsonworks.routes.KeyRewrite;
-import damsonworks.routes.Route;
-import damsonworks.routes.RouteTable;
-import damsonworks.routes.Subject;
+import cacheproxy.policy.CarpHash;
+import cacheproxy.policy.PolicyApi.Member;
+import cacheproxy.policy.PolicyApi.State;
+import cacheproxy.placement.CarpPlacement;
+import cacheproxy.placement.Placement;
+import cacheproxy.routes.KeyPattern;
+import cacheproxy.routes.KeyRewrite;
+import cacheproxy.routes.Route;
+import cacheproxy.routes.RouteTable;
+import cacheproxy.routes.RouteInput;
 import java.io.PrintWriter;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -34,9 +34,9 @@
         out.printf("%-10s %12s %12s %12s%n", "routes", "exact ns", "prefix ns", "pattern ns");
         for (int n : new int[] {10, 1_000, 10_000}) {
             List<Route> routes = new ArrayList<>();
-            Subject[] exact = new Subject[1024];
-            Subject[] prefix = new Subject[1024];
-            Subject[] pattern = new Subject[1024];
+            RouteInput[] exact = new RouteInput[1024];
+            RouteInput[] prefix = new RouteInput[1024];
+            RouteInput[] pattern = new RouteInput[1024];
             for (int i = 0; i < n; i++) {
                 int kind = i % 10;
                 // One in ten is a pattern, as where locations were written by hand; the rest halves.
@@ -59,8 +59,8 @@
         }
     }
 
-    private static Subject subject(String key) {
-        return new Subject("main", key, 0, 0, false);
+    private static RouteInput subject(String key) {
+        return new RouteInput("main", key, 0, 0, false);
     }
 
     void servers() {
@@ -72,9 +72,9 @@
             Plain plain = new Plain(weighted);
             int[] top = new int[RANKS];
             long[] keys = new SplittableRandom(4).longs(1024).toArray();
-            String[] figures = {time(i -> equal.top(keys[i & 1023], Carp.keyHash(keys[i & 1023]), RANKS, top)),
-                time(i -> unequal.top(keys[i & 1023], Carp.keyHash(keys[i & 1023]), RANKS, top)),
-                time(i -> plain.top(Carp.keyHash(keys[i & 1023]), RANKS, top))};
+            String[] figures = {time(i -> equal.top(keys[i & 1023], CarpHash.keyHash(keys[i & 1023]), RANKS, top)),
+                time(i -> unequal.top(keys[i & 1023], CarpHash.keyHash(keys[i & 1023]), RANKS, top)),
+                time(i -> plain.top(CarpHash.keyHash(keys[i & 1023]), RANKS, top))};
             out.printf("%-10d %16s %16s %16s%n", n, micros(figures[0]), micros(figures[1]), micros(figures[2]));
             out.flush();
         }
@@ -113,12 +113,12 @@
             for (int i = 0; i < weights.length; i++) {
                 weights[i] = members.get(i).weight();
             }
-            float[] x = Carp.multipliers(weights);
+            float[] x = CarpHash.multipliers(weights);
             ranked = new Server[weights.length];
             for (int i = 0; i < weights.length; i++) {
                 ranked[i] = new Server();
                 ranked[i].index = i;
-                ranked[i].hash = Carp.memberHash(members.get(i).id());
+                ranked[i].hash = CarpHash.memberHash(members.get(i).id());
                 ranked[i].multiplier = x[i];
             }
         }
@@ -126,7 +126,7 @@
         int top(int keyHash, int want, int[] top) {
             int count = 0;
             for (Server s : ranked) {
-                double score = Carp.score(keyHash, s.hash, s.multiplier);
+                double score = CarpHash.score(keyHash, s.hash, s.multiplier);
                 if (count == want && score <= scores[want - 1]) {
                     continue;
                 }
--- a/src/main/java/damsonworks/bench/PacedClient.java
+++ b/src/main/java/cacheproxy/bench/ConstantRateClient.java
@@ -1,6 +1,6 @@
-package damsonworks.bench;
+package cacheproxy.bench;
 
-import damsonworks.proxy.Transport;
+import cacheproxy.proxy.Transport;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -19,7 +19,7 @@
  * Asks at an even pace whatever comes back, so that what is asked of a daemon is the same in each window, however slow the
  * answers are. One connection; it has at most so many commands open as a connection may, and leaves out those beyond.
  */
-final class PacedClient extends ChannelInboundHandlerAdapter {
+final class ConstantRateClient extends ChannelInboundHandlerAdapter {
     private static final int MOST_OPEN = 31;
     private final long everyMicros;
     /** Times of answers, ns. */
@@ -37,7 +37,7 @@
     private Future<?> pace;
     private boolean over;
 
-    PacedClient(long everyMicros) {
+    ConstantRateClient(long everyMicros) {
         this.everyMicros = everyMicros;
     }
 
@@ -50,7 +50,7 @@
                 .handler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(PacedClient.this);
+                        channel.pipeline().addLast(ConstantRateClient.this);
                     }
                 }).connect(to).sync().channel();
     }
--- a/src/main/java/damsonworks/bench/Burners.java
+++ b/src/main/java/cacheproxy/bench/CpuLoad.java
@@ -1,4 +1,4 @@
-package damsonworks.bench;
+package cacheproxy.bench;
 
 import java.util.concurrent.locks.LockSupport;
 
@@ -6,7 +6,7 @@
  * Threads that take a stated part of the processors and do nothing else: what another's threads cost by being there, without
  * anything that they share with the daemon. Each wakes at an even pace, as a hook's thread does for each call.
  */
-final class Burners implements AutoCloseable {
+final class CpuLoad implements AutoCloseable {
     private final Thread[] threads;
     private volatile boolean over;
 
@@ -14,7 +14,7 @@
      * @param processors busy in all, by all threads together
      * @param everyMicros between two wakings of a thread
      */
-    Burners(int count, double processors, long everyMicros) {
+    CpuLoad(int count, double processors, long everyMicros) {
         long burn = Math.round(processors / count * everyMicros * 1000);
         threads = new Thread[count];
         for (int i = 0; i < count; i++) {
--- a/src/main/java/damsonworks/bench/FleetBench.java
+++ b/src/main/java/cacheproxy/bench/FleetBench.java
@@ -1,10 +1,10 @@
-package damsonworks.bench;
+package cacheproxy.bench;
 
-import damsonworks.Policy;
-import damsonworks.model.FleetModel;
-import damsonworks.model.FleetPlan;
-import damsonworks.model.FleetReport;
-import damsonworks.model.Trouble;
+import cacheproxy.policy.RoutingPolicy;
+import cacheproxy.simulation.FleetSimulation;
+import cacheproxy.simulation.FleetSimulationConfig;
+import cacheproxy.simulation.FleetSimulationResult;
+import cacheproxy.simulation.SimulatedFault;
 import java.io.PrintWriter;
 import java.util.EnumSet;
 import java.util.Set;
@@ -26,44 +26,44 @@
                 "cold x", "attempts each", "crossing each", "full", "copies", "fetches", "ns/event");
         for (int[] size : SIZES) {
             play(size, Set.of(), seeds);
-            for (Trouble t : Trouble.values()) {
+            for (SimulatedFault t : SimulatedFault.values()) {
                 play(size, Set.of(t), seeds);
             }
-            play(size, EnumSet.allOf(Trouble.class), seeds);
+            play(size, EnumSet.allOf(SimulatedFault.class), seeds);
         }
     }
 
-    private void play(int[] size, Set<Trouble> troubles, int seeds) {
-        FleetReport[] reports = new FleetReport[seeds];
+    private void play(int[] size, Set<SimulatedFault> troubles, int seeds) {
+        FleetSimulationResult[] reports = new FleetSimulationResult[seeds];
         long events = 0;
         long started = System.nanoTime();
         for (int i = 0; i < seeds; i++) {
-            reports[i] = new FleetModel(new FleetPlan(size[0], size[1], 4, LOAD, SECONDS, troubles, i + 1), Policy::new).run();
+            reports[i] = new FleetSimulation(new FleetSimulationConfig(size[0], size[1], 4, LOAD, SECONDS, troubles, i + 1), RoutingPolicy::new).run();
             events += reports[i].decisions();
         }
         long nanos = System.nanoTime() - started;
         double worst = 0;
-        for (FleetReport r : reports) {
+        for (FleetSimulationResult r : reports) {
             worst = Math.max(worst, r.worstCold());
         }
         out.printf("%-50s %22s %8.2f %16s %16s %8.3f %8.3f %8.3f %8d%n", size[0] + ", " + size[1] + ", "
                 + (troubles.isEmpty() ? "none" : troubles.size() > 1 ? "all" : troubles.iterator().next().name().toLowerCase()),
-                mean(reports, FleetReport::service), worst, mean(reports, FleetReport::attemptsEach),
-                mean(reports, FleetReport::crossedEach), of(reports, r -> (double) r.full() / r.asked()),
+                mean(reports, FleetSimulationResult::service), worst, mean(reports, FleetSimulationResult::attemptsEach),
+                mean(reports, FleetSimulationResult::crossedEach), of(reports, r -> (double) r.full() / r.asked()),
                 of(reports, r -> (double) r.copies() / r.asked()), of(reports, r -> (double) r.fetches() / r.asked()),
                 nanos / Math.max(1, events));
         out.flush();
     }
 
-    private static double of(FleetReport[] reports, ToDoubleFunction<FleetReport> figure) {
+    private static double of(FleetSimulationResult[] reports, ToDoubleFunction<FleetSimulationResult> figure) {
         double sum = 0;
-        for (FleetReport r : reports) {
+        for (FleetSimulationResult r : reports) {
             sum += figure.applyAsDouble(r);
         }
         return sum / reports.length;
     }
 
-    private static String mean(FleetReport[] reports, ToDoubleFunction<FleetReport> figure) {
+    private static String mean(FleetSimulationResult[] reports, ToDoubleFunction<FleetSimulationResult> figure) {
         double mean = of(reports, figure);
         double square = of(reports, r -> Math.pow(figure.applyAsDouble(r) - mean, 2));
         double error = reports.length < 2 ? Double.NaN : 1.96 * Math.sqrt(square / (reports.length - 1));
--- a/src/main/java/damsonworks/bench/HookBench.java
+++ b/src/main/java/cacheproxy/bench/HookBench.java
@@ -1,21 +1,21 @@
-package damsonworks.bench;
+package cacheproxy.bench;
 
 import com.sun.management.ThreadMXBean;
-import damsonworks.config.DaemonFileReader;
-import damsonworks.daemon.Daemon;
-import damsonworks.hooks.HookCall;
-import damsonworks.hooks.HookException;
-import damsonworks.hooks.HookInstance;
-import damsonworks.hooks.HookModule;
-import damsonworks.proxy.Transport;
-import damsonworks.routes.KeyPattern;
-import damsonworks.routes.KeyRewrite;
-import damsonworks.routes.Route;
-import damsonworks.routes.RouteTable;
-import damsonworks.routes.Subject;
-import damsonworks.standin.Ledger;
-import damsonworks.standin.LoadClient;
-import damsonworks.standin.StandInNode;
+import cacheproxy.config.DaemonConfigReader;
+import cacheproxy.daemon.Daemon;
+import cacheproxy.hooks.HookCall;
+import cacheproxy.hooks.HookException;
+import cacheproxy.hooks.HookInstance;
+import cacheproxy.hooks.HookModule;
+import cacheproxy.proxy.Transport;
+import cacheproxy.routes.KeyPattern;
+import cacheproxy.routes.KeyRewrite;
+import cacheproxy.routes.Route;
+import cacheproxy.routes.RouteTable;
+import cacheproxy.routes.RouteInput;
+import cacheproxy.fakes.EffectLedger;
+import cacheproxy.fakes.LoadClient;
+import cacheproxy.fakes.FakeCacheServer;
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -68,11 +68,11 @@
 
     private void cost() throws Exception {
         HookCall[] calls = new HookCall[1024];
-        Subject[] subjects = new Subject[1024];
+        RouteInput[] subjects = new RouteInput[1024];
         for (int i = 0; i < 1024; i++) {
             String key = i % 3 == 0 ? "A:" + i + "/vi" : i % 3 == 1 ? "b-" + i + "-vi" : "C|vi|" + i;
             calls[i] = new HookCall(key, "page", "", false, false, 500);
-            subjects[i] = new Subject("main", key, 0, 0, false);
+            subjects[i] = new RouteInput("main", key, 0, 0, false);
         }
         RouteTable table = new RouteTable(List.of(rule(0, "^A:(.*)$", "sub/$1"), rule(1, "^b-([^-]*)-(.*)$", "sub/$1/$2"),
                 rule(2, "^C\\|([^|]*)\\|(.*)$", "sub/$2/$1")));
@@ -130,13 +130,13 @@
     private void hop(int rounds, double seconds) throws Exception {
         MultiThreadIoEventLoopGroup nodes = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
         MultiThreadIoEventLoopGroup clients = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
-        try (StandInNode node = StandInNode.start(nodes.next(), new Ledger())) {
+        try (FakeCacheServer node = FakeCacheServer.start(nodes.next(), new EffectLedger())) {
             for (int i = 0; i < KEYS; i++) {
                 node.store("key/" + i, new byte[100]);
             }
             String text = file(node, false) + "[[hook]]\nname = \"keys\"\nlistener = \"calm\"\nqueue = 1024\nmodule = \""
                     + KIT.resolve("key-schemes.wasm").toAbsolutePath() + "\"\n";
-            try (Daemon daemon = Daemon.start(DaemonFileReader.parse("bench", text), 1)) {
+            try (Daemon daemon = Daemon.start(DaemonConfigReader.parse("bench", text), 1)) {
                 for (int inHand : new int[] {1, 128}) {
                     double[][] cpu = new double[2][rounds];
                     double[][] rate = new double[2][rounds];
@@ -174,14 +174,14 @@
         MultiThreadIoEventLoopGroup nodes = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
         MultiThreadIoEventLoopGroup clients = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
         Path file = Files.createTempFile("hooks", ".toml");
-        try (StandInNode node = StandInNode.start(nodes.next(), new Ledger())) {
+        try (FakeCacheServer node = FakeCacheServer.start(nodes.next(), new EffectLedger())) {
             StringBuilder t = new StringBuilder(file(node, false));
             for (String h : new String[] {"key-schemes", "class-by-suffix", "tenant-list"}) {
                 t.append("[[hook]]\nname = \"").append(h).append("\"\nmodule = \"").append(KIT.resolve(h + ".wasm").toAbsolutePath())
                         .append("\"\n");
             }
             Files.writeString(file, t);
-            try (Daemon daemon = Daemon.start(DaemonFileReader.read(file), 1)) {
+            try (Daemon daemon = Daemon.start(DaemonConfigReader.read(file), 1)) {
                 AtomicBoolean over = new AtomicBoolean();
                 EventLoop loop = clients.next();
                 long[] counts = new long[2];
@@ -228,7 +228,7 @@
 
     // ---- hostile ones
 
-    private static String file(StandInNode node, boolean hooks) {
+    private static String file(FakeCacheServer node, boolean hooks) {
         StringBuilder t = new StringBuilder("[[class]]\nname = \"page\"\neffect = \"safe\"\naim_ms = 250\ndeadline_ms = 1000\n"
                 + "[[class]]\nname = \"submit\"\neffect = \"unsafe\"\naim_ms = 250\ndeadline_ms = 1000\n");
         for (String l : new String[] {"main", "calm", "hostile"}) {
@@ -251,8 +251,8 @@
         MultiThreadIoEventLoopGroup nodes = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
         MultiThreadIoEventLoopGroup measured = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
         MultiThreadIoEventLoopGroup others = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
-        try (StandInNode node = StandInNode.start(nodes.next(), new Ledger());
-                Daemon daemon = Daemon.start(DaemonFileReader.parse("bench", file(node, true)), 1)) {
+        try (FakeCacheServer node = FakeCacheServer.start(nodes.next(), new EffectLedger());
+                Daemon daemon = Daemon.start(DaemonConfigReader.parse("bench", file(node, true)), 1)) {
             for (int i = 0; i < KEYS; i++) {
                 node.store("key/" + i, new byte[100]);
             }
@@ -267,14 +267,14 @@
             for (int r = 0; r < rounds; r++) {
                 for (int k = 0; k < 4; k++) {
                     int which = (k + r) % 4;
-                    PacedClient paced = new PacedClient(OTHERS_MICROS);
+                    ConstantRateClient paced = new ConstantRateClient(OTHERS_MICROS);
                     Channel channel = paced.start(others.next(), daemon.address(LISTENERS[which]));
-                    Burners burners = which == 3 ? new Burners(SUITE.size(), burn, OTHERS_MICROS) : null;
+                    CpuLoad burners = which == 3 ? new CpuLoad(SUITE.size(), burn, OTHERS_MICROS) : null;
                     long hooksAt = hooksCpu();
                     HopBench.Run run = HopBench.load(measured.next(), daemon.address("main"), 4, daemon.threadId(), seconds);
                     hooksBusy[which][r] = (hooksCpu() - hooksAt) / 1e9 / seconds;
                     busy[which][r] = run.cpuUs() * run.perSecond() / 1e6;
-                    PacedClient.Count count = paced.stop(channel);
+                    ConstantRateClient.Count count = paced.stop(channel);
                     if (burners != null) {
                         burners.close();
                     }
@@ -346,14 +346,14 @@
         for (int r = 0; r < rounds; r++) {
             for (int k = 0; k < 4; k++) {
                 int which = (k + r) % 4;
-                Burners burners = which == 3 ? new Burners(SUITE.size(), burn, OTHERS_MICROS) : null;
+                CpuLoad burners = which == 3 ? new CpuLoad(SUITE.size(), burn, OTHERS_MICROS) : null;
                 long hooksAt = hooksCpu();
-                PacedClient other = new PacedClient(OTHERS_MICROS);
-                PacedClient mine = new PacedClient(MEASURED_MICROS);
+                ConstantRateClient other = new ConstantRateClient(OTHERS_MICROS);
+                ConstantRateClient mine = new ConstantRateClient(MEASURED_MICROS);
                 Channel otherChannel = other.start(others.next(), daemon.address(LISTENERS[which]));
                 Channel channel = mine.start(measured.next(), daemon.address("main"));
                 Thread.sleep(Math.round(seconds * 1000));
-                PacedClient.Count count = mine.stop(channel);
+                ConstantRateClient.Count count = mine.stop(channel);
                 burn = which == 2 ? (hooksCpu() - hooksAt) / 1e9 / seconds : burn;
                 other.stop(otherChannel);
                 if (burners != null) {
--- a/src/main/java/damsonworks/bench/HopBench.java
+++ b/src/main/java/cacheproxy/bench/HopBench.java
@@ -1,10 +1,10 @@
-package damsonworks.bench;
+package cacheproxy.bench;
 
-import damsonworks.config.DaemonFileReader;
-import damsonworks.daemon.Daemon;
-import damsonworks.proxy.Transport;
-import damsonworks.standin.Ledger;
-import damsonworks.standin.StandInNode;
+import cacheproxy.config.DaemonConfigReader;
+import cacheproxy.daemon.Daemon;
+import cacheproxy.proxy.Transport;
+import cacheproxy.fakes.EffectLedger;
+import cacheproxy.fakes.FakeCacheServer;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -53,8 +53,8 @@
     void run(int rounds) throws Exception {
         MultiThreadIoEventLoopGroup nodes = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
         MultiThreadIoEventLoopGroup clients = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
-        try (StandInNode node = StandInNode.start(nodes.next(), new Ledger());
-                Daemon daemon = Daemon.start(DaemonFileReader.parse("bench", file(node)), 1)) {
+        try (FakeCacheServer node = FakeCacheServer.start(nodes.next(), new EffectLedger());
+                Daemon daemon = Daemon.start(DaemonConfigReader.parse("bench", file(node)), 1)) {
             for (int i = 0; i < KEYS; i++) {
                 node.store("key/" + i, new byte[VALUE]);
             }
@@ -79,7 +79,7 @@
         }
     }
 
-    private static String file(StandInNode node) {
+    private static String file(FakeCacheServer node) {
         return "[[class]]\nname = \"page\"\neffect = \"safe\"\naim_ms = 250\ndeadline_ms = 1000\n"
                 + "[[listen]]\nname = \"main\"\naddress = \"127.0.0.1:0\"\nopen = true\nclass = \"page\"\n"
                 + "[[pool]]\nname = \"a\"\nnodes = \"plain\"\n[[pool.server]]\nname = \"n-1\"\ndial = \"" + node.dial()
--- a/src/main/java/damsonworks/bench/ImportBench.java
+++ b/src/main/java/cacheproxy/bench/ImportBench.java
@@ -1,15 +1,15 @@
-package damsonworks.bench;
+package cacheproxy.bench;
 
 import com.sun.management.ThreadMXBean;
-import damsonworks.config.ConfigException;
-import damsonworks.config.DaemonFile;
-import damsonworks.config.DaemonFileReader;
-import damsonworks.nginx.ConfException;
-import damsonworks.nginx.ConfParser;
-import damsonworks.nginx.ConfSource;
-import damsonworks.nginx.importer.ImportOptions;
-import damsonworks.nginx.importer.Importer;
-import damsonworks.routes.Subject;
+import cacheproxy.config.ConfigException;
+import cacheproxy.config.DaemonConfig;
+import cacheproxy.config.DaemonConfigReader;
+import cacheproxy.nginx.NginxSyntaxException;
+import cacheproxy.nginx.ConfParser;
+import cacheproxy.nginx.ConfSource;
+import cacheproxy.nginx.importer.ImportOptions;
+import cacheproxy.nginx.importer.Importer;
+import cacheproxy.routes.RouteInput;
 import java.io.PrintWriter;
 import java.lang.management.ManagementFactory;
 import java.util.Arrays;
@@ -69,7 +69,7 @@
         return Map.of("nginx.conf", t.append("}\n").toString());
     }
 
-    private static ConfParser.Conf read(Map<String, String> files) throws ConfException {
+    private static ConfParser.Conf read(Map<String, String> files) throws NginxSyntaxException {
         return ConfParser.read(new ConfSource() {
             @Override
             public String read(String path) throws Unreadable {
@@ -97,7 +97,7 @@
             long readAt = System.nanoTime();
             Importer.Result result = Importer.run(conf, OPTIONS);
             long importedAt = System.nanoTime();
-            DaemonFile file = DaemonFileReader.parse("imported", result.file());
+            DaemonConfig file = DaemonConfigReader.parse("imported", result.file());
             long checkedAt = System.nanoTime();
             ms[0][r] = (readAt - at) / 1e6;
             ms[1][r] = (importedAt - readAt) / 1e6;
@@ -115,7 +115,7 @@
     }
 
     /** ns for a route among a thousand imported locations, nine in ten prefixes, the rest patterns. */
-    private void locations() throws ConfException, ConfigException {
+    private void locations() throws NginxSyntaxException, ConfigException {
         StringBuilder t = new StringBuilder("upstream u {\n    hash $uri;\n    server 10.0.0.1:80;\n    server 10.0.0.2:80;\n}\n"
                 + "server {\n    listen 80;\n");
         for (int l = 0; l < 1000; l++) {
@@ -123,7 +123,7 @@
                     .append(" {\n        proxy_pass http://u;\n    }\n");
         }
         Importer.Result result = Importer.run(read(Map.of("nginx.conf", t.append("}\n").toString())), OPTIONS);
-        DaemonFile file = DaemonFileReader.parse("imported", result.file());
+        DaemonConfig file = DaemonConfigReader.parse("imported", result.file());
         SplittableRandom random = new SplittableRandom(3);
         String[] prefix = new String[1024];
         String[] pattern = new String[1024];
@@ -135,13 +135,13 @@
                 file.routes().routes().size(), choice(file, prefix), choice(file, pattern));
     }
 
-    private String choice(DaemonFile file, String[] keys) {
+    private String choice(DaemonConfig file, String[] keys) {
         double[] ns = new double[9];
         int turns = 20_000;
         for (int r = -3; r < ns.length; r++) {
             long at = System.nanoTime();
             for (int i = 0; i < turns; i++) {
-                Subject s = file.keys().subject(file.listeners().get(0).name(), keys[i & 1023], 0, 0, false);
+                RouteInput s = file.keys().subject(file.listeners().get(0).name(), keys[i & 1023], 0, 0, false);
                 sink += file.routes().find(s).position();
             }
             if (r >= 0) {
--- a/src/main/java/damsonworks/bench/DutyBench.java
+++ b/src/main/java/cacheproxy/bench/LeaseBench.java
@@ -1,12 +1,12 @@
-package damsonworks.bench;
+package cacheproxy.bench;
 
 import com.sun.management.ThreadMXBean;
-import damsonworks.lease.Duties;
-import damsonworks.lease.Electorate;
-import damsonworks.lease.Ids;
-import damsonworks.lease.LeaseMessage;
-import damsonworks.lease.LeaseRules;
-import damsonworks.peers.Envelope;
+import cacheproxy.fleet.lease.LeaseManager;
+import cacheproxy.fleet.lease.VoterSet;
+import cacheproxy.fleet.lease.NameHash;
+import cacheproxy.fleet.lease.LeaseMessage;
+import cacheproxy.fleet.lease.LeaseTiming;
+import cacheproxy.fleet.peer.DatagramEnvelope;
 import java.io.PrintWriter;
 import java.lang.management.ManagementFactory;
 import java.util.ArrayList;
@@ -17,26 +17,26 @@
 import java.util.SplittableRandom;
 
 /**
- * What duties cost a proxy where nothing is wrong: datagrams and moves in an hour of virtual time with real {@link Duties} at each
+ * What duties cost a proxy where nothing is wrong: datagrams and moves in an hour of virtual time with real {@link LeaseManager} at each
  * peer, and the processor time and garbage of one peer's calls, measured over the same calls.
  */
-final class DutyBench {
+final class LeaseBench {
     private static final double HOUR_MS = 3_600_000;
     private static final double LEASE_MS = 1000;
     private static final double TICK_MS = 20;
     /** Of a whole datagram: the envelope without a key, and the message. */
-    private static final int BYTES = Envelope.MOST - Envelope.MOST_PAYLOAD - 12 + LeaseMessage.LENGTH;
+    private static final int BYTES = DatagramEnvelope.MOST - DatagramEnvelope.MOST_PAYLOAD - 12 + LeaseMessage.LENGTH;
 
     private final PrintWriter out;
 
-    DutyBench(PrintWriter out) {
+    LeaseBench(PrintWriter out) {
         this.out = out;
     }
 
     private record Mail(double atMs, long n, int from, int to, LeaseMessage m) { }
 
     private static final class World {
-        final List<Duties> peers = new ArrayList<>();
+        final List<LeaseManager> peers = new ArrayList<>();
         final Map<Long, Integer> byId = new HashMap<>();
         final PriorityQueue<Mail> mail = new PriorityQueue<>((a, b) -> a.atMs != b.atMs ? Double.compare(a.atMs, b.atMs) : Long.compare(a.n, b.n));
         final double[] due;
@@ -55,15 +55,15 @@
             List<String> names = new ArrayList<>();
             for (int i = 0; i < count; i++) {
                 names.add("p" + i);
-                byId.put(Ids.of("p" + i), i);
+                byId.put(NameHash.of("p" + i), i);
             }
-            List<Electorate> electorates = new ArrayList<>();
+            List<VoterSet> electorates = new ArrayList<>();
             for (int d = 0; d < duties; d++) {
-                electorates.add(new Electorate("d" + d, names, List.of(), 5));
+                electorates.add(new VoterSet("d" + d, names, List.of(), 5));
             }
             for (int i = 0; i < count; i++) {
                 int me = i;
-                Duties own = new Duties(names.get(i), new LeaseRules(3000, LeaseRules.DRIFT), random.split(), 0, new Duties.Out() {
+                LeaseManager own = new LeaseManager(names.get(i), new LeaseTiming(3000, LeaseTiming.DRIFT), random.split(), 0, new LeaseManager.Out() {
                     @Override
                     public void send(long to, LeaseMessage m) {
                         sent++;
@@ -107,7 +107,7 @@
                 double next = 0;
                 if (isMail) {
                     mail.poll();
-                    peers.get(who).heard(now, Ids.of("p" + m.from), m.m, (long) now);
+                    peers.get(who).heard(now, NameHash.of("p" + m.from), m.m, (long) now);
                 } else {
                     ticks.poll();
                     next = peers.get(who).tick(now, (long) now);
--- a/src/main/java/damsonworks/bench/OpenLoad.java
+++ b/src/main/java/cacheproxy/bench/OpenLoopLoad.java
@@ -1,6 +1,6 @@
-package damsonworks.bench;
+package cacheproxy.bench;
 
-import damsonworks.proxy.Transport;
+import cacheproxy.proxy.Transport;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufUtil;
@@ -23,7 +23,7 @@
  * Clients that ask at an even pace whatever comes back, each request on a connection that has none in hand: a slow answer holds up
  * nobody else's. A request that finds no connection free counts as asked and not served.
  */
-final class OpenLoad {
+final class OpenLoopLoad {
     private final EventLoop loop;
     private final IntFunction<String> keys;
     private final double aimMs;
@@ -40,13 +40,13 @@
     private int open;
     private Future<?> pace;
 
-    OpenLoad(EventLoop loop, double aimMs, IntFunction<String> keys) {
+    OpenLoopLoad(EventLoop loop, double aimMs, IntFunction<String> keys) {
         this.loop = loop;
         this.aimMs = aimMs;
         this.keys = keys;
     }
 
-    OpenLoad connect(SocketAddress to, int connections) throws InterruptedException {
+    OpenLoopLoad connect(SocketAddress to, int connections) throws InterruptedException {
         for (int i = 0; i < connections; i++) {
             Conversation c = new Conversation();
             channels.add(new Bootstrap().group(loop).channel(Transport.BEST.socket()).option(ChannelOption.TCP_NODELAY, true)
@@ -61,7 +61,7 @@
     }
 
     /** Asks for so long, then waits for what is open, at most as long as {@code lastMs}. */
-    OpenLoad run(double perSecond, double seconds, long lastMs) throws Exception {
+    OpenLoopLoad run(double perSecond, double seconds, long lastMs) throws Exception {
         long every = Math.round(1e9 / perSecond);
         pace = loop.scheduleAtFixedRate(this::ask, every, every, TimeUnit.NANOSECONDS);
         Thread.sleep(Math.round(seconds * 1000));
--- a/src/main/java/damsonworks/bench/LimitBench.java
+++ b/src/main/java/cacheproxy/bench/QuotaBench.java
@@ -1,17 +1,17 @@
-package damsonworks.bench;
+package cacheproxy.bench;
 
 import com.sun.management.ThreadMXBean;
-import damsonworks.lease.Tenure;
-import damsonworks.model.LimitModel;
-import damsonworks.model.LimitModel.Fault;
-import damsonworks.model.LimitModel.Plan;
-import damsonworks.model.LimitModel.Result;
-import damsonworks.model.LimitModel.Trouble;
-import damsonworks.model.LimitModel.Way;
-import damsonworks.quota.Limit;
-import damsonworks.quota.LimitRules;
-import damsonworks.quota.Pocket;
-import damsonworks.quota.Quota;
+import cacheproxy.fleet.lease.LeaseHandle;
+import cacheproxy.simulation.QuotaSimulation;
+import cacheproxy.simulation.QuotaSimulation.Fault;
+import cacheproxy.simulation.QuotaSimulation.Plan;
+import cacheproxy.simulation.QuotaSimulation.Result;
+import cacheproxy.simulation.QuotaSimulation.Trouble;
+import cacheproxy.simulation.QuotaSimulation.Way;
+import cacheproxy.fleet.quota.QuotaSpec;
+import cacheproxy.fleet.quota.QuotaTiming;
+import cacheproxy.fleet.quota.LocalQuota;
+import cacheproxy.fleet.quota.QuotaManager;
 import java.io.PrintWriter;
 import java.lang.management.ManagementFactory;
 import java.util.ArrayList;
@@ -22,14 +22,14 @@
 import java.util.stream.IntStream;
 
 /** Ways of sharing a limit beside one another, on virtual time, and what taking from one costs. */
-final class LimitBench {
-    private static final LimitRules RULES = new LimitRules(1000, 0.01);
+final class QuotaBench {
+    private static final QuotaTiming RULES = new QuotaTiming(1000, 0.01);
     private static final double FOR_MS = 16_000;
     private static final int TAKES = 2_000_000;
 
     private final PrintWriter out;
 
-    LimitBench(PrintWriter out) {
+    QuotaBench(PrintWriter out) {
         this.out = out;
     }
 
@@ -39,17 +39,17 @@
         out.println("limits: over by requests in 1 s (bound), part idle while as much is refused from 3 s on, messages a second a proxy; means of " + rounds + " seeds");
         for (int n : new int[] {8, 50, 200, 1000}) {
             double amount = Math.max(200, 10 * n);
-            for (Limit.Alone alone : n > 200 ? new Limit.Alone[] {Limit.Alone.SHARE} : new Limit.Alone[] {Limit.Alone.SHARE, Limit.Alone.NONE}) {
-                Limit l = new Limit("l", false, amount, amount / 10, alone, 1, 0);
+            for (QuotaSpec.Alone alone : n > 200 ? new QuotaSpec.Alone[] {QuotaSpec.Alone.SHARE} : new QuotaSpec.Alone[] {QuotaSpec.Alone.SHARE, QuotaSpec.Alone.NONE}) {
+                QuotaSpec l = new QuotaSpec("l", false, amount, amount / 10, alone, 1, 0);
                 out.printf(Locale.ROOT, "%d proxies, %.0f a second, three times that wanted, alone: %s; bound %.1f%n", n, amount, alone,
-                        LimitModel.bound(l, RULES, n, 1000));
+                        QuotaSimulation.bound(l, RULES, n, 1000));
                 for (Case c : cases(n, amount)) {
                     StringBuilder line = new StringBuilder(String.format("  %-22s", c.name));
                     for (Way w : Way.values()) {
-                        if (n > 50 && (w == Way.PEERS || w == Way.GOSSIP) || alone == Limit.Alone.NONE && w != Way.DEALER) {
+                        if (n > 50 && (w == Way.PEERS || w == Way.GOSSIP) || alone == QuotaSpec.Alone.NONE && w != Way.DEALER) {
                             continue;
                         }
-                        Result[] r = IntStream.rangeClosed(1, rounds).parallel().mapToObj(seed -> LimitModel.play(new Plan(w, n, l, RULES, c.offered, 1000, 0,
+                        Result[] r = IntStream.rangeClosed(1, rounds).parallel().mapToObj(seed -> QuotaSimulation.play(new Plan(w, n, l, RULES, c.offered, 1000, 0,
                                 FOR_MS, c.faults, seed))).toArray(Result[]::new);
                         line.append(String.format(Locale.ROOT, " %s %.0f, %.3f (%.3f to %.3f), %.1f;", w.name().toLowerCase(Locale.ROOT),
                                 Arrays.stream(r).mapToDouble(x -> x.over()[1]).max().orElse(0), Arrays.stream(r).mapToDouble(Result::idle).average().orElse(0),
@@ -94,13 +94,13 @@
 
     // ---- what it costs
 
-    private static Quota quota(int limits, int peers, long[] sent) {
-        Quota q = new Quota(1, RULES, new SplittableRandom(1), -1e6, peer -> true, (to, m) -> sent[0]++);
-        List<Limit> all = new ArrayList<>();
+    private static QuotaManager quota(int limits, int peers, long[] sent) {
+        QuotaManager q = new QuotaManager(1, RULES, new SplittableRandom(1), -1e6, peer -> true, (to, m) -> sent[0]++);
+        List<QuotaSpec> all = new ArrayList<>();
         for (int i = 0; i < limits; i++) {
-            all.add(new Limit("l" + i, false, 1e6, 1e5, Limit.Alone.SHARE, 1, 0));
+            all.add(new QuotaSpec("l" + i, false, 1e6, 1e5, QuotaSpec.Alone.SHARE, 1, 0));
         }
-        q.use(all, List.of(Tenure.NOBODYS), IntStream.rangeClosed(1, peers).mapToObj(i -> (long) i).toList(), peers, false, true, 0);
+        q.use(all, List.of(LeaseHandle.NOBODYS), IntStream.rangeClosed(1, peers).mapToObj(i -> (long) i).toList(), peers, false, true, 0);
         return q;
     }
 
@@ -109,8 +109,8 @@
         long id = Thread.currentThread().getId();
         double[] nanos = new double[7];
         double[] bytes = new double[7];
-        Quota q = quota(1, 8, new long[1]);
-        Pocket p = q.pocket("l0");
+        QuotaManager q = quota(1, 8, new long[1]);
+        LocalQuota p = q.pocket("l0");
         double now = 0;
         for (int round = 0; round < nanos.length; round++) {
             long before = threads.getThreadAllocatedBytes(id);
@@ -135,7 +135,7 @@
         long id = Thread.currentThread().getId();
         long[] sent = new long[1];
         long before = threads.getThreadAllocatedBytes(id);
-        Quota q = quota(Quota.MOST_LIMITS, 8, sent);
+        QuotaManager q = quota(QuotaManager.MOST_LIMITS, 8, sent);
         long made = threads.getThreadAllocatedBytes(id) - before;
         double now = 0;
         long from = System.nanoTime();
--- a/src/main/java/damsonworks/bench/SiblingBench.java
+++ b/src/main/java/cacheproxy/bench/SiblingBench.java
@@ -1,16 +1,16 @@
-package damsonworks.bench;
+package cacheproxy.bench;
 
 import com.sun.management.ThreadMXBean;
-import damsonworks.config.Addresses;
-import damsonworks.config.DaemonFileReader;
-import damsonworks.daemon.Daemon;
-import damsonworks.icp.IcpCodec;
-import damsonworks.icp.IcpMessage;
-import damsonworks.proxy.Transport;
-import damsonworks.siblings.KeyDigest;
-import damsonworks.standin.LoadClient;
-import damsonworks.standin.LossyLink;
-import damsonworks.standin.StandInFleet;
+import cacheproxy.config.Addresses;
+import cacheproxy.config.DaemonConfigReader;
+import cacheproxy.daemon.Daemon;
+import cacheproxy.icp.IcpCodec;
+import cacheproxy.icp.IcpMessage;
+import cacheproxy.proxy.Transport;
+import cacheproxy.siblings.CacheDigest;
+import cacheproxy.fakes.LoadClient;
+import cacheproxy.fakes.LossyDatagramLink;
+import cacheproxy.fakes.FakeFleet;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -62,7 +62,7 @@
         }
     }
 
-    private static String file(StandInFleet fleet, InetSocketAddress icp, InetSocketAddress fetch, InetSocketAddress siblingIcp,
+    private static String file(FakeFleet fleet, InetSocketAddress icp, InetSocketAddress fetch, InetSocketAddress siblingIcp,
             InetSocketAddress siblingFetch, boolean asks) {
         StringBuilder servers = new StringBuilder();
         fleet.nodes.forEach(n -> servers.append("[[pool.server]]\nname = \"n").append(n.address().getPort()).append("\"\ndial = \"")
@@ -84,7 +84,7 @@
         double[][] fetches = new double[3][rounds];
         double[][] p50 = new double[3][rounds];
         int[] unanswered = new int[3];
-        try (StandInFleet other = new StandInFleet(2)) {
+        try (FakeFleet other = new FakeFleet(2)) {
             for (int i = 0; i < KEYS; i += 2) {
                 String key = "key/" + i;
                 other.nodes.forEach(n -> n.store(key, new byte[100]));
@@ -96,15 +96,15 @@
                     InetSocketAddress icpB = udp();
                     InetSocketAddress fetchA = tcp();
                     InetSocketAddress fetchB = tcp();
-                    try (StandInFleet own = new StandInFleet(2);
-                            LossyLink link = new LossyLink(own.loop(), icpA, icpB, r, arm == 2 ? 0.5 : 0, 0, 0);
-                            Daemon b = Daemon.start(DaemonFileReader.parse("bench", file(other, icpB, fetchB, link.towardsA(), fetchA, false)), r);
-                            Daemon a = Daemon.start(DaemonFileReader.parse("bench", file(own, icpA, fetchA, link.towardsB(), fetchB, arm > 0)), r)) {
+                    try (FakeFleet own = new FakeFleet(2);
+                            LossyDatagramLink link = new LossyDatagramLink(own.loop(), icpA, icpB, r, arm == 2 ? 0.5 : 0, 0, 0);
+                            Daemon b = Daemon.start(DaemonConfigReader.parse("bench", file(other, icpB, fetchB, link.towardsA(), fetchA, false)), r);
+                            Daemon a = Daemon.start(DaemonConfigReader.parse("bench", file(own, icpA, fetchA, link.towardsB(), fetchB, arm > 0)), r)) {
                         own.origin.work(originMs);
                         int n = (int) (PER_SECOND * (seconds + 1)) + 10;
                         new LoadClient(clients.next(), b.address("main"), n / 2, i -> new LoadClient.Ask("key/" + 2 * i, "", null, null)).start(8, 4)
                                 .get(60, TimeUnit.SECONDS); // its nodes answer, so that it knows what they have
-                        OpenLoad load = new OpenLoad(clients.next(), AIM_MS, i -> "key/" + i).connect(a.address("main"), 300)
+                        OpenLoopLoad load = new OpenLoopLoad(clients.next(), AIM_MS, i -> "key/" + i).connect(a.address("main"), 300)
                                 .run(PER_SECOND, seconds, 2000);
                         inTime[arm][r] = load.inTime / (double) load.asked;
                         fetches[arm][r] = own.origin.fetches() / (double) load.asked;
@@ -120,15 +120,15 @@
                 originMs, PER_SECOND, rounds, seconds);
         out.printf("%-14s %24s %24s %22s %s%n", "", "within aim", "fetches a request", "p50 ms", "unanswered");
         for (int a = 0; a < 3; a++) {
-            out.printf("%-14s %24s %24s %22s %d%n", ARMS[a], MemoryBench.mean(inTime[a], 3), MemoryBench.mean(fetches[a], 3),
-                    MemoryBench.mean(p50[a], 2), unanswered[a]);
+            out.printf("%-14s %24s %24s %22s %d%n", ARMS[a], SnapshotBench.mean(inTime[a], 3), SnapshotBench.mean(fetches[a], 3),
+                    SnapshotBench.mean(p50[a], 2), unanswered[a]);
         }
         for (int a = 1; a < 3; a++) {
             double[] gain = new double[rounds];
             for (int r = 0; r < rounds; r++) {
                 gain[r] = inTime[a][r] - inTime[0][r];
             }
-            out.println(ARMS[a] + " less none, round by round: within aim " + MemoryBench.mean(gain, 3));
+            out.println(ARMS[a] + " less none, round by round: within aim " + SnapshotBench.mean(gain, 3));
         }
         out.flush();
     }
@@ -138,7 +138,7 @@
     private void messages() throws Exception {
         IcpMessage query = IcpMessage.query(7, 0, "http://coralbay/page/1234567890");
         ByteBuf datagram = IcpCodec.encode(ByteBufAllocator.DEFAULT, query);
-        KeyDigest digest = new KeyDigest(1 << 16, 60_000, 100);
+        CacheDigest digest = new CacheDigest(1 << 16, 60_000, 100);
         Map<Long, Integer> map = new HashMap<>();
         for (int i = 0; i < 60_000; i++) {
             digest.answered(1e12, i * 0x9E37L, i % 100);
--- a/src/main/java/damsonworks/bench/MemoryBench.java
+++ b/src/main/java/cacheproxy/bench/SnapshotBench.java
@@ -1,14 +1,14 @@
-package damsonworks.bench;
+package cacheproxy.bench;
 
-import damsonworks.config.DaemonFileReader;
-import damsonworks.daemon.Daemon;
-import damsonworks.knowledge.Recollection;
-import damsonworks.memory.MemoryFiles;
-import damsonworks.memory.MemoryFormat;
-import damsonworks.proxy.Transport;
-import damsonworks.standin.LoadClient;
-import damsonworks.standin.StandInFleet;
-import damsonworks.standin.StandInNode;
+import cacheproxy.config.DaemonConfigReader;
+import cacheproxy.daemon.Daemon;
+import cacheproxy.snapshot.state.StateSnapshot;
+import cacheproxy.snapshot.SnapshotStore;
+import cacheproxy.snapshot.SnapshotCodec;
+import cacheproxy.proxy.Transport;
+import cacheproxy.fakes.LoadClient;
+import cacheproxy.fakes.FakeFleet;
+import cacheproxy.fakes.FakeCacheServer;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import java.io.IOException;
@@ -27,7 +27,7 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /** What a memory is worth after a restart, what it costs, and what a thousand kills leave of it. */
-final class MemoryBench {
+final class SnapshotBench {
     private static final int NODES = 22;
     /** 9 of 22: 41%. */
     private static final int MUTE = 5;
@@ -43,7 +43,7 @@
     private final int rounds;
     private final double seconds;
 
-    MemoryBench(PrintWriter out, int rounds, double seconds) {
+    SnapshotBench(PrintWriter out, int rounds, double seconds) {
         this.out = out;
         this.rounds = rounds;
         this.seconds = seconds;
@@ -123,7 +123,7 @@
         Path file = folder.resolve("memory");
         int last = 0;
         while (t.kills.incrementAndGet() <= rounds) {
-            Process p = process(folder.resolve("log"), MemoryVictim.class.getName(), file.toString());
+            Process p = process(folder.resolve("log"), SnapshotCrashProcess.class.getName(), file.toString());
             if (p.getInputStream().read() < 0) {
                 t.failedStarts.incrementAndGet();
             }
@@ -138,15 +138,15 @@
         if (Files.exists(file.resolveSibling("memory.new"))) {
             t.leftNew.incrementAndGet();
         }
-        MemoryFiles.Found found = MemoryFiles.at(file).read();
+        SnapshotStore.Found found = SnapshotStore.at(file).read();
         if (found.content() == null) {
             t.none.incrementAndGet();
             t.corrupt.addAndGet(last > 0 ? 1 : 0);
             return last;
         }
         (found.older() ? t.older : t.newest).incrementAndGet();
-        Recollection is = found.content();
-        Recollection was = MemoryVictim.state(is.me());
+        StateSnapshot is = found.content();
+        StateSnapshot was = SnapshotCrashProcess.state(is.me());
         if (!is.pools().equals(was.pools()) || is.me() < last || !found.notes().isEmpty()) {
             t.corrupt.incrementAndGet();
         }
@@ -158,7 +158,7 @@
         SplittableRandom random = new SplittableRandom(lane);
         Path memory = folder.resolve("memory");
         Path config = folder.resolve("coralbay.toml");
-        try (StandInFleet fleet = new StandInFleet(8)) {
+        try (FakeFleet fleet = new FakeFleet(8)) {
             fleet.nodes.get(1).mute(true);
             fleet.nodes.get(2).delay(400);
             warm(fleet.nodes);
@@ -169,7 +169,7 @@
                     port = s.getLocalPort();
                 }
                 Files.writeString(config, file(fleet, memory, 50).replace("127.0.0.1:0", "127.0.0.1:" + port));
-                Process p = process(folder.resolve("log"), "damsonworks.Main", "run", config.toString());
+                Process p = process(folder.resolve("log"), "cacheproxy.Main", "run", config.toString());
                 InetSocketAddress to = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
                 if (!awaitListening(p, to)) {
                     t.failedStarts.incrementAndGet();
@@ -177,7 +177,7 @@
                     p.destroyForcibly().waitFor();
                     continue;
                 }
-                OpenLoad load = new OpenLoad(fleet.loop(), AIM_MS, MemoryBench::key).connect(to, 60);
+                OpenLoopLoad load = new OpenLoopLoad(fleet.loop(), AIM_MS, SnapshotBench::key).connect(to, 60);
                 load.run(400, 0.3 + random.nextDouble() * 0.7, 0);
                 t.answered.addAndGet(load.served + load.refused + load.failed);
                 p.destroyForcibly().waitFor();
@@ -187,7 +187,7 @@
                 if (Files.exists(memory.resolveSibling("memory.new"))) {
                     t.leftNew.incrementAndGet();
                 }
-                MemoryFiles.Found found = MemoryFiles.at(memory).read();
+                SnapshotStore.Found found = SnapshotStore.at(memory).read();
                 boolean lost = found.content() == null ? generation > 0 : found.content().generation() < generation;
                 if (lost || !found.notes().isEmpty()) {
                     t.corrupt.incrementAndGet();
@@ -218,8 +218,8 @@
         return "key/" + (i % 10 == 0 ? 0 : (int) (u * u * KEYS));
     }
 
-    private static void warm(List<StandInNode> nodes) {
-        for (StandInNode n : nodes) {
+    private static void warm(List<FakeCacheServer> nodes) {
+        for (FakeCacheServer n : nodes) {
             for (int i = 0; i < KEYS; i++) {
                 n.store("key/" + i, new byte[100]);
             }
@@ -227,11 +227,11 @@
     }
 
     /** A daemon's file for these nodes; null: without a memory. */
-    private static String file(StandInFleet fleet, Path memory, int periodMs) {
+    private static String file(FakeFleet fleet, Path memory, int periodMs) {
         StringBuilder t = new StringBuilder("[site]\nwarm_up_ms = 3000\n[[class]]\nname = \"page\"\neffect = \"safe\"\naim_ms = " + (int) AIM_MS
                 + "\ndeadline_ms = 1000\n[[listen]]\nname = \"main\"\naddress = \"127.0.0.1:0\"\nopen = true\nclass = \"page\"\n[[pool]]\n"
                 + "name = \"a\"\n");
-        for (StandInNode n : fleet.nodes) {
+        for (FakeCacheServer n : fleet.nodes) {
             t.append("[[pool.server]]\nname = \"n").append(n.address().getPort()).append("\"\ndial = \"").append(n.dial()).append("\"\n");
         }
         t.append("[pool.origin]\nname = \"store\"\ndial = \"").append(fleet.origin.dial()).append("\"\n[[route]]\nname = \"all\"\npools = [\"a\"]\n");
@@ -244,14 +244,14 @@
         double[][] worth = new double[3][rounds];
         double[][] toBad = new double[3][rounds];
         double[][] p99 = new double[3][rounds];
-        try (StandInFleet fleet = new StandInFleet(NODES)) {
+        try (FakeFleet fleet = new FakeFleet(NODES)) {
             warm(fleet.nodes);
             fleet.origin.work(2);
             for (int r = 0; r < rounds; r++) {
-                List<StandInNode> bad = new ArrayList<>();
+                List<FakeCacheServer> bad = new ArrayList<>();
                 for (int i = 0; i < NODES; i++) { // others each round
                     int role = (i * 7 + r * 5) % NODES;
-                    StandInNode n = fleet.nodes.get(i);
+                    FakeCacheServer n = fleet.nodes.get(i);
                     n.mute(role < MUTE);
                     n.delay(role >= MUTE && role < MUTE + SLOW ? 400 : 0);
                     if (role < MUTE + SLOW) {
@@ -259,25 +259,25 @@
                     }
                 }
                 Path learned = folder.resolve("learned" + r);
-                try (Daemon d = Daemon.start(DaemonFileReader.parse("bench", file(fleet, learned, 2000)), r)) {
+                try (Daemon d = Daemon.start(DaemonConfigReader.parse("bench", file(fleet, learned, 2000)), r)) {
                     load(clients.next(), d, 8);
                     d.drain();
                 }
-                Recollection known = MemoryFormat.decode(Files.readAllBytes(learned)).content();
+                StateSnapshot known = SnapshotCodec.decode(Files.readAllBytes(learned)).content();
                 for (int k = 0; k < 3; k++) {
                     int arm = (k + r) % 3;
                     Path memory = folder.resolve("arm" + r + "-" + arm);
                     if (arm > 0) {
-                        MemoryFiles.at(memory).write(new Recollection(known.site(), known.me(),
+                        SnapshotStore.at(memory).write(new StateSnapshot(known.site(), known.me(),
                                 System.currentTimeMillis() - (arm == 2 ? HOUR_MS : 0), 0, known.pools(), known.births()));
                     }
-                    int before = bad.stream().mapToInt(StandInNode::commands).sum();
-                    try (Daemon d = Daemon.start(DaemonFileReader.parse("bench", file(fleet, memory, 2000)), 100 + r)) {
-                        OpenLoad load = load(clients.next(), d, 10);
+                    int before = bad.stream().mapToInt(FakeCacheServer::commands).sum();
+                    try (Daemon d = Daemon.start(DaemonConfigReader.parse("bench", file(fleet, memory, 2000)), 100 + r)) {
+                        OpenLoopLoad load = load(clients.next(), d, 10);
                         worth[arm][r] = load.inTime / (double) load.asked;
                         p99[arm][r] = load.nanos.getValueAtPercentile(99) / 1e6;
                     }
-                    toBad[arm][r] = bad.stream().mapToInt(StandInNode::commands).sum() - before;
+                    toBad[arm][r] = bad.stream().mapToInt(FakeCacheServer::commands).sum() - before;
                 }
                 out.printf("round %d: within aim %.4f, %.4f, %.4f; sent to the bad %.0f, %.0f, %.0f%n", r, worth[0][r], worth[1][r],
                         worth[2][r], toBad[0][r], toBad[1][r], toBad[2][r]);
@@ -303,8 +303,8 @@
         }
     }
 
-    private static OpenLoad load(EventLoop loop, Daemon d, double seconds) throws Exception {
-        return new OpenLoad(loop, AIM_MS, MemoryBench::key).connect(d.address("main"), 500).run(PER_SECOND, seconds, 1500);
+    private static OpenLoopLoad load(EventLoop loop, Daemon d, double seconds) throws Exception {
+        return new OpenLoopLoad(loop, AIM_MS, SnapshotBench::key).connect(d.address("main"), 500).run(PER_SECOND, seconds, 1500);
     }
 
     /** Mean and the half width of its 95% interval, by Student's t. */
@@ -322,17 +322,17 @@
     private void cost(Path folder) throws Exception {
         MultiThreadIoEventLoopGroup clients = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
         Path memory = folder.resolve("cost");
-        try (StandInFleet fleet = new StandInFleet(NODES)) {
+        try (FakeFleet fleet = new FakeFleet(NODES)) {
             warm(fleet.nodes);
-            try (Daemon writes = Daemon.start(DaemonFileReader.parse("bench", file(fleet, memory, 50)), 1);
-                    Daemon plain = Daemon.start(DaemonFileReader.parse("bench", file(fleet, null, 0)), 1)) {
+            try (Daemon writes = Daemon.start(DaemonConfigReader.parse("bench", file(fleet, memory, 50)), 1);
+                    Daemon plain = Daemon.start(DaemonConfigReader.parse("bench", file(fleet, null, 0)), 1)) {
                 Daemon[] daemons = {plain, writes, plain};
                 double[][] p99 = new double[3][rounds];
                 double[][] p50 = new double[3][rounds];
                 for (int r = -1; r < rounds; r++) {
                     for (int k = 0; k < 3; k++) {
                         int which = (k + Math.max(0, r)) % 3;
-                        OpenLoad load = new OpenLoad(clients.next(), AIM_MS, MemoryBench::key).connect(daemons[which].address("main"), 100)
+                        OpenLoopLoad load = new OpenLoopLoad(clients.next(), AIM_MS, SnapshotBench::key).connect(daemons[which].address("main"), 100)
                                 .run(4000, seconds, 1000);
                         if (r >= 0) {
                             p50[which][r] = load.nanos.getValueAtPercentile(50) / 1e3;
@@ -353,7 +353,7 @@
                 out.printf("p99, with to without: %s; without again to without: %s%n", HookBench.ratio(ratio), HookBench.ratio(noise));
             }
             AtomicBoolean over = new AtomicBoolean();
-            try (Daemon d = Daemon.start(DaemonFileReader.parse("bench", file(fleet, folder.resolve("hour"), 2000)), 1)) {
+            try (Daemon d = Daemon.start(DaemonConfigReader.parse("bench", file(fleet, folder.resolve("hour"), 2000)), 1)) {
                 fleet.nodes.get(0).mute(true);
                 LoadClient load = new LoadClient(clients.next(), d.address("main"), 1_000_000, i -> new LoadClient.Ask(over.get() ? "x" : key(i), "",
                         null, null));
--- a/src/main/java/damsonworks/cli/CheckCommand.java
+++ b/src/main/java/cacheproxy/cli/CheckCommand.java
@@ -1,9 +1,9 @@
-package damsonworks.cli;
+package cacheproxy.cli;
 
-import damsonworks.config.ConfigException;
-import damsonworks.config.DaemonFile;
-import damsonworks.config.FleetSection;
-import damsonworks.daemon.Hooks;
+import cacheproxy.config.ConfigException;
+import cacheproxy.config.DaemonConfig;
+import cacheproxy.config.FleetConfig;
+import cacheproxy.daemon.hooks.Hooks;
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
@@ -22,7 +22,7 @@
 
     @Override
     public Integer call() {
-        DaemonFile f = Files.read(file, spec.commandLine().getErr());
+        DaemonConfig f = Files.read(file, spec.commandLine().getErr());
         if (f == null) {
             return Cli.UNUSABLE;
         }
@@ -32,7 +32,7 @@
             e.errors().forEach(spec.commandLine().getErr()::println);
             return Cli.UNUSABLE;
         }
-        FleetSection fleet = f.part(FleetSection.class);
+        FleetConfig fleet = f.part(FleetConfig.class);
         if (fleet != null) {
             fleet.warnings().forEach(w -> spec.commandLine().getErr().println(file + ": warning: " + w));
         }
--- a/src/main/java/damsonworks/cli/Cli.java
+++ b/src/main/java/cacheproxy/cli/Cli.java
@@ -1,6 +1,6 @@
-package damsonworks.cli;
+package cacheproxy.cli;
 
-import damsonworks.bench.BenchCommand;
+import cacheproxy.bench.BenchCommand;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 
@@ -8,8 +8,8 @@
 @Command(name = "coralbay", mixinStandardHelpOptions = true, version = "coralbay 0.2.0", sortOptions = false,
         description = "A proxy in front of fleets of cache nodes.",
         subcommands = {RunCommand.class, CheckCommand.class, ExplainCommand.class, DemoCommand.class,
-            ImportNginxCommand.class, HookCommand.class, MemoryCommand.class, BenchCommand.class,
-            FleetCommand.class, DutiesCommand.class, LimitsCommand.class},
+            ImportNginxCommand.class, HookCommand.class, SnapshotCommand.class, BenchCommand.class,
+            FleetCommand.class, LeasesCommand.class, LimitsCommand.class},
         footer = {"", "The platform's own commands, which take no options: serve, drill, train."})
 public final class Cli implements Runnable {
     /** Wrong input: a file, a flag, an address. */
--- a/src/main/java/damsonworks/cli/ConfDirectory.java
+++ b/src/main/java/cacheproxy/cli/ConfDirectory.java
@@ -1,6 +1,6 @@
-package damsonworks.cli;
+package cacheproxy.cli;
 
-import damsonworks.nginx.ConfSource;
+import cacheproxy.nginx.ConfSource;
 import java.io.IOException;
 import java.nio.charset.StandardCharsets;
 import java.nio.file.DirectoryStream;
--- a/src/main/java/damsonworks/cli/ControlCall.java
+++ b/src/main/java/cacheproxy/cli/ControlCall.java
@@ -1,6 +1,6 @@
-package damsonworks.cli;
+package cacheproxy.cli;
 
-import damsonworks.config.Addresses;
+import cacheproxy.config.Addresses;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.net.InetSocketAddress;
--- a/src/main/java/damsonworks/cli/DemoCommand.java
+++ b/src/main/java/cacheproxy/cli/DemoCommand.java
@@ -1,10 +1,10 @@
-package damsonworks.cli;
+package cacheproxy.cli;
 
-import damsonworks.config.DaemonFileReader;
-import damsonworks.daemon.Daemon;
-import damsonworks.standin.Demo;
-import damsonworks.standin.LoadClient;
-import damsonworks.standin.StandInFleet;
+import cacheproxy.config.DaemonConfigReader;
+import cacheproxy.daemon.Daemon;
+import cacheproxy.fakes.Demo;
+import cacheproxy.fakes.LoadClient;
+import cacheproxy.fakes.FakeFleet;
 import java.io.PrintWriter;
 import java.net.InetSocketAddress;
 import java.util.List;
@@ -41,11 +41,11 @@
             spec.commandLine().getErr().println("--requests takes 1 to 10000000");
             return Cli.UNUSABLE;
         }
-        try (StandInFleet fleet = new StandInFleet(Demo.NODES)) {
+        try (FakeFleet fleet = new FakeFleet(Demo.NODES)) {
             fleet.nodes.forEach(n -> n.work(0.05));
             fleet.origin.work(5);
             Demo.warm(fleet);
-            try (Daemon daemon = Daemon.start(DaemonFileReader.parse("demo", Demo.file(fleet)), seed)) {
+            try (Daemon daemon = Daemon.start(DaemonConfigReader.parse("demo", Demo.file(fleet)), seed)) {
                 InetSocketAddress address = daemon.address("main");
                 out.println("coralbay on 127.0.0.1:" + address.getPort() + " before " + Demo.NODES
                         + " stand-in cache nodes, an origin and discovery");
@@ -59,7 +59,7 @@
         }
     }
 
-    private int load(StandInFleet fleet, InetSocketAddress address, PrintWriter out) throws Exception {
+    private int load(FakeFleet fleet, InetSocketAddress address, PrintWriter out) throws Exception {
         List<LoadClient.Ask> asks = Demo.asks(requests, seed);
         SplittableRandom random = new SplittableRandom(seed);
         int step = Math.max(1, requests / 10);
@@ -82,7 +82,7 @@
     }
 
     /** What befalls the fleet now, in words. Called on its loop, so it only orders it. */
-    private static String trouble(StandInFleet fleet, SplittableRandom random, int tenth) {
+    private static String trouble(FakeFleet fleet, SplittableRandom random, int tenth) {
         int node = random.nextInt(Demo.NODES);
         int other = (node + 1 + random.nextInt(Demo.NODES - 1)) % Demo.NODES;
         if (tenth == 5) {
--- a/src/main/java/damsonworks/cli/ExplainCommand.java
+++ b/src/main/java/cacheproxy/cli/ExplainCommand.java
@@ -1,8 +1,8 @@
-package damsonworks.cli;
+package cacheproxy.cli;
 
-import damsonworks.config.DaemonFile;
-import damsonworks.daemon.Explainer;
-import damsonworks.routes.Subject;
+import cacheproxy.config.DaemonConfig;
+import cacheproxy.daemon.RouteExplainer;
+import cacheproxy.routes.RouteInput;
 import java.io.PrintWriter;
 import java.nio.file.Path;
 import java.util.List;
@@ -44,11 +44,11 @@
     public Integer call() {
         PrintWriter out = spec.commandLine().getOut();
         PrintWriter err = spec.commandLine().getErr();
-        DaemonFile f = Files.read(file, err);
+        DaemonConfig f = Files.read(file, err);
         if (f == null) {
             return Cli.UNUSABLE;
         }
-        DaemonFile.Listen at = f.listeners().stream().filter(l -> listener == null || l.name().equals(listener))
+        DaemonConfig.Listen at = f.listeners().stream().filter(l -> listener == null || l.name().equals(listener))
                 .findFirst().orElse(null);
         if (at == null) {
             err.println("there is no listener '" + listener + "' in " + file);
@@ -61,9 +61,9 @@
             err.println("there is no " + (k < 0 ? "class '" + kind : "tenant '" + tenant) + "' in " + file);
             return Cli.UNUSABLE;
         }
-        Explainer explain = new Explainer(f);
+        RouteExplainer explain = new RouteExplainer(f);
         for (String key : keys) {
-            Subject s = f.keys().subject(at.name(), key, k, t, write);
+            RouteInput s = f.keys().subject(at.name(), key, k, t, write);
             if (s == null) {
                 out.println(key + " route=- answer=rejected (the key is no path)");
                 continue;
--- a/src/main/java/damsonworks/cli/Files.java
+++ b/src/main/java/cacheproxy/cli/Files.java
@@ -1,8 +1,8 @@
-package damsonworks.cli;
+package cacheproxy.cli;
 
-import damsonworks.config.ConfigException;
-import damsonworks.config.DaemonFile;
-import damsonworks.config.DaemonFileReader;
+import cacheproxy.config.ConfigException;
+import cacheproxy.config.DaemonConfig;
+import cacheproxy.config.DaemonConfigReader;
 import java.io.PrintWriter;
 import java.nio.file.Path;
 
@@ -11,9 +11,9 @@
     private Files() { }
 
     /** The file, or null after its errors have been printed. */
-    static DaemonFile read(Path path, PrintWriter err) {
+    static DaemonConfig read(Path path, PrintWriter err) {
         try {
-            return DaemonFileReader.read(path);
+            return DaemonConfigReader.read(path);
         } catch (ConfigException e) {
             e.errors().forEach(err::println);
             err.flush();
--- a/src/main/java/damsonworks/cli/FleetCommand.java
+++ b/src/main/java/cacheproxy/cli/FleetCommand.java
@@ -1,12 +1,12 @@
-package damsonworks.cli;
-
-import damsonworks.config.ConfigException;
-import damsonworks.rig.Rig;
-import damsonworks.rig.ScenarioReader;
-import damsonworks.rig.check.Checker;
-import damsonworks.rig.check.Verdict;
-import damsonworks.rig.plan.Fault;
-import damsonworks.rig.plan.Scenario;
+package cacheproxy.cli;
+
+import cacheproxy.config.ConfigException;
+import cacheproxy.faulttest.FaultTestRunner;
+import cacheproxy.faulttest.ScenarioReader;
+import cacheproxy.faulttest.check.Checker;
+import cacheproxy.faulttest.check.Verdict;
+import cacheproxy.faulttest.scenario.Fault;
+import cacheproxy.faulttest.scenario.Scenario;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
@@ -85,7 +85,7 @@
             return told(spec.commandLine().getErr(), () -> {
                 Scenario s = choice.read();
                 Path folder = out == null ? Files.createTempDirectory("fleet") : out;
-                Rig.Outcome o = Rig.play(s, folder, Checker.all(), line -> {
+                FaultTestRunner.Outcome o = FaultTestRunner.play(s, folder, Checker.all(), line -> {
                     print.println(line);
                     print.flush();
                 });
@@ -107,7 +107,7 @@
         @Override
         public Integer call() throws Exception {
             return told(spec.commandLine().getErr(), () -> {
-                Verdict v = Rig.check(file, Checker.all());
+                Verdict v = FaultTestRunner.check(file, Checker.all());
                 v.lines().forEach(spec.commandLine().getOut()::println);
                 spec.commandLine().getOut().flush();
                 return code(v);
@@ -157,7 +157,7 @@
                     throw new IOException(checkers.isEmpty() ? "there is no invariant '" + invariant + "'; there are: "
                             + String.join(", ", Checker.all().stream().map(Checker::name).toList()) : "--tries and --runs are from 1 on");
                 }
-                List<Fault> found = Rig.shrink(s, Files.createTempDirectory("shrink"), checkers, tries, runs, line -> {
+                List<Fault> found = FaultTestRunner.shrink(s, Files.createTempDirectory("shrink"), checkers, tries, runs, line -> {
                     err.println(line);
                     err.flush();
                 });
--- a/src/main/java/damsonworks/cli/HookCommand.java
+++ b/src/main/java/cacheproxy/cli/HookCommand.java
@@ -1,10 +1,10 @@
-package damsonworks.cli;
+package cacheproxy.cli;
 
-import damsonworks.hooks.HookCall;
-import damsonworks.hooks.HookException;
-import damsonworks.hooks.HookInstance;
-import damsonworks.hooks.HookModule;
-import damsonworks.hooks.HookOrders;
+import cacheproxy.hooks.HookCall;
+import cacheproxy.hooks.HookException;
+import cacheproxy.hooks.HookInstance;
+import cacheproxy.hooks.HookModule;
+import cacheproxy.hooks.HookOrders;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
--- a/src/main/java/damsonworks/cli/ImportNginxCommand.java
+++ b/src/main/java/cacheproxy/cli/ImportNginxCommand.java
@@ -1,17 +1,17 @@
-package damsonworks.cli;
+package cacheproxy.cli;
 
 import com.google.gson.GsonBuilder;
 import com.google.gson.JsonArray;
 import com.google.gson.JsonObject;
-import damsonworks.config.Addresses;
-import damsonworks.config.ConfigException;
-import damsonworks.config.DaemonFile;
-import damsonworks.config.DaemonFileReader;
-import damsonworks.nginx.ConfException;
-import damsonworks.nginx.ConfParser;
-import damsonworks.nginx.importer.ImportOptions;
-import damsonworks.nginx.importer.Importer;
-import damsonworks.nginx.importer.Report;
+import cacheproxy.config.Addresses;
+import cacheproxy.config.ConfigException;
+import cacheproxy.config.DaemonConfig;
+import cacheproxy.config.DaemonConfigReader;
+import cacheproxy.nginx.NginxSyntaxException;
+import cacheproxy.nginx.ConfParser;
+import cacheproxy.nginx.importer.ImportOptions;
+import cacheproxy.nginx.importer.Importer;
+import cacheproxy.nginx.importer.Report;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.net.InetSocketAddress;
@@ -86,7 +86,7 @@
         try {
             String name = main.startsWith(base) ? base.relativize(main).toString() : main.toString();
             conf = ConfParser.read(new ConfDirectory(base), name);
-        } catch (ConfException e) {
+        } catch (NginxSyntaxException e) {
             err.println(e.getMessage());
             return Cli.UNUSABLE;
         }
@@ -96,9 +96,9 @@
             err.println(file + ": nothing in it can be served: no server block, or no upstream with a usable server");
             return Cli.UNUSABLE;
         }
-        DaemonFile checked;
+        DaemonConfig checked;
         try {
-            checked = DaemonFileReader.parse(outFile == null ? "imported" : outFile.toString(), result.file());
+            checked = DaemonConfigReader.parse(outFile == null ? "imported" : outFile.toString(), result.file());
         } catch (ConfigException e) {
             // The importer's own fault: better nothing than a file that is not served.
             err.println("the file made of " + file + " is not accepted; please report this:");
--- a/src/main/java/damsonworks/cli/DutiesCommand.java
+++ b/src/main/java/cacheproxy/cli/LeasesCommand.java
@@ -1,4 +1,4 @@
-package damsonworks.cli;
+package cacheproxy.cli;
 
 import com.google.gson.JsonArray;
 import com.google.gson.JsonElement;
@@ -16,8 +16,8 @@
 
 /** Exit codes: 0 done, 1 the proxy said no, 2 it could not be asked. */
 @Command(name = "duties", mixinStandardHelpOptions = true, description = "Lists the duties of a running proxy, or hands one on.",
-        subcommands = DutiesCommand.Transfer.class)
-final class DutiesCommand implements Callable<Integer> {
+        subcommands = LeasesCommand.Transfer.class)
+final class LeasesCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
 
@@ -56,7 +56,7 @@
     @Command(name = "transfer", mixinStandardHelpOptions = true, description = "Has the proxy hand a duty that it holds to another.")
     static final class Transfer implements Callable<Integer> {
         @ParentCommand
-        private DutiesCommand duties;
+        private LeasesCommand duties;
         @Spec
         private CommandSpec spec;
         @Parameters(paramLabel = "NAME", description = "The duty.")
--- a/src/main/java/damsonworks/cli/LimitsCommand.java
+++ b/src/main/java/cacheproxy/cli/LimitsCommand.java
@@ -1,4 +1,4 @@
-package damsonworks.cli;
+package cacheproxy.cli;
 
 import com.google.gson.JsonElement;
 import com.google.gson.JsonObject;
--- a/src/main/java/damsonworks/cli/NginxComparison.java
+++ b/src/main/java/cacheproxy/cli/NginxComparison.java
@@ -1,10 +1,10 @@
-package damsonworks.cli;
+package cacheproxy.cli;
 
-import damsonworks.config.DaemonFile;
-import damsonworks.daemon.Explainer;
-import damsonworks.nginx.ConfParser;
-import damsonworks.routes.Subject;
-import damsonworks.standin.NginxModel;
+import cacheproxy.config.DaemonConfig;
+import cacheproxy.daemon.RouteExplainer;
+import cacheproxy.nginx.ConfParser;
+import cacheproxy.routes.RouteInput;
+import cacheproxy.fakes.NginxReferenceModel;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -15,15 +15,15 @@
 
 /** Holds the imported file against a model of the original, key by key. */
 final class NginxComparison {
-    private final NginxModel model;
-    private final DaemonFile imported;
-    private final Explainer explainer;
+    private final NginxReferenceModel model;
+    private final DaemonConfig imported;
+    private final RouteExplainer explainer;
     private final boolean hostInKeys;
 
-    NginxComparison(ConfParser.Conf conf, DaemonFile imported, boolean hostInKeys) {
-        model = new NginxModel(conf.directives());
+    NginxComparison(ConfParser.Conf conf, DaemonConfig imported, boolean hostInKeys) {
+        model = new NginxReferenceModel(conf.directives());
         this.imported = imported;
-        explainer = new Explainer(imported);
+        explainer = new RouteExplainer(imported);
         this.hostInKeys = hostInKeys;
     }
 
@@ -65,13 +65,13 @@
     private Goal original(String key) {
         int slash = key.indexOf('/');
         String host = hostInKeys && slash > 0 ? key.substring(0, slash) : "";
-        NginxModel.Answer a = model.ask(model.firstSocket(), "GET", host, slash > 0 ? key.substring(slash) : key);
+        NginxReferenceModel.Answer a = model.ask(model.firstSocket(), "GET", host, slash > 0 ? key.substring(slash) : key);
         return a.status() != 0 ? new Goal("-", "-") : new Goal(a.pool(), a.node() == null ? "any" : a.node());
     }
 
     private Goal here(String key) {
-        DaemonFile.Listen at = imported.listeners().get(0);
-        Subject s = imported.keys().subject(at.name(), key, imported.classIndex(at.readClass()), 0, false);
+        DaemonConfig.Listen at = imported.listeners().get(0);
+        RouteInput s = imported.keys().subject(at.name(), key, imported.classIndex(at.readClass()), 0, false);
         String line = s == null ? "" : explainer.lines(s, false).get(0);
         int pool = line.indexOf(" pool=");
         int server = line.indexOf(" server=", pool);
--- a/src/main/java/damsonworks/cli/RunCommand.java
+++ b/src/main/java/cacheproxy/cli/RunCommand.java
@@ -1,9 +1,9 @@
-package damsonworks.cli;
+package cacheproxy.cli;
 
-import damsonworks.config.ConfigException;
-import damsonworks.config.DaemonFile;
-import damsonworks.daemon.Daemon;
-import damsonworks.proxy.Hangup;
+import cacheproxy.config.ConfigException;
+import cacheproxy.config.DaemonConfig;
+import cacheproxy.daemon.Daemon;
+import cacheproxy.proxy.SighupHandler;
 import java.io.PrintWriter;
 import java.nio.file.Path;
 import java.security.SecureRandom;
@@ -31,7 +31,7 @@
     @Override
     public Integer call() throws Exception {
         PrintWriter err = spec.commandLine().getErr();
-        DaemonFile f = Files.read(file, err);
+        DaemonConfig f = Files.read(file, err);
         if (f == null) {
             return Cli.UNUSABLE;
         }
@@ -43,8 +43,8 @@
             return Cli.UNUSABLE;
         }
         daemon.reloadBy(() -> reload(daemon, err));
-        if (!Hangup.run(() -> reload(daemon, err))) {
-            err.println(Hangup.IGNORED);
+        if (!SighupHandler.run(() -> reload(daemon, err))) {
+            err.println(SighupHandler.IGNORED);
         }
         Runtime.getRuntime().addShutdownHook(new Thread(daemon::drain));
         daemon.addresses().forEach((name, address) -> err.println("listening on " + address.getAddress().getHostAddress()
--- a/src/main/java/damsonworks/cli/MemoryCommand.java
+++ b/src/main/java/cacheproxy/cli/SnapshotCommand.java
@@ -1,9 +1,9 @@
-package damsonworks.cli;
+package cacheproxy.cli;
 
-import damsonworks.knowledge.Knowledge;
-import damsonworks.knowledge.Recollection;
-import damsonworks.memory.MemoryFiles;
-import damsonworks.memory.MemoryFormat;
+import cacheproxy.snapshot.state.LearnedState;
+import cacheproxy.snapshot.state.StateSnapshot;
+import cacheproxy.snapshot.SnapshotStore;
+import cacheproxy.snapshot.SnapshotCodec;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
@@ -18,8 +18,8 @@
 
 /** Looks into memory files, those of a running daemon too. */
 @Command(name = "memory", mixinStandardHelpOptions = true, description = "Looks into what a daemon remembers.",
-        subcommands = {MemoryCommand.Show.class, MemoryCommand.Verify.class})
-final class MemoryCommand implements Runnable {
+        subcommands = {SnapshotCommand.Show.class, SnapshotCommand.Verify.class})
+final class SnapshotCommand implements Runnable {
     @Spec
     private CommandSpec spec;
 
@@ -29,17 +29,17 @@
     }
 
     /** Reads one file, not the generation behind it; null after an error has been told. */
-    private static MemoryFormat.Decoded read(Path file, PrintWriter err) {
+    private static SnapshotCodec.Decoded read(Path file, PrintWriter err) {
         try {
-            if (Files.size(file) > MemoryFormat.MAX_BYTES) {
-                err.println(file + ": it has " + Files.size(file) + " bytes; a memory file has at most " + MemoryFormat.MAX_BYTES);
+            if (Files.size(file) > SnapshotCodec.MAX_BYTES) {
+                err.println(file + ": it has " + Files.size(file) + " bytes; a memory file has at most " + SnapshotCodec.MAX_BYTES);
                 return null;
             }
-            return MemoryFormat.decode(Files.readAllBytes(file));
+            return SnapshotCodec.decode(Files.readAllBytes(file));
         } catch (java.nio.file.NoSuchFileException e) {
             err.println(file + ": there is no such file");
         } catch (IOException e) {
-            err.println(file + ": " + MemoryFiles.reason(e));
+            err.println(file + ": " + SnapshotStore.reason(e));
         }
         return null;
     }
@@ -55,7 +55,7 @@
 
         @Override
         public Integer call() {
-            MemoryFormat.Decoded d = read(file, spec.commandLine().getErr());
+            SnapshotCodec.Decoded d = read(file, spec.commandLine().getErr());
             if (d == null) {
                 return Cli.UNUSABLE;
             }
@@ -82,7 +82,7 @@
         @Override
         public Integer call() {
             PrintWriter out = spec.commandLine().getOut();
-            MemoryFormat.Decoded d = read(file, spec.commandLine().getErr());
+            SnapshotCodec.Decoded d = read(file, spec.commandLine().getErr());
             if (d != null) {
                 d.faults().forEach(f -> spec.commandLine().getErr().println(file + ": " + f));
                 d.skipped().forEach(f -> spec.commandLine().getErr().println(file + ": skipped, " + f));
@@ -90,29 +90,29 @@
             if (d == null || d.content() == null) {
                 return Cli.UNUSABLE;
             }
-            Recollection r = d.content();
+            StateSnapshot r = d.content();
             double age = System.currentTimeMillis() - r.writtenMs();
             out.printf("site %s, proxy %d, generation %d, written %s, %.0f s ago%n", r.site(), r.me(), r.generation(),
                     Instant.ofEpochMilli((long) r.writtenMs()), age / 1000);
             r.pools().forEach((name, p) -> pool(out, name, p));
-            for (Recollection.Birth b : r.births()) {
+            for (StateSnapshot.Birth b : r.births()) {
                 out.printf("start %08x at %s: %s%s%n", b.id(), b.address(), b.bornMs() == 0 ? "not known"
                         : Instant.ofEpochMilli((long) b.bornMs()).toString(), b.down() ? ", was down" : "");
             }
             return d.whole() && d.skipped().isEmpty() ? 0 : 1;
         }
 
-        private static void pool(PrintWriter out, String name, Recollection.Pool p) {
-            Knowledge k = p.knowledge();
+        private static void pool(PrintWriter out, String name, StateSnapshot.Pool p) {
+            LearnedState k = p.knowledge();
             out.printf("pool %s: answers take %.1f ms, deviation %.1f ms, fetches %.1f ms%n", name, k.pace().usualMs(),
                     k.pace().deviationMs(), k.pace().fetchMs());
             out.printf("  lately asked and answered in time: servers %.1f of %.1f, origin %.1f of %.1f%n", k.crowd().answered(),
                     k.crowd().asked(), k.fetches().answered(), k.fetches().asked());
-            for (Knowledge.Server s : k.servers()) {
+            for (LearnedState.Server s : k.servers()) {
                 out.printf("  server %08x at %s: %d failures, %d doubts, left out for %.0f ms more%n", s.id(),
                         p.addresses().getOrDefault(s.id(), "?"), s.failures(), s.doubts(), s.shunnedForMs());
             }
-            for (Knowledge.HotKey h : k.hot().keys()) {
+            for (LearnedState.HotKey h : k.hot().keys()) {
                 out.printf("  hot key %016x: %d of %.0f (%s)%n", h.key(), h.count(), k.hot().total(), p.placement());
             }
         }
--- a/src/main/java/damsonworks/config/Addresses.java
+++ b/src/main/java/cacheproxy/config/Addresses.java
@@ -1,4 +1,4 @@
-package damsonworks.config;
+package cacheproxy.config;
 
 import io.netty.util.NetUtil;
 import java.net.InetAddress;
--- a/src/main/java/damsonworks/config/TomlParts.java
+++ b/src/main/java/cacheproxy/config/ChunkedTomlParser.java
@@ -1,4 +1,4 @@
-package damsonworks.config;
+package cacheproxy.config;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -10,7 +10,7 @@
  * A TOML text parsed in parts, cut before tables of the top level. The parser keeps several objects for each character
  * until it is done, some 200 bytes in all; parts bound that for files of any length.
  */
-final class TomlParts {
+final class ChunkedTomlParser {
     /** A part is cut at the first table behind so many characters. */
     static final int PART = 64 << 10;
 
@@ -21,7 +21,7 @@
         }
     }
 
-    private TomlParts() { }
+    private ChunkedTomlParser() { }
 
     static List<Part> parse(String text) {
         List<Part> parts = new ArrayList<>();
--- a/src/main/java/damsonworks/config/ConfigException.java
+++ b/src/main/java/cacheproxy/config/ConfigException.java
@@ -1,4 +1,4 @@
-package damsonworks.config;
+package cacheproxy.config;
 
 import java.util.List;
 
--- a/src/main/java/damsonworks/config/DaemonFile.java
+++ b/src/main/java/cacheproxy/config/DaemonConfig.java
@@ -1,10 +1,10 @@
-package damsonworks.config;
+package cacheproxy.config;
 
-import damsonworks.RoutingApi.ServiceClass;
-import damsonworks.RoutingApi.Tenant;
-import damsonworks.routes.KeyForm;
-import damsonworks.routes.PlaceBy;
-import damsonworks.routes.RouteTable;
+import cacheproxy.policy.PolicyApi.ServiceClass;
+import cacheproxy.policy.PolicyApi.Tenant;
+import cacheproxy.routes.KeyFormat;
+import cacheproxy.routes.PlacementTemplate;
+import cacheproxy.routes.RouteTable;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.List;
@@ -17,7 +17,7 @@
  * @param pools by name, in the file's order
  * @param parts sections that subsystems have read for themselves, by their classes
  */
-public record DaemonFile(String path, Site site, KeyForm keys, Limits limits, List<ServiceClass> classes, List<Tenant> tenants,
+public record DaemonConfig(String path, Site site, KeyFormat keys, Limits limits, List<ServiceClass> classes, List<Tenant> tenants,
         List<Listen> listeners, Map<String, Pool> pools, RouteTable routes, Map<Class<?>, Object> parts) {
 
     /**
@@ -54,7 +54,7 @@
      *
      * @param origin where misses and writes go; null: nodes are all there is
      * @param discovery where the list comes from instead of {@code servers}; null: from the file
-     * @param placement one of {@link damsonworks.placement.Placements}
+     * @param placement one of {@link cacheproxy.placement.PlacementRegistry}
      * @param placeBy what the placement hashes; null: the key as the pool gets it
      * @param perSecond requests a second; 0: no bound
      * @param dedupGroup pools of the same name drop repeats of keyed requests together; null: none does
@@ -62,7 +62,7 @@
      * @param fallback the pool that takes what this one gives up, where the route names none; null: none
      */
     public record Pool(String name, List<Server> servers, Server origin, Discovery discovery, String placement,
-            PlaceBy placeBy, int connections, int originConnections, int streams, int inHand, double perSecond, double retryShare,
+            PlacementTemplate placeBy, int connections, int originConnections, int streams, int inHand, double perSecond, double retryShare,
             double retriesAlways, boolean plainNodes, String dedupGroup, String fallback, List<String> siblings) { }
 
     /**
--- a/src/main/java/damsonworks/config/DaemonFileReader.java
+++ b/src/main/java/cacheproxy/config/DaemonConfigReader.java
@@ -1,20 +1,20 @@
-package damsonworks.config;
+package cacheproxy.config;
 
-import damsonworks.RoutingApi.Effect;
-import damsonworks.RoutingApi.Group;
-import damsonworks.RoutingApi.ServiceClass;
-import damsonworks.RoutingApi.Tenant;
-import damsonworks.config.DaemonFile.Discovery;
-import damsonworks.config.DaemonFile.Limits;
-import damsonworks.config.DaemonFile.Listen;
-import damsonworks.config.DaemonFile.Pool;
-import damsonworks.config.DaemonFile.Server;
-import damsonworks.config.DaemonFile.Site;
-import damsonworks.placement.NginxConsistentPlacement;
-import damsonworks.placement.Placements;
-import damsonworks.placement.ServerId;
-import damsonworks.routes.KeyForm;
-import damsonworks.routes.RouteTable;
+import cacheproxy.policy.PolicyApi.Effect;
+import cacheproxy.policy.PolicyApi.Group;
+import cacheproxy.policy.PolicyApi.ServiceClass;
+import cacheproxy.policy.PolicyApi.Tenant;
+import cacheproxy.config.DaemonConfig.Discovery;
+import cacheproxy.config.DaemonConfig.Limits;
+import cacheproxy.config.DaemonConfig.Listen;
+import cacheproxy.config.DaemonConfig.Pool;
+import cacheproxy.config.DaemonConfig.Server;
+import cacheproxy.config.DaemonConfig.Site;
+import cacheproxy.placement.NginxConsistentPlacement;
+import cacheproxy.placement.PlacementRegistry;
+import cacheproxy.placement.ServerId;
+import cacheproxy.routes.KeyFormat;
+import cacheproxy.routes.RouteTable;
 import java.io.IOException;
 import java.net.InetSocketAddress;
 import java.nio.charset.CharacterCodingException;
@@ -30,18 +30,18 @@
 import java.util.Set;
 
 /** Reads the daemon's file and finds everything that is wrong with it, not only the first. */
-public final class DaemonFileReader {
+public final class DaemonConfigReader {
     /** A file of 10,000 routes has some 2 MB; bounds what a wrong path can make us read. */
     static final long MAX_BYTES = 32L << 20;
     static final double HOUR_MS = 3_600_000;
 
     /** Sections that their subsystems bring with them, each a class of its own. */
-    private static final List<PartReader> PARTS = List.of((root, known) -> ControlSection.read(root), FleetSection::read,
-            MemorySection::read, HookSection::read, SiblingSection::read);
+    private static final List<PartReader> PARTS = List.of((root, known) -> ControlConfig.read(root), FleetConfig::read,
+            SnapshotConfig::read, HookConfig::read, SiblingConfig::read);
 
     /** Reads one subsystem's sections; null where the file has none. */
     interface PartReader {
-        Object read(Section root, Known known);
+        Object read(TomlTableReader root, Known known);
     }
 
     /**
@@ -50,12 +50,12 @@
      * @param file the file's path
      * @param serverNames by the servers' numbers
      */
-    record Known(String file, Section.Errors errors, Set<String> listeners, Set<String> routes, Map<String, Pool> pools,
-            Map<String, Section> poolSections, Map<Integer, String> serverNames,
+    record Known(String file, TomlTableReader.Errors errors, Set<String> listeners, Set<String> routes, Map<String, Pool> pools,
+            Map<String, TomlTableReader> poolSections, Map<Integer, String> serverNames,
             List<ServiceClass> classes, List<Tenant> tenants) {
 
         /** A path in the file is relative to the file's own directory. */
-        Path beside(Section s, String key, String text) {
+        Path beside(TomlTableReader s, String key, String text) {
             try {
                 Path parent = Path.of(file).toAbsolutePath().getParent();
                 return parent == null ? Path.of(text) : parent.resolve(text);
@@ -66,23 +66,23 @@
         }
     }
 
-    private final Section.Errors errors;
+    private final TomlTableReader.Errors errors;
     private final List<ServiceClass> classes = new ArrayList<>();
     private final List<Tenant> tenants = new ArrayList<>();
     private final Map<String, Pool> pools = new LinkedHashMap<>();
-    private final Map<String, Section> poolSections = new HashMap<>();
+    private final Map<String, TomlTableReader> poolSections = new HashMap<>();
     private final List<Listen> listeners = new ArrayList<>();
     /** Servers of all pools, by name and by address: one server has one of each. */
     private final Map<String, Server> serversByName = new HashMap<>();
     private final Map<InetSocketAddress, String> namesByAddress = new HashMap<>();
     private final Map<Integer, String> namesById = new HashMap<>();
 
-    private DaemonFileReader(Section.Errors errors) {
+    private DaemonConfigReader(TomlTableReader.Errors errors) {
         this.errors = errors;
     }
 
     /** Reads and checks; the exception has one line for each error. */
-    public static DaemonFile read(Path path) throws ConfigException {
+    public static DaemonConfig read(Path path) throws ConfigException {
         String text;
         try {
             if (Files.size(path) > MAX_BYTES) {
@@ -100,27 +100,27 @@
     }
 
     /** The same for a text; {@code name} stands for the file in errors. */
-    public static DaemonFile parse(String name, String text) throws ConfigException {
-        return Section.parse(name, text, root -> new DaemonFileReader(root.errors()).file(name, root));
+    public static DaemonConfig parse(String name, String text) throws ConfigException {
+        return TomlTableReader.parse(name, text, root -> new DaemonConfigReader(root.errors()).file(name, root));
     }
 
     static String oneLine(String message) {
         return String.valueOf(message).replaceAll("\\s+", " ");
     }
 
-    private DaemonFile file(String path, Section root) {
+    private DaemonConfig file(String path, TomlTableReader root) {
         Site site = site(root.section("site"));
-        KeyForm keys = switch (root.oneOf("keys", "text", "text", "path", "path-and-query")) {
-            case "path" -> KeyForm.PATH;
-            case "path-and-query" -> KeyForm.PATH_AND_QUERY;
-            default -> KeyForm.TEXT;
+        KeyFormat keys = switch (root.oneOf("keys", "text", "text", "path", "path-and-query")) {
+            case "path" -> KeyFormat.PATH;
+            case "path-and-query" -> KeyFormat.PATH_AND_QUERY;
+            default -> KeyFormat.TEXT;
         };
         Limits limits = limits(root.section("limits"));
         root.sections("class").forEach(this::serviceClass);
         root.sections("tenant").forEach(this::tenant);
         root.sections("listen").forEach(this::listen);
         root.sections("pool").forEach(this::pool);
-        List<Section> routes = root.sections("route");
+        List<TomlTableReader> routes = root.sections("route");
         if (classes.isEmpty()) {
             errors.add(null, "no class; write [[class]] with a name, an effect and times");
         }
@@ -144,10 +144,10 @@
                 parts.put(part.getClass(), part);
             }
         });
-        return new DaemonFile(path, site, keys, limits, classes, tenants, listeners, pools, table, Map.copyOf(parts));
+        return new DaemonConfig(path, site, keys, limits, classes, tenants, listeners, pools, table, Map.copyOf(parts));
     }
 
-    private Site site(Section s) {
+    private Site site(TomlTableReader s) {
         if (s == null) {
             return new Site("coralbay", 0, 1, "here", 2000, 0.3, 9000, 3, 1500);
         }
@@ -160,7 +160,7 @@
         return site;
     }
 
-    private Limits limits(Section s) {
+    private Limits limits(TomlTableReader s) {
         if (s == null) {
             return new Limits(512, 4096, 250, 15_000, 3, 1000, true, 100);
         }
@@ -178,7 +178,7 @@
     }
 
     /** The name of a table; it ends up in lists of names and values, so it may not break them. */
-    static String name(Section s, Set<String> taken, String kind) {
+    static String name(TomlTableReader s, Set<String> taken, String kind) {
         String name = s.text("name");
         if (!name.isEmpty() && !word(name)) {
             s.error("name", kind + " name '" + name + "' is no word; 1 to 64 printing characters without space, comma and =");
@@ -191,7 +191,7 @@
 
     private final Set<String> classNames = new HashSet<>();
 
-    private void serviceClass(Section s) {
+    private void serviceClass(TomlTableReader s) {
         String name = name(s, classNames, "class");
         String effect = s.oneOf("effect", "unsafe", "safe", "keyed", "unsafe");
         if (!s.has("effect")) {
@@ -216,14 +216,14 @@
 
     private final Set<String> tenantNames = new HashSet<>();
 
-    private void tenant(Section s) {
+    private void tenant(TomlTableReader s) {
         tenants.add(new Tenant(name(s, tenantNames, "tenant"), s.number("share", 1, 0, 1e9),
                 s.number("per_second", 1, 0.001, 1e9)));
         s.end();
     }
 
     /** @param any whether port 0 is allowed: the system's choice */
-    static InetSocketAddress address(Section s, String key, boolean any) {
+    static InetSocketAddress address(TomlTableReader s, String key, boolean any) {
         String text = s.text(key);
         if (text.isEmpty()) {
             return new InetSocketAddress(0);
@@ -242,7 +242,7 @@
 
     private final Set<String> listenerNames = new HashSet<>();
 
-    private void listen(Section s) {
+    private void listen(TomlTableReader s) {
         String name = name(s, listenerNames, "listener");
         InetSocketAddress address = address(s, "address", true);
         for (Listen l : listeners) {
@@ -271,7 +271,7 @@
     }
 
     /** A name that must be one of those; null where it is absent. */
-    static String known(Section s, String key, Set<String> names, String kind) {
+    static String known(TomlTableReader s, String key, Set<String> names, String kind) {
         String value = s.text(key, null);
         if (value != null && !names.contains(value)) {
             s.error(key, "there is no " + kind + " '" + value + "'; there are: " + String.join(", ", sorted(names)));
@@ -283,14 +283,14 @@
         return names.stream().sorted().toList();
     }
 
-    private void pool(Section s) {
+    private void pool(TomlTableReader s) {
         String name = name(s, new HashSet<>(pools.keySet()), "pool");
         List<Server> servers = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        for (Section server : s.sections("server")) {
+        for (TomlTableReader server : s.sections("server")) {
             servers.add(server(server, names, "cache"));
         }
-        Section o = s.section("origin");
+        TomlTableReader o = s.section("origin");
         Server origin = o == null ? null : server(o, names, "origin");
         if (origin != null && (origin.backup() || origin.down() || origin.drain())) {
             o.error("dial", "an origin can't be backup, down or drain; leave the key out");
@@ -306,9 +306,9 @@
         if (discovery != null && !(servers.isEmpty() && origin == null)) {
             s.error("discovery", "pool " + name + " has both discovery and servers; the list comes from one of them");
         }
-        String placement = s.oneOf("placement", Placements.CARP, Placements.CARP, Placements.NGINX_HASH,
-                Placements.NGINX_CONSISTENT);
-        if (!placement.equals(Placements.CARP)) {
+        String placement = s.oneOf("placement", PlacementRegistry.CARP, PlacementRegistry.CARP, PlacementRegistry.NGINX_HASH,
+                PlacementRegistry.NGINX_CONSISTENT);
+        if (!placement.equals(PlacementRegistry.CARP)) {
             nginxPlacement(s, placement, servers, discovery);
         }
         pools.put(name, new Pool(name, servers, origin, discovery, placement, RouteReader.placeBy(s),
@@ -322,7 +322,7 @@
     }
 
     /** What nginx's placements ask of a pool. */
-    private static void nginxPlacement(Section s, String placement, List<Server> servers, Discovery discovery) {
+    private static void nginxPlacement(TomlTableReader s, String placement, List<Server> servers, Discovery discovery) {
         if (discovery != null) {
             s.error("placement", placement + " depends on the order of servers in the file, which discovery does not "
                     + "have; allowed: carp");
@@ -341,7 +341,7 @@
         }
     }
 
-    private Server server(Section s, Set<String> inPool, String kind) {
+    private Server server(TomlTableReader s, Set<String> inPool, String kind) {
         String name = name(s, inPool, "server");
         // What is down is not dialled; its place in nginx's placements is all that it is there for.
         boolean undialled = s.flag("down", false) && !s.has("dial");
@@ -374,7 +374,7 @@
         return server;
     }
 
-    private Discovery discovery(Section s) {
+    private Discovery discovery(TomlTableReader s) {
         if (s == null) {
             return null;
         }
@@ -400,7 +400,7 @@
             if (p.fallback() == null) {
                 continue;
             }
-            Section s = poolSections.get(p.name());
+            TomlTableReader s = poolSections.get(p.name());
             if (!pools.containsKey(p.fallback())) {
                 s.error("fallback", "there is no pool '" + p.fallback() + "'; there are: "
                         + String.join(", ", sorted(pools.keySet())));
--- a/src/main/java/damsonworks/config/FleetSection.java
+++ b/src/main/java/cacheproxy/config/FleetConfig.java
@@ -1,4 +1,4 @@
-package damsonworks.config;
+package cacheproxy.config;
 
 import java.io.IOException;
 import java.net.InetSocketAddress;
@@ -21,8 +21,8 @@
  * @param watch null: each proxy watches discovery by itself
  * @param limits of the whole fleet
  */
-public record FleetSection(String me, InetSocketAddress listen, List<String> keys, double longestLeaseMs, List<Peer> peers, List<Duty> duties,
-        Probe probe, Watch watch, LimitsSection limits) {
+public record FleetConfig(String me, InetSocketAddress listen, List<String> keys, double longestLeaseMs, List<Peer> peers, List<Duty> duties,
+        Probe probe, Watch watch, LimitsConfig limits) {
     private static final String WORD = "[A-Za-z0-9_.-]{1,64}";
     /** A proxy that has no watch asks discovery at least so often, whatever others say. */
     private static final double MOST_LAZY_MS = 10_000;
@@ -66,7 +66,7 @@
      */
     public record Watch(double leaseMs, int voters, double beatMs, double wordMs, double lazyMs, double gatherMs) { }
 
-    public FleetSection {
+    public FleetConfig {
         keys = List.copyOf(keys);
         peers = List.copyOf(peers);
         duties = List.copyOf(duties);
@@ -109,9 +109,9 @@
         return WATCH + zone() + "." + pool;
     }
 
-    static FleetSection read(Section root, DaemonFileReader.Known known) {
-        Section s = root.section("fleet");
-        List<Section> duties = root.sections("duty");
+    static FleetConfig read(TomlTableReader root, DaemonConfigReader.Known known) {
+        TomlTableReader s = root.section("fleet");
+        List<TomlTableReader> duties = root.sections("duty");
         if (s == null) {
             duties.stream().findFirst().ifPresent(d -> d.error("name", "duties need [fleet] with the proxies that share them"));
             return null;
@@ -120,9 +120,9 @@
         List<Peer> peers = new ArrayList<>();
         Set<String> names = new HashSet<>();
         Set<InetSocketAddress> addresses = new HashSet<>();
-        for (Section p : s.sections("peer")) {
+        for (TomlTableReader p : s.sections("peer")) {
             String name = name(p, names, "peer");
-            Peer peer = new Peer(name, DaemonFileReader.address(p, "address", false), p.text("zone", "here"), p.flag("joining", false),
+            Peer peer = new Peer(name, DaemonConfigReader.address(p, "address", false), p.text("zone", "here"), p.flag("joining", false),
                     p.flag("leaving", false));
             if (!peer.zone().matches("[A-Za-z0-9_-]{1,64}")) {
                 p.error("zone", "zone '" + peer.zone() + "' is not 1 to 64 letters, digits, dashes and underscores");
@@ -143,9 +143,9 @@
         if (peers.size() > MOST_PEERS) {
             s.error("peer", peers.size() + " peers; at most " + MOST_PEERS);
         }
-        FleetSection fleet = new FleetSection(me, DaemonFileReader.address(s, "listen", true), keys(s, known.file()), longest, peers,
+        FleetConfig fleet = new FleetConfig(me, DaemonConfigReader.address(s, "listen", true), keys(s, known.file()), longest, peers,
                 duties(duties, longest), probe(s.section("probe"), longest), watch(s.section("watch"), longest),
-                LimitsSection.read(s, known, longest));
+                LimitsConfig.read(s, known, longest));
         if (!peers.isEmpty() && fleet.names().isEmpty()) {
             s.error("peer", "all peers are leaving; at least one stays");
         }
@@ -153,7 +153,7 @@
         return fleet;
     }
 
-    private static Probe probe(Section s, double longest) {
+    private static Probe probe(TomlTableReader s, double longest) {
         if (s == null) {
             return null;
         }
@@ -163,7 +163,7 @@
         return probe;
     }
 
-    private static Watch watch(Section s, double longest) {
+    private static Watch watch(TomlTableReader s, double longest) {
         if (s == null) {
             return null;
         }
@@ -181,11 +181,11 @@
         return watch;
     }
 
-    static double lease(Section s, double longest, double usual) {
+    static double lease(TomlTableReader s, double longest, double usual) {
         return s.number("lease_ms", Math.min(usual, longest), 100, longest);
     }
 
-    static int voters(Section s) {
+    static int voters(TomlTableReader s) {
         int voters = s.integer("voters", 5, 1, 9);
         if (voters % 2 == 0) {
             s.error("voters", "voters is " + voters + "; an odd number is wanted, one more voter makes no majority safer");
@@ -193,13 +193,13 @@
         return voters;
     }
 
-    private static List<Duty> duties(List<Section> sections, double longest) {
+    private static List<Duty> duties(List<TomlTableReader> sections, double longest) {
         List<Duty> duties = new ArrayList<>();
         Set<String> names = new HashSet<>();
-        for (Section d : sections) {
+        for (TomlTableReader d : sections) {
             String name = name(d, names, "duty");
-            if (name.startsWith(PROBE) || name.startsWith(WATCH) || name.startsWith(LimitsSection.DUTY)) {
-                d.error("name", "names that begin with " + PROBE + " or " + WATCH + " or " + LimitsSection.DUTY + " are the program's own; take another");
+            if (name.startsWith(PROBE) || name.startsWith(WATCH) || name.startsWith(LimitsConfig.DUTY)) {
+                d.error("name", "names that begin with " + PROBE + " or " + WATCH + " or " + LimitsConfig.DUTY + " are the program's own; take another");
             }
             duties.add(new Duty(name, lease(d, longest, 2000), voters(d)));
             d.end();
@@ -210,7 +210,7 @@
         return duties;
     }
 
-    static String name(Section s, Set<String> names, String what) {
+    static String name(TomlTableReader s, Set<String> names, String what) {
         String name = s.text("name");
         if (!name.isEmpty() && !name.matches(WORD)) {
             s.error("name", what + " name '" + name + "' is not 1 to 64 letters, digits, dots, dashes and underscores");
@@ -221,7 +221,7 @@
     }
 
     /** A line each; the first signs. */
-    private static List<String> keys(Section s, String file) {
+    private static List<String> keys(TomlTableReader s, String file) {
         String text = s.text("key_file", null);
         if (text == null) {
             return List.of();
--- a/src/main/java/damsonworks/config/HookSection.java
+++ b/src/main/java/cacheproxy/config/HookConfig.java
@@ -1,6 +1,6 @@
-package damsonworks.config;
+package cacheproxy.config;
 
-import damsonworks.hooks.HookModule;
+import cacheproxy.hooks.HookModule;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.Comparator;
@@ -13,7 +13,7 @@
  *
  * @param hooks in the order in which they are called
  */
-public record HookSection(List<Hook> hooks) {
+public record HookConfig(List<Hook> hooks) {
     /** Each has a thread. */
     private static final int MAX_HOOKS = 16;
     private static final int MAX_CONFIG = 32_768;
@@ -35,12 +35,12 @@
             String config) { }
 
     /** Those of a file. */
-    public static List<Hook> of(DaemonFile file) {
-        HookSection s = file.part(HookSection.class);
+    public static List<Hook> of(DaemonConfig file) {
+        HookConfig s = file.part(HookConfig.class);
         return s == null ? List.of() : s.hooks;
     }
 
-    static HookSection read(Section root, DaemonFileReader.Known known) {
+    static HookConfig read(TomlTableReader root, DaemonConfigReader.Known known) {
         List<Hook> hooks = new ArrayList<>();
         Set<String> names = new HashSet<>();
         root.sections("hook").forEach(h -> hooks.add(hook(known, h, names)));
@@ -48,11 +48,11 @@
             known.errors().add(null, hooks.size() + " hooks; at most " + MAX_HOOKS);
         }
         hooks.sort(Comparator.comparingInt(Hook::order));
-        return hooks.isEmpty() ? null : new HookSection(List.copyOf(hooks));
+        return hooks.isEmpty() ? null : new HookConfig(List.copyOf(hooks));
     }
 
-    private static Hook hook(DaemonFileReader.Known known, Section s, Set<String> names) {
-        String name = DaemonFileReader.name(s, names, "hook");
+    private static Hook hook(DaemonConfigReader.Known known, TomlTableReader s, Set<String> names) {
+        String name = DaemonConfigReader.name(s, names, "hook");
         String text = s.text("module");
         Path module = known.beside(s, "module", text);
         String digest = s.text("sha256", null);
@@ -63,12 +63,12 @@
         for (String l : s.texts("listener")) {
             from.add(l);
             if (!known.listeners().contains(l)) {
-                s.error("listener", "there is no listener '" + l + "'; there are: " + String.join(", ", DaemonFileReader.sorted(known.listeners())));
+                s.error("listener", "there is no listener '" + l + "'; there are: " + String.join(", ", DaemonConfigReader.sorted(known.listeners())));
             }
         }
         for (String r : s.texts("route")) {
             if (!known.routes().contains(r)) {
-                s.error("route", "there is no route '" + r + "'; there are: " + String.join(", ", DaemonFileReader.sorted(known.routes())));
+                s.error("route", "there is no route '" + r + "'; there are: " + String.join(", ", DaemonConfigReader.sorted(known.routes())));
             }
         }
         double fuel = s.number("fuel", 200_000, 1000, 1e9);
@@ -77,8 +77,8 @@
                 s.flag("compiled", true));
         Hook hook = new Hook(name, known.file() + ":" + s.at("name").line() + ":" + s.at("name").column(), module, digest, from,
                 Set.copyOf(s.texts("route")), s.integer("order", 0, -1_000_000, 1_000_000), limits, s.oneOf("on_failure", "skip", "skip", "refuse").equals("refuse"),
-                s.number("refuse_ms", 100, 1, DaemonFileReader.HOUR_MS), s.integer("queue", 256, 1, 65_536), s.number("breaker_share", 0.5, 0, 1),
-                s.number("breaker_off_ms", 5000, 1, DaemonFileReader.HOUR_MS), s.text("config", ""));
+                s.number("refuse_ms", 100, 1, DaemonConfigReader.HOUR_MS), s.integer("queue", 256, 1, 65_536), s.number("breaker_share", 0.5, 0, 1),
+                s.number("breaker_off_ms", 5000, 1, DaemonConfigReader.HOUR_MS), s.text("config", ""));
         if (hook.config().length() > MAX_CONFIG) {
             s.error("config", "config has more than " + MAX_CONFIG + " characters");
         }
--- a/src/main/java/damsonworks/config/LimitsSection.java
+++ b/src/main/java/cacheproxy/config/LimitsConfig.java
@@ -1,7 +1,7 @@
-package damsonworks.config;
+package cacheproxy.config;
 
-import damsonworks.RoutingApi.ServiceClass;
-import damsonworks.RoutingApi.Tenant;
+import cacheproxy.policy.PolicyApi.ServiceClass;
+import cacheproxy.policy.PolicyApi.Tenant;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
@@ -15,7 +15,7 @@
  * @param shares duties among which limits are dealt, the same at all proxies
  * @param holdMs for so long a request may be in hand
  */
-public record LimitsSection(double grantMs, double leaseMs, int voters, int shares, double holdMs, List<Limit> limits) {
+public record LimitsConfig(double grantMs, double leaseMs, int voters, int shares, double holdMs, List<Limit> limits) {
     /** Names of the duties begin so. */
     static final String DUTY = "limits.";
     private static final int MOST = 1000;
@@ -52,7 +52,7 @@
         }
     }
 
-    public LimitsSection {
+    public LimitsConfig {
         limits = List.copyOf(limits);
     }
 
@@ -61,11 +61,11 @@
         return limits.isEmpty() ? List.of() : java.util.stream.IntStream.range(0, shares).mapToObj(i -> DUTY + i).toList();
     }
 
-    static LimitsSection read(Section fleet, DaemonFileReader.Known known, double longestLeaseMs) {
-        Section s = fleet.section("limits");
+    static LimitsConfig read(TomlTableReader fleet, DaemonConfigReader.Known known, double longestLeaseMs) {
+        TomlTableReader s = fleet.section("limits");
         double grant = s == null ? 1000 : s.number("grant_ms", 1000, 100, 60_000);
-        double lease = s == null ? Math.min(1000, longestLeaseMs) : FleetSection.lease(s, longestLeaseMs, 1000);
-        int voters = s == null ? 5 : FleetSection.voters(s);
+        double lease = s == null ? Math.min(1000, longestLeaseMs) : FleetConfig.lease(s, longestLeaseMs, 1000);
+        int voters = s == null ? 5 : FleetConfig.voters(s);
         int shares = s == null ? 4 : s.integer("shares", 4, 1, 64);
         if (s != null) {
             s.end();
@@ -73,7 +73,7 @@
         List<Limit> limits = new ArrayList<>();
         Set<String> names = new HashSet<>();
         int expanded = 0;
-        for (Section l : fleet.sections("limit")) {
+        for (TomlTableReader l : fleet.sections("limit")) {
             Limit limit = limit(l, names, known);
             limits.add(limit);
             expanded += "*".equals(limit.tenant()) ? Math.max(1, known.tenants().size()) : 1;
@@ -83,11 +83,11 @@
             fleet.sections("limit").get(0).error("name", expanded + " limits, each tenant's own counted; at most " + MOST);
         }
         double longest = known.classes().stream().mapToDouble(ServiceClass::deadlineMs).max().orElse(0);
-        return new LimitsSection(grant, lease, voters, shares, longest + ANSWER_MS, limits);
+        return new LimitsConfig(grant, lease, voters, shares, longest + ANSWER_MS, limits);
     }
 
-    private static Limit limit(Section s, Set<String> names, DaemonFileReader.Known known) {
-        String name = FleetSection.name(s, names, "limit");
+    private static Limit limit(TomlTableReader s, Set<String> names, DaemonConfigReader.Known known) {
+        String name = FleetConfig.name(s, names, "limit");
         String pool = among(s, "pool", known.pools().keySet());
         String tenant = s.text("tenant", null);
         if (!"*".equals(tenant)) {
@@ -111,7 +111,7 @@
         return new Limit(name, pool, tenant, serviceClass, perSecond, burst, atOnce, alone, part);
     }
 
-    private static String among(Section s, String key, java.util.Collection<String> all) {
+    private static String among(TomlTableReader s, String key, java.util.Collection<String> all) {
         String text = s.text(key, null);
         if (text != null && !all.contains(text)) {
             s.error(key, "there is no " + key + " '" + text + "'; there are: " + String.join(", ", new java.util.TreeSet<>(all)));
--- a/src/main/java/damsonworks/config/RouteReader.java
+++ b/src/main/java/cacheproxy/config/RouteReader.java
@@ -1,17 +1,17 @@
-package damsonworks.config;
+package cacheproxy.config;
 
-import damsonworks.RoutingApi.ServiceClass;
-import damsonworks.RoutingApi.Tenant;
-import damsonworks.routes.KeyForm;
-import damsonworks.routes.KeyPattern;
-import damsonworks.routes.KeyRewrite;
-import damsonworks.routes.KeyShare;
-import damsonworks.routes.PlaceBy;
-import damsonworks.routes.Route;
-import damsonworks.routes.RouteTable;
-import damsonworks.routes.Share;
-import damsonworks.routes.SplitShare;
-import damsonworks.routes.VirtualHosts;
+import cacheproxy.policy.PolicyApi.ServiceClass;
+import cacheproxy.policy.PolicyApi.Tenant;
+import cacheproxy.routes.KeyFormat;
+import cacheproxy.routes.KeyPattern;
+import cacheproxy.routes.KeyRewrite;
+import cacheproxy.routes.KeyShare;
+import cacheproxy.routes.PlacementTemplate;
+import cacheproxy.routes.Route;
+import cacheproxy.routes.RouteTable;
+import cacheproxy.routes.TrafficShare;
+import cacheproxy.routes.SplitShare;
+import cacheproxy.routes.VirtualHosts;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.HashSet;
@@ -25,14 +25,14 @@
     private static final double HOUR_MS = 3_600_000;
     private static final int MAX_PATTERNS = 4;
 
-    private final Section.Errors errors;
+    private final TomlTableReader.Errors errors;
     private final Set<String> listeners;
     private final List<String> classes;
     private final List<String> tenants;
     private final Set<String> pools;
     private final Set<String> hosts = new HashSet<>();
 
-    RouteReader(Section.Errors errors, Set<String> listeners, List<ServiceClass> classes, List<Tenant> tenants,
+    RouteReader(TomlTableReader.Errors errors, Set<String> listeners, List<ServiceClass> classes, List<Tenant> tenants,
             Set<String> pools) {
         this.errors = errors;
         this.listeners = listeners;
@@ -41,13 +41,13 @@
         this.pools = pools;
     }
 
-    RouteTable table(List<Section> hostSections, List<Section> sections, KeyForm keys) {
+    RouteTable table(List<TomlTableReader> hostSections, List<TomlTableReader> sections, KeyFormat keys) {
         int before = errors.lines().size();
         VirtualHosts virtual = new VirtualHosts(hosts(hostSections, keys));
         List<Route> list = new ArrayList<>();
-        Map<String, Section> byName = new HashMap<>();
+        Map<String, TomlTableReader> byName = new HashMap<>();
         Set<String> names = new HashSet<>();
-        for (Section s : sections) {
+        for (TomlTableReader s : sections) {
             Route r = route(s, names, list.size());
             if (r != null) {
                 list.add(r);
@@ -68,12 +68,12 @@
         return table;
     }
 
-    private List<VirtualHosts.Host> hosts(List<Section> sections, KeyForm keys) {
+    private List<VirtualHosts.Host> hosts(List<TomlTableReader> sections, KeyFormat keys) {
         List<VirtualHosts.Host> list = new ArrayList<>();
         Map<String, String> defaults = new HashMap<>();
-        for (Section s : sections) {
-            String name = DaemonFileReader.name(s, hosts, "host");
-            if (keys == KeyForm.TEXT) {
+        for (TomlTableReader s : sections) {
+            String name = DaemonConfigReader.name(s, hosts, "host");
+            if (keys == KeyFormat.TEXT) {
                 s.error("name", "hosts are parts of keys that are paths; set keys = \"path\" at the file's head");
             }
             Set<String> from = Set.copyOf(allKnown(s, "listener", listeners, "listener"));
@@ -105,7 +105,7 @@
         return list;
     }
 
-    private static boolean legal(Section s, String n) {
+    private static boolean legal(TomlTableReader s, String n) {
         if (n.startsWith("~")) {
             return pattern(s, "names", n.substring(1)) != null;
         }
@@ -117,17 +117,17 @@
     }
 
     /** Null after an error. */
-    private static KeyPattern pattern(Section s, String key, String text) {
+    private static KeyPattern pattern(TomlTableReader s, String key, String text) {
         try {
             return new KeyPattern(text);
         } catch (IllegalArgumentException e) {
-            s.error(key, key + " can't be used: " + DaemonFileReader.oneLine(e.getMessage()));
+            s.error(key, key + " can't be used: " + DaemonConfigReader.oneLine(e.getMessage()));
             return null;
         }
     }
 
-    private Route route(Section s, Set<String> names, int position) {
-        String name = DaemonFileReader.name(s, names, "route");
+    private Route route(TomlTableReader s, Set<String> names, int position) {
+        String name = DaemonConfigReader.name(s, names, "route");
         String exact = s.text("key", null);
         String prefix = s.text("prefix", null);
         List<String> regex = s.texts("regex");
@@ -153,15 +153,15 @@
         String host = s.text("host", null);
         if (host != null && !hosts.contains(host)) {
             s.error("host", "there is no host '" + host + "'; there are: " + String.join(", ",
-                    DaemonFileReader.sorted(hosts)));
+                    DaemonConfigReader.sorted(hosts)));
         }
         Set<String> from = Set.copyOf(allKnown(s, "listener", listeners, "listener"));
         Set<Integer> kinds = indexes(allKnown(s, "class", Set.copyOf(classes), "class"), classes);
         Set<Integer> owners = indexes(allKnown(s, "tenant", Set.copyOf(tenants), "tenant"), tenants);
         Boolean write = s.flagOrNull("write");
-        Share share = share(s.section("share"));
+        TrafficShare share = share(s.section("share"));
         KeyRewrite rewrite = rewrite(s, patterns.isEmpty() ? null : patterns.get(0));
-        PlaceBy by = placeBy(s, "place_by", patterns.isEmpty() ? 0 : patterns.get(0).groups());
+        PlacementTemplate by = placeBy(s, "place_by", patterns.isEmpty() ? 0 : patterns.get(0).groups());
         Route.Action action = action(s, name);
         int order = s.integer("order", 0, -1_000_000, 1_000_000);
         s.end();
@@ -171,15 +171,15 @@
     }
 
     /** What a placement hashes; null where it is not said. */
-    static PlaceBy placeBy(Section s) {
+    static PlacementTemplate placeBy(TomlTableReader s) {
         return placeBy(s, "place_by", 0);
     }
 
     /** With so many groups to take from. */
-    private static PlaceBy placeBy(Section s, String key, int groups) {
+    private static PlacementTemplate placeBy(TomlTableReader s, String key, int groups) {
         String text = s.text(key, null);
         try {
-            PlaceBy by = text == null ? null : new PlaceBy(text);
+            PlacementTemplate by = text == null ? null : new PlacementTemplate(text);
             if (by != null && by.groups() > groups) {
                 s.error(key, key + ": '$" + by.groups() + "' is no group; " + (groups == 0 ? "only routes with a regex "
                         + "have groups" : "the route's first regex has " + groups));
@@ -191,12 +191,12 @@
         }
     }
 
-    private List<String> allKnown(Section s, String key, Set<String> names, String kind) {
+    private List<String> allKnown(TomlTableReader s, String key, Set<String> names, String kind) {
         List<String> list = s.texts(key);
         for (String n : list) {
             if (!names.contains(n)) {
                 s.error(key, "there is no " + kind + " '" + n + "'; there are: "
-                        + String.join(", ", DaemonFileReader.sorted(names)));
+                        + String.join(", ", DaemonConfigReader.sorted(names)));
             }
         }
         return list.stream().distinct().toList();
@@ -208,12 +208,12 @@
         return Set.copyOf(set);
     }
 
-    private static Share share(Section s) {
+    private static TrafficShare share(TomlTableReader s) {
         if (s == null) {
             return null;
         }
         if (s.has("by") || s.has("from_hash") || s.has("to_hash")) {
-            PlaceBy by = placeBy(s, "by", 0);
+            PlacementTemplate by = placeBy(s, "by", 0);
             long from = (long) s.number("from_hash", 0, 0, SplitShare.ALL);
             long to = (long) s.number("to_hash", SplitShare.ALL, 0, SplitShare.ALL);
             s.end();
@@ -221,7 +221,7 @@
                 s.error("to_hash", "the share is empty; from_hash must be under to_hash");
                 return null;
             }
-            return new SplitShare(by == null ? PlaceBy.KEY : by, from, to);
+            return new SplitShare(by == null ? PlacementTemplate.KEY : by, from, to);
         }
         double from = s.number("from_percent", 0, 0, 100);
         double to = s.number("to_percent", 100, 0, 100);
@@ -234,7 +234,7 @@
         return new KeyShare(salt, (int) Math.round(from * 100), (int) Math.round(to * 100));
     }
 
-    private static KeyRewrite rewrite(Section s, KeyPattern pattern) {
+    private static KeyRewrite rewrite(TomlTableReader s, KeyPattern pattern) {
         String strip = s.text("strip", null);
         String add = s.text("add", null);
         String replace = s.text("replace", null);
@@ -256,7 +256,7 @@
         }
     }
 
-    private Route.Action action(Section s, String name) {
+    private Route.Action action(TomlTableReader s, String name) {
         List<String> to = s.texts("pools");
         boolean refuse = s.has("refuse_ms");
         boolean fail = s.flag("fail", false);
@@ -275,7 +275,7 @@
         for (String pool : to) {
             if (!pools.contains(pool)) {
                 s.error("pools", "there is no pool '" + pool + "'; there are: "
-                        + String.join(", ", DaemonFileReader.sorted(pools)));
+                        + String.join(", ", DaemonConfigReader.sorted(pools)));
                 good = false;
             } else if (!seen.add(pool)) {
                 s.error("pools", "pool '" + pool + "' falls back to itself; name each pool once");
--- a/src/main/java/damsonworks/config/SiblingSection.java
+++ b/src/main/java/cacheproxy/config/SiblingConfig.java
@@ -1,6 +1,6 @@
-package damsonworks.config;
+package cacheproxy.config;
 
-import damsonworks.placement.ServerId;
+import cacheproxy.placement.ServerId;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
 import java.util.HashSet;
@@ -12,8 +12,8 @@
  *
  * @param icp null: none are asked or answered
  */
-public record SiblingSection(Icp icp, List<Sibling> siblings) {
-    private static final SiblingSection NONE = new SiblingSection(null, List.of());
+public record SiblingConfig(Icp icp, List<Sibling> siblings) {
+    private static final SiblingConfig NONE = new SiblingConfig(null, List.of());
 
     /**
      * Where siblings are asked from and answered at, by ICP.
@@ -37,8 +37,8 @@
     public record Sibling(String name, int id, InetSocketAddress icp, InetSocketAddress fetch, String className) { }
 
     /** What a file says of them; never null. */
-    public static SiblingSection of(DaemonFile file) {
-        SiblingSection s = file.part(SiblingSection.class);
+    public static SiblingConfig of(DaemonConfig file) {
+        SiblingConfig s = file.part(SiblingConfig.class);
         return s == null ? NONE : s;
     }
 
@@ -47,11 +47,11 @@
         return siblings.stream().filter(s -> s.name().equals(name)).findFirst().orElseThrow();
     }
 
-    static SiblingSection read(Section root, DaemonFileReader.Known known) {
+    static SiblingConfig read(TomlTableReader root, DaemonConfigReader.Known known) {
         List<Sibling> siblings = new ArrayList<>();
         Set<String> names = new HashSet<>();
         Set<Integer> ids = new HashSet<>();
-        for (Section s : root.sections("sibling")) {
+        for (TomlTableReader s : root.sections("sibling")) {
             siblings.add(sibling(known, s, names, ids));
         }
         Icp icp = icp(known, root.section("icp"));
@@ -59,28 +59,28 @@
             known.errors().add(null, "siblings are asked by ICP; write [icp] with an address");
         }
         known.pools().values().forEach(p -> pool(p, known.poolSections().get(p.name()), names));
-        return icp == null && siblings.isEmpty() ? null : new SiblingSection(icp, List.copyOf(siblings));
+        return icp == null && siblings.isEmpty() ? null : new SiblingConfig(icp, List.copyOf(siblings));
     }
 
-    private static Sibling sibling(DaemonFileReader.Known known, Section s, Set<String> names, Set<Integer> ids) {
-        String name = DaemonFileReader.name(s, names, "sibling");
+    private static Sibling sibling(DaemonConfigReader.Known known, TomlTableReader s, Set<String> names, Set<Integer> ids) {
+        String name = DaemonConfigReader.name(s, names, "sibling");
         int id = ServerId.of("sibling/" + name);
         if (known.serverNames().containsKey(id) || !ids.add(id)) {
             s.error("name", "sibling '" + name + "' has the number of another server, " + Integer.toHexString(id) + "; rename one");
         }
         String className = s.text("class");
-        if (!className.isEmpty() && !DaemonFileReader.word(className)) {
+        if (!className.isEmpty() && !DaemonConfigReader.word(className)) {
             s.error("class", "class '" + className + "' is no word");
         }
-        Sibling sibling = new Sibling(name, id, DaemonFileReader.address(s, "icp", false), DaemonFileReader.address(s, "fetch", false), className);
+        Sibling sibling = new Sibling(name, id, DaemonConfigReader.address(s, "icp", false), DaemonConfigReader.address(s, "fetch", false), className);
         s.end();
         return sibling;
     }
 
-    private static void pool(DaemonFile.Pool pool, Section s, Set<String> known) {
+    private static void pool(DaemonConfig.Pool pool, TomlTableReader s, Set<String> known) {
         for (String n : pool.siblings()) {
             if (!known.contains(n)) {
-                s.error("siblings", "there is no sibling '" + n + "'; there are: " + String.join(", ", DaemonFileReader.sorted(known)));
+                s.error("siblings", "there is no sibling '" + n + "'; there are: " + String.join(", ", DaemonConfigReader.sorted(known)));
             }
         }
         if (!pool.siblings().isEmpty() && pool.origin() == null) {
@@ -88,7 +88,7 @@
         }
     }
 
-    private static Icp icp(DaemonFileReader.Known known, Section s) {
+    private static Icp icp(DaemonConfigReader.Known known, TomlTableReader s) {
         if (s == null) {
             return null;
         }
@@ -101,8 +101,8 @@
         if (!prefix.matches("[!-~]{1,1000}")) {
             s.error("url_prefix", "url_prefix is 1 to 1000 printing characters without space");
         }
-        Icp icp = new Icp(DaemonFileReader.address(s, "address", true), prefix, DaemonFileReader.known(s, "listener", known.listeners(), "listener"),
-                keys, s.number("hold_ms", 60_000, 100, 24 * DaemonFileReader.HOUR_MS), s.integer("questions", 1024, 1, 1 << 20),
+        Icp icp = new Icp(DaemonConfigReader.address(s, "address", true), prefix, DaemonConfigReader.known(s, "listener", known.listeners(), "listener"),
+                keys, s.number("hold_ms", 60_000, 100, 24 * DaemonConfigReader.HOUR_MS), s.integer("questions", 1024, 1, 1 << 20),
                 s.number("per_second", 2000, 1, 1e9));
         s.end();
         return icp;
--- a/src/main/java/damsonworks/config/Section.java
+++ b/src/main/java/cacheproxy/config/TomlTableReader.java
@@ -1,4 +1,4 @@
-package damsonworks.config;
+package cacheproxy.config;
 
 import java.util.ArrayList;
 import java.util.LinkedHashSet;
@@ -14,7 +14,7 @@
  * One table of the file while it is read. Each key that is asked for is known from then on; {@link #end} tells of all
  * others. What is wrong is noted with its place and a stand-in value goes on, so that one pass finds every error.
  */
-public final class Section {
+public final class TomlTableReader {
     private final List<Piece> pieces;
     private final String name;
     private final TomlPosition at;
@@ -55,7 +55,7 @@
         }
     }
 
-    private Section(List<Piece> pieces, String name, TomlPosition at, Errors errors) {
+    private TomlTableReader(List<Piece> pieces, String name, TomlPosition at, Errors errors) {
         this.pieces = pieces;
         this.name = name;
         this.at = at;
@@ -68,16 +68,16 @@
      *
      * @param file stands for the file in errors
      */
-    public static <T> T parse(String file, String text, Function<Section, T> reader) throws ConfigException {
+    public static <T> T parse(String file, String text, Function<TomlTableReader, T> reader) throws ConfigException {
         Errors errors = new Errors(file);
-        List<TomlParts.Part> parts = TomlParts.parse(text);
-        for (TomlParts.Part p : parts) {
-            p.toml().errors().forEach(e -> errors.add(p.at(e.position()), DaemonFileReader.oneLine(e.getMessage())));
+        List<ChunkedTomlParser.Part> parts = ChunkedTomlParser.parse(text);
+        for (ChunkedTomlParser.Part p : parts) {
+            p.toml().errors().forEach(e -> errors.add(p.at(e.position()), DaemonConfigReader.oneLine(e.getMessage())));
         }
         if (!errors.none()) {
             throw new ConfigException(errors.lines());
         }
-        Section root = root(parts, errors);
+        TomlTableReader root = root(parts, errors);
         T read = reader.apply(root);
         root.end();
         if (!errors.none()) {
@@ -87,8 +87,8 @@
     }
 
     /** The whole file. */
-    static Section root(List<TomlParts.Part> parts, Errors errors) {
-        return new Section(parts.stream().map(p -> new Piece(p.toml(), p.before())).toList(), "", null, errors);
+    static TomlTableReader root(List<ChunkedTomlParser.Part> parts, Errors errors) {
+        return new TomlTableReader(parts.stream().map(p -> new Piece(p.toml(), p.before())).toList(), "", null, errors);
     }
 
     Errors errors() {
@@ -226,7 +226,7 @@
     }
 
     /** The table under a key; null where it is absent. */
-    public Section section(String key) {
+    public TomlTableReader section(String key) {
         Object value = value(key);
         Piece first = piece(key);
         for (Piece p : pieces) {
@@ -235,7 +235,7 @@
             }
         }
         if (value instanceof TomlTable t) {
-            return new Section(List.of(new Piece(t, first.before)), name.isEmpty() ? key : name + "." + key, at(key), errors);
+            return new TomlTableReader(List.of(new Piece(t, first.before)), name.isEmpty() ? key : name + "." + key, at(key), errors);
         }
         if (value != null) {
             error(key, key + " is no table; write " + key + " = { ... } or [" + key + "]");
@@ -244,9 +244,9 @@
     }
 
     /** The tables under a key. */
-    public List<Section> sections(String key) {
+    public List<TomlTableReader> sections(String key) {
         known.add(key);
-        List<Section> list = new ArrayList<>();
+        List<TomlTableReader> list = new ArrayList<>();
         for (Piece p : pieces) {
             Object value = p.table.get(List.of(key));
             if (value instanceof TomlArray array) {
@@ -258,11 +258,11 @@
         return list;
     }
 
-    private void sections(String key, Piece p, TomlArray array, List<Section> into) {
+    private void sections(String key, Piece p, TomlArray array, List<TomlTableReader> into) {
         for (int i = 0; i < array.size(); i++) {
             if (array.get(i) instanceof TomlTable t) {
                 Object named = t.get(List.of("name"));
-                into.add(new Section(List.of(new Piece(t, p.before)), key + (named instanceof String s ? " " + s : ""),
+                into.add(new TomlTableReader(List.of(new Piece(t, p.before)), key + (named instanceof String s ? " " + s : ""),
                         p.at(array.inputPositionOf(i)), errors));
             } else {
                 errors.add(p.at(array.inputPositionOf(i)), key + " holds something that is no table");
--- a/src/main/java/damsonworks/control/Calls.java
+++ b/src/main/java/cacheproxy/control/ControlEndpoints.java
@@ -1,4 +1,4 @@
-package damsonworks.control;
+package cacheproxy.control;
 
 import java.util.function.BooleanSupplier;
 import java.util.function.Supplier;
@@ -11,10 +11,10 @@
  * @param state its state in a word
  * @param standby sends clients away; false where that can't be had
  * @param active takes clients again; false where that can't be had
- * @param diagnostics what answers the calls of {@link DiagnosticCalls}
+ * @param diagnostics what answers the calls of {@link DiagnosticEndpoints}
  */
-public record Calls(BooleanSupplier takesClients, Supplier<String> state, BooleanSupplier standby,
-        BooleanSupplier active, DiagnosticCalls diagnostics) implements CallHandler {
+public record ControlEndpoints(BooleanSupplier takesClients, Supplier<String> state, BooleanSupplier standby,
+        BooleanSupplier active, DiagnosticEndpoints diagnostics) implements ControlRequestHandler {
 
     /**
      * An answer: 2xx is yes, 4xx and 5xx no.
@@ -32,7 +32,7 @@
     public Answer call(String method, String uri) {
         int query = uri.indexOf('?');
         String path = query < 0 ? uri : uri.substring(0, query);
-        if (DiagnosticCalls.method(path) != null) {
+        if (DiagnosticEndpoints.method(path) != null) {
             return diagnostics.call(method, uri);
         }
         String needed = switch (path) {
@@ -41,7 +41,7 @@
             default -> null;
         };
         if (needed == null) {
-            return new Answer(404, "the calls are GET /status, POST /standby, POST /active, " + DiagnosticCalls.NAMES);
+            return new Answer(404, "the calls are GET /status, POST /standby, POST /active, " + DiagnosticEndpoints.NAMES);
         }
         if (!needed.equals(method)) {
             return new Answer(405, "use " + needed + " " + path, needed);
--- a/src/main/java/damsonworks/control/Door.java
+++ b/src/main/java/cacheproxy/control/ControlServer.java
@@ -1,4 +1,4 @@
-package damsonworks.control;
+package cacheproxy.control;
 
 import io.netty.bootstrap.ServerBootstrap;
 import io.netty.buffer.ByteBufUtil;
@@ -31,7 +31,7 @@
  * queue, and the oldest makes room as soon as it has been answered or has had {@link #BEGIN_MS} to say its call: so none of
  * them can keep a call from being heard, and no crowd ends the call of one that has just come.
  */
-public final class Door {
+public final class ControlServer {
     /** Callers at once. */
     public static final int MAX_CALLERS = 8;
     /** From the connection to the end of its call, in milliseconds. */
@@ -47,14 +47,14 @@
 
     private final EventLoop loop;
     private final Class<? extends ServerChannel> kind;
-    private final CallHandler calls;
+    private final ControlRequestHandler calls;
     private final ArrayDeque<Call> callers = new ArrayDeque<>();
     private Channel channel;
     /** Whether a look at who makes room is still to come. */
     private boolean looking;
 
     /** @param calls asked on the loop */
-    public Door(EventLoop loop, Class<? extends ServerChannel> kind, CallHandler calls) {
+    public ControlServer(EventLoop loop, Class<? extends ServerChannel> kind, ControlRequestHandler calls) {
         this.loop = loop;
         this.kind = kind;
         this.calls = calls;
@@ -138,7 +138,7 @@
         public void channelActive(ChannelHandlerContext ctx) {
             loop.schedule(() -> {
                 if (!answered && ctx.channel().isActive()) {
-                    say(ctx, new Calls.Answer(HttpResponseStatus.REQUEST_TIMEOUT.code(), "no whole call came"));
+                    say(ctx, new ControlEndpoints.Answer(HttpResponseStatus.REQUEST_TIMEOUT.code(), "no whole call came"));
                 }
             }, PATIENCE_MS, TimeUnit.MILLISECONDS);
         }
@@ -149,13 +149,13 @@
                 return; // one call a connection
             }
             if (request.decoderResult().isFailure()) {
-                say(ctx, new Calls.Answer(400, "not HTTP/1.1"));
+                say(ctx, new ControlEndpoints.Answer(400, "not HTTP/1.1"));
                 return;
             }
             say(ctx, calls.call(request.method().name(), request.uri()));
         }
 
-        private void say(ChannelHandlerContext ctx, Calls.Answer answer) {
+        private void say(ChannelHandlerContext ctx, ControlEndpoints.Answer answer) {
             answered = true;
             DefaultFullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
                     HttpResponseStatus.valueOf(answer.code()), ByteBufUtil.writeAscii(ctx.alloc(), answer.text() + "\n"));
@@ -179,8 +179,8 @@
             if (answered || cause instanceof java.io.IOException) {
                 ctx.close();
             } else {
-                say(ctx, cause instanceof TooLongHttpContentException ? new Calls.Answer(413, "the body is too long")
-                        : new Calls.Answer(400, "not HTTP/1.1"));
+                say(ctx, cause instanceof TooLongHttpContentException ? new ControlEndpoints.Answer(413, "the body is too long")
+                        : new ControlEndpoints.Answer(400, "not HTTP/1.1"));
             }
         }
     }
--- a/src/main/java/damsonworks/control/DiagnosticCalls.java
+++ b/src/main/java/cacheproxy/control/DiagnosticEndpoints.java
@@ -1,6 +1,6 @@
-package damsonworks.control;
+package cacheproxy.control;
 
-import damsonworks.control.Calls.Answer;
+import cacheproxy.control.ControlEndpoints.Answer;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
 import java.util.function.Supplier;
@@ -13,7 +13,7 @@
  * @param events switches the event log
  * @param reload has the configuration read again, elsewhere, as SIGHUP does; false where there is none to read
  */
-public record DiagnosticCalls(Supplier<String> invariants, Consumer<Boolean> events, BooleanSupplier reload) implements CallHandler {
+public record DiagnosticEndpoints(Supplier<String> invariants, Consumer<Boolean> events, BooleanSupplier reload) implements ControlRequestHandler {
     /** The calls, for answers that name them. */
     public static final String NAMES = "GET /invariants, POST /events/on, POST /events/off and POST /reload";
 
--- a/src/main/java/damsonworks/daemon/ControlPart.java
+++ b/src/main/java/cacheproxy/daemon/ControlSubsystem.java
@@ -1,13 +1,13 @@
-package damsonworks.daemon;
+package cacheproxy.daemon;
 
-import damsonworks.config.ConfigException;
-import damsonworks.config.ControlSection;
-import damsonworks.config.DaemonFile;
-import damsonworks.control.CallHandler;
-import damsonworks.control.DiagnosticCalls;
-import damsonworks.control.Calls.Answer;
-import damsonworks.control.Door;
-import damsonworks.proxy.Transport;
+import cacheproxy.config.ConfigException;
+import cacheproxy.config.ControlConfig;
+import cacheproxy.config.DaemonConfig;
+import cacheproxy.control.ControlRequestHandler;
+import cacheproxy.control.DiagnosticEndpoints;
+import cacheproxy.control.ControlEndpoints.Answer;
+import cacheproxy.control.ControlServer;
+import cacheproxy.proxy.Transport;
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
 import java.util.ArrayList;
@@ -16,29 +16,29 @@
 import java.util.function.Supplier;
 
 /** The daemon's control address: {@code GET /status}, and what other parts answer under their own paths. */
-final class ControlPart implements Part {
-    private final ControlSection spec;
-    private final Door door;
-    private final Map<String, Supplier<CallHandler>> others;
-    private final DiagnosticCalls diagnostics;
+final class ControlSubsystem implements Subsystem {
+    private final ControlConfig spec;
+    private final ControlServer door;
+    private final Map<String, Supplier<ControlRequestHandler>> others;
+    private final DiagnosticEndpoints diagnostics;
     private boolean draining;
 
-    private ControlPart(ControlSection spec, EventLoop loop, Map<String, Supplier<CallHandler>> others, DiagnosticCalls diagnostics) {
+    private ControlSubsystem(ControlConfig spec, EventLoop loop, Map<String, Supplier<ControlRequestHandler>> others, DiagnosticEndpoints diagnostics) {
         this.spec = spec;
         this.diagnostics = diagnostics;
         this.others = others;
-        door = new Door(loop, Transport.BEST.server(), this::call);
+        door = new ControlServer(loop, Transport.BEST.server(), this::call);
     }
 
     /** @param others what answers calls whose path is such a word, or begins with it and a slash; a supplier of null: nothing does */
-    static Part open(DaemonFile file, Part before, EventLoop loop, Map<String, Supplier<CallHandler>> others, DiagnosticCalls diagnostics)
+    static Subsystem open(DaemonConfig file, Subsystem before, EventLoop loop, Map<String, Supplier<ControlRequestHandler>> others, DiagnosticEndpoints diagnostics)
             throws ConfigException, InterruptedException {
-        ControlSection spec = file.part(ControlSection.class);
+        ControlConfig spec = file.part(ControlConfig.class);
         if (spec == null) {
             return null;
         }
-        ControlPart part = new ControlPart(spec, loop, others, diagnostics);
-        Binding.require(part.door.bind(spec.listen()), file, "control", spec.listen());
+        ControlSubsystem part = new ControlSubsystem(spec, loop, others, diagnostics);
+        SocketBinder.require(part.door.bind(spec.listen()), file, "control", spec.listen());
         return part;
     }
 
@@ -49,12 +49,12 @@
             return !method.equals("GET") ? new Answer(405, "use GET /status", "GET") : draining ? new Answer(503, "draining")
                     : new Answer(200, "active");
         }
-        if (DiagnosticCalls.method(path) != null) {
+        if (DiagnosticEndpoints.method(path) != null) {
             return diagnostics.call(method, uri);
         }
         List<String> words = new ArrayList<>(List.of("/status"));
-        for (Map.Entry<String, Supplier<CallHandler>> e : others.entrySet()) {
-            CallHandler handler = e.getValue().get();
+        for (Map.Entry<String, Supplier<ControlRequestHandler>> e : others.entrySet()) {
+            ControlRequestHandler handler = e.getValue().get();
             if (handler != null && (path.equals(e.getKey()) || path.startsWith(e.getKey() + "/"))) {
                 return handler.call(method, uri);
             }
@@ -62,7 +62,7 @@
                 words.add(e.getKey());
             }
         }
-        return new Answer(404, "the calls are GET " + String.join(", GET ", words) + ", " + DiagnosticCalls.NAMES);
+        return new Answer(404, "the calls are GET " + String.join(", GET ", words) + ", " + DiagnosticEndpoints.NAMES);
     }
 
     InetSocketAddress address() {
@@ -70,8 +70,8 @@
     }
 
     @Override
-    public boolean fits(DaemonFile file) {
-        return spec.equals(file.part(ControlSection.class));
+    public boolean fits(DaemonConfig file) {
+        return spec.equals(file.part(ControlConfig.class));
     }
 
     @Override
--- a/src/main/java/damsonworks/daemon/Daemon.java
+++ b/src/main/java/cacheproxy/daemon/Daemon.java
@@ -1,22 +1,26 @@
-package damsonworks.daemon;
-
-import damsonworks.config.Addresses;
-import damsonworks.config.ConfigException;
-import damsonworks.config.DaemonFile;
-import damsonworks.config.DaemonFileReader;
-import damsonworks.knowledge.Recollection;
-import damsonworks.limits.Births;
-import damsonworks.limits.ColdBudget;
-import damsonworks.control.DiagnosticCalls;
-import damsonworks.proxy.Clients;
-import damsonworks.proxy.Core;
-import damsonworks.proxy.DrainLoop;
-import damsonworks.proxy.Intake;
-import damsonworks.proxy.Listener;
-import damsonworks.proxy.PollClock;
-import damsonworks.proxy.OpenMeta;
-import damsonworks.proxy.Servers;
-import damsonworks.proxy.Transport;
+package cacheproxy.daemon;
+
+import cacheproxy.daemon.fleet.FleetSubsystem;
+import cacheproxy.daemon.hooks.HookSubsystem;
+import cacheproxy.daemon.snapshot.SnapshotSubsystem;
+
+import cacheproxy.config.Addresses;
+import cacheproxy.config.ConfigException;
+import cacheproxy.config.DaemonConfig;
+import cacheproxy.config.DaemonConfigReader;
+import cacheproxy.snapshot.state.StateSnapshot;
+import cacheproxy.limits.ServerStartTimes;
+import cacheproxy.limits.SlowStartBudget;
+import cacheproxy.control.DiagnosticEndpoints;
+import cacheproxy.proxy.ClientRegistry;
+import cacheproxy.proxy.EventLoopContext;
+import cacheproxy.proxy.GracefulShutdown;
+import cacheproxy.proxy.RequestValidator;
+import cacheproxy.proxy.Listener;
+import cacheproxy.proxy.PollClock;
+import cacheproxy.proxy.StandardMetaProtocol;
+import cacheproxy.proxy.UpstreamRegistry;
+import cacheproxy.proxy.Transport;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import java.io.IOException;
@@ -52,10 +56,10 @@
     private final PollClock polls = new PollClock();
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, polls.watch(Transport.BEST));
     private final EventLoop loop = group.next();
-    private final Core core;
-    private final Clients clients;
+    private final EventLoopContext core;
+    private final ClientRegistry clients;
     private final Router router;
-    private final Births births = new Births();
+    private final ServerStartTimes births = new ServerStartTimes();
     private final SplittableRandom seeds;
     private final String idPrefix;
     private final AtomicLong ids = new AtomicLong();
@@ -64,41 +68,41 @@
     private final Map<Listener, InetSocketAddress> asked = new HashMap<>();
     private final List<Listener> leavingListeners = new ArrayList<>();
     private final List<Leaving> leavingPools = new ArrayList<>();
-    private final List<Generation> older = new ArrayList<>();
+    private final List<ConfigSnapshot> older = new ArrayList<>();
     private final CountDownLatch ready = new CountDownLatch(1);
-    private ColdBudget cold;
+    private SlowStartBudget cold;
     private volatile Runnable reload;
     /** Whose memory counts where there is none of one's own; null: nobody's. Only at the start. */
     private Path seedFrom;
-    private final Parts parts;
+    private final Subsystems parts;
 
     /** A pool that no new request comes to. */
     private static final class Leaving {
-        final PoolRunner pool;
+        final PoolRuntime pool;
         final double graceEndsMs;
         boolean cut;
 
-        Leaving(PoolRunner pool, double graceEndsMs) {
+        Leaving(PoolRuntime pool, double graceEndsMs) {
             this.pool = pool;
             this.graceEndsMs = graceEndsMs;
         }
     }
 
-    private Daemon(DaemonFile file, long seed) {
+    private Daemon(DaemonConfig file, long seed) {
         seeds = new SplittableRandom(seed);
         idPrefix = Long.toHexString(seeds.nextLong() & 0xFFFFFFFFFFL | 0x10000000000L);
         int sockets = file.limits().sockets();
-        core = new Core(loop, polls, Transport.BEST.socket(), (long) file.limits().memoryMb() << 20 >> 3, sockets / 3, true);
+        core = new EventLoopContext(loop, polls, Transport.BEST.socket(), (long) file.limits().memoryMb() << 20 >> 3, sockets / 3, true);
         core.watchPauses();
-        clients = new Clients(core, Math.max(16, sockets - sockets / 3 - OWN_DESCRIPTORS));
+        clients = new ClientRegistry(core, Math.max(16, sockets - sockets / 3 - OWN_DESCRIPTORS));
         router = new Router(core);
-        parts = new Parts(task -> loop.submit(task).syncUninterruptibly(), List.of(
-                (f, before) -> MemoryKeeper.open(f, before, core, this::snapshot, seedFrom),
-                (f, before) -> HooksPart.open(f, core),
+        parts = new Subsystems(task -> loop.submit(task).syncUninterruptibly(), List.of(
+                (f, before) -> SnapshotSubsystem.open(f, before, core, this::snapshot, seedFrom),
+                (f, before) -> HookSubsystem.open(f, core),
                 (f, before) -> SiblingSocket.open(f, before, core, seeds.nextInt(), router::generation),
-                (f, before) -> FleetPart.open(f, before, core, seeds.nextLong(), router::generation),
-                (f, before) -> ControlPart.open(f, before, loop, FleetPart.answers(() -> part(FleetPart.class)),
-                        new DiagnosticCalls(core.invariants::summary, core.events::enabled, this::reloadElsewhere))));
+                (f, before) -> FleetSubsystem.open(f, before, core, seeds.nextLong(), router::generation),
+                (f, before) -> ControlSubsystem.open(f, before, loop, FleetSubsystem.answers(() -> part(FleetSubsystem.class)),
+                        new DiagnosticEndpoints(core.invariants::summary, core.events::enabled, this::reloadElsewhere))));
     }
 
     /** What {@code POST /reload} of the control address does, on a thread of its own. Null: nothing. */
@@ -117,17 +121,17 @@
         return true;
     }
 
-    private <T extends Part> T part(Class<T> kind) {
+    private <T extends Subsystem> T part(Class<T> kind) {
         return parts.get(kind);
     }
 
     /** Starts; the exception says which listener could not be bound. */
-    public static Daemon start(DaemonFile file, long seed) throws ConfigException, InterruptedException {
+    public static Daemon start(DaemonConfig file, long seed) throws ConfigException, InterruptedException {
         return start(file, seed, null);
     }
 
     /** The same with what a sibling has learned, for what this one remembers nothing of. {@code seedFrom} may be null. */
-    public static Daemon start(DaemonFile file, long seed, Path seedFrom) throws ConfigException, InterruptedException {
+    public static Daemon start(DaemonConfig file, long seed, Path seedFrom) throws ConfigException, InterruptedException {
         Daemon daemon = new Daemon(file, seed);
         daemon.seedFrom = seedFrom;
         try {
@@ -180,13 +184,13 @@
 
     /** Where operators call; null where no control address is configured. */
     public InetSocketAddress controlAddress() {
-        ControlPart control = part(ControlPart.class);
+        ControlSubsystem control = part(ControlSubsystem.class);
         return control == null ? null : control.address();
     }
 
     /** Memory files written and their bytes, for measurements. */
     public long[] memoryWritten() {
-        MemoryKeeper memory = part(MemoryKeeper.class);
+        SnapshotSubsystem memory = part(SnapshotSubsystem.class);
         return memory == null ? new long[2] : memory.written();
     }
 
@@ -199,14 +203,14 @@
 
     /** Reads the file again and goes by it; the exception says what is wrong with it, and all stays as it is. */
     public void reload(Path path) throws ConfigException, InterruptedException {
-        load(DaemonFileReader.read(path));
+        load(DaemonConfigReader.read(path));
     }
 
     /** Not on the event loop: binding waits. */
-    synchronized void load(DaemonFile file) throws ConfigException, InterruptedException {
+    public synchronized void load(DaemonConfig file) throws ConfigException, InterruptedException {
         Map<String, Listener> fresh = new HashMap<>();
         List<String> faults = new ArrayList<>();
-        for (DaemonFile.Listen l : file.listeners()) {
+        for (DaemonConfig.Listen l : file.listeners()) {
             Listener standing = loop.submit(() -> listeners.get(l.name())).sync().getNow();
             if (standing != null && l.address().equals(asked.get(standing))) {
                 continue;
@@ -216,14 +220,14 @@
             try {
                 listener.reserve(l.address());
             } catch (IOException e) {
-                faults.add(Binding.fault(file, "listener " + l.name(), l.address(), e));
+                faults.add(SocketBinder.fault(file, "listener " + l.name(), l.address(), e));
             }
         }
         if (!faults.isEmpty()) {
             fresh.values().forEach(Listener::close);
             throw ConfigException.of(faults);
         }
-        Parts.Change change;
+        Subsystems.Change change;
         try {
             change = parts.prepare(file);
         } catch (ConfigException e) {
@@ -238,46 +242,46 @@
         change.endOld();
     }
 
-    private OpenMeta open(DaemonFile file, DaemonFile.Listen l) {
+    private StandardMetaProtocol open(DaemonConfig file, DaemonConfig.Listen l) {
         if (!l.open()) {
             return null;
         }
         String common = (l.tenant() == null ? "" : ",t=" + l.tenant())
                 + (l.deadlineMs() == 0 ? "" : ",d=" + Math.round(l.deadlineMs()));
         Set<String> keyed = new HashSet<>();
-        file.classes().stream().filter(c -> c.effect() == damsonworks.RoutingApi.Effect.KEYED)
+        file.classes().stream().filter(c -> c.effect() == cacheproxy.policy.PolicyApi.Effect.KEYED)
                 .forEach(c -> keyed.add(c.name()));
-        return new OpenMeta("c=" + l.readClass() + common, ((l.writeClass() == null ? "" : "c=" + l.writeClass()) + common).replaceFirst("^,", ""),
+        return new StandardMetaProtocol("c=" + l.readClass() + common, ((l.writeClass() == null ? "" : "c=" + l.writeClass()) + common).replaceFirst("^,", ""),
                 keyed, () -> idPrefix + Long.toHexString(ids.incrementAndGet()));
     }
 
-    private void commit(DaemonFile file, Map<String, Listener> fresh) {
+    private void commit(DaemonConfig file, Map<String, Listener> fresh) {
         double now = core.now();
-        Generation before = router.generation();
+        ConfigSnapshot before = router.generation();
         figures(file);
         births(file, before, now);
-        MemoryKeeper memory = part(MemoryKeeper.class);
+        SnapshotSubsystem memory = part(SnapshotSubsystem.class);
         if (before == null && memory != null) {
             memory.births(births, now);
         }
-        Map<String, PoolRunner> pools = new LinkedHashMap<>();
-        for (DaemonFile.Pool p : file.pools().values()) {
-            PoolRunner standing = before == null ? null : before.pools.get(p.name());
+        Map<String, PoolRuntime> pools = new LinkedHashMap<>();
+        for (DaemonConfig.Pool p : file.pools().values()) {
+            PoolRuntime standing = before == null ? null : before.pools.get(p.name());
             if (standing != null && standing.fits(file, p)) {
                 standing.apply(file);
                 pools.put(p.name(), standing);
             } else {
-                pools.put(p.name(), new PoolRunner(core, file, p, seeds.nextLong(), cold, births,
-                        standing != null ? MemoryKeeper.handOver(file, p, standing, now)
+                pools.put(p.name(), new PoolRuntime(core, file, p, seeds.nextLong(), cold, births,
+                        standing != null ? SnapshotSubsystem.handOver(file, p, standing, now)
                         : memory == null ? null : memory.recollections(file, p),
-                        part(SiblingSocket.class), () -> part(FleetPart.class)));
+                        part(SiblingSocket.class), () -> part(FleetSubsystem.class)));
             }
         }
-        router.use(new Generation(file, pools, new Intake(core, file.classes(), file.tenants()), HooksPart.of(part(HooksPart.class)),
-                FleetPart.limits(part(FleetPart.class))));
+        router.use(new ConfigSnapshot(file, pools, new RequestValidator(core, file.classes(), file.tenants()), HookSubsystem.of(part(HookSubsystem.class)),
+                FleetSubsystem.limits(part(FleetSubsystem.class))));
         if (before != null) {
             older.add(before);
-            for (PoolRunner p : before.pools.values()) {
+            for (PoolRuntime p : before.pools.values()) {
                 if (pools.get(p.name) != p) {
                     leavingPools.add(new Leaving(p, now + file.site().drainGraceMs() * GRACE_PART));
                 }
@@ -286,36 +290,36 @@
         listeners(file, fresh);
     }
 
-    private void figures(DaemonFile file) {
-        ColdBudget.Figures figures = new ColdBudget.Figures(file.site().startCapacity(), file.site().warmUpMs(),
+    private void figures(DaemonConfig file) {
+        SlowStartBudget.Figures figures = new SlowStartBudget.Figures(file.site().startCapacity(), file.site().warmUpMs(),
                 file.site().fallMs(), file.site().instances(), file.limits().unknownCapacity());
         if (cold == null) {
-            cold = new ColdBudget(figures);
+            cold = new SlowStartBudget(figures);
         } else {
             cold.figures(figures);
         }
-        for (DaemonFile.Pool p : file.pools().values()) {
+        for (DaemonConfig.Pool p : file.pools().values()) {
             PoolSettings.all(p).forEach(s -> cold.rate(s.id(), s.capacity()));
         }
     }
 
     /** Servers that this file names and the one before did not have just come. */
-    private void births(DaemonFile file, Generation before, double now) {
+    private void births(DaemonConfig file, ConfigSnapshot before, double now) {
         Set<Integer> present = new HashSet<>();
         Set<Integer> warm = new HashSet<>();
-        for (DaemonFile.Pool p : file.pools().values()) {
+        for (DaemonConfig.Pool p : file.pools().values()) {
             PoolSettings.all(p).stream().filter(s -> !s.down()).forEach(s -> present.add(s.id()));
-            PoolSettings.all(p).stream().filter(DaemonFile.Server::warm).forEach(s -> warm.add(s.id()));
+            PoolSettings.all(p).stream().filter(DaemonConfig.Server::warm).forEach(s -> warm.add(s.id()));
         }
         if (file.site().warmUpMs() > 0) {
-            for (DaemonFile.Pool p : file.pools().values()) {
+            for (DaemonConfig.Pool p : file.pools().values()) {
                 p.servers().stream().filter(s -> s.backup() && !s.down() && !warm.contains(s.id()) && !inUse(file, s.id()))
                         .forEach(s -> births.unused(s.id()));
             }
         }
         if (before != null) {
             Set<Integer> known = new HashSet<>();
-            for (DaemonFile.Pool p : before.file.pools().values()) {
+            for (DaemonConfig.Pool p : before.file.pools().values()) {
                 PoolSettings.all(p).stream().filter(s -> !s.down()).forEach(s -> known.add(s.id()));
             }
             present.stream().filter(s -> !known.contains(s) && !warm.contains(s)).forEach(s -> births.added(s, now));
@@ -324,13 +328,13 @@
     }
 
     /** Whether some pool uses a server at all times. */
-    private static boolean inUse(DaemonFile file, int server) {
+    private static boolean inUse(DaemonConfig file, int server) {
         return file.pools().values().stream().flatMap(p -> p.servers().stream()).anyMatch(s -> s.id() == server && !s.backup());
     }
 
-    private void listeners(DaemonFile file, Map<String, Listener> fresh) {
+    private void listeners(DaemonConfig file, Map<String, Listener> fresh) {
         Set<String> named = new HashSet<>();
-        for (DaemonFile.Listen l : file.listeners()) {
+        for (DaemonConfig.Listen l : file.listeners()) {
             named.add(l.name());
             Listener listener = fresh.get(l.name());
             if (listener == null) {
@@ -395,7 +399,7 @@
             return;
         }
         Set<Integer> ready = new HashSet<>();
-        for (DaemonFile.Pool p : router.generation().file.pools().values()) {
+        for (DaemonConfig.Pool p : router.generation().file.pools().values()) {
             PoolSettings.all(p).stream().filter(s -> !s.down() && !s.drain()).forEach(s -> ready.add(s.id()));
         }
         leavingPools.removeIf(l -> {
@@ -412,7 +416,7 @@
     }
 
     /** Servers that the file lists and that restart: told by no list, seen on their sockets. */
-    private final class Restarts implements Servers.Observer {
+    private final class Restarts implements UpstreamRegistry.Observer {
         @Override
         public void refused(int server) {
             births.refused(server);
@@ -427,7 +431,7 @@
                 }
                 // Not from within the connection's own event: a list retires connections to what has restarted.
                 loop.execute(() -> router.generation().pools.values().stream()
-                        .filter(p -> p.spec().discovery() == null && p.has(server)).forEach(PoolRunner::list));
+                        .filter(p -> p.spec().discovery() == null && p.has(server)).forEach(PoolRuntime::list));
             }
         }
     }
@@ -437,7 +441,7 @@
     /** Answers what it has, takes nothing new and returns once that is done, or at the longest deadline. */
     public void drain() {
         loop.execute(parts::drain);
-        new DrainLoop(loop, core, LISTEN_ON_MS, () -> {
+        new GracefulShutdown(loop, core, LISTEN_ON_MS, () -> {
             List.copyOf(listeners.keySet()).forEach(name -> leave(listeners.remove(name)));
             leave();
             return leavingListeners.isEmpty();
@@ -446,19 +450,19 @@
     }
 
     /** All that is worth remembering, with at most so many hot keys a pool. */
-    private Recollection snapshot(int mostKeys) {
-        DaemonFile file = router.generation().file;
-        Map<String, Recollection.Pool> pools = new LinkedHashMap<>();
+    private StateSnapshot snapshot(int mostKeys) {
+        DaemonConfig file = router.generation().file;
+        Map<String, StateSnapshot.Pool> pools = new LinkedHashMap<>();
         router.generation().pools.forEach((name, p) -> pools.put(name, p.learned(mostKeys)));
-        Map<Integer, String> addresses = MemoryKeeper.addresses(file);
-        List<Recollection.Birth> told = new ArrayList<>();
+        Map<Integer, String> addresses = SnapshotSubsystem.addresses(file);
+        List<StateSnapshot.Birth> told = new ArrayList<>();
         for (int server : births.known()) {
-            double born = births.of(server) == Births.UNUSED ? 0 : births.of(server);
+            double born = births.of(server) == ServerStartTimes.UNUSED ? 0 : births.of(server);
             if (addresses.containsKey(server) && (born > 0 || births.isDown(server))) {
-                told.add(new Recollection.Birth(server, addresses.get(server), born, births.isDown(server)));
+                told.add(new StateSnapshot.Birth(server, addresses.get(server), born, births.isDown(server)));
             }
         }
-        return new Recollection(file.site().name(), file.site().me(), core.now(), 0, pools, told);
+        return new StateSnapshot(file.site().name(), file.site().me(), core.now(), 0, pools, told);
     }
 
     /** Ends at once. */
@@ -469,7 +473,7 @@
                 router.generation().pools.values().forEach(p -> p.dispatcher.stop());
                 router.generation().end();
             }
-            older.forEach(Generation::end);
+            older.forEach(ConfigSnapshot::end);
             parts.close();
         }).syncUninterruptibly();
         parts.end();
--- a/src/main/java/damsonworks/daemon/PoolRunner.java
+++ b/src/main/java/cacheproxy/daemon/PoolRuntime.java
@@ -1,26 +1,28 @@
-package damsonworks.daemon;
-
-import damsonworks.RoutingApi.ListKind;
-import damsonworks.RoutingApi.Member;
-import damsonworks.RoutingApi.Outcome;
-import damsonworks.RoutingApi.Settings;
-import damsonworks.config.Addresses;
-import damsonworks.config.DaemonFile;
-import damsonworks.config.SiblingSection;
-import damsonworks.knowledge.Knowledge;
-import damsonworks.knowledge.Recollection;
-import damsonworks.limits.Births;
-import damsonworks.limits.ColdBudget;
-import damsonworks.limits.PoolAdmission;
-import damsonworks.limits.PoolGate;
-import damsonworks.limits.RetryBudget;
-import damsonworks.placement.BackupPlacement;
-import damsonworks.proxy.Core;
-import damsonworks.proxy.DiscoveryClient;
-import damsonworks.proxy.Dispatcher;
-import damsonworks.routes.KeyNumber;
-import damsonworks.routes.Route;
-import damsonworks.routes.Subject;
+package cacheproxy.daemon;
+
+import cacheproxy.daemon.fleet.FleetSubsystem;
+
+import cacheproxy.policy.PolicyApi.ListKind;
+import cacheproxy.policy.PolicyApi.Member;
+import cacheproxy.policy.PolicyApi.Outcome;
+import cacheproxy.policy.PolicyApi.Settings;
+import cacheproxy.config.Addresses;
+import cacheproxy.config.DaemonConfig;
+import cacheproxy.config.SiblingConfig;
+import cacheproxy.snapshot.state.LearnedState;
+import cacheproxy.snapshot.state.StateSnapshot;
+import cacheproxy.limits.ServerStartTimes;
+import cacheproxy.limits.SlowStartBudget;
+import cacheproxy.limits.PoolAdmissionControl;
+import cacheproxy.limits.PoolLimiter;
+import cacheproxy.limits.RetryBudget;
+import cacheproxy.placement.BackupPlacement;
+import cacheproxy.proxy.EventLoopContext;
+import cacheproxy.proxy.DiscoveryClient;
+import cacheproxy.proxy.Dispatcher;
+import cacheproxy.routes.KeyHash;
+import cacheproxy.routes.Route;
+import cacheproxy.routes.RouteInput;
 import java.net.SocketAddress;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -32,29 +34,29 @@
 import java.util.function.Supplier;
 
 /** A pool at work: its module with what carries its orders out, and its bounds. On the event loop only. */
-final class PoolRunner {
+public final class PoolRuntime {
     final String name;
-    final Dispatcher dispatcher;
+    public final Dispatcher dispatcher;
     private final Settings settings;
-    private final Births births;
-    private final PoolAdmission admission;
+    private final ServerStartTimes births;
+    private final PoolAdmissionControl admission;
     private final DiscoveryClient discovery;
     private final Set<Integer> backups = new HashSet<>();
-    private DaemonFile file;
-    private DaemonFile.Pool spec;
-    private PoolGate gate;
-    private KeyNumber number;
+    private DaemonConfig file;
+    private DaemonConfig.Pool spec;
+    private PoolLimiter gate;
+    private KeyHash number;
 
-    PoolRunner(Core core, DaemonFile file, DaemonFile.Pool spec, long seed, ColdBudget cold, Births births,
-            Dispatcher.Recollections recollections, SiblingSocket siblings, Supplier<FleetPart> fleet) {
+    PoolRuntime(EventLoopContext core, DaemonConfig file, DaemonConfig.Pool spec, long seed, SlowStartBudget cold, ServerStartTimes births,
+            Dispatcher.Recollections recollections, SiblingSocket siblings, Supplier<FleetSubsystem> fleet) {
         name = spec.name();
         this.file = file;
         this.spec = spec;
         this.births = births;
         settings = PoolSettings.of(file, spec);
         number = PoolSettings.number(spec);
-        admission = new PoolAdmission(cold, retries(spec), server -> mayTry(fleet.get(), server));
-        gate = new PoolGate(spec.inHand(), spec.perSecond());
+        admission = new PoolAdmissionControl(cold, retries(spec), server -> mayTry(fleet.get(), server));
+        gate = new PoolLimiter(spec.inHand(), spec.perSecond());
         dispatcher = new Dispatcher(core, new Dispatcher.Pool(settings, seed, file.limits().idleCloseMs(),
                 spec.connections(), spec.originConnections(), spec.connections(), spec.streams(), spec.plainNodes(),
                 BackupPlacement.over(members -> PoolSettings.placement(this.spec).of(members), backups::contains), admission));
@@ -69,7 +71,7 @@
             dispatcher.start(Dispatcher.ListSource.NONE);
             list();
         } else {
-            DaemonFile.Discovery d = spec.discovery();
+            DaemonConfig.Discovery d = spec.discovery();
             discovery = new DiscoveryClient(core, new DiscoveryClient.Source(d.address(), null, true, d.zones(), d.kinds()), dispatcher,
                     new Pace(fleet));
             dispatcher.start(discovery);
@@ -77,14 +79,14 @@
         }
     }
 
-    private boolean mayTry(FleetPart fleet, int server) {
+    private boolean mayTry(FleetSubsystem fleet, int server) {
         return fleet == null || fleet.mayTry(dispatcher, server);
     }
 
     private final class Probes implements Dispatcher.Probes {
-        private final Supplier<FleetPart> fleet;
+        private final Supplier<FleetSubsystem> fleet;
 
-        Probes(Supplier<FleetPart> fleet) {
+        Probes(Supplier<FleetSubsystem> fleet) {
             this.fleet = fleet;
         }
 
@@ -103,9 +105,9 @@
 
     /** Where the fleet has no say this proxy watches by itself. */
     private final class Pace implements DiscoveryClient.Pace {
-        private final Supplier<FleetPart> fleet;
+        private final Supplier<FleetSubsystem> fleet;
 
-        Pace(Supplier<FleetPart> fleet) {
+        Pace(Supplier<FleetSubsystem> fleet) {
             this.fleet = fleet;
         }
 
@@ -123,35 +125,35 @@
     }
 
     /** Who follows its list; null: it is in the file. */
-    DiscoveryClient discovery() {
+    public DiscoveryClient discovery() {
         return discovery;
     }
 
-    private static RetryBudget retries(DaemonFile.Pool spec) {
+    private static RetryBudget retries(DaemonConfig.Pool spec) {
         return new RetryBudget(spec.retryShare(), spec.retriesAlways());
     }
 
     /** Whether this pool can go on under another file; else a new one must take its place. */
-    boolean fits(DaemonFile other, DaemonFile.Pool next) {
+    boolean fits(DaemonConfig other, DaemonConfig.Pool next) {
         return settings.equals(PoolSettings.of(other, next)) && spec.connections() == next.connections()
                 && spec.originConnections() == next.originConnections() && spec.streams() == next.streams()
                 && spec.plainNodes() == next.plainNodes() && spec.placement().equals(next.placement())
                 && java.util.Objects.equals(spec.discovery(), next.discovery())
-                && SiblingSection.of(file).equals(SiblingSection.of(other))
+                && SiblingConfig.of(file).equals(SiblingConfig.of(other))
                 && spec.siblings().equals(next.siblings())
                 && file.limits().idleCloseMs() == other.limits().idleCloseMs();
     }
 
     /** Takes over what a new file says of servers and bounds. */
-    void apply(DaemonFile next) {
-        DaemonFile.Pool pool = next.pools().get(name);
+    void apply(DaemonConfig next) {
+        DaemonConfig.Pool pool = next.pools().get(name);
         boolean sameGate = pool.inHand() == spec.inHand() && pool.perSecond() == spec.perSecond();
         boolean sameRetries = pool.retryShare() == spec.retryShare() && pool.retriesAlways() == spec.retriesAlways();
         file = next;
         spec = pool;
         number = PoolSettings.number(pool);
         if (!sameGate) {
-            gate = new PoolGate(spec.inHand(), spec.perSecond());
+            gate = new PoolLimiter(spec.inHand(), spec.perSecond());
         }
         if (!sameRetries) {
             admission.retries(retries(spec));
@@ -164,7 +166,7 @@
     /** Hands the module the file's servers. */
     void list() {
         backups.clear();
-        spec.servers().stream().filter(DaemonFile.Server::backup).forEach(s -> backups.add(s.id()));
+        spec.servers().stream().filter(DaemonConfig.Server::backup).forEach(s -> backups.add(s.id()));
         dispatcher.listed(ListKind.FULL, hosts(s -> true));
     }
 
@@ -182,14 +184,14 @@
 
     private List<DiscoveryClient.Host> hosts(IntPredicate wanted) {
         List<DiscoveryClient.Host> hosts = new ArrayList<>();
-        for (DaemonFile.Server s : PoolSettings.all(spec)) {
+        for (DaemonConfig.Server s : PoolSettings.all(spec)) {
             if (!s.down() && wanted.test(s.id())) {
                 Member m = PoolSettings.member(file, spec, s, births.of(s.id()));
                 hosts.add(new DiscoveryClient.Host(m, s.dial()));
             }
         }
         for (String s : spec.siblings()) {
-            SiblingSection.Sibling sibling = SiblingSection.of(file).sibling(s);
+            SiblingConfig.Sibling sibling = SiblingConfig.of(file).sibling(s);
             hosts.add(new DiscoveryClient.Host(PoolSettings.sibling(spec, sibling), sibling.fetch()));
         }
         return hosts;
@@ -201,7 +203,7 @@
     }
 
     /** The number by which this pool knows a request. */
-    long number(Subject s, Route route, String poolKey) {
+    long number(RouteInput s, Route route, String poolKey) {
         return number.of(s, route, poolKey);
     }
 
@@ -211,19 +213,19 @@
     }
 
     /** What its module has learned, with at most so many hot keys. */
-    Recollection.Pool learned(int mostKeys) {
-        Knowledge k = dispatcher.knowledge(mostKeys);
+    public StateSnapshot.Pool learned(int mostKeys) {
+        LearnedState k = dispatcher.knowledge(mostKeys);
         Map<Integer, String> addresses = new HashMap<>();
-        for (Knowledge.Server s : k.servers()) {
+        for (LearnedState.Server s : k.servers()) {
             SocketAddress dial = dispatcher.dial(s.id());
             if (dial != null) {
                 addresses.put(s.id(), Addresses.text(dial));
             }
         }
-        return new Recollection.Pool(PoolSettings.keyScheme(file, spec), k, addresses);
+        return new StateSnapshot.Pool(PoolSettings.keyScheme(file, spec), k, addresses);
     }
 
-    DaemonFile.Pool spec() {
+    DaemonConfig.Pool spec() {
         return spec;
     }
 
--- a/src/main/java/damsonworks/daemon/PoolSettings.java
+++ b/src/main/java/cacheproxy/daemon/PoolSettings.java
@@ -1,21 +1,21 @@
-package damsonworks.daemon;
+package cacheproxy.daemon;
 
-import damsonworks.RoutingApi.Member;
-import damsonworks.RoutingApi.Reports;
-import damsonworks.RoutingApi.Settings;
-import damsonworks.RoutingApi.State;
-import damsonworks.config.DaemonFile;
-import damsonworks.config.FleetSection;
-import damsonworks.config.SiblingSection;
-import damsonworks.placement.BackupPlacement;
-import damsonworks.placement.Peer;
-import damsonworks.placement.Placement;
-import damsonworks.placement.PlacementKey;
-import damsonworks.placement.Placements;
-import damsonworks.proxy.Intake;
-import damsonworks.routes.Explain;
-import damsonworks.routes.KeyNumber;
-import damsonworks.routes.PlaceBy;
+import cacheproxy.policy.PolicyApi.Member;
+import cacheproxy.policy.PolicyApi.Reports;
+import cacheproxy.policy.PolicyApi.Settings;
+import cacheproxy.policy.PolicyApi.State;
+import cacheproxy.config.DaemonConfig;
+import cacheproxy.config.FleetConfig;
+import cacheproxy.config.SiblingConfig;
+import cacheproxy.placement.BackupPlacement;
+import cacheproxy.placement.PlacementTarget;
+import cacheproxy.placement.Placement;
+import cacheproxy.placement.PlacementKey;
+import cacheproxy.placement.PlacementRegistry;
+import cacheproxy.proxy.RequestValidator;
+import cacheproxy.routes.Explain;
+import cacheproxy.routes.KeyHash;
+import cacheproxy.routes.PlacementTemplate;
 import java.nio.charset.StandardCharsets;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -27,26 +27,26 @@
 import java.util.stream.Stream;
 
 /** A pool of the file in the terms of the decision module. */
-final class PoolSettings {
+public final class PoolSettings {
     /** A proxy that has not asked discovery for so long asks. */
     private static final double ASK_WITHIN_MS = 10_000;
 
     private PoolSettings() { }
 
     /** All servers of a pool, its origin last. */
-    static List<DaemonFile.Server> all(DaemonFile.Pool pool) {
-        List<DaemonFile.Server> all = new ArrayList<>(pool.servers());
+    public static List<DaemonConfig.Server> all(DaemonConfig.Pool pool) {
+        List<DaemonConfig.Server> all = new ArrayList<>(pool.servers());
         if (pool.origin() != null) {
             all.add(pool.origin());
         }
         return all;
     }
 
-    private static List<String> kinds(DaemonFile.Pool pool) {
+    private static List<String> kinds(DaemonConfig.Pool pool) {
         if (pool.discovery() != null) {
             return pool.discovery().kinds();
         }
-        List<String> kinds = new ArrayList<>(pool.servers().stream().map(DaemonFile.Server::kind).distinct().toList());
+        List<String> kinds = new ArrayList<>(pool.servers().stream().map(DaemonConfig.Server::kind).distinct().toList());
         if (!pool.siblings().isEmpty()) {
             kinds.add("\0sibling");
         }
@@ -57,22 +57,22 @@
     }
 
     /** Ours and those of its servers: a zone that another pool has says nothing to this one. */
-    private static List<String> zones(DaemonFile file, DaemonFile.Pool pool) {
+    private static List<String> zones(DaemonConfig file, DaemonConfig.Pool pool) {
         if (pool.discovery() != null) {
             return pool.discovery().zones();
         }
-        return Stream.concat(Stream.of(file.site().zone()), all(pool).stream().map(DaemonFile.Server::zone)).distinct()
+        return Stream.concat(Stream.of(file.site().zone()), all(pool).stream().map(DaemonConfig.Server::zone)).distinct()
                 .toList();
     }
 
-    static Settings of(DaemonFile file, DaemonFile.Pool pool) {
-        DaemonFile.Site site = file.site();
-        DaemonFile.Limits limits = file.limits();
+    static Settings of(DaemonConfig file, DaemonConfig.Pool pool) {
+        DaemonConfig.Site site = file.site();
+        DaemonConfig.Limits limits = file.limits();
         boolean listed = pool.discovery() == null;
         List<String> kinds = kinds(pool);
         List<String> zones = zones(file, pool);
         boolean aside = listed ? pool.origin() != null : pool.discovery().originKind() != null;
-        FleetSection fleet = file.part(FleetSection.class);
+        FleetConfig fleet = file.part(FleetConfig.class);
         boolean probes = fleet != null && fleet.probe() != null && !fleet.probe().requests(); // else clients' requests try what was sick
         int originKind = !aside ? -1 : listed ? kinds.size() - 1 : kinds.indexOf(pool.discovery().originKind());
         return new Settings(site.me(), site.instances(), Math.max(0, zones.indexOf(site.zone())), zones.size(),
@@ -83,7 +83,7 @@
                 file.classes(), file.tenants());
     }
 
-    static Member member(DaemonFile file, DaemonFile.Pool pool, DaemonFile.Server s, double bornMs) {
+    static Member member(DaemonConfig file, DaemonConfig.Pool pool, DaemonConfig.Server s, double bornMs) {
         boolean origin = s == pool.origin();
         List<String> kinds = kinds(pool);
         return new Member(s.id(), zones(file, pool).indexOf(s.zone()), origin ? kinds.size() - 1
@@ -91,23 +91,23 @@
     }
 
     /** A sibling as the module gets it. */
-    static Member sibling(DaemonFile.Pool pool, SiblingSection.Sibling s) {
+    static Member sibling(DaemonConfig.Pool pool, SiblingConfig.Sibling s) {
         return new Member(s.id(), 0, kinds(pool).indexOf("\0sibling"), 0, State.READY, 1, 0);
     }
 
-    static Placement.Factory placement(DaemonFile.Pool pool) {
-        return Placements.factory(pool.placement(), pool.servers().stream()
-                .map(s -> new Peer(s.id(), (int) s.weight(), s.ring())).toList());
+    static Placement.Factory placement(DaemonConfig.Pool pool) {
+        return PlacementRegistry.factory(pool.placement(), pool.servers().stream()
+                .map(s -> new PlacementTarget(s.id(), (int) s.weight(), s.ring())).toList());
     }
 
     /** How the pool's module knows a request. */
-    static KeyNumber number(DaemonFile.Pool pool) {
-        boolean carp = pool.placement().equals(Placements.CARP);
-        PlaceBy own = pool.placeBy() == null ? PlaceBy.KEY : pool.placeBy();
+    static KeyHash number(DaemonConfig.Pool pool) {
+        boolean carp = pool.placement().equals(PlacementRegistry.CARP);
+        PlacementTemplate own = pool.placeBy() == null ? PlacementTemplate.KEY : pool.placeBy();
         return (s, route, poolKey) -> {
-            PlaceBy by = route.placeBy() == null ? own : route.placeBy();
+            PlacementTemplate by = route.placeBy() == null ? own : route.placeBy();
             if (carp) {
-                return Intake.keyNumber(by.equals(PlaceBy.KEY) ? poolKey
+                return RequestValidator.keyNumber(by.equals(PlacementTemplate.KEY) ? poolKey
                         : new String(by.bytes(s, route, poolKey), StandardCharsets.ISO_8859_1));
             }
             byte[] text = by.bytes(s, route, poolKey);
@@ -117,18 +117,18 @@
     }
 
     /** What the numbers of a pool's keys depend on. */
-    static String keyScheme(DaemonFile file, DaemonFile.Pool pool) {
-        return pool.placement() + " by " + (pool.placeBy() == null ? PlaceBy.KEY : pool.placeBy()) + ", keys " + file.keys();
+    public static String keyScheme(DaemonConfig file, DaemonConfig.Pool pool) {
+        return pool.placement() + " by " + (pool.placeBy() == null ? PlacementTemplate.KEY : pool.placeBy()) + ", keys " + file.keys();
     }
 
     /** The file's pools for {@code explain}. */
-    static Explain explain(DaemonFile file) {
+    static Explain explain(DaemonConfig file) {
         Map<String, Explain.PoolView> views = new LinkedHashMap<>();
-        for (DaemonFile.Pool p : file.pools().values()) {
+        for (DaemonConfig.Pool p : file.pools().values()) {
             List<Member> ready = new ArrayList<>();
             Map<Integer, String> names = new HashMap<>();
             Set<Integer> backups = new HashSet<>();
-            for (DaemonFile.Server s : p.servers()) {
+            for (DaemonConfig.Server s : p.servers()) {
                 names.put(s.id(), s.name());
                 if (s.backup()) {
                     backups.add(s.id());
--- a/src/main/java/damsonworks/daemon/PoolSiblings.java
+++ b/src/main/java/cacheproxy/daemon/PoolSiblings.java
@@ -1,13 +1,13 @@
-package damsonworks.daemon;
+package cacheproxy.daemon;
 
-import damsonworks.RoutingApi.Member;
-import damsonworks.RoutingApi.Outcome;
-import damsonworks.config.DaemonFile;
-import damsonworks.config.SiblingSection;
-import damsonworks.proxy.Dispatcher;
-import damsonworks.siblings.Asking;
-import damsonworks.siblings.SiblingRecord;
-import damsonworks.siblings.Siblings;
+import cacheproxy.policy.PolicyApi.Member;
+import cacheproxy.policy.PolicyApi.Outcome;
+import cacheproxy.config.DaemonConfig;
+import cacheproxy.config.SiblingConfig;
+import cacheproxy.proxy.Dispatcher;
+import cacheproxy.siblings.SiblingQueryPolicy;
+import cacheproxy.siblings.SiblingStats;
+import cacheproxy.siblings.Siblings;
 import java.util.ArrayList;
 import java.util.HashMap;
 import java.util.List;
@@ -18,19 +18,19 @@
 /** One pool's siblings: what its module is told of them, and its questions on their way to the socket. On the event loop only. */
 final class PoolSiblings implements Siblings, Dispatcher.Questions {
     private final SiblingSocket socket;
-    private final List<SiblingSection.Sibling> siblings;
-    private final List<SiblingRecord> records = new ArrayList<>();
+    private final List<SiblingConfig.Sibling> siblings;
+    private final List<SiblingStats> records = new ArrayList<>();
     private final Map<Integer, Integer> indexById = new HashMap<>();
     private final SplittableRandom random;
     /** What a fetch at a sibling takes; the first guess is soon overruled. */
     private double siblingMs = 5;
-    private Asking.Plan plan;
+    private SiblingQueryPolicy.Plan plan;
 
-    PoolSiblings(SiblingSocket socket, List<SiblingSection.Sibling> siblings, SplittableRandom random) {
+    PoolSiblings(SiblingSocket socket, List<SiblingConfig.Sibling> siblings, SplittableRandom random) {
         this.socket = socket;
         this.siblings = siblings;
         this.random = random;
-        for (SiblingSection.Sibling s : siblings) {
+        for (SiblingConfig.Sibling s : siblings) {
             indexById.put(s.id(), records.size());
             records.add(socket.record(s));
         }
@@ -43,7 +43,7 @@
 
     @Override
     public double waitMs(double now, double fetchMs, double leftMs, double pressure) {
-        plan = Asking.plan(now, records, fetchMs, siblingMs, leftMs, pressure, random.nextDouble());
+        plan = SiblingQueryPolicy.plan(now, records, fetchMs, siblingMs, leftMs, pressure, random.nextDouble());
         return plan.waitMs();
     }
 
@@ -61,7 +61,7 @@
     /** Called by way of the module, right after it was told how long to wait. */
     @Override
     public void ask(String key, double waitMs, IntConsumer answer) {
-        List<SiblingSection.Sibling> whom = new ArrayList<>();
+        List<SiblingConfig.Sibling> whom = new ArrayList<>();
         plan.siblings().forEach(i -> whom.add(siblings.get(i)));
         socket.ask(key, whom, waitMs, answer);
     }
--- a/src/main/java/damsonworks/daemon/AnswerTap.java
+++ b/src/main/java/cacheproxy/daemon/ResponseObserver.java
@@ -1,16 +1,16 @@
-package damsonworks.daemon;
+package cacheproxy.daemon;
 
-import damsonworks.hooks.HookCall.Answer;
-import damsonworks.proxy.Responder;
+import cacheproxy.hooks.HookCall.Answer;
+import cacheproxy.proxy.Responder;
 import io.netty.buffer.ByteBuf;
 import java.util.function.Consumer;
 
 /** Hands an answer on and tells of what kind it was, once. */
-final class AnswerTap implements Responder {
+public final class ResponseObserver implements Responder {
     private final Responder client;
     private final Consumer<Answer> told;
 
-    AnswerTap(Responder client, Consumer<Answer> told) {
+    public ResponseObserver(Responder client, Consumer<Answer> told) {
         this.client = client;
         this.told = told;
     }
--- a/src/main/java/damsonworks/daemon/RoutedRequest.java
+++ b/src/main/java/cacheproxy/daemon/RoutedRequest.java
@@ -1,15 +1,15 @@
-package damsonworks.daemon;
-
-import damsonworks.RoutingApi.ServiceClass;
-import damsonworks.proxy.Command;
-import damsonworks.proxy.Core;
-import damsonworks.proxy.Exchange;
-import damsonworks.proxy.RequestHandler;
-import damsonworks.proxy.Responder;
-import damsonworks.quota.Pocket;
-import damsonworks.routes.Fallback;
-import damsonworks.routes.Route;
-import damsonworks.routes.Subject;
+package cacheproxy.daemon;
+
+import cacheproxy.policy.PolicyApi.ServiceClass;
+import cacheproxy.proxy.ClientRequest;
+import cacheproxy.proxy.EventLoopContext;
+import cacheproxy.proxy.RequestContext;
+import cacheproxy.proxy.RequestHandler;
+import cacheproxy.proxy.Responder;
+import cacheproxy.fleet.quota.LocalQuota;
+import cacheproxy.routes.Fallback;
+import cacheproxy.routes.Route;
+import cacheproxy.routes.RouteInput;
 import io.netty.buffer.ByteBuf;
 import java.util.List;
 
@@ -18,19 +18,19 @@
  * and the client gets one answer. It is the responder of whichever pool has it.
  */
 final class RoutedRequest implements Responder, RequestHandler.Handle {
-    private final Core core;
-    private final Generation generation;
-    private final List<PoolRunner> chain;
-    private final Subject subject;
+    private final EventLoopContext core;
+    private final ConfigSnapshot generation;
+    private final List<PoolRuntime> chain;
+    private final RouteInput subject;
     private final Route route;
     private final ServiceClass kind;
     /** As pools get it. */
-    private final Command command;
+    private final ClientRequest command;
     /** As the client sent it, where a route has changed the key; else null. */
-    private final Command original;
+    private final ClientRequest original;
     private final Responder client;
     private int at = -1;
-    private Exchange current;
+    private RequestContext current;
     private boolean over;
     private boolean mayHaveRun;
     /** What drops repeats in all pools in which it may have run; null where that is nothing, or more than one. */
@@ -40,12 +40,12 @@
     private boolean missed;
     private double advice;
     /** What it has taken of the fleet's limits: of those that concern all pools, and of the present pool's; null: nothing. */
-    private Pocket[] taken;
-    private Pocket[] takenOfPool;
+    private LocalQuota[] taken;
+    private LocalQuota[] takenOfPool;
 
     /** Takes the commands over; {@code original} is null unless the key was changed. */
-    RoutedRequest(Core core, Generation generation, Subject subject, Route route, Command command,
-            Command original, Responder client) {
+    RoutedRequest(EventLoopContext core, ConfigSnapshot generation, RouteInput subject, Route route, ClientRequest command,
+            ClientRequest original, Responder client) {
         this.core = core;
         this.generation = generation;
         this.subject = subject;
@@ -61,7 +61,7 @@
     /** Goes to the next pool that takes it, or ends. */
     void next() {
         if (at < 0 && generation.limits != null) {
-            Pocket[] all = generation.limits.of("", command);
+            LocalQuota[] all = generation.limits.of("", command);
             double wait = generation.limits.ask(all, core.now());
             if (wait > 0) {
                 over();
@@ -71,7 +71,7 @@
             taken = take(all);
         }
         while (++at < chain.size()) {
-            PoolRunner pool = chain.get(at);
+            PoolRuntime pool = chain.get(at);
             double now = core.now();
             if (!Fallback.mayGoOn(kind, mayHaveRun, ranGroup, pool.dedupGroup(), now, command.arrivedMs())) {
                 break;
@@ -81,14 +81,14 @@
             if (due <= now) {
                 break;
             }
-            Pocket[] own = generation.limits == null ? null : generation.limits.of(pool.name, command);
+            LocalQuota[] own = generation.limits == null ? null : generation.limits.of(pool.name, command);
             double wait = own == null ? 0 : generation.limits.ask(own, now);
             wait = wait > 0 ? wait : pool.admit(now);
             if (wait > 0) {
                 advice = Math.max(advice, wait);
                 continue;
             }
-            Exchange x = Exchange.of(pool.dispatcher, command, pool.number(subject, route, command.key()), this, due);
+            RequestContext x = RequestContext.of(pool.dispatcher, command, pool.number(subject, route, command.key()), this, due);
             current = x;
             takenOfPool = own == null ? null : take(own);
             pool.dispatcher.take(x);
@@ -106,16 +106,16 @@
         }
     }
 
-    private static Pocket[] take(Pocket[] of) {
-        for (Pocket p : of) {
+    private static LocalQuota[] take(LocalQuota[] of) {
+        for (LocalQuota p : of) {
             p.take();
         }
         return of;
     }
 
-    private static void give(Pocket[] of) {
+    private static void give(LocalQuota[] of) {
         if (of != null) {
-            for (Pocket p : of) {
+            for (LocalQuota p : of) {
                 p.give();
             }
         }
--- a/src/main/java/damsonworks/daemon/Router.java
+++ b/src/main/java/cacheproxy/daemon/Router.java
@@ -1,28 +1,31 @@
-package damsonworks.daemon;
+package cacheproxy.daemon;
 
-import damsonworks.proxy.Command;
-import damsonworks.proxy.Core;
-import damsonworks.proxy.RequestHandler;
-import damsonworks.proxy.Responder;
-import damsonworks.routes.Route;
-import damsonworks.routes.Subject;
+import cacheproxy.daemon.hooks.HookExecutor;
+import cacheproxy.daemon.hooks.HookedRequest;
+
+import cacheproxy.proxy.ClientRequest;
+import cacheproxy.proxy.EventLoopContext;
+import cacheproxy.proxy.RequestHandler;
+import cacheproxy.proxy.Responder;
+import cacheproxy.routes.Route;
+import cacheproxy.routes.RouteInput;
 import java.util.List;
 
 /** Takes the requests of all listeners and sends each on its route. */
-final class Router {
-    private final Core core;
-    private Generation generation;
+public final class Router {
+    private final EventLoopContext core;
+    private ConfigSnapshot generation;
 
-    Router(Core core) {
+    Router(EventLoopContext core) {
         this.core = core;
     }
 
     /** Requests that come from now on go by this. */
-    void use(Generation next) {
+    void use(ConfigSnapshot next) {
         generation = next;
     }
 
-    Generation generation() {
+    ConfigSnapshot generation() {
         return generation;
     }
 
@@ -31,8 +34,8 @@
         return (command, responder) -> take(listener, command, responder);
     }
 
-    private RequestHandler.Handle take(String listener, Command command, Responder responder) {
-        Generation g = generation;
+    private RequestHandler.Handle take(String listener, ClientRequest command, Responder responder) {
+        ConfigSnapshot g = generation;
         String fault = g.intake.resolve(command);
         if (fault != null) {
             command.release(core);
@@ -45,14 +48,14 @@
             responder.refused(0);
             return null;
         }
-        List<HookRunner> hooks = g.hooks.get(listener);
+        List<HookExecutor> hooks = g.hooks.get(listener);
         return hooks != null ? new HookedRequest(core, this, g, hooks, listener, command, responder).start()
                 : route(g, listener, null, command, responder);
     }
 
     /** Sends a request on its route, or on the one that a hook has named. */
-    RequestHandler.Handle route(Generation g, String listener, Route named, Command command, Responder responder) {
-        Subject s = g.file.keys().subject(listener, command.key(), command.serviceClass(), command.tenant(),
+    public RequestHandler.Handle route(ConfigSnapshot g, String listener, Route named, ClientRequest command, Responder responder) {
+        RouteInput s = g.file.keys().subject(listener, command.key(), command.serviceClass(), command.tenant(),
                 command.write());
         Route route = s == null ? null : named != null ? named : g.file.routes().find(s);
         if (route != null && route.action() instanceof Route.ToPools) {
@@ -72,7 +75,7 @@
         return null;
     }
 
-    private RequestHandler.Handle to(Generation g, String listener, Subject s, Route route, Command command, Responder responder) {
+    private RequestHandler.Handle to(ConfigSnapshot g, String listener, RouteInput s, Route route, ClientRequest command, Responder responder) {
         String key = route.poolKey(s);
         if (key == null) {
             core.closeId(command);
