--- a/src/main/java/cacheproxy/Main.java
+++ b/src/main/java/cacheproxy/Main.java
@@ -5,12 +5,13 @@
 import cacheproxy.simulator.SimulatorAdapter;
 
 /**
- * Command line. The platform's commands come first and load nothing of the others: {@code serve} is one real proxy
- * on sockets, {@code adapter} speaks the simulator's wire on standard input and output ({@code drill} is its earlier name, kept
- * for scripts), {@code train} starts and ends a proxy so that the build can archive its classes. All else is {@link Cli}'s.
+ * Command line. The platform's commands come first and load nothing of the others: {@code serve} is one real proxy on
+ * sockets, {@code adapter} speaks the simulator's wire on standard input and output ({@code drill} is its earlier name,
+ * kept for scripts), {@code train} starts and ends a proxy so that the build can archive its classes. All else is
+ * {@link Cli}'s.
  */
 public final class Main {
-    private Main() { }
+    private Main() {}
 
     /** Runs until the input ends ({@code adapter}) or the process is told to end ({@code serve}). */
     public static void main(String[] args) {
--- a/src/main/java/cacheproxy/bench/BenchCommand.java
+++ b/src/main/java/cacheproxy/bench/BenchCommand.java
@@ -9,14 +9,21 @@
 import picocli.CommandLine.Spec;
 
 /** Measurements that docs/PERFORMANCE.md reports. */
-@Command(name = "bench", mixinStandardHelpOptions = true, description = "Measures the whole hop, the choice of a route "
-        + "and the choice of a server; figures are medians with least and most.")
+@Command(
+        name = "bench",
+        mixinStandardHelpOptions = true,
+        description = "Measures the whole hop, the choice of a route "
+                + "and the choice of a server; figures are medians with least and most.")
 public final class BenchCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
 
-    @Option(names = "--only", paramLabel = "WHAT", description = "hop, routes, servers, import, hooks, "
-            + "hostile (hooks), memory, memory-cost, kills or cycles (of memory), siblings, duties, limits or fleet (models; --rounds seeds); else all but the last eight.")
+    @Option(
+            names = "--only",
+            paramLabel = "WHAT",
+            description =
+                    "hop, routes, servers, import, hooks, "
+                            + "hostile (hooks), memory, memory-cost, kills or cycles (of memory), siblings, duties, limits or fleet (models; --rounds seeds); else all but the last eight.")
     private String only;
 
     @Option(names = "--seconds", paramLabel = "S", defaultValue = "3", description = "Length of each run of the hop.")
@@ -28,8 +35,9 @@
     @Override
     public Integer call() throws Exception {
         PrintWriter out = spec.commandLine().getOut();
-        out.println("java " + System.getProperty("java.vm.version") + ", " + Runtime.getRuntime().availableProcessors()
-                + " processors, heap " + (Runtime.getRuntime().maxMemory() >> 20) + " MB");
+        out.println("java " + System.getProperty("java.vm.version") + ", "
+                + Runtime.getRuntime().availableProcessors() + " processors, heap "
+                + (Runtime.getRuntime().maxMemory() >> 20) + " MB");
         ChoiceBench choices = new ChoiceBench(out);
         if (only == null || only.equals("hop")) {
             new HopBench(out, seconds).run(rounds);
--- a/src/main/java/cacheproxy/bench/ChoiceBench.java
+++ b/src/main/java/cacheproxy/bench/ChoiceBench.java
@@ -1,15 +1,15 @@
 package cacheproxy.bench;
 
+import cacheproxy.placement.CarpPlacement;
+import cacheproxy.placement.Placement;
 import cacheproxy.policy.CarpHash;
 import cacheproxy.policy.PolicyApi.Member;
 import cacheproxy.policy.PolicyApi.State;
-import cacheproxy.placement.CarpPlacement;
-import cacheproxy.placement.Placement;
 import cacheproxy.routes.KeyPattern;
 import cacheproxy.routes.KeyRewrite;
 import cacheproxy.routes.Route;
-import cacheproxy.routes.RouteTable;
 import cacheproxy.routes.RouteInput;
+import cacheproxy.routes.RouteTable;
 import java.io.PrintWriter;
 import java.util.ArrayList;
 import java.util.Arrays;
@@ -41,9 +41,20 @@
                 int kind = i % 10;
                 // One in ten is a pattern, as where locations were written by hand; the rest halves.
                 String key = "svc" + i + "/list/";
-                routes.add(new Route("r" + i, 0, i, Set.of(), kind < 5 ? key + "index" : null, kind >= 5 && kind < 9 ? key : null,
-                        kind == 9 ? new KeyPattern("^svc" + i + "/v[0-9]+/") : null, Set.of(), Set.of(), null, null,
-                        KeyRewrite.NONE, new Route.Fail()));
+                routes.add(new Route(
+                        "r" + i,
+                        0,
+                        i,
+                        Set.of(),
+                        kind < 5 ? key + "index" : null,
+                        kind >= 5 && kind < 9 ? key : null,
+                        kind == 9 ? new KeyPattern("^svc" + i + "/v[0-9]+/") : null,
+                        Set.of(),
+                        Set.of(),
+                        null,
+                        null,
+                        KeyRewrite.NONE,
+                        new Route.Fail()));
             }
             SplittableRandom random = new SplittableRandom(3);
             for (int i = 0; i < 1024; i++) {
@@ -53,8 +64,12 @@
                 pattern[i] = subject("svc" + (base + 9) + "/v" + random.nextInt(10) + "/x");
             }
             RouteTable table = new RouteTable(routes);
-            out.printf("%-10d %12s %12s %12s%n", n, time(i -> table.find(exact[i & 1023]).position()),
-                    time(i -> table.find(prefix[i & 1023]).position()), time(i -> table.find(pattern[i & 1023]).position()));
+            out.printf(
+                    "%-10d %12s %12s %12s%n",
+                    n,
+                    time(i -> table.find(exact[i & 1023]).position()),
+                    time(i -> table.find(prefix[i & 1023]).position()),
+                    time(i -> table.find(pattern[i & 1023]).position()));
             out.flush();
         }
     }
@@ -65,16 +80,19 @@
 
     void servers() {
         out.printf("%-10s %16s %16s %16s%n", "servers", "equal us", "weighted us", "one by one us");
-        for (int n : new int[] {10_000, 1_000, 100, 10}) { // a loop compiled for ten turns is not unrolled for ten thousand
+        for (int n :
+                new int[] {10_000, 1_000, 100, 10}) { // a loop compiled for ten turns is not unrolled for ten thousand
             Placement equal = new CarpPlacement(members(n, true));
             List<Member> weighted = members(n, false);
             Placement unequal = new CarpPlacement(weighted);
             Plain plain = new Plain(weighted);
             int[] top = new int[RANKS];
             long[] keys = new SplittableRandom(4).longs(1024).toArray();
-            String[] figures = {time(i -> equal.top(keys[i & 1023], CarpHash.keyHash(keys[i & 1023]), RANKS, top)),
+            String[] figures = {
+                time(i -> equal.top(keys[i & 1023], CarpHash.keyHash(keys[i & 1023]), RANKS, top)),
                 time(i -> unequal.top(keys[i & 1023], CarpHash.keyHash(keys[i & 1023]), RANKS, top)),
-                time(i -> plain.top(CarpHash.keyHash(keys[i & 1023]), RANKS, top))};
+                time(i -> plain.top(CarpHash.keyHash(keys[i & 1023]), RANKS, top))
+            };
             out.printf("%-10d %16s %16s %16s%n", n, micros(figures[0]), micros(figures[1]), micros(figures[2]));
             out.flush();
         }
@@ -82,7 +100,9 @@
 
     private static String micros(String nanos) {
         String[] parts = nanos.split(" ");
-        return String.format("%.3f (%.3f-%.3f)", Double.parseDouble(parts[0]) / 1000,
+        return String.format(
+                "%.3f (%.3f-%.3f)",
+                Double.parseDouble(parts[0]) / 1000,
                 Double.parseDouble(parts[1].substring(1).split("-")[0]) / 1000,
                 Double.parseDouble(parts[1].split("-")[1].replace(")", "")) / 1000);
     }
--- a/src/main/java/cacheproxy/bench/ConstantRateClient.java
+++ b/src/main/java/cacheproxy/bench/ConstantRateClient.java
@@ -16,14 +16,16 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Asks at an even pace whatever comes back, so that what is asked of a daemon is the same in each window, however slow the
- * answers are. One connection; it has at most so many commands open as a connection may, and leaves out those beyond.
+ * Asks at an even pace whatever comes back, so that what is asked of a daemon is the same in each window, however slow
+ * the answers are. One connection; it has at most so many commands open as a connection may, and leaves out those
+ * beyond.
  */
 final class ConstantRateClient extends ChannelInboundHandlerAdapter {
     private static final int MOST_OPEN = 31;
     private final long everyMicros;
     /** Times of answers, ns. */
     private final Histogram nanos = new Histogram(60_000_000_000L, 3);
+
     private final long[] sentAt = new long[MOST_OPEN + 1];
     private int next;
     private int open;
@@ -32,6 +34,7 @@
     private long leftOut;
     /** Whether the line that comes is a value, not an answer's first. */
     private boolean value;
+
     private boolean startsValue;
     private boolean lineStart = true;
     private Future<?> pace;
@@ -42,28 +45,36 @@
     }
 
     /** What became of all: asked, answered, left out. */
-    record Count(long asked, long answered, long leftOut, Histogram nanos) { }
+    record Count(long asked, long answered, long leftOut, Histogram nanos) {}
 
     /** Connects; {@link #stop} ends it. */
     Channel start(EventLoop loop, SocketAddress to) throws InterruptedException {
-        return new Bootstrap().group(loop).channel(Transport.BEST.socket()).option(ChannelOption.TCP_NODELAY, true)
+        return new Bootstrap()
+                .group(loop)
+                .channel(Transport.BEST.socket())
+                .option(ChannelOption.TCP_NODELAY, true)
                 .handler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
                         channel.pipeline().addLast(ConstantRateClient.this);
                     }
-                }).connect(to).sync().channel();
+                })
+                .connect(to)
+                .sync()
+                .channel();
     }
 
     /** Asks no more, waits for what is open and closes. */
     Count stop(Channel channel) throws Exception {
-        channel.eventLoop().submit(() -> {
-            over = true;
-            pace.cancel(false);
-            if (open == 0) {
-                channel.close();
-            }
-        }).get();
+        channel.eventLoop()
+                .submit(() -> {
+                    over = true;
+                    pace.cancel(false);
+                    if (open == 0) {
+                        channel.close();
+                    }
+                })
+                .get();
         channel.closeFuture().sync();
         return new Count(asked, answered, leftOut, nanos);
     }
--- a/src/main/java/cacheproxy/bench/CpuLoad.java
+++ b/src/main/java/cacheproxy/bench/CpuLoad.java
@@ -3,8 +3,8 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * Threads that take a stated part of the processors and do nothing else: what another's threads cost by being there, without
- * anything that they share with the daemon. Each wakes at an even pace, as a hook's thread does for each call.
+ * Threads that take a stated part of the processors and do nothing else: what another's threads cost by being there,
+ * without anything that they share with the daemon. Each wakes at an even pace, as a hook's thread does for each call.
  */
 final class CpuLoad implements AutoCloseable {
     private final Thread[] threads;
--- a/src/main/java/cacheproxy/bench/FleetBench.java
+++ b/src/main/java/cacheproxy/bench/FleetBench.java
@@ -22,8 +22,17 @@
     }
 
     void run(int seeds) {
-        out.printf("%-50s %22s %8s %16s %16s %8s %8s %8s %8s%n", "proxies, nodes, trouble; means of " + seeds + " seeds", "served",
-                "cold x", "attempts each", "crossing each", "full", "copies", "fetches", "ns/event");
+        out.printf(
+                "%-50s %22s %8s %16s %16s %8s %8s %8s %8s%n",
+                "proxies, nodes, trouble; means of " + seeds + " seeds",
+                "served",
+                "cold x",
+                "attempts each",
+                "crossing each",
+                "full",
+                "copies",
+                "fetches",
+                "ns/event");
         for (int[] size : SIZES) {
             play(size, Set.of(), seeds);
             for (SimulatedFault t : SimulatedFault.values()) {
@@ -38,7 +47,10 @@
         long events = 0;
         long started = System.nanoTime();
         for (int i = 0; i < seeds; i++) {
-            reports[i] = new FleetSimulation(new FleetSimulationConfig(size[0], size[1], 4, LOAD, SECONDS, troubles, i + 1), RoutingPolicy::new).run();
+            reports[i] = new FleetSimulation(
+                            new FleetSimulationConfig(size[0], size[1], 4, LOAD, SECONDS, troubles, i + 1),
+                            RoutingPolicy::new)
+                    .run();
             events += reports[i].decisions();
         }
         long nanos = System.nanoTime() - started;
@@ -46,11 +58,21 @@
         for (FleetSimulationResult r : reports) {
             worst = Math.max(worst, r.worstCold());
         }
-        out.printf("%-50s %22s %8.2f %16s %16s %8.3f %8.3f %8.3f %8d%n", size[0] + ", " + size[1] + ", "
-                + (troubles.isEmpty() ? "none" : troubles.size() > 1 ? "all" : troubles.iterator().next().name().toLowerCase()),
-                mean(reports, FleetSimulationResult::service), worst, mean(reports, FleetSimulationResult::attemptsEach),
-                mean(reports, FleetSimulationResult::crossedEach), of(reports, r -> (double) r.full() / r.asked()),
-                of(reports, r -> (double) r.copies() / r.asked()), of(reports, r -> (double) r.fetches() / r.asked()),
+        out.printf(
+                "%-50s %22s %8.2f %16s %16s %8.3f %8.3f %8.3f %8d%n",
+                size[0] + ", " + size[1] + ", "
+                        + (troubles.isEmpty()
+                                ? "none"
+                                : troubles.size() > 1
+                                        ? "all"
+                                        : troubles.iterator().next().name().toLowerCase()),
+                mean(reports, FleetSimulationResult::service),
+                worst,
+                mean(reports, FleetSimulationResult::attemptsEach),
+                mean(reports, FleetSimulationResult::crossedEach),
+                of(reports, r -> (double) r.full() / r.asked()),
+                of(reports, r -> (double) r.copies() / r.asked()),
+                of(reports, r -> (double) r.fetches() / r.asked()),
                 nanos / Math.max(1, events));
         out.flush();
     }
--- a/src/main/java/cacheproxy/bench/HookBench.java
+++ b/src/main/java/cacheproxy/bench/HookBench.java
@@ -1,8 +1,10 @@
 package cacheproxy.bench;
 
-import com.sun.management.ThreadMXBean;
 import cacheproxy.config.DaemonConfigReader;
 import cacheproxy.daemon.Daemon;
+import cacheproxy.fakes.EffectLedger;
+import cacheproxy.fakes.FakeCacheServer;
+import cacheproxy.fakes.LoadClient;
 import cacheproxy.hooks.HookCall;
 import cacheproxy.hooks.HookException;
 import cacheproxy.hooks.HookInstance;
@@ -11,11 +13,9 @@
 import cacheproxy.routes.KeyPattern;
 import cacheproxy.routes.KeyRewrite;
 import cacheproxy.routes.Route;
-import cacheproxy.routes.RouteTable;
 import cacheproxy.routes.RouteInput;
-import cacheproxy.fakes.EffectLedger;
-import cacheproxy.fakes.LoadClient;
-import cacheproxy.fakes.FakeCacheServer;
+import cacheproxy.routes.RouteTable;
+import com.sun.management.ThreadMXBean;
 import io.netty.channel.Channel;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -30,18 +30,40 @@
 import java.util.concurrent.atomic.AtomicBoolean;
 import java.util.function.IntToLongFunction;
 
-/** What an honest hook costs, and what hostile ones on one listener do to traffic on another. Run beside {@code hooks/}. */
+/**
+ * What an honest hook costs, and what hostile ones on one listener do to traffic on another. Run beside {@code hooks/}.
+ */
 final class HookBench {
     private static final Path KIT = Path.of("hooks");
     private static final Path HOSTILE = Path.of("src/test/resources/hooks");
-    private static final List<String> SUITE = List.of("spin", "recurse", "trap", "grow", "grow-touch", "pointer", "long", "utf8", "logs",
-            "lower", "unknown-route", "alternates", "burns", "state", "sometimes", "copies");
+    private static final List<String> SUITE = List.of(
+            "spin",
+            "recurse",
+            "trap",
+            "grow",
+            "grow-touch",
+            "pointer",
+            "long",
+            "utf8",
+            "logs",
+            "lower",
+            "unknown-route",
+            "alternates",
+            "burns",
+            "state",
+            "sometimes",
+            "copies");
     private static final int KEYS = 1000;
-    /** Whom the other clients ask in each kind of window; in the last, threads burn what the hooks' threads did in theirs. */
+    /**
+     * Whom the other clients ask in each kind of window; in the last, threads burn what the hooks' threads did in
+     * theirs.
+     */
     private static final String[] LISTENERS = {"calm", "calm", "hostile", "calm"};
+
     private static final String[] ASKED = {"calm", "calm again", "16 hostile", "calm, burning"};
     /** The other clients' pace: the same load on the loop whatever their hooks do. */
     private static final long OTHERS_MICROS = 400;
+
     private static final long MEASURED_MICROS = 150;
 
     private final PrintWriter out;
@@ -74,7 +96,9 @@
             calls[i] = new HookCall(key, "page", "", false, false, 500);
             subjects[i] = new RouteInput("main", key, 0, 0, false);
         }
-        RouteTable table = new RouteTable(List.of(rule(0, "^A:(.*)$", "sub/$1"), rule(1, "^b-([^-]*)-(.*)$", "sub/$1/$2"),
+        RouteTable table = new RouteTable(List.of(
+                rule(0, "^A:(.*)$", "sub/$1"),
+                rule(1, "^b-([^-]*)-(.*)$", "sub/$1/$2"),
                 rule(2, "^C\\|([^|]*)\\|(.*)$", "sub/$2/$1")));
         byte[] module = Files.readAllBytes(KIT.resolve("key-schemes.wasm"));
         HookInstance compiled = instance(module, true);
@@ -82,17 +106,32 @@
         out.printf("%-34s %22s %12s%n", "key mapping", "ns", "garbage B");
         time("hook, compiled", i -> order(compiled, calls[i & 1023]));
         time("hook, interpreted", i -> order(interpreted, calls[i & 1023]));
-        time("route rule", i -> table.find(subjects[i & 1023]).poolKey(subjects[i & 1023]).length());
+        time(
+                "route rule",
+                i -> table.find(subjects[i & 1023]).poolKey(subjects[i & 1023]).length());
     }
 
     private static Route rule(int position, String regex, String replace) {
         KeyPattern p = new KeyPattern(regex);
-        return new Route("r" + position, 0, position, Set.of(), null, null, p, Set.of(), Set.of(), null, null,
-                new KeyRewrite(null, p, replace, null), new Route.ToPools(List.of("a")));
+        return new Route(
+                "r" + position,
+                0,
+                position,
+                Set.of(),
+                null,
+                null,
+                p,
+                Set.of(),
+                Set.of(),
+                null,
+                null,
+                new KeyRewrite(null, p, replace, null),
+                new Route.ToPools(List.of("a")));
     }
 
     private static HookInstance instance(byte[] module, boolean compiled) throws HookException {
-        return new HookInstance(HookModule.load(module, new HookModule.Limits(16, 200_000, 1_000_000, 1000, compiled), ""),
+        return new HookInstance(
+                HookModule.load(module, new HookModule.Limits(16, 200_000, 1_000_000, 1000, compiled), ""),
                 System::currentTimeMillis);
     }
 
@@ -134,8 +173,9 @@
             for (int i = 0; i < KEYS; i++) {
                 node.store("key/" + i, new byte[100]);
             }
-            String text = file(node, false) + "[[hook]]\nname = \"keys\"\nlistener = \"calm\"\nqueue = 1024\nmodule = \""
-                    + KIT.resolve("key-schemes.wasm").toAbsolutePath() + "\"\n";
+            String text =
+                    file(node, false) + "[[hook]]\nname = \"keys\"\nlistener = \"calm\"\nqueue = 1024\nmodule = \""
+                            + KIT.resolve("key-schemes.wasm").toAbsolutePath() + "\"\n";
             try (Daemon daemon = Daemon.start(DaemonConfigReader.parse("bench", text), 1)) {
                 for (int inHand : new int[] {1, 128}) {
                     double[][] cpu = new double[2][rounds];
@@ -147,16 +187,25 @@
                     for (int r = 0; r < rounds; r++) {
                         for (int k = 0; k < 2; k++) {
                             int which = (k + r) % 2;
-                            HopBench.Run run = HopBench.load(clients.next(), daemon.address(which == 0 ? "main" : "calm"), inHand,
-                                    daemon.threadId(), seconds);
+                            HopBench.Run run = HopBench.load(
+                                    clients.next(),
+                                    daemon.address(which == 0 ? "main" : "calm"),
+                                    inHand,
+                                    daemon.threadId(),
+                                    seconds);
                             cpu[which][r] = run.cpuUs();
                             rate[which][r] = run.perSecond();
                             mean[which][r] = run.meanMicros();
                         }
                     }
                     for (int k = 0; k < 2; k++) {
-                        out.printf("%-8d %-12s requests/s %s, mean us %s, loop's CPU us %s%n", inHand, k == 0 ? "no hook" : "with a hook",
-                                spread(rate[k]), spread(mean[k]), spread(cpu[k]));
+                        out.printf(
+                                "%-8d %-12s requests/s %s, mean us %s, loop's CPU us %s%n",
+                                inHand,
+                                k == 0 ? "no hook" : "with a hook",
+                                spread(rate[k]),
+                                spread(mean[k]),
+                                spread(cpu[k]));
                     }
                     out.flush();
                 }
@@ -177,7 +226,10 @@
         try (FakeCacheServer node = FakeCacheServer.start(nodes.next(), new EffectLedger())) {
             StringBuilder t = new StringBuilder(file(node, false));
             for (String h : new String[] {"key-schemes", "class-by-suffix", "tenant-list"}) {
-                t.append("[[hook]]\nname = \"").append(h).append("\"\nmodule = \"").append(KIT.resolve(h + ".wasm").toAbsolutePath())
+                t.append("[[hook]]\nname = \"")
+                        .append(h)
+                        .append("\"\nmodule = \"")
+                        .append(KIT.resolve(h + ".wasm").toAbsolutePath())
                         .append("\"\n");
             }
             Files.writeString(file, t);
@@ -185,24 +237,32 @@
                 AtomicBoolean over = new AtomicBoolean();
                 EventLoop loop = clients.next();
                 long[] counts = new long[2];
-                Thread load = new Thread(() -> {
-                    while (!over.get()) {
-                        try {
-                            LoadClient.Account a = new LoadClient(loop, daemon.address("main"), 500, i -> new LoadClient.Ask("A:" + i
-                                    + "/vi", "", null, null)).start(2, 2).get(60, TimeUnit.SECONDS);
-                            counts[0] += a.answered();
-                            counts[1] += a.lost + 500 - a.answered();
-                        } catch (Exception e) {
-                            counts[1] += 500;
-                        }
-                    }
-                }, "clients");
+                Thread load = new Thread(
+                        () -> {
+                            while (!over.get()) {
+                                try {
+                                    LoadClient.Account a = new LoadClient(
+                                                    loop,
+                                                    daemon.address("main"),
+                                                    500,
+                                                    i -> new LoadClient.Ask("A:" + i + "/vi", "", null, null))
+                                            .start(2, 2)
+                                            .get(60, TimeUnit.SECONDS);
+                                    counts[0] += a.answered();
+                                    counts[1] += a.lost + 500 - a.answered();
+                                } catch (Exception e) {
+                                    counts[1] += 500;
+                                }
+                            }
+                        },
+                        "clients");
                 load.start();
                 out.printf("%-10s %14s %16s %10s%n", "reloads", "heap MB", "metaspace MB", "threads");
                 for (int i = 0; i <= 1000; i++) {
                     if (i % 250 == 0) {
                         System.gc();
-                        out.printf("%-10d %14.1f %16.1f %10d%n", i, used("heap"), used("Metaspace"), Thread.activeCount());
+                        out.printf(
+                                "%-10d %14.1f %16.1f %10d%n", i, used("heap"), used("Metaspace"), Thread.activeCount());
                         out.flush();
                     }
                     daemon.reload(file);
@@ -222,21 +282,29 @@
         if (what.equals("heap")) {
             return ManagementFactory.getMemoryMXBean().getHeapMemoryUsage().getUsed() / 1e6;
         }
-        return ManagementFactory.getMemoryPoolMXBeans().stream().filter(p -> p.getName().equals(what)).mapToDouble(
-                p -> p.getUsage().getUsed() / 1e6).sum();
+        return ManagementFactory.getMemoryPoolMXBeans().stream()
+                .filter(p -> p.getName().equals(what))
+                .mapToDouble(p -> p.getUsage().getUsed() / 1e6)
+                .sum();
     }
 
     // ---- hostile ones
 
     private static String file(FakeCacheServer node, boolean hooks) {
-        StringBuilder t = new StringBuilder("[[class]]\nname = \"page\"\neffect = \"safe\"\naim_ms = 250\ndeadline_ms = 1000\n"
-                + "[[class]]\nname = \"submit\"\neffect = \"unsafe\"\naim_ms = 250\ndeadline_ms = 1000\n");
+        StringBuilder t =
+                new StringBuilder("[[class]]\nname = \"page\"\neffect = \"safe\"\naim_ms = 250\ndeadline_ms = 1000\n"
+                        + "[[class]]\nname = \"submit\"\neffect = \"unsafe\"\naim_ms = 250\ndeadline_ms = 1000\n");
         for (String l : new String[] {"main", "calm", "hostile"}) {
-            t.append("[[listen]]\nname = \"").append(l).append("\"\naddress = \"127.0.0.1:0\"\nopen = true\nclass = \"page\"\n"
-                    + "write_class = \"submit\"\n");
+            t.append("[[listen]]\nname = \"")
+                    .append(l)
+                    .append("\"\naddress = \"127.0.0.1:0\"\nopen = true\nclass = \"page\"\n"
+                            + "write_class = \"submit\"\n");
         }
         for (String h : hooks ? SUITE : List.<String>of()) {
-            t.append("[[hook]]\nname = \"").append(h).append("\"\nmodule = \"").append(HOSTILE.resolve(h + ".wasm").toAbsolutePath())
+            t.append("[[hook]]\nname = \"")
+                    .append(h)
+                    .append("\"\nmodule = \"")
+                    .append(HOSTILE.resolve(h + ".wasm").toAbsolutePath())
                     .append("\"\nlistener = \"hostile\"\nqueue = 16\n");
         }
         return t + "[[pool]]\nname = \"a\"\nnodes = \"plain\"\n[[pool.server]]\nname = \"n\"\ndial = \"" + node.dial()
@@ -244,8 +312,9 @@
     }
 
     /**
-     * One daemon, one set of clients on its main listener, asking without a pause. Windows of time turn about in which the other
-     * clients, at an even pace, ask a listener without hooks, one without hooks again, or the one with all of the suite.
+     * One daemon, one set of clients on its main listener, asking without a pause. Windows of time turn about in which
+     * the other clients, at an even pace, ask a listener without hooks, one without hooks again, or the one with all of
+     * the suite.
      */
     private void hostile(int rounds, double seconds) throws Exception {
         MultiThreadIoEventLoopGroup nodes = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
@@ -271,7 +340,8 @@
                     Channel channel = paced.start(others.next(), daemon.address(LISTENERS[which]));
                     CpuLoad burners = which == 3 ? new CpuLoad(SUITE.size(), burn, OTHERS_MICROS) : null;
                     long hooksAt = hooksCpu();
-                    HopBench.Run run = HopBench.load(measured.next(), daemon.address("main"), 4, daemon.threadId(), seconds);
+                    HopBench.Run run =
+                            HopBench.load(measured.next(), daemon.address("main"), 4, daemon.threadId(), seconds);
                     hooksBusy[which][r] = (hooksCpu() - hooksAt) / 1e9 / seconds;
                     busy[which][r] = run.cpuUs() * run.perSecond() / 1e6;
                     ConstantRateClient.Count count = paced.stop(channel);
@@ -288,13 +358,23 @@
                 }
             }
             out.printf("%d windows of %.1f s each; others ask every %d us%n", rounds, seconds, OTHERS_MICROS);
-            out.printf("%-12s %22s %22s %28s %s%n", "others ask", "p50 us", "p99 us", "requests/s", "others: asked, unanswered, left out");
+            out.printf(
+                    "%-12s %22s %22s %28s %s%n",
+                    "others ask", "p50 us", "p99 us", "requests/s", "others: asked, unanswered, left out");
             for (int k = 0; k < 4; k++) {
-                out.printf("%-12s %22s %22s %28s %d, %d, %d%n", ASKED[k], spread(p50[k]),
-                        spread(p99[k]), spread(perSecond[k]), other[k][0], other[k][0] - other[k][1], other[k][2]);
+                out.printf(
+                        "%-12s %22s %22s %28s %d, %d, %d%n",
+                        ASKED[k],
+                        spread(p50[k]),
+                        spread(p99[k]),
+                        spread(perSecond[k]),
+                        other[k][0],
+                        other[k][0] - other[k][1],
+                        other[k][2]);
             }
-            out.printf("loop busy: calm %s, hostile %s; hooks' threads busy, hostile %s (processors)%n", part(busy[0]), part(busy[2]),
-                    part(hooksBusy[2]));
+            out.printf(
+                    "loop busy: calm %s, hostile %s; hooks' threads busy, hostile %s (processors)%n",
+                    part(busy[0]), part(busy[2]), part(hooksBusy[2]));
             compare("p50", p50, rounds);
             compare("requests/s", perSecond, rounds);
             paced(daemon, measured, others, rounds, seconds);
@@ -330,14 +410,28 @@
     static String ratio(double[] values) {
         double[] v = values.clone();
         Arrays.sort(v);
-        // The median's own interval, 95%, by the ranks between which it lies (binomial); the quartiles tell of single windows.
+        // The median's own interval, 95%, by the ranks between which it lies (binomial); the quartiles tell of single
+        // windows.
         int reach = (int) Math.ceil(0.98 * Math.sqrt(v.length));
-        return String.format("%.3f (95%% %.3f to %.3f; quartiles %.3f, %.3f)", v[v.length / 2], v[Math.max(0, v.length / 2 - reach)],
-                v[Math.min(v.length - 1, v.length / 2 + reach)], v[v.length / 4], v[v.length * 3 / 4]);
+        return String.format(
+                "%.3f (95%% %.3f to %.3f; quartiles %.3f, %.3f)",
+                v[v.length / 2],
+                v[Math.max(0, v.length / 2 - reach)],
+                v[Math.min(v.length - 1, v.length / 2 + reach)],
+                v[v.length / 4],
+                v[v.length * 3 / 4]);
     }
 
-    /** The same with measured traffic that asks at an even pace, too, and leaves the loop time: what most installations see. */
-    private void paced(Daemon daemon, MultiThreadIoEventLoopGroup measured, MultiThreadIoEventLoopGroup others, int rounds, double seconds)
+    /**
+     * The same with measured traffic that asks at an even pace, too, and leaves the loop time: what most installations
+     * see.
+     */
+    private void paced(
+            Daemon daemon,
+            MultiThreadIoEventLoopGroup measured,
+            MultiThreadIoEventLoopGroup others,
+            int rounds,
+            double seconds)
             throws Exception {
         double[][] p50 = new double[4][rounds];
         double[][] p99 = new double[4][rounds];
@@ -365,10 +459,12 @@
                 served[which][1] += count.answered();
             }
         }
-        out.printf("%nmeasured traffic asks every %d us%n%-12s %22s %22s %s%n", MEASURED_MICROS, "others ask", "p50 us", "p99 us", "asked, served");
+        out.printf(
+                "%nmeasured traffic asks every %d us%n%-12s %22s %22s %s%n",
+                MEASURED_MICROS, "others ask", "p50 us", "p99 us", "asked, served");
         for (int k = 0; k < 4; k++) {
-            out.printf("%-12s %22s %22s %d, %d%n", ASKED[k], spread(p50[k]), spread(p99[k]),
-                    served[k][0], served[k][1]);
+            out.printf(
+                    "%-12s %22s %22s %d, %d%n", ASKED[k], spread(p50[k]), spread(p99[k]), served[k][0], served[k][1]);
         }
         compare("p50", p50, rounds);
     }
@@ -385,7 +481,7 @@
             burning[r] = of[3][r] / Math.sqrt(of[0][r] * of[1][r]);
             own[r] = of[2][r] / of[3][r];
         }
-        out.println(what + ", calm again to calm: " + ratio(noise) + "; hostile to calm: " + ratio(ratio) + "; burning threads to calm: "
-                + ratio(burning) + "; hostile to burning threads: " + ratio(own));
+        out.println(what + ", calm again to calm: " + ratio(noise) + "; hostile to calm: " + ratio(ratio)
+                + "; burning threads to calm: " + ratio(burning) + "; hostile to burning threads: " + ratio(own));
     }
 }
--- a/src/main/java/cacheproxy/bench/HopBench.java
+++ b/src/main/java/cacheproxy/bench/HopBench.java
@@ -2,9 +2,9 @@
 
 import cacheproxy.config.DaemonConfigReader;
 import cacheproxy.daemon.Daemon;
-import cacheproxy.proxy.Transport;
 import cacheproxy.fakes.EffectLedger;
 import cacheproxy.fakes.FakeCacheServer;
+import cacheproxy.proxy.Transport;
 import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
@@ -59,16 +59,24 @@
                 node.store("key/" + i, new byte[VALUE]);
             }
             long thread = daemon.threadId();
-            out.printf("%-10s %8s %10s %9s %9s %9s %9s %9s%n", "in hand", "round", "straight/s", "daemon/s", "ratio",
-                    "cpu us", "bytes/req", "p99 us");
+            out.printf(
+                    "%-10s %8s %10s %9s %9s %9s %9s %9s%n",
+                    "in hand", "round", "straight/s", "daemon/s", "ratio", "cpu us", "bytes/req", "p99 us");
             for (int inHand : new int[] {1, 128}) {
                 load(clients.next(), node.address(), inHand, -1, 1); // warm
                 load(clients.next(), daemon.address("main"), inHand, thread, Math.max(2, seconds));
                 for (int r = 1; r <= rounds; r++) {
                     Run straight = load(clients.next(), node.address(), inHand, -1, seconds);
                     Run through = load(clients.next(), daemon.address("main"), inHand, thread, seconds);
-                    out.printf("%-10d %8d %10.0f %9.0f %9.3f %9.2f %9.0f %9d%n", inHand, r, straight.perSecond,
-                            through.perSecond, through.perSecond / straight.perSecond, through.cpuUs, through.bytes,
+                    out.printf(
+                            "%-10d %8d %10.0f %9.0f %9.3f %9.2f %9.0f %9d%n",
+                            inHand,
+                            r,
+                            straight.perSecond,
+                            through.perSecond,
+                            through.perSecond / straight.perSecond,
+                            through.cpuUs,
+                            through.bytes,
                             Math.round(through.micros(99)));
                     out.flush();
                 }
@@ -101,13 +109,17 @@
         for (int i = 0; i < connections; i++) {
             Reader reader = new Reader(inHand / connections, i, answer, end, nanos, ended);
             readers[i] = reader;
-            new Bootstrap().group(loop).channel(Transport.BEST.socket()).option(ChannelOption.TCP_NODELAY, true)
+            new Bootstrap()
+                    .group(loop)
+                    .channel(Transport.BEST.socket())
+                    .option(ChannelOption.TCP_NODELAY, true)
                     .handler(new ChannelInitializer<>() {
                         @Override
                         protected void initChannel(Channel channel) {
                             channel.pipeline().addLast(reader);
                         }
-                    }).connect(to);
+                    })
+                    .connect(to);
         }
         ended.await();
         long wall = System.nanoTime() - start;
--- a/src/main/java/cacheproxy/bench/LeaseBench.java
+++ b/src/main/java/cacheproxy/bench/LeaseBench.java
@@ -1,12 +1,12 @@
 package cacheproxy.bench;
 
-import com.sun.management.ThreadMXBean;
 import cacheproxy.fleet.lease.LeaseManager;
-import cacheproxy.fleet.lease.VoterSet;
-import cacheproxy.fleet.lease.NameHash;
 import cacheproxy.fleet.lease.LeaseMessage;
 import cacheproxy.fleet.lease.LeaseTiming;
+import cacheproxy.fleet.lease.NameHash;
+import cacheproxy.fleet.lease.VoterSet;
 import cacheproxy.fleet.peer.DatagramEnvelope;
+import com.sun.management.ThreadMXBean;
 import java.io.PrintWriter;
 import java.lang.management.ManagementFactory;
 import java.util.ArrayList;
@@ -17,8 +17,9 @@
 import java.util.SplittableRandom;
 
 /**
- * What duties cost a proxy where nothing is wrong: datagrams and moves in an hour of virtual time with real {@link LeaseManager} at each
- * peer, and the processor time and garbage of one peer's calls, measured over the same calls.
+ * What duties cost a proxy where nothing is wrong: datagrams and moves in an hour of virtual time with real
+ * {@link LeaseManager} at each peer, and the processor time and garbage of one peer's calls, measured over the same
+ * calls.
  */
 final class LeaseBench {
     private static final double HOUR_MS = 3_600_000;
@@ -33,12 +34,13 @@
         this.out = out;
     }
 
-    private record Mail(double atMs, long n, int from, int to, LeaseMessage m) { }
+    private record Mail(double atMs, long n, int from, int to, LeaseMessage m) {}
 
     private static final class World {
         final List<LeaseManager> peers = new ArrayList<>();
         final Map<Long, Integer> byId = new HashMap<>();
-        final PriorityQueue<Mail> mail = new PriorityQueue<>((a, b) -> a.atMs != b.atMs ? Double.compare(a.atMs, b.atMs) : Long.compare(a.n, b.n));
+        final PriorityQueue<Mail> mail = new PriorityQueue<>(
+                (a, b) -> a.atMs != b.atMs ? Double.compare(a.atMs, b.atMs) : Long.compare(a.n, b.n));
         final double[] due;
         final SplittableRandom random;
         double now;
@@ -63,23 +65,28 @@
             }
             for (int i = 0; i < count; i++) {
                 int me = i;
-                LeaseManager own = new LeaseManager(names.get(i), new LeaseTiming(3000, LeaseTiming.DRIFT), random.split(), 0, new LeaseManager.Out() {
-                    @Override
-                    public void send(long to, LeaseMessage m) {
-                        sent++;
-                        mail.add(new Mail(now + 0.2 + random.nextDouble(), sent, me, byId.get(to), m));
-                    }
+                LeaseManager own = new LeaseManager(
+                        names.get(i),
+                        new LeaseTiming(3000, LeaseTiming.DRIFT),
+                        random.split(),
+                        0,
+                        new LeaseManager.Out() {
+                            @Override
+                            public void send(long to, LeaseMessage m) {
+                                sent++;
+                                mail.add(new Mail(now + 0.2 + random.nextDouble(), sent, me, byId.get(to), m));
+                            }
 
-                    @Override
-                    public void gained(String duty, long epoch) {
-                        gains++;
-                    }
+                            @Override
+                            public void gained(String duty, long epoch) {
+                                gains++;
+                            }
 
-                    @Override
-                    public void lost(String duty, long epoch, String why) {
-                        losses++;
-                    }
-                });
+                            @Override
+                            public void lost(String duty, long epoch, String why) {
+                                losses++;
+                            }
+                        });
                 for (int d = 0; d < duties; d++) {
                     own.stand("d" + d, LEASE_MS, electorates.get(d), 0);
                 }
@@ -119,7 +126,9 @@
                 }
                 if (!isMail) {
                     // Without measuring, only when something is due: the same calls but those that do nothing.
-                    due[who] = threads != null ? Math.min(Math.max(next, now + 1), now + TICK_MS) : Math.max(next, now + 1);
+                    due[who] = threads != null
+                            ? Math.min(Math.max(next, now + 1), now + TICK_MS)
+                            : Math.max(next, now + 1);
                     ticks.add(new double[] {due[who], who});
                 }
             }
@@ -127,7 +136,9 @@
     }
 
     void run(int rounds) {
-        out.printf("%-20s %16s %16s %14s %12s%n", "peers, duties", "datagrams/s each", "bytes/s each", "moves an hour", "without");
+        out.printf(
+                "%-20s %16s %16s %14s %12s%n",
+                "peers, duties", "datagrams/s each", "bytes/s each", "moves an hour", "without");
         for (int[] size : new int[][] {{5, 1}, {5, 7}, {100, 7}, {100, 200}, {500, 7}}) {
             World w = new World(size[0], size[1], 1);
             w.until(60_000, null);
@@ -137,8 +148,13 @@
             double span = size[1] > 50 ? HOUR_MS / 10 : HOUR_MS;
             w.until(60_000 + span, null);
             double each = (w.sent - sent) / span * 1000 / size[0];
-            out.printf("%-20s %16.2f %16.0f %14d %12s%n", size[0] + ", " + size[1] + (span < HOUR_MS ? " (6 min)" : ""), each, each * BYTES,
-                    w.gains - gains, (size[1] - held) + " unheld");
+            out.printf(
+                    "%-20s %16.2f %16.0f %14d %12s%n",
+                    size[0] + ", " + size[1] + (span < HOUR_MS ? " (6 min)" : ""),
+                    each,
+                    each * BYTES,
+                    w.gains - gains,
+                    (size[1] - held) + " unheld");
             out.flush();
         }
         ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
@@ -156,7 +172,9 @@
                 figures[1][r] = (w.nanos - nanos) / 30e3;
                 figures[2][r] = (w.garbage - garbage) / 30.0;
             }
-            out.printf("%-20s %20s %20s %20s%n", size[0] + ", " + size[1], spread(figures[0]), spread(figures[1]), spread(figures[2]));
+            out.printf(
+                    "%-20s %20s %20s %20s%n",
+                    size[0] + ", " + size[1], spread(figures[0]), spread(figures[1]), spread(figures[2]));
             out.flush();
         }
     }
--- a/src/main/java/cacheproxy/bench/OpenLoopLoad.java
+++ b/src/main/java/cacheproxy/bench/OpenLoopLoad.java
@@ -20,8 +20,8 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Clients that ask at an even pace whatever comes back, each request on a connection that has none in hand: a slow answer holds up
- * nobody else's. A request that finds no connection free counts as asked and not served.
+ * Clients that ask at an even pace whatever comes back, each request on a connection that has none in hand: a slow
+ * answer holds up nobody else's. A request that finds no connection free counts as asked and not served.
  */
 final class OpenLoopLoad {
     private final EventLoop loop;
@@ -31,6 +31,7 @@
     private final List<Channel> channels = new ArrayList<>();
     /** Times of values, ns. */
     final Histogram nanos = new Histogram(60_000_000_000L, 3);
+
     int asked;
     int served;
     int inTime;
@@ -49,13 +50,19 @@
     OpenLoopLoad connect(SocketAddress to, int connections) throws InterruptedException {
         for (int i = 0; i < connections; i++) {
             Conversation c = new Conversation();
-            channels.add(new Bootstrap().group(loop).channel(Transport.BEST.socket()).option(ChannelOption.TCP_NODELAY, true)
+            channels.add(new Bootstrap()
+                    .group(loop)
+                    .channel(Transport.BEST.socket())
+                    .option(ChannelOption.TCP_NODELAY, true)
                     .handler(new ChannelInitializer<>() {
                         @Override
                         protected void initChannel(Channel channel) {
                             channel.pipeline().addLast(c);
                         }
-                    }).connect(to).sync().channel());
+                    })
+                    .connect(to)
+                    .sync()
+                    .channel());
         }
         return this;
     }
@@ -66,7 +73,8 @@
         pace = loop.scheduleAtFixedRate(this::ask, every, every, TimeUnit.NANOSECONDS);
         Thread.sleep(Math.round(seconds * 1000));
         loop.submit(() -> pace.cancel(false)).get();
-        for (long until = System.nanoTime() + lastMs * 1_000_000; loop.submit(() -> open).get() > 0 && System.nanoTime() < until;) {
+        for (long until = System.nanoTime() + lastMs * 1_000_000;
+                loop.submit(() -> open).get() > 0 && System.nanoTime() < until; ) {
             Thread.sleep(5);
         }
         channels.forEach(c -> c.close().syncUninterruptibly());
@@ -103,7 +111,13 @@
             in.release();
             int end = text.indexOf("\r\n");
             boolean value = text.length() > 2 && text.charAt(0) == 'V';
-            if (end < 0 || value && text.length() < end + 4 + Integer.parseInt(text.substring(3, end).split(" ")[0])) {
+            if (end < 0
+                    || value
+                            && text.length()
+                                    < end
+                                            + 4
+                                            + Integer.parseInt(
+                                                    text.substring(3, end).split(" ")[0])) {
                 return;
             }
             long took = System.nanoTime() - sentAt;
--- a/src/main/java/cacheproxy/bench/QuotaBench.java
+++ b/src/main/java/cacheproxy/bench/QuotaBench.java
@@ -1,17 +1,17 @@
 package cacheproxy.bench;
 
-import com.sun.management.ThreadMXBean;
 import cacheproxy.fleet.lease.LeaseHandle;
+import cacheproxy.fleet.quota.LocalQuota;
+import cacheproxy.fleet.quota.QuotaManager;
+import cacheproxy.fleet.quota.QuotaSpec;
+import cacheproxy.fleet.quota.QuotaTiming;
 import cacheproxy.simulation.QuotaSimulation;
 import cacheproxy.simulation.QuotaSimulation.Fault;
 import cacheproxy.simulation.QuotaSimulation.Plan;
 import cacheproxy.simulation.QuotaSimulation.Result;
 import cacheproxy.simulation.QuotaSimulation.Trouble;
 import cacheproxy.simulation.QuotaSimulation.Way;
-import cacheproxy.fleet.quota.QuotaSpec;
-import cacheproxy.fleet.quota.QuotaTiming;
-import cacheproxy.fleet.quota.LocalQuota;
-import cacheproxy.fleet.quota.QuotaManager;
+import com.sun.management.ThreadMXBean;
 import java.io.PrintWriter;
 import java.lang.management.ManagementFactory;
 import java.util.ArrayList;
@@ -33,28 +33,55 @@
         this.out = out;
     }
 
-    private record Case(String name, double[][] offered, List<Fault> faults) { }
+    private record Case(String name, double[][] offered, List<Fault> faults) {}
 
     void run(int rounds) {
-        out.println("limits: over by requests in 1 s (bound), part idle while as much is refused from 3 s on, messages a second a proxy; means of " + rounds + " seeds");
+        out.println(
+                "limits: over by requests in 1 s (bound), part idle while as much is refused from 3 s on, messages a second a proxy; means of "
+                        + rounds + " seeds");
         for (int n : new int[] {8, 50, 200, 1000}) {
             double amount = Math.max(200, 10 * n);
-            for (QuotaSpec.Alone alone : n > 200 ? new QuotaSpec.Alone[] {QuotaSpec.Alone.SHARE} : new QuotaSpec.Alone[] {QuotaSpec.Alone.SHARE, QuotaSpec.Alone.NONE}) {
+            for (QuotaSpec.Alone alone : n > 200
+                    ? new QuotaSpec.Alone[] {QuotaSpec.Alone.SHARE}
+                    : new QuotaSpec.Alone[] {QuotaSpec.Alone.SHARE, QuotaSpec.Alone.NONE}) {
                 QuotaSpec l = new QuotaSpec("l", false, amount, amount / 10, alone, 1, 0);
-                out.printf(Locale.ROOT, "%d proxies, %.0f a second, three times that wanted, alone: %s; bound %.1f%n", n, amount, alone,
+                out.printf(
+                        Locale.ROOT,
+                        "%d proxies, %.0f a second, three times that wanted, alone: %s; bound %.1f%n",
+                        n,
+                        amount,
+                        alone,
                         QuotaSimulation.bound(l, RULES, n, 1000));
                 for (Case c : cases(n, amount)) {
                     StringBuilder line = new StringBuilder(String.format("  %-22s", c.name));
                     for (Way w : Way.values()) {
-                        if (n > 50 && (w == Way.PEERS || w == Way.GOSSIP) || alone == QuotaSpec.Alone.NONE && w != Way.DEALER) {
+                        if (n > 50 && (w == Way.PEERS || w == Way.GOSSIP)
+                                || alone == QuotaSpec.Alone.NONE && w != Way.DEALER) {
                             continue;
                         }
-                        Result[] r = IntStream.rangeClosed(1, rounds).parallel().mapToObj(seed -> QuotaSimulation.play(new Plan(w, n, l, RULES, c.offered, 1000, 0,
-                                FOR_MS, c.faults, seed))).toArray(Result[]::new);
-                        line.append(String.format(Locale.ROOT, " %s %.0f, %.3f (%.3f to %.3f), %.1f;", w.name().toLowerCase(Locale.ROOT),
-                                Arrays.stream(r).mapToDouble(x -> x.over()[1]).max().orElse(0), Arrays.stream(r).mapToDouble(Result::idle).average().orElse(0),
-                                Arrays.stream(r).mapToDouble(Result::idle).min().orElse(0), Arrays.stream(r).mapToDouble(Result::idle).max().orElse(0),
-                                Arrays.stream(r).mapToDouble(Result::messagesPerSecond).average().orElse(0)));
+                        Result[] r = IntStream.rangeClosed(1, rounds)
+                                .parallel()
+                                .mapToObj(seed -> QuotaSimulation.play(
+                                        new Plan(w, n, l, RULES, c.offered, 1000, 0, FOR_MS, c.faults, seed)))
+                                .toArray(Result[]::new);
+                        line.append(String.format(
+                                Locale.ROOT,
+                                " %s %.0f, %.3f (%.3f to %.3f), %.1f;",
+                                w.name().toLowerCase(Locale.ROOT),
+                                Arrays.stream(r)
+                                        .mapToDouble(x -> x.over()[1])
+                                        .max()
+                                        .orElse(0),
+                                Arrays.stream(r)
+                                        .mapToDouble(Result::idle)
+                                        .average()
+                                        .orElse(0),
+                                Arrays.stream(r).mapToDouble(Result::idle).min().orElse(0),
+                                Arrays.stream(r).mapToDouble(Result::idle).max().orElse(0),
+                                Arrays.stream(r)
+                                        .mapToDouble(Result::messagesPerSecond)
+                                        .average()
+                                        .orElse(0)));
                     }
                     out.println(line);
                     out.flush();
@@ -82,13 +109,29 @@
         }
         List<Integer> half = IntStream.range(0, n / 2).boxed().toList();
         List<Integer> seven = IntStream.range(0, n * 7 / 10).boxed().toList();
-        List<Case> cases = new ArrayList<>(List.of(new Case("even", new double[][] {even}, List.of()), new Case("all at one", new double[][] {one}, List.of()),
-                new Case("at another each second", new double[][] {one, last}, List.of()), new Case("as 1/i", new double[][] {skew}, List.of()),
-                new Case("dealer killed", new double[][] {even}, List.of(new Fault(Trouble.KILL, 5000, 4000, List.of(0), 0))),
-                new Case("dealer stops for 1 s", new double[][] {even}, List.of(new Fault(Trouble.STOP, 5000, 1000, List.of(0), 0))),
-                new Case("split in two for 6 s", new double[][] {skew}, List.of(new Fault(Trouble.SPLIT, 5000, 6000, half, 0))),
-                new Case("30% lost", new double[][] {skew}, List.of(new Fault(Trouble.LOSS, 0, FOR_MS, List.of(), 0.3))),
-                new Case("7 in 10 restarted", new double[][] {even}, List.of(new Fault(Trouble.KILL, 5000, 1500, seven, 0)))));
+        List<Case> cases = new ArrayList<>(List.of(
+                new Case("even", new double[][] {even}, List.of()),
+                new Case("all at one", new double[][] {one}, List.of()),
+                new Case("at another each second", new double[][] {one, last}, List.of()),
+                new Case("as 1/i", new double[][] {skew}, List.of()),
+                new Case(
+                        "dealer killed",
+                        new double[][] {even},
+                        List.of(new Fault(Trouble.KILL, 5000, 4000, List.of(0), 0))),
+                new Case(
+                        "dealer stops for 1 s",
+                        new double[][] {even},
+                        List.of(new Fault(Trouble.STOP, 5000, 1000, List.of(0), 0))),
+                new Case(
+                        "split in two for 6 s",
+                        new double[][] {skew},
+                        List.of(new Fault(Trouble.SPLIT, 5000, 6000, half, 0))),
+                new Case(
+                        "30% lost", new double[][] {skew}, List.of(new Fault(Trouble.LOSS, 0, FOR_MS, List.of(), 0.3))),
+                new Case(
+                        "7 in 10 restarted",
+                        new double[][] {even},
+                        List.of(new Fault(Trouble.KILL, 5000, 1500, seven, 0)))));
         return cases;
     }
 
@@ -100,7 +143,14 @@
         for (int i = 0; i < limits; i++) {
             all.add(new QuotaSpec("l" + i, false, 1e6, 1e5, QuotaSpec.Alone.SHARE, 1, 0));
         }
-        q.use(all, List.of(LeaseHandle.NOBODYS), IntStream.rangeClosed(1, peers).mapToObj(i -> (long) i).toList(), peers, false, true, 0);
+        q.use(
+                all,
+                List.of(LeaseHandle.NOBODYS),
+                IntStream.rangeClosed(1, peers).mapToObj(i -> (long) i).toList(),
+                peers,
+                false,
+                true,
+                0);
         return q;
     }
 
@@ -127,7 +177,13 @@
         }
         Arrays.sort(nanos);
         Arrays.sort(bytes);
-        out.printf(Locale.ROOT, "a take: %.0f ns (%.0f to %.0f), %.2f bytes of garbage%n", nanos[3], nanos[0], nanos[6], bytes[3]);
+        out.printf(
+                Locale.ROOT,
+                "a take: %.0f ns (%.0f to %.0f), %.2f bytes of garbage%n",
+                nanos[3],
+                nanos[0],
+                nanos[6],
+                bytes[3]);
     }
 
     private void many() {
@@ -146,7 +202,11 @@
             }
             q.tick(now);
         }
-        out.printf(Locale.ROOT, "1,000 limits, 100 of them in use, 8 peers: %.1f us a tick of 20 ms, %.1f datagrams a second, %d KB made at the start%n",
-                (System.nanoTime() - from) / 1e3 / ticks, sent[0] * 1000 / now, made >> 10);
+        out.printf(
+                Locale.ROOT,
+                "1,000 limits, 100 of them in use, 8 peers: %.1f us a tick of 20 ms, %.1f datagrams a second, %d KB made at the start%n",
+                (System.nanoTime() - from) / 1e3 / ticks,
+                sent[0] * 1000 / now,
+                made >> 10);
     }
 }
--- a/src/main/java/cacheproxy/bench/SiblingBench.java
+++ b/src/main/java/cacheproxy/bench/SiblingBench.java
@@ -1,16 +1,16 @@
 package cacheproxy.bench;
 
-import com.sun.management.ThreadMXBean;
 import cacheproxy.config.Addresses;
 import cacheproxy.config.DaemonConfigReader;
 import cacheproxy.daemon.Daemon;
+import cacheproxy.fakes.FakeFleet;
+import cacheproxy.fakes.LoadClient;
+import cacheproxy.fakes.LossyDatagramLink;
 import cacheproxy.icp.IcpCodec;
 import cacheproxy.icp.IcpMessage;
 import cacheproxy.proxy.Transport;
 import cacheproxy.siblings.CacheDigest;
-import cacheproxy.fakes.LoadClient;
-import cacheproxy.fakes.LossyDatagramLink;
-import cacheproxy.fakes.FakeFleet;
+import com.sun.management.ThreadMXBean;
 import io.netty.buffer.ByteBuf;
 import io.netty.buffer.ByteBufAllocator;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
@@ -62,22 +62,39 @@
         }
     }
 
-    private static String file(FakeFleet fleet, InetSocketAddress icp, InetSocketAddress fetch, InetSocketAddress siblingIcp,
-            InetSocketAddress siblingFetch, boolean asks) {
+    private static String file(
+            FakeFleet fleet,
+            InetSocketAddress icp,
+            InetSocketAddress fetch,
+            InetSocketAddress siblingIcp,
+            InetSocketAddress siblingFetch,
+            boolean asks) {
         StringBuilder servers = new StringBuilder();
-        fleet.nodes.forEach(n -> servers.append("[[pool.server]]\nname = \"n").append(n.address().getPort()).append("\"\ndial = \"")
-                .append(n.dial()).append("\"\n"));
-        return "[[class]]\nname = \"page\"\neffect = \"safe\"\naim_ms = " + (int) AIM_MS + "\ndeadline_ms = 1000\n[[class]]\nname = \"sibling\"\n"
+        fleet.nodes.forEach(n -> servers.append("[[pool.server]]\nname = \"n")
+                .append(n.address().getPort())
+                .append("\"\ndial = \"")
+                .append(n.dial())
+                .append("\"\n"));
+        return "[[class]]\nname = \"page\"\neffect = \"safe\"\naim_ms = " + (int) AIM_MS
+                + "\ndeadline_ms = 1000\n[[class]]\nname = \"sibling\"\n"
                 + "effect = \"safe\"\naim_ms = 250\ndeadline_ms = 1000\n[[listen]]\nname = \"main\"\naddress = \"127.0.0.1:0\"\nopen = true\n"
-                + "class = \"page\"\n[[listen]]\nname = \"siblings\"\naddress = \"" + Addresses.text(fetch) + "\"\n[icp]\naddress = \""
-                + Addresses.text(icp) + "\"\nlistener = \"siblings\"\nhold_ms = 3600000\nper_second = 100000\n[[sibling]]\nname = \"other\"\nicp = \""
-                + Addresses.text(siblingIcp) + "\"\nfetch = \"" + Addresses.text(siblingFetch) + "\"\nclass = \"sibling\"\n[[pool]]\nname = \"a\"\n"
-                + (asks ? "siblings = [\"other\"]\n" : "") + servers + "[pool.origin]\nname = \"o\"\ndial = \"" + fleet.origin.dial()
-                + "\"\n[[pool]]\nname = \"lookup\"\n" + servers + "[[route]]\nname = \"s\"\nlistener = \"siblings\"\npools = [\"lookup\"]\n"
+                + "class = \"page\"\n[[listen]]\nname = \"siblings\"\naddress = \"" + Addresses.text(fetch)
+                + "\"\n[icp]\naddress = \""
+                + Addresses.text(icp)
+                + "\"\nlistener = \"siblings\"\nhold_ms = 3600000\nper_second = 100000\n[[sibling]]\nname = \"other\"\nicp = \""
+                + Addresses.text(siblingIcp) + "\"\nfetch = \"" + Addresses.text(siblingFetch)
+                + "\"\nclass = \"sibling\"\n[[pool]]\nname = \"a\"\n"
+                + (asks ? "siblings = [\"other\"]\n" : "") + servers + "[pool.origin]\nname = \"o\"\ndial = \""
+                + fleet.origin.dial()
+                + "\"\n[[pool]]\nname = \"lookup\"\n" + servers
+                + "[[route]]\nname = \"s\"\nlistener = \"siblings\"\npools = [\"lookup\"]\n"
                 + "[[route]]\nname = \"all\"\npools = [\"a\"]\n";
     }
 
-    /** Every request misses; half of all keys are at the sibling. A fresh fleet and daemon for each window, arms turn about. */
+    /**
+     * Every request misses; half of all keys are at the sibling. A fresh fleet and daemon for each window, arms turn
+     * about.
+     */
     private void pressure(double originMs) throws Exception {
         MultiThreadIoEventLoopGroup clients = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
         double[][] inTime = new double[3][rounds];
@@ -97,14 +114,27 @@
                     InetSocketAddress fetchA = tcp();
                     InetSocketAddress fetchB = tcp();
                     try (FakeFleet own = new FakeFleet(2);
-                            LossyDatagramLink link = new LossyDatagramLink(own.loop(), icpA, icpB, r, arm == 2 ? 0.5 : 0, 0, 0);
-                            Daemon b = Daemon.start(DaemonConfigReader.parse("bench", file(other, icpB, fetchB, link.towardsA(), fetchA, false)), r);
-                            Daemon a = Daemon.start(DaemonConfigReader.parse("bench", file(own, icpA, fetchA, link.towardsB(), fetchB, arm > 0)), r)) {
+                            LossyDatagramLink link =
+                                    new LossyDatagramLink(own.loop(), icpA, icpB, r, arm == 2 ? 0.5 : 0, 0, 0);
+                            Daemon b = Daemon.start(
+                                    DaemonConfigReader.parse(
+                                            "bench", file(other, icpB, fetchB, link.towardsA(), fetchA, false)),
+                                    r);
+                            Daemon a = Daemon.start(
+                                    DaemonConfigReader.parse(
+                                            "bench", file(own, icpA, fetchA, link.towardsB(), fetchB, arm > 0)),
+                                    r)) {
                         own.origin.work(originMs);
                         int n = (int) (PER_SECOND * (seconds + 1)) + 10;
-                        new LoadClient(clients.next(), b.address("main"), n / 2, i -> new LoadClient.Ask("key/" + 2 * i, "", null, null)).start(8, 4)
+                        new LoadClient(
+                                        clients.next(),
+                                        b.address("main"),
+                                        n / 2,
+                                        i -> new LoadClient.Ask("key/" + 2 * i, "", null, null))
+                                .start(8, 4)
                                 .get(60, TimeUnit.SECONDS); // its nodes answer, so that it knows what they have
-                        OpenLoopLoad load = new OpenLoopLoad(clients.next(), AIM_MS, i -> "key/" + i).connect(a.address("main"), 300)
+                        OpenLoopLoad load = new OpenLoopLoad(clients.next(), AIM_MS, i -> "key/" + i)
+                                .connect(a.address("main"), 300)
                                 .run(PER_SECOND, seconds, 2000);
                         inTime[arm][r] = load.inTime / (double) load.asked;
                         fetches[arm][r] = own.origin.fetches() / (double) load.asked;
@@ -116,12 +146,18 @@
         } finally {
             clients.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         }
-        out.printf("%nthe origin takes %.0f ms a fetch, 16 at once; %.0f misses a second, half of the keys at the sibling; %d windows of %.1f s%n",
+        out.printf(
+                "%nthe origin takes %.0f ms a fetch, 16 at once; %.0f misses a second, half of the keys at the sibling; %d windows of %.1f s%n",
                 originMs, PER_SECOND, rounds, seconds);
         out.printf("%-14s %24s %24s %22s %s%n", "", "within aim", "fetches a request", "p50 ms", "unanswered");
         for (int a = 0; a < 3; a++) {
-            out.printf("%-14s %24s %24s %22s %d%n", ARMS[a], SnapshotBench.mean(inTime[a], 3), SnapshotBench.mean(fetches[a], 3),
-                    SnapshotBench.mean(p50[a], 2), unanswered[a]);
+            out.printf(
+                    "%-14s %24s %24s %22s %d%n",
+                    ARMS[a],
+                    SnapshotBench.mean(inTime[a], 3),
+                    SnapshotBench.mean(fetches[a], 3),
+                    SnapshotBench.mean(p50[a], 2),
+                    unanswered[a]);
         }
         for (int a = 1; a < 3; a++) {
             double[] gain = new double[rounds];
--- a/src/main/java/cacheproxy/bench/SnapshotBench.java
+++ b/src/main/java/cacheproxy/bench/SnapshotBench.java
@@ -2,13 +2,13 @@
 
 import cacheproxy.config.DaemonConfigReader;
 import cacheproxy.daemon.Daemon;
-import cacheproxy.snapshot.state.StateSnapshot;
-import cacheproxy.snapshot.SnapshotStore;
-import cacheproxy.snapshot.SnapshotCodec;
-import cacheproxy.proxy.Transport;
-import cacheproxy.fakes.LoadClient;
-import cacheproxy.fakes.FakeFleet;
 import cacheproxy.fakes.FakeCacheServer;
+import cacheproxy.fakes.FakeFleet;
+import cacheproxy.fakes.LoadClient;
+import cacheproxy.proxy.Transport;
+import cacheproxy.snapshot.SnapshotCodec;
+import cacheproxy.snapshot.SnapshotStore;
+import cacheproxy.snapshot.state.StateSnapshot;
 import io.netty.channel.EventLoop;
 import io.netty.channel.MultiThreadIoEventLoopGroup;
 import java.io.IOException;
@@ -31,13 +31,15 @@
     private static final int NODES = 22;
     /** 9 of 22: 41%. */
     private static final int MUTE = 5;
+
     private static final int SLOW = 4;
     private static final double AIM_MS = 250;
     private static final double PER_SECOND = 400;
     private static final double HOUR_MS = 3_600_000;
     private static final int KEYS = 2000;
     private static final int LANES = 6;
-    private static final String JAVA = Path.of(System.getProperty("java.home"), "bin", "java").toString();
+    private static final String JAVA =
+            Path.of(System.getProperty("java.home"), "bin", "java").toString();
 
     private final PrintWriter out;
     private final int rounds;
@@ -105,19 +107,34 @@
         for (Thread thread : threads) {
             thread.join();
         }
-        out.printf("kills %d, starts that failed %d, corrupt loads %d; found: the newest %d, the one before it %d, none %d; "
-                + "killed in the middle of a write %d; requests answered meanwhile %d%n", t.kills.get(), t.failedStarts.get(), t.corrupt.get(),
-                t.newest.get(), t.older.get(), t.none.get(), t.leftNew.get(), t.answered.get());
+        out.printf(
+                "kills %d, starts that failed %d, corrupt loads %d; found: the newest %d, the one before it %d, none %d; "
+                        + "killed in the middle of a write %d; requests answered meanwhile %d%n",
+                t.kills.get(),
+                t.failedStarts.get(),
+                t.corrupt.get(),
+                t.newest.get(),
+                t.older.get(),
+                t.none.get(),
+                t.leftNew.get(),
+                t.answered.get());
     }
 
     private static Process process(Path log, String... words) throws IOException {
-        List<String> line = new ArrayList<>(List.of(JAVA, "-XX:TieredStopAtLevel=1", "-XX:+UseSerialGC", "-Xmx128m", "-cp",
+        List<String> line = new ArrayList<>(List.of(
+                JAVA,
+                "-XX:TieredStopAtLevel=1",
+                "-XX:+UseSerialGC",
+                "-Xmx128m",
+                "-cp",
                 System.getProperty("java.class.path")));
         line.addAll(List.of(words));
         return new ProcessBuilder(line).redirectError(log.toFile()).start();
     }
 
-    /** A process that only writes is killed at any moment of a write; what is found must be one of its states, whole. */
+    /**
+     * A process that only writes is killed at any moment of a write; what is found must be one of its states, whole.
+     */
     private void kill(Path folder, int lane, Tally t) throws Exception {
         SplittableRandom random = new SplittableRandom(lane);
         Path file = folder.resolve("memory");
@@ -173,7 +190,11 @@
                 InetSocketAddress to = new InetSocketAddress(InetAddress.getLoopbackAddress(), port);
                 if (!awaitListening(p, to)) {
                     t.failedStarts.incrementAndGet();
-                    out.println("start failed: " + Files.readString(folder.resolve("log")).lines().findFirst().orElse("nothing told"));
+                    out.println("start failed: "
+                            + Files.readString(folder.resolve("log"))
+                                    .lines()
+                                    .findFirst()
+                                    .orElse("nothing told"));
                     p.destroyForcibly().waitFor();
                     continue;
                 }
@@ -188,12 +209,15 @@
                     t.leftNew.incrementAndGet();
                 }
                 SnapshotStore.Found found = SnapshotStore.at(memory).read();
-                boolean lost = found.content() == null ? generation > 0 : found.content().generation() < generation;
+                boolean lost = found.content() == null
+                        ? generation > 0
+                        : found.content().generation() < generation;
                 if (lost || !found.notes().isEmpty()) {
                     t.corrupt.incrementAndGet();
                 }
                 (found.content() == null ? t.none : found.older() ? t.older : t.newest).incrementAndGet();
-                generation = found.content() == null ? generation : found.content().generation();
+                generation =
+                        found.content() == null ? generation : found.content().generation();
             }
             t.kills.decrementAndGet();
         }
@@ -228,13 +252,20 @@
 
     /** A daemon's file for these nodes; null: without a memory. */
     private static String file(FakeFleet fleet, Path memory, int periodMs) {
-        StringBuilder t = new StringBuilder("[site]\nwarm_up_ms = 3000\n[[class]]\nname = \"page\"\neffect = \"safe\"\naim_ms = " + (int) AIM_MS
-                + "\ndeadline_ms = 1000\n[[listen]]\nname = \"main\"\naddress = \"127.0.0.1:0\"\nopen = true\nclass = \"page\"\n[[pool]]\n"
-                + "name = \"a\"\n");
+        StringBuilder t = new StringBuilder(
+                "[site]\nwarm_up_ms = 3000\n[[class]]\nname = \"page\"\neffect = \"safe\"\naim_ms = " + (int) AIM_MS
+                        + "\ndeadline_ms = 1000\n[[listen]]\nname = \"main\"\naddress = \"127.0.0.1:0\"\nopen = true\nclass = \"page\"\n[[pool]]\n"
+                        + "name = \"a\"\n");
         for (FakeCacheServer n : fleet.nodes) {
-            t.append("[[pool.server]]\nname = \"n").append(n.address().getPort()).append("\"\ndial = \"").append(n.dial()).append("\"\n");
+            t.append("[[pool.server]]\nname = \"n")
+                    .append(n.address().getPort())
+                    .append("\"\ndial = \"")
+                    .append(n.dial())
+                    .append("\"\n");
         }
-        t.append("[pool.origin]\nname = \"store\"\ndial = \"").append(fleet.origin.dial()).append("\"\n[[route]]\nname = \"all\"\npools = [\"a\"]\n");
+        t.append("[pool.origin]\nname = \"store\"\ndial = \"")
+                .append(fleet.origin.dial())
+                .append("\"\n[[route]]\nname = \"all\"\npools = [\"a\"]\n");
         return t + (memory == null ? "" : "[memory]\npath = \"" + memory + "\"\nperiod_ms = " + periodMs + "\n");
     }
 
@@ -263,31 +294,43 @@
                     load(clients.next(), d, 8);
                     d.drain();
                 }
-                StateSnapshot known = SnapshotCodec.decode(Files.readAllBytes(learned)).content();
+                StateSnapshot known =
+                        SnapshotCodec.decode(Files.readAllBytes(learned)).content();
                 for (int k = 0; k < 3; k++) {
                     int arm = (k + r) % 3;
                     Path memory = folder.resolve("arm" + r + "-" + arm);
                     if (arm > 0) {
-                        SnapshotStore.at(memory).write(new StateSnapshot(known.site(), known.me(),
-                                System.currentTimeMillis() - (arm == 2 ? HOUR_MS : 0), 0, known.pools(), known.births()));
+                        SnapshotStore.at(memory)
+                                .write(new StateSnapshot(
+                                        known.site(),
+                                        known.me(),
+                                        System.currentTimeMillis() - (arm == 2 ? HOUR_MS : 0),
+                                        0,
+                                        known.pools(),
+                                        known.births()));
                     }
-                    int before = bad.stream().mapToInt(FakeCacheServer::commands).sum();
-                    try (Daemon d = Daemon.start(DaemonConfigReader.parse("bench", file(fleet, memory, 2000)), 100 + r)) {
+                    int before =
+                            bad.stream().mapToInt(FakeCacheServer::commands).sum();
+                    try (Daemon d =
+                            Daemon.start(DaemonConfigReader.parse("bench", file(fleet, memory, 2000)), 100 + r)) {
                         OpenLoopLoad load = load(clients.next(), d, 10);
                         worth[arm][r] = load.inTime / (double) load.asked;
                         p99[arm][r] = load.nanos.getValueAtPercentile(99) / 1e6;
                     }
-                    toBad[arm][r] = bad.stream().mapToInt(FakeCacheServer::commands).sum() - before;
+                    toBad[arm][r] =
+                            bad.stream().mapToInt(FakeCacheServer::commands).sum() - before;
                 }
-                out.printf("round %d: within aim %.4f, %.4f, %.4f; sent to the bad %.0f, %.0f, %.0f%n", r, worth[0][r], worth[1][r],
-                        worth[2][r], toBad[0][r], toBad[1][r], toBad[2][r]);
+                out.printf(
+                        "round %d: within aim %.4f, %.4f, %.4f; sent to the bad %.0f, %.0f, %.0f%n",
+                        r, worth[0][r], worth[1][r], worth[2][r], toBad[0][r], toBad[1][r], toBad[2][r]);
                 out.flush();
             }
         } finally {
             clients.shutdownGracefully(0, 1, TimeUnit.SECONDS);
         }
-        out.printf("%n%d of %d nodes silent, %d answer after 400 ms; %.0f requests a second for 10 s after a start, %d rounds%n", MUTE,
-                NODES, SLOW, PER_SECOND, rounds);
+        out.printf(
+                "%n%d of %d nodes silent, %d answer after 400 ms; %.0f requests a second for 10 s after a start, %d rounds%n",
+                MUTE, NODES, SLOW, PER_SECOND, rounds);
         out.printf("%-14s %26s %26s %22s%n", "", "within aim", "sent to the bad ones", "p99 ms");
         for (int a = 0; a < 3; a++) {
             out.printf("%-14s %26s %26s %22s%n", arms[a], mean(worth[a], 4), mean(toBad[a], 0), mean(p99[a], 0));
@@ -299,12 +342,15 @@
                 gain[r] = worth[a][r] - worth[0][r];
                 fewer[r] = toBad[a][r] - toBad[0][r];
             }
-            out.println(arms[a] + " less no file, round by round: within aim " + mean(gain, 4) + ", sent to the bad " + mean(fewer, 1));
+            out.println(arms[a] + " less no file, round by round: within aim " + mean(gain, 4) + ", sent to the bad "
+                    + mean(fewer, 1));
         }
     }
 
     private static OpenLoopLoad load(EventLoop loop, Daemon d, double seconds) throws Exception {
-        return new OpenLoopLoad(loop, AIM_MS, SnapshotBench::key).connect(d.address("main"), 500).run(PER_SECOND, seconds, 1500);
+        return new OpenLoopLoad(loop, AIM_MS, SnapshotBench::key)
+                .connect(d.address("main"), 500)
+                .run(PER_SECOND, seconds, 1500);
     }
 
     /** Mean and the half width of its 95% interval, by Student's t. */
@@ -332,7 +378,8 @@
                 for (int r = -1; r < rounds; r++) {
                     for (int k = 0; k < 3; k++) {
                         int which = (k + Math.max(0, r)) % 3;
-                        OpenLoopLoad load = new OpenLoopLoad(clients.next(), AIM_MS, SnapshotBench::key).connect(daemons[which].address("main"), 100)
+                        OpenLoopLoad load = new OpenLoopLoad(clients.next(), AIM_MS, SnapshotBench::key)
+                                .connect(daemons[which].address("main"), 100)
                                 .run(4000, seconds, 1000);
                         if (r >= 0) {
                             p50[which][r] = load.nanos.getValueAtPercentile(50) / 1e3;
@@ -346,23 +393,35 @@
                     ratio[r] = p99[1][r] / Math.sqrt(p99[0][r] * p99[2][r]);
                     noise[r] = p99[2][r] / p99[0][r];
                 }
-                out.printf("%nwriting 20 times a second, 4000 requests a second, windows of %.1f s turn about%n", seconds);
+                out.printf(
+                        "%nwriting 20 times a second, 4000 requests a second, windows of %.1f s turn about%n", seconds);
                 // Medians: single windows in which the machine stood still would make any mean say nothing.
-                out.printf("p50 us: without %s, with %s; p99 us: without %s, with %s%n", HookBench.spread(p50[0]), HookBench.spread(p50[1]),
-                        HookBench.spread(p99[0]), HookBench.spread(p99[1]));
-                out.printf("p99, with to without: %s; without again to without: %s%n", HookBench.ratio(ratio), HookBench.ratio(noise));
+                out.printf(
+                        "p50 us: without %s, with %s; p99 us: without %s, with %s%n",
+                        HookBench.spread(p50[0]),
+                        HookBench.spread(p50[1]),
+                        HookBench.spread(p99[0]),
+                        HookBench.spread(p99[1]));
+                out.printf(
+                        "p99, with to without: %s; without again to without: %s%n",
+                        HookBench.ratio(ratio), HookBench.ratio(noise));
             }
             AtomicBoolean over = new AtomicBoolean();
-            try (Daemon d = Daemon.start(DaemonConfigReader.parse("bench", file(fleet, folder.resolve("hour"), 2000)), 1)) {
+            try (Daemon d =
+                    Daemon.start(DaemonConfigReader.parse("bench", file(fleet, folder.resolve("hour"), 2000)), 1)) {
                 fleet.nodes.get(0).mute(true);
-                LoadClient load = new LoadClient(clients.next(), d.address("main"), 1_000_000, i -> new LoadClient.Ask(over.get() ? "x" : key(i), "",
-                        null, null));
+                LoadClient load = new LoadClient(
+                        clients.next(),
+                        d.address("main"),
+                        1_000_000,
+                        i -> new LoadClient.Ask(over.get() ? "x" : key(i), "", null, null));
                 load.start(4, 1);
                 Thread.sleep(20_000);
                 over.set(true);
                 long[] written = d.memoryWritten();
-                out.printf("at the usual period of 2 s, under load: %d writes of %.0f bytes in 20 s, %.2f MB an hour%n", written[0],
-                        written[1] / (double) Math.max(1, written[0]), written[1] * 180 / 1e6);
+                out.printf(
+                        "at the usual period of 2 s, under load: %d writes of %.0f bytes in 20 s, %.2f MB an hour%n",
+                        written[0], written[1] / (double) Math.max(1, written[0]), written[1] * 180 / 1e6);
             }
         } finally {
             clients.shutdownGracefully(0, 1, TimeUnit.SECONDS);
--- a/src/main/java/cacheproxy/bench/SnapshotCrashProcess.java
+++ b/src/main/java/cacheproxy/bench/SnapshotCrashProcess.java
@@ -1,8 +1,8 @@
 package cacheproxy.bench;
 
+import cacheproxy.snapshot.SnapshotStore;
 import cacheproxy.snapshot.state.LearnedState;
 import cacheproxy.snapshot.state.StateSnapshot;
-import cacheproxy.snapshot.SnapshotStore;
 import java.nio.file.Path;
 import java.util.ArrayList;
 import java.util.List;
@@ -10,7 +10,7 @@
 
 /** A process that writes a memory over and over until it is killed; each state can be told from its own parts. */
 public final class SnapshotCrashProcess {
-    private SnapshotCrashProcess() { }
+    private SnapshotCrashProcess() {}
 
     /** Writes at the path that is given; a line on standard output once it has begun. */
     public static void main(String[] args) throws Exception {
@@ -32,8 +32,22 @@
         for (int i = 0; i < 20 + n % 300; i++) {
             servers.add(new LearnedState.Server(i, n, n % 7 + 1, n, 0));
         }
-        return new StateSnapshot("victim", n, 1e12 + n, 0, Map.of("a", new StateSnapshot.Pool("", new LearnedState(servers,
-                new LearnedState.Pace(n, n, n, n, 1), LearnedState.NONE.fetches(), LearnedState.NONE.crowd(), LearnedState.NONE.hot()), Map.of())),
+        return new StateSnapshot(
+                "victim",
+                n,
+                1e12 + n,
+                0,
+                Map.of(
+                        "a",
+                        new StateSnapshot.Pool(
+                                "",
+                                new LearnedState(
+                                        servers,
+                                        new LearnedState.Pace(n, n, n, n, 1),
+                                        LearnedState.NONE.fetches(),
+                                        LearnedState.NONE.crowd(),
+                                        LearnedState.NONE.hot()),
+                                Map.of())),
                 List.of());
     }
 }
--- a/src/main/java/cacheproxy/cli/CheckCommand.java
+++ b/src/main/java/cacheproxy/cli/CheckCommand.java
@@ -11,8 +11,11 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-@Command(name = "check", mixinStandardHelpOptions = true,
-        description = "Checks a file and tells every error as file:line:column. Exit 0: run would take it; 2: it would not.")
+@Command(
+        name = "check",
+        mixinStandardHelpOptions = true,
+        description =
+                "Checks a file and tells every error as file:line:column. Exit 0: run would take it; 2: it would not.")
 final class CheckCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
@@ -36,8 +39,10 @@
         if (fleet != null) {
             fleet.warnings().forEach(w -> spec.commandLine().getErr().println(file + ": warning: " + w));
         }
-        spec.commandLine().getOut().println(file + ": good; " + f.listeners().size() + " listeners, " + f.pools().size()
-                + " pools, " + f.routes().routes().size() + " routes");
+        spec.commandLine()
+                .getOut()
+                .println(file + ": good; " + f.listeners().size() + " listeners, "
+                        + f.pools().size() + " pools, " + f.routes().routes().size() + " routes");
         return 0;
     }
 }
--- a/src/main/java/cacheproxy/cli/Cli.java
+++ b/src/main/java/cacheproxy/cli/Cli.java
@@ -5,11 +5,25 @@
 import picocli.CommandLine.Command;
 
 /** The daemon's command line. Exit codes: 0 done, 1 it ran and found what it looks for, 2 it could not run. */
-@Command(name = "coralbay", mixinStandardHelpOptions = true, version = "coralbay 0.2.0", sortOptions = false,
+@Command(
+        name = "coralbay",
+        mixinStandardHelpOptions = true,
+        version = "coralbay 0.2.0",
+        sortOptions = false,
         description = "A proxy in front of fleets of cache nodes.",
-        subcommands = {RunCommand.class, CheckCommand.class, ExplainCommand.class, DemoCommand.class,
-            ImportNginxCommand.class, HookCommand.class, SnapshotCommand.class, BenchCommand.class,
-            FleetCommand.class, LeasesCommand.class, LimitsCommand.class},
+        subcommands = {
+            RunCommand.class,
+            CheckCommand.class,
+            ExplainCommand.class,
+            DemoCommand.class,
+            ImportNginxCommand.class,
+            HookCommand.class,
+            SnapshotCommand.class,
+            BenchCommand.class,
+            FleetCommand.class,
+            LeasesCommand.class,
+            LimitsCommand.class
+        },
         footer = {"", "The platform's own commands, which take no options: serve, drill, train."})
 public final class Cli implements Runnable {
     /** Wrong input: a file, a flag, an address. */
--- a/src/main/java/cacheproxy/cli/ConfDirectory.java
+++ b/src/main/java/cacheproxy/cli/ConfDirectory.java
@@ -5,9 +5,9 @@
 import java.nio.charset.StandardCharsets;
 import java.nio.file.DirectoryStream;
 import java.nio.file.Files;
+import java.nio.file.InvalidPathException;
 import java.nio.file.NoSuchFileException;
 import java.nio.file.Path;
-import java.nio.file.InvalidPathException;
 import java.util.ArrayList;
 import java.util.List;
 
@@ -66,7 +66,8 @@
                     try (DirectoryStream<Path> stream = Files.newDirectoryStream(dir, part.replace("{", "\\{"))) {
                         // glob(3) passes over names with a dot in front unless the pattern has it, too.
                         stream.forEach(p -> {
-                            if (part.startsWith(".") || !p.getFileName().toString().startsWith(".")) {
+                            if (part.startsWith(".")
+                                    || !p.getFileName().toString().startsWith(".")) {
                                 own.add(p);
                             }
                         });
@@ -81,7 +82,11 @@
             }
             found = next;
         }
-        return found.stream().filter(Files::isRegularFile).map(p -> pattern.startsWith("/") ? p.toString()
-                : prefix.relativize(p).toString()).toList();
+        return found.stream()
+                .filter(Files::isRegularFile)
+                .map(p -> pattern.startsWith("/")
+                        ? p.toString()
+                        : prefix.relativize(p).toString())
+                .toList();
     }
 }
--- a/src/main/java/cacheproxy/cli/ControlCall.java
+++ b/src/main/java/cacheproxy/cli/ControlCall.java
@@ -12,7 +12,7 @@
     private static final int PATIENCE_MS = 3000;
 
     /** @param code the status of HTTP */
-    record Answer(int code, String text) { }
+    record Answer(int code, String text) {}
 
     private final String control;
     private final PrintWriter err;
@@ -29,14 +29,17 @@
             try (Socket s = new Socket()) {
                 s.connect(to, PATIENCE_MS);
                 s.setSoTimeout(PATIENCE_MS);
-                s.getOutputStream().write((method + " " + path + " HTTP/1.1\r\nHost: " + control + "\r\nContent-Length: 0\r\n\r\n")
-                        .getBytes(StandardCharsets.US_ASCII));
+                s.getOutputStream()
+                        .write((method + " " + path + " HTTP/1.1\r\nHost: " + control + "\r\nContent-Length: 0\r\n\r\n")
+                                .getBytes(StandardCharsets.US_ASCII));
                 String text = new String(s.getInputStream().readAllBytes(), StandardCharsets.UTF_8);
                 int body = text.indexOf("\r\n\r\n");
                 if (!text.startsWith("HTTP/1.1 ") || body < 0) {
                     throw new IOException("no answer in HTTP");
                 }
-                return new Answer(Integer.parseInt(text.substring(9, 12)), text.substring(body + 4).strip());
+                return new Answer(
+                        Integer.parseInt(text.substring(9, 12)),
+                        text.substring(body + 4).strip());
             }
         } catch (IOException | IllegalArgumentException e) {
             err.println(control + ": " + e.getMessage());
--- a/src/main/java/cacheproxy/cli/DemoCommand.java
+++ b/src/main/java/cacheproxy/cli/DemoCommand.java
@@ -3,8 +3,8 @@
 import cacheproxy.config.DaemonConfigReader;
 import cacheproxy.daemon.Daemon;
 import cacheproxy.fakes.Demo;
-import cacheproxy.fakes.LoadClient;
 import cacheproxy.fakes.FakeFleet;
+import cacheproxy.fakes.LoadClient;
 import java.io.PrintWriter;
 import java.net.InetSocketAddress;
 import java.util.List;
@@ -17,7 +17,9 @@
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-@Command(name = "demo", mixinStandardHelpOptions = true,
+@Command(
+        name = "demo",
+        mixinStandardHelpOptions = true,
         description = "Starts stand-in cache nodes, an origin and discovery on this machine and the daemon in front of "
                 + "them. Without --requests it goes on until Ctrl-C.")
 final class DemoCommand implements Callable<Integer> {
@@ -27,8 +29,11 @@
     @Spec
     private CommandSpec spec;
 
-    @Option(names = "--requests", paramLabel = "N", description = "Sends N requests of all classes while some nodes "
-            + "stall and one restarts cold; exit 0 only if none is lost and none took effect twice.")
+    @Option(
+            names = "--requests",
+            paramLabel = "N",
+            description = "Sends N requests of all classes while some nodes "
+                    + "stall and one restarts cold; exit 0 only if none is lost and none took effect twice.")
     private int requests;
 
     @Option(names = "--seed", paramLabel = "N", defaultValue = "1", description = "Seed of requests and troubles.")
@@ -72,7 +77,8 @@
                     told[0]++;
                     out.println(told[0] * 10 + "%: " + trouble(fleet, random, told[0]));
                     out.flush();
-                }).start(CONNECTIONS, DEPTH);
+                })
+                .start(CONNECTIONS, DEPTH);
         LoadClient.Account a = done.get();
         a.faults.forEach(out::println);
         out.println("sent " + a.sent + " served " + a.served + " refused " + a.refused + " failed "
@@ -87,12 +93,13 @@
         int other = (node + 1 + random.nextInt(Demo.NODES - 1)) % Demo.NODES;
         if (tenth == 5) {
             new Thread(() -> {
-                try {
-                    fleet.restart(node);
-                } catch (InterruptedException e) {
-                    Thread.currentThread().interrupt();
-                }
-            }).start();
+                        try {
+                            fleet.restart(node);
+                        } catch (InterruptedException e) {
+                            Thread.currentThread().interrupt();
+                        }
+                    })
+                    .start();
             return "node " + node + " restarts cold";
         }
         if (tenth < 10) {
--- a/src/main/java/cacheproxy/cli/ExplainCommand.java
+++ b/src/main/java/cacheproxy/cli/ExplainCommand.java
@@ -13,7 +13,9 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-@Command(name = "explain", mixinStandardHelpOptions = true,
+@Command(
+        name = "explain",
+        mixinStandardHelpOptions = true,
         description = "Says for each key which route, pool and server it goes to while all servers are well.")
 final class ExplainCommand implements Callable<Integer> {
     @Spec
@@ -25,10 +27,16 @@
     @Parameters(index = "1..*", paramLabel = "KEY", arity = "1..*", description = "Keys as clients send them.")
     private List<String> keys;
 
-    @Option(names = "--class", paramLabel = "NAME", description = "The request's class; else the listener's, or the first.")
+    @Option(
+            names = "--class",
+            paramLabel = "NAME",
+            description = "The request's class; else the listener's, or the first.")
     private String serviceClass;
 
-    @Option(names = "--tenant", paramLabel = "NAME", description = "The request's tenant; else the listener's, or the first.")
+    @Option(
+            names = "--tenant",
+            paramLabel = "NAME",
+            description = "The request's tenant; else the listener's, or the first.")
     private String tenant;
 
     @Option(names = "--listener", paramLabel = "NAME", description = "Where it comes in; else the first listener.")
@@ -48,8 +56,10 @@
         if (f == null) {
             return Cli.UNUSABLE;
         }
-        DaemonConfig.Listen at = f.listeners().stream().filter(l -> listener == null || l.name().equals(listener))
-                .findFirst().orElse(null);
+        DaemonConfig.Listen at = f.listeners().stream()
+                .filter(l -> listener == null || l.name().equals(listener))
+                .findFirst()
+                .orElse(null);
         if (at == null) {
             err.println("there is no listener '" + listener + "' in " + file);
             return Cli.UNUSABLE;
--- a/src/main/java/cacheproxy/cli/Files.java
+++ b/src/main/java/cacheproxy/cli/Files.java
@@ -8,7 +8,7 @@
 
 /** Reading the daemon's file for a command. */
 final class Files {
-    private Files() { }
+    private Files() {}
 
     /** The file, or null after its errors have been printed. */
     static DaemonConfig read(Path path, PrintWriter err) {
--- a/src/main/java/cacheproxy/cli/FleetCommand.java
+++ b/src/main/java/cacheproxy/cli/FleetCommand.java
@@ -21,9 +21,17 @@
 import picocli.CommandLine.Spec;
 
 /** Exit codes of all: 0 held, 1 broken, 2 could not run, 3 the machine was too slow for a verdict. */
-@Command(name = "fleet", mixinStandardHelpOptions = true,
-        description = "Plays scenarios: many processes of this program, faults between them, and what they did checked from outside.",
-        subcommands = {FleetCommand.Play.class, FleetCommand.Check.class, FleetCommand.Shrink.class, FleetCommand.Plan.class})
+@Command(
+        name = "fleet",
+        mixinStandardHelpOptions = true,
+        description =
+                "Plays scenarios: many processes of this program, faults between them, and what they did checked from outside.",
+        subcommands = {
+            FleetCommand.Play.class,
+            FleetCommand.Check.class,
+            FleetCommand.Shrink.class,
+            FleetCommand.Plan.class
+        })
 final class FleetCommand implements Runnable {
     private static final int NO_VERDICT = 3;
 
@@ -61,6 +69,7 @@
     static final class Choice {
         @Parameters(paramLabel = "SCENARIO", description = "The scenario's file.")
         private Path file;
+
         @Option(names = "--seed", paramLabel = "N", description = "Instead of the file's.")
         private Long seed;
 
@@ -73,10 +82,14 @@
     static final class Play implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
+
         @Mixin
         private Choice choice;
-        @Option(names = "--out", paramLabel = "DIR", description = "For the history, the faults as played, logs; a new folder of the "
-                + "system's else.")
+
+        @Option(
+                names = "--out",
+                paramLabel = "DIR",
+                description = "For the history, the faults as played, logs; a new folder of the " + "system's else.")
         private Path out;
 
         @Override
@@ -101,6 +114,7 @@
     static final class Check implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
+
         @Parameters(paramLabel = "HISTORY", description = "A file of play.")
         private Path file;
 
@@ -115,10 +129,14 @@
         }
     }
 
-    @Command(name = "plan", mixinStandardHelpOptions = true, description = "Prints a scenario with its lots drawn: each fault by names and times.")
+    @Command(
+            name = "plan",
+            mixinStandardHelpOptions = true,
+            description = "Prints a scenario with its lots drawn: each fault by names and times.")
     static final class Plan implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
+
         @Mixin
         private Choice choice;
 
@@ -132,18 +150,32 @@
         }
     }
 
-    @Command(name = "shrink", mixinStandardHelpOptions = true,
+    @Command(
+            name = "shrink",
+            mixinStandardHelpOptions = true,
             description = "Finds fewer, shorter faults that still break an invariant, and prints them as a scenario.")
     static final class Shrink implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
+
         @Mixin
         private Choice choice;
+
         @Option(names = "--invariant", paramLabel = "NAME", description = "Only this one counts; else all do.")
         private String invariant;
-        @Option(names = "--tries", paramLabel = "N", defaultValue = "2", description = "Of each list of faults (default: ${DEFAULT-VALUE}).")
+
+        @Option(
+                names = "--tries",
+                paramLabel = "N",
+                defaultValue = "2",
+                description = "Of each list of faults (default: ${DEFAULT-VALUE}).")
         private int tries;
-        @Option(names = "--runs", paramLabel = "N", defaultValue = "60", description = "In all (default: ${DEFAULT-VALUE}).")
+
+        @Option(
+                names = "--runs",
+                paramLabel = "N",
+                defaultValue = "60",
+                description = "In all (default: ${DEFAULT-VALUE}).")
         private int runs;
 
         @Override
@@ -152,15 +184,25 @@
             PrintWriter err = spec.commandLine().getErr();
             return told(err, () -> {
                 Scenario s = choice.read();
-                List<Checker> checkers = Checker.all().stream().filter(c -> invariant == null || c.name().equals(invariant)).toList();
+                List<Checker> checkers = Checker.all().stream()
+                        .filter(c -> invariant == null || c.name().equals(invariant))
+                        .toList();
                 if (checkers.isEmpty() || tries < 1 || runs < 1) {
-                    throw new IOException(checkers.isEmpty() ? "there is no invariant '" + invariant + "'; there are: "
-                            + String.join(", ", Checker.all().stream().map(Checker::name).toList()) : "--tries and --runs are from 1 on");
+                    throw new IOException(
+                            checkers.isEmpty()
+                                    ? "there is no invariant '" + invariant + "'; there are: "
+                                            + String.join(
+                                                    ", ",
+                                                    Checker.all().stream()
+                                                            .map(Checker::name)
+                                                            .toList())
+                                    : "--tries and --runs are from 1 on");
                 }
-                List<Fault> found = FaultTestRunner.shrink(s, Files.createTempDirectory("shrink"), checkers, tries, runs, line -> {
-                    err.println(line);
-                    err.flush();
-                });
+                List<Fault> found =
+                        FaultTestRunner.shrink(s, Files.createTempDirectory("shrink"), checkers, tries, runs, line -> {
+                            err.println(line);
+                            err.flush();
+                        });
                 if (found == null) {
                     print.println("held in " + tries + " tries");
                     print.flush();
--- a/src/main/java/cacheproxy/cli/HookCommand.java
+++ b/src/main/java/cacheproxy/cli/HookCommand.java
@@ -19,7 +19,10 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-@Command(name = "hook", mixinStandardHelpOptions = true, description = "Tries plug-ins outside of the daemon.",
+@Command(
+        name = "hook",
+        mixinStandardHelpOptions = true,
+        description = "Tries plug-ins outside of the daemon.",
         subcommands = HookCommand.Test.class)
 final class HookCommand implements Runnable {
     @Spec
@@ -30,8 +33,11 @@
         throw new CommandLine.ParameterException(spec.commandLine(), "name a command");
     }
 
-    @Command(name = "test", mixinStandardHelpOptions = true, description = "Runs one call and prints what it orders, its fuel and "
-            + "time. Exit 0: it gave orders, or none; 1: the call failed; 2: the module does not load.")
+    @Command(
+            name = "test",
+            mixinStandardHelpOptions = true,
+            description = "Runs one call and prints what it orders, its fuel and "
+                    + "time. Exit 0: it gave orders, or none; 1: the call failed; 2: the module does not load.")
     static final class Test implements Callable<Integer> {
         private static final int TIMED = 2000;
 
@@ -53,7 +59,11 @@
         @Option(names = "--write", description = "It is a write.")
         private boolean write;
 
-        @Option(names = "--remaining-ms", paramLabel = "MS", defaultValue = "1000", description = "Until the client gives up.")
+        @Option(
+                names = "--remaining-ms",
+                paramLabel = "MS",
+                defaultValue = "1000",
+                description = "Until the client gives up.")
         private long remaining;
 
         @Option(names = "--config", paramLabel = "TEXT", defaultValue = "", description = "The hook's configuration.")
--- a/src/main/java/cacheproxy/cli/ImportNginxCommand.java
+++ b/src/main/java/cacheproxy/cli/ImportNginxCommand.java
@@ -1,17 +1,17 @@
 package cacheproxy.cli;
 
-import com.google.gson.GsonBuilder;
-import com.google.gson.JsonArray;
-import com.google.gson.JsonObject;
 import cacheproxy.config.Addresses;
 import cacheproxy.config.ConfigException;
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.DaemonConfigReader;
-import cacheproxy.nginx.NginxSyntaxException;
 import cacheproxy.nginx.ConfParser;
+import cacheproxy.nginx.NginxSyntaxException;
 import cacheproxy.nginx.importer.ImportOptions;
 import cacheproxy.nginx.importer.Importer;
 import cacheproxy.nginx.importer.Report;
+import com.google.gson.GsonBuilder;
+import com.google.gson.JsonArray;
+import com.google.gson.JsonObject;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.net.InetSocketAddress;
@@ -28,9 +28,12 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-@Command(name = "import-nginx", mixinStandardHelpOptions = true,
-        description = "Makes the daemon's file of an nginx configuration. Exit 0: all carried over; 1: some things were "
-                + "not, as the report tells; 2: the configuration can't be read, nothing is written.")
+@Command(
+        name = "import-nginx",
+        mixinStandardHelpOptions = true,
+        description =
+                "Makes the daemon's file of an nginx configuration. Exit 0: all carried over; 1: some things were "
+                        + "not, as the report tells; 2: the configuration can't be read, nothing is written.")
 final class ImportNginxCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
@@ -38,7 +41,10 @@
     @Parameters(paramLabel = "FILE", description = "The main file, such as nginx.conf, or a file of sites.")
     private Path file;
 
-    @Option(names = "--prefix", paramLabel = "DIR", description = "Where relative includes count from; else FILE's directory.")
+    @Option(
+            names = "--prefix",
+            paramLabel = "DIR",
+            description = "Where relative includes count from; else FILE's directory.")
     private Path prefix;
 
     @Option(names = "--out", paramLabel = "FILE", description = "Where the daemon's file goes; else standard output.")
@@ -50,27 +56,43 @@
     @Option(names = "--json", description = "The report as JSON.")
     private boolean json;
 
-    @Option(names = "--listen", paramLabel = "ADDRESS:PORT", defaultValue = "127.0.0.1:11211",
+    @Option(
+            names = "--listen",
+            paramLabel = "ADDRESS:PORT",
+            defaultValue = "127.0.0.1:11211",
             description = "Address of the first listener; each further one takes the next port.")
     private String listen;
 
-    @Option(names = "--dial", paramLabel = "WRITTEN=ADDRESS:PORT",
+    @Option(
+            names = "--dial",
+            paramLabel = "WRITTEN=ADDRESS:PORT",
             description = "Where a server is reached that is written so; for names, and for servers elsewhere.")
     private Map<String, String> dial = new LinkedHashMap<>();
 
-    @Option(names = "--writes", paramLabel = "EFFECT", defaultValue = "unsafe",
+    @Option(
+            names = "--writes",
+            paramLabel = "EFFECT",
+            defaultValue = "unsafe",
             description = "What methods other than GET and HEAD are: unsafe, keyed, safe.")
     private String writes;
 
-    @Option(names = "--window-ms", paramLabel = "MS", defaultValue = "1000",
+    @Option(
+            names = "--window-ms",
+            paramLabel = "MS",
+            defaultValue = "1000",
             description = "With --writes keyed: how long servers drop repeats.")
     private double windowMs;
 
-    @Option(names = "--compare", description = "Tells for each of --keys where nginx and the imported file send it. "
-            + "Exit 0: no key differs; 1: some do.")
+    @Option(
+            names = "--compare",
+            description = "Tells for each of --keys where nginx and the imported file send it. "
+                    + "Exit 0: no key differs; 1: some do.")
     private boolean compare;
 
-    @Option(names = "--keys", paramLabel = "FILE", description = "Keys, one a line: /path, or host/path where hosts differ.")
+    @Option(
+            names = "--keys",
+            paramLabel = "FILE",
+            description = "Keys, one a line: /path, or host/path where hosts differ.")
     private Path keys;
 
     @Override
@@ -106,7 +128,8 @@
             return Cli.UNUSABLE;
         }
         if (compare) {
-            return new NginxComparison(conf, checked, result.hostInKeys()).run(keys, spec.commandLine().getOut(), err);
+            return new NginxComparison(conf, checked, result.hostInKeys())
+                    .run(keys, spec.commandLine().getOut(), err);
         }
         if (outFile == null) {
             spec.commandLine().getOut().print(result.file());
@@ -168,6 +191,10 @@
         for (Report.Level l : Report.Level.values()) {
             all.addProperty(l.text.replace(' ', '_'), result.report().count(l));
         }
-        return new GsonBuilder().setPrettyPrinting().disableHtmlEscaping().create().toJson(all) + "\n";
+        return new GsonBuilder()
+                        .setPrettyPrinting()
+                        .disableHtmlEscaping()
+                        .create()
+                        .toJson(all) + "\n";
     }
 }
--- a/src/main/java/cacheproxy/cli/LeasesCommand.java
+++ b/src/main/java/cacheproxy/cli/LeasesCommand.java
@@ -15,13 +15,21 @@
 import picocli.CommandLine.Spec;
 
 /** Exit codes: 0 done, 1 the proxy said no, 2 it could not be asked. */
-@Command(name = "duties", mixinStandardHelpOptions = true, description = "Lists the duties of a running proxy, or hands one on.",
+@Command(
+        name = "duties",
+        mixinStandardHelpOptions = true,
+        description = "Lists the duties of a running proxy, or hands one on.",
         subcommands = LeasesCommand.Transfer.class)
 final class LeasesCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
 
-    @Option(names = "--control", paramLabel = "ADDR", required = true, scope = ScopeType.INHERIT, description = "The proxy's control address.")
+    @Option(
+            names = "--control",
+            paramLabel = "ADDR",
+            required = true,
+            scope = ScopeType.INHERIT,
+            description = "The proxy's control address.")
     private String control;
 
     @Option(names = "--json", description = "As the proxy gives it.")
@@ -41,8 +49,13 @@
             out.printf("%-24s %-8s %18s %9s %s%n", "duty", "holding", "epoch", "left ms", "holder");
             for (JsonElement e : list) {
                 JsonObject o = e.getAsJsonObject();
-                out.printf("%-24s %-8s %18d %9d %s%n", o.get("duty").getAsString(), o.get("holding").getAsBoolean() ? "yes" : "no",
-                        o.get("epoch").getAsLong(), o.get("left_ms").getAsLong(), o.has("holder") ? o.get("holder").getAsString() : "-");
+                out.printf(
+                        "%-24s %-8s %18d %9d %s%n",
+                        o.get("duty").getAsString(),
+                        o.get("holding").getAsBoolean() ? "yes" : "no",
+                        o.get("epoch").getAsLong(),
+                        o.get("left_ms").getAsLong(),
+                        o.has("holder") ? o.get("holder").getAsString() : "-");
             }
         }
         out.flush();
@@ -53,14 +66,20 @@
         return new ControlCall(control, spec.commandLine().getErr());
     }
 
-    @Command(name = "transfer", mixinStandardHelpOptions = true, description = "Has the proxy hand a duty that it holds to another.")
+    @Command(
+            name = "transfer",
+            mixinStandardHelpOptions = true,
+            description = "Has the proxy hand a duty that it holds to another.")
     static final class Transfer implements Callable<Integer> {
         @ParentCommand
         private LeasesCommand duties;
+
         @Spec
         private CommandSpec spec;
+
         @Parameters(paramLabel = "NAME", description = "The duty.")
         private String name;
+
         @Option(names = "--to", paramLabel = "PEER", required = true, description = "The proxy that is to have it.")
         private String to;
 
--- a/src/main/java/cacheproxy/cli/LimitsCommand.java
+++ b/src/main/java/cacheproxy/cli/LimitsCommand.java
@@ -12,7 +12,10 @@
 import picocli.CommandLine.Spec;
 
 /** Exit codes: 0 done, 1 the proxy said no, 2 it could not be asked. */
-@Command(name = "limits", mixinStandardHelpOptions = true, description = "Lists the fleet's limits as a running proxy sees them.")
+@Command(
+        name = "limits",
+        mixinStandardHelpOptions = true,
+        description = "Lists the fleet's limits as a running proxy sees them.")
 final class LimitsCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
@@ -34,12 +37,22 @@
         if (json) {
             out.println(a.text());
         } else {
-            out.printf("%-20s %-28s %10s %10s %8s %8s %9s %9s%n", "limit", "scope", "of all", "mine", "used", "waiting", "alone ms", "over by");
+            out.printf(
+                    "%-20s %-28s %10s %10s %8s %8s %9s %9s%n",
+                    "limit", "scope", "of all", "mine", "used", "waiting", "alone ms", "over by");
             for (JsonElement e : JsonParser.parseString(a.text()).getAsJsonArray()) {
                 JsonObject o = e.getAsJsonObject();
-                out.printf(Locale.ROOT, "%-20s %-28s %10.1f %10.1f %8d %8d %9s %9.1f%n", o.get("name").getAsString(), o.get("scope").getAsString(),
-                        o.get("limit").getAsDouble(), o.get("mine").getAsDouble(), o.get("used").getAsLong(), o.get("waiting").getAsLong(),
-                        o.has("alone_since_ms") ? o.get("alone_since_ms").getAsString() : "-", o.get("over_bound").getAsDouble());
+                out.printf(
+                        Locale.ROOT,
+                        "%-20s %-28s %10.1f %10.1f %8d %8d %9s %9.1f%n",
+                        o.get("name").getAsString(),
+                        o.get("scope").getAsString(),
+                        o.get("limit").getAsDouble(),
+                        o.get("mine").getAsDouble(),
+                        o.get("used").getAsLong(),
+                        o.get("waiting").getAsLong(),
+                        o.has("alone_since_ms") ? o.get("alone_since_ms").getAsString() : "-",
+                        o.get("over_bound").getAsDouble());
             }
         }
         out.flush();
--- a/src/main/java/cacheproxy/cli/NginxComparison.java
+++ b/src/main/java/cacheproxy/cli/NginxComparison.java
@@ -2,9 +2,9 @@
 
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.daemon.RouteExplainer;
+import cacheproxy.fakes.NginxReferenceModel;
 import cacheproxy.nginx.ConfParser;
 import cacheproxy.routes.RouteInput;
-import cacheproxy.fakes.NginxReferenceModel;
 import java.io.BufferedReader;
 import java.io.IOException;
 import java.io.PrintWriter;
@@ -40,7 +40,7 @@
         long anyOfPool = 0;
         long differ = 0;
         try (BufferedReader in = Files.newBufferedReader(keys, StandardCharsets.ISO_8859_1)) {
-            for (String key; (key = in.readLine()) != null;) {
+            for (String key; (key = in.readLine()) != null; ) {
                 if (key.isBlank()) {
                     continue;
                 }
@@ -57,15 +57,16 @@
             err.println(keys + ": there is no such file");
             return Cli.UNUSABLE;
         }
-        out.println(same + " the same, " + anyOfPool + " of the same pool, in which nginx chooses by more than the key, "
-                + differ + " differ");
+        out.println(same + " the same, " + anyOfPool
+                + " of the same pool, in which nginx chooses by more than the key, " + differ + " differ");
         return differ == 0 ? 0 : 1;
     }
 
     private Goal original(String key) {
         int slash = key.indexOf('/');
         String host = hostInKeys && slash > 0 ? key.substring(0, slash) : "";
-        NginxReferenceModel.Answer a = model.ask(model.firstSocket(), "GET", host, slash > 0 ? key.substring(slash) : key);
+        NginxReferenceModel.Answer a =
+                model.ask(model.firstSocket(), "GET", host, slash > 0 ? key.substring(slash) : key);
         return a.status() != 0 ? new Goal("-", "-") : new Goal(a.pool(), a.node() == null ? "any" : a.node());
     }
 
--- a/src/main/java/cacheproxy/cli/RunCommand.java
+++ b/src/main/java/cacheproxy/cli/RunCommand.java
@@ -15,7 +15,9 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-@Command(name = "run", mixinStandardHelpOptions = true,
+@Command(
+        name = "run",
+        mixinStandardHelpOptions = true,
         description = "Runs the daemon. SIGHUP: reads the file again; SIGTERM: answers what it has and ends.")
 final class RunCommand implements Callable<Integer> {
     @Spec
@@ -24,8 +26,11 @@
     @Parameters(paramLabel = "FILE", description = "The daemon's file.")
     private Path file;
 
-    @Option(names = "--seed-from", paramLabel = "MEMORY", description = "A sibling's memory file: what it has learned counts for "
-            + "half, where this proxy remembers nothing itself.")
+    @Option(
+            names = "--seed-from",
+            paramLabel = "MEMORY",
+            description = "A sibling's memory file: what it has learned counts for "
+                    + "half, where this proxy remembers nothing itself.")
     private Path seedFrom;
 
     @Override
@@ -47,8 +52,9 @@
             err.println(SighupHandler.IGNORED);
         }
         Runtime.getRuntime().addShutdownHook(new Thread(daemon::drain));
-        daemon.addresses().forEach((name, address) -> err.println("listening on " + address.getAddress().getHostAddress()
-                + ":" + address.getPort() + " (" + name + ")"));
+        daemon.addresses()
+                .forEach((name, address) -> err.println("listening on "
+                        + address.getAddress().getHostAddress() + ":" + address.getPort() + " (" + name + ")"));
         err.flush();
         new CountDownLatch(1).await(); // the shutdown hook ends the process
         return 0;
--- a/src/main/java/cacheproxy/cli/SnapshotCommand.java
+++ b/src/main/java/cacheproxy/cli/SnapshotCommand.java
@@ -1,9 +1,9 @@
 package cacheproxy.cli;
 
+import cacheproxy.snapshot.SnapshotCodec;
+import cacheproxy.snapshot.SnapshotStore;
 import cacheproxy.snapshot.state.LearnedState;
 import cacheproxy.snapshot.state.StateSnapshot;
-import cacheproxy.snapshot.SnapshotStore;
-import cacheproxy.snapshot.SnapshotCodec;
 import java.io.IOException;
 import java.io.PrintWriter;
 import java.nio.file.Files;
@@ -17,7 +17,10 @@
 import picocli.CommandLine.Spec;
 
 /** Looks into memory files, those of a running daemon too. */
-@Command(name = "memory", mixinStandardHelpOptions = true, description = "Looks into what a daemon remembers.",
+@Command(
+        name = "memory",
+        mixinStandardHelpOptions = true,
+        description = "Looks into what a daemon remembers.",
         subcommands = {SnapshotCommand.Show.class, SnapshotCommand.Verify.class})
 final class SnapshotCommand implements Runnable {
     @Spec
@@ -32,7 +35,8 @@
     private static SnapshotCodec.Decoded read(Path file, PrintWriter err) {
         try {
             if (Files.size(file) > SnapshotCodec.MAX_BYTES) {
-                err.println(file + ": it has " + Files.size(file) + " bytes; a memory file has at most " + SnapshotCodec.MAX_BYTES);
+                err.println(file + ": it has " + Files.size(file) + " bytes; a memory file has at most "
+                        + SnapshotCodec.MAX_BYTES);
                 return null;
             }
             return SnapshotCodec.decode(Files.readAllBytes(file));
@@ -44,8 +48,11 @@
         return null;
     }
 
-    @Command(name = "verify", mixinStandardHelpOptions = true, description = "Checks a file. Exit 0: whole; 1: damaged in part, or "
-            + "with sections of a newer program; 2: nothing in it can be used.")
+    @Command(
+            name = "verify",
+            mixinStandardHelpOptions = true,
+            description = "Checks a file. Exit 0: whole; 1: damaged in part, or "
+                    + "with sections of a newer program; 2: nothing in it can be used.")
     static final class Verify implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
@@ -65,13 +72,19 @@
                 return Cli.UNUSABLE;
             }
             boolean good = d.whole() && d.skipped().isEmpty();
-            spec.commandLine().getOut().println(file + ": " + (good ? "whole" : "readable in part") + ", generation "
-                    + d.content().generation() + ", written " + Instant.ofEpochMilli((long) d.content().writtenMs()));
+            spec.commandLine()
+                    .getOut()
+                    .println(file + ": " + (good ? "whole" : "readable in part") + ", generation "
+                            + d.content().generation() + ", written "
+                            + Instant.ofEpochMilli((long) d.content().writtenMs()));
             return good ? 0 : 1;
         }
     }
 
-    @Command(name = "show", mixinStandardHelpOptions = true, description = "Prints what a file says. Exit codes as of verify.")
+    @Command(
+            name = "show",
+            mixinStandardHelpOptions = true,
+            description = "Prints what a file says. Exit codes as of verify.")
     static final class Show implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
@@ -92,28 +105,43 @@
             }
             StateSnapshot r = d.content();
             double age = System.currentTimeMillis() - r.writtenMs();
-            out.printf("site %s, proxy %d, generation %d, written %s, %.0f s ago%n", r.site(), r.me(), r.generation(),
-                    Instant.ofEpochMilli((long) r.writtenMs()), age / 1000);
+            out.printf(
+                    "site %s, proxy %d, generation %d, written %s, %.0f s ago%n",
+                    r.site(), r.me(), r.generation(), Instant.ofEpochMilli((long) r.writtenMs()), age / 1000);
             r.pools().forEach((name, p) -> pool(out, name, p));
             for (StateSnapshot.Birth b : r.births()) {
-                out.printf("start %08x at %s: %s%s%n", b.id(), b.address(), b.bornMs() == 0 ? "not known"
-                        : Instant.ofEpochMilli((long) b.bornMs()).toString(), b.down() ? ", was down" : "");
+                out.printf(
+                        "start %08x at %s: %s%s%n",
+                        b.id(),
+                        b.address(),
+                        b.bornMs() == 0
+                                ? "not known"
+                                : Instant.ofEpochMilli((long) b.bornMs()).toString(),
+                        b.down() ? ", was down" : "");
             }
             return d.whole() && d.skipped().isEmpty() ? 0 : 1;
         }
 
         private static void pool(PrintWriter out, String name, StateSnapshot.Pool p) {
             LearnedState k = p.knowledge();
-            out.printf("pool %s: answers take %.1f ms, deviation %.1f ms, fetches %.1f ms%n", name, k.pace().usualMs(),
-                    k.pace().deviationMs(), k.pace().fetchMs());
-            out.printf("  lately asked and answered in time: servers %.1f of %.1f, origin %.1f of %.1f%n", k.crowd().answered(),
-                    k.crowd().asked(), k.fetches().answered(), k.fetches().asked());
+            out.printf(
+                    "pool %s: answers take %.1f ms, deviation %.1f ms, fetches %.1f ms%n",
+                    name, k.pace().usualMs(), k.pace().deviationMs(), k.pace().fetchMs());
+            out.printf(
+                    "  lately asked and answered in time: servers %.1f of %.1f, origin %.1f of %.1f%n",
+                    k.crowd().answered(),
+                    k.crowd().asked(),
+                    k.fetches().answered(),
+                    k.fetches().asked());
             for (LearnedState.Server s : k.servers()) {
-                out.printf("  server %08x at %s: %d failures, %d doubts, left out for %.0f ms more%n", s.id(),
-                        p.addresses().getOrDefault(s.id(), "?"), s.failures(), s.doubts(), s.shunnedForMs());
+                out.printf(
+                        "  server %08x at %s: %d failures, %d doubts, left out for %.0f ms more%n",
+                        s.id(), p.addresses().getOrDefault(s.id(), "?"), s.failures(), s.doubts(), s.shunnedForMs());
             }
             for (LearnedState.HotKey h : k.hot().keys()) {
-                out.printf("  hot key %016x: %d of %.0f (%s)%n", h.key(), h.count(), k.hot().total(), p.placement());
+                out.printf(
+                        "  hot key %016x: %d of %.0f (%s)%n",
+                        h.key(), h.count(), k.hot().total(), p.placement());
             }
         }
     }
--- a/src/main/java/cacheproxy/config/Addresses.java
+++ b/src/main/java/cacheproxy/config/Addresses.java
@@ -8,7 +8,7 @@
 
 /** Addresses are literal: nothing here asks for a name. */
 public final class Addresses {
-    private Addresses() { }
+    private Addresses() {}
 
     /** A literal IPv4 or IPv6 address with its port, such as {@code 127.0.0.1:11211} or {@code [::1]:0}. */
     public static InetSocketAddress of(String text) {
@@ -26,7 +26,8 @@
 
     /** An address in the form that it is told in. */
     public static String text(SocketAddress address) {
-        return address instanceof InetSocketAddress i ? i.getAddress().getHostAddress() + ":" + i.getPort()
+        return address instanceof InetSocketAddress i
+                ? i.getAddress().getHostAddress() + ":" + i.getPort()
                 : address.toString();
     }
 }
--- a/src/main/java/cacheproxy/config/ChunkedTomlParser.java
+++ b/src/main/java/cacheproxy/config/ChunkedTomlParser.java
@@ -21,7 +21,7 @@
         }
     }
 
-    private ChunkedTomlParser() { }
+    private ChunkedTomlParser() {}
 
     static List<Part> parse(String text) {
         List<Part> parts = new ArrayList<>();
@@ -29,7 +29,8 @@
         int line = 0;
         for (int cut : cuts(text)) {
             parts.add(new Part(Toml.parse(text.substring(from, cut)), line));
-            line += (int) text.substring(from, cut).chars().filter(c -> c == '\n').count();
+            line += (int)
+                    text.substring(from, cut).chars().filter(c -> c == '\n').count();
             from = cut;
         }
         parts.add(new Part(Toml.parse(text.substring(from)), line));
@@ -66,7 +67,7 @@
                 }
                 case '[', '{' -> brackets++;
                 case ']', '}' -> brackets = Math.max(0, brackets - 1);
-                default -> { }
+                default -> {}
             }
         }
         return cuts;
@@ -79,7 +80,8 @@
             i++;
         }
         int from = i;
-        while (i < text.length() && (Character.isLetterOrDigit(text.charAt(i)) || text.charAt(i) == '_' || text.charAt(i) == '-')) {
+        while (i < text.length()
+                && (Character.isLetterOrDigit(text.charAt(i)) || text.charAt(i) == '_' || text.charAt(i) == '-')) {
             i++;
         }
         return i > from && i < text.length() && text.charAt(i) == ']';
--- a/src/main/java/cacheproxy/config/DaemonConfig.java
+++ b/src/main/java/cacheproxy/config/DaemonConfig.java
@@ -17,8 +17,17 @@
  * @param pools by name, in the file's order
  * @param parts sections that subsystems have read for themselves, by their classes
  */
-public record DaemonConfig(String path, Site site, KeyFormat keys, Limits limits, List<ServiceClass> classes, List<Tenant> tenants,
-        List<Listen> listeners, Map<String, Pool> pools, RouteTable routes, Map<Class<?>, Object> parts) {
+public record DaemonConfig(
+        String path,
+        Site site,
+        KeyFormat keys,
+        Limits limits,
+        List<ServiceClass> classes,
+        List<Tenant> tenants,
+        List<Listen> listeners,
+        Map<String, Pool> pools,
+        RouteTable routes,
+        Map<Class<?>, Object> parts) {
 
     /**
      * What is true of the whole installation.
@@ -27,8 +36,16 @@
      * @param instances how many proxies share the servers
      * @param zone ours
      */
-    public record Site(String name, int me, int instances, String zone, double drainGraceMs,
-            double startCapacity, double warmUpMs, double tipMultiple, double fallMs) { }
+    public record Site(
+            String name,
+            int me,
+            int instances,
+            String zone,
+            double drainGraceMs,
+            double startCapacity,
+            double warmUpMs,
+            double tipMultiple,
+            double fallMs) {}
 
     /**
      * Bounds of the process.
@@ -37,8 +54,15 @@
      * @param sockets descriptors of the process
      * @param unknownCapacity requests a second of a warm server that has no {@code capacity}
      */
-    public record Limits(int memoryMb, int sockets, double connectTimeoutMs, double idleCloseMs, int maxAttempts,
-            double maxRetryAfterMs, boolean secondCopies, double unknownCapacity) { }
+    public record Limits(
+            int memoryMb,
+            int sockets,
+            double connectTimeoutMs,
+            double idleCloseMs,
+            int maxAttempts,
+            double maxRetryAfterMs,
+            boolean secondCopies,
+            double unknownCapacity) {}
 
     /**
      * Where clients connect.
@@ -46,8 +70,14 @@
      * @param open whether stock clients' plain commands are taken
      * @param readClass class of a read that names none; null: must be named
      */
-    public record Listen(String name, InetSocketAddress address, boolean open, String readClass, String writeClass,
-            String tenant, double deadlineMs) { }
+    public record Listen(
+            String name,
+            InetSocketAddress address,
+            boolean open,
+            String readClass,
+            String writeClass,
+            String tenant,
+            double deadlineMs) {}
 
     /**
      * Servers that share a placement and bounds.
@@ -61,9 +91,24 @@
      * @param siblings names of those asked before the origin
      * @param fallback the pool that takes what this one gives up, where the route names none; null: none
      */
-    public record Pool(String name, List<Server> servers, Server origin, Discovery discovery, String placement,
-            PlacementTemplate placeBy, int connections, int originConnections, int streams, int inHand, double perSecond, double retryShare,
-            double retriesAlways, boolean plainNodes, String dedupGroup, String fallback, List<String> siblings) { }
+    public record Pool(
+            String name,
+            List<Server> servers,
+            Server origin,
+            Discovery discovery,
+            String placement,
+            PlacementTemplate placeBy,
+            int connections,
+            int originConnections,
+            int streams,
+            int inHand,
+            double perSecond,
+            double retryShare,
+            double retriesAlways,
+            boolean plainNodes,
+            String dedupGroup,
+            String fallback,
+            List<String> siblings) {}
 
     /**
      * A server of a pool.
@@ -74,12 +119,22 @@
      * @param warm whether it has been running for long though it is new in the file
      * @param capacity requests a second when warm; 0: not told
      */
-    public record Server(String name, int id, InetSocketAddress dial, String zone, String kind, double weight,
-            boolean backup, boolean down, boolean drain, boolean warm, double capacity,
-            String ring) { }
+    public record Server(
+            String name,
+            int id,
+            InetSocketAddress dial,
+            String zone,
+            String kind,
+            double weight,
+            boolean backup,
+            boolean down,
+            boolean drain,
+            boolean warm,
+            double capacity,
+            String ring) {}
 
     /** A list of servers that is followed. */
-    public record Discovery(InetSocketAddress address, List<String> zones, List<String> kinds, String originKind) { }
+    public record Discovery(InetSocketAddress address, List<String> zones, List<String> kinds, String originKind) {}
 
     /** What a subsystem has read of the file; null where the file says nothing of it. */
     public <T> T part(Class<T> of) {
--- a/src/main/java/cacheproxy/config/DaemonConfigReader.java
+++ b/src/main/java/cacheproxy/config/DaemonConfigReader.java
@@ -1,9 +1,5 @@
 package cacheproxy.config;
 
-import cacheproxy.policy.PolicyApi.Effect;
-import cacheproxy.policy.PolicyApi.Group;
-import cacheproxy.policy.PolicyApi.ServiceClass;
-import cacheproxy.policy.PolicyApi.Tenant;
 import cacheproxy.config.DaemonConfig.Discovery;
 import cacheproxy.config.DaemonConfig.Limits;
 import cacheproxy.config.DaemonConfig.Listen;
@@ -13,6 +9,10 @@
 import cacheproxy.placement.NginxConsistentPlacement;
 import cacheproxy.placement.PlacementRegistry;
 import cacheproxy.placement.ServerId;
+import cacheproxy.policy.PolicyApi.Effect;
+import cacheproxy.policy.PolicyApi.Group;
+import cacheproxy.policy.PolicyApi.ServiceClass;
+import cacheproxy.policy.PolicyApi.Tenant;
 import cacheproxy.routes.KeyFormat;
 import cacheproxy.routes.RouteTable;
 import java.io.IOException;
@@ -33,11 +33,16 @@
 public final class DaemonConfigReader {
     /** A file of 10,000 routes has some 2 MB; bounds what a wrong path can make us read. */
     static final long MAX_BYTES = 32L << 20;
+
     static final double HOUR_MS = 3_600_000;
 
     /** Sections that their subsystems bring with them, each a class of its own. */
-    private static final List<PartReader> PARTS = List.of((root, known) -> ControlConfig.read(root), FleetConfig::read,
-            SnapshotConfig::read, HookConfig::read, SiblingConfig::read);
+    private static final List<PartReader> PARTS = List.of(
+            (root, known) -> ControlConfig.read(root),
+            FleetConfig::read,
+            SnapshotConfig::read,
+            HookConfig::read,
+            SiblingConfig::read);
 
     /** Reads one subsystem's sections; null where the file has none. */
     interface PartReader {
@@ -50,9 +55,16 @@
      * @param file the file's path
      * @param serverNames by the servers' numbers
      */
-    record Known(String file, TomlTableReader.Errors errors, Set<String> listeners, Set<String> routes, Map<String, Pool> pools,
-            Map<String, TomlTableReader> poolSections, Map<Integer, String> serverNames,
-            List<ServiceClass> classes, List<Tenant> tenants) {
+    record Known(
+            String file,
+            TomlTableReader.Errors errors,
+            Set<String> listeners,
+            Set<String> routes,
+            Map<String, Pool> pools,
+            Map<String, TomlTableReader> poolSections,
+            Map<Integer, String> serverNames,
+            List<ServiceClass> classes,
+            List<Tenant> tenants) {
 
         /** A path in the file is relative to the file's own directory. */
         Path beside(TomlTableReader s, String key, String text) {
@@ -74,6 +86,7 @@
     private final List<Listen> listeners = new ArrayList<>();
     /** Servers of all pools, by name and by address: one server has one of each. */
     private final Map<String, Server> serversByName = new HashMap<>();
+
     private final Map<InetSocketAddress, String> namesByAddress = new HashMap<>();
     private final Map<Integer, String> namesById = new HashMap<>();
 
@@ -131,12 +144,20 @@
             errors.add(null, "no pool; write [[pool]] with a name and servers");
         }
         fallbacks();
-        RouteTable table = new RouteReader(errors, listenerNames, classes, tenants, pools.keySet()).table(
-                root.sections("host"), routes, keys);
+        RouteTable table = new RouteReader(errors, listenerNames, classes, tenants, pools.keySet())
+                .table(root.sections("host"), routes, keys);
         Set<String> routeNames = new HashSet<>();
         table.routes().forEach(r -> routeNames.add(r.name()));
-        Known known = new Known(path, errors, Set.copyOf(listenerNames), routeNames, Map.copyOf(pools), Map.copyOf(poolSections),
-                Map.copyOf(namesById), List.copyOf(classes), List.copyOf(tenants));
+        Known known = new Known(
+                path,
+                errors,
+                Set.copyOf(listenerNames),
+                routeNames,
+                Map.copyOf(pools),
+                Map.copyOf(poolSections),
+                Map.copyOf(namesById),
+                List.copyOf(classes),
+                List.copyOf(tenants));
         Map<Class<?>, Object> parts = new HashMap<>();
         PARTS.forEach(p -> {
             Object part = p.read(root, known);
@@ -152,10 +173,16 @@
             return new Site("coralbay", 0, 1, "here", 2000, 0.3, 9000, 3, 1500);
         }
         int instances = s.integer("instances", 1, 1, 10_000);
-        Site site = new Site(s.text("name", "coralbay"), s.integer("me", 0, 0, instances - 1), instances,
-                s.text("zone", "here"), s.number("drain_grace_ms", 2000, 100, HOUR_MS),
-                s.number("start_capacity", 0.3, 0.01, 1), s.number("warm_up_ms", 9000, 0, HOUR_MS),
-                s.number("tip_multiple", 3, 1.5, 100), s.number("fall_ms", 1500, 100, HOUR_MS));
+        Site site = new Site(
+                s.text("name", "coralbay"),
+                s.integer("me", 0, 0, instances - 1),
+                instances,
+                s.text("zone", "here"),
+                s.number("drain_grace_ms", 2000, 100, HOUR_MS),
+                s.number("start_capacity", 0.3, 0.01, 1),
+                s.number("warm_up_ms", 9000, 0, HOUR_MS),
+                s.number("tip_multiple", 3, 1.5, 100),
+                s.number("fall_ms", 1500, 100, HOUR_MS));
         s.end();
         return site;
     }
@@ -164,24 +191,32 @@
         if (s == null) {
             return new Limits(512, 4096, 250, 15_000, 3, 1000, true, 100);
         }
-        Limits limits = new Limits(s.integer("memory_mb", 512, 32, 1 << 20), s.integer("sockets", 4096, 256, 1 << 24),
-                s.number("connect_timeout_ms", 250, 10, 60_000), s.number("idle_close_ms", 15_000, 1000, HOUR_MS),
-                s.integer("max_attempts", 3, 1, 8), s.number("max_retry_after_ms", 1000, 0, HOUR_MS),
-                s.flag("second_copies", true), s.number("unknown_capacity", 100, 1, 1e6));
+        Limits limits = new Limits(
+                s.integer("memory_mb", 512, 32, 1 << 20),
+                s.integer("sockets", 4096, 256, 1 << 24),
+                s.number("connect_timeout_ms", 250, 10, 60_000),
+                s.number("idle_close_ms", 15_000, 1000, HOUR_MS),
+                s.integer("max_attempts", 3, 1, 8),
+                s.number("max_retry_after_ms", 1000, 0, HOUR_MS),
+                s.flag("second_copies", true),
+                s.number("unknown_capacity", 100, 1, 1e6));
         s.end();
         return limits;
     }
 
     static boolean word(String text) {
-        return !text.isEmpty() && text.length() <= 64 && text.chars().allMatch(c -> c > ' ' && c <= '~' && c != ','
-                && c != '=');
+        return !text.isEmpty()
+                && text.length() <= 64
+                && text.chars().allMatch(c -> c > ' ' && c <= '~' && c != ',' && c != '=');
     }
 
     /** The name of a table; it ends up in lists of names and values, so it may not break them. */
     static String name(TomlTableReader s, Set<String> taken, String kind) {
         String name = s.text("name");
         if (!name.isEmpty() && !word(name)) {
-            s.error("name", kind + " name '" + name + "' is no word; 1 to 64 printing characters without space, comma and =");
+            s.error(
+                    "name",
+                    kind + " name '" + name + "' is no word; 1 to 64 printing characters without space, comma and =");
         }
         if (!name.isEmpty() && !taken.add(name)) {
             s.error("name", kind + " '" + name + "' is there already; names are used once");
@@ -195,8 +230,10 @@
         String name = name(s, classNames, "class");
         String effect = s.oneOf("effect", "unsafe", "safe", "keyed", "unsafe");
         if (!s.has("effect")) {
-            s.error("name", "class " + name + " has no effect; allowed: safe (may be repeated), keyed (servers drop "
-                    + "repeats), unsafe (must never run twice)");
+            s.error(
+                    "name",
+                    "class " + name + " has no effect; allowed: safe (may be repeated), keyed (servers drop "
+                            + "repeats), unsafe (must never run twice)");
         }
         double deadline = s.number("deadline_ms", 1000, 1, HOUR_MS);
         double aim = s.number("aim_ms", deadline / 2, 1, HOUR_MS);
@@ -209,16 +246,24 @@
             s.error("effect", "a keyed class needs window_ms, for which servers drop repeats");
         }
         Effect e = keyed ? Effect.KEYED : effect.equals("safe") ? Effect.SAFE : Effect.UNSAFE;
-        classes.add(new ServiceClass(name, e, Group.ALL, keyed ? window : 0, aim, deadline,
-                s.number("worth", 1, 0, 1e6), s.number("late_share", 0.3, 0, 1), s.flag("stream", false)));
+        classes.add(new ServiceClass(
+                name,
+                e,
+                Group.ALL,
+                keyed ? window : 0,
+                aim,
+                deadline,
+                s.number("worth", 1, 0, 1e6),
+                s.number("late_share", 0.3, 0, 1),
+                s.flag("stream", false)));
         s.end();
     }
 
     private final Set<String> tenantNames = new HashSet<>();
 
     private void tenant(TomlTableReader s) {
-        tenants.add(new Tenant(name(s, tenantNames, "tenant"), s.number("share", 1, 0, 1e9),
-                s.number("per_second", 1, 0.001, 1e9)));
+        tenants.add(new Tenant(
+                name(s, tenantNames, "tenant"), s.number("share", 1, 0, 1e9), s.number("per_second", 1, 0.001, 1e9)));
         s.end();
     }
 
@@ -306,17 +351,35 @@
         if (discovery != null && !(servers.isEmpty() && origin == null)) {
             s.error("discovery", "pool " + name + " has both discovery and servers; the list comes from one of them");
         }
-        String placement = s.oneOf("placement", PlacementRegistry.CARP, PlacementRegistry.CARP, PlacementRegistry.NGINX_HASH,
+        String placement = s.oneOf(
+                "placement",
+                PlacementRegistry.CARP,
+                PlacementRegistry.CARP,
+                PlacementRegistry.NGINX_HASH,
                 PlacementRegistry.NGINX_CONSISTENT);
         if (!placement.equals(PlacementRegistry.CARP)) {
             nginxPlacement(s, placement, servers, discovery);
         }
-        pools.put(name, new Pool(name, servers, origin, discovery, placement, RouteReader.placeBy(s),
-                s.integer("connections", 4, 1, 1000), s.integer("origin_connections", 16, 1, 1000),
-                s.integer("streams", 64, 1, 10_000), s.integer("in_hand", 10_000, 1, 1_000_000),
-                s.number("per_second", 0, 0.1, 1e9), s.number("retry_share", 0.2, 0, 10),
-                s.number("retries_always", 5, 0, 1e6), s.oneOf("nodes", "platform", "platform", "plain").equals("plain"),
-                s.text("dedup_group", null), s.text("fallback", null), s.texts("siblings")));
+        pools.put(
+                name,
+                new Pool(
+                        name,
+                        servers,
+                        origin,
+                        discovery,
+                        placement,
+                        RouteReader.placeBy(s),
+                        s.integer("connections", 4, 1, 1000),
+                        s.integer("origin_connections", 16, 1, 1000),
+                        s.integer("streams", 64, 1, 10_000),
+                        s.integer("in_hand", 10_000, 1, 1_000_000),
+                        s.number("per_second", 0, 0.1, 1e9),
+                        s.number("retry_share", 0.2, 0, 10),
+                        s.number("retries_always", 5, 0, 1e6),
+                        s.oneOf("nodes", "platform", "platform", "plain").equals("plain"),
+                        s.text("dedup_group", null),
+                        s.text("fallback", null),
+                        s.texts("siblings")));
         poolSections.put(name, s);
         s.end();
     }
@@ -324,20 +387,26 @@
     /** What nginx's placements ask of a pool. */
     private static void nginxPlacement(TomlTableReader s, String placement, List<Server> servers, Discovery discovery) {
         if (discovery != null) {
-            s.error("placement", placement + " depends on the order of servers in the file, which discovery does not "
-                    + "have; allowed: carp");
+            s.error(
+                    "placement",
+                    placement + " depends on the order of servers in the file, which discovery does not "
+                            + "have; allowed: carp");
         }
         double sum = 0;
         for (Server v : servers) {
             sum += v.weight();
             if (v.weight() < 1 || v.weight() != Math.rint(v.weight())) {
-                s.error("placement", "server " + v.name() + " has a weight that " + placement
-                        + " has no place for; whole numbers from 1");
+                s.error(
+                        "placement",
+                        "server " + v.name() + " has a weight that " + placement
+                                + " has no place for; whole numbers from 1");
             }
         }
         if (sum > NginxConsistentPlacement.MAX_WEIGHT_SUM) {
-            s.error("placement", "the weights sum to " + (long) sum + "; at most "
-                    + NginxConsistentPlacement.MAX_WEIGHT_SUM + " with " + placement);
+            s.error(
+                    "placement",
+                    "the weights sum to " + (long) sum + "; at most " + NginxConsistentPlacement.MAX_WEIGHT_SUM
+                            + " with " + placement);
         }
     }
 
@@ -349,26 +418,42 @@
         int id = ServerId.of(name);
         String other = namesById.putIfAbsent(id, name);
         if (other != null && !other.equals(name)) {
-            s.error("name", "server '" + name + "' has the number of '" + other + "', " + Integer.toHexString(id)
-                    + "; rename one");
+            s.error(
+                    "name",
+                    "server '" + name + "' has the number of '" + other + "', " + Integer.toHexString(id)
+                            + "; rename one");
         }
         String zone = s.text("zone", "here");
-        Server server = new Server(name, id, dial, zone, s.text("kind", kind), s.number("weight", 1, 0, 1e6),
-                s.flag("backup", false), s.flag("down", false), s.flag("drain", false), s.flag("warm", false),
-                s.number("capacity", 0, 0.1, 1e9), s.text("ring", name));
+        Server server = new Server(
+                name,
+                id,
+                dial,
+                zone,
+                s.text("kind", kind),
+                s.number("weight", 1, 0, 1e6),
+                s.flag("backup", false),
+                s.flag("down", false),
+                s.flag("drain", false),
+                s.flag("warm", false),
+                s.number("capacity", 0, 0.1, 1e9),
+                s.text("ring", name));
         if (undialled) {
             s.end();
             return server;
         }
         String sameAddress = namesByAddress.putIfAbsent(dial, name);
         if (sameAddress != null && !sameAddress.equals(name) && dial.getPort() != 0) {
-            s.error("dial", Addresses.text(dial) + " is server '" + sameAddress
-                    + "' already; a server has one name, also in several pools");
+            s.error(
+                    "dial",
+                    Addresses.text(dial) + " is server '" + sameAddress
+                            + "' already; a server has one name, also in several pools");
         }
         Server same = serversByName.putIfAbsent(name, server);
         if (same != null && !dial.equals(same.dial())) {
-            s.error("dial", "server '" + name + "' stands at " + Addresses.text(same.dial())
-                    + " in another pool; a name has one address");
+            s.error(
+                    "dial",
+                    "server '" + name + "' stands at " + Addresses.text(same.dial())
+                            + " in another pool; a name has one address");
         }
         s.end();
         return server;
@@ -402,12 +487,14 @@
             }
             TomlTableReader s = poolSections.get(p.name());
             if (!pools.containsKey(p.fallback())) {
-                s.error("fallback", "there is no pool '" + p.fallback() + "'; there are: "
-                        + String.join(", ", sorted(pools.keySet())));
+                s.error(
+                        "fallback",
+                        "there is no pool '" + p.fallback() + "'; there are: "
+                                + String.join(", ", sorted(pools.keySet())));
                 continue;
             }
             List<String> way = new ArrayList<>(List.of(p.name()));
-            for (Pool next = p; next != null && next.fallback() != null;) {
+            for (Pool next = p; next != null && next.fallback() != null; ) {
                 boolean loop = way.contains(next.fallback());
                 way.add(next.fallback());
                 if (loop) {
--- a/src/main/java/cacheproxy/config/HookConfig.java
+++ b/src/main/java/cacheproxy/config/HookConfig.java
@@ -16,6 +16,7 @@
 public record HookConfig(List<Hook> hooks) {
     /** Each has a thread. */
     private static final int MAX_HOOKS = 16;
+
     private static final int MAX_CONFIG = 32_768;
 
     /**
@@ -30,9 +31,21 @@
      * @param queue calls that may wait
      * @param breakerShare of calls that may fail before it is switched off
      */
-    public record Hook(String name, String at, Path module, String sha256, Set<String> listeners, Set<String> routes, int order,
-            HookModule.Limits limits, boolean refuse, double refuseMs, int queue, double breakerShare, double breakerOffMs,
-            String config) { }
+    public record Hook(
+            String name,
+            String at,
+            Path module,
+            String sha256,
+            Set<String> listeners,
+            Set<String> routes,
+            int order,
+            HookModule.Limits limits,
+            boolean refuse,
+            double refuseMs,
+            int queue,
+            double breakerShare,
+            double breakerOffMs,
+            String config) {}
 
     /** Those of a file. */
     public static List<Hook> of(DaemonConfig file) {
@@ -63,22 +76,42 @@
         for (String l : s.texts("listener")) {
             from.add(l);
             if (!known.listeners().contains(l)) {
-                s.error("listener", "there is no listener '" + l + "'; there are: " + String.join(", ", DaemonConfigReader.sorted(known.listeners())));
+                s.error(
+                        "listener",
+                        "there is no listener '" + l + "'; there are: "
+                                + String.join(", ", DaemonConfigReader.sorted(known.listeners())));
             }
         }
         for (String r : s.texts("route")) {
             if (!known.routes().contains(r)) {
-                s.error("route", "there is no route '" + r + "'; there are: " + String.join(", ", DaemonConfigReader.sorted(known.routes())));
+                s.error(
+                        "route",
+                        "there is no route '" + r + "'; there are: "
+                                + String.join(", ", DaemonConfigReader.sorted(known.routes())));
             }
         }
         double fuel = s.number("fuel", 200_000, 1000, 1e9);
-        HookModule.Limits limits = new HookModule.Limits(s.integer("memory_pages", 16, 1, 1024), (long) fuel,
-                (long) s.number("load_fuel", 10_000_000, 1000, 1e10), s.number("time_ms", 50, 1, 10_000),
+        HookModule.Limits limits = new HookModule.Limits(
+                s.integer("memory_pages", 16, 1, 1024),
+                (long) fuel,
+                (long) s.number("load_fuel", 10_000_000, 1000, 1e10),
+                s.number("time_ms", 50, 1, 10_000),
                 s.flag("compiled", true));
-        Hook hook = new Hook(name, known.file() + ":" + s.at("name").line() + ":" + s.at("name").column(), module, digest, from,
-                Set.copyOf(s.texts("route")), s.integer("order", 0, -1_000_000, 1_000_000), limits, s.oneOf("on_failure", "skip", "skip", "refuse").equals("refuse"),
-                s.number("refuse_ms", 100, 1, DaemonConfigReader.HOUR_MS), s.integer("queue", 256, 1, 65_536), s.number("breaker_share", 0.5, 0, 1),
-                s.number("breaker_off_ms", 5000, 1, DaemonConfigReader.HOUR_MS), s.text("config", ""));
+        Hook hook = new Hook(
+                name,
+                known.file() + ":" + s.at("name").line() + ":" + s.at("name").column(),
+                module,
+                digest,
+                from,
+                Set.copyOf(s.texts("route")),
+                s.integer("order", 0, -1_000_000, 1_000_000),
+                limits,
+                s.oneOf("on_failure", "skip", "skip", "refuse").equals("refuse"),
+                s.number("refuse_ms", 100, 1, DaemonConfigReader.HOUR_MS),
+                s.integer("queue", 256, 1, 65_536),
+                s.number("breaker_share", 0.5, 0, 1),
+                s.number("breaker_off_ms", 5000, 1, DaemonConfigReader.HOUR_MS),
+                s.text("config", ""));
         if (hook.config().length() > MAX_CONFIG) {
             s.error("config", "config has more than " + MAX_CONFIG + " characters");
         }
--- a/src/main/java/cacheproxy/config/LimitsConfig.java
+++ b/src/main/java/cacheproxy/config/LimitsConfig.java
@@ -18,6 +18,7 @@
 public record LimitsConfig(double grantMs, double leaseMs, int voters, int shares, double holdMs, List<Limit> limits) {
     /** Names of the duties begin so. */
     static final String DUTY = "limits.";
+
     private static final int MOST = 1000;
     /** A request is answered so much after its deadline, at the latest. */
     private static final double ANSWER_MS = 250;
@@ -34,8 +35,16 @@
      * @param whenAlone {@code share}, {@code last} or {@code none}
      * @param sharePart the part of the limit that proxies own without a word of anybody, 0 to 1
      */
-    public record Limit(String name, String pool, String tenant, String serviceClass, double perSecond, double burst, int atOnce,
-            String whenAlone, double sharePart) {
+    public record Limit(
+            String name,
+            String pool,
+            String tenant,
+            String serviceClass,
+            double perSecond,
+            double burst,
+            int atOnce,
+            String whenAlone,
+            double sharePart) {
         /** Whom it concerns, in words. */
         public String scope() {
             List<String> words = new ArrayList<>();
@@ -58,7 +67,11 @@
 
     /** The duties under which limits are dealt out. */
     public List<String> duties() {
-        return limits.isEmpty() ? List.of() : java.util.stream.IntStream.range(0, shares).mapToObj(i -> DUTY + i).toList();
+        return limits.isEmpty()
+                ? List.of()
+                : java.util.stream.IntStream.range(0, shares)
+                        .mapToObj(i -> DUTY + i)
+                        .toList();
     }
 
     static LimitsConfig read(TomlTableReader fleet, DaemonConfigReader.Known known, double longestLeaseMs) {
@@ -80,9 +93,14 @@
             l.end();
         }
         if (expanded > MOST) {
-            fleet.sections("limit").get(0).error("name", expanded + " limits, each tenant's own counted; at most " + MOST);
+            fleet.sections("limit")
+                    .get(0)
+                    .error("name", expanded + " limits, each tenant's own counted; at most " + MOST);
         }
-        double longest = known.classes().stream().mapToDouble(ServiceClass::deadlineMs).max().orElse(0);
+        double longest = known.classes().stream()
+                .mapToDouble(ServiceClass::deadlineMs)
+                .max()
+                .orElse(0);
         return new LimitsConfig(grant, lease, voters, shares, longest + ANSWER_MS, limits);
     }
 
@@ -91,9 +109,11 @@
         String pool = among(s, "pool", known.pools().keySet());
         String tenant = s.text("tenant", null);
         if (!"*".equals(tenant)) {
-            tenant = among(s, "tenant", known.tenants().stream().map(Tenant::name).toList());
+            tenant = among(
+                    s, "tenant", known.tenants().stream().map(Tenant::name).toList());
         }
-        String serviceClass = among(s, "class", known.classes().stream().map(ServiceClass::name).toList());
+        String serviceClass = among(
+                s, "class", known.classes().stream().map(ServiceClass::name).toList());
         double perSecond = s.number("per_second", 0, 0.001, 1e7);
         int atOnce = s.integer("at_once", 0, 1, 1_000_000);
         if (perSecond > 0 == atOnce > 0) {
@@ -114,7 +134,10 @@
     private static String among(TomlTableReader s, String key, java.util.Collection<String> all) {
         String text = s.text(key, null);
         if (text != null && !all.contains(text)) {
-            s.error(key, "there is no " + key + " '" + text + "'; there are: " + String.join(", ", new java.util.TreeSet<>(all)));
+            s.error(
+                    key,
+                    "there is no " + key + " '" + text + "'; there are: "
+                            + String.join(", ", new java.util.TreeSet<>(all)));
         }
         return text;
     }
--- a/src/main/java/cacheproxy/config/RouteReader.java
+++ b/src/main/java/cacheproxy/config/RouteReader.java
@@ -9,8 +9,8 @@
 import cacheproxy.routes.PlacementTemplate;
 import cacheproxy.routes.Route;
 import cacheproxy.routes.RouteTable;
-import cacheproxy.routes.TrafficShare;
 import cacheproxy.routes.SplitShare;
+import cacheproxy.routes.TrafficShare;
 import cacheproxy.routes.VirtualHosts;
 import java.util.ArrayList;
 import java.util.HashMap;
@@ -32,7 +32,11 @@
     private final Set<String> pools;
     private final Set<String> hosts = new HashSet<>();
 
-    RouteReader(TomlTableReader.Errors errors, Set<String> listeners, List<ServiceClass> classes, List<Tenant> tenants,
+    RouteReader(
+            TomlTableReader.Errors errors,
+            Set<String> listeners,
+            List<ServiceClass> classes,
+            List<Tenant> tenants,
             Set<String> pools) {
         this.errors = errors;
         this.listeners = listeners;
@@ -60,9 +64,13 @@
         RouteTable table = new RouteTable(list, virtual);
         if (errors.lines().size() == before) {
             for (RouteTable.Shadowed dead : table.shadowed()) {
-                byName.get(dead.route().name()).error("name", "route '" + dead.route().name()
-                        + "' is never reached: '" + dead.by().name() + "' takes all of its requests before; give it a "
-                        + "lower order, or leave it out");
+                byName.get(dead.route().name())
+                        .error(
+                                "name",
+                                "route '" + dead.route().name()
+                                        + "' is never reached: '" + dead.by().name()
+                                        + "' takes all of its requests before; give it a "
+                                        + "lower order, or leave it out");
             }
         }
         return table;
@@ -152,8 +160,10 @@
         }
         String host = s.text("host", null);
         if (host != null && !hosts.contains(host)) {
-            s.error("host", "there is no host '" + host + "'; there are: " + String.join(", ",
-                    DaemonConfigReader.sorted(hosts)));
+            s.error(
+                    "host",
+                    "there is no host '" + host + "'; there are: "
+                            + String.join(", ", DaemonConfigReader.sorted(hosts)));
         }
         Set<String> from = Set.copyOf(allKnown(s, "listener", listeners, "listener"));
         Set<Integer> kinds = indexes(allKnown(s, "class", Set.copyOf(classes), "class"), classes);
@@ -161,13 +171,29 @@
         Boolean write = s.flagOrNull("write");
         TrafficShare share = share(s.section("share"));
         KeyRewrite rewrite = rewrite(s, patterns.isEmpty() ? null : patterns.get(0));
-        PlacementTemplate by = placeBy(s, "place_by", patterns.isEmpty() ? 0 : patterns.get(0).groups());
+        PlacementTemplate by =
+                placeBy(s, "place_by", patterns.isEmpty() ? 0 : patterns.get(0).groups());
         Route.Action action = action(s, name);
         int order = s.integer("order", 0, -1_000_000, 1_000_000);
         s.end();
-        return action == null ? null : new Route(name, order, position, from, host, exact,
-                prefix != null && prefix.isEmpty() ? null : prefix, List.copyOf(patterns), kinds, owners, write, share,
-                rewrite, by, action);
+        return action == null
+                ? null
+                : new Route(
+                        name,
+                        order,
+                        position,
+                        from,
+                        host,
+                        exact,
+                        prefix != null && prefix.isEmpty() ? null : prefix,
+                        List.copyOf(patterns),
+                        kinds,
+                        owners,
+                        write,
+                        share,
+                        rewrite,
+                        by,
+                        action);
     }
 
     /** What a placement hashes; null where it is not said. */
@@ -181,8 +207,12 @@
         try {
             PlacementTemplate by = text == null ? null : new PlacementTemplate(text);
             if (by != null && by.groups() > groups) {
-                s.error(key, key + ": '$" + by.groups() + "' is no group; " + (groups == 0 ? "only routes with a regex "
-                        + "have groups" : "the route's first regex has " + groups));
+                s.error(
+                        key,
+                        key + ": '$" + by.groups() + "' is no group; "
+                                + (groups == 0
+                                        ? "only routes with a regex " + "have groups"
+                                        : "the route's first regex has " + groups));
             }
             return by;
         } catch (IllegalArgumentException e) {
@@ -195,8 +225,10 @@
         List<String> list = s.texts(key);
         for (String n : list) {
             if (!names.contains(n)) {
-                s.error(key, "there is no " + kind + " '" + n + "'; there are: "
-                        + String.join(", ", DaemonConfigReader.sorted(names)));
+                s.error(
+                        key,
+                        "there is no " + kind + " '" + n + "'; there are: "
+                                + String.join(", ", DaemonConfigReader.sorted(names)));
             }
         }
         return list.stream().distinct().toList();
@@ -274,8 +306,10 @@
         boolean good = true;
         for (String pool : to) {
             if (!pools.contains(pool)) {
-                s.error("pools", "there is no pool '" + pool + "'; there are: "
-                        + String.join(", ", DaemonConfigReader.sorted(pools)));
+                s.error(
+                        "pools",
+                        "there is no pool '" + pool + "'; there are: "
+                                + String.join(", ", DaemonConfigReader.sorted(pools)));
                 good = false;
             } else if (!seen.add(pool)) {
                 s.error("pools", "pool '" + pool + "' falls back to itself; name each pool once");
--- a/src/main/java/cacheproxy/config/SiblingConfig.java
+++ b/src/main/java/cacheproxy/config/SiblingConfig.java
@@ -19,13 +19,21 @@
      * Where siblings are asked from and answered at, by ICP.
      *
      * @param urlPrefix with the key behind it, the URL in ICP
-     * @param listener where siblings fetch; its routes say which pool answers for a key; null: no question is answered with a hit
+     * @param listener where siblings fetch; its routes say which pool answers for a key; null: no question is answered
+     *     with a hit
      * @param keys that are remembered as answered lately, a power of two
      * @param holdMs for so long
      * @param questions out at once
      * @param perSecond questions, and answers, a second, at most
      */
-    public record Icp(InetSocketAddress address, String urlPrefix, String listener, int keys, double holdMs, int questions, double perSecond) { }
+    public record Icp(
+            InetSocketAddress address,
+            String urlPrefix,
+            String listener,
+            int keys,
+            double holdMs,
+            int questions,
+            double perSecond) {}
 
     /**
      * Another proxy's fleet.
@@ -34,7 +42,7 @@
      * @param fetch its listener for fetches
      * @param className the class that it has for them
      */
-    public record Sibling(String name, int id, InetSocketAddress icp, InetSocketAddress fetch, String className) { }
+    public record Sibling(String name, int id, InetSocketAddress icp, InetSocketAddress fetch, String className) {}
 
     /** What a file says of them; never null. */
     public static SiblingConfig of(DaemonConfig file) {
@@ -62,17 +70,26 @@
         return icp == null && siblings.isEmpty() ? null : new SiblingConfig(icp, List.copyOf(siblings));
     }
 
-    private static Sibling sibling(DaemonConfigReader.Known known, TomlTableReader s, Set<String> names, Set<Integer> ids) {
+    private static Sibling sibling(
+            DaemonConfigReader.Known known, TomlTableReader s, Set<String> names, Set<Integer> ids) {
         String name = DaemonConfigReader.name(s, names, "sibling");
         int id = ServerId.of("sibling/" + name);
         if (known.serverNames().containsKey(id) || !ids.add(id)) {
-            s.error("name", "sibling '" + name + "' has the number of another server, " + Integer.toHexString(id) + "; rename one");
+            s.error(
+                    "name",
+                    "sibling '" + name + "' has the number of another server, " + Integer.toHexString(id)
+                            + "; rename one");
         }
         String className = s.text("class");
         if (!className.isEmpty() && !DaemonConfigReader.word(className)) {
             s.error("class", "class '" + className + "' is no word");
         }
-        Sibling sibling = new Sibling(name, id, DaemonConfigReader.address(s, "icp", false), DaemonConfigReader.address(s, "fetch", false), className);
+        Sibling sibling = new Sibling(
+                name,
+                id,
+                DaemonConfigReader.address(s, "icp", false),
+                DaemonConfigReader.address(s, "fetch", false),
+                className);
         s.end();
         return sibling;
     }
@@ -80,7 +97,10 @@
     private static void pool(DaemonConfig.Pool pool, TomlTableReader s, Set<String> known) {
         for (String n : pool.siblings()) {
             if (!known.contains(n)) {
-                s.error("siblings", "there is no sibling '" + n + "'; there are: " + String.join(", ", DaemonConfigReader.sorted(known)));
+                s.error(
+                        "siblings",
+                        "there is no sibling '" + n + "'; there are: "
+                                + String.join(", ", DaemonConfigReader.sorted(known)));
             }
         }
         if (!pool.siblings().isEmpty() && pool.origin() == null) {
@@ -101,8 +121,13 @@
         if (!prefix.matches("[!-~]{1,1000}")) {
             s.error("url_prefix", "url_prefix is 1 to 1000 printing characters without space");
         }
-        Icp icp = new Icp(DaemonConfigReader.address(s, "address", true), prefix, DaemonConfigReader.known(s, "listener", known.listeners(), "listener"),
-                keys, s.number("hold_ms", 60_000, 100, 24 * DaemonConfigReader.HOUR_MS), s.integer("questions", 1024, 1, 1 << 20),
+        Icp icp = new Icp(
+                DaemonConfigReader.address(s, "address", true),
+                prefix,
+                DaemonConfigReader.known(s, "listener", known.listeners(), "listener"),
+                keys,
+                s.number("hold_ms", 60_000, 100, 24 * DaemonConfigReader.HOUR_MS),
+                s.integer("questions", 1024, 1, 1 << 20),
                 s.number("per_second", 2000, 1, 1e9));
         s.end();
         return icp;
--- a/src/main/java/cacheproxy/config/SnapshotConfig.java
+++ b/src/main/java/cacheproxy/config/SnapshotConfig.java
@@ -17,8 +17,10 @@
         if (s == null) {
             return null;
         }
-        SnapshotConfig memory = new SnapshotConfig(known.beside(s, "path", s.text("path")),
-                s.number("period_ms", 2000, 50, DaemonConfigReader.HOUR_MS), s.integer("keys", 256, 0, SnapshotCodec.MAX_KEYS),
+        SnapshotConfig memory = new SnapshotConfig(
+                known.beside(s, "path", s.text("path")),
+                s.number("period_ms", 2000, 50, DaemonConfigReader.HOUR_MS),
+                s.integer("keys", 256, 0, SnapshotCodec.MAX_KEYS),
                 s.number("bytes_per_second", 65_536, 1024, 1e9));
         s.end();
         return memory;
--- a/src/main/java/cacheproxy/config/TomlTableReader.java
+++ b/src/main/java/cacheproxy/config/TomlTableReader.java
@@ -33,7 +33,7 @@
         private final String file;
         private final List<Entry> entries = new ArrayList<>();
 
-        private record Entry(int line, int column, String text) { }
+        private record Entry(int line, int column, String text) {}
 
         Errors(String file) {
             this.file = file;
@@ -49,9 +49,11 @@
 
         /** In the file's order. */
         List<String> lines() {
-            return entries.stream().sorted((a, b) -> a.line != b.line ? Integer.compare(a.line, b.line)
-                    : Integer.compare(a.column, b.column))
-                    .map(e -> file + ":" + e.line + ":" + e.column + ": " + e.text).toList();
+            return entries.stream()
+                    .sorted((a, b) ->
+                            a.line != b.line ? Integer.compare(a.line, b.line) : Integer.compare(a.column, b.column))
+                    .map(e -> file + ":" + e.line + ":" + e.column + ": " + e.text)
+                    .toList();
         }
     }
 
@@ -63,8 +65,8 @@
     }
 
     /**
-     * Reads a TOML text and checks it whole: the exception has a line for each thing that is wrong, unknown keys of the top
-     * level among them; those of other sections are told where the reader calls {@link #end}.
+     * Reads a TOML text and checks it whole: the exception has a line for each thing that is wrong, unknown keys of the
+     * top level among them; those of other sections are told where the reader calls {@link #end}.
      *
      * @param file stands for the file in errors
      */
@@ -88,7 +90,8 @@
 
     /** The whole file. */
     static TomlTableReader root(List<ChunkedTomlParser.Part> parts, Errors errors) {
-        return new TomlTableReader(parts.stream().map(p -> new Piece(p.toml(), p.before())).toList(), "", null, errors);
+        return new TomlTableReader(
+                parts.stream().map(p -> new Piece(p.toml(), p.before())).toList(), "", null, errors);
     }
 
     Errors errors() {
@@ -161,8 +164,10 @@
         }
         double n = value instanceof Number number ? number.doubleValue() : Double.NaN;
         if (!(n >= least && n <= most)) {
-            error(key, key + " is " + (value instanceof Number ? figure(n) : "no number") + "; a number from "
-                    + figure(least) + " to " + figure(most) + " is wanted");
+            error(
+                    key,
+                    key + " is " + (value instanceof Number ? figure(n) : "no number") + "; a number from "
+                            + figure(least) + " to " + figure(most) + " is wanted");
             return absent;
         }
         return n;
@@ -231,11 +236,14 @@
         Piece first = piece(key);
         for (Piece p : pieces) {
             if (p != first && p.table.contains(List.of(key))) {
-                errors.add(p.at(p.table.inputPositionOf(List.of(key))), key + " previously defined at line " + at(key).line());
+                errors.add(
+                        p.at(p.table.inputPositionOf(List.of(key))),
+                        key + " previously defined at line " + at(key).line());
             }
         }
         if (value instanceof TomlTable t) {
-            return new TomlTableReader(List.of(new Piece(t, first.before)), name.isEmpty() ? key : name + "." + key, at(key), errors);
+            return new TomlTableReader(
+                    List.of(new Piece(t, first.before)), name.isEmpty() ? key : name + "." + key, at(key), errors);
         }
         if (value != null) {
             error(key, key + " is no table; write " + key + " = { ... } or [" + key + "]");
@@ -252,7 +260,9 @@
             if (value instanceof TomlArray array) {
                 sections(key, p, array, list);
             } else if (value != null) {
-                errors.add(p.at(p.table.inputPositionOf(List.of(key))), key + " is no list of tables; write [[" + key + "]]");
+                errors.add(
+                        p.at(p.table.inputPositionOf(List.of(key))),
+                        key + " is no list of tables; write [[" + key + "]]");
             }
         }
         return list;
@@ -262,8 +272,11 @@
         for (int i = 0; i < array.size(); i++) {
             if (array.get(i) instanceof TomlTable t) {
                 Object named = t.get(List.of("name"));
-                into.add(new TomlTableReader(List.of(new Piece(t, p.before)), key + (named instanceof String s ? " " + s : ""),
-                        p.at(array.inputPositionOf(i)), errors));
+                into.add(new TomlTableReader(
+                        List.of(new Piece(t, p.before)),
+                        key + (named instanceof String s ? " " + s : ""),
+                        p.at(array.inputPositionOf(i)),
+                        errors));
             } else {
                 errors.add(p.at(array.inputPositionOf(i)), key + " holds something that is no table");
             }
@@ -276,8 +289,10 @@
         pieces.forEach(p -> keys.addAll(p.table.keySet()));
         for (String key : keys) {
             if (!known.contains(key)) {
-                error(key, "unknown key '" + key + "'" + (name.isEmpty() ? "" : " in " + name) + "; allowed: "
-                        + String.join(", ", new TreeSet<>(known)));
+                error(
+                        key,
+                        "unknown key '" + key + "'" + (name.isEmpty() ? "" : " in " + name) + "; allowed: "
+                                + String.join(", ", new TreeSet<>(known)));
             }
         }
     }
--- a/src/main/java/cacheproxy/control/ControlEndpoints.java
+++ b/src/main/java/cacheproxy/control/ControlEndpoints.java
@@ -13,8 +13,13 @@
  * @param active takes clients again; false where that can't be had
  * @param diagnostics what answers the calls of {@link DiagnosticEndpoints}
  */
-public record ControlEndpoints(BooleanSupplier takesClients, Supplier<String> state, BooleanSupplier standby,
-        BooleanSupplier active, DiagnosticEndpoints diagnostics) implements ControlRequestHandler {
+public record ControlEndpoints(
+        BooleanSupplier takesClients,
+        Supplier<String> state,
+        BooleanSupplier standby,
+        BooleanSupplier active,
+        DiagnosticEndpoints diagnostics)
+        implements ControlRequestHandler {
 
     /**
      * An answer: 2xx is yes, 4xx and 5xx no.
@@ -41,7 +46,8 @@
             default -> null;
         };
         if (needed == null) {
-            return new Answer(404, "the calls are GET /status, POST /standby, POST /active, " + DiagnosticEndpoints.NAMES);
+            return new Answer(
+                    404, "the calls are GET /status, POST /standby, POST /active, " + DiagnosticEndpoints.NAMES);
         }
         if (!needed.equals(method)) {
             return new Answer(405, "use " + needed + " " + path, needed);
--- a/src/main/java/cacheproxy/control/DiagnosticEndpoints.java
+++ b/src/main/java/cacheproxy/control/DiagnosticEndpoints.java
@@ -6,14 +6,15 @@
 import java.util.function.Supplier;
 
 /**
- * The operators' calls for finding out what a process does: {@code GET /invariants}, {@code POST /events/on}, {@code POST /events/off}
- * and {@code POST /reload}. Paths are exact; a query string is not looked at.
+ * The operators' calls for finding out what a process does: {@code GET /invariants}, {@code POST /events/on},
+ * {@code POST /events/off} and {@code POST /reload}. Paths are exact; a query string is not looked at.
  *
  * @param invariants what was stopped and violated, one line
  * @param events switches the event log
  * @param reload has the configuration read again, elsewhere, as SIGHUP does; false where there is none to read
  */
-public record DiagnosticEndpoints(Supplier<String> invariants, Consumer<Boolean> events, BooleanSupplier reload) implements ControlRequestHandler {
+public record DiagnosticEndpoints(Supplier<String> invariants, Consumer<Boolean> events, BooleanSupplier reload)
+        implements ControlRequestHandler {
     /** The calls, for answers that name them. */
     public static final String NAMES = "GET /invariants, POST /events/on, POST /events/off and POST /reload";
 
@@ -39,7 +40,10 @@
         }
         return switch (path) {
             case "/invariants" -> new Answer(200, invariants.get());
-            case "/reload" -> reload.getAsBoolean() ? new Answer(202, "reading the configuration") : new Answer(503, "no configuration to read");
+            case "/reload" ->
+                reload.getAsBoolean()
+                        ? new Answer(202, "reading the configuration")
+                        : new Answer(503, "no configuration to read");
             default -> events(path.endsWith("/on"));
         };
     }
--- a/src/main/java/cacheproxy/daemon/ConfigSnapshot.java
+++ b/src/main/java/cacheproxy/daemon/ConfigSnapshot.java
@@ -1,10 +1,9 @@
 package cacheproxy.daemon;
 
-import cacheproxy.daemon.fleet.FleetQuotas;
-import cacheproxy.daemon.hooks.HookExecutor;
-
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.SiblingConfig;
+import cacheproxy.daemon.fleet.FleetQuotas;
+import cacheproxy.daemon.hooks.HookExecutor;
 import cacheproxy.hooks.HookRules;
 import cacheproxy.proxy.RequestValidator;
 import cacheproxy.routes.Route;
@@ -19,6 +18,7 @@
     public final DaemonConfig file;
     /** Kept here since each request asks. */
     final SiblingConfig siblings;
+
     public final Map<String, PoolRuntime> pools;
     final RequestValidator intake;
     public final HookRules rules;
@@ -26,13 +26,20 @@
     final FleetQuotas limits;
     /** The hooks of each listener, in order. */
     final Map<String, List<HookExecutor>> hooks = new HashMap<>();
+
     private final List<HookExecutor> runners;
     private final Map<String, Route> byName = new HashMap<>();
     /** Requests in hand that came under it. */
     public int inHand;
+
     private final Map<Route, List<PoolRuntime>> chains = new IdentityHashMap<>();
 
-    ConfigSnapshot(DaemonConfig file, Map<String, PoolRuntime> pools, RequestValidator intake, List<HookExecutor> runners, FleetQuotas limits) {
+    ConfigSnapshot(
+            DaemonConfig file,
+            Map<String, PoolRuntime> pools,
+            RequestValidator intake,
+            List<HookExecutor> runners,
+            FleetQuotas limits) {
         this.file = file;
         this.limits = limits;
         siblings = SiblingConfig.of(file);
@@ -40,10 +47,13 @@
         this.intake = intake;
         this.runners = runners;
         file.routes().routes().forEach(r -> byName.put(r.name(), r));
-        rules = new HookRules(file.classes(), file.tenants().stream().map(t -> t.name()).toList(), byName.keySet());
+        rules = new HookRules(
+                file.classes(), file.tenants().stream().map(t -> t.name()).toList(), byName.keySet());
         for (DaemonConfig.Listen l : file.listeners()) {
-            List<HookExecutor> own = runners.stream().filter(h -> h.spec.listeners().isEmpty()
-                    || h.spec.listeners().contains(l.name())).toList();
+            List<HookExecutor> own = runners.stream()
+                    .filter(h ->
+                            h.spec.listeners().isEmpty() || h.spec.listeners().contains(l.name()))
+                    .toList();
             if (!own.isEmpty()) {
                 hooks.put(l.name(), own);
             }
--- a/src/main/java/cacheproxy/daemon/ControlSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/ControlSubsystem.java
@@ -3,10 +3,10 @@
 import cacheproxy.config.ConfigException;
 import cacheproxy.config.ControlConfig;
 import cacheproxy.config.DaemonConfig;
-import cacheproxy.control.ControlRequestHandler;
-import cacheproxy.control.DiagnosticEndpoints;
 import cacheproxy.control.ControlEndpoints.Answer;
+import cacheproxy.control.ControlRequestHandler;
 import cacheproxy.control.ControlServer;
+import cacheproxy.control.DiagnosticEndpoints;
 import cacheproxy.proxy.Transport;
 import io.netty.channel.EventLoop;
 import java.net.InetSocketAddress;
@@ -23,15 +23,27 @@
     private final DiagnosticEndpoints diagnostics;
     private boolean draining;
 
-    private ControlSubsystem(ControlConfig spec, EventLoop loop, Map<String, Supplier<ControlRequestHandler>> others, DiagnosticEndpoints diagnostics) {
+    private ControlSubsystem(
+            ControlConfig spec,
+            EventLoop loop,
+            Map<String, Supplier<ControlRequestHandler>> others,
+            DiagnosticEndpoints diagnostics) {
         this.spec = spec;
         this.diagnostics = diagnostics;
         this.others = others;
         door = new ControlServer(loop, Transport.BEST.server(), this::call);
     }
 
-    /** @param others what answers calls whose path is such a word, or begins with it and a slash; a supplier of null: nothing does */
-    static Subsystem open(DaemonConfig file, Subsystem before, EventLoop loop, Map<String, Supplier<ControlRequestHandler>> others, DiagnosticEndpoints diagnostics)
+    /**
+     * @param others what answers calls whose path is such a word, or begins with it and a slash; a supplier of null:
+     *     nothing does
+     */
+    static Subsystem open(
+            DaemonConfig file,
+            Subsystem before,
+            EventLoop loop,
+            Map<String, Supplier<ControlRequestHandler>> others,
+            DiagnosticEndpoints diagnostics)
             throws ConfigException, InterruptedException {
         ControlConfig spec = file.part(ControlConfig.class);
         if (spec == null) {
@@ -46,8 +58,9 @@
         int query = uri.indexOf('?');
         String path = query < 0 ? uri : uri.substring(0, query);
         if (path.equals("/status")) {
-            return !method.equals("GET") ? new Answer(405, "use GET /status", "GET") : draining ? new Answer(503, "draining")
-                    : new Answer(200, "active");
+            return !method.equals("GET")
+                    ? new Answer(405, "use GET /status", "GET")
+                    : draining ? new Answer(503, "draining") : new Answer(200, "active");
         }
         if (DiagnosticEndpoints.method(path) != null) {
             return diagnostics.call(method, uri);
