--- a/src/main/java/cacheproxy/bench/BenchCommand.java
+++ b/src/main/java/cacheproxy/bench/BenchCommand.java
@@ -1,20 +1,22 @@
 package cacheproxy.bench;
 
 import java.io.PrintWriter;
-import java.util.List;
+import java.util.Set;
 import java.util.concurrent.Callable;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
 import picocli.CommandLine.Option;
 import picocli.CommandLine.Spec;
 
-/** Measurements that docs/PERFORMANCE.md reports. */
+/** {@code bench}: the measurements that docs/PERFORMANCE.md reports. */
 @Command(
         name = "bench",
         mixinStandardHelpOptions = true,
         description = "Measures the whole hop, the choice of a route "
                 + "and the choice of a server; figures are medians with least and most.")
 public final class BenchCommand implements Callable<Integer> {
+    private static final Set<String> SNAPSHOT_BENCHES = Set.of("memory", "memory-cost", "kills", "cycles");
+
     @Spec
     private CommandSpec spec;
 
@@ -38,37 +40,38 @@
         out.println("java " + System.getProperty("java.vm.version") + ", "
                 + Runtime.getRuntime().availableProcessors() + " processors, heap "
                 + (Runtime.getRuntime().maxMemory() >> 20) + " MB");
-        ChoiceBench choices = new ChoiceBench(out);
-        if (only == null || only.equals("hop")) {
-            new HopBench(out, seconds).run(rounds);
-        }
-        if (only == null || only.equals("routes")) {
-            choices.routes();
-        }
-        if (only == null || only.equals("servers")) {
-            choices.servers();
-        }
-        if (only == null || only.equals("import")) {
-            new ImportBench(out).run(rounds);
-        }
-        if (only == null || only.equals("hooks") || only.equals("hostile")) {
-            new HookBench(out).run("hostile".equals(only), rounds, seconds);
-        }
-        if (only != null && List.of("memory", "memory-cost", "kills", "cycles").contains(only)) {
-            new SnapshotBench(out, rounds, seconds).run(only);
+        if (only == null) {
+            runDefaults(out);
+        } else {
+            run(only, out);
         }
-        if ("siblings".equals(only)) {
-            new SiblingBench(out, rounds, seconds).run();
-        }
-        if ("duties".equals(only)) {
-            new LeaseBench(out).run(rounds);
+        return 0;
+    }
+
+    private void runDefaults(PrintWriter out) throws Exception {
+        for (String name : new String[] {"hop", "routes", "servers", "import", "hooks"}) {
+            run(name, out);
         }
-        if ("limits".equals(only)) {
-            new QuotaBench(out).run(rounds);
+    }
+
+    /** Runs one bench; none if the name is unknown. */
+    private void run(String name, PrintWriter out) throws Exception {
+        if (SNAPSHOT_BENCHES.contains(name)) {
+            new SnapshotBench(out, rounds, seconds).run(name);
+            return;
         }
-        if ("fleet".equals(only)) {
-            new FleetBench(out).run(rounds);
+        switch (name) {
+            case "hop" -> new HopBench(out, seconds).run(rounds);
+            case "routes" -> new ChoiceBench(out).routes();
+            case "servers" -> new ChoiceBench(out).servers();
+            case "import" -> new ImportBench(out).run(rounds);
+            case "hooks" -> new HookBench(out, rounds, seconds).run(false);
+            case "hostile" -> new HookBench(out, rounds, seconds).run(true);
+            case "siblings" -> new SiblingBench(out, rounds, seconds).run();
+            case "duties" -> new LeaseBench(out).run(rounds);
+            case "limits" -> new QuotaBench(out).run(rounds);
+            case "fleet" -> new FleetBench(out).run(rounds);
+            default -> {}
         }
-        return choices.sink() == 42 ? 1 : 0;
     }
 }
--- a/src/main/java/cacheproxy/bench/ChoiceBench.java
+++ b/src/main/java/cacheproxy/bench/ChoiceBench.java
@@ -13,7 +13,6 @@
 import cacheproxy.routes.RouteTable;
 import java.io.PrintWriter;
 import java.util.ArrayList;
-import java.util.Arrays;
 import java.util.List;
 import java.util.SplittableRandom;
 import java.util.function.IntToLongFunction;
@@ -21,165 +20,180 @@
 /** What one choice costs: a route among many, a server among many. */
 final class ChoiceBench {
     private static final int RANKS = 8;
-    /** So that the compiler can't leave the work out. */
-    private long sink;
+    private static final int INPUTS = 1024;
+    private static final int INPUT_MASK = INPUTS - 1;
+    private static final int[] ROUTE_COUNTS = {10, 1_000, 10_000};
+    /** The greatest first: a loop compiled for ten turns is not unrolled for ten thousand. */
+    private static final int[] SERVER_COUNTS = {10_000, 1_000, 100, 10};
+
+    private static final int WARM_UP_ROUNDS = 3;
+    private static final int ROUNDS = 9;
+    private static final long ROUND_NANOS = 100_000_000;
+    private static final int CALLS_PER_CLOCK_READ = 64;
+    private static final int NANOS_PER_MICRO = 1000;
 
     private final PrintWriter out;
 
+    @SuppressWarnings("UnusedVariable") // keeps the compiler from dropping what is measured
+    private long sink;
+
     ChoiceBench(PrintWriter out) {
         this.out = out;
     }
 
+    /** Prints, for each number of routes, the time to find one by exact key, prefix and pattern. */
     void routes() {
         out.printf("%-10s %12s %12s %12s%n", "routes", "exact ns", "prefix ns", "pattern ns");
-        for (int n : new int[] {10, 1_000, 10_000}) {
-            List<Route> routes = new ArrayList<>();
-            RouteInput[] exact = new RouteInput[1024];
-            RouteInput[] prefix = new RouteInput[1024];
-            RouteInput[] pattern = new RouteInput[1024];
-            for (int i = 0; i < n; i++) {
-                int kind = i % 10;
-                // One in ten is a pattern, as where locations were written by hand; the rest halves.
-                String key = "svc" + i + "/list/";
-                RouteConditions conditions = RouteConditions.NONE;
-                if (kind < 5) {
-                    conditions = conditions.withExact(key + "index");
-                } else if (kind < 9) {
-                    conditions = conditions.withPrefix(key);
-                } else {
-                    conditions = conditions.withPattern(new KeyPattern("^svc" + i + "/v[0-9]+/"));
-                }
-                routes.add(new Route("r" + i, 0, i, conditions, KeyRewrite.NONE, null, new Route.Fail()));
-            }
+        for (int count : ROUTE_COUNTS) {
+            RouteTable table = new RouteTable(makeRoutes(count));
             SplittableRandom random = new SplittableRandom(3);
-            for (int i = 0; i < 1024; i++) {
-                int base = random.nextInt(n / 10) * 10;
-                exact[i] = subject("svc" + (base + random.nextInt(5)) + "/list/index");
-                prefix[i] = subject("svc" + (base + 5 + random.nextInt(4)) + "/list/" + random.nextInt(1000));
-                pattern[i] = subject("svc" + (base + 9) + "/v" + random.nextInt(10) + "/x");
+            RouteInput[] exact = new RouteInput[INPUTS];
+            RouteInput[] prefix = new RouteInput[INPUTS];
+            RouteInput[] pattern = new RouteInput[INPUTS];
+            for (int i = 0; i < INPUTS; i++) {
+                int base = random.nextInt(count / 10) * 10;
+                exact[i] = input("svc" + (base + random.nextInt(5)) + "/list/index");
+                prefix[i] = input("svc" + (base + 5 + random.nextInt(4)) + "/list/" + random.nextInt(1000));
+                pattern[i] = input("svc" + (base + 9) + "/v" + random.nextInt(10) + "/x");
             }
-            RouteTable table = new RouteTable(routes);
             out.printf(
                     "%-10d %12s %12s %12s%n",
-                    n,
-                    time(i -> table.find(exact[i & 1023]).position()),
-                    time(i -> table.find(prefix[i & 1023]).position()),
-                    time(i -> table.find(pattern[i & 1023]).position()));
+                    count, timeLookups(table, exact), timeLookups(table, prefix), timeLookups(table, pattern));
             out.flush();
         }
     }
 
-    private static RouteInput subject(String key) {
+    /**
+     * Of ten routes five are exact, four are prefixes and one is a pattern, as where locations were written by hand.
+     */
+    private static List<Route> makeRoutes(int count) {
+        List<Route> routes = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            int kind = i % 10;
+            String prefix = "svc" + i + "/list/";
+            RouteConditions conditions;
+            if (kind < 5) {
+                conditions = RouteConditions.NONE.withExact(prefix + "index");
+            } else if (kind < 9) {
+                conditions = RouteConditions.NONE.withPrefix(prefix);
+            } else {
+                conditions = RouteConditions.NONE.withPattern(new KeyPattern("^svc" + i + "/v[0-9]+/"));
+            }
+            routes.add(new Route("r" + i, 0, i, conditions, KeyRewrite.NONE, null, new Route.Fail()));
+        }
+        return routes;
+    }
+
+    private static RouteInput input(String key) {
         return new RouteInput("main", key, 0, 0, false);
     }
 
+    private String timeLookups(RouteTable table, RouteInput[] inputs) {
+        return time(i -> table.find(inputs[i & INPUT_MASK]).position()).format(0);
+    }
+
+    /**
+     * Prints, for each number of servers, the time to rank them by equal and by different weights, and in a plain way.
+     */
     void servers() {
         out.printf("%-10s %16s %16s %16s%n", "servers", "equal us", "weighted us", "one by one us");
-        for (int n :
-                new int[] {10_000, 1_000, 100, 10}) { // a loop compiled for ten turns is not unrolled for ten thousand
-            Placement equal = new CarpPlacement(members(n, true));
-            List<Endpoint> weighted = members(n, false);
-            Placement unequal = new CarpPlacement(weighted);
-            Plain plain = new Plain(weighted);
+        for (int count : SERVER_COUNTS) {
+            List<Endpoint> weighted = makeEndpoints(count, false);
+            Placement equalPlacement = new CarpPlacement(makeEndpoints(count, true));
+            Placement weightedPlacement = new CarpPlacement(weighted);
+            LinearRanking linear = new LinearRanking(weighted);
             int[] top = new int[RANKS];
-            long[] keys = new SplittableRandom(4).longs(1024).toArray();
-            String[] figures = {
-                time(i -> equal.rank(keys[i & 1023], CarpHash.keyHash(keys[i & 1023]), RANKS, top)),
-                time(i -> unequal.rank(keys[i & 1023], CarpHash.keyHash(keys[i & 1023]), RANKS, top)),
-                time(i -> plain.top(CarpHash.keyHash(keys[i & 1023]), RANKS, top))
-            };
-            out.printf("%-10d %16s %16s %16s%n", n, micros(figures[0]), micros(figures[1]), micros(figures[2]));
+            long[] keys = new SplittableRandom(4).longs(INPUTS).toArray();
+            Spread equalNanos = time(i -> rank(equalPlacement, keys[i & INPUT_MASK], top));
+            Spread weightedNanos = time(i -> rank(weightedPlacement, keys[i & INPUT_MASK], top));
+            Spread linearNanos = time(i -> linear.rank(CarpHash.keyHash(keys[i & INPUT_MASK]), RANKS, top));
+            out.printf("%-10d %16s %16s %16s%n", count, micros(equalNanos), micros(weightedNanos), micros(linearNanos));
             out.flush();
         }
     }
 
-    private static String micros(String nanos) {
-        String[] parts = nanos.split(" ", 0);
-        return String.format(
-                "%.3f (%.3f-%.3f)",
-                Double.parseDouble(parts[0]) / 1000,
-                Double.parseDouble(parts[1].substring(1).split("-", 0)[0]) / 1000,
-                Double.parseDouble(parts[1].split("-", 0)[1].replace(")", "")) / 1000);
+    private static int rank(Placement placement, long key, int[] top) {
+        return placement.rank(key, CarpHash.keyHash(key), RANKS, top);
     }
 
-    private static List<Endpoint> members(int n, boolean equal) {
-        SplittableRandom random = new SplittableRandom(n);
-        List<Endpoint> members = new ArrayList<>();
-        for (int i = 0; i < n; i++) {
-            members.add(new Endpoint(
-                    random.nextInt(), 0, 0, 0, EndpointState.READY, equal ? 1 : 0.5f + random.nextFloat(), 0));
+    private static String micros(Spread nanos) {
+        return nanos.dividedBy(NANOS_PER_MICRO).format(3);
+    }
+
+    private static List<Endpoint> makeEndpoints(int count, boolean equalWeights) {
+        SplittableRandom random = new SplittableRandom(count);
+        List<Endpoint> endpoints = new ArrayList<>();
+        for (int i = 0; i < count; i++) {
+            int id = random.nextInt();
+            float weight = equalWeights ? 1 : 0.5f + random.nextFloat();
+            endpoints.add(new Endpoint(id, 0, 0, 0, EndpointState.READY, weight, 0));
         }
-        members.sort((a, b) -> Integer.compareUnsigned(a.id(), b.id()));
-        return members;
+        endpoints.sort((left, right) -> Integer.compareUnsigned(left.id(), right.id()));
+        return endpoints;
     }
 
-    /** How it was done before: an object and a score for each server. */
-    private static final class Plain {
+    /** The plain way to rank: an object and a score for each server. */
+    private static final class LinearRanking {
         private static final class Server {
-            int index;
-            int hash;
-            float multiplier;
+            private int index;
+            private int hash;
+            private float multiplier;
         }
 
-        private final Server[] ranked;
-        private double[] scores = new double[RANKS];
+        private final Server[] servers;
+        private final double[] scores = new double[RANKS];
 
-        Plain(List<Endpoint> members) {
-            float[] weights = new float[members.size()];
+        LinearRanking(List<Endpoint> endpoints) {
+            float[] weights = new float[endpoints.size()];
             for (int i = 0; i < weights.length; i++) {
-                weights[i] = members.get(i).weight();
+                weights[i] = endpoints.get(i).weight();
             }
-            float[] x = CarpHash.multipliers(weights);
-            ranked = new Server[weights.length];
+            float[] multipliers = CarpHash.multipliers(weights);
+            servers = new Server[weights.length];
             for (int i = 0; i < weights.length; i++) {
-                ranked[i] = new Server();
-                ranked[i].index = i;
-                ranked[i].hash = CarpHash.memberHash(members.get(i).id());
-                ranked[i].multiplier = x[i];
+                servers[i] = new Server();
+                servers[i].index = i;
+                servers[i].hash = CarpHash.memberHash(endpoints.get(i).id());
+                servers[i].multiplier = multipliers[i];
             }
         }
 
-        int top(int keyHash, int want, int[] top) {
+        private int rank(int keyHash, int wanted, int[] top) {
             int count = 0;
-            for (Server s : ranked) {
-                double score = CarpHash.score(keyHash, s.hash, s.multiplier);
-                if (count == want && score <= scores[want - 1]) {
+            for (Server server : servers) {
+                double score = CarpHash.score(keyHash, server.hash, server.multiplier);
+                if (count == wanted && score <= scores[wanted - 1]) {
                     continue;
                 }
-                int i = count < want ? count++ : want - 1;
+                int i = count < wanted ? count++ : wanted - 1;
                 for (; i > 0 && scores[i - 1] < score; i--) {
                     top[i] = top[i - 1];
                     scores[i] = scores[i - 1];
                 }
-                top[i] = s.index;
+                top[i] = server.index;
                 scores[i] = score;
             }
             return count;
         }
     }
 
-    /** Median, least and most of nine timings of 100 ms each, in ns a call. */
-    private String time(IntToLongFunction call) {
-        double[] ns = new double[9];
-        for (int round = -3; round < ns.length; round++) {
+    /** Median, least and greatest time of a call in nanoseconds, of rounds of equal length. */
+    private Spread time(IntToLongFunction call) {
+        double[] nanos = new double[ROUNDS];
+        for (int round = -WARM_UP_ROUNDS; round < ROUNDS; round++) {
             long start = System.nanoTime();
-            long n = 0;
+            long calls = 0;
             long now;
             do {
-                for (int i = 0; i < 64; i++) {
-                    sink += call.applyAsLong((int) n++);
+                for (int i = 0; i < CALLS_PER_CLOCK_READ; i++) {
+                    sink += call.applyAsLong((int) calls++);
                 }
                 now = System.nanoTime();
-            } while (now - start < 100_000_000L);
+            } while (now - start < ROUND_NANOS);
             if (round >= 0) {
-                ns[round] = (double) (now - start) / n;
+                nanos[round] = (double) (now - start) / calls;
             }
         }
-        Arrays.sort(ns);
-        return String.format("%.0f (%.0f-%.0f)", ns[4], ns[0], ns[8]);
-    }
-
-    long sink() {
-        return sink;
+        return Spread.range(nanos);
     }
 }
--- a/src/main/java/cacheproxy/bench/ConstantRateClient.java
+++ b/src/main/java/cacheproxy/bench/ConstantRateClient.java
@@ -1,13 +1,9 @@
 package cacheproxy.bench;
 
-import cacheproxy.proxy.net.Transport;
-import io.netty.bootstrap.Bootstrap;
 import io.netty.buffer.ByteBuf;
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelHandlerContext;
 import io.netty.channel.ChannelInboundHandlerAdapter;
-import io.netty.channel.ChannelInitializer;
-import io.netty.channel.ChannelOption;
 import io.netty.channel.EventLoop;
 import java.net.SocketAddress;
 import java.nio.charset.StandardCharsets;
@@ -16,114 +12,116 @@
 import org.HdrHistogram.Histogram;
 
 /**
- * Asks at an even pace whatever comes back, so that what is asked of a daemon is the same in each window, however slow
- * the answers are. One connection; it has at most so many commands open as a connection may, and leaves out those
- * beyond.
+ * Sends requests at a constant rate on one connection, however slow the responses are, so that a daemon's load is the
+ * same in each window. It has at most as many requests in flight as a connection may, and skips those beyond.
  */
 final class ConstantRateClient extends ChannelInboundHandlerAdapter {
-    private static final int MOST_OPEN = 31;
-    private final long everyMicros;
-    /** Times of answers, ns. */
-    private final Histogram nanos = new Histogram(60_000_000_000L, 3);
+    private static final int MAX_IN_FLIGHT = 31;
+    private static final long MAX_LATENCY_NANOS = 60_000_000_000L;
 
-    private final long[] sentAt = new long[MOST_OPEN + 1];
-    private int next;
-    private int open;
-    private long asked;
+    private final long periodMicros;
+    private final Histogram latencyNanos = new Histogram(MAX_LATENCY_NANOS, 3);
+    private final long[] sentAtNanos = new long[MAX_IN_FLIGHT + 1];
+    private int nextKey;
+    private int inFlight;
+    private long sent;
     private long answered;
-    private long leftOut;
-    /** Whether the line that comes is a value, not an answer's first. */
-    private boolean value;
+    private long skipped;
+    /** Whether the line that is being received is a value, not the first of a response. */
+    private boolean receivesValue;
+    /** Whether the response that is being received has a value behind its first line. */
+    private boolean hasValue;
 
-    private boolean startsValue;
-    private boolean lineStart = true;
-    private Future<?> pace;
+    private boolean atLineStart = true;
+    private Future<?> schedule;
     private boolean over;
 
-    ConstantRateClient(long everyMicros) {
-        this.everyMicros = everyMicros;
+    /** Creates a client that sends a request each {@code periodMicros}. */
+    ConstantRateClient(long periodMicros) {
+        this.periodMicros = periodMicros;
     }
 
-    /** What became of all: asked, answered, left out. */
-    record Count(long asked, long answered, long leftOut, Histogram nanos) {}
+    /**
+     * What became of a client's requests.
+     *
+     * @param skipped not sent, as too many were in flight
+     */
+    record Count(long sent, long answered, long skipped, Histogram latencyNanos) {
+        /** A percentile of the latency in microseconds. */
+        double percentileMicros(double percentile) {
+            return latencyNanos.getValueAtPercentile(percentile) / 1e3;
+        }
+    }
 
-    /** Connects; {@link #stop} ends it. */
+    /** Connects and begins to send; {@link #stop} ends it. */
     Channel start(EventLoop loop, SocketAddress to) throws InterruptedException {
-        return new Bootstrap()
-                .group(loop)
-                .channel(Transport.BEST.socket())
-                .option(ChannelOption.TCP_NODELAY, true)
-                .handler(new ChannelInitializer<>() {
-                    @Override
-                    protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(ConstantRateClient.this);
-                    }
-                })
-                .connect(to)
-                .sync()
-                .channel();
+        return ClientConnection.connect(loop, to, this).sync().channel();
     }
 
-    /** Asks no more, waits for what is open and closes. */
+    /** Sends no more, waits for the responses in flight and closes. */
     @SuppressWarnings("FutureReturnValueIgnored") // the close is observed where the channel becomes inactive
     Count stop(Channel channel) throws Exception {
         channel.eventLoop()
                 .submit(() -> {
                     over = true;
-                    pace.cancel(false);
-                    if (open == 0) {
+                    schedule.cancel(false);
+                    if (inFlight == 0) {
                         channel.close();
                     }
                 })
                 .get();
         channel.closeFuture().sync();
-        return new Count(asked, answered, leftOut, nanos);
+        return new Count(sent, answered, skipped, latencyNanos);
     }
 
     @Override
     public void channelActive(ChannelHandlerContext ctx) {
-        pace = ctx.executor().scheduleAtFixedRate(() -> ask(ctx), everyMicros, everyMicros, TimeUnit.MICROSECONDS);
+        schedule =
+                ctx.executor().scheduleAtFixedRate(() -> send(ctx), periodMicros, periodMicros, TimeUnit.MICROSECONDS);
     }
 
     @SuppressWarnings("FutureReturnValueIgnored") // a failed write closes the channel, and the close is handled
-    private void ask(ChannelHandlerContext ctx) {
-        if (open >= MOST_OPEN) {
-            leftOut++;
+    private void send(ChannelHandlerContext ctx) {
+        if (inFlight >= MAX_IN_FLIGHT) {
+            skipped++;
             return;
         }
-        open++;
-        sentAt[(int) (asked++ % sentAt.length)] = System.nanoTime();
-        byte[] line = ("mg key/" + next++ % 1000 + " v\r\n").getBytes(StandardCharsets.ISO_8859_1);
-        ctx.writeAndFlush(ctx.alloc().buffer(line.length).writeBytes(line));
+        inFlight++;
+        sentAtNanos[(int) (sent++ % sentAtNanos.length)] = System.nanoTime();
+        String key = SaturatingLoad.key(nextKey++ % SaturatingLoad.KEYS);
+        byte[] request = ("mg " + key + " v\r\n").getBytes(StandardCharsets.ISO_8859_1);
+        ctx.writeAndFlush(ctx.alloc().buffer(request.length).writeBytes(request));
     }
 
-    /** Answers are told by their lines: the bench's values hold no end of line, and are a line by themselves. */
+    /** Counts responses by their lines: the benches' values hold no end of line, and are a line by themselves. */
     @SuppressWarnings("FutureReturnValueIgnored") // the close is observed where the channel becomes inactive
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) {
-        ByteBuf in = (ByteBuf) message;
-        while (in.isReadable()) {
-            int end = in.indexOf(in.readerIndex(), in.writerIndex(), (byte) '\n');
-            boolean begins = in.getByte(in.readerIndex()) == 'V';
-            if (!value && lineStart) {
-                startsValue = begins;
-            }
-            lineStart = end >= 0;
-            in.readerIndex(end < 0 ? in.writerIndex() : end + 1);
-            if (end < 0) {
-                continue;
+        ByteBuf received = (ByteBuf) message;
+        while (received.isReadable()) {
+            int lineEnd = received.indexOf(received.readerIndex(), received.writerIndex(), (byte) '\n');
+            if (!receivesValue && atLineStart) {
+                hasValue = received.getByte(received.readerIndex()) == 'V';
             }
-            if (!value && startsValue) {
-                value = true;
-            } else {
-                value = false;
-                open--;
-                nanos.recordValue(System.nanoTime() - sentAt[(int) (answered++ % sentAt.length)]);
+            atLineStart = lineEnd >= 0;
+            received.readerIndex(lineEnd < 0 ? received.writerIndex() : lineEnd + 1);
+            if (lineEnd >= 0) {
+                onLineEnd();
             }
         }
-        in.release();
-        if (over && open == 0) {
+        received.release();
+        if (over && inFlight == 0) {
             ctx.close();
         }
     }
+
+    private void onLineEnd() {
+        if (!receivesValue && hasValue) {
+            receivesValue = true;
+            return;
+        }
+        receivesValue = false;
+        inFlight--;
+        latencyNanos.recordValue(System.nanoTime() - sentAtNanos[(int) (answered++ % sentAtNanos.length)]);
+    }
 }
--- a/src/main/java/cacheproxy/bench/CpuLoad.java
+++ b/src/main/java/cacheproxy/bench/CpuLoad.java
@@ -3,36 +3,41 @@
 import java.util.concurrent.locks.LockSupport;
 
 /**
- * Threads that take a stated part of the processors and do nothing else: what another's threads cost by being there,
- * without anything that they share with the daemon. Each wakes at an even pace, as a hook's thread does for each call.
+ * Threads that keep a stated number of processors busy and share nothing with the daemon: what other threads cost by
+ * being there. Each wakes at a constant rate, as a hook's thread does for each call.
  */
 final class CpuLoad implements AutoCloseable {
+    private static final long NANOS_PER_MICRO = 1000;
+
     private final Thread[] threads;
     private volatile boolean over;
 
     /**
+     * Starts the threads.
+     *
+     * @param threadCount 0 for no load
      * @param processors busy in all, by all threads together
-     * @param everyMicros between two wakings of a thread
+     * @param periodMicros between two wakeups of a thread
      */
-    CpuLoad(int count, double processors, long everyMicros) {
-        long burn = Math.round(processors / count * everyMicros * 1000);
-        threads = new Thread[count];
-        for (int i = 0; i < count; i++) {
-            threads[i] = new Thread(() -> run(burn, everyMicros * 1000), "burner");
+    CpuLoad(int threadCount, double processors, long periodMicros) {
+        long busyNanos = Math.round(processors / Math.max(1, threadCount) * periodMicros * NANOS_PER_MICRO);
+        threads = new Thread[threadCount];
+        for (int i = 0; i < threadCount; i++) {
+            threads[i] = new Thread(() -> run(busyNanos, periodMicros * NANOS_PER_MICRO), "burner");
             threads[i].setDaemon(true);
             threads[i].start();
         }
     }
 
-    private void run(long burn, long every) {
-        for (long at = System.nanoTime(); !over; at += every) {
-            long from = System.nanoTime();
-            while (System.nanoTime() - from < burn) {
+    private void run(long busyNanos, long periodNanos) {
+        for (long at = System.nanoTime(); !over; at += periodNanos) {
+            long start = System.nanoTime();
+            while (System.nanoTime() - start < busyNanos) {
                 Thread.onSpinWait();
             }
-            long rest = at + every - System.nanoTime();
-            if (rest > 0) {
-                LockSupport.parkNanos(rest);
+            long restNanos = at + periodNanos - System.nanoTime();
+            if (restNanos > 0) {
+                LockSupport.parkNanos(restNanos);
             } else {
                 at = System.nanoTime(); // what is late is not made up for
             }
--- a/src/main/java/cacheproxy/bench/FleetBench.java
+++ b/src/main/java/cacheproxy/bench/FleetBench.java
@@ -6,22 +6,34 @@
 import cacheproxy.simulation.FleetSimulationResult;
 import cacheproxy.simulation.SimulatedFault;
 import java.io.PrintWriter;
+import java.util.Arrays;
 import java.util.EnumSet;
 import java.util.Locale;
 import java.util.Set;
 import java.util.function.ToDoubleFunction;
 
-/** Plays a fleet's troubles on a model of it: sums over all proxies, by seeds, with the mean and its 95% interval. */
+/** Simulates a fleet under faults: sums over all proxies, by seeds, with the mean and its 95% interval. */
 final class FleetBench {
-    private static final int[][] SIZES = {{6, 35}, {14, 60}, {100, 200}};
+    private static final Size[] SIZES = {new Size(6, 35), new Size(14, 60), new Size(100, 200)};
+    private static final int ZONES = 4;
     private static final double LOAD = 0.68;
     private static final double SECONDS = 24;
+    private static final double NORMAL_95_QUANTILE = 1.96;
+
     private final PrintWriter out;
 
     FleetBench(PrintWriter out) {
         this.out = out;
     }
 
+    private record Size(int proxies, int servers) {
+        @Override
+        public String toString() {
+            return proxies + ", " + servers;
+        }
+    }
+
+    /** Prints a row for each size without faults, with each fault, and with all of them. */
     void run(int seeds) {
         out.printf(
                 "%-50s %22s %8s %16s %16s %8s %8s %8s %8s%n",
@@ -34,62 +46,58 @@
                 "copies",
                 "fetches",
                 "ns/event");
-        for (int[] size : SIZES) {
-            play(size, Set.of(), seeds);
-            for (SimulatedFault t : SimulatedFault.values()) {
-                play(size, Set.of(t), seeds);
+        for (Size size : SIZES) {
+            simulate(size, Set.of(), seeds);
+            for (SimulatedFault fault : SimulatedFault.values()) {
+                simulate(size, Set.of(fault), seeds);
             }
-            play(size, EnumSet.allOf(SimulatedFault.class), seeds);
+            simulate(size, EnumSet.allOf(SimulatedFault.class), seeds);
         }
     }
 
-    private void play(int[] size, Set<SimulatedFault> troubles, int seeds) {
-        FleetSimulationResult[] reports = new FleetSimulationResult[seeds];
+    private void simulate(Size size, Set<SimulatedFault> faults, int seeds) {
+        FleetSimulationResult[] results = new FleetSimulationResult[seeds];
         long events = 0;
-        long started = System.nanoTime();
+        long start = System.nanoTime();
         for (int i = 0; i < seeds; i++) {
-            reports[i] = new FleetSimulation(
-                            new FleetSimulationConfig(size[0], size[1], 4, LOAD, SECONDS, troubles, i + 1),
-                            RoutingPolicy::new)
-                    .run();
-            events += reports[i].decisions();
-        }
-        long nanos = System.nanoTime() - started;
-        double worst = 0;
-        for (FleetSimulationResult r : reports) {
-            worst = Math.max(worst, r.worstCold());
+            FleetSimulationConfig config =
+                    new FleetSimulationConfig(size.proxies, size.servers, ZONES, LOAD, SECONDS, faults, i + 1);
+            results[i] = new FleetSimulation(config, RoutingPolicy::new).run();
+            events += results[i].decisions();
         }
+        long nanos = System.nanoTime() - start;
         out.printf(
                 "%-50s %22s %8.2f %16s %16s %8.3f %8.3f %8.3f %8d%n",
-                size[0] + ", " + size[1] + ", "
-                        + (troubles.isEmpty()
-                                ? "none"
-                                : troubles.size() > 1
-                                        ? "all"
-                                        : troubles.iterator().next().name().toLowerCase(Locale.ROOT)),
-                mean(reports, FleetSimulationResult::service),
-                worst,
-                mean(reports, FleetSimulationResult::attemptsEach),
-                mean(reports, FleetSimulationResult::crossedEach),
-                of(reports, r -> (double) r.full() / r.asked()),
-                of(reports, r -> (double) r.copies() / r.asked()),
-                of(reports, r -> (double) r.fetches() / r.asked()),
+                size + ", " + describe(faults),
+                meanWithInterval(results, FleetSimulationResult::service),
+                Arrays.stream(results)
+                        .mapToDouble(FleetSimulationResult::worstCold)
+                        .reduce(0, Math::max),
+                meanWithInterval(results, FleetSimulationResult::attemptsEach),
+                meanWithInterval(results, FleetSimulationResult::crossedEach),
+                mean(results, result -> (double) result.full() / result.asked()),
+                mean(results, result -> (double) result.copies() / result.asked()),
+                mean(results, result -> (double) result.fetches() / result.asked()),
                 nanos / Math.max(1, events));
         out.flush();
     }
 
-    private static double of(FleetSimulationResult[] reports, ToDoubleFunction<FleetSimulationResult> figure) {
-        double sum = 0;
-        for (FleetSimulationResult r : reports) {
-            sum += figure.applyAsDouble(r);
+    private static String describe(Set<SimulatedFault> faults) {
+        if (faults.isEmpty()) {
+            return "none";
         }
-        return sum / reports.length;
+        return faults.size() > 1 ? "all" : faults.iterator().next().name().toLowerCase(Locale.ROOT);
+    }
+
+    private static double mean(FleetSimulationResult[] results, ToDoubleFunction<FleetSimulationResult> figure) {
+        return Arrays.stream(results).mapToDouble(figure).sum() / results.length;
     }
 
-    private static String mean(FleetSimulationResult[] reports, ToDoubleFunction<FleetSimulationResult> figure) {
-        double mean = of(reports, figure);
-        double square = of(reports, r -> Math.pow(figure.applyAsDouble(r) - mean, 2));
-        double error = reports.length < 2 ? Double.NaN : 1.96 * Math.sqrt(square / (reports.length - 1));
-        return String.format("%.4f +- %.4f", mean, error);
+    private static String meanWithInterval(
+            FleetSimulationResult[] results, ToDoubleFunction<FleetSimulationResult> figure) {
+        double mean = mean(results, figure);
+        double variance = mean(results, result -> Math.pow(figure.applyAsDouble(result) - mean, 2));
+        double half = results.length < 2 ? Double.NaN : NORMAL_95_QUANTILE * Math.sqrt(variance / (results.length - 1));
+        return String.format("%.4f +- %.4f", mean, half);
     }
 }
--- a/src/main/java/cacheproxy/bench/ImportBench.java
+++ b/src/main/java/cacheproxy/bench/ImportBench.java
@@ -9,18 +9,18 @@
 import cacheproxy.nginx.importer.ImportOptions;
 import cacheproxy.nginx.importer.Importer;
 import cacheproxy.routes.RouteInput;
-import com.sun.management.ThreadMXBean;
 import java.io.PrintWriter;
-import java.lang.management.ManagementFactory;
-import java.util.Arrays;
-import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
 import java.util.SplittableRandom;
 
 /** What an import costs as the configuration grows, and what a choice costs among imported locations. */
 final class ImportBench {
-    private static final int LINES_A_SITE = 50;
+    private static final int[] LINE_COUNTS = {6_250, 12_500, 25_000, 50_000};
+    private static final int LOCATIONS = 1000;
+    private static final int CALLS_PER_ROUND = 20_000;
+    private static final int INPUTS = 1024;
+    private static final int INPUT_MASK = INPUTS - 1;
     private static final ImportOptions OPTIONS = new ImportOptions("127.0.0.1", 0, Map.of(), "unsafe", 0);
 
     private final PrintWriter out;
@@ -32,151 +32,97 @@
         this.out = out;
     }
 
-    void run(int rounds) throws Exception {
+    /** Prints a row for each size, of many sites and of one, then the time of a choice. */
+    void run(int rounds) throws NginxSyntaxException, ConfigException {
         out.printf(
                 "%-22s %8s %10s %10s %10s %12s%n",
                 "configuration", "lines", "read ms", "import ms", "check ms", "allocated MB");
-        for (int lines : new int[] {6_250, 12_500, 25_000, 50_000}) {
-            time("sites of 50 lines", sites(lines / LINES_A_SITE), lines, rounds);
+        for (int lines : LINE_COUNTS) {
+            Map<String, String> files = GeneratedNginxConf.sites(lines / GeneratedNginxConf.LINES_PER_SITE);
+            timeImport("sites of 50 lines", files, lines, rounds);
         }
-        for (int lines : new int[] {6_250, 12_500, 25_000, 50_000}) {
-            time("one site", oneSite(lines), lines, rounds);
+        for (int lines : LINE_COUNTS) {
+            timeImport("one site", GeneratedNginxConf.oneSite(lines), lines, rounds);
         }
-        locations();
+        timeChoices();
     }
 
-    /** A main file, and a file for each site with its own upstream. */
-    private static Map<String, String> sites(int count) {
-        Map<String, String> files = new LinkedHashMap<>();
-        files.put("nginx.conf", "http { include sites/*; }\n");
-        for (int i = 0; i < count; i++) {
-            StringBuilder t = new StringBuilder("upstream u" + i + " {\n    hash $uri consistent;\n");
-            for (int s = 1; s <= 4; s++) {
-                t.append("    server 10.")
-                        .append(i / 250)
-                        .append('.')
-                        .append(i % 250)
-                        .append('.')
-                        .append(s)
-                        .append(":80;\n");
-            }
-            t.append("}\nserver {\n    listen 80;\n    server_name s").append(i).append(".example;\n");
-            for (int l = 0; l < 13; l++) {
-                String text = l % 5 == 4 ? "~ \\.x" + l + "$" : "/l" + l + "/";
-                t.append("    location ")
-                        .append(text)
-                        .append(" {\n        proxy_pass http://u")
-                        .append(i)
-                        .append(";\n    }\n");
-            }
-            files.put("sites/" + (100_000 + i), t.append("}\n").toString());
-        }
-        return files;
+    private static ConfParser.Conf parse(Map<String, String> files) throws NginxSyntaxException {
+        return ConfParser.read(new MapSource(files), "nginx.conf");
     }
 
-    @SuppressWarnings("StringConcatToTextBlock") // the line breaks are part of the generated text
-    private static Map<String, String> oneSite(int lines) {
-        StringBuilder t =
-                new StringBuilder("upstream u {\n    hash $uri;\n    server 10.0.0.1:80;\n    server 10.0.0.2:80;\n}\n"
-                        + "server {\n    listen 80;\n    location / {\n        proxy_pass http://u;\n    }\n");
-        for (int l = 0; l < (lines - 11) / 3; l++) {
-            t.append("    location /service").append(l).append("/ {\n        proxy_pass http://u;\n    }\n");
+    /** A configuration's files in memory. */
+    private record MapSource(Map<String, String> files) implements ConfSource {
+        @Override
+        public String read(String path) throws Unreadable {
+            String text = files.get(path);
+            if (text == null) {
+                throw new Unreadable("there is no such file");
+            }
+            return text;
         }
-        return Map.of("nginx.conf", t.append("}\n").toString());
-    }
-
-    private static ConfParser.Conf read(Map<String, String> files) throws NginxSyntaxException {
-        return ConfParser.read(
-                new ConfSource() {
-                    @Override
-                    public String read(String path) throws Unreadable {
-                        String text = files.get(path);
-                        if (text == null) {
-                            throw new Unreadable("there is no such file");
-                        }
-                        return text;
-                    }
 
-                    @Override
-                    public List<String> glob(String pattern) {
-                        return files.keySet().stream()
-                                .filter(f -> f.startsWith("sites/"))
-                                .toList();
-                    }
-                },
-                "nginx.conf");
+        @Override
+        public List<String> glob(String pattern) {
+            return files.keySet().stream()
+                    .filter(file -> file.startsWith(GeneratedNginxConf.SITES))
+                    .toList();
+        }
     }
 
-    private void time(String what, Map<String, String> files, int lines, int rounds) throws Exception {
-        double[][] ms = new double[4][rounds];
-        ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
-        for (int r = 0; r < rounds; r++) {
-            long allocated =
-                    threads.getThreadAllocatedBytes(Thread.currentThread().getId());
-            long at = System.nanoTime();
-            ConfParser.Conf conf = read(files);
-            long readAt = System.nanoTime();
+    private void timeImport(String name, Map<String, String> files, int lines, int rounds)
+            throws NginxSyntaxException, ConfigException {
+        double[] parseMs = new double[rounds];
+        double[] importMs = new double[rounds];
+        double[] checkMs = new double[rounds];
+        double[] allocatedMegabytes = new double[rounds];
+        for (int round = 0; round < rounds; round++) {
+            long allocatedBefore = ThreadCounters.allocatedBytes();
+            long start = System.nanoTime();
+            ConfParser.Conf conf = parse(files);
+            long parsed = System.nanoTime();
             Importer.Result result = Importer.run(conf, OPTIONS);
-            long importedAt = System.nanoTime();
-            DaemonConfig file = DaemonConfigReader.parse("imported", result.file());
-            long checkedAt = System.nanoTime();
-            ms[0][r] = (readAt - at) / 1e6;
-            ms[1][r] = (importedAt - readAt) / 1e6;
-            ms[2][r] = (checkedAt - importedAt) / 1e6;
-            ms[3][r] = (threads.getThreadAllocatedBytes(Thread.currentThread().getId()) - allocated) / 1e6;
-            sink += file.routes().routes().size();
+            long imported = System.nanoTime();
+            DaemonConfig config = DaemonConfigReader.parse("imported", result.file());
+            long checked = System.nanoTime();
+            parseMs[round] = (parsed - start) / 1e6;
+            importMs[round] = (imported - parsed) / 1e6;
+            checkMs[round] = (checked - imported) / 1e6;
+            allocatedMegabytes[round] = (ThreadCounters.allocatedBytes() - allocatedBefore) / 1e6;
+            sink += config.routes().routes().size();
         }
         out.printf(
                 "%-22s %8d %10s %10s %10s %12s%n",
-                what, lines, median(ms[0]), median(ms[1]), median(ms[2]), median(ms[3]));
+                name, lines, median(parseMs), median(importMs), median(checkMs), median(allocatedMegabytes));
         out.flush();
     }
 
-    private static String median(double[] values) {
-        Arrays.sort(values);
-        return Long.toString(Math.round(values[values.length / 2]));
+    private static long median(double[] values) {
+        return Math.round(Spread.range(values).median());
     }
 
-    /** ns for a route among a thousand imported locations, nine in ten prefixes, the rest patterns. */
-    @SuppressWarnings("StringConcatToTextBlock") // the line breaks are part of the generated text
-    private void locations() throws NginxSyntaxException, ConfigException {
-        StringBuilder t =
-                new StringBuilder("upstream u {\n    hash $uri;\n    server 10.0.0.1:80;\n    server 10.0.0.2:80;\n}\n"
-                        + "server {\n    listen 80;\n");
-        for (int l = 0; l < 1000; l++) {
-            t.append("    location ")
-                    .append(l % 10 == 9 ? "~ ^/p" + l + "/v[0-9]+/" : "/s" + l + "/list/")
-                    .append(" {\n        proxy_pass http://u;\n    }\n");
-        }
-        Importer.Result result =
-                Importer.run(read(Map.of("nginx.conf", t.append("}\n").toString())), OPTIONS);
-        DaemonConfig file = DaemonConfigReader.parse("imported", result.file());
+    /** Prints the time to find the route of a key among a thousand imported locations. */
+    private void timeChoices() throws NginxSyntaxException, ConfigException {
+        Importer.Result result = Importer.run(parse(GeneratedNginxConf.locations(LOCATIONS)), OPTIONS);
+        DaemonConfig config = DaemonConfigReader.parse("imported", result.file());
         SplittableRandom random = new SplittableRandom(3);
-        String[] prefix = new String[1024];
-        String[] pattern = new String[1024];
-        for (int i = 0; i < 1024; i++) {
-            prefix[i] = "/s" + (random.nextInt(100) * 10 + random.nextInt(9)) + "/list/" + random.nextInt(1000);
-            pattern[i] = "/p" + (random.nextInt(100) * 10 + 9) + "/v" + random.nextInt(10) + "/x";
+        String[] prefixes = new String[INPUTS];
+        String[] patterns = new String[INPUTS];
+        for (int i = 0; i < INPUTS; i++) {
+            prefixes[i] = "/s" + (random.nextInt(100) * 10 + random.nextInt(9)) + "/list/" + random.nextInt(1000);
+            patterns[i] = "/p" + (random.nextInt(100) * 10 + 9) + "/v" + random.nextInt(10) + "/x";
         }
         out.printf(
                 "%d routes of 1,000 locations: a prefix %s ns, a pattern %s ns%n",
-                file.routes().routes().size(), choice(file, prefix), choice(file, pattern));
+                config.routes().routes().size(), timeChoice(config, prefixes), timeChoice(config, patterns));
     }
 
-    private String choice(DaemonConfig file, String[] keys) {
-        double[] ns = new double[9];
-        int turns = 20_000;
-        for (int r = -3; r < ns.length; r++) {
-            long at = System.nanoTime();
-            for (int i = 0; i < turns; i++) {
-                RouteInput s = file.keys().parse(file.listeners().get(0).name(), keys[i & 1023], 0, 0, false);
-                sink += file.routes().find(s).position();
-            }
-            if (r >= 0) {
-                ns[r] = (System.nanoTime() - at) / (double) turns;
-            }
-        }
-        Arrays.sort(ns);
-        return Math.round(ns[4]) + " (" + Math.round(ns[0]) + "-" + Math.round(ns[8]) + ")";
+    private static String timeChoice(DaemonConfig config, String[] keys) {
+        String listener = config.listeners().get(0).name();
+        CallTimer.Cost cost = new CallTimer(CALLS_PER_ROUND).time(i -> {
+            RouteInput input = config.keys().parse(listener, keys[i & INPUT_MASK], 0, 0, false);
+            return config.routes().find(input).position();
+        });
+        return cost.nanos().format(0);
     }
 }
--- a/src/main/java/cacheproxy/bench/QuotaBench.java
+++ b/src/main/java/cacheproxy/bench/QuotaBench.java
@@ -1,31 +1,34 @@
 package cacheproxy.bench;
 
-import cacheproxy.fleet.lease.LeaseHandle;
-import cacheproxy.fleet.quota.LocalQuota;
-import cacheproxy.fleet.quota.QuotaManager;
 import cacheproxy.fleet.quota.QuotaSpec;
 import cacheproxy.fleet.quota.QuotaTiming;
 import cacheproxy.simulation.QuotaSimulation;
-import cacheproxy.simulation.QuotaSimulation.Fault;
 import cacheproxy.simulation.QuotaSimulation.Plan;
 import cacheproxy.simulation.QuotaSimulation.Result;
-import cacheproxy.simulation.QuotaSimulation.Trouble;
 import cacheproxy.simulation.QuotaSimulation.Way;
-import com.sun.management.ThreadMXBean;
 import java.io.PrintWriter;
-import java.lang.management.ManagementFactory;
-import java.util.ArrayList;
 import java.util.Arrays;
+import java.util.DoubleSummaryStatistics;
 import java.util.List;
 import java.util.Locale;
-import java.util.SplittableRandom;
+import java.util.function.ToDoubleFunction;
 import java.util.stream.IntStream;
 
-/** Ways of sharing a limit beside one another, on virtual time, and what taking from one costs. */
+/** Ways of sharing a quota beside one another, on virtual time, and what a quota costs one proxy. */
 final class QuotaBench {
-    private static final QuotaTiming RULES = new QuotaTiming(1000, 0.01);
-    private static final double FOR_MS = 16_000;
-    private static final int TAKES = 2_000_000;
+    /** Timing of the quotas in all measurements. */
+    static final QuotaTiming TIMING = new QuotaTiming(1000, 0.01);
+
+    private static final int[] PROXY_COUNTS = {8, 50, 200, 1000};
+    /** With more proxies, the ways that exchange messages among all of them are left out. */
+    private static final int MAX_PROXIES_OF_ALL_WAYS = 50;
+    /** With more proxies, quotas that are not shared in isolation are left out. */
+    private static final int MAX_PROXIES_OF_ALL_POLICIES = 200;
+
+    private static final double MIN_PER_SECOND = 200;
+    private static final double SPAN_MS = 1000;
+    private static final double BOUND_WINDOW_MS = 1000;
+    private static final int ONE_SECOND_WINDOW = 1;
 
     private final PrintWriter out;
 
@@ -33,182 +36,81 @@
         this.out = out;
     }
 
-    @SuppressWarnings("ArrayRecordComponent") // the arrays are read only, and instances are not compared
-    private record Case(String name, double[][] offered, List<Fault> faults) {}
-
-    void run(int rounds) {
+    /** Simulates all cases with so many seeds each, then measures the cost. */
+    void run(int seeds) {
         out.println(
                 "limits: over by requests in 1 s (bound), part idle while as much is refused from 3 s on, messages a second a proxy; means of "
-                        + rounds + " seeds");
-        for (int n : new int[] {8, 50, 200, 1000}) {
-            double amount = Math.max(200, 10 * n);
-            for (QuotaSpec.IsolationPolicy alone : n > 200
-                    ? new QuotaSpec.IsolationPolicy[] {QuotaSpec.IsolationPolicy.SHARE}
-                    : new QuotaSpec.IsolationPolicy[] {QuotaSpec.IsolationPolicy.SHARE, QuotaSpec.IsolationPolicy.NONE
-                    }) {
-                QuotaSpec l = new QuotaSpec("l", false, amount, amount / 10, alone, 1, 0);
-                out.printf(
-                        Locale.ROOT,
-                        "%d proxies, %.0f a second, three times that wanted, alone: %s; bound %.1f%n",
-                        n,
-                        amount,
-                        alone,
-                        QuotaSimulation.bound(l, RULES, n, 1000));
-                for (Case c : cases(n, amount)) {
-                    StringBuilder line = new StringBuilder(String.format("  %-22s", c.name));
-                    for (Way w : Way.values()) {
-                        if ((n > 50 && (w == Way.PEERS || w == Way.GOSSIP))
-                                || (alone == QuotaSpec.IsolationPolicy.NONE && w != Way.DEALER)) {
-                            continue;
-                        }
-                        Result[] r = IntStream.rangeClosed(1, rounds)
-                                .parallel()
-                                .mapToObj(seed -> QuotaSimulation.play(
-                                        new Plan(w, n, l, RULES, c.offered, 1000, 0, FOR_MS, c.faults, seed)))
-                                .toArray(Result[]::new);
-                        line.append(String.format(
-                                Locale.ROOT,
-                                " %s %.0f, %.3f (%.3f to %.3f), %.1f;",
-                                w.name().toLowerCase(Locale.ROOT),
-                                Arrays.stream(r)
-                                        .mapToDouble(x -> x.over()[1])
-                                        .max()
-                                        .orElse(0),
-                                Arrays.stream(r)
-                                        .mapToDouble(Result::idle)
-                                        .average()
-                                        .orElse(0),
-                                Arrays.stream(r).mapToDouble(Result::idle).min().orElse(0),
-                                Arrays.stream(r).mapToDouble(Result::idle).max().orElse(0),
-                                Arrays.stream(r)
-                                        .mapToDouble(Result::messagesPerSecond)
-                                        .average()
-                                        .orElse(0)));
-                    }
-                    out.println(line);
-                    out.flush();
-                }
+                        + seeds + " seeds");
+        for (int proxies : PROXY_COUNTS) {
+            compare(proxies, QuotaSpec.IsolationPolicy.SHARE, seeds);
+            if (proxies <= MAX_PROXIES_OF_ALL_POLICIES) {
+                compare(proxies, QuotaSpec.IsolationPolicy.NONE, seeds);
             }
         }
-        takes();
-        many();
+        new QuotaCostBench(out).run();
     }
 
-    private static List<Case> cases(int n, double amount) {
-        double[] even = new double[n];
-        Arrays.fill(even, 3 * amount / n);
-        double[] one = new double[n];
-        one[0] = 3 * amount;
-        double[] last = new double[n];
-        last[n - 1] = 3 * amount;
-        double[] skew = new double[n];
-        double sum = 0;
-        for (int i = 0; i < n; i++) {
-            sum += 1.0 / (i + 1);
-        }
-        for (int i = 0; i < n; i++) {
-            skew[i] = 3 * amount / sum / (i + 1);
+    private void compare(int proxies, QuotaSpec.IsolationPolicy policy, int seeds) {
+        double perSecond = Math.max(MIN_PER_SECOND, 10 * proxies);
+        QuotaSpec quota = new QuotaSpec("l", false, perSecond, perSecond / 10, policy, 1, 0);
+        out.printf(
+                Locale.ROOT,
+                "%d proxies, %.0f a second, three times that wanted, alone: %s; bound %.1f%n",
+                proxies,
+                perSecond,
+                policy,
+                QuotaSimulation.bound(quota, TIMING, proxies, BOUND_WINDOW_MS));
+        List<Way> ways = Arrays.stream(Way.values())
+                .filter(way -> isCompared(way, proxies, policy))
+                .toList();
+        for (QuotaCase quotaCase : QuotaCase.all(proxies, perSecond)) {
+            StringBuilder line = new StringBuilder(String.format("  %-22s", quotaCase.name()));
+            for (Way way : ways) {
+                line.append(describe(way, simulate(way, proxies, quota, quotaCase, seeds)));
+            }
+            out.println(line);
+            out.flush();
         }
-        List<Integer> half = IntStream.range(0, n / 2).boxed().toList();
-        List<Integer> seven = IntStream.range(0, n * 7 / 10).boxed().toList();
-        List<Case> cases = new ArrayList<>(List.of(
-                new Case("even", new double[][] {even}, List.of()),
-                new Case("all at one", new double[][] {one}, List.of()),
-                new Case("at another each second", new double[][] {one, last}, List.of()),
-                new Case("as 1/i", new double[][] {skew}, List.of()),
-                new Case(
-                        "dealer killed",
-                        new double[][] {even},
-                        List.of(new Fault(Trouble.KILL, 5000, 4000, List.of(0), 0))),
-                new Case(
-                        "dealer stops for 1 s",
-                        new double[][] {even},
-                        List.of(new Fault(Trouble.STOP, 5000, 1000, List.of(0), 0))),
-                new Case(
-                        "split in two for 6 s",
-                        new double[][] {skew},
-                        List.of(new Fault(Trouble.SPLIT, 5000, 6000, half, 0))),
-                new Case(
-                        "30% lost", new double[][] {skew}, List.of(new Fault(Trouble.LOSS, 0, FOR_MS, List.of(), 0.3))),
-                new Case(
-                        "7 in 10 restarted",
-                        new double[][] {even},
-                        List.of(new Fault(Trouble.KILL, 5000, 1500, seven, 0)))));
-        return cases;
     }
 
-    // ---- what it costs
-
-    private static QuotaManager quota(int limits, int peers, long[] sent) {
-        QuotaManager q = new QuotaManager(1, RULES, new SplittableRandom(1), -1e6, peer -> true, (to, m) -> sent[0]++);
-        List<QuotaSpec> all = new ArrayList<>();
-        for (int i = 0; i < limits; i++) {
-            all.add(new QuotaSpec("l" + i, false, 1e6, 1e5, QuotaSpec.IsolationPolicy.SHARE, 1, 0));
+    private static boolean isCompared(Way way, int proxies, QuotaSpec.IsolationPolicy policy) {
+        if (proxies > MAX_PROXIES_OF_ALL_WAYS && (way == Way.PEERS || way == Way.GOSSIP)) {
+            return false;
         }
-        q.configure(
-                all,
-                List.of(LeaseHandle.UNHELD),
-                IntStream.rangeClosed(1, peers).mapToObj(i -> (long) i).toList(),
-                peers,
-                false,
-                true,
-                0);
-        return q;
+        return policy != QuotaSpec.IsolationPolicy.NONE || way == Way.DEALER;
     }
 
-    private void takes() {
-        ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
-        long id = Thread.currentThread().getId();
-        double[] nanos = new double[7];
-        double[] bytes = new double[7];
-        QuotaManager q = quota(1, 8, new long[1]);
-        LocalQuota p = q.localQuota("l0");
-        double now = 0;
-        for (int round = 0; round < nanos.length; round++) {
-            long before = threads.getThreadAllocatedBytes(id);
-            long from = System.nanoTime();
-            for (int i = 0; i < TAKES; i++) {
-                now += 0.02;
-                if (p.requestWaitMs(now) == 0) {
-                    p.consume();
-                    p.release();
-                }
-            }
-            nanos[round] = (double) (System.nanoTime() - from) / TAKES;
-            bytes[round] = (double) (threads.getThreadAllocatedBytes(id) - before) / TAKES;
-        }
-        Arrays.sort(nanos);
-        Arrays.sort(bytes);
-        out.printf(
-                Locale.ROOT,
-                "a take: %.0f ns (%.0f to %.0f), %.2f bytes of garbage%n",
-                nanos[3],
-                nanos[0],
-                nanos[6],
-                bytes[3]);
+    private static Result[] simulate(Way way, int proxies, QuotaSpec quota, QuotaCase quotaCase, int seeds) {
+        return IntStream.rangeClosed(1, seeds)
+                .parallel()
+                .mapToObj(seed -> QuotaSimulation.play(new Plan(
+                        way,
+                        proxies,
+                        quota,
+                        TIMING,
+                        quotaCase.offered(),
+                        SPAN_MS,
+                        0,
+                        QuotaCase.END_MS,
+                        quotaCase.faults(),
+                        seed)))
+                .toArray(Result[]::new);
     }
 
-    private void many() {
-        ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
-        long id = Thread.currentThread().getId();
-        long[] sent = new long[1];
-        long before = threads.getThreadAllocatedBytes(id);
-        QuotaManager q = quota(QuotaManager.MAX_QUOTAS, 8, sent);
-        long made = threads.getThreadAllocatedBytes(id) - before;
-        double now = 0;
-        long from = System.nanoTime();
-        int ticks = 0;
-        for (; now < 20_000; now += 20, ticks++) {
-            for (int i = 0; i < 100; i++) {
-                q.localQuota("l" + i).requestWaitMs(now);
-            }
-            q.tick(now);
-        }
-        out.printf(
+    private static String describe(Way way, Result[] results) {
+        DoubleSummaryStatistics idle = summarize(results, Result::idle);
+        return String.format(
                 Locale.ROOT,
-                "1,000 limits, 100 of them in use, 8 peers: %.1f us a tick of 20 ms, %.1f datagrams a second, %d KB made at the start%n",
-                (System.nanoTime() - from) / 1e3 / ticks,
-                sent[0] * 1000 / now,
-                made >> 10);
+                " %s %.0f, %.3f (%.3f to %.3f), %.1f;",
+                way.name().toLowerCase(Locale.ROOT),
+                summarize(results, result -> result.over()[ONE_SECOND_WINDOW]).getMax(),
+                idle.getAverage(),
+                idle.getMin(),
+                idle.getMax(),
+                summarize(results, Result::messagesPerSecond).getAverage());
+    }
+
+    private static DoubleSummaryStatistics summarize(Result[] results, ToDoubleFunction<Result> figure) {
+        return Arrays.stream(results).mapToDouble(figure).summaryStatistics();
     }
 }
--- a/src/main/java/cacheproxy/bench/SiblingBench.java
+++ b/src/main/java/cacheproxy/bench/SiblingBench.java
@@ -1,231 +1,197 @@
 package cacheproxy.bench;
 
-import cacheproxy.config.Addresses;
-import cacheproxy.config.DaemonConfigReader;
 import cacheproxy.daemon.Daemon;
 import cacheproxy.fakes.FakeFleet;
 import cacheproxy.fakes.LoadClient;
 import cacheproxy.fakes.LossyDatagramLink;
-import cacheproxy.icp.IcpCodec;
-import cacheproxy.icp.IcpMessage;
-import cacheproxy.icp.MalformedMessageException;
-import cacheproxy.proxy.net.Transport;
-import cacheproxy.siblings.CacheDigest;
-import com.sun.management.ThreadMXBean;
-import io.netty.buffer.ByteBuf;
-import io.netty.buffer.ByteBufAllocator;
-import io.netty.channel.MultiThreadIoEventLoopGroup;
+import io.netty.channel.EventLoop;
+import java.io.IOException;
 import java.io.PrintWriter;
-import java.lang.management.ManagementFactory;
-import java.net.DatagramSocket;
-import java.net.InetAddress;
 import java.net.InetSocketAddress;
-import java.net.ServerSocket;
-import java.util.Arrays;
-import java.util.HashMap;
+import java.util.EnumMap;
+import java.util.List;
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
-import java.util.function.IntToLongFunction;
 
-/** What siblings are worth where keys miss, with whole and with lossy ways between them, and what a message costs. */
+/** What a sibling is worth where every request misses, over a link without and with loss. */
 final class SiblingBench {
-    private static final double AIM_MS = 250;
-    private static final double PER_SECOND = 300;
+    private static final double[] ORIGIN_SERVICE_MS = {20, 100};
+    private static final double REQUESTS_PER_SECOND = 300;
     private static final int KEYS = 40_000;
-    private static final String[] ARMS = {"no siblings", "a sibling", "half lost"};
+    private static final int VALUE_BYTES = 100;
+    private static final int SERVERS = 2;
+    private static final int CONNECTIONS = 300;
+    private static final long DRAIN_MS = 2000;
+    private static final int LEARNING_CONNECTIONS = 8;
+    private static final int LEARNING_IN_FLIGHT = 4;
+    private static final long LEARNING_TIMEOUT_S = 60;
+
+    private static final List<Variant> VARIANTS = List.of(Variant.values());
+
+    private enum Variant {
+        NO_SIBLING("no siblings", 0),
+        SIBLING("a sibling", 0),
+        LOSSY_SIBLING("half lost", 0.5);
+
+        private final String label;
+        /** Part of the datagrams between the siblings that is lost. */
+        private final double loss;
+
+        Variant(String label, double loss) {
+            this.label = label;
+            this.loss = loss;
+        }
+    }
+
     private final PrintWriter out;
     private final int rounds;
     private final double seconds;
 
-    @SuppressWarnings("UnusedVariable") // keeps the compiler from dropping what is measured
-    private long sink;
-
     SiblingBench(PrintWriter out, int rounds, double seconds) {
         this.out = out;
         this.rounds = rounds;
         this.seconds = seconds;
     }
 
+    /** Measures the cost of a message, then the worth of a sibling with a fast and with a slow origin. */
     void run() throws Exception {
-        messages();
-        for (double originMs : new double[] {20, 100}) {
-            pressure(originMs);
+        new SiblingMessageBench(out).run();
+        for (double originMs : ORIGIN_SERVICE_MS) {
+            new Comparison(originMs).run();
         }
     }
 
-    private static InetSocketAddress udp() throws Exception {
-        try (DatagramSocket s = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
-            return (InetSocketAddress) s.getLocalSocketAddress();
+    /** The addresses of one of two siblings: for ICP queries (UDP) and for fetches (TCP). */
+    private record SiblingAddresses(InetSocketAddress icp, InetSocketAddress fetch) {
+        private static SiblingAddresses allocate() throws IOException {
+            return new SiblingAddresses(LoopbackPorts.freeUdp(), LoopbackPorts.freeTcp());
+        }
+
+        private SiblingAddresses withIcp(InetSocketAddress link) {
+            return new SiblingAddresses(link, fetch);
         }
     }
 
-    private static InetSocketAddress tcp() throws Exception {
-        try (ServerSocket s = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            return (InetSocketAddress) s.getLocalSocketAddress();
+    private static BenchConfig config(
+            FakeFleet fleet, SiblingAddresses own, SiblingAddresses sibling, boolean queriesSibling) {
+        BenchConfig config = new BenchConfig()
+                .serviceClass("page", "safe")
+                .serviceClass("sibling", "safe")
+                .openListener("main")
+                .table("[[listen]]")
+                .string("name", "siblings")
+                .address("address", own.fetch)
+                .table("[icp]")
+                .address("address", own.icp)
+                .string("listener", "siblings")
+                .number("hold_ms", 3_600_000)
+                .number("per_second", 100_000)
+                .table("[[sibling]]")
+                .string("name", "other")
+                .address("icp", sibling.icp)
+                .address("fetch", sibling.fetch)
+                .string("class", "sibling")
+                .pool("a");
+        if (queriesSibling) {
+            config.list("siblings", "other");
         }
+        return config.servers(fleet.nodes)
+                .origin("o", fleet.origin.dial())
+                .pool("lookup")
+                .servers(fleet.nodes)
+                .table("[[route]]")
+                .string("name", "s")
+                .string("listener", "siblings")
+                .list("pools", "lookup")
+                .routeAll();
     }
 
-    private static String file(
-            FakeFleet fleet,
-            InetSocketAddress icp,
-            InetSocketAddress fetch,
-            InetSocketAddress siblingIcp,
-            InetSocketAddress siblingFetch,
-            boolean asks) {
-        StringBuilder servers = new StringBuilder();
-        fleet.nodes.forEach(n -> servers.append("[[pool.server]]\nname = \"n")
-                .append(n.address().getPort())
-                .append("\"\ndial = \"")
-                .append(n.dial())
-                .append("\"\n"));
-        return "[[class]]\nname = \"page\"\neffect = \"safe\"\naim_ms = " + (int) AIM_MS
-                + "\ndeadline_ms = 1000\n[[class]]\nname = \"sibling\"\n"
-                + "effect = \"safe\"\naim_ms = 250\ndeadline_ms = 1000\n[[listen]]\nname = \"main\"\naddress = \"127.0.0.1:0\"\nopen = true\n"
-                + "class = \"page\"\n[[listen]]\nname = \"siblings\"\naddress = \"" + Addresses.text(fetch)
-                + "\"\n[icp]\naddress = \""
-                + Addresses.text(icp)
-                + "\"\nlistener = \"siblings\"\nhold_ms = 3600000\nper_second = 100000\n[[sibling]]\nname = \"other\"\nicp = \""
-                + Addresses.text(siblingIcp) + "\"\nfetch = \"" + Addresses.text(siblingFetch)
-                + "\"\nclass = \"sibling\"\n[[pool]]\nname = \"a\"\n"
-                + (asks ? "siblings = [\"other\"]\n" : "") + servers + "[pool.origin]\nname = \"o\"\ndial = \""
-                + fleet.origin.dial()
-                + "\"\n[[pool]]\nname = \"lookup\"\n" + servers
-                + "[[route]]\nname = \"s\"\nlistener = \"siblings\"\npools = [\"lookup\"]\n"
-                + "[[route]]\nname = \"all\"\npools = [\"a\"]\n";
+    private static String key(int number) {
+        return "key/" + number;
     }
 
-    /**
-     * Every request misses; half of all keys are at the sibling. A fresh fleet and daemon for each window, arms turn
-     * about.
-     */
-    @SuppressWarnings("FutureReturnValueIgnored") // the run is over; nothing waits for these threads
-    private void pressure(double originMs) throws Exception {
-        MultiThreadIoEventLoopGroup clients = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
-        double[][] inTime = new double[3][rounds];
-        double[][] fetches = new double[3][rounds];
-        double[][] p50 = new double[3][rounds];
-        int[] unanswered = new int[3];
-        try (FakeFleet other = new FakeFleet(2)) {
-            for (int i = 0; i < KEYS; i += 2) {
-                String key = "key/" + i;
-                other.nodes.forEach(n -> n.store(key, new byte[100]));
-            }
-            for (int r = 0; r < rounds; r++) {
-                for (int k = 0; k < 3; k++) {
-                    int arm = (k + r) % 3;
-                    InetSocketAddress icpA = udp();
-                    InetSocketAddress icpB = udp();
-                    InetSocketAddress fetchA = tcp();
-                    InetSocketAddress fetchB = tcp();
-                    try (FakeFleet own = new FakeFleet(2);
-                            LossyDatagramLink link =
-                                    new LossyDatagramLink(own.loop(), icpA, icpB, r, arm == 2 ? 0.5 : 0, 0, 0);
-                            Daemon b = Daemon.start(
-                                    DaemonConfigReader.parse(
-                                            "bench", file(other, icpB, fetchB, link.towardsA(), fetchA, false)),
-                                    r);
-                            Daemon a = Daemon.start(
-                                    DaemonConfigReader.parse(
-                                            "bench", file(own, icpA, fetchA, link.towardsB(), fetchB, arm > 0)),
-                                    r)) {
-                        own.origin.work(originMs);
-                        int n = (int) (PER_SECOND * (seconds + 1)) + 10;
-                        new LoadClient(
-                                        clients.next(),
-                                        b.address("main"),
-                                        n / 2,
-                                        i -> new LoadClient.Ask("key/" + 2 * i, "", null, null))
-                                .start(8, 4)
-                                .get(60, TimeUnit.SECONDS); // its nodes answer, so that it knows what they have
-                        OpenLoopLoad load = new OpenLoopLoad(clients.next(), AIM_MS, i -> "key/" + i)
-                                .connect(a.address("main"), 300)
-                                .run(PER_SECOND, seconds, 2000);
-                        inTime[arm][r] = load.inTime / (double) load.asked;
-                        fetches[arm][r] = own.origin.fetches() / (double) load.asked;
-                        p50[arm][r] = load.nanos.getValueAtPercentile(50) / 1e6;
-                        unanswered[arm] += load.asked - load.served - load.refused - load.failed;
-                    }
+    /** The variants at one speed of the origin; half of all keys are at the sibling. */
+    private final class Comparison {
+        private final double originMs;
+        private final RoundSamples<Variant> inTime = new RoundSamples<>(VARIANTS, rounds);
+        private final RoundSamples<Variant> fetches = new RoundSamples<>(VARIANTS, rounds);
+        private final RoundSamples<Variant> p50Ms = new RoundSamples<>(VARIANTS, rounds);
+        private final Map<Variant, Integer> unanswered = new EnumMap<>(Variant.class);
+
+        Comparison(double originMs) {
+            this.originMs = originMs;
+        }
+
+        private void run() throws Exception {
+            try (EventLoopThread clients = new EventLoopThread();
+                    FakeFleet siblingFleet = new FakeFleet(SERVERS)) {
+                for (int i = 0; i < KEYS; i += 2) {
+                    String key = key(i);
+                    siblingFleet.nodes.forEach(server -> server.store(key, new byte[VALUE_BYTES]));
+                }
+                for (int i = 0; i < rounds; i++) {
+                    int round = i;
+                    RoundSamples.runRound(
+                            round, VARIANTS, variant -> measure(siblingFleet, clients.loop(), variant, round));
                 }
             }
-        } finally {
-            clients.shutdownGracefully(0, 1, TimeUnit.SECONDS);
+            print();
         }
-        out.printf(
-                "%nthe origin takes %.0f ms a fetch, 16 at once; %.0f misses a second, half of the keys at the sibling; %d windows of %.1f s%n",
-                originMs, PER_SECOND, rounds, seconds);
-        out.printf("%-14s %24s %24s %22s %s%n", "", "within aim", "fetches a request", "p50 ms", "unanswered");
-        for (int a = 0; a < 3; a++) {
-            out.printf(
-                    "%-14s %24s %24s %22s %d%n",
-                    ARMS[a],
-                    SnapshotBench.mean(inTime[a], 3),
-                    SnapshotBench.mean(fetches[a], 3),
-                    SnapshotBench.mean(p50[a], 2),
-                    unanswered[a]);
-        }
-        for (int a = 1; a < 3; a++) {
-            double[] gain = new double[rounds];
-            for (int r = 0; r < rounds; r++) {
-                gain[r] = inTime[a][r] - inTime[0][r];
+
+        /** One window, with a fleet and daemons of its own. */
+        private void measure(FakeFleet siblingFleet, EventLoop loop, Variant variant, int round) throws Exception {
+            SiblingAddresses own = SiblingAddresses.allocate();
+            SiblingAddresses other = SiblingAddresses.allocate();
+            try (FakeFleet fleet = new FakeFleet(SERVERS);
+                    LossyDatagramLink link =
+                            new LossyDatagramLink(fleet.loop(), own.icp, other.icp, round, variant.loss, 0, 0);
+                    Daemon sibling = config(siblingFleet, other, own.withIcp(link.towardsA()), false)
+                            .start(round);
+                    Daemon daemon = config(fleet, own, other.withIcp(link.towardsB()), variant != Variant.NO_SIBLING)
+                            .start(round)) {
+                fleet.origin.work(originMs);
+                readSiblingKeys(sibling, loop);
+                OpenLoopLoad load = new OpenLoopLoad(loop, BenchConfig.AIM_MS, SiblingBench::key)
+                        .connect(daemon.address("main"), CONNECTIONS)
+                        .run(REQUESTS_PER_SECOND, seconds, DRAIN_MS);
+                inTime.set(variant, round, load.inTimeRatio());
+                fetches.set(variant, round, fleet.origin.fetches() / (double) load.requests());
+                p50Ms.set(variant, round, load.percentileNanos(50) / 1e6);
+                unanswered.merge(variant, load.unanswered(), Integer::sum);
             }
-            out.println(ARMS[a] + " less none, round by round: within aim " + SnapshotBench.mean(gain, 3));
         }
-        out.flush();
-    }
 
-    // ---- what a message costs
+        /** Reads the sibling's keys through it, so that it knows what its servers have. */
+        private void readSiblingKeys(Daemon sibling, EventLoop loop) throws Exception {
+            int requests = (int) (REQUESTS_PER_SECOND * (seconds + 1)) + 10;
+            new LoadClient(loop, sibling.address("main"), requests / 2, Comparison::siblingRequest)
+                    .start(LEARNING_CONNECTIONS, LEARNING_IN_FLIGHT)
+                    .get(LEARNING_TIMEOUT_S, TimeUnit.SECONDS);
+        }
 
-    private void messages() throws Exception {
-        IcpMessage query = IcpMessage.query(7, 0, "http://coralbay/page/1234567890");
-        ByteBuf datagram = IcpCodec.encode(ByteBufAllocator.DEFAULT, query);
-        CacheDigest digest = new CacheDigest(1 << 16, 60_000, 100);
-        Map<Long, Integer> map = new HashMap<>();
-        for (int i = 0; i < 60_000; i++) {
-            digest.add(1e12, i * 0x9E37L, i % 100);
-            map.put(i * 0x9E37L, i % 100);
+        private static LoadClient.Ask siblingRequest(int number) {
+            return new LoadClient.Ask(key(2 * number), "", null, null);
         }
-        out.printf("%-34s %22s %12s%n", "on one thread", "ns", "garbage B");
-        time("question written", i -> {
-            ByteBuf b = IcpCodec.encode(ByteBufAllocator.DEFAULT, query);
-            int n = b.readableBytes();
-            b.release();
-            return n;
-        });
-        time("question read", i -> {
-            try {
-                return IcpCodec.decode(datagram).requestNumber();
-            } catch (MalformedMessageException e) {
-                throw new IllegalStateException(e);
-            }
-        });
-        time("digest asked", i -> digest.contains(1e12, (i & 65_535) * 0x9E37L) ? 1 : 0);
-        time("digest told", i -> {
-            digest.add(1e12 + i, (i & 65_535) * 0x9E37L, i & 63);
-            return 1;
-        });
-        time("a hash map asked", i -> map.getOrDefault((i & 65_535) * 0x9E37L, 0));
-        datagram.release();
-    }
 
-    private void time(String what, IntToLongFunction call) {
-        int turns = 200_000;
-        double[] ns = new double[9];
-        ThreadMXBean threads = (ThreadMXBean) ManagementFactory.getThreadMXBean();
-        long me = Thread.currentThread().getId();
-        long bytes = 0;
-        for (int r = -4; r < ns.length; r++) {
-            bytes = threads.getThreadAllocatedBytes(me);
-            long at = System.nanoTime();
-            for (int i = 0; i < turns; i++) {
-                sink += call.applyAsLong(i);
+        private void print() {
+            out.printf(
+                    "%nthe origin takes %.0f ms a fetch, 16 at once; %.0f misses a second, half of the keys at the sibling; %d windows of %.1f s%n",
+                    originMs, REQUESTS_PER_SECOND, rounds, seconds);
+            out.printf("%-14s %24s %24s %22s %s%n", "", "within aim", "fetches a request", "p50 ms", "unanswered");
+            for (Variant variant : VARIANTS) {
+                out.printf(
+                        "%-14s %24s %24s %22s %d%n",
+                        variant.label,
+                        Statistics.meanWithInterval(inTime.of(variant), 3),
+                        Statistics.meanWithInterval(fetches.of(variant), 3),
+                        Statistics.meanWithInterval(p50Ms.of(variant), 2),
+                        unanswered.getOrDefault(variant, 0));
             }
-            if (r >= 0) {
-                ns[r] = (System.nanoTime() - at) / (double) turns;
+            for (Variant variant : List.of(Variant.SIBLING, Variant.LOSSY_SIBLING)) {
+                out.println(variant.label + " less none, round by round: within aim "
+                        + Statistics.meanWithInterval(inTime.differences(variant, Variant.NO_SIBLING), 3));
             }
-            bytes = threads.getThreadAllocatedBytes(me) - bytes;
+            out.flush();
         }
-        Arrays.sort(ns);
-        out.printf("%-34s %22s %12d%n", what, String.format("%.0f (%.0f-%.0f)", ns[4], ns[0], ns[8]), bytes / turns);
-        out.flush();
     }
 }
