--- a/src/main/java/cacheproxy/bench/FleetBench.java
+++ b/src/main/java/cacheproxy/bench/FleetBench.java
@@ -52,12 +52,12 @@
                             new FleetSimulationConfig(size[0], size[1], 4, LOAD, SECONDS, troubles, i + 1),
                             RoutingPolicy::new)
                     .run();
-            events += reports[i].decisions();
+            events += reports[i].events();
         }
         long nanos = System.nanoTime() - started;
         double worst = 0;
         for (FleetSimulationResult r : reports) {
-            worst = Math.max(worst, r.worstCold());
+            worst = Math.max(worst, r.maxColdLoad());
         }
         out.printf(
                 "%-50s %22s %8.2f %16s %16s %8.3f %8.3f %8.3f %8d%n",
@@ -67,13 +67,13 @@
                                 : troubles.size() > 1
                                         ? "all"
                                         : troubles.iterator().next().name().toLowerCase(Locale.ROOT)),
-                mean(reports, FleetSimulationResult::service),
+                mean(reports, FleetSimulationResult::servedFraction),
                 worst,
-                mean(reports, FleetSimulationResult::attemptsEach),
-                mean(reports, FleetSimulationResult::crossedEach),
-                of(reports, r -> (double) r.full() / r.asked()),
-                of(reports, r -> (double) r.copies() / r.asked()),
-                of(reports, r -> (double) r.fetches() / r.asked()),
+                mean(reports, FleetSimulationResult::attemptsPerRequest),
+                mean(reports, FleetSimulationResult::crossZoneAttemptsPerRequest),
+                of(reports, r -> (double) r.rejectedAttempts() / r.requests()),
+                of(reports, r -> (double) r.hedgedAttempts() / r.requests()),
+                of(reports, r -> (double) r.originReads() / r.requests()),
                 nanos / Math.max(1, events));
         out.flush();
     }
--- a/src/main/java/cacheproxy/bench/QuotaBench.java
+++ b/src/main/java/cacheproxy/bench/QuotaBench.java
@@ -7,10 +7,10 @@
 import cacheproxy.fleet.quota.QuotaTiming;
 import cacheproxy.simulation.QuotaSimulation;
 import cacheproxy.simulation.QuotaSimulation.Fault;
+import cacheproxy.simulation.QuotaSimulation.FaultKind;
 import cacheproxy.simulation.QuotaSimulation.Plan;
 import cacheproxy.simulation.QuotaSimulation.Result;
-import cacheproxy.simulation.QuotaSimulation.Trouble;
-import cacheproxy.simulation.QuotaSimulation.Way;
+import cacheproxy.simulation.QuotaSimulation.Scheme;
 import com.sun.management.ThreadMXBean;
 import java.io.PrintWriter;
 import java.lang.management.ManagementFactory;
@@ -53,17 +53,17 @@
                         n,
                         amount,
                         alone,
-                        QuotaSimulation.bound(l, RULES, n, 1000));
+                        QuotaSimulation.maxOvershoot(l, RULES, n, 1000));
                 for (Case c : cases(n, amount)) {
                     StringBuilder line = new StringBuilder(String.format("  %-22s", c.name));
-                    for (Way w : Way.values()) {
-                        if ((n > 50 && (w == Way.PEERS || w == Way.GOSSIP))
-                                || (alone == QuotaSpec.IsolationPolicy.NONE && w != Way.DEALER)) {
+                    for (Scheme w : Scheme.values()) {
+                        if ((n > 50 && (w == Scheme.PEERS || w == Scheme.GOSSIP))
+                                || (alone == QuotaSpec.IsolationPolicy.NONE && w != Scheme.DEALER)) {
                             continue;
                         }
                         Result[] r = IntStream.rangeClosed(1, rounds)
                                 .parallel()
-                                .mapToObj(seed -> QuotaSimulation.play(
+                                .mapToObj(seed -> QuotaSimulation.run(
                                         new Plan(w, n, l, RULES, c.offered, 1000, 0, FOR_MS, c.faults, seed)))
                                 .toArray(Result[]::new);
                         line.append(String.format(
@@ -71,15 +71,21 @@
                                 " %s %.0f, %.3f (%.3f to %.3f), %.1f;",
                                 w.name().toLowerCase(Locale.ROOT),
                                 Arrays.stream(r)
-                                        .mapToDouble(x -> x.over()[1])
+                                        .mapToDouble(x -> x.overshoot()[1])
                                         .max()
                                         .orElse(0),
                                 Arrays.stream(r)
-                                        .mapToDouble(Result::idle)
+                                        .mapToDouble(Result::idleFraction)
                                         .average()
                                         .orElse(0),
-                                Arrays.stream(r).mapToDouble(Result::idle).min().orElse(0),
-                                Arrays.stream(r).mapToDouble(Result::idle).max().orElse(0),
+                                Arrays.stream(r)
+                                        .mapToDouble(Result::idleFraction)
+                                        .min()
+                                        .orElse(0),
+                                Arrays.stream(r)
+                                        .mapToDouble(Result::idleFraction)
+                                        .max()
+                                        .orElse(0),
                                 Arrays.stream(r)
                                         .mapToDouble(Result::messagesPerSecond)
                                         .average()
@@ -119,21 +125,22 @@
                 new Case(
                         "dealer killed",
                         new double[][] {even},
-                        List.of(new Fault(Trouble.KILL, 5000, 4000, List.of(0), 0))),
+                        List.of(new Fault(FaultKind.KILL, 5000, 4000, List.of(0), 0))),
                 new Case(
                         "dealer stops for 1 s",
                         new double[][] {even},
-                        List.of(new Fault(Trouble.STOP, 5000, 1000, List.of(0), 0))),
+                        List.of(new Fault(FaultKind.PAUSE, 5000, 1000, List.of(0), 0))),
                 new Case(
                         "split in two for 6 s",
                         new double[][] {skew},
-                        List.of(new Fault(Trouble.SPLIT, 5000, 6000, half, 0))),
+                        List.of(new Fault(FaultKind.PARTITION, 5000, 6000, half, 0))),
                 new Case(
-                        "30% lost", new double[][] {skew}, List.of(new Fault(Trouble.LOSS, 0, FOR_MS, List.of(), 0.3))),
+                        "30% lost",
+                        new double[][] {skew}, List.of(new Fault(FaultKind.LOSE, 0, FOR_MS, List.of(), 0.3))),
                 new Case(
                         "7 in 10 restarted",
                         new double[][] {even},
-                        List.of(new Fault(Trouble.KILL, 5000, 1500, seven, 0)))));
+                        List.of(new Fault(FaultKind.KILL, 5000, 1500, seven, 0)))));
         return cases;
     }
 
--- a/src/main/java/cacheproxy/simulation/FleetSimulationConfig.java
+++ b/src/main/java/cacheproxy/simulation/FleetSimulationConfig.java
@@ -9,40 +9,64 @@
 import java.util.Set;
 
 /**
- * What a {@link FleetSimulation} plays.
+ * What a {@link FleetSimulation} simulates.
  *
- * @param load what clients ask for, as a part of what all nodes can do; over 0, at most 1.5
- * @param seconds for how long they ask
+ * @param proxies how many there are, 1 to 10,000
+ * @param servers how many there are at the start, 1 to 10,000
+ * @param zones over which proxies and servers are spread, 1 to 100
+ * @param load what clients ask for, as a part of what all servers can do; over 0, at most 1.5
+ * @param durationSeconds for how long clients ask; over 0, at most 3600
+ * @param faults that begin four seconds after the start
  * @param seed the same seed gives the same figures
  */
 public record FleetSimulationConfig(
-        int proxies, int nodes, int zones, double load, double seconds, Set<SimulatedFault> troubles, long seed) {
+        int proxies,
+        int servers,
+        int zones,
+        double load,
+        double durationSeconds,
+        Set<SimulatedFault> faults,
+        long seed) {
+    /** Index of the class of reads. */
     static final int READ = 0;
+    /** Index of the class of writes. */
     static final int WRITE = 1;
 
+    private static final int MAX_PROXIES = 10_000;
+    private static final int MAX_SERVERS = 10_000;
+    private static final int MAX_ZONES = 100;
+    private static final double MAX_LOAD = 1.5;
+    private static final double MAX_DURATION_SECONDS = 3600;
+
     /** @throws IllegalArgumentException if a figure is out of its range, naming it */
     public FleetSimulationConfig {
-        if (proxies < 1 || nodes < 1 || zones < 1 || proxies > 10_000 || nodes > 10_000 || zones > 100) {
-            throw new IllegalArgumentException("a fleet of " + proxies + " proxies, " + nodes + " nodes, " + zones
+        boolean isLarge = proxies > MAX_PROXIES || servers > MAX_SERVERS || zones > MAX_ZONES;
+        if (proxies < 1 || servers < 1 || zones < 1 || isLarge) {
+            throw new IllegalArgumentException("a fleet of " + proxies + " proxies, " + servers + " nodes, " + zones
                     + " zones: each must be at least 1, and at most 10,000, 10,000 and 100");
         }
-        if (!(load > 0 && load <= 1.5) || !(seconds > 0 && seconds <= 3600)) {
-            throw new IllegalArgumentException("load " + load + " must be over 0 and at most 1.5, seconds " + seconds
-                    + " over 0 and at most 3600");
+        boolean isLoadValid = load > 0 && load <= MAX_LOAD;
+        boolean isDurationValid = durationSeconds > 0 && durationSeconds <= MAX_DURATION_SECONDS;
+        if (!isLoadValid || !isDurationValid) {
+            throw new IllegalArgumentException("load " + load + " must be over 0 and at most 1.5, seconds "
+                    + durationSeconds + " over 0 and at most 3600");
         }
-        troubles = Set.copyOf(troubles);
+        faults = Set.copyOf(faults);
     }
 
-    /** What a proxy of this fleet is told: the slowest warm-up that the first users' settings allow, and no probes. */
-    PolicySettings settings(int me) {
+    /**
+     * Returns the settings of a proxy of this fleet: the slowest warm-up that the first users' settings allow, and no
+     * health checks.
+     */
+    PolicySettings settings(int instance) {
         List<ServiceClass> classes = List.of(
                 new ServiceClass("read", Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 300, 1000, 1, 0.2, false),
                 new ServiceClass(
                         "write", Idempotency.NON_IDEMPOTENT, DeduplicationScope.ALL, 0, 300, 1000, 5, 0.2, false));
         return PolicySettings.builder()
-                .instanceIndex(me)
+                .instanceIndex(instance)
                 .instanceCount(proxies)
-                .zone(me % zones)
+                .zone(instance % zones)
                 .zoneCount(zones)
                 .kindCount(2)
                 .cacheAside(true)
--- a/src/main/java/cacheproxy/simulation/FleetSimulationResult.java
+++ b/src/main/java/cacheproxy/simulation/FleetSimulationResult.java
@@ -3,47 +3,48 @@
 /**
  * Sums over all proxies of a fleet, which no proxy sees.
  *
- * @param asked clients' requests, each with its repeats counted once
- * @param served of those: answered in time, at any try
- * @param unanswered tries that never got a final answer; the rules allow none
- * @param worstCold the most work that a cold node was sent in the rule's span, by what it could do in it; the rule has
- *     a bound. Spans in which a third or more came from proxies that had not been told of its start are left out
- * @param worstEffect how often an unsafe write ran at most; the rules allow 1
- * @param attempts all, also at the origin
- * @param crossed of those: to another zone
- * @param full of those: turned away for a full queue
- * @param dead of those: to a node that was gone or silent
- * @param copies of those: sent while an earlier one was out
- * @param coldSends of those: to a cold node
- * @param fetches reads sent to the origin
- * @param decisions events that modules were told of
+ * @param requests of clients, each with its retries counted once
+ * @param served of those: responded to in time, by any attempt of the client
+ * @param unanswered attempts of clients that never got a final response; the rules allow none
+ * @param maxColdLoad the most work that a server was sent while it was warming up, in the time after which it would
+ *     collapse, by what it could do in that time; the rule has a bound. Spans in which a third or more came from
+ *     proxies that had not been told of its start are left out
+ * @param maxWriteEffects how often a write took effect at most; the rules allow 1
+ * @param attempts of proxies, also at the origin
+ * @param crossZoneAttempts of those: to another zone
+ * @param rejectedAttempts of those: rejected for a full queue
+ * @param unreachableAttempts of those: to a server that had ended or was isolated
+ * @param hedgedAttempts of those: sent while an earlier one was in flight
+ * @param coldAttempts of those: to a server that was warming up
+ * @param originReads reads that were sent to the origin
+ * @param events that policies were told of
  */
 public record FleetSimulationResult(
-        int asked,
+        int requests,
         int served,
         int unanswered,
-        double worstCold,
-        int worstEffect,
+        double maxColdLoad,
+        int maxWriteEffects,
         int attempts,
-        int crossed,
-        int full,
-        int dead,
-        int copies,
-        int coldSends,
-        int fetches,
-        long decisions) {
-    /** Part of the requests that were served. */
-    public double service() {
-        return asked == 0 ? 1 : (double) served / asked;
+        int crossZoneAttempts,
+        int rejectedAttempts,
+        int unreachableAttempts,
+        int hedgedAttempts,
+        int coldAttempts,
+        int originReads,
+        long events) {
+    /** Returns the part of the requests that were served. */
+    public double servedFraction() {
+        return requests == 0 ? 1 : (double) served / requests;
     }
 
-    /** Attempts for each request. */
-    public double attemptsEach() {
-        return asked == 0 ? 0 : (double) attempts / asked;
+    /** Returns the attempts for each request. */
+    public double attemptsPerRequest() {
+        return requests == 0 ? 0 : (double) attempts / requests;
     }
 
-    /** Attempts to other zones for each request. */
-    public double crossedEach() {
-        return asked == 0 ? 0 : (double) crossed / asked;
+    /** Returns the attempts to other zones for each request. */
+    public double crossZoneAttemptsPerRequest() {
+        return requests == 0 ? 0 : (double) crossZoneAttempts / requests;
     }
 }
--- a/src/main/java/cacheproxy/simulation/SimulatedOrigin.java
+++ b/src/main/java/cacheproxy/simulation/SimulatedOrigin.java
@@ -1,26 +1,32 @@
 package cacheproxy.simulation;
 
 /**
- * The one store behind all nodes: it can take a third of the requests asked for, and turns away what would wait too
- * long.
+ * The one store behind all servers: it can take a third of the requests that clients send, and rejects what would wait
+ * too long.
  */
 final class SimulatedOrigin {
+    /** Its id in endpoint lists. */
     static final int ID = Integer.MAX_VALUE;
-    private static final double QUEUE_MS = 400;
-    private static final double TIME_MS = 30;
-    private final double eachMs;
-    private double busyUntil;
 
-    SimulatedOrigin(double requestsPerMs) {
-        eachMs = 3 / requestsPerMs;
+    private static final double MAX_QUEUE_MS = 400;
+    private static final double RESPONSE_MS = 30;
+    /** Requests of clients for each that it can take. */
+    private static final double CLIENT_REQUESTS_PER_REQUEST = 3;
+
+    private final double intervalMs;
+    private double busyUntilMs;
+
+    /** @param clientRequestsPerMs that all clients together send */
+    SimulatedOrigin(double clientRequestsPerMs) {
+        intervalMs = CLIENT_REQUESTS_PER_REQUEST / clientRequestsPerMs;
     }
 
-    /** Returns when it will have answered; NaN: turned away. */
-    double take(double now) {
-        if (busyUntil > now + QUEUE_MS) {
+    /** Takes a request; returns when it will have responded, or NaN if it rejects the request. */
+    double admit(double nowMs) {
+        if (busyUntilMs > nowMs + MAX_QUEUE_MS) {
             return Double.NaN;
         }
-        busyUntil = Math.max(now, busyUntil) + eachMs;
-        return busyUntil + TIME_MS;
+        busyUntilMs = Math.max(nowMs, busyUntilMs) + intervalMs;
+        return busyUntilMs + RESPONSE_MS;
     }
 }
--- a/src/main/java/cacheproxy/simulation/SimulatedProxy.java
+++ b/src/main/java/cacheproxy/simulation/SimulatedProxy.java
@@ -15,256 +15,274 @@
 import java.util.List;
 import java.util.Map;
 
-/** One proxy: the real module, with sockets that are the fleet's figures. Killed, it says nothing more. */
+/** One proxy: the real policy, with connections that are figures of the fleet. Killed, it does nothing more. */
 final class SimulatedProxy implements PolicyActions {
-    /** One way, in milliseconds. */
-    private static final double NEAR_MS = 0.2;
+    /** How long a client waits for a response before it gives up. */
+    static final double CLIENT_TIMEOUT_MS = 650;
 
-    private static final double FAR_MS = 2;
-    /** How long a client waits for one try. */
-    static final double TRY_MS = 650;
+    private static final double ONE_WAY_WITHIN_ZONE_MS = 0.2;
+    private static final double ONE_WAY_ACROSS_ZONES_MS = 2;
+    /** Work of a request, 1 in the mean: from this on, evenly over a range of 1. */
+    private static final double MIN_REQUEST_SIZE = 0.5;
 
-    /** A client's request: its key, and how often it has been tried before. */
-    record Ask(long key, boolean write, int tries) {}
-
-    /** Where an attempt is, and whether it is still out. */
-    private static final class Out {
+    /** One attempt of a request. */
+    private static final class Attempt {
         final int server;
-        final double sentAt;
+        final double sentMs;
         boolean ended;
 
-        Out(int server, double sentAt) {
+        Attempt(int server, double sentMs) {
             this.server = server;
-            this.sentAt = sentAt;
+            this.sentMs = sentMs;
         }
     }
 
-    /** A request in hand. */
-    private static final class Held {
-        final Ask ask;
-        final List<Out> outs = new ArrayList<>();
+    /** A request that the policy has been told of. */
+    private static final class PendingRequest {
+        final SimulatedRequest request;
+        final List<Attempt> attempts = new ArrayList<>();
+        /** The last server that lacked the key, which gets it from the origin's response; null: none. */
         SimulatedServer missedAt;
-        int ran;
+        /** How often it took effect at the origin. */
+        int effects;
+
         boolean answered;
 
-        Held(Ask ask) {
-            this.ask = ask;
+        PendingRequest(SimulatedRequest request) {
+            this.request = request;
         }
     }
 
     private final FleetSimulation fleet;
     private final PolicySettings settings;
-    private final PolicyApi module;
-    private final Map<Integer, Held> held = new HashMap<>();
-    private final Map<Integer, Double> bornAsTold = new HashMap<>();
-    private boolean dead;
+    private final PolicyApi policy;
+    private final Map<Integer, PendingRequest> pendingRequests = new HashMap<>();
+    /** When servers started, by their ids, according to this proxy's endpoint list. */
+    private final Map<Integer, Double> listedStartMs = new HashMap<>();
 
-    SimulatedProxy(FleetSimulation fleet, PolicySettings settings, PolicyApi module) {
+    private boolean killed;
+
+    SimulatedProxy(FleetSimulation fleet, PolicySettings settings, PolicyApi policy) {
         this.fleet = fleet;
         this.settings = settings;
-        this.module = module;
+        this.policy = policy;
     }
 
-    boolean dead() {
-        return dead;
+    /** Returns whether it was killed. */
+    boolean isKilled() {
+        return killed;
     }
 
+    /** Ends it at once, with what it has. */
     void kill() {
-        dead = true;
+        killed = true;
     }
 
-    int unanswered() {
-        return dead ? 0 : (int) held.values().stream().filter(h -> !h.answered).count();
+    /** Returns how many requests it owes a response; none if it was killed. */
+    int unansweredRequests() {
+        if (killed) {
+            return 0;
+        }
+        return (int) pendingRequests.values().stream()
+                .filter(pending -> !pending.answered)
+                .count();
     }
 
-    void list(EndpointListKind kind, Collection<SimulatedServer> nodes) {
-        if (dead) {
+    /** Receives an endpoint list, or the changed entries of it. */
+    void receiveEndpoints(EndpointListKind kind, Collection<SimulatedServer> servers) {
+        if (killed) {
             return;
         }
-        List<Endpoint> members = new ArrayList<>();
-        for (SimulatedServer n : nodes) {
-            bornAsTold.put(n.id, n.bornMs());
-            members.add(FleetSimulation.member(n));
+        List<Endpoint> endpoints = new ArrayList<>();
+        for (SimulatedServer server : servers) {
+            listedStartMs.put(server.id, server.startedMs());
+            endpoints.add(server.endpoint());
         }
         if (kind == EndpointListKind.CACHED) {
-            members.add(new Endpoint(SimulatedOrigin.ID, 0, 1, 0, EndpointState.READY, 1, 0));
+            endpoints.add(new Endpoint(SimulatedOrigin.ID, 0, 1, 0, EndpointState.READY, 1, 0));
         }
-        decide(() -> module.onEndpointList(now(), kind, members, this));
+        fire(() -> policy.onEndpointList(nowMs(), kind, endpoints, this));
     }
 
-    void take(int id, Ask a) {
-        Held h = new Held(a);
-        held.put(id, h);
-        fleet.clock.after(
-                TRY_MS,
-                () -> { // the sockets' own end of what is still out
-                    for (int i = 0; i < h.outs.size(); i++) {
-                        end(id, i, AttemptOutcome.TIMEOUT);
-                    }
-                });
-        fleet.clock.after(TRY_MS + 1, () -> {
-            if (h.answered) {
-                held.remove(id);
+    /** Receives a client's request under a new id. */
+    void receiveRequest(int id, SimulatedRequest request) {
+        PendingRequest pending = new PendingRequest(request);
+        pendingRequests.put(id, pending);
+        fleet.clock()
+                .after(
+                        CLIENT_TIMEOUT_MS,
+                        () -> { // the connections' own end of what is in flight
+                            for (int i = 0; i < pending.attempts.size(); i++) {
+                                endAttempt(id, i, AttemptOutcome.TIMEOUT);
+                            }
+                        });
+        fleet.clock().after(CLIENT_TIMEOUT_MS + 1, () -> {
+            if (pending.answered) {
+                pendingRequests.remove(id);
             }
         });
-        decide(() -> module.onRequest(
-                now(),
-                new RoutingRequest(
-                        id,
-                        a.write() ? FleetSimulationConfig.WRITE : FleetSimulationConfig.READ,
-                        0,
-                        a.key(),
-                        now() + TRY_MS,
-                        Double.NaN,
-                        0,
-                        a.write(),
-                        a.tries() > 0),
-                this));
+        RoutingRequest routingRequest = new RoutingRequest(
+                id,
+                request.write() ? FleetSimulationConfig.WRITE : FleetSimulationConfig.READ,
+                0,
+                request.key(),
+                nowMs() + CLIENT_TIMEOUT_MS,
+                Double.NaN,
+                0,
+                request.write(),
+                request.retries() > 0);
+        fire(() -> policy.onRequest(nowMs(), routingRequest, this));
     }
 
     @Override
-    public void sendAttempt(int request, int server, double timeoutMs) {
-        Held h = held.get(request);
-        int attempt = h.outs.size();
-        boolean copy = h.outs.stream().anyMatch(o -> !o.ended);
-        h.outs.add(new Out(server, now()));
-        SimulatedServer n = fleet.nodes.get(server);
-        boolean near = settings.zone() == (n == null ? 0 : n.zone);
-        fleet.count(near, copy);
-        double way = near ? NEAR_MS : FAR_MS;
+    public void sendAttempt(int requestId, int serverId, double timeoutMs) {
+        PendingRequest pending = pendingRequests.get(requestId);
+        int attempt = pending.attempts.size();
+        boolean hedged = pending.attempts.stream().anyMatch(earlier -> !earlier.ended);
+        pending.attempts.add(new Attempt(serverId, nowMs()));
+        SimulatedServer server = fleet.server(serverId);
+        boolean withinZone = settings.zone() == (server == null ? 0 : server.zone);
+        fleet.metrics().recordAttempt(withinZone, hedged);
+        double oneWayMs = withinZone ? ONE_WAY_WITHIN_ZONE_MS : ONE_WAY_ACROSS_ZONES_MS;
         if (timeoutMs > 0) {
-            fleet.clock.after(timeoutMs, () -> end(request, attempt, AttemptOutcome.TIMEOUT));
+            endAttemptAfter(timeoutMs, requestId, attempt, AttemptOutcome.TIMEOUT);
         }
-        fleet.clock.after(way, () -> {
-            if (n == null) {
-                origin(request, attempt, h, way);
+        fleet.clock().after(oneWayMs, () -> {
+            if (server == null) {
+                arriveAtOrigin(requestId, attempt, pending, oneWayMs);
             } else {
-                arrive(request, attempt, h, n, way);
+                arriveAtServer(requestId, attempt, pending, server, oneWayMs);
             }
         });
     }
 
-    private void arrive(int request, int attempt, Held h, SimulatedServer n, double way) {
-        if (n.isCold(now())) {
-            n.sentCold(now(), bornAsTold.get(n.id) == n.bornMs());
+    private void arriveAtServer(
+            int requestId, int attempt, PendingRequest pending, SimulatedServer server, double oneWayMs) {
+        if (server.isWarmingUp(nowMs())) {
+            server.recordColdAttempt(nowMs(), listedStartMs.get(server.id) == server.startedMs());
         }
-        if (n.ended || n.silent) {
-            fleet.dead();
-            later(n.silent ? settings.connectTimeoutMs() : way, request, attempt, AttemptOutcome.CONNECT_FAILED);
+        if (server.ended || server.isolated) {
+            fleet.metrics().recordUnreachableAttempt();
+            double delayMs = server.isolated ? settings.connectTimeoutMs() : oneWayMs;
+            endAttemptAfter(delayMs, requestId, attempt, AttemptOutcome.CONNECT_FAILED);
             return;
         }
-        SimulatedServer.Taken taken = n.take(now(), h.ask.key(), 0.5 + fleet.random.nextDouble());
-        if (taken == null) {
-            fleet.full();
-            later(way, request, attempt, AttemptOutcome.FULL);
+        double size = MIN_REQUEST_SIZE + fleet.random().nextDouble();
+        SimulatedServer.Admission admission = server.admit(nowMs(), pending.request.key(), size);
+        if (admission == null) {
+            fleet.metrics().recordRejectedAttempt();
+            endAttemptAfter(oneWayMs, requestId, attempt, AttemptOutcome.FULL);
             return;
         }
-        if (!taken.hit()) {
-            h.missedAt = n;
+        if (!admission.hit()) {
+            pending.missedAt = server;
         }
-        later(taken.atMs() - now() + way, request, attempt, taken.hit() ? AttemptOutcome.OK : AttemptOutcome.MISS);
+        AttemptOutcome outcome = admission.hit() ? AttemptOutcome.OK : AttemptOutcome.MISS;
+        endAttemptAfter(admission.doneMs() - nowMs() + oneWayMs, requestId, attempt, outcome);
     }
 
-    private void origin(int request, int attempt, Held h, double way) {
-        double done = fleet.origin(h.ask.write());
-        if (Double.isNaN(done)) {
-            later(way, request, attempt, AttemptOutcome.FULL);
+    private void arriveAtOrigin(int requestId, int attempt, PendingRequest pending, double oneWayMs) {
+        double doneMs = fleet.sendToOrigin(pending.request.write());
+        if (Double.isNaN(doneMs)) {
+            endAttemptAfter(oneWayMs, requestId, attempt, AttemptOutcome.FULL);
             return;
         }
-        if (h.ask.write()) {
-            fleet.ran(++h.ran);
+        if (pending.request.write()) {
+            fleet.metrics().recordWriteEffects(++pending.effects);
         }
-        fleet.clock.after(done - now(), () -> {
-            if (h.missedAt != null) {
-                h.missedAt.keep(h.ask.key());
+        fleet.clock().after(doneMs - nowMs(), () -> {
+            if (pending.missedAt != null) {
+                pending.missedAt.cache(pending.request.key());
             }
-            later(way, request, attempt, AttemptOutcome.OK);
+            endAttemptAfter(oneWayMs, requestId, attempt, AttemptOutcome.OK);
         });
     }
 
-    private void later(double ms, int request, int attempt, AttemptOutcome outcome) {
-        fleet.clock.after(ms, () -> end(request, attempt, outcome));
+    private void endAttemptAfter(double delayMs, int requestId, int attempt, AttemptOutcome outcome) {
+        fleet.clock().after(delayMs, () -> endAttempt(requestId, attempt, outcome));
     }
 
-    private void end(int request, int attempt, AttemptOutcome outcome) {
-        Held h = held.get(request);
-        if (dead || h == null || h.outs.get(attempt).ended) {
+    private void endAttempt(int requestId, int attemptIndex, AttemptOutcome outcome) {
+        PendingRequest pending = pendingRequests.get(requestId);
+        if (killed || pending == null || pending.attempts.get(attemptIndex).ended) {
             return;
         }
-        Out o = h.outs.get(attempt);
-        o.ended = true;
-        if (outcome == AttemptOutcome.OK && !h.answered) {
-            h.answered = true;
-            fleet.served();
+        Attempt attempt = pending.attempts.get(attemptIndex);
+        attempt.ended = true;
+        if (outcome == AttemptOutcome.OK && !pending.answered) {
+            pending.answered = true;
+            fleet.metrics().recordServed();
         }
-        decide(() -> module.onAttemptEnd(
-                now(),
-                new AttemptResult(request, attempt, o.server, outcome, now() - o.sentAt, h.answered, 0, null),
-                this));
+        AttemptResult result = new AttemptResult(
+                requestId, attemptIndex, attempt.server, outcome, nowMs() - attempt.sentMs, pending.answered, 0, null);
+        fire(() -> policy.onAttemptEnd(nowMs(), result, this));
     }
 
     @Override
-    public void reject(int request, double retryAfterMs) {
-        refused(request, true);
+    public void reject(int requestId, double retryAfterMs) {
+        concludeUnserved(requestId, true);
     }
 
     @Override
-    public void fail(int request) {
-        refused(request, false);
+    public void fail(int requestId) {
+        concludeUnserved(requestId, false);
     }
 
-    private void refused(int request, boolean harmless) {
-        Held h = held.get(request);
-        if (h != null && !h.answered) {
-            h.answered = true;
-            if (harmless || !h.ask.write()) {
-                fleet.again(h.ask);
-            }
+    /** Concludes a request; the client retries it unless it may have had an effect that must not come twice. */
+    private void concludeUnserved(int requestId, boolean withoutEffect) {
+        PendingRequest pending = pendingRequests.get(requestId);
+        if (pending == null || pending.answered) {
+            return;
+        }
+        pending.answered = true;
+        if (withoutEffect || !pending.request.write()) {
+            fleet.retry(pending.request);
         }
     }
 
     @Override
-    public void cancelAttempt(int request, int attempt) {
-        later(0, request, attempt, AttemptOutcome.CANCELLED);
+    public void cancelAttempt(int requestId, int attempt) {
+        endAttemptAfter(0, requestId, attempt, AttemptOutcome.CANCELLED);
     }
 
     @Override
     public void setTimer(double afterMs, int token) {
-        fleet.clock.after(afterMs, () -> {
-            if (!dead) {
-                decide(() -> module.onTimer(now(), token, this));
+        fleet.clock().after(afterMs, () -> {
+            if (!killed) {
+                fire(() -> policy.onTimer(nowMs(), token, this));
             }
         });
     }
 
-    /**
-     * Nodes may not be probed here, connections aren't modelled, lists are pushed, and proxies say nothing to one
-     * another.
-     */
+    /** Health checks are off in this simulation, see {@link FleetSimulationConfig#settings}. */
     @Override
     public void probeServer(int server) {}
 
+    /** Connections are not simulated. */
     @Override
     public void closeIdleConnections(int server) {}
 
+    /** Proxies don't talk to one another in this simulation. */
     @Override
     public void sendToPeer(int peer, byte[] message) {}
 
+    /** Endpoint lists are pushed. */
     @Override
-    public void watchEndpointList(boolean on) {}
+    public void watchEndpointList(boolean enabled) {}
 
+    /** Endpoint lists are pushed. */
     @Override
     public void fetchEndpointList() {}
 
     @Override
     public void log(String line) {}
 
-    private double now() {
-        return fleet.clock.now();
+    private double nowMs() {
+        return fleet.clock().nowMs();
     }
 
-    private void decide(Runnable event) {
-        fleet.decided();
+    private void fire(Runnable event) {
+        fleet.metrics().recordEvent();
         event.run();
     }
 }
--- a/src/main/java/cacheproxy/simulation/SimulatedServer.java
+++ b/src/main/java/cacheproxy/simulation/SimulatedServer.java
@@ -1,115 +1,142 @@
 package cacheproxy.simulation;
 
+import cacheproxy.policy.Endpoint;
+import cacheproxy.policy.EndpointState;
 import cacheproxy.policy.PolicySettings;
 import java.util.ArrayList;
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
 
-/** A cache node: one core, room for three requests that wait, a cache without bound. */
+/** A cache server: one core, a queue of three requests, a cache without bound. */
 final class SimulatedServer {
     /** The mean work of a request on a core of speed 1. */
     static final double WORK_MS = 50;
 
-    private static final int ROOM = 3;
+    private static final int QUEUE_CAPACITY = 3;
+    private static final double FAST_SPEED = 1.8;
+    private static final double SLOW_SPEED = 0.88;
+    /** A miss is so much of the work of a hit. */
+    private static final double MISS_WORK_FRACTION = 0.2;
 
-    /** A request that came while it was cold, and whether from a proxy that had been told of its start. */
-    private record Sent(double at, boolean told) {}
+    /** An attempt that came while the server was warming up, and whether its proxy had been told of the start. */
+    private record ColdAttempt(double atMs, boolean informed) {}
 
-    /** A request that a node has taken, when it will be done, and whether the node had the key. */
-    record Taken(double atMs, boolean hit) {}
+    /** A request that a server has taken, when it will be done, and whether the server had the key. */
+    record Admission(double doneMs, boolean hit) {}
 
     final int id;
     final int zone;
     final double speed;
-    private final PolicySettings settings;
-    private final Set<Long> kept = new HashSet<>();
-    private final List<Sent> cold = new ArrayList<>();
-    private double bornMs;
-    private double busyUntil;
+    /** It completes what it has, and takes nothing new. */
     boolean draining;
     /** Its process has ended: connections are refused. */
     boolean ended;
-    /** Cut off: nothing comes back. */
-    boolean silent;
+    /** It is cut off: nothing comes back. */
+    boolean isolated;
 
-    /** Three in five are twice as fast as the others. */
-    SimulatedServer(int id, int zones, double bornMs, PolicySettings settings) {
+    private final PolicySettings settings;
+    private final Set<Long> cachedKeys = new HashSet<>();
+    private final List<ColdAttempt> coldAttempts = new ArrayList<>();
+    private double startedMs;
+    private double busyUntilMs;
+
+    /**
+     * Three in five servers are twice as fast as the others.
+     *
+     * @param startedMs when its process started; 0: long ago
+     * @param settings which say how it warms up
+     */
+    SimulatedServer(int id, int zones, double startedMs, PolicySettings settings) {
         this.id = id;
         this.zone = id % zones;
-        this.bornMs = bornMs;
+        this.startedMs = startedMs;
         this.settings = settings;
-        speed = id % 5 < 3 ? 1.8 : 0.88;
+        speed = id % 5 < 3 ? FAST_SPEED : SLOW_SPEED;
     }
 
-    /** When its process started; 0: long ago. */
-    double bornMs() {
-        return bornMs;
+    /** Returns when its process started; 0: long ago. */
+    double startedMs() {
+        return startedMs;
     }
 
-    /** Starts anew: cold and empty. */
-    void restart(double now) {
-        silent = false;
-        bornMs = now;
-        busyUntil = 0;
-        kept.clear();
+    /** Returns the server as an endpoint list has it. */
+    Endpoint endpoint() {
+        EndpointState state = draining ? EndpointState.DRAINING : EndpointState.READY;
+        return new Endpoint(id, zone, 0, 0, state, 1, startedMs);
+    }
+
+    /** Starts anew, with an empty cache. */
+    void restart(double nowMs) {
+        isolated = false;
+        startedMs = nowMs;
+        busyUntilMs = 0;
+        cachedKeys.clear();
     }
 
     /** The part of its full capacity that it has: it rises evenly over the warm-up. */
-    double part(double now) {
-        return bornMs == 0
-                ? 1
-                : Math.min(
-                        1,
-                        settings.initialCapacityFraction()
-                                + (1 - settings.initialCapacityFraction()) * (now - bornMs) / settings.warmUpMs());
+    private double capacityFraction(double nowMs) {
+        if (startedMs == 0) {
+            return 1;
+        }
+        double initial = settings.initialCapacityFraction();
+        return Math.min(1, initial + (1 - initial) * (nowMs - startedMs) / settings.warmUpMs());
     }
 
-    boolean isCold(double now) {
-        return part(now) < 1;
+    /** Returns whether it is warming up. */
+    boolean isWarmingUp(double nowMs) {
+        return capacityFraction(nowMs) < 1;
     }
 
-    void sentCold(double now, boolean told) {
-        cold.add(new Sent(now, told));
+    /** Records an attempt while it is warming up. */
+    void recordColdAttempt(double nowMs, boolean informed) {
+        coldAttempts.add(new ColdAttempt(nowMs, informed));
     }
 
-    int coldSends() {
-        return cold.size();
+    /** Returns how many attempts came while it was warming up. */
+    int coldAttempts() {
+        return coldAttempts.size();
     }
 
-    void keep(long key) {
-        kept.add(key);
+    /** Puts a key into its cache. */
+    void cache(long key) {
+        cachedKeys.add(key);
     }
 
-    /** @param size the request's work, 1 in the mean; a miss is a fifth of it. @return null: turned away */
-    Taken take(double now, long key, double size) {
-        if (draining || busyUntil > now + ROOM * WORK_MS / speed) {
+    /**
+     * Takes a request, unless it is draining or its queue is full.
+     *
+     * @param size the work of the request, 1 in the mean
+     * @return null if it rejects the request
+     */
+    Admission admit(double nowMs, long key, double size) {
+        if (draining || busyUntilMs > nowMs + QUEUE_CAPACITY * WORK_MS / speed) {
             return null;
         }
-        boolean hit = kept.contains(key);
-        busyUntil = Math.max(now, busyUntil) + (hit ? 1 : 0.2) * size * WORK_MS / speed / part(now);
-        return new Taken(busyUntil, hit);
+        boolean hit = cachedKeys.contains(key);
+        busyUntilMs = Math.max(nowMs, busyUntilMs)
+                + (hit ? 1 : MISS_WORK_FRACTION) * size * WORK_MS / speed / capacityFraction(nowMs);
+        return new Admission(busyUntilMs, hit);
     }
 
-    /** See {@link FleetSimulationResult#worstCold}. */
-    double worstCold() {
-        double worst = 0;
+    /** Returns the figure that {@link FleetSimulationResult#maxColdLoad} describes, of this server. */
+    double maxColdLoad() {
+        double spanMs = settings.collapseAfterMs();
+        double maxLoad = 0;
         int first = 0;
-        int told = 0;
-        for (int last = 0; last < cold.size(); last++) {
-            double to = cold.get(last).at();
-            told += cold.get(last).told() ? 1 : 0;
-            for (; cold.get(first).at() < to - settings.collapseAfterMs(); first++) {
-                told -= cold.get(first).told() ? 1 : 0;
+        int informed = 0;
+        for (int last = 0; last < coldAttempts.size(); last++) {
+            double endMs = coldAttempts.get(last).atMs();
+            informed += coldAttempts.get(last).informed() ? 1 : 0;
+            for (; coldAttempts.get(first).atMs() < endMs - spanMs; first++) {
+                informed -= coldAttempts.get(first).informed() ? 1 : 0;
             }
             int count = last - first + 1;
-            if (told >= count * 2 / 3.0) {
-                double can = speed
-                        * part(Math.max(bornMs, to - settings.collapseAfterMs() / 2))
-                        * settings.collapseAfterMs();
-                worst = Math.max(worst, count * WORK_MS / can);
+            if (3 * informed >= 2 * count) { // two thirds knew of the start
+                double capacity = speed * capacityFraction(Math.max(startedMs, endMs - spanMs / 2)) * spanMs;
+                maxLoad = Math.max(maxLoad, count * WORK_MS / capacity);
             }
         }
-        return worst;
+        return maxLoad;
     }
 }
--- a/src/main/java/cacheproxy/simulation/VirtualClock.java
+++ b/src/main/java/cacheproxy/simulation/VirtualClock.java
@@ -4,35 +4,47 @@
 import java.util.PriorityQueue;
 
 /**
- * Time that stands still while something happens. What is due at one moment happens in the order in which it was asked
- * for.
+ * Time that stands still while an event happens. Events that are due at one moment happen in the order in which they
+ * were scheduled.
  */
 final class VirtualClock {
-    private record Event(double at, long order, Runnable run) {}
+    private record Event(double atMs, long order, Runnable action) {}
 
     private final PriorityQueue<Event> events =
-            new PriorityQueue<>(Comparator.comparingDouble(Event::at).thenComparing(Event::order));
-    private long order;
-    private double now;
+            new PriorityQueue<>(Comparator.comparingDouble(Event::atMs).thenComparing(Event::order));
+    private long scheduledEvents;
+    private double nowMs;
 
     VirtualClock(double startMs) {
-        now = startMs;
+        nowMs = startMs;
     }
 
-    /** In milliseconds. */
-    double now() {
-        return now;
+    /** Returns the time in milliseconds. */
+    double nowMs() {
+        return nowMs;
     }
 
-    void after(double ms, Runnable run) {
-        events.add(new Event(now + Math.max(0, ms), order++, run));
+    /** Schedules an event after so many milliseconds; at once if they are negative. */
+    void after(double delayMs, Runnable action) {
+        at(nowMs + Math.max(0, delayMs), action);
     }
 
-    /** Until nothing is left to happen. */
+    /** Schedules an event at a time, which must not have passed. */
+    void at(double atMs, Runnable action) {
+        events.add(new Event(atMs, scheduledEvents++, action));
+    }
+
+    /** Runs until no event is left. */
     void run() {
-        for (Event e; (e = events.poll()) != null; ) {
-            now = e.at();
-            e.run().run();
+        runUntil(Double.POSITIVE_INFINITY, () -> {});
+    }
+
+    /** Runs the events up to a time, this included, and an action before each of them. */
+    void runUntil(double endMs, Runnable beforeEach) {
+        for (Event event = events.poll(); event != null && event.atMs() <= endMs; event = events.poll()) {
+            nowMs = event.atMs();
+            beforeEach.run();
+            event.action().run();
         }
     }
 }
--- a/src/test/java/cacheproxy/fleet/quota/QuotaWalkTest.java
+++ b/src/test/java/cacheproxy/fleet/quota/QuotaWalkTest.java
@@ -6,10 +6,10 @@
 import cacheproxy.fleet.lease.NameHash;
 import cacheproxy.simulation.QuotaSimulation;
 import cacheproxy.simulation.QuotaSimulation.Fault;
+import cacheproxy.simulation.QuotaSimulation.FaultKind;
 import cacheproxy.simulation.QuotaSimulation.Plan;
 import cacheproxy.simulation.QuotaSimulation.Result;
-import cacheproxy.simulation.QuotaSimulation.Trouble;
-import cacheproxy.simulation.QuotaSimulation.Way;
+import cacheproxy.simulation.QuotaSimulation.Scheme;
 import java.util.ArrayList;
 import java.util.Arrays;
 import java.util.List;
@@ -27,22 +27,22 @@
 
     /** By how much a run exceeds its bound; 0 or less if it does not. */
     private static double excessOverBound(Plan plan) {
-        Result result = QuotaSimulation.play(plan);
-        if (plan.limit().concurrent()) {
-            return result.over()[0];
+        Result result = QuotaSimulation.run(plan);
+        if (plan.quota().concurrent()) {
+            return result.overshoot()[0];
         }
         // With LAST, links may fail several times in a window, and each time a grant decays.
-        double decaying = plan.limit().whenIsolated() == QuotaSpec.IsolationPolicy.LAST
-                ? plan.faults().size() * plan.limit().amount() * QuotaSpec.DECAY_GRANTS * TIMING.grantMs() / 2000
+        double decaying = plan.quota().whenIsolated() == QuotaSpec.IsolationPolicy.LAST
+                ? plan.faults().size() * plan.quota().amount() * QuotaSpec.DECAY_GRANTS * TIMING.grantMs() / 2000
                 : 0;
         double excess = Double.NEGATIVE_INFINITY;
-        for (int i = 0; i < QuotaSimulation.WINDOWS.length; i++) {
+        for (int i = 0; i < QuotaSimulation.WINDOWS_MS.length; i++) {
             excess = Math.max(
                     excess,
-                    result.over()[i]
+                    result.overshoot()[i]
                             - decaying
                             - OvershootBound.maxOvershoot(
-                                    plan.limit(), plan.rules(), plan.proxies(), QuotaSimulation.WINDOWS[i]));
+                                    plan.quota(), plan.timing(), plan.proxies(), QuotaSimulation.WINDOWS_MS[i]));
         }
         return excess;
     }
@@ -70,7 +70,7 @@
         double[] all = new double[4];
         Arrays.fill(all, 900);
         return new Plan(
-                Way.DEALER,
+                Scheme.DEALER,
                 4,
                 new QuotaSpec("l", false, 300, 0, whenIsolated, 1, 0),
                 timing,
@@ -107,7 +107,7 @@
                 },
                 QuotaSpec.IsolationPolicy.NONE,
                 1,
-                new Fault(Trouble.CUT, 4900, 5000, List.of(1), 0));
+                new Fault(FaultKind.ISOLATE, 4900, 5000, List.of(1), 0));
     }
 
     @Test
@@ -122,7 +122,7 @@
                 },
                 QuotaSpec.IsolationPolicy.NONE,
                 1,
-                new Fault(Trouble.CUT, 4900, 5000, List.of(1), 0));
+                new Fault(FaultKind.ISOLATE, 4900, 5000, List.of(1), 0));
     }
 
     @Test
@@ -142,7 +142,7 @@
                 },
                 QuotaSpec.IsolationPolicy.SHARE,
                 1,
-                new Fault(Trouble.CUT, 4990, 5000, List.of(2, 3), 0));
+                new Fault(FaultKind.ISOLATE, 4990, 5000, List.of(2, 3), 0));
     }
 
     @Test
@@ -157,7 +157,7 @@
                 },
                 QuotaSpec.IsolationPolicy.SHARE,
                 1,
-                new Fault(Trouble.KILL, 4950, 40, List.of(2, 3), 0));
+                new Fault(FaultKind.KILL, 4950, 40, List.of(2, 3), 0));
     }
 
     @Test
@@ -173,7 +173,7 @@
                 },
                 QuotaSpec.IsolationPolicy.NONE,
                 1,
-                new Fault(Trouble.KILL, 4500, 5000, List.of(0), 0));
+                new Fault(FaultKind.KILL, 4500, 5000, List.of(0), 0));
     }
 
     /** A proxy that was paused for longer than its grants finds them expired before it spends. */
@@ -184,8 +184,8 @@
                             TIMING,
                             whenIsolated,
                             1,
-                            new Fault(Trouble.STOP, 4900, 3000, List.of(1), 0),
-                            new Fault(Trouble.STOP, 9000, 700, List.of(0, 1, 2), 0))))
+                            new Fault(FaultKind.PAUSE, 4900, 3000, List.of(1), 0),
+                            new Fault(FaultKind.PAUSE, 9000, 700, List.of(0, 1, 2), 0))))
                     .isLessThanOrEqualTo(0);
         }
     }
@@ -194,8 +194,8 @@
     void sharesARateBelowOnePerSecondAndProxy() {
         double[] even = new double[100];
         Arrays.fill(even, 1);
-        Result result = QuotaSimulation.play(new Plan(
-                Way.DEALER,
+        Result result = QuotaSimulation.run(new Plan(
+                Scheme.DEALER,
                 100,
                 new QuotaSpec("l", false, 25, 25, QuotaSpec.IsolationPolicy.SHARE, 1, 0),
                 TIMING,
@@ -203,12 +203,12 @@
                 1000,
                 0,
                 12_000,
-                List.of(new Fault(Trouble.LOSS, 3000, 3000, List.of(0), 0.3)),
+                List.of(new Fault(FaultKind.LOSE, 3000, 3000, List.of(0), 0.3)),
                 1));
-        assertThat(result.over()[2])
+        assertThat(result.overshoot()[2])
                 .isLessThanOrEqualTo(OvershootBound.maxOvershoot(
                         new QuotaSpec("l", false, 25, 25, QuotaSpec.IsolationPolicy.SHARE, 1, 0), TIMING, 100, 10_000));
-        assertThat(result.spent())
+        assertThat(result.admitted())
                 .as("of 300; the rest stays unused in buckets of one token")
                 .isGreaterThan(150);
     }
--- a/src/test/java/cacheproxy/fleet/quota/RandomQuotaPlan.java
+++ b/src/test/java/cacheproxy/fleet/quota/RandomQuotaPlan.java
@@ -1,9 +1,9 @@
 package cacheproxy.fleet.quota;
 
 import cacheproxy.simulation.QuotaSimulation.Fault;
+import cacheproxy.simulation.QuotaSimulation.FaultKind;
 import cacheproxy.simulation.QuotaSimulation.Plan;
-import cacheproxy.simulation.QuotaSimulation.Trouble;
-import cacheproxy.simulation.QuotaSimulation.Way;
+import cacheproxy.simulation.QuotaSimulation.Scheme;
 import java.util.ArrayList;
 import java.util.List;
 import java.util.SplittableRandom;
@@ -16,7 +16,7 @@
     private static final double SHORT_DELAY_MS = 400;
     private static final double MAX_LOSS_RATE = 0.8;
 
-    private static final List<Trouble> FAULT_KINDS = List.of(Trouble.values());
+    private static final List<FaultKind> FAULT_KINDS = List.of(FaultKind.values());
 
     private final SplittableRandom random;
     private final int proxies;
@@ -37,7 +37,7 @@
         List<Fault> faults = faults();
         double spanMs = 300 + random.nextDouble() * 3000;
         return new Plan(
-                Way.DEALER, proxies, spec, timing, offered, spanMs, spec.maxHoldMs(), DURATION_MS, faults, seed);
+                Scheme.DEALER, proxies, spec, timing, offered, spanMs, spec.maxHoldMs(), DURATION_MS, faults, seed);
     }
 
     private QuotaSpec spec() {
@@ -79,13 +79,13 @@
     }
 
     private Fault fault() {
-        Trouble trouble = FAULT_KINDS.get(random.nextInt(FAULT_KINDS.size()));
+        FaultKind trouble = FAULT_KINDS.get(random.nextInt(FAULT_KINDS.size()));
         double fraction = random.nextInt(4) == 0 ? 0.9 : 0.3;
         List<Integer> affected = IntStream.range(0, proxies)
                 .filter(proxy -> random.nextDouble() < fraction)
                 .boxed()
                 .toList();
-        double figure = trouble == Trouble.LATE ? delayMs() : random.nextDouble() * MAX_LOSS_RATE;
+        double figure = trouble == FaultKind.DELAY ? delayMs() : random.nextDouble() * MAX_LOSS_RATE;
         double fromMs = 500 + random.nextDouble() * 7000;
         double position = random.nextDouble();
         double forMs = 50 + position * (random.nextInt(3) == 0 ? 5000 : 1200);
--- a/src/test/java/cacheproxy/simulation/FleetSimulationTest.java
+++ b/src/test/java/cacheproxy/simulation/FleetSimulationTest.java
@@ -15,9 +15,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The rules over a whole fleet: no module sees the sums, so they are judged by what arrives. */
+/** The rules over a whole fleet: no policy sees the sums, so they are judged by what arrives. */
 class FleetSimulationTest {
-    private static final double TIP = 3;
+    private static final double COLLAPSE_LOAD_MULTIPLE = 3;
 
     @ParameterizedTest
     @CsvSource({
@@ -38,61 +38,63 @@
         "96, 63, 4, HOT_KEY_AT_A_COLD_NODE+PROXIES_KILLED",
         "72, 140, 4, HOT_KEY_AT_A_COLD_NODE+PROXIES_KILLED"
     })
-    void noColdNodeIsPushedOverNoUnsafeWriteRunsTwiceAndAllIsAnswered(
-            int proxies, int nodes, int zones, String troubles) {
+    void overloadsNoColdServerRepeatsNoWriteAndAnswersEverything(int proxies, int servers, int zones, String faults) {
         for (int seed = 1; seed <= (proxies < 50 ? 3 : 1); seed++) {
-            FleetSimulationResult report = play(new FleetSimulationConfig(
-                    proxies, nodes, zones, 0.68, proxies < 50 ? 24 : 16, troubles(troubles), seed));
-            assertThat(report.coldSends())
-                    .as("requests that cold nodes were sent")
-                    .isGreaterThan(nodes / 4);
-            assertThat(report.worstCold())
+            FleetSimulationResult result = run(new FleetSimulationConfig(
+                    proxies, servers, zones, 0.68, proxies < 50 ? 24 : 16, faults(faults), seed));
+            assertThat(result.coldAttempts())
+                    .as("requests that cold servers were sent")
+                    .isGreaterThan(servers / 4);
+            assertThat(result.maxColdLoad())
                     .as("work sent to a cold node, by what it could do")
-                    .isLessThan(TIP);
-            assertThat(report.worstEffect()).isEqualTo(1);
-            assertThat(report.unanswered()).isZero();
-            assertThat(report.service()).isGreaterThan(0.6);
+                    .isLessThan(COLLAPSE_LOAD_MULTIPLE);
+            assertThat(result.maxWriteEffects()).isEqualTo(1);
+            assertThat(result.unanswered()).isZero();
+            assertThat(result.servedFraction()).isGreaterThan(0.6);
         }
     }
 
-    /** The settings' edges: one of each, more zones than nodes, a zone with one node, more proxies than nodes. */
+    /** The settings' edges: one of each, more zones than servers, a zone with one node, more proxies than servers. */
     @ParameterizedTest
     @CsvSource({"1, 1, 1", "1, 1, 4", "3, 5, 4", "100, 4, 4", "1, 200, 1"})
-    void atTheEdgesOfTheSettingsAllIsAnsweredAndNothingRunsTwice(int proxies, int nodes, int zones) {
-        for (String troubles : new String[] {"", "RELEASE", "RELEASE+ZONE_LOST"}) {
-            FleetSimulationResult report =
-                    play(new FleetSimulationConfig(proxies, nodes, zones, 0.5, 12, troubles(troubles), 1));
-            assertThat(report.asked()).isGreaterThan(20);
-            assertThat(report.unanswered()).isZero();
-            assertThat(report.worstEffect()).isLessThanOrEqualTo(1);
-            assertThat(report.worstCold()).isLessThan(TIP);
-            assertThat(report.service()).as(troubles).isGreaterThan(nodes == 1 ? 0.1 : 0.4);
+    void answersEverythingOnceAtTheEdgesOfTheSettings(int proxies, int servers, int zones) {
+        for (String faults : new String[] {"", "RELEASE", "RELEASE+ZONE_LOST"}) {
+            FleetSimulationResult result =
+                    run(new FleetSimulationConfig(proxies, servers, zones, 0.5, 12, faults(faults), 1));
+            assertThat(result.requests()).isGreaterThan(20);
+            assertThat(result.unanswered()).isZero();
+            assertThat(result.maxWriteEffects()).isLessThanOrEqualTo(1);
+            assertThat(result.maxColdLoad()).isLessThan(COLLAPSE_LOAD_MULTIPLE);
+            assertThat(result.servedFraction()).as(faults).isGreaterThan(servers == 1 ? 0.1 : 0.4);
         }
     }
 
     /** Bounds on what all proxies together spend beyond the first attempt of each request. */
     @Test
-    void theSumsOfAHundredProxiesStayBounded() {
-        FleetSimulationResult calm = play(new FleetSimulationConfig(100, 200, 4, 0.68, 10, Set.of(), 7));
-        assertThat(calm.service()).isGreaterThan(0.85);
-        assertThat(calm.copies()).as("second copies").isLessThan(calm.asked() / 10);
-        assertThat(calm.attemptsEach()).isLessThan(2);
-        assertThat(calm.dead()).isZero();
-        FleetSimulationResult lost = play(new FleetSimulationConfig(100, 200, 4, 0.68, 10, Set.of(ZONE_LOST), 7));
-        assertThat(lost.dead()).as("attempts at 50 silent nodes by 100 proxies").isBetween(1, lost.attempts() / 8);
+    void boundsSumsOfAHundredProxies() {
+        FleetSimulationResult calm = run(new FleetSimulationConfig(100, 200, 4, 0.68, 10, Set.of(), 7));
+        assertThat(calm.servedFraction()).isGreaterThan(0.85);
+        assertThat(calm.hedgedAttempts()).as("second copies").isLessThan(calm.requests() / 10);
+        assertThat(calm.attemptsPerRequest()).isLessThan(2);
+        assertThat(calm.unreachableAttempts()).isZero();
+        FleetSimulationResult lost = run(new FleetSimulationConfig(100, 200, 4, 0.68, 10, Set.of(ZONE_LOST), 7));
+        assertThat(lost.unreachableAttempts())
+                .as("attempts at 50 silent servers by 100 proxies")
+                .isBetween(1, lost.attempts() / 8);
     }
 
     @Test
-    void theSamePlanGivesTheSameFiguresAndAnotherSeedOthers() {
-        FleetSimulationConfig plan = new FleetSimulationConfig(14, 30, 4, 0.6, 10, Set.of(RELEASE, PROXIES_KILLED), 5);
-        FleetSimulationResult first = play(plan);
-        assertThat(play(plan)).isEqualTo(first);
-        assertThat(play(new FleetSimulationConfig(14, 30, 4, 0.6, 10, Set.of(RELEASE, PROXIES_KILLED), 6)))
+    void repeatsResultsOfSameSeedOnly() {
+        FleetSimulationConfig config =
+                new FleetSimulationConfig(14, 30, 4, 0.6, 10, Set.of(RELEASE, PROXIES_KILLED), 5);
+        FleetSimulationResult first = run(config);
+        assertThat(run(config)).isEqualTo(first);
+        assertThat(run(new FleetSimulationConfig(14, 30, 4, 0.6, 10, Set.of(RELEASE, PROXIES_KILLED), 6)))
                 .isNotEqualTo(first);
     }
 
     @Test
-    void aPlanOutOfItsRangesIsRefusedWithTheFigure() {
+    void rejectsConfigOutOfItsRangesWithTheFigure() {
         assertThatThrownBy(() -> new FleetSimulationConfig(0, 1, 1, 0.5, 1, Set.of(), 1))
                 .hasMessageContaining("0 proxies");
         assertThatThrownBy(() -> new FleetSimulationConfig(1, 1, 1, 2, 1, Set.of(), 1))
@@ -101,13 +103,13 @@
                 .hasMessageContaining("NaN");
     }
 
-    private static FleetSimulationResult play(FleetSimulationConfig plan) {
-        return new FleetSimulation(plan, RoutingPolicy::new).run();
+    private static FleetSimulationResult run(FleetSimulationConfig config) {
+        return new FleetSimulation(config, RoutingPolicy::new).run();
     }
 
-    private static Set<SimulatedFault> troubles(String names) {
+    private static Set<SimulatedFault> faults(String names) {
         return Arrays.stream(names.split("\\+"))
-                .filter(n -> !n.isEmpty())
+                .filter(name -> !name.isEmpty())
                 .map(SimulatedFault::valueOf)
                 .collect(Collectors.toSet());
     }
