--- a/src/main/java/cacheproxy/bench/FleetBench.java
+++ b/src/main/java/cacheproxy/bench/FleetBench.java
@@ -63,21 +63,21 @@
             FleetSimulationConfig config =
                     new FleetSimulationConfig(size.proxies, size.servers, ZONES, LOAD, SECONDS, faults, i + 1);
             results[i] = new FleetSimulation(config, RoutingPolicy::new).run();
-            events += results[i].decisions();
+            events += results[i].events();
         }
         long nanos = System.nanoTime() - start;
         out.printf(
                 "%-50s %22s %8.2f %16s %16s %8.3f %8.3f %8.3f %8d%n",
                 size + ", " + describe(faults),
-                meanWithInterval(results, FleetSimulationResult::service),
+                meanWithInterval(results, FleetSimulationResult::servedFraction),
                 Arrays.stream(results)
-                        .mapToDouble(FleetSimulationResult::worstCold)
+                        .mapToDouble(FleetSimulationResult::maxColdLoad)
                         .reduce(0, Math::max),
-                meanWithInterval(results, FleetSimulationResult::attemptsEach),
-                meanWithInterval(results, FleetSimulationResult::crossedEach),
-                mean(results, result -> (double) result.full() / result.asked()),
-                mean(results, result -> (double) result.copies() / result.asked()),
-                mean(results, result -> (double) result.fetches() / result.asked()),
+                meanWithInterval(results, FleetSimulationResult::attemptsPerRequest),
+                meanWithInterval(results, FleetSimulationResult::crossZoneAttemptsPerRequest),
+                mean(results, result -> (double) result.rejectedAttempts() / result.requests()),
+                mean(results, result -> (double) result.hedgedAttempts() / result.requests()),
+                mean(results, result -> (double) result.originReads() / result.requests()),
                 nanos / Math.max(1, events));
         out.flush();
     }
--- a/src/main/java/cacheproxy/bench/QuotaBench.java
+++ b/src/main/java/cacheproxy/bench/QuotaBench.java
@@ -5,7 +5,7 @@
 import cacheproxy.simulation.QuotaSimulation;
 import cacheproxy.simulation.QuotaSimulation.Plan;
 import cacheproxy.simulation.QuotaSimulation.Result;
-import cacheproxy.simulation.QuotaSimulation.Way;
+import cacheproxy.simulation.QuotaSimulation.Scheme;
 import java.io.PrintWriter;
 import java.util.Arrays;
 import java.util.DoubleSummaryStatistics;
@@ -59,13 +59,13 @@
                 proxies,
                 perSecond,
                 policy,
-                QuotaSimulation.bound(quota, TIMING, proxies, BOUND_WINDOW_MS));
-        List<Way> ways = Arrays.stream(Way.values())
+                QuotaSimulation.maxOvershoot(quota, TIMING, proxies, BOUND_WINDOW_MS));
+        List<Scheme> ways = Arrays.stream(Scheme.values())
                 .filter(way -> isCompared(way, proxies, policy))
                 .toList();
         for (QuotaCase quotaCase : QuotaCase.all(proxies, perSecond)) {
             StringBuilder line = new StringBuilder(String.format("  %-22s", quotaCase.name()));
-            for (Way way : ways) {
+            for (Scheme way : ways) {
                 line.append(describe(way, simulate(way, proxies, quota, quotaCase, seeds)));
             }
             out.println(line);
@@ -73,17 +73,17 @@
         }
     }
 
-    private static boolean isCompared(Way way, int proxies, QuotaSpec.IsolationPolicy policy) {
-        if (proxies > MAX_PROXIES_OF_ALL_WAYS && (way == Way.PEERS || way == Way.GOSSIP)) {
+    private static boolean isCompared(Scheme way, int proxies, QuotaSpec.IsolationPolicy policy) {
+        if (proxies > MAX_PROXIES_OF_ALL_WAYS && (way == Scheme.PEERS || way == Scheme.GOSSIP)) {
             return false;
         }
-        return policy != QuotaSpec.IsolationPolicy.NONE || way == Way.DEALER;
+        return policy != QuotaSpec.IsolationPolicy.NONE || way == Scheme.DEALER;
     }
 
-    private static Result[] simulate(Way way, int proxies, QuotaSpec quota, QuotaCase quotaCase, int seeds) {
+    private static Result[] simulate(Scheme way, int proxies, QuotaSpec quota, QuotaCase quotaCase, int seeds) {
         return IntStream.rangeClosed(1, seeds)
                 .parallel()
-                .mapToObj(seed -> QuotaSimulation.play(new Plan(
+                .mapToObj(seed -> QuotaSimulation.run(new Plan(
                         way,
                         proxies,
                         quota,
@@ -97,13 +97,13 @@
                 .toArray(Result[]::new);
     }
 
-    private static String describe(Way way, Result[] results) {
-        DoubleSummaryStatistics idle = summarize(results, Result::idle);
+    private static String describe(Scheme way, Result[] results) {
+        DoubleSummaryStatistics idle = summarize(results, Result::idleFraction);
         return String.format(
                 Locale.ROOT,
                 " %s %.0f, %.3f (%.3f to %.3f), %.1f;",
                 way.name().toLowerCase(Locale.ROOT),
-                summarize(results, result -> result.over()[ONE_SECOND_WINDOW]).getMax(),
+                summarize(results, result -> result.overshoot()[ONE_SECOND_WINDOW]).getMax(),
                 idle.getAverage(),
                 idle.getMin(),
                 idle.getMax(),
--- a/src/main/java/cacheproxy/bench/QuotaCase.java
+++ b/src/main/java/cacheproxy/bench/QuotaCase.java
@@ -1,7 +1,7 @@
 package cacheproxy.bench;
 
 import cacheproxy.simulation.QuotaSimulation.Fault;
-import cacheproxy.simulation.QuotaSimulation.Trouble;
+import cacheproxy.simulation.QuotaSimulation.FaultKind;
 import java.util.Arrays;
 import java.util.List;
 import java.util.stream.IntStream;
@@ -35,18 +35,18 @@
                 new QuotaCase("all at one", spans(first), List.of()),
                 new QuotaCase("at another each second", spans(first, last), List.of()),
                 new QuotaCase("as 1/i", spans(skewed), List.of()),
-                new QuotaCase("dealer killed", spans(even), fault(Trouble.KILL, 4000, List.of(0))),
-                new QuotaCase("dealer stops for 1 s", spans(even), fault(Trouble.STOP, 1000, List.of(0))),
-                new QuotaCase("split in two for 6 s", spans(skewed), fault(Trouble.SPLIT, 6000, half)),
-                new QuotaCase("30% lost", spans(skewed), List.of(new Fault(Trouble.LOSS, 0, END_MS, List.of(), 0.3))),
-                new QuotaCase("7 in 10 restarted", spans(even), fault(Trouble.KILL, 1500, sevenInTen)));
+                new QuotaCase("dealer killed", spans(even), fault(FaultKind.KILL, 4000, List.of(0))),
+                new QuotaCase("dealer stops for 1 s", spans(even), fault(FaultKind.PAUSE, 1000, List.of(0))),
+                new QuotaCase("split in two for 6 s", spans(skewed), fault(FaultKind.PARTITION, 6000, half)),
+                new QuotaCase("30% lost", spans(skewed), List.of(new Fault(FaultKind.LOSE, 0, END_MS, List.of(), 0.3))),
+                new QuotaCase("7 in 10 restarted", spans(even), fault(FaultKind.KILL, 1500, sevenInTen)));
     }
 
     private static double[][] spans(double[]... spans) {
         return spans;
     }
 
-    private static List<Fault> fault(Trouble kind, double forMs, List<Integer> proxies) {
+    private static List<Fault> fault(FaultKind kind, double forMs, List<Integer> proxies) {
         return List.of(new Fault(kind, FAULT_AT_MS, forMs, proxies, 0));
     }
 
--- a/src/main/java/cacheproxy/cli/CheckCommand.java
+++ b/src/main/java/cacheproxy/cli/CheckCommand.java
@@ -3,7 +3,7 @@
 import cacheproxy.config.ConfigException;
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.FleetConfig;
-import cacheproxy.daemon.hooks.Hooks;
+import cacheproxy.daemon.hooks.HookLoader;
 import java.io.PrintWriter;
 import java.nio.file.Path;
 import java.util.Optional;
@@ -40,7 +40,7 @@
 
     private static boolean hooksLoad(DaemonConfig config, PrintWriter err) {
         try {
-            Hooks.check(config);
+            HookLoader.check(config);
             return true;
         } catch (ConfigException e) {
             e.errors().forEach(err::println);
--- a/src/main/java/cacheproxy/cli/HookCommand.java
+++ b/src/main/java/cacheproxy/cli/HookCommand.java
@@ -100,7 +100,7 @@
                 callAndPrint(instance);
                 return ExitCode.OK;
             } catch (HookException e) {
-                printLog(instance.lastLog());
+                printLog(instance.lastLogLines());
                 err.println("the call failed: " + e.getMessage());
                 return ExitCode.FAILED;
             }
@@ -108,7 +108,7 @@
 
         private HookInstance load() throws IOException, HookException {
             byte[] bytes = Files.readAllBytes(module);
-            spec.commandLine().getOut().println("sha256 " + HookModule.digest(bytes));
+            spec.commandLine().getOut().println("sha256 " + HookModule.sha256Hex(bytes));
             HookModule.Limits limits = new HookModule.Limits(memoryPages, fuel, LOAD_FUEL, CALL_TIMEOUT_MS, !interpret);
             return new HookInstance(HookModule.load(bytes, limits, config), System::currentTimeMillis);
         }
@@ -118,7 +118,7 @@
             PrintWriter out = spec.commandLine().getOut();
             HookCall call = new HookCall(key, serviceClass, tenant, write, false, remainingMs);
             HookInstance.Result result = instance.call(call);
-            printLog(result.log());
+            printLog(result.logLines());
             describe(result.orders()).forEach(out::println);
             long startNanos = System.nanoTime();
             for (int i = 0; i < TIMED_CALLS; i++) {
--- a/src/main/java/cacheproxy/daemon/hooks/Hooks.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookLoader.java
@@ -13,18 +13,16 @@
 import java.util.List;
 
 /** Loads the modules of a configuration's hooks; if any can't be loaded all faults are reported and none is used. */
-public final class Hooks {
-    private static final long MAX_MODULE_BYTES = 4 << 20;
-
-    private Hooks() {}
+public final class HookLoader {
+    private HookLoader() {}
 
     /** Loads all hooks; not on the event loop, as it reads files and compiles. */
     static List<HookExecutor> load(DaemonConfig file) throws ConfigException {
-        List<HookExecutor> all = new ArrayList<>();
+        List<HookExecutor> executors = new ArrayList<>();
         List<String> faults = new ArrayList<>();
         for (HookConfig hook : HooksConfig.of(file)) {
             try {
-                all.add(HookExecutor.start(hook, read(hook)));
+                executors.add(HookExecutor.load(hook, read(hook)));
             } catch (HookException e) {
                 faults.add(hook.place() + ": hook " + hook.name() + " does not load: " + e.getMessage());
             }
@@ -32,7 +30,7 @@
         if (!faults.isEmpty()) {
             throw ConfigException.of(faults);
         }
-        return all;
+        return executors;
     }
 
     /** Loads all hooks of a configuration for their errors alone; the exception has a line for each that fails. */
@@ -43,9 +41,9 @@
     private static byte[] read(HookConfig hook) throws HookException {
         byte[] bytes;
         try {
-            if (Files.isDirectory(hook.module()) || Files.size(hook.module()) > MAX_MODULE_BYTES) {
+            if (Files.isDirectory(hook.module()) || Files.size(hook.module()) > HookModule.MAX_BYTES) {
                 throw new HookException(
-                        hook.module() + " is a directory, or has more than " + MAX_MODULE_BYTES + " bytes");
+                        hook.module() + " is a directory, or has more than " + HookModule.MAX_BYTES + " bytes");
             }
             bytes = Files.readAllBytes(hook.module());
         } catch (NoSuchFileException e) {
@@ -53,9 +51,9 @@
         } catch (IOException e) {
             throw new HookException(hook.module() + " can't be read");
         }
-        if (hook.sha256() != null && !hook.sha256().equals(HookModule.digest(bytes))) {
+        if (hook.sha256() != null && !hook.sha256().equals(HookModule.sha256Hex(bytes))) {
             throw new HookException(
-                    hook.module() + " has the SHA-256 " + HookModule.digest(bytes) + ", not that of the file");
+                    hook.module() + " has the SHA-256 " + HookModule.sha256Hex(bytes) + ", not that of the file");
         }
         return bytes;
     }
