--- a/src/main/java/cacheproxy/lifecycle/Lifecycle.java
+++ b/src/main/java/cacheproxy/lifecycle/Lifecycle.java
@@ -103,8 +103,8 @@
      * of consecutive numbers are spread evenly (Fibonacci hashing; Knuth, The Art of Computer Programming, volume 3,
      * section 6.4).
      */
-    public static double closingPosition(long number) {
-        double multiple = number * GOLDEN_RATIO_FRACTION;
+    public static double closingPosition(long connectionNumber) {
+        double multiple = connectionNumber * GOLDEN_RATIO_FRACTION;
         return multiple - Math.floor(multiple);
     }
 }
--- a/src/main/java/cacheproxy/limits/PoolLimiter.java
+++ b/src/main/java/cacheproxy/limits/PoolLimiter.java
@@ -3,10 +3,10 @@
 /** Limits the requests that a pool accepts: by how many are pending and by their rate. */
 public final class PoolLimiter {
     /** Time after which a client should retry when the pool has its maximum of pending requests, in milliseconds. */
-    public static final double FULL_POOL_WAIT_MS = 20;
+    public static final double FULL_POOL_RETRY_AFTER_MS = 20;
 
     /** Least time after which a client should retry when the rate is exceeded, in milliseconds. */
-    private static final double MIN_RATE_WAIT_MS = 1;
+    private static final double MIN_RETRY_AFTER_MS = 1;
 
     /** The burst is what the rate admits in one second divided by this. */
     private static final double BURSTS_PER_SECOND = 10;
@@ -37,11 +37,11 @@
      */
     public double admit(double nowMs, int pendingRequests) {
         if (pendingRequests >= maxPendingRequests) {
-            return FULL_POOL_WAIT_MS;
+            return FULL_POOL_RETRY_AFTER_MS;
         }
         if (rate == null || rate.tryAcquire(nowMs)) {
             return 0;
         }
-        return Math.max(MIN_RATE_WAIT_MS, rate.waitMs(nowMs));
+        return Math.max(MIN_RETRY_AFTER_MS, rate.waitMs(nowMs));
     }
 }
--- a/src/main/java/cacheproxy/limits/SlowStartBudget.java
+++ b/src/main/java/cacheproxy/limits/SlowStartBudget.java
@@ -110,9 +110,9 @@
     /** Returns the requests a millisecond that this proxy may send to a server that started then. */
     private double requestsPerMs(int server, double startedMs, double nowMs) {
         double ageMs = Math.max(0, nowMs - startedMs);
-        double warmedUpPart = config.warmUpMs() > 0 ? Math.min(1, ageMs / config.warmUpMs()) : 1;
-        double capacityPart = config.startCapacity() + (1 - config.startCapacity()) * warmedUpPart;
+        double warmedUpFraction = config.warmUpMs() > 0 ? Math.min(1, ageMs / config.warmUpMs()) : 1;
+        double capacityFraction = config.startCapacity() + (1 - config.startCapacity()) * warmedUpFraction;
         double warmRatePerSecond = ratePerSecond.getOrDefault(server, config.defaultRatePerSecond());
-        return warmRatePerSecond * capacityPart / MS_PER_SECOND / config.proxyCount();
+        return warmRatePerSecond * capacityFraction / MS_PER_SECOND / config.proxyCount();
     }
 }
--- a/src/main/java/cacheproxy/placement/BackupPlacement.java
+++ b/src/main/java/cacheproxy/placement/BackupPlacement.java
@@ -15,11 +15,11 @@
 
     private static final int INITIAL_BACKUPS = 16;
 
-    private final Placement ordinary;
+    private final Placement primaries;
     private final Placement backups;
 
     /** Indexes in the whole list, by index among the ordinary servers. */
-    private final int[] ordinaryIndexes;
+    private final int[] primaryIndexes;
 
     /** Indexes in the whole list, by index among the backups. */
     private final int[] backupIndexes;
@@ -28,9 +28,9 @@
     private int[] rankedBackups = new int[INITIAL_BACKUPS];
 
     private BackupPlacement(List<Endpoint> members, IntPredicate isBackup, PlacementFactory factory) {
-        List<Endpoint> ordinaryMembers = new ArrayList<>();
+        List<Endpoint> primaryMembers = new ArrayList<>();
         List<Endpoint> backupMembers = new ArrayList<>();
-        ordinaryIndexes = new int[members.size()];
+        primaryIndexes = new int[members.size()];
         backupIndexes = new int[members.size()];
         for (int i = 0; i < members.size(); i++) {
             Endpoint member = members.get(i);
@@ -38,11 +38,11 @@
                 backupIndexes[backupMembers.size()] = i;
                 backupMembers.add(member);
             } else {
-                ordinaryIndexes[ordinaryMembers.size()] = i;
-                ordinaryMembers.add(member);
+                primaryIndexes[primaryMembers.size()] = i;
+                primaryMembers.add(member);
             }
         }
-        ordinary = factory.create(ordinaryMembers);
+        primaries = factory.create(primaryMembers);
         backups = factory.create(backupMembers);
     }
 
@@ -59,7 +59,7 @@
 
     @Override
     public int maxHotKeySpread() {
-        return ordinary.maxHotKeySpread();
+        return primaries.maxHotKeySpread();
     }
 
     @Override
@@ -69,17 +69,17 @@
 
     @Override
     public int rank(long key, int keyHash, int wanted, int[] ranked) {
-        int ordinaryCount = ordinary.rank(key, keyHash, Math.max(wanted, ORDINARY_CANDIDATES), ranked);
-        for (int i = 0; i < ordinaryCount; i++) {
-            ranked[i] = ordinaryIndexes[ranked[i]];
+        int primaryCount = primaries.rank(key, keyHash, Math.max(wanted, ORDINARY_CANDIDATES), ranked);
+        for (int i = 0; i < primaryCount; i++) {
+            ranked[i] = primaryIndexes[ranked[i]];
         }
         if (rankedBackups.length < wanted) {
             rankedBackups = new int[wanted];
         }
         int backupCount = backups.rank(key, keyHash, wanted, rankedBackups);
         for (int i = 0; i < backupCount; i++) {
-            ranked[ordinaryCount + i] = backupIndexes[rankedBackups[i]];
+            ranked[primaryCount + i] = backupIndexes[rankedBackups[i]];
         }
-        return ordinaryCount + backupCount;
+        return primaryCount + backupCount;
     }
 }
--- a/src/main/java/cacheproxy/placement/CarpPlacement.java
+++ b/src/main/java/cacheproxy/placement/CarpPlacement.java
@@ -147,8 +147,8 @@
      */
     private static void combine(int keyHash, int[] hashes, int[] combined) {
         for (int i = 0; i < combined.length; i++) {
-            int hash = (keyHash ^ hashes[i]) * (CarpHash.SPREAD + 1);
-            hash = ((hash << 21) + (hash >>> 11)) * (CarpHash.SPREAD + 1);
+            int hash = (keyHash ^ hashes[i]) * (CarpHash.HASH_MULTIPLIER + 1);
+            hash = ((hash << 21) + (hash >>> 11)) * (CarpHash.HASH_MULTIPLIER + 1);
             combined[i] = (hash << 21) + (hash >>> 11);
         }
     }
@@ -178,13 +178,13 @@
 
     /** Inserts a member by its score and drops the last one if there are too many; returns the new count. */
     private int insert(int[] ranked, int count, int wanted, int member, double score) {
-        int at = count < wanted ? count : wanted - 1;
-        for (; at > 0 && ranksBefore(score, member, at - 1, ranked); at--) {
-            ranked[at] = ranked[at - 1];
-            scores[at] = scores[at - 1];
+        int position = count < wanted ? count : wanted - 1;
+        for (; position > 0 && ranksBefore(score, member, position - 1, ranked); position--) {
+            ranked[position] = ranked[position - 1];
+            scores[position] = scores[position - 1];
         }
-        ranked[at] = member;
-        scores[at] = score;
+        ranked[position] = member;
+        scores[position] = score;
         return Math.min(wanted, count + 1);
     }
 }
--- a/src/main/java/cacheproxy/placement/KetamaRing.java
+++ b/src/main/java/cacheproxy/placement/KetamaRing.java
@@ -46,7 +46,7 @@
         for (int target = 0; target < targetList.size(); target++) {
             byte[] base = hashBase(targetList.get(target).address());
             int point = 0;
-            for (int left = targetList.get(target).weight() * POINTS_PER_WEIGHT; left > 0; left--) {
+            for (int remaining = targetList.get(target).weight() * POINTS_PER_WEIGHT; remaining > 0; remaining--) {
                 point = nextPoint(base, point);
                 sortKeys[count++] = Integer.toUnsignedLong(point) << INDEX_BITS | target;
             }
--- a/src/main/java/cacheproxy/placement/NginxConsistentPlacement.java
+++ b/src/main/java/cacheproxy/placement/NginxConsistentPlacement.java
@@ -22,14 +22,14 @@
     private final int readyTargets;
 
     /** Targets ranked so far; reused between rankings. */
-    private final boolean[] taken;
+    private final boolean[] isRanked;
 
     private NginxConsistentPlacement(KetamaRing ring, List<PlacementTarget> targets, List<Endpoint> members) {
         this.ring = ring;
         memberIndexes = PlacementTarget.memberIndexes(targets, members);
         readyTargets =
                 (int) Arrays.stream(memberIndexes).filter(index -> index >= 0).count();
-        taken = new boolean[targets.size()];
+        isRanked = new boolean[targets.size()];
     }
 
     /** Returns a factory over targets in the configuration's order, whether ready or not. The ring is built once. */
@@ -45,15 +45,15 @@
 
     @Override
     public int rank(long key, int keyHash, int wanted, int[] ranked) {
-        Arrays.fill(taken, false);
+        Arrays.fill(isRanked, false);
         int maxCount = Math.min(wanted, readyTargets);
         int count = 0;
         int points = ring.size();
         int position = points == 0 ? 0 : ring.firstAtOrAfter(PlacementKey.crc(key)) % points;
         for (int visited = 0; count < maxCount && visited < points; visited++) {
             int target = ring.target(position);
-            if (!taken[target] && memberIndexes[target] >= 0) {
-                taken[target] = true;
+            if (!isRanked[target] && memberIndexes[target] >= 0) {
+                isRanked[target] = true;
                 ranked[count++] = memberIndexes[target];
             }
             position = position + 1 == points ? 0 : position + 1;
--- a/src/main/java/cacheproxy/placement/NginxHashPlacement.java
+++ b/src/main/java/cacheproxy/placement/NginxHashPlacement.java
@@ -25,7 +25,7 @@
     private final int[] memberIndexes;
 
     /** Targets ranked so far; reused between rankings. */
-    private final boolean[] taken;
+    private final boolean[] isRanked;
 
     /** CRC-32 of each rehash's number in decimal; 0, the first hash, has no prefix. */
     private final int[] rehashPrefixCrcs;
@@ -33,7 +33,7 @@
     private NginxHashPlacement(List<PlacementTarget> targets, List<Endpoint> members) {
         memberIndexes = PlacementTarget.memberIndexes(targets, members);
         cumulativeWeights = new int[targets.size()];
-        taken = new boolean[targets.size()];
+        isRanked = new boolean[targets.size()];
         int sum = 0;
         for (int i = 0; i < cumulativeWeights.length; i++) {
             sum += targets.get(i).weight();
@@ -59,7 +59,7 @@
 
     @Override
     public int rank(long key, int keyHash, int wanted, int[] ranked) {
-        Arrays.fill(taken, false);
+        Arrays.fill(isRanked, false);
         int weightSum = cumulativeWeights.length == 0 ? 0 : cumulativeWeights[cumulativeWeights.length - 1];
         int count = weightSum == 0 ? 0 : rankByRehashing(key, weightSum, wanted, ranked);
         return rankRemaining(count, wanted, ranked);
@@ -77,7 +77,7 @@
             hash += crc >>> 16 & HASH_MASK;
             int target = targetOf(Integer.remainderUnsigned(hash, weightSum));
             if (isAvailable(target)) {
-                taken[target] = true;
+                isRanked[target] = true;
                 ranked[count++] = memberIndexes[target];
             } else {
                 skipped++;
@@ -90,7 +90,7 @@
         int count = alreadyRanked;
         for (int target = 0; count < wanted && target < memberIndexes.length; target++) {
             if (isAvailable(target)) {
-                taken[target] = true;
+                isRanked[target] = true;
                 ranked[count++] = memberIndexes[target];
             }
         }
@@ -98,12 +98,12 @@
     }
 
     private boolean isAvailable(int target) {
-        return !taken[target] && memberIndexes[target] >= 0;
+        return !isRanked[target] && memberIndexes[target] >= 0;
     }
 
     /** Returns the target that owns a position, 0 to the sum of weights - 1. */
     private int targetOf(int position) {
-        int at = Arrays.binarySearch(cumulativeWeights, position + 1);
-        return at >= 0 ? at : -at - 1;
+        int index = Arrays.binarySearch(cumulativeWeights, position + 1);
+        return index >= 0 ? index : -index - 1;
     }
 }
--- a/src/main/java/cacheproxy/policy/AttemptSender.java
+++ b/src/main/java/cacheproxy/policy/AttemptSender.java
@@ -26,8 +26,8 @@
             admission.recordFirstAttempt(nowMs);
         }
         boolean isOrigin = endpoints.isOrigin(server);
-        boolean endsAtObjective = !isOrigin && pending.serviceClass().isWorthlessWhenLate();
-        double timeoutMs = endsAtObjective ? Math.max(MIN_TIMEOUT_MS, pending.objectiveAtMs() - nowMs) : 0;
+        boolean timesOutAtObjective = !isOrigin && pending.serviceClass().isWorthlessWhenLate();
+        double timeoutMs = timesOutAtObjective ? Math.max(MIN_TIMEOUT_MS, pending.objectiveAtMs() - nowMs) : 0;
         actions.sendAttempt(pending.id(), server.id(), timeoutMs);
         if (!isOrigin && hedging.appliesTo(pending)) {
             double delayMs = hedging.delayMs(nowMs, pending);
@@ -37,7 +37,7 @@
     }
 
     /** Starts the timer of a new request's deadline. */
-    void startDeadline(double nowMs, PendingRequest pending, PolicyActions actions) {
+    void startDeadlineTimer(double nowMs, PendingRequest pending, PolicyActions actions) {
         startTimer(PolicyTimer.DEADLINE, Math.max(0, pending.request().deadlineMs() - nowMs), pending, actions);
     }
 
--- a/src/main/java/cacheproxy/policy/CarpHash.java
+++ b/src/main/java/cacheproxy/policy/CarpHash.java
@@ -5,7 +5,7 @@
 /** The hash functions of CARP v1.0 (draft-vinod-carp-v1-03, sections 3.1 to 3.4), with one departure. */
 public final class CarpHash {
     /** The multiplier of section 3.2. */
-    public static final int SPREAD = 0x62531965;
+    public static final int HASH_MULTIPLIER = 0x62531965;
 
     private static final int KEY_DIGITS = 16;
     private static final int MEMBER_DIGITS = 8;
@@ -22,7 +22,7 @@
 
     /** Returns the member hash of section 3.1 of an id's text form: 8 lower-case hexadecimal digits. */
     public static int memberHash(int id) {
-        return spread(textHash(Integer.toUnsignedLong(id), MEMBER_DIGITS));
+        return mix(textHash(Integer.toUnsignedLong(id), MEMBER_DIGITS));
     }
 
     private static int textHash(long value, int digits) {
@@ -34,8 +34,8 @@
         return hash;
     }
 
-    private static int spread(int hash) {
-        return Integer.rotateLeft(hash + hash * SPREAD, 21);
+    private static int mix(int hash) {
+        return Integer.rotateLeft(hash + hash * HASH_MULTIPLIER, 21);
     }
 
     /**
@@ -46,7 +46,7 @@
      * pass distributes them as evenly as random draws.
      */
     public static int combine(int keyHash, int memberHash) {
-        return spread(spread(keyHash ^ memberHash));
+        return mix(mix(keyHash ^ memberHash));
     }
 
     /** Returns a member's score for a key, by sections 3.3 and 3.4. */
--- a/src/main/java/cacheproxy/policy/FetchCoalescer.java
+++ b/src/main/java/cacheproxy/policy/FetchCoalescer.java
@@ -29,7 +29,7 @@
     }
 
     /** Makes a request the leader of its key's fetch, unless there is one, which may be the request itself. */
-    void lead(PendingRequest pending) {
+    void addLeader(PendingRequest pending) {
         if (leaders.putIfAbsent(pending.request().key(), pending) == null) {
             pending.startLeading();
         }
@@ -41,7 +41,7 @@
     }
 
     /** Ends the lead of a request; returns those that have waited for it, first come first. */
-    ArrayDeque<PendingRequest> endLead(PendingRequest pending) {
+    ArrayDeque<PendingRequest> removeLeader(PendingRequest pending) {
         leaders.remove(pending.request().key());
         return pending.stopLeading();
     }
--- a/src/main/java/cacheproxy/policy/HedgingPolicy.java
+++ b/src/main/java/cacheproxy/policy/HedgingPolicy.java
@@ -38,10 +38,11 @@
      * server and then the origin can respond within the latency objective.
      */
     double delayMs(double nowMs, PendingRequest pending) {
-        double usualMs = latencies.usualServerMs(pending.request());
-        double leftMs = Math.min(
+        double expectedMaxMs = latencies.expectedMaxServerMs(pending.request());
+        double remainingMs = Math.min(
                 pending.serviceClass().latencyObjectiveMs(), pending.request().deadlineMs() - nowMs);
-        return Math.max(leftMs / MIN_DELAY_DIVISOR, Math.min(usualMs, leftMs - 2 * latencies.originMs()));
+        return Math.max(
+                remainingMs / MIN_DELAY_DIVISOR, Math.min(expectedMaxMs, remainingMs - 2 * latencies.originMs()));
     }
 
     /**
@@ -49,7 +50,7 @@
      * response then clears the server. Where the attempt is cancelled, one may be chance: ejecting healthy servers
      * moves their keys to the origin.
      */
-    boolean ejectsAtOnce() {
+    boolean ejectsOnFirstOverdueAttempt() {
         return settings.hedgingAllowed();
     }
 
--- a/src/main/java/cacheproxy/policy/LatencyEstimates.java
+++ b/src/main/java/cacheproxy/policy/LatencyEstimates.java
@@ -20,7 +20,7 @@
     private static final int COST_DIVISOR = 32;
 
     /** Deviations above the average up to which a latency is usual. */
-    private static final int USUAL_DEVIATIONS = 3;
+    private static final int EXPECTED_MAX_DEVIATIONS = 3;
 
     /** The unit of the hints on the wire. */
     private static final double MIN_COST_MS = 0.001;
@@ -31,7 +31,7 @@
     private double originMs;
     private double serverMs;
     private double serverDeviationMs;
-    private double cost;
+    private double averageCostMs;
 
     /**
      * Creates initial estimates.
@@ -52,7 +52,7 @@
     /** Records a request's cost hint, if it has a plausible one; the first is the average. */
     void recordCost(RoutingRequest request) {
         if (hasPlausibleCost(request)) {
-            cost += (request.costHintMs() - cost) / (cost > 0 ? COST_DIVISOR : 1);
+            averageCostMs += (request.costHintMs() - averageCostMs) / (averageCostMs > 0 ? COST_DIVISOR : 1);
         }
     }
 
@@ -79,13 +79,13 @@
     }
 
     /** Returns the latency that a cache server rarely exceeds for a request. */
-    double usualServerMs(RoutingRequest request) {
-        return (serverMs + USUAL_DEVIATIONS * serverDeviationMs) * relativeCost(request);
+    double expectedMaxServerMs(RoutingRequest request) {
+        return (serverMs + EXPECTED_MAX_DEVIATIONS * serverDeviationMs) * relativeCost(request);
     }
 
     /** Returns the cost that a request hints at as a multiple of the average; 1 without a plausible hint. */
     private double relativeCost(RoutingRequest request) {
-        return hasPlausibleCost(request) && cost > 0 ? request.costHintMs() / cost : 1;
+        return hasPlausibleCost(request) && averageCostMs > 0 ? request.costHintMs() / averageCostMs : 1;
     }
 
     /** Clients write the hints: one that no request can mean must not outweigh all others. */
@@ -95,7 +95,7 @@
 
     /** Returns the estimates for a snapshot. */
     LearnedLatency learned() {
-        return new LearnedLatency(originMs, cost, serverMs, serverDeviationMs, 1);
+        return new LearnedLatency(originMs, averageCostMs, serverMs, serverDeviationMs, 1);
     }
 
     /** Moves the estimates towards those of an earlier process, by their weight. */
@@ -103,6 +103,6 @@
         originMs += (learned.originMs() - originMs) * learned.weight();
         serverMs += (learned.averageMs() - serverMs) * learned.weight();
         serverDeviationMs += (learned.deviationMs() - serverDeviationMs) * learned.weight();
-        cost = cost > 0 || learned.weight() == 0 ? cost : learned.averageCost();
+        averageCostMs = averageCostMs > 0 || learned.weight() == 0 ? averageCostMs : learned.averageCost();
     }
 }
--- a/src/main/java/cacheproxy/policy/OriginFetchPolicy.java
+++ b/src/main/java/cacheproxy/policy/OriginFetchPolicy.java
@@ -56,7 +56,7 @@
         if (tooLate || shedder.shouldReject(pending, excess)) {
             return Decision.GIVE_UP;
         }
-        coalescer.lead(pending);
+        coalescer.addLeader(pending);
         pending.markFetching();
         return Decision.SEND;
     }
@@ -69,13 +69,13 @@
                 || !pending.leavesAttemptForOrigin()) {
             return false;
         }
-        double leftMs = Math.min(pending.objectiveAtMs(), pending.request().deadlineMs()) - nowMs;
-        double waitMs = siblings.waitMs(nowMs, latencies.originMs(), leftMs, throttle.pressure(nowMs));
+        double remainingMs = Math.min(pending.objectiveAtMs(), pending.request().deadlineMs()) - nowMs;
+        double waitMs = siblings.waitMs(nowMs, latencies.originMs(), remainingMs, throttle.pressure(nowMs));
         if (waitMs <= 0) {
             return false;
         }
         pending.markSiblingsQueried();
-        coalescer.lead(pending);
+        coalescer.addLeader(pending);
         sender.waitAndRetry(waitMs, pending, actions);
         actions.querySiblings(pending.id(), waitMs);
         return true;
--- a/src/main/java/cacheproxy/policy/PendingRequest.java
+++ b/src/main/java/cacheproxy/policy/PendingRequest.java
@@ -31,7 +31,7 @@
     private double hedgeAtMs;
     private ServerState missedServer;
     private double mayHaveRunSinceMs = Double.NaN;
-    private ServerState mayHaveRunAt;
+    private ServerState mayHaveRunServer;
     private ArrayDeque<PendingRequest> waiters;
 
     /**
@@ -86,7 +86,7 @@
     }
 
     /** Sets how hot the request's key is: its recent requests and how many servers it is spread over. */
-    void setKeyHeat(int recentRequests, int spread) {
+    void setKeyPopularity(int recentRequests, int spread) {
         recentKeyRequests = recentRequests;
         hotKeySpread = spread;
     }
@@ -120,7 +120,7 @@
     void markMayHaveRun(int attempt) {
         if (Double.isNaN(mayHaveRunSinceMs)) {
             mayHaveRunSinceMs = sentAtMs[attempt];
-            mayHaveRunAt = attemptedServers[attempt];
+            mayHaveRunServer = attemptedServers[attempt];
         }
     }
 
@@ -135,8 +135,8 @@
     }
 
     /** Returns the server of the first attempt that may have taken effect; null: there is none. */
-    ServerState mayHaveRunAt() {
-        return mayHaveRunAt;
+    ServerState mayHaveRunServer() {
+        return mayHaveRunServer;
     }
 
     /** Returns how many attempts were sent. */
--- a/src/main/java/cacheproxy/policy/RequestRouter.java
+++ b/src/main/java/cacheproxy/policy/RequestRouter.java
@@ -55,13 +55,13 @@
         shedder.recordRequest(nowMs, request);
         ejection.recordRequest();
         PendingRequest pending = requests.add(nowMs, request);
-        sender.startDeadline(nowMs, pending, actions);
+        sender.startDeadlineTimer(nowMs, pending, actions);
         pending.setOriginOnly(settings.cacheAside() && request.write());
         if (!pending.isOriginOnly() && request.key() != 0) {
             HotKeyTracker hotKeys = estimates.hotKeys();
             int recent = hotKeys.record(request.key(), nowMs);
             int maxSpread = endpoints.placement().maxHotKeySpread();
-            pending.setKeyHeat(recent, hotKeys.spread(request.key(), recent, maxSpread));
+            pending.setKeyPopularity(recent, hotKeys.spread(request.key(), recent, maxSpread));
         }
         advance(nowMs, pending, actions);
     }
@@ -181,7 +181,8 @@
                 || nowMs < pending.hedgeAtMs()) {
             return;
         }
-        if (!endpoints.isSibling(server) && (hedging.ejectsAtOnce() || server.countOverdueAttempt() > 1)) {
+        if (!endpoints.isSibling(server)
+                && (hedging.ejectsOnFirstOverdueAttempt() || server.countOverdueAttempt() > 1)) {
             ejection.eject(nowMs, server);
         }
         if (!hedging.tryAcquire(nowMs, pending)) {
@@ -276,7 +277,7 @@
 
     /** Waiters find a fetched object at the server that missed it; after a failed fetch the first of them fetches. */
     private void resumeWaiters(double nowMs, PendingRequest leader, boolean stored, PolicyActions actions) {
-        for (PendingRequest waiter : coalescer.endLead(leader)) {
+        for (PendingRequest waiter : coalescer.removeLeader(leader)) {
             if (!waiter.isConcluded() && waiter.isWaiting()) {
                 waiter.setOriginOnly(!stored || !waiter.leavesAttemptForOrigin());
                 advance(nowMs, waiter, actions);
@@ -286,7 +287,7 @@
 
     /** What a sibling has served is not stored at this proxy's servers, so each waiter fetches it from the sibling. */
     private void fetchFromSibling(double nowMs, PendingRequest leader, ServerState sibling, PolicyActions actions) {
-        for (PendingRequest waiter : coalescer.endLead(leader)) {
+        for (PendingRequest waiter : coalescer.removeLeader(leader)) {
             if (!waiter.isConcluded() && waiter.isWaiting() && waiter.attemptsLeft() > 0) {
                 waiter.setWaiting(false);
                 waiter.markSiblingsQueried();
--- a/src/main/java/cacheproxy/policy/RetryRules.java
+++ b/src/main/java/cacheproxy/policy/RetryRules.java
@@ -27,7 +27,7 @@
                 && nowMs < pending.mayHaveRunSinceMs() + serviceClass.deduplicationWindowMs()
                 && inSameScope(
                         serviceClass.deduplicationScope(),
-                        pending.mayHaveRunAt().endpoint(),
+                        pending.mayHaveRunServer().endpoint(),
                         server.endpoint());
     }
 
--- a/src/main/java/cacheproxy/policy/ServerSelector.java
+++ b/src/main/java/cacheproxy/policy/ServerSelector.java
@@ -40,8 +40,9 @@
         }
         boolean mayFetch =
                 environment.settings().cacheAside() && pending.serviceClass().isIdempotent();
-        boolean cachesTried = pending.attempts() >= HedgingPolicy.MAX_CACHE_ATTEMPTS && pending.missedServer() == null;
-        if (pending.isOriginOnly() || (mayFetch && cachesTried)) {
+        boolean cacheAttemptsUsed =
+                pending.attempts() >= HedgingPolicy.MAX_CACHE_ATTEMPTS && pending.missedServer() == null;
+        if (pending.isOriginOnly() || (mayFetch && cacheAttemptsUsed)) {
             return endpoints.origin();
         }
         ServerState server = selectCacheServer(nowMs, pending, actions);
@@ -60,7 +61,7 @@
         int spread = Math.min(pending.hotKeySpread(), count); // the list may have shrunk since the request came
         int offset = spread > 1 ? environment.random().nextInt(spread) : 0;
         ServerState fallback = null;
-        boolean passedRestored = false;
+        boolean skippedRestoredFailures = false;
         for (int i = 0; i < count; i++) {
             ServerState server = endpoints.ranked(candidates[i < spread ? (i + offset) % spread : i]);
             if (pending.wasSentTo(server) && server != pending.missedServer()) {
@@ -71,10 +72,10 @@
                 fallback = server;
             }
             // A server that warms up must not receive more because of failures that are only restored.
-            if (!(passedRestored && warmingUp) && accepts(nowMs, pending, server, actions)) {
+            if (!(skippedRestoredFailures && warmingUp) && accepts(nowMs, pending, server, actions)) {
                 return server;
             }
-            passedRestored |= server.hasRestoredFailures();
+            skippedRestoredFailures |= server.hasRestoredFailures();
         }
         return fallback;
     }
--- a/src/test/java/cacheproxy/lifecycle/LifecycleTest.java
+++ b/src/test/java/cacheproxy/lifecycle/LifecycleTest.java
@@ -88,15 +88,15 @@
                     case 2 -> lifecycle.beginShutdown(nowMs, random.nextBoolean());
                     default -> {}
                 }
-                double share = lifecycle.closingFraction(nowMs);
-                assertThat(share).isBetween(0.0, 1.0);
+                double fraction = lifecycle.closingFraction(nowMs);
+                assertThat(fraction).isBetween(0.0, 1.0);
                 if (lifecycle.state() == state) {
-                    assertThat(share).isGreaterThanOrEqualTo(before);
+                    assertThat(fraction).isGreaterThanOrEqualTo(before);
                 }
                 assertThat(lifecycle.acceptsConnections(nowMs) || lifecycle.state() == LifecycleState.SHUTTING_DOWN)
                         .isTrue();
                 state = lifecycle.state();
-                before = share;
+                before = fraction;
             }
         }
     }
--- a/src/test/java/cacheproxy/limits/ServerCapacityTest.java
+++ b/src/test/java/cacheproxy/limits/ServerCapacityTest.java
@@ -32,7 +32,7 @@
     }
 
     @Test
-    void refusalAnywhereForbidsSecondConnectionsElsewhere() {
+    void refusalForbidsSecondConnectionsToAllServers() {
         ServerCapacity full = new ServerCapacity(shortage);
         ServerCapacity other = new ServerCapacity(shortage);
         assertThat(other.mayOpen(0, 1)).isTrue();
@@ -44,8 +44,8 @@
 
     /** With fourteen proxies and servers that accept twelve, none stays without while another has two. */
     @Test
-    void proxiesSettleOnOneConnectionEachWhenServersAreShort() {
-        ShortServers fleet = new ShortServers();
+    void proxiesSettleOnOneConnectionEachWhenConnectionsAreScarce() {
+        SimulatedFleet fleet = new SimulatedFleet();
         int refusedInSecondHalf = 0;
         for (int nowMs = 0; nowMs < 60_000; nowMs++) {
             boolean refused = fleet.sendRequest(nowMs);
@@ -54,19 +54,20 @@
                 fleet.closeSpareConnections(nowMs);
             }
         }
-        int without = 0;
+        int proxiesWithoutConnection = 0;
         for (int[] connectionsOfProxy : fleet.connections) {
             for (int open : connectionsOfProxy) {
                 assertThat(open).isLessThanOrEqualTo(1);
-                without += open == 0 ? 1 : 0;
+                proxiesWithoutConnection += open == 0 ? 1 : 0;
             }
         }
-        assertThat(without).isEqualTo((ShortServers.PROXIES - ShortServers.CONNECTION_LIMIT) * ShortServers.SERVERS);
+        assertThat(proxiesWithoutConnection)
+                .isEqualTo((SimulatedFleet.PROXIES - SimulatedFleet.CONNECTION_LIMIT) * SimulatedFleet.SERVERS);
         assertThat(refusedInSecondHalf).as("of 30,000 requests").isLessThan(30_000 / 60);
     }
 
     /** Proxies that send one request a millisecond in all to servers with too few connections for them. */
-    private static final class ShortServers {
+    private static final class SimulatedFleet {
         static final int PROXIES = 14;
         static final int SERVERS = 20;
         static final int CONNECTION_LIMIT = 12;
@@ -76,7 +77,7 @@
         private final ConnectionShortage[] shortages = new ConnectionShortage[PROXIES];
         private final ServerCapacity[][] capacities = new ServerCapacity[PROXIES][SERVERS];
 
-        ShortServers() {
+        SimulatedFleet() {
             for (int proxy = 0; proxy < PROXIES; proxy++) {
                 shortages[proxy] = new ConnectionShortage();
                 for (int server = 0; server < SERVERS; server++) {
--- a/src/test/java/cacheproxy/placement/NginxPlacementTest.java
+++ b/src/test/java/cacheproxy/placement/NginxPlacementTest.java
@@ -39,7 +39,7 @@
         return peers;
     }
 
-    private static List<Endpoint> ready(List<PlacementTarget> peers, Set<Integer> down) {
+    private static List<Endpoint> readyMembers(List<PlacementTarget> peers, Set<Integer> down) {
         List<Endpoint> members = new ArrayList<>();
         for (int i = 0; i < peers.size(); i++) {
             if (!down.contains(i)) {
@@ -58,7 +58,7 @@
     }
 
     /** The peers' indexes in their list, best first. */
-    private static List<Integer> ranks(
+    private static List<Integer> rank(
             Placement placement, List<PlacementTarget> peers, List<Endpoint> members, byte[] text, int wanted) {
         int[] ranked = new int[Math.max(placement.maxRanked(wanted), members.size())];
         long key = PlacementKey.fromText(text);
@@ -74,18 +74,18 @@
         return ranks;
     }
 
-    private static int[] first(String kind, List<PlacementTarget> peers, Set<Integer> down) {
-        List<Endpoint> members = ready(peers, down);
+    private static int[] firstRanked(String kind, List<PlacementTarget> peers, Set<Integer> down) {
+        List<Endpoint> members = readyMembers(peers, down);
         Placement placement = PlacementRegistry.factory(kind, peers).create(members);
         int[] first = new int[KEYS];
         for (int i = 0; i < KEYS; i++) {
-            first[i] = ranks(placement, peers, members, text(i), 1).get(0);
+            first[i] = rank(placement, peers, members, text(i), 1).get(0);
         }
         return first;
     }
 
     /** The loop of nginx's hash directive, with the servers that it has tried. */
-    private static List<Integer> plainHash(List<PlacementTarget> peers, Set<Integer> down, byte[] key) {
+    private static List<Integer> referenceHashRanking(List<PlacementTarget> peers, Set<Integer> down, byte[] key) {
         int sum = peers.stream().mapToInt(PlacementTarget::weight).sum();
         List<Integer> ranks = new ArrayList<>();
         long hash = 0;
@@ -124,10 +124,11 @@
                     down.add(i);
                 }
             }
-            List<Endpoint> members = ready(peers, down);
+            List<Endpoint> members = readyMembers(peers, down);
             Placement placement = PlacementRegistry.factory("nginx-hash", peers).create(members);
             for (int i = 0; i < 50; i++) {
-                assertThat(ranks(placement, peers, members, text(i), count)).isEqualTo(plainHash(peers, down, text(i)));
+                assertThat(rank(placement, peers, members, text(i), count))
+                        .isEqualTo(referenceHashRanking(peers, down, text(i)));
             }
         }
     }
@@ -135,9 +136,9 @@
     @Test
     void consistentHashMovesOnlyKeysOfChangedServers() {
         List<PlacementTarget> peers = peers(1, 1, 1, 1, 1);
-        int[] before = first("nginx-consistent", peers, Set.of());
+        int[] before = firstRanked("nginx-consistent", peers, Set.of());
         // One goes down: its own keys alone move, to where the ring says.
-        int[] without = first("nginx-consistent", peers, Set.of(2));
+        int[] without = firstRanked("nginx-consistent", peers, Set.of(2));
         int moved = 0;
         for (int i = 0; i < KEYS; i++) {
             if (before[i] != 2) {
@@ -148,7 +149,7 @@
         }
         assertThat(moved / (double) KEYS).isBetween(0.15, 0.25);
         // One gets twice the weight: keys move to it alone, to some a sixth more than it had.
-        int[] heavier = first("nginx-consistent", peers(1, 1, 1, 2, 1), Set.of());
+        int[] heavier = firstRanked("nginx-consistent", peers(1, 1, 1, 2, 1), Set.of());
         int gained = 0;
         for (int i = 0; i < KEYS; i++) {
             if (heavier[i] != before[i]) {
@@ -158,31 +159,31 @@
         }
         assertThat(gained / (double) KEYS).isBetween(0.09, 0.18);
         // Without consistent the same change moves most keys.
-        int[] sumBefore = first("nginx-hash", peers, Set.of());
-        int[] sumAfter = first("nginx-hash", peers(1, 1, 1, 2, 1), Set.of());
-        int sumMoved = 0;
+        int[] moduloBefore = firstRanked("nginx-hash", peers, Set.of());
+        int[] moduloAfter = firstRanked("nginx-hash", peers(1, 1, 1, 2, 1), Set.of());
+        int movedByModulo = 0;
         for (int i = 0; i < KEYS; i++) {
-            sumMoved += sumBefore[i] != sumAfter[i] ? 1 : 0;
+            movedByModulo += moduloBefore[i] != moduloAfter[i] ? 1 : 0;
         }
-        assertThat(sumMoved / (double) KEYS).isGreaterThan(0.6);
+        assertThat(movedByModulo / (double) KEYS).isGreaterThan(0.6);
     }
 
     @Test
     void ranksEveryReadyServer() {
         for (String kind : List.of("nginx-hash", "nginx-consistent")) {
             List<PlacementTarget> peers = peers(1, 40, 1, 1, 7);
-            List<Endpoint> members = ready(peers, Set.of(3));
+            List<Endpoint> members = readyMembers(peers, Set.of(3));
             Placement placement = PlacementRegistry.factory(kind, peers).create(members);
             for (int i = 0; i < 500; i++) {
-                assertThat(ranks(placement, peers, members, text(i), 9)).containsExactlyInAnyOrder(0, 1, 2, 4);
+                assertThat(rank(placement, peers, members, text(i), 9)).containsExactlyInAnyOrder(0, 1, 2, 4);
             }
-            assertThat(ranks(PlacementRegistry.factory(kind, peers).create(List.of()), peers, List.of(), text(1), 3))
+            assertThat(rank(PlacementRegistry.factory(kind, peers).create(List.of()), peers, List.of(), text(1), 3))
                     .isEmpty();
         }
     }
 
     /** Four bytes with this CRC-32: over four bytes it is an affine map without gaps, solved by elimination. */
-    private static byte[] withCrc(int wanted) {
+    private static byte[] textWithCrc(int wanted) {
         int zero = (int) crc(new byte[4]);
         int[] images = new int[32];
         int[] inputs = new int[32];
@@ -192,28 +193,28 @@
             images[bit] = (int) crc(one) ^ zero;
             inputs[bit] = 1 << bit;
         }
-        int left = wanted ^ zero;
+        int remaining = wanted ^ zero;
         int input = 0;
-        for (int at = 0; at < 32; at++) {
-            int row = at;
-            while ((images[row] >>> at & 1) == 0) {
+        for (int pivot = 0; pivot < 32; pivot++) {
+            int row = pivot;
+            while ((images[row] >>> pivot & 1) == 0) {
                 row++;
             }
-            int image = images[row];
-            int from = inputs[row];
-            images[row] = images[at];
-            inputs[row] = inputs[at];
-            images[at] = image;
-            inputs[at] = from;
-            for (int other = at + 1; other < 32; other++) {
-                if ((images[other] >>> at & 1) != 0) {
-                    images[other] ^= image;
-                    inputs[other] ^= from;
+            int pivotImage = images[row];
+            int pivotInput = inputs[row];
+            images[row] = images[pivot];
+            inputs[row] = inputs[pivot];
+            images[pivot] = pivotImage;
+            inputs[pivot] = pivotInput;
+            for (int other = pivot + 1; other < 32; other++) {
+                if ((images[other] >>> pivot & 1) != 0) {
+                    images[other] ^= pivotImage;
+                    inputs[other] ^= pivotInput;
                 }
             }
-            if ((left >>> at & 1) != 0) {
-                left ^= image;
-                input ^= from;
+            if ((remaining >>> pivot & 1) != 0) {
+                remaining ^= pivotImage;
+                input ^= pivotInput;
             }
         }
         return new byte[] {(byte) input, (byte) (input >>> 8), (byte) (input >>> 16), (byte) (input >>> 24)};
@@ -222,7 +223,7 @@
     @Test
     void keyOnARingPointBelongsToItsServer() {
         List<PlacementTarget> peers = peers(1, 1, 1, 1);
-        List<Endpoint> members = ready(peers, Set.of());
+        List<Endpoint> members = readyMembers(peers, Set.of());
         Placement placement =
                 PlacementRegistry.factory("nginx-consistent", peers).create(members);
         for (int target = 0; target < 4; target++) {
@@ -232,9 +233,9 @@
                 point = (int) crc(
                         base,
                         new byte[] {(byte) point, (byte) (point >>> 8), (byte) (point >>> 16), (byte) (point >>> 24)});
-                byte[] key = withCrc(point);
+                byte[] key = textWithCrc(point);
                 assertThat((int) crc(key)).isEqualTo(point);
-                assertThat(ranks(placement, peers, members, key, 1))
+                assertThat(rank(placement, peers, members, key, 1))
                         .as("point " + i + " of server " + target)
                         .containsExactly(target);
             }
--- a/src/test/java/cacheproxy/placement/PlacementKeyTest.java
+++ b/src/test/java/cacheproxy/placement/PlacementKeyTest.java
@@ -25,10 +25,10 @@
         for (int i = 0; i < 2000; i++) {
             byte[] text = new byte[random.nextInt(i % 10 == 0 ? 4096 : 300)];
             random.nextBytes(text);
-            byte[] before = Integer.toString(random.nextInt(100)).getBytes(StandardCharsets.US_ASCII);
+            byte[] prefix = Integer.toString(random.nextInt(100)).getBytes(StandardCharsets.US_ASCII);
             long key = PlacementKey.fromText(text);
             assertThat(PlacementKey.crc(key)).isEqualTo((int) crc(text));
-            assertThat(PlacementKey.crcWithPrefix((int) crc(before), key)).isEqualTo((int) crc(before, text));
+            assertThat(PlacementKey.crcWithPrefix((int) crc(prefix), key)).isEqualTo((int) crc(prefix, text));
             assertThat(key).isNotZero();
         }
     }
--- a/src/test/java/cacheproxy/placement/PlacementTest.java
+++ b/src/test/java/cacheproxy/placement/PlacementTest.java
@@ -40,9 +40,9 @@
     }
 
     private static List<Integer> rank(Placement placement, long key, int wanted) {
-        int[] top = new int[placement.maxRanked(wanted)];
-        int count = placement.rank(key, CarpHash.keyHash(key), wanted, top);
-        return IntStream.of(top).limit(count).boxed().toList();
+        int[] ranked = new int[placement.maxRanked(wanted)];
+        int count = placement.rank(key, CarpHash.keyHash(key), wanted, ranked);
+        return IntStream.of(ranked).limit(count).boxed().toList();
     }
 
     @Test
@@ -63,8 +63,9 @@
 
     @Test
     void membersWithEqualIdAndWeightKeepListOrder() {
-        Endpoint twin = new Endpoint(7, 0, 0, 0, EndpointState.READY, 1, 0);
-        assertThat(rank(new CarpPlacement(List.of(twin, twin, twin)), 5, 3)).containsExactly(0, 1, 2);
+        Endpoint duplicate = new Endpoint(7, 0, 0, 0, EndpointState.READY, 1, 0);
+        assertThat(rank(new CarpPlacement(List.of(duplicate, duplicate, duplicate)), 5, 3))
+                .containsExactly(0, 1, 2);
     }
 
     @Test
@@ -73,20 +74,21 @@
         List<Endpoint> members = members(random, 30, false);
         PlacementFactory factory = BackupPlacement.withBackups(CarpPlacement::new, id -> (id & 3) == 0);
         Placement placement = factory.create(members);
-        List<Endpoint> ordinary =
+        List<Endpoint> primaries =
                 members.stream().filter(member -> (member.id() & 3) != 0).toList();
-        assertThat(placement.maxHotKeySpread()).isEqualTo(ordinary.size()).isLessThan(30);
+        assertThat(placement.maxHotKeySpread()).isEqualTo(primaries.size()).isLessThan(30);
         for (int i = 0; i < 200; i++) {
             long key = random.nextLong();
-            List<Integer> top = rank(placement, key, 8);
-            assertThat(top).doesNotHaveDuplicates();
-            List<Endpoint> first =
-                    top.subList(0, ordinary.size()).stream().map(members::get).toList();
+            List<Integer> ranked = rank(placement, key, 8);
+            assertThat(ranked).doesNotHaveDuplicates();
+            List<Endpoint> first = ranked.subList(0, primaries.size()).stream()
+                    .map(members::get)
+                    .toList();
             assertThat(first)
-                    .isEqualTo(rank(new CarpPlacement(ordinary), key, 30).stream()
-                            .map(ordinary::get)
+                    .isEqualTo(rank(new CarpPlacement(primaries), key, 30).stream()
+                            .map(primaries::get)
                             .toList());
-            assertThat(top.subList(ordinary.size(), top.size()))
+            assertThat(ranked.subList(primaries.size(), ranked.size()))
                     .isNotEmpty()
                     .allSatisfy(
                             member -> assertThat(members.get(member).id() & 3).isZero());
--- a/src/test/java/cacheproxy/policy/CarpHashTest.java
+++ b/src/test/java/cacheproxy/policy/CarpHashTest.java
@@ -63,22 +63,22 @@
             sum += weights[i];
             memberHashes[i] = CarpHash.memberHash((i + 1) * 0x9E3779B1);
         }
-        int[] keyCounts = draw(memberHashes, CarpHash.multipliers(weights), KEYS);
+        int[] keyCounts = countKeysByMember(memberHashes, CarpHash.multipliers(weights), KEYS);
         for (int i = 0; i < count; i++) {
             double fair = KEYS * weights[i] / sum;
             assertThat((double) keyCounts[i]).isCloseTo(fair, within(0.15 * fair + 5 * Math.sqrt(fair)));
         }
     }
 
-    private static int[] draw(int[] memberHashes, float[] multipliers, int keys) {
+    private static int[] countKeysByMember(int[] memberHashes, float[] multipliers, int keys) {
         int[] keyCounts = new int[memberHashes.length];
         for (int i = 1; i <= keys; i++) {
-            keyCounts[top(i * 0x9E3779B97F4A7C15L, memberHashes, multipliers)]++;
+            keyCounts[bestMember(i * 0x9E3779B97F4A7C15L, memberHashes, multipliers)]++;
         }
         return keyCounts;
     }
 
-    private static int top(long key, int[] memberHashes, float[] multipliers) {
+    private static int bestMember(long key, int[] memberHashes, float[] multipliers) {
         int best = 0;
         for (int i = 1; i < memberHashes.length; i++) {
             int keyHash = CarpHash.keyHash(key);
@@ -100,9 +100,9 @@
         float[] multipliers = new float[20];
         Arrays.fill(multipliers, 1);
         for (int key = 1; key < 3000; key++) {
-            int before = top(key, all, multipliers);
+            int before = bestMember(key, all, multipliers);
             if (before != 19) {
-                assertThat(top(key, remaining, multipliers)).isEqualTo(before);
+                assertThat(bestMember(key, remaining, multipliers)).isEqualTo(before);
             }
         }
     }
--- a/src/test/java/cacheproxy/policy/EndpointListWatchTest.java
+++ b/src/test/java/cacheproxy/policy/EndpointListWatchTest.java
@@ -27,7 +27,7 @@
 
     /** Guards against an invalid list that counts as discovery's answer, after which it is called without backoff. */
     @Test
-    void anInvalidListIsNoAnswer() {
+    void invalidListDoesNotResetBackoff() {
         PolicyHarness harness =
                 new PolicyHarness(PolicyHarness.settings(true, true, false, DeduplicationScope.ALL)).withFleet(5);
         harness.advanceTime(5000);
@@ -35,8 +35,9 @@
             harness.policy.onEndpointList(harness.nowMs, EndpointListKind.FAILED, List.of(), harness);
             harness.advanceTime(10_000);
         }
-        Endpoint twice = PolicyHarness.endpoint(3, EndpointState.READY, 0);
-        assertThatThrownBy(() -> harness.changeEndpoints(twice, twice)).isInstanceOf(IllegalArgumentException.class);
+        Endpoint duplicate = PolicyHarness.endpoint(3, EndpointState.READY, 0);
+        assertThatThrownBy(() -> harness.changeEndpoints(duplicate, duplicate))
+                .isInstanceOf(IllegalArgumentException.class);
         harness.timers.clear();
         harness.policy.onEndpointList(harness.nowMs, EndpointListKind.FAILED, List.of(), harness);
         assertThat(harness.timers)
--- a/src/test/java/cacheproxy/policy/LatencyEstimatesTest.java
+++ b/src/test/java/cacheproxy/policy/LatencyEstimatesTest.java
@@ -18,7 +18,7 @@
         return new RoutingRequest(1, 0, 0, 7, DEADLINE_MS, costHintMs, 0, false, false);
     }
 
-    private void recordUsualTraffic() {
+    private void recordTypicalTraffic() {
         for (int i = 0; i < 200; i++) {
             RoutingRequest request = withCostHint(2);
             estimates.recordCost(request);
@@ -29,24 +29,24 @@
     /** Guards against one client's hint making averages infinite for good, or hedging delays of others useless. */
     @ParameterizedTest
     @ValueSource(doubles = {Double.POSITIVE_INFINITY, Double.NaN, -5, Double.MAX_VALUE, 1e12, Double.MIN_VALUE})
-    void aHintThatNoRequestCanMeanBendsNothing(double hintMs) {
-        recordUsualTraffic();
-        double usualMs = estimates.usualServerMs(withCostHint(2));
-        RoutingRequest strange = withCostHint(hintMs);
-        estimates.recordCost(strange);
-        estimates.recordServer(strange, 3);
-        assertThat(estimates.usualServerMs(withCostHint(2))).isBetween(usualMs / 2, usualMs * 2);
-        assertThat(estimates.usualServerMs(strange)).isBetween(0.0, DEADLINE_MS * 1000);
+    void implausibleHintDoesNotDistortEstimates(double hintMs) {
+        recordTypicalTraffic();
+        double typicalMs = estimates.expectedMaxServerMs(withCostHint(2));
+        RoutingRequest implausible = withCostHint(hintMs);
+        estimates.recordCost(implausible);
+        estimates.recordServer(implausible, 3);
+        assertThat(estimates.expectedMaxServerMs(withCostHint(2))).isBetween(typicalMs / 2, typicalMs * 2);
+        assertThat(estimates.expectedMaxServerMs(implausible)).isBetween(0.0, DEADLINE_MS * 1000);
         assertThat(estimates.serverMs()).isFinite();
-        recordUsualTraffic();
-        assertThat(estimates.usualServerMs(withCostHint(2))).isBetween(usualMs / 2, usualMs * 2);
+        recordTypicalTraffic();
+        assertThat(estimates.expectedMaxServerMs(withCostHint(2))).isBetween(typicalMs / 2, typicalMs * 2);
     }
 
     /** Guards against a first hint that none of the later ones can outweigh. */
     @Test
-    void aStrangeFirstHintDoesNotSetTheAverage() {
+    void implausibleFirstHintDoesNotSetAverage() {
         estimates.recordCost(withCostHint(1e300));
-        recordUsualTraffic();
-        assertThat(estimates.usualServerMs(withCostHint(2))).isBetween(1.0, 100.0);
+        recordTypicalTraffic();
+        assertThat(estimates.expectedMaxServerMs(withCostHint(2))).isBetween(1.0, 100.0);
     }
 }
--- a/src/test/java/cacheproxy/policy/LearnedStateTransferTest.java
+++ b/src/test/java/cacheproxy/policy/LearnedStateTransferTest.java
@@ -23,7 +23,7 @@
                 .withFleet(servers);
     }
 
-    private static LearnedState ejected(double ejectedForMs, int... ids) {
+    private static LearnedState stateWithEjected(double ejectedForMs, int... ids) {
         List<LearnedServer> servers = new ArrayList<>();
         for (int id : ids) {
             servers.add(new LearnedServer(id, 0, 3, ejectedForMs, 0));
@@ -73,7 +73,7 @@
     @Test
     void probesRestoredServerOnceAfterItsEjection() {
         PolicyHarness harness = harness(4);
-        harness.policy.restore(harness.nowMs, ejected(500, 2));
+        harness.policy.restore(harness.nowMs, stateWithEjected(500, 2));
         assertThat(firstServers(harness, 1, 60)).doesNotContain(2);
         harness.advanceTime(501);
         harness.sentAttempts.clear();
@@ -95,9 +95,9 @@
     }
 
     @Test
-    void limitsRestoredEjectionToItsOwnLongest() {
+    void limitsRestoredEjectionToLongestOwnEjection() {
         PolicyHarness harness = harness(4);
-        harness.policy.restore(harness.nowMs, ejected(1e14, 2));
+        harness.policy.restore(harness.nowMs, stateWithEjected(1e14, 2));
         harness.advanceTime(10 * 100 * 8 + 1); // ten times the connect timeout, doubled three times
         assertThat(firstServers(harness, 1, 100)).contains(2);
     }
@@ -108,20 +108,20 @@
         harness.changeEndpoints(PolicyHarness.endpoint(3, EndpointState.READY, 500));
         harness.policy.restore(
                 harness.nowMs,
-                ejected(
+                stateWithEjected(
                         8000,
                         3,
                         77,
                         PolicyHarness.ORIGIN)); // 3 has restarted, 77 is not listed, the origin is never ejected
         harness.advanceTime(10_000);
         assertThat(firstServers(harness, 1, 100)).contains(3);
-        harness.end(sentTo(harness, 1), AttemptOutcome.CONNECT_FAILED);
+        harness.end(readUntilSentTo(harness, 1), AttemptOutcome.CONNECT_FAILED);
         LearnedState before = harness.policy.learnedState(harness.nowMs, 0);
-        harness.policy.restore(harness.nowMs, ejected(1, 1));
+        harness.policy.restore(harness.nowMs, stateWithEjected(1, 1));
         assertThat(harness.policy.learnedState(harness.nowMs, 0).servers()).isEqualTo(before.servers());
     }
 
-    private static PolicyHarness.SentAttempt sentTo(PolicyHarness harness, int server) {
+    private static PolicyHarness.SentAttempt readUntilSentTo(PolicyHarness harness, int server) {
         for (int i = 5000; ; i++) {
             harness.read(i, i * 31L);
             if (harness.lastSent().serverId() == server) {
@@ -131,9 +131,9 @@
     }
 
     @Test
-    void servesThoughAllServersAreRestoredAsEjected() {
+    void servesWhenAllServersAreRestoredAsEjected() {
         PolicyHarness harness = harness(4);
-        harness.policy.restore(harness.nowMs, ejected(8000, 1, 2, 3, 4));
+        harness.policy.restore(harness.nowMs, stateWithEjected(8000, 1, 2, 3, 4));
         assertThat(firstServers(harness, 1, 100)).isNotEmpty();
         assertThat(harness.finalResponses()).as("nothing was rejected").isZero();
         harness.advanceTime(8001);
@@ -147,23 +147,23 @@
         int sentInSlowStart = 0;
         for (int round = 0; round < 200; round++) {
             int servers = 2 + random.nextInt(8);
-            PolicyHarness with = harness(servers);
-            PolicyHarness without = harness(servers);
-            LearnedState worst = randomState(random, servers);
+            PolicyHarness restored = harness(servers);
+            PolicyHarness fresh = harness(servers);
+            LearnedState learned = randomState(random, servers);
             int ageMs = random.nextInt(8000);
             int started = 1 + random.nextInt(servers);
-            for (PolicyHarness harness : List.of(with, without)) {
+            for (PolicyHarness harness : List.of(restored, fresh)) {
                 harness.nowMs = 1e12;
                 harness.changeEndpoints(PolicyHarness.endpoint(started, EndpointState.READY, harness.nowMs - ageMs));
             }
-            with.policy.restore(with.nowMs, worst);
+            restored.policy.restore(restored.nowMs, learned);
             for (int i = 1; i <= 100; i++) {
                 long key = random.nextLong();
-                with.read(i, key);
-                without.read(i, key);
-                if (firstServer(with, i) == started) {
+                restored.read(i, key);
+                fresh.read(i, key);
+                if (firstServer(restored, i) == started) {
                     sentInSlowStart++;
-                    assertThat(firstServer(without, i))
+                    assertThat(firstServer(fresh, i))
                             .as("round " + round + ", key " + key)
                             .isEqualTo(started);
                 }
@@ -234,11 +234,11 @@
     @Test
     void restoredLoadNeverOpensThrottle() {
         LearnedLoad overload = new LearnedLoad(400, 40);
-        LearnedLoad calm = new LearnedLoad(400, 400);
+        LearnedLoad noOverload = new LearnedLoad(400, 400);
         assertThat(rejectedFetches(LearnedState.NONE.serverLoad(), 0)).isZero();
         assertThat(rejectedFetches(overload, 0)).as("at once").isGreaterThan(20);
         // At an origin that answers nothing, restored answers must not let more fetches through than no restored state.
-        assertThat(rejectedFetches(calm, 200))
+        assertThat(rejectedFetches(noOverload, 200))
                 .isGreaterThanOrEqualTo(rejectedFetches(LearnedState.NONE.serverLoad(), 200));
     }
 
@@ -304,11 +304,11 @@
             serverIds.add(next.lastSent().serverId());
         }
         assertThat(serverIds).hasSizeGreaterThan(1);
-        PolicyHarness without = harness(8);
+        PolicyHarness fresh = harness(8);
         serverIds.clear();
         for (int i = 1; i <= 5; i++) {
-            without.read(i, 99);
-            serverIds.add(without.lastSent().serverId());
+            fresh.read(i, 99);
+            serverIds.add(fresh.lastSent().serverId());
         }
         assertThat(serverIds).hasSize(1);
     }
@@ -330,18 +330,18 @@
 
     @Test
     void restoresLatenciesByTheirWeight() {
-        LearnedLatency usual = new LearnedLatency(80, 3, 20, 4, 1);
+        LearnedLatency learned = new LearnedLatency(80, 3, 20, 4, 1);
         PolicyHarness harness = harness(4);
         LearnedLatency own = harness.policy.learnedState(harness.nowMs, 0).latency();
         harness.policy.restore(
                 harness.nowMs,
                 new LearnedState(
                         List.of(),
-                        usual,
+                        learned,
                         LearnedState.NONE.originLoad(),
                         LearnedState.NONE.serverLoad(),
                         LearnedState.NONE.hotKeys()));
-        assertThat(harness.policy.learnedState(harness.nowMs, 0).latency()).isEqualTo(usual);
+        assertThat(harness.policy.learnedState(harness.nowMs, 0).latency()).isEqualTo(learned);
         PolicyHarness half = harness(4);
         half.policy.restore(
                 half.nowMs,
--- a/src/test/java/cacheproxy/policy/OriginFetchPolicyTest.java
+++ b/src/test/java/cacheproxy/policy/OriginFetchPolicyTest.java
@@ -28,17 +28,17 @@
     @Test
     void throttlesFetchesFromOverloadedOrigin() {
         PolicyHarness harness = PolicyHarness.cacheAside().withFleet(5);
-        int late = 0;
+        int lateFetches = 0;
         for (int id = 1; id <= 100; id++) {
             harness.nowMs += 20;
             harness.read(id, id);
             harness.end(harness.lastSent(), AttemptOutcome.MISS);
             if (harness.lastSent().serverId() == PolicyHarness.ORIGIN) {
-                late += id > 50 ? 1 : 0;
+                lateFetches += id > 50 ? 1 : 0;
                 harness.end(harness.lastSent(), AttemptOutcome.FULL);
             }
         }
-        assertThat(late).isLessThan(15);
+        assertThat(lateFetches).isLessThan(15);
         assertThat(harness.rejected).hasSize(100);
     }
 
--- a/src/test/java/cacheproxy/policy/RandomEventsTest.java
+++ b/src/test/java/cacheproxy/policy/RandomEventsTest.java
@@ -23,7 +23,7 @@
 
     @ParameterizedTest
     @ValueSource(ints = {0, 1, 2, 3, 4, 5, 6, 7})
-    void everyActionKeepsTheRules(int variant) {
+    void everyActionFollowsTheRules(int variant) {
         RandomFleet fleet = new RandomFleet(settings(variant), variant);
         fleet.run(6000);
         assertThat(fleet.finalResponses).isGreaterThan(200);
@@ -110,7 +110,7 @@
                 nowMs += random.nextInt(8);
                 fireTimers();
                 switch (random.nextInt(12)) {
-                    case 0, 1, 2 -> arrive();
+                    case 0, 1, 2 -> sendRequest();
                     case 3 -> {
                         if (random.nextInt(8) == 0) {
                             changeList();
@@ -118,7 +118,7 @@
                     }
                     case 4 -> {
                         if (random.nextInt(10) == 0) {
-                            leaveClient();
+                            disconnectClient();
                         }
                     }
                     case 5 ->
@@ -156,7 +156,7 @@
             }
         }
 
-        private void arrive() {
+        private void sendRequest() {
             TrackedRequest tracked = new TrackedRequest();
             int serviceClass = random.nextInt(3);
             tracked.request = new RoutingRequest(
@@ -197,7 +197,7 @@
             }
         }
 
-        private void leaveClient() {
+        private void disconnectClient() {
             if (!openRequests.isEmpty()) {
                 TrackedRequest tracked = openRequests.get(random.nextInt(openRequests.size()));
                 tracked.concluded = true;
--- a/src/test/java/cacheproxy/policy/RoutingPolicyTest.java
+++ b/src/test/java/cacheproxy/policy/RoutingPolicyTest.java
@@ -15,7 +15,7 @@
 /** The choice of servers, and the one final response of each request. */
 class RoutingPolicyTest {
     @Test
-    void sendsKeyToTopScoreAndMissToOrigin() {
+    void sendsKeyToTopRankedServerAndMissToOrigin() {
         PolicyHarness harness = PolicyHarness.cacheAside().withFleet(12);
         harness.read(1, 77);
         int top = PolicyHarness.topRank(77, 12);
@@ -116,25 +116,25 @@
     @Test
     void spreadsHotKeyUntilItCoolsDown() {
         PolicyHarness harness = PolicyHarness.cacheAside().withFleet(20);
-        Set<Integer> hot = new HashSet<>();
+        Set<Integer> serversWhileHot = new HashSet<>();
         for (int id = 1; id <= 400; id++) {
             harness.nowMs += 5;
             harness.read(id, id % 4 == 0 ? 7 : id + 1000);
             if (id % 4 == 0 && id > 200) {
-                hot.add(harness.lastSent().serverId());
+                serversWhileHot.add(harness.lastSent().serverId());
             }
             harness.end(harness.lastSent(), AttemptOutcome.OK);
         }
-        assertThat(hot).hasSizeBetween(5, 12);
+        assertThat(serversWhileHot).hasSizeBetween(5, 12);
         harness.nowMs += 60000;
-        Set<Integer> calm = new HashSet<>();
+        Set<Integer> serversAfterwards = new HashSet<>();
         for (int id = 1001; id <= 1020; id++) {
             harness.nowMs += 3000;
             harness.read(id, 7);
-            calm.add(harness.lastSent().serverId());
+            serversAfterwards.add(harness.lastSent().serverId());
             harness.end(harness.lastSent(), AttemptOutcome.OK);
         }
-        assertThat(calm).containsExactly(PolicyHarness.topRank(7, 20));
+        assertThat(serversAfterwards).containsExactly(PolicyHarness.topRank(7, 20));
     }
 
     @Test
--- a/src/test/java/cacheproxy/policy/ServerSelectorTest.java
+++ b/src/test/java/cacheproxy/policy/ServerSelectorTest.java
@@ -6,12 +6,12 @@
 
 /** The choice of a server from a list that has changed since the request came. */
 class ServerSelectorTest {
-    private static final int FLEET = 20;
-    private static final int LEFT = 2;
+    private static final int SERVERS = 20;
+    private static final int REMAINING = 2;
 
     /** Makes key 7 so hot that it is spread over several servers; all requests are answered. */
     private static PolicyHarness harnessWithHotKey() {
-        PolicyHarness harness = PolicyHarness.cacheAside().withFleet(FLEET);
+        PolicyHarness harness = PolicyHarness.cacheAside().withFleet(SERVERS);
         for (int id = 1; id <= 400; id++) {
             harness.nowMs += 5;
             harness.read(id, id % 4 == 0 ? 7 : id + 1000);
@@ -22,16 +22,16 @@
 
     /** Guards against an index beyond the list for a hot key's retry, after the list has shrunk under its spread. */
     @Test
-    void retriesOfAHotKeyGoToWhatIsLeftOfAListThatHasShrunk() {
-        for (int firstLeft = 1; firstLeft <= FLEET - LEFT; firstLeft++) {
+    void hotKeyRetriesUseRemainingServersAfterListShrinks() {
+        for (int firstRemaining = 1; firstRemaining <= SERVERS - REMAINING; firstRemaining++) {
             PolicyHarness harness = harnessWithHotKey();
             for (int id = 1001; id <= 1010; id++) {
                 harness.read(id, 7);
             }
-            Endpoint[] gone = new Endpoint[FLEET - LEFT];
+            Endpoint[] gone = new Endpoint[SERVERS - REMAINING];
             int next = 0;
-            for (int id = 1; id <= FLEET; id++) {
-                if (id < firstLeft || id >= firstLeft + LEFT) {
+            for (int id = 1; id <= SERVERS; id++) {
+                if (id < firstRemaining || id >= firstRemaining + REMAINING) {
                     gone[next++] = PolicyHarness.endpoint(id, EndpointState.GONE, 0);
                 }
             }
@@ -42,15 +42,15 @@
                 harness.end(attempt, AttemptOutcome.RESET);
             }
             assertThat(harness.sentAttempts.subList(sent, harness.sentAttempts.size()))
-                    .as("retries with servers from %d on", firstLeft)
+                    .as("retries with servers from %d on", firstRemaining)
                     .isNotEmpty()
                     .allMatch(attempt -> attempt.serverId() == PolicyHarness.ORIGIN
-                            || attempt.serverId() == firstLeftOf(attempt, gone));
+                            || attempt.serverId() == remainingServerOf(attempt, gone));
         }
     }
 
     /** The server of an attempt unless it is gone. */
-    private static int firstLeftOf(PolicyHarness.SentAttempt attempt, Endpoint[] gone) {
+    private static int remainingServerOf(PolicyHarness.SentAttempt attempt, Endpoint[] gone) {
         for (Endpoint endpoint : gone) {
             if (endpoint.id() == attempt.serverId()) {
                 return -1;
--- a/src/test/java/cacheproxy/policy/ServerStateTest.java
+++ b/src/test/java/cacheproxy/policy/ServerStateTest.java
@@ -15,7 +15,7 @@
 
     /** Guards against what an earlier process of the server did counting against, or for, the one that runs now. */
     @Test
-    void aRestartForgetsFailuresOverdueAttemptsAndProbes() {
+    void restartClearsFailuresOverdueAttemptsAndProbes() {
         ServerState server = listed(100);
         server.countOverdueAttempt();
         server.eject(5000);
@@ -30,7 +30,7 @@
 
     /** Guards against a passed probe of the process before making later failures of the new one count for nothing. */
     @Test
-    void aProbeThatWasPassedBeforeARestartVouchesForNothingAfterIt() {
+    void probePassedBeforeRestartDoesNotMakeServerTrusted() {
         ServerState server = listed(100);
         server.eject(5000);
         server.passProbe();
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void aListingWithoutARestartChangesNothingOfIt() {
+    void listingWithoutRestartKeepsHealth() {
         ServerState server = listed(100);
         server.countOverdueAttempt();
         server.eject(5000);
--- a/src/test/java/cacheproxy/policy/SiblingQueriesTest.java
+++ b/src/test/java/cacheproxy/policy/SiblingQueriesTest.java
@@ -51,7 +51,7 @@
     }
 
     /** Sends a read that misses at its server. */
-    private static void miss(PolicyHarness harness, int id, long key) {
+    private static void readAndMiss(PolicyHarness harness, int id, long key) {
         harness.read(id, key);
         harness.end(harness.lastSent(), AttemptOutcome.MISS);
     }
@@ -64,7 +64,7 @@
             assertThat(harness.lastSent().serverId()).isNotEqualTo(SIBLING);
             harness.endAfter(harness.lastSent(), AttemptOutcome.OK, 5);
         }
-        miss(harness, 500, 1);
+        readAndMiss(harness, 500, 1);
         assertThat(harness.siblingQueries).containsExactly(500);
         assertThat(harness.lastSent().serverId())
                 .as("nothing is fetched while siblings are queried")
@@ -72,9 +72,9 @@
     }
 
     @Test
-    void fetchesSiblingHitInsteadOfAskingOrigin() {
+    void fetchesHitFromSiblingInsteadOfOrigin() {
         PolicyHarness harness = harness(true);
-        miss(harness, 1, 5);
+        readAndMiss(harness, 1, 5);
         harness.policy.onSiblingResponse(harness.nowMs, 1, SIBLING, harness);
         assertThat(harness.lastSent().serverId()).isEqualTo(SIBLING);
         harness.endAfter(harness.lastSent(), AttemptOutcome.OK, 4);
@@ -86,14 +86,14 @@
     }
 
     @Test
-    void asksOriginWhenNoSiblingHasKeyInTime() {
+    void fetchesFromOriginWhenNoSiblingHasKeyInTime() {
         PolicyHarness harness = harness(true);
-        miss(harness, 1, 5);
+        readAndMiss(harness, 1, 5);
         harness.advanceTime(21);
         assertThat(harness.lastSent().serverId()).isEqualTo(PolicyHarness.ORIGIN);
         harness.policy.onSiblingResponse(harness.nowMs, 1, SIBLING, harness); // too late
         assertThat(harness.lastSent().serverId()).isEqualTo(PolicyHarness.ORIGIN);
-        miss(harness, 2, 6);
+        readAndMiss(harness, 2, 6);
         harness.policy.onSiblingResponse(harness.nowMs, 2, 0, harness);
         assertThat(harness.lastSent())
                 .satisfies(sent -> assertThat(sent.serverId()).isEqualTo(PolicyHarness.ORIGIN));
@@ -102,7 +102,7 @@
                         .filter(sent -> sent.requestId() == 2 && sent.serverId() == PolicyHarness.ORIGIN))
                 .as("once")
                 .hasSize(1);
-        miss(harness, 3, 7);
+        readAndMiss(harness, 3, 7);
         harness.policy.onSiblingResponse(harness.nowMs, 3, 1, harness); // a server that is no sibling
         assertThat(harness.lastSent().serverId()).isEqualTo(PolicyHarness.ORIGIN);
     }
@@ -118,7 +118,7 @@
             AttemptOutcome.TIMEOUT
         }) {
             PolicyHarness harness = harness(true);
-            miss(harness, 1, 5);
+            readAndMiss(harness, 1, 5);
             harness.policy.onSiblingResponse(harness.nowMs, 1, SIBLING, harness);
             harness.end(harness.lastSent(), outcome);
             assertThat(harness.lastSent().serverId()).as(outcome.name()).isEqualTo(PolicyHarness.ORIGIN);
@@ -128,7 +128,7 @@
             assertThat(fetched).last().isEqualTo(outcome);
         }
         PolicyHarness harness = harness(true);
-        miss(harness, 1, 5);
+        readAndMiss(harness, 1, 5);
         harness.policy.onSiblingResponse(harness.nowMs, 1, SIBLING, harness);
         harness.advanceTime(300);
         assertThat(harness.lastSent().serverId()).as("silent").isEqualTo(PolicyHarness.ORIGIN);
@@ -141,7 +141,7 @@
     void waitersFetchHitFromSibling() {
         PolicyHarness harness = harness(true);
         for (int i = 1; i <= 4; i++) {
-            miss(harness, i, 5);
+            readAndMiss(harness, i, 5);
         }
         assertThat(harness.siblingQueries).containsExactly(1);
         harness.policy.onSiblingResponse(harness.nowMs, 1, SIBLING, harness);
@@ -165,11 +165,11 @@
     }
 
     @Test
-    void waiterTakesOverWhenLeaderLeaves() {
+    void waiterFetchesWhenLeaderLeaves() {
         for (boolean atSibling : new boolean[] {false, true}) {
             PolicyHarness harness = harness(true);
-            miss(harness, 1, 5);
-            miss(harness, 2, 5);
+            readAndMiss(harness, 1, 5);
+            readAndMiss(harness, 2, 5);
             if (atSibling) {
                 harness.policy.onSiblingResponse(harness.nowMs, 1, SIBLING, harness);
             }
@@ -204,7 +204,7 @@
         assertThat(harness.siblingQueries).isEmpty();
         assertThat(harness.sentAttempts).noneMatch(sent -> sent.serverId() == SIBLING);
         waitMs = 0;
-        miss(harness, 4, 5);
+        readAndMiss(harness, 4, 5);
         assertThat(harness.siblingQueries).isEmpty();
         assertThat(harness.lastSent().serverId()).isEqualTo(PolicyHarness.ORIGIN);
     }
--- a/src/test/java/cacheproxy/policy/SlowStartTest.java
+++ b/src/test/java/cacheproxy/policy/SlowStartTest.java
@@ -20,13 +20,13 @@
      */
     @Test
     void detectsSlowStartWhateverTheWallClockSays() {
-        for (double wrongMs : new double[] {-3_600_000, 0, 3_600_000}) {
+        for (double clockErrorMs : new double[] {-3_600_000, 0, 3_600_000}) {
             int ownKeys = 0;
             int accepted = 0;
             for (int seed = 1; seed <= 8; seed++) {
                 PolicySettings settings = PolicyHarness.settings(true, false, false, DeduplicationScope.ALL);
                 PolicyHarness harness = new PolicyHarness(settings, new RoutingPolicy(settings, seed)).withFleet(12);
-                harness.nowMs = 10_000_000 + wrongMs;
+                harness.nowMs = 10_000_000 + clockErrorMs;
                 harness.changeEndpoints(PolicyHarness.endpoint(5, EndpointState.READY, 10_000_000));
                 for (int key = 1; key <= 4000; key++) {
                     if (PolicyHarness.topRank(key, 12) == 5) {
@@ -38,7 +38,7 @@
                 }
             }
             assertThat((double) accepted / ownKeys)
-                    .as("wrong by %s ms", wrongMs)
+                    .as("wrong by %s ms", clockErrorMs)
                     .isBetween(0.2, 0.36);
         }
     }
