--- a/src/main/java/cacheproxy/daemon/Daemon.java
+++ b/src/main/java/cacheproxy/daemon/Daemon.java
@@ -40,7 +40,8 @@
     private static final long COLLECT_MS = 20;
 
     private final PollClock polls = new PollClock();
-    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, polls.watch(Transport.BEST));
+    private final MultiThreadIoEventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(1, polls.newIoHandlerFactory(Transport.BEST));
     private final EventLoop loop = group.next();
     private final EventLoopContext core;
     private final ClientRegistry clients;
--- a/src/main/java/cacheproxy/daemon/PoolRuntime.java
+++ b/src/main/java/cacheproxy/daemon/PoolRuntime.java
@@ -175,13 +175,13 @@
     void applyServerList() {
         backupServers.clear();
         config.servers().stream().filter(ServerConfig::backup).forEach(server -> backupServers.add(server.id()));
-        dispatcher.listed(EndpointListKind.FULL, hosts(server -> true));
+        dispatcher.endpointListReceived(EndpointListKind.FULL, hosts(server -> true));
     }
 
     /** Restricts pending requests to these servers. */
     void restrictTo(IntPredicate server) {
         if (config.discovery() == null) {
-            dispatcher.listed(EndpointListKind.FULL, hosts(server));
+            dispatcher.endpointListReceived(EndpointListKind.FULL, hosts(server));
         }
     }
 
--- a/src/main/java/cacheproxy/proxy/client/AcceptQueue.java
+++ b/src/main/java/cacheproxy/proxy/client/AcceptQueue.java
@@ -16,35 +16,35 @@
     /** The earliest time that a connection in the queue may have come; infinite if the queue has been empty since. */
     private double queuedSinceMs = Double.POSITIVE_INFINITY;
     /** When the queue is assumed to be empty at the latest. */
-    private double drainedMs;
+    private double emptyByMs;
     /** The turn in which the last connection was accepted, or accepting was last switched. */
-    private long lastTurn;
+    private long lastAcceptTurn;
 
     AcceptQueue(EventLoopContext loopContext) {
         this.loopContext = loopContext;
     }
 
     /** Accepting begins, or stops, so that connections queue up from now on. */
-    void switched(boolean accepting) {
+    void acceptingChanged(boolean accepting) {
         if (!accepting) {
             queuedSinceMs = Math.min(queuedSinceMs, loopContext.nowMs());
         }
-        drainedMs = loopContext.nowMs() + MAX_DRAIN_MS;
-        lastTurn = loopContext.turn();
+        emptyByMs = loopContext.nowMs() + MAX_DRAIN_MS;
+        lastAcceptTurn = loopContext.turn();
     }
 
     /** A connection is accepted; returns the earliest time that it may have come, in milliseconds. */
-    double accepted() {
+    double connectionAccepted() {
         double unreadSinceMs = loopContext.unreadSinceMs();
         double nowMs = loopContext.nowMs();
-        if (nowMs > drainedMs || !loopContext.follows(lastTurn)) {
+        if (nowMs > emptyByMs || !loopContext.follows(lastAcceptTurn)) {
             queuedSinceMs = Double.POSITIVE_INFINITY;
         }
         if (nowMs - unreadSinceMs > MIN_PAUSE_MS) {
             queuedSinceMs = Math.min(queuedSinceMs, unreadSinceMs);
-            drainedMs = nowMs + MAX_DRAIN_MS;
+            emptyByMs = nowMs + MAX_DRAIN_MS;
         }
-        lastTurn = loopContext.turn();
+        lastAcceptTurn = loopContext.turn();
         return Math.min(queuedSinceMs, unreadSinceMs);
     }
 }
--- a/src/main/java/cacheproxy/proxy/client/ClientConnection.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientConnection.java
@@ -90,8 +90,8 @@
     }
 
     /** Whether the client has sent a whole command, or has had the time to. */
-    boolean hasHadTimeToAsk(double nowMs) {
-        return activity.hasHadTimeToAsk(nowMs);
+    boolean hasHadTimeToSendCommand(double nowMs) {
+        return activity.hasHadTimeToSendCommand(nowMs);
     }
 
     /** The connection with the highest rank is evicted first; one with a negative rank is not. */
@@ -100,9 +100,9 @@
                 ? -1
                 : ConnectionEviction.rank(
                         isIdle(),
-                        activity.hasAsked(),
+                        activity.hasSentCommand(),
                         !responses.isEmpty() || hasUnwrittenBytes(),
-                        activity.quietMs(nowMs));
+                        activity.inactiveMs(nowMs));
     }
 
     /** Whether the client has stopped to write a request or to take a response, or has never sent a whole request. */
@@ -147,7 +147,7 @@
      * @return whether the connection is closed; otherwise it is once it has lingered
      */
     boolean evict(double nowMs) {
-        if (activity.mayLackLastResponse(nowMs)) {
+        if (activity.mayNotHaveLastResponse(nowMs)) {
             finish();
             return false;
         }
@@ -223,7 +223,7 @@
     }
 
     private PendingResponse addResponse(MetaProtocol protocol, String echo, ClientRequest request) {
-        activity.asked();
+        activity.commandReceived();
         PendingResponse response = new PendingResponse(this, protocol, echo, request);
         responses.add(response);
         return response;
@@ -238,7 +238,7 @@
             activity.responseWritten(loopContext.nowMs());
             flushWritten();
         }
-        regulate();
+        updateFlowControl();
         if (responses.isEmpty() && (closer.isClosing() || (owner.closesWhenIdle(this) && isIdle()))) {
             finish();
         } else if (wrote && responses.isEmpty()) {
@@ -261,8 +261,8 @@
     }
 
     /** Adapts the sources of values, and the reading of requests, to what the client takes. */
-    private void regulate() {
-        responses.regulateSources(ctx);
+    private void updateFlowControl() {
+        responses.updateFlowControl(ctx);
         if (mayTakeRequest()) {
             readControl.resume(ctx);
         }
@@ -273,7 +273,7 @@
     @Override
     public void channelWritabilityChanged(ChannelHandlerContext context) {
         activity.active(loopContext.nowMs());
-        regulate();
+        updateFlowControl();
     }
 
     @Override
--- a/src/main/java/cacheproxy/proxy/client/ClientRegistry.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientRegistry.java
@@ -35,12 +35,12 @@
     /** Counts a connection that the kernel has accepted; evicts another, or pauses accepting, if there are too many. */
     void connectionAccepted(ClientConnection connection) {
         connections.add(connection);
-        if (hasTooMany() && !evictOne(connection)) {
+        if (hasTooManyConnections() && !evictOne(connection)) {
             listeners.forEach(listener -> listener.setAccepting(false));
         }
     }
 
-    private boolean hasTooMany() {
+    private boolean hasTooManyConnections() {
         return connections.size() > maxConnections;
     }
 
@@ -50,14 +50,14 @@
      * @param spared a connection that is not evicted; may be null
      * @return whether its descriptor is free at once
      */
-    private boolean evictOne(ClientConnection spared) {
+    private boolean evictOne(ClientConnection excluded) {
         ClientConnection candidate = null;
         double highestRank = 0;
         double nowMs = loopContext.nowMs();
         int lingering = 0;
         for (ClientConnection connection : connections) {
             lingering += connection.isFinished() ? 1 : 0;
-            double rank = connection == spared ? -1 : connection.evictionRank(nowMs);
+            double rank = connection == excluded ? -1 : connection.evictionRank(nowMs);
             if (rank >= highestRank) {
                 candidate = connection;
                 highestRank = rank;
@@ -72,7 +72,7 @@
     /** Counts a closed connection out, and lets listeners accept again if there are no longer too many. */
     void connectionClosed(ClientConnection connection) {
         connections.remove(connection);
-        if (!hasTooMany()) {
+        if (!hasTooManyConnections()) {
             listeners.forEach(listener -> listener.setAccepting(true));
         }
     }
@@ -85,17 +85,17 @@
                 connection.closeStalled();
             }
         }
-        evictIfTooMany();
+        evictIfTooManyConnections();
     }
 
     /** A connection has become idle, so that it can be evicted if accepting is paused. */
     void connectionIdle() {
-        evictIfTooMany();
+        evictIfTooManyConnections();
     }
 
     /** Idle clients keep their connections, and those in the accept queue would wait for one of them to leave. */
-    private void evictIfTooMany() {
-        if (hasTooMany()) {
+    private void evictIfTooManyConnections() {
+        if (hasTooManyConnections()) {
             evictOne(null);
         }
     }
--- a/src/main/java/cacheproxy/proxy/client/ConnectionActivity.java
+++ b/src/main/java/cacheproxy/proxy/client/ConnectionActivity.java
@@ -17,12 +17,12 @@
     /** From accepting a connection until its first request has arrived, on a busy machine. */
     private static final double FIRST_REQUEST_GRACE_MS = 500;
     /** How long the acknowledgement of a response may take: several round trips and a delayed acknowledgement. */
-    private static final double ACKNOWLEDGEMENT_MS = 100;
+    private static final double MAX_ACKNOWLEDGEMENT_DELAY_MS = 100;
 
     private double acceptedMs;
     private double lastActiveMs;
     private double lastWriteMs = Double.NEGATIVE_INFINITY;
-    private boolean hasAsked;
+    private boolean hasSentCommand;
 
     /** The connection has been accepted. */
     void accepted(double nowMs) {
@@ -42,28 +42,28 @@
     }
 
     /** A whole command has been received. */
-    void asked() {
-        hasAsked = true;
+    void commandReceived() {
+        hasSentCommand = true;
     }
 
     /** Whether a whole command has ever been received. */
-    boolean hasAsked() {
-        return hasAsked;
+    boolean hasSentCommand() {
+        return hasSentCommand;
     }
 
     /** Whether the client has sent a whole command, or has had the time to. */
-    boolean hasHadTimeToAsk(double nowMs) {
-        return hasAsked || nowMs - acceptedMs > FIRST_REQUEST_GRACE_MS;
+    boolean hasHadTimeToSendCommand(double nowMs) {
+        return hasSentCommand || nowMs - acceptedMs > FIRST_REQUEST_GRACE_MS;
     }
 
     /** Milliseconds since bytes were last received or sent. */
-    double quietMs(double nowMs) {
+    double inactiveMs(double nowMs) {
         return nowMs - lastActiveMs;
     }
 
     /** Whether the client may not have acknowledged the last response yet. */
-    boolean mayLackLastResponse(double nowMs) {
-        return nowMs - lastWriteMs < ACKNOWLEDGEMENT_MS;
+    boolean mayNotHaveLastResponse(double nowMs) {
+        return nowMs - lastWriteMs < MAX_ACKNOWLEDGEMENT_DELAY_MS;
     }
 
     /**
@@ -75,9 +75,9 @@
      * @param idle whether no request is open or has begun
      */
     boolean isStalled(double nowMs, boolean awaitsClient, boolean requestIncomplete, boolean idle) {
-        double quietMs = quietMs(nowMs);
-        return (awaitsClient && quietMs > WRITE_TIMEOUT_MS)
-                || (requestIncomplete && quietMs > REQUEST_TIMEOUT_MS)
-                || (!hasAsked && nowMs - acceptedMs > (idle ? FIRST_BYTE_TIMEOUT_MS : REQUEST_TIMEOUT_MS));
+        double inactiveMs = inactiveMs(nowMs);
+        return (awaitsClient && inactiveMs > WRITE_TIMEOUT_MS)
+                || (requestIncomplete && inactiveMs > REQUEST_TIMEOUT_MS)
+                || (!hasSentCommand && nowMs - acceptedMs > (idle ? FIRST_BYTE_TIMEOUT_MS : REQUEST_TIMEOUT_MS));
     }
 }
--- a/src/main/java/cacheproxy/proxy/client/Listener.java
+++ b/src/main/java/cacheproxy/proxy/client/Listener.java
@@ -171,7 +171,7 @@
 
     private void setReading(boolean reading) {
         if (channel.config().isAutoRead() != reading) {
-            acceptQueue.switched(reading);
+            acceptQueue.acceptingChanged(reading);
             channel.config().setAutoRead(reading);
         }
     }
@@ -221,7 +221,9 @@
         closingFraction = fraction;
         double nowMs = loopContext.nowMs();
         for (ClientConnection connection : new ArrayList<>(connections)) {
-            if (closesWhenIdle(connection) && connection.isIdle() && (draining || connection.hasHadTimeToAsk(nowMs))) {
+            if (closesWhenIdle(connection)
+                    && connection.isIdle()
+                    && (draining || connection.hasHadTimeToSendCommand(nowMs))) {
                 connection.finish();
             }
         }
@@ -266,7 +268,7 @@
 
     @Override
     public double queuedSinceMs() {
-        return acceptQueue.accepted();
+        return acceptQueue.connectionAccepted();
     }
 
     @Override
--- a/src/main/java/cacheproxy/proxy/client/ListenerBootstrap.java
+++ b/src/main/java/cacheproxy/proxy/client/ListenerBootstrap.java
@@ -34,7 +34,7 @@
                 .handler(listeningHandler)
                 .childOption(ChannelOption.TCP_NODELAY, true)
                 .childOption(ChannelOption.WRITE_BUFFER_WATER_MARK, WATER_MARK)
-                .childOption(ChannelOption.RECVBUF_ALLOCATOR, Transport.reads())
+                .childOption(ChannelOption.RECVBUF_ALLOCATOR, Transport.newReadBufferAllocator())
                 .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel accepted) {
--- a/src/main/java/cacheproxy/proxy/client/PendingResponse.java
+++ b/src/main/java/cacheproxy/proxy/client/PendingResponse.java
@@ -31,15 +31,15 @@
 
     private RequestHandler.Handle handle;
     /** What is ready to be written; null if there is nothing, or it has been written. */
-    private ByteBuf ready;
+    private ByteBuf readyBytes;
     /** Whether all of the response is known. */
     private boolean complete;
     /** Whether a value that is passed on in parts has begun. */
-    private boolean begun;
+    private boolean valueBegun;
     /** Where the rest of such a value comes from. */
     private ValueSource source;
 
-    private boolean streaming;
+    private boolean streamOpen;
 
     /**
      * The response to a command.
@@ -65,7 +65,7 @@
 
     /** Whether the client has got nothing of the response yet. */
     boolean isUnanswered() {
-        return !complete && !begun;
+        return !complete && !valueBegun;
     }
 
     boolean isComplete() {
@@ -75,16 +75,16 @@
     /** Writes, without flushing, what is ready; returns whether there was anything. */
     @SuppressWarnings("FutureReturnValueIgnored") // a failed write closes the channel, and the close is handled
     boolean writeReady(ChannelHandlerContext ctx) {
-        if (ready == null) {
+        if (readyBytes == null) {
             return false;
         }
-        ctx.write(ready);
-        ready = null;
+        ctx.write(readyBytes);
+        readyBytes = null;
         return true;
     }
 
     /** Pauses the source of a value unless this response is the next one and the client takes what is written. */
-    void regulateSource(boolean isNext, ChannelHandlerContext ctx) {
+    void updateFlowControl(boolean isNext, ChannelHandlerContext ctx) {
         if (source != null) {
             source.setPaused(!isNext || !ctx.channel().isWritable());
         }
@@ -105,9 +105,9 @@
             request.release(loopContext);
             request = null;
         }
-        if (ready != null) {
-            ready.release();
-            ready = null;
+        if (readyBytes != null) {
+            readyBytes.release();
+            readyBytes = null;
         }
         if (source != null) {
             source.setPaused(false);
@@ -124,7 +124,7 @@
     }
 
     private void complete(ByteBuf response) {
-        if (complete || begun) {
+        if (complete || valueBegun) {
             connection
                     .loopContext()
                     .invariants()
@@ -132,7 +132,7 @@
             response.release();
             return;
         }
-        ready = response;
+        readyBytes = response;
         complete = true;
         handle = null;
         connection.writeResponses();
@@ -180,9 +180,9 @@
     @Override
     public void beginValue(int lengthBytes, ValueSource valueSource) {
         source = valueSource;
-        begun = true;
+        valueBegun = true;
         int maxUnwrittenBytes = connection.loopContext().streamOpened();
-        streaming = true;
+        streamOpen = true;
         connection.setWriteBufferWaterMark(new WriteBufferWaterMark(maxUnwrittenBytes / 2, maxUnwrittenBytes));
         valuePart(MetaCodec.ascii(connection.allocator(), "VA " + lengthBytes + echo + "\r\n"));
     }
@@ -191,16 +191,16 @@
     public void valuePart(ByteBuf part) {
         if (connection.isFinished()) {
             part.release();
-        } else if (ready == null) {
-            ready = part;
+        } else if (readyBytes == null) {
+            readyBytes = part;
         } else {
-            CompositeByteBuf parts = ready instanceof CompositeByteBuf composite
+            CompositeByteBuf parts = readyBytes instanceof CompositeByteBuf composite
                     ? composite
                     : connection
                             .allocator()
                             .compositeBuffer(MAX_COMPOSITE_PARTS)
-                            .addComponent(true, ready);
-            ready = parts.addComponent(true, part);
+                            .addComponent(true, readyBytes);
+            readyBytes = parts.addComponent(true, part);
         }
         connection.writeResponses();
     }
@@ -230,8 +230,8 @@
 
     private void streamEnded() {
         source = null;
-        if (streaming) {
-            streaming = false;
+        if (streamOpen) {
+            streamOpen = false;
             connection.loopContext().streamClosed();
         }
     }
--- a/src/main/java/cacheproxy/proxy/client/PlatformMetaProtocol.java
+++ b/src/main/java/cacheproxy/proxy/client/PlatformMetaProtocol.java
@@ -30,8 +30,8 @@
             valueBytes = MetaCodec.parseLength(length);
             flagsIndex += length.length() + 1;
         }
-        String id = MetaCodec.flag(line, flagsIndex, 'O');
-        String attributes = MetaCodec.flag(line, flagsIndex, 'P');
+        String id = MetaCodec.flagArgument(line, flagsIndex, 'O');
+        String attributes = MetaCodec.flagArgument(line, flagsIndex, 'P');
         // Bytes other than printable ASCII can't be passed on unchanged, least of all in a header to the origin.
         boolean valid =
                 isValidKey(key) && id != null && !id.isEmpty() && attributes != null && MetaCodec.isPrintable(line);
--- a/src/main/java/cacheproxy/proxy/client/ReadControl.java
+++ b/src/main/java/cacheproxy/proxy/client/ReadControl.java
@@ -14,9 +14,9 @@
     /** The earliest time that the bytes last read may have arrived. */
     private double unreadSinceMs;
     /** The earliest time that bytes may have arrived that are read after accepting the connection, or after a pause. */
-    private double heldSinceMs;
+    private double unreadSincePauseMs;
     /** The event loop's turn in which the connection was accepted or the last pause ended. */
-    private long heldUntilTurn;
+    private long resumeTurn;
 
     ReadControl(EventLoopContext loopContext) {
         this.loopContext = loopContext;
@@ -24,16 +24,16 @@
 
     /** The connection has been accepted; it may have waited for that since {@code queuedSinceMs}. */
     void accepted(double queuedSinceMs) {
-        heldSinceMs = queuedSinceMs;
-        heldUntilTurn = loopContext.turn();
+        unreadSincePauseMs = queuedSinceMs;
+        resumeTurn = loopContext.turn();
         unreadSinceMs = queuedSinceMs;
     }
 
     /** Bytes have been read from the socket. */
     void bytesRead() {
         unreadSinceMs = loopContext.unreadSinceMs();
-        if (loopContext.follows(heldUntilTurn)) {
-            unreadSinceMs = Math.min(unreadSinceMs, heldSinceMs);
+        if (loopContext.follows(resumeTurn)) {
+            unreadSinceMs = Math.min(unreadSinceMs, unreadSincePauseMs);
         }
     }
 
@@ -49,7 +49,7 @@
     /** Stops reading from the socket. */
     void pause(ChannelHandlerContext ctx) {
         if (!paused) {
-            heldSinceMs = loopContext.nowMs();
+            unreadSincePauseMs = loopContext.nowMs();
         }
         paused = true;
         ctx.channel().config().setAutoRead(false);
@@ -61,7 +61,7 @@
             return;
         }
         paused = false;
-        heldUntilTurn = loopContext.turn();
+        resumeTurn = loopContext.turn();
         ctx.channel().config().setAutoRead(true);
         // The decoder may hold bytes that were read before the pause; an empty buffer makes it decode them.
         ctx.executor().execute(() -> ctx.pipeline().fireChannelRead(Unpooled.EMPTY_BUFFER));
--- a/src/main/java/cacheproxy/proxy/client/ResponseQueue.java
+++ b/src/main/java/cacheproxy/proxy/client/ResponseQueue.java
@@ -56,9 +56,9 @@
     }
 
     /** Lets the first response's source go on while the client takes what is written, and pauses all others. */
-    void regulateSources(ChannelHandlerContext ctx) {
+    void updateFlowControl(ChannelHandlerContext ctx) {
         for (PendingResponse response : pending) {
-            response.regulateSource(response == pending.peek(), ctx);
+            response.updateFlowControl(response == pending.peek(), ctx);
         }
     }
 
--- a/src/main/java/cacheproxy/proxy/client/StandardMetaProtocol.java
+++ b/src/main/java/cacheproxy/proxy/client/StandardMetaProtocol.java
@@ -19,7 +19,7 @@
 
     private final String readDefaults;
     private final String writeDefaults;
-    private final Set<String> keyedClasses;
+    private final Set<String> deduplicatedClasses;
     private final Supplier<String> idGenerator;
 
     /**
@@ -33,10 +33,10 @@
      * @param idGenerator ids for new requests
      */
     public StandardMetaProtocol(
-            String readDefaults, String writeDefaults, Set<String> keyedClasses, Supplier<String> idGenerator) {
+            String readDefaults, String writeDefaults, Set<String> deduplicatedClasses, Supplier<String> idGenerator) {
         this.readDefaults = readDefaults;
         this.writeDefaults = writeDefaults;
-        this.keyedClasses = keyedClasses;
+        this.deduplicatedClasses = deduplicatedClasses;
         this.idGenerator = idGenerator;
     }
 
@@ -61,7 +61,7 @@
         String key = MetaCodec.tokenAt(line, COMMAND_LENGTH);
         Flags flags = new Flags();
         String error = validate(line, key, COMMAND_LENGTH + key.length() + 1, READ_FLAGS, flags);
-        if (error == null && !flags.valueWanted) {
+        if (error == null && !flags.valueRequested) {
             error = "CLIENT_ERROR mg needs the flag v";
         }
         if (error == null) {
@@ -95,9 +95,10 @@
 
     private ClientRequest writeRequest(String key, int valueBytes, String attributes) {
         String id = idGenerator.get();
-        boolean needsKey = keyedClasses.contains(MetaCodec.attribute(attributes, "c"))
+        boolean needsDeduplicationKey = deduplicatedClasses.contains(MetaCodec.attribute(attributes, "c"))
                 && MetaCodec.attributeValueIndex(attributes, "k") < 0;
-        return ClientRequest.of(key, id, true, valueBytes, needsKey ? attributes + ",k=" + id : attributes);
+        return ClientRequest.of(
+                key, id, true, valueBytes, needsDeduplicationKey ? attributes + ",k=" + id : attributes);
     }
 
     /** Checks the key and characters and reads the flags; returns the error line, or null if there is no error. */
@@ -113,7 +114,7 @@
         private String opaque;
         private String attributes = "";
         private boolean echoKey;
-        private boolean valueWanted;
+        private boolean valueRequested;
 
         /** Reads the flags from this index on; returns the error line for the first unsupported one, else null. */
         String read(String line, int from, String supported) {
@@ -140,7 +141,7 @@
                 case 'O' -> opaque = line.substring(argumentStart, argumentEnd);
                 case 'P' -> attributes = line.substring(argumentStart, argumentEnd);
                 case 'k' -> echoKey = true;
-                default -> valueWanted = true;
+                default -> valueRequested = true;
             }
         }
 
--- a/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
@@ -31,7 +31,7 @@
     /** Over at most this, the proxies spread their polls of a discovery that is silent. */
     private static final double MAX_STAGGER_FRACTION = 0.25;
 
-    private final EventLoopContext core;
+    private final EventLoopContext context;
     private final DiscoverySource source;
     private final EndpointListConsumer pool;
     private final WatchCoordination coordination;
@@ -47,50 +47,57 @@
     private final double announcementDelayMs;
 
     /** Creates a client that always long-polls. */
-    public DiscoveryClient(EventLoopContext core, DiscoverySource source, EndpointListConsumer pool) {
-        this(core, source, pool, WatchCoordination.NONE);
+    public DiscoveryClient(EventLoopContext context, DiscoverySource source, EndpointListConsumer pool) {
+        this(context, source, pool, WatchCoordination.NONE);
     }
 
     /** Creates a client that long-polls while the coordination says so. */
     public DiscoveryClient(
-            EventLoopContext core, DiscoverySource source, EndpointListConsumer pool, WatchCoordination coordination) {
-        this.core = core;
+            EventLoopContext context,
+            DiscoverySource source,
+            EndpointListConsumer pool,
+            WatchCoordination coordination) {
+        this.context = context;
         this.source = source;
         this.pool = pool;
         this.coordination = coordination;
         parser = new EndpointListParser(source.zones(), source.serverKinds());
-        fetches = new DiscoveryConnection(core);
+        fetches = new DiscoveryConnection(context);
         PolicySettings settings = pool.settings();
         DiscoveryPollScheduler scheduler = new DiscoveryPollScheduler(
-                source.onRequest(), settings.instanceCount(), new SplittableRandom(pool.seed()));
-        polls = new LongPollLoop(core, scheduler, source.address(), version, this::apply);
-        scheduler.setLongPolling(core.nowMs(), shouldLongPoll());
+                source.onDemand(), settings.instanceCount(), new SplittableRandom(pool.seed()));
+        polls = new LongPollLoop(context, scheduler, source.address(), version, this::apply);
+        scheduler.setLongPolling(context.nowMs(), shouldLongPoll());
         double maxPollAgeMs = settings.maxPollAgeMs();
         double staggerMs =
                 Math.min(maxPollAgeMs * MAX_STAGGER_FRACTION, settings.instanceCount() * settings.connectTimeoutMs());
-        double place = (double) settings.instanceIndex() / Math.max(1, settings.instanceCount());
+        double positionInFleet = (double) settings.instanceIndex() / Math.max(1, settings.instanceCount());
         SilentWatchDetector detector = new SilentWatchDetector(
-                maxPollAgeMs * REPORT_DELAY_FRACTION, maxPollAgeMs * SHORT_REPORT_DELAY_FRACTION, staggerMs * place);
-        silentWatch = new SilentWatchMonitor(core, detector, polls);
-        announcementDelayMs = maxPollAgeMs * ANNOUNCEMENT_SPREAD_FRACTION * place;
+                maxPollAgeMs * REPORT_DELAY_FRACTION,
+                maxPollAgeMs * SHORT_REPORT_DELAY_FRACTION,
+                staggerMs * positionInFleet);
+        silentWatch = new SilentWatchMonitor(context, detector, polls);
+        announcementDelayMs = maxPollAgeMs * ANNOUNCEMENT_SPREAD_FRACTION * positionInFleet;
     }
 
     /** Hands over the list of the configuration, if any, and follows discovery unless the policy is to ask for that. */
     public void start() {
-        List<ListedServer> known = List.of();
+        List<ListedServer> initialServers = List.of();
         if (source.initialList() != null) {
             try {
-                known = parser.servers(source.initialList());
+                initialServers = parser.servers(source.initialList());
                 version.reset(parser.version(source.initialList()));
             } catch (RuntimeException e) {
                 pool.log("the list in the configuration is of no use: " + e.getMessage());
             }
         }
-        pool.listed(EndpointListKind.CACHED, known);
+        pool.endpointListReceived(EndpointListKind.CACHED, initialServers);
         silentWatch.listReceived(
-                version.held(), true, known.stream().map(ListedServer::endpoint).toList());
-        core.addServerObserver(this);
-        if (!source.onRequest()) {
+                version.held(),
+                true,
+                initialServers.stream().map(ListedServer::endpoint).toList());
+        context.addServerObserver(this);
+        if (!source.onDemand()) {
             watch(true);
         }
     }
@@ -132,23 +139,23 @@
     @Override
     public void close() {
         polls.close();
-        core.servers().removeObserver(this);
+        context.servers().removeObserver(this);
         fetches.close();
     }
 
     @Override
     public void fetch() {
         if (!polls.isClosed()) {
-            fetches.get(polls.address(), "/discovery/hosts", FETCH_TIMEOUT_MS, this::fetched);
+            fetches.get(polls.address(), "/discovery/hosts", FETCH_TIMEOUT_MS, this::listFetched);
         }
     }
 
-    private void fetched(DiscoveryResponse response) {
+    private void listFetched(DiscoveryResponse response) {
         try {
             apply(response.body());
         } catch (RuntimeException e) {
             pool.log("discovery: " + e.getMessage());
-            pool.listed(EndpointListKind.FAILED, List.of());
+            pool.endpointListReceived(EndpointListKind.FAILED, List.of());
         }
     }
 
@@ -161,11 +168,12 @@
         EndpointListUpdate update = parser.parse(list);
         if (version.accept(update)) {
             gossip.versionChanged();
-            core.after(announcementDelayMs, this::announceVersion);
+            context.after(announcementDelayMs, this::announceVersion);
         }
         coordination.listReceived(update.version());
         silentWatch.listReceived(update.version(), update.complete(), update.endpoints());
-        pool.listed(update.complete() ? EndpointListKind.FULL : EndpointListKind.CHANGES, update.servers());
+        pool.endpointListReceived(
+                update.complete() ? EndpointListKind.FULL : EndpointListKind.CHANGES, update.servers());
     }
 
     private void announceVersion() {
--- a/src/main/java/cacheproxy/proxy/discovery/DiscoverySource.java
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoverySource.java
@@ -16,6 +16,6 @@
 public record DiscoverySource(
         InetSocketAddress address,
         JsonObject initialList,
-        boolean onRequest,
+        boolean onDemand,
         List<String> zones,
         List<String> serverKinds) {}
--- a/src/main/java/cacheproxy/proxy/discovery/EndpointListConsumer.java
+++ b/src/main/java/cacheproxy/proxy/discovery/EndpointListConsumer.java
@@ -13,7 +13,7 @@
     long seed();
 
     /** Takes over a list or the changes of one. */
-    void listed(EndpointListKind kind, List<ListedServer> hosts);
+    void endpointListReceived(EndpointListKind kind, List<ListedServer> servers);
 
     /** Sends a message to another proxy, or to all if the number is negative. */
     void sendToPeer(int peer, byte[] message);
--- a/src/main/java/cacheproxy/proxy/discovery/ListVersion.java
+++ b/src/main/java/cacheproxy/proxy/discovery/ListVersion.java
@@ -4,7 +4,7 @@
 final class ListVersion {
     private long version;
     /** Whether the last response was older than the list held, so that the next poll requests the complete list. */
-    private boolean completeListWanted;
+    private boolean completeListNeeded;
 
     /** The version held; 0 if there is no list. */
     long held() {
@@ -13,13 +13,13 @@
 
     /** The version since which to request changes; 0 requests the complete list. */
     long since() {
-        return completeListWanted ? 0 : version;
+        return completeListNeeded ? 0 : version;
     }
 
     /** Takes over the version of a list from another source than discovery, or 0 to start again without a list. */
     void reset(long initial) {
         version = initial;
-        completeListWanted = false;
+        completeListNeeded = false;
     }
 
     /**
@@ -30,11 +30,11 @@
      * @throws DiscoveryException if the response must not replace the list held
      */
     boolean accept(EndpointListUpdate update) {
-        if (update.version() < version && !(update.complete() && completeListWanted)) {
-            completeListWanted = update.complete();
+        if (update.version() < version && !(update.complete() && completeListNeeded)) {
+            completeListNeeded = update.complete();
             throw new DiscoveryException("version " + update.version() + " after " + version);
         }
-        completeListWanted = false;
+        completeListNeeded = false;
         boolean newer = update.version() > version;
         version = update.version();
         return newer;
--- a/src/main/java/cacheproxy/proxy/discovery/LongPollLoop.java
+++ b/src/main/java/cacheproxy/proxy/discovery/LongPollLoop.java
@@ -136,10 +136,10 @@
                 address,
                 "/discovery/hosts?since=" + version.since() + "&timeout_ms=" + poll.waitMs(),
                 poll.timeoutMs(),
-                this::ended);
+                this::pollEnded);
     }
 
-    private void ended(DiscoveryResponse response) {
+    private void pollEnded(DiscoveryResponse response) {
         try {
             onList.accept(response.body());
             scheduler.succeeded(context.nowMs());
--- a/src/main/java/cacheproxy/proxy/dispatch/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/Dispatcher.java
@@ -142,7 +142,7 @@
     // ---- servers
 
     @Override
-    public void listed(EndpointListKind kind, List<ListedServer> hosts) {
+    public void endpointListReceived(EndpointListKind kind, List<ListedServer> hosts) {
         servers.apply(kind, hosts);
         events.endpointListReceived(
                 kind, hosts.stream().map(ListedServer::endpoint).toList());
--- a/src/main/java/cacheproxy/proxy/net/EventLoopClock.java
+++ b/src/main/java/cacheproxy/proxy/net/EventLoopClock.java
@@ -18,17 +18,17 @@
 
     /** The time now; from any thread. */
     public double nowMs() {
-        return at(System.nanoTime());
+        return toEpochMs(System.nanoTime());
     }
 
-    private double at(long nanos) {
+    private double toEpochMs(long nanos) {
         return epochMs + (nanos - startNanos) / NANOS_PER_MS;
     }
 
     /** Since when data read now may have waited unread. To be called before anything else that reads. */
     public double unreadSinceMs() {
         long nowNanos = System.nanoTime();
-        return at(nowNanos) - polls.unreadForMs(nowNanos);
+        return toEpochMs(nowNanos) - polls.unreadForMs(nowNanos);
     }
 
     /** The number of the loop's polls so far; 0 if it does not report them. */
@@ -47,7 +47,7 @@
     }
 
     /** An event is handled: what is read later in this turn may have waited since now. */
-    public void handling() {
-        polls.handling(System.nanoTime());
+    public void recordEventHandling() {
+        polls.recordEventHandling(System.nanoTime());
     }
 }
--- a/src/main/java/cacheproxy/proxy/net/PollClock.java
+++ b/src/main/java/cacheproxy/proxy/net/PollClock.java
@@ -22,7 +22,7 @@
 
     private static final long MAX_POLL_NANOS = (long) (MAX_POLL_MS * 1e6);
     /** Events that have waited for so long show a loop that is behind: half of what a close may go unnoticed. */
-    static final double BEHIND_MS = 50;
+    static final double BEHIND_THRESHOLD_MS = 50;
     /**
      * A poll that lasts longer may hide a pause; an idle loop's polls last for a heartbeat, and few end just before.
      */
@@ -31,38 +31,39 @@
     /** Number of the current iteration of the loop, which begins with a poll. */
     private long turn;
     /** When the poll of this turn began. */
-    private long pollNanos;
+    private long pollStartNanos;
     /** When the first event of this turn was handled; valid if {@link #handled}. */
-    private long handledNanos;
+    private long firstEventNanos;
 
-    private boolean handled;
+    private boolean eventHandled;
     /** How long the previous turn spent in handling events, or in a poll that met a pause. */
-    private long previousBusyNanos;
+    private long previousTurnBusyNanos;
 
     /** Returns the factory of an event loop that reports each poll to this clock. */
-    public IoHandlerFactory watch(Transport transport) {
+    public IoHandlerFactory newIoHandlerFactory(Transport transport) {
         SelectStrategyFactory strategies = () -> (selectNow, hasTasks) -> {
-            polling(System.nanoTime());
+            recordPoll(System.nanoTime());
             return hasTasks ? selectNow.get() : SelectStrategy.SELECT;
         };
         return transport.io(strategies);
     }
 
     /** The loop is about to poll its sockets. */
-    void polling(long nowNanos) {
+    void recordPoll(long nowNanos) {
         if (turn > 0) {
-            previousBusyNanos = handled || paused(nowNanos) ? nowNanos - unpolledSinceNanos(nowNanos) : 0;
+            previousTurnBusyNanos =
+                    eventHandled || hasPollPaused(nowNanos) ? nowNanos - unpolledSinceNanos(nowNanos) : 0;
         }
-        pollNanos = nowNanos;
-        handled = false;
+        pollStartNanos = nowNanos;
+        eventHandled = false;
         turn++;
     }
 
     /** The loop handles an event; only the first call of each turn has an effect. */
-    public void handling(long nowNanos) {
-        if (!handled) {
-            handled = true;
-            handledNanos = nowNanos;
+    public void recordEventHandling(long nowNanos) {
+        if (!eventHandled) {
+            eventHandled = true;
+            firstEventNanos = nowNanos;
         }
     }
 
@@ -73,11 +74,11 @@
 
     /** Upper bound of the time, in milliseconds, for which data read now has been unread, apart from short pauses. */
     public double unreadForMs(long nowNanos) {
-        handling(nowNanos);
+        recordEventHandling(nowNanos);
         if (turn == 0) {
             return 0;
         }
-        long since = unpolledSinceNanos(nowNanos) - previousBusyNanos;
+        long since = unpolledSinceNanos(nowNanos) - previousTurnBusyNanos;
         return (nowNanos - since) / (double) TimeUnit.MILLISECONDS.toNanos(1);
     }
 
@@ -86,12 +87,12 @@
      * this turn may have returned before a pause that is shorter than a poll may last.
      */
     public boolean isBehind(long nowNanos) {
-        return unreadForMs(nowNanos) > BEHIND_MS || nowNanos - pollNanos > LONG_POLL_NANOS;
+        return unreadForMs(nowNanos) > BEHIND_THRESHOLD_MS || nowNanos - pollStartNanos > LONG_POLL_NANOS;
     }
 
     /** Whether the poll of this turn has met a pause; if no event has been handled yet, by now. */
-    private boolean paused(long nowNanos) {
-        return (handled ? handledNanos : nowNanos) - pollNanos > MAX_POLL_NANOS;
+    private boolean hasPollPaused(long nowNanos) {
+        return (eventHandled ? firstEventNanos : nowNanos) - pollStartNanos > MAX_POLL_NANOS;
     }
 
     /**
@@ -99,6 +100,6 @@
      * events that occurred during the pause.
      */
     private long unpolledSinceNanos(long nowNanos) {
-        return paused(nowNanos) ? pollNanos : handledNanos;
+        return hasPollPaused(nowNanos) ? pollStartNanos : firstEventNanos;
     }
 }
--- a/src/main/java/cacheproxy/proxy/net/TimerWheel.java
+++ b/src/main/java/cacheproxy/proxy/net/TimerWheel.java
@@ -110,7 +110,7 @@
     }
 
     private void runDue(long slot) {
-        polls.handling(System.nanoTime());
+        polls.recordEventHandling(System.nanoTime());
         if (slot != armedSlot) {
             return; // an earlier slot was armed after this one, and this one again after that
         }
--- a/src/main/java/cacheproxy/proxy/net/Transport.java
+++ b/src/main/java/cacheproxy/proxy/net/Transport.java
@@ -74,12 +74,12 @@
     }
 
     /** Creates an allocator for one channel's reads, whose sizes adapt to those of the reads before. */
-    public static RecvByteBufAllocator reads() {
+    public static RecvByteBufAllocator newReadBufferAllocator() {
         return new AdaptiveRecvByteBufAllocator(MIN_READ_BYTES, INITIAL_READ_BYTES, MAX_READ_BYTES);
     }
 
     /** The address of a Unix domain socket in the form that {@link #localServer} and {@link #localSocket} take. */
-    public SocketAddress local(Path path) {
+    public SocketAddress localAddress(Path path) {
         return socket == EpollSocketChannel.class
                 ? new DomainSocketAddress(path.toFile())
                 : UnixDomainSocketAddress.of(path);
--- a/src/main/java/cacheproxy/proxy/process/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/process/Proxy.java
@@ -37,7 +37,8 @@
     private static final double MAX_SHUTDOWN_DEADLINE_MS = 3000;
 
     private final PollClock polls = new PollClock();
-    private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, polls.watch(Transport.BEST));
+    private final MultiThreadIoEventLoopGroup group =
+            new MultiThreadIoEventLoopGroup(1, polls.newIoHandlerFactory(Transport.BEST));
     private final EventLoop loop = group.next();
     private final PlatformConfig config;
     private final EventLoopContext loopContext;
--- a/src/main/java/cacheproxy/proxy/process/WarmUp.java
+++ b/src/main/java/cacheproxy/proxy/process/WarmUp.java
@@ -140,7 +140,8 @@
         int nodeKind = originKind == 0 ? 1 : 0;
         List<ListedServer> hosts =
                 List.of(host(NODE_ID, nodeKind, node), host(ORIGIN_ID, Math.max(0, originKind), origin));
-        loop.submit(() -> dispatcher.listed(EndpointListKind.CACHED, hosts)).sync();
+        loop.submit(() -> dispatcher.endpointListReceived(EndpointListKind.CACHED, hosts))
+                .sync();
         channels.add(new Bootstrap()
                 .group(loop)
                 .channel(Transport.BEST.localSocket())
@@ -154,7 +155,7 @@
     private SocketAddress listen(String name, Supplier<ChannelHandler> handler) throws InterruptedException {
         Path path = folder.resolve(name);
         socketPaths.add(path);
-        SocketAddress address = Transport.BEST.local(path);
+        SocketAddress address = Transport.BEST.localAddress(path);
         channels.add(new ServerBootstrap()
                 .group(loop)
                 .channel(Transport.BEST.localServer())
@@ -195,7 +196,7 @@
             if (line == null) {
                 return;
             }
-            String id = MetaCodec.flag(line, 3, 'O');
+            String id = MetaCodec.flagArgument(line, 3, 'O');
             boolean miss = id.endsWith("0"); // ids are numbers of base 4
             String response = miss ? "EN O" + id + " h0\r\n" : "VA 5 O" + id + " h1\r\nhello\r\n";
             ctx.writeAndFlush(MetaCodec.ascii(ctx.alloc(), response));
--- a/src/main/java/cacheproxy/proxy/request/ClientRequest.java
+++ b/src/main/java/cacheproxy/proxy/request/ClientRequest.java
@@ -232,7 +232,7 @@
     /** Releases the request for one holder; the last one frees the value and what was reserved for it. */
     public void release(RequestAccounting accounting) {
         if (--referenceCount == 0 && value != null) {
-            accounting.giveBack(reservedBytes);
+            accounting.releaseReservedBytes(reservedBytes);
             value.release();
             value = null;
         }
--- a/src/main/java/cacheproxy/proxy/request/DeadlineField.java
+++ b/src/main/java/cacheproxy/proxy/request/DeadlineField.java
@@ -8,19 +8,19 @@
  * @param to the index behind the figure
  * @param prefix what has to stand before the figure if the attributes name no deadline; otherwise empty
  */
-record DeadlineField(int from, int to, String prefix) {
+record DeadlineField(int valueStart, int valueEnd, String prefix) {
     private static final String NAME = "d";
     private static final String SEPARATOR_AND_NAME = ",d=";
 
     /** Finds the deadline in attributes that name it at most once; see {@link #withoutRepeats}. */
     static DeadlineField in(String attributes) {
-        int from = MetaCodec.attributeValueIndex(attributes, NAME);
-        if (from < 0) {
+        int start = MetaCodec.attributeValueIndex(attributes, NAME);
+        if (start < 0) {
             int length = attributes.length();
             return new DeadlineField(length, length, attributes.isEmpty() ? "d=" : SEPARATOR_AND_NAME);
         }
-        int end = attributes.indexOf(',', from);
-        return new DeadlineField(from, end < 0 ? attributes.length() : end, "");
+        int end = attributes.indexOf(',', start);
+        return new DeadlineField(start, end < 0 ? attributes.length() : end, "");
     }
 
     /**
@@ -44,11 +44,11 @@
 
     /** The attributes before the figure. */
     String before(String attributes) {
-        return attributes.substring(0, from) + prefix;
+        return attributes.substring(0, valueStart) + prefix;
     }
 
     /** The attributes behind the figure. */
     String after(String attributes) {
-        return attributes.substring(to);
+        return attributes.substring(valueEnd);
     }
 }
--- a/src/main/java/cacheproxy/proxy/request/MetaCodec.java
+++ b/src/main/java/cacheproxy/proxy/request/MetaCodec.java
@@ -22,7 +22,7 @@
     public static final String BUSY_PREFIX = "SERVER_ERROR busy";
 
     /** The most figures that a load report has. */
-    private static final int MAX_REPORT_FIGURES = 4;
+    private static final int MAX_REPORT_METRICS = 4;
 
     private MetaCodec() {}
 
@@ -97,20 +97,20 @@
     }
 
     /** The argument of the first flag with this letter from the index on; null if there is none. */
-    public static String flag(String line, int from, char letter) {
-        int index = flagValueIndex(line, from, letter);
+    public static String flagArgument(String line, int from, char letter) {
+        int index = flagArgumentIndex(line, from, letter);
         return index < 0 ? null : tokenAt(line, index);
     }
 
     /** Whether the first flag with this letter from the index on has this argument. */
     public static boolean hasFlag(String line, int from, char letter, String argument) {
-        int index = flagValueIndex(line, from, letter);
+        int index = flagArgumentIndex(line, from, letter);
         int end = index + argument.length();
         return index >= 0 && line.startsWith(argument, index) && (end == line.length() || line.charAt(end) == ' ');
     }
 
     /** The index of the argument of the first flag with this letter; -1 if there is none. */
-    private static int flagValueIndex(String line, int from, char letter) {
+    private static int flagArgumentIndex(String line, int from, char letter) {
         int index = from;
         while (index >= 0 && index < line.length()) {
             if (line.charAt(index) == letter) {
@@ -150,7 +150,7 @@
         if (attributes == null || names.isEmpty()) {
             return null;
         }
-        float[] report = new float[Math.min(MAX_REPORT_FIGURES, names.size())];
+        float[] report = new float[Math.min(MAX_REPORT_METRICS, names.size())];
         for (int i = 0; i < report.length; i++) {
             String value = attribute(attributes, names.get(i));
             if (value == null) {
--- a/src/main/java/cacheproxy/proxy/request/RequestAccounting.java
+++ b/src/main/java/cacheproxy/proxy/request/RequestAccounting.java
@@ -9,5 +9,5 @@
     boolean openId(String id);
 
     /** Gives back memory that was reserved for a value. */
-    void giveBack(int bytes);
+    void releaseReservedBytes(int bytes);
 }
--- a/src/main/java/cacheproxy/proxy/request/RequestValidator.java
+++ b/src/main/java/cacheproxy/proxy/request/RequestValidator.java
@@ -78,21 +78,21 @@
         if (text == null) {
             return defaultMs;
         }
-        return decimal(text, 0);
+        return parseDecimal(text, 0);
     }
 
     /** A hint, which counts as absent if it is no decimal number or over its greatest value. */
     private static double hint(String attributes, String name, double maximum, double absent) {
         String text = MetaCodec.attribute(attributes, name);
-        double value = text == null ? absent : decimal(text, absent);
+        double value = text == null ? absent : parseDecimal(text, absent);
         return value <= maximum ? value : absent;
     }
 
     /** A number of decimal digits, without the signs, exponents, names and suffixes that Java reads as well. */
-    private static double decimal(String text, double invalid) {
-        boolean digitsAlone = text.chars().allMatch(digit -> (digit >= '0' && digit <= '9') || digit == '.');
+    private static double parseDecimal(String text, double invalid) {
+        boolean isDecimal = text.chars().allMatch(digit -> (digit >= '0' && digit <= '9') || digit == '.');
         try {
-            return digitsAlone ? Double.parseDouble(text) : invalid;
+            return isDecimal ? Double.parseDouble(text) : invalid;
         } catch (NumberFormatException e) {
             return invalid;
         }
--- a/src/main/java/cacheproxy/proxy/upstream/CacheCodec.java
+++ b/src/main/java/cacheproxy/proxy/upstream/CacheCodec.java
@@ -132,13 +132,13 @@
 
     private void onError(Attempt attempt, String line) {
         AttemptOutcome outcome = line.startsWith(MetaCodec.BUSY_PREFIX) ? AttemptOutcome.FULL : AttemptOutcome.ERROR;
-        String load = MetaCodec.flag(line, MetaCodec.BUSY_PREFIX.length() + 1, LOAD_FLAG);
+        String load = MetaCodec.flagArgument(line, MetaCodec.BUSY_PREFIX.length() + 1, LOAD_FLAG);
         responses.onResponse(outcome, CACHE_STATUS_UNKNOWN, attempt.protocol().reportOf(load));
     }
 
     private void onStored(Attempt attempt, String line) throws MetaCodec.SyntaxException {
         readFlags(attempt, line, STORED_PREFIX.length());
-        String receipt = MetaCodec.flag(line, STORED_PREFIX.length(), RECEIPT_FLAG);
+        String receipt = MetaCodec.flagArgument(line, STORED_PREFIX.length(), RECEIPT_FLAG);
         if (receipt == null && !attempt.protocol().stockServers()) {
             throw new MetaCodec.SyntaxException("no receipt");
         }
@@ -175,7 +175,7 @@
             throw new MetaCodec.SyntaxException("answer to another request");
         }
         cacheStatus = readCacheStatus(line, from);
-        report = attempt.protocol().reportOf(MetaCodec.flag(line, from, LOAD_FLAG));
+        report = attempt.protocol().reportOf(MetaCodec.flagArgument(line, from, LOAD_FLAG));
     }
 
     private static int readCacheStatus(String line, int from) {
@@ -185,7 +185,7 @@
         if (!MetaCodec.hasFlag(line, from, HIT_FLAG, "0")) {
             return CACHE_STATUS_UNKNOWN;
         }
-        boolean fetchPending = MetaCodec.flag(line, from, FETCH_PENDING_FLAG) != null;
+        boolean fetchPending = MetaCodec.flagArgument(line, from, FETCH_PENDING_FLAG) != null;
         return fetchPending ? PolicyApi.CACHE_STATUS_FETCH_PENDING : CACHE_STATUS_MISS;
     }
 
--- a/src/main/java/cacheproxy/proxy/upstream/EventLoopContext.java
+++ b/src/main/java/cacheproxy/proxy/upstream/EventLoopContext.java
@@ -98,7 +98,7 @@
 
     /** An event is handled: what is read later in this turn may have waited since now. */
     void handling() {
-        clock.handling();
+        clock.recordEventHandling();
     }
 
     /** Wakes the loop often enough for {@link #unreadSinceMs} to notice pauses. To be called once, from any thread. */
@@ -164,7 +164,7 @@
 
     /** Gives back reserved memory. */
     @Override
-    public void giveBack(int bytes) {
+    public void releaseReservedBytes(int bytes) {
         valueBytes.release(bytes);
     }
 
--- a/src/main/java/cacheproxy/proxy/upstream/UpstreamBootstraps.java
+++ b/src/main/java/cacheproxy/proxy/upstream/UpstreamBootstraps.java
@@ -28,7 +28,7 @@
                 .group(loop)
                 .channel(channelType)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) connectTimeoutMs)
-                .option(ChannelOption.RECVBUF_ALLOCATOR, Transport.reads());
+                .option(ChannelOption.RECVBUF_ALLOCATOR, Transport.newReadBufferAllocator());
         if (channelType == Transport.BEST.socket()) {
             bootstrap.option(ChannelOption.SO_RCVBUF, RECEIVE_BUFFER_BYTES);
             bootstrap.option(ChannelOption.TCP_NODELAY, true);
--- a/src/test/java/cacheproxy/proxy/client/ClientConnectionTest.java
+++ b/src/test/java/cacheproxy/proxy/client/ClientConnectionTest.java
@@ -19,7 +19,7 @@
 
 /** What clients do to the proxy, on loopback sockets. */
 class ClientConnectionTest {
-    private static String hit(String command) {
+    private static String hitResponse(String command) {
         return "VA 5 O" + ScriptedServer.id(command) + " h1\r\nhello\r\n";
     }
 
@@ -52,7 +52,7 @@
     @Test
     void respondsInOrderToSplitAndPipelinedCommands() throws Exception {
         try (Fleet fleet = new Fleet()
-                        .node(ScriptedServer.node(ClientConnectionTest::hit))
+                        .node(ScriptedServer.node(ClientConnectionTest::hitResponse))
                         .start();
                 Fleet.Client client = fleet.client()) {
             client.say("m").say("n\r").say("\n");
@@ -75,7 +75,7 @@
             if (ScriptedServer.id(line).equals("1")) {
                 second.await();
             }
-            connection.say(hit(line));
+            connection.say(hitResponse(line));
             second.countDown();
             connection.awaitEnd();
         });
@@ -90,7 +90,7 @@
 
     @Test
     void passesCommandOnUnchangedExceptDeadline() throws Exception {
-        ScriptedServer node = ScriptedServer.node(ClientConnectionTest::hit);
+        ScriptedServer node = ScriptedServer.node(ClientConnectionTest::hitResponse);
         try (Fleet fleet = new Fleet().node(node).start();
                 Fleet.Client client = fleet.client()) {
             client.say("mg 7f3a v Oab12 Pc=text,t=acme,d=20000,r=1 q\r\n");
@@ -161,36 +161,37 @@
         CountDownLatch stopped = new CountDownLatch(1);
         ScriptedServer node = new ScriptedServer(connection -> {
             String first = connection.command();
-            connection.say(hit(first));
+            connection.say(hitResponse(first));
             String second = connection.command();
             stopped.await();
-            connection.say(hit(second));
+            connection.say(hitResponse(second));
             connection.awaitEnd();
         });
         try (Fleet fleet = new Fleet().node(node).start();
                 Fleet.Client idle = fleet.client();
-                Fleet.Client owed = fleet.client()) {
+                Fleet.Client waiting = fleet.client()) {
             idle.read("1");
             assertThat(idle.line()).isEqualTo("VA 5 O1");
             assertThat(idle.line()).isEqualTo("hello");
             long begun = System.nanoTime();
-            owed.say("mg 7f3a9c21e0b4d655 v O2 Pc=text,d=20000\r\nmg 7f3a9c");
+            waiting.say("mg 7f3a9c21e0b4d655 v O2 Pc=text,d=20000\r\nmg 7f3a9c");
             idle.say("ms 7f3a 5 O3 Pc=fix,d=20000\r\nhe");
             assertThat(idle.ended()).isTrue();
             assertThat((System.nanoTime() - begun) / 1e9)
                     .as("seconds; 10 would be those of an answer that is not taken")
                     .isLessThan(6);
             stopped.countDown();
-            assertThat(owed.line()).isEqualTo("VA 5 O2");
-            assertThat(owed.line()).isEqualTo("hello");
-            assertThat(owed.ended()).isTrue();
+            assertThat(waiting.line()).isEqualTo("VA 5 O2");
+            assertThat(waiting.line()).isEqualTo("hello");
+            assertThat(waiting.ended()).isTrue();
         }
     }
 
     @Test
     void reportsInvalidCommandsAndClosesOnlyWhenFramingIsLost() throws Exception {
-        try (Fleet fleet =
-                new Fleet().node(ScriptedServer.node(ClientConnectionTest::hit)).start()) {
+        try (Fleet fleet = new Fleet()
+                .node(ScriptedServer.node(ClientConnectionTest::hitResponse))
+                .start()) {
             try (Fleet.Client client = fleet.client()) {
                 client.say("mg 7f3a v\r\n")
                         .say("ms 7f3a 5 v\r\nhello\r\n")
@@ -201,15 +202,15 @@
                 assertThat(client.line()).startsWith("CLIENT_ERROR");
                 assertThat(client.line()).isEqualTo("VA 5 O2");
             }
-            for (String lost : new String[] {
+            for (String unframed : new String[] {
                 "ms 7f3a -5 O1 Pc=fix,d=500\r\n",
                 "ms 7f3a 5 O1 Pc=fix,d=500\r\nhelloXX",
                 "ms 7f3a 4194305 O1 Pc=fix,d=500\r\n",
                 "x".repeat(MetaCodec.MAX_LINE_BYTES)
             }) {
                 try (Fleet.Client client = fleet.client()) {
-                    client.say(lost);
-                    assertThat(client.line()).as(lost.substring(0, 10)).startsWith("CLIENT_ERROR");
+                    client.say(unframed);
+                    assertThat(client.line()).as(unframed.substring(0, 10)).startsWith("CLIENT_ERROR");
                     assertThat(client.ended()).isTrue();
                 }
             }
@@ -218,7 +219,7 @@
 
     @Test
     void rejectsInvalidDeadlineWithoutSendingRequest() throws Exception {
-        ScriptedServer node = ScriptedServer.node(ClientConnectionTest::hit);
+        ScriptedServer node = ScriptedServer.node(ClientConnectionTest::hitResponse);
         try (Fleet fleet = new Fleet().node(node).start();
                 Fleet.Client client = fleet.client()) {
             for (String deadline :
@@ -238,17 +239,17 @@
         ScriptedServer node = new ScriptedServer(connection -> {
             for (String line; (line = connection.command()) != null; ) {
                 release.await();
-                connection.say(hit(line));
+                connection.say(hitResponse(line));
             }
         });
         try (Fleet fleet = new Fleet().node(node).start();
                 Fleet.Client client = fleet.client();
-                Fleet.Client thief = fleet.client()) {
+                Fleet.Client other = fleet.client()) {
             client.read("1");
             node.next();
-            thief.say("mg 7f3b v O1 Pc=text,d=20000\r\nms 7f3b 5 O1 Pc=fix,d=20000\r\nhello\r\n");
-            assertThat(thief.line()).startsWith("CLIENT_ERROR");
-            assertThat(thief.line()).startsWith("CLIENT_ERROR");
+            other.say("mg 7f3b v O1 Pc=text,d=20000\r\nms 7f3b 5 O1 Pc=fix,d=20000\r\nhello\r\n");
+            assertThat(other.line()).startsWith("CLIENT_ERROR");
+            assertThat(other.line()).startsWith("CLIENT_ERROR");
             release.countDown();
             assertThat(client.line()).isEqualTo("VA 5 O1");
             client.line();
@@ -258,20 +259,20 @@
     }
 
     @Test
-    void closesConnectionsWithoutWholeCommandAndKeepsOthers() throws Exception {
+    void closesConnectionsWithoutCompleteCommandAndKeepsOthers() throws Exception {
         try (Fleet fleet = new Fleet()
-                        .node(ScriptedServer.node(ClientConnectionTest::hit))
+                        .node(ScriptedServer.node(ClientConnectionTest::hitResponse))
                         .start();
                 Fleet.Client used = fleet.client();
                 Fleet.Client silent = fleet.client();
-                Fleet.Client half = fleet.client();
-                Fleet.Client cut = fleet.client()) {
+                Fleet.Client partialCommand = fleet.client();
+                Fleet.Client partialValue = fleet.client()) {
             assertThat(used.say("mn\r\n").line()).isEqualTo("MN");
-            half.say("mg 7f3a");
-            cut.say("ms 7f3a 500 O1 Pc=fix,d=20000\r\nhello\r\n");
+            partialCommand.say("mg 7f3a");
+            partialValue.say("ms 7f3a 500 O1 Pc=fix,d=20000\r\nhello\r\n");
             assertThat(silent.ended()).isTrue();
-            assertThat(half.ended()).isTrue();
-            assertThat(cut.ended()).isTrue();
+            assertThat(partialCommand.ended()).isTrue();
+            assertThat(partialValue.ended()).isTrue();
             used.read("1");
             assertThat(used.line()).isEqualTo("VA 5 O1");
         }
@@ -304,7 +305,7 @@
         ScriptedServer node = new ScriptedServer(connection -> {
             for (String line; (line = connection.command()) != null; ) {
                 release.await();
-                connection.say(hit(line));
+                connection.say(hitResponse(line));
             }
         });
         Fleet setup = new Fleet().node(node);
@@ -347,14 +348,14 @@
 
     @Test
     @Timeout(60)
-    void keepsNothingOfConcludedRequests() throws Exception {
+    void keepsNoStateOfCompletedRequests() throws Exception {
         ScriptedServer node = new ScriptedServer(connection -> {
             for (String line; (line = connection.command()) != null; ) {
                 if (!ScriptedServer.id(line).equals("silent")) {
                     connection.say(
                             ScriptedServer.id(line).startsWith("m")
                                     ? "EN O" + ScriptedServer.id(line) + " h0\r\n"
-                                    : hit(line));
+                                    : hitResponse(line));
                 }
             }
         });
--- a/src/test/java/cacheproxy/proxy/client/ConnectionActivityTest.java
+++ b/src/test/java/cacheproxy/proxy/client/ConnectionActivityTest.java
@@ -32,7 +32,7 @@
     void aSilentClientIsStalledAfterTwoSeconds() {
         assertThat(isStalledSilent(2000)).isFalse();
         assertThat(isStalledSilent(2001)).isTrue();
-        activity.asked();
+        activity.commandReceived();
         assertThat(isStalledSilent(3_600_000))
                 .as("between requests it may be idle")
                 .isFalse();
@@ -44,14 +44,14 @@
         assertThat(isStalledWithinRequest(2601)).isTrue();
         activity.active(START_MS + 1000);
         assertThat(isStalledWithinRequest(2601)).as("its first request is late").isTrue();
-        activity.asked();
+        activity.commandReceived();
         assertThat(isStalledWithinRequest(3600)).isFalse();
         assertThat(isStalledWithinRequest(3601)).isTrue();
     }
 
     @Test
     void aClientThatTakesNothingIsStalledAfterTenSeconds() {
-        activity.asked();
+        activity.commandReceived();
         assertThat(isStalledWithUnwrittenBytes(10_000)).isFalse();
         assertThat(isStalledWithUnwrittenBytes(10_001)).isTrue();
         activity.responseWritten(START_MS + 5000);
@@ -61,26 +61,28 @@
 
     @Test
     void aClientThatWaitsForItsResponseIsNotStalled() {
-        activity.asked();
+        activity.commandReceived();
         assertThat(activity.isStalled(START_MS + 60_000, false, false, false)).isFalse();
     }
 
     @Test
-    void aClientHasHadTimeToAskOnceItHasOrAfterHalfASecond() {
-        assertThat(activity.hasHadTimeToAsk(START_MS + 500)).isFalse();
-        assertThat(activity.hasHadTimeToAsk(START_MS + 501)).isTrue();
-        assertThat(activity.hasAsked()).isFalse();
-        activity.asked();
-        assertThat(activity.hasAsked()).isTrue();
-        assertThat(activity.hasHadTimeToAsk(START_MS)).isTrue();
+    void aClientHasHadTimeToSendACommandOnceItHasSentOneOrAfterHalfASecond() {
+        assertThat(activity.hasHadTimeToSendCommand(START_MS + 500)).isFalse();
+        assertThat(activity.hasHadTimeToSendCommand(START_MS + 501)).isTrue();
+        assertThat(activity.hasSentCommand()).isFalse();
+        activity.commandReceived();
+        assertThat(activity.hasSentCommand()).isTrue();
+        assertThat(activity.hasHadTimeToSendCommand(START_MS)).isTrue();
     }
 
     @Test
-    void aResponseMayBeOnItsWayForATenthOfASecond() {
-        assertThat(activity.mayLackLastResponse(START_MS)).as("there was none").isFalse();
+    void aResponseMayBeInTransitForATenthOfASecond() {
+        assertThat(activity.mayNotHaveLastResponse(START_MS))
+                .as("there was none")
+                .isFalse();
         activity.responseWritten(START_MS + 1000);
-        assertThat(activity.mayLackLastResponse(START_MS + 1099)).isTrue();
-        assertThat(activity.mayLackLastResponse(START_MS + 1100)).isFalse();
-        assertThat(activity.quietMs(START_MS + 1100)).isEqualTo(100);
+        assertThat(activity.mayNotHaveLastResponse(START_MS + 1099)).isTrue();
+        assertThat(activity.mayNotHaveLastResponse(START_MS + 1100)).isFalse();
+        assertThat(activity.inactiveMs(START_MS + 1100)).isEqualTo(100);
     }
 }
--- a/src/test/java/cacheproxy/proxy/client/MetaProtocolTest.java
+++ b/src/test/java/cacheproxy/proxy/client/MetaProtocolTest.java
@@ -66,7 +66,7 @@
     }
 
     @Test
-    void thePlatformsLinesGoOnUnchanged() {
+    void platformCommandLinesAreForwardedUnchanged() {
         assertThat(parse(platform, "mg key v O7 Pc=read,d=480,t=acme q"))
                 .isEqualTo("read key 7 [mg key v O7 Pc=read,d=|,t=acme q] O7");
         assertThat(parse(platform, "ms key 12 O7 Pc=save")).isEqualTo("write key 7 [ms key 12 O7 Pc=save,d=|] 12");
@@ -80,7 +80,7 @@
     }
 
     @Test
-    void theValueOfABadWriteFollowsAllTheSame() {
+    void theValueOfAnInvalidWriteStillFollows() {
         assertThat(parse(platform, "ms key 12 O7")).isEqualTo("write null 12");
         assertThat(parse(standard, "ms key 12 S5"))
                 .isEqualTo("write null 12 CLIENT_ERROR flag S is not offered; ms takes O, k and P");
@@ -137,7 +137,7 @@
     }
 
     @Test
-    void responsesRepeatWhatTheGrammarHas() {
+    void responsesRepeatTheFlagsThatTheGrammarRepeats() {
         assertThat(platform.storedLine(" O7", "5f")).isEqualTo("HD O7 c5f\r\n");
         assertThat(platform.storedLine(" O7", null)).isEqualTo("HD O7\r\n");
         assertThat(platform.missLine(" O7")).isEqualTo("EN O7\r\n");
--- a/src/test/java/cacheproxy/proxy/discovery/DiscoveryClientTest.java
+++ b/src/test/java/cacheproxy/proxy/discovery/DiscoveryClientTest.java
@@ -21,15 +21,15 @@
 
 /** How the proxy handles what discovery does, on loopback sockets. */
 class DiscoveryClientTest {
-    private static ScriptedServer hits() throws Exception {
+    private static ScriptedServer serverWithHits() throws Exception {
         return ScriptedServer.node(line -> "VA 5 O" + ScriptedServer.id(line) + " h1\r\nhello\r\n");
     }
 
     /** A list of version 43 with this one node, as it would be written. */
-    private static String list(ScriptedServer node, boolean whole) {
+    private static String list(ScriptedServer node, boolean complete) {
         JsonArray hosts = new JsonArray();
         hosts.add(Fleet.host("s-0000beef", "node-fast", node.dial(), "up"));
-        return Fleet.list(43, whole, hosts).toString();
+        return Fleet.list(43, complete, hosts).toString();
     }
 
     private static String served(Fleet fleet) throws Exception {
@@ -40,7 +40,7 @@
 
     @Test
     void keepsListAndPollsAgainAfterFailuresAndInvalidResponses() throws Exception {
-        ScriptedServer node = hits();
+        ScriptedServer node = serverWithHits();
         JsonObject unknown = Fleet.list(44, true, new JsonArray());
         unknown.getAsJsonArray("hosts").add(Fleet.host("s-1", "no-such-class", "127.0.0.1:1", "up"));
         JsonArray twice = new JsonArray();
@@ -94,10 +94,10 @@
 
     @Test
     void pollsAgainAfterEachResponseAndAppliesChanges() throws Exception {
-        ScriptedServer first = hits();
-        ScriptedServer then = hits();
+        ScriptedServer first = serverWithHits();
+        ScriptedServer second = serverWithHits();
         CountDownLatch served = new CountDownLatch(1);
-        CountDownLatch told = new CountDownLatch(1);
+        CountDownLatch pollReceived = new CountDownLatch(1);
         ScriptedServer discovery = new ScriptedServer(connection -> {
             connection.request();
             connection.sayHttp(200, "", list(first, true));
@@ -105,10 +105,10 @@
             served.await();
             JsonArray changes = new JsonArray();
             changes.add(Fleet.host("s-0000beef", "node-fast", first.dial(), "draining"));
-            changes.add(Fleet.host("s-0000cafe", "node-fast", then.dial(), "up"));
+            changes.add(Fleet.host("s-0000cafe", "node-fast", second.dial(), "up"));
             connection.sayHttp(200, "", Fleet.list(44, false, changes).toString());
             connection.request();
-            told.countDown();
+            pollReceived.countDown();
             connection.awaitEnd();
         });
         try (Fleet fleet = new Fleet()
@@ -116,31 +116,31 @@
                 .set("caps.connect-timeout", "50.0")
                 .start()) {
             fleet.parts.add(first);
-            fleet.parts.add(then);
+            fleet.parts.add(second);
             assertThat(discovery.next()).contains("since=41&");
             assertThat(discovery.next()).contains("since=43&");
             assertThat(served(fleet)).isEqualTo("VA 5 O1");
             assertThat(first.commands).hasSize(1);
             served.countDown();
             assertThat(discovery.next()).contains("since=44&");
-            told.await();
+            pollReceived.await();
             assertThat(served(fleet)).isEqualTo("VA 5 O1");
-            assertThat(then.commands).hasSize(1);
+            assertThat(second.commands).hasSize(1);
         }
     }
 
     /** The first watch falls silent for good. Without the refusals it would be trusted past the next change. */
     @Test
     void replacesSilentLongPollWhenReadyServersRefuseConnections() throws Exception {
-        ScriptedServer successor = hits();
-        CountDownLatch told = new CountDownLatch(1);
+        ScriptedServer successor = serverWithHits();
+        CountDownLatch pollReceived = new CountDownLatch(1);
         ScriptedServer discovery = new ScriptedServer(connection -> {
             connection.request();
-            if (told.getCount() == 0) {
+            if (pollReceived.getCount() == 0) {
                 connection.sayHttp(200, "", list(successor, true));
                 connection.request();
             }
-            told.countDown();
+            pollReceived.countDown();
             connection.awaitEnd();
         });
         try (RefusingAddress gone = new RefusingAddress();
@@ -166,19 +166,19 @@
     @Test
     void replacesLongPollThatIsSilentFromItsStartWithinStalenessBound() throws Exception {
         for (String mode : new String[] {"ask", "push"}) {
-            ScriptedServer drained = hits();
-            ScriptedServer other = hits();
-            CountDownLatch told = new CountDownLatch(1);
+            ScriptedServer drained = serverWithHits();
+            ScriptedServer other = serverWithHits();
+            CountDownLatch pollReceived = new CountDownLatch(1);
             ScriptedServer discovery = new ScriptedServer(connection -> {
                 connection.request();
-                if (told.getCount() == 0) {
+                if (pollReceived.getCount() == 0) {
                     JsonArray changes = new JsonArray();
                     changes.add(Fleet.host("s-00000001", "node-fast", drained.dial(), "draining"));
                     changes.add(Fleet.host("s-0000cafe", "node-fast", other.dial(), "up"));
                     connection.sayHttp(200, "", Fleet.list(42, false, changes).toString());
                     connection.request();
                 }
-                told.countDown();
+                pollReceived.countDown();
                 connection.awaitEnd();
             });
             try (Fleet fleet = new Fleet()
@@ -208,7 +208,7 @@
      */
     @Test
     void acceptsOlderCompleteListOnlyAfterRequestingIt() throws Exception {
-        ScriptedServer node = hits();
+        ScriptedServer node = serverWithHits();
         JsonArray hosts = new JsonArray();
         hosts.add(Fleet.host("s-0000cafe", "node-fast", node.dial(), "up"));
         ScriptedServer discovery = new ScriptedServer(connection -> {
@@ -232,9 +232,9 @@
     }
 
     /** A proxy that doubts its list soon where this other one says that it has a later one. */
-    private static Fleet besidePeer(ScriptedServer discovery, DatagramSocket other) throws Exception {
+    private static Fleet fleetWithPeer(ScriptedServer discovery, DatagramSocket other) throws Exception {
         Fleet setup = new Fleet()
-                .node(hits())
+                .node(serverWithHits())
                 .discovery(discovery)
                 .set("caps.connect-timeout", "50.0")
                 .set("guarantees.ask-within", "200.0");
@@ -257,7 +257,7 @@
             connection.awaitEnd();
         });
         try (DatagramSocket other = new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
-            try (Fleet fleet = besidePeer(discovery, other).start()) {
+            try (Fleet fleet = fleetWithPeer(discovery, other).start()) {
                 assertThat(discovery.next()).contains("since=41&timeout_ms=2800");
                 other.send(new DatagramPacket(version(42), version(42).length, fleet.proxy.peerAddress()));
                 fleet.proxy.runAfter(500, claimed::countDown); // its turn comes some time after that of the other
@@ -275,7 +275,7 @@
             connection.awaitEnd();
         });
         try (DatagramSocket other = new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
-            try (Fleet fleet = besidePeer(discovery, other).start()) {
+            try (Fleet fleet = fleetWithPeer(discovery, other).start()) {
                 assertThat(discovery.next()).contains("since=41&");
                 SocketAddress to = fleet.proxy.peerAddress();
                 for (byte[] message : List.of(new byte[256], new byte[] {'V'}, version(41), version(40), version(42))) {
@@ -289,15 +289,15 @@
 
     @Test
     void announcesOnlyNewVersionsAndEachOnce() throws Exception {
-        ScriptedServer node = hits();
-        CountDownLatch heard = new CountDownLatch(1); // two versions within a moment are told as one
+        ScriptedServer node = serverWithHits();
+        CountDownLatch announced = new CountDownLatch(1); // two versions within a moment are told as one
         ScriptedServer discovery = new ScriptedServer(connection -> {
             connection.request();
             connection.sayHttp(200, "", list(node, true));
             connection.request();
             connection.sayHttp(200, "", Fleet.list(43, false, new JsonArray()).toString());
             connection.request();
-            heard.await();
+            announced.await();
             connection.sayHttp(200, "", Fleet.list(44, false, new JsonArray()).toString());
             connection.awaitEnd();
         });
@@ -316,7 +316,7 @@
                     other.receive(packet);
                     assertThat(Arrays.copyOf(packet.getData(), packet.getLength()))
                             .isEqualTo(version(seq));
-                    heard.countDown();
+                    announced.countDown();
                 }
             }
         }
@@ -338,11 +338,11 @@
                 connection.awaitEnd();
                 ended.countDown();
             });
-            ScriptedServer moved = hits();
-            CountDownLatch taken = new CountDownLatch(1);
+            ScriptedServer moved = serverWithHits();
+            CountDownLatch requestSent = new CountDownLatch(1);
             ScriptedServer discovery = new ScriptedServer(connection -> {
                 connection.request();
-                taken.await();
+                requestSent.await();
                 JsonArray changes = new JsonArray();
                 changes.add(Fleet.host("s-00000001", "node-fast", moved.dial(), health));
                 connection.sayHttp(200, "", Fleet.list(42, false, changes).toString());
@@ -359,7 +359,7 @@
                 client.read("1");
                 old.next();
                 discovery.next();
-                taken.countDown();
+                requestSent.countDown();
                 discovery.next(); // the change has been applied
                 mayRespond.countDown();
                 assertThat(client.line()).isEqualTo("VA 5 O1");
--- a/src/test/java/cacheproxy/proxy/discovery/EndpointListParserTest.java
+++ b/src/test/java/cacheproxy/proxy/discovery/EndpointListParserTest.java
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void whatIsNotSaidOfAServerHasADefault() {
+    void absentMembersOfAServerHaveDefaults() {
         assertThat(server(SERVER).endpoint()).isEqualTo(new Endpoint(0x1f, 0, 1, 0, EndpointState.READY, 1, 0));
     }
 
@@ -127,7 +127,7 @@
     /** Guards against a start time that equals no other, by which a server would seem to restart with each list. */
     @ParameterizedTest
     @ValueSource(strings = {"'NaN'", "'Infinity'", "'-Infinity'", "1e999"})
-    void aStartTimeThatIsNoNumberIsRefused(String startedMs) {
+    void refusesAStartTimeThatIsNotFinite(String startedMs) {
         String text = serverWith("born_ms", startedMs);
         assertThatThrownBy(() -> server(text))
                 .isInstanceOf(DiscoveryException.class)
--- a/src/test/java/cacheproxy/proxy/discovery/PeerSocketTest.java
+++ b/src/test/java/cacheproxy/proxy/discovery/PeerSocketTest.java
@@ -45,9 +45,9 @@
             fleet.config.addProperty("peer_listen", "127.0.0.1:0");
             PlatformConfig config = PlatformConfig.parse(fleet.config);
             EventLoop loop = group.next();
-            LinkedBlockingQueue<String> heard = new LinkedBlockingQueue<>();
+            LinkedBlockingQueue<String> received = new LinkedBlockingQueue<>();
             PeerSocket socket = new PeerSocket(
-                    loop, config.peerAddresses(), (from, message) -> heard.add(from + new String(message, UTF_8)));
+                    loop, config.peerAddresses(), (from, message) -> received.add(from + new String(message, UTF_8)));
             socket.send(1, "to one".getBytes(UTF_8));
             assertThat(receive(peer)).isEqualTo("to one");
             socket.send(-1, "to all".getBytes(UTF_8));
@@ -58,7 +58,7 @@
             stranger.send(new DatagramPacket("lie".getBytes(UTF_8), 3, socket.address()));
             peer.send(new DatagramPacket(new byte[300], 300, socket.address()));
             peer.send(new DatagramPacket("hi".getBytes(UTF_8), 2, socket.address()));
-            assertThat(heard.poll(20, TimeUnit.SECONDS)).isEqualTo("1hi");
+            assertThat(received.poll(20, TimeUnit.SECONDS)).isEqualTo("1hi");
         } finally {
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
         }
--- a/src/test/java/cacheproxy/proxy/net/NettyLogTest.java
+++ b/src/test/java/cacheproxy/proxy/net/NettyLogTest.java
@@ -13,9 +13,9 @@
 class NettyLogTest {
     @Test
     void writesBoundedNumberOfShortLines() {
-        ByteArrayOutputStream told = new ByteArrayOutputStream();
+        ByteArrayOutputStream written = new ByteArrayOutputStream();
         PrintStream standard = System.err;
-        System.setErr(new PrintStream(told, true, StandardCharsets.UTF_8));
+        System.setErr(new PrintStream(written, true, StandardCharsets.UTF_8));
         try {
             InternalLogger log = new NettyLog.Factory().newInstance("io.netty.channel.Pipeline");
             log.info("nothing");
@@ -31,7 +31,7 @@
             System.setErr(standard);
         }
         // What other tests' loops have to say meanwhile is not ours.
-        String[] lines = told.toString(StandardCharsets.UTF_8)
+        String[] lines = written.toString(StandardCharsets.UTF_8)
                 .lines()
                 .filter(line -> line.startsWith("netty: Pipeline"))
                 .toArray(String[]::new);
--- a/src/test/java/cacheproxy/proxy/net/TimerWheelTest.java
+++ b/src/test/java/cacheproxy/proxy/net/TimerWheelTest.java
@@ -19,8 +19,8 @@
         EventLoop loop = group.next();
         int count = 2000;
         CountDownLatch last = new CountDownLatch(count);
-        List<String> wrong = new ArrayList<>();
-        List<Integer> same = new ArrayList<>();
+        List<String> errors = new ArrayList<>();
+        List<Integer> order = new ArrayList<>();
         loop.submit(() -> {
                     TimerWheel timers = new TimerWheel(loop, new PollClock());
                     Random random = new Random(5);
@@ -30,21 +30,21 @@
                         long due = System.nanoTime() + (long) (ms * 1e6);
                         timers.after(ms, () -> {
                             if (System.nanoTime() < due) {
-                                wrong.add("early");
+                                errors.add("early");
                             }
                             last.countDown();
                         });
-                        timers.after(ms, () -> wrong.add("called off")).cancel();
+                        timers.after(ms, () -> errors.add("called off")).cancel();
                     }
                     timers.after(10, () -> {
-                        timers.after(0, () -> same.add(2)); // set from within a timer: runs later
-                        same.add(1);
+                        timers.after(0, () -> order.add(2)); // set from within a timer: runs later
+                        order.add(1);
                     });
                 })
                 .sync();
         assertThat(last.await(60, TimeUnit.SECONDS)).isTrue();
-        assertThat(loop.submit(() -> List.copyOf(wrong)).get()).isEmpty();
-        assertThat(same).containsExactly(1, 2);
+        assertThat(loop.submit(() -> List.copyOf(errors)).get()).isEmpty();
+        assertThat(order).containsExactly(1, 2);
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).sync();
     }
 }
--- a/src/test/java/cacheproxy/proxy/process/WarmUpTest.java
+++ b/src/test/java/cacheproxy/proxy/process/WarmUpTest.java
@@ -63,7 +63,7 @@
             List<String> opened = new ArrayList<>();
             int answered = WarmUp.run(group.next(), config, new WarmUpPlan(40, 8, 60_000), folder, proxyAddress -> {
                 opened.addAll(sockets(folder));
-                return Transport.BEST.local(folder.resolve("nobody"));
+                return Transport.BEST.localAddress(folder.resolve("nobody"));
             });
             assertThat(answered).isZero();
             assertThat(opened).hasSize(3);
--- a/src/test/java/cacheproxy/proxy/request/MetaCodecTest.java
+++ b/src/test/java/cacheproxy/proxy/request/MetaCodecTest.java
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void readsLinesUpToTheGreatestLength() throws Exception {
+    void readsLinesUpToTheMaximumLength() throws Exception {
         String longest = "a".repeat(MetaCodec.MAX_LINE_BYTES - 2);
         assertThat(MetaCodec.readLine(input(longest + "\r\n"))).isEqualTo(longest);
         assertThat(MetaCodec.readLine(input(longest + "a")))
@@ -57,13 +57,13 @@
     }
 
     @Test
-    void findsFlagsByTheirLetterAtTheBeginOfAToken() {
+    void findsFlagsByTheLetterThatATokenStartsWith() {
         String line = "HD O12 c=xL5 L7 O9";
-        assertThat(MetaCodec.flag(line, 3, 'O')).isEqualTo("12");
-        assertThat(MetaCodec.flag(line, 3, 'L')).isEqualTo("7");
-        assertThat(MetaCodec.flag(line, 3, 'x')).isNull();
-        assertThat(MetaCodec.flag(line, line.length(), 'O')).isNull();
-        assertThat(MetaCodec.flag(line, line.length() + 1, 'O')).isNull();
+        assertThat(MetaCodec.flagArgument(line, 3, 'O')).isEqualTo("12");
+        assertThat(MetaCodec.flagArgument(line, 3, 'L')).isEqualTo("7");
+        assertThat(MetaCodec.flagArgument(line, 3, 'x')).isNull();
+        assertThat(MetaCodec.flagArgument(line, line.length(), 'O')).isNull();
+        assertThat(MetaCodec.flagArgument(line, line.length() + 1, 'O')).isNull();
         assertThat(MetaCodec.hasFlag(line, 3, 'O', "12")).isTrue();
         assertThat(MetaCodec.hasFlag(line, 3, 'O', "1")).isFalse();
         assertThat(MetaCodec.hasFlag(line, 3, 'O', "123")).isFalse();
@@ -97,7 +97,7 @@
     }
 
     @Test
-    void writesDecimalsAsTheirTextIs() {
+    void writesNumbersInDecimalDigits() {
         Random random = new Random(17);
         for (int i = 0; i < 10_000; i++) {
             int number = random.nextInt() >>> (1 + random.nextInt(31));
@@ -108,7 +108,7 @@
     }
 
     @Test
-    void knowsWhatIsPrintable() {
+    void acceptsOnlyPrintableAscii() {
         assertThat(MetaCodec.isPrintable("mg key ~!")).isTrue();
         assertThat(MetaCodec.isPrintable("mg\tkey")).isFalse();
         assertThat(MetaCodec.isPrintable("k\u007f")).isFalse();
--- a/src/test/java/cacheproxy/proxy/request/RequestValidatorTest.java
+++ b/src/test/java/cacheproxy/proxy/request/RequestValidatorTest.java
@@ -31,7 +31,7 @@
         }
 
         @Override
-        public void giveBack(int bytes) {
+        public void releaseReservedBytes(int bytes) {
             throw new UnsupportedOperationException();
         }
     };
@@ -62,7 +62,7 @@
     }
 
     @Test
-    void whatIsNotSaidHasADefault() {
+    void absentAttributesHaveDefaults() {
         ClientRequest request = request("c=page");
         assertThat(validator.resolve(request)).isNull();
         assertThat(request.tenant()).isZero();
@@ -124,7 +124,7 @@
     }
 
     @Test
-    void withoutTenantsAnyNameIsTaken() {
+    void anyTenantNameIsAcceptedIfNoTenantIsConfigured() {
         RequestValidator withoutTenants =
                 new RequestValidator(accounting, List.of(serviceClass("page", 400)), List.of());
         ClientRequest request = request("c=page,t=anyone");
@@ -140,7 +140,7 @@
 
     @ParameterizedTest
     @ValueSource(strings = {"", "0", "0000000000000000", "00000000000000001", "page:1", "1g"})
-    void theHashOfAnyOtherKeyIsThatOfItsCharacters(String key) {
+    void anyOtherKeyIsHashedByItsCharacters(String key) {
         long hash = 0xcbf29ce484222325L;
         for (int i = 0; i < key.length(); i++) {
             hash = (hash ^ key.charAt(i)) * 0x100000001b3L;
@@ -151,7 +151,7 @@
     /** Guards against a client's hint that is no time, or longer than any request may take, reaching the policy. */
     @ParameterizedTest
     @ValueSource(strings = {"Infinity", "-Infinity", "NaN", "-7", "1e300", "0x1p9", "1d", "9999999999999", ""})
-    void aHintThatIsNoTimeCountsAsNone(String hint) {
+    void anInvalidHintCountsAsAbsent(String hint) {
         ClientRequest request = request("c=page,h=" + hint + ",size=" + hint);
         assertThat(validator.resolve(request)).isNull();
         assertThat(request.workHintMs()).isNaN();
