--- a/src/main/java/cacheproxy/daemon/Daemon.java
+++ b/src/main/java/cacheproxy/daemon/Daemon.java
@@ -74,7 +74,7 @@
                 polls,
                 Transport.BEST.socket(),
                 new EventLoopLimits(budget.valueBytes(), budget.serverSockets(), true));
-        core.watchPauses();
+        core.startHeartbeat();
         clients = new ClientRegistry(core, budget.clientSockets());
         router = new Router(core);
         listeners = new ListenerSet(core, clients, router, protocols, mayAcceptConnections);
--- a/src/main/java/cacheproxy/daemon/PoolFleetLink.java
+++ b/src/main/java/cacheproxy/daemon/PoolFleetLink.java
@@ -33,7 +33,7 @@
     }
 
     @Override
-    public boolean take(int server) {
+    public boolean takeOver(int server) {
         FleetCoordination fleet = fleet();
         return fleet != null && fleet.takeHealthCheck(dispatcher.get(), server);
     }
--- a/src/main/java/cacheproxy/daemon/hooks/HookExecutor.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookExecutor.java
@@ -164,7 +164,8 @@
     /** Logs the module's lines on the event loop from now on. */
     void logTo(EventLoopContext core) {
         log = line -> {
-            if (core.takesLines()) { // a hook that writes without end would keep the loop busy with lines that it drops
+            if (core.acceptsLines()) { // a hook that writes without end would keep the loop busy with lines that it
+                // drops
                 core.loop().execute(() -> core.log(line));
             }
         };
--- a/src/main/java/cacheproxy/daemon/hooks/HookedRequest.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookedRequest.java
@@ -233,7 +233,7 @@
             }
             return;
         }
-        if (orders.note() != null && core.takesLines()) {
+        if (orders.note() != null && core.acceptsLines()) {
             onLoop(() -> core.log("hook " + hook.config.name() + ": " + orders.note()));
         }
         if (orders.refuseMs() > 0) {
--- a/src/main/java/cacheproxy/proxy/client/AcceptQueue.java
+++ b/src/main/java/cacheproxy/proxy/client/AcceptQueue.java
@@ -37,7 +37,7 @@
     double connectionAccepted() {
         double unreadSinceMs = loopContext.unreadSinceMs();
         double nowMs = loopContext.nowMs();
-        if (nowMs > emptyByMs || !loopContext.follows(lastAcceptTurn)) {
+        if (nowMs > emptyByMs || !loopContext.isTurnOrNext(lastAcceptTurn)) {
             queuedSinceMs = Double.POSITIVE_INFINITY;
         }
         if (nowMs - unreadSinceMs > MIN_PAUSE_MS) {
--- a/src/main/java/cacheproxy/proxy/client/PendingResponse.java
+++ b/src/main/java/cacheproxy/proxy/client/PendingResponse.java
@@ -181,7 +181,7 @@
     public void beginValue(int lengthBytes, ValueSource valueSource) {
         source = valueSource;
         valueBegun = true;
-        int maxUnwrittenBytes = connection.loopContext().streamOpened();
+        int maxUnwrittenBytes = connection.loopContext().openStream();
         streamOpen = true;
         connection.setWriteBufferWaterMark(new WriteBufferWaterMark(maxUnwrittenBytes / 2, maxUnwrittenBytes));
         valuePart(MetaCodec.ascii(connection.allocator(), "VA " + lengthBytes + echo + "\r\n"));
@@ -232,7 +232,7 @@
         source = null;
         if (streamOpen) {
             streamOpen = false;
-            connection.loopContext().streamClosed();
+            connection.loopContext().closeStream();
         }
     }
 }
--- a/src/main/java/cacheproxy/proxy/client/ReadControl.java
+++ b/src/main/java/cacheproxy/proxy/client/ReadControl.java
@@ -32,7 +32,7 @@
     /** Bytes have been read from the socket. */
     void bytesRead() {
         unreadSinceMs = loopContext.unreadSinceMs();
-        if (loopContext.follows(resumeTurn)) {
+        if (loopContext.isTurnOrNext(resumeTurn)) {
             unreadSinceMs = Math.min(unreadSinceMs, unreadSincePauseMs);
         }
     }
--- a/src/main/java/cacheproxy/proxy/dispatch/AttemptResults.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/AttemptResultHandler.java
@@ -10,11 +10,11 @@
  * Takes what servers respond to the attempts of a pool's requests: passes the first value or receipt of a request on to
  * its client, and reports each attempt's end to the policy, once. On the event loop only.
  */
-final class AttemptResults {
+final class AttemptResultHandler {
     private final PoolServices pool;
     private final RequestLifecycle requests;
 
-    AttemptResults(PoolServices pool, RequestLifecycle requests) {
+    AttemptResultHandler(PoolServices pool, RequestLifecycle requests) {
         this.pool = pool;
         this.requests = requests;
     }
@@ -52,7 +52,12 @@
 
     /** An attempt has ended; the parameters are those of {@link RequestAttempt#onEnd}. A second end is ignored. */
     void ended(
-            RequestAttempt attempt, AttemptOutcome outcome, int note, float[] report, ByteBuf value, String receipt) {
+            RequestAttempt attempt,
+            AttemptOutcome outcome,
+            int cacheStatus,
+            float[] loadReport,
+            ByteBuf value,
+            String receipt) {
         if (attempt.hasEnded()) {
             release(value);
             return;
@@ -72,8 +77,8 @@
                 outcome,
                 elapsedMs,
                 context.isConcluded(),
-                note,
-                report);
+                cacheStatus,
+                loadReport);
         pool.policy().attemptEnded(context, result);
         requests.releaseIfDone(context);
     }
--- a/src/main/java/cacheproxy/proxy/dispatch/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/Dispatcher.java
@@ -30,7 +30,7 @@
 
     private static final long SWEEP_MS = 1000;
 
-    private final EventLoopContext core;
+    private final EventLoopContext loopContext;
     private final PoolOptions options;
     private final PoolServices services;
     private final PolicyEvents events;
@@ -47,17 +47,18 @@
     private Future<?> sweeper;
 
     /** Creates a pool that has neither servers nor a policy yet. */
-    public Dispatcher(EventLoopContext core, PoolOptions options) {
-        this.core = core;
+    public Dispatcher(EventLoopContext loopContext, PoolOptions options) {
+        this.loopContext = loopContext;
         this.options = options;
-        services = PoolServices.of(core, options);
+        services = PoolServices.of(loopContext, options);
         events = services.policy();
         servers = services.servers();
         requests = new RequestLifecycle(services);
         PolicySettings settings = options.settings();
         PoolProtocol protocol =
                 new PoolProtocol(options.stockServers(), settings.loadReportSource(), settings.loadReportFields());
-        RequestAttempts attempts = new RequestAttempts(services, new AttemptResults(services, requests), protocol);
+        RequestAttempts attempts =
+                new RequestAttempts(services, new AttemptResultHandler(services, requests), protocol);
         prober = new HealthProber(services, protocol);
         actions = new PolicyActionExecutor(services, requests, attempts, prober);
     }
@@ -94,7 +95,7 @@
         policy = new RoutingPolicy(
                 options.settings(), options.seed(), options.placements(), options.admission(), siblingDecisions);
         events.start(policy, actions);
-        sweeper = core.loop().scheduleWithFixedDelay(servers::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
+        sweeper = loopContext.loop().scheduleWithFixedDelay(servers::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Ends at once, without a response to pending requests. Closes connections that no other pool uses. */
@@ -149,7 +150,7 @@
         if (learnedState != null && hasServers()) {
             LearnedStateProvider provider = learnedState;
             learnedState = null;
-            events.restore(() -> provider.restore(core.nowMs(), hosts));
+            events.restore(() -> provider.restore(loopContext.nowMs(), hosts));
         }
     }
 
@@ -166,7 +167,7 @@
 
     /** Whether the policy holds nothing against a server. */
     public boolean isHealthy(int server) {
-        return policy.isHealthy(core.nowMs(), server);
+        return policy.isHealthy(loopContext.nowMs(), server);
     }
 
     /** Whether some cache server is healthy, or none is listed. */
@@ -203,12 +204,12 @@
 
     /** Whether the policy has more requests than its servers handle in time. */
     public boolean isOverloaded() {
-        return policy.isOverloaded(core.nowMs());
+        return policy.isOverloaded(loopContext.nowMs());
     }
 
     /** What the policy has learned, with at most so many hot keys. */
     public LearnedState learnedState(int maxHotKeys) {
-        return policy.learnedState(core.nowMs(), maxHotKeys);
+        return policy.learnedState(loopContext.nowMs(), maxHotKeys);
     }
 
     /** Reports a message of another proxy to the policy. */
@@ -223,6 +224,6 @@
 
     @Override
     public void log(String line) {
-        core.log(line);
+        loopContext.log(line);
     }
 }
--- a/src/main/java/cacheproxy/proxy/dispatch/HealthCheckDelegate.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/HealthCheckDelegate.java
@@ -12,7 +12,7 @@
      *
      * @return false if the pool has to make it; else {@link Dispatcher#healthCheckCompleted} reports its result
      */
-    boolean take(int server);
+    boolean takeOver(int server);
 
     /** An attempt of a client's request has ended. */
     default void attemptEnded(int server, AttemptOutcome outcome) {}
--- a/src/main/java/cacheproxy/proxy/dispatch/HealthProbe.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/HealthProbe.java
@@ -10,22 +10,22 @@
     @FunctionalInterface
     interface Listener {
         /** The probe has ended; {@code report} has the server's load figures and is null if there are none. */
-        void ended(AttemptOutcome outcome, double elapsedMs, float[] report);
+        void ended(AttemptOutcome outcome, double elapsedMs, float[] loadReport);
     }
 
-    private final HealthProber owner;
+    private final HealthProber prober;
     private final Listener listener;
 
     /** Creates a probe that is on no connection yet. */
-    HealthProbe(HealthProber owner, int server, double startedMs, double timeoutAtMs, Listener listener) {
+    HealthProbe(HealthProber prober, int server, double startedMs, double timeoutAtMs, Listener listener) {
         super(null, 0, server, startedMs, timeoutAtMs);
-        this.owner = owner;
+        this.prober = prober;
         this.listener = listener;
     }
 
     @Override
     public PoolProtocol protocol() {
-        return owner.protocol();
+        return prober.protocol();
     }
 
     /** Null: a probe names no class. */
@@ -41,7 +41,7 @@
 
     @Override
     public boolean hedgingAllowed() {
-        return owner.hedgingAllowed();
+        return prober.hedgingAllowed();
     }
 
     @Override
@@ -64,7 +64,7 @@
 
     /** Reports its first end and ignores any later one. */
     @Override
-    public void onEnd(AttemptOutcome outcome, int note, float[] report, ByteBuf value, String receipt) {
+    public void onEnd(AttemptOutcome outcome, int cacheStatus, float[] loadReport, ByteBuf value, String receipt) {
         if (value != null) {
             value.release();
         }
@@ -73,6 +73,6 @@
         }
         markEnded();
         cancelTimeout();
-        listener.ended(outcome, owner.nowMs() - startedMs(), report);
+        listener.ended(outcome, prober.nowMs() - startedMs(), loadReport);
     }
 }
--- a/src/main/java/cacheproxy/proxy/dispatch/HealthProber.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/HealthProber.java
@@ -8,39 +8,41 @@
 
 /** Makes a pool's health checks. On the event loop only. */
 final class HealthProber {
-    private final EventLoopContext core;
+    private final EventLoopContext loopContext;
     private final PoolServices pool;
     private final PoolProtocol protocol;
 
     HealthProber(PoolServices pool, PoolProtocol protocol) {
         this.pool = pool;
         this.protocol = protocol;
-        core = pool.core();
+        loopContext = pool.core();
     }
 
     /** Checks a server as the policy has ordered, unless others take the check over. */
     void check(int server) {
-        if (!pool.extensions().healthChecks().take(server)) {
+        if (!pool.extensions().healthChecks().takeOver(server)) {
             probe(server);
         }
     }
 
     /** Probes a server and reports the result to the policy. */
     void probe(int server) {
-        send(server, (outcome, elapsedMs, report) -> pool.policy().probeEnded(server, outcome, elapsedMs, report));
+        send(
+                server,
+                (outcome, elapsedMs, loadReport) -> pool.policy().probeEnded(server, outcome, elapsedMs, loadReport));
     }
 
     /** Probes a server for others; the policy does not get the result. */
     void probe(int server, Consumer<AttemptOutcome> result) {
-        send(server, (outcome, elapsedMs, report) -> result.accept(outcome));
+        send(server, (outcome, elapsedMs, loadReport) -> result.accept(outcome));
     }
 
     private void send(int server, HealthProbe.Listener listener) {
-        double nowMs = core.nowMs();
+        double nowMs = loopContext.nowMs();
         HealthProbe probe = new HealthProbe(this, server, nowMs, nowMs + Dispatcher.PROBE_TIMEOUT_MS, listener);
         Upstream upstream = pool.servers().find(server);
         if (upstream != null && upstream.send(probe)) {
-            probe.expireAfter(core, Dispatcher.PROBE_TIMEOUT_MS);
+            probe.expireAfter(loopContext, Dispatcher.PROBE_TIMEOUT_MS);
         } else {
             pool.policy().run(() -> probe.onEnd(AttemptOutcome.CONNECT_FAILED));
         }
@@ -58,6 +60,6 @@
 
     /** The time by the event loop's clock. */
     double nowMs() {
-        return core.nowMs();
+        return loopContext.nowMs();
     }
 }
--- a/src/main/java/cacheproxy/proxy/dispatch/PolicyEvents.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/PolicyEvents.java
@@ -19,21 +19,21 @@
  * on an event is logged and goes on with the next one. On the event loop only.
  */
 final class PolicyEvents {
-    private final EventLoopContext core;
+    private final EventLoopContext loopContext;
     private final ArrayDeque<Runnable> queue = new ArrayDeque<>();
     private RoutingPolicy policy;
     private PolicyActions actions;
     private boolean running;
     private boolean stopped;
 
-    PolicyEvents(EventLoopContext core) {
-        this.core = core;
+    PolicyEvents(EventLoopContext loopContext) {
+        this.loopContext = loopContext;
     }
 
     /** Sets who is called; before the first event. */
-    void start(RoutingPolicy target, PolicyActions orders) {
-        policy = target;
-        actions = orders;
+    void start(RoutingPolicy newPolicy, PolicyActions newActions) {
+        policy = newPolicy;
+        actions = newActions;
     }
 
     /** Ignores all events from now on. */
@@ -64,7 +64,7 @@
         try {
             event.run();
         } catch (RuntimeException e) {
-            logFault(e);
+            logException(e);
         }
     }
 
@@ -74,15 +74,15 @@
             try {
                 event.run();
             } catch (RuntimeException e) {
-                logFault(e);
+                logException(e);
                 request.fail();
             }
         });
     }
 
-    private void logFault(RuntimeException fault) {
-        StackTraceElement[] trace = fault.getStackTrace();
-        core.log("fault: " + fault + (trace.length > 0 ? " at " + trace[0] : ""));
+    private void logException(RuntimeException exception) {
+        StackTraceElement[] trace = exception.getStackTrace();
+        loopContext.log("fault: " + exception + (trace.length > 0 ? " at " + trace[0] : ""));
     }
 
     /** A request has arrived. */
@@ -93,46 +93,47 @@
 
     /** The first bytes of a long value have come for an attempt. */
     void firstByteReceived(RequestAttempt attempt) {
-        run(() -> policy.onFirstByte(core.nowMs(), attempt.context().id(), attempt.index(), attempt.server(), actions));
+        run(() -> policy.onFirstByte(
+                loopContext.nowMs(), attempt.context().id(), attempt.index(), attempt.server(), actions));
     }
 
     /** An attempt of a request has ended. */
     void attemptEnded(RequestContext context, AttemptResult result) {
-        runFor(context, () -> policy.onAttemptEnd(core.nowMs(), result, actions));
+        runFor(context, () -> policy.onAttemptEnd(loopContext.nowMs(), result, actions));
     }
 
     /** The client of a request has disconnected. */
     void clientGone(RequestContext context) {
-        run(() -> policy.onClientGone(core.nowMs(), context.id(), actions));
+        run(() -> policy.onClientGone(loopContext.nowMs(), context.id(), actions));
     }
 
     /** A sibling has the key of a request, or none if its id is 0. */
     void siblingResponded(RequestContext context, int sibling) {
-        runFor(context, () -> policy.onSiblingResponse(core.nowMs(), context.id(), sibling, actions));
+        runFor(context, () -> policy.onSiblingResponse(loopContext.nowMs(), context.id(), sibling, actions));
     }
 
     /** A timer that the policy has set has expired. */
     void timerExpired(int token) {
-        run(() -> policy.onTimer(core.nowMs(), token, actions));
+        run(() -> policy.onTimer(loopContext.nowMs(), token, actions));
     }
 
     /** A health probe has ended; the report has the server's load figures and is null if there are none. */
-    void probeEnded(int server, AttemptOutcome outcome, double elapsedMs, float[] report) {
-        run(() -> policy.onProbeResult(core.nowMs(), server, outcome, elapsedMs, report, actions));
+    void probeEnded(int server, AttemptOutcome outcome, double elapsedMs, float[] loadReport) {
+        run(() -> policy.onProbeResult(loopContext.nowMs(), server, outcome, elapsedMs, loadReport, actions));
     }
 
     /** An endpoint list or the changes of one have come. */
     void endpointListReceived(EndpointListKind kind, List<Endpoint> endpoints) {
-        run(() -> policy.onEndpointList(core.nowMs(), kind, endpoints, actions));
+        run(() -> policy.onEndpointList(loopContext.nowMs(), kind, endpoints, actions));
     }
 
     /** A message of another proxy has come. */
     void peerMessageReceived(int peer, byte[] message) {
-        run(() -> policy.onPeerMessage(core.nowMs(), peer, message, actions));
+        run(() -> policy.onPeerMessage(loopContext.nowMs(), peer, message, actions));
     }
 
     /** Gives the policy what an earlier one has learned. */
     void restore(Supplier<LearnedState> state) {
-        run(() -> policy.restore(core.nowMs(), state.get()));
+        run(() -> policy.restore(loopContext.nowMs(), state.get()));
     }
 }
--- a/src/main/java/cacheproxy/proxy/dispatch/PoolAttempt.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/PoolAttempt.java
@@ -25,13 +25,13 @@
             onEnd(AttemptOutcome.NOT_SENT);
             return;
         }
-        boolean neverBegun = connection().giveUp(this);
+        boolean neverBegun = connection().abandon(this);
         onEnd(neverBegun ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.TIMEOUT);
     }
 
     /** Has it expire after this time. */
-    final void expireAfter(EventLoopContext core, double delayMs) {
-        timeout = core.after(delayMs, this::expire);
+    final void expireAfter(EventLoopContext loopContext, double delayMs) {
+        timeout = loopContext.after(delayMs, this::expire);
     }
 
     /** Whether it has a timeout of its own. */
--- a/src/main/java/cacheproxy/proxy/dispatch/PoolServers.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/PoolServers.java
@@ -21,40 +21,41 @@
  * as long as it is listed. On the event loop only.
  */
 final class PoolServers {
-    private final EventLoopContext core;
+    private final EventLoopContext loopContext;
     private final PoolOptions options;
     private final IntObjectHashMap<Upstream> servers = new IntObjectHashMap<>();
 
-    PoolServers(EventLoopContext core, PoolOptions options) {
-        this.core = core;
+    PoolServers(EventLoopContext loopContext, PoolOptions options) {
+        this.loopContext = loopContext;
         this.options = options;
     }
 
     /** Applies a list: a full one replaces all servers, changes concern those that they name. */
-    void apply(EndpointListKind kind, List<ListedServer> hosts) {
-        for (ListedServer host : hosts) {
-            logChange(kind, host);
-            if (host.endpoint().state() == EndpointState.GONE) {
-                remove(host.endpoint().id());
+    void apply(EndpointListKind kind, List<ListedServer> listedServers) {
+        for (ListedServer listedServer : listedServers) {
+            logChange(kind, listedServer);
+            if (listedServer.endpoint().state() == EndpointState.GONE) {
+                remove(listedServer.endpoint().id());
             } else {
-                update(host);
+                update(listedServer);
             }
         }
         if (kind == EndpointListKind.FULL || kind == EndpointListKind.CACHED) {
-            removeUnlisted(hosts);
+            removeUnlisted(listedServers);
         }
     }
 
-    private void logChange(EndpointListKind kind, ListedServer host) {
-        if (!core.events().isEnabled()) {
+    private void logChange(EndpointListKind kind, ListedServer listedServer) {
+        if (!loopContext.events().isEnabled()) {
             return;
         }
-        Endpoint endpoint = host.endpoint();
+        Endpoint endpoint = listedServer.endpoint();
         Upstream known = servers.get(endpoint.id());
         if (known == null || !known.isListedAs(endpoint.state(), endpoint.startedMs())) {
-            core.events()
+            loopContext
+                    .events()
                     .line(ProxyEvent.SERVER_LISTED)
-                    .with("server", name(endpoint.id(), host.address()))
+                    .with("server", name(endpoint.id(), listedServer.address()))
                     .with("state", endpoint.state())
                     .with("born_ms", (long) endpoint.startedMs())
                     .with("list", kind)
@@ -62,14 +63,14 @@
         }
     }
 
-    private void update(ListedServer host) {
-        Endpoint endpoint = host.endpoint();
-        Upstream server = hold(endpoint, host.address());
-        server.listed(endpoint.state(), endpoint.startedMs());
+    private void update(ListedServer listedServer) {
+        Endpoint endpoint = listedServer.endpoint();
+        Upstream server = acquire(endpoint, listedServer.address());
+        server.updateListing(endpoint.state(), endpoint.startedMs());
     }
 
     /** The server of this id at this address, in place of one at another address. */
-    private Upstream hold(Endpoint endpoint, SocketAddress address) {
+    private Upstream acquire(Endpoint endpoint, SocketAddress address) {
         Upstream known = servers.get(endpoint.id());
         if (known != null && known.address().equals(address)) {
             return known;
@@ -77,14 +78,14 @@
         remove(endpoint.id());
         PolicySettings settings = options.settings();
         boolean origin = settings.cacheAside() && endpoint.kind() == settings.originKind();
-        Upstream server = core.servers().hold(endpoint.id(), origin, address, options.connections());
+        Upstream server = loopContext.servers().acquire(endpoint.id(), origin, address, options.connections());
         servers.put(endpoint.id(), server);
         return server;
     }
 
-    private void removeUnlisted(List<ListedServer> hosts) {
+    private void removeUnlisted(List<ListedServer> listedServers) {
         Set<Integer> listed = new HashSet<>();
-        hosts.forEach(host -> listed.add(host.endpoint().id()));
+        listedServers.forEach(listedServer -> listed.add(listedServer.endpoint().id()));
         for (Integer id : List.copyOf(servers.keySet())) {
             if (!listed.contains(id)) {
                 remove(id);
@@ -96,15 +97,16 @@
         Upstream server = servers.remove(id);
         if (server != null) {
             server.markUnavailable();
-            core.servers().release(server);
+            loopContext.servers().release(server);
         }
     }
 
     /** Closes connections that have been idle for long and those whose value has stopped coming. Once a second. */
     void sweep() {
-        double nowMs = core.nowMs();
-        core.servers()
-                .sweep(servers.values(), nowMs, nowMs - options.connections().retireIdleMs());
+        double nowMs = loopContext.nowMs();
+        loopContext
+                .servers()
+                .sweep(servers.values(), nowMs, nowMs - options.connections().maxIdleMs());
     }
 
     /** Closes the idle connections to a server; does nothing if it is not listed. */
@@ -119,10 +121,10 @@
     void close() {
         for (Integer id : List.copyOf(servers.keySet())) {
             Upstream server = servers.remove(id);
-            if (server.hasOneHolder()) {
+            if (server.hasOnePool()) {
                 server.close();
             }
-            core.servers().release(server);
+            loopContext.servers().release(server);
         }
     }
 
--- a/src/main/java/cacheproxy/proxy/dispatch/PoolServices.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/PoolServices.java
@@ -21,14 +21,14 @@
         RequestEventLog log,
         PoolExtensions extensions) {
     /** The parts that depend on no others, for a pool of these options. */
-    static PoolServices of(EventLoopContext core, PoolOptions options) {
-        PoolServers servers = new PoolServers(core, options);
+    static PoolServices of(EventLoopContext loopContext, PoolOptions options) {
+        PoolServers servers = new PoolServers(loopContext, options);
         return new PoolServices(
-                core,
+                loopContext,
                 options,
-                new PolicyEvents(core),
+                new PolicyEvents(loopContext),
                 servers,
-                new RequestEventLog(core, options.settings(), servers),
+                new RequestEventLog(loopContext, options.settings(), servers),
                 new PoolExtensions());
     }
 
--- a/src/main/java/cacheproxy/proxy/dispatch/RequestAttempt.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/RequestAttempt.java
@@ -68,7 +68,7 @@
     /** Ends it as not sent if it has not begun; one that has goes on. */
     void withdraw() {
         if (!hasEnded() && !hasBegun() && connection() != null) {
-            connection().giveUp(this);
+            connection().abandon(this);
             onEnd(AttemptOutcome.NOT_SENT);
         }
     }
@@ -79,7 +79,7 @@
             return;
         }
         if (connection() != null) {
-            connection().giveUp(this);
+            connection().abandon(this);
         }
         policy.run(() -> onEnd(AttemptOutcome.CANCELLED));
     }
@@ -127,8 +127,8 @@
     }
 
     @Override
-    public void onEnd(AttemptOutcome outcome, int note, float[] report, ByteBuf value, String receipt) {
-        owner.results().ended(this, outcome, note, report, value, receipt);
+    public void onEnd(AttemptOutcome outcome, int cacheStatus, float[] loadReport, ByteBuf value, String receipt) {
+        owner.results().ended(this, outcome, cacheStatus, loadReport, value, receipt);
     }
 
     // ---- facts for the send guard
@@ -174,6 +174,6 @@
 
     @Override
     public double serverUnavailableSinceMs() {
-        return connection().serverLeftMs();
+        return connection().serverUnavailableSinceMs();
     }
 }
--- a/src/main/java/cacheproxy/proxy/dispatch/RequestAttempts.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/RequestAttempts.java
@@ -11,17 +11,17 @@
 
 /** Starts the attempts of a pool's requests, and checks each right before its first byte. On the event loop only. */
 final class RequestAttempts {
-    private final EventLoopContext core;
+    private final EventLoopContext loopContext;
     private final PoolServices pool;
-    private final AttemptResults results;
+    private final AttemptResultHandler results;
     private final PoolProtocol protocol;
     private final SendGuard sendGuard;
 
-    RequestAttempts(PoolServices pool, AttemptResults results, PoolProtocol protocol) {
+    RequestAttempts(PoolServices pool, AttemptResultHandler results, PoolProtocol protocol) {
         this.pool = pool;
         this.results = results;
         this.protocol = protocol;
-        core = pool.core();
+        loopContext = pool.core();
         sendGuard = new SendGuard(pool.settings().drainGraceMs());
     }
 
@@ -31,7 +31,7 @@
      * @param timeoutMs how long to wait for the server; 0: until the request is due
      */
     void send(RequestContext context, int server, double timeoutMs) {
-        double nowMs = core.nowMs();
+        double nowMs = loopContext.nowMs();
         double leftMs = context.dueMs() - nowMs;
         double waitMs = timeoutMs == 0 ? leftMs : Math.min(timeoutMs, leftMs);
         RequestAttempt attempt = new RequestAttempt(this, context, server, nowMs, nowMs + waitMs);
@@ -44,7 +44,7 @@
             return;
         }
         if (waitMs < leftMs) {
-            attempt.expireAfter(core, waitMs);
+            attempt.expireAfter(loopContext, waitMs);
         }
         limitToDeduplicationWindow(context, attempt);
         if (!upstream.send(attempt)) {
@@ -69,7 +69,7 @@
             }
         }
         if (attempt.beginByMs() < attempt.timeoutAtMs()) {
-            core.after(attempt.beginByMs() - core.nowMs(), attempt::withdraw);
+            loopContext.after(attempt.beginByMs() - loopContext.nowMs(), attempt::withdraw);
         }
     }
 
@@ -79,13 +79,14 @@
      */
     boolean mayBegin(RequestAttempt attempt) {
         RequestContext context = attempt.context();
-        Invariant violated = sendGuard.violatedBy(attempt, core.nowMs());
-        if (violated == null && core.isBehind() && context.hasClientLeft()) {
+        Invariant violated = sendGuard.violatedBy(attempt, loopContext.nowMs());
+        if (violated == null && loopContext.isBehind() && context.hasClientLeft()) {
             violated = Invariant.CLIENT_PRESENT;
         }
         if (violated != null) {
             String server = pool.servers().name(attempt.server());
-            core.invariants()
+            loopContext
+                    .invariants()
                     .recordStopped(
                             violated,
                             context.request().id(),
@@ -96,7 +97,8 @@
         double clientDueMs = context.request().clientDueMs();
         if (context.dueMs() > clientDueMs) {
             long excessMs = Math.round(context.dueMs() - clientDueMs);
-            core.invariants()
+            loopContext
+                    .invariants()
                     .recordViolation(
                             Invariant.DEADLINE_WITHIN_CLIENTS,
                             context.request().id(),
@@ -111,7 +113,7 @@
     }
 
     /** Takes what attempts bring. */
-    AttemptResults results() {
+    AttemptResultHandler results() {
         return results;
     }
 
--- a/src/main/java/cacheproxy/proxy/dispatch/RequestContext.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/RequestContext.java
@@ -17,7 +17,7 @@
  */
 public final class RequestContext implements RequestHandler.Handle {
     /** Most requests have no more attempts. */
-    private static final int USUAL_ATTEMPTS = 3;
+    private static final int TYPICAL_ATTEMPTS = 3;
 
     private enum State {
         /** The client has had nothing yet. */
@@ -33,7 +33,7 @@
     private final long keyHash;
     private final Responder responder;
     private final boolean holdsRequestId;
-    private final List<RequestAttempt> attempts = new ArrayList<>(USUAL_ATTEMPTS);
+    private final List<RequestAttempt> attempts = new ArrayList<>(TYPICAL_ATTEMPTS);
 
     private int id;
     private double dueMs;
--- a/src/main/java/cacheproxy/proxy/dispatch/RequestEventLog.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/RequestEventLog.java
@@ -8,19 +8,19 @@
 
 /** Writes the event log's lines on a pool's requests and their attempts; nothing while the log is off. */
 final class RequestEventLog {
-    private final EventLoopContext core;
+    private final EventLoopContext loopContext;
     private final PolicySettings settings;
     private final PoolServers servers;
 
-    RequestEventLog(EventLoopContext core, PolicySettings settings, PoolServers servers) {
-        this.core = core;
+    RequestEventLog(EventLoopContext loopContext, PolicySettings settings, PoolServers servers) {
+        this.loopContext = loopContext;
         this.settings = settings;
         this.servers = servers;
     }
 
     /** A request has arrived. */
     void requestReceived(RequestContext context, double nowMs) {
-        if (core.events().isEnabled()) {
+        if (loopContext.events().isEnabled()) {
             line(ProxyEvent.REQUEST_RECEIVED, context)
                     .with("class", context.serviceClass(settings).name())
                     .withMs("left_ms", context.dueMs() - nowMs)
@@ -30,9 +30,9 @@
 
     /** The client of a request has disconnected before its response. */
     void requestAbandoned(RequestContext context) {
-        if (core.events().isEnabled()) {
+        if (loopContext.events().isEnabled()) {
             line(ProxyEvent.REQUEST_ABANDONED, context)
-                    .withMs("left_ms", context.dueMs() - core.nowMs())
+                    .withMs("left_ms", context.dueMs() - loopContext.nowMs())
                     .with("in_flight", context.inFlightAttempts())
                     .write();
         }
@@ -40,27 +40,27 @@
 
     /** The cause that is written is the outcome of the attempt that ended last, if there was one. */
     void requestConcluded(RequestContext context, ResponseKind kind) {
-        if (core.events().isEnabled()) {
+        if (loopContext.events().isEnabled()) {
             line(ProxyEvent.REQUEST_ANSWERED, context)
                     .with("kind", kind.label())
                     .with("attempts", context.attempts().size())
                     .with("cause", context.lastOutcome() == null ? "not_sent_on" : context.lastOutcome())
-                    .withMs("left_ms", context.dueMs() - core.nowMs())
+                    .withMs("left_ms", context.dueMs() - loopContext.nowMs())
                     .write();
         }
     }
 
     /** An attempt's first byte is about to be written. */
     void attemptStarted(RequestAttempt attempt) {
-        if (core.events().isEnabled()) {
+        if (loopContext.events().isEnabled()) {
             RequestContext context = attempt.context();
             line(ProxyEvent.ATTEMPT_STARTED, context)
                     .with("n", attempt.index())
                     .with("server", attempt.connection().name())
                     .with("cause", causeOf(attempt))
-                    .withMs("left_ms", attempt.timeoutAtMs() - core.nowMs())
-                    .withMs("client_left_ms", context.dueMs() - core.nowMs())
-                    .withMs("queued_ms", core.nowMs() - attempt.startedMs())
+                    .withMs("left_ms", attempt.timeoutAtMs() - loopContext.nowMs())
+                    .withMs("client_left_ms", context.dueMs() - loopContext.nowMs())
+                    .withMs("queued_ms", loopContext.nowMs() - attempt.startedMs())
                     .with("depth", attempt.connection().queueLength())
                     .write();
         }
@@ -76,7 +76,7 @@
 
     /** An attempt has ended. */
     void attemptEnded(RequestAttempt attempt, AttemptOutcome outcome, double elapsedMs) {
-        if (core.events().isEnabled()) {
+        if (loopContext.events().isEnabled()) {
             line(ProxyEvent.ATTEMPT_ENDED, attempt.context())
                     .with("n", attempt.index())
                     .with("server", servers.name(attempt.server()))
@@ -89,6 +89,6 @@
     }
 
     private EventLine line(ProxyEvent event, RequestContext context) {
-        return core.events().line(event).with("id", context.request().id());
+        return loopContext.events().line(event).with("id", context.request().id());
     }
 }
--- a/src/main/java/cacheproxy/proxy/dispatch/RequestLifecycle.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/RequestLifecycle.java
@@ -15,23 +15,23 @@
     /** How long after its deadline the policy may still conclude a request. */
     private static final double CONCLUSION_GRACE_MS = 10;
 
-    private final EventLoopContext core;
+    private final EventLoopContext loopContext;
     private final PoolServices pool;
     private final IntObjectHashMap<RequestContext> requests = new IntObjectHashMap<>();
     private int lastId;
 
     RequestLifecycle(PoolServices pool) {
         this.pool = pool;
-        core = pool.core();
+        loopContext = pool.core();
     }
 
     /** Takes a request and reports it to the policy. */
     void start(RequestContext context) {
         context.setId(++lastId);
         requests.put(context.id(), context);
-        double nowMs = core.nowMs();
+        double nowMs = loopContext.nowMs();
         // Before the policy's own timer for the same time: an attempt at a silent server ends as timed out then.
-        context.setDeadlineTimer(core.after(context.dueMs() - nowMs, () -> deadlineReached(context)));
+        context.setDeadlineTimer(loopContext.after(context.dueMs() - nowMs, () -> deadlineReached(context)));
         pool.log().requestReceived(context, nowMs);
         pool.policy().requestReceived(context, nowMs);
     }
@@ -41,12 +41,12 @@
         for (int i = 0; i < attempts.size() && !context.isStreaming(); i++) {
             attempts.get(i).expire();
         }
-        context.setDeadlineTimer(core.after(CONCLUSION_GRACE_MS, () -> failUnlessConcluded(context)));
+        context.setDeadlineTimer(loopContext.after(CONCLUSION_GRACE_MS, () -> failUnlessConcluded(context)));
     }
 
     private void failUnlessConcluded(RequestContext context) {
         if (context.isPending()) {
-            core.log("request left unanswered by the module");
+            loopContext.log("request left unanswered by the module");
             fail(context);
         }
     }
@@ -85,10 +85,10 @@
         if (!attempt.hasBegun()) {
             attempt.withdraw();
         } else if (attempt.isStreaming()) {
-            attempt.connection().giveUp(attempt);
+            attempt.connection().abandon(attempt);
             attempt.onEnd(AttemptOutcome.CANCELLED);
         } else if (!attempt.hasTimeout()) { // it would have ended by the request's own timer, which has been cancelled
-            attempt.expireAfter(core, attempt.context().dueMs() - core.nowMs());
+            attempt.expireAfter(loopContext, attempt.context().dueMs() - loopContext.nowMs());
         }
     }
 
@@ -142,7 +142,7 @@
     void conclude(RequestContext context) {
         context.conclude();
         if (context.holdsRequestId()) {
-            core.closeId(context.request().id());
+            loopContext.closeId(context.request().id());
         }
     }
 
@@ -152,7 +152,7 @@
             return;
         }
         if (requests.remove(context.id()) != null) {
-            context.request().release(core);
+            context.request().release(loopContext);
         }
     }
 }
--- a/src/main/java/cacheproxy/proxy/dispatch/SinglePoolHandler.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/SinglePoolHandler.java
@@ -9,29 +9,29 @@
 
 /** Validates requests and hands all of them to one pool, as on the platform. */
 public final class SinglePoolHandler implements RequestHandler {
-    private final EventLoopContext core;
+    private final EventLoopContext loopContext;
     private final RequestValidator validator;
     private final Dispatcher pool;
 
     /** Hands requests to this pool. */
-    public SinglePoolHandler(EventLoopContext core, Dispatcher pool) {
-        this.core = core;
+    public SinglePoolHandler(EventLoopContext loopContext, Dispatcher pool) {
+        this.loopContext = loopContext;
         this.pool = pool;
         PolicySettings settings = pool.settings();
-        validator = new RequestValidator(core, settings.classes(), settings.tenants());
+        validator = new RequestValidator(loopContext, settings.classes(), settings.tenants());
     }
 
     @Override
     public Handle submit(ClientRequest request, Responder responder) {
-        String fault = validator.resolve(request);
-        if (fault != null) {
-            request.release(core);
-            responder.badRequest(fault);
+        String error = validator.resolve(request);
+        if (error != null) {
+            request.release(loopContext);
+            responder.badRequest(error);
             return null;
         }
         if (validator.isExpired(request)) {
-            core.closeId(request.id());
-            request.release(core);
+            loopContext.closeId(request.id());
+            request.release(loopContext);
             responder.busy(0);
             return null;
         }
--- a/src/main/java/cacheproxy/proxy/process/PlatformConfigParser.java
+++ b/src/main/java/cacheproxy/proxy/process/PlatformConfigParser.java
@@ -21,7 +21,7 @@
     private static final int HEX_RADIX = 16;
     private static final int DEFAULT_MEMORY_MB = 192;
     private static final int DEFAULT_SOCKETS = 1024;
-    private static final double DEFAULT_IDLE_CLOSE_MS = 15_000;
+    private static final double DEFAULT_SERVER_IDLE_TIMEOUT_MS = 15_000;
 
     private PlatformConfigParser() {}
 
@@ -49,7 +49,7 @@
                 parser.settings(),
                 parser.list("zones"),
                 parser.list("kinds"),
-                parser.number("caps.idle-close", DEFAULT_IDLE_CLOSE_MS),
+                parser.number("caps.idle-close", DEFAULT_SERVER_IDLE_TIMEOUT_MS),
                 Math.max(1, (int) parser.number("caps.streams-per-conn", 1)));
     }
 
@@ -69,8 +69,8 @@
         return value;
     }
 
-    private static double number(JsonObject json, String key, double absent) {
-        return json.has(key) ? json.get(key).getAsDouble() : absent;
+    private static double number(JsonObject json, String key, double defaultValue) {
+        return json.has(key) ? json.get(key).getAsDouble() : defaultValue;
     }
 
     private static InetSocketAddress optionalAddress(JsonObject json, String key) {
--- a/src/main/java/cacheproxy/proxy/process/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/process/Proxy.java
@@ -61,7 +61,7 @@
             warmUp();
         }
         loopContext = new EventLoopContext(loop, polls, Transport.BEST.socket(), config.eventLoopLimits());
-        loopContext.watchPauses();
+        loopContext.startHeartbeat();
         ConfigReloader.applyEventLog(loopContext, config);
         dispatcher = new Dispatcher(loopContext, PlatformPool.options(config));
         peers = new PeerSocket(loop, config.peerAddresses(), this::peerMessage);
--- a/src/main/java/cacheproxy/proxy/process/WarmUp.java
+++ b/src/main/java/cacheproxy/proxy/process/WarmUp.java
@@ -43,7 +43,7 @@
  */
 final class WarmUp {
     private static final int MAX_CONNECTIONS = 16;
-    private static final int NODE_ID = 1;
+    private static final int CACHE_SERVER_ID = 1;
     private static final int ORIGIN_ID = 2;
 
     private final EventLoop loop;
@@ -54,7 +54,7 @@
     private final List<Channel> channels = new ArrayList<>();
     private final List<Path> socketPaths = new ArrayList<>();
     /** Requests with a response; on the event loop. */
-    private int answered;
+    private int responses;
 
     private int sent;
 
@@ -93,7 +93,7 @@
             } finally {
                 Files.delete(folder);
             }
-            return loop.submit(() -> warmUp.answered).sync().getNow();
+            return loop.submit(() -> warmUp.responses).sync().getNow();
         } catch (IOException | RuntimeException e) {
             System.err.println("no warm-up: " + e);
         } catch (InterruptedException e) {
@@ -133,14 +133,15 @@
 
     private void sendRequests(Dispatcher dispatcher, Listener listener, UnaryOperator<SocketAddress> toDialed)
             throws InterruptedException {
-        SocketAddress node = listen("n", CacheNode::new);
+        SocketAddress cacheServer = listen("n", CacheServer::new);
         SocketAddress origin = listen("o", Origin::new);
         SocketAddress proxy = listen("p", listener::newUncountedConnection);
         int originKind = config.settings().originKind();
-        int nodeKind = originKind == 0 ? 1 : 0;
-        List<ListedServer> hosts =
-                List.of(host(NODE_ID, nodeKind, node), host(ORIGIN_ID, Math.max(0, originKind), origin));
-        loop.submit(() -> dispatcher.endpointListReceived(EndpointListKind.CACHED, hosts))
+        int cacheServerKind = originKind == 0 ? 1 : 0;
+        List<ListedServer> listedServers = List.of(
+                listedServer(CACHE_SERVER_ID, cacheServerKind, cacheServer),
+                listedServer(ORIGIN_ID, Math.max(0, originKind), origin));
+        loop.submit(() -> dispatcher.endpointListReceived(EndpointListKind.CACHED, listedServers))
                 .sync();
         channels.add(new Bootstrap()
                 .group(loop)
@@ -171,7 +172,7 @@
         return address;
     }
 
-    private static ListedServer host(int id, int kind, SocketAddress address) {
+    private static ListedServer listedServer(int id, int kind, SocketAddress address) {
         return new ListedServer(new Endpoint(id, 0, kind, 0, EndpointState.READY, 1, 0), address);
     }
 
@@ -188,7 +189,7 @@
     }
 
     /** A cache node that misses a quarter of the keys. */
-    private static final class CacheNode extends ResetTolerantDecoder {
+    private static final class CacheServer extends ResetTolerantDecoder {
         @SuppressWarnings("FutureReturnValueIgnored") // a failed write closes the channel, and the close is handled
         @Override
         protected void decode(ChannelHandlerContext ctx, ByteBuf input, List<Object> output) throws Exception {
@@ -243,10 +244,10 @@
             if (line == null || line.startsWith("VA")) { // the value's line follows
                 return;
             }
-            answered++;
-            if (answered == plan.requests()) {
+            responses++;
+            if (responses == plan.requests()) {
                 done.countDown();
-            } else if (answered < plan.requests()) {
+            } else if (responses < plan.requests()) {
                 send(ctx);
             }
         }
--- a/src/main/java/cacheproxy/proxy/upstream/Attempt.java
+++ b/src/main/java/cacheproxy/proxy/upstream/Attempt.java
@@ -85,7 +85,7 @@
      * The deadline to name to the server: whole milliseconds until the proxy stops waiting, at least 1 and never more
      * than the client has left. Computed anew each time that a request is written.
      */
-    final int deadlineToTellMs(double nowMs) {
+    final int deadlineForServerMs(double nowMs) {
         double leftMs = Math.min(deadlineMs(), request.clientDueMs()) - nowMs;
         return (int) Math.max(1, Math.min(Integer.MAX_VALUE, Math.floor(leftMs)));
     }
--- a/src/main/java/cacheproxy/proxy/upstream/AttemptWriter.java
+++ b/src/main/java/cacheproxy/proxy/upstream/AttemptWriter.java
@@ -63,7 +63,7 @@
                 });
         if (!flushPending) {
             flushPending = true;
-            connection.core().flushLater(flush);
+            connection.loopContext().flushLater(flush);
         }
     }
 
--- a/src/main/java/cacheproxy/proxy/upstream/CacheCodec.java
+++ b/src/main/java/cacheproxy/proxy/upstream/CacheCodec.java
@@ -52,7 +52,7 @@
     /** From the flags of the response that is being read, as are the load figures. */
     private int cacheStatus;
 
-    private float[] report;
+    private float[] loadReport;
     /** The load figures of a probe's response so far. */
     private String stats = "";
 
@@ -64,14 +64,15 @@
 
     @Override
     public ChannelFuture write(Channel channel, Attempt attempt, SocketAddress server) {
-        return CacheRequestEncoder.write(channel, attempt, connection.core().nowMs());
+        return CacheRequestEncoder.write(
+                channel, attempt, connection.loopContext().nowMs());
     }
 
     // ---- input
 
     @Override
     public void channelRead(ChannelHandlerContext ctx, Object message) throws Exception {
-        connection.core().handling();
+        connection.loopContext().handling();
         connection.setReading(true);
         super.channelRead(ctx, message);
     }
@@ -133,7 +134,7 @@
     private void onError(Attempt attempt, String line) {
         AttemptOutcome outcome = line.startsWith(MetaCodec.BUSY_PREFIX) ? AttemptOutcome.FULL : AttemptOutcome.ERROR;
         String load = MetaCodec.flagArgument(line, MetaCodec.BUSY_PREFIX.length() + 1, LOAD_FLAG);
-        responses.onResponse(outcome, CACHE_STATUS_UNKNOWN, attempt.protocol().reportOf(load));
+        responses.onResponse(outcome, CACHE_STATUS_UNKNOWN, attempt.protocol().loadReportIn(load));
     }
 
     private void onStored(Attempt attempt, String line) throws MetaCodec.SyntaxException {
@@ -142,31 +143,32 @@
         if (receipt == null && !attempt.protocol().stockServers()) {
             throw new MetaCodec.SyntaxException("no receipt");
         }
-        responses.onResponse(AttemptOutcome.OK, cacheStatus, report, null, receipt);
+        responses.onResponse(AttemptOutcome.OK, cacheStatus, loadReport, null, receipt);
     }
 
     private void onMiss(Attempt attempt, String line) throws MetaCodec.SyntaxException {
         if (attempt.protocol().stockServers() && line.equals(MISS)) {
             // Stock servers name no id with a miss; their responses are in order nevertheless.
             cacheStatus = CACHE_STATUS_MISS;
-            report = null;
+            loadReport = null;
         } else {
             readFlags(attempt, line, MISS.length() + 1);
         }
-        responses.onResponse(AttemptOutcome.MISS, cacheStatus, report);
+        responses.onResponse(AttemptOutcome.MISS, cacheStatus, loadReport);
     }
 
     private void onProbeLine(Attempt attempt, String line) {
         if (line.startsWith(STAT_PREFIX)) {
             String name = MetaCodec.tokenAt(line, STAT_PREFIX.length());
-            String figure = MetaCodec.tokenAt(line, STAT_PREFIX.length() + name.length() + 1);
-            stats += name + "=" + figure + ",";
+            String value = MetaCodec.tokenAt(line, STAT_PREFIX.length() + name.length() + 1);
+            stats += name + "=" + value + ",";
             return;
         }
         boolean healthy = line.equals("MN") || line.equals("END");
-        float[] figures = MetaCodec.parseLoadReport(stats, attempt.protocol().reportNames());
+        float[] probeReport =
+                MetaCodec.parseLoadReport(stats, attempt.protocol().reportNames());
         stats = "";
-        responses.onResponse(healthy ? AttemptOutcome.OK : AttemptOutcome.ERROR, CACHE_STATUS_UNKNOWN, figures);
+        responses.onResponse(healthy ? AttemptOutcome.OK : AttemptOutcome.ERROR, CACHE_STATUS_UNKNOWN, probeReport);
     }
 
     /** Reads what the flags say; the id must be the attempt's. */
@@ -175,7 +177,7 @@
             throw new MetaCodec.SyntaxException("answer to another request");
         }
         cacheStatus = readCacheStatus(line, from);
-        report = attempt.protocol().reportOf(MetaCodec.flagArgument(line, from, LOAD_FLAG));
+        loadReport = attempt.protocol().loadReportIn(MetaCodec.flagArgument(line, from, LOAD_FLAG));
     }
 
     private static int readCacheStatus(String line, int from) {
@@ -212,7 +214,7 @@
             ByteBuf value = input.readRetainedSlice(valueBytes);
             input.skipBytes(CRLF_BYTES);
             missingBytes = NO_VALUE;
-            responses.onResponse(AttemptOutcome.OK, cacheStatus, report, value, null);
+            responses.onResponse(AttemptOutcome.OK, cacheStatus, loadReport, value, null);
         }
     }
 
@@ -233,7 +235,7 @@
             requireCrlf(input, input.readerIndex());
             input.skipBytes(CRLF_BYTES);
             missingBytes = NO_VALUE;
-            responses.onResponse(AttemptOutcome.OK, cacheStatus, report);
+            responses.onResponse(AttemptOutcome.OK, cacheStatus, loadReport);
         }
     }
 
--- a/src/main/java/cacheproxy/proxy/upstream/CacheRequestEncoder.java
+++ b/src/main/java/cacheproxy/proxy/upstream/CacheRequestEncoder.java
@@ -23,7 +23,7 @@
             return channel.write(MetaCodec.ascii(channel.alloc(), probe));
         }
         ClientRequest request = attempt.request();
-        int deadlineMs = attempt.deadlineToTellMs(nowMs);
+        int deadlineMs = attempt.deadlineForServerMs(nowMs);
         String siblingClass = attempt.siblingClass();
         return siblingClass == null
                 ? writeToServer(channel, request, deadlineMs)
--- a/src/main/java/cacheproxy/proxy/upstream/ConnectionLimits.java
+++ b/src/main/java/cacheproxy/proxy/upstream/ConnectionLimits.java
@@ -18,10 +18,10 @@
         int maxConnections,
         int streamsPerConnection) {
     /** How much of {@link #idleCloseMs} a connection may be idle for before it is used or closed. */
-    private static final double RETIRE_FRACTION = 0.7;
+    private static final double MAX_IDLE_FRACTION = 0.7;
 
     /** For how long a connection may be idle and still be used. */
-    public double retireIdleMs() {
-        return idleCloseMs * RETIRE_FRACTION;
+    public double maxIdleMs() {
+        return idleCloseMs * MAX_IDLE_FRACTION;
     }
 }
--- a/src/main/java/cacheproxy/proxy/upstream/ConnectionSelector.java
+++ b/src/main/java/cacheproxy/proxy/upstream/ConnectionSelector.java
@@ -6,7 +6,7 @@
  * Selects the connection that takes an attempt, among those to one server that are open. Used on the event loop only.
  */
 final class ConnectionSelector {
-    private final EventLoopContext core;
+    private final EventLoopContext loopContext;
     private final boolean origin;
     private final int maxDepth;
     private final List<UpstreamConnection> connections;
@@ -18,8 +18,9 @@
      * @param maxDepth how many attempts a connection may have
      * @param connections the server's connections, which the owner adds and removes
      */
-    ConnectionSelector(EventLoopContext core, boolean origin, int maxDepth, List<UpstreamConnection> connections) {
-        this.core = core;
+    ConnectionSelector(
+            EventLoopContext loopContext, boolean origin, int maxDepth, List<UpstreamConnection> connections) {
+        this.loopContext = loopContext;
         this.origin = origin;
         this.maxDepth = maxDepth;
         this.connections = connections;
@@ -45,18 +46,18 @@
         if (candidate.depth() != best.depth()) {
             return candidate.depth() < best.depth();
         }
-        boolean rested = isRested(candidate);
-        return rested != isRested(best) ? rested : candidate.idleSinceMs() > best.idleSinceMs();
+        boolean reusable = isReusable(candidate);
+        return reusable != isReusable(best) ? reusable : candidate.idleSinceMs() > best.idleSinceMs();
     }
 
     /**
      * Whether a duplicate of the last response could be told from the response of an attempt that is sent now. The
      * origin's responses carry no id; a duplicate that comes while no attempt has begun closes the connection.
      */
-    boolean isRested(UpstreamConnection connection) {
+    boolean isReusable(UpstreamConnection connection) {
         return !origin
                 || !connection.isConnected()
                 || !connection.hasResponded()
-                || core.nowMs() - connection.idleSinceMs() >= Upstream.REST_MS;
+                || loopContext.nowMs() - connection.idleSinceMs() >= Upstream.REUSE_DELAY_MS;
     }
 }
--- a/src/main/java/cacheproxy/proxy/upstream/EventLoopContext.java
+++ b/src/main/java/cacheproxy/proxy/upstream/EventLoopContext.java
@@ -31,14 +31,14 @@
 
     private final EventLoopClock clock;
     private final TimerWheel timers;
-    private final FlushBatcher flushes;
+    private final FlushBatcher flushBatcher;
     /** The clients' ids of requests that have no response yet. */
     private final Set<String> openRequestIds = new HashSet<>();
 
-    private final ByteBudget valueBytes;
-    private final StreamBudget streams;
-    private final BufferedBodyLimit bufferedBodies;
-    private final ConnectionCloseLimiter closes = new ConnectionCloseLimiter();
+    private final ByteBudget valueBudget;
+    private final StreamBudget streamBudget;
+    private final BufferedBodyLimit bufferedBodyLimit;
+    private final ConnectionCloseLimiter closeLimiter = new ConnectionCloseLimiter();
     private final UpstreamBootstraps bootstraps;
     private final int maxServerConnections;
     private int serverConnections;
@@ -54,10 +54,10 @@
         this.loop = loop;
         clock = new EventLoopClock(polls);
         timers = new TimerWheel(loop, polls);
-        flushes = new FlushBatcher(loop, limits.batchFlushes());
-        valueBytes = new ByteBudget(limits.maxValueBytes());
-        streams = new StreamBudget(limits.maxValueBytes());
-        bufferedBodies = new BufferedBodyLimit(loop, limits.maxValueBytes());
+        flushBatcher = new FlushBatcher(loop, limits.batchFlushes());
+        valueBudget = new ByteBudget(limits.maxValueBytes());
+        streamBudget = new StreamBudget(limits.maxValueBytes());
+        bufferedBodyLimit = new BufferedBodyLimit(loop, limits.maxValueBytes());
         bootstraps = new UpstreamBootstraps(loop, serverChannels);
         maxServerConnections = limits.maxServerConnections();
         servers = new UpstreamRegistry(this);
@@ -87,7 +87,7 @@
     }
 
     /** Whether this turn of the loop is the given one or the next, which reads what was unread until then. */
-    public boolean follows(long turn) {
+    public boolean isTurnOrNext(long turn) {
         return clock.isTurnOrNext(turn);
     }
 
@@ -102,7 +102,7 @@
     }
 
     /** Wakes the loop often enough for {@link #unreadSinceMs} to notice pauses. To be called once, from any thread. */
-    public void watchPauses() {
+    public void startHeartbeat() {
         loop.execute(this::heartbeat);
     }
 
@@ -117,7 +117,7 @@
 
     /** Runs the flush at once, or at the end of this turn where flushes are batched; see {@link FlushBatcher}. */
     public void flushLater(Runnable flush) {
-        flushes.flushLater(flush);
+        flushBatcher.flushLater(flush);
     }
 
     // ---- logs
@@ -138,7 +138,7 @@
     }
 
     /** Whether a line would still be written; from any thread. */
-    public boolean takesLines() {
+    public boolean acceptsLines() {
         return errors.acceptsLines();
     }
 
@@ -159,28 +159,28 @@
 
     /** Reserves memory for the value of a write, to be given back once; or returns false if there is too little. */
     public boolean reserve(int bytes) {
-        return valueBytes.reserve(bytes);
+        return valueBudget.reserve(bytes);
     }
 
     /** Gives back reserved memory. */
     @Override
     public void releaseReservedBytes(int bytes) {
-        valueBytes.release(bytes);
+        valueBudget.release(bytes);
     }
 
     /** A streamed response begins. Returns how many bytes of it may wait for its client. */
-    public int streamOpened() {
-        return streams.opened();
+    public int openStream() {
+        return streamBudget.openStream();
     }
 
     /** A streamed response has ended. */
-    public void streamClosed() {
-        streams.closed();
+    public void closeStream() {
+        streamBudget.closeStream();
     }
 
     /** The limit on bodies that are buffered whole. */
-    BufferedBodyLimit bufferedBodies() {
-        return bufferedBodies;
+    BufferedBodyLimit bufferedBodyLimit() {
+        return bufferedBodyLimit;
     }
 
     // ---- connections to servers
@@ -217,6 +217,6 @@
 
     /** Whether a connection may be closed to abandon one attempt; see {@link ConnectionCloseLimiter#mayClose}. */
     boolean mayClose(boolean hedgingAllowed) {
-        return closes.mayClose(nowMs(), hedgingAllowed);
+        return closeLimiter.mayClose(nowMs(), hedgingAllowed);
     }
 }
--- a/src/main/java/cacheproxy/proxy/upstream/OriginCodec.java
+++ b/src/main/java/cacheproxy/proxy/upstream/OriginCodec.java
@@ -45,16 +45,17 @@
     /** Whether a long body has been buffered completely, and is being passed on. */
     private boolean forwarding;
     /** The load figures of the response whose body is being passed on. */
-    private float[] forwardedReport;
+    private float[] forwardedLoadReport;
     /** Whether input is ignored, as the connection is to end. */
-    private boolean ended;
+    private boolean ignoringInput;
 
     private boolean inactive;
 
     private OriginCodec(UpstreamConnection connection) {
         this.connection = connection;
         responses = connection.responses();
-        claim = new BodyBufferClaim(connection.core().bufferedBodies(), responses::setReadable, () -> forwarding);
+        claim = new BodyBufferClaim(
+                connection.loopContext().bufferedBodyLimit(), responses::setReadable, () -> forwarding);
         connection.setCodec(this);
     }
 
@@ -67,8 +68,8 @@
 
     @Override
     public ChannelFuture write(Channel channel, Attempt attempt, SocketAddress server) {
-        return channel.write(
-                OriginRequestEncoder.encode(attempt, server, connection.core().nowMs()));
+        return channel.write(OriginRequestEncoder.encode(
+                attempt, server, connection.loopContext().nowMs()));
     }
 
     // ---- input
@@ -81,9 +82,9 @@
 
     @Override
     protected void channelRead0(ChannelHandlerContext ctx, HttpObject message) {
-        connection.core().handling();
+        connection.loopContext().handling();
         connection.setReading(true);
-        if (ended) {
+        if (ignoringInput) {
             return;
         }
         if (message.decoderResult().isFailure()) {
@@ -95,7 +96,7 @@
         }
         if (response != null && message instanceof HttpContent content) {
             onContent(ctx, content.content());
-            if (!ended && content instanceof LastHttpContent) {
+            if (!ignoringInput && content instanceof LastHttpContent) {
                 onResponseEnd();
             }
         }
@@ -181,14 +182,14 @@
             connection.retire();
         }
         Attempt attempt = responses.currentAttempt();
-        float[] report = attempt.protocol().reportOf(head.headers().get(LOAD_HEADER));
+        float[] loadReport = attempt.protocol().loadReportIn(head.headers().get(LOAD_HEADER));
         if (body.isLong()) {
-            beginForwarding(report);
+            beginForwarding(loadReport);
         } else if (isOk(head) && !attempt.isProbe()) {
-            onSuccess(attempt, report);
+            onSuccess(attempt, loadReport);
         } else {
             body.release();
-            responses.onResponse(outcome(attempt, head), CACHE_STATUS_UNKNOWN, report);
+            responses.onResponse(outcome(attempt, head), CACHE_STATUS_UNKNOWN, loadReport);
         }
     }
 
@@ -204,29 +205,29 @@
         return declined ? AttemptOutcome.FULL : AttemptOutcome.ERROR;
     }
 
-    private void onSuccess(Attempt attempt, float[] report) {
+    private void onSuccess(Attempt attempt, float[] loadReport) {
         ByteBuf complete = body.take();
         if (complete == null) { // it was passed on as it came, or dropped
-            responses.onResponse(AttemptOutcome.OK, CACHE_STATUS_UNKNOWN, report);
+            responses.onResponse(AttemptOutcome.OK, CACHE_STATUS_UNKNOWN, loadReport);
         } else if (attempt.request().isWrite()) {
             String receipt = complete.toString(StandardCharsets.ISO_8859_1).trim();
             complete.release();
-            responses.onResponse(AttemptOutcome.OK, CACHE_STATUS_UNKNOWN, report, null, receipt);
+            responses.onResponse(AttemptOutcome.OK, CACHE_STATUS_UNKNOWN, loadReport, null, receipt);
         } else {
-            responses.onResponse(AttemptOutcome.OK, CACHE_STATUS_UNKNOWN, report, complete, null);
+            responses.onResponse(AttemptOutcome.OK, CACHE_STATUS_UNKNOWN, loadReport, complete, null);
         }
     }
 
     /** Passes on a long body that has been buffered, as a long value whose length is known now. */
-    private void beginForwarding(float[] report) {
-        forwardedReport = report;
+    private void beginForwarding(float[] loadReport) {
+        forwardedLoadReport = loadReport;
         forwarding = true;
         if (responses.onLongValueBegin(body.length())) {
             body.beginTaking();
             resume();
         } else {
             releaseBody();
-            responses.onResponse(AttemptOutcome.OK, CACHE_STATUS_UNKNOWN, report);
+            responses.onResponse(AttemptOutcome.OK, CACHE_STATUS_UNKNOWN, loadReport);
         }
     }
 
@@ -244,7 +245,7 @@
 
     private void endForwarding() {
         releaseBody();
-        responses.onResponse(AttemptOutcome.OK, CACHE_STATUS_UNKNOWN, forwardedReport);
+        responses.onResponse(AttemptOutcome.OK, CACHE_STATUS_UNKNOWN, forwardedLoadReport);
         if (inactive) {
             connection.onClosed();
         }
@@ -259,14 +260,14 @@
     // ---- the end of the connection
 
     private void fail(String reason) {
-        ended = true;
+        ignoringInput = true;
         releaseBody();
         connection.onProtocolError(reason);
     }
 
     @Override
     public void discard() {
-        ended = true; // a body whose end is the connection's is not complete if the proxy ends the connection
+        ignoringInput = true; // a body whose end is the connection's is not complete if the proxy ends the connection
         boolean wasForwarding = forwarding;
         releaseBody();
         if (wasForwarding && inactive) {
@@ -282,7 +283,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext ctx) {
-        ended = true;
+        ignoringInput = true;
         inactive = true;
         if (!forwarding) { // else the client gets the rest first
             releaseBody();
@@ -293,7 +294,7 @@
     @SuppressWarnings("FutureReturnValueIgnored") // the close is observed where the channel becomes inactive
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        ended = true; // a body whose end is the connection's is not complete after a failure
+        ignoringInput = true; // a body whose end is the connection's is not complete after a failure
         ctx.close();
     }
 }
--- a/src/main/java/cacheproxy/proxy/upstream/OriginRequestEncoder.java
+++ b/src/main/java/cacheproxy/proxy/upstream/OriginRequestEncoder.java
@@ -46,7 +46,7 @@
         FullHttpRequest request = new DefaultFullHttpRequest(HttpVersion.HTTP_1_1, method, path, value);
         request.headers()
                 .set(ID_HEADER, source.id())
-                .set(ATTRIBUTES_HEADER, source.attributesWithDeadline(attempt.deadlineToTellMs(nowMs)));
+                .set(ATTRIBUTES_HEADER, source.attributesWithDeadline(attempt.deadlineForServerMs(nowMs)));
         if (source.isWrite()) {
             request.headers().set(HttpHeaderNames.CONTENT_LENGTH, value.readableBytes());
         }
--- a/src/main/java/cacheproxy/proxy/upstream/PoolProtocol.java
+++ b/src/main/java/cacheproxy/proxy/upstream/PoolProtocol.java
@@ -18,7 +18,7 @@
     }
 
     /** The load figures in a response; null where responses bring none. */
-    float[] reportOf(String figures) {
-        return reports == LoadReportSource.WITH_ANSWERS ? MetaCodec.parseLoadReport(figures, reportNames) : null;
+    float[] loadReportIn(String text) {
+        return reports == LoadReportSource.WITH_ANSWERS ? MetaCodec.parseLoadReport(text, reportNames) : null;
     }
 }
--- a/src/main/java/cacheproxy/proxy/upstream/ResponseProgress.java
+++ b/src/main/java/cacheproxy/proxy/upstream/ResponseProgress.java
@@ -10,11 +10,11 @@
     /** How long the connection waits for the rest of a short response: three times the longest pause. */
     static final double CUT_MS = 300;
 
-    private final EventLoopContext context;
+    private final EventLoopContext loopContext;
     private final BooleanSupplier closed;
     private final Runnable onCut;
     /** When the last bytes came, or the response could continue again. */
-    private double lastMs;
+    private double lastProgressMs;
     /** Whether a part of a short response, and not all of it, has come. */
     private boolean partial;
 
@@ -26,21 +26,21 @@
      * @param closed whether the connection is closed, so that nothing is expected any more
      * @param onCut runs when the rest of a short response has not come in time
      */
-    ResponseProgress(EventLoopContext context, BooleanSupplier closed, Runnable onCut) {
-        this.context = context;
+    ResponseProgress(EventLoopContext loopContext, BooleanSupplier closed, Runnable onCut) {
+        this.loopContext = loopContext;
         this.closed = closed;
         this.onCut = onCut;
     }
 
     /** Bytes have come, or reading has been suspended or resumed. */
-    void advanced() {
-        lastMs = context.nowMs();
+    void recordProgress() {
+        lastProgressMs = loopContext.nowMs();
     }
 
     /** A part of a short response has come, and the rest is expected within {@link #CUT_MS}. */
     void partialReceived() {
         partial = true;
-        advanced();
+        recordProgress();
         if (!timerSet) {
             timerSet = true;
             setTimer(CUT_MS);
@@ -53,13 +53,13 @@
     }
 
     /** For how long nothing has come, in milliseconds. */
-    double pausedForMs(double nowMs) {
-        return nowMs - lastMs;
+    double sinceProgressMs(double nowMs) {
+        return nowMs - lastProgressMs;
     }
 
     private void setTimer(double ms) {
-        context.after(ms, () -> {
-            double leftMs = CUT_MS - pausedForMs(context.nowMs());
+        loopContext.after(ms, () -> {
+            double leftMs = CUT_MS - sinceProgressMs(loopContext.nowMs());
             boolean expecting = partial && !closed.getAsBoolean();
             timerSet = expecting && leftMs > 0;
             if (timerSet) {
--- a/src/main/java/cacheproxy/proxy/upstream/ResponseReceiver.java
+++ b/src/main/java/cacheproxy/proxy/upstream/ResponseReceiver.java
@@ -10,7 +10,7 @@
  */
 final class ResponseReceiver {
     /** A long value that has not continued for this long, or a response that is late by this much, will not come. */
-    private static final double STALLED_MS = 3000;
+    private static final double STALL_TIMEOUT_MS = 3000;
 
     private final UpstreamConnection connection;
     private final AttemptQueue attempts;
@@ -28,7 +28,7 @@
     ResponseReceiver(UpstreamConnection connection, AttemptQueue attempts) {
         this.connection = connection;
         this.attempts = attempts;
-        progress = new ResponseProgress(connection.core(), connection::isClosed, connection::close);
+        progress = new ResponseProgress(connection.loopContext(), connection::isClosed, connection::close);
     }
 
     // ---- state
@@ -54,8 +54,8 @@
         boolean silent = connection.isConnected()
                 && first != null
                 && first.hasEnded()
-                && nowMs - first.timeoutAtMs() > STALLED_MS;
-        return silent || (receivingLongValue && !paused && progress.pausedForMs(nowMs) > STALLED_MS);
+                && nowMs - first.timeoutAtMs() > STALL_TIMEOUT_MS;
+        return silent || (receivingLongValue && !paused && progress.sinceProgressMs(nowMs) > STALL_TIMEOUT_MS);
     }
 
     // ---- flow control
@@ -64,7 +64,7 @@
     void setPaused(boolean pause) {
         if (paused != pause) {
             paused = pause;
-            progress.advanced();
+            progress.recordProgress();
             connection.channel().config().setAutoRead(!pause);
             if (!pause) {
                 connection.codec().resume();
@@ -82,7 +82,7 @@
         if (readable) {
             progress.partialReceived();
         } else {
-            progress.advanced();
+            progress.recordProgress();
             progress.expectNothing();
         }
         connection.channel().config().setAutoRead(readable && !paused);
@@ -106,19 +106,19 @@
         receivingLongValue = true;
         // Its head may have come in parts; the limit on pauses of short responses no longer applies.
         progress.expectNothing();
-        progress.advanced();
+        progress.recordProgress();
         return attempts.first().onValueBegin(length);
     }
 
     /** A part of a long value, which the callee releases. */
     void onLongValuePart(ByteBuf part) {
-        progress.advanced();
+        progress.recordProgress();
         attempts.first().onValuePart(part);
     }
 
     /** A response without a value or receipt, or the end of a long value, has come. */
-    void onResponse(AttemptOutcome outcome, int cacheStatus, float[] report) {
-        onResponse(outcome, cacheStatus, report, null, null);
+    void onResponse(AttemptOutcome outcome, int cacheStatus, float[] loadReport) {
+        onResponse(outcome, cacheStatus, loadReport, null, null);
     }
 
     /**
@@ -127,7 +127,7 @@
      * @param value which the callee releases; null if there is none, or it has come in parts
      * @param receipt null if there is none
      */
-    void onResponse(AttemptOutcome outcome, int cacheStatus, float[] report, ByteBuf value, String receipt) {
+    void onResponse(AttemptOutcome outcome, int cacheStatus, float[] loadReport, ByteBuf value, String receipt) {
         Attempt attempt = attempts.removeResponded();
         receivingLongValue = false;
         progress.expectNothing();
@@ -136,9 +136,9 @@
             accepted = true;
             connection.onAccepted();
         }
-        connection.beginIdleIfEmpty();
+        connection.markIdleIfEmpty();
         setPaused(false);
-        attempt.onEnd(outcome, cacheStatus, report, value, receipt);
+        attempt.onEnd(outcome, cacheStatus, loadReport, value, receipt);
         connection.closeIfRetiredAndEmpty();
     }
 }
--- a/src/main/java/cacheproxy/proxy/upstream/StreamBudget.java
+++ b/src/main/java/cacheproxy/proxy/upstream/StreamBudget.java
@@ -18,13 +18,13 @@
     }
 
     /** A streamed response begins. Returns how many bytes of it may wait for its client. */
-    int opened() {
+    int openStream() {
         openStreams++;
         return (int) Math.max(MIN_STREAM_BYTES, Math.min(MAX_STREAM_BYTES, totalBytes / openStreams));
     }
 
     /** A streamed response has ended. */
-    void closed() {
+    void closeStream() {
         openStreams--;
     }
 }
--- a/src/main/java/cacheproxy/proxy/upstream/Upstream.java
+++ b/src/main/java/cacheproxy/proxy/upstream/Upstream.java
@@ -21,7 +21,7 @@
      * How long an idle connection to the origin is not reused after a response, in milliseconds: a duplicate of the
      * response, which is recognized only by coming before an attempt begins, would follow within a few milliseconds.
      */
-    public static final double REST_MS = 10;
+    public static final double REUSE_DELAY_MS = 10;
 
     private static final double READY = Double.POSITIVE_INFINITY;
 
@@ -35,9 +35,9 @@
     /** Since when it is known to drain or to be gone; {@link #READY} if neither. */
     private double unavailableSinceMs = READY;
     /** How many pools have this server on their lists. */
-    private int holders;
+    private int poolCount;
 
-    private final EventLoopContext core;
+    private final EventLoopContext loopContext;
     private final Bootstrap bootstrap;
     /** Bound of the connections that can take another attempt. */
     private final int maxConnections;
@@ -45,28 +45,28 @@
     private final int maxConnectionsWithLongValues;
 
     private final int maxDepth;
-    private final double retireIdleMs;
+    private final double maxIdleMs;
     private final ServerCapacity capacity;
     private final List<UpstreamConnection> connections = new ArrayList<>(2);
     private final ConnectionSelector selector;
 
-    Upstream(int id, boolean origin, SocketAddress address, EventLoopContext core, ConnectionLimits limits) {
+    Upstream(int id, boolean origin, SocketAddress address, EventLoopContext loopContext, ConnectionLimits limits) {
         this.id = id;
         this.address = address;
         this.origin = origin;
-        this.core = core;
-        capacity = new ServerCapacity(core.servers().shortage());
-        bootstrap = core.bootstrap(limits.connectTimeoutMs());
+        this.loopContext = loopContext;
+        capacity = new ServerCapacity(loopContext.servers().shortage());
+        bootstrap = loopContext.bootstrap(limits.connectTimeoutMs());
         maxConnections = origin ? limits.originConnections() : limits.cacheConnections();
         maxConnectionsWithLongValues = Math.max(maxConnections, limits.maxConnections());
         maxDepth = origin ? 1 : limits.streamsPerConnection();
-        selector = new ConnectionSelector(core, origin, maxDepth, connections);
-        retireIdleMs = limits.retireIdleMs();
+        selector = new ConnectionSelector(loopContext, origin, maxDepth, connections);
+        maxIdleMs = limits.maxIdleMs();
     }
 
     /** The context of the event loop that owns this server. */
-    EventLoopContext core() {
-        return core;
+    EventLoopContext loopContext() {
+        return loopContext;
     }
 
     // ---- the server in the endpoint list
@@ -99,7 +99,7 @@
     /**
      * Takes over what the list says. If the server has been restarted, the connections to its old process are retired.
      */
-    public void listed(EndpointState newState, double newStartedMs) {
+    public void updateListing(EndpointState newState, double newStartedMs) {
         if (startedMs != newStartedMs) {
             retire();
         }
@@ -114,32 +114,32 @@
 
     /** The server is known to drain or to be gone from now on, or since the time that is known already. */
     public void markUnavailable() {
-        unavailableSinceMs = Math.min(unavailableSinceMs, core.nowMs());
+        unavailableSinceMs = Math.min(unavailableSinceMs, loopContext.nowMs());
     }
 
     /** Another pool has it on its list. */
-    void addHolder() {
-        holders++;
+    void addPool() {
+        poolCount++;
     }
 
     /** A pool does not have it any more. Returns whether no pool has it now. */
-    boolean removeHolder() {
-        holders--;
-        return holders == 0;
+    boolean removePool() {
+        poolCount--;
+        return poolCount == 0;
     }
 
     /** Whether exactly one pool has it. */
-    public boolean hasOneHolder() {
-        return holders == 1;
+    public boolean hasOnePool() {
+        return poolCount == 1;
     }
 
     // ---- the choice of a connection
 
     /** Sends the attempt; false if no connection can take it. */
     public boolean send(Attempt attempt) {
-        closeAged();
+        closeExpired();
         UpstreamConnection best = selector.best(false);
-        if ((best == null || best.depth() > 0 || !selector.isRested(best)) && mayOpen()) {
+        if ((best == null || best.depth() > 0 || !selector.isReusable(best)) && mayOpen()) {
             best = open();
         }
         if (best == null || !best.isUsable(maxDepth)) { // a new one may have failed at once, for want of a descriptor
@@ -168,8 +168,8 @@
         int available = current - count(UpstreamConnection::isReceivingLongValue);
         return available < maxConnections
                 && current < maxConnectionsWithLongValues
-                && (origin || capacity.mayOpen(core.nowMs(), available))
-                && core.mayOpenConnection();
+                && (origin || capacity.mayOpen(loopContext.nowMs(), available))
+                && loopContext.mayOpenConnection();
     }
 
     private int count(Predicate<UpstreamConnection> condition) {
@@ -185,7 +185,7 @@
     private UpstreamConnection open() {
         UpstreamConnection connection = new UpstreamConnection(this);
         connections.add(connection);
-        core.connectionOpened();
+        loopContext.connectionOpened();
         ChannelHandler[] handlers =
                 origin ? OriginCodec.handlers(connection) : new ChannelHandler[] {new CacheCodec(connection)};
         ChannelFuture connect =
@@ -199,7 +199,7 @@
     /** A connection has closed, or did not come up. */
     void onClosed(UpstreamConnection connection) {
         if (connections.remove(connection)) {
-            core.connectionClosed();
+            loopContext.connectionClosed();
         }
     }
 
@@ -211,7 +211,7 @@
     /** The server has closed a new connection without serving an attempt. */
     void onConnectionRefused() {
         if (!origin) {
-            capacity.connectionRefused(core.nowMs());
+            capacity.connectionRefused(loopContext.nowMs());
         }
     }
 
@@ -221,8 +221,8 @@
      * Closes connections that were idle for so long that the server may be about to close them: whether it has
      * processed an attempt that was written meanwhile could not be known.
      */
-    private void closeAged() {
-        double sinceMs = core.nowMs() - retireIdleMs;
+    private void closeExpired() {
+        double sinceMs = loopContext.nowMs() - maxIdleMs;
         for (UpstreamConnection connection : connections) {
             if (connection.isEmpty() && connection.isConnected() && connection.idleSinceMs() < sinceMs) {
                 connection.close(); // it is removed from the list when the channel has closed, not within this loop
--- a/src/main/java/cacheproxy/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/cacheproxy/proxy/upstream/UpstreamConnection.java
@@ -36,12 +36,12 @@
         this.upstream = upstream;
         writer = new AttemptWriter(this, attempts);
         responses = new ResponseReceiver(this, attempts);
-        idleSinceMs = upstream.core().nowMs();
+        idleSinceMs = upstream.loopContext().nowMs();
     }
 
     /** The context of the event loop that owns this connection. */
-    EventLoopContext core() {
-        return upstream.core();
+    EventLoopContext loopContext() {
+        return upstream.loopContext();
     }
 
     /** Its responses, to which its codec hands what it reads. */
@@ -77,8 +77,8 @@
     }
 
     private void connectEnded(Throwable failure) {
-        core().servers().opened(upstream, failure);
-        UpstreamEvents.logConnected(core().events(), this, failure);
+        loopContext().servers().connectCompleted(upstream, failure);
+        UpstreamEvents.logConnected(loopContext().events(), this, failure);
         if (failure != null) {
             // A channel that was never active reports no end to its handlers, so it has to be done here. Else attempts
             // would time out as ones that may have been processed, and the connection would count for good.
@@ -86,7 +86,7 @@
             return;
         }
         connected = true;
-        beginIdleIfEmpty();
+        markIdleIfEmpty();
         writer.writeWaiting();
     }
 
@@ -150,7 +150,7 @@
     }
 
     /** Since when its server is known to drain or to be gone; infinite if it is ready. */
-    public double serverLeftMs() {
+    public double serverUnavailableSinceMs() {
         return upstream.unavailableSinceMs();
     }
 
@@ -179,12 +179,12 @@
      *
      * @return whether it was removed before it had begun
      */
-    public boolean giveUp(Attempt attempt) {
+    public boolean abandon(Attempt attempt) {
         if (!attempt.hasBegun()) {
             return attempts.removeWaiting(attempt);
         }
         // A retired one takes no more attempts, so that keeping it would not save a new connection.
-        if (attempts.abandon(attempt) && (retired || core().mayClose(attempt.hedgingAllowed()))) {
+        if (attempts.abandon(attempt) && (retired || loopContext().mayClose(attempt.hedgingAllowed()))) {
             close();
         }
         return false;
@@ -213,9 +213,9 @@
     }
 
     /** If no attempt is left, it is idle from now on. */
-    void beginIdleIfEmpty() {
+    void markIdleIfEmpty() {
         if (attempts.isEmpty()) {
-            idleSinceMs = core().nowMs();
+            idleSinceMs = loopContext().nowMs();
         }
     }
 
@@ -228,7 +228,7 @@
 
     /** Input violates the protocol. */
     void onProtocolError(String reason) {
-        core().log("bad answer of " + address + ": " + reason);
+        loopContext().log("bad answer of " + address + ": " + reason);
         close();
     }
 
@@ -270,7 +270,7 @@
             upstream.onConnectionRefused();
         }
         upstream.onClosed(this);
-        UpstreamEvents.logDisconnected(core().events(), this);
+        UpstreamEvents.logDisconnected(loopContext().events(), this);
         for (Attempt attempt; (attempt = attempts.removeFirst()) != null; ) {
             if (!sendElsewhere(attempt)) {
                 attempt.onEnd(attempt.isWritten() ? AttemptOutcome.RESET : AttemptOutcome.CONNECT_FAILED);
--- a/src/main/java/cacheproxy/proxy/upstream/UpstreamRegistry.java
+++ b/src/main/java/cacheproxy/proxy/upstream/UpstreamRegistry.java
@@ -23,18 +23,18 @@
         void connectionAccepted(int server);
     }
 
-    private final EventLoopContext core;
+    private final EventLoopContext loopContext;
     /** By id; more than one where pools have different addresses for an id. */
     private final IntObjectHashMap<List<Upstream>> byId = new IntObjectHashMap<>();
     /** Servers that no pool has any more, with connections on which attempts have not ended. */
-    private final List<Upstream> leaving = new ArrayList<>();
+    private final List<Upstream> released = new ArrayList<>();
 
     private final ConnectionShortage shortage = new ConnectionShortage();
     /** Copied on write, as a pool may end, and be removed from here, while observers are called. */
     private final List<Observer> observers = new CopyOnWriteArrayList<>();
 
-    UpstreamRegistry(EventLoopContext core) {
-        this.core = core;
+    UpstreamRegistry(EventLoopContext loopContext) {
+        this.loopContext = loopContext;
     }
 
     /** Whether cache servers have refused connections recently, over all servers. */
@@ -53,7 +53,7 @@
     }
 
     /** A connection to a server has come up, or has failed to. */
-    void opened(Upstream server, Throwable failure) {
+    void connectCompleted(Upstream server, Throwable failure) {
         boolean refused = failure instanceof ConnectException && !(failure instanceof ConnectTimeoutException);
         for (Observer observer : observers) {
             if (failure == null) {
@@ -70,7 +70,7 @@
      *
      * @param limits used if no pool has the server yet
      */
-    public Upstream hold(int id, boolean origin, SocketAddress address, ConnectionLimits limits) {
+    public Upstream acquire(int id, boolean origin, SocketAddress address, ConnectionLimits limits) {
         List<Upstream> sameId = byId.get(id);
         if (sameId == null) {
             sameId = new ArrayList<>(1);
@@ -78,19 +78,19 @@
         }
         for (Upstream server : sameId) {
             if (server.address().equals(address) && server.isOrigin() == origin) {
-                server.addHolder();
+                server.addPool();
                 return server;
             }
         }
-        Upstream server = new Upstream(id, origin, address, core, limits);
-        server.addHolder();
+        Upstream server = new Upstream(id, origin, address, loopContext, limits);
+        server.addPool();
         sameId.add(server);
         return server;
     }
 
     /** A pool does not have this server any more; its connections are retired if no other pool has it. */
     public void release(Upstream server) {
-        if (!server.removeHolder()) {
+        if (!server.removePool()) {
             return;
         }
         List<Upstream> sameId = byId.get(server.id());
@@ -100,7 +100,7 @@
         }
         server.retire();
         if (!server.hasNoConnection()) {
-            leaving.add(server);
+            released.add(server);
         }
     }
 
@@ -118,7 +118,7 @@
             }
             server.closeStalled(nowMs);
         }
-        leaving.removeIf(server -> {
+        released.removeIf(server -> {
             server.closeStalled(nowMs);
             return server.hasNoConnection();
         });
--- a/src/test/java/cacheproxy/AbandonedRequestIT.java
+++ b/src/test/java/cacheproxy/AbandonedRequestIT.java
@@ -16,7 +16,7 @@
 /** Clients that leave while the proxy's process is held up: nothing is begun for them once it runs again. */
 @Timeout(60)
 class AbandonedRequestIT {
-    private static final long HELD_UP_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
+    private static final long PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
     private static final int ROUNDS = 8;
 
     @TempDir
@@ -52,7 +52,7 @@
                 refusals.take().countDown(); // the refusal is there before the close, so that it may be read first
                 refused.take();
                 client.close();
-                LockSupport.parkNanos(HELD_UP_NANOS);
+                LockSupport.parkNanos(PAUSE_NANOS);
                 proxy.signal("CONT");
                 try (ServeProcess.Client later = proxy.client()) {
                     later.send("mn"); // read in a turn after that of the refusal and the close
--- a/src/test/java/cacheproxy/ArchitectureTest.java
+++ b/src/test/java/cacheproxy/ArchitectureTest.java
@@ -10,7 +10,7 @@
 /** One direction of dependence: command line over fronts and sockets over decisions over PolicyApi. */
 class ArchitectureTest {
     /** Free of I/O, clocks and randomness of their own. */
-    private static final String[] DECISIONS = {
+    private static final String[] DECISION_PACKAGES = {
         "cacheproxy.placement..",
         "cacheproxy.limits..",
         "cacheproxy.routes..",
@@ -35,8 +35,8 @@
             .importPackages("cacheproxy");
 
     @Test
-    void decisionsKnowNoSocketsFilesOrThreads() {
-        String[] outside = {
+    void decisionsDoNotDependOnSocketsFilesOrThreads() {
+        String[] ioPackages = {
             "io.netty..",
             "java.net..",
             "java.nio.file..",
@@ -55,25 +55,25 @@
         };
         noClasses()
                 .that()
-                .resideInAnyPackage(DECISIONS)
+                .resideInAnyPackage(DECISION_PACKAGES)
                 .should()
                 .dependOnClassesThat()
-                .resideInAnyPackage(outside)
+                .resideInAnyPackage(ioPackages)
                 .check(ALL);
         noClasses()
                 .that()
                 .resideInAPackage("cacheproxy.policy..")
                 .should()
                 .dependOnClassesThat()
-                .resideInAnyPackage(outside)
+                .resideInAnyPackage(ioPackages)
                 .check(ALL);
     }
 
     @Test
-    void decisionsReadNoClockAndDrawNoChance() {
+    void decisionsUseNoClockAndNoUnseededRandomness() {
         noClasses()
                 .that()
-                .resideInAnyPackage(DECISIONS)
+                .resideInAnyPackage(DECISION_PACKAGES)
                 .or()
                 .resideInAPackage("cacheproxy.policy..")
                 .should()
@@ -89,7 +89,7 @@
     }
 
     @Test
-    void socketsKnowNothingOfWhatStandsAboveThem() {
+    void proxyDoesNotDependOnTheLayersAboveIt() {
         noClasses()
                 .that()
                 .resideInAPackage("cacheproxy.proxy..")
@@ -121,7 +121,7 @@
     }
 
     @Test
-    void nginxIsKnownToTheCommandLineAndItsModelAloneAndTheModelKnowsNothingOfTheImporter() {
+    void nginxIsUsedOnlyByTheCommandLineAndItsModelAndTheModelDoesNotDependOnTheImporter() {
         noClasses()
                 .that()
                 .resideOutsideOfPackages(
@@ -167,7 +167,7 @@
     }
 
     @Test
-    void hooksKnowNoSocketsFilesOrThreadsAndWebAssemblyIsKnownToThemAlone() {
+    void hooksDoNotDependOnSocketsFilesOrThreadsAndOnlyTheyUseWebAssembly() {
         noClasses()
                 .that()
                 .resideInAPackage("cacheproxy.hooks..")
@@ -193,7 +193,7 @@
     }
 
     @Test
-    void theRigSeesProcessesFromOutsideAlone() {
+    void faultTestsSeeProcessesOnlyFromOutside() {
         noClasses()
                 .that()
                 .resideInAPackage("cacheproxy.faulttest..")
@@ -216,7 +216,7 @@
     }
 
     @Test
-    void theDoorAndTheHandoverKnowNothingOfTheProxy() {
+    void controlAndHandoverDoNotDependOnTheProxy() {
         noClasses()
                 .that()
                 .resideInAnyPackage("cacheproxy.control..", "cacheproxy.handover..")
@@ -233,7 +233,7 @@
     }
 
     @Test
-    void memoryFilesKnowNothingOfWhoRemembers() {
+    void snapshotsDoNotDependOnTheirUsers() {
         noClasses()
                 .that()
                 .resideInAPackage("cacheproxy.snapshot..")
@@ -256,7 +256,7 @@
     }
 
     @Test
-    void codecsOfProtocolsBetweenCachesKnowNothingOfOurs() {
+    void icpAndHtcpCodecsDoNotDependOnTheProxy() {
         noClasses()
                 .that()
                 .resideInAnyPackage("cacheproxy.icp..", "cacheproxy.htcp..")
@@ -275,7 +275,7 @@
     }
 
     @Test
-    void frontsKnowNoConnectionsToServers() {
+    void clientSideDoesNotDependOnUpstreams() {
         noClasses()
                 .that()
                 .resideInAPackage("cacheproxy.proxy.client..")
@@ -286,7 +286,7 @@
     }
 
     @Test
-    void requestsKnowNoListenersServersOrProcess() {
+    void requestsDoNotDependOnListenersServersOrProcess() {
         noClasses()
                 .that()
                 .resideInAPackage("cacheproxy.proxy.request..")
@@ -303,7 +303,7 @@
     }
 
     @Test
-    void clientSideKnowsNoDispatchDiscoveryOrProcess() {
+    void clientSideDoesNotDependOnDispatchDiscoveryOrProcess() {
         noClasses()
                 .that()
                 .resideInAPackage("cacheproxy.proxy.client..")
@@ -315,7 +315,7 @@
     }
 
     @Test
-    void discoveryKnowsNoClientsDispatchOrProcess() {
+    void discoveryDoesNotDependOnClientsDispatchOrProcess() {
         noClasses()
                 .that()
                 .resideInAPackage("cacheproxy.proxy.discovery..")
--- a/src/test/java/cacheproxy/DaemonJarIT.java
+++ b/src/test/java/cacheproxy/DaemonJarIT.java
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void checkAndExplainTellByTheirExitCodes() throws Exception {
+    void checkAndExplainReportResultsByExitCode() throws Exception {
         assertThat(run("check", "deploy/coralbay.toml")).satisfies(r -> {
             assertThat(r.code).isZero();
             assertThat(r.out).contains("good").contains("3 pools");
@@ -134,7 +134,7 @@
 
     /** Killed under load in the middle of its writes, it starts every time, and what it finds is whole. */
     @Test
-    void aDaemonThatIsKilledWhileItWritesFindsAWholeMemoryEachTime() throws Exception {
+    void aDaemonKilledWhileWritingFindsACompleteSnapshotEachTime() throws Exception {
         Path file = folder.resolve("coralbay.toml");
         Path memory = folder.resolve("memory");
         Files.writeString(
@@ -161,7 +161,7 @@
                     BufferedReader in = new BufferedReader(new InputStreamReader(client.getInputStream(), UTF_8));
                     // Its servers are not there: each request is news. The first takes so long that two writes may come
                     // before its end.
-                    for (boolean told = false; !told; ) {
+                    for (boolean written = false; !written; ) {
                         client.getOutputStream().write("mg page/1 v\r\n".getBytes(UTF_8));
                         assertThat(in.readLine()).startsWith("SERVER_ERROR");
                         StateSnapshot r = Files.exists(memory)
@@ -169,7 +169,7 @@
                                         .read()
                                         .content()
                                 : null;
-                        told = r != null
+                        written = r != null
                                 && r.generation() > generation + 1
                                 && r.pools().values().stream()
                                         .anyMatch(k -> !k.learned().servers().isEmpty());
@@ -225,7 +225,7 @@
 
     /** The platform's proxies have 32 MB: what others need must cost them nothing. */
     @Test
-    void thePlatformsCommandsLoadNoneOfTheDaemonsClasses() throws Exception {
+    void platformCommandsLoadNoDaemonClasses() throws Exception {
         ProcessBuilder b = new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-Xlog:class+load:stdout",
--- a/src/test/java/cacheproxy/DeadlinePropagationIT.java
+++ b/src/test/java/cacheproxy/DeadlinePropagationIT.java
@@ -23,14 +23,14 @@
 class DeadlinePropagationIT {
     private static final double SLACK_MS = 150;
     private static final int WAIT_MS = 3000;
-    private static final long HELD_UP_MS = 600;
+    private static final long DELAY_MS = 600;
     private static final Pattern DEADLINE = Pattern.compile("[P,: ]d=([0-9.]+)");
 
     @TempDir
     private Path folder;
 
     /** What a server was told, and when. */
-    private record Told(double deadlineMs, long atNanos) {
+    private record ReceivedDeadline(double deadlineMs, long atNanos) {
         /**
          * The time that a client had left then, who sent its request at {@code sentNanos} and waits for
          * {@link #WAIT_MS}.
@@ -40,15 +40,15 @@
         }
     }
 
-    private static Told told(String command) {
+    private static ReceivedDeadline receivedDeadline(String command) {
         long now = System.nanoTime();
         Matcher m = DEADLINE.matcher(command);
         assertThat(m.find()).as(command).isTrue();
-        return new Told(Double.parseDouble(m.group(1)), now);
+        return new ReceivedDeadline(Double.parseDouble(m.group(1)), now);
     }
 
-    private static void holdUp() {
-        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(HELD_UP_MS);
+    private static void delayResponse() {
+        long until = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(DELAY_MS);
         for (long left; (left = until - System.nanoTime()) > 0; ) {
             LockSupport.parkNanos(left);
         }
@@ -62,20 +62,20 @@
         return "VA 5 O" + ScriptedServer.id(command) + " h1\r\nhello\r\n";
     }
 
-    private static void assertWithinWhatIsLeft(Told told, long sentNanos) {
-        assertThat(told.deadlineMs())
+    private static void assertWithinTimeLeft(ReceivedDeadline received, long sentNanos) {
+        assertThat(received.deadlineMs())
                 .as("told to the server, ms")
                 .isPositive()
-                .isLessThanOrEqualTo(told.clientLeftMs(sentNanos) + SLACK_MS);
+                .isLessThanOrEqualTo(received.clientLeftMs(sentNanos) + SLACK_MS);
     }
 
     @Test
-    void theOriginIsToldWhatIsLeftAfterALateMiss() throws Exception {
-        BlockingQueue<Told> origin = new LinkedBlockingQueue<>();
+    void theOriginReceivesTheTimeLeftAfterALateMiss() throws Exception {
+        BlockingQueue<ReceivedDeadline> origin = new LinkedBlockingQueue<>();
         try (ServeProcess proxy = new ServeProcess(folder)
                         .node(new ScriptedServer(c -> {
                             for (String line; (line = c.command()) != null; ) {
-                                holdUp();
+                                delayResponse();
                                 c.say("EN O" + ScriptedServer.id(line) + "\r\n");
                             }
                         }))
@@ -85,29 +85,29 @@
                                 if (request == null) {
                                     return;
                                 }
-                                origin.add(told(request));
+                                origin.add(receivedDeadline(request));
                                 c.sayHttp(200, "", "hello");
                             }
                         }))
                         .start();
                 ServeProcess.Client client = proxy.client()) {
             long sent = client.send(read("a1"));
-            assertWithinWhatIsLeft(origin.take(), sent);
+            assertWithinTimeLeft(origin.take(), sent);
             assertThat(client.line()).isEqualTo("VA 5 Oa1");
         }
     }
 
     @Test
-    void aRetryIsToldWhatIsLeftAfterALateFailure() throws Exception {
-        BlockingQueue<Told> retries = new LinkedBlockingQueue<>();
+    void aRetryCarriesTheTimeLeftAfterALateFailure() throws Exception {
+        BlockingQueue<ReceivedDeadline> retries = new LinkedBlockingQueue<>();
         ScriptedServer.Script late = c -> {
             for (String line; (line = c.command()) != null; ) {
-                Told told = told(line);
-                if (told.deadlineMs() > WAIT_MS - HELD_UP_MS) {
-                    holdUp();
+                ReceivedDeadline received = receivedDeadline(line);
+                if (received.deadlineMs() > WAIT_MS - DELAY_MS) {
+                    delayResponse();
                     c.say("SERVER_ERROR busy\r\n");
                 } else {
-                    retries.add(told);
+                    retries.add(received);
                     c.say(hit(line));
                 }
             }
@@ -118,49 +118,49 @@
                         .start();
                 ServeProcess.Client client = proxy.client()) {
             long sent = client.send(read("b1"));
-            assertWithinWhatIsLeft(retries.take(), sent);
+            assertWithinTimeLeft(retries.take(), sent);
             assertThat(client.line()).isEqualTo("VA 5 Ob1");
         }
     }
 
-    private BlockingQueue<Told> told(ServeProcess proxy) throws IOException {
-        BlockingQueue<Told> all = new LinkedBlockingQueue<>();
+    private BlockingQueue<ReceivedDeadline> receivedDeadline(ServeProcess proxy) throws IOException {
+        BlockingQueue<ReceivedDeadline> all = new LinkedBlockingQueue<>();
         proxy.node(ScriptedServer.node(line -> {
-            all.add(told(line));
+            all.add(receivedDeadline(line));
             return hit(line);
         }));
         return all;
     }
 
     @Test
-    void aRequestThatWaitedUnreadOnAnOpenConnectionIsToldWhatIsLeft() throws Exception {
+    void aRequestThatWaitedUnreadOnAnOpenConnectionCarriesTheTimeLeft() throws Exception {
         try (ServeProcess proxy = new ServeProcess(folder)) {
-            BlockingQueue<Told> told = told(proxy);
+            BlockingQueue<ReceivedDeadline> received = receivedDeadline(proxy);
             try (ServeProcess.Client client = proxy.start().client()) {
                 client.send(read("c1"));
                 assertThat(client.line()).isEqualTo("VA 5 Oc1");
                 assertThat(client.line()).isEqualTo("hello");
-                told.take();
+                received.take();
                 proxy.pause();
                 long sent = client.send(read("c2"));
-                holdUp();
+                delayResponse();
                 proxy.signal("CONT");
-                assertWithinWhatIsLeft(told.take(), sent);
+                assertWithinTimeLeft(received.take(), sent);
                 assertThat(client.line()).isEqualTo("VA 5 Oc2");
             }
         }
     }
 
     @Test
-    void aRequestThatWaitedInTheListenersQueueIsToldWhatIsLeft() throws Exception {
+    void aRequestThatWaitedInTheAcceptQueueCarriesTheTimeLeft() throws Exception {
         try (ServeProcess proxy = new ServeProcess(folder)) {
-            BlockingQueue<Told> told = told(proxy);
+            BlockingQueue<ReceivedDeadline> received = receivedDeadline(proxy);
             proxy.start().pause();
             try (ServeProcess.Client client = proxy.client()) {
                 long sent = client.send(read("d1"));
-                holdUp();
+                delayResponse();
                 proxy.signal("CONT");
-                assertWithinWhatIsLeft(told.take(), sent);
+                assertWithinTimeLeft(received.take(), sent);
                 assertThat(client.line()).isEqualTo("VA 5 Od1");
             }
         }
--- a/src/test/java/cacheproxy/JarIT.java
+++ b/src/test/java/cacheproxy/JarIT.java
@@ -119,8 +119,8 @@
                 assertThat(in.readLine()).isEqualTo("MN");
                 Files.writeString(config, "{");
                 hangup(process);
-                BufferedReader told = new BufferedReader(new InputStreamReader(process.getErrorStream(), UTF_8));
-                for (String line; (line = told.readLine()) != null && !line.contains("config.json"); ) {
+                BufferedReader errors = new BufferedReader(new InputStreamReader(process.getErrorStream(), UTF_8));
+                for (String line; (line = errors.readLine()) != null && !line.contains("config.json"); ) {
                     // what discovery's silence had to say
                 }
                 Files.writeString(
@@ -159,7 +159,7 @@
             Path errors = folder.resolve("errors");
             Process process = builder.redirectError(errors.toFile()).start();
             try {
-                awaitYes(control, process);
+                awaitActive(control, process);
                 assertThat(Files.readString(errors))
                         .contains("SIGHUP is ignored")
                         .contains("POST /reload");
@@ -171,14 +171,14 @@
                                         "\"event_log\": true, \"discovery\": \"127.0.0.1:" + discovery.getLocalPort()
                                                 + "\""));
                 hangup(process);
-                assertThat(call(control, "GET /status")).contains(" 200 ");
-                assertThat(call(control, "POST /reload")).contains(" 202 ");
+                assertThat(controlResponse(control, "GET /status")).contains(" 200 ");
+                assertThat(controlResponse(control, "POST /reload")).contains(" 202 ");
                 discovery.setSoTimeout(60_000);
                 try (Socket call = discovery.accept()) {
                     assertThat(new BufferedReader(new InputStreamReader(call.getInputStream(), UTF_8)).readLine())
                             .startsWith("GET /discovery/hosts?since=0&");
                 }
-                assertThat(call(control, "GET /invariants")).contains(" 200 ");
+                assertThat(controlResponse(control, "GET /invariants")).contains(" 200 ");
                 process.destroy();
                 assertThat(process.waitFor(60, TimeUnit.SECONDS)).isTrue();
                 assertThat(Files.readString(errors))
@@ -192,7 +192,7 @@
     }
 
     /** The first line of the control address's answer; empty where there is none yet. */
-    private static String call(int port, String line) {
+    private static String controlResponse(int port, String line) {
         try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
             s.getOutputStream().write((line + " HTTP/1.1\r\nHost: x\r\n\r\n").getBytes(UTF_8));
             return String.valueOf(new BufferedReader(new InputStreamReader(s.getInputStream(), UTF_8)).readLine());
@@ -211,8 +211,8 @@
                                 "\"listen\": \"127.0.0.1:" + port + "\", \"control\": \"127.0.0.1:" + control + "\""));
     }
 
-    private static void awaitYes(int control, Process process) throws IOException {
-        while (!call(control, "GET /status").contains(" 200 ")) {
+    private static void awaitActive(int control, Process process) throws IOException {
+        while (!controlResponse(control, "GET /status").contains(" 200 ")) {
             if (!process.isAlive()) {
                 throw new AssertionError(
                         "ended: " + new String(process.getErrorStream().readAllBytes(), UTF_8));
@@ -221,7 +221,7 @@
         }
     }
 
-    private static String asked(int port) throws IOException {
+    private static String healthCheckResponse(int port) throws IOException {
         try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
             s.getOutputStream().write("mn\r\n".getBytes(UTF_8));
             return String.valueOf(new BufferedReader(new InputStreamReader(s.getInputStream(), UTF_8)).readLine());
@@ -239,7 +239,7 @@
         Thread clients = new Thread(() -> {
             while (!over.get() && fault.get() == null) {
                 try {
-                    String line = asked(port);
+                    String line = healthCheckResponse(port);
                     if (line.equals("MN")) {
                         answered.incrementAndGet();
                     } else {
@@ -253,7 +253,7 @@
         try {
             for (int v = 0; v < 3; v++) {
                 version[v] = start("serve", withControl(port, control[v]).toString());
-                awaitYes(control[v], version[v]);
+                awaitActive(control[v], version[v]);
                 if (v == 0) {
                     clients.start();
                     continue;
@@ -268,10 +268,10 @@
             over.set(true);
             clients.join();
             assertThat(fault.get()).isNull();
-            assertThat(call(control[2], "POST /standby")).contains(" 200 ");
-            assertThat(asked(port)).isEqualTo("SERVER_ERROR standby");
-            assertThat(call(control[2], "POST /active")).contains(" 200 ");
-            assertThat(asked(port)).isEqualTo("MN");
+            assertThat(controlResponse(control[2], "POST /standby")).contains(" 200 ");
+            assertThat(healthCheckResponse(port)).isEqualTo("SERVER_ERROR standby");
+            assertThat(controlResponse(control[2], "POST /active")).contains(" 200 ");
+            assertThat(healthCheckResponse(port)).isEqualTo("MN");
         } finally {
             over.set(true);
             for (Process p : version) {
@@ -286,35 +286,35 @@
      * What goes wrong around an upgrade: begun in standby, two at once, the next one killed, the running one killed.
      */
     @Test
-    void anUpgradeThatGoesWrongLeavesSomebodyWhoTakesClients() throws Exception {
+    void aFailedUpgradeLeavesAProcessThatAcceptsClients() throws Exception {
         int port = freePort();
         int[] control = {freePort(), freePort(), freePort(), freePort()};
         Process[] version = new Process[4];
         try {
             version[0] = start("serve", withControl(port, control[0]).toString());
-            awaitYes(control[0], version[0]);
-            assertThat(call(control[0], "POST /standby")).contains(" 200 ");
+            awaitActive(control[0], version[0]);
+            assertThat(controlResponse(control[0], "POST /standby")).contains(" 200 ");
             // Two at once, begun while the running one sends its clients away: both become ready, and active.
             version[1] = start("serve", withControl(port, control[1]).toString());
             version[2] = start("serve", withControl(port, control[2]).toString());
-            awaitYes(control[1], version[1]);
-            awaitYes(control[2], version[2]);
-            assertThat(call(control[0], "GET /status")).contains(" 503 ");
-            assertThat(call(control[0], "POST /active"))
+            awaitActive(control[1], version[1]);
+            awaitActive(control[2], version[2]);
+            assertThat(controlResponse(control[0], "GET /status")).contains(" 503 ");
+            assertThat(controlResponse(control[0], "POST /active"))
                     .as("taken back while next ones run")
                     .contains(" 200 ");
             // A next one dies before anybody made room for it: the others go on.
             version[2].destroyForcibly().waitFor();
-            assertThat(asked(port)).isEqualTo("MN");
+            assertThat(healthCheckResponse(port)).isEqualTo("MN");
             version[0].destroy();
             assertThat(version[0].waitFor(60, TimeUnit.SECONDS)).isTrue();
-            assertThat(call(control[0], "GET /status")).isEmpty();
-            assertThat(asked(port)).isEqualTo("MN");
+            assertThat(controlResponse(control[0], "GET /status")).isEmpty();
+            assertThat(healthCheckResponse(port)).isEqualTo("MN");
             // Killed, it leaves the path of a socket that nobody listens on.
             version[1].destroyForcibly().waitFor();
             version[3] = start("serve", withControl(port, control[3]).toString());
-            awaitYes(control[3], version[3]);
-            assertThat(asked(port)).isEqualTo("MN");
+            awaitActive(control[3], version[3]);
+            assertThat(healthCheckResponse(port)).isEqualTo("MN");
         } finally {
             for (Process p : version) {
                 if (p != null) {
@@ -325,13 +325,13 @@
     }
 
     @Test
-    void aControlAddressThatIsTakenIsToldByName() throws Exception {
+    void aControlAddressInUseIsNamedInTheError() throws Exception {
         try (ServerSocket taken = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
             Process process =
                     start("serve", withControl(freePort(), taken.getLocalPort()).toString());
-            String told = new String(process.getErrorStream().readAllBytes(), UTF_8);
-            assertThat(told.lines().filter(l -> !l.startsWith("discovery")))
-                    .as(told)
+            String errors = new String(process.getErrorStream().readAllBytes(), UTF_8);
+            assertThat(errors.lines().filter(l -> !l.startsWith("discovery")))
+                    .as(errors)
                     .singleElement()
                     .asString()
                     .contains("control")
@@ -363,8 +363,8 @@
         builder.environment().put("BALANCER_CONFIG", withControl(port, control).toString());
         Process process = builder.start();
         try {
-            awaitYes(control, process);
-            assertThat(asked(port)).isEqualTo("MN");
+            awaitActive(control, process);
+            assertThat(healthCheckResponse(port)).isEqualTo("MN");
         } finally {
             process.destroyForcibly().waitFor();
         }
@@ -399,7 +399,7 @@
     }
 
     @Test
-    void aConfigurationOfNoUseIsToldInOneLine() throws Exception {
+    void anInvalidConfigurationIsReportedInOneLine() throws Exception {
         Path broken = folder.resolve("broken.json");
         for (String text :
                 new String[] {null, "", "{", "[]", "{\"settings\":{}}", "{\"settings\":{},\"listen\":\"x:y\"}"}) {
@@ -408,9 +408,9 @@
                 Files.writeString(broken, text);
             }
             Process process = start("serve", broken.toString());
-            String told = new String(process.getErrorStream().readAllBytes(), UTF_8);
-            assertThat(told.lines()).as(told).hasSize(1);
-            assertThat(told).contains("broken.json");
+            String errors = new String(process.getErrorStream().readAllBytes(), UTF_8);
+            assertThat(errors.lines()).as(errors).hasSize(1);
+            assertThat(errors).contains("broken.json");
             assertThat(process.waitFor()).isEqualTo(2);
         }
     }
--- a/src/test/java/cacheproxy/SignalProcess.java
+++ b/src/test/java/cacheproxy/SignalProcess.java
@@ -21,7 +21,7 @@
 final class SignalProcess implements AutoCloseable {
     private static final int ANSWER_TIMEOUT_MS = 15_000;
     /** Linux gives ports from 32768 on to outgoing connections. */
-    private static final int LEAST_PORT = 20_000;
+    private static final int MIN_PORT = 20_000;
 
     private static final int PORTS = 12_000;
     private static final String END = "(the end of standard error)";
@@ -73,7 +73,7 @@
     /** A port that the system gives to no outgoing connection, so that none has it between two starts. */
     static int freePort() {
         while (true) {
-            int port = LEAST_PORT + ThreadLocalRandom.current().nextInt(PORTS);
+            int port = MIN_PORT + ThreadLocalRandom.current().nextInt(PORTS);
             try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
                 return socket.getLocalPort();
             } catch (IOException e) {
--- a/src/test/java/cacheproxy/SignalsIT.java
+++ b/src/test/java/cacheproxy/SignalsIT.java
@@ -177,7 +177,7 @@
 
     /** Guards against a start that takes connections, finds the control address taken, and cuts them. */
     @Test
-    void aStartThatCanNotHaveItsControlAddressTakesNoConnection() throws Exception {
+    void aStartWithItsControlAddressInUseAcceptsNoConnection() throws Exception {
         try (ServerSocket taken = silentSocket()) {
             SignalProcess.replace(
                     platformFile,
@@ -262,7 +262,7 @@
 
     /** Guards against a second SIGTERM, or a SIGHUP between two, that cuts the drain short. */
     @RepeatedTest(2)
-    void signalsInSeriesLeaveTheDrainAsItIs() throws Exception {
+    void repeatedSignalsDoNotCutTheDrainShort() throws Exception {
         try (SignalProcess run = SignalProcess.run(daemonFile);
                 Socket client = run.firstConnection(port)) {
             send(client, "mg health v");
--- a/src/test/java/cacheproxy/proxy/BackloggedServer.java
+++ b/src/test/java/cacheproxy/proxy/BackloggedServer.java
@@ -17,11 +17,11 @@
     private final List<Socket> queue = new ArrayList<>();
 
     BackloggedServer() throws IOException {
-        fillUp();
+        fillAcceptQueue();
     }
 
     /** Fills the accept queue, so that no further connection comes up. */
-    void fillUp() throws IOException {
+    void fillAcceptQueue() throws IOException {
         for (boolean full = false; !full; ) {
             Socket socket = new Socket();
             try {
@@ -39,7 +39,7 @@
     }
 
     /** Accepts the connections that wait, up to the first one of the proxy. */
-    ScriptedServer.Connection letIn() throws IOException {
+    ScriptedServer.Connection acceptNext() throws IOException {
         Set<Integer> ownPorts = new HashSet<>();
         queue.forEach(socket -> ownPorts.add(socket.getLocalPort()));
         Socket accepted = server.accept();
--- a/src/test/java/cacheproxy/proxy/ClientDisconnectTest.java
+++ b/src/test/java/cacheproxy/proxy/ClientDisconnectTest.java
@@ -28,7 +28,7 @@
                 fleet.awaitPendingRequests(1);
                 client.close();
                 fleet.awaitPendingRequests(0);
-                ScriptedServer.Connection accepted = node.letIn();
+                ScriptedServer.Connection accepted = node.acceptNext();
                 try (Fleet.Client other = fleet.client()) {
                     other.read("stays");
                     assertThat(ScriptedServer.id(accepted.line()))
@@ -54,11 +54,11 @@
             node.next();
             stays.read("stays");
             node.next();
-            turn.say("mg 1 v Oturn Pc=text,d=20000\r\n")
+            turn.send("mg 1 v Oturn Pc=text,d=20000\r\n")
                     .line(); // both misses have been read by now, as responses come in order
             leaves.close();
             fleet.awaitPendingRequests(1);
-            ScriptedServer.Connection accepted = origin.letIn();
+            ScriptedServer.Connection accepted = origin.acceptNext();
             assertThat(ScriptedServer.id(BackloggedServer.readRequestHead(accepted)))
                     .isEqualTo("stays");
             accepted.sayHttp(200, "", "fetch");
@@ -93,12 +93,12 @@
                 Fleet.Client stays = fleet.client();
                 Fleet.Client turn = fleet.client()) {
             Fleet.Client leaves = fleet.client();
-            leaves.say("mg 7f3a9c21e0b4d655 v Oleaves Pc=text,d=1000\r\n");
+            leaves.send("mg 7f3a9c21e0b4d655 v Oleaves Pc=text,d=1000\r\n");
             assertThat(ScriptedServer.id(origin.next())).isEqualTo("leaves");
             stays.read("stays");
             node.next();
             node.next();
-            turn.say("mg 1 v Oturn Pc=text,d=20000\r\n").line();
+            turn.send("mg 1 v Oturn Pc=text,d=20000\r\n").line();
             leaves.close();
             assertThat(ScriptedServer.id(origin.next())).isEqualTo("stays");
             assertThat(stays.line()).isEqualTo("VA 5 Ostays");
@@ -122,9 +122,9 @@
                 other.line();
                 assertThat(other.line()).isEqualTo("1");
                 Fleet.Client leaves = fleet.client();
-                leaves.say("mn\r\n").line(); // accepted and registered
-                CountDownLatch resume = fleet.hold();
-                leaves.read("left").say("ms 7f3a 5 Oput Pc=fix,d=20000\r\nhello\r\n");
+                leaves.send("mn\r\n").line(); // accepted and registered
+                CountDownLatch resume = fleet.holdEventLoop();
+                leaves.read("left").send("ms 7f3a 5 Oput Pc=fix,d=20000\r\nhello\r\n");
                 if (reset) {
                     leaves.socket.setSoLinger(true, 0);
                 }
@@ -165,7 +165,7 @@
                             .append(i)
                             .append(" Pc=text,d=20000\r\n");
                 }
-                client.say(many.toString());
+                client.send(many.toString());
                 fleet.awaitPendingRequests(32);
                 if (reset) {
                     client.socket.setSoLinger(true, 0);
--- a/src/test/java/cacheproxy/proxy/DrainTest.java
+++ b/src/test/java/cacheproxy/proxy/DrainTest.java
@@ -27,8 +27,8 @@
                 Fleet.Client idle = fleet.client();
                 Fleet.Client busy = fleet.client();
                 Fleet.Client half = fleet.client()) {
-            assertThat(idle.say("mn\r\n").line()).isEqualTo("MN");
-            half.say("mn\r\nm");
+            assertThat(idle.send("mn\r\n").line()).isEqualTo("MN");
+            half.send("mn\r\nm");
             assertThat(half.line()).isEqualTo("MN");
             busy.read("1");
             node.next();
@@ -39,7 +39,7 @@
             assertThat(busy.line()).isEqualTo("VA 5 O1");
             assertThat(busy.line()).isEqualTo("hello");
             assertThat(busy.ended()).isTrue();
-            half.say("n\r\n"); // a command that had been begun is still answered
+            half.send("n\r\n"); // a command that had been begun is still answered
             assertThat(half.line()).isEqualTo("MN");
             assertThat(half.ended()).isTrue();
             idle.close();
@@ -58,7 +58,7 @@
                 Fleet.Client reads = fleet.client();
                 Fleet.Client writes = fleet.client()) {
             reads.read("1");
-            writes.say("ms 7f3a 5 O2 Pc=fix,d=20000\r\nhello\r\n");
+            writes.send("ms 7f3a 5 O2 Pc=fix,d=20000\r\nhello\r\n");
             fleet.awaitPendingRequests(2);
             Thread drain = new Thread(fleet.proxy::drain);
             drain.start();
@@ -76,13 +76,13 @@
      */
     @Test
     void closesConnectionThatAlwaysHasRequestPending() throws Exception {
-        BlockingQueue<Runnable> owed = new LinkedBlockingQueue<>();
+        BlockingQueue<Runnable> pendingResponses = new LinkedBlockingQueue<>();
         ScriptedServer node = new ScriptedServer(connection -> {
             for (String line; (line = connection.command()) != null; ) {
                 String answer = CacheResponses.hit(line);
-                owed.add(() -> sayQuietly(connection, answer));
-                if (owed.size() > 1) {
-                    owed.take().run(); // one response for each further command: one is pending at all times
+                pendingResponses.add(() -> sayQuietly(connection, answer));
+                if (pendingResponses.size() > 1) {
+                    pendingResponses.take().run(); // one response for each further command: one is pending at all times
                 }
             }
         });
@@ -96,19 +96,19 @@
             Thread drain = new Thread(fleet.proxy::drain);
             drain.start();
             int answers = 0;
-            int refused = 0;
+            int rejected = 0;
             for (String line; (line = client.line()) != null; ) {
                 if (line.startsWith("VA ")) {
                     answers++;
                     client.read("a" + (answers + 1));
                 } else if (line.startsWith("SERVER_ERROR busy")) {
-                    refused++;
+                    rejected++;
                 }
             }
             client.close();
             drain.join();
-            assertThat(refused).isBetween(1, 2);
-            assertThat(node.commands).as("what was sent on").hasSize(answers + refused);
+            assertThat(rejected).isBetween(1, 2);
+            assertThat(node.commands).as("what was sent on").hasSize(answers + rejected);
         }
     }
 
--- a/src/test/java/cacheproxy/proxy/EventLinesGoldenTextTest.java
+++ b/src/test/java/cacheproxy/proxy/EventLinesGoldenTextTest.java
@@ -28,9 +28,9 @@
 class EventLinesGoldenTextTest {
     private static final long LINE_TIMEOUT_S = 20;
 
-    private final PrintStream standard = System.err;
+    private final PrintStream originalErr = System.err;
     private final BlockingQueue<String> lines = new LinkedBlockingQueue<>();
-    private final CountDownLatch heldAnswer = new CountDownLatch(1);
+    private final CountDownLatch releaseAnswer = new CountDownLatch(1);
 
     @TempDir
     private Path folder;
@@ -42,8 +42,8 @@
 
     @AfterEach
     void restore() {
-        heldAnswer.countDown();
-        System.setErr(standard);
+        releaseAnswer.countDown();
+        System.setErr(originalErr);
     }
 
     private final class LineQueue extends OutputStream {
@@ -81,7 +81,7 @@
         return new ScriptedServer(connection -> {
             for (String line; (line = connection.command()) != null; ) {
                 if (ScriptedServer.id(line).equals("held")) {
-                    heldAnswer.await();
+                    releaseAnswer.await();
                 }
                 connection.say("VA 5 O" + ScriptedServer.id(line) + " h1\r\nhello\r\n");
                 if (ScriptedServer.id(line).equals("last")) {
@@ -93,9 +93,9 @@
 
     @Test
     void aServedRequestAndItsConnections() throws Exception {
-        Fleet made = new Fleet();
-        made.config.addProperty("event_log", true);
-        try (Fleet fleet = made.node(node()).start()) {
+        Fleet setup = new Fleet();
+        setup.config.addProperty("event_log", true);
+        try (Fleet fleet = setup.node(node()).start()) {
             assertThat(next("server_listed"))
                     .isEqualTo("server_listed t=TIME server=1@/ADDRESS state=READY born_ms=MS list=CACHED");
             try (Fleet.Client client = fleet.client()) {
@@ -122,9 +122,9 @@
 
     @Test
     void aRequestWhoseClientLeaves() throws Exception {
-        Fleet made = new Fleet();
-        made.config.addProperty("event_log", true);
-        try (Fleet fleet = made.node(node()).start()) {
+        Fleet setup = new Fleet();
+        setup.config.addProperty("event_log", true);
+        try (Fleet fleet = setup.node(node()).start()) {
             try (Fleet.Client client = fleet.client()) {
                 client.read("held");
                 next("attempt_started");
@@ -135,10 +135,10 @@
 
     @Test
     void aServerThatRefusesConnections() throws Exception {
-        Fleet made = new Fleet();
-        made.config.addProperty("event_log", true);
+        Fleet setup = new Fleet();
+        setup.config.addProperty("event_log", true);
         try (RefusingAddress gone = new RefusingAddress();
-                Fleet fleet = made.node(gone.dial()).start();
+                Fleet fleet = setup.node(gone.dial()).start();
                 Fleet.Client client = fleet.client()) {
             client.read("1");
             assertThat(next("server_connected"))
@@ -164,9 +164,9 @@
                 }
             }
         });
-        Fleet made = new Fleet();
-        made.config.addProperty("event_log", true);
-        try (Fleet fleet = made.discovery(discovery)
+        Fleet setup = new Fleet();
+        setup.config.addProperty("event_log", true);
+        try (Fleet fleet = setup.discovery(discovery)
                 .set("caps.connect-timeout", "50.0")
                 .set("guarantees.ask-within", "200.0")
                 .start()) {
--- a/src/test/java/cacheproxy/proxy/EndingsTest.java
+++ b/src/test/java/cacheproxy/proxy/EventOrderTest.java
@@ -16,7 +16,7 @@
  * force the order of events.
  */
 @Timeout(20)
-class EndingsTest {
+class EventOrderTest {
     /** A class for which a late response has no value: the rejection comes at once, not at the deadline. */
     @Test
     void rejectsRequestAtOnceWhenLateResponseHasNoValue() throws Exception {
@@ -79,16 +79,16 @@
                         .set("classes.2.window", "400.0")
                         .start();
                 try (Fleet.Client client = fleet.client()) {
-                    client.say("ms 7f3a 5 O1 Pc=publish,d=20000,k=0123456789abcdef\r\nhello\r\n");
-                    ScriptedServer.Connection first = origin.letIn();
+                    client.send("ms 7f3a 5 O1 Pc=publish,d=20000,k=0123456789abcdef\r\nhello\r\n");
+                    ScriptedServer.Connection first = origin.acceptNext();
                     assertThat(BackloggedServer.readRequestHead(first)).startsWith("PUT");
-                    origin.fillUp();
+                    origin.fillAcceptQueue();
                     first.reset();
                     assertThat(client.line()).isEqualTo("SERVER_ERROR failed");
                     if (letIn) { // the retry's connection comes up all the same
                         try (Fleet.Client other = fleet.client()) {
-                            other.say("ms 7f3b 5 O2 Pc=fix,d=20000\r\nhello\r\n");
-                            assertThat(ScriptedServer.id(BackloggedServer.readRequestHead(origin.letIn())))
+                            other.send("ms 7f3b 5 O2 Pc=fix,d=20000\r\nhello\r\n");
+                            assertThat(ScriptedServer.id(BackloggedServer.readRequestHead(origin.acceptNext())))
                                     .isEqualTo("2");
                         }
                     }
@@ -112,12 +112,12 @@
                         .set("caps.idle-close", "1000.0")
                         .start();
                 Fleet.Client client = fleet.client()) {
-            client.say("ms 7f3a 5 O1 Pc=fix,d=20000\r\nhello\r\n");
+            client.send("ms 7f3a 5 O1 Pc=fix,d=20000\r\nhello\r\n");
             assertThat(client.line()).isEqualTo("HD O1 cc1");
             CountDownLatch aged = new CountDownLatch(1);
             fleet.proxy.runAfter(800, aged::countDown);
             aged.await();
-            client.say("ms 7f3a 5 O2 Pc=fix,d=20000\r\nhello\r\n");
+            client.send("ms 7f3a 5 O2 Pc=fix,d=20000\r\nhello\r\n");
             assertThat(client.line()).isEqualTo("HD O2 cc2");
         }
     }
@@ -144,10 +144,10 @@
             List<Fleet.Client> busy = new ArrayList<>();
             for (int i = 0; i < 17; i++) { // one more than the limit
                 busy.add(fleet.client());
-                busy.get(i).say("mg " + i + " v Ob" + i + " Pc=text,d=20000\r\n");
+                busy.get(i).send("mg " + i + " v Ob" + i + " Pc=text,d=20000\r\n");
             }
             fleet.awaitPendingRequests(17);
-            CountDownLatch resume = fleet.hold();
+            CountDownLatch resume = fleet.holdEventLoop();
             answer.countDown();
             answered.await();
             busy.get(0).read("crosses");
@@ -157,7 +157,7 @@
             assertThat(busy.get(0).ended()).as("no reset").isTrue();
             busy.get(0).close();
             try (Fleet.Client next = fleet.client()) { // the limit admits another client again
-                assertThat(next.say("mn\r\n").line()).isEqualTo("MN");
+                assertThat(next.send("mn\r\n").line()).isEqualTo("MN");
             }
         }
     }
@@ -197,17 +197,17 @@
         try (Fleet fleet = new Fleet().origin(origin).start();
                 Fleet.Client one = fleet.client();
                 Fleet.Client two = fleet.client()) {
-            assertThat(two.say("mn\r\n").line()).isEqualTo("MN");
-            one.say("ms 7f3a 5 O1 Pc=fix,d=20000\r\nhello\r\n");
+            assertThat(two.send("mn\r\n").line()).isEqualTo("MN");
+            one.send("ms 7f3a 5 O1 Pc=fix,d=20000\r\nhello\r\n");
             origin.next();
-            CountDownLatch resume = fleet.hold();
+            CountDownLatch resume = fleet.holdEventLoop();
             answer.countDown();
             answered.await();
-            two.say("ms 7f3b 5 O2 Pc=fix,d=20000\r\nhello\r\n");
+            two.send("ms 7f3b 5 O2 Pc=fix,d=20000\r\nhello\r\n");
             long began = System.nanoTime();
             resume.countDown();
             String other = two.line();
-            boolean quick = System.nanoTime() - began < Upstream.REST_MS * 1e6;
+            boolean quick = System.nanoTime() - began < Upstream.REUSE_DELAY_MS * 1e6;
             assertThat(one.line()).isEqualTo("HD O1 cfirst");
             return quick ? other : null;
         }
--- a/src/test/java/cacheproxy/proxy/Explorer.java
+++ b/src/test/java/cacheproxy/proxy/Explorer.java
@@ -42,7 +42,7 @@
             channel.setOption(StandardSocketOptions.TCP_NODELAY, true);
         }
 
-        void say(String text) {
+        void send(String text) {
             try {
                 ByteBuffer b = ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1));
                 while (b.hasRemaining()) {
@@ -75,7 +75,7 @@
             return line;
         }
 
-        void end(boolean reset) throws IOException {
+        void close(boolean reset) throws IOException {
             if (reset) {
                 channel.setOption(StandardSocketOptions.SO_LINGER, 0);
             }
@@ -86,9 +86,9 @@
 
     private static final class ClientPeer extends Peer {
         /** Ids of whole commands without an answer yet, in order. */
-        final ArrayDeque<String> owed = new ArrayDeque<>();
+        final ArrayDeque<String> pendingIds = new ArrayDeque<>();
         /** A command of which a part has been written. */
-        String rest;
+        String unsentPart;
 
         ClientPeer(SocketChannel channel) throws IOException {
             super(channel);
@@ -96,7 +96,7 @@
     }
 
     private static final class ServerPeer extends Peer {
-        final ArrayDeque<String> owed = new ArrayDeque<>();
+        final ArrayDeque<String> pendingIds = new ArrayDeque<>();
 
         ServerPeer(SocketChannel channel) throws IOException {
             super(channel);
@@ -109,30 +109,30 @@
     int departures;
     private final SplittableRandom random;
     /** Whether the origin answers everybody with the first request's value, so that the judge is seen to look. */
-    private final boolean liar;
+    private final boolean wrongOriginValues;
 
-    private final ServerSocketChannel nodeDoor = ServerSocketChannel.open();
-    private final ServerSocketChannel originDoor = ServerSocketChannel.open();
-    private final List<ServerPeer> nodes = new ArrayList<>();
-    private final List<ServerPeer> origins = new ArrayList<>();
+    private final ServerSocketChannel nodeListener = ServerSocketChannel.open();
+    private final ServerSocketChannel originListener = ServerSocketChannel.open();
+    private final List<ServerPeer> nodeConnections = new ArrayList<>();
+    private final List<ServerPeer> originConnections = new ArrayList<>();
     private final List<ClientPeer> clients = new ArrayList<>();
-    private final Set<String> departed = new HashSet<>();
+    private final Set<String> disconnected = new HashSet<>();
     /** Those whose client's end the loop has had the time to see, and of which nothing can be on its way any more. */
-    private final Set<String> seenToLeave = new HashSet<>();
+    private final Set<String> disconnectProcessed = new HashSet<>();
 
-    private final Set<String> leaving = new HashSet<>();
+    private final Set<String> disconnectPending = new HashSet<>();
     private final Set<String> unsafe = new HashSet<>();
     private final Map<String, Integer> writes = new HashMap<>();
     private final Fleet fleet = new Fleet();
     private CountDownLatch held;
     private int next;
 
-    Explorer(long seed, boolean liar) throws Exception {
+    Explorer(long seed, boolean wrongOriginValues) throws Exception {
         random = new SplittableRandom(seed);
-        this.liar = liar;
-        for (ServerSocketChannel door : List.of(nodeDoor, originDoor)) {
-            door.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
-            door.configureBlocking(false);
+        this.wrongOriginValues = wrongOriginValues;
+        for (ServerSocketChannel listener : List.of(nodeListener, originListener)) {
+            listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
+            listener.configureBlocking(false);
         }
         for (int c = 0; c < 3; c++) { // soon doubted and soon tried again, but never late
             fleet.set("classes." + c + ".promise", "400.0");
@@ -140,13 +140,13 @@
         fleet.set("caps.connect-timeout", "50.0")
                 .set("caps.may-cancel", random.nextBoolean() ? "true" : "false")
                 .set("caps.second-copies", random.nextBoolean() ? "true" : "false");
-        fleet.hosts.add(Fleet.host("s-00000001", "node-fast", "127.0.0.1:" + port(nodeDoor), "up"));
-        fleet.hosts.add(Fleet.host("s-0000aaaa", "origin", "127.0.0.1:" + port(originDoor), "up"));
+        fleet.hosts.add(Fleet.host("s-00000001", "node-fast", "127.0.0.1:" + port(nodeListener), "up"));
+        fleet.hosts.add(Fleet.host("s-0000aaaa", "origin", "127.0.0.1:" + port(originListener), "up"));
         fleet.start();
     }
 
-    private static int port(ServerSocketChannel door) throws IOException {
-        return ((InetSocketAddress) door.getLocalAddress()).getPort();
+    private static int port(ServerSocketChannel listener) throws IOException {
+        return ((InetSocketAddress) listener.getLocalAddress()).getPort();
     }
 
     /** So many random steps, then all that is owed is answered, and the proxy is to be at rest. */
@@ -167,7 +167,7 @@
     }
 
     private void hold() throws InterruptedException {
-        held = fleet.hold();
+        held = fleet.holdEventLoop();
         trace("held");
     }
 
@@ -179,34 +179,34 @@
 
     private void step() throws Exception {
         switch (random.nextInt(10)) {
-            case 0 -> open();
-            case 1, 2, 3, 4 -> ask();
-            case 5 -> leave();
-            case 6, 7 -> node(pick(nodes, p -> !p.owed.isEmpty()), random.nextInt(8));
-            default -> origin(pick(origins, p -> !p.owed.isEmpty()), random.nextInt(8));
+            case 0 -> connect();
+            case 1, 2, 3, 4 -> sendRequest();
+            case 5 -> disconnect();
+            case 6, 7 -> nodeResponds(pickOpen(nodeConnections, p -> !p.pendingIds.isEmpty()), random.nextInt(8));
+            default -> originResponds(pickOpen(originConnections, p -> !p.pendingIds.isEmpty()), random.nextInt(8));
         }
     }
 
-    private <P extends Peer> P pick(List<P> from, Predicate<P> that) {
-        List<P> fit = from.stream().filter(p -> !p.ended).filter(that).toList();
+    private <P extends Peer> P pickOpen(List<P> from, Predicate<P> condition) {
+        List<P> fit = from.stream().filter(p -> !p.ended).filter(condition).toList();
         return fit.isEmpty() ? null : fit.get(random.nextInt(fit.size()));
     }
 
-    private void open() throws IOException {
+    private void connect() throws IOException {
         if (clients.stream().filter(c -> !c.ended).count() < 4) {
             clients.add(new ClientPeer(SocketChannel.open(fleet.proxy.address())));
         }
     }
 
-    private void ask() throws IOException {
-        ClientPeer c = pick(clients, p -> true);
+    private void sendRequest() throws IOException {
+        ClientPeer c = pickOpen(clients, p -> true);
         if (c == null) {
-            open();
+            connect();
             return;
         }
-        if (c.rest != null) {
-            c.say(c.rest);
-            c.rest = null;
+        if (c.unsentPart != null) {
+            c.send(c.unsentPart);
+            c.unsentPart = null;
             return;
         }
         String id = "e" + next++;
@@ -220,72 +220,72 @@
             default -> "mg " + key + " v O" + id + " Pc=text,d=20000\r\n";
         };
         commands++;
-        c.owed.add(id);
+        c.pendingIds.add(id);
         trace("client " + clients.indexOf(c) + " asks " + command.replace("\r\n", "|"));
         int cut = random.nextInt(4) == 0 ? 1 + random.nextInt(command.length() - 1) : command.length();
-        c.say(command.substring(0, cut));
-        c.rest = cut < command.length() ? command.substring(cut) : null;
+        c.send(command.substring(0, cut));
+        c.unsentPart = cut < command.length() ? command.substring(cut) : null;
     }
 
-    private void leave() throws IOException {
-        ClientPeer c = pick(clients, p -> true);
+    private void disconnect() throws IOException {
+        ClientPeer c = pickOpen(clients, p -> true);
         if (c != null) {
             departures++;
-            trace("client leaves with " + c.owed);
-            departed.addAll(c.owed);
-            c.end(random.nextBoolean());
+            trace("client leaves with " + c.pendingIds);
+            disconnected.addAll(c.pendingIds);
+            c.close(random.nextBoolean());
             clients.remove(c);
         }
     }
 
-    private void node(ServerPeer p, int how) throws IOException {
+    private void nodeResponds(ServerPeer p, int variant) throws IOException {
         if (p == null) {
             return;
         }
-        String id = p.owed.peek();
-        trace("node " + nodes.indexOf(p) + " answers " + id + " by way " + how);
+        String id = p.pendingIds.peek();
+        trace("node " + nodeConnections.indexOf(p) + " answers " + id + " by way " + variant);
         String hit = "VA " + id.length() + " O" + id + " h1\r\n" + id + "\r\n";
-        switch (how) {
-            case 0, 1 -> p.say(hit);
-            case 2, 3 -> p.say("EN O" + id + " h0\r\n");
-            case 4 -> p.say("SERVER_ERROR busy\r\n");
+        switch (variant) {
+            case 0, 1 -> p.send(hit);
+            case 2, 3 -> p.send("EN O" + id + " h0\r\n");
+            case 4 -> p.send("SERVER_ERROR busy\r\n");
             case 5 -> {
-                p.say(hit); // the answer and the end come together
-                p.end(false);
+                p.send(hit); // the answer and the end come together
+                p.close(false);
             }
             case 6 -> {
-                p.say(hit.substring(0, random.nextInt(hit.length() - 1)));
-                p.end(random.nextBoolean());
+                p.send(hit.substring(0, random.nextInt(hit.length() - 1)));
+                p.close(random.nextBoolean());
             }
-            default -> p.say("garbage\r\n");
+            default -> p.send("garbage\r\n");
         }
-        p.owed.poll();
+        p.pendingIds.poll();
     }
 
-    private void origin(ServerPeer p, int how) throws IOException {
+    private void originResponds(ServerPeer p, int variant) throws IOException {
         if (p == null) {
             return;
         }
-        String id = p.owed.poll();
-        trace("origin " + origins.indexOf(p) + " answers " + id + " by way " + how);
-        String body = liar ? "e0" : id;
+        String id = p.pendingIds.poll();
+        trace("origin " + originConnections.indexOf(p) + " answers " + id + " by way " + variant);
+        String body = wrongOriginValues ? "e0" : id;
         String whole = "HTTP/1.1 200 X\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
-        switch (how) {
-            case 0, 1, 2 -> p.say(whole);
+        switch (variant) {
+            case 0, 1, 2 -> p.send(whole);
             case 3 -> {
-                p.say("HTTP/1.1 200 X\r\n\r\n" + body);
-                p.end(false);
+                p.send("HTTP/1.1 200 X\r\n\r\n" + body);
+                p.close(false);
             }
             case 4 -> {
-                p.say("HTTP/1.1 200 X\r\n\r\n" + body.substring(0, 1)); // a reset is no end
-                p.end(true);
+                p.send("HTTP/1.1 200 X\r\n\r\n" + body.substring(0, 1)); // a reset is no end
+                p.close(true);
             }
             case 5 -> {
                 writes.computeIfPresent(id, (k, n) -> n - 1); // it never ran, and may be sent again
-                p.say("HTTP/1.1 503 X\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n");
+                p.send("HTTP/1.1 503 X\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n");
             }
-            case 6 -> p.end(random.nextBoolean());
-            default -> p.say(whole + whole); // a second answer right behind the first
+            case 6 -> p.close(random.nextBoolean());
+            default -> p.send(whole + whole); // a second answer right behind the first
         }
     }
 
@@ -307,40 +307,40 @@
         for (int i = 0; i < 3; i++) { // an event, what it has the loop do, what that writes
             fleet.proxy.pendingRequests();
         }
-        accept(nodeDoor, nodes);
-        accept(originDoor, origins);
-        for (ServerPeer p : nodes) {
+        accept(nodeListener, nodeConnections);
+        accept(originListener, originConnections);
+        for (ServerPeer p : nodeConnections) {
             p.read();
             for (String line; (line = p.line()) != null; ) {
-                arrived(p, line.substring(line.indexOf(" O") + 2).split(" ", 0)[0], false);
+                requestArrived(p, line.substring(line.indexOf(" O") + 2).split(" ", 0)[0], false);
             }
         }
-        for (ServerPeer p : origins) {
+        for (ServerPeer p : originConnections) {
             p.read();
-            origins(p);
+            originConnections(p);
         }
-        seenToLeave.addAll(leaving); // what was on its way then has been read by now
-        leaving.clear();
-        leaving.addAll(departed);
+        disconnectProcessed.addAll(disconnectPending); // what was on its way then has been read by now
+        disconnectPending.clear();
+        disconnectPending.addAll(disconnected);
         for (ClientPeer c : clients) {
             c.read();
-            while (answered(c)) {
+            while (readResponse(c)) {
                 answers++;
             }
-            if (c.ended && !c.owed.isEmpty() && c.rest == null) {
-                violations.add("connection ended with " + c.owed + " unanswered");
-                c.owed.clear();
+            if (c.ended && !c.pendingIds.isEmpty() && c.unsentPart == null) {
+                violations.add("connection ended with " + c.pendingIds + " unanswered");
+                c.pendingIds.clear();
             }
         }
     }
 
-    private static void accept(ServerSocketChannel door, List<ServerPeer> to) throws IOException {
-        for (SocketChannel s; (s = door.accept()) != null; ) {
+    private static void accept(ServerSocketChannel listener, List<ServerPeer> to) throws IOException {
+        for (SocketChannel s; (s = listener.accept()) != null; ) {
             to.add(new ServerPeer(s));
         }
     }
 
-    private void origins(ServerPeer p) {
+    private void originConnections(ServerPeer p) {
         for (int end; (end = p.in.indexOf("\r\n\r\n")) >= 0; ) {
             String head = p.in.substring(0, end);
             boolean put = head.startsWith("PUT");
@@ -350,14 +350,17 @@
             }
             p.in.delete(0, whole);
             int at = head.toLowerCase(Locale.ROOT).indexOf("req-id: ") + 8;
-            arrived(p, head.substring(at).split("\r\n", 0)[0], put);
+            requestArrived(p, head.substring(at).split("\r\n", 0)[0], put);
         }
     }
 
-    private void arrived(ServerPeer p, String id, boolean write) {
-        trace(id + " arrives at " + (nodes.contains(p) ? "node " + nodes.indexOf(p) : "origin " + origins.indexOf(p)));
-        p.owed.add(id);
-        if (seenToLeave.contains(id)) {
+    private void requestArrived(ServerPeer p, String id, boolean write) {
+        trace(id + " arrives at "
+                + (nodeConnections.contains(p)
+                        ? "node " + nodeConnections.indexOf(p)
+                        : "origin " + originConnections.indexOf(p)));
+        p.pendingIds.add(id);
+        if (disconnectProcessed.contains(id)) {
             violations.add("an attempt for " + id + " begins though its client has left");
         }
         if (write && writes.merge(id, 1, Integer::sum) > 1 && unsafe.contains(id)) {
@@ -365,14 +368,14 @@
         }
     }
 
-    private boolean answered(ClientPeer c) {
+    private boolean readResponse(ClientPeer c) {
         int end = c.in.indexOf("\r\n");
         if (end < 0) {
             return false;
         }
         String line = c.in.substring(0, end);
         int whole = end + 2;
-        String id = c.owed.peek();
+        String id = c.pendingIds.peek();
         if (id == null) {
             violations.add("an answer to nothing: " + line);
             c.in.setLength(0);
@@ -396,37 +399,37 @@
             violations.add(id + " is answered with " + line);
         }
         c.in.delete(0, whole);
-        c.owed.poll();
+        c.pendingIds.poll();
         return true;
     }
 
     /** Everything owed is answered as it should be, and then nothing is left. */
     private void settle() throws Exception {
         long until = System.nanoTime() + 30_000_000_000L; // deadlines are 20 s
-        while (clients.stream().anyMatch(c -> !c.ended && !c.owed.isEmpty()) && System.nanoTime() < until) {
+        while (clients.stream().anyMatch(c -> !c.ended && !c.pendingIds.isEmpty()) && System.nanoTime() < until) {
             for (ClientPeer c : clients) {
-                if (c.rest != null) {
-                    c.say(c.rest);
-                    c.rest = null;
+                if (c.unsentPart != null) {
+                    c.send(c.unsentPart);
+                    c.unsentPart = null;
                 }
             }
-            for (ServerPeer p : nodes) {
-                while (!p.ended && !p.owed.isEmpty()) {
-                    node(p, 0);
+            for (ServerPeer p : nodeConnections) {
+                while (!p.ended && !p.pendingIds.isEmpty()) {
+                    nodeResponds(p, 0);
                 }
             }
-            for (ServerPeer p : origins) {
-                while (!p.ended && !p.owed.isEmpty()) {
-                    origin(p, 0);
+            for (ServerPeer p : originConnections) {
+                while (!p.ended && !p.pendingIds.isEmpty()) {
+                    originResponds(p, 0);
                 }
             }
             pump();
         }
         for (ClientPeer c : clients) {
-            if (!c.ended && !c.owed.isEmpty()) {
-                violations.add("no answer for " + c.owed);
+            if (!c.ended && !c.pendingIds.isEmpty()) {
+                violations.add("no answer for " + c.pendingIds);
             }
-            c.end(false);
+            c.close(false);
         }
         while (fleet.proxy.pendingRequests() > 0 && System.nanoTime() < until) {
             pump();
@@ -442,16 +445,16 @@
             release();
         }
         fleet.close();
-        for (ServerPeer p : nodes) {
+        for (ServerPeer p : nodeConnections) {
             p.channel.close();
         }
-        for (ServerPeer p : origins) {
+        for (ServerPeer p : originConnections) {
             p.channel.close();
         }
         for (ClientPeer c : clients) {
             c.channel.close();
         }
-        nodeDoor.close();
-        originDoor.close();
+        nodeListener.close();
+        originListener.close();
     }
 }
--- a/src/test/java/cacheproxy/proxy/ExplorerTest.java
+++ b/src/test/java/cacheproxy/proxy/ExplorerTest.java
@@ -14,7 +14,7 @@
     private static final int STEPS = 60;
 
     @Test
-    void eachRequestHasOneAnswerOfItsOwnAndNothingIsBegunForWhoHasLeft() throws Exception {
+    void eachRequestGetsItsOwnAnswerAndNoAttemptBeginsAfterItsClientHasDisconnected() throws Exception {
         int commands = 0;
         int answers = 0;
         int departures = 0;
@@ -35,7 +35,7 @@
     }
 
     @Test
-    void theJudgeFindsAnAnswerThatIsAnothers() throws Exception {
+    void detectsAnAnswerThatBelongsToAnotherRequest() throws Exception {
         try (Explorer e = new Explorer(1, true)) {
             e.run(STEPS);
             assertThat(e.violations).isNotEmpty();
--- a/src/test/java/cacheproxy/proxy/Fleet.java
+++ b/src/test/java/cacheproxy/proxy/Fleet.java
@@ -79,7 +79,7 @@
             "classes.2.stream=false");
 
     public final JsonObject config = new JsonObject();
-    public final List<AutoCloseable> parts = new ArrayList<>();
+    public final List<AutoCloseable> closeables = new ArrayList<>();
     public final JsonArray hosts = new JsonArray();
     public Proxy proxy;
 
@@ -129,7 +129,7 @@
 
     public Fleet node(ScriptedServer server) {
         hosts.add(host("s-%08x".formatted(hosts.size() + 1), "node-fast", server.dial(), "up"));
-        parts.add(server);
+        closeables.add(server);
         return this;
     }
 
@@ -140,13 +140,13 @@
 
     public Fleet origin(ScriptedServer server) {
         hosts.add(host("s-0000aaaa", "origin", server.dial(), "up"));
-        parts.add(server);
+        closeables.add(server);
         return this;
     }
 
     public Fleet discovery(ScriptedServer server) {
         config.addProperty("discovery", server.dial());
-        parts.add(server);
+        closeables.add(server);
         return this;
     }
 
@@ -160,7 +160,7 @@
      * Holds the proxy's loop: what peers do from now on it finds all at once. It goes on when the latch is counted
      * down.
      */
-    CountDownLatch hold() throws InterruptedException {
+    CountDownLatch holdEventLoop() throws InterruptedException {
         CountDownLatch held = new CountDownLatch(1);
         CountDownLatch go = new CountDownLatch(1);
         proxy.runAfter(0, () -> {
@@ -177,16 +177,16 @@
 
     /** Waits until the proxy has so many pending requests; the test's time limit interrupts it. */
     public void awaitPendingRequests(int expected) {
-        for (int pending; (pending = proxy.pendingRequests()) != expected; ) {
+        for (int count; (count = proxy.pendingRequests()) != expected; ) {
             assertThat(Thread.interrupted())
-                    .as("time is over with %s pending requests, not %s", pending, expected)
+                    .as("time is over with %s pending requests, not %s", count, expected)
                     .isFalse();
         }
     }
 
     public Client client() throws IOException {
         Client client = new Client(proxy.address());
-        parts.add(client);
+        closeables.add(client);
         return client;
     }
 
@@ -197,7 +197,7 @@
             proxy.close();
             assertThat(invariants).as("invariants").startsWith("violations=0 ");
         }
-        for (AutoCloseable part : parts) {
+        for (AutoCloseable part : closeables) {
             part.close();
         }
     }
@@ -214,18 +214,18 @@
             in = new BufferedInputStream(socket.getInputStream());
         }
 
-        public Client say(String text) throws IOException {
-            return say(text.getBytes(StandardCharsets.ISO_8859_1));
+        public Client send(String text) throws IOException {
+            return send(text.getBytes(StandardCharsets.ISO_8859_1));
         }
 
-        public Client say(byte[] bytes) throws IOException {
+        public Client send(byte[] bytes) throws IOException {
             socket.getOutputStream().write(bytes);
             socket.getOutputStream().flush();
             return this;
         }
 
         public Client read(String id) throws IOException {
-            return say("mg 7f3a9c21e0b4d655 v O" + id + " Pc=text,d=20000\r\n");
+            return send("mg 7f3a9c21e0b4d655 v O" + id + " Pc=text,d=20000\r\n");
         }
 
         /** A line without its end; null at the end of the stream. */
--- a/src/test/java/cacheproxy/proxy/InvariantEventsGoldenTextTest.java
+++ b/src/test/java/cacheproxy/proxy/InvariantEventsGoldenTextTest.java
@@ -24,20 +24,20 @@
     void aStoppedActionAndAViolationHaveTheirLines() {
         MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, NioIoHandler.newFactory());
         ByteArrayOutputStream out = new ByteArrayOutputStream();
-        PrintStream standard = System.err;
+        PrintStream originalErr = System.err;
         System.setErr(new PrintStream(out, true, StandardCharsets.UTF_8));
         try {
-            EventLoopContext core = new EventLoopContext(
+            EventLoopContext loopContext = new EventLoopContext(
                     group.next(),
                     new PollClock(),
                     NioSocketChannel.class,
                     new EventLoopLimits(MAX_VALUE_BYTES, MAX_UPSTREAM, false));
-            core.events().enable();
-            core.invariants().recordStopped(Invariant.SINGLE_ANSWER, "r1", "two answers");
-            core.invariants().recordViolation(Invariant.SERVER_ACCEPTS, "r2", "it drains");
-            core.events().close();
+            loopContext.events().enable();
+            loopContext.invariants().recordStopped(Invariant.SINGLE_ANSWER, "r1", "two answers");
+            loopContext.invariants().recordViolation(Invariant.SERVER_ACCEPTS, "r2", "it drains");
+            loopContext.events().close();
         } finally {
-            System.setErr(standard);
+            System.setErr(originalErr);
             group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
         }
         assertThat(out.toString(StandardCharsets.UTF_8)
--- a/src/test/java/cacheproxy/proxy/SitesTest.java
+++ b/src/test/java/cacheproxy/proxy/SitesTest.java
@@ -36,7 +36,7 @@
 
     @ParameterizedTest
     @MethodSource("sites")
-    void eachClassOfADeploymentIsServedForEachOfItsTenants(Path path) throws Exception {
+    void servesEachClassOfASiteForEachOfItsTenants(Path path) throws Exception {
         TomlParseResult site = Toml.parse(path);
         assertThat(site.errors()).as(path.toString()).isEmpty();
         ScriptedServer node = ScriptedServer.node(line -> "VA 5 O" + ScriptedServer.id(line) + " h1\r\nhello\r\n");
@@ -67,7 +67,7 @@
                         String list = " O" + id + " Pc=" + c.getString("name") + ",t=" + tenant.getString("name")
                                 + ",d=20000";
                         boolean write = c.getBoolean("write", () -> false);
-                        client.say(
+                        client.send(
                                 write
                                         ? "ms k" + n + " 5" + list + ",k=0123456789abcdef\r\nhello\r\n"
                                         : "mg k" + n + " v" + list + "\r\n");
--- a/src/test/java/cacheproxy/proxy/StreamTest.java
+++ b/src/test/java/cacheproxy/proxy/ValueStreamingTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Long values: passed on as they come, paused while the client does not read. */
-class StreamTest {
+class ValueStreamingTest {
     private static final byte[] VALUE = new byte[MetaCodec.MAX_VALUE_BYTES];
 
     static {
@@ -113,7 +113,7 @@
             client.line();
             Fleet.Client other = fleet.client();
             for (int turn = 0; turn < 2000; turn++) { // of the loop, in each of which the proxy could read
-                other.say("mn\r\n").line();
+                other.send("mn\r\n").line();
             }
             // The system's own buffers take some megabytes; a proxy that does not hold back takes all 64.
             assertThat(sent.get()).isLessThan(12 << 20);
@@ -138,7 +138,7 @@
             client.read("1");
             assertThat(client.line()).isEqualTo("VA " + VALUE.length + " O1");
             assertThat(client.bytes(VALUE.length).length).isLessThan(VALUE.length);
-            assertThat(fleet.client().say("mn\r\n").line()).isEqualTo("MN");
+            assertThat(fleet.client().send("mn\r\n").line()).isEqualTo("MN");
         }
     }
 
@@ -272,7 +272,7 @@
     }
 
     private static Fleet.Client ask(Fleet.Client client, int key, int again) throws IOException {
-        return client.say("mg %x v O%d-%d Pc=text,d=25000\r\n".formatted(0x7f3a0000 + key, key, again));
+        return client.send("mg %x v O%d-%d Pc=text,d=25000\r\n".formatted(0x7f3a0000 + key, key, again));
     }
 
     @Test
@@ -281,7 +281,7 @@
                 new Fleet().node(missing()).origin(endsByClosing(VALUE.length)).start()) {
             for (int i = 0; i < 12; i++) {
                 try (Fleet.Client leaver = fleet.client()) {
-                    leaver.say("mg %x v O%d Pc=text,d=25000\r\n".formatted(0x7f3a0000 + i, i))
+                    leaver.send("mg %x v O%d Pc=text,d=25000\r\n".formatted(0x7f3a0000 + i, i))
                             .line();
                 }
             }
--- a/src/test/java/cacheproxy/proxy/client/ClientConnectionTest.java
+++ b/src/test/java/cacheproxy/proxy/client/ClientConnectionTest.java
@@ -33,7 +33,7 @@
             Thread writing = new Thread(() -> {
                 try {
                     while (true) {
-                        writer.say(commands);
+                        writer.send(commands);
                         sent.addAndGet(commands.length);
                     }
                 } catch (IOException e) {
@@ -43,7 +43,7 @@
             writing.setDaemon(true);
             writing.start();
             for (int turn = 0; turn < 5000; turn++) {
-                other.say("mn\r\n").line();
+                other.send("mn\r\n").line();
             }
             assertThat(sent.get()).as("what the system holds on both ways").isLessThan(24 << 20);
         }
@@ -55,9 +55,9 @@
                         .node(ScriptedServer.node(ClientConnectionTest::hitResponse))
                         .start();
                 Fleet.Client client = fleet.client()) {
-            client.say("m").say("n\r").say("\n");
+            client.send("m").send("n\r").send("\n");
             assertThat(client.line()).isEqualTo("MN");
-            client.read("1").say("mn\r\n").read("2").say("nonsense\r\n");
+            client.read("1").send("mn\r\n").read("2").send("nonsense\r\n");
             assertThat(client.line()).isEqualTo("VA 5 O1");
             assertThat(client.line()).isEqualTo("hello");
             assertThat(client.line()).isEqualTo("MN");
@@ -93,11 +93,11 @@
         ScriptedServer node = ScriptedServer.node(ClientConnectionTest::hitResponse);
         try (Fleet fleet = new Fleet().node(node).start();
                 Fleet.Client client = fleet.client()) {
-            client.say("mg 7f3a v Oab12 Pc=text,t=acme,d=20000,r=1 q\r\n");
+            client.send("mg 7f3a v Oab12 Pc=text,t=acme,d=20000,r=1 q\r\n");
             client.line();
             assertThat(node.next()).matches("mg 7f3a v Oab12 Pc=text,t=acme,d=(20000|1\\d{4}),r=1 q");
             client.line();
-            client.say("mg 7f3a v Oab13 Pc=text,r=1 q\r\n"); // one without a deadline gets ours
+            client.send("mg 7f3a v Oab13 Pc=text,r=1 q\r\n"); // one without a deadline gets ours
             client.line();
             assertThat(node.next()).matches("mg 7f3a v Oab13 Pc=text,r=1,d=(30000|2\\d{4}) q");
         }
@@ -113,9 +113,9 @@
         });
         try (Fleet fleet = new Fleet().origin(origin).start();
                 Fleet.Client client = fleet.client()) {
-            client.say("ms 7f3a " + value.length + " O9 Pc=fix,d=20000\r\n")
-                    .say(value)
-                    .say("\r\n");
+            client.send("ms 7f3a " + value.length + " O9 Pc=fix,d=20000\r\n")
+                    .send(value)
+                    .send("\r\n");
             assertThat(client.line()).isEqualTo("HD O9 cr1");
             String request = origin.next();
             assertThat(request).startsWith("PUT /7f3a HTTP/1.1\n").containsIgnoringCase("req-id: 9\n");
@@ -144,7 +144,7 @@
                 fleet.proxy.simulateAcceptFailure(new IOException("accept(..) failed: Too many open files in system"));
                 long failed = System.nanoTime();
                 try (Fleet.Client client = fleet.client()) {
-                    assertThat(client.say("mn\r\n").line()).isEqualTo("MN");
+                    assertThat(client.send("mn\r\n").line()).isEqualTo("MN");
                 }
                 assertThat((System.nanoTime() - failed) / 1e6)
                         .as("ms; Netty's own pause is 1,000")
@@ -174,8 +174,8 @@
             assertThat(idle.line()).isEqualTo("VA 5 O1");
             assertThat(idle.line()).isEqualTo("hello");
             long begun = System.nanoTime();
-            waiting.say("mg 7f3a9c21e0b4d655 v O2 Pc=text,d=20000\r\nmg 7f3a9c");
-            idle.say("ms 7f3a 5 O3 Pc=fix,d=20000\r\nhe");
+            waiting.send("mg 7f3a9c21e0b4d655 v O2 Pc=text,d=20000\r\nmg 7f3a9c");
+            idle.send("ms 7f3a 5 O3 Pc=fix,d=20000\r\nhe");
             assertThat(idle.ended()).isTrue();
             assertThat((System.nanoTime() - begun) / 1e9)
                     .as("seconds; 10 would be those of an answer that is not taken")
@@ -193,9 +193,9 @@
                 .node(ScriptedServer.node(ClientConnectionTest::hitResponse))
                 .start()) {
             try (Fleet.Client client = fleet.client()) {
-                client.say("mg 7f3a v\r\n")
-                        .say("ms 7f3a 5 v\r\nhello\r\n")
-                        .say("mg 7f3a v O1 Pc=none,d=5\r\n")
+                client.send("mg 7f3a v\r\n")
+                        .send("ms 7f3a 5 v\r\nhello\r\n")
+                        .send("mg 7f3a v O1 Pc=none,d=5\r\n")
                         .read("2");
                 assertThat(client.line()).startsWith("CLIENT_ERROR");
                 assertThat(client.line()).startsWith("CLIENT_ERROR");
@@ -209,7 +209,7 @@
                 "x".repeat(MetaCodec.MAX_LINE_BYTES)
             }) {
                 try (Fleet.Client client = fleet.client()) {
-                    client.say(unframed);
+                    client.send(unframed);
                     assertThat(client.line()).as(unframed.substring(0, 10)).startsWith("CLIENT_ERROR");
                     assertThat(client.ended()).isTrue();
                 }
@@ -224,10 +224,10 @@
                 Fleet.Client client = fleet.client()) {
             for (String deadline :
                     new String[] {"soon", "", "-5", "0", "NaN", "Infinity", "20000d", "1.2.3", "9".repeat(400)}) {
-                client.say("mg 7f3a v O1 Pc=text,d=" + deadline + "\r\n");
+                client.send("mg 7f3a v O1 Pc=text,d=" + deadline + "\r\n");
                 assertThat(client.line()).as(deadline).startsWith("CLIENT_ERROR");
             }
-            client.say("mg 7f3a v O2 Pc=text\r\n"); // the class's own
+            client.send("mg 7f3a v O2 Pc=text\r\n"); // the class's own
             assertThat(client.line()).isEqualTo("VA 5 O2");
             assertThat(node.commands).hasSize(1);
         }
@@ -247,7 +247,7 @@
                 Fleet.Client other = fleet.client()) {
             client.read("1");
             node.next();
-            other.say("mg 7f3b v O1 Pc=text,d=20000\r\nms 7f3b 5 O1 Pc=fix,d=20000\r\nhello\r\n");
+            other.send("mg 7f3b v O1 Pc=text,d=20000\r\nms 7f3b 5 O1 Pc=fix,d=20000\r\nhello\r\n");
             assertThat(other.line()).startsWith("CLIENT_ERROR");
             assertThat(other.line()).startsWith("CLIENT_ERROR");
             release.countDown();
@@ -267,9 +267,9 @@
                 Fleet.Client silent = fleet.client();
                 Fleet.Client partialCommand = fleet.client();
                 Fleet.Client partialValue = fleet.client()) {
-            assertThat(used.say("mn\r\n").line()).isEqualTo("MN");
-            partialCommand.say("mg 7f3a");
-            partialValue.say("ms 7f3a 500 O1 Pc=fix,d=20000\r\nhello\r\n");
+            assertThat(used.send("mn\r\n").line()).isEqualTo("MN");
+            partialCommand.send("mg 7f3a");
+            partialValue.send("ms 7f3a 500 O1 Pc=fix,d=20000\r\nhello\r\n");
             assertThat(silent.ended()).isTrue();
             assertThat(partialCommand.ended()).isTrue();
             assertThat(partialValue.ended()).isTrue();
@@ -288,12 +288,12 @@
         try (Fleet fleet = new Fleet().origin(origin).start();
                 Fleet.Client client = fleet.client()) {
             for (int i = 0; i < 60; i++) { // more than the connections to the origin
-                client.say("ms 7f3a 5 O" + i + "\u0001 Pc=fix,d=20000\r\nhello\r\n");
+                client.send("ms 7f3a 5 O" + i + "\u0001 Pc=fix,d=20000\r\nhello\r\n");
                 assertThat(client.line()).startsWith("CLIENT_ERROR");
             }
-            client.say("ms 7f3a 5 O\u00e9 Pc=fix,d=20000\r\nhello\r\n");
+            client.send("ms 7f3a 5 O\u00e9 Pc=fix,d=20000\r\nhello\r\n");
             assertThat(client.line()).startsWith("CLIENT_ERROR");
-            client.say("ms 7f3a 5 O1 Pc=fix,d=20000\r\nhello\r\n");
+            client.send("ms 7f3a 5 O1 Pc=fix,d=20000\r\nhello\r\n");
             assertThat(client.line()).isEqualTo("HD O1 cr1");
             assertThat(origin.commands).hasSize(1);
         }
@@ -367,7 +367,7 @@
         try (Fleet fleet = new Fleet().node(node).origin(origin).start();
                 Fleet.Client client = fleet.client()) {
             for (int i = 0; i < 50; i++) {
-                client.read("h" + i).read("m" + i).say("ms 7f3a 5 Ow" + i + " Pc=fix,d=20000\r\nhello\r\n");
+                client.read("h" + i).read("m" + i).send("ms 7f3a 5 Ow" + i + " Pc=fix,d=20000\r\nhello\r\n");
                 assertThat(client.line()).isEqualTo("VA 5 Oh" + i);
                 client.line();
                 assertThat(client.line()).isEqualTo("VA 5 Om" + i);
@@ -397,11 +397,11 @@
         setup.config.add("limits", limits);
         try (Fleet fleet = setup.start();
                 Fleet.Client client = fleet.client()) {
-            client.say("ms 7f3a 2000000 O1 Pc=fix,d=20000\r\n")
-                    .say(new byte[2_000_000])
-                    .say("\r\n");
+            client.send("ms 7f3a 2000000 O1 Pc=fix,d=20000\r\n")
+                    .send(new byte[2_000_000])
+                    .send("\r\n");
             assertThat(client.line()).isEqualTo("SERVER_ERROR busy");
-            client.say("ms 7f3a 5 O2 Pc=fix,d=20000\r\nhello\r\n");
+            client.send("ms 7f3a 5 O2 Pc=fix,d=20000\r\nhello\r\n");
             assertThat(client.line()).isEqualTo("HD O2 cPUT");
             assertThat(ScriptedServer.id(origin.next())).isEqualTo("2");
         }
--- a/src/test/java/cacheproxy/proxy/discovery/DiscoveryClientTest.java
+++ b/src/test/java/cacheproxy/proxy/discovery/DiscoveryClientTest.java
@@ -115,8 +115,8 @@
                 .discovery(discovery)
                 .set("caps.connect-timeout", "50.0")
                 .start()) {
-            fleet.parts.add(first);
-            fleet.parts.add(second);
+            fleet.closeables.add(first);
+            fleet.closeables.add(second);
             assertThat(discovery.next()).contains("since=41&");
             assertThat(discovery.next()).contains("since=43&");
             assertThat(served(fleet)).isEqualTo("VA 5 O1");
@@ -150,7 +150,7 @@
                         .set("caps.connect-timeout", "50.0")
                         .set("guarantees.ask-within", "200.0")
                         .start()) {
-            fleet.parts.add(successor);
+            fleet.closeables.add(successor);
             assertThat(discovery.next()).contains("since=41&");
             assertThat(served(fleet)).startsWith("SERVER_ERROR busy"); // refused, and no origin to go to
             assertThat(discovery.next()).contains("since=41&");
@@ -187,7 +187,7 @@
                     .set("caps.connect-timeout", "50.0")
                     .set("discovery", mode)
                     .start()) {
-                fleet.parts.add(other);
+                fleet.closeables.add(other);
                 String watch = discovery.next();
                 assertThat(watch).contains("since=41&");
                 String wait = watch.substring(watch.indexOf("timeout_ms=") + 11, watch.indexOf(" HTTP"));
@@ -223,7 +223,7 @@
                 .discovery(discovery)
                 .set("caps.connect-timeout", "50.0")
                 .start()) {
-            fleet.parts.add(node);
+            fleet.closeables.add(node);
             assertThat(discovery.next()).contains("since=41&");
             assertThat(discovery.next()).contains("since=0&timeout_ms=1 ");
             assertThat(discovery.next()).contains("since=7&");
@@ -310,7 +310,7 @@
             setup.config.addProperty("peers_all", "127.0.0.1:" + other.getLocalPort());
             setup.config.addProperty("peer_listen", "127.0.0.1:0");
             try (Fleet fleet = setup.start()) {
-                fleet.parts.add(node);
+                fleet.closeables.add(node);
                 for (long seq : new long[] {43, 44}) {
                     DatagramPacket packet = new DatagramPacket(new byte[256], 256);
                     other.receive(packet);
@@ -355,7 +355,7 @@
                             .set("caps.connect-timeout", "50.0")
                             .start();
                     Fleet.Client client = fleet.client()) {
-                fleet.parts.add(moved);
+                fleet.closeables.add(moved);
                 client.read("1");
                 old.next();
                 discovery.next();
--- a/src/test/java/cacheproxy/proxy/process/OperatorActionsTest.java
+++ b/src/test/java/cacheproxy/proxy/process/OperatorActionsTest.java
@@ -46,15 +46,15 @@
                 Fleet.Client busy = fleet.client();
                 Fleet.Client half = fleet.client()) {
             assertThat(call(fleet, "GET /status")).isEqualTo("200");
-            assertThat(idle.say("mn\r\n").line()).isEqualTo("MN");
-            half.say("mn\r\nm");
+            assertThat(idle.send("mn\r\n").line()).isEqualTo("MN");
+            half.send("mn\r\nm");
             assertThat(half.line()).isEqualTo("MN");
             busy.read("1");
             node.next();
             assertThat(call(fleet, "POST /standby")).isEqualTo("200");
             assertThat(call(fleet, "GET /status")).isEqualTo("503");
             assertThat(idle.ended()).isTrue();
-            half.say("n\r\n"); // a command that had been begun is still answered
+            half.send("n\r\n"); // a command that had been begun is still answered
             assertThat(half.line()).isEqualTo("SERVER_ERROR standby");
             assertThat(half.ended()).isTrue();
             // Whoever has not heard is served all the same, and sent away after.
@@ -71,10 +71,10 @@
             assertThat(call(fleet, "POST /active")).isEqualTo("200");
             assertThat(call(fleet, "GET /status")).isEqualTo("200");
             try (Fleet.Client back = fleet.client()) {
-                assertThat(back.say("mn\r\n").line()).isEqualTo("MN");
+                assertThat(back.send("mn\r\n").line()).isEqualTo("MN");
                 assertThat(back.read("3").line()).isEqualTo("VA 5 O3");
                 assertThat(back.line()).isEqualTo("hello");
-                assertThat(back.say("mn\r\n").line()).isEqualTo("MN");
+                assertThat(back.send("mn\r\n").line()).isEqualTo("MN");
             }
         }
     }
@@ -116,11 +116,11 @@
     void keepsNewConnectionInStandbyUntilItsFirstRequest() throws Exception {
         try (Fleet fleet = fleet().node("127.0.0.1:9").start();
                 Fleet.Client first = fleet.client()) {
-            assertThat(first.say("mn\r\n").line()).isEqualTo("MN");
+            assertThat(first.send("mn\r\n").line()).isEqualTo("MN");
             call(fleet, "POST /standby");
             assertThat(first.ended()).isTrue(); // all are to end by now or soon
             try (Fleet.Client late = fleet.client()) {
-                assertThat(late.say("mn\r\n").line()).isEqualTo("SERVER_ERROR standby");
+                assertThat(late.send("mn\r\n").line()).isEqualTo("SERVER_ERROR standby");
                 assertThat(late.ended()).isTrue();
             }
         }
--- a/src/test/java/cacheproxy/proxy/upstream/BodyBufferClaimTest.java
+++ b/src/test/java/cacheproxy/proxy/upstream/BodyBufferClaimTest.java
@@ -34,7 +34,7 @@
     }
 
     /** How many more bodies may be buffered at once now, of two in all. */
-    private int free() {
+    private int available() {
         AtomicInteger acquired = new AtomicInteger();
         limit.acquire(acquired::incrementAndGet);
         limit.acquire(acquired::incrementAndGet);
@@ -42,12 +42,12 @@
     }
 
     @Test
-    void aGrantedClaimIsGivenBackOnce() {
+    void aGrantedClaimIsReleasedOnce() {
         claim.request();
         assertThat(readable).containsExactly(false, true);
         claim.release();
         claim.release();
-        assertThat(free()).isEqualTo(2);
+        assertThat(available()).isEqualTo(2);
     }
 
     /** Guards against a budget that never comes back, where a body ends while it waits and the next one claims, too. */
@@ -64,6 +64,6 @@
         assertThat(readable).endsWith(true);
         claim.release();
         runScheduled();
-        assertThat(free()).isEqualTo(2);
+        assertThat(available()).isEqualTo(2);
     }
 }
--- a/src/test/java/cacheproxy/proxy/upstream/BufferedBodyLimitTest.java
+++ b/src/test/java/cacheproxy/proxy/upstream/BufferedBodyLimitTest.java
@@ -40,7 +40,7 @@
     }
 
     @Test
-    void aReleasedPlaceIsNotTakenTwice() {
+    void aReleasedSlotIsNotAcquiredTwice() {
         BufferedBodyLimit limit = limit(0);
         acquire(limit, "first");
         acquire(limit, "second");
--- a/src/test/java/cacheproxy/proxy/upstream/ByteBudgetTest.java
+++ b/src/test/java/cacheproxy/proxy/upstream/ByteBudgetTest.java
@@ -31,7 +31,7 @@
     }
 
     @Test
-    void agreesWithTheSumOfWhatIsReserved() {
+    void agreesWithTheSumOfReservations() {
         Random random = new Random(11);
         ByteBudget budget = new ByteBudget(MAX_BYTES);
         ArrayDeque<Integer> reserved = new ArrayDeque<>();
--- a/src/test/java/cacheproxy/proxy/upstream/StreamBudgetTest.java
+++ b/src/test/java/cacheproxy/proxy/upstream/StreamBudgetTest.java
@@ -13,22 +13,22 @@
     void sharesHalfOfTheMemoryWithinBounds() {
         StreamBudget budget = new StreamBudget(4 * MIB);
         for (int stream = 1; stream <= 32; stream++) {
-            assertThat(budget.opened()).as("stream %d", stream).isEqualTo(64 * KIB);
+            assertThat(budget.openStream()).as("stream %d", stream).isEqualTo(64 * KIB);
         }
-        assertThat(budget.opened()).isEqualTo(2 * MIB / 33);
+        assertThat(budget.openStream()).isEqualTo(2 * MIB / 33);
         for (int stream = 34; stream <= 256; stream++) {
-            assertThat(budget.opened()).as("stream %d", stream).isEqualTo(2 * MIB / stream);
+            assertThat(budget.openStream()).as("stream %d", stream).isEqualTo(2 * MIB / stream);
         }
-        assertThat(budget.opened()).as("never less").isEqualTo(8 * KIB);
+        assertThat(budget.openStream()).as("never less").isEqualTo(8 * KIB);
     }
 
     @Test
     void sharesOneMebibyteAtLeast() {
         StreamBudget budget = new StreamBudget(0);
         for (int stream = 1; stream <= 16; stream++) {
-            assertThat(budget.opened()).as("stream %d", stream).isEqualTo(64 * KIB);
+            assertThat(budget.openStream()).as("stream %d", stream).isEqualTo(64 * KIB);
         }
-        assertThat(budget.opened()).isEqualTo(MIB / 17);
+        assertThat(budget.openStream()).isEqualTo(MIB / 17);
     }
 
     @Test
@@ -36,10 +36,10 @@
         StreamBudget budget = new StreamBudget(0);
         for (int round = 0; round < 100; round++) {
             for (int stream = 1; stream <= 16; stream++) {
-                assertThat(budget.opened()).isEqualTo(64 * KIB);
+                assertThat(budget.openStream()).isEqualTo(64 * KIB);
             }
             for (int stream = 1; stream <= 16; stream++) {
-                budget.closed();
+                budget.closeStream();
             }
         }
     }
--- a/src/test/java/cacheproxy/proxy/upstream/UpstreamTest.java
+++ b/src/test/java/cacheproxy/proxy/upstream/UpstreamTest.java
@@ -69,7 +69,7 @@
                         .start();
                 Fleet.Client client = fleet.client()) {
             for (int i = 0; i < 30; i++) {
-                client.say("mg " + Integer.toHexString(0x1000 + 7919 * i) + " v O" + i + " Pc=text,d=20000\r\n");
+                client.send("mg " + Integer.toHexString(0x1000 + 7919 * i) + " v O" + i + " Pc=text,d=20000\r\n");
                 assertThat(client.line()).isEqualTo("VA 5 O" + i);
                 client.line();
             }
@@ -81,7 +81,7 @@
      * What a node does with a connection that it has no room for; the latch tells that the proxy has seen the end of
      * it.
      */
-    private static ScriptedServer withoutRoom(CountDownLatch seen) throws Exception {
+    private static ScriptedServer withoutCapacity(CountDownLatch seen) throws Exception {
         return new ScriptedServer(connection -> {
             connection.command();
             connection.say("SERVER_ERROR busy\r\n");
@@ -95,7 +95,7 @@
     @Test
     void backsOffFromServerWithoutConnectionCapacityWithoutTakingItForDown() throws Exception {
         CountDownLatch seen = new CountDownLatch(1);
-        ScriptedServer full = withoutRoom(seen);
+        ScriptedServer full = withoutCapacity(seen);
         long start = System.nanoTime();
         try (Fleet fleet =
                         new Fleet().node(full).origin(origin(200, "", "fetch")).start();
@@ -118,7 +118,7 @@
     void opensAnotherConnectionBesideLongValueDuringConnectionShortage() throws Exception {
         CountDownLatch seen = new CountDownLatch(1);
         CountDownLatch rest = new CountDownLatch(1);
-        ScriptedServer sound = new ScriptedServer(connection -> {
+        ScriptedServer healthy = new ScriptedServer(connection -> {
             for (String line; (line = connection.command()) != null; ) {
                 if (!ScriptedServer.id(line).equals("long")) {
                     connection.say(hit(line));
@@ -132,15 +132,15 @@
                 connection.say("\r\n");
             }
         });
-        try (Fleet fleet = new Fleet().node(withoutRoom(seen)).node(sound).start();
+        try (Fleet fleet = new Fleet().node(withoutCapacity(seen)).node(healthy).start();
                 Fleet.Client client = fleet.client();
                 Fleet.Client other = fleet.client()) {
-            client.say(read(keyOf(1), "first")).line();
+            client.send(read(keyOf(1), "first")).line();
             client.line();
             seen.await(); // from here on no node is to get a second connection
-            client.say(read(keyOf(2), "long"));
+            client.send(read(keyOf(2), "long"));
             assertThat(client.line()).isEqualTo("VA " + MetaCodec.MAX_VALUE_BYTES + " Olong");
-            assertThat(other.say(read(keyOf(2), "short")).line()).isEqualTo("VA 5 Oshort");
+            assertThat(other.send(read(keyOf(2), "short")).line()).isEqualTo("VA 5 Oshort");
             rest.countDown();
             assertThat(client.bytes(MetaCodec.MAX_VALUE_BYTES)).hasSize(MetaCodec.MAX_VALUE_BYTES);
         }
@@ -154,7 +154,7 @@
         CountDownLatch seen = new CountDownLatch(1);
         CountDownLatch both = new CountDownLatch(2);
         CountDownLatch closed = new CountDownLatch(1);
-        ScriptedServer sound = new ScriptedServer(connection -> {
+        ScriptedServer healthy = new ScriptedServer(connection -> {
             for (String line; (line = connection.command()) != null; ) {
                 both.countDown();
                 both.await();
@@ -162,21 +162,21 @@
             }
             closed.countDown();
         });
-        try (Fleet fleet = new Fleet().node(withoutRoom(seen)).node(sound).start();
+        try (Fleet fleet = new Fleet().node(withoutCapacity(seen)).node(healthy).start();
                 Fleet.Client client = fleet.client();
                 Fleet.Client other = fleet.client()) {
-            client.say(read(keyOf(2), "a"));
-            other.say(read(keyOf(2), "b"));
+            client.send(read(keyOf(2), "a"));
+            other.send(read(keyOf(2), "b"));
             assertThat(client.line()).isEqualTo("VA 5 Oa");
             assertThat(other.line()).isEqualTo("VA 5 Ob");
-            assertThat(sound.accepted).hasSize(2);
+            assertThat(healthy.accepted).hasSize(2);
             client.line();
-            client.say(read(keyOf(1), "c")).line();
+            client.send(read(keyOf(1), "c")).line();
             seen.await();
             assertThat(closed.await(20, TimeUnit.SECONDS)).isTrue();
             client.line();
-            assertThat(client.say(read(keyOf(2), "d")).line()).isEqualTo("VA 5 Od");
-            assertThat(sound.accepted).hasSize(2);
+            assertThat(client.send(read(keyOf(2), "d")).line()).isEqualTo("VA 5 Od");
+            assertThat(healthy.accepted).hasSize(2);
         }
     }
 
@@ -207,7 +207,7 @@
                 Fleet.Client client = fleet.client()) {
             // More than the connections that one server may have: a failed one must not keep its place.
             for (int i = 0; i < 60; i++) {
-                client.say("ms 7f3a 5 O" + i + " Pc=fix,d=20000\r\nhello\r\n");
+                client.send("ms 7f3a 5 O" + i + " Pc=fix,d=20000\r\nhello\r\n");
                 assertThat(client.line()).startsWith("SERVER_ERROR busy");
             }
         }
@@ -215,14 +215,14 @@
 
     @Test
     void includesRetryAdviceInRejectionWhereEnabled() throws Exception {
-        for (boolean told : new boolean[] {true, false}) {
+        for (boolean enabled : new boolean[] {true, false}) {
             RefusingAddress refusing = new RefusingAddress();
-            Fleet setup = new Fleet().node(refusing.dial()).set("caps.retry-after", Boolean.toString(told));
+            Fleet setup = new Fleet().node(refusing.dial()).set("caps.retry-after", Boolean.toString(enabled));
             try (refusing;
                     Fleet fleet = setup.start();
                     Fleet.Client client = fleet.client()) {
                 client.read("1");
-                assertThat(client.line()).matches(told ? "SERVER_ERROR busy [1-9]\\d{0,2}" : "SERVER_ERROR busy");
+                assertThat(client.line()).matches(enabled ? "SERVER_ERROR busy [1-9]\\d{0,2}" : "SERVER_ERROR busy");
             }
         }
     }
@@ -235,9 +235,9 @@
         });
         try (Fleet fleet = new Fleet().origin(origin).start();
                 Fleet.Client client = fleet.client()) {
-            client.say("ms 7f3a 5 O1 Pc=fix,d=20000\r\nhello\r\n");
+            client.send("ms 7f3a 5 O1 Pc=fix,d=20000\r\nhello\r\n");
             assertThat(client.line()).isEqualTo("SERVER_ERROR failed");
-            assertThat(client.say("mn\r\n").line()).isEqualTo("MN");
+            assertThat(client.send("mn\r\n").line()).isEqualTo("MN");
             assertThat(origin.commands).hasSize(1);
         }
     }
@@ -279,7 +279,7 @@
             });
             try (Fleet fleet = new Fleet().origin(broken).start();
                     Fleet.Client client = fleet.client()) {
-                client.say("ms 7f3a 5 O1 Pc=fix,d=20000\r\nhello\r\n");
+                client.send("ms 7f3a 5 O1 Pc=fix,d=20000\r\nhello\r\n");
                 assertThat(client.line()).as(head).isEqualTo("SERVER_ERROR failed");
             }
         }
@@ -313,7 +313,7 @@
             origin.next();
             other.read("2"); // waits for the fetch, and goes to the origin once that has failed
             missed.await();
-            fleet.client().say("mn\r\n").line();
+            fleet.client().send("mn\r\n").line();
             mayRespond.countDown();
             assertThat(client.line()).startsWith("SERVER_ERROR");
             assertThat(other.line()).isEqualTo("VA 5 O2");
@@ -333,10 +333,10 @@
         try (Fleet fleet = new Fleet().origin(origin).start();
                 Fleet.Client client = fleet.client()) {
             for (int i = 0; i < 3; i++) {
-                client.say("ms 7f3a 5 O" + i + " Pc=fix,d=20000\r\nhello\r\n");
+                client.send("ms 7f3a 5 O" + i + " Pc=fix,d=20000\r\nhello\r\n");
                 assertThat(client.line()).isEqualTo("HD O" + i + " cr1");
                 closed.acquire();
-                client.say("mn\r\n").line(); // the event loop has been round
+                client.send("mn\r\n").line(); // the event loop has been round
             }
         }
     }
@@ -391,12 +391,12 @@
         try (Fleet fleet = setup.start();
                 Fleet.Client other = fleet.client()) {
             Fleet.Client leaving = fleet.client();
-            leaving.say("mg 7f3a v Oa Pc=text,d=20000\r\n");
+            leaving.send("mg 7f3a v Oa Pc=text,d=20000\r\n");
             pipelined.next();
-            other.say("mg 7f3b v Ob Pc=text,d=20000\r\n");
+            other.send("mg 7f3b v Ob Pc=text,d=20000\r\n");
             pipelined.next();
             leaving.close();
-            fleet.client().say("mn\r\n").line();
+            fleet.client().send("mn\r\n").line();
             gone.countDown();
             assertThat(other.line()).isEqualTo("VA 5 Ob");
         }
@@ -446,7 +446,7 @@
             client.read("1");
             assertThat(client.line()).isEqualTo("VA 5 O1");
             assertThat(client.line()).isEqualTo("fetch");
-            client.say("ms 7f3a 5 O2 Pc=fix,d=20000\r\nhello\r\n");
+            client.send("ms 7f3a 5 O2 Pc=fix,d=20000\r\nhello\r\n");
             assertThat(client.line()).isEqualTo("SERVER_ERROR failed");
             ended.await();
         }
