--- a/src/main/java/cacheproxy/bench/QuotaCostBench.java
+++ b/src/main/java/cacheproxy/bench/QuotaCostBench.java
@@ -65,7 +65,7 @@
             long start = System.nanoTime();
             for (int i = 0; i < REQUESTS; i++) {
                 nowMs += REQUEST_INTERVAL_MS;
-                if (quota.requestWaitMs(nowMs) == 0) {
+                if (quota.admissionWaitMs(nowMs) == 0) {
                     quota.consume();
                     quota.release();
                 }
@@ -93,7 +93,7 @@
         long start = System.nanoTime();
         while (nowMs < TICKS_END_MS) {
             for (int i = 0; i < USED_QUOTAS; i++) {
-                manager.localQuota(name(i)).requestWaitMs(nowMs);
+                manager.localQuota(name(i)).admissionWaitMs(nowMs);
             }
             manager.tick(nowMs);
             nowMs += TICK_MS;
--- a/src/main/java/cacheproxy/daemon/fleet/FleetHealthChecks.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetHealthChecks.java
@@ -2,10 +2,10 @@
 
 import cacheproxy.config.DaemonConfig;
 import cacheproxy.config.FleetConfig;
+import cacheproxy.fleet.healthcheck.HealthCheckActions;
 import cacheproxy.fleet.healthcheck.HealthCheckCoordinator;
 import cacheproxy.fleet.healthcheck.HealthCheckCounts;
 import cacheproxy.fleet.healthcheck.HealthCheckMessage;
-import cacheproxy.fleet.healthcheck.HealthCheckOutbox;
 import cacheproxy.fleet.healthcheck.HealthCheckTiming;
 import cacheproxy.fleet.lease.LeaseHandle;
 import cacheproxy.policy.AttemptOutcome;
@@ -144,7 +144,7 @@
 
     @Override
     public void receive(double nowMs, long from, byte[] payload) {
-        HealthCheckMessage message = HealthCheckMessage.of(payload);
+        HealthCheckMessage message = HealthCheckMessage.decode(payload);
         if (coordinator != null && message != null) {
             coordinator.receive(nowMs, from, message);
         }
@@ -181,14 +181,14 @@
         }
     }
 
-    private final class CoordinatorOutbox implements HealthCheckOutbox {
+    private final class CoordinatorOutbox implements HealthCheckActions {
         @Override
         public void send(long to, HealthCheckMessage message) {
-            context.link().send(to, FleetHealthChecks.this, message.bytes());
+            context.link().send(to, FleetHealthChecks.this, message.encode());
         }
 
         @Override
-        public boolean start(int server) {
+        public boolean startCheck(int server) {
             Optional<Dispatcher> pool = firstPoolWith(server, waitingPools.getOrDefault(server, Set.of()).stream())
                     .or(() -> firstPoolWith(server, context.pools().stream().map(runtime -> runtime.dispatcher)));
             if (pool.isEmpty()) {
@@ -207,7 +207,7 @@
         }
 
         @Override
-        public void report(int server, boolean healthy) {
+        public void reportResult(int server, boolean healthy) {
             Set<Dispatcher> pools = waitingPools.remove(server);
             if (pools != null) {
                 // A pool's policy may be asking just now.
--- a/src/main/java/cacheproxy/daemon/fleet/FleetLeases.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetLeases.java
@@ -117,7 +117,7 @@
         return manager.candidateOrder(lease).stream()
                 .filter(peer -> peer != ownId && socket.lastReceivedMs(peer) > nowMs - SUCCESSOR_SILENCE_MS)
                 .findFirst()
-                .orElse(NameHash.NOBODY);
+                .orElse(NameHash.NO_ID);
     }
 
     /** Gives up all leases. */
--- a/src/main/java/cacheproxy/daemon/fleet/FleetMembership.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetMembership.java
@@ -25,7 +25,7 @@
                 SwimTiming.DEFAULT,
                 random,
                 context.nowMs(),
-                (to, message) -> link.send(to, this, message.bytes()));
+                (to, message) -> link.send(to, this, message.encode()));
     }
 
     @Override
@@ -49,7 +49,7 @@
 
     @Override
     public void receive(double nowMs, long from, byte[] payload) {
-        SwimMessage message = SwimMessage.of(payload);
+        SwimMessage message = SwimMessage.decode(payload);
         if (message != null) {
             membership.receive(nowMs, from, message);
         }
--- a/src/main/java/cacheproxy/daemon/fleet/FleetQuotas.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetQuotas.java
@@ -167,7 +167,7 @@
         double longestMs = 0;
         boolean requestSoon = false;
         for (LocalQuota quota : quotas) {
-            double waitMs = quota.requestWaitMs(nowMs);
+            double waitMs = quota.admissionWaitMs(nowMs);
             longestMs = Math.max(longestMs, waitMs);
             requestSoon |= waitMs > 0 && manager != null && manager.requestSoon(quota, nowMs);
         }
--- a/src/main/java/cacheproxy/daemon/fleet/FleetSocket.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetSocket.java
@@ -91,7 +91,7 @@
             addresses.put(id, peer.address());
             names.put(id, peer.name());
         }
-        envelope.useSenders(List.copyOf(names.keySet()));
+        envelope.setSenders(List.copyOf(names.keySet()));
         lastReceivedMs.keySet().retainAll(names.keySet());
     }
 
--- a/src/main/java/cacheproxy/daemon/fleet/LeaseEndpoints.java
+++ b/src/main/java/cacheproxy/daemon/fleet/LeaseEndpoints.java
@@ -70,7 +70,7 @@
 
     private ControlResponse transfer(String lease, QueryStringDecoder query) {
         List<String> receivers = query.parameters().getOrDefault("to", List.of());
-        long receiver = receivers.isEmpty() ? NameHash.NOBODY : NameHash.of(receivers.get(0));
+        long receiver = receivers.isEmpty() ? NameHash.NO_ID : NameHash.of(receivers.get(0));
         String name = peerNames.get(receiver);
         if (name == null || receiver == ownId) {
             return new ControlResponse(BAD_REQUEST, "say to=PEER, the name of another proxy");
--- a/src/main/java/cacheproxy/daemon/fleet/PeerListMonitor.java
+++ b/src/main/java/cacheproxy/daemon/fleet/PeerListMonitor.java
@@ -99,7 +99,7 @@
             boolean reachesServers = !context.isConfigured()
                     || context.pools().stream().anyMatch(pool -> pool.dispatcher.hasHealthyCacheServer());
             if (reachesServers) {
-                reachability.recordLocalReach(nowMs);
+                reachability.recordLocalSuccess(nowMs);
             }
             sendReport(reachesServers);
         }
@@ -110,7 +110,7 @@
         if (others.isEmpty()) {
             return;
         }
-        byte[] payload = Arrays.copyOf(lists.message(), PAYLOAD_BYTES);
+        byte[] payload = Arrays.copyOf(lists.encodeReport(), PAYLOAD_BYTES);
         payload[REACHES_SERVERS_OFFSET] = (byte) (reachesServers ? 1 : 0);
         context.link().send(others.get(nextReceiver++ % others.size()), this, payload);
     }
--- a/src/main/java/cacheproxy/discovery/DelegatedWatch.java
+++ b/src/main/java/cacheproxy/discovery/DelegatedWatch.java
@@ -135,10 +135,12 @@
             nextPollMs = occasionalPollMs(nowMs);
             actions.pollOnce();
         }
-        return Math.min(nextPollMs, Math.min(ifFuture(heartbeatValidUntilMs, nowMs), ifFuture(nextHeartbeatMs, nowMs)));
+        return Math.min(
+                nextPollMs,
+                Math.min(futureOrNever(heartbeatValidUntilMs, nowMs), futureOrNever(nextHeartbeatMs, nowMs)));
     }
 
-    private static double ifFuture(double atMs, double nowMs) {
+    private static double futureOrNever(double atMs, double nowMs) {
         return atMs > nowMs ? atMs : Double.POSITIVE_INFINITY;
     }
 
--- a/src/main/java/cacheproxy/discovery/SilentWatchDetector.java
+++ b/src/main/java/cacheproxy/discovery/SilentWatchDetector.java
@@ -45,7 +45,7 @@
     private double manyRefusalsAtMs = NEVER;
     private int refusalDoublings;
     /** Since when another proxy claims to have a newer version. */
-    private double behindSinceMs = NEVER;
+    private double staleSinceMs = NEVER;
 
     private long claimedVersion = Long.MIN_VALUE;
     private int claimPolls;
@@ -70,11 +70,11 @@
      * @param version of the list
      * @param whole whether {@code members} is the whole list; else its changes, perhaps none
      */
-    public void listReceived(long version, boolean whole, Collection<Endpoint> members) {
+    public void listReceived(long version, boolean full, Collection<Endpoint> members) {
         if (version >= claimedVersion) {
             resetClaims();
         }
-        if (whole) {
+        if (full) {
             readyServers.clear();
         }
         for (Endpoint member : members) {
@@ -110,14 +110,14 @@
     public void versionClaimed(double nowMs, long version) {
         if (version > claimedVersion && nowMs >= ignoreClaimsUntilMs) {
             claimedVersion = version;
-            behindSinceMs = Math.min(behindSinceMs, nowMs);
+            staleSinceMs = Math.min(staleSinceMs, nowMs);
         }
     }
 
     /** Forgets the versions that other proxies claim to have, as when discovery restarts its numbering. */
     public void resetClaims() {
         claimedVersion = Long.MIN_VALUE;
-        behindSinceMs = NEVER;
+        staleSinceMs = NEVER;
         claimPolls = 0;
     }
 
@@ -129,7 +129,7 @@
         double refusalPollMs = Math.min(
                 firstRefusalAtMs + reportDelayMs * (1 << refusalDoublings),
                 manyRefusalsAtMs + shortReportDelayMs * (1 << refusalDoublings));
-        double claimPollMs = behindSinceMs + shortReportDelayMs * (1 << claimPolls);
+        double claimPollMs = staleSinceMs + shortReportDelayMs * (1 << claimPolls);
         return Math.min(refusalPollMs, claimPollMs) + staggerMs;
     }
 
@@ -142,14 +142,14 @@
             refusalDoublings = Math.min(MAX_DOUBLINGS, refusalDoublings + 1);
         }
         clearRefusals();
-        if (behindSinceMs < NEVER) {
+        if (staleSinceMs < NEVER) {
             countClaimPoll(nowMs);
         }
         return true;
     }
 
     private void countClaimPoll(double nowMs) {
-        behindSinceMs = nowMs; // the new poll may fail silently as well
+        staleSinceMs = nowMs; // the new poll may fail silently as well
         claimPolls++;
         if (claimPolls == MAX_POLLS_PER_CLAIM) {
             resetClaims();
--- a/src/main/java/cacheproxy/discovery/VersionGossip.java
+++ b/src/main/java/cacheproxy/discovery/VersionGossip.java
@@ -22,7 +22,7 @@
     /** The peer that announced {@link #newestAnnounced} first. */
     private int firstSender;
     /** Whether a second peer has announced {@link #newestAnnounced}. */
-    private boolean heardFromTwo;
+    private boolean announcedByTwoPeers;
 
     /** Discovery has delivered a new version: {@link #takeMessage} is to be called after this proxy's delay. */
     public void versionChanged() {
@@ -40,15 +40,15 @@
         if (version > newestAnnounced) {
             newestAnnounced = version;
             firstSender = peer;
-            heardFromTwo = false;
+            announcedByTwoPeers = false;
         } else if (version == newestAnnounced && peer != firstSender) {
-            heardFromTwo = true;
+            announcedByTwoPeers = true;
         }
     }
 
     /** The message to send to all proxies, given the version held here; null if there is nothing to announce. */
     public byte[] takeMessage(long version) {
-        boolean send = announcementPending && !(heardFromTwo && newestAnnounced == version);
+        boolean send = announcementPending && !(announcedByTwoPeers && newestAnnounced == version);
         announcementPending = false;
         return send
                 ? ByteBuffer.allocate(MESSAGE_BYTES)
--- a/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckOutbox.java
+++ b/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckActions.java
@@ -1,7 +1,7 @@
 package cacheproxy.fleet.healthcheck;
 
 /** What a {@link HealthCheckCoordinator} has done for it: messages, checks and reports. */
-public interface HealthCheckOutbox {
+public interface HealthCheckActions {
     /** Sends a message to another proxy; it may be lost. */
     void send(long to, HealthCheckMessage message);
 
@@ -10,8 +10,8 @@
      *
      * @return false if the server is not known here
      */
-    boolean start(int server);
+    boolean startCheck(int server);
 
     /** The result of a check that was requested here. */
-    void report(int server, boolean healthy);
+    void reportResult(int server, boolean healthy);
 }
--- a/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckCoordinator.java
+++ b/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckCoordinator.java
@@ -25,7 +25,7 @@
     private static final int SHARE_SHIFT = 8;
 
     private final long ownId;
-    private final HealthCheckOutbox outbox;
+    private final HealthCheckActions actions;
     private final FencingTokenCheck fencing = new FencingTokenCheck();
     private final PendingRequests pending = new PendingRequests();
     private final RunningChecks running = new RunningChecks();
@@ -52,10 +52,10 @@
             long firstRequestNumber,
             HealthCheckTiming timing,
             List<LeaseHandle> shares,
-            HealthCheckOutbox outbox) {
+            HealthCheckActions actions) {
         this.ownId = ownId;
         this.lastRequestNumber = firstRequestNumber;
-        this.outbox = outbox;
+        this.actions = actions;
         update(timing, shares);
     }
 
@@ -77,7 +77,7 @@
     // ---- checks that this proxy wants
 
     /**
-     * This proxy wants a check of a server. {@link HealthCheckOutbox#report} follows once, at the latest when a check
+     * This proxy wants a check of a server. {@link HealthCheckActions#report} follows once, at the latest when a check
      * of this proxy, begun after the result timeout, has ended.
      */
     public void request(double nowMs, int server) {
@@ -86,14 +86,14 @@
         }
         LeaseHandle lease = leaseOf(server);
         long receiver = receiverOfRequest(nowMs, lease);
-        boolean isOwn = receiver == ownId || receiver == NameHash.NOBODY;
-        if (isOwn || pending.isFull() || reported.isUnreliableFor(server, nowMs)) {
-            checkByItself(nowMs, server);
+        boolean isLocal = receiver == ownId || receiver == NameHash.NO_ID;
+        if (isLocal || pending.isFull() || reported.isUnreliableFor(server, nowMs)) {
+            checkLocally(nowMs, server);
             return;
         }
         long requestNumber = ++lastRequestNumber;
         pending.add(server, requestNumber, nowMs + timing.resultTimeoutMs());
-        outbox.send(receiver, HealthCheckMessage.request(lease.id(), server, requestNumber));
+        actions.send(receiver, HealthCheckMessage.request(lease.id(), server, requestNumber));
     }
 
     /** The lease holder; where it is not known the first other candidate. */
@@ -102,38 +102,38 @@
             return ownId;
         }
         long holder = lease.holder(nowMs);
-        if (holder != NameHash.NOBODY && holder != ownId) {
+        if (holder != NameHash.NO_ID && holder != ownId) {
             return holder;
         }
         return lease.candidateOrder().stream()
                 .filter(candidate -> candidate != ownId)
                 .findFirst()
-                .orElse(NameHash.NOBODY);
+                .orElse(NameHash.NO_ID);
     }
 
     /** Whether this proxy holds the lease for as long as a check takes. */
     private boolean holdsForCheck(double nowMs, LeaseHandle lease) {
-        return lease.permit(nowMs, timing.timeoutMs()) > LeaseHandle.NOT_PERMITTED;
+        return lease.permit(nowMs, timing.checkTimeoutMs()) > LeaseHandle.NOT_PERMITTED;
     }
 
-    private void checkByItself(double nowMs, int server) {
+    private void checkLocally(double nowMs, int server) {
         pending.remove(server);
         ownChecks++;
         RunningCheck check = running.get(server);
         if (check != null) {
-            check.requestHere();
+            check.requestLocally();
             return;
         }
-        running.begin(server, nowMs, timing.timeoutMs()).requestHere();
-        if (!outbox.start(server)) {
+        running.begin(server, nowMs, timing.checkTimeoutMs()).requestLocally();
+        if (!actions.startCheck(server)) {
             running.remove(server);
-            reportOwn(server, false);
+            reportLocalResult(server, false);
         }
     }
 
-    private void reportOwn(int server, boolean healthy) {
+    private void reportLocalResult(int server, boolean healthy) {
         reported.clear(server);
-        outbox.report(server, healthy);
+        actions.reportResult(server, healthy);
     }
 
     // ---- messages
@@ -154,7 +154,7 @@
         }
         if (!holdsForCheck(nowMs, lease)) {
             long holder = lease.holder(nowMs);
-            redirect(from, request, holder == ownId ? NameHash.NOBODY : holder);
+            redirect(from, request, holder == ownId ? NameHash.NO_ID : holder);
             return;
         }
         FinishedCheck last = recent.find(request.server(), nowMs, timing.reuseMs());
@@ -167,7 +167,7 @@
             check = startForOthers(nowMs, request.server());
         }
         if (check == null) {
-            redirect(from, request, NameHash.NOBODY);
+            redirect(from, request, NameHash.NO_ID);
         } else {
             check.addWaiter(new Waiter(from, request.requestNumber()));
         }
@@ -175,8 +175,8 @@
 
     /** Null if no further check may run, or the server is not known here. */
     private RunningCheck startForOthers(double nowMs, int server) {
-        RunningCheck check = running.begin(server, nowMs, timing.timeoutMs());
-        if (running.size() > MAX_RUNNING || !outbox.start(server)) {
+        RunningCheck check = running.begin(server, nowMs, timing.checkTimeoutMs());
+        if (running.size() > MAX_RUNNING || !actions.startCheck(server)) {
             running.remove(server);
             return null;
         }
@@ -185,7 +185,7 @@
     }
 
     private void redirect(long to, HealthCheckMessage request, long leaseHolder) {
-        outbox.send(to, HealthCheckMessage.redirect(request, leaseHolder));
+        actions.send(to, HealthCheckMessage.redirect(request, leaseHolder));
     }
 
     /** The epoch is read right before sending: a proxy that lost the lease during the check sends no result. */
@@ -194,7 +194,7 @@
         long epoch = lease.permit(nowMs, 0);
         if (epoch > LeaseHandle.NOT_PERMITTED) {
             int ageMs = (int) Math.max(0, Math.round(nowMs - check.finishedMs()));
-            outbox.send(
+            actions.send(
                     waiter.proxy(),
                     new HealthCheckMessage(
                             HealthCheckMessageKind.RESULT,
@@ -221,7 +221,7 @@
         pending.remove(result.server());
         reportedResults++;
         reported.add(result.server(), result.healthy(), nowMs);
-        outbox.report(result.server(), result.healthy());
+        actions.reportResult(result.server(), result.healthy());
     }
 
     private void receiveRedirect(double nowMs, long from, HealthCheckMessage redirect) {
@@ -230,11 +230,11 @@
             return;
         }
         long holder = redirect.leaseHolder();
-        boolean leadsNowhere = holder == NameHash.NOBODY || holder == ownId || holder == from;
-        if (leadsNowhere || !request.mayFollowRedirect()) {
-            checkByItself(nowMs, redirect.server());
+        boolean cannotBeFollowed = holder == NameHash.NO_ID || holder == ownId || holder == from;
+        if (cannotBeFollowed || !request.tryFollowRedirect()) {
+            checkLocally(nowMs, redirect.server());
         } else {
-            outbox.send(
+            actions.send(
                     holder,
                     HealthCheckMessage.request(redirect.leaseId(), redirect.server(), redirect.requestNumber()));
         }
@@ -251,8 +251,8 @@
         FinishedCheck result = new FinishedCheck(nowMs, healthy);
         recent.add(server, result, timing.reuseMs());
         check.waiters().forEach(waiter -> sendResult(nowMs, waiter, server, result));
-        if (check.isRequestedHere()) {
-            reportOwn(server, healthy);
+        if (check.isRequestedLocally()) {
+            reportLocalResult(server, healthy);
         }
     }
 
@@ -264,7 +264,7 @@
     /** Makes the checks whose results did not come in time; returns when to call it again, at the latest. */
     public double tick(double nowMs) {
         List<Integer> expired = pending.expired(nowMs);
-        expired.forEach(server -> checkByItself(nowMs, server));
+        expired.forEach(server -> checkLocally(nowMs, server));
         double nextMs = Math.min(pending.nextExpiryMs(), running.nextOverdueMs(nowMs));
         running.overdue(nowMs).forEach(server -> finished(nowMs, server, false));
         return nextMs;
--- a/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckMessage.java
+++ b/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckMessage.java
@@ -46,7 +46,7 @@
     }
 
     /** The message's bytes. */
-    public byte[] bytes() {
+    public byte[] encode() {
         return ByteBuffer.allocate(MESSAGE_BYTES)
                 .put(kind.wireCode())
                 .putLong(leaseId)
@@ -60,12 +60,12 @@
     }
 
     /** The message that these bytes are; null if they are malformed. */
-    public static HealthCheckMessage of(byte[] bytes) {
+    public static HealthCheckMessage decode(byte[] bytes) {
         if (bytes.length != MESSAGE_BYTES) {
             return null;
         }
         ByteBuffer buffer = ByteBuffer.wrap(bytes);
-        HealthCheckMessageKind kind = HealthCheckMessageKind.ofWireCode(buffer.get());
+        HealthCheckMessageKind kind = HealthCheckMessageKind.fromWireCode(buffer.get());
         if (kind == null) {
             return null;
         }
--- a/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckMessageKind.java
+++ b/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckMessageKind.java
@@ -23,7 +23,7 @@
     }
 
     /** The kind of a message with this first byte; null if there is none. */
-    static HealthCheckMessageKind ofWireCode(byte wireCode) {
+    static HealthCheckMessageKind fromWireCode(byte wireCode) {
         return wireCode >= 0 && wireCode < BY_WIRE_CODE.length ? BY_WIRE_CODE[wireCode] : null;
     }
 }
--- a/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckTiming.java
+++ b/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckTiming.java
@@ -7,7 +7,7 @@
  * @param resultTimeoutMs wait for another proxy's result before a proxy checks by itself; longer than a check
  * @param reuseMs age up to which a result is sent to others without another check
  */
-public record HealthCheckTiming(double timeoutMs, double resultTimeoutMs, double reuseMs) {
+public record HealthCheckTiming(double checkTimeoutMs, double resultTimeoutMs, double reuseMs) {
     /**
      * Every so many checks in a row that others report as failed a proxy checks by itself: their path may be at fault.
      */
@@ -17,8 +17,8 @@
 
     /** Checks the ranges; throws IllegalArgumentException naming the values. */
     public HealthCheckTiming {
-        if (!(timeoutMs > 0) || !(resultTimeoutMs > timeoutMs) || !(reuseMs >= 0)) {
-            throw new IllegalArgumentException("check timeout of " + timeoutMs + " ms, result timeout of "
+        if (!(checkTimeoutMs > 0) || !(resultTimeoutMs > checkTimeoutMs) || !(reuseMs >= 0)) {
+            throw new IllegalArgumentException("check timeout of " + checkTimeoutMs + " ms, result timeout of "
                     + resultTimeoutMs + " ms, reuse for " + reuseMs
                     + " ms; expected a positive check timeout, a longer result timeout and no negative reuse");
         }
@@ -26,6 +26,6 @@
 
     /** The oldest that a result may be when it arrives. */
     double maxResultAgeMs() {
-        return reuseMs + timeoutMs;
+        return reuseMs + checkTimeoutMs;
     }
 }
--- a/src/main/java/cacheproxy/fleet/healthcheck/PendingRequests.java
+++ b/src/main/java/cacheproxy/fleet/healthcheck/PendingRequests.java
@@ -29,7 +29,7 @@
         }
 
         /** Counts a redirect; false if there were too many. */
-        boolean mayFollowRedirect() {
+        boolean tryFollowRedirect() {
             return ++redirects < MAX_HOPS;
         }
     }
--- a/src/main/java/cacheproxy/fleet/healthcheck/ReportedResults.java
+++ b/src/main/java/cacheproxy/fleet/healthcheck/ReportedResults.java
@@ -9,7 +9,7 @@
  */
 final class ReportedResults {
     private static final class History {
-        int failuresInRow;
+        int consecutiveFailures;
         double healthyAtMs = Double.NEGATIVE_INFINITY;
     }
 
@@ -26,7 +26,7 @@
             histories.clear(); // as if all were new: reports are trusted, within the same limits
         }
         History history = histories.computeIfAbsent(server, newServer -> new History());
-        history.failuresInRow = healthy ? 0 : history.failuresInRow + 1;
+        history.consecutiveFailures = healthy ? 0 : history.consecutiveFailures + 1;
         history.healthyAtMs = healthy ? nowMs : Double.NEGATIVE_INFINITY;
     }
 
@@ -39,7 +39,7 @@
     boolean isUnreliableFor(int server, double nowMs) {
         History history = histories.get(server);
         return history != null
-                && (history.failuresInRow >= HealthCheckTiming.OWN_CHECK_EVERY - 1
+                && (history.consecutiveFailures >= HealthCheckTiming.OWN_CHECK_EVERY - 1
                         || nowMs - history.healthyAtMs < HealthCheckTiming.CONTRADICTION_WINDOW_MS);
     }
 }
--- a/src/main/java/cacheproxy/fleet/healthcheck/RunningChecks.java
+++ b/src/main/java/cacheproxy/fleet/healthcheck/RunningChecks.java
@@ -24,7 +24,7 @@
     static final class RunningCheck {
         private final double overdueAtMs;
         private final List<Waiter> waiters = new ArrayList<>();
-        private boolean requestedHere;
+        private boolean requestedLocally;
 
         private RunningCheck(double overdueAtMs) {
             this.overdueAtMs = overdueAtMs;
@@ -43,13 +43,13 @@
         }
 
         /** This proxy wants the result itself. */
-        void requestHere() {
-            requestedHere = true;
+        void requestLocally() {
+            requestedLocally = true;
         }
 
         /** Whether this proxy wants the result itself. */
-        boolean isRequestedHere() {
-            return requestedHere;
+        boolean isRequestedLocally() {
+            return requestedLocally;
         }
     }
 
--- a/src/main/java/cacheproxy/fleet/lease/Candidacy.java
+++ b/src/main/java/cacheproxy/fleet/lease/Candidacy.java
@@ -80,7 +80,7 @@
 
     /** Whether the lease may be claimed, now or once grants of former voters have expired. */
     boolean mayClaim() {
-        return eligible && configured && voterSet.rank(selfId) != VoterSet.NO_CANDIDATE;
+        return eligible && configured && voterSet.rank(selfId) != VoterSet.NOT_A_CANDIDATE;
     }
 
     /** Whether the lease may be claimed now. */
--- a/src/main/java/cacheproxy/fleet/lease/LeaseCandidate.java
+++ b/src/main/java/cacheproxy/fleet/lease/LeaseCandidate.java
@@ -37,8 +37,8 @@
     private double timerMs;
 
     private long epoch;
-    private long lastKnownHolder = NameHash.NOBODY;
-    private double transferredUntilMs = Double.NEGATIVE_INFINITY;
+    private long lastKnownHolder = NameHash.NO_ID;
+    private double transferRetryUntilMs = Double.NEGATIVE_INFINITY;
 
     /** @throws IllegalArgumentException if the duration of the lease is out of its range */
     LeaseCandidate(LeaseCandidateConfig config, SplittableRandom random, double nowMs, LeaseListener listener) {
@@ -65,21 +65,21 @@
         candidacy.setLeaseMs(newLeaseMs);
         candidacy.setConfigured(true);
         if (!newVoterSet.hasSameVoters(candidacy.voterSet())) {
-            abandonQuestion(nowMs); // its replies are of the former voters
+            abandonOpenRequest(nowMs); // its replies are of the former voters
         }
         candidacy.setVoterSet(newVoterSet, nowMs);
         if (!candidacy.mayClaim()) {
-            abandonQuestion(nowMs);
+            abandonOpenRequest(nowMs);
             List<Long> order = newVoterSet.candidateOrder();
-            giveUp(LeaseLoss.notAPeer(order.isEmpty() ? NameHash.NOBODY : order.get(0)));
+            scheduleRelease(LeaseLoss.notAPeer(order.isEmpty() ? NameHash.NO_ID : order.get(0)));
         }
     }
 
     /** The configuration no longer has the lease. */
     void withdraw(double nowMs) {
         candidacy.setConfigured(false);
-        abandonQuestion(nowMs);
-        giveUp(LeaseLoss.NOT_CONFIGURED);
+        abandonOpenRequest(nowMs);
+        scheduleRelease(LeaseLoss.NOT_CONFIGURED);
     }
 
     /** Whether it is neither configured nor held, and can be forgotten. */
@@ -91,19 +91,19 @@
     void setEligible(boolean nowEligible, String reason, double nowMs) {
         candidacy.setEligible(nowEligible);
         if (!nowEligible) {
-            abandonQuestion(nowMs);
-            giveUp(LeaseLoss.requested(reason, NameHash.NOBODY));
+            abandonOpenRequest(nowMs);
+            scheduleRelease(LeaseLoss.requested(reason, NameHash.NO_ID));
         }
     }
 
     /** Releases a held lease as soon as the permitted actions are over. */
-    void giveUp(LeaseLoss loss) {
+    void scheduleRelease(LeaseLoss loss) {
         if (state == State.HOLDING) {
             held.planLoss(loss);
         }
     }
 
-    private void abandonQuestion(double nowMs) {
+    private void abandonOpenRequest(double nowMs) {
         if (state == State.QUERYING || state == State.CLAIMING) {
             abandonClaim(nowMs);
         }
@@ -167,7 +167,7 @@
                 }
             }
             case QUERYING ->
-                becomeIdle(nowMs < transferredUntilMs ? delays.transferRetryAtMs(nowMs) : delays.retryAtMs(nowMs));
+                becomeIdle(nowMs < transferRetryUntilMs ? delays.transferRetryAtMs(nowMs) : delays.retryAtMs(nowMs));
             default -> abandonClaim(nowMs);
         }
     }
@@ -195,7 +195,7 @@
 
     private void claim(double nowMs, long wallMs) {
         state = State.CLAIMING;
-        lastKnownHolder = NameHash.NOBODY;
+        lastKnownHolder = NameHash.NO_ID;
         epoch = timing.nextEpoch(Math.max(votes.highestEpoch(), epoch), wallMs);
         requests.claim(nowMs, epoch);
         timerMs = nowMs + delays.replyTimeoutMs();
@@ -220,7 +220,7 @@
     }
 
     private void transferTo(long successor, double nowMs) {
-        if (successor != NameHash.NOBODY && successor != selfId) {
+        if (successor != NameHash.NO_ID && successor != selfId) {
             requests.transferTo(successor, epoch);
             timerMs = nowMs + candidacy.leaseMs(); // time for the successor to claim it
         }
@@ -267,7 +267,7 @@
     private void onTransfer(double nowMs) {
         boolean mayQuery = state == State.IDLE || state == State.QUERYING;
         if (mayQuery && candidacy.mayClaimAt(nowMs)) {
-            transferredUntilMs = nowMs + candidacy.leaseMs() / 2;
+            transferRetryUntilMs = nowMs + candidacy.leaseMs() / 2;
             query(nowMs);
         }
     }
@@ -282,7 +282,7 @@
         } else if (votes.isRejected(candidacy.voterSet())) {
             lastKnownHolder = votes.reportedHolder();
             becomeIdle(
-                    nowMs < transferredUntilMs
+                    nowMs < transferRetryUntilMs
                             ? delays.transferRetryAtMs(nowMs)
                             : delays.nextQueryAtMs(nowMs, votes.remainingMs()));
         }
--- a/src/main/java/cacheproxy/fleet/lease/LeaseDelays.java
+++ b/src/main/java/cacheproxy/fleet/lease/LeaseDelays.java
@@ -9,9 +9,9 @@
     /** A holder renews so many times in the duration of a lease: two renewals in a row may be lost. */
     private static final double RENEWALS_PER_LEASE = 3;
     /** The wait for replies, as a part of the duration of a lease. */
-    private static final double REPLY_TIMEOUTS_PER_LEASE = 6;
+    private static final double REPLY_TIMEOUT_DIVISOR = 6;
     /** After a loss the former holder leaves others so long a part of the duration of a lease to claim it. */
-    private static final double LOSS_PAUSES_PER_LEASE = 4;
+    private static final double LOSS_BACKOFF_DIVISOR = 4;
 
     private static final double RANK_STEP_MS = 40;
     private static final double MAX_RANK_DELAY_MS = 400;
@@ -58,12 +58,12 @@
 
     /** When a former holder queries again. */
     double afterLossAtMs(double nowMs) {
-        return nowMs + candidacy.leaseMs() / LOSS_PAUSES_PER_LEASE + staggerMs();
+        return nowMs + candidacy.leaseMs() / LOSS_BACKOFF_DIVISOR + staggerMs();
     }
 
     /** How long to wait for the replies to a query or a claim. */
     double replyTimeoutMs() {
-        return candidacy.leaseMs() / REPLY_TIMEOUTS_PER_LEASE;
+        return candidacy.leaseMs() / REPLY_TIMEOUT_DIVISOR;
     }
 
     /** How long after a claim the grant is renewed. */
--- a/src/main/java/cacheproxy/fleet/lease/LeaseHandle.java
+++ b/src/main/java/cacheproxy/fleet/lease/LeaseHandle.java
@@ -25,7 +25,7 @@
 
         @Override
         public long holder(double nowMs) {
-            return NameHash.NOBODY;
+            return NameHash.NO_ID;
         }
 
         @Override
@@ -35,7 +35,7 @@
 
         @Override
         public long id() {
-            return NameHash.NOBODY;
+            return NameHash.NO_ID;
         }
     };
 
--- a/src/main/java/cacheproxy/fleet/lease/LeaseLoss.java
+++ b/src/main/java/cacheproxy/fleet/lease/LeaseLoss.java
@@ -9,9 +9,9 @@
  */
 record LeaseLoss(LeaseLossReason reason, String logText, long successor) {
     static final LeaseLoss NOT_RENEWED =
-            new LeaseLoss(LeaseLossReason.NOT_RENEWED, "no majority renewed it in time", NameHash.NOBODY);
+            new LeaseLoss(LeaseLossReason.NOT_RENEWED, "no majority renewed it in time", NameHash.NO_ID);
     static final LeaseLoss NOT_CONFIGURED =
-            new LeaseLoss(LeaseLossReason.NOT_CONFIGURED, "no longer in the file", NameHash.NOBODY);
+            new LeaseLoss(LeaseLossReason.NOT_CONFIGURED, "no longer in the file", NameHash.NO_ID);
 
     /** The process is no longer a peer; {@code successor} is the first candidate of the new list. */
     static LeaseLoss notAPeer(long successor) {
--- a/src/main/java/cacheproxy/fleet/lease/LeaseManager.java
+++ b/src/main/java/cacheproxy/fleet/lease/LeaseManager.java
@@ -164,7 +164,7 @@
         if (candidate == null || !candidate.isHolding(nowMs)) {
             return false;
         }
-        candidate.giveUp(LeaseLoss.requested(reason, to));
+        candidate.scheduleRelease(LeaseLoss.requested(reason, to));
         return true;
     }
 
@@ -238,7 +238,7 @@
         @Override
         public long holder(double nowMs) {
             LeaseCandidate candidate = candidates.get(lease);
-            return candidate == null ? NameHash.NOBODY : candidate.holder(nowMs);
+            return candidate == null ? NameHash.NO_ID : candidate.holder(nowMs);
         }
 
         @Override
--- a/src/main/java/cacheproxy/fleet/lease/LeaseMessage.java
+++ b/src/main/java/cacheproxy/fleet/lease/LeaseMessage.java
@@ -15,7 +15,7 @@
  *     TRANSFER the former holder
  * @param ms in CLAIM and GRANT the duration of the lease; in STATUS and REJECT the time left of the other's grant
  */
-public record LeaseMessage(Kind kind, long leaseId, long nonce, long epoch, long holder, int ms) {
+public record LeaseMessage(Kind kind, long leaseId, long nonce, long epoch, long holder, int durationMs) {
     /** The length of each message. */
     public static final int LENGTH_BYTES = 37;
     /** The highest epoch: the largest range of integers that JSON readers keep exactly. */
@@ -54,7 +54,7 @@
                 .putLong(nonce)
                 .putLong(epoch)
                 .putLong(holder)
-                .putInt(ms)
+                .putInt(durationMs)
                 .array();
     }
 
@@ -69,8 +69,8 @@
         long nonce = buffer.getLong();
         long epoch = buffer.getLong();
         long holder = buffer.getLong();
-        int ms = buffer.getInt();
-        boolean isValid = epoch >= 0 && epoch <= MAX_EPOCH && ms >= 0;
-        return isValid ? new LeaseMessage(kind, leaseId, nonce, epoch, holder, ms) : null;
+        int durationMs = buffer.getInt();
+        boolean isValid = epoch >= 0 && epoch <= MAX_EPOCH && durationMs >= 0;
+        return isValid ? new LeaseMessage(kind, leaseId, nonce, epoch, holder, durationMs) : null;
     }
 }
--- a/src/main/java/cacheproxy/fleet/lease/LeaseVoter.java
+++ b/src/main/java/cacheproxy/fleet/lease/LeaseVoter.java
@@ -20,7 +20,7 @@
     private final Map<Long, Grant> grants = new HashMap<>();
 
     private static final class Grant {
-        long holder = NameHash.NOBODY;
+        long holder = NameHash.NO_ID;
         /** Of the holder's process: a later process of the same name is another holder. */
         long incarnation;
 
@@ -31,7 +31,7 @@
             return holder == peer && incarnation == peerIncarnation;
         }
 
-        boolean isRunning(double nowMs) {
+        boolean isActive(double nowMs) {
             return nowMs < untilMs;
         }
     }
@@ -70,7 +70,7 @@
     }
 
     private Optional<LeaseMessage> claim(double nowMs, long from, LeaseMessage claim, Grant known) {
-        boolean isValid = claim.ms() > 0 && claim.ms() <= timing.maxLeaseMs();
+        boolean isValid = claim.durationMs() > 0 && claim.durationMs() <= timing.maxLeaseMs();
         if (!isValid || (known == null && grants.size() >= MAX_LEASES)) {
             return Optional.empty();
         }
@@ -81,26 +81,26 @@
         grant.holder = from;
         grant.incarnation = claim.holder();
         grant.epoch = claim.epoch();
-        grant.untilMs = nowMs + timing.voterLeaseMs(claim.ms());
+        grant.untilMs = nowMs + timing.voterLeaseMs(claim.durationMs());
         return Optional.of(
-                new LeaseMessage(Kind.GRANT, claim.leaseId(), claim.nonce(), claim.epoch(), from, claim.ms()));
+                new LeaseMessage(Kind.GRANT, claim.leaseId(), claim.nonce(), claim.epoch(), from, claim.durationMs()));
     }
 
     private static boolean mustReject(double nowMs, long from, LeaseMessage claim, Grant grant) {
         if (grant.isHeldBy(from, claim.holder())) {
             return claim.epoch() < grant.epoch;
         }
-        return grant.isRunning(nowMs) || claim.epoch() <= grant.epoch;
+        return grant.isActive(nowMs) || claim.epoch() <= grant.epoch;
     }
 
-    private static LeaseMessage report(Kind kind, double nowMs, long from, LeaseMessage question, Grant grant) {
-        boolean heldByOther = grant != null && grant.isRunning(nowMs) && !grant.isHeldBy(from, question.holder());
+    private static LeaseMessage report(Kind kind, double nowMs, long from, LeaseMessage request, Grant grant) {
+        boolean heldByOther = grant != null && grant.isActive(nowMs) && !grant.isHeldBy(from, request.holder());
         return new LeaseMessage(
                 kind,
-                question.leaseId(),
-                question.nonce(),
+                request.leaseId(),
+                request.nonce(),
                 grant == null ? 0 : grant.epoch,
-                heldByOther ? grant.holder : NameHash.NOBODY,
+                heldByOther ? grant.holder : NameHash.NO_ID,
                 heldByOther ? (int) Math.min(Integer.MAX_VALUE, Math.ceil(grant.untilMs - nowMs)) : 0);
     }
 
@@ -112,7 +112,7 @@
     /** Whether it would grant a lease to nobody but this peer now; so it is too while it is silent. */
     boolean reservesFor(double nowMs, long leaseId, long peer) {
         Grant grant = grants.get(leaseId);
-        return nowMs < silentUntilMs || (grant != null && grant.holder == peer && grant.isRunning(nowMs));
+        return nowMs < silentUntilMs || (grant != null && grant.holder == peer && grant.isActive(nowMs));
     }
 
     /** The whole state in a fixed order, for a model checker. */
--- a/src/main/java/cacheproxy/fleet/lease/NameHash.java
+++ b/src/main/java/cacheproxy/fleet/lease/NameHash.java
@@ -8,14 +8,14 @@
 /** Ids of names in messages, and hashes for choices that all processes make alike: the first 8 bytes of a SHA-256. */
 public final class NameHash {
     /** The id of no name. */
-    public static final long NOBODY = 0;
+    public static final long NO_ID = 0;
 
     private NameHash() {}
 
     /** The id of a peer's or a lease's name; never {@link #NOBODY}. */
     public static long of(String name) {
         long id = hash(name);
-        return id == NOBODY ? 1 : id;
+        return id == NO_ID ? 1 : id;
     }
 
     /** A pseudo-random number for a peer, the same at all processes; independent for each purpose and lease. */
--- a/src/main/java/cacheproxy/fleet/lease/ServerReachability.java
+++ b/src/main/java/cacheproxy/fleet/lease/ServerReachability.java
@@ -11,7 +11,7 @@
 public final class ServerReachability {
     private final double unreachableAfterMs;
     private final double reportValidMs;
-    private double lastLocalReachMs;
+    private double lastLocalSuccessMs;
     private double lastRemoteReportMs = Double.NEGATIVE_INFINITY;
 
     /**
@@ -28,12 +28,12 @@
         }
         this.unreachableAfterMs = unreachableAfterMs;
         this.reportValidMs = reportValidMs;
-        lastLocalReachMs = nowMs;
+        lastLocalSuccessMs = nowMs;
     }
 
     /** Some server is healthy as seen from here, or there is no server at all. */
-    public void recordLocalReach(double nowMs) {
-        lastLocalReachMs = nowMs;
+    public void recordLocalSuccess(double nowMs) {
+        lastLocalSuccessMs = nowMs;
     }
 
     /** Another process reports that it reaches a server. */
@@ -43,8 +43,8 @@
 
     /** Whether this process may hold leases, as far as servers are concerned. */
     public boolean isEligible(double nowMs) {
-        boolean othersReach = lastRemoteReportMs - lastLocalReachMs >= unreachableAfterMs
+        boolean othersReachServers = lastRemoteReportMs - lastLocalSuccessMs >= unreachableAfterMs
                 && nowMs - lastRemoteReportMs < reportValidMs;
-        return nowMs - lastLocalReachMs < unreachableAfterMs || !othersReach;
+        return nowMs - lastLocalSuccessMs < unreachableAfterMs || !othersReachServers;
     }
 }
--- a/src/main/java/cacheproxy/fleet/lease/VoteCount.java
+++ b/src/main/java/cacheproxy/fleet/lease/VoteCount.java
@@ -23,8 +23,8 @@
     private double remainingMs;
 
     /** Opens a question and forgets the votes on the one before. */
-    void open(long questionNonce, double nowMs, int leaseMs) {
-        nonce = questionNonce;
+    void open(long requestNonce, double nowMs, int leaseMs) {
+        nonce = requestNonce;
         sentMs = nowMs;
         claimedMs = leaseMs;
         grantedBy.clear();
@@ -62,13 +62,13 @@
     /** Counts a reply to a query: a grant if the voter knows of no other holder, else a rejection. */
     void report(long voter, LeaseMessage status) {
         highestEpoch = Math.max(highestEpoch, status.epoch());
-        if (status.holder() == NameHash.NOBODY) {
+        if (status.holder() == NameHash.NO_ID) {
             grantedBy.add(voter);
             return;
         }
         rejectedBy.add(voter);
         holderByVoter.put(voter, status.holder());
-        remainingMs = Math.max(remainingMs, status.ms());
+        remainingMs = Math.max(remainingMs, status.durationMs());
     }
 
     /** Whether a majority has granted the question. */
@@ -108,7 +108,7 @@
         return counts.entrySet().stream()
                 .max(Map.Entry.comparingByValue())
                 .map(Map.Entry::getKey)
-                .orElse(NameHash.NOBODY);
+                .orElse(NameHash.NO_ID);
     }
 
     /** What decides the candidate's next step, for a model checker. */
--- a/src/main/java/cacheproxy/fleet/lease/VoterRequests.java
+++ b/src/main/java/cacheproxy/fleet/lease/VoterRequests.java
@@ -32,15 +32,15 @@
     /** Asks whether a claim would be granted, which changes nothing at the voters. */
     void query(double nowMs) {
         votes.clearReports();
-        ask(nowMs, Kind.QUERY, 0, 0);
+        sendRequest(nowMs, Kind.QUERY, 0, 0);
     }
 
     /** Claims the lease, or renews the grant, for the configured duration. */
     void claim(double nowMs, long epoch) {
-        ask(nowMs, Kind.CLAIM, epoch, (int) candidacy.leaseMs());
+        sendRequest(nowMs, Kind.CLAIM, epoch, (int) candidacy.leaseMs());
     }
 
-    private void ask(double nowMs, Kind kind, long epoch, int claimedMs) {
+    private void sendRequest(double nowMs, Kind kind, long epoch, int claimedMs) {
         long nonce = random.nextLong();
         votes.open(nonce, nowMs, (int) candidacy.leaseMs());
         sendToVoters(new LeaseMessage(kind, leaseId, nonce, epoch, incarnation, claimedMs));
--- a/src/main/java/cacheproxy/fleet/lease/VoterSet.java
+++ b/src/main/java/cacheproxy/fleet/lease/VoterSet.java
@@ -18,7 +18,7 @@
  */
 public final class VoterSet {
     /** The {@link #rank} of a peer that is no candidate. */
-    public static final int NO_CANDIDATE = Integer.MAX_VALUE;
+    public static final int NOT_A_CANDIDATE = Integer.MAX_VALUE;
 
     private static final String VOTER_PURPOSE = "vote";
     private static final String CANDIDATE_PURPOSE = "stand";
@@ -43,9 +43,9 @@
         }
         currentVoters = voters(lease, peers, maxVoters);
         previousVoters = previousPeers.isEmpty() ? Set.of() : voters(lease, previousPeers, maxVoters);
-        Set<Long> both = new HashSet<>(currentVoters);
-        both.addAll(previousVoters);
-        voters = both.stream().sorted().toList();
+        Set<Long> allVoters = new HashSet<>(currentVoters);
+        allVoters.addAll(previousVoters);
+        voters = allVoters.stream().sorted().toList();
         List<String> order = new ArrayList<>(peers);
         order.sort(Comparator.comparingLong(peer -> NameHash.seededHash(CANDIDATE_PURPOSE, lease, peer)));
         for (int i = 0; i < order.size(); i++) {
@@ -97,7 +97,7 @@
 
     /** A candidate's place in the order, from 0; {@link #NO_CANDIDATE} for a peer that is none. */
     public int rank(long peer) {
-        return ranks.getOrDefault(peer, NO_CANDIDATE);
+        return ranks.getOrDefault(peer, NOT_A_CANDIDATE);
     }
 
     /** The ids of the candidates by rank. */
--- a/src/main/java/cacheproxy/fleet/membership/LocalHealth.java
+++ b/src/main/java/cacheproxy/fleet/membership/LocalHealth.java
@@ -21,7 +21,7 @@
     }
 
     /** Adds to the score, which stays within its range; a negative change improves the health. */
-    void worsen(int change) {
+    void adjustScore(int change) {
         score = Math.max(0, Math.min(MAX_SCORE, score + change));
     }
 
--- a/src/main/java/cacheproxy/fleet/membership/Member.java
+++ b/src/main/java/cacheproxy/fleet/membership/Member.java
@@ -12,12 +12,12 @@
 
     private MemberStatus status = MemberStatus.ALIVE;
     private int incarnation;
-    private double sinceMs;
+    private double statusSinceMs;
     private final Set<Long> accusers = new HashSet<>();
     private int transmissions;
 
-    private Member(double sinceMs, int transmissions) {
-        this.sinceMs = sinceMs;
+    private Member(double statusSinceMs, int transmissions) {
+        this.statusSinceMs = statusSinceMs;
         this.transmissions = transmissions;
     }
 
@@ -42,8 +42,8 @@
     }
 
     /** When its status last changed. */
-    double sinceMs() {
-        return sinceMs;
+    double statusSinceMs() {
+        return statusSinceMs;
     }
 
     /** How many members suspect it, at most {@code MAX_CONFIRMATIONS + 1}. */
@@ -62,37 +62,37 @@
     }
 
     /** Its update is gossiped as if it were new. */
-    void gossipAgain() {
+    void resetTransmissions() {
         transmissions = 0;
     }
 
     /** Overrides all that is known of it. */
-    void become(MemberStatus newStatus, int newIncarnation, double nowMs) {
+    void overrideState(MemberStatus newStatus, int newIncarnation, double nowMs) {
         status = newStatus;
         incarnation = newIncarnation;
-        sinceMs = nowMs;
+        statusSinceMs = nowMs;
         accusers.clear();
-        gossipAgain();
+        resetTransmissions();
     }
 
     /** Raises the incarnation of this process, by which it refutes what is said of it. */
-    void reincarnateAfter(int refutedIncarnation) {
+    void raiseIncarnationAbove(int refutedIncarnation) {
         incarnation = refutedIncarnation + 1;
-        gossipAgain();
+        resetTransmissions();
     }
 
     /** A suspicion against it begins anew, with the same accusers. */
     void restartSuspicion(double nowMs) {
-        sinceMs = nowMs;
+        statusSinceMs = nowMs;
     }
 
     /** A member suspects one of its incarnations. */
     void suspect(long accuser, int suspectedIncarnation, double nowMs) {
         if (suspectedIncarnation > incarnation || status == MemberStatus.ALIVE) {
-            become(MemberStatus.SUSPECT, suspectedIncarnation, nowMs);
+            overrideState(MemberStatus.SUSPECT, suspectedIncarnation, nowMs);
         }
         if (status == MemberStatus.SUSPECT && accusers.size() < MAX_ACCUSERS && accusers.add(accuser)) {
-            gossipAgain(); // each further accuser shortens the suspicion, so it is news
+            resetTransmissions(); // each further accuser shortens the suspicion, so it is news
         }
     }
 }
--- a/src/main/java/cacheproxy/fleet/membership/MemberStatus.java
+++ b/src/main/java/cacheproxy/fleet/membership/MemberStatus.java
@@ -30,7 +30,7 @@
     }
 
     /** The status for a byte of a message; null if there is none. */
-    static MemberStatus ofWireCode(byte wireCode) {
+    static MemberStatus fromWireCode(byte wireCode) {
         return wireCode >= 0 && wireCode < BY_WIRE_CODE.length ? BY_WIRE_CODE[wireCode] : null;
     }
 }
--- a/src/main/java/cacheproxy/fleet/membership/MemberTable.java
+++ b/src/main/java/cacheproxy/fleet/membership/MemberTable.java
@@ -67,7 +67,7 @@
         switch (update.status()) {
             case ALIVE -> {
                 if (update.incarnation() > member.incarnation()) {
-                    member.become(MemberStatus.ALIVE, update.incarnation(), nowMs);
+                    member.overrideState(MemberStatus.ALIVE, update.incarnation(), nowMs);
                 }
             }
             case SUSPECT -> {
@@ -77,7 +77,7 @@
             }
             default -> { // DEAD
                 if (update.incarnation() >= member.incarnation() && member.status() != MemberStatus.DEAD) {
-                    member.become(MemberStatus.DEAD, update.incarnation(), nowMs);
+                    member.overrideState(MemberStatus.DEAD, update.incarnation(), nowMs);
                 }
             }
         }
@@ -96,7 +96,7 @@
     void expireSuspicions(double nowMs) {
         for (Member member : members.values()) {
             if (member.status() == MemberStatus.SUSPECT && nowMs >= expiryMs(member)) {
-                member.become(MemberStatus.DEAD, member.incarnation(), nowMs);
+                member.overrideState(MemberStatus.DEAD, member.incarnation(), nowMs);
             }
         }
     }
@@ -113,11 +113,12 @@
     }
 
     private double expiryMs(Member suspect) {
-        return suspect.sinceMs() + health.scale(suspicionMs(suspect.accusers()));
+        return suspect.statusSinceMs() + health.scale(suspicionMs(suspect.accusers()));
     }
 
     private double suspicionMs(int accusers) {
-        double confirmed = Math.log(Math.max(1, accusers)) / Math.log(Member.MAX_CONFIRMATIONS + 1);
-        return timing.maxSuspicionMs() - (timing.maxSuspicionMs() - timing.minSuspicionMs()) * Math.min(1, confirmed);
+        double confirmedFraction = Math.log(Math.max(1, accusers)) / Math.log(Member.MAX_CONFIRMATIONS + 1);
+        return timing.maxSuspicionMs()
+                - (timing.maxSuspicionMs() - timing.minSuspicionMs()) * Math.min(1, confirmedFraction);
     }
 }
--- a/src/main/java/cacheproxy/fleet/membership/ProbeCycle.java
+++ b/src/main/java/cacheproxy/fleet/membership/ProbeCycle.java
@@ -29,11 +29,11 @@
     private final SplittableRandom random;
     private final ProbeSender sender;
     /** Members that this round has still to ping, from the last to the first. */
-    private final List<Long> round = new ArrayList<>();
+    private final List<Long> remainingInRound = new ArrayList<>();
 
     private long target = NO_TARGET;
     private long sequenceNumber;
-    private double indirectAtMs = Double.POSITIVE_INFINITY;
+    private double indirectPingsAtMs = Double.POSITIVE_INFINITY;
     private double nextPeriodMs;
     private int pingRequests;
     private int nacks;
@@ -58,20 +58,20 @@
 
     /** Forgets members that are no longer configured. */
     void retainMembers(List<Long> ids) {
-        round.retainAll(ids);
+        remainingInRound.retainAll(ids);
     }
 
     /** Gives up the current ping without a result and begins anew within a period. */
     void restart(double nowMs) {
         target = NO_TARGET;
-        indirectAtMs = Double.POSITIVE_INFINITY;
+        indirectPingsAtMs = Double.POSITIVE_INFINITY;
         nextPeriodMs = randomPeriodStart(nowMs);
     }
 
     /** Sends what is due. */
     void tick(double nowMs) {
-        if (nowMs >= indirectAtMs) {
-            indirectAtMs = Double.POSITIVE_INFINITY;
+        if (nowMs >= indirectPingsAtMs) {
+            indirectPingsAtMs = Double.POSITIVE_INFINITY;
             requestIndirectPings();
         }
         if (nowMs >= nextPeriodMs) {
@@ -82,15 +82,15 @@
 
     /** When {@link #tick} has something to do again. */
     double nextDueMs() {
-        return Math.min(nextPeriodMs, indirectAtMs);
+        return Math.min(nextPeriodMs, indirectPingsAtMs);
     }
 
     /** Takes an ACK for a member; one that answers another ping is ignored. */
     void acknowledge(long ackNumber, long ackTarget) {
         if (ackNumber == sequenceNumber && target != NO_TARGET && ackTarget == target) {
             target = NO_TARGET;
-            indirectAtMs = Double.POSITIVE_INFINITY;
-            health.worsen(-1);
+            indirectPingsAtMs = Double.POSITIVE_INFINITY;
+            health.adjustScore(-1);
         }
     }
 
@@ -103,20 +103,20 @@
 
     private void beginPeriod(double nowMs) {
         nextPeriodMs = nowMs + health.scale(timing.periodMs());
-        if (round.isEmpty()) {
-            round.addAll(members.ids());
-            for (int i = round.size() - 1; i > 0; i--) {
-                Collections.swap(round, i, random.nextInt(i + 1));
+        if (remainingInRound.isEmpty()) {
+            remainingInRound.addAll(members.ids());
+            for (int i = remainingInRound.size() - 1; i > 0; i--) {
+                Collections.swap(remainingInRound, i, random.nextInt(i + 1));
             }
         }
-        if (round.isEmpty()) {
+        if (remainingInRound.isEmpty()) {
             return;
         }
-        target = round.remove(round.size() - 1);
+        target = remainingInRound.remove(remainingInRound.size() - 1);
         sequenceNumber = sender.nextSequenceNumber();
         pingRequests = 0;
         nacks = 0;
-        indirectAtMs = nowMs + health.scale(timing.ackTimeoutMs());
+        indirectPingsAtMs = nowMs + health.scale(timing.ackTimeoutMs());
         sender.send(target, SwimMessageKind.PING, sequenceNumber, target);
     }
 
@@ -129,8 +129,8 @@
                 .toList());
         for (int i = 0; i < timing.indirectProbes() && !candidates.isEmpty(); i++) {
             pingRequests++;
-            long helper = candidates.remove(random.nextInt(candidates.size()));
-            sender.send(helper, SwimMessageKind.PING_REQUEST, sequenceNumber, target);
+            long relay = candidates.remove(random.nextInt(candidates.size()));
+            sender.send(relay, SwimMessageKind.PING_REQUEST, sequenceNumber, target);
         }
     }
 
@@ -140,9 +140,9 @@
             return;
         }
         // Helpers that did not even send a NACK: it may be this process that receives nothing.
-        health.worsen(pingRequests > 0 ? pingRequests - nacks : 1);
-        boolean blamesTarget = pingRequests == 0 || nacks > 0 || members.size() == 1 || !health.isWorst();
-        if (blamesTarget) {
+        health.adjustScore(pingRequests > 0 ? pingRequests - nacks : 1);
+        boolean suspectsTarget = pingRequests == 0 || nacks > 0 || members.size() == 1 || !health.isWorst();
+        if (suspectsTarget) {
             member.suspect(ownId, member.incarnation(), nowMs);
         }
         target = NO_TARGET;
--- a/src/main/java/cacheproxy/fleet/membership/SwimMembership.java
+++ b/src/main/java/cacheproxy/fleet/membership/SwimMembership.java
@@ -42,14 +42,15 @@
         relayedPings = new RelayedPings(timing, health);
         // Shifted so that the numbers of a process do not overflow.
         lastSequenceNumber = random.nextLong() >>> 2;
-        probes = new ProbeCycle(new ProbeCycle.Context(ownId, timing, health, members, random), new Probes(), nowMs);
+        probes = new ProbeCycle(
+                new ProbeCycle.Context(ownId, timing, health, members, random), new MembershipProbeSender(), nowMs);
     }
 
     /** Replaces the configured members; new ones are taken to be alive. */
     public void updateMembers(List<Long> ids, double nowMs) {
         members.replaceIds(ids, nowMs);
         probes.retainMembers(ids);
-        self.gossipAgain();
+        self.resetTransmissions();
     }
 
     /** What a member is believed to be; one that is not configured is dead. */
@@ -84,7 +85,7 @@
         probes.restart(nowMs);
         relayedPings.clear();
         members.restartSuspicions(nowMs);
-        health.worsen(STALL_PENALTY);
+        health.adjustScore(STALL_PENALTY);
     }
 
     /** Takes a message of another member; one of an unknown sender is ignored. */
@@ -116,10 +117,10 @@
     /** Raises the own incarnation where this process is suspected, or was known by a higher one before a restart. */
     private void refute(MemberUpdate update) {
         if (update.status() != MemberStatus.ALIVE && update.incarnation() >= self.incarnation()) {
-            self.reincarnateAfter(update.incarnation());
-            health.worsen(1);
+            self.raiseIncarnationAbove(update.incarnation());
+            health.adjustScore(1);
         } else if (update.status() == MemberStatus.ALIVE && update.incarnation() > self.incarnation()) {
-            self.reincarnateAfter(update.incarnation());
+            self.raiseIncarnationAbove(update.incarnation());
         }
     }
 
@@ -145,7 +146,7 @@
         sender.send(to, new SwimMessage(kind, sequenceNumber, target, dissemination.updatesFor(to)));
     }
 
-    private final class Probes implements ProbeCycle.ProbeSender {
+    private final class MembershipProbeSender implements ProbeCycle.ProbeSender {
         @Override
         public long nextSequenceNumber() {
             return ++lastSequenceNumber;
--- a/src/main/java/cacheproxy/fleet/membership/SwimMessage.java
+++ b/src/main/java/cacheproxy/fleet/membership/SwimMessage.java
@@ -27,7 +27,7 @@
     }
 
     /** The message's bytes. */
-    public byte[] bytes() {
+    public byte[] encode() {
         ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES + updates.size() * UPDATE_BYTES)
                 .put(kind.wireCode())
                 .putLong(sequenceNumber)
@@ -40,12 +40,12 @@
     }
 
     /** The message that these bytes are; null if they are malformed. */
-    public static SwimMessage of(byte[] bytes) {
+    public static SwimMessage decode(byte[] bytes) {
         if (!hasValidLength(bytes)) {
             return null;
         }
         ByteBuffer buffer = ByteBuffer.wrap(bytes);
-        SwimMessageKind kind = SwimMessageKind.ofWireCode(buffer.get());
+        SwimMessageKind kind = SwimMessageKind.fromWireCode(buffer.get());
         if (kind == null) {
             return null;
         }
@@ -72,7 +72,7 @@
 
     private static MemberUpdate readUpdate(ByteBuffer buffer) {
         long memberId = buffer.getLong();
-        MemberStatus status = MemberStatus.ofWireCode(buffer.get());
+        MemberStatus status = MemberStatus.fromWireCode(buffer.get());
         int incarnation = buffer.getInt();
         return status == null || incarnation < 0 ? null : new MemberUpdate(memberId, status, incarnation);
     }
--- a/src/main/java/cacheproxy/fleet/membership/SwimMessageKind.java
+++ b/src/main/java/cacheproxy/fleet/membership/SwimMessageKind.java
@@ -25,7 +25,7 @@
     }
 
     /** The kind of a message with this first byte; null if there is none. */
-    static SwimMessageKind ofWireCode(byte wireCode) {
+    static SwimMessageKind fromWireCode(byte wireCode) {
         return wireCode >= 0 && wireCode < BY_WIRE_CODE.length ? BY_WIRE_CODE[wireCode] : null;
     }
 }
--- a/src/main/java/cacheproxy/fleet/peer/DatagramEnvelope.java
+++ b/src/main/java/cacheproxy/fleet/peer/DatagramEnvelope.java
@@ -46,11 +46,11 @@
         this.ownId = ownId;
         this.incarnation = incarnation;
         authenticator = new DatagramAuthenticator(keys);
-        useSenders(senders);
+        setSenders(senders);
     }
 
     /** Replaces the ids whose datagrams are accepted; the history of those that stay is kept. */
-    public void useSenders(List<Long> ids) {
+    public void setSenders(List<Long> ids) {
         windows.keySet().retainAll(ids);
         lastNumbers.keySet().retainAll(ids);
         ids.forEach(id -> windows.computeIfAbsent(id, newId -> new ReplayWindow()));
@@ -125,7 +125,7 @@
     /** Ids under which two processes seem to send, possibly this process's own. */
     public List<Long> duplicateIds() {
         return windows.entrySet().stream()
-                .filter(entry -> entry.getValue().seesDuplicateId() || (entry.getKey() == ownId && ownIdIsDuplicate))
+                .filter(entry -> entry.getValue().hasDuplicateId() || (entry.getKey() == ownId && ownIdIsDuplicate))
                 .map(Map.Entry::getKey)
                 .toList();
     }
--- a/src/main/java/cacheproxy/fleet/peer/PeerListTransition.java
+++ b/src/main/java/cacheproxy/fleet/peer/PeerListTransition.java
@@ -36,9 +36,9 @@
      * @param leaving the list that is being replaced; empty: no change is under way
      * @param peers ids of the peers whose reports are kept
      */
-    public void update(Set<String> list, Set<String> leaving, Set<Long> peers) {
-        currentDigest = digest(list);
-        previousDigest = leaving.isEmpty() ? NO_LIST : digest(leaving);
+    public void update(Set<String> currentList, Set<String> previousList, Set<Long> peers) {
+        currentDigest = digest(currentList);
+        previousDigest = previousList.isEmpty() ? NO_LIST : digest(previousList);
         reports.keySet().retainAll(peers);
     }
 
@@ -52,7 +52,7 @@
     }
 
     /** This proxy's report to the others: digests of the current and of the previous list. */
-    public byte[] message() {
+    public byte[] encodeReport() {
         return ByteBuffer.allocate(MESSAGE_BYTES)
                 .putLong(currentDigest)
                 .putLong(previousDigest)
--- a/src/main/java/cacheproxy/fleet/peer/ReplayWindow.java
+++ b/src/main/java/cacheproxy/fleet/peer/ReplayWindow.java
@@ -21,13 +21,13 @@
     private long receivedBits;
 
     private double lastReceivedMs = Double.NEGATIVE_INFINITY;
-    private int rejectedOfOlderIncarnation;
+    private int rejectedFromOlderIncarnation;
 
     /** Whether a datagram that arrives at {@code nowMs} is new; from then on it is not. */
     boolean accept(long datagramIncarnation, long sequenceNumber, double nowMs) {
         boolean expired = nowMs - lastReceivedMs > INCARNATION_EXPIRY_MS;
         if ((datagramIncarnation < incarnation && !expired) || sequenceNumber < 0) {
-            rejectedOfOlderIncarnation++;
+            rejectedFromOlderIncarnation++;
             return false;
         }
         lastReceivedMs = nowMs;
@@ -46,7 +46,7 @@
         incarnation = newIncarnation;
         newestNumber = sequenceNumber;
         receivedBits = 1;
-        rejectedOfOlderIncarnation = 0;
+        rejectedFromOlderIncarnation = 0;
     }
 
     private void advanceTo(long sequenceNumber) {
@@ -65,7 +65,7 @@
     }
 
     /** Whether two processes seem to send under this id. */
-    boolean seesDuplicateId() {
-        return rejectedOfOlderIncarnation >= DUPLICATE_ID_THRESHOLD;
+    boolean hasDuplicateId() {
+        return rejectedFromOlderIncarnation >= DUPLICATE_ID_THRESHOLD;
     }
 }
--- a/src/main/java/cacheproxy/fleet/quota/AllocationLedger.java
+++ b/src/main/java/cacheproxy/fleet/quota/AllocationLedger.java
@@ -14,9 +14,9 @@
  */
 final class AllocationLedger {
     /** Requests are forgotten after so many durations of a grant. */
-    private static final double REQUEST_GRANTS = 2;
+    private static final double REQUEST_EXPIRY_GRANTS = 2;
     /** A larger grant is sent before the next request if it grows by this fraction of the requested amount. */
-    private static final double NOTABLE_FRACTION = 0.02;
+    private static final double MIN_INCREASE_FRACTION = 0.02;
     /** Rounding errors must not turn a whole number into the one below. */
     private static final double ROUNDING = 1e-6;
 
@@ -39,8 +39,8 @@
     record Grant(long peer, long requestId, double amount) {}
 
     private final QuotaTiming timing;
-    private final Map<Long, OutstandingGrants> donations = new HashMap<>();
-    private final Map<Long, OutstandingGrants> grants = new HashMap<>();
+    private final Map<Long, OutstandingAmounts> donations = new HashMap<>();
+    private final Map<Long, OutstandingAmounts> grants = new HashMap<>();
     private final Map<Long, PendingRequest> requests = new HashMap<>();
     private QuotaSpec spec;
     private double sharedPool;
@@ -75,7 +75,7 @@
         if (isSameProcess && requestId <= request.requestId) {
             return; // overtaken by a later one
         }
-        OutstandingGrants outstanding = grants.get(peer);
+        OutstandingAmounts outstanding = grants.get(peer);
         if (outstanding != null && isSameProcess) {
             outstanding.cap(amount);
         }
@@ -93,8 +93,8 @@
      */
     void recordDonation(long peer, double amount, double solicitedMs) {
         donations
-                .computeIfAbsent(peer, id -> new OutstandingGrants(false))
-                .add(Math.min(amount, spec.amount()), solicitedMs + timing.donationCountsMs(spec));
+                .computeIfAbsent(peer, id -> new OutstandingAmounts(false))
+                .add(Math.min(amount, spec.amount()), solicitedMs + timing.donationUsableMs(spec));
     }
 
     /** Whether any peer has requested capacity lately. */
@@ -110,7 +110,7 @@
     boolean removeExpired(double nowMs) {
         donations.values().removeIf(donation -> donation.removeExpired(nowMs));
         grants.values().removeIf(grant -> grant.removeExpired(nowMs));
-        requests.values().removeIf(request -> nowMs - request.receivedMs > REQUEST_GRANTS * timing.grantMs());
+        requests.values().removeIf(request -> nowMs - request.receivedMs > REQUEST_EXPIRY_GRANTS * timing.grantMs());
         return donations.isEmpty() && grants.isEmpty() && requests.isEmpty();
     }
 
@@ -118,7 +118,7 @@
     private double covered(double nowMs, boolean holdsLease) {
         double untilMs = nowMs + timing.outstandingMs(spec);
         double sum = holdsLease ? sharedPool : 0;
-        for (OutstandingGrants donation : donations.values()) {
+        for (OutstandingAmounts donation : donations.values()) {
             sum += donation.amountAt(untilMs);
         }
         return sum;
@@ -127,7 +127,7 @@
     /** All grants that have not expired. */
     double outstanding(double nowMs) {
         double sum = 0;
-        for (OutstandingGrants grant : grants.values()) {
+        for (OutstandingAmounts grant : grants.values()) {
             sum += grant.amountAt(nowMs);
         }
         return sum;
@@ -144,37 +144,37 @@
         requests.entrySet().stream()
                 .filter(entry -> isRecent(nowMs, entry.getValue()))
                 .forEach(recent::add);
-        List<Grant> made = new ArrayList<>();
+        List<Grant> newGrants = new ArrayList<>();
         if (recent.isEmpty()) {
-            return made;
+            return newGrants;
         }
         double covered = covered(nowMs, holdsLease);
         double outstanding = outstanding(nowMs);
         double[] requested =
                 recent.stream().mapToDouble(entry -> entry.getValue().amount).toArray();
-        double level = MaxMinFairness.fairLevel(requested, covered);
+        double fairLevel = MaxMinFairness.fairLevel(requested, covered);
         for (Map.Entry<Long, PendingRequest> entry : recent) {
             PendingRequest request = entry.getValue();
-            OutstandingGrants peerGrants = grants.computeIfAbsent(entry.getKey(), id -> new OutstandingGrants(true));
+            OutstandingAmounts peerGrants = grants.computeIfAbsent(entry.getKey(), id -> new OutstandingAmounts(true));
             double before = peerGrants.amountAt(nowMs);
             double available = Math.max(0, covered - (outstanding - before));
-            double amount = wholeIfConcurrent(Math.min(Math.min(request.amount, level), available));
+            double amount = roundDownIfConcurrent(Math.min(Math.min(request.amount, fairLevel), available));
             if (isWorthSending(request, amount)) {
                 request.granted = amount;
                 peerGrants.add(amount, nowMs + timing.outstandingMs(spec));
                 outstanding += peerGrants.amountAt(nowMs) - before;
-                made.add(new Grant(entry.getKey(), request.requestId, amount));
+                newGrants.add(new Grant(entry.getKey(), request.requestId, amount));
             }
         }
-        return made;
+        return newGrants;
     }
 
-    private double wholeIfConcurrent(double amount) {
+    private double roundDownIfConcurrent(double amount) {
         return spec.concurrent() ? Math.floor(amount + ROUNDING) : amount;
     }
 
     private boolean isWorthSending(PendingRequest request, double amount) {
-        double notable = Math.max(spec.concurrent() ? 1 : 0, NOTABLE_FRACTION * request.amount);
-        return request.granted < 0 || amount >= request.granted + notable;
+        double minIncrease = Math.max(spec.concurrent() ? 1 : 0, MIN_INCREASE_FRACTION * request.amount);
+        return request.granted < 0 || amount >= request.granted + minIncrease;
     }
 }
--- a/src/main/java/cacheproxy/fleet/quota/AllocatorLeases.java
+++ b/src/main/java/cacheproxy/fleet/quota/AllocatorLeases.java
@@ -64,7 +64,7 @@
     }
 
     /** The epoch under which this process may grant the shared pool of a quota; {@link #NO_EPOCH} if it may not. */
-    long epoch(QuotaSpec spec, long quotaId, double nowMs) {
+    long sharedPoolEpoch(QuotaSpec spec, long quotaId, double nowMs) {
         int index = indexOf(quotaId);
         Double sinceMs = heldSinceMs.get(index);
         long epoch =
--- a/src/main/java/cacheproxy/fleet/quota/AllocatorSelector.java
+++ b/src/main/java/cacheproxy/fleet/quota/AllocatorSelector.java
@@ -20,7 +20,7 @@
     private final QuotaTiming timing;
     private final SentRequests requests;
     private final LongPredicate isLikelyAlive;
-    private final Map<Long, Double> lastHeardMs = new HashMap<>();
+    private final Map<Long, Double> lastMessageMs = new HashMap<>();
     private final Map<Long, Double> ejectedUntilMs = new HashMap<>();
 
     /**
@@ -38,7 +38,7 @@
 
     /** A peer's message has arrived. */
     void recordMessage(long peer, double nowMs) {
-        lastHeardMs.put(peer, nowMs);
+        lastMessageMs.put(peer, nowMs);
         ejectedUntilMs.remove(peer);
     }
 
@@ -46,7 +46,7 @@
     long select(LeaseHandle lease, double nowMs) {
         long holder = holder(lease, nowMs);
         // The voters have heard of the holder just now, so a missing reply may have been lost: a short ejection.
-        if (holder != NameHash.NOBODY && isResponsive(holder, timing.requestIntervalMs(), nowMs)) {
+        if (holder != NameHash.NO_ID && isResponsive(holder, timing.requestIntervalMs(), nowMs)) {
             return holder;
         }
         for (long peer : lease.candidateOrder()) {
@@ -58,9 +58,9 @@
     }
 
     /** The holder of the lease, where no other peer can grant anything. */
-    long holderOr(LeaseHandle lease, long otherwise, double nowMs) {
+    long holderOrElse(LeaseHandle lease, long defaultPeer, double nowMs) {
         long holder = holder(lease, nowMs);
-        return holder == NameHash.NOBODY ? otherwise : holder;
+        return holder == NameHash.NO_ID ? defaultPeer : holder;
     }
 
     private long holder(LeaseHandle lease, double nowMs) {
@@ -77,7 +77,7 @@
         }
         double sentMs = requests.oldestSentMs(peer);
         boolean isOverdue = nowMs - sentMs > timing.requestIntervalMs() * REPLY_TIMEOUT_INTERVALS
-                && lastHeardMs.getOrDefault(peer, Double.NEGATIVE_INFINITY) < sentMs;
+                && lastMessageMs.getOrDefault(peer, Double.NEGATIVE_INFINITY) < sentMs;
         if (isOverdue) {
             ejectedUntilMs.put(peer, nowMs + ejectionMs);
         }
--- a/src/main/java/cacheproxy/fleet/quota/CapacityRequester.java
+++ b/src/main/java/cacheproxy/fleet/quota/CapacityRequester.java
@@ -16,14 +16,14 @@
     private final AllocationContext context;
     private final SentRequests requests;
     private final AllocatorSelector selector;
-    private final QuotaOutbox outbox;
+    private final QuotaMessageSender sender;
 
     CapacityRequester(
-            AllocationContext context, SentRequests requests, AllocatorSelector selector, QuotaOutbox outbox) {
+            AllocationContext context, SentRequests requests, AllocatorSelector selector, QuotaMessageSender sender) {
         this.context = context;
         this.requests = requests;
         this.selector = selector;
-        this.outbox = outbox;
+        this.sender = sender;
     }
 
     /** When a request was sent; empty if its reply no longer counts. */
@@ -45,7 +45,7 @@
                 requests.add(requestId, new Sent(nowMs, to));
                 batch.forEach(
                         entry -> localQuotas.get(entry.quotaId()).recordRequest(entry.amount(), requestId, nowMs));
-                outbox.send(to, new QuotaMessage(Kind.REQUEST, context.ledgerId(), requestId, 0, batch));
+                sender.send(to, new QuotaMessage(Kind.REQUEST, context.ledgerId(), requestId, 0, batch));
             }
         });
     }
@@ -55,18 +55,18 @@
         Map<Long, List<Entry>> byAllocator = new LinkedHashMap<>();
         long[] selected = new long[leases.size()]; // one choice for all quotas of a lease
         localQuotas.forEach((id, localQuota) -> {
-            double missing = localQuota.missing(nowMs);
-            if (missing > 0 || localQuota.holdsGrant(nowMs)) {
+            double shortfall = localQuota.shortfall(nowMs);
+            if (shortfall > 0 || localQuota.holdsGrant(nowMs)) {
                 int index = leases.indexOf(id);
                 LeaseHandle lease = leases.get(index);
-                if (selected[index] == NameHash.NOBODY) {
+                if (selected[index] == NameHash.NO_ID) {
                     selected[index] = selector.select(lease, nowMs);
                 }
                 // Without shares there are no donations, and only the lease holder can grant anything.
                 long to = localQuota.spec().staticFraction() > 0
                         ? selected[index]
-                        : selector.holderOr(lease, selected[index], nowMs);
-                byAllocator.computeIfAbsent(to, key -> new ArrayList<>()).add(new Entry(id, missing));
+                        : selector.holderOrElse(lease, selected[index], nowMs);
+                byAllocator.computeIfAbsent(to, key -> new ArrayList<>()).add(new Entry(id, shortfall));
             }
         });
         return byAllocator;
--- a/src/main/java/cacheproxy/fleet/quota/DemandEstimator.java
+++ b/src/main/java/cacheproxy/fleet/quota/DemandEstimator.java
@@ -14,7 +14,7 @@
     /** The fast average may differ from the slow one by so many standard deviations. */
     private static final double MAX_DEVIATIONS = 2.5;
     /** A pause may be so many mean intervals long; one of 3,000 pauses is longer by chance. */
-    private static final double MAX_PAUSE_INTERVALS = 8;
+    private static final double MAX_IDLE_INTERVALS = 8;
     /** A smaller maximum has decayed to nothing. */
     private static final double MIN_CONCURRENT = 0.5;
 
@@ -53,9 +53,9 @@
         double deviation =
                 MAX_DEVIATIONS * Math.sqrt(Math.max(1, slowPerSecond) * MS_PER_SECOND / (2 * FAST_AVERAGE_MS));
         double rate = Math.abs(fastPerSecond - slowPerSecond) > deviation ? fastPerSecond : slowPerSecond;
-        double pauseMs = nowMs - lastRequestMs;
-        if (pauseMs * rate > MAX_PAUSE_INTERVALS * MS_PER_SECOND) {
-            rate = MS_PER_SECOND / pauseMs;
+        double idleMs = nowMs - lastRequestMs;
+        if (idleMs * rate > MAX_IDLE_INTERVALS * MS_PER_SECOND) {
+            rate = MS_PER_SECOND / idleMs;
         }
         return Double.isNaN(lastRequestMs) ? 0 : rate * HEADROOM;
     }
--- a/src/main/java/cacheproxy/fleet/quota/DonatedCapacity.java
+++ b/src/main/java/cacheproxy/fleet/quota/DonatedCapacity.java
@@ -8,13 +8,13 @@
     /** Allocators that may hold donations at once; others get none. */
     static final int MAX_ALLOCATORS = 4;
 
-    private final Map<Long, OutstandingGrants> byAllocator = new HashMap<>();
+    private final Map<Long, OutstandingAmounts> byAllocator = new HashMap<>();
 
     /** All that is donated now. */
     double total(double nowMs) {
         double sum = 0;
         if (!byAllocator.isEmpty()) { // no iterator on the path of each request
-            for (OutstandingGrants donations : byAllocator.values()) {
+            for (OutstandingAmounts donations : byAllocator.values()) {
                 sum += donations.amountAt(nowMs);
             }
         }
@@ -23,7 +23,7 @@
 
     /** What is donated to others than this allocator. */
     double totalExcept(long allocator, double nowMs) {
-        OutstandingGrants donations = byAllocator.get(allocator);
+        OutstandingAmounts donations = byAllocator.get(allocator);
         return total(nowMs) - (donations == null ? 0 : donations.amountAt(nowMs));
     }
 
@@ -36,7 +36,7 @@
     /** Adds a donation. */
     void add(long allocator, double amount, double untilMs) {
         byAllocator
-                .computeIfAbsent(allocator, id -> new OutstandingGrants(true))
+                .computeIfAbsent(allocator, id -> new OutstandingAmounts(true))
                 .add(amount, untilMs);
     }
 }
--- a/src/main/java/cacheproxy/fleet/quota/LocalQuota.java
+++ b/src/main/java/cacheproxy/fleet/quota/LocalQuota.java
@@ -9,7 +9,7 @@
  */
 public final class LocalQuota {
     /** The fraction of the share that is never donated, so that a first request is admitted at once. */
-    private static final double KEPT_FRACTION = 0.02;
+    private static final double NEVER_DONATED_FRACTION = 0.02;
     /** Donations below this fraction of the share are not worth a message. */
     private static final double MIN_DONATED_FRACTION = 0.02;
     /** Requests for more rate than owned are sent from this fraction of the quota. */
@@ -57,7 +57,7 @@
     /** Takes over the configuration: a smaller share at once, a larger one after others have given theirs up. */
     void configure(QuotaSpec newSpec, double ownedShare, double nowMs) {
         spec = newSpec;
-        share.configure(ownedShare, nowMs + timing.donorKeepsMs(spec));
+        share.configure(ownedShare, nowMs + timing.donationWithheldMs(spec));
     }
 
     /** The definition in use. */
@@ -107,7 +107,7 @@
      *
      * @return 0 if {@link #consume} may follow at once; else after how many milliseconds a retry may succeed
      */
-    public double requestWaitMs(double nowMs) {
+    public double admissionWaitMs(double nowMs) {
         demand.recordRequest(nowMs, inUse + 1);
         refill(nowMs);
         boolean admitted = spec.concurrent() ? inUse < capacity(nowMs) : bucket.hasToken();
@@ -145,10 +145,10 @@
     }
 
     /** How much more than its own this proxy could use; 0 if that is not worth a request. */
-    double missing(double nowMs) {
-        double missing = demand(nowMs) - owned(nowMs);
+    double shortfall(double nowMs) {
+        double shortfall = demand(nowMs) - owned(nowMs);
         double minimum = spec.concurrent() ? MIN_REQUESTED_CONCURRENT : MIN_REQUESTED_FRACTION * spec.amount();
-        return missing > minimum ? Math.min(missing, spec.amount()) : 0;
+        return shortfall > minimum ? Math.min(shortfall, spec.amount()) : 0;
     }
 
     /** Donates what can be spared to an allocator, and spends none of it until it expires; returns the amount. */
@@ -164,16 +164,16 @@
             return 0;
         }
         refill(nowMs); // at the rate until now
-        donated.add(allocator, spare, nowMs + timing.donorKeepsMs(spec));
+        donated.add(allocator, spare, nowMs + timing.donationWithheldMs(spec));
         refill(nowMs);
         return spare;
     }
 
     /** What can be donated; requests in use beyond the share are covered by grants. */
     private double spare(long allocator, double nowMs) {
-        double elsewhere = donated.totalExcept(allocator, nowMs);
-        double kept = Math.max(demand(nowMs), KEPT_FRACTION * share.amountAt(nowMs));
-        double spare = share.amountAt(nowMs) - elsewhere - kept;
+        double donatedToOthers = donated.totalExcept(allocator, nowMs);
+        double kept = Math.max(demand(nowMs), NEVER_DONATED_FRACTION * share.amountAt(nowMs));
+        double spare = share.amountAt(nowMs) - donatedToOthers - kept;
         return spec.concurrent() ? Math.floor(spare + ROUNDING) : spare;
     }
 
@@ -181,25 +181,25 @@
 
     /** Whether it holds a grant that it could give back. */
     boolean holdsGrant(double nowMs) {
-        return grant.isRunning(nowMs);
+        return grant.isActive(nowMs);
     }
 
     /** Whether it holds more than twice what it needs, which others may be waiting for. */
-    boolean holdsTooMuch(double nowMs) {
-        return holdsGrant(nowMs) && missing(nowMs) < grant.amount() / 2;
+    boolean holdsExcessGrant(double nowMs) {
+        return holdsGrant(nowMs) && shortfall(nowMs) < grant.amount() / 2;
     }
 
     /** Whether the demand has grown notably since the last request. */
     boolean needsMore(double nowMs) {
         boolean isRecent = nowMs - requests.lastSentMs() <= timing.requestIntervalMs();
-        return missing(nowMs) > URGENT_GROWTH * (isRecent ? requests.lastAmount() : 0);
+        return shortfall(nowMs) > URGENT_GROWTH * (isRecent ? requests.lastAmount() : 0);
     }
 
     /** Whether the last request is overdue. */
-    boolean isUnanswered(double nowMs) {
+    boolean isRequestOverdue(double nowMs) {
         return nowMs - requests.lastSentMs() > REPLY_TIMEOUT_MS
                 && lastReplyMs < requests.lastSentMs()
-                && missing(nowMs) > 0;
+                && shortfall(nowMs) > 0;
     }
 
     /** A request for this amount is sent now; what is granted beyond it is given back. */
@@ -240,7 +240,7 @@
 
     /** Since when it needs more and no allocator has replied for the duration of a grant; NaN if that is not so. */
     double isolatedSinceMs(double nowMs) {
-        if (missing(nowMs) <= 0 || nowMs - lastReplyMs <= timing.grantMs()) {
+        if (shortfall(nowMs) <= 0 || nowMs - lastReplyMs <= timing.grantMs()) {
             isolatedSinceMs = Double.NaN;
         } else if (Double.isNaN(isolatedSinceMs)) {
             isolatedSinceMs = nowMs;
--- a/src/main/java/cacheproxy/fleet/quota/MaxMinFairness.java
+++ b/src/main/java/cacheproxy/fleet/quota/MaxMinFairness.java
@@ -18,9 +18,9 @@
         Arrays.sort(sorted);
         double remaining = Math.max(0, amount);
         for (int i = 0; i < sorted.length; i++) {
-            double equalPart = remaining / (sorted.length - i);
-            if (sorted[i] > equalPart) {
-                return equalPart;
+            double equalShare = remaining / (sorted.length - i);
+            if (sorted[i] > equalShare) {
+                return equalShare;
             }
             remaining -= sorted[i];
         }
--- a/src/main/java/cacheproxy/fleet/quota/OutstandingGrants.java
+++ b/src/main/java/cacheproxy/fleet/quota/OutstandingAmounts.java
@@ -4,13 +4,13 @@
  * Amounts promised one after another to one peer, each until a time that does not decrease. The largest one that has
  * not expired counts, as the promiser cannot know which of them have arrived.
  */
-final class OutstandingGrants {
+final class OutstandingAmounts {
     /** Beyond these the two oldest are merged into one. */
     static final int MAX_ENTRIES = 12;
 
     private final double[] amounts = new double[MAX_ENTRIES];
     private final double[] untilMs = new double[MAX_ENTRIES];
-    private final boolean owed;
+    private final boolean mergeKeepsLarger;
     private int size;
 
     /**
@@ -19,8 +19,8 @@
      * @param owed whether these are promises that this process has to keep, so that merging takes the larger amount;
      *     else they are promises that it relies on, and merging takes the later one
      */
-    OutstandingGrants(boolean owed) {
-        this.owed = owed;
+    OutstandingAmounts(boolean mergeKeepsLarger) {
+        this.mergeKeepsLarger = mergeKeepsLarger;
     }
 
     /**
@@ -44,7 +44,7 @@
     }
 
     private void mergeOldest() {
-        if (owed) {
+        if (mergeKeepsLarger) {
             amounts[1] = amounts[0];
         }
         removeFirst(1);
--- a/src/main/java/cacheproxy/fleet/quota/QuotaAllocator.java
+++ b/src/main/java/cacheproxy/fleet/quota/QuotaAllocator.java
@@ -14,7 +14,7 @@
 /** One proxy as allocator: solicits donations for requested quotas, and grants what its ledgers cover. */
 final class QuotaAllocator {
     /** Donations that arrive one after another are granted together. */
-    private static final double GATHER_MS = 4;
+    private static final double DONATION_BATCH_MS = 4;
     /** Each so many solicitations go to all peers, also to those that are thought to have failed. */
     private static final int SOLICITATIONS_PER_BROADCAST = 6;
 
@@ -24,7 +24,7 @@
     private final RequestIds ids;
     private final AllocatorLeases leases;
     private final LongPredicate isLikelyAlive;
-    private final QuotaOutbox outbox;
+    private final QuotaMessageSender sender;
     private final Map<Long, AllocationLedger> ledgers = new HashMap<>();
     private final SentRequests solicitations = new SentRequests();
     private List<Long> peers = List.of();
@@ -32,14 +32,14 @@
     private double solicitAtMs;
     private double allocateAtMs = Double.POSITIVE_INFINITY;
 
-    QuotaAllocator(AllocationContext context, QuotaOutbox outbox) {
+    QuotaAllocator(AllocationContext context, QuotaMessageSender sender) {
         selfId = context.selfId();
         ledgerId = context.ledgerId();
         timing = context.timing();
         ids = context.ids();
         leases = context.leases();
         isLikelyAlive = context.isLikelyAlive();
-        this.outbox = outbox;
+        this.sender = sender;
     }
 
     /** Takes over the peers that donations are solicited from, this process among them. */
@@ -70,12 +70,12 @@
     }
 
     /** Requests have arrived: grants what is covered at the next tick. */
-    void allocateSoon(double nowMs) {
+    void scheduleAllocation(double nowMs) {
         allocateAtMs = Math.min(allocateAtMs, nowMs);
     }
 
     /** Requests for a quota have arrived that nobody has been asked to donate yet. */
-    void solicitSoon(double nowMs) {
+    void scheduleSolicitation(double nowMs) {
         solicitAtMs = nowMs;
     }
 
@@ -96,7 +96,7 @@
                 ledger.recordDonation(from, entry.amount(), solicited.get().atMs());
             }
         }
-        allocateAtMs = Math.min(allocateAtMs, nowMs + GATHER_MS);
+        allocateAtMs = Math.min(allocateAtMs, nowMs + DONATION_BATCH_MS);
     }
 
     /** Does what is due. */
@@ -134,7 +134,7 @@
             QuotaMessage message = new QuotaMessage(Kind.SOLICIT, ledgerId, requestId, 0, batch);
             peers.stream()
                     .filter(peer -> isBroadcast || peer == selfId || isLikelyAlive.test(peer))
-                    .forEach(peer -> outbox.send(peer, message));
+                    .forEach(peer -> sender.send(peer, message));
         }
     }
 
@@ -145,14 +145,14 @@
         allocateAtMs = Double.POSITIVE_INFINITY;
         Map<GrantKey, List<Entry>> granted = new LinkedHashMap<>();
         ledgers.forEach((quotaId, ledger) -> {
-            long epoch = leases.epoch(ledger.spec(), quotaId, nowMs);
+            long epoch = leases.sharedPoolEpoch(ledger.spec(), quotaId, nowMs);
             for (AllocationLedger.Grant grant : ledger.allocate(nowMs, epoch != AllocatorLeases.NO_EPOCH)) {
                 granted.computeIfAbsent(new GrantKey(grant.peer(), grant.requestId(), epoch), key -> new ArrayList<>())
                         .add(new Entry(quotaId, grant.amount()));
             }
         });
         granted.forEach((key, entries) -> QuotaBatches.of(entries)
-                .forEach(batch -> outbox.send(
+                .forEach(batch -> sender.send(
                         key.peer(), new QuotaMessage(Kind.GRANT, ledgerId, key.requestId(), key.epoch(), batch))));
     }
 }
--- a/src/main/java/cacheproxy/fleet/quota/QuotaManager.java
+++ b/src/main/java/cacheproxy/fleet/quota/QuotaManager.java
@@ -39,13 +39,13 @@
     private final long selfId;
     private final QuotaTiming timing;
     private final SplittableRandom random;
-    private final QuotaOutbox outbox;
+    private final QuotaMessageSender sender;
     private final double startMs;
     private final AllocatorLeases leases;
     private final AllocatorSelector selector;
     private final CapacityRequester requester;
     private final QuotaAllocator allocator;
-    private final RemovedQuotas removed;
+    private final RemovedQuotas removedQuotas;
     private final FencingTokenCheck fencing = new FencingTokenCheck();
     private final Map<Long, LocalQuota> localQuotas = new LinkedHashMap<>();
     /** Messages to this process itself, which cost no datagram. */
@@ -54,10 +54,10 @@
     private Map<Long, QuotaSpec> specs = Map.of();
     private int peerCount;
     private int proxies = 1;
-    private boolean changing;
+    private boolean peerListChanging;
     private double requestAtMs;
     private double inspectedMs = Double.NEGATIVE_INFINITY;
-    private double lastHeardMs = Double.NEGATIVE_INFINITY;
+    private double lastPeerMessageMs = Double.NEGATIVE_INFINITY;
     private double urgentFromMs = Double.NEGATIVE_INFINITY;
     private boolean urgent;
     private long staleGrants;
@@ -75,11 +75,11 @@
             SplittableRandom random,
             double startMs,
             LongPredicate isLikelyAlive,
-            QuotaOutbox outbox) {
+            QuotaMessageSender sender) {
         this.selfId = selfId;
         this.timing = timing;
         this.random = random;
-        this.outbox = outbox;
+        this.sender = sender;
         this.startMs = startMs;
         long ledgerId = random.nextLong() | 1; // never 0
         RequestIds ids = new RequestIds(random.nextLong());
@@ -89,7 +89,7 @@
         selector = new AllocatorSelector(selfId, timing, requests, isLikelyAlive);
         requester = new CapacityRequester(context, requests, selector, this::send);
         allocator = new QuotaAllocator(context, this::send);
-        removed = new RemovedQuotas(timing);
+        removedQuotas = new RemovedQuotas(timing);
     }
 
     // ---- configuration
@@ -111,7 +111,7 @@
             List<LeaseHandle> allocatorLeases,
             List<Long> peers,
             int proxyCount,
-            boolean isChanging,
+            boolean isPeerListChanging,
             boolean ownsShare,
             double nowMs) {
         if (newSpecs.size() > MAX_QUOTAS || allocatorLeases.isEmpty()) {
@@ -126,25 +126,25 @@
         allocator.setPeers(peers);
         peerCount = peers.size();
         proxies = Math.max(1, proxyCount);
-        changing = isChanging;
+        peerListChanging = isPeerListChanging;
         removeObsolete(nowMs);
         byId.forEach((id, spec) -> {
             localQuotas
-                    .computeIfAbsent(id, key -> new LocalQuota(spec, timing, removed.removedAtMs(id, startMs)))
+                    .computeIfAbsent(id, key -> new LocalQuota(spec, timing, removedQuotas.removedAtMs(id, startMs)))
                     .configure(spec, ownsShare ? spec.staticShare(proxies) : 0, nowMs);
-            allocator.configure(id, spec, spec.sharedPool(proxies, changing));
+            allocator.configure(id, spec, spec.sharedPool(proxies, peerListChanging));
         });
     }
 
     private void removeObsolete(double nowMs) {
-        removed.forget(nowMs);
+        removedQuotas.forget(nowMs);
         localQuotas.entrySet().removeIf(entry -> {
             QuotaSpec oldSpec = entry.getValue().spec();
             QuotaSpec newSpec = specs.get(entry.getKey());
-            removed.recordInUse(oldSpec);
+            removedQuotas.recordInUse(oldSpec);
             boolean isObsolete = newSpec == null || newSpec.concurrent() != oldSpec.concurrent();
             if (isObsolete) {
-                removed.add(entry.getKey(), nowMs);
+                removedQuotas.add(entry.getKey(), nowMs);
             }
             return isObsolete;
         });
@@ -192,7 +192,7 @@
 
     private void inspect(LocalQuota localQuota, double nowMs) {
         localQuota.tick(nowMs);
-        urgent |= localQuota.holdsTooMuch(nowMs) || localQuota.isUnanswered(nowMs);
+        urgent |= localQuota.holdsExcessGrant(nowMs) || localQuota.isRequestOverdue(nowMs);
     }
 
     // ---- messages
@@ -201,13 +201,13 @@
         if (to == selfId) {
             loopback.add(message);
         } else {
-            outbox.send(to, message);
+            sender.send(to, message);
         }
     }
 
     /** Receives a peer's message. */
     public void receive(double nowMs, long from, QuotaMessage message) {
-        lastHeardMs = nowMs;
+        lastPeerMessageMs = nowMs;
         selector.recordMessage(from, nowMs);
         dispatch(nowMs, from, message);
         deliverToSelf(nowMs);
@@ -235,14 +235,15 @@
             if (spec == null) {
                 continue; // the peer has another configuration
             }
-            AllocationLedger ledger = allocator.ledger(entry.quotaId(), spec, spec.sharedPool(proxies, changing));
+            AllocationLedger ledger =
+                    allocator.ledger(entry.quotaId(), spec, spec.sharedPool(proxies, peerListChanging));
             needsDonations |= spec.staticFraction() > 0 && !ledger.isRequested(nowMs);
             ledger.recordRequest(nowMs, from, request.ledgerId(), entry.amount(), request.requestId());
         }
         if (needsDonations) {
-            allocator.solicitSoon(nowMs);
+            allocator.scheduleSolicitation(nowMs);
         }
-        allocator.allocateSoon(nowMs);
+        allocator.scheduleAllocation(nowMs);
     }
 
     private void onSolicit(double nowMs, long from, QuotaMessage solicitation) {
@@ -283,7 +284,7 @@
 
     /** Whether a grant shows that this process is not isolated; its own only if it holds the lease or hears others. */
     private boolean showsContact(long from, QuotaMessage grant, double nowMs) {
-        return from != selfId || grant.epoch() > 0 || peerCount < 2 || nowMs - lastHeardMs <= timing.grantMs();
+        return from != selfId || grant.epoch() > 0 || peerCount < 2 || nowMs - lastPeerMessageMs <= timing.grantMs();
     }
 
     // ---- status
--- a/src/main/java/cacheproxy/fleet/quota/QuotaOutbox.java
+++ b/src/main/java/cacheproxy/fleet/quota/QuotaMessageSender.java
@@ -1,7 +1,7 @@
 package cacheproxy.fleet.quota;
 
 /** Receives the messages that a {@link QuotaManager} wants sent. */
-public interface QuotaOutbox {
+public interface QuotaMessageSender {
     /**
      * Sends a message to a peer. Messages may be lost, delayed or duplicated.
      *
--- a/src/main/java/cacheproxy/fleet/quota/QuotaTiming.java
+++ b/src/main/java/cacheproxy/fleet/quota/QuotaTiming.java
@@ -65,18 +65,18 @@
     }
 
     /** How long a donor keeps its donation, from when it was sent. */
-    public double donorKeepsMs(QuotaSpec spec) {
+    public double donationWithheldMs(QuotaSpec spec) {
         return (grantMs * DONATION_GRANTS + spec.maxHoldMs()) * (1 + maxDrift);
     }
 
     /** How long a donation counts at the allocator, from when it was solicited. */
-    public double donationCountsMs(QuotaSpec spec) {
+    public double donationUsableMs(QuotaSpec spec) {
         return (grantMs * DONATION_GRANTS + spec.maxHoldMs()) * (1 - maxDrift);
     }
 
     /** How long a process spends nothing of its share after its start: an earlier process may have donated it. */
     public double startupSilenceMs(QuotaSpec spec) {
-        return donorKeepsMs(spec);
+        return donationWithheldMs(spec);
     }
 
     /** How long a new lease holder grants nothing but donations: grants of the former holder may be outstanding. */
--- a/src/main/java/cacheproxy/fleet/quota/ReceivedGrant.java
+++ b/src/main/java/cacheproxy/fleet/quota/ReceivedGrant.java
@@ -30,7 +30,7 @@
     }
 
     /** Whether something is granted that could be given back. */
-    boolean isRunning(double nowMs) {
+    boolean isActive(double nowMs) {
         return amount > 0 && nowMs < untilMs;
     }
 
--- a/src/main/java/cacheproxy/fleet/quota/RemovedQuotas.java
+++ b/src/main/java/cacheproxy/fleet/quota/RemovedQuotas.java
@@ -33,7 +33,7 @@
     }
 
     /** When a quota was removed; otherwise if it was not. */
-    double removedAtMs(long quotaId, double otherwise) {
-        return removedAtMs.getOrDefault(quotaId, otherwise);
+    double removedAtMs(long quotaId, double defaultMs) {
+        return removedAtMs.getOrDefault(quotaId, defaultMs);
     }
 }
--- a/src/main/java/cacheproxy/simulation/SimulatedAllocatorLease.java
+++ b/src/main/java/cacheproxy/simulation/SimulatedAllocatorLease.java
@@ -99,7 +99,7 @@
 
         @Override
         public long holder(double nowMs) {
-            return holder == NONE ? NameHash.NOBODY : SimulatedQuotaProxy.peerId(holder);
+            return holder == NONE ? NameHash.NO_ID : SimulatedQuotaProxy.peerId(holder);
         }
 
         @Override
--- a/src/main/java/cacheproxy/simulation/SimulatedQuotaProxy.java
+++ b/src/main/java/cacheproxy/simulation/SimulatedQuotaProxy.java
@@ -248,7 +248,7 @@
         if (localQuota == null) {
             return bucket.tryTake(nowMs, plan.quota().burst() / plan.proxies());
         }
-        if (localQuota.requestWaitMs(nowMs) == 0) {
+        if (localQuota.admissionWaitMs(nowMs) == 0) {
             localQuota.consume();
             return true;
         }
--- a/src/test/java/cacheproxy/daemon/fleet/FleetHealthChecksTest.java
+++ b/src/test/java/cacheproxy/daemon/fleet/FleetHealthChecksTest.java
@@ -130,7 +130,7 @@
                             withMute(fleetOf("p1", port, "", "p1@" + port, "p2@" + peer.getLocalPort())
                                     + "[fleet.probe]\nby = \"requests\"\nlease_ms = 150\npatience_ms = 10000\n")),
                     5)) {
-                HealthCheckMessage request = HealthCheckMessage.of(awaitHealthCheckRequest(daemon, mute, peer));
+                HealthCheckMessage request = HealthCheckMessage.decode(awaitHealthCheckRequest(daemon, mute, peer));
                 int commandsBefore = mute.commands();
                 sendRequests(daemon, 40);
                 assertThat(mute.commands()).as("while the request is pending").isEqualTo(commandsBefore);
@@ -148,7 +148,7 @@
                                                 0,
                                                 true,
                                                 0)
-                                        .bytes());
+                                        .encode());
                 peer.send(new DatagramPacket(healthy, healthy.length, loopback(), port));
                 while (mute.commands() == commandsBefore) {
                     sendRequests(daemon, 20);
--- a/src/test/java/cacheproxy/discovery/DelegatedWatchTest.java
+++ b/src/test/java/cacheproxy/discovery/DelegatedWatchTest.java
@@ -22,7 +22,7 @@
         }
         zone.runUntil(zone.nowMs + 1000);
         assertThat(zone.versionOf).containsOnly(zone.version);
-        assertThat(zone.longestBehindMs)
+        assertThat(zone.maxStalenessMs)
                 .as("coalescing window and message delay")
                 .isLessThan(TIMING.coalescingWindowMs() + 60);
         assertThat(zone.polls - pollsBefore)
@@ -48,7 +48,7 @@
         assertThat(zone.countLongPolling()).as("jittered timeouts").isBetween(2, 19);
         zone.runUntil(5000 + 1.5 * TIMING.heartbeatTimeoutMs() + 100);
         assertThat(zone.countLongPolling()).isEqualTo(20);
-        assertThat(zone.longestBehindMs).isLessThan(1.5 * TIMING.heartbeatTimeoutMs() + 60);
+        assertThat(zone.maxStalenessMs).isLessThan(1.5 * TIMING.heartbeatTimeoutMs() + 60);
         zone.holder = 3;
         zone.epoch = 2;
         zone.runUntil(zone.nowMs + 1100);
@@ -68,7 +68,7 @@
         zone.version++;
         zone.runUntil(3000 + TIMING.maxPollIntervalMs() + 3 * TIMING.heartbeatIntervalMs());
         assertThat(zone.versionOf).containsOnly(zone.version);
-        assertThat(zone.longestBehindMs).isLessThan(TIMING.maxPollIntervalMs() + 2 * TIMING.heartbeatIntervalMs());
+        assertThat(zone.maxStalenessMs).isLessThan(TIMING.maxPollIntervalMs() + 2 * TIMING.heartbeatIntervalMs());
     }
 
     @Test
@@ -81,7 +81,7 @@
                 zone.runUntil(zone.nowMs + 1000);
                 zone.version += i % 5 == 0 ? 1 : 0;
             }
-            assertThat(zone.longestBehindMs)
+            assertThat(zone.maxStalenessMs)
                     .as("delayed by up to " + delayMs)
                     .isLessThan(TIMING.maxPollIntervalMs() + 1000);
             zone.lossRate = 0;
--- a/src/test/java/cacheproxy/discovery/DiscoveryPollSchedulerTest.java
+++ b/src/test/java/cacheproxy/discovery/DiscoveryPollSchedulerTest.java
@@ -50,7 +50,7 @@
         /** The later of the last success and the time when discovery became reachable. */
         private double freshSinceMs;
 
-        private double longestMs;
+        private double maxStalenessMs;
         private boolean lastSucceeded;
 
         RandomWalk(long seed, boolean sharedService, int clientCount, InjectedDefect defect) {
@@ -62,7 +62,7 @@
         }
 
         /** The longest time for which discovery was reachable without a success, in milliseconds. */
-        double longestStalenessMs() {
+        double runAndMeasureStalenessMs() {
             scheduler.setFollowing(0, true);
             while (nowMs < DURATION_MS) {
                 nowMs = Math.max(nowMs, scheduler.nextPollAtMs());
@@ -74,12 +74,12 @@
                 nowMs = result.atMs();
                 report(result);
             }
-            return longestMs;
+            return maxStalenessMs;
         }
 
         private void advancePhases() {
             while (nowMs >= phaseEndsAtMs) {
-                longestMs = reachable ? Math.max(longestMs, phaseEndsAtMs - freshSinceMs) : longestMs;
+                maxStalenessMs = reachable ? Math.max(maxStalenessMs, phaseEndsAtMs - freshSinceMs) : maxStalenessMs;
                 reachable = !reachable;
                 freshSinceMs = phaseEndsAtMs;
                 phaseEndsAtMs += reachable ? 500 + random.nextDouble(25_000) : random.nextDouble(15_000);
@@ -109,7 +109,7 @@
         private void report(PollResult result) {
             lastSucceeded = result.success();
             if (lastSucceeded) {
-                longestMs = Math.max(longestMs, nowMs - freshSinceMs);
+                maxStalenessMs = Math.max(maxStalenessMs, nowMs - freshSinceMs);
                 freshSinceMs = nowMs;
                 scheduler.succeeded(nowMs);
                 return;
@@ -122,21 +122,21 @@
     }
 
     private static double[] sortedStalenessMs(int walkCount, InjectedDefect defect) {
-        double[] all = new double[walkCount];
+        double[] sortedMs = new double[walkCount];
         for (int i = 0; i < walkCount; i++) {
-            all[i] = new RandomWalk(i, i % 3 != 0, i % 2 == 0 ? 5 : 100, defect).longestStalenessMs();
+            sortedMs[i] = new RandomWalk(i, i % 3 != 0, i % 2 == 0 ? 5 : 100, defect).runAndMeasureStalenessMs();
         }
-        Arrays.sort(all);
-        return all;
+        Arrays.sort(sortedMs);
+        return sortedMs;
     }
 
     @Test
     void keepsStalenessWithinBoundWhileDiscoveryIsReachable() {
-        double[] all = sortedStalenessMs(20_000, InjectedDefect.NONE);
+        double[] sortedMs = sortedStalenessMs(20_000, InjectedDefect.NONE);
         System.out.printf(
                 "list staleness: 20000 walks, ms without a success p50 %.0f, p99 %.0f, max %.0f of %.0f%n",
-                all[10_000], all[19_800], all[19_999], DiscoveryPollScheduler.MAX_STALENESS_MS);
-        assertThat(all[19_999]).isLessThanOrEqualTo(DiscoveryPollScheduler.MAX_STALENESS_MS);
+                sortedMs[10_000], sortedMs[19_800], sortedMs[19_999], DiscoveryPollScheduler.MAX_STALENESS_MS);
+        assertThat(sortedMs[19_999]).isLessThanOrEqualTo(DiscoveryPollScheduler.MAX_STALENESS_MS);
     }
 
     @Test
@@ -144,8 +144,8 @@
         for (InjectedDefect defect : new InjectedDefect[] {
             InjectedDefect.LONG_POLL_WAIT, InjectedDefect.NO_TIMEOUT, InjectedDefect.LONG_RETRY
         }) {
-            double[] all = sortedStalenessMs(500, defect);
-            assertThat(all[499]).as(defect.name()).isGreaterThan(DiscoveryPollScheduler.MAX_STALENESS_MS);
+            double[] sortedMs = sortedStalenessMs(500, defect);
+            assertThat(sortedMs[499]).as(defect.name()).isGreaterThan(DiscoveryPollScheduler.MAX_STALENESS_MS);
         }
     }
 
--- a/src/test/java/cacheproxy/discovery/SimulatedZone.java
+++ b/src/test/java/cacheproxy/discovery/SimulatedZone.java
@@ -19,7 +19,7 @@
     final boolean[] silent;
 
     final boolean[] dead;
-    final double[] behindSinceMs;
+    final double[] staleSinceMs;
     final PriorityQueue<Datagram> datagrams =
             new PriorityQueue<>(Comparator.comparingDouble(Datagram::atMs).thenComparingLong(Datagram::number));
     final SplittableRandom random = new SplittableRandom(1);
@@ -31,17 +31,17 @@
     double maxDelayMs = 5;
     long datagramsSent;
     int polls;
-    double longestBehindMs;
+    double maxStalenessMs;
 
     SimulatedZone(int count) {
         longPolling = new boolean[count];
         versionOf = new long[count];
         silent = new boolean[count];
         dead = new boolean[count];
-        behindSinceMs = new double[count];
+        staleSinceMs = new double[count];
         for (int i = 0; i < count; i++) {
             longPolling[i] = true;
-            behindSinceMs[i] = Double.NaN;
+            staleSinceMs[i] = Double.NaN;
             watches.add(new DelegatedWatch(
                     new SimulatedLease(this, i),
                     DelegatedWatchTest.TIMING,
@@ -86,11 +86,11 @@
             updateList(proxy);
         }
         if (versionOf[proxy] >= version) {
-            behindSinceMs[proxy] = Double.NaN;
-        } else if (Double.isNaN(behindSinceMs[proxy])) {
-            behindSinceMs[proxy] = nowMs;
+            staleSinceMs[proxy] = Double.NaN;
+        } else if (Double.isNaN(staleSinceMs[proxy])) {
+            staleSinceMs[proxy] = nowMs;
         } else {
-            longestBehindMs = Math.max(longestBehindMs, nowMs - behindSinceMs[proxy]);
+            maxStalenessMs = Math.max(maxStalenessMs, nowMs - staleSinceMs[proxy]);
         }
     }
 
@@ -108,7 +108,7 @@
     /** The zone's lease as one proxy sees it. */
     private record SimulatedLease(SimulatedZone zone, int self) implements LeaseHandle {
         @Override
-        public long permit(double atMs, double actMs) {
+        public long permit(double atMs, double actionMs) {
             return zone.holder == self ? zone.epoch : -1;
         }
 
--- a/src/test/java/cacheproxy/discovery/VersionGossipTest.java
+++ b/src/test/java/cacheproxy/discovery/VersionGossipTest.java
@@ -78,15 +78,15 @@
                 if (proxy < silentCount) {
                     continue;
                 }
-                double toldAtMs = random.nextDouble() * 1500;
-                events.add(new Event(toldAtMs, gossips[self]::versionChanged));
-                events.add(new Event(toldAtMs + 300.0 * proxy / proxyCount, () -> {
+                double changedAtMs = random.nextDouble() * 1500;
+                events.add(new Event(changedAtMs, gossips[self]::versionChanged));
+                events.add(new Event(changedAtMs + 300.0 * proxy / proxyCount, () -> {
                     byte[] message = gossips[self].takeMessage(42);
                     sent[0] += message == null ? 0 : 1;
                     for (int to = 0; message != null && to < gossips.length; to++) {
                         int other = to;
                         double receivedAtMs =
-                                toldAtMs + 300.0 * self / gossips.length + 3.6 + random.nextDouble() * 26.4;
+                                changedAtMs + 300.0 * self / gossips.length + 3.6 + random.nextDouble() * 26.4;
                         if (to != self && random.nextInt(10) >= 3) {
                             events.add(new Event(receivedAtMs, () -> {
                                 gossips[other].received(self, VersionGossip.decodeVersion(message));
--- a/src/test/java/cacheproxy/fleet/healthcheck/HealthCheckCoordinatorTest.java
+++ b/src/test/java/cacheproxy/fleet/healthcheck/HealthCheckCoordinatorTest.java
@@ -61,14 +61,14 @@
                     shares.add(handle(index, share));
                 }
                 coordinators.add(new HealthCheckCoordinator(
-                        index + 1, index * 1000L, TIMING, shares, new SimulatedOutbox(index)));
+                        index + 1, index * 1000L, TIMING, shares, new SimulatedActions(index)));
             }
         }
 
-        private final class SimulatedOutbox implements HealthCheckOutbox {
+        private final class SimulatedActions implements HealthCheckActions {
             private final int index;
 
-            SimulatedOutbox(int index) {
+            SimulatedActions(int index) {
                 this.index = index;
             }
 
@@ -81,13 +81,13 @@
                                 nextNumber++,
                                 index,
                                 (int) to - 1,
-                                HealthCheckMessage.of(message.bytes())));
+                                HealthCheckMessage.decode(message.encode())));
                     }
                 }
             }
 
             @Override
-            public boolean start(int server) {
+            public boolean startCheck(int server) {
                 checks++;
                 boolean failing = unhealthy.contains(server) || partitioned.contains(index + "/" + server);
                 completions.add(new double[] {nowMs + (failing ? 250 : 2), index, server, failing ? 0 : 1});
@@ -95,7 +95,7 @@
             }
 
             @Override
-            public void report(int server, boolean healthy) {
+            public void reportResult(int server, boolean healthy) {
                 reports.add(new Report(nowMs, index, server, healthy));
             }
         }
@@ -276,9 +276,9 @@
         SimulatedFleet simulation = new SimulatedFleet(1, 11);
         simulation.coordinators.get(0).request(0, 7);
         simulation.completions.clear();
-        simulation.runUntil(TIMING.timeoutMs());
+        simulation.runUntil(TIMING.checkTimeoutMs());
         assertThat(simulation.reports).isEmpty();
-        simulation.runUntil(3 * TIMING.timeoutMs());
+        simulation.runUntil(3 * TIMING.checkTimeoutMs());
         assertThat(simulation.reports).singleElement().matches(report -> !report.healthy);
         simulation.coordinators.get(0).finished(simulation.nowMs, 7, true);
         assertThat(simulation.reports).as("a result after that").hasSize(1);
@@ -399,7 +399,7 @@
                         int reportsBefore = simulation.reports.size();
                         simulation.requestAll(server);
                         requests += 5;
-                        simulation.runUntil(startMs + TIMING.resultTimeoutMs() + TIMING.timeoutMs() + 1);
+                        simulation.runUntil(startMs + TIMING.resultTimeoutMs() + TIMING.checkTimeoutMs() + 1);
                         assertThat(simulation.reports.size() - reportsBefore)
                                 .as("seed " + seed + " step " + step)
                                 .isEqualTo(5);
@@ -417,12 +417,12 @@
     @Test
     void rejectsMalformedMessagesAndTimings() {
         HealthCheckMessage message = new HealthCheckMessage(RESULT, 1, 2, 3, 4, 5, true, 6);
-        assertThat(HealthCheckMessage.of(message.bytes())).isEqualTo(message);
-        assertThat(HealthCheckMessage.of(new byte[HealthCheckMessage.MESSAGE_BYTES - 1]))
+        assertThat(HealthCheckMessage.decode(message.encode())).isEqualTo(message);
+        assertThat(HealthCheckMessage.decode(new byte[HealthCheckMessage.MESSAGE_BYTES - 1]))
                 .isNull();
-        byte[] malformed = message.bytes();
+        byte[] malformed = message.encode();
         malformed[0] = 9;
-        assertThat(HealthCheckMessage.of(malformed)).isNull();
+        assertThat(HealthCheckMessage.decode(malformed)).isNull();
         assertThatThrownBy(() -> new HealthCheckTiming(250, 250, 0)).isInstanceOf(IllegalArgumentException.class);
     }
 }
--- a/src/test/java/cacheproxy/fleet/healthcheck/HealthCheckGoldenBytesTest.java
+++ b/src/test/java/cacheproxy/fleet/healthcheck/HealthCheckGoldenBytesTest.java
@@ -28,8 +28,8 @@
                         + healthyCode + "000005dc");
         HealthCheckMessage message =
                 new HealthCheckMessage(kind, LEASE_ID, SERVER, REQUEST_NUMBER, EPOCH, LEASE_HOLDER, healthy, 1500);
-        assertThat(message.bytes()).isEqualTo(golden);
-        assertThat(HealthCheckMessage.of(golden)).isEqualTo(message);
+        assertThat(message.encode()).isEqualTo(golden);
+        assertThat(HealthCheckMessage.decode(golden)).isEqualTo(message);
     }
 
     @Test
@@ -38,8 +38,8 @@
                 "02 0000000000000000 00000000 0000000000000000 0000000000000000 0000000000000000 00 00000000");
         HealthCheckMessage minMessage =
                 new HealthCheckMessage(HealthCheckMessageKind.REDIRECT, 0, 0, 0, 0, 0, false, 0);
-        assertThat(minMessage.bytes()).isEqualTo(minBytes);
-        assertThat(HealthCheckMessage.of(minBytes)).isEqualTo(minMessage);
+        assertThat(minMessage.encode()).isEqualTo(minBytes);
+        assertThat(HealthCheckMessage.decode(minBytes)).isEqualTo(minMessage);
         byte[] maxBytes = HexBytes.parse(
                 "01 ffffffffffffffff ffffffff 8000000000000000 7fffffffffffffff 7fffffffffffffff 01 7fffffff");
         HealthCheckMessage maxMessage = new HealthCheckMessage(
@@ -51,7 +51,7 @@
                 Long.MAX_VALUE,
                 true,
                 Integer.MAX_VALUE);
-        assertThat(maxMessage.bytes()).isEqualTo(maxBytes);
-        assertThat(HealthCheckMessage.of(maxBytes)).isEqualTo(maxMessage);
+        assertThat(maxMessage.encode()).isEqualTo(maxBytes);
+        assertThat(HealthCheckMessage.decode(maxBytes)).isEqualTo(maxMessage);
     }
 }
--- a/src/test/java/cacheproxy/fleet/lease/LeaseGoldenBytesTest.java
+++ b/src/test/java/cacheproxy/fleet/lease/LeaseGoldenBytesTest.java
@@ -41,7 +41,7 @@
     void encodesAndDecodesExtremeValues() {
         byte[] smallest =
                 HexBytes.parse("01 0000000000000000 0000000000000000 0000000000000000 0000000000000000 00000000");
-        LeaseMessage smallestMessage = new LeaseMessage(Kind.STATUS, 0, 0, 0, NameHash.NOBODY, 0);
+        LeaseMessage smallestMessage = new LeaseMessage(Kind.STATUS, 0, 0, 0, NameHash.NO_ID, 0);
         assertThat(smallestMessage.encode()).isEqualTo(smallest);
         assertThat(LeaseMessage.decode(smallest)).isEqualTo(smallestMessage);
         byte[] largest =
--- a/src/test/java/cacheproxy/fleet/lease/LeaseStatesTest.java
+++ b/src/test/java/cacheproxy/fleet/lease/LeaseStatesTest.java
@@ -22,7 +22,7 @@
     private static final int STATES = Integer.getInteger("lease.states", 25_000);
     private static final int VOTERS = Integer.getInteger("lease.voters", 3);
     private static final int CANDIDATES = Integer.getInteger("lease.candidates", 2);
-    private static final int MAX_MAIL = 8;
+    private static final int MAX_DATAGRAMS = 8;
     private static final double STEP_MS = 260;
 
     private enum Action {
@@ -36,82 +36,83 @@
 
     private record Step(Action action, int index) {}
 
-    private record Path(Path before, Step step, int length) {
+    private record Path(Path previous, Step step, int length) {
         List<Step> steps() {
             ArrayList<Step> steps = new ArrayList<>();
-            for (Path path = this; path != null && path.step != null; path = path.before) {
+            for (Path path = this; path != null && path.step != null; path = path.previous) {
                 steps.add(0, path.step);
             }
             return steps;
         }
     }
 
-    private record Explored(int states, int depth, List<Step> trace, String fault) {}
+    private record Explored(int states, int depth, List<Step> trace, String violation) {}
 
     /** A world whose messages are delivered in any order. */
     private static final class ReplayedState {
-        final LeaseWorld world;
-        final List<LeaseWorld.Mail> mail = new ArrayList<>();
+        final SimulatedLeaseFleet fleet;
+        final List<SimulatedLeaseFleet.Datagram> datagrams = new ArrayList<>();
         int restarts;
         int pauses;
         int losses;
         int copies;
 
-        ReplayedState(LeaseTiming timing, boolean held) {
-            world = new LeaseWorld(timing, LEASE_MS, VOTERS, List.of("d"));
-            world.voterCount = VOTERS;
-            world.candidateCount = CANDIDATES;
-            world.network = (from, to, bytes) -> mail.add(new LeaseWorld.Mail(0, mail.size(), from, to, bytes));
-            world.processes.get(0).rate = 1 - LeaseTiming.MAX_CLOCK_DRIFT * 0.99;
-            world.processes.get(1).rate = 1 + LeaseTiming.MAX_CLOCK_DRIFT * 0.99;
-            world.processes.forEach(process -> process.start(new SplittableRandom(process.index)));
-            world.nowMs = timing.startupSilenceMs() * 1.02 + 1;
-            world.processes.forEach(LeaseWorld.Member::tick);
-            while (held && !world.held("d")) {
-                if (mail.isEmpty()) {
-                    play(new Step(Action.TIME, 0));
+        ReplayedState(LeaseTiming timing, boolean startHeld) {
+            fleet = new SimulatedLeaseFleet(timing, LEASE_MS, VOTERS, List.of("d"));
+            fleet.voterCount = VOTERS;
+            fleet.candidateCount = CANDIDATES;
+            fleet.network = (from, to, bytes) ->
+                    datagrams.add(new SimulatedLeaseFleet.Datagram(0, datagrams.size(), from, to, bytes));
+            fleet.processes.get(0).clockRate = 1 - LeaseTiming.MAX_CLOCK_DRIFT * 0.99;
+            fleet.processes.get(1).clockRate = 1 + LeaseTiming.MAX_CLOCK_DRIFT * 0.99;
+            fleet.processes.forEach(process -> process.start(new SplittableRandom(process.index)));
+            fleet.nowMs = timing.startupSilenceMs() * 1.02 + 1;
+            fleet.processes.forEach(SimulatedLeaseFleet.SimulatedProcess::tick);
+            while (startHeld && !fleet.isHeld("d")) {
+                if (datagrams.isEmpty()) {
+                    apply(new Step(Action.TIME, 0));
                 } else {
-                    play(new Step(Action.DELIVER, 0));
+                    apply(new Step(Action.DELIVER, 0));
                 }
             }
         }
 
-        void play(Step step) {
+        void apply(Step step) {
             switch (step.action) {
                 case TIME -> {
-                    world.nowMs += STEP_MS;
-                    world.processes.forEach(LeaseWorld.Member::tick);
+                    fleet.nowMs += STEP_MS;
+                    fleet.processes.forEach(SimulatedLeaseFleet.SimulatedProcess::tick);
                 }
                 case DELIVER, TWICE -> {
-                    LeaseWorld.Mail message = mail.get(step.index);
+                    SimulatedLeaseFleet.Datagram datagram = datagrams.get(step.index);
                     if (step.action == Action.DELIVER) {
-                        mail.remove(step.index);
+                        datagrams.remove(step.index);
                     } else {
                         copies++;
                     }
-                    world.processes.get(message.to()).receive(message.from(), message.bytes());
+                    fleet.processes.get(datagram.to()).receive(datagram.from(), datagram.bytes());
                 }
                 case LOSE -> {
                     losses++;
-                    mail.remove(step.index);
+                    datagrams.remove(step.index);
                 }
                 case RESTART -> {
                     restarts++;
-                    world.processes.get(step.index).start(new SplittableRandom(100 + step.index));
+                    fleet.processes.get(step.index).start(new SplittableRandom(100 + step.index));
                 }
                 default -> {
                     pauses++;
-                    world.processes.get(step.index).paused ^= true;
+                    fleet.processes.get(step.index).paused ^= true;
                 }
             }
-            world.check();
+            fleet.checkSafety();
         }
 
-        List<Step> choices() {
+        List<Step> nextSteps() {
             List<Step> steps = new ArrayList<>();
-            Set<String> alike = new HashSet<>();
-            for (int i = 0; i < mail.size() && i < MAX_MAIL; i++) {
-                if (alike.add(text(mail.get(i)))) {
+            Set<String> described = new HashSet<>();
+            for (int i = 0; i < datagrams.size() && i < MAX_DATAGRAMS; i++) {
+                if (described.add(describe(datagrams.get(i)))) {
                     steps.add(new Step(Action.DELIVER, i));
                     if (losses < 2) {
                         steps.add(new Step(Action.LOSE, i));
@@ -121,7 +122,7 @@
                     }
                 }
             }
-            if (mail.size() <= MAX_MAIL) {
+            if (datagrams.size() <= MAX_DATAGRAMS) {
                 steps.add(new Step(Action.TIME, 0));
             }
             for (int i = 0; i < 3 && restarts < 1; i++) {
@@ -133,68 +134,68 @@
             return steps;
         }
 
-        private String text(LeaseWorld.Mail letter) {
-            LeaseMessage message = LeaseMessage.decode(letter.bytes());
-            boolean answer = message.kind() == LeaseMessage.Kind.STATUS
+        private String describe(SimulatedLeaseFleet.Datagram datagram) {
+            LeaseMessage message = LeaseMessage.decode(datagram.bytes());
+            boolean isReply = message.kind() == LeaseMessage.Kind.STATUS
                     || message.kind() == LeaseMessage.Kind.GRANT
                     || message.kind() == LeaseMessage.Kind.REJECT;
-            boolean awaited = world.processes
-                    .get(answer ? letter.to() : letter.from())
+            boolean awaited = fleet.processes
+                    .get(isReply ? datagram.to() : datagram.from())
                     .manager
                     .awaits("d", message.nonce());
-            return letter.from() + ">" + letter.to() + " " + message.kind() + " " + message.epoch() + " "
-                    + message.holder() + " " + message.ms() + " " + awaited;
+            return datagram.from() + ">" + datagram.to() + " " + message.kind() + " " + message.epoch() + " "
+                    + message.holder() + " " + message.durationMs() + " " + awaited;
         }
 
         String fingerprint() {
             StringBuilder text = new StringBuilder();
-            world.processes.forEach(process -> text.append(process.paused)
+            fleet.processes.forEach(process -> text.append(process.paused)
                     .append(process.manager.fingerprint(process.localMs()))
                     .append('/'));
-            mail.stream()
-                    .map(this::text)
+            datagrams.stream()
+                    .map(this::describe)
                     .sorted()
-                    .forEach(mailText -> text.append(mailText).append('&'));
+                    .forEach(datagramText -> text.append(datagramText).append('&'));
             return text.append(restarts)
                     .append(pauses)
                     .append(losses)
                     .append(copies)
-                    .append(world.epochs)
+                    .append(fleet.lastEpochs)
                     .toString();
         }
     }
 
-    private static Explored explore(LeaseTiming timing, boolean held, int maxStates) {
-        Set<String> known = new HashSet<>();
-        ArrayDeque<Path> open = new ArrayDeque<>(List.of(new Path(null, null, 0)));
+    private static Explored explore(LeaseTiming timing, boolean startHeld, int maxStates) {
+        Set<String> fingerprints = new HashSet<>();
+        ArrayDeque<Path> frontier = new ArrayDeque<>(List.of(new Path(null, null, 0)));
         int depth = 0;
-        while (!open.isEmpty() && known.size() < maxStates) {
-            Path path = open.poll();
-            List<Step> before = path.steps();
+        while (!frontier.isEmpty() && fingerprints.size() < maxStates) {
+            Path path = frontier.poll();
+            List<Step> precedingSteps = path.steps();
             depth = path.length;
-            for (Step step : replay(timing, held, before).choices()) {
-                ReplayedState next = replay(timing, held, before);
-                next.play(step);
-                if (!next.world.violations().isEmpty()) {
-                    List<Step> trace = new ArrayList<>(before);
+            for (Step step : replay(timing, startHeld, precedingSteps).nextSteps()) {
+                ReplayedState next = replay(timing, startHeld, precedingSteps);
+                next.apply(step);
+                if (!next.fleet.violations().isEmpty()) {
+                    List<Step> trace = new ArrayList<>(precedingSteps);
                     trace.add(step);
                     return new Explored(
-                            known.size(),
+                            fingerprints.size(),
                             depth + 1,
                             trace,
-                            next.world.violations().get(0));
+                            next.fleet.violations().get(0));
                 }
-                if (known.add(next.fingerprint())) {
-                    open.add(new Path(path, step, path.length + 1));
+                if (fingerprints.add(next.fingerprint())) {
+                    frontier.add(new Path(path, step, path.length + 1));
                 }
             }
         }
-        return new Explored(known.size(), depth, List.of(), null);
+        return new Explored(fingerprints.size(), depth, List.of(), null);
     }
 
-    private static ReplayedState replay(LeaseTiming timing, boolean held, List<Step> steps) {
-        ReplayedState state = new ReplayedState(timing, held);
-        steps.forEach(state::play);
+    private static ReplayedState replay(LeaseTiming timing, boolean startHeld, List<Step> steps) {
+        ReplayedState state = new ReplayedState(timing, startHeld);
+        steps.forEach(state::apply);
         return state;
     }
 
@@ -204,7 +205,7 @@
             Explored explored = explore(new LeaseTiming(LEASE_MS, LeaseTiming.MAX_CLOCK_DRIFT), held, STATES / 2);
             System.out.println((held ? "from a held lease: " : "from none: ") + "states " + explored.states()
                     + ", depth " + explored.depth());
-            assertThat(explored.fault()).as(explored.trace().toString()).isNull();
+            assertThat(explored.violation()).as(explored.trace().toString()).isNull();
             assertThat(explored.states()).isGreaterThanOrEqualTo(STATES / 2);
         }
     }
@@ -221,6 +222,6 @@
                 false,
                 400_000);
         System.out.println("no silence: " + explored);
-        assertThat(explored.fault()).isNotNull();
+        assertThat(explored.violation()).isNotNull();
     }
 }
--- a/src/test/java/cacheproxy/fleet/lease/LeaseTest.java
+++ b/src/test/java/cacheproxy/fleet/lease/LeaseTest.java
@@ -41,7 +41,7 @@
         LeaseMessage rejection = claim(3009, "b", 6);
         assertThat(rejection.kind()).isEqualTo(Kind.REJECT);
         assertThat(rejection.holder()).isEqualTo(NameHash.of("a"));
-        assertThat(rejection.ms()).isEqualTo(1);
+        assertThat(rejection.durationMs()).isEqualTo(1);
         assertThat(claim(3010, "b", 5).kind()).as("an epoch of another holder").isEqualTo(Kind.REJECT);
         assertThat(claim(3010, "b", 6).kind()).isEqualTo(Kind.GRANT);
         assertThat(claim(3100, "a", 5).kind()).as("a renewal of an older epoch").isEqualTo(Kind.REJECT);
@@ -58,15 +58,15 @@
     @Test
     void treatsAnotherIncarnationAsAnotherHolder() {
         assertThat(claim(2000, "a", 5).kind()).isEqualTo(Kind.GRANT);
-        LeaseMessage twin = new LeaseMessage(Kind.CLAIM, LEASE_ID, 7, 6, INCARNATION + 1, 1000);
-        assertThat(respond(2001, NameHash.of("a"), twin).kind()).isEqualTo(Kind.REJECT);
+        LeaseMessage otherIncarnation = new LeaseMessage(Kind.CLAIM, LEASE_ID, 7, 6, INCARNATION + 1, 1000);
+        assertThat(respond(2001, NameHash.of("a"), otherIncarnation).kind()).isEqualTo(Kind.REJECT);
         assertThat(respond(2001, NameHash.of("a"), new LeaseMessage(Kind.QUERY, LEASE_ID, 7, 0, INCARNATION + 1, 0))
                         .holder())
                 .isEqualTo(NameHash.of("a"));
         assertThat(respond(2001, NameHash.of("a"), new LeaseMessage(Kind.QUERY, LEASE_ID, 7, 0, INCARNATION, 0))
                         .holder())
-                .isEqualTo(NameHash.NOBODY);
-        assertThat(respond(3010, NameHash.of("a"), twin).kind()).isEqualTo(Kind.GRANT);
+                .isEqualTo(NameHash.NO_ID);
+        assertThat(respond(3010, NameHash.of("a"), otherIncarnation).kind()).isEqualTo(Kind.GRANT);
         assertThat(claim(3011, "a", 6).kind()).as("its renewal").isEqualTo(Kind.REJECT);
     }
 
@@ -99,7 +99,7 @@
         SplittableRandom random = new SplittableRandom(3);
         LeaseManager manager = new LeaseManager("p1", TIMING, random.split(), 0, new IgnoringListener());
         manager.campaign("d", 1000, new VoterSet("d", List.of("p1", "p2", "p3"), List.of(), 3), 0);
-        int read = 0;
+        int decodedCount = 0;
         for (int i = 0; i < 300_000; i++) {
             byte[] corrupted = message.encode();
             for (int changes = random.nextInt(1, 8); changes > 0; changes--) {
@@ -108,12 +108,12 @@
             LeaseMessage decoded = LeaseMessage.decode(
                     random.nextInt(10) == 0 ? java.util.Arrays.copyOf(corrupted, random.nextInt(60)) : corrupted);
             if (decoded != null) {
-                read++;
+                decodedCount++;
                 manager.receive(2000 + i / 1000.0, random.nextInt(4), decoded, 1);
                 assertThat(manager.permit("d", 2000 + i / 1000.0, 0)).isEqualTo(-1);
             }
         }
-        assertThat(read).isBetween(10_000, 299_000);
+        assertThat(decodedCount).isBetween(10_000, 299_000);
     }
 
     @Test
@@ -167,16 +167,16 @@
     }
 
     /** Processes whose messages take 1 ms, without state at first. */
-    private static LeaseWorld fleet(int count) {
-        LeaseWorld world = new LeaseWorld(TIMING, 1000, count, List.of("d"));
-        world.network = (from, to, bytes) ->
-                world.mail.add(new LeaseWorld.Mail(world.nowMs + 1, world.mailCount++, from, to, bytes));
-        world.processes.forEach(process -> process.start(new SplittableRandom(process.index)));
-        return world;
+    private static SimulatedLeaseFleet fleet(int count) {
+        SimulatedLeaseFleet fleet = new SimulatedLeaseFleet(TIMING, 1000, count, List.of("d"));
+        fleet.network = (from, to, bytes) -> fleet.datagrams.add(
+                new SimulatedLeaseFleet.Datagram(fleet.nowMs + 1, fleet.datagramCount++, from, to, bytes));
+        fleet.processes.forEach(process -> process.start(new SplittableRandom(process.index)));
+        return fleet;
     }
 
-    private static LeaseWorld.Member holder(LeaseWorld world) {
-        return world.processes.stream()
+    private static SimulatedLeaseFleet.SimulatedProcess holder(SimulatedLeaseFleet fleet) {
+        return fleet.processes.stream()
                 .filter(process -> process.isHolding("d"))
                 .findFirst()
                 .orElse(null);
@@ -184,10 +184,10 @@
 
     @Test
     void transfersLeaseOnlyAfterItsActionsHaveEnded() {
-        LeaseWorld world = fleet(5);
-        world.run(3000);
-        LeaseWorld.Member holder = holder(world);
-        LeaseWorld.Member successor = world.processes.get((holder.index + 1) % 5);
+        SimulatedLeaseFleet fleet = fleet(5);
+        fleet.run(3000);
+        SimulatedLeaseFleet.SimulatedProcess holder = holder(fleet);
+        SimulatedLeaseFleet.SimulatedProcess successor = fleet.processes.get((holder.index + 1) % 5);
         long epoch = holder.manager.permit("d", holder.localMs(), 30);
         assertThat(epoch).isPositive();
         assertThat(holder.manager.transfer("d", NameHash.of(successor.name), holder.localMs(), "SIGTERM"))
@@ -195,81 +195,81 @@
         assertThat(holder.manager.permit("d", holder.localMs(), 0))
                 .as("no further action")
                 .isEqualTo(-1);
-        world.run(25);
-        assertThat(holder(world)).as("the permitted action is still running").isNull();
-        world.run(75);
-        assertThat(holder(world)).isSameAs(successor);
+        fleet.run(25);
+        assertThat(holder(fleet)).as("the permitted action is still running").isNull();
+        fleet.run(75);
+        assertThat(holder(fleet)).isSameAs(successor);
         assertThat(successor.manager.permit("d", successor.localMs(), 0)).isGreaterThan(epoch);
-        assertThat(world.violations()).isEmpty();
-        assertThat(world.losses).containsEntry("SIGTERM", 1);
-        assertThat(successor.manager.transfer("d", NameHash.NOBODY, successor.localMs(), "x"))
+        assertThat(fleet.violations()).isEmpty();
+        assertThat(fleet.lossesByReason).containsEntry("SIGTERM", 1);
+        assertThat(successor.manager.transfer("d", NameHash.NO_ID, successor.localMs(), "x"))
                 .isTrue();
-        assertThat(holder.manager.transfer("d", NameHash.NOBODY, holder.localMs(), "x"))
+        assertThat(holder.manager.transfer("d", NameHash.NO_ID, holder.localMs(), "x"))
                 .as("not held")
                 .isFalse();
     }
 
     /** Guards against a transfer that its successor ignores, as it awaits replies to a query of its own. */
     @Test
-    void transferToPeerThatAwaitsRepliesIsTakenUp() {
-        LeaseWorld world = fleet(3);
-        world.run(3000);
-        LeaseWorld.Member holder = holder(world);
-        LeaseWorld.Member successor = world.processes.get((holder.index + 1) % 3);
-        LeaseWorld.Network connected = world.network;
-        world.network = (from, to, bytes) -> {
+    void transferToPeerThatAwaitsRepliesIsAccepted() {
+        SimulatedLeaseFleet fleet = fleet(3);
+        fleet.run(3000);
+        SimulatedLeaseFleet.SimulatedProcess holder = holder(fleet);
+        SimulatedLeaseFleet.SimulatedProcess successor = fleet.processes.get((holder.index + 1) % 3);
+        SimulatedLeaseFleet.Network connected = fleet.network;
+        fleet.network = (from, to, bytes) -> {
             if (to == successor.index && LeaseMessage.decode(bytes).kind() == LeaseMessage.Kind.TRANSFER) {
-                world.network = connected; // until then no reply reaches the successor
+                fleet.network = connected; // until then no reply reaches the successor
             }
-            if (to != successor.index || world.network == connected) {
+            if (to != successor.index || fleet.network == connected) {
                 connected.send(from, to, bytes);
             }
         };
         while (!successor.manager.fingerprint(successor.localMs()).contains("QUERYING")) {
-            world.run(1);
+            fleet.run(1);
         }
         assertThat(holder.manager.transfer("d", NameHash.of(successor.name), holder.localMs(), "x"))
                 .isTrue();
-        world.run(120);
+        fleet.run(120);
         assertThat(successor.isHolding("d"))
                 .as("within the time that a transfer takes")
                 .isTrue();
-        world.run(3000);
-        assertThat(holder(world)).as("one of the three").isNotNull();
-        assertThat(world.violations()).isEmpty();
+        fleet.run(3000);
+        assertThat(holder(fleet)).as("one of the three").isNotNull();
+        assertThat(fleet.violations()).isEmpty();
     }
 
     @Test
     void ineligibleHolderReleasesAndPartitionedHolderExpiresBeforeTakeover() {
-        LeaseWorld world = fleet(5);
-        world.run(3000);
-        LeaseWorld.Member first = holder(world);
+        SimulatedLeaseFleet fleet = fleet(5);
+        fleet.run(3000);
+        SimulatedLeaseFleet.SimulatedProcess first = holder(fleet);
         first.manager.setEligible(false, "its loop is late", first.localMs());
-        world.run(1500);
-        LeaseWorld.Member second = holder(world);
+        fleet.run(1500);
+        SimulatedLeaseFleet.SimulatedProcess second = holder(fleet);
         assertThat(second).isNotNull().isNotSameAs(first);
-        LeaseWorld.Network connected = world.network;
-        world.network = (from, to, bytes) -> {
+        SimulatedLeaseFleet.Network connected = fleet.network;
+        fleet.network = (from, to, bytes) -> {
             if (from != second.index) { // receives, but is not received
                 connected.send(from, to, bytes);
             }
         };
-        world.run(2500);
-        assertThat(holder(world)).isNotNull().isNotSameAs(first).isNotSameAs(second);
-        assertThat(world.losses).containsKey("no majority renewed it in time");
-        assertThat(world.violations()).isEmpty();
+        fleet.run(2500);
+        assertThat(holder(fleet)).isNotNull().isNotSameAs(first).isNotSameAs(second);
+        assertThat(fleet.lossesByReason).containsKey("no majority renewed it in time");
+        assertThat(fleet.violations()).isEmpty();
     }
 
     @Test
     void deniesActionThatOutlastsTheLeaseAndRejectsOlderEpochs() {
-        LeaseWorld world = fleet(3);
-        world.run(3000);
-        LeaseWorld.Member first = holder(world);
+        SimulatedLeaseFleet fleet = fleet(3);
+        fleet.run(3000);
+        SimulatedLeaseFleet.SimulatedProcess first = holder(fleet);
         long epoch = first.manager.permit("d", first.localMs(), 100);
         assertThat(first.manager.permit("d", first.localMs(), 1000)).isEqualTo(-1);
         first.paused = true; // past the end of its lease
-        world.run(3000);
-        LeaseWorld.Member second = holder(world);
+        fleet.run(3000);
+        SimulatedLeaseFleet.SimulatedProcess second = holder(fleet);
         assertThat(second).isNotNull().isNotSameAs(first);
         assertThat(first.manager.permit("d", first.localMs(), 0))
                 .as("right after the pause, before any tick")
@@ -287,7 +287,7 @@
 
     /** Guards against a lease that is refused for good, by a misleading error, after one invalid duration. */
     @Test
-    void aRefusedDurationLeavesTheNameFree() {
+    void rejectedDurationDoesNotReserveLeaseName() {
         LeaseManager manager = new LeaseManager("p1", TIMING, new SplittableRandom(1), 0, new IgnoringListener());
         VoterSet voterSet = new VoterSet("d", List.of("p1", "p2", "p3"), List.of(), 3);
         assertThatThrownBy(() -> manager.campaign("d", 0, voterSet, 0)).hasMessageContaining("lease 0");
@@ -329,23 +329,23 @@
         public void lost(String lease, long epoch, String reason) {}
 
         /** Replies to all questions since the last call. */
-        void answer(LeaseManager manager, double nowMs) {
-            List<LeaseMessage> asked = List.copyOf(messages);
+        void reply(LeaseManager manager, double nowMs) {
+            List<LeaseMessage> requests = List.copyOf(messages);
             messages.clear();
-            for (LeaseMessage message : asked) {
+            for (LeaseMessage message : requests) {
                 Kind kind = message.kind() == Kind.QUERY ? Kind.STATUS : Kind.GRANT;
                 if (message.kind() == Kind.QUERY || message.kind() == Kind.CLAIM) {
                     manager.receive(
                             nowMs,
                             NameHash.of("p2"),
                             new LeaseMessage(
-                                    kind, message.leaseId(), message.nonce(), message.epoch(), NameHash.NOBODY, 0),
+                                    kind, message.leaseId(), message.nonce(), message.epoch(), NameHash.NO_ID, 0),
                             1);
                     manager.receive(
                             nowMs,
                             NameHash.of("p3"),
                             new LeaseMessage(
-                                    kind, message.leaseId(), message.nonce(), message.epoch(), NameHash.NOBODY, 0),
+                                    kind, message.leaseId(), message.nonce(), message.epoch(), NameHash.NO_ID, 0),
                             1);
                 }
             }
@@ -360,24 +360,24 @@
         LeaseManager manager = new LeaseManager("p1", TIMING, new SplittableRandom(1), 0, granting);
         manager.campaign("d", 1000, THREE_VOTERS, 0);
         manager.tick(500, 1);
-        granting.answer(manager, 501); // the query; now the claim is open
+        granting.reply(manager, 501); // the query; now the claim is open
         assertThat(granting.messages).anyMatch(message -> message.kind() == Kind.CLAIM);
         manager.setEligible(false, "it ends", 502);
         List<LeaseMessage> sent = List.copyOf(granting.messages);
         assertThat(sent).as("released").anyMatch(message -> message.kind() == Kind.RELEASE);
-        granting.answer(manager, 503);
+        granting.reply(manager, 503);
         assertThat(granting.gained).isEmpty();
         manager.campaign("d", 1000, THREE_VOTERS, 504); // a reload
         manager.campaign("new", 1000, THREE_VOTERS, 504);
         for (double nowMs = 510; nowMs < 5000; nowMs += 10) {
             manager.tick(nowMs, 1);
-            granting.answer(manager, nowMs);
+            granting.reply(manager, nowMs);
         }
         assertThat(granting.gained).isEmpty();
         manager.setEligible(true, "", 5000);
         for (double nowMs = 5000; nowMs < 8000; nowMs += 10) {
             manager.tick(nowMs, 1);
-            granting.answer(manager, nowMs);
+            granting.reply(manager, nowMs);
         }
         assertThat(granting.gained).contains("d", "new");
     }
@@ -388,13 +388,13 @@
         LeaseManager manager = new LeaseManager("p1", TIMING, new SplittableRandom(1), 0, granting);
         manager.campaign("d", 100.9, THREE_VOTERS, 0);
         manager.tick(500, 1);
-        granting.answer(manager, 500);
+        granting.reply(manager, 500);
         int claimedMs = granting.messages.stream()
                 .filter(message -> message.kind() == Kind.CLAIM)
                 .findFirst()
                 .orElseThrow()
-                .ms();
-        granting.answer(manager, 500);
+                .durationMs();
+        granting.reply(manager, 500);
         double voterLeaseMs = TIMING.voterLeaseMs(claimedMs) / (1 + TIMING.maxDrift()); // in true time, at least
         assertThat(manager.permit("d", 500, 0)).isPositive();
         assertThat(manager.permit("d", 500 + voterLeaseMs * (1 - TIMING.maxDrift()), 0))
@@ -406,9 +406,9 @@
         manager.tick(540, 1);
         assertThat(granting.messages)
                 .filteredOn(message -> message.kind() == Kind.CLAIM)
-                .allMatch(message -> message.ms() == 1000)
+                .allMatch(message -> message.durationMs() == 1000)
                 .isNotEmpty();
-        granting.answer(manager, 541);
+        granting.reply(manager, 541);
         assertThat(manager.permit("d", 1400, 0)).isPositive();
     }
 
--- a/src/test/java/cacheproxy/fleet/lease/LeaseWalkTest.java
+++ b/src/test/java/cacheproxy/fleet/lease/LeaseWalkTest.java
@@ -57,24 +57,24 @@
     @Test
     void neverHasTwoHoldersNorRepeatsAnEpochAndRecoversAfterFaults() {
         int gains = 0;
-        long mails = 0;
-        double longest = 0;
+        long messages = 0;
+        double longestUnheldMs = 0;
         for (int seed = 0; seed < WALKS; seed++) {
-            LeaseWalk.Result walked = walk(
+            LeaseWalk.Result result = walk(
                     CORRECT_TIMING,
                     seed,
                     3 + seed % 4 * 2,
                     seed % 2 == 0 ? List.of("a") : List.of("a", "b", "c"),
                     true);
-            assertThat(walked.violations()).as("seed " + seed).isEmpty();
-            gains += walked.gains();
-            mails += walked.messages();
-            longest = Math.max(longest, walked.longestUnheldMs());
+            assertThat(result.violations()).as("seed " + seed).isEmpty();
+            gains += result.gains();
+            messages += result.messages();
+            longestUnheldMs = Math.max(longestUnheldMs, result.longestUnheldMs());
         }
         assertThat(gains).as("leases moved").isGreaterThan(WALKS * 2);
         System.out.printf(
                 "walks %d, gains %d, messages %d, longest without a holder once calm %.0f ms%n",
-                WALKS, gains, mails, longest);
+                WALKS, gains, messages, longestUnheldMs);
     }
 
     /** A hundred proxies and two hundred leases, checked every 25 ms: {@code -Dlease.large=N} of them. */
@@ -83,78 +83,78 @@
         List<String> names =
                 java.util.stream.IntStream.range(0, 200).mapToObj(i -> "d" + i).toList();
         int gains = 0;
-        long mails = 0;
-        double longest = 0;
+        long messages = 0;
+        double longestUnheldMs = 0;
         for (int seed = 0; seed < LARGE_WALKS; seed++) {
-            LeaseWalk.Result walked =
+            LeaseWalk.Result result =
                     LeaseWalk.run(new LeaseWalk.Options(CORRECT_TIMING, seed, 100, names, true, 0, 25));
-            assertThat(walked.violations()).as("seed " + seed).isEmpty();
-            gains += walked.gains();
-            mails += walked.messages();
-            longest = Math.max(longest, walked.longestUnheldMs());
+            assertThat(result.violations()).as("seed " + seed).isEmpty();
+            gains += result.gains();
+            messages += result.messages();
+            longestUnheldMs = Math.max(longestUnheldMs, result.longestUnheldMs());
         }
         System.out.printf(
                 "large walks %d, gains %d, messages %d, longest without a holder once calm %.0f ms%n",
-                LARGE_WALKS, gains, mails, longest);
+                LARGE_WALKS, gains, messages, longestUnheldMs);
     }
 
     @Test
     void wallClockStepsMoveNoLeaseAndEpochsGrow() {
-        LeaseWorld world = new LeaseWorld(CORRECT_TIMING, LEASE_MS, 5, List.of("a"));
+        SimulatedLeaseFleet fleet = new SimulatedLeaseFleet(CORRECT_TIMING, LEASE_MS, 5, List.of("a"));
         SplittableRandom random = new SplittableRandom(3);
-        world.network = (from, to, bytes) -> world.mail.add(
-                new LeaseWorld.Mail(world.nowMs + random.nextDouble() * 3, world.mailCount++, from, to, bytes));
-        world.processes.forEach(process -> process.start(random.split()));
+        fleet.network = (from, to, bytes) -> fleet.datagrams.add(new SimulatedLeaseFleet.Datagram(
+                fleet.nowMs + random.nextDouble() * 3, fleet.datagramCount++, from, to, bytes));
+        fleet.processes.forEach(process -> process.start(random.split()));
         double[] steps = {0, 3_600_000, -3_600_000, 3_600_000, 0};
         for (int round = 0; round < 2 * steps.length; round++) {
             boolean takeover = round % 2 == 1;
-            world.stepWall(steps[round / 2]);
-            int gains = world.gains;
+            fleet.stepWallClocks(steps[round / 2]);
+            int gains = fleet.gains;
             if (takeover) {
-                world.processes.stream()
+                fleet.processes.stream()
                         .filter(process -> process.isHolding("a"))
                         .forEach(process -> process.paused = true);
             }
-            world.run(4000);
-            world.processes.forEach(process -> process.paused = false);
-            assertThat(world.violations()).isEmpty(); // among them epochs that do not grow
-            assertThat(world.held("a")).isTrue();
-            assertThat(world.gains - gains).as("round " + round).isEqualTo(takeover || round == 0 ? 1 : 0);
+            fleet.run(4000);
+            fleet.processes.forEach(process -> process.paused = false);
+            assertThat(fleet.violations()).isEmpty(); // among them epochs that do not grow
+            assertThat(fleet.isHeld("a")).isTrue();
+            assertThat(fleet.gains - gains).as("round " + round).isEqualTo(takeover || round == 0 ? 1 : 0);
         }
     }
 
     @Test
     void leaseStaysWithItsHolderWithoutFaults() {
         List<String> names = List.of("a", "b", "c", "d", "e", "f", "g", "h");
-        LeaseWalk.Result walked = walk(CORRECT_TIMING, 5, 9, names, false);
-        assertThat(walked.violations()).isEmpty();
-        assertThat(walked.gains()).isEqualTo(names.size());
+        LeaseWalk.Result result = walk(CORRECT_TIMING, 5, 9, names, false);
+        assertThat(result.violations()).isEmpty();
+        assertThat(result.gains()).isEqualTo(names.size());
     }
 
     @Test
-    void findsEachPlantedDefect() {
-        Map<String, LeaseTiming> planted = new HashMap<>();
-        planted.put("no silence after a restart", new LeaseTiming(LEASE_MS, LeaseTiming.MAX_CLOCK_DRIFT) {
+    void detectsEachInjectedDefect() {
+        Map<String, LeaseTiming> defects = new HashMap<>();
+        defects.put("no silence after a restart", new LeaseTiming(LEASE_MS, LeaseTiming.MAX_CLOCK_DRIFT) {
             @Override
             public double startupSilenceMs() {
                 return 0;
             }
         });
-        planted.put(
+        defects.put(
                 "the holder's lease as long as the voters'", new LeaseTiming(LEASE_MS, LeaseTiming.MAX_CLOCK_DRIFT) {
                     @Override
                     public double holderLeaseMs(double leaseMs) {
                         return voterLeaseMs(leaseMs);
                     }
                 });
-        planted.put("the epoch kept by the candidate", new LeaseTiming(LEASE_MS, LeaseTiming.MAX_CLOCK_DRIFT) {
+        defects.put("the epoch kept by the candidate", new LeaseTiming(LEASE_MS, LeaseTiming.MAX_CLOCK_DRIFT) {
             @Override
             public long nextEpoch(long seen, long wallMs) {
                 return seen;
             }
         });
-        planted.put("the lease by the wall clock", new LeaseWorld.ByWallClock(LEASE_MS));
-        planted.put("the check in a timer, not before the act", new LeaseTiming(LEASE_MS, LeaseTiming.MAX_CLOCK_DRIFT) {
+        defects.put("the lease by the wall clock", new SimulatedLeaseFleet.WallClockTiming(LEASE_MS));
+        defects.put("the check in a timer, not before the act", new LeaseTiming(LEASE_MS, LeaseTiming.MAX_CLOCK_DRIFT) {
             @Override
             public boolean permitsAction(double now, double untilMs, double actMs) {
                 return true;
@@ -162,7 +162,7 @@
         });
         assertThat(firstViolations(CORRECT_TIMING, 60)).as("nothing planted").isEmpty();
         List<String> missed = new ArrayList<>();
-        planted.forEach((defect, timing) -> {
+        defects.forEach((defect, timing) -> {
             List<String> found = firstViolations(timing, 60);
             System.out.println("planted: " + defect + ": " + found);
             if (found.isEmpty()) {
--- a/src/test/java/cacheproxy/fleet/lease/ServerReachabilityTest.java
+++ b/src/test/java/cacheproxy/fleet/lease/ServerReachabilityTest.java
@@ -15,7 +15,7 @@
                 .isTrue();
         reachability.recordRemoteReport(60_000);
         assertThat(reachability.isEligible(60_000)).isFalse();
-        reachability.recordLocalReach(60_500);
+        reachability.recordLocalSuccess(60_500);
         assertThat(reachability.isEligible(63_499)).isTrue();
         assertThat(reachability.isEligible(63_501))
                 .as("the report is older than the own success")
@@ -26,7 +26,7 @@
         assertThat(reachability.isEligible(73_601)).as("the report has expired").isTrue();
         // A common outage: reports from just before it do not count.
         ServerReachability all = new ServerReachability(0, 3000, 10_000);
-        all.recordLocalReach(100_000);
+        all.recordLocalSuccess(100_000);
         all.recordRemoteReport(100_900);
         assertThat(all.isEligible(104_000)).isTrue();
         all.recordRemoteReport(103_500);
--- a/src/test/java/cacheproxy/fleet/lease/LeaseWorld.java
+++ b/src/test/java/cacheproxy/fleet/lease/SimulatedLeaseFleet.java
@@ -13,33 +13,33 @@
  * A simulated fleet: processes with a real {@link LeaseManager}, each on its own drifting clock, and the messages
  * between them. Safety is checked in true time.
  */
-final class LeaseWorld {
+final class SimulatedLeaseFleet {
     /** A message in flight. */
     @SuppressWarnings("ArrayRecordComponent") // never compared
-    record Mail(double atMs, long sequence, int from, int to, byte[] bytes) {}
+    record Datagram(double atMs, long sequence, int from, int to, byte[] bytes) {}
 
     /** A process of the fleet. */
-    final class Member {
+    final class SimulatedProcess {
         final int index;
         final String name;
         final long id;
         /** The local clock shows {@code zeroMs + rate * nowMs}. */
-        double rate = 1;
+        double clockRate = 1;
 
-        double zeroMs;
+        double clockOffsetMs;
         boolean paused;
         boolean down;
         LeaseManager manager;
         SplittableRandom random;
 
-        Member(int index) {
+        SimulatedProcess(int index) {
             this.index = index;
             name = "p" + (index + 1);
             id = NameHash.of(name);
         }
 
         double localMs() {
-            return zeroMs + rate * nowMs;
+            return clockOffsetMs + clockRate * nowMs;
         }
 
         void start(SplittableRandom seeded) {
@@ -48,13 +48,13 @@
             manager = new LeaseManager(name, timing, seeded, localMs(), new LeaseListener() {
                 @Override
                 public void send(long to, LeaseMessage message) {
-                    network.send(index, byId.get(to), message.encode());
+                    network.send(index, indexById.get(to), message.encode());
                 }
 
                 @Override
                 public void gained(String lease, long epoch) {
                     gains++;
-                    Long last = epochs.put(lease, epoch);
+                    Long last = lastEpochs.put(lease, epoch);
                     if (last != null && epoch <= last) {
                         reportViolation("epoch " + epoch + " of " + lease + " after " + last);
                     }
@@ -62,7 +62,7 @@
 
                 @Override
                 public void lost(String lease, long epoch, String reason) {
-                    losses.merge(reason, 1, Integer::sum);
+                    lossesByReason.merge(reason, 1, Integer::sum);
                 }
             });
             for (String leaseName : leaseNames) {
@@ -98,11 +98,11 @@
     final LeaseTiming timing;
     final double leaseMs;
     final List<String> leaseNames;
-    final List<Member> processes = new ArrayList<>();
-    final Map<Long, Integer> byId = new HashMap<>();
-    final Map<String, Long> epochs = new HashMap<>();
-    final Map<String, Integer> losses = new HashMap<>();
-    final PriorityQueue<Mail> mail = new PriorityQueue<>((left, right) -> left.atMs != right.atMs
+    final List<SimulatedProcess> processes = new ArrayList<>();
+    final Map<Long, Integer> indexById = new HashMap<>();
+    final Map<String, Long> lastEpochs = new HashMap<>();
+    final Map<String, Integer> lossesByReason = new HashMap<>();
+    final PriorityQueue<Datagram> datagrams = new PriorityQueue<>((left, right) -> left.atMs != right.atMs
             ? Double.compare(left.atMs, right.atMs)
             : Long.compare(left.sequence, right.sequence));
     int voterCount = 5;
@@ -110,33 +110,33 @@
     Network network = (from, to, bytes) -> {};
     double nowMs;
     double wallStepMs;
-    long mailCount;
+    long datagramCount;
     int gains;
     private final List<String> violations = new ArrayList<>();
 
-    LeaseWorld(LeaseTiming timing, double leaseMs, int count, List<String> leaseNames) {
+    SimulatedLeaseFleet(LeaseTiming timing, double leaseMs, int count, List<String> leaseNames) {
         this.timing = timing;
         this.leaseMs = leaseMs;
         this.leaseNames = leaseNames;
         for (int i = 0; i < count; i++) {
-            processes.add(new Member(i));
-            byId.put(NameHash.of("p" + (i + 1)), i);
+            processes.add(new SimulatedProcess(i));
+            indexById.put(NameHash.of("p" + (i + 1)), i);
         }
     }
 
     /** Delivers a message that has been taken out of the mail. */
-    void deliver(Mail letter) {
-        processes.get(letter.to()).receive(letter.from(), letter.bytes());
+    void deliver(Datagram datagram) {
+        processes.get(datagram.to()).receive(datagram.from(), datagram.bytes());
     }
 
     /** Runs for so long in steps of 1 ms. */
     void run(double ms) {
         for (double endMs = nowMs + ms; nowMs < endMs; nowMs++) {
-            while (!mail.isEmpty() && mail.peek().atMs() <= nowMs) {
-                deliver(mail.remove());
+            while (!datagrams.isEmpty() && datagrams.peek().atMs() <= nowMs) {
+                deliver(datagrams.remove());
             }
-            processes.forEach(Member::tick);
-            check();
+            processes.forEach(SimulatedProcess::tick);
+            checkSafety();
         }
     }
 
@@ -148,15 +148,15 @@
     /**
      * The list of peers that each process uses: 0 the old one, 1 both, 2 the new one; null while it does not change.
      */
-    int[] stage;
+    int[] peerListStage;
 
     List<String> oldList;
     List<String> newList;
 
     /** One process takes the next list of peers. */
-    void advance(int index, int to) {
-        stage[index] = to;
-        Member process = processes.get(index);
+    void advancePeerList(int index, int to) {
+        peerListStage[index] = to;
+        SimulatedProcess process = processes.get(index);
         if (!process.down) {
             leaseNames.forEach(
                     lease -> process.manager.campaign(lease, leaseMs, voterSet(index, lease), process.localMs()));
@@ -169,31 +169,32 @@
 
     VoterSet voterSet(int index, String lease) {
         return voterSets.computeIfAbsent(
-                (stage == null ? -1 : stage[index]) + lease,
-                key -> stage == null
+                (peerListStage == null ? -1 : peerListStage[index]) + lease,
+                key -> peerListStage == null
                         ? new VoterSet(
                                 lease,
                                 processes.stream().map(process -> process.name).toList(),
                                 List.of(),
                                 voterCount)
-                        : stage[index] == 0
+                        : peerListStage[index] == 0
                                 ? new VoterSet(lease, oldList, List.of(), voterCount)
-                                : new VoterSet(lease, newList, stage[index] == 1 ? oldList : List.of(), voterCount));
+                                : new VoterSet(
+                                        lease, newList, peerListStage[index] == 1 ? oldList : List.of(), voterCount));
     }
 
     /** Sets by how much all wall clocks are off. */
-    void stepWall(double ms) {
+    void stepWallClocks(double ms) {
         wallStepMs = ms;
-        if (timing instanceof ByWallClock byWallClock) {
+        if (timing instanceof WallClockTiming byWallClock) {
             byWallClock.stepMs = ms;
         }
     }
 
     /** A planted defect: the holder measures its lease by the wall clock. */
-    static final class ByWallClock extends LeaseTiming {
+    static final class WallClockTiming extends LeaseTiming {
         double stepMs;
 
-        ByWallClock(double longestMs) {
+        WallClockTiming(double longestMs) {
             super(longestMs, MAX_CLOCK_DRIFT);
         }
 
@@ -218,20 +219,20 @@
     /**
      * At most one process may act under a lease, and while it may, a majority of the voters reserves the lease for it.
      */
-    void check() {
+    void checkSafety() {
         for (String lease : leaseNames) {
             int holders = 0;
-            for (Member process : processes) {
+            for (SimulatedProcess process : processes) {
                 if (process.isHolding(lease)) {
                     holders++;
                     Set<Long> reserving = new HashSet<>();
-                    for (Member voter : processes) {
+                    for (SimulatedProcess voter : processes) {
                         if (voter.down || voter.manager.reservesFor(voter.localMs(), lease, process.id)) {
                             reserving.add(voter.id);
                         }
                     }
                     // While the list changes, a grant may stem from the list before the one that the holder uses now.
-                    boolean isReserved = stage == null
+                    boolean isReserved = peerListStage == null
                             ? voterSet(process.index, lease).isMajority(reserving)
                             : voterSetOf(lease, oldList).isMajority(reserving)
                                     || voterSetOf(lease, newList).isMajority(reserving);
@@ -251,7 +252,7 @@
         }
     }
 
-    boolean held(String lease) {
+    boolean isHeld(String lease) {
         return processes.stream().anyMatch(process -> process.isHolding(lease));
     }
 }
--- a/src/test/java/cacheproxy/fleet/membership/MembershipGoldenBytesTest.java
+++ b/src/test/java/cacheproxy/fleet/membership/MembershipGoldenBytesTest.java
@@ -30,8 +30,8 @@
     private static void assertBytes(SwimMessageKind kind, String code) {
         byte[] golden = HexBytes.parse(code + "0102030405060708 f1f2f3f4f5f6f7f8 00");
         SwimMessage message = new SwimMessage(kind, NUMBER, PEER, List.of());
-        assertThat(message.bytes()).isEqualTo(golden);
-        assertThat(SwimMessage.of(golden)).isEqualTo(message);
+        assertThat(message.encode()).isEqualTo(golden);
+        assertThat(SwimMessage.decode(golden)).isEqualTo(message);
     }
 
     @Test
@@ -46,8 +46,8 @@
                         new MemberUpdate(1, MemberStatus.ALIVE, 0),
                         new MemberUpdate(PEER, MemberStatus.SUSPECT, 42),
                         new MemberUpdate(3, MemberStatus.DEAD, Integer.MAX_VALUE)));
-        assertThat(message.bytes()).isEqualTo(golden);
-        assertThat(SwimMessage.of(golden)).isEqualTo(message);
+        assertThat(message.encode()).isEqualTo(golden);
+        assertThat(SwimMessage.decode(golden)).isEqualTo(message);
     }
 
     @Test
@@ -59,15 +59,15 @@
                 NUMBER,
                 PEER,
                 Collections.nCopies(SwimMessage.MAX_UPDATES, new MemberUpdate(PEER, MemberStatus.SUSPECT, 7)));
-        assertThat(message.bytes()).isEqualTo(golden);
-        assertThat(SwimMessage.of(golden)).isEqualTo(message);
+        assertThat(message.encode()).isEqualTo(golden);
+        assertThat(SwimMessage.decode(golden)).isEqualTo(message);
     }
 
     @ParameterizedTest
     @CsvSource({"false,00,0000019412345678", "true,01,0000000000000000"})
-    void watchVersionMessageHasGoldenBytes(boolean later, String code, String epochBytes) {
+    void watchVersionMessageHasGoldenBytes(boolean correction, String code, String epochBytes) {
         byte[] golden = HexBytes.parse(code + "f1f2f3f4f5f6f7f8" + epochBytes + "000000000000002a ffffffffffffffff");
-        WatchVersionMessage message = new WatchVersionMessage(later, PEER, Long.parseLong(epochBytes, 16), 42, -1);
+        WatchVersionMessage message = new WatchVersionMessage(correction, PEER, Long.parseLong(epochBytes, 16), 42, -1);
         assertThat(message.encode()).isEqualTo(golden);
         assertThat(WatchVersionMessage.decode(golden)).isEqualTo(message);
     }
--- a/src/test/java/cacheproxy/fleet/membership/SwimMembershipTest.java
+++ b/src/test/java/cacheproxy/fleet/membership/SwimMembershipTest.java
@@ -59,12 +59,12 @@
 
         void send(int from, int to, SwimMessage message) {
             sent++;
-            assertThat(message.bytes().length).isLessThanOrEqualTo(213);
+            assertThat(message.encode().length).isLessThanOrEqualTo(213);
             if (!crashed.contains(from)
                     && random.nextDouble() >= lossProbability
                     && !partitioned.contains(from)
                     && !partitioned.contains(to)) {
-                inFlight.add(new Datagram(nowMs + 0.2 + 2 * random.nextDouble(), sent, from, to, message.bytes()));
+                inFlight.add(new Datagram(nowMs + 0.2 + 2 * random.nextDouble(), sent, from, to, message.encode()));
             }
         }
 
@@ -81,7 +81,7 @@
                                 datagram.to,
                                 datagram.bytes)); // it stays in the socket buffer
                     } else if (!crashed.contains(datagram.to)) {
-                        members.get(datagram.to).receive(nowMs, datagram.from + 1, SwimMessage.of(datagram.bytes));
+                        members.get(datagram.to).receive(nowMs, datagram.from + 1, SwimMessage.decode(datagram.bytes));
                     }
                 }
                 for (int i = 0; i < dueMs.length; i++) {
@@ -92,7 +92,7 @@
             }
         }
 
-        long countSaying(int index, MemberStatus status) {
+        long countReporting(int index, MemberStatus status) {
             return ids.stream()
                     .filter(i -> i != index + 1
                             && !crashed.contains(i.intValue() - 1)
@@ -107,7 +107,7 @@
         SimulatedFleet simulation = new SimulatedFleet(50, 1);
         simulation.runUntil(60_000);
         for (int i = 0; i < 50; i++) {
-            assertThat(simulation.countSaying(i, MemberStatus.ALIVE)).isEqualTo(49);
+            assertThat(simulation.countReporting(i, MemberStatus.ALIVE)).isEqualTo(49);
         }
         assertThat(simulation.sent / 60.0 / 50).as("messages a second each").isLessThan(4.5);
     }
@@ -121,12 +121,12 @@
             // With few members a process lowers its own health as well, and waits up to eight times as long.
             double longest = count < 4 ? 90_000 : 40_000;
             simulation.runUntil(5000 + longest);
-            assertThat(simulation.countSaying(0, MemberStatus.DEAD))
+            assertThat(simulation.countReporting(0, MemberStatus.DEAD))
                     .as("of " + count)
                     .isEqualTo(count - 1);
             simulation.start(0);
             simulation.runUntil(5000 + 2 * longest);
-            assertThat(simulation.countSaying(0, MemberStatus.ALIVE))
+            assertThat(simulation.countReporting(0, MemberStatus.ALIVE))
                     .as("of " + count)
                     .isEqualTo(count - 1);
         }
@@ -146,8 +146,8 @@
                                 SwimMessageKind.NACK, 0, 0, List.of(new MemberUpdate(1, MemberStatus.SUSPECT, 0))));
         assertThat(simulation.members.get(1).statusOf(1)).isEqualTo(MemberStatus.SUSPECT);
         simulation.runUntil(12_000);
-        assertThat(simulation.countSaying(0, MemberStatus.ALIVE)).isEqualTo(7);
-        assertThat(simulation.countSaying(0, MemberStatus.DEAD)).isZero();
+        assertThat(simulation.countReporting(0, MemberStatus.ALIVE)).isEqualTo(7);
+        assertThat(simulation.countReporting(0, MemberStatus.DEAD)).isZero();
     }
 
     /** A stalled process is dead to the others, and accuses nobody when it continues. */
@@ -157,13 +157,13 @@
         simulation.runUntil(4000);
         simulation.stalled.add(3);
         simulation.runUntil(44_000);
-        assertThat(simulation.countSaying(3, MemberStatus.DEAD)).isEqualTo(11);
+        assertThat(simulation.countReporting(3, MemberStatus.DEAD)).isEqualTo(11);
         simulation.stalled.remove(3);
         simulation.runUntil(44_100);
         assertThat(simulation.members.get(3).localHealthScore()).isPositive();
         simulation.runUntil(80_000);
         for (int i = 0; i < 12; i++) {
-            assertThat(simulation.countSaying(i, MemberStatus.ALIVE))
+            assertThat(simulation.countReporting(i, MemberStatus.ALIVE))
                     .as("about " + i)
                     .isEqualTo(11);
         }
@@ -177,14 +177,14 @@
         for (double untilMs = 2000; untilMs < 60_000; untilMs += 2000) {
             simulation.runUntil(untilMs);
             for (int i = 0; i < 30; i++) {
-                wrong += (int) simulation.countSaying(i, MemberStatus.DEAD);
+                wrong += (int) simulation.countReporting(i, MemberStatus.DEAD);
             }
         }
         assertThat(wrong / (29.0 * 30 * 29)).as("part of all observations").isLessThan(0.04);
         simulation.lossProbability = 0;
         simulation.runUntil(90_000);
         for (int i = 0; i < 30; i++) {
-            assertThat(simulation.countSaying(i, MemberStatus.ALIVE)).isEqualTo(29);
+            assertThat(simulation.countReporting(i, MemberStatus.ALIVE)).isEqualTo(29);
         }
     }
 
@@ -194,11 +194,11 @@
         simulation.runUntil(2000);
         simulation.partitioned.add(5);
         simulation.runUntil(50_000);
-        assertThat(simulation.countSaying(5, MemberStatus.DEAD)).isEqualTo(9);
+        assertThat(simulation.countReporting(5, MemberStatus.DEAD)).isEqualTo(9);
         simulation.partitioned.clear();
         simulation.runUntil(90_000);
         for (int i = 0; i < 10; i++) {
-            assertThat(simulation.countSaying(i, MemberStatus.ALIVE))
+            assertThat(simulation.countReporting(i, MemberStatus.ALIVE))
                     .as("about " + i)
                     .isEqualTo(9);
         }
@@ -208,13 +208,13 @@
     void rejectsTruncatedMessagesAndBoundsRelayedPings() {
         List<MemberUpdate> updates = new ArrayList<>();
         for (int i = 0; i < SwimMessage.MAX_UPDATES; i++) {
-            updates.add(new MemberUpdate(i, MemberStatus.ofWireCode((byte) (i % 3)), i));
+            updates.add(new MemberUpdate(i, MemberStatus.fromWireCode((byte) (i % 3)), i));
         }
         SwimMessage message = new SwimMessage(SwimMessageKind.PING_REQUEST, 5, 6, updates);
-        byte[] bytes = message.bytes();
-        assertThat(SwimMessage.of(bytes)).isEqualTo(message);
+        byte[] bytes = message.encode();
+        assertThat(SwimMessage.decode(bytes)).isEqualTo(message);
         for (int cut = 0; cut < bytes.length; cut++) {
-            assertThat(SwimMessage.of(Arrays.copyOf(bytes, cut))).isNull();
+            assertThat(SwimMessage.decode(Arrays.copyOf(bytes, cut))).isNull();
         }
         SimulatedFleet simulation = new SimulatedFleet(4, 1);
         SplittableRandom random = new SplittableRandom(3);
@@ -226,7 +226,7 @@
                     .receive(0, 2, new SwimMessage(SwimMessageKind.PING_REQUEST, random.nextLong(), 3, List.of()));
             byte[] corrupted = bytes.clone();
             corrupted[random.nextInt(corrupted.length)] ^= (byte) (1 + random.nextInt(255));
-            SwimMessage decoded = SwimMessage.of(corrupted);
+            SwimMessage decoded = SwimMessage.decode(corrupted);
             if (decoded != null) {
                 simulation.members.get(0).receive(0, 2, decoded);
             }
--- a/src/test/java/cacheproxy/fleet/peer/PeersGoldenBytesTest.java
+++ b/src/test/java/cacheproxy/fleet/peer/PeersGoldenBytesTest.java
@@ -82,8 +82,8 @@
 
     @Test
     void peerListMessageHasGoldenBytes() {
-        assertThat(transition(OLD_LIST, Set.of()).message()).isEqualTo(OLD_LIST_MESSAGE);
-        assertThat(transition(NEW_LIST, OLD_LIST).message()).isEqualTo(CHANGING_LIST_MESSAGE);
+        assertThat(transition(OLD_LIST, Set.of()).encodeReport()).isEqualTo(OLD_LIST_MESSAGE);
+        assertThat(transition(NEW_LIST, OLD_LIST).encodeReport()).isEqualTo(CHANGING_LIST_MESSAGE);
         assertThat(relationTo(transition(OLD_LIST, Set.of()), OLD_LIST_MESSAGE)).isEqualTo(PeerListRelation.SAME);
         assertThat(relationTo(transition(NEW_LIST, OLD_LIST), CHANGING_LIST_MESSAGE))
                 .isEqualTo(PeerListRelation.SAME);
@@ -94,9 +94,9 @@
         assertThat(relationTo(transition(NEW_LIST, Set.of()), OLD_LIST_MESSAGE)).isEqualTo(PeerListRelation.DIFFERENT);
     }
 
-    private static PeerListTransition transition(Set<String> list, Set<String> leaving) {
+    private static PeerListTransition transition(Set<String> list, Set<String> previousList) {
         PeerListTransition transition = new PeerListTransition();
-        transition.update(list, leaving, Set.of(SENDER));
+        transition.update(list, previousList, Set.of(SENDER));
         return transition;
     }
 
--- a/src/test/java/cacheproxy/fleet/quota/QuotaWalkTest.java
+++ b/src/test/java/cacheproxy/fleet/quota/QuotaWalkTest.java
@@ -48,7 +48,7 @@
     }
 
     @Test
-    void noFaultsPushAFleetOverItsBound() {
+    void randomFaultsDoNotExceedOvershootBound() {
         double[] excess = IntStream.range(0, WALKS)
                 .parallel()
                 .mapToDouble(seed -> excessOverBound(RandomQuotaPlan.of(seed, TIMING)))
@@ -84,14 +84,14 @@
 
     /** The bound holds with correct timing and is exceeded with the planted defect. */
     private static void assertDefectIsFound(
-            QuotaTiming right,
-            QuotaTiming planted,
+            QuotaTiming correct,
+            QuotaTiming defective,
             QuotaSpec.IsolationPolicy whenIsolated,
             int first,
             Fault... faults) {
-        assertThat(excessOverBound(targetedPlan(right, whenIsolated, first, faults)))
+        assertThat(excessOverBound(targetedPlan(correct, whenIsolated, first, faults)))
                 .isLessThanOrEqualTo(0);
-        assertThat(excessOverBound(targetedPlan(planted, whenIsolated, first, faults)))
+        assertThat(excessOverBound(targetedPlan(defective, whenIsolated, first, faults)))
                 .isPositive();
     }
 
@@ -131,13 +131,13 @@
                 TIMING,
                 new QuotaTiming(600, 0.01) {
                     @Override
-                    public double donorKeepsMs(QuotaSpec spec) {
+                    public double donationWithheldMs(QuotaSpec spec) {
                         return 50;
                     }
 
                     @Override
                     public double startupSilenceMs(QuotaSpec spec) {
-                        return super.donorKeepsMs(spec);
+                        return super.donationWithheldMs(spec);
                     }
                 },
                 QuotaSpec.IsolationPolicy.SHARE,
@@ -240,8 +240,8 @@
 
     @Test
     void corruptedMessagesAndManyDonationsStayWithinBounds() {
-        OutstandingGrants owed = new OutstandingGrants(true);
-        OutstandingGrants counted = new OutstandingGrants(false);
+        OutstandingAmounts owed = new OutstandingAmounts(true);
+        OutstandingAmounts counted = new OutstandingAmounts(false);
         for (int i = 0; i < 100; i++) {
             owed.add(1000 - i, 10 + i);
             counted.add(1000 - i, 10 + i);
@@ -307,15 +307,16 @@
         manager.configure(List.of(), List.of(LeaseHandle.UNHELD), List.of(1L, 2L), 2, false, true, 10);
         manager.configure(List.of(spec), List.of(LeaseHandle.UNHELD), List.of(1L, 2L), 2, false, true, 20);
         assertThat(manager.localQuota("l").owned(30)).isZero();
-        assertThat(manager.localQuota("l").owned(TIMING.donorKeepsMs(spec))).isZero();
-        assertThat(manager.localQuota("l").owned(21 + TIMING.donorKeepsMs(spec)))
+        assertThat(manager.localQuota("l").owned(TIMING.donationWithheldMs(spec)))
+                .isZero();
+        assertThat(manager.localQuota("l").owned(21 + TIMING.donationWithheldMs(spec)))
                 .isEqualTo(50);
         QuotaSpec other = new QuotaSpec("l", true, 10, 0, QuotaSpec.IsolationPolicy.SHARE, 1, 500);
         manager.configure(List.of(other), List.of(LeaseHandle.UNHELD), List.of(1L, 2L), 2, false, true, 5000);
         assertThat(manager.localQuota("l").capacity(5001))
                 .as("a quota of another kind")
                 .isZero();
-        assertThat(manager.localQuota("l").capacity(5001 + TIMING.donorKeepsMs(other)))
+        assertThat(manager.localQuota("l").capacity(5001 + TIMING.donationWithheldMs(other)))
                 .isEqualTo(5);
     }
 
@@ -397,10 +398,10 @@
         assertThat(joins.owned(100)).isZero();
         joins.configure(spec, spec.staticShare(3), 200); // the new list alone
         assertThat(joins.owned(201)).isZero();
-        assertThat(joins.owned(201 + TIMING.donorKeepsMs(spec))).isEqualTo(40);
+        assertThat(joins.owned(201 + TIMING.donationWithheldMs(spec))).isEqualTo(40);
         stays.configure(spec, spec.staticShare(2), 5000); // one has left: not at once
         assertThat(stays.owned(5001)).isEqualTo(40);
-        assertThat(stays.owned(5001 + TIMING.donorKeepsMs(spec))).isEqualTo(60);
+        assertThat(stays.owned(5001 + TIMING.donationWithheldMs(spec))).isEqualTo(60);
         QuotaSpec lower = new QuotaSpec("l", false, 60, 0, QuotaSpec.IsolationPolicy.SHARE, 1, 0);
         stays.configure(lower, lower.staticShare(2), 9000);
         assertThat(stays.owned(9000)).as("a lower quota applies at once").isEqualTo(30);
--- a/src/test/java/cacheproxy/fleet/quota/RandomQuotaPlan.java
+++ b/src/test/java/cacheproxy/fleet/quota/RandomQuotaPlan.java
@@ -79,17 +79,17 @@
     }
 
     private Fault fault() {
-        FaultKind trouble = FAULT_KINDS.get(random.nextInt(FAULT_KINDS.size()));
+        FaultKind kind = FAULT_KINDS.get(random.nextInt(FAULT_KINDS.size()));
         double fraction = random.nextInt(4) == 0 ? 0.9 : 0.3;
         List<Integer> affected = IntStream.range(0, proxies)
                 .filter(proxy -> random.nextDouble() < fraction)
                 .boxed()
                 .toList();
-        double figure = trouble == FaultKind.DELAY ? delayMs() : random.nextDouble() * MAX_LOSS_RATE;
+        double parameter = kind == FaultKind.DELAY ? delayMs() : random.nextDouble() * MAX_LOSS_RATE;
         double fromMs = 500 + random.nextDouble() * 7000;
         double position = random.nextDouble();
         double forMs = 50 + position * (random.nextInt(3) == 0 ? 5000 : 1200);
-        return new Fault(trouble, fromMs, forMs, affected, figure);
+        return new Fault(kind, fromMs, forMs, affected, parameter);
     }
 
     private double delayMs() {
