--- a/src/main/java/cacheproxy/daemon/ConfigSnapshot.java
+++ b/src/main/java/cacheproxy/daemon/ConfigSnapshot.java
@@ -43,13 +43,14 @@
 
     private final IdentityHashMap<Route, List<PoolRuntime>> chains = new IdentityHashMap<>();
 
-    ConfigSnapshot(DaemonConfig file, Map<String, PoolRuntime> pools, RequestValidator intake, Subsystems subsystems) {
+    ConfigSnapshot(
+            DaemonConfig file, Map<String, PoolRuntime> pools, RequestValidator validator, Subsystems subsystems) {
         this.file = file;
         FleetCoordination fleet = subsystems.get(FleetCoordination.class);
         quotas = fleet == null ? null : fleet.quotas();
         siblings = SiblingsConfig.of(file);
         this.pools = pools;
-        this.requestValidator = intake;
+        this.requestValidator = validator;
         HookSubsystem hookSubsystem = subsystems.get(HookSubsystem.class);
         executors = hookSubsystem == null ? List.of() : hookSubsystem.executors();
         file.routes().routes().forEach(route -> routesByName.put(route.name(), route));
@@ -58,12 +59,12 @@
                 file.tenants().stream().map(tenant -> tenant.name()).toList(),
                 routesByName.keySet());
         for (ListenerConfig listener : file.listeners()) {
-            List<HookExecutor> own = executors.stream()
+            List<HookExecutor> listenerHooks = executors.stream()
                     .filter(executor -> executor.config.listeners().isEmpty()
                             || executor.config.listeners().contains(listener.name()))
                     .toList();
-            if (!own.isEmpty()) {
-                hooksOfListener.put(listener.name(), own);
+            if (!listenerHooks.isEmpty()) {
+                hooksOfListener.put(listener.name(), listenerHooks);
             }
         }
         for (Route route : file.routes().routes()) {
@@ -81,7 +82,7 @@
     }
 
     /** Ends its hooks; no request uses it any more. */
-    void end() {
+    void stopHooks() {
         executors.forEach(HookExecutor::stop);
     }
 
--- a/src/main/java/cacheproxy/daemon/Daemon.java
+++ b/src/main/java/cacheproxy/daemon/Daemon.java
@@ -36,8 +36,8 @@
     /** Connections are still accepted for this time after SIGTERM, until clients have seen the status. */
     private static final double ACCEPT_AFTER_SIGTERM_MS = 500;
 
-    private static final long CLIENT_SWEEP_MS = 250;
-    private static final long COLLECT_MS = 20;
+    private static final long CLIENT_SWEEP_INTERVAL_MS = 250;
+    private static final long COLLECT_INTERVAL_MS = 20;
 
     private final PollClock polls = new PollClock();
     private final MultiThreadIoEventLoopGroup group =
@@ -133,8 +133,10 @@
     @SuppressWarnings("FutureReturnValueIgnored")
     private void startPeriodicTasks() {
         core.addServerObserver(new ServerRestartObserver(core, serverStarts, subsystems, router::configuration));
-        loop.scheduleWithFixedDelay(clients::closeStalled, CLIENT_SWEEP_MS, CLIENT_SWEEP_MS, TimeUnit.MILLISECONDS);
-        loop.scheduleWithFixedDelay(this::collectUnused, COLLECT_MS, COLLECT_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(
+                clients::closeStalled, CLIENT_SWEEP_INTERVAL_MS, CLIENT_SWEEP_INTERVAL_MS, TimeUnit.MILLISECONDS);
+        loop.scheduleWithFixedDelay(
+                this::collectUnused, COLLECT_INTERVAL_MS, COLLECT_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
     /** Sets what {@code POST /reload} of the control address does; it must not block. */
@@ -166,7 +168,7 @@
     }
 
     /** Pending requests, those of earlier configurations among them. */
-    public int inHand() {
+    public int pendingRequests() {
         return onLoop(() -> router.configuration().pendingRequests + retired.pendingRequests());
     }
 
@@ -186,7 +188,7 @@
     }
 
     /** Pools in use, retired ones among them; for tests. */
-    int poolsAtWork() {
+    int poolCount() {
         return onLoop(() -> router.configuration().pools.size() + retired.poolCount());
     }
 
@@ -293,9 +295,9 @@
         loop.submit(() -> {
                     if (router.configuration() != null) {
                         router.configuration().pools.values().forEach(pool -> pool.dispatcher.stop());
-                        router.configuration().end();
+                        router.configuration().stopHooks();
                     }
-                    retired.end();
+                    retired.stopHooks();
                     subsystems.close();
                 })
                 .syncUninterruptibly();
--- a/src/main/java/cacheproxy/daemon/FleetCoordination.java
+++ b/src/main/java/cacheproxy/daemon/FleetCoordination.java
@@ -23,7 +23,7 @@
     void attemptEnded(Dispatcher pool, int server, AttemptOutcome outcome);
 
     /** Returns whether this proxy itself long-polls discovery for a pool. */
-    boolean watchesClosely(String pool);
+    boolean shouldLongPoll(String pool);
 
     /** Reports the version of an endpoint list that has arrived for a pool. */
     void listReceived(String pool, long version);
--- a/src/main/java/cacheproxy/daemon/IcpResponder.java
+++ b/src/main/java/cacheproxy/daemon/IcpResponder.java
@@ -22,7 +22,7 @@
     /** Longest key of the protocol. */
     private static final int MAX_KEY_CHARS = 250;
     /** Unknown addresses whose denials are counted. */
-    private static final int MAX_STRANGERS = 1024;
+    private static final int MAX_UNKNOWN_ADDRESSES = 1024;
 
     private final IcpConfig icp;
     private final EventLoopContext core;
@@ -31,7 +31,7 @@
     /** Its routes and pools decide the answers. */
     private final Supplier<ConfigSnapshot> configuration;
 
-    private final DenialLimiter<InetSocketAddress> denials = new DenialLimiter<>(MAX_STRANGERS);
+    private final DenialLimiter<InetSocketAddress> denials = new DenialLimiter<>(MAX_UNKNOWN_ADDRESSES);
 
     IcpResponder(
             IcpConfig icp,
@@ -83,11 +83,11 @@
         if (pool.dispatcher.isOverloaded()) {
             return Opcode.MISS_NOFETCH;
         }
-        long number = RequestValidator.keyHash(poolKey);
-        if (!digest.contains(core.nowMs(), number)) {
+        long keyHash = RequestValidator.keyHash(poolKey);
+        if (!digest.contains(core.nowMs(), keyHash)) {
             return Opcode.MISS;
         }
-        int server = digest.serverOf(number);
+        int server = digest.serverOf(keyHash);
         return pool.hasServer(server) && pool.dispatcher.isHealthy(server) ? Opcode.HIT : Opcode.MISS;
     }
 }
--- a/src/main/java/cacheproxy/daemon/LearnedStates.java
+++ b/src/main/java/cacheproxy/daemon/LearnedStates.java
@@ -28,13 +28,13 @@
     }
 
     /** The state that a pool hands to the one that replaces it. */
-    static LearnedStateProvider handOver(DaemonConfig file, PoolConfig pool, PoolRuntime from, double nowMs) {
+    static LearnedStateProvider providerFrom(DaemonConfig file, PoolConfig pool, PoolRuntime previous, double nowMs) {
         StateSnapshot snapshot = new StateSnapshot(
                 file.site().name(),
                 file.site().proxyIndex(),
                 nowMs,
                 0,
-                Map.of(pool.name(), from.learned(Integer.MAX_VALUE)),
+                Map.of(pool.name(), previous.learned(Integer.MAX_VALUE)),
                 List.of());
         return providerOf(snapshot, 1, file, pool);
     }
@@ -49,11 +49,11 @@
         String keyScheme = PoolSettings.keyScheme(file, pool);
         return (nowMs, servers) -> {
             List<CurrentServer> present = new ArrayList<>();
-            for (ListedServer host : servers) {
+            for (ListedServer server : servers) {
                 present.add(new CurrentServer(
-                        host.endpoint().id(),
-                        Addresses.text(host.address()),
-                        host.endpoint().startedMs()));
+                        server.endpoint().id(),
+                        Addresses.text(server.address()),
+                        server.endpoint().startedMs()));
             }
             return snapshot.restore(pool.name(), keyScheme, nowMs, trust, present);
         };
--- a/src/main/java/cacheproxy/daemon/ListenerSet.java
+++ b/src/main/java/cacheproxy/daemon/ListenerSet.java
@@ -78,7 +78,7 @@
                 continue;
             }
             Listener listener =
-                    new Listener(core, clients, router.from(config.name()), protocols.protocolOf(file, config));
+                    new Listener(core, clients, router.handlerFor(config.name()), protocols.protocolOf(file, config));
             reserved.put(config.name(), listener);
             try {
                 listener.reserve(config.address());
@@ -100,7 +100,8 @@
             configured.add(config.name());
             Listener listener = reserved.get(config.name());
             if (listener == null) {
-                byName.get(config.name()).reconfigure(router.from(config.name()), protocols.protocolOf(file, config));
+                byName.get(config.name())
+                        .reconfigure(router.handlerFor(config.name()), protocols.protocolOf(file, config));
                 continue;
             }
             drain(byName.put(config.name(), listener));
--- a/src/main/java/cacheproxy/daemon/PoolFleetLink.java
+++ b/src/main/java/cacheproxy/daemon/PoolFleetLink.java
@@ -49,7 +49,7 @@
     @Override
     public boolean shouldLongPoll() {
         FleetCoordination fleet = fleet();
-        return fleet == null || fleet.watchesClosely(pool);
+        return fleet == null || fleet.shouldLongPoll(pool);
     }
 
     @Override
--- a/src/main/java/cacheproxy/daemon/PoolRuntime.java
+++ b/src/main/java/cacheproxy/daemon/PoolRuntime.java
@@ -81,7 +81,7 @@
         dispatcher.restoreFrom(learnedState);
         SiblingSocket siblings = context.subsystems().get(SiblingSocket.class);
         if (siblings != null) {
-            PoolSiblings poolSiblings = siblings.of(config);
+            PoolSiblings poolSiblings = siblings.siblingsOf(config);
             dispatcher.useSiblings(poolSiblings, poolSiblings);
         }
         dispatcher.delegateHealthChecks(fleet);
@@ -153,17 +153,17 @@
     /** Adopts the servers and bounds of a configuration that it fits. */
     void apply(DaemonConfig next) {
         PoolConfig pool = next.pools().get(name);
-        boolean sameGate = pool.maxPending() == config.maxPending()
+        boolean sameLimits = pool.maxPending() == config.maxPending()
                 && pool.maxRequestsPerSecond() == config.maxRequestsPerSecond();
-        boolean sameRetries =
+        boolean sameRetryBudget =
                 pool.retryRatio() == config.retryRatio() && pool.guaranteedRetries() == config.guaranteedRetries();
         file = next;
         config = pool;
         keyHash = PoolSettings.keyHash(pool);
-        if (!sameGate) {
+        if (!sameLimits) {
             limiter = new PoolLimiter(config.maxPending(), config.maxRequestsPerSecond());
         }
-        if (!sameRetries) {
+        if (!sameRetryBudget) {
             admission.setRetryBudget(retryBudget(config));
         }
         if (config.discovery() == null) {
@@ -175,13 +175,13 @@
     void applyServerList() {
         backupServers.clear();
         config.servers().stream().filter(ServerConfig::backup).forEach(server -> backupServers.add(server.id()));
-        dispatcher.endpointListReceived(EndpointListKind.FULL, hosts(server -> true));
+        dispatcher.endpointListReceived(EndpointListKind.FULL, listedServers(server -> true));
     }
 
     /** Restricts pending requests to these servers. */
-    void restrictTo(IntPredicate server) {
+    void restrictTo(IntPredicate wanted) {
         if (config.discovery() == null) {
-            dispatcher.endpointListReceived(EndpointListKind.FULL, hosts(server));
+            dispatcher.endpointListReceived(EndpointListKind.FULL, listedServers(wanted));
         }
     }
 
@@ -190,19 +190,19 @@
         return PoolSettings.allServers(config).stream().anyMatch(server -> server.id() == id);
     }
 
-    private List<ListedServer> hosts(IntPredicate wanted) {
-        List<ListedServer> hosts = new ArrayList<>();
+    private List<ListedServer> listedServers(IntPredicate wanted) {
+        List<ListedServer> listed = new ArrayList<>();
         for (ServerConfig server : PoolSettings.allServers(config)) {
             if (!server.down() && wanted.test(server.id())) {
-                Endpoint member = PoolSettings.member(file, config, server, startTimes.startMs(server.id()));
-                hosts.add(new ListedServer(member, server.address()));
+                Endpoint member = PoolSettings.endpointOf(file, config, server, startTimes.startMs(server.id()));
+                listed.add(new ListedServer(member, server.address()));
             }
         }
         for (String server : config.siblings()) {
             SiblingConfig sibling = SiblingsConfig.of(file).sibling(server);
-            hosts.add(new ListedServer(PoolSettings.sibling(config, sibling), sibling.fetchAddress()));
+            listed.add(new ListedServer(PoolSettings.siblingEndpoint(config, sibling), sibling.fetchAddress()));
         }
-        return hosts;
+        return listed;
     }
 
     /** Admits a request and returns 0, or returns the milliseconds after which to retry. */
--- a/src/main/java/cacheproxy/daemon/PoolSettings.java
+++ b/src/main/java/cacheproxy/daemon/PoolSettings.java
@@ -142,7 +142,7 @@
     }
 
     /** A server as a member of the policy's list; {@code startMs} is 0 if it started long ago. */
-    static Endpoint member(DaemonConfig file, PoolConfig pool, ServerConfig server, double startMs) {
+    static Endpoint endpointOf(DaemonConfig file, PoolConfig pool, ServerConfig server, double startMs) {
         boolean origin = server.equals(pool.origin());
         List<String> kinds = kinds(pool);
         return new Endpoint(
@@ -156,8 +156,8 @@
     }
 
     /** A sibling as a member of the policy's list. */
-    static Endpoint sibling(PoolConfig pool, SiblingConfig server) {
-        return new Endpoint(server.id(), 0, kinds(pool).indexOf(SIBLING_KIND), 0, EndpointState.READY, 1, 0);
+    static Endpoint siblingEndpoint(PoolConfig pool, SiblingConfig sibling) {
+        return new Endpoint(sibling.id(), 0, kinds(pool).indexOf(SIBLING_KIND), 0, EndpointState.READY, 1, 0);
     }
 
     /** The placement that the pool is configured with. */
@@ -173,15 +173,15 @@
     static KeyHash keyHash(PoolConfig pool) {
         boolean carp = pool.placement().equals(PlacementRegistry.CARP);
         PlacementTemplate poolTemplate = pool.placeBy() == null ? PlacementTemplate.KEY : pool.placeBy();
-        return (server, route, poolKey) -> {
+        return (input, route, poolKey) -> {
             PlacementTemplate template = route.placeBy() == null ? poolTemplate : route.placeBy();
             if (carp) {
                 return RequestValidator.keyHash(
                         template.equals(PlacementTemplate.KEY)
                                 ? poolKey
-                                : new String(template.hashInput(server, route, poolKey), StandardCharsets.ISO_8859_1));
+                                : new String(template.hashInput(input, route, poolKey), StandardCharsets.ISO_8859_1));
             }
-            byte[] text = template.hashInput(server, route, poolKey);
+            byte[] text = template.hashInput(input, route, poolKey);
             // For an empty text nginx uses round robin; the key spreads such requests as well.
             return PlacementKey.fromText(text.length > 0 ? text : poolKey.getBytes(StandardCharsets.ISO_8859_1));
         };
@@ -206,7 +206,7 @@
                     backups.add(server.id());
                 }
                 if (!server.down() && !server.drain()) {
-                    ready.add(member(file, pool, server, 0));
+                    ready.add(endpointOf(file, pool, server, 0));
                 }
             }
             ready.sort((first, second) -> Integer.compareUnsigned(first.id(), second.id()));
--- a/src/main/java/cacheproxy/daemon/PoolSiblings.java
+++ b/src/main/java/cacheproxy/daemon/PoolSiblings.java
@@ -78,12 +78,12 @@
     @Override
     public void readCompleted(String key, int server, boolean found) {
         if (!indexById.containsKey(server)) {
-            socket.read(key, server, found);
+            socket.readCompleted(key, server, found);
         }
     }
 
     @Override
     public void writeCompleted(String key) {
-        socket.written(key);
+        socket.writeCompleted(key);
     }
 }
--- a/src/main/java/cacheproxy/daemon/PoolTransition.java
+++ b/src/main/java/cacheproxy/daemon/PoolTransition.java
@@ -49,7 +49,7 @@
         LearnedStateSource restored = subsystems.get(LearnedStateSource.class);
         LearnedStateProvider learned = null;
         if (current != null) {
-            learned = LearnedStates.handOver(file, pool, current, nowMs);
+            learned = LearnedStates.providerFrom(file, pool, current, nowMs);
         } else if (restored != null) {
             learned = restored.learnedStateFor(file, pool);
         }
--- a/src/main/java/cacheproxy/daemon/ResponseObserver.java
+++ b/src/main/java/cacheproxy/daemon/ResponseObserver.java
@@ -11,9 +11,9 @@
     private final Consumer<Answer> observer;
 
     /** Reports to {@code observer} before the response is passed on. */
-    public ResponseObserver(Responder client, Consumer<Answer> told) {
+    public ResponseObserver(Responder client, Consumer<Answer> observer) {
         this.client = client;
-        this.observer = told;
+        this.observer = observer;
     }
 
     @Override
--- a/src/main/java/cacheproxy/daemon/RetiredConfigs.java
+++ b/src/main/java/cacheproxy/daemon/RetiredConfigs.java
@@ -44,7 +44,7 @@
     void collect(DaemonConfig current, double nowMs) {
         configs.removeIf(config -> {
             if (config.pendingRequests == 0) {
-                config.end();
+                config.stopHooks();
             }
             return config.pendingRequests == 0;
         });
@@ -88,7 +88,7 @@
     }
 
     /** Ends all configurations at once. */
-    void end() {
-        configs.forEach(ConfigSnapshot::end);
+    void stopHooks() {
+        configs.forEach(ConfigSnapshot::stopHooks);
     }
 }
--- a/src/main/java/cacheproxy/daemon/RouteExplainer.java
+++ b/src/main/java/cacheproxy/daemon/RouteExplainer.java
@@ -7,15 +7,15 @@
 
 /** Explains where requests would be sent under a configuration, without starting it. */
 public final class RouteExplainer {
-    private final RouteExplanation explain;
+    private final RouteExplanation explanation;
 
     /** Explains this configuration. */
     public RouteExplainer(DaemonConfig file) {
-        explain = PoolSettings.explain(file);
+        explanation = PoolSettings.explain(file);
     }
 
     /** The line for a request, preceded by the reasons if {@code why} is set. */
-    public List<String> lines(RouteInput subject, boolean why) {
-        return explain.lines(subject, why);
+    public List<String> lines(RouteInput input, boolean why) {
+        return explanation.lines(input, why);
     }
 }
--- a/src/main/java/cacheproxy/daemon/RoutedRequest.java
+++ b/src/main/java/cacheproxy/daemon/RoutedRequest.java
@@ -70,7 +70,7 @@
     }
 
     /** Sends the request to the next pool that admits it, or concludes it. */
-    void next() {
+    void tryNextPool() {
         if (poolIndex < 0 && !takeQuotas()) {
             return;
         }
@@ -166,7 +166,7 @@
         failed = hasFailed;
         missed = hasMissed;
         longestRetryAfterMs = Math.max(longestRetryAfterMs, retryAfterMs);
-        next();
+        tryNextPool();
     }
 
     private void concluded() {
--- a/src/main/java/cacheproxy/daemon/Router.java
+++ b/src/main/java/cacheproxy/daemon/Router.java
@@ -30,11 +30,11 @@
     }
 
     /** The handler of a listener's requests. */
-    RequestHandler from(String listener) {
-        return (request, responder) -> take(listener, request, responder);
+    RequestHandler handlerFor(String listener) {
+        return (request, responder) -> receive(listener, request, responder);
     }
 
-    private RequestHandler.Handle take(String listener, ClientRequest request, Responder responder) {
+    private RequestHandler.Handle receive(String listener, ClientRequest request, Responder responder) {
         ConfigSnapshot config = configuration;
         String fault = config.requestValidator.resolve(request);
         if (fault != null) {
@@ -69,7 +69,7 @@
                 ? null
                 : named != null ? named : config.file.routes().find(input);
         if (route != null && route.action() instanceof Route.ToPools) {
-            return to(config, listener, input, route, request, responder);
+            return routeToPools(config, listener, input, route, request, responder);
         }
         core.closeId(request.id());
         request.release(core);
@@ -77,15 +77,15 @@
             responder.badRequest("key is no path");
         } else if (route == null) {
             responder.badRequest("no route takes this key");
-        } else if (route.action() instanceof Route.Reject refusal) {
-            responder.busy(refusal.retryAfterMs());
+        } else if (route.action() instanceof Route.Reject rejection) {
+            responder.busy(rejection.retryAfterMs());
         } else {
             responder.failed();
         }
         return null;
     }
 
-    private RequestHandler.Handle to(
+    private RequestHandler.Handle routeToPools(
             ConfigSnapshot config,
             String listener,
             RouteInput input,
@@ -118,7 +118,7 @@
                 rewritten ? request.withKey(key) : request,
                 rewritten ? request : null,
                 responder);
-        routed.next();
+        routed.tryNextPool();
         return routed;
     }
 
--- a/src/main/java/cacheproxy/daemon/SiblingSocket.java
+++ b/src/main/java/cacheproxy/daemon/SiblingSocket.java
@@ -43,9 +43,9 @@
     /** Servers that the digest can distinguish. */
     private static final int MAX_SERVERS = 4096;
     /** For how long late answers are recognized and measured. */
-    private static final double LATE_MS = 2000;
+    private static final double LATE_REPLY_WINDOW_MS = 2000;
 
-    private final SiblingsConfig spec;
+    private final SiblingsConfig config;
     private final EventLoopContext core;
     private final SplittableRandom random;
     private final CacheDigest digest;
@@ -58,7 +58,7 @@
     /** One for each sibling, so that none uses up another's; unknown addresses share a small one. */
     private final Map<InetSocketAddress, TokenBucket> answerRates = new HashMap<>();
 
-    private final TokenBucket strangersRate;
+    private final TokenBucket unknownSenderRate;
     private volatile Channel channel;
     private long malformedCount;
     private long overRateCount;
@@ -67,20 +67,20 @@
             DaemonConfig file,
             EventLoopContext core,
             Supplier<ConfigSnapshot> configuration,
-            SiblingSocket before,
+            SiblingSocket previous,
             int seed) {
-        spec = SiblingsConfig.of(file);
+        config = SiblingsConfig.of(file);
         this.core = core;
         random = new SplittableRandom(seed);
-        IcpConfig icp = spec.icp();
+        IcpConfig icp = config.icp();
         digest = new CacheDigest(icp.rememberedKeys(), icp.rememberMs(), MAX_SERVERS);
         responder = new IcpResponder(icp, core, digest, byAddress::containsKey, configuration);
-        pendingQueries = new PendingQueries<>(icp.maxPendingQueries(), LATE_MS, random.nextInt());
-        statsByName = before == null ? new HashMap<>() : before.statsByName;
+        pendingQueries = new PendingQueries<>(icp.maxPendingQueries(), LATE_REPLY_WINDOW_MS, random.nextInt());
+        statsByName = previous == null ? new HashMap<>() : previous.statsByName;
         queryRate = new TokenBucket(icp.maxQueriesPerSecond(), Math.max(1, icp.maxQueriesPerSecond() / 10));
-        strangersRate = new TokenBucket(
+        unknownSenderRate = new TokenBucket(
                 Math.max(1, icp.maxQueriesPerSecond() / 10), Math.max(1, icp.maxQueriesPerSecond() / 100));
-        spec.siblings().forEach(sibling -> {
+        config.siblings().forEach(sibling -> {
             byAddress.put(sibling.icpAddress(), sibling);
             answerRates.put(
                     sibling.icpAddress(),
@@ -104,27 +104,27 @@
     private void bind(DaemonConfig file, SiblingSocket previous) throws ConfigException, InterruptedException {
         if (previous != null
                 && SocketBinder.conflict(
-                        previous.spec.icp().address(), spec.icp().address())) {
+                        previous.config.icp().address(), config.icp().address())) {
             previous.channel.close().sync(); // there is no second socket at its address
         }
         listen(file);
     }
 
-    private void listen(DaemonConfig asked) throws ConfigException, InterruptedException {
+    private void listen(DaemonConfig file) throws ConfigException, InterruptedException {
         channel = SocketBinder.datagrams(
-                core, asked, "icp", spec.icp().address(), IcpMessage.MAX_LENGTH, new QueryHandler());
+                core, file, "icp", config.icp().address(), IcpMessage.MAX_LENGTH, new DatagramHandler());
     }
 
     @Override
-    public void restore(DaemonConfig asked) throws ConfigException, InterruptedException {
+    public void restore(DaemonConfig file) throws ConfigException, InterruptedException {
         if (!channel.isOpen()) {
-            listen(asked);
+            listen(file);
         }
     }
 
     @Override
     public boolean fits(DaemonConfig other) {
-        return spec.equals(SiblingsConfig.of(other));
+        return config.equals(SiblingsConfig.of(other));
     }
 
     @Override
@@ -138,9 +138,9 @@
     }
 
     /** The siblings of a pool. */
-    PoolSiblings of(PoolConfig pool) {
+    PoolSiblings siblingsOf(PoolConfig pool) {
         return new PoolSiblings(
-                this, pool.siblings().stream().map(spec::sibling).toList(), random.split());
+                this, pool.siblings().stream().map(config::sibling).toList(), random.split());
     }
 
     // Nothing waits for the socket's end.
@@ -152,8 +152,8 @@
     }
 
     /** A server of ours has answered a read of a key. */
-    void read(String key, int server, boolean has) {
-        if (has) {
+    void readCompleted(String key, int server, boolean found) {
+        if (found) {
             digest.add(core.nowMs(), RequestValidator.keyHash(key), server);
         } else {
             digest.remove(RequestValidator.keyHash(key));
@@ -161,7 +161,7 @@
     }
 
     /** A key has been written, so that what was remembered of it is void. */
-    void written(String key) {
+    void writeCompleted(String key) {
         digest.remove(RequestValidator.keyHash(key));
     }
 
@@ -172,15 +172,15 @@
 
     /** Sends a query; where a bound is reached nothing is sent, and the policy goes on when its wait is over. */
     @SuppressWarnings("FutureReturnValueIgnored") // a datagram that is not sent is like one that is lost
-    void query(String key, List<SiblingConfig> queried, double waitMs, IntConsumer answer) {
+    void query(String key, List<SiblingConfig> siblings, double waitMs, IntConsumer answer) {
         double nowMs = core.nowMs();
         if (!queryRate.tryAcquire(nowMs)) {
             overRateCount++;
             return;
         }
-        String url = spec.icp().urlPrefix() + key;
+        String url = config.icp().urlPrefix() + key;
         PendingQuery<InetSocketAddress> pending = pendingQueries.open(
-                nowMs, url, queried.stream().map(SiblingConfig::icpAddress).toList(), waitMs);
+                nowMs, url, siblings.stream().map(SiblingConfig::icpAddress).toList(), waitMs);
         if (pending == null) {
             return;
         }
@@ -189,7 +189,7 @@
             pending.close();
             callbacks.remove(pending.number());
         });
-        for (SiblingConfig sibling : queried) {
+        for (SiblingConfig sibling : siblings) {
             stats(sibling).recordQuery(nowMs);
             channel.write(new DatagramPacket(
                     IcpCodec.encode(channel.alloc(), IcpMessage.query(pending.number(), 0, url)),
@@ -198,7 +198,7 @@
         channel.flush();
     }
 
-    private void answered(InetSocketAddress from, IcpMessage message) {
+    private void handleReply(InetSocketAddress from, IcpMessage message) {
         boolean hit = message.opcode() == Opcode.HIT || message.opcode() == Opcode.HIT_OBJ;
         PendingQueries.Reply reply =
                 pendingQueries.matchReply(core.nowMs(), message.requestNumber(), from, message.url(), hit);
@@ -208,16 +208,16 @@
                 return; // counted, but it belongs to no pending query
             }
         }
-        boolean last = reply.verdict() == ReplyVerdict.ALL_MISSED;
-        if (last || reply.verdict() == ReplyVerdict.FIRST_HIT) {
+        boolean allMissed = reply.verdict() == ReplyVerdict.ALL_MISSED;
+        if (allMissed || reply.verdict() == ReplyVerdict.FIRST_HIT) {
             IntConsumer answer = callbacks.remove(message.requestNumber());
             if (answer != null) {
-                answer.accept(last ? 0 : byAddress.get(from).id());
+                answer.accept(allMissed ? 0 : byAddress.get(from).id());
             }
         }
     }
 
-    private final class QueryHandler extends SimpleChannelInboundHandler<DatagramPacket> {
+    private final class DatagramHandler extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
             IcpMessage message;
@@ -228,15 +228,15 @@
                 return;
             }
             if (message.opcode().isReply()) {
-                answered(packet.sender(), message);
+                handleReply(packet.sender(), message);
             } else if (message.opcode() == Opcode.QUERY) {
-                queried(ctx, packet.sender(), message);
+                handleQuery(ctx, packet.sender(), message);
             }
         }
 
         @SuppressWarnings("FutureReturnValueIgnored") // a datagram that is not sent is like one that is lost
-        private void queried(ChannelHandlerContext ctx, InetSocketAddress from, IcpMessage query) {
-            if (!answerRates.getOrDefault(from, strangersRate).tryAcquire(core.nowMs())) {
+        private void handleQuery(ChannelHandlerContext ctx, InetSocketAddress from, IcpMessage query) {
+            if (!answerRates.getOrDefault(from, unknownSenderRate).tryAcquire(core.nowMs())) {
                 overRateCount++;
                 return;
             }
--- a/src/main/java/cacheproxy/daemon/fleet/DelegatedWatches.java
+++ b/src/main/java/cacheproxy/daemon/fleet/DelegatedWatches.java
@@ -84,7 +84,7 @@
     }
 
     /** Whether this proxy itself long-polls discovery for a pool. */
-    boolean watchesClosely(String pool) {
+    boolean shouldLongPoll(String pool) {
         DelegatedWatch watch = byPool.get(pool);
         return watch == null || watch.shouldLongPoll(context.nowMs());
     }
--- a/src/main/java/cacheproxy/daemon/fleet/FleetHealthChecks.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetHealthChecks.java
@@ -65,13 +65,13 @@
                 config.healthCheck().resultTimeoutMs(),
                 config.healthCheck().resultTtlMs());
         PeerLink link = context.link();
-        List<LeaseHandle> shares =
+        List<LeaseHandle> leases =
                 config.healthCheckLeases().stream().map(link::lease).toList();
         if (coordinator == null) {
             coordinator = new HealthCheckCoordinator(
-                    link.ownId(), firstRequestNumber, timing, shares, new CoordinatorOutbox());
+                    link.ownId(), firstRequestNumber, timing, leases, new CoordinatorOutbox());
         } else {
-            coordinator.update(timing, shares);
+            coordinator.update(timing, leases);
         }
     }
 
--- a/src/main/java/cacheproxy/daemon/fleet/FleetLeases.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetLeases.java
@@ -69,7 +69,7 @@
         specs = wanted;
         tick(nowMs);
         wanted.forEach((name, spec) -> manager.campaign(name, spec.leaseMs(), spec.voterSet(name, config), nowMs));
-        endpoints.use(socket.names(), wanted.keySet());
+        endpoints.update(socket.names(), wanted.keySet());
     }
 
     /** Does what is due; returns when to call it again, at the latest. */
--- a/src/main/java/cacheproxy/daemon/fleet/FleetQuotas.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetQuotas.java
@@ -57,12 +57,12 @@
     private QuotaManager manager;
 
     private QuotaTiming timing;
-    private int proxies;
+    private int proxyCount;
     private QuotaTable table;
     /** What each quota applies to, in words, by the quota's name. */
     private final Map<String, String> scopes = new HashMap<>();
 
-    private boolean requestScheduled;
+    private boolean earlyTickScheduled;
     private double dueMs = Double.POSITIVE_INFINITY;
 
     /** @param isLikelyAlive whether a peer may be alive */
@@ -91,7 +91,7 @@
             return;
         }
         useTiming(config, nowMs);
-        proxies = fleet.peers().size();
+        proxyCount = fleet.peers().size();
         Map<QuotaConfig, List<String>> names = new LinkedHashMap<>();
         List<QuotaSpec> specs = new ArrayList<>();
         for (QuotaConfig limit : config.quotas()) {
@@ -133,7 +133,7 @@
                 specs,
                 fleet.quotas().leaseNames().stream().map(link::lease).toList(),
                 fleet.peers().stream().map(peer -> NameHash.of(peer.name())).toList(),
-                proxies,
+                proxyCount,
                 listIsChanging,
                 ownsShare,
                 nowMs);
@@ -171,10 +171,10 @@
             longestMs = Math.max(longestMs, waitMs);
             requestSoon |= waitMs > 0 && manager != null && manager.requestSoon(quota, nowMs);
         }
-        if (requestSoon && !requestScheduled) {
-            requestScheduled = true;
+        if (requestSoon && !earlyTickScheduled) {
+            earlyTickScheduled = true;
             core.loop().execute(() -> {
-                requestScheduled = false;
+                earlyTickScheduled = false;
                 tickEarly(core.nowMs());
             });
         }
@@ -253,8 +253,8 @@
         if (!Double.isNaN(status.isolatedSinceMs())) {
             json.addProperty("alone_since_ms", Math.round(nowMs - status.isolatedSinceMs()));
         }
-        json.addProperty("over_bound", round(OvershootBound.maxOvershoot(spec, timing, proxies, OVERSHOOT_SPAN_MS)));
-        json.addProperty("idle_bound_one_gone", round(OvershootBound.maxIdleFraction(spec, proxies, 1)));
+        json.addProperty("over_bound", round(OvershootBound.maxOvershoot(spec, timing, proxyCount, OVERSHOOT_SPAN_MS)));
+        json.addProperty("idle_bound_one_gone", round(OvershootBound.maxIdleFraction(spec, proxyCount, 1)));
         return json;
     }
 
--- a/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
@@ -212,8 +212,8 @@
     }
 
     @Override
-    public boolean watchesClosely(String pool) {
-        return closed || watches.watchesClosely(pool);
+    public boolean shouldLongPoll(String pool) {
+        return closed || watches.shouldLongPoll(pool);
     }
 
     @Override
--- a/src/main/java/cacheproxy/daemon/fleet/LeaseEndpoints.java
+++ b/src/main/java/cacheproxy/daemon/fleet/LeaseEndpoints.java
@@ -36,7 +36,7 @@
     }
 
     /** Replaces the peers' names by id, and the leases that operators are shown. */
-    void use(Map<Long, String> names, Set<String> shown) {
+    void update(Map<Long, String> names, Set<String> shown) {
         peerNames = Map.copyOf(names);
         shownLeases = Set.copyOf(shown);
     }
--- a/src/main/java/cacheproxy/daemon/fleet/PeerListMonitor.java
+++ b/src/main/java/cacheproxy/daemon/fleet/PeerListMonitor.java
@@ -35,13 +35,13 @@
 
     private final FleetContext context;
     private final ServerReachability reachability;
-    private final PeerListTransition lists = new PeerListTransition();
+    private final PeerListTransition listTransition = new PeerListTransition();
     private final Map<Long, String> names = new LinkedHashMap<>();
     private final Map<Long, Double> differentSinceMs = new LinkedHashMap<>();
-    private final Set<Long> warnedOf = new HashSet<>();
-    private List<Long> others = List.of();
+    private final Set<Long> warnedPeers = new HashSet<>();
+    private List<Long> otherPeers = List.of();
     private int nextReceiver;
-    private double dueMs = Double.NEGATIVE_INFINITY;
+    private double nextReportMs = Double.NEGATIVE_INFINITY;
 
     PeerListMonitor(FleetContext context) {
         this.context = context;
@@ -58,11 +58,12 @@
         FleetConfig config = file.section(FleetConfig.class);
         names.clear();
         config.peers().forEach(peer -> names.put(NameHash.of(peer.name()), peer.name()));
-        others = new ArrayList<>(names.keySet());
-        others.remove(context.link().ownId());
-        lists.update(Set.copyOf(config.peerNames()), Set.copyOf(config.previousPeerNames()), Set.copyOf(others));
+        otherPeers = new ArrayList<>(names.keySet());
+        otherPeers.remove(context.link().ownId());
+        listTransition.update(
+                Set.copyOf(config.peerNames()), Set.copyOf(config.previousPeerNames()), Set.copyOf(otherPeers));
         differentSinceMs.clear();
-        warnedOf.clear();
+        warnedPeers.clear();
     }
 
     @Override
@@ -73,18 +74,18 @@
         if (payload[REACHES_SERVERS_OFFSET] == 1) {
             reachability.recordRemoteReport(nowMs);
         }
-        lists.receive(nowMs, from, Arrays.copyOf(payload, PeerListTransition.MESSAGE_BYTES));
-        if (lists.relationOf(from, nowMs) == PeerListRelation.DIFFERENT) {
+        listTransition.receive(nowMs, from, Arrays.copyOf(payload, PeerListTransition.MESSAGE_BYTES));
+        if (listTransition.relationOf(from, nowMs) == PeerListRelation.DIFFERENT) {
             warnOfDifferentList(nowMs, from);
         } else {
             differentSinceMs.remove(from);
-            warnedOf.remove(from);
+            warnedPeers.remove(from);
         }
     }
 
     private void warnOfDifferentList(double nowMs, long peer) {
         double sinceMs = differentSinceMs.computeIfAbsent(peer, newPeer -> nowMs);
-        if (nowMs - sinceMs > WARN_AFTER_MS && warnedOf.add(peer)) {
+        if (nowMs - sinceMs > WARN_AFTER_MS && warnedPeers.add(peer)) {
             context.core()
                     .log("fleet: " + names.get(peer)
                             + " goes by another list of peers, more than one step from this one's; duties may have two"
@@ -94,8 +95,8 @@
 
     @Override
     public double tick(double nowMs) {
-        if (nowMs >= dueMs) {
-            dueMs = nowMs + REPORT_INTERVAL_MS;
+        if (nowMs >= nextReportMs) {
+            nextReportMs = nowMs + REPORT_INTERVAL_MS;
             boolean reachesServers = !context.isConfigured()
                     || context.pools().stream().anyMatch(pool -> pool.dispatcher.hasHealthyCacheServer());
             if (reachesServers) {
@@ -103,16 +104,16 @@
             }
             sendReport(reachesServers);
         }
-        return dueMs;
+        return nextReportMs;
     }
 
     private void sendReport(boolean reachesServers) {
-        if (others.isEmpty()) {
+        if (otherPeers.isEmpty()) {
             return;
         }
-        byte[] payload = Arrays.copyOf(lists.encodeReport(), PAYLOAD_BYTES);
+        byte[] payload = Arrays.copyOf(listTransition.encodeReport(), PAYLOAD_BYTES);
         payload[REACHES_SERVERS_OFFSET] = (byte) (reachesServers ? 1 : 0);
-        context.link().send(others.get(nextReceiver++ % others.size()), this, payload);
+        context.link().send(otherPeers.get(nextReceiver++ % otherPeers.size()), this, payload);
     }
 
     /** Whether this proxy reaches servers, or none does. */
@@ -123,8 +124,9 @@
     @Override
     public void describe(JsonObject state) {
         JsonObject relations = new JsonObject();
-        others.forEach(peer -> relations.addProperty(
-                names.get(peer), lists.relationOf(peer, context.nowMs()).jsonName()));
+        otherPeers.forEach(peer -> relations.addProperty(
+                names.get(peer),
+                listTransition.relationOf(peer, context.nowMs()).jsonName()));
         state.add("lists", relations);
     }
 }
--- a/src/main/java/cacheproxy/daemon/hooks/HookedRequest.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookedRequest.java
@@ -86,7 +86,7 @@
                 .orElse(0);
         double leftMs = request.dueMs() - core.nowMs();
         setTimer(Math.min(shortestTimeoutMs, leftMs * MAX_FRACTION_OF_TIME_LEFT));
-        next();
+        callNextHook();
         return this;
     }
 
@@ -112,17 +112,17 @@
     }
 
     /** Calls the next hook that applies, or routes the request after the last one. */
-    private void next() {
+    private void callNextHook() {
         while (hookIndex < hooks.size()) {
             HookExecutor hook = hooks.get(hookIndex);
-            boolean ofSomeRoutes = !hook.config.routes().isEmpty();
-            if (ofSomeRoutes && !core.loop().inEventLoop()) {
-                core.loop().execute(this::next); // routes are looked up there alone
+            boolean limitedToRoutes = !hook.config.routes().isEmpty();
+            if (limitedToRoutes && !core.loop().inEventLoop()) {
+                core.loop().execute(this::callNextHook); // routes are looked up there alone
                 return;
             }
             hookIndex++;
             double nowMs = core.nowMs();
-            boolean applies = !ofSomeRoutes || takesRouteOf(hook);
+            boolean applies = !limitedToRoutes || matchesRouteOf(hook);
             if (applies && callOrReject(hook, nowMs)) {
                 return;
             }
@@ -182,7 +182,7 @@
     }
 
     /** Returns whether the request, as it is now, takes one of the hook's routes. */
-    private boolean takesRouteOf(HookExecutor hook) {
+    private boolean matchesRouteOf(HookExecutor hook) {
         RouteInput input = config.file
                 .keys()
                 .parse(listener, request.key(), request.serviceClass(), request.tenant(), request.isWrite());
@@ -229,7 +229,7 @@
         }
         if (fault != null) {
             if (!rejectIfRequired(hook)) {
-                next();
+                callNextHook();
             }
             return;
         }
@@ -241,7 +241,7 @@
             return;
         }
         apply(orders, nowMs);
-        next();
+        callNextHook();
     }
 
     private void apply(HookOrders orders, double nowMs) {
--- a/src/main/java/cacheproxy/daemon/snapshot/SnapshotSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/snapshot/SnapshotSubsystem.java
@@ -43,8 +43,8 @@
         if (config.isEmpty() && sibling.isEmpty()) {
             return Optional.empty();
         }
-        if (previous instanceof SnapshotSubsystem before && before.savesTo(config)) {
-            before.end(); // both would write to the same file
+        if (previous instanceof SnapshotSubsystem replaced && replaced.savesTo(config)) {
+            replaced.end(); // both would write to the same file
         }
         EventLoopContext core = context.core();
         RestoredState restored = new RestoredState(file, core);
--- a/src/test/java/cacheproxy/daemon/ControlAnswersGoldenTextTest.java
+++ b/src/test/java/cacheproxy/daemon/ControlAnswersGoldenTextTest.java
@@ -47,13 +47,13 @@
         fleet.close();
     }
 
-    private Daemon daemon(String more) throws Exception {
+    private Daemon daemon(String sections) throws Exception {
         String file = DaemonHarness.CLASSES
-                + DaemonHarness.MAIN
+                + DaemonHarness.MAIN_LISTENER
                 + DaemonHarness.pool("pages", fleet, "", fleet.nodes.get(0))
                 + DaemonHarness.route("all", "", "pages")
                 + CONTROL
-                + more;
+                + sections;
         return Daemon.start(DaemonConfigReader.parse(folder.resolve("f.toml").toString(), file), 5);
     }
 
@@ -113,7 +113,7 @@
 
     @SuppressWarnings("StringConcatToTextBlock") // one line of the text a line of the source
     @Test
-    void withoutAFleetThereAreTheCallsOfTheProcessAlone() throws Exception {
+    void withoutFleetOnlyProcessEndpointsAreServed() throws Exception {
         try (Daemon daemon = daemon("")) {
             assertThat(call(daemon, "GET /status")).isEqualTo(plain("200 OK", "active"));
             assertThat(call(daemon, "GET /invariants")).isEqualTo(plain("200 OK", "violations=0 stopped=0"));
@@ -129,7 +129,7 @@
     }
 
     @Test
-    void aDutysHolderAndItsEpoch() throws Exception {
+    void dutiesReportHolderAndEpoch() throws Exception {
         int[] ports = {Ports.free()};
         try (Daemon daemon = daemon(fleetOf("p1", ports) + DUTY)) {
             assertThat(awaitBody(daemon, "GET /duties/cron", "\\d+\n")).matches("\\d+\n");
@@ -155,7 +155,7 @@
     }
 
     @Test
-    void limitsWithTheirScopeAndWhatIsInHand() throws Exception {
+    void limitsReportScopeAndUsage() throws Exception {
         int[] ports = {Ports.free()};
         try (Daemon daemon = daemon(fleetOf("p1", ports) + LIMITS)) {
             assertThat(masked(body(daemon, "GET /limits"), VARYING))
@@ -174,7 +174,7 @@
     }
 
     @Test
-    void peersThatAreHeardAndWhatTheFleetsPartsTell() throws Exception {
+    void fleetReportsPeersAndStateOfItsProtocols() throws Exception {
         int[] ports = {Ports.free(), Ports.free()};
         ScriptedServer discovery = new ScriptedServer(ScriptedServer.Connection::awaitEnd);
         String more = LIMITS + "[fleet.probe]\nlease_ms = 150\n[fleet.watch]\nlease_ms = 150\n"
--- a/src/test/java/cacheproxy/daemon/DaemonHarness.java
+++ b/src/test/java/cacheproxy/daemon/DaemonHarness.java
@@ -37,7 +37,7 @@
             aim_ms = 10000
             deadline_ms = 20000
             """;
-    public static final String MAIN = listener("main", "127.0.0.1:0");
+    public static final String MAIN_LISTENER = listener("main", "127.0.0.1:0");
 
     final FakeFleet fleet;
     public final Daemon daemon;
@@ -53,21 +53,21 @@
     }
 
     /** A pool of these nodes, named by their ports, before the fleet's origin. */
-    public static String pool(String name, FakeFleet fleet, String keys, FakeCacheServer... nodes) {
-        return "[[pool]]\nname = \"" + name + "\"\n" + keys + "\n" + servers("", nodes)
+    public static String pool(String name, FakeFleet fleet, String keys, FakeCacheServer... servers) {
+        return "[[pool]]\nname = \"" + name + "\"\n" + keys + "\n" + servers("", servers)
                 + "[pool.origin]\nname = \"store\"\n" + "dial = \"" + fleet.origin.dial() + "\"\n";
     }
 
     /** A pool of stock nodes with nothing behind them. */
-    static String plain(String name, String keys, FakeCacheServer... nodes) {
-        return "[[pool]]\nname = \"" + name + "\"\nnodes = \"plain\"\n" + keys + "\n" + servers("", nodes);
+    static String poolWithoutOrigin(String name, String keys, FakeCacheServer... servers) {
+        return "[[pool]]\nname = \"" + name + "\"\nnodes = \"plain\"\n" + keys + "\n" + servers("", servers);
     }
 
-    static String servers(String keys, FakeCacheServer... nodes) {
+    static String servers(String keys, FakeCacheServer... servers) {
         StringBuilder text = new StringBuilder();
-        for (FakeCacheServer server : nodes) {
+        for (FakeCacheServer server : servers) {
             text.append("[[pool.server]]\nname = \"")
-                    .append(name(server))
+                    .append(serverName(server))
                     .append("\"\ndial = \"")
                     .append(server.dial())
                     .append("\"\n")
@@ -77,8 +77,8 @@
         return text.toString();
     }
 
-    static String name(FakeCacheServer node) {
-        return "node:" + node.address().getPort();
+    static String serverName(FakeCacheServer server) {
+        return "node:" + server.address().getPort();
     }
 
     public static String route(String name, String keys, String... pools) {
@@ -89,8 +89,9 @@
         daemon.load(DaemonConfigReader.parse("rig", file));
     }
 
-    LoadClient.Account ask(int total, int connections, int depth, IntFunction<LoadClient.Ask> asks) throws Exception {
-        return new LoadClient(fleet.loop(), daemon.address("main"), total, asks)
+    LoadClient.Account sendRequests(int total, int connections, int depth, IntFunction<LoadClient.Ask> requests)
+            throws Exception {
+        return new LoadClient(fleet.loop(), daemon.address("main"), total, requests)
                 .start(connections, depth)
                 .get(100, TimeUnit.SECONDS);
     }
@@ -99,8 +100,8 @@
         return new LoadClient.Ask(key, "", null, null);
     }
 
-    public Talk talk() throws IOException {
-        return new Talk(daemon.address("main"));
+    public ManualClient connect() throws IOException {
+        return new ManualClient(daemon.address("main"));
     }
 
     @Override
@@ -110,17 +111,17 @@
     }
 
     /** One client by hand. */
-    public static final class Talk implements AutoCloseable {
+    public static final class ManualClient implements AutoCloseable {
         final Socket socket;
         private final InputStream input;
 
-        Talk(InetSocketAddress to) throws IOException {
+        ManualClient(InetSocketAddress to) throws IOException {
             socket = new Socket(to.getAddress(), to.getPort());
             socket.setSoTimeout(60_000);
             input = new BufferedInputStream(socket.getInputStream());
         }
 
-        public Talk say(String text) throws IOException {
+        public ManualClient send(String text) throws IOException {
             socket.getOutputStream().write(text.getBytes(StandardCharsets.ISO_8859_1));
             return this;
         }
--- a/src/test/java/cacheproxy/daemon/HooksInCallTest.java
+++ b/src/test/java/cacheproxy/daemon/HooksInCallTest.java
@@ -26,13 +26,13 @@
                 : "[[hook]]\nname = \"h\"\nmodule = \"" + BY_KEY + "\"\n" + FUEL + hookKeys + "\n";
         return DaemonHarness.LIMITS
                 + DaemonHarness.CLASSES
-                + DaemonHarness.MAIN
+                + DaemonHarness.MAIN_LISTENER
                 + hook
                 + DaemonHarness.pool("a", fleet, "", fleet.nodes.get(0))
                 + DaemonHarness.route("all", "", "a");
     }
 
-    private static boolean running() {
+    private static boolean isHookRunning() {
         return Thread.getAllStackTraces().entrySet().stream()
                 .anyMatch(thread -> thread.getKey().getName().equals("hook h")
                         && Arrays.stream(thread.getValue())
@@ -40,8 +40,8 @@
                                         && frame.getClassName().endsWith("HookInstance")));
     }
 
-    private static void awaitRunning() {
-        while (!running()) {
+    private static void awaitHookRunning() {
+        while (!isHookRunning()) {
             Thread.onSpinWait();
         }
     }
@@ -49,33 +49,33 @@
     @Test
     void appliesFailureRuleWhenCallTimesOut() throws Exception {
         FakeFleet fleet = new FakeFleet(1);
-        try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet, "time_ms = 20"));
-                DaemonHarness.Talk talk = rig.talk()) {
-            assertThat(talk.say("mg s1 v\r\n").lines(2)).containsExactly("VA 11", "value of s1");
+        try (DaemonHarness harness = new DaemonHarness(fleet, file(fleet, "time_ms = 20"));
+                DaemonHarness.ManualClient client = harness.connect()) {
+            assertThat(client.send("mg s1 v\r\n").lines(2)).containsExactly("VA 11", "value of s1");
             // The thread is free again, and its next call has an instance that has seen none.
-            assertThat(talk.say("mg k v\r\n").lines(2)).containsExactly("VA 11", "value of n1");
+            assertThat(client.send("mg k v\r\n").lines(2)).containsExactly("VA 11", "value of n1");
         }
     }
 
     @Test
     void limitsCallToHalfOfRemainingDeadline() throws Exception {
         FakeFleet fleet = new FakeFleet(1);
-        try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet, "time_ms = 10000"));
-                DaemonHarness.Talk talk = rig.talk()) {
+        try (DaemonHarness harness = new DaemonHarness(fleet, file(fleet, "time_ms = 10000"));
+                DaemonHarness.ManualClient client = harness.connect()) {
             // It would end after 3 s, within its own 10 and the client's 4; after 2 the request goes on without it.
-            assertThat(talk.say("mg l v Pd=4000\r\n").lines(2)).containsExactly("VA 10", "value of l");
+            assertThat(client.send("mg l v Pd=4000\r\n").lines(2)).containsExactly("VA 10", "value of l");
         }
     }
 
     @Test
     void usesNewInstanceAfterTrap() throws Exception {
         FakeFleet fleet = new FakeFleet(1);
-        try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet, "time_ms = 10000"));
-                DaemonHarness.Talk talk = rig.talk()) {
-            assertThat(talk.say("mg a v\r\n").lines(2)).containsExactly("VA 11", "value of n1");
-            assertThat(talk.say("mg b v\r\n").lines(2)).containsExactly("VA 11", "value of n2");
-            assertThat(talk.say("mg t v\r\n").lines(2)).containsExactly("VA 10", "value of t");
-            assertThat(talk.say("mg c v\r\n").lines(2)).containsExactly("VA 11", "value of n1");
+        try (DaemonHarness harness = new DaemonHarness(fleet, file(fleet, "time_ms = 10000"));
+                DaemonHarness.ManualClient client = harness.connect()) {
+            assertThat(client.send("mg a v\r\n").lines(2)).containsExactly("VA 11", "value of n1");
+            assertThat(client.send("mg b v\r\n").lines(2)).containsExactly("VA 11", "value of n2");
+            assertThat(client.send("mg t v\r\n").lines(2)).containsExactly("VA 10", "value of t");
+            assertThat(client.send("mg c v\r\n").lines(2)).containsExactly("VA 11", "value of n1");
         }
     }
 
@@ -83,29 +83,31 @@
      * Whether the loop has dealt with all that came before, and the call still runs: only then has the test seen its
      * case.
      */
-    private static boolean stillRunsAfterATurn(DaemonHarness rig) {
-        rig.daemon.inHand();
-        return running();
+    private static boolean stillRunsAfterLoopTurn(DaemonHarness harness) {
+        harness.daemon.pendingRequests();
+        return isHookRunning();
     }
 
     @Test
     void sendsNoRequestForClientThatLeftDuringCall() throws Exception {
         FakeFleet fleet = new FakeFleet(1);
-        try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet, "time_ms = 10000"));
-                DaemonHarness.Talk other = rig.talk()) {
+        try (DaemonHarness harness = new DaemonHarness(fleet, file(fleet, "time_ms = 10000"));
+                DaemonHarness.ManualClient other = harness.connect()) {
             for (int call = 1; call < 10; call += 2) { // the orders' digit tells the calls apart
                 fleet.nodes.get(0).store("n" + (call + 1), "kept".getBytes(StandardCharsets.UTF_8));
                 int before = fleet.nodes.get(0).commands();
-                DaemonHarness.Talk leaver = rig.talk();
-                leaver.say("mg w v\r\n");
-                awaitRunning();
-                leaver.socket.shutdownOutput();
-                assertThat(leaver.line()).as("the daemon has seen the end").isNull();
-                boolean seen = stillRunsAfterATurn(rig);
-                leaver.close();
+                DaemonHarness.ManualClient leavingClient = harness.connect();
+                leavingClient.send("mg w v\r\n");
+                awaitHookRunning();
+                leavingClient.socket.shutdownOutput();
+                assertThat(leavingClient.line())
+                        .as("the daemon has seen the end")
+                        .isNull();
+                boolean seen = stillRunsAfterLoopTurn(harness);
+                leavingClient.close();
                 // This call waits for its turn behind the first, so that one's end has been dealt with when it is
                 // answered.
-                assertThat(other.say("mg x v\r\n").lines(2)).containsExactly("VA 4", "kept");
+                assertThat(other.send("mg x v\r\n").lines(2)).containsExactly("VA 4", "kept");
                 if (seen) {
                     assertThat(fleet.nodes.get(0).commands()).isEqualTo(before + 1);
                     return;
@@ -118,25 +120,25 @@
     @Test
     void finishesCallAndAppliesOrdersOfReplacedModule() throws Exception {
         FakeFleet fleet = new FakeFleet(1);
-        String with = file(fleet, "time_ms = 10000");
-        try (DaemonHarness rig = new DaemonHarness(fleet, with)) {
+        String withHook = file(fleet, "time_ms = 10000");
+        try (DaemonHarness harness = new DaemonHarness(fleet, withHook)) {
             boolean seen = false;
             for (int round = 0; round < 10 && !seen; round++) {
-                try (DaemonHarness.Talk talk = rig.talk()) {
-                    talk.say("mg w v\r\n");
-                    awaitRunning();
-                    rig.load(file(fleet, null));
-                    seen = running();
-                    try (DaemonHarness.Talk after = rig.talk()) {
-                        assertThat(after.say("mg k v\r\n").lines(2)).containsExactly("VA 10", "value of k");
+                try (DaemonHarness.ManualClient client = harness.connect()) {
+                    client.send("mg w v\r\n");
+                    awaitHookRunning();
+                    harness.load(file(fleet, null));
+                    seen = isHookRunning();
+                    try (DaemonHarness.ManualClient after = harness.connect()) {
+                        assertThat(after.send("mg k v\r\n").lines(2)).containsExactly("VA 10", "value of k");
                     }
-                    assertThat(talk.lines(2)).containsExactly("VA 11", "value of n1");
+                    assertThat(client.lines(2)).containsExactly("VA 11", "value of n1");
                 }
                 while (Thread.getAllStackTraces().keySet().stream()
                         .anyMatch(thread -> thread.getName().equals("hook h"))) {
                     Thread.onSpinWait(); // its thread goes with the last request of its file
                 }
-                rig.load(with);
+                harness.load(withHook);
             }
             assertThat(seen).as("a round in which the call outlived its file").isTrue();
         }
--- a/src/test/java/cacheproxy/daemon/ImportedSitesTest.java
+++ b/src/test/java/cacheproxy/daemon/ImportedSitesTest.java
@@ -51,7 +51,7 @@
         }
     }
 
-    private static ConfSource alone(Path file) {
+    private static ConfSource singleFileSource(Path file) {
         return new ConfSource() {
             @Override
             public String read(String path) {
@@ -70,7 +70,7 @@
     }
 
     /** The words behind {@code # NAME} at a file's head. */
-    private static List<String> words(String text, String name) {
+    private static List<String> headWords(String text, String name) {
         return text.lines()
                 .filter(l -> l.startsWith("# " + name + " "))
                 .flatMap(l -> Arrays.stream(l.substring(name.length() + 3).split(" ")))
@@ -104,16 +104,16 @@
                 dial.put(address, known);
             }
             ConfParser.Conf conf =
-                    ConfParser.read(alone(file), file.getFileName().toString());
+                    ConfParser.read(singleFileSource(file), file.getFileName().toString());
             Importer.Result imported = Importer.run(conf, new ImportOptions("127.0.0.1", 0, dial, "unsafe", 0));
             assertThat(imported.file()).isNotNull();
             DaemonConfig daemonFile = DaemonConfigReader.parse("imported", imported.file());
-            try (FakeNginx original = new FakeNginx(new NginxReferenceModel(conf.directives()));
+            try (FakeNginx nginx = new FakeNginx(new NginxReferenceModel(conf.directives()));
                     Daemon daemon = Daemon.start(daemonFile, 3)) {
                 replay(
                         text,
                         imported,
-                        original,
+                        nginx,
                         daemon,
                         daemonFile.listeners().get(0).name());
             }
@@ -128,20 +128,19 @@
         return "VA " + text.length() + " O" + id + "\r\n" + text + "\r\n";
     }
 
-    private static void replay(
-            String text, Importer.Result imported, FakeNginx original, Daemon daemon, String listener)
+    private static void replay(String text, Importer.Result imported, FakeNginx nginx, Daemon daemon, String listener)
             throws Exception {
-        List<String> hosts = words(text, "host");
-        List<String> templates = words(text, "key");
-        int asked = 0;
-        int passedOn = 0;
-        try (Socket http = new Socket(
-                        original.address().getAddress(), original.address().getPort());
-                DaemonHarness.Talk cache = new DaemonHarness.Talk(daemon.address(listener))) {
+        List<String> hosts = headWords(text, "host");
+        List<String> templates = headWords(text, "key");
+        int sent = 0;
+        int forwarded = 0;
+        try (Socket http =
+                        new Socket(nginx.address().getAddress(), nginx.address().getPort());
+                DaemonHarness.ManualClient cache = new DaemonHarness.ManualClient(daemon.address(listener))) {
             http.setTcpNoDelay(true);
             InputStream raw = http.getInputStream();
             BufferedReader in = new BufferedReader(new InputStreamReader(raw, StandardCharsets.ISO_8859_1));
-            for (int i = 0; asked < KEYS; i++) {
+            for (int i = 0; sent < KEYS; i++) {
                 for (String template : templates) {
                     String host = hosts.get(i % hosts.size()).replace("-", "").replaceFirst("^\\.$", "");
                     String uri = template.replace("{n}", Integer.toString(i * 7919 % 100_003));
@@ -150,9 +149,9 @@
                                     .getBytes(StandardCharsets.ISO_8859_1));
                     Map<String, String> answer = headers(in);
                     String key = (imported.hostInKeys() ? host : "") + uri;
-                    cache.say("mg " + key + " v\r\n");
+                    cache.send("mg " + key + " v\r\n");
                     String line = cache.line();
-                    asked++;
+                    sent++;
                     if (answer.get("X-Node") == null) {
                         assertThat(line)
                                 .as(key + " is answered by nginx itself, " + answer)
@@ -161,7 +160,7 @@
                     }
                     assertThat(line).as(key + " goes to " + answer).startsWith("VA ");
                     String[] reply = cache.line().split(" ", 0);
-                    passedOn++;
+                    forwarded++;
                     if (!answer.get("X-Node").equals("-")) {
                         String node = answer.get("X-Node");
                         assertThat(reply[0])
@@ -174,7 +173,7 @@
                 }
             }
         }
-        assertThat(passedOn).isGreaterThan(KEYS / 4);
+        assertThat(forwarded).isGreaterThan(KEYS / 4);
     }
 
     private static Map<String, String> headers(BufferedReader in) throws IOException {
--- a/src/test/java/cacheproxy/daemon/ListenersTest.java
+++ b/src/test/java/cacheproxy/daemon/ListenersTest.java
@@ -21,7 +21,8 @@
 /** What clients of an open listener may send, and what routes make of keys. */
 class ListenersTest {
     private static String file(FakeFleet fleet) {
-        return DaemonHarness.CLASSES + DaemonHarness.MAIN + "[[listen]]\nname = \"strict\"\naddress = \"127.0.0.1:0\"\n"
+        return DaemonHarness.CLASSES + DaemonHarness.MAIN_LISTENER
+                + "[[listen]]\nname = \"strict\"\naddress = \"127.0.0.1:0\"\n"
                 + DaemonHarness.pool("a", fleet, "", fleet.nodes.toArray(new FakeCacheServer[0]))
                 + DaemonHarness.route("long", "prefix = \"long/\"\nadd = \"" + "x".repeat(40) + "\"", "a")
                 + DaemonHarness.route("swap", "regex = \"^([a-z]+)-([0-9]+)$\"\nreplace = \"$2/$1\"", "a")
@@ -32,9 +33,9 @@
     @Test
     void acceptsPlainCommandsOfStandardClientsAndAnswersOthersWithOneLine() throws Exception {
         FakeFleet fleet = new FakeFleet(2);
-        try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet));
-                DaemonHarness.Talk client = rig.talk()) {
-            String[][] talks = {
+        try (DaemonHarness harness = new DaemonHarness(fleet, file(fleet));
+                DaemonHarness.ManualClient client = harness.connect()) {
+            String[][] exchanges = {
                 {"mn", "MN"},
                 {"mg page/1 v", "VA 15", "value of page/1"},
                 {"mg page/1 v O77 k", "VA 15 O77 kpage/1", "value of page/1"},
@@ -62,13 +63,13 @@
                 {"mg ab-12 v", "VA 14", "value of 12/ab"},
                 {"mg long/" + "k".repeat(240) + " v", "CLIENT_ERROR route long makes no legal key of this one"},
             };
-            for (String[] talk : talks) {
-                client.say(talk[0] + "\r\n");
-                for (int i = 1; i < talk.length; i++) {
-                    assertThat(client.line()).as(talk[0]).isEqualTo(talk[i]);
+            for (String[] exchange : exchanges) {
+                client.send(exchange[0] + "\r\n");
+                for (int i = 1; i < exchange.length; i++) {
+                    assertThat(client.line()).as(exchange[0]).isEqualTo(exchange[i]);
                 }
             }
-            assertThat(client.say("mg page/2 v\r\n").line())
+            assertThat(client.send("mg page/2 v\r\n").line())
                     .as("the connection goes on")
                     .isEqualTo("VA 15");
             assertThat(fleet.ledger.times("hi")).isEqualTo(1);
@@ -78,12 +79,12 @@
     @Test
     void rejectsOnStrictListenerWhatThePlatformRejects() throws Exception {
         FakeFleet fleet = new FakeFleet(1);
-        try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet));
-                DaemonHarness.Talk client = new DaemonHarness.Talk(rig.daemon.address("strict"))) {
-            assertThat(client.say("mg page/1 v\r\n").line()).isEqualTo("CLIENT_ERROR bad command line format");
-            assertThat(client.say("mg page/1 v O1 Pc=page,d=9000\r\n").lines(2))
+        try (DaemonHarness harness = new DaemonHarness(fleet, file(fleet));
+                DaemonHarness.ManualClient client = new DaemonHarness.ManualClient(harness.daemon.address("strict"))) {
+            assertThat(client.send("mg page/1 v\r\n").line()).isEqualTo("CLIENT_ERROR bad command line format");
+            assertThat(client.send("mg page/1 v O1 Pc=page,d=9000\r\n").lines(2))
                     .containsExactly("VA 15 O1", "value of page/1");
-            assertThat(client.say("ms page/1 2 O2 Pc=submit,d=9000\r\nhi\r\n").line())
+            assertThat(client.send("ms page/1 2 O2 Pc=submit,d=9000\r\nhi\r\n").line())
                     .isEqualTo("HD O2 cwO2".replace("wO2", "w2"));
         }
     }
@@ -91,8 +92,8 @@
     @Test
     void answersPipelinedCommandsInOrder() throws Exception {
         FakeFleet fleet = new FakeFleet(3);
-        try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet));
-                DaemonHarness.Talk client = rig.talk()) {
+        try (DaemonHarness harness = new DaemonHarness(fleet, file(fleet));
+                DaemonHarness.ManualClient client = harness.connect()) {
             StringBuilder all = new StringBuilder();
             for (int i = 0; i < 200; i++) {
                 byte[] value = ("value of page/" + i).getBytes(StandardCharsets.UTF_8);
@@ -100,7 +101,7 @@
                 fleet.nodes.forEach(node -> node.store(key, value));
                 all.append("mg page/").append(i).append(" v O").append(i).append("\r\n");
             }
-            client.say(all.toString());
+            client.send(all.toString());
             for (int i = 0; i < 200; i++) {
                 assertThat(client.line()).isEqualTo("VA " + ("value of page/" + i).length() + " O" + i);
                 assertThat(client.line()).isEqualTo("value of page/" + i);
@@ -113,31 +114,31 @@
         FakeFleet fleet = new FakeFleet(5);
         String text = file(fleet);
         DaemonConfig file = DaemonConfigReader.parse("f", text);
-        RouteExplainer explain = new RouteExplainer(file);
-        try (DaemonHarness rig = new DaemonHarness(fleet, text);
-                DaemonHarness.Talk client = rig.talk()) {
+        RouteExplainer explainer = new RouteExplainer(file);
+        try (DaemonHarness harness = new DaemonHarness(fleet, text);
+                DaemonHarness.ManualClient client = harness.connect()) {
             for (int i = 0; i < 40; i++) {
                 int[] before =
                         fleet.nodes.stream().mapToInt(FakeCacheServer::commands).toArray();
-                client.say("mg page/" + i + " v\r\n").lines(2);
-                String asked = "";
+                client.send("mg page/" + i + " v\r\n").lines(2);
+                String receiver = "";
                 for (int node = 0; node < before.length; node++) {
                     if (fleet.nodes.get(node).commands() > before[node]) {
-                        asked = DaemonHarness.name(fleet.nodes.get(node));
+                        receiver = DaemonHarness.serverName(fleet.nodes.get(node));
                     }
                 }
-                assertThat(explain.lines(new RouteInput("main", "page/" + i, 0, 0, false), false))
-                        .containsExactly("page/" + i + " route=pages pool=a server=" + asked);
+                assertThat(explainer.lines(new RouteInput("main", "page/" + i, 0, 0, false), false))
+                        .containsExactly("page/" + i + " route=pages pool=a server=" + receiver);
             }
         }
-        assertThat(explain.lines(new RouteInput("main", "ab-12", 0, 0, true), true))
+        assertThat(explainer.lines(new RouteInput("main", "ab-12", 0, 0, true), true))
                 .first()
                 .isEqualTo("ab-12 route=swap pool=a server=store key=12/ab");
-        assertThat(explain.lines(new RouteInput("main", "page/1", 0, 0, false), true))
+        assertThat(explainer.lines(new RouteInput("main", "page/1", 0, 0, false), true))
                 .contains("  passed over off: key is not off");
-        assertThat(explain.lines(new RouteInput("main", "off", 0, 0, false), false))
+        assertThat(explainer.lines(new RouteInput("main", "off", 0, 0, false), false))
                 .containsExactly("off route=off answer=refused after=700ms");
-        assertThat(explain.lines(new RouteInput("main", "zz", 0, 0, false), false))
+        assertThat(explainer.lines(new RouteInput("main", "zz", 0, 0, false), false))
                 .containsExactly("zz route=- answer=rejected (no route takes it)");
     }
 
@@ -149,16 +150,16 @@
     void acceptsNoClientBeforeEndpointListAndReportsAddressInUse() throws Exception {
         FakeFleet fleet = new FakeFleet(1);
         FakeCacheServer node = fleet.nodes.get(0);
-        CountDownLatch asked = new CountDownLatch(1);
-        CountDownLatch known = new CountDownLatch(1);
+        CountDownLatch polled = new CountDownLatch(1);
+        CountDownLatch mayAnswer = new CountDownLatch(1);
         String host = "{\"host\":\"s-0000beef\",\"dial\":\"" + node.dial()
                 + "\",\"site\":\"here\",\"class\":\"node\",\"block\":0,"
                 + "\"health\":\"up\",\"share\":1.0,\"born_ms\":0}";
         try (fleet;
                 ScriptedServer discovery = new ScriptedServer(connection -> {
                     connection.request();
-                    asked.countDown();
-                    known.await();
+                    polled.countDown();
+                    mayAnswer.await();
                     connection.sayHttp(200, "", "{\"seq\":5,\"whole\":true,\"hosts\":[" + host + "]}");
                     connection.awaitEnd();
                 })) {
@@ -173,13 +174,13 @@
                     throw new IllegalStateException(e);
                 }
             });
-            asked.await();
+            polled.await();
             assertThatThrownBy(() -> new Socket(InetAddress.getLoopbackAddress(), port))
                     .isInstanceOf(ConnectException.class);
-            known.countDown();
+            mayAnswer.countDown();
             try (Daemon daemon = starting.get();
-                    DaemonHarness.Talk client = new DaemonHarness.Talk(daemon.address("main"))) {
-                client.say("ms k 1\r\nx\r\nmg k v\r\n");
+                    DaemonHarness.ManualClient client = new DaemonHarness.ManualClient(daemon.address("main"))) {
+                client.send("ms k 1\r\nx\r\nmg k v\r\n");
                 assertThat(client.line()).startsWith("HD");
                 assertThatThrownBy(() -> Daemon.start(DaemonConfigReader.parse("f", text), 3))
                         .isInstanceOf(ConfigException.class)
--- a/src/test/java/cacheproxy/daemon/MemoryTest.java
+++ b/src/test/java/cacheproxy/daemon/MemoryTest.java
@@ -53,9 +53,9 @@
         }
     }
 
-    private String file(String more) {
-        return LIMITS + CLASSES + DaemonHarness.MAIN + "[memory]\npath = \"" + folder.resolve("memory")
-                + "\"\nperiod_ms = 50\n" + more
+    private String file(String memoryKeys) {
+        return LIMITS + CLASSES + DaemonHarness.MAIN_LISTENER + "[memory]\npath = \"" + folder.resolve("memory")
+                + "\"\nperiod_ms = 50\n" + memoryKeys
                 + DaemonHarness.pool("a", fleet, "", fleet.nodes.toArray(new FakeCacheServer[0]))
                 + DaemonHarness.route("all", "", "a");
     }
@@ -64,56 +64,58 @@
         return Daemon.start(DaemonConfigReader.parse("rig", text), 7);
     }
 
-    private LoadClient.Account ask(Daemon daemon, int total, int from) throws Exception {
+    private LoadClient.Account sendRequests(Daemon daemon, int total, int from) throws Exception {
         return new LoadClient(fleet.loop(), daemon.address("main"), total, i -> DaemonHarness.read("k/" + (from + i)))
                 .start(8, 2)
                 .get(100, TimeUnit.SECONDS);
     }
 
-    private StateSnapshot written() throws Exception {
+    private StateSnapshot readSnapshot() throws Exception {
         return SnapshotCodec.decode(Files.readAllBytes(folder.resolve("memory")))
                 .content();
     }
 
     @Test
-    void whatASilentServerCostsIsPaidOnceAndNotAgainAfterARestart() throws Exception {
+    void sendsNothingToKnownSilentServerAfterRestart() throws Exception {
         try (fleet) {
-            FakeCacheServer mute = fleet.nodes.get(1);
-            mute.mute(true);
+            FakeCacheServer silentServer = fleet.nodes.get(1);
+            silentServer.mute(true);
             int first;
             try (Daemon daemon = daemon(file(""))) {
-                assertThat(ask(daemon, 400, 0).faults).isEmpty();
-                first = mute.commands();
+                assertThat(sendRequests(daemon, 400, 0).faults).isEmpty();
+                first = silentServer.commands();
                 daemon.drain(); // writes a last time
             }
             assertThat(first).as("it had to be found out").isPositive();
-            assertThat(written().pools().get("a").learned().servers()).anyMatch(s -> s.failures() > 0);
+            assertThat(readSnapshot().pools().get("a").learned().servers()).anyMatch(s -> s.failures() > 0);
             try (Daemon daemon = daemon(file(""))) {
-                LoadClient.Account a = ask(daemon, 400, 1000);
+                LoadClient.Account a = sendRequests(daemon, 400, 1000);
                 assertThat(a.faults).isEmpty();
                 assertThat(a.answered()).isEqualTo(400);
             }
-            assertThat(mute.commands()).as("nothing more was sent to it").isEqualTo(first);
+            assertThat(silentServer.commands())
+                    .as("nothing more was sent to it")
+                    .isEqualTo(first);
             Files.delete(folder.resolve("memory"));
             Files.deleteIfExists(folder.resolve("memory.old"));
             try (Daemon daemon = daemon(file(""))) {
-                assertThat(ask(daemon, 400, 2000).faults).isEmpty();
+                assertThat(sendRequests(daemon, 400, 2000).faults).isEmpty();
             }
-            assertThat(mute.commands())
+            assertThat(silentServer.commands())
                     .as("without the file it is found out once more")
                     .isGreaterThan(first);
         }
     }
 
     @Test
-    void theLastWriteIsThatOfTheDrainAndGenerationsCount() throws Exception {
+    void savesOnDrainAndIncrementsGeneration() throws Exception {
         try (fleet) {
             for (int i = 0; i < 3; i++) {
                 try (Daemon daemon = daemon(file("").replace("period_ms = 50", "period_ms = 3600000"))) {
-                    assertThat(ask(daemon, 20, 0).faults).isEmpty();
+                    assertThat(sendRequests(daemon, 20, 0).faults).isEmpty();
                     daemon.drain();
                 }
-                assertThat(written().generation()).isEqualTo(i + 1);
+                assertThat(readSnapshot().generation()).isEqualTo(i + 1);
             }
             assertThat(SnapshotStore.at(folder.resolve("memory.old"))
                             .read()
@@ -124,40 +126,41 @@
     }
 
     @Test
-    void aFileThatKeepsItOtherwiseGoesOnInTheSamePlaceAndOneThatCanNotBeUsedTakesItFromNobody() throws Exception {
+    void keepsSavingToSameFileAfterReloadAndAfterRejectedReload() throws Exception {
         try (fleet;
                 Daemon daemon = daemon(file(""))) {
-            assertThat(ask(daemon, 40, 0).faults).isEmpty();
+            assertThat(sendRequests(daemon, 40, 0).faults).isEmpty();
             while (!Files.exists(folder.resolve("memory"))) {
                 Thread.onSpinWait();
             }
             daemon.load(DaemonConfigReader.parse("rig", file("keys = 7\n")));
-            long generation = written().generation();
+            long generation = readSnapshot().generation();
             assertThatThrownBy(() -> daemon.load(
                             DaemonConfigReader.parse("rig", file("keys = 8\n[control]\nlisten = \"192.0.2.1:9\"\n"))))
                     .hasMessageContaining("control can't be bound");
-            assertThat(ask(daemon, 40, 100).faults).isEmpty();
+            assertThat(sendRequests(daemon, 40, 100).faults).isEmpty();
             daemon.drain();
-            assertThat(written().generation()).isGreaterThan(generation);
+            assertThat(readSnapshot().generation()).isGreaterThan(generation);
             assertThat(SnapshotStore.at(folder.resolve("memory")).read().notes())
                     .isEmpty();
         }
     }
 
-    private static int id(FakeCacheServer node) {
-        return ServerId.fromName(DaemonHarness.name(node));
+    private static int serverId(FakeCacheServer node) {
+        return ServerId.fromName(DaemonHarness.serverName(node));
     }
 
     /** A memory of pool a in which these are out, as the last daemon of this number would have left it. */
-    private void remember(Path path, int me, double writtenMs, double bornMs, int... bad) throws Exception {
-        List<LearnedServer> facts = new ArrayList<>();
-        for (int id : bad) {
-            facts.add(new LearnedServer(id, bornMs, 4, 80_000, 0));
+    private void writeSnapshot(Path path, int proxyIndex, double writtenMs, double startMs, int... failingServers)
+            throws Exception {
+        List<LearnedServer> learned = new ArrayList<>();
+        for (int id : failingServers) {
+            learned.add(new LearnedServer(id, startMs, 4, 80_000, 0));
         }
         SnapshotStore.at(path)
                 .write(new StateSnapshot(
                         "coralbay",
-                        me,
+                        proxyIndex,
                         writtenMs,
                         0,
                         Map.of(
@@ -165,7 +168,7 @@
                                 new PoolState(
                                         "",
                                         new LearnedState(
-                                                facts,
+                                                learned,
                                                 LearnedState.NONE.latency(),
                                                 LearnedState.NONE.originLoad(),
                                                 LearnedState.NONE.serverLoad(),
@@ -174,10 +177,10 @@
                         List.of()));
     }
 
-    private int askedOf(FakeCacheServer node, String text, Path seedFrom) throws Exception {
+    private int commandsSentTo(FakeCacheServer node, String text, Path seedFrom) throws Exception {
         int before = node.commands();
         try (Daemon daemon = Daemon.start(DaemonConfigReader.parse("rig", text), 7, seedFrom, () -> true)) {
-            LoadClient.Account a = ask(daemon, 400, 0);
+            LoadClient.Account a = sendRequests(daemon, 400, 0);
             assertThat(a.faults).isEmpty();
             assertThat(a.answered()).isEqualTo(400);
         }
@@ -185,66 +188,70 @@
     }
 
     @Test
-    void whatDoesNotFitIsNotUsed() throws Exception {
+    void ignoresSnapshotsThatDoNotMatch() throws Exception {
         try (fleet) {
             Path path = folder.resolve("memory");
             FakeCacheServer node = fleet.nodes.get(2);
             double now = System.currentTimeMillis();
-            remember(path, 0, now, 0, id(node));
-            assertThat(askedOf(node, file(""), null)).as("its own, of now").isZero();
-            remember(path, 0, now + 86_400_000, 0, id(node));
-            assertThat(askedOf(node, file(""), null))
+            writeSnapshot(path, 0, now, 0, serverId(node));
+            assertThat(commandsSentTo(node, file(""), null))
+                    .as("its own, of now")
+                    .isZero();
+            writeSnapshot(path, 0, now + 86_400_000, 0, serverId(node));
+            assertThat(commandsSentTo(node, file(""), null))
                     .as("of tomorrow: the clock was set back")
                     .isPositive();
-            remember(path, 0, now - 365 * 86_400_000.0, 0, id(node));
-            assertThat(askedOf(node, file(""), null)).as("of last year").isPositive();
-            remember(path, 1, now, 0, id(node));
-            assertThat(askedOf(node, file(""), null)).as("of another proxy").isPositive();
-            remember(path, 0, now, 0, id(node));
-            assertThat(askedOf(node, "[site]\nname = \"other\"\n" + file(""), null))
+            writeSnapshot(path, 0, now - 365 * 86_400_000.0, 0, serverId(node));
+            assertThat(commandsSentTo(node, file(""), null)).as("of last year").isPositive();
+            writeSnapshot(path, 1, now, 0, serverId(node));
+            assertThat(commandsSentTo(node, file(""), null))
+                    .as("of another proxy")
+                    .isPositive();
+            writeSnapshot(path, 0, now, 0, serverId(node));
+            assertThat(commandsSentTo(node, "[site]\nname = \"other\"\n" + file(""), null))
                     .as("of another site")
                     .isPositive();
-            remember(path, 0, now, now - 99_000, id(node));
-            assertThat(askedOf(node, file(""), null))
+            writeSnapshot(path, 0, now, now - 99_000, serverId(node));
+            assertThat(commandsSentTo(node, file(""), null))
                     .as("of another process there")
                     .isPositive();
             Files.write(path, new byte[] {1, 2, 3});
             Files.deleteIfExists(folder.resolve("memory.old"));
-            assertThat(askedOf(node, file(""), null))
+            assertThat(commandsSentTo(node, file(""), null))
                     .as("no memory file at all")
                     .isPositive();
         }
     }
 
     @Test
-    void aSiblingsMemoryIsAStartWhereThereIsNoneOfOnesOwn() throws Exception {
+    void usesSiblingSnapshotOnlyWithoutOwnOne() throws Exception {
         try (fleet) {
             FakeCacheServer node = fleet.nodes.get(2);
             Path sibling = folder.resolve("sibling");
-            remember(sibling, 5, (double) System.currentTimeMillis(), 0, id(node));
+            writeSnapshot(sibling, 5, (double) System.currentTimeMillis(), 0, serverId(node));
             String without = file("").replaceAll("\\[memory]\npath.*\nperiod.*\n", "");
             assertThat(without).doesNotContain("[memory]");
-            assertThat(askedOf(node, without, sibling)).isZero();
-            assertThat(askedOf(node, file(""), sibling)).isZero();
-            remember(folder.resolve("memory"), 0, (double) System.currentTimeMillis(), 0);
-            assertThat(askedOf(node, file(""), sibling))
+            assertThat(commandsSentTo(node, without, sibling)).isZero();
+            assertThat(commandsSentTo(node, file(""), sibling)).isZero();
+            writeSnapshot(folder.resolve("memory"), 0, (double) System.currentTimeMillis(), 0);
+            assertThat(commandsSentTo(node, file(""), sibling))
                     .as("its own says nothing of that node")
                     .isPositive();
-            assertThat(askedOf(node, without, folder.resolve("none"))).isPositive();
+            assertThat(commandsSentTo(node, without, folder.resolve("none"))).isPositive();
         }
     }
 
     @Test
-    void whereAllAreRememberedAsBadAllIsServed() throws Exception {
+    void servesAllWhenSnapshotHasAllServersAsFailing() throws Exception {
         try (fleet) {
-            remember(
+            writeSnapshot(
                     folder.resolve("memory"),
                     0,
                     (double) System.currentTimeMillis(),
                     0,
-                    fleet.nodes.stream().mapToInt(MemoryTest::id).toArray());
+                    fleet.nodes.stream().mapToInt(MemoryTest::serverId).toArray());
             try (Daemon daemon = daemon(file(""))) {
-                LoadClient.Account a = ask(daemon, 400, 0);
+                LoadClient.Account a = sendRequests(daemon, 400, 0);
                 assertThat(a.faults).isEmpty();
                 assertThat(a.answered()).isEqualTo(400);
                 assertThat(a.failed).isZero();
@@ -255,16 +262,16 @@
     }
 
     @Test
-    void theSecondProcessAtAPathRunsWithout() throws Exception {
+    void secondProcessAtSamePathRunsWithoutSnapshot() throws Exception {
         try (fleet) {
             try (Daemon first = daemon(file(""));
                     Daemon second = daemon("[site]\ninstances = 2\nme = 1\n" + file(""))) {
-                assertThat(ask(first, 50, 0).faults).isEmpty();
-                assertThat(ask(second, 50, 0).faults).isEmpty();
+                assertThat(sendRequests(first, 50, 0).faults).isEmpty();
+                assertThat(sendRequests(second, 50, 0).faults).isEmpty();
                 second.drain();
                 first.drain();
             }
-            assertThat(written().proxyNumber()).isZero();
+            assertThat(readSnapshot().proxyNumber()).isZero();
         }
     }
 
@@ -272,23 +279,23 @@
      * What it learned under one file it keeps under the next, though a class has changed and its pools are new ones.
      */
     @Test
-    void aReloadThatReplacesAPoolHandsItsKnowledgeOn() throws Exception {
+    void reloadThatReplacesPoolHandsOverItsLearnedState() throws Exception {
         try (fleet) {
-            FakeCacheServer mute = fleet.nodes.get(1);
-            mute.mute(true);
+            FakeCacheServer silentServer = fleet.nodes.get(1);
+            silentServer.mute(true);
             try (Daemon daemon = daemon(file(""))) {
-                assertThat(ask(daemon, 400, 0).faults).isEmpty();
-                int before = mute.commands();
+                assertThat(sendRequests(daemon, 400, 0).faults).isEmpty();
+                int before = silentServer.commands();
                 assertThat(before).isPositive();
                 daemon.load(DaemonConfigReader.parse("rig", file("").replace("aim_ms = 300", "aim_ms = 301")));
-                assertThat(ask(daemon, 400, 1000).faults).isEmpty();
-                assertThat(mute.commands()).isEqualTo(before);
+                assertThat(sendRequests(daemon, 400, 1000).faults).isEmpty();
+                assertThat(silentServer.commands()).isEqualTo(before);
             }
         }
     }
 
     @Test
-    void aDirectoryThatGoesCostsNothingButTheMemory() throws Exception {
+    void servesWithoutSnapshotWhenItsDirectoryIsRemoved() throws Exception {
         try (fleet) {
             Path gone = Files.createDirectory(folder.resolve("gone"));
             String text = file("").replace(
@@ -307,16 +314,16 @@
                         // once more
                     }
                 }
-                assertThat(ask(daemon, 100, 0).faults).isEmpty();
+                assertThat(sendRequests(daemon, 100, 0).faults).isEmpty();
                 Files.createDirectory(gone);
-                assertThat(ask(daemon, 100, 100).faults).isEmpty();
+                assertThat(sendRequests(daemon, 100, 100).faults).isEmpty();
                 awaitFile(gone.resolve("memory"));
             }
             String missing = file("").replace(
                             folder.resolve("memory").toString(),
                             folder.resolve("never/memory").toString());
             try (Daemon daemon = daemon(missing)) {
-                assertThat(ask(daemon, 100, 0).faults).isEmpty();
+                assertThat(sendRequests(daemon, 100, 0).faults).isEmpty();
                 daemon.drain();
             }
             assertThat(Files.exists(folder.resolve("never"))).isFalse();
@@ -337,20 +344,20 @@
      * others.
      */
     @Test
-    void aNodeThatRestartedMeanwhileIsColdAndStaysUnderItsMultipleWithTheWorstFile() throws Exception {
+    void limitsLoadOnRestartedServerDespiteMisleadingSnapshot() throws Exception {
         try (FakeFleet listed = new FakeFleet(6);
                 fleet) {
             FakeCacheServer cold = listed.nodes.get(0);
-            SlowStartMonitor watch = new SlowStartMonitor(100, 0.3, 20_000, 300);
-            cold.watch(watch);
+            SlowStartMonitor slowStart = new SlowStartMonitor(100, 0.3, 20_000, 300);
+            cold.watch(slowStart);
             listed.restart(0);
             // All others out but two, those of the file's limit; the cold one said to be the best, by an old start's
             // account.
-            List<LearnedServer> facts = new ArrayList<>();
+            List<LearnedServer> learned = new ArrayList<>();
             for (int i = 1; i < 5; i++) {
-                facts.add(new LearnedServer(i + 1, 0, 9, 1e9, 9));
+                learned.add(new LearnedServer(i + 1, 0, 9, 1e9, 9));
             }
-            facts.add(new LearnedServer(1, 0, 9, 1e9, 0)); // of the process before
+            learned.add(new LearnedServer(1, 0, 9, 1e9, 0)); // of the process before
             SnapshotStore.at(folder.resolve("memory"))
                     .write(new StateSnapshot(
                             "demo",
@@ -362,7 +369,7 @@
                                     new PoolState(
                                             "carp by $key, keys TEXT",
                                             new LearnedState(
-                                                    facts,
+                                                    learned,
                                                     new LearnedLatency(1, 1, 1, 0, 1),
                                                     new LearnedLoad(0, 1e9),
                                                     new LearnedLoad(0, 1e9),
@@ -376,7 +383,7 @@
                                     + "unknown_capacity = 100\n[memory]\npath = \"" + folder.resolve("memory")
                                     + "\"\nperiod_ms = 50");
             try (Daemon daemon = daemon(text)) {
-                for (int round = 0; round == 0 || watch.sent() < 30; round++) {
+                for (int round = 0; round == 0 || slowStart.sent() < 30; round++) {
                     int from = round * 2000;
                     assertThat(new LoadClient(
                                             listed.loop(),
@@ -389,40 +396,41 @@
                             .isEmpty();
                 }
             }
-            assertThat(watch.worst()).isLessThan(3);
+            assertThat(slowStart.worst()).isLessThan(3);
         }
     }
 
     /** No list tells of starts here: one that was down when the last daemon ended has started since. */
     @Test
-    void aServerThatWasDownWhenTheLastDaemonEndedIsColdToTheNext() throws Exception {
+    void treatsServerThatWasDownAtShutdownAsRestarted() throws Exception {
         try (fleet) {
             FakeCacheServer node = fleet.nodes.get(3);
             String text = "[site]\nwarm_up_ms = 3600000\n" + file("").replace(LIMITS, DaemonHarness.LIMITS);
             try (Daemon daemon = daemon(text)) {
                 node.kill();
-                assertThat(ask(daemon, 400, 0).faults).isEmpty();
+                assertThat(sendRequests(daemon, 400, 0).faults).isEmpty();
                 daemon.drain();
             }
-            assertThat(written().serverStarts()).anyMatch(b -> b.id() == id(node) && b.down());
+            assertThat(readSnapshot().serverStarts()).anyMatch(b -> b.id() == serverId(node) && b.down());
             node.revive();
             try (Daemon daemon = daemon(text)) {
-                while (written().serverStarts().stream().noneMatch(b -> b.id() == id(node) && b.startMs() > 0)) {
-                    assertThat(ask(daemon, 100, 0).faults).isEmpty();
+                while (readSnapshot().serverStarts().stream()
+                        .noneMatch(b -> b.id() == serverId(node) && b.startMs() > 0)) {
+                    assertThat(sendRequests(daemon, 100, 0).faults).isEmpty();
                 }
                 daemon.drain();
             }
-            double born = written().serverStarts().stream()
-                    .filter(b -> b.id() == id(node))
+            double startMs = readSnapshot().serverStarts().stream()
+                    .filter(b -> b.id() == serverId(node))
                     .findFirst()
                     .orElseThrow()
                     .startMs();
             try (Daemon daemon = daemon(text)) {
                 daemon.drain();
             }
-            assertThat(written().serverStarts())
+            assertThat(readSnapshot().serverStarts())
                     .as("and still to the one after it")
-                    .anyMatch(b -> b.id() == id(node) && b.startMs() == born);
+                    .anyMatch(b -> b.id() == serverId(node) && b.startMs() == startMs);
         }
     }
 }
--- a/src/test/java/cacheproxy/daemon/PoolsTest.java
+++ b/src/test/java/cacheproxy/daemon/PoolsTest.java
@@ -25,33 +25,34 @@
     void warmsUpRestartedServerForBothOfItsPoolsTogether() throws Exception {
         FakeFleet fleet = new FakeFleet(3);
         FakeCacheServer shared = fleet.nodes.get(0);
-        SlowStartMonitor watch = new SlowStartMonitor(100, 0.3, 20000, 300);
-        shared.watch(watch);
-        String two = DaemonHarness.pool("a", fleet, "", fleet.nodes.get(1))
+        SlowStartMonitor slowStart = new SlowStartMonitor(100, 0.3, 20000, 300);
+        shared.watch(slowStart);
+        String pools = DaemonHarness.pool("a", fleet, "", fleet.nodes.get(1))
                 + DaemonHarness.pool("b", fleet, "", fleet.nodes.get(2));
         String server = DaemonHarness.servers("capacity = 100", shared);
-        two = two.replace("[pool.origin]", server + "[pool.origin]");
-        try (DaemonHarness rig = new DaemonHarness(
+        pools = pools.replace("[pool.origin]", server + "[pool.origin]");
+        try (DaemonHarness harness = new DaemonHarness(
                 fleet,
                 SITE
                         + DaemonHarness.CLASSES
-                        + DaemonHarness.MAIN
-                        + two
+                        + DaemonHarness.MAIN_LISTENER
+                        + pools
                         + DaemonHarness.route("a", "prefix = \"a/\"", "a")
                         + DaemonHarness.route("b", "prefix = \"b/\"", "b"))) {
             shared.kill();
             // Both pools find it down.
-            rig.ask(400, 4, 2, i -> DaemonHarness.read((i % 2 == 0 ? "a/" : "b/") + i));
+            harness.sendRequests(400, 4, 2, i -> DaemonHarness.read((i % 2 == 0 ? "a/" : "b/") + i));
             shared.revive();
             LoadClient.Account account = null;
-            for (int round = 0; round == 0 || watch.sent() < 60; round++) {
+            for (int round = 0; round == 0 || slowStart.sent() < 60; round++) {
                 int from = round * 2000;
-                account = rig.ask(2000, 8, 4, i -> DaemonHarness.read((i % 2 == 0 ? "a/" : "b/") + (from + i)));
+                account = harness.sendRequests(
+                        2000, 8, 4, i -> DaemonHarness.read((i % 2 == 0 ? "a/" : "b/") + (from + i)));
                 assertThat(account.faults).isEmpty();
             }
-            assertThat(watch.sent()).as("it is used while it is cold").isGreaterThanOrEqualTo(60);
+            assertThat(slowStart.sent()).as("it is used while it is cold").isGreaterThanOrEqualTo(60);
             // What goes out before its first connection shows that it restarted comes on top: a few requests.
-            assertThat(watch.worst()).isLessThan(3);
+            assertThat(slowStart.worst()).isLessThan(3);
         }
     }
 
@@ -60,17 +61,20 @@
         FakeFleet fleet = new FakeFleet(2);
         FakeCacheServer first = fleet.nodes.get(0);
         FakeCacheServer spare = fleet.nodes.get(1);
-        SlowStartMonitor watch = new SlowStartMonitor(200, 0.3, 20000, 300);
-        spare.watch(watch);
-        String head = SITE + DaemonHarness.CLASSES + DaemonHarness.MAIN + DaemonHarness.plain("a", "", first);
-        try (DaemonHarness rig = new DaemonHarness(fleet, head + DaemonHarness.route("all", "", "a"))) {
+        SlowStartMonitor slowStart = new SlowStartMonitor(200, 0.3, 20000, 300);
+        spare.watch(slowStart);
+        String head = SITE
+                + DaemonHarness.CLASSES
+                + DaemonHarness.MAIN_LISTENER
+                + DaemonHarness.poolWithoutOrigin("a", "", first);
+        try (DaemonHarness harness = new DaemonHarness(fleet, head + DaemonHarness.route("all", "", "a"))) {
             // The spare pool comes with a new file, so that its server is a new one.
-            watch.born(System.nanoTime() / 1e6);
-            rig.load(head
-                    + DaemonHarness.plain("spare", "", spare).replace("dial", "capacity = 200\ndial")
+            slowStart.born(System.nanoTime() / 1e6);
+            harness.load(head
+                    + DaemonHarness.poolWithoutOrigin("spare", "", spare).replace("dial", "capacity = 200\ndial")
                     + DaemonHarness.route("all", "", "a", "spare"));
             first.kill();
-            LoadClient.Account account = rig.ask(3000, 8, 4, PoolsTest::read);
+            LoadClient.Account account = harness.sendRequests(3000, 8, 4, PoolsTest::read);
             assertThat(account.faults).isEmpty();
             assertThat(account.missing)
                     .as("answered by the spare node, which has none of the keys")
@@ -78,23 +82,24 @@
             assertThat(account.refused).isPositive();
             assertThat(account.refusedWithoutTime).isZero();
             assertThat(account.failed).isZero();
-            assertThat(watch.worst()).isLessThan(3);
+            assertThat(slowStart.worst()).isLessThan(3);
         }
     }
 
     @Test
     void sendsTimedOutReadToNextPool() throws Exception {
         FakeFleet fleet = new FakeFleet(2);
-        try (DaemonHarness rig = new DaemonHarness(
+        try (DaemonHarness harness = new DaemonHarness(
                         fleet,
                         SHORT
-                                + DaemonHarness.MAIN
-                                + DaemonHarness.plain("a", "retry_share = 0\nretries_always = 0", fleet.nodes.get(0))
+                                + DaemonHarness.MAIN_LISTENER
+                                + DaemonHarness.poolWithoutOrigin(
+                                        "a", "retry_share = 0\nretries_always = 0", fleet.nodes.get(0))
                                 + DaemonHarness.pool("b", fleet, "", fleet.nodes.get(1))
                                 + DaemonHarness.route("all", "", "a", "b"));
-                DaemonHarness.Talk talk = rig.talk()) {
+                DaemonHarness.ManualClient client = harness.connect()) {
             fleet.nodes.get(0).mute(true);
-            assertThat(talk.say("mg k v\r\n").lines(2)).containsExactly("VA 10", "value of k");
+            assertThat(client.send("mg k v\r\n").lines(2)).containsExactly("VA 10", "value of k");
             assertThat(fleet.nodes.get(0).commands()).isPositive();
         }
     }
@@ -102,16 +107,16 @@
     @Test
     void sendsTimedOutUnsafeWriteNowhereElse() throws Exception {
         FakeFleet fleet = new FakeFleet(2);
-        try (DaemonHarness rig = new DaemonHarness(
+        try (DaemonHarness harness = new DaemonHarness(
                         fleet,
                         SHORT
-                                + DaemonHarness.MAIN
-                                + DaemonHarness.plain("a", "", fleet.nodes.get(0))
-                                + DaemonHarness.plain("b", "", fleet.nodes.get(1))
+                                + DaemonHarness.MAIN_LISTENER
+                                + DaemonHarness.poolWithoutOrigin("a", "", fleet.nodes.get(0))
+                                + DaemonHarness.poolWithoutOrigin("b", "", fleet.nodes.get(1))
                                 + DaemonHarness.route("all", "", "a", "b"));
-                DaemonHarness.Talk talk = rig.talk()) {
+                DaemonHarness.ManualClient client = harness.connect()) {
             fleet.nodes.get(0).mute(true);
-            assertThat(talk.say("ms k 2 Pc=submit\r\nhi\r\n").line()).isEqualTo("SERVER_ERROR failed");
+            assertThat(client.send("ms k 2 Pc=submit\r\nhi\r\n").line()).isEqualTo("SERVER_ERROR failed");
             assertThat(fleet.nodes.get(0).commands()).isEqualTo(1);
             assertThat(fleet.nodes.get(1).commands()).isZero();
         }
@@ -120,23 +125,23 @@
     @Test
     void sendsUnsafeWriteThatCannotHaveRunToNextPool() throws Exception {
         FakeFleet fleet = new FakeFleet(2);
-        try (DaemonHarness rig = new DaemonHarness(
+        try (DaemonHarness harness = new DaemonHarness(
                         fleet,
                         SHORT
-                                + DaemonHarness.MAIN
-                                + DaemonHarness.plain("a", "", fleet.nodes.get(0))
-                                + DaemonHarness.plain("b", "", fleet.nodes.get(1))
+                                + DaemonHarness.MAIN_LISTENER
+                                + DaemonHarness.poolWithoutOrigin("a", "", fleet.nodes.get(0))
+                                + DaemonHarness.poolWithoutOrigin("b", "", fleet.nodes.get(1))
                                 + DaemonHarness.route("all", "", "a", "b"));
-                DaemonHarness.Talk talk = rig.talk()) {
+                DaemonHarness.ManualClient client = harness.connect()) {
             fleet.nodes.get(0).kill();
-            assertThat(talk.say("ms k 2 Pc=submit\r\nhi\r\n").line()).isEqualTo("HD");
+            assertThat(client.send("ms k 2 Pc=submit\r\nhi\r\n").line()).isEqualTo("HD");
             assertThat(fleet.ledger.times("hi")).isEqualTo(1);
         }
     }
 
     @Test
     void sendsKeyedWriteThatMayHaveRunOnlyToPoolOfSameDedupGroup() throws Exception {
-        for (boolean together : new boolean[] {true, false}) {
+        for (boolean sameGroup : new boolean[] {true, false}) {
             FakeFleet fleet = new FakeFleet(2);
             ScriptedServer resets = new ScriptedServer(connection -> {
                 connection.command();
@@ -147,19 +152,21 @@
                     "[[pool]]\nname = \"a\"\nnodes = \"plain\"\ndedup_group = \"g\"\n[[pool.server]]\nname = \"r\"\n"
                             + "dial = \"" + resets.dial() + "\"\n";
             try (resets;
-                    DaemonHarness rig = new DaemonHarness(
+                    DaemonHarness harness = new DaemonHarness(
                             fleet,
                             SHORT.replace("60000", "5000")
-                                    + DaemonHarness.MAIN
+                                    + DaemonHarness.MAIN_LISTENER
                                     + first
-                                    + DaemonHarness.plain(
-                                            "b", "dedup_group = \"" + (together ? "g" : "h") + "\"", fleet.nodes.get(1))
+                                    + DaemonHarness.poolWithoutOrigin(
+                                            "b",
+                                            "dedup_group = \"" + (sameGroup ? "g" : "h") + "\"",
+                                            fleet.nodes.get(1))
                                     + DaemonHarness.route("all", "", "a", "b"));
-                    DaemonHarness.Talk talk = rig.talk()) {
-                assertThat(talk.say("ms k 2 Pc=publish,k=once\r\nhi\r\n").line())
-                        .isEqualTo(together ? "HD" : "SERVER_ERROR failed");
-                assertThat(fleet.nodes.get(1).commands()).isEqualTo(together ? 1 : 0);
-                assertThat(talk.say("ms k 2 Pc=submit\r\nno\r\n").line()).isEqualTo("SERVER_ERROR failed");
+                    DaemonHarness.ManualClient client = harness.connect()) {
+                assertThat(client.send("ms k 2 Pc=publish,k=once\r\nhi\r\n").line())
+                        .isEqualTo(sameGroup ? "HD" : "SERVER_ERROR failed");
+                assertThat(fleet.nodes.get(1).commands()).isEqualTo(sameGroup ? 1 : 0);
+                assertThat(client.send("ms k 2 Pc=submit\r\nno\r\n").line()).isEqualTo("SERVER_ERROR failed");
                 assertThat(fleet.ledger.times("no")).as("an unsafe one never").isZero();
             }
         }
@@ -169,16 +176,16 @@
     void rejectsWhenRetriesAreSpentAndRecoversAfterwards() throws Exception {
         FakeFleet fleet = new FakeFleet(4);
         FakeCacheServer[] nodes = fleet.nodes.toArray(new FakeCacheServer[0]);
-        try (DaemonHarness rig = new DaemonHarness(
+        try (DaemonHarness harness = new DaemonHarness(
                 fleet,
-                DaemonHarness.LIMITS + "second_copies = false\n" + DaemonHarness.CLASSES + DaemonHarness.MAIN
-                        + DaemonHarness.plain("a", "retry_share = 0.1\nretries_always = 0", nodes)
+                DaemonHarness.LIMITS + "second_copies = false\n" + DaemonHarness.CLASSES + DaemonHarness.MAIN_LISTENER
+                        + DaemonHarness.poolWithoutOrigin("a", "retry_share = 0.1\nretries_always = 0", nodes)
                         + DaemonHarness.route("all", "", "a"))) {
             for (FakeCacheServer node : nodes) {
                 node.busy(Integer.MAX_VALUE);
             }
             int before = 0;
-            LoadClient.Account account = rig.ask(2000, 4, 4, PoolsTest::read);
+            LoadClient.Account account = harness.sendRequests(2000, 4, 4, PoolsTest::read);
             for (FakeCacheServer node : nodes) {
                 before += node.commands();
             }
@@ -194,7 +201,7 @@
             }
             LoadClient.Account again;
             do {
-                again = rig.ask(200, 4, 1, PoolsTest::read);
+                again = harness.sendRequests(200, 4, 1, PoolsTest::read);
                 assertThat(again.faults).isEmpty();
             } while (again.served < 200);
         }
@@ -207,23 +214,24 @@
         FakeCacheServer backup = fleet.nodes.get(1);
         String pool = "[[pool]]\nname = \"a\"\nnodes = \"plain\"\n" + DaemonHarness.servers("", primary)
                 + DaemonHarness.servers("backup = true", backup);
-        try (DaemonHarness rig = new DaemonHarness(
+        try (DaemonHarness harness = new DaemonHarness(
                 fleet,
-                "[site]\nwarm_up_ms = 0\n" + DaemonHarness.LIMITS + DaemonHarness.CLASSES + DaemonHarness.MAIN + pool
-                        + DaemonHarness.route("all", "", "a"))) {
-            assertThat(rig.ask(300, 4, 2, PoolsTest::read).missing).isEqualTo(300);
+                "[site]\nwarm_up_ms = 0\n" + DaemonHarness.LIMITS + DaemonHarness.CLASSES + DaemonHarness.MAIN_LISTENER
+                        + pool + DaemonHarness.route("all", "", "a"))) {
+            assertThat(harness.sendRequests(300, 4, 2, PoolsTest::read).missing).isEqualTo(300);
             assertThat(backup.commands()).isZero();
             primary.kill();
-            LoadClient.Account account = rig.ask(300, 4, 2, PoolsTest::read);
+            LoadClient.Account account = harness.sendRequests(300, 4, 2, PoolsTest::read);
             assertThat(account.faults).isEmpty();
             assertThat(backup.commands()).isPositive();
             primary.revive();
             int seen = primary.commands();
             while (primary.commands() < seen + 50) { // it is shunned for some time first
-                assertThat(rig.ask(200, 4, 2, PoolsTest::read).faults).isEmpty();
+                assertThat(harness.sendRequests(200, 4, 2, PoolsTest::read).faults)
+                        .isEmpty();
             }
             int spare = backup.commands();
-            assertThat(rig.ask(100, 2, 1, PoolsTest::read).missing).isEqualTo(100);
+            assertThat(harness.sendRequests(100, 2, 1, PoolsTest::read).missing).isEqualTo(100);
             assertThat(backup.commands()).as("fail-back").isEqualTo(spare);
         }
     }
@@ -232,28 +240,33 @@
     void fillsColdBackupWithinBudgetWhenAllPrimariesFailAndReturnsTheirKeys() throws Exception {
         FakeFleet fleet = new FakeFleet(3);
         FakeCacheServer spare = fleet.nodes.get(2);
-        SlowStartMonitor watch = new SlowStartMonitor(200, 0.3, 20000, 300);
-        spare.watch(watch);
-        String pool = DaemonHarness.plain("a", "placement = \"nginx-hash\"", fleet.nodes.get(0), fleet.nodes.get(1))
+        SlowStartMonitor slowStart = new SlowStartMonitor(200, 0.3, 20000, 300);
+        spare.watch(slowStart);
+        String pool = DaemonHarness.poolWithoutOrigin(
+                                "a", "placement = \"nginx-hash\"", fleet.nodes.get(0), fleet.nodes.get(1))
                         .replace("dial =", "warm = true\ndial =")
                 + DaemonHarness.servers("backup = true\ncapacity = 200", spare);
-        try (DaemonHarness rig = new DaemonHarness(
+        try (DaemonHarness harness = new DaemonHarness(
                 fleet,
-                SITE + DaemonHarness.CLASSES + DaemonHarness.MAIN + pool + DaemonHarness.route("all", "", "a"))) {
-            watch.born(System.nanoTime() / 1e6);
-            assertThat(rig.ask(500, 4, 2, PoolsTest::read).faults).isEmpty();
+                SITE
+                        + DaemonHarness.CLASSES
+                        + DaemonHarness.MAIN_LISTENER
+                        + pool
+                        + DaemonHarness.route("all", "", "a"))) {
+            slowStart.born(System.nanoTime() / 1e6);
+            assertThat(harness.sendRequests(500, 4, 2, PoolsTest::read).faults).isEmpty();
             assertThat(spare.commands()).isZero();
             int[] before = {fleet.nodes.get(0).commands(), fleet.nodes.get(1).commands()};
             fleet.nodes.get(0).kill();
             fleet.nodes.get(1).kill();
-            LoadClient.Account account = rig.ask(3000, 8, 4, PoolsTest::read);
+            LoadClient.Account account = harness.sendRequests(3000, 8, 4, PoolsTest::read);
             assertThat(account.faults).isEmpty();
             assertThat(account.missing)
                     .as("answered by the backup, which has none of the keys")
                     .isPositive();
             assertThat(account.refused).isPositive();
             assertThat(account.refusedWithoutTime).isZero();
-            assertThat(watch.worst()).isLessThan(3);
+            assertThat(slowStart.worst()).isLessThan(3);
             fleet.nodes.get(0).revive();
             fleet.nodes.get(1).revive();
             // They are found by requests; each is cold then, and gets its keys back as it may.
@@ -262,32 +275,33 @@
                             || fleet.nodes.get(1).commands() < before[1] + 20;
                     round++) {
                 int from = 10_000 + round * 1000;
-                assertThat(rig.ask(1000, 8, 4, i -> read(from + i)).faults).isEmpty();
+                assertThat(harness.sendRequests(1000, 8, 4, i -> read(from + i)).faults)
+                        .isEmpty();
             }
-            assertThat(watch.worst()).isLessThan(3);
+            assertThat(slowStart.worst()).isLessThan(3);
         }
     }
 
     @Test
     void sendsToNextPoolOrRejectsWithRetryTimeWhenPoolIsFull() throws Exception {
         FakeFleet fleet = new FakeFleet(2);
-        try (DaemonHarness rig = new DaemonHarness(
+        try (DaemonHarness harness = new DaemonHarness(
                         fleet,
                         DaemonHarness.CLASSES
-                                + DaemonHarness.MAIN
-                                + DaemonHarness.plain("a", "in_hand = 1", fleet.nodes.get(0))
-                                + DaemonHarness.plain("b", "per_second = 10", fleet.nodes.get(1))
+                                + DaemonHarness.MAIN_LISTENER
+                                + DaemonHarness.poolWithoutOrigin("a", "in_hand = 1", fleet.nodes.get(0))
+                                + DaemonHarness.poolWithoutOrigin("b", "per_second = 10", fleet.nodes.get(1))
                                 + DaemonHarness.route("all", "", "a", "b"));
-                DaemonHarness.Talk one = rig.talk();
-                DaemonHarness.Talk two = rig.talk();
-                DaemonHarness.Talk three = rig.talk()) {
+                DaemonHarness.ManualClient first = harness.connect();
+                DaemonHarness.ManualClient second = harness.connect();
+                DaemonHarness.ManualClient third = harness.connect()) {
             fleet.nodes.get(0).mute(true);
-            one.say("mg k1 v\r\n");
-            while (rig.daemon.inHand() == 0) {
+            first.send("mg k1 v\r\n");
+            while (harness.daemon.pendingRequests() == 0) {
                 Thread.onSpinWait();
             }
-            assertThat(two.say("mg k2 v\r\n").line()).isEqualTo("EN");
-            assertThat(three.say("mg k3 v\r\n").line()).matches("SERVER_ERROR busy [1-9]\\d*");
+            assertThat(second.send("mg k2 v\r\n").line()).isEqualTo("EN");
+            assertThat(third.send("mg k3 v\r\n").line()).matches("SERVER_ERROR busy [1-9]\\d*");
         }
     }
 }
--- a/src/test/java/cacheproxy/daemon/ReloadRollbackTest.java
+++ b/src/test/java/cacheproxy/daemon/ReloadRollbackTest.java
@@ -24,7 +24,7 @@
 @Timeout(60)
 class ReloadRollbackTest {
     /** A subsystem of no section whose opening a test holds up or lets fail from the second configuration on. */
-    private static final class HeldUpSubsystem implements Subsystem, Subsystem.Factory {
+    private static final class BlockingSubsystem implements Subsystem, Subsystem.Factory {
         final CountDownLatch opening = new CountDownLatch(1);
         final CountDownLatch mayOpen = new CountDownLatch(1);
         final CountDownLatch draining = new CountDownLatch(1);
@@ -57,18 +57,18 @@
         public void close() {}
     }
 
-    private final HeldUpSubsystem heldUp = new HeldUpSubsystem();
+    private final BlockingSubsystem blockingSubsystem = new BlockingSubsystem();
 
     private Daemon start(String file) throws Exception {
         return Daemon.start(
                 DaemonConfigReader.parse("f", file),
                 7,
-                StandardSubsystems.with(new Subsystem.Registration("", heldUp)));
+                StandardSubsystems.with(new Subsystem.Registration("", blockingSubsystem)));
     }
 
     private static String file(FakeFleet fleet, String listeners) {
         return DaemonHarness.CLASSES
-                + DaemonHarness.MAIN
+                + DaemonHarness.MAIN_LISTENER
                 + listeners
                 + DaemonHarness.pool("a", fleet, "", fleet.nodes.toArray(new FakeCacheServer[0]))
                 + DaemonHarness.route("all", "", "a");
@@ -90,15 +90,15 @@
 
     /** Guards against addresses that stay bound after a reload in which a subsystem throws. */
     @Test
-    void aReloadInWhichASubsystemThrowsLeavesNoAddressBound() throws Exception {
+    void reloadInWhichSubsystemThrowsLeavesNoAddressBound() throws Exception {
         FakeFleet fleet = new FakeFleet(1);
         int port = freePort();
-        heldUp.mayOpen.countDown();
-        heldUp.failure = new IllegalStateException("planted");
+        blockingSubsystem.mayOpen.countDown();
+        blockingSubsystem.failure = new IllegalStateException("planted");
         try (Daemon daemon = start(file(fleet, ""))) {
             String next = file(fleet, DaemonHarness.listener("second", "127.0.0.1:" + port));
             assertThatThrownBy(() -> daemon.load(DaemonConfigReader.parse("f", next)))
-                    .isSameAs(heldUp.failure);
+                    .isSameAs(blockingSubsystem.failure);
             assertUnbound(port);
             assertThat(daemon.addresses()).containsOnlyKeys("main");
         }
@@ -106,17 +106,17 @@
 
     /** Guards against a process that opens new addresses while it shuts down, and cuts who connects there. */
     @Test
-    void aReloadThatTheShutdownOvertakesChangesNothing() throws Exception {
+    void reloadOvertakenByShutdownChangesNothing() throws Exception {
         FakeFleet fleet = new FakeFleet(1);
         int port = freePort();
         try (Daemon daemon = start(file(fleet, ""))) {
             String next = file(fleet, DaemonHarness.listener("second", "127.0.0.1:" + port));
             CompletableFuture<Throwable> reload = CompletableFuture.supplyAsync(
                     () -> catchThrowable(() -> daemon.load(DaemonConfigReader.parse("f", next))));
-            heldUp.opening.await();
+            blockingSubsystem.opening.await();
             CompletableFuture<Void> drain = CompletableFuture.runAsync(daemon::drain);
-            heldUp.draining.await();
-            heldUp.mayOpen.countDown();
+            blockingSubsystem.draining.await();
+            blockingSubsystem.mayOpen.countDown();
             assertThat(reload.get(20, TimeUnit.SECONDS))
                     .isInstanceOf(ConfigException.class)
                     .hasMessageContaining("shutting down");
@@ -127,13 +127,13 @@
 
     /** Guards against a reload that begins in the shutdown, as by a SIGHUP after SIGTERM. */
     @Test
-    void aReloadDuringTheShutdownChangesNothing() throws Exception {
+    void reloadDuringShutdownChangesNothing() throws Exception {
         FakeFleet fleet = new FakeFleet(1);
         int port = freePort();
-        heldUp.mayOpen.countDown();
+        blockingSubsystem.mayOpen.countDown();
         try (Daemon daemon = start(file(fleet, ""))) {
             CompletableFuture<Void> drain = CompletableFuture.runAsync(daemon::drain);
-            heldUp.draining.await();
+            blockingSubsystem.draining.await();
             String next = file(fleet, DaemonHarness.listener("second", "127.0.0.1:" + port));
             assertThatThrownBy(() -> daemon.load(DaemonConfigReader.parse("f", next)))
                     .isInstanceOf(ConfigException.class)
--- a/src/test/java/cacheproxy/daemon/ReloadTest.java
+++ b/src/test/java/cacheproxy/daemon/ReloadTest.java
@@ -26,7 +26,7 @@
     @TempDir
     private Path folder;
 
-    private static Ask ask(int index) {
+    private static Ask request(int index) {
         String key = "page/" + index % 300;
         return switch (index % 10) {
             case 0 -> new Ask("s/" + index, "c=submit", "submit-" + index, null);
@@ -44,28 +44,29 @@
             // Routes move between the pools, a pool comes and goes, another is replaced whole, servers change places.
             files[version] = (version == 2 ? DaemonHarness.LIMITS + "max_attempts = 2\n" : DaemonHarness.LIMITS)
                     + DaemonHarness.CLASSES
-                    + DaemonHarness.MAIN
+                    + DaemonHarness.MAIN_LISTENER
                     + DaemonHarness.pool(
                             "a", fleet, "in_hand = " + (1000 + version), node[0], node[1], node[2 + version % 2])
                     + (version == 1 ? "" : DaemonHarness.pool("b", fleet, "", node[3], node[4], node[5]))
                     + DaemonHarness.route("pages", "prefix = \"page/\"", version % 2 == 0 && version != 1 ? "b" : "a")
                     + DaemonHarness.route("all", "", version == 3 ? "b" : "a");
         }
-        try (DaemonHarness rig = new DaemonHarness(fleet, files[0])) {
+        try (DaemonHarness harness = new DaemonHarness(fleet, files[0])) {
             fleet.origin.work(2);
             int total = 30_000;
-            CompletableFuture<LoadClient.Account> load =
-                    new LoadClient(fleet.loop(), rig.daemon.address("main"), total, ReloadTest::ask).start(8, 4);
+            CompletableFuture<LoadClient.Account> load = new LoadClient(
+                            fleet.loop(), harness.daemon.address("main"), total, ReloadTest::request)
+                    .start(8, 4);
             int reloads = 0;
             while (reloads < 100 || !load.isDone()) {
-                rig.load(files[++reloads % files.length]);
+                harness.load(files[++reloads % files.length]);
             }
             LoadClient.Account account = load.get(60, TimeUnit.SECONDS);
             assertThat(account.faults).isEmpty();
             assertThat(account.answered()).isEqualTo(total);
             assertThat(account.refusedWithoutTime).isZero();
             assertThat(fleet.ledger.repeated()).isZero();
-            while (rig.daemon.inHand() > 0 || rig.daemon.poolsAtWork() > 2) {
+            while (harness.daemon.pendingRequests() > 0 || harness.daemon.poolCount() > 2) {
                 Thread.onSpinWait(); // pools that went are let go of
             }
         }
@@ -76,14 +77,14 @@
         FakeFleet fleet = new FakeFleet(2);
         FakeCacheServer[] node = fleet.nodes.toArray(new FakeCacheServer[0]);
         String good = DaemonHarness.CLASSES
-                + DaemonHarness.MAIN
+                + DaemonHarness.MAIN_LISTENER
                 + DaemonHarness.pool("a", fleet, "", node)
                 + DaemonHarness.route("all", "", "a");
         Path file = folder.resolve("coralbay.toml");
-        try (DaemonHarness rig = new DaemonHarness(fleet, good);
-                DaemonHarness.Talk talk = rig.talk();
+        try (DaemonHarness harness = new DaemonHarness(fleet, good);
+                DaemonHarness.ManualClient client = harness.connect();
                 ServerSocket taken = new ServerSocket(0, 1, InetAddress.getLoopbackAddress())) {
-            InetSocketAddress before = rig.daemon.address("main");
+            InetSocketAddress before = harness.daemon.address("main");
             String unbindable = good
                     + DaemonHarness.listener("second", "127.0.0.1:" + taken.getLocalPort())
                     + DaemonHarness.listener("third", "127.0.0.1:0");
@@ -91,14 +92,14 @@
                 "", "[[[", good.substring(0, good.length() / 2), good.replace("\"a\"", "\"\""), unbindable
             }) {
                 Files.writeString(file, bad);
-                ConfigException thrown = catchThrowableOfType(ConfigException.class, () -> rig.daemon.reload(file));
+                ConfigException thrown = catchThrowableOfType(ConfigException.class, () -> harness.daemon.reload(file));
                 assertThat(thrown.errors())
                         .isNotEmpty()
                         .allMatch(line -> line.startsWith(file + ":") && line.matches(".*:\\d+:\\d+: .*"));
-                talk.say("mg page/1 v\r\n");
-                assertThat(talk.lines(2)).containsExactly("VA 15", "value of page/1");
-                assertThat(rig.daemon.address("main")).isEqualTo(before);
-                assertThat(rig.daemon.addresses()).hasSize(1);
+                client.send("mg page/1 v\r\n");
+                assertThat(client.lines(2)).containsExactly("VA 15", "value of page/1");
+                assertThat(harness.daemon.address("main")).isEqualTo(before);
+                assertThat(harness.daemon.addresses()).hasSize(1);
             }
         }
     }
@@ -108,24 +109,26 @@
         FakeFleet fleet = new FakeFleet(1);
         FakeCacheServer node = fleet.nodes.get(0);
         String pools = DaemonHarness.pool("a", fleet, "", node) + DaemonHarness.route("all", "", "a");
-        String two =
-                DaemonHarness.CLASSES + DaemonHarness.MAIN + DaemonHarness.listener("second", "127.0.0.1:0") + pools;
-        try (DaemonHarness rig = new DaemonHarness(fleet, two);
-                DaemonHarness.Talk stays = rig.talk();
-                DaemonHarness.Talk idle = new DaemonHarness.Talk(rig.daemon.address("second"));
-                DaemonHarness.Talk busy = new DaemonHarness.Talk(rig.daemon.address("second"))) {
-            InetSocketAddress second = rig.daemon.address("second");
-            assertThat(idle.say("mn\r\n").line()).isEqualTo("MN");
+        String two = DaemonHarness.CLASSES
+                + DaemonHarness.MAIN_LISTENER
+                + DaemonHarness.listener("second", "127.0.0.1:0")
+                + pools;
+        try (DaemonHarness harness = new DaemonHarness(fleet, two);
+                DaemonHarness.ManualClient stays = harness.connect();
+                DaemonHarness.ManualClient idle = new DaemonHarness.ManualClient(harness.daemon.address("second"));
+                DaemonHarness.ManualClient busy = new DaemonHarness.ManualClient(harness.daemon.address("second"))) {
+            InetSocketAddress second = harness.daemon.address("second");
+            assertThat(idle.send("mn\r\n").line()).isEqualTo("MN");
             fleet.origin.work(200);
-            busy.say("mg slow v\r\n");
-            while (rig.daemon.inHand() == 0) {
+            busy.send("mg slow v\r\n");
+            while (harness.daemon.pendingRequests() == 0) {
                 Thread.onSpinWait();
             }
-            rig.load(DaemonHarness.CLASSES + DaemonHarness.MAIN + pools);
+            harness.load(DaemonHarness.CLASSES + DaemonHarness.MAIN_LISTENER + pools);
             assertThat(idle.line()).isNull();
             assertThat(busy.lines(2)).containsExactly("VA 13", "value of slow");
             assertThat(busy.line()).as("ends between requests").isNull();
-            assertThat(stays.say("mg other v\r\n").lines(2)).containsExactly("VA 14", "value of other");
+            assertThat(stays.send("mg other v\r\n").lines(2)).containsExactly("VA 14", "value of other");
             assertThat(catchThrowableOfType(
                             ConnectException.class, () -> new Socket(second.getAddress(), second.getPort())))
                     .isNotNull();
@@ -137,19 +140,19 @@
         FakeFleet fleet = new FakeFleet(2);
         FakeCacheServer old = fleet.nodes.get(0);
         FakeCacheServer next = fleet.nodes.get(1);
-        String head = DaemonHarness.CLASSES + DaemonHarness.MAIN;
-        try (DaemonHarness rig = new DaemonHarness(
+        String head = DaemonHarness.CLASSES + DaemonHarness.MAIN_LISTENER;
+        try (DaemonHarness harness = new DaemonHarness(
                         fleet, head + DaemonHarness.pool("a", fleet, "", old) + DaemonHarness.route("all", "", "a"));
-                DaemonHarness.Talk talk = rig.talk();
-                DaemonHarness.Talk later = rig.talk()) {
+                DaemonHarness.ManualClient client = harness.connect();
+                DaemonHarness.ManualClient later = harness.connect()) {
             fleet.origin.work(300);
-            talk.say("mg k v\r\n");
-            while (rig.daemon.inHand() == 0) {
+            client.send("mg k v\r\n");
+            while (harness.daemon.pendingRequests() == 0) {
                 Thread.onSpinWait();
             }
-            rig.load(head + DaemonHarness.pool("b", fleet, "", next) + DaemonHarness.route("all", "", "b"));
-            later.say("mg k2 v\r\n"); // the new node is cold, so this may go by the origin alone
-            assertThat(talk.lines(2)).containsExactly("VA 10", "value of k");
+            harness.load(head + DaemonHarness.pool("b", fleet, "", next) + DaemonHarness.route("all", "", "b"));
+            later.send("mg k2 v\r\n"); // the new node is cold, so this may go by the origin alone
+            assertThat(client.lines(2)).containsExactly("VA 10", "value of k");
             assertThat(later.lines(2)).containsExactly("VA 11", "value of k2");
             assertThat(old.commands()).isEqualTo(1);
         }
@@ -160,20 +163,23 @@
         FakeFleet fleet = new FakeFleet(3);
         FakeCacheServer[] node = fleet.nodes.toArray(new FakeCacheServer[0]);
         String head = "[site]\ndrain_grace_ms = 100\n"
-                + DaemonHarness.CLASSES.replace("20000", "2000").replace("10000", "1000") + DaemonHarness.MAIN;
-        try (DaemonHarness rig = new DaemonHarness(
+                + DaemonHarness.CLASSES.replace("20000", "2000").replace("10000", "1000") + DaemonHarness.MAIN_LISTENER;
+        try (DaemonHarness harness = new DaemonHarness(
                         fleet,
-                        head + DaemonHarness.plain("a", "", node[0], node[1]) + DaemonHarness.route("all", "", "a"));
-                DaemonHarness.Talk talk = rig.talk()) {
+                        head
+                                + DaemonHarness.poolWithoutOrigin("a", "", node[0], node[1])
+                                + DaemonHarness.route("all", "", "a"));
+                DaemonHarness.ManualClient client = harness.connect()) {
             node[0].mute(true);
             node[1].mute(true);
-            talk.say("mg k v\r\n");
+            client.send("mg k v\r\n");
             while (node[0].commands() + node[1].commands() == 0) {
                 Thread.onSpinWait();
             }
             // Before the first one is overdue, after which the other would be asked.
-            rig.load(head + DaemonHarness.plain("b", "", node[2]) + DaemonHarness.route("all", "", "b"));
-            assertThat(talk.line()).startsWith("SERVER_ERROR busy ");
+            harness.load(
+                    head + DaemonHarness.poolWithoutOrigin("b", "", node[2]) + DaemonHarness.route("all", "", "b"));
+            assertThat(client.line()).startsWith("SERVER_ERROR busy ");
             assertThat(node[0].commands() + node[1].commands()).isEqualTo(1);
         }
     }
@@ -182,22 +188,22 @@
      * Guards against a write that began in one grammar and is answered in the one that a reload has put in its place.
      */
     @Test
-    void answersAWriteInTheGrammarThatItBeganIn() throws Exception {
+    void answersWriteInGrammarThatItBeganIn() throws Exception {
         FakeFleet fleet = new FakeFleet(1);
         String pools = DaemonHarness.pool("a", fleet, "", fleet.nodes.get(0)) + DaemonHarness.route("all", "", "a");
-        String open = DaemonHarness.CLASSES + DaemonHarness.MAIN + pools;
+        String open = DaemonHarness.CLASSES + DaemonHarness.MAIN_LISTENER + pools;
         String strict = DaemonHarness.CLASSES + "[[listen]]\nname = \"main\"\naddress = \"127.0.0.1:0\"\n" + pools;
-        try (DaemonHarness rig = new DaemonHarness(fleet, open);
-                DaemonHarness.Talk whole = rig.talk();
-                DaemonHarness.Talk half = rig.talk();
-                DaemonHarness.Talk halfInvalid = rig.talk()) {
-            String stored = whole.say("ms page/1 5\r\nhello\r\n").line();
-            String invalid = whole.say("ms page/1 5 X\r\nhello\r\n").line();
-            assertThat(half.say("mn\r\nms page/1 5\r\nhe").line()).isEqualTo("MN"); // the line was read with it
-            assertThat(halfInvalid.say("mn\r\nms page/1 5 X\r\nhe").line()).isEqualTo("MN");
-            rig.load(strict);
-            assertThat(half.say("llo\r\n").line()).isEqualTo(stored);
-            assertThat(halfInvalid.say("llo\r\n").line()).isEqualTo(invalid);
+        try (DaemonHarness harness = new DaemonHarness(fleet, open);
+                DaemonHarness.ManualClient whole = harness.connect();
+                DaemonHarness.ManualClient half = harness.connect();
+                DaemonHarness.ManualClient halfInvalid = harness.connect()) {
+            String stored = whole.send("ms page/1 5\r\nhello\r\n").line();
+            String invalid = whole.send("ms page/1 5 X\r\nhello\r\n").line();
+            assertThat(half.send("mn\r\nms page/1 5\r\nhe").line()).isEqualTo("MN"); // the line was read with it
+            assertThat(halfInvalid.send("mn\r\nms page/1 5 X\r\nhe").line()).isEqualTo("MN");
+            harness.load(strict);
+            assertThat(half.send("llo\r\n").line()).isEqualTo(stored);
+            assertThat(halfInvalid.send("llo\r\n").line()).isEqualTo(invalid);
         }
     }
 }
--- a/src/test/java/cacheproxy/daemon/SiblingCachesTest.java
+++ b/src/test/java/cacheproxy/daemon/SiblingCachesTest.java
@@ -53,7 +53,7 @@
             open.add(fleet);
         }
 
-        void knows(String name, InetSocketAddress at, InetSocketAddress fetchAt) {
+        void addSibling(String name, InetSocketAddress at, InetSocketAddress fetchAt) {
             siblings.add("[[sibling]]\nname = \"" + name + "\"\nicp = \"" + Addresses.text(at) + "\"\nfetch = \""
                     + Addresses.text(fetchAt) + "\"\nclass = \"sibling\"\n");
         }
@@ -66,7 +66,8 @@
                         .append(siblings.get(i).split("\"", 0)[1])
                         .append('"');
             }
-            return DaemonHarness.LIMITS + CLASSES + DaemonHarness.MAIN + "[[listen]]\nname = \"siblings\"\naddress = \""
+            return DaemonHarness.LIMITS + CLASSES + DaemonHarness.MAIN_LISTENER
+                    + "[[listen]]\nname = \"siblings\"\naddress = \""
                     + Addresses.text(fetch)
                     + "\"\n[icp]\naddress = \"" + Addresses.text(icp) + "\"\nlistener = \"siblings\"\n"
                     + String.join("", siblings)
@@ -93,7 +94,7 @@
                     .start(4, 2);
         }
 
-        LoadClient.Account ask(int total, int from) throws Exception {
+        LoadClient.Account sendRequests(int total, int from) throws Exception {
             LoadClient.Account a = load(total, from).get(100, TimeUnit.SECONDS);
             assertThat(a.faults).isEmpty();
             assertThat(a.answered()).isEqualTo(total);
@@ -109,8 +110,10 @@
         return new InetSocketAddress(InetAddress.getLoopbackAddress(), Ports.free());
     }
 
-    private LossyDatagramLink link(Site a, Site b, double lost, double doubled, double lateMs) throws Exception {
-        LossyDatagramLink link = new LossyDatagramLink(a.fleet.loop(), a.icp, b.icp, 5, lost, doubled, lateMs);
+    private LossyDatagramLink link(Site a, Site b, double lossRate, double duplicationRate, double delayMs)
+            throws Exception {
+        LossyDatagramLink link =
+                new LossyDatagramLink(a.fleet.loop(), a.icp, b.icp, 5, lossRate, duplicationRate, delayMs);
         open.add(link);
         return link;
     }
@@ -126,17 +129,17 @@
     void fetchesRecentlyServedKeysFromSiblingInsteadOfOrigin() throws Exception {
         Site a = new Site();
         Site b = new Site();
-        a.knows("b", b.icp, b.fetch);
-        b.knows("a", a.icp, a.fetch);
+        a.addSibling("b", b.icp, b.fetch);
+        b.addSibling("a", a.icp, a.fetch);
         a.start();
         b.start();
         a.fleet.origin.work(20);
-        b.ask(200, 0); // b's origin fills b's nodes
-        b.ask(200, 0); // and its nodes answer: now it knows what they have
+        b.sendRequests(200, 0); // b's origin fills b's nodes
+        b.sendRequests(200, 0); // and its nodes answer: now it knows what they have
         int before = b.fleet.origin.fetches();
-        LoadClient.Account got = a.ask(200, 0);
-        assertThat(got.failed).isZero();
-        assertThat(got.served).isGreaterThan(100);
+        LoadClient.Account account = a.sendRequests(200, 0);
+        assertThat(account.failed).isZero();
+        assertThat(account.served).isGreaterThan(100);
         assertThat(a.fleet.origin.fetches()).as("of 200; the rest came from b").isLessThan(100);
         assertThat(b.fleet.origin.fetches()).as("nothing was fetched for a").isEqualTo(before);
     }
@@ -146,14 +149,15 @@
         Site a = new Site();
         Site b = new Site();
         LossyDatagramLink link = link(a, b, 0.5, 0.3, 5);
-        a.knows("b", link.towardsB(), b.fetch);
-        b.knows("a", link.towardsA(), a.fetch);
+        a.addSibling("b", link.towardsB(), b.fetch);
+        b.addSibling("a", link.towardsA(), a.fetch);
         a.start();
         b.start();
         a.fleet.origin.work(20);
-        b.ask(300, 0);
-        b.ask(300, 0);
-        assertThat(a.ask(300, 0).served + a.ask(300, 300).served).isPositive();
+        b.sendRequests(300, 0);
+        b.sendRequests(300, 0);
+        assertThat(a.sendRequests(300, 0).served + a.sendRequests(300, 300).served)
+                .isPositive();
         assertThat(link.passed()).isPositive();
         assertThat(link.dropped()).isPositive();
         assertThat(a.fleet.ledger.repeated()).isZero();
@@ -165,7 +169,7 @@
         for (Site s : sites) {
             for (int i = 0; i < 3; i++) {
                 if (sites[i] != s) {
-                    s.knows("s" + i, sites[i].icp, sites[i].fetch);
+                    s.addSibling("s" + i, sites[i].icp, sites[i].fetch);
                 }
             }
         }
@@ -194,22 +198,22 @@
     void losesTrustInSiblingWhoseServersWereEmptied() throws Exception {
         Site a = new Site();
         Site b = new Site();
-        a.knows("b", b.icp, b.fetch);
-        b.knows("a", a.icp, a.fetch);
+        a.addSibling("b", b.icp, b.fetch);
+        b.addSibling("a", a.icp, a.fetch);
         a.start();
         b.start();
         a.fleet.origin.work(5);
-        b.ask(200, 0);
-        b.ask(200, 0);
+        b.sendRequests(200, 0);
+        b.sendRequests(200, 0);
         for (FakeCacheServer n : b.fleet.nodes) { // what b promises is not there any more, and nobody has told b
             for (int i = 0; i < 200; i++) {
                 n.forget("k/" + i);
             }
         }
-        LoadClient.Account got = a.ask(200, 0);
-        assertThat(got.failed).isZero();
-        assertThat(got.served + got.refused).isEqualTo(200);
-        assertThat(got.served).isPositive();
+        LoadClient.Account account = a.sendRequests(200, 0);
+        assertThat(account.failed).isZero();
+        assertThat(account.served + account.refused).isEqualTo(200);
+        assertThat(account.served).isPositive();
     }
 
     /** What a sibling asks for must not reach a node that drains, however lately that node has served it. */
@@ -217,18 +221,18 @@
     void answersNoHitForDrainingServer() throws Exception {
         Site a = new Site();
         Site b = new Site();
-        a.knows("b", b.icp, b.fetch);
-        b.knows("a", a.icp, a.fetch);
+        a.addSibling("b", b.icp, b.fetch);
+        b.addSibling("a", a.icp, a.fetch);
         a.start();
         b.start();
-        b.ask(200, 0);
-        b.ask(200, 0);
-        FakeCacheServer drains = b.fleet.nodes.get(0);
-        String dial = "dial = \"" + drains.dial() + "\"";
+        b.sendRequests(200, 0);
+        b.sendRequests(200, 0);
+        FakeCacheServer draining = b.fleet.nodes.get(0);
+        String dial = "dial = \"" + draining.dial() + "\"";
         b.daemon.load(DaemonConfigReader.parse("rig", b.file().replace(dial, dial + "\ndrain = true")));
-        int before = drains.commands();
-        a.ask(200, 0);
-        assertThat(drains.commands()).isEqualTo(before);
+        int before = draining.commands();
+        a.sendRequests(200, 0);
+        assertThat(draining.commands()).isEqualTo(before);
         assertThat(b.fleet.nodes.get(1).commands()).isPositive();
     }
 
@@ -236,31 +240,31 @@
     @Test
     void answersNoHitForRestartedServer() throws Exception {
         Site b = new Site();
-        try (DatagramSocket friend = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
-            b.knows("friend", (InetSocketAddress) friend.getLocalSocketAddress(), tcpPort());
+        try (DatagramSocket sibling = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
+            b.addSibling("friend", (InetSocketAddress) sibling.getLocalSocketAddress(), tcpPort());
             b.start();
-            b.ask(50, 0);
-            b.ask(50, 0);
+            b.sendRequests(50, 0);
+            b.sendRequests(50, 0);
             int hits = 0;
             for (int i = 0; i < 50; i++) {
-                hits += asked(friend, b, "http://coralbay/k/" + i).opcode() == Opcode.HIT ? 1 : 0;
+                hits += query(sibling, b, "http://coralbay/k/" + i).opcode() == Opcode.HIT ? 1 : 0;
             }
             assertThat(hits).isGreaterThan(40);
             for (FakeCacheServer n : b.fleet.nodes) {
                 n.kill();
             }
-            b.ask(100, 100); // b finds them down
+            b.sendRequests(100, 100); // b finds them down
             for (FakeCacheServer n : b.fleet.nodes) {
                 n.revive();
             }
             int served = 0;
             for (int round = 0; served == 0; round++) { // until b has seen both again
-                b.ask(100, 1000 + 100 * round);
+                b.sendRequests(100, 1000 + 100 * round);
                 served = Math.min(
                         b.fleet.nodes.get(0).commands(), b.fleet.nodes.get(1).commands());
             }
             for (int i = 0; i < 50; i++) {
-                assertThat(asked(friend, b, "http://coralbay/k/" + i).opcode()).isNotEqualTo(Opcode.HIT);
+                assertThat(query(sibling, b, "http://coralbay/k/" + i).opcode()).isNotEqualTo(Opcode.HIT);
             }
         }
     }
@@ -282,7 +286,7 @@
         DatagramSocket icp = new DatagramSocket(0, InetAddress.getLoopbackAddress());
         open.add(fetches);
         open.add(icp);
-        Thread liar = new Thread(
+        Thread icpResponder = new Thread(
                 () -> { // promises everything
                     byte[] buf = new byte[2000];
                     try {
@@ -299,10 +303,10 @@
                         // the test has ended
                     }
                 });
-        liar.setDaemon(true);
-        liar.start();
-        java.util.concurrent.atomic.AtomicInteger asked = new java.util.concurrent.atomic.AtomicInteger();
-        Thread script = new Thread(() -> {
+        icpResponder.setDaemon(true);
+        icpResponder.start();
+        java.util.concurrent.atomic.AtomicInteger fetchCount = new java.util.concurrent.atomic.AtomicInteger();
+        Thread fetchResponder = new Thread(() -> {
             try {
                 while (true) {
                     java.net.Socket s = fetches.accept();
@@ -311,7 +315,7 @@
                             .readLine();
                     if (line != null) {
                         String id = line.substring(line.indexOf(" O") + 2).split(" ", 0)[0];
-                        String answer = answers[asked.getAndIncrement() % answers.length].replace("%s", id);
+                        String answer = answers[fetchCount.getAndIncrement() % answers.length].replace("%s", id);
                         s.getOutputStream().write(answer.getBytes(StandardCharsets.ISO_8859_1));
                     }
                     s.close();
@@ -320,58 +324,58 @@
                 // the test has ended
             }
         });
-        script.setDaemon(true);
-        script.start();
-        a.knows("liar", (InetSocketAddress) icp.getLocalSocketAddress(), (InetSocketAddress)
+        fetchResponder.setDaemon(true);
+        fetchResponder.start();
+        a.addSibling("liar", (InetSocketAddress) icp.getLocalSocketAddress(), (InetSocketAddress)
                 fetches.getLocalSocketAddress());
         a.start();
         a.fleet.origin.work(20);
-        LoadClient.Account got = a.ask(300, 0); // the load checks each value
-        assertThat(got.failed).isZero();
-        assertThat(got.served).isPositive();
-        assertThat(asked.get()).as("it was believed now and then").isPositive();
+        LoadClient.Account account = a.sendRequests(300, 0); // the load checks each value
+        assertThat(account.failed).isZero();
+        assertThat(account.served).isPositive();
+        assertThat(fetchCount.get()).as("it was believed now and then").isPositive();
     }
 
     @Test
     void servesFromSiblingsWhileOriginIsDown() throws Exception {
         Site a = new Site();
         Site b = new Site();
-        a.knows("b", b.icp, b.fetch);
-        b.knows("a", a.icp, a.fetch);
+        a.addSibling("b", b.icp, b.fetch);
+        b.addSibling("a", a.icp, a.fetch);
         a.start();
         b.start();
-        b.ask(200, 0);
-        b.ask(200, 0);
+        b.sendRequests(200, 0);
+        b.sendRequests(200, 0);
         a.fleet.origin.close();
-        LoadClient.Account got = a.ask(200, 0);
-        assertThat(got.served).isGreaterThan(100);
+        LoadClient.Account account = a.sendRequests(200, 0);
+        assertThat(account.served).isGreaterThan(100);
     }
 
     @Test
     void sendsAndAcceptsNoWritesBetweenSiblings() throws Exception {
         Site a = new Site();
         Site b = new Site();
-        a.knows("b", b.icp, b.fetch);
-        b.knows("a", a.icp, a.fetch);
+        a.addSibling("b", b.icp, b.fetch);
+        b.addSibling("a", a.icp, a.fetch);
         a.start();
         b.start();
-        LoadClient.Account w = new LoadClient(
+        LoadClient.Account writes = new LoadClient(
                         a.fleet.loop(),
                         a.daemon.address("main"),
                         100,
                         i -> new Ask("k/" + i, i % 2 == 0 ? "c=submit" : "c=publish,k=p" + i, "mark-" + i, null))
                 .start(4, 2)
                 .get(60, TimeUnit.SECONDS);
-        assertThat(w.faults).isEmpty();
-        assertThat(w.served).isEqualTo(100);
+        assertThat(writes.faults).isEmpty();
+        assertThat(writes.served).isEqualTo(100);
         assertThat(a.fleet.ledger.repeated()).isZero();
         assertThat(b.fleet.nodes).allMatch(n -> n.commands() == 0);
         assertThat(b.fleet.origin.fetches()).isZero();
-        try (DaemonHarness.Talk talk = new DaemonHarness.Talk(b.daemon.address("siblings"))) {
-            talk.say("ms k/1 2 O1 Pc=sibling,d=5000\r\nab\r\n");
-            assertThat(talk.line()).startsWith("CLIENT_ERROR").contains("siblings do not write here");
-            talk.say("mg none v O2 Pc=sibling,d=5000\r\n");
-            assertThat(talk.line()).as("a miss, and nothing fetched").startsWith("EN");
+        try (DaemonHarness.ManualClient client = new DaemonHarness.ManualClient(b.daemon.address("siblings"))) {
+            client.send("ms k/1 2 O1 Pc=sibling,d=5000\r\nab\r\n");
+            assertThat(client.line()).startsWith("CLIENT_ERROR").contains("siblings do not write here");
+            client.send("mg none v O2 Pc=sibling,d=5000\r\n");
+            assertThat(client.line()).as("a miss, and nothing fetched").startsWith("EN");
         }
         assertThat(b.fleet.origin.fetches()).isZero();
     }
@@ -380,49 +384,49 @@
     @Test
     void answersQueriesFromRecentResponsesAndIgnoresUnknownSenders() throws Exception {
         Site b = new Site();
-        try (DatagramSocket friend = new DatagramSocket(0, InetAddress.getLoopbackAddress());
-                DatagramSocket stranger = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
-            b.knows("friend", (InetSocketAddress) friend.getLocalSocketAddress(), tcpPort());
+        try (DatagramSocket sibling = new DatagramSocket(0, InetAddress.getLoopbackAddress());
+                DatagramSocket unknownSender = new DatagramSocket(0, InetAddress.getLoopbackAddress())) {
+            b.addSibling("friend", (InetSocketAddress) sibling.getLocalSocketAddress(), tcpPort());
             b.start();
-            friend.setSoTimeout(60_000);
-            stranger.setSoTimeout(60_000);
-            assertThat(asked(friend, b, "http://coralbay/k/1").opcode()).isEqualTo(Opcode.MISS);
+            sibling.setSoTimeout(60_000);
+            unknownSender.setSoTimeout(60_000);
+            assertThat(query(sibling, b, "http://coralbay/k/1").opcode()).isEqualTo(Opcode.MISS);
             askUntilAllServed(b, 5); // the origin's values are in the caches
             askUntilAllServed(b, 5); // and the caches have returned them
             for (int i = 0; i < 5; i++) {
-                assertThat(asked(friend, b, "http://coralbay/k/" + i).opcode())
+                assertThat(query(sibling, b, "http://coralbay/k/" + i).opcode())
                         .as("k/" + i)
                         .isEqualTo(Opcode.HIT);
             }
-            assertThat(asked(friend, b, "http://other/k/1").opcode()).isEqualTo(Opcode.ERR);
-            assertThat(asked(friend, b, "http://coralbay/" + "k".repeat(300)).opcode())
+            assertThat(query(sibling, b, "http://other/k/1").opcode()).isEqualTo(Opcode.ERR);
+            assertThat(query(sibling, b, "http://coralbay/" + "k".repeat(300)).opcode())
                     .isEqualTo(Opcode.MISS);
             // A write voids what is known of a key.
-            LoadClient.Account w = new LoadClient(
+            LoadClient.Account writes = new LoadClient(
                             b.fleet.loop(), b.daemon.address("main"), 1, i -> new Ask("k/1", "c=submit", "m", null))
                     .start(1, 1)
                     .get(60, TimeUnit.SECONDS);
-            assertThat(w.served).isEqualTo(1);
-            assertThat(asked(friend, b, "http://coralbay/k/1").opcode()).isEqualTo(Opcode.MISS);
-            assertThat(asked(friend, b, "http://coralbay/k/2").opcode()).isEqualTo(Opcode.HIT);
-            assertThat(asked(stranger, b, "http://coralbay/k/2").opcode()).isEqualTo(Opcode.DENIED);
+            assertThat(writes.served).isEqualTo(1);
+            assertThat(query(sibling, b, "http://coralbay/k/1").opcode()).isEqualTo(Opcode.MISS);
+            assertThat(query(sibling, b, "http://coralbay/k/2").opcode()).isEqualTo(Opcode.HIT);
+            assertThat(query(unknownSender, b, "http://coralbay/k/2").opcode()).isEqualTo(Opcode.DENIED);
             for (int i = 0; i < 300; i++) {
-                send(stranger, b, IcpMessage.query(i, 0, "http://coralbay/k/2"));
-                send(stranger, b, new IcpMessage(Opcode.HIT, i, 0, 0, 0, 0, "http://coralbay/k/2", null));
-                stranger.send(new DatagramPacket(new byte[i % 40], i % 40, b.daemon.icpAddress()));
+                send(unknownSender, b, IcpMessage.query(i, 0, "http://coralbay/k/2"));
+                send(unknownSender, b, new IcpMessage(Opcode.HIT, i, 0, 0, 0, 0, "http://coralbay/k/2", null));
+                unknownSender.send(new DatagramPacket(new byte[i % 40], i % 40, b.daemon.icpAddress()));
             }
-            assertThat(asked(friend, b, "http://coralbay/k/2").opcode())
+            assertThat(query(sibling, b, "http://coralbay/k/2").opcode())
                     .as("others are not disturbed")
                     .isEqualTo(Opcode.HIT);
             // The friend's last answer came after all of the stranger's: what he was told is in his socket by now.
-            stranger.setSoTimeout(1);
-            int heard = 0;
+            unknownSender.setSoTimeout(1);
+            int received = 0;
             try {
-                for (byte[] buf = new byte[1000]; ; heard++) {
-                    stranger.receive(new DatagramPacket(buf, buf.length));
+                for (byte[] buf = new byte[1000]; ; received++) {
+                    unknownSender.receive(new DatagramPacket(buf, buf.length));
                 }
             } catch (java.net.SocketTimeoutException e) {
-                assertThat(heard).isLessThan(150);
+                assertThat(received).isLessThan(150);
             }
         }
     }
@@ -430,7 +434,7 @@
     /** Requests the keys in rounds, as a proxy that has just started may shed some of its first requests. */
     private static void askUntilAllServed(Site site, int keys) throws Exception {
         for (int round = 0; round < MAX_ROUNDS; round++) {
-            if (site.ask(keys, 0).served == keys) {
+            if (site.sendRequests(keys, 0).served == keys) {
                 return;
             }
         }
@@ -444,7 +448,7 @@
         from.send(new DatagramPacket(bytes, bytes.length, to.daemon.icpAddress()));
     }
 
-    private static IcpMessage asked(DatagramSocket from, Site to, String url) throws Exception {
+    private static IcpMessage query(DatagramSocket from, Site to, String url) throws Exception {
         int number = url.hashCode();
         byte[] buf = new byte[2000];
         DatagramPacket packet = new DatagramPacket(buf, buf.length);
--- a/src/test/java/cacheproxy/daemon/fleet/AbstractFleetDaemonTest.java
+++ b/src/test/java/cacheproxy/daemon/fleet/AbstractFleetDaemonTest.java
@@ -37,9 +37,10 @@
     }
 
     /** A configuration with one pool and the control address, and these sections. */
-    String file(String more) {
-        return DaemonHarness.CLASSES + DaemonHarness.MAIN + DaemonHarness.pool("pages", fleet, "", fleet.nodes.get(0))
-                + DaemonHarness.route("all", "", "pages") + "[control]\nlisten = \"127.0.0.1:0\"\n" + more;
+    String file(String sections) {
+        return DaemonHarness.CLASSES + DaemonHarness.MAIN_LISTENER
+                + DaemonHarness.pool("pages", fleet, "", fleet.nodes.get(0)) + DaemonHarness.route("all", "", "pages")
+                + "[control]\nlisten = \"127.0.0.1:0\"\n" + sections;
     }
 
     /** The section of the fleet; peers as NAME@PORT. */
@@ -63,8 +64,8 @@
     }
 
     /** A daemon with these sections. */
-    Daemon daemon(String more) throws Exception {
-        return Daemon.start(DaemonConfigReader.parse(folder.resolve("f.toml").toString(), file(more)), 5);
+    Daemon daemon(String sections) throws Exception {
+        return Daemon.start(DaemonConfigReader.parse(folder.resolve("f.toml").toString(), file(sections)), 5);
     }
 
     /**
@@ -89,10 +90,10 @@
     }
 
     /** Calls the control address until the response begins like this. */
-    static String await(Daemon daemon, String call, String starts) throws IOException {
+    static String await(Daemon daemon, String call, String prefix) throws IOException {
         while (true) {
             String answer = call(daemon, call);
-            if (answer.startsWith(starts)) {
+            if (answer.startsWith(prefix)) {
                 return answer;
             }
             Thread.onSpinWait();
--- a/src/test/java/cacheproxy/daemon/fleet/DelegatedWatchesTest.java
+++ b/src/test/java/cacheproxy/daemon/fleet/DelegatedWatchesTest.java
@@ -38,7 +38,7 @@
                 Daemon daemon = Daemon.start(
                         DaemonConfigReader.parse(
                                 "f",
-                                DaemonHarness.CLASSES + DaemonHarness.MAIN
+                                DaemonHarness.CLASSES + DaemonHarness.MAIN_LISTENER
                                         + "[[pool]]\nname = \"a\"\n[pool.discovery]\naddress = \""
                                         + discovery.dial() + "\"\nzones = [\"here\"]\nkinds = [\"node\"]\n"
                                         + DaemonHarness.route("all", "", "a")
--- a/src/test/java/cacheproxy/daemon/fleet/FleetGoldenBytesTest.java
+++ b/src/test/java/cacheproxy/daemon/fleet/FleetGoldenBytesTest.java
@@ -98,7 +98,7 @@
 
     private Daemon daemon(DatagramSocket peer) throws Exception {
         String file = DaemonHarness.CLASSES
-                + DaemonHarness.MAIN
+                + DaemonHarness.MAIN_LISTENER
                 + DaemonHarness.pool("pages", fleet, "", fleet.nodes.get(0))
                 + DaemonHarness.route("all", "", "pages")
                 + """
--- a/src/test/java/cacheproxy/daemon/fleet/FleetHealthChecksTest.java
+++ b/src/test/java/cacheproxy/daemon/fleet/FleetHealthChecksTest.java
@@ -29,7 +29,8 @@
     private static final int MAC_BYTES = 16;
 
     /** The health check request that the daemon sends to a peer while no server is checked; its payload. */
-    private byte[] awaitHealthCheckRequest(Daemon daemon, FakeCacheServer mute, DatagramSocket peer) throws Exception {
+    private byte[] awaitHealthCheckRequest(Daemon daemon, FakeCacheServer silentServer, DatagramSocket peer)
+            throws Exception {
         DatagramPacket received = emptyPacket();
         peer.setSoTimeout(50);
         for (int from = 0; ; from += 20) {
@@ -48,43 +49,43 @@
                     }
                 }
             } catch (SocketTimeoutException e) {
-                assertThat(mute.tested())
+                assertThat(silentServer.tested())
                         .as("checks while the request is pending")
                         .isZero();
             }
         }
     }
 
-    private String withMute(String more) {
+    private String fileWithShortTimeouts(String sections) {
         return "[limits]\nconnect_timeout_ms = 10\nmax_retry_after_ms = 5\n"
                 + DaemonHarness.CLASSES
                         .replace("aim_ms = 10000", "aim_ms = 100")
                         .replace("deadline_ms = 20000", "deadline_ms = 1000")
-                + DaemonHarness.MAIN
+                + DaemonHarness.MAIN_LISTENER
                 + DaemonHarness.pool("pages", fleet, "", fleet.nodes.toArray(new FakeCacheServer[0]))
-                + DaemonHarness.route("all", "", "pages") + "[control]\nlisten = \"127.0.0.1:0\"\n" + more;
+                + DaemonHarness.route("all", "", "pages") + "[control]\nlisten = \"127.0.0.1:0\"\n" + sections;
     }
 
     @Test
     void delegatedHealthCheckIsMadeHereWhenFleetIsReplacedOrPeerIsSilent() throws Exception {
         fleet.close();
         fleet = new FakeFleet(2);
-        FakeCacheServer mute = fleet.nodes.get(1);
+        FakeCacheServer silentServer = fleet.nodes.get(1);
         int port = Ports.free();
         try (DatagramSocket peer = new DatagramSocket(0, loopback())) {
             String two = fleetOf("p1", port, "", "p1@" + port, "p2@" + peer.getLocalPort());
-            mute.mute(true);
+            silentServer.mute(true);
             try (Daemon daemon = Daemon.start(
                     DaemonConfigReader.parse(
-                            "f", withMute(two + "[fleet.probe]\nlease_ms = 150\npatience_ms = 10000\n")),
+                            "f", fileWithShortTimeouts(two + "[fleet.probe]\nlease_ms = 150\npatience_ms = 10000\n")),
                     5)) {
-                awaitHealthCheckRequest(daemon, mute, peer);
-                mute.mute(false);
+                awaitHealthCheckRequest(daemon, silentServer, peer);
+                silentServer.mute(false);
                 daemon.load(DaemonConfigReader.parse(
                         "f",
-                        withMute(two.replace("longest_lease_ms = 150", "longest_lease_ms = 160")
+                        fileWithShortTimeouts(two.replace("longest_lease_ms = 150", "longest_lease_ms = 160")
                                 + "[fleet.probe]\nlease_ms = 150\npatience_ms = 10000\n")));
-                while (mute.tested() == 0) {
+                while (silentServer.tested() == 0) {
                     Thread.onSpinWait();
                 }
                 assertThat(call(daemon, "GET /fleet"))
@@ -92,12 +93,13 @@
                         .contains("\"trials\":{\"own\":0")
                         .contains("\"p2\":\"unknown\"");
             }
-            int before = mute.tested();
-            mute.mute(true);
+            int before = silentServer.tested();
+            silentServer.mute(true);
             try (Daemon daemon = Daemon.start(
-                    DaemonConfigReader.parse("f", withMute(two + "[fleet.probe]\nlease_ms = 150\npatience_ms = 300\n")),
+                    DaemonConfigReader.parse(
+                            "f", fileWithShortTimeouts(two + "[fleet.probe]\nlease_ms = 150\npatience_ms = 300\n")),
                     5)) {
-                for (int from = 0; mute.tested() == before; from += 20) {
+                for (int from = 0; silentServer.tested() == before; from += 20) {
                     int first = from;
                     new LoadClient(
                                     fleet.loop(),
@@ -120,21 +122,24 @@
     void requestIsNoHealthCheckWhileResultIsPending() throws Exception {
         fleet.close();
         fleet = new FakeFleet(2);
-        FakeCacheServer mute = fleet.nodes.get(1);
+        FakeCacheServer silentServer = fleet.nodes.get(1);
         int port = Ports.free();
         try (DatagramSocket peer = new DatagramSocket(0, loopback())) {
-            mute.mute(true);
+            silentServer.mute(true);
             try (Daemon daemon = Daemon.start(
                     DaemonConfigReader.parse(
                             "f",
-                            withMute(fleetOf("p1", port, "", "p1@" + port, "p2@" + peer.getLocalPort())
+                            fileWithShortTimeouts(fleetOf("p1", port, "", "p1@" + port, "p2@" + peer.getLocalPort())
                                     + "[fleet.probe]\nby = \"requests\"\nlease_ms = 150\npatience_ms = 10000\n")),
                     5)) {
-                HealthCheckMessage request = HealthCheckMessage.decode(awaitHealthCheckRequest(daemon, mute, peer));
-                int commandsBefore = mute.commands();
+                HealthCheckMessage request =
+                        HealthCheckMessage.decode(awaitHealthCheckRequest(daemon, silentServer, peer));
+                int commandsBefore = silentServer.commands();
                 sendRequests(daemon, 40);
-                assertThat(mute.commands()).as("while the request is pending").isEqualTo(commandsBefore);
-                mute.mute(false);
+                assertThat(silentServer.commands())
+                        .as("while the request is pending")
+                        .isEqualTo(commandsBefore);
+                silentServer.mute(false);
                 byte[] healthy = new DatagramEnvelope(NameHash.of("p2"), 1, List.of(), List.of(NameHash.of("p1")))
                         .seal(
                                 NameHash.of("p1"),
@@ -150,10 +155,10 @@
                                                 0)
                                         .encode());
                 peer.send(new DatagramPacket(healthy, healthy.length, loopback(), port));
-                while (mute.commands() == commandsBefore) {
+                while (silentServer.commands() == commandsBefore) {
                     sendRequests(daemon, 20);
                 }
-                assertThat(mute.tested()).as("empty commands").isZero();
+                assertThat(silentServer.tested()).as("empty commands").isZero();
                 assertThat(call(daemon, "GET /fleet")).contains("\"by_word\":1");
             }
         }
--- a/src/test/java/cacheproxy/daemon/fleet/FleetQuotasTest.java
+++ b/src/test/java/cacheproxy/daemon/fleet/FleetQuotasTest.java
@@ -40,7 +40,8 @@
     }
 
     private String file(int port, String limits) {
-        return DaemonHarness.CLASSES + DaemonHarness.MAIN + DaemonHarness.pool("pages", fleet, "", fleet.nodes.get(0))
+        return DaemonHarness.CLASSES + DaemonHarness.MAIN_LISTENER
+                + DaemonHarness.pool("pages", fleet, "", fleet.nodes.get(0))
                 + DaemonHarness.route("all", "", "pages")
                 + "[control]\nlisten = \"127.0.0.1:0\"\n[fleet]\nme = \"p1\"\nlisten = \"127.0.0.1:" + port
                 + "\"\nlongest_lease_ms = 150\n"
--- a/src/test/java/cacheproxy/daemon/hooks/HooksTest.java
+++ b/src/test/java/cacheproxy/daemon/hooks/HooksTest.java
@@ -20,8 +20,9 @@
 
 /** Hooks in the daemon: what they order, and hostile ones on one listener beside normal traffic on another. */
 class HooksTest {
-    private static final Path HOSTILE = Path.of("src/test/resources/hooks").toAbsolutePath();
-    private static final Path KIT = Path.of("hooks").toAbsolutePath();
+    private static final Path HOSTILE_HOOKS =
+            Path.of("src/test/resources/hooks").toAbsolutePath();
+    private static final Path SAMPLE_HOOKS = Path.of("hooks").toAbsolutePath();
 
     @TempDir
     private Path dir;
@@ -33,14 +34,14 @@
     private static String file(FakeFleet fleet, String hook) {
         return DaemonHarness.LIMITS
                 + DaemonHarness.CLASSES
-                + DaemonHarness.MAIN
+                + DaemonHarness.MAIN_LISTENER
                 + DaemonHarness.listener("hostile", "127.0.0.1:0")
                 + hook
                 + DaemonHarness.pool("a", fleet, "", fleet.nodes.get(0), fleet.nodes.get(1))
                 + DaemonHarness.route("all", "", "a");
     }
 
-    private static Ask ask(int index) {
+    private static Ask request(int index) {
         String key = "page/" + index % 100;
         return index % 4 == 0
                 ? new Ask("s/" + index, "c=submit", "submit-" + index, null)
@@ -94,13 +95,15 @@
         String rule = name.hashCode() % 2 == 0 ? "skip" : "refuse";
         String keys =
                 "listener = \"hostile\"\nqueue = 8\nrefuse_ms = 1\nbreaker_off_ms = 20\non_failure = \"" + rule + "\"";
-        try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet, hook(HOSTILE.resolve(name + ".wasm"), keys)))) {
+        try (DaemonHarness harness =
+                new DaemonHarness(fleet, file(fleet, hook(HOSTILE_HOOKS.resolve(name + ".wasm"), keys)))) {
             int total = 400;
-            CompletableFuture<LoadClient.Account> hostile =
-                    new LoadClient(fleet.loop(), rig.daemon.address("hostile"), total, HooksTest::ask).start(4, 8);
+            CompletableFuture<LoadClient.Account> hostile = new LoadClient(
+                            fleet.loop(), harness.daemon.address("hostile"), total, HooksTest::request)
+                    .start(4, 8);
             CompletableFuture<LoadClient.Account> normal = new LoadClient(
                             fleet.loop(),
-                            rig.daemon.address("main"),
+                            harness.daemon.address("main"),
                             total,
                             i -> new Ask("n/" + i, "c=page", null, FakeOrigin.value("n/" + i)))
                     .start(4, 4);
@@ -113,7 +116,7 @@
             assertThat(hostileAccount.answered()).isEqualTo(total);
             assertThat(hostileAccount.refusedWithoutTime).isZero();
             assertThat(fleet.ledger.repeated()).isZero();
-            while (rig.daemon.inHand() > 0) {
+            while (harness.daemon.pendingRequests() > 0) {
                 Thread.onSpinWait();
             }
         }
@@ -124,31 +127,31 @@
         FakeFleet fleet = new FakeFleet(2);
         String more =
                 DaemonHarness.CLASSES.isEmpty() ? "" : "[[tenant]]\nname = \"red\"\n[[tenant]]\nname = \"blue\"\n";
-        String hooks = more + "[[hook]]\nname = \"keys\"\nmodule = \"" + KIT.resolve("key-schemes.wasm")
+        String hooks = more + "[[hook]]\nname = \"keys\"\nmodule = \"" + SAMPLE_HOOKS.resolve("key-schemes.wasm")
                 + "\"\ntime_ms = 10000\n[[hook]]\nname = \"tenants\"\n" + "module = \""
-                + KIT.resolve("tenant-list.wasm")
+                + SAMPLE_HOOKS.resolve("tenant-list.wasm")
                 + "\"\nlistener = [\"main\"]\norder = -1\ntime_ms = 10000\nconfig = \"blue\"\n";
-        try (DaemonHarness rig = new DaemonHarness(fleet, file(fleet, hooks));
-                DaemonHarness.Talk talk = rig.talk()) {
-            talk.say("mg A:7/vi v\r\n");
-            assertThat(talk.lines(2)).containsExactly("VA 17", "value of sub/7/vi");
-            talk.say("mg C|vi|7 v Pt=red\r\n");
-            assertThat(talk.lines(2)).containsExactly("VA 17", "value of sub/7/vi");
-            assertThat(talk.say("mg A:7/vi v Pt=blue\r\n").line()).startsWith("SERVER_ERROR busy ");
-            assertThat(talk.say("ms b-8-vi 3 Pc=submit\r\nabc\r\n").line()).isEqualTo("HD");
+        try (DaemonHarness harness = new DaemonHarness(fleet, file(fleet, hooks));
+                DaemonHarness.ManualClient client = harness.connect()) {
+            client.send("mg A:7/vi v\r\n");
+            assertThat(client.lines(2)).containsExactly("VA 17", "value of sub/7/vi");
+            client.send("mg C|vi|7 v Pt=red\r\n");
+            assertThat(client.lines(2)).containsExactly("VA 17", "value of sub/7/vi");
+            assertThat(client.send("mg A:7/vi v Pt=blue\r\n").line()).startsWith("SERVER_ERROR busy ");
+            assertThat(client.send("ms b-8-vi 3 Pc=submit\r\nabc\r\n").line()).isEqualTo("HD");
         }
     }
 
     @Test
     void callsHookOnlyForItsRoute() throws Exception {
         FakeFleet fleet = new FakeFleet(2);
-        String hooks = "[[hook]]\nname = \"keys\"\nroute = \"rivals\"\nmodule = \"" + KIT.resolve("key-schemes.wasm")
-                + "\"\ntime_ms = 10000\n";
+        String hooks = "[[hook]]\nname = \"keys\"\nroute = \"rivals\"\nmodule = \""
+                + SAMPLE_HOOKS.resolve("key-schemes.wasm") + "\"\ntime_ms = 10000\n";
         String file = file(fleet, hooks) + DaemonHarness.route("rivals", "prefix = \"A:\"", "a");
-        try (DaemonHarness rig = new DaemonHarness(fleet, file);
-                DaemonHarness.Talk talk = rig.talk()) {
-            assertThat(talk.say("mg A:7/vi v\r\n").lines(2)).containsExactly("VA 17", "value of sub/7/vi");
-            assertThat(talk.say("mg b-7-vi v\r\n").lines(2)).containsExactly("VA 15", "value of b-7-vi");
+        try (DaemonHarness harness = new DaemonHarness(fleet, file);
+                DaemonHarness.ManualClient client = harness.connect()) {
+            assertThat(client.send("mg A:7/vi v\r\n").lines(2)).containsExactly("VA 17", "value of sub/7/vi");
+            assertThat(client.send("mg b-7-vi v\r\n").lines(2)).containsExactly("VA 15", "value of b-7-vi");
         }
         assertThatThrownBy(() -> new DaemonHarness(fleet, file(fleet, hooks)))
                 .isInstanceOfSatisfying(
@@ -159,16 +162,17 @@
     @Test
     void reportsPlaceOfUnloadableModuleAndKeepsOldOne() throws Exception {
         FakeFleet fleet = new FakeFleet(2);
-        String good = file(fleet, hook(KIT.resolve("key-schemes.wasm"), "time_ms = 10000"));
-        try (DaemonHarness rig = new DaemonHarness(fleet, good);
-                DaemonHarness.Talk talk = rig.talk()) {
+        String good = file(fleet, hook(SAMPLE_HOOKS.resolve("key-schemes.wasm"), "time_ms = 10000"));
+        try (DaemonHarness harness = new DaemonHarness(fleet, good);
+                DaemonHarness.ManualClient client = harness.connect()) {
             for (String[] config : new String[][] {
                 {"wasi", "imports wasi_snapshot_preview1.fd_write"},
                 {"spin-load", "used up its fuel"},
                 {"nosuch", "there is no file"},
                 {"abi-2", "ABI version 2"}
             }) {
-                assertThatThrownBy(() -> rig.load(file(fleet, hook(HOSTILE.resolve(config[0] + ".wasm"), ""))))
+                assertThatThrownBy(() ->
+                                harness.load(file(fleet, hook(HOSTILE_HOOKS.resolve(config[0] + ".wasm"), ""))))
                         .isInstanceOfSatisfying(
                                 ConfigException.class,
                                 thrown -> assertThat(thrown.errors())
@@ -179,13 +183,13 @@
             }
             Path huge = dir.resolve("huge.wasm");
             Files.write(huge, new byte[64 << 20]);
-            assertThatThrownBy(() -> rig.load(file(fleet, hook(huge, "")))).isInstanceOf(ConfigException.class);
-            String other = hook(KIT.resolve("key-schemes.wasm"), "sha256 = \"" + "0".repeat(64) + "\"");
-            assertThatThrownBy(() -> rig.load(file(fleet, other)))
+            assertThatThrownBy(() -> harness.load(file(fleet, hook(huge, "")))).isInstanceOf(ConfigException.class);
+            String other = hook(SAMPLE_HOOKS.resolve("key-schemes.wasm"), "sha256 = \"" + "0".repeat(64) + "\"");
+            assertThatThrownBy(() -> harness.load(file(fleet, other)))
                     .isInstanceOfSatisfying(
                             ConfigException.class,
                             thrown -> assertThat(thrown.errors().get(0)).contains("has the SHA-256 "));
-            assertThat(talk.say("mg b-7-vi v\r\n").lines(2)).containsExactly("VA 17", "value of sub/7/vi");
+            assertThat(client.send("mg b-7-vi v\r\n").lines(2)).containsExactly("VA 17", "value of sub/7/vi");
         }
     }
 
@@ -193,17 +197,17 @@
     void replacesModulesUnderLoadWithoutLosingRequests() throws Exception {
         FakeFleet fleet = new FakeFleet(2);
         String[] files = {
-            file(fleet, hook(KIT.resolve("key-schemes.wasm"), "")),
-            file(fleet, hook(HOSTILE.resolve("burns.wasm"), "")),
+            file(fleet, hook(SAMPLE_HOOKS.resolve("key-schemes.wasm"), "")),
+            file(fleet, hook(HOSTILE_HOOKS.resolve("burns.wasm"), "")),
             file(fleet, ""),
-            file(fleet, hook(HOSTILE.resolve("alternates.wasm"), ""))
+            file(fleet, hook(HOSTILE_HOOKS.resolve("alternates.wasm"), ""))
         };
-        try (DaemonHarness rig = new DaemonHarness(fleet, files[0])) {
+        try (DaemonHarness harness = new DaemonHarness(fleet, files[0])) {
             int total = 8000;
             CompletableFuture<LoadClient.Account> load =
-                    new LoadClient(fleet.loop(), rig.daemon.address("main"), total, HooksTest::ask).start(4, 8);
+                    new LoadClient(fleet.loop(), harness.daemon.address("main"), total, HooksTest::request).start(4, 8);
             for (int i = 1; i <= 40 || !load.isDone(); i++) {
-                rig.load(files[i % files.length]);
+                harness.load(files[i % files.length]);
             }
             LoadClient.Account account = load.get(100, TimeUnit.SECONDS);
             assertThat(account.faults).isEmpty();
