--- a/src/main/java/cacheproxy/discovery/SilentWatchDetector.java
+++ b/src/main/java/cacheproxy/discovery/SilentWatchDetector.java
@@ -68,7 +68,7 @@
      * Discovery has responded.
      *
      * @param version of the list
-     * @param whole whether {@code members} is the whole list; else its changes, perhaps none
+     * @param full whether {@code members} is the whole list; else its changes, perhaps none
      */
     public void listReceived(long version, boolean full, Collection<Endpoint> members) {
         if (version >= claimedVersion) {
--- a/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckTiming.java
+++ b/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckTiming.java
@@ -3,7 +3,7 @@
 /**
  * Times of shared health checks, in milliseconds.
  *
- * @param timeoutMs the longest that a check takes
+ * @param checkTimeoutMs the longest that a check takes
  * @param resultTimeoutMs wait for another proxy's result before a proxy checks by itself; longer than a check
  * @param reuseMs age up to which a result is sent to others without another check
  */
--- a/src/main/java/cacheproxy/fleet/lease/LeaseMessage.java
+++ b/src/main/java/cacheproxy/fleet/lease/LeaseMessage.java
@@ -13,7 +13,8 @@
  * @param holder in STATUS and REJECT: the peer that the voter has granted the lease to, {@link NameHash#NOBODY} if that
  *     is nobody or the asking process itself; in QUERY(0), CLAIM and RELEASE the asking process's incarnation; in
  *     TRANSFER the former holder
- * @param ms in CLAIM and GRANT the duration of the lease; in STATUS and REJECT the time left of the other's grant
+ * @param durationMs in CLAIM and GRANT the duration of the lease; in STATUS and REJECT the time left of the other's
+ *     grant
  */
 public record LeaseMessage(Kind kind, long leaseId, long nonce, long epoch, long holder, int durationMs) {
     /** The length of each message. */
--- a/src/main/java/cacheproxy/fleet/lease/NameHash.java
+++ b/src/main/java/cacheproxy/fleet/lease/NameHash.java
@@ -12,7 +12,7 @@
 
     private NameHash() {}
 
-    /** The id of a peer's or a lease's name; never {@link #NOBODY}. */
+    /** The id of a peer's or a lease's name; never {@link #NO_ID}. */
     public static long of(String name) {
         long id = hash(name);
         return id == NO_ID ? 1 : id;
--- a/src/main/java/cacheproxy/fleet/lease/VoterSet.java
+++ b/src/main/java/cacheproxy/fleet/lease/VoterSet.java
@@ -95,7 +95,7 @@
         return voters.stream().filter(peers::contains).count() * 2 >= voters.size();
     }
 
-    /** A candidate's place in the order, from 0; {@link #NO_CANDIDATE} for a peer that is none. */
+    /** A candidate's place in the order, from 0; {@link #NOT_A_CANDIDATE} for a peer that is none. */
     public int rank(long peer) {
         return ranks.getOrDefault(peer, NOT_A_CANDIDATE);
     }
--- a/src/main/java/cacheproxy/fleet/peer/PeerListTransition.java
+++ b/src/main/java/cacheproxy/fleet/peer/PeerListTransition.java
@@ -32,8 +32,8 @@
     /**
      * Sets the lists that this proxy uses.
      *
-     * @param list the current list
-     * @param leaving the list that is being replaced; empty: no change is under way
+     * @param currentList the current list
+     * @param previousList the list that is being replaced; empty: no change is under way
      * @param peers ids of the peers whose reports are kept
      */
     public void update(Set<String> currentList, Set<String> previousList, Set<Long> peers) {
--- a/src/main/java/cacheproxy/fleet/quota/LocalQuota.java
+++ b/src/main/java/cacheproxy/fleet/quota/LocalQuota.java
@@ -120,7 +120,7 @@
                 : Math.min(MAX_WAIT_MS, Math.max(MIN_WAIT_MS, bucket.waitMs()));
     }
 
-    /** Admits the request for which {@link #requestWaitMs} has just returned 0. */
+    /** Admits the request for which {@link #admissionWaitMs} has just returned 0. */
     public void consume() {
         consumed++;
         if (spec.concurrent()) {
--- a/src/main/java/cacheproxy/fleet/quota/OutstandingAmounts.java
+++ b/src/main/java/cacheproxy/fleet/quota/OutstandingAmounts.java
@@ -16,8 +16,8 @@
     /**
      * Creates an empty list.
      *
-     * @param owed whether these are promises that this process has to keep, so that merging takes the larger amount;
-     *     else they are promises that it relies on, and merging takes the later one
+     * @param mergeKeepsLarger whether these are promises that this process has to keep, so that merging takes the
+     *     larger amount; else they are promises that it relies on, and merging takes the later one
      */
     OutstandingAmounts(boolean mergeKeepsLarger) {
         this.mergeKeepsLarger = mergeKeepsLarger;
--- a/src/main/java/cacheproxy/fleet/quota/QuotaManager.java
+++ b/src/main/java/cacheproxy/fleet/quota/QuotaManager.java
@@ -101,7 +101,7 @@
      * @param allocatorLeases the leases that the quotas are spread over, the same at all proxies; not empty
      * @param peers the proxies that share the quotas, this one among them
      * @param proxyCount into how many shares they are divided: while the list of peers changes, those of both lists
-     * @param isChanging whether the list of peers is being changed
+     * @param isPeerListChanging whether the list of peers is being changed
      * @param ownsShare whether this proxy has a share: one that joins has none until the change is over, nor has one
      *     that leaves
      * @throws IllegalArgumentException if there are more than {@value #MAX_QUOTAS} quotas or no leases
--- a/src/main/java/cacheproxy/fleet/quota/QuotaTiming.java
+++ b/src/main/java/cacheproxy/fleet/quota/QuotaTiming.java
@@ -6,9 +6,9 @@
  *
  * <p>Who may spend counts from earlier and shorter, who must not counts from later and longer: a grant is spent for
  * {@link #spendableMs} from when it was requested and is outstanding at its allocator for {@link #outstandingMs} from
- * when it was sent; a donation is kept for {@link #donorKeepsMs} from when it was sent and counts at its allocator for
- * {@link #donationCountsMs} from when it was solicited. So a grant ends before the donations that cover it, however
- * late messages arrive.
+ * when it was sent; a donation is kept for {@link #donationWithheldMs} from when it was sent and counts at its
+ * allocator for {@link #donationUsableMs} from when it was solicited. So a grant ends before the donations that cover
+ * it, however late messages arrive.
  */
 public class QuotaTiming {
     /** Requests and solicitations are sent so often in the duration of a grant: two in a row may be lost. */
--- a/src/main/java/cacheproxy/proxy/client/ClientRegistry.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientRegistry.java
@@ -47,7 +47,7 @@
     /**
      * Evicts the connection with the highest rank.
      *
-     * @param spared a connection that is not evicted; may be null
+     * @param excluded a connection that is not evicted; may be null
      * @return whether its descriptor is free at once
      */
     private boolean evictOne(ClientConnection excluded) {
--- a/src/main/java/cacheproxy/proxy/client/StandardMetaProtocol.java
+++ b/src/main/java/cacheproxy/proxy/client/StandardMetaProtocol.java
@@ -28,8 +28,8 @@
      * @param readDefaults the attributes of a read that names none, such as {@code c=page,t=acme,d=400}; an attribute
      *     that the request names itself takes precedence
      * @param writeDefaults the same for writes
-     * @param keyedClasses names of classes whose repeated writes servers drop by a deduplication key; a write without
-     *     one gets its id as the key
+     * @param deduplicatedClasses names of classes whose repeated writes servers drop by a deduplication key; a write
+     *     without one gets its id as the key
      * @param idGenerator ids for new requests
      */
     public StandardMetaProtocol(
--- a/src/main/java/cacheproxy/proxy/discovery/DiscoverySource.java
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoverySource.java
@@ -9,7 +9,7 @@
  *
  * @param address of the discovery service
  * @param initialList the list to start with, in discovery's JSON form; null if there is none
- * @param onRequest whether the list is followed only when the policy asks for that; else from the start
+ * @param onDemand whether the list is followed only when the policy asks for that; else from the start
  * @param zones the zones of servers, in the policy's order
  * @param serverKinds the kinds of servers, in the policy's order
  */
--- a/src/main/java/cacheproxy/proxy/net/PollClock.java
+++ b/src/main/java/cacheproxy/proxy/net/PollClock.java
@@ -32,7 +32,7 @@
     private long turn;
     /** When the poll of this turn began. */
     private long pollStartNanos;
-    /** When the first event of this turn was handled; valid if {@link #handled}. */
+    /** When the first event of this turn was handled; valid if {@link #eventHandled}. */
     private long firstEventNanos;
 
     private boolean eventHandled;
--- a/src/main/java/cacheproxy/proxy/request/DeadlineField.java
+++ b/src/main/java/cacheproxy/proxy/request/DeadlineField.java
@@ -4,8 +4,8 @@
  * Where a request's attributes ({@code c=read,t=acme,d=480}) have the deadline, so that each attempt can be sent with
  * the time that is left without parsing them again.
  *
- * @param from the index at which the deadline's figure begins; the length of the attributes if they name none
- * @param to the index behind the figure
+ * @param valueStart the index at which the deadline's figure begins; the length of the attributes if they name none
+ * @param valueEnd the index behind the figure
  * @param prefix what has to stand before the figure if the attributes name no deadline; otherwise empty
  */
 record DeadlineField(int valueStart, int valueEnd, String prefix) {
