--- a/src/main/java/cacheproxy/policy/AdaptiveThrottle.java
+++ b/src/main/java/cacheproxy/policy/AdaptiveThrottle.java
@@ -3,14 +3,14 @@
 import cacheproxy.snapshot.state.LearnedLoad;
 
 /**
- * Client-side adaptive throttling: compares the attempts sent to a backend with those answered in time, both as
- * decaying counts. It prevents the overload in which late and rejected requests are retried, so that the backend works
- * for requests that nobody waits for any more.
+ * Client-side adaptive throttling: compares the attempts sent to a backend with those that it answered in time, both as
+ * decaying counts. It prevents the overload in which late and rejected requests are retried and the backend spends its
+ * capacity on requests whose clients no longer wait.
  *
  * <p>Counts restored from an earlier process are kept apart: they can raise the estimated overload, never lower it.
  */
 final class AdaptiveThrottle {
-    /** Attempts sent for each one answered in time up to which there is no overload. */
+    /** The backend is overloaded if more attempts than this are sent for each one that is answered in time. */
     static final double HEADROOM = 1.2;
 
     private double sent;
@@ -19,7 +19,7 @@
     private double restoredAnswered;
     private double decayedAtMs;
 
-    /** Records an attempt that is sent, or one that an overloaded backend has not answered. */
+    /** Records an attempt that is sent, or one that an overloaded backend did not answer. */
     void recordSent(double nowMs) {
         decay(nowMs);
         sent++;
@@ -31,7 +31,7 @@
         answered++;
     }
 
-    /** Returns the fraction of attempts that should not be sent, at most 1; none if it is not above 0. */
+    /** Returns the fraction of attempts that should not be sent, at most 1; 0 or less means none. */
     double excess(double nowMs) {
         decay(nowMs);
         return Math.max(excess(sent, answered), excess(sent + restoredSent, answered + restoredAnswered));
@@ -49,7 +49,7 @@
         return Math.max(1, Math.max(own, withRestored));
     }
 
-    /** Whether more attempts are sent than {@link #HEADROOM} allows for. */
+    /** Returns whether the {@link #pressure} is above {@link #HEADROOM}. */
     boolean isOverloaded(double nowMs) {
         return pressure(nowMs) > HEADROOM;
     }
--- a/src/main/java/cacheproxy/policy/AttemptFeedback.java
+++ b/src/main/java/cacheproxy/policy/AttemptFeedback.java
@@ -2,7 +2,7 @@
 
 import cacheproxy.siblings.Siblings;
 
-/** Updates estimates, ejections and budgets by the results of attempts. */
+/** Updates estimates, ejections and budgets from the results of attempts. */
 final class AttemptFeedback {
     private final Siblings siblings;
     private final EndpointList endpoints;
@@ -46,7 +46,7 @@
         if (!isOrigin && result.outcome() == AttemptOutcome.FULL && result.attempt() > 0) {
             serverThrottle.recordSent(nowMs);
         }
-        // Under overload a late response says nothing about its server.
+        // Under overload, a late response does not indicate a fault of its server.
         boolean clearsFailures = result.elapsedMs() <= pending.serviceClass().latencyObjectiveMs()
                 || serverThrottle.isOverloaded(nowMs)
                 || isOrigin;
@@ -80,7 +80,9 @@
         estimates.latencies().recordOrigin(elapsedMs);
     }
 
-    /** A single reset of a healthy server does not eject it. The origin is never ejected. */
+    /**
+     * Records a failed attempt. A single connection reset does not eject a healthy server; the origin is never ejected.
+     */
     private void recordFailure(double nowMs, ServerState server, AttemptOutcome outcome) {
         if (endpoints.isOrigin(server)) {
             return;
--- a/src/main/java/cacheproxy/policy/AttemptOutcome.java
+++ b/src/main/java/cacheproxy/policy/AttemptOutcome.java
@@ -18,7 +18,7 @@
     RESET(true),
     /** The attempt was cancelled. */
     CANCELLED(true),
-    /** The attempt was never sent: the request had ended, its time was over or the limit on attempts was reached. */
+    /** The attempt was never sent: the request had ended, its time had run out or the limit on attempts was reached. */
     NOT_SENT(false);
 
     private final boolean mayHaveRun;
@@ -27,7 +27,7 @@
         this.mayHaveRun = mayHaveRun;
     }
 
-    /** Whether the request may have taken effect, or may do so yet. */
+    /** Returns whether the request may have taken effect, or may still do so. */
     public boolean mayHaveRun() {
         return mayHaveRun;
     }
--- a/src/main/java/cacheproxy/policy/AttemptSender.java
+++ b/src/main/java/cacheproxy/policy/AttemptSender.java
@@ -17,8 +17,8 @@
     }
 
     /**
-     * Sends a request's next attempt. Where a late response is worth nothing, a cache server is not waited for beyond
-     * the latency objective. The hedging timer starts if the attempt may be hedged.
+     * Sends a request's next attempt. If a late response has no value, an attempt at a cache server times out at the
+     * latency objective. Starts the hedging timer if the attempt may be hedged.
      */
     void send(double nowMs, PendingRequest pending, ServerState server, PolicyActions actions) {
         int attempt = pending.startAttempt(nowMs, server);
@@ -36,12 +36,12 @@
         }
     }
 
-    /** Starts the timer of a new request's deadline. */
+    /** Starts the deadline timer of a new request. */
     void startDeadlineTimer(double nowMs, PendingRequest pending, PolicyActions actions) {
         startTimer(PolicyTimer.DEADLINE, Math.max(0, pending.request().deadlineMs() - nowMs), pending, actions);
     }
 
-    /** Lets a request wait for a time in milliseconds at most, unless another event lets it go on earlier. */
+    /** Makes a request wait for {@code delayMs} milliseconds, unless another event resumes it earlier. */
     void waitAndRetry(double delayMs, PendingRequest pending, PolicyActions actions) {
         pending.setWaiting(true);
         startTimer(PolicyTimer.RETRY, delayMs, pending, actions);
--- a/src/main/java/cacheproxy/policy/CarpHash.java
+++ b/src/main/java/cacheproxy/policy/CarpHash.java
@@ -2,7 +2,7 @@
 
 import java.util.Arrays;
 
-/** The hash functions of CARP v1.0 (draft-vinod-carp-v1-03, sections 3.1 to 3.4), with one departure. */
+/** The hash functions of CARP v1.0 (draft-vinod-carp-v1-03, sections 3.1 to 3.4), with one deviation. */
 public final class CarpHash {
     /** The multiplier of section 3.2. */
     public static final int HASH_MULTIPLIER = 0x62531965;
@@ -39,25 +39,25 @@
     }
 
     /**
-     * Returns the combined hash of section 3.2, to be read as unsigned.
+     * Returns the combined hash of section 3.2, an unsigned integer.
      *
-     * <p>Departing from the draft, its two steps run twice. After one pass the upper ten bits depend on ten bits of the
-     * XOR alone, so that keys fall into 1,024 groups; of 120 equal members one then gets 2.2 times its share. A second
-     * pass distributes them as evenly as random draws.
+     * <p>Unlike in the draft, the two steps of that section run twice. After one pass the upper ten bits depend on only
+     * ten bits of the XOR, so that keys fall into 1,024 groups, and one of 120 equal members then gets 2.2 times its
+     * share. A second pass distributes keys as evenly as random draws.
      */
     public static int combine(int keyHash, int memberHash) {
         return mix(mix(keyHash ^ memberHash));
     }
 
-    /** Returns a member's score for a key, by sections 3.3 and 3.4. */
+    /** Returns a member's score for a key, as in sections 3.3 and 3.4. */
     public static double score(int keyHash, int memberHash, float multiplier) {
         return (combine(keyHash, memberHash) & UNSIGNED_INT_MASK) * (double) multiplier;
     }
 
     /**
      * Returns the load factor multipliers of section 3.3, in the order of the weights. The running product is kept as a
-     * logarithm, so that hundreds of members do not underflow; rounding below zero is clamped. If all weights are zero,
-     * members are equal.
+     * logarithm, so that it does not underflow with hundreds of members; differences that become negative through
+     * rounding are clamped to zero. If all weights are zero, members have equal shares.
      *
      * @param weights finite and not negative
      */
--- a/src/main/java/cacheproxy/policy/EndpointList.java
+++ b/src/main/java/cacheproxy/policy/EndpointList.java
@@ -10,8 +10,8 @@
 import java.util.Set;
 
 /**
- * The endpoint list as last received: all servers, the ready cache servers with their placement, and the origin.
- * Siblings are listed but hold no keys.
+ * The latest endpoint list: all servers, the ready cache servers with their placement, and the origin. Siblings are
+ * listed, but no keys are placed at them.
  */
 final class EndpointList {
     private final PolicyEnvironment environment;
@@ -32,9 +32,9 @@
     }
 
     /**
-     * Takes over a list or its changes.
+     * Replaces the list or applies changes to it.
      *
-     * @throws IllegalArgumentException if an endpoint is listed twice or has a figure out of range
+     * @throws IllegalArgumentException if an endpoint is listed twice or has a value out of range
      */
     void update(double nowMs, EndpointListKind kind, List<Endpoint> endpoints) {
         validate(endpoints);
@@ -106,7 +106,7 @@
         }
     }
 
-    /** Returns the server with an id, also one that is draining; null: it is not listed. */
+    /** Returns the listed server with this id, even if it is draining; null if it is not listed. */
     ServerState server(int serverId) {
         return servers.get(serverId);
     }
@@ -116,12 +116,12 @@
         return servers.values();
     }
 
-    /** Returns the ready origin of a cache-aside pool; null: there is none. */
+    /** Returns the ready origin of a cache-aside pool; null if there is none. */
     ServerState origin() {
         return origin;
     }
 
-    /** Whether a server is {@link #origin}. */
+    /** Returns whether a server is the {@link #origin}. */
     boolean isOrigin(ServerState server) {
         return server == origin;
     }
--- a/src/main/java/cacheproxy/policy/EndpointListKind.java
+++ b/src/main/java/cacheproxy/policy/EndpointListKind.java
@@ -1,13 +1,13 @@
 package cacheproxy.policy;
 
-/** What an endpoint list event carries. */
+/** The content of an endpoint list event. */
 public enum EndpointListKind {
     /** The whole list. */
     FULL,
     /** The entries that have changed. */
     CHANGES,
-    /** The whole list as the proxy last had it, which may be stale; a policy's first. */
+    /** The whole list as the proxy last received it, which may be stale; the first list of a policy. */
     CACHED,
-    /** Nothing: a call to discovery or the subscription has failed. */
+    /** No list, because a call to discovery or the subscription has failed. */
     FAILED
 }
--- a/src/main/java/cacheproxy/policy/EndpointListWatch.java
+++ b/src/main/java/cacheproxy/policy/EndpointListWatch.java
@@ -3,11 +3,13 @@
 import java.util.SplittableRandom;
 
 /**
- * Subscribes to changes of the endpoint list. Discovery serves all proxies with little capacity, so subscriptions are
- * spread over time: at the start by a random delay, after a failure by exponential backoff with jitter.
+ * Subscribes to changes of the endpoint list. Discovery has little capacity for all proxies together, so subscriptions
+ * are spread over time: at the start by a random delay, after a failure by exponential backoff with jitter.
  */
 final class EndpointListWatch {
-    /** The first retry comes after this fraction of the list's greatest age, as a divisor, doubled. */
+    /**
+     * The backoff is the longest poll age divided by this and doubled for each failure in a row, including the first.
+     */
     private static final int BACKOFF_DIVISOR = 16;
 
     private static final int MAX_DOUBLINGS = 3;
@@ -22,7 +24,7 @@
         this.random = random;
     }
 
-    /** The first list comes without a subscription, which is to follow if discovery is polled. */
+    /** Schedules the subscription if discovery is polled; the first list arrives without one. */
     void cachedListReceived(PolicyActions actions) {
         if (settings.pollsDiscovery()) {
             double spanMs =
@@ -31,7 +33,7 @@
         }
     }
 
-    /** A valid list was received, which answers the subscription if there is one. */
+    /** Records that a valid list was received, which completes the pending subscription if there is one. */
     void answered() {
         if (requested) {
             requested = false;
@@ -39,7 +41,7 @@
         }
     }
 
-    /** The subscription has failed; it is tried again. */
+    /** Records that the subscription has failed and schedules the next one. */
     void failed(PolicyActions actions) {
         requested = false;
         failures++;
@@ -47,7 +49,7 @@
         startTimer(backoffMs * (0.5 + random.nextDouble() / 2), actions);
     }
 
-    /** The timer is due: subscribes unless a subscription is pending. */
+    /** Handles the timer: subscribes unless a subscription is pending. */
     void timerDue(PolicyActions actions) {
         if (!requested) {
             requested = true;
--- a/src/main/java/cacheproxy/policy/EndpointState.java
+++ b/src/main/java/cacheproxy/policy/EndpointState.java
@@ -2,10 +2,10 @@
 
 /** State of a listed server. */
 public enum EndpointState {
-    /** Removed from the list; occurs among changes only. */
+    /** Removed from the list; occurs only in changes. */
     GONE,
-    /** Completes the requests that it has and must get no new ones. */
+    /** Completes its pending requests and must receive no new ones. */
     DRAINING,
-    /** Takes requests. */
+    /** Accepts requests. */
     READY
 }
--- a/src/main/java/cacheproxy/policy/ExponentialDecay.java
+++ b/src/main/java/cacheproxy/policy/ExponentialDecay.java
@@ -2,7 +2,7 @@
 
 /** Exponential decay of the counts that describe recent load. */
 final class ExponentialDecay {
-    /** Half-life in milliseconds: some ten fetches at a proxy with a few a second. */
+    /** Half-life in milliseconds, in which a proxy with a few fetches a second makes about ten. */
     private static final double HALF_LIFE_MS = 4000;
 
     private ExponentialDecay() {}
--- a/src/main/java/cacheproxy/policy/FetchCoalescer.java
+++ b/src/main/java/cacheproxy/policy/FetchCoalescer.java
@@ -5,16 +5,17 @@
 import java.util.Map;
 
 /**
- * Coalesces fetches: of the requests that miss for one key, the first leads the fetch and the others wait for it. Only
- * requests with a key take part.
+ * Coalesces fetches: of the requests that miss for one key, the first becomes the leader and fetches, and the others
+ * wait for it. Requests without a key are not coalesced.
  */
 final class FetchCoalescer {
     private final Map<Long, PendingRequest> leaders = new HashMap<>();
 
     /**
-     * Lets a request wait for the fetch of its key by another request.
+     * Makes a request wait for another request's fetch of the same key.
      *
-     * @return false if it may fetch itself: nobody leads the fetch, or the request does and has not fetched yet
+     * @return false if the request may fetch itself: its key has no leader, or the request is the leader and has not
+     *     fetched yet
      */
     boolean join(PendingRequest pending) {
         PendingRequest leader = leaders.get(pending.request().key());
@@ -28,19 +29,19 @@
         return true;
     }
 
-    /** Makes a request the leader of its key's fetch, unless there is one, which may be the request itself. */
+    /** Makes a request the leader for its key, unless the key already has a leader, which may be the request itself. */
     void addLeader(PendingRequest pending) {
         if (leaders.putIfAbsent(pending.request().key(), pending) == null) {
             pending.startLeading();
         }
     }
 
-    /** Whether a request leads its key's fetch. */
+    /** Returns whether a request is the leader for its key. */
     boolean isLeader(PendingRequest pending) {
         return leaders.get(pending.request().key()) == pending;
     }
 
-    /** Ends the lead of a request; returns those that have waited for it, first come first. */
+    /** Removes a request as the leader for its key; returns the requests that waited for it, in order of arrival. */
     ArrayDeque<PendingRequest> removeLeader(PendingRequest pending) {
         leaders.remove(pending.request().key());
         return pending.stopLeading();
--- a/src/main/java/cacheproxy/policy/HedgingPolicy.java
+++ b/src/main/java/cacheproxy/policy/HedgingPolicy.java
@@ -1,12 +1,12 @@
 package cacheproxy.policy;
 
 /**
- * When to hedge: an idempotent request whose cache server exceeds the hedging delay gets another attempt, beside the
- * first one or in its place. This guards against silent and hung servers. Hedges are limited to a fraction of
- * successful attempts, so that a slowdown of all servers is not answered by more load.
+ * Decides when to hedge: an idempotent request whose cache server exceeds the hedging delay gets another attempt, in
+ * addition to the first one or in its place. This guards against silent and hung servers. Hedges are limited to a
+ * fraction of successful attempts, so that a slowdown of all servers does not cause more load.
  */
 final class HedgingPolicy {
-    /** Attempts at cache servers after which the origin is next. */
+    /** Number of attempts at cache servers after which the next one goes to the origin. */
     static final int MAX_CACHE_ATTEMPTS = 2;
 
     /** Hedges earned by each successful attempt. */
@@ -14,7 +14,7 @@
 
     private static final double MAX_TOKENS = 5;
 
-    /** At least this fraction of the time left is waited, as a divisor. */
+    /** The hedging delay is at least the remaining time divided by this. */
     private static final int MIN_DELAY_DIVISOR = 4;
 
     private final PolicySettings settings;
@@ -26,7 +26,7 @@
         this.latencies = latencies;
     }
 
-    /** Whether the newest attempt of a request, sent to a cache server or sibling, is hedged after a delay. */
+    /** Returns whether a request's latest attempt, sent to a cache server or sibling, is hedged after a delay. */
     boolean appliesTo(PendingRequest pending) {
         return pending.serviceClass().isIdempotent()
                 && pending.attemptsLeft() > 0
@@ -34,8 +34,8 @@
     }
 
     /**
-     * Returns the hedging delay in milliseconds: the latency that servers rarely exceed, but early enough that another
-     * server and then the origin can respond within the latency objective.
+     * Returns the hedging delay in milliseconds: the latency that servers rarely exceed, shortened if necessary so that
+     * another server and then the origin can respond within the latency objective.
      */
     double delayMs(double nowMs, PendingRequest pending) {
         double expectedMaxMs = latencies.expectedMaxServerMs(pending.request());
@@ -46,15 +46,18 @@
     }
 
     /**
-     * Whether one overdue attempt is reason enough to eject its server. It is where the attempt goes on, as its
-     * response then clears the server. Where the attempt is cancelled, one may be chance: ejecting healthy servers
-     * moves their keys to the origin.
+     * Returns whether a single overdue attempt ejects its server. It does if the attempt continues, because its
+     * response then clears the server's failures. If the attempt is cancelled, a single one can be chance, and ejecting
+     * healthy servers moves their keys to the origin.
      */
     boolean ejectsOnFirstOverdueAttempt() {
         return settings.hedgingAllowed();
     }
 
-    /** Spends a hedge on a request whose attempt is overdue, if there is one and time for it. */
+    /**
+     * Takes a hedge from the budget for a request whose attempt is overdue, if the budget has one and enough time is
+     * left.
+     */
     boolean tryAcquire(double nowMs, PendingRequest pending) {
         if (tokens < 1
                 || pending.request().deadlineMs() - nowMs < latencies.originMs()
@@ -65,12 +68,15 @@
         return true;
     }
 
-    /** Whether the overdue attempt goes on beside its hedge; else it is cancelled for it. */
+    /**
+     * Returns whether the overdue attempt continues alongside its hedge; otherwise it is cancelled in favor of the
+     * hedge.
+     */
     boolean keepsOverdueAttempt() {
         return settings.hedgingAllowed();
     }
 
-    /** Gives back a hedge that has paid off, up to the budget: the later attempt has brought the response. */
+    /** Returns a hedge to the budget, up to the budget's maximum, because the hedged attempt succeeded. */
     void refund() {
         tokens = Math.min(MAX_TOKENS, tokens + 1);
     }
--- a/src/main/java/cacheproxy/policy/HotKeyTracker.java
+++ b/src/main/java/cacheproxy/policy/HotKeyTracker.java
@@ -14,23 +14,28 @@
  * periodically, and a key whose count reaches 0 is forgotten.
  */
 final class HotKeyTracker {
-    /** Long enough for a hot key to show at a proxy with a few requests a second. */
+    /** Long enough to detect a hot key at a proxy with a few requests a second. */
     private static final double HALVING_PERIOD_MS = 4000;
 
-    /** Fewer recent requests never make a key hot. */
+    /** A key with fewer recent requests is never hot. */
     private static final int MIN_COUNT = 6;
 
-    /** Upper bound of the keys that are remembered as spread. */
+    /** Maximum number of keys that are recorded as spread. */
     private static final int MAX_SPREAD_KEYS = 256;
 
     private final Map<Long, int[]> counts = new HashMap<>();
 
-    /** Keys spread since the last halving, which a snapshot contains. */
+    /**
+     * Keys that were spread, for snapshots; a halving removes those with fewer than {@link #MIN_COUNT} requests left.
+     */
     private final Set<Long> spreadKeys = new HashSet<>();
 
     private double totalCount;
 
-    /** Decaying count without restored ones, which would let a hot key seem small enough for a server in slow start. */
+    /**
+     * Decaying count of this process's own requests. Restored counts are left out because with them a hot key would
+     * seem small enough for a server in slow start.
+     */
     private double ownCount;
 
     private double ownCountAtMs;
@@ -55,8 +60,8 @@
     }
 
     /**
-     * Returns how many servers the requests for a key are spread over, at least 1: as many as leave each with no more
-     * of them than its fair share of all requests.
+     * Returns how many servers the requests for a key are spread over, at least 1: enough that each receives no more of
+     * them than its fair share of all requests.
      *
      * @param recentCount the key's recent requests, as {@link #record} returned them
      * @param maxSpread how many servers the placement allows
@@ -74,7 +79,7 @@
         return ownCount;
     }
 
-    /** Returns at most so many spread keys for a snapshot, hottest first. */
+    /** Returns at most {@code maxKeys} spread keys for a snapshot, hottest first. */
     LearnedHotKeys learned(int maxKeys) {
         List<LearnedHotKey> keys = new ArrayList<>();
         for (Long key : spreadKeys) {
--- a/src/main/java/cacheproxy/policy/Idempotency.java
+++ b/src/main/java/cacheproxy/policy/Idempotency.java
@@ -2,10 +2,13 @@
 
 /** Whether a request may be sent again after an attempt that may have taken effect. */
 public enum Idempotency {
-    /** It may: taking effect twice is the same as once. */
+    /** It may be sent again: taking effect twice is the same as once. */
     IDEMPOTENT,
-    /** It may within a time and a scope of servers, which recognize repetitions by the request's idempotency key. */
+    /**
+     * It may be sent again within a time window and a scope of servers that recognize duplicates by the request's
+     * idempotency key.
+     */
     DEDUPLICATED,
-    /** It must not. */
+    /** It must not be sent again. */
     NON_IDEMPOTENT
 }
--- a/src/main/java/cacheproxy/policy/LatencyEstimates.java
+++ b/src/main/java/cacheproxy/policy/LatencyEstimates.java
@@ -4,8 +4,8 @@
 import java.util.List;
 
 /**
- * Exponentially weighted averages of latencies and of cost hints, as TCP estimates round-trip times (RFC 6298): an
- * average and a mean deviation. Latencies of cache servers are divided by the request's relative cost.
+ * Exponentially weighted averages of latencies and of cost hints. Latencies of cache servers have an average and a mean
+ * deviation, as in TCP's estimate of round-trip times (RFC 6298). They are divided by the request's relative cost.
  */
 final class LatencyEstimates {
     /** Initial estimates, as divisors of the shortest latency objective. */
@@ -19,13 +19,13 @@
     private static final int SERVER_DIVISOR = 16;
     private static final int COST_DIVISOR = 32;
 
-    /** Deviations above the average up to which a latency is usual. */
+    /** Number of mean deviations above the average that latencies rarely exceed. */
     private static final int EXPECTED_MAX_DEVIATIONS = 3;
 
-    /** The unit of the hints on the wire. */
+    /** Smallest plausible cost hint: the unit of the hints on the wire. */
     private static final double MIN_COST_MS = 0.001;
 
-    /** The longest deadline: no request may take longer. */
+    /** Largest plausible cost hint: the longest deadline, which no request may exceed. */
     private final double maxCostMs;
 
     private double originMs;
@@ -36,7 +36,7 @@
     /**
      * Creates initial estimates.
      *
-     * @throws IllegalArgumentException if there is no class
+     * @throws IllegalArgumentException if there is no service class
      */
     LatencyEstimates(List<ServiceClass> classes) {
         double shortestObjectiveMs = classes.stream()
@@ -49,7 +49,7 @@
         serverDeviationMs = serverMs;
     }
 
-    /** Records a request's cost hint, if it has a plausible one; the first is the average. */
+    /** Records a request's cost hint, if it has a plausible one; the first one sets the average. */
     void recordCost(RoutingRequest request) {
         if (hasPlausibleCost(request)) {
             averageCostMs += (request.costHintMs() - averageCostMs) / (averageCostMs > 0 ? COST_DIVISOR : 1);
@@ -83,12 +83,15 @@
         return (serverMs + EXPECTED_MAX_DEVIATIONS * serverDeviationMs) * relativeCost(request);
     }
 
-    /** Returns the cost that a request hints at as a multiple of the average; 1 without a plausible hint. */
+    /** Returns a request's cost hint as a multiple of the average; 1 if it has no plausible hint. */
     private double relativeCost(RoutingRequest request) {
         return hasPlausibleCost(request) && averageCostMs > 0 ? request.costHintMs() / averageCostMs : 1;
     }
 
-    /** Clients write the hints: one that no request can mean must not outweigh all others. */
+    /**
+     * Returns whether a request has a plausible cost hint. Clients set the hints, and an implausible one must not
+     * outweigh all others.
+     */
     private boolean hasPlausibleCost(RoutingRequest request) {
         return request.costHintMs() >= MIN_COST_MS && request.costHintMs() <= maxCostMs;
     }
@@ -98,7 +101,7 @@
         return new LearnedLatency(originMs, averageCostMs, serverMs, serverDeviationMs, 1);
     }
 
-    /** Moves the estimates towards those of an earlier process, by their weight. */
+    /** Moves the estimates towards those of an earlier process, in proportion to their weight. */
     void restore(LearnedLatency learned) {
         originMs += (learned.originMs() - originMs) * learned.weight();
         serverMs += (learned.averageMs() - serverMs) * learned.weight();
--- a/src/main/java/cacheproxy/policy/LearnedStateTransfer.java
+++ b/src/main/java/cacheproxy/policy/LearnedStateTransfer.java
@@ -5,7 +5,10 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Hands what a policy has learned to the policy of a later process. The origin's health is not part of it. */
+/**
+ * Exports the learned state of a policy and restores it in the policy of a later process. It does not include the
+ * origin's health.
+ */
 final class LearnedStateTransfer {
     private final EndpointList endpoints;
     private final LoadEstimates estimates;
@@ -17,7 +20,7 @@
         this.ejection = ejection;
     }
 
-    /** Returns the learned state; ejections last from {@code nowMs}. */
+    /** Returns the learned state; the remaining times of ejections are counted from {@code nowMs}. */
     LearnedState export(double nowMs, int maxKeys) {
         List<LearnedServer> learnedServers = new ArrayList<>();
         for (ServerState server : endpoints.servers()) {
@@ -47,7 +50,8 @@
     }
 
     /**
-     * Takes over learned state; servers that are not listed, have restarted or have failed here are left as they are.
+     * Restores learned state; servers that are not listed, have restarted or have failed in this process are left
+     * unchanged.
      */
     void restore(double nowMs, LearnedState learnedState) {
         for (LearnedServer learned : learnedState.servers()) {
--- a/src/main/java/cacheproxy/policy/LoadEstimates.java
+++ b/src/main/java/cacheproxy/policy/LoadEstimates.java
@@ -3,11 +3,12 @@
 import cacheproxy.snapshot.state.LearnedState;
 
 /**
- * What the policy has learned of load, across servers.
+ * The policy's estimates of latency and load, across servers.
  *
  * @param latencies average latencies and costs
  * @param originThrottle fetches from the origin: sent, and answered within their latency objective
- * @param serverThrottle attempts at cache servers: sent, and answered early enough for a fetch to follow
+ * @param serverThrottle attempts at cache servers: sent, and answered early enough to leave time for a fetch from the
+ *     origin
  * @param hotKeys recent requests by key
  */
 record LoadEstimates(
@@ -25,7 +26,7 @@
                 new HotKeyTracker());
     }
 
-    /** Takes over what an earlier process has learned. */
+    /** Restores the estimates of an earlier process. */
     void restore(double nowMs, LearnedState learned) {
         latencies.restore(learned.latency());
         originThrottle.restore(nowMs, learned.originLoad());
--- a/src/main/java/cacheproxy/policy/LoadReportSource.java
+++ b/src/main/java/cacheproxy/policy/LoadReportSource.java
@@ -2,7 +2,7 @@
 
 /** Where servers' load reports come from. */
 public enum LoadReportSource {
-    /** There are none. */
+    /** Servers send no load reports. */
     NONE,
     /** Responses and probe results carry them. */
     WITH_ANSWERS,
--- a/src/main/java/cacheproxy/policy/LoadShedder.java
+++ b/src/main/java/cacheproxy/policy/LoadShedder.java
@@ -2,11 +2,11 @@
 
 import java.util.SplittableRandom;
 
-/** Rejects a fraction of requests under overload, chosen at random, those of tenants over their quotas first. */
+/** Rejects a random fraction of requests under overload, first those of tenants over their quotas. */
 final class LoadShedder {
     private final SplittableRandom random;
 
-    /** Null if all requests are worth the same, so that tenants are not told apart. */
+    /** Null if all requests have the same value, so that tenants are not distinguished. */
     private final TenantShares tenantShares;
 
     LoadShedder(PolicySettings settings, SplittableRandom random) {
@@ -31,7 +31,7 @@
     /**
      * Whether to reject a request.
      *
-     * @param excess fraction of all requests to reject; none if it is not above 0
+     * @param excess fraction of all requests to reject; 0 or less means none
      */
     boolean shouldReject(PendingRequest pending, double excess) {
         if (excess <= 0) {
--- a/src/main/java/cacheproxy/policy/OriginFetchPolicy.java
+++ b/src/main/java/cacheproxy/policy/OriginFetchPolicy.java
@@ -12,7 +12,7 @@
     enum Decision {
         /** Send it to the origin. */
         SEND,
-        /** Do nothing: it waits for siblings or another request's fetch, or its own fetch is in flight. */
+        /** Do nothing: the request waits for siblings or another request's fetch, or its own fetch is in flight. */
         WAIT,
         /** Give it up. */
         GIVE_UP
@@ -39,7 +39,7 @@
         this.sender = sender;
     }
 
-    /** Decides on a request, which counts as sent if it is to be sent. */
+    /** Decides what to do with a request; counts it as sent if the decision is to send it. */
     Decision decide(double nowMs, PendingRequest pending, PolicyActions actions) {
         if (pending.request().write() || pending.request().key() == 0) {
             throttle.recordSent(nowMs);
@@ -50,7 +50,7 @@
         }
         double excess = throttle.excess(nowMs);
         boolean tooLate = excess > 0 && nowMs + latencies.originMs() > pending.objectiveAtMs();
-        if (!tooLate) { // counted although not sent, a fetch that is too late would keep the throttle closed
+        if (!tooLate) { // counting a fetch that is too late to be sent would keep the throttle closed
             throttle.recordSent(nowMs);
         }
         if (tooLate || shedder.shouldReject(pending, excess)) {
@@ -61,7 +61,7 @@
         return Decision.SEND;
     }
 
-    /** After a miss, queries siblings if that is worth the wait; once for a request. */
+    /** After a miss, queries siblings if that is worth the wait, at most once for a request. */
     private boolean querySiblings(double nowMs, PendingRequest pending, PolicyActions actions) {
         if (pending.isSiblingsQueried()
                 || pending.missedServer() == null
--- a/src/main/java/cacheproxy/policy/OutlierEjection.java
+++ b/src/main/java/cacheproxy/policy/OutlierEjection.java
@@ -3,9 +3,9 @@
 import cacheproxy.snapshot.state.LearnedServer;
 
 /**
- * Ejects servers that fail, for a time that grows with consecutive failures, and lets them back after a half-open
- * probe: one idempotent request, or a health check where the policy may send some. A rate limit on probes bounds what a
- * fleet with many ejected servers spends on them.
+ * Ejects servers that fail, for a time that grows with consecutive failures, and readmits them after a half-open probe:
+ * one idempotent request, or a health check if the policy may send health checks. A rate limit on probes bounds how
+ * many requests a fleet with many ejected servers spends on them.
  */
 final class OutlierEjection {
     /** The shortest ejection, in connect timeouts. */
@@ -40,7 +40,7 @@
         return EJECTION_CONNECT_TIMEOUTS * settings.connectTimeoutMs() * (1 << doublings);
     }
 
-    /** Whether a request may cause a half-open probe of a server that is not trusted. */
+    /** Returns whether a request may trigger a half-open probe of a server that is not trusted. */
     boolean isProbeDue(double nowMs, PendingRequest pending, ServerState server) {
         return nowMs >= server.ejectedUntilMs()
                 && !server.isProbing()
@@ -50,7 +50,7 @@
     }
 
     /**
-     * Starts a half-open probe; returns whether the request that caused it is the probe, rather than a health check.
+     * Starts a half-open probe; returns whether the request that triggered it is the probe, rather than a health check.
      */
     boolean startProbe(ServerState server, PolicyActions actions) {
         probeTokens--;
@@ -73,7 +73,7 @@
         }
     }
 
-    /** Takes over an earlier process's ejection, which lasts no longer than it would here. */
+    /** Restores an ejection from an earlier process, which lasts no longer than this policy would eject the server. */
     void restore(double nowMs, ServerState server, LearnedServer learned) {
         server.restore(learned, nowMs + Math.min(learned.ejectedForMs(), ejectionMs(learned.failures() - 1)));
     }
--- a/src/main/java/cacheproxy/policy/PendingRequest.java
+++ b/src/main/java/cacheproxy/policy/PendingRequest.java
@@ -6,7 +6,7 @@
  * A request that has no final response yet, or whose attempts have not all ended. The object records what has happened
  * to the request; decisions are made elsewhere.
  *
- * <p>Attempts are numbered from 0 in the order of sending. Times are milliseconds of the policy's clock.
+ * <p>Attempts are numbered from 0 in the order of sending. Times are milliseconds on the policy's clock.
  */
 final class PendingRequest {
     private final RoutingRequest request;
@@ -70,7 +70,7 @@
         return serviceClass;
     }
 
-    /** Returns when the service class's latency objective is over. */
+    /** Returns the time at which the latency objective of the request's service class ends. */
     double objectiveAtMs() {
         return arrivedMs + serviceClass.latencyObjectiveMs();
     }
@@ -116,7 +116,7 @@
         inFlightAttempts--;
     }
 
-    /** Notes that an attempt may have taken effect; the first such attempt counts. */
+    /** Records that an attempt may have taken effect; only the first such attempt is kept. */
     void markMayHaveRun(int attempt) {
         if (Double.isNaN(mayHaveRunSinceMs)) {
             mayHaveRunSinceMs = sentAtMs[attempt];
@@ -129,12 +129,12 @@
         return !Double.isNaN(mayHaveRunSinceMs);
     }
 
-    /** Returns when the first attempt that may have taken effect was sent; NaN: there is none. */
+    /** Returns when the first attempt that may have taken effect was sent; NaN if there is none. */
     double mayHaveRunSinceMs() {
         return mayHaveRunSinceMs;
     }
 
-    /** Returns the server of the first attempt that may have taken effect; null: there is none. */
+    /** Returns the server of the first attempt that may have taken effect; null if there is none. */
     ServerState mayHaveRunServer() {
         return mayHaveRunServer;
     }
@@ -149,7 +149,7 @@
         return attemptedServers.length - attempts;
     }
 
-    /** Whether the request may have another attempt and after it one at the origin. */
+    /** Returns whether the request may have another attempt and, after that, one at the origin. */
     boolean leavesAttemptForOrigin() {
         return attemptsLeft() >= 2;
     }
@@ -179,22 +179,22 @@
         return false;
     }
 
-    /** Whether the final response is given, or the client has left. */
+    /** Returns whether the final response was given or the client has disconnected. */
     boolean isConcluded() {
         return concluded;
     }
 
-    /** The final response is given, or the client has left. */
+    /** Records that the final response was given or the client has disconnected. */
     void markConcluded() {
         concluded = true;
     }
 
-    /** Whether an attempt's response is being passed on to the client. */
+    /** Returns whether an attempt's response is being streamed to the client. */
     boolean isStreaming() {
         return streaming;
     }
 
-    /** An attempt's response has begun to reach the client. */
+    /** Records that an attempt's response has begun to reach the client. */
     void markStreaming() {
         streaming = true;
     }
@@ -219,32 +219,32 @@
         waiting = waits;
     }
 
-    /** Whether an attempt has exceeded its hedging delay and was hedged or cancelled for it. */
+    /** Returns whether an attempt has exceeded its hedging delay and was therefore hedged or cancelled. */
     boolean isHedged() {
         return hedged;
     }
 
-    /** An attempt has exceeded its hedging delay, and the request is hedged. */
+    /** Records that an attempt has exceeded its hedging delay and the request is hedged. */
     void markHedged() {
         hedged = true;
     }
 
-    /** Returns when the newest attempt exceeds its hedging delay. */
+    /** Returns the time at which the latest attempt exceeds its hedging delay. */
     double hedgeAtMs() {
         return hedgeAtMs;
     }
 
-    /** Sets when the newest attempt exceeds its hedging delay. */
+    /** Sets the time at which the latest attempt exceeds its hedging delay. */
     void setHedgeAtMs(double atMs) {
         hedgeAtMs = atMs;
     }
 
-    /** Returns the server that has answered with a miss; null: none has. */
+    /** Returns the server that has answered with a miss; null if none has. */
     ServerState missedServer() {
         return missedServer;
     }
 
-    /** Records a server's miss: the origin is next. */
+    /** Records a server's miss, after which the request goes to the origin. */
     void recordMiss(ServerState server) {
         missedServer = server;
         originOnly = true;
@@ -255,32 +255,32 @@
         return siblingsQueried;
     }
 
-    /** Siblings are queried, which happens once. */
+    /** Records that siblings are queried, which happens at most once. */
     void markSiblingsQueried() {
         siblingsQueried = true;
     }
 
-    /** Whether the request has gone on to fetch its object from the origin. */
+    /** Returns whether the request has started to fetch its object from the origin. */
     boolean isFetching() {
         return fetching;
     }
 
-    /** The request goes on to fetch its object from the origin. */
+    /** Records that the request starts to fetch its object from the origin. */
     void markFetching() {
         fetching = true;
     }
 
-    /** Whether the request leads the fetch of its key, so that others may wait for it. */
+    /** Returns whether the request is the leader for its key, so that other requests can wait for it. */
     boolean isLeading() {
         return waiters != null;
     }
 
-    /** Whether requests wait for this one. */
+    /** Returns whether other requests wait for this one. */
     boolean hasWaiters() {
         return waiters != null && !waiters.isEmpty();
     }
 
-    /** The request leads the fetch of its key from now on. */
+    /** Makes the request the leader for its key. */
     void startLeading() {
         waiters = new ArrayDeque<>();
     }
@@ -290,7 +290,7 @@
         waiters.add(waiter);
     }
 
-    /** The request leads no longer; returns those that have waited for it, first come first. */
+    /** Ends the request's role as the leader; returns the requests that waited for it, in order of arrival. */
     ArrayDeque<PendingRequest> stopLeading() {
         ArrayDeque<PendingRequest> released = waiters;
         waiters = null;
--- a/src/main/java/cacheproxy/policy/PendingRequestTable.java
+++ b/src/main/java/cacheproxy/policy/PendingRequestTable.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * The pending requests, by the id that events name and by the number that timer tokens carry. A timer may outlive its
- * request, which it finds by number so that it does not keep the object alive.
+ * The pending requests, by the id in events and by the number in timer tokens. A timer can outlive its request, so it
+ * refers to the request by number and does not keep the object alive.
  */
 final class PendingRequestTable {
     private final PolicySettings settings;
@@ -17,7 +17,7 @@
         this.settings = settings;
     }
 
-    /** Adds a request that a client has sent; its class must be in the settings. */
+    /** Adds a client's request; its service class must be in the settings. */
     PendingRequest add(double nowMs, RoutingRequest request) {
         PendingRequest pending = new PendingRequest(
                 nowMs,
@@ -30,17 +30,17 @@
         return pending;
     }
 
-    /** Returns the request with an id; null: there is none. */
+    /** Returns the request with this id; null if there is none. */
     PendingRequest byId(int requestId) {
         return byId.get(requestId);
     }
 
-    /** Returns the request that a timer belongs to; null: it has ended, or the timer belongs to none. */
+    /** Returns the request that a timer belongs to; null if the request has ended or the timer belongs to none. */
     PendingRequest byToken(int timerToken) {
         return byNumber.get(PolicyTimer.requestNumber(timerToken));
     }
 
-    /** Marks a request as concluded and forgets it once no attempt is in flight. */
+    /** Marks a request as concluded and removes it if no attempt is in flight. */
     void finish(PendingRequest pending) {
         pending.markConcluded();
         if (pending.inFlightAttempts() == 0) {
--- a/src/main/java/cacheproxy/policy/PolicyActions.java
+++ b/src/main/java/cacheproxy/policy/PolicyActions.java
@@ -5,30 +5,31 @@
     /**
      * Sends an attempt of a request. Attempts of a request are numbered from 0 in the order of sending.
      *
-     * @param timeoutMs how long to wait for its end; 0: until the request's deadline
+     * @param timeoutMs how long to wait for its end; 0 to wait until the request's deadline
      */
     void sendAttempt(int requestId, int serverId, double timeoutMs);
 
     /**
-     * Gives the final response that the request was rejected, so that a retry by the client is harmless.
+     * Gives the final response that the request was rejected, after which the client can safely retry.
      *
-     * @param retryAfterMs when the client should retry; 0: it is not told
+     * @param retryAfterMs time after which the client should retry; 0 if the client is told none
      */
     void reject(int requestId, double retryAfterMs);
 
     /** Gives the final response that the request has failed and may have taken effect. */
     void fail(int requestId);
 
-    /** Stops waiting for an attempt; its end is still reported. */
+    /** Cancels an attempt; its end is still reported. */
     void cancelAttempt(int requestId, int attempt);
 
-    /** Asks for {@link PolicyApi#onTimer} with a token after a delay. Timers cannot be cancelled. */
+    /** Requests a call of {@link PolicyApi#onTimer} with this token after a delay. Timers cannot be cancelled. */
     void setTimer(double delayMs, int token);
 
     /**
-     * Asks siblings whether they have a request's key; {@link PolicyApi#onSiblingResponse} reports the first that has.
+     * Asks siblings whether they have a request's key; {@link PolicyApi#onSiblingResponse} reports the first one that
+     * has it.
      *
-     * @param waitMs how long their answers are waited for
+     * @param waitMs how long to wait for their answers
      */
     default void querySiblings(int requestId, double waitMs) {}
 
@@ -38,7 +39,7 @@
     /** Closes the idle connections to a server. */
     void closeIdleConnections(int serverId);
 
-    /** Sends bytes to another proxy, given by its index; -1: to all. */
+    /** Sends a message to another proxy, given by its index, or to all if the index is -1. */
     void sendToPeer(int peerId, byte[] message);
 
     /** Subscribes to changes of the endpoint list, or ends the subscription. */
@@ -47,6 +48,6 @@
     /** Asks for the whole endpoint list once. */
     void fetchEndpointList();
 
-    /** Writes a line for the operators. */
+    /** Writes a log line for the operators. */
     void log(String line);
 }
--- a/src/main/java/cacheproxy/policy/PolicyApi.java
+++ b/src/main/java/cacheproxy/policy/PolicyApi.java
@@ -12,36 +12,36 @@
     int CACHE_STATUS_FETCH_PENDING = 3;
 
     /**
-     * The endpoint list, changes of it, or the failure of a call for it.
+     * Handles the endpoint list, changes to it, or a failure to get it.
      *
-     * @throws IllegalArgumentException if an endpoint is listed twice or has a figure out of range
+     * @throws IllegalArgumentException if an endpoint is listed twice or has a value out of range
      */
     void onEndpointList(double nowMs, EndpointListKind kind, List<Endpoint> endpoints, PolicyActions actions);
 
     /**
-     * A client's request. The policy now owes exactly one final response.
+     * Handles a client's request, to which the policy must give exactly one final response.
      *
-     * @throws IllegalArgumentException if the settings lack its class or tenant
+     * @throws IllegalArgumentException if its service class or tenant is not in the settings
      */
     void onRequest(double nowMs, RoutingRequest request, PolicyActions actions);
 
-    /** A streamed response has begun to reach the client, which can no longer get another. */
+    /** Handles the first byte of a streamed response, after which the client can no longer get another response. */
     void onFirstByte(double nowMs, int requestId, int attempt, int serverId, PolicyActions actions);
 
-    /** An attempt has ended. */
+    /** Handles the end of an attempt. */
     void onAttemptEnd(double nowMs, AttemptResult result, PolicyActions actions);
 
-    /** The client has left; no response is owed. */
+    /** Handles the disconnect of a client, after which no response is due. */
     void onClientGone(double nowMs, int requestId, PolicyActions actions);
 
-    /** A timer is due. */
+    /** Handles a timer that is due. */
     void onTimer(double nowMs, int token, PolicyActions actions);
 
     /**
-     * The result of a health check.
+     * Handles the result of a health check.
      *
      * @param elapsedMs milliseconds since it was sent
-     * @param loadReport the server's load report; null: none
+     * @param loadReport the server's load report; null if there is none
      */
     void onProbeResult(
             double nowMs,
@@ -51,9 +51,9 @@
             float[] loadReport,
             PolicyActions actions);
 
-    /** A sibling has the key of a request whose siblings were queried; id 0: all of them lack it. */
+    /** Handles the answer to a sibling query: the id of a sibling that has the request's key, or 0 if none has it. */
     default void onSiblingResponse(double nowMs, int requestId, int siblingId, PolicyActions actions) {}
 
-    /** A message of another proxy, given by its index. */
+    /** Handles a message from another proxy, given by its index. */
     void onPeerMessage(double nowMs, int peerId, byte[] message, PolicyActions actions);
 }
--- a/src/main/java/cacheproxy/policy/PolicyEnvironment.java
+++ b/src/main/java/cacheproxy/policy/PolicyEnvironment.java
@@ -6,12 +6,12 @@
 import java.util.SplittableRandom;
 
 /**
- * What a policy is created with. All parts of the policy draw from the one generator, in the order of events.
+ * The dependencies of a policy. All its classes draw from the same random generator, in the order of events.
  *
  * @param settings the settings
  * @param random the seeded generator
  * @param placements builds the placement of each endpoint list
- * @param admission limits that reach further than this policy
+ * @param admission limits that apply beyond this policy
  * @param siblings the sibling caches
  */
 record PolicyEnvironment(
--- a/src/main/java/cacheproxy/policy/PolicySettingsBuilder.java
+++ b/src/main/java/cacheproxy/policy/PolicySettingsBuilder.java
@@ -3,8 +3,8 @@
 import java.util.List;
 
 /**
- * Builds {@link PolicySettings}, which say what each setting means. Settings that are not given are 0, false or empty,
- * and there are no load reports.
+ * Builds {@link PolicySettings}, where each setting is documented. Settings that are not set are 0, false or empty, and
+ * there are no load reports.
  */
 public final class PolicySettingsBuilder {
     private int instanceIndex;
@@ -41,7 +41,7 @@
 
     PolicySettingsBuilder() {}
 
-    /** Starts with the settings of a policy. */
+    /** Creates a builder that starts with existing settings. */
     PolicySettingsBuilder(PolicySettings settings) {
         instanceIndex = settings.instanceIndex();
         instanceCount = settings.instanceCount();
--- a/src/main/java/cacheproxy/policy/PolicyTimer.java
+++ b/src/main/java/cacheproxy/policy/PolicyTimer.java
@@ -2,16 +2,16 @@
 
 /** The policy's timers. A timer's token holds its kind in the lowest two bits and a request's number above them. */
 enum PolicyTimer {
-    /** A request's deadline is over. */
+    /** A request's deadline has passed. */
     DEADLINE(0),
-    /** The hedging delay of a request's newest attempt is over. */
+    /** The hedging delay of a request's latest attempt has elapsed. */
     HEDGING(1),
     /** A request has waited long enough for a sibling, for another proxy's fetch or for the origin to recover. */
     RETRY(2),
-    /** The endpoint list is to be watched; belongs to no request. */
+    /** The subscription to the endpoint list is due; belongs to no request. */
     WATCH(3);
 
-    /** Greatest number of a request that fits into a token, a mask of all its bits. */
+    /** Largest request number that fits into a token; also a mask of all its bits. */
     static final int REQUEST_NUMBER_MASK = (1 << 30) - 1;
 
     private static final int KIND_BITS = 2;
@@ -43,7 +43,7 @@
         };
     }
 
-    /** Returns the number of the request that a timer belongs to; 0: none. */
+    /** Returns the number of the request that a timer belongs to; 0 if it belongs to none. */
     static int requestNumber(int token) {
         return token >>> KIND_BITS;
     }
--- a/src/main/java/cacheproxy/policy/RequestConclusion.java
+++ b/src/main/java/cacheproxy/policy/RequestConclusion.java
@@ -2,7 +2,7 @@
 
 import java.util.SplittableRandom;
 
-/** Ends requests: gives the final response and cancels attempts that nobody waits for any more. */
+/** Concludes requests: gives the final response and cancels attempts that are no longer needed. */
 final class RequestConclusion {
     private static final double MIN_RETRY_AFTER_MS = 1;
 
@@ -22,7 +22,7 @@
         this.requests = requests;
     }
 
-    /** Gives up a request that gets no further attempt, unless one in flight can still bring its response. */
+    /** Gives up a request that gets no further attempt, unless an attempt in flight can still produce its response. */
     void giveUp(PendingRequest pending, PolicyActions actions) {
         if (pending.inFlightAttempts() > 0 && pending.serviceClass().isIdempotent()) {
             return;
@@ -32,9 +32,9 @@
     }
 
     /**
-     * Gives the final response: rejected if a retry by the client is harmless, else failed. Without a time to retry
-     * after, clients would retry at once, into the overload that they were rejected for; within the average latency
-     * capacity comes free, and a random time in it keeps clients from returning together.
+     * Gives the final response: rejected if the client can safely retry, otherwise failed. Without a retry-after time,
+     * rejected clients would retry at once and add to the overload. The time is random within the average latency, in
+     * which capacity becomes free, so that clients do not return at the same moment.
      */
     void rejectOrFail(PendingRequest pending, PolicyActions actions) {
         if (pending.serviceClass().isIdempotent() || (!pending.mayHaveRun() && pending.inFlightAttempts() == 0)) {
@@ -47,7 +47,7 @@
         }
     }
 
-    /** Cancels a request's attempts in flight, where that is possible. */
+    /** Cancels a request's attempts in flight, if cancellation is allowed. */
     void cancelInFlight(PendingRequest pending, PolicyActions actions) {
         if (!settings.cancellationAllowed()) {
             return;
--- a/src/main/java/cacheproxy/policy/RequestRouter.java
+++ b/src/main/java/cacheproxy/policy/RequestRouter.java
@@ -3,10 +3,10 @@
 import cacheproxy.placement.AdmissionControl;
 
 /**
- * Takes each request from its arrival to its final response: decides after every event whether the next step is an
- * attempt at a cache server, a sibling or the origin, waiting, or the end.
+ * Routes each request from its arrival to its final response. After every event it decides on the next step: an attempt
+ * at a cache server, a sibling or the origin, waiting, or concluding the request.
  *
- * <p>Events of a request that has ended are ignored, as they may arrive late.
+ * <p>Events of a request that has ended are ignored, because events can arrive late.
  */
 final class RequestRouter {
     private final PolicySettings settings;
@@ -49,7 +49,7 @@
         feedback = new AttemptFeedback(environment.siblings(), endpoints, estimates, ejection, hedging);
     }
 
-    /** Routes a new request, whose class and tenant are in the settings. */
+    /** Routes a new request, whose service class and tenant must be in the settings. */
     void requestReceived(double nowMs, RoutingRequest request, PolicyActions actions) {
         estimates.latencies().recordCost(request);
         shedder.recordRequest(nowMs, request);
@@ -66,7 +66,9 @@
         advance(nowMs, pending, actions);
     }
 
-    /** A response of an attempt has begun to reach the client: no other attempt can serve the request. */
+    /**
+     * Records that an attempt's response has begun to reach the client, so that no other attempt can serve the request.
+     */
     void responseStarted(int requestId) {
         PendingRequest pending = requests.byId(requestId);
         if (pending != null) {
@@ -74,7 +76,7 @@
         }
     }
 
-    /** An attempt has ended. An end that was already reported, or of an attempt never sent, is ignored. */
+    /** Handles the end of an attempt. It is ignored if it was already reported or the attempt was never sent. */
     void attemptEnded(double nowMs, AttemptResult result, PolicyActions actions) {
         PendingRequest pending = requests.byId(result.requestId());
         int attempt = result.attempt();
@@ -103,7 +105,8 @@
     }
 
     /**
-     * The first sibling that has a request's key, or 0: none of those that were asked has it. Late answers are ignored.
+     * Handles the answer to a sibling query: the id of the first sibling that has the request's key, or 0 if none of
+     * the queried siblings has it. Late answers are ignored.
      */
     void siblingAnswered(double nowMs, int requestId, int siblingId, PolicyActions actions) {
         PendingRequest pending = requests.byId(requestId);
@@ -123,7 +126,7 @@
         }
     }
 
-    /** The client has left. */
+    /** Handles the disconnect of a client. */
     void clientLeft(double nowMs, int requestId, PolicyActions actions) {
         PendingRequest pending = requests.byId(requestId);
         if (pending != null && !pending.isConcluded()) {
@@ -131,7 +134,7 @@
         }
     }
 
-    /** A timer of a request is due; ignored if the request has ended. */
+    /** Handles a timer of a request; ignored if the request has ended. */
     void timerDue(double nowMs, PolicyTimer timer, int token, PolicyActions actions) {
         PendingRequest pending = requests.byToken(token);
         if (pending == null) {
@@ -156,7 +159,10 @@
         }
     }
 
-    /** Ends a request that nobody waits for. Its attempt goes on if others wait for what it fetches. */
+    /**
+     * Ends a request whose client no longer waits. Its attempt continues if other requests wait for the object that it
+     * fetches.
+     */
     private void abandon(double nowMs, PendingRequest pending, PolicyActions actions) {
         requests.finish(pending);
         if (pending.isStreaming()) {
@@ -169,7 +175,8 @@
     }
 
     /**
-     * Ejects the server and hedges. The timer may also be that of an earlier attempt, which says nothing of this one.
+     * Ejects the server of an overdue attempt and hedges the request. The timer of an earlier attempt is ignored,
+     * because it says nothing about the latest one.
      */
     private void hedgingDelayElapsed(double nowMs, PendingRequest pending, PolicyActions actions) {
         int attempt = pending.attempts() - 1;
@@ -196,7 +203,7 @@
         }
     }
 
-    /** Decides what follows an attempt without a final response. */
+    /** Decides on the next step after an attempt that ended without a final response. */
     private void retry(
             double nowMs, PendingRequest pending, ServerState server, AttemptResult result, PolicyActions actions) {
         boolean isOrigin = endpoints.isOrigin(server);
@@ -218,7 +225,7 @@
         }
     }
 
-    /** Sends a request's next attempt, lets it wait, or gives it up. */
+    /** Sends a request's next attempt, makes the request wait, or gives it up. */
     private void advance(double nowMs, PendingRequest pending, PolicyActions actions) {
         pending.setWaiting(false);
         if (pending.isConcluded() || pending.isStreaming()) {
@@ -230,7 +237,7 @@
             return;
         }
         boolean isOrigin = endpoints.isOrigin(server);
-        // A fetch after a miss is no retry but the normal course; everything else is additional load.
+        // A fetch from the origin after a miss is not a retry; any other further attempt is additional load.
         boolean isRetry = pending.attempts() > 0 && !(isOrigin && pending.missedServer() != null);
         if (isRetry && !admission.admitRetry(nowMs)) {
             conclusion.giveUp(pending, actions);
@@ -238,7 +245,7 @@
             fetch(nowMs, pending, server, actions);
         } else if (LoadShedder.mayReject(pending)
                 && shedder.shouldReject(pending, estimates.serverThrottle().excess(nowMs))) {
-            server.endProbe(); // a probe that is not sent has no result, and its server would stay ejected
+            server.endProbe(); // a probe that is not sent gets no result, and its server would stay ejected
             conclusion.giveUp(pending, actions);
         } else {
             sender.send(nowMs, pending, server, actions);
@@ -258,14 +265,14 @@
         releaseWaiters(nowMs, pending, actions);
     }
 
-    /** Lets those that wait for a request go on without it if the request has ended and will not fetch. */
+    /** Resumes the requests that wait for a leader, if the leader has ended and will not fetch. */
     private void releaseWaiters(double nowMs, PendingRequest pending, PolicyActions actions) {
         if (pending.isConcluded() && pending.isLeading() && !pending.isFetching() && pending.inFlightAttempts() == 0) {
             resumeWaiters(nowMs, pending, false, actions);
         }
     }
 
-    /** An attempt of a leading request has ended: those that wait for it go on if it was the fetch they wait for. */
+    /** Resumes the requests that wait for a leader, if its attempt that ended was the fetch that they wait for. */
     private void continueWaiters(
             double nowMs, PendingRequest leader, ServerState server, boolean succeeded, PolicyActions actions) {
         if (endpoints.isOrigin(server)) {
@@ -275,7 +282,10 @@
         }
     }
 
-    /** Waiters find a fetched object at the server that missed it; after a failed fetch the first of them fetches. */
+    /**
+     * Resumes waiting requests, which find a fetched object at the server that missed it; after a failed fetch the
+     * first of them fetches.
+     */
     private void resumeWaiters(double nowMs, PendingRequest leader, boolean stored, PolicyActions actions) {
         for (PendingRequest waiter : coalescer.removeLeader(leader)) {
             if (!waiter.isConcluded() && waiter.isWaiting()) {
@@ -285,7 +295,10 @@
         }
     }
 
-    /** What a sibling has served is not stored at this proxy's servers, so each waiter fetches it from the sibling. */
+    /**
+     * Sends each waiting request to the sibling, because an object that a sibling served is not stored at this proxy's
+     * servers.
+     */
     private void fetchFromSibling(double nowMs, PendingRequest leader, ServerState sibling, PolicyActions actions) {
         for (PendingRequest waiter : coalescer.removeLeader(leader)) {
             if (!waiter.isConcluded() && waiter.isWaiting() && waiter.attemptsLeft() > 0) {
--- a/src/main/java/cacheproxy/policy/RetryRules.java
+++ b/src/main/java/cacheproxy/policy/RetryRules.java
@@ -1,10 +1,10 @@
 package cacheproxy.policy;
 
 /**
- * Whether a request may be sent again without the risk of taking effect twice. An idempotent request always may. Others
- * may not while an attempt is in flight, and after an attempt that may have run only if the servers deduplicate by the
- * request's idempotency key: within the window, and at a server that knows the key. The static rules are about attempts
- * that have had no effect.
+ * Decides whether a request may be sent again without the risk of taking effect twice. An idempotent request always
+ * may. Other requests may not while an attempt is in flight, and after an attempt that may have run they may only if
+ * the servers deduplicate by the request's idempotency key: within the deduplication window, and at a server that knows
+ * the key. The static methods apply to attempts that had no effect.
  */
 final class RetryRules {
     private final PolicySettings settings;
--- a/src/main/java/cacheproxy/policy/RoutingPolicy.java
+++ b/src/main/java/cacheproxy/policy/RoutingPolicy.java
@@ -9,8 +9,8 @@
 import java.util.SplittableRandom;
 
 /**
- * The routing decisions of one proxy for one pool. This class receives the events and hands each to the part that
- * decides on it; the package documentation lists the parts.
+ * The routing decisions of one proxy for one pool. This class receives the events and passes each to the class that
+ * decides on it; the package documentation lists these classes.
  *
  * <p>Each instance is used on one thread, which passes times of one monotonic clock in milliseconds. The same settings,
  * seed and events give the same actions.
@@ -40,7 +40,7 @@
      *
      * @param seed of the policy's random draws
      * @param placements builds the placement of each endpoint list
-     * @param admission limits that reach further than this policy
+     * @param admission limits that apply beyond this policy
      * @param siblings the sibling caches among the listed endpoints
      * @throws IllegalArgumentException if the settings have no class or allow no attempt
      */
@@ -72,9 +72,9 @@
             return;
         }
         if (kind == EndpointListKind.CACHED) {
-            listWatch.cachedListReceived(actions); // also if that list is invalid, as discovery's may be valid
+            listWatch.cachedListReceived(actions); // even if the list is invalid, as discovery's may be valid
         }
-        endpointList.update(nowMs, kind, endpoints); // throws if the list is invalid, and so no answer
+        endpointList.update(nowMs, kind, endpoints); // throws for an invalid list, which is not an answer
         if (kind != EndpointListKind.CACHED) {
             listWatch.answered();
         }
@@ -86,7 +86,7 @@
         if (!isIndex(request.serviceClass(), settings.classes().size())) {
             throw new IllegalArgumentException("class " + request.serviceClass() + " is not in the settings");
         }
-        // Tenant 0 stands for all requests where the settings name no tenants.
+        // If the settings have no tenants, all requests have tenant 0.
         if (request.tenant() != 0
                 && !isIndex(request.tenant(), settings.tenants().size())) {
             throw new IllegalArgumentException("tenant " + request.tenant() + " is not in the settings");
@@ -156,22 +156,23 @@
     }
 
     /**
-     * Takes over what an earlier process has learned of the servers on the list; to be called after the first list and
+     * Restores what an earlier process has learned about the listed servers; must be called after the first list and
      * before the first request. No server is ejected for longer than this policy would eject it, the next result of a
-     * server outweighs what is restored, and no server in slow start receives more because of it.
+     * server outweighs the restored state, and no server in slow start receives more requests because of that state.
      */
     public void restore(double nowMs, LearnedState learnedState) {
         stateTransfer.restore(nowMs, learnedState);
     }
 
-    /** Whether a server is ready, has warmed up and is not ejected, as siblings are told. */
+    /** Returns whether a server is ready, has warmed up and is not ejected; reported to siblings. */
     public boolean isHealthy(double nowMs, int serverId) {
         ServerState server = endpointList.server(serverId);
         return server != null && server.isReady() && server.failures() == 0 && !slowStart.isWarmingUp(nowMs, server);
     }
 
     /**
-     * Whether the cache servers or the origin have lately answered too few requests in time to serve siblings as well.
+     * Returns whether the cache servers or the origin have recently answered too few requests in time to serve siblings
+     * as well.
      */
     public boolean isOverloaded(double nowMs) {
         return estimates.serverThrottle().isOverloaded(nowMs)
--- a/src/main/java/cacheproxy/policy/RoutingRequest.java
+++ b/src/main/java/cacheproxy/policy/RoutingRequest.java
@@ -3,13 +3,13 @@
 /**
  * A client's request.
  *
- * @param id differs from those of all other requests, also of the client's retries
+ * @param id unique among all requests; a client's retry has its own id
  * @param serviceClass index of its class in {@link PolicySettings#classes}
- * @param tenant index of its tenant in {@link PolicySettings#tenants}; 0 where there are none
- * @param key what it reads or writes; 0: it has no key
+ * @param tenant index of its tenant in {@link PolicySettings#tenants}; 0 if there are none
+ * @param key key that it reads or writes; 0 if it has none
  * @param deadlineMs when the client stops waiting, on the policy's clock
- * @param costHintMs estimated processing time at a server; NaN: none
- * @param valueSizeHint size of the value in bytes; 0: not known
+ * @param costHintMs estimated processing time at a server; NaN if there is no estimate
+ * @param valueSizeHint size of the value in bytes; 0 if unknown
  * @param write whether it writes, which only the origin can serve in a cache-aside pool
  * @param clientRetry whether the client has marked it as a retry
  */
--- a/src/main/java/cacheproxy/policy/ServerSelector.java
+++ b/src/main/java/cacheproxy/policy/ServerSelector.java
@@ -3,11 +3,12 @@
 import cacheproxy.placement.Placement;
 
 /**
- * Selects the server of an attempt: of the cache servers the best ranked one of the request's key that is healthy and,
- * if it is warming up, admits the request. A hot key starts at a random one of the servers that it is spread over.
+ * Selects the server of an attempt. Among cache servers, this is the one ranked best for the request's key that is
+ * healthy and, if it is warming up, admits the request. For a hot key the search starts at a random one of the servers
+ * that the key is spread over.
  */
 final class ServerSelector {
-    /** Servers ranked beyond those that a key is spread over. */
+    /** Number of servers that are ranked in addition to those that a key is spread over. */
     private static final int RANKED_CANDIDATES = 8;
 
     private final PolicyEnvironment environment;
@@ -27,10 +28,10 @@
     }
 
     /**
-     * Selects the server of a request's next attempt. In a cache-aside pool it is the origin where only that can serve
-     * the request, after enough attempts at cache servers, and where no cache server is left.
+     * Selects the server of a request's next attempt. In a cache-aside pool it is the origin if only the origin can
+     * serve the request, after enough attempts at cache servers, or if no cache server is left.
      *
-     * @return null if there is none, or if the request is out of time or attempts
+     * @return null if there is none, or if the request has no time or attempts left
      */
     ServerState selectNext(double nowMs, PendingRequest pending, PolicyActions actions) {
         boolean worthless = pending.serviceClass().isWorthlessWhenLate() && nowMs > pending.objectiveAtMs();
@@ -50,15 +51,15 @@
     }
 
     /**
-     * Selects a cache server and may start half-open probes. Servers that had the request before are left out, except
-     * the one that missed. If none accepts the request, the best one that has warmed up is taken although it is
-     * ejected.
+     * Selects a cache server and may start half-open probes. Servers that the request was already sent to are skipped,
+     * except the one that missed. If none accepts the request, the best ranked one that has warmed up is selected even
+     * though it is ejected.
      *
      * @return null if there is no such server
      */
     private ServerState selectCacheServer(double nowMs, PendingRequest pending, PolicyActions actions) {
         int count = rank(pending);
-        int spread = Math.min(pending.hotKeySpread(), count); // the list may have shrunk since the request came
+        int spread = Math.min(pending.hotKeySpread(), count); // the list may have shrunk since the request arrived
         int offset = spread > 1 ? environment.random().nextInt(spread) : 0;
         ServerState fallback = null;
         boolean skippedRestoredFailures = false;
@@ -71,7 +72,7 @@
             if (fallback == null && !warmingUp) {
                 fallback = server;
             }
-            // A server that warms up must not receive more because of failures that are only restored.
+            // A server that is warming up must not receive more requests because of failures that were only restored.
             if (!(skippedRestoredFailures && warmingUp) && accepts(nowMs, pending, server, actions)) {
                 return server;
             }
--- a/src/main/java/cacheproxy/policy/ServerState.java
+++ b/src/main/java/cacheproxy/policy/ServerState.java
@@ -11,7 +11,7 @@
     private Endpoint endpoint;
     private double weightFraction;
 
-    /** When a start later than that of an earlier list was seen; negative infinity: the first list had it. */
+    /** When the server's present start was first listed; negative infinity if the first list already had it. */
     private double restartSeenMs = Double.NEGATIVE_INFINITY;
 
     private int failures;
@@ -30,7 +30,7 @@
         return id;
     }
 
-    /** Returns the newest listing. */
+    /** Returns the server's entry in the latest list that contained it. */
     Endpoint endpoint() {
         return endpoint;
     }
@@ -40,7 +40,10 @@
         return endpoint.state() == EndpointState.READY;
     }
 
-    /** Takes over a listing; nothing that a server did before a restart counts after it. */
+    /**
+     * Stores the server's entry in a new list. A restart resets its health, as nothing before a restart counts after
+     * it.
+     */
     void update(double nowMs, Endpoint listed, boolean firstList) {
         boolean isNew = endpoint == null;
         boolean restarted = !isNew && endpoint.startedMs() != listed.startedMs();
@@ -57,12 +60,12 @@
         endpoint = listed;
     }
 
-    /** Returns when a start later than that of an earlier list was seen; negative infinity: never. */
+    /** Returns when the server's present start was first listed; negative infinity if the first list already had it. */
     double restartSeenMs() {
         return restartSeenMs;
     }
 
-    /** Returns the server's part of the weights of all cache servers that are ready, 0 to 1. */
+    /** Returns the server's fraction of the total weight of all ready cache servers, 0 to 1. */
     double weightFraction() {
         return weightFraction;
     }
@@ -71,12 +74,12 @@
         weightFraction = fraction;
     }
 
-    /** Returns the consecutive failures; 0: the server is healthy. */
+    /** Returns the number of consecutive failures; 0 if the server is healthy. */
     int failures() {
         return failures;
     }
 
-    /** Returns the consecutive attempts that exceeded their hedging delay or were reset. */
+    /** Returns the number of consecutive attempts that exceeded their hedging delay or were reset. */
     int overdueAttempts() {
         return overdueAttempts;
     }
@@ -86,12 +89,14 @@
         return ++overdueAttempts;
     }
 
-    /** Returns until when the server is ejected. */
+    /** Returns the time until which the server is ejected. */
     double ejectedUntilMs() {
         return ejectedUntilMs;
     }
 
-    /** Whether requests may be sent as to a healthy server: it has no failures, or has passed a probe since. */
+    /**
+     * Returns whether the server receives requests like a healthy one: it has no failures, or has passed a probe since.
+     */
     boolean isTrusted() {
         return failures == 0 || (probeSucceeded && !probing);
     }
@@ -101,17 +106,17 @@
         return probing;
     }
 
-    /** A half-open probe is sent. */
+    /** Records that a half-open probe is sent. */
     void startProbe() {
         probing = true;
     }
 
-    /** The half-open probe, if there is one, has ended or was not sent. */
+    /** Records that the half-open probe, if there is one, has ended or was not sent. */
     void endProbe() {
         probing = false;
     }
 
-    /** The half-open probe has succeeded. */
+    /** Records that the half-open probe has succeeded. */
     void passProbe() {
         probing = false;
         probeSucceeded = true;
@@ -125,23 +130,26 @@
         failures++;
     }
 
-    /** Forgets failures and overdue attempts. */
+    /** Resets the counts of failures and overdue attempts. */
     void clearFailures() {
         failures = 0;
         overdueAttempts = 0;
     }
 
-    /** Whether the failures are an earlier process's: this one has had no result of the server yet. */
+    /**
+     * Returns whether the failures were restored from an earlier process and this one has had no result from the server
+     * yet.
+     */
     boolean hasRestoredFailures() {
         return failuresRestored;
     }
 
-    /** Notes that this process has had a result of the server. */
+    /** Records that this process has had a result from the server. */
     void markObserved() {
         failuresRestored = false;
     }
 
-    /** Takes over what an earlier process has learned of the server. */
+    /** Restores what an earlier process has learned about the server. */
     void restore(LearnedServer learned, double untilMs) {
         failures = learned.failures();
         overdueAttempts = learned.overdueAttempts();
--- a/src/main/java/cacheproxy/policy/SlowStart.java
+++ b/src/main/java/cacheproxy/policy/SlowStart.java
@@ -4,21 +4,24 @@
 import java.util.List;
 
 /**
- * Limits what a server receives while it warms up after its start: its empty cache has only a fraction of its capacity,
- * which grows linearly to the whole over {@link PolicySettings#warmUpMs}. Retries and requests for spread keys are kept
- * away from it.
+ * Limits the requests to a server that is warming up after its start. With an empty cache it has only a fraction of its
+ * capacity, which grows linearly to the full capacity over {@link PolicySettings#warmUpMs}. It receives no retries and
+ * no requests for hot keys that are spread.
  */
 final class SlowStart {
     /**
-     * Under overload a server that warms up takes less, by this factor at most: kept empty, it would leave the overload
-     * to the others.
+     * Under overload a server that is warming up accepts less, by at most this factor. If it were kept empty, the other
+     * servers would have to carry the overload alone.
      */
     private static final double MAX_OVERLOAD_FACTOR = 1.5;
 
-    /** Of a key's fair share: what a server that warms up may receive of a key's first recent request. */
+    /**
+     * How many times its fair share of a key's requests a server that is warming up may receive, for the key's first
+     * recent request.
+     */
     private static final double FIRST_REQUEST_FAIR_SHARES = 3;
 
-    /** The same for each later request. */
+    /** The same multiple of the fair share, for each later request. */
     private static final double LATER_REQUEST_FAIR_SHARES = 0.5;
 
     private final PolicyEnvironment environment;
@@ -43,8 +46,8 @@
     }
 
     /**
-     * Whether a server may receive a request's next attempt, which counts as sent if so. Always true for a server that
-     * has warmed up.
+     * Returns whether a server may receive a request's next attempt, which then counts as sent. Always true for a
+     * server that has warmed up.
      */
     boolean admits(double nowMs, PendingRequest pending, ServerState server) {
         if (!isWarmingUp(nowMs, server)) {
@@ -53,8 +56,8 @@
         if (pending.attempts() > 0 || pending.hotKeySpread() > 1) {
             return false;
         }
-        // Chosen at random rather than by key: of keys that all proxies choose alike, a new hot one would come from
-        // all.
+        // Requests are admitted at random rather than by key: if all proxies admitted the same keys, a new hot key
+        // among them would arrive from all proxies.
         return environment.random().nextDouble() < acceptedFraction(nowMs, server) * fairFraction(pending, server)
                 && environment.admission().admitWarmingUp(nowMs, server.endpoint(), startedMs(server));
     }
@@ -68,8 +71,8 @@
     }
 
     /**
-     * The fraction of a key's requests that leaves the server with its fair share of them. A proxy that has just
-     * started cannot tell hot keys from others and accepts little until it has seen some requests.
+     * Returns the fraction of a key's requests to admit so that the server receives its fair share of them. A proxy
+     * that has just started cannot distinguish hot keys from others and admits little until it has seen some requests.
      */
     private double fairFraction(PendingRequest pending, ServerState server) {
         double fairRequests = estimates.hotKeys().ownCount()
--- a/src/main/java/cacheproxy/policy/TenantShares.java
+++ b/src/main/java/cacheproxy/policy/TenantShares.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * Divides what must be rejected among tenants. Recent requests of each tenant are counted with decay; rejections fall
- * on those that exceed their quotas most (max-min fairness), as requests over a quota are worth little. Client retries
+ * Divides rejections among tenants. Recent requests of each tenant are counted with decay; rejections go to the tenants
+ * that exceed their quotas most (max-min fairness), because requests over a quota have little value. Client retries
  * raise the counts of all tenants alike.
  */
 final class TenantShares {
     /** Bisection steps: the multiple of the quotas is found to one part in 16 million. */
     private static final int BISECTION_STEPS = 24;
 
-    /** Stands for a quota of 0, which nothing can be divided by. */
+    /** Replaces a quota of 0, to avoid a division by zero. */
     private static final double MIN_QUOTA_PER_SECOND = 1e-9;
 
     private final List<Tenant> tenants;
