--- a/src/main/java/cacheproxy/invariant/Invariant.java
+++ b/src/main/java/cacheproxy/invariant/Invariant.java
@@ -28,7 +28,7 @@
 
     private final String label = name().toLowerCase(Locale.ROOT);
 
-    /** The name in logs and in the status; operators' scripts read it. */
+    /** Returns the name in logs and in the status; operators' scripts read it. */
     public String label() {
         return label;
     }
--- a/src/main/java/cacheproxy/invariant/InvariantMonitor.java
+++ b/src/main/java/cacheproxy/invariant/InvariantMonitor.java
@@ -37,22 +37,24 @@
         listener.violated(invariant, requestId, reason);
     }
 
-    /** Number of actions stopped because of this invariant. */
+    /** Returns the number of actions stopped because of this invariant. */
     public long stoppedCount(Invariant invariant) {
         return stoppedCounts.getOrDefault(invariant, 0L);
     }
 
-    /** Number of violations of this invariant. */
+    /** Returns the number of violations of this invariant. */
     public long violationCount(Invariant invariant) {
         return violationCounts.getOrDefault(invariant, 0L);
     }
 
-    /** Number of violations of all invariants. */
+    /** Returns the number of violations of all invariants. */
     public long violationCount() {
         return sum(violationCounts);
     }
 
-    /** One line, {@code violations=N stopped=N}, followed by the counters of each invariant that are not zero. */
+    /**
+     * Returns one line, {@code violations=N stopped=N}, followed by the counters of each invariant that are not zero.
+     */
     public String summary() {
         StringJoiner line = new StringJoiner(" ");
         line.add("violations=" + sum(violationCounts));
--- a/src/main/java/cacheproxy/invariant/SendFacts.java
+++ b/src/main/java/cacheproxy/invariant/SendFacts.java
@@ -1,14 +1,17 @@
 package cacheproxy.invariant;
 
-/** What {@link SendGuard} needs to know of an attempt. Times are milliseconds of one monotonic clock. */
+/** What {@link SendGuard} needs to know about an attempt. Times are milliseconds of one monotonic clock. */
 public interface SendFacts {
     /** The deadline of the request for this attempt. */
     double deadlineMs();
 
-    /** Whether the client has disconnected or has had its response. */
+    /** Whether the client has disconnected or has received its response. */
     boolean abandoned();
 
-    /** The last moment at which it may begin if an earlier attempt may have been processed; infinite if any time is. */
+    /**
+     * The latest time at which the attempt may begin, if an earlier attempt may have been processed; infinite if there
+     * is no limit.
+     */
     double retryUntilMs();
 
     /** Whether the request must take effect at most once and servers drop no duplicates of it. */
--- a/src/main/java/cacheproxy/invariant/SendGuard.java
+++ b/src/main/java/cacheproxy/invariant/SendGuard.java
@@ -1,8 +1,8 @@
 package cacheproxy.invariant;
 
 /**
- * Checks an attempt right before its first byte is sent. What was true when the attempt was planned may have changed
- * since: it may have waited for a connection, behind other requests, or during a pause of the process.
+ * Checks an attempt right before its first byte is sent. Conditions that held when the attempt was planned may have
+ * changed since: it may have waited for a connection, behind other requests, or during a pause of the process.
  */
 public final class SendGuard {
     /** Margin for a pause of the process between reading its clock and writing. */
@@ -13,23 +13,27 @@
     /**
      * Creates a guard.
      *
-     * @param drainGraceMs how long a server may be sent to after it became known to be draining or gone
+     * @param drainGraceMs how long attempts may be sent to a server after it became known to be draining or gone
      */
     public SendGuard(double drainGraceMs) {
         this.drainGraceMs = drainGraceMs;
     }
 
     /**
-     * Until when a retry may begin so that it is sent within its window even if the process pauses in between.
+     * Returns the latest time at which a retry may begin so that it is sent within its window even if the process
+     * pauses in between.
      *
      * @param sentMs the earliest time at which the first attempt that may have been processed was sent
-     * @param windowMs for how long from then on servers drop duplicates
+     * @param windowMs how long servers drop duplicates after that time
      */
     public static double retryUntilMs(double sentMs, double windowMs) {
         return sentMs + windowMs - pauseMarginMs(windowMs);
     }
 
-    /** The invariant that the attempt would violate if it were sent now; null if none. Allocates nothing. */
+    /**
+     * Returns the invariant that the attempt would violate if it were sent now; null if there is none. Allocates
+     * nothing.
+     */
     public Invariant violatedBy(SendFacts send, double nowMs) {
         if (send.abandoned()) {
             return Invariant.CLIENT_PRESENT;
@@ -52,7 +56,10 @@
         return null;
     }
 
-    /** What a period is shortened by, so that a pause of the process does not exceed it; half of a short period. */
+    /**
+     * Returns by how much a period is shortened so that a send after a pause of the process still falls within it; half
+     * of a short period.
+     */
     private static double pauseMarginMs(double periodMs) {
         return Math.min(MAX_PAUSE_MS, periodMs / 2);
     }
--- a/src/main/java/cacheproxy/lifecycle/Lifecycle.java
+++ b/src/main/java/cacheproxy/lifecycle/Lifecycle.java
@@ -1,13 +1,12 @@
 package cacheproxy.lifecycle;
 
 /**
- * The state of a serving process, and what follows from it: whether it reports that it accepts clients, whether it
- * accepts new connections, and which open connections it closes between requests. Times are milliseconds of one
- * monotonic clock.
+ * The state of a serving process, which determines whether it reports that it accepts clients, whether it accepts new
+ * connections, and which open connections it closes between requests. Times are milliseconds of one monotonic clock.
  *
- * <p>Connections are closed over a period, as the clients of connections closed together would all reconnect to the
- * other proxies at once. Each connection has a position from 0 to 1 ({@link #closingPosition}), and is closed between
- * requests once {@link #closingFraction} has passed it.
+ * <p>Connections are closed over a period, because if all were closed together, their clients would reconnect to the
+ * other proxies at the same moment. Each connection has a position from 0 to 1 ({@link #closingPosition}), and is
+ * closed between requests once {@link #closingFraction} has passed it.
  */
 public final class Lifecycle {
     /** Fractional part of the golden ratio: its multiples modulo 1 are evenly distributed. */
@@ -16,7 +15,7 @@
     private final LifecycleTiming timing;
     private LifecycleState state = LifecycleState.ACTIVE;
     private boolean hasSuccessor;
-    /** When {@link #state} was entered, if it is not active. */
+    /** When {@link #state} was entered; unused while the process is active. */
     private double stateSinceMs;
 
     /** Creates the lifecycle of a process that is active. */
@@ -24,7 +23,7 @@
         this.timing = timing;
     }
 
-    /** The present state. */
+    /** Returns the present state. */
     public LifecycleState state() {
         return state;
     }
@@ -49,7 +48,7 @@
     /**
      * Begins the shutdown; later calls have no effect.
      *
-     * @param successor whether another process accepts connections at the same address already
+     * @param successor whether another process already accepts connections at the same address
      */
     public void beginShutdown(double nowMs, boolean successor) {
         if (state != LifecycleState.SHUTTING_DOWN) {
@@ -60,14 +59,18 @@
     }
 
     /**
-     * Whether health checks are told that the process accepts clients. A process that shuts down says yes to the end: a
-     * no would also count against a successor at its address, and without one the address falls silent soon.
+     * Returns whether health checks report that the process accepts clients. A process that is shutting down reports
+     * this until it exits: reporting otherwise would also count against a successor at its address, and without a
+     * successor the address soon stops answering anyway.
      */
     public boolean acceptsClients() {
         return state != LifecycleState.STANDBY;
     }
 
-    /** Whether new connections are accepted; in standby they are, as the load balancer may have sent them already. */
+    /**
+     * Returns whether new connections are accepted; in standby they are, because the load balancer may already have
+     * sent them.
+     */
     public boolean acceptsConnections(double nowMs) {
         if (state != LifecycleState.SHUTTING_DOWN) {
             return true;
@@ -75,7 +78,10 @@
         return !hasSuccessor && nowMs < stateSinceMs + timing.extraListenMs();
     }
 
-    /** The fraction of connections, by their positions, to close between requests; from 0 to 1, where 1 means all. */
+    /**
+     * Returns the fraction of connections, by their positions, to close between requests; from 0 to 1, where 1 means
+     * all.
+     */
     public double closingFraction(double nowMs) {
         return switch (state) {
             case ACTIVE -> 0;
@@ -99,9 +105,9 @@
     }
 
     /**
-     * The position of a connection, by the number of connections accepted before it, from 0 to below 1. The positions
-     * of consecutive numbers are spread evenly (Fibonacci hashing; Knuth, The Art of Computer Programming, volume 3,
-     * section 6.4).
+     * Returns the position of a connection, from 0 to below 1, by the number of connections accepted before it. The
+     * positions of consecutive numbers are spread evenly (Fibonacci hashing; Knuth, The Art of Computer Programming,
+     * volume 3, section 6.4).
      */
     public static double closingPosition(long connectionNumber) {
         double multiple = connectionNumber * GOLDEN_RATIO_FRACTION;
--- a/src/main/java/cacheproxy/lifecycle/LifecycleState.java
+++ b/src/main/java/cacheproxy/lifecycle/LifecycleState.java
@@ -4,7 +4,7 @@
 public enum LifecycleState {
     /** Accepts clients. */
     ACTIVE("active"),
-    /** Tells clients to go elsewhere and drains their connections; may become active again. */
+    /** Reports that it accepts no clients and drains their connections; may become active again. */
     STANDBY("standby"),
     /** Drains its connections and then exits. */
     SHUTTING_DOWN("leaving");
@@ -15,7 +15,7 @@
         this.statusText = statusText;
     }
 
-    /** The text that the control address reports; operators' scripts read it. */
+    /** Returns the text that the control address reports; operators' scripts read it. */
     public String statusText() {
         return statusText;
     }
--- a/src/main/java/cacheproxy/lifecycle/LifecycleTiming.java
+++ b/src/main/java/cacheproxy/lifecycle/LifecycleTiming.java
@@ -3,12 +3,14 @@
 /**
  * Timing of a {@link Lifecycle}, in milliseconds; no value is negative.
  *
- * @param standbyDelayMs from entering standby to closing the first connection. A load balancer that has not noticed yet
- *     would open its replacement at this process again
- * @param standbyDrainMs over which the connections are closed after that delay
- * @param extraListenMs from the begin of the shutdown to the end of listening if no successor listens at the address
- * @param shutdownDrainMs over which the connections are closed during a shutdown with a successor. The last request
- *     still gets its whole deadline, so this must be well below the time that the process has left
+ * @param standbyDelayMs time from entering standby to closing the first connection. Before that, a load balancer that
+ *     has not noticed the standby yet would replace the connection with another one to this process
+ * @param standbyDrainMs time over which the connections are closed after that delay
+ * @param extraListenMs time from the start of the shutdown to the end of listening, if no successor listens at the
+ *     address
+ * @param shutdownDrainMs time over which the connections are closed during a shutdown with a successor. The last
+ *     request still gets its whole deadline, so this must be well below the time that the process has until it must
+ *     exit
  */
 public record LifecycleTiming(
         double standbyDelayMs, double standbyDrainMs, double extraListenMs, double shutdownDrainMs) {
--- a/src/main/java/cacheproxy/limits/ConnectionEviction.java
+++ b/src/main/java/cacheproxy/limits/ConnectionEviction.java
@@ -9,10 +9,10 @@
  * the client has stopped writing.
  */
 public final class ConnectionEviction {
-    /** Time that a new client has to begin its first request, in milliseconds. */
+    /** Time within which a new client must begin its first request, in milliseconds. */
     public static final double FIRST_REQUEST_GRACE_MS = 150;
 
-    /** A client that has sent nothing of a begun request for so long, in milliseconds, has stopped writing. */
+    /** A client that has sent no more of an incomplete request for this long, in milliseconds, has stopped writing. */
     public static final double STALLED_WRITE_MS = 600;
 
     /** Added to the rank of an idle connection that has served a request; exceeds any quiet time in milliseconds. */
@@ -30,7 +30,7 @@
      *
      * @param idle whether no request is open on the connection and none has been begun
      * @param hasServedRequest whether a whole request has ever been received on it
-     * @param responsePending whether a response is due or not yet fully written
+     * @param responsePending whether a response is pending or not yet fully written
      * @param quietMs milliseconds since bytes were last received or sent; negative values count as 0
      * @return the rank; negative if the connection must not be closed
      */
--- a/src/main/java/cacheproxy/limits/ConnectionShortage.java
+++ b/src/main/java/cacheproxy/limits/ConnectionShortage.java
@@ -1,22 +1,22 @@
 package cacheproxy.limits;
 
 /**
- * Whether servers have recently refused connections of this proxy, over all servers.
+ * Records whether any server has recently refused a connection of this proxy.
  *
- * <p>Where many proxies connect to servers with few connections, the second connection of one proxy takes the only one
- * of another. The proxy with two cannot see this at that server, but is itself refused at others. So a refusal at any
- * server limits this proxy to one connection a server for a while.
+ * <p>Where many proxies connect to servers that accept few connections, the second connection of one proxy takes the
+ * only one of another. The proxy with two connections cannot see this at that server, but other servers refuse its
+ * connections. So a refusal by any server limits this proxy to one connection per server for a while.
  */
 public final class ConnectionShortage {
     /**
      * How long a refusal counts, in milliseconds: several times the longest wait of {@link ServerCapacity}, so that the
-     * next attempt falls within.
+     * next attempt to connect falls within this time.
      */
     static final double DURATION_MS = 30_000;
 
     private double untilMs = Double.NEGATIVE_INFINITY;
 
-    /** Whether a server may have one connection of this proxy at most. */
+    /** Returns whether this proxy may have at most one connection to each server. */
     public boolean isActive(double nowMs) {
         return nowMs < untilMs;
     }
--- a/src/main/java/cacheproxy/limits/PoolLimiter.java
+++ b/src/main/java/cacheproxy/limits/PoolLimiter.java
@@ -1,11 +1,11 @@
 package cacheproxy.limits;
 
-/** Limits the requests that a pool accepts: by how many are pending and by their rate. */
+/** Limits the requests that a pool accepts, by the number of pending requests and by their rate. */
 public final class PoolLimiter {
     /** Time after which a client should retry when the pool has its maximum of pending requests, in milliseconds. */
     public static final double FULL_POOL_RETRY_AFTER_MS = 20;
 
-    /** Least time after which a client should retry when the rate is exceeded, in milliseconds. */
+    /** Shortest time after which a client should retry when the rate is exceeded, in milliseconds. */
     private static final double MIN_RETRY_AFTER_MS = 1;
 
     /** The burst is what the rate admits in one second divided by this. */
@@ -13,14 +13,14 @@
 
     private final int maxPendingRequests;
 
-    /** Null: no rate limit. */
+    /** Null if there is no rate limit. */
     private final TokenBucket rate;
 
     /**
      * Creates a limiter whose rate limit, if any, starts with a full burst.
      *
-     * @param maxPendingRequests pending requests, 1 or more
-     * @param requestsPerSecond accepted requests a second; 0 or less: no rate limit
+     * @param maxPendingRequests maximum number of pending requests, 1 or more
+     * @param requestsPerSecond accepted requests a second; 0 or less for no rate limit
      */
     public PoolLimiter(int maxPendingRequests, double requestsPerSecond) {
         this.maxPendingRequests = maxPendingRequests;
@@ -32,7 +32,7 @@
     /**
      * Admits one more request, which then counts against the rate, or rejects it.
      *
-     * @param pendingRequests the pool's pending requests, without this one
+     * @param pendingRequests the number of the pool's pending requests, without this one
      * @return 0 if the request is admitted, otherwise the milliseconds after which the client should retry
      */
     public double admit(double nowMs, int pendingRequests) {
--- a/src/main/java/cacheproxy/limits/RetryBudget.java
+++ b/src/main/java/cacheproxy/limits/RetryBudget.java
@@ -5,7 +5,7 @@
  * its normal load.
  *
  * <p>A fixed rate of retries is allowed in addition, so that a pool with few requests can retry at all. Saved tokens
- * are bounded: a long time without retries does not pay for a burst of them.
+ * are bounded, so that a long time without retries does not allow a large burst of them.
  */
 public final class RetryBudget {
     /** Upper bound of the retry ratio. */
@@ -26,8 +26,8 @@
      * Creates a full budget.
      *
      * @param retryRatio retries for each first attempt, 0 to 10
-     * @param minRetriesPerSecond retries a second that are allowed whatever the ratio, 0 or more
-     * @throws IllegalArgumentException if a figure is out of its range
+     * @param minRetriesPerSecond retries a second that are allowed regardless of the ratio, 0 or more
+     * @throws IllegalArgumentException if a value is out of its range
      */
     public RetryBudget(double retryRatio, double minRetriesPerSecond) {
         if (!(retryRatio >= 0 && retryRatio <= MAX_RETRY_RATIO) || !(minRetriesPerSecond >= 0)) {
@@ -46,7 +46,7 @@
         tokens = Math.min(maxTokens, tokens + retryRatio);
     }
 
-    /** Spends one retry if the budget has one. */
+    /** Takes one retry from the budget, if it has one. */
     public boolean tryAcquire(double nowMs) {
         refill(nowMs);
         if (tokens < 1) {
--- a/src/main/java/cacheproxy/limits/ServerCapacity.java
+++ b/src/main/java/cacheproxy/limits/ServerCapacity.java
@@ -1,11 +1,11 @@
 package cacheproxy.limits;
 
 /**
- * Whether one cache server may have capacity for another connection of this proxy.
+ * Tracks whether one cache server may have capacity for another connection of this proxy.
  *
  * <p>A server accepts a bounded number of connections from all proxies together, does not announce the bound and closes
- * any connection above it. An attempt costs a request's time and is unlikely to succeed while the other connections
- * stay open, so attempts after a refusal back off exponentially.
+ * any connection above it. An attempt to connect delays a request and is unlikely to succeed while the other
+ * connections stay open, so attempts after a refusal back off exponentially.
  */
 public final class ServerCapacity {
     /** Wait after a first refusal, in milliseconds. */
@@ -43,7 +43,7 @@
     }
 
     /**
-     * Whether another connection to the server may be attempted.
+     * Returns whether another connection to the server may be attempted.
      *
      * @param openConnections open connections to the server, without those that are occupied by long responses
      */
--- a/src/main/java/cacheproxy/limits/ServerStartTimes.java
+++ b/src/main/java/cacheproxy/limits/ServerStartTimes.java
@@ -6,23 +6,25 @@
 import java.util.Set;
 
 /**
- * Estimates when servers last started where no endpoint list tells it.
+ * Estimates when servers last started, if no endpoint list reports it.
  *
  * <p>A server that is new in the configuration counts as just started. A server that refused a connection had no
- * running process, so it counts as restarted when it accepts one again. Times are Unix time in milliseconds. There are
- * as many entries as servers are known.
+ * running process, so it counts as restarted when it accepts one again. Times are Unix time in milliseconds. The number
+ * of entries is bounded by the number of known servers.
  */
 public final class ServerStartTimes {
     /** Start time of a server that has not been used yet; it begins to warm up with its first connection. */
     public static final double NOT_YET_USED_MS = 1e300;
 
-    /** Start time of a server that has been running for a long time, or of which nothing is known. */
+    /** Start time of a server that has been running for a long time, or about which nothing is known. */
     private static final double LONG_AGO_MS = 0;
 
     private final Map<Integer, Double> startMsByServer = new HashMap<>();
     private final Set<Integer> down = new HashSet<>();
 
-    /** Returns a server's start time: 0 for long ago, {@link #NOT_YET_USED_MS} for a server that is yet to be used. */
+    /**
+     * Returns a server's start time: 0 for long ago, {@link #NOT_YET_USED_MS} for a server that has not been used yet.
+     */
     public double startMs(int server) {
         return startMsByServer.getOrDefault(server, LONG_AGO_MS);
     }
@@ -37,16 +39,17 @@
         startMsByServer.putIfAbsent(server, NOT_YET_USED_MS);
     }
 
-    /** Forgets all servers but these. */
+    /** Removes all servers except these. */
     public void retainAll(Set<Integer> servers) {
         startMsByServer.keySet().retainAll(servers);
         down.retainAll(servers);
     }
 
     /**
-     * Restores what an earlier process knew of a server. It can make the server warm up for longer, never shorter.
+     * Restores what an earlier process knew about a server. This can make the server warm up for longer, never for a
+     * shorter time.
      *
-     * @param startMs the known start time; 0: none
+     * @param startMs the known start time; 0 if there is none
      * @param wasDown whether the server refused connections when it was last tried
      */
     public void restore(int server, double startMs, boolean wasDown, double nowMs) {
@@ -65,7 +68,7 @@
         return known;
     }
 
-    /** Whether the server refused the last connection that was attempted. */
+    /** Returns whether the server refused the last connection that was attempted. */
     public boolean isDown(int server) {
         return down.contains(server);
     }
--- a/src/main/java/cacheproxy/limits/SlowStartBudget.java
+++ b/src/main/java/cacheproxy/limits/SlowStartBudget.java
@@ -7,10 +7,10 @@
 /**
  * Limits what all pools of a process together send to servers that are warming up.
  *
- * <p>A warming-up server has a part of its capacity and fails when it is sent a multiple of that for some time. The
- * routing policy holds each pool to the server's usual share of keys, but does not see other pools. So each request to
- * a warming-up server takes a token from the server's bucket, which fills at the server's present capacity divided by
- * the number of proxies, as proxies do not coordinate here.
+ * <p>A server that is warming up has a fraction of its capacity and fails when it receives a multiple of that for some
+ * time. The routing policy limits each pool to the server's usual share of keys, but does not see other pools. So each
+ * request to such a server takes a token from the server's bucket, which fills at the server's present capacity divided
+ * by the number of proxies, because proxies do not coordinate these budgets.
  *
  * <p>Bound: within {@link SlowStartConfig#overloadWindowMs} at most the window's refill and a burst of
  * {@value #BURST_WINDOWS} windows are sent, which is 1.25 times the server's capacity.
@@ -19,7 +19,7 @@
     /** Capacity of a server's bucket, in overload windows of refill. */
     static final double BURST_WINDOWS = 0.25;
 
-    /** Servers with a bucket; beyond it the one that was least recently sent to is forgotten. */
+    /** Maximum number of servers with a bucket; beyond it the least recently used bucket is removed. */
     static final int MAX_SERVERS = 20_000;
 
     private static final double MS_PER_SECOND = 1000;
@@ -64,7 +64,8 @@
     /**
      * Sets the capacity of a server when warm.
      *
-     * @param perSecond requests a second; 0 or less: unknown, {@link SlowStartConfig#defaultRatePerSecond} holds
+     * @param perSecond requests a second; 0 or less if unknown, so that {@link SlowStartConfig#defaultRatePerSecond}
+     *     applies
      */
     public void setServerRate(int server, double perSecond) {
         if (perSecond > 0) {
@@ -84,7 +85,7 @@
     /**
      * Takes one token of a server, if there is one.
      *
-     * @param listedStartMs the start time as the endpoint list tells it; another value is another start
+     * @param listedStartMs the start time in the endpoint list; a different value means a restart
      * @param startedMs the start time on the caller's clock
      * @return whether one more request may be sent to the server
      */
@@ -107,7 +108,7 @@
         return true;
     }
 
-    /** Returns the requests a millisecond that this proxy may send to a server that started then. */
+    /** Returns how many requests a millisecond this proxy may send to a server that started at {@code startedMs}. */
     private double requestsPerMs(int server, double startedMs, double nowMs) {
         double ageMs = Math.max(0, nowMs - startedMs);
         double warmedUpFraction = config.warmUpMs() > 0 ? Math.min(1, ageMs / config.warmUpMs()) : 1;
--- a/src/main/java/cacheproxy/limits/SlowStartConfig.java
+++ b/src/main/java/cacheproxy/limits/SlowStartConfig.java
@@ -3,10 +3,10 @@
 /**
  * How servers warm up after a start, and how many proxies share them.
  *
- * @param startCapacity fraction of a warm server's capacity that a just started one has, above 0, up to 1
+ * @param startCapacity fraction of a warm server's capacity that a server has just after its start, above 0, up to 1
  * @param warmUpMs time from a server's start until it has its full capacity, in milliseconds, 0 or more
  * @param overloadWindowMs time for which a warming-up server must be overloaded to fail, in milliseconds, above 0
- * @param proxyCount proxies that send to the servers, 1 or more
+ * @param proxyCount number of proxies that send to the servers, 1 or more
  * @param defaultRatePerSecond requests a second that a warm server of unknown capacity can serve, above 0
  */
 public record SlowStartConfig(
@@ -14,7 +14,7 @@
     /**
      * Checks the ranges.
      *
-     * @throws IllegalArgumentException if a figure is out of its range
+     * @throws IllegalArgumentException if a value is out of its range
      */
     public SlowStartConfig {
         require(startCapacity > 0 && startCapacity <= 1, "startCapacity", startCapacity, "above 0, up to 1");
--- a/src/main/java/cacheproxy/limits/TokenBucket.java
+++ b/src/main/java/cacheproxy/limits/TokenBucket.java
@@ -1,6 +1,6 @@
 package cacheproxy.limits;
 
-/** A token bucket: admits a rate with bursts up to a bound. */
+/** A token bucket: limits the rate of requests and allows bursts up to a bound. */
 public final class TokenBucket {
     private static final double MS_PER_SECOND = 1000;
 
@@ -14,7 +14,7 @@
      *
      * @param tokensPerSecond the rate, above 0
      * @param maxTokens the largest burst, 1 or more
-     * @throws IllegalArgumentException if a figure is out of its range
+     * @throws IllegalArgumentException if a value is out of its range
      */
     public TokenBucket(double tokensPerSecond, double maxTokens) {
         if (!(tokensPerSecond > 0) || !(maxTokens >= 1)) {
--- a/src/main/java/cacheproxy/limits/package-info.java
+++ b/src/main/java/cacheproxy/limits/package-info.java
@@ -1,10 +1,11 @@
 /**
- * Limits on what the proxy takes from clients and sends to servers: token buckets, retry budgets, slow-start budgets,
+ * Limits on what the proxy accepts from clients and sends to servers: token buckets, retry budgets, slow-start budgets,
  * limits on a pool's pending requests and on connections.
  *
- * <p>The classes decide only. They do no I/O, read no clock and start no thread: each call carries the time in
- * milliseconds of the caller's monotonic clock, which must not go back within one object. Each object is owned by the
- * thread that runs its caller, the event loop for the proxy's own, and none is safe for use by several threads.
+ * <p>These classes only make decisions. They do no I/O, read no clock and start no thread: each call carries the time
+ * in milliseconds of the caller's monotonic clock, which must not go back within one object. Each object is owned by
+ * the thread that runs its caller, which is the event loop in the proxy itself, and none is safe for use by several
+ * threads.
  *
  * <ul>
  *   <li>{@link cacheproxy.limits.SlowStartBudget} and {@link cacheproxy.limits.ServerStartTimes} are shared by all
--- a/src/main/java/cacheproxy/placement/AdmissionControl.java
+++ b/src/main/java/cacheproxy/placement/AdmissionControl.java
@@ -3,16 +3,16 @@
 import cacheproxy.policy.Endpoint;
 
 /**
- * Limits that reach further than one pool's routing decisions. The routing policy asks before it sends: what all pools
- * of the process together may send to a server that is warming up, and what its pool may spend on retries. Times are
- * milliseconds on the policy's clock.
+ * Limits that apply beyond one pool's routing decisions. The routing policy checks them before it sends an attempt:
+ * what all pools of the process together may send to a server that is warming up, and how many retries its pool may
+ * send. Times are milliseconds on the policy's clock.
  */
 public interface AdmissionControl {
-    /** Admits everything, so that only the policy's own limits hold. */
+    /** Admits everything, so that only the policy's own limits apply. */
     AdmissionControl UNLIMITED = new AdmissionControl() {};
 
     /**
-     * Whether a server that is warming up may be sent one more request now; if so it counts as sent.
+     * Returns whether one more request may now be sent to a server that is warming up; if so, it counts as sent.
      *
      * @param startedMs when the server started, on the policy's clock
      */
@@ -20,7 +20,7 @@
         return true;
     }
 
-    /** Whether a client's request may now be the half-open probe of a server that was ejected. */
+    /** Returns whether a client's request may now be the half-open probe of a server that was ejected. */
     default boolean admitHalfOpenProbe(double nowMs, Endpoint server) {
         return true;
     }
@@ -28,7 +28,7 @@
     /** Records that a request's first attempt is sent. */
     default void recordFirstAttempt(double nowMs) {}
 
-    /** Whether one more attempt may be spent on a request that has had one; if so it counts as spent. */
+    /** Returns whether a request that has had an attempt may have another one; if so, that one counts as sent. */
     default boolean admitRetry(double nowMs) {
         return true;
     }
--- a/src/main/java/cacheproxy/placement/BackupPlacement.java
+++ b/src/main/java/cacheproxy/placement/BackupPlacement.java
@@ -6,11 +6,11 @@
 import java.util.function.IntPredicate;
 
 /**
- * Ranks backup servers behind all others. Backups are used when none of a key's first {@value #ORDINARY_CANDIDATES}
- * ordinary servers can be. Hot keys are not spread over them.
+ * Ranks backup servers after all primary servers. Backups are used when none of a key's first
+ * {@value #ORDINARY_CANDIDATES} primary servers can be used. Hot keys are not spread over backups.
  */
 public final class BackupPlacement implements Placement {
-    /** Ordinary servers that are ranked before the first backup; bounds the cost of a ranking. */
+    /** Number of primary servers that are ranked before the first backup; bounds the cost of a ranking. */
     static final int ORDINARY_CANDIDATES = 64;
 
     private static final int INITIAL_BACKUPS = 16;
@@ -18,7 +18,7 @@
     private final Placement primaries;
     private final Placement backups;
 
-    /** Indexes in the whole list, by index among the ordinary servers. */
+    /** Indexes in the whole list, by index among the primary servers. */
     private final int[] primaryIndexes;
 
     /** Indexes in the whole list, by index among the backups. */
@@ -47,9 +47,9 @@
     }
 
     /**
-     * Returns a factory that ranks ordinary servers and backups each by the given factory's placements.
+     * Returns a factory that ranks primary servers and backups each by the given factory's placements.
      *
-     * @param isBackup tells backups by the members' ids
+     * @param isBackup returns whether the member with an id is a backup
      */
     public static PlacementFactory withBackups(PlacementFactory factory, IntPredicate isBackup) {
         return members -> members.stream().noneMatch(member -> isBackup.test(member.id()))
--- a/src/main/java/cacheproxy/placement/CarpPlacement.java
+++ b/src/main/java/cacheproxy/placement/CarpPlacement.java
@@ -12,8 +12,8 @@
  *
  * <p>The cost is the scan over all members, so it is written for the compiler to vectorize. Member hashes lie in rows
  * of equal length. For each block of rows, loops combine the rows with the key's hash and keep the greatest hash of
- * each lane, that is, of each column. Only lanes whose greatest hash could reach the best scores, multiplied by the
- * greatest multiplier of the block, are scored exactly. The ranking is the same as that of scoring all members one by
+ * each lane, that is, of each column. Only lanes whose greatest hash, multiplied by the greatest multiplier of the
+ * block, could reach the best scores are scored exactly. The ranking is the same as that of scoring all members one by
  * one.
  */
 public final class CarpPlacement implements Placement {
@@ -25,17 +25,17 @@
 
     private static final int INITIAL_SCORES = 16;
 
-    /** Relative error of a division that {@link #minHalfHash} allows for; far above the real one. */
+    /** Relative error of a division that {@link #minHalfHash} allows for; far above the actual error. */
     private static final double DIVISION_ERROR = 1e-12;
 
     private static final long UNSIGNED_INT_MASK = 0xFFFFFFFFL;
 
     private final int lanes;
 
-    /** Members by falling multiplier, so that the multipliers within a block are nearly equal. */
+    /** Members in descending order of their multipliers, so that the multipliers within a block are nearly equal. */
     private final int[] memberIndexes;
 
-    /** By position in {@link #memberIndexes}. */
+    /** Load factor multipliers, by position in {@link #memberIndexes}. */
     private final double[] multipliers;
 
     private final int[][] hashRows;
@@ -93,7 +93,7 @@
         return hashRows.length <= 1 ? rankRow(keyHash, wanted, ranked) : rankBlocks(keyHash, wanted, ranked);
     }
 
-    /** Scores all members of a list that is too short for lanes to save anything. */
+    /** Scores all members of a list that is too short to benefit from lanes. */
     private int rankRow(int keyHash, int wanted, int[] ranked) {
         int count = 0;
         for (int i = 0; i < memberIndexes.length; i++) {
@@ -116,7 +116,7 @@
             for (int lane = 0; lane < lanes; lane++) {
                 if (greatestHalves[lane] >= minHalf) {
                     count = rankLane(from, to, lane, count, wanted, ranked);
-                    // Also a bound for later blocks, as multipliers fall.
+                    // The bound also holds for later blocks, because multipliers are in descending order.
                     minHalf = count < wanted ? 0 : minHalfHash(scores[wanted - 1], multipliers[from * lanes]);
                 }
             }
@@ -171,7 +171,10 @@
         return (int) ((long) Math.max(0, Math.min(UNSIGNED_INT_MASK, hash)) >>> 1);
     }
 
-    /** Whether a score ranks before the one at this rank; of equal scores the member that is first on the list does. */
+    /**
+     * Returns whether a score ranks before the one at this rank; of equal scores, that of the member that comes first
+     * in the list does.
+     */
     private boolean ranksBefore(double score, int member, int rank, int[] ranked) {
         return score > scores[rank] || (score == scores[rank] && member < ranked[rank]);
     }
--- a/src/main/java/cacheproxy/placement/KetamaRing.java
+++ b/src/main/java/cacheproxy/placement/KetamaRing.java
@@ -7,8 +7,8 @@
 
 /**
  * The ketama ring as nginx and Cache::Memcached::Fast build it: 160 points for each unit of weight, each the CRC-32 of
- * host, NUL, port and the point before. Points are in ascending unsigned order; of equal points the first target's
- * stays.
+ * host, NUL, port and the previous point. Points are in ascending unsigned order; of equal points, only the first
+ * target's is kept.
  */
 final class KetamaRing {
     private static final int POINTS_PER_WEIGHT = 160;
@@ -38,7 +38,7 @@
         targets = Arrays.copyOf(uniqueTargets, count);
     }
 
-    /** All points of all targets, sorted: the point in the upper bits, the target's index in the lower. */
+    /** Returns all points of all targets, sorted: the point in the upper bits, the target's index in the lower bits. */
     private static long[] sortKeys(List<PlacementTarget> targetList) {
         int weightSum = targetList.stream().mapToInt(PlacementTarget::weight).sum();
         long[] sortKeys = new long[weightSum * POINTS_PER_WEIGHT];
@@ -64,7 +64,9 @@
         return (int) crc.getValue();
     }
 
-    /** Host, NUL and port of an address; without a port, or for a Unix socket, all is the host. */
+    /**
+     * Returns host, NUL and port of an address; without a port, or for a Unix socket, the whole address is the host.
+     */
     private static byte[] hashBase(String address) {
         String host = address;
         String port = "";
@@ -80,7 +82,7 @@
         return (host + SEPARATOR + port).getBytes(StandardCharsets.UTF_8);
     }
 
-    /** Index of the colon before trailing digits; -1 if there is none. */
+    /** Returns the index of the colon before trailing digits; -1 if there is none. */
     private static int portSeparator(String address) {
         int digits = address.length();
         while (digits > 0 && address.charAt(digits - 1) >= '0' && address.charAt(digits - 1) <= '9') {
--- a/src/main/java/cacheproxy/placement/NginxConsistentPlacement.java
+++ b/src/main/java/cacheproxy/placement/NginxConsistentPlacement.java
@@ -21,7 +21,7 @@
 
     private final int readyTargets;
 
-    /** Targets ranked so far; reused between rankings. */
+    /** Whether each target has been ranked; reused between rankings. */
     private final boolean[] isRanked;
 
     private NginxConsistentPlacement(KetamaRing ring, List<PlacementTarget> targets, List<Endpoint> members) {
@@ -40,7 +40,7 @@
 
     @Override
     public int maxHotKeySpread() {
-        return 1; // nginx sends a key to one server, however hot it is
+        return 1; // nginx sends all requests for a key to one server, even if the key is hot
     }
 
     @Override
--- a/src/main/java/cacheproxy/placement/NginxHashPlacement.java
+++ b/src/main/java/cacheproxy/placement/NginxHashPlacement.java
@@ -7,10 +7,11 @@
 import java.util.zip.CRC32;
 
 /**
- * The ranking of nginx's {@code hash KEY} without {@code consistent}, which is that of Cache::Memcached: bits 16 to 30
- * of the key's CRC-32, modulo the sum of weights. Where that server is down or already ranked, the number of the rehash
- * is prepended to the key, hashed again and added. After {@value #MAX_REHASHES} hashes without a new server nginx falls
- * back to round robin; here the remaining servers follow in the configuration's order. Keys are {@link PlacementKey}s.
+ * The ranking of nginx's {@code hash KEY} without {@code consistent}, which is also that of Cache::Memcached: bits 16
+ * to 30 of the key's CRC-32, modulo the sum of weights. If that server is down or already ranked, the number of the
+ * rehash is prepended to the key, and the hash of the result is added to the previous hash. After
+ * {@value #MAX_REHASHES} hashes without a new server nginx falls back to round robin; here the remaining servers follow
+ * in the configuration's order. Keys are {@link PlacementKey}s.
  */
 public final class NginxHashPlacement implements Placement {
     /** Hashes without a new server after which nginx stops rehashing. */
@@ -18,13 +19,13 @@
 
     private static final int HASH_MASK = 0x7FFF;
 
-    /** Sums of the weights up to and with each target. */
+    /** Sums of the weights up to and including each target. */
     private final int[] cumulativeWeights;
 
     /** Indexes of members by target; {@link PlacementTarget#NOT_READY} where a target is not ready. */
     private final int[] memberIndexes;
 
-    /** Targets ranked so far; reused between rankings. */
+    /** Whether each target has been ranked; reused between rankings. */
     private final boolean[] isRanked;
 
     /** CRC-32 of each rehash's number in decimal; 0, the first hash, has no prefix. */
@@ -54,7 +55,7 @@
 
     @Override
     public int maxHotKeySpread() {
-        return 1; // nginx sends a key to one server, however hot it is
+        return 1; // nginx sends all requests for a key to one server, even if the key is hot
     }
 
     @Override
--- a/src/main/java/cacheproxy/placement/Placement.java
+++ b/src/main/java/cacheproxy/placement/Placement.java
@@ -13,11 +13,11 @@
      * @param wanted how many members are wanted, at least 1
      * @param ranked receives the members' indexes in the list that this placement was built from, best first; has room
      *     for at least {@link #maxRanked maxRanked(wanted)}
-     * @return how many were ranked: {@code wanted} if there are so many members, or up to {@code maxRanked(wanted)}
+     * @return how many were ranked: {@code wanted} if there are that many members, or up to {@code maxRanked(wanted)}
      */
     int rank(long key, int keyHash, int wanted, int[] ranked);
 
-    /** Returns the most indexes that {@link #rank} writes when so many are wanted. */
+    /** Returns the maximum number of indexes that {@link #rank} writes for {@code wanted}. */
     default int maxRanked(int wanted) {
         return wanted;
     }
--- a/src/main/java/cacheproxy/placement/PlacementKey.java
+++ b/src/main/java/cacheproxy/placement/PlacementKey.java
@@ -5,10 +5,10 @@
 /**
  * A 64-bit key from which nginx's placements derive all checksums that they need: the text's CRC-32 in the low 32 bits,
  * the text's length in the next 12, and 20 bits of another hash (FNV-1a), so that texts with the same CRC-32 and length
- * rarely have the same key. Checksum and length suffice for the checksum of the text with any prefix.
+ * rarely have the same key. Checksum and length are enough to compute the checksum of the text with any prefix.
  */
 public final class PlacementKey {
-    /** Longest text, in bytes. */
+    /** Maximum length of a text, in bytes. */
     public static final int MAX_LENGTH = 4095;
 
     private static final int LENGTH_SHIFT = 32;
@@ -21,7 +21,7 @@
 
     private static final int HIGHEST_BIT = 1 << 31;
 
-    /** x^8 is x^(2^3): a byte shifts the checksum by that. */
+    /** Index of x^8 = x^(2^3) in {@link #POWERS_OF_X}, by which one byte shifts the checksum. */
     private static final int BYTE_POWER = 3;
 
     /** x^(2^i) modulo {@link #CRC32_POLYNOMIAL}, reflected. */
--- a/src/main/java/cacheproxy/placement/PlacementTarget.java
+++ b/src/main/java/cacheproxy/placement/PlacementTarget.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 
 /**
- * A configured server as nginx's placements use it. Servers that are down keep their part of the key space, so that
+ * A configured server as nginx's placements use it. Servers that are down keep their fraction of the key space, so that
  * only their own keys move.
  *
- * @param id the id that the server has as a member
+ * @param id the server's id as a member
  * @param weight whole weight, 1 or more
- * @param address the address as nginx's configuration writes it, from which its points on the ring are hashed
+ * @param address the address as written in nginx's configuration, from which the server's points on the ring are hashed
  */
 public record PlacementTarget(int id, int weight, String address) {
     /** Index of a target that is not among the ready members. */
--- a/src/main/java/cacheproxy/placement/ServerId.java
+++ b/src/main/java/cacheproxy/placement/ServerId.java
@@ -3,7 +3,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.zip.CRC32;
 
-/** The id by which the routing policy knows a server. */
+/** The id by which the routing policy identifies a server. */
 public final class ServerId {
     private static final int MAX_DIGITS = 8;
     private static final int HEXADECIMAL = 16;
--- a/src/main/java/cacheproxy/placement/StartTimes.java
+++ b/src/main/java/cacheproxy/placement/StartTimes.java
@@ -4,23 +4,23 @@
 import java.util.Collection;
 
 /**
- * Converts the start times that endpoint lists tell to this proxy's clock.
+ * Converts the start times in endpoint lists to this proxy's clock.
  *
- * <p>Lists tell starts by another machine's wall clock, and this one's may be wrong by an hour, so the two are never
- * compared. Instead, as a listed server must have started before the list arrived, each listed start gives a lower
- * bound of how far the list's clock is ahead; the greatest bound is used. By that no server seems older than it is, and
- * the newest server of a first list seems to have just started.
+ * <p>Listed start times are on another machine's wall clock, and this machine's clock may be wrong by an hour, so the
+ * two clocks are never compared. Instead, because a listed server must have started before the list arrived, each
+ * listed start gives a lower bound of how far the list's clock is ahead; the greatest bound is used. With this estimate
+ * no server seems older than it is, and the newest server of the first list seems to have just started.
  *
  * <p>Times are milliseconds. The state is one number.
  */
 public final class StartTimes {
-    /** Longest time from a server's restart until a list that tells of it arrives, in milliseconds. */
+    /** Longest time from a server's restart until a list that reports it arrives, in milliseconds. */
     public static final double MAX_LIST_DELAY_MS = 3000;
 
-    /** Listed times from this on, in Unix milliseconds, mean a start that is yet to come. */
+    /** Listed times of this value or more, in Unix milliseconds, mean that the server has not started yet. */
     private static final double MAX_START_MS = 1e15;
 
-    /** Lower bound of the lists' clock minus this proxy's; negative infinity: no list has told of a start. */
+    /** Lower bound of the lists' clock minus this proxy's; negative infinity if no list has reported a start. */
     private double listClockAheadMs = Double.NEGATIVE_INFINITY;
 
     /**
@@ -39,15 +39,15 @@
     /**
      * Returns the latest time at which a server can have started, on this proxy's clock.
      *
-     * @param listedStartMs the start as the list tells it
-     * @param restartSeenMs when a list first told of this start after an earlier list had told of another one, on this
-     *     proxy's clock; negative infinity: the first list had it
+     * @param listedStartMs the start time in the list
+     * @param restartSeenMs when a list first reported this start after an earlier list had not, on this proxy's clock;
+     *     negative infinity if the first list reported it
      */
     public double startedMs(double listedStartMs, double restartSeenMs) {
         return Math.max(listedStartMs - listClockAheadMs, restartSeenMs - MAX_LIST_DELAY_MS);
     }
 
-    /** Whether a listed time is a start: not 0, which means long ago, nor one that is yet to come. */
+    /** Returns whether a listed time is a known start: not 0, which means long ago, nor a start that is yet to come. */
     private static boolean isStart(double listedStartMs) {
         return listedStartMs > 0 && listedStartMs < MAX_START_MS;
     }
