--- a/src/main/java/cacheproxy/lifecycle/LifecycleTiming.java
+++ b/src/main/java/cacheproxy/lifecycle/LifecycleTiming.java
@@ -23,7 +23,7 @@
     /** @throws IllegalArgumentException if a value is negative or not a number */
     public LifecycleTiming {
         if (!(standbyDelayMs >= 0 && standbyDrainMs >= 0 && extraListenMs >= 0 && shutdownDrainMs >= 0)) {
-            throw new IllegalArgumentException("a period is negative");
+            throw new IllegalArgumentException("lifecycle timing: each period must be 0 or more");
         }
     }
 }
--- a/src/main/java/cacheproxy/placement/PlacementRegistry.java
+++ b/src/main/java/cacheproxy/placement/PlacementRegistry.java
@@ -27,7 +27,7 @@
             case CARP -> CarpPlacement::new;
             case NGINX_HASH -> NginxHashPlacement.factory(targets);
             case NGINX_CONSISTENT -> NginxConsistentPlacement.factory(targets);
-            default -> throw new IllegalArgumentException("no placement " + name);
+            default -> throw new IllegalArgumentException("unknown placement: " + name);
         };
     }
 }
--- a/src/main/java/cacheproxy/policy/EndpointList.java
+++ b/src/main/java/cacheproxy/policy/EndpointList.java
@@ -65,8 +65,8 @@
                 throw new IllegalArgumentException("member " + id + " has weight " + endpoint.weight());
             }
             if (!isIndex(endpoint.zone(), settings.zoneCount()) || !isIndex(endpoint.kind(), settings.kindCount())) {
-                throw new IllegalArgumentException(
-                        "member " + id + ": zone " + endpoint.zone() + ", kind " + endpoint.kind());
+                throw new IllegalArgumentException("member " + id + " has a zone or kind out of range: zone "
+                        + endpoint.zone() + ", kind " + endpoint.kind());
             }
         }
     }
--- a/src/main/java/cacheproxy/policy/LatencyEstimates.java
+++ b/src/main/java/cacheproxy/policy/LatencyEstimates.java
@@ -42,7 +42,7 @@
         double shortestObjectiveMs = classes.stream()
                 .mapToDouble(ServiceClass::latencyObjectiveMs)
                 .min()
-                .orElseThrow(() -> new IllegalArgumentException("settings name no class"));
+                .orElseThrow(() -> new IllegalArgumentException("settings have no service class"));
         maxCostMs = classes.stream().mapToDouble(ServiceClass::deadlineMs).max().orElseThrow();
         originMs = shortestObjectiveMs / INITIAL_ORIGIN_DIVISOR;
         serverMs = shortestObjectiveMs / INITIAL_SERVER_DIVISOR;
--- a/src/main/java/cacheproxy/policy/RequestRouter.java
+++ b/src/main/java/cacheproxy/policy/RequestRouter.java
@@ -148,7 +148,7 @@
                     advance(nowMs, pending, actions);
                 }
             }
-            default -> throw new IllegalArgumentException(timer + " is no timer of a request");
+            default -> throw new IllegalArgumentException(timer + " is not a timer of a request");
         }
     }
 
--- a/src/main/java/cacheproxy/policy/RoutingPolicy.java
+++ b/src/main/java/cacheproxy/policy/RoutingPolicy.java
@@ -57,7 +57,7 @@
         listWatch = new EndpointListWatch(settings, environment.random());
         estimates = LoadEstimates.initial(settings);
         if (settings.maxAttempts() < 1) {
-            throw new IllegalArgumentException("max attempts " + settings.maxAttempts());
+            throw new IllegalArgumentException("maxAttempts must be at least 1, but is " + settings.maxAttempts());
         }
         ejection = new OutlierEjection(settings);
         slowStart = new SlowStart(environment, estimates);
@@ -84,7 +84,7 @@
     @Override
     public void onRequest(double nowMs, RoutingRequest request, PolicyActions actions) {
         if (!isIndex(request.serviceClass(), settings.classes().size())) {
-            throw new IllegalArgumentException("class " + request.serviceClass() + " is not in the settings");
+            throw new IllegalArgumentException("service class " + request.serviceClass() + " is not in the settings");
         }
         // If the settings have no tenants, all requests have tenant 0.
         if (request.tenant() != 0
