--- a/src/main/java/cacheproxy/lifecycle/Lifecycle.java
+++ b/src/main/java/cacheproxy/lifecycle/Lifecycle.java
@@ -48,12 +48,12 @@
     /**
      * Begins the shutdown; later calls have no effect.
      *
-     * @param successor whether another process already accepts connections at the same address
+     * @param successorListens whether another process already accepts connections at the same address
      */
-    public void beginShutdown(double nowMs, boolean successor) {
+    public void beginShutdown(double nowMs, boolean successorListens) {
         if (state != LifecycleState.SHUTTING_DOWN) {
             state = LifecycleState.SHUTTING_DOWN;
-            hasSuccessor = successor;
+            hasSuccessor = successorListens;
             stateSinceMs = nowMs;
         }
     }
--- a/src/main/java/cacheproxy/placement/BackupPlacement.java
+++ b/src/main/java/cacheproxy/placement/BackupPlacement.java
@@ -7,11 +7,11 @@
 
 /**
  * Ranks backup servers after all primary servers. Backups are used when none of a key's first
- * {@value #ORDINARY_CANDIDATES} primary servers can be used. Hot keys are not spread over backups.
+ * {@value #PRIMARY_CANDIDATES} primary servers can be used. Hot keys are not spread over backups.
  */
 public final class BackupPlacement implements Placement {
     /** Number of primary servers that are ranked before the first backup; bounds the cost of a ranking. */
-    static final int ORDINARY_CANDIDATES = 64;
+    static final int PRIMARY_CANDIDATES = 64;
 
     private static final int INITIAL_BACKUPS = 16;
 
@@ -64,12 +64,12 @@
 
     @Override
     public int maxRanked(int wanted) {
-        return Math.max(wanted, ORDINARY_CANDIDATES) + wanted;
+        return Math.max(wanted, PRIMARY_CANDIDATES) + wanted;
     }
 
     @Override
     public int rank(long key, int keyHash, int wanted, int[] ranked) {
-        int primaryCount = primaries.rank(key, keyHash, Math.max(wanted, ORDINARY_CANDIDATES), ranked);
+        int primaryCount = primaries.rank(key, keyHash, Math.max(wanted, PRIMARY_CANDIDATES), ranked);
         for (int i = 0; i < primaryCount; i++) {
             ranked[i] = primaryIndexes[ranked[i]];
         }
--- a/src/main/java/cacheproxy/policy/AdaptiveThrottle.java
+++ b/src/main/java/cacheproxy/policy/AdaptiveThrottle.java
@@ -11,7 +11,7 @@
  */
 final class AdaptiveThrottle {
     /** The backend is overloaded if more attempts than this are sent for each one that is answered in time. */
-    static final double HEADROOM = 1.2;
+    static final double OVERLOAD_THRESHOLD = 1.2;
 
     private double sent;
     private double answered;
@@ -38,7 +38,7 @@
     }
 
     private static double excess(double sent, double answered) {
-        return (sent - HEADROOM * answered - 1) / (sent + 1);
+        return (sent - OVERLOAD_THRESHOLD * answered - 1) / (sent + 1);
     }
 
     /** Returns how many attempts are sent for each one answered in time, at least 1. */
@@ -49,9 +49,9 @@
         return Math.max(1, Math.max(own, withRestored));
     }
 
-    /** Returns whether the {@link #pressure} is above {@link #HEADROOM}. */
+    /** Returns whether the {@link #pressure} is above {@link #OVERLOAD_THRESHOLD}. */
     boolean isOverloaded(double nowMs) {
-        return pressure(nowMs) > HEADROOM;
+        return pressure(nowMs) > OVERLOAD_THRESHOLD;
     }
 
     /** Returns the counts for a snapshot. */
