--- a/src/test/java/cacheproxy/invariant/SendGuardTest.java
+++ b/src/test/java/cacheproxy/invariant/SendGuardTest.java
@@ -6,13 +6,13 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Each invariant stops a send that would violate it, at its bound and not before; stopped sends are counted. */
+/** Each invariant stops a send that would violate it, exactly from its bound on; stopped sends are counted. */
 class SendGuardTest {
     private static final double GRACE_MS = 2000;
     private static final double NOW_MS = 10_000;
     private final SendGuard guard = new SendGuard(GRACE_MS);
 
-    /** A send that may begin; each test changes one thing. */
+    /** The facts of a send that may begin; each test changes one of them. */
     private static final class FakeSend implements SendFacts {
         double deadlineMs = NOW_MS + 500;
         boolean abandoned;
@@ -71,7 +71,7 @@
         assertThat(guard.violatedBy(facts, NOW_MS)).isNull();
         facts.earlierAttemptMayHaveRun = true;
         facts.earlierAttemptInFlight = true;
-        assertThat(guard.violatedBy(facts, NOW_MS)).as("a hedge of a read").isNull();
+        assertThat(guard.violatedBy(facts, NOW_MS)).as("a hedged read").isNull();
     }
 
     @Test
@@ -89,7 +89,9 @@
         assertThat(guard.violatedBy(facts, NOW_MS + 0.1)).isEqualTo(Invariant.REPEAT_WINDOW_OPEN);
         facts.retryUntilMs = Double.POSITIVE_INFINITY;
         facts.singleEffect = true;
-        assertThat(guard.violatedBy(facts, NOW_MS)).as("none has run").isNull();
+        assertThat(guard.violatedBy(facts, NOW_MS))
+                .as("no earlier attempt may have run")
+                .isNull();
         facts.earlierAttemptMayHaveRun = true;
         assertThat(guard.violatedBy(facts, NOW_MS)).isEqualTo(Invariant.SINGLE_EFFECT);
         facts.singleEffect = false;
@@ -102,7 +104,7 @@
     void retryWindowLeavesMarginForProcessPause() {
         assertThat(SendGuard.retryUntilMs(1000, 1500)).isEqualTo(2500 - SendGuard.MAX_PAUSE_MS);
         assertThat(SendGuard.retryUntilMs(1000, 100))
-                .as("half of a short one is left")
+                .as("half of a short window is left")
                 .isEqualTo(1050);
     }
 
--- a/src/test/java/cacheproxy/lifecycle/LifecycleTest.java
+++ b/src/test/java/cacheproxy/lifecycle/LifecycleTest.java
@@ -64,7 +64,7 @@
         Lifecycle lifecycle = new Lifecycle(TIMING);
         lifecycle.enterStandby(500);
         lifecycle.beginShutdown(1000, false);
-        lifecycle.beginShutdown(1400, true); // a successor that dies meanwhile changes nothing
+        lifecycle.beginShutdown(1400, true); // a change of the successor in the meantime has no effect
         assertThat(lifecycle.enterStandby(1100)).isFalse();
         assertThat(lifecycle.leaveStandby()).isFalse();
         assertThat(lifecycle.state()).isEqualTo(LifecycleState.SHUTTING_DOWN);
--- a/src/test/java/cacheproxy/lifecycle/WarmUpPlanTest.java
+++ b/src/test/java/cacheproxy/lifecycle/WarmUpPlanTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** How many requests {@link WarmUpPlan} asks for. */
+/** The number of requests in a {@link WarmUpPlan}. */
 class WarmUpPlanTest {
     @Test
     void warmsUpFullyInSmallFleetOrBesideRunningProcess() {
--- a/src/test/java/cacheproxy/limits/ConnectionEvictionTest.java
+++ b/src/test/java/cacheproxy/limits/ConnectionEvictionTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Eviction order of client connections. */
+/** The eviction order of client connections. */
 class ConnectionEvictionTest {
     @Test
     void evictsServedThenUnusedThenStalledConnections() {
--- a/src/test/java/cacheproxy/limits/RetryBudgetTest.java
+++ b/src/test/java/cacheproxy/limits/RetryBudgetTest.java
@@ -10,7 +10,7 @@
     void retriesStayWithinRatioUnderOverloadAndRecoverAfterwards() {
         RetryBudget budget = new RetryBudget(0.2, 2);
         int retries = 0;
-        for (int i = 0; i < 10_000; i++) { // ten seconds, each request wants two more attempts
+        for (int i = 0; i < 10_000; i++) { // ten seconds, in which each request asks for two retries
             budget.recordFirstAttempt(i);
             for (int attempt = 0; attempt < 2; attempt++) {
                 retries += budget.tryAcquire(i) ? 1 : 0;
@@ -26,7 +26,7 @@
         }
         assertThat(budget.tryAcquire(10_000)).isFalse();
         assertThat(budget.tryAcquire(10_500))
-                .as("a few a second whatever the ratio")
+                .as("a few retries a second regardless of the ratio")
                 .isTrue();
         RetryBudget empty = new RetryBudget(0, 0);
         empty.recordFirstAttempt(0);
--- a/src/test/java/cacheproxy/limits/ServerCapacityTest.java
+++ b/src/test/java/cacheproxy/limits/ServerCapacityTest.java
@@ -42,7 +42,10 @@
         assertThat(other.mayOpen(ConnectionShortage.DURATION_MS, 1)).isTrue();
     }
 
-    /** With fourteen proxies and servers that accept twelve, none stays without while another has two. */
+    /**
+     * With fourteen proxies and servers that accept twelve connections, no proxy stays without one while another has
+     * two.
+     */
     @Test
     void proxiesSettleOnOneConnectionEachWhenConnectionsAreScarce() {
         SimulatedFleet fleet = new SimulatedFleet();
@@ -66,7 +69,9 @@
         assertThat(refusedInSecondHalf).as("of 30,000 requests").isLessThan(30_000 / 60);
     }
 
-    /** Proxies that send one request a millisecond in all to servers with too few connections for them. */
+    /**
+     * Proxies that together send one request a millisecond to servers that accept too few connections for all of them.
+     */
     private static final class SimulatedFleet {
         static final int PROXIES = 14;
         static final int SERVERS = 20;
--- a/src/test/java/cacheproxy/limits/SlowStartBudgetTest.java
+++ b/src/test/java/cacheproxy/limits/SlowStartBudgetTest.java
@@ -8,7 +8,9 @@
 
 /** The slow-start budget under simulated time. */
 class SlowStartBudgetTest {
-    /** Whatever the pools and bursts, no overload window gets more than the multiple of the capacity. */
+    /**
+     * Whatever the pools and bursts, the server receives less than three times its capacity in each overload window.
+     */
     @Test
     void warmingUpServerIsNeverSentMoreThanTheMultipleOfItsCapacity() {
         for (int proxyCount : new int[] {1, 4}) {
--- a/src/test/java/cacheproxy/placement/NginxPlacementTest.java
+++ b/src/test/java/cacheproxy/placement/NginxPlacementTest.java
@@ -14,7 +14,10 @@
 import java.util.zip.CRC32;
 import org.junit.jupiter.api.Test;
 
-/** nginx's placements against a plain version of nginx's loops, and which keys move when weights or servers change. */
+/**
+ * Compares nginx's placements with plain versions of nginx's loops, and checks which keys move when weights or servers
+ * change.
+ */
 class NginxPlacementTest {
     private static final int KEYS = 20_000;
 
@@ -57,7 +60,7 @@
         return members;
     }
 
-    /** The peers' indexes in their list, best first. */
+    /** Returns the indexes of the ranked peers in their list, best first. */
     private static List<Integer> rank(
             Placement placement, List<PlacementTarget> peers, List<Endpoint> members, byte[] text, int wanted) {
         int[] ranked = new int[Math.max(placement.maxRanked(wanted), members.size())];
@@ -84,7 +87,10 @@
         return first;
     }
 
-    /** The loop of nginx's hash directive, with the servers that it has tried. */
+    /**
+     * Returns the ranking by a plain version of the loop of nginx's hash directive, which skips the servers that it has
+     * tried.
+     */
     private static List<Integer> referenceHashRanking(List<PlacementTarget> peers, Set<Integer> down, byte[] key) {
         int sum = peers.stream().mapToInt(PlacementTarget::weight).sum();
         List<Integer> ranks = new ArrayList<>();
@@ -137,7 +143,7 @@
     void consistentHashMovesOnlyKeysOfChangedServers() {
         List<PlacementTarget> peers = peers(1, 1, 1, 1, 1);
         int[] before = firstRanked("nginx-consistent", peers, Set.of());
-        // One goes down: its own keys alone move, to where the ring says.
+        // One server goes down: only its keys move, to the next servers on the ring.
         int[] without = firstRanked("nginx-consistent", peers, Set.of(2));
         int moved = 0;
         for (int i = 0; i < KEYS; i++) {
@@ -148,7 +154,7 @@
             }
         }
         assertThat(moved / (double) KEYS).isBetween(0.15, 0.25);
-        // One gets twice the weight: keys move to it alone, to some a sixth more than it had.
+        // One server gets twice the weight: keys move only to it, as its fraction grows from a fifth to a third.
         int[] heavier = firstRanked("nginx-consistent", peers(1, 1, 1, 2, 1), Set.of());
         int gained = 0;
         for (int i = 0; i < KEYS; i++) {
@@ -158,7 +164,7 @@
             }
         }
         assertThat(gained / (double) KEYS).isBetween(0.09, 0.18);
-        // Without consistent the same change moves most keys.
+        // Without the parameter "consistent" the same change moves most keys.
         int[] moduloBefore = firstRanked("nginx-hash", peers, Set.of());
         int[] moduloAfter = firstRanked("nginx-hash", peers(1, 1, 1, 2, 1), Set.of());
         int movedByModulo = 0;
@@ -182,7 +188,10 @@
         }
     }
 
-    /** Four bytes with this CRC-32: over four bytes it is an affine map without gaps, solved by elimination. */
+    /**
+     * Returns the four bytes with this CRC-32. On four bytes CRC-32 is a bijective affine map, which is inverted by
+     * Gaussian elimination.
+     */
     private static byte[] textWithCrc(int wanted) {
         int zero = (int) crc(new byte[4]);
         int[] images = new int[32];
--- a/src/test/java/cacheproxy/placement/PlacementKeyTest.java
+++ b/src/test/java/cacheproxy/placement/PlacementKeyTest.java
@@ -7,7 +7,7 @@
 import java.util.zip.CRC32;
 import org.junit.jupiter.api.Test;
 
-/** Checksums that are derived from a key, against those of the text itself. */
+/** Compares checksums that are derived from a key with those of the text itself. */
 class PlacementKeyTest {
     private static long crc(byte[]... parts) {
         CRC32 crc = new CRC32();
--- a/src/test/java/cacheproxy/placement/PlacementTest.java
+++ b/src/test/java/cacheproxy/placement/PlacementTest.java
@@ -12,7 +12,9 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** Rankings: CARP's against scoring all members one by one, backups behind all others. */
+/**
+ * Compares CARP rankings with scoring all members one by one, and checks that backups rank after all primary servers.
+ */
 class PlacementTest {
     private static List<Endpoint> members(SplittableRandom random, int count, boolean equal) {
         List<Endpoint> members = new ArrayList<>();
@@ -24,7 +26,7 @@
         return members;
     }
 
-    /** Section 3.4 of the draft: score all members, sort by score, the best first. */
+    /** Ranks as in section 3.4 of the draft: scores all members and sorts them by score, best first. */
     private static List<Integer> rankByScoringAll(List<Endpoint> members, int keyHash, int wanted) {
         float[] weights = new float[members.size()];
         for (int i = 0; i < weights.length; i++) {
--- a/src/test/java/cacheproxy/policy/CarpHashTest.java
+++ b/src/test/java/cacheproxy/policy/CarpHashTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The hash functions of CARP and the distribution of keys that they give. */
+/** The hash functions of CARP and the distribution of keys that results from them. */
 class CarpHashTest {
     private static final int KEYS = 60_000;
 
@@ -51,7 +51,10 @@
         assertThat(CarpHash.combine(0x12345678, 0x9ABCDEF0)).isEqualTo(0xF3C285C6);
     }
 
-    /** Within five standard deviations of random draws, and 15% for the ranking itself. */
+    /**
+     * Each member's key count differs from its fair share by at most 15%, for the ranking itself, plus five standard
+     * deviations of random draws.
+     */
     @ParameterizedTest
     @ValueSource(ints = {1, 2, 12, 60, 300})
     void sharesFollowWeights(int count) {
--- a/src/test/java/cacheproxy/policy/EndpointListWatchTest.java
+++ b/src/test/java/cacheproxy/policy/EndpointListWatchTest.java
@@ -25,7 +25,10 @@
         assertThat(harness.watchCount).isEqualTo(2);
     }
 
-    /** Guards against an invalid list that counts as discovery's answer, after which it is called without backoff. */
+    /**
+     * Guards against an invalid list that counts as discovery's answer, after which discovery is called without
+     * backoff.
+     */
     @Test
     void invalidListDoesNotResetBackoff() {
         PolicyHarness harness =
--- a/src/test/java/cacheproxy/policy/HedgingPolicyTest.java
+++ b/src/test/java/cacheproxy/policy/HedgingPolicyTest.java
@@ -6,7 +6,10 @@
 
 /** Hedging of attempts at slow and hung servers. */
 class HedgingPolicyTest {
-    /** The server accepts requests and answers none; the runner-up is asked early enough to meet the objective. */
+    /**
+     * The hung server accepts requests and answers none; the runner-up receives the request early enough to meet the
+     * latency objective.
+     */
     @Test
     void replacesAttemptAtHungServerInTime() {
         PolicyHarness harness = PolicyHarness.cacheAside().withFleet(5);
@@ -18,7 +21,7 @@
         assertThat(harness.lastSent().serverId()).isNotIn(hung.serverId(), PolicyHarness.ORIGIN);
     }
 
-    /** Hedges have a budget, so that a slowdown of all servers is not answered by twice the load. */
+    /** Hedges have a budget, so that a slowdown of all servers does not cause twice the load. */
     @Test
     void limitsHedgesWhenAllServersSlowDown() {
         PolicyHarness harness =
@@ -46,7 +49,7 @@
         assertThat(harness.sentAttempts).hasSize(3);
     }
 
-    /** Guards against a burst of hedges beyond the budget, after many that have paid off without a success between. */
+    /** Guards against a burst of hedges beyond the budget after many refunds without a recorded success in between. */
     @Test
     void refundsNeverExceedTheBudget() {
         PolicySettings settings = PolicyHarness.settings(true, false, true, DeduplicationScope.ALL);
--- a/src/test/java/cacheproxy/policy/LatencyEstimatesTest.java
+++ b/src/test/java/cacheproxy/policy/LatencyEstimatesTest.java
@@ -7,7 +7,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Averages of latencies and of cost hints, which clients write. */
+/** Averages of latencies and of cost hints, which clients set. */
 class LatencyEstimatesTest {
     private static final double DEADLINE_MS = 1000;
 
@@ -26,7 +26,10 @@
         }
     }
 
-    /** Guards against one client's hint making averages infinite for good, or hedging delays of others useless. */
+    /**
+     * Guards against one client's cost hint that makes averages permanently infinite, or hedging delays of other
+     * requests useless.
+     */
     @ParameterizedTest
     @ValueSource(doubles = {Double.POSITIVE_INFINITY, Double.NaN, -5, Double.MAX_VALUE, 1e12, Double.MIN_VALUE})
     void implausibleHintDoesNotDistortEstimates(double hintMs) {
@@ -42,7 +45,7 @@
         assertThat(estimates.expectedMaxServerMs(withCostHint(2))).isBetween(typicalMs / 2, typicalMs * 2);
     }
 
-    /** Guards against a first hint that none of the later ones can outweigh. */
+    /** Guards against a first cost hint that sets an average so large that later hints cannot correct it. */
     @Test
     void implausibleFirstHintDoesNotSetAverage() {
         estimates.recordCost(withCostHint(1e300));
--- a/src/test/java/cacheproxy/policy/LearnedStateTransferTest.java
+++ b/src/test/java/cacheproxy/policy/LearnedStateTransferTest.java
@@ -65,7 +65,7 @@
         next.policy.restore(next.nowMs, learned);
         assertThat(firstServers(next, 1, 60)).doesNotContain(slow).hasSize(3);
         assertThat(next.policy.learnedState(next.nowMs, 10).servers())
-                .as("exported again")
+                .as("restored state, exported again")
                 .isEqualTo(learned.servers());
         assertThat(firstServers(harness(4), 1, 60)).as("without restored state").contains(slow);
     }
@@ -140,7 +140,7 @@
         assertThat(firstServers(harness, 200, 200)).containsExactlyInAnyOrder(1, 2, 3, 4);
     }
 
-    /** Keys are requested once each, so no random draw lets the two policies differ. */
+    /** Each key is requested once, so that no random draw makes the two policies differ. */
     @Test
     void restoredStateSendsNoMoreToServersInSlowStart() {
         SplittableRandom random = new SplittableRandom(5);
@@ -169,7 +169,9 @@
                 }
             }
         }
-        assertThat(sentInSlowStart).as("servers in slow start were used at all").isPositive();
+        assertThat(sentInSlowStart)
+                .as("servers in slow start received some requests")
+                .isPositive();
     }
 
     private static int firstServer(PolicyHarness harness, int request) {
@@ -220,7 +222,7 @@
                                     LearnedState.NONE.serverLoad(),
                                     new LearnedHotKeys(1e6, List.of())));
                 }
-                for (int i = 1; i <= 5; i++) { // fewer than make a key hot
+                for (int i = 1; i <= 5; i++) { // too few to make a key hot
                     harness.read(i, 77L + round);
                 }
                 sent[k] += (int) harness.sentAttempts.stream()
@@ -236,15 +238,15 @@
         LearnedLoad overload = new LearnedLoad(400, 40);
         LearnedLoad noOverload = new LearnedLoad(400, 400);
         assertThat(rejectedFetches(LearnedState.NONE.serverLoad(), 0)).isZero();
-        assertThat(rejectedFetches(overload, 0)).as("at once").isGreaterThan(20);
-        // At an origin that answers nothing, restored answers must not let more fetches through than no restored state.
+        assertThat(rejectedFetches(overload, 0)).as("right after the restore").isGreaterThan(20);
+        // If the origin answers nothing, restored answers must not admit more fetches than an empty state does.
         assertThat(rejectedFetches(noOverload, 200))
                 .isGreaterThanOrEqualTo(rejectedFetches(LearnedState.NONE.serverLoad(), 200));
     }
 
     /**
-     * Returns how many of 100 misses are not fetched while the origin answers, after so many misses whose fetches it
-     * did not answer.
+     * Returns how many of 100 misses are not fetched while the origin answers, after {@code unanswered} misses whose
+     * fetches it did not answer.
      */
     private static int rejectedFetches(LearnedLoad fetches, int unanswered) {
         PolicyHarness harness = harness(4);
@@ -317,7 +319,7 @@
     void boundsExportedHotKeys() {
         PolicyHarness harness = harness(300);
         for (int i = 1; i <= 60_000; i++) {
-            harness.read(i, i / 6); // each is hot for a moment
+            harness.read(i, i / 6); // each key is hot for a short time
             harness.endAfter(harness.lastSent(), AttemptOutcome.OK, 5);
         }
         assertThat(harness.policy
--- a/src/test/java/cacheproxy/policy/LoadShedderTest.java
+++ b/src/test/java/cacheproxy/policy/LoadShedderTest.java
@@ -8,7 +8,10 @@
 
 /** Rejection of requests under overload. */
 class LoadShedderTest {
-    /** Under overload the tenant far over its quota is rejected, the one within its quota hardly. */
+    /**
+     * Under overload many requests of the tenant far over its quota are rejected, and few of the tenant within its
+     * quota.
+     */
     @Test
     void rejectsTenantOverItsQuotaFirst() {
         PolicyHarness harness = new PolicyHarness(PolicyHarness.settingsOfTwoTenants(100, 100)).withFleet(12);
@@ -63,7 +66,7 @@
         assertThat(harness.rejected).isEmpty();
     }
 
-    /** A few hung servers are no overload: their timeouts cause no rejections at others. */
+    /** A few hung servers are not an overload: their timeouts cause no rejections of requests to other servers. */
     @Test
     void doesNotShedBecauseOfHungServers() {
         PolicyHarness harness =
--- a/src/test/java/cacheproxy/policy/OriginFetchPolicyTest.java
+++ b/src/test/java/cacheproxy/policy/OriginFetchPolicyTest.java
@@ -7,7 +7,10 @@
 
 /** Coalescing and throttling of fetches from the origin. */
 class OriginFetchPolicyTest {
-    /** Of many misses for one key one is fetched; the others then find the object at the server that missed it. */
+    /**
+     * Of several requests that miss for one key, one fetches; the others then find the object at the server that missed
+     * it.
+     */
     @Test
     void coalescesFetchesOfOneKey() {
         PolicyHarness harness = PolicyHarness.cacheAside().withFleet(5);
@@ -24,7 +27,7 @@
         assertThat(harness.lastSent().serverId()).isEqualTo(PolicyHarness.topRank(7, 5));
     }
 
-    /** The origin rejects every fetch; fewer and fewer are sent. */
+    /** The origin rejects every fetch, so that fewer and fewer are sent. */
     @Test
     void throttlesFetchesFromOverloadedOrigin() {
         PolicyHarness harness = PolicyHarness.cacheAside().withFleet(5);
--- a/src/test/java/cacheproxy/policy/OutlierEjectionTest.java
+++ b/src/test/java/cacheproxy/policy/OutlierEjectionTest.java
@@ -8,7 +8,7 @@
 
 /** Ejection of failing servers and half-open probes. */
 class OutlierEjectionTest {
-    /** Where health checks are allowed, one of them is the half-open probe rather than a client's request. */
+    /** If health checks are allowed, one of them is the half-open probe, rather than a client's request. */
     @Test
     void probesEjectedServerBeforeItGetsRequests() {
         PolicyHarness harness = PolicyHarness.cacheAside().withFleet(3);
@@ -28,7 +28,10 @@
         assertThat(harness.lastSent().serverId()).isEqualTo(2);
     }
 
-    /** A half-open probe that slow start rejects has no result, for which the server would wait forever. */
+    /**
+     * Guards against a server that stays ejected because slow start rejects its half-open probe, which then has no
+     * result.
+     */
     @Test
     void probeRejectedBySlowStartDoesNotKeepServerEjected() {
         PolicyHarness harness = new PolicyHarness(
@@ -65,7 +68,10 @@
                 .isGreaterThan(20);
     }
 
-    /** A half-open probe that is shed under overload has no result, for which the server would wait forever. */
+    /**
+     * Guards against a server that stays ejected because its half-open probe is shed under overload and then has no
+     * result.
+     */
     @Test
     void shedProbeDoesNotKeepServerEjected() {
         PolicyHarness harness = new PolicyHarness(
@@ -74,7 +80,7 @@
         harness.read(1, 77);
         int ejected = harness.lastSent().serverId();
         harness.end(harness.lastSent(), AttemptOutcome.CONNECT_FAILED);
-        for (int id = 2; id <= 400; id++) { // all others answer late, which is overload
+        for (int id = 2; id <= 400; id++) { // all other servers answer late, which indicates overload
             harness.nowMs += 10;
             int sentBefore = harness.sentAttempts.size();
             harness.read(id, id);
--- a/src/test/java/cacheproxy/policy/PolicyHarness.java
+++ b/src/test/java/cacheproxy/policy/PolicyHarness.java
@@ -48,7 +48,7 @@
                 cacheAside, pollsDiscovery, hedgingAllowed, deduplicationScope, List.of(new Tenant("a", 1, 100)));
     }
 
-    /** Returns settings of two tenants; requests over their quotas are worth a tenth. */
+    /** Returns settings of two tenants; requests over their quotas have a tenth of the normal value. */
     static PolicySettings settingsOfTwoTenants(double firstQuotaPerSecond, double secondQuotaPerSecond) {
         return settings(
                 true,
@@ -98,12 +98,12 @@
                 .build();
     }
 
-    /** Returns the same settings without health checks. */
+    /** Returns the settings with health checks disabled. */
     static PolicySettings withoutProbing(PolicySettings settings) {
         return settings.toBuilder().probingAllowed(false).build();
     }
 
-    /** Returns a harness of a cache-aside pool whose list is pushed, without hedging. */
+    /** Returns a harness for a cache-aside pool whose endpoint list is pushed, without hedging. */
     static PolicyHarness cacheAside() {
         return new PolicyHarness(settings(true, false, false, DeduplicationScope.ALL));
     }
@@ -153,7 +153,7 @@
                 this);
     }
 
-    /** Ends an attempt that has brought the final response after a time. */
+    /** Ends an attempt that has produced the final response after {@code elapsedMs}. */
     void endAfter(SentAttempt sent, AttemptOutcome outcome, double elapsedMs) {
         policy.onAttemptEnd(
                 nowMs,
@@ -220,7 +220,7 @@
     @Override
     public void querySiblings(int requestId, double waitMs) {
         siblingQueries.add(requestId);
-        actions.add("ask " + requestId + " " + waitMs);
+        actions.add("query siblings " + requestId + " " + waitMs);
     }
 
     @Override
@@ -236,7 +236,7 @@
 
     @Override
     public void sendToPeer(int peerId, byte[] message) {
-        actions.add("tell " + peerId);
+        actions.add("send to peer " + peerId);
     }
 
     @Override
--- a/src/test/java/cacheproxy/policy/PolicySettingsBuilderTest.java
+++ b/src/test/java/cacheproxy/policy/PolicySettingsBuilderTest.java
@@ -5,14 +5,14 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Each setting that is given reaches its component. */
+/** Each builder method sets its own component of the settings. */
 class PolicySettingsBuilderTest {
     private static final List<ServiceClass> CLASSES = List.of(
             new ServiceClass("read", Idempotency.IDEMPOTENT, DeduplicationScope.ALL, 0, 300, 1000, 1, 0.2, false));
 
     private static final List<Tenant> TENANTS = List.of(new Tenant("a", 1, 100));
 
-    /** All numbers differ, so that none can stand in for another. */
+    /** All numbers differ, so that swapped settings are detected. */
     private static final PolicySettings ALL_SETTINGS = new PolicySettings(
             1,
             2,
--- a/src/test/java/cacheproxy/policy/RandomEventsTest.java
+++ b/src/test/java/cacheproxy/policy/RandomEventsTest.java
@@ -41,7 +41,7 @@
         }
     }
 
-    /** A request as the fleet sees it: the rules are checked by this rather than by the policy's own records. */
+    /** A request as recorded by the fleet; the rules are checked against this record rather than the policy's own. */
     private static final class TrackedRequest {
         RoutingRequest request;
         ServiceClass serviceClass;
@@ -54,7 +54,7 @@
             return outcomes.stream().filter(outcome -> outcome == null).count();
         }
 
-        /** Returns the first attempt that may have run; -1: none. */
+        /** Returns the first attempt that may have run; -1 if there is none. */
         int firstThatMayHaveRun() {
             for (int attempt = 0; attempt < outcomes.size(); attempt++) {
                 if (outcomes.get(attempt) == null || outcomes.get(attempt).mayHaveRun()) {
@@ -251,12 +251,12 @@
             assertThat(tracked.serverIds.size()).as(what + ": attempts").isLessThan(settings.maxAttempts());
             assertThat(timeoutMs).as(what).isNotNegative();
             assertThat(tracked.inFlightAttempts() == 0 || settings.hedgingAllowed())
-                    .as(what + " together with another")
+                    .as(what + " while another attempt is in flight")
                     .isTrue();
             int mayHaveRun = tracked.firstThatMayHaveRun();
             if (mayHaveRun >= 0) {
                 assertThat(tracked.serviceClass.idempotency())
-                        .as(what + " again")
+                        .as(what + " is sent again")
                         .isNotEqualTo(Idempotency.NON_IDEMPOTENT);
                 if (tracked.serviceClass.idempotency() == Idempotency.DEDUPLICATED) {
                     assertThat(nowMs)
@@ -295,7 +295,7 @@
             TrackedRequest tracked = requests.get(requestId);
             if (tracked.firstThatMayHaveRun() >= 0) {
                 assertThat(tracked.serviceClass.idempotency())
-                        .as("rejection of %d", requestId)
+                        .as("rejection of request %d", requestId)
                         .isEqualTo(Idempotency.IDEMPOTENT);
             }
             recordFinalResponse(requestId);
--- a/src/test/java/cacheproxy/policy/RoutingPolicyTest.java
+++ b/src/test/java/cacheproxy/policy/RoutingPolicyTest.java
@@ -112,7 +112,10 @@
         assertThat(used).containsExactlyInAnyOrder(1, 2);
     }
 
-    /** A key with much of the traffic is spread over several servers; later it has one again. */
+    /**
+     * A key that receives much of the traffic is spread over several servers; when the traffic falls, it has one server
+     * again.
+     */
     @Test
     void spreadsHotKeyUntilItCoolsDown() {
         PolicyHarness harness = PolicyHarness.cacheAside().withFleet(20);
@@ -205,7 +208,10 @@
         assertThat(harness.rejected).containsExactly(1, 2);
     }
 
-    /** A request that is given up must not wait for its deadline, as its client could try elsewhere meanwhile. */
+    /**
+     * A request that is given up must not wait for its deadline, because its client could try another proxy in the
+     * meantime.
+     */
     @Test
     void givesUpAtOnceWithRetryAfter() {
         PolicyHarness harness = PolicyHarness.cacheAside().withFleet(12);
--- a/src/test/java/cacheproxy/policy/ServerSelectorTest.java
+++ b/src/test/java/cacheproxy/policy/ServerSelectorTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The choice of a server from a list that has changed since the request came. */
+/** The choice of a server from a list that has changed since the request arrived. */
 class ServerSelectorTest {
     private static final int SERVERS = 20;
     private static final int REMAINING = 2;
@@ -20,7 +20,10 @@
         return harness;
     }
 
-    /** Guards against an index beyond the list for a hot key's retry, after the list has shrunk under its spread. */
+    /**
+     * Guards against an index out of range when a hot key's request is retried after the list has become shorter than
+     * the key's spread.
+     */
     @Test
     void hotKeyRetriesUseRemainingServersAfterListShrinks() {
         for (int firstRemaining = 1; firstRemaining <= SERVERS - REMAINING; firstRemaining++) {
@@ -49,7 +52,7 @@
         }
     }
 
-    /** The server of an attempt unless it is gone. */
+    /** Returns the server of an attempt; -1 if it is gone. */
     private static int remainingServerOf(PolicyHarness.SentAttempt attempt, Endpoint[] gone) {
         for (Endpoint endpoint : gone) {
             if (endpoint.id() == attempt.serverId()) {
--- a/src/test/java/cacheproxy/policy/ServerStateTest.java
+++ b/src/test/java/cacheproxy/policy/ServerStateTest.java
@@ -5,7 +5,7 @@
 import cacheproxy.snapshot.state.LearnedServer;
 import org.junit.jupiter.api.Test;
 
-/** What is known of a server, over its restarts. */
+/** The health of a server across its restarts. */
 class ServerStateTest {
     private static ServerState listed(double startedMs) {
         ServerState server = new ServerState(5);
@@ -13,7 +13,7 @@
         return server;
     }
 
-    /** Guards against what an earlier process of the server did counting against, or for, the one that runs now. */
+    /** Guards against results of an earlier process of the server that count for or against the present one. */
     @Test
     void restartClearsFailuresOverdueAttemptsAndProbes() {
         ServerState server = listed(100);
@@ -28,7 +28,9 @@
         assertThat(server.restartSeenMs()).isEqualTo(2000);
     }
 
-    /** Guards against a passed probe of the process before making later failures of the new one count for nothing. */
+    /**
+     * Guards against a probe passed by the previous process that makes later failures of the new one count for nothing.
+     */
     @Test
     void probePassedBeforeRestartDoesNotMakeServerTrusted() {
         ServerState server = listed(100);
--- a/src/test/java/cacheproxy/policy/SiblingQueriesTest.java
+++ b/src/test/java/cacheproxy/policy/SiblingQueriesTest.java
@@ -11,7 +11,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Queries of siblings after a miss, and what follows from their answers. */
+/** Queries of siblings after a miss, and the handling of their answers. */
 class SiblingQueriesTest {
     private static final int SIBLING = 7000;
     private double waitMs = 20;
@@ -100,10 +100,10 @@
         harness.advanceTime(100);
         assertThat(harness.sentAttempts.stream()
                         .filter(sent -> sent.requestId() == 2 && sent.serverId() == PolicyHarness.ORIGIN))
-                .as("once")
+                .as("fetches of the object from the origin")
                 .hasSize(1);
         readAndMiss(harness, 3, 7);
-        harness.policy.onSiblingResponse(harness.nowMs, 3, 1, harness); // a server that is no sibling
+        harness.policy.onSiblingResponse(harness.nowMs, 3, 1, harness); // a server that is not a sibling
         assertThat(harness.lastSent().serverId()).isEqualTo(PolicyHarness.ORIGIN);
     }
 
@@ -131,7 +131,7 @@
         readAndMiss(harness, 1, 5);
         harness.policy.onSiblingResponse(harness.nowMs, 1, SIBLING, harness);
         harness.advanceTime(300);
-        assertThat(harness.lastSent().serverId()).as("silent").isEqualTo(PolicyHarness.ORIGIN);
+        assertThat(harness.lastSent().serverId()).as("after a silent sibling").isEqualTo(PolicyHarness.ORIGIN);
         assertThat(harness.policy.learnedState(harness.nowMs, 0).servers())
                 .as("a silent sibling is not ejected")
                 .isEmpty();
@@ -157,7 +157,7 @@
                         .orElseThrow(),
                 AttemptOutcome.MISS);
         assertThat(harness.lastSent())
-                .as("the sibling lacks the key for the third")
+                .as("the sibling does not have the key for the third request")
                 .satisfies(sent -> {
                     assertThat(sent.serverId()).isEqualTo(PolicyHarness.ORIGIN);
                     assertThat(sent.requestId()).isEqualTo(3);
--- a/src/test/java/cacheproxy/policy/SlowStartTest.java
+++ b/src/test/java/cacheproxy/policy/SlowStartTest.java
@@ -4,9 +4,11 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What a server receives while it warms up. */
+/** The requests that a server receives while it warms up. */
 class SlowStartTest {
-    /** It accepts 0.3 of its keys at its start, 0.65 at half its slow start, and all of them afterwards. */
+    /**
+     * The server accepts 0.3 of its keys at its start, 0.65 halfway through its slow start, and all of them afterwards.
+     */
     @Test
     void limitsServerInSlowStartToItsCapacity() {
         assertThat(acceptedFraction(0, false)).isBetween(0.26, 0.34);
@@ -15,8 +17,8 @@
     }
 
     /**
-     * A wrong clock or late changes of the list must make no server older than it is. The newest server of the first
-     * list is taken to have just started, whatever the proxy's clock says.
+     * A wrong clock or late changes of the list must not make a server seem older than it is. The newest server of the
+     * first list is treated as just started, whatever the proxy's clock says.
      */
     @Test
     void detectsSlowStartWhateverTheWallClockSays() {
@@ -38,14 +40,14 @@
                 }
             }
             assertThat((double) accepted / ownKeys)
-                    .as("wrong by %s ms", clockErrorMs)
+                    .as("clock wrong by %s ms", clockErrorMs)
                     .isBetween(0.2, 0.36);
         }
     }
 
     /**
-     * Under overload it accepts two thirds of that, however great the overload: kept empty, it would not relieve the
-     * others.
+     * Under overload a server in slow start accepts two thirds of its usual fraction, however great the overload: if it
+     * were kept empty, it would not relieve the other servers.
      */
     @Test
     void boundsReductionOfSlowStartUnderOverload() {
@@ -82,7 +84,7 @@
             harness.changeEndpoints(PolicyHarness.endpoint(
                     5, EndpointState.READY, harness.nowMs)); // the list reports a start soon after it
             harness.nowMs = 100000;
-            for (int i = 0; i < 300; i++) { // under overload three in four are late
+            for (int i = 0; i < 300; i++) { // under overload three in four responses are late
                 harness.read(10_000 + i, 10_000 + i);
                 if (harness.lastSent().requestId() == 10_000 + i) {
                     harness.endAfter(harness.lastSent(), AttemptOutcome.OK, overloaded && i % 4 > 0 ? 900 : 10);
@@ -102,7 +104,7 @@
         return (double) accepted / ownKeys;
     }
 
-    /** Retries made the servers of a zone collapse when they all came back at once. */
+    /** Guards against retries that make the servers of a zone collapse when all of them restart at once. */
     @Test
     void sendsNoRetriesToServerInSlowStart() {
         PolicyHarness harness = PolicyHarness.cacheAside().withFleet(3);
