--- a/src/main/java/cacheproxy/lifecycle/WarmUpPlan.java
+++ b/src/main/java/cacheproxy/lifecycle/WarmUpPlan.java
@@ -9,7 +9,7 @@
  * While a predecessor still serves, no client waits for the new process.
  *
  * @param requests number of requests to be answered
- * @param concurrency number of these requests in flight at a time
+ * @param concurrency number of these requests that are kept in flight
  * @param timeLimitMs time limit for all of them, in milliseconds; a process that takes longer continues without the
  *     rest. A new version counts as failed if it does not accept clients within 6 s, of which its start takes 1 s
  */
--- a/src/main/java/cacheproxy/limits/PoolAdmissionControl.java
+++ b/src/main/java/cacheproxy/limits/PoolAdmissionControl.java
@@ -16,7 +16,7 @@
      * @param slowStartBudget the budget shared by all pools of the process
      * @param retryBudget the pool's own budget of retries
      * @param halfOpenProbeAllowed returns whether a client's request may now be the half-open probe of the server with
-     *     an id
+     *     the given id
      */
     public PoolAdmissionControl(
             SlowStartBudget slowStartBudget, RetryBudget retryBudget, IntPredicate halfOpenProbeAllowed) {
--- a/src/main/java/cacheproxy/placement/BackupPlacement.java
+++ b/src/main/java/cacheproxy/placement/BackupPlacement.java
@@ -49,7 +49,7 @@
     /**
      * Returns a factory that ranks primary servers and backups each by the given factory's placements.
      *
-     * @param isBackup returns whether the member with an id is a backup
+     * @param isBackup returns whether the member with the given id is a backup
      */
     public static PlacementFactory withBackups(PlacementFactory factory, IntPredicate isBackup) {
         return members -> members.stream().noneMatch(member -> isBackup.test(member.id()))
--- a/src/main/java/cacheproxy/policy/EndpointListWatch.java
+++ b/src/main/java/cacheproxy/policy/EndpointListWatch.java
@@ -8,7 +8,8 @@
  */
 final class EndpointListWatch {
     /**
-     * The backoff is the longest poll age divided by this and doubled for each failure in a row, including the first.
+     * The backoff is the longest poll age divided by this and doubled for each failure in a row, including the first,
+     * up to {@link #MAX_DOUBLINGS} times.
      */
     private static final int BACKOFF_DIVISOR = 16;
 
--- a/src/main/java/cacheproxy/policy/HotKeyTracker.java
+++ b/src/main/java/cacheproxy/policy/HotKeyTracker.java
@@ -11,7 +11,7 @@
 
 /**
  * Counts recent requests for each key and decides over how many servers a hot key is spread. Counts are halved
- * periodically, and a key whose count reaches 0 is forgotten.
+ * periodically, and a key whose count reaches 0 is removed.
  */
 final class HotKeyTracker {
     /** Long enough to detect a hot key at a proxy with a few requests a second. */
--- a/src/main/java/cacheproxy/policy/PendingRequest.java
+++ b/src/main/java/cacheproxy/policy/PendingRequest.java
@@ -85,7 +85,7 @@
         return keyHash;
     }
 
-    /** Sets how hot the request's key is: its recent requests and how many servers it is spread over. */
+    /** Sets the popularity of the request's key: its recent requests and how many servers it is spread over. */
     void setKeyPopularity(int recentRequests, int spread) {
         recentKeyRequests = recentRequests;
         hotKeySpread = spread;
--- a/src/main/java/cacheproxy/policy/PolicyActions.java
+++ b/src/main/java/cacheproxy/policy/PolicyActions.java
@@ -12,14 +12,14 @@
     /**
      * Gives the final response that the request was rejected, after which the client can safely retry.
      *
-     * @param retryAfterMs time after which the client should retry; 0 if the client is told none
+     * @param retryAfterMs time after which the client should retry; 0 if the client gets no such time
      */
     void reject(int requestId, double retryAfterMs);
 
     /** Gives the final response that the request has failed and may have taken effect. */
     void fail(int requestId);
 
-    /** Cancels an attempt; its end is still reported. */
+    /** Stops waiting for an attempt; its end is still reported. */
     void cancelAttempt(int requestId, int attempt);
 
     /** Requests a call of {@link PolicyApi#onTimer} with this token after a delay. Timers cannot be cancelled. */
--- a/src/main/java/cacheproxy/policy/RequestRouter.java
+++ b/src/main/java/cacheproxy/policy/RequestRouter.java
@@ -256,7 +256,7 @@
         switch (originFetches.decide(nowMs, pending, actions)) {
             case SEND -> sender.send(nowMs, pending, origin, actions);
             case GIVE_UP -> giveUp(nowMs, pending, actions);
-            default -> {} // waits
+            default -> {} // the request waits
         }
     }
 
@@ -272,7 +272,10 @@
         }
     }
 
-    /** Resumes the requests that wait for a leader, if its attempt that ended was the fetch that they wait for. */
+    /**
+     * Resumes the requests that wait for a leader, if the attempt of the leader that has ended was the fetch that they
+     * wait for.
+     */
     private void continueWaiters(
             double nowMs, PendingRequest leader, ServerState server, boolean succeeded, PolicyActions actions) {
         if (endpoints.isOrigin(server)) {
--- a/src/main/java/cacheproxy/policy/RoutingPolicy.java
+++ b/src/main/java/cacheproxy/policy/RoutingPolicy.java
@@ -72,7 +72,7 @@
             return;
         }
         if (kind == EndpointListKind.CACHED) {
-            listWatch.cachedListReceived(actions); // even if the list is invalid, as discovery's may be valid
+            listWatch.cachedListReceived(actions); // even if the list is invalid: discovery's list may be valid
         }
         endpointList.update(nowMs, kind, endpoints); // throws for an invalid list, which is not an answer
         if (kind != EndpointListKind.CACHED) {
--- a/src/main/java/cacheproxy/policy/RoutingRequest.java
+++ b/src/main/java/cacheproxy/policy/RoutingRequest.java
@@ -6,7 +6,7 @@
  * @param id unique among all requests; a client's retry has its own id
  * @param serviceClass index of its class in {@link PolicySettings#classes}
  * @param tenant index of its tenant in {@link PolicySettings#tenants}; 0 if there are none
- * @param key key that it reads or writes; 0 if it has none
+ * @param key the key that it reads or writes; 0 if it has none
  * @param deadlineMs when the client stops waiting, on the policy's clock
  * @param costHintMs estimated processing time at a server; NaN if there is no estimate
  * @param valueSizeHint size of the value in bytes; 0 if unknown
--- a/src/main/java/cacheproxy/policy/ServerState.java
+++ b/src/main/java/cacheproxy/policy/ServerState.java
@@ -3,8 +3,8 @@
 import cacheproxy.snapshot.state.LearnedServer;
 
 /**
- * A listed server and its health as this policy has observed it. {@link EndpointList} owns the listing,
- * {@link OutlierEjection} the health.
+ * A listed server and its health as this policy has observed it. {@link EndpointList} updates its entry in the list,
+ * {@link OutlierEjection} its health.
  */
 final class ServerState {
     private final int id;
--- a/src/main/java/cacheproxy/policy/SlowStart.java
+++ b/src/main/java/cacheproxy/policy/SlowStart.java
@@ -16,7 +16,7 @@
     private static final double MAX_OVERLOAD_FACTOR = 1.5;
 
     /**
-     * How many times its fair share of a key's requests a server that is warming up may receive, for the key's first
+     * Multiple of its fair share of a key's requests that a server that is warming up may receive, for the key's first
      * recent request.
      */
     private static final double FIRST_REQUEST_FAIR_SHARES = 3;
--- a/src/main/java/cacheproxy/policy/package-info.java
+++ b/src/main/java/cacheproxy/policy/package-info.java
@@ -8,8 +8,8 @@
  * list, are part of the behavior that tests and the simulator compare.
  *
  * <p>Servers are ranked for a key by CARP (draft-vinod-carp-v1-03, {@link cacheproxy.policy.CarpHash}) or another
- * {@link cacheproxy.placement.Placement}; the highest ranked server receives the request unless one of these classes
- * decides otherwise. Each class owns the state described here:
+ * {@link cacheproxy.placement.Placement}; the highest ranked server receives the request unless one of the following
+ * classes decides otherwise. Each owns the state described for it:
  *
  * <ul>
  *   <li>{@code RequestRouter}: the progress of a request from event to event; {@code PendingRequestTable} holds the
