--- a/src/main/java/cacheproxy/placement/BackupPlacement.java
+++ b/src/main/java/cacheproxy/placement/BackupPlacement.java
@@ -6,19 +6,19 @@
 import java.util.function.IntPredicate;
 
 /**
- * Ranks backup servers behind all others. Backups are used when none of a key's first {@value #ORDINARY_CANDIDATES}
- * ordinary servers can be. Hot keys are not spread over them.
+ * Ranks backup servers after all primary servers. Backups are used when none of a key's first
+ * {@value #PRIMARY_CANDIDATES} primary servers can be used. Hot keys are not spread over backups.
  */
 public final class BackupPlacement implements Placement {
-    /** Ordinary servers that are ranked before the first backup; bounds the cost of a ranking. */
-    static final int ORDINARY_CANDIDATES = 64;
+    /** Number of primary servers that are ranked before the first backup; bounds the cost of a ranking. */
+    static final int PRIMARY_CANDIDATES = 64;
 
     private static final int INITIAL_BACKUPS = 16;
 
     private final Placement primaries;
     private final Placement backups;
 
-    /** Indexes in the whole list, by index among the ordinary servers. */
+    /** Indexes in the whole list, by index among the primary servers. */
     private final int[] primaryIndexes;
 
     /** Indexes in the whole list, by index among the backups. */
@@ -47,9 +47,9 @@
     }
 
     /**
-     * Returns a factory that ranks ordinary servers and backups each by the given factory's placements.
+     * Returns a factory that ranks primary servers and backups each by the given factory's placements.
      *
-     * @param isBackup tells backups by the members' ids
+     * @param isBackup returns whether the member with the given id is a backup
      */
     public static PlacementFactory withBackups(PlacementFactory factory, IntPredicate isBackup) {
         return members -> members.stream().noneMatch(member -> isBackup.test(member.id()))
@@ -64,12 +64,12 @@
 
     @Override
     public int maxRanked(int wanted) {
-        return Math.max(wanted, ORDINARY_CANDIDATES) + wanted;
+        return Math.max(wanted, PRIMARY_CANDIDATES) + wanted;
     }
 
     @Override
     public int rank(long key, int keyHash, int wanted, int[] ranked) {
-        int primaryCount = primaries.rank(key, keyHash, Math.max(wanted, ORDINARY_CANDIDATES), ranked);
+        int primaryCount = primaries.rank(key, keyHash, Math.max(wanted, PRIMARY_CANDIDATES), ranked);
         for (int i = 0; i < primaryCount; i++) {
             ranked[i] = primaryIndexes[ranked[i]];
         }
