--- a/src/main/java/cacheproxy/discovery/DelegatedWatch.java
+++ b/src/main/java/cacheproxy/discovery/DelegatedWatch.java
@@ -7,16 +7,16 @@
 /**
  * Decides whether a proxy long-polls discovery or leaves that to the lease holder of its zone. The lease holder always
  * long-polls, and sends the version of its list to the zone with each heartbeat and whenever the version changes. The
- * other proxies poll when they hear of a newer version, and otherwise only occasionally. When heartbeats stop, every
- * proxy long-polls for itself.
+ * other proxies poll when they are notified of a newer version, and otherwise only occasionally. When heartbeats stop,
+ * every proxy long-polls for itself.
  *
- * <p>How long a list may lag behind discovery's, apart from the time that a poll takes:
+ * <p>Upper bounds on how long the list of a proxy is out of date, not counting the time that a poll takes:
  *
  * <ul>
  *   <li>while heartbeats arrive: the coalescing window;
  *   <li>after one lost heartbeat: one heartbeat interval more;
  *   <li>after the lease holder has failed: one and a half times the heartbeat timeout;
- *   <li>when the lease holder's own long poll is silent, or heartbeats are delayed: the maximum poll interval.
+ *   <li>when the lease holder's long poll has silently failed, or heartbeats are delayed: the maximum poll interval.
  * </ul>
  */
 public final class DelegatedWatch {
@@ -41,7 +41,7 @@
     private double nextCorrectionMs = Double.NEGATIVE_INFINITY;
     private double nextPollMs = Double.POSITIVE_INFINITY;
 
-    /** Creates a watch that long-polls until it hears the first heartbeat. */
+    /** Creates a watch that long-polls until it receives the first heartbeat. */
     public DelegatedWatch(
             LeaseHandle lease, DelegatedWatchTiming timing, SplittableRandom random, DelegatedWatchActions actions) {
         this.lease = lease;
@@ -51,19 +51,19 @@
         timeoutFactor = 1 + TIMEOUT_JITTER * random.nextDouble();
     }
 
-    /** Uses another timing from now on. */
+    /** Replaces the timing. */
     public void updateTiming(DelegatedWatchTiming newTiming) {
         timing = newTiming;
     }
 
-    /** Whether this proxy is to long-poll: it holds the lease, or no valid heartbeat is known. */
+    /** Returns whether this proxy should long-poll, because it holds the lease or because no heartbeat is valid. */
     public boolean shouldLongPoll(double nowMs) {
         return nowMs >= heartbeatValidUntilMs || holdsLease(nowMs);
     }
 
     /**
-     * Reports the version of the list held here after each of discovery's answers. It is lower than before when
-     * discovery has restarted its numbering.
+     * Records the version of this proxy's list; to be called after each response of discovery. The version is lower
+     * than before when discovery has restarted its numbering.
      */
     public void listVersionChanged(double nowMs, long newVersion) {
         if (newVersion != version) {
@@ -74,12 +74,12 @@
         }
     }
 
-    /** The version of the list held here; 0 before the first. */
+    /** Returns the version of this proxy's list; 0 before the first response. */
     public long version() {
         return version;
     }
 
-    /** Handles a message of the proxy with peer ID {@code from}; messages of other leases are ignored. */
+    /** Handles a message from the proxy with peer ID {@code from}; messages about other leases are ignored. */
     public void received(double nowMs, long from, WatchVersionMessage message) {
         if (message.leaseId() != lease.id()) {
             return;
@@ -91,7 +91,7 @@
         }
     }
 
-    /** Our long poll has missed an update, or the message is wrong; a poll tells which. */
+    /** Polls once, because either this proxy's long poll has missed an update or the correction is wrong. */
     private void correctionReceived(double nowMs, WatchVersionMessage message) {
         if (message.version() > version && nowMs >= nextCorrectionMs && holdsLease(nowMs)) {
             nextCorrectionMs = nowMs + timing.heartbeatIntervalMs();
@@ -120,9 +120,9 @@
     }
 
     /**
-     * Does what is due. Call it also when the lease is gained or lost.
+     * Performs the actions that are due. Must also be called when the lease is gained or lost.
      *
-     * @return when to call again at the latest, in milliseconds; infinite if nothing is scheduled
+     * @return the latest time of the next call, in milliseconds; infinite if nothing is scheduled
      */
     public double tick(double nowMs) {
         updatePollingMode(nowMs);
--- a/src/main/java/cacheproxy/discovery/DelegatedWatchActions.java
+++ b/src/main/java/cacheproxy/discovery/DelegatedWatchActions.java
@@ -1,6 +1,6 @@
 package cacheproxy.discovery;
 
-/** What a {@link DelegatedWatch} has its owner do. Called on the thread that calls the watch. */
+/** Actions that a {@link DelegatedWatch} requests from its owner. Called on the thread that calls the watch. */
 public interface DelegatedWatchActions {
     /** Sends a message to all other proxies of the zone. */
     void send(WatchVersionMessage message);
--- a/src/main/java/cacheproxy/discovery/DelegatedWatchTiming.java
+++ b/src/main/java/cacheproxy/discovery/DelegatedWatchTiming.java
@@ -3,13 +3,13 @@
 /**
  * Timing of a {@link DelegatedWatch}, in milliseconds.
  *
- * @param heartbeatIntervalMs between two heartbeats of the lease holder; positive
- * @param heartbeatTimeoutMs for which a heartbeat is valid; each proxy adds up to half as much, so that not all start
- *     long-polling at once. Longer than {@code heartbeatIntervalMs}
+ * @param heartbeatIntervalMs the time between two heartbeats of the lease holder; positive
+ * @param heartbeatTimeoutMs how long a heartbeat is valid, longer than {@code heartbeatIntervalMs}; each proxy adds up
+ *     to half as much at random, so that not all start long-polling at once
  * @param maxPollIntervalMs the longest time between two polls of a proxy that does not long-poll; at least
  *     {@code heartbeatTimeoutMs}
- * @param coalescingWindowMs within which proxies poll after they hear of a newer version, so that several versions in a
- *     row cause one poll; not negative
+ * @param coalescingWindowMs the time within which proxies poll after they are notified of a newer version, so that
+ *     several consecutive versions cause one poll; not negative
  */
 public record DelegatedWatchTiming(
         double heartbeatIntervalMs, double heartbeatTimeoutMs, double maxPollIntervalMs, double coalescingWindowMs) {
--- a/src/main/java/cacheproxy/discovery/DiscoveryPollScheduler.java
+++ b/src/main/java/cacheproxy/discovery/DiscoveryPollScheduler.java
@@ -9,9 +9,9 @@
  * for one long poll that fails silently and for the immediate poll that replaces it: {@link #LONG_POLL_WAIT_MS} plus
  * two response timeouts.
  *
- * <p>Response timeouts grow with the response times observed, as giving up polls that are queued at a slow discovery
- * would only lengthen its queue. Rejected polls are retried with capped exponential backoff and full jitter; the cap
- * grows with the number of clients, which spreads the retries of clients that were rejected together.
+ * <p>Response timeouts grow with the response times observed, because abandoning polls that are queued at a slow
+ * discovery would only lengthen its queue. Rejected polls are retried with capped exponential backoff and full jitter;
+ * the cap grows with the number of clients, which spreads the retries of clients that were rejected together.
  */
 public final class DiscoveryPollScheduler {
     /** The staleness bound: a change of discovery's list is delivered within this time, in milliseconds. */
@@ -31,13 +31,13 @@
 
     /** Response timeout as a multiple of the recent response time. */
     private static final double RESPONSE_TIME_FACTOR = 2;
-    /** Shortest time after its wait for which a poll is protected, see {@link #protectedUntilMs}. */
+    /** Minimum time after the end of its wait for which a poll is protected, see {@link #protectedUntilMs}. */
     private static final double MIN_PROTECTION_MS = 300;
-    /** What remains of the recent response time after each faster response. */
+    /** Factor by which the recent response time decays with each faster response. */
     private static final double RESPONSE_TIME_DECAY = 0.75;
     /** Upper bound of the first retry delay. */
     private static final double INITIAL_RETRY_MS = 250;
-    /** What each client adds to the cap of retry delays. */
+    /** Amount that each client adds to the cap of retry delays. */
     private static final double RETRY_CAP_PER_CLIENT_MS = 25;
 
     private static final int MAX_DOUBLINGS = 10;
@@ -60,10 +60,10 @@
     private double lastSuccessAtMs = Double.NEGATIVE_INFINITY;
 
     /**
-     * Creates a scheduler that polls nothing until {@link #setFollowing}.
+     * Creates a scheduler that schedules no polls until {@link #setFollowing} is called.
      *
-     * @param sharedService whether discovery is one service for all clients; else an agent on this machine, for which
-     *     polls cost nothing
+     * @param sharedService whether discovery is one service for all clients; otherwise it is an agent on this machine,
+     *     to which polls cost nothing
      * @param clientCount how many proxies poll discovery, this one included
      */
     public DiscoveryPollScheduler(boolean sharedService, int clientCount, SplittableRandom random) {
@@ -73,7 +73,7 @@
         this.random = random;
     }
 
-    /** Starts or stops following the list; no effect if it is already as asked. */
+    /** Starts or stops following the list; no effect if it is already in the requested state. */
     public void setFollowing(double nowMs, boolean enabled) {
         if (!enabled) {
             following = false;
@@ -95,15 +95,15 @@
         if (following && enabled && idle) {
             nextPollAtMs = nowMs;
         } else if (!enabled && hasSucceeded && consecutiveFailures == 0 && !immediatePollWanted) {
-            inFlight = false; // discovery need not hold it any longer
+            inFlight = false; // discovery no longer needs to hold the long poll
             nextPollAtMs = NEVER;
         }
     }
 
     /**
-     * Schedules an immediate poll, as the list is known to have changed or the long poll is not trusted. It replaces a
-     * long poll in flight. An immediate poll in flight is left to end and followed by another, so that frequent
-     * requests do not keep each from its response.
+     * Schedules an immediate poll, because the list is known to have changed or the long poll is not trusted. It
+     * replaces a long poll in flight. An immediate poll in flight is allowed to finish and is followed by another one,
+     * so that frequent calls do not prevent every poll from completing.
      */
     public void pollNow(double nowMs) {
         if (following) {
@@ -115,7 +115,7 @@
         }
     }
 
-    /** Discovery has another address: the poll in flight and the failures of the old address are dropped. */
+    /** Handles a change of discovery's address: discards the poll in flight and the failures at the old address. */
     public void addressChanged(double nowMs) {
         consecutiveFailures = 0;
         responseTimeMs = 0;
@@ -125,15 +125,15 @@
         pollNow(nowMs);
     }
 
-    /** When the next poll is due; infinite if none is, or while one is in flight. */
+    /** Returns when the next poll is due; infinite if none is due, or while one is in flight. */
     public double nextPollAtMs() {
         return nextPollAtMs;
     }
 
     /**
-     * Until when the poll in flight should not be replaced because of hints that the list is stale; negative infinity
-     * if none is in flight. Discovery serves its clients in turn, so that a client that gives up a queued poll goes to
-     * the end of the queue or is rejected.
+     * Returns until when the poll in flight should not be replaced because of hints that the list is stale; negative
+     * infinity if none is in flight. Discovery serves its clients in order, so a client that abandons a queued poll
+     * goes to the end of the queue or is rejected.
      */
     public double protectedUntilMs() {
         return inFlight
@@ -141,7 +141,7 @@
                 : Double.NEGATIVE_INFINITY;
     }
 
-    /** Whether a poll is in flight whose result still matters. */
+    /** Returns whether a poll is in flight whose result is still needed. */
     public boolean inFlight() {
         return inFlight;
     }
@@ -159,10 +159,10 @@
         return new DiscoveryPoll(waitMs, waitMs + Math.min(MAX_RESPONSE_TIMEOUT_MS, responseTimeoutMs));
     }
 
-    /** The poll in flight has had a valid response. */
+    /** Records that the poll in flight has received a valid response. */
     public void succeeded(double nowMs) {
         double elapsedMs = nowMs - sentAtMs - waitMs;
-        if (elapsedMs >= 0) { // else a change ended the wait early, and the response time is unknown
+        if (elapsedMs >= 0) { // otherwise a change ended the wait early, and the response time is unknown
             responseTimeMs = Math.max(elapsedMs, responseTimeMs * RESPONSE_TIME_DECAY);
         }
         lastSuccessAtMs = nowMs;
@@ -173,21 +173,21 @@
     }
 
     /**
-     * The poll in flight has failed: connection failure, rejection, timeout or an invalid response.
+     * Records that the poll in flight has failed: connection failure, rejection, timeout or an invalid response.
      *
      * @param silent whether nothing was received until the timeout
      */
     public void failed(double nowMs, boolean silent) {
         inFlight = false;
         consecutiveFailures++;
-        immediatePollWanted = true; // a long poll could not be told from another silent one
+        immediatePollWanted = true; // a long poll that fails silently again would look like one without changes
         nextPollAtMs = following ? nowMs + maxRetryDelayMs(nowMs, silent) * random.nextDouble() : NEVER;
     }
 
     /**
-     * The first silent failure is retried at once: silent polls began at different times at each client. Rejected
-     * clients may all have been rejected together, so they are spread; the time that the failed poll took counts
-     * towards that.
+     * Returns the upper bound of the next retry delay. The first silent failure is retried at once, because the polls
+     * of different clients began at different times. Clients may all have been rejected together, so their retries are
+     * spread; the duration of the failed poll counts towards the delay.
      */
     private double maxRetryDelayMs(double nowMs, boolean silent) {
         double capMs =
@@ -199,12 +199,12 @@
         nextPollAtMs = following && (longPolling || !hasSucceeded || immediatePollWanted) ? nowMs : NEVER;
     }
 
-    /** Failures since the last success. */
+    /** Returns the number of failures since the last success. */
     public int consecutiveFailures() {
         return consecutiveFailures;
     }
 
-    /** Time since the last success in milliseconds; infinite if there has been none. */
+    /** Returns the time since the last success in milliseconds; infinite if there has been none. */
     public double stalenessMs(double nowMs) {
         return nowMs - lastSuccessAtMs;
     }
--- a/src/main/java/cacheproxy/discovery/SilentWatchDetector.java
+++ b/src/main/java/cacheproxy/discovery/SilentWatchDetector.java
@@ -9,18 +9,19 @@
 /**
  * Decides when to poll discovery because the endpoint list may be stale although the long poll reports nothing. A long
  * poll that has silently failed looks like one without changes until its wait is over, and by then a rolling update may
- * have replaced half the fleet. Two signals tell them apart:
+ * have replaced half the fleet. Two signals distinguish the two cases:
  *
  * <ul>
  *   <li>Servers listed as ready refuse connections. Discovery reports within a known delay that a process has ended, so
  *       silence beyond that is suspicious; after refusals by many servers a shorter delay is enough. Each poll that
- *       brings no change of these servers doubles the delay of the next, as a server may stay down and listed.
- *   <li>Another proxy has a newer version ({@link VersionGossip}). Each poll that does not bring it doubles the delay.
- *       After {@link #MAX_POLLS_PER_CLAIM} polls the claim is taken for false, and all claims are ignored for a while.
+ *       brings no change of these servers doubles the delay of the next one, because a server may stay down and listed.
+ *   <li>Another proxy has a newer version ({@link VersionGossip}). Each poll that does not return that version doubles
+ *       the delay. After {@link #MAX_POLLS_PER_CLAIM} polls the claim is considered false, and all claims are ignored
+ *       for a while.
  * </ul>
  *
- * <p>All proxies see the same signals at about the same time; each adds a stagger delay of its own, so that discovery
- * does not get their polls at once. The state is bounded by two entries for each listed server.
+ * <p>All proxies see the same signals at about the same time; each adds a different stagger delay, so that discovery
+ * does not receive all their polls at once. The state is bounded by two entries for each listed server.
  */
 public final class SilentWatchDetector {
     /** Polls for a version that only other proxies claim to have. */
@@ -55,8 +56,9 @@
      * Creates a detector for an empty list.
      *
      * @param reportDelayMs how long discovery may take to report that a process has ended
-     * @param shortReportDelayMs the same if many have ended, or if another proxy has the report
-     * @param staggerMs added to both, a different time at each proxy
+     * @param shortReportDelayMs the delay used instead if many processes have ended, or if another proxy has a newer
+     *     version
+     * @param staggerMs the time that is added to both delays, different at each proxy
      */
     public SilentWatchDetector(double reportDelayMs, double shortReportDelayMs, double staggerMs) {
         this.reportDelayMs = reportDelayMs;
@@ -65,10 +67,10 @@
     }
 
     /**
-     * Discovery has responded.
+     * Handles a response of discovery.
      *
-     * @param version of the list
-     * @param full whether {@code members} is the whole list; else its changes, perhaps none
+     * @param version the version of the list
+     * @param full whether {@code members} is the full list; otherwise it contains the changes, possibly none
      */
     public void listReceived(long version, boolean full, Collection<Endpoint> members) {
         if (version >= claimedVersion) {
@@ -90,7 +92,7 @@
         clearRefusals();
     }
 
-    /** A server has refused a connection. */
+    /** Records that a server has refused a connection. */
     public void connectionRefused(double nowMs, int server) {
         if (readyServers.contains(server) && refusingServers.add(server)) {
             firstRefusalAtMs = Math.min(firstRefusalAtMs, nowMs);
@@ -98,7 +100,7 @@
         }
     }
 
-    /** A server has accepted a connection, so its process runs. */
+    /** Records that a server has accepted a connection, so its process is running. */
     public void connected(int server) {
         if (refusingServers.remove(server)) {
             firstRefusalAtMs = refusingServers.isEmpty() ? NEVER : firstRefusalAtMs;
@@ -106,7 +108,7 @@
         }
     }
 
-    /** Another proxy claims to have a version newer than the one held here. */
+    /** Records that another proxy claims to have a version newer than this proxy's. */
     public void versionClaimed(double nowMs, long version) {
         if (version > claimedVersion && nowMs >= ignoreClaimsUntilMs) {
             claimedVersion = version;
@@ -114,7 +116,7 @@
         }
     }
 
-    /** Forgets the versions that other proxies claim to have, as when discovery restarts its numbering. */
+    /** Forgets the versions that other proxies claim to have, for example when discovery restarts its numbering. */
     public void resetClaims() {
         claimedVersion = Long.MIN_VALUE;
         staleSinceMs = NEVER;
@@ -122,8 +124,8 @@
     }
 
     /**
-     * When to poll if discovery has not responded by then; infinite if there is no reason to. Any call of another
-     * method may move it, either way.
+     * Returns when to poll if discovery has not responded by then; infinite if there is no reason to poll. Calls of
+     * other methods can make this time earlier or later.
      */
     public double nextPollAtMs() {
         double refusalPollMs = Math.min(
@@ -133,7 +135,7 @@
         return Math.min(refusalPollMs, claimPollMs) + staggerMs;
     }
 
-    /** Whether a poll is due now; if so, it is taken to be sent. */
+    /** Returns whether a poll is due now; if so, the caller must send it. */
     public boolean takeDuePoll(double nowMs) {
         if (nowMs < nextPollAtMs()) {
             return false;
--- a/src/main/java/cacheproxy/discovery/VersionGossip.java
+++ b/src/main/java/cacheproxy/discovery/VersionGossip.java
@@ -4,11 +4,12 @@
 
 /**
  * Announces new versions of the endpoint list to the other proxies. A message carries only the version: a proxy that
- * hears of a newer one than its own polls discovery, so a lost, late, duplicated or forged message costs a few polls at
- * most ({@link SilentWatchDetector}).
+ * receives a version newer than its own polls discovery, so a lost, late, duplicated or forged message costs a few
+ * polls at most ({@link SilentWatchDetector}).
  *
- * <p>Each proxy waits for a delay of its own before it announces, and stays silent if two others have announced the
- * same version by then. So a change takes few messages in a fleet of any size, and one of two messages may be lost.
+ * <p>Each proxy waits for a different delay before it announces a version, and sends nothing if two others have
+ * announced the same version by then. So a change takes few messages in a fleet of any size, and one of two messages
+ * can be lost.
  */
 public final class VersionGossip {
     /** Size of a message in bytes: its type and the version. */
@@ -24,18 +25,20 @@
     /** Whether a second peer has announced {@link #newestAnnounced}. */
     private boolean announcedByTwoPeers;
 
-    /** Discovery has delivered a new version: {@link #takeMessage} is to be called after this proxy's delay. */
+    /**
+     * Records that discovery has delivered a new version. {@link #takeMessage} must be called after this proxy's delay.
+     */
     public void versionChanged() {
         announcementPending = true;
     }
 
-    /** Forgets all versions, as discovery restarts its numbering. */
+    /** Forgets all versions, because discovery has restarted its numbering. */
     public void reset() {
         announcementPending = false;
         newestAnnounced = Long.MIN_VALUE;
     }
 
-    /** Another proxy, given by its number, has announced a version. */
+    /** Records that another proxy, identified by its number, has announced a version. */
     public void received(int peer, long version) {
         if (version > newestAnnounced) {
             newestAnnounced = version;
@@ -46,7 +49,7 @@
         }
     }
 
-    /** The message to send to all proxies, given the version held here; null if there is nothing to announce. */
+    /** Returns the message that announces this proxy's version to all proxies; null if there is nothing to announce. */
     public byte[] takeMessage(long version) {
         boolean send = announcementPending && !(announcedByTwoPeers && newestAnnounced == version);
         announcementPending = false;
@@ -58,12 +61,12 @@
                 : null;
     }
 
-    /** Whether a message of another proxy is a version announcement. */
+    /** Returns whether a message from another proxy is a version announcement. */
     public static boolean isVersionMessage(byte[] message) {
         return message.length == MESSAGE_BYTES && message[0] == MESSAGE_TYPE;
     }
 
-    /** The version in a message that {@link #isVersionMessage} accepts. */
+    /** Returns the version in a message that {@link #isVersionMessage} accepts. */
     public static long decodeVersion(byte[] message) {
         return ByteBuffer.wrap(message).getLong(1);
     }
--- a/src/main/java/cacheproxy/discovery/WatchVersionMessage.java
+++ b/src/main/java/cacheproxy/discovery/WatchVersionMessage.java
@@ -7,12 +7,12 @@
  * correction sent to it by a proxy with a newer list. Encoded as {@value #LENGTH_BYTES} bytes in network order: one for
  * the kind, then the other components in their order.
  *
- * @param correction whether this is a correction; else a heartbeat
- * @param leaseId of the lease whose holder long-polls
- * @param epoch of the lease, its fencing token, not negative; 0 in a correction
- * @param sequence number of the heartbeat, not negative, increasing within an epoch so that late and repeated
+ * @param correction whether this is a correction; otherwise it is a heartbeat
+ * @param leaseId the id of the lease whose holder long-polls
+ * @param epoch the epoch of the lease, which is its fencing token, not negative; 0 in a correction
+ * @param sequence the number of the heartbeat, not negative, increasing within an epoch so that late and repeated
  *     heartbeats are recognised; 0 in a correction
- * @param version of the list that the sender has
+ * @param version the version of the sender's list
  */
 public record WatchVersionMessage(boolean correction, long leaseId, long epoch, long sequence, long version) {
     /** Size of an encoded message in bytes. */
@@ -28,7 +28,7 @@
         return new WatchVersionMessage(true, leaseId, 0, 0, version);
     }
 
-    /** The encoded message. */
+    /** Returns the encoded message. */
     public byte[] encode() {
         return ByteBuffer.allocate(LENGTH_BYTES)
                 .put((byte) (correction ? 1 : 0))
