--- a/src/main/java/cacheproxy/fleet/lease/Candidacy.java
+++ b/src/main/java/cacheproxy/fleet/lease/Candidacy.java
@@ -1,8 +1,8 @@
 package cacheproxy.fleet.lease;
 
 /**
- * Whether this process may claim one lease, and under which terms: the configured duration and voters, and whether the
- * process is fit to hold leases.
+ * Whether this process may claim one lease, and how: the configured duration and voters, and whether the process is
+ * eligible to hold leases.
  */
 final class Candidacy {
     private final long selfId;
@@ -30,7 +30,7 @@
     /**
      * Sets the duration to claim.
      *
-     * @throws IllegalArgumentException if it is not from 1 ms to the longest lease; nothing has changed then
+     * @throws IllegalArgumentException if it is not from 1 ms to the longest lease; the previous duration is kept then
      */
     void setLeaseMs(double newLeaseMs) {
         if (!(newLeaseMs >= 1 && newLeaseMs <= timing.maxLeaseMs())) {
@@ -40,7 +40,7 @@
         leaseMs = newLeaseMs;
     }
 
-    /** Who votes, and in which order peers claim the lease. */
+    /** Returns the voters, and the order in which peers claim the lease. */
     VoterSet voterSet() {
         return voterSet;
     }
@@ -48,8 +48,8 @@
     /**
      * Replaces the voters.
      *
-     * <p>If the new list of peers replaces another at once, nothing is claimed until grants of the other list's voters
-     * have expired. While both lists vote this is not needed: any two majorities share a voter.
+     * <p>If the new list of peers replaces another in one step, the lease is not claimed until grants by the other
+     * list's voters have expired. While both lists vote this is not needed, because any two majorities share a voter.
      */
     void setVoterSet(VoterSet newVoterSet, double nowMs) {
         if (!newVoterSet.hasSameVoters(voterSet) && !newVoterSet.isChanging()) {
@@ -58,37 +58,37 @@
         voterSet = newVoterSet;
     }
 
-    /** Whether the configuration has the lease. */
+    /** Returns whether the configuration contains the lease. */
     boolean isConfigured() {
         return configured;
     }
 
-    /** Sets whether the configuration has the lease. */
+    /** Sets whether the configuration contains the lease. */
     void setConfigured(boolean nowConfigured) {
         configured = nowConfigured;
     }
 
-    /** Whether this process is fit to hold leases. */
+    /** Returns whether this process is eligible to hold leases. */
     boolean isEligible() {
         return eligible;
     }
 
-    /** Sets whether this process is fit to hold leases. */
+    /** Sets whether this process is eligible to hold leases. */
     void setEligible(boolean nowEligible) {
         eligible = nowEligible;
     }
 
-    /** Whether the lease may be claimed, now or once grants of former voters have expired. */
+    /** Returns whether the lease may be claimed, now or once grants by former voters have expired. */
     boolean mayClaim() {
         return eligible && configured && voterSet.rank(selfId) != VoterSet.NOT_A_CANDIDATE;
     }
 
-    /** Whether the lease may be claimed now. */
+    /** Returns whether the lease may be claimed now. */
     boolean mayClaimAt(double nowMs) {
         return mayClaim() && nowMs >= claimsFromMs;
     }
 
-    /** When grants of former voters have expired. */
+    /** Returns when grants by former voters have expired. */
     double claimsFromMs() {
         return claimsFromMs;
     }
--- a/src/main/java/cacheproxy/fleet/lease/EventLoopHealth.java
+++ b/src/main/java/cacheproxy/fleet/lease/EventLoopHealth.java
@@ -3,25 +3,25 @@
 import java.util.Arrays;
 
 /**
- * Whether an event loop is punctual enough for its process to hold leases. A loop that is repeatedly late loses leases
- * unexpectedly, and acts late while it holds them.
+ * Decides whether an event loop runs its tasks punctually enough for its process to hold leases. A process whose loop
+ * is repeatedly late loses leases unexpectedly, and acts late while it holds them.
  */
 public final class EventLoopHealth {
     private final double lateThresholdMs;
     private final int maxLateTasks;
     private final double windowMs;
-    /** When the last tasks were late, as a ring whose oldest entry is at {@link #nextIndex}. */
+    /** The times of the last late tasks, as a ring buffer whose oldest entry is at {@link #nextIndex}. */
     private final double[] lateAtMs;
 
     private int nextIndex;
     private double unhealthyUntilMs = Double.NEGATIVE_INFINITY;
 
     /**
-     * Creates a detector that has seen no task.
+     * Creates a detector without recorded tasks.
      *
-     * @param lateThresholdMs a task with at least this delay counts as late, above 0
-     * @param maxLateTasks so many late tasks within the window make the loop unhealthy, at least 1
-     * @param windowMs length of the window, and for how long the loop then counts as unhealthy, above 0
+     * @param lateThresholdMs the delay from which a task counts as late, above 0
+     * @param maxLateTasks the number of late tasks within the window that makes the loop unhealthy, at least 1
+     * @param windowMs the length of the window, and how long the loop then counts as unhealthy, above 0
      * @throws IllegalArgumentException if a parameter is out of its range
      */
     public EventLoopHealth(double lateThresholdMs, int maxLateTasks, double windowMs) {
@@ -36,7 +36,7 @@
         Arrays.fill(lateAtMs, Double.NEGATIVE_INFINITY);
     }
 
-    /** A task of the loop ran {@code lateByMs} after its due time. */
+    /** Records a task of the loop that ran {@code lateByMs} after its due time. */
     public void recordTask(double nowMs, double lateByMs) {
         if (lateByMs < lateThresholdMs) {
             return;
@@ -48,7 +48,7 @@
         }
     }
 
-    /** Whether the process may hold leases, as far as its event loop is concerned. */
+    /** Returns whether the punctuality of the event loop allows the process to hold leases. */
     public boolean isHealthy(double nowMs) {
         return nowMs >= unhealthyUntilMs;
     }
--- a/src/main/java/cacheproxy/fleet/lease/FencingTokenCheck.java
+++ b/src/main/java/cacheproxy/fleet/lease/FencingTokenCheck.java
@@ -3,14 +3,18 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** At the receiver of a holder's actions: rejects actions of an older epoch than the highest that it has seen. */
+/**
+ * Used by the receiver of a lease holder's actions: rejects actions with an epoch older than the highest one received.
+ */
 public final class FencingTokenCheck {
-    /** Leases that are remembered; actions under any further lease are rejected, which bounds the memory. */
+    /**
+     * Maximum number of leases that are tracked; actions under further leases are rejected, which bounds the memory.
+     */
     public static final int MAX_LEASES = 4096;
 
     private final Map<Long, Long> highestEpochs = new HashMap<>();
 
-    /** Whether an action under this epoch may be carried out; if so, older epochs are rejected from now on. */
+    /** Returns whether an action under this epoch may be carried out; if so, older epochs are rejected from now on. */
     public boolean accepts(long leaseId, long epoch) {
         Long highestEpoch = highestEpochs.get(leaseId);
         boolean isTooMany = highestEpoch == null && highestEpochs.size() >= MAX_LEASES;
--- a/src/main/java/cacheproxy/fleet/lease/HeldLease.java
+++ b/src/main/java/cacheproxy/fleet/lease/HeldLease.java
@@ -2,7 +2,10 @@
 
 import java.util.Optional;
 
-/** The grant that a holder acts under: when it expires, until when permitted actions run, and whether it is ending. */
+/**
+ * The grant that a holder acts under: when it expires, until when permitted actions run, and whether its end is
+ * planned.
+ */
 final class HeldLease {
     private final LeaseTiming timing;
     private double untilMs = Double.NEGATIVE_INFINITY;
@@ -13,29 +16,32 @@
         this.timing = timing;
     }
 
-    /** Prolongs the grant; a reply that arrives late never shortens it. */
+    /** Extends the grant; a reply that arrives late never shortens it. */
     void extend(double toMs) {
         untilMs = Math.max(untilMs, toMs);
     }
 
-    /** Plans to give the lease up once the permitted actions are over; the first plan counts. */
+    /** Plans the loss of the lease for when the permitted actions have ended; only the first plan has an effect. */
     void planLoss(LeaseLoss loss) {
         if (plannedLoss == null) {
             plannedLoss = loss;
         }
     }
 
-    /** The planned end; empty while the lease is to be renewed. */
+    /** Returns the planned loss; empty while the lease is to be renewed. */
     Optional<LeaseLoss> plannedLoss() {
         return Optional.ofNullable(plannedLoss);
     }
 
-    /** Whether the lease is to be given up, so that no further action is permitted. */
+    /** Returns whether the loss of the lease is planned, so that no further action is permitted. */
     boolean isEnding() {
         return plannedLoss != null;
     }
 
-    /** Whether an action of this duration may begin now; if so, the lease is not given up before its end. */
+    /**
+     * Returns whether an action of this duration may begin now; if so, the lease is not given up before the action has
+     * ended.
+     */
     boolean permit(double nowMs, double actionMs) {
         if (isEnding() || !timing.permitsAction(nowMs, untilMs, actionMs)) {
             return false;
@@ -44,25 +50,25 @@
         return true;
     }
 
-    /** Whether the grant is over. */
+    /** Returns whether the grant has expired. */
     boolean isExpired(double nowMs) {
         return nowMs >= untilMs;
     }
 
-    /** Whether a planned loss can take place now. */
+    /** Returns whether a planned loss can take effect now. */
     boolean isReadyToEnd(double nowMs) {
         return isEnding() && nowMs >= actionsUntilMs;
     }
 
-    /** The time left of the grant; 0 once it is over. */
+    /** Returns the time left of the grant; 0 once it has expired. */
     double remainingMs(double nowMs) {
         return Math.max(0, untilMs - nowMs);
     }
 
     /**
-     * When the holder has to look at it next.
+     * Returns when the holder must check the grant next.
      *
-     * @param renewAtMs when it is to be renewed unless it is ending
+     * @param renewAtMs when the grant is to be renewed, unless its loss is planned
      */
     double nextMs(double nowMs, double renewAtMs) {
         double changeMs = isEnding() ? Math.max(nowMs, actionsUntilMs) : renewAtMs;
@@ -76,7 +82,7 @@
         plannedLoss = null;
     }
 
-    /** What decides the holder's next step, for a model checker. */
+    /** Returns the state that determines the holder's next step, for a model checker. */
     String fingerprint(double nowMs) {
         return Math.round(Math.max(-1, untilMs - nowMs)) + " " + (plannedLoss == null ? null : plannedLoss.logText());
     }
--- a/src/main/java/cacheproxy/fleet/lease/LeaseCandidate.java
+++ b/src/main/java/cacheproxy/fleet/lease/LeaseCandidate.java
@@ -5,11 +5,11 @@
 import java.util.SplittableRandom;
 
 /**
- * One process's side of one lease, as candidate and as holder.
+ * The state of one lease at one process, as candidate and as holder.
  *
  * <p>A candidate first queries the voters, which changes nothing there, and claims the lease only if a majority would
- * grant it. Voters reject claims while another's grant runs. So a process that comes and goes does not disturb the
- * holder.
+ * grant it. Voters reject claims while the grant of another holder is valid. So a process that repeatedly starts and
+ * stops does not disturb the holder.
  */
 final class LeaseCandidate {
     private enum State {
@@ -33,7 +33,7 @@
     private final VoterRequests requests;
     private final HeldLease held;
     private State state = State.IDLE;
-    /** When the state's timer runs out. */
+    /** When the timer of the current state expires. */
     private double timerMs;
 
     private long epoch;
@@ -53,19 +53,19 @@
         timerMs = nowMs + delays.staggerMs();
     }
 
-    // ---- events from the process: configuration and eligibility
+    // ---- changes of configuration and eligibility
 
     /**
-     * The configuration has the lease, with this duration and these voters. A holder renews its grant among the new
-     * voters; for a candidate see {@link Candidacy#setVoterSet}.
+     * Configures the lease with this duration and these voters. A holder renews its grant with the new voters; for a
+     * candidate see {@link Candidacy#setVoterSet}.
      *
-     * @throws IllegalArgumentException if the duration is out of its range; nothing has changed then
+     * @throws IllegalArgumentException if the duration is out of its range; the previous configuration is kept then
      */
     void configure(double newLeaseMs, VoterSet newVoterSet, double nowMs) {
         candidacy.setLeaseMs(newLeaseMs);
         candidacy.setConfigured(true);
         if (!newVoterSet.hasSameVoters(candidacy.voterSet())) {
-            abandonOpenRequest(nowMs); // its replies are of the former voters
+            abandonOpenRequest(nowMs); // the replies would come from the former voters
         }
         candidacy.setVoterSet(newVoterSet, nowMs);
         if (!candidacy.mayClaim()) {
@@ -75,19 +75,19 @@
         }
     }
 
-    /** The configuration no longer has the lease. */
+    /** Handles the removal of the lease from the configuration. */
     void withdraw(double nowMs) {
         candidacy.setConfigured(false);
         abandonOpenRequest(nowMs);
         scheduleRelease(LeaseLoss.NOT_CONFIGURED);
     }
 
-    /** Whether it is neither configured nor held, and can be forgotten. */
+    /** Returns whether the lease is neither configured nor held, so that this candidate can be removed. */
     boolean isFinished() {
         return !candidacy.isConfigured() && state == State.IDLE;
     }
 
-    /** Sets whether this process may hold leases; one that may not releases its grant and claims nothing. */
+    /** Sets whether this process may hold leases; a process that may not releases its grant and makes no claims. */
     void setEligible(boolean nowEligible, String reason, double nowMs) {
         candidacy.setEligible(nowEligible);
         if (!nowEligible) {
@@ -96,7 +96,7 @@
         }
     }
 
-    /** Releases a held lease as soon as the permitted actions are over. */
+    /** Releases a held lease as soon as the permitted actions have ended. */
     void scheduleRelease(LeaseLoss loss) {
         if (state == State.HOLDING) {
             held.planLoss(loss);
@@ -109,14 +109,14 @@
         }
     }
 
-    // ---- what the process asks
+    // ---- queries
 
     /** See {@link LeaseHandle#permit}. */
     long permit(double nowMs, double actionMs) {
         return state == State.HOLDING && held.permit(nowMs, actionMs) ? epoch : LeaseHandle.NOT_PERMITTED;
     }
 
-    /** Whether this process may act as the holder now. */
+    /** Returns whether this process may act as the holder now. */
     boolean isHolding(double nowMs) {
         return permit(nowMs, 0) >= 0;
     }
@@ -131,24 +131,24 @@
         return isHolding(nowMs) ? selfId : lastKnownHolder;
     }
 
-    /** The ids of the candidates by rank. */
+    /** Returns the ids of the candidates by rank. */
     List<Long> candidateOrder() {
         return candidacy.voterSet().candidateOrder();
     }
 
-    /** The lease as this process sees it. */
+    /** Returns the status of the lease as known to this process. */
     LeaseStatus status(double nowMs) {
         return new LeaseStatus(lease, isHolding(nowMs), epoch, remainingMs(nowMs), holder(nowMs));
     }
 
-    // ---- events of time
+    // ---- timers
 
-    /** When {@link #tick} wants to be called at the latest. */
+    /** Returns the latest time at which {@link #tick} must be called. */
     double nextMs(double nowMs) {
         return state == State.HOLDING ? held.nextMs(nowMs, timerMs) : timerMs;
     }
 
-    /** Does what is due. */
+    /** Performs the steps that are due. */
     void tick(double nowMs) {
         if (state == State.HOLDING) {
             tickHolder(nowMs);
@@ -222,7 +222,7 @@
     private void transferTo(long successor, double nowMs) {
         if (successor != NameHash.NO_ID && successor != selfId) {
             requests.transferTo(successor, epoch);
-            timerMs = nowMs + candidacy.leaseMs(); // time for the successor to claim it
+            timerMs = nowMs + candidacy.leaseMs(); // leaves the successor time to claim the lease
         }
     }
 
@@ -232,18 +232,18 @@
         timerMs = untilMs;
     }
 
-    /** Releases what voters may have granted, as a claim without a majority must not block others. */
+    /** Releases grants that voters may have made, because a claim without a majority must not block others. */
     private void abandonClaim(double nowMs) {
         requests.release(epoch);
         becomeIdle(delays.retryAtMs(nowMs));
     }
 
-    // ---- events from peers
+    // ---- messages from peers
 
     /**
-     * A message to this candidate.
+     * Handles a message to this candidate.
      *
-     * @param wallMs the wall clock, used as a lower bound of new epochs only
+     * @param wallMs the wall clock, used only as a lower bound of new epochs
      */
     void receive(double nowMs, long from, LeaseMessage message, long wallMs) {
         if (message.kind() == Kind.TRANSFER) {
@@ -258,12 +258,15 @@
             case GRANT -> onGrant(nowMs, from, message);
             case REJECT -> onReject(nowMs, from, message);
             default -> {
-                // questions are answered by the voter
+                // the voter replies to requests
             }
         }
     }
 
-    /** The message comes once. Replies to a query that is under way tell of the time before the release. */
+    /**
+     * Starts a query even if one is in flight, because the transfer is sent only once and replies to the query in
+     * flight show the state before the release.
+     */
     private void onTransfer(double nowMs) {
         boolean mayQuery = state == State.IDLE || state == State.QUERYING;
         if (mayQuery && candidacy.mayClaimAt(nowMs)) {
@@ -315,12 +318,12 @@
 
     // ---- for a model checker
 
-    /** Whether a reply with this nonce is awaited. */
+    /** Returns whether a reply with this nonce is awaited. */
     boolean awaits(long nonce) {
         return votes.awaits(nonce);
     }
 
-    /** All that decides the next step. */
+    /** Returns the state that determines the next step. */
     String fingerprint(double nowMs) {
         return state + " " + Math.round(Math.max(-1, timerMs - nowMs)) + " " + votes.fingerprint(nowMs) + " " + epoch
                 + " " + held.fingerprint(nowMs) + " " + candidacy.isEligible();
--- a/src/main/java/cacheproxy/fleet/lease/LeaseHandle.java
+++ b/src/main/java/cacheproxy/fleet/lease/LeaseHandle.java
@@ -3,15 +3,15 @@
 import java.util.List;
 
 /**
- * What users of a lease see of it: whether they may act as its holder, and who may if they may not.
+ * A lease as its users see it: whether they may act as its holder, and otherwise which process may.
  *
  * <p>All times are of the process's monotonic clock in milliseconds.
  */
 public interface LeaseHandle {
-    /** The result of {@link #permit} where the action may not begin. */
+    /** The result of {@link #permit} if the action may not begin. */
     long NOT_PERMITTED = -1;
 
-    /** A lease without holder and candidates. */
+    /** A lease without a holder or candidates. */
     LeaseHandle UNHELD = new LeaseHandle() {
         @Override
         public long permit(double nowMs, double actionMs) {
@@ -40,22 +40,26 @@
     };
 
     /**
-     * Asks for permission to begin a leader action. To be called immediately before each action, never in advance.
+     * Requests permission to begin an action as the holder. Must be called immediately before each action, never in
+     * advance.
      *
-     * @param actionMs how long the action takes at most; the lease is not given up before its end
+     * @param actionMs the longest time that the action can take; the lease is not given up before the action has ended
      * @return the epoch to act under, as fencing token; {@link #NOT_PERMITTED} if the action may not begin
      */
     long permit(double nowMs, double actionMs);
 
-    /** The time left of this process's grant; 0 if it does not hold the lease. */
+    /** Returns the time left of this process's grant; 0 if it does not hold the lease. */
     double remainingMs(double nowMs);
 
-    /** The holder according to the last replies of the voters; {@link NameHash#NOBODY} if none or unknown. */
+    /**
+     * Returns the holder according to the last replies of the voters; {@link NameHash#NO_ID} if there is none or it is
+     * unknown.
+     */
     long holder(double nowMs);
 
-    /** The candidates by rank: whom to ask where the holder is unknown. */
+    /** Returns the candidates by rank, to be contacted if the holder is unknown. */
     List<Long> candidateOrder();
 
-    /** The lease's id, as in messages. */
+    /** Returns the lease's id, as used in messages. */
     long id();
 }
--- a/src/main/java/cacheproxy/fleet/lease/LeaseLossReason.java
+++ b/src/main/java/cacheproxy/fleet/lease/LeaseLossReason.java
@@ -11,7 +11,10 @@
     /** The caller asked for it: the process is not eligible at present, or an operator transfers the lease. */
     REQUESTED;
 
-    /** Whether the holder releases its grant at the voters; one that could not renew it leaves it to expire there. */
+    /**
+     * Returns whether the holder releases its grant at the voters; a holder that could not renew its grant leaves it to
+     * expire there.
+     */
     boolean isReleased() {
         return this != NOT_RENEWED;
     }
--- a/src/main/java/cacheproxy/fleet/lease/LeaseManager.java
+++ b/src/main/java/cacheproxy/fleet/lease/LeaseManager.java
@@ -7,14 +7,14 @@
 import java.util.SplittableRandom;
 
 /**
- * All leases of one process: a {@link LeaseCandidate} for each that it is configured with, and its vote on those of
- * others.
+ * All leases of one process: a {@link LeaseCandidate} for each lease that it is configured with, and the process's
+ * votes as a {@link LeaseVoter}.
  *
- * <p>Not thread-safe. Does no I/O and reads no clock: time and messages are passed in, and what is to be sent goes to a
- * {@link LeaseListener}. Whoever acts under a lease calls {@link #permit} immediately before each action.
+ * <p>Not thread-safe. Does no I/O and reads no clock: time and messages are passed in, and messages to be sent go to a
+ * {@link LeaseListener}. Code that acts under a lease must call {@link #permit} immediately before each action.
  */
 public final class LeaseManager {
-    /** Leases of one process: those of its configuration and the program's own. */
+    /** Maximum number of leases of one process, including those that the program uses internally. */
     public static final int MAX_LEASES = 1400;
 
     private final long selfId;
@@ -26,16 +26,16 @@
     private final LeaseVoter voter;
     private final Map<Long, String> names = new LinkedHashMap<>();
     private final Map<String, LeaseCandidate> candidates = new LinkedHashMap<>();
-    /** Messages to this process's own voter, which are delivered at once and cost no datagram. */
+    /** Messages to this process's own voter, which are delivered directly and not as datagrams. */
     private final List<LeaseMessage> loopback = new ArrayList<>();
 
     private boolean eligible = true;
 
     /**
-     * Creates a process without leases, whose voter is silent at first.
+     * Creates a manager without leases, whose voter is silent at first.
      *
      * @param selfName this process's name among the peers
-     * @param startMs when the process started, by the clock that all times here are of
+     * @param startMs when the process started, by the clock that all times refer to
      */
     public LeaseManager(
             String selfName, LeaseTiming timing, SplittableRandom random, double startMs, LeaseListener listener) {
@@ -48,7 +48,7 @@
     }
 
     /**
-     * Is a candidate for a lease from now on, or continues with another duration or other voters.
+     * Makes this process a candidate for a lease, or continues its candidacy with another duration or other voters.
      *
      * @throws IllegalArgumentException if the duration is out of its range, there are {@value #MAX_LEASES} leases
      *     already, or another lease has the same id
@@ -74,7 +74,7 @@
         candidates.put(lease, candidate);
     }
 
-    /** Is no longer a candidate for a lease; if it is held, it is released once the permitted actions are over. */
+    /** Ends the candidacy for a lease; if the lease is held, it is released once the permitted actions have ended. */
     public void withdraw(String lease, double nowMs) {
         LeaseCandidate candidate = candidates.get(lease);
         if (candidate != null) {
@@ -82,16 +82,16 @@
         }
     }
 
-    /** The candidates for a lease by rank; empty for a lease that this process is not configured with. */
+    /** Returns the candidates for a lease by rank; empty for a lease that this process is not configured with. */
     public List<Long> candidateOrder(String lease) {
         LeaseCandidate candidate = candidates.get(lease);
         return candidate == null ? List.of() : candidate.candidateOrder();
     }
 
     /**
-     * A peer's message.
+     * Handles a message from a peer.
      *
-     * @param wallMs the wall clock, used as a lower bound of new epochs only
+     * @param wallMs the wall clock, used only as a lower bound of new epochs
      */
     public void receive(double nowMs, long from, LeaseMessage message, long wallMs) {
         switch (message.kind()) {
@@ -107,7 +107,7 @@
         deliverToSelf(nowMs, wallMs);
     }
 
-    /** Does what is due; returns when to call again at the latest. */
+    /** Performs the steps that are due; returns the latest time of the next call. */
     public double tick(double nowMs, long wallMs) {
         double nextMs = Double.POSITIVE_INFINITY;
         for (LeaseCandidate candidate : candidates.values()) {
@@ -140,12 +140,14 @@
         return candidate == null ? LeaseHandle.NOT_PERMITTED : candidate.permit(nowMs, actionMs);
     }
 
-    /** The handle of a lease, which stays valid; the process need not be a candidate for it. */
+    /** Returns the handle of a lease. It stays valid, and the process need not be a candidate for the lease. */
     public LeaseHandle handle(String lease) {
         return new NamedLease(lease);
     }
 
-    /** All leases that this process is or was configured with, those that it still holds included. */
+    /**
+     * Returns the status of all leases that this process is configured with, and of removed leases that it still holds.
+     */
     public List<LeaseStatus> statuses(double nowMs) {
         return candidates.values().stream()
                 .map(candidate -> candidate.status(nowMs))
@@ -153,11 +155,11 @@
     }
 
     /**
-     * Releases a lease once the permitted actions are over.
+     * Releases a lease once the permitted actions have ended.
      *
-     * @param to the peer that is asked to claim it; {@link NameHash#NOBODY} if any may
-     * @param reason in words, for the log
-     * @return whether this process holds it
+     * @param to the peer that is asked to claim the lease; {@link NameHash#NO_ID} if any may
+     * @param reason the reason in words, for the log
+     * @return whether this process holds the lease
      */
     public boolean transfer(String lease, long to, double nowMs, String reason) {
         LeaseCandidate candidate = candidates.get(lease);
@@ -169,33 +171,34 @@
     }
 
     /**
-     * Sets whether this process may hold leases; one that may not releases those that it holds and claims none.
+     * Sets whether this process may hold leases; a process that may not releases the leases that it holds and claims
+     * none.
      *
-     * @param reason in words, for the log
+     * @param reason the reason in words, for the log
      */
     public void setEligible(boolean nowEligible, String reason, double nowMs) {
         eligible = nowEligible;
         candidates.values().forEach(candidate -> candidate.setEligible(nowEligible, reason, nowMs));
     }
 
-    /** For a model checker: whether this process's vote keeps all others from a lease. */
+    /** For a model checker: returns whether this process's vote prevents all other peers from gaining a lease. */
     boolean reservesFor(double nowMs, String lease, long peer) {
         return voter.reservesFor(nowMs, NameHash.of(lease), peer);
     }
 
-    /** For a model checker: whether a reply with this nonce is awaited. */
+    /** For a model checker: returns whether a reply with this nonce is awaited. */
     boolean awaits(String lease, long nonce) {
         return candidates.containsKey(lease) && candidates.get(lease).awaits(nonce);
     }
 
-    /** For a model checker: all that decides the next steps. */
+    /** For a model checker: returns the state that determines the next steps. */
     String fingerprint(double nowMs) {
         StringBuilder text = new StringBuilder(voter.fingerprint(nowMs));
         candidates.values().forEach(candidate -> text.append('|').append(candidate.fingerprint(nowMs)));
         return text.toString();
     }
 
-    /** What the candidates report to: keeps messages to this process itself off the network. */
+    /** The listener of the candidates: delivers messages to this process itself without the network. */
     private final class LoopbackListener implements LeaseListener {
         @Override
         public void send(long to, LeaseMessage message) {
--- a/src/main/java/cacheproxy/fleet/lease/LeaseMessage.java
+++ b/src/main/java/cacheproxy/fleet/lease/LeaseMessage.java
@@ -7,19 +7,19 @@
  * network byte order: one for the kind, then the fields in the order of the components.
  *
  * @param leaseId the lease's id, see {@link NameHash#of}
- * @param nonce of the question that this asks or replies to; 0 where no reply is expected
- * @param epoch claimed, granted or released; in STATUS and REJECT the highest that the voter knows of; 0 to
- *     {@link #MAX_EPOCH}
- * @param holder in STATUS and REJECT: the peer that the voter has granted the lease to, {@link NameHash#NOBODY} if that
- *     is nobody or the asking process itself; in QUERY(0), CLAIM and RELEASE the asking process's incarnation; in
+ * @param nonce the nonce of the request that this message is or replies to; 0 if no reply is expected
+ * @param epoch the epoch that is claimed, granted or released; in STATUS and REJECT the highest that the voter knows; 0
+ *     to {@link #MAX_EPOCH}
+ * @param holder in STATUS and REJECT: the peer that the voter has granted the lease to, {@link NameHash#NO_ID} if there
+ *     is none or it is the requesting process itself; in QUERY, CLAIM and RELEASE the sending process's incarnation; in
  *     TRANSFER the former holder
- * @param durationMs in CLAIM and GRANT the duration of the lease; in STATUS and REJECT the time left of the other's
- *     grant
+ * @param durationMs in CLAIM and GRANT the duration of the lease; in STATUS and REJECT the time left of the other
+ *     holder's grant
  */
 public record LeaseMessage(Kind kind, long leaseId, long nonce, long epoch, long holder, int durationMs) {
     /** The length of each message. */
     public static final int LENGTH_BYTES = 37;
-    /** The highest epoch: the largest range of integers that JSON readers keep exactly. */
+    /** The highest epoch: JSON readers represent integers exactly only up to this value. */
     public static final long MAX_EPOCH = 1L << 53;
 
     /** The kinds of message, in the order of their codes on the wire. */
@@ -34,7 +34,7 @@
         GRANT(3),
         /** A voter rejects a claim. */
         REJECT(4),
-        /** The holder, or a candidate whose claim found no majority, gives its grants back. */
+        /** The holder, or a candidate whose claim found no majority, releases its grants. */
         RELEASE(5),
         /** The former holder asks the receiver to claim the lease. */
         TRANSFER(6);
@@ -47,7 +47,7 @@
         }
     }
 
-    /** The bytes of the datagram. */
+    /** Returns the bytes of the datagram. */
     public byte[] encode() {
         return ByteBuffer.allocate(LENGTH_BYTES)
                 .put(kind.code)
@@ -59,7 +59,7 @@
                 .array();
     }
 
-    /** Reads a datagram; null if its length, kind, epoch or duration is invalid. */
+    /** Decodes a datagram; null if its length, kind, epoch or duration is invalid. */
     public static LeaseMessage decode(byte[] bytes) {
         if (bytes.length != LENGTH_BYTES || bytes[0] < 0 || bytes[0] >= Kind.BY_CODE.length) {
             return null;
--- a/src/main/java/cacheproxy/fleet/lease/LeaseTiming.java
+++ b/src/main/java/cacheproxy/fleet/lease/LeaseTiming.java
@@ -5,11 +5,13 @@
  *
  * <p>Each process measures by its own monotonic clock, whose rate differs from true time by at most {@link #maxDrift}
  * either way. A holder counts its lease from when it sent the claim, shortened by the drift; a voter counts its grant
- * from when it received the claim, prolonged by the drift. So in true time the holder's lease ends before the grants,
+ * from when it received the claim, extended by the drift. So in true time the holder's lease ends before the grants,
  * however late messages arrive.
  */
 public class LeaseTiming {
-    /** Clocks of like machines drift by parts in 10,000; this also covers clocks that are being slewed. */
+    /**
+     * Clocks of similar machines drift by some parts in 10,000; this bound also covers clocks that are being slewed.
+     */
     public static final double MAX_CLOCK_DRIFT = 0.01;
 
     private static final double MAX_CONFIGURED_DRIFT = 0.1;
@@ -18,7 +20,7 @@
     private final double maxDrift;
 
     /**
-     * Creates the durations of a fleet.
+     * Creates the timing of a fleet.
      *
      * @param maxLeaseMs the longest lease that any process may claim, the same at all processes; above 0
      * @param maxDrift how far a clock's rate may be off, as a fraction, 0 to 0.1
@@ -42,32 +44,35 @@
         return maxDrift;
     }
 
-    /** How long a voter is silent after its start: grants that it has forgotten expire in the meantime. */
+    /**
+     * Returns how long a voter is silent after its start, so that grants of an earlier process expire in the meantime.
+     */
     public double startupSilenceMs() {
         return maxLeaseMs * (1 + maxDrift);
     }
 
-    /** How long the holder may act, from when it sent the claim. */
+    /** Returns how long the holder may act, from when it sent the claim. */
     public double holderLeaseMs(double leaseMs) {
         return leaseMs * (1 - maxDrift);
     }
 
-    /** How long a voter grants the lease to no other, from when it received the claim. */
+    /** Returns how long a voter grants the lease to no other peer, from when it received the claim. */
     public double voterLeaseMs(double leaseMs) {
         return leaseMs * (1 + maxDrift);
     }
 
     /**
-     * The epoch of a new claim: higher than all that voters have reported.
+     * Returns the epoch of a new claim, which is higher than all that voters have reported.
      *
-     * @param highestEpoch that the voters or this process know of
-     * @param wallMs a lower bound, for voters that have all restarted; has no effect while it is behind
+     * @param highestEpoch the highest epoch that the voters or this process know
+     * @param wallMs a lower bound, needed if all voters have restarted; has no effect while it is not above the highest
+     *     epoch
      */
     public long nextEpoch(long highestEpoch, long wallMs) {
         return Math.max(highestEpoch + 1, wallMs);
     }
 
-    /** Whether an action of this duration, begun now, ends before the lease does. */
+    /** Returns whether an action of this duration that begins now ends before the lease does. */
     public boolean permitsAction(double nowMs, double untilMs, double actionMs) {
         return nowMs + actionMs < untilMs;
     }
--- a/src/main/java/cacheproxy/fleet/lease/LeaseVoter.java
+++ b/src/main/java/cacheproxy/fleet/lease/LeaseVoter.java
@@ -12,7 +12,10 @@
  * expired (PaxosLease).
  */
 public final class LeaseVoter {
-    /** Leases that it can grant; claims on any further one are ignored, so that invented names displace no grant. */
+    /**
+     * Maximum number of leases that are granted; claims for further leases are ignored, so that made-up names displace
+     * no grant.
+     */
     public static final int MAX_LEASES = 4096;
 
     private final LeaseTiming timing;
@@ -21,7 +24,7 @@
 
     private static final class Grant {
         long holder = NameHash.NO_ID;
-        /** Of the holder's process: a later process of the same name is another holder. */
+        /** The incarnation of the holder's process: a later process of the same name is a different holder. */
         long incarnation;
 
         long epoch;
@@ -46,7 +49,7 @@
         silentUntilMs = startMs + timing.startupSilenceMs();
     }
 
-    /** The reply to a peer's query, claim or release; empty if it gets none. */
+    /** Returns the reply to a peer's query, claim or release; empty if there is none. */
     public Optional<LeaseMessage> respond(double nowMs, long from, LeaseMessage message) {
         if (nowMs < silentUntilMs) {
             return Optional.empty();
@@ -104,18 +107,18 @@
                 heldByOther ? (int) Math.min(Integer.MAX_VALUE, Math.ceil(grant.untilMs - nowMs)) : 0);
     }
 
-    /** The number of leases that it has granted at any time. */
+    /** Returns the number of leases that have ever been granted. */
     public int size() {
         return grants.size();
     }
 
-    /** Whether it would grant a lease to nobody but this peer now; so it is too while it is silent. */
+    /** Returns whether no peer but this one can be granted the lease now; also true while the voter is silent. */
     boolean reservesFor(double nowMs, long leaseId, long peer) {
         Grant grant = grants.get(leaseId);
         return nowMs < silentUntilMs || (grant != null && grant.holder == peer && grant.isActive(nowMs));
     }
 
-    /** The whole state in a fixed order, for a model checker. */
+    /** Returns the whole state in a fixed order, for a model checker. */
     String fingerprint(double nowMs) {
         StringBuilder text = new StringBuilder();
         if (nowMs < silentUntilMs) {
--- a/src/main/java/cacheproxy/fleet/lease/ServerReachability.java
+++ b/src/main/java/cacheproxy/fleet/lease/ServerReachability.java
@@ -1,12 +1,12 @@
 package cacheproxy.fleet.lease;
 
 /**
- * Whether a process reaches the cache servers that other processes reach. One that does not can do little under a lease
- * and should release its leases.
+ * Decides whether a process reaches the cache servers that other processes reach. A process that does not can do little
+ * under a lease and should release its leases.
  *
- * <p>Where no process reaches any server, a change of holder would gain nothing, and all keep their leases. Therefore a
- * report of another process counts only if it is so much younger than this process's own last success that the reporter
- * would have noticed a common outage.
+ * <p>If no process reaches any server, a change of holder would gain nothing, and all processes keep their leases.
+ * Therefore a report from another process counts only if it is later than this process's last success by so much that
+ * the reporting process would have noticed a common outage.
  */
 public final class ServerReachability {
     private final double unreachableAfterMs;
@@ -15,10 +15,10 @@
     private double lastRemoteReportMs = Double.NEGATIVE_INFINITY;
 
     /**
-     * Creates a detector that counts as having reached a server now.
+     * Creates a detector that counts {@code nowMs} as the time of the last success.
      *
-     * @param unreachableAfterMs how long without success means that no server is reachable, above 0
-     * @param reportValidMs how long a report of another process counts, above 0
+     * @param unreachableAfterMs the time without a success after which servers count as unreachable, above 0
+     * @param reportValidMs how long a report from another process is valid, above 0
      * @throws IllegalArgumentException if a duration is not above 0
      */
     public ServerReachability(double nowMs, double unreachableAfterMs, double reportValidMs) {
@@ -31,17 +31,17 @@
         lastLocalSuccessMs = nowMs;
     }
 
-    /** Some server is healthy as seen from here, or there is no server at all. */
+    /** Records that this process reaches a healthy server, or that there is no server at all. */
     public void recordLocalSuccess(double nowMs) {
         lastLocalSuccessMs = nowMs;
     }
 
-    /** Another process reports that it reaches a server. */
+    /** Records a report from another process that it reaches a server. */
     public void recordRemoteReport(double nowMs) {
         lastRemoteReportMs = nowMs;
     }
 
-    /** Whether this process may hold leases, as far as servers are concerned. */
+    /** Returns whether the reachability of servers allows this process to hold leases. */
     public boolean isEligible(double nowMs) {
         boolean othersReachServers = lastRemoteReportMs - lastLocalSuccessMs >= unreachableAfterMs
                 && nowMs - lastRemoteReportMs < reportValidMs;
--- a/src/main/java/cacheproxy/fleet/lease/VoteCount.java
+++ b/src/main/java/cacheproxy/fleet/lease/VoteCount.java
@@ -6,9 +6,9 @@
 import java.util.Set;
 import java.util.TreeSet;
 
-/** Counts the voters' replies to the one question of a candidate that is open: a query, a claim or a renewal. */
+/** Counts the voters' replies to a candidate's open request: a query, a claim or a renewal. */
 final class VoteCount {
-    /** The nonce of no question. */
+    /** The nonce while no request is open. */
     private static final long CLOSED = 0;
 
     private final Set<Long> grantedBy = new HashSet<>();
@@ -16,13 +16,13 @@
     private final Map<Long, Long> holderByVoter = new HashMap<>();
     private long nonce = CLOSED;
     private double sentMs;
-    /** In whole milliseconds, as the voters are told: a holder must not count a longer lease than they do. */
+    /** In whole milliseconds, as sent to the voters: a holder must not count a longer lease than they do. */
     private int claimedMs;
 
     private long highestEpoch;
     private double remainingMs;
 
-    /** Opens a question and forgets the votes on the one before. */
+    /** Opens a request and discards the votes on the previous one. */
     void open(long requestNonce, double nowMs, int leaseMs) {
         nonce = requestNonce;
         sentMs = nowMs;
@@ -31,19 +31,22 @@
         rejectedBy.clear();
     }
 
-    /** Forgets what voters have reported; a claim that follows a query builds on its reports. */
+    /**
+     * Discards the voters' reports; to be called before a query only, because a claim that follows a query uses its
+     * reports.
+     */
     void clearReports() {
         highestEpoch = 0;
         remainingMs = 0;
         holderByVoter.clear();
     }
 
-    /** Ignores replies that are still on their way. */
+    /** Closes the open request; replies that are still in flight are ignored. */
     void close() {
         nonce = CLOSED;
     }
 
-    /** Whether this is the nonce of the open question. */
+    /** Returns whether this is the nonce of the open request. */
     boolean awaits(long replyNonce) {
         return replyNonce != CLOSED && replyNonce == nonce;
     }
@@ -71,37 +74,37 @@
         remainingMs = Math.max(remainingMs, status.durationMs());
     }
 
-    /** Whether a majority has granted the question. */
+    /** Returns whether a majority has granted the request. */
     boolean isGranted(VoterSet voterSet) {
         return voterSet.isMajority(grantedBy);
     }
 
-    /** Whether so many voters have rejected the question that no majority can grant it. */
+    /** Returns whether so many voters have rejected the request that no majority can grant it. */
     boolean isRejected(VoterSet voterSet) {
         return voterSet.isBlocking(rejectedBy);
     }
 
-    /** When the question was sent. */
+    /** Returns when the request was sent. */
     double sentMs() {
         return sentMs;
     }
 
-    /** The duration that the open claim asks for. */
+    /** Returns the duration that the open claim requests. */
     int claimedMs() {
         return claimedMs;
     }
 
-    /** The highest epoch that any voter has reported. */
+    /** Returns the highest epoch that any voter has reported. */
     long highestEpoch() {
         return highestEpoch;
     }
 
-    /** The longest time that is left of another's grant at any voter. */
+    /** Returns the longest time left of another holder's grant that any voter has reported. */
     double remainingMs() {
         return remainingMs;
     }
 
-    /** The holder that most voters have named; {@link NameHash#NOBODY} if none has named any. */
+    /** Returns the holder that most voters have reported; {@link NameHash#NO_ID} if none has reported one. */
     long reportedHolder() {
         Map<Long, Integer> counts = new HashMap<>();
         holderByVoter.values().forEach(holder -> counts.merge(holder, 1, Integer::sum));
@@ -111,7 +114,7 @@
                 .orElse(NameHash.NO_ID);
     }
 
-    /** What decides the candidate's next step, for a model checker. */
+    /** Returns the state that determines the candidate's next step, for a model checker. */
     String fingerprint(double nowMs) {
         return (nonce != CLOSED) + " " + Math.round(Math.max(-5000, sentMs - nowMs)) + " " + new TreeSet<>(grantedBy)
                 + new TreeSet<>(rejectedBy) + " " + highestEpoch;
--- a/src/main/java/cacheproxy/fleet/lease/VoterRequests.java
+++ b/src/main/java/cacheproxy/fleet/lease/VoterRequests.java
@@ -3,7 +3,10 @@
 import cacheproxy.fleet.lease.LeaseMessage.Kind;
 import java.util.SplittableRandom;
 
-/** The questions of one candidate to the voters of a lease, of which one is open at a time, and its other messages. */
+/**
+ * Sends the messages of one candidate: its requests to the voters of a lease, of which one is open at a time, releases
+ * and transfers.
+ */
 final class VoterRequests {
     private final long selfId;
     private final long incarnation;
@@ -13,7 +16,7 @@
     private final SplittableRandom random;
     private final LeaseListener listener;
 
-    /** @param votes which counts the replies to the open question */
+    /** @param votes counts the replies to the open request */
     VoterRequests(
             LeaseCandidateConfig config,
             Candidacy candidacy,
@@ -29,7 +32,7 @@
         this.listener = listener;
     }
 
-    /** Asks whether a claim would be granted, which changes nothing at the voters. */
+    /** Asks the voters whether they would grant a claim, which does not change their state. */
     void query(double nowMs) {
         votes.clearReports();
         sendRequest(nowMs, Kind.QUERY, 0, 0);
@@ -46,13 +49,13 @@
         sendToVoters(new LeaseMessage(kind, leaseId, nonce, epoch, incarnation, claimedMs));
     }
 
-    /** Releases what voters may have granted, and ignores replies that are still on their way. */
+    /** Releases grants that voters may have made, and ignores replies that are still in flight. */
     void release(long epoch) {
         votes.close();
         sendToVoters(new LeaseMessage(Kind.RELEASE, leaseId, 0, epoch, incarnation, 0));
     }
 
-    /** Asks a peer to claim the lease; the message is sent once. */
+    /** Asks a peer to claim the lease; the message is sent only once. */
     void transferTo(long successor, long epoch) {
         listener.send(successor, new LeaseMessage(Kind.TRANSFER, leaseId, 0, epoch, selfId, 0));
     }
--- a/src/main/java/cacheproxy/fleet/lease/VoterSet.java
+++ b/src/main/java/cacheproxy/fleet/lease/VoterSet.java
@@ -9,15 +9,16 @@
 import java.util.Set;
 
 /**
- * Who votes on a lease, and the rank of each candidate for it. Both follow from the configured peers by rendezvous
+ * The voters of a lease, and the rank of each candidate for it. Both follow from the configured peers by rendezvous
  * hashing (Thaler and Ravishankar, 1998), so all processes agree on them and the load of many leases is spread.
  *
- * <p>While the list of peers changes, the voters of the old and of the new list count, and a grant needs a majority of
- * both. A process with the old list and one with both share a voter, and so do one with both and one with the new list.
- * Therefore a list is changed in two steps, the second after all processes have taken the first.
+ * <p>While the list of peers is being changed, a grant needs both a majority of the old list's voters and a majority of
+ * the new list's voters. So a majority for a process with the old list and one for a process with both lists share a
+ * voter, and so do majorities for processes with both lists and with the new one. Therefore a list is changed in two
+ * steps, the second after all processes have taken the first.
  */
 public final class VoterSet {
-    /** The {@link #rank} of a peer that is no candidate. */
+    /** The {@link #rank} of a peer that is not a candidate. */
     public static final int NOT_A_CANDIDATE = Integer.MAX_VALUE;
 
     private static final String VOTER_PURPOSE = "vote";
@@ -31,10 +32,10 @@
     /**
      * Chooses the voters of a lease and ranks its candidates.
      *
-     * @param lease its name
+     * @param lease the name of the lease
      * @param peers the names of the candidates, this process's own among them, in any order; not empty
      * @param previousPeers the list that is being replaced; empty if none is
-     * @param maxVoters how many peers vote, an odd number from 1; all where there are fewer
+     * @param maxVoters the number of peers that vote, odd and at least 1; all peers vote if there are fewer
      * @throws IllegalArgumentException if there are no peers or no voters
      */
     public VoterSet(String lease, List<String> peers, List<String> previousPeers, int maxVoters) {
@@ -62,27 +63,27 @@
                 .toList());
     }
 
-    /** Whether the same peers vote, in the current and in the previous list. */
+    /** Returns whether the same peers vote, in the current and in the previous list. */
     boolean hasSameVoters(VoterSet other) {
         return currentVoters.equals(other.currentVoters) && previousVoters.equals(other.previousVoters);
     }
 
-    /** Whether the list of peers is being replaced, so that the voters of two lists count. */
+    /** Returns whether the list of peers is being replaced, so that the voters of two lists count. */
     boolean isChanging() {
         return !previousVoters.isEmpty();
     }
 
-    /** The ids of all voters, each once, in ascending order. */
+    /** Returns the ids of all voters, each once, in ascending order. */
     public List<Long> voters() {
         return voters;
     }
 
-    /** Whether these peers are a majority of the voters; of both lists while there are two. */
+    /** Returns whether these peers include a majority of the voters; of the voters of each list while there are two. */
     public boolean isMajority(Set<Long> peers) {
         return isMoreThanHalf(currentVoters, peers) && (!isChanging() || isMoreThanHalf(previousVoters, peers));
     }
 
-    /** Whether there is no majority without some of these peers. */
+    /** Returns whether every majority includes at least one of these peers. */
     public boolean isBlocking(Set<Long> peers) {
         return isHalf(currentVoters, peers) || (isChanging() && isHalf(previousVoters, peers));
     }
@@ -95,12 +96,12 @@
         return voters.stream().filter(peers::contains).count() * 2 >= voters.size();
     }
 
-    /** A candidate's place in the order, from 0; {@link #NOT_A_CANDIDATE} for a peer that is none. */
+    /** Returns a candidate's place in the order, from 0; {@link #NOT_A_CANDIDATE} for other peers. */
     public int rank(long peer) {
         return ranks.getOrDefault(peer, NOT_A_CANDIDATE);
     }
 
-    /** The ids of the candidates by rank. */
+    /** Returns the ids of the candidates by rank. */
     public List<Long> candidateOrder() {
         return ranks.entrySet().stream()
                 .sorted(Map.Entry.comparingByValue())
