--- a/src/main/java/cacheproxy/fleet/quota/AllocationLedger.java
+++ b/src/main/java/cacheproxy/fleet/quota/AllocationLedger.java
@@ -10,14 +10,14 @@
  *
  * <p>A grant must be covered when it is made: by donations that outlast it, and by the shared pool while the allocator
  * holds the lease. All grants that have not expired count, whether they arrived or not. So all proxies together spend
- * no more than the quota, however many allocators there are and whatever is lost.
+ * no more than the quota, however many allocators there are and whichever messages are lost.
  */
 final class AllocationLedger {
-    /** Requests are forgotten after so many durations of a grant. */
+    /** Requests are removed after this many durations of a grant. */
     private static final double REQUEST_EXPIRY_GRANTS = 2;
     /** A larger grant is sent before the next request if it grows by this fraction of the requested amount. */
     private static final double MIN_INCREASE_FRACTION = 0.02;
-    /** Rounding errors must not turn a whole number into the one below. */
+    /** Tolerance that keeps rounding errors from turning a whole number into the next lower one. */
     private static final double ROUNDING = 1e-6;
 
     private static final double NOT_GRANTED = -1;
@@ -27,7 +27,7 @@
         long incarnation;
         long requestId;
         double receivedMs;
-        /** In reply to this request; {@link #NOT_GRANTED} before the first reply. */
+        /** The amount granted in reply to this request; {@link #NOT_GRANTED} before the first reply. */
         double granted;
     }
 
@@ -50,30 +50,31 @@
     }
 
     /**
-     * Takes over the definition of the quota.
+     * Sets the definition of the quota.
      *
-     * @param newSharedPool what is in nobody's share
+     * @param newSharedPool the part of the quota that is in no proxy's share
      */
     void configure(QuotaSpec newSpec, double newSharedPool) {
         spec = newSpec;
         sharedPool = newSharedPool;
     }
 
-    /** The definition in use. */
+    /** Returns the definition in use. */
     QuotaSpec spec() {
         return spec;
     }
 
     /**
-     * A peer's request. It gives up what it holds beyond this amount.
+     * Records a peer's request. The peer thereby gives up what it holds beyond this amount.
      *
-     * @param incarnation of the peer's process: one that has restarted cannot give up what its predecessor held
+     * @param incarnation the incarnation of the peer's process; a restarted process cannot give up what its predecessor
+     *     held
      */
     void recordRequest(double nowMs, long peer, long incarnation, double amount, long requestId) {
         PendingRequest request = requests.computeIfAbsent(peer, id -> new PendingRequest());
         boolean isSameProcess = request.incarnation == incarnation;
         if (isSameProcess && requestId <= request.requestId) {
-            return; // overtaken by a later one
+            return; // a later request has arrived before this one
         }
         OutstandingAmounts outstanding = grants.get(peer);
         if (outstanding != null && isSameProcess) {
@@ -87,9 +88,9 @@
     }
 
     /**
-     * A peer's donation.
+     * Records a peer's donation.
      *
-     * @param solicitedMs when it was solicited: the donation counts from then
+     * @param solicitedMs when the donation was solicited; its validity is counted from then
      */
     void recordDonation(long peer, double amount, double solicitedMs) {
         donations
@@ -97,7 +98,7 @@
                 .add(Math.min(amount, spec.amount()), solicitedMs + timing.donationUsableMs(spec));
     }
 
-    /** Whether any peer has requested capacity lately. */
+    /** Returns whether any peer has requested capacity recently. */
     boolean isRequested(double nowMs) {
         return requests.values().stream().anyMatch(request -> isRecent(nowMs, request));
     }
@@ -106,7 +107,7 @@
         return nowMs - request.receivedMs <= timing.grantMs() && request.amount > 0;
     }
 
-    /** Forgets what has expired; returns whether nothing is left. */
+    /** Removes all that has expired; returns whether the ledger is empty. */
     boolean removeExpired(double nowMs) {
         donations.values().removeIf(donation -> donation.removeExpired(nowMs));
         grants.values().removeIf(grant -> grant.removeExpired(nowMs));
@@ -114,7 +115,7 @@
         return donations.isEmpty() && grants.isEmpty() && requests.isEmpty();
     }
 
-    /** What covers a grant made now until it expires. */
+    /** Returns the amount that covers grants made now until they expire. */
     private double covered(double nowMs, boolean holdsLease) {
         double untilMs = nowMs + timing.outstandingMs(spec);
         double sum = holdsLease ? sharedPool : 0;
@@ -124,7 +125,7 @@
         return sum;
     }
 
-    /** All grants that have not expired. */
+    /** Returns the sum of all grants that have not expired. */
     double outstanding(double nowMs) {
         double sum = 0;
         for (OutstandingAmounts grant : grants.values()) {
@@ -134,10 +135,10 @@
     }
 
     /**
-     * Grants what is covered by max-min fairness: to each request without a reply, and to each that can get notably
-     * more.
+     * Distributes the covered amount by max-min fairness: makes a grant for each request without a reply, and for each
+     * request that can be granted notably more.
      *
-     * @param holdsLease whether the shared pool may be granted too
+     * @param holdsLease whether the shared pool may be granted as well
      */
     List<Grant> allocate(double nowMs, boolean holdsLease) {
         List<Map.Entry<Long, PendingRequest>> recent = new ArrayList<>();
--- a/src/main/java/cacheproxy/fleet/quota/AllocatorLeases.java
+++ b/src/main/java/cacheproxy/fleet/quota/AllocatorLeases.java
@@ -9,10 +9,10 @@
  * The leases whose holders allocate the quotas, and since when this process holds each. A quota belongs to one lease.
  */
 final class AllocatorLeases {
-    /** Returned where the shared pool is not this process's to grant. */
+    /** Returned if this process may not grant the shared pool. */
     static final long NO_EPOCH = 0;
 
-    /** Spreads ids evenly: 2^64 divided by the golden ratio (Knuth's multiplicative hashing). */
+    /** Distributes ids evenly: 2^64 divided by the golden ratio (Knuth's multiplicative hashing). */
     private static final long HASH_MULTIPLIER = 0x9E3779B97F4A7C15L;
 
     private static final int HASH_SHIFT = 16;
@@ -32,27 +32,27 @@
         this.startMs = startMs;
     }
 
-    /** Takes over the leases, in the same order at all proxies. */
+    /** Sets the leases, which must be in the same order at all proxies. */
     void configure(List<LeaseHandle> newLeases) {
         leases = List.copyOf(newLeases);
     }
 
-    /** The number of leases. */
+    /** Returns the number of leases. */
     int size() {
         return leases.size();
     }
 
-    /** The lease at an index. */
+    /** Returns the lease at an index. */
     LeaseHandle get(int index) {
         return leases.get(index);
     }
 
-    /** The index of the lease that a quota belongs to. */
+    /** Returns the index of the lease that a quota belongs to. */
     int indexOf(long quotaId) {
         return (int) Long.remainderUnsigned((quotaId * HASH_MULTIPLIER) >>> HASH_SHIFT, leases.size());
     }
 
-    /** Notices which leases this process holds. */
+    /** Updates which leases this process holds. */
     void tick(double nowMs) {
         for (int i = 0; i < leases.size(); i++) {
             if (leases.get(i).permit(nowMs, 0) < 0) {
@@ -63,7 +63,9 @@
         }
     }
 
-    /** The epoch under which this process may grant the shared pool of a quota; {@link #NO_EPOCH} if it may not. */
+    /**
+     * Returns the epoch under which this process may grant the shared pool of a quota; {@link #NO_EPOCH} if it may not.
+     */
     long sharedPoolEpoch(QuotaSpec spec, long quotaId, double nowMs) {
         int index = indexOf(quotaId);
         Double sinceMs = heldSinceMs.get(index);
--- a/src/main/java/cacheproxy/fleet/quota/AllocatorSelector.java
+++ b/src/main/java/cacheproxy/fleet/quota/AllocatorSelector.java
@@ -7,13 +7,14 @@
 import java.util.function.LongPredicate;
 
 /**
- * Chooses whom a proxy requests capacity from: the holder of the allocator lease, or the first candidate for it that
- * has not failed to reply lately. Any peer may act as allocator, so a wrong choice costs time and not safety.
+ * Selects the peer that a proxy requests capacity from: the holder of the allocator lease, or the first candidate for
+ * it that has not failed to reply recently. Any peer may act as allocator, so a wrong choice costs time and does not
+ * affect safety.
  */
 final class AllocatorSelector {
-    /** A request without a reply is overdue after this part of the interval of requests. */
+    /** A request without a reply is overdue after this fraction of the request interval. */
     private static final double REPLY_TIMEOUT_INTERVALS = 0.5;
-    /** A peer that did not reply is ejected for so many durations of a grant. */
+    /** A peer that did not reply is ejected for this many durations of a grant. */
     private static final double EJECTION_GRANTS = 3;
 
     private final long selfId;
@@ -24,7 +25,7 @@
     private final Map<Long, Double> ejectedUntilMs = new HashMap<>();
 
     /**
-     * Creates a selector that has heard of nobody.
+     * Creates a selector that has received no messages.
      *
      * @param requests this process's requests for capacity
      * @param isLikelyAlive whether a peer may be alive
@@ -36,16 +37,17 @@
         this.isLikelyAlive = isLikelyAlive;
     }
 
-    /** A peer's message has arrived. */
+    /** Records the arrival of a message from a peer. */
     void recordMessage(long peer, double nowMs) {
         lastMessageMs.put(peer, nowMs);
         ejectedUntilMs.remove(peer);
     }
 
-    /** The peer to request from; this process itself if no other is left. */
+    /** Returns the peer to request from; this process itself if no other peer is available. */
     long select(LeaseHandle lease, double nowMs) {
         long holder = holder(lease, nowMs);
-        // The voters have heard of the holder just now, so a missing reply may have been lost: a short ejection.
+        // The voters have reported this holder recently, so only its reply may have been lost: it is ejected for a
+        // short time.
         if (holder != NameHash.NO_ID && isResponsive(holder, timing.requestIntervalMs(), nowMs)) {
             return holder;
         }
@@ -57,7 +59,10 @@
         return selfId;
     }
 
-    /** The holder of the lease, where no other peer can grant anything. */
+    /**
+     * Returns the holder of the lease, for a quota of which no other peer can grant anything; {@code defaultPeer} if
+     * the holder is unknown.
+     */
     long holderOrElse(LeaseHandle lease, long defaultPeer, double nowMs) {
         long holder = holder(lease, nowMs);
         return holder == NameHash.NO_ID ? defaultPeer : holder;
--- a/src/main/java/cacheproxy/fleet/quota/CapacityRequester.java
+++ b/src/main/java/cacheproxy/fleet/quota/CapacityRequester.java
@@ -26,13 +26,14 @@
         this.sender = sender;
     }
 
-    /** When a request was sent; empty if its reply no longer counts. */
+    /** Returns when and to whom a request was sent; empty if its reply is no longer accepted. */
     Optional<Sent> find(long requestId) {
         return requests.find(requestId);
     }
 
     /**
-     * Sends a request for each quota that needs capacity or holds a grant; one message for each allocator if it fits.
+     * Sends requests for all quotas that need capacity or hold a grant; those to the same allocator are sent in one
+     * message if they fit.
      */
     void sendRequests(Map<Long, LocalQuota> localQuotas, double nowMs) {
         requests.forget(nowMs, context.timing().grantMs());
@@ -53,7 +54,7 @@
     private Map<Long, List<Entry>> entriesByAllocator(Map<Long, LocalQuota> localQuotas, double nowMs) {
         AllocatorLeases leases = context.leases();
         Map<Long, List<Entry>> byAllocator = new LinkedHashMap<>();
-        long[] selected = new long[leases.size()]; // one choice for all quotas of a lease
+        long[] selected = new long[leases.size()]; // one selection for all quotas of a lease
         localQuotas.forEach((id, localQuota) -> {
             double shortfall = localQuota.shortfall(nowMs);
             if (shortfall > 0 || localQuota.holdsGrant(nowMs)) {
--- a/src/main/java/cacheproxy/fleet/quota/DemandEstimator.java
+++ b/src/main/java/cacheproxy/fleet/quota/DemandEstimator.java
@@ -1,21 +1,22 @@
 package cacheproxy.fleet.quota;
 
 /**
- * Estimates the demand of one proxy. The rate is a slow exponential average, unless a fast one differs from it by more
- * than chance explains, or the present pause is longer than chance explains. So it is steady at low rates and follows
- * the begin and end of a burst at once. Concurrency is a decaying maximum.
+ * Estimates the demand of one proxy. The rate is a slow exponential average, unless a fast average differs from it by
+ * more than chance explains, or the time since the last request is longer than chance explains. So the estimate is
+ * steady at low rates and follows the start and the end of a burst immediately. Concurrency is estimated as a decaying
+ * maximum.
  */
 final class DemandEstimator {
     private static final double FAST_AVERAGE_MS = 200;
     private static final double SLOW_AVERAGE_MS = 2000;
     private static final double MS_PER_SECOND = 1000;
-    /** Allows for growth while a request for capacity is under way. */
+    /** Allows for growth while a request for capacity is in flight. */
     private static final double HEADROOM = 1.1;
-    /** The fast average may differ from the slow one by so many standard deviations. */
+    /** The fast average may differ from the slow one by this many standard deviations. */
     private static final double MAX_DEVIATIONS = 2.5;
-    /** A pause may be so many mean intervals long; one of 3,000 pauses is longer by chance. */
+    /** The time between requests may be this many mean intervals; about one in 3,000 is longer by chance. */
     private static final double MAX_IDLE_INTERVALS = 8;
-    /** A smaller maximum has decayed to nothing. */
+    /** A maximum that has decayed below this counts as 0. */
     private static final double MIN_CONCURRENT = 0.5;
 
     private double fastPerSecond;
@@ -35,9 +36,9 @@
     }
 
     /**
-     * A request has arrived, whether it is admitted or not.
+     * Records the arrival of a request, whether it is admitted or not.
      *
-     * @param concurrent how many requests would be under way with it
+     * @param concurrent the number of requests in flight if this one is admitted
      */
     void recordRequest(double nowMs, int concurrent) {
         decay(nowMs);
@@ -47,7 +48,7 @@
         lastRequestMs = nowMs;
     }
 
-    /** The demand in requests per second. */
+    /** Returns the demand in requests per second. */
     double perSecond(double nowMs) {
         decay(nowMs);
         double deviation =
@@ -60,7 +61,7 @@
         return Double.isNaN(lastRequestMs) ? 0 : rate * HEADROOM;
     }
 
-    /** The demand in concurrent requests, a whole number. */
+    /** Returns the demand in concurrent requests, a whole number. */
     double concurrent(double nowMs) {
         decay(nowMs);
         double expected = maxConcurrent * HEADROOM;
--- a/src/main/java/cacheproxy/fleet/quota/DonatedCapacity.java
+++ b/src/main/java/cacheproxy/fleet/quota/DonatedCapacity.java
@@ -3,17 +3,17 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** What a proxy has donated of its share, by allocator. Donations are kept until they expire. */
+/** The capacity that a proxy has donated from its share, by allocator. A donation remains in force until it expires. */
 final class DonatedCapacity {
-    /** Allocators that may hold donations at once; others get none. */
+    /** Maximum number of allocators that hold donations at the same time; others get none. */
     static final int MAX_ALLOCATORS = 4;
 
     private final Map<Long, OutstandingAmounts> byAllocator = new HashMap<>();
 
-    /** All that is donated now. */
+    /** Returns the total amount that is donated now. */
     double total(double nowMs) {
         double sum = 0;
-        if (!byAllocator.isEmpty()) { // no iterator on the path of each request
+        if (!byAllocator.isEmpty()) { // avoids allocating an iterator for each client request
             for (OutstandingAmounts donations : byAllocator.values()) {
                 sum += donations.amountAt(nowMs);
             }
@@ -21,13 +21,13 @@
         return sum;
     }
 
-    /** What is donated to others than this allocator. */
+    /** Returns the amount that is donated to allocators other than this one. */
     double totalExcept(long allocator, double nowMs) {
         OutstandingAmounts donations = byAllocator.get(allocator);
         return total(nowMs) - (donations == null ? 0 : donations.amountAt(nowMs));
     }
 
-    /** Whether this allocator may get a donation; forgets those that have expired. */
+    /** Returns whether this allocator may get a donation; removes expired donations. */
     boolean accepts(long allocator, double nowMs) {
         byAllocator.values().removeIf(donations -> donations.removeExpired(nowMs));
         return byAllocator.containsKey(allocator) || byAllocator.size() < MAX_ALLOCATORS;
--- a/src/main/java/cacheproxy/fleet/quota/LocalQuota.java
+++ b/src/main/java/cacheproxy/fleet/quota/LocalQuota.java
@@ -1,8 +1,8 @@
 package cacheproxy.fleet.quota;
 
 /**
- * One proxy's local quota: its static share, minus donated capacity, plus capacity granted by allocators. A rate is
- * spent through a token bucket.
+ * One proxy's local quota: its static share, minus donated capacity, plus capacity granted by allocators. Rates are
+ * enforced by a token bucket.
  *
  * <p>What may be spent is computed from the clock before each request, so a process that was paused finds its grants
  * expired. Admitting a request allocates no memory.
@@ -12,20 +12,23 @@
     private static final double NEVER_DONATED_FRACTION = 0.02;
     /** Donations below this fraction of the share are not worth a message. */
     private static final double MIN_DONATED_FRACTION = 0.02;
-    /** Requests for more rate than owned are sent from this fraction of the quota. */
+    /** A shortfall of a rate quota is requested only if it exceeds this fraction of the quota. */
     private static final double MIN_REQUESTED_FRACTION = 1e-3;
 
     private static final double MIN_REQUESTED_CONCURRENT = 0.5;
-    /** A demand so many times the last requested amount is requested before its time. */
+    /**
+     * A shortfall that exceeds the last requested amount by this factor is requested before the usual interval has
+     * passed.
+     */
     private static final double URGENT_GROWTH = 1.3;
     /** After this time a request or its reply counts as lost, or its allocator as failed. */
     private static final double REPLY_TIMEOUT_MS = 80;
 
     private static final double MIN_WAIT_MS = 1;
     private static final double MAX_WAIT_MS = 1000;
-    /** The wait for a retry, as a part of the interval of requests for capacity. */
+    /** The interval of requests for capacity divided by this is the wait before a retry. */
     private static final double WAITS_PER_REQUEST_INTERVAL = 4;
-    /** Rounding errors must not turn a whole number into the one below. */
+    /** Tolerance that keeps rounding errors from turning a whole number into the next lower one. */
     private static final double ROUNDING = 1e-6;
 
     private final QuotaTiming timing;
@@ -46,7 +49,7 @@
     /**
      * Creates a quota without a share.
      *
-     * @param startMs when the process started: what an earlier process may have donated is not spent
+     * @param startMs when the process started; capacity that an earlier process may have donated is not spent
      */
     LocalQuota(QuotaSpec spec, QuotaTiming timing, double startMs) {
         this.spec = spec;
@@ -54,25 +57,28 @@
         spendsFromMs = startMs + timing.startupSilenceMs(spec);
     }
 
-    /** Takes over the configuration: a smaller share at once, a larger one after others have given theirs up. */
+    /**
+     * Applies a configuration: a smaller share takes effect immediately, a larger one after other proxies have given up
+     * theirs.
+     */
     void configure(QuotaSpec newSpec, double ownedShare, double nowMs) {
         spec = newSpec;
         share.configure(ownedShare, nowMs + timing.donationWithheldMs(spec));
     }
 
-    /** The definition in use. */
+    /** Returns the definition in use. */
     QuotaSpec spec() {
         return spec;
     }
 
     // ---- capacity
 
-    /** What is left of the own share after donations. */
+    /** Returns the amount that is left of this proxy's share after donations. */
     double owned(double nowMs) {
         return nowMs < spendsFromMs ? 0 : Math.max(0, share.amountAt(nowMs) - donated(nowMs));
     }
 
-    /** What is donated of the own share. */
+    /** Returns the amount that is donated from this proxy's share. */
     double donated(double nowMs) {
         return donated.total(nowMs);
     }
@@ -82,7 +88,7 @@
         return grant.amountAt(nowMs, decays ? QuotaSpec.DECAY_GRANTS * timing.grantMs() : 0);
     }
 
-    /** What may be spent at present: requests per second, or a whole number of concurrent requests. */
+    /** Returns the capacity that may be spent now: requests per second, or a whole number of concurrent requests. */
     public double capacity(double nowMs) {
         double total = owned(nowMs) + granted(nowMs);
         return spec.concurrent() ? Math.floor(total + ROUNDING) : total;
@@ -95,7 +101,7 @@
         }
     }
 
-    /** Refills the bucket. Called so often that little is lost where no request arrives. */
+    /** Refills the bucket. Called frequently, so that few tokens are lost while no requests arrive. */
     void tick(double nowMs) {
         refill(nowMs);
     }
@@ -103,9 +109,10 @@
     // ---- spending
 
     /**
-     * Asks to admit a request, which counts as demand either way.
+     * Requests the admission of a request, which counts as demand whether it is admitted or not.
      *
-     * @return 0 if {@link #consume} may follow at once; else after how many milliseconds a retry may succeed
+     * @return 0 if the request can be admitted by calling {@link #consume} now; otherwise the time in milliseconds
+     *     after which a retry may succeed
      */
     public double admissionWaitMs(double nowMs) {
         demand.recordRequest(nowMs, inUse + 1);
@@ -130,7 +137,7 @@
         }
     }
 
-    /** An admitted request has ended. Has no effect on a rate. */
+    /** Records that an admitted request has ended. Has no effect on a rate quota. */
     public void release() {
         if (spec.concurrent() && inUse > 0) {
             inUse--;
@@ -139,19 +146,19 @@
 
     // ---- demand and donations
 
-    /** What this proxy could use. */
+    /** Returns the capacity that this proxy could use. */
     double demand(double nowMs) {
         return spec.concurrent() ? Math.max(inUse, demand.concurrent(nowMs)) : demand.perSecond(nowMs);
     }
 
-    /** How much more than its own this proxy could use; 0 if that is not worth a request. */
+    /** Returns the capacity that this proxy could use beyond what it owns; 0 if it is too small to be requested. */
     double shortfall(double nowMs) {
         double shortfall = demand(nowMs) - owned(nowMs);
         double minimum = spec.concurrent() ? MIN_REQUESTED_CONCURRENT : MIN_REQUESTED_FRACTION * spec.amount();
         return shortfall > minimum ? Math.min(shortfall, spec.amount()) : 0;
     }
 
-    /** Donates what can be spared to an allocator, and spends none of it until it expires; returns the amount. */
+    /** Donates spare capacity to an allocator, and does not spend it until the donation expires; returns the amount. */
     double donate(long allocator, double nowMs) {
         if (nowMs < spendsFromMs) {
             return 0; // an earlier process may have donated it
@@ -163,13 +170,13 @@
         if (spare <= (spec.concurrent() ? 0 : MIN_DONATED_FRACTION * share.amountAt(nowMs))) {
             return 0;
         }
-        refill(nowMs); // at the rate until now
+        refill(nowMs); // at the rate that was valid until now
         donated.add(allocator, spare, nowMs + timing.donationWithheldMs(spec));
         refill(nowMs);
         return spare;
     }
 
-    /** What can be donated; requests in use beyond the share are covered by grants. */
+    /** Returns the amount that can be donated; requests in flight beyond the share are covered by grants. */
     private double spare(long allocator, double nowMs) {
         double donatedToOthers = donated.totalExcept(allocator, nowMs);
         double kept = Math.max(demand(nowMs), NEVER_DONATED_FRACTION * share.amountAt(nowMs));
@@ -179,30 +186,30 @@
 
     // ---- requests for capacity and grants
 
-    /** Whether it holds a grant that it could give back. */
+    /** Returns whether this proxy holds a grant that it could give back. */
     boolean holdsGrant(double nowMs) {
         return grant.isActive(nowMs);
     }
 
-    /** Whether it holds more than twice what it needs, which others may be waiting for. */
+    /** Returns whether this proxy's grant is more than twice its shortfall; others may be waiting for the excess. */
     boolean holdsExcessGrant(double nowMs) {
         return holdsGrant(nowMs) && shortfall(nowMs) < grant.amount() / 2;
     }
 
-    /** Whether the demand has grown notably since the last request. */
+    /** Returns whether the demand has grown notably since the last request. */
     boolean needsMore(double nowMs) {
         boolean isRecent = nowMs - requests.lastSentMs() <= timing.requestIntervalMs();
         return shortfall(nowMs) > URGENT_GROWTH * (isRecent ? requests.lastAmount() : 0);
     }
 
-    /** Whether the last request is overdue. */
+    /** Returns whether the reply to the last request is overdue. */
     boolean isRequestOverdue(double nowMs) {
         return nowMs - requests.lastSentMs() > REPLY_TIMEOUT_MS
                 && lastReplyMs < requests.lastSentMs()
                 && shortfall(nowMs) > 0;
     }
 
-    /** A request for this amount is sent now; what is granted beyond it is given back. */
+    /** Records that a request for this amount is sent now; a larger grant is reduced to this amount. */
     void recordRequest(double amount, long requestId, double nowMs) {
         requests.add(requestId, amount, nowMs);
         if (grant.amount() > amount) {
@@ -211,9 +218,9 @@
     }
 
     /**
-     * An allocator's reply to a request.
+     * Handles an allocator's reply to a request.
      *
-     * @param requestedMs when the request was sent: the grant counts from then
+     * @param requestedMs when the request was sent; the duration of the grant is counted from then
      */
     void receiveGrant(long allocator, double amount, long requestId, double requestedMs, double nowMs) {
         double limit = requests.smallestAmountSince(requestId);
@@ -226,19 +233,22 @@
     }
 
     private void setGrant(double amount, double untilMs, double nowMs) {
-        refill(nowMs); // at the rate until now
+        refill(nowMs); // at the rate that was valid until now
         grant.set(amount, untilMs);
         refill(nowMs);
     }
 
-    /** An allocator has replied, whatever it granted. */
+    /** Records that an allocator has replied, whatever amount it granted. */
     void recordReply(double nowMs) {
         lastReplyMs = nowMs;
     }
 
     // ---- status
 
-    /** Since when it needs more and no allocator has replied for the duration of a grant; NaN if that is not so. */
+    /**
+     * Returns since when this proxy has been isolated: it needs more capacity, and no allocator has replied for the
+     * duration of a grant. NaN if it is not isolated.
+     */
     double isolatedSinceMs(double nowMs) {
         if (shortfall(nowMs) <= 0 || nowMs - lastReplyMs <= timing.grantMs()) {
             isolatedSinceMs = Double.NaN;
@@ -248,7 +258,7 @@
         return isolatedSinceMs;
     }
 
-    /** The quota as this proxy sees it. */
+    /** Returns the status of the quota at this proxy. */
     QuotaStatus status(double nowMs) {
         return new QuotaStatus(
                 spec,
--- a/src/main/java/cacheproxy/fleet/quota/MaxMinFairness.java
+++ b/src/main/java/cacheproxy/fleet/quota/MaxMinFairness.java
@@ -2,15 +2,15 @@
 
 import java.util.Arrays;
 
-/** Max-min fairness: nobody gets more than requested, and all who get less get the same. */
+/** Max-min fairness: no request gets more than it asks for, and all requests that get less get the same amount. */
 public final class MaxMinFairness {
     private MaxMinFairness() {}
 
     /**
-     * The level at which to cap each request so that all together get no more than there is.
+     * Returns the level at which to cap each request so that all together get no more than the available amount.
      *
-     * @param requested each 0 or more
-     * @param amount what there is
+     * @param requested the requested amounts, each 0 or more
+     * @param amount the available amount
      * @return positive infinity if there is enough for all
      */
     public static double fairLevel(double[] requested, double amount) {
--- a/src/main/java/cacheproxy/fleet/quota/OutstandingAmounts.java
+++ b/src/main/java/cacheproxy/fleet/quota/OutstandingAmounts.java
@@ -1,11 +1,12 @@
 package cacheproxy.fleet.quota;
 
 /**
- * Amounts promised one after another to one peer, each until a time that does not decrease. The largest one that has
- * not expired counts, as the promiser cannot know which of them have arrived.
+ * Amounts that one process has promised to another one after the other, with expiry times that do not decrease. The
+ * largest amount that has not expired counts, because the promising process cannot know which of its messages have
+ * arrived.
  */
 final class OutstandingAmounts {
-    /** Beyond these the two oldest are merged into one. */
+    /** Maximum number of entries; beyond it the two oldest are merged into one. */
     static final int MAX_ENTRIES = 12;
 
     private final double[] amounts = new double[MAX_ENTRIES];
@@ -16,8 +17,8 @@
     /**
      * Creates an empty list.
      *
-     * @param mergeKeepsLarger whether these are promises that this process has to keep, so that merging takes the
-     *     larger amount; else they are promises that it relies on, and merging takes the later one
+     * @param mergeKeepsLarger true for promises that this process has to keep, so that merging keeps the larger amount;
+     *     false for promises that it relies on, so that merging keeps the later, smaller amount
      */
     OutstandingAmounts(boolean mergeKeepsLarger) {
         this.mergeKeepsLarger = mergeKeepsLarger;
@@ -26,11 +27,11 @@
     /**
      * Adds a promise.
      *
-     * @param newUntilMs not before that of any earlier one
+     * @param newUntilMs the expiry time, not before that of any earlier promise
      */
     void add(double amount, double newUntilMs) {
         while (size > 0 && amounts[size - 1] <= amount) {
-            size--; // the new one is no smaller and expires later
+            size--; // the new amount is no smaller and expires no earlier
         }
         if (amount <= 0) {
             return;
@@ -56,7 +57,7 @@
         size -= count;
     }
 
-    /** The largest amount that has not expired at a time; 0 if all have. */
+    /** Returns the largest amount that has not expired at a time; 0 if all have expired. */
     double amountAt(double timeMs) {
         for (int i = 0; i < size; i++) {
             if (untilMs[i] > timeMs) {
@@ -66,7 +67,7 @@
         return 0;
     }
 
-    /** The peer has stated that it uses no more than this. */
+    /** Limits all amounts, because the peer has stated that it uses no more than this. */
     void cap(double limit) {
         int kept = 0;
         for (int i = 0; i < size; i++) {
@@ -83,7 +84,7 @@
         size = kept;
     }
 
-    /** Removes what has expired; returns whether nothing is left. */
+    /** Removes expired amounts; returns whether none is left. */
     boolean removeExpired(double nowMs) {
         int expired = 0;
         while (expired < size && untilMs[expired] <= nowMs) {
--- a/src/main/java/cacheproxy/fleet/quota/OvershootBound.java
+++ b/src/main/java/cacheproxy/fleet/quota/OvershootBound.java
@@ -1,14 +1,14 @@
 package cacheproxy.fleet.quota;
 
-/** Bounds on how far a fleet can exceed a quota, and on how much of it can lie idle. */
+/** Bounds on how far a fleet can exceed a quota, and on how much of a quota can stay unused. */
 public final class OvershootBound {
     private static final double MS_PER_SECOND = 1000;
 
     private OvershootBound() {}
 
     /**
-     * How many requests a fleet can admit beyond its quota in any window, whatever links, processes and allocators do;
-     * of a concurrent quota, how many more can be under way.
+     * Returns how many requests a fleet can admit beyond its quota in any window, whatever failures of links, processes
+     * and allocators occur; for a concurrent quota, how many requests beyond it can be in flight.
      *
      * @param windowMs the length of the window; without effect on a concurrent quota
      */
@@ -23,7 +23,8 @@
     }
 
     /**
-     * The fraction of a quota that can lie idle while so many proxies have failed, or are isolated without requests.
+     * Returns the fraction of a quota that can stay unused while this many proxies have failed, or are isolated and
+     * receive no requests.
      */
     public static double maxIdleFraction(QuotaSpec spec, int proxies, int failedProxies) {
         return Math.min(1, spec.staticShare(proxies) * failedProxies / spec.amount());
--- a/src/main/java/cacheproxy/fleet/quota/QuotaAllocator.java
+++ b/src/main/java/cacheproxy/fleet/quota/QuotaAllocator.java
@@ -11,11 +11,14 @@
 import java.util.Optional;
 import java.util.function.LongPredicate;
 
-/** One proxy as allocator: solicits donations for requested quotas, and grants what its ledgers cover. */
+/**
+ * The allocator role of one proxy: solicits donations for requested quotas, and grants the amounts that its ledgers
+ * cover.
+ */
 final class QuotaAllocator {
-    /** Donations that arrive one after another are granted together. */
+    /** Donations that arrive within this time are granted together. */
     private static final double DONATION_BATCH_MS = 4;
-    /** Each so many solicitations go to all peers, also to those that are thought to have failed. */
+    /** One in this many solicitations goes to all peers, including those that are assumed to have failed. */
     private static final int SOLICITATIONS_PER_BROADCAST = 6;
 
     private final long selfId;
@@ -42,13 +45,14 @@
         this.sender = sender;
     }
 
-    /** Takes over the peers that donations are solicited from, this process among them. */
+    /** Sets the peers that donations are solicited from, including this process. */
     void setPeers(List<Long> newPeers) {
         peers = List.copyOf(newPeers);
     }
 
     /**
-     * Takes over a definition, if there is a ledger of this quota. Other ledgers stay until all in them has expired.
+     * Updates the definition of a quota if there is a ledger for it. Ledgers of other quotas are kept until all their
+     * entries have expired.
      */
     void configure(long quotaId, QuotaSpec spec, double sharedPool) {
         AllocationLedger ledger = ledgers.get(quotaId);
@@ -57,7 +61,7 @@
         }
     }
 
-    /** The ledger of a quota; opened if there is none. */
+    /** Returns the ledger of a quota; creates it if there is none. */
     AllocationLedger ledger(long quotaId, QuotaSpec spec, double sharedPool) {
         AllocationLedger known = ledgers.get(quotaId);
         if (known != null) {
@@ -69,22 +73,25 @@
         return ledger;
     }
 
-    /** Requests have arrived: grants what is covered at the next tick. */
+    /** Schedules an allocation for the next tick, because requests have arrived. */
     void scheduleAllocation(double nowMs) {
         allocateAtMs = Math.min(allocateAtMs, nowMs);
     }
 
-    /** Requests for a quota have arrived that nobody has been asked to donate yet. */
+    /**
+     * Schedules a solicitation for the next tick, because a quota has been requested for which no donations have been
+     * solicited yet.
+     */
     void scheduleSolicitation(double nowMs) {
         solicitAtMs = nowMs;
     }
 
-    /** Forgets solicitations whose donations no longer count. */
+    /** Forgets solicitations whose donations are no longer accepted. */
     void forgetSolicitations(double nowMs) {
         solicitations.forget(nowMs, timing.grantMs());
     }
 
-    /** A donation; ignored if it is to another ledger or its solicitation is forgotten. */
+    /** Handles a donation; ignored if it is for another ledger or its solicitation has been forgotten. */
     void receiveDonation(double nowMs, long from, QuotaMessage donation) {
         Optional<Sent> solicited = solicitations.find(donation.requestId());
         if (donation.ledgerId() != ledgerId || solicited.isEmpty()) {
@@ -99,7 +106,7 @@
         allocateAtMs = Math.min(allocateAtMs, nowMs + DONATION_BATCH_MS);
     }
 
-    /** Does what is due. */
+    /** Performs the steps that are due. */
     void tick(double nowMs) {
         if (nowMs >= solicitAtMs) {
             solicit(nowMs);
@@ -110,7 +117,7 @@
         }
     }
 
-    /** When to call {@link #tick} at the latest. */
+    /** Returns the latest time at which {@link #tick} must be called. */
     double nextMs() {
         return Math.min(solicitAtMs, allocateAtMs);
     }
@@ -138,7 +145,7 @@
         }
     }
 
-    /** Grants of one message: replies to one request, under one epoch. */
+    /** Identifies the grants that are sent in one message: replies to one request, under one epoch. */
     private record GrantKey(long peer, long requestId, long epoch) {}
 
     private void allocate(double nowMs) {
--- a/src/main/java/cacheproxy/fleet/quota/QuotaBatches.java
+++ b/src/main/java/cacheproxy/fleet/quota/QuotaBatches.java
@@ -8,7 +8,10 @@
 final class QuotaBatches {
     private QuotaBatches() {}
 
-    /** The entries in their order, in lists that fit into one message each; none for no entries. */
+    /**
+     * Returns the entries in their order, split into lists that fit into one message each; empty if there are no
+     * entries.
+     */
     static List<List<Entry>> of(List<Entry> entries) {
         List<List<Entry>> batches = new ArrayList<>();
         for (int i = 0; i < entries.size(); i += QuotaMessage.MAX_ENTRIES) {
--- a/src/main/java/cacheproxy/fleet/quota/QuotaManager.java
+++ b/src/main/java/cacheproxy/fleet/quota/QuotaManager.java
@@ -16,22 +16,22 @@
 import java.util.function.LongPredicate;
 
 /**
- * The quotas of a fleet at one of its proxies: what it may spend ({@link LocalQuota}), its requests for more, and its
- * role as allocator for others ({@link QuotaAllocator}).
+ * The quotas of a fleet at one of its proxies: the capacity that the proxy may spend ({@link LocalQuota}), its requests
+ * for more, and its role as allocator for others ({@link QuotaAllocator}).
  *
- * <p>Quotas are spread over some leases. The holder of a quota's lease is asked first, and it alone grants the shared
- * pool. Where it does not reply, the next candidate is asked. Whoever is asked allocates: safety rests on donations and
- * not on there being one allocator. Not thread-safe.
+ * <p>Quotas are distributed over several leases. Requests go to the holder of a quota's lease first, which alone grants
+ * the shared pool. If it does not reply, the next candidate is asked. Any proxy that receives requests acts as
+ * allocator: safety depends on donations and not on there being a single allocator. Not thread-safe.
  */
 public final class QuotaManager {
-    /** Quotas of one configuration. */
+    /** Maximum number of quotas of one configuration. */
     public static final int MAX_QUOTAS = 1000;
 
-    /** Urgent requests are sent at once, but no more often. */
+    /** Minimum interval between urgent requests, which are otherwise sent immediately. */
     private static final double URGENT_INTERVAL_MS = 20;
-    /** All quotas are inspected no more often, however many datagrams arrive. */
+    /** Minimum interval between inspections of all quotas, however many datagrams arrive. */
     private static final double INSPECTION_INTERVAL_MS = 15;
-    /** The interval of requests varies at random between this part of it and the whole. */
+    /** The interval of requests varies at random between this fraction of it and the whole. */
     private static final double MIN_INTERVAL_FRACTION = 0.9;
 
     private static final double RANDOM_INTERVAL_FRACTION = 0.1;
@@ -48,7 +48,7 @@
     private final RemovedQuotas removedQuotas;
     private final FencingTokenCheck fencing = new FencingTokenCheck();
     private final Map<Long, LocalQuota> localQuotas = new LinkedHashMap<>();
-    /** Messages to this process itself, which cost no datagram. */
+    /** Messages to this process itself, which are not sent as datagrams. */
     private final ArrayDeque<QuotaMessage> loopback = new ArrayDeque<>();
 
     private Map<Long, QuotaSpec> specs = Map.of();
@@ -63,11 +63,11 @@
     private long staleGrants;
 
     /**
-     * Creates a proxy without quotas.
+     * Creates a manager without quotas.
      *
      * @param selfId this process's id among the peers
      * @param startMs when the process started
-     * @param isLikelyAlive whether a peer may be alive: a guess that saves time and affects no safety
+     * @param isLikelyAlive whether a peer may be alive: an estimate that saves time and does not affect safety
      */
     public QuotaManager(
             long selfId,
@@ -95,15 +95,16 @@
     // ---- configuration
 
     /**
-     * Takes over a configuration.
+     * Applies a configuration.
      *
      * @param newSpecs the quotas
-     * @param allocatorLeases the leases that the quotas are spread over, the same at all proxies; not empty
-     * @param peers the proxies that share the quotas, this one among them
-     * @param proxyCount into how many shares they are divided: while the list of peers changes, those of both lists
+     * @param allocatorLeases the leases that the quotas are distributed over, the same at all proxies; not empty
+     * @param peers the proxies that share the quotas, including this one
+     * @param proxyCount the number of shares that each quota is divided into; while the list of peers is being changed,
+     *     one for each proxy of either list
      * @param isPeerListChanging whether the list of peers is being changed
-     * @param ownsShare whether this proxy has a share: one that joins has none until the change is over, nor has one
-     *     that leaves
+     * @param ownsShare whether this proxy has a share: a proxy that joins has none until the change is complete, and a
+     *     proxy that leaves has none
      * @throws IllegalArgumentException if there are more than {@value #MAX_QUOTAS} quotas or no leases
      */
     public void configure(
@@ -150,14 +151,14 @@
         });
     }
 
-    /** What this proxy may spend of a quota; null if there is none of this name. */
+    /** Returns this proxy's part of a quota; null if there is no quota of this name. */
     public LocalQuota localQuota(String name) {
         return localQuotas.get(NameHash.of(name));
     }
 
     /**
-     * A request has been rejected. If notably more capacity is needed than was last requested, it is requested soon and
-     * not only after the usual interval.
+     * To be called after a client request has been rejected. If notably more capacity is needed than was last
+     * requested, it is requested soon and not only after the usual interval.
      *
      * @return whether {@link #tick} should be called soon
      */
@@ -168,7 +169,7 @@
 
     // ---- time
 
-    /** Does what is due; returns when to call again at the latest. */
+    /** Performs the steps that are due; returns the latest time of the next call. */
     public double tick(double nowMs) {
         if (nowMs - inspectedMs >= INSPECTION_INTERVAL_MS) {
             inspectedMs = nowMs;
@@ -205,7 +206,7 @@
         }
     }
 
-    /** Receives a peer's message. */
+    /** Handles a message from a peer. */
     public void receive(double nowMs, long from, QuotaMessage message) {
         lastPeerMessageMs = nowMs;
         selector.recordMessage(from, nowMs);
@@ -233,7 +234,7 @@
         for (Entry entry : request.entries()) {
             QuotaSpec spec = specs.get(entry.quotaId());
             if (spec == null) {
-                continue; // the peer has another configuration
+                continue; // the peer has a different configuration
             }
             AllocationLedger ledger =
                     allocator.ledger(entry.quotaId(), spec, spec.sharedPool(proxies, peerListChanging));
@@ -282,19 +283,22 @@
         }
     }
 
-    /** Whether a grant shows that this process is not isolated; its own only if it holds the lease or hears others. */
+    /**
+     * Returns whether a grant shows that this process is not isolated. A grant from itself shows this only if it holds
+     * the lease, has no other peers or has recently received messages from others.
+     */
     private boolean showsContact(long from, QuotaMessage grant, double nowMs) {
         return from != selfId || grant.epoch() > 0 || peerCount < 2 || nowMs - lastPeerMessageMs <= timing.grantMs();
     }
 
     // ---- status
 
-    /** The number of grants that were ignored because of an older epoch. */
+    /** Returns the number of grants that were ignored because of an older epoch. */
     public long staleGrants() {
         return staleGrants;
     }
 
-    /** All quotas of the configuration as this proxy sees them. */
+    /** Returns the status of all configured quotas at this proxy. */
     public List<QuotaStatus> statuses(double nowMs) {
         return localQuotas.values().stream()
                 .map(localQuota -> localQuota.status(nowMs))
--- a/src/main/java/cacheproxy/fleet/quota/QuotaMessage.java
+++ b/src/main/java/cacheproxy/fleet/quota/QuotaMessage.java
@@ -8,28 +8,28 @@
  * A datagram between proxies about quotas, in network byte order: {@value #HEADER_BYTES} bytes with the kind, ledger,
  * request and epoch, then {@value #ENTRY_BYTES} bytes for each entry.
  *
- * @param ledgerId of the allocator: a donation is to one ledger only; in REQUEST the requesting proxy's own, which
- *     tells two incarnations of it apart
- * @param requestId of a request and of the grant that replies to it, or of a solicitation and its donation
- * @param epoch of the lease under which the shared pool is granted; 0 where only donations are
+ * @param ledgerId the id of the allocator's ledger, because a donation is for one ledger only; in REQUEST the id of the
+ *     requesting proxy's own ledger, which distinguishes its incarnations
+ * @param requestId the id of a request and of the grant that replies to it, or of a solicitation and its donation
+ * @param epoch the epoch of the lease under which the shared pool is granted; 0 if only donations are granted
  */
 public record QuotaMessage(Kind kind, long ledgerId, long requestId, long epoch, List<Entry> entries) {
     static final int HEADER_BYTES = 25;
     static final int ENTRY_BYTES = 12;
-    /** As many as fit into a datagram. */
+    /** The maximum number of entries that fit into a datagram. */
     public static final int MAX_ENTRIES = 15;
 
     private static final double MAX_AMOUNT = 1e9;
 
     /** The kinds of message, in the order of their codes on the wire. */
     public enum Kind {
-        /** A proxy asks an allocator for so much more than it owns. */
+        /** A proxy requests these amounts from an allocator, beyond what it owns. */
         REQUEST(0),
-        /** An allocator grants so much more than the receiver owns, counted from its request. */
+        /** An allocator grants these amounts beyond what the receiver owns, with durations counted from its request. */
         GRANT(1),
         /** An allocator asks for donations. */
         SOLICIT(2),
-        /** A proxy does not spend so much of its share. */
+        /** A proxy donates these amounts of its shares, and does not spend them. */
         DONATE(3);
 
         private static final Kind[] BY_CODE = values();
@@ -56,7 +56,7 @@
         }
     }
 
-    /** The bytes of the datagram. */
+    /** Returns the bytes of the datagram. */
     public byte[] encode() {
         ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES + entries.size() * ENTRY_BYTES)
                 .put(kind.code)
@@ -67,13 +67,13 @@
         return buffer.array();
     }
 
-    /** The nearest float that is no larger: an amount is a promise. */
+    /** Returns the nearest float that is not larger, because an amount is a promise. */
     private static float roundDown(double amount) {
         float nearest = (float) amount;
         return nearest > amount ? Math.nextDown(nearest) : nearest;
     }
 
-    /** Reads a datagram; null if its length, kind, epoch or an amount is invalid. */
+    /** Decodes a datagram; null if its length, kind, epoch or an amount is invalid. */
     public static QuotaMessage decode(byte[] bytes) {
         int count = (bytes.length - HEADER_BYTES) / ENTRY_BYTES;
         boolean isLengthValid = bytes.length >= HEADER_BYTES
--- a/src/main/java/cacheproxy/fleet/quota/QuotaMessageSender.java
+++ b/src/main/java/cacheproxy/fleet/quota/QuotaMessageSender.java
@@ -1,6 +1,6 @@
 package cacheproxy.fleet.quota;
 
-/** Receives the messages that a {@link QuotaManager} wants sent. */
+/** Sends the messages of a {@link QuotaManager}. */
 public interface QuotaMessageSender {
     /**
      * Sends a message to a peer. Messages may be lost, delayed or duplicated.
--- a/src/main/java/cacheproxy/fleet/quota/ReceivedGrant.java
+++ b/src/main/java/cacheproxy/fleet/quota/ReceivedGrant.java
@@ -1,6 +1,6 @@
 package cacheproxy.fleet.quota;
 
-/** The grant that a proxy spends beside its own share. */
+/** The grant that a proxy spends in addition to its own share. */
 final class ReceivedGrant {
     private double amount;
     private double untilMs = Double.NEGATIVE_INFINITY;
@@ -8,9 +8,9 @@
     private long newestRequestId = Long.MIN_VALUE;
 
     /**
-     * What may be spent of it now.
+     * Returns the amount that may be spent now.
      *
-     * @param decayMs for how long after its expiry it decays to nothing; 0 if it ends at once
+     * @param decayMs how long the grant takes to decay to 0 after its expiry; 0 if it ends immediately
      */
     double amountAt(double nowMs, double decayMs) {
         if (nowMs < untilMs) {
@@ -19,24 +19,24 @@
         return nowMs < untilMs + decayMs ? amount * (1 - (nowMs - untilMs) / decayMs) : 0;
     }
 
-    /** The amount until the expiry, also after it. */
+    /** Returns the granted amount, even after the grant has expired. */
     double amount() {
         return amount;
     }
 
-    /** When it expires. */
+    /** Returns when the grant expires. */
     double untilMs() {
         return untilMs;
     }
 
-    /** Whether something is granted that could be given back. */
+    /** Returns whether an amount is granted that could be given back. */
     boolean isActive(double nowMs) {
         return amount > 0 && nowMs < untilMs;
     }
 
     /**
-     * Whether a reply replaces this grant. A larger grant of another allocator that still runs is kept: it is covered
-     * there, and that allocator cannot be told.
+     * Returns whether a reply replaces this grant. A larger grant of another allocator that has not expired is kept,
+     * because it is covered there and that allocator cannot be notified.
      */
     boolean isReplacedBy(long newAllocator, long requestId, double newAmount, double nowMs) {
         boolean isOutdated = requestId < newestRequestId || (requestId == newestRequestId && newAmount <= amount);
@@ -44,13 +44,13 @@
         return !isOutdated && !isSmaller;
     }
 
-    /** Remembers whose reply to which request it stems from. */
+    /** Records the allocator and the request that the grant belongs to. */
     void setSource(long newAllocator, long requestId) {
         allocator = newAllocator;
         newestRequestId = requestId;
     }
 
-    /** Sets what may be spent until when. */
+    /** Sets the amount that may be spent, and its expiry time. */
     void set(double newAmount, double newUntilMs) {
         amount = newAmount;
         untilMs = newUntilMs;
--- a/src/main/java/cacheproxy/fleet/quota/RemovedQuotas.java
+++ b/src/main/java/cacheproxy/fleet/quota/RemovedQuotas.java
@@ -3,9 +3,12 @@
 import java.util.HashMap;
 import java.util.Map;
 
-/** When quotas were removed from the configuration: what was donated of them stays donated if they are restored. */
+/**
+ * The times at which quotas were removed from the configuration, because donations of a quota remain in force if it is
+ * restored.
+ */
 final class RemovedQuotas {
-    /** Kept for so many durations of a donation. */
+    /** Removal times are kept for this many durations of a donation. */
     private static final double KEPT_DONATIONS = 2;
 
     private final QuotaTiming timing;
@@ -22,17 +25,17 @@
         removedAtMs.values().removeIf(at -> nowMs - at > keptMs);
     }
 
-    /** Notices the hold time of a quota in use. */
+    /** Records the hold time of a quota in use. */
     void recordInUse(QuotaSpec spec) {
         longestHoldMs = Math.max(longestHoldMs, spec.maxHoldMs());
     }
 
-    /** A quota has been removed, or replaced by one of another kind. */
+    /** Records that a quota has been removed, or replaced by one of another kind. */
     void add(long quotaId, double nowMs) {
         removedAtMs.put(quotaId, nowMs);
     }
 
-    /** When a quota was removed; otherwise if it was not. */
+    /** Returns when a quota was removed; {@code defaultMs} if it was not. */
     double removedAtMs(long quotaId, double defaultMs) {
         return removedAtMs.getOrDefault(quotaId, defaultMs);
     }
--- a/src/main/java/cacheproxy/fleet/quota/RequestHistory.java
+++ b/src/main/java/cacheproxy/fleet/quota/RequestHistory.java
@@ -1,11 +1,11 @@
 package cacheproxy.fleet.quota;
 
 /**
- * The last requests for capacity of one quota, and the amount of each. A proxy that has requested less since gives up
+ * The last requests for capacity of one quota, and the amount of each. A proxy that has later requested less gives up
  * the rest of an earlier grant, so that its allocator can grant it to others.
  */
 final class RequestHistory {
-    /** The result of {@link #smallestAmountSince} for a request that is not known any more. */
+    /** The result of {@link #smallestAmountSince} for a request that is no longer known. */
     static final double UNKNOWN = -1;
 
     private static final int MAX_REQUESTS = 16;
@@ -23,17 +23,19 @@
         count++;
     }
 
-    /** When the last request was sent; negative infinity if there was none. */
+    /** Returns when the last request was sent; negative infinity if there was none. */
     double lastSentMs() {
         return lastSentMs;
     }
 
-    /** The amount of the last request; 0 if there was none. */
+    /** Returns the amount of the last request; 0 if there was none. */
     double lastAmount() {
         return count == 0 ? 0 : amounts[(count - 1) % MAX_REQUESTS];
     }
 
-    /** The smallest amount of this request and of all later ones; {@link #UNKNOWN} if the request is not known. */
+    /**
+     * Returns the smallest amount of this request and of all later ones; {@link #UNKNOWN} if the request is not known.
+     */
     double smallestAmountSince(long requestId) {
         double smallest = UNKNOWN;
         for (int i = Math.max(0, count - MAX_REQUESTS); i < count; i++) {
--- a/src/main/java/cacheproxy/fleet/quota/RequestIds.java
+++ b/src/main/java/cacheproxy/fleet/quota/RequestIds.java
@@ -2,7 +2,7 @@
 
 /** Numbers the requests and solicitations of one process, in ascending order from a random start. */
 final class RequestIds {
-    /** The start leaves room for as many ids as the largest start. */
+    /** Leading bits that are 0 in the random start, which leaves room for as many ids as the largest start. */
     private static final int UNUSED_BITS = 2;
 
     private long last;
@@ -16,7 +16,7 @@
         last = random >>> UNUSED_BITS;
     }
 
-    /** The next id. */
+    /** Returns the next id. */
     long next() {
         return ++last;
     }
--- a/src/main/java/cacheproxy/fleet/quota/SentRequests.java
+++ b/src/main/java/cacheproxy/fleet/quota/SentRequests.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The requests and solicitations whose replies still count, in the order in which they were sent. */
+/** The requests and solicitations whose replies are still accepted, in the order in which they were sent. */
 final class SentRequests {
-    /** Beyond these nothing is sent until older ones are forgotten. */
+    /** Maximum number of entries; beyond it nothing is sent until older ones are forgotten. */
     private static final int MAX_REQUESTS = 4096;
 
     /**
@@ -19,22 +19,22 @@
 
     private final Map<Long, Sent> byId = new LinkedHashMap<>();
 
-    /** Whether no further one can be sent now. */
+    /** Returns whether no further request can be sent now. */
     boolean isFull() {
         return byId.size() >= MAX_REQUESTS;
     }
 
-    /** Adds one. */
+    /** Adds a request. */
     void add(long requestId, Sent sent) {
         byId.put(requestId, sent);
     }
 
-    /** When it was sent and to whom; empty if it is not known any more. */
+    /** Returns when and to whom a request was sent; empty if it is no longer known. */
     Optional<Sent> find(long requestId) {
         return Optional.ofNullable(byId.get(requestId));
     }
 
-    /** When the oldest request to this peer was sent; NaN if there is none. */
+    /** Returns when the oldest request to this peer was sent; NaN if there is none. */
     double oldestSentMs(long peer) {
         for (Sent sent : byId.values()) {
             if (sent.to == peer) {
@@ -44,7 +44,7 @@
         return Double.NaN;
     }
 
-    /** Forgets those of this age. */
+    /** Forgets requests of at least this age. */
     void forget(double nowMs, double ageMs) {
         Iterator<Sent> oldest = byId.values().iterator();
         while (oldest.hasNext() && nowMs - oldest.next().atMs >= ageMs) {
--- a/src/main/java/cacheproxy/fleet/quota/StaticShare.java
+++ b/src/main/java/cacheproxy/fleet/quota/StaticShare.java
@@ -1,6 +1,9 @@
 package cacheproxy.fleet.quota;
 
-/** The share of a quota that a proxy owns. It shrinks at once, and grows after other proxies have given theirs up. */
+/**
+ * The share of a quota that a proxy owns. It decreases immediately, and increases only after other proxies have given
+ * up their part.
+ */
 final class StaticShare {
     private boolean configured;
     private double amount;
@@ -8,9 +11,9 @@
     private double growAtMs = Double.POSITIVE_INFINITY;
 
     /**
-     * Takes another share from the configuration.
+     * Sets the share to that of a new configuration.
      *
-     * @param growableAtMs when the shares that others had before can no longer be spent
+     * @param growableAtMs when the previous shares of other proxies can no longer be spent
      */
     void configure(double newAmount, double growableAtMs) {
         if (!configured || newAmount <= amount) {
@@ -23,7 +26,7 @@
         configured = true;
     }
 
-    /** The share now. */
+    /** Returns the share at a time. */
     double amountAt(double nowMs) {
         if (nowMs >= growAtMs) {
             amount = nextAmount;
--- a/src/main/java/cacheproxy/fleet/quota/TokenBucket.java
+++ b/src/main/java/cacheproxy/fleet/quota/TokenBucket.java
@@ -9,11 +9,11 @@
     private double refilledMs = Double.NaN;
 
     /**
-     * Adds the tokens of the time since the last call. The rate has changed at an unknown time in between, so the
-     * smaller one counts.
+     * Adds the tokens for the time since the last call. The rate has changed at an unknown time in between, so the
+     * lower of the two rates is used.
      *
      * @param newRate tokens per second from now on
-     * @param size the most tokens that are kept
+     * @param size the maximum number of tokens that are kept
      */
     void refill(double nowMs, double newRate, double size) {
         if (!Double.isNaN(refilledMs) && nowMs > refilledMs) {
@@ -24,7 +24,7 @@
         refilledMs = nowMs;
     }
 
-    /** Whether there is a token to take. */
+    /** Returns whether a token is available. */
     boolean hasToken() {
         return tokens >= 1;
     }
@@ -34,12 +34,12 @@
         tokens--;
     }
 
-    /** Tokens per second since the last refill. */
+    /** Returns the tokens per second since the last refill. */
     double rate() {
         return rate;
     }
 
-    /** How long it takes until there is a token, at the present rate, which is above 0. */
+    /** Returns the time until a token is available at the present rate, which must be above 0. */
     double waitMs() {
         return (1 - tokens) / rate * MS_PER_SECOND;
     }
