--- a/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckActions.java
+++ b/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckActions.java
@@ -1,6 +1,6 @@
 package cacheproxy.fleet.healthcheck;
 
-/** What a {@link HealthCheckCoordinator} has done for it: messages, checks and reports. */
+/** Actions that a {@link HealthCheckCoordinator} requests from its owner: messages, checks and reports. */
 public interface HealthCheckActions {
     /** Sends a message to another proxy; it may be lost. */
     void send(long to, HealthCheckMessage message);
@@ -8,10 +8,10 @@
     /**
      * Starts a check of a server from this proxy, whose result goes to {@link HealthCheckCoordinator#finished}.
      *
-     * @return false if the server is not known here
+     * @return false if this proxy does not know the server
      */
     boolean startCheck(int server);
 
-    /** The result of a check that was requested here. */
+    /** Reports the result of a check that this proxy requested. */
     void reportResult(int server, boolean healthy);
 }
--- a/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckCoordinator.java
+++ b/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckCoordinator.java
@@ -10,16 +10,16 @@
 import java.util.List;
 
 /**
- * One proxy's part in the shared health checks: requests those that this proxy wants from the holder of the server's
- * share, makes those that others want from this one, and makes its own where there is no result in time or results of
- * others are unreliable. Times are milliseconds of a monotonic clock. Not thread-safe.
+ * Coordinates the shared health checks at one proxy: requests the checks that this proxy needs from the lease holder of
+ * the server's share, makes checks that other proxies request, and makes a check of its own if no result arrives in
+ * time or the results of others are unreliable. Times are milliseconds of a monotonic clock. Not thread-safe.
  */
 public final class HealthCheckCoordinator {
-    /** Checks that run at once for others. */
+    /** Maximum number of running checks, beyond which no check is started for other proxies. */
     public static final int MAX_RUNNING = 64;
-    /** Servers whose results, own or reported, are remembered. */
+    /** Maximum number of servers whose results, local or reported, are kept. */
     public static final int MAX_REMEMBERED = 4096;
-    /** Fibonacci hashing: 2 to the 32nd over the golden ratio, so that neighbouring ids are in different shares. */
+    /** Fibonacci hashing: 2^32 divided by the golden ratio, so that neighbouring ids are in different shares. */
     private static final int SHARE_MULTIPLIER = 0x9E3779B9;
 
     private static final int SHARE_SHIFT = 8;
@@ -41,7 +41,7 @@
     private long staleEpochResults;
 
     /**
-     * A coordinator without checks.
+     * Creates a coordinator without checks.
      *
      * @param ownId this proxy's id
      * @param firstRequestNumber where request numbers begin; random, so that a restarted process does not repeat them
@@ -59,13 +59,13 @@
         update(timing, shares);
     }
 
-    /** Replaces the times and the shares. */
+    /** Replaces the timing and the shares. */
     public void update(HealthCheckTiming newTiming, List<LeaseHandle> newShares) {
         timing = newTiming;
         shares = List.copyOf(newShares);
     }
 
-    /** The share of a server, 0 to {@code shares - 1}, the same at all proxies. */
+    /** Returns the share of a server, 0 to {@code shares - 1}, the same at all proxies. */
     public static int shareOf(int server, int shares) {
         return Math.floorMod((server * SHARE_MULTIPLIER) >>> SHARE_SHIFT, shares);
     }
@@ -74,11 +74,11 @@
         return shares.get(shareOf(server, shares.size()));
     }
 
-    // ---- checks that this proxy wants
+    // ---- checks that this proxy needs
 
     /**
-     * This proxy wants a check of a server. {@link HealthCheckActions#report} follows once, at the latest when a check
-     * of this proxy, begun after the result timeout, has ended.
+     * Requests a check of a server for this proxy. {@link HealthCheckActions#reportResult} is called once, at the
+     * latest when a check that this proxy makes after the result timeout has ended.
      */
     public void request(double nowMs, int server) {
         if (pending.contains(server)) {
@@ -96,7 +96,7 @@
         actions.send(receiver, HealthCheckMessage.request(lease.id(), server, requestNumber));
     }
 
-    /** The lease holder; where it is not known the first other candidate. */
+    /** Returns the lease holder, or the first other candidate if the holder is not known. */
     private long receiverOfRequest(double nowMs, LeaseHandle lease) {
         if (holdsForCheck(nowMs, lease)) {
             return ownId;
@@ -111,7 +111,7 @@
                 .orElse(NameHash.NO_ID);
     }
 
-    /** Whether this proxy holds the lease for as long as a check takes. */
+    /** Returns whether this proxy holds the lease for as long as a check takes. */
     private boolean holdsForCheck(double nowMs, LeaseHandle lease) {
         return lease.permit(nowMs, timing.checkTimeoutMs()) > LeaseHandle.NOT_PERMITTED;
     }
@@ -138,7 +138,7 @@
 
     // ---- messages
 
-    /** Takes a message of another proxy. */
+    /** Handles a message from another proxy. */
     public void receive(double nowMs, long from, HealthCheckMessage message) {
         switch (message.kind()) {
             case REQUEST -> receiveRequest(nowMs, from, message);
@@ -150,7 +150,7 @@
     private void receiveRequest(double nowMs, long from, HealthCheckMessage request) {
         LeaseHandle lease = leaseOf(request.server());
         if (lease.id() != request.leaseId()) {
-            return; // the sender has another number of shares; it will check by itself
+            return; // the sender has a different number of shares; it will make its own check
         }
         if (!holdsForCheck(nowMs, lease)) {
             long holder = lease.holder(nowMs);
@@ -173,7 +173,7 @@
         }
     }
 
-    /** Null if no further check may run, or the server is not known here. */
+    /** Returns the new check; null if no further check may run or this proxy does not know the server. */
     private RunningCheck startForOthers(double nowMs, int server) {
         RunningCheck check = running.begin(server, nowMs, timing.checkTimeoutMs());
         if (running.size() > MAX_RUNNING || !actions.startCheck(server)) {
@@ -242,7 +242,7 @@
 
     // ---- checks that this proxy makes
 
-    /** A check of this proxy has ended; one that is not running is ignored. */
+    /** Records that a check of this proxy has ended; ignored if no check of the server is running. */
     public void finished(double nowMs, int server, boolean healthy) {
         RunningCheck check = running.remove(server);
         if (check == null) {
@@ -256,12 +256,15 @@
         }
     }
 
-    /** A check of this proxy cannot be made after all: there is no result, and those that wait for it time out. */
+    /**
+     * Discards a check of this proxy that could not be made. It has no result, and the requests that wait for it time
+     * out.
+     */
     public void abandon(int server) {
         running.remove(server);
     }
 
-    /** Makes the checks whose results did not come in time; returns when to call it again, at the latest. */
+    /** Makes the checks whose results did not arrive in time; returns the latest time of the next call. */
     public double tick(double nowMs) {
         List<Integer> expired = pending.expired(nowMs);
         expired.forEach(server -> checkLocally(nowMs, server));
@@ -270,7 +273,7 @@
         return nextMs;
     }
 
-    /** Counts since the start. */
+    /** Returns the counts since the start. */
     public HealthCheckCounts counts() {
         return new HealthCheckCounts(ownChecks, checksForOthers, reportedResults, lateResults, staleEpochResults);
     }
--- a/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckMessage.java
+++ b/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckMessage.java
@@ -3,15 +3,15 @@
 import java.nio.ByteBuffer;
 
 /**
- * A message on the health check of a server: {@value #MESSAGE_BYTES} bytes, in the order of the components and in
+ * A message about the health check of a server: {@value #MESSAGE_BYTES} bytes, in the order of the components and in
  * network byte order, the same layout for all kinds. Fields that a kind does not use are 0.
  *
- * @param kind what it asks or answers
+ * @param kind the kind of request or reply
  * @param leaseId the lease of the server's share
  * @param server the server's id
- * @param requestNumber of the request that this is or answers
+ * @param requestNumber the number of the request that this message is or replies to
  * @param epoch in a result: the epoch of the lease, not negative
- * @param leaseHolder in a redirect: the proxy to ask instead; 0 if it is not known
+ * @param leaseHolder in a redirect: the proxy to send the request to instead; 0 if it is not known
  * @param healthy in a result: whether the server answered
  * @param ageMs in a result: time since the check, not negative
  */
@@ -27,12 +27,15 @@
     /** Bytes of each message. */
     public static final int MESSAGE_BYTES = 42;
 
-    /** Asks for a check of a server. */
+    /** Creates a request for a check of a server. */
     static HealthCheckMessage request(long leaseId, int server, long requestNumber) {
         return new HealthCheckMessage(HealthCheckMessageKind.REQUEST, leaseId, server, requestNumber, 0, 0, false, 0);
     }
 
-    /** Points a request to the lease holder, or with holder 0 back to its sender's own check. */
+    /**
+     * Creates a reply that redirects a request to the lease holder; if the holder is 0, the requesting proxy makes its
+     * own check.
+     */
     static HealthCheckMessage redirect(HealthCheckMessage request, long leaseHolder) {
         return new HealthCheckMessage(
                 HealthCheckMessageKind.REDIRECT,
@@ -45,7 +48,7 @@
                 0);
     }
 
-    /** The message's bytes. */
+    /** Returns the encoded message. */
     public byte[] encode() {
         return ByteBuffer.allocate(MESSAGE_BYTES)
                 .put(kind.wireCode())
@@ -59,7 +62,7 @@
                 .array();
     }
 
-    /** The message that these bytes are; null if they are malformed. */
+    /** Decodes a message; null if the bytes are malformed. */
     public static HealthCheckMessage decode(byte[] bytes) {
         if (bytes.length != MESSAGE_BYTES) {
             return null;
--- a/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckMessageKind.java
+++ b/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckMessageKind.java
@@ -17,12 +17,12 @@
         this.wireCode = (byte) wireCode;
     }
 
-    /** The first byte of a message of this kind. */
+    /** Returns the first byte of a message of this kind. */
     byte wireCode() {
         return wireCode;
     }
 
-    /** The kind of a message with this first byte; null if there is none. */
+    /** Returns the kind of a message with this first byte; null if there is none. */
     static HealthCheckMessageKind fromWireCode(byte wireCode) {
         return wireCode >= 0 && wireCode < BY_WIRE_CODE.length ? BY_WIRE_CODE[wireCode] : null;
     }
--- a/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckTiming.java
+++ b/src/main/java/cacheproxy/fleet/healthcheck/HealthCheckTiming.java
@@ -1,18 +1,20 @@
 package cacheproxy.fleet.healthcheck;
 
 /**
- * Times of shared health checks, in milliseconds.
+ * Timing of shared health checks, in milliseconds.
  *
- * @param checkTimeoutMs the longest that a check takes
- * @param resultTimeoutMs wait for another proxy's result before a proxy checks by itself; longer than a check
- * @param reuseMs age up to which a result is sent to others without another check
+ * @param checkTimeoutMs the longest time that a check takes
+ * @param resultTimeoutMs how long a proxy waits for another proxy's result before it makes its own check; longer than a
+ *     check
+ * @param reuseMs the age up to which a result is sent to others without another check
  */
 public record HealthCheckTiming(double checkTimeoutMs, double resultTimeoutMs, double reuseMs) {
     /**
-     * Every so many checks in a row that others report as failed a proxy checks by itself: their path may be at fault.
+     * After one less than this number of consecutive failures reported by others, a proxy makes the next check itself,
+     * because the failure may lie in the network path of the others.
      */
     public static final int OWN_CHECK_EVERY = 4;
-    /** A check that is wanted again so soon after a healthy result contradicts it, in ms. */
+    /** A request within this time after a healthy result contradicts that result, in ms. */
     public static final double CONTRADICTION_WINDOW_MS = 60_000;
 
     /** Checks the ranges; throws IllegalArgumentException naming the values. */
@@ -24,7 +26,7 @@
         }
     }
 
-    /** The oldest that a result may be when it arrives. */
+    /** Returns the maximum age of a result when it arrives. */
     double maxResultAgeMs() {
         return reuseMs + checkTimeoutMs;
     }
--- a/src/main/java/cacheproxy/fleet/healthcheck/PendingRequests.java
+++ b/src/main/java/cacheproxy/fleet/healthcheck/PendingRequests.java
@@ -7,9 +7,9 @@
 
 /** Requests that this proxy has sent and that have no result yet, at most one for each server. */
 final class PendingRequests {
-    /** Requests at once; for further servers the proxy makes its own check. */
+    /** Maximum number of pending requests; for further servers the proxy makes its own check. */
     static final int MAX_PENDING = 1024;
-    /** Proxies that are asked in turn until one of them holds the lease. */
+    /** Maximum number of proxies that a request is sent to, one after another, until one of them holds the lease. */
     private static final int MAX_HOPS = 3;
 
     /** A request without a result. */
@@ -23,12 +23,12 @@
             this.expiresAtMs = expiresAtMs;
         }
 
-        /** When the proxy makes its own check instead. */
+        /** Returns when the proxy makes its own check instead. */
         double expiresAtMs() {
             return expiresAtMs;
         }
 
-        /** Counts a redirect; false if there were too many. */
+        /** Counts a redirect; returns false if there were too many. */
         boolean tryFollowRedirect() {
             return ++redirects < MAX_HOPS;
         }
@@ -36,12 +36,12 @@
 
     private final Map<Integer, PendingRequest> requests = new HashMap<>();
 
-    /** Whether a request for the server is pending. */
+    /** Returns whether a request for the server is pending. */
     boolean contains(int server) {
         return requests.containsKey(server);
     }
 
-    /** Whether no further request may be sent. */
+    /** Returns whether no further request may be sent. */
     boolean isFull() {
         return requests.size() >= MAX_PENDING;
     }
@@ -51,7 +51,7 @@
         requests.put(server, new PendingRequest(requestNumber, expiresAtMs));
     }
 
-    /** The request that a message answers; null if it answers none that is pending. */
+    /** Returns the pending request that a message replies to; null if there is none. */
     PendingRequest answeredBy(HealthCheckMessage message) {
         PendingRequest request = requests.get(message.server());
         return request != null && request.requestNumber == message.requestNumber() ? request : null;
@@ -62,7 +62,7 @@
         requests.remove(server);
     }
 
-    /** Servers whose request has expired. */
+    /** Returns the servers whose requests have expired. */
     List<Integer> expired(double nowMs) {
         List<Integer> servers = new ArrayList<>();
         requests.forEach((server, request) -> {
@@ -73,7 +73,7 @@
         return servers;
     }
 
-    /** When the next request expires; infinite if none is pending. */
+    /** Returns when the next request expires; infinite if none is pending. */
     double nextExpiryMs() {
         double nextMs = Double.POSITIVE_INFINITY;
         for (PendingRequest request : requests.values()) {
--- a/src/main/java/cacheproxy/fleet/healthcheck/ReportedResults.java
+++ b/src/main/java/cacheproxy/fleet/healthcheck/ReportedResults.java
@@ -4,8 +4,8 @@
 import java.util.Map;
 
 /**
- * What others have reported of each server, and whether to rely on their next report: they may reach a server that this
- * proxy does not, or the reverse.
+ * Keeps what other proxies have reported about each server, and decides whether to rely on their next report: they may
+ * reach a server that this proxy does not reach, or the reverse.
  */
 final class ReportedResults {
     private static final class History {
@@ -20,22 +20,25 @@
         this.maxServers = maxServers;
     }
 
-    /** Takes a report that is used. */
+    /** Records a report that is used. */
     void add(int server, boolean healthy, double nowMs) {
         if (histories.size() >= maxServers) {
-            histories.clear(); // as if all were new: reports are trusted, within the same limits
+            histories.clear(); // all servers then count as new: their reports are trusted, within the same limits
         }
         History history = histories.computeIfAbsent(server, newServer -> new History());
         history.consecutiveFailures = healthy ? 0 : history.consecutiveFailures + 1;
         history.healthyAtMs = healthy ? nowMs : Double.NEGATIVE_INFINITY;
     }
 
-    /** Forgets the reports on a server that this proxy has checked by itself. */
+    /** Forgets the reports about a server that this proxy has checked itself. */
     void clear(int server) {
         histories.remove(server);
     }
 
-    /** Whether reports contradict what is observed here, or no check of this proxy has confirmed them for long. */
+    /**
+     * Returns whether reports contradict what this proxy observes, or whether several reported failures have not been
+     * confirmed by a check of this proxy.
+     */
     boolean isUnreliableFor(int server, double nowMs) {
         History history = histories.get(server);
         return history != null
--- a/src/main/java/cacheproxy/fleet/healthcheck/RunningChecks.java
+++ b/src/main/java/cacheproxy/fleet/healthcheck/RunningChecks.java
@@ -5,18 +5,21 @@
 import java.util.List;
 import java.util.Map;
 
-/** Checks that this proxy is making, at most one of each server. */
+/** Running checks of this proxy, at most one of each server. */
 final class RunningChecks {
-    /** Proxies that wait for one check. */
+    /** Maximum number of proxies that wait for one check. */
     static final int MAX_WAITERS = 256;
-    /** A check that has not ended after so many timeouts failed: the pool that made it may be gone. */
+    /**
+     * A check that has not ended after this many timeouts counts as failed, because the pool that made it may no longer
+     * exist.
+     */
     private static final double OVERDUE_FACTOR = 2;
 
     /**
      * Another proxy that waits for a check.
      *
-     * @param proxy its id
-     * @param requestNumber of its request
+     * @param proxy the id of the proxy
+     * @param requestNumber the number of its request
      */
     record Waiter(long proxy, long requestNumber) {}
 
@@ -30,24 +33,26 @@
             this.overdueAtMs = overdueAtMs;
         }
 
-        /** Adds a waiter; beyond {@value RunningChecks#MAX_WAITERS} it is left to its own timeout. */
+        /**
+         * Adds a waiter; waiters beyond {@value RunningChecks#MAX_WAITERS} are not added, and their requests time out.
+         */
         void addWaiter(Waiter waiter) {
             if (waiters.size() < MAX_WAITERS) {
                 waiters.add(waiter);
             }
         }
 
-        /** Those that wait for it, in the order of their requests. */
+        /** Returns the waiters in the order of their requests. */
         List<Waiter> waiters() {
             return waiters;
         }
 
-        /** This proxy wants the result itself. */
+        /** Records that this proxy itself needs the result. */
         void requestLocally() {
             requestedLocally = true;
         }
 
-        /** Whether this proxy wants the result itself. */
+        /** Returns whether this proxy itself needs the result. */
         boolean isRequestedLocally() {
             return requestedLocally;
         }
@@ -55,7 +60,7 @@
 
     private final Map<Integer, RunningCheck> checks = new HashMap<>();
 
-    /** The check of a server; null if none is running. */
+    /** Returns the check of a server; null if none is running. */
     RunningCheck get(int server) {
         return checks.get(server);
     }
@@ -72,12 +77,12 @@
         return checks.remove(server);
     }
 
-    /** How many are running. */
+    /** Returns the number of running checks. */
     int size() {
         return checks.size();
     }
 
-    /** Servers whose check is overdue. */
+    /** Returns the servers whose checks are overdue. */
     List<Integer> overdue(double nowMs) {
         List<Integer> servers = new ArrayList<>();
         checks.forEach((server, check) -> {
@@ -88,7 +93,7 @@
         return servers;
     }
 
-    /** When the next check becomes overdue, {@code nowMs} at the earliest; infinite if none is running. */
+    /** Returns when the next check becomes overdue, {@code nowMs} at the earliest; infinite if none is running. */
     double nextOverdueMs(double nowMs) {
         double nextMs = Double.POSITIVE_INFINITY;
         for (RunningCheck check : checks.values()) {
--- a/src/main/java/cacheproxy/fleet/membership/LocalHealth.java
+++ b/src/main/java/cacheproxy/fleet/membership/LocalHealth.java
@@ -1,21 +1,21 @@
 package cacheproxy.fleet.membership;
 
 /**
- * How far this process can trust its own observations (Lifeguard's local health multiplier): it worsens when answers
- * are missing, and lengthens all timeouts, so that a slow process accuses others less.
+ * How far this process can trust its own observations (Lifeguard's local health multiplier): the score rises when
+ * answers are missing, and lengthens all timeouts, so that a slow process suspects others less often.
  */
 final class LocalHealth {
-    /** The worst score; at it timeouts are eight times as long. */
+    /** The worst score, at which timeouts are eight times as long. */
     static final int MAX_SCORE = 7;
 
     private int score;
 
-    /** 0, healthy, to {@value #MAX_SCORE}. */
+    /** Returns the score: 0 (healthy) to {@value #MAX_SCORE}. */
     int score() {
         return score;
     }
 
-    /** Whether it is at its worst. */
+    /** Returns whether the score is the worst one. */
     boolean isWorst() {
         return score == MAX_SCORE;
     }
@@ -25,7 +25,7 @@
         score = Math.max(0, Math.min(MAX_SCORE, score + change));
     }
 
-    /** A timeout as it is to be used now. */
+    /** Returns a timeout scaled by the present score. */
     double scale(double timeoutMs) {
         return timeoutMs * (score + 1);
     }
--- a/src/main/java/cacheproxy/fleet/membership/Member.java
+++ b/src/main/java/cacheproxy/fleet/membership/Member.java
@@ -5,7 +5,7 @@
 
 /** The state of one member as this process knows it. */
 final class Member {
-    /** Confirmations of a suspicion beyond which more change nothing. */
+    /** The number of confirmations of a suspicion beyond which further ones have no effect. */
     static final int MAX_CONFIRMATIONS = 3;
 
     private static final int MAX_ACCUSERS = MAX_CONFIRMATIONS + 1;
@@ -21,52 +21,52 @@
         this.transmissions = transmissions;
     }
 
-    /** A configured peer, which is taken to be alive; that is no news to gossip. */
+    /** Creates a configured peer, which is assumed to be alive; this assumption is not gossiped. */
     static Member configured(double nowMs) {
         return new Member(nowMs, Integer.MAX_VALUE);
     }
 
-    /** This process itself. */
+    /** Creates the state of this process itself. */
     static Member self() {
         return new Member(0, 0);
     }
 
-    /** What it is believed to be. */
+    /** Returns its status as known to this process. */
     MemberStatus status() {
         return status;
     }
 
-    /** Its newest known incarnation. */
+    /** Returns its newest known incarnation. */
     int incarnation() {
         return incarnation;
     }
 
-    /** When its status last changed. */
+    /** Returns when its status last changed or its suspicion was restarted. */
     double statusSinceMs() {
         return statusSinceMs;
     }
 
-    /** How many members suspect it, at most {@code MAX_CONFIRMATIONS + 1}. */
+    /** Returns how many members suspect it, at most {@code MAX_CONFIRMATIONS + 1}. */
     int accusers() {
         return accusers.size();
     }
 
-    /** How often its latest update was gossiped. */
+    /** Returns how often its latest update was gossiped. */
     int transmissions() {
         return transmissions;
     }
 
-    /** Its update is gossiped once more. */
+    /** Counts one more transmission of its update. */
     void countTransmission() {
         transmissions++;
     }
 
-    /** Its update is gossiped as if it were new. */
+    /** Resets the count of transmissions, so that its update is gossiped as if it were new. */
     void resetTransmissions() {
         transmissions = 0;
     }
 
-    /** Overrides all that is known of it. */
+    /** Overrides all that is known about it. */
     void overrideState(MemberStatus newStatus, int newIncarnation, double nowMs) {
         status = newStatus;
         incarnation = newIncarnation;
@@ -75,24 +75,24 @@
         resetTransmissions();
     }
 
-    /** Raises the incarnation of this process, by which it refutes what is said of it. */
+    /** Raises the incarnation of this process above one that others have gossiped, which refutes their updates. */
     void raiseIncarnationAbove(int refutedIncarnation) {
         incarnation = refutedIncarnation + 1;
         resetTransmissions();
     }
 
-    /** A suspicion against it begins anew, with the same accusers. */
+    /** Restarts the suspicion of it, with the same accusers. */
     void restartSuspicion(double nowMs) {
         statusSinceMs = nowMs;
     }
 
-    /** A member suspects one of its incarnations. */
+    /** Records that a member suspects one of its incarnations. */
     void suspect(long accuser, int suspectedIncarnation, double nowMs) {
         if (suspectedIncarnation > incarnation || status == MemberStatus.ALIVE) {
             overrideState(MemberStatus.SUSPECT, suspectedIncarnation, nowMs);
         }
         if (status == MemberStatus.SUSPECT && accusers.size() < MAX_ACCUSERS && accusers.add(accuser)) {
-            resetTransmissions(); // each further accuser shortens the suspicion, so it is news
+            resetTransmissions(); // each further accuser shortens the suspicion, so it must be gossiped
         }
     }
 }
--- a/src/main/java/cacheproxy/fleet/membership/MemberTable.java
+++ b/src/main/java/cacheproxy/fleet/membership/MemberTable.java
@@ -7,14 +7,15 @@
 import java.util.Set;
 
 /**
- * The states of the configured members but this one: applies updates by incarnation and lets suspicions expire. The
- * time for refuting a suspicion shrinks with each member that confirms it (Lifeguard's dynamic suspicion timeout).
+ * The states of the configured members except this process: applies updates by incarnation and lets suspicions expire.
+ * The time for refuting a suspicion becomes shorter with each member that confirms it (Lifeguard's dynamic suspicion
+ * timeout).
  */
 final class MemberTable {
     private final long ownId;
     private final SwimTiming timing;
     private final LocalHealth health;
-    /** In the configured order, which the order of gossip depends on. */
+    /** In the configured order, which determines the order of gossip. */
     private final Map<Long, Member> members = new LinkedHashMap<>();
 
     MemberTable(long ownId, SwimTiming timing, LocalHealth health) {
@@ -23,7 +24,7 @@
         this.health = health;
     }
 
-    /** Replaces the configured ids; what is known of those that stay is kept. */
+    /** Replaces the configured ids; the states of members that remain configured are kept. */
     void replaceIds(List<Long> ids, double nowMs) {
         members.keySet().retainAll(ids);
         for (long id : ids) {
@@ -33,32 +34,32 @@
         }
     }
 
-    /** Ids in the configured order. */
+    /** Returns the ids in the configured order. */
     Set<Long> ids() {
         return Collections.unmodifiableSet(members.keySet());
     }
 
-    /** Ids and states in the configured order. */
+    /** Returns the ids and states in the configured order. */
     Set<Map.Entry<Long, Member>> entries() {
         return Collections.unmodifiableMap(members).entrySet();
     }
 
-    /** Whether a member is configured. */
+    /** Returns whether a member is configured. */
     boolean contains(long id) {
         return members.containsKey(id);
     }
 
-    /** Null if it is not configured. */
+    /** Returns a member; null if it is not configured. */
     Member get(long id) {
         return members.get(id);
     }
 
-    /** How many members are configured. */
+    /** Returns the number of configured members. */
     int size() {
         return members.size();
     }
 
-    /** Applies what another member says of one that is not this process. */
+    /** Applies an update that another member has sent about a member other than this process. */
     void apply(MemberUpdate update, long from, double nowMs) {
         Member member = members.get(update.memberId());
         if (member == null) {
@@ -83,7 +84,7 @@
         }
     }
 
-    /** Gives each suspect the whole time for refuting once more. */
+    /** Restarts the full time for refutation of each suspect. */
     void restartSuspicions(double nowMs) {
         for (Member member : members.values()) {
             if (member.status() == MemberStatus.SUSPECT) {
@@ -92,7 +93,7 @@
         }
     }
 
-    /** Declares dead the suspects whose time is over. */
+    /** Declares suspects dead whose time for refutation has expired. */
     void expireSuspicions(double nowMs) {
         for (Member member : members.values()) {
             if (member.status() == MemberStatus.SUSPECT && nowMs >= expiryMs(member)) {
@@ -101,7 +102,7 @@
         }
     }
 
-    /** When the next suspicion expires; infinite if there is none. */
+    /** Returns when the next suspicion expires; infinite if there is none. */
     double nextExpiryMs() {
         double nextMs = Double.POSITIVE_INFINITY;
         for (Member member : members.values()) {
--- a/src/main/java/cacheproxy/fleet/membership/MemberUpdate.java
+++ b/src/main/java/cacheproxy/fleet/membership/MemberUpdate.java
@@ -1,10 +1,11 @@
 package cacheproxy.fleet.membership;
 
 /**
- * What a member is said to be; gossiped with messages.
+ * A statement about the status of a member, gossiped with messages.
  *
- * @param memberId the member
- * @param status its state
- * @param incarnation of the member, not negative; raised by the member alone, and a higher one overrides all lower ones
+ * @param memberId the id of the member
+ * @param status the status of the member
+ * @param incarnation the incarnation of the member, not negative; only the member itself raises it, and a higher one
+ *     overrides all lower ones
  */
 public record MemberUpdate(long memberId, MemberStatus status, int incarnation) {}
--- a/src/main/java/cacheproxy/fleet/membership/ProbeCycle.java
+++ b/src/main/java/cacheproxy/fleet/membership/ProbeCycle.java
@@ -6,16 +6,16 @@
 import java.util.SplittableRandom;
 
 /**
- * The failure detector: each period pings one member, asks others to ping it where the answer is late, and suspects it
- * at the period's end where no answer came. Members are pinged in random order, each once a round, so that a failure is
- * detected within a bounded time (SWIM, section 4.3).
+ * The failure detector: in each period it pings one member, asks others to ping that member if the answer is late, and
+ * suspects the member at the end of the period if no answer has arrived. Members are pinged in random order, each once
+ * per round, so that a failure is detected within a bounded time (SWIM, section 4.3).
  */
 final class ProbeCycle {
     private static final long NO_TARGET = 0;
 
     /** Numbers and sends the messages of the failure detector. */
     interface ProbeSender {
-        /** A sequence number that no other message of this process has. */
+        /** Returns a sequence number that no other message of this process has. */
         long nextSequenceNumber();
 
         /** Sends a message. */
@@ -28,7 +28,7 @@
     private final MemberTable members;
     private final SplittableRandom random;
     private final ProbeSender sender;
-    /** Members that this round has still to ping, from the last to the first. */
+    /** Members that are still to be pinged in this round, from the last to the first. */
     private final List<Long> remainingInRound = new ArrayList<>();
 
     private long target = NO_TARGET;
@@ -38,7 +38,7 @@
     private int pingRequests;
     private int nacks;
 
-    /** What a probe cycle works with. */
+    /** The dependencies of a probe cycle. */
     record Context(long ownId, SwimTiming timing, LocalHealth health, MemberTable members, SplittableRandom random) {}
 
     ProbeCycle(Context context, ProbeSender sender, double nowMs) {
@@ -51,7 +51,7 @@
         nextPeriodMs = randomPeriodStart(nowMs);
     }
 
-    /** Spreads the pings of the members over a period. */
+    /** Returns a random time within a period, which spreads the pings of the members. */
     private double randomPeriodStart(double nowMs) {
         return nowMs + timing.periodMs() * random.nextDouble();
     }
@@ -61,14 +61,14 @@
         remainingInRound.retainAll(ids);
     }
 
-    /** Gives up the current ping without a result and begins anew within a period. */
+    /** Abandons the current ping without a result and starts again at a random time within a period. */
     void restart(double nowMs) {
         target = NO_TARGET;
         indirectPingsAtMs = Double.POSITIVE_INFINITY;
         nextPeriodMs = randomPeriodStart(nowMs);
     }
 
-    /** Sends what is due. */
+    /** Sends the messages that are due. */
     void tick(double nowMs) {
         if (nowMs >= indirectPingsAtMs) {
             indirectPingsAtMs = Double.POSITIVE_INFINITY;
@@ -80,12 +80,12 @@
         }
     }
 
-    /** When {@link #tick} has something to do again. */
+    /** Returns when {@link #tick} must be called next. */
     double nextDueMs() {
         return Math.min(nextPeriodMs, indirectPingsAtMs);
     }
 
-    /** Takes an ACK for a member; one that answers another ping is ignored. */
+    /** Handles an ACK for a member; ignored if it answers another ping. */
     void acknowledge(long ackNumber, long ackTarget) {
         if (ackNumber == sequenceNumber && target != NO_TARGET && ackTarget == target) {
             target = NO_TARGET;
@@ -94,7 +94,7 @@
         }
     }
 
-    /** Takes a NACK: the member that was asked to ping is alive, and the target did not answer it. */
+    /** Handles a NACK: the member that was asked to ping is alive, and the target did not answer it. */
     void countNack(long nackNumber, long nackTarget) {
         if (nackNumber == sequenceNumber && nackTarget == target) {
             nacks++;
@@ -139,7 +139,7 @@
         if (target == NO_TARGET || member == null) {
             return;
         }
-        // Helpers that did not even send a NACK: it may be this process that receives nothing.
+        // If relays did not send a NACK either, this process itself may be receiving nothing.
         health.adjustScore(pingRequests > 0 ? pingRequests - nacks : 1);
         boolean suspectsTarget = pingRequests == 0 || nacks > 0 || members.size() == 1 || !health.isWorst();
         if (suspectsTarget) {
--- a/src/main/java/cacheproxy/fleet/membership/RelayedPings.java
+++ b/src/main/java/cacheproxy/fleet/membership/RelayedPings.java
@@ -5,17 +5,17 @@
 
 /** Pings that other members have asked this one to send, by the sequence number of the relayed ping. */
 final class RelayedPings {
-    /** Relayed pings that are pending at once; further requests are ignored. */
+    /** Maximum number of pending relayed pings; further requests are ignored. */
     static final int MAX_PENDING = 256;
-    /** Part of the ack timeout after which the requester learns that the target has not answered. */
+    /** Fraction of the ack timeout after which the requester is notified that the target has not answered. */
     private static final double NACK_DELAY_FACTOR = 0.8;
 
     /**
      * A ping on behalf of another member.
      *
-     * @param requester who asked for it
+     * @param requester the member that asked for it
      * @param requestNumber the requester's sequence number
-     * @param target who was pinged
+     * @param target the member that was pinged
      */
     record RelayedPing(long requester, long requestNumber, long target) {}
 
@@ -35,7 +35,7 @@
     /** Sends a NACK to the requester of a relayed ping. */
     @FunctionalInterface
     interface NackSender {
-        /** The target has not answered so far. */
+        /** Notifies the requester that the target has not answered so far. */
         void sendNack(RelayedPing ping);
     }
 
@@ -48,7 +48,7 @@
         this.health = health;
     }
 
-    /** Whether no further ping may be added. */
+    /** Returns whether no further ping may be added. */
     boolean isFull() {
         return pending.size() >= MAX_PENDING;
     }
@@ -60,7 +60,7 @@
         pending.put(sequenceNumber, new Pending(ping, nackAtMs, expiresAtMs));
     }
 
-    /** The ping that a member's ACK answers, which is no longer pending; null if it answers none. */
+    /** Removes and returns the ping that a member's ACK answers; null if there is none. */
     RelayedPing acknowledge(long sequenceNumber, long from) {
         Pending acknowledged = pending.get(sequenceNumber);
         if (acknowledged == null || acknowledged.ping.target() != from) {
@@ -81,7 +81,7 @@
         }
     }
 
-    /** When {@link #tick} has something to do again; infinite if nothing is pending. */
+    /** Returns when {@link #tick} must be called next; infinite if nothing is pending. */
     double nextDueMs() {
         double nextMs = Double.POSITIVE_INFINITY;
         for (Pending relayed : pending.values()) {
@@ -90,7 +90,7 @@
         return nextMs;
     }
 
-    /** Forgets all pings without telling their requesters. */
+    /** Forgets all pings without notifying their requesters. */
     void clear() {
         pending.clear();
     }
--- a/src/main/java/cacheproxy/fleet/membership/SwimMembership.java
+++ b/src/main/java/cacheproxy/fleet/membership/SwimMembership.java
@@ -5,11 +5,14 @@
 import java.util.SplittableRandom;
 
 /**
- * The membership of one process in a group with a configured list of members: SWIM with Lifeguard, as the package
- * describes. Times are milliseconds of a monotonic clock. Not thread-safe.
+ * The membership of one process in a group with a configured list of members: SWIM with Lifeguard, as described in the
+ * package documentation. Times are milliseconds of a monotonic clock. Not thread-safe.
  */
 public final class SwimMembership {
-    /** Delay of a {@link #tick}, in periods, from which this process was stalled: missing answers blame nobody then. */
+    /**
+     * A {@link #tick} delayed by more than this many periods means that this process was stalled; missing answers then
+     * cause no suspicions.
+     */
     private static final double STALL_PERIODS = 1;
     /** How much a stall worsens the local health score. */
     private static final int STALL_PENALTY = 2;
@@ -27,7 +30,7 @@
     private double dueMs = Double.NaN;
 
     /**
-     * A process that knows no members yet.
+     * Creates the membership of a process that knows no members yet.
      *
      * @param ownId this process's id, not 0
      * @param random seeds the first sequence number and the order of pings
@@ -46,14 +49,14 @@
                 new ProbeCycle.Context(ownId, timing, health, members, random), new MembershipProbeSender(), nowMs);
     }
 
-    /** Replaces the configured members; new ones are taken to be alive. */
+    /** Replaces the configured members; new ones are assumed to be alive. */
     public void updateMembers(List<Long> ids, double nowMs) {
         members.replaceIds(ids, nowMs);
         probes.retainMembers(ids);
         self.resetTransmissions();
     }
 
-    /** What a member is believed to be; one that is not configured is dead. */
+    /** Returns the status of a member as known to this process; a member that is not configured is dead. */
     public MemberStatus statusOf(long id) {
         if (id == ownId) {
             return MemberStatus.ALIVE;
@@ -62,12 +65,15 @@
         return member == null ? MemberStatus.DEAD : member.status();
     }
 
-    /** How unhealthy this process believes itself to be: 0, healthy, to 7; its timeouts are scaled by one more. */
+    /**
+     * Returns the score of this process's own health: 0 (healthy) to 7; its timeouts are multiplied by the score plus
+     * one.
+     */
     public int localHealthScore() {
         return health.score();
     }
 
-    /** Does what is due; returns when to call it again, at the latest. */
+    /** Performs the steps that are due; returns the latest time of the next call. */
     public double tick(double nowMs) {
         if (nowMs - dueMs > STALL_PERIODS * timing.periodMs()) {
             recoverFromStall(nowMs);
@@ -88,7 +94,7 @@
         health.adjustScore(STALL_PENALTY);
     }
 
-    /** Takes a message of another member; one of an unknown sender is ignored. */
+    /** Handles a message from another member; ignored if the sender is unknown. */
     public void receive(double nowMs, long from, SwimMessage message) {
         if (!members.contains(from)) {
             return;
@@ -114,7 +120,10 @@
         }
     }
 
-    /** Raises the own incarnation where this process is suspected, or was known by a higher one before a restart. */
+    /**
+     * Raises the incarnation of this process if it is suspected or declared dead, or if it had a higher one before a
+     * restart.
+     */
     private void refute(MemberUpdate update) {
         if (update.status() != MemberStatus.ALIVE && update.incarnation() >= self.incarnation()) {
             self.raiseIncarnationAbove(update.incarnation());
--- a/src/main/java/cacheproxy/fleet/membership/SwimMessage.java
+++ b/src/main/java/cacheproxy/fleet/membership/SwimMessage.java
@@ -8,15 +8,15 @@
  * A message between members, with gossip. Its bytes, in network byte order: kind (1 byte), sequence number (8), target
  * (8), number of updates (1), and for each update member (8), status (1) and incarnation (4).
  *
- * @param kind what it asks or answers
- * @param sequenceNumber of the ping or ping request that it is or answers
+ * @param kind the kind of request or reply
+ * @param sequenceNumber the number of the ping or ping request that this message is or replies to
  * @param target the member that is pinged
  * @param updates gossip, at most {@value #MAX_UPDATES}
  */
 public record SwimMessage(SwimMessageKind kind, long sequenceNumber, long target, List<MemberUpdate> updates) {
     static final int HEADER_BYTES = 18;
     static final int UPDATE_BYTES = 13;
-    /** Updates that fit a datagram between peers. */
+    /** Maximum number of updates that fit into a datagram between peers. */
     public static final int MAX_UPDATES = 12;
 
     private static final int COUNT_OFFSET = 17;
@@ -26,7 +26,7 @@
         updates = List.copyOf(updates);
     }
 
-    /** The message's bytes. */
+    /** Returns the encoded message. */
     public byte[] encode() {
         ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES + updates.size() * UPDATE_BYTES)
                 .put(kind.wireCode())
@@ -39,7 +39,7 @@
         return buffer.array();
     }
 
-    /** The message that these bytes are; null if they are malformed. */
+    /** Decodes a message; null if the bytes are malformed. */
     public static SwimMessage decode(byte[] bytes) {
         if (!hasValidLength(bytes)) {
             return null;
--- a/src/main/java/cacheproxy/fleet/membership/SwimTiming.java
+++ b/src/main/java/cacheproxy/fleet/membership/SwimTiming.java
@@ -1,17 +1,17 @@
 package cacheproxy.fleet.membership;
 
 /**
- * Times of the failure detector, in milliseconds, before {@link LocalHealth} scales them.
+ * Timing of the failure detector, in milliseconds, before scaling by {@link LocalHealth}.
  *
- * @param periodMs between two direct pings of one member
- * @param ackTimeoutMs wait for an answer before other members are asked to ping; less than half a period
- * @param indirectProbes members that are asked to ping
- * @param minSuspicionMs time for refuting a suspicion that several members confirm
- * @param maxSuspicionMs time for refuting a suspicion that nobody else confirms
+ * @param periodMs the time between two direct pings that a member sends
+ * @param ackTimeoutMs how long to wait for an answer before other members are asked to ping; less than half a period
+ * @param indirectProbes the number of members that are asked to ping
+ * @param minSuspicionMs the time for refuting a suspicion that several members confirm
+ * @param maxSuspicionMs the time for refuting a suspicion that no other member confirms
  */
 public record SwimTiming(
         double periodMs, double ackTimeoutMs, int indirectProbes, double minSuspicionMs, double maxSuspicionMs) {
-    /** The times that proxies use. */
+    /** The timing that proxies use. */
     public static final SwimTiming DEFAULT = new SwimTiming(500, 150, 3, 2000, 8000);
 
     /** Checks the ranges; throws IllegalArgumentException naming the values. */
--- a/src/main/java/cacheproxy/fleet/membership/UpdateDissemination.java
+++ b/src/main/java/cacheproxy/fleet/membership/UpdateDissemination.java
@@ -5,8 +5,9 @@
 import java.util.List;
 
 /**
- * Picks the updates that a message gossips: those that were sent least often first, each a number of times that grows
- * with the logarithm of the group's size (SWIM's infection-style dissemination). This process's own status takes part.
+ * Selects the updates that a message gossips: those that were sent least often come first, and each is sent a number of
+ * times that grows with the logarithm of the group's size (SWIM's infection-style dissemination). The status of this
+ * process is included.
  */
 final class UpdateDissemination {
     /** Transmissions of an update per binary logarithm of the group's size. */
@@ -22,13 +23,13 @@
         this.members = members;
     }
 
-    /** Updates for a message to a member; counts them as sent. */
+    /** Returns the updates for a message to a member, and counts them as sent. */
     List<MemberUpdate> updatesFor(long to) {
         List<MemberUpdate> updates = new ArrayList<>();
         int maxTransmissions = maxTransmissions();
         Member receiver = members.get(to);
         if (receiver != null && receiver.status() != MemberStatus.ALIVE) {
-            updates.add(updateOf(to, receiver)); // it learns what it has to refute
+            updates.add(updateOf(to, receiver)); // informs the receiver of the status that it has to refute
         }
         if (self.transmissions() < maxTransmissions) {
             self.countTransmission();
--- a/src/main/java/cacheproxy/fleet/peer/DatagramAuthenticator.java
+++ b/src/main/java/cacheproxy/fleet/peer/DatagramAuthenticator.java
@@ -14,31 +14,31 @@
  * Immutable.
  */
 final class DatagramAuthenticator {
-    /** Bytes that are sent of the HMAC. */
+    /** The number of bytes to which the HMAC is truncated. */
     static final int MAC_BYTES = 16;
-    /** Bytes of a CRC-32C. */
+    /** The length of a CRC-32C in bytes. */
     static final int CHECKSUM_BYTES = 4;
 
     private static final String MAC_ALGORITHM = "HmacSHA256";
 
     private final List<byte[]> keys;
 
-    /** @param keys the first one signs, each of them is accepted; empty: datagrams have a checksum only */
+    /** @param keys the first key signs, and each of them is accepted; if empty, datagrams have only a checksum */
     DatagramAuthenticator(List<byte[]> keys) {
         this.keys = keys.stream().map(byte[]::clone).toList();
     }
 
-    /** The trailer's length in bytes. */
+    /** Returns the trailer's length in bytes. */
     int trailerBytes() {
         return keys.isEmpty() ? CHECKSUM_BYTES : MAC_BYTES;
     }
 
-    /** The trailer for the first {@code length} bytes. */
+    /** Returns the trailer for the first {@code length} bytes. */
     byte[] trailer(byte[] bytes, int length) {
         return keys.isEmpty() ? checksum(bytes, length) : mac(keys.get(0), bytes, length);
     }
 
-    /** Whether the bytes from {@code length} on are a valid trailer for those before. */
+    /** Returns whether the bytes from {@code length} on are a valid trailer for the preceding ones. */
     boolean verifies(byte[] datagram, int length) {
         byte[] trailer = Arrays.copyOfRange(datagram, length, length + trailerBytes());
         if (keys.isEmpty()) {
--- a/src/main/java/cacheproxy/fleet/peer/DatagramEnvelope.java
+++ b/src/main/java/cacheproxy/fleet/peer/DatagramEnvelope.java
@@ -8,8 +8,8 @@
 /**
  * Seals and opens the datagrams between peers. Each has, in network byte order: magic (1 byte), format version (1),
  * topic (1), sender's id (8), sender's incarnation (8), sequence number (8), payload, and a trailer that protects all
- * before it ({@link DatagramAuthenticator}). Replayed datagrams and those of unknown senders are rejected. Not
- * thread-safe.
+ * preceding bytes ({@link DatagramAuthenticator}). Replayed datagrams and datagrams from unknown senders are rejected.
+ * Not thread-safe.
  */
 public final class DatagramEnvelope {
     /** The longest datagram, in bytes. */
@@ -28,19 +28,22 @@
     private final long incarnation;
     private final DatagramAuthenticator authenticator;
     private final Map<Long, ReplayWindow> windows = new HashMap<>();
-    /** Last sequence number to each receiver: a burst to many must not move the window of a single one. */
+    /**
+     * The last sequence number sent to each receiver. Receivers are counted separately, because a burst to many must
+     * not move the window of a single one.
+     */
     private final Map<Long, Long> lastNumbers = new HashMap<>();
 
     private boolean ownIdIsDuplicate;
 
     /**
-     * An envelope for one process.
+     * Creates an envelope for one process.
      *
      * @param ownId this process's id
      * @param incarnation larger with each start of the process, such as its start by the wall clock in ms
-     * @param keys the first one signs and each of them is accepted, so that a key can be rotated without interruption;
-     *     empty: datagrams are not signed
-     * @param senders ids whose datagrams are accepted; they bound the memory that is used
+     * @param keys the first key signs and each of them is accepted, so that a key can be rotated without interruption;
+     *     if empty, datagrams are not signed
+     * @param senders the ids whose datagrams are accepted; their number bounds the memory that is used
      */
     public DatagramEnvelope(long ownId, long incarnation, List<byte[]> keys, List<Long> senders) {
         this.ownId = ownId;
@@ -49,7 +52,7 @@
         setSenders(senders);
     }
 
-    /** Replaces the ids whose datagrams are accepted; the history of those that stay is kept. */
+    /** Replaces the ids whose datagrams are accepted; the replay windows of ids that remain are kept. */
     public void setSenders(List<Long> ids) {
         windows.keySet().retainAll(ids);
         lastNumbers.keySet().retainAll(ids);
@@ -57,7 +60,7 @@
     }
 
     /**
-     * A datagram to a peer.
+     * Returns a sealed datagram to a peer.
      *
      * @param payload at most {@value #MAX_PAYLOAD_BYTES} bytes
      * @throws IllegalArgumentException if the payload is longer
@@ -79,16 +82,18 @@
         return buffer.array();
     }
 
-    /** The sender's id that a datagram states, before it is authenticated; 0 if it is too short to have one. */
+    /**
+     * Returns the sender's id as stated in a datagram that has not been authenticated; 0 if the datagram is too short.
+     */
     public static long claimedSender(byte[] datagram) {
         return datagram.length < HEADER_BYTES ? 0 : ByteBuffer.wrap(datagram).getLong(SENDER_OFFSET);
     }
 
     /**
-     * The content of a datagram that has arrived.
+     * Verifies a received datagram and returns its content.
      *
      * @param nowMs monotonic time
-     * @return null if it is malformed, not authentic, of an unknown sender or replayed
+     * @return null if the datagram is malformed, not authentic, from an unknown sender or replayed
      */
     public OpenedDatagram open(byte[] datagram, double nowMs) {
         if (!hasHeader(datagram)) {
@@ -122,7 +127,7 @@
                 && datagram[1] == FORMAT_VERSION;
     }
 
-    /** Ids under which two processes seem to send, possibly this process's own. */
+    /** Returns the ids under which two processes seem to send, possibly including this process's own. */
     public List<Long> duplicateIds() {
         return windows.entrySet().stream()
                 .filter(entry -> entry.getValue().hasDuplicateId() || (entry.getKey() == ownId && ownIdIsDuplicate))
--- a/src/main/java/cacheproxy/fleet/peer/OpenedDatagram.java
+++ b/src/main/java/cacheproxy/fleet/peer/OpenedDatagram.java
@@ -7,6 +7,6 @@
  * @param topic the protocol that the payload belongs to
  * @param payload the protocol's message
  */
-// The payload has one reader, which parses it at once; a copy would cost and protect nothing.
+// The payload has a single reader, which parses it immediately, so a defensive copy would protect nothing.
 @SuppressWarnings("ArrayRecordComponent")
 public record OpenedDatagram(long sender, byte topic, byte[] payload) {}
--- a/src/main/java/cacheproxy/fleet/peer/PeerListRelation.java
+++ b/src/main/java/cacheproxy/fleet/peer/PeerListRelation.java
@@ -8,7 +8,7 @@
     ONE_STEP_APART("a step apart"),
     /** Their majorities need not intersect, so both could grant the same lease. */
     DIFFERENT("different"),
-    /** Nothing was reported lately. */
+    /** The other proxy has not sent a report recently. */
     UNKNOWN("unknown");
 
     private final String jsonName;
@@ -17,7 +17,7 @@
         this.jsonName = jsonName;
     }
 
-    /** The value in the JSON of the control address. */
+    /** Returns the value in the JSON of the control address. */
     public String jsonName() {
         return jsonName;
     }
--- a/src/main/java/cacheproxy/fleet/peer/PeerListTransition.java
+++ b/src/main/java/cacheproxy/fleet/peer/PeerListTransition.java
@@ -9,14 +9,14 @@
 import java.util.zip.CRC32C;
 
 /**
- * Compares this proxy's list of peers with those that the others report.
+ * Compares this proxy's list of peers with the lists that the others report.
  *
  * <p>A list is changed in two steps: first all proxies use the old and the new list jointly, then the new one alone.
- * The second step is safe only when every proxy has taken the first. The comparison only warns: if it stopped anything,
- * a single wrong configuration would end the leases of all.
+ * The second step is safe only when every proxy has taken the first. The comparison only serves for warnings: if it
+ * blocked anything, a single wrong configuration would end the leases of all proxies.
  */
 public final class PeerListTransition {
-    /** Bytes of a report. */
+    /** Length of a report in bytes. */
     public static final int MESSAGE_BYTES = 16;
     /** Age from which a report no longer counts, in ms. */
     public static final double REPORT_EXPIRY_MS = 60_000;
@@ -33,8 +33,8 @@
      * Sets the lists that this proxy uses.
      *
      * @param currentList the current list
-     * @param previousList the list that is being replaced; empty: no change is under way
-     * @param peers ids of the peers whose reports are kept
+     * @param previousList the list that is being replaced; empty if no change is in progress
+     * @param peers the ids of the peers whose reports are kept
      */
     public void update(Set<String> currentList, Set<String> previousList, Set<Long> peers) {
         currentDigest = digest(currentList);
@@ -42,7 +42,10 @@
         reports.keySet().retainAll(peers);
     }
 
-    /** The number of names and the CRC-32C of them in order; a list has a name, so it is never {@link #NO_LIST}. */
+    /**
+     * Returns the number of names and the CRC-32C of the sorted names; every list has a name, so the digest is never
+     * {@link #NO_LIST}.
+     */
     private static long digest(Set<String> names) {
         CRC32C crc = new CRC32C();
         for (String name : new TreeSet<>(names)) {
@@ -51,7 +54,7 @@
         return (long) names.size() << 32 | crc.getValue();
     }
 
-    /** This proxy's report to the others: digests of the current and of the previous list. */
+    /** Returns this proxy's report to the others: digests of the current and of the previous list. */
     public byte[] encodeReport() {
         return ByteBuffer.allocate(MESSAGE_BYTES)
                 .putLong(currentDigest)
@@ -59,7 +62,7 @@
                 .array();
     }
 
-    /** Takes a peer's report; one of another length is ignored. */
+    /** Records a peer's report; ignored if its length is wrong. */
     public void receive(double nowMs, long peer, byte[] message) {
         if (message.length == MESSAGE_BYTES) {
             ByteBuffer buffer = ByteBuffer.wrap(message);
@@ -67,7 +70,7 @@
         }
     }
 
-    /** How a peer's lists relate to this proxy's, by its last report. */
+    /** Returns how a peer's lists relate to this proxy's, according to the peer's last report. */
     public PeerListRelation relationOf(long peer, double nowMs) {
         Report report = reports.get(peer);
         if (report == null || nowMs - report.receivedMs > REPORT_EXPIRY_MS) {
@@ -82,7 +85,10 @@
         return oneStepApart ? PeerListRelation.ONE_STEP_APART : PeerListRelation.DIFFERENT;
     }
 
-    /** Whether one proxy is within a change of lists that the other has not begun, or has ended. */
+    /**
+     * Returns whether the first proxy is in the middle of a change of lists that the other proxy has not begun, or has
+     * completed.
+     */
     private static boolean isOneStepAhead(long current, long previous, long otherCurrent, long otherPrevious) {
         boolean onlyOneIsChanging = previous != NO_LIST && otherPrevious == NO_LIST;
         return onlyOneIsChanging && (otherCurrent == previous || otherCurrent == current);
--- a/src/main/java/cacheproxy/fleet/peer/ReplayWindow.java
+++ b/src/main/java/cacheproxy/fleet/peer/ReplayWindow.java
@@ -1,18 +1,20 @@
 package cacheproxy.fleet.peer;
 
 /**
- * Which datagrams of one sender are new: only its newest incarnation counts, and of that each sequence number once,
- * within a sliding window (RFC 4303, section 3.4.3).
+ * Decides which datagrams of one sender are new: only those of its newest incarnation are accepted, and of these each
+ * sequence number once, within a sliding window (RFC 4303, section 3.4.3).
  *
- * <p>An older incarnation is accepted again once the newer one was silent for {@value #INCARNATION_EXPIRY_MS} ms: the
- * sender may have been restarted after its wall clock, which numbers incarnations, was set back.
+ * <p>An older incarnation is accepted again once the newer one has been silent for {@value #INCARNATION_EXPIRY_MS} ms:
+ * the sender may have been restarted after its wall clock, which numbers incarnations, was set back.
  */
 final class ReplayWindow {
-    /** Sequence numbers behind the newest one that are still accepted. */
+    /**
+     * The size of the window: sequence numbers that are lower than the newest one by this much or more are rejected.
+     */
     static final int SIZE = 64;
     /** Silence of an incarnation after which an older one is accepted, in ms. */
     static final double INCARNATION_EXPIRY_MS = 10_000;
-    /** So many datagrams of an older incarnation are no late arrivals: another process uses the same id. */
+    /** This many datagrams of an older incarnation cannot all be late arrivals: another process uses the same id. */
     static final int DUPLICATE_ID_THRESHOLD = 20;
 
     private long incarnation = Long.MIN_VALUE;
@@ -23,7 +25,7 @@
     private double lastReceivedMs = Double.NEGATIVE_INFINITY;
     private int rejectedFromOlderIncarnation;
 
-    /** Whether a datagram that arrives at {@code nowMs} is new; from then on it is not. */
+    /** Returns whether a datagram that arrives at {@code nowMs} is new, and records it as received. */
     boolean accept(long datagramIncarnation, long sequenceNumber, double nowMs) {
         boolean expired = nowMs - lastReceivedMs > INCARNATION_EXPIRY_MS;
         if ((datagramIncarnation < incarnation && !expired) || sequenceNumber < 0) {
@@ -64,7 +66,7 @@
         return true;
     }
 
-    /** Whether two processes seem to send under this id. */
+    /** Returns whether two processes seem to send under this id. */
     boolean hasDuplicateId() {
         return rejectedFromOlderIncarnation >= DUPLICATE_ID_THRESHOLD;
     }
