--- a/src/main/java/cacheproxy/fleet/lease/Candidacy.java
+++ b/src/main/java/cacheproxy/fleet/lease/Candidacy.java
@@ -34,8 +34,8 @@
      */
     void setLeaseMs(double newLeaseMs) {
         if (!(newLeaseMs >= 1 && newLeaseMs <= timing.maxLeaseMs())) {
-            throw new IllegalArgumentException(
-                    "lease " + newLeaseMs + ", from 1 to the longest, " + timing.maxLeaseMs());
+            throw new IllegalArgumentException("lease " + newLeaseMs
+                    + " is not a duration in ms from 1 to the longest lease, " + timing.maxLeaseMs());
         }
         leaseMs = newLeaseMs;
     }
--- a/src/main/java/cacheproxy/fleet/lease/EventLoopHealth.java
+++ b/src/main/java/cacheproxy/fleet/lease/EventLoopHealth.java
@@ -26,8 +26,9 @@
      */
     public EventLoopHealth(double lateThresholdMs, int maxLateTasks, double windowMs) {
         if (!(lateThresholdMs > 0) || maxLateTasks < 1 || !(windowMs > 0)) {
-            throw new IllegalArgumentException(
-                    "late " + lateThresholdMs + ", " + maxLateTasks + " times within " + windowMs);
+            throw new IllegalArgumentException("expected values above 0, but found a lateness threshold in ms of "
+                    + lateThresholdMs + ", a maximum number of late tasks of " + maxLateTasks
+                    + " and a window in ms of " + windowMs);
         }
         this.lateThresholdMs = lateThresholdMs;
         this.maxLateTasks = maxLateTasks;
--- a/src/main/java/cacheproxy/fleet/lease/LeaseLoss.java
+++ b/src/main/java/cacheproxy/fleet/lease/LeaseLoss.java
@@ -11,7 +11,7 @@
     static final LeaseLoss NOT_RENEWED =
             new LeaseLoss(LeaseLossReason.NOT_RENEWED, "no majority renewed it in time", NameHash.NO_ID);
     static final LeaseLoss NOT_CONFIGURED =
-            new LeaseLoss(LeaseLossReason.NOT_CONFIGURED, "no longer in the file", NameHash.NO_ID);
+            new LeaseLoss(LeaseLossReason.NOT_CONFIGURED, "no longer in the configuration", NameHash.NO_ID);
 
     /**
      * Returns the loss for a process that is no longer a peer; {@code successor} is the first candidate of the new
--- a/src/main/java/cacheproxy/fleet/lease/LeaseManager.java
+++ b/src/main/java/cacheproxy/fleet/lease/LeaseManager.java
@@ -62,7 +62,7 @@
         long id = NameHash.of(lease);
         if (names.containsKey(id)) {
             throw new IllegalArgumentException(
-                    "duties " + lease + " and " + names.get(id) + " have one id; rename one");
+                    "duties " + lease + " and " + names.get(id) + " have the same id; rename one");
         }
         if (candidates.size() >= MAX_LEASES) {
             throw new IllegalArgumentException("more than " + MAX_LEASES + " duties");
--- a/src/main/java/cacheproxy/fleet/lease/VoterSet.java
+++ b/src/main/java/cacheproxy/fleet/lease/VoterSet.java
@@ -40,7 +40,8 @@
      */
     public VoterSet(String lease, List<String> peers, List<String> previousPeers, int maxVoters) {
         if (peers.isEmpty() || maxVoters < 1) {
-            throw new IllegalArgumentException("peers " + peers + ", voters " + maxVoters);
+            throw new IllegalArgumentException("expected at least one peer and one voter, but found peers " + peers
+                    + " and a number of voters of " + maxVoters);
         }
         currentVoters = voters(lease, peers, maxVoters);
         previousVoters = previousPeers.isEmpty() ? Set.of() : voters(lease, previousPeers, maxVoters);
--- a/src/main/java/cacheproxy/fleet/peer/DatagramEnvelope.java
+++ b/src/main/java/cacheproxy/fleet/peer/DatagramEnvelope.java
@@ -68,7 +68,7 @@
     public byte[] seal(long to, byte topic, byte[] payload) {
         if (payload.length > MAX_PAYLOAD_BYTES) {
             throw new IllegalArgumentException(
-                    "payload of " + payload.length + " bytes, at most " + MAX_PAYLOAD_BYTES + " fit a datagram");
+                    "payload of " + payload.length + " bytes; at most " + MAX_PAYLOAD_BYTES + " fit into a datagram");
         }
         ByteBuffer buffer = ByteBuffer.allocate(HEADER_BYTES + payload.length + authenticator.trailerBytes())
                 .put(MAGIC)
--- a/src/main/java/cacheproxy/fleet/quota/QuotaManager.java
+++ b/src/main/java/cacheproxy/fleet/quota/QuotaManager.java
@@ -117,7 +117,7 @@
             double nowMs) {
         if (newSpecs.size() > MAX_QUOTAS || allocatorLeases.isEmpty()) {
             throw new IllegalArgumentException(
-                    "expected at most " + MAX_QUOTAS + " quotas and some allocator lease, but" + " found "
+                    "expected at most " + MAX_QUOTAS + " quotas and at least one allocator lease, but found "
                             + newSpecs.size() + " and " + allocatorLeases.size());
         }
         Map<Long, QuotaSpec> byId = new LinkedHashMap<>();
--- a/src/main/java/cacheproxy/fleet/quota/QuotaMessage.java
+++ b/src/main/java/cacheproxy/fleet/quota/QuotaMessage.java
@@ -52,7 +52,7 @@
     public QuotaMessage {
         entries = List.copyOf(entries);
         if (entries.size() > MAX_ENTRIES) {
-            throw new IllegalArgumentException(entries.size() + " limits in one message");
+            throw new IllegalArgumentException(entries.size() + " quotas are too many for one message");
         }
     }
 
--- a/src/main/java/cacheproxy/fleet/quota/QuotaSpec.java
+++ b/src/main/java/cacheproxy/fleet/quota/QuotaSpec.java
@@ -48,7 +48,7 @@
         boolean isFractionValid = staticFraction >= 0 && staticFraction <= 1;
         if (name.isEmpty() || !isAmountValid || !(burst >= 0) || !isHoldValid || !isFractionValid) {
             throw new IllegalArgumentException(
-                    "limit " + name + " of " + amount + ", burst " + burst + ", share part " + staticFraction);
+                    "limit " + name + " of " + amount + ", burst " + burst + ", static fraction " + staticFraction);
         }
         if (whenIsolated == IsolationPolicy.NONE) {
             staticFraction = 0;
--- a/src/main/java/cacheproxy/fleet/quota/QuotaTiming.java
+++ b/src/main/java/cacheproxy/fleet/quota/QuotaTiming.java
@@ -34,7 +34,9 @@
     public QuotaTiming(double grantMs, double maxDrift) {
         boolean isGrantValid = grantMs >= MIN_GRANT_MS && grantMs <= MAX_GRANT_MS;
         if (!isGrantValid || !(maxDrift >= 0 && maxDrift <= MAX_CONFIGURED_DRIFT)) {
-            throw new IllegalArgumentException("grant of " + grantMs + " ms, drift " + maxDrift);
+            throw new IllegalArgumentException(
+                    "expected a grant duration of 100 to 60,000 ms and a drift of 0 to 0.1, but found " + grantMs
+                            + " ms and " + maxDrift);
         }
         this.grantMs = grantMs;
         this.maxDrift = maxDrift;
