--- a/src/test/java/cacheproxy/discovery/DelegatedWatchTest.java
+++ b/src/test/java/cacheproxy/discovery/DelegatedWatchTest.java
@@ -6,7 +6,9 @@
 import cacheproxy.fleet.lease.NameHash;
 import org.junit.jupiter.api.Test;
 
-/** {@link DelegatedWatch} of several proxies on virtual time, with a discovery whose version grows. */
+/**
+ * Simulates the {@link DelegatedWatch} of several proxies in virtual time, while the version of discovery's list grows.
+ */
 class DelegatedWatchTest {
     static final DelegatedWatchTiming TIMING = new DelegatedWatchTiming(1000, 3000, 30_000, 300);
 
@@ -26,7 +28,7 @@
                 .as("coalescing window and message delay")
                 .isLessThan(TIMING.coalescingWindowMs() + 60);
         assertThat(zone.polls - pollsBefore)
-                .as("5000 if each proxy long-polled")
+                .as("polls during the update; 5000 if each proxy long-polled")
                 .isLessThan(100 + 49 * 40);
         pollsBefore = zone.polls;
         zone.runUntil(zone.nowMs + 60_000);
@@ -114,7 +116,7 @@
         zone.version = 1_000_000;
         zone.runUntil(3000);
         zone.version = 1;
-        for (int i = 0; i < 5; i++) { // each has received the whole list with its lower version
+        for (int i = 0; i < 5; i++) { // each proxy has received the full list with its lower version
             zone.versionOf[i] = 1;
             zone.watches.get(i).listVersionChanged(zone.nowMs, 1);
         }
--- a/src/test/java/cacheproxy/discovery/DiscoveryPollSchedulerTest.java
+++ b/src/test/java/cacheproxy/discovery/DiscoveryPollSchedulerTest.java
@@ -9,7 +9,9 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** How stale the list of a client of {@link DiscoveryPollScheduler} gets while discovery fails, on virtual time. */
+/**
+ * Measures in virtual time how stale the list of a client of {@link DiscoveryPollScheduler} gets while discovery fails.
+ */
 class DiscoveryPollSchedulerTest {
     /** How and when a poll ends. */
     private record PollResult(double atMs, boolean success, boolean silent) {}
@@ -24,7 +26,7 @@
         SUCCESS
     }
 
-    /** Defects of a client, which the random walk must detect. */
+    /** Defects of a client that the random walk must detect. */
     private enum InjectedDefect {
         NONE,
         LONG_POLL_WAIT,
@@ -33,8 +35,8 @@
     }
 
     /**
-     * One client during a minute of a discovery that is reachable and unreachable in turn. While reachable it responds
-     * within a second, but loses some responses, though not two in a row.
+     * Simulates one client for a minute during which discovery is alternately reachable and unreachable. While
+     * reachable, discovery responds within a second, but some responses are lost, never two in a row.
      */
     private static final class RandomWalk {
         private static final double DURATION_MS = 60_000;
@@ -61,14 +63,17 @@
             reachable = random.nextBoolean();
         }
 
-        /** The longest time for which discovery was reachable without a success, in milliseconds. */
+        /**
+         * Runs the walk; returns the longest time for which discovery was reachable without a successful poll, in
+         * milliseconds.
+         */
         double runAndMeasureStalenessMs() {
             scheduler.setFollowing(0, true);
             while (nowMs < DURATION_MS) {
                 nowMs = Math.max(nowMs, scheduler.nextPollAtMs());
                 advancePhases();
                 PollResult result = send(scheduler.beginPoll(nowMs));
-                if (result.success() && result.atMs() > phaseEndsAtMs) { // it became unreachable meanwhile
+                if (result.success() && result.atMs() > phaseEndsAtMs) { // discovery became unreachable in the meantime
                     result = new PollResult(Math.max(phaseEndsAtMs, nowMs), false, false);
                 }
                 nowMs = result.atMs();
@@ -122,21 +127,21 @@
     }
 
     private static double[] sortedStalenessMs(int walkCount, InjectedDefect defect) {
-        double[] sortedMs = new double[walkCount];
+        double[] stalenessMs = new double[walkCount];
         for (int i = 0; i < walkCount; i++) {
-            sortedMs[i] = new RandomWalk(i, i % 3 != 0, i % 2 == 0 ? 5 : 100, defect).runAndMeasureStalenessMs();
+            stalenessMs[i] = new RandomWalk(i, i % 3 != 0, i % 2 == 0 ? 5 : 100, defect).runAndMeasureStalenessMs();
         }
-        Arrays.sort(sortedMs);
-        return sortedMs;
+        Arrays.sort(stalenessMs);
+        return stalenessMs;
     }
 
     @Test
     void keepsStalenessWithinBoundWhileDiscoveryIsReachable() {
-        double[] sortedMs = sortedStalenessMs(20_000, InjectedDefect.NONE);
+        double[] stalenessMs = sortedStalenessMs(20_000, InjectedDefect.NONE);
         System.out.printf(
                 "list staleness: 20000 walks, ms without a success p50 %.0f, p99 %.0f, max %.0f of %.0f%n",
-                sortedMs[10_000], sortedMs[19_800], sortedMs[19_999], DiscoveryPollScheduler.MAX_STALENESS_MS);
-        assertThat(sortedMs[19_999]).isLessThanOrEqualTo(DiscoveryPollScheduler.MAX_STALENESS_MS);
+                stalenessMs[10_000], stalenessMs[19_800], stalenessMs[19_999], DiscoveryPollScheduler.MAX_STALENESS_MS);
+        assertThat(stalenessMs[19_999]).isLessThanOrEqualTo(DiscoveryPollScheduler.MAX_STALENESS_MS);
     }
 
     @Test
@@ -144,8 +149,8 @@
         for (InjectedDefect defect : new InjectedDefect[] {
             InjectedDefect.LONG_POLL_WAIT, InjectedDefect.NO_TIMEOUT, InjectedDefect.LONG_RETRY
         }) {
-            double[] sortedMs = sortedStalenessMs(500, defect);
-            assertThat(sortedMs[499]).as(defect.name()).isGreaterThan(DiscoveryPollScheduler.MAX_STALENESS_MS);
+            double[] stalenessMs = sortedStalenessMs(500, defect);
+            assertThat(stalenessMs[499]).as(defect.name()).isGreaterThan(DiscoveryPollScheduler.MAX_STALENESS_MS);
         }
     }
 
@@ -165,7 +170,10 @@
         assertThat(scheduler.beginPoll(nowMs + 5).waitMs()).isEqualTo(DiscoveryPollScheduler.LONG_POLL_WAIT_MS);
     }
 
-    /** Giving up polls that are queued at a slow discovery would only lengthen its queue. */
+    /**
+     * Guards against short timeouts: abandoning polls that are queued at a slow discovery would only lengthen its
+     * queue.
+     */
     @Test
     void extendsTimeoutsForSlowDiscoveryUpToTheMaximum() {
         DiscoveryPollScheduler scheduler = new DiscoveryPollScheduler(true, 100, new SplittableRandom(1));
@@ -225,7 +233,7 @@
         assertThat(scheduler.nextPollAtMs()).isInfinite();
         scheduler.pollNow(2);
         scheduler.beginPoll(2);
-        scheduler.pollNow(3); // while one is in flight: that one ends first, then another follows
+        scheduler.pollNow(3); // a poll is in flight: it ends first, then another one follows
         assertThat(scheduler.inFlight()).isTrue();
         scheduler.succeeded(4);
         assertThat(scheduler.nextPollAtMs()).isEqualTo(4);
--- a/src/test/java/cacheproxy/discovery/SilentWatchDetectorTest.java
+++ b/src/test/java/cacheproxy/discovery/SilentWatchDetectorTest.java
@@ -9,7 +9,7 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.Test;
 
-/** When {@link SilentWatchDetector} asks for a poll, by refused connections and by claimed versions. */
+/** When {@link SilentWatchDetector} requests a poll because of refused connections or claimed versions. */
 class SilentWatchDetectorTest {
     private final SilentWatchDetector detector = new SilentWatchDetector(3500, 1000, 200);
 
@@ -122,7 +122,7 @@
         detector.versionClaimed(1500, 43);
         assertThat(detector.nextPollAtMs()).isEqualTo(1000 + 1000 + 200);
         detector.listReceived(42, false, List.of());
-        assertThat(detector.nextPollAtMs()).isEqualTo(2200); // still behind
+        assertThat(detector.nextPollAtMs()).isEqualTo(2200); // the claimed version has not arrived yet
         detector.listReceived(43, false, List.of());
         assertThat(detector.nextPollAtMs()).isInfinite();
     }
--- a/src/test/java/cacheproxy/discovery/SimulatedZone.java
+++ b/src/test/java/cacheproxy/discovery/SimulatedZone.java
@@ -8,7 +8,7 @@
 import java.util.PriorityQueue;
 import java.util.SplittableRandom;
 
-/** A zone of proxies with their discovery and the datagrams between them. */
+/** Simulates a zone of proxies, their discovery and the datagrams between the proxies. */
 final class SimulatedZone {
     private static final double STEP_MS = 20;
 
@@ -102,10 +102,10 @@
         return count;
     }
 
-    /** A message on its way; proxies are given by their index. */
+    /** A message in flight; proxies are identified by their index. */
     private record Datagram(double atMs, long number, int from, int to, WatchVersionMessage message) {}
 
-    /** The zone's lease as one proxy sees it. */
+    /** The zone's lease as known to one proxy. */
     private record SimulatedLease(SimulatedZone zone, int self) implements LeaseHandle {
         @Override
         public long permit(double atMs, double actionMs) {
@@ -133,7 +133,7 @@
         }
     }
 
-    /** Carries out what the watch of one proxy decides; its messages may be lost or delayed. */
+    /** Performs the actions of one proxy's watch; its messages may be lost or delayed. */
     private record SimulatedActions(SimulatedZone zone, int self) implements DelegatedWatchActions {
         @Override
         public void send(WatchVersionMessage message) {
--- a/src/test/java/cacheproxy/discovery/VersionGossipTest.java
+++ b/src/test/java/cacheproxy/discovery/VersionGossipTest.java
@@ -8,7 +8,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Who announces a version, and how many messages a change takes in a fleet. */
+/** Which proxies announce a version, and how many messages a change takes in a fleet. */
 class VersionGossipTest {
     private final VersionGossip gossip = new VersionGossip();
 
@@ -58,8 +58,8 @@
     private record Event(double atMs, Runnable action) {}
 
     /**
-     * Of 72 proxies all but those with a silent long poll receive a change within 1.5 s. Three in ten messages are
-     * lost, the others take up to 30 ms.
+     * In a fleet of 72 proxies, all except those with a silent long poll receive a change within 1.5 s. Three in ten
+     * messages are lost; the others take up to 30 ms.
      */
     @Test
     void spreadsChangeToAllProxiesWithFewMessages() {
--- a/src/test/java/cacheproxy/fleet/healthcheck/HealthCheckCoordinatorTest.java
+++ b/src/test/java/cacheproxy/fleet/healthcheck/HealthCheckCoordinatorTest.java
@@ -17,7 +17,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Shared health checks on virtual time, by real coordinators with messages between them. */
+/** Shared health checks in virtual time, with real coordinators and simulated messages between them. */
 class HealthCheckCoordinatorTest {
     private static final HealthCheckTiming TIMING = new HealthCheckTiming(250, 600, 1000);
     private static final int SHARES = 3;
@@ -26,7 +26,7 @@
 
     private record Report(double atMs, int coordinator, int server, boolean healthy) {}
 
-    /** Coordinators, the holder of each share, the servers that fail for each of them, and the loss of messages. */
+    /** Simulates coordinators, the holder of each share, failing and unreachable servers, and the loss of messages. */
     private static final class SimulatedFleet {
         final List<HealthCheckCoordinator> coordinators = new ArrayList<>();
         final PriorityQueue<Datagram> inFlight = new PriorityQueue<>((first, second) -> first.atMs != second.atMs
@@ -36,7 +36,7 @@
                 new PriorityQueue<>((first, second) -> Double.compare(first[0], second[0]));
         final int[] holder = new int[SHARES];
         final long[] epoch = new long[SHARES];
-        /** The holder of all shares that a coordinator believes in, where that is not the real one. */
+        /** The holder that a coordinator assumes for all shares, if that differs from the real holder. */
         final Map<Integer, Integer> believedHolder = new HashMap<>();
 
         final Set<Integer> unhealthy = new HashSet<>();
@@ -184,12 +184,13 @@
         SimulatedFleet simulation = new SimulatedFleet(5, 2);
         int share = HealthCheckCoordinator.shareOf(7, SHARES);
         simulation.holder[share] = 4;
-        simulation.believedHolder.put(1, 2); // and 2 knows
+        simulation.believedHolder.put(1, 2); // coordinator 2 knows the holder
         simulation.coordinators.get(1).request(0, 7);
         simulation.runUntil(1000);
         assertThat(simulation.reports).singleElement().matches(report -> report.healthy && report.coordinator == 1);
         assertThat(simulation.coordinators.get(4).counts().checksForOthers()).isEqualTo(1);
-        // Nobody knows the holder: it checks by itself at once, not after the result timeout.
+        // No coordinator knows the holder: the requesting one makes its own check immediately, not after the result
+        // timeout.
         simulation.believedHolder.put(2, -1);
         simulation.believedHolder.put(1, 2);
         simulation.reports.clear();
@@ -210,7 +211,10 @@
         assertThat(simulation.checks).isEqualTo(4);
     }
 
-    /** A holder that is cut off from a healthy server keeps nobody else from it for longer than three results. */
+    /**
+     * A holder that cannot reach a healthy server makes other proxies consider it failed for no more than three
+     * results.
+     */
     @Test
     void checksItselfWhenReportedResultsContradictItsOwnView() {
         SimulatedFleet simulation = new SimulatedFleet(3, 4);
@@ -225,7 +229,8 @@
             reportedHealth.add(simulation.reports.get(0).healthy);
         }
         assertThat(reportedHealth).containsExactly(false, false, false, true);
-        // The reverse: it is reported healthy, and wanted again at once, since it fails from here.
+        // The reverse: the server is reported healthy, but a new check is requested immediately because this proxy
+        // cannot reach it.
         simulation.partitioned.clear();
         simulation.partitioned.add("0/7");
         reportedHealth.clear();
@@ -270,7 +275,7 @@
         simulation.coordinators.get(0).receive(simulation.nowMs, 2, result);
     }
 
-    /** The pool that made the check is gone: the server must not wait for a result that never comes. */
+    /** Guards against a server that waits forever for the result of a check whose pool no longer exists. */
     @Test
     void checkThatNeverFinishesCountsAsFailed() {
         SimulatedFleet simulation = new SimulatedFleet(1, 11);
@@ -281,7 +286,9 @@
         simulation.runUntil(3 * TIMING.checkTimeoutMs());
         assertThat(simulation.reports).singleElement().matches(report -> !report.healthy);
         simulation.coordinators.get(0).finished(simulation.nowMs, 7, true);
-        assertThat(simulation.reports).as("a result after that").hasSize(1);
+        assertThat(simulation.reports)
+                .as("a result after the check has been counted as failed")
+                .hasSize(1);
         simulation.coordinators.get(0).request(simulation.nowMs, 7);
         simulation.runUntil(simulation.nowMs + 100);
         assertThat(simulation.reports).hasSize(2).last().matches(report -> report.healthy);
@@ -327,7 +334,9 @@
         for (int server = 0; server < PendingRequests.MAX_PENDING + 10; server++) {
             simulation.coordinators.get(0).request(0, server);
         }
-        assertThat(simulation.checks).as("at once, beyond the bound").isEqualTo(10);
+        assertThat(simulation.checks)
+                .as("own checks that start immediately, beyond the bound")
+                .isEqualTo(10);
         simulation.runUntil(2000);
         assertThat(simulation.reports).hasSize(PendingRequests.MAX_PENDING + 10);
     }
@@ -369,8 +378,8 @@
     }
 
     /**
-     * Messages are lost, late and doubled, and holders change: each request is reported once and in time, with no more
-     * than two checks a request.
+     * Messages are lost, delayed and duplicated, and holders change: each request must be reported once and in time,
+     * with no more than two checks per request.
      */
     @Test
     void reportsEveryRequestOnceInTimeDespiteLoss() {
@@ -385,7 +394,7 @@
                 switch (random.nextInt(5)) {
                     case 0 -> {
                         int share = random.nextInt(SHARES);
-                        simulation.holder[share] = random.nextInt(6) - 1; // -1: nobody
+                        simulation.holder[share] = random.nextInt(6) - 1; // -1: no holder
                         simulation.epoch[share]++;
                     }
                     case 1 -> simulation.believedHolder.put(random.nextInt(5), random.nextInt(6) - 1);
--- a/src/test/java/cacheproxy/fleet/healthcheck/HealthCheckGoldenBytesTest.java
+++ b/src/test/java/cacheproxy/fleet/healthcheck/HealthCheckGoldenBytesTest.java
@@ -5,7 +5,9 @@
 import cacheproxy.HexBytes;
 import org.junit.jupiter.api.Test;
 
-/** The bytes of the datagrams on health checks: other versions of the program read and write the same. */
+/**
+ * The bytes of the datagrams about health checks, which other versions of the program must read and write identically.
+ */
 class HealthCheckGoldenBytesTest {
     private static final long LEASE_ID = 0x0102030405060708L;
     private static final int SERVER = 0xcafe0001;
--- a/src/test/java/cacheproxy/fleet/lease/EventLoopHealthTest.java
+++ b/src/test/java/cacheproxy/fleet/lease/EventLoopHealthTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Late tasks against the window. */
+/** Counts late tasks within the window. */
 class EventLoopHealthTest {
     @Test
     void isUnhealthyForAWindowAfterThreeLateTasksWithinIt() {
@@ -15,7 +15,7 @@
         assertThat(health.isHealthy(4500)).isTrue();
         health.recordTask(5001, 400);
         assertThat(health.isHealthy(5001))
-                .as("the first one is outside the window")
+                .as("the first late task is outside the window")
                 .isTrue();
         health.recordTask(6000, 400);
         assertThat(health.isHealthy(10_999)).isFalse();
--- a/src/test/java/cacheproxy/fleet/lease/LeaseGoldenBytesTest.java
+++ b/src/test/java/cacheproxy/fleet/lease/LeaseGoldenBytesTest.java
@@ -10,7 +10,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The bytes of lease datagrams and of the ids in them: another version of the program must read and write the same. */
+/**
+ * The bytes of lease datagrams and of the ids in them, which other versions of the program must read and write
+ * identically.
+ */
 class LeaseGoldenBytesTest {
     private static final long LEASE_ID = 0x0102030405060708L;
     private static final long NONCE = 0x1112131415161718L;
@@ -70,7 +73,7 @@
         assertThat(NameHash.seededHash(purpose, lease, "p1")).isEqualTo(Long.parseUnsignedLong(hash, 16));
     }
 
-    /** All proxies must choose the same voters and the same order, of whichever version they are. */
+    /** Proxies of all versions must choose the same voters and the same order of candidates. */
     @Test
     void votersAndCandidateOrderAreUnchanged() {
         List<String> peers = IntStream.rangeClosed(1, 7).mapToObj(i -> "p" + i).toList();
--- a/src/test/java/cacheproxy/fleet/lease/LeaseStatesTest.java
+++ b/src/test/java/cacheproxy/fleet/lease/LeaseStatesTest.java
@@ -11,11 +11,11 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Explores the reachable states of a few voters and candidates breadth first, over the real code: each message in
- * flight may be delivered next in any order, be lost or be duplicated; time advances in quarters of a lease; one
- * process restarts without its state, one pauses. A state is a path of choices, replayed from the start; states with
- * the same fingerprint are explored once. For larger runs: {@code -Dlease.states=1000000 -Dlease.voters=5
- * -Dlease.candidates=3}.
+ * Explores the reachable states of a few voters and candidates breadth first, with the real implementation: messages in
+ * flight may be delivered in any order, lost or duplicated; time advances in steps of about a quarter of a lease; one
+ * process restarts without its state, and one pauses. A state is represented by the steps that lead to it, which are
+ * replayed from the start; states with the same fingerprint are explored once. For larger runs:
+ * {@code -Dlease.states=1000000 -Dlease.voters=5 -Dlease.candidates=3}.
  */
 class LeaseStatesTest {
     private static final double LEASE_MS = 1000;
@@ -48,7 +48,7 @@
 
     private record Explored(int states, int depth, List<Step> trace, String violation) {}
 
-    /** A world whose messages are delivered in any order. */
+    /** A fleet whose messages are delivered in any order. */
     private static final class ReplayedState {
         final SimulatedLeaseFleet fleet;
         final List<SimulatedLeaseFleet.Datagram> datagrams = new ArrayList<>();
--- a/src/test/java/cacheproxy/fleet/lease/LeaseTest.java
+++ b/src/test/java/cacheproxy/fleet/lease/LeaseTest.java
@@ -13,14 +13,14 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** A voter, a candidate and small fleets, with messages by hand. */
+/** A voter, a candidate and small fleets, with messages that the test delivers itself. */
 class LeaseTest {
     private static final LeaseTiming TIMING = new LeaseTiming(1000, 0.01);
     private static final long LEASE_ID = NameHash.of("d");
     private static final long INCARNATION = 77;
     private final LeaseVoter voter = new LeaseVoter(TIMING, 0);
 
-    /** The voter's reply; null if it is silent. */
+    /** Returns the voter's reply; null if it is silent. */
     private LeaseMessage respond(double nowMs, long from, LeaseMessage message) {
         return voter.respond(nowMs, from, message).orElse(null);
     }
@@ -67,7 +67,9 @@
                         .holder())
                 .isEqualTo(NameHash.NO_ID);
         assertThat(respond(3010, NameHash.of("a"), otherIncarnation).kind()).isEqualTo(Kind.GRANT);
-        assertThat(claim(3011, "a", 6).kind()).as("its renewal").isEqualTo(Kind.REJECT);
+        assertThat(claim(3011, "a", 6).kind())
+                .as("a renewal by the former incarnation")
+                .isEqualTo(Kind.REJECT);
     }
 
     @Test
@@ -84,7 +86,7 @@
                 .isNull();
         assertThat(respond(2000, 1, new LeaseMessage(Kind.CLAIM, 11, 7, 1, 0, 1000))
                         .kind())
-                .as("a known one")
+                .as("a lease that the voter knows already")
                 .isEqualTo(Kind.GRANT);
         assertThat(voter.size()).isEqualTo(LeaseVoter.MAX_LEASES);
     }
@@ -166,7 +168,7 @@
         public void lost(String lease, long epoch, String reason) {}
     }
 
-    /** Processes whose messages take 1 ms, without state at first. */
+    /** Creates a fleet of processes that have just started, whose messages take 1 ms. */
     private static SimulatedLeaseFleet fleet(int count) {
         SimulatedLeaseFleet fleet = new SimulatedLeaseFleet(TIMING, 1000, count, List.of("d"));
         fleet.network = (from, to, bytes) -> fleet.datagrams.add(
@@ -209,7 +211,7 @@
                 .isFalse();
     }
 
-    /** Guards against a transfer that its successor ignores, as it awaits replies to a query of its own. */
+    /** Guards against a transfer that the successor ignores because it awaits replies to its own query. */
     @Test
     void transferToPeerThatAwaitsRepliesIsAccepted() {
         SimulatedLeaseFleet fleet = fleet(3);
@@ -235,7 +237,9 @@
                 .as("within the time that a transfer takes")
                 .isTrue();
         fleet.run(3000);
-        assertThat(holder(fleet)).as("one of the three").isNotNull();
+        assertThat(holder(fleet))
+                .as("one of the three processes holds the lease")
+                .isNotNull();
         assertThat(fleet.violations()).isEmpty();
     }
 
@@ -250,7 +254,7 @@
         assertThat(second).isNotNull().isNotSameAs(first);
         SimulatedLeaseFleet.Network connected = fleet.network;
         fleet.network = (from, to, bytes) -> {
-            if (from != second.index) { // receives, but is not received
+            if (from != second.index) { // it receives messages, but its own are lost
                 connected.send(from, to, bytes);
             }
         };
@@ -267,7 +271,7 @@
         SimulatedLeaseFleet.SimulatedProcess first = holder(fleet);
         long epoch = first.manager.permit("d", first.localMs(), 100);
         assertThat(first.manager.permit("d", first.localMs(), 1000)).isEqualTo(-1);
-        first.paused = true; // past the end of its lease
+        first.paused = true; // until after the end of its lease
         fleet.run(3000);
         SimulatedLeaseFleet.SimulatedProcess second = holder(fleet);
         assertThat(second).isNotNull().isNotSameAs(first);
@@ -285,7 +289,7 @@
         assertThat(fencing.accepts(999_999, 1)).isFalse();
     }
 
-    /** Guards against a lease that is refused for good, by a misleading error, after one invalid duration. */
+    /** Guards against a lease that is rejected permanently, with a misleading error, after one invalid duration. */
     @Test
     void rejectedDurationDoesNotReserveLeaseName() {
         LeaseManager manager = new LeaseManager("p1", TIMING, new SplittableRandom(1), 0, new IgnoringListener());
@@ -310,7 +314,7 @@
                 .hasMessageContaining("more than " + LeaseManager.MAX_LEASES);
     }
 
-    /** Keeps what a manager sends, and replies for two voters that grant everything. */
+    /** Records the messages of a manager, and replies for two voters that grant everything. */
     private static final class GrantingVoters implements LeaseListener {
         final List<LeaseMessage> messages = new ArrayList<>();
         final List<String> gained = new ArrayList<>();
@@ -328,7 +332,7 @@
         @Override
         public void lost(String lease, long epoch, String reason) {}
 
-        /** Replies to all questions since the last call. */
+        /** Replies to all requests since the last call. */
         void reply(LeaseManager manager, double nowMs) {
             List<LeaseMessage> requests = List.copyOf(messages);
             messages.clear();
@@ -360,7 +364,7 @@
         LeaseManager manager = new LeaseManager("p1", TIMING, new SplittableRandom(1), 0, granting);
         manager.campaign("d", 1000, THREE_VOTERS, 0);
         manager.tick(500, 1);
-        granting.reply(manager, 501); // the query; now the claim is open
+        granting.reply(manager, 501); // replies to the query; now the claim is open
         assertThat(granting.messages).anyMatch(message -> message.kind() == Kind.CLAIM);
         manager.setEligible(false, "it ends", 502);
         List<LeaseMessage> sent = List.copyOf(granting.messages);
@@ -400,7 +404,7 @@
         assertThat(manager.permit("d", 500 + voterLeaseMs * (1 - TIMING.maxDrift()), 0))
                 .as("a voter with a slow clock may have granted it to another")
                 .isEqualTo(-1);
-        // Another duration counts for the next claim, not for the open one.
+        // A new duration applies to the next claim, not to the open one.
         manager.campaign("d", 1000, THREE_VOTERS, 501);
         assertThat(manager.permit("d", 500 + voterLeaseMs, 0)).isEqualTo(-1);
         manager.tick(540, 1);
--- a/src/test/java/cacheproxy/fleet/lease/LeaseWalk.java
+++ b/src/test/java/cacheproxy/fleet/lease/LeaseWalk.java
@@ -5,26 +5,26 @@
 import java.util.SplittableRandom;
 
 /**
- * One seeded random walk of a {@link SimulatedLeaseFleet} on virtual time. Clocks drift to the bound; messages are
- * lost, duplicated, delayed and cut off one way; processes pause, and restart without their state. Then the faults end,
- * and the fleet must recover.
+ * One seeded random walk of a {@link SimulatedLeaseFleet} in virtual time. Clocks drift up to the bound; messages are
+ * lost, duplicated, delayed and blocked in one direction; processes pause, and restart without their state. Then the
+ * faults end, and the fleet must recover.
  */
 final class LeaseWalk {
     static final double LEASE_MS = 1000;
     /** How long faults are injected. */
     private static final double FAULTS_MS = 12_000;
-    /** Enough for a voter's silence, a lease, the delay of the last rank and two attempts. */
+    /** Long enough for a voter's silence, a lease, the delay of the last rank and two attempts. */
     private static final double RECOVERY_MS = 6_000;
 
     private static final double FIRST_FAULT_MS = 2000;
     private static final double USUAL_MAX_DELAY_MS = 5;
 
     /**
-     * What to walk.
+     * The options of a walk.
      *
-     * @param peerListSteps the steps in which the list of peers is replaced by one that shares two of its five peers;
-     *     0: it is not replaced
-     * @param checkIntervalMs the shortest time between two checks of all leases; 0: after each event
+     * @param peerListSteps the number of steps in which the list of peers is replaced by one that shares two of its
+     *     five peers; 0 if it is not replaced
+     * @param checkIntervalMs the minimum time between two checks of all leases; 0 to check after each event
      */
     record Options(
             LeaseTiming timing,
@@ -35,7 +35,7 @@
             int peerListSteps,
             double checkIntervalMs) {}
 
-    /** What was seen, up to the first violation. */
+    /** The observations of a walk, up to the first violation. */
     record Result(int gains, long messages, List<String> violations, double longestUnheldMs) {}
 
     private final Options options;
@@ -101,7 +101,7 @@
         }
         boolean allHeld = options.leaseNames().stream().allMatch(fleet::isHeld);
         if (fleet.violations().isEmpty() && !allHeld) {
-            fleet.reportViolation("nobody holds a lease " + RECOVERY_MS + " ms after the end of the faults");
+            fleet.reportViolation("nobody holds a lease " + RECOVERY_MS + " ms after the faults ended");
         }
         return new Result(fleet.gains, fleet.datagramCount, fleet.violations(), longestUnheldMs);
     }
@@ -140,7 +140,8 @@
             case 7 -> fleet.processes.forEach(other -> other.paused = false);
             default -> {
                 if (random.nextInt(4) == 0) {
-                    fleet.processes.forEach(other -> other.start(random.split())); // all at once, without state
+                    fleet.processes.forEach(
+                            other -> other.start(random.split())); // all processes at the same time, without state
                 } else {
                     fleet.stepWallClocks((random.nextInt(3) - 1) * 500);
                 }
@@ -164,7 +165,8 @@
     }
 
     /**
-     * Each process takes the next list at its own time; in two steps, the second only after all have taken the first.
+     * Each process uses the next list from a different time on. If the list is changed in two steps, the second follows
+     * only after all processes have taken the first.
      */
     private void changePeerLists() {
         for (int changes = 0; changes < 2; changes++) {
--- a/src/test/java/cacheproxy/fleet/lease/LeaseWalkTest.java
+++ b/src/test/java/cacheproxy/fleet/lease/LeaseWalkTest.java
@@ -10,8 +10,9 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Many {@link LeaseWalk random walks}: two processes must never be holders of one lease at once, and walks with planted
- * defects must show that. For longer runs: {@code -Dlease.schedules=20000}, {@code -Dlease.large=4}.
+ * Many {@link LeaseWalk random walks}: two processes must never hold the same lease at the same time, and walks with
+ * injected defects must detect this violation. For longer runs: {@code -Dlease.schedules=20000},
+ * {@code -Dlease.large=4}.
  */
 class LeaseWalkTest {
     private static final int WALKS = Integer.getInteger("lease.schedules", 300);
@@ -39,7 +40,7 @@
         for (int seed = 0; seed < 20; seed++) {
             found += walkWithNewPeers(seed, 1).violations().isEmpty() ? 0 : 1;
         }
-        System.out.println("lists changed in one step: " + found + " of 20 walks found it");
+        System.out.println("lists changed in one step: " + found + " of 20 walks found a violation");
         assertThat(found).isGreaterThan(0);
     }
 
@@ -71,13 +72,16 @@
             messages += result.messages();
             longestUnheldMs = Math.max(longestUnheldMs, result.longestUnheldMs());
         }
-        assertThat(gains).as("leases moved").isGreaterThan(WALKS * 2);
+        assertThat(gains).as("changes of holders").isGreaterThan(WALKS * 2);
         System.out.printf(
                 "walks %d, gains %d, messages %d, longest without a holder once calm %.0f ms%n",
                 WALKS, gains, messages, longestUnheldMs);
     }
 
-    /** A hundred proxies and two hundred leases, checked every 25 ms: {@code -Dlease.large=N} of them. */
+    /**
+     * Walks with a hundred proxies and two hundred leases, checked every 25 ms; {@code -Dlease.large=N} sets their
+     * number.
+     */
     @Test
     void aHundredProxiesNeverHaveTwoHoldersOfAnyOfTwoHundredLeases() {
         List<String> names =
@@ -117,7 +121,7 @@
             }
             fleet.run(4000);
             fleet.processes.forEach(process -> process.paused = false);
-            assertThat(fleet.violations()).isEmpty(); // among them epochs that do not grow
+            assertThat(fleet.violations()).isEmpty(); // violations include epochs that do not grow
             assertThat(fleet.isHeld("a")).isTrue();
             assertThat(fleet.gains - gains).as("round " + round).isEqualTo(takeover || round == 0 ? 1 : 0);
         }
@@ -134,37 +138,41 @@
     @Test
     void detectsEachInjectedDefect() {
         Map<String, LeaseTiming> defects = new HashMap<>();
-        defects.put("no silence after a restart", new LeaseTiming(LEASE_MS, LeaseTiming.MAX_CLOCK_DRIFT) {
+        defects.put("a restarted voter is not silent", new LeaseTiming(LEASE_MS, LeaseTiming.MAX_CLOCK_DRIFT) {
             @Override
             public double startupSilenceMs() {
                 return 0;
             }
         });
         defects.put(
-                "the holder's lease as long as the voters'", new LeaseTiming(LEASE_MS, LeaseTiming.MAX_CLOCK_DRIFT) {
+                "the holder's lease lasts as long as the voters' grants",
+                new LeaseTiming(LEASE_MS, LeaseTiming.MAX_CLOCK_DRIFT) {
                     @Override
                     public double holderLeaseMs(double leaseMs) {
                         return voterLeaseMs(leaseMs);
                     }
                 });
-        defects.put("the epoch kept by the candidate", new LeaseTiming(LEASE_MS, LeaseTiming.MAX_CLOCK_DRIFT) {
+        defects.put("the candidate reuses the highest epoch", new LeaseTiming(LEASE_MS, LeaseTiming.MAX_CLOCK_DRIFT) {
             @Override
-            public long nextEpoch(long seen, long wallMs) {
-                return seen;
+            public long nextEpoch(long highestEpoch, long wallMs) {
+                return highestEpoch;
             }
         });
-        defects.put("the lease by the wall clock", new SimulatedLeaseFleet.WallClockTiming(LEASE_MS));
-        defects.put("the check in a timer, not before the act", new LeaseTiming(LEASE_MS, LeaseTiming.MAX_CLOCK_DRIFT) {
-            @Override
-            public boolean permitsAction(double now, double untilMs, double actMs) {
-                return true;
-            }
-        });
-        assertThat(firstViolations(CORRECT_TIMING, 60)).as("nothing planted").isEmpty();
+        defects.put(
+                "the holder measures its lease by the wall clock", new SimulatedLeaseFleet.WallClockTiming(LEASE_MS));
+        defects.put(
+                "the lease is checked by a timer, not before each action",
+                new LeaseTiming(LEASE_MS, LeaseTiming.MAX_CLOCK_DRIFT) {
+                    @Override
+                    public boolean permitsAction(double nowMs, double untilMs, double actionMs) {
+                        return true;
+                    }
+                });
+        assertThat(firstViolations(CORRECT_TIMING, 60)).as("without a defect").isEmpty();
         List<String> missed = new ArrayList<>();
         defects.forEach((defect, timing) -> {
             List<String> found = firstViolations(timing, 60);
-            System.out.println("planted: " + defect + ": " + found);
+            System.out.println("injected defect: " + defect + ": " + found);
             if (found.isEmpty()) {
                 missed.add(defect);
             }
--- a/src/test/java/cacheproxy/fleet/lease/ServerReachabilityTest.java
+++ b/src/test/java/cacheproxy/fleet/lease/ServerReachabilityTest.java
@@ -5,20 +5,20 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Local successes and reports of others against the limits of each. */
+/** Combinations of local successes and reports from others, around the limits of each. */
 class ServerReachabilityTest {
     @Test
     void isIneligibleOnlyWhileOthersReachServersThatItDoesNot() {
         ServerReachability reachability = new ServerReachability(0, 3000, 10_000);
         assertThat(reachability.isEligible(60_000))
-                .as("no process reports a server")
+                .as("no process reports a reachable server")
                 .isTrue();
         reachability.recordRemoteReport(60_000);
         assertThat(reachability.isEligible(60_000)).isFalse();
         reachability.recordLocalSuccess(60_500);
         assertThat(reachability.isEligible(63_499)).isTrue();
         assertThat(reachability.isEligible(63_501))
-                .as("the report is older than the own success")
+                .as("the report is older than this process's last success")
                 .isTrue();
         reachability.recordRemoteReport(63_600);
         assertThat(reachability.isEligible(63_601)).isFalse();
@@ -30,7 +30,7 @@
         all.recordRemoteReport(100_900);
         assertThat(all.isEligible(104_000)).isTrue();
         all.recordRemoteReport(103_500);
-        assertThat(all.isEligible(104_000)).as("others still do").isFalse();
+        assertThat(all.isEligible(104_000)).as("others still reach servers").isFalse();
         assertThatThrownBy(() -> new ServerReachability(0, 0, 1)).isInstanceOf(IllegalArgumentException.class);
     }
 }
--- a/src/test/java/cacheproxy/fleet/lease/SimulatedLeaseFleet.java
+++ b/src/test/java/cacheproxy/fleet/lease/SimulatedLeaseFleet.java
@@ -10,7 +10,7 @@
 import java.util.SplittableRandom;
 
 /**
- * A simulated fleet: processes with a real {@link LeaseManager}, each on its own drifting clock, and the messages
+ * A simulated fleet: processes with a real {@link LeaseManager}, each with its own drifting clock, and the messages
  * between them. Safety is checked in true time.
  */
 final class SimulatedLeaseFleet {
@@ -84,13 +84,13 @@
             }
         }
 
-        /** Whether it would act as the holder now. */
+        /** Returns whether the process would act as the holder now. */
         boolean isHolding(String lease) {
             return !down && manager.permit(lease, localMs(), 0) >= 0;
         }
     }
 
-    /** What carries messages between processes. */
+    /** Carries messages between processes. */
     interface Network {
         void send(int from, int to, byte[] bytes);
     }
@@ -124,12 +124,12 @@
         }
     }
 
-    /** Delivers a message that has been taken out of the mail. */
+    /** Delivers a message that has been removed from the queue. */
     void deliver(Datagram datagram) {
         processes.get(datagram.to()).receive(datagram.from(), datagram.bytes());
     }
 
-    /** Runs for so long in steps of 1 ms. */
+    /** Runs the fleet for this long in steps of 1 ms. */
     void run(double ms) {
         for (double endMs = nowMs + ms; nowMs < endMs; nowMs++) {
             while (!datagrams.isEmpty() && datagrams.peek().atMs() <= nowMs) {
@@ -146,14 +146,15 @@
 
     private final Map<String, VoterSet> voterSets = new HashMap<>();
     /**
-     * The list of peers that each process uses: 0 the old one, 1 both, 2 the new one; null while it does not change.
+     * The list of peers that each process uses: 0 the old list, 1 both lists, 2 the new list; null if the list does not
+     * change.
      */
     int[] peerListStage;
 
     List<String> oldList;
     List<String> newList;
 
-    /** One process takes the next list of peers. */
+    /** Makes one process use the next list of peers. */
     void advancePeerList(int index, int to) {
         peerListStage[index] = to;
         SimulatedProcess process = processes.get(index);
@@ -182,7 +183,7 @@
                                         lease, newList, peerListStage[index] == 1 ? oldList : List.of(), voterCount));
     }
 
-    /** Sets by how much all wall clocks are off. */
+    /** Sets the deviation of all wall clocks. */
     void stepWallClocks(double ms) {
         wallStepMs = ms;
         if (timing instanceof WallClockTiming byWallClock) {
@@ -190,7 +191,7 @@
         }
     }
 
-    /** A planted defect: the holder measures its lease by the wall clock. */
+    /** An injected defect: the holder measures its lease by the wall clock. */
     static final class WallClockTiming extends LeaseTiming {
         double stepMs;
 
@@ -217,7 +218,8 @@
     }
 
     /**
-     * At most one process may act under a lease, and while it may, a majority of the voters reserves the lease for it.
+     * Checks that at most one process may act under each lease and that, while it may, a majority of the voters
+     * reserves the lease for it.
      */
     void checkSafety() {
         for (String lease : leaseNames) {
@@ -231,19 +233,20 @@
                             reserving.add(voter.id);
                         }
                     }
-                    // While the list changes, a grant may stem from the list before the one that the holder uses now.
+                    // While the list changes, a grant may have been made with the list that the holder used before the
+                    // present one.
                     boolean isReserved = peerListStage == null
                             ? voterSet(process.index, lease).isMajority(reserving)
                             : voterSetOf(lease, oldList).isMajority(reserving)
                                     || voterSetOf(lease, newList).isMajority(reserving);
                     if (!isReserved) {
-                        reportViolation(process.name + " may act on " + lease + " and only " + reserving.size()
-                                + " keep others from it");
+                        reportViolation(process.name + " may act under " + lease + ", but only " + reserving.size()
+                                + " voters reserve it");
                     }
                 }
             }
             if (holders > 1) {
-                reportViolation(holders + " may act on " + lease + ": "
+                reportViolation(holders + " processes may act under " + lease + ": "
                         + processes.stream()
                                 .filter(process -> process.isHolding(lease))
                                 .map(process -> process.name)
--- a/src/test/java/cacheproxy/fleet/membership/MembershipGoldenBytesTest.java
+++ b/src/test/java/cacheproxy/fleet/membership/MembershipGoldenBytesTest.java
@@ -12,7 +12,8 @@
 import org.junit.jupiter.params.provider.CsvSource;
 
 /**
- * The bytes of the datagrams on membership and endpoint lists: other versions of the program read and write the same.
+ * The bytes of the datagrams about membership and endpoint lists, which other versions of the program must read and
+ * write identically.
  */
 class MembershipGoldenBytesTest {
     private static final long NUMBER = 0x0102030405060708L;
--- a/src/test/java/cacheproxy/fleet/membership/SwimMembershipTest.java
+++ b/src/test/java/cacheproxy/fleet/membership/SwimMembershipTest.java
@@ -11,7 +11,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Failure detection on virtual time, with links that lose messages and processes that stall, crash and restart. */
+/** Failure detection in virtual time, with links that lose messages and processes that stall, crash and restart. */
 class SwimMembershipTest {
     // The bytes are private to this test and never changed.
     @SuppressWarnings("ArrayRecordComponent")
@@ -79,7 +79,7 @@
                                 datagram.number,
                                 datagram.from,
                                 datagram.to,
-                                datagram.bytes)); // it stays in the socket buffer
+                                datagram.bytes)); // the datagram stays in the socket buffer
                     } else if (!crashed.contains(datagram.to)) {
                         members.get(datagram.to).receive(nowMs, datagram.from + 1, SwimMessage.decode(datagram.bytes));
                     }
@@ -109,7 +109,9 @@
         for (int i = 0; i < 50; i++) {
             assertThat(simulation.countReporting(i, MemberStatus.ALIVE)).isEqualTo(49);
         }
-        assertThat(simulation.sent / 60.0 / 50).as("messages a second each").isLessThan(4.5);
+        assertThat(simulation.sent / 60.0 / 50)
+                .as("messages per second and member")
+                .isLessThan(4.5);
     }
 
     @Test
@@ -118,16 +120,16 @@
             SimulatedFleet simulation = new SimulatedFleet(count, count);
             simulation.runUntil(5000);
             simulation.crashed.add(0);
-            // With few members a process lowers its own health as well, and waits up to eight times as long.
+            // With few members a process also lowers its own health, and then waits up to eight times as long.
             double longest = count < 4 ? 90_000 : 40_000;
             simulation.runUntil(5000 + longest);
             assertThat(simulation.countReporting(0, MemberStatus.DEAD))
-                    .as("of " + count)
+                    .as("fleet of " + count)
                     .isEqualTo(count - 1);
             simulation.start(0);
             simulation.runUntil(5000 + 2 * longest);
             assertThat(simulation.countReporting(0, MemberStatus.ALIVE))
-                    .as("of " + count)
+                    .as("fleet of " + count)
                     .isEqualTo(count - 1);
         }
     }
@@ -150,7 +152,7 @@
         assertThat(simulation.countReporting(0, MemberStatus.DEAD)).isZero();
     }
 
-    /** A stalled process is dead to the others, and accuses nobody when it continues. */
+    /** The others declare a stalled process dead; it suspects no others when it continues. */
     @Test
     void stalledProcessLowersItsOwnHealthBeforeAccusingOthers() {
         SimulatedFleet simulation = new SimulatedFleet(12, 9);
@@ -164,7 +166,7 @@
         simulation.runUntil(80_000);
         for (int i = 0; i < 12; i++) {
             assertThat(simulation.countReporting(i, MemberStatus.ALIVE))
-                    .as("about " + i)
+                    .as("members that report ALIVE for member " + i)
                     .isEqualTo(11);
         }
     }
@@ -180,7 +182,7 @@
                 wrong += (int) simulation.countReporting(i, MemberStatus.DEAD);
             }
         }
-        assertThat(wrong / (29.0 * 30 * 29)).as("part of all observations").isLessThan(0.04);
+        assertThat(wrong / (29.0 * 30 * 29)).as("fraction of all observations").isLessThan(0.04);
         simulation.lossProbability = 0;
         simulation.runUntil(90_000);
         for (int i = 0; i < 30; i++) {
@@ -199,7 +201,7 @@
         simulation.runUntil(90_000);
         for (int i = 0; i < 10; i++) {
             assertThat(simulation.countReporting(i, MemberStatus.ALIVE))
-                    .as("about " + i)
+                    .as("members that report ALIVE for member " + i)
                     .isEqualTo(9);
         }
     }
--- a/src/test/java/cacheproxy/fleet/peer/DatagramEnvelopeTest.java
+++ b/src/test/java/cacheproxy/fleet/peer/DatagramEnvelopeTest.java
@@ -12,7 +12,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Sealing and opening of datagrams: authentication, replays, incarnations and duplicate ids. */
+/** Sealing and opening datagrams: authentication, replays, incarnations and duplicate ids. */
 class DatagramEnvelopeTest {
     private static final byte[] OLD_KEY = "an old key of some length".getBytes(StandardCharsets.UTF_8);
     private static final byte[] NEW_KEY = "a new key of some length".getBytes(StandardCharsets.UTF_8);
@@ -32,9 +32,9 @@
             assertThat(opened.sender()).isEqualTo(1);
             assertThat(opened.topic()).isEqualTo((byte) 3);
             assertThat(opened.payload()).containsExactly(7, 8);
-            assertThat(receiver.open(datagram, 0)).as("again").isNull();
+            assertThat(receiver.open(datagram, 0)).as("the same datagram again").isNull();
             assertThat(sender.open(sender.seal(2L, (byte) 3, new byte[0]), 0))
-                    .as("its own")
+                    .as("the sender's own datagram")
                     .isNull();
             assertThat(sender.duplicateIds()).isEmpty();
         }
@@ -55,7 +55,7 @@
         for (int i = 0; i < ReplayWindow.SIZE; i++) {
             assertThat(receiver.open(sender.seal(2L, (byte) 0, new byte[0]), 0)).isNotNull();
         }
-        assertThat(receiver.open(late, 0)).as("behind the window").isNull();
+        assertThat(receiver.open(late, 0)).as("older than the window").isNull();
     }
 
     @Test
@@ -116,7 +116,7 @@
         assertThat(acceptsBoth.open(withNewKey.seal(2L, (byte) 0, new byte[0]), 0))
                 .isNotNull();
         assertThat(withOldKey.open(acceptsBoth.seal(2L, (byte) 0, new byte[0]), 0))
-                .as("the old key alone")
+                .as("signed with the new key, opened with the old key alone")
                 .isNull();
         assertThat(acceptsBoth.open(envelope(1, 102).seal(2L, (byte) 0, new byte[0]), 0))
                 .as("unsigned")
--- a/src/test/java/cacheproxy/fleet/peer/PeerListTransitionTest.java
+++ b/src/test/java/cacheproxy/fleet/peer/PeerListTransitionTest.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** Relations between the peer lists of two proxies during a change of them. */
+/** Relations between the peer lists of two proxies while the lists are being changed. */
 class PeerListTransitionTest {
     private static final Set<String> OLD_LIST = Set.of("p1", "p2", "p3");
     private static final Set<String> NEW_LIST = Set.of("p3", "p4", "p5");
--- a/src/test/java/cacheproxy/fleet/peer/PeersGoldenBytesTest.java
+++ b/src/test/java/cacheproxy/fleet/peer/PeersGoldenBytesTest.java
@@ -27,7 +27,7 @@
 
     private static final byte[] CHECKSUMMED_EMPTY =
             HexBytes.parse("63 01 06 0102030405060708 000001941f297c00 0000000000000002 ef4c8b42");
-    /** The same with the first 16 bytes of the HMAC-SHA256. */
+    /** The same datagram with the first 16 bytes of the HMAC-SHA256 instead of the CRC-32C. */
     private static final byte[] SIGNED =
             HexBytes.parse("63 01 01 0102030405060708 000001941f297c00 0000000000000001 00ff7f80"
                     + "4a13a060b4edec774d62f518ba3b30e9");
@@ -73,8 +73,8 @@
     private static final Set<String> OLD_LIST = Set.of("p3", "p1", "p2");
     private static final Set<String> NEW_LIST = Set.of("p\u00e9", "p5", "p4", "p3");
     /**
-     * The number of names and the CRC-32C of them in order, each with a line feed; then the same of the list that is
-     * being replaced.
+     * The number of names and the CRC-32C of the sorted names, each followed by a line feed; then the same for the list
+     * that is being replaced.
      */
     private static final byte[] OLD_LIST_MESSAGE = HexBytes.parse("00000003 04e5f200 0000000000000000");
 
--- a/src/test/java/cacheproxy/fleet/quota/QuotaGoldenBytesTest.java
+++ b/src/test/java/cacheproxy/fleet/quota/QuotaGoldenBytesTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** The bytes of the datagrams about limits: another version of the program must read and write the same. */
+/** The bytes of the datagrams about quotas, which other versions of the program must read and write identically. */
 class QuotaGoldenBytesTest {
     private static final long LEDGER_ID = 0x0102030405060708L;
     private static final long REQUEST_ID = 0x1112131415161718L;
@@ -55,8 +55,8 @@
     }
 
     /**
-     * The nearest float to 0.1 is 3dcccccd, which is more; to 0.3 it is 3e99999a, which is more, too; 0.7's 3f333333 is
-     * less.
+     * The nearest float to 0.1 is 3dcccccd, which is larger; the nearest to 0.3 is 3e99999a, which is also larger; the
+     * nearest to 0.7 is 3f333333, which is smaller.
      */
     @ParameterizedTest
     @CsvSource({"0.1,3dcccccc", "0.3,3e999999", "0.7,3f333333"})
--- a/src/test/java/cacheproxy/fleet/quota/QuotaWalkTest.java
+++ b/src/test/java/cacheproxy/fleet/quota/QuotaWalkTest.java
@@ -18,20 +18,21 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Simulated fleets that share a quota through random faults, on virtual time: together they must stay within
- * {@link OvershootBound}, and runs with planted defects must exceed it. For longer runs: {@code -Dquota.walks=20000}.
+ * Simulated fleets that share a quota during random faults, in virtual time: the proxies of a fleet together must stay
+ * within {@link OvershootBound}, and runs with injected defects must exceed it. For longer runs:
+ * {@code -Dquota.walks=20000}.
  */
 class QuotaWalkTest {
     private static final int WALKS = Integer.getInteger("quota.walks", 400);
     private static final QuotaTiming TIMING = new QuotaTiming(600, 0.01);
 
-    /** By how much a run exceeds its bound; 0 or less if it does not. */
+    /** Returns by how much a run exceeds its bound; 0 or less if it does not. */
     private static double excessOverBound(Plan plan) {
         Result result = QuotaSimulation.run(plan);
         if (plan.quota().concurrent()) {
             return result.overshoot()[0];
         }
-        // With LAST, links may fail several times in a window, and each time a grant decays.
+        // With LAST, links may fail several times in a window, and a grant decays each time.
         double decaying = plan.quota().whenIsolated() == QuotaSpec.IsolationPolicy.LAST
                 ? plan.faults().size() * plan.quota().amount() * QuotaSpec.DECAY_GRANTS * TIMING.grantMs() / 2000
                 : 0;
@@ -58,11 +59,11 @@
                     .as("seed " + seed + ": " + RandomQuotaPlan.of(seed, TIMING))
                     .isLessThanOrEqualTo(0);
         }
-        System.out.println("quota walks " + WALKS + ", nearest to the bound "
+        System.out.println("quota walks " + WALKS + ", largest excess over the bound "
                 + Arrays.stream(excess).max().orElse(0));
     }
 
-    /** Four proxies and 300 per second without bursts; the demand is first at one proxy, then at all. */
+    /** Four proxies share 300 requests per second without bursts; the demand is first at one proxy, then at all. */
     private static Plan targetedPlan(
             QuotaTiming timing, QuotaSpec.IsolationPolicy whenIsolated, int first, Fault... faults) {
         double[] one = new double[4];
@@ -82,7 +83,7 @@
                 1);
     }
 
-    /** The bound holds with correct timing and is exceeded with the planted defect. */
+    /** Asserts that the bound holds with correct timing and is exceeded with the injected defect. */
     private static void assertDefectIsFound(
             QuotaTiming correct,
             QuotaTiming defective,
@@ -209,11 +210,11 @@
                 .isLessThanOrEqualTo(OvershootBound.maxOvershoot(
                         new QuotaSpec("l", false, 25, 25, QuotaSpec.IsolationPolicy.SHARE, 1, 0), TIMING, 100, 10_000));
         assertThat(result.admitted())
-                .as("of 300; the rest stays unused in buckets of one token")
+                .as("admitted of 300; the rest stays unused in buckets of one token")
                 .isGreaterThan(150);
     }
 
-    /** A peer that requests too much gets its fair part only, and delays others by the duration of a grant at most. */
+    /** A peer that requests too much gets only its fair share, and delays others by at most the duration of a grant. */
     @Test
     void greedyPeerGetsItsFairShareOnly() {
         AllocationLedger ledger = new AllocationLedger(TIMING);
@@ -232,9 +233,9 @@
         ledger.recordRequest(10, 4, 5, 100, 1);
         assertThat(ledger.allocate(10, true))
                 .allSatisfy(grant -> assertThat(grant.amount()).isZero());
-        ledger.recordRequest(20, 3, 9, 5, 2); // gives 40 back
+        ledger.recordRequest(20, 3, 9, 5, 2); // gives back 40
         ledger.allocate(20, true).forEach(grant -> got[grant.peer() == 4 ? 0 : (int) grant.peer()] = grant.amount());
-        assertThat(got[0]).as("what was given back is granted at once").isPositive();
+        assertThat(got[0]).as("the returned amount is granted immediately").isPositive();
         assertThat(ledger.outstanding(20)).isLessThanOrEqualTo(100 + 1e-9);
     }
 
@@ -250,7 +251,7 @@
                 .as("an owed amount is never less than promised")
                 .isGreaterThanOrEqualTo(1000 - 41);
         assertThat(counted.amountAt(50))
-                .as("a relied on amount is never more than promised")
+                .as("an amount that is relied on is never more than promised")
                 .isLessThanOrEqualTo(1000 - 41);
         assertThat(owed.amountAt(109.5)).isZero();
         QuotaSpec spec = new QuotaSpec("l", false, 100, 0, QuotaSpec.IsolationPolicy.SHARE, 1, 0);
@@ -290,7 +291,7 @@
         assertThat(manager.localQuota("l").capacity(30_000)).isLessThanOrEqualTo(50);
     }
 
-    /** A quota is removed from the configuration and restored: what was donated of it stays donated. */
+    /** If a quota is removed from the configuration and restored, its donations remain in force. */
     @Test
     void restoredQuotaIsSilentUntilItsDonationsHaveExpired() {
         QuotaSpec spec = new QuotaSpec("l", false, 100, 0, QuotaSpec.IsolationPolicy.SHARE, 1, 0);
@@ -320,7 +321,7 @@
                 .isEqualTo(5);
     }
 
-    /** Grants stay outstanding while the configuration lacks the quota, so none of it is granted twice. */
+    /** Grants remain outstanding while the quota is not configured, so that no capacity is granted twice. */
     @Test
     void allocatorCountsOutstandingGrantsOfARemovedAndRestoredQuota() {
         QuotaSpec spec = new QuotaSpec("l", false, 100, 0, QuotaSpec.IsolationPolicy.NONE, 0, 0);
@@ -364,7 +365,7 @@
                 .isEqualTo(100);
     }
 
-    /** What an allocator grants a peer that requests the whole quota. */
+    /** Returns the largest amount that an allocator grants to a peer that requests the whole quota. */
     private static double largestGrant(QuotaManager manager, List<QuotaMessage> sent, long to, double nowMs) {
         sent.clear();
         manager.receive(
@@ -384,22 +385,23 @@
                 .orElseThrow();
     }
 
-    /** Shares shrink at once, and grow after others can no longer spend them. */
+    /** Shares decrease immediately, and increase only after others can no longer spend them. */
     @Test
     void sharesNeverExceedTheLimitWhileThePeerListChanges() {
         QuotaSpec spec = new QuotaSpec("l", false, 120, 0, QuotaSpec.IsolationPolicy.SHARE, 1, 0);
         LocalQuota stays = new LocalQuota(spec, TIMING, -1e6);
         LocalQuota joins = new LocalQuota(spec, TIMING, -1e6);
-        stays.configure(spec, spec.staticShare(2), 0); // 60 of two
+        stays.configure(spec, spec.staticShare(2), 0); // two proxies with 60 each
         assertThat(stays.owned(0)).isEqualTo(60);
-        stays.configure(spec, spec.staticShare(3), 100); // both lists: three proxies, the new one has no share yet
+        stays.configure(
+                spec, spec.staticShare(3), 100); // both lists: three proxies, of which the new one has no share yet
         joins.configure(spec, 0, 100);
         assertThat(stays.owned(100)).isEqualTo(40);
         assertThat(joins.owned(100)).isZero();
         joins.configure(spec, spec.staticShare(3), 200); // the new list alone
         assertThat(joins.owned(201)).isZero();
         assertThat(joins.owned(201 + TIMING.donationWithheldMs(spec))).isEqualTo(40);
-        stays.configure(spec, spec.staticShare(2), 5000); // one has left: not at once
+        stays.configure(spec, spec.staticShare(2), 5000); // one proxy has left: the increase is delayed
         assertThat(stays.owned(5001)).isEqualTo(40);
         assertThat(stays.owned(5001 + TIMING.donationWithheldMs(spec))).isEqualTo(60);
         QuotaSpec lower = new QuotaSpec("l", false, 60, 0, QuotaSpec.IsolationPolicy.SHARE, 1, 0);
--- a/src/test/java/cacheproxy/fleet/quota/RandomQuotaPlan.java
+++ b/src/test/java/cacheproxy/fleet/quota/RandomQuotaPlan.java
@@ -9,7 +9,7 @@
 import java.util.SplittableRandom;
 import java.util.stream.IntStream;
 
-/** Seeded random plans of a simulation: a quota, an uneven demand that changes, and faults. */
+/** Creates seeded random plans for simulations: a quota, an uneven and changing demand, and faults. */
 final class RandomQuotaPlan {
     private static final double DURATION_MS = 10_000;
     private static final double LONG_DELAY_MS = 5000;
@@ -26,7 +26,7 @@
         proxies = 2 + random.nextInt(8);
     }
 
-    /** The plan of a seed. */
+    /** Returns the plan for a seed. */
     static Plan of(long seed, QuotaTiming timing) {
         return new RandomQuotaPlan(seed).plan(seed, timing);
     }
@@ -51,7 +51,7 @@
         return new QuotaSpec("l", concurrent, amount, burst, whenIsolated, staticFraction, holdMs);
     }
 
-    /** Requests per second, by span of time and proxy. */
+    /** Returns the requests per second, by time span and proxy. */
     private double[][] offered(QuotaSpec spec) {
         int spans = 1 + random.nextInt(4);
         double[][] offered = new double[spans][proxies];
