--- a/src/main/java/cacheproxy/discovery/SilentWatchDetector.java
+++ b/src/main/java/cacheproxy/discovery/SilentWatchDetector.java
@@ -24,13 +24,13 @@
  * does not receive all their polls at once. The state is bounded by two entries for each listed server.
  */
 public final class SilentWatchDetector {
-    /** Polls for a version that only other proxies claim to have. */
+    /** Maximum number of polls for a version that only other proxies claim to have. */
     static final int MAX_POLLS_PER_CLAIM = 4;
 
     private static final int MAX_DOUBLINGS = 4;
-    /** Refusals by fewer servers never count as many. */
+    /** Minimum number of refusing servers that counts as many. */
     private static final int MIN_MANY_SERVERS = 3;
-    /** Refusals by one in this many ready servers count as many. */
+    /** Refusals by at least one in this many ready servers count as many. */
     private static final int MANY_SERVERS_DIVISOR = 10;
 
     private static final double NEVER = Double.POSITIVE_INFINITY;
--- a/src/main/java/cacheproxy/fleet/peer/PeerListTransition.java
+++ b/src/main/java/cacheproxy/fleet/peer/PeerListTransition.java
@@ -18,7 +18,7 @@
 public final class PeerListTransition {
     /** Length of a report in bytes. */
     public static final int MESSAGE_BYTES = 16;
-    /** Age from which a report no longer counts, in ms. */
+    /** Age above which a report is ignored, in ms. */
     public static final double REPORT_EXPIRY_MS = 60_000;
 
     private static final long NO_LIST = 0;
--- a/src/main/java/cacheproxy/fleet/quota/LocalQuota.java
+++ b/src/main/java/cacheproxy/fleet/quota/LocalQuota.java
@@ -8,7 +8,7 @@
  * expired. Admitting a request allocates no memory.
  */
 public final class LocalQuota {
-    /** The fraction of the share that is never donated, so that a first request is admitted at once. */
+    /** The fraction of the share that is never donated, so that a first request is admitted immediately. */
     private static final double NEVER_DONATED_FRACTION = 0.02;
     /** Donations below this fraction of the share are not worth a message. */
     private static final double MIN_DONATED_FRACTION = 0.02;
--- a/src/test/java/cacheproxy/fleet/lease/SimulatedLeaseFleet.java
+++ b/src/test/java/cacheproxy/fleet/lease/SimulatedLeaseFleet.java
@@ -23,7 +23,7 @@
         final int index;
         final String name;
         final long id;
-        /** The local clock shows {@code zeroMs + rate * nowMs}. */
+        /** The local clock shows {@code clockOffsetMs + clockRate * nowMs}. */
         double clockRate = 1;
 
         double clockOffsetMs;
