--- a/src/main/java/cacheproxy/daemon/ListenerSet.java
+++ b/src/main/java/cacheproxy/daemon/ListenerSet.java
@@ -128,7 +128,7 @@
         for (Listener listener : listeners) {
             listener.listen().addListener(bound -> {
                 if (!bound.isSuccess()) { // another process has bound the address since it was reserved
-                    core.log("listener at " + Addresses.text(listener.address()) + ": "
+                    core.log("listener at " + Addresses.text(listener.address()) + " can't accept clients: "
                             + bound.cause().getMessage());
                 }
                 if (--pending[0] == 0) {
--- a/src/main/java/cacheproxy/daemon/fleet/FleetLeases.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetLeases.java
@@ -122,7 +122,7 @@
 
     /** Gives up all leases. */
     void close() {
-        manager.setEligible(false, "it is replaced or ends", core.nowMs());
+        manager.setEligible(false, "the fleet configuration is replaced, or the process ends", core.nowMs());
         tick(core.nowMs());
     }
 
--- a/src/main/java/cacheproxy/daemon/fleet/FleetSocket.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetSocket.java
@@ -119,8 +119,8 @@
     void logDuplicateNames() {
         for (long id : envelope.duplicateIds()) {
             if (loggedDuplicates.add(id)) {
-                core.log("fleet: two processes send under the name " + names.get(id)
-                        + "; the newer one is heard; give each a name of its own");
+                core.log("fleet: two processes use the name " + names.get(id)
+                        + "; datagrams of the older one are rejected; give each process its own name");
             }
         }
     }
@@ -137,8 +137,8 @@
         rejections++;
         if (rejections == nextLoggedRejection) {
             nextLoggedRejection *= LOG_FACTOR;
-            core.log("fleet: " + rejections + " datagrams dropped that are no peer's, the last from "
-                    + Addresses.text(from) + "; are keys and addresses the same everywhere?");
+            core.log("fleet: " + rejections + " datagrams dropped that were not from a peer, the last from "
+                    + Addresses.text(from) + "; check that keys and addresses are the same on all proxies");
         }
     }
 
--- a/src/main/java/cacheproxy/daemon/fleet/PeerListMonitor.java
+++ b/src/main/java/cacheproxy/daemon/fleet/PeerListMonitor.java
@@ -88,8 +88,8 @@
         if (nowMs - sinceMs > WARN_AFTER_MS && warnedPeers.add(peer)) {
             context.core()
                     .log("fleet: " + names.get(peer)
-                            + " goes by another list of peers, more than one step from this one's; duties may have two"
-                            + " holders. Give all the same [[fleet.peer]]");
+                            + " goes by another list of peers, more than one step apart from this proxy's; a duty can"
+                            + " have two holders. Give all proxies the same [[fleet.peer]]");
         }
     }
 
--- a/src/main/java/cacheproxy/daemon/fleet/QuotaUsageMonitor.java
+++ b/src/main/java/cacheproxy/daemon/fleet/QuotaUsageMonitor.java
@@ -63,7 +63,7 @@
         Double sinceMs = isolatedSinceMs.get(name);
         if (isIsolated && sinceMs == null) {
             isolatedSinceMs.put(name, status.isolatedSinceMs());
-            log.accept("limit " + name + " alone: no proxy answers; this one spends "
+            log.accept("limit " + name + " alone: no other proxy responds; this one admits "
                     + String.format(Locale.ROOT, "%.1f", status.capacity())
                     + (status.spec().concurrent() ? " at once" : " a second"));
         } else if (!isIsolated && sinceMs != null) {
--- a/src/main/java/cacheproxy/daemon/hooks/HookExecutor.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookExecutor.java
@@ -72,10 +72,10 @@
             return start.get(START_TIMEOUT_SECONDS, TimeUnit.SECONDS);
         } catch (TimeoutException e) {
             starter.interrupt();
-            throw new HookException("it is not started after " + START_TIMEOUT_SECONDS + " s");
+            throw new HookException("it did not start within " + START_TIMEOUT_SECONDS + " s");
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
-            throw new HookException("interrupted");
+            throw new HookException("interrupted while it started");
         } catch (ExecutionException e) {
             if (e.getCause() instanceof HookException failure) {
                 throw failure;
@@ -137,7 +137,7 @@
             logLines(instance == null ? List.of() : instance.lastLogLines());
             instance = null; // its state is undefined now
         } catch (RuntimeException | Error e) { // a fault of the WebAssembly runtime must not end the thread
-            failure = "the host failed: " + firstLine(e);
+            failure = "the WebAssembly runtime failed: " + firstLine(e);
             instance = null;
         }
         task.complete(orders, failure);
--- a/src/main/java/cacheproxy/daemon/hooks/HookLoader.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookLoader.java
@@ -52,8 +52,8 @@
             throw new HookException(hook.module() + " can't be read");
         }
         if (hook.sha256() != null && !hook.sha256().equals(HookModule.sha256Hex(bytes))) {
-            throw new HookException(
-                    hook.module() + " has the SHA-256 " + HookModule.sha256Hex(bytes) + ", not that of the file");
+            throw new HookException(hook.module() + " has the SHA-256 " + HookModule.sha256Hex(bytes)
+                    + ", not the one in the configuration");
         }
         return bytes;
     }
--- a/src/main/java/cacheproxy/daemon/hooks/HookTask.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookTask.java
@@ -109,7 +109,7 @@
         }
         switch (previous) {
             case QUEUED -> listener.completed(null, "it waited too long for its turn", false);
-            case RUNNING -> listener.completed(null, "it took longer than it may", true);
+            case RUNNING -> listener.completed(null, "it exceeded its time limit", true);
             default -> {} // reported before
         }
     }
--- a/src/main/java/cacheproxy/daemon/snapshot/RestoredState.java
+++ b/src/main/java/cacheproxy/daemon/snapshot/RestoredState.java
@@ -56,9 +56,9 @@
         StoredSnapshot stored = SnapshotStore.at(path).read();
         logNotes(stored);
         if (snapshot != null) {
-            core.log("memory: " + path + " is not needed, this proxy's own is there");
+            core.log("memory: " + path + " is not needed, as this proxy has a snapshot of its own");
         } else if (stored.content() == null) {
-            core.log("memory: " + path + " has nothing that can be used");
+            core.log("memory: " + path + " has no snapshot that can be used");
         } else {
             use(stored.content(), true, path);
         }
