--- a/src/main/java/cacheproxy/daemon/Router.java
+++ b/src/main/java/cacheproxy/daemon/Router.java
@@ -57,17 +57,17 @@
     /**
      * Sends a request on its route.
      *
-     * @param named the route that a hook has chosen; null if none has
+     * @param routeByHook the route that a hook has chosen; null if none has
      * @return null if the request is already concluded
      */
     public RequestHandler.Handle route(
-            ConfigSnapshot config, String listener, Route named, ClientRequest request, Responder responder) {
+            ConfigSnapshot config, String listener, Route routeByHook, ClientRequest request, Responder responder) {
         RouteInput input = config.file
                 .keys()
                 .parse(listener, request.key(), request.serviceClass(), request.tenant(), request.isWrite());
         Route route = input == null
                 ? null
-                : named != null ? named : config.file.routes().find(input);
+                : routeByHook != null ? routeByHook : config.file.routes().find(input);
         if (route != null && route.action() instanceof Route.ToPools) {
             return routeToPools(config, listener, input, route, request, responder);
         }
--- a/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
@@ -59,12 +59,12 @@
     private long ticks;
     private boolean closed;
 
-    /** @param silentMs how much longer than for its own longest lease it votes for nobody */
+    /** @param extraSilenceMs how much longer than for its own longest lease it votes for nobody */
     private FleetSubsystem(
             FleetConfig config,
             EventLoopContext core,
             long seed,
-            double silentMs,
+            double extraSilenceMs,
             Supplier<ConfigSnapshot> configuration) {
         this.config = config;
         this.core = core;
@@ -72,7 +72,7 @@
         double startedMs = core.nowMs();
         SplittableRandom random = new SplittableRandom(seed);
         socket = new FleetSocket(core, config, startedMs, this::receive);
-        double grantsFromMs = startedMs + silentMs * (1 + LeaseTiming.MAX_CLOCK_DRIFT);
+        double grantsFromMs = startedMs + extraSilenceMs * (1 + LeaseTiming.MAX_CLOCK_DRIFT);
         leases = new FleetLeases(core, socket, config, random.split(), grantsFromMs);
         FleetContext context = new FleetContext(core, new Link(), configuration);
         healthChecks = new FleetHealthChecks(context, random.nextLong());
@@ -93,15 +93,16 @@
             return Optional.empty();
         }
         FleetSubsystem previous = (FleetSubsystem) before;
-        double silentMs = 0;
+        double extraSilenceMs = 0;
         if (previous != null) {
             if (SocketBinder.conflict(previous.config.listen(), config.listen())) {
                 previous.socket.releaseAddress(); // there is no second socket at its address
             }
             // What the previous instance has granted may be valid for its own longest lease.
-            silentMs = Math.max(0, previous.config.longestLeaseMs() - config.longestLeaseMs());
+            extraSilenceMs = Math.max(0, previous.config.longestLeaseMs() - config.longestLeaseMs());
         }
-        FleetSubsystem fleet = new FleetSubsystem(config, context.core(), seed, silentMs, context.configuration());
+        FleetSubsystem fleet =
+                new FleetSubsystem(config, context.core(), seed, extraSilenceMs, context.configuration());
         fleet.socket.bind(file);
         return Optional.of(fleet);
     }
