--- a/src/main/java/cacheproxy/control/ControlConnection.java
+++ b/src/main/java/cacheproxy/control/ControlConnection.java
@@ -35,12 +35,12 @@
         this.handler = handler;
     }
 
-    /** Whether the response has been written. */
+    /** Returns whether the response has been written. */
     boolean isAnswered() {
         return answered;
     }
 
-    /** When the connection was accepted, in milliseconds of {@link System#nanoTime}. */
+    /** Returns when the connection was accepted, in milliseconds of {@link System#nanoTime}. */
     double openedAtMs() {
         return openedAtMs;
     }
@@ -52,7 +52,7 @@
     }
 
     @Override
-    @SuppressWarnings("FutureReturnValueIgnored") // the timeout is never cancelled: it looks whether it still applies
+    @SuppressWarnings("FutureReturnValueIgnored") // the timeout is never cancelled: it checks whether it still applies
     public void channelActive(ChannelHandlerContext ctx) {
         loop.schedule(() -> requestTimedOut(ctx), ControlServer.REQUEST_TIMEOUT_MS, TimeUnit.MILLISECONDS);
     }
@@ -88,7 +88,7 @@
 
     /**
      * Writes the response, then shuts down only the output: closing with unread input would send a reset, which may
-     * overtake the response. The client closes first, or the linger time ends.
+     * overtake the response. The connection is closed when the client closes it, or after the linger time.
      */
     @SuppressWarnings("FutureReturnValueIgnored") // a failed write closes the channel; the rest needs no follow-up
     private void respond(ChannelHandlerContext ctx, ControlResponse response) {
--- a/src/main/java/cacheproxy/control/ControlEndpoints.java
+++ b/src/main/java/cacheproxy/control/ControlEndpoints.java
@@ -9,8 +9,9 @@
  *
  * @param acceptsClients whether this process accepts clients now
  * @param stateText the state of this process in one word
- * @param enterStandby sends clients away; false if the process is shutting down
- * @param leaveStandby accepts clients again; false if the process is shutting down
+ * @param enterStandby enters standby, in which client connections are drained; returns false if the process is shutting
+ *     down
+ * @param leaveStandby returns from standby to accepting clients; returns false if the process is shutting down
  * @param diagnostics handles the diagnostic endpoints
  */
 public record ControlEndpoints(
--- a/src/main/java/cacheproxy/control/ControlServer.java
+++ b/src/main/java/cacheproxy/control/ControlServer.java
@@ -18,15 +18,15 @@
 /**
  * The server of the control address: HTTP/1.1 (RFC 9112) with one request per connection. At most
  * {@link #MAX_CONNECTIONS} are open; further ones wait in the kernel's backlog. Once full, the server closes the oldest
- * connection that has had its response or {@link #MIN_REQUEST_TIME_MS} to send its request. So idle connections cannot
- * keep requests out, and many clients at once do not cut off a request that has just arrived.
+ * connection that has received its response or has had {@link #MIN_REQUEST_TIME_MS} to send its request. So idle
+ * connections cannot block new requests, and many concurrent clients do not cut off a request that has just arrived.
  */
 public final class ControlServer {
-    /** Open connections. */
+    /** Maximum of open connections. */
     public static final int MAX_CONNECTIONS = 8;
-    /** From accepting a connection until its request must be complete; then the response is status 408. */
+    /** Time from accepting a connection until its request must be complete; after that the response has status 408. */
     public static final int REQUEST_TIMEOUT_MS = 2000;
-    /** The time that each connection has for its request even if others wait. */
+    /** Time that each connection has for its request even if other clients wait. */
     public static final int MIN_REQUEST_TIME_MS = 25;
 
     private static final int BACKLOG = 512;
@@ -51,7 +51,7 @@
         this.handler = handler;
     }
 
-    /** Starts to listen; the future fails if the address is not available. */
+    /** Binds the address and starts to listen; the future fails if the address is not available. */
     public ChannelFuture bind(SocketAddress address) {
         ChannelFuture bound = new ServerBootstrap()
                 .group(loop)
@@ -70,7 +70,7 @@
         return bound;
     }
 
-    /** The address that the server listens on. */
+    /** Returns the address that the server listens on. */
     public InetSocketAddress address() {
         return (InetSocketAddress) listener.localAddress();
     }
@@ -103,7 +103,7 @@
         limitConnections();
     }
 
-    /** Pauses accepting while the server is full, and sees to it that a connection is closed then. */
+    /** Pauses accepting while the server is full, and schedules the closing of a connection in that case. */
     private void limitConnections() {
         boolean full = connections.size() >= MAX_CONNECTIONS;
         if (listener.isOpen() && listener.config().isAutoRead() == full) {
@@ -124,7 +124,7 @@
                 ? 0
                 : candidate.openedAtMs() + MIN_REQUEST_TIME_MS - System.nanoTime() / NANOS_PER_MS;
         evictionScheduled = true;
-        // At least 1 ms, so that what the candidate has sent already is read first.
+        // At least 1 ms, so that data that the candidate has already sent is read first.
         long delayNanos = (long) (Math.max(1, remainingMs) * NANOS_PER_MS);
         loop.schedule(() -> evict(candidate), delayNanos, TimeUnit.NANOSECONDS);
     }
--- a/src/main/java/cacheproxy/control/DiagnosticEndpoints.java
+++ b/src/main/java/cacheproxy/control/DiagnosticEndpoints.java
@@ -8,16 +8,17 @@
  * The diagnostic endpoints: {@code GET /invariants}, {@code POST /events/on}, {@code POST /events/off} and {@code POST
  * /reload}. Paths match exactly; query strings are ignored.
  *
- * @param invariants the counters of stopped and violating actions, one line
- * @param events switches the event log
- * @param reload starts reading the configuration again on another thread, as SIGHUP does; false if there is none
+ * @param invariants returns the counts of prevented actions and of violations, in one line
+ * @param events enables or disables the event log
+ * @param reload starts a reload of the configuration on another thread, as SIGHUP does; returns false if there is no
+ *     configuration file
  */
 public record DiagnosticEndpoints(Supplier<String> invariants, Consumer<Boolean> events, BooleanSupplier reload)
         implements ControlRequestHandler {
     /** The supported requests, for responses that list them. */
     public static final String REQUEST_LIST = "GET /invariants, POST /events/on, POST /events/off and POST /reload";
 
-    /** The HTTP method that a path requires; null if it is not a diagnostic endpoint. */
+    /** Returns the HTTP method that a path requires; null if it is not a diagnostic endpoint. */
     public static String requiredMethod(String path) {
         return switch (path) {
             case "/invariants" -> "GET";
--- a/src/main/java/cacheproxy/daemon/fleet/DelegatedWatches.java
+++ b/src/main/java/cacheproxy/daemon/fleet/DelegatedWatches.java
@@ -19,8 +19,8 @@
 import java.util.SplittableRandom;
 
 /**
- * The watch of discovery that one proxy of a zone keeps for all of them: carries what {@link DelegatedWatch} decides
- * for each pool with discovery.
+ * The watch of discovery that one proxy of a zone keeps for all proxies of the zone: carries out the decisions of
+ * {@link DelegatedWatch} for each pool with discovery.
  */
 final class DelegatedWatches implements FleetProtocol {
     static final byte TOPIC = 3;
@@ -28,7 +28,7 @@
     private final FleetContext context;
     private final SplittableRandom random;
     private final Map<String, DelegatedWatch> byPool = new HashMap<>();
-    /** The same by the id of the lease, whose name contains the zone. */
+    /** The same watches by the id of their lease, whose name contains the zone. */
     private final Map<Long, DelegatedWatch> byLease = new HashMap<>();
 
     private List<Long> otherPeersOfZone = List.of();
@@ -58,7 +58,7 @@
                 .toList();
     }
 
-    /** A watch ends with its pool, and with its lease where the zone has changed. */
+    /** Removes watches whose pool is no longer configured, or whose lease has changed with the zone. */
     private void removeUnwanted(FleetConfig config, Set<String> wanted) {
         for (String pool : List.copyOf(byPool.keySet())) {
             if (!wanted.contains(pool) || !byLease.containsKey(NameHash.of(config.watchLease(pool)))) {
@@ -83,13 +83,13 @@
         byLease.put(NameHash.of(lease), watch);
     }
 
-    /** Whether this proxy itself long-polls discovery for a pool. */
+    /** Returns whether this proxy itself long-polls discovery for a pool. */
     boolean shouldLongPoll(String pool) {
         DelegatedWatch watch = byPool.get(pool);
         return watch == null || watch.shouldLongPoll(context.nowMs());
     }
 
-    /** An endpoint list has arrived for a pool. */
+    /** Records that a pool has received an endpoint list. */
     void listReceived(String pool, long version) {
         DelegatedWatch watch = byPool.get(pool);
         if (watch != null) {
--- a/src/main/java/cacheproxy/daemon/fleet/FleetContext.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetContext.java
@@ -9,35 +9,35 @@
 import java.util.function.Supplier;
 
 /**
- * What the protocols of a fleet reach of the daemon.
+ * The access of the fleet's protocols to the rest of the daemon.
  *
  * @param core the event loop
- * @param link the other proxies
- * @param configuration the configuration in use; null before the first one is
+ * @param link the connection to the other proxies
+ * @param configuration the current configuration; null before the first one
  */
 record FleetContext(EventLoopContext core, PeerLink link, Supplier<ConfigSnapshot> configuration) {
-    /** The event loop's monotonic time. */
+    /** Returns the event loop's monotonic time. */
     double nowMs() {
         return core.nowMs();
     }
 
-    /** Runs a task on the event loop once the present call has returned. */
+    /** Runs a task on the event loop after the current call has returned. */
     void execute(Runnable task) {
         core.loop().execute(task);
     }
 
-    /** Whether a configuration is in use yet. */
+    /** Returns whether a configuration is in use yet. */
     boolean isConfigured() {
         return configuration.get() != null;
     }
 
-    /** The pools in use; none before the first configuration is. */
+    /** Returns the pools in use; empty before the first configuration. */
     Collection<PoolRuntime> pools() {
         ConfigSnapshot current = configuration.get();
         return current == null ? List.of() : current.pools.values();
     }
 
-    /** The pool of this name, if it is in use. */
+    /** Returns the pool of this name, if it is in use. */
     Optional<PoolRuntime> pool(String name) {
         ConfigSnapshot current = configuration.get();
         return Optional.ofNullable(current == null ? null : current.pools.get(name));
--- a/src/main/java/cacheproxy/daemon/fleet/FleetHealthChecks.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetHealthChecks.java
@@ -20,26 +20,29 @@
 import java.util.stream.Stream;
 
 /**
- * Health checks of ejected servers by one proxy for all: carries what {@link HealthCheckCoordinator} decides between
- * pools and peers. A check is an empty command of a pool, or, where the configuration says so, a client's request.
+ * Health checks of ejected servers that one proxy makes for all: passes the decisions of {@link HealthCheckCoordinator}
+ * to pools and peers. A check is an empty command of a pool or, if so configured, a client's request.
  */
 final class FleetHealthChecks implements FleetProtocol {
     static final byte TOPIC = 2;
-    /** Wait for a request that can be the check; shorter than the coordinator's wait for the check's end. */
+    /**
+     * How long to wait for a request that can be the check. Shorter than the coordinator's wait for the end of the
+     * check.
+     */
     private static final double REQUEST_WAIT_MS = 1.5 * Dispatcher.PROBE_TIMEOUT_MS;
 
     private final FleetContext context;
     private final long firstRequestNumber;
-    /** Pools that wait for the result of a server's check. */
+    /** The pools that wait for the result of a server's check. */
     private final Map<Integer, Set<Dispatcher>> waitingPools = new HashMap<>();
     /**
-     * Where clients' requests are the checks: servers whose next attempt from here is one, with the time by which it is
-     * to begin.
+     * If clients' requests are the checks: the servers whose next attempt from this proxy is the check, with the time
+     * by which the attempt has to begin.
      */
     private final Map<Integer, Double> armedUntilMs = new HashMap<>();
 
     private boolean checksByRequests;
-    /** Null while the configuration has no shared health checks. */
+    /** Null if the configuration has no shared health checks. */
     private HealthCheckCoordinator coordinator;
 
     FleetHealthChecks(FleetContext context, long firstRequestNumber) {
@@ -75,25 +78,31 @@
         }
     }
 
-    /** Gives checks that have no result yet back to their pools: a server without a result would stay ejected. */
+    /**
+     * Returns checks without a result to their pools, which then make them: a server without a result would stay
+     * ejected.
+     */
     void close() {
         Map<Integer, Set<Dispatcher>> unfinished = Map.copyOf(waitingPools);
         waitingPools.clear();
         armedUntilMs.clear();
         coordinator = null;
         if (checksByRequests) {
-            return; // the pools ask again with their next request
+            return; // the pools request a check again with their next request
         }
         unfinished.forEach((server, pools) -> pools.forEach(pool -> pool.probe(server)));
     }
 
-    /** Takes over a check that a pool has ordered; false if the pool has to make it. */
+    /**
+     * Takes responsibility for a check that a pool has requested. Returns false if the pool has to make the check
+     * itself.
+     */
     boolean take(Dispatcher pool, int server) {
         if (coordinator == null || checksByRequests) {
             return false;
         }
         addWaitingPool(server, pool);
-        // The pool's policy is still giving its orders.
+        // Not at once, as the pool's policy is still running.
         context.execute(() -> {
             if (coordinator != null) {
                 coordinator.request(context.nowMs(), server);
@@ -107,7 +116,8 @@
     }
 
     /**
-     * Whether a client's request may be the check of an ejected server; if not, the lease holder's result is requested.
+     * Returns whether a client's request may be the check of an ejected server. If not, the lease holder's result is
+     * requested.
      */
     boolean mayProbe(Dispatcher pool, int server) {
         if (coordinator == null || !checksByRequests) {
@@ -117,11 +127,11 @@
             addWaitingPool(server, pool);
             coordinator.request(context.nowMs(), server);
         }
-        // It stays armed until an attempt ends: by then the pool has marked the attempt as its check.
+        // The server stays armed until an attempt ends; by then the pool has marked the attempt as its check.
         return armedUntilMs.containsKey(server);
     }
 
-    /** An attempt has ended; where a server is armed, this was its check. */
+    /** Records the end of an attempt. If the server is armed, the attempt was its check. */
     void attemptEnded(Dispatcher pool, int server, AttemptOutcome outcome) {
         if (armedUntilMs.isEmpty()
                 || outcome == AttemptOutcome.CANCELLED
@@ -130,7 +140,7 @@
             return;
         }
         boolean healthy = outcome == AttemptOutcome.OK || outcome == AttemptOutcome.MISS;
-        waitingPools.getOrDefault(server, Set.of()).remove(pool); // it has seen the outcome itself
+        waitingPools.getOrDefault(server, Set.of()).remove(pool); // this pool knows the outcome already
         finishLater(server, healthy);
     }
 
@@ -158,7 +168,8 @@
         armedUntilMs.entrySet().removeIf(armed -> {
             boolean expired = nowMs >= armed.getValue();
             if (expired) {
-                // No request came, which says nothing of the server; pools ask again with their next one.
+                // No request came, which says nothing about the server; pools request a check again with their next
+                // request.
                 waitingPools.remove(armed.getKey());
                 coordinator.abandon(armed.getKey());
             }
@@ -210,7 +221,7 @@
         public void reportResult(int server, boolean healthy) {
             Set<Dispatcher> pools = waitingPools.remove(server);
             if (pools != null) {
-                // A pool's policy may be asking just now.
+                // Not at once, as a pool's policy may be running and have requested the check.
                 context.execute(() -> pools.forEach(pool -> pool.healthCheckCompleted(server, healthy)));
             }
         }
--- a/src/main/java/cacheproxy/daemon/fleet/FleetLeases.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetLeases.java
@@ -15,13 +15,13 @@
 import java.util.SplittableRandom;
 
 /**
- * The leases of this proxy: campaigns for those of the configuration, carries the messages of {@link LeaseManager}, and
+ * The leases of this proxy: campaigns for the configured leases, transports the messages of {@link LeaseManager}, and
  * hands the leases over when the process ends. On the event loop only.
  */
 final class FleetLeases {
     /** The topic of lease datagrams. */
     static final byte TOPIC = 1;
-    /** A peer that has sent a datagram so lately may be handed a lease. */
+    /** A peer from which a datagram was received within this time may be handed a lease. */
     private static final double SUCCESSOR_SILENCE_MS = 2000;
 
     private static final String PROCESS_ENDS = "this process ends";
@@ -36,10 +36,10 @@
     private boolean draining;
 
     /**
-     * Leases without a campaign.
+     * Creates the leases without campaigning for any.
      *
-     * @param grantsFromMs when this process's silence as a voter begins: its start, or later while grants of a
-     *     predecessor with a longer longest lease may be valid
+     * @param grantsFromMs the start of the time in which this process grants nothing as a voter: its own start, or
+     *     later if grants of a predecessor with a longer longest lease may still be valid
      */
     FleetLeases(
             EventLoopContext core,
@@ -59,7 +59,7 @@
         endpoints = new LeaseEndpoints(manager, core::nowMs, ownId);
     }
 
-    /** Campaigns for the leases of a configuration, and for no others. */
+    /** Campaigns for the leases of a configuration, and withdraws from all others. */
     void apply(DaemonConfig file, double nowMs) {
         FleetConfig config = file.section(FleetConfig.class);
         Map<String, LeaseSpec> wanted = LeaseSpec.of(file);
@@ -72,12 +72,12 @@
         endpoints.update(socket.names(), wanted.keySet());
     }
 
-    /** Does what is due; returns when to call it again, at the latest. */
+    /** Does the work that is due. Returns the latest time of the next call. */
     double tick(double nowMs) {
         return manager.tick(nowMs, System.currentTimeMillis());
     }
 
-    /** Takes a lease datagram of a peer; a malformed one is ignored. */
+    /** Handles a lease datagram of a peer; a malformed one is ignored. */
     void receive(double nowMs, long from, byte[] payload) {
         LeaseMessage message = LeaseMessage.decode(payload);
         if (message != null) {
@@ -86,10 +86,10 @@
     }
 
     /**
-     * Gives leases up, or campaigns again, by the health of this process.
+     * Gives leases up, or campaigns again, depending on the health of this process.
      *
      * @param loopOnTime whether the event loop is on time
-     * @param reachesServers whether this proxy reaches servers, or none does
+     * @param reachesServers whether this proxy reaches servers, or no proxy does
      */
     void updateEligibility(boolean loopOnTime, boolean reachesServers, double nowMs) {
         boolean nowEligible = loopOnTime && reachesServers;
@@ -100,7 +100,9 @@
         }
     }
 
-    /** Hands each lease to the first candidate that was received from lately, and campaigns no more. */
+    /**
+     * Hands each lease over to the first candidate from which a datagram was received recently, and stops campaigning.
+     */
     void drain() {
         draining = true;
         double nowMs = core.nowMs();
@@ -126,12 +128,12 @@
         tick(core.nowMs());
     }
 
-    /** The lease of this name, held or not. */
+    /** Returns the handle of a lease, whether it is held here or not. */
     LeaseHandle lease(String name) {
         return manager.handle(name);
     }
 
-    /** Answers the requests of operators on leases. */
+    /** Returns the handler of operators' requests about leases. */
     ControlRequestHandler endpoints() {
         return endpoints;
     }
--- a/src/main/java/cacheproxy/daemon/fleet/FleetMembership.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetMembership.java
@@ -11,7 +11,7 @@
 import com.google.gson.JsonObject;
 import java.util.SplittableRandom;
 
-/** Carries the messages of {@link SwimMembership} between the proxies of a fleet. */
+/** Transports the messages of {@link SwimMembership} between the proxies of a fleet. */
 final class FleetMembership implements FleetProtocol {
     static final byte TOPIC = 6;
 
@@ -33,7 +33,7 @@
         return TOPIC;
     }
 
-    /** Enabled only where there are quotas, which alone use it. */
+    /** Enables membership only if there are quotas, as nothing else uses it. */
     @Override
     public void apply(DaemonConfig file, double nowMs) {
         FleetConfig config = file.section(FleetConfig.class);
@@ -42,7 +42,7 @@
                 config.peers().stream().map(peer -> NameHash.of(peer.name())).toList(), nowMs);
     }
 
-    /** Whether a peer may be alive; each may where membership is not enabled. */
+    /** Returns whether a peer may be alive; always true if membership is not enabled. */
     boolean isLikelyAlive(long peer) {
         return !enabled || membership.statusOf(peer) == MemberStatus.ALIVE;
     }
--- a/src/main/java/cacheproxy/daemon/fleet/FleetProtocol.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetProtocol.java
@@ -4,22 +4,25 @@
 import com.google.gson.JsonObject;
 
 /**
- * An exchange of messages between the proxies of a fleet under a topic of its own. {@link FleetSubsystem} calls all of
- * it, on the event loop. Times are milliseconds of the event loop's monotonic clock.
+ * A protocol between the proxies of a fleet, whose messages have a topic of their own. {@link FleetSubsystem} calls all
+ * methods on the event loop. Times are milliseconds of the event loop's monotonic clock.
  */
 interface FleetProtocol {
-    /** The topic of its datagrams, different for each protocol; {@link FleetLeases#TOPIC} is that of the leases. */
+    /**
+     * Returns the topic of the protocol's datagrams. It differs for each protocol and from {@link FleetLeases#TOPIC},
+     * the topic of leases.
+     */
     byte topic();
 
-    /** Adopts a configuration; the leases that it names are already campaigned for. */
+    /** Adopts a configuration. The campaigns for its leases have already been started. */
     void apply(DaemonConfig file, double nowMs);
 
-    /** Takes a payload that a peer has sent under the topic; a malformed one is ignored. */
+    /** Handles a payload that a peer has sent under the topic; a malformed one is ignored. */
     void receive(double nowMs, long from, byte[] payload);
 
-    /** Adds what operators may want to know to the JSON of {@code GET /fleet}. */
+    /** Adds the protocol's state to the JSON of {@code GET /fleet}, for operators. */
     void describe(JsonObject state);
 
-    /** Does what is due; returns when to call it again, at the latest. */
+    /** Does the work that is due. Returns the latest time of the next call. */
     double tick(double nowMs);
 }
--- a/src/main/java/cacheproxy/daemon/fleet/FleetQuotas.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetQuotas.java
@@ -28,8 +28,8 @@
 import java.util.function.LongPredicate;
 
 /**
- * The fleet-wide quotas at this proxy: carries what {@link QuotaManager} decides between requests, peers and operators.
- * On the event loop only.
+ * The fleet-wide quotas at this proxy: applies the decisions of {@link QuotaManager} to requests, and connects it with
+ * peers and operators. On the event loop only.
  */
 public final class FleetQuotas implements FleetProtocol {
     static final byte TOPIC = 5;
@@ -38,11 +38,11 @@
     private static final int METHOD_NOT_ALLOWED = 405;
     /** The interval over which usage is measured. */
     private static final double MEASURE_INTERVAL_MS = 1000;
-    /** The span for which operators are told the most that proxies together may exceed a quota by. */
+    /** The period for which operators see the bound on how much all proxies together can exceed a quota. */
     private static final double OVERSHOOT_SPAN_MS = 1000;
-    /** Grant times after which donations under a former grant time are over. */
+    /** Number of grant times after which donations under a former grant time have expired. */
     private static final double SILENCE_GRANT_TIMES = 4;
-    /** A timer may fire so much early. */
+    /** How early a timer may fire. */
     private static final double TIMER_TOLERANCE_MS = 0.5;
 
     private static final double MIN_DELAY_MS = 1;
@@ -53,19 +53,19 @@
     private final LongPredicate isLikelyAlive;
     private final double startedMs;
     private final QuotaUsageMonitor usage;
-    /** Null while the configuration has no quotas. */
+    /** Null if the configuration has no quotas. */
     private QuotaManager manager;
 
     private QuotaTiming timing;
     private int proxyCount;
     private QuotaTable table;
-    /** What each quota applies to, in words, by the quota's name. */
+    /** Descriptions of what each quota applies to, by the quota's name. */
     private final Map<String, String> scopes = new HashMap<>();
 
     private boolean earlyTickScheduled;
     private double dueMs = Double.POSITIVE_INFINITY;
 
-    /** @param isLikelyAlive whether a peer may be alive */
+    /** @param isLikelyAlive returns whether a peer may be alive */
     FleetQuotas(FleetContext context, SplittableRandom random, LongPredicate isLikelyAlive) {
         this.isLikelyAlive = isLikelyAlive;
         this.core = context.core();
@@ -111,7 +111,7 @@
         if (manager != null && wanted.grantMs() == timing.grantMs()) {
             return;
         }
-        // Donations under a longer grant time have to expire first, so the manager begins in silence.
+        // Donations under a longer grant time have to expire first, so the new manager starts with a period of silence.
         double silentFromMs = timing == null
                 ? startedMs
                 : nowMs + Math.max(0, timing.grantMs() - wanted.grantMs()) * SILENCE_GRANT_TIMES;
@@ -154,15 +154,15 @@
     // ---- requests
 
     /**
-     * The quotas that apply to a request; empty if there are none.
+     * Returns the quotas that apply to a request; empty if there are none.
      *
-     * @param pool its pool; empty: the quotas that apply to all pools
+     * @param pool the pool of the request; the empty string for the quotas that apply to all pools
      */
     public LocalQuota[] quotasFor(String pool, ClientRequest request) {
         return table == null ? NO_QUOTAS : table.quotasFor(pool, request);
     }
 
-    /** Milliseconds after which a request should be tried again; 0 if each of its quotas admits it now. */
+    /** Returns the milliseconds after which a request should be retried; 0 if all its quotas admit it now. */
     public double requestWaitMs(LocalQuota[] quotas, double nowMs) {
         double longestMs = 0;
         boolean requestSoon = false;
@@ -181,7 +181,7 @@
         return longestMs;
     }
 
-    /** Does what is due at once, and schedules what is due before the subsystem's next tick. */
+    /** Does the work that is due, and schedules a timer for work that is due before the subsystem's next tick. */
     private void tickEarly(double nowMs) {
         if (manager == null) {
             return;
@@ -224,7 +224,7 @@
 
     // ---- operators
 
-    /** Answers {@code GET /limits}. */
+    /** Handles {@code GET /limits}. */
     ControlResponse handle(String method, String uri) {
         if (!method.equals("GET")) {
             return new ControlResponse(METHOD_NOT_ALLOWED, "use GET /limits", "GET");
@@ -258,7 +258,7 @@
         return json;
     }
 
-    /** Two decimals. */
+    /** Rounds to two decimals. */
     private static double round(double value) {
         return Math.round(value * 100) / 100.0;
     }
--- a/src/main/java/cacheproxy/daemon/fleet/FleetSocket.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetSocket.java
@@ -27,18 +27,18 @@
 
 /**
  * The datagram socket between the proxies of a fleet, with the addresses of the peers. Datagrams that are not authentic
- * are dropped. On the event loop only, but for {@link #bind}, {@link #isBound} and {@link #releaseAddress}.
+ * are dropped. On the event loop only, except for {@link #bind}, {@link #isBound} and {@link #releaseAddress}.
  */
 final class FleetSocket {
-    /** Rejected datagrams from which operators are told; then at ten times as many, and so on. */
+    /** Number of rejected datagrams that is logged first; after that each tenfold number is logged. */
     private static final long FIRST_LOGGED_REJECTION = 100;
 
     private static final int LOG_FACTOR = 10;
 
-    /** Takes authentic datagrams of peers. */
+    /** Receives authentic datagrams of peers. */
     @FunctionalInterface
     interface DatagramListener {
-        /** A datagram has arrived. */
+        /** Called for each datagram that arrives. */
         void receive(double nowMs, OpenedDatagram datagram);
     }
 
@@ -55,7 +55,7 @@
     private long nextLoggedRejection = FIRST_LOGGED_REJECTION;
     private boolean closed;
 
-    /** @param startedMs the process's start, its incarnation for the peers */
+    /** @param startedMs the process's start time, which is its incarnation for the peers */
     FleetSocket(EventLoopContext core, FleetConfig config, double startedMs, DatagramListener listener) {
         this.core = core;
         this.boundConfig = config;
@@ -66,18 +66,21 @@
         envelope = new DatagramEnvelope(NameHash.of(config.self()), (long) startedMs, keys, List.of());
     }
 
-    /** Binds the configured address; not on the event loop. */
+    /** Binds the configured address. Must not be called on the event loop. */
     void bind(DaemonConfig file) throws ConfigException, InterruptedException {
         channel = SocketBinder.datagrams(
                 core, file, "fleet", boundConfig.listen(), DatagramEnvelope.MAX_DATAGRAM_BYTES, new Handler());
     }
 
-    /** Whether it has its address. */
+    /** Returns whether the socket is bound to its address. */
     boolean isBound() {
         return channel.isOpen();
     }
 
-    /** Gives up the address for another socket, until {@link #bind} is called again; not on the event loop. */
+    /**
+     * Releases the address for another socket, until {@link #bind} is called again. Must not be called on the event
+     * loop.
+     */
     void releaseAddress() throws InterruptedException {
         channel.close().sync();
     }
@@ -95,17 +98,17 @@
         lastReceivedMs.keySet().retainAll(names.keySet());
     }
 
-    /** The peers' names by id. */
+    /** Returns the peers' names by id. */
     Map<Long, String> names() {
         return Collections.unmodifiableMap(names);
     }
 
-    /** When a peer's last datagram arrived; negative infinity if none has. */
+    /** Returns when a peer's last datagram arrived; negative infinity if none has arrived. */
     double lastReceivedMs(long peer) {
         return lastReceivedMs.getOrDefault(peer, Double.NEGATIVE_INFINITY);
     }
 
-    /** Sends a payload to a peer; ignored if the receiver is none. */
+    /** Sends a payload to a peer; does nothing if the receiver is not a configured peer. */
     @SuppressWarnings("FutureReturnValueIgnored") // a datagram that cannot be sent counts as lost
     void send(long to, byte topic, byte[] payload) {
         InetSocketAddress address = addresses.get(to);
@@ -115,7 +118,7 @@
         }
     }
 
-    /** Tells operators, once for each, of names under which two processes send. */
+    /** Logs, once for each name, that two processes send under the same name. */
     void logDuplicateNames() {
         for (long id : envelope.duplicateIds()) {
             if (loggedDuplicates.add(id)) {
@@ -125,14 +128,17 @@
         }
     }
 
-    /** Closes it for good. */
+    /** Closes the socket permanently. */
     @SuppressWarnings("FutureReturnValueIgnored") // nothing depends on the close, and Netty logs its failure
     void close() {
         closed = true;
         channel.close();
     }
 
-    /** Peers with another key receive no answer, and nothing else tells why. */
+    /**
+     * Counts and logs rejected datagrams. Peers with a different key receive no reply, and nothing else shows the
+     * reason.
+     */
     private void reject(InetSocketAddress from) {
         rejections++;
         if (rejections == nextLoggedRejection) {
@@ -159,7 +165,10 @@
             listener.receive(nowMs, opened);
         }
 
-        /** Without keys only the address speaks for a sender, so it is checked before anything is believed. */
+        /**
+         * Returns whether the envelope of a datagram may be opened. Without keys the address is the only evidence of a
+         * sender, so it is checked before anything in the datagram is used.
+         */
         private boolean mayBeOpened(InetSocketAddress from, byte[] datagram) {
             return !boundConfig.keys().isEmpty()
                     || from.equals(addresses.get(DatagramEnvelope.claimedSender(datagram)));
@@ -167,7 +176,7 @@
 
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
-            // A datagram that could not be received says nothing of the next.
+            // The failure to receive one datagram does not affect others.
         }
     }
 }
--- a/src/main/java/cacheproxy/daemon/fleet/FleetStateEndpoint.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetStateEndpoint.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.function.DoubleSupplier;
 
-/** Answers {@code GET /fleet}: the peers, and what each protocol adds. */
+/** Handles {@code GET /fleet}: reports the peers and the state of each protocol. */
 final class FleetStateEndpoint implements ControlRequestHandler {
     private static final int OK = 200;
     private static final int METHOD_NOT_ALLOWED = 405;
--- a/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetSubsystem.java
@@ -26,20 +26,20 @@
 
 /**
  * The fleet that this proxy belongs to, configured by the section {@code [fleet]}: opens the socket, drives the leases
- * and the protocols by one timer, and dispatches datagrams to them. On the event loop only, but for opening and
+ * and the protocols by one timer, and dispatches datagrams to them. On the event loop only, except for opening and
  * restoring.
  */
 public final class FleetSubsystem implements Subsystem, FleetCoordination {
-    /** The longest time between two ticks, by which the event loop's lateness is measured as well. */
+    /** The longest time between two ticks. The delay of ticks is also the measure of the event loop's lateness. */
     private static final double MAX_TICK_INTERVAL_MS = 20;
     /** The shortest time between two ticks. */
     private static final double MIN_TICK_INTERVAL_MS = 1;
-    /** An event loop that is late by so much, so often within the window, gives its leases up. */
+    /** If ticks are late by this much, as often as this within the window, the proxy gives its leases up. */
     private static final double LOOP_LATENESS_MS = 250;
 
     private static final int MAX_LATE_TICKS = 3;
     private static final double LATENESS_WINDOW_MS = 5000;
-    /** Ticks between two checks for names that two processes share. */
+    /** Number of ticks between two checks for names that are used by two processes. */
     private static final int DUPLICATE_CHECK_TICKS = 50;
 
     private final EventLoopContext core;
@@ -59,7 +59,9 @@
     private long ticks;
     private boolean closed;
 
-    /** @param extraSilenceMs how much longer than for its own longest lease it votes for nobody */
+    /**
+     * @param extraSilenceMs how much longer than its own longest lease requires this proxy grants nothing as a voter
+     */
     private FleetSubsystem(
             FleetConfig config,
             EventLoopContext core,
@@ -84,7 +86,9 @@
         stateEndpoint = new FleetStateEndpoint(ownName, socket, protocols, core::nowMs);
     }
 
-    /** Opens the fleet of a configuration and binds its socket; empty if there is none. Not on the event loop. */
+    /**
+     * Opens the fleet of a configuration and binds its socket; empty if no fleet is configured. Not on the event loop.
+     */
     public static Optional<FleetSubsystem> open(SubsystemContext context, DaemonConfig file, Subsystem before)
             throws ConfigException, InterruptedException {
         long seed = context.random().nextLong();
@@ -96,9 +100,9 @@
         double extraSilenceMs = 0;
         if (previous != null) {
             if (SocketBinder.conflict(previous.config.listen(), config.listen())) {
-                previous.socket.releaseAddress(); // there is no second socket at its address
+                previous.socket.releaseAddress(); // a second socket can't be bound to the same address
             }
-            // What the previous instance has granted may be valid for its own longest lease.
+            // Grants of the previous instance can be valid for its longest lease.
             extraSilenceMs = Math.max(0, previous.config.longestLeaseMs() - config.longestLeaseMs());
         }
         FleetSubsystem fleet =
@@ -114,7 +118,10 @@
         }
     }
 
-    /** Peers and leases may change; its identity and the longest lease that it may have granted may not. */
+    /**
+     * Returns whether this instance can continue: peers and leases may change, but not its identity and the longest
+     * lease that it may have granted.
+     */
     @Override
     public boolean fits(DaemonConfig file) {
         FleetConfig other = file.section(FleetConfig.class);
--- a/src/main/java/cacheproxy/daemon/fleet/LeaseEndpoints.java
+++ b/src/main/java/cacheproxy/daemon/fleet/LeaseEndpoints.java
@@ -13,7 +13,10 @@
 import java.util.Set;
 import java.util.function.DoubleSupplier;
 
-/** The requests on leases at the control address: their list, the epoch of one, and its transfer to another proxy. */
+/**
+ * Handles the requests about leases at the control address: the list of leases, the epoch of a lease, and its transfer
+ * to another proxy.
+ */
 final class LeaseEndpoints implements ControlRequestHandler {
     private static final int OK = 200;
     private static final int BAD_REQUEST = 400;
@@ -35,7 +38,7 @@
         this.ownId = ownId;
     }
 
-    /** Replaces the peers' names by id, and the leases that operators are shown. */
+    /** Replaces the names of the peers by id, and the set of leases that operators can see. */
     void update(Map<Long, String> names, Set<String> shown) {
         peerNames = Map.copyOf(names);
         shownLeases = Set.copyOf(shown);
--- a/src/main/java/cacheproxy/daemon/fleet/LeaseSpec.java
+++ b/src/main/java/cacheproxy/daemon/fleet/LeaseSpec.java
@@ -11,15 +11,18 @@
 /**
  * A lease that this proxy campaigns for.
  *
- * @param leaseMs the time of a grant
- * @param voters how many peers vote on it
- * @param zone whose peers take part; null: those of all zones
+ * @param leaseMs duration of a grant
+ * @param voters number of peers that vote on the lease
+ * @param zone zone whose peers take part; null for the peers of all zones
  */
 record LeaseSpec(double leaseMs, int voters, String zone) {
-    /** Pools whose watch of discovery is delegated; further ones are watched by each proxy. */
+    /** Maximum of pools whose watch of discovery is delegated; further pools are watched by each proxy. */
     private static final int MAX_WATCHED_POOLS = 256;
 
-    /** The leases of a configuration by name: the operators' own first, then those of the fleet's protocols. */
+    /**
+     * Returns the leases of a configuration by name: first the leases of operators, then those of the fleet's
+     * protocols.
+     */
     static Map<String, LeaseSpec> of(DaemonConfig file) {
         FleetConfig config = file.section(FleetConfig.class);
         Map<String, LeaseSpec> specs = new LinkedHashMap<>();
@@ -48,7 +51,7 @@
         return specs;
     }
 
-    /** Pools with discovery, up to the bound. */
+    /** Returns the names of the pools with discovery, up to the maximum. */
     static List<String> watchedPools(DaemonConfig file) {
         return file.pools().values().stream()
                 .filter(pool -> pool.discovery() != null)
@@ -57,7 +60,7 @@
                 .toList();
     }
 
-    /** The voters on the lease of this name. */
+    /** Returns the voters on the lease of this name. */
     VoterSet voterSet(String name, FleetConfig config) {
         return new VoterSet(name, config.peerNames(zone), config.previousPeerNames(zone), voters);
     }
--- a/src/main/java/cacheproxy/daemon/fleet/PeerLink.java
+++ b/src/main/java/cacheproxy/daemon/fleet/PeerLink.java
@@ -2,14 +2,14 @@
 
 import cacheproxy.fleet.lease.LeaseHandle;
 
-/** What a {@link FleetProtocol} uses of the fleet. */
+/** The services of the fleet that a {@link FleetProtocol} uses. */
 interface PeerLink {
-    /** Sends a payload under the protocol's topic; ignored if the receiver is not a configured peer. */
+    /** Sends a payload under the protocol's topic; does nothing if the receiver is not a configured peer. */
     void send(long to, FleetProtocol from, byte[] payload);
 
-    /** The lease of this name, held or not. */
+    /** Returns the handle of a lease, whether it is held here or not. */
     LeaseHandle lease(String name);
 
-    /** This proxy's id among the peers. */
+    /** Returns this proxy's id among the peers. */
     long ownId();
 }
--- a/src/main/java/cacheproxy/daemon/fleet/PeerListMonitor.java
+++ b/src/main/java/cacheproxy/daemon/fleet/PeerListMonitor.java
@@ -16,21 +16,22 @@
 import java.util.Set;
 
 /**
- * Reports this proxy's peer list and whether it reaches servers to one peer each second, warns operators of peers with
- * another list, and tells whether this proxy may hold leases: one that reaches no server while others do may not.
+ * Reports to one peer each second this proxy's peer list and whether it reaches servers, warns operators of peers with
+ * a different list, and decides whether this proxy may hold leases: a proxy that reaches no server while others do may
+ * not.
  */
 final class PeerListMonitor implements FleetProtocol {
     static final byte TOPIC = 4;
-    /** A payload is a report of the peer list and a byte that is 1 if the sender reaches a server. */
+    /** A payload consists of a report on the peer list and a byte that is 1 if the sender reaches a server. */
     private static final int PAYLOAD_BYTES = PeerListTransition.MESSAGE_BYTES + 1;
 
     private static final int REACHES_SERVERS_OFFSET = PeerListTransition.MESSAGE_BYTES;
     private static final double REPORT_INTERVAL_MS = 1000;
-    /** Without a healthy server for so long this proxy reaches none. */
+    /** After this time without a healthy server, this proxy is regarded as reaching none. */
     private static final double UNREACHABLE_AFTER_MS = 3000;
-    /** How long a peer's report that it reaches servers counts. */
+    /** How long a peer's report that it reaches servers is valid. */
     private static final double REACHABILITY_EXPIRY_MS = 10_000;
-    /** While all proxies adopt a new configuration their lists may differ. */
+    /** Delay of the warning, as lists may differ while the proxies adopt a new configuration one after another. */
     private static final double WARN_AFTER_MS = 10_000;
 
     private final FleetContext context;
@@ -116,7 +117,7 @@
         context.link().send(otherPeers.get(nextReceiver++ % otherPeers.size()), this, payload);
     }
 
-    /** Whether this proxy reaches servers, or none does. */
+    /** Returns whether this proxy reaches servers, or no proxy does. */
     boolean mayHoldLeases(double nowMs) {
         return reachability.isEligible(nowMs);
     }
--- a/src/main/java/cacheproxy/daemon/fleet/QuotaTable.java
+++ b/src/main/java/cacheproxy/daemon/fleet/QuotaTable.java
@@ -10,9 +10,12 @@
 import java.util.Map;
 import java.util.function.Function;
 
-/** The quotas that apply to a request, by its pool, service class and tenant. Built anew for each configuration. */
+/**
+ * The quotas that apply to a request, by its pool, service class and tenant. A new table is built for each
+ * configuration.
+ */
 final class QuotaTable {
-    /** The pool's name for quotas that apply to all pools. */
+    /** Stands for the pool's name in quotas that apply to all pools. */
     static final String ALL_POOLS = "";
 
     private static final LocalQuota[] NONE = {};
@@ -27,7 +30,7 @@
         tenants = Math.max(1, file.tenants().size());
     }
 
-    /** The names of the quotas that a limit of the configuration makes: one, or one for each tenant. */
+    /** Returns the names of the quotas that a configured limit creates: one, or one for each tenant. */
     static List<String> namesOf(QuotaConfig limit, DaemonConfig file) {
         if (EACH_TENANT.equals(limit.tenant()) && !file.tenants().isEmpty()) {
             return file.tenants().stream()
@@ -40,8 +43,8 @@
     /**
      * Adds the quotas of a limit.
      *
-     * @param names those of {@link #namesOf}
-     * @param quotas gives the quota of a name
+     * @param names the quotas' names as returned by {@link #namesOf}
+     * @param quotas returns the quota of a name
      */
     void add(QuotaConfig limit, List<String> names, Function<String, LocalQuota> quotas) {
         LocalQuota[][] table = byPool.computeIfAbsent(limit.pool() == null ? ALL_POOLS : limit.pool(), pool -> empty());
@@ -76,7 +79,7 @@
         return longer;
     }
 
-    /** The quotas that apply to a request; empty if there are none. */
+    /** Returns the quotas that apply to a request; empty if there are none. */
     LocalQuota[] quotasFor(String pool, ClientRequest request) {
         LocalQuota[][] table = byPool.get(pool);
         if (table == null) {
--- a/src/main/java/cacheproxy/daemon/fleet/QuotaUsageMonitor.java
+++ b/src/main/java/cacheproxy/daemon/fleet/QuotaUsageMonitor.java
@@ -11,12 +11,12 @@
 
 /** Measures the use of each quota per second, and logs when a quota becomes isolated from the other proxies. */
 final class QuotaUsageMonitor {
-    /** The longest time that a rate is taken over, in seconds. */
+    /** The longest time over which a rate is measured, in seconds. */
     private static final double MAX_SECONDS = 10;
 
     private static final double MS_PER_SECOND = 1000;
 
-    /** Counts of a quota at the last measurement, and the rates since the one before. */
+    /** The counts of a quota at the last measurement, and the rates between the last two measurements. */
     private static final class Usage {
         long consumed;
         long rejected;
@@ -33,12 +33,12 @@
         this.log = log;
     }
 
-    /** When it last measured; negative infinity if it has not. */
+    /** Returns the time of the last measurement; negative infinity if there has been none. */
     double measuredMs() {
         return measuredMs;
     }
 
-    /** Measures all quotas, and forgets others than these names. */
+    /** Measures all quotas, and discards the measurements of quotas with other names. */
     void measure(List<QuotaStatus> statuses, Set<String> names, double nowMs) {
         double seconds = Math.min(MAX_SECONDS, (nowMs - measuredMs) / MS_PER_SECOND);
         measuredMs = nowMs;
@@ -72,13 +72,13 @@
         }
     }
 
-    /** What was consumed of a quota per second. */
+    /** Returns how much of a quota was consumed per second. */
     long consumedPerSecond(String name) {
         Usage usage = usages.get(name);
         return usage == null ? 0 : usage.consumedPerSecond;
     }
 
-    /** The requests that a quota has rejected per second. */
+    /** Returns how many requests a quota rejected per second. */
     long rejectedPerSecond(String name) {
         Usage usage = usages.get(name);
         return usage == null ? 0 : usage.rejectedPerSecond;
--- a/src/main/java/cacheproxy/daemon/hooks/HookExecutor.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookExecutor.java
@@ -17,16 +17,16 @@
 import java.util.function.Consumer;
 
 /**
- * Runs one hook: a thread with an instance of the module and a bounded queue, so that hooks wait neither for one
- * another nor for the event loop. A call that misses its timeout has failed whatever the module still does.
+ * Runs one hook on its own thread, with an instance of the module and a bounded queue, so that hooks wait neither for
+ * one another nor for the event loop. A call that exceeds its timeout has failed, whatever the module does afterwards.
  */
 public final class HookExecutor {
-    /** Stack of a hook's thread, which bounds a module's recursion. */
+    /** Stack size of a hook's thread, which limits a module's recursion. */
     private static final long STACK_BYTES = 512 << 10;
 
     private static final long START_TIMEOUT_SECONDS = 10;
 
-    /** Its section of the configuration. */
+    /** The hook's section of the configuration. */
     public final HookConfig config;
 
     final HookCircuitBreaker breaker;
@@ -36,7 +36,7 @@
     private final boolean wantsAnswers;
     private volatile boolean stopping;
     private volatile Consumer<String> log = line -> {};
-    /** Belongs to the hook's thread; null after a failed call, whose instance is in no known state. */
+    /** Used on the hook's thread only; null after a failed call, which leaves its instance in an undefined state. */
     private HookInstance instance;
 
     private HookExecutor(HookConfig config, HookModule module, HookInstance firstInstance) {
@@ -62,7 +62,7 @@
         return new HookExecutor(config, module, startInstance(config, module));
     }
 
-    /** Starts the first instance on a thread whose stack is as small as that of the calls. */
+    /** Starts the first instance on a thread with the same stack size as the thread of the calls. */
     private static HookInstance startInstance(HookConfig config, HookModule module) throws HookException {
         FutureTask<HookInstance> start = new FutureTask<>(() -> newInstance(module));
         Thread starter = new Thread(null, start, "hook " + config.name() + " starts", STACK_BYTES);
@@ -93,12 +93,15 @@
         worker.start();
     }
 
-    /** A call with a deadline on the event loop's clock, to be offered, and expired at the deadline. */
+    /**
+     * Creates a call with a deadline on the event loop's clock. The caller has to {@link #offer} it, and to expire it
+     * at the deadline.
+     */
     HookTask newTask(HookCall call, double deadlineMs, HookTask.CompletionListener listener) {
         return HookTask.ofRequest(worker, call, deadlineMs, listener);
     }
 
-    /** Queues a call; false if the queue is full, and then its end is not reported. */
+    /** Queues a call. Returns false if the queue is full; the end of the call is then not reported. */
     boolean offer(HookTask task) {
         return queue.offer(task);
     }
@@ -108,7 +111,7 @@
         queue.offer(HookTask.ofAnswer(worker, call, answer, elapsedMs));
     }
 
-    /** Returns whether the module wants to know responses. */
+    /** Returns whether the module wants to be notified of responses. */
     boolean wantsAnswers() {
         return wantsAnswers;
     }
@@ -119,7 +122,7 @@
             try {
                 task = queue.take();
             } catch (InterruptedException e) {
-                continue; // a late timeout of the previous call, or stop()
+                continue; // interrupted by a late timeout of the previous call, or by stop()
             }
             if (task.begin()) {
                 run(task);
@@ -135,15 +138,15 @@
         } catch (HookException e) {
             failure = e.getMessage();
             logLines(instance == null ? List.of() : instance.lastLogLines());
-            instance = null; // its state is undefined now
-        } catch (RuntimeException | Error e) { // a fault of the WebAssembly runtime must not end the thread
+            instance = null; // its state is undefined after a failure
+        } catch (RuntimeException | Error e) { // a failure of the WebAssembly runtime must not end the thread
             failure = "the WebAssembly runtime failed: " + firstLine(e);
             instance = null;
         }
         task.complete(orders, failure);
     }
 
-    /** Returns the module's orders; null where it was told a response. */
+    /** Returns the module's orders; null if the call was a notification of a response. */
     private HookOrders callModule(HookTask task) throws HookException {
         if (instance == null) {
             instance = newInstance(module);
@@ -164,8 +167,8 @@
     /** Logs the module's lines on the event loop from now on. */
     void logTo(EventLoopContext core) {
         log = line -> {
-            if (core.acceptsLines()) { // a hook that writes without end would keep the loop busy with lines that it
-                // drops
+            // Otherwise a hook that logs endlessly would keep the loop busy with lines that are dropped.
+            if (core.acceptsLines()) {
                 core.loop().execute(() -> core.log(line));
             }
         };
@@ -175,7 +178,7 @@
         lines.forEach(line -> log.accept("hook " + config.name() + ": " + line));
     }
 
-    /** Ends the hook's thread; calls in the queue are not run. */
+    /** Stops the hook's thread; queued calls are not run. */
     public void stop() {
         stopping = true;
         worker.interrupt();
--- a/src/main/java/cacheproxy/daemon/hooks/HookLoader.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookLoader.java
@@ -12,11 +12,13 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Loads the modules of a configuration's hooks; if any can't be loaded all faults are reported and none is used. */
+/**
+ * Loads the modules of a configuration's hooks. If any can't be loaded, all errors are reported and no module is used.
+ */
 public final class HookLoader {
     private HookLoader() {}
 
-    /** Loads all hooks; not on the event loop, as it reads files and compiles. */
+    /** Loads all hooks. Must not be called on the event loop, as it reads files and compiles modules. */
     static List<HookExecutor> load(DaemonConfig file) throws ConfigException {
         List<HookExecutor> executors = new ArrayList<>();
         List<String> faults = new ArrayList<>();
@@ -33,7 +35,9 @@
         return executors;
     }
 
-    /** Loads all hooks of a configuration for their errors alone; the exception has a line for each that fails. */
+    /**
+     * Loads all hooks of a configuration only to check them. The exception has a line for each hook that fails to load.
+     */
     public static void check(DaemonConfig file) throws ConfigException {
         load(file);
     }
--- a/src/main/java/cacheproxy/daemon/hooks/HookSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookSubsystem.java
@@ -9,7 +9,9 @@
 import java.util.List;
 import java.util.Optional;
 
-/** The hooks of a configuration, loaded anew on each reload, as a module may have changed under the same path. */
+/**
+ * The hooks of a configuration. They are loaded again on each reload, as a module may have changed under the same path.
+ */
 public final class HookSubsystem implements Subsystem {
     private final EventLoopContext core;
     private final List<HookExecutor> executors;
@@ -20,7 +22,7 @@
         this.executors = executors;
     }
 
-    /** Loads and starts the hooks of a configuration, each on a thread of its own; empty if it has none. */
+    /** Loads the hooks of a configuration and starts an instance of each; empty if the configuration has none. */
     public static Optional<HookSubsystem> open(SubsystemContext context, DaemonConfig file, Subsystem previous)
             throws ConfigException {
         return HooksConfig.of(file).isEmpty()
@@ -28,7 +30,7 @@
                 : Optional.of(new HookSubsystem(context.core(), HookLoader.load(file)));
     }
 
-    /** The running hooks, in the order in which requests pass them. */
+    /** Returns the hooks, in the order in which requests pass them. */
     public List<HookExecutor> executors() {
         return executors;
     }
@@ -47,7 +49,10 @@
         });
     }
 
-    /** Pending requests may still call the hooks, so a {@code ConfigSnapshot} ends those that were applied. */
+    /**
+     * Stops the hooks unless they were applied: pending requests may still call those, and their {@code ConfigSnapshot}
+     * stops them.
+     */
     @Override
     public void close() {
         if (!applied) {
--- a/src/main/java/cacheproxy/daemon/hooks/HookedRequest.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookedRequest.java
@@ -17,20 +17,20 @@
 import java.util.List;
 
 /**
- * A request that passes hooks, one after another, before it is routed. Whatever they do, it is routed or rejected in
- * time: each hook has a timeout, and at most half of the time left until the request's deadline.
+ * A request that passes hooks, one after another, before it is routed. It is routed or rejected in time whatever the
+ * hooks do: each hook has a timeout, and may take at most half of the time left until the request's deadline.
  *
- * <p>One hook's thread hands the request directly to the next one's, as each turn of the event loop in between would
- * delay other requests. One thread owns it at a time: the event loop's first, then that of the running task, whose end
- * is reported once, by the hook's thread or, on a timeout, by the event loop. Responses and routing belong to the event
- * loop again.
+ * <p>The thread of one hook passes the request directly to the thread of the next hook, as an additional turn of the
+ * event loop in between would delay other requests. One thread owns the request at a time: first the event loop, then
+ * the thread of the running task, whose end is reported once, by the hook's thread or, on a timeout, by the event loop.
+ * Routing and responses are again done on the event loop.
  */
 public final class HookedRequest implements RequestHandler.Handle {
-    /** A request with less time left is rejected. */
+    /** A request with less time left until its deadline is rejected. */
     private static final double MIN_TIME_LEFT_MS = 2;
-    /** The part of the time left that one hook may take. */
+    /** The fraction of the time left that one hook may take. */
     private static final double MAX_FRACTION_OF_TIME_LEFT = 0.5;
-    /** A call that has timed out, but is being concluded by the hook's thread, is checked again after this time. */
+    /** The interval after which a call is checked again that has timed out while the hook's thread is ending it. */
     private static final double MIN_TIMER_MS = 1;
 
     private final EventLoopContext core;
@@ -40,15 +40,15 @@
     private final String listener;
     private final Responder responder;
     private final int sentClass;
-    /** The calls of those hooks that want to know the response. */
+    /** The calls of the hooks that want to be notified of the response. */
     private final IdentityHashMap<HookExecutor, HookCall> callsByHook = new IdentityHashMap<>(2);
 
     private ClientRequest request;
-    /** Null where no hook has ordered a route. */
+    /** Null if no hook has chosen a route. */
     private Route routeByHook;
 
     private int hookIndex;
-    /** The call in progress; its timeout is watched by the event loop. */
+    /** The call in progress. The event loop monitors its timeout. */
     private volatile HookTask runningTask;
 
     private TimerWheel.Timer timeoutTimer;
@@ -56,7 +56,7 @@
     /** Null until the request is routed. */
     private RequestHandler.Handle routed;
 
-    /** Takes the request over. */
+    /** Takes ownership of the request. */
     public HookedRequest(
             EventLoopContext core,
             Router router,
@@ -90,19 +90,22 @@
         return this;
     }
 
-    /** One timer serves all calls: it is set for the earliest timeout, and then again for the call in progress. */
+    /**
+     * Sets the timer, which serves all calls: it is set for the earliest timeout first, and then again for the call in
+     * progress.
+     */
     private void setTimer(double afterMs) {
         timeoutTimer = core.after(Math.max(MIN_TIMER_MS, afterMs), () -> {
             HookTask task = runningTask;
             double leftMs = task == null ? 0 : task.deadlineMs() - core.nowMs();
-            setTimer(leftMs); // before the timeout, which may conclude the request
+            setTimer(leftMs); // before expire(), which may conclude the request and cancel the timer
             if (task != null && leftMs <= 0) {
                 task.expire();
             }
         });
     }
 
-    /** Runs a task on the event loop, at once if this is it. */
+    /** Runs a task on the event loop: at once if the caller is on it. */
     private void onLoop(Runnable task) {
         if (core.loop().inEventLoop()) {
             task.run();
@@ -117,7 +120,7 @@
             HookExecutor hook = hooks.get(hookIndex);
             boolean limitedToRoutes = !hook.config.routes().isEmpty();
             if (limitedToRoutes && !core.loop().inEventLoop()) {
-                core.loop().execute(this::callNextHook); // routes are looked up there alone
+                core.loop().execute(this::callNextHook); // routes are looked up on the event loop only
                 return;
             }
             hookIndex++;
@@ -131,9 +134,9 @@
     }
 
     /**
-     * Calls a hook, or rejects the request for want of time or for the hook's failure.
+     * Calls a hook, or rejects the request because too little time is left or the hook can't be called.
      *
-     * @return false if neither: the request goes on to the next hook at once
+     * @return false if neither was done, so that the request continues with the next hook at once
      */
     private boolean callOrReject(HookExecutor hook, double nowMs) {
         double leftMs = request.dueMs() - nowMs;
@@ -153,10 +156,10 @@
                 call, nowMs + timeoutMs, (orders, failure, called) -> completed(hook, orders, failure, called));
         runningTask = task;
         if (hook.offer(task)) {
-            return true; // the hook's thread may have it already
+            return true; // the hook's thread may already be running it
         }
         if (!task.withdraw()) {
-            return true; // its timeout goes on with the request
+            return true; // its timeout continues the request
         }
         callsByHook.remove(hook);
         hook.breaker.recordNotRun();
@@ -181,7 +184,7 @@
         routed = router.route(config, listener, routeByHook, request, responder);
     }
 
-    /** Returns whether the request, as it is now, takes one of the hook's routes. */
+    /** Returns whether the request, in its current state, takes one of the hook's routes. */
     private boolean matchesRouteOf(HookExecutor hook) {
         RouteInput input = config.file
                 .keys()
@@ -197,7 +200,10 @@
         callsByHook.forEach((hook, call) -> hook.notifyAnswer(call, answer, elapsedMs));
     }
 
-    /** Rejects the request if that is what the hook's failure is to do; returns whether it did. */
+    /**
+     * Rejects the request if the hook is configured to reject requests on failure. Returns whether the request was
+     * rejected.
+     */
     private boolean rejectIfRequired(HookExecutor hook) {
         if (hook.config.rejectOnFailure()) {
             reject(hook.config.retryAfterMs());
--- a/src/main/java/cacheproxy/daemon/snapshot/RestoredState.java
+++ b/src/main/java/cacheproxy/daemon/snapshot/RestoredState.java
@@ -14,13 +14,14 @@
 import java.util.Optional;
 
 /**
- * The state that pools start from: this proxy's own snapshot or, if there is none, that of another proxy of its tier.
- * Snapshots are read, which blocks, before the daemon serves; afterwards the event loop uses the state.
+ * The state that pools start from: this proxy's own snapshot or, if there is none, the snapshot of another proxy of its
+ * tier. Snapshots are read, which blocks, before the daemon serves requests; afterwards the state is used on the event
+ * loop.
  */
 final class RestoredState implements LearnedStateSource {
     private static final double OWN_TRUST = 1;
 
-    /** A sibling's state is about the same servers, but as seen from another proxy. */
+    /** A sibling's state describes the same servers, but as another proxy has observed them. */
     private static final double SIBLING_TRUST = 0.5;
 
     private static final double MS_PER_SECOND = 1000;
@@ -28,7 +29,7 @@
     private final DaemonConfig config;
     private final EventLoopContext core;
 
-    /** Null: no snapshot can be used. */
+    /** Null if no snapshot can be used. */
     private StateSnapshot snapshot;
 
     private double trust = OWN_TRUST;
@@ -38,7 +39,7 @@
         this.core = core;
     }
 
-    /** Reads this proxy's own snapshot; what was wrong with it is logged. */
+    /** Reads this proxy's own snapshot, and logs any problems with it. */
     void readOwn(SnapshotStore store, Path path) {
         StoredSnapshot stored = store.read();
         logNotes(stored);
@@ -51,7 +52,7 @@
         }
     }
 
-    /** Reads a sibling's snapshot, which is used if there is none of this proxy's own. */
+    /** Reads a sibling's snapshot, which is used if this proxy has no usable snapshot of its own. */
     void readSibling(Path path) {
         StoredSnapshot stored = SnapshotStore.at(path).read();
         logNotes(stored);
--- a/src/main/java/cacheproxy/daemon/snapshot/SnapshotSaver.java
+++ b/src/main/java/cacheproxy/daemon/snapshot/SnapshotSaver.java
@@ -16,29 +16,29 @@
  * be locked.
  */
 final class SnapshotSaver {
-    /** Longest wait for the last write; all clients have had their responses by then. */
+    /** Longest wait for the last write. By then all clients have received their responses. */
     private static final long MAX_LAST_WRITE_MS = 1000;
 
     private final SnapshotConfig config;
     private final EventLoopContext core;
     private final IntFunction<StateSnapshot> learnedState;
 
-    /** Empty: the file could not be locked. Used off the event loop only. */
+    /** Empty if the file could not be locked. Used off the event loop only. */
     private Optional<SnapshotStore> store;
 
-    /** Null: nothing is written. Set off the event loop and read on it. */
+    /** Null if nothing is written. Set off the event loop and read on it. */
     private volatile SnapshotWriter writer;
 
     private volatile boolean ended;
 
-    /** Null: not scheduled. */
+    /** Null if saving is not scheduled. */
     private Future<?> timer;
 
     /**
-     * Starts the writer, if there is a locked store.
+     * Creates a saver and starts the writer, if there is a locked store.
      *
-     * @param learnedState takes the state to be saved, with at most the given number of hot keys a pool; called on the
-     *     event loop
+     * @param learnedState provides the state to be saved, with at most the given number of hot keys per pool; called on
+     *     the event loop
      */
     SnapshotSaver(
             SnapshotConfig config,
@@ -52,7 +52,7 @@
         startWriter();
     }
 
-    /** Locks the configured file; empty, and logged, if that fails. */
+    /** Locks the configured file. If that fails, logs the reason and returns empty. */
     static Optional<SnapshotStore> lockStore(SnapshotConfig config, EventLoopContext core) {
         SnapshotStore store = SnapshotStore.at(config.path());
         String failure;
@@ -77,7 +77,7 @@
         core.loop().execute(() -> core.log(line));
     }
 
-    /** Starts saving periodically, unless that has begun. On the event loop. */
+    /** Starts saving periodically, unless it has been started before. On the event loop. */
     void schedule() {
         if (writer != null && timer == null) {
             long periodMs = Math.round(config.periodMs());
@@ -98,7 +98,7 @@
         }
     }
 
-    /** Saves a last time, if saving was scheduled; blocks until it is written or takes too long. */
+    /** Saves a last time, if saving was scheduled. Blocks until the snapshot is written or the wait times out. */
     void saveLast() {
         if (writer == null || timer == null) {
             return;
@@ -115,7 +115,7 @@
         }
     }
 
-    /** Ends without another write and releases the file; blocks. */
+    /** Stops without writing again and releases the file; blocks. */
     void end() {
         if (ended) {
             return;
@@ -132,18 +132,21 @@
         }
     }
 
-    /** Locks the file again and goes on saving, if this has ended for a replacement that was then rejected; blocks. */
+    /**
+     * Locks the file again and resumes saving, if this saver has ended for a replacement that was then rejected;
+     * blocks.
+     */
     void restart() {
         if (!ended) {
             return;
         }
         ended = false;
         store = lockStore(config, core);
-        store.ifPresent(SnapshotStore::read); // tells which generation the next one replaces
+        store.ifPresent(SnapshotStore::read); // reading determines the generation that the next write replaces
         startWriter();
     }
 
-    /** Returns what the present writer has written. */
+    /** Returns how much the current writer has written. */
     WriteTotals writeTotals() {
         return writer == null ? new WriteTotals(0, 0) : new WriteTotals(writer.writeCount(), writer.byteCount());
     }
--- a/src/main/java/cacheproxy/daemon/snapshot/SnapshotSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/snapshot/SnapshotSubsystem.java
@@ -14,14 +14,14 @@
 import java.util.Optional;
 
 /**
- * Keeps the pools' learned state across restarts: gives an earlier process's state to pools that start, and saves the
- * present state if the configuration has a {@code [memory]} section.
+ * Keeps the pools' learned state across restarts: provides the state of an earlier process to pools that start, and
+ * saves the current state if the configuration has a {@code [memory]} section.
  */
 public final class SnapshotSubsystem implements Subsystem, LearnedStateSource {
     private final Optional<SnapshotConfig> config;
     private final RestoredState restored;
 
-    /** Empty: the configuration does not ask to save anything. */
+    /** Empty if the configuration has no section {@code [memory]}, so that nothing is saved. */
     private final Optional<SnapshotSaver> saver;
 
     private SnapshotSubsystem(Optional<SnapshotConfig> config, RestoredState restored, Optional<SnapshotSaver> saver) {
@@ -32,10 +32,10 @@
 
     /**
      * Opens the subsystem and reads the snapshots; blocks. Snapshots that cannot be used are logged, and the daemon
-     * runs without.
+     * runs without them.
      *
-     * @param previous the instance that is replaced; it is ended if it saves to the same file
-     * @return empty if nothing is to be saved and no sibling's snapshot is given to start from
+     * @param previous the instance that is replaced; it is stopped first if it saves to the same file
+     * @return empty if nothing is to be saved and no sibling's snapshot is given
      */
     public static Optional<SnapshotSubsystem> open(SubsystemContext context, DaemonConfig file, Subsystem previous) {
         Optional<SnapshotConfig> config = configOf(file);
--- a/src/main/java/cacheproxy/daemon/snapshot/WriteTotals.java
+++ b/src/main/java/cacheproxy/daemon/snapshot/WriteTotals.java
@@ -1,9 +1,9 @@
 package cacheproxy.daemon.snapshot;
 
 /**
- * What has been written since the writer started.
+ * The number and size of the snapshots written since the writer started.
  *
  * @param files number of snapshot files
- * @param bytes their sizes in all
+ * @param bytes total size of the files
  */
 public record WriteTotals(long files, long bytes) {}
--- a/src/main/java/cacheproxy/eventlog/EventLog.java
+++ b/src/main/java/cacheproxy/eventlog/EventLog.java
@@ -18,12 +18,12 @@
     public static final String ENVIRONMENT_VARIABLE = "CORALBAY_EVENT_LOG";
     /** The value of {@link #ENVIRONMENT_VARIABLE} that enables the log. */
     public static final String ENABLED_VALUE = "on";
-    /** Bytes written each time the log is enabled. */
+    /** Default maximum of bytes written each time the log is enabled. */
     public static final long MAX_BYTES = 32L << 20;
-    /** Lines waiting to be written. */
+    /** Default maximum of lines that wait to be written. */
     public static final int MAX_QUEUED_LINES = 4096;
 
-    /** How long {@link #close} waits for queued lines. */
+    /** Longest time that {@link #close} waits for queued lines. */
     private static final long CLOSE_TIMEOUT_MS = 200;
 
     private final PrintStream target;
@@ -34,7 +34,7 @@
     /** Signalled when a line is queued and when one has been written. */
     private final Condition changed = lock.newCondition();
 
-    /** Guarded by the lock, as are the fields after it but {@link #enabled}. */
+    /** Guarded by the lock, as are the fields after it except for {@link #enabled}. */
     private final ArrayDeque<String> queue = new ArrayDeque<>();
 
     private long bytesLeft;
@@ -47,9 +47,9 @@
      * Creates a log that is off.
      *
      * @param target where lines are written
-     * @param clockMs the time that lines show, in milliseconds
-     * @param maxBytes bytes written each time the log is enabled
-     * @param maxQueuedLines lines waiting to be written
+     * @param clockMs the clock for the timestamps of lines, in milliseconds
+     * @param maxBytes maximum of bytes written each time the log is enabled
+     * @param maxQueuedLines maximum of lines that wait to be written
      */
     public EventLog(PrintStream target, DoubleSupplier clockMs, long maxBytes, int maxQueuedLines) {
         this.target = target;
@@ -58,7 +58,7 @@
         this.maxQueuedLines = maxQueuedLines;
     }
 
-    /** A log on standard error with the default bounds, enabled if the environment says so. */
+    /** Creates a log on standard error with the default bounds. It is enabled if the environment variable says so. */
     public static EventLog onStandardError(DoubleSupplier clockMs) {
         EventLog log = new EventLog(System.err, clockMs, MAX_BYTES, MAX_QUEUED_LINES);
         if (ENABLED_VALUE.equals(System.getenv(ENVIRONMENT_VARIABLE))) {
@@ -68,7 +68,8 @@
     }
 
     /**
-     * Whether lines are accepted. Callers check it before they build a line, so that a log that is off costs little.
+     * Returns whether lines are accepted. Callers check this before they build a line, so that a disabled log costs
+     * little.
      */
     public boolean isEnabled() {
         return enabled;
@@ -104,7 +105,7 @@
         enabled = false;
     }
 
-    /** Lines dropped since the start. */
+    /** Returns the number of lines dropped since the start. */
     public long droppedLines() {
         lock.lock();
         try {
@@ -168,7 +169,7 @@
         return queue.poll();
     }
 
-    /** Accepts no more lines, and waits a short time until queued ones are written. */
+    /** Accepts no more lines, and waits a short time for queued lines to be written. */
     @Override
     public void close() {
         disable();
--- a/src/main/java/cacheproxy/handover/Handover.java
+++ b/src/main/java/cacheproxy/handover/Handover.java
@@ -22,12 +22,12 @@
  * received the socket and whose connection is still open.
  */
 public final class Handover {
-    /** Successors at once; the connections of further ones are closed. */
+    /** Maximum of concurrent successors; the connections of further ones are closed. */
     static final int MAX_SUCCESSORS = 4;
 
     private final Path path;
     private final int descriptor;
-    /** The connection to the process that this one has received its socket from; null if there is none. */
+    /** The connection to the process from which this process has received its socket; null if there is none. */
     private final Channel predecessor;
     /** Open connections of successors. */
     private final ArrayDeque<Channel> successors = new ArrayDeque<>();
@@ -45,7 +45,7 @@
      * Offers a listening socket at a path, in place of any process that has offered one there. Blocks, so it must not
      * run on {@code loop}.
      *
-     * @param descriptor of the listening socket
+     * @param descriptor file descriptor of the listening socket
      * @param predecessor the connection to the predecessor, kept open until {@link #close}; null for none
      * @throws IOException if no socket can be bound at the path
      */
@@ -58,7 +58,9 @@
         return handover;
     }
 
-    /** Binds under a temporary name and renames, so that a successor finds a socket at the path at all times. */
+    /**
+     * Binds the socket under a temporary name and renames it, so that a successor always finds a socket at the path.
+     */
     private void bind(EventLoop loop) throws IOException {
         Path temporary = path.resolveSibling(
                 path.getFileName() + "." + ProcessHandle.current().pid());
@@ -98,16 +100,16 @@
         }
     }
 
-    /** Whether a successor is connected. Call it on the event loop. */
+    /** Returns whether a successor is connected. Must be called on the event loop. */
     public boolean hasSuccessor() {
         return !successors.isEmpty();
     }
 
-    /** Ends the offer. If a successor has ever received the socket, the path is its own and stays. */
+    /** Ends the offer. If a successor has ever received the socket, the path belongs to that successor and is kept. */
     @SuppressWarnings("FutureReturnValueIgnored") // nothing is left to do if closing fails
     public void close() {
         listener.close();
-        List.copyOf(successors).forEach(Channel::close); // a copy, as each removes itself
+        List.copyOf(successors).forEach(Channel::close); // a copy, as each channel removes itself from the list
         if (predecessor != null) {
             predecessor.close();
         }
@@ -120,7 +122,7 @@
         try {
             Files.deleteIfExists(path);
         } catch (IOException e) {
-            // a later process finds that nobody answers there
+            // a later process finds that no process responds at the path
         }
     }
 
--- a/src/main/java/cacheproxy/handover/HandoverPath.java
+++ b/src/main/java/cacheproxy/handover/HandoverPath.java
@@ -15,17 +15,17 @@
 
     private HandoverPath() {}
 
-    /** The path in {@code folder} at which the process that listens on a port offers its socket. */
+    /** Returns the path in {@code folder} at which the process that listens on a port offers its socket. */
     public static Path of(Path folder, int port) {
         return folder.resolve("listen-" + port);
     }
 
-    /** Whether a Unix socket can be bound at the path, also under its temporary name. */
+    /** Returns whether a Unix socket can be bound at the path, also under its temporary name. */
     static boolean fitsSocketAddress(Path path) {
         return path.toString().length() <= MAX_SOCKET_PATH_BYTES - MAX_SUFFIX_BYTES;
     }
 
-    /** Whether the file belongs to this process's user; in a shared folder anybody may have created it. */
+    /** Returns whether the file belongs to this process's user; in a shared folder any user may have created it. */
     static boolean isOwnedByThisUser(Path path) {
         try {
             return userId(path) == thisUserId();
@@ -34,7 +34,7 @@
         }
     }
 
-    /** The ID of the user that runs this process. */
+    /** Returns the ID of the user that runs this process. */
     static int thisUserId() throws IOException {
         return userId(OWN_PROCESS);
     }
--- a/src/main/java/cacheproxy/handover/HandoverReceiver.java
+++ b/src/main/java/cacheproxy/handover/HandoverReceiver.java
@@ -23,7 +23,8 @@
     private HandoverReceiver() {}
 
     /**
-     * Asks the process that offers its listening socket at a path for it. Blocks, so it must not run on {@code loop}.
+     * Requests the listening socket from the process that offers it at a path. Blocks, so it must not run on
+     * {@code loop}.
      *
      * @param waitMs how long to wait for the answer, in milliseconds
      * @return empty if no process of this user answers in time
