--- a/src/main/java/cacheproxy/daemon/ConfigSnapshot.java
+++ b/src/main/java/cacheproxy/daemon/ConfigSnapshot.java
@@ -16,20 +16,20 @@
 import java.util.Map;
 
 /**
- * What one configuration file has made of the daemon; a request keeps the snapshot under which it arrived. On the event
- * loop only.
+ * The running state built from one configuration file. A request uses the snapshot that was current when it arrived. On
+ * the event loop only.
  */
 public final class ConfigSnapshot {
     /** The configuration file. */
     public final DaemonConfig file;
-    /** Kept here since each request reads it. */
+    /** Cached here because each request reads it. */
     final SiblingsConfig siblings;
 
-    /** By name, in the file's order. */
+    /** The pools by name, in the order of the configuration file. */
     public final Map<String, PoolRuntime> pools;
 
     final RequestValidator requestValidator;
-    /** Checks what hooks ask for. */
+    /** Validates the orders of hooks. */
     public final HookRules hookRules;
     /** Null where this proxy belongs to no fleet. */
     final FleetQuotas quotas;
@@ -38,7 +38,7 @@
 
     private final List<HookExecutor> executors;
     private final Map<String, Route> routesByName = new HashMap<>();
-    /** Requests that arrived under it and are not concluded. */
+    /** Number of requests that arrived under this configuration and are not yet concluded. */
     public int pendingRequests;
 
     private final IdentityHashMap<Route, List<PoolRuntime>> chains = new IdentityHashMap<>();
@@ -76,22 +76,22 @@
         }
     }
 
-    /** The pools of a route, in order. */
+    /** Returns the pools of a route, in order. */
     List<PoolRuntime> chain(Route route) {
         return chains.get(route);
     }
 
-    /** Ends its hooks; no request uses it any more. */
+    /** Stops the hooks of this configuration. Call it once no request uses the configuration any more. */
     void stopHooks() {
         executors.forEach(HookExecutor::stop);
     }
 
-    /** The route of this name; null if there is none. */
+    /** Returns the route of this name; null if there is none. */
     public Route route(String name) {
         return routesByName.get(name);
     }
 
-    /** Whether every pool has its endpoint list. */
+    /** Returns whether every pool has its endpoint list. */
     boolean allPoolsListed() {
         return pools.values().stream().allMatch(pool -> pool.dispatcher.hasServers());
     }
--- a/src/main/java/cacheproxy/daemon/ControlSubsystem.java
+++ b/src/main/java/cacheproxy/daemon/ControlSubsystem.java
@@ -16,9 +16,9 @@
 import java.util.Optional;
 import java.util.function.Supplier;
 
-/** The control address: {@code GET /status}, diagnostics, and what other subsystems answer under their own paths. */
+/** The control address: serves {@code GET /status}, the diagnostic endpoints, and the endpoints of other subsystems. */
 final class ControlSubsystem implements Subsystem {
-    /** Its section of the configuration file. */
+    /** The subsystem's section of the configuration file. */
     static final String SECTION = "control";
 
     private final ControlConfig config;
@@ -38,7 +38,7 @@
         server = new ControlServer(loop, Transport.BEST.server(), this::call);
     }
 
-    /** Binds; empty if the file has no {@code [control]}. */
+    /** Binds the control address; empty if the file has no section {@code [control]}. */
     static Optional<ControlSubsystem> open(SubsystemContext context, DaemonConfig file, Subsystem previous)
             throws ConfigException, InterruptedException {
         ControlConfig config = file.section(ControlConfig.class);
--- a/src/main/java/cacheproxy/daemon/Daemon.java
+++ b/src/main/java/cacheproxy/daemon/Daemon.java
@@ -27,13 +27,14 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The daemon: listeners, routes, pools and subsystems by one configuration file, which may be replaced under load. A
- * new file is read, and its addresses are bound, before anything changes; a file that can't be used changes nothing.
+ * The daemon: runs the listeners, routes, pools and subsystems of one configuration file, which can be replaced under
+ * load. A new file is read, and its addresses are bound, before anything changes; a file that can't be used changes
+ * nothing.
  *
- * <p>All state belongs to one event loop; methods that are called from other threads run there.
+ * <p>All state belongs to one event loop; methods that are called from other threads run their work on it.
  */
 public final class Daemon implements AutoCloseable {
-    /** Connections are still accepted for this time after SIGTERM, until clients have seen the status. */
+    /** How long connections are still accepted after SIGTERM, so that clients can see the changed status first. */
     private static final double ACCEPT_AFTER_SIGTERM_MS = 500;
 
     private static final long CLIENT_SWEEP_INTERVAL_MS = 250;
@@ -53,12 +54,12 @@
     private final Subsystems subsystems;
     private final PoolTransition poolTransition;
     private final SubsystemContext context;
-    /** The snapshot of another proxy to start from; null if there is none, and after the start. */
+    /** The snapshot of another proxy to start from; null if none is given, and after the start. */
     private Path seedFrom;
 
-    /** Has the configuration read again; null if there is no file to read. */
+    /** Triggers a reload of the configuration file; null if there is no file to read. */
     private volatile Runnable reloadRequest;
-    /** Whether the shutdown has begun, so that no configuration is adopted any more; on the event loop. */
+    /** Whether the shutdown has begun, after which no configuration is adopted. Used on the event loop only. */
     private boolean draining;
 
     private Daemon(
@@ -90,7 +91,7 @@
                 new DiagnosticEndpoints(core.invariants()::summary, core.events()::setEnabled, this::requestReload));
     }
 
-    /** Starts a daemon; the exception says which address could not be bound. */
+    /** Starts a daemon. If an address can't be bound, the exception names it. */
     public static Daemon start(DaemonConfig file, long seed) throws ConfigException, InterruptedException {
         return start(file, seed, null, () -> true);
     }
@@ -98,10 +99,10 @@
     /**
      * Starts a daemon and returns once it accepts clients.
      *
-     * @param seed of all its random draws
-     * @param seedFrom the snapshot of another proxy, for what this one has no snapshot of; null if there is none
-     * @param mayAcceptConnections asked on the event loop right before the daemon listens for clients. If it returns
-     *     false, as the process is about to end, this method does not return
+     * @param seed seed of the daemon's random number generators
+     * @param seedFrom the snapshot of another proxy, used if this one has no snapshot of its own; null if none is given
+     * @param mayAcceptConnections called on the event loop right before the daemon listens for clients. If it returns
+     *     false because the process is about to end, this method does not return
      */
     public static Daemon start(DaemonConfig file, long seed, Path seedFrom, BooleanSupplier mayAcceptConnections)
             throws ConfigException, InterruptedException {
@@ -110,7 +111,7 @@
         return daemon.start(file);
     }
 
-    /** Starts a daemon with these subsystems, for tests. */
+    /** Starts a daemon with the given subsystems; for tests. */
     static Daemon start(DaemonConfig file, long seed, List<Subsystem.Registration> registrations)
             throws ConfigException, InterruptedException {
         return new Daemon(file, seed, () -> true, registrations).start(file);
@@ -129,7 +130,7 @@
         return this;
     }
 
-    // The tasks end with the event loop, so that nobody needs their futures.
+    // The tasks end with the event loop, so their futures are not needed.
     @SuppressWarnings("FutureReturnValueIgnored")
     private void startPeriodicTasks() {
         core.addServerObserver(new ServerRestartObserver(core, serverStarts, subsystems, router::configuration));
@@ -139,7 +140,7 @@
                 this::collectUnused, COLLECT_INTERVAL_MS, COLLECT_INTERVAL_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Sets what {@code POST /reload} of the control address does; it must not block. */
+    /** Sets the action of {@code POST /reload} at the control address. The action must not block. */
     public void onReloadRequest(Runnable request) {
         reloadRequest = request;
     }
@@ -152,42 +153,42 @@
         return request != null;
     }
 
-    /** The subsystem of this class or with this role; null where the file has none. From any thread. */
+    /** Returns the subsystem that implements this type; null if the configuration has none. Thread-safe. */
     public <T> T subsystem(Class<T> role) {
         return subsystems.get(role);
     }
 
-    /** The address of a listener; null if there is none of this name. */
+    /** Returns the address of a listener; null if there is no listener of this name. */
     public InetSocketAddress address(String listener) {
         return addresses().get(listener);
     }
 
-    /** The addresses of all listeners by name, in the file's order. */
+    /** Returns the addresses of all listeners by name, in the order of the configuration file. */
     public Map<String, InetSocketAddress> addresses() {
         return onLoop(listeners::addresses);
     }
 
-    /** Pending requests, those of earlier configurations among them. */
+    /** Returns the number of pending requests, including those of earlier configurations. */
     public int pendingRequests() {
         return onLoop(() -> router.configuration().pendingRequests + retired.pendingRequests());
     }
 
-    /** The id of the event loop's thread, for measurements. */
+    /** Returns the id of the event loop's thread, for measurements. */
     public long threadId() {
         return onLoop(() -> Thread.currentThread().getId());
     }
 
-    /** The address of the ICP socket; null where none is configured. */
+    /** Returns the address of the ICP socket; null if none is configured. */
     public InetSocketAddress icpAddress() {
         return subsystems.address(SiblingSocket.SECTION).orElse(null);
     }
 
-    /** The control address; null where none is configured. */
+    /** Returns the control address; null if none is configured. */
     public InetSocketAddress controlAddress() {
         return subsystems.address(ControlSubsystem.SECTION).orElse(null);
     }
 
-    /** Pools in use, retired ones among them; for tests. */
+    /** Returns the number of pools in use, including retired ones; for tests. */
     int poolCount() {
         return onLoop(() -> router.configuration().pools.size() + retired.poolCount());
     }
@@ -196,15 +197,16 @@
         return loop.submit(task).syncUninterruptibly().getNow();
     }
 
-    /** Reads a file and adopts it; if it can't be used the exception says why and nothing changes. */
+    /** Reads and adopts a configuration file. If it can't be used, the exception says why and nothing changes. */
     public synchronized void reload(Path path) throws ConfigException, InterruptedException {
         load(DaemonConfigReader.read(path));
     }
 
     /**
-     * Adopts a configuration; not on the event loop, as binding addresses blocks.
+     * Adopts a configuration. Must not be called on the event loop, as binding addresses blocks.
      *
-     * @throws ConfigException if it can't be used, or the daemon is shutting down; nothing has changed then
+     * @throws ConfigException if the configuration can't be used or the daemon is shutting down; nothing has changed
+     *     then
      */
     public synchronized void load(DaemonConfig file) throws ConfigException, InterruptedException {
         Map<String, Listener> reserved = listeners.reserve(file);
@@ -221,7 +223,10 @@
         }
     }
 
-    /** Returns false, and changes nothing, if the daemon is shutting down. */
+    /**
+     * Adopts a configuration whose listener addresses are reserved. Returns false, and changes nothing, if the daemon
+     * is shutting down.
+     */
     private boolean adopt(DaemonConfig file, Map<String, Listener> reserved)
             throws ConfigException, InterruptedException {
         Subsystems.Change change = subsystems.prepare(context, file);
@@ -264,7 +269,9 @@
         retired.collect(router.configuration().file, core.nowMs());
     }
 
-    /** Shuts down gracefully: serves pending requests, and returns once that is done or at the longest deadline. */
+    /**
+     * Shuts down gracefully: serves pending requests, and returns when they are concluded or at the longest deadline.
+     */
     public void drain() {
         loop.execute(() -> {
             draining = true;
@@ -284,12 +291,12 @@
         return drained;
     }
 
-    /** The state worth saving, with at most so many hot keys a pool. */
+    /** Returns the learned state that is worth saving, with at most {@code maxKeys} hot keys per pool. */
     private StateSnapshot learnedState(int maxKeys) {
         return LearnedStates.export(router.configuration(), serverStarts, core.nowMs(), maxKeys);
     }
 
-    /** Ends at once. */
+    /** Stops the daemon at once, without waiting for pending requests. */
     @Override
     public void close() {
         loop.submit(() -> {
--- a/src/main/java/cacheproxy/daemon/FleetCoordination.java
+++ b/src/main/java/cacheproxy/daemon/FleetCoordination.java
@@ -5,12 +5,12 @@
 import cacheproxy.proxy.dispatch.Dispatcher;
 
 /**
- * What pools and requests ask of the fleet that this proxy belongs to: health checks made by one proxy for all, the
- * delegated watch of discovery, and fleet-wide quotas. On the event loop only.
+ * The services that pools and requests use of the fleet that this proxy belongs to: health checks made by one proxy for
+ * all, the delegated watch of discovery, and fleet-wide quotas. On the event loop only.
  */
 public interface FleetCoordination {
     /**
-     * Takes over the health check of a server that a pool's policy has ordered.
+     * Takes responsibility for a health check that a pool's policy has requested.
      *
      * @return false if the pool has to make the check itself
      */
@@ -25,9 +25,9 @@
     /** Returns whether this proxy itself long-polls discovery for a pool. */
     boolean shouldLongPoll(String pool);
 
-    /** Reports the version of an endpoint list that has arrived for a pool. */
+    /** Reports the version of an endpoint list that a pool has received. */
     void listReceived(String pool, long version);
 
-    /** The quotas of the fleet. */
+    /** Returns the quotas of the fleet. */
     FleetQuotas quotas();
 }
--- a/src/main/java/cacheproxy/daemon/IcpResponder.java
+++ b/src/main/java/cacheproxy/daemon/IcpResponder.java
@@ -15,20 +15,20 @@
 import java.util.function.Supplier;
 
 /**
- * Decides how an ICP query is answered: by who asks, by the route of its key, and by what this proxy's own servers are
- * known to hold. On the event loop only.
+ * Decides how an ICP query is answered, from its sender, the route of its key, and the keys that this proxy's own
+ * servers are known to hold. On the event loop only.
  */
 final class IcpResponder {
-    /** Longest key of the protocol. */
+    /** Longest key that the cache protocol allows. */
     private static final int MAX_KEY_CHARS = 250;
-    /** Unknown addresses whose denials are counted. */
+    /** Number of unknown addresses whose denied queries are counted. */
     private static final int MAX_UNKNOWN_ADDRESSES = 1024;
 
     private final IcpConfig icp;
     private final EventLoopContext core;
     private final CacheDigest digest;
     private final Predicate<InetSocketAddress> isSibling;
-    /** Its routes and pools decide the answers. */
+    /** The current configuration, whose routes and pools determine the answers. */
     private final Supplier<ConfigSnapshot> configuration;
 
     private final DenialLimiter<InetSocketAddress> denials = new DenialLimiter<>(MAX_UNKNOWN_ADDRESSES);
@@ -46,7 +46,7 @@
         this.configuration = configuration;
     }
 
-    /** The opcode of the answer to a query; empty if it gets none. */
+    /** Returns the opcode of the reply to a query; empty if the query gets no reply. */
     Optional<Opcode> answer(InetSocketAddress from, IcpMessage query) {
         boolean denied = !isSibling.test(from);
         if (!denials.shouldAnswer(from, denied)) {
--- a/src/main/java/cacheproxy/daemon/LearnedStates.java
+++ b/src/main/java/cacheproxy/daemon/LearnedStates.java
@@ -18,7 +18,7 @@
 public final class LearnedStates {
     private LearnedStates() {}
 
-    /** What all pools of a configuration have learned, with at most so many hot keys a pool. */
+    /** Returns the learned state of all pools of a configuration, with at most {@code maxKeys} hot keys per pool. */
     static StateSnapshot export(ConfigSnapshot configuration, ServerStarts starts, double nowMs, int maxKeys) {
         DaemonConfig file = configuration.file;
         Map<String, PoolState> pools = new LinkedHashMap<>();
@@ -27,7 +27,7 @@
                 file.site().name(), file.site().proxyIndex(), nowMs, 0, pools, starts.snapshot(addresses(file)));
     }
 
-    /** The state that a pool hands to the one that replaces it. */
+    /** Returns the learned state of a pool for the pool that replaces it. */
     static LearnedStateProvider providerFrom(DaemonConfig file, PoolConfig pool, PoolRuntime previous, double nowMs) {
         StateSnapshot snapshot = new StateSnapshot(
                 file.site().name(),
@@ -40,9 +40,9 @@
     }
 
     /**
-     * The state of a snapshot for a pool that starts.
+     * Returns the state of a snapshot for a pool that starts.
      *
-     * @param trust weight of the restored figures, 0 to 1
+     * @param trust weight of the restored values, 0 to 1
      */
     public static LearnedStateProvider providerOf(
             StateSnapshot snapshot, double trust, DaemonConfig file, PoolConfig pool) {
@@ -59,7 +59,7 @@
         };
     }
 
-    /** The addresses of the servers that a configuration names, by server id. */
+    /** Returns the addresses of the servers that a configuration names, by server id. */
     public static Map<Integer, String> addresses(DaemonConfig file) {
         Map<Integer, String> addresses = new HashMap<>();
         for (PoolConfig pool : file.pools().values()) {
--- a/src/main/java/cacheproxy/daemon/ListenerSet.java
+++ b/src/main/java/cacheproxy/daemon/ListenerSet.java
@@ -21,11 +21,11 @@
 
 /**
  * The daemon's listeners. Addresses of a new configuration are reserved before it is committed; a listener accepts
- * clients once the endpoint lists have arrived, and one that is no longer configured drains. On the event loop, but for
- * {@link #reserve}.
+ * clients once the endpoint lists have arrived, and one that is no longer configured is drained. On the event loop
+ * only, except for {@link #reserve} and {@link #awaitAccepting}.
  */
 final class ListenerSet {
-    /** Clients are accepted once every pool has its endpoint list, or after this time without it. */
+    /** Longest wait for the pools' endpoint lists before clients are accepted without them. */
     private static final double MAX_LIST_WAIT_MS = 3000;
 
     private static final double LIST_POLL_MS = 5;
@@ -36,16 +36,16 @@
     private final StandardProtocols protocols;
     private final BooleanSupplier mayAcceptConnections;
     private final Map<String, Listener> byName = new LinkedHashMap<>();
-    /** The configured addresses, of which port 0 leaves the choice to the system. */
+    /** The configured addresses, in which port 0 means that the system chooses the port. */
     private final Map<Listener, InetSocketAddress> configuredAddresses = new HashMap<>();
 
     private final List<Listener> draining = new ArrayList<>();
     private final CountDownLatch accepting = new CountDownLatch(1);
 
     /**
-     * No listener yet.
+     * Creates a set without listeners.
      *
-     * @param mayAcceptConnections asked before listeners accept clients; false if the process is about to end
+     * @param mayAcceptConnections called before listeners accept clients; returns false if the process is about to end
      */
     ListenerSet(
             EventLoopContext core,
@@ -61,7 +61,7 @@
     }
 
     /**
-     * Reserves the addresses that a configuration adds; not on the event loop.
+     * Reserves the addresses that a configuration adds. Must not be called on the event loop.
      *
      * @return the new listeners by name, to be {@linkplain #commit committed} or closed
      * @throws ConfigException with a line for each address that can't be bound
@@ -115,7 +115,10 @@
         }
     }
 
-    /** A proxy that does not know its servers yet could only reject requests. */
+    /**
+     * Accepts clients once every pool has its endpoint list: a proxy that does not know its servers yet could only
+     * reject requests.
+     */
     private void acceptOnceListed(List<Listener> listeners, double latestMs) {
         if (core.nowMs() < latestMs && !router.configuration().allPoolsListed()) {
             core.after(LIST_POLL_MS, () -> acceptOnceListed(listeners, latestMs));
@@ -141,12 +144,12 @@
         }
     }
 
-    /** Waits until the listeners of the first configuration accept clients; not on the event loop. */
+    /** Waits until the listeners of the first configuration accept clients. Must not be called on the event loop. */
     void awaitAccepting() throws InterruptedException {
         accepting.await();
     }
 
-    /** The addresses by the listeners' names, in the file's order. */
+    /** Returns the listeners' addresses by name, in the order of the configuration file. */
     Map<String, InetSocketAddress> addresses() {
         Map<String, InetSocketAddress> addresses = new LinkedHashMap<>();
         byName.forEach((name, listener) -> addresses.put(name, listener.address()));
@@ -161,14 +164,14 @@
         }
     }
 
-    /** Drains all listeners; returns whether none has a connection left. */
+    /** Drains all listeners. Returns whether all their connections are closed. */
     boolean drainAll() {
         List.copyOf(byName.keySet()).forEach(name -> drain(byName.remove(name)));
         removeDrained();
         return draining.isEmpty();
     }
 
-    /** Forgets listeners that have no connection left. */
+    /** Removes drained listeners that have no open connection. */
     void removeDrained() {
         draining.removeIf(listener -> {
             listener.drain();
--- a/src/main/java/cacheproxy/daemon/PoolContext.java
+++ b/src/main/java/cacheproxy/daemon/PoolContext.java
@@ -5,9 +5,9 @@
 import cacheproxy.proxy.upstream.EventLoopContext;
 
 /**
- * What all pools of the daemon share.
+ * The objects that all pools of the daemon share.
  *
- * @param slowStartBudget what servers that are warming up may be sent by all pools together
+ * @param slowStartBudget limits the requests that all pools together send to servers that are warming up
  * @param startTimes when servers of the configuration have started
  */
 record PoolContext(
--- a/src/main/java/cacheproxy/daemon/PoolFleetLink.java
+++ b/src/main/java/cacheproxy/daemon/PoolFleetLink.java
@@ -7,7 +7,7 @@
 import java.util.function.Supplier;
 
 /**
- * A pool's questions to the fleet. Where this proxy belongs to none, the pool makes health checks and watches discovery
+ * Connects a pool with the fleet. If this proxy belongs to no fleet, the pool makes health checks and watches discovery
  * by itself. The fleet's subsystem may be replaced at any time, so it is looked up on each call.
  */
 final class PoolFleetLink implements HealthCheckDelegate, WatchCoordination {
@@ -15,7 +15,7 @@
     private final Supplier<Dispatcher> dispatcher;
     private final Subsystems subsystems;
 
-    /** Belongs to a pool; its dispatcher is asked for only after the pool's construction. */
+    /** Creates the link of a pool. The dispatcher is requested only after the pool has been constructed. */
     PoolFleetLink(String pool, Supplier<Dispatcher> dispatcher, Subsystems subsystems) {
         this.pool = pool;
         this.dispatcher = dispatcher;
--- a/src/main/java/cacheproxy/daemon/PoolRuntime.java
+++ b/src/main/java/cacheproxy/daemon/PoolRuntime.java
@@ -41,12 +41,12 @@
 import java.util.function.IntPredicate;
 
 /**
- * A running pool: its policy with the dispatcher that carries its decisions out, its server list and its bounds. It
- * continues under later configurations that it {@linkplain #fits fits}. On the event loop only.
+ * A running pool: its policy, the dispatcher that carries out the policy's decisions, its server list and its limits.
+ * It continues under later configurations that it {@linkplain #fits fits}. On the event loop only.
  */
 public final class PoolRuntime {
     final String name;
-    /** Carries the policy's decisions out. */
+    /** Carries out the policy's decisions. */
     public final Dispatcher dispatcher;
 
     private final PolicySettings settings;
@@ -63,7 +63,7 @@
     /**
      * Starts a pool.
      *
-     * @param seed of its random draws
+     * @param seed seed of the pool's random number generator
      * @param learnedState the state of an earlier pool or process; null if there is none
      */
     PoolRuntime(
@@ -127,7 +127,7 @@
         return dispatcher;
     }
 
-    /** Follows the endpoint list; null if the servers are in the file. */
+    /** Returns the client that follows the endpoint list; null if the servers are listed in the configuration file. */
     public DiscoveryClient discovery() {
         return discovery;
     }
@@ -136,7 +136,7 @@
         return new RetryBudget(config.retryRatio(), config.guaranteedRetries());
     }
 
-    /** Returns whether this pool can continue under another configuration; else a new one replaces it. */
+    /** Returns whether this pool can continue under another configuration; otherwise a new pool replaces it. */
     boolean fits(DaemonConfig other, PoolConfig next) {
         return settings.equals(PoolSettings.of(other, next))
                 && config.connections() == next.connections()
@@ -150,7 +150,7 @@
                 && file.limits().idleCloseMs() == other.limits().idleCloseMs();
     }
 
-    /** Adopts the servers and bounds of a configuration that it fits. */
+    /** Adopts the servers and limits of a configuration that this pool fits. */
     void apply(DaemonConfig next) {
         PoolConfig pool = next.pools().get(name);
         boolean sameLimits = pool.maxPending() == config.maxPending()
@@ -171,21 +171,24 @@
         }
     }
 
-    /** Gives the policy the servers of the configuration. */
+    /** Passes the configured servers to the policy. */
     void applyServerList() {
         backupServers.clear();
         config.servers().stream().filter(ServerConfig::backup).forEach(server -> backupServers.add(server.id()));
         dispatcher.endpointListReceived(EndpointListKind.FULL, listedServers(server -> true));
     }
 
-    /** Restricts pending requests to these servers. */
+    /**
+     * Restricts pending requests to the servers whose ids the predicate accepts; has no effect if the pool uses
+     * discovery.
+     */
     void restrictTo(IntPredicate wanted) {
         if (config.discovery() == null) {
             dispatcher.endpointListReceived(EndpointListKind.FULL, listedServers(wanted));
         }
     }
 
-    /** Returns whether the configuration names this server, or origin, of the pool. */
+    /** Returns whether the configuration lists this server in the pool, as a cache server or as the origin. */
     boolean hasServer(int id) {
         return PoolSettings.allServers(config).stream().anyMatch(server -> server.id() == id);
     }
@@ -210,17 +213,17 @@
         return limiter.admit(nowMs, dispatcher.pendingRequests());
     }
 
-    /** The hash by which this pool's placement knows a request. */
+    /** Returns the hash by which this pool's placement chooses the servers of a request. */
     long keyHash(RouteInput input, Route route, String poolKey) {
         return keyHash.of(input, route, poolKey);
     }
 
-    /** The group of pools that drop repeats of keyed requests together; null if none does. */
+    /** Returns the group of pools that deduplicate keyed requests together; null if the pool belongs to none. */
     String dedupGroup() {
         return config.dedupGroup();
     }
 
-    /** The state that its policy has learned, with at most so many hot keys. */
+    /** Returns the learned state of the policy, with at most {@code maxKeys} hot keys. */
     public PoolState learned(int maxKeys) {
         LearnedState state = dispatcher.learnedState(maxKeys);
         Map<Integer, String> addresses = new HashMap<>();
@@ -233,7 +236,7 @@
         return new PoolState(PoolSettings.keyScheme(file, config), state, addresses);
     }
 
-    /** The configuration in force. */
+    /** Returns the current configuration of this pool. */
     PoolConfig config() {
         return config;
     }
--- a/src/main/java/cacheproxy/daemon/PoolSettings.java
+++ b/src/main/java/cacheproxy/daemon/PoolSettings.java
@@ -29,25 +29,27 @@
 import java.util.Set;
 import java.util.stream.Stream;
 
-/** Translates a pool's configuration into the settings and members of its policy. */
+/** Translates a pool's configuration into the settings and endpoints of its policy. */
 public final class PoolSettings {
-    /** A proxy polls discovery at least this often. */
+    /** Longest time between two polls of discovery. */
     private static final double MAX_POLL_AGE_MS = 10_000;
-    /** What a request of a tenant over its quota is worth, as a fraction of one within it. */
+    /** Value of a request of a tenant that is over its quota, as a fraction of the value of a request within it. */
     private static final double OVER_QUOTA_VALUE_FRACTION = 0.1;
 
     private static final double RESPONSE_GRACE_MS = 20;
-    /** The index of no kind. */
+    /** Stands for the absence of a kind. */
     private static final int NO_KIND = -1;
 
-    /** Kinds of their own, whatever the file calls its servers. */
+    /**
+     * Kinds of siblings and of the origin; the leading NUL keeps them distinct from kinds in the configuration file.
+     */
     private static final String SIBLING_KIND = "\0sibling";
 
     private static final String ORIGIN_KIND = "\0origin";
 
     private PoolSettings() {}
 
-    /** The servers of a pool, its origin last. */
+    /** Returns the servers of a pool, with its origin last. */
     public static List<ServerConfig> allServers(PoolConfig pool) {
         List<ServerConfig> all = new ArrayList<>(pool.servers());
         if (pool.origin() != null) {
@@ -71,7 +73,7 @@
         return kinds;
     }
 
-    /** This proxy's zone and those of the pool's servers, which alone matter to the pool. */
+    /** Returns this proxy's zone and the zones of the pool's servers; no other zones matter to the pool. */
     private static List<String> zones(DaemonConfig file, PoolConfig pool) {
         if (pool.discovery() != null) {
             return pool.discovery().zones();
@@ -82,7 +84,7 @@
                 .toList();
     }
 
-    /** The settings of the pool's policy. */
+    /** Returns the settings of the pool's policy. */
     static PolicySettings of(DaemonConfig file, PoolConfig pool) {
         SiteConfig site = file.site();
         ProcessLimitsConfig limits = file.limits();
@@ -122,7 +124,7 @@
                 : pool.discovery().originKind() != null;
     }
 
-    /** The index of the origin's kind among the pool's kinds; {@link #NO_KIND} if the pool has no origin. */
+    /** Returns the index of the origin's kind among the pool's kinds; {@link #NO_KIND} if the pool has no origin. */
     private static int originKind(PoolConfig pool) {
         if (!hasOrigin(pool)) {
             return NO_KIND;
@@ -133,7 +135,7 @@
                 : kinds.indexOf(pool.discovery().originKind());
     }
 
-    /** Whether ejected servers are probed by health checks; else they are tried with clients' requests. */
+    /** Returns whether ejected servers are probed by health checks; otherwise they are tried with clients' requests. */
     private static boolean probesServers(DaemonConfig file) {
         FleetConfig fleet = file.section(FleetConfig.class);
         return fleet != null
@@ -141,7 +143,7 @@
                 && !fleet.healthCheck().byClientRequests();
     }
 
-    /** A server as a member of the policy's list; {@code startMs} is 0 if it started long ago. */
+    /** Returns the policy's endpoint for a server; {@code startMs} is 0 if it started long ago. */
     static Endpoint endpointOf(DaemonConfig file, PoolConfig pool, ServerConfig server, double startMs) {
         boolean origin = server.equals(pool.origin());
         List<String> kinds = kinds(pool);
@@ -155,12 +157,12 @@
                 startMs);
     }
 
-    /** A sibling as a member of the policy's list. */
+    /** Returns the policy's endpoint for a sibling. */
     static Endpoint siblingEndpoint(PoolConfig pool, SiblingConfig sibling) {
         return new Endpoint(sibling.id(), 0, kinds(pool).indexOf(SIBLING_KIND), 0, EndpointState.READY, 1, 0);
     }
 
-    /** The placement that the pool is configured with. */
+    /** Returns the placement that is configured for the pool. */
     static PlacementFactory placement(PoolConfig pool) {
         return PlacementRegistry.factory(
                 pool.placement(),
@@ -169,7 +171,7 @@
                         .toList());
     }
 
-    /** The hash by which the pool's placement knows a request. */
+    /** Returns the hash function by which the pool's placement chooses the servers of a request. */
     static KeyHash keyHash(PoolConfig pool) {
         boolean carp = pool.placement().equals(PlacementRegistry.CARP);
         PlacementTemplate poolTemplate = pool.placeBy() == null ? PlacementTemplate.KEY : pool.placeBy();
@@ -182,18 +184,18 @@
                                 : new String(template.hashInput(input, route, poolKey), StandardCharsets.ISO_8859_1));
             }
             byte[] text = template.hashInput(input, route, poolKey);
-            // For an empty text nginx uses round robin; the key spreads such requests as well.
+            // For an empty text nginx uses round robin; hashing the key spreads such requests as well.
             return PlacementKey.fromText(text.length > 0 ? text : poolKey.getBytes(StandardCharsets.ISO_8859_1));
         };
     }
 
-    /** Identifies what the hashes of a pool's keys depend on. */
+    /** Returns a description of all settings that the hashes of a pool's keys depend on. */
     public static String keyScheme(DaemonConfig file, PoolConfig pool) {
         return pool.placement() + " by " + (pool.placeBy() == null ? PlacementTemplate.KEY : pool.placeBy()) + ", keys "
                 + file.keys();
     }
 
-    /** The pools of a configuration for the command {@code explain}. */
+    /** Returns the explanation of a configuration's routes and pools for the command {@code explain}. */
     static RouteExplanation explain(DaemonConfig file) {
         Map<String, RouteExplanation.PoolView> views = new LinkedHashMap<>();
         for (PoolConfig pool : file.pools().values()) {
--- a/src/main/java/cacheproxy/daemon/PoolSiblings.java
+++ b/src/main/java/cacheproxy/daemon/PoolSiblings.java
@@ -15,8 +15,8 @@
 import java.util.function.IntConsumer;
 
 /**
- * The siblings of one pool: answers the policy's questions about them and passes its queries on to the socket. On the
- * event loop only.
+ * The siblings of one pool: provides the policy with information about them and passes its queries on to the socket. On
+ * the event loop only.
  */
 final class PoolSiblings implements Siblings, SiblingQueries {
     private final SiblingSocket socket;
@@ -24,7 +24,7 @@
     private final List<SiblingStats> stats = new ArrayList<>();
     private final Map<Integer, Integer> indexById = new HashMap<>();
     private final SplittableRandom random;
-    /** Moving average of a fetch from a sibling, in milliseconds, from an initial guess. */
+    /** Moving average of the duration of a fetch from a sibling, in milliseconds; starts from an estimate. */
     private double averageFetchMs = 5;
 
     private SiblingQueryPolicy.Plan plan;
@@ -53,7 +53,7 @@
     @Override
     public void fetched(double nowMs, int sibling, AttemptOutcome outcome, double elapsedMs) {
         if (outcome == AttemptOutcome.CANCELLED || outcome == AttemptOutcome.NOT_SENT) {
-            return; // no evidence about the sibling
+            return; // says nothing about the sibling
         }
         stats.get(indexById.get(sibling)).recordFetch(outcome == AttemptOutcome.OK);
         if (outcome == AttemptOutcome.OK) {
--- a/src/main/java/cacheproxy/daemon/PoolTransition.java
+++ b/src/main/java/cacheproxy/daemon/PoolTransition.java
@@ -9,8 +9,8 @@
 import java.util.SplittableRandom;
 
 /**
- * The pools of a new configuration: one that fits it continues, any other is made anew with what the earlier one of its
- * name, or else a restored snapshot, has learned. On the event loop.
+ * Determines the pools of a new configuration: a pool that fits it continues; any other is created with the learned
+ * state of the previous pool of its name or, if there is none, of a restored snapshot. On the event loop only.
  */
 final class PoolTransition {
     private final EventLoopContext core;
@@ -18,7 +18,7 @@
     private final Subsystems subsystems;
     private final SplittableRandom random;
 
-    /** @param random draws the seeds of new pools */
+    /** @param random generates the seeds of new pools */
     PoolTransition(EventLoopContext core, ServerStarts serverStarts, Subsystems subsystems, SplittableRandom random) {
         this.core = core;
         this.serverStarts = serverStarts;
--- a/src/main/java/cacheproxy/daemon/ResponseObserver.java
+++ b/src/main/java/cacheproxy/daemon/ResponseObserver.java
@@ -5,7 +5,7 @@
 import io.netty.buffer.ByteBuf;
 import java.util.function.Consumer;
 
-/** Passes a response on to the client and reports its kind to an observer, once. */
+/** Passes a response on to the client and reports its kind to an observer exactly once. */
 public final class ResponseObserver implements Responder {
     private final Responder client;
     private final Consumer<Answer> observer;
--- a/src/main/java/cacheproxy/daemon/RetiredConfigs.java
+++ b/src/main/java/cacheproxy/daemon/RetiredConfigs.java
@@ -8,11 +8,14 @@
 import java.util.Set;
 
 /**
- * Configurations and pools that get no new requests, kept until the pending requests that use them are concluded. On
- * the event loop only.
+ * Configurations and pools that receive no new requests and are kept until the pending requests that use them are
+ * concluded. On the event loop only.
  */
 final class RetiredConfigs {
-    /** Pending requests may be sent to servers that the new configuration lacks for this part of the drain grace. */
+    /**
+     * Fraction of the drain grace in which pending requests may still be sent to servers that the new configuration
+     * lacks.
+     */
     private static final double GRACE_FRACTION = 0.5;
 
     private final List<ConfigSnapshot> configs = new ArrayList<>();
@@ -29,7 +32,7 @@
         }
     }
 
-    /** Retires a configuration with the pools that its successor does not continue. */
+    /** Retires a configuration, and those of its pools that its successor does not continue. */
     void add(ConfigSnapshot previous, ConfigSnapshot next, double nowMs) {
         configs.add(previous);
         double graceEndsMs = nowMs + next.file.site().drainGraceMs() * GRACE_FRACTION;
@@ -40,7 +43,10 @@
         }
     }
 
-    /** Ends what no pending request uses, and restricts pools whose grace is over to the servers still configured. */
+    /**
+     * Stops configurations and pools that no pending request uses, and restricts pools whose grace has ended to the
+     * servers that are still configured.
+     */
     void collect(DaemonConfig current, double nowMs) {
         configs.removeIf(config -> {
             if (config.pendingRequests == 0) {
@@ -77,17 +83,17 @@
         return ready;
     }
 
-    /** Requests that still use a retired configuration. */
+    /** Returns the number of requests that still use a retired configuration. */
     int pendingRequests() {
         return configs.stream().mapToInt(config -> config.pendingRequests).sum();
     }
 
-    /** Pools that are kept for them. */
+    /** Returns the number of pools that are kept for pending requests. */
     int poolCount() {
         return pools.size();
     }
 
-    /** Ends all configurations at once. */
+    /** Stops the hooks of all retired configurations at once. */
     void stopHooks() {
         configs.forEach(ConfigSnapshot::stopHooks);
     }
--- a/src/main/java/cacheproxy/daemon/RouteExplainer.java
+++ b/src/main/java/cacheproxy/daemon/RouteExplainer.java
@@ -9,12 +9,12 @@
 public final class RouteExplainer {
     private final RouteExplanation explanation;
 
-    /** Explains this configuration. */
+    /** Creates an explainer for a configuration. */
     public RouteExplainer(DaemonConfig file) {
         explanation = PoolSettings.explain(file);
     }
 
-    /** The line for a request, preceded by the reasons if {@code why} is set. */
+    /** Returns the line for a request, preceded by the reasons if {@code why} is set. */
     public List<String> lines(RouteInput input, boolean why) {
         return explanation.lines(input, why);
     }
--- a/src/main/java/cacheproxy/daemon/RoutedRequest.java
+++ b/src/main/java/cacheproxy/daemon/RoutedRequest.java
@@ -15,7 +15,7 @@
 
 /**
  * A request on its way through the pools of its route: each pool in turn serves or rejects it, and the client gets one
- * response. It is the responder of the pool that currently has it. On the event loop only.
+ * response. It acts as the responder towards the current pool. On the event loop only.
  */
 final class RoutedRequest implements Responder, RequestHandler.Handle {
     private final EventLoopContext core;
@@ -24,9 +24,9 @@
     private final RouteInput input;
     private final Route route;
     private final ServiceClass serviceClass;
-    /** As the pools get it. */
+    /** The request that is passed to the pools. */
     private final ClientRequest request;
-    /** As the client sent it, where a route has changed the key; else null. */
+    /** The request as the client sent it if the route has changed the key; otherwise null. */
     private final ClientRequest original;
 
     private final Responder client;
@@ -34,21 +34,23 @@
     private RequestContext current;
     private boolean concluded;
     private boolean mayHaveRun;
-    /** The group that drops repeats in all pools in which it may have run; null if there is none, or more than one. */
+    /**
+     * The deduplication group of all pools in which the request may have run; null if there is none, or more than one.
+     */
     private String dedupGroupRun;
 
     private boolean failed;
-    /** Whether the last pool tried lacks the key, which is then the answer. */
+    /** Whether the last pool tried reported a miss, which then is the response. */
     private boolean missed;
 
     private double longestRetryAfterMs;
-    /** Quotas taken that concern all pools; null if none. */
+    /** The consumed quotas that apply to all pools; null if none. */
     private LocalQuota[] quotasTaken;
 
-    /** Quotas taken of the current pool; null if none. */
+    /** The consumed quotas of the current pool; null if none. */
     private LocalQuota[] poolQuotasTaken;
 
-    /** Takes over both requests; {@code original} is null unless the route has changed the key. */
+    /** Takes ownership of both requests; {@code original} is null unless the route has changed the key. */
     RoutedRequest(
             EventLoopContext core,
             ConfigSnapshot config,
@@ -97,7 +99,7 @@
         concludeUnserved();
     }
 
-    /** Takes the quotas that concern all pools; false if the request was rejected for one of them. */
+    /** Consumes the quotas that apply to all pools. Returns false if one of them rejected the request. */
     private boolean takeQuotas() {
         if (config.quotas == null) {
             return true;
@@ -113,7 +115,7 @@
         return true;
     }
 
-    /** Takes the quotas of a pool and one of its places; false if it rejects the request. */
+    /** Consumes the quotas of a pool and asks it to admit the request. Returns false if the request is rejected. */
     private boolean admit(PoolRuntime pool, double nowMs) {
         LocalQuota[] poolQuotas = config.quotas == null ? null : config.quotas.quotasFor(pool.name, request);
         double quotaWaitMs = poolQuotas == null ? 0 : config.quotas.requestWaitMs(poolQuotas, nowMs);
--- a/src/main/java/cacheproxy/daemon/Router.java
+++ b/src/main/java/cacheproxy/daemon/Router.java
@@ -10,7 +10,7 @@
 import cacheproxy.routes.RouteInput;
 import java.util.List;
 
-/** Receives the requests of all listeners and sends each on its route. On the event loop only. */
+/** Receives the requests of all listeners and sends each to the pools of its route. On the event loop only. */
 public final class Router {
     private final EventLoopContext core;
     private ConfigSnapshot configuration;
@@ -19,17 +19,17 @@
         this.core = core;
     }
 
-    /** Routes later requests by this configuration. */
+    /** Sets the configuration by which later requests are routed. */
     void use(ConfigSnapshot next) {
         configuration = next;
     }
 
-    /** The configuration in force; null before the first. */
+    /** Returns the current configuration; null before the first one. */
     ConfigSnapshot configuration() {
         return configuration;
     }
 
-    /** The handler of a listener's requests. */
+    /** Returns the handler of a listener's requests. */
     RequestHandler handlerFor(String listener) {
         return (request, responder) -> receive(listener, request, responder);
     }
@@ -55,7 +55,7 @@
     }
 
     /**
-     * Sends a request on its route.
+     * Sends a request to the pools of its route, or concludes it if it can't be routed to pools.
      *
      * @param routeByHook the route that a hook has chosen; null if none has
      * @return null if the request is already concluded
@@ -127,7 +127,10 @@
                 && listener.equals(config.siblings.icp().listener());
     }
 
-    /** Returns whether a pool may fetch from elsewhere; on behalf of a sibling that could loop. */
+    /**
+     * Returns whether a pool can fetch from elsewhere, as it has an origin or uses discovery. Such a fetch on behalf of
+     * a sibling could loop.
+     */
     private static boolean mayFetch(List<PoolRuntime> pools) {
         return pools.stream()
                 .anyMatch(
--- a/src/main/java/cacheproxy/daemon/ServerRestartObserver.java
+++ b/src/main/java/cacheproxy/daemon/ServerRestartObserver.java
@@ -5,7 +5,7 @@
 import java.util.function.Supplier;
 
 /**
- * Notices restarts of the servers of the configuration file, which no endpoint list reports, by their connections. On
+ * Detects restarts of the servers in the configuration file by their connections, as no endpoint list reports them. On
  * the event loop only.
  */
 final class ServerRestartObserver implements UpstreamRegistry.Observer {
@@ -34,7 +34,8 @@
     public void connectionAccepted(int server) {
         if (serverStarts.times().connectionAccepted(server, core.nowMs())) {
             subsystems.serverRestarted(server);
-            // Not within the connection's own event: the new list retires connections to a server that restarted.
+            // Not within the event of the connection itself: the new list retires connections to a server that has
+            // restarted.
             core.loop().execute(() -> applyServerLists(server));
         }
     }
--- a/src/main/java/cacheproxy/daemon/ServerStarts.java
+++ b/src/main/java/cacheproxy/daemon/ServerStarts.java
@@ -16,25 +16,26 @@
 import java.util.stream.Collectors;
 
 /**
- * When the servers of the configuration have started, and what servers that are warming up may be sent by all pools
- * together. On the event loop only.
+ * The start times of the configured servers, and the budget of requests that all pools together send to servers that
+ * are warming up. On the event loop only.
  */
 final class ServerStarts {
     private final ServerStartTimes times = new ServerStartTimes();
     private SlowStartBudget budget;
 
-    /** The start times known so far. */
+    /** Returns the start times known so far. */
     ServerStartTimes times() {
         return times;
     }
 
-    /** The budget of the configuration that was applied last. */
+    /** Returns the budget of the configuration that was applied last. */
     SlowStartBudget budget() {
         return budget;
     }
 
     /**
-     * Applies a configuration. Servers that the previous one lacked have just started.
+     * Applies a configuration. Servers that the previous configuration lacked are regarded as just started, unless they
+     * are configured as warm.
      *
      * @param previous null at the start of the daemon
      */
@@ -71,7 +72,7 @@
         }
     }
 
-    /** A backup that no pool uses at all times has nothing cached yet. */
+    /** Registers backups that no pool uses as a primary server: they have nothing cached yet. */
     private void addUnusedBackups(DaemonConfig file, Set<Integer> warm) {
         Set<Integer> primaries = file.pools().values().stream()
                 .flatMap(pool -> pool.servers().stream())
@@ -95,7 +96,7 @@
         return ids;
     }
 
-    /** The start times worth saving, of servers that have an address. */
+    /** Returns the start times to be saved, of servers that have an address. */
     List<ServerStart> snapshot(Map<Integer, String> addresses) {
         List<ServerStart> starts = new ArrayList<>();
         for (int server : times.knownServers()) {
--- a/src/main/java/cacheproxy/daemon/SiblingSocket.java
+++ b/src/main/java/cacheproxy/daemon/SiblingSocket.java
@@ -32,17 +32,17 @@
 import java.util.function.Supplier;
 
 /**
- * The ICP socket (RFC 2186): sends the queries of this proxy's pools and answers those of siblings. Decisions are made
- * in {@code cacheproxy.siblings}. Bounded: pending queries, queries and answers a second, remembered keys and
- * addresses; an answer is never longer than its query. On the event loop only.
+ * The ICP socket (RFC 2186): sends the queries of this proxy's pools and replies to queries of siblings. Decisions are
+ * made in {@code cacheproxy.siblings}. The number of pending queries, the queries and replies per second, and the
+ * remembered keys and addresses are bounded; a reply is never longer than its query. On the event loop only.
  */
 final class SiblingSocket implements Subsystem {
-    /** Its section of the configuration file. */
+    /** The subsystem's section of the configuration file. */
     static final String SECTION = "icp";
 
-    /** Servers that the digest can distinguish. */
+    /** Number of servers that the digest can distinguish. */
     private static final int MAX_SERVERS = 4096;
-    /** For how long late answers are recognized and measured. */
+    /** How long late replies are recognized and measured. */
     private static final double LATE_REPLY_WINDOW_MS = 2000;
 
     private final SiblingsConfig config;
@@ -55,7 +55,10 @@
     private final Map<InetSocketAddress, SiblingConfig> byAddress = new HashMap<>();
     private final Map<Integer, IntConsumer> callbacks = new HashMap<>();
     private final TokenBucket queryRate;
-    /** One for each sibling, so that none uses up another's; unknown addresses share a small one. */
+    /**
+     * A bucket for each sibling, so that no sibling uses up the rate of another; unknown addresses share a small
+     * bucket.
+     */
     private final Map<InetSocketAddress, TokenBucket> answerRates = new HashMap<>();
 
     private final TokenBucket unknownSenderRate;
@@ -88,7 +91,7 @@
         });
     }
 
-    /** Binds; empty if the file has no {@code [icp]}. */
+    /** Binds the ICP socket; empty if the file has no section {@code [icp]}. */
     static Optional<SiblingSocket> open(SubsystemContext context, DaemonConfig file, Subsystem previous)
             throws ConfigException, InterruptedException {
         int seed = context.random().nextInt();
@@ -105,7 +108,7 @@
         if (previous != null
                 && SocketBinder.conflict(
                         previous.config.icp().address(), config.icp().address())) {
-            previous.channel.close().sync(); // there is no second socket at its address
+            previous.channel.close().sync(); // a second socket can't be bound to the same address
         }
         listen(file);
     }
@@ -132,18 +135,18 @@
         return Optional.of((InetSocketAddress) channel.localAddress());
     }
 
-    /** The statistics of a sibling, which survive a reload. */
+    /** Returns the statistics of a sibling, which are kept over reloads. */
     SiblingStats stats(SiblingConfig sibling) {
         return statsByName.computeIfAbsent(sibling.name(), name -> new SiblingStats());
     }
 
-    /** The siblings of a pool. */
+    /** Creates the view of a pool on its siblings. */
     PoolSiblings siblingsOf(PoolConfig pool) {
         return new PoolSiblings(
                 this, pool.siblings().stream().map(config::sibling).toList(), random.split());
     }
 
-    // Nothing waits for the socket's end.
+    // Nothing waits until the socket is closed.
     @SuppressWarnings("FutureReturnValueIgnored")
     @Override
     public void close() {
@@ -151,7 +154,7 @@
         callbacks.clear();
     }
 
-    /** A server of ours has answered a read of a key. */
+    /** Records that a server of this proxy has answered a read of a key. */
     void readCompleted(String key, int server, boolean found) {
         if (found) {
             digest.add(core.nowMs(), RequestValidator.keyHash(key), server);
@@ -160,7 +163,7 @@
         }
     }
 
-    /** A key has been written, so that what was remembered of it is void. */
+    /** Records that a key has been written, which invalidates what the digest remembers about it. */
     void writeCompleted(String key) {
         digest.remove(RequestValidator.keyHash(key));
     }
@@ -170,8 +173,11 @@
         digest.removeServer(server);
     }
 
-    /** Sends a query; where a bound is reached nothing is sent, and the policy goes on when its wait is over. */
-    @SuppressWarnings("FutureReturnValueIgnored") // a datagram that is not sent is like one that is lost
+    /**
+     * Sends a query to siblings. If a limit is reached, nothing is sent, and the policy continues when its wait has
+     * ended.
+     */
+    @SuppressWarnings("FutureReturnValueIgnored") // a datagram that is not sent counts as lost
     void query(String key, List<SiblingConfig> siblings, double waitMs, IntConsumer answer) {
         double nowMs = core.nowMs();
         if (!queryRate.tryAcquire(nowMs)) {
@@ -205,7 +211,7 @@
         switch (reply.verdict()) {
             case FIRST_HIT, MISS, ALL_MISSED, LATE -> stats(byAddress.get(from)).recordReply(reply.elapsedMs(), hit);
             default -> {
-                return; // counted, but it belongs to no pending query
+                return; // counted by its verdict, but belongs to no pending query
             }
         }
         boolean allMissed = reply.verdict() == ReplyVerdict.ALL_MISSED;
@@ -234,7 +240,7 @@
             }
         }
 
-        @SuppressWarnings("FutureReturnValueIgnored") // a datagram that is not sent is like one that is lost
+        @SuppressWarnings("FutureReturnValueIgnored") // a datagram that is not sent counts as lost
         private void handleQuery(ChannelHandlerContext ctx, InetSocketAddress from, IcpMessage query) {
             if (!answerRates.getOrDefault(from, unknownSenderRate).tryAcquire(core.nowMs())) {
                 overRateCount++;
@@ -258,15 +264,15 @@
     }
 
     /**
-     * Datagrams dropped as malformed, and those over the rate. Without a caller until log lines report them: see
-     * docs/ROADMAP.md, "Next, in this order", item 1.
+     * Returns the number of malformed datagrams and of queries over the rate limit, which were dropped. Without a
+     * caller until log lines report them: see docs/ROADMAP.md, "Next, in this order", item 1.
      */
     long[] dropped() {
         return new long[] {malformedCount, overRateCount};
     }
 
     /**
-     * Datagrams that claimed to be answers, by verdict. Without a caller until log lines report them: see
+     * Returns the number of received replies with a verdict. Without a caller until log lines report them: see
      * docs/ROADMAP.md, "Next, in this order", item 1.
      */
     long count(ReplyVerdict verdict) {
--- a/src/main/java/cacheproxy/daemon/SocketBinder.java
+++ b/src/main/java/cacheproxy/daemon/SocketBinder.java
@@ -14,17 +14,17 @@
 import java.net.InetSocketAddress;
 import java.util.List;
 
-/** Binds the addresses of subsystems; not on the event loop. */
+/** Binds the addresses of subsystems. Must not be used on the event loop. */
 public final class SocketBinder {
     private SocketBinder() {}
 
-    /** A failure to bind an address, as an error line of the file. */
+    /** Describes a failure to bind an address, as an error line of the configuration file. */
     static String describeFailure(DaemonConfig file, String subsystem, InetSocketAddress at, Throwable cause) {
         return file.path() + ":1:1: " + subsystem + " can't be bound to " + Addresses.text(at) + ": "
                 + String.valueOf(cause.getMessage()).lines().findFirst().orElse("");
     }
 
-    /** Waits for a channel to be bound, or throws the failure as an error of the file. */
+    /** Waits until a channel is bound, or throws the failure as an error of the configuration file. */
     static Channel require(ChannelFuture bound, DaemonConfig file, String subsystem, InetSocketAddress at)
             throws ConfigException, InterruptedException {
         if (!bound.await().isSuccess()) {
@@ -54,7 +54,7 @@
                 at);
     }
 
-    /** Returns whether two sockets at these addresses could not be bound together. */
+    /** Returns whether sockets can't be bound to both addresses at the same time. */
     public static boolean conflict(InetSocketAddress one, InetSocketAddress other) {
         return one.equals(other) && one.getPort() != 0;
     }
--- a/src/main/java/cacheproxy/daemon/StandardProtocols.java
+++ b/src/main/java/cacheproxy/daemon/StandardProtocols.java
@@ -10,21 +10,24 @@
 import java.util.concurrent.atomic.AtomicLong;
 import java.util.stream.Collectors;
 
-/** Makes the translation of plain commands for open listeners; request ids are unique over all of them. */
+/**
+ * Creates the protocols of listeners. Open listeners accept plain commands, which get request ids that are unique
+ * across all listeners.
+ */
 final class StandardProtocols {
     private static final long ID_PREFIX_MASK = 0xFFFFFFFFFFL;
-    /** Keeps all prefixes of one length. */
+    /** Gives all prefixes the same length. */
     private static final long ID_PREFIX_TOP_BIT = 0x10000000000L;
 
     private final String idPrefix;
     private final AtomicLong lastId = new AtomicLong();
 
-    /** Request ids begin with a prefix that is made of random bits. */
+    /** Creates a factory whose request ids begin with a prefix of random bits. */
     StandardProtocols(long randomBits) {
         idPrefix = Long.toHexString((randomBits & ID_PREFIX_MASK) | ID_PREFIX_TOP_BIT);
     }
 
-    /** The grammar of a listener's commands. */
+    /** Returns the protocol that a listener's clients use. */
     MetaProtocol protocolOf(DaemonConfig file, ListenerConfig listener) {
         if (!listener.open()) {
             return MetaProtocol.platform();
--- a/src/main/java/cacheproxy/daemon/StandardSubsystems.java
+++ b/src/main/java/cacheproxy/daemon/StandardSubsystems.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.stream.Stream;
 
-/** The subsystems of the daemon: the one place where they are listed. */
+/** The list of the daemon's subsystems. */
 final class StandardSubsystems {
     /** In the order in which they are opened and adopt a configuration. */
     static final List<Subsystem.Registration> ALL = List.of(
@@ -18,7 +18,7 @@
 
     private StandardSubsystems() {}
 
-    /** All, and another one that is opened last, for tests. */
+    /** Returns all subsystems and another one that is opened last; for tests. */
     static List<Subsystem.Registration> with(Subsystem.Registration last) {
         return Stream.concat(ALL.stream(), Stream.of(last)).toList();
     }
--- a/src/main/java/cacheproxy/daemon/Subsystem.java
+++ b/src/main/java/cacheproxy/daemon/Subsystem.java
@@ -8,17 +8,18 @@
 import java.util.Optional;
 
 /**
- * A part of the daemon with a section of the configuration file, such as the control address or the fleet. It is opened
- * before a new configuration is committed, stays in place under later configurations that it {@linkplain #fits fits},
- * and is otherwise replaced. The event loop calls all methods but {@link #restore}, {@link #finish} and {@link #end},
- * which may block and are called from other threads.
+ * A component of the daemon with its own section of the configuration file, such as the control address or the fleet.
+ * It is opened before a new configuration is committed, stays in place under later configurations that it
+ * {@linkplain #fits fits}, and is otherwise replaced. Methods are called on the event loop, except for {@link #fits},
+ * {@link #address}, {@link #restore}, {@link #finish} and {@link #end}, which are called from other threads; the last
+ * three may block.
  */
 public interface Subsystem {
     /** Opens a subsystem for a configuration. */
     interface Factory {
         /**
-         * Opens a subsystem; called off the event loop, so it may block. A subsystem that binds the same address as
-         * {@code previous} releases it there first, and {@code previous} is asked to {@link #restore} it if the
+         * Opens a subsystem. Called off the event loop, so it may block. A subsystem that binds the same address as
+         * {@code previous} first makes {@code previous} release it; {@code previous} has to {@link #restore} it if the
          * configuration is rejected.
          *
          * @param previous the instance that would be replaced; null if there is none
@@ -30,7 +31,7 @@
     }
 
     /**
-     * A subsystem as the daemon knows it.
+     * Registers a subsystem with the daemon.
      *
      * @param section the main section of the configuration file
      */
@@ -43,7 +44,7 @@
     default void apply(DaemonConfig file) {}
 
     /**
-     * Takes back an address that a rejected replacement had bound. Not on the event loop.
+     * Takes back what was released for a replacement that was then rejected, such as an address. Not on the event loop.
      *
      * @param file the rejected configuration, named in errors
      */
@@ -55,21 +56,21 @@
     /** Saves what should outlive the process, after the last response. Not on the event loop, may block. */
     default void finish() {}
 
-    /** Ends at once; nothing uses this instance any more. */
+    /** Closes the subsystem at once; nothing uses this instance any more. */
     void close();
 
-    /** Waits for whatever {@link #close} has started. Not on the event loop. */
+    /** Waits until everything that {@link #close} has started is complete. Not on the event loop. */
     default void end() {}
 
-    /** A server of the configuration file has restarted, so that its contents are gone. */
+    /** Called when a server of the configuration file has restarted and thus lost its contents. */
     default void serverRestarted(int server) {}
 
-    /** The requests that this subsystem answers at the control address, by the first segment of their path. */
+    /** Returns the handlers of this subsystem's requests at the control address, by the first segment of their path. */
     default Map<String, ControlRequestHandler> controlHandlers() {
         return Map.of();
     }
 
-    /** The address that this subsystem is bound to, if it listens anywhere. */
+    /** Returns the address that this subsystem is bound to; empty if it has none. */
     default Optional<InetSocketAddress> address() {
         return Optional.empty();
     }
--- a/src/main/java/cacheproxy/daemon/SubsystemContext.java
+++ b/src/main/java/cacheproxy/daemon/SubsystemContext.java
@@ -12,14 +12,16 @@
 import java.util.function.Supplier;
 
 /**
- * What the daemon offers to its subsystems.
+ * The services of the daemon that subsystems use.
  *
  * @param random the daemon's source of seeds; a factory that draws from it does so on every call, so that the sequence
- *     does not depend on which sections a file has
- * @param configuration the configuration in force, null before the first commit; on the event loop
- * @param learnedState the state worth saving, with at most the given number of hot keys a pool; on the event loop
+ *     does not depend on the sections of the file
+ * @param configuration the current configuration, null before the first commit; called on the event loop
+ * @param learnedState the learned state to be saved, with at most the given number of hot keys per pool; called on the
+ *     event loop
  * @param siblingSnapshot the snapshot of another proxy to start from, given on the command line; empty after the start
- * @param controlHandlers what the present subsystems answer at the control address, in order of registration
+ * @param controlHandlers the request handlers of the current subsystems for the control address, in order of
+ *     registration
  */
 public record SubsystemContext(
         EventLoopContext core,
--- a/src/main/java/cacheproxy/daemon/Subsystems.java
+++ b/src/main/java/cacheproxy/daemon/Subsystems.java
@@ -15,17 +15,17 @@
 import java.util.stream.Stream;
 
 /**
- * The daemon's subsystems, replaced together: all those of a new configuration are open before the first of the old
- * ones is closed.
+ * The daemon's subsystems. They are replaced together: all subsystems of a new configuration are open before the first
+ * of the old ones is closed.
  */
 public final class Subsystems {
     private final Executor onLoop;
     private final List<Subsystem.Registration> registrations;
-    /** One slot a registration; null where the configuration does not use it. */
+    /** One entry for each registration; null if the configuration does not use the subsystem. */
     private volatile List<Subsystem> present;
 
     /**
-     * No subsystem is open yet.
+     * Creates the set without open subsystems.
      *
      * @param onLoop runs a task on the event loop and returns once it has ended
      * @param registrations in the order in which the subsystems are opened and adopt a configuration
@@ -36,7 +36,7 @@
         present = Collections.nCopies(registrations.size(), null);
     }
 
-    /** The subsystem of this class or with this role; null if there is none. From any thread. */
+    /** Returns the subsystem that implements this type; null if there is none. Thread-safe. */
     public <T> T get(Class<T> role) {
         for (Subsystem subsystem : present) {
             if (role.isInstance(subsystem)) {
@@ -46,7 +46,7 @@
         return null;
     }
 
-    /** The address of the subsystem that is registered for a section. From any thread. */
+    /** Returns the address of the subsystem that is registered for a section. Thread-safe. */
     Optional<InetSocketAddress> address(String section) {
         List<Subsystem> current = present;
         for (int i = 0; i < registrations.size(); i++) {
@@ -57,7 +57,7 @@
         return Optional.empty();
     }
 
-    /** What all subsystems answer at the control address, in order of registration. */
+    /** Returns the request handlers of all subsystems for the control address, in order of registration. */
     Map<String, ControlRequestHandler> controlHandlers() {
         Map<String, ControlRequestHandler> handlers = new LinkedHashMap<>();
         open().forEach(subsystem -> handlers.putAll(subsystem.controlHandlers()));
@@ -90,7 +90,7 @@
             replaced().forEach(Subsystem::close);
         }
 
-        /** Waits for the end of the replaced subsystems; not on the event loop. */
+        /** Waits until the replaced subsystems have ended; not on the event loop. */
         void endReplaced() {
             replaced().forEach(Subsystem::end);
         }
@@ -101,7 +101,10 @@
                     .toList();
         }
 
-        /** Closes what was opened for a rejected configuration; not on the event loop. */
+        /**
+         * Closes the subsystems that were opened for a rejected configuration, and restores the current ones; not on
+         * the event loop.
+         */
         void rollBack() throws ConfigException, InterruptedException {
             for (Subsystem subsystem : next) {
                 if (subsystem != null && !present.contains(subsystem)) {
@@ -117,7 +120,7 @@
         }
     }
 
-    /** Opens what a configuration needs; not on the event loop. */
+    /** Opens the subsystems that a configuration needs; not on the event loop. */
     Change prepare(SubsystemContext context, DaemonConfig file) throws ConfigException, InterruptedException {
         Change change = new Change(file);
         try {
@@ -139,27 +142,27 @@
         return change;
     }
 
-    /** Tells all subsystems of a server's restart; on the event loop. */
+    /** Notifies all subsystems of a server's restart; on the event loop. */
     void serverRestarted(int server) {
         open().forEach(subsystem -> subsystem.serverRestarted(server));
     }
 
-    /** Prepares all for the end of the process; on the event loop. */
+    /** Prepares all subsystems for the end of the process; on the event loop. */
     void drain() {
         open().forEach(Subsystem::drain);
     }
 
-    /** Saves what should outlive the process; not on the event loop. */
+    /** Lets all subsystems save their state before the process ends; not on the event loop. */
     void finish() {
         open().forEach(Subsystem::finish);
     }
 
-    /** Waits for the end of all; not on the event loop. */
+    /** Waits until all subsystems have ended; not on the event loop. */
     void end() {
         open().forEach(Subsystem::end);
     }
 
-    /** Closes all; on the event loop. */
+    /** Closes all subsystems; on the event loop. */
     void close() {
         open().forEach(Subsystem::close);
     }
