--- a/src/test/java/cacheproxy/control/ControlServerTest.java
+++ b/src/test/java/cacheproxy/control/ControlServerTest.java
@@ -81,7 +81,7 @@
         return socket;
     }
 
-    /** Everything up to the end of the connection. */
+    /** Reads everything up to the end of the connection. */
     private static String readResponse(Socket socket) throws IOException {
         return new String(socket.getInputStream().readAllBytes(), StandardCharsets.ISO_8859_1);
     }
@@ -159,7 +159,7 @@
     void answersThreeHundredConcurrentRequestsBehindSilentConnections() throws Exception {
         List<Socket> callers = new ArrayList<>();
         try {
-            // They connect while the loop is blocked, so that all are queued before the first is read.
+            // The clients connect while the loop is blocked, so that all are queued before the first is read.
             CountDownLatch released = new CountDownLatch(1);
             group.next().execute(() -> {
                 try {
--- a/src/test/java/cacheproxy/daemon/ControlAnswersGoldenTextTest.java
+++ b/src/test/java/cacheproxy/daemon/ControlAnswersGoldenTextTest.java
@@ -17,14 +17,14 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What the daemon's control address answers, whole, with what varies replaced by its field's name. */
+/** The complete responses of the daemon's control address, with varying values masked. */
 @Timeout(60)
 class ControlAnswersGoldenTextTest {
     private static final long AWAIT_S = 20;
     private static final String CONTROL = "[control]\nlisten = \"127.0.0.1:0\"\n";
     private static final String DUTY = "[[duty]]\nname = \"cron\"\nlease_ms = 150\nvoters = 1\n";
 
-    @SuppressWarnings("StringConcatToTextBlock") // one line of the text a line of the source
+    @SuppressWarnings("StringConcatToTextBlock") // each line of the text is on a line of its own
     private static final String LIMITS = "[fleet.limits]\ngrant_ms = 200\nlease_ms = 150\nvoters = 1\nshares = 1\n"
             + "[[fleet.limit]]\nname = \"rate\"\npool = \"pages\"\nper_second = 500\nburst = 50\n"
             + "[[fleet.limit]]\nname = \"hand\"\nclass = \"page\"\nat_once = 200\nwhen_alone = \"none\"\n"
@@ -70,7 +70,7 @@
         return text.toString();
     }
 
-    /** A call's whole answer, lines ended by a line feed. */
+    /** Returns the whole response to a request, with line feeds as line ends. */
     private static String call(Daemon daemon, String call) throws IOException {
         InetSocketAddress to = daemon.controlAddress();
         try (Socket socket = new Socket(to.getAddress(), to.getPort())) {
@@ -87,12 +87,14 @@
         return answer.substring(answer.indexOf("\n\n") + 2);
     }
 
-    /** The body once it matches. */
+    /** Repeats a request until the body of its response matches, and returns the body. */
     private static String awaitBody(Daemon daemon, String call, String pattern) throws IOException {
         long untilNanos = System.nanoTime() + TimeUnit.SECONDS.toNanos(AWAIT_S);
         String body = body(daemon, call);
         while (!body.matches("(?s)" + pattern)) {
-            assertThat(System.nanoTime()).as("%s still answers %s", call, body).isLessThan(untilNanos);
+            assertThat(System.nanoTime())
+                    .as("response to %s is still %s", call, body)
+                    .isLessThan(untilNanos);
             body = body(daemon, call);
         }
         return body;
@@ -111,7 +113,7 @@
                 .replaceAll(name + "(?:true|false)", "\"$1\":B");
     }
 
-    @SuppressWarnings("StringConcatToTextBlock") // one line of the text a line of the source
+    @SuppressWarnings("StringConcatToTextBlock") // each line of the text is on a line of its own
     @Test
     void withoutFleetOnlyProcessEndpointsAreServed() throws Exception {
         try (Daemon daemon = daemon("")) {
--- a/src/test/java/cacheproxy/daemon/DaemonHarness.java
+++ b/src/test/java/cacheproxy/daemon/DaemonHarness.java
@@ -14,9 +14,9 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.IntFunction;
 
-/** A daemon before stand-ins, by a file that a test puts together. */
+/** A daemon in front of fake servers, with a configuration that a test composes. */
 public final class DaemonHarness implements AutoCloseable {
-    /** Servers that were down are tried again soon, clients come back soon. */
+    /** Makes the daemon retry failed servers soon, and tell clients to retry soon. */
     public static final String LIMITS = "[limits]\nconnect_timeout_ms = 50\nmax_retry_after_ms = 5\n";
 
     public static final String CLASSES = """
@@ -52,13 +52,13 @@
                 + "\"\nopen = true\nclass = \"page\"\nwrite_class = \"submit\"\n";
     }
 
-    /** A pool of these nodes, named by their ports, before the fleet's origin. */
+    /** A pool of these servers, named by their ports, with the fleet's origin. */
     public static String pool(String name, FakeFleet fleet, String keys, FakeCacheServer... servers) {
         return "[[pool]]\nname = \"" + name + "\"\n" + keys + "\n" + servers("", servers)
                 + "[pool.origin]\nname = \"store\"\n" + "dial = \"" + fleet.origin.dial() + "\"\n";
     }
 
-    /** A pool of stock nodes with nothing behind them. */
+    /** A pool of plain cache servers without an origin. */
     static String poolWithoutOrigin(String name, String keys, FakeCacheServer... servers) {
         return "[[pool]]\nname = \"" + name + "\"\nnodes = \"plain\"\n" + keys + "\n" + servers("", servers);
     }
@@ -110,7 +110,7 @@
         fleet.close();
     }
 
-    /** One client by hand. */
+    /** A client connection on which a test sends commands and reads responses itself. */
     public static final class ManualClient implements AutoCloseable {
         final Socket socket;
         private final InputStream input;
@@ -126,7 +126,7 @@
             return this;
         }
 
-        /** A line; null at the end of the stream. */
+        /** Reads a line; null at the end of the stream. */
         public String line() throws IOException {
             StringBuilder line = new StringBuilder();
             for (int byteRead; (byteRead = input.read()) != '\n'; ) {
--- a/src/test/java/cacheproxy/daemon/HooksInCallTest.java
+++ b/src/test/java/cacheproxy/daemon/HooksInCallTest.java
@@ -9,15 +9,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/**
- * What becomes of a request whose hook is in a call: its time is over, its client leaves, its module is replaced or
- * traps.
- */
+/** Requests during whose hook call the time limit ends, the client disconnects, or the module is replaced or traps. */
 @Timeout(120)
 class HooksInCallTest {
     private static final Path BY_KEY =
             Path.of("src/test/resources/hooks/by-key.wasm").toAbsolutePath();
-    /** So much that the clock ends every call before. */
+    /** So much fuel that the time limit ends every call first. */
     private static final String FUEL = "fuel = 1e9\nbreaker_share = 1.0\n";
 
     private static String file(FakeFleet fleet, String hookKeys) {
@@ -52,7 +49,7 @@
         try (DaemonHarness harness = new DaemonHarness(fleet, file(fleet, "time_ms = 20"));
                 DaemonHarness.ManualClient client = harness.connect()) {
             assertThat(client.send("mg s1 v\r\n").lines(2)).containsExactly("VA 11", "value of s1");
-            // The thread is free again, and its next call has an instance that has seen none.
+            // The thread is free again, and its next call has a new instance.
             assertThat(client.send("mg k v\r\n").lines(2)).containsExactly("VA 11", "value of n1");
         }
     }
@@ -62,7 +59,8 @@
         FakeFleet fleet = new FakeFleet(1);
         try (DaemonHarness harness = new DaemonHarness(fleet, file(fleet, "time_ms = 10000"));
                 DaemonHarness.ManualClient client = harness.connect()) {
-            // It would end after 3 s, within its own 10 and the client's 4; after 2 the request goes on without it.
+            // The call would end after 3 s, within its limit of 10 s and the deadline of 4 s; after 2 s, half of the
+            // deadline, the request continues without it.
             assertThat(client.send("mg l v Pd=4000\r\n").lines(2)).containsExactly("VA 10", "value of l");
         }
     }
@@ -80,8 +78,8 @@
     }
 
     /**
-     * Whether the loop has dealt with all that came before, and the call still runs: only then has the test seen its
-     * case.
+     * Waits until the event loop has handled all earlier events, and returns whether the call still runs: only then is
+     * the round valid.
      */
     private static boolean stillRunsAfterLoopTurn(DaemonHarness harness) {
         harness.daemon.pendingRequests();
@@ -93,7 +91,7 @@
         FakeFleet fleet = new FakeFleet(1);
         try (DaemonHarness harness = new DaemonHarness(fleet, file(fleet, "time_ms = 10000"));
                 DaemonHarness.ManualClient other = harness.connect()) {
-            for (int call = 1; call < 10; call += 2) { // the orders' digit tells the calls apart
+            for (int call = 1; call < 10; call += 2) { // the digit in the key that the hook orders identifies the call
                 fleet.nodes.get(0).store("n" + (call + 1), "kept".getBytes(StandardCharsets.UTF_8));
                 int before = fleet.nodes.get(0).commands();
                 DaemonHarness.ManualClient leavingClient = harness.connect();
@@ -101,11 +99,11 @@
                 awaitHookRunning();
                 leavingClient.socket.shutdownOutput();
                 assertThat(leavingClient.line())
-                        .as("the daemon has seen the end")
+                        .as("the daemon has closed the connection")
                         .isNull();
                 boolean seen = stillRunsAfterLoopTurn(harness);
                 leavingClient.close();
-                // This call waits for its turn behind the first, so that one's end has been dealt with when it is
+                // This call is queued after the first, so the end of the first has been handled when this one is
                 // answered.
                 assertThat(other.send("mg x v\r\n").lines(2)).containsExactly("VA 4", "kept");
                 if (seen) {
@@ -136,11 +134,13 @@
                 }
                 while (Thread.getAllStackTraces().keySet().stream()
                         .anyMatch(thread -> thread.getName().equals("hook h"))) {
-                    Thread.onSpinWait(); // its thread goes with the last request of its file
+                    Thread.onSpinWait(); // the hook's thread ends with the last request of its configuration
                 }
                 harness.load(withHook);
             }
-            assertThat(seen).as("a round in which the call outlived its file").isTrue();
+            assertThat(seen)
+                    .as("a round in which the call was still running after the reload")
+                    .isTrue();
         }
     }
 }
--- a/src/test/java/cacheproxy/daemon/ImportedSitesTest.java
+++ b/src/test/java/cacheproxy/daemon/ImportedSitesTest.java
@@ -36,8 +36,9 @@
 import org.junit.jupiter.params.provider.MethodSource;
 
 /**
- * Configurations of the shapes that people run: a thousand keys each through the stand-in of the original and through
- * the real daemon with the imported file, in front of nodes that tell which of them was asked and for what.
+ * Imports typical nginx configurations, and sends a thousand keys for each through a model of nginx with the original
+ * configuration and through the daemon with the imported one. The servers report which of them received a request and
+ * with which path.
  */
 class ImportedSitesTest {
     private static final int KEYS = 1000;
@@ -69,7 +70,7 @@
         };
     }
 
-    /** The words behind {@code # NAME} at a file's head. */
+    /** Returns the words after {@code # NAME} in the lines of a file. */
     private static List<String> headWords(String text, String name) {
         return text.lines()
                 .filter(l -> l.startsWith("# " + name + " "))
@@ -91,7 +92,7 @@
         }
         try {
             for (String address : addresses) {
-                // Two spellings of one address are one server.
+                // Two spellings of an address denote the same server.
                 String full = address.matches(".*[\\].0-9]:[0-9]+") ? address : address + ":80";
                 String known = names.get(full);
                 if (known == null) {
@@ -168,7 +169,7 @@
                                 .isEqualTo(node.matches(".*[\\].0-9]:[0-9]+") ? node : node + ":80");
                     }
                     assertThat(PathKey.parse(reply[1]).path())
-                            .as("path that the node gets for " + key)
+                            .as("path that the server receives for " + key)
                             .isEqualTo(PathKey.parse(answer.get("X-Uri")).path());
                 }
             }
--- a/src/test/java/cacheproxy/daemon/ListenersTest.java
+++ b/src/test/java/cacheproxy/daemon/ListenersTest.java
@@ -18,7 +18,7 @@
 import java.util.concurrent.CountDownLatch;
 import org.junit.jupiter.api.Test;
 
-/** What clients of an open listener may send, and what routes make of keys. */
+/** The commands that clients of an open listener may send, and the effect of routes on keys. */
 class ListenersTest {
     private static String file(FakeFleet fleet) {
         return DaemonHarness.CLASSES + DaemonHarness.MAIN_LISTENER
@@ -70,7 +70,7 @@
                 }
             }
             assertThat(client.send("mg page/2 v\r\n").line())
-                    .as("the connection goes on")
+                    .as("the connection is still usable")
                     .isEqualTo("VA 15");
             assertThat(fleet.ledger.times("hi")).isEqualTo(1);
         }
@@ -143,8 +143,8 @@
     }
 
     /**
-     * What connected earlier would wait for the list with its time running; the first that can connect is served at
-     * once.
+     * A client that connected earlier would wait for the list while its deadline approaches; the first client that can
+     * connect is served at once.
      */
     @Test
     void acceptsNoClientBeforeEndpointListAndReportsAddressInUse() throws Exception {
--- a/src/test/java/cacheproxy/daemon/MemoryTest.java
+++ b/src/test/java/cacheproxy/daemon/MemoryTest.java
@@ -30,10 +30,10 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A daemon that remembers, before stand-ins. */
+/** A daemon that saves its learned state, in front of fake servers. */
 @Timeout(120)
 class MemoryTest {
-    /** Long enough that a mute server is still left out by the one that starts next, however slow the machine. */
+    /** Long enough that a silent server is still ejected in the next daemon, however slow the machine is. */
     private static final String LIMITS = "[limits]\nconnect_timeout_ms = 10000\nmax_retry_after_ms = 5\n";
 
     private static final String CLASSES = DaemonHarness.CLASSES
@@ -84,25 +84,23 @@
             try (Daemon daemon = daemon(file(""))) {
                 assertThat(sendRequests(daemon, 400, 0).faults).isEmpty();
                 first = silentServer.commands();
-                daemon.drain(); // writes a last time
+                daemon.drain(); // writes the last snapshot
             }
-            assertThat(first).as("it had to be found out").isPositive();
+            assertThat(first).as("requests until the silent server was ejected").isPositive();
             assertThat(readSnapshot().pools().get("a").learned().servers()).anyMatch(s -> s.failures() > 0);
             try (Daemon daemon = daemon(file(""))) {
                 LoadClient.Account a = sendRequests(daemon, 400, 1000);
                 assertThat(a.faults).isEmpty();
                 assertThat(a.answered()).isEqualTo(400);
             }
-            assertThat(silentServer.commands())
-                    .as("nothing more was sent to it")
-                    .isEqualTo(first);
+            assertThat(silentServer.commands()).as("requests after the restart").isEqualTo(first);
             Files.delete(folder.resolve("memory"));
             Files.deleteIfExists(folder.resolve("memory.old"));
             try (Daemon daemon = daemon(file(""))) {
                 assertThat(sendRequests(daemon, 400, 2000).faults).isEmpty();
             }
             assertThat(silentServer.commands())
-                    .as("without the file it is found out once more")
+                    .as("requests until it was ejected again, without the snapshot")
                     .isGreaterThan(first);
         }
     }
@@ -150,7 +148,7 @@
         return ServerId.fromName(DaemonHarness.serverName(node));
     }
 
-    /** A memory of pool a in which these are out, as the last daemon of this number would have left it. */
+    /** Writes a snapshot of pool a in which these servers are ejected, as the previous daemon with this index would. */
     private void writeSnapshot(Path path, int proxyIndex, double writtenMs, double startMs, int... failingServers)
             throws Exception {
         List<LearnedServer> learned = new ArrayList<>();
@@ -195,30 +193,32 @@
             double now = System.currentTimeMillis();
             writeSnapshot(path, 0, now, 0, serverId(node));
             assertThat(commandsSentTo(node, file(""), null))
-                    .as("its own, of now")
+                    .as("own snapshot, just written")
                     .isZero();
             writeSnapshot(path, 0, now + 86_400_000, 0, serverId(node));
             assertThat(commandsSentTo(node, file(""), null))
-                    .as("of tomorrow: the clock was set back")
+                    .as("snapshot from tomorrow: the clock was set back")
                     .isPositive();
             writeSnapshot(path, 0, now - 365 * 86_400_000.0, 0, serverId(node));
-            assertThat(commandsSentTo(node, file(""), null)).as("of last year").isPositive();
+            assertThat(commandsSentTo(node, file(""), null))
+                    .as("snapshot from last year")
+                    .isPositive();
             writeSnapshot(path, 1, now, 0, serverId(node));
             assertThat(commandsSentTo(node, file(""), null))
-                    .as("of another proxy")
+                    .as("snapshot of another proxy")
                     .isPositive();
             writeSnapshot(path, 0, now, 0, serverId(node));
             assertThat(commandsSentTo(node, "[site]\nname = \"other\"\n" + file(""), null))
-                    .as("of another site")
+                    .as("snapshot of another site")
                     .isPositive();
             writeSnapshot(path, 0, now, now - 99_000, serverId(node));
             assertThat(commandsSentTo(node, file(""), null))
-                    .as("of another process there")
+                    .as("snapshot about an earlier process of the server")
                     .isPositive();
             Files.write(path, new byte[] {1, 2, 3});
             Files.deleteIfExists(folder.resolve("memory.old"));
             assertThat(commandsSentTo(node, file(""), null))
-                    .as("no memory file at all")
+                    .as("not a snapshot file")
                     .isPositive();
         }
     }
@@ -235,7 +235,7 @@
             assertThat(commandsSentTo(node, file(""), sibling)).isZero();
             writeSnapshot(folder.resolve("memory"), 0, (double) System.currentTimeMillis(), 0);
             assertThat(commandsSentTo(node, file(""), sibling))
-                    .as("its own says nothing of that node")
+                    .as("the own snapshot has no entry for that server")
                     .isPositive();
             assertThat(commandsSentTo(node, without, folder.resolve("none"))).isPositive();
         }
@@ -257,7 +257,7 @@
                 assertThat(a.failed).isZero();
                 assertThat(a.served).isPositive();
             }
-            assertThat(fleet.nodes).as("none is left out").allMatch(n -> n.commands() > 0);
+            assertThat(fleet.nodes).as("no server is ejected").allMatch(n -> n.commands() > 0);
         }
     }
 
@@ -275,9 +275,7 @@
         }
     }
 
-    /**
-     * What it learned under one file it keeps under the next, though a class has changed and its pools are new ones.
-     */
+    /** The learned state is kept over a reload, though a class has changed and the pools are therefore replaced. */
     @Test
     void reloadThatReplacesPoolHandsOverItsLearnedState() throws Exception {
         try (fleet) {
@@ -303,7 +301,7 @@
                             gone.resolve("memory").toString());
             try (Daemon daemon = daemon(text)) {
                 awaitFile(gone.resolve("memory"));
-                // The daemon may be writing there at this very moment.
+                // The daemon may be writing to the directory meanwhile.
                 while (Files.exists(gone)) {
                     try (var all = Files.list(gone)) {
                         for (Path p : all.toList()) {
@@ -311,7 +309,7 @@
                         }
                         Files.deleteIfExists(gone);
                     } catch (java.nio.file.DirectoryNotEmptyException | java.nio.file.NoSuchFileException e) {
-                        // once more
+                        // a file was added or removed meanwhile: try again
                     }
                 }
                 assertThat(sendRequests(daemon, 100, 0).faults).isEmpty();
@@ -333,15 +331,15 @@
     private static void awaitFile(Path path) throws InterruptedException {
         while (!Files.exists(path)) {
             if (Thread.interrupted()) {
-                throw new InterruptedException(); // the test's time is over
+                throw new InterruptedException(); // the test has timed out
             }
             Thread.onSpinWait();
         }
     }
 
     /**
-     * Discovery tells of starts: a node that restarted meanwhile is cold, whatever the file says of it and of all
-     * others.
+     * Discovery reports start times: a server that has restarted meanwhile is cold, whatever the snapshot says about it
+     * and about the others.
      */
     @Test
     void limitsLoadOnRestartedServerDespiteMisleadingSnapshot() throws Exception {
@@ -351,13 +349,13 @@
             SlowStartMonitor slowStart = new SlowStartMonitor(100, 0.3, 20_000, 300);
             cold.watch(slowStart);
             listed.restart(0);
-            // All others out but two, those of the file's limit; the cold one said to be the best, by an old start's
-            // account.
+            // The snapshot has all servers but two as ejected, which is its limit, and the cold one as the best, by its
+            // earlier start.
             List<LearnedServer> learned = new ArrayList<>();
             for (int i = 1; i < 5; i++) {
                 learned.add(new LearnedServer(i + 1, 0, 9, 1e9, 9));
             }
-            learned.add(new LearnedServer(1, 0, 9, 1e9, 0)); // of the process before
+            learned.add(new LearnedServer(1, 0, 9, 1e9, 0)); // of the server's earlier process
             SnapshotStore.at(folder.resolve("memory"))
                     .write(new StateSnapshot(
                             "demo",
@@ -400,7 +398,9 @@
         }
     }
 
-    /** No list tells of starts here: one that was down when the last daemon ended has started since. */
+    /**
+     * No endpoint list reports start times here: a server that was down when the last daemon ended has started since.
+     */
     @Test
     void treatsServerThatWasDownAtShutdownAsRestarted() throws Exception {
         try (fleet) {
@@ -429,7 +429,7 @@
                 daemon.drain();
             }
             assertThat(readSnapshot().serverStarts())
-                    .as("and still to the one after it")
+                    .as("start time after another restart of the daemon")
                     .anyMatch(b -> b.id() == serverId(node) && b.startMs() == startMs);
         }
     }
--- a/src/test/java/cacheproxy/daemon/PoolsTest.java
+++ b/src/test/java/cacheproxy/daemon/PoolsTest.java
@@ -10,10 +10,10 @@
 import cacheproxy.fakes.SlowStartMonitor;
 import org.junit.jupiter.api.Test;
 
-/** What pools do together: fallback under the rules on effects, one cold budget, retry budgets, backups. */
+/** Interaction of pools: fallback by the rules on idempotency, the shared slow start budget, retry budgets, backups. */
 class PoolsTest {
     private static final String SITE = "[site]\nwarm_up_ms = 20000\nfall_ms = 300\n" + DaemonHarness.LIMITS;
-    /** Deadlines short enough that a test may wait for one. */
+    /** Classes with deadlines that are short enough for a test to wait for them. */
     private static final String SHORT =
             DaemonHarness.CLASSES.replace("20000", "2000").replace("10000", "1000");
 
@@ -40,7 +40,7 @@
                         + DaemonHarness.route("a", "prefix = \"a/\"", "a")
                         + DaemonHarness.route("b", "prefix = \"b/\"", "b"))) {
             shared.kill();
-            // Both pools find it down.
+            // Both pools detect that it is down.
             harness.sendRequests(400, 4, 2, i -> DaemonHarness.read((i % 2 == 0 ? "a/" : "b/") + i));
             shared.revive();
             LoadClient.Account account = null;
@@ -50,8 +50,8 @@
                         2000, 8, 4, i -> DaemonHarness.read((i % 2 == 0 ? "a/" : "b/") + (from + i)));
                 assertThat(account.faults).isEmpty();
             }
-            assertThat(slowStart.sent()).as("it is used while it is cold").isGreaterThanOrEqualTo(60);
-            // What goes out before its first connection shows that it restarted comes on top: a few requests.
+            assertThat(slowStart.sent()).as("requests to the cold server").isGreaterThanOrEqualTo(60);
+            // A few requests are sent in addition, before its first connection shows that it has restarted.
             assertThat(slowStart.worst()).isLessThan(3);
         }
     }
@@ -68,7 +68,7 @@
                 + DaemonHarness.MAIN_LISTENER
                 + DaemonHarness.poolWithoutOrigin("a", "", first);
         try (DaemonHarness harness = new DaemonHarness(fleet, head + DaemonHarness.route("all", "", "a"))) {
-            // The spare pool comes with a new file, so that its server is a new one.
+            // The spare pool is added by a reload, so that its server is regarded as new.
             slowStart.born(System.nanoTime() / 1e6);
             harness.load(head
                     + DaemonHarness.poolWithoutOrigin("spare", "", spare).replace("dial", "capacity = 200\ndial")
@@ -77,7 +77,7 @@
             LoadClient.Account account = harness.sendRequests(3000, 8, 4, PoolsTest::read);
             assertThat(account.faults).isEmpty();
             assertThat(account.missing)
-                    .as("answered by the spare node, which has none of the keys")
+                    .as("answered by the spare server, which has none of the keys")
                     .isPositive();
             assertThat(account.refused).isPositive();
             assertThat(account.refusedWithoutTime).isZero();
@@ -167,7 +167,9 @@
                         .isEqualTo(sameGroup ? "HD" : "SERVER_ERROR failed");
                 assertThat(fleet.nodes.get(1).commands()).isEqualTo(sameGroup ? 1 : 0);
                 assertThat(client.send("ms k 2 Pc=submit\r\nno\r\n").line()).isEqualTo("SERVER_ERROR failed");
-                assertThat(fleet.ledger.times("no")).as("an unsafe one never").isZero();
+                assertThat(fleet.ledger.times("no"))
+                        .as("executions of the unsafe write")
+                        .isZero();
             }
         }
     }
@@ -191,7 +193,8 @@
             }
             assertThat(account.refused).isEqualTo(2000);
             assertThat(account.refusedWithoutTime).isZero();
-            // A first try each at most, a tenth of that in retries, and the ten that were saved up.
+            // At most one first attempt per request, a tenth of that in retries, and the ten retries that were saved
+            // up.
             assertThat(before).isLessThanOrEqualTo(2000 + 200 + 10);
             for (FakeCacheServer node : nodes) {
                 node.busy(0);
@@ -226,13 +229,15 @@
             assertThat(backup.commands()).isPositive();
             primary.revive();
             int seen = primary.commands();
-            while (primary.commands() < seen + 50) { // it is shunned for some time first
+            while (primary.commands() < seen + 50) { // it stays ejected for some time first
                 assertThat(harness.sendRequests(200, 4, 2, PoolsTest::read).faults)
                         .isEmpty();
             }
             int spare = backup.commands();
             assertThat(harness.sendRequests(100, 2, 1, PoolsTest::read).missing).isEqualTo(100);
-            assertThat(backup.commands()).as("fail-back").isEqualTo(spare);
+            assertThat(backup.commands())
+                    .as("requests to the backup after fail-back")
+                    .isEqualTo(spare);
         }
     }
 
@@ -269,7 +274,8 @@
             assertThat(slowStart.worst()).isLessThan(3);
             fleet.nodes.get(0).revive();
             fleet.nodes.get(1).revive();
-            // They are found by requests; each is cold then, and gets its keys back as it may.
+            // Requests detect that they are back. Each is cold then, and gets its keys back within the slow start
+            // budget.
             for (int round = 0;
                     fleet.nodes.get(0).commands() < before[0] + 20
                             || fleet.nodes.get(1).commands() < before[1] + 20;
--- a/src/test/java/cacheproxy/daemon/Ports.java
+++ b/src/test/java/cacheproxy/daemon/Ports.java
@@ -7,8 +7,8 @@
 import java.util.concurrent.atomic.AtomicInteger;
 
 /**
- * Ports of 127.0.0.1 for what must know its port before it binds. Below those that the system gives to others'
- * connections: one of these, once let go, may be taken before it is bound again.
+ * Ports of 127.0.0.1 for sockets whose port must be known before they are bound. They are below the range of ephemeral
+ * ports: the system could give a released ephemeral port to another connection before it is bound again.
  */
 public final class Ports {
     private static final int FIRST = 12_000;
@@ -18,7 +18,7 @@
 
     private Ports() {}
 
-    /** One that is free for TCP and UDP, and that this process asks for once. */
+    /** Returns a port that is free for TCP and UDP and that this process has not used before. */
     public static int free() throws IOException {
         for (int tries = 0; tries < COUNT; tries++) {
             int port = FIRST + Math.floorMod(NEXT.getAndIncrement(), COUNT);
@@ -26,7 +26,7 @@
                     DatagramSocket datagramSocket = new DatagramSocket(port, InetAddress.getLoopbackAddress())) {
                 return port;
             } catch (IOException e) {
-                // somebody has it
+                // the port is in use
             }
         }
         throw new IOException("no free port");
--- a/src/test/java/cacheproxy/daemon/ReloadRollbackTest.java
+++ b/src/test/java/cacheproxy/daemon/ReloadRollbackTest.java
@@ -20,10 +20,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Reloads that fail, or are overtaken by the shutdown, between binding new addresses and the commit. */
+/** Reloads that fail, or during which the shutdown begins, between the binding of new addresses and the commit. */
 @Timeout(60)
 class ReloadRollbackTest {
-    /** A subsystem of no section whose opening a test holds up or lets fail from the second configuration on. */
+    /** A subsystem without a section, whose opening a test can block or make fail from the second configuration on. */
     private static final class BlockingSubsystem implements Subsystem, Subsystem.Factory {
         final CountDownLatch opening = new CountDownLatch(1);
         final CountDownLatch mayOpen = new CountDownLatch(1);
@@ -80,7 +80,7 @@
         }
     }
 
-    /** Fails if anybody has the port bound, listening or not. */
+    /** Fails if the port is bound, whether the socket is listening or not. */
     private static void assertUnbound(int port) throws IOException {
         try (ServerSocket socket = new ServerSocket()) {
             socket.setReuseAddress(false);
@@ -94,7 +94,7 @@
         FakeFleet fleet = new FakeFleet(1);
         int port = freePort();
         blockingSubsystem.mayOpen.countDown();
-        blockingSubsystem.failure = new IllegalStateException("planted");
+        blockingSubsystem.failure = new IllegalStateException("injected failure");
         try (Daemon daemon = start(file(fleet, ""))) {
             String next = file(fleet, DaemonHarness.listener("second", "127.0.0.1:" + port));
             assertThatThrownBy(() -> daemon.load(DaemonConfigReader.parse("f", next)))
@@ -104,7 +104,10 @@
         }
     }
 
-    /** Guards against a process that opens new addresses while it shuts down, and cuts who connects there. */
+    /**
+     * Guards against a process that opens new addresses while it shuts down, and cuts off the clients that connect to
+     * them.
+     */
     @Test
     void reloadOvertakenByShutdownChangesNothing() throws Exception {
         FakeFleet fleet = new FakeFleet(1);
@@ -125,7 +128,7 @@
         }
     }
 
-    /** Guards against a reload that begins in the shutdown, as by a SIGHUP after SIGTERM. */
+    /** Guards against a reload that begins during the shutdown, as after a SIGHUP that follows a SIGTERM. */
     @Test
     void reloadDuringShutdownChangesNothing() throws Exception {
         FakeFleet fleet = new FakeFleet(1);
--- a/src/test/java/cacheproxy/daemon/ReloadTest.java
+++ b/src/test/java/cacheproxy/daemon/ReloadTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** New files under load, good ones and bad ones. */
+/** Reloads of valid and invalid configurations under load. */
 class ReloadTest {
     @TempDir
     private Path folder;
@@ -41,7 +41,7 @@
         FakeCacheServer[] node = fleet.nodes.toArray(new FakeCacheServer[0]);
         String[] files = new String[4];
         for (int version = 0; version < files.length; version++) {
-            // Routes move between the pools, a pool comes and goes, another is replaced whole, servers change places.
+            // Routes move between pools, one pool is added and removed, another is replaced, and servers are exchanged.
             files[version] = (version == 2 ? DaemonHarness.LIMITS + "max_attempts = 2\n" : DaemonHarness.LIMITS)
                     + DaemonHarness.CLASSES
                     + DaemonHarness.MAIN_LISTENER
@@ -67,7 +67,7 @@
             assertThat(account.refusedWithoutTime).isZero();
             assertThat(fleet.ledger.repeated()).isZero();
             while (harness.daemon.pendingRequests() > 0 || harness.daemon.poolCount() > 2) {
-                Thread.onSpinWait(); // pools that went are let go of
+                Thread.onSpinWait(); // until removed pools have been stopped
             }
         }
     }
@@ -127,7 +127,9 @@
             harness.load(DaemonHarness.CLASSES + DaemonHarness.MAIN_LISTENER + pools);
             assertThat(idle.line()).isNull();
             assertThat(busy.lines(2)).containsExactly("VA 13", "value of slow");
-            assertThat(busy.line()).as("ends between requests").isNull();
+            assertThat(busy.line())
+                    .as("the connection is closed between requests")
+                    .isNull();
             assertThat(stays.send("mg other v\r\n").lines(2)).containsExactly("VA 14", "value of other");
             assertThat(catchThrowableOfType(
                             ConnectException.class, () -> new Socket(second.getAddress(), second.getPort())))
@@ -151,7 +153,7 @@
                 Thread.onSpinWait();
             }
             harness.load(head + DaemonHarness.pool("b", fleet, "", next) + DaemonHarness.route("all", "", "b"));
-            later.send("mg k2 v\r\n"); // the new node is cold, so this may go by the origin alone
+            later.send("mg k2 v\r\n"); // the new server is cold, so this request may be served by the origin alone
             assertThat(client.lines(2)).containsExactly("VA 10", "value of k");
             assertThat(later.lines(2)).containsExactly("VA 11", "value of k2");
             assertThat(old.commands()).isEqualTo(1);
@@ -176,7 +178,7 @@
             while (node[0].commands() + node[1].commands() == 0) {
                 Thread.onSpinWait();
             }
-            // Before the first one is overdue, after which the other would be asked.
+            // Before the first attempt times out, after which the request would be sent to the other server.
             harness.load(
                     head + DaemonHarness.poolWithoutOrigin("b", "", node[2]) + DaemonHarness.route("all", "", "b"));
             assertThat(client.line()).startsWith("SERVER_ERROR busy ");
@@ -184,9 +186,7 @@
         }
     }
 
-    /**
-     * Guards against a write that began in one grammar and is answered in the one that a reload has put in its place.
-     */
+    /** Guards against answering a write that has begun in one grammar in the grammar of a later configuration. */
     @Test
     void answersWriteInGrammarThatItBeganIn() throws Exception {
         FakeFleet fleet = new FakeFleet(1);
@@ -199,7 +199,8 @@
                 DaemonHarness.ManualClient halfInvalid = harness.connect()) {
             String stored = whole.send("ms page/1 5\r\nhello\r\n").line();
             String invalid = whole.send("ms page/1 5 X\r\nhello\r\n").line();
-            assertThat(half.send("mn\r\nms page/1 5\r\nhe").line()).isEqualTo("MN"); // the line was read with it
+            assertThat(half.send("mn\r\nms page/1 5\r\nhe").line())
+                    .isEqualTo("MN"); // so the line of ms has been read too
             assertThat(halfInvalid.send("mn\r\nms page/1 5 X\r\nhe").line()).isEqualTo("MN");
             harness.load(strict);
             assertThat(half.send("llo\r\n").line()).isEqualTo(stored);
--- a/src/test/java/cacheproxy/daemon/SiblingCachesTest.java
+++ b/src/test/java/cacheproxy/daemon/SiblingCachesTest.java
@@ -31,7 +31,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Proxies with fleets and origins of their own that ask each other by ICP. */
+/** Proxies that have their own cache servers and origins, and query each other by ICP. */
 @Timeout(120)
 class SiblingCachesTest {
     private static final String CLASSES = DaemonHarness.CLASSES
@@ -40,7 +40,7 @@
 
     private final List<AutoCloseable> open = new ArrayList<>();
 
-    /** One proxy with its fleet. Ports are taken before, as each must be in the others' files. */
+    /** One proxy with its servers. Ports are chosen in advance, as each appears in the configurations of the others. */
     private final class Site {
         final FakeFleet fleet;
         final InetSocketAddress icp = udpPort();
@@ -134,13 +134,15 @@
         a.start();
         b.start();
         a.fleet.origin.work(20);
-        b.sendRequests(200, 0); // b's origin fills b's nodes
-        b.sendRequests(200, 0); // and its nodes answer: now it knows what they have
+        b.sendRequests(200, 0); // b's origin fills b's servers
+        b.sendRequests(200, 0); // now b's servers answer, so b knows which keys they have
         int before = b.fleet.origin.fetches();
         LoadClient.Account account = a.sendRequests(200, 0);
         assertThat(account.failed).isZero();
         assertThat(account.served).isGreaterThan(100);
-        assertThat(a.fleet.origin.fetches()).as("of 200; the rest came from b").isLessThan(100);
+        assertThat(a.fleet.origin.fetches())
+                .as("fetches of 200 keys; the others came from b")
+                .isLessThan(100);
         assertThat(b.fleet.origin.fetches()).as("nothing was fetched for a").isEqualTo(before);
     }
 
@@ -176,7 +178,7 @@
         List<CompletableFuture<LoadClient.Account>> loads = new ArrayList<>();
         for (Site s : sites) {
             s.start();
-            s.fleet.origin.work(300); // so that all have asked before any has it, also on a busy machine
+            s.fleet.origin.work(300); // so that all sites query the key before any has it, even on a busy machine
         }
         for (Site s : sites) {
             loads.add(new LoadClient(
@@ -184,7 +186,7 @@
                             s.daemon.address("main"),
                             4,
                             i -> new Ask("nobody", "c=page", null, FakeOrigin.value("nobody")))
-                    .start(4, 1)); // fewer than make a key hot, which is spread
+                    .start(4, 1)); // fewer than make the key hot: a hot key is spread over servers
         }
         for (int i = 0; i < 3; i++) {
             LoadClient.Account a = loads.get(i).get(60, TimeUnit.SECONDS);
@@ -205,7 +207,7 @@
         a.fleet.origin.work(5);
         b.sendRequests(200, 0);
         b.sendRequests(200, 0);
-        for (FakeCacheServer n : b.fleet.nodes) { // what b promises is not there any more, and nobody has told b
+        for (FakeCacheServer n : b.fleet.nodes) { // b reports hits for keys that are gone, without knowing it
             for (int i = 0; i < 200; i++) {
                 n.forget("k/" + i);
             }
@@ -216,7 +218,7 @@
         assertThat(account.served).isPositive();
     }
 
-    /** What a sibling asks for must not reach a node that drains, however lately that node has served it. */
+    /** A sibling's request must not reach a draining server, however recently that server has served the key. */
     @Test
     void answersNoHitForDrainingServer() throws Exception {
         Site a = new Site();
@@ -236,7 +238,10 @@
         assertThat(b.fleet.nodes.get(1).commands()).isPositive();
     }
 
-    /** A node that has restarted is cold and empty: what it had is not promised, and siblings do not fill it. */
+    /**
+     * A restarted server is cold and empty: its former keys must not be reported as hits, and siblings must not fill
+     * it.
+     */
     @Test
     void answersNoHitForRestartedServer() throws Exception {
         Site b = new Site();
@@ -253,12 +258,12 @@
             for (FakeCacheServer n : b.fleet.nodes) {
                 n.kill();
             }
-            b.sendRequests(100, 100); // b finds them down
+            b.sendRequests(100, 100); // b detects that they are down
             for (FakeCacheServer n : b.fleet.nodes) {
                 n.revive();
             }
             int served = 0;
-            for (int round = 0; served == 0; round++) { // until b has seen both again
+            for (int round = 0; served == 0; round++) { // until b has used both again
                 b.sendRequests(100, 1000 + 100 * round);
                 served = Math.min(
                         b.fleet.nodes.get(0).commands(), b.fleet.nodes.get(1).commands());
@@ -269,7 +274,10 @@
         }
     }
 
-    /** Another key's value, or one that breaks off, must not reach a client: the sibling here is a script. */
+    /**
+     * A sibling's response with the value of another key, or a truncated one, must not reach a client. The sibling is a
+     * script.
+     */
     @Test
     void survivesMalformedAnswersOfSibling() throws Exception {
         Site a = new Site();
@@ -287,7 +295,7 @@
         open.add(fetches);
         open.add(icp);
         Thread icpResponder = new Thread(
-                () -> { // promises everything
+                () -> { // replies with a hit to every query
                     byte[] buf = new byte[2000];
                     try {
                         while (true) {
@@ -330,10 +338,10 @@
                 fetches.getLocalSocketAddress());
         a.start();
         a.fleet.origin.work(20);
-        LoadClient.Account account = a.sendRequests(300, 0); // the load checks each value
+        LoadClient.Account account = a.sendRequests(300, 0); // the load client checks each value
         assertThat(account.failed).isZero();
         assertThat(account.served).isPositive();
-        assertThat(fetchCount.get()).as("it was believed now and then").isPositive();
+        assertThat(fetchCount.get()).as("fetches from the scripted sibling").isPositive();
     }
 
     @Test
@@ -375,12 +383,12 @@
             client.send("ms k/1 2 O1 Pc=sibling,d=5000\r\nab\r\n");
             assertThat(client.line()).startsWith("CLIENT_ERROR").contains("siblings do not write here");
             client.send("mg none v O2 Pc=sibling,d=5000\r\n");
-            assertThat(client.line()).as("a miss, and nothing fetched").startsWith("EN");
+            assertThat(client.line()).as("a miss, without a fetch").startsWith("EN");
         }
         assertThat(b.fleet.origin.fetches()).isZero();
     }
 
-    /** By hand: what a listed one, a stranger and a forger hear. */
+    /** Checks the replies to a configured sibling, to an unknown sender and to forged replies. */
     @Test
     void answersQueriesFromRecentResponsesAndIgnoresUnknownSenders() throws Exception {
         Site b = new Site();
@@ -391,8 +399,8 @@
             sibling.setSoTimeout(60_000);
             unknownSender.setSoTimeout(60_000);
             assertThat(query(sibling, b, "http://coralbay/k/1").opcode()).isEqualTo(Opcode.MISS);
-            askUntilAllServed(b, 5); // the origin's values are in the caches
-            askUntilAllServed(b, 5); // and the caches have returned them
+            askUntilAllServed(b, 5); // the values of the origin are now cached
+            askUntilAllServed(b, 5); // the cache servers have now served them
             for (int i = 0; i < 5; i++) {
                 assertThat(query(sibling, b, "http://coralbay/k/" + i).opcode())
                         .as("k/" + i)
@@ -401,7 +409,7 @@
             assertThat(query(sibling, b, "http://other/k/1").opcode()).isEqualTo(Opcode.ERR);
             assertThat(query(sibling, b, "http://coralbay/" + "k".repeat(300)).opcode())
                     .isEqualTo(Opcode.MISS);
-            // A write voids what is known of a key.
+            // A write invalidates what is known about a key.
             LoadClient.Account writes = new LoadClient(
                             b.fleet.loop(), b.daemon.address("main"), 1, i -> new Ask("k/1", "c=submit", "m", null))
                     .start(1, 1)
@@ -416,9 +424,10 @@
                 unknownSender.send(new DatagramPacket(new byte[i % 40], i % 40, b.daemon.icpAddress()));
             }
             assertThat(query(sibling, b, "http://coralbay/k/2").opcode())
-                    .as("others are not disturbed")
+                    .as("the sibling is still served")
                     .isEqualTo(Opcode.HIT);
-            // The friend's last answer came after all of the stranger's: what he was told is in his socket by now.
+            // The last reply to the sibling was sent after all replies to the unknown sender, so these are in its
+            // socket by now.
             unknownSender.setSoTimeout(1);
             int received = 0;
             try {
@@ -431,7 +440,7 @@
         }
     }
 
-    /** Requests the keys in rounds, as a proxy that has just started may shed some of its first requests. */
+    /** Requests the keys in rounds, as a proxy that has just started may reject some of its first requests. */
     private static void askUntilAllServed(Site site, int keys) throws Exception {
         for (int round = 0; round < MAX_ROUNDS; round++) {
             if (site.sendRequests(keys, 0).served == keys) {
@@ -455,7 +464,7 @@
         from.setSoTimeout(500);
         IcpMessage m = null;
         while (m == null || m.requestNumber() != number) {
-            // Datagrams may be lost, also on loopback, where a flood has filled the socket; what was asked twice is
+            // Datagrams can be lost, even on loopback, after a flood has filled the socket. A repeated query is
             // answered twice.
             if (m == null) {
                 send(from, to, IcpMessage.query(number, 0, url));
--- a/src/test/java/cacheproxy/daemon/fleet/AbstractFleetDaemonTest.java
+++ b/src/test/java/cacheproxy/daemon/fleet/AbstractFleetDaemonTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.io.TempDir;
 
-/** What tests of daemons in a fleet share: configurations, calls of the control address, packets. */
+/** Helpers for tests of daemons in a fleet: configurations, requests to the control address, packets. */
 abstract class AbstractFleetDaemonTest {
     @TempDir
     Path folder;
@@ -36,14 +36,14 @@
         fleet.close();
     }
 
-    /** A configuration with one pool and the control address, and these sections. */
+    /** Returns a configuration with one pool, the control address and the given sections. */
     String file(String sections) {
         return DaemonHarness.CLASSES + DaemonHarness.MAIN_LISTENER
                 + DaemonHarness.pool("pages", fleet, "", fleet.nodes.get(0)) + DaemonHarness.route("all", "", "pages")
                 + "[control]\nlisten = \"127.0.0.1:0\"\n" + sections;
     }
 
-    /** The section of the fleet; peers as NAME@PORT. */
+    /** Returns the section of the fleet, with peers given as NAME@PORT. */
     static String fleetOf(String ownName, int port, String keys, String... peers) {
         StringBuilder text = new StringBuilder("[fleet]\nme = \"" + ownName + "\"\nlisten = \"127.0.0.1:" + port
                 + "\"\nlongest_lease_ms = 150\n" + keys);
@@ -58,24 +58,24 @@
         return text.toString();
     }
 
-    /** The section of a lease. */
+    /** Returns the section of a lease. */
     static String duty(String name) {
         return "[[duty]]\nname = \"" + name + "\"\nlease_ms = 150\nvoters = 3\n";
     }
 
-    /** A daemon with these sections. */
+    /** Starts a daemon with the given sections. */
     Daemon daemon(String sections) throws Exception {
         return Daemon.start(DaemonConfigReader.parse(folder.resolve("f.toml").toString(), file(sections)), 5);
     }
 
     /**
-     * Calls the control address; the status and the body of the response.
+     * Sends a request to the control address, and returns the status and the body of the response.
      *
-     * @throws InterruptedIOException if the test's time is up, so that no loop of calls outlasts it
+     * @throws InterruptedIOException if the test has timed out, so that no loop of requests outlasts it
      */
     static String call(Daemon daemon, String call) throws IOException {
         if (Thread.interrupted()) {
-            throw new InterruptedIOException("the test's time is up before " + call);
+            throw new InterruptedIOException("the test timed out before " + call);
         }
         InetSocketAddress controlAddress = daemon.controlAddress();
         try (Socket socket = new Socket(controlAddress.getAddress(), controlAddress.getPort())) {
@@ -89,7 +89,7 @@
         }
     }
 
-    /** Calls the control address until the response begins like this. */
+    /** Repeats a request to the control address until the response begins with a prefix. */
     static String await(Daemon daemon, String call, String prefix) throws IOException {
         while (true) {
             String answer = call(daemon, call);
@@ -100,12 +100,12 @@
         }
     }
 
-    /** The address of this machine that all sockets of these tests use. */
+    /** Returns the address that all sockets of these tests use. */
     static InetAddress loopback() {
         return InetAddress.getLoopbackAddress();
     }
 
-    /** A datagram packet of the longest datagram. */
+    /** Returns a packet that has room for the longest datagram. */
     static DatagramPacket emptyPacket() {
         return new DatagramPacket(new byte[DatagramEnvelope.MAX_DATAGRAM_BYTES], DatagramEnvelope.MAX_DATAGRAM_BYTES);
     }
--- a/src/test/java/cacheproxy/daemon/fleet/DelegatedWatchesTest.java
+++ b/src/test/java/cacheproxy/daemon/fleet/DelegatedWatchesTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The watch of discovery that one daemon of a fleet keeps for all. */
+/** The watch of discovery that one daemon of a fleet keeps for all daemons. */
 @Timeout(60)
 class DelegatedWatchesTest extends AbstractFleetDaemonTest {
     /** The holder's long poll is open and silent; another proxy has a newer list and reports it. */
@@ -55,7 +55,7 @@
                             DelegatedWatches.TOPIC,
                             new WatchVersionMessage(true, NameHash.of("watch.here.a"), 0, 0, 6).encode());
             peer.send(new DatagramPacket(newer, newer.length, loopback(), port));
-            // The silent long poll times out after 24 s, so another one within half of that answers the report.
+            // The silent long poll times out after 24 s, so a poll within half of that time was caused by the report.
             assertThat(discovery.commands.poll(12, TimeUnit.SECONDS)).contains("since=5&");
         }
     }
--- a/src/test/java/cacheproxy/daemon/fleet/FleetConfigurationTest.java
+++ b/src/test/java/cacheproxy/daemon/fleet/FleetConfigurationTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Errors and defaults of the sections on the fleet. */
+/** Errors and defaults of the configuration sections of the fleet. */
 @Timeout(60)
 class FleetConfigurationTest extends AbstractFleetDaemonTest {
     @Test
--- a/src/test/java/cacheproxy/daemon/fleet/FleetGoldenBytesTest.java
+++ b/src/test/java/cacheproxy/daemon/fleet/FleetGoldenBytesTest.java
@@ -19,13 +19,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/**
- * What a daemon puts on the wire to its peers: the topics by which datagrams are told apart, and the ids of the
- * program's own duties.
- */
+/** The bytes that a daemon sends to its peers: the topics of datagrams, and the ids of leases. */
 @Timeout(60)
 class FleetGoldenBytesTest {
-    /** Mark and form; the topic is between them and the sender's id, here of p1. */
+    /** Magic byte and format version. After them follow the topic and the sender's id, here of p1. */
     private static final String START = "6301";
 
     private static final String P1 = "f64551fcd6f07823";
@@ -55,7 +52,7 @@
         assertThat(FleetMembership.TOPIC).isEqualTo((byte) 6);
     }
 
-    /** Leases are of topic 1; each first asks (kind 0) for the duty by its id. */
+    /** Datagrams of leases have topic 1. Each campaign begins with a query (kind 0) that has the id of the lease. */
     @Test
     void daemonRequestsEachLeaseByItsId() throws Exception {
         try (DatagramSocket peer = peer();
@@ -71,8 +68,8 @@
     }
 
     /**
-     * The word on lists with a last byte that tells whether servers are reached; a question to p2 with news of nobody
-     * but p1 and p2.
+     * The report on peer lists ends with a byte that is 1 if servers are reached. The ping to p2 has updates on no
+     * other members than p1 and p2.
      */
     @Test
     void daemonReportsItsPeerListAndPingsItsPeer() throws Exception {
@@ -129,7 +126,7 @@
         return Daemon.start(DaemonConfigReader.parse("f", file), 5);
     }
 
-    /** The first datagram whose hexadecimal digits are such. */
+    /** Receives datagrams until the hexadecimal digits of one match, and returns that datagram. */
     private static byte[] await(DatagramSocket peer, Predicate<String> matches) throws Exception {
         DatagramPacket received = new DatagramPacket(new byte[MAX_DATAGRAM_BYTES], MAX_DATAGRAM_BYTES);
         long startNanos = System.nanoTime();
@@ -141,6 +138,6 @@
                 return datagram;
             }
         }
-        throw new AssertionError("no such datagram within " + RECEIVE_TIMEOUT_MS + " ms");
+        throw new AssertionError("no matching datagram within " + RECEIVE_TIMEOUT_MS + " ms");
     }
 }
--- a/src/test/java/cacheproxy/daemon/fleet/FleetHealthChecksTest.java
+++ b/src/test/java/cacheproxy/daemon/fleet/FleetHealthChecksTest.java
@@ -28,7 +28,9 @@
     private static final int CHECKSUM_BYTES = 4;
     private static final int MAC_BYTES = 16;
 
-    /** The health check request that the daemon sends to a peer while no server is checked; its payload. */
+    /**
+     * Returns the payload of the health check request that the daemon sends to a peer while no server is being checked.
+     */
     private byte[] awaitHealthCheckRequest(Daemon daemon, FakeCacheServer silentServer, DatagramSocket peer)
             throws Exception {
         DatagramPacket received = emptyPacket();
@@ -115,8 +117,8 @@
     }
 
     /**
-     * Where clients' requests are the checks: none goes to an ejected server while the lease holder's result is
-     * pending, and a healthy result lets them go again.
+     * If clients' requests are the checks, none is sent to an ejected server while the lease holder's result is
+     * pending; a healthy result allows them again.
      */
     @Test
     void requestIsNoHealthCheckWhileResultIsPending() throws Exception {
@@ -158,7 +160,7 @@
                 while (silentServer.commands() == commandsBefore) {
                     sendRequests(daemon, 20);
                 }
-                assertThat(silentServer.tested()).as("empty commands").isZero();
+                assertThat(silentServer.tested()).as("checks by empty commands").isZero();
                 assertThat(call(daemon, "GET /fleet")).contains("\"by_word\":1");
             }
         }
--- a/src/test/java/cacheproxy/daemon/fleet/FleetQuotasTest.java
+++ b/src/test/java/cacheproxy/daemon/fleet/FleetQuotasTest.java
@@ -24,7 +24,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The fleet's limits in the daemon: by its file, at requests, at its control address. */
+/**
+ * Quotas of a fleet in the daemon: their configuration, their effect on requests, and their state at the control
+ * address.
+ */
 @Timeout(60)
 class FleetQuotasTest {
     private FakeFleet fleet;
@@ -69,7 +72,7 @@
         throw new AssertionError("no limit " + name);
     }
 
-    @SuppressWarnings("StringConcatToTextBlock") // one line of the text a line of the source
+    @SuppressWarnings("StringConcatToTextBlock") // each line of the text is on a line of its own
     @Test
     void rejectsRequestsBeyondQuotaWithRetryTimeAndServesOthers() throws Exception {
         int port = Ports.free();
@@ -83,8 +86,8 @@
             socket.setSoTimeout(20_000);
             int served = 0;
             int rejected = 0;
-            // A bucket of one that fills once in two seconds, empty at the start: one passes some time, and not two in
-            // a row.
+            // The bucket holds one token, gets one every two seconds, and is empty at the start: at some time one
+            // request is admitted, but never two in a row.
             while (served == 0 || rejected == 0) {
                 socket.getOutputStream().write("mg a v Oq1 Pc=page,d=1000\r\n".getBytes(StandardCharsets.US_ASCII));
                 String line = line(socket);
@@ -112,7 +115,8 @@
             assertThat(Cli.run(new String[] {"limits", "--control", "127.0.0.1:1"}))
                     .isEqualTo(2);
 
-            // Raised by a new file: what was refused is served; taken out, it is gone.
+            // After a reload that raises the quota, more requests are admitted; after one that removes it, it is not
+            // listed.
             daemon.load(DaemonConfigReader.parse(
                     "f.toml", file(port, limits.replace("per_second = 0.5", "per_second = 50000"))));
             while (limit(daemon, "slow").get("mine").getAsDouble() < 40_000) {
--- a/src/test/java/cacheproxy/daemon/fleet/FleetSubsystemTest.java
+++ b/src/test/java/cacheproxy/daemon/fleet/FleetSubsystemTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Leases in the daemon: by its configuration, at its control address, over reloads. */
+/** Leases in the daemon: their configuration, their state at the control address, and their continuity over reloads. */
 @Timeout(60)
 class FleetSubsystemTest extends AbstractFleetDaemonTest {
     private static final int TRANSFERS = 5;
@@ -98,7 +98,7 @@
         }
     }
 
-    /** The daemon that holds the lease, by its place among the daemons. */
+    /** The daemon that holds the lease, by its index among the daemons. */
     private record Holder(int index, long epoch) {}
 
     private static Holder awaitHolder(List<Daemon> daemons) throws IOException {
@@ -114,8 +114,8 @@
 
     /**
      * Transfers the lease several times by the command, each time from its holder to the next daemon, and returns the
-     * last epoch. A transfer is a datagram that is sent once: where it is lost or meets a candidate amid a query, any
-     * peer may claim the lease, so a few may miss their successor.
+     * last epoch. A transfer is a datagram that is sent once: if it is lost or reaches a candidate during a query, any
+     * peer may claim the lease, so a few transfers may not reach their successor.
      */
     private static long transferAround(List<Daemon> daemons) throws IOException {
         int successful = 0;
@@ -138,7 +138,7 @@
         return "127.0.0.1:" + daemon.controlAddress().getPort();
     }
 
-    /** A sender without the key claims in a peer's name that it may have the lease under a very high epoch. */
+    /** Sends claims in a peer's name, but without the key, for the lease with a very high epoch. */
     private static void sendForgedClaims(int claimant, int[] ports) throws IOException {
         try (DatagramSocket forger = new DatagramSocket()) {
             DatagramEnvelope envelope = new DatagramEnvelope(
@@ -163,7 +163,7 @@
         }
     }
 
-    /** Without a key a sender's address is checked before anything that its datagram says, even its incarnation. */
+    /** Without a key, a sender's address is checked before anything in its datagram is used, even its incarnation. */
     @Test
     void forgedDatagramsFromUnknownAddressSilenceNoPeer() throws Exception {
         int[] ports = {Ports.free(), Ports.free(), Ports.free()};
@@ -219,7 +219,7 @@
             assertThatThrownBy(() -> daemon.load(DaemonConfigReader.parse("f", other)))
                     .isInstanceOf(ConfigException.class)
                     .hasMessageContaining("control can't be bound");
-            // Datagrams of before the reload may be queued, so only the last of many tells what came after it.
+            // Datagrams from before the reload may be queued, so only the last of many shows what was sent after it.
             for (int i = 0; i < 50; i++) {
                 peer.receive(received);
             }
--- a/src/test/java/cacheproxy/daemon/hooks/HookTaskTest.java
+++ b/src/test/java/cacheproxy/daemon/hooks/HookTaskTest.java
@@ -9,7 +9,9 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Who ends a call, and what is reported of it. This thread stands for the hook's and for the event loop. */
+/**
+ * Which side ends a call, and what is reported. The test's thread acts both as the hook's thread and as the event loop.
+ */
 class HookTaskTest {
     private static final HookCall CALL = new HookCall("k", "page", "", false, false, 500);
 
--- a/src/test/java/cacheproxy/daemon/hooks/HooksTest.java
+++ b/src/test/java/cacheproxy/daemon/hooks/HooksTest.java
@@ -18,7 +18,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Hooks in the daemon: what they order, and hostile ones on one listener beside normal traffic on another. */
+/** Hooks in the daemon: their orders are carried out, and hostile hooks on one listener do not affect another. */
 class HooksTest {
     private static final Path HOSTILE_HOOKS =
             Path.of("src/test/resources/hooks").toAbsolutePath();
--- a/src/test/java/cacheproxy/eventlog/EventLogTest.java
+++ b/src/test/java/cacheproxy/eventlog/EventLogTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Form and bounds of the lines; logging never waits for the writer. */
+/** Format and bounds of the lines; logging never waits for the writer. */
 @Timeout(20)
 class EventLogTest {
     private static EventLog log(OutputStream target, long maxBytes, int maxLines) {
--- a/src/test/java/cacheproxy/handover/HandoverTest.java
+++ b/src/test/java/cacheproxy/handover/HandoverTest.java
@@ -83,7 +83,7 @@
         assertThat(inheritedSocket).isPresent();
         InheritedSocket inherited = inheritedSocket.orElseThrow();
         assertThat(first.submit(offer::hasSuccessor).get()).isTrue();
-        // The first stops before the second accepts: connections in between wait in the shared queue.
+        // The first stops before the second accepts; connections made in between wait in the shared queue.
         first.submit(() -> listening.deregister().addListener(future -> listening.close()))
                 .get();
         listening.closeFuture().sync();
@@ -99,7 +99,7 @@
             assertThat(secondClient.getInputStream().read()).isEqualTo('x');
             assertThat(byFirst).hasValue(0);
             assertThat(bySecond).hasValue(2);
-            // The second offers the socket at the same path; closing the first offer must not remove that.
+            // The second offers the socket at the same path; closing the first offer must not remove the new offer.
             Handover next = Handover.offer(second, path, inherited.descriptor(), inherited.predecessor());
             first.submit(offer::close).get();
             Optional<InheritedSocket> thirdSocket = HandoverReceiver.receive(first, path, 30_000);
