--- a/src/main/java/cacheproxy/daemon/fleet/FleetSocket.java
+++ b/src/main/java/cacheproxy/daemon/fleet/FleetSocket.java
@@ -122,7 +122,7 @@
     void logDuplicateNames() {
         for (long id : envelope.duplicateIds()) {
             if (loggedDuplicates.add(id)) {
-                core.log("fleet: two processes use the name " + names.get(id)
+                core.log("fleet: two processes send under the name " + names.get(id)
                         + "; datagrams of the older one are rejected; give each process its own name");
             }
         }
@@ -143,7 +143,7 @@
         rejections++;
         if (rejections == nextLoggedRejection) {
             nextLoggedRejection *= LOG_FACTOR;
-            core.log("fleet: " + rejections + " datagrams dropped that were not from a peer, the last from "
+            core.log("fleet: " + rejections + " datagrams dropped that are no peer's, the last from "
                     + Addresses.text(from) + "; check that keys and addresses are the same on all proxies");
         }
     }
--- a/src/main/java/cacheproxy/daemon/hooks/HookedRequest.java
+++ b/src/main/java/cacheproxy/daemon/hooks/HookedRequest.java
@@ -214,9 +214,8 @@
 
     private void recordOutcome(HookExecutor hook, double nowMs, boolean failed, String fault) {
         if (hook.breaker.recordResult(nowMs, failed)) {
-            onLoop(() -> core.log(
-                    "hook " + hook.config.name() + " is switched off for " + Math.round(hook.config.breakerOffMs())
-                            + " ms, as too many calls failed; last failure: " + fault));
+            onLoop(() -> core.log("hook " + hook.config.name() + " is switched off for "
+                    + Math.round(hook.config.breakerOffMs()) + " ms, as too many calls fail; the last: " + fault));
         }
     }
 
--- a/src/main/java/cacheproxy/daemon/snapshot/SnapshotSaver.java
+++ b/src/main/java/cacheproxy/daemon/snapshot/SnapshotSaver.java
@@ -60,7 +60,7 @@
             if (store.tryLock()) {
                 return Optional.of(store);
             }
-            failure = "another process saves its snapshot there; give each process its own path";
+            failure = "another process keeps its memory there; give each process its own path";
         } catch (IOException e) {
             failure = SnapshotStore.describe(e);
         }
