--- a/src/main/java/cacheproxy/cli/LeasesCommand.java
+++ b/src/main/java/cacheproxy/cli/LeasesCommand.java
@@ -95,17 +95,18 @@
         private String name;
 
         @Option(names = "--to", paramLabel = "PEER", required = true, description = "The proxy that is to have it.")
-        private String to;
+        private String newHolder;
 
         @Override
         public Integer call() {
             PrintWriter err = spec.commandLine().getErr();
-            if (!NAME.matcher(name + to).matches()) {
+            if (!NAME.matcher(name + newHolder).matches()) {
                 err.println("names are letters, digits, dots, dashes and underscores");
                 return ExitCode.UNUSABLE;
             }
             try {
-                String text = new ControlClient(parent.control).call("POST", "/duties/" + name + "/transfer?to=" + to);
+                String text =
+                        new ControlClient(parent.control).call("POST", "/duties/" + name + "/transfer?to=" + newHolder);
                 spec.commandLine().getOut().println(text);
             } catch (ControlCallException e) {
                 return e.report(err);
--- a/src/main/java/cacheproxy/cli/RunCommand.java
+++ b/src/main/java/cacheproxy/cli/RunCommand.java
@@ -39,7 +39,7 @@
     @Override
     public Integer call() throws Exception {
         PrintWriter err = spec.commandLine().getErr();
-        ServiceSignals signals = ServiceSignals.install(line -> print(err, line));
+        ServiceSignals signals = ServiceSignals.install(line -> printLine(err, line));
         Optional<DaemonConfig> config = ConfigFiles.read(file, err);
         if (config.isEmpty()) {
             return ExitCode.UNUSABLE;
@@ -66,7 +66,7 @@
         return ExitCode.OK;
     }
 
-    private static void print(PrintWriter err, String line) {
+    private static void printLine(PrintWriter err, String line) {
         err.println(line);
         err.flush();
     }
--- a/src/main/java/cacheproxy/config/ChunkedTomlParser.java
+++ b/src/main/java/cacheproxy/config/ChunkedTomlParser.java
@@ -61,8 +61,8 @@
                 atLineStart = true;
                 continue;
             }
-            boolean mayBegin = atLineStart && openBrackets == 0 && character == '[';
-            if (mayBegin && i - lastBoundary >= MIN_CHUNK_CHARS && isTopLevelHeader(i)) {
+            boolean canBegin = atLineStart && openBrackets == 0 && character == '[';
+            if (canBegin && i - lastBoundary >= MIN_CHUNK_CHARS && isTopLevelHeader(i)) {
                 boundaries.add(i);
                 lastBoundary = i;
             }
--- a/src/main/java/cacheproxy/config/ConfigReferences.java
+++ b/src/main/java/cacheproxy/config/ConfigReferences.java
@@ -29,7 +29,7 @@
         List<Tenant> tenants) {
 
     /** Resolves a path of the file against the file's own directory; empty after an error. */
-    Path pathBesideFile(TomlTableReader table, String key, String text) {
+    Path resolvePath(TomlTableReader table, String key, String text) {
         try {
             Path parent = Path.of(file).toAbsolutePath().getParent();
             return parent == null ? Path.of(text) : parent.resolve(text);
--- a/src/main/java/cacheproxy/config/ConfigValues.java
+++ b/src/main/java/cacheproxy/config/ConfigValues.java
@@ -10,7 +10,7 @@
 
     private static final int MAX_NAME_CHARS = 64;
     /** Goes on in place of an address that could not be read. */
-    private static final InetSocketAddress NO_ADDRESS = new InetSocketAddress(0);
+    private static final InetSocketAddress PLACEHOLDER_ADDRESS = new InetSocketAddress(0);
 
     private ConfigValues() {}
 
@@ -46,7 +46,7 @@
 
     /** Reads an address to listen at; port 0 leaves the choice to the system. */
     static InetSocketAddress listenAddress(TomlTableReader table, String key) {
-        return address(table, key).orElse(NO_ADDRESS);
+        return address(table, key).orElse(PLACEHOLDER_ADDRESS);
     }
 
     /** Reads an address to send to. */
@@ -55,7 +55,7 @@
         if (address.isPresent() && address.get().getPort() == 0) {
             table.error(key, key + " '" + table.text(key) + "' has port 0; a server's port is 1 to 65535");
         }
-        return address.orElse(NO_ADDRESS);
+        return address.orElse(PLACEHOLDER_ADDRESS);
     }
 
     private static Optional<InetSocketAddress> address(TomlTableReader table, String key) {
--- a/src/main/java/cacheproxy/config/DaemonConfig.java
+++ b/src/main/java/cacheproxy/config/DaemonConfig.java
@@ -34,9 +34,9 @@
     }
 
     /** These pools and those that follow the last of them by its own {@code fallback}. */
-    public List<String> fallbackChain(List<String> named) {
-        List<String> chain = new ArrayList<>(named);
-        String next = pools.get(named.get(named.size() - 1)).fallback();
+    public List<String> fallbackChain(List<String> poolNames) {
+        List<String> chain = new ArrayList<>(poolNames);
+        String next = pools.get(poolNames.get(poolNames.size() - 1)).fallback();
         while (next != null && !chain.contains(next)) {
             chain.add(next);
             next = pools.get(next).fallback();
--- a/src/main/java/cacheproxy/config/DelegatedWatchConfig.java
+++ b/src/main/java/cacheproxy/config/DelegatedWatchConfig.java
@@ -18,9 +18,9 @@
     /** A proxy that does not watch polls discovery at least this often. */
     private static final double MAX_POLL_MS = 10_000;
 
-    private static final double USUAL_LEASE_MS = 1000;
+    private static final double DEFAULT_LEASE_MS = 1000;
     /** A heartbeat usually counts for so many periods, so that a lost one changes nothing. */
-    private static final int USUAL_TTL_HEARTBEATS = 3;
+    private static final int DEFAULT_TTL_HEARTBEATS = 3;
 
     /** Null if the fleet has no such section. */
     static DelegatedWatchConfig read(TomlTableReader fleet, double longestLeaseMs) {
@@ -29,10 +29,10 @@
             return null;
         }
         double heartbeatMs = table.number("beat_ms", 1000, 20, MAX_POLL_MS);
-        double usualTtlMs = Math.min(USUAL_TTL_HEARTBEATS * heartbeatMs, MAX_POLL_MS);
-        double ttlMs = table.number("word_ms", usualTtlMs, 40, MAX_POLL_MS);
+        double defaultTtlMs = Math.min(DEFAULT_TTL_HEARTBEATS * heartbeatMs, MAX_POLL_MS);
+        double ttlMs = table.number("word_ms", defaultTtlMs, 40, MAX_POLL_MS);
         DelegatedWatchConfig watch = new DelegatedWatchConfig(
-                FleetNames.leaseMs(table, longestLeaseMs, USUAL_LEASE_MS),
+                FleetNames.leaseMs(table, longestLeaseMs, DEFAULT_LEASE_MS),
                 FleetNames.voters(table),
                 heartbeatMs,
                 ttlMs,
--- a/src/main/java/cacheproxy/config/FleetConfig.java
+++ b/src/main/java/cacheproxy/config/FleetConfig.java
@@ -87,7 +87,7 @@
     public List<String> healthCheckLeases() {
         return healthCheck == null
                 ? List.of()
-                : FleetNames.numbered(FleetNames.HEALTH_CHECK_PREFIX, healthCheck.leaseCount());
+                : FleetNames.numberedNames(FleetNames.HEALTH_CHECK_PREFIX, healthCheck.leaseCount());
     }
 
     /** The lease of watching discovery for a pool, on behalf of this proxy's zone. */
--- a/src/main/java/cacheproxy/config/FleetNames.java
+++ b/src/main/java/cacheproxy/config/FleetNames.java
@@ -15,7 +15,7 @@
 
     private static final Pattern NAME = Pattern.compile("[A-Za-z0-9_.-]{1,64}");
     private static final double MIN_LEASE_MS = 100;
-    private static final int USUAL_VOTERS = 5;
+    private static final int DEFAULT_VOTERS = 5;
     private static final int MAX_VOTERS = 9;
 
     private FleetNames() {}
@@ -40,18 +40,18 @@
     }
 
     /** Names of so many leases of one kind. */
-    static List<String> numbered(String prefix, int count) {
+    static List<String> numberedNames(String prefix, int count) {
         return IntStream.range(0, count).mapToObj(i -> prefix + i).toList();
     }
 
     /** Reads how long a lease lasts, at most {@code longestLeaseMs}. */
-    static double leaseMs(TomlTableReader table, double longestLeaseMs, double usualMs) {
-        return table.number("lease_ms", Math.min(usualMs, longestLeaseMs), MIN_LEASE_MS, longestLeaseMs);
+    static double leaseMs(TomlTableReader table, double longestLeaseMs, double defaultMs) {
+        return table.number("lease_ms", Math.min(defaultMs, longestLeaseMs), MIN_LEASE_MS, longestLeaseMs);
     }
 
     /** Reads how many peers vote on a lease. */
     static int voters(TomlTableReader table) {
-        int voters = table.integer("voters", USUAL_VOTERS, 1, MAX_VOTERS);
+        int voters = table.integer("voters", DEFAULT_VOTERS, 1, MAX_VOTERS);
         if (voters % 2 == 0) {
             table.error(
                     "voters",
--- a/src/main/java/cacheproxy/config/HealthCheckConfig.java
+++ b/src/main/java/cacheproxy/config/HealthCheckConfig.java
@@ -15,7 +15,7 @@
         int leaseCount,
         double resultTimeoutMs,
         double resultTtlMs) {
-    private static final double USUAL_LEASE_MS = 1000;
+    private static final double DEFAULT_LEASE_MS = 1000;
 
     /** Null if the fleet has no such section. */
     static HealthCheckConfig read(TomlTableReader fleet, double longestLeaseMs) {
@@ -25,7 +25,7 @@
         }
         HealthCheckConfig healthCheck = new HealthCheckConfig(
                 table.oneOf("by", "tests", "tests", "requests").equals("requests"),
-                FleetNames.leaseMs(table, longestLeaseMs, USUAL_LEASE_MS),
+                FleetNames.leaseMs(table, longestLeaseMs, DEFAULT_LEASE_MS),
                 FleetNames.voters(table),
                 table.integer("shares", 4, 1, 64),
                 table.number("patience_ms", 600, 300, 10_000),
--- a/src/main/java/cacheproxy/config/HookConfig.java
+++ b/src/main/java/cacheproxy/config/HookConfig.java
@@ -42,7 +42,7 @@
     /** Reads one hook and adds its name to those taken. */
     static HookConfig read(TomlTableReader table, ConfigReferences references, Set<String> names) {
         String name = ConfigValues.uniqueName(table, names, "hook");
-        Path module = references.pathBesideFile(table, "module", table.text("module"));
+        Path module = references.resolvePath(table, "module", table.text("module"));
         String sha256 = table.text("sha256", null);
         if (sha256 != null && !SHA256.matcher(sha256).matches()) {
             table.error("sha256", "sha256 is 64 lower-case hexadecimal digits");
--- a/src/main/java/cacheproxy/config/HostReader.java
+++ b/src/main/java/cacheproxy/config/HostReader.java
@@ -15,7 +15,7 @@
     private final Set<String> listeners;
     private final KeyFormat keys;
     private final Set<String> names = new HashSet<>();
-    private final Map<String, String> defaultOfListener = new HashMap<>();
+    private final Map<String, String> defaultHostByListener = new HashMap<>();
 
     HostReader(Set<String> listeners, KeyFormat keys) {
         this.listeners = listeners;
@@ -39,32 +39,32 @@
         if (keys == KeyFormat.TEXT) {
             table.error("name", "hosts are parts of keys that are paths; set keys = \"path\" at the file's head");
         }
-        Set<String> from = Set.copyOf(table.references("listener", listeners, "listener"));
+        Set<String> listenerNames = Set.copyOf(table.references("listener", listeners, "listener"));
         List<String> patterns = readPatterns(table);
         boolean isDefault = table.flag("default", false);
-        Set<String> defaultOf = Set.copyOf(table.references("default_of", listeners, "listener"));
-        for (String listener : defaultOf) {
-            if (!from.isEmpty() && !from.contains(listener)) {
+        Set<String> defaultListeners = Set.copyOf(table.references("default_of", listeners, "listener"));
+        for (String listener : defaultListeners) {
+            if (!listenerNames.isEmpty() && !listenerNames.contains(listener)) {
                 table.error(
                         "default_of",
                         "host '" + name + "' is not found at listener " + listener + "; add it to listener");
             }
         }
-        if (patterns.isEmpty() && !isDefault && defaultOf.isEmpty()) {
+        if (patterns.isEmpty() && !isDefault && defaultListeners.isEmpty()) {
             table.error("names", "host " + name + " has no names; write names, or default = true");
         }
         if (isDefault) {
-            registerDefault(table, name, from.isEmpty() ? listeners : from);
+            registerDefault(table, name, listenerNames.isEmpty() ? listeners : listenerNames);
         } else {
-            registerDefault(table, name, defaultOf);
+            registerDefault(table, name, defaultListeners);
         }
         table.rejectUnknownKeys();
-        return new VirtualHosts.Host(name, from, patterns, isDefault, defaultOf);
+        return new VirtualHosts.Host(name, listenerNames, patterns, isDefault, defaultListeners);
     }
 
     private void registerDefault(TomlTableReader table, String name, Set<String> defaultListeners) {
         for (String listener : defaultListeners) {
-            String other = defaultOfListener.putIfAbsent(listener, name);
+            String other = defaultHostByListener.putIfAbsent(listener, name);
             if (other != null) {
                 table.error(
                         "default",
--- a/src/main/java/cacheproxy/config/LeaseConfig.java
+++ b/src/main/java/cacheproxy/config/LeaseConfig.java
@@ -13,7 +13,7 @@
  */
 public record LeaseConfig(String name, double leaseMs, int voters) {
     private static final int MAX_LEASES = 1000;
-    private static final double USUAL_LEASE_MS = 2000;
+    private static final double DEFAULT_LEASE_MS = 2000;
 
     /** Reads all leases, in the file's order. */
     static List<LeaseConfig> readAll(List<TomlTableReader> tables, double longestLeaseMs) {
@@ -27,7 +27,7 @@
                         "names that begin with " + FleetNames.HEALTH_CHECK_PREFIX + " or " + FleetNames.WATCH_PREFIX
                                 + " or " + FleetNames.QUOTA_PREFIX + " are the program's own; take another");
             }
-            double leaseMs = FleetNames.leaseMs(table, longestLeaseMs, USUAL_LEASE_MS);
+            double leaseMs = FleetNames.leaseMs(table, longestLeaseMs, DEFAULT_LEASE_MS);
             leases.add(new LeaseConfig(name, leaseMs, FleetNames.voters(table)));
             table.rejectUnknownKeys();
         }
--- a/src/main/java/cacheproxy/config/QuotaConfig.java
+++ b/src/main/java/cacheproxy/config/QuotaConfig.java
@@ -47,8 +47,8 @@
     }
 
     /** How many quotas it is when each tenant's own is counted. */
-    int countWith(int tenants) {
-        return EACH_TENANT.equals(tenant) ? Math.max(1, tenants) : 1;
+    int countForTenants(int tenantCount) {
+        return EACH_TENANT.equals(tenant) ? Math.max(1, tenantCount) : 1;
     }
 
     /** Reads one quota and adds its name to those taken. */
--- a/src/main/java/cacheproxy/config/QuotasConfig.java
+++ b/src/main/java/cacheproxy/config/QuotasConfig.java
@@ -17,7 +17,7 @@
 public record QuotasConfig(
         double grantTtlMs, double leaseMs, int voters, int leaseCount, double maxHoldMs, List<QuotaConfig> quotas) {
     private static final int MAX_QUOTAS = 1000;
-    private static final double USUAL_LEASE_MS = 1000;
+    private static final double DEFAULT_LEASE_MS = 1000;
     /** A request is answered at most this long after its deadline. */
     private static final double MAX_ANSWER_DELAY_MS = 250;
 
@@ -28,14 +28,14 @@
 
     /** The leases of the allocators; empty if there are no quotas. */
     public List<String> leaseNames() {
-        return quotas.isEmpty() ? List.of() : FleetNames.numbered(FleetNames.QUOTA_PREFIX, leaseCount);
+        return quotas.isEmpty() ? List.of() : FleetNames.numberedNames(FleetNames.QUOTA_PREFIX, leaseCount);
     }
 
     /** Reads the quotas of a fleet; without a section of their own the defaults hold. */
     static QuotasConfig read(TomlTableReader fleet, ConfigReferences references, double longestLeaseMs) {
         TomlTableReader table = fleet.tableOrEmpty("limits");
         double grantTtlMs = table.number("grant_ms", 1000, 100, 60_000);
-        double leaseMs = FleetNames.leaseMs(table, longestLeaseMs, USUAL_LEASE_MS);
+        double leaseMs = FleetNames.leaseMs(table, longestLeaseMs, DEFAULT_LEASE_MS);
         int voters = FleetNames.voters(table);
         int leaseCount = table.integer("shares", 4, 1, 64);
         table.rejectUnknownKeys();
@@ -56,7 +56,7 @@
         for (TomlTableReader table : tables) {
             QuotaConfig quota = QuotaConfig.read(table, names, references);
             quotas.add(quota);
-            count += quota.countWith(references.tenants().size());
+            count += quota.countForTenants(references.tenants().size());
         }
         if (count > MAX_QUOTAS) {
             tables.get(0).error("name", count + " limits, each tenant's own counted; at most " + MAX_QUOTAS);
--- a/src/main/java/cacheproxy/config/RouteReader.java
+++ b/src/main/java/cacheproxy/config/RouteReader.java
@@ -107,19 +107,19 @@
         checkKeyAndPrefix(table, name, key, prefix);
         List<KeyPattern> patterns = readPatterns(table);
         String host = table.reference("host", hostReader.names(), "host");
-        Set<String> from = Set.copyOf(table.references("listener", listeners, "listener"));
-        Set<Integer> ofClasses = indexes(table.references("class", classes, "class"), classes);
-        Set<Integer> ofTenants = indexes(table.references("tenant", tenants, "tenant"), tenants);
+        Set<String> listenerNames = Set.copyOf(table.references("listener", listeners, "listener"));
+        Set<Integer> classIndexes = indexes(table.references("class", classes, "class"), classes);
+        Set<Integer> tenantIndexes = indexes(table.references("tenant", tenants, "tenant"), tenants);
         Boolean write = table.flagOrNull("write");
         TrafficShare share = TrafficShareReader.read(table);
         return new RouteConditions(
-                from,
+                listenerNames,
                 host,
                 key,
                 prefix == null || prefix.isEmpty() ? null : prefix,
                 patterns,
-                ofClasses,
-                ofTenants,
+                classIndexes,
+                tenantIndexes,
                 write,
                 share);
     }
@@ -180,24 +180,24 @@
 
     /** Null after an error. */
     private Route.Action readAction(TomlTableReader table, String name) {
-        List<String> to = table.texts("pools");
+        List<String> poolNames = table.texts("pools");
         boolean refuse = table.has("refuse_ms");
         boolean fail = table.flag("fail", false);
-        int actions = (to.isEmpty() ? 0 : 1) + (refuse ? 1 : 0) + (fail ? 1 : 0);
-        if (actions != 1) {
+        int actionCount = (poolNames.isEmpty() ? 0 : 1) + (refuse ? 1 : 0) + (fail ? 1 : 0);
+        if (actionCount != 1) {
             table.error("name", "route '" + name + "' needs one of pools, refuse_ms and fail = true");
             return null;
         }
         if (refuse) {
             return new Route.Reject(table.number("refuse_ms", 1, 1, ConfigValues.HOUR_MS));
         }
-        return fail ? new Route.Fail() : readPools(table, to);
+        return fail ? new Route.Fail() : readPools(table, poolNames);
     }
 
-    private Route.Action readPools(TomlTableReader table, List<String> to) {
+    private Route.Action readPools(TomlTableReader table, List<String> poolNames) {
         Set<String> seen = new HashSet<>();
         boolean valid = true;
-        for (String pool : to) {
+        for (String pool : poolNames) {
             if (!table.checkReference("pools", pool, pools, "pool")) {
                 valid = false;
             } else if (!seen.add(pool)) {
@@ -205,6 +205,6 @@
                 valid = false;
             }
         }
-        return valid ? new Route.ToPools(List.copyOf(to)) : null;
+        return valid ? new Route.ToPools(List.copyOf(poolNames)) : null;
     }
 }
--- a/src/main/java/cacheproxy/config/ServerReader.java
+++ b/src/main/java/cacheproxy/config/ServerReader.java
@@ -26,8 +26,8 @@
     ServerConfig read(TomlTableReader table, Set<String> namesInPool, String kind) {
         String name = ConfigValues.uniqueName(table, namesInPool, "server");
         // A server that is down needs no address: it only keeps its place in nginx's placements.
-        boolean addressed = !table.flag("down", false) || table.has("dial");
-        InetSocketAddress address = addressed ? ConfigValues.serverAddress(table, "dial") : null;
+        boolean hasAddress = !table.flag("down", false) || table.has("dial");
+        InetSocketAddress address = hasAddress ? ConfigValues.serverAddress(table, "dial") : null;
         int id = ServerId.fromName(name);
         checkId(table, name, id);
         String zone = table.text("zone", "here");
@@ -44,7 +44,7 @@
                 table.flag("warm", false),
                 table.number("capacity", 0, 0.1, 1e9),
                 table.text("ring", name));
-        if (addressed) {
+        if (hasAddress) {
             checkAddress(table, server);
         }
         table.rejectUnknownKeys();
@@ -63,11 +63,11 @@
 
     private void checkAddress(TomlTableReader table, ServerConfig server) {
         InetSocketAddress address = server.address();
-        String nameThere = namesByAddress.putIfAbsent(address, server.name());
-        if (nameThere != null && !nameThere.equals(server.name()) && address.getPort() != 0) {
+        String nameAtAddress = namesByAddress.putIfAbsent(address, server.name());
+        if (nameAtAddress != null && !nameAtAddress.equals(server.name()) && address.getPort() != 0) {
             table.error(
                     "dial",
-                    Addresses.text(address) + " is server '" + nameThere
+                    Addresses.text(address) + " is server '" + nameAtAddress
                             + "' already; a server has one name, also in several pools");
         }
         ServerConfig sameName = serversByName.putIfAbsent(server.name(), server);
--- a/src/main/java/cacheproxy/config/SnapshotConfig.java
+++ b/src/main/java/cacheproxy/config/SnapshotConfig.java
@@ -19,7 +19,7 @@
             return null;
         }
         SnapshotConfig snapshot = new SnapshotConfig(
-                references.pathBesideFile(table, "path", table.text("path")),
+                references.resolvePath(table, "path", table.text("path")),
                 table.number("period_ms", 2000, 50, ConfigValues.HOUR_MS),
                 table.integer("keys", 256, 0, SnapshotCodec.MAX_KEYS),
                 table.number("bytes_per_second", 65_536, 1024, 1e9));
--- a/src/main/java/cacheproxy/config/TomlTableReader.java
+++ b/src/main/java/cacheproxy/config/TomlTableReader.java
@@ -102,41 +102,41 @@
     }
 
     /** An optional text. */
-    public String text(String key, String absent) {
+    public String text(String key, String defaultValue) {
         Object value = value(key);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         if (value instanceof String text) {
             return text;
         }
         error(key, key + " is no text; put it in quotes");
-        return absent;
+        return defaultValue;
     }
 
     /** An optional number from {@code min} to {@code max}; {@code absent} itself is not checked. */
-    public double number(String key, double absent, double min, double max) {
+    public double number(String key, double defaultValue, double min, double max) {
         Object value = value(key);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         double number = value instanceof Number boxed ? boxed.doubleValue() : Double.NaN;
         if (!(number >= min && number <= max)) {
             String found = value instanceof Number ? format(number) : "no number";
             error(key, key + " is " + found + "; a number from " + format(min) + " to " + format(max) + " is wanted");
-            return absent;
+            return defaultValue;
         }
         return number;
     }
 
     /** An optional whole number from {@code min} to {@code max}; {@code absent} itself is not checked. */
-    public int integer(String key, int absent, int min, int max) {
+    public int integer(String key, int defaultValue, int min, int max) {
         Object value = value(key);
         if (value != null && !(value instanceof Long)) {
             error(key, key + " is no whole number; one from " + min + " to " + max + " is wanted");
-            return absent;
+            return defaultValue;
         }
-        return (int) number(key, absent, min, max);
+        return (int) number(key, defaultValue, min, max);
     }
 
     private static String format(double number) {
@@ -146,16 +146,16 @@
     }
 
     /** An optional boolean. */
-    public boolean flag(String key, boolean absent) {
+    public boolean flag(String key, boolean defaultValue) {
         Object value = value(key);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         if (value instanceof Boolean flag) {
             return flag;
         }
         error(key, key + " is neither true nor false");
-        return absent;
+        return defaultValue;
     }
 
     /** A boolean; null where the key is absent. */
@@ -164,14 +164,14 @@
     }
 
     /** An optional text that must be one of those allowed. */
-    public String oneOf(String key, String absent, String... allowed) {
+    public String oneOf(String key, String defaultValue, String... allowed) {
         String value = text(key, null);
         if (value == null) {
-            return absent;
+            return defaultValue;
         }
         if (!List.of(allowed).contains(value)) {
             error(key, key + " is '" + value + "'; allowed: " + String.join(", ", allowed));
-            return absent;
+            return defaultValue;
         }
         return value;
     }
--- a/src/main/java/cacheproxy/snapshot/SectionReader.java
+++ b/src/main/java/cacheproxy/snapshot/SectionReader.java
@@ -70,14 +70,14 @@
     }
 
     /** Reads a span in milliseconds, or a number within the same bounds. */
-    double readSpan() throws InvalidSectionException {
+    double readDuration() throws InvalidSectionException {
         double ms = content.getDouble();
         check(SnapshotHeader.isTime(ms), "span " + ms);
         return ms;
     }
 
     /** Reads the start time of a server in milliseconds. */
-    double readStart() throws InvalidSectionException {
+    double readStartTime() throws InvalidSectionException {
         double ms = content.getDouble();
         check(ms >= 0 && ms <= MAX_START_MS, "start " + ms);
         return ms;
--- a/src/main/java/cacheproxy/snapshot/SectionWriter.java
+++ b/src/main/java/cacheproxy/snapshot/SectionWriter.java
@@ -25,7 +25,7 @@
      *     grow
      * @throws IllegalArgumentException if the file would be larger than {@link SnapshotCodec#MAX_BYTES}
      */
-    void section(SectionKind kind, Runnable body) {
+    void writeSection(SectionKind kind, Runnable body) {
         int from = buffer.position();
         while (!tryWrite(from, kind, body)) {
             grow(from);
--- a/src/main/java/cacheproxy/snapshot/SnapshotAssembler.java
+++ b/src/main/java/cacheproxy/snapshot/SnapshotAssembler.java
@@ -26,7 +26,7 @@
     private static final int MIN_SERVER_START_BYTES = 15;
 
     /** The first version of {@link SectionKind#SERVERS} with addresses. */
-    private static final int ADDRESSES_SINCE_VERSION = 2;
+    private static final int FIRST_VERSION_WITH_ADDRESSES = 2;
 
     /** Null: no valid identity section has been read. */
     private String site;
@@ -73,18 +73,18 @@
     void add(SectionKind kind, int version, SectionReader section)
             throws InvalidSectionException, CharacterCodingException {
         Runnable apply = switch (kind) {
-            case IDENTITY -> identity(section);
-            case SERVERS -> servers(version, section);
-            case LATENCY -> latency(section);
-            case LOAD -> load(section);
-            case HOT_KEYS -> hotKeys(section);
+            case IDENTITY -> readIdentity(section);
+            case SERVERS -> readServers(version, section);
+            case LATENCY -> readLatency(section);
+            case LOAD -> readLoad(section);
+            case HOT_KEYS -> readHotKeys(section);
             case SERVER_STARTS -> serverStarts(section);
         };
         section.checkEnd();
         apply.run();
     }
 
-    private Runnable identity(SectionReader section) throws InvalidSectionException, CharacterCodingException {
+    private Runnable readIdentity(SectionReader section) throws InvalidSectionException, CharacterCodingException {
         String name = section.readText();
         int number = section.readInt();
         SectionReader.check(number >= 0, "number of a proxy below 0");
@@ -94,19 +94,19 @@
         };
     }
 
-    private Runnable servers(int version, SectionReader section)
+    private Runnable readServers(int version, SectionReader section)
             throws InvalidSectionException, CharacterCodingException {
         String pool = section.readText();
-        boolean hasAddresses = version >= ADDRESSES_SINCE_VERSION;
+        boolean hasAddresses = version >= FIRST_VERSION_WITH_ADDRESSES;
         int count = section.readCount(hasAddresses ? MIN_SERVER_BYTES : MIN_SERVER_V1_BYTES, SnapshotCodec.MAX_SERVERS);
         List<LearnedServer> servers = new ArrayList<>(count);
         Map<Integer, String> addresses = new HashMap<>();
         for (int i = 0; i < count; i++) {
             LearnedServer server = new LearnedServer(
                     section.readInt(),
-                    section.readStart(),
+                    section.readStartTime(),
                     section.readShort(),
-                    section.readSpan(),
+                    section.readDuration(),
                     section.readShort());
             SectionReader.check(server.failures() >= 0 && server.overdueAttempts() >= 0, "failures below 0");
             servers.add(server);
@@ -121,28 +121,32 @@
         };
     }
 
-    private Runnable latency(SectionReader section) throws InvalidSectionException, CharacterCodingException {
+    private Runnable readLatency(SectionReader section) throws InvalidSectionException, CharacterCodingException {
         String pool = section.readText();
         LearnedLatency latency = new LearnedLatency(
-                section.readSpan(), section.readSpan(), section.readSpan(), section.readSpan(), section.readDouble());
+                section.readDuration(),
+                section.readDuration(),
+                section.readDuration(),
+                section.readDuration(),
+                section.readDouble());
         SectionReader.check(latency.weight() >= 0 && latency.weight() <= 1, "weight " + latency.weight());
         return () -> pool(pool).latency = latency;
     }
 
-    private Runnable load(SectionReader section) throws InvalidSectionException, CharacterCodingException {
+    private Runnable readLoad(SectionReader section) throws InvalidSectionException, CharacterCodingException {
         String pool = section.readText();
-        LearnedLoad originLoad = new LearnedLoad(section.readSpan(), section.readSpan());
-        LearnedLoad serverLoad = new LearnedLoad(section.readSpan(), section.readSpan());
+        LearnedLoad originLoad = new LearnedLoad(section.readDuration(), section.readDuration());
+        LearnedLoad serverLoad = new LearnedLoad(section.readDuration(), section.readDuration());
         return () -> {
             pool(pool).originLoad = originLoad;
             pool(pool).serverLoad = serverLoad;
         };
     }
 
-    private Runnable hotKeys(SectionReader section) throws InvalidSectionException, CharacterCodingException {
+    private Runnable readHotKeys(SectionReader section) throws InvalidSectionException, CharacterCodingException {
         String pool = section.readText();
         String keyScheme = section.readText();
-        double total = section.readSpan();
+        double total = section.readDuration();
         int count = section.readCount(HOT_KEY_BYTES, SnapshotCodec.MAX_KEYS);
         List<LearnedHotKey> keys = new ArrayList<>(count);
         long sum = 0;
@@ -164,7 +168,7 @@
         List<ServerStart> starts = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
             int id = section.readInt();
-            double startMs = section.readStart();
+            double startMs = section.readStartTime();
             byte down = section.readByte();
             SectionReader.check(down == 0 || down == 1, "neither up nor down");
             starts.add(new ServerStart(id, section.readText(), startMs, down == 1));
--- a/src/main/java/cacheproxy/snapshot/SnapshotDecoder.java
+++ b/src/main/java/cacheproxy/snapshot/SnapshotDecoder.java
@@ -34,7 +34,7 @@
 
     private DecodedSnapshot decode(SnapshotHeader header) {
         if (header.length() != file.length) {
-            faults.add("byte " + SnapshotHeader.LENGTH_AT + ": the file should have " + header.length()
+            faults.add("byte " + SnapshotHeader.LENGTH_OFFSET + ": the file should have " + header.length()
                     + " bytes and has " + file.length);
         }
         input.position(SnapshotHeader.BYTES);
@@ -65,17 +65,17 @@
         if (size < 0 || size > input.remaining() - Checksums.BYTES) {
             return false;
         }
-        int contentAt = from + SectionWriter.SECTION_HEADER_BYTES;
-        int checksumAt = contentAt + size;
+        int contentOffset = from + SectionWriter.SECTION_HEADER_BYTES;
+        int checksumOffset = contentOffset + size;
         Optional<SectionKind> kind = SectionKind.readable(code, version);
-        if (Checksums.crc32c(file, from, checksumAt - from) != input.getInt(checksumAt)) {
+        if (Checksums.crc32c(file, from, checksumOffset - from) != input.getInt(checksumOffset)) {
             faults.add("byte " + from + ": section " + number + " is damaged");
         } else if (kind.isEmpty()) {
             skipped.add("byte " + from + ": section of kind " + code + ", version " + version + ", of a newer program");
         } else {
-            addSection(number, from, kind.get(), version, input.slice(contentAt, size));
+            addSection(number, from, kind.get(), version, input.slice(contentOffset, size));
         }
-        input.position(checksumAt + Checksums.BYTES);
+        input.position(checksumOffset + Checksums.BYTES);
         return true;
     }
 
--- a/src/main/java/cacheproxy/snapshot/SnapshotEncoder.java
+++ b/src/main/java/cacheproxy/snapshot/SnapshotEncoder.java
@@ -17,9 +17,9 @@
     /** Returns the bytes of a snapshot's file. */
     static byte[] encode(StateSnapshot snapshot) {
         SnapshotEncoder encoder = new SnapshotEncoder();
-        encoder.identity(snapshot);
-        snapshot.pools().forEach(encoder::pool);
-        encoder.serverStarts(firstOf(snapshot.serverStarts(), SnapshotCodec.MAX_SERVERS));
+        encoder.writeIdentity(snapshot);
+        snapshot.pools().forEach(encoder::writePool);
+        encoder.writeServerStarts(firstOf(snapshot.serverStarts(), SnapshotCodec.MAX_SERVERS));
         return encoder.out.toFile(snapshot.generation(), snapshot.writtenMs());
     }
 
@@ -27,23 +27,24 @@
         return list.subList(0, Math.min(maxSize, list.size()));
     }
 
-    private void identity(StateSnapshot snapshot) {
-        out.section(SectionKind.IDENTITY, () -> out.putText(snapshot.site()).putInt(snapshot.proxyNumber()));
+    private void writeIdentity(StateSnapshot snapshot) {
+        out.writeSection(
+                SectionKind.IDENTITY, () -> out.putText(snapshot.site()).putInt(snapshot.proxyNumber()));
     }
 
-    private void pool(String name, PoolState pool) {
+    private void writePool(String name, PoolState pool) {
         LearnedState learned = pool.learned();
-        servers(name, pool, firstOf(learned.servers(), SnapshotCodec.MAX_SERVERS));
-        latency(name, learned.latency());
-        load(name, learned);
-        hotKeys(name, pool.keyScheme(), learned.hotKeys());
+        writeServers(name, pool, firstOf(learned.servers(), SnapshotCodec.MAX_SERVERS));
+        writeLatency(name, learned.latency());
+        writeLoad(name, learned);
+        writeHotKeys(name, pool.keyScheme(), learned.hotKeys());
     }
 
-    private void servers(String name, PoolState pool, List<LearnedServer> servers) {
+    private void writeServers(String name, PoolState pool, List<LearnedServer> servers) {
         if (servers.isEmpty()) {
             return;
         }
-        out.section(SectionKind.SERVERS, () -> {
+        out.writeSection(SectionKind.SERVERS, () -> {
             out.putText(name).putInt(servers.size());
             for (LearnedServer server : servers) {
                 out.putInt(server.id())
@@ -56,8 +57,8 @@
         });
     }
 
-    private void latency(String name, LearnedLatency latency) {
-        out.section(
+    private void writeLatency(String name, LearnedLatency latency) {
+        out.writeSection(
                 SectionKind.LATENCY,
                 () -> out.putText(name)
                         .putDouble(latency.originMs())
@@ -67,8 +68,8 @@
                         .putDouble(latency.weight()));
     }
 
-    private void load(String name, LearnedState learned) {
-        out.section(
+    private void writeLoad(String name, LearnedState learned) {
+        out.writeSection(
                 SectionKind.LOAD,
                 () -> out.putText(name)
                         .putDouble(learned.originLoad().sent())
@@ -77,12 +78,12 @@
                         .putDouble(learned.serverLoad().answered()));
     }
 
-    private void hotKeys(String name, String keyScheme, LearnedHotKeys hotKeys) {
+    private void writeHotKeys(String name, String keyScheme, LearnedHotKeys hotKeys) {
         List<LearnedHotKey> keys = firstOf(hotKeys.keys(), SnapshotCodec.MAX_KEYS);
         if (keys.isEmpty()) {
             return;
         }
-        out.section(SectionKind.HOT_KEYS, () -> {
+        out.writeSection(SectionKind.HOT_KEYS, () -> {
             out.putText(name).putText(keyScheme).putDouble(hotKeys.total()).putInt(keys.size());
             for (LearnedHotKey key : keys) {
                 out.putLong(key.key()).putInt(key.count());
@@ -90,11 +91,11 @@
         });
     }
 
-    private void serverStarts(List<ServerStart> starts) {
+    private void writeServerStarts(List<ServerStart> starts) {
         if (starts.isEmpty()) {
             return;
         }
-        out.section(SectionKind.SERVER_STARTS, () -> {
+        out.writeSection(SectionKind.SERVER_STARTS, () -> {
             out.putInt(starts.size());
             for (ServerStart start : starts) {
                 out.putInt(start.id())
--- a/src/main/java/cacheproxy/snapshot/SnapshotHeader.java
+++ b/src/main/java/cacheproxy/snapshot/SnapshotHeader.java
@@ -24,14 +24,14 @@
     /** Upper bound of times and spans in milliseconds, exclusive. */
     private static final double MAX_TIME_MS = 1e15;
 
-    private static final int VERSION_AT = 8;
-    private static final int SECTIONS_AT = 10;
-    private static final int GENERATION_AT = 16;
-    private static final int WRITTEN_AT = 24;
-    private static final int CHECKSUM_AT = BYTES - Checksums.BYTES;
+    private static final int VERSION_OFFSET = 8;
+    private static final int SECTIONS_OFFSET = 10;
+    private static final int GENERATION_OFFSET = 16;
+    private static final int WRITTEN_OFFSET = 24;
+    private static final int CHECKSUM_OFFSET = BYTES - Checksums.BYTES;
 
     /** Position of the file's length. */
-    static final int LENGTH_AT = 12;
+    static final int LENGTH_OFFSET = 12;
 
     /** Whether a value is a time or a span in milliseconds that a file may hold. */
     static boolean isTime(double ms) {
@@ -42,22 +42,22 @@
     @SuppressWarnings("ByteBufferBackingArray") // the buffer is allocated here, on the heap, with no offset
     void write(ByteBuffer buffer) {
         buffer.putLong(0, MAGIC)
-                .putShort(VERSION_AT, (short) FORMAT_VERSION)
-                .putShort(SECTIONS_AT, (short) sections)
-                .putInt(LENGTH_AT, length)
-                .putLong(GENERATION_AT, generation)
-                .putDouble(WRITTEN_AT, writtenMs)
-                .putInt(CHECKSUM_AT, Checksums.crc32c(buffer.array(), 0, CHECKSUM_AT));
+                .putShort(VERSION_OFFSET, (short) FORMAT_VERSION)
+                .putShort(SECTIONS_OFFSET, (short) sections)
+                .putInt(LENGTH_OFFSET, length)
+                .putLong(GENERATION_OFFSET, generation)
+                .putDouble(WRITTEN_OFFSET, writtenMs)
+                .putInt(CHECKSUM_OFFSET, Checksums.crc32c(buffer.array(), 0, CHECKSUM_OFFSET));
     }
 
     /** Reads the header of a file for which {@link #fault} has found none. */
     static SnapshotHeader read(byte[] file) {
         ByteBuffer buffer = ByteBuffer.wrap(file);
         return new SnapshotHeader(
-                Short.toUnsignedInt(buffer.getShort(SECTIONS_AT)),
-                buffer.getInt(LENGTH_AT),
-                buffer.getLong(GENERATION_AT),
-                buffer.getDouble(WRITTEN_AT));
+                Short.toUnsignedInt(buffer.getShort(SECTIONS_OFFSET)),
+                buffer.getInt(LENGTH_OFFSET),
+                buffer.getLong(GENERATION_OFFSET),
+                buffer.getDouble(WRITTEN_OFFSET));
     }
 
     /** Returns what is wrong with a file's header, in words for operators; empty: nothing. */
@@ -69,15 +69,15 @@
         if (buffer.getLong(0) != MAGIC) {
             return Optional.of("byte 0: it is no memory file");
         }
-        if (Checksums.crc32c(file, 0, CHECKSUM_AT) != buffer.getInt(CHECKSUM_AT)) {
+        if (Checksums.crc32c(file, 0, CHECKSUM_OFFSET) != buffer.getInt(CHECKSUM_OFFSET)) {
             return Optional.of("byte 0: its head is damaged");
         }
-        int version = buffer.getShort(VERSION_AT);
+        int version = buffer.getShort(VERSION_OFFSET);
         if (version != FORMAT_VERSION) {
             return Optional.of(
                     "byte 8: format " + version + " is not known to this program, which reads " + FORMAT_VERSION);
         }
-        return isTime(buffer.getDouble(WRITTEN_AT))
+        return isTime(buffer.getDouble(WRITTEN_OFFSET))
                 ? Optional.empty()
                 : Optional.of("byte 24: it was written at no time that can be");
     }
--- a/src/main/java/cacheproxy/snapshot/SnapshotWriter.java
+++ b/src/main/java/cacheproxy/snapshot/SnapshotWriter.java
@@ -28,9 +28,9 @@
     private final Condition changed = lock.newCondition();
 
     /** The snapshot that waits; null: none. Guarded by the lock, as are all fields up to {@link #byteCount}. */
-    private StateSnapshot next;
+    private StateSnapshot pendingSnapshot;
 
-    /** Whether no snapshot is accepted after {@link #next}. */
+    /** Whether no snapshot is accepted after {@link #pendingSnapshot}. */
     private boolean closing;
 
     private boolean ended;
@@ -38,10 +38,10 @@
     private long byteCount;
 
     /** The last snapshot that was written; used by the writer's thread alone, as is the fault. */
-    private StateSnapshot written;
+    private StateSnapshot lastWritten;
 
     /** Why the last write failed; null: it did not. */
-    private String fault;
+    private String lastFault;
 
     /**
      * Starts the writer's thread, which closes the store when it ends.
@@ -63,7 +63,7 @@
         lock.lock();
         try {
             if (!closing) {
-                next = snapshot;
+                pendingSnapshot = snapshot;
                 changed.signalAll();
             }
         } finally {
@@ -75,10 +75,10 @@
     public void writeLast(StateSnapshot snapshot, long maxWaitMs) throws InterruptedException {
         lock.lock();
         try {
-            close(snapshot);
-            long leftNanos = TimeUnit.MILLISECONDS.toNanos(maxWaitMs);
-            while (!ended && leftNanos > 0) {
-                leftNanos = changed.awaitNanos(leftNanos);
+            beginClosing(snapshot);
+            long remainingNanos = TimeUnit.MILLISECONDS.toNanos(maxWaitMs);
+            while (!ended && remainingNanos > 0) {
+                remainingNanos = changed.awaitNanos(remainingNanos);
             }
         } finally {
             lock.unlock();
@@ -89,7 +89,7 @@
     public void stopWithoutWriting() throws InterruptedException {
         lock.lock();
         try {
-            close(null);
+            beginClosing(null);
         } finally {
             lock.unlock();
         }
@@ -97,8 +97,8 @@
     }
 
     /** The caller holds the lock. */
-    private void close(StateSnapshot lastSnapshot) {
-        next = lastSnapshot;
+    private void beginClosing(StateSnapshot lastSnapshot) {
+        pendingSnapshot = lastSnapshot;
         closing = true;
         changed.signalAll();
     }
@@ -125,12 +125,12 @@
 
     private void run() {
         try {
-            StateSnapshot snapshot = take();
+            StateSnapshot snapshot = takePending();
             while (snapshot != null) {
-                if (!hasSameContent(snapshot, written)) {
+                if (!hasSameContent(snapshot, lastWritten)) {
                     pauseAfter(write(snapshot));
                 }
-                snapshot = take();
+                snapshot = takePending();
             }
         } catch (InterruptedException e) {
             // Nobody interrupts this thread; if somebody does, it ends.
@@ -147,14 +147,14 @@
     }
 
     /** Waits for the next snapshot; null: there will be none. */
-    private StateSnapshot take() throws InterruptedException {
+    private StateSnapshot takePending() throws InterruptedException {
         lock.lock();
         try {
-            while (next == null && !closing) {
+            while (pendingSnapshot == null && !closing) {
                 changed.await();
             }
-            StateSnapshot taken = next;
-            next = null;
+            StateSnapshot taken = pendingSnapshot;
+            pendingSnapshot = null;
             return taken;
         } finally {
             lock.unlock();
@@ -167,19 +167,19 @@
         String reason = null;
         try {
             size = store.write(snapshot);
-            written = snapshot;
+            lastWritten = snapshot;
         } catch (IOException e) {
             reason = SnapshotStore.describe(e);
         } catch (IllegalArgumentException e) {
             reason = e.getMessage(); // the snapshot does not fit into a file
         }
         countWrite(reason == null, size);
-        if (reason != null && !reason.equals(fault)) {
+        if (reason != null && !reason.equals(lastFault)) {
             log.accept("memory: can't write: " + reason + "; goes on without");
-        } else if (reason == null && fault != null) {
+        } else if (reason == null && lastFault != null) {
             log.accept("memory: writes again");
         }
-        fault = reason;
+        lastFault = reason;
         return size;
     }
 
@@ -201,11 +201,11 @@
     }
 
     private void pauseAfter(int bytes) throws InterruptedException {
-        long leftNanos = (long) (bytes / maxBytesPerMs * NANOS_PER_MS);
+        long remainingNanos = (long) (bytes / maxBytesPerMs * NANOS_PER_MS);
         lock.lock();
         try {
-            while (leftNanos > 0 && !closing) {
-                leftNanos = changed.awaitNanos(leftNanos);
+            while (remainingNanos > 0 && !closing) {
+                remainingNanos = changed.awaitNanos(remainingNanos);
             }
         } finally {
             lock.unlock();
--- a/src/main/java/cacheproxy/snapshot/state/StateDecay.java
+++ b/src/main/java/cacheproxy/snapshot/state/StateDecay.java
@@ -42,18 +42,18 @@
         }
         double loadFraction = trust * remainingFraction(ageMs, LOAD_HALF_LIFE_MS);
         return new LearnedState(
-                servers(state.servers(), ageMs, trust),
-                latency(state.latency(), trust * remainingFraction(ageMs, LATENCY_HALF_LIFE_MS)),
-                load(state.originLoad(), loadFraction),
-                load(state.serverLoad(), loadFraction),
-                hotKeys(state.hotKeys(), trust * remainingFraction(ageMs, HOT_KEY_HALF_LIFE_MS)));
+                decayServers(state.servers(), ageMs, trust),
+                decayLatency(state.latency(), trust * remainingFraction(ageMs, LATENCY_HALF_LIFE_MS)),
+                decayLoad(state.originLoad(), loadFraction),
+                decayLoad(state.serverLoad(), loadFraction),
+                decayHotKeys(state.hotKeys(), trust * remainingFraction(ageMs, HOT_KEY_HALF_LIFE_MS)));
     }
 
     private static double remainingFraction(double ageMs, double halfLifeMs) {
         return Math.pow(0.5, ageMs / halfLifeMs);
     }
 
-    private static List<LearnedServer> servers(List<LearnedServer> servers, double ageMs, double trust) {
+    private static List<LearnedServer> decayServers(List<LearnedServer> servers, double ageMs, double trust) {
         double fraction = trust * remainingFraction(ageMs, FAILURE_HALF_LIFE_MS);
         List<LearnedServer> remaining = new ArrayList<>();
         for (LearnedServer server : servers) {
@@ -68,7 +68,7 @@
         return remaining;
     }
 
-    private static LearnedLatency latency(LearnedLatency latency, double fraction) {
+    private static LearnedLatency decayLatency(LearnedLatency latency, double fraction) {
         double weight = latency.weight() * fraction;
         return weight < MIN_WEIGHT
                 ? LearnedState.NONE.latency()
@@ -76,13 +76,13 @@
                         latency.originMs(), latency.averageCost(), latency.averageMs(), latency.deviationMs(), weight);
     }
 
-    private static LearnedLoad load(LearnedLoad load, double fraction) {
+    private static LearnedLoad decayLoad(LearnedLoad load, double fraction) {
         return load.sent() * fraction < MIN_LOAD
                 ? LearnedState.NONE.serverLoad()
                 : new LearnedLoad(load.sent() * fraction, load.answered() * fraction);
     }
 
-    private static LearnedHotKeys hotKeys(LearnedHotKeys hotKeys, double fraction) {
+    private static LearnedHotKeys decayHotKeys(LearnedHotKeys hotKeys, double fraction) {
         List<LearnedHotKey> remaining = new ArrayList<>();
         for (LearnedHotKey hotKey : hotKeys.keys()) {
             int count = (int) (hotKey.count() * fraction);
--- a/src/main/java/cacheproxy/snapshot/state/StateSnapshot.java
+++ b/src/main/java/cacheproxy/snapshot/state/StateSnapshot.java
@@ -41,18 +41,18 @@
     /**
      * Tells why this snapshot may not be used by a proxy.
      *
-     * @param ofSite the proxy's site
-     * @param ofProxyNumber the proxy's number
+     * @param expectedSite the proxy's site
+     * @param expectedProxyNumber the proxy's number
      * @param nowMs the present Unix time
      * @param sibling whether the snapshot is given as that of another proxy of the site
      * @return the reason, in words for operators; empty if it may be used
      */
-    public Optional<String> mismatch(String ofSite, int ofProxyNumber, double nowMs, boolean sibling) {
-        if (!site.equals(ofSite)) {
-            return Optional.of("it is of the site " + site + ", not " + ofSite);
+    public Optional<String> mismatch(String expectedSite, int expectedProxyNumber, double nowMs, boolean sibling) {
+        if (!site.equals(expectedSite)) {
+            return Optional.of("it is of the site " + site + ", not " + expectedSite);
         }
-        if (!sibling && proxyNumber != ofProxyNumber) {
-            return Optional.of("it is of proxy " + proxyNumber + ", not " + ofProxyNumber
+        if (!sibling && proxyNumber != expectedProxyNumber) {
+            return Optional.of("it is of proxy " + proxyNumber + ", not " + expectedProxyNumber
                     + "; a sibling's may be given with --seed-from");
         }
         if (writtenMs > nowMs + MAX_CLOCK_DIFFERENCE_MS) {
@@ -78,31 +78,31 @@
             return LearnedState.NONE;
         }
         LearnedState learned = poolState.learned();
-        LearnedState fitting = new LearnedState(
-                fittingServers(poolState, servers),
+        LearnedState matching = new LearnedState(
+                matchingServers(poolState, servers),
                 learned.latency(),
                 learned.originLoad(),
                 learned.serverLoad(),
                 poolState.keyScheme().equals(keyScheme) ? learned.hotKeys() : LearnedState.NONE.hotKeys());
-        return StateDecay.decay(fitting, Math.max(0, nowMs - writtenMs), trust);
+        return StateDecay.decay(matching, Math.max(0, nowMs - writtenMs), trust);
     }
 
     /** The learned servers that are still the same process at the same address; none if too many of them failed. */
-    private static List<LearnedServer> fittingServers(PoolState poolState, List<CurrentServer> servers) {
+    private static List<LearnedServer> matchingServers(PoolState poolState, List<CurrentServer> servers) {
         Map<Integer, CurrentServer> currentById = new HashMap<>();
         servers.forEach(server -> currentById.put(server.id(), server));
-        List<LearnedServer> fitting = new ArrayList<>();
+        List<LearnedServer> matching = new ArrayList<>();
         for (LearnedServer server : poolState.learned().servers()) {
             CurrentServer current = currentById.get(server.id());
             String address = poolState.addresses().get(server.id());
             if (current != null
                     && current.startMs() == server.startMs()
                     && (address == null || address.equals(current.address()))) {
-                fitting.add(server);
+                matching.add(server);
             }
         }
-        long failing = fitting.stream().filter(server -> server.failures() > 0).count();
-        return failing > MAX_FAILING_FRACTION * servers.size() ? List.of() : fitting;
+        long failing = matching.stream().filter(server -> server.failures() > 0).count();
+        return failing > MAX_FAILING_FRACTION * servers.size() ? List.of() : matching;
     }
 
     /**
--- a/src/test/java/cacheproxy/cli/CliTest.java
+++ b/src/test/java/cacheproxy/cli/CliTest.java
@@ -9,7 +9,7 @@
 /** The root command: names that operators' scripts use, and errors in a command line. */
 class CliTest {
     @Test
-    void namesOfCommandsAreTheOperators() {
+    void commandNamesAreThoseOfOperatorsScripts() {
         CommandLine root = new CommandLine(new Cli());
         assertThat(root.getSubcommands().keySet())
                 .containsExactlyElementsOf(List.of(
--- a/src/test/java/cacheproxy/snapshot/SnapshotCodecTest.java
+++ b/src/test/java/cacheproxy/snapshot/SnapshotCodecTest.java
@@ -98,11 +98,11 @@
         snapshot.pools().forEach((name, pool) -> {
             assertThat(name).as(description).isEqualTo("a");
             LearnedState learned = pool.learned();
-            LearnedState was = SMALL.pools().get("a").learned();
-            assertThat(learned.servers()).as(description).isIn(List.of(), was.servers());
-            assertThat(learned.latency()).as(description).isIn(LearnedState.NONE.latency(), was.latency());
-            assertThat(learned.serverLoad()).as(description).isIn(LearnedState.NONE.serverLoad(), was.serverLoad());
-            assertThat(learned.hotKeys()).as(description).isIn(LearnedState.NONE.hotKeys(), was.hotKeys());
+            LearnedState written = SMALL.pools().get("a").learned();
+            assertThat(learned.servers()).as(description).isIn(List.of(), written.servers());
+            assertThat(learned.latency()).as(description).isIn(LearnedState.NONE.latency(), written.latency());
+            assertThat(learned.serverLoad()).as(description).isIn(LearnedState.NONE.serverLoad(), written.serverLoad());
+            assertThat(learned.hotKeys()).as(description).isIn(LearnedState.NONE.hotKeys(), written.hotKeys());
         });
     }
 
--- a/src/test/java/cacheproxy/snapshot/SnapshotStoreTest.java
+++ b/src/test/java/cacheproxy/snapshot/SnapshotStoreTest.java
@@ -34,7 +34,7 @@
     private Path file;
 
     @BeforeEach
-    void path() {
+    void setUpPath() {
         file = folder.resolve("memory");
     }
 
@@ -61,11 +61,11 @@
 
     /** The real file system up to a simulated crash; of an interrupted write, the first {@code cutAt} bytes remain. */
     private static final class CrashingFileSystem implements SnapshotFileSystem {
-        private int steps;
+        private int stepsBeforeCrash;
         private final int cutAt;
 
-        CrashingFileSystem(int steps, int cutAt) {
-            this.steps = steps;
+        CrashingFileSystem(int stepsBeforeCrash, int cutAt) {
+            this.stepsBeforeCrash = stepsBeforeCrash;
             this.cutAt = cutAt;
         }
 
@@ -74,24 +74,24 @@
         }
 
         private void step() {
-            if (steps-- == 0) {
+            if (stepsBeforeCrash-- == 0) {
                 throw new SimulatedCrash();
             }
         }
 
         @Override
-        public void write(Path at, byte[] bytes) throws IOException {
-            if (cutAt >= 0 && steps == 0) {
-                SYSTEM.write(at, Arrays.copyOf(bytes, Math.min(cutAt, bytes.length)));
+        public void write(Path target, byte[] bytes) throws IOException {
+            if (cutAt >= 0 && stepsBeforeCrash == 0) {
+                SYSTEM.write(target, Arrays.copyOf(bytes, Math.min(cutAt, bytes.length)));
             }
             step();
-            SYSTEM.write(at, bytes);
+            SYSTEM.write(target, bytes);
         }
 
         @Override
-        public void link(Path at, Path name) throws IOException {
+        public void link(Path target, Path name) throws IOException {
             step();
-            SYSTEM.link(at, name);
+            SYSTEM.link(target, name);
         }
 
         @Override
@@ -107,8 +107,8 @@
         }
 
         @Override
-        public Optional<byte[]> read(Path at, int maxBytes) throws IOException {
-            return SYSTEM.read(at, maxBytes);
+        public Optional<byte[]> read(Path target, int maxBytes) throws IOException {
+            return SYSTEM.read(target, maxBytes);
         }
     }
 
@@ -119,9 +119,9 @@
     @Test
     void readsNewestGenerationAndKeepsPrevious() throws Exception {
         assertThat(read()).isEqualTo(new StoredSnapshot(null, false, List.of()));
-        SnapshotStore files = SnapshotStore.at(file);
+        SnapshotStore store = SnapshotStore.at(file);
         for (int number = 1; number <= 3; number++) {
-            files.write(state(number));
+            store.write(state(number));
         }
         assertThat(read().content().proxyNumber()).isEqualTo(3);
         assertThat(read().content().generation()).isEqualTo(3);
@@ -142,31 +142,35 @@
 
     /** A write has several steps; the process crashes before each of them, and in the first after each byte. */
     @Test
-    void keepsOneCompleteGenerationWhereverProcessDies() throws Exception {
+    void keepsOneCompleteGenerationWhereverProcessCrashes() throws Exception {
         int length = SnapshotCodec.encode(state(1)).length;
         int generations = 0;
         for (int number = 1; number <= length + 5; number++) {
             boolean cut = number <= length;
-            SnapshotStore dying = new SnapshotStore(
+            SnapshotStore crashingStore = new SnapshotStore(
                     file, new CrashingFileSystem(cut ? 0 : number - length - 1, cut ? number - 1 : -1));
-            StoredSnapshot before = dying.read();
-            int was = before.content() == null ? 0 : before.content().proxyNumber();
-            boolean died = false;
+            StoredSnapshot before = crashingStore.read();
+            int previousNumber = before.content() == null ? 0 : before.content().proxyNumber();
+            boolean crashed = false;
             try {
-                dying.write(state(was + 1));
+                crashingStore.write(state(previousNumber + 1));
             } catch (CrashingFileSystem.SimulatedCrash exception) {
-                died = true;
+                crashed = true;
             }
             StoredSnapshot after = read();
             if (generations > 0) {
                 assertThat(after.content()).as("death " + number).isNotNull();
                 assertThat(after.notes()).as("death " + number).isEmpty();
-                assertThat(after.content().proxyNumber()).as("death " + number).isIn(was, was + 1);
-                assertThat(died || after.content().proxyNumber() == was + 1).isTrue();
+                assertThat(after.content().proxyNumber())
+                        .as("death " + number)
+                        .isIn(previousNumber, previousNumber + 1);
+                assertThat(crashed || after.content().proxyNumber() == previousNumber + 1)
+                        .isTrue();
             }
-            SnapshotStore living = SnapshotStore.at(file);
-            StoredSnapshot found = living.read();
-            living.write(state((found.content() == null ? 0 : found.content().proxyNumber()) + 1));
+            SnapshotStore recoveredStore = SnapshotStore.at(file);
+            StoredSnapshot found = recoveredStore.read();
+            recoveredStore.write(
+                    state((found.content() == null ? 0 : found.content().proxyNumber()) + 1));
             generations++;
         }
     }
@@ -174,20 +178,20 @@
     /** After a loss of power, a rename may have reached the disk before the data. */
     @Test
     void fallsBackToPreviousGenerationWhenNewestIsDamaged() throws Exception {
-        SnapshotStore files = SnapshotStore.at(file);
-        files.write(state(1));
-        files.write(state(2));
-        byte[] good = Files.readAllBytes(file);
-        for (byte[] bad : List.of(new byte[0], new byte[good.length], Arrays.copyOf(good, 100))) {
-            Files.write(file, bad);
+        SnapshotStore store = SnapshotStore.at(file);
+        store.write(state(1));
+        store.write(state(2));
+        byte[] intact = Files.readAllBytes(file);
+        for (byte[] damaged : List.of(new byte[0], new byte[intact.length], Arrays.copyOf(intact, 100))) {
+            Files.write(file, damaged);
             assertThat(read().content().proxyNumber()).isEqualTo(1);
             assertThat(read().fromPreviousGeneration()).isTrue();
             assertThat(read().notes()).isNotEmpty().allMatch(line -> line.startsWith(file + ": byte "));
         }
         // What is damaged does not push out the last that is whole, even if the next write dies half way.
-        SnapshotStore dying = new SnapshotStore(file, new CrashingFileSystem(1, -1));
-        dying.read();
-        assertThatThrownBy(() -> dying.write(state(3))).isInstanceOf(CrashingFileSystem.SimulatedCrash.class);
+        SnapshotStore crashingStore = new SnapshotStore(file, new CrashingFileSystem(1, -1));
+        crashingStore.read();
+        assertThatThrownBy(() -> crashingStore.write(state(3))).isInstanceOf(CrashingFileSystem.SimulatedCrash.class);
         assertThat(read().content().proxyNumber()).isEqualTo(1);
         SnapshotStore next = SnapshotStore.at(file);
         next.read();
@@ -202,9 +206,9 @@
                         .proxyNumber())
                 .isEqualTo(1);
         // Both damaged: what is whole of the newest.
-        byte[] part = Files.readAllBytes(file);
-        part[part.length - 1] ^= 1;
-        Files.write(file, part);
+        byte[] partlyDamaged = Files.readAllBytes(file);
+        partlyDamaged[partlyDamaged.length - 1] ^= 1;
+        Files.write(file, partlyDamaged);
         Files.write(folder.resolve("memory.old"), new byte[5]);
         assertThat(read().content().proxyNumber()).isEqualTo(3);
         assertThat(read().content().serverStarts()).isEmpty();
@@ -217,9 +221,9 @@
         assertThat(read().content()).isNull();
         assertThat(read().notes()).containsExactly(file + ": it is a symbolic link; name the file itself");
         byte[] before = Files.readAllBytes(folder.resolve("elsewhere"));
-        SnapshotStore files = SnapshotStore.at(file);
-        files.read();
-        files.write(state(2));
+        SnapshotStore store = SnapshotStore.at(file);
+        store.read();
+        store.write(state(2));
         assertThat(Files.readAllBytes(folder.resolve("elsewhere")))
                 .as("the link is replaced, not followed")
                 .isEqualTo(before);
@@ -284,7 +288,7 @@
         final List<byte[]> written = new ArrayList<>();
 
         @Override
-        public void write(Path at, byte[] bytes) throws IOException {
+        public void write(Path target, byte[] bytes) throws IOException {
             gate.acquireUninterruptibly();
             if (fault != null) {
                 throw fault;
@@ -292,12 +296,12 @@
             synchronized (written) {
                 written.add(bytes);
             }
-            SYSTEM.write(at, bytes);
+            SYSTEM.write(target, bytes);
         }
 
         @Override
-        public void link(Path at, Path name) throws IOException {
-            SYSTEM.link(at, name);
+        public void link(Path target, Path name) throws IOException {
+            SYSTEM.link(target, name);
         }
 
         @Override
@@ -311,8 +315,8 @@
         }
 
         @Override
-        public Optional<byte[]> read(Path at, int maxBytes) throws IOException {
-            return SYSTEM.read(at, maxBytes);
+        public Optional<byte[]> read(Path target, int maxBytes) throws IOException {
+            return SYSTEM.read(target, maxBytes);
         }
     }
 
--- a/src/test/java/cacheproxy/snapshot/state/StateDecayTest.java
+++ b/src/test/java/cacheproxy/snapshot/state/StateDecayTest.java
@@ -69,8 +69,8 @@
 
     private static final CurrentServer OTHER_SERVER = serverAt(3, "10.0.0.3:1", 0);
 
-    private static CurrentServer serverAt(int id, String address, double born) {
-        return new CurrentServer(id, address, born);
+    private static CurrentServer serverAt(int id, String address, double startMs) {
+        return new CurrentServer(id, address, startMs);
     }
 
     @Test
