--- a/src/main/java/cacheproxy/daemon/PoolSiblings.java
+++ b/src/main/java/cacheproxy/daemon/PoolSiblings.java
@@ -40,7 +40,7 @@
     }
 
     @Override
-    public boolean is(Endpoint member) {
+    public boolean isSibling(Endpoint member) {
         return !siblings.isEmpty() && indexById.containsKey(member.id());
     }
 
@@ -51,7 +51,7 @@
     }
 
     @Override
-    public void fetched(double nowMs, int sibling, AttemptOutcome outcome, double elapsedMs) {
+    public void recordFetch(double nowMs, int sibling, AttemptOutcome outcome, double elapsedMs) {
         if (outcome == AttemptOutcome.CANCELLED || outcome == AttemptOutcome.NOT_SENT) {
             return; // says nothing about the sibling
         }
--- a/src/main/java/cacheproxy/hooks/HookHost.java
+++ b/src/main/java/cacheproxy/hooks/HookHost.java
@@ -42,9 +42,17 @@
         return ImportValues.builder()
                 .addFunction(
                         function(HookAbi.LOG_IMPORT, twoInts, none, this::log),
-                        function(HookAbi.NOW_MS_IMPORT, none, oneLong, (caller, arguments) -> one(clockMs.getAsLong())),
-                        function(HookAbi.COUNT_IMPORT, none, oneLong, (caller, arguments) -> one(counter++)),
-                        function(HookAbi.CONFIG_LENGTH_IMPORT, none, oneInt, (caller, arguments) -> one(config.length)),
+                        function(
+                                HookAbi.NOW_MS_IMPORT,
+                                none,
+                                oneLong,
+                                (caller, arguments) -> singleResult(clockMs.getAsLong())),
+                        function(HookAbi.COUNT_IMPORT, none, oneLong, (caller, arguments) -> singleResult(counter++)),
+                        function(
+                                HookAbi.CONFIG_LENGTH_IMPORT,
+                                none,
+                                oneInt,
+                                (caller, arguments) -> singleResult(config.length)),
                         function(HookAbi.CONFIG_READ_IMPORT, oneInt, none, this::readConfig))
                 .build();
     }
@@ -54,7 +62,7 @@
         return new HostFunction(HookAbi.HOST_MODULE, name, FunctionType.of(parameters, results), body);
     }
 
-    private static long[] one(long value) {
+    private static long[] singleResult(long value) {
         return new long[] {value};
     }
 
--- a/src/main/java/cacheproxy/hooks/HookInstance.java
+++ b/src/main/java/cacheproxy/hooks/HookInstance.java
@@ -41,18 +41,20 @@
         this.module = module;
         host = new HookHost(clockMs, module.config);
         try {
-            if (module.pages == 0) {
+            if (module.initialPages == 0) {
                 throw new HookException("it has no memory");
             }
             instance = module.builder()
                     .withImportValues(host.imports())
-                    .withMemoryLimits(new MemoryLimits(module.pages, module.limits.memoryPages()))
+                    .withMemoryLimits(new MemoryLimits(module.initialPages, module.limits.memoryPages()))
                     .build();
-            allocate = function(HookAbi.ALLOCATE_EXPORT, "(i32)->(i32)");
-            onRequest = function(HookAbi.ON_REQUEST_EXPORT, "(i32,i32)->(i64)");
-            onAnswer = exports(HookAbi.ON_ANSWER_EXPORT) ? function(HookAbi.ON_ANSWER_EXPORT, "(i32,i32)->()") : null;
+            allocate = exportedFunction(HookAbi.ALLOCATE_EXPORT, "(i32)->(i32)");
+            onRequest = exportedFunction(HookAbi.ON_REQUEST_EXPORT, "(i32,i32)->(i64)");
+            onAnswer = exports(HookAbi.ON_ANSWER_EXPORT)
+                    ? exportedFunction(HookAbi.ON_ANSWER_EXPORT, "(i32,i32)->()")
+                    : null;
             checkVersion();
-            load();
+            callOnLoad();
         } catch (ChicoryException | StackOverflowError | OutOfMemoryError | AssertionError | LinkageError e) {
             throw new HookException("it can't be started: " + describe(e));
         } catch (RuntimeException e) {
@@ -62,18 +64,18 @@
     }
 
     private void checkVersion() throws HookException {
-        long version = function(HookAbi.VERSION_EXPORT, "()->(i32)").apply()[0];
+        long version = exportedFunction(HookAbi.VERSION_EXPORT, "()->(i32)").apply()[0];
         if (version != HookAbi.VERSION) {
             throw new HookException("it is of ABI version " + version + "; " + HookAbi.VERSION + " is spoken here");
         }
     }
 
-    private void load() throws HookException {
+    private void callOnLoad() throws HookException {
         if (!exports(HookAbi.ON_LOAD_EXPORT)) {
             return;
         }
         setFuel(module.limits.loadFuel());
-        long status = function(HookAbi.ON_LOAD_EXPORT, "()->(i32)").apply()[0];
+        long status = exportedFunction(HookAbi.ON_LOAD_EXPORT, "()->(i32)").apply()[0];
         if (status != 0) {
             List<String> lines = host.logLines();
             throw new HookException(
@@ -89,7 +91,7 @@
         }
     }
 
-    private ExportFunction function(String name, String signature) throws HookException {
+    private ExportFunction exportedFunction(String name, String signature) throws HookException {
         if (!exports(name)) {
             throw new HookException("it exports no function " + name + " " + signature);
         }
@@ -128,7 +130,7 @@
         setFuel(module.limits.fuel());
         try {
             byte[] argument = call.encode(answer, elapsedMs);
-            int address = copyIn(argument);
+            int address = copyToMemory(argument);
             onAnswer.apply(address, argument.length);
             return host.logLines();
         } catch (ChicoryException | StackOverflowError | OutOfMemoryError | AssertionError | LinkageError e) {
@@ -148,7 +150,7 @@
         setFuel(module.limits.fuel());
         try {
             byte[] argument = call.encode();
-            int address = copyIn(argument);
+            int address = copyToMemory(argument);
             long addressAndLength = onRequest.apply(address, argument.length)[0];
             HookOrders orders = readOrders((int) (addressAndLength >>> Integer.SIZE), (int) addressAndLength);
             return new Result(orders, host.logLines(), module.limits.fuel() - remainingFuel());
@@ -161,7 +163,7 @@
         }
     }
 
-    private int copyIn(byte[] argument) {
+    private int copyToMemory(byte[] argument) {
         int address = (int) allocate.apply(argument.length)[0];
         instance.memory().write(address, argument);
         return address;
--- a/src/main/java/cacheproxy/hooks/HookModule.java
+++ b/src/main/java/cacheproxy/hooks/HookModule.java
@@ -30,7 +30,7 @@
     /** Index of the global that holds the fuel. */
     final int fuelGlobal;
     /** Pages of 64 KiB that its memory has at the start; 0: it has no memory. */
-    final int pages;
+    final int initialPages;
     /** Text that the module may read. */
     final String config;
 
@@ -43,7 +43,7 @@
         this.module = module;
         this.config = config;
         fuelGlobal = metered.fuelGlobal();
-        pages = metered.pages();
+        initialPages = metered.initialPages();
         machineFactory = limits.compiled() ? MachineFactoryCompiler.compile(module) : null;
     }
 
--- a/src/main/java/cacheproxy/hooks/WasmDeclarations.java
+++ b/src/main/java/cacheproxy/hooks/WasmDeclarations.java
@@ -74,7 +74,7 @@
 
     private void readTypes() throws HookException {
         signatures = new ArrayList<>();
-        for (int left = reader.readU32(); left > 0; left--) {
+        for (int remaining = reader.readU32(); remaining > 0; remaining--) {
             if (reader.readByte() != WasmOpcode.TYPE_FUNCTION) {
                 throw new HookException("a type at byte " + reader.position() + " is none of a function");
             }
@@ -87,7 +87,7 @@
 
     private List<String> readValueTypes() throws HookException {
         List<String> types = new ArrayList<>();
-        for (int left = reader.readU32(); left > 0; left--) {
+        for (int remaining = reader.readU32(); remaining > 0; remaining--) {
             types.add(valueTypeName(reader.readByte()));
         }
         return types;
@@ -104,10 +104,10 @@
     }
 
     private void readImports() throws HookException {
-        for (int left = reader.readU32(); left > 0; left--) {
+        for (int remaining = reader.readU32(); remaining > 0; remaining--) {
             String name = reader.readName() + "." + reader.readName();
-            boolean function = reader.readByte() == KIND_FUNCTION;
-            String signature = function ? typeAt(signatures, reader.readU32()) : null;
+            boolean isFunction = reader.readByte() == KIND_FUNCTION;
+            String signature = isFunction ? typeAt(signatures, reader.readU32()) : null;
             String offered = offeredImports.get(name);
             if (offered == null || !offered.equals(signature)) {
                 throw notOffered(name, signature);
@@ -132,13 +132,13 @@
     }
 
     private void readFunctions() throws HookException {
-        for (int left = reader.readU32(); left > 0; left--) {
+        for (int remaining = reader.readU32(); remaining > 0; remaining--) {
             functionTypes.add(reader.readU32());
         }
     }
 
     private void readTables() throws HookException {
-        for (int left = reader.readU32(); left > 0; left--) {
+        for (int remaining = reader.readU32(); remaining > 0; remaining--) {
             reader.skip(1); // type of the elements
             int flags = reader.readByte();
             int minimum = readMinimum(flags);
@@ -150,7 +150,7 @@
     }
 
     private void readMemories() throws HookException {
-        for (int left = reader.readU32(); left > 0; left--) {
+        for (int remaining = reader.readU32(); remaining > 0; remaining--) {
             int flags = reader.readByte();
             int minimum = readMinimum(flags);
             if (flags > FLAG_HAS_MAXIMUM || minimum < 0 || minimum > maxPages) {
--- a/src/main/java/cacheproxy/hooks/WasmFunctionMeter.java
+++ b/src/main/java/cacheproxy/hooks/WasmFunctionMeter.java
@@ -49,7 +49,7 @@
         int groupCount = reader.readU32();
         int groupsStart = reader.position();
         long localCount = parameterCount;
-        for (int left = groupCount; left > 0; left--) {
+        for (int remaining = groupCount; remaining > 0; remaining--) {
             localCount += Integer.toUnsignedLong(reader.readU32());
             reader.skip(1); // type
         }
--- a/src/main/java/cacheproxy/hooks/WasmInstructionReader.java
+++ b/src/main/java/cacheproxy/hooks/WasmInstructionReader.java
@@ -26,18 +26,18 @@
         if (opcode >= WasmOpcode.I32_LOAD && opcode <= WasmOpcode.I64_STORE32) {
             reader.readU32(); // alignment
             reader.readU32(); // offset
-        } else if (takesIndex(opcode)) {
+        } else if (hasIndexImmediate(opcode)) {
             reader.readU32();
         } else if (opcode == WasmOpcode.MEMORY_GROW) {
             reader.skip(1); // memory
             return MEMORY_GROW_COST;
-        } else if (!takesNothing(opcode)) {
+        } else if (!hasNoImmediates(opcode)) {
             skipOtherImmediates(opcode);
         }
         return UNIT_COST;
     }
 
-    private static boolean takesNothing(int opcode) {
+    private static boolean hasNoImmediates(int opcode) {
         if (opcode >= WasmOpcode.I32_EQZ && opcode <= WasmOpcode.I64_EXTEND32_S) {
             return true;
         }
@@ -54,7 +54,7 @@
         };
     }
 
-    private static boolean takesIndex(int opcode) {
+    private static boolean hasIndexImmediate(int opcode) {
         return switch (opcode) {
             case WasmOpcode.BR,
                     WasmOpcode.BR_IF,
@@ -101,13 +101,13 @@
     }
 
     private void skipBranchTable() throws HookException {
-        for (int left = reader.readU32(); left >= 0; left--) { // one more, the default label
+        for (int remaining = reader.readU32(); remaining >= 0; remaining--) { // one more, the default label
             reader.readU32();
         }
     }
 
     private void skipValueTypes() throws HookException {
-        for (int left = reader.readU32(); left > 0; left--) {
+        for (int remaining = reader.readU32(); remaining > 0; remaining--) {
             reader.skip(1);
         }
     }
--- a/src/main/java/cacheproxy/hooks/WasmMeter.java
+++ b/src/main/java/cacheproxy/hooks/WasmMeter.java
@@ -25,10 +25,10 @@
      * A metered module.
      *
      * @param fuelGlobal index of the global that holds the fuel that is left
-     * @param pages of 64 KiB that its memory has at the start; 0: it has no memory
+     * @param initialPages of 64 KiB that its memory has at the start; 0: it has no memory
      */
     @SuppressWarnings("ArrayRecordComponent") // the arrays are read only, and instances are not compared
-    record Metered(byte[] module, int fuelGlobal, int pages) {}
+    record Metered(byte[] module, int fuelGlobal, int initialPages) {}
 
     private WasmMeter(byte[] module, int maxPages, Map<String, String> offeredImports) {
         this.module = module;
@@ -84,14 +84,14 @@
         reader.copyTo(out, 0, PREAMBLE_BYTES);
         boolean globalsWritten = false;
         for (WasmSection section : sections) {
-            boolean globals = section.id() == WasmSection.GLOBAL;
-            if (!globalsWritten && (globals || section.followsGlobals())) {
-                out.writeSection(WasmSection.GLOBAL, globals(section, initialFuel));
+            boolean isGlobalSection = section.id() == WasmSection.GLOBAL;
+            if (!globalsWritten && (isGlobalSection || section.followsGlobals())) {
+                out.writeSection(WasmSection.GLOBAL, meteredGlobals(section, initialFuel));
                 globalsWritten = true;
             }
             if (section.id() == WasmSection.CODE) {
-                out.writeSection(WasmSection.CODE, code(section));
-            } else if (!globals) {
+                out.writeSection(WasmSection.CODE, meteredCode(section));
+            } else if (!isGlobalSection) {
                 WasmWriter content = new WasmWriter();
                 reader.copyTo(content, section.start(), section.end());
                 out.writeSection(section.id(), content);
@@ -104,7 +104,7 @@
     }
 
     /** The module's globals, if this is their section, and the one that holds the fuel. */
-    private WasmWriter globals(WasmSection section, long initialFuel) throws HookException {
+    private WasmWriter meteredGlobals(WasmSection section, long initialFuel) throws HookException {
         WasmWriter content = new WasmWriter();
         content.writeU32(declarations.globalCount() + 1);
         if (section.id() == WasmSection.GLOBAL) {
@@ -120,7 +120,7 @@
         return content;
     }
 
-    private WasmWriter code(WasmSection section) throws HookException {
+    private WasmWriter meteredCode(WasmSection section) throws HookException {
         reader.moveTo(section.start());
         int count = reader.readU32();
         if (count != declarations.functionCount()) {
@@ -138,7 +138,7 @@
             }
             WasmWriter body = new WasmWriter();
             functionMeter.meter(declarations.parameterCount(function), end, body);
-            content.writeSized(body);
+            content.writeLengthPrefixed(body);
         }
         return content;
     }
--- a/src/main/java/cacheproxy/hooks/WasmWriter.java
+++ b/src/main/java/cacheproxy/hooks/WasmWriter.java
@@ -35,7 +35,7 @@
     }
 
     /** Writes another writer's bytes behind their length. */
-    void writeSized(WasmWriter body) {
+    void writeLengthPrefixed(WasmWriter body) {
         writeU32(body.size());
         write(body.toByteArray(), 0, body.size());
     }
@@ -43,6 +43,6 @@
     /** Writes a section: its id, its length and its content. */
     void writeSection(int id, WasmWriter content) {
         write(id);
-        writeSized(content);
+        writeLengthPrefixed(content);
     }
 }
--- a/src/main/java/cacheproxy/htcp/HtcpDecoder.java
+++ b/src/main/java/cacheproxy/htcp/HtcpDecoder.java
@@ -30,11 +30,12 @@
         byte[] data = new byte[dataLength];
         input.get(HtcpCodec.HEADER_LENGTH, data);
         int authStart = HtcpCodec.HEADER_LENGTH + dataLength;
-        HtcpAuth auth = auth(input.slice(authStart, length - authStart));
+        HtcpAuth auth = decodeAuth(input.slice(authStart, length - authStart));
         int opcode = (data[2] & 0xFF) >> 4;
         boolean isResponse = (data[3] & RESPONSE_BIT) != 0;
-        HtcpMessage message =
-                majorVersion == 0 && Opcode.of(opcode) != null ? message(minorVersion, Opcode.of(opcode), data) : null;
+        HtcpMessage message = majorVersion == 0 && Opcode.of(opcode) != null
+                ? decodeMessage(minorVersion, Opcode.of(opcode), data)
+                : null;
         int transactionId = ByteBuffer.wrap(data).getInt(4);
         return new HtcpDatagram(majorVersion, minorVersion, opcode, transactionId, isResponse, message, auth, data);
     }
@@ -56,7 +57,7 @@
     }
 
     /** Decodes AUTH; what follows it is padding. Null where the message is not signed. */
-    private static HtcpAuth auth(ByteBuffer input) throws MalformedMessageException {
+    private static HtcpAuth decodeAuth(ByteBuffer input) throws MalformedMessageException {
         int length = input.getShort(0) & 0xFFFF;
         if (length == HtcpCodec.NO_AUTH_LENGTH) {
             return null;
@@ -68,8 +69,8 @@
         try {
             int signedAtSeconds = auth.getInt();
             int expiresAtSeconds = auth.getInt();
-            String keyName = text(auth);
-            byte[] signature = text(auth).getBytes(StandardCharsets.ISO_8859_1);
+            String keyName = readCountstr(auth);
+            byte[] signature = readCountstr(auth).getBytes(StandardCharsets.ISO_8859_1);
             if (auth.hasRemaining()) {
                 throw new MalformedMessageException("octets behind the signature");
             }
@@ -79,22 +80,23 @@
         }
     }
 
-    private static HtcpMessage message(int minorVersion, Opcode opcode, byte[] data) throws MalformedMessageException {
+    private static HtcpMessage decodeMessage(int minorVersion, Opcode opcode, byte[] data)
+            throws MalformedMessageException {
         int responseCode = data[2] & 15;
         boolean isResponse = (data[3] & RESPONSE_BIT) != 0;
         boolean flag = (data[3] & FLAG_BIT) != 0;
         int transactionId = ByteBuffer.wrap(data).getInt(4);
-        Body body = isResponse && flag ? new Empty() : body(opcode, responseCode, isResponse, data);
+        Body body = isResponse && flag ? new Empty() : decodeBody(opcode, responseCode, isResponse, data);
         return new HtcpMessage(minorVersion, opcode, responseCode, flag, isResponse, transactionId, body);
     }
 
-    private static Body body(Opcode opcode, int responseCode, boolean isResponse, byte[] data)
+    private static Body decodeBody(Opcode opcode, int responseCode, boolean isResponse, byte[] data)
             throws MalformedMessageException {
         ByteBuffer input = ByteBuffer.wrap(
                         data, HtcpCodec.DATA_HEADER_LENGTH, data.length - HtcpCodec.DATA_HEADER_LENGTH)
                 .slice();
         try {
-            Body body = isResponse ? responseBody(opcode, responseCode, input) : requestBody(opcode, input);
+            Body body = isResponse ? decodeResponseBody(opcode, responseCode, input) : decodeRequestBody(opcode, input);
             if (input.hasRemaining()) {
                 throw new MalformedMessageException("octets behind OP-DATA");
             }
@@ -104,47 +106,47 @@
         }
     }
 
-    private static Body requestBody(Opcode opcode, ByteBuffer input) throws MalformedMessageException {
+    private static Body decodeRequestBody(Opcode opcode, ByteBuffer input) throws MalformedMessageException {
         return switch (opcode) {
             case NOP -> new Empty();
-            case TST -> specifier(input);
+            case TST -> readSpecifier(input);
             case MON -> new Monitor(input.get() & 0xFF);
-            case SET -> identity(input);
+            case SET -> readIdentity(input);
             case CLR -> {
                 int reason = input.getShort() & 15; // the other 12 bits are reserved
-                yield new Clear(reason, specifier(input));
+                yield new Clear(reason, readSpecifier(input));
             }
         };
     }
 
-    private static Body responseBody(Opcode opcode, int code, ByteBuffer input) throws MalformedMessageException {
+    private static Body decodeResponseBody(Opcode opcode, int code, ByteBuffer input) throws MalformedMessageException {
         return switch (opcode) {
             case NOP, SET, CLR -> new Empty();
-            case TST -> code == HtcpMessage.TST_PRESENT ? detail(input) : new CacheHeaders(text(input));
-            case MON -> code == HtcpMessage.MON_ACCEPTED ? change(input) : new Empty();
+            case TST -> code == HtcpMessage.TST_PRESENT ? readDetail(input) : new CacheHeaders(readCountstr(input));
+            case MON -> code == HtcpMessage.MON_ACCEPTED ? readChange(input) : new Empty();
         };
     }
 
-    private static Change change(ByteBuffer input) throws MalformedMessageException {
+    private static Change readChange(ByteBuffer input) throws MalformedMessageException {
         int remainingSeconds = input.get() & 0xFF;
         int actionAndReason = input.get() & 0xFF;
-        return new Change(remainingSeconds, actionAndReason >> 4, actionAndReason & 15, identity(input));
+        return new Change(remainingSeconds, actionAndReason >> 4, actionAndReason & 15, readIdentity(input));
     }
 
-    private static Specifier specifier(ByteBuffer input) throws MalformedMessageException {
-        return new Specifier(text(input), text(input), text(input), text(input));
+    private static Specifier readSpecifier(ByteBuffer input) throws MalformedMessageException {
+        return new Specifier(readCountstr(input), readCountstr(input), readCountstr(input), readCountstr(input));
     }
 
-    private static Detail detail(ByteBuffer input) throws MalformedMessageException {
-        return new Detail(text(input), text(input), text(input));
+    private static Detail readDetail(ByteBuffer input) throws MalformedMessageException {
+        return new Detail(readCountstr(input), readCountstr(input), readCountstr(input));
     }
 
-    private static Identity identity(ByteBuffer input) throws MalformedMessageException {
-        return new Identity(specifier(input), detail(input));
+    private static Identity readIdentity(ByteBuffer input) throws MalformedMessageException {
+        return new Identity(readSpecifier(input), readDetail(input));
     }
 
     /** COUNTSTR: a length of 16 bits, which does not count itself, and so many octets. */
-    private static String text(ByteBuffer input) throws MalformedMessageException {
+    private static String readCountstr(ByteBuffer input) throws MalformedMessageException {
         int length = input.getShort() & 0xFFFF;
         if (length > input.remaining()) {
             throw new MalformedMessageException("a string is longer than what holds it");
--- a/src/main/java/cacheproxy/htcp/HtcpEncoder.java
+++ b/src/main/java/cacheproxy/htcp/HtcpEncoder.java
@@ -64,12 +64,12 @@
             if (octets.length > MAX_TEXT_LENGTH) {
                 throw new IllegalArgumentException("a text of " + octets.length + " octets");
             }
-            putCounted(out, octets);
+            putCountstr(out, octets);
         }
     }
 
     /** COUNTSTR: a length of 16 bits, which does not count itself, and so many octets. */
-    private static void putCounted(ByteBuffer out, byte[] octets) {
+    private static void putCountstr(ByteBuffer out, byte[] octets) {
         out.putShort((short) octets.length).put(octets);
     }
 
@@ -91,8 +91,8 @@
                 .putShort((short) authLength);
         if (auth != null) {
             out.putInt(auth.signedAtSeconds()).putInt(auth.expiresAtSeconds());
-            putCounted(out, keyName);
-            putCounted(out, auth.signature());
+            putCountstr(out, keyName);
+            putCountstr(out, auth.signature());
         }
         return out.array();
     }
--- a/src/main/java/cacheproxy/htcp/HtcpSigner.java
+++ b/src/main/java/cacheproxy/htcp/HtcpSigner.java
@@ -57,7 +57,7 @@
                 nowSeconds,
                 expiresAtSeconds,
                 keyName,
-                digest(data, source, destination, 0, nowSeconds, expiresAtSeconds));
+                computeSignature(data, source, destination, 0, nowSeconds, expiresAtSeconds));
     }
 
     /**
@@ -79,7 +79,7 @@
         if (!auth.keyName().equals(keyName)) {
             return Verdict.UNKNOWN_KEY;
         }
-        byte[] expected = digest(
+        byte[] expected = computeSignature(
                 datagram.data(),
                 source,
                 destination,
@@ -102,15 +102,15 @@
         return expiresAt < now || expiresAt < signedAt ? Verdict.EXPIRED : Verdict.VALID;
     }
 
-    private byte[] digest(
+    private byte[] computeSignature(
             byte[] data,
             InetSocketAddress source,
             InetSocketAddress destination,
             int minorVersion,
             int signedAtSeconds,
             int expiresAtSeconds) {
-        update(source);
-        update(destination);
+        updateAddress(source);
+        updateAddress(destination);
         mac.update(ByteBuffer.allocate(10)
                 .put((byte) 0)
                 .put((byte) minorVersion)
@@ -123,7 +123,7 @@
         return mac.doFinal(name);
     }
 
-    private void update(InetSocketAddress address) {
+    private void updateAddress(InetSocketAddress address) {
         mac.update(address.getAddress().getAddress());
         updateShort(address.getPort());
     }
--- a/src/main/java/cacheproxy/policy/AttemptFeedback.java
+++ b/src/main/java/cacheproxy/policy/AttemptFeedback.java
@@ -26,7 +26,7 @@
     /** Records the result of an attempt. */
     void record(double nowMs, PendingRequest pending, ServerState server, AttemptResult result) {
         if (endpoints.isSibling(server)) {
-            siblings.fetched(nowMs, server.id(), result.outcome(), result.elapsedMs());
+            siblings.recordFetch(nowMs, server.id(), result.outcome(), result.elapsedMs());
             return;
         }
         server.markObserved();
--- a/src/main/java/cacheproxy/policy/EndpointList.java
+++ b/src/main/java/cacheproxy/policy/EndpointList.java
@@ -128,7 +128,7 @@
 
     /** Whether a server is a sibling cache. */
     boolean isSibling(ServerState server) {
-        return environment.siblings().is(server.endpoint());
+        return environment.siblings().isSibling(server.endpoint());
     }
 
     /** Returns the placement over the ready cache servers. */
--- a/src/main/java/cacheproxy/routes/FallbackRules.java
+++ b/src/main/java/cacheproxy/routes/FallbackRules.java
@@ -43,17 +43,17 @@
      * twice gains nothing from an early end, as no other pool could take it. A keyed request that may have been
      * executed elsewhere must be sent while its repeats are dropped.
      *
-     * @param last whether no other pool follows
+     * @param isLastPool whether no other pool follows
      * @param clientDeadlineMs when the client gives up
      */
     public static double deadlineMs(
             ServiceClass serviceClass,
             boolean mayHaveRun,
-            boolean last,
+            boolean isLastPool,
             double nowMs,
             double arrivedMs,
             double clientDeadlineMs) {
-        if (serviceClass.idempotency() == Idempotency.IDEMPOTENT && !last) {
+        if (serviceClass.idempotency() == Idempotency.IDEMPOTENT && !isLastPool) {
             return nowMs + (clientDeadlineMs - nowMs) * SHARE_BEFORE_NEXT_POOL;
         }
         if (serviceClass.idempotency() == Idempotency.DEDUPLICATED && mayHaveRun) {
--- a/src/main/java/cacheproxy/routes/KeyShare.java
+++ b/src/main/java/cacheproxy/routes/KeyShare.java
@@ -25,15 +25,15 @@
 
     /** The bucket of a key: FNV-1a over salt and key, then the finalizer of MurmurHash3. */
     public static int bucketOf(String salt, String key) {
-        long hash = fnv(FNV_OFFSET_BASIS, salt);
+        long hash = fnv1a(FNV_OFFSET_BASIS, salt);
         hash = (hash ^ SEPARATOR) * FNV_PRIME;
-        hash = fnv(hash, key);
+        hash = fnv1a(hash, key);
         hash = (hash ^ hash >>> 33) * 0xff51afd7ed558ccdL;
         hash = (hash ^ hash >>> 33) * 0xc4ceb9fe1a85ec53L;
         return (int) Long.remainderUnsigned(hash ^ hash >>> 33, BUCKETS);
     }
 
-    private static long fnv(long start, String text) {
+    private static long fnv1a(long start, String text) {
         long hash = start;
         for (int i = 0; i < text.length(); i++) {
             hash = (hash ^ text.charAt(i)) * FNV_PRIME;
--- a/src/main/java/cacheproxy/routes/PathKey.java
+++ b/src/main/java/cacheproxy/routes/PathKey.java
@@ -41,8 +41,8 @@
     private static int hostLength(String key) {
         int slash = key.indexOf('/');
         int question = key.indexOf('?');
-        boolean slashIsOfQuery = question >= 0 && question < slash;
-        return slash <= 0 || slashIsOfQuery ? 0 : slash;
+        boolean slashIsInQuery = question >= 0 && question < slash;
+        return slash <= 0 || slashIsInQuery ? 0 : slash;
     }
 
     private static String normalizeHost(String text) {
--- a/src/main/java/cacheproxy/routes/PlacementTemplate.java
+++ b/src/main/java/cacheproxy/routes/PlacementTemplate.java
@@ -111,13 +111,13 @@
             values[i] = isLiteral ? parts[i].getBytes(StandardCharsets.UTF_8) : value(parts[i], input, route, poolKey);
             length += values[i].length;
         }
-        byte[] all = new byte[length];
+        byte[] concatenated = new byte[length];
         int offset = 0;
         for (byte[] value : values) {
-            System.arraycopy(value, 0, all, offset, value.length);
+            System.arraycopy(value, 0, concatenated, offset, value.length);
             offset += value.length;
         }
-        return all;
+        return concatenated;
     }
 
     private static byte[] value(String variable, RouteInput input, Route route, String poolKey) {
--- a/src/main/java/cacheproxy/routes/RouteConditions.java
+++ b/src/main/java/cacheproxy/routes/RouteConditions.java
@@ -74,10 +74,10 @@
 
     /** Whether a request meets all conditions but those on the host, the exact key and the prefix. */
     boolean matchesBeyondIndex(RouteInput input) {
-        return isForKind(input) && matchesPatterns(input.key()) && (share == null || share.contains(input));
+        return matchesAttributes(input) && matchesPatterns(input.key()) && (share == null || share.contains(input));
     }
 
-    private boolean isForKind(RouteInput input) {
+    private boolean matchesAttributes(RouteInput input) {
         return (write == null || write == input.write())
                 && (classes.isEmpty() || classes.contains(input.serviceClass()))
                 && (tenants.isEmpty() || tenants.contains(input.tenant()))
@@ -102,9 +102,9 @@
         if (keyMismatch != null) {
             return keyMismatch;
         }
-        String kindMismatch = kindMismatch(input);
-        if (kindMismatch != null) {
-            return kindMismatch;
+        String attributeMismatch = attributeMismatch(input);
+        if (attributeMismatch != null) {
+            return attributeMismatch;
         }
         return share == null || share.contains(input) ? null : share.mismatch(input);
     }
@@ -124,7 +124,7 @@
         return null;
     }
 
-    private String kindMismatch(RouteInput input) {
+    private String attributeMismatch(RouteInput input) {
         if (write != null && write != input.write()) {
             return write ? "not a write" : "not a read";
         }
--- a/src/main/java/cacheproxy/routes/RouteExplanation.java
+++ b/src/main/java/cacheproxy/routes/RouteExplanation.java
@@ -52,7 +52,7 @@
         }
 
         /** Where the request goes, for the first line. */
-        private String server(RouteInput input, Route route, String poolKey) {
+        private String firstServer(RouteInput input, Route route, String poolKey) {
             if (!hasStaticServers) {
                 return "? (from discovery)";
             }
@@ -102,29 +102,29 @@
         if (route.action() instanceof Route.Reject reject) {
             return prefix + " answer=refused after=" + Math.round(reject.retryAfterMs()) + "ms";
         }
-        if (!(route.action() instanceof Route.ToPools to)) {
+        if (!(route.action() instanceof Route.ToPools toPools)) {
             return prefix + " answer=failed";
         }
         String key = route.poolKey(input);
         if (key == null) {
             return prefix + " answer=rejected (its rewrite makes no legal key)";
         }
-        String poolName = to.pools().get(0);
+        String poolName = toPools.pools().get(0);
         return prefix + " pool=" + poolName + " server="
-                + pools.get(poolName).server(input, route, key)
+                + pools.get(poolName).firstServer(input, route, key)
                 + (key.equals(input.rawKey()) ? "" : " key=" + key);
     }
 
     /** A line for each pool that may get the request, in the order in which they are tried. */
     private List<String> rankings(RouteInput input, Route route) {
-        if (route == null || !(route.action() instanceof Route.ToPools to)) {
+        if (route == null || !(route.action() instanceof Route.ToPools toPools)) {
             return List.of();
         }
         String key = route.poolKey(input);
         if (key == null) {
             return List.of();
         }
-        List<String> chain = new ArrayList<>(to.pools());
+        List<String> chain = new ArrayList<>(toPools.pools());
         pools.get(chain.get(chain.size() - 1)).fallbackChain().stream()
                 .filter(name -> !chain.contains(name))
                 .forEach(chain::add);
--- a/src/main/java/cacheproxy/routes/RouteTable.java
+++ b/src/main/java/cacheproxy/routes/RouteTable.java
@@ -47,10 +47,10 @@
             (host == null ? anyHost : byHost.computeIfAbsent(host, absent -> new ArrayList<>())).add(route);
         }
         anyHostTiers = tiers(anyHost);
-        byHost.forEach((host, own) -> {
-            own.addAll(anyHost);
-            own.sort(Route::compare);
-            tiersByHost.put(host, tiers(own));
+        byHost.forEach((host, hostRoutes) -> {
+            hostRoutes.addAll(anyHost);
+            hostRoutes.sort(Route::compare);
+            tiersByHost.put(host, tiers(hostRoutes));
         });
     }
 
--- a/src/main/java/cacheproxy/siblings/CacheDigest.java
+++ b/src/main/java/cacheproxy/siblings/CacheDigest.java
@@ -168,9 +168,9 @@
     /** Where to write a key: its own entry, else the first empty one of its bucket, else the oldest. */
     private int indexToWrite(long key, int nowTick) {
         int start = bucketStart(key);
-        int own = find(key, start);
-        if (own >= 0) {
-            return own;
+        int existing = find(key, start);
+        if (existing >= 0) {
+            return existing;
         }
         int oldest = start;
         for (int i = start; i < start + BUCKET_SIZE; i++) {
--- a/src/main/java/cacheproxy/siblings/PendingQueries.java
+++ b/src/main/java/cacheproxy/siblings/PendingQueries.java
@@ -46,7 +46,7 @@
      * @return the query; null where as many as allowed are known already
      */
     public PendingQuery<A> open(double nowMs, String key, Iterable<A> queried, double waitMs) {
-        queryByNumber.values().removeIf(query -> isForgotten(query, nowMs));
+        queryByNumber.values().removeIf(query -> isExpired(query, nowMs));
         if (queryByNumber.size() >= maxQueries) {
             return null;
         }
@@ -65,14 +65,14 @@
      */
     public Reply matchReply(double nowMs, int number, A from, String key, boolean hit) {
         PendingQuery<A> query = queryByNumber.get(number);
-        ReplyVerdict verdict = query == null || isForgotten(query, nowMs)
+        ReplyVerdict verdict = query == null || isExpired(query, nowMs)
                 ? ReplyVerdict.UNKNOWN_QUERY
                 : query.accept(nowMs, from, key, hit);
         countByVerdict.merge(verdict, 1L, Long::sum);
         return new Reply(verdict, query == null ? Double.NaN : nowMs - query.sentMs());
     }
 
-    private boolean isForgotten(PendingQuery<A> query, double nowMs) {
+    private boolean isExpired(PendingQuery<A> query, double nowMs) {
         return nowMs > query.deadlineMs() + retentionMs;
     }
 
--- a/src/main/java/cacheproxy/siblings/PendingQuery.java
+++ b/src/main/java/cacheproxy/siblings/PendingQuery.java
@@ -12,7 +12,7 @@
 public final class PendingQuery<A> {
     private final int number;
     private final String key;
-    private final Map<A, Boolean> isAwaited = new LinkedHashMap<>();
+    private final Map<A, Boolean> awaitedByAddress = new LinkedHashMap<>();
     private final double sentMs;
     private final double deadlineMs;
     private int awaitedReplies;
@@ -21,8 +21,8 @@
     PendingQuery(int number, String key, Iterable<A> queried, double nowMs, double waitMs) {
         this.number = number;
         this.key = key;
-        queried.forEach(address -> isAwaited.put(address, true));
-        awaitedReplies = isAwaited.size();
+        queried.forEach(address -> awaitedByAddress.put(address, true));
+        awaitedReplies = awaitedByAddress.size();
         sentMs = nowMs;
         deadlineMs = nowMs + waitMs;
     }
@@ -54,7 +54,7 @@
 
     /** Takes a reply with this query's number; {@code replyKey} is null where the protocol does not repeat the key. */
     ReplyVerdict accept(double nowMs, A from, String replyKey, boolean hit) {
-        Boolean awaited = isAwaited.get(from);
+        Boolean awaited = awaitedByAddress.get(from);
         if (awaited == null) {
             return ReplyVerdict.NOT_QUERIED;
         }
@@ -64,7 +64,7 @@
         if (!awaited) {
             return ReplyVerdict.DUPLICATE;
         }
-        isAwaited.put(from, false);
+        awaitedByAddress.put(from, false);
         awaitedReplies--;
         return closed || nowMs > deadlineMs ? ReplyVerdict.LATE : acceptInTime(hit);
     }
--- a/src/main/java/cacheproxy/siblings/SiblingQueryPolicy.java
+++ b/src/main/java/cacheproxy/siblings/SiblingQueryPolicy.java
@@ -66,10 +66,10 @@
             missProbability *= 1 - stats.valueRate();
         }
         double savedMs = originFetchMs * Math.min(MAX_ORIGIN_PRESSURE, Math.max(1, originPressure)) - siblingFetchMs;
-        boolean pays = (1 - missProbability) * savedMs > missProbability * waitMs;
+        boolean savesTime = (1 - missProbability) * savedMs > missProbability * waitMs;
         boolean valueArrivesInTime = waitMs + siblingFetchMs <= remainingMs;
-        boolean explores = randomDraw * EXPLORATION_INTERVAL < 1;
-        return valueArrivesInTime && (pays || explores) ? new Plan(List.copyOf(queried), waitMs) : Plan.NONE;
+        boolean isExploration = randomDraw * EXPLORATION_INTERVAL < 1;
+        return valueArrivesInTime && (savesTime || isExploration) ? new Plan(List.copyOf(queried), waitMs) : Plan.NONE;
     }
 
     /** The eligible siblings that return a value most often, the best one first. */
--- a/src/main/java/cacheproxy/siblings/Siblings.java
+++ b/src/main/java/cacheproxy/siblings/Siblings.java
@@ -11,7 +11,7 @@
     /** A pool without siblings. */
     Siblings NONE = new Siblings() {
         @Override
-        public boolean is(Endpoint member) {
+        public boolean isSibling(Endpoint member) {
             return false;
         }
 
@@ -21,11 +21,11 @@
         }
 
         @Override
-        public void fetched(double nowMs, int siblingId, AttemptOutcome outcome, double elapsedMs) {}
+        public void recordFetch(double nowMs, int siblingId, AttemptOutcome outcome, double elapsedMs) {}
     };
 
     /** Whether this endpoint is a sibling; keys are never placed at one. */
-    boolean is(Endpoint member);
+    boolean isSibling(Endpoint endpoint);
 
     /**
      * How long to wait for siblings' replies about one key, in milliseconds; 0: they are not to be queried.
@@ -37,5 +37,5 @@
     double waitMs(double nowMs, double originFetchMs, double remainingMs, double originPressure);
 
     /** Records how a fetch from a sibling that had reported a hit ended. */
-    void fetched(double nowMs, int siblingId, AttemptOutcome outcome, double elapsedMs);
+    void recordFetch(double nowMs, int siblingId, AttemptOutcome outcome, double elapsedMs);
 }
--- a/src/test/java/cacheproxy/hooks/HookInstanceTest.java
+++ b/src/test/java/cacheproxy/hooks/HookInstanceTest.java
@@ -22,8 +22,8 @@
 
 /** Modules one by one, without a daemon: what loads, what a call may cost, what comes of hostile ones. */
 class HookInstanceTest {
-    private static final Path HOSTILE = Path.of("src/test/resources/hooks");
-    private static final Path KIT = Path.of("hooks");
+    private static final Path HOSTILE_HOOKS_DIR = Path.of("src/test/resources/hooks");
+    private static final Path SAMPLE_HOOKS_DIR = Path.of("hooks");
     private static final HookCall CALL = new HookCall("A:7/vi", "page", "red", false, false, 500);
 
     private static HookModule.Limits limits(boolean compiled) {
@@ -40,9 +40,9 @@
 
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
-    void runsModulesOfTheKit(boolean compiled) throws Exception {
-        HookInstance keys = start(bytes(KIT, "key-schemes"), "", compiled);
-        for (String[] pair : new String[][] {
+    void runsTheSampleHooks(boolean compiled) throws Exception {
+        HookInstance keys = start(bytes(SAMPLE_HOOKS_DIR, "key-schemes"), "", compiled);
+        for (String[] expectation : new String[][] {
             {"A:7/vi", "sub/7/vi"},
             {"b-7-vi", "sub/7/vi"},
             {"C|vi|7", "sub/7/vi"},
@@ -50,11 +50,11 @@
             {"other", null},
             {"A:", null}
         }) {
-            HookOrders orders = keys.call(new HookCall(pair[0], "page", "red", false, false, 500))
+            HookOrders orders = keys.call(new HookCall(expectation[0], "page", "red", false, false, 500))
                     .orders();
-            assertThat(orders.key()).as(pair[0]).isEqualTo(pair[1]);
+            assertThat(orders.key()).as(expectation[0]).isEqualTo(expectation[1]);
         }
-        HookInstance classes = start(bytes(KIT, "class-by-suffix"), ".vtt=page\n.post=submit\n", compiled);
+        HookInstance classes = start(bytes(SAMPLE_HOOKS_DIR, "class-by-suffix"), ".vtt=page\n.post=submit\n", compiled);
         assertThat(classes.call(new HookCall("x.post", "page", "", true, false, 1))
                         .orders()
                         .serviceClass())
@@ -65,7 +65,7 @@
                 .isEqualTo("page");
         assertThat(classes.call(new HookCall("vtt", "page", "", true, false, 1)).orders())
                 .isEqualTo(HookOrders.NONE);
-        HookInstance tenants = start(bytes(KIT, "tenant-list"), "blue\nred", compiled);
+        HookInstance tenants = start(bytes(SAMPLE_HOOKS_DIR, "tenant-list"), "blue\nred", compiled);
         assertThat(tenants.call(CALL).orders().refuseMs()).isEqualTo(1000);
         assertThat(tenants.call(new HookCall("k", "page", "re", false, false, 5))
                         .orders())
@@ -73,9 +73,9 @@
     }
 
     @Test
-    void keepsBuiltModulesInStepWithTheirSources() throws Exception {
+    void builtModulesMatchTheirSources() throws Exception {
         int modules = 0;
-        for (Path dir : List.of(KIT, HOSTILE)) {
+        for (Path dir : List.of(SAMPLE_HOOKS_DIR, HOSTILE_HOOKS_DIR)) {
             try (Stream<Path> files = Files.list(dir)) {
                 for (Path source :
                         files.filter(file -> file.toString().endsWith(".wat")).toList()) {
@@ -94,8 +94,8 @@
     @Test
     void takesSameFuelCompiledAndInterpreted() throws Exception {
         for (String name : List.of("key-schemes", "tenant-list", "class-by-suffix")) {
-            HookInstance compiled = start(bytes(KIT, name), ".vtt=page\nred", true);
-            HookInstance interpreted = start(bytes(KIT, name), ".vtt=page\nred", false);
+            HookInstance compiled = start(bytes(SAMPLE_HOOKS_DIR, name), ".vtt=page\nred", true);
+            HookInstance interpreted = start(bytes(SAMPLE_HOOKS_DIR, name), ".vtt=page\nred", false);
             for (String key : List.of("A:7/vi", "b-123456-vi", "x.vtt", "")) {
                 HookCall call = new HookCall(key, "page", "red", true, false, 9);
                 long fuel = compiled.call(call).fuel();
@@ -126,14 +126,14 @@
                 "steals-fuel | used up its fuel",
                 "copies | used up its fuel"
             })
-    void reportsWhyHostileCallFails(String name, String why) throws Exception {
+    void reportsWhyHostileCallFails(String name, String expectedMessages) throws Exception {
         for (boolean compiled : new boolean[] {true, false}) {
-            HookInstance hook = start(bytes(HOSTILE, name), "x", compiled);
+            HookInstance hook = start(bytes(HOSTILE_HOOKS_DIR, name), "x", compiled);
             assertThatThrownBy(() -> hook.call(CALL))
                     .as(name)
                     .isInstanceOf(HookException.class)
-                    .satisfies(thrown -> assertThat(why.split(";"))
-                            .anyMatch(part -> thrown.getMessage().contains(part.trim())));
+                    .satisfies(thrown -> assertThat(expectedMessages.split(";"))
+                            .anyMatch(expected -> thrown.getMessage().contains(expected.trim())));
         }
     }
 
@@ -152,23 +152,23 @@
                 "no-load | on_load returned 7",
                 "no-memory | memory"
             })
-    void reportsWhyHostileModuleDoesNotLoad(String name, String why) throws Exception {
+    void reportsWhyHostileModuleDoesNotLoad(String name, String expectedMessage) throws Exception {
         for (boolean compiled : new boolean[] {true, false}) {
-            byte[] module = bytes(HOSTILE, name);
+            byte[] module = bytes(HOSTILE_HOOKS_DIR, name);
             assertThatThrownBy(() -> start(module, "", compiled))
                     .as(name)
                     .isInstanceOf(HookException.class)
-                    .hasMessageContaining(why);
+                    .hasMessageContaining(expectedMessage);
         }
     }
 
     @Test
     void rejectsTruncatedForeignAndOversizedModulesAndSurvivesMutatedOnes() throws Exception {
-        byte[] whole = bytes(KIT, "key-schemes");
-        for (int length = 0; length < whole.length - 50; length++) {
-            byte[] cut = Arrays.copyOf(whole, length);
+        byte[] module = bytes(SAMPLE_HOOKS_DIR, "key-schemes");
+        for (int length = 0; length < module.length - 50; length++) {
+            byte[] truncated = Arrays.copyOf(module, length);
             boolean compiled = length % 2 == 0;
-            assertThatThrownBy(() -> start(cut, "", compiled))
+            assertThatThrownBy(() -> start(truncated, "", compiled))
                     .as("cut at " + length)
                     .isInstanceOf(HookException.class);
         }
@@ -177,7 +177,7 @@
         assertThatThrownBy(() -> start(new byte[64 << 20], "", true)).hasMessageContaining("at most");
         SplittableRandom random = new SplittableRandom(5);
         for (int i = 0; i < 3000; i++) {
-            byte[] mutated = whole.clone();
+            byte[] mutated = module.clone();
             mutated[8 + random.nextInt(mutated.length - 60)] = (byte) random.nextInt();
             try {
                 start(mutated, "", i % 4 == 0).call(CALL);
@@ -192,16 +192,18 @@
     @ValueSource(booleans = {true, false})
     void interruptsCallThatTakesTooLong(boolean compiled) throws Exception {
         HookModule module = HookModule.load(
-                bytes(HOSTILE, "spin"), new HookModule.Limits(16, Long.MAX_VALUE, 1_000_000, 20, compiled), "");
+                bytes(HOSTILE_HOOKS_DIR, "spin"),
+                new HookModule.Limits(16, Long.MAX_VALUE, 1_000_000, 20, compiled),
+                "");
         HookInstance hook = new HookInstance(module, () -> 42);
         CountDownLatch running = new CountDownLatch(1);
-        AtomicReference<String> why = new AtomicReference<>();
+        AtomicReference<String> message = new AtomicReference<>();
         Thread caller = new Thread(() -> {
             running.countDown();
             try {
                 hook.call(CALL);
             } catch (HookException e) {
-                why.set(e.getMessage());
+                message.set(e.getMessage());
             }
         });
         caller.setDaemon(true);
@@ -211,13 +213,13 @@
             caller.interrupt(); // the call may not have begun
             caller.join(10);
         }
-        assertThat(why.get()).isEqualTo("it took longer than 20.0 ms");
+        assertThat(message.get()).isEqualTo("it took longer than 20.0 ms");
     }
 
     /** The global that counts is added behind the module's own: it must not be able to name it. */
     @Test
     void rejectsModuleThatNamesTheFuelGlobal() throws Exception {
-        byte[] module = bytes(HOSTILE, "steals-fuel");
+        byte[] module = bytes(HOSTILE_HOOKS_DIR, "steals-fuel");
         int globalSet = -1;
         for (int i = 8; i < module.length - 1; i++) {
             globalSet = module[i] == 0x24 && module[i + 1] == 0 ? i : globalSet;
@@ -233,25 +235,27 @@
 
     @Test
     void notifiesModuleOfAnswers() throws Exception {
-        HookInstance answers = start(bytes(HOSTILE, "answers"), "", true);
+        HookInstance answers = start(bytes(HOSTILE_HOOKS_DIR, "answers"), "", true);
         assertThat(answers.wantsAnswers()).isTrue();
         assertThat(answers.notifyAnswer(CALL, HookCall.Answer.SERVED, 7)).containsExactly("served");
         assertThat(answers.notifyAnswer(CALL, HookCall.Answer.REFUSED, 7)).containsExactly("refuse");
-        assertThat(start(bytes(HOSTILE, "idle"), "", true).wantsAnswers()).isFalse();
+        assertThat(start(bytes(HOSTILE_HOOKS_DIR, "idle"), "", true).wantsAnswers())
+                .isFalse();
         assertThat(new HookCall("", "", "", false, false, 0).encode(HookCall.Answer.FAILED, 258))
                 .containsExactly(1, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 3, 2, 1, 0, 0);
     }
 
     @Test
     void boundsMemoryAndLogLines() throws Exception {
-        HookInstance.Result touch =
-                start(bytes(HOSTILE, "grow-touch"), "", true).call(CALL);
-        assertThat(touch.orders()).isEqualTo(HookOrders.NONE);
-        assertThat(touch.fuel())
+        HookInstance.Result result =
+                start(bytes(HOSTILE_HOOKS_DIR, "grow-touch"), "", true).call(CALL);
+        assertThat(result.orders()).isEqualTo(HookOrders.NONE);
+        assertThat(result.fuel())
                 .as("growing costs 4096, filling 65,536 bytes as much")
                 .isBetween(8192L, 8300L);
-        assertThat(start(bytes(HOSTILE, "grow"), "", true).call(CALL).orders()).isEqualTo(HookOrders.NONE);
-        HookInstance logs = start(bytes(HOSTILE, "logs"), "", true);
+        assertThat(start(bytes(HOSTILE_HOOKS_DIR, "grow"), "", true).call(CALL).orders())
+                .isEqualTo(HookOrders.NONE);
+        HookInstance logs = start(bytes(HOSTILE_HOOKS_DIR, "logs"), "", true);
         assertThatThrownBy(() -> logs.call(CALL)).isInstanceOf(HookException.class);
         assertThat(logs.lastLogLines()).hasSize(HookHost.MAX_LOG_LINES).allMatch(line -> line.length() <= 200);
     }
--- a/src/test/java/cacheproxy/hooks/HookRulesTest.java
+++ b/src/test/java/cacheproxy/hooks/HookRulesTest.java
@@ -23,7 +23,7 @@
             List.of("red"),
             Set.of("r"));
 
-    private static HookOrders toClass(String name) {
+    private static HookOrders ordersClass(String name) {
         return new HookOrders(null, name, null, null, 0, null, 0);
     }
 
@@ -31,9 +31,11 @@
     void allowsOnlyClassesAtLeastAsStrict() {
         String[] names = {"safe", "keyed", "unsafe"};
         for (int sent = 0; sent < 3; sent++) {
-            for (int to = 0; to < 3; to++) {
-                String why = rules.violation(toClass(names[to]), sent, 100);
-                assertThat(why == null).as(names[sent] + " to " + names[to]).isEqualTo(to >= sent);
+            for (int ordered = 0; ordered < 3; ordered++) {
+                String violation = rules.violation(ordersClass(names[ordered]), sent, 100);
+                assertThat(violation == null)
+                        .as(names[sent] + " to " + names[ordered])
+                        .isEqualTo(ordered >= sent);
             }
         }
     }
@@ -52,6 +54,6 @@
                 .contains("no route 'q'");
         assertThat(rules.violation(new HookOrders(null, null, null, null, 0, null, 10), 0, 9))
                 .contains("only be shortened");
-        assertThat(rules.violation(toClass("nosuch"), 0, 9)).contains("no class 'nosuch'");
+        assertThat(rules.violation(ordersClass("nosuch"), 0, 9)).contains("no class 'nosuch'");
     }
 }
--- a/src/test/java/cacheproxy/hooks/WasmMeterGoldenBytesTest.java
+++ b/src/test/java/cacheproxy/hooks/WasmMeterGoldenBytesTest.java
@@ -36,7 +36,7 @@
         try {
             WasmMeter.Metered metered = WasmMeter.meter(module, MAX_PAGES, HookAbi.OFFERED_IMPORTS, INITIAL_FUEL);
             return HookModule.sha256Hex(metered.module()) + " fuelGlobal=" + metered.fuelGlobal() + " pages="
-                    + metered.pages();
+                    + metered.initialPages();
         } catch (HookException e) {
             return "HookException: " + e.getMessage();
         }
--- a/src/test/java/cacheproxy/htcp/HtcpCodecTest.java
+++ b/src/test/java/cacheproxy/htcp/HtcpCodecTest.java
@@ -97,9 +97,10 @@
         assertThat(decode(bytes).message()).isEqualTo(message);
         HtcpMessage change = message.respond(
                 HtcpMessage.MON_ACCEPTED, new Change(200, 3, 5, new Identity(GET, new Detail("", "", ""))));
-        byte[] told = hex("0025 00 00 001f 20 01 00000001 c8 35 0003474554 000161 0003312e31 0000 0000 0000 0000 0002");
-        assertThat(encode(change)).isEqualTo(told);
-        assertThat(decode(told).message()).isEqualTo(change);
+        byte[] notification =
+                hex("0025 00 00 001f 20 01 00000001 c8 35 0003474554 000161 0003312e31 0000 0000 0000 0000 0002");
+        assertThat(encode(change)).isEqualTo(notification);
+        assertThat(decode(notification).message()).isEqualTo(change);
         assertThat(decode(hex("000e 00 00 0008 21 01 00000001 0002")).message().responseCode())
                 .isEqualTo(HtcpMessage.MON_REFUSED);
     }
@@ -121,13 +122,13 @@
     /** A major version that is not known can be told of, by its transaction; so can an opcode. */
     @Test
     void decodesUnknownVersionsAndOpcodesAsFarAsAResponseNeeds() throws Exception {
-        HtcpDatagram other = decode(hex("000e 01 07 0008 f0 02 0a0b0c0d 0002"));
-        assertThat(other.majorVersion()).isEqualTo(1);
-        assertThat(other.message()).isNull();
-        assertThat(other.transactionId()).isEqualTo(0x0a0b0c0d);
-        HtcpDatagram opcode = decode(hex("000e 00 00 0008 50 02 0a0b0c0d 0002"));
-        assertThat(opcode.message()).isNull();
-        assertThat(opcode.opcode()).isEqualTo(5);
+        HtcpDatagram unknownVersion = decode(hex("000e 01 07 0008 f0 02 0a0b0c0d 0002"));
+        assertThat(unknownVersion.majorVersion()).isEqualTo(1);
+        assertThat(unknownVersion.message()).isNull();
+        assertThat(unknownVersion.transactionId()).isEqualTo(0x0a0b0c0d);
+        HtcpDatagram unknownOpcode = decode(hex("000e 00 00 0008 50 02 0a0b0c0d 0002"));
+        assertThat(unknownOpcode.message()).isNull();
+        assertThat(unknownOpcode.opcode()).isEqualTo(5);
         assertThat(decode(hex("000e 00 09 0008 00 02 0a0b0c0d 0002")).message().minorVersion())
                 .isEqualTo(9);
         // Octets behind AUTH are padding; reserved bits of DATA say nothing.
@@ -160,10 +161,10 @@
                 "001a 00 00 0008 00 02 0a0b0c0d 000e 00000000 00000000 0003 0000 | a string is longer",
                 "001b 00 00 0008 00 02 0a0b0c0d 000f 00000000 00000000 0000 0000 00 | octets behind the signature"
             })
-    void rejectsTruncatedOverlongAndInconsistentDatagrams(String bytes, String why) {
+    void rejectsTruncatedOverlongAndInconsistentDatagrams(String bytes, String expectedMessage) {
         assertThatThrownBy(() -> decode(hex(bytes)))
                 .isInstanceOf(MalformedMessageException.class)
-                .hasMessageContaining(why);
+                .hasMessageContaining(expectedMessage);
     }
 
     @SuppressWarnings("EnumOrdinal") // draws a constant, or checks its code on the wire
@@ -172,10 +173,10 @@
         SplittableRandom random = new SplittableRandom(3);
         HtcpSigner signer = new HtcpSigner("k", new byte[] {1});
         Body[] bodies = {new Empty(), GET, new Monitor(9), new Identity(GET, DETAIL), new Clear(1, GET)};
-        int read = 0;
+        int decodedCount = 0;
         for (int i = 0; i < 60_000; i++) {
-            int op = random.nextInt(5);
-            byte[] data = HtcpCodec.encodeData(HtcpMessage.request(Opcode.values()[op], i, bodies[op]));
+            int opcode = random.nextInt(5);
+            byte[] data = HtcpCodec.encodeData(HtcpMessage.request(Opcode.values()[opcode], i, bodies[opcode]));
             byte[] bytes =
                     HtcpCodec.encodeDatagram(data, random.nextBoolean() ? null : signer.sign(data, HERE, THERE, i, 60));
             for (int remaining = random.nextInt(3); remaining > 0; remaining--) {
@@ -195,12 +196,12 @@
                     assertThat(decode(encode(datagram.message())).message().body())
                             .isEqualTo(datagram.message().body());
                 }
-                read++;
+                decodedCount++;
             } catch (MalformedMessageException e) {
                 assertThat(e.getMessage()).isNotBlank();
             }
         }
-        assertThat(read).isBetween(10_000, 55_000);
+        assertThat(decodedCount).isBetween(10_000, 55_000);
     }
 
     // ---- signatures
@@ -210,14 +211,14 @@
     void signatureCoversTheFieldsOfTheRfc() throws Exception {
         byte[] data = HtcpCodec.encodeData(HtcpMessage.request(Opcode.TST, 1, GET));
         byte[] secret = "secret".getBytes(StandardCharsets.US_ASCII);
-        ByteBuffer text = ByteBuffer.allocate(200)
+        ByteBuffer signedOctets = ByteBuffer.allocate(200)
                 .put(hex("7f000001 12db 7f000002 12dc 00 00 00000064 000000a0"))
                 .put(data)
                 .put(hex("0003"))
                 .put("key".getBytes(StandardCharsets.US_ASCII));
         Mac mac = Mac.getInstance("HmacMD5");
         mac.init(new SecretKeySpec(secret, "HmacMD5"));
-        mac.update(text.array(), 0, text.position());
+        mac.update(signedOctets.array(), 0, signedOctets.position());
         HtcpAuth auth = new HtcpSigner("key", secret).sign(data, HERE, THERE, 100, 60);
         assertThat(auth).isEqualTo(new HtcpAuth(100, 160, "key", mac.doFinal()));
         byte[] datagram = HtcpCodec.encodeDatagram(data, auth);
@@ -248,17 +249,18 @@
                 .isEqualTo(HtcpSigner.Verdict.UNKNOWN_KEY);
         assertThat(signer.verify(decode(HtcpCodec.encodeDatagram(data, null)), HERE, THERE, 1000, 5))
                 .isEqualTo(HtcpSigner.Verdict.NOT_SIGNED);
-        int good = 0;
+        int acceptedCount = 0;
         for (int bit = 16; bit < bytes.length * 8; bit++) {
-            byte[] bad = bytes.clone();
-            bad[bit / 8] ^= (byte) (1 << bit % 8);
+            byte[] corrupted = bytes.clone();
+            corrupted[bit / 8] ^= (byte) (1 << bit % 8);
             try {
-                good += signer.verify(decode(bad), HERE, THERE, 1000, 5) == HtcpSigner.Verdict.VALID ? 1 : 0;
+                acceptedCount +=
+                        signer.verify(decode(corrupted), HERE, THERE, 1000, 5) == HtcpSigner.Verdict.VALID ? 1 : 0;
             } catch (MalformedMessageException e) {
                 // dropped
             }
         }
-        assertThat(good)
+        assertThat(acceptedCount)
                 .as("forged by one bit; the major version's are told apart before")
                 .isLessThanOrEqualTo(8);
     }
--- a/src/test/java/cacheproxy/htcp/HtcpGoldenBytesTest.java
+++ b/src/test/java/cacheproxy/htcp/HtcpGoldenBytesTest.java
@@ -33,7 +33,7 @@
     }
 
     @Test
-    void aSetAndItsResponsesHaveTheirBytes() throws Exception {
+    void encodesAndDecodesTheGoldenSetAndItsResponses() throws Exception {
         HtcpMessage set = HtcpMessage.request(Opcode.SET, 0x80000007, new Identity(GET, DETAIL));
         assertBytes(
                 set,
@@ -44,7 +44,7 @@
     }
 
     @Test
-    void aClearWithoutAReasonAndItsResponsesHaveTheirBytes() throws Exception {
+    void encodesAndDecodesTheGoldenClearWithoutReasonAndItsResponses() throws Exception {
         HtcpMessage clear =
                 HtcpMessage.request(Opcode.CLR, 1, new Clear(0, new Specifier("HEAD", "a", "1.1", "A: b\r\n")));
         assertBytes(clear, "0026 00 00 0020 40 02 00000001 0000 000448454144 000161 0003312e31 0006413a20620d0a 0002");
@@ -54,7 +54,7 @@
     }
 
     @Test
-    void refusalsHaveTheirBytes() throws Exception {
+    void encodesAndDecodesTheGoldenRejections() throws Exception {
         HtcpMessage test = HtcpMessage.request(Opcode.TST, 1, GET);
         assertBytes(
                 test.respond(HtcpMessage.TST_ABSENT, new CacheHeaders("C: d\r\n")),
@@ -72,7 +72,7 @@
 
     /** The signature is another implementation's HMAC-MD5 of what RFC 2756 lists. */
     @Test
-    void aSignedTestHasItsBytes() throws Exception {
+    void encodesAndVerifiesTheGoldenSignedTest() throws Exception {
         byte[] golden = HexBytes.parse("003c 00 00 0017 10 02 00000001 0003474554 000161 0003312e31 0000"
                 + "0021 00000064 000000a0 00036b6579 0010772fb61cadd0389bba618b29bad08cbc");
         HtcpMessage test = HtcpMessage.request(Opcode.TST, 1, GET);
@@ -80,8 +80,8 @@
         HtcpSigner signer = new HtcpSigner("key", "secret".getBytes(StandardCharsets.US_ASCII));
         assertThat(HtcpCodec.encodeDatagram(data, signer.sign(data, HERE, THERE, 100, 60)))
                 .isEqualTo(golden);
-        HtcpDatagram read = HtcpCodec.decode(golden, 0, golden.length);
-        assertThat(read.message()).isEqualTo(test);
-        assertThat(signer.verify(read, HERE, THERE, 100, 0)).isEqualTo(HtcpSigner.Verdict.VALID);
+        HtcpDatagram decoded = HtcpCodec.decode(golden, 0, golden.length);
+        assertThat(decoded.message()).isEqualTo(test);
+        assertThat(signer.verify(decoded, HERE, THERE, 100, 0)).isEqualTo(HtcpSigner.Verdict.VALID);
     }
 }
--- a/src/test/java/cacheproxy/icp/IcpCodecTest.java
+++ b/src/test/java/cacheproxy/icp/IcpCodecTest.java
@@ -136,18 +136,18 @@
                 "17 02 001a 00000007 00000000 00000000 00000000 78 00 0003 000a | not as long as it says",
                 "17 02 001c 00000007 00000000 00000000 00000000 78 00 0003 000aff00 | not as long as it says"
             })
-    void rejectsTruncatedOverlongAndInconsistentDatagrams(String bytes, String why) {
+    void rejectsTruncatedOverlongAndInconsistentDatagrams(String bytes, String expectedMessage) {
         assertThatThrownBy(() -> decode(hex(bytes)))
                 .isInstanceOf(MalformedMessageException.class)
-                .hasMessageContaining(why);
+                .hasMessageContaining(expectedMessage);
     }
 
     @Test
     void rejectsMessagesLongerThanTheMaximum() throws Exception {
         String url = "u".repeat(IcpMessage.MAX_LENGTH - 25);
-        byte[] most = encode(IcpMessage.query(1, 0, url));
-        assertThat(most).hasSize(IcpMessage.MAX_LENGTH);
-        assertThat(decode(most).url()).isEqualTo(url);
+        byte[] longest = encode(IcpMessage.query(1, 0, url));
+        assertThat(longest).hasSize(IcpMessage.MAX_LENGTH);
+        assertThat(decode(longest).url()).isEqualTo(url);
         assertThatThrownBy(() -> encode(IcpMessage.query(1, 0, url + "u")))
                 .isInstanceOf(IllegalArgumentException.class);
         assertThatThrownBy(() -> decode(new byte[IcpMessage.MAX_LENGTH + 1])).hasMessageContaining("longer than 16384");
@@ -168,7 +168,7 @@
     @EnumSource(Opcode.class)
     void decodesOrRejectsCorruptedDatagrams(Opcode opcode) throws Exception {
         SplittableRandom random = new SplittableRandom(opcode.ordinal());
-        int read = 0;
+        int decodedCount = 0;
         for (int i = 0; i < 20_000; i++) {
             byte[] object = opcode == Opcode.HIT_OBJ ? new byte[random.nextInt(40)] : null;
             byte[] bytes = encode(
@@ -183,12 +183,12 @@
             try {
                 IcpMessage message = IcpCodec.decode(buf);
                 assertThat(decode(encode(message))).usingRecursiveComparison().isEqualTo(message);
-                read++;
+                decodedCount++;
             } catch (MalformedMessageException e) {
                 assertThat(e.getMessage()).isNotBlank();
             }
             assertThat(buf.readerIndex()).as("the caller's buffer is as it was").isZero();
         }
-        assertThat(read).isBetween(1_000, 19_000);
+        assertThat(decodedCount).isBetween(1_000, 19_000);
     }
 }
--- a/src/test/java/cacheproxy/policy/SiblingQueriesTest.java
+++ b/src/test/java/cacheproxy/policy/SiblingQueriesTest.java
@@ -20,7 +20,7 @@
 
     private final Siblings siblings = new Siblings() {
         @Override
-        public boolean is(Endpoint member) {
+        public boolean isSibling(Endpoint member) {
             return member.id() == SIBLING;
         }
 
@@ -31,7 +31,7 @@
         }
 
         @Override
-        public void fetched(double now, int sibling, AttemptOutcome outcome, double elapsedMs) {
+        public void recordFetch(double now, int sibling, AttemptOutcome outcome, double elapsedMs) {
             fetched.add(outcome);
         }
     };
--- a/src/test/java/cacheproxy/routes/FallbackRulesTest.java
+++ b/src/test/java/cacheproxy/routes/FallbackRulesTest.java
@@ -9,7 +9,7 @@
 
 /** Which requests may go on from pool to pool, for every kind of effect. */
 class FallbackRulesTest {
-    private static ServiceClass kind(Idempotency idempotency) {
+    private static ServiceClass serviceClass(Idempotency idempotency) {
         return new ServiceClass(
                 "c",
                 idempotency,
@@ -24,45 +24,47 @@
 
     @Test
     void allowsNextPoolForAnyClassWhenNothingCanHaveRun() {
-        for (Idempotency effect : Idempotency.values()) {
-            assertThat(FallbackRules.mayTryNextPool(kind(effect), false, null, null, 999, 0))
+        for (Idempotency idempotency : Idempotency.values()) {
+            assertThat(FallbackRules.mayTryNextPool(serviceClass(idempotency), false, null, null, 999, 0))
+                    .isTrue();
+            assertThat(FallbackRules.mayReject(serviceClass(idempotency), false))
                     .isTrue();
-            assertThat(FallbackRules.mayReject(kind(effect), false)).isTrue();
         }
     }
 
     @Test
     void allowsNextPoolAfterPossibleExecutionOnlyIfSafeOrDeduplicated() {
-        assertThat(FallbackRules.mayTryNextPool(kind(Idempotency.IDEMPOTENT), true, null, null, 5000, 0))
+        assertThat(FallbackRules.mayTryNextPool(serviceClass(Idempotency.IDEMPOTENT), true, null, null, 5000, 0))
                 .isTrue();
-        assertThat(FallbackRules.mayTryNextPool(kind(Idempotency.NON_IDEMPOTENT), true, "g", "g", 0, 0))
+        assertThat(FallbackRules.mayTryNextPool(serviceClass(Idempotency.NON_IDEMPOTENT), true, "g", "g", 0, 0))
                 .isFalse();
-        assertThat(FallbackRules.mayTryNextPool(kind(Idempotency.DEDUPLICATED), true, "g", "g", 1499, 0))
+        assertThat(FallbackRules.mayTryNextPool(serviceClass(Idempotency.DEDUPLICATED), true, "g", "g", 1499, 0))
                 .isTrue();
-        assertThat(FallbackRules.mayTryNextPool(kind(Idempotency.DEDUPLICATED), true, "g", "g", 1500, 0))
+        assertThat(FallbackRules.mayTryNextPool(serviceClass(Idempotency.DEDUPLICATED), true, "g", "g", 1500, 0))
                 .isFalse();
-        assertThat(FallbackRules.mayTryNextPool(kind(Idempotency.DEDUPLICATED), true, "g", "h", 1, 0))
+        assertThat(FallbackRules.mayTryNextPool(serviceClass(Idempotency.DEDUPLICATED), true, "g", "h", 1, 0))
                 .isFalse();
-        assertThat(FallbackRules.mayTryNextPool(kind(Idempotency.DEDUPLICATED), true, null, null, 1, 0))
+        assertThat(FallbackRules.mayTryNextPool(serviceClass(Idempotency.DEDUPLICATED), true, null, null, 1, 0))
                 .isFalse();
-        assertThat(FallbackRules.mayReject(kind(Idempotency.IDEMPOTENT), true)).isTrue();
-        assertThat(FallbackRules.mayReject(kind(Idempotency.DEDUPLICATED), true))
+        assertThat(FallbackRules.mayReject(serviceClass(Idempotency.IDEMPOTENT), true))
+                .isTrue();
+        assertThat(FallbackRules.mayReject(serviceClass(Idempotency.DEDUPLICATED), true))
                 .isFalse();
-        assertThat(FallbackRules.mayReject(kind(Idempotency.NON_IDEMPOTENT), true))
+        assertThat(FallbackRules.mayReject(serviceClass(Idempotency.NON_IDEMPOTENT), true))
                 .isFalse();
     }
 
     @Test
     void onlySafeRequestsLeaveTimeForTheNextPool() {
-        assertThat(FallbackRules.deadlineMs(kind(Idempotency.IDEMPOTENT), false, false, 100, 0, 1000))
+        assertThat(FallbackRules.deadlineMs(serviceClass(Idempotency.IDEMPOTENT), false, false, 100, 0, 1000))
                 .isEqualTo(550);
-        assertThat(FallbackRules.deadlineMs(kind(Idempotency.IDEMPOTENT), true, true, 100, 0, 1000))
+        assertThat(FallbackRules.deadlineMs(serviceClass(Idempotency.IDEMPOTENT), true, true, 100, 0, 1000))
                 .isEqualTo(1000);
-        assertThat(FallbackRules.deadlineMs(kind(Idempotency.NON_IDEMPOTENT), false, false, 100, 0, 1000))
+        assertThat(FallbackRules.deadlineMs(serviceClass(Idempotency.NON_IDEMPOTENT), false, false, 100, 0, 1000))
                 .isEqualTo(1000);
-        assertThat(FallbackRules.deadlineMs(kind(Idempotency.DEDUPLICATED), false, false, 100, 0, 3000))
+        assertThat(FallbackRules.deadlineMs(serviceClass(Idempotency.DEDUPLICATED), false, false, 100, 0, 3000))
                 .isEqualTo(3000);
-        assertThat(FallbackRules.deadlineMs(kind(Idempotency.DEDUPLICATED), true, true, 100, 0, 3000))
+        assertThat(FallbackRules.deadlineMs(serviceClass(Idempotency.DEDUPLICATED), true, true, 100, 0, 3000))
                 .isEqualTo(1500);
     }
 }
--- a/src/test/java/cacheproxy/routes/PathsAndHostsTest.java
+++ b/src/test/java/cacheproxy/routes/PathsAndHostsTest.java
@@ -133,11 +133,11 @@
                         .name())
                 .isEqualTo("any");
         assertThat(table.skippedRoutes(KeyFormat.PATH.parse("l", "a.example/y", 0, 0, false)))
-                .extracting(path -> path.route().name())
+                .extracting(skipped -> skipped.route().name())
                 .containsExactly("a1", "a2");
         assertThat(table.shadowedRoutes())
-                .extracting(input ->
-                        input.route().name() + " by " + input.shadowedBy().name())
+                .extracting(shadowed ->
+                        shadowed.route().name() + " by " + shadowed.shadowedBy().name())
                 .containsExactly("a2 by a1", "b1 by any");
     }
 
@@ -161,7 +161,7 @@
                 new Route.Fail());
     }
 
-    private static String hashed(String template, String key) {
+    private static String hashInputOf(String template, String key) {
         RouteInput input = KeyFormat.PATH_AND_QUERY.parse("l", key, 0, 0, false);
         Route route = new Route(
                 "r",
@@ -176,16 +176,17 @@
 
     @Test
     void templatesExpandToTheirHashInput() {
-        assertThat(hashed("$key", "h/a/b")).isEqualTo("POOL");
-        assertThat(hashed("$host$uri", "H/a//%62%20c?q=1")).isEqualTo("h/a/b c");
-        assertThat(hashed("$request_uri", "h/a//%62?q=1")).isEqualTo("/a//%62?q=1");
-        assertThat(hashed("${uri}x$$$arg_q-$args$is_args", "/a?q=1")).isEqualTo("/ax$1-q=1?");
-        assertThat(hashed("$2:$1", "/ab/c%20d")).isEqualTo("c d:ab");
-        assertThat(hashed("$arg_none", "/a")).isEmpty();
+        assertThat(hashInputOf("$key", "h/a/b")).isEqualTo("POOL");
+        assertThat(hashInputOf("$host$uri", "H/a//%62%20c?q=1")).isEqualTo("h/a/b c");
+        assertThat(hashInputOf("$request_uri", "h/a//%62?q=1")).isEqualTo("/a//%62?q=1");
+        assertThat(hashInputOf("${uri}x$$$arg_q-$args$is_args", "/a?q=1")).isEqualTo("/ax$1-q=1?");
+        assertThat(hashInputOf("$2:$1", "/ab/c%20d")).isEqualTo("c d:ab");
+        assertThat(hashInputOf("$arg_none", "/a")).isEmpty();
         assertThat(new PlacementTemplate("/x/$12").highestGroup()).isEqualTo(1);
-        for (String wrong : new String[] {"$", "$nosuch", "${uri", "$arg_", "$0", "$uri".repeat(9), "x".repeat(1001)}) {
-            assertThatThrownBy(() -> new PlacementTemplate(wrong))
-                    .as(wrong)
+        for (String invalid :
+                new String[] {"$", "$nosuch", "${uri", "$arg_", "$0", "$uri".repeat(9), "x".repeat(1001)}) {
+            assertThatThrownBy(() -> new PlacementTemplate(invalid))
+                    .as(invalid)
                     .isInstanceOf(IllegalArgumentException.class);
         }
     }
--- a/src/test/java/cacheproxy/routes/RouteTableTest.java
+++ b/src/test/java/cacheproxy/routes/RouteTableTest.java
@@ -35,7 +35,7 @@
                 POOL);
     }
 
-    private static RouteInput read(String key) {
+    private static RouteInput inputFor(String key) {
         return new RouteInput("main", key, 0, 0, false);
     }
 
@@ -47,12 +47,12 @@
                 route("short", 0, 2, null, "a/", null),
                 route("long", 0, 3, null, "a/b/", null),
                 route("exact", 0, 4, "a/b/c", null, null)));
-        assertThat(table.find(read("a/b/c")).name()).isEqualTo("exact");
-        assertThat(table.find(read("a/b/c.vtt")).name()).isEqualTo("long");
-        assertThat(table.find(read("a/c.vtt")).name()).isEqualTo("short");
-        assertThat(table.find(read("c.vtt")).name()).isEqualTo("regex");
-        assertThat(table.find(read("c")).name()).isEqualTo("rest");
-        assertThat(table.skippedRoutes(read("c.vtt")))
+        assertThat(table.find(inputFor("a/b/c")).name()).isEqualTo("exact");
+        assertThat(table.find(inputFor("a/b/c.vtt")).name()).isEqualTo("long");
+        assertThat(table.find(inputFor("a/c.vtt")).name()).isEqualTo("short");
+        assertThat(table.find(inputFor("c.vtt")).name()).isEqualTo("regex");
+        assertThat(table.find(inputFor("c")).name()).isEqualTo("rest");
+        assertThat(table.skippedRoutes(inputFor("c.vtt")))
                 .extracting(skipped -> skipped.route().name())
                 .containsExactly("exact", "long", "short");
     }
@@ -68,7 +68,7 @@
         return best;
     }
 
-    private static int kind(RouteConditions conditions) {
+    private static int specificity(RouteConditions conditions) {
         if (conditions.exact() != null) {
             return 0;
         }
@@ -82,36 +82,36 @@
         if (left.order() != right.order()) {
             return left.order() < right.order();
         }
-        int leftKind = kind(left.conditions());
-        int rightKind = kind(right.conditions());
-        if (leftKind != rightKind) {
-            return leftKind < rightKind;
+        int leftSpecificity = specificity(left.conditions());
+        int rightSpecificity = specificity(right.conditions());
+        if (leftSpecificity != rightSpecificity) {
+            return leftSpecificity < rightSpecificity;
         }
         String leftPrefix = left.conditions().prefix();
         String rightPrefix = right.conditions().prefix();
-        if (leftKind == 1 && leftPrefix.length() != rightPrefix.length()) {
+        if (leftSpecificity == 1 && leftPrefix.length() != rightPrefix.length()) {
             return leftPrefix.length() > rightPrefix.length();
         }
         return left.position() < right.position();
     }
 
-    private static String text(SplittableRandom random, int most) {
-        StringBuilder right = new StringBuilder();
-        for (int remaining = 1 + random.nextInt(most); remaining > 0; remaining--) {
-            right.append("ab/".charAt(random.nextInt(3)));
+    private static String randomKey(SplittableRandom random, int maxLength) {
+        StringBuilder key = new StringBuilder();
+        for (int remaining = 1 + random.nextInt(maxLength); remaining > 0; remaining--) {
+            key.append("ab/".charAt(random.nextInt(3)));
         }
-        return right.toString();
+        return key.toString();
     }
 
     private static Route randomRoute(SplittableRandom random, int position) {
-        int kind = random.nextInt(4);
+        int specificity = random.nextInt(4);
         int order = random.nextInt(3);
         RouteConditions conditions = new RouteConditions(
                 random.nextInt(4) == 0 ? Set.of("other") : Set.of(),
                 null,
-                kind == 0 ? text(random, 5) : null,
-                kind == 1 ? text(random, 4) : null,
-                kind == 2 ? List.of(new KeyPattern(PATTERNS[random.nextInt(PATTERNS.length)])) : List.of(),
+                specificity == 0 ? randomKey(random, 5) : null,
+                specificity == 1 ? randomKey(random, 4) : null,
+                specificity == 2 ? List.of(new KeyPattern(PATTERNS[random.nextInt(PATTERNS.length)])) : List.of(),
                 random.nextInt(3) == 0 ? Set.of(random.nextInt(3)) : Set.of(),
                 random.nextInt(4) == 0 ? Set.of(1) : Set.of(),
                 random.nextInt(3) == 0 ? Boolean.valueOf(random.nextBoolean()) : null,
@@ -132,7 +132,7 @@
             for (int i = 0; i < 200; i++) {
                 RouteInput input = new RouteInput(
                         random.nextBoolean() ? "main" : "other",
-                        text(random, 6),
+                        randomKey(random, 6),
                         random.nextInt(3),
                         random.nextInt(2),
                         random.nextBoolean());
@@ -151,12 +151,12 @@
     @Test
     void reportsRoutesThatNoRequestCanReach() {
         Route all = route("all", -1, 0, null, null, null);
-        Route under = route("under", 0, 1, null, "a", null);
-        assertThat(new RouteTable(List.of(all, under)).shadowedRoutes())
+        Route unreachable = route("under", 0, 1, null, "a", null);
+        assertThat(new RouteTable(List.of(all, unreachable)).shadowedRoutes())
                 .singleElement()
-                .satisfies(input -> {
-                    assertThat(input.route()).isSameAs(under);
-                    assertThat(input.shadowedBy()).isSameAs(all);
+                .satisfies(shadowed -> {
+                    assertThat(shadowed.route()).isSameAs(unreachable);
+                    assertThat(shadowed.shadowedBy()).isSameAs(all);
                 });
         assertThat(new RouteTable(List.of(
                                 route("1", 0, 0, null, "a/", null),
@@ -167,19 +167,19 @@
                                 route("6", 2, 5, null, null, "x"),
                                 route("7", 2, 6, null, "b", null)))
                         .shadowedRoutes())
-                .extracting(input -> input.route().name())
+                .extracting(shadowed -> shadowed.route().name())
                 .containsExactlyInAnyOrder("2", "3", "5", "6");
     }
 
     @Test
     void keySharesOfOneSaltPartitionTheKeys() {
-        KeyShare five = new KeyShare("canary", 0, 500);
+        KeyShare fivePercent = new KeyShare("canary", 0, 500);
         KeyShare rest = new KeyShare("canary", 500, KeyShare.BUCKETS);
         int included = 0;
         for (int i = 0; i < 100_000; i++) {
             String key = "page/" + i;
-            assertThat(five.contains(key)).isNotEqualTo(rest.contains(key));
-            included += five.contains(key) ? 1 : 0;
+            assertThat(fivePercent.contains(key)).isNotEqualTo(rest.contains(key));
+            included += fivePercent.contains(key) ? 1 : 0;
         }
         assertThat(included).isBetween(4700, 5300);
         // A bucket that changed between releases would move the keys of canaries.
@@ -246,9 +246,9 @@
         }
         RouteTable table = new RouteTable(routes);
         for (int i = 0; i < 10_000; i++) {
-            assertThat(table.find(read("key/" + i)).name()).isEqualTo("e" + i);
-            assertThat(table.find(read("pre/" + i + "/x")).name()).isEqualTo("p" + i);
+            assertThat(table.find(inputFor("key/" + i)).name()).isEqualTo("e" + i);
+            assertThat(table.find(inputFor("pre/" + i + "/x")).name()).isEqualTo("p" + i);
         }
-        assertThat(table.find(read("pre/10000/x"))).isNull();
+        assertThat(table.find(inputFor("pre/10000/x"))).isNull();
     }
 }
--- a/src/test/java/cacheproxy/siblings/CacheDigestTest.java
+++ b/src/test/java/cacheproxy/siblings/CacheDigestTest.java
@@ -14,10 +14,10 @@
     void digestNeverContainsWhatAReferenceMapDoesNot() {
         SplittableRandom random = new SplittableRandom(1);
         CacheDigest digest = new CacheDigest(1024, 5000, 20);
-        Map<Long, double[]> map = new HashMap<>(); // server, time
+        Map<Long, double[]> reference = new HashMap<>(); // server, time
         double nowMs = 1.7e12;
-        int held = 0;
-        int asked = 0;
+        int containedCount = 0;
+        int expectedCount = 0;
         for (int i = 0; i < 200_000; i++) {
             nowMs += random.nextDouble() * 20;
             long key = random.nextInt(800) * 0x1234567L;
@@ -25,34 +25,34 @@
             switch (random.nextInt(10)) {
                 case 0 -> {
                     digest.remove(key);
-                    map.remove(key);
+                    reference.remove(key);
                 }
                 case 1 -> {
                     if (random.nextInt(50) == 0) {
                         digest.removeServer(server);
-                        map.values().removeIf(entry -> entry[0] == server);
+                        reference.values().removeIf(entry -> entry[0] == server);
                     }
                 }
                 case 2, 3, 4, 5 -> {
                     digest.add(nowMs, key, server);
-                    map.put(key, new double[] {server, nowMs});
+                    reference.put(key, new double[] {server, nowMs});
                 }
                 default -> {
-                    double[] entry = map.get(key);
-                    boolean should = entry != null && nowMs - entry[1] <= 5000 - 100;
-                    asked += should ? 1 : 0;
+                    double[] entry = reference.get(key);
+                    boolean isExpected = entry != null && nowMs - entry[1] <= 5000 - 100;
+                    expectedCount += isExpected ? 1 : 0;
                     if (digest.contains(nowMs, key)) {
                         assertThat(entry).isNotNull();
                         assertThat(nowMs - entry[1]).isLessThanOrEqualTo(5000 + 100);
                         assertThat(digest.serverOf(key)).isEqualTo((int) entry[0]);
-                        held += should ? 1 : 0;
+                        containedCount += isExpected ? 1 : 0;
                     }
                 }
             }
         }
-        assertThat(held)
+        assertThat(containedCount)
                 .as("share of the map's entries that the digest still contains")
-                .isGreaterThan(asked * 9 / 10);
+                .isGreaterThan(expectedCount * 9 / 10);
     }
 
     @Test
@@ -61,12 +61,12 @@
         for (int i = 1; i <= 20; i++) {
             digest.add(i * 1000, i, 7);
         }
-        int held = 0;
+        int containedCount = 0;
         for (int i = 1; i <= 20; i++) {
-            held += digest.contains(20_000, i) ? 1 : 0;
+            containedCount += digest.contains(20_000, i) ? 1 : 0;
             assertThat(digest.contains(20_000, i)).isEqualTo(i > 12);
         }
-        assertThat(held).isEqualTo(8);
+        assertThat(containedCount).isEqualTo(8);
         digest.add(1, 99, 8);
         digest.add(1, 98, 9); // no slot for a third server
         assertThat(digest.contains(1, 98)).isFalse();
--- a/src/test/java/cacheproxy/siblings/SiblingQueryPolicyTest.java
+++ b/src/test/java/cacheproxy/siblings/SiblingQueryPolicyTest.java
@@ -141,13 +141,13 @@
             double roundTripMs,
             double remainingMs,
             double pressure,
-            boolean pays) {
+            boolean savesTime) {
         Model model = new Model(
                 originFetchMs, siblingFetchMs, hitShare, lossShare, falseHitShare, roundTripMs, remainingMs, pressure);
         Result with = Simulation.run(4, true, model);
         Result without = Simulation.run(4, false, model);
         assertThat(with.inTimeShare).as("share in time").isGreaterThanOrEqualTo(without.inTimeShare - 0.01);
-        if (pays) {
+        if (savesTime) {
             assertThat(with.meanMs).as("mean time").isLessThan(without.meanMs * 0.8);
             assertThat(with.originFetches).as("fetches at the origin").isLessThan(without.originFetches * 0.7);
         } else {
