--- a/src/main/java/cacheproxy/proxy/dispatch/AttemptResultHandler.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/AttemptResultHandler.java
@@ -30,7 +30,7 @@
             return false;
         }
         context.beginStreaming();
-        attempt.beginStreaming(pool.core().nowMs());
+        attempt.beginStreaming(pool.loopContext().nowMs());
         context.responder().beginValue(length, attempt.connection());
         pool.policy().firstByteReceived(attempt);
         for (RequestAttempt other : context.attempts()) {
@@ -63,7 +63,7 @@
             return;
         }
         attempt.end(outcome);
-        double elapsedMs = attempt.elapsedMs(pool.core().nowMs());
+        double elapsedMs = attempt.elapsedMs(pool.loopContext().nowMs());
         RequestContext context = attempt.context();
         context.attemptEnded(outcome);
         pool.log().attemptEnded(attempt, outcome, elapsedMs);
--- a/src/main/java/cacheproxy/proxy/dispatch/HealthProber.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/HealthProber.java
@@ -15,7 +15,7 @@
     HealthProber(PoolServices pool, PoolProtocol protocol) {
         this.pool = pool;
         this.protocol = protocol;
-        loopContext = pool.core();
+        loopContext = pool.loopContext();
     }
 
     /** Checks a server as the policy has ordered, unless others take the check over. */
--- a/src/main/java/cacheproxy/proxy/dispatch/PolicyActionExecutor.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/PolicyActionExecutor.java
@@ -79,7 +79,7 @@
 
     @Override
     public void setTimer(double delayMs, int token) {
-        pool.core().after(delayMs, () -> pool.policy().timerExpired(token));
+        pool.loopContext().after(delayMs, () -> pool.policy().timerExpired(token));
     }
 
     @Override
@@ -109,6 +109,6 @@
 
     @Override
     public void log(String line) {
-        pool.core().log(line);
+        pool.loopContext().log(line);
     }
 }
--- a/src/main/java/cacheproxy/proxy/dispatch/PoolServices.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/PoolServices.java
@@ -6,7 +6,7 @@
 /**
  * What the parts of a pool share.
  *
- * @param core the event loop's clock, timers, servers and limits
+ * @param loopContext the event loop's clock, timers, servers and limits
  * @param options the pool's fixed figures
  * @param policy reports events to the routing policy
  * @param servers the servers on the endpoint list
@@ -14,7 +14,7 @@
  * @param extensions links to siblings and to the fleet's health checks
  */
 record PoolServices(
-        EventLoopContext core,
+        EventLoopContext loopContext,
         PoolOptions options,
         PolicyEvents policy,
         PoolServers servers,
--- a/src/main/java/cacheproxy/proxy/dispatch/RequestAttempts.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/RequestAttempts.java
@@ -21,7 +21,7 @@
         this.pool = pool;
         this.results = results;
         this.protocol = protocol;
-        loopContext = pool.core();
+        loopContext = pool.loopContext();
         sendGuard = new SendGuard(pool.settings().drainGraceMs());
     }
 
--- a/src/main/java/cacheproxy/proxy/dispatch/RequestLifecycle.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/RequestLifecycle.java
@@ -22,7 +22,7 @@
 
     RequestLifecycle(PoolServices pool) {
         this.pool = pool;
-        loopContext = pool.core();
+        loopContext = pool.loopContext();
     }
 
     /** Takes a request and reports it to the policy. */
--- a/src/main/java/cacheproxy/proxy/process/PlatformConfig.java
+++ b/src/main/java/cacheproxy/proxy/process/PlatformConfig.java
@@ -25,14 +25,14 @@
  * @param maxSockets the file descriptors that the process may use
  * @param peerListen the address for messages of other proxies; null if there is none
  * @param peers the addresses of the proxies by their numbers
- * @param peersAll the address that reaches all proxies; null if there is none
+ * @param allPeersAddress the address that reaches all proxies; null if there is none
  * @param control the address for operators; null if there is none
  * @param eventLog whether the event log is on; null leaves it as it is
  * @param initialHosts an endpoint list to begin with, in discovery's form; null if there is none
  * @param settings the policy's settings
  * @param zones the names of zones; servers name theirs, settings use the index
  * @param kinds the names of server kinds; servers name theirs, settings use the index
- * @param idleCloseMs the time after which servers close idle connections, in milliseconds
+ * @param serverIdleTimeoutMs the time after which servers close idle connections, in milliseconds
  * @param streamsPerConnection the attempts that may share a connection to a cache node, at least 1
  */
 public record PlatformConfig(
@@ -45,14 +45,14 @@
         int maxSockets,
         InetSocketAddress peerListen,
         List<InetSocketAddress> peers,
-        InetSocketAddress peersAll,
+        InetSocketAddress allPeersAddress,
         InetSocketAddress control,
         Boolean eventLog,
         JsonObject initialHosts,
         PolicySettings settings,
         List<String> zones,
         List<String> kinds,
-        double idleCloseMs,
+        double serverIdleTimeoutMs,
         int streamsPerConnection) {
 
     /**
@@ -80,7 +80,7 @@
     /** Where messages of other proxies are received; without an address of its own if the policy sends none. */
     public PeerAddresses peerAddresses() {
         InetSocketAddress ownAddress = settings.peerMessagesAllowed() ? peerListen : null;
-        return new PeerAddresses(ownAddress, control != null, peers, peersAll);
+        return new PeerAddresses(ownAddress, control != null, peers, allPeersAddress);
     }
 
     /**
@@ -150,14 +150,14 @@
                 maxSockets,
                 anyPort,
                 peers,
-                peersAll,
+                allPeersAddress,
                 anyPort,
                 eventLog,
                 initialHosts,
                 settings,
                 zones,
                 kinds,
-                idleCloseMs,
+                serverIdleTimeoutMs,
                 streamsPerConnection);
     }
 }
--- a/src/main/java/cacheproxy/proxy/process/PlatformPool.java
+++ b/src/main/java/cacheproxy/proxy/process/PlatformPool.java
@@ -27,7 +27,7 @@
         int originShare = TIER_ORIGIN_CONNECTIONS / proxies;
         ConnectionLimits connections = new ConnectionLimits(
                 config.settings().connectTimeoutMs(),
-                config.idleCloseMs(),
+                config.serverIdleTimeoutMs(),
                 Math.max(1, Math.min(MAX_CACHE_CONNECTIONS, cacheShare)),
                 Math.max(MIN_ORIGIN_CONNECTIONS, Math.min(MAX_ORIGIN_CONNECTIONS, originShare)),
                 Math.max(1, cacheShare),
--- a/src/main/java/cacheproxy/proxy/process/WarmUp.java
+++ b/src/main/java/cacheproxy/proxy/process/WarmUp.java
@@ -77,19 +77,19 @@
     /**
      * Warms up with sockets under this folder.
      *
-     * @param toDialed the address that the client connects to, made of the proxy's
+     * @param toConnectAddress the address that the client connects to, made of the proxy's
      */
     static int run(
             EventLoop loop,
             PlatformConfig config,
             WarmUpPlan plan,
             Path temporaryFolder,
-            UnaryOperator<SocketAddress> toDialed) {
+            UnaryOperator<SocketAddress> toConnectAddress) {
         try {
             Path folder = Files.createDirectory(temporaryFolder.resolve(uniqueName()));
             WarmUp warmUp = new WarmUp(loop, config, folder, plan);
             try {
-                warmUp.run(toDialed);
+                warmUp.run(toConnectAddress);
             } finally {
                 Files.delete(folder);
             }
@@ -108,7 +108,7 @@
                 + ProcessHandle.current().pid();
     }
 
-    private void run(UnaryOperator<SocketAddress> toDialed) throws InterruptedException, IOException {
+    private void run(UnaryOperator<SocketAddress> toConnectAddress) throws InterruptedException, IOException {
         EventLoopContext loopContext =
                 new EventLoopContext(loop, new PollClock(), Transport.BEST.localSocket(), config.eventLoopLimits());
         Dispatcher dispatcher = new Dispatcher(loopContext, PlatformPool.options(config));
@@ -119,7 +119,7 @@
                 MetaProtocol.platform());
         loop.submit(() -> dispatcher.start(EndpointListSource.NONE)).sync();
         try {
-            sendRequests(dispatcher, listener, toDialed);
+            sendRequests(dispatcher, listener, toConnectAddress);
         } finally { // also if sockets are refused, as each start would leave its sockets, a timer and a folder behind
             loop.submit(dispatcher::stop).sync();
             for (Channel channel : channels) {
@@ -131,7 +131,7 @@
         }
     }
 
-    private void sendRequests(Dispatcher dispatcher, Listener listener, UnaryOperator<SocketAddress> toDialed)
+    private void sendRequests(Dispatcher dispatcher, Listener listener, UnaryOperator<SocketAddress> toConnectAddress)
             throws InterruptedException {
         SocketAddress cacheServer = listen("n", CacheServer::new);
         SocketAddress origin = listen("o", Origin::new);
@@ -147,7 +147,7 @@
                 .group(loop)
                 .channel(Transport.BEST.localSocket())
                 .handler(new HandlerInitializer(new Client()))
-                .connect(toDialed.apply(proxy))
+                .connect(toConnectAddress.apply(proxy))
                 .sync()
                 .channel());
         done.await((long) plan.timeLimitMs(), TimeUnit.MILLISECONDS);
--- a/src/main/java/cacheproxy/proxy/upstream/Attempt.java
+++ b/src/main/java/cacheproxy/proxy/upstream/Attempt.java
@@ -69,12 +69,13 @@
     /**
      * It has ended. The callee releases the value.
      *
-     * @param note what the server said of a miss, as in {@link cacheproxy.policy.AttemptResult}; 0 if nothing
-     * @param report the server's load figures, null if none
+     * @param cacheStatus what the server said of a miss, as in {@link cacheproxy.policy.AttemptResult}; 0 if nothing
+     * @param loadReport the server's load figures, null if none
      * @param value a read's whole value; null if there is none, or it has been passed on in parts
      * @param receipt a write's receipt; null if there is none
      */
-    public abstract void onEnd(AttemptOutcome outcome, int note, float[] report, ByteBuf value, String receipt);
+    public abstract void onEnd(
+            AttemptOutcome outcome, int cacheStatus, float[] loadReport, ByteBuf value, String receipt);
 
     /** It has ended without a response that says more than the outcome. */
     public final void onEnd(AttemptOutcome outcome) {
--- a/src/main/java/cacheproxy/proxy/upstream/CacheCodec.java
+++ b/src/main/java/cacheproxy/proxy/upstream/CacheCodec.java
@@ -36,13 +36,13 @@
     private static final char RECEIPT_FLAG = 'c';
 
     private static final int CRLF_BYTES = 2;
-    /** The value of {@link #missingBytes} between values. */
+    /** The value of {@link #remainingBytes} between values. */
     private static final int NO_VALUE = -1;
 
     private final UpstreamConnection connection;
     private final ResponseReceiver responses;
     /** Bytes of the value and its line's end that have not been read; {@link #NO_VALUE} if a line is next. */
-    private int missingBytes = NO_VALUE;
+    private int remainingBytes = NO_VALUE;
 
     private int valueBytes;
     /** Whether the value is passed on, or dropped, as it comes. */
@@ -88,14 +88,14 @@
     @Override
     protected void decode(ChannelHandlerContext ctx, ByteBuf input, List<Object> out) {
         try {
-            if (missingBytes >= 0) {
+            if (remainingBytes >= 0) {
                 decodeValue(input);
             } else {
                 decodeLine(input);
             }
         } catch (MetaCodec.SyntaxException e) {
             input.skipBytes(input.readableBytes());
-            missingBytes = NO_VALUE;
+            remainingBytes = NO_VALUE;
             connection.onProtocolError(e.getMessage());
         }
     }
@@ -166,7 +166,7 @@
         }
         boolean healthy = line.equals("MN") || line.equals("END");
         float[] probeReport =
-                MetaCodec.parseLoadReport(stats, attempt.protocol().reportNames());
+                MetaCodec.parseLoadReport(stats, attempt.protocol().loadReportFields());
         stats = "";
         responses.onResponse(healthy ? AttemptOutcome.OK : AttemptOutcome.ERROR, CACHE_STATUS_UNKNOWN, probeReport);
     }
@@ -197,7 +197,7 @@
         String length = MetaCodec.tokenAt(line, VALUE_PREFIX.length());
         valueBytes = MetaCodec.parseLength(length);
         readFlags(attempt, line, VALUE_PREFIX.length() + length.length() + 1);
-        missingBytes = valueBytes + CRLF_BYTES;
+        remainingBytes = valueBytes + CRLF_BYTES;
         streamed = valueBytes > MetaCodec.MAX_BUFFERED_VALUE_BYTES;
         if (streamed) {
             dropped = !responses.onLongValueBegin(valueBytes);
@@ -207,13 +207,13 @@
     private void decodeValue(ByteBuf input) throws MetaCodec.SyntaxException {
         if (streamed) {
             decodeLongValue(input);
-        } else if (input.readableBytes() < missingBytes) {
+        } else if (input.readableBytes() < remainingBytes) {
             responses.onPartialResponse();
         } else {
             requireCrlf(input, input.readerIndex() + valueBytes);
             ByteBuf value = input.readRetainedSlice(valueBytes);
             input.skipBytes(CRLF_BYTES);
-            missingBytes = NO_VALUE;
+            remainingBytes = NO_VALUE;
             responses.onResponse(AttemptOutcome.OK, cacheStatus, loadReport, value, null);
         }
     }
@@ -222,19 +222,19 @@
      * Passes on what there is of the value. The value has ended only when the line's end behind it has been checked.
      */
     private void decodeLongValue(ByteBuf input) throws MetaCodec.SyntaxException {
-        int partBytes = Math.min(missingBytes - CRLF_BYTES, input.readableBytes());
+        int partBytes = Math.min(remainingBytes - CRLF_BYTES, input.readableBytes());
         if (partBytes > 0) {
-            missingBytes -= partBytes;
+            remainingBytes -= partBytes;
             if (dropped) {
                 input.skipBytes(partBytes);
             } else {
                 responses.onLongValuePart(input.readRetainedSlice(partBytes));
             }
         }
-        if (missingBytes == CRLF_BYTES && input.readableBytes() >= CRLF_BYTES) {
+        if (remainingBytes == CRLF_BYTES && input.readableBytes() >= CRLF_BYTES) {
             requireCrlf(input, input.readerIndex());
             input.skipBytes(CRLF_BYTES);
-            missingBytes = NO_VALUE;
+            remainingBytes = NO_VALUE;
             responses.onResponse(AttemptOutcome.OK, cacheStatus, loadReport);
         }
     }
--- a/src/main/java/cacheproxy/proxy/upstream/ResponseProgress.java
+++ b/src/main/java/cacheproxy/proxy/upstream/ResponseProgress.java
@@ -8,11 +8,11 @@
  */
 final class ResponseProgress {
     /** How long the connection waits for the rest of a short response: three times the longest pause. */
-    static final double CUT_MS = 300;
+    static final double PARTIAL_RESPONSE_TIMEOUT_MS = 300;
 
     private final EventLoopContext loopContext;
     private final BooleanSupplier closed;
-    private final Runnable onCut;
+    private final Runnable onTimeout;
     /** When the last bytes came, or the response could continue again. */
     private double lastProgressMs;
     /** Whether a part of a short response, and not all of it, has come. */
@@ -24,12 +24,12 @@
      * Creates the progress of a connection's responses.
      *
      * @param closed whether the connection is closed, so that nothing is expected any more
-     * @param onCut runs when the rest of a short response has not come in time
+     * @param onTimeout runs when the rest of a short response has not come in time
      */
-    ResponseProgress(EventLoopContext loopContext, BooleanSupplier closed, Runnable onCut) {
+    ResponseProgress(EventLoopContext loopContext, BooleanSupplier closed, Runnable onTimeout) {
         this.loopContext = loopContext;
         this.closed = closed;
-        this.onCut = onCut;
+        this.onTimeout = onTimeout;
     }
 
     /** Bytes have come, or reading has been suspended or resumed. */
@@ -37,13 +37,13 @@
         lastProgressMs = loopContext.nowMs();
     }
 
-    /** A part of a short response has come, and the rest is expected within {@link #CUT_MS}. */
+    /** A part of a short response has come, and the rest is expected within {@link #PARTIAL_RESPONSE_TIMEOUT_MS}. */
     void partialReceived() {
         partial = true;
         recordProgress();
         if (!timerSet) {
             timerSet = true;
-            setTimer(CUT_MS);
+            setTimer(PARTIAL_RESPONSE_TIMEOUT_MS);
         }
     }
 
@@ -59,13 +59,13 @@
 
     private void setTimer(double ms) {
         loopContext.after(ms, () -> {
-            double leftMs = CUT_MS - sinceProgressMs(loopContext.nowMs());
+            double leftMs = PARTIAL_RESPONSE_TIMEOUT_MS - sinceProgressMs(loopContext.nowMs());
             boolean expecting = partial && !closed.getAsBoolean();
             timerSet = expecting && leftMs > 0;
             if (timerSet) {
                 setTimer(leftMs);
             } else if (expecting) {
-                onCut.run();
+                onTimeout.run();
             }
         });
     }
--- a/src/main/java/cacheproxy/proxy/upstream/Upstream.java
+++ b/src/main/java/cacheproxy/proxy/upstream/Upstream.java
@@ -23,7 +23,7 @@
      */
     public static final double REUSE_DELAY_MS = 10;
 
-    private static final double READY = Double.POSITIVE_INFINITY;
+    private static final double AVAILABLE = Double.POSITIVE_INFINITY;
 
     private final int id;
     private final boolean origin;
@@ -32,8 +32,8 @@
     private double startedMs;
     /** The state in the endpoint list; null before the first list. */
     private EndpointState state;
-    /** Since when it is known to drain or to be gone; {@link #READY} if neither. */
-    private double unavailableSinceMs = READY;
+    /** Since when it is known to drain or to be gone; {@link #AVAILABLE} if neither. */
+    private double unavailableSinceMs = AVAILABLE;
     /** How many pools have this server on their lists. */
     private int poolCount;
 
@@ -106,7 +106,7 @@
         startedMs = newStartedMs;
         state = newState;
         if (state == EndpointState.READY) {
-            unavailableSinceMs = READY;
+            unavailableSinceMs = AVAILABLE;
         } else {
             markUnavailable();
         }
@@ -190,7 +190,7 @@
                 origin ? OriginCodec.handlers(connection) : new ChannelHandler[] {new CacheCodec(connection)};
         ChannelFuture connect =
                 bootstrap.clone().handler(new HandlerInitializer(handlers)).connect(address);
-        connection.opening(connect, address);
+        connection.beginConnecting(connect, address);
         return connection;
     }
 
--- a/src/main/java/cacheproxy/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/cacheproxy/proxy/upstream/UpstreamConnection.java
@@ -12,7 +12,7 @@
  */
 public final class UpstreamConnection implements Responder.ValueSource {
     /** How long a connection waits for the rest of a short response, in milliseconds. */
-    public static final double CUT_MS = ResponseProgress.CUT_MS;
+    public static final double PARTIAL_RESPONSE_TIMEOUT_MS = ResponseProgress.PARTIAL_RESPONSE_TIMEOUT_MS;
 
     /** For how many short responses a long value counts in the choice of a connection. */
     private static final int LONG_VALUE_DEPTH = 1000;
@@ -54,23 +54,23 @@
         return codec;
     }
 
-    /** The channel; null before {@link #opening}. */
+    /** The channel; null before {@link #beginConnecting}. */
     Channel channel() {
         return channel;
     }
 
-    /** The server's address; null before {@link #opening}. */
+    /** The server's address; null before {@link #beginConnecting}. */
     SocketAddress address() {
         return address;
     }
 
-    /** Sets the codec; to be called once, before {@link #opening}. */
+    /** Sets the codec; to be called once, before {@link #beginConnecting}. */
     void setCodec(UpstreamCodec newCodec) {
         codec = newCodec;
     }
 
     /** Takes over the channel while it connects. */
-    void opening(ChannelFuture connect, SocketAddress server) {
+    void beginConnecting(ChannelFuture connect, SocketAddress server) {
         channel = connect.channel();
         address = server;
         connect.addListener(done -> connectEnded(done.cause()));
--- a/src/test/java/cacheproxy/proxy/Explorer.java
+++ b/src/test/java/cacheproxy/proxy/Explorer.java
@@ -317,7 +317,7 @@
         }
         for (ServerPeer p : originConnections) {
             p.read();
-            originConnections(p);
+            readOriginRequests(p);
         }
         disconnectProcessed.addAll(disconnectPending); // what was on its way then has been read by now
         disconnectPending.clear();
@@ -340,7 +340,7 @@
         }
     }
 
-    private void originConnections(ServerPeer p) {
+    private void readOriginRequests(ServerPeer p) {
         for (int end; (end = p.in.indexOf("\r\n\r\n")) >= 0; ) {
             String head = p.in.substring(0, end);
             boolean put = head.startsWith("PUT");
--- a/src/test/java/cacheproxy/proxy/ValueStreamingTest.java
+++ b/src/test/java/cacheproxy/proxy/ValueStreamingTest.java
@@ -314,7 +314,7 @@
             client.read("1").line();
             assertThat(client.bytes(1000)).hasSize(1000);
             CountDownLatch pause = new CountDownLatch(1);
-            fleet.proxy.runAfter(2 * UpstreamConnection.CUT_MS, pause::countDown);
+            fleet.proxy.runAfter(2 * UpstreamConnection.PARTIAL_RESPONSE_TIMEOUT_MS, pause::countDown);
             pause.await();
             resume.countDown();
             assertThat(client.bytes(VALUE.length - 1000)).hasSize(VALUE.length - 1000);
--- a/src/test/java/cacheproxy/proxy/upstream/AttemptQueueTest.java
+++ b/src/test/java/cacheproxy/proxy/upstream/AttemptQueueTest.java
@@ -57,7 +57,7 @@
         public void onValuePart(ByteBuf part) {}
 
         @Override
-        public void onEnd(AttemptOutcome outcome, int note, float[] report, ByteBuf value, String receipt) {}
+        public void onEnd(AttemptOutcome outcome, int cacheStatus, float[] loadReport, ByteBuf value, String receipt) {}
 
         private void end() {
             markEnded();
