--- a/src/main/java/cacheproxy/proxy/upstream/Attempt.java
+++ b/src/main/java/cacheproxy/proxy/upstream/Attempt.java
@@ -5,9 +5,9 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * One exchange with one server, as its connection sees it: an attempt of a client's request, or a health probe. Whoever
- * starts it extends this type to be told of its progress. A connection reports one end; {@link #onEnd} ignores any
- * later one. Used on the event loop only; times are milliseconds of the event loop's clock.
+ * One exchange with one server, as seen by its connection: an attempt of a client's request, or a health probe.
+ * Subclasses receive its progress through the callbacks. A connection reports one end; {@link #onEnd} ignores any
+ * further one. Used on the event loop only; times are in milliseconds on the event loop's clock.
  */
 public abstract class Attempt {
     private final ClientRequest request;
@@ -21,12 +21,12 @@
     private boolean ended;
 
     /**
-     * Creates an attempt that is on no connection yet.
+     * Creates an attempt that has no connection yet.
      *
-     * @param request what the server is asked for; null for a probe
-     * @param index number of the attempt among those of its request, from 0
-     * @param server id of the server
-     * @param startedMs when it was started; it may wait for a connection from then on
+     * @param request the client's request; null for a probe
+     * @param index the attempt's number within its request, from 0
+     * @param server the server's id
+     * @param startedMs when the attempt was started; it may wait for a connection after that
      * @param timeoutAtMs when the proxy stops waiting for it
      */
     protected Attempt(ClientRequest request, int index, int server, double startedMs, double timeoutAtMs) {
@@ -37,61 +37,68 @@
         this.timeoutAtMs = timeoutAtMs;
     }
 
-    /** How the servers of its pool speak. */
+    /** The protocol of the servers of its pool. */
     public abstract PoolProtocol protocol();
 
-    /** The request class to name to a sibling proxy; null if the server is none. */
+    /** The request class to send to a sibling proxy; null if the server is not a sibling. */
     public abstract String siblingClass();
 
-    /** The last moment at which the response is of use. */
+    /** The time after which a response is useless. */
     public abstract double deadlineMs();
 
     /** Whether two attempts of a request of this pool may be in flight at once. */
     public abstract boolean hedgingAllowed();
 
-    /** Checks it right before its first byte; one that may not begin is ended by this call. */
+    /**
+     * Returns whether the attempt may begin, checked right before its first byte is written. An attempt that may not
+     * begin is ended by this call.
+     */
     public abstract boolean mayBegin();
 
-    /** Its first byte is about to be written to its {@linkplain #connection connection}. */
+    /** Called when the first byte is about to be written to the {@linkplain #connection connection}. */
     public abstract void onBegin();
 
     /**
-     * A long value begins.
+     * Called when a long value begins.
      *
-     * @param length of the value, in bytes
-     * @return false if nobody waits for it, so that the connection drops it
+     * @param length the length of the value, in bytes
+     * @return false if no client waits for the value, so that the connection discards it
      */
     public abstract boolean onValueBegin(int length);
 
-    /** Some bytes of a long value; the callee releases them. */
+    /** Called with a part of a long value, which the callee releases. */
     public abstract void onValuePart(ByteBuf part);
 
     /**
-     * It has ended. The callee releases the value.
+     * Called when the attempt has ended. The callee releases the value.
      *
-     * @param cacheStatus what the server said of a miss, as in {@link cacheproxy.policy.AttemptResult}; 0 if nothing
-     * @param loadReport the server's load figures, null if none
-     * @param value a read's whole value; null if there is none, or it has been passed on in parts
-     * @param receipt a write's receipt; null if there is none
+     * @param cacheStatus what a cache server reported of its lookup, as in {@link cacheproxy.policy.AttemptResult}; 0
+     *     if nothing
+     * @param loadReport the server's load report; null if there is none
+     * @param value the complete value of a read; null if there is none or it has been streamed
+     * @param receipt the receipt of a write; null if there is none
      */
     public abstract void onEnd(
             AttemptOutcome outcome, int cacheStatus, float[] loadReport, ByteBuf value, String receipt);
 
-    /** It has ended without a response that says more than the outcome. */
+    /** Ends the attempt with an outcome and no further result from the server. */
     public final void onEnd(AttemptOutcome outcome) {
         onEnd(outcome, 0, null, null, null);
     }
 
     /**
-     * The deadline to name to the server: whole milliseconds until the proxy stops waiting, at least 1 and never more
-     * than the client has left. Computed anew each time that a request is written.
+     * The deadline to send to the server: whole milliseconds until the proxy stops waiting, at least 1 and never more
+     * than the client has left. Computed each time that a request is written.
      */
     final int deadlineForServerMs(double nowMs) {
         double leftMs = Math.min(deadlineMs(), request.clientDueMs()) - nowMs;
         return (int) Math.max(1, Math.min(Integer.MAX_VALUE, Math.floor(leftMs)));
     }
 
-    /** Records the connection that sends it, or another one after that has failed. */
+    /**
+     * Records the connection that sends the attempt. Called again if that connection fails and another one takes the
+     * attempt.
+     */
     final void assignTo(UpstreamConnection to) {
         connection = to;
     }
@@ -111,7 +118,7 @@
         ended = true;
     }
 
-    /** Whether it belongs to no request of a client. */
+    /** Whether this is a health probe, which belongs to no client's request. */
     public final boolean isProbe() {
         return request == null;
     }
@@ -121,7 +128,7 @@
         return request;
     }
 
-    /** Its number among the attempts of its request, from 0. */
+    /** The attempt's number within its request, from 0. */
     public final int index() {
         return index;
     }
@@ -141,7 +148,7 @@
         return timeoutAtMs;
     }
 
-    /** The connection that it waits for or is on; null if it was given to none. */
+    /** The connection that the attempt waits for or uses; null if it was assigned to none. */
     public final UpstreamConnection connection() {
         return connection;
     }
--- a/src/main/java/cacheproxy/proxy/upstream/AttemptQueue.java
+++ b/src/main/java/cacheproxy/proxy/upstream/AttemptQueue.java
@@ -3,14 +3,14 @@
 import java.util.ArrayDeque;
 
 /**
- * The attempts on one connection, in the order in which their responses come: first those that have begun, then those
+ * The attempts on one connection, in the order in which their responses arrive: first those that have begun, then those
  * that wait to be written.
  */
 final class AttemptQueue {
     private final ArrayDeque<Attempt> attempts = new ArrayDeque<>(4);
-    /** How many have not begun. */
+    /** The number of attempts that have not begun. */
     private int waiting;
-    /** How many have begun and were abandoned, so that nobody needs the response that is still to come. */
+    /** The number of attempts that have begun and were abandoned, so that their pending responses are not needed. */
     private int abandoned;
 
     /** How many attempts there are. */
@@ -22,17 +22,17 @@
         return attempts.isEmpty();
     }
 
-    /** The attempt whose response comes next, or that is to be written next; null if there is none. */
+    /** The attempt whose response is expected next, or that is written next; null if there is none. */
     Attempt first() {
         return attempts.peek();
     }
 
-    /** Removes and returns {@link #first}; null if there is none. For a connection that has closed. */
+    /** Removes and returns {@link #first}; null if there is none. Used when the connection has closed. */
     Attempt removeFirst() {
         return attempts.poll();
     }
 
-    /** Removes and returns {@link #first}, whose response has come. There must be one. */
+    /** Removes and returns {@link #first}, whose response has arrived. The queue must not be empty. */
     Attempt removeResponded() {
         Attempt first = attempts.remove();
         if (first.hasEnded()) {
@@ -62,7 +62,7 @@
                 return attempt;
             }
         }
-        throw new IllegalStateException("none of " + attempts.size() + " attempts waits");
+        throw new IllegalStateException("none of " + attempts.size() + " attempts is waiting to be written");
     }
 
     /** Records that an attempt begins now. */
@@ -71,7 +71,7 @@
         attempt.markBegun();
     }
 
-    /** Removes an attempt that has not begun; false if it is not here. */
+    /** Removes an attempt that has not begun; returns false if it is not in the queue. */
     boolean removeWaiting(Attempt attempt) {
         boolean found = attempts.remove(attempt);
         if (found) {
@@ -80,7 +80,10 @@
         return found;
     }
 
-    /** Records that nobody needs the response of an attempt that has begun. Returns whether this holds for all now. */
+    /**
+     * Records that the response of an attempt that has begun is no longer needed. Returns whether this now applies to
+     * all attempts in the queue.
+     */
     boolean abandon(Attempt attempt) {
         return attempts.contains(attempt) && ++abandoned == attempts.size();
     }
--- a/src/main/java/cacheproxy/proxy/upstream/AttemptWriter.java
+++ b/src/main/java/cacheproxy/proxy/upstream/AttemptWriter.java
@@ -1,28 +1,28 @@
 package cacheproxy.proxy.upstream;
 
 /**
- * Writes the attempts that wait on one connection, in their order, as far as the connection takes them, and flushes
- * what has been written in one turn of the event loop together. Used on the event loop only.
+ * Writes the attempts that wait on one connection, in order, for as long as the connection is writable. Everything that
+ * is written in one turn of the event loop is flushed together. Used on the event loop only.
  */
 final class AttemptWriter {
     private final UpstreamConnection connection;
     private final AttemptQueue attempts;
     private final Runnable flush = this::flush;
-    /** Whether input is being handled, so that attempts are not written until its end. */
+    /** Whether input is being handled; no attempt is written until that has ended. */
     private boolean reading;
 
     private boolean flushPending;
 
-    /** Creates the writer of a connection that is not up yet. */
+    /** Creates the writer of a connection that is not established yet. */
     AttemptWriter(UpstreamConnection connection, AttemptQueue attempts) {
         this.connection = connection;
         this.attempts = attempts;
     }
 
     /**
-     * Input begins to be handled, or has been handled. Attempts are not written meanwhile: bytes that follow a response
-     * at once are not part of it, and would pass for the response of an attempt that is written now, as the origin's
-     * responses carry no id.
+     * Called when the handling of input begins or ends. No attempt is written in between: surplus bytes that follow a
+     * response directly would be taken for the response to an attempt that is written now, as the origin's responses
+     * carry no id.
      */
     void setReading(boolean handling) {
         reading = handling;
@@ -30,9 +30,9 @@
     }
 
     /**
-     * Writes those that wait, in their order, for as long as the connection takes more: the deadline that is written
-     * with a request holds only if it goes out soon, not if it is buffered behind a long value. Those that may not
-     * begin any more are removed.
+     * Writes the waiting attempts in order, for as long as the connection is writable: the deadline that is written
+     * with a request is accurate only if the request is sent soon, not if it is buffered behind a long value. Attempts
+     * that may no longer begin are removed.
      */
     void writeWaiting() {
         while (attempts.hasWaiting()
--- a/src/main/java/cacheproxy/proxy/upstream/BodyBufferClaim.java
+++ b/src/main/java/cacheproxy/proxy/upstream/BodyBufferClaim.java
@@ -4,8 +4,8 @@
 import java.util.function.Consumer;
 
 /**
- * A connection's claim to buffer one long body under the {@link BufferedBodyLimit}. Until it is granted, reading is
- * suspended, so that the rest of the body waits with the kernel; the request's deadline goes on.
+ * A connection's claim to buffer one long body under the {@link BufferedBodyLimit}. Reading is suspended until the
+ * claim is granted, so that the rest of the body stays in the kernel's buffers. The request's deadline keeps running.
  */
 final class BodyBufferClaim {
     private final BufferedBodyLimit limit;
@@ -16,11 +16,11 @@
     private boolean readingSuspended;
 
     /**
-     * Creates a claim that is not requested.
+     * Creates a claim that has not been requested.
      *
      * @param setReadable suspends or resumes the reading of the connection
-     * @param complete whether the body came completely with the read that made the claim; reading is then not resumed
-     *     on the grant, as the next response is not due yet
+     * @param complete whether the body was complete with the read that requested the claim; reading is then not resumed
+     *     when the claim is granted, as the next response is not due yet
      */
     BodyBufferClaim(BufferedBodyLimit limit, Consumer<Boolean> setReadable, BooleanSupplier complete) {
         this.limit = limit;
@@ -28,7 +28,7 @@
         this.complete = complete;
     }
 
-    /** Requests it; no effect if it is requested already. */
+    /** Requests the claim; has no effect if it has already been requested. */
     void request() {
         if (requested) {
             return;
@@ -40,7 +40,7 @@
     }
 
     private void onAcquired() {
-        if (!requested || granted) { // asked for a body that has ended meanwhile
+        if (!requested || granted) { // requested for a body that has ended in the meantime
             limit.release();
             return;
         }
@@ -50,10 +50,10 @@
         }
     }
 
-    /** Gives it up, whether or not it was granted, and resumes reading. */
+    /** Releases the claim, whether or not it was granted, and resumes reading. */
     void release() {
         requested = false;
-        resumeReading(); // a body that was complete before the grant must not leave its connection unread
+        resumeReading(); // a body that was complete before the grant must not leave reading suspended
         if (granted) {
             granted = false;
             limit.release();
--- a/src/main/java/cacheproxy/proxy/upstream/BufferedBody.java
+++ b/src/main/java/cacheproxy/proxy/upstream/BufferedBody.java
@@ -6,21 +6,22 @@
 import java.util.ArrayDeque;
 
 /**
- * The body of one response of the origin, buffered until it is complete: one buffer for a short body, and chunks for
- * what a long one has beyond that, as parts may be of any size. It is long only if its length was not announced.
+ * The body of one response of the origin, buffered until it is complete. One buffer holds a short body; chunks of fixed
+ * size hold the rest of a long one, as the received parts can have any size. Only a body whose length was not announced
+ * can be long.
  */
 final class BufferedBody {
     private static final int INITIAL_BYTES_OF_UNKNOWN_LENGTH = 1024;
     private static final int CHUNK_BYTES = 16 << 10;
 
-    /** Null while no body is buffered, and once its owner has taken it. */
+    /** Null while no body is buffered, and after the body has been taken. */
     private ByteBuf first;
     /** Null while the body is short. */
     private ArrayDeque<ByteBuf> chunks;
 
     private int chunkBytes;
 
-    /** Begins an empty body, of a length that may be announced; negative if it was not. */
+    /** Begins an empty body. The announced length is negative if the length is unknown. */
     void begin(ByteBufAllocator allocator, long announcedLength) {
         int initialBytes = announcedLength < 0
                 ? INITIAL_BYTES_OF_UNKNOWN_LENGTH
@@ -28,12 +29,12 @@
         first = allocator.buffer(initialBytes, MetaCodec.MAX_BUFFERED_VALUE_BYTES);
     }
 
-    /** Whether a body has begun that nobody has taken or released. */
+    /** Whether a body has begun and has been neither taken nor released. */
     boolean hasBegun() {
         return first != null;
     }
 
-    /** Whether the body is longer than a short one may be. */
+    /** Whether the body exceeds the maximum length of a short one. */
     boolean isLong() {
         return chunks != null;
     }
@@ -43,12 +44,15 @@
         return first.readableBytes() + chunkBytes;
     }
 
-    /** Moves as much of the part into the body as a short one may have. The rest, if any, stays in the part. */
+    /**
+     * Moves bytes of the part into the body, up to the maximum length of a short body. The rest, if any, stays in the
+     * part.
+     */
     void append(ByteBuf part) {
         first.writeBytes(part, Math.min(part.readableBytes(), first.maxWritableBytes()));
     }
 
-    /** Moves all of the part into the body, which thereby is long. */
+    /** Moves all of the part into the body, which makes it a long one. */
     void appendLong(ByteBufAllocator allocator, ByteBuf part) {
         if (chunks == null) {
             chunks = new ArrayDeque<>();
--- a/src/main/java/cacheproxy/proxy/upstream/BufferedBodyLimit.java
+++ b/src/main/java/cacheproxy/proxy/upstream/BufferedBodyLimit.java
@@ -5,8 +5,8 @@
 import java.util.ArrayDeque;
 
 /**
- * Bounds the origin's long bodies that are buffered whole at once, because their length was not announced. Those beyond
- * the bound wait in the order in which they came; each connection has one at most.
+ * Limits how many long bodies of the origin are buffered at once because their length was not announced. Bodies beyond
+ * the limit wait in order of arrival; each connection has at most one.
  */
 final class BufferedBodyLimit {
     private final EventLoop loop;
@@ -15,14 +15,18 @@
     private final ArrayDeque<Runnable> waiting = new ArrayDeque<>();
 
     /**
-     * @param maxValueBytes the memory for the values of writes; bodies of the greatest length get as much, or one does
+     * @param maxValueBytes the memory for the values of writes; the limit is the number of bodies of maximum length
+     *     that fit into as much memory, and at least one
      */
     BufferedBodyLimit(EventLoop loop, long maxValueBytes) {
         this.loop = loop;
         maxBodies = (int) Math.max(1, maxValueBytes / MetaCodec.MAX_VALUE_BYTES);
     }
 
-    /** Calls {@code onAcquired} once a body may be buffered, perhaps from within this call; then to be released. */
+    /**
+     * Calls {@code onAcquired} once a body may be buffered, possibly from within this call. The caller must then call
+     * {@link #release}.
+     */
     void acquire(Runnable onAcquired) {
         if (bodies < maxBodies) {
             bodies++;
@@ -32,13 +36,13 @@
         }
     }
 
-    /** A body that was acquired is not buffered any more. */
+    /** Releases an acquired slot, as its body is no longer buffered. */
     void release() {
         Runnable next = waiting.poll();
         if (next == null) {
             bodies--;
         } else {
-            loop.execute(next); // not from within the event that released this one
+            loop.execute(next); // not from within the event that released this slot
         }
     }
 }
--- a/src/main/java/cacheproxy/proxy/upstream/ByteBudget.java
+++ b/src/main/java/cacheproxy/proxy/upstream/ByteBudget.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy.upstream;
 
-/** Bounds the bytes that the values of all pending writes take together. */
+/** Limits the total size of the values of all pending writes. */
 final class ByteBudget {
     private final long maxBytes;
     private long reservedBytes;
@@ -9,7 +9,7 @@
         this.maxBytes = maxBytes;
     }
 
-    /** Reserves the bytes, to be released once; or returns false if they are too many. */
+    /** Reserves bytes, which must be released once; returns false if they would exceed the limit. */
     boolean reserve(int bytes) {
         if (reservedBytes + bytes > maxBytes) {
             return false;
--- a/src/main/java/cacheproxy/proxy/upstream/CacheCodec.java
+++ b/src/main/java/cacheproxy/proxy/upstream/CacheCodec.java
@@ -12,12 +12,12 @@
 import java.util.List;
 
 /**
- * The meta text protocol of cache servers and sibling proxies. A long value is passed on as it comes, other responses
- * are passed on whole. Responses carry the id of their request; one that carries another's shows that the connection
- * has lost the order of responses.
+ * Codec for the meta text protocol of cache servers and sibling proxies. A long value is streamed as it arrives; other
+ * responses are passed on when they are complete. Responses carry the id of their request; a different id shows that
+ * the responses on the connection are out of order.
  */
 final class CacheCodec extends ByteToMessageDecoder implements UpstreamCodec {
-    /** What the server says of the key's state: nothing, that it had the key, or that it lacked it. */
+    /** The cache status that the server has reported: none, a hit or a miss. */
     private static final int CACHE_STATUS_UNKNOWN = 0;
 
     private static final int CACHE_STATUS_HIT = 1;
@@ -41,19 +41,19 @@
 
     private final UpstreamConnection connection;
     private final ResponseReceiver responses;
-    /** Bytes of the value and its line's end that have not been read; {@link #NO_VALUE} if a line is next. */
+    /** Unread bytes of the value and its line terminator; {@link #NO_VALUE} if a line is expected next. */
     private int remainingBytes = NO_VALUE;
 
     private int valueBytes;
-    /** Whether the value is passed on, or dropped, as it comes. */
+    /** Whether the value is passed on, or discarded, as it arrives. */
     private boolean streamed;
 
     private boolean dropped;
-    /** From the flags of the response that is being read, as are the load figures. */
+    /** Read from the flags of the current response, like {@link #loadReport}. */
     private int cacheStatus;
 
     private float[] loadReport;
-    /** The load figures of a probe's response so far. */
+    /** The load metrics that a probe's response has contained so far. */
     private String stats = "";
 
     CacheCodec(UpstreamConnection connection) {
@@ -80,7 +80,8 @@
     @Override
     public void channelReadComplete(ChannelHandlerContext ctx) {
         connection.setReading(false);
-        // Not the decoder's own, which would read on if it had decoded no message, even while reading is suspended.
+        // Does not call the superclass, which would read on if it had decoded no message, even while reading is
+        // suspended.
         discardSomeReadBytes();
         ctx.fireChannelReadComplete();
     }
@@ -112,7 +113,7 @@
     private void onLine(String line) throws MetaCodec.SyntaxException {
         Attempt attempt = responses.currentAttempt();
         if (attempt == null) {
-            throw new MetaCodec.SyntaxException("answer to nothing");
+            throw new MetaCodec.SyntaxException("no request is waiting for a response");
         }
         if (attempt.isProbe()) {
             onProbeLine(attempt, line);
@@ -125,7 +126,7 @@
         } else if (line.startsWith(MISS)) {
             onMiss(attempt, line);
         } else {
-            throw new MetaCodec.SyntaxException("unknown line");
+            throw new MetaCodec.SyntaxException("unexpected response line");
         }
     }
 
@@ -148,7 +149,7 @@
 
     private void onMiss(Attempt attempt, String line) throws MetaCodec.SyntaxException {
         if (attempt.protocol().stockServers() && line.equals(MISS)) {
-            // Stock servers name no id with a miss; their responses are in order nevertheless.
+            // Stock servers send no id with a miss, but their responses are in order.
             cacheStatus = CACHE_STATUS_MISS;
             loadReport = null;
         } else {
@@ -171,10 +172,10 @@
         responses.onResponse(healthy ? AttemptOutcome.OK : AttemptOutcome.ERROR, CACHE_STATUS_UNKNOWN, probeReport);
     }
 
-    /** Reads what the flags say; the id must be the attempt's. */
+    /** Reads the flags, whose id must match the attempt's request. */
     private void readFlags(Attempt attempt, String line, int from) throws MetaCodec.SyntaxException {
         if (!MetaCodec.hasFlag(line, from, ID_FLAG, attempt.request().id())) {
-            throw new MetaCodec.SyntaxException("answer to another request");
+            throw new MetaCodec.SyntaxException("the response has the id of another request");
         }
         cacheStatus = readCacheStatus(line, from);
         loadReport = attempt.protocol().loadReportIn(MetaCodec.flagArgument(line, from, LOAD_FLAG));
@@ -219,7 +220,8 @@
     }
 
     /**
-     * Passes on what there is of the value. The value has ended only when the line's end behind it has been checked.
+     * Passes on the available bytes of the value. The value is complete only after the line end that follows it has
+     * been checked.
      */
     private void decodeLongValue(ByteBuf input) throws MetaCodec.SyntaxException {
         int partBytes = Math.min(remainingBytes - CRLF_BYTES, input.readableBytes());
@@ -241,7 +243,7 @@
 
     private static void requireCrlf(ByteBuf input, int at) throws MetaCodec.SyntaxException {
         if (input.getByte(at) != '\r' || input.getByte(at + 1) != '\n') {
-            throw new MetaCodec.SyntaxException("value without end");
+            throw new MetaCodec.SyntaxException("no line end after the value");
         }
     }
 
--- a/src/main/java/cacheproxy/proxy/upstream/CacheRequestEncoder.java
+++ b/src/main/java/cacheproxy/proxy/upstream/CacheRequestEncoder.java
@@ -7,16 +7,16 @@
 import io.netty.channel.Channel;
 import io.netty.channel.ChannelFuture;
 
-/** Writes attempts in the meta text protocol, as cache servers and sibling proxies read it. */
+/** Writes attempts in the meta text protocol of cache servers and sibling proxies. */
 final class CacheRequestEncoder {
     private static final String HEALTH_PROBE = "mn\r\n";
     private static final String LOAD_PROBE = "stats load\r\n";
-    /** The digits of a deadline and the line's end. */
+    /** The maximum length of a deadline's digits and the line end. */
     private static final int MAX_DEADLINE_AND_CRLF_BYTES = 12;
 
     private CacheRequestEncoder() {}
 
-    /** Writes an attempt without flushing. The future ends when the last byte has been written. */
+    /** Writes an attempt without flushing. The future completes when the last byte has been written. */
     static ChannelFuture write(Channel channel, Attempt attempt, double nowMs) {
         if (attempt.isProbe()) {
             String probe = attempt.protocol().probesLoad() ? LOAD_PROBE : HEALTH_PROBE;
@@ -30,7 +30,10 @@
                 : writeToSibling(channel, request, siblingClass, deadlineMs);
     }
 
-    /** A sibling does not know this proxy's request classes, but has one for reads of siblings. */
+    /**
+     * Writes a read with the sibling's own request class for reads of siblings, as a sibling does not know this proxy's
+     * request classes.
+     */
     private static ChannelFuture writeToSibling(
             Channel channel, ClientRequest request, String siblingClass, int deadlineMs) {
         String line =
--- a/src/main/java/cacheproxy/proxy/upstream/ConnectionCloseLimiter.java
+++ b/src/main/java/cacheproxy/proxy/upstream/ConnectionCloseLimiter.java
@@ -1,8 +1,8 @@
 package cacheproxy.proxy.upstream;
 
 /**
- * A token bucket for the connections that are closed only to abandon an attempt: closing frees the server from it, but
- * costs a new connection.
+ * A token bucket that limits how many connections are closed only to abandon an attempt: the close relieves the server
+ * of the attempt, but costs a new connection.
  */
 final class ConnectionCloseLimiter {
     private static final double CLOSES_PER_SECOND = 10;
@@ -13,10 +13,10 @@
     private double refilledAtMs;
 
     /**
-     * Whether a connection may be closed now, which is counted then.
+     * Returns whether a connection may be closed now, and counts the close if it may.
      *
-     * @param hedgingAllowed false if the attempt must not go on beside another one: the close is always allowed, and
-     *     may leave a debt of tokens
+     * @param hedgingAllowed false if the attempt must not run in parallel with another one: the close is then always
+     *     allowed, and the number of tokens can become negative
      */
     boolean mayClose(double nowMs, boolean hedgingAllowed) {
         tokens = Math.min(MAX_TOKENS, tokens + (nowMs - refilledAtMs) / MS_PER_SECOND * CLOSES_PER_SECOND);
--- a/src/main/java/cacheproxy/proxy/upstream/ConnectionLimits.java
+++ b/src/main/java/cacheproxy/proxy/upstream/ConnectionLimits.java
@@ -1,14 +1,15 @@
 package cacheproxy.proxy.upstream;
 
 /**
- * Bounds on the connections from this process to one server, for all pools together.
+ * Limits on the connections from this process to one server, for all pools together.
  *
- * @param connectTimeoutMs how long a connection may take to come up
- * @param serverIdleTimeoutMs after how long servers close idle connections
- * @param cacheConnections connections to one cache server
- * @param originConnections connections to one origin server
- * @param maxConnections connections to any server, where some are taken by long values that slow clients read
- * @param streamsPerConnection attempts on one connection to a cache server
+ * @param connectTimeoutMs the time limit for establishing a connection
+ * @param serverIdleTimeoutMs the time after which servers close idle connections
+ * @param cacheConnections the maximum number of connections to one cache server
+ * @param originConnections the maximum number of connections to one origin server
+ * @param maxConnections the maximum number of connections to any server if some are occupied by long values for slow
+ *     clients
+ * @param streamsPerConnection the maximum number of attempts on one connection to a cache server
  */
 public record ConnectionLimits(
         double connectTimeoutMs,
@@ -17,10 +18,10 @@
         int originConnections,
         int maxConnections,
         int streamsPerConnection) {
-    /** How much of {@link #serverIdleTimeoutMs} a connection may be idle for before it is used or closed. */
+    /** The fraction of {@link #serverIdleTimeoutMs} for which a connection may be idle and still be used. */
     private static final double MAX_IDLE_FRACTION = 0.7;
 
-    /** For how long a connection may be idle and still be used. */
+    /** How long a connection may be idle and still be used, in milliseconds. */
     public double maxIdleMs() {
         return serverIdleTimeoutMs * MAX_IDLE_FRACTION;
     }
--- a/src/main/java/cacheproxy/proxy/upstream/ConnectionSelector.java
+++ b/src/main/java/cacheproxy/proxy/upstream/ConnectionSelector.java
@@ -2,9 +2,7 @@
 
 import java.util.List;
 
-/**
- * Selects the connection that takes an attempt, among those to one server that are open. Used on the event loop only.
- */
+/** Selects the connection for an attempt among the open connections to one server. Used on the event loop only. */
 final class ConnectionSelector {
     private final EventLoopContext loopContext;
     private final boolean origin;
@@ -15,8 +13,8 @@
      * Creates a selector.
      *
      * @param origin whether the server is an origin server
-     * @param maxDepth how many attempts a connection may have
-     * @param connections the server's connections, which the owner adds and removes
+     * @param maxDepth the maximum number of attempts on a connection
+     * @param connections the server's connections; the owner adds and removes them
      */
     ConnectionSelector(
             EventLoopContext loopContext, boolean origin, int maxDepth, List<UpstreamConnection> connections) {
@@ -27,8 +25,9 @@
     }
 
     /**
-     * The connection with the fewest attempts, and of the idle ones that used last; null if none can take more.
-     * Responses come in order, so an attempt behind others waits for theirs.
+     * Returns the connection with the fewest attempts, and the most recently used one among idle connections; null if
+     * none can take another attempt. Responses arrive in order, so an attempt queued behind others waits for their
+     * responses.
      */
     UpstreamConnection best(boolean connectedOnly) {
         UpstreamConnection best = null;
@@ -51,8 +50,9 @@
     }
 
     /**
-     * Whether a duplicate of the last response could be told from the response of an attempt that is sent now. The
-     * origin's responses carry no id; a duplicate that comes while no attempt has begun closes the connection.
+     * Returns whether a duplicate of the last response could be distinguished from the response to an attempt that is
+     * sent now. The origin's responses carry no id; a duplicate that arrives while no attempt has begun closes the
+     * connection.
      */
     boolean isReusable(UpstreamConnection connection) {
         return !origin
--- a/src/main/java/cacheproxy/proxy/upstream/EventLoopContext.java
+++ b/src/main/java/cacheproxy/proxy/upstream/EventLoopContext.java
@@ -16,9 +16,9 @@
 import java.util.Set;
 
 /**
- * What all pools and listeners of one event loop share: its clock and timers, its logs, the servers with their
- * connections, the ids of open requests, and the limits on memory and connections. Each concern has a type of its own;
- * this one holds them together. Used on that event loop only, unless a method says otherwise.
+ * The state that all pools and listeners of one event loop share: its clock and timers, its logs, the servers with
+ * their connections, the ids of open requests, and the limits on memory and connections. Each concern has its own type;
+ * this class combines them. Used on that event loop only, unless a method states otherwise.
  */
 public final class EventLoopContext implements RequestAccounting {
     private final EventLoop loop;
@@ -32,7 +32,7 @@
     private final EventLoopClock clock;
     private final TimerWheel timers;
     private final FlushBatcher flushBatcher;
-    /** The clients' ids of requests that have no response yet. */
+    /** The client-assigned ids of requests that have no response yet. */
     private final Set<String> openRequestIds = new HashSet<>();
 
     private final ByteBudget valueBudget;
@@ -46,7 +46,7 @@
     /**
      * Creates the context of an event loop that has none yet.
      *
-     * @param polls to which the loop reports its polls, or a new one if it does not
+     * @param polls the clock to which the loop reports its polls; a new one if it reports none
      * @param serverChannels the type of channels to servers
      */
     public EventLoopContext(
@@ -76,7 +76,10 @@
         return clock.nowMs();
     }
 
-    /** Since when data read now may have waited unread. To be called before anything else that reads. */
+    /**
+     * The earliest time since when data that is read now may have been waiting. Must be called before any other method
+     * that reads.
+     */
     public double unreadSinceMs() {
         return clock.unreadSinceMs();
     }
@@ -86,22 +89,30 @@
         return clock.turn();
     }
 
-    /** Whether this turn of the loop is the given one or the next, which reads what was unread until then. */
+    /**
+     * Returns whether this turn of the loop is the given one or the next, which reads the data that was unread until
+     * then.
+     */
     public boolean isTurnOrNext(long turn) {
         return clock.isTurnOrNext(turn);
     }
 
-    /** Whether the end of a connection may have gone unnoticed for long, as the loop has been busy or paused. */
+    /**
+     * Returns whether the end of a connection may have gone unnoticed for long, because the loop has been busy or
+     * paused.
+     */
     public boolean isBehind() {
         return clock.isBehind();
     }
 
-    /** An event is handled: what is read later in this turn may have waited since now. */
+    /** Records that an event is being handled: data that is read later in this turn may have been waiting since now. */
     void handling() {
         clock.recordEventHandling();
     }
 
-    /** Wakes the loop often enough for {@link #unreadSinceMs} to notice pauses. To be called once, from any thread. */
+    /**
+     * Wakes the loop often enough for {@link #unreadSinceMs} to detect pauses. Must be called once, from any thread.
+     */
     public void startHeartbeat() {
         loop.execute(this::heartbeat);
     }
@@ -110,7 +121,7 @@
         after(PollClock.HEARTBEAT_MS, this::heartbeat);
     }
 
-    /** Runs the task after this time, in milliseconds; see {@link TimerWheel#after}. */
+    /** Runs the task after this delay, in milliseconds; see {@link TimerWheel#after}. */
     public Timer after(double ms, Runnable task) {
         return timers.after(ms, task);
     }
@@ -132,7 +143,7 @@
         return invariants;
     }
 
-    /** Writes a line to standard error, unless there have been too many. */
+    /** Writes a line to standard error, unless too many have been written. */
     public void log(String line) {
         errors.write(line);
     }
@@ -144,20 +155,22 @@
 
     // ---- open requests
 
-    /** Records that a request is open; false if another with the same id is. */
+    /** Records that a request is open; returns false if another request with the same id is open. */
     @Override
     public boolean openId(String id) {
         return openRequestIds.add(id);
     }
 
-    /** The request with this id has its response: the id may be used again. */
+    /** Records that the request with this id has its response, so that the id can be used again. */
     public void closeId(String id) {
         openRequestIds.remove(id);
     }
 
     // ---- memory
 
-    /** Reserves memory for the value of a write, to be given back once; or returns false if there is too little. */
+    /**
+     * Reserves memory for the value of a write, which must be given back once; returns false if there is not enough.
+     */
     public boolean reserve(int bytes) {
         return valueBudget.reserve(bytes);
     }
@@ -168,12 +181,12 @@
         valueBudget.release(bytes);
     }
 
-    /** A streamed response begins. Returns how many bytes of it may wait for its client. */
+    /** Records that a streamed response begins. Returns how many of its bytes may wait for its client. */
     public int openStream() {
         return streamBudget.openStream();
     }
 
-    /** A streamed response has ended. */
+    /** Records that a streamed response has ended. */
     public void closeStream() {
         streamBudget.closeStream();
     }
@@ -195,7 +208,7 @@
         servers.addObserver(observer);
     }
 
-    /** Creates a bootstrap that lacks the handler and the address. */
+    /** Creates a bootstrap without a handler and an address. */
     Bootstrap bootstrap(double connectTimeoutMs) {
         return bootstraps.create(connectTimeoutMs);
     }
@@ -205,12 +218,12 @@
         return serverConnections < maxServerConnections;
     }
 
-    /** A connection to a server is being opened. */
+    /** Records that a connection to a server is being opened. */
     void connectionOpened() {
         serverConnections++;
     }
 
-    /** A connection to a server has been closed, or did not come up. */
+    /** Records that a connection to a server has closed or could not be established. */
     void connectionClosed() {
         serverConnections--;
     }
--- a/src/main/java/cacheproxy/proxy/upstream/InvariantEventLog.java
+++ b/src/main/java/cacheproxy/proxy/upstream/InvariantEventLog.java
@@ -7,8 +7,8 @@
 import cacheproxy.proxy.net.StandardErrorLog;
 
 /**
- * Writes the actions that an invariant stopped, and its violations, to the event log. A violation also is a line on
- * standard error, whether or not the event log is enabled.
+ * Writes actions that an invariant has stopped, and violations of invariants, to the event log. A violation is also
+ * written to standard error, whether or not the event log is enabled.
  */
 final class InvariantEventLog implements InvariantListener {
     private final EventLog events;
--- a/src/main/java/cacheproxy/proxy/upstream/OriginCodec.java
+++ b/src/main/java/cacheproxy/proxy/upstream/OriginCodec.java
@@ -19,19 +19,19 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * HTTP/1.1 to the origin. A long value of announced length is passed on as it comes. Any other body is buffered until
- * it is complete, as a client must be told the length first; a long one is then passed on as fast as its client takes
- * it.
+ * Codec for HTTP/1.1 to the origin. A long value of announced length is streamed as it arrives. Any other body is
+ * buffered until it is complete, because clients receive the length first; a long body is then passed on as fast as its
+ * client reads it.
  */
 final class OriginCodec extends SimpleChannelInboundHandler<HttpObject> implements UpstreamCodec {
-    /** Heads may carry headers of some kilobytes; an endless one must not take memory for long. */
+    /** Response headers can take some kilobytes; the limit keeps an endless head from using up memory. */
     private static final int MAX_HEAD_BYTES = 64 << 10;
 
     private static final int MAX_CHUNK_BYTES = 64 << 10;
     private static final String LOAD_HEADER = "Srv-Load";
     private static final String DECLINED_HEADER = "Srv-Declined";
     private static final String DECLINED = "1";
-    /** The origin says nothing of what it has cached. */
+    /** The origin reports no cache status. */
     private static final int CACHE_STATUS_UNKNOWN = 0;
 
     private final UpstreamConnection connection;
@@ -40,13 +40,13 @@
     private final BodyBufferClaim claim;
     /** The head of the response that is being received; null between responses. */
     private HttpResponse response;
-    /** Whether its body is passed on as it comes. */
+    /** Whether the body of the current response is streamed as it arrives. */
     private boolean streamed;
-    /** Whether a long body has been buffered completely, and is being passed on. */
+    /** Whether a long body has been buffered completely and is being passed on. */
     private boolean forwarding;
-    /** The load figures of the response whose body is being passed on. */
+    /** The load report of the response whose body is being passed on. */
     private float[] forwardedLoadReport;
-    /** Whether input is ignored, as the connection is to end. */
+    /** Whether input is ignored, because the connection is about to end. */
     private boolean ignoringInput;
 
     private boolean inactive;
@@ -88,7 +88,7 @@
             return;
         }
         if (message.decoderResult().isFailure()) {
-            fail("not HTTP");
+            fail("not a valid HTTP response");
             return;
         }
         if (message instanceof HttpResponse head) {
@@ -109,19 +109,19 @@
         }
         Attempt attempt = responses.currentAttempt();
         if (attempt == null) {
-            fail("answer to nothing");
+            fail("no request is waiting for a response");
             return;
         }
         if (hasEmptyHeader(head)) {
-            // Netty takes a line without a colon for a header without a value. As with a head that Netty rejects, what
-            // follows may not belong to this response.
+            // Netty parses a line without a colon as a header without a value. As with a head that Netty rejects, the
+            // bytes that follow may not belong to this response.
             fail("header without a value");
             return;
         }
         response = head;
         long length = HttpUtil.getContentLength(head, -1L);
         if (length > MetaCodec.MAX_VALUE_BYTES) {
-            fail("too long");
+            fail("the body is too long");
             return;
         }
         streamed = isValueOf(attempt) && length > MetaCodec.MAX_BUFFERED_VALUE_BYTES;
@@ -129,7 +129,7 @@
             body.begin(ctx.alloc(), length);
             responses.onPartialResponse();
         } else if (!responses.onLongValueBegin((int) length)) {
-            streamed = false; // nobody waits for it: without a buffer it is dropped
+            streamed = false; // no client waits for the value; without a buffer it is discarded
         }
     }
 
@@ -166,7 +166,7 @@
         }
         if (!isValueOf(responses.currentAttempt())
                 || body.length() + part.readableBytes() > MetaCodec.MAX_VALUE_BYTES) {
-            fail("too long");
+            fail("the body is too long");
             return;
         }
         body.appendLong(ctx.alloc(), part);
@@ -207,7 +207,7 @@
 
     private void onSuccess(Attempt attempt, float[] loadReport) {
         ByteBuf complete = body.take();
-        if (complete == null) { // it was passed on as it came, or dropped
+        if (complete == null) { // it was streamed or discarded
             responses.onResponse(AttemptOutcome.OK, CACHE_STATUS_UNKNOWN, loadReport);
         } else if (attempt.request().isWrite()) {
             String receipt = complete.toString(StandardCharsets.ISO_8859_1).trim();
@@ -218,7 +218,7 @@
         }
     }
 
-    /** Passes on a long body that has been buffered, as a long value whose length is known now. */
+    /** Passes on a long body that has been buffered, as a long value whose length is now known. */
     private void beginForwarding(float[] loadReport) {
         forwardedLoadReport = loadReport;
         forwarding = true;
@@ -267,7 +267,7 @@
 
     @Override
     public void discard() {
-        ignoringInput = true; // a body whose end is the connection's is not complete if the proxy ends the connection
+        ignoringInput = true; // a body that ends with its connection is incomplete if the proxy closes the connection
         boolean wasForwarding = forwarding;
         releaseBody();
         if (wasForwarding && inactive) {
@@ -285,7 +285,7 @@
     public void channelInactive(ChannelHandlerContext ctx) {
         ignoringInput = true;
         inactive = true;
-        if (!forwarding) { // else the client gets the rest first
+        if (!forwarding) { // otherwise the client gets the rest first
             releaseBody();
             connection.onClosed();
         }
@@ -294,7 +294,7 @@
     @SuppressWarnings("FutureReturnValueIgnored") // the close is observed where the channel becomes inactive
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause) {
-        ignoringInput = true; // a body whose end is the connection's is not complete after a failure
+        ignoringInput = true; // a body that ends with its connection is incomplete after a failure
         ctx.close();
     }
 }
--- a/src/main/java/cacheproxy/proxy/upstream/OriginRequestEncoder.java
+++ b/src/main/java/cacheproxy/proxy/upstream/OriginRequestEncoder.java
@@ -13,18 +13,18 @@
 import java.net.URLEncoder;
 import java.nio.charset.StandardCharsets;
 
-/** Makes the HTTP requests of attempts at the origin: reads are GETs and writes are PUTs of the key as path. */
+/** Creates the HTTP requests for attempts at the origin: GET for reads and PUT for writes, with the key as the path. */
 final class OriginRequestEncoder {
     private static final String HEALTH_PROBE_PATH = "/alive";
     private static final String LOAD_PROBE_PATH = "/metrics/load";
     private static final String ID_HEADER = "Req-Id";
     private static final String ATTRIBUTES_HEADER = "Req-Extra";
-    /** A request's value is kept with the line's end behind it. */
+    /** A request's value is stored together with the line end that follows it. */
     private static final int CRLF_BYTES = 2;
 
     private OriginRequestEncoder() {}
 
-    /** Makes the request of an attempt, whose deadline is counted from {@code nowMs}. */
+    /** Creates the request for an attempt, with a deadline relative to {@code nowMs}. */
     static FullHttpRequest encode(Attempt attempt, SocketAddress server, double nowMs) {
         FullHttpRequest request = attempt.isProbe() ? probe(attempt) : request(attempt, nowMs);
         request.headers().set(HttpHeaderNames.HOST, Addresses.text(server));
--- a/src/main/java/cacheproxy/proxy/upstream/ResponseProgress.java
+++ b/src/main/java/cacheproxy/proxy/upstream/ResponseProgress.java
@@ -3,8 +3,8 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * Notices when a response stops in its middle. Servers pause within a response for 0.1 s at most; one that has paused
- * for longer will not continue.
+ * Detects responses that stop before they are complete. Servers pause within a response for at most 0.1 s; a response
+ * that has paused for longer will not continue.
  */
 final class ResponseProgress {
     /** How long the connection waits for the rest of a short response: three times the longest pause. */
@@ -13,18 +13,18 @@
     private final EventLoopContext loopContext;
     private final BooleanSupplier closed;
     private final Runnable onTimeout;
-    /** When the last bytes came, or the response could continue again. */
+    /** When the last bytes arrived, or reading was last suspended or resumed. */
     private double lastProgressMs;
-    /** Whether a part of a short response, and not all of it, has come. */
+    /** Whether a part of a short response has arrived, but not all of it. */
     private boolean partial;
 
     private boolean timerSet;
 
     /**
-     * Creates the progress of a connection's responses.
+     * Creates the monitor of a connection's responses.
      *
-     * @param closed whether the connection is closed, so that nothing is expected any more
-     * @param onTimeout runs when the rest of a short response has not come in time
+     * @param closed whether the connection is closed, so that no more bytes are expected
+     * @param onTimeout runs when the rest of a short response has not arrived in time
      */
     ResponseProgress(EventLoopContext loopContext, BooleanSupplier closed, Runnable onTimeout) {
         this.loopContext = loopContext;
@@ -32,12 +32,15 @@
         this.onTimeout = onTimeout;
     }
 
-    /** Bytes have come, or reading has been suspended or resumed. */
+    /** Records that bytes have arrived, or that reading has been suspended or resumed. */
     void recordProgress() {
         lastProgressMs = loopContext.nowMs();
     }
 
-    /** A part of a short response has come, and the rest is expected within {@link #PARTIAL_RESPONSE_TIMEOUT_MS}. */
+    /**
+     * Records that a part of a short response has arrived, and that the rest is expected within
+     * {@link #PARTIAL_RESPONSE_TIMEOUT_MS}.
+     */
     void partialReceived() {
         partial = true;
         recordProgress();
@@ -47,12 +50,15 @@
         }
     }
 
-    /** No rest of a short response is expected: it is complete, is a long value's head, or is not being read. */
+    /**
+     * Records that no rest of a short response is expected: it is complete, it is the head of a long value, or it is
+     * not being read.
+     */
     void expectNothing() {
         partial = false;
     }
 
-    /** For how long nothing has come, in milliseconds. */
+    /** The time since the last progress, in milliseconds. */
     double sinceProgressMs(double nowMs) {
         return nowMs - lastProgressMs;
     }
--- a/src/main/java/cacheproxy/proxy/upstream/ResponseReceiver.java
+++ b/src/main/java/cacheproxy/proxy/upstream/ResponseReceiver.java
@@ -4,24 +4,27 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * The responses on one connection, as its codec reads them: hands each to its attempt, pauses reading where a client
- * does not take a long value as fast as it comes, and notices responses that do not continue. Used on the event loop
+ * Receives the responses on one connection from its codec: passes each to its attempt, pauses reading while a client
+ * does not read a long value as fast as it arrives, and detects responses that have stalled. Used on the event loop
  * only.
  */
 final class ResponseReceiver {
-    /** A long value that has not continued for this long, or a response that is late by this much, will not come. */
+    /** A long value without progress for this long, or a response that is overdue by this much, will not arrive. */
     private static final double STALL_TIMEOUT_MS = 3000;
 
     private final UpstreamConnection connection;
     private final AttemptQueue attempts;
     private final ResponseProgress progress;
-    /** Whether the client that takes a long value has paused it. */
+    /** Whether the client that reads a long value has paused it. */
     private boolean paused;
     /** Whether a long value is being received. */
     private boolean receivingLongValue;
     /** Whether the server has responded on the connection. */
     private boolean responded;
-    /** Whether the server has responded otherwise than by refusing for overload, and so has accepted the connection. */
+    /**
+     * Whether the server has sent a response other than an overload rejection, which shows that it has accepted the
+     * connection.
+     */
     private boolean accepted;
 
     /** Creates the receiver of a connection on which nothing has been received. */
@@ -43,7 +46,7 @@
         return responded;
     }
 
-    /** Whether the server has done nothing but refuse for overload. */
+    /** Whether the server has sent only overload rejections. */
     boolean hasOnlyRefused() {
         return responded && !accepted;
     }
@@ -60,7 +63,7 @@
 
     // ---- flow control
 
-    /** The client that takes a long value pauses it, or takes more. */
+    /** Called when the client that reads a long value pauses or resumes it. */
     void setPaused(boolean pause) {
         if (paused != pause) {
             paused = pause;
@@ -72,12 +75,12 @@
         }
     }
 
-    /** Whether the client that takes a long value has paused it. */
+    /** Whether the client that reads a long value has paused it. */
     boolean isPaused() {
         return paused;
     }
 
-    /** Suspends or resumes reading for the codec's sake. */
+    /** Suspends or resumes reading on behalf of the codec. */
     void setReadable(boolean readable) {
         if (readable) {
             progress.partialReceived();
@@ -90,42 +93,42 @@
 
     // ---- what the codec reads
 
-    /** The attempt whose response comes next; null if none has begun, so that no response is due. */
+    /** The attempt whose response is expected next; null if none has begun, so that no response is due. */
     Attempt currentAttempt() {
         Attempt first = attempts.first();
         return first == null || first.hasBegun() ? first : null;
     }
 
-    /** A part of a short response has come. */
+    /** Called when a part of a short response has arrived. */
     void onPartialResponse() {
         progress.partialReceived();
     }
 
-    /** A long value begins. Returns false if nobody waits for it, so that it is to be dropped. */
+    /** Called when a long value begins. Returns false if no client waits for it, so that it must be discarded. */
     boolean onLongValueBegin(int length) {
         receivingLongValue = true;
-        // Its head may have come in parts; the limit on pauses of short responses no longer applies.
+        // Its head may have arrived in parts; the time limit for the rest of short responses no longer applies.
         progress.expectNothing();
         progress.recordProgress();
         return attempts.first().onValueBegin(length);
     }
 
-    /** A part of a long value, which the callee releases. */
+    /** Called with a part of a long value, which the callee releases. */
     void onLongValuePart(ByteBuf part) {
         progress.recordProgress();
         attempts.first().onValuePart(part);
     }
 
-    /** A response without a value or receipt, or the end of a long value, has come. */
+    /** Called when a response without a value or receipt, or the end of a long value, has arrived. */
     void onResponse(AttemptOutcome outcome, int cacheStatus, float[] loadReport) {
         onResponse(outcome, cacheStatus, loadReport, null, null);
     }
 
     /**
-     * A response, or the end of a long value, has come; see {@link Attempt#onEnd}.
+     * Called when a response, or the end of a long value, has arrived; see {@link Attempt#onEnd}.
      *
-     * @param value which the callee releases; null if there is none, or it has come in parts
-     * @param receipt null if there is none
+     * @param value the value, which the callee releases; null if there is none or it has been streamed
+     * @param receipt the receipt of a write; null if there is none
      */
     void onResponse(AttemptOutcome outcome, int cacheStatus, float[] loadReport, ByteBuf value, String receipt) {
         Attempt attempt = attempts.removeResponded();
--- a/src/main/java/cacheproxy/proxy/upstream/StreamBudget.java
+++ b/src/main/java/cacheproxy/proxy/upstream/StreamBudget.java
@@ -1,8 +1,8 @@
 package cacheproxy.proxy.upstream;
 
 /**
- * Divides the memory for streamed responses, the parts of long values that wait for slow clients, among them. Each gets
- * its share of what there is when it begins, within bounds.
+ * Divides the memory for streamed responses, in which parts of long values wait for slow clients. When a response
+ * begins, it gets an equal share of the memory, within bounds.
  */
 final class StreamBudget {
     private static final int MAX_STREAM_BYTES = 64 << 10;
@@ -12,18 +12,18 @@
     private final long totalBytes;
     private int openStreams;
 
-    /** @param maxValueBytes the memory for the values of writes; streams get half as much more */
+    /** @param maxValueBytes the memory for the values of writes; streams get half as much in addition */
     StreamBudget(long maxValueBytes) {
         totalBytes = Math.max(MIN_TOTAL_BYTES, maxValueBytes / 2);
     }
 
-    /** A streamed response begins. Returns how many bytes of it may wait for its client. */
+    /** Records that a streamed response begins. Returns how many of its bytes may wait for its client. */
     int openStream() {
         openStreams++;
         return (int) Math.max(MIN_STREAM_BYTES, Math.min(MAX_STREAM_BYTES, totalBytes / openStreams));
     }
 
-    /** A streamed response has ended. */
+    /** Records that a streamed response has ended. */
     void closeStream() {
         openStreams--;
     }
--- a/src/main/java/cacheproxy/proxy/upstream/Upstream.java
+++ b/src/main/java/cacheproxy/proxy/upstream/Upstream.java
@@ -12,14 +12,15 @@
 import java.util.function.Predicate;
 
 /**
- * A server with this process's connections to it, which all its pools share. An attempt takes the connection that was
- * used last of the idle ones, so that the others can grow old and be closed; else it opens one, up to a limit, or
- * queues behind the fewest attempts. Used on the event loop only.
+ * A server and this process's connections to it, which all pools with this server share. An attempt uses the most
+ * recently used idle connection, so that the other idle ones age and are closed. If no connection is idle, the attempt
+ * opens one, up to a limit, or queues on the connection with the fewest attempts. Used on the event loop only.
  */
 public final class Upstream {
     /**
-     * How long an idle connection to the origin is not reused after a response, in milliseconds: a duplicate of the
-     * response, which is recognized only by coming before an attempt begins, would follow within a few milliseconds.
+     * How long an idle connection to the origin is not reused after a response, in milliseconds. A duplicate of the
+     * response would follow within a few milliseconds, and is recognized only if it arrives before the next attempt
+     * begins.
      */
     public static final double REUSE_DELAY_MS = 10;
 
@@ -28,20 +29,20 @@
     private final int id;
     private final boolean origin;
     private final SocketAddress address;
-    /** When the server's process started, as the endpoint list has it. */
+    /** When the server's process started, according to the endpoint list. */
     private double startedMs;
     /** The state in the endpoint list; null before the first list. */
     private EndpointState state;
-    /** Since when it is known to drain or to be gone; {@link #AVAILABLE} if neither. */
+    /** When the server was first known to be draining or gone; {@link #AVAILABLE} if it is neither. */
     private double unavailableSinceMs = AVAILABLE;
     /** How many pools have this server on their lists. */
     private int poolCount;
 
     private final EventLoopContext loopContext;
     private final Bootstrap bootstrap;
-    /** Bound of the connections that can take another attempt. */
+    /** The maximum number of connections that can take another attempt. */
     private final int maxConnections;
-    /** Bound of all connections, including those on which a long value waits for its client. */
+    /** The maximum number of connections, including those on which a long value waits for its client. */
     private final int maxConnectionsWithLongValues;
 
     private final int maxDepth;
@@ -71,12 +72,12 @@
 
     // ---- the server in the endpoint list
 
-    /** The server's id, by its name. */
+    /** The server's id, derived from its name. */
     public int id() {
         return id;
     }
 
-    /** Whether it is an origin server; else it is a cache server or a sibling. */
+    /** Whether this is an origin server; otherwise it is a cache server or a sibling. */
     public boolean isOrigin() {
         return origin;
     }
@@ -86,18 +87,19 @@
         return address;
     }
 
-    /** Since when it is known to drain or to be gone, in milliseconds; infinite if it is ready. */
+    /** When the server was first known to be draining or gone, in milliseconds; infinite if it is ready. */
     public double unavailableSinceMs() {
         return unavailableSinceMs;
     }
 
-    /** Whether the list has had this state and start time of the server already. */
+    /** Whether the endpoint list has already had this state and start time of the server. */
     public boolean isListedAs(EndpointState otherState, double otherStartedMs) {
         return state == otherState && startedMs == otherStartedMs;
     }
 
     /**
-     * Takes over what the list says. If the server has been restarted, the connections to its old process are retired.
+     * Applies the state and start time of the endpoint list. If the server has been restarted, the connections to its
+     * old process are retired.
      */
     public void updateListing(EndpointState newState, double newStartedMs) {
         if (startedMs != newStartedMs) {
@@ -112,37 +114,37 @@
         }
     }
 
-    /** The server is known to drain or to be gone from now on, or since the time that is known already. */
+    /** Records that the server is draining or gone as of now, or as of the time that was recorded earlier. */
     public void markUnavailable() {
         unavailableSinceMs = Math.min(unavailableSinceMs, loopContext.nowMs());
     }
 
-    /** Another pool has it on its list. */
+    /** Records that another pool lists the server. */
     void addPool() {
         poolCount++;
     }
 
-    /** A pool does not have it any more. Returns whether no pool has it now. */
+    /** Records that a pool no longer lists the server. Returns whether no pool lists it now. */
     boolean removePool() {
         poolCount--;
         return poolCount == 0;
     }
 
-    /** Whether exactly one pool has it. */
+    /** Whether exactly one pool lists the server. */
     public boolean hasOnePool() {
         return poolCount == 1;
     }
 
     // ---- the choice of a connection
 
-    /** Sends the attempt; false if no connection can take it. */
+    /** Sends the attempt; returns false if no connection can take it. */
     public boolean send(Attempt attempt) {
         closeExpired();
         UpstreamConnection best = selector.best(false);
         if ((best == null || best.depth() > 0 || !selector.isReusable(best)) && mayOpen()) {
             best = open();
         }
-        if (best == null || !best.isUsable(maxDepth)) { // a new one may have failed at once, for want of a descriptor
+        if (best == null || !best.isUsable(maxDepth)) { // a new one may have failed at once for lack of a descriptor
             return false;
         }
         best.send(attempt);
@@ -150,8 +152,8 @@
     }
 
     /**
-     * Sends an attempt whose own connection did not come up; false if no connection that is up can take it. While
-     * others are up, the failure shows only that the server accepts no more connections.
+     * Sends an attempt whose connection could not be established; returns false if no established connection can take
+     * it. While others are established, the failure shows only that the server accepts no more connections.
      */
     boolean sendOnConnected(Attempt attempt) {
         UpstreamConnection best = selector.best(true);
@@ -164,7 +166,7 @@
 
     private boolean mayOpen() {
         int current = connections.size() - count(UpstreamConnection::isEnding);
-        // An attempt behind a long value would wait for the client of that.
+        // An attempt behind a long value would wait for the client that reads the value.
         int available = current - count(UpstreamConnection::isReceivingLongValue);
         return available < maxConnections
                 && current < maxConnectionsWithLongValues
@@ -196,19 +198,19 @@
 
     // ---- what connections report
 
-    /** A connection has closed, or did not come up. */
+    /** Called when a connection has closed or could not be established. */
     void onClosed(UpstreamConnection connection) {
         if (connections.remove(connection)) {
             loopContext.connectionClosed();
         }
     }
 
-    /** The server has served an attempt on a new connection. */
+    /** Called when the server has served an attempt on a new connection. */
     void onConnectionAccepted() {
         capacity.connectionAccepted();
     }
 
-    /** The server has closed a new connection without serving an attempt. */
+    /** Called when the server has closed a new connection without serving an attempt. */
     void onConnectionRefused() {
         if (!origin) {
             capacity.connectionRefused(loopContext.nowMs());
@@ -218,8 +220,8 @@
     // ---- closing
 
     /**
-     * Closes connections that were idle for so long that the server may be about to close them: whether it has
-     * processed an attempt that was written meanwhile could not be known.
+     * Closes connections that have been idle for so long that the server may be about to close them. If an attempt were
+     * written at that time, it would be unknown whether the server has processed it.
      */
     private void closeExpired() {
         double sinceMs = loopContext.nowMs() - maxIdleMs;
@@ -257,8 +259,9 @@
     }
 
     /**
-     * Sends nothing more on the connections there are, as their server is gone, restarted or moved: they would lead to
-     * a silent machine, or to another server at its address. Those in use close with their last attempt.
+     * Sends nothing more on the existing connections because their server is gone, has restarted or has moved: they
+     * would lead to a machine that does not respond, or to another server at the same address. Connections in use are
+     * closed after their last attempt.
      */
     public void retire() {
         connections.forEach(UpstreamConnection::retire);
--- a/src/main/java/cacheproxy/proxy/upstream/UpstreamBootstraps.java
+++ b/src/main/java/cacheproxy/proxy/upstream/UpstreamBootstraps.java
@@ -9,8 +9,8 @@
 /** Creates the bootstraps of the connections to servers. */
 final class UpstreamBootstraps {
     /**
-     * Bounds what the kernel buffers of a response that is not being read. Once a server has closed its side, Netty
-     * reads all that was received, even if reading is suspended for the sake of a slow client.
+     * Limits how much of a response the kernel buffers while the response is not being read. Once a server has closed
+     * its side, Netty reads everything that was received, even if reading is suspended because of a slow client.
      */
     private static final int RECEIVE_BUFFER_BYTES = 64 << 10;
 
@@ -22,7 +22,7 @@
         this.channelType = channelType;
     }
 
-    /** Creates a bootstrap that lacks the handler and the address. */
+    /** Creates a bootstrap without a handler and an address. */
     Bootstrap create(double connectTimeoutMs) {
         Bootstrap bootstrap = new Bootstrap()
                 .group(loop)
--- a/src/main/java/cacheproxy/proxy/upstream/UpstreamCodec.java
+++ b/src/main/java/cacheproxy/proxy/upstream/UpstreamCodec.java
@@ -6,12 +6,12 @@
 
 /** Writes attempts in the protocol of a server, and reports what the server sends to the {@link UpstreamConnection}. */
 interface UpstreamCodec {
-    /** Writes an attempt without flushing. The future ends when the last byte has been written. */
+    /** Writes an attempt without flushing. The future completes when the last byte has been written. */
     ChannelFuture write(Channel channel, Attempt attempt, SocketAddress server);
 
-    /** A paused value may continue; the codec may hold parts of it. */
+    /** Called when a paused value may continue; the codec may hold parts of it. */
     default void resume() {}
 
-    /** The connection is being closed: the codec releases what it holds, and ignores further input. */
+    /** Called when the connection is being closed: the codec releases its buffers and ignores further input. */
     default void discard() {}
 }
--- a/src/main/java/cacheproxy/proxy/upstream/UpstreamConnection.java
+++ b/src/main/java/cacheproxy/proxy/upstream/UpstreamConnection.java
@@ -7,14 +7,15 @@
 import java.net.SocketAddress;
 
 /**
- * One connection to a server, with the attempts on it. When it ends, an attempt on it may have been processed only if
- * its last byte had been written; that decides about its outcome. Used on the event loop only.
+ * One connection to a server, with the attempts on it. When the connection ends, the server may have processed an
+ * attempt only if the last byte of the attempt had been written; the outcome of the attempt depends on that. Used on
+ * the event loop only.
  */
 public final class UpstreamConnection implements Responder.ValueSource {
     /** How long a connection waits for the rest of a short response, in milliseconds. */
     public static final double PARTIAL_RESPONSE_TIMEOUT_MS = ResponseProgress.PARTIAL_RESPONSE_TIMEOUT_MS;
 
-    /** For how many short responses a long value counts in the choice of a connection. */
+    /** How many short responses a long value counts as when a connection is selected. */
     private static final int LONG_VALUE_DEPTH = 1000;
 
     private final Upstream upstream;
@@ -44,7 +45,7 @@
         return upstream.loopContext();
     }
 
-    /** Its responses, to which its codec hands what it reads. */
+    /** The receiver of its responses, to which its codec passes its input. */
     ResponseReceiver responses() {
         return responses;
     }
@@ -64,12 +65,12 @@
         return address;
     }
 
-    /** Sets the codec; to be called once, before {@link #beginConnecting}. */
+    /** Sets the codec. Must be called once, before {@link #beginConnecting}. */
     void setCodec(UpstreamCodec newCodec) {
         codec = newCodec;
     }
 
-    /** Takes over the channel while it connects. */
+    /** Sets the channel, which is still connecting. */
     void beginConnecting(ChannelFuture connect, SocketAddress server) {
         channel = connect.channel();
         address = server;
@@ -80,8 +81,9 @@
         loopContext().servers().connectCompleted(upstream, failure);
         UpstreamEvents.logConnected(loopContext().events(), this, failure);
         if (failure != null) {
-            // A channel that was never active reports no end to its handlers, so it has to be done here. Else attempts
-            // would time out as ones that may have been processed, and the connection would count for good.
+            // A channel that was never active does not report its end to its handlers, so the end is handled here.
+            // Otherwise attempts would time out as if they might have been processed, and the connection would be
+            // counted forever.
             onClosed();
             return;
         }
@@ -96,12 +98,15 @@
         return connected;
     }
 
-    /** Whether it has closed, or has failed to come up. */
+    /** Whether the connection has closed or could not be established. */
     boolean isClosed() {
         return closed;
     }
 
-    /** Its attempts, where a long value counts as many: a client takes it, which may last for seconds. */
+    /**
+     * The number of attempts on the connection. A long value counts as many, because its client may take seconds to
+     * read it.
+     */
     int depth() {
         return responses.isReceivingLongValue() ? attempts.size() + LONG_VALUE_DEPTH : attempts.size();
     }
@@ -116,7 +121,7 @@
         return retired;
     }
 
-    /** Whether the proxy has closed it; else the server has, or the network. */
+    /** Whether the proxy has closed the connection; otherwise the server or the network has. */
     boolean isClosedByProxy() {
         return closedByProxy;
     }
@@ -136,12 +141,12 @@
         return responses.hasResponded();
     }
 
-    /** Since when no attempt has been on it; valid if {@link #isEmpty}. */
+    /** Since when the connection has been idle; valid if {@link #isEmpty}. */
     double idleSinceMs() {
         return idleSinceMs;
     }
 
-    /** Whether an attempt may be sent on it, given the greatest number of attempts. */
+    /** Whether an attempt may be sent on it, given the maximum number of attempts. */
     boolean isUsable(int maxDepth) {
         return !closed
                 && !retired
@@ -149,24 +154,24 @@
                 && (!connected || (channel.isActive() && channel.isWritable()));
     }
 
-    /** Since when its server is known to drain or to be gone; infinite if it is ready. */
+    /** When its server was first known to be draining or gone; infinite if the server is ready. */
     public double serverUnavailableSinceMs() {
         return upstream.unavailableSinceMs();
     }
 
-    /** Attempts that wait for it or for their response on it. */
+    /** The number of attempts that wait for the connection, or for their response on it. */
     public int queueLength() {
         return attempts.size();
     }
 
-    /** How its server is named in the event log: its id and address. */
+    /** The server's name in the event log: its id and address. */
     public String name() {
         return Integer.toHexString(upstream.id()) + "@" + address;
     }
 
     // ---- sending
 
-    /** Sends an attempt, or queues it until the connection is up and takes more. */
+    /** Sends an attempt, or queues it until the connection is established and writable. */
     void send(Attempt attempt) {
         attempt.assignTo(this);
         attempts.add(attempt);
@@ -174,16 +179,17 @@
     }
 
     /**
-     * Nobody needs the response of an attempt any more. If it has not begun, it is removed. If all on this connection
-     * are abandoned, the connection is closed, unless too many have been.
+     * Abandons an attempt whose response is no longer needed. An attempt that has not begun is removed. If all attempts
+     * on this connection are abandoned, the connection is closed, unless too many connections have been closed
+     * recently.
      *
-     * @return whether it was removed before it had begun
+     * @return whether the attempt was removed before it had begun
      */
     public boolean abandon(Attempt attempt) {
         if (!attempt.hasBegun()) {
             return attempts.removeWaiting(attempt);
         }
-        // A retired one takes no more attempts, so that keeping it would not save a new connection.
+        // A retired connection takes no more attempts, so keeping it open would not save a new connection.
         if (attempts.abandon(attempt) && (retired || loopContext().mayClose(attempt.hedgingAllowed()))) {
             close();
         }
@@ -197,36 +203,36 @@
 
     // ---- what the codec and the responses report
 
-    /** The channel takes more again, or no more for now. */
+    /** Called when the channel becomes writable or unwritable. */
     void onWritabilityChanged() {
         writer.writeWaiting();
     }
 
-    /** Input begins to be handled, or has been handled; see {@link AttemptWriter#setReading}. */
+    /** Called when the handling of input begins or ends; see {@link AttemptWriter#setReading}. */
     void setReading(boolean handling) {
         writer.setReading(handling);
     }
 
-    /** The server has responded otherwise than by refusing for overload. */
+    /** Called when the server has sent a response other than an overload rejection. */
     void onAccepted() {
         upstream.onConnectionAccepted();
     }
 
-    /** If no attempt is left, it is idle from now on. */
+    /** Records that the connection is idle from now on, if no attempt is left. */
     void markIdleIfEmpty() {
         if (attempts.isEmpty()) {
             idleSinceMs = loopContext().nowMs();
         }
     }
 
-    /** Closes it if no attempt is left and none will be sent on it. */
+    /** Closes the connection if no attempt is left and none will be sent on it. */
     void closeIfRetiredAndEmpty() {
         if (attempts.isEmpty() && retired) {
             close();
         }
     }
 
-    /** Input violates the protocol. */
+    /** Called when the input violates the protocol. */
     void onProtocolError(String reason) {
         loopContext().log("bad answer of " + address + ": " + reason);
         close();
@@ -259,14 +265,18 @@
         }
     }
 
-    /** It has closed, or has never come up: ends its attempts, or sends them elsewhere if they have not begun. */
+    /**
+     * Called when the connection has closed or could not be established: ends its attempts, or sends those that have
+     * not begun on other connections.
+     */
     void onClosed() {
         if (closed) {
             return;
         }
         closed = true;
         if (responses.hasOnlyRefused() && !retired) {
-            // The server only refused for overload, and closed it: it has no capacity for one more connection.
+            // The server has sent only overload rejections and has closed the connection: it has no capacity for
+            // another one.
             upstream.onConnectionRefused();
         }
         upstream.onClosed(this);
--- a/src/main/java/cacheproxy/proxy/upstream/UpstreamEvents.java
+++ b/src/main/java/cacheproxy/proxy/upstream/UpstreamEvents.java
@@ -8,9 +8,9 @@
     private UpstreamEvents() {}
 
     /**
-     * A connection has come up, or has failed to.
+     * Logs that a connection has been established or has failed.
      *
-     * @param failure null if it has come up
+     * @param failure the cause of the failure; null if the connection has been established
      */
     static void logConnected(EventLog events, UpstreamConnection connection, Throwable failure) {
         if (events.isEnabled()) {
@@ -22,7 +22,7 @@
         }
     }
 
-    /** A connection has closed; its attempts have not ended yet. */
+    /** Logs that a connection has closed; its attempts have not ended yet. */
     static void logDisconnected(EventLog events, UpstreamConnection connection) {
         if (events.isEnabled()) {
             events.line(ProxyEvent.SERVER_DISCONNECTED)
--- a/src/main/java/cacheproxy/proxy/upstream/UpstreamRegistry.java
+++ b/src/main/java/cacheproxy/proxy/upstream/UpstreamRegistry.java
@@ -10,34 +10,34 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 
 /**
- * The servers of all pools. Pools that have a server under the same id and address share it, so that its connections,
- * and the limits on them, are those of all pools together. Used on the event loop only.
+ * The servers of all pools. Pools that list a server with the same id and address share it, so that its connections,
+ * and the limits on them, are common to all pools. Used on the event loop only.
  */
 public final class UpstreamRegistry {
     /** Observes whether servers accept connections. */
     public interface Observer {
-        /** A server has refused a connection, so that no process listens there. */
+        /** Called when a server has refused a connection, which shows that no process listens at its address. */
         void connectionRefused(int server);
 
-        /** A server has accepted a connection. */
+        /** Called when a server has accepted a connection. */
         void connectionAccepted(int server);
     }
 
     private final EventLoopContext loopContext;
-    /** By id; more than one where pools have different addresses for an id. */
+    /** The servers by id. There are several for an id if pools list different addresses for it. */
     private final IntObjectHashMap<List<Upstream>> byId = new IntObjectHashMap<>();
-    /** Servers that no pool has any more, with connections on which attempts have not ended. */
+    /** Servers that no pool lists any more, but with connections on which attempts have not ended. */
     private final List<Upstream> released = new ArrayList<>();
 
     private final ConnectionShortage shortage = new ConnectionShortage();
-    /** Copied on write, as a pool may end, and be removed from here, while observers are called. */
+    /** Copied on write, because a pool may end and remove its observer while observers are called. */
     private final List<Observer> observers = new CopyOnWriteArrayList<>();
 
     UpstreamRegistry(EventLoopContext loopContext) {
         this.loopContext = loopContext;
     }
 
-    /** Whether cache servers have refused connections recently, over all servers. */
+    /** Tracks whether cache servers have refused connections recently, across all servers. */
     ConnectionShortage shortage() {
         return shortage;
     }
@@ -52,7 +52,7 @@
         observers.remove(observer);
     }
 
-    /** A connection to a server has come up, or has failed to. */
+    /** Called when a connection to a server has been established or has failed. */
     void connectCompleted(Upstream server, Throwable failure) {
         boolean refused = failure instanceof ConnectException && !(failure instanceof ConnectTimeoutException);
         for (Observer observer : observers) {
@@ -65,10 +65,10 @@
     }
 
     /**
-     * Returns the server of this id at this address, which is shared with other pools that have it; to be released
-     * once.
+     * Returns the server with this id and address, which is shared with the other pools that list it. The caller must
+     * release it once.
      *
-     * @param limits used if no pool has the server yet
+     * @param limits the limits of its connections, used if no pool lists the server yet
      */
     public Upstream acquire(int id, boolean origin, SocketAddress address, ConnectionLimits limits) {
         List<Upstream> sameId = byId.get(id);
@@ -88,7 +88,7 @@
         return server;
     }
 
-    /** A pool does not have this server any more; its connections are retired if no other pool has it. */
+    /** Records that a pool no longer lists this server. Its connections are retired if no other pool lists it. */
     public void release(Upstream server) {
         if (!server.removePool()) {
             return;
@@ -105,10 +105,10 @@
     }
 
     /**
-     * Closes connections that should not be kept: of the given servers, and stalled ones of servers that no pool has
-     * any more. To be called once a second by each pool.
+     * Closes connections of the given servers that should not be kept, and stalled connections of servers that no pool
+     * lists any more. Each pool calls this once a second.
      *
-     * @param idleSinceMs connections that have been idle since then or longer are closed
+     * @param idleSinceMs connections that have been idle since this time or longer are closed
      */
     public void sweep(Iterable<Upstream> servers, double nowMs, double idleSinceMs) {
         for (Upstream server : servers) {
