--- a/src/main/java/cacheproxy/proxy/dispatch/AttemptResultHandler.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/AttemptResultHandler.java
@@ -7,8 +7,8 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * Takes what servers respond to the attempts of a pool's requests: passes the first value or receipt of a request on to
- * its client, and reports each attempt's end to the policy, once. On the event loop only.
+ * Handles the responses of servers to the attempts of a pool's requests: passes the first value or receipt of a request
+ * on to its client, and reports the end of each attempt to the policy once. Used on the event loop only.
  */
 final class AttemptResultHandler {
     private final PoolServices pool;
@@ -20,9 +20,9 @@
     }
 
     /**
-     * A long value begins. The other attempts of its request are cancelled.
+     * Starts a long value for the client. The other attempts of the request are cancelled.
      *
-     * @return false if the client has had something or has disconnected
+     * @return false if the client has already received something or has disconnected
      */
     boolean valueBegun(RequestAttempt attempt, int length) {
         RequestContext context = attempt.context();
@@ -41,7 +41,7 @@
         return true;
     }
 
-    /** Some bytes of the long value that has begun; dropped if nobody waits for them any more. */
+    /** Passes on a part of a long value that has begun. The part is discarded if no client waits for it any more. */
     void valuePart(RequestAttempt attempt, ByteBuf part) {
         if (attempt.hasEnded() || attempt.context().isConcluded()) {
             part.release();
@@ -50,7 +50,9 @@
         }
     }
 
-    /** An attempt has ended; the parameters are those of {@link RequestAttempt#onEnd}. A second end is ignored. */
+    /**
+     * Handles the end of an attempt; the parameters are those of {@link RequestAttempt#onEnd}. A second end is ignored.
+     */
     void ended(
             RequestAttempt attempt,
             AttemptOutcome outcome,
@@ -83,7 +85,7 @@
         requests.releaseIfDone(context);
     }
 
-    /** Concludes the request if this end does. Takes over the value. */
+    /** Responds to the client if this end concludes the request. Passes on or releases the value. */
     private void respond(RequestAttempt attempt, AttemptOutcome outcome, ByteBuf value, String receipt) {
         if (attempt.isStreaming()) {
             endStream(attempt.context(), outcome);
--- a/src/main/java/cacheproxy/proxy/dispatch/Dispatcher.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/Dispatcher.java
@@ -21,8 +21,8 @@
 import java.util.function.Consumer;
 
 /**
- * A pool: puts its routing policy together with the parts that report events to it and carry its orders out, and is
- * what the rest of the proxy knows of them. It takes no decisions itself. On the event loop only.
+ * A pool, as the rest of the proxy sees it: connects the routing policy with the components that report events to it
+ * and execute its actions. Makes no decisions itself. Used on the event loop only.
  */
 public final class Dispatcher implements EndpointListConsumer {
     /** How long a health probe may take, in milliseconds. */
@@ -41,7 +41,7 @@
     private Siblings siblingDecisions = Siblings.NONE;
     private RoutingPolicy policy;
     private EndpointListSource discovery;
-    /** Null if nothing is to be restored, and once it has been. */
+    /** Null if there is no state to restore, and after it has been restored. */
     private LearnedStateProvider learnedState;
 
     private Future<?> sweeper;
@@ -65,7 +65,7 @@
 
     // ---- set up, before the start
 
-    /** Has the policy restore a state with the first list that has a server; null if there is none. */
+    /** Makes the policy restore a state when the first list with a server arrives; null if there is no state. */
     public void restoreFrom(LearnedStateProvider provider) {
         learnedState = provider;
     }
@@ -76,14 +76,14 @@
         services.extensions().setSiblings(queries);
     }
 
-    /** Lets others make health checks for this pool. */
+    /** Lets a delegate perform health checks for this pool. */
     public void delegateHealthChecks(HealthCheckDelegate delegate) {
         services.extensions().setHealthChecks(delegate);
     }
 
     // ---- start and end
 
-    /** Starts the policy of a proxy that exchanges no messages with others. */
+    /** Starts the policy of a proxy that exchanges no messages with other proxies. */
     public void start(EndpointListSource source) {
         start(source, PeerMessageSender.NONE);
     }
@@ -98,7 +98,7 @@
         sweeper = loopContext.loop().scheduleWithFixedDelay(servers::sweep, SWEEP_MS, SWEEP_MS, TimeUnit.MILLISECONDS);
     }
 
-    /** Ends at once, without a response to pending requests. Closes connections that no other pool uses. */
+    /** Stops the pool at once, without a response to pending requests. Closes connections that no other pool uses. */
     public void stop() {
         events.stop();
         discovery.close();
@@ -106,23 +106,26 @@
         servers.close();
     }
 
-    /** Concludes every pending request whose client has had nothing: the process is to end before its deadline. */
+    /**
+     * Concludes every pending request whose client has received nothing, because the process will end before the
+     * request's deadline.
+     */
     public void concludeAll() {
         requests.concludeAll();
     }
 
     // ---- requests
 
-    /** A client's request, which frees the id that its client gave it as it is concluded. */
+    /** Creates a client's request, whose client-assigned id becomes free when the request is concluded. */
     RequestContext newRequest(ClientRequest request, long keyHash, Responder responder) {
         return new RequestContext(requests, request, keyHash, responder, true);
     }
 
     /**
-     * A request that a router hands on. The pool holds it, too, until its attempts have ended.
+     * Creates a request that a router passes on. The pool also retains it until its attempts have ended.
      *
-     * @param keyHash by which the policy places the key
-     * @param dueMs when the pool is to stop waiting
+     * @param keyHash the hash by which the policy places the key
+     * @param dueMs when the pool stops waiting
      */
     public RequestContext newRoutedRequest(ClientRequest request, long keyHash, Responder responder, double dueMs) {
         RequestContext context = new RequestContext(requests, request.retain(), keyHash, responder, false);
@@ -130,12 +133,12 @@
         return context;
     }
 
-    /** Has the policy route a request. Its responder gets one response, perhaps before this call returns. */
+    /** Lets the policy route a request. The responder gets exactly one response, possibly before this call returns. */
     public void dispatch(RequestContext context) {
         requests.start(context);
     }
 
-    /** Requests that are pending or have attempts in flight. */
+    /** The number of requests that are pending or have attempts in flight. */
     public int pendingRequests() {
         return requests.count();
     }
@@ -154,7 +157,7 @@
         }
     }
 
-    /** Whether a list has come that has a server. */
+    /** Whether a list with a server has arrived. */
     public boolean hasServers() {
         return !servers.isEmpty();
     }
@@ -165,7 +168,7 @@
         return upstream == null ? null : upstream.address();
     }
 
-    /** Whether the policy holds nothing against a server. */
+    /** Whether the policy considers a server healthy. */
     public boolean isHealthy(int server) {
         return policy.isHealthy(loopContext.nowMs(), server);
     }
@@ -180,7 +183,7 @@
         prober.probe(server);
     }
 
-    /** Probes a server for others; the policy does not get the result. */
+    /** Probes a server and passes the result to the consumer instead of the policy. */
     public void probe(int server, Consumer<AttemptOutcome> result) {
         prober.probe(server, result);
     }
@@ -202,17 +205,17 @@
         return options.seed();
     }
 
-    /** Whether the policy has more requests than its servers handle in time. */
+    /** Whether the policy has more requests than its servers can handle in time. */
     public boolean isOverloaded() {
         return policy.isOverloaded(loopContext.nowMs());
     }
 
-    /** What the policy has learned, with at most so many hot keys. */
+    /** The state that the policy has learned, with at most {@code maxHotKeys} hot keys. */
     public LearnedState learnedState(int maxHotKeys) {
         return policy.learnedState(loopContext.nowMs(), maxHotKeys);
     }
 
-    /** Reports a message of another proxy to the policy. */
+    /** Reports a message from another proxy to the policy. */
     public void peerMessageReceived(int peer, byte[] message) {
         events.peerMessageReceived(peer, message);
     }
--- a/src/main/java/cacheproxy/proxy/dispatch/HealthProbe.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/HealthProbe.java
@@ -4,19 +4,19 @@
 import cacheproxy.proxy.upstream.PoolProtocol;
 import io.netty.buffer.ByteBuf;
 
-/** A health probe: asks a server for a sign of life, and for its load figures where the pool wants them. */
+/** A health probe: asks a server for a response, and for its load report if the pool gets load reports by probes. */
 final class HealthProbe extends PoolAttempt {
-    /** Gets the end of a probe. */
+    /** Receives the end of a probe. */
     @FunctionalInterface
     interface Listener {
-        /** The probe has ended; {@code report} has the server's load figures and is null if there are none. */
+        /** Called when the probe has ended; {@code loadReport} is null if the server has sent none. */
         void ended(AttemptOutcome outcome, double elapsedMs, float[] loadReport);
     }
 
     private final HealthProber prober;
     private final Listener listener;
 
-    /** Creates a probe that is on no connection yet. */
+    /** Creates a probe that has no connection yet. */
     HealthProbe(HealthProber prober, int server, double startedMs, double timeoutAtMs, Listener listener) {
         super(null, 0, server, startedMs, timeoutAtMs);
         this.prober = prober;
@@ -28,7 +28,7 @@
         return prober.protocol();
     }
 
-    /** Null: a probe names no class. */
+    /** Returns null, as a probe has no request class. */
     @Override
     public String siblingClass() {
         return null;
@@ -54,15 +54,15 @@
 
     @Override
     public boolean onValueBegin(int length) {
-        throw new IllegalStateException("a health probe of server " + server() + " was given a long value");
+        throw new IllegalStateException("a health probe of server " + server() + " received a long value");
     }
 
     @Override
     public void onValuePart(ByteBuf part) {
-        throw new IllegalStateException("a health probe of server " + server() + " was given a part of a long value");
+        throw new IllegalStateException("a health probe of server " + server() + " received a part of a long value");
     }
 
-    /** Reports its first end and ignores any later one. */
+    /** Reports the first end and ignores any further one. */
     @Override
     public void onEnd(AttemptOutcome outcome, int cacheStatus, float[] loadReport, ByteBuf value, String receipt) {
         if (value != null) {
--- a/src/main/java/cacheproxy/proxy/dispatch/HealthProber.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/HealthProber.java
@@ -6,7 +6,7 @@
 import cacheproxy.proxy.upstream.Upstream;
 import java.util.function.Consumer;
 
-/** Makes a pool's health checks. On the event loop only. */
+/** Performs a pool's health checks. Used on the event loop only. */
 final class HealthProber {
     private final EventLoopContext loopContext;
     private final PoolServices pool;
@@ -18,7 +18,7 @@
         loopContext = pool.loopContext();
     }
 
-    /** Checks a server as the policy has ordered, unless others take the check over. */
+    /** Performs a check that the policy has requested, unless the delegate takes it over. */
     void check(int server) {
         if (!pool.extensions().healthChecks().takeOver(server)) {
             probe(server);
@@ -32,7 +32,7 @@
                 (outcome, elapsedMs, loadReport) -> pool.policy().probeEnded(server, outcome, elapsedMs, loadReport));
     }
 
-    /** Probes a server for others; the policy does not get the result. */
+    /** Probes a server and passes the result to the consumer instead of the policy. */
     void probe(int server, Consumer<AttemptOutcome> result) {
         send(server, (outcome, elapsedMs, loadReport) -> result.accept(outcome));
     }
@@ -48,7 +48,7 @@
         }
     }
 
-    /** How the pool's servers speak. */
+    /** The protocol of the pool's servers. */
     PoolProtocol protocol() {
         return protocol;
     }
@@ -58,7 +58,7 @@
         return pool.settings().hedgingAllowed();
     }
 
-    /** The time by the event loop's clock. */
+    /** The time on the event loop's clock. */
     double nowMs() {
         return loopContext.nowMs();
     }
--- a/src/main/java/cacheproxy/proxy/dispatch/PeerMessageSender.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/PeerMessageSender.java
@@ -6,6 +6,6 @@
     /** Sends nothing, for a pool whose proxy exchanges no messages. */
     PeerMessageSender NONE = (peer, message) -> {};
 
-    /** Sends a message to another proxy, or to all if the number is negative. */
+    /** Sends a message to another proxy, or to all proxies if {@code peer} is negative. */
     void send(int peer, byte[] message);
 }
--- a/src/main/java/cacheproxy/proxy/dispatch/PolicyActionExecutor.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/PolicyActionExecutor.java
@@ -4,8 +4,8 @@
 import cacheproxy.proxy.discovery.EndpointListSource;
 
 /**
- * Carries out what a pool's routing policy orders. An order for a request or an attempt that has ended meanwhile is
- * ignored. On the event loop only.
+ * Executes the actions of a pool's routing policy. An action on a request or an attempt that has ended in the meantime
+ * is ignored. Used on the event loop only.
  */
 final class PolicyActionExecutor implements PolicyActions {
     private final PoolServices pool;
@@ -22,7 +22,10 @@
         this.prober = prober;
     }
 
-    /** Sets where the endpoint list comes from and how messages reach other proxies; before the first action. */
+    /**
+     * Sets the source of the endpoint list and the sender of messages to other proxies. Must be called before the first
+     * action.
+     */
     void connect(EndpointListSource source, PeerMessageSender sender) {
         discovery = source;
         peers = sender;
@@ -32,7 +35,7 @@
     public void sendAttempt(int requestId, int serverId, double timeoutMs) {
         RequestContext context = requests.find(requestId);
         if (context == null || context.isConcluded()) {
-            log("order for a request that is over");
+            log("the policy sent an attempt for a request that has already been concluded");
             return;
         }
         attempts.send(context, serverId, timeoutMs);
@@ -44,7 +47,7 @@
         if (context == null) {
             return;
         }
-        if (Double.isNaN(retryAfterMs)) { // the policy's latency average is not a number, so it can advise nothing
+        if (Double.isNaN(retryAfterMs)) { // the policy's latency average is not a number, so it gives no advice
             requests.fail(context);
         } else {
             requests.reject(context, retryAfterMs);
--- a/src/main/java/cacheproxy/proxy/dispatch/PolicyEvents.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/PolicyEvents.java
@@ -14,9 +14,9 @@
 import java.util.function.Supplier;
 
 /**
- * Reports events to a pool's routing policy; nobody else calls it. The policy is never called from within one of its
- * own actions: an event that such an action causes is queued and reported in its turn, in order. A policy that throws
- * on an event is logged and goes on with the next one. On the event loop only.
+ * Reports events to a pool's routing policy, as its only caller. The policy is never called from within one of its own
+ * actions: an event that such an action causes is queued, and queued events are reported in order. If the policy throws
+ * an exception on an event, the exception is logged and the next event is reported. Used on the event loop only.
  */
 final class PolicyEvents {
     private final EventLoopContext loopContext;
@@ -30,7 +30,7 @@
         this.loopContext = loopContext;
     }
 
-    /** Sets who is called; before the first event. */
+    /** Sets the policy, and the actions that it can take. Must be called before the first event. */
     void start(RoutingPolicy newPolicy, PolicyActions newActions) {
         policy = newPolicy;
         actions = newActions;
@@ -41,7 +41,7 @@
         stopped = true;
     }
 
-    /** Runs an event now, or once the event that is being handled is over. */
+    /** Runs an event now, or after the event that is being handled. */
     void run(Runnable event) {
         if (stopped) {
             return;
@@ -68,7 +68,7 @@
         }
     }
 
-    /** A policy that throws on one request must not take others with it: this one fails. */
+    /** Fails the request if the policy throws an exception on it, so that other requests are not affected. */
     private void runFor(RequestContext request, Runnable event) {
         run(() -> {
             try {
@@ -85,54 +85,54 @@
         loopContext.log("fault: " + exception + (trace.length > 0 ? " at " + trace[0] : ""));
     }
 
-    /** A request has arrived. */
+    /** Reports that a request has arrived. */
     void requestReceived(RequestContext context, double nowMs) {
         RoutingRequest request = context.toRoutingRequest();
         runFor(context, () -> policy.onRequest(nowMs, request, actions));
     }
 
-    /** The first bytes of a long value have come for an attempt. */
+    /** Reports that the first bytes of a long value have arrived for an attempt. */
     void firstByteReceived(RequestAttempt attempt) {
         run(() -> policy.onFirstByte(
                 loopContext.nowMs(), attempt.context().id(), attempt.index(), attempt.server(), actions));
     }
 
-    /** An attempt of a request has ended. */
+    /** Reports that an attempt of a request has ended. */
     void attemptEnded(RequestContext context, AttemptResult result) {
         runFor(context, () -> policy.onAttemptEnd(loopContext.nowMs(), result, actions));
     }
 
-    /** The client of a request has disconnected. */
+    /** Reports that the client of a request has disconnected. */
     void clientGone(RequestContext context) {
         run(() -> policy.onClientGone(loopContext.nowMs(), context.id(), actions));
     }
 
-    /** A sibling has the key of a request, or none if its id is 0. */
+    /** Reports the id of a sibling that has the key of a request; 0 if no sibling has it. */
     void siblingResponded(RequestContext context, int sibling) {
         runFor(context, () -> policy.onSiblingResponse(loopContext.nowMs(), context.id(), sibling, actions));
     }
 
-    /** A timer that the policy has set has expired. */
+    /** Reports that a timer of the policy has expired. */
     void timerExpired(int token) {
         run(() -> policy.onTimer(loopContext.nowMs(), token, actions));
     }
 
-    /** A health probe has ended; the report has the server's load figures and is null if there are none. */
+    /** Reports that a health probe has ended; the load report is null if the server has sent none. */
     void probeEnded(int server, AttemptOutcome outcome, double elapsedMs, float[] loadReport) {
         run(() -> policy.onProbeResult(loopContext.nowMs(), server, outcome, elapsedMs, loadReport, actions));
     }
 
-    /** An endpoint list or the changes of one have come. */
+    /** Reports that an endpoint list or changes of it have arrived. */
     void endpointListReceived(EndpointListKind kind, List<Endpoint> endpoints) {
         run(() -> policy.onEndpointList(loopContext.nowMs(), kind, endpoints, actions));
     }
 
-    /** A message of another proxy has come. */
+    /** Reports that a message from another proxy has arrived. */
     void peerMessageReceived(int peer, byte[] message) {
         run(() -> policy.onPeerMessage(loopContext.nowMs(), peer, message, actions));
     }
 
-    /** Gives the policy what an earlier one has learned. */
+    /** Passes the state that an earlier policy has learned to the policy. */
     void restore(Supplier<LearnedState> state) {
         run(() -> policy.restore(loopContext.nowMs(), state.get()));
     }
--- a/src/main/java/cacheproxy/proxy/dispatch/PoolAttempt.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/PoolAttempt.java
@@ -6,17 +6,17 @@
 import cacheproxy.proxy.upstream.Attempt;
 import cacheproxy.proxy.upstream.EventLoopContext;
 
-/** An attempt or a probe of a pool, which ends as timed out if its server is silent. */
+/** An attempt or a probe of a pool, which times out if its server does not respond. */
 abstract class PoolAttempt extends Attempt {
     /** Null while it has no timeout of its own. */
     private Timer timeout;
 
-    /** Creates one that is on no connection yet; the parameters are those of {@link Attempt}. */
+    /** Creates an attempt that has no connection yet; the parameters are those of {@link Attempt}. */
     PoolAttempt(ClientRequest request, int index, int server, double startedMs, double timeoutAtMs) {
         super(request, index, server, startedMs, timeoutAtMs);
     }
 
-    /** Ends it, unless it has ended, with an outcome that says how far it had come. */
+    /** Ends the attempt, unless it has ended, with an outcome that tells how far it had progressed. */
     final void expire() {
         if (hasEnded()) {
             return;
@@ -29,7 +29,7 @@
         onEnd(neverBegun ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.TIMEOUT);
     }
 
-    /** Has it expire after this time. */
+    /** Makes the attempt expire after this delay. */
     final void expireAfter(EventLoopContext loopContext, double delayMs) {
         timeout = loopContext.after(delayMs, this::expire);
     }
@@ -39,7 +39,7 @@
         return timeout != null;
     }
 
-    /** Lets it take as long as it needs. */
+    /** Cancels the timeout, so that the attempt can take as long as it needs. */
     final void cancelTimeout() {
         if (timeout != null) {
             timeout.cancel();
--- a/src/main/java/cacheproxy/proxy/dispatch/PoolExtensions.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/PoolExtensions.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy.dispatch;
 
-/** What a pool may be linked to before it starts. On the event loop only. */
+/** Optional components that can be linked to a pool before it starts. Used on the event loop only. */
 final class PoolExtensions {
     private SiblingQueries siblings = SiblingQueries.NONE;
     private HealthCheckDelegate healthChecks = HealthCheckDelegate.NONE;
@@ -10,7 +10,7 @@
         return siblings;
     }
 
-    /** Whoever may make the pool's health checks. */
+    /** The delegate that can perform the pool's health checks. */
     HealthCheckDelegate healthChecks() {
         return healthChecks;
     }
@@ -20,7 +20,7 @@
         siblings = queries;
     }
 
-    /** Lets others make the pool's health checks. */
+    /** Lets a delegate perform the pool's health checks. */
     void setHealthChecks(HealthCheckDelegate delegate) {
         healthChecks = delegate;
     }
--- a/src/main/java/cacheproxy/proxy/dispatch/PoolServers.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/PoolServers.java
@@ -17,8 +17,8 @@
 import java.util.function.IntPredicate;
 
 /**
- * The servers on a pool's endpoint list, by id. Holds each of them in the registry of servers that all pools share for
- * as long as it is listed. On the event loop only.
+ * The servers on a pool's endpoint list, by id. Each server is acquired from the registry that all pools share for as
+ * long as it is listed. Used on the event loop only.
  */
 final class PoolServers {
     private final EventLoopContext loopContext;
@@ -30,7 +30,7 @@
         this.options = options;
     }
 
-    /** Applies a list: a full one replaces all servers, changes concern those that they name. */
+    /** Applies a list: a full list replaces all servers, a list of changes affects only the servers that it names. */
     void apply(EndpointListKind kind, List<ListedServer> listedServers) {
         for (ListedServer listedServer : listedServers) {
             logChange(kind, listedServer);
@@ -69,7 +69,7 @@
         server.updateListing(endpoint.state(), endpoint.startedMs());
     }
 
-    /** The server of this id at this address, in place of one at another address. */
+    /** Returns the server with this id and address, which replaces one at another address. */
     private Upstream acquire(Endpoint endpoint, SocketAddress address) {
         Upstream known = servers.get(endpoint.id());
         if (known != null && known.address().equals(address)) {
@@ -101,7 +101,7 @@
         }
     }
 
-    /** Closes connections that have been idle for long and those whose value has stopped coming. Once a second. */
+    /** Closes connections that have been idle for long, and those whose value has stalled. Called once a second. */
     void sweep() {
         double nowMs = loopContext.nowMs();
         loopContext
@@ -117,7 +117,7 @@
         }
     }
 
-    /** Lets go of all servers. Connections to those that no other pool holds are closed. */
+    /** Releases all servers. Connections to servers that no other pool lists are closed. */
     void close() {
         for (Integer id : List.copyOf(servers.keySet())) {
             Upstream server = servers.remove(id);
@@ -128,7 +128,7 @@
         }
     }
 
-    /** The server of this id; null if it is not listed. */
+    /** Returns the server with this id; null if it is not listed. */
     Upstream find(int id) {
         return servers.get(id);
     }
@@ -138,13 +138,13 @@
         return servers.isEmpty();
     }
 
-    /** Whether this is a listed server that is no origin. */
+    /** Whether the server is listed and is not an origin. */
     boolean isCacheServer(int id) {
         Upstream server = servers.get(id);
         return server != null && !server.isOrigin();
     }
 
-    /** Whether some cache server fulfils a condition, or none is listed. */
+    /** Whether some cache server meets a condition, or no cache server is listed. */
     boolean anyCacheServer(IntPredicate condition) {
         boolean none = true;
         for (IntObjectMap.PrimitiveEntry<Upstream> entry : servers.entries()) {
@@ -158,7 +158,7 @@
         return none;
     }
 
-    /** How a server is named in the event log: its id, with its address while it is listed. */
+    /** The name of a server in the event log: its id, with its address while it is listed. */
     String name(int id) {
         Upstream server = servers.get(id);
         return server == null ? Integer.toHexString(id) : name(id, server.address());
--- a/src/main/java/cacheproxy/proxy/dispatch/PoolServices.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/PoolServices.java
@@ -4,13 +4,13 @@
 import cacheproxy.proxy.upstream.EventLoopContext;
 
 /**
- * What the parts of a pool share.
+ * The services that the components of a pool share.
  *
  * @param loopContext the event loop's clock, timers, servers and limits
- * @param options the pool's fixed figures
+ * @param options the pool's options
  * @param policy reports events to the routing policy
  * @param servers the servers on the endpoint list
- * @param log writes the event log's lines on requests
+ * @param log writes events of requests to the event log
  * @param extensions links to siblings and to the fleet's health checks
  */
 record PoolServices(
@@ -20,7 +20,7 @@
         PoolServers servers,
         RequestEventLog log,
         PoolExtensions extensions) {
-    /** The parts that depend on no others, for a pool of these options. */
+    /** Creates the services for a pool with these options. */
     static PoolServices of(EventLoopContext loopContext, PoolOptions options) {
         PoolServers servers = new PoolServers(loopContext, options);
         return new PoolServices(
--- a/src/main/java/cacheproxy/proxy/dispatch/RequestAttempt.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/RequestAttempt.java
@@ -11,11 +11,13 @@
 final class RequestAttempt extends PoolAttempt implements SendFacts {
     private final RequestAttempts owner;
     private final RequestContext context;
-    /** When it may begin at the latest, as servers drop duplicates of an earlier attempt for so long and no longer. */
+    /**
+     * The latest time at which the attempt may begin: servers drop duplicates of an earlier attempt only until then.
+     */
     private double beginByMs = Double.POSITIVE_INFINITY;
     /** Whether it has ended with an outcome that leaves open whether the server processed it. */
     private boolean mayHaveRun;
-    /** When the first bytes of a long value came, else 0. */
+    /** When the first bytes of a long value arrived; 0 if none have. */
     private double firstByteMs;
 
     /** Creates the next attempt of a request. */
@@ -30,25 +32,25 @@
         return context;
     }
 
-    // ---- its course
+    // ---- lifecycle
 
-    /** Lets it begin until this time at the latest, or until the time set before if that is earlier. */
+    /** Limits the time at which the attempt may begin. An earlier limit that was set before stays in force. */
     void limitBegin(double latestMs) {
         beginByMs = Math.min(beginByMs, latestMs);
     }
 
-    /** When it may begin at the latest; infinite if any time is. */
+    /** The latest time at which the attempt may begin; infinite if there is no limit. */
     double beginByMs() {
         return beginByMs;
     }
 
-    /** The first bytes of a long value have come; its timeout no longer counts. */
+    /** Records that the first bytes of a long value have arrived; the timeout no longer applies. */
     void beginStreaming(double nowMs) {
         firstByteMs = nowMs;
         cancelTimeout();
     }
 
-    /** Whether the first bytes of a long value have come. */
+    /** Whether the first bytes of a long value have arrived. */
     boolean isStreaming() {
         return firstByteMs != 0;
     }
@@ -65,7 +67,7 @@
         cancelTimeout();
     }
 
-    /** Ends it as not sent if it has not begun; one that has goes on. */
+    /** Ends the attempt as not sent if it has not begun; an attempt that has begun continues. */
     void withdraw() {
         if (!hasEnded() && !hasBegun() && connection() != null) {
             connection().abandon(this);
@@ -73,7 +75,7 @@
         }
     }
 
-    /** Gives it up unless it has ended or its value has begun. Its end is an event after the current one. */
+    /** Cancels the attempt unless it has ended or its value has begun. Its end is an event after the current one. */
     void cancel(PolicyEvents policy) {
         if (hasEnded() || isStreaming()) {
             return;
@@ -84,7 +86,7 @@
         policy.run(() -> onEnd(AttemptOutcome.CANCELLED));
     }
 
-    // ---- what its connection asks and reports
+    // ---- calls from its connection
 
     @Override
     public PoolProtocol protocol() {
--- a/src/main/java/cacheproxy/proxy/dispatch/RequestAttempts.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/RequestAttempts.java
@@ -9,7 +9,10 @@
 import cacheproxy.proxy.upstream.PoolProtocol;
 import cacheproxy.proxy.upstream.Upstream;
 
-/** Starts the attempts of a pool's requests, and checks each right before its first byte. On the event loop only. */
+/**
+ * Starts the attempts of a pool's requests, and checks each right before its first byte is written. Used on the event
+ * loop only.
+ */
 final class RequestAttempts {
     private final EventLoopContext loopContext;
     private final PoolServices pool;
@@ -26,9 +29,10 @@
     }
 
     /**
-     * Sends an attempt of a request to a server. One that cannot be sent ends by an event after the current one.
+     * Sends an attempt of a request to a server. An attempt that cannot be sent ends with an event after the current
+     * one.
      *
-     * @param timeoutMs how long to wait for the server; 0: until the request is due
+     * @param timeoutMs how long to wait for the server; 0 to wait until the request's deadline
      */
     void send(RequestContext context, int server, double timeoutMs) {
         double nowMs = loopContext.nowMs();
@@ -48,15 +52,15 @@
         }
         limitToDeduplicationWindow(context, attempt);
         if (!upstream.send(attempt)) {
-            // A want of connections on this side says nothing against a cache server.
+            // A shortage of connections in this process is no sign that the cache server is unhealthy.
             AttemptOutcome outcome = upstream.isOrigin() ? AttemptOutcome.CONNECT_FAILED : AttemptOutcome.NOT_SENT;
             pool.policy().run(() -> attempt.onEnd(outcome));
         }
     }
 
     /**
-     * Servers drop duplicates of a deduplicated request for a limited time. A retry within that time may still wait for
-     * a connection that comes up late; it must not begin once the time is over.
+     * Servers drop duplicates of a deduplicated request only for a limited time. A retry that is started within that
+     * time may have to wait for a connection that is established late; it must not begin after that time.
      */
     private void limitToDeduplicationWindow(RequestContext context, RequestAttempt attempt) {
         ServiceClass serviceClass = context.serviceClass(pool.settings());
@@ -74,8 +78,8 @@
     }
 
     /**
-     * Checks an attempt right before its first byte, on whatever connection and however long it has waited for that.
-     * One that may not begin ends here as not sent.
+     * Checks an attempt right before its first byte is written, whichever connection it is on and however long it has
+     * waited for it. An attempt that may not begin is ended here as not sent.
      */
     boolean mayBegin(RequestAttempt attempt) {
         RequestContext context = attempt.context();
@@ -107,22 +111,22 @@
         return true;
     }
 
-    /** An attempt's first byte is about to be written. */
+    /** Called when an attempt's first byte is about to be written. */
     void begun(RequestAttempt attempt) {
         pool.log().attemptStarted(attempt);
     }
 
-    /** Takes what attempts bring. */
+    /** The handler of the attempts' results. */
     AttemptResultHandler results() {
         return results;
     }
 
-    /** How the pool's servers speak. */
+    /** The protocol of the pool's servers. */
     PoolProtocol protocol() {
         return protocol;
     }
 
-    /** The request class that a sibling expects; null if the server is no sibling. */
+    /** The request class that a sibling expects; null if the server is not a sibling. */
     String siblingClass(int server) {
         return pool.extensions().siblings().siblingClass(server);
     }
--- a/src/main/java/cacheproxy/proxy/dispatch/RequestContext.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/RequestContext.java
@@ -12,19 +12,19 @@
 import java.util.List;
 
 /**
- * A request in a pool, with its attempts. It is pending until a long value begins for its client or it is concluded; it
- * stays known to the pool until its last attempt has ended. On the event loop only.
+ * A request in a pool, with its attempts. It is pending until a long value begins for its client or the request is
+ * concluded. The pool keeps it until its last attempt has ended. Used on the event loop only.
  */
 public final class RequestContext implements RequestHandler.Handle {
-    /** Most requests have no more attempts. */
+    /** Most requests have no more attempts than this. */
     private static final int TYPICAL_ATTEMPTS = 3;
 
     private enum State {
-        /** The client has had nothing yet. */
+        /** The client has received nothing yet. */
         PENDING,
         /** The client is being sent a long value. */
         STREAMING,
-        /** The client has had its response, or has disconnected. */
+        /** The client has received its response, or has disconnected. */
         CONCLUDED
     }
 
@@ -45,11 +45,11 @@
     private Timer deadlineTimer;
 
     /**
-     * Creates a request that is due when its client gives up.
+     * Creates a request with the deadline of its client.
      *
-     * @param keyHash by which the policy places the key
-     * @param holdsRequestId whether the id that its client gave it is in use until this is concluded; false where
-     *     another object holds the request, too
+     * @param keyHash the hash by which the policy places the key
+     * @param holdsRequestId whether the client-assigned id is in use until this is concluded; false if another object
+     *     holds the request as well
      */
     RequestContext(
             RequestLifecycle lifecycle,
@@ -65,17 +65,17 @@
         dueMs = request.dueMs();
     }
 
-    /** Sets another deadline than the client's. */
+    /** Replaces the client's deadline by another one. */
     void setDueMs(double deadlineMs) {
         dueMs = deadlineMs;
     }
 
-    /** Sets the number by which the policy knows it. */
+    /** Sets the id by which the policy identifies the request. */
     void setId(int number) {
         id = number;
     }
 
-    /** Whether any attempt may have been processed by its server, or may yet be. */
+    /** Whether any attempt may have been processed by its server, or may still be. */
     public boolean mayHaveRun() {
         return endedAttemptMayHaveRun || inFlightAttempts > 0;
     }
@@ -85,12 +85,12 @@
         lifecycle.clientDisconnected(this);
     }
 
-    /** Concludes it as failed unless its client has had something. */
+    /** Concludes the request as failed, unless its client has received something. */
     void fail() {
         lifecycle.fail(this);
     }
 
-    /** What the policy is told of it. */
+    /** Creates the description of this request for the policy. */
     RoutingRequest toRoutingRequest() {
         return new RoutingRequest(
                 id,
@@ -106,12 +106,15 @@
 
     // ---- state
 
-    /** Whether the system knows of the client's close already; asks it, so not to be called for every attempt. */
+    /**
+     * Whether the operating system already knows that the client has closed its connection. Makes a system call, so it
+     * must not be called for every attempt.
+     */
     boolean hasClientLeft() {
         return responder.hasClientLeft();
     }
 
-    /** Whether its client has had nothing yet and still waits. */
+    /** Whether its client has received nothing yet and still waits. */
     boolean isPending() {
         return state == State.PENDING;
     }
@@ -121,18 +124,18 @@
         return state == State.STREAMING;
     }
 
-    /** Whether its client has had its response or has disconnected. */
+    /** Whether its client has received its response or has disconnected. */
     boolean isConcluded() {
         return state == State.CONCLUDED;
     }
 
-    /** A long value begins for the client; its deadline no longer counts. */
+    /** Records that a long value begins for the client; the deadline no longer applies. */
     void beginStreaming() {
         state = State.STREAMING;
         cancelDeadline();
     }
 
-    /** Its client has had its response or has disconnected. */
+    /** Records that its client has received its response or has disconnected. */
     void conclude() {
         state = State.CONCLUDED;
         cancelDeadline();
@@ -151,13 +154,13 @@
 
     // ---- attempts
 
-    /** An attempt of it is in flight from now on. */
+    /** Records that an attempt is in flight from now on. */
     void attemptStarted(RequestAttempt attempt) {
         attempts.add(attempt);
         inFlightAttempts++;
     }
 
-    /** One of its attempts has ended. */
+    /** Records that one of its attempts has ended. */
     void attemptEnded(AttemptOutcome outcome) {
         inFlightAttempts--;
         lastOutcome = outcome;
@@ -165,7 +168,7 @@
         endedAttemptMayHaveRun |= outcome.mayHaveRun();
     }
 
-    /** All attempts in the order of their start, also those that have ended. */
+    /** All attempts in the order of their start, including those that have ended. */
     List<RequestAttempt> attempts() {
         return attempts;
     }
@@ -185,19 +188,19 @@
         return lastOutcome;
     }
 
-    // ---- what it is
+    // ---- identity
 
-    /** By which the policy knows it; unique in the pool. */
+    /** The id by which the policy identifies the request; unique in the pool. */
     int id() {
         return id;
     }
 
-    /** What the client has asked for. */
+    /** The request as received from the client. */
     ClientRequest request() {
         return request;
     }
 
-    /** Where the response goes. */
+    /** The receiver of the response. */
     Responder responder() {
         return responder;
     }
@@ -207,12 +210,12 @@
         return dueMs;
     }
 
-    /** Whether it frees the id that its client gave it as it is concluded. */
+    /** Whether the client-assigned id becomes free when this is concluded. */
     boolean holdsRequestId() {
         return holdsRequestId;
     }
 
-    /** The class that its client has named. */
+    /** The service class that its client has named. */
     ServiceClass serviceClass(PolicySettings settings) {
         return settings.classes().get(request.serviceClass());
     }
--- a/src/main/java/cacheproxy/proxy/dispatch/RequestEventLog.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/RequestEventLog.java
@@ -6,7 +6,7 @@
 import cacheproxy.policy.PolicySettings;
 import cacheproxy.proxy.upstream.EventLoopContext;
 
-/** Writes the event log's lines on a pool's requests and their attempts; nothing while the log is off. */
+/** Writes the events of a pool's requests and attempts to the event log; nothing while the log is disabled. */
 final class RequestEventLog {
     private final EventLoopContext loopContext;
     private final PolicySettings settings;
@@ -18,7 +18,7 @@
         this.servers = servers;
     }
 
-    /** A request has arrived. */
+    /** Logs that a request has arrived. */
     void requestReceived(RequestContext context, double nowMs) {
         if (loopContext.events().isEnabled()) {
             line(ProxyEvent.REQUEST_RECEIVED, context)
@@ -28,7 +28,7 @@
         }
     }
 
-    /** The client of a request has disconnected before its response. */
+    /** Logs that the client of a request has disconnected before its response. */
     void requestAbandoned(RequestContext context) {
         if (loopContext.events().isEnabled()) {
             line(ProxyEvent.REQUEST_ABANDONED, context)
@@ -38,7 +38,10 @@
         }
     }
 
-    /** The cause that is written is the outcome of the attempt that ended last, if there was one. */
+    /**
+     * Logs that a request has been concluded. The logged cause is the outcome of the attempt that ended last, if there
+     * was one.
+     */
     void requestConcluded(RequestContext context, ResponseKind kind) {
         if (loopContext.events().isEnabled()) {
             line(ProxyEvent.REQUEST_ANSWERED, context)
@@ -50,7 +53,7 @@
         }
     }
 
-    /** An attempt's first byte is about to be written. */
+    /** Logs that an attempt's first byte is about to be written. */
     void attemptStarted(RequestAttempt attempt) {
         if (loopContext.events().isEnabled()) {
             RequestContext context = attempt.context();
@@ -74,7 +77,7 @@
         return context.inFlightAttempts() > 1 ? "hedge" : "after_" + context.lastOutcome();
     }
 
-    /** An attempt has ended. */
+    /** Logs that an attempt has ended. */
     void attemptEnded(RequestAttempt attempt, AttemptOutcome outcome, double elapsedMs) {
         if (loopContext.events().isEnabled()) {
             line(ProxyEvent.ATTEMPT_ENDED, attempt.context())
--- a/src/main/java/cacheproxy/proxy/dispatch/RequestLifecycle.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/RequestLifecycle.java
@@ -7,9 +7,9 @@
 import java.util.List;
 
 /**
- * The requests of a pool, from their arrival until their last attempt has ended. Each is concluded once: by a server's
- * response, by the policy, by its client's disconnection, or here if the policy leaves it without a response. On the
- * event loop only.
+ * The requests of a pool, from their arrival until their last attempt has ended. Each request is concluded once: by a
+ * server's response, by the policy, by its client's disconnection, or by this class if the policy leaves it without a
+ * response. Used on the event loop only.
  */
 final class RequestLifecycle {
     /** How long after its deadline the policy may still conclude a request. */
@@ -25,12 +25,13 @@
         loopContext = pool.loopContext();
     }
 
-    /** Takes a request and reports it to the policy. */
+    /** Adds a request and reports it to the policy. */
     void start(RequestContext context) {
         context.setId(++lastId);
         requests.put(context.id(), context);
         double nowMs = loopContext.nowMs();
-        // Before the policy's own timer for the same time: an attempt at a silent server ends as timed out then.
+        // Set before the policy's own timer for the same time, so that an attempt at a server that does not respond has
+        // ended as timed out by then.
         context.setDeadlineTimer(loopContext.after(context.dueMs() - nowMs, () -> deadlineReached(context)));
         pool.log().requestReceived(context, nowMs);
         pool.policy().requestReceived(context, nowMs);
@@ -46,24 +47,25 @@
 
     private void failUnlessConcluded(RequestContext context) {
         if (context.isPending()) {
-            loopContext.log("request left unanswered by the module");
+            loopContext.log("request left unanswered by the routing policy");
             fail(context);
         }
     }
 
-    /** The request of this id; null if it is unknown or its last attempt has ended. */
+    /** Returns the request with this id; null if it is unknown or its last attempt has ended. */
     RequestContext find(int id) {
         return requests.get(id);
     }
 
-    /** How many requests are known, also those that are concluded but have attempts in flight. */
+    /** The number of requests, including those that are concluded but have attempts in flight. */
     int count() {
         return requests.size();
     }
 
     /**
-     * The client has disconnected: none of the request's attempts begins from now on. Those that have begun go on until
-     * the deadline, as other requests may wait for their result, but for long values, which nobody else gets.
+     * Handles the disconnection of a client: none of the request's attempts begins from now on. Attempts that have
+     * begun continue until the deadline, as other requests may wait for their result. Only long values are cancelled,
+     * as no other request receives them.
      */
     void clientDisconnected(RequestContext context) {
         if (context.isConcluded()) {
@@ -87,12 +89,12 @@
         } else if (attempt.isStreaming()) {
             attempt.connection().abandon(attempt);
             attempt.onEnd(AttemptOutcome.CANCELLED);
-        } else if (!attempt.hasTimeout()) { // it would have ended by the request's own timer, which has been cancelled
+        } else if (!attempt.hasTimeout()) { // the request's own timer, which is cancelled, would have ended it
             attempt.expireAfter(loopContext, attempt.context().dueMs() - loopContext.nowMs());
         }
     }
 
-    /** Rejects every request that is safe to retry and fails the others: the process is about to end. */
+    /** Rejects every request that is safe to retry and fails the others, because the process is about to end. */
     void concludeAll() {
         for (RequestContext context : List.copyOf(requests.values())) {
             boolean safeToRetry = context.serviceClass(pool.settings()).idempotency() == Idempotency.IDEMPOTENT
@@ -105,7 +107,7 @@
         }
     }
 
-    /** Responds that the request has failed, unless its client has had something. */
+    /** Responds that the request has failed, unless its client has received something. */
     void fail(RequestContext context) {
         if (!context.isPending()) {
             return;
@@ -117,10 +119,10 @@
     }
 
     /**
-     * Responds that the request was rejected, or that the key is missing if a server has said so and there is no origin
-     * to ask. Does nothing if the client has had something.
+     * Responds that the request was rejected, or that the key is missing if a server has reported so and there is no
+     * origin to ask. Does nothing if the client has received something.
      *
-     * @param retryAfterMs advice to the client; 0 for none
+     * @param retryAfterMs the back-off to advise to the client; 0 for none
      */
     void reject(RequestContext context, double retryAfterMs) {
         if (!context.isPending()) {
@@ -138,7 +140,7 @@
         releaseIfDone(context);
     }
 
-    /** Records that the client has had its response or has disconnected. */
+    /** Records that the client has received its response or has disconnected. */
     void conclude(RequestContext context) {
         context.conclude();
         if (context.holdsRequestId()) {
@@ -146,7 +148,7 @@
         }
     }
 
-    /** Forgets a request that is concluded once its last attempt has ended; the policy may cancel one until then. */
+    /** Removes a concluded request after its last attempt has ended; until then the policy can cancel its attempts. */
     void releaseIfDone(RequestContext context) {
         if (!context.isConcluded() || context.inFlightAttempts() > 0) {
             return;
--- a/src/main/java/cacheproxy/proxy/dispatch/ResponseKind.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/ResponseKind.java
@@ -4,15 +4,15 @@
 enum ResponseKind {
     /** With a server's value or receipt. */
     SERVED("served"),
-    /** With a long value that was passed on as it came. */
+    /** With a long value that was streamed. */
     STREAMED("streamed"),
-    /** With a long value that broke off. */
+    /** With a long value that was cut off before its end. */
     CUT_OFF("cut"),
     /** No server has the key. */
     MISSED("missed"),
-    /** Rejected; a retry is harmless. */
+    /** Rejected; a retry is safe. */
     REJECTED("refused"),
-    /** Failed; nothing is promised. */
+    /** Failed; the request may or may not have been processed. */
     FAILED("failed");
 
     private final String label;
--- a/src/main/java/cacheproxy/proxy/dispatch/SinglePoolHandler.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/SinglePoolHandler.java
@@ -7,13 +7,13 @@
 import cacheproxy.proxy.request.Responder;
 import cacheproxy.proxy.upstream.EventLoopContext;
 
-/** Validates requests and hands all of them to one pool, as on the platform. */
+/** Validates requests and passes all of them to one pool, as the platform's proxy does. */
 public final class SinglePoolHandler implements RequestHandler {
     private final EventLoopContext loopContext;
     private final RequestValidator validator;
     private final Dispatcher pool;
 
-    /** Hands requests to this pool. */
+    /** Creates a handler that passes requests to this pool. */
     public SinglePoolHandler(EventLoopContext loopContext, Dispatcher pool) {
         this.loopContext = loopContext;
         this.pool = pool;
