--- a/src/main/java/cacheproxy/proxy/process/ConfigReloader.java
+++ b/src/main/java/cacheproxy/proxy/process/ConfigReloader.java
@@ -6,8 +6,8 @@
 import java.net.InetSocketAddress;
 
 /**
- * Reads the configuration again while the proxy runs. Only the address of discovery and the switch of the event log are
- * taken over. Files are read on other threads than the event loop's, one at a time.
+ * Reloads the configuration while the proxy runs. Only the address of discovery and the setting of the event log are
+ * applied. Files are read on other threads than the event loop's, one at a time.
  */
 final class ConfigReloader {
     private final EventLoopContext loopContext;
@@ -18,7 +18,10 @@
         this.discovery = discovery;
     }
 
-    /** Reads the file; an invalid one is reported on standard error and changes nothing. Not on the event loop. */
+    /**
+     * Reads and applies the file; an invalid file is reported on standard error and changes nothing. Must not be called
+     * on the event loop.
+     */
     void reload(String file) {
         try {
             PlatformConfig config = PlatformConfig.read(file);
@@ -38,7 +41,7 @@
         }
     }
 
-    /** Switches the event log on or off, if the configuration says so. */
+    /** Enables or disables the event log, if the configuration has the setting. */
     static void applyEventLog(EventLoopContext loopContext, PlatformConfig config) {
         if (config.eventLog() != null) {
             loopContext.events().setEnabled(config.eventLog());
--- a/src/main/java/cacheproxy/proxy/process/GracefulShutdown.java
+++ b/src/main/java/cacheproxy/proxy/process/GracefulShutdown.java
@@ -8,11 +8,11 @@
 import java.util.function.DoubleSupplier;
 
 /**
- * The shutdown of a process: it listens on for a grace period, as clients may not know of it yet, and then responds to
- * the requests that it has, until the longest deadline at most.
+ * The graceful shutdown of a process. The process keeps listening for a grace period, as clients may not know of the
+ * shutdown yet, and then responds to its pending requests, at most until the longest deadline.
  */
 public final class GracefulShutdown {
-    /** What a response may take to reach its client after the last deadline. */
+    /** How long a response may take to reach its client after the last deadline. */
     private static final double LAST_RESPONSE_MS = 150;
 
     private static final int POLL_INTERVAL_MS = 20;
@@ -26,11 +26,11 @@
     private double drainEndsMs;
 
     /**
-     * A shutdown that has not begun.
+     * Creates a shutdown that has not begun.
      *
      * @param listenGraceMs how long connections are still accepted, in milliseconds
-     * @param drained stops accepting requests, and returns whether all have their responses; called repeatedly on the
-     *     event loop after the grace period
+     * @param drained stops accepting requests, and returns whether all requests have their responses; called repeatedly
+     *     on the event loop after the grace period
      */
     public GracefulShutdown(
             EventLoop loop, EventLoopContext loopContext, double listenGraceMs, BooleanSupplier drained) {
@@ -42,9 +42,9 @@
 
     /**
      * Shuts down; returns when all requests have their responses or the longest deadline is over, or when the thread is
-     * interrupted. Not on the event loop.
+     * interrupted. Must not be called on the event loop.
      *
-     * @param longestDeadlineMs called once on the event loop
+     * @param longestDeadlineMs supplies the longest deadline; called once on the event loop
      */
     public void run(DoubleSupplier longestDeadlineMs) {
         loop.execute(() -> {
--- a/src/main/java/cacheproxy/proxy/process/OperatorActions.java
+++ b/src/main/java/cacheproxy/proxy/process/OperatorActions.java
@@ -26,16 +26,16 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * What operators do with a running proxy: ask whether it accepts clients, put it into standby and back, have it reload
- * its configuration, and start its next version beside it, which takes over the listening socket. Loaded only if a
- * control address is configured. Requests are handled on the event loop.
+ * The actions that operators can take on a running proxy: query whether it accepts clients, put it into standby and
+ * back, reload its configuration, and start its next version beside it, which takes over the listening socket. This
+ * class is loaded only if a control address is configured. Requests are handled on the event loop.
  */
 final class OperatorActions {
-    /** Descriptors of the control address and of the handover to a successor. */
+    /** File descriptors of the control address and of the handover to a successor. */
     static final int MAX_DESCRIPTORS = ControlServer.MAX_CONNECTIONS + 4;
     /**
-     * How long the listening socket is awaited from a predecessor, which may be halted for some time if it has part of
-     * a core; a new process has 6 s in all.
+     * How long to wait for the listening socket of a predecessor, which may be halted for some time if it has only a
+     * fraction of a core. A new process has 6 s for its whole start.
      */
     private static final long HANDOVER_TIMEOUT_MS = 1500;
 
@@ -70,11 +70,11 @@
     }
 
     /**
-     * Accepts clients, at the socket of a process that runs at the same address if there is one, and then requests of
-     * operators. The control address is reserved first: a start that failed for it after clients had been accepted
-     * would cut their connections.
+     * Starts to accept clients, on the listening socket of a process that runs at the same address if there is one, and
+     * then requests of operators. The control address is reserved first: a start that failed because of it after
+     * clients had been accepted would cut their connections.
      *
-     * @param reload begins to read the configuration again; returns false if there is none to read
+     * @param reload starts a reload of the configuration; returns false if there is no file to read
      * @throws IllegalStateException if the control address can't be bound
      */
     static OperatorActions start(
@@ -113,7 +113,8 @@
         try {
             handover = Handover.offer(loop, path, listener.descriptor(), predecessor);
         } catch (IOException | RuntimeException e) {
-            loopContext.log("a next version will have a queue of its own: " + e.getMessage());
+            loopContext.log("the next version can't take over the listening socket and will have its own accept queue: "
+                    + e.getMessage());
         }
     }
 
@@ -122,8 +123,8 @@
     }
 
     /**
-     * Whether a process seems to run that this one is to follow. A process that was killed may have left its path
-     * behind; then this one starts with more care than it needs.
+     * Whether a predecessor of this process seems to be running. A process that was killed may have left its handover
+     * path behind; this process then starts with more care than necessary.
      */
     static boolean predecessorSeemsToRun(PlatformConfig config) {
         return Files.exists(handoverPath(config));
@@ -163,7 +164,9 @@
         }
     }
 
-    /** The process ends: no further request is taken, and a next version finds no socket to take over. */
+    /**
+     * Called when the process ends: no further request is accepted, and a next version finds no socket to take over.
+     */
     void close() {
         controlServer.close();
         if (handover != null) {
--- a/src/main/java/cacheproxy/proxy/process/PlatformCommands.java
+++ b/src/main/java/cacheproxy/proxy/process/PlatformCommands.java
@@ -6,9 +6,12 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** The platform's commands: {@code serve} runs one proxy, {@code train} makes the class archive of the build. */
+/**
+ * The platform's commands: {@code serve} runs one proxy, {@code train} loads the classes for the class archive of the
+ * build.
+ */
 public final class PlatformCommands {
-    /** The environment variable that names the configuration's file. */
+    /** The environment variable that names the configuration file. */
     private static final String CONFIG_VARIABLE = "BALANCER_CONFIG";
 
     private static final List<String> OPERATOR_REQUESTS = List.of("GET /status", "POST /standby", "POST /active");
@@ -16,8 +19,8 @@
     private PlatformCommands() {}
 
     /**
-     * Starts a proxy by the configuration that the environment names; SIGTERM ends it. Exits with status 2 if the
-     * configuration is invalid, and 1 if the proxy can't be started.
+     * Starts a proxy with the configuration file that the environment names; SIGTERM ends it. Exits with status 2 if
+     * the configuration is invalid, and 1 if the proxy can't be started.
      */
     public static void serve() {
         ServiceSignals signals = installSignalsOrExit();
@@ -65,8 +68,9 @@
     }
 
     /**
-     * Starts a proxy and its next version, sends the requests of operators and shuts both down, so that the build can
-     * archive the classes that a proxy loads. Each start has to load and verify other classes anew.
+     * Starts a proxy and its next version, sends requests of operators and shuts both down, so that the build can
+     * archive the classes that a proxy loads. Classes that are not archived are loaded and verified again at each
+     * start.
      *
      * @return the exit status
      */
@@ -85,7 +89,7 @@
             next.drain();
             return 0;
         } catch (InterruptedException | IOException | ReflectiveOperationException e) {
-            System.err.println("no training: " + e);
+            System.err.println("can't train the class archive: " + e);
             return 1;
         }
     }
--- a/src/main/java/cacheproxy/proxy/process/PlatformConfig.java
+++ b/src/main/java/cacheproxy/proxy/process/PlatformConfig.java
@@ -20,20 +20,20 @@
  * @param listen the address for clients
  * @param discovery the address of the discovery service
  * @param seed the seed of the policy's random choices
- * @param cores the CPU that the process may use
+ * @param cores the number of CPU cores that the process may use
  * @param memoryMb the memory that the process may use, in MiB
  * @param maxSockets the file descriptors that the process may use
  * @param peerListen the address for messages of other proxies; null if there is none
- * @param peers the addresses of the proxies by their numbers
+ * @param peers the addresses of the proxies, indexed by their numbers
  * @param allPeersAddress the address that reaches all proxies; null if there is none
  * @param control the address for operators; null if there is none
- * @param eventLog whether the event log is on; null leaves it as it is
- * @param initialHosts an endpoint list to begin with, in discovery's form; null if there is none
+ * @param eventLog whether the event log is enabled; null leaves it unchanged
+ * @param initialHosts the initial endpoint list, in the format of discovery; null if there is none
  * @param settings the policy's settings
- * @param zones the names of zones; servers name theirs, settings use the index
- * @param kinds the names of server kinds; servers name theirs, settings use the index
+ * @param zones the names of zones; servers refer to a zone by its name, settings by its index
+ * @param kinds the names of server kinds; servers refer to a kind by its name, settings by its index
  * @param serverIdleTimeoutMs the time after which servers close idle connections, in milliseconds
- * @param streamsPerConnection the attempts that may share a connection to a cache node, at least 1
+ * @param streamsPerConnection the maximum number of attempts that share a connection to a cache server, at least 1
  */
 public record PlatformConfig(
         String name,
@@ -56,8 +56,8 @@
         int streamsPerConnection) {
 
     /**
-     * Memory of values, as buffers may take no more than a bound on the platform's command line, which leaves room for
-     * what is being read and written.
+     * The maximum memory for values. Buffers are limited by the platform's command line; this limit leaves memory for
+     * data that is being read and written.
      */
     private static final long MAX_VALUE_BYTES = 10 << 20;
     /** A third of the sockets is for servers. */
@@ -65,19 +65,21 @@
     /** An eighth of the memory is for clients' values. */
     private static final int VALUE_MEMORY_DIVISOR = 8;
     /**
-     * Descriptors of the JVM and its files, the listening socket, discovery and peers: 41 in a running process, and a
-     * few to spare.
+     * File descriptors of the JVM and its files, the listening socket, discovery and peers: 41 in a running process,
+     * and a few as a reserve.
      */
     private static final int PROCESS_DESCRIPTORS = 48;
 
     private static final int MIN_CLIENT_CONNECTIONS = 16;
 
-    /** Where the process's one pool has its endpoint list from. */
+    /** The source of the endpoint list of the process's one pool. */
     DiscoverySource discoverySource() {
         return new DiscoverySource(discovery, initialHosts, settings.pollsDiscovery(), zones, kinds);
     }
 
-    /** Where messages of other proxies are received; without an address of its own if the policy sends none. */
+    /**
+     * The addresses for messages between proxies; the proxy has no address of its own if the policy sends no messages.
+     */
     public PeerAddresses peerAddresses() {
         InetSocketAddress ownAddress = settings.peerMessagesAllowed() ? peerListen : null;
         return new PeerAddresses(ownAddress, control != null, peers, allPeersAddress);
@@ -86,7 +88,8 @@
     /**
      * Reads the file.
      *
-     * @throws IllegalArgumentException if it can't be read or is invalid; the message names it in one line
+     * @throws IllegalArgumentException if the file can't be read or is invalid; the message names the file and is one
+     *     line long
      */
     static PlatformConfig read(String path) {
         if (path == null || path.isEmpty()) {
@@ -117,7 +120,7 @@
         return new EventLoopLimits(valueBytes, serverSockets(), false);
     }
 
-    /** How many client connections may be open: the sockets that nothing else needs. */
+    /** The maximum number of open client connections: the sockets that nothing else needs. */
     int maxClientConnections() {
         int operatorDescriptors = control == null ? 0 : OperatorActions.MAX_DESCRIPTORS;
         return Math.max(
@@ -129,9 +132,9 @@
     }
 
     /**
-     * A copy for the training of the class archive: everything that a platform may configure is on, at ports of the
-     * system's choice. The port for clients is chosen now, as it names the path of the handover, which another build at
-     * the same time must not have.
+     * Returns a copy for the training of the class archive: everything that a platform can configure is enabled, at
+     * ports that the system chooses. The port for clients is chosen here because the path of the handover contains it,
+     * and a concurrent build must not use the same path.
      */
     PlatformConfig forTraining() throws IOException {
         InetSocketAddress anyPort = new InetSocketAddress(listen.getAddress(), 0);
--- a/src/main/java/cacheproxy/proxy/process/PlatformConfigParser.java
+++ b/src/main/java/cacheproxy/proxy/process/PlatformConfigParser.java
@@ -13,9 +13,9 @@
 import java.util.Map;
 
 /**
- * Parses the JSON form of a {@link PlatformConfig}. Its {@code settings} are those of the simulator's protocol as a
- * tree; they are flattened to that protocol's paths and parsed by the same {@link SettingsParser}. Addresses are
- * literal, as there is no DNS.
+ * Parses the JSON form of a {@link PlatformConfig}. Its {@code settings} are the settings of the simulator's protocol
+ * in the form of a tree; they are flattened to the paths of that protocol and parsed by the same
+ * {@link SettingsParser}. Addresses must be IP addresses, as there is no DNS.
  */
 final class PlatformConfigParser {
     private static final int HEX_RADIX = 16;
@@ -92,7 +92,7 @@
         }
     }
 
-    /** Plain values are joined by commas; objects become paths with their index. */
+    /** Joins plain values with commas, and flattens objects to paths that contain their index. */
     private static void flattenArray(String path, Iterable<JsonElement> elements, Map<String, String> settings) {
         List<String> plainValues = new ArrayList<>();
         int index = 0;
--- a/src/main/java/cacheproxy/proxy/process/PlatformPool.java
+++ b/src/main/java/cacheproxy/proxy/process/PlatformPool.java
@@ -6,8 +6,8 @@
 import cacheproxy.proxy.upstream.ConnectionLimits;
 
 /**
- * The platform's one pool. A server accepts some forty connections from all proxies of the tier together, so that each
- * proxy takes its part of fewer.
+ * The platform's one pool. A server accepts about forty connections from all proxies of the tier together. The proxies
+ * share a smaller number equally.
  */
 final class PlatformPool {
     private static final int MAX_CACHE_CONNECTIONS = 4;
--- a/src/main/java/cacheproxy/proxy/process/Proxy.java
+++ b/src/main/java/cacheproxy/proxy/process/Proxy.java
@@ -25,14 +25,14 @@
 import java.util.function.BooleanSupplier;
 
 /**
- * The platform's proxy: one pool, one listener and one event loop. Starts them, and shuts them down. Its methods may be
- * called from any thread but the event loop's.
+ * The platform's proxy: one pool, one listener and one event loop. Starts and shuts down all of them. Its methods can
+ * be called from any thread except the event loop's.
  */
 public final class Proxy {
     private static final long STALLED_CHECK_INTERVAL_MS = 250;
     /**
-     * The longest deadline that the platform waits for before it kills a process that was told to end; classes may have
-     * longer ones.
+     * The longest deadline that the platform waits for before it kills a process that it has asked to end; service
+     * classes can have longer ones.
      */
     private static final double MAX_SHUTDOWN_DEADLINE_MS = 3000;
 
@@ -51,7 +51,7 @@
     private final Lifecycle lifecycle = new Lifecycle(LifecycleTiming.DEFAULT);
     /** Null if no control address is configured. */
     private final OperatorActions operatorActions;
-    /** Has the configuration read again; null if there is no file to read. */
+    /** Requests a reload of the configuration; null if there is no file to read. */
     private volatile Runnable reloadRequest;
 
     private Proxy(PlatformConfig config, boolean warm, BooleanSupplier mayAcceptConnections)
@@ -98,15 +98,15 @@
     private void peerMessage(int peer, byte[] message) {
         if (!VersionGossip.isVersionMessage(message)) {
             dispatcher.peerMessageReceived(peer, message);
-        } else if (discovery != null) { // a message may come before the constructor has set it
+        } else if (discovery != null) { // a message can arrive before the constructor has set it
             discovery.versionAnnounced(peer, message);
         }
     }
 
     /**
-     * Starts a proxy after a warm-up, which has the JVM compile what requests run through.
+     * Starts a proxy after a warm-up, which makes the JVM compile the code that handles requests.
      *
-     * @param mayAcceptConnections asked right before the proxy listens for clients
+     * @param mayAcceptConnections called right before the proxy listens for clients; returns whether it may
      * @throws StartAbandonedException if it may not accept connections
      */
     static Proxy startWarm(PlatformConfig config, BooleanSupplier mayAcceptConnections) throws InterruptedException {
@@ -125,12 +125,12 @@
 
     // ---- reload
 
-    /** Reads the configuration again; see {@link ConfigReloader#reload}. Not twice at once. */
+    /** Reloads the configuration; see {@link ConfigReloader#reload}. Must not be called concurrently. */
     public void reload(String path) {
         reloader.reload(path);
     }
 
-    /** Sets what a request to the control address does to have the configuration read again; it must not block. */
+    /** Sets the task that a reload request to the control address runs; it must not block. */
     void onReloadRequest(Runnable request) {
         reloadRequest = request;
     }
@@ -160,7 +160,7 @@
         return peers.address();
     }
 
-    /** Whether the policy has nothing against a server. */
+    /** Whether the policy considers a server healthy. */
     public boolean isHealthy(int server) {
         return loop.submit(() -> dispatcher.isHealthy(server))
                 .syncUninterruptibly()
@@ -177,7 +177,7 @@
         return loop.submit(dispatcher::pendingRequests).syncUninterruptibly().getNow();
     }
 
-    /** How many actions were stopped by an invariant, and how many violated one, in a line. */
+    /** Returns, in one line, how many actions were stopped by an invariant and how many violated one. */
     public String invariantSummary() {
         return loop.submit(loopContext.invariants()::summary)
                 .syncUninterruptibly()
@@ -189,12 +189,12 @@
         loopContext.log(line);
     }
 
-    /** Runs a task on the event loop after this time, for tests that wait on the proxy's own clock. */
+    /** Runs a task on the event loop after this delay, for tests that wait on the proxy's own clock. */
     public void runAfter(double delayMs, Runnable task) {
         loop.execute(() -> loopContext.after(delayMs, task));
     }
 
-    /** Lets an accept fail with this error as the system would, for tests. */
+    /** Simulates that the system fails an accept with this error, for tests. */
     public void simulateAcceptFailure(IOException error) {
         listener.channel().pipeline().fireExceptionCaught(error);
     }
@@ -208,7 +208,7 @@
         loopContext.events().close();
     }
 
-    /** Begins the shutdown; returns the time, in milliseconds, after which no more requests are taken. */
+    /** Begins the shutdown; returns the time, in milliseconds, after which no more requests are accepted. */
     private double beginDraining() {
         if (loopContext.events().isEnabled()) {
             loopContext
--- a/src/main/java/cacheproxy/proxy/process/ReloadScheduler.java
+++ b/src/main/java/cacheproxy/proxy/process/ReloadScheduler.java
@@ -3,24 +3,24 @@
 import java.util.function.Consumer;
 
 /**
- * Runs reloads of the configuration one at a time, on a thread of its own. A request that comes while a reload runs has
- * it run once more, as the file may have been replaced since it was read; so the newest file is always the last to be
- * adopted. Requests that come before {@link #start} are remembered. All methods may be called from any thread.
+ * Runs reloads of the configuration one at a time, on its own thread. A request during a reload causes one more reload,
+ * as the file may have been replaced since it was read, so that the newest file is always applied last. Requests before
+ * {@link #start} are remembered. All methods can be called from any thread.
  */
 final class ReloadScheduler {
     private final Consumer<String> log;
-    /** Reads and adopts the configuration; null until the process has started. */
+    /** Reads and applies the configuration; null until the process has started. */
     private Runnable reload;
 
     private boolean requested;
     private boolean running;
 
-    /** @param log takes a line for operators, from any thread */
+    /** @param log receives lines for operators, from any thread */
     ReloadScheduler(Consumer<String> log) {
         this.log = log;
     }
 
-    /** Sets what a reload does, and runs it if one was requested before. */
+    /** Sets the task that a reload runs, and runs it if a reload was requested before. */
     synchronized void start(Runnable newReload) {
         reload = newReload;
         if (requested) {
@@ -28,7 +28,7 @@
         }
     }
 
-    /** Has the configuration read again; returns at once. */
+    /** Requests a reload of the configuration; returns at once. */
     synchronized void request() {
         requested = true;
         if (running) {
@@ -49,8 +49,8 @@
         while (takeRequest()) {
             try {
                 reload.run();
-            } catch (RuntimeException e) { // the next request must find a scheduler that works
-                log.accept("the configuration could not be taken over, please report this: " + e);
+            } catch (RuntimeException e) { // the scheduler must keep working for the next request
+                log.accept("the configuration could not be applied, please report this: " + e);
             }
         }
     }
--- a/src/main/java/cacheproxy/proxy/process/ServiceSignals.java
+++ b/src/main/java/cacheproxy/proxy/process/ServiceSignals.java
@@ -3,9 +3,9 @@
 import java.util.function.Consumer;
 
 /**
- * The signals of a service: SIGHUP reloads its configuration, SIGTERM drains it and ends the process. Installed before
- * the start, so that from the first connection on no signal is lost and none cuts a connection: a SIGHUP during the
- * start is remembered, and a SIGTERM waits until there is something to drain.
+ * The signal handlers of a service: SIGHUP reloads its configuration, SIGTERM drains it and ends the process. They are
+ * installed before the start, so that from the first connection on no signal is lost and none cuts a connection: a
+ * SIGHUP during the start is remembered, and a SIGTERM waits until the service can be drained.
  */
 public final class ServiceSignals {
     private final ReloadScheduler reloads;
@@ -17,9 +17,9 @@
     }
 
     /**
-     * Handles the signals of this process from now on.
+     * Installs the signal handlers of this process.
      *
-     * @param log takes a line for operators, from any thread
+     * @param log receives lines for operators, from any thread
      * @throws ReflectiveOperationException if this JDK has no signal handlers
      */
     public static ServiceSignals install(Consumer<String> log) throws ReflectiveOperationException {
@@ -35,7 +35,7 @@
     }
 
     /**
-     * To be called right before the process listens for clients.
+     * Must be called right before the process listens for clients.
      *
      * @return false if the process is about to end and must not listen
      */
@@ -43,23 +43,23 @@
         return shutdown.mayAcceptConnections();
     }
 
-    /** Has the configuration read again, as SIGHUP does; returns at once. From any thread. */
+    /** Requests a reload of the configuration, as SIGHUP does; returns at once. Can be called from any thread. */
     public void requestReload() {
         reloads.request();
     }
 
     /**
-     * The service has started.
+     * Called when the service has started.
      *
-     * @param reload reads and adopts the configuration; called on a thread of its own, never twice at once
-     * @param drain serves pending requests, and returns when the process may end; called once, on a thread of its own
+     * @param reload reads and applies the configuration; called on its own thread, never concurrently
+     * @param drain completes pending requests, and returns when the process may end; called once, on its own thread
      */
     public void started(Runnable reload, Runnable drain) {
         shutdown.started(drain);
         reloads.start(reload);
     }
 
-    /** The service could not be started; the process ends without a drain. */
+    /** Called when the service could not be started; the process ends without a drain. */
     public void startFailed() {
         shutdown.startFailed();
     }
--- a/src/main/java/cacheproxy/proxy/process/ShutdownCoordinator.java
+++ b/src/main/java/cacheproxy/proxy/process/ShutdownCoordinator.java
@@ -1,17 +1,17 @@
 package cacheproxy.proxy.process;
 
 /**
- * Decides what a process owes when it is told to end: nothing before it accepts connections, and a drain from then on.
- * A shutdown that begins between the two waits until the start is complete, and drains then. All methods may be called
- * from any thread.
+ * Decides what a process must do before it ends: nothing before it accepts connections, and a drain from then on. A
+ * shutdown that begins after connections are accepted, but before the start is complete, waits until the start is
+ * complete and then drains. All methods can be called from any thread.
  */
 final class ShutdownCoordinator {
     private enum Phase {
         /** No connection has been accepted. */
         STARTING,
-        /** Connections may have been accepted, and the drain is not known yet. */
+        /** Connections may have been accepted, but the drain task is not set yet. */
         ACCEPTING,
-        /** The drain is known. */
+        /** The drain task is set. */
         STARTED,
         /** The process ends by itself, as it could not start. */
         FAILED,
@@ -20,7 +20,7 @@
     }
 
     private Phase phase = Phase.STARTING;
-    /** Known from {@link Phase#STARTED} on. */
+    /** Set from {@link Phase#STARTED} on. */
     private Runnable drain;
 
     /**
@@ -35,20 +35,23 @@
         return phase != Phase.ABANDONED;
     }
 
-    /** The start is complete; {@code drainTask} serves pending requests and returns when the process may end. */
+    /**
+     * Called when the start is complete; {@code drainTask} completes pending requests and returns when the process may
+     * end.
+     */
     synchronized void started(Runnable drainTask) {
         drain = drainTask;
         phase = Phase.STARTED;
         notifyAll();
     }
 
-    /** The start has failed; a shutdown has nothing to wait for. */
+    /** Called when the start has failed, so that a shutdown has nothing to wait for. */
     synchronized void startFailed() {
         phase = Phase.FAILED;
         notifyAll();
     }
 
-    /** Returns when the process may end; run by the JVM's shutdown hook. */
+    /** Returns when the process may end; called by the JVM's shutdown hook. */
     void shutDown() {
         try {
             if (awaitStarted()) {
--- a/src/main/java/cacheproxy/proxy/process/SighupHandler.java
+++ b/src/main/java/cacheproxy/proxy/process/SighupHandler.java
@@ -2,20 +2,23 @@
 
 import java.lang.reflect.InvocationHandler;
 
-/** Handles SIGHUP, by which operators announce a new configuration; unhandled it would end the process. */
+/**
+ * Handles SIGHUP, with which operators announce a new configuration. Without a handler, the signal would end the
+ * process.
+ */
 public final class SighupHandler {
-    /** What operators are told if the process does not get the signal. */
+    /** The message for operators if the process does not receive the signal. */
     public static final String IGNORED_MESSAGE =
-            "SIGHUP is ignored in this process, as under nohup: a new configuration is read by POST /reload at the "
-                    + "control address alone";
+            "SIGHUP is ignored in this process, as under nohup: a new configuration is read only on POST /reload to the "
+                    + "control address";
 
     private SighupHandler() {}
 
     /**
-     * Runs the task at each SIGHUP, on a thread of the JVM's. The JDK's signal classes are used by reflection, as the
-     * compiler warns of their package and the warning can't be suppressed.
+     * Runs the task on each SIGHUP, on a thread of the JVM. The JDK's signal classes are used by reflection, because
+     * the compiler warns about their package and the warning can't be suppressed.
      *
-     * @return whether the process gets the signal; it does not if it was started with the signal ignored, as under
+     * @return whether the process receives the signal; it does not if it was started with the signal ignored, as under
      *     nohup
      * @throws ReflectiveOperationException if this JDK has no such classes
      */
--- a/src/main/java/cacheproxy/proxy/process/WarmUp.java
+++ b/src/main/java/cacheproxy/proxy/process/WarmUp.java
@@ -38,7 +38,7 @@
 
 /**
  * Sends requests through the code of a proxy before it accepts clients, so that this code is loaded and compiled. A
- * client, a cache node and an origin run in this process, on the proxy's event loop, connected by Unix sockets in a
+ * client, a cache server and an origin run in this process, on the proxy's event loop, connected by Unix sockets in a
  * temporary folder.
  */
 final class WarmUp {
@@ -53,7 +53,7 @@
     private final CountDownLatch done = new CountDownLatch(1);
     private final List<Channel> channels = new ArrayList<>();
     private final List<Path> socketPaths = new ArrayList<>();
-    /** Requests with a response; on the event loop. */
+    /** The number of requests that have a response; used on the event loop. */
     private int responses;
 
     private int sent;
@@ -66,7 +66,7 @@
     }
 
     /**
-     * Warms up. A failure is only reported, as the proxy can run without.
+     * Warms up. A failure is only reported, as the proxy can run without a warm-up.
      *
      * @return the number of requests that got a response
      */
@@ -75,9 +75,9 @@
     }
 
     /**
-     * Warms up with sockets under this folder.
+     * Warms up with sockets in this folder.
      *
-     * @param toConnectAddress the address that the client connects to, made of the proxy's
+     * @param toConnectAddress converts the proxy's address into the address that the client connects to
      */
     static int run(
             EventLoop loop,
@@ -102,7 +102,10 @@
         return 0;
     }
 
-    /** Made from the clock, as the JDK's temporary names draw secure random numbers and load the security providers. */
+    /**
+     * Derives a name from the clock, because the JDK's temporary names use secure random numbers and load the security
+     * providers.
+     */
     private static String uniqueName() {
         return "warm" + Long.toHexString(System.nanoTime()) + "-"
                 + ProcessHandle.current().pid();
@@ -120,7 +123,7 @@
         loop.submit(() -> dispatcher.start(EndpointListSource.NONE)).sync();
         try {
             sendRequests(dispatcher, listener, toConnectAddress);
-        } finally { // also if sockets are refused, as each start would leave its sockets, a timer and a folder behind
+        } finally { // also if sockets are refused; otherwise each start would leave sockets, a timer and a folder
             loop.submit(dispatcher::stop).sync();
             for (Channel channel : channels) {
                 channel.close().sync();
@@ -178,7 +181,7 @@
 
     /**
      * One end of a connection of the warm-up. The other end may be closed with unread bytes, which resets the
-     * connection; that is no error to report.
+     * connection; that is not reported as an error.
      */
     abstract static class ResetTolerantDecoder extends ByteToMessageDecoder {
         @SuppressWarnings("FutureReturnValueIgnored") // the close is observed where the channel becomes inactive
@@ -188,7 +191,7 @@
         }
     }
 
-    /** A cache node that misses a quarter of the keys. */
+    /** A cache server that misses a quarter of the keys. */
     private static final class CacheServer extends ResetTolerantDecoder {
         @SuppressWarnings("FutureReturnValueIgnored") // a failed write closes the channel, and the close is handled
         @Override
@@ -198,7 +201,7 @@
                 return;
             }
             String id = MetaCodec.flagArgument(line, 3, 'O');
-            boolean miss = id.endsWith("0"); // ids are numbers of base 4
+            boolean miss = id.endsWith("0"); // ids are numbers in base 4
             String response = miss ? "EN O" + id + " h0\r\n" : "VA 5 O" + id + " h1\r\nhello\r\n";
             ctx.writeAndFlush(MetaCodec.ascii(ctx.alloc(), response));
         }
@@ -216,7 +219,7 @@
         }
     }
 
-    /** A client that keeps the plan's number of requests open until all have responses. */
+    /** A client that keeps the plan's number of requests in flight until all have responses. */
     private final class Client extends ResetTolerantDecoder {
         private static final int KEY_BASE = 0x70000000;
         private static final int KEY_STEP = 7919;
