--- a/src/test/java/cacheproxy/proxy/BackloggedServer.java
+++ b/src/test/java/cacheproxy/proxy/BackloggedServer.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Set;
 
-/** A server whose connections come up only once they are let in: its accept queue is full until then. */
+/** A server whose connections are established only when it accepts them: its accept queue is full until then. */
 final class BackloggedServer implements AutoCloseable {
     private final ServerSocket server = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
     private final List<Socket> queue = new ArrayList<>();
@@ -20,7 +20,7 @@
         fillAcceptQueue();
     }
 
-    /** Fills the accept queue, so that no further connection comes up. */
+    /** Fills the accept queue, so that no further connection is established. */
     void fillAcceptQueue() throws IOException {
         for (boolean full = false; !full; ) {
             Socket socket = new Socket();
@@ -38,7 +38,7 @@
         return "127.0.0.1:" + server.getLocalPort();
     }
 
-    /** Accepts the connections that wait, up to the first one of the proxy. */
+    /** Accepts waiting connections, up to and including the first one of the proxy. */
     ScriptedServer.Connection acceptNext() throws IOException {
         Set<Integer> ownPorts = new HashSet<>();
         queue.forEach(socket -> ownPorts.add(socket.getLocalPort()));
--- a/src/test/java/cacheproxy/proxy/CacheResponses.java
+++ b/src/test/java/cacheproxy/proxy/CacheResponses.java
@@ -2,7 +2,7 @@
 
 import cacheproxy.fakes.ScriptedServer;
 
-/** Responses of cache servers as tests script them. */
+/** Responses that scripted cache servers send in tests. */
 final class CacheResponses {
     private CacheResponses() {}
 
--- a/src/test/java/cacheproxy/proxy/ClientDisconnectTest.java
+++ b/src/test/java/cacheproxy/proxy/ClientDisconnectTest.java
@@ -9,10 +9,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What becomes of requests whose client disconnects while they are pending. */
+/** Tests how the proxy handles requests whose client disconnects while they are pending. */
 @Timeout(20)
 class ClientDisconnectTest {
-    /** Also where attempts may not be cancelled: one without a connection has not begun. */
+    /** This also applies if attempts may not be cancelled, as an attempt without a connection has not begun. */
     @Test
     void doesNotSendRequestThatWaitsForConnectionAfterClientDisconnects() throws Exception {
         for (String mayCancel : new String[] {"false", "true"}) {
@@ -41,7 +41,7 @@
         }
     }
 
-    /** The fetch has not begun, so that it goes on under the id of a client that still waits for it. */
+    /** The fetch has not begun, so it continues under the id of a client that still waits for it. */
     @Test
     void sendsCoalescedFetchUnderIdOfRemainingClientAfterLeaderDisconnects() throws Exception {
         ScriptedServer node = missesAllBut("turn");
@@ -55,7 +55,7 @@
             stays.read("stays");
             node.next();
             turn.send("mg 1 v Oturn Pc=text,d=20000\r\n")
-                    .line(); // both misses have been read by now, as responses come in order
+                    .line(); // both misses have been read by now, as responses arrive in order
             leaves.close();
             fleet.awaitPendingRequests(1);
             ScriptedServer.Connection accepted = origin.acceptNext();
@@ -78,7 +78,7 @@
         return fleet.start();
     }
 
-    /** Otherwise other clients would wait for a silent origin until their own deadlines. */
+    /** Guards against other clients that wait for an unresponsive origin until their own deadlines. */
     @Test
     void endsCoalescedFetchAtItsOwnDeadlineAfterLeaderDisconnects() throws Exception {
         ScriptedServer node = missesAllBut("turn");
@@ -105,7 +105,7 @@
         }
     }
 
-    /** A busy event loop reads the command and the end of the connection at once. */
+    /** A busy event loop reads the command and the end of the connection in the same turn. */
     @Test
     void doesNotSendRequestReadTogetherWithClientsDisconnection() throws Exception {
         for (boolean reset : new boolean[] {false, true}) {
@@ -118,7 +118,7 @@
             });
             try (Fleet fleet = new Fleet().node(node).start();
                     Fleet.Client other = fleet.client()) {
-                other.read("first"); // from now on an attempt finds a connection that is up
+                other.read("first"); // from now on an attempt finds an established connection
                 other.line();
                 assertThat(other.line()).isEqualTo("1");
                 Fleet.Client leaves = fleet.client();
@@ -134,7 +134,7 @@
                 other.read("stays");
                 assertThat(other.line()).isEqualTo("VA 1 Ostays");
                 assertThat(other.line())
-                        .as("an attempt for nobody would have taken the first connection")
+                        .as("an attempt for the disconnected client would have taken the first connection")
                         .isEqualTo("1");
                 assertThat(node.commands)
                         .as("reset: " + reset)
@@ -144,7 +144,7 @@
         }
     }
 
-    /** Reading pauses at 32 pending requests; what the client has sent beyond those is never begun. */
+    /** Reading pauses at 32 pending requests; requests that the client has sent beyond those never begin. */
     @Test
     void noticesDisconnectionOfClientWhoseInputIsPaused() throws Exception {
         AtomicInteger asked = new AtomicInteger();
@@ -173,7 +173,8 @@
                 client.close();
                 fleet.awaitPendingRequests(0);
             }
-            assertThat(asked.get()).isLessThanOrEqualTo(2 * 2 * 32); // with hedged requests to the silent server
+            assertThat(asked.get())
+                    .isLessThanOrEqualTo(2 * 2 * 32); // including hedged requests to the unresponsive server
         }
     }
 }
--- a/src/test/java/cacheproxy/proxy/DrainTest.java
+++ b/src/test/java/cacheproxy/proxy/DrainTest.java
@@ -11,7 +11,10 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Graceful shutdown: every request taken is answered, connections close between requests, and it ends in time. */
+/**
+ * Tests the graceful shutdown: every accepted request is answered, connections close between requests, and the shutdown
+ * ends in time.
+ */
 @Timeout(20)
 class DrainTest {
     @Test
@@ -39,7 +42,7 @@
             assertThat(busy.line()).isEqualTo("VA 5 O1");
             assertThat(busy.line()).isEqualTo("hello");
             assertThat(busy.ended()).isTrue();
-            half.send("n\r\n"); // a command that had been begun is still answered
+            half.send("n\r\n"); // a command that had been received in part is still answered
             assertThat(half.line()).isEqualTo("MN");
             assertThat(half.ended()).isTrue();
             idle.close();
@@ -49,7 +52,7 @@
         }
     }
 
-    /** The platform kills a process 3.7 s after SIGTERM, also where a request's deadline is later. */
+    /** The platform kills a process 3.7 s after SIGTERM, even if a request's deadline is later. */
     @Test
     void concludesRequestsBeforePlatformKillsProcess() throws Exception {
         ScriptedServer silent = new ScriptedServer(ScriptedServer.Connection::awaitEnd);
@@ -72,7 +75,8 @@
     }
 
     /**
-     * Connections close between two requests; this client is never there. Its last requests are answered or rejected.
+     * Connections close between two requests, but this client always has a request pending. Its last requests are
+     * answered or rejected.
      */
     @Test
     void closesConnectionThatAlwaysHasRequestPending() throws Exception {
@@ -108,7 +112,7 @@
             client.close();
             drain.join();
             assertThat(rejected).isBetween(1, 2);
-            assertThat(node.commands).as("what was sent on").hasSize(answers + rejected);
+            assertThat(node.commands).as("requests that reached the node").hasSize(answers + rejected);
         }
     }
 
--- a/src/test/java/cacheproxy/proxy/EventLinesGoldenTextTest.java
+++ b/src/test/java/cacheproxy/proxy/EventLinesGoldenTextTest.java
@@ -21,8 +21,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The event log's lines of a proxy: each kind with its fields, their order and their words. What varies is replaced by
- * its field.
+ * Tests the lines in a proxy's event log: each event with its fields, their order and their texts. Varying values are
+ * replaced by placeholders.
  */
 @Timeout(60)
 class EventLinesGoldenTextTest {
@@ -60,11 +60,11 @@
         }
     }
 
-    /** The next line that begins so, with what varies replaced. */
+    /** The next line of this event, with varying values replaced. */
     private String next(String event) throws InterruptedException {
         while (true) {
             String line = lines.poll(LINE_TIMEOUT_S, TimeUnit.SECONDS);
-            assertThat(line).as("a line of " + event).isNotNull();
+            assertThat(line).as("a line for " + event).isNotNull();
             if (line.startsWith(event + " ")) {
                 return masked(line);
             }
--- a/src/test/java/cacheproxy/proxy/EventOrderTest.java
+++ b/src/test/java/cacheproxy/proxy/EventOrderTest.java
@@ -12,12 +12,12 @@
 import org.junit.jupiter.api.Timeout;
 
 /**
- * Connections and deadlines that end while something is still pending. Scripted peers and an event loop that is held
- * force the order of events.
+ * Tests connections and deadlines that end while something is still pending. Scripted peers and a held event loop
+ * enforce the order of events.
  */
 @Timeout(20)
 class EventOrderTest {
-    /** A class for which a late response has no value: the rejection comes at once, not at the deadline. */
+    /** Late responses have no value for this service class, so the rejection is sent at once, not at the deadline. */
     @Test
     void rejectsRequestAtOnceWhenLateResponseHasNoValue() throws Exception {
         CountDownLatch late = new CountDownLatch(1);
@@ -49,7 +49,9 @@
         }
     }
 
-    /** The body ends with the connection, which the proxy closes itself: what has come is not the whole value. */
+    /**
+     * The body ends with the connection, which the proxy itself closes: the received part is not the complete value.
+     */
     @Test
     void doesNotServeStalledBodyOfUnknownLength() throws Exception {
         ScriptedServer node = ScriptedServer.node(line -> "EN O" + ScriptedServer.id(line) + " h0\r\n");
@@ -67,7 +69,7 @@
 
     /**
      * The first attempt may have been processed, as its connection is reset after its last byte. The retry waits for a
-     * connection that comes up after the window in which the server drops duplicates.
+     * connection that is established after the window in which the server drops duplicates.
      */
     @Test
     void doesNotSendRetryAfterDeduplicationWindow() throws Exception {
@@ -85,7 +87,7 @@
                     origin.fillAcceptQueue();
                     first.reset();
                     assertThat(client.line()).isEqualTo("SERVER_ERROR failed");
-                    if (letIn) { // the retry's connection comes up all the same
+                    if (letIn) { // the retry's connection is established all the same
                         try (Fleet.Client other = fleet.client()) {
                             other.send("ms 7f3b 5 O2 Pc=fix,d=20000\r\nhello\r\n");
                             assertThat(ScriptedServer.id(BackloggedServer.readRequestHead(origin.acceptNext())))
@@ -97,7 +99,7 @@
         }
     }
 
-    /** Whether a request that crosses the close was processed could not be known. */
+    /** If a request crosses the close of the connection, it would be unknown whether the server has processed it. */
     @Test
     void doesNotUseConnectionThatServerIsAboutToCloseAsIdle() throws Exception {
         AtomicInteger connections = new AtomicInteger();
@@ -122,7 +124,7 @@
         }
     }
 
-    /** The next command has arrived and is unread: an immediate close would reset the connection. */
+    /** The next command has arrived but has not been read: an immediate close would reset the connection. */
     @Test
     void closesEvictedConnectionWithoutResetRightAfterResponse() throws Exception {
         CountDownLatch answer = new CountDownLatch(1);
@@ -163,8 +165,8 @@
     }
 
     /**
-     * The duplicate comes after the next request has been sent, and origin responses have no id. A round counts only if
-     * it took less time than a connection rests between requests; the first such round decides.
+     * The duplicate arrives after the next request has been sent, and responses of the origin have no id. A round
+     * counts only if it took less time than the delay before a connection is reused; the first such round decides.
      */
     @Test
     void doesNotTakeDuplicateOriginResponseForNextRequestsResponse() throws Exception {
--- a/src/test/java/cacheproxy/proxy/EventWordsGoldenTextTest.java
+++ b/src/test/java/cacheproxy/proxy/EventWordsGoldenTextTest.java
@@ -7,7 +7,7 @@
 import cacheproxy.policy.EndpointState;
 import org.junit.jupiter.api.Test;
 
-/** Words of the routing interface that stand in the event log's fields as they are. */
+/** Tests the enum constants of the routing interface that the event log's fields contain unchanged. */
 class EventWordsGoldenTextTest {
     @Test
     void outcomesOfAttempts() {
--- a/src/test/java/cacheproxy/proxy/Explorer.java
+++ b/src/test/java/cacheproxy/proxy/Explorer.java
@@ -21,16 +21,17 @@
 import java.util.function.Predicate;
 
 /**
- * Drives one proxy through a random order of what clients, a node and the origin may do, and judges it from outside.
- * One thread does everything on the peers' side, without blocking: once the loop has gone round, what the proxy has
- * written is there to be read. So an order is a seed's, but for what the proxy's own timers do in between.
+ * Drives one proxy through a random order of actions of clients, a node and the origin, and checks its behaviour from
+ * outside. One thread performs all actions of the peers without blocking: after the event loop has completed a turn,
+ * everything that the proxy has written can be read. A seed therefore determines the order, except for the proxy's own
+ * timers in between.
  */
 final class Explorer implements AutoCloseable {
     private static final int KEYS = 3;
-    /** Prints each event of an order, for whoever looks for a cause. */
+    /** Prints each event of an order, for debugging. */
     private static final boolean TRACE = Boolean.getBoolean("explorer.trace");
 
-    /** One connection from our side. */
+    /** One connection to the proxy, from the peer's side. */
     private static class Peer {
         final SocketChannel channel;
         final StringBuilder in = new StringBuilder();
@@ -65,7 +66,7 @@
             }
         }
 
-        /** A line, taken off what has come; null: none is whole. */
+        /** Removes and returns the next line of the input; null if there is no complete line. */
         String line() {
             int end = in.indexOf("\r\n");
             String line = end < 0 ? null : in.substring(0, end);
@@ -85,9 +86,9 @@
     }
 
     private static final class ClientPeer extends Peer {
-        /** Ids of whole commands without an answer yet, in order. */
+        /** Ids of completely sent commands without an answer yet, in order. */
         final ArrayDeque<String> pendingIds = new ArrayDeque<>();
-        /** A command of which a part has been written. */
+        /** The unsent rest of a command that has been written in part; null if there is none. */
         String unsentPart;
 
         ClientPeer(SocketChannel channel) throws IOException {
@@ -108,7 +109,9 @@
     int answers;
     int departures;
     private final SplittableRandom random;
-    /** Whether the origin answers everybody with the first request's value, so that the judge is seen to look. */
+    /**
+     * Whether the origin answers every request with the first request's value, to test that wrong answers are detected.
+     */
     private final boolean wrongOriginValues;
 
     private final ServerSocketChannel nodeListener = ServerSocketChannel.open();
@@ -117,7 +120,10 @@
     private final List<ServerPeer> originConnections = new ArrayList<>();
     private final List<ClientPeer> clients = new ArrayList<>();
     private final Set<String> disconnected = new HashSet<>();
-    /** Those whose client's end the loop has had the time to see, and of which nothing can be on its way any more. */
+    /**
+     * Requests whose client's disconnection the event loop has had the time to process, and of which no attempt can be
+     * on its way any more.
+     */
     private final Set<String> disconnectProcessed = new HashSet<>();
 
     private final Set<String> disconnectPending = new HashSet<>();
@@ -134,7 +140,7 @@
             listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             listener.configureBlocking(false);
         }
-        for (int c = 0; c < 3; c++) { // soon doubted and soon tried again, but never late
+        for (int c = 0; c < 3; c++) { // hedged and retried soon, but never late
             fleet.set("classes." + c + ".promise", "400.0");
         }
         fleet.set("caps.connect-timeout", "50.0")
@@ -149,11 +155,14 @@
         return ((InetSocketAddress) listener.getLocalAddress()).getPort();
     }
 
-    /** So many random steps, then all that is owed is answered, and the proxy is to be at rest. */
+    /**
+     * Performs this number of random steps, then answers all pending requests and checks that none is left in the
+     * proxy.
+     */
     void run(int steps) throws Exception {
         for (int i = 0; i < steps; i++) {
             if (held == null && random.nextInt(6) == 0) {
-                hold(); // what is done now the loop finds all at once
+                hold(); // the event loop finds all that is done now at once
                 step();
                 step();
                 step();
@@ -250,7 +259,7 @@
             case 2, 3 -> p.send("EN O" + id + " h0\r\n");
             case 4 -> p.send("SERVER_ERROR busy\r\n");
             case 5 -> {
-                p.send(hit); // the answer and the end come together
+                p.send(hit); // the answer and the end of the connection arrive together
                 p.close(false);
             }
             case 6 -> {
@@ -277,15 +286,15 @@
                 p.close(false);
             }
             case 4 -> {
-                p.send("HTTP/1.1 200 X\r\n\r\n" + body.substring(0, 1)); // a reset is no end
+                p.send("HTTP/1.1 200 X\r\n\r\n" + body.substring(0, 1)); // a reset is not the end of a body
                 p.close(true);
             }
             case 5 -> {
-                writes.computeIfPresent(id, (k, n) -> n - 1); // it never ran, and may be sent again
+                writes.computeIfPresent(id, (k, n) -> n - 1); // it was not processed, and may be sent again
                 p.send("HTTP/1.1 503 X\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n");
             }
             case 6 -> p.close(random.nextBoolean());
-            default -> p.send(whole + whole); // a second answer right behind the first
+            default -> p.send(whole + whole); // a second answer directly after the first
         }
     }
 
@@ -295,16 +304,16 @@
         }
     }
 
-    // ---- what the proxy has done
+    // ---- the proxy's output
 
-    /** Lets the loop go round and takes what has come. */
+    /** Lets the event loop complete its turns and handles the received bytes. */
     private void pump() throws Exception {
         long live = clients.stream().filter(c -> !c.ended).count();
         for (long until = System.nanoTime() + 5_000_000_000L;
                 fleet.proxy.clientCount() != live && System.nanoTime() < until; ) {
-            Thread.onSpinWait(); // the system may tell the proxy of a close later than of what came after it elsewhere
+            Thread.onSpinWait(); // a close may reach the proxy later than newer events on other connections
         }
-        for (int i = 0; i < 3; i++) { // an event, what it has the loop do, what that writes
+        for (int i = 0; i < 3; i++) { // an event, the tasks that it schedules, and the writes of those
             fleet.proxy.pendingRequests();
         }
         accept(nodeListener, nodeConnections);
@@ -319,7 +328,7 @@
             p.read();
             readOriginRequests(p);
         }
-        disconnectProcessed.addAll(disconnectPending); // what was on its way then has been read by now
+        disconnectProcessed.addAll(disconnectPending); // attempts that were on their way then have been read by now
         disconnectPending.clear();
         disconnectPending.addAll(disconnected);
         for (ClientPeer c : clients) {
@@ -361,7 +370,7 @@
                         : "origin " + originConnections.indexOf(p)));
         p.pendingIds.add(id);
         if (disconnectProcessed.contains(id)) {
-            violations.add("an attempt for " + id + " begins though its client has left");
+            violations.add("an attempt for " + id + " begins although its client has disconnected");
         }
         if (write && writes.merge(id, 1, Integer::sum) > 1 && unsafe.contains(id)) {
             violations.add(id + " is written twice");
@@ -377,7 +386,7 @@
         int whole = end + 2;
         String id = c.pendingIds.peek();
         if (id == null) {
-            violations.add("an answer to nothing: " + line);
+            violations.add("an answer without a pending request: " + line);
             c.in.setLength(0);
             return false;
         }
@@ -403,7 +412,7 @@
         return true;
     }
 
-    /** Everything owed is answered as it should be, and then nothing is left. */
+    /** Answers all pending requests correctly, and then checks that none is left. */
     private void settle() throws Exception {
         long until = System.nanoTime() + 30_000_000_000L; // deadlines are 20 s
         while (clients.stream().anyMatch(c -> !c.ended && !c.pendingIds.isEmpty()) && System.nanoTime() < until) {
@@ -435,7 +444,7 @@
             pump();
         }
         if (fleet.proxy.pendingRequests() > 0) {
-            violations.add(fleet.proxy.pendingRequests() + " requests are left at rest");
+            violations.add(fleet.proxy.pendingRequests() + " requests are left at the end");
         }
     }
 
--- a/src/test/java/cacheproxy/proxy/ExplorerTest.java
+++ b/src/test/java/cacheproxy/proxy/ExplorerTest.java
@@ -5,8 +5,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Random orders of what peers may do to one proxy, judged from outside. {@code -Dexplorer.orders=N} plays more of them,
- * {@code -Dexplorer.first=N} begins with another seed, {@code -Dexplorer.trace=true} prints each event.
+ * Tests one proxy with random orders of its peers' actions, checked from outside. {@code -Dexplorer.orders=N} sets the
+ * number of orders, {@code -Dexplorer.first=N} the first seed, and {@code -Dexplorer.trace=true} prints each event.
  */
 class ExplorerTest {
     private static final int ORDERS = Integer.getInteger("explorer.orders", 30);
--- a/src/test/java/cacheproxy/proxy/Fleet.java
+++ b/src/test/java/cacheproxy/proxy/Fleet.java
@@ -19,9 +19,9 @@
 import java.util.List;
 import java.util.concurrent.CountDownLatch;
 
-/** A proxy on loopback with the servers that a test gives it, and clients of it. */
+/** A proxy on loopback, with the servers that a test configures and clients of the proxy. */
 public final class Fleet implements AutoCloseable {
-    @SuppressWarnings("StringConcatToTextBlock") // one line of the text a line of the source
+    @SuppressWarnings("StringConcatToTextBlock") // one line of text per source line
     static final String SETTINGS = String.join(
             "\n",
             "balancers=1",
@@ -105,7 +105,7 @@
         return this;
     }
 
-    /** One entry of discovery's list. */
+    /** One entry of an endpoint list of discovery. */
     public static JsonObject host(String name, String kind, String dial, String health) {
         JsonObject h = new JsonObject();
         h.addProperty("host", name);
@@ -157,8 +157,8 @@
     }
 
     /**
-     * Holds the proxy's loop: what peers do from now on it finds all at once. It goes on when the latch is counted
-     * down.
+     * Holds the proxy's event loop until the returned latch is counted down. The loop then finds everything that peers
+     * have done in the meantime at once.
      */
     CountDownLatch holdEventLoop() throws InterruptedException {
         CountDownLatch held = new CountDownLatch(1);
@@ -175,11 +175,11 @@
         return go;
     }
 
-    /** Waits until the proxy has so many pending requests; the test's time limit interrupts it. */
+    /** Waits until the proxy has this number of pending requests; the test's time limit interrupts the wait. */
     public void awaitPendingRequests(int expected) {
         for (int count; (count = proxy.pendingRequests()) != expected; ) {
             assertThat(Thread.interrupted())
-                    .as("time is over with %s pending requests, not %s", count, expected)
+                    .as("time limit reached with %s pending requests instead of %s", count, expected)
                     .isFalse();
         }
     }
@@ -228,7 +228,7 @@
             return send("mg 7f3a9c21e0b4d655 v O" + id + " Pc=text,d=20000\r\n");
         }
 
-        /** A line without its end; null at the end of the stream. */
+        /** The next line without its line end; null at the end of the stream. */
         public String line() throws IOException {
             return ScriptedServer.line(in);
         }
@@ -237,7 +237,7 @@
             return in.readNBytes(n);
         }
 
-        /** Whether nothing but the end of the stream is left. */
+        /** Whether the end of the stream is next; blocks until bytes or the end arrive. */
         public boolean ended() throws IOException {
             return in.read() < 0;
         }
--- a/src/test/java/cacheproxy/proxy/InvariantEventsGoldenTextTest.java
+++ b/src/test/java/cacheproxy/proxy/InvariantEventsGoldenTextTest.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** What stands on standard error where an action is stopped or an invariant violated. */
+/** Tests the lines on standard error when an action is stopped by an invariant, and when an invariant is violated. */
 class InvariantEventsGoldenTextTest {
     private static final long MAX_VALUE_BYTES = 1 << 20;
     private static final int MAX_UPSTREAM = 16;
--- a/src/test/java/cacheproxy/proxy/RefusingAddress.java
+++ b/src/test/java/cacheproxy/proxy/RefusingAddress.java
@@ -6,8 +6,8 @@
 import java.net.Socket;
 
 /**
- * A loopback address that refuses connections: its port is bound and nothing listens. While this is open no other
- * process can listen there, as it could at a port that was merely closed.
+ * A loopback address that refuses connections: its port is bound, but nothing listens on it. While this is open, no
+ * other process can listen there, unlike on a port that was only closed.
  */
 public final class RefusingAddress implements AutoCloseable {
     private final Socket socket = new Socket();
@@ -17,7 +17,7 @@
         socket.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
     }
 
-    /** The address as an endpoint list has it. */
+    /** The address in the format of an endpoint list. */
     public String dial() {
         return "127.0.0.1:" + socket.getLocalPort();
     }
--- a/src/test/java/cacheproxy/proxy/SitesTest.java
+++ b/src/test/java/cacheproxy/proxy/SitesTest.java
@@ -18,8 +18,8 @@
 import org.tomlj.TomlTable;
 
 /**
- * The proxy by the settings of each deployment that lies in deploy/sites: classes, effects, tenants and names are
- * theirs alone.
+ * Tests the proxy with the settings of each deployment in deploy/sites, which define their own classes, effects,
+ * tenants and names.
  */
 class SitesTest {
     private static final Map<String, String> EFFECTS =
@@ -93,7 +93,7 @@
         return tables;
     }
 
-    /** What the platform tells a proxy of this deployment, by the names of its first message. */
+    /** The settings that the platform sends to a proxy of this deployment, under the names of its first message. */
     private static String settings(TomlTable site) {
         TomlTable tier = site.getArrayOrEmpty("tier").getTable(0);
         TomlTable allow = site.getTable("allow");
--- a/src/test/java/cacheproxy/proxy/ValueStreamingTest.java
+++ b/src/test/java/cacheproxy/proxy/ValueStreamingTest.java
@@ -17,7 +17,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 import org.junit.jupiter.api.Test;
 
-/** Long values: passed on as they come, paused while the client does not read. */
+/** Tests that long values are streamed as they arrive, and paused while the client does not read. */
 class ValueStreamingTest {
     private static final byte[] VALUE = new byte[MetaCodec.MAX_VALUE_BYTES];
 
@@ -112,10 +112,10 @@
             }
             client.line();
             Fleet.Client other = fleet.client();
-            for (int turn = 0; turn < 2000; turn++) { // of the loop, in each of which the proxy could read
+            for (int turn = 0; turn < 2000; turn++) { // turns of the event loop, in each of which the proxy could read
                 other.send("mn\r\n").line();
             }
-            // The system's own buffers take some megabytes; a proxy that does not hold back takes all 64.
+            // The system's buffers take some megabytes; a proxy that does not pause reading takes all 64.
             assertThat(sent.get()).isLessThan(12 << 20);
             client.bytes(VALUE.length);
             client.line();
@@ -164,7 +164,10 @@
         return ScriptedServer.node(line -> "EN O" + ScriptedServer.id(line) + " h0\r\n");
     }
 
-    /** An origin that answers each connection once, tells no length and ends it (RFC 9112, 6.3). */
+    /**
+     * An origin that answers one request on each connection without a length, and then closes the connection (RFC 9112,
+     * 6.3).
+     */
     private static ScriptedServer endsByClosing(int length) throws IOException {
         return new ScriptedServer(connection -> {
             connection.request();
@@ -244,7 +247,7 @@
 
     @Test
     void servesAllValuesOfUnknownLengthWithinMemoryLimit() throws Exception {
-        int clients = 12; // room is for two of this length
+        int clients = 12; // the memory is enough for two values of this length
         try (Fleet fleet =
                 new Fleet().node(missing()).origin(endsByClosing(VALUE.length)).start()) {
             ExecutorService readers = Executors.newFixedThreadPool(clients);
@@ -253,7 +256,7 @@
                 int key = i;
                 Fleet.Client client = ask(fleet.client(), key, 0);
                 all.add(readers.submit(() -> {
-                    int again = 0; // the origin is spared while it has answered none
+                    int again = 0; // retries, as the proxy limits requests to an origin that has not answered any yet
                     String line = client.line();
                     while (line.startsWith("SERVER_ERROR busy")) {
                         line = ask(client, key, ++again).line();
--- a/src/test/java/cacheproxy/proxy/process/OperatorActionsTest.java
+++ b/src/test/java/cacheproxy/proxy/process/OperatorActionsTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Standby and back on a proxy's own sockets, while requests are open. */
+/** Tests entering and leaving standby on a proxy's own sockets, while requests are pending. */
 @Timeout(60)
 class OperatorActionsTest {
     private static Fleet fleet() {
@@ -54,10 +54,10 @@
             assertThat(call(fleet, "POST /standby")).isEqualTo("200");
             assertThat(call(fleet, "GET /status")).isEqualTo("503");
             assertThat(idle.ended()).isTrue();
-            half.send("n\r\n"); // a command that had been begun is still answered
+            half.send("n\r\n"); // a command that had been received in part is still answered
             assertThat(half.line()).isEqualTo("SERVER_ERROR standby");
             assertThat(half.ended()).isTrue();
-            // Whoever has not heard is served all the same, and sent away after.
+            // A client that does not know of the standby is still served, and its connection is closed afterwards.
             try (Fleet.Client late = fleet.client()) {
                 late.read("2");
                 release.countDown();
@@ -80,8 +80,8 @@
     }
 
     /**
-     * A value of 4 MiB to a client that stops reading, and a standby in its midst: calls are heard, the value comes
-     * whole.
+     * A client stops reading in the middle of a value of 4 MiB, and standby begins: status requests are still answered,
+     * and the value arrives complete.
      */
     @Test
     void answersStatusDuringStreamedValueThatStandbyLetsEnd() throws Exception {
@@ -118,7 +118,7 @@
                 Fleet.Client first = fleet.client()) {
             assertThat(first.send("mn\r\n").line()).isEqualTo("MN");
             call(fleet, "POST /standby");
-            assertThat(first.ended()).isTrue(); // all are to end by now or soon
+            assertThat(first.ended()).isTrue(); // by now, all connections have been closed or are about to be
             try (Fleet.Client late = fleet.client()) {
                 assertThat(late.send("mn\r\n").line()).isEqualTo("SERVER_ERROR standby");
                 assertThat(late.ended()).isTrue();
--- a/src/test/java/cacheproxy/proxy/process/PlatformConfigTest.java
+++ b/src/test/java/cacheproxy/proxy/process/PlatformConfigTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What the parts of the process get from its configuration. */
+/** Tests the peer addresses that the process takes from its configuration. */
 class PlatformConfigTest {
     private static final InetSocketAddress LISTEN = new InetSocketAddress(InetAddress.getLoopbackAddress(), 7001);
     private static final InetSocketAddress PEER = new InetSocketAddress(InetAddress.getLoopbackAddress(), 7002);
--- a/src/test/java/cacheproxy/proxy/process/ReloadSchedulerTest.java
+++ b/src/test/java/cacheproxy/proxy/process/ReloadSchedulerTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** Reloads in series: one at a time, none lost, the newest file last. */
+/** Tests that reloads run one at a time, that none is lost, and that the newest file is applied last. */
 @Timeout(30)
 class ReloadSchedulerTest {
     private final LinkedBlockingQueue<String> lines = new LinkedBlockingQueue<>();
@@ -30,7 +30,7 @@
         assertThat(reloads).isEmpty();
     }
 
-    /** Guards against two reloads side by side, of which the one with the older file may end last. */
+    /** Guards against two concurrent reloads, of which the one with the older file may end last. */
     @Test
     void requestsDuringAReloadRunOneMoreAfterItWithTheFileAsItIsThen() throws Exception {
         AtomicReference<String> file = new AtomicReference<>("older");
@@ -61,7 +61,7 @@
         assertThat(lines).hasSize(2).allMatch(line -> line.contains("read once more"));
     }
 
-    /** Guards against a reload that fails unexpectedly and takes all later ones with it. */
+    /** Guards against an unexpected failure of a reload that prevents all later reloads. */
     @Test
     void aReloadThatThrowsIsReportedAndTheNextOneRuns() throws Exception {
         LinkedBlockingQueue<String> reloads = new LinkedBlockingQueue<>();
@@ -76,7 +76,7 @@
         assertThat(reloads).hasSize(2);
     }
 
-    /** The next line but those of requests that come before the thread of the reload before has ended. */
+    /** The next line, except those about requests that arrive before the thread of the previous reload has ended. */
     private String nextFailure() throws InterruptedException {
         String line = lines.poll(20, TimeUnit.SECONDS);
         while (line != null && line.contains("read once more")) {
--- a/src/test/java/cacheproxy/proxy/process/ShutdownCoordinatorTest.java
+++ b/src/test/java/cacheproxy/proxy/process/ShutdownCoordinatorTest.java
@@ -6,7 +6,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What a shutdown waits for and drains, by the moment of the start in which it begins. */
+/** Tests what a shutdown waits for and drains, depending on the phase of the start in which it begins. */
 @Timeout(30)
 class ShutdownCoordinatorTest {
     private final ShutdownCoordinator coordinator = new ShutdownCoordinator();
@@ -20,7 +20,7 @@
         assertThat(drains).hasValue(0);
     }
 
-    /** Guards against connections that are cut as the shutdown begins before the start is complete. */
+    /** Guards against connections that are cut because the shutdown begins before the start is complete. */
     @Test
     void aShutdownAfterListeningWaitsForTheStartAndDrains() throws Exception {
         assertThat(coordinator.mayAcceptConnections()).isTrue();
@@ -44,7 +44,7 @@
         assertThat(drains).hasValue(1);
     }
 
-    /** Guards against a failed start whose exit waits for ever for a drain. */
+    /** Guards against a failed start whose exit waits forever for a drain. */
     @Test
     void aFailedStartIsNotWaitedFor() throws Exception {
         assertThat(coordinator.mayAcceptConnections()).isTrue();
--- a/src/test/java/cacheproxy/proxy/process/WarmUpTest.java
+++ b/src/test/java/cacheproxy/proxy/process/WarmUpTest.java
@@ -20,9 +20,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Warms up through Unix sockets, and survives a reset or refused connection. */
+/** Tests that the warm-up works through Unix sockets, and that it survives a reset or refused connection. */
 class WarmUpTest {
-    /** What reaches the end of a pipeline is printed with its trace, at the start of every proxy. */
+    /**
+     * Guards against a stack trace at the start of every proxy: an exception that reaches the end of the pipeline would
+     * be printed.
+     */
     @Test
     void closesResetConnectionSilently() {
         EmbeddedChannel channel = new EmbeddedChannel(new WarmUp.ResetTolerantDecoder() {
@@ -51,7 +54,8 @@
     }
 
     /**
-     * As where nobody may come to a Unix socket: a start that goes on without a warm-up must not pay for it for good.
+     * Guards against sockets and files that a failed warm-up leaves behind, for example if connections to Unix sockets
+     * are not permitted.
      */
     @Test
     void leavesNoSocketOrFileWhenConnectionIsRefused(@TempDir Path folder) throws Exception {
--- a/src/test/java/cacheproxy/proxy/upstream/AttemptQueueTest.java
+++ b/src/test/java/cacheproxy/proxy/upstream/AttemptQueueTest.java
@@ -10,11 +10,11 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** The order of attempts on a connection: those that have begun, then those that wait. */
+/** Tests the order of attempts on a connection: those that have begun, then those that wait. */
 class AttemptQueueTest {
     private final AttemptQueue queue = new AttemptQueue();
 
-    /** An attempt that is on no connection. */
+    /** An attempt without a connection. */
     private static final class QueuedAttempt extends Attempt {
         private QueuedAttempt() {
             super(null, 0, 1, 0, 0);
@@ -111,7 +111,7 @@
         QueuedAttempt first = begin();
         QueuedAttempt second = begin();
         assertThat(queue.abandon(new QueuedAttempt()))
-                .as("one that is not here")
+                .as("an attempt that is not in the queue")
                 .isFalse();
         first.end();
         assertThat(queue.abandon(first)).isFalse();
--- a/src/test/java/cacheproxy/proxy/upstream/BodyBufferClaimTest.java
+++ b/src/test/java/cacheproxy/proxy/upstream/BodyBufferClaimTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** A connection's claims on the bound of buffered bodies, one body after another. */
+/** Tests a connection's claims under the limit on buffered bodies, one body after another. */
 @Timeout(30)
 class BodyBufferClaimTest {
     private final EventLoop loop = new DefaultEventLoop();
@@ -26,14 +26,14 @@
         loop.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    /** Runs what releases have scheduled, those that follow from it included. */
+    /** Runs the tasks that releases have scheduled, including tasks that those schedule. */
     private void runScheduled() {
         for (int round = 0; round < 5; round++) {
             loop.submit(() -> {}).syncUninterruptibly();
         }
     }
 
-    /** How many more bodies may be buffered at once now, of two in all. */
+    /** Returns how many more bodies may be buffered at once, of two in total. */
     private int available() {
         AtomicInteger acquired = new AtomicInteger();
         limit.acquire(acquired::incrementAndGet);
@@ -50,10 +50,13 @@
         assertThat(available()).isEqualTo(2);
     }
 
-    /** Guards against a budget that never comes back, where a body ends while it waits and the next one claims, too. */
+    /**
+     * Guards against a slot that is never released because a body ends while it waits and the next body requests the
+     * claim again.
+     */
     @Test
     void aClaimThatWaitsForTwoBodiesCountsOnce() {
-        limit.acquire(() -> {}); // the bodies of other connections
+        limit.acquire(() -> {}); // bodies of other connections
         limit.acquire(() -> {});
         claim.request();
         claim.release();
--- a/src/test/java/cacheproxy/proxy/upstream/BufferedBodyLimitTest.java
+++ b/src/test/java/cacheproxy/proxy/upstream/BufferedBodyLimitTest.java
@@ -8,7 +8,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Who may buffer a long body, on an event loop that the test runs. */
+/** Tests which connection may buffer a long body, on an event loop that the test runs. */
 class BufferedBodyLimitTest {
     private final EmbeddedChannel channel = new EmbeddedChannel();
     private final List<String> granted = new ArrayList<>();
@@ -47,7 +47,7 @@
         limit.release();
         acquire(limit, "third");
         channel.runPendingTasks();
-        assertThat(granted).as("the place belongs to the one that waited").containsExactly("first", "second");
+        assertThat(granted).as("the slot belongs to the body that waited").containsExactly("first", "second");
         limit.release();
         channel.runPendingTasks();
         assertThat(granted).containsExactly("first", "second", "third");
--- a/src/test/java/cacheproxy/proxy/upstream/BufferedBodyTest.java
+++ b/src/test/java/cacheproxy/proxy/upstream/BufferedBodyTest.java
@@ -12,7 +12,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Bodies that are buffered in parts of any size come out whole, and their memory is released. */
+/** Tests that bodies buffered in parts of any size are returned complete, and that their memory is released. */
 class BufferedBodyTest {
     private final UnpooledByteBufAllocator allocator = new UnpooledByteBufAllocator(false);
     private final BufferedBody body = new BufferedBody();
@@ -108,9 +108,11 @@
         body.beginTaking();
         taken.add(body.takeChunk());
         body.release();
-        assertThat(taken.get(0).refCnt()).as("what was taken is the taker's").isEqualTo(1);
+        assertThat(taken.get(0).refCnt())
+                .as("a taken chunk belongs to its taker")
+                .isEqualTo(1);
         taken.get(0).release();
         assertThat(usedBytes()).isZero();
-        body.release(); // and again, without effect
+        body.release(); // a second release has no effect
     }
 }
--- a/src/test/java/cacheproxy/proxy/upstream/ByteBudgetTest.java
+++ b/src/test/java/cacheproxy/proxy/upstream/ByteBudgetTest.java
@@ -6,7 +6,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** Reservations never exceed the bound together, and none that fits is refused. */
+/** Tests that reservations never exceed the limit in total, and that none that fits is rejected. */
 class ByteBudgetTest {
     private static final int MAX_BYTES = 1000;
 
@@ -14,7 +14,9 @@
     void reservesUpToTheBoundAndNotBeyond() {
         ByteBudget budget = new ByteBudget(MAX_BYTES);
         assertThat(budget.reserve(MAX_BYTES + 1)).isFalse();
-        assertThat(budget.reserve(MAX_BYTES)).as("a refusal reserves nothing").isTrue();
+        assertThat(budget.reserve(MAX_BYTES))
+                .as("a rejected reservation reserves nothing")
+                .isTrue();
         assertThat(budget.reserve(1)).isFalse();
         assertThat(budget.reserve(0)).isTrue();
         budget.release(1);
--- a/src/test/java/cacheproxy/proxy/upstream/ConnectionCloseLimiterTest.java
+++ b/src/test/java/cacheproxy/proxy/upstream/ConnectionCloseLimiterTest.java
@@ -5,7 +5,7 @@
 import java.util.Random;
 import org.junit.jupiter.api.Test;
 
-/** How often connections may be closed to abandon an attempt, on a clock of the test's own. */
+/** Tests how often connections may be closed to abandon an attempt, on a simulated clock. */
 class ConnectionCloseLimiterTest {
     private static final double START_MS = 5000;
 
@@ -23,7 +23,7 @@
         assertThat(limiter.mayClose(START_MS, true)).isFalse();
         assertThat(limiter.mayClose(START_MS + 50, true)).isFalse();
         assertThat(limiter.mayClose(START_MS + 100, true))
-                .as("a refusal costs nothing")
+                .as("a rejected close costs no token")
                 .isTrue();
         assertThat(limiter.mayClose(START_MS + 100, true)).isFalse();
     }
@@ -45,7 +45,7 @@
             assertThat(limiter.mayClose(START_MS, false)).isTrue();
         }
         assertThat(limiter.mayClose(START_MS + 350, true))
-                .as("the debt is paid first")
+                .as("the negative balance is refilled first")
                 .isFalse();
         assertThat(limiter.mayClose(START_MS + 401, true)).isTrue();
     }
@@ -60,6 +60,7 @@
             allowed += limiter.mayClose(nowMs, true) ? 1 : 0;
             assertThat((double) allowed).isLessThanOrEqualTo(10 + (nowMs - START_MS) / 100 + 1e-6);
         }
-        assertThat(allowed).as("and not much less").isGreaterThan((int) ((nowMs - START_MS) / 100 * 0.99));
+        assertThat(allowed).as("nearly as many as the rate allows").isGreaterThan((int)
+                ((nowMs - START_MS) / 100 * 0.99));
     }
 }
--- a/src/test/java/cacheproxy/proxy/upstream/StreamBudgetTest.java
+++ b/src/test/java/cacheproxy/proxy/upstream/StreamBudgetTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What a streamed response may have waiting, by how many there are. */
+/** Tests how many bytes of a streamed response may wait for its client, by the number of streamed responses. */
 class StreamBudgetTest {
     private static final int KIB = 1 << 10;
     private static final int MIB = 1 << 20;
@@ -19,7 +19,7 @@
         for (int stream = 34; stream <= 256; stream++) {
             assertThat(budget.openStream()).as("stream %d", stream).isEqualTo(2 * MIB / stream);
         }
-        assertThat(budget.openStream()).as("never less").isEqualTo(8 * KIB);
+        assertThat(budget.openStream()).as("the minimum").isEqualTo(8 * KIB);
     }
 
     @Test
--- a/src/test/java/cacheproxy/proxy/upstream/UpstreamTest.java
+++ b/src/test/java/cacheproxy/proxy/upstream/UpstreamTest.java
@@ -12,13 +12,13 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import org.junit.jupiter.api.Test;
 
-/** How the proxy handles what cache servers and the origin do, on loopback sockets. */
+/** Tests how the proxy handles the behaviour of cache servers and the origin, on loopback sockets. */
 class UpstreamTest {
     private static String hit(String command) {
         return "VA 5 O" + ScriptedServer.id(command) + " h1\r\nhello\r\n";
     }
 
-    /** An origin that answers every request in this way. */
+    /** An origin that sends this response to every request. */
     private static ScriptedServer origin(int status, String headers, String body) throws Exception {
         return new ScriptedServer(connection -> {
             while (connection.request() != null) {
@@ -78,8 +78,8 @@
     }
 
     /**
-     * What a node does with a connection that it has no room for; the latch tells that the proxy has seen the end of
-     * it.
+     * A node that rejects each connection for lack of capacity. The latch is counted down when the proxy has seen the
+     * end of a connection.
      */
     private static ScriptedServer withoutCapacity(CountDownLatch seen) throws Exception {
         return new ScriptedServer(connection -> {
@@ -91,7 +91,10 @@
         });
     }
 
-    /** Each try would cost an attempt; want of room says nothing against the node, which would be left out for it. */
+    /**
+     * Guards against a node without connection capacity costing an attempt for each new connection, and against its
+     * being taken for unhealthy, which would exclude it.
+     */
     @Test
     void backsOffFromServerWithoutConnectionCapacityWithoutTakingItForDown() throws Exception {
         CountDownLatch seen = new CountDownLatch(1);
@@ -106,14 +109,20 @@
                 client.line();
                 seen.await();
             }
-            // Tries come 0.5, 1.5, 3.5, 7.5 s after the first and then every 4 s, however long this took.
+            // New connections are tried 0.5, 1.5, 3.5 and 7.5 s after the first one and then every 4 s, however long
+            // the test took.
             long most = 5 + (System.nanoTime() - start) / 4_000_000_000L;
-            assertThat((long) full.accepted.size()).as("tries for 40 requests").isBetween(1L, most);
+            assertThat((long) full.accepted.size())
+                    .as("connections for 40 requests")
+                    .isBetween(1L, most);
             assertThat(fleet.proxy.isHealthy(1)).isTrue();
         }
     }
 
-    /** One connection a node is enough for short answers; behind a long one, they would wait for its client. */
+    /**
+     * One connection per node is enough for short responses; behind a long value, they would wait for the client that
+     * reads it.
+     */
     @Test
     void opensAnotherConnectionBesideLongValueDuringConnectionShortage() throws Exception {
         CountDownLatch seen = new CountDownLatch(1);
@@ -137,7 +146,7 @@
                 Fleet.Client other = fleet.client()) {
             client.send(read(keyOf(1), "first")).line();
             client.line();
-            seen.await(); // from here on no node is to get a second connection
+            seen.await(); // from here on no node gets a second connection for short responses
             client.send(read(keyOf(2), "long"));
             assertThat(client.line()).isEqualTo("VA " + MetaCodec.MAX_VALUE_BYTES + " Olong");
             assertThat(other.send(read(keyOf(2), "short")).line()).isEqualTo("VA 5 Oshort");
@@ -147,7 +156,8 @@
     }
 
     /**
-     * They keep others out where there is no room; one by one they would go only after they have stood idle for long.
+     * Guards against spare idle connections that take capacity from other proxies during a shortage: otherwise they
+     * would be closed only after a long idle time.
      */
     @Test
     void closesSpareIdleConnectionsDuringConnectionShortage() throws Exception {
@@ -184,7 +194,7 @@
         return "mg " + Integer.toHexString(key) + " v O" + id + " Pc=text,d=20000\r\n";
     }
 
-    /** A key that belongs to this one of two nodes. */
+    /** A key that is placed on this one of two nodes. */
     private static int keyOf(int node) {
         int key = 0x1000;
         while (score(key, node) < score(key, 3 - node)) {
@@ -205,7 +215,7 @@
         try (refusing;
                 Fleet fleet = setup.start();
                 Fleet.Client client = fleet.client()) {
-            // More than the connections that one server may have: a failed one must not keep its place.
+            // More requests than connections to one server are allowed: a failed connection must not stay counted.
             for (int i = 0; i < 60; i++) {
                 client.send("ms 7f3a 5 O" + i + " Pc=fix,d=20000\r\nhello\r\n");
                 assertThat(client.line()).startsWith("SERVER_ERROR busy");
@@ -311,7 +321,7 @@
                 Fleet.Client other = fleet.client()) {
             client.read("1");
             origin.next();
-            other.read("2"); // waits for the fetch, and goes to the origin once that has failed
+            other.read("2"); // waits for the pending fetch, and goes to the origin after that has failed
             missed.await();
             fleet.client().send("mn\r\n").line();
             mayRespond.countDown();
@@ -323,7 +333,8 @@
 
     @Test
     void doesNotWriteToIdleConnectionClosedByServer() throws Exception {
-        java.util.concurrent.Semaphore closed = new java.util.concurrent.Semaphore(0); // once for each connection
+        java.util.concurrent.Semaphore closed =
+                new java.util.concurrent.Semaphore(0); // released released once for each connection
         ScriptedServer origin = new ScriptedServer(connection -> {
             connection.request();
             connection.sayHttp(200, "", "r1");
@@ -336,7 +347,7 @@
                 client.send("ms 7f3a 5 O" + i + " Pc=fix,d=20000\r\nhello\r\n");
                 assertThat(client.line()).isEqualTo("HD O" + i + " cr1");
                 closed.acquire();
-                client.send("mn\r\n").line(); // the event loop has been round
+                client.send("mn\r\n").line(); // the event loop has completed a turn
             }
         }
     }
@@ -367,7 +378,7 @@
             mayRespond.countDown();
             assertThat(client.line()).isEqualTo("VA 5 Ofirst");
             client.line();
-            for (int i = 0; i < 3; i++) { // the one that stands idle, not that opened last
+            for (int i = 0; i < 3; i++) { // the idle connection, not the one opened last
                 client.read("free" + i);
                 assertThat(client.line()).isEqualTo("VA 5 Ofree" + i);
                 client.line();
@@ -406,7 +417,7 @@
     void keepsConnectionsWhenManyAttemptsAreAbandoned() throws Exception {
         ScriptedServer node = new ScriptedServer(connection -> {
             while (connection.command() != null) {
-                // never answered
+                // never responds
             }
         });
         int clients = 300;
@@ -417,7 +428,8 @@
                     node.next();
                 }
             }
-            // Ten closes are free and ten come a second; without that bound nearly every one closes.
+            // Ten closes are allowed at once and ten more each second; without that limit, nearly every abandoned
+            // attempt would close its connection.
             assertThat(node.accepted.size()).isLessThan(clients / 2);
         }
     }
