--- a/src/test/java/cacheproxy/AbandonedRequestIT.java
+++ b/src/test/java/cacheproxy/AbandonedRequestIT.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** Clients that leave while the proxy's process is held up: nothing is begun for them once it runs again. */
+/** Tests clients that disconnect while the proxy's process is paused: no attempt begins for them after it resumes. */
 @Timeout(60)
 class AbandonedRequestIT {
     private static final long PAUSE_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
@@ -22,7 +22,10 @@
     @TempDir
     private Path folder;
 
-    /** Guards against a retry for a client that closed long ago, whose close is seen after the retry is sent. */
+    /**
+     * Guards against a retry for a client that closed its connection long ago, because the proxy notices the close only
+     * after it has sent the retry.
+     */
     @Test
     void noRetryBeginsForAClientThatHasClosedDuringAPause() throws Exception {
         BlockingQueue<String> arrivals = new LinkedBlockingQueue<>();
@@ -49,17 +52,17 @@
                 client.send("mg 7f3a9c21e0b4d65" + round + " v O" + id + " Pc=seg-text,d=20000");
                 assertThat(arrivals.poll(20, TimeUnit.SECONDS)).isEqualTo(id);
                 proxy.pause();
-                refusals.take().countDown(); // the refusal is there before the close, so that it may be read first
+                refusals.take().countDown(); // the rejection arrives before the close and may be read first
                 refused.take();
                 client.close();
                 LockSupport.parkNanos(PAUSE_NANOS);
                 proxy.signal("CONT");
                 try (ServeProcess.Client later = proxy.client()) {
-                    later.send("mn"); // read in a turn after that of the refusal and the close
+                    later.send("mn"); // read in a later turn of the event loop than the rejection and the close
                     assertThat(later.line()).isEqualTo("MN");
                 }
                 assertThat(arrivals.poll(100, TimeUnit.MILLISECONDS))
-                        .as("an attempt for a client that has left, round %d", round)
+                        .as("an attempt for a client that has disconnected, round %d", round)
                         .isNull();
             }
         }
--- a/src/test/java/cacheproxy/ArchitectureTest.java
+++ b/src/test/java/cacheproxy/ArchitectureTest.java
@@ -7,9 +7,12 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import org.junit.jupiter.api.Test;
 
-/** One direction of dependence: command line over fronts and sockets over decisions over PolicyApi. */
+/**
+ * Tests that dependencies have one direction: from the command line to listeners and sockets, from those to the
+ * decision packages, and from those to PolicyApi.
+ */
 class ArchitectureTest {
-    /** Free of I/O, clocks and randomness of their own. */
+    /** Packages that use no I/O, no clock and no randomness of their own. */
     private static final String[] DECISION_PACKAGES = {
         "cacheproxy.placement..",
         "cacheproxy.limits..",
--- a/src/test/java/cacheproxy/DaemonJarIT.java
+++ b/src/test/java/cacheproxy/DaemonJarIT.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The daemon's commands of the packaged program, started as an operator does. */
+/** Tests the daemon's commands of the packaged program, started as an operator starts them. */
 @Timeout(120)
 class DaemonJarIT {
     @TempDir
@@ -132,7 +132,10 @@
         }
     }
 
-    /** Killed under load in the middle of its writes, it starts every time, and what it finds is whole. */
+    /**
+     * Guards against a damaged snapshot file after the daemon is killed under load while it writes: the daemon starts
+     * each time and finds a complete snapshot.
+     */
     @Test
     void aDaemonKilledWhileWritingFindsACompleteSnapshotEachTime() throws Exception {
         Path file = folder.resolve("coralbay.toml");
@@ -159,8 +162,8 @@
                 int port = Integer.parseInt(line.replaceAll(".*:(\\d+) .*", "$1"));
                 try (Socket client = new Socket(InetAddress.getLoopbackAddress(), port)) {
                     BufferedReader in = new BufferedReader(new InputStreamReader(client.getInputStream(), UTF_8));
-                    // Its servers are not there: each request is news. The first takes so long that two writes may come
-                    // before its end.
+                    // Its servers do not exist, so each request changes the learned state. The first request takes so
+                    // long that two writes may happen before its end.
                     for (boolean written = false; !written; ) {
                         client.getOutputStream().write("mg page/1 v\r\n".getBytes(UTF_8));
                         assertThat(in.readLine()).startsWith("SERVER_ERROR");
@@ -176,7 +179,7 @@
                     }
                 }
                 assertThat(cacheproxy.snapshot.SnapshotStore.at(memory).tryLock())
-                        .as("a second process must run without")
+                        .as("a second process must run without the snapshot file")
                         .isFalse();
             } finally {
                 p.destroyForcibly().waitFor();
@@ -223,7 +226,7 @@
                 .isZero();
     }
 
-    /** The platform's proxies have 32 MB: what others need must cost them nothing. */
+    /** The platform's proxies have 32 MB of memory, so they must not load classes that only the daemon needs. */
     @Test
     void platformCommandsLoadNoDaemonClasses() throws Exception {
         ProcessBuilder b = new ProcessBuilder(
--- a/src/test/java/cacheproxy/DeadlinePropagationIT.java
+++ b/src/test/java/cacheproxy/DeadlinePropagationIT.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The incident of 2026-12-02 on real processes: whatever has held a request up, a server is told at most the time that
- * the client has left, with 150 ms of slack.
+ * Guards against the fault of the incident of 2026-12-02, on real processes: whatever has delayed a request, the
+ * deadline sent to a server is at most the time that the client has left, with 150 ms of slack.
  */
 @Timeout(60)
 class DeadlinePropagationIT {
@@ -29,10 +29,10 @@
     @TempDir
     private Path folder;
 
-    /** What a server was told, and when. */
+    /** A deadline that a server has received, and when. */
     private record ReceivedDeadline(double deadlineMs, long atNanos) {
         /**
-         * The time that a client had left then, who sent its request at {@code sentNanos} and waits for
+         * The time that was left at that moment to a client that sent its request at {@code sentNanos} and waits for
          * {@link #WAIT_MS}.
          */
         double clientLeftMs(long sentNanos) {
@@ -64,7 +64,7 @@
 
     private static void assertWithinTimeLeft(ReceivedDeadline received, long sentNanos) {
         assertThat(received.deadlineMs())
-                .as("told to the server, ms")
+                .as("deadline sent to the server, ms")
                 .isPositive()
                 .isLessThanOrEqualTo(received.clientLeftMs(sentNanos) + SLACK_MS);
     }
--- a/src/test/java/cacheproxy/HexBytes.java
+++ b/src/test/java/cacheproxy/HexBytes.java
@@ -2,11 +2,11 @@
 
 import java.util.HexFormat;
 
-/** Bytes written as hexadecimal digits, in groups that spaces part. */
+/** Parses bytes written as hexadecimal digits, in groups that are separated by spaces. */
 public final class HexBytes {
     private HexBytes() {}
 
-    /** The bytes of these digits. */
+    /** Returns the bytes of these digits. */
     public static byte[] parse(String digits) {
         return HexFormat.of().parseHex(digits.replaceAll("\\s", ""));
     }
--- a/src/test/java/cacheproxy/JarIT.java
+++ b/src/test/java/cacheproxy/JarIT.java
@@ -22,7 +22,7 @@
 import org.junit.jupiter.api.Timeout;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The packaged program, started as in service. */
+/** Tests the packaged program, started as in production. */
 @Timeout(120)
 class JarIT {
     @TempDir
@@ -55,8 +55,8 @@
                 return new Socket(InetAddress.getLoopbackAddress(), port);
             } catch (IOException e) {
                 if (!process.isAlive()) {
-                    throw new AssertionError(
-                            "ended: " + new String(process.getErrorStream().readAllBytes(), UTF_8));
+                    throw new AssertionError("the process ended: "
+                            + new String(process.getErrorStream().readAllBytes(), UTF_8));
                 }
                 Thread.onSpinWait();
             }
@@ -121,7 +121,7 @@
                 hangup(process);
                 BufferedReader errors = new BufferedReader(new InputStreamReader(process.getErrorStream(), UTF_8));
                 for (String line; (line = errors.readLine()) != null && !line.contains("config.json"); ) {
-                    // what discovery's silence had to say
+                    // skips messages about discovery, which does not respond
                 }
                 Files.writeString(
                         config,
@@ -143,7 +143,7 @@
         }
     }
 
-    /** As under nohup: the JVM leaves an ignored SIGHUP ignored, so that a signal is no way to a new configuration. */
+    /** As under nohup: the JVM leaves an ignored SIGHUP ignored, so that the signal can't reload the configuration. */
     @Test
     void whereSighupIsIgnoredItSaysSoAndReloadsByTheControlAddress() throws Exception {
         try (ServerSocket discovery = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
@@ -191,7 +191,7 @@
         }
     }
 
-    /** The first line of the control address's answer; empty where there is none yet. */
+    /** The first line of the response from the control address; empty if there is none yet. */
     private static String controlResponse(int port, String line) {
         try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
             s.getOutputStream().write((line + " HTTP/1.1\r\nHost: x\r\n\r\n").getBytes(UTF_8));
@@ -214,8 +214,8 @@
     private static void awaitActive(int control, Process process) throws IOException {
         while (!controlResponse(control, "GET /status").contains(" 200 ")) {
             if (!process.isAlive()) {
-                throw new AssertionError(
-                        "ended: " + new String(process.getErrorStream().readAllBytes(), UTF_8));
+                throw new AssertionError("the process ended: "
+                        + new String(process.getErrorStream().readAllBytes(), UTF_8));
             }
             Thread.onSpinWait();
         }
@@ -262,7 +262,7 @@
                 assertThat(version[v - 1].waitFor(60, TimeUnit.SECONDS)).isTrue();
                 int before = answered.get();
                 while (answered.get() < before + 50 && fault.get() == null) {
-                    Thread.onSpinWait(); // all by the new one
+                    Thread.onSpinWait(); // all are answered by the new version
                 }
             }
             over.set(true);
@@ -283,7 +283,8 @@
     }
 
     /**
-     * What goes wrong around an upgrade: begun in standby, two at once, the next one killed, the running one killed.
+     * Failures around an upgrade: an upgrade that begins in standby, two upgrades at once, the new version killed, and
+     * the running version killed.
      */
     @Test
     void aFailedUpgradeLeavesAProcessThatAcceptsClients() throws Exception {
@@ -294,23 +295,23 @@
             version[0] = start("serve", withControl(port, control[0]).toString());
             awaitActive(control[0], version[0]);
             assertThat(controlResponse(control[0], "POST /standby")).contains(" 200 ");
-            // Two at once, begun while the running one sends its clients away: both become ready, and active.
+            // Two new versions start while the running one is in standby: both become ready and active.
             version[1] = start("serve", withControl(port, control[1]).toString());
             version[2] = start("serve", withControl(port, control[2]).toString());
             awaitActive(control[1], version[1]);
             awaitActive(control[2], version[2]);
             assertThat(controlResponse(control[0], "GET /status")).contains(" 503 ");
             assertThat(controlResponse(control[0], "POST /active"))
-                    .as("taken back while next ones run")
+                    .as("made active again while new versions run")
                     .contains(" 200 ");
-            // A next one dies before anybody made room for it: the others go on.
+            // A new version is killed before the running one has ended: the others continue.
             version[2].destroyForcibly().waitFor();
             assertThat(healthCheckResponse(port)).isEqualTo("MN");
             version[0].destroy();
             assertThat(version[0].waitFor(60, TimeUnit.SECONDS)).isTrue();
             assertThat(controlResponse(control[0], "GET /status")).isEmpty();
             assertThat(healthCheckResponse(port)).isEqualTo("MN");
-            // Killed, it leaves the path of a socket that nobody listens on.
+            // A killed process leaves the path of a socket on which nothing listens.
             version[1].destroyForcibly().waitFor();
             version[3] = start("serve", withControl(port, control[3]).toString());
             awaitActive(control[3], version[3]);
@@ -341,8 +342,8 @@
     }
 
     /**
-     * What the archive lacks each start reads and verifies anew: 98 classes and the flight recorder once took half of a
-     * start.
+     * Guards against classes that the archive lacks, which each start reads and verifies again: 98 classes and the
+     * flight recorder once took half of the start time.
      */
     @Test
     void aStartAsDeployedTakesItsClassesFromTheArchive() throws Exception {
@@ -371,13 +372,13 @@
         List<String> read = Files.readAllLines(folder.resolve("classes.txt")).stream()
                 .filter(l -> l.contains("source: file:") || l.contains(" jdk.jfr."))
                 .toList();
-        // One or two hang on which of two events comes first.
+        // One or two of them depend on which of two events comes first.
         assertThat(read.stream().filter(l -> l.contains("source: file:")).toList())
-                .as("not archived")
+                .as("classes that are not archived")
                 .hasSizeLessThan(6);
-        // To find that it is off loads 8 of the recorder's classes; on, 69.
+        // The check whether the flight recorder is off loads 8 of its classes; if it is on, 69 are loaded.
         assertThat(read.stream().filter(l -> l.contains(" jdk.jfr.")).toList())
-                .as("the recorder")
+                .as("classes of the flight recorder")
                 .hasSizeLessThan(20);
     }
 
--- a/src/test/java/cacheproxy/ModuleSizeTest.java
+++ b/src/test/java/cacheproxy/ModuleSizeTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The files of the decision module that the deploy file names exist, and no line of them is longer than the formatter's
- * 120 columns. The operators lifted the bound on their number of lines.
+ * Tests that the files of the decision module named in the deploy file exist, and that none of their lines is longer
+ * than the formatter's 120 columns. The operators lifted the limit on the number of lines.
  */
 class ModuleSizeTest {
     @Test
--- a/src/test/java/cacheproxy/ServeProcess.java
+++ b/src/test/java/cacheproxy/ServeProcess.java
@@ -17,7 +17,7 @@
 import java.util.List;
 import java.util.concurrent.locks.LockSupport;
 
-/** The packaged program's {@code serve} as a process of its own, before servers that a test scripts. */
+/** Runs {@code serve} of the packaged program as a separate process, in front of servers that a test scripts. */
 final class ServeProcess implements AutoCloseable {
     private final Path folder;
     private final JsonObject config;
@@ -26,7 +26,7 @@
     private final int port;
     private Process process;
 
-    /** A request's connection to the proxy. */
+    /** A client's connection to the proxy. */
     static final class Client implements AutoCloseable {
         private final Socket socket;
         private final InputStream in;
@@ -38,7 +38,7 @@
             in = new BufferedInputStream(socket.getInputStream());
         }
 
-        /** Sends a line; the time when all of it was written, on the clock of {@link System#nanoTime}. */
+        /** Sends a line. Returns the time when all of it was written, on the clock of {@link System#nanoTime}. */
         long send(String line) throws IOException {
             socket.getOutputStream().write((line + "\r\n").getBytes(StandardCharsets.ISO_8859_1));
             return System.nanoTime();
@@ -87,7 +87,7 @@
         return this;
     }
 
-    /** Starts the process and waits until it takes clients. */
+    /** Starts the process and waits until it accepts clients. */
     ServeProcess start() throws IOException {
         config.getAsJsonObject("known").add("hosts", hosts);
         Path file = folder.resolve("config.json");
@@ -105,7 +105,7 @@
         process = builder.start();
         while (!ready()) {
             if (!process.isAlive()) {
-                throw new IOException("ended: " + Files.readString(folder.resolve("stderr")));
+                throw new IOException("the process ended: " + Files.readString(folder.resolve("stderr")));
             }
             LockSupport.parkNanos(5_000_000);
         }
@@ -134,7 +134,7 @@
         }
     }
 
-    /** Returns once the process stands still by SIGSTOP. */
+    /** Sends SIGSTOP, and returns once the process has stopped. */
     void pause() throws IOException, InterruptedException {
         signal("STOP");
         Path stat = Path.of("/proc", Long.toString(process.pid()), "stat");
--- a/src/test/java/cacheproxy/SignalProcess.java
+++ b/src/test/java/cacheproxy/SignalProcess.java
@@ -20,7 +20,7 @@
 /** The packaged program as a process that a test sends signals to, with its standard error read line by line. */
 final class SignalProcess implements AutoCloseable {
     private static final int ANSWER_TIMEOUT_MS = 15_000;
-    /** Linux gives ports from 32768 on to outgoing connections. */
+    /** Linux assigns ports from 32768 on to outgoing connections. */
     private static final int MIN_PORT = 20_000;
 
     private static final int PORTS = 12_000;
@@ -50,7 +50,7 @@
         errors.add(END);
     }
 
-    /** Starts {@code run} with the daemon's file. */
+    /** Starts {@code run} with the daemon's configuration. */
     static SignalProcess run(Path file) throws IOException {
         return new SignalProcess(new ProcessBuilder(command("run", file.toString())));
     }
@@ -70,25 +70,25 @@
         return command;
     }
 
-    /** A port that the system gives to no outgoing connection, so that none has it between two starts. */
+    /** A port that the system assigns to no outgoing connection, so that none occupies it between two starts. */
     static int freePort() {
         while (true) {
             int port = MIN_PORT + ThreadLocalRandom.current().nextInt(PORTS);
             try (ServerSocket socket = new ServerSocket(port, 1, InetAddress.getLoopbackAddress())) {
                 return socket.getLocalPort();
             } catch (IOException e) {
-                Thread.onSpinWait(); // taken; another
+                Thread.onSpinWait(); // in use; tries another port
             }
         }
     }
 
-    /** Replaces a file whole, so that no reader sees half of it. */
+    /** Replaces a file atomically, so that no reader sees only a part of it. */
     static void replace(Path file, String text) throws IOException {
         Path next = Files.writeString(file.resolveSibling(file.getFileName() + ".next"), text);
         Files.move(next, file, java.nio.file.StandardCopyOption.ATOMIC_MOVE);
     }
 
-    /** The first connection that the port takes. */
+    /** Connects to the port as soon as it accepts connections. */
     Socket firstConnection(int port) throws IOException {
         while (true) {
             try {
@@ -104,7 +104,7 @@
         }
     }
 
-    /** By {@code kill}, which the shell has built in, as a process of its own would come late. */
+    /** Sends a signal by the shell's built-in {@code kill}, as a separate process would start too late. */
     void signal(String name) throws IOException, InterruptedException {
         int code = new ProcessBuilder("sh", "-c", "kill -" + name + " " + process.pid())
                 .start()
@@ -119,7 +119,7 @@
         while (true) {
             String line = errors.poll(ANSWER_TIMEOUT_MS, TimeUnit.MILLISECONDS);
             if (line == null || line.equals(END)) {
-                throw new AssertionError("no such line" + (line == null ? " in time" : "") + ", after: " + seen);
+                throw new AssertionError("no matching line" + (line == null ? " in time" : "") + ", after: " + seen);
             }
             seen.add(line);
             if (wanted.test(line)) {
@@ -128,7 +128,7 @@
         }
     }
 
-    /** All that is left on standard error of a process that has ended. */
+    /** The remaining lines on standard error of a process that has ended. */
     List<String> restOfErrors() throws InterruptedException {
         List<String> rest = new ArrayList<>();
         String line = errors.take();
--- a/src/test/java/cacheproxy/SignalsIT.java
+++ b/src/test/java/cacheproxy/SignalsIT.java
@@ -20,12 +20,12 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * Signals at the moments that an operator or a supervisor may choose: with the first connection, before it, in series
- * and mixed. Repetitions are taken from the property {@code signals.starts}, for long runs by hand.
+ * Tests signals at the times at which an operator or a supervisor may send them: with the first connection, before it,
+ * repeatedly and mixed. The property {@code signals.starts} sets the number of repetitions, for long manual runs.
  */
 @Timeout(value = 120, threadMode = Timeout.ThreadMode.SEPARATE_THREAD)
 class SignalsIT {
-    /** What a shell reports of a process that SIGTERM has ended: 128 and the signal's number. */
+    /** The exit code of a process that SIGTERM has ended: 128 plus the signal's number. */
     private static final int ENDED_BY_SIGTERM = 143;
 
     private static final int STARTS = Integer.getInteger("signals.starts", 3);
@@ -69,13 +69,13 @@
         return socket;
     }
 
-    /** A pool whose list is awaited before clients are taken. */
+    /** A pool whose endpoint list is awaited before clients are accepted. */
     private static String poolListedBy(ServerSocket discovery) {
         return "\n[[pool]]\nname = \"listed\"\n[pool.discovery]\naddress = \"127.0.0.1:" + discovery.getLocalPort()
                 + "\"\nzones = [\"east\"]\nkinds = [\"node\", \"origin\"]\norigin_kind = \"origin\"\n";
     }
 
-    /** Guards against SIGHUP ending a daemon that has taken its first connection. */
+    /** Guards against SIGHUP ending a daemon that has accepted its first connection. */
     @Test
     void sighupWithTheFirstConnectionOfRunIsRemembered() throws Exception {
         for (int start = 0; start < STARTS; start++) {
@@ -140,7 +140,7 @@
         }
     }
 
-    /** Guards against a start that goes on to take connections after SIGTERM, and then cuts them. */
+    /** Guards against a start that still accepts connections after SIGTERM, and then cuts them. */
     @Test
     void sigtermBeforeTheFirstConnectionEndsTheStart() throws Exception {
         try (ServerSocket silentDiscovery = silentSocket()) {
@@ -155,7 +155,7 @@
         }
     }
 
-    /** Guards against SIGHUP ending the process while it starts, and against its loss there. */
+    /** Guards against a SIGHUP during the start that ends the process or is lost. */
     @Test
     void sighupBeforeTheFirstConnectionIsRemembered() throws Exception {
         try (ServerSocket silentDiscovery = silentSocket()) {
@@ -175,7 +175,7 @@
         }
     }
 
-    /** Guards against a start that takes connections, finds the control address taken, and cuts them. */
+    /** Guards against a start that accepts connections, finds the control address in use, and cuts them. */
     @Test
     void aStartWithItsControlAddressInUseAcceptsNoConnection() throws Exception {
         try (ServerSocket taken = silentSocket()) {
@@ -193,7 +193,7 @@
         }
     }
 
-    /** Guards against the older of two files in force, where the older takes longer to read than the newer. */
+    /** Guards against the older of two files taking effect last because it takes longer to read than the newer one. */
     @Test
     void theNewestOfTwoFilesOfRunIsInForceThoughTheOlderIsReadForLonger() throws Exception {
         try (SignalProcess run = SignalProcess.run(daemonFile);
@@ -212,11 +212,11 @@
                 send(client, "mg health v");
                 answer = answers.readLine();
             }
-            assertThat(answer).as("the newer file's").isEqualTo("SERVER_ERROR busy 7");
+            assertThat(answer).as("the newer file takes effect").isEqualTo("SERVER_ERROR busy 7");
         }
     }
 
-    /** Guards against the older of two configurations in force, where the older takes longer to read. */
+    /** Guards against the older of two configurations taking effect last because it takes longer to read. */
     @Test
     void theNewestOfTwoFilesOfServeIsInForceThoughTheOlderIsReadForLonger() throws Exception {
         try (ServerSocket olderDiscovery = new ServerSocket(0, 5, InetAddress.getLoopbackAddress());
@@ -248,7 +248,8 @@
     }
 
     /**
-     * Puts a pipe in the file's place, and has the process begin to read it; what is written there ends the reading.
+     * Replaces the file by a pipe and makes the process start to read it. The read ends when text has been written to
+     * the returned stream and the stream is closed.
      */
     private static OutputStream replaceByPipe(SignalProcess process, Path file) throws Exception {
         Path pipe = file.resolveSibling("pipe");
