--- a/src/main/java/cacheproxy/proxy/dispatch/PolicyEvents.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/PolicyEvents.java
@@ -132,7 +132,7 @@
         run(() -> policy.onPeerMessage(loopContext.nowMs(), peer, message, actions));
     }
 
-    /** Passes the state that an earlier policy has learned to the policy. */
+    /** Restores in the policy the state that an earlier policy has learned. */
     void restore(Supplier<LearnedState> state) {
         run(() -> policy.restore(loopContext.nowMs(), state.get()));
     }
--- a/src/main/java/cacheproxy/proxy/dispatch/PoolServices.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/PoolServices.java
@@ -20,7 +20,7 @@
         PoolServers servers,
         RequestEventLog log,
         PoolExtensions extensions) {
-    /** Creates the services for a pool with these options. */
+    /** Creates the services for a pool with these options; they depend on no other component of the pool. */
     static PoolServices of(EventLoopContext loopContext, PoolOptions options) {
         PoolServers servers = new PoolServers(loopContext, options);
         return new PoolServices(
--- a/src/main/java/cacheproxy/proxy/dispatch/RequestLifecycle.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/RequestLifecycle.java
@@ -64,8 +64,8 @@
 
     /**
      * Handles the disconnection of a client: none of the request's attempts begins from now on. Attempts that have
-     * begun continue until the deadline, as other requests may wait for their result. Only long values are cancelled,
-     * as no other request receives them.
+     * begun continue until the deadline, as other requests may wait for their result. Only attempts that stream a long
+     * value are cancelled, as no other request receives that value.
      */
     void clientDisconnected(RequestContext context) {
         if (context.isConcluded()) {
