--- a/src/test/java/cacheproxy/DaemonJarIT.java
+++ b/src/test/java/cacheproxy/DaemonJarIT.java
@@ -37,10 +37,10 @@
     private static Result run(String... words) throws Exception {
         List<String> line = new ArrayList<>(List.of("-jar", "target/cache-proxy.jar"));
         line.addAll(List.of(words));
-        Process p = start(line.toArray(new String[0]));
-        String out = new String(p.getInputStream().readAllBytes(), UTF_8);
-        String err = new String(p.getErrorStream().readAllBytes(), UTF_8);
-        return new Result(p.waitFor(), out, err);
+        Process process = start(line.toArray(new String[0]));
+        String out = new String(process.getInputStream().readAllBytes(), UTF_8);
+        String err = new String(process.getErrorStream().readAllBytes(), UTF_8);
+        return new Result(process.waitFor(), out, err);
     }
 
     @Test
@@ -60,7 +60,8 @@
             assertThat(r.code).isEqualTo(2);
             assertThat(r.err.lines())
                     .hasSize(2)
-                    .allMatch(l -> l.matches(java.util.regex.Pattern.quote(broken.toString()) + ":\\d+:\\d+: .*"));
+                    .allMatch(
+                            line -> line.matches(java.util.regex.Pattern.quote(broken.toString()) + ":\\d+:\\d+: .*"));
         });
         Result explain = run("explain", "deploy/coralbay.toml", "v1-news-7", "health", "--why");
         assertThat(explain.code).isZero();
@@ -87,7 +88,7 @@
     void theDemoAccountsForEveryRequest() throws Exception {
         Result demo = run("demo", "--requests", "3000");
         assertThat(demo.code).as(demo.out + demo.err).isZero();
-        assertThat(demo.out.lines().reduce((a, b) -> b).orElseThrow())
+        assertThat(demo.out.lines().reduce((previous, line) -> line).orElseThrow())
                 .matches("sent 3000 served \\d+ refused \\d+ failed \\d+ lost 0 repeated 0");
     }
 
@@ -102,16 +103,16 @@
                 .replace("127.0.0.1:11211", "127.0.0.1:" + port)
                 .replace("127.0.0.1:11212", "127.0.0.1:0");
         Files.writeString(file, text);
-        Process p = start("-jar", "target/cache-proxy.jar", "run", file.toString());
+        Process process = start("-jar", "target/cache-proxy.jar", "run", file.toString());
         try {
-            BufferedReader err = new BufferedReader(new InputStreamReader(p.getErrorStream(), UTF_8));
+            BufferedReader err = new BufferedReader(new InputStreamReader(process.getErrorStream(), UTF_8));
             assertThat(err.readLine()).isEqualTo("listening on 127.0.0.1:" + port + " (open)");
             try (Socket client = new Socket(InetAddress.getLoopbackAddress(), port)) {
                 BufferedReader in = new BufferedReader(new InputStreamReader(client.getInputStream(), UTF_8));
                 client.getOutputStream().write("mg health v\r\n".getBytes(UTF_8));
                 assertThat(in.readLine()).isEqualTo("SERVER_ERROR busy 1000");
                 Files.writeString(file, "[[route]");
-                hangup(p);
+                hangup(process);
                 String line = err.readLine();
                 while (!line.contains(file + ":")) {
                     line = err.readLine();
@@ -119,16 +120,16 @@
                 }
                 assertThat(err.readLine()).isEqualTo("nothing has changed");
                 Files.writeString(file, text.replace("refuse_ms = 1000", "refuse_ms = 7"));
-                hangup(p);
+                hangup(process);
                 assertThat(err.readLine()).contains("as it is now");
                 client.getOutputStream().write("mg health v\r\n".getBytes(UTF_8));
                 assertThat(in.readLine()).isEqualTo("SERVER_ERROR busy 7");
-                p.destroy();
+                process.destroy();
                 assertThat(in.readLine()).isNull();
             }
-            assertThat(p.waitFor(60, TimeUnit.SECONDS)).isTrue();
+            assertThat(process.waitFor(60, TimeUnit.SECONDS)).isTrue();
         } finally {
-            p.destroyForcibly();
+            process.destroyForcibly();
         }
     }
 
@@ -150,9 +151,9 @@
         assertThat(run("check", file.toString()).code).isZero();
         long generation = 0;
         for (int i = 0; i < 5; i++) {
-            Process p = start("-jar", "target/cache-proxy.jar", "run", file.toString());
+            Process process = start("-jar", "target/cache-proxy.jar", "run", file.toString());
             try {
-                BufferedReader err = new BufferedReader(new InputStreamReader(p.getErrorStream(), UTF_8));
+                BufferedReader err = new BufferedReader(new InputStreamReader(process.getErrorStream(), UTF_8));
                 String line = err.readLine();
                 if (i > 0) {
                     assertThat(line).contains("memory: " + memory + ", ").endsWith(" s old");
@@ -182,7 +183,7 @@
                         .as("a second process must run without the snapshot file")
                         .isFalse();
             } finally {
-                p.destroyForcibly().waitFor();
+                process.destroyForcibly().waitFor();
             }
             assertThat(run("memory", "verify", memory.toString())).satisfies(r -> {
                 assertThat(r.code).as(r.err).isZero();
@@ -229,22 +230,22 @@
     /** The platform's proxies have 32 MB of memory, so they must not load classes that only the daemon needs. */
     @Test
     void platformCommandsLoadNoDaemonClasses() throws Exception {
-        ProcessBuilder b = new ProcessBuilder(
+        ProcessBuilder builder = new ProcessBuilder(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-Xlog:class+load:stdout",
                 "-jar",
                 "target/cache-proxy.jar",
                 "train");
-        b.environment().put("BALANCER_CONFIG", "src/test/resources/config.json");
-        b.environment().put("TMPDIR", folder.toString());
-        Process p = b.redirectErrorStream(true).start();
-        String loaded = new String(p.getInputStream().readAllBytes(), UTF_8);
-        assertThat(p.waitFor()).isZero();
+        builder.environment().put("BALANCER_CONFIG", "src/test/resources/config.json");
+        builder.environment().put("TMPDIR", folder.toString());
+        Process process = builder.redirectErrorStream(true).start();
+        String loaded = new String(process.getInputStream().readAllBytes(), UTF_8);
+        assertThat(process.waitFor()).isZero();
         assertThat(loaded).contains("cacheproxy.proxy.dispatch.Dispatcher ");
         assertThat(
                         loaded.lines()
                                 .filter(
-                                        l -> l.matches(
+                                        line -> line.matches(
                                                 ".*(cacheproxy\\.(cli|daemon|routes|limits(?!\\.(ServerCapacity|ConnectionShortage))|fakes|bench)\\."
                                                         + "|cacheproxy\\.config\\.(Daemon|Toml)|cacheproxy\\.(nginx|hooks|snapshot|icp|htcp|siblings\\.(?!Siblings))|org\\.tomlj|picocli|re2j|antlr|dylibso).*")))
                 .isEmpty();
--- a/src/test/java/cacheproxy/DeadlinePropagationIT.java
+++ b/src/test/java/cacheproxy/DeadlinePropagationIT.java
@@ -42,9 +42,9 @@
 
     private static ReceivedDeadline receivedDeadline(String command) {
         long now = System.nanoTime();
-        Matcher m = DEADLINE.matcher(command);
-        assertThat(m.find()).as(command).isTrue();
-        return new ReceivedDeadline(Double.parseDouble(m.group(1)), now);
+        Matcher matcher = DEADLINE.matcher(command);
+        assertThat(matcher.find()).as(command).isTrue();
+        return new ReceivedDeadline(Double.parseDouble(matcher.group(1)), now);
     }
 
     private static void delayResponse() {
@@ -73,20 +73,20 @@
     void theOriginReceivesTheTimeLeftAfterALateMiss() throws Exception {
         BlockingQueue<ReceivedDeadline> origin = new LinkedBlockingQueue<>();
         try (ServeProcess proxy = new ServeProcess(folder)
-                        .node(new ScriptedServer(c -> {
-                            for (String line; (line = c.command()) != null; ) {
+                        .node(new ScriptedServer(connection -> {
+                            for (String line; (line = connection.command()) != null; ) {
                                 delayResponse();
-                                c.say("EN O" + ScriptedServer.id(line) + "\r\n");
+                                connection.say("EN O" + ScriptedServer.id(line) + "\r\n");
                             }
                         }))
-                        .origin(new ScriptedServer(c -> {
+                        .origin(new ScriptedServer(connection -> {
                             while (true) {
-                                String request = c.request();
+                                String request = connection.request();
                                 if (request == null) {
                                     return;
                                 }
                                 origin.add(receivedDeadline(request));
-                                c.sayHttp(200, "", "hello");
+                                connection.sayHttp(200, "", "hello");
                             }
                         }))
                         .start();
@@ -100,15 +100,15 @@
     @Test
     void aRetryCarriesTheTimeLeftAfterALateFailure() throws Exception {
         BlockingQueue<ReceivedDeadline> retries = new LinkedBlockingQueue<>();
-        ScriptedServer.Script late = c -> {
-            for (String line; (line = c.command()) != null; ) {
+        ScriptedServer.Script late = connection -> {
+            for (String line; (line = connection.command()) != null; ) {
                 ReceivedDeadline received = receivedDeadline(line);
                 if (received.deadlineMs() > WAIT_MS - DELAY_MS) {
                     delayResponse();
-                    c.say("SERVER_ERROR busy\r\n");
+                    connection.say("SERVER_ERROR busy\r\n");
                 } else {
                     retries.add(received);
-                    c.say(hit(line));
+                    connection.say(hit(line));
                 }
             }
         };
--- a/src/test/java/cacheproxy/JarIT.java
+++ b/src/test/java/cacheproxy/JarIT.java
@@ -147,8 +147,8 @@
     @Test
     void whereSighupIsIgnoredItSaysSoAndReloadsByTheControlAddress() throws Exception {
         try (ServerSocket discovery = new ServerSocket(0, 5, InetAddress.getLoopbackAddress())) {
-            int control = freePort();
-            Path config = withControl(freePort(), control);
+            int controlPort = freePort();
+            Path config = withControl(freePort(), controlPort);
             ProcessBuilder builder = new ProcessBuilder(
                     "sh",
                     "-c",
@@ -159,7 +159,7 @@
             Path errors = folder.resolve("errors");
             Process process = builder.redirectError(errors.toFile()).start();
             try {
-                awaitActive(control, process);
+                awaitActive(controlPort, process);
                 assertThat(Files.readString(errors))
                         .contains("SIGHUP is ignored")
                         .contains("POST /reload");
@@ -171,14 +171,14 @@
                                         "\"event_log\": true, \"discovery\": \"127.0.0.1:" + discovery.getLocalPort()
                                                 + "\""));
                 hangup(process);
-                assertThat(controlResponse(control, "GET /status")).contains(" 200 ");
-                assertThat(controlResponse(control, "POST /reload")).contains(" 202 ");
+                assertThat(controlResponse(controlPort, "GET /status")).contains(" 200 ");
+                assertThat(controlResponse(controlPort, "POST /reload")).contains(" 202 ");
                 discovery.setSoTimeout(60_000);
                 try (Socket call = discovery.accept()) {
                     assertThat(new BufferedReader(new InputStreamReader(call.getInputStream(), UTF_8)).readLine())
                             .startsWith("GET /discovery/hosts?since=0&");
                 }
-                assertThat(controlResponse(control, "GET /invariants")).contains(" 200 ");
+                assertThat(controlResponse(controlPort, "GET /invariants")).contains(" 200 ");
                 process.destroy();
                 assertThat(process.waitFor(60, TimeUnit.SECONDS)).isTrue();
                 assertThat(Files.readString(errors))
@@ -193,26 +193,27 @@
 
     /** The first line of the response from the control address; empty if there is none yet. */
     private static String controlResponse(int port, String line) {
-        try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            s.getOutputStream().write((line + " HTTP/1.1\r\nHost: x\r\n\r\n").getBytes(UTF_8));
-            return String.valueOf(new BufferedReader(new InputStreamReader(s.getInputStream(), UTF_8)).readLine());
+        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
+            socket.getOutputStream().write((line + " HTTP/1.1\r\nHost: x\r\n\r\n").getBytes(UTF_8));
+            return String.valueOf(new BufferedReader(new InputStreamReader(socket.getInputStream(), UTF_8)).readLine());
         } catch (IOException e) {
             return "";
         }
     }
 
-    private Path withControl(int port, int control) throws IOException {
-        Path file = folder.resolve("config-" + control + ".json");
+    private Path withControl(int port, int controlPort) throws IOException {
+        Path file = folder.resolve("config-" + controlPort + ".json");
         return Files.writeString(
                 file,
                 Files.readString(Path.of("src/test/resources/config.json"))
                         .replace(
                                 "\"listen\": \"127.0.0.1:0\"",
-                                "\"listen\": \"127.0.0.1:" + port + "\", \"control\": \"127.0.0.1:" + control + "\""));
+                                "\"listen\": \"127.0.0.1:" + port + "\", \"control\": \"127.0.0.1:" + controlPort
+                                        + "\""));
     }
 
-    private static void awaitActive(int control, Process process) throws IOException {
-        while (!controlResponse(control, "GET /status").contains(" 200 ")) {
+    private static void awaitActive(int controlPort, Process process) throws IOException {
+        while (!controlResponse(controlPort, "GET /status").contains(" 200 ")) {
             if (!process.isAlive()) {
                 throw new AssertionError("the process ended: "
                         + new String(process.getErrorStream().readAllBytes(), UTF_8));
@@ -222,16 +223,16 @@
     }
 
     private static String healthCheckResponse(int port) throws IOException {
-        try (Socket s = new Socket(InetAddress.getLoopbackAddress(), port)) {
-            s.getOutputStream().write("mn\r\n".getBytes(UTF_8));
-            return String.valueOf(new BufferedReader(new InputStreamReader(s.getInputStream(), UTF_8)).readLine());
+        try (Socket socket = new Socket(InetAddress.getLoopbackAddress(), port)) {
+            socket.getOutputStream().write("mn\r\n".getBytes(UTF_8));
+            return String.valueOf(new BufferedReader(new InputStreamReader(socket.getInputStream(), UTF_8)).readLine());
         }
     }
 
     @Test
     void theNextVersionTakesOverBesideTheRunningOneAndNoConnectionIsRefusedOrReset() throws Exception {
         int port = freePort();
-        int[] control = {freePort(), freePort(), freePort()};
+        int[] controlPorts = {freePort(), freePort(), freePort()};
         Process[] version = new Process[3];
         AtomicReference<String> fault = new AtomicReference<>();
         AtomicBoolean over = new AtomicBoolean();
@@ -251,15 +252,16 @@
             }
         });
         try {
-            for (int v = 0; v < 3; v++) {
-                version[v] = start("serve", withControl(port, control[v]).toString());
-                awaitActive(control[v], version[v]);
-                if (v == 0) {
+            for (int index = 0; index < 3; index++) {
+                version[index] =
+                        start("serve", withControl(port, controlPorts[index]).toString());
+                awaitActive(controlPorts[index], version[index]);
+                if (index == 0) {
                     clients.start();
                     continue;
                 }
-                version[v - 1].destroy();
-                assertThat(version[v - 1].waitFor(60, TimeUnit.SECONDS)).isTrue();
+                version[index - 1].destroy();
+                assertThat(version[index - 1].waitFor(60, TimeUnit.SECONDS)).isTrue();
                 int before = answered.get();
                 while (answered.get() < before + 50 && fault.get() == null) {
                     Thread.onSpinWait(); // all are answered by the new version
@@ -268,15 +270,15 @@
             over.set(true);
             clients.join();
             assertThat(fault.get()).isNull();
-            assertThat(controlResponse(control[2], "POST /standby")).contains(" 200 ");
+            assertThat(controlResponse(controlPorts[2], "POST /standby")).contains(" 200 ");
             assertThat(healthCheckResponse(port)).isEqualTo("SERVER_ERROR standby");
-            assertThat(controlResponse(control[2], "POST /active")).contains(" 200 ");
+            assertThat(controlResponse(controlPorts[2], "POST /active")).contains(" 200 ");
             assertThat(healthCheckResponse(port)).isEqualTo("MN");
         } finally {
             over.set(true);
-            for (Process p : version) {
-                if (p != null) {
-                    p.destroyForcibly();
+            for (Process process : version) {
+                if (process != null) {
+                    process.destroyForcibly();
                 }
             }
         }
@@ -289,19 +291,19 @@
     @Test
     void aFailedUpgradeLeavesAProcessThatAcceptsClients() throws Exception {
         int port = freePort();
-        int[] control = {freePort(), freePort(), freePort(), freePort()};
+        int[] controlPorts = {freePort(), freePort(), freePort(), freePort()};
         Process[] version = new Process[4];
         try {
-            version[0] = start("serve", withControl(port, control[0]).toString());
-            awaitActive(control[0], version[0]);
-            assertThat(controlResponse(control[0], "POST /standby")).contains(" 200 ");
+            version[0] = start("serve", withControl(port, controlPorts[0]).toString());
+            awaitActive(controlPorts[0], version[0]);
+            assertThat(controlResponse(controlPorts[0], "POST /standby")).contains(" 200 ");
             // Two new versions start while the running one is in standby: both become ready and active.
-            version[1] = start("serve", withControl(port, control[1]).toString());
-            version[2] = start("serve", withControl(port, control[2]).toString());
-            awaitActive(control[1], version[1]);
-            awaitActive(control[2], version[2]);
-            assertThat(controlResponse(control[0], "GET /status")).contains(" 503 ");
-            assertThat(controlResponse(control[0], "POST /active"))
+            version[1] = start("serve", withControl(port, controlPorts[1]).toString());
+            version[2] = start("serve", withControl(port, controlPorts[2]).toString());
+            awaitActive(controlPorts[1], version[1]);
+            awaitActive(controlPorts[2], version[2]);
+            assertThat(controlResponse(controlPorts[0], "GET /status")).contains(" 503 ");
+            assertThat(controlResponse(controlPorts[0], "POST /active"))
                     .as("made active again while new versions run")
                     .contains(" 200 ");
             // A new version is killed before the running one has ended: the others continue.
@@ -309,17 +311,17 @@
             assertThat(healthCheckResponse(port)).isEqualTo("MN");
             version[0].destroy();
             assertThat(version[0].waitFor(60, TimeUnit.SECONDS)).isTrue();
-            assertThat(controlResponse(control[0], "GET /status")).isEmpty();
+            assertThat(controlResponse(controlPorts[0], "GET /status")).isEmpty();
             assertThat(healthCheckResponse(port)).isEqualTo("MN");
             // A killed process leaves the path of a socket on which nothing listens.
             version[1].destroyForcibly().waitFor();
-            version[3] = start("serve", withControl(port, control[3]).toString());
-            awaitActive(control[3], version[3]);
+            version[3] = start("serve", withControl(port, controlPorts[3]).toString());
+            awaitActive(controlPorts[3], version[3]);
             assertThat(healthCheckResponse(port)).isEqualTo("MN");
         } finally {
-            for (Process p : version) {
-                if (p != null) {
-                    p.destroyForcibly();
+            for (Process process : version) {
+                if (process != null) {
+                    process.destroyForcibly();
                 }
             }
         }
@@ -331,7 +333,7 @@
             Process process =
                     start("serve", withControl(freePort(), taken.getLocalPort()).toString());
             String errors = new String(process.getErrorStream().readAllBytes(), UTF_8);
-            assertThat(errors.lines().filter(l -> !l.startsWith("discovery")))
+            assertThat(errors.lines().filter(line -> !line.startsWith("discovery")))
                     .as(errors)
                     .singleElement()
                     .asString()
@@ -348,36 +350,37 @@
     @Test
     void aStartAsDeployedTakesItsClassesFromTheArchive() throws Exception {
         String run = Files.readAllLines(Path.of("deploy/balancer.toml")).stream()
-                .filter(l -> l.startsWith("run = "))
+                .filter(line -> line.startsWith("run = "))
                 .findFirst()
                 .orElseThrow()
                 .replaceFirst("run = \"exec java ", "")
                 .replaceFirst("\"$", "");
         int port = freePort();
-        int control = freePort();
+        int controlPort = freePort();
         List<String> words = new ArrayList<>(List.of(
                 Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                 "-Xlog:class+load:file=" + folder.resolve("classes.txt")));
         words.addAll(List.of(run.split(" ", 0)));
         ProcessBuilder builder = new ProcessBuilder(words);
         builder.environment().put("TMPDIR", folder.toString());
-        builder.environment().put("BALANCER_CONFIG", withControl(port, control).toString());
+        builder.environment()
+                .put("BALANCER_CONFIG", withControl(port, controlPort).toString());
         Process process = builder.start();
         try {
-            awaitActive(control, process);
+            awaitActive(controlPort, process);
             assertThat(healthCheckResponse(port)).isEqualTo("MN");
         } finally {
             process.destroyForcibly().waitFor();
         }
         List<String> read = Files.readAllLines(folder.resolve("classes.txt")).stream()
-                .filter(l -> l.contains("source: file:") || l.contains(" jdk.jfr."))
+                .filter(line -> line.contains("source: file:") || line.contains(" jdk.jfr."))
                 .toList();
         // One or two of them depend on which of two events comes first.
-        assertThat(read.stream().filter(l -> l.contains("source: file:")).toList())
+        assertThat(read.stream().filter(line -> line.contains("source: file:")).toList())
                 .as("classes that are not archived")
                 .hasSizeLessThan(6);
         // The check whether the flight recorder is off loads 8 of its classes; if it is on, 69 are loaded.
-        assertThat(read.stream().filter(l -> l.contains(" jdk.jfr.")).toList())
+        assertThat(read.stream().filter(line -> line.contains(" jdk.jfr.")).toList())
                 .as("classes of the flight recorder")
                 .hasSizeLessThan(20);
     }
--- a/src/test/java/cacheproxy/ModuleSizeTest.java
+++ b/src/test/java/cacheproxy/ModuleSizeTest.java
@@ -24,7 +24,8 @@
         int files = 0;
         while (file.find()) {
             List<String> text = Files.readAllLines(Path.of(file.group(1)));
-            assertThat(text).allSatisfy(l -> assertThat(l.length()).as(l).isLessThanOrEqualTo(120));
+            assertThat(text)
+                    .allSatisfy(line -> assertThat(line.length()).as(line).isLessThanOrEqualTo(120));
             files++;
         }
         assertThat(files).isEqualTo(33);
--- a/src/test/java/cacheproxy/ServeProcess.java
+++ b/src/test/java/cacheproxy/ServeProcess.java
@@ -149,8 +149,8 @@
             signal("CONT");
             process.destroyForcibly().waitFor();
         }
-        for (ScriptedServer s : servers) {
-            s.close();
+        for (ScriptedServer server : servers) {
+            server.close();
         }
     }
 }
--- a/src/test/java/cacheproxy/proxy/Explorer.java
+++ b/src/test/java/cacheproxy/proxy/Explorer.java
@@ -45,9 +45,9 @@
 
         void send(String text) {
             try {
-                ByteBuffer b = ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1));
-                while (b.hasRemaining()) {
-                    channel.write(b);
+                ByteBuffer buffer = ByteBuffer.wrap(text.getBytes(StandardCharsets.ISO_8859_1));
+                while (buffer.hasRemaining()) {
+                    channel.write(buffer);
                 }
             } catch (IOException e) {
                 ended = true;
@@ -55,11 +55,11 @@
         }
 
         void read() {
-            ByteBuffer b = ByteBuffer.allocate(8192);
+            ByteBuffer buffer = ByteBuffer.allocate(8192);
             try {
-                for (int n; !ended && (n = channel.read(b)) != 0; b.clear()) {
-                    ended = n < 0;
-                    in.append(new String(b.array(), 0, Math.max(0, n), StandardCharsets.ISO_8859_1));
+                for (int count; !ended && (count = channel.read(buffer)) != 0; buffer.clear()) {
+                    ended = count < 0;
+                    in.append(new String(buffer.array(), 0, Math.max(0, count), StandardCharsets.ISO_8859_1));
                 }
             } catch (IOException e) {
                 ended = true;
@@ -140,8 +140,8 @@
             listener.bind(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0));
             listener.configureBlocking(false);
         }
-        for (int c = 0; c < 3; c++) { // hedged and retried soon, but never late
-            fleet.set("classes." + c + ".promise", "400.0");
+        for (int index = 0; index < 3; index++) { // hedged and retried soon, but never late
+            fleet.set("classes." + index + ".promise", "400.0");
         }
         fleet.set("caps.connect-timeout", "50.0")
                 .set("caps.may-cancel", random.nextBoolean() ? "true" : "false")
@@ -191,31 +191,33 @@
             case 0 -> connect();
             case 1, 2, 3, 4 -> sendRequest();
             case 5 -> disconnect();
-            case 6, 7 -> nodeResponds(pickOpen(nodeConnections, p -> !p.pendingIds.isEmpty()), random.nextInt(8));
-            default -> originResponds(pickOpen(originConnections, p -> !p.pendingIds.isEmpty()), random.nextInt(8));
+            case 6, 7 -> nodeResponds(pickOpen(nodeConnections, peer -> !peer.pendingIds.isEmpty()), random.nextInt(8));
+            default ->
+                originResponds(pickOpen(originConnections, peer -> !peer.pendingIds.isEmpty()), random.nextInt(8));
         }
     }
 
-    private <P extends Peer> P pickOpen(List<P> from, Predicate<P> condition) {
-        List<P> fit = from.stream().filter(p -> !p.ended).filter(condition).toList();
-        return fit.isEmpty() ? null : fit.get(random.nextInt(fit.size()));
+    private <P extends Peer> P pickOpen(List<P> peers, Predicate<P> condition) {
+        List<P> matching =
+                peers.stream().filter(peer -> !peer.ended).filter(condition).toList();
+        return matching.isEmpty() ? null : matching.get(random.nextInt(matching.size()));
     }
 
     private void connect() throws IOException {
-        if (clients.stream().filter(c -> !c.ended).count() < 4) {
+        if (clients.stream().filter(client -> !client.ended).count() < 4) {
             clients.add(new ClientPeer(SocketChannel.open(fleet.proxy.address())));
         }
     }
 
     private void sendRequest() throws IOException {
-        ClientPeer c = pickOpen(clients, p -> true);
-        if (c == null) {
+        ClientPeer client = pickOpen(clients, peer -> true);
+        if (client == null) {
             connect();
             return;
         }
-        if (c.unsentPart != null) {
-            c.send(c.unsentPart);
-            c.unsentPart = null;
+        if (client.unsentPart != null) {
+            client.send(client.unsentPart);
+            client.unsentPart = null;
             return;
         }
         String id = "e" + next++;
@@ -229,72 +231,72 @@
             default -> "mg " + key + " v O" + id + " Pc=text,d=20000\r\n";
         };
         commands++;
-        c.pendingIds.add(id);
-        trace("client " + clients.indexOf(c) + " asks " + command.replace("\r\n", "|"));
+        client.pendingIds.add(id);
+        trace("client " + clients.indexOf(client) + " asks " + command.replace("\r\n", "|"));
         int cut = random.nextInt(4) == 0 ? 1 + random.nextInt(command.length() - 1) : command.length();
-        c.send(command.substring(0, cut));
-        c.unsentPart = cut < command.length() ? command.substring(cut) : null;
+        client.send(command.substring(0, cut));
+        client.unsentPart = cut < command.length() ? command.substring(cut) : null;
     }
 
     private void disconnect() throws IOException {
-        ClientPeer c = pickOpen(clients, p -> true);
-        if (c != null) {
+        ClientPeer client = pickOpen(clients, peer -> true);
+        if (client != null) {
             departures++;
-            trace("client leaves with " + c.pendingIds);
-            disconnected.addAll(c.pendingIds);
-            c.close(random.nextBoolean());
-            clients.remove(c);
+            trace("client leaves with " + client.pendingIds);
+            disconnected.addAll(client.pendingIds);
+            client.close(random.nextBoolean());
+            clients.remove(client);
         }
     }
 
-    private void nodeResponds(ServerPeer p, int variant) throws IOException {
-        if (p == null) {
+    private void nodeResponds(ServerPeer peer, int variant) throws IOException {
+        if (peer == null) {
             return;
         }
-        String id = p.pendingIds.peek();
-        trace("node " + nodeConnections.indexOf(p) + " answers " + id + " by way " + variant);
+        String id = peer.pendingIds.peek();
+        trace("node " + nodeConnections.indexOf(peer) + " answers " + id + " by way " + variant);
         String hit = "VA " + id.length() + " O" + id + " h1\r\n" + id + "\r\n";
         switch (variant) {
-            case 0, 1 -> p.send(hit);
-            case 2, 3 -> p.send("EN O" + id + " h0\r\n");
-            case 4 -> p.send("SERVER_ERROR busy\r\n");
+            case 0, 1 -> peer.send(hit);
+            case 2, 3 -> peer.send("EN O" + id + " h0\r\n");
+            case 4 -> peer.send("SERVER_ERROR busy\r\n");
             case 5 -> {
-                p.send(hit); // the answer and the end of the connection arrive together
-                p.close(false);
+                peer.send(hit); // the answer and the end of the connection arrive together
+                peer.close(false);
             }
             case 6 -> {
-                p.send(hit.substring(0, random.nextInt(hit.length() - 1)));
-                p.close(random.nextBoolean());
+                peer.send(hit.substring(0, random.nextInt(hit.length() - 1)));
+                peer.close(random.nextBoolean());
             }
-            default -> p.send("garbage\r\n");
+            default -> peer.send("garbage\r\n");
         }
-        p.pendingIds.poll();
+        peer.pendingIds.poll();
     }
 
-    private void originResponds(ServerPeer p, int variant) throws IOException {
-        if (p == null) {
+    private void originResponds(ServerPeer peer, int variant) throws IOException {
+        if (peer == null) {
             return;
         }
-        String id = p.pendingIds.poll();
-        trace("origin " + originConnections.indexOf(p) + " answers " + id + " by way " + variant);
+        String id = peer.pendingIds.poll();
+        trace("origin " + originConnections.indexOf(peer) + " answers " + id + " by way " + variant);
         String body = wrongOriginValues ? "e0" : id;
-        String whole = "HTTP/1.1 200 X\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
+        String response = "HTTP/1.1 200 X\r\nContent-Length: " + body.length() + "\r\n\r\n" + body;
         switch (variant) {
-            case 0, 1, 2 -> p.send(whole);
+            case 0, 1, 2 -> peer.send(response);
             case 3 -> {
-                p.send("HTTP/1.1 200 X\r\n\r\n" + body);
-                p.close(false);
+                peer.send("HTTP/1.1 200 X\r\n\r\n" + body);
+                peer.close(false);
             }
             case 4 -> {
-                p.send("HTTP/1.1 200 X\r\n\r\n" + body.substring(0, 1)); // a reset is not the end of a body
-                p.close(true);
+                peer.send("HTTP/1.1 200 X\r\n\r\n" + body.substring(0, 1)); // a reset is not the end of a body
+                peer.close(true);
             }
             case 5 -> {
                 writes.computeIfPresent(id, (k, n) -> n - 1); // it was not processed, and may be sent again
-                p.send("HTTP/1.1 503 X\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n");
+                peer.send("HTTP/1.1 503 X\r\nSrv-Declined: 1\r\nContent-Length: 0\r\n\r\n");
             }
-            case 6 -> p.close(random.nextBoolean());
-            default -> p.send(whole + whole); // a second answer directly after the first
+            case 6 -> peer.close(random.nextBoolean());
+            default -> peer.send(response + response); // a second answer directly after the first
         }
     }
 
@@ -308,7 +310,7 @@
 
     /** Lets the event loop complete its turns and handles the received bytes. */
     private void pump() throws Exception {
-        long live = clients.stream().filter(c -> !c.ended).count();
+        long live = clients.stream().filter(client -> !client.ended).count();
         for (long until = System.nanoTime() + 5_000_000_000L;
                 fleet.proxy.clientCount() != live && System.nanoTime() < until; ) {
             Thread.onSpinWait(); // a close may reach the proxy later than newer events on other connections
@@ -318,57 +320,57 @@
         }
         accept(nodeListener, nodeConnections);
         accept(originListener, originConnections);
-        for (ServerPeer p : nodeConnections) {
-            p.read();
-            for (String line; (line = p.line()) != null; ) {
-                requestArrived(p, line.substring(line.indexOf(" O") + 2).split(" ", 0)[0], false);
+        for (ServerPeer peer : nodeConnections) {
+            peer.read();
+            for (String line; (line = peer.line()) != null; ) {
+                requestArrived(peer, line.substring(line.indexOf(" O") + 2).split(" ", 0)[0], false);
             }
         }
-        for (ServerPeer p : originConnections) {
-            p.read();
-            readOriginRequests(p);
+        for (ServerPeer peer : originConnections) {
+            peer.read();
+            readOriginRequests(peer);
         }
         disconnectProcessed.addAll(disconnectPending); // attempts that were on their way then have been read by now
         disconnectPending.clear();
         disconnectPending.addAll(disconnected);
-        for (ClientPeer c : clients) {
-            c.read();
-            while (readResponse(c)) {
+        for (ClientPeer client : clients) {
+            client.read();
+            while (readResponse(client)) {
                 answers++;
             }
-            if (c.ended && !c.pendingIds.isEmpty() && c.unsentPart == null) {
-                violations.add("connection ended with " + c.pendingIds + " unanswered");
-                c.pendingIds.clear();
+            if (client.ended && !client.pendingIds.isEmpty() && client.unsentPart == null) {
+                violations.add("connection ended with " + client.pendingIds + " unanswered");
+                client.pendingIds.clear();
             }
         }
     }
 
     private static void accept(ServerSocketChannel listener, List<ServerPeer> to) throws IOException {
-        for (SocketChannel s; (s = listener.accept()) != null; ) {
-            to.add(new ServerPeer(s));
+        for (SocketChannel socket; (socket = listener.accept()) != null; ) {
+            to.add(new ServerPeer(socket));
         }
     }
 
-    private void readOriginRequests(ServerPeer p) {
-        for (int end; (end = p.in.indexOf("\r\n\r\n")) >= 0; ) {
-            String head = p.in.substring(0, end);
+    private void readOriginRequests(ServerPeer peer) {
+        for (int end; (end = peer.in.indexOf("\r\n\r\n")) >= 0; ) {
+            String head = peer.in.substring(0, end);
             boolean put = head.startsWith("PUT");
-            int whole = end + 4 + (put ? 5 : 0);
-            if (p.in.length() < whole) {
+            int wholeLength = end + 4 + (put ? 5 : 0);
+            if (peer.in.length() < wholeLength) {
                 return;
             }
-            p.in.delete(0, whole);
-            int at = head.toLowerCase(Locale.ROOT).indexOf("req-id: ") + 8;
-            requestArrived(p, head.substring(at).split("\r\n", 0)[0], put);
+            peer.in.delete(0, wholeLength);
+            int idStart = head.toLowerCase(Locale.ROOT).indexOf("req-id: ") + 8;
+            requestArrived(peer, head.substring(idStart).split("\r\n", 0)[0], put);
         }
     }
 
-    private void requestArrived(ServerPeer p, String id, boolean write) {
+    private void requestArrived(ServerPeer peer, String id, boolean write) {
         trace(id + " arrives at "
-                + (nodeConnections.contains(p)
-                        ? "node " + nodeConnections.indexOf(p)
-                        : "origin " + originConnections.indexOf(p)));
-        p.pendingIds.add(id);
+                + (nodeConnections.contains(peer)
+                        ? "node " + nodeConnections.indexOf(peer)
+                        : "origin " + originConnections.indexOf(peer)));
+        peer.pendingIds.add(id);
         if (disconnectProcessed.contains(id)) {
             violations.add("an attempt for " + id + " begins although its client has disconnected");
         }
@@ -377,26 +379,26 @@
         }
     }
 
-    private boolean readResponse(ClientPeer c) {
-        int end = c.in.indexOf("\r\n");
+    private boolean readResponse(ClientPeer client) {
+        int end = client.in.indexOf("\r\n");
         if (end < 0) {
             return false;
         }
-        String line = c.in.substring(0, end);
-        int whole = end + 2;
-        String id = c.pendingIds.peek();
+        String line = client.in.substring(0, end);
+        int wholeLength = end + 2;
+        String id = client.pendingIds.peek();
         if (id == null) {
             violations.add("an answer without a pending request: " + line);
-            c.in.setLength(0);
+            client.in.setLength(0);
             return false;
         }
         if (line.startsWith("VA ")) {
             int length = Integer.parseInt(line.split(" ", 0)[1]);
-            if (c.in.length() < whole + length + 2) {
+            if (client.in.length() < wholeLength + length + 2) {
                 return false;
             }
-            String value = c.in.substring(whole, whole + length);
-            whole += length + 2;
+            String value = client.in.substring(wholeLength, wholeLength + length);
+            wholeLength += length + 2;
             if (!line.contains(" O" + id) || !value.equals(id)) {
                 violations.add(id + " is answered with " + line + " " + value);
             }
@@ -407,38 +409,39 @@
         } else if (!line.startsWith("SERVER_ERROR")) {
             violations.add(id + " is answered with " + line);
         }
-        c.in.delete(0, whole);
-        c.pendingIds.poll();
+        client.in.delete(0, wholeLength);
+        client.pendingIds.poll();
         return true;
     }
 
     /** Answers all pending requests correctly, and then checks that none is left. */
     private void settle() throws Exception {
         long until = System.nanoTime() + 30_000_000_000L; // deadlines are 20 s
-        while (clients.stream().anyMatch(c -> !c.ended && !c.pendingIds.isEmpty()) && System.nanoTime() < until) {
-            for (ClientPeer c : clients) {
-                if (c.unsentPart != null) {
-                    c.send(c.unsentPart);
-                    c.unsentPart = null;
+        while (clients.stream().anyMatch(client -> !client.ended && !client.pendingIds.isEmpty())
+                && System.nanoTime() < until) {
+            for (ClientPeer client : clients) {
+                if (client.unsentPart != null) {
+                    client.send(client.unsentPart);
+                    client.unsentPart = null;
                 }
             }
-            for (ServerPeer p : nodeConnections) {
-                while (!p.ended && !p.pendingIds.isEmpty()) {
-                    nodeResponds(p, 0);
+            for (ServerPeer peer : nodeConnections) {
+                while (!peer.ended && !peer.pendingIds.isEmpty()) {
+                    nodeResponds(peer, 0);
                 }
             }
-            for (ServerPeer p : originConnections) {
-                while (!p.ended && !p.pendingIds.isEmpty()) {
-                    originResponds(p, 0);
+            for (ServerPeer peer : originConnections) {
+                while (!peer.ended && !peer.pendingIds.isEmpty()) {
+                    originResponds(peer, 0);
                 }
             }
             pump();
         }
-        for (ClientPeer c : clients) {
-            if (!c.ended && !c.pendingIds.isEmpty()) {
-                violations.add("no answer for " + c.pendingIds);
+        for (ClientPeer client : clients) {
+            if (!client.ended && !client.pendingIds.isEmpty()) {
+                violations.add("no answer for " + client.pendingIds);
             }
-            c.close(false);
+            client.close(false);
         }
         while (fleet.proxy.pendingRequests() > 0 && System.nanoTime() < until) {
             pump();
@@ -454,14 +457,14 @@
             release();
         }
         fleet.close();
-        for (ServerPeer p : nodeConnections) {
-            p.channel.close();
+        for (ServerPeer peer : nodeConnections) {
+            peer.channel.close();
         }
-        for (ServerPeer p : originConnections) {
-            p.channel.close();
+        for (ServerPeer peer : originConnections) {
+            peer.channel.close();
         }
-        for (ClientPeer c : clients) {
-            c.channel.close();
+        for (ClientPeer client : clients) {
+            client.channel.close();
         }
         nodeListener.close();
         originListener.close();
--- a/src/test/java/cacheproxy/proxy/ExplorerTest.java
+++ b/src/test/java/cacheproxy/proxy/ExplorerTest.java
@@ -19,12 +19,12 @@
         int answers = 0;
         int departures = 0;
         for (int seed = FIRST; seed < FIRST + ORDERS; seed++) {
-            try (Explorer e = new Explorer(seed, false)) {
-                e.run(STEPS);
-                assertThat(e.violations).as("seed " + seed).isEmpty();
-                commands += e.commands;
-                answers += e.answers;
-                departures += e.departures;
+            try (Explorer explorer = new Explorer(seed, false)) {
+                explorer.run(STEPS);
+                assertThat(explorer.violations).as("seed " + seed).isEmpty();
+                commands += explorer.commands;
+                answers += explorer.answers;
+                departures += explorer.departures;
             }
         }
         System.out.printf(
@@ -36,9 +36,9 @@
 
     @Test
     void detectsAnAnswerThatBelongsToAnotherRequest() throws Exception {
-        try (Explorer e = new Explorer(1, true)) {
-            e.run(STEPS);
-            assertThat(e.violations).isNotEmpty();
+        try (Explorer explorer = new Explorer(1, true)) {
+            explorer.run(STEPS);
+            assertThat(explorer.violations).isNotEmpty();
         }
     }
 }
--- a/src/test/java/cacheproxy/proxy/Fleet.java
+++ b/src/test/java/cacheproxy/proxy/Fleet.java
@@ -107,16 +107,16 @@
 
     /** One entry of an endpoint list of discovery. */
     public static JsonObject host(String name, String kind, String dial, String health) {
-        JsonObject h = new JsonObject();
-        h.addProperty("host", name);
-        h.addProperty("dial", dial);
-        h.addProperty("site", "east");
-        h.addProperty("class", kind);
-        h.addProperty("block", 0);
-        h.addProperty("health", health);
-        h.addProperty("share", 1.0);
-        h.addProperty("born_ms", 0);
-        return h;
+        JsonObject host = new JsonObject();
+        host.addProperty("host", name);
+        host.addProperty("dial", dial);
+        host.addProperty("site", "east");
+        host.addProperty("class", kind);
+        host.addProperty("block", 0);
+        host.addProperty("health", health);
+        host.addProperty("share", 1.0);
+        host.addProperty("born_ms", 0);
+        return host;
     }
 
     public static JsonObject list(long seq, boolean whole, JsonArray hosts) {
@@ -197,8 +197,8 @@
             proxy.close();
             assertThat(invariants).as("invariants").startsWith("violations=0 ");
         }
-        for (AutoCloseable part : closeables) {
-            part.close();
+        for (AutoCloseable closeable : closeables) {
+            closeable.close();
         }
     }
 
--- a/src/test/java/cacheproxy/proxy/SitesTest.java
+++ b/src/test/java/cacheproxy/proxy/SitesTest.java
@@ -27,8 +27,9 @@
 
     static Stream<Path> sites() throws IOException {
         try (Stream<Path> files = Files.list(Path.of("deploy/sites"))) {
-            List<Path> sites =
-                    files.filter(f -> f.toString().endsWith(".toml")).sorted().toList();
+            List<Path> sites = files.filter(file -> file.toString().endsWith(".toml"))
+                    .sorted()
+                    .toList();
             assertThat(sites).hasSizeGreaterThanOrEqualTo(2);
             return sites.stream();
         }
@@ -47,7 +48,7 @@
         });
         try (Fleet fleet = new Fleet().settings(settings(site)).node(node).origin(origin)) {
             String zone = site.getArray("net.zones").getString(0);
-            fleet.hosts.forEach(h -> h.getAsJsonObject().addProperty("site", zone));
+            fleet.hosts.forEach(host -> host.getAsJsonObject().addProperty("site", zone));
             fleet.hosts
                     .get(0)
                     .getAsJsonObject()
@@ -60,17 +61,17 @@
                                     .getString("name"));
             fleet.start();
             try (Fleet.Client client = fleet.client()) {
-                int n = 0;
+                int requests = 0;
                 for (TomlTable tenant : tables(site, "tenant")) {
                     for (TomlTable c : tables(site, "class")) {
-                        String id = "r" + n++;
-                        String list = " O" + id + " Pc=" + c.getString("name") + ",t=" + tenant.getString("name")
+                        String id = "r" + requests++;
+                        String flags = " O" + id + " Pc=" + c.getString("name") + ",t=" + tenant.getString("name")
                                 + ",d=20000";
                         boolean write = c.getBoolean("write", () -> false);
                         client.send(
                                 write
-                                        ? "ms k" + n + " 5" + list + ",k=0123456789abcdef\r\nhello\r\n"
-                                        : "mg k" + n + " v" + list + "\r\n");
+                                        ? "ms k" + requests + " 5" + flags + ",k=0123456789abcdef\r\nhello\r\n"
+                                        : "mg k" + requests + " v" + flags + "\r\n");
                         assertThat(client.line())
                                 .as(c.getString("name"))
                                 .isEqualTo(write ? "HD O" + id + " creceipt" : "VA 5 O" + id);
@@ -79,7 +80,7 @@
                         }
                     }
                 }
-                assertThat(n).isPositive();
+                assertThat(requests).isPositive();
             }
         }
     }
@@ -131,26 +132,29 @@
                         site.getArray("net.zones").toList().stream()
                                 .map(Object::toString)
                                 .toList()));
-        List<String> kinds = new ArrayList<>(
-                tables(tier, "kind").stream().map(k -> k.getString("name")).toList());
+        List<String> kinds = new ArrayList<>(tables(tier, "kind").stream()
+                .map(kind -> kind.getString("name"))
+                .toList());
         kinds.add("origin");
         lines.add("kinds=" + String.join(",", kinds));
         lines.add("extra.origin-kind=" + (kinds.size() - 1));
         List<TomlTable> classes = tables(site, "class");
         lines.add("classes.count=" + classes.size());
         for (int i = 0; i < classes.size(); i++) {
-            TomlTable c = classes.get(i);
-            String p = "classes." + i + ".";
+            TomlTable serviceClass = classes.get(i);
+            String prefix = "classes." + i + ".";
             lines.addAll(List.of(
-                    p + "name=" + c.getString("name"),
-                    p + "idempotency=" + EFFECTS.get(c.getString("effect")),
-                    p + "promise=" + c.get("aim_ms"),
-                    p + "deadline=" + c.get("deadline_ms"),
-                    p + "gain=" + c.get("worth"),
-                    p + "late-share=" + c.get("late_worth"),
-                    p + "stream=false"));
-            if (c.getString("effect").equals("keyed")) {
-                lines.addAll(List.of(p + "group=" + c.getString("group"), p + "window=" + c.get("window_ms")));
+                    prefix + "name=" + serviceClass.getString("name"),
+                    prefix + "idempotency=" + EFFECTS.get(serviceClass.getString("effect")),
+                    prefix + "promise=" + serviceClass.get("aim_ms"),
+                    prefix + "deadline=" + serviceClass.get("deadline_ms"),
+                    prefix + "gain=" + serviceClass.get("worth"),
+                    prefix + "late-share=" + serviceClass.get("late_worth"),
+                    prefix + "stream=false"));
+            if (serviceClass.getString("effect").equals("keyed")) {
+                lines.addAll(List.of(
+                        prefix + "group=" + serviceClass.getString("group"),
+                        prefix + "window=" + serviceClass.get("window_ms")));
             }
         }
         List<TomlTable> tenants = tables(site, "tenant");
