--- a/src/main/java/cacheproxy/proxy/dispatch/PoolServices.java
+++ b/src/main/java/cacheproxy/proxy/dispatch/PoolServices.java
@@ -4,23 +4,23 @@
 import cacheproxy.proxy.upstream.EventLoopContext;
 
 /**
- * What the parts of a pool share.
+ * The services that the components of a pool share.
  *
- * @param core the event loop's clock, timers, servers and limits
- * @param options the pool's fixed figures
+ * @param loopContext the event loop's clock, timers, servers and limits
+ * @param options the pool's options
  * @param policy reports events to the routing policy
  * @param servers the servers on the endpoint list
- * @param log writes the event log's lines on requests
+ * @param log writes events of requests to the event log
  * @param extensions links to siblings and to the fleet's health checks
  */
 record PoolServices(
-        EventLoopContext core,
+        EventLoopContext loopContext,
         PoolOptions options,
         PolicyEvents policy,
         PoolServers servers,
         RequestEventLog log,
         PoolExtensions extensions) {
-    /** The parts that depend on no others, for a pool of these options. */
+    /** Creates the services for a pool with these options; they depend on no other component of the pool. */
     static PoolServices of(EventLoopContext loopContext, PoolOptions options) {
         PoolServers servers = new PoolServers(loopContext, options);
         return new PoolServices(
--- a/src/main/java/cacheproxy/proxy/process/PlatformPool.java
+++ b/src/main/java/cacheproxy/proxy/process/PlatformPool.java
@@ -6,8 +6,8 @@
 import cacheproxy.proxy.upstream.ConnectionLimits;
 
 /**
- * The platform's one pool. A server accepts some forty connections from all proxies of the tier together, so that each
- * proxy takes its part of fewer.
+ * The platform's one pool. A server accepts about forty connections from all proxies of the tier together. The proxies
+ * share a smaller number equally.
  */
 final class PlatformPool {
     private static final int MAX_CACHE_CONNECTIONS = 4;
@@ -27,7 +27,7 @@
         int originShare = TIER_ORIGIN_CONNECTIONS / proxies;
         ConnectionLimits connections = new ConnectionLimits(
                 config.settings().connectTimeoutMs(),
-                config.idleCloseMs(),
+                config.serverIdleTimeoutMs(),
                 Math.max(1, Math.min(MAX_CACHE_CONNECTIONS, cacheShare)),
                 Math.max(MIN_ORIGIN_CONNECTIONS, Math.min(MAX_ORIGIN_CONNECTIONS, originShare)),
                 Math.max(1, cacheShare),
--- a/src/test/java/cacheproxy/DeadlinePropagationIT.java
+++ b/src/test/java/cacheproxy/DeadlinePropagationIT.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.io.TempDir;
 
 /**
- * The incident of 2026-12-02 on real processes: whatever has held a request up, a server is told at most the time that
- * the client has left, with 150 ms of slack.
+ * Guards against the fault of the incident of 2026-12-02, on real processes: whatever has delayed a request, the
+ * deadline sent to a server is at most the time that the client has left, with 150 ms of slack.
  */
 @Timeout(60)
 class DeadlinePropagationIT {
@@ -29,10 +29,10 @@
     @TempDir
     private Path folder;
 
-    /** What a server was told, and when. */
+    /** A deadline that a server has received, and when. */
     private record ReceivedDeadline(double deadlineMs, long atNanos) {
         /**
-         * The time that a client had left then, who sent its request at {@code sentNanos} and waits for
+         * The time that was left at that moment to a client that sent its request at {@code sentNanos} and waits for
          * {@link #WAIT_MS}.
          */
         double clientLeftMs(long sentNanos) {
@@ -42,9 +42,9 @@
 
     private static ReceivedDeadline receivedDeadline(String command) {
         long now = System.nanoTime();
-        Matcher m = DEADLINE.matcher(command);
-        assertThat(m.find()).as(command).isTrue();
-        return new ReceivedDeadline(Double.parseDouble(m.group(1)), now);
+        Matcher matcher = DEADLINE.matcher(command);
+        assertThat(matcher.find()).as(command).isTrue();
+        return new ReceivedDeadline(Double.parseDouble(matcher.group(1)), now);
     }
 
     private static void delayResponse() {
@@ -64,7 +64,7 @@
 
     private static void assertWithinTimeLeft(ReceivedDeadline received, long sentNanos) {
         assertThat(received.deadlineMs())
-                .as("told to the server, ms")
+                .as("deadline sent to the server, ms")
                 .isPositive()
                 .isLessThanOrEqualTo(received.clientLeftMs(sentNanos) + SLACK_MS);
     }
@@ -73,20 +73,20 @@
     void theOriginReceivesTheTimeLeftAfterALateMiss() throws Exception {
         BlockingQueue<ReceivedDeadline> origin = new LinkedBlockingQueue<>();
         try (ServeProcess proxy = new ServeProcess(folder)
-                        .node(new ScriptedServer(c -> {
-                            for (String line; (line = c.command()) != null; ) {
+                        .node(new ScriptedServer(connection -> {
+                            for (String line; (line = connection.command()) != null; ) {
                                 delayResponse();
-                                c.say("EN O" + ScriptedServer.id(line) + "\r\n");
+                                connection.say("EN O" + ScriptedServer.id(line) + "\r\n");
                             }
                         }))
-                        .origin(new ScriptedServer(c -> {
+                        .origin(new ScriptedServer(connection -> {
                             while (true) {
-                                String request = c.request();
+                                String request = connection.request();
                                 if (request == null) {
                                     return;
                                 }
                                 origin.add(receivedDeadline(request));
-                                c.sayHttp(200, "", "hello");
+                                connection.sayHttp(200, "", "hello");
                             }
                         }))
                         .start();
@@ -100,15 +100,15 @@
     @Test
     void aRetryCarriesTheTimeLeftAfterALateFailure() throws Exception {
         BlockingQueue<ReceivedDeadline> retries = new LinkedBlockingQueue<>();
-        ScriptedServer.Script late = c -> {
-            for (String line; (line = c.command()) != null; ) {
+        ScriptedServer.Script late = connection -> {
+            for (String line; (line = connection.command()) != null; ) {
                 ReceivedDeadline received = receivedDeadline(line);
                 if (received.deadlineMs() > WAIT_MS - DELAY_MS) {
                     delayResponse();
-                    c.say("SERVER_ERROR busy\r\n");
+                    connection.say("SERVER_ERROR busy\r\n");
                 } else {
                     retries.add(received);
-                    c.say(hit(line));
+                    connection.say(hit(line));
                 }
             }
         };
--- a/src/test/java/cacheproxy/proxy/ExplorerTest.java
+++ b/src/test/java/cacheproxy/proxy/ExplorerTest.java
@@ -5,8 +5,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Random orders of what peers may do to one proxy, judged from outside. {@code -Dexplorer.orders=N} plays more of them,
- * {@code -Dexplorer.first=N} begins with another seed, {@code -Dexplorer.trace=true} prints each event.
+ * Tests one proxy with random orders of its peers' actions, checked from outside. {@code -Dexplorer.orders=N} sets the
+ * number of orders, {@code -Dexplorer.first=N} the first seed, and {@code -Dexplorer.trace=true} prints each event.
  */
 class ExplorerTest {
     private static final int ORDERS = Integer.getInteger("explorer.orders", 30);
@@ -19,12 +19,12 @@
         int answers = 0;
         int departures = 0;
         for (int seed = FIRST; seed < FIRST + ORDERS; seed++) {
-            try (Explorer e = new Explorer(seed, false)) {
-                e.run(STEPS);
-                assertThat(e.violations).as("seed " + seed).isEmpty();
-                commands += e.commands;
-                answers += e.answers;
-                departures += e.departures;
+            try (Explorer explorer = new Explorer(seed, false)) {
+                explorer.run(STEPS);
+                assertThat(explorer.violations).as("seed " + seed).isEmpty();
+                commands += explorer.commands;
+                answers += explorer.answers;
+                departures += explorer.departures;
             }
         }
         System.out.printf(
@@ -36,9 +36,9 @@
 
     @Test
     void detectsAnAnswerThatBelongsToAnotherRequest() throws Exception {
-        try (Explorer e = new Explorer(1, true)) {
-            e.run(STEPS);
-            assertThat(e.violations).isNotEmpty();
+        try (Explorer explorer = new Explorer(1, true)) {
+            explorer.run(STEPS);
+            assertThat(explorer.violations).isNotEmpty();
         }
     }
 }
