--- a/src/main/java/cacheproxy/proxy/process/OperatorActions.java
+++ b/src/main/java/cacheproxy/proxy/process/OperatorActions.java
@@ -113,8 +113,7 @@
         try {
             handover = Handover.offer(loop, path, listener.descriptor(), predecessor);
         } catch (IOException | RuntimeException e) {
-            loopContext.log("the next version can't take over the listening socket and will have its own accept queue: "
-                    + e.getMessage());
+            loopContext.log("a next version will have a queue of its own: " + e.getMessage());
         }
     }
 
--- a/src/main/java/cacheproxy/proxy/upstream/OriginCodec.java
+++ b/src/main/java/cacheproxy/proxy/upstream/OriginCodec.java
@@ -88,7 +88,7 @@
             return;
         }
         if (message.decoderResult().isFailure()) {
-            fail("not a valid HTTP response");
+            fail("not HTTP");
             return;
         }
         if (message instanceof HttpResponse head) {
@@ -121,7 +121,7 @@
         response = head;
         long length = HttpUtil.getContentLength(head, -1L);
         if (length > MetaCodec.MAX_VALUE_BYTES) {
-            fail("the body is too long");
+            fail("too long");
             return;
         }
         streamed = isValueOf(attempt) && length > MetaCodec.MAX_BUFFERED_VALUE_BYTES;
@@ -166,7 +166,7 @@
         }
         if (!isValueOf(responses.currentAttempt())
                 || body.length() + part.readableBytes() > MetaCodec.MAX_VALUE_BYTES) {
-            fail("the body is too long");
+            fail("too long");
             return;
         }
         body.appendLong(ctx.alloc(), part);
