--- a/src/main/java/cacheproxy/proxy/client/AcceptQueue.java
+++ b/src/main/java/cacheproxy/proxy/client/AcceptQueue.java
@@ -3,28 +3,31 @@
 import cacheproxy.proxy.upstream.EventLoopContext;
 
 /**
- * Estimates since when a connection may have waited in the kernel's accept queue of a listener. Queued connections are
- * accepted turn by turn of the event loop; a turn without one has found the queue empty.
+ * Estimates the earliest time since which a connection may have been waiting in the kernel's accept queue of a
+ * listener. Queued connections are accepted turn by turn of the event loop; a turn that accepts none has found the
+ * queue empty.
  */
 final class AcceptQueue {
     /** If the event loop has not polled for longer than this, connections may have queued up. */
     private static final double MIN_PAUSE_MS = 25;
-    /** How long it may take to accept those that have queued up: one in each turn of the loop. */
+    /** How long accepting the queued connections can take, at one connection per turn of the event loop. */
     private static final double MAX_DRAIN_MS = 100;
 
     private final EventLoopContext loopContext;
-    /** The earliest time that a connection in the queue may have come; infinite if the queue has been empty since. */
+    /**
+     * The earliest time at which a connection in the queue may have arrived; infinite once the queue has been empty.
+     */
     private double queuedSinceMs = Double.POSITIVE_INFINITY;
-    /** When the queue is assumed to be empty at the latest. */
+    /** The time by which the queue is assumed to be empty. */
     private double emptyByMs;
-    /** The turn in which the last connection was accepted, or accepting was last switched. */
+    /** The turn in which a connection was last accepted, or accepting was last switched on or off. */
     private long lastAcceptTurn;
 
     AcceptQueue(EventLoopContext loopContext) {
         this.loopContext = loopContext;
     }
 
-    /** Accepting begins, or stops, so that connections queue up from now on. */
+    /** Reports that accepting starts, or that it stops, so that connections queue up from now on. */
     void acceptingChanged(boolean accepting) {
         if (!accepting) {
             queuedSinceMs = Math.min(queuedSinceMs, loopContext.nowMs());
@@ -33,7 +36,9 @@
         lastAcceptTurn = loopContext.turn();
     }
 
-    /** A connection is accepted; returns the earliest time that it may have come, in milliseconds. */
+    /**
+     * Reports that a connection is accepted; returns the earliest time at which it may have arrived, in milliseconds.
+     */
     double connectionAccepted() {
         double unreadSinceMs = loopContext.unreadSinceMs();
         double nowMs = loopContext.nowMs();
--- a/src/main/java/cacheproxy/proxy/client/ClientConnection.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientConnection.java
@@ -19,7 +19,10 @@
  * responses in the order of the requests.
  */
 final class ClientConnection extends ByteToMessageDecoder implements RequestDecoder.Output {
-    /** Open requests of one connection; bounds the memory that a client can take that writes only. */
+    /**
+     * Maximum number of open requests of one connection; bounds the memory used for a client that sends requests but
+     * reads no responses.
+     */
     private static final int MAX_PIPELINED = 32;
 
     private final EventLoopContext loopContext;
@@ -36,7 +39,7 @@
     private boolean flushScheduled;
 
     /**
-     * A connection that is not registered with a channel yet.
+     * Creates a connection that is not registered with a channel yet.
      *
      * @param closingPosition from 0 to under 1; connections are closed in this order when a listener drains
      */
@@ -50,7 +53,7 @@
         submitter = new RequestSubmitter(this, owner);
     }
 
-    /** From 0 to under 1; connections are closed in this order. */
+    /** The position of this connection in the order in which connections are closed, from 0 to under 1. */
     double closingPosition() {
         return closingPosition;
     }
@@ -84,17 +87,19 @@
 
     // ---- state
 
-    /** Whether no request is open or has begun. */
+    /** Returns whether no request is open or partly received. */
     boolean isIdle() {
         return responses.isEmpty() && !decoder.isReadingValue() && actualReadableBytes() == 0;
     }
 
-    /** Whether the client has sent a whole command, or has had the time to. */
+    /** Returns whether the client has sent a complete command, or has had the time to send one. */
     boolean hasHadTimeToSendCommand(double nowMs) {
         return activity.hasHadTimeToSendCommand(nowMs);
     }
 
-    /** The connection with the highest rank is evicted first; one with a negative rank is not. */
+    /**
+     * Returns the eviction rank: the connection with the highest rank is evicted first, one with a negative rank never.
+     */
     double evictionRank(double nowMs) {
         return closer.isFinished()
                 ? -1
@@ -105,12 +110,18 @@
                         activity.inactiveMs(nowMs));
     }
 
-    /** Whether the client has stopped to write a request or to take a response, or has never sent a whole request. */
+    /**
+     * Returns whether the client has stopped in the middle of a request, has stopped reading responses, or has never
+     * sent a complete request.
+     */
     boolean isStalled(double nowMs) {
         return activity.isStalled(nowMs, closer.isFinished() || hasUnwrittenBytes(), isRequestIncomplete(), isIdle());
     }
 
-    /** Whether this side is ended, so that nothing more is written, and the client has not ended its own. */
+    /**
+     * Returns whether the proxy's output is shut down, so that nothing more is written, and the client has not closed
+     * its side.
+     */
     boolean isFinished() {
         return closer.isFinished();
     }
@@ -124,7 +135,10 @@
         return decoder.isReadingValue() || (actualReadableBytes() > 0 && !readControl.isPaused());
     }
 
-    /** Whether the system knows of the client's close, though its event may not have been handled yet. */
+    /**
+     * Returns whether the operating system has seen the client close the connection, even if that event has not been
+     * handled yet.
+     */
     boolean hasClientLeft() {
         return SocketState.isEndedByPeer(ctx.channel());
     }
@@ -141,10 +155,11 @@
     }
 
     /**
-     * Closes the connection so that another can have its place. If the client may not have the last response yet, this
-     * side is ended instead: a close with unread input would be a reset, which takes the response with it.
+     * Closes the connection to make room for another one. If the client may not have received the last response yet,
+     * only the proxy's output is shut down: a close with unread input would send a reset, which would discard that
+     * response.
      *
-     * @return whether the connection is closed; otherwise it is once it has lingered
+     * @return whether the connection is closed now; otherwise it is closed after it has lingered
      */
     boolean evict(double nowMs) {
         if (activity.mayNotHaveLastResponse(nowMs)) {
@@ -155,13 +170,13 @@
         return true;
     }
 
-    /** Takes no further request, and ends the connection after the responses to those taken before. */
+    /** Accepts no further requests, and ends the connection after the responses to the requests accepted before. */
     void stopTakingRequests() {
         closer.stopTakingRequests();
         writeResponses();
     }
 
-    /** Ends this side of the connection and waits for the client to end its own. */
+    /** Shuts down the proxy's output and waits for the client to close its side. */
     void finish() {
         closer.finish(ctx);
     }
@@ -175,7 +190,7 @@
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) throws Exception {
-        if (message != Unpooled.EMPTY_BUFFER) { // which stands for what was read before a pause
+        if (message != Unpooled.EMPTY_BUFFER) { // an empty buffer only makes the decoder continue after a pause
             readControl.bytesRead();
         }
         super.channelRead(context, message);
@@ -200,7 +215,7 @@
         }
     }
 
-    /** Unlike the decoder's own, does not read on if no message was fired, as reading may be paused. */
+    /** Unlike the overridden method, does not read again if no message was fired, because reading may be paused. */
     @Override
     public void channelReadComplete(ChannelHandlerContext context) {
         discardSomeReadBytes();
@@ -231,7 +246,10 @@
 
     // ---- responses
 
-    /** Writes what is ready in the order of the requests, and ends the connection if that is due. */
+    /**
+     * Writes the responses that are ready, in the order of the requests, and ends the connection if it is due to be
+     * closed.
+     */
     void writeResponses() {
         boolean wrote = responses.writeReady(ctx, closer);
         if (wrote) {
@@ -260,7 +278,9 @@
         ctx.flush();
     }
 
-    /** Adapts the sources of values, and the reading of requests, to what the client takes. */
+    /**
+     * Pauses or resumes value sources and the reading of requests, depending on how fast the client reads responses.
+     */
     private void updateFlowControl() {
         responses.updateFlowControl(ctx);
         if (mayTakeRequest()) {
--- a/src/main/java/cacheproxy/proxy/client/ClientRegistry.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientRegistry.java
@@ -7,8 +7,8 @@
 import java.util.Set;
 
 /**
- * The client connections of all listeners of one event loop. While there are too many of them, idle ones are evicted
- * and, if there is none, accepting pauses.
+ * The client connections of all listeners of one event loop. While there are too many connections, idle ones are
+ * evicted; if none can be evicted, accepting pauses.
  */
 public final class ClientRegistry {
     private final EventLoopContext loopContext;
@@ -16,23 +16,25 @@
     private final Set<ClientConnection> connections = new HashSet<>();
     private final List<Listener> listeners = new ArrayList<>();
 
-    /** No connection yet; at most {@code maxConnections} are kept open. */
+    /** Creates an empty registry that keeps at most {@code maxConnections} connections open. */
     public ClientRegistry(EventLoopContext loopContext, int maxConnections) {
         this.loopContext = loopContext;
         this.maxConnections = maxConnections;
     }
 
-    /** Pauses and resumes accepting at this listener, too. */
+    /** Adds a listener, whose accepting this registry pauses and resumes. */
     void add(Listener listener) {
         listeners.add(listener);
     }
 
-    /** Forgets a listener that accepts no more. */
+    /** Removes a listener that no longer accepts connections. */
     void remove(Listener listener) {
         listeners.remove(listener);
     }
 
-    /** Counts a connection that the kernel has accepted; evicts another, or pauses accepting, if there are too many. */
+    /**
+     * Adds a connection that the kernel has accepted. If there are too many, evicts another one or pauses accepting.
+     */
     void connectionAccepted(ClientConnection connection) {
         connections.add(connection);
         if (hasTooManyConnections() && !evictOne(connection)) {
@@ -47,8 +49,8 @@
     /**
      * Evicts the connection with the highest rank.
      *
-     * @param excluded a connection that is not evicted; may be null
-     * @return whether its descriptor is free at once
+     * @param excluded a connection that must not be evicted; may be null
+     * @return whether a connection was evicted and its descriptor is free immediately
      */
     private boolean evictOne(ClientConnection excluded) {
         ClientConnection candidate = null;
@@ -64,12 +66,12 @@
             }
         }
         if (connections.size() - lingering <= maxConnections) {
-            return false; // enough of them close soon
+            return false; // enough connections are about to close
         }
         return candidate != null && candidate.evict(nowMs);
     }
 
-    /** Counts a closed connection out, and lets listeners accept again if there are no longer too many. */
+    /** Removes a closed connection, and resumes accepting if there are no longer too many connections. */
     void connectionClosed(ClientConnection connection) {
         connections.remove(connection);
         if (!hasTooManyConnections()) {
@@ -88,12 +90,15 @@
         evictIfTooManyConnections();
     }
 
-    /** A connection has become idle, so that it can be evicted if accepting is paused. */
+    /** Reports that a connection has become idle, so that it can be evicted if accepting is paused. */
     void connectionIdle() {
         evictIfTooManyConnections();
     }
 
-    /** Idle clients keep their connections, and those in the accept queue would wait for one of them to leave. */
+    /**
+     * Evicts a connection if there are too many. Otherwise, connections in the accept queue would wait until an idle
+     * client disconnects.
+     */
     private void evictIfTooManyConnections() {
         if (hasTooManyConnections()) {
             evictOne(null);
--- a/src/main/java/cacheproxy/proxy/client/CloseCause.java
+++ b/src/main/java/cacheproxy/proxy/client/CloseCause.java
@@ -2,15 +2,15 @@
 
 /** Why the proxy closes a client connection. */
 enum CloseCause {
-    /** The client has stopped to write a request, or to take a response. */
+    /** The client has stopped in the middle of a request, or has stopped reading a response. */
     STALLED("stalled"),
-    /** Another connection needs the place. */
+    /** The connection is closed to make room for another one. */
     EVICTED("makes_room"),
-    /** The rest of a response that has begun will not come. */
+    /** The rest of a partly sent response will not arrive. */
     RESPONSE_ABORTED("answer_cut"),
-    /** The proxy's side was ended before, and the client has not ended its own in time. */
+    /** The proxy had shut down its output, and the client did not close its side in time. */
     LINGERED("lingered"),
-    /** The proxy's side ends; the client's is still open. */
+    /** The proxy shuts down its output; the client's side is still open. */
     FINISHED("finished");
 
     private final String label;
@@ -19,7 +19,7 @@
         this.label = label;
     }
 
-    /** The cause as the event log has it. */
+    /** The cause as it is written to the event log. */
     String label() {
         return label;
     }
--- a/src/main/java/cacheproxy/proxy/client/ConnectionCloser.java
+++ b/src/main/java/cacheproxy/proxy/client/ConnectionCloser.java
@@ -8,19 +8,19 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * The states in which a client connection ends: it stops taking requests ({@link #isClosing}), it ends the proxy's side
- * and lingers until the client ends its own ({@link #isFinished}), and it is closed.
+ * Closes a client connection in steps: it accepts no further requests ({@link #isClosing}), it shuts down the proxy's
+ * output and lingers until the client closes its side ({@link #isFinished}), and it is closed.
  */
 final class ConnectionCloser {
     private static final long LINGER_MS = 300;
-    /** The cause of an end that the system reports as an error of the connection. */
+    /** The cause that is logged if the operating system reports an error of the connection. */
     private static final String RESET = "reset";
 
     private final EventLoopContext loopContext;
     private final ResponseQueue responses;
     private boolean closing;
     private boolean finished;
-    /** Why this side has closed the connection, or its error; null if neither. */
+    /** Why the proxy has closed the connection, or the error that ended it; null if there is neither. */
     private String cause;
 
     ConnectionCloser(EventLoopContext loopContext, ResponseQueue responses) {
@@ -28,24 +28,24 @@
         this.responses = responses;
     }
 
-    /** Whether no further request is taken; the connection ends after the last response. */
+    /** Returns whether no further requests are accepted; the connection ends after the last response. */
     boolean isClosing() {
         return closing;
     }
 
-    /** Whether this side is ended, so that nothing more is written. */
+    /** Returns whether the proxy's output is shut down, so that nothing more is written. */
     boolean isFinished() {
         return finished;
     }
 
-    /** Takes no further request from now on. */
+    /** Accepts no further requests from now on. */
     void stopTakingRequests() {
         closing = true;
     }
 
     /**
-     * Ends this side and waits for the client to end its own: a close with unread input would send a reset, which could
-     * overtake the last response.
+     * Shuts down the proxy's output and waits for the client to close its side: a close with unread input would send a
+     * reset, which could overtake the last response.
      */
     @SuppressWarnings("FutureReturnValueIgnored") // the close is observed where the channel becomes inactive
     void finish(ChannelHandlerContext ctx) {
@@ -66,18 +66,18 @@
     void close(ChannelHandlerContext ctx, CloseCause closeCause) {
         responses.checkAnswered(closeCause);
         cause = closeCause.label();
-        ctx.flush(); // a response that is written and not flushed would be lost
+        ctx.flush(); // otherwise a response that is written but not flushed would be lost
         ctx.close();
     }
 
-    /** Closes the connection after an error of the system's or a fault of the proxy's. */
+    /** Closes the connection after an I/O error or a fault of the proxy. */
     @SuppressWarnings("FutureReturnValueIgnored") // the close is observed where the channel becomes inactive
     void closeAfter(Throwable error, ChannelHandlerContext ctx) {
         cause = error instanceof IOException ? RESET : error.getClass().getSimpleName();
         ctx.close();
     }
 
-    /** The channel is closed, by whichever side. */
+    /** Reports that the channel is closed, by either side. */
     void closed(ChannelHandlerContext ctx, int unreadBytes) {
         if (loopContext.events().isEnabled()) {
             loopContext
@@ -94,7 +94,7 @@
         finished = true;
     }
 
-    /** Whether the proxy has ended the connection first; a reset is the client's. */
+    /** Returns whether the proxy has ended the connection first; a reset counts as ended by the client. */
     private boolean isClosedByProxy() {
         return finished || (cause != null && !RESET.equals(cause));
     }
--- a/src/main/java/cacheproxy/proxy/client/ConnectionOwner.java
+++ b/src/main/java/cacheproxy/proxy/client/ConnectionOwner.java
@@ -2,26 +2,31 @@
 
 import cacheproxy.proxy.request.RequestHandler;
 
-/** What a client connection asks of its listener and reports to it; on the event loop. */
+/**
+ * The listener of a client connection: provides its configuration and receives its events. Used on the event loop only.
+ */
 interface ConnectionOwner {
-    /** The handler that gets the requests. */
+    /** The handler that receives the requests. */
     RequestHandler handler();
 
     /** The grammar of the commands. */
     MetaProtocol protocol();
 
-    /** Whether this connection is to be closed as soon as it has no open request. */
+    /** Returns whether this connection is to be closed as soon as it has no open request. */
     boolean closesWhenIdle(ClientConnection connection);
 
-    /** Whether clients that ask by {@code mn} are told that the proxy takes requests. */
+    /** Returns whether the response to {@code mn} says that the proxy accepts requests. */
     boolean acceptsClients();
 
-    /** The earliest time, in milliseconds, since when a connection that is accepted now may have waited for that. */
+    /**
+     * Reports that a connection is accepted; returns the earliest time, in milliseconds, since which it may have been
+     * waiting in the accept queue.
+     */
     double queuedSinceMs();
 
-    /** The last response has been written; the connection has no open request. */
+    /** Reports that the last response has been written, so that the connection has no open request. */
     void connectionIdle(ClientConnection connection);
 
-    /** The connection is closed. */
+    /** Reports that the connection is closed. */
     void connectionClosed(ClientConnection connection);
 }
--- a/src/main/java/cacheproxy/proxy/client/Listener.java
+++ b/src/main/java/cacheproxy/proxy/client/Listener.java
@@ -18,11 +18,11 @@
 import java.util.Set;
 
 /**
- * A listening socket and the client connections that were accepted there. On the event loop, but for reserving and
+ * A listening socket and the client connections that it accepted. Used on the event loop only, except for reserving and
  * binding its address.
  */
 public final class Listener implements ConnectionOwner {
-    /** How long none is accepted after an accept has failed, for want of descriptors or memory. */
+    /** How long accepting pauses after an accept has failed for lack of descriptors or memory. */
     private static final double ACCEPT_RETRY_MS = 20;
 
     private final EventLoopContext loopContext;
@@ -32,20 +32,20 @@
     private RequestHandler handler;
     private MetaProtocol protocol;
     private Channel channel;
-    /** Holds the address until the channel has it; null if none was reserved. */
+    /** Holds the address until the channel is bound to it; null if none was reserved. */
     private ReservedAddress reserved;
     /** Connections with a closing position below this are closed once idle. */
     private double closingFraction;
 
     private boolean acceptsClients = true;
     private boolean draining;
-    /** Whether the bound on client connections lets further ones be accepted. */
+    /** Whether the limit on client connections allows further ones to be accepted. */
     private boolean accepting = true;
 
     private long acceptedCount;
     private long failureCount;
 
-    /** A listener without an address yet; its requests go to the handler. */
+    /** Creates a listener that has no address yet and that passes requests to the handler. */
     public Listener(
             EventLoopContext loopContext, ClientRegistry clients, RequestHandler handler, MetaProtocol protocol) {
         this.loopContext = loopContext;
@@ -66,7 +66,7 @@
         reserved = ReservedAddress.bind(address);
     }
 
-    /** Accepts connections at the reserved address from now on, unless the listener drains already. */
+    /** Accepts connections at the reserved address from now on, unless the listener is already draining. */
     public Future<?> listen() {
         if (draining) {
             return loopContext.loop().newSucceededFuture(null);
@@ -74,7 +74,7 @@
         return bind(reserved.address()).addListener(bound -> releaseAddress());
     }
 
-    /** Gives the address back that is reserved and not listened at. */
+    /** Releases the address if one is reserved and not listened on. */
     public void close() {
         releaseAddress();
     }
@@ -95,7 +95,7 @@
         return register(bootstrap().bind(address, shared));
     }
 
-    /** Accepts connections from a socket that listens already, and that another process may have, too. */
+    /** Accepts connections from a socket that is already listening, and that may be shared with another process. */
     public ChannelFuture adopt(int descriptor) {
         return register(bootstrap().adopt(descriptor));
     }
@@ -115,7 +115,7 @@
         return channel;
     }
 
-    /** The address that is listened at or reserved. */
+    /** The address that this listener listens on or has reserved. */
     public InetSocketAddress address() {
         return channel == null ? reserved.address() : (InetSocketAddress) channel.localAddress();
     }
@@ -137,21 +137,21 @@
         clients.connectionAccepted(connection);
     }
 
-    /** A handler for a connection that was not accepted here, and is not counted among this listener's. */
+    /** Creates the handler for a connection that this listener has not accepted and does not count as its own. */
     public ChannelHandler newUncountedConnection() {
         return new ClientConnection(loopContext, this, 0);
     }
 
     /**
-     * Handles errors of the system's accept: a connection that was reset in the queue, or a momentary shortage of
-     * descriptors or buffers. Netty's default is to accept none for a second, in which requests that wait in the queue
-     * would time out.
+     * Handles errors of the accept system call: a connection that was reset in the queue, or a momentary shortage of
+     * descriptors or buffers. By default, Netty accepts no connection for a second after such an error, and requests
+     * that wait in the queue would time out.
      */
     private final class AcceptFailureHandler extends ChannelInboundHandlerAdapter {
         @Override
         public void exceptionCaught(ChannelHandlerContext context, Throwable cause) {
             failureCount++;
-            if (Long.bitCount(failureCount) == 1) { // the 1st, 2nd, 4th, ...: they must not use up the log's lines
+            if (Long.bitCount(failureCount) == 1) { // logs the 1st, 2nd, 4th, ... only: log lines are limited
                 loopContext.log("accept failed, " + failureCount + " in all: " + cause.getMessage());
             }
             setReading(false);
@@ -163,7 +163,7 @@
         }
     }
 
-    /** Pauses or resumes accepting, for the bound on client connections. */
+    /** Pauses or resumes accepting, to enforce the limit on client connections. */
     void setAccepting(boolean newAccepting) {
         accepting = newAccepting;
         setReading(newAccepting);
@@ -176,7 +176,7 @@
         }
     }
 
-    /** Sends later requests to another handler, and parses later commands by another protocol. */
+    /** Sends later requests to another handler, and parses later commands with another protocol. */
     public void reconfigure(RequestHandler newHandler, MetaProtocol newProtocol) {
         handler = newHandler;
         protocol = newProtocol;
@@ -184,13 +184,15 @@
 
     // ---- draining
 
-    /** Stops listening and closes the connections once idle. To be called again until {@link #isEmpty}. */
+    /**
+     * Stops listening and closes the connections once they are idle. To be called repeatedly until {@link #isEmpty}.
+     */
     public void drain() {
         stopListening();
         closeIdle(1);
     }
 
-    /** Accepts no further connections; those that are open go on. */
+    /** Accepts no further connections; open connections continue. */
     @SuppressWarnings("FutureReturnValueIgnored") // the close is observed where the channel becomes inactive
     public void stopListening() {
         if (draining) {
@@ -201,21 +203,22 @@
             releaseAddress();
             return;
         }
-        // Another process may have the same socket; then closing ours would not take it out of our selector.
+        // Another process may share the socket; closing our descriptor would then not remove the socket from our
+        // selector.
         channel.deregister().addListener(deregistered -> channel.close());
         clients.remove(this);
     }
 
-    /** Sets what clients that ask by {@code mn} are told: whether the proxy takes requests. */
+    /** Sets whether the response to {@code mn} says that the proxy accepts requests. */
     public void setAcceptsClients(boolean newAcceptsClients) {
         acceptsClients = newAcceptsClients;
     }
 
     /**
-     * Closes connections once idle, in the order of their closing positions. To be called again, as connections become
-     * idle and clients have had the time to send their first request.
+     * Closes connections once they are idle, in the order of their closing positions. To be called repeatedly, because
+     * further connections become idle and further clients have had the time to send their first request.
      *
-     * @param fraction the part of the connections, from 0 to 1
+     * @param fraction the share of the connections to close, from 0 to 1
      */
     public void closeIdle(double fraction) {
         closingFraction = fraction;
@@ -229,7 +232,7 @@
         }
     }
 
-    /** Takes no further requests on any connection; each ends after its last response. */
+    /** Accepts no further requests on any connection; each connection ends after its last response. */
     public void stopTakingRequests() {
         new ArrayList<>(connections).forEach(ClientConnection::stopTakingRequests);
     }
--- a/src/main/java/cacheproxy/proxy/client/ListenerBootstrap.java
+++ b/src/main/java/cacheproxy/proxy/client/ListenerBootstrap.java
@@ -14,7 +14,7 @@
 import java.net.SocketAddress;
 import java.util.function.Consumer;
 
-/** Opens one listening socket, with the options of the sockets that are accepted there. */
+/** Opens one listening socket and configures the sockets that it accepts. */
 final class ListenerBootstrap {
     private static final int BACKLOG = 512;
     private static final WriteBufferWaterMark WATER_MARK = new WriteBufferWaterMark(64 << 10, 128 << 10);
@@ -24,9 +24,9 @@
     /**
      * Creates a bootstrap.
      *
-     * @param loop of the listening channel and of those that it accepts
+     * @param loop the event loop of the listening channel and of the channels that it accepts
      * @param listeningHandler the handler of the listening channel
-     * @param onAccepted gets each accepted channel while it is registered, to add its handlers
+     * @param onAccepted called with each accepted channel during its registration, to add its handlers
      */
     ListenerBootstrap(EventLoop loop, ChannelHandler listeningHandler, Consumer<Channel> onAccepted) {
         bootstrap = new ServerBootstrap()
@@ -55,7 +55,7 @@
         return bootstrap.bind(address);
     }
 
-    /** Takes a socket that listens already. */
+    /** Uses a socket that is already listening. */
     ChannelFuture adopt(int descriptor) {
         return bootstrap
                 .channelFactory(() -> new EpollServerSocketChannel(descriptor))
--- a/src/main/java/cacheproxy/proxy/client/MetaProtocol.java
+++ b/src/main/java/cacheproxy/proxy/client/MetaProtocol.java
@@ -8,10 +8,10 @@
     /** The longest key of memcached's protocol.txt, in characters. */
     private static final int MAX_KEY_LENGTH = 250;
 
-    /** The length of a command's name with the space behind it. */
+    /** The length of a command's name and the space after it. */
     static final int COMMAND_LENGTH = 3;
 
-    /** The grammar of the platform's own clients, which name the request's id and attributes in every command. */
+    /** The grammar of the platform's own clients, which specify the request's id and attributes in every command. */
     public static MetaProtocol platform() {
         return PlatformMetaProtocol.INSTANCE;
     }
@@ -19,7 +19,8 @@
     /**
      * Parses a command line and calls exactly one method of the handler.
      *
-     * @throws MetaCodec.SyntaxException if the length of a value is unreadable, so that the next command can't be found
+     * @throws MetaCodec.SyntaxException if the length of a value is invalid, so that the start of the next command is
+     *     unknown
      */
     abstract void parse(String line, MetaCommandHandler handler) throws MetaCodec.SyntaxException;
 
@@ -36,17 +37,17 @@
     /** The line, with its end, for a key that no server has. */
     abstract String missLine(String echo);
 
-    /** Whether the line is an {@code ms} command. */
+    /** Returns whether the line is an {@code ms} command. */
     static boolean isWrite(String line) {
         return line.startsWith("ms ");
     }
 
-    /** Whether the line is an {@code mg} command. */
+    /** Returns whether the line is an {@code mg} command. */
     static boolean isRead(String line) {
         return line.startsWith("mg ");
     }
 
-    /** Whether the key is neither empty nor too long. */
+    /** Returns whether the key is neither empty nor too long. */
     static boolean isValidKey(String key) {
         return !key.isEmpty() && key.length() <= MAX_KEY_LENGTH;
     }
--- a/src/main/java/cacheproxy/proxy/client/PendingResponse.java
+++ b/src/main/java/cacheproxy/proxy/client/PendingResponse.java
@@ -13,36 +13,39 @@
 import io.netty.channel.WriteBufferWaterMark;
 
 /**
- * The response to one command of a client connection, in its place among the others: encodes it, and holds it until it
- * is its turn to be written.
+ * The response to one command of a client connection: encodes it, and holds it until all earlier responses have been
+ * written.
  */
 final class PendingResponse implements Responder {
-    /** What a value's response has besides the value and the echo: {@code VA}, the length and two line ends. */
+    /**
+     * The maximum length of a value's response without the value and the echo: {@code VA}, the length and two line
+     * ends.
+     */
     private static final int MAX_VALUE_FRAME_BYTES = 24;
-    /** Parts in one buffer before they are copied together. */
+    /** The maximum number of parts in one buffer; if there are more, they are copied together. */
     private static final int MAX_COMPOSITE_PARTS = 64;
 
     private final ClientConnection connection;
     private final MetaProtocol protocol;
-    /** The flags that the client wants back. */
+    /** The flags that the response repeats, with a space before each. */
     private final String echo;
-    /** Null once it has been submitted. */
+    /** The request to submit; null once it has been submitted, or if there is none. */
     private ClientRequest request;
 
     private RequestHandler.Handle handle;
-    /** What is ready to be written; null if there is nothing, or it has been written. */
+    /** The bytes that are ready to be written; null if there are none, or they have been written. */
     private ByteBuf readyBytes;
-    /** Whether all of the response is known. */
+    /** Whether the whole response is known. */
     private boolean complete;
-    /** Whether a value that is passed on in parts has begun. */
+    /** Whether a value that is streamed in parts has begun. */
     private boolean valueBegun;
-    /** Where the rest of such a value comes from. */
+    /** The source of the remaining parts of a streamed value. */
     private ValueSource source;
 
     private boolean streamOpen;
 
     /**
-     * The response to a command.
+     * Creates the response to a command.
      *
      * @param request the request to submit; null for a command that the proxy responds to itself
      */
@@ -63,7 +66,7 @@
         }
     }
 
-    /** Whether the client has got nothing of the response yet. */
+    /** Returns whether no part of the response is known yet. */
     boolean isUnanswered() {
         return !complete && !valueBegun;
     }
@@ -72,7 +75,7 @@
         return complete;
     }
 
-    /** Writes, without flushing, what is ready; returns whether there was anything. */
+    /** Writes the bytes that are ready, without flushing; returns whether there were any. */
     @SuppressWarnings("FutureReturnValueIgnored") // a failed write closes the channel, and the close is handled
     boolean writeReady(ChannelHandlerContext ctx) {
         if (readyBytes == null) {
@@ -83,14 +86,16 @@
         return true;
     }
 
-    /** Pauses the source of a value unless this response is the next one and the client takes what is written. */
+    /**
+     * Pauses the source of a streamed value unless this response is the next one and the client reads what is written.
+     */
     void updateFlowControl(boolean isNext, ChannelHandlerContext ctx) {
         if (source != null) {
             source.setPaused(!isNext || !ctx.channel().isWritable());
         }
     }
 
-    /** Reports that the connection is closed without this response. */
+    /** Records the violation that the connection is closed without this response. */
     void recordUnansweredClose(CloseCause cause) {
         connection
                 .loopContext()
@@ -99,7 +104,9 @@
                         Invariant.CLOSE_OWES_NOTHING, echo.trim(), "its connection is closed, " + cause.label());
     }
 
-    /** The connection is closed: releases what is held and tells the request's handler. */
+    /**
+     * Handles the close of the connection: releases the request and the buffers, and notifies the request's handler.
+     */
     void clientDisconnected(EventLoopContext loopContext) {
         if (request != null) {
             request.release(loopContext);
@@ -118,7 +125,7 @@
         }
     }
 
-    /** Responds by a whole line, with its end. */
+    /** Responds with a complete line, including its line end. */
     void respond(String line) {
         complete(MetaCodec.ascii(connection.allocator(), line));
     }
@@ -216,7 +223,7 @@
         connection.writeResponses();
     }
 
-    /** Closes the connection, as nothing else tells the client that the value is incomplete. */
+    /** Closes the connection, because nothing else shows the client that the value is incomplete. */
     @Override
     public void abortValue() {
         streamEnded();
--- a/src/main/java/cacheproxy/proxy/client/PlatformMetaProtocol.java
+++ b/src/main/java/cacheproxy/proxy/client/PlatformMetaProtocol.java
@@ -5,7 +5,7 @@
 
 /**
  * The platform's grammar: {@code mg KEY ... Oid Pattributes} and {@code ms KEY LENGTH ... Oid Pattributes}. The id and
- * the attributes are required, and the line goes on to cache nodes unchanged but for the deadline.
+ * the attributes are required, and the line is forwarded to cache servers unchanged except for the deadline.
  */
 final class PlatformMetaProtocol extends MetaProtocol {
     static final PlatformMetaProtocol INSTANCE = new PlatformMetaProtocol();
@@ -32,7 +32,7 @@
         }
         String id = MetaCodec.flagArgument(line, flagsIndex, 'O');
         String attributes = MetaCodec.flagArgument(line, flagsIndex, 'P');
-        // Bytes other than printable ASCII can't be passed on unchanged, least of all in a header to the origin.
+        // Bytes other than printable ASCII can't be forwarded unchanged, least of all in a header to the origin.
         boolean valid =
                 isValidKey(key) && id != null && !id.isEmpty() && attributes != null && MetaCodec.isPrintable(line);
         ClientRequest request = valid ? request(line, key, id, attributes, flagsIndex, write) : null;
--- a/src/main/java/cacheproxy/proxy/client/ReadControl.java
+++ b/src/main/java/cacheproxy/proxy/client/ReadControl.java
@@ -5,15 +5,18 @@
 import io.netty.channel.ChannelHandlerContext;
 
 /**
- * Pauses the reading of a client connection while it has too much in hand, and knows since when the bytes that are read
- * now may have waited, from which a request's deadline counts.
+ * Pauses reading from a client connection while it has too many open requests or unwritten responses, and tracks the
+ * earliest time at which the bytes that are read now may have arrived. A request's deadline counts from that time.
  */
 final class ReadControl {
     private final EventLoopContext loopContext;
     private boolean paused;
-    /** The earliest time that the bytes last read may have arrived. */
+    /** The earliest time at which the bytes last read may have arrived. */
     private double unreadSinceMs;
-    /** The earliest time that bytes may have arrived that are read after accepting the connection, or after a pause. */
+    /**
+     * The earliest time at which the bytes that are read first after accepting the connection, or after a pause, may
+     * have arrived.
+     */
     private double unreadSincePauseMs;
     /** The event loop's turn in which the connection was accepted or the last pause ended. */
     private long resumeTurn;
@@ -22,14 +25,17 @@
         this.loopContext = loopContext;
     }
 
-    /** The connection has been accepted; it may have waited for that since {@code queuedSinceMs}. */
+    /**
+     * Records that the connection has been accepted; it may have been waiting in the accept queue since
+     * {@code queuedSinceMs}.
+     */
     void accepted(double queuedSinceMs) {
         unreadSincePauseMs = queuedSinceMs;
         resumeTurn = loopContext.turn();
         unreadSinceMs = queuedSinceMs;
     }
 
-    /** Bytes have been read from the socket. */
+    /** Records that bytes have been read from the socket. */
     void bytesRead() {
         unreadSinceMs = loopContext.unreadSinceMs();
         if (loopContext.isTurnOrNext(resumeTurn)) {
@@ -37,7 +43,7 @@
         }
     }
 
-    /** The earliest time, in milliseconds, that the bytes last read may have arrived. */
+    /** The earliest time, in milliseconds, at which the bytes last read may have arrived. */
     double unreadSinceMs() {
         return unreadSinceMs;
     }
@@ -55,7 +61,7 @@
         ctx.channel().config().setAutoRead(false);
     }
 
-    /** Reads on after a pause, if there is one. */
+    /** Resumes reading after a pause; has no effect if reading is not paused. */
     void resume(ChannelHandlerContext ctx) {
         if (!paused) {
             return;
--- a/src/main/java/cacheproxy/proxy/client/RequestDecoder.java
+++ b/src/main/java/cacheproxy/proxy/client/RequestDecoder.java
@@ -7,38 +7,41 @@
 import io.netty.buffer.ByteBufAllocator;
 
 /**
- * Decodes the commands of one client connection. The value of a write is read into a buffer if the bound on clients'
- * values allows it, and otherwise skipped.
+ * Decodes the commands of one client connection. The value of a write is read into a buffer if the memory limit on
+ * clients' values allows it, and skipped otherwise.
  */
 final class RequestDecoder implements MetaCommandHandler {
-    /** The line end behind a value. */
+    /** The length of the line end after a value. */
     private static final int CRLF_BYTES = 2;
-    /** A value's buffer begins with at most this size and grows with what arrives. */
+    /** The maximum initial size of a value's buffer, which grows as the value arrives. */
     private static final int MAX_INITIAL_BUFFER_BYTES = 16 << 10;
 
     private final EventLoopContext loopContext;
     private final ConnectionOwner owner;
     private final Output output;
 
-    /** The grammar of the command that is being read, which stays its own if a reload replaces the owner's. */
+    /**
+     * The grammar of the command that is being read. It stays in use for that command if a reload replaces the owner's
+     * grammar.
+     */
     private MetaProtocol protocol;
 
     private boolean readingValue;
     /** The write whose value is being read; null if it can't be carried out. */
     private ClientRequest write;
-    /** The bytes of the value, with its line end, that have not arrived yet. */
+    /** The number of bytes of the value, with its line end, that have not arrived yet. */
     private int missingBytes;
     /** The echo of the last write in the standard grammar. */
     private String standardEcho;
     /** The response to the last write in the standard grammar if it can't be carried out, else null. */
     private String standardErrorLine;
 
-    /** What the decoder has decoded. */
+    /** Receives the decoded commands. */
     interface Output {
-        /** A request is complete. */
+        /** Handles a complete request. */
         void request(ClientRequest request, MetaProtocol protocol, String echo);
 
-        /** A command gets this line, with its end, as the response from the proxy itself. */
+        /** Responds to a command with this line, including its line end, from the proxy itself. */
         void respond(String responseLine);
     }
 
@@ -48,7 +51,7 @@
         this.output = output;
     }
 
-    /** Whether a write's value has begun and is not complete. */
+    /** Returns whether the value of a write is being read. */
     boolean isReadingValue() {
         return readingValue;
     }
@@ -56,7 +59,7 @@
     /**
      * Decodes at most one command line or a part of one value.
      *
-     * @throws MetaCodec.SyntaxException if the beginning of the next command can't be known
+     * @throws MetaCodec.SyntaxException if the start of the next command is unknown
      */
     void decode(ByteBuf input, ByteBufAllocator allocator) throws MetaCodec.SyntaxException {
         if (readingValue) {
@@ -149,7 +152,7 @@
         return value.getShort(value.writerIndex() - CRLF_BYTES) == MetaCodec.CRLF;
     }
 
-    /** The connection is closed: releases the value that is being read. */
+    /** Handles the close of the connection: releases the value that is being read. */
     void close() {
         if (write != null) {
             write.release(loopContext);
--- a/src/main/java/cacheproxy/proxy/client/RequestSubmitter.java
+++ b/src/main/java/cacheproxy/proxy/client/RequestSubmitter.java
@@ -4,9 +4,9 @@
 import java.util.ArrayDeque;
 
 /**
- * Submits the complete requests of one connection to the owner's handler, once all that is read now has been decoded.
- * The client's end may be behind a request, and the request of a client that has left meanwhile, perhaps long ago on a
- * busy loop, must not be sent to a server. Used on the event loop only.
+ * Submits the complete requests of one connection to the owner's handler, once all bytes that are read now have been
+ * decoded. The client's close may follow a request in the input, and the request of a client that has disconnected in
+ * the meantime, perhaps long ago if the event loop is busy, must not be sent to a server. Used on the event loop only.
  */
 final class RequestSubmitter {
     private final ClientConnection connection;
@@ -34,7 +34,8 @@
     private void submitRequests() {
         scheduled = false;
         ChannelHandlerContext context = connection.context();
-        // When the channel is no longer active, channelInactive is still to come and releases what is left here.
+        // If the channel is no longer active, channelInactive is called later and releases the requests that are left
+        // here.
         PendingResponse response;
         while (context.channel().isActive() && (response = unsubmitted.poll()) != null) {
             try {
@@ -45,7 +46,7 @@
         }
     }
 
-    /** Forgets the requests that are not submitted; the connection releases them with its other responses. */
+    /** Discards the requests that are not submitted; the connection releases them with its other responses. */
     void clear() {
         unsubmitted.clear();
     }
--- a/src/main/java/cacheproxy/proxy/client/ReservedAddress.java
+++ b/src/main/java/cacheproxy/proxy/client/ReservedAddress.java
@@ -6,8 +6,8 @@
 import java.net.SocketAddress;
 
 /**
- * An address that is bound and not listened at yet, so that clients are refused and go elsewhere at once instead of
- * waiting in a queue while their requests' time runs.
+ * An address that is bound but not listened on yet, so that clients are refused and connect elsewhere immediately,
+ * instead of waiting in a queue while their requests' deadlines approach.
  */
 public final class ReservedAddress implements AutoCloseable {
     private final Socket socket;
@@ -17,14 +17,14 @@
     }
 
     /**
-     * Binds the address; port 0 lets the system choose one.
+     * Binds the address; for port 0, the operating system chooses the port.
      *
-     * @throws IOException if the address can't be bound, with the system's reason
+     * @throws IOException if the address can't be bound; the message has the operating system's reason
      */
     public static ReservedAddress bind(SocketAddress address) throws IOException {
         Socket socket = new Socket();
         try {
-            // Without it the listening socket could not bind the address while this one has it.
+            // Without this option, the listening socket could not bind the address while this socket holds it.
             socket.setReuseAddress(true);
             socket.bind(address);
         } catch (IOException e) {
@@ -34,12 +34,12 @@
         return new ReservedAddress(socket);
     }
 
-    /** The bound address, with the port that the system chose for port 0. */
+    /** The bound address, with the port that the operating system chose for port 0. */
     public InetSocketAddress address() {
         return (InetSocketAddress) socket.getLocalSocketAddress();
     }
 
-    /** Gives the address back. */
+    /** Releases the address. */
     @Override
     public void close() {
         try {
--- a/src/main/java/cacheproxy/proxy/client/ResponseQueue.java
+++ b/src/main/java/cacheproxy/proxy/client/ResponseQueue.java
@@ -4,7 +4,9 @@
 import io.netty.channel.ChannelHandlerContext;
 import java.util.ArrayDeque;
 
-/** The responses that a client connection owes, in the order of the requests. Only the first one is written. */
+/**
+ * The responses that a client connection has yet to send, in the order of the requests. Only the first one is written.
+ */
 final class ResponseQueue {
     private final ArrayDeque<PendingResponse> pending = new ArrayDeque<>();
 
@@ -22,7 +24,7 @@
         return pending.size();
     }
 
-    /** Whether the client has got nothing yet of some response. */
+    /** Returns whether there is a response of which no part is known yet. */
     boolean hasUnanswered() {
         for (PendingResponse response : pending) {
             if (response.isUnanswered()) {
@@ -41,7 +43,10 @@
         }
     }
 
-    /** Writes, without flushing, what is ready in the order of the requests; returns whether there was any. */
+    /**
+     * Writes the responses that are ready, in the order of the requests and without flushing; returns whether anything
+     * was written.
+     */
     boolean writeReady(ChannelHandlerContext ctx, ConnectionCloser closer) {
         boolean wrote = false;
         PendingResponse first;
@@ -55,14 +60,16 @@
         return wrote;
     }
 
-    /** Lets the first response's source go on while the client takes what is written, and pauses all others. */
+    /**
+     * Resumes the source of the first response while the client reads what is written, and pauses all other sources.
+     */
     void updateFlowControl(ChannelHandlerContext ctx) {
         for (PendingResponse response : pending) {
             response.updateFlowControl(response == pending.peek(), ctx);
         }
     }
 
-    /** The connection is closed: releases all responses and tells the handlers of their requests. */
+    /** Handles the close of the connection: releases all responses and notifies the handlers of their requests. */
     void close(EventLoopContext loopContext) {
         PendingResponse response;
         while ((response = pending.poll()) != null) {
--- a/src/main/java/cacheproxy/proxy/client/StandardMetaProtocol.java
+++ b/src/main/java/cacheproxy/proxy/client/StandardMetaProtocol.java
@@ -9,7 +9,7 @@
  * The meta commands as stock memcached clients send them, without id and attributes (memcached's protocol.txt, "Meta
  * Commands"): {@code mg KEY v} and {@code ms KEY LENGTH}. Flags are {@code O} (opaque), {@code k} (the response repeats
  * the key) and {@code P} (the platform's attributes, which may name class, tenant and deadline). Other commands and
- * flags are answered by a line that names the unsupported part.
+ * flags are answered with a line that names the unsupported part.
  */
 public final class StandardMetaProtocol extends MetaProtocol {
     private static final String READ_FLAGS = "vOkP";
@@ -23,14 +23,14 @@
     private final Supplier<String> idGenerator;
 
     /**
-     * Defines what is added to requests.
+     * Creates a grammar that adds the following to requests.
      *
-     * @param readDefaults the attributes of a read that names none, such as {@code c=page,t=acme,d=400}; an attribute
-     *     that the request names itself takes precedence
+     * @param readDefaults the default attributes of a read, such as {@code c=page,t=acme,d=400}; an attribute that the
+     *     request has itself takes precedence
      * @param writeDefaults the same for writes
-     * @param deduplicatedClasses names of classes whose repeated writes servers drop by a deduplication key; a write
-     *     without one gets its id as the key
-     * @param idGenerator ids for new requests
+     * @param deduplicatedClasses the names of the classes whose repeated writes servers drop by a deduplication key; a
+     *     write without such a key gets its id as the key
+     * @param idGenerator provides the ids of new requests
      */
     public StandardMetaProtocol(
             String readDefaults, String writeDefaults, Set<String> deduplicatedClasses, Supplier<String> idGenerator) {
@@ -180,7 +180,7 @@
         return standardEcho;
     }
 
-    /** Stock clients know no receipts. */
+    /** Stock clients do not support receipts. */
     @Override
     String storedLine(String echo, String receipt) {
         return "HD" + echo + "\r\n";
--- a/src/main/java/cacheproxy/proxy/client/package-info.java
+++ b/src/main/java/cacheproxy/proxy/client/package-info.java
@@ -1,5 +1,5 @@
 /**
- * The client side: listeners, client connections and the protocols spoken there.
+ * The client side: listeners, client connections and their protocols.
  *
  * <ul>
  *   <li>{@link cacheproxy.proxy.client.Listener} accepts connections at one address and closes them when it drains.
@@ -11,11 +11,11 @@
  *       {@link cacheproxy.proxy.client.ReadControl} the pauses in reading,
  *       {@link cacheproxy.proxy.client.ConnectionCloser} the steps of closing, and
  *       {@link cacheproxy.proxy.client.ConnectionActivity} the times that timeouts count from.
- *   <li>{@link cacheproxy.proxy.client.MetaProtocol} is the grammar: the platform's, or that of stock clients after
- *       memcached's protocol.txt.
+ *   <li>{@link cacheproxy.proxy.client.MetaProtocol} is the grammar: the platform's, or the one of stock clients
+ *       according to memcached's protocol.txt.
  * </ul>
  *
- * <p>Everything runs on the event loop unless a method says otherwise. Requests go to a
- * {@link cacheproxy.proxy.request.RequestHandler}; servers are not known here.
+ * <p>Everything runs on the event loop unless a method says otherwise. Requests are passed to a
+ * {@link cacheproxy.proxy.request.RequestHandler}; this package does not depend on servers.
  */
 package cacheproxy.proxy.client;
--- a/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
@@ -13,22 +13,26 @@
 import java.util.SplittableRandom;
 
 /**
- * Follows the endpoint list of one pool at the discovery service, and hands each list and each change to the pool's
+ * Follows the endpoint list of one pool at the discovery service, and passes each list and each change to the pool's
  * policy. Used on its event loop only.
  */
 public final class DiscoveryClient implements EndpointListSource, UpstreamRegistry.Observer {
     private static final double FETCH_TIMEOUT_MS = 4000;
     private static final int ALL_PEERS = -1;
 
-    // Fractions of PolicySettings#maxPollAgeMs, the time after which a proxy has to poll a discovery that is silent:
+    // Fractions of PolicySettings#maxPollAgeMs, the time after which a proxy has to poll a discovery service that is
+    // silent:
 
-    /** Within this, discovery reports that a process has ended. */
+    /** The time within which discovery reports that a process has ended. */
     private static final double REPORT_DELAY_FRACTION = 0.35;
-    /** The same if many processes have ended, or if another proxy has the report. */
+    /** The same time if many processes have ended, or if another proxy has the report. */
     private static final double SHORT_REPORT_DELAY_FRACTION = 0.1;
-    /** Over this, the proxies spread their announcements of a new version; several times a message's way. */
+    /**
+     * The time over which the proxies spread their announcements of a new version: several times the transit time of a
+     * message.
+     */
     private static final double ANNOUNCEMENT_SPREAD_FRACTION = 0.03;
-    /** Over at most this, the proxies spread their polls of a discovery that is silent. */
+    /** The maximum time over which the proxies spread their polls of a discovery service that is silent. */
     private static final double MAX_STAGGER_FRACTION = 0.25;
 
     private final EventLoopContext context;
@@ -40,7 +44,7 @@
     private final ListVersion version = new ListVersion();
     private final LongPollLoop polls;
     private final SilentWatchMonitor silentWatch;
-    /** For the complete lists that the policy fetches. */
+    /** The connection for the complete lists that the policy fetches. */
     private final DiscoveryConnection fetches;
 
     private final VersionGossip gossip = new VersionGossip();
@@ -51,7 +55,7 @@
         this(context, source, pool, WatchCoordination.NONE);
     }
 
-    /** Creates a client that long-polls while the coordination says so. */
+    /** Creates a client that long-polls while the coordination requires it. */
     public DiscoveryClient(
             EventLoopContext context,
             DiscoverySource source,
@@ -80,7 +84,10 @@
         announcementDelayMs = maxPollAgeMs * ANNOUNCEMENT_SPREAD_FRACTION * positionInFleet;
     }
 
-    /** Hands over the list of the configuration, if any, and follows discovery unless the policy is to ask for that. */
+    /**
+     * Passes the list in the configuration, if any, to the pool, and follows discovery unless that starts on demand of
+     * the policy.
+     */
     public void start() {
         List<ListedServer> initialServers = List.of();
         if (source.initialList() != null) {
@@ -103,8 +110,9 @@
     }
 
     /**
-     * Follows the list at another address of discovery from now on. The old one soon falls silent, so the new one is
-     * polled immediately, and for the complete list, as its versions need not continue those of the old one.
+     * Follows the list at another address of discovery from now on. The old address soon stops responding, so the new
+     * one is polled immediately, and for the complete list, because its versions need not continue those of the old
+     * address.
      */
     public void moveTo(InetSocketAddress to) {
         if (to.equals(polls.address())) {
@@ -126,12 +134,15 @@
         return coordination.shouldLongPoll();
     }
 
-    /** Polls immediately, as there is a newer list. A long poll in flight should have delivered it and is replaced. */
+    /**
+     * Polls immediately, because a newer list exists. A long poll in flight should have delivered that list and is
+     * replaced.
+     */
     public void pollNow() {
         polls.pollNow();
     }
 
-    /** Long-polls from now on, or leaves that to another proxy. */
+    /** Starts long-polling, or leaves it to another proxy. */
     public void setLongPolling(boolean enabled) {
         polls.setLongPolling(enabled);
     }
@@ -160,9 +171,9 @@
     }
 
     /**
-     * Takes over a list or its changes.
+     * Applies a complete list or changes to the list.
      *
-     * @throws RuntimeException if it is invalid or older than the list held, which then stays as it is
+     * @throws RuntimeException if it is invalid or older than the list held, which then stays unchanged
      */
     private void apply(JsonObject list) {
         EndpointListUpdate update = parser.parse(list);
@@ -183,7 +194,9 @@
         }
     }
 
-    /** Another proxy, given by its number, has sent a message that {@link VersionGossip#isVersionMessage} accepts. */
+    /**
+     * Handles a message from the proxy with this number; {@link VersionGossip#isVersionMessage} accepts the message.
+     */
     public void versionAnnounced(int peer, byte[] message) {
         long announced = VersionGossip.decodeVersion(message);
         gossip.received(peer, announced);
--- a/src/main/java/cacheproxy/proxy/discovery/DiscoveryConnection.java
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoveryConnection.java
@@ -29,7 +29,7 @@
 
 /**
  * An HTTP/1.1 connection to discovery with at most one request in flight. It is opened by the first request, kept
- * between requests, and closed with any request that fails. Used on its event loop only.
+ * between requests, and closed when a request fails. Used on its event loop only.
  */
 final class DiscoveryConnection {
     private static final int CONNECT_TIMEOUT_MS = 1000;
@@ -38,7 +38,7 @@
     private final EventLoopContext context;
     /** Null while there is no connection. */
     private Channel channel;
-    /** Receives the end of the request in flight; null if none is. */
+    /** Receives the result of the request in flight; null if there is none. */
     private Consumer<DiscoveryResponse> listener;
 
     private Timer timeout;
@@ -50,7 +50,7 @@
     /**
      * Sends a GET request in place of the one in flight, if any, whose listener is never called.
      *
-     * @param timeoutMs from now until the whole response, including the time to connect
+     * @param timeoutMs the time from now until the complete response, including the time to connect
      * @param onEnd called once, on the event loop and not from within this call, unless the request is cancelled
      */
     void get(InetSocketAddress address, String path, double timeoutMs, Consumer<DiscoveryResponse> onEnd) {
@@ -77,7 +77,7 @@
                 .addListener(future -> {
                     if (future.isSuccess()) {
                         write(((ChannelFuture) future).channel(), address, path);
-                    } else if (listener == connecting) { // not a request that has replaced this one
+                    } else if (listener == connecting) { // no other request has replaced this one
                         fail("no connection", false);
                     }
                 })
@@ -92,7 +92,7 @@
         channel.writeAndFlush(request);
     }
 
-    /** Cancels the request in flight, if any, and closes its connection, on which its response may yet come. */
+    /** Cancels the request in flight, if any, and closes its connection, on which its response might still arrive. */
     void cancel() {
         if (listener != null) {
             close();
@@ -156,7 +156,7 @@
             }
         }
 
-        /** Returns null if the body is no JSON object. */
+        /** Returns null if the body is not a JSON object. */
         private static JsonObject parse(FullHttpResponse response) {
             try {
                 return JsonParser.parseString(response.content().toString(StandardCharsets.UTF_8))
--- a/src/main/java/cacheproxy/proxy/discovery/DiscoveryException.java
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoveryException.java
@@ -1,6 +1,9 @@
 package cacheproxy.proxy.discovery;
 
-/** Discovery gave no usable endpoint list. The message, which goes to the log, says what was wrong and where. */
+/**
+ * Thrown if discovery has not provided a usable endpoint list. The message, which is written to the log, says what is
+ * wrong and where.
+ */
 final class DiscoveryException extends RuntimeException {
     private static final long serialVersionUID = 1;
 
--- a/src/main/java/cacheproxy/proxy/discovery/DiscoveryResponse.java
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoveryResponse.java
@@ -2,7 +2,7 @@
 
 import com.google.gson.JsonObject;
 
-/** How a request to discovery ended. */
+/** The result of a request to discovery. */
 sealed interface DiscoveryResponse {
     /**
      * Returns the body of a successful response.
@@ -22,7 +22,7 @@
         }
     }
 
-    /** The request had no response, or one that is not a list. */
+    /** The request got no response, or one that is not a JSON object with status 200. */
     record Failed(String cause, boolean timedOut) implements DiscoveryResponse {
         @Override
         public JsonObject body() {
--- a/src/main/java/cacheproxy/proxy/discovery/DiscoverySource.java
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoverySource.java
@@ -5,11 +5,12 @@
 import java.util.List;
 
 /**
- * Where a pool's endpoint list comes from.
+ * The discovery service that a pool's endpoint list comes from, and how the list is followed and read.
  *
- * @param address of the discovery service
+ * @param address the address of the discovery service
  * @param initialList the list to start with, in discovery's JSON form; null if there is none
- * @param onDemand whether the list is followed only when the policy asks for that; else from the start
+ * @param onDemand whether the list is followed only when the policy requests it; otherwise it is followed from the
+ *     start
  * @param zones the zones of servers, in the policy's order
  * @param serverKinds the kinds of servers, in the policy's order
  */
--- a/src/main/java/cacheproxy/proxy/discovery/EndpointListParser.java
+++ b/src/main/java/cacheproxy/proxy/discovery/EndpointListParser.java
@@ -12,8 +12,8 @@
 import java.util.Set;
 
 /**
- * Reads discovery's JSON form of the endpoint list. Its methods throw a {@link RuntimeException} where the input is not
- * of that form; where only a value is invalid, it is a {@link DiscoveryException}.
+ * Reads discovery's JSON form of the endpoint list. Its methods throw a {@link RuntimeException} if the input does not
+ * have that form; if only a value is invalid, the exception is a {@link DiscoveryException}.
  */
 final class EndpointListParser {
     private final List<String> zones;
--- a/src/main/java/cacheproxy/proxy/discovery/EndpointListSource.java
+++ b/src/main/java/cacheproxy/proxy/discovery/EndpointListSource.java
@@ -1,8 +1,8 @@
 package cacheproxy.proxy.discovery;
 
-/** Where a pool's endpoint list comes from, as the pool's routing policy asks for it. On the event loop only. */
+/** The source of a pool's endpoint list, controlled by the pool's routing policy. Used on the event loop only. */
 public interface EndpointListSource {
-    /** A source for lists that are given to the pool from elsewhere; does nothing. */
+    /** A source that does nothing, for pools that get their lists from elsewhere. */
     EndpointListSource NONE = new EndpointListSource() {
         @Override
         public void watch(boolean enabled) {}
@@ -11,12 +11,12 @@
         public void fetch() {}
     };
 
-    /** Begins to follow changes of the list, or ends that. */
+    /** Starts or stops following changes of the list. */
     void watch(boolean enabled);
 
-    /** Asks for the whole list once. */
+    /** Requests the complete list once. */
     void fetch();
 
-    /** Ends all polls for good. */
+    /** Ends all polls permanently. */
     default void close() {}
 }
--- a/src/main/java/cacheproxy/proxy/discovery/EndpointListUpdate.java
+++ b/src/main/java/cacheproxy/proxy/discovery/EndpointListUpdate.java
@@ -7,11 +7,11 @@
  * A response of discovery about the endpoint list.
  *
  * @param servers all servers, or those that have changed
- * @param complete whether {@code servers} is the complete list; else its changes, perhaps none
- * @param version of the list, by discovery's numbering, which increases until discovery restarts it
+ * @param complete whether {@code servers} is the complete list; otherwise its changes, possibly none
+ * @param version the version of the list in discovery's numbering, which increases until discovery restarts it
  */
 record EndpointListUpdate(List<ListedServer> servers, boolean complete, long version) {
-    /** The servers as the policy knows them, in their order. */
+    /** The servers in the form that the policy uses, in their order. */
     List<Endpoint> endpoints() {
         return servers.stream().map(ListedServer::endpoint).toList();
     }
--- a/src/main/java/cacheproxy/proxy/discovery/ListVersion.java
+++ b/src/main/java/cacheproxy/proxy/discovery/ListVersion.java
@@ -16,16 +16,16 @@
         return completeListNeeded ? 0 : version;
     }
 
-    /** Takes over the version of a list from another source than discovery, or 0 to start again without a list. */
+    /** Sets the version of a list from another source than discovery, or 0 to start again without a list. */
     void reset(long initial) {
         version = initial;
         completeListNeeded = false;
     }
 
     /**
-     * Takes over the version of a response, and returns whether it is newer than the one held. An older version is a
-     * late response, or discovery has restarted its numbering. Only the complete list, requested as such, shows that it
-     * is the latter, and is then accepted.
+     * Accepts the version of a response, and returns whether it is newer than the one held. An older version means that
+     * the response is late, or that discovery has restarted its numbering. Only a complete list that was requested as
+     * such proves the restart, and is then accepted.
      *
      * @throws DiscoveryException if the response must not replace the list held
      */
--- a/src/main/java/cacheproxy/proxy/discovery/ListedServer.java
+++ b/src/main/java/cacheproxy/proxy/discovery/ListedServer.java
@@ -6,7 +6,7 @@
 /**
  * A server of the endpoint list.
  *
- * @param endpoint the server as the policy knows it
- * @param address to connect to
+ * @param endpoint the server in the form that the policy uses
+ * @param address the address to connect to
  */
 public record ListedServer(Endpoint endpoint, SocketAddress address) {}
--- a/src/main/java/cacheproxy/proxy/discovery/LongPollLoop.java
+++ b/src/main/java/cacheproxy/proxy/discovery/LongPollLoop.java
@@ -10,9 +10,9 @@
 import java.util.function.Consumer;
 
 /**
- * Sends the polls that a {@link DiscoveryPollScheduler} schedules, and reports their ends to it. Discovery keeps a
- * client's watch only if each poll follows the last response within 200 ms; a client that stops polling keeps its list
- * for good, with servers that have drained, departed, or lost their address to another.
+ * Sends the polls that a {@link DiscoveryPollScheduler} schedules, and reports their results to it. Discovery keeps a
+ * client's watch only if each poll follows the last response within 200 ms; a client that stops polling never gets
+ * another list, and keeps servers that have drained, departed, or lost their address to another server.
  */
 final class LongPollLoop {
     private final EventLoopContext context;
@@ -29,7 +29,7 @@
     /**
      * Creates a loop that polls nothing until {@link #setFollowing}.
      *
-     * @param onList takes each list received; what it throws makes the poll a failed one
+     * @param onList receives each list; a poll counts as failed if this throws an exception
      */
     LongPollLoop(
             EventLoopContext context,
@@ -64,7 +64,7 @@
         advance();
     }
 
-    /** Drops the poll in flight and polls another address immediately. */
+    /** Cancels the poll in flight and polls another address immediately. */
     void moveTo(InetSocketAddress newAddress) {
         address = newAddress;
         connection.close();
@@ -72,7 +72,7 @@
         advance();
     }
 
-    /** Ends the loop for good and drops the poll in flight. */
+    /** Ends the loop permanently and cancels the poll in flight. */
     void close() {
         closed = true;
         if (nextPoll != null) {
@@ -81,7 +81,7 @@
         connection.close();
     }
 
-    /** Whether the loop has ended. */
+    /** Returns whether the loop has ended. */
     boolean isClosed() {
         return closed;
     }
@@ -91,17 +91,20 @@
         return address;
     }
 
-    /** Whether a poll is in flight whose result still matters. */
+    /** Returns whether a poll is in flight whose result is still wanted. */
     boolean inFlight() {
         return scheduler.inFlight();
     }
 
-    /** Until when the poll in flight should not be replaced; see the scheduler. */
+    /**
+     * The time until which the poll in flight should not be replaced; see
+     * {@link DiscoveryPollScheduler#protectedUntilMs}.
+     */
     double protectedUntilMs() {
         return scheduler.protectedUntilMs();
     }
 
-    /** Cancels a poll that is not wanted any more, and sends the next poll or sets a timer for it. */
+    /** Cancels a poll that is no longer wanted, and sends the next poll or sets a timer for it. */
     private void advance() {
         if (closed) {
             return;
--- a/src/main/java/cacheproxy/proxy/discovery/PeerAddresses.java
+++ b/src/main/java/cacheproxy/proxy/discovery/PeerAddresses.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * Where the proxies of a tier receive each other's messages.
+ * The addresses at which the proxies of a tier receive each other's messages.
  *
- * @param listen the address to bind; null if this proxy takes no part
- * @param shared whether the next version of this process may bind the same address meanwhile
- * @param peers the addresses of the proxies by their numbers
+ * @param listen the address to bind; null if this proxy does not exchange messages
+ * @param shared whether the next version of this process can bind the same address while this process uses it
+ * @param peers the addresses of the proxies, indexed by their numbers
  * @param all the address that reaches all proxies; null if there is none
  */
 public record PeerAddresses(
--- a/src/main/java/cacheproxy/proxy/discovery/PeerSocket.java
+++ b/src/main/java/cacheproxy/proxy/discovery/PeerSocket.java
@@ -14,8 +14,8 @@
 import java.net.InetSocketAddress;
 
 /**
- * The datagram socket for messages between the proxies of a tier. Messages may be lost, delayed or duplicated; those of
- * other senders are dropped. Receives on its event loop, sends from any thread.
+ * The datagram socket for messages between the proxies of a tier. Messages may be lost, delayed or duplicated; messages
+ * from other senders are dropped. Receives on its event loop, sends from any thread.
  */
 public final class PeerSocket {
     private static final int MAX_MESSAGE_BYTES = 256;
@@ -26,7 +26,7 @@
 
     /** Receives the messages of the other proxies. */
     public interface Receiver {
-        /** Takes a message of the proxy that has this number among the peers. */
+        /** Handles a message from the proxy that has this number among the peers. */
         void received(int peer, byte[] message);
     }
 
@@ -41,7 +41,7 @@
                     .channel(Transport.BEST.datagram())
                     .handler(new Handler());
             if (addresses.shared() && Transport.BEST.datagram() == EpollDatagramChannel.class) {
-                bootstrap.option(UnixChannelOption.SO_REUSEPORT, true); // the next version has the same address
+                bootstrap.option(UnixChannelOption.SO_REUSEPORT, true); // the next version binds the same address
             }
             channel = bootstrap.bind(addresses.listen()).awaitUninterruptibly().channel();
         }
@@ -53,8 +53,8 @@
     }
 
     /**
-     * Sends to the proxy of this number, or to all of the tier if it is negative. Messages of over 256 bytes and those
-     * to unknown peers are dropped.
+     * Sends to the proxy with this number, or to all proxies of the tier if the number is negative. Messages of over
+     * 256 bytes and messages to unknown peers are dropped.
      */
     @SuppressWarnings("FutureReturnValueIgnored") // a message that could not be sent counts as lost
     public void send(int peer, byte[] message) {
@@ -67,7 +67,7 @@
         channel.writeAndFlush(new DatagramPacket(Unpooled.wrappedBuffer(message), to));
     }
 
-    /** Drops what does not come from a peer, and what is longer than any message. */
+    /** Drops datagrams that do not come from a peer, and datagrams that are longer than any message. */
     private final class Handler extends SimpleChannelInboundHandler<DatagramPacket> {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, DatagramPacket packet) {
--- a/src/main/java/cacheproxy/proxy/discovery/SettingNames.java
+++ b/src/main/java/cacheproxy/proxy/discovery/SettingNames.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy.discovery;
 
-/** Discovery's names of zones and of server kinds, in the form in which the settings list them. */
+/** Converts discovery's names of zones and of server kinds to the form that the settings use. */
 public final class SettingNames {
     private SettingNames() {}
 
--- a/src/main/java/cacheproxy/proxy/discovery/SilentWatchMonitor.java
+++ b/src/main/java/cacheproxy/proxy/discovery/SilentWatchMonitor.java
@@ -7,8 +7,8 @@
 import java.util.List;
 
 /**
- * Feeds a {@link SilentWatchDetector} and carries out the extra polls that it wants. Where the proxy long-polls, an
- * extra poll replaces a long poll that has probably failed silently; else it is an additional one.
+ * Reports events to a {@link SilentWatchDetector} and sends the extra polls that it requests. If the proxy long-polls,
+ * an extra poll replaces a long poll that has probably failed silently; otherwise it is an additional one.
  */
 final class SilentWatchMonitor {
     private final EventLoopContext context;
@@ -24,34 +24,37 @@
         this.polls = polls;
     }
 
-    /** Discovery has responded with a list of this version, or its changes. */
+    /** Reports that discovery has responded with a list of this version, or its changes. */
     void listReceived(long version, boolean complete, List<Endpoint> endpoints) {
         detector.listReceived(version, complete, endpoints);
     }
 
-    /** A server has refused a connection. */
+    /** Reports that a server has refused a connection. */
     void connectionRefused(int server) {
         detector.connectionRefused(context.nowMs(), server);
         scheduleCheck();
     }
 
-    /** A server has accepted a connection. */
+    /** Reports that a server has accepted a connection. */
     void connected(int server) {
         detector.connected(server);
     }
 
-    /** Another proxy claims to have a version newer than the one held here. */
+    /** Reports that another proxy claims to have a newer version than the one held here. */
     void versionClaimed(long version) {
         detector.versionClaimed(context.nowMs(), version);
         scheduleCheck();
     }
 
-    /** Forgets the versions that other proxies claim to have. */
+    /** Discards the versions that other proxies claim to have. */
     void resetClaims() {
         detector.resetClaims();
     }
 
-    /** Moves the check only to an earlier time. If the poll is due later by then, the check schedules itself again. */
+    /**
+     * Schedules the check if it is not scheduled for an earlier time. If the poll is due later by then, the check
+     * reschedules itself.
+     */
     private void scheduleCheck() {
         double dueAtMs = Math.max(detector.nextPollAtMs(), polls.protectedUntilMs());
         if (dueAtMs < checkAtMs && !polls.isClosed()) {
--- a/src/main/java/cacheproxy/proxy/discovery/WatchCoordination.java
+++ b/src/main/java/cacheproxy/proxy/discovery/WatchCoordination.java
@@ -1,6 +1,6 @@
 package cacheproxy.proxy.discovery;
 
-/** Whether this proxy watches the endpoint list itself, or leaves that to another proxy. */
+/** Decides whether this proxy watches the endpoint list itself or leaves that to another proxy. */
 public interface WatchCoordination {
     /** For a proxy that always watches the list itself. */
     WatchCoordination NONE = new WatchCoordination() {
@@ -13,9 +13,12 @@
         public void listReceived(long version) {}
     };
 
-    /** Whether a long poll is to be in flight at all times; else only {@link DiscoveryClient#pollNow} polls. */
+    /**
+     * Returns whether a long poll is to be in flight at all times; otherwise only {@link DiscoveryClient#pollNow}
+     * polls.
+     */
     boolean shouldLongPoll();
 
-    /** Discovery has delivered a list of this version, or its changes. */
+    /** Reports that discovery has delivered a list of this version, or its changes. */
     void listReceived(long version);
 }
--- a/src/main/java/cacheproxy/proxy/net/EventLoopClock.java
+++ b/src/main/java/cacheproxy/proxy/net/EventLoopClock.java
@@ -1,8 +1,9 @@
 package cacheproxy.proxy.net;
 
 /**
- * The clock of one event loop: milliseconds since the Unix epoch at its creation, and monotonic from there, so that the
- * start times of an endpoint list compare with it. Used on its event loop only, apart from {@link #nowMs}.
+ * The clock of one event loop. It is set to milliseconds since the Unix epoch at its creation and is monotonic from
+ * then on, so that it can be compared with the start times in an endpoint list. Used on its event loop only, apart from
+ * {@link #nowMs}.
  */
 public final class EventLoopClock {
     private static final double NANOS_PER_MS = 1e6;
@@ -16,7 +17,7 @@
         this.polls = polls;
     }
 
-    /** The time now; from any thread. */
+    /** The current time; can be called from any thread. */
     public double nowMs() {
         return toEpochMs(System.nanoTime());
     }
@@ -25,7 +26,10 @@
         return epochMs + (nanos - startNanos) / NANOS_PER_MS;
     }
 
-    /** Since when data read now may have waited unread. To be called before anything else that reads. */
+    /**
+     * The earliest time at which data that is read now may have arrived. To be called before anything else that reads
+     * data.
+     */
     public double unreadSinceMs() {
         long nowNanos = System.nanoTime();
         return toEpochMs(nowNanos) - polls.unreadForMs(nowNanos);
@@ -36,17 +40,23 @@
         return polls.turn();
     }
 
-    /** Whether this turn of the loop is the given one or the next, which reads what was unread until then. */
+    /**
+     * Returns whether this turn of the loop is the given one or the next, which reads the data that was unread until
+     * then.
+     */
     public boolean isTurnOrNext(long turn) {
         return polls.turn() > 0 && polls.turn() - turn <= 1;
     }
 
-    /** Whether the end of a connection may have gone unnoticed for long; see {@link PollClock#isBehind}. */
+    /**
+     * Returns whether the close of a connection may have gone unnoticed for a long time; see
+     * {@link PollClock#isBehind}.
+     */
     public boolean isBehind() {
         return polls.turn() > 0 && polls.isBehind(System.nanoTime());
     }
 
-    /** An event is handled: what is read later in this turn may have waited since now. */
+    /** Records that an event is handled: data that is read later in this turn may have been waiting since now. */
     public void recordEventHandling() {
         polls.recordEventHandling(System.nanoTime());
     }
--- a/src/main/java/cacheproxy/proxy/net/FlushBatcher.java
+++ b/src/main/java/cacheproxy/proxy/net/FlushBatcher.java
@@ -5,8 +5,9 @@
 
 /**
  * Delays flushes to the end of a turn of the event loop, so that everything that one turn writes to a connection takes
- * one system call. That saves CPU at high rates. A process with a fraction of a core may be stopped within a turn,
- * which would delay all its responses, so batching can be off; a flush then runs at once. Used on its event loop only.
+ * one system call. This saves CPU time at high rates. A process that is limited to a fraction of a core may be stopped
+ * within a turn, which would delay all its responses, so batching can be disabled; a flush then runs at once. Used on
+ * its event loop only.
  */
 public final class FlushBatcher {
     private final EventLoop loop;
@@ -20,7 +21,7 @@
         this.enabled = enabled;
     }
 
-    /** Runs the flush. Each connection has at most one flush pending, so their number is bounded by that. */
+    /** Runs the flush. Each connection has at most one flush pending, which bounds the number of pending flushes. */
     public void flushLater(Runnable flush) {
         if (!enabled) {
             flush.run();
--- a/src/main/java/cacheproxy/proxy/net/NettyDefaults.java
+++ b/src/main/java/cacheproxy/proxy/net/NettyDefaults.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 
 /**
- * Netty's system properties for the platform's proxy, chosen for little memory and a fast start. The service and the
+ * Netty's system properties for the platform's proxy, chosen for low memory use and a fast start. The service and the
  * run that writes its class archive (CDS) share them: classes that only one of the two loads are not in the archive,
- * and are then read and verified at each start. Properties of the command line take precedence.
+ * and are then read and verified at each start. Properties that are set on the command line take precedence.
  */
 public final class NettyDefaults {
     private static final Map<String, String> VALUES = Map.ofEntries(
@@ -20,7 +20,7 @@
             Map.entry("io.netty.allocator.maxCachedBufferCapacity", "16384"),
             // JFR events of buffers would load the flight recorder, which takes 150 ms of the start.
             Map.entry("io.netty.jfr.enabled", "false"),
-            // Parts of channel ids. Netty would query all network interfaces for a hardware address.
+            // Parts of channel ids. Without them, Netty would query all network interfaces for a hardware address.
             Map.entry("io.netty.machineId", "02:00:00:00:00:01"),
             Map.entry("io.netty.processId", "1"),
             Map.entry("io.netty.leakDetection.level", "disabled"));
--- a/src/main/java/cacheproxy/proxy/net/NettyLog.java
+++ b/src/main/java/cacheproxy/proxy/net/NettyLog.java
@@ -11,7 +11,7 @@
  */
 final class NettyLog extends AbstractInternalLogger {
     private static final long serialVersionUID = 1;
-    /** Bound of the lines of one process, as a peer that provokes warnings must not fill a disk. */
+    /** The maximum number of lines of one process, because a peer that provokes warnings must not fill a disk. */
     static final int MAX_LINES = 100;
 
     private static final int MAX_MESSAGE_CHARS = 300;
--- a/src/main/java/cacheproxy/proxy/net/PollClock.java
+++ b/src/main/java/cacheproxy/proxy/net/PollClock.java
@@ -10,21 +10,28 @@
  * its sockets. During a pause of the process (a stop signal, a busy machine, a long garbage collection) the loop
  * notices no time passing, but its clients do.
  *
- * <p>The loop is woken every {@link #HEARTBEAT_MS}, so a poll that lasts longer than {@link #MAX_POLL_MS} shows a
- * pause. A shorter pause can't be told from a poll that found nothing. Used on its event loop only; times are those of
- * {@link System#nanoTime}.
+ * <p>The loop is woken every {@link #HEARTBEAT_MS}, so a poll that lasts longer than {@link #MAX_POLL_MS} indicates a
+ * pause. A shorter pause can't be distinguished from a poll that found nothing. Used on its event loop only; times are
+ * those of {@link System#nanoTime}.
  */
 public final class PollClock {
     /** Interval in which the loop is to be woken, in milliseconds. */
     public static final double HEARTBEAT_MS = 100;
-    /** A poll that lasts longer shows a pause: the heartbeat, plus what its timer and a busy machine may add. */
+    /**
+     * The heartbeat, plus the delay that its timer and a busy machine can add; a poll that lasts longer indicates a
+     * pause.
+     */
     static final double MAX_POLL_MS = HEARTBEAT_MS + 25;
 
     private static final long MAX_POLL_NANOS = (long) (MAX_POLL_MS * 1e6);
-    /** Events that have waited for so long show a loop that is behind: half of what a close may go unnoticed. */
+    /**
+     * If events have waited for longer than this, the loop is behind: half of the time for which a close is allowed to
+     * go unnoticed.
+     */
     static final double BEHIND_THRESHOLD_MS = 50;
     /**
-     * A poll that lasts longer may hide a pause; an idle loop's polls last for a heartbeat, and few end just before.
+     * A poll that lasts longer than this may hide a pause; the polls of an idle loop last for a heartbeat, and few end
+     * just before it.
      */
     private static final long LONG_POLL_NANOS = (long) (0.9 * HEARTBEAT_MS * 1e6);
 
@@ -36,7 +43,7 @@
     private long firstEventNanos;
 
     private boolean eventHandled;
-    /** How long the previous turn spent in handling events, or in a poll that met a pause. */
+    /** How long the previous turn spent in handling events, or in a poll with a pause. */
     private long previousTurnBusyNanos;
 
     /** Returns the factory of an event loop that reports each poll to this clock. */
@@ -48,7 +55,7 @@
         return transport.io(strategies);
     }
 
-    /** The loop is about to poll its sockets. */
+    /** Records that the loop is about to poll its sockets. */
     void recordPoll(long nowNanos) {
         if (turn > 0) {
             previousTurnBusyNanos =
@@ -59,7 +66,7 @@
         turn++;
     }
 
-    /** The loop handles an event; only the first call of each turn has an effect. */
+    /** Records that the loop handles an event; only the first call of each turn has an effect. */
     public void recordEventHandling(long nowNanos) {
         if (!eventHandled) {
             eventHandled = true;
@@ -83,21 +90,23 @@
     }
 
     /**
-     * Whether the end of a connection may have gone unnoticed for long: events have waited for the loop, or the poll of
-     * this turn may have returned before a pause that is shorter than a poll may last.
+     * Returns whether the close of a connection may have gone unnoticed for a long time: events have waited for the
+     * loop, or the poll of this turn may have returned before a pause that is shorter than the longest poll.
      */
     public boolean isBehind(long nowNanos) {
         return unreadForMs(nowNanos) > BEHIND_THRESHOLD_MS || nowNanos - pollStartNanos > LONG_POLL_NANOS;
     }
 
-    /** Whether the poll of this turn has met a pause; if no event has been handled yet, by now. */
+    /**
+     * Returns whether the poll of this turn included a pause; if no event has been handled yet, whether it has by now.
+     */
     private boolean hasPollPaused(long nowNanos) {
         return (eventHandled ? firstEventNanos : nowNanos) - pollStartNanos > MAX_POLL_NANOS;
     }
 
     /**
-     * Since when the sockets have not been polled in this turn. A poll that met a pause may have returned without the
-     * events that occurred during the pause.
+     * Returns the time since which the sockets have not been polled in this turn. A poll with a pause may have returned
+     * without the events that occurred during the pause.
      */
     private long unpolledSinceNanos(long nowNanos) {
         return hasPollPaused(nowNanos) ? pollStartNanos : firstEventNanos;
--- a/src/main/java/cacheproxy/proxy/net/SocketState.java
+++ b/src/main/java/cacheproxy/proxy/net/SocketState.java
@@ -5,7 +5,7 @@
 import io.netty.channel.epoll.EpollSocketChannel;
 import io.netty.channel.epoll.EpollTcpInfo;
 
-/** What the operating system knows of a connection before its events are handled. */
+/** The state of a connection in the operating system, which is known before the connection's events are handled. */
 public final class SocketState {
     /** States of a TCP connection as Linux numbers them (netinet/tcp.h). */
     private static final int TCP_CLOSE = 7;
@@ -14,7 +14,9 @@
 
     private SocketState() {}
 
-    /** Whether the peer has closed or reset the connection; false where the system does not tell. */
+    /**
+     * Returns whether the peer has closed or reset the connection; false if the operating system does not report it.
+     */
     public static boolean isEndedByPeer(Channel channel) {
         if (!channel.isActive()) {
             return true;
--- a/src/main/java/cacheproxy/proxy/net/StandardErrorLog.java
+++ b/src/main/java/cacheproxy/proxy/net/StandardErrorLog.java
@@ -10,7 +10,7 @@
     /** Changed on the event loop only. */
     private volatile int linesWritten;
 
-    /** Whether a line would still be written; from any thread. */
+    /** Returns whether a line would still be written; can be called from any thread. */
     public boolean acceptsLines() {
         return linesWritten < MAX_LINES;
     }
--- a/src/main/java/cacheproxy/proxy/net/TimerWheel.java
+++ b/src/main/java/cacheproxy/proxy/net/TimerWheel.java
@@ -8,7 +8,7 @@
 
 /**
  * A hashed timer wheel for the timers of one event loop, most of which are cancelled before they run. It needs one task
- * of the event loop for all timers of a slot; a cancelled timer costs nothing but its place in its slot. Used on its
+ * of the event loop for all timers of a slot; the only cost of a cancelled timer is its place in the slot. Used on its
  * event loop only.
  */
 public final class TimerWheel {
@@ -57,13 +57,13 @@
     private long lastRunSlot;
     /** The slot for which the event loop will call {@link #runDue}; {@link #NONE} if there is none. */
     private long armedSlot = NONE;
-    /** An empty list that replaces that of the slot that is run. */
+    /** An empty list that replaces the list of the slot that is run. */
     private List<Timer> spare = new ArrayList<>();
 
     /**
      * Creates an empty wheel.
      *
-     * @param polls is told when timers begin to run
+     * @param polls notified when timers begin to run
      */
     public TimerWheel(EventLoop loop, PollClock polls) {
         this.loop = loop;
@@ -112,7 +112,7 @@
     private void runDue(long slot) {
         polls.recordEventHandling(System.nanoTime());
         if (slot != armedSlot) {
-            return; // an earlier slot was armed after this one, and this one again after that
+            return; // an earlier slot was armed after this one, and then this one was armed again
         }
         armedSlot = NONE;
         long currentSlot = nanosSinceStart() / SLOT_NANOS;
@@ -136,7 +136,7 @@
         spare = due;
     }
 
-    /** The first slot after the last that has run and that has timers. */
+    /** The first slot that has timers, after the last slot that has run. */
     private long nextOccupiedSlot() {
         int from = index(lastRunSlot + 1);
         int index = occupied.nextSetBit(from);
--- a/src/main/java/cacheproxy/proxy/net/Transport.java
+++ b/src/main/java/cacheproxy/proxy/net/Transport.java
@@ -26,8 +26,8 @@
 import java.nio.file.Path;
 
 /**
- * The channel types of one I/O implementation: epoll by Netty's native library, which takes less CPU per event, or the
- * JDK's NIO where that can't be loaded.
+ * The channel types of one I/O implementation: epoll by Netty's native library, which uses less CPU time per event, or
+ * the JDK's NIO if that library can't be loaded.
  *
  * @param io creates the I/O handlers of event loops that use these channels
  * @param server listening TCP sockets
@@ -49,7 +49,7 @@
     /** Each connection that is being read needs a buffer of up to this size. */
     private static final int MAX_READ_BYTES = 16 << 10;
 
-    /** The best implementation that this machine has. */
+    /** The preferred implementation of those that this machine supports. */
     public static final Transport BEST = Epoll.isAvailable()
             ? new Transport(
                     EpollIoHandler.newFactory(),
@@ -66,14 +66,14 @@
                     NioServerDomainSocketChannel.class,
                     NioDomainSocketChannel.class);
 
-    /** The same I/O implementation with other strategies for its polls. */
+    /** Creates the I/O handlers of the same implementation, with other strategies for their polls. */
     IoHandlerFactory io(SelectStrategyFactory strategies) {
         return server == EpollServerSocketChannel.class
                 ? EpollIoHandler.newFactory(0, strategies)
                 : NioIoHandler.newFactory(SelectorProvider.provider(), strategies);
     }
 
-    /** Creates an allocator for one channel's reads, whose sizes adapt to those of the reads before. */
+    /** Creates an allocator of read buffers for one channel; the buffer size adapts to the previous reads. */
     public static RecvByteBufAllocator newReadBufferAllocator() {
         return new AdaptiveRecvByteBufAllocator(MIN_READ_BYTES, INITIAL_READ_BYTES, MAX_READ_BYTES);
     }
--- a/src/main/java/cacheproxy/proxy/request/ClientRequest.java
+++ b/src/main/java/cacheproxy/proxy/request/ClientRequest.java
@@ -3,30 +3,30 @@
 import io.netty.buffer.ByteBuf;
 
 /**
- * A client's request: its key, id, attributes and value, and the line in which cache nodes get it. That line is the
- * client's own, but for the deadline, if the client speaks the nodes' grammar.
+ * A client's request: its key, id, attributes and value, and the command line that cache servers get. If the client
+ * uses the grammar of cache servers, that line is the client's own line except for the deadline.
  *
  * <p>{@link RequestValidator#resolve} sets class, tenant, times and hints from the attributes. Times are milliseconds
  * of {@link RequestAccounting#nowMs}. The request is reference-counted for its value; it belongs to one thread at a
  * time.
  */
 public final class ClientRequest {
-    /** The length of {@code mg} or {@code ms} with the space behind it. */
+    /** The length of {@code mg} or {@code ms} and the space after it. */
     private static final int COMMAND_LENGTH = 3;
 
     private final String key;
     private final String id;
     private final boolean isWrite;
     private final String attributes;
-    /** The attributes up to the figure of the deadline. */
+    /** The attributes before the value of the deadline. */
     private final String attributesPrefix;
-    /** The attributes behind the figure of the deadline. */
+    /** The attributes after the value of the deadline. */
     private final String attributesSuffix;
 
     private final String linePrefix;
     private final String lineSuffix;
     private ByteBuf value;
-    /** What is given back to the bound on clients' values when the value is released. */
+    /** The number of bytes that are returned to the memory limit on clients' values when the value is released. */
     private int reservedBytes;
 
     private int referenceCount = 1;
@@ -41,11 +41,11 @@
     private boolean isRetry;
 
     /**
-     * A request whose line for cache nodes consists of its attributes and what is around them.
+     * Creates a request whose line for cache servers consists of the attributes and the text before and after them.
      *
      * @param attributes names and values; of several deadlines the first counts, the others are removed
      * @param beforeAttributes the line up to the attributes
-     * @param afterAttributes the line behind the attributes
+     * @param afterAttributes the line after the attributes
      */
     public ClientRequest(
             String key,
@@ -65,7 +65,7 @@
         lineSuffix = attributesSuffix + afterAttributes;
     }
 
-    /** A copy for another key, which shares the value. */
+    /** Creates a copy for another key, which shares the value. */
     private ClientRequest(ClientRequest original, String otherKey) {
         key = otherKey;
         id = original.id;
@@ -88,14 +88,17 @@
         isRetry = original.isRetry;
     }
 
-    /** A request of a client that does not speak the nodes' grammar; {@code valueBytes} counts for writes only. */
+    /**
+     * Creates a request of a client that does not use the grammar of cache servers; {@code valueBytes} is used for
+     * writes only.
+     */
     public static ClientRequest of(String key, String id, boolean isWrite, int valueBytes, String attributes) {
         String beforeAttributes =
                 isWrite ? "ms " + key + " " + valueBytes + " O" + id + " P" : "mg " + key + " v O" + id + " P";
         return new ClientRequest(key, id, isWrite, attributes, beforeAttributes, "");
     }
 
-    /** The key that the client asks for, or the one that a route or hook has put in its place. */
+    /** The key that the client requests, or the key by which a route or hook has replaced it. */
     public String key() {
         return key;
     }
@@ -105,27 +108,27 @@
         return id;
     }
 
-    /** Whether this is a write. */
+    /** Returns whether this is a write. */
     public boolean isWrite() {
         return isWrite;
     }
 
-    /** The attributes with this deadline in place of the client's, or behind the attributes if they name none. */
+    /** The attributes with this deadline in place of the client's, or appended if the attributes have none. */
     public String attributesWithDeadline(int deadlineMs) {
         return attributesPrefix + deadlineMs + attributesSuffix;
     }
 
-    /** The attributes as the client sent them; of several deadlines the first. */
+    /** The attributes as the client sent them; of several deadlines, only the first. */
     String attributes() {
         return attributes;
     }
 
-    /** The line for cache nodes up to the figure of the deadline. */
+    /** The line for cache servers up to the value of the deadline. */
     public String linePrefix() {
         return linePrefix;
     }
 
-    /** The line for cache nodes behind the figure of the deadline. */
+    /** The line for cache servers after the value of the deadline. */
     public String lineSuffix() {
         return lineSuffix;
     }
@@ -135,18 +138,20 @@
         return value;
     }
 
-    /** Sets the value, which belongs to the request from now on, and what has been reserved for it. */
+    /**
+     * Sets the value, which belongs to the request from now on, and the number of bytes that have been reserved for it.
+     */
     public void setValue(ByteBuf newValue, int newReservedBytes) {
         value = newValue;
         reservedBytes = newReservedBytes;
     }
 
-    /** A copy for another key. It shares the value and must be released, too. */
+    /** Returns a copy for another key. It shares the value and must be released, too. */
     public ClientRequest withKey(String otherKey) {
         return new ClientRequest(this, otherKey);
     }
 
-    /** A copy for another key that takes the place of this request: the value passes to it. */
+    /** Returns a copy for another key that replaces this request: the value passes to the copy. */
     public ClientRequest moveToKey(String otherKey) {
         ClientRequest copy = withKey(otherKey);
         if (value != null) {
@@ -168,27 +173,32 @@
         return tenant;
     }
 
-    /** The earliest time that the request's last byte may have arrived; NaN if it is neither set nor resolved yet. */
+    /**
+     * The earliest time at which the request's last byte may have arrived; NaN if it is neither set nor resolved yet.
+     */
     public double arrivedMs() {
         return arrivedMs;
     }
 
-    /** Sets the earliest time that the request's last byte may have arrived. */
+    /** Sets the earliest time at which the request's last byte may have arrived. */
     public void setArrivedMs(double newArrivedMs) {
         arrivedMs = newArrivedMs;
     }
 
-    /** When the request must have its response. */
+    /** The time by which the request must have its response. */
     public double dueMs() {
         return dueMs;
     }
 
-    /** When the client stops waiting, whatever {@link #dueMs} a hook has set; servers get no later deadline. */
+    /**
+     * The time at which the client stops waiting, regardless of the {@link #dueMs} that a hook has set; servers get no
+     * later deadline.
+     */
     public double clientDueMs() {
         return clientDueMs;
     }
 
-    /** The client's estimate of the work to make the value, in milliseconds; NaN if it gives none. */
+    /** The client's estimate of the work needed to produce the value, in milliseconds; NaN if it gives none. */
     public double workHintMs() {
         return workHintMs;
     }
@@ -198,7 +208,7 @@
         return sizeHintBytes;
     }
 
-    /** Whether the client says that it has sent this request before. */
+    /** Returns whether the client says that it has sent this request before. */
     public boolean isRetry() {
         return isRetry;
     }
@@ -209,27 +219,27 @@
         clientDueMs = newDueMs;
     }
 
-    /** Sets what the client says of the request. */
+    /** Sets the client's hints about the request. */
     void setHints(double newWorkHintMs, float newSizeHintBytes, boolean retry) {
         workHintMs = newWorkHintMs;
         sizeHintBytes = newSizeHintBytes;
         isRetry = retry;
     }
 
-    /** Replaces class, tenant and due time, which {@link RequestValidator#resolve} has found. */
+    /** Replaces the class, tenant and due time that {@link RequestValidator#resolve} has set. */
     public void reclassify(int newServiceClass, int newTenant, double newDueMs) {
         serviceClass = newServiceClass;
         tenant = newTenant;
         dueMs = newDueMs;
     }
 
-    /** Adds a holder, which has to release the request once. */
+    /** Adds a reference, for which the request must be released once. */
     public ClientRequest retain() {
         referenceCount++;
         return this;
     }
 
-    /** Releases the request for one holder; the last one frees the value and what was reserved for it. */
+    /** Releases one reference; the last release frees the value and the memory reserved for it. */
     public void release(RequestAccounting accounting) {
         if (--referenceCount == 0 && value != null) {
             accounting.releaseReservedBytes(reservedBytes);
--- a/src/main/java/cacheproxy/proxy/request/DeadlineField.java
+++ b/src/main/java/cacheproxy/proxy/request/DeadlineField.java
@@ -1,18 +1,19 @@
 package cacheproxy.proxy.request;
 
 /**
- * Where a request's attributes ({@code c=read,t=acme,d=480}) have the deadline, so that each attempt can be sent with
- * the time that is left without parsing them again.
+ * The position of the deadline in a request's attributes ({@code c=read,t=acme,d=480}), so that each attempt can be
+ * sent with the time that is left without parsing the attributes again.
  *
- * @param valueStart the index at which the deadline's figure begins; the length of the attributes if they name none
- * @param valueEnd the index behind the figure
- * @param prefix what has to stand before the figure if the attributes name no deadline; otherwise empty
+ * @param valueStart the index at which the deadline's value begins; the length of the attributes if they have no
+ *     deadline
+ * @param valueEnd the index after the value
+ * @param prefix the text to insert before the value if the attributes have no deadline; otherwise empty
  */
 record DeadlineField(int valueStart, int valueEnd, String prefix) {
     private static final String NAME = "d";
     private static final String SEPARATOR_AND_NAME = ",d=";
 
-    /** Finds the deadline in attributes that name it at most once; see {@link #withoutRepeats}. */
+    /** Finds the deadline in attributes that have at most one; see {@link #withoutRepeats}. */
     static DeadlineField in(String attributes) {
         int start = MetaCodec.attributeValueIndex(attributes, NAME);
         if (start < 0) {
@@ -24,8 +25,8 @@
     }
 
     /**
-     * The attributes without all deadlines but the first. Each reader chooses for itself which of several it takes, so
-     * a second one could give a server the client's original figure.
+     * Returns the attributes without any deadline after the first. Readers differ in which of several deadlines they
+     * use, so a second one could give a server the client's original deadline.
      */
     static String withoutRepeats(String attributes) {
         int first = MetaCodec.attributeValueIndex(attributes, NAME);
@@ -42,12 +43,12 @@
         return result.toString();
     }
 
-    /** The attributes before the figure. */
+    /** Returns the attributes before the deadline's value. */
     String before(String attributes) {
         return attributes.substring(0, valueStart) + prefix;
     }
 
-    /** The attributes behind the figure. */
+    /** Returns the attributes after the deadline's value. */
     String after(String attributes) {
         return attributes.substring(valueEnd);
     }
--- a/src/main/java/cacheproxy/proxy/request/MetaCodec.java
+++ b/src/main/java/cacheproxy/proxy/request/MetaCodec.java
@@ -10,7 +10,7 @@
 public final class MetaCodec {
     /** The longest value of the protocol. */
     public static final int MAX_VALUE_BYTES = 4 << 20;
-    /** Values up to this size are passed on as a whole, longer ones in parts as they arrive. */
+    /** Values up to this size are forwarded as a whole, longer ones in parts as they arrive. */
     public static final int MAX_BUFFERED_VALUE_BYTES = 64 << 10;
     /** The longest line, with its end. */
     public static final int MAX_LINE_BYTES = 4096;
@@ -18,10 +18,10 @@
     public static final int CRLF = '\r' << 8 | '\n';
     /** The response to a request that failed, with the line's end. */
     public static final String FAILED_LINE = "SERVER_ERROR failed\r\n";
-    /** How the response to a rejected request begins. */
+    /** The start of the response to a rejected request. */
     public static final String BUSY_PREFIX = "SERVER_ERROR busy";
 
-    /** The most figures that a load report has. */
+    /** The maximum number of metrics in a load report. */
     private static final int MAX_REPORT_METRICS = 4;
 
     private MetaCodec() {}
@@ -30,7 +30,7 @@
     public static final class SyntaxException extends Exception {
         private static final long serialVersionUID = 1L;
 
-        /** The input is wrong in this way. */
+        /** Creates an exception whose message says what is wrong. */
         public SyntaxException(String message) {
             super(message, null, false, false);
         }
@@ -39,7 +39,7 @@
     /**
      * Reads one line.
      *
-     * @return the line without its end; null if it has not arrived whole
+     * @return the line without its end; null if it has not arrived completely
      * @throws SyntaxException if the line is too long
      */
     public static String readLine(ByteBuf input) throws SyntaxException {
@@ -63,7 +63,7 @@
     /**
      * Parses the length of a value.
      *
-     * @throws SyntaxException if it is no decimal number from 0 to {@link #MAX_VALUE_BYTES}
+     * @throws SyntaxException if it is not a decimal number from 0 to {@link #MAX_VALUE_BYTES}
      */
     public static int parseLength(String digits) throws SyntaxException {
         int length = 0;
@@ -80,7 +80,7 @@
         return length;
     }
 
-    /** Whether the line consists of printable ASCII characters and spaces alone. */
+    /** Returns whether the line consists of printable ASCII characters and spaces only. */
     public static boolean isPrintable(String line) {
         for (int i = 0; i < line.length(); i++) {
             if (line.charAt(i) < ' ' || line.charAt(i) > '~') {
@@ -90,7 +90,9 @@
         return true;
     }
 
-    /** The token from this index to the next space or the line's end; empty if the index is behind the line. */
+    /**
+     * The token from this index to the next space or the line's end; empty if the index is past the end of the line.
+     */
     public static String tokenAt(String line, int start) {
         int end = line.indexOf(' ', start);
         return start >= line.length() ? "" : line.substring(start, end < 0 ? line.length() : end);
@@ -102,7 +104,7 @@
         return index < 0 ? null : tokenAt(line, index);
     }
 
-    /** Whether the first flag with this letter from the index on has this argument. */
+    /** Returns whether the first flag with this letter from the index on has this argument. */
     public static boolean hasFlag(String line, int from, char letter, String argument) {
         int index = flagArgumentIndex(line, from, letter);
         int end = index + argument.length();
@@ -122,7 +124,7 @@
         return -1;
     }
 
-    /** The value of this name in attributes such as {@code c=read,d=480}; null if they do not have it. */
+    /** The value of the attribute with this name in attributes such as {@code c=read,d=480}; null if there is none. */
     public static String attribute(String attributes, String name) {
         int start = attributeValueIndex(attributes, name);
         if (start < 0) {
@@ -132,7 +134,7 @@
         return attributes.substring(start, end < 0 ? attributes.length() : end);
     }
 
-    /** The index at which the value of this name begins in attributes; -1 if they do not have it. */
+    /** The index at which the value of the attribute with this name begins; -1 if there is none. */
     public static int attributeValueIndex(String attributes, String name) {
         int start = 0;
         while (start >= 0 && start < attributes.length()) {
@@ -145,7 +147,9 @@
         return -1;
     }
 
-    /** Parses the figures of a load report, in the order of the names; null if one is missing or no number. */
+    /**
+     * Parses the metrics of a load report, in the order of the names; returns null if one is missing or not a number.
+     */
     public static float[] parseLoadReport(String attributes, List<String> names) {
         if (attributes == null || names.isEmpty()) {
             return null;
@@ -165,7 +169,7 @@
         return report;
     }
 
-    /** Writes a number of 0 or more in decimal digits, without a string in between. */
+    /** Writes a non-negative number in decimal digits, without creating a string. */
     public static void writeDecimal(ByteBuf output, int number) {
         int power = 1;
         while (number / power >= 10) {
@@ -176,7 +180,7 @@
         }
     }
 
-    /** A new buffer with the text, which must be ASCII. */
+    /** Returns a new buffer with the text, which must be ASCII. */
     public static ByteBuf ascii(ByteBufAllocator allocator, String text) {
         ByteBuf buffer = allocator.buffer(text.length() + 2);
         ByteBufUtil.writeAscii(buffer, text);
--- a/src/main/java/cacheproxy/proxy/request/RequestHandler.java
+++ b/src/main/java/cacheproxy/proxy/request/RequestHandler.java
@@ -1,18 +1,18 @@
 package cacheproxy.proxy.request;
 
-/** What client connections submit requests to; on the event loop. */
+/** Handles the requests that client connections submit. Used on the event loop only. */
 public interface RequestHandler {
     /** A submitted request. */
     interface Handle {
-        /** The client has closed its connection: there will be no response. */
+        /** Reports that the client has closed its connection, so that no response will be sent. */
         void clientDisconnected();
     }
 
     /**
-     * Takes a request that has been received whole. From here on its value belongs to the handler, and the responder
-     * gets exactly one response unless the client disconnects before.
+     * Accepts a request that has been received completely. From then on, its value belongs to the handler, and the
+     * responder gets exactly one response unless the client disconnects first.
      *
-     * @return null if the request has its response already
+     * @return the submitted request; null if it already has its response
      */
     Handle submit(ClientRequest request, Responder responder);
 }
--- a/src/main/java/cacheproxy/proxy/request/RequestValidator.java
+++ b/src/main/java/cacheproxy/proxy/request/RequestValidator.java
@@ -24,7 +24,7 @@
     private final Map<String, Integer> classIndices = new HashMap<>();
     private final Map<String, Integer> tenantIndices = new HashMap<>();
 
-    /** Knows these classes and tenants; without tenants, the attribute that names one is not looked at. */
+    /** Creates a validator for these classes and tenants. If there are no tenants, the tenant attribute is ignored. */
     public RequestValidator(RequestAccounting accounting, List<ServiceClass> classes, List<Tenant> tenants) {
         this.accounting = accounting;
         this.classes = classes;
@@ -33,9 +33,9 @@
     }
 
     /**
-     * Sets the request's class, tenant, times and hints, and opens its id.
+     * Sets the request's class, tenant, times and hints, and records its id as open.
      *
-     * @return what is wrong with the request, or null; with an error, its id is not opened
+     * @return what is wrong with the request, or null; the id of an invalid request is not recorded as open
      */
     public String resolve(ClientRequest request) {
         String attributes = request.attributes();
@@ -67,12 +67,15 @@
         return tenantIndices.isEmpty() || name == null ? Integer.valueOf(0) : tenantIndices.get(name);
     }
 
-    /** Whether the client has stopped waiting by now, as the request was read too late. */
+    /** Returns whether the client has already stopped waiting, because the request was read too late. */
     public boolean isExpired(ClientRequest request) {
         return request.dueMs() <= accounting.nowMs();
     }
 
-    /** The deadline; 0, which is invalid, if it is there and no number, as it must not pass for an absent one. */
+    /**
+     * Returns the deadline. If it is present but not a number, returns 0, which is invalid, because such a deadline
+     * must not be treated as an absent one.
+     */
     private static double deadlineMs(String attributes, double defaultMs) {
         String text = MetaCodec.attribute(attributes, "d");
         if (text == null) {
@@ -81,14 +84,14 @@
         return parseDecimal(text, 0);
     }
 
-    /** A hint, which counts as absent if it is no decimal number or over its greatest value. */
+    /** Returns a hint, which counts as absent if it is not a decimal number or exceeds the maximum. */
     private static double hint(String attributes, String name, double maximum, double absent) {
         String text = MetaCodec.attribute(attributes, name);
         double value = text == null ? absent : parseDecimal(text, absent);
         return value <= maximum ? value : absent;
     }
 
-    /** A number of decimal digits, without the signs, exponents, names and suffixes that Java reads as well. */
+    /** Parses a number of decimal digits, without the signs, exponents, names and suffixes that Java also accepts. */
     private static double parseDecimal(String text, double invalid) {
         boolean isDecimal = text.chars().allMatch(digit -> (digit >= '0' && digit <= '9') || digit == '.');
         try {
@@ -99,8 +102,8 @@
     }
 
     /**
-     * The number of a key that servers are chosen by: the value of up to 16 hexadecimal digits, unless that is 0, and
-     * otherwise the FNV-1a hash of the characters, which is the same in every process.
+     * The hash of a key, by which servers are chosen: the value of up to 16 hexadecimal digits, unless that value is 0,
+     * and otherwise the FNV-1a hash of the characters, which is the same in every process.
      */
     public static long keyHash(String key) {
         long hash = FNV_OFFSET_BASIS;
--- a/src/main/java/cacheproxy/proxy/request/Responder.java
+++ b/src/main/java/cacheproxy/proxy/request/Responder.java
@@ -5,46 +5,51 @@
 /**
  * Receives the one response to a request and writes it in the client's grammar. The caller calls exactly one of
  * {@link #value}, {@link #stored}, {@link #miss}, {@link #busy}, {@link #failed} and {@link #badRequest}; or
- * {@link #beginValue}, then any number of {@link #valuePart}, and {@link #endValue} or {@link #abortValue}. Calls come
- * on the event loop, perhaps before the call that submitted the request has returned.
+ * {@link #beginValue}, then any number of {@link #valuePart}, and {@link #endValue} or {@link #abortValue}. The methods
+ * are called on the event loop, possibly before the call that submitted the request has returned.
  */
 public interface Responder {
-    /** Where the parts of a value come from. */
+    /** The source of the parts of a value. */
     interface ValueSource {
-        /** Holds back further parts while the client does not take those that were sent, or lets them go on. */
+        /** Pauses further parts while the client does not read those that were sent, or resumes them. */
         void setPaused(boolean paused);
     }
 
-    /** A read was served: the whole value, whose buffer the callee releases. */
+    /** Responds to a read with the whole value, whose buffer the callee releases. */
     void value(ByteBuf value);
 
-    /** A write was served; the receipt is null if the server gives none. */
+    /** Confirms a write; the receipt is null if the server gives none. */
     void stored(String receipt);
 
-    /** No server has the key, and there is no origin to ask. */
+    /** Reports that no server has the key and that there is no origin to send the request to. */
     void miss();
 
-    /** The request was rejected, so that a retry is harmless after this time in milliseconds; under 1: no advice. */
+    /**
+     * Reports that the request was rejected, so that a retry is harmless after this time in milliseconds; a time under
+     * 1 gives no advice.
+     */
     void busy(double retryAfterMs);
 
-    /** The request failed; it may have been carried out. */
+    /** Reports that the request failed; it may have been carried out. */
     void failed();
 
-    /** The request itself is invalid, and nothing was sent to a server. */
+    /** Reports that the request itself is invalid and that nothing was sent to a server. */
     void badRequest(String reason);
 
-    /** A value of this length begins, whose parts follow as they arrive. */
+    /** Begins a value of this length, whose parts follow as they arrive. */
     void beginValue(int lengthBytes, ValueSource source);
 
-    /** Some bytes of the value that has begun, whose buffer the callee releases. */
+    /** Continues the value that has begun with a part, whose buffer the callee releases. */
     void valuePart(ByteBuf part);
 
-    /** The value that has begun is complete. */
+    /** Completes the value that has begun. */
     void endValue();
 
-    /** The value that has begun will not be completed. */
+    /** Aborts the value that has begun, which will not be completed. */
     void abortValue();
 
-    /** Whether the client is known to have closed its connection, though its event may not have been handled yet. */
+    /**
+     * Returns whether the client is known to have closed its connection, even if that event has not been handled yet.
+     */
     boolean hasClientLeft();
 }
