--- a/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
@@ -95,7 +95,7 @@
                 initialServers = parser.servers(source.initialList());
                 version.reset(parser.version(source.initialList()));
             } catch (RuntimeException e) {
-                pool.log("the list in the configuration is of no use: " + e.getMessage());
+                pool.log("the endpoint list in the configuration can't be used: " + e.getMessage());
             }
         }
         pool.endpointListReceived(EndpointListKind.CACHED, initialServers);
--- a/src/main/java/cacheproxy/proxy/discovery/EndpointListParser.java
+++ b/src/main/java/cacheproxy/proxy/discovery/EndpointListParser.java
@@ -61,7 +61,7 @@
         }
         double startedMs = json.has("born_ms") ? json.get("born_ms").getAsDouble() : 0;
         if (!Double.isFinite(startedMs)) {
-            throw new DiscoveryException("host " + name + ": born_ms is no time");
+            throw new DiscoveryException("host " + name + ": born_ms is not a finite number");
         }
         int cell = json.has("block") ? json.get("block").getAsInt() : 0;
         return new ListedServer(
