--- a/src/test/java/cacheproxy/proxy/client/ClientConnectionTest.java
+++ b/src/test/java/cacheproxy/proxy/client/ClientConnectionTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** What clients do to the proxy, on loopback sockets. */
+/** Tests how the proxy handles the behaviour of clients, on loopback sockets. */
 class ClientConnectionTest {
     private static String hitResponse(String command) {
         return "VA 5 O" + ScriptedServer.id(command) + " h1\r\nhello\r\n";
@@ -45,7 +45,9 @@
             for (int turn = 0; turn < 5000; turn++) {
                 other.send("mn\r\n").line();
             }
-            assertThat(sent.get()).as("what the system holds on both ways").isLessThan(24 << 20);
+            assertThat(sent.get())
+                    .as("bytes sent: bounded by the socket buffers of both directions")
+                    .isLessThan(24 << 20);
         }
     }
 
@@ -97,7 +99,7 @@
             client.line();
             assertThat(node.next()).matches("mg 7f3a v Oab12 Pc=text,t=acme,d=(20000|1\\d{4}),r=1 q");
             client.line();
-            client.send("mg 7f3a v Oab13 Pc=text,r=1 q\r\n"); // one without a deadline gets ours
+            client.send("mg 7f3a v Oab13 Pc=text,r=1 q\r\n"); // no deadline: gets the default of its class
             client.line();
             assertThat(node.next()).matches("mg 7f3a v Oab13 Pc=text,r=1,d=(30000|2\\d{4}) q");
         }
@@ -119,8 +121,8 @@
             assertThat(client.line()).isEqualTo("HD O9 cr1");
             String request = origin.next();
             assertThat(request).startsWith("PUT /7f3a HTTP/1.1\n").containsIgnoringCase("req-id: 9\n");
-            // What is left when it is sent on: never the client's whole figure, which the value's transfer has begun to
-            // use up.
+            // The deadline is the time left when the request is forwarded: always less than the client's deadline,
+            // because the transfer of the value has used up a part of it.
             assertThat(request.lines()
                             .filter(line -> line.toLowerCase(Locale.ROOT).startsWith("req-extra: "))
                             .toList())
@@ -134,8 +136,8 @@
     }
 
     /**
-     * The system is short of descriptors for a moment: who waits in the queue is accepted soon after, not a second
-     * later.
+     * Guards against connections that wait for a second in the accept queue after a momentary shortage of descriptors:
+     * they must be accepted soon after it.
      */
     @Test
     void acceptsAgainSoonAfterFailedAccept() throws Exception {
@@ -147,14 +149,15 @@
                     assertThat(client.send("mn\r\n").line()).isEqualTo("MN");
                 }
                 assertThat((System.nanoTime() - failed) / 1e6)
-                        .as("ms; Netty's own pause is 1,000")
+                        .as("ms until the response; Netty's default pause is 1,000 ms")
                         .isLessThan(900);
             }
         }
     }
 
     /**
-     * Whoever stops in the middle of a command and stays is owed a close within 3 s, also one that has asked before.
+     * A client that stops in the middle of a command and stays connected must be closed within 3 s, even if it has sent
+     * complete commands before.
      */
     @Test
     void closesClientThatStopsWithinLaterCommandAfterPendingResponses() throws Exception {
@@ -178,7 +181,7 @@
             idle.send("ms 7f3a 5 O3 Pc=fix,d=20000\r\nhe");
             assertThat(idle.ended()).isTrue();
             assertThat((System.nanoTime() - begun) / 1e9)
-                    .as("seconds; 10 would be those of an answer that is not taken")
+                    .as("seconds until the close; 10 is the timeout of a client that does not read a response")
                     .isLessThan(6);
             stopped.countDown();
             assertThat(waiting.line()).isEqualTo("VA 5 O2");
@@ -227,7 +230,7 @@
                 client.send("mg 7f3a v O1 Pc=text,d=" + deadline + "\r\n");
                 assertThat(client.line()).as(deadline).startsWith("CLIENT_ERROR");
             }
-            client.send("mg 7f3a v O2 Pc=text\r\n"); // the class's own
+            client.send("mg 7f3a v O2 Pc=text\r\n"); // the default deadline of the class
             assertThat(client.line()).isEqualTo("VA 5 O2");
             assertThat(node.commands).hasSize(1);
         }
@@ -287,7 +290,7 @@
         });
         try (Fleet fleet = new Fleet().origin(origin).start();
                 Fleet.Client client = fleet.client()) {
-            for (int i = 0; i < 60; i++) { // more than the connections to the origin
+            for (int i = 0; i < 60; i++) { // more than the limit on connections to the origin
                 client.send("ms 7f3a 5 O" + i + "\u0001 Pc=fix,d=20000\r\nhello\r\n");
                 assertThat(client.line()).startsWith("CLIENT_ERROR");
             }
@@ -317,7 +320,7 @@
             for (int i = 0; i < busy.length; i++) {
                 busy[i] = fleet.client().read("b" + i);
                 while (fleet.proxy.pendingRequests() <= i) {
-                    Thread.onSpinWait(); // until the proxy has taken it
+                    Thread.onSpinWait(); // until the proxy has received the request
                 }
             }
             Fleet.Client late = fleet.client().read("late");
@@ -377,12 +380,12 @@
             assertThat(fleet.proxy.pendingRequests()).isZero();
             client.read("silent");
             while (!ScriptedServer.id(node.next()).equals("silent")) {
-                // those before it
+                // skip the commands of the requests before
             }
             assertThat(fleet.proxy.pendingRequests()).isEqualTo(1);
             client.close();
             while (fleet.proxy.pendingRequests() > 0) {
-                Thread.onSpinWait(); // until the proxy has seen the client go
+                Thread.onSpinWait(); // until the proxy has noticed that the client has disconnected
             }
         }
     }
--- a/src/test/java/cacheproxy/proxy/client/ConnectionActivityTest.java
+++ b/src/test/java/cacheproxy/proxy/client/ConnectionActivityTest.java
@@ -5,7 +5,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Which clients count as stalled, on a clock of the test's own. */
+/** Tests which clients count as stalled, on a clock that the test controls. */
 class ConnectionActivityTest {
     private static final double START_MS = 1000;
 
@@ -34,7 +34,7 @@
         assertThat(isStalledSilent(2001)).isTrue();
         activity.commandReceived();
         assertThat(isStalledSilent(3_600_000))
-                .as("between requests it may be idle")
+                .as("a client may be idle between requests")
                 .isFalse();
     }
 
@@ -43,7 +43,7 @@
         assertThat(isStalledWithinRequest(2600)).isFalse();
         assertThat(isStalledWithinRequest(2601)).isTrue();
         activity.active(START_MS + 1000);
-        assertThat(isStalledWithinRequest(2601)).as("its first request is late").isTrue();
+        assertThat(isStalledWithinRequest(2601)).as("the first request is late").isTrue();
         activity.commandReceived();
         assertThat(isStalledWithinRequest(3600)).isFalse();
         assertThat(isStalledWithinRequest(3601)).isTrue();
@@ -78,7 +78,7 @@
     @Test
     void aResponseMayBeInTransitForATenthOfASecond() {
         assertThat(activity.mayNotHaveLastResponse(START_MS))
-                .as("there was none")
+                .as("no response was written")
                 .isFalse();
         activity.responseWritten(START_MS + 1000);
         assertThat(activity.mayNotHaveLastResponse(START_MS + 1099)).isTrue();
--- a/src/test/java/cacheproxy/proxy/client/MetaProtocolTest.java
+++ b/src/test/java/cacheproxy/proxy/client/MetaProtocolTest.java
@@ -13,7 +13,9 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The two grammars of client commands: what becomes of a line, and how a response to it begins and ends. */
+/**
+ * Tests the two grammars of client commands: how a command line is parsed, and how the response to it begins and ends.
+ */
 class MetaProtocolTest {
     private static final String BAD_KEY =
             "CLIENT_ERROR a key has 1 to 250 printing ASCII characters, and so has the line";
@@ -22,7 +24,7 @@
     private final MetaProtocol standard =
             new StandardMetaProtocol("c=page,t=acme,d=400", "c=save,d=900", Set.of("save"), () -> "n1");
 
-    /** Notes each call in a line of its own. */
+    /** Records each call as a line of text. */
     private static final class Recorder implements MetaCommandHandler {
         private final List<String> calls = new ArrayList<>();
 
--- a/src/test/java/cacheproxy/proxy/client/ReservedAddressTest.java
+++ b/src/test/java/cacheproxy/proxy/client/ReservedAddressTest.java
@@ -11,7 +11,7 @@
 import java.net.Socket;
 import org.junit.jupiter.api.Test;
 
-/** A reserved address refuses clients, and a listening socket may take it. */
+/** Tests that a reserved address refuses clients, and that a listening socket can bind it. */
 class ReservedAddressTest {
     private static final InetSocketAddress ANY_PORT = new InetSocketAddress(InetAddress.getLoopbackAddress(), 0);
 
--- a/src/test/java/cacheproxy/proxy/client/ResponseQueueTest.java
+++ b/src/test/java/cacheproxy/proxy/client/ResponseQueueTest.java
@@ -18,7 +18,9 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Responses are written in the order of the requests, whatever the order in which they are ready. */
+/**
+ * Tests that responses are written in the order of the requests, regardless of the order in which they become ready.
+ */
 class ResponseQueueTest {
     private final EventLoopContext loopContext = new EventLoopContext(
             new EmbeddedChannel().eventLoop(),
--- a/src/test/java/cacheproxy/proxy/discovery/DiscoveryClientTest.java
+++ b/src/test/java/cacheproxy/proxy/discovery/DiscoveryClientTest.java
@@ -19,13 +19,13 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** How the proxy handles what discovery does, on loopback sockets. */
+/** Tests how the proxy handles the behaviour of discovery, on loopback sockets. */
 class DiscoveryClientTest {
     private static ScriptedServer serverWithHits() throws Exception {
         return ScriptedServer.node(line -> "VA 5 O" + ScriptedServer.id(line) + " h1\r\nhello\r\n");
     }
 
-    /** A list of version 43 with this one node, as it would be written. */
+    /** A list of version 43 with this server only, as JSON text. */
     private static String list(ScriptedServer node, boolean complete) {
         JsonArray hosts = new JsonArray();
         hosts.add(Fleet.host("s-0000beef", "node-fast", node.dial(), "up"));
@@ -58,7 +58,7 @@
             Fleet.list(44, true, twice).toString(),
             Fleet.list(44, true, negative).toString(),
             Fleet.list(40, false, new JsonArray()).toString()
-        }; // the last one comes out of order
+        }; // the last one is older than the list held
         CountDownLatch all = new CountDownLatch(bad.length + 3);
         ScriptedServer discovery = new ScriptedServer(connection -> {
             for (String request; (request = connection.request()) != null; ) {
@@ -129,7 +129,10 @@
         }
     }
 
-    /** The first watch falls silent for good. Without the refusals it would be trusted past the next change. */
+    /**
+     * The first long poll never gets a response. Without the refused connections, the proxy would rely on it beyond the
+     * next change.
+     */
     @Test
     void replacesSilentLongPollWhenReadyServersRefuseConnections() throws Exception {
         ScriptedServer successor = serverWithHits();
@@ -152,7 +155,7 @@
                         .start()) {
             fleet.closeables.add(successor);
             assertThat(discovery.next()).contains("since=41&");
-            assertThat(served(fleet)).startsWith("SERVER_ERROR busy"); // refused, and no origin to go to
+            assertThat(served(fleet)).startsWith("SERVER_ERROR busy"); // refused, and there is no origin
             assertThat(discovery.next()).contains("since=41&");
             assertThat(discovery.next()).contains("since=43&");
             assertThat(served(fleet)).isEqualTo("VA 5 O1");
@@ -160,8 +163,8 @@
     }
 
     /**
-     * Nothing else is wrong: no server refuses a connection, no other proxy says anything, and a drain is never told
-     * of.
+     * There is no other sign of a failure: no server refuses a connection, no other proxy sends a message, and
+     * discovery never reports the drain of a server.
      */
     @Test
     void replacesLongPollThatIsSilentFromItsStartWithinStalenessBound() throws Exception {
@@ -192,7 +195,7 @@
                 assertThat(watch).contains("since=41&");
                 String wait = watch.substring(watch.indexOf("timeout_ms=") + 11, watch.indexOf(" HTTP"));
                 assertThat(Integer.parseInt(wait))
-                        .as("wait of a call that may fall silent")
+                        .as("wait in ms of a poll that may get no response")
                         .isLessThan(6000 / 2);
                 assertThat(discovery.next()).as(mode).contains("since=41&timeout_ms=1 ");
                 assertThat(discovery.next()).as(mode).contains("since=42&");
@@ -203,8 +206,8 @@
     }
 
     /**
-     * A late answer of an older list undoes nothing; a discovery that counts anew says so when it is asked for all it
-     * has.
+     * A late response with an older list must not replace the newer one. That discovery has restarted its numbering
+     * shows only when the complete list is requested.
      */
     @Test
     void acceptsOlderCompleteListOnlyAfterRequestingIt() throws Exception {
@@ -231,7 +234,7 @@
         }
     }
 
-    /** A proxy that doubts its list soon where this other one says that it has a later one. */
+    /** A proxy that polls again soon after this peer has announced a newer version. */
     private static Fleet fleetWithPeer(ScriptedServer discovery, DatagramSocket other) throws Exception {
         Fleet setup = new Fleet()
                 .node(serverWithHits())
@@ -245,7 +248,10 @@
         return setup;
     }
 
-    /** Discovery tells its callers in turn: whoever gives up a call that waits comes last again, or is turned away. */
+    /**
+     * Discovery responds to waiting polls one after another. A client that cancels a waiting poll goes to the end of
+     * the queue, or is rejected.
+     */
     @Test
     void keepsWaitingPollWhenAnotherProxyIsServedFirst() throws Exception {
         CountDownLatch claimed = new CountDownLatch(1);
@@ -260,14 +266,17 @@
             try (Fleet fleet = fleetWithPeer(discovery, other).start()) {
                 assertThat(discovery.next()).contains("since=41&timeout_ms=2800");
                 other.send(new DatagramPacket(version(42), version(42).length, fleet.proxy.peerAddress()));
-                fleet.proxy.runAfter(500, claimed::countDown); // its turn comes some time after that of the other
+                fleet.proxy.runAfter(500, claimed::countDown); // discovery serves this proxy some time after the other
                 assertThat(discovery.next()).contains("since=42&timeout_ms=2800");
                 assertThat(served(fleet)).isEqualTo("VA 5 O1");
             }
         }
     }
 
-    /** It refuses nothing and says nothing; noise, cut messages and versions that it has already change nothing. */
+    /**
+     * Discovery neither refuses the poll nor responds to it. Invalid or truncated messages, and versions that the proxy
+     * already has, have no effect.
+     */
     @Test
     void replacesSilentLongPollWhenAnotherProxyHasNewerVersion() throws Exception {
         ScriptedServer discovery = new ScriptedServer(connection -> {
@@ -290,7 +299,7 @@
     @Test
     void announcesOnlyNewVersionsAndEachOnce() throws Exception {
         ScriptedServer node = serverWithHits();
-        CountDownLatch announced = new CountDownLatch(1); // two versions within a moment are told as one
+        CountDownLatch announced = new CountDownLatch(1); // versions in quick succession are announced together
         ScriptedServer discovery = new ScriptedServer(connection -> {
             connection.request();
             connection.sayHttp(200, "", list(node, true));
--- a/src/test/java/cacheproxy/proxy/discovery/EndpointListParserTest.java
+++ b/src/test/java/cacheproxy/proxy/discovery/EndpointListParserTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Discovery's JSON form of the endpoint list, and what is refused in it. */
+/** Tests the parsing of discovery's JSON form of the endpoint list, and which lists are rejected. */
 class EndpointListParserTest {
     private static final String SERVER =
             "{'host': 'cache-1f', 'dial': '127.0.0.1:11211', 'site': 'east', 'class': 'large', 'health': 'up'}";
@@ -31,7 +31,7 @@
         return json("{'seq': 42, 'whole': true, 'hosts': [" + servers + "]}");
     }
 
-    /** The server above with one member replaced, or added. */
+    /** Returns {@link #SERVER} with one member replaced or added. */
     private static String serverWith(String name, String value) {
         JsonObject server = json(SERVER);
         server.add(name, JsonParser.parseString(value.replace('\'', '"')));
@@ -124,7 +124,10 @@
         assertThat(SettingNames.toSettingName(name)).isEqualTo(settingName);
     }
 
-    /** Guards against a start time that equals no other, by which a server would seem to restart with each list. */
+    /**
+     * Guards against a start time that equals no other, such as NaN, with which a server would seem to restart with
+     * each list.
+     */
     @ParameterizedTest
     @ValueSource(strings = {"'NaN'", "'Infinity'", "'-Infinity'", "1e999"})
     void refusesAStartTimeThatIsNotFinite(String startedMs) {
--- a/src/test/java/cacheproxy/proxy/discovery/ListVersionTest.java
+++ b/src/test/java/cacheproxy/proxy/discovery/ListVersionTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** Which versions replace the list held, and what is requested next. */
+/** Tests which versions replace the list held, and which version is requested next. */
 class ListVersionTest {
     private final ListVersion version = new ListVersion();
 
--- a/src/test/java/cacheproxy/proxy/discovery/PeerSocketTest.java
+++ b/src/test/java/cacheproxy/proxy/discovery/PeerSocketTest.java
@@ -16,7 +16,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Messages between proxies, on loopback datagrams. */
+/** Tests the messages between proxies, as datagrams on the loopback interface. */
 class PeerSocketTest {
     private static String text(DatagramSocket socket) {
         return "127.0.0.1:" + socket.getLocalPort();
--- a/src/test/java/cacheproxy/proxy/net/FlushBatcherTest.java
+++ b/src/test/java/cacheproxy/proxy/net/FlushBatcherTest.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import org.junit.jupiter.api.Test;
 
-/** When flushes run, on an event loop that the test runs. */
+/** Tests when flushes run, on an event loop that the test runs. */
 class FlushBatcherTest {
     private final EmbeddedChannel channel = new EmbeddedChannel();
     private final List<String> flushed = new ArrayList<>();
--- a/src/test/java/cacheproxy/proxy/net/NettyLogTest.java
+++ b/src/test/java/cacheproxy/proxy/net/NettyLogTest.java
@@ -9,7 +9,7 @@
 import java.nio.charset.StandardCharsets;
 import org.junit.jupiter.api.Test;
 
-/** Netty's warnings: a line each, without stack traces, and not without end. */
+/** Tests that Netty's warnings take one line each, have no stack traces, and are bounded in number. */
 class NettyLogTest {
     @Test
     void writesBoundedNumberOfShortLines() {
@@ -30,7 +30,7 @@
         } finally {
             System.setErr(standard);
         }
-        // What other tests' loops have to say meanwhile is not ours.
+        // Event loops of other tests may log at the same time.
         String[] lines = written.toString(StandardCharsets.UTF_8)
                 .lines()
                 .filter(line -> line.startsWith("netty: Pipeline"))
--- a/src/test/java/cacheproxy/proxy/net/PollClockTest.java
+++ b/src/test/java/cacheproxy/proxy/net/PollClockTest.java
@@ -6,8 +6,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * How long what is read may have waited: never less than it has, whatever the loop was held up by, and next to nothing
- * in calm.
+ * Tests the bound on how long data has waited before it is read: never less than the actual wait, whatever has delayed
+ * the loop, and close to zero on an idle loop.
  */
 class PollClockTest {
     private static final long MS = 1_000_000;
@@ -45,7 +45,10 @@
         assertThat(clock.unreadForMs(331 * MS)).isEqualTo(20);
     }
 
-    /** The system may end a poll for a timer that is overdue and tell of what is to be read with the next. */
+    /**
+     * The operating system may end a poll because of an overdue timer, and report the readable data only with the next
+     * poll.
+     */
     @Test
     void countsPollThatMetPauseAsNotHavingSeenItsInput() {
         clock.recordPoll(0);
@@ -59,8 +62,8 @@
     }
 
     /**
-     * A loop on a virtual clock: requests come at any time, are seen by the next poll, and are read after others' work
-     * and pauses.
+     * Simulates a loop on a virtual clock: requests arrive at any time, are reported by the next poll, and are read
+     * after work for other requests and after pauses.
      */
     @Test
     void boundsWaitOfEveryRequestApartFromShortPauses() {
@@ -73,12 +76,13 @@
             for (int turn = 0; turn < 50; turn++) {
                 loop.recordPoll(now);
                 long polled = now;
-                // Ready at once, woken by an event, or by the heartbeat; and perhaps paused in it.
+                // The poll returns at once, or is ended by an event or the heartbeat; it may include a pause.
                 long pause = random.nextInt(10) == 0 ? random.nextInt(900) * MS : 0;
                 boolean readyAtOnce = random.nextInt(3) == 0;
                 long wait = readyAtOnce ? 0 : random.nextInt((int) PollClock.HEARTBEAT_MS) * MS;
                 now += wait + pause;
-                // Came after the poll before had returned; where the poll did not return at once, after it had begun.
+                // The request arrived after the previous poll had returned or, if this poll did not return at once,
+                // after it had begun.
                 long earliest = readyAtOnce ? lastPollReturned : polled;
                 long arrived = readyAtOnce
                         ? earliest + (long) (random.nextDouble() * (polled - earliest))
@@ -96,26 +100,30 @@
                 longestBound = Math.max(longestBound, bound);
             }
         }
-        assertThat(longestBound).as("pauses were played").isGreaterThan(900);
+        assertThat(longestBound)
+                .as("longest bound in ms: pauses were simulated")
+                .isGreaterThan(900);
     }
 
-    /** Guards against a close that goes unnoticed for over 100 ms, whatever the loop was held up by. */
+    /** Guards against a close that goes unnoticed for over 100 ms, whatever has delayed the loop. */
     @Test
     void isBehindAfterWorkOrAPauseInWhichAClosePassesUnnoticed() {
         clock.recordPoll(0);
         clock.recordEventHandling(10 * MS);
         assertThat(clock.isBehind(11 * MS)).isFalse();
         assertThat(clock.isBehind(70 * MS))
-                .as("events of this turn have taken long")
+                .as("after long event handling in this turn")
                 .isTrue();
         clock.recordPoll(71 * MS);
         clock.recordEventHandling(72 * MS);
-        assertThat(clock.isBehind(73 * MS)).as("those of the turn before have").isTrue();
+        assertThat(clock.isBehind(73 * MS))
+                .as("after long event handling in the previous turn")
+                .isTrue();
         clock.recordPoll(74 * MS);
         clock.recordEventHandling(170 * MS);
-        assertThat(clock.isBehind(170 * MS)).as("a pause within the poll").isTrue();
+        assertThat(clock.isBehind(170 * MS)).as("after a pause within the poll").isTrue();
         clock.recordPoll(171 * MS);
         clock.recordEventHandling(231 * MS);
-        assertThat(clock.isBehind(231 * MS)).as("an idle poll").isFalse();
+        assertThat(clock.isBehind(231 * MS)).as("after an idle poll").isFalse();
     }
 }
--- a/src/test/java/cacheproxy/proxy/net/TimerWheelTest.java
+++ b/src/test/java/cacheproxy/proxy/net/TimerWheelTest.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 import org.junit.jupiter.api.Test;
 
-/** Timers run once, in order and never early; those called off do not run. */
+/** Tests that timers run once, in order and never early, and that cancelled timers do not run. */
 class TimerWheelTest {
     @Test
     void runsTimersOnceAndNeverEarlyUnlessCancelled() throws Exception {
@@ -25,7 +25,7 @@
                     TimerWheel timers = new TimerWheel(loop, new PollClock());
                     Random random = new Random(5);
                     for (int i = 0; i < count; i++) {
-                        // beyond the wheel's four seconds, too
+                        // some timers are beyond the four seconds that the wheel covers
                         double ms = i % 500 == 0 ? 4200 : random.nextInt(300);
                         long due = System.nanoTime() + (long) (ms * 1e6);
                         timers.after(ms, () -> {
@@ -34,10 +34,11 @@
                             }
                             last.countDown();
                         });
-                        timers.after(ms, () -> errors.add("called off")).cancel();
+                        timers.after(ms, () -> errors.add("cancelled timer has run"))
+                                .cancel();
                     }
                     timers.after(10, () -> {
-                        timers.after(0, () -> order.add(2)); // set from within a timer: runs later
+                        timers.after(0, () -> order.add(2)); // a timer that is set by a timer runs later
                         order.add(1);
                     });
                 })
--- a/src/test/java/cacheproxy/proxy/request/DeadlineFieldTest.java
+++ b/src/test/java/cacheproxy/proxy/request/DeadlineFieldTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Replaces the deadline in attributes that name it anywhere, never or repeatedly. */
+/** Tests the replacement of the deadline in attributes that have it at any position, not at all or repeatedly. */
 class DeadlineFieldTest {
     private static String withDeadline(String attributes, int deadlineMs) {
         return new ClientRequest("key", "1", false, attributes, "mg key v O1 P", " q")
--- a/src/test/java/cacheproxy/proxy/request/MetaCodecTest.java
+++ b/src/test/java/cacheproxy/proxy/request/MetaCodecTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Lines, lengths, flags and attributes of the meta text protocol. */
+/** Tests the parsing of lines, lengths, flags and attributes of the meta text protocol. */
 class MetaCodecTest {
     private static ByteBuf input(String text) {
         return Unpooled.copiedBuffer(text, StandardCharsets.ISO_8859_1);
@@ -27,7 +27,7 @@
         assertThat(MetaCodec.readLine(input)).isEmpty();
         assertThat(MetaCodec.readLine(input)).isEmpty();
         assertThat(MetaCodec.readLine(input)).isNull();
-        assertThat(input.readableBytes()).as("an incomplete line is left").isEqualTo(4);
+        assertThat(input.readableBytes()).as("an incomplete line stays unread").isEqualTo(4);
     }
 
     @Test
@@ -35,7 +35,7 @@
         String longest = "a".repeat(MetaCodec.MAX_LINE_BYTES - 2);
         assertThat(MetaCodec.readLine(input(longest + "\r\n"))).isEqualTo(longest);
         assertThat(MetaCodec.readLine(input(longest + "a")))
-                .as("its end may come")
+                .as("the end of the line may still arrive")
                 .isNull();
         assertThatThrownBy(() -> MetaCodec.readLine(input(longest + "aa\n")))
                 .isInstanceOf(MetaCodec.SyntaxException.class)
--- a/src/test/java/cacheproxy/proxy/request/RequestValidatorTest.java
+++ b/src/test/java/cacheproxy/proxy/request/RequestValidatorTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** What a request's attributes say, and which are refused, on a clock of the test's own. */
+/** Tests how a request's attributes are read and which are rejected, on a clock that the test controls. */
 class RequestValidatorTest {
     private static final double NOW_MS = 5000;
 
@@ -112,7 +112,7 @@
             })
     void refusesUnknownNamesAndBadDeadlines(String attributes) {
         assertThat(validator.resolve(request(attributes))).isEqualTo("unknown class, tenant or deadline");
-        assertThat(openIds).as("its id is not opened").isEmpty();
+        assertThat(openIds).as("the id is not recorded as open").isEmpty();
     }
 
     @Test
@@ -148,7 +148,7 @@
         assertThat(RequestValidator.keyHash(key)).isEqualTo(hash);
     }
 
-    /** Guards against a client's hint that is no time, or longer than any request may take, reaching the policy. */
+    /** Guards against client hints reaching the policy that are not a time, or are longer than any request can take. */
     @ParameterizedTest
     @ValueSource(strings = {"Infinity", "-Infinity", "NaN", "-7", "1e300", "0x1p9", "1d", "9999999999999", ""})
     void anInvalidHintCountsAsAbsent(String hint) {
