--- a/src/main/java/cacheproxy/proxy/client/ClientConnection.java
+++ b/src/main/java/cacheproxy/proxy/client/ClientConnection.java
@@ -15,7 +15,7 @@
 import java.util.List;
 
 /**
- * A connection of a client that speaks the meta commands: submits its requests to the owner's handler and writes the
+ * A connection of a client that uses the meta commands: submits its requests to the owner's handler and writes the
  * responses in the order of the requests.
  */
 final class ClientConnection extends ByteToMessageDecoder implements RequestDecoder.Output {
--- a/src/main/java/cacheproxy/proxy/client/Listener.java
+++ b/src/main/java/cacheproxy/proxy/client/Listener.java
@@ -237,7 +237,7 @@
         new ArrayList<>(connections).forEach(ClientConnection::stopTakingRequests);
     }
 
-    /** Whether no connection is open. */
+    /** Returns whether no connection is open. */
     public boolean isEmpty() {
         return connections.isEmpty();
     }
--- a/src/main/java/cacheproxy/proxy/client/RequestDecoder.java
+++ b/src/main/java/cacheproxy/proxy/client/RequestDecoder.java
@@ -33,7 +33,7 @@
     private int missingBytes;
     /** The echo of the last write in the standard grammar. */
     private String standardEcho;
-    /** The response to the last write in the standard grammar if it can't be carried out, else null. */
+    /** The response to the last write in the standard grammar if that write can't be carried out; null otherwise. */
     private String standardErrorLine;
 
     /** Receives the decoded commands. */
--- a/src/main/java/cacheproxy/proxy/client/StandardMetaProtocol.java
+++ b/src/main/java/cacheproxy/proxy/client/StandardMetaProtocol.java
@@ -116,7 +116,10 @@
         private boolean echoKey;
         private boolean valueRequested;
 
-        /** Reads the flags from this index on; returns the error line for the first unsupported one, else null. */
+        /**
+         * Reads the flags from this index on; returns the error line for the first unsupported flag, or null if there
+         * is none.
+         */
         String read(String line, int from, String supported) {
             int end;
             for (int start = from; start < line.length(); start = end + 1) {
@@ -145,7 +148,7 @@
             }
         }
 
-        /** The error line for an opaque that is too long, else null. */
+        /** Returns the error line for an opaque that is too long, or null if its length is valid. */
         String opaqueError() {
             return opaque != null && opaque.length() > MAX_OPAQUE_LENGTH
                     ? "CLIENT_ERROR an opaque has 32 characters at most"
--- a/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
+++ b/src/main/java/cacheproxy/proxy/discovery/DiscoveryClient.java
@@ -195,7 +195,7 @@
     }
 
     /**
-     * Handles a message from the proxy with this number; {@link VersionGossip#isVersionMessage} accepts the message.
+     * Handles a version message from the proxy with this number; {@link VersionGossip#isVersionMessage} must accept it.
      */
     public void versionAnnounced(int peer, byte[] message) {
         long announced = VersionGossip.decodeVersion(message);
--- a/src/main/java/cacheproxy/proxy/net/FlushBatcher.java
+++ b/src/main/java/cacheproxy/proxy/net/FlushBatcher.java
@@ -15,7 +15,7 @@
     private final ArrayDeque<Runnable> pending = new ArrayDeque<>();
     private final Runnable runPending = this::runPending;
 
-    /** Creates a batcher, which runs flushes at once unless it is enabled. */
+    /** Creates a batcher; if it is not enabled, it runs each flush at once. */
     public FlushBatcher(EventLoop loop, boolean enabled) {
         this.loop = loop;
         this.enabled = enabled;
--- a/src/main/java/cacheproxy/proxy/net/NettyDefaults.java
+++ b/src/main/java/cacheproxy/proxy/net/NettyDefaults.java
@@ -18,7 +18,7 @@
             Map.entry("io.netty.allocator.smallCacheSize", "32"),
             Map.entry("io.netty.allocator.normalCacheSize", "8"),
             Map.entry("io.netty.allocator.maxCachedBufferCapacity", "16384"),
-            // JFR events of buffers would load the flight recorder, which takes 150 ms of the start.
+            // JFR events of buffers would load the flight recorder, which takes 150 ms at start-up.
             Map.entry("io.netty.jfr.enabled", "false"),
             // Parts of channel ids. Without them, Netty would query all network interfaces for a hardware address.
             Map.entry("io.netty.machineId", "02:00:00:00:00:01"),
--- a/src/main/java/cacheproxy/proxy/net/NettyLog.java
+++ b/src/main/java/cacheproxy/proxy/net/NettyLog.java
@@ -6,7 +6,7 @@
 
 /**
  * Netty's logger: writes warnings and errors to standard error, one line each with the message of the cause, and drops
- * all other levels. Netty's own search for a logging framework takes 20 ms of the start, and the JDK's logger prints
+ * all other levels. Netty's own search for a logging framework takes 20 ms at start-up, and the JDK's logger prints
  * stack traces. May be used from any thread.
  */
 final class NettyLog extends AbstractInternalLogger {
--- a/src/main/java/cacheproxy/proxy/request/MetaCodec.java
+++ b/src/main/java/cacheproxy/proxy/request/MetaCodec.java
@@ -6,7 +6,7 @@
 import java.nio.charset.StandardCharsets;
 import java.util.List;
 
-/** The grammar of the meta text protocol, for clients and for cache nodes. */
+/** The grammar of the meta text protocol, for clients and for cache servers. */
 public final class MetaCodec {
     /** The longest value of the protocol. */
     public static final int MAX_VALUE_BYTES = 4 << 20;
@@ -26,7 +26,9 @@
 
     private MetaCodec() {}
 
-    /** Input that violates the protocol; the message says what is wrong. It has no stack trace. */
+    /**
+     * Thrown for input that violates the protocol; the message says what is wrong. The exception has no stack trace.
+     */
     public static final class SyntaxException extends Exception {
         private static final long serialVersionUID = 1L;
 
