--- a/src/main/java/cacheproxy/proxy/discovery/EndpointListParser.java
+++ b/src/main/java/cacheproxy/proxy/discovery/EndpointListParser.java
@@ -12,8 +12,8 @@
 import java.util.Set;
 
 /**
- * Reads discovery's JSON form of the endpoint list. Its methods throw a {@link RuntimeException} where the input is not
- * of that form; where only a value is invalid, it is a {@link DiscoveryException}.
+ * Reads discovery's JSON form of the endpoint list. Its methods throw a {@link RuntimeException} if the input does not
+ * have that form; if only a value is invalid, the exception is a {@link DiscoveryException}.
  */
 final class EndpointListParser {
     private final List<String> zones;
@@ -61,7 +61,7 @@
         }
         double startedMs = json.has("born_ms") ? json.get("born_ms").getAsDouble() : 0;
         if (!Double.isFinite(startedMs)) {
-            throw new DiscoveryException("host " + name + ": born_ms is no time");
+            throw new DiscoveryException("host " + name + ": born_ms is not a finite number");
         }
         int cell = json.has("block") ? json.get("block").getAsInt() : 0;
         return new ListedServer(
--- a/src/main/java/cacheproxy/proxy/net/NettyLog.java
+++ b/src/main/java/cacheproxy/proxy/net/NettyLog.java
@@ -6,12 +6,12 @@
 
 /**
  * Netty's logger: writes warnings and errors to standard error, one line each with the message of the cause, and drops
- * all other levels. Netty's own search for a logging framework takes 20 ms of the start, and the JDK's logger prints
+ * all other levels. Netty's own search for a logging framework takes 20 ms at start-up, and the JDK's logger prints
  * stack traces. May be used from any thread.
  */
 final class NettyLog extends AbstractInternalLogger {
     private static final long serialVersionUID = 1;
-    /** Bound of the lines of one process, as a peer that provokes warnings must not fill a disk. */
+    /** The maximum number of lines of one process, because a peer that provokes warnings must not fill a disk. */
     static final int MAX_LINES = 100;
 
     private static final int MAX_MESSAGE_CHARS = 300;
