--- a/src/main/java/cacheproxy/bench/ImportBench.java
+++ b/src/main/java/cacheproxy/bench/ImportBench.java
@@ -83,7 +83,7 @@
             long parsed = System.nanoTime();
             Importer.Result result = Importer.run(conf, OPTIONS);
             long imported = System.nanoTime();
-            DaemonConfig config = DaemonConfigReader.parse("imported", result.file());
+            DaemonConfig config = DaemonConfigReader.parse("imported", result.configText());
             long checked = System.nanoTime();
             parseMs[round] = (parsed - start) / 1e6;
             importMs[round] = (imported - parsed) / 1e6;
@@ -104,7 +104,7 @@
     /** Prints the time to find the route of a key among a thousand imported locations. */
     private void timeChoices() throws NginxSyntaxException, ConfigException {
         Importer.Result result = Importer.run(parse(GeneratedNginxConf.locations(LOCATIONS)), OPTIONS);
-        DaemonConfig config = DaemonConfigReader.parse("imported", result.file());
+        DaemonConfig config = DaemonConfigReader.parse("imported", result.configText());
         SplittableRandom random = new SplittableRandom(3);
         String[] prefixes = new String[INPUTS];
         String[] patterns = new String[INPUTS];
--- a/src/main/java/cacheproxy/cli/ImportNginxCommand.java
+++ b/src/main/java/cacheproxy/cli/ImportNginxCommand.java
@@ -112,7 +112,7 @@
             return ExitCode.UNUSABLE;
         }
         Importer.Result result = Importer.run(conf, options.get());
-        if (result.file() == null) {
+        if (result.configText() == null) {
             result.report().lines().forEach(err::println);
             err.println(file + ": nothing in it can be served: no server block, or no upstream with a usable server");
             return ExitCode.UNUSABLE;
@@ -125,9 +125,9 @@
             return new NginxComparison(conf, imported.get(), result.hostInKeys())
                     .run(keysFile, spec.commandLine().getOut(), err);
         }
-        writeConfig(result.file());
+        writeConfig(result.configText());
         writeReport(result.report(), err);
-        return result.report().complete() ? ExitCode.OK : ExitCode.FAILED;
+        return result.report().isComplete() ? ExitCode.OK : ExitCode.FAILED;
     }
 
     private boolean optionsAreValid(PrintWriter err) {
@@ -178,7 +178,7 @@
     private Optional<DaemonConfig> validate(Importer.Result result, PrintWriter err) {
         try {
             String name = outputFile == null ? "imported" : outputFile.toString();
-            return Optional.of(DaemonConfigReader.parse(name, result.file()));
+            return Optional.of(DaemonConfigReader.parse(name, result.configText()));
         } catch (ConfigException e) {
             err.println("the file made of " + file + " is not accepted; please report this:");
             e.errors().forEach(err::println);
--- a/src/main/java/cacheproxy/cli/ImportReportJson.java
+++ b/src/main/java/cacheproxy/cli/ImportReportJson.java
@@ -30,9 +30,9 @@
         JsonArray entries = new JsonArray();
         for (Report.Entry entry : report.entries()) {
             JsonObject json = new JsonObject();
-            json.addProperty("file", entry.directive().at().file());
-            json.addProperty("line", entry.directive().at().line());
-            json.addProperty("column", entry.directive().at().column());
+            json.addProperty("file", entry.directive().position().file());
+            json.addProperty("line", entry.directive().position().line());
+            json.addProperty("column", entry.directive().position().column());
             json.addProperty("directive", entry.directive().toString());
             json.addProperty("became", entry.level().text);
             json.addProperty("text", entry.text());
--- a/src/main/java/cacheproxy/fakes/nginx/ContentHandler.java
+++ b/src/main/java/cacheproxy/fakes/nginx/ContentHandler.java
@@ -23,16 +23,16 @@
             request.answer(403);
             return null;
         }
-        Directive tryFiles = location.last("try_files");
+        Directive tryFiles = location.lastChildNamed("try_files");
         if (tryFiles != null && request.handler() == null) {
             return tryFiles(server, tryFiles, request);
         }
         Directive pass = request.handler();
         if (pass == null) {
-            pass = location.last("proxy_pass");
+            pass = location.lastChildNamed("proxy_pass");
         }
         if (pass == null) {
-            pass = location.last("memcached_pass");
+            pass = location.lastChildNamed("memcached_pass");
         }
         if (pass == null) {
             request.answer(404);
@@ -43,12 +43,12 @@
     }
 
     private static boolean isDenied(Directive location, SimulatedRequest request) {
-        Directive limitExcept = location.last("limit_except");
+        Directive limitExcept = location.lastChildNamed("limit_except");
         boolean read = request.method().equals("GET") || request.method().equals("HEAD");
         return limitExcept != null
                 && !read
                 && !limitExcept.args().contains(request.method())
-                && !limitExcept.all("deny").isEmpty();
+                && !limitExcept.childrenNamed("deny").isEmpty();
     }
 
     private String tryFiles(Directive server, Directive tryFiles, SimulatedRequest request) {
@@ -66,7 +66,7 @@
     }
 
     private String handleNamed(Directive server, String name, SimulatedRequest request) {
-        Directive named = server.all("location").stream()
+        Directive named = server.childrenNamed("location").stream()
                 .filter(location -> location.arg(0).equals(name))
                 .findFirst()
                 .orElse(null);
--- a/src/main/java/cacheproxy/fakes/nginx/LocationFinder.java
+++ b/src/main/java/cacheproxy/fakes/nginx/LocationFinder.java
@@ -100,7 +100,7 @@
     }
 
     private static boolean passesRequests(Directive location) {
-        return location.last("proxy_pass") != null || location.last("memcached_pass") != null;
+        return location.lastChildNamed("proxy_pass") != null || location.lastChildNamed("memcached_pass") != null;
     }
 
     /** Whether a nested search that ends here is the whole search: it found an exact path or a pattern. */
--- a/src/main/java/cacheproxy/fakes/nginx/MapLookup.java
+++ b/src/main/java/cacheproxy/fakes/nginx/MapLookup.java
@@ -17,7 +17,7 @@
     /** The value for a text, in which variables are not replaced. */
     String lookUp(Directive map, String text) {
         String found = equalEntry(map, text);
-        if (found == null && !map.all("hostnames").isEmpty()) {
+        if (found == null && !map.childrenNamed("hostnames").isEmpty()) {
             found = longestMask(map, text, true);
             if (found == null) {
                 found = longestMask(map, text, false);
@@ -29,7 +29,7 @@
         if (found != null) {
             return found;
         }
-        Directive entry = map.last("default");
+        Directive entry = map.lastChildNamed("default");
         return entry == null ? "" : entry.arg(0);
     }
 
--- a/src/main/java/cacheproxy/fakes/nginx/RequestInterpreter.java
+++ b/src/main/java/cacheproxy/fakes/nginx/RequestInterpreter.java
@@ -91,8 +91,8 @@
     /** Whether a location, or the server without one, takes requests from clients. */
     private static boolean isServed(Directive server, Directive location, SimulatedRequest request) {
         if (location == null) {
-            return server.last("try_files") != null;
+            return server.lastChildNamed("try_files") != null;
         }
-        return location.last("internal") == null || request.isPathEverChanged();
+        return location.lastChildNamed("internal") == null || request.isPathEverChanged();
     }
 }
--- a/src/main/java/cacheproxy/fakes/nginx/RewriteInterpreter.java
+++ b/src/main/java/cacheproxy/fakes/nginx/RewriteInterpreter.java
@@ -52,8 +52,8 @@
 
     /** Runs the block of an {@code if}; returns whether a rewrite in it has ended the whole set. */
     private boolean runIf(Directive directive, SimulatedRequest request) {
-        Directive pass = directive.last("proxy_pass");
-        pass = pass != null ? pass : directive.last("memcached_pass");
+        Directive pass = directive.lastChildNamed("proxy_pass");
+        pass = pass != null ? pass : directive.lastChildNamed("memcached_pass");
         if (pass != null) {
             request.setHandler(pass);
         }
@@ -61,7 +61,7 @@
         run(directive.block(), request);
         boolean changedHere = request.isPathChangedInLocation() && !changedBefore;
         return changedHere
-                && directive.all("rewrite").stream()
+                && directive.childrenNamed("rewrite").stream()
                         .anyMatch(rewrite -> rewrite.arg(2).equals("last"));
     }
 
--- a/src/main/java/cacheproxy/fakes/nginx/ServerSelector.java
+++ b/src/main/java/cacheproxy/fakes/nginx/ServerSelector.java
@@ -45,7 +45,7 @@
     }
 
     private static List<String> sockets(Directive server) {
-        List<String> sockets = server.all("listen").stream()
+        List<String> sockets = server.childrenNamed("listen").stream()
                 .map(listen -> socket(listen.arg(0)))
                 .toList();
         return sockets.isEmpty() ? List.of(DEFAULT_SOCKET) : sockets;
@@ -63,7 +63,7 @@
     /** Names of a server, in lower case but for patterns. */
     private static List<String> names(Directive server) {
         List<String> names = new ArrayList<>();
-        for (Directive serverName : server.all("server_name")) {
+        for (Directive serverName : server.childrenNamed("server_name")) {
             for (String name : serverName.args()) {
                 names.add(name.startsWith("~") ? name : name.toLowerCase(Locale.ROOT));
             }
@@ -134,7 +134,7 @@
     /** The first server that is marked as default, else the first one. */
     private static Directive defaultServer(List<Directive> candidates, String socket) {
         for (Directive server : candidates) {
-            for (Directive listen : server.all("listen")) {
+            for (Directive listen : server.childrenNamed("listen")) {
                 if (socket(listen.arg(0)).equals(socket) && listen.args().contains("default_server")) {
                     return server;
                 }
--- a/src/main/java/cacheproxy/fakes/nginx/UpstreamBalancer.java
+++ b/src/main/java/cacheproxy/fakes/nginx/UpstreamBalancer.java
@@ -47,7 +47,7 @@
 
     /** The server of a request; null if more than the request decides. */
     String select(Directive upstream, SimulatedRequest request) {
-        List<Peer> peers = upstream.all("server").stream()
+        List<Peer> peers = upstream.childrenNamed("server").stream()
                 .filter(server -> !server.args().contains("backup"))
                 .map(Peer::of)
                 .toList();
--- a/src/main/java/cacheproxy/fakes/nginx/VariableExpander.java
+++ b/src/main/java/cacheproxy/fakes/nginx/VariableExpander.java
@@ -120,7 +120,7 @@
             case "map" -> expand(maps.lookUp(definition, expand(definition.arg(0), request)), request);
             case "split_clients" -> expand(split(definition, expand(definition.arg(0), request)), request);
             default -> {
-                Directive entry = definition.last("default");
+                Directive entry = definition.lastChildNamed("default");
                 yield entry == null ? "" : entry.arg(0);
             }
         };
--- a/src/main/java/cacheproxy/nginx/ConfLexer.java
+++ b/src/main/java/cacheproxy/nginx/ConfLexer.java
@@ -30,7 +30,7 @@
     private int next;
 
     private int line = 1;
-    private int lineStart;
+    private int lineStartOffset;
 
     private String word = "";
     private int tokenLine;
@@ -47,12 +47,12 @@
         this.text = text;
         if (text.startsWith(BYTE_ORDER_MARK)) {
             next = BYTE_ORDER_MARK.length();
-            lineStart = next;
+            lineStartOffset = next;
         }
     }
 
     /** The position of the last token. */
-    Position at() {
+    Position tokenPosition() {
         return new Position(file, tokenLine, tokenColumn);
     }
 
@@ -75,9 +75,9 @@
         }
         char first = text.charAt(next);
         return switch (first) {
-            case ';' -> single(Kind.SEMICOLON);
-            case '{' -> single(Kind.OPEN_BRACE);
-            case '}' -> single(Kind.CLOSE_BRACE);
+            case ';' -> singleCharacterToken(Kind.SEMICOLON);
+            case '{' -> singleCharacterToken(Kind.OPEN_BRACE);
+            case '}' -> singleCharacterToken(Kind.CLOSE_BRACE);
             case '"', '\'' -> {
                 word = quotedWord(first);
                 yield Kind.WORD;
@@ -96,7 +96,7 @@
      * @throws NginxSyntaxException if the block is not closed
      */
     String rawBlock() throws NginxSyntaxException {
-        Position open = at();
+        Position open = tokenPosition();
         int start = next;
         int depth = 1;
         while (next < text.length()) {
@@ -117,7 +117,7 @@
         throw new NginxSyntaxException(open, "the block that opens here is not closed");
     }
 
-    private Kind single(Kind kind) {
+    private Kind singleCharacterToken(Kind kind) {
         next++;
         return kind;
     }
@@ -143,11 +143,11 @@
 
     private void beginLine() {
         line++;
-        lineStart = next + 1;
+        lineStartOffset = next + 1;
     }
 
     private int column() {
-        return next - lineStart + 1;
+        return next - lineStartOffset + 1;
     }
 
     /** The next character, counted if it is a line break; control characters are rejected. */
@@ -171,7 +171,7 @@
         next++;
         for (; ; next++) {
             if (next >= text.length()) {
-                throw new NginxSyntaxException(at(), "the quote that opens here is not closed");
+                throw new NginxSyntaxException(tokenPosition(), "the quote that opens here is not closed");
             }
             char character = checkedCharacter();
             if (character == quote) {
@@ -218,7 +218,7 @@
         }
         if (out.length() > MAX_WORD_BYTES) {
             throw new NginxSyntaxException(
-                    at(),
+                    tokenPosition(),
                     "a parameter of more than " + MAX_WORD_BYTES
                             + " bytes begins here; probably a closing quote or a semicolon is missing");
         }
--- a/src/main/java/cacheproxy/nginx/ConfParser.java
+++ b/src/main/java/cacheproxy/nginx/ConfParser.java
@@ -29,22 +29,22 @@
     /** The files being read, each included by the one before it. */
     private final Deque<String> openFiles = new ArrayDeque<>();
 
-    private final List<Empty> emptyIncludes = new ArrayList<>();
+    private final List<EmptyInclude> emptyIncludes = new ArrayList<>();
     private int fileCount;
     private long byteCount;
 
     /** An include whose pattern matches no file, which nginx accepts. */
-    public record Empty(Directive include) {}
+    public record EmptyInclude(Directive include) {}
 
     /**
      * A configuration as read.
      *
      * @param directives the tree, with the included files' directives in place of the includes
-     * @param empty includes that matched no file
-     * @param files number of files read
-     * @param bytes size of all files
+     * @param emptyIncludes includes that matched no file
+     * @param fileCount number of files read
+     * @param byteCount size of all files
      */
-    public record Conf(List<Directive> directives, List<Empty> empty, int files, long bytes) {}
+    public record Conf(List<Directive> directives, List<EmptyInclude> emptyIncludes, int fileCount, long byteCount) {}
 
     private ConfParser(ConfSource source) {
         this.source = source;
@@ -153,12 +153,14 @@
                 }
                 case CLOSE_BRACE -> {
                     if (open == null) {
-                        throw new NginxSyntaxException(lexer.at(), "unexpected '}': no block is open");
+                        throw new NginxSyntaxException(lexer.tokenPosition(), "unexpected '}': no block is open");
                     }
                     return;
                 }
-                case SEMICOLON -> throw new NginxSyntaxException(lexer.at(), "unexpected ';': no directive before it");
-                case OPEN_BRACE -> throw new NginxSyntaxException(lexer.at(), "unexpected '{': no directive before it");
+                case SEMICOLON ->
+                    throw new NginxSyntaxException(lexer.tokenPosition(), "unexpected ';': no directive before it");
+                case OPEN_BRACE ->
+                    throw new NginxSyntaxException(lexer.tokenPosition(), "unexpected '{': no directive before it");
                 default -> throw new IllegalStateException("unknown token " + kind);
             }
         }
@@ -167,37 +169,39 @@
     /** Reads a directive whose name is the lexer's last word. */
     private void readDirective(ConfLexer lexer, List<Directive> into, int blockDepth) throws NginxSyntaxException {
         String name = lexer.word();
-        Position at = lexer.at();
+        Position position = lexer.tokenPosition();
         List<String> args = new ArrayList<>();
         for (; ; ) {
             ConfLexer.Kind kind = lexer.next();
             switch (kind) {
                 case WORD -> args.add(lexer.word());
                 case SEMICOLON -> {
-                    addSimple(new Directive(name, args, null, null, at), into, blockDepth);
+                    addSimple(new Directive(name, args, null, null, position), into, blockDepth);
                     return;
                 }
                 case OPEN_BRACE -> {
-                    into.add(blockDirective(lexer, name, args, at, blockDepth));
+                    into.add(blockDirective(lexer, name, args, position, blockDepth));
                     return;
                 }
                 case CLOSE_BRACE ->
                     throw new NginxSyntaxException(
-                            lexer.at(), "unexpected '}': '" + name + "' of line " + at.line() + " ends without ';'");
-                case END_OF_FILE -> throw new NginxSyntaxException(at, "'" + name + "' is not ended by ';' or a block");
+                            lexer.tokenPosition(),
+                            "unexpected '}': '" + name + "' of line " + position.line() + " ends without ';'");
+                case END_OF_FILE ->
+                    throw new NginxSyntaxException(position, "'" + name + "' is not ended by ';' or a block");
                 default -> throw new IllegalStateException("unknown token " + kind);
             }
         }
     }
 
-    private Directive blockDirective(ConfLexer lexer, String name, List<String> args, Position at, int blockDepth)
+    private Directive blockDirective(ConfLexer lexer, String name, List<String> args, Position position, int blockDepth)
             throws NginxSyntaxException {
         if (name.endsWith(LUA_BLOCK_SUFFIX)) {
-            return new Directive(name, args, List.of(), lexer.rawBlock(), at);
+            return new Directive(name, args, List.of(), lexer.rawBlock(), position);
         }
         List<Directive> inner = new ArrayList<>();
-        readBlock(lexer, lexer.at(), inner, blockDepth + 1);
-        return new Directive(name, args, inner, null, at);
+        readBlock(lexer, lexer.tokenPosition(), inner, blockDepth + 1);
+        return new Directive(name, args, inner, null, position);
     }
 
     private void addSimple(Directive directive, List<Directive> into, int blockDepth) throws NginxSyntaxException {
@@ -212,20 +216,20 @@
         String pattern = include.arg(0);
         boolean isPattern = pattern.chars().anyMatch(character -> "*?[".indexOf(character) >= 0);
         if (!isPattern) {
-            readFile(pattern, include.at(), into, blockDepth);
+            readFile(pattern, include.position(), into, blockDepth);
             return;
         }
         List<String> found;
         try {
             found = source.glob(pattern);
         } catch (ConfSource.UnreadableFileException e) {
-            throw new NginxSyntaxException(include.at(), "can't look for " + pattern + ": " + e.getMessage());
+            throw new NginxSyntaxException(include.position(), "can't look for " + pattern + ": " + e.getMessage());
         }
         if (found.isEmpty()) {
-            emptyIncludes.add(new Empty(include));
+            emptyIncludes.add(new EmptyInclude(include));
         }
         for (String path : found) {
-            readFile(path, include.at(), into, blockDepth);
+            readFile(path, include.position(), into, blockDepth);
         }
     }
 }
--- a/src/main/java/cacheproxy/nginx/ConfPrinter.java
+++ b/src/main/java/cacheproxy/nginx/ConfPrinter.java
@@ -20,8 +20,8 @@
         for (Directive directive : directives) {
             out.append(indent).append(quotedIfNeeded(directive.name()));
             directive.args().forEach(argument -> out.append(' ').append(quotedIfNeeded(argument)));
-            if (directive.raw() != null) {
-                out.append(" {").append(directive.raw()).append("}\n");
+            if (directive.rawBlock() != null) {
+                out.append(" {").append(directive.rawBlock()).append("}\n");
             } else if (directive.block() == null) {
                 out.append(";\n");
             } else {
--- a/src/main/java/cacheproxy/nginx/Directive.java
+++ b/src/main/java/cacheproxy/nginx/Directive.java
@@ -9,10 +9,10 @@
  *
  * @param args the parameters, without the directive's name
  * @param block the directives between its braces; null if it ends with a semicolon
- * @param raw the text of a block of another grammar (Lua); null for other directives
+ * @param rawBlock the text of a block of another grammar (Lua); null for other directives
  * @param at where it begins
  */
-public record Directive(String name, List<String> args, List<Directive> block, String raw, Position at) {
+public record Directive(String name, List<String> args, List<Directive> block, String rawBlock, Position position) {
     /** Copies the lists. */
     public Directive {
         args = List.copyOf(args);
@@ -30,18 +30,18 @@
     }
 
     /** The directives of a name directly in its block. */
-    public List<Directive> all(String wanted) {
+    public List<Directive> childrenNamed(String childName) {
         return block == null
                 ? List.of()
                 : block.stream()
-                        .filter(directive -> directive.name.equals(wanted))
+                        .filter(directive -> directive.name.equals(childName))
                         .toList();
     }
 
     /** The last directive of a name directly in its block; null if there is none. */
-    public Directive last(String wanted) {
+    public Directive lastChildNamed(String childName) {
         for (int i = block == null ? -1 : block.size() - 1; i >= 0; i--) {
-            if (block.get(i).name.equals(wanted)) {
+            if (block.get(i).name.equals(childName)) {
                 return block.get(i);
             }
         }
@@ -54,7 +54,7 @@
                 && name.equals(directive.name)
                 && args.equals(directive.args)
                 && Objects.equals(block, directive.block)
-                && Objects.equals(raw, directive.raw);
+                && Objects.equals(rawBlock, directive.rawBlock);
     }
 
     @Override
--- a/src/main/java/cacheproxy/nginx/NginxSyntaxException.java
+++ b/src/main/java/cacheproxy/nginx/NginxSyntaxException.java
@@ -5,8 +5,8 @@
     private static final long serialVersionUID = 1L;
 
     /** Reports a fault at a position. */
-    public NginxSyntaxException(Position at, String reason) {
-        super(at.file() + ":" + at.line() + ": " + reason);
+    public NginxSyntaxException(Position position, String reason) {
+        super(position.file() + ":" + position.line() + ": " + reason);
     }
 
     /** Reports a fault of a whole file. */
--- a/src/main/java/cacheproxy/nginx/importer/Alternative.java
+++ b/src/main/java/cacheproxy/nginx/importer/Alternative.java
@@ -3,7 +3,7 @@
 /**
  * One value of an expression.
  *
- * @param when the conditions under which it has this value, unless an earlier alternative holds
+ * @param conditions the conditions under which it has this value, unless an earlier alternative holds
  * @param value literals, and variables that conditions can't tell
  */
-record Alternative(Conditions when, Expression value) {}
+record Alternative(Conditions conditions, Expression value) {}
--- a/src/main/java/cacheproxy/nginx/importer/CarpMigration.java
+++ b/src/main/java/cacheproxy/nginx/importer/CarpMigration.java
@@ -28,7 +28,7 @@
     private CarpMigration() {}
 
     /** Adds a note for each pool that has another placement. */
-    static void note(Collection<PoolSpec> pools, Report report) {
+    static void addNotes(Collection<PoolSpec> pools, Report report) {
         int samples = Math.max(MIN_SAMPLES, Math.min(MAX_SAMPLES, TOTAL_SAMPLES / Math.max(1, pools.size())));
         for (PoolSpec pool : pools) {
             if (!pool.placement().equals(PlacementRegistry.CARP)) {
--- a/src/main/java/cacheproxy/nginx/importer/ContentPhase.java
+++ b/src/main/java/cacheproxy/nginx/importer/ContentPhase.java
@@ -7,50 +7,51 @@
 final class ContentPhase {
     private final ServerContext context;
     private final Report report;
-    private final RewritePhase rewrites;
-    private final LocationPhase locations;
-    private final ProxyPassTranslator proxyPasses;
+    private final RewritePhase rewritePhase;
+    private final LocationPhase locationPhase;
+    private final ProxyPassTranslator proxyPassTranslator;
 
-    ContentPhase(ServerContext context, RewritePhase rewrites, LocationPhase locations) {
+    ContentPhase(ServerContext context, RewritePhase rewritePhase, LocationPhase locationPhase) {
         this.context = context;
         report = context.report();
-        this.rewrites = rewrites;
-        this.locations = locations;
-        proxyPasses = new ProxyPassTranslator(context);
+        this.rewritePhase = rewritePhase;
+        this.locationPhase = locationPhase;
+        proxyPassTranslator = new ProxyPassTranslator(context);
     }
 
     /** Ends a request in its location. */
     void handle(RequestState state) {
         Directive block = state.location().directive();
-        Directive limitExcept = block.last("limit_except");
-        RequestState allowed = limitExcept == null || limitExcept.block() == null ? state : limited(limitExcept, state);
+        Directive limitExcept = block.lastChildNamed("limit_except");
+        RequestState allowed =
+                limitExcept == null || limitExcept.block() == null ? state : endDeniedWrites(limitExcept, state);
         if (allowed == null) {
             return;
         }
-        Directive tryFiles = block.last("try_files");
+        Directive tryFiles = block.lastChildNamed("try_files");
         if (tryFiles != null && state.handler() == null) {
             tryFiles(tryFiles, allowed);
             return;
         }
-        Directive pass = state.handler() != null ? state.handler() : block.last("proxy_pass");
+        Directive pass = state.handler() != null ? state.handler() : block.lastChildNamed("proxy_pass");
         if (pass == null) {
-            pass = block.last("memcached_pass");
+            pass = block.lastChildNamed("memcached_pass");
         }
         if (pass == null) {
-            failUnpassed(block, allowed);
+            failUnproxied(block, allowed);
         } else if (pass.name().equals("memcached_pass")) {
             report.changed(pass, "the key is the path, whatever $memcached_key is set to");
-            proxyPasses.translate(pass, Expression.of("http://" + pass.arg(0)), false, allowed);
+            proxyPassTranslator.translate(pass, Expression.of("http://" + pass.arg(0)), false, allowed);
         } else {
             report.carried(pass);
-            proxyPasses.translate(pass, Expression.of(pass.arg(0)), true, allowed);
+            proxyPassTranslator.translate(pass, Expression.of(pass.arg(0)), true, allowed);
         }
     }
 
     /** Ends the writes that a {@code limit_except} denies, and returns the other requests; null: none. */
-    private RequestState limited(Directive limitExcept, RequestState state) {
-        boolean deniesAll =
-                limitExcept.all("deny").stream().anyMatch(deny -> deny.arg(0).equals("all"));
+    private RequestState endDeniedWrites(Directive limitExcept, RequestState state) {
+        boolean deniesAll = limitExcept.childrenNamed("deny").stream()
+                .anyMatch(deny -> deny.arg(0).equals("all"));
         boolean allowsWrites =
                 limitExcept.args().stream().anyMatch(method -> !method.equals("GET") && !method.equals("HEAD"));
         if (!deniesAll || allowsWrites) {
@@ -58,15 +59,15 @@
             return state;
         }
         report.changed(limitExcept, "writes fail here; exceptions within it do not count");
-        Conditions writes = context.both(state.when(), Conditions.write(true), limitExcept);
+        Conditions writes = context.combine(state.conditions(), Conditions.write(true), limitExcept);
         if (writes != null) {
-            context.routes().fail(state.withWhen(writes), limitExcept, "403");
+            context.routes().addFailing(state.withConditions(writes), limitExcept, "403");
         }
-        Conditions reads = context.both(state.when(), Conditions.write(false), limitExcept);
-        return reads == null ? null : state.withWhen(reads);
+        Conditions reads = context.combine(state.conditions(), Conditions.write(false), limitExcept);
+        return reads == null ? null : state.withConditions(reads);
     }
 
-    private void failUnpassed(Directive block, RequestState state) {
+    private void failUnproxied(Directive block, RequestState state) {
         Directive otherPass = block.block().stream()
                 .filter(directive -> directive.name().endsWith("_pass"))
                 .findFirst()
@@ -76,7 +77,7 @@
         } else {
             report.notCarried(block, "served from files or by a module, which are not here; these requests fail");
         }
-        context.routes().fail(state, block, "404");
+        context.routes().addFailing(state, block, "404");
     }
 
     /** Sends requests where a {@code try_files} does if there is no file. */
@@ -91,26 +92,27 @@
 
     private void tryNamedLocation(Directive directive, String name, RequestState state) {
         Location named = context.namedLocation(name);
-        if (named == null || state.exhausted()) {
+        if (named == null || state.isAtLocationChangeLimit()) {
             report.notCarried(directive, "there is no location " + name + "; these requests fail");
-            context.routes().fail(state, directive, "404");
+            context.routes().addFailing(state, directive, "404");
             return;
         }
         report.changed(directive, "there are no files here: all requests go to " + name);
         report.carried(named.directive());
-        rewrites.run(ServerContext.rewriteDirectives(named.directive()), state.redirected(named, null));
+        rewritePhase.run(ServerContext.rewriteDirectives(named.directive()), state.redirectedTo(named, null));
     }
 
     private void tryPath(Directive directive, String target, RequestState state) {
         int question = target.indexOf('?');
         Expression path = Expression.of(question < 0 ? target : target.substring(0, question));
         boolean isStatus = target.startsWith("=");
-        if (isStatus || !path.isLiteral() || state.exhausted()) {
+        if (isStatus || !path.isLiteral() || state.isAtLocationChangeLimit()) {
             report.notCarried(directive, "there are no files here: these requests fail");
-            context.routes().fail(state, directive, "404");
+            context.routes().addFailing(state, directive, "404");
             return;
         }
         report.changed(directive, "there are no files here: all requests go to " + path);
-        locations.searchRewrittenPath(state.withRewritten(new RewrittenPath(null, path, RewrittenPath.Search.PENDING)));
+        locationPhase.searchRewrittenPath(
+                state.withRewritten(new RewrittenPath(null, path, RewrittenPath.Search.PENDING)));
     }
 }
--- a/src/main/java/cacheproxy/nginx/importer/DaemonConfigWriter.java
+++ b/src/main/java/cacheproxy/nginx/importer/DaemonConfigWriter.java
@@ -88,8 +88,8 @@
 
     private void writePool(PoolSpec pool) {
         toml.table("[[pool]]");
-        Position at = pool.directive().at();
-        toml.comment(at.file() + ":" + at.line());
+        Position position = pool.directive().position();
+        toml.comment(position.file() + ":" + position.line());
         toml.text("name", pool.name());
         toml.text("nodes", "plain");
         if (!pool.placement().equals(PlacementRegistry.CARP)) {
@@ -126,7 +126,7 @@
         toml.text("host", route.host());
         toml.optionalText("key", route.position().exact());
         toml.optionalText("prefix", route.position().prefix());
-        writeConditions(route.when());
+        writeConditions(route.conditions());
         PathRewrite rewrite = route.rewrite();
         toml.optionalText("strip", rewrite.stripped());
         toml.optionalText("add", rewrite.added());
@@ -145,7 +145,7 @@
         }
         if (conditions.share() != null) {
             String hashed = TomlText.quoted(conditions.share().template().text());
-            toml.line(
+            toml.value(
                     "share",
                     "{ by = " + hashed + ", from_hash = " + conditions.share().fromHash() + ", to_hash = "
                             + conditions.share().toHash() + " }");
--- a/src/main/java/cacheproxy/nginx/importer/DirectiveTable.java
+++ b/src/main/java/cacheproxy/nginx/importer/DirectiveTable.java
@@ -16,12 +16,12 @@
     /** What is missing where a directive would affect requests, by directive. */
     private static final Map<String, String> UNSUPPORTED = new HashMap<>();
     /** Directives that the importer interprets where a request can reach them. */
-    private static final Set<String> ROUTING = Set.copyOf(words("""
+    private static final Set<String> ROUTING_DIRECTIVES = Set.copyOf(words("""
             location if upstream set rewrite return break proxy_pass memcached_pass error_page limit_except
             server server_name listen hash ip_hash least_conn random least_time sticky
             """));
     /** Blocks whose content is not made of directives of their own. */
-    private static final Set<String> WHOLE_BLOCKS =
+    private static final Set<String> OPAQUE_BLOCKS =
             Set.of("map", "geo", "split_clients", "types", "events", "stream", "mail", "limit_except", "charset_map");
     /** Blocks that define variables. */
     private static final Set<String> VARIABLE_BLOCKS = Set.of("map", "geo", "split_clients");
@@ -127,8 +127,8 @@
     }
 
     /** Whether a directive is reported together with all that is in its block. */
-    static boolean isWhole(Directive directive) {
-        return WHOLE_BLOCKS.contains(directive.name()) || directive.raw() != null;
+    static boolean isReportedWithBlock(Directive directive) {
+        return OPAQUE_BLOCKS.contains(directive.name()) || directive.rawBlock() != null;
     }
 
     /**
@@ -147,7 +147,7 @@
         if (VARIABLE_BLOCKS.contains(name)) {
             return left(directive, "no imported route depends on it");
         }
-        if (ROUTING.contains(name)) {
+        if (ROUTING_DIRECTIVES.contains(name)) {
             return withinNotCarried
                     ? left(directive, "part of what is not carried over")
                     : notCarried(directive, "no request was found to reach it");
--- a/src/main/java/cacheproxy/nginx/importer/Durations.java
+++ b/src/main/java/cacheproxy/nginx/importer/Durations.java
@@ -14,7 +14,7 @@
     private Durations() {}
 
     /** A duration in milliseconds; -1 if the text is none. */
-    static double ms(String text) {
+    static double parseMs(String text) {
         Matcher part = PART.matcher(text);
         double sumMs = 0;
         int end = 0;
--- a/src/main/java/cacheproxy/nginx/importer/Expression.java
+++ b/src/main/java/cacheproxy/nginx/importer/Expression.java
@@ -91,7 +91,7 @@
     }
 
     /** The literal text that it begins with; empty if it begins with a variable. */
-    String head() {
+    String literalPrefix() {
         return parts.isEmpty() || parts.get(0).variable ? "" : parts.get(0).text;
     }
 
--- a/src/main/java/cacheproxy/nginx/importer/ExpressionResolver.java
+++ b/src/main/java/cacheproxy/nginx/importer/ExpressionResolver.java
@@ -38,13 +38,13 @@
         }
         List<Alternative> resolved = List.of(new Alternative(Conditions.NONE, Expression.EMPTY));
         for (Expression.Part part : expression.parts()) {
-            List<Alternative> ofPart = part.variable()
+            List<Alternative> partAlternatives = part.variable()
                     ? resolveVariable(part.text(), scope)
                     : List.of(new Alternative(Conditions.NONE, new Expression(List.of(part))));
-            if (resolved.size() * (long) ofPart.size() > MAX_ALTERNATIVES) {
+            if (resolved.size() * (long) partAlternatives.size() > MAX_ALTERNATIVES) {
                 throw new UnsupportedDirectiveException("more than " + MAX_ALTERNATIVES + " cases");
             }
-            resolved = concatenated(resolved, ofPart);
+            resolved = concatenated(resolved, partAlternatives);
         }
         return resolved;
     }
@@ -54,13 +54,13 @@
      *
      * @param scope that of the variable
      */
-    List<Alternative> resolveValue(String text, Conditions when, VariableScope scope)
+    List<Alternative> resolveValue(String text, Conditions conditions, VariableScope scope)
             throws UnsupportedDirectiveException {
         List<Alternative> resolved = new ArrayList<>();
-        for (Alternative alternative : resolve(Expression.of(text), scope.deeper())) {
-            Conditions both = when.and(alternative.when());
-            if (both != null) {
-                resolved.add(new Alternative(both, alternative.value()));
+        for (Alternative alternative : resolve(Expression.of(text), scope.nested())) {
+            Conditions combined = conditions.and(alternative.conditions());
+            if (combined != null) {
+                resolved.add(new Alternative(combined, alternative.value()));
             }
         }
         return resolved;
@@ -71,11 +71,11 @@
         List<Alternative> concatenated = new ArrayList<>();
         for (Alternative head : heads) {
             for (Alternative tail : tails) {
-                Conditions both = head.when().and(tail.when());
-                if (both != null) {
+                Conditions combined = head.conditions().and(tail.conditions());
+                if (combined != null) {
                     List<Expression.Part> parts = new ArrayList<>(head.value().parts());
                     parts.addAll(tail.value().parts());
-                    concatenated.add(new Alternative(both, Expression.joined(parts)));
+                    concatenated.add(new Alternative(combined, Expression.joined(parts)));
                 }
             }
         }
@@ -85,15 +85,15 @@
     private List<Alternative> resolveVariable(String name, VariableScope scope) throws UnsupportedDirectiveException {
         Expression value = scope.variables().get(name);
         if (value != null) {
-            return resolve(value, scope.deeper());
+            return resolve(value, scope.nested());
         }
         if (scope.host() != null && (name.equals("host") || name.equals("http_host"))) {
             return List.of(new Alternative(Conditions.NONE, Expression.of(scope.host())));
         }
         Directive definition = model.variables().get(name);
         if (definition == null) {
-            Expression itself = new Expression(List.of(new Expression.Part(true, name)));
-            return List.of(new Alternative(Conditions.NONE, itself));
+            Expression unresolved = new Expression(List.of(new Expression.Part(true, name)));
+            return List.of(new Alternative(Conditions.NONE, unresolved));
         }
         return switch (definition.name()) {
             case "map" -> maps.resolve(definition, scope);
@@ -104,10 +104,10 @@
 
     private List<Alternative> resolveGeo(Directive geo, VariableScope scope) throws UnsupportedDirectiveException {
         report.notCarried(geo, "addresses of clients are not told by keys: the default is taken for all");
-        String defaultValue = geo.all("default").stream()
+        String defaultValue = geo.childrenNamed("default").stream()
                 .findFirst()
                 .map(entry -> entry.arg(0))
                 .orElse("");
-        return resolve(Expression.of(defaultValue), scope.deeper());
+        return resolve(Expression.of(defaultValue), scope.nested());
     }
 }
--- a/src/main/java/cacheproxy/nginx/importer/FallbackTranslator.java
+++ b/src/main/java/cacheproxy/nginx/importer/FallbackTranslator.java
@@ -51,7 +51,7 @@
     /** The {@code error_page}s of a location: its own, or those of the next location around it that has any. */
     private List<Directive> errorPages(Location location) {
         for (Location level = location; level != null; level = level.parent()) {
-            List<Directive> own = level.directive().all("error_page");
+            List<Directive> own = level.directive().childrenNamed("error_page");
             if (!own.isEmpty()) {
                 return own;
             }
@@ -62,16 +62,16 @@
     /** The {@code proxy_pass} of an error page's named location; null, after an entry in the report, if it has none. */
     private Directive fallbackPass(Directive errorPage) {
         String target = errorPage.lastArg();
-        boolean unanswered = errorPage.args().stream().anyMatch(UNANSWERED_STATUSES::contains);
+        boolean coversUnanswered = errorPage.args().stream().anyMatch(UNANSWERED_STATUSES::contains);
         Location named = target.startsWith("@") ? context.namedLocation(target) : null;
-        Directive pass = named == null ? null : named.directive().last("proxy_pass");
-        if (unanswered && pass != null && pass.arg(0).matches(LITERAL_AUTHORITY_URL)) {
+        Directive pass = named == null ? null : named.directive().lastChildNamed("proxy_pass");
+        if (coversUnanswered && pass != null && pass.arg(0).matches(LITERAL_AUTHORITY_URL)) {
             return pass;
         }
         report.notCarried(
                 errorPage,
                 "statuses are not told here, so that nothing is answered in their place"
-                        + (unanswered ? "" : "; " + target + " is not asked for"));
+                        + (coversUnanswered ? "" : "; " + target + " is not asked for"));
         return null;
     }
 }
--- a/src/main/java/cacheproxy/nginx/importer/ForwardedPath.java
+++ b/src/main/java/cacheproxy/nginx/importer/ForwardedPath.java
@@ -3,11 +3,11 @@
 /**
  * How a path is forwarded to a pool.
  *
- * @param when the route's conditions; the pattern whose groups the rewrite uses is the first
+ * @param conditions the route's conditions; the pattern whose groups the rewrite uses is the first
  */
-record ForwardedPath(PathRewrite rewrite, Conditions when) {
+record ForwardedPath(PathRewrite rewrite, Conditions conditions) {
     /** The path as it came in. */
-    static ForwardedPath unchanged(Conditions when) {
-        return new ForwardedPath(PathRewrite.NONE, when);
+    static ForwardedPath unchanged(Conditions conditions) {
+        return new ForwardedPath(PathRewrite.NONE, conditions);
     }
 }
--- a/src/main/java/cacheproxy/nginx/importer/ForwardedPathTranslator.java
+++ b/src/main/java/cacheproxy/nginx/importer/ForwardedPathTranslator.java
@@ -11,39 +11,41 @@
      * Translates the path of one route.
      *
      * @param uri the path of the URL; empty if it has none
-     * @param variable whether the URL was written with variables: its path is then the whole new path
+     * @param hasVariables whether the URL was written with variables: its path is then the whole new path
      * @return null if routes can't express it
      */
-    ForwardedPath translate(Expression uri, boolean variable, RequestState state) {
+    ForwardedPath translate(Expression uri, boolean hasVariables, RequestState state) {
         boolean hasUri = !uri.parts().isEmpty();
-        if (hasUri && variable) {
-            return pathOfVariables(uri, state);
+        if (hasUri && hasVariables) {
+            return pathFromVariables(uri, state);
         }
         if (state.rewritten() != null) {
-            return hasUri ? rewrittenWithPrefix(uri, state) : rewritten(state.rewritten(), state.when());
+            return hasUri ? rewrittenWithPrefix(uri, state) : rewritten(state.rewritten(), state.conditions());
         }
         String prefix = state.location().text();
         boolean changes = hasUri && !uri.literal().equals(prefix); // not "location /a/" with "proxy_pass http://u/a/"
         return changes
-                ? new ForwardedPath(PathRewrite.ofPrefix(PathKey.encodePercent(prefix), uri.literal()), state.when())
-                : ForwardedPath.unchanged(state.when());
+                ? new ForwardedPath(
+                        PathRewrite.ofPrefix(PathKey.encodePercent(prefix), uri.literal()), state.conditions())
+                : ForwardedPath.unchanged(state.conditions());
     }
 
-    private static ForwardedPath rewritten(RewrittenPath rewritten, Conditions when) {
+    private static ForwardedPath rewritten(RewrittenPath rewritten, Conditions conditions) {
         String replacement = rewritten.path().parts().isEmpty() ? null : rewritten.replacement();
         return replacement == null
                 ? null
-                : new ForwardedPath(PathRewrite.replaced(replacement), rewritten.withGroups(when));
+                : new ForwardedPath(PathRewrite.replaced(replacement), rewritten.withPatternFirst(conditions));
     }
 
     /** A rewritten path with the URL's path in place of the location's prefix. */
     private static ForwardedPath rewrittenWithPrefix(Expression uri, RequestState state) {
         RewrittenPath rewritten = state.rewritten();
         if (rewritten.search() == RewrittenPath.Search.SKIPPED) {
-            return rewritten(rewritten, state.when()); // changed within the location: the URL's path does not count
+            return rewritten(
+                    rewritten, state.conditions()); // changed within the location: the URL's path does not count
         }
         Location location = state.location();
-        String head = rewritten.path().head();
+        String head = rewritten.path().literalPrefix();
         if (!head.startsWith(location.text())) {
             return null;
         }
@@ -51,10 +53,10 @@
         String newHead = uri.literal() + head.substring(location.text().length());
         parts.set(0, new Expression.Part(false, newHead));
         RewrittenPath replaced = new RewrittenPath(rewritten.pattern(), Expression.joined(parts), rewritten.search());
-        return rewritten(replaced, state.when());
+        return rewritten(replaced, state.conditions());
     }
 
-    private static ForwardedPath pathOfVariables(Expression uri, RequestState state) {
+    private static ForwardedPath pathFromVariables(Expression uri, RequestState state) {
         // The query is kept with the key, or has no part in it.
         List<Expression.Part> parts = uri.parts().stream()
                 .filter(part -> !part.variable() || !PathVariables.isQuery(part.text()))
@@ -64,26 +66,29 @@
             return requestPath(path, state);
         }
         if (state.rewritten() == null && isPrefixedRequestPath(path)) {
-            return new ForwardedPath(PathRewrite.added(PathKey.encodePercent(path.head())), state.when());
+            return new ForwardedPath(
+                    PathRewrite.added(PathKey.encodePercent(path.literalPrefix())), state.conditions());
         }
-        if (!path.head().startsWith("/")) {
+        if (!path.literalPrefix().startsWith("/")) {
             return null;
         }
         String replacement = PathTemplates.replacement(path, state.captures());
         if (replacement == null) {
             return null;
         }
-        Conditions when = state.captures() == null ? state.when() : state.when().withFirstPattern(state.captures());
-        return new ForwardedPath(PathRewrite.replaced(replacement), when);
+        Conditions conditions = state.captures() == null
+                ? state.conditions()
+                : state.conditions().withFirstPattern(state.captures());
+        return new ForwardedPath(PathRewrite.replaced(replacement), conditions);
     }
 
     private static ForwardedPath requestPath(Expression path, RequestState state) {
         RewrittenPath rewritten = state.rewritten();
-        boolean current = rewritten != null && path.isVariable("uri", "document_uri");
-        String replacement = current ? rewritten.replacement() : null;
+        boolean usesRewrittenPath = rewritten != null && path.isVariable("uri", "document_uri");
+        String replacement = usesRewrittenPath ? rewritten.replacement() : null;
         return replacement == null
-                ? ForwardedPath.unchanged(state.when())
-                : new ForwardedPath(PathRewrite.replaced(replacement), rewritten.withGroups(state.when()));
+                ? ForwardedPath.unchanged(state.conditions())
+                : new ForwardedPath(PathRewrite.replaced(replacement), rewritten.withPatternFirst(state.conditions()));
     }
 
     private static boolean isPrefixedRequestPath(Expression path) {
--- a/src/main/java/cacheproxy/nginx/importer/HostTranslator.java
+++ b/src/main/java/cacheproxy/nginx/importer/HostTranslator.java
@@ -53,7 +53,7 @@
      */
     List<VirtualHosts.Host> translate(boolean hostInKeys) {
         Set<String> knownHosts = hostInKeys ? hostsNamedInFull() : Set.of();
-        VirtualHosts search = new VirtualHosts(hostsByServerIndex());
+        VirtualHosts hostSearch = new VirtualHosts(hostsByServerIndex());
         for (int i = 0; i < model.servers().size(); i++) {
             ServerBlock server = model.servers().get(i);
             Set<String> serverListeners = listeners.of(server);
@@ -61,15 +61,15 @@
                 report.notCarried(server.directive(), "it listens nowhere; its requests are not taken");
                 continue;
             }
-            List<String> ownHosts = new ArrayList<>();
+            List<String> dedicatedHosts = new ArrayList<>();
             if (usage.blockDependsOnHost(server.directive())) {
                 String index = Integer.toString(i);
                 knownHosts.stream()
                         .filter(host -> serverListeners.stream()
-                                .allMatch(listener -> index.equals(search.find(listener, host))))
-                        .forEach(ownHosts::add);
+                                .allMatch(listener -> index.equals(hostSearch.find(listener, host))))
+                        .forEach(dedicatedHosts::add);
             }
-            translate(server, serverListeners, ownHosts);
+            translate(server, serverListeners, dedicatedHosts);
         }
         return hosts;
     }
@@ -77,16 +77,17 @@
     /**
      * Translates a server.
      *
-     * @param ownHosts hosts that get routes of their own
+     * @param dedicatedHosts hosts that get routes of their own
      */
-    private void translate(ServerBlock server, Set<String> serverListeners, List<String> ownHosts) {
+    private void translate(ServerBlock server, Set<String> serverListeners, List<String> dedicatedHosts) {
         List<String> names = serverNames(server, serverListeners);
         String hostName = hostName(server);
-        for (String ownHost : ownHosts) {
-            names.remove(ownHost);
-            String ownHostName = Names.unique(ownHost, takenHostNames);
-            hosts.add(new VirtualHosts.Host(ownHostName, serverListeners, List.of(ownHost), false, Set.of()));
-            routes.translate(server, ownHostName, ownHost);
+        for (String dedicatedHost : dedicatedHosts) {
+            names.remove(dedicatedHost);
+            String dedicatedHostName = Names.unique(dedicatedHost, takenHostNames);
+            hosts.add(
+                    new VirtualHosts.Host(dedicatedHostName, serverListeners, List.of(dedicatedHost), false, Set.of()));
+            routes.translate(server, dedicatedHostName, dedicatedHost);
         }
         Set<String> defaultOf = listeners.defaultOf(server);
         if (!names.isEmpty() || !defaultOf.isEmpty()) {
@@ -94,7 +95,7 @@
             hosts.add(new VirtualHosts.Host(
                     hostName, serverListeners, names, defaultEverywhere, defaultEverywhere ? Set.of() : defaultOf));
             routes.translate(server, hostName, null);
-        } else if (ownHosts.isEmpty()) {
+        } else if (dedicatedHosts.isEmpty()) {
             report.add(
                     server.directive(),
                     Report.Level.LEFT,
@@ -146,7 +147,7 @@
     private String hostName(ServerBlock server) {
         String name = server.names().isEmpty() ? "" : server.names().get(0);
         if (!Names.isValid(name) || name.startsWith("~")) {
-            name = "server:" + server.directive().at().line();
+            name = "server:" + server.directive().position().line();
         }
         return Names.unique(name, takenHostNames);
     }
--- a/src/main/java/cacheproxy/nginx/importer/IfTranslator.java
+++ b/src/main/java/cacheproxy/nginx/importer/IfTranslator.java
@@ -13,12 +13,12 @@
 
     private final ServerContext context;
     private final Report report;
-    private final RewritePhase rewrites;
+    private final RewritePhase rewritePhase;
 
-    IfTranslator(ServerContext context, RewritePhase rewrites) {
+    IfTranslator(ServerContext context, RewritePhase rewritePhase) {
         this.context = context;
         report = context.report();
-        this.rewrites = rewrites;
+        this.rewritePhase = rewritePhase;
     }
 
     /**
@@ -27,7 +27,7 @@
      * @param negated whether it holds if the conditions are not met
      * @param captures the pattern whose groups are set if it holds; null: none
      */
-    private record Requirement(Conditions when, boolean negated, String captures) {}
+    private record Requirement(Conditions conditions, boolean negated, String captures) {}
 
     /**
      * The two ways on from an {@code if}.
@@ -40,11 +40,11 @@
         static Branches of(Directive directive, List<Directive> rest) {
             List<Directive> taken = new ArrayList<>(ServerContext.rewriteDirectives(directive));
             taken.addAll(rest);
-            Directive handler = directive.last("proxy_pass");
-            return new Branches(taken, rest, handler != null ? handler : directive.last("memcached_pass"));
+            Directive handler = directive.lastChildNamed("proxy_pass");
+            return new Branches(taken, rest, handler != null ? handler : directive.lastChildNamed("memcached_pass"));
         }
 
-        RequestState taking(RequestState state) {
+        RequestState withBlockHandler(RequestState state) {
             return handler == null ? state : state.withHandler(handler);
         }
     }
@@ -55,7 +55,7 @@
         List<Alternative> values =
                 condition.left().startsWith("$") ? context.resolve(Expression.of(condition.left()), state) : List.of();
         if (values.isEmpty() || !condition.isComparison()) {
-            skipUnknown(directive, condition, rest, state);
+            skipUndecidable(directive, condition, rest, state);
             return;
         }
         Branches branches = Branches.of(directive, rest);
@@ -66,21 +66,21 @@
         Requirement requirement = values.size() == 1 && condition.hasOperator()
                 ? requirement(values.get(0).value(), condition, directive)
                 : null;
-        boolean asksNewPath = requirement != null
+        boolean testsRewrittenPath = requirement != null
                 && state.rewritten() != null
-                && !requirement.when.patterns().isEmpty();
-        if (requirement == null || asksNewPath) {
-            skipUnknown(directive, condition, rest, state);
+                && !requirement.conditions.patterns().isEmpty();
+        if (requirement == null || testsRewrittenPath) {
+            skipUndecidable(directive, condition, rest, state);
         } else {
             followRequirement(directive, requirement, branches, state);
         }
     }
 
-    private void skipUnknown(Directive directive, IfCondition condition, List<Directive> rest, RequestState state) {
+    private void skipUndecidable(Directive directive, IfCondition condition, List<Directive> rest, RequestState state) {
         report.notCarried(
                 directive,
                 "keys do not tell whether (" + condition.text() + ") holds: requests are taken as if it did not");
-        rewrites.run(rest, state);
+        rewritePhase.run(rest, state);
     }
 
     private void followKnownValues(
@@ -88,16 +88,16 @@
             throws UnsupportedDirectiveException {
         report.carried(directive);
         for (Alternative value : values) {
-            Conditions both = state.when().and(value.when());
+            Conditions combined = state.conditions().and(value.conditions());
             boolean holds = holds(value.value().literal(), condition, directive);
-            if (both == null) {
+            if (combined == null) {
                 continue;
             }
-            RequestState next = state.withWhen(both);
+            RequestState next = state.withConditions(combined);
             if (holds) {
-                rewrites.run(branches.taken, branches.taking(next));
+                rewritePhase.run(branches.taken, branches.withBlockHandler(next));
             } else {
-                rewrites.run(branches.skipped, next);
+                rewritePhase.run(branches.skipped, next);
             }
         }
     }
@@ -105,18 +105,18 @@
     private void followRequirement(Directive directive, Requirement requirement, Branches branches, RequestState state)
             throws UnsupportedDirectiveException {
         report.carried(directive);
-        Conditions both = state.when().and(requirement.when);
-        if (both != null && requirement.negated) {
-            rewrites.run(branches.skipped, state.withWhen(both));
-            rewrites.run(branches.taken, branches.taking(state));
+        Conditions combined = state.conditions().and(requirement.conditions);
+        if (combined != null && requirement.negated) {
+            rewritePhase.run(branches.skipped, state.withConditions(combined));
+            rewritePhase.run(branches.taken, branches.withBlockHandler(state));
             return;
         }
-        if (both != null) {
-            RequestState taken = branches.taking(state).withWhen(both);
-            rewrites.run(
+        if (combined != null) {
+            RequestState taken = branches.withBlockHandler(state).withConditions(combined);
+            rewritePhase.run(
                     branches.taken, requirement.captures == null ? taken : taken.withCaptures(requirement.captures));
         }
-        rewrites.run(branches.skipped, state);
+        rewritePhase.run(branches.skipped, state);
     }
 
     /** Whether a condition holds for a known value; one that can't be expressed does not. */
--- a/src/main/java/cacheproxy/nginx/importer/Importer.java
+++ b/src/main/java/cacheproxy/nginx/importer/Importer.java
@@ -18,11 +18,11 @@
     /**
      * The result of an import.
      *
-     * @param file text of the daemon's file; null if nothing can be served
+     * @param configText text of the daemon's file; null if nothing can be served
      * @param hostInKeys whether keys begin with the host
-     * @param routes number of routes
+     * @param routeCount number of routes
      */
-    public record Result(String file, Report report, boolean hostInKeys, int routes) {}
+    public record Result(String configText, Report report, boolean hostInKeys, int routeCount) {}
 
     private final ImportOptions options;
     private final ConfParser.Conf conf;
@@ -36,7 +36,10 @@
         this.options = options;
         List<HttpModel.Fault> malformed = new ArrayList<>();
         this.conf = new ConfParser.Conf(
-                DirectiveShapes.checked(conf.directives(), malformed), conf.empty(), conf.files(), conf.bytes());
+                DirectiveShapes.checked(conf.directives(), malformed),
+                conf.emptyIncludes(),
+                conf.fileCount(),
+                conf.byteCount());
         reportFaults(malformed);
         model = new HttpModel(this.conf.directives());
         usage = new VariableUsage(model);
@@ -59,8 +62,8 @@
                 new HostTranslator(model, listeners, usage, routeTranslator, report).translate(hostInKeys);
         removeUnreachableRoutes();
         RequestLimits limits = TimeoutTranslator.translate(model.http(), report);
-        CarpMigration.note(pools.pools(), report);
-        if (conf.empty().isEmpty() && model.servers().isEmpty()) {
+        CarpMigration.addNotes(pools.pools(), report);
+        if (conf.emptyIncludes().isEmpty() && model.servers().isEmpty()) {
             report.note("there is no server block: there is nothing to route");
         }
         report.finish(conf);
@@ -70,21 +73,21 @@
         KeyFormat keys = dependsOnQuery() ? KeyFormat.PATH_AND_QUERY : KeyFormat.PATH;
         ImportedConfig imported =
                 new ImportedConfig(keys, listeners.names(), hosts, pools.pools(), routes, limits, pools.slowStartMs());
-        String file = servable ? DaemonConfigWriter.write(imported, options) : null;
-        return new Result(file, report, hostInKeys, routes.size());
+        String configText = servable ? DaemonConfigWriter.write(imported, options) : null;
+        return new Result(configText, report, hostInKeys, routes.size());
     }
 
     private void reportFaults(List<HttpModel.Fault> faults) {
-        faults.forEach(fault -> report.notCarried(fault.at(), fault.reason()));
+        faults.forEach(fault -> report.notCarried(fault.directive(), fault.reason()));
     }
 
     /** Whether keys must tell the host: a socket has several servers, or something depends on the host. */
     private boolean needsHostInKeys() {
         Set<String> sockets = new HashSet<>();
         for (ServerBlock server : model.servers()) {
-            Set<String> own = new HashSet<>();
-            server.listens().forEach(listen -> own.add(listen.socket()));
-            if (!own.stream().allMatch(sockets::add)) {
+            Set<String> serverSockets = new HashSet<>();
+            server.listens().forEach(listen -> serverSockets.add(listen.socket()));
+            if (!serverSockets.stream().allMatch(sockets::add)) {
                 return true;
             }
         }
@@ -97,19 +100,19 @@
                 pools.pools().stream().anyMatch(pool -> pool.placeBy() != null && usage.dependsOnQuery(pool.placeBy()));
         return placementDepends
                 || routes.stream()
-                        .map(route -> route.when().share())
+                        .map(route -> route.conditions().share())
                         .anyMatch(share -> share != null
                                 && usage.dependsOnQuery(share.template().text()));
     }
 
     /** Drops routes that no request reaches: the daemon rejects a file with such routes. */
     private void removeUnreachableRoutes() {
-        List<Route> matching = new ArrayList<>();
+        List<Route> matchingRoutes = new ArrayList<>();
         for (RouteSpec route : routes) {
-            matching.add(route.matchingRoute(matching.size()));
+            matchingRoutes.add(route.matchingRoute(matchingRoutes.size()));
         }
         Set<String> unreachable = new HashSet<>();
-        new RouteTable(matching)
+        new RouteTable(matchingRoutes)
                 .shadowedRoutes()
                 .forEach(shadowed -> unreachable.add(shadowed.route().name()));
         routes.removeIf(route -> unreachable.contains(route.name()));
--- a/src/main/java/cacheproxy/nginx/importer/ListenerTable.java
+++ b/src/main/java/cacheproxy/nginx/importer/ListenerTable.java
@@ -24,7 +24,7 @@
         this.report = report;
         for (ServerBlock server : servers) {
             server.listens().forEach(listen -> add(server, listen));
-            server.directive().all("server_name").forEach(report::carried);
+            server.directive().childrenNamed("server_name").forEach(report::carried);
         }
     }
 
--- a/src/main/java/cacheproxy/nginx/importer/LocationPhase.java
+++ b/src/main/java/cacheproxy/nginx/importer/LocationPhase.java
@@ -12,16 +12,16 @@
 
     private final ServerContext context;
     private final Report report;
-    private final RewritePhase rewrites;
-    private final ContentPhase contents;
-    private final RewrittenPathSearch rewrittenPaths;
+    private final RewritePhase rewritePhase;
+    private final ContentPhase contentPhase;
+    private final RewrittenPathSearch rewrittenPathSearch;
 
-    LocationPhase(ServerContext context, RewritePhase rewrites) {
+    LocationPhase(ServerContext context, RewritePhase rewritePhase) {
         this.context = context;
         report = context.report();
-        this.rewrites = rewrites;
-        contents = new ContentPhase(context, rewrites, this);
-        rewrittenPaths = new RewrittenPathSearch(context);
+        this.rewritePhase = rewritePhase;
+        contentPhase = new ContentPhase(context, rewritePhase, this);
+        rewrittenPathSearch = new RewrittenPathSearch(context);
     }
 
     /** Goes on with a request after the rewrite directives of its server or location. */
@@ -37,36 +37,38 @@
         } else if (rewritten != null && rewritten.search() == RewrittenPath.Search.PENDING) {
             searchRewrittenPath(state);
         } else {
-            contents.handle(state);
+            contentPhase.handle(state);
         }
     }
 
     /** Goes on with a rewritten path in the location that nginx finds for it. */
     void searchRewrittenPath(RequestState state) {
         RewrittenPath rewritten = state.rewritten();
-        Directive at = state.location() == null
+        Directive directive = state.location() == null
                 ? context.server().directive()
                 : state.location().directive();
-        if (state.exhausted()) {
+        if (state.isAtLocationChangeLimit()) {
             report.notCarried(
-                    at,
+                    directive,
                     "rewrites go round; nginx fails these requests after " + RequestState.MAX_LOCATION_CHANGES
                             + " turns, and so they do here");
-            context.routes().fail(state, at, "500");
+            context.routes().addFailing(state, directive, "500");
             return;
         }
-        Location found = rewrittenPaths.find(rewritten.path(), at);
+        Location found = rewrittenPathSearch.find(rewritten.path(), directive);
         if (found == null) {
             report.notCarried(
-                    at, "where requests go whose path is made " + rewritten.path() + " can't be told; they fail");
-            context.routes().fail(state, at, "500");
+                    directive,
+                    "where requests go whose path is made " + rewritten.path() + " can't be told; they fail");
+            context.routes().addFailing(state, directive, "500");
             return;
         }
         report.carried(found.directive());
         String captures = found.kind().isRegex() ? null : rewritten.pattern();
-        rewrites.run(
+        rewritePhase.run(
                 ServerContext.rewriteDirectives(found.directive()),
-                state.withRewritten(rewritten.with(RewrittenPath.Search.DONE)).redirected(found, captures));
+                state.withRewritten(rewritten.withSearch(RewrittenPath.Search.DONE))
+                        .redirectedTo(found, captures));
     }
 
     /** Goes on with a request in each of the server's locations. */
@@ -74,32 +76,34 @@
         int firstOrder = context.routes().reserveOrders();
         boolean complete = false;
         for (LocationSearch.Step step : context.search().steps()) {
-            Conditions when = conditions(step, state.when());
-            if (when != null) {
+            Conditions conditions = conditions(step, state.conditions());
+            if (conditions != null) {
                 complete |= EVERY_PATH.equals(step.prefix()) && step.regexes().isEmpty();
-                follow(step, state, when, firstOrder);
+                followStep(step, state, conditions, firstOrder);
             }
         }
         if (!complete) {
-            failUnlocated(state, RouteSink.lastOrder(firstOrder));
+            failUnmatched(state, RouteSink.lastOrder(firstOrder));
         }
     }
 
     /** Conditions of a step beyond its path; null if no request can meet them, or routes can't express them. */
     private Conditions conditions(LocationSearch.Step step, Conditions outer) {
-        Conditions when = outer;
+        Conditions conditions = outer;
         for (Location regex : step.regexes()) {
             String pattern = context.patterns().of(regex);
-            when = pattern == null || when == null
+            conditions = pattern == null || conditions == null
                     ? null
-                    : context.both(
-                            when, Conditions.pattern(pattern), step.location().directive());
+                    : context.combine(
+                            conditions,
+                            Conditions.pattern(pattern),
+                            step.location().directive());
         }
-        return when;
+        return conditions;
     }
 
     @SuppressWarnings("EnumOrdinal") // tiers are declared in the order in which nginx tries them
-    private void follow(LocationSearch.Step step, RequestState state, Conditions when, int firstOrder) {
+    private void followStep(LocationSearch.Step step, RequestState state, Conditions conditions, int firstOrder) {
         Directive block = step.location().directive();
         String exact = step.exact() == null ? null : PathKey.encodePercent(step.exact());
         String prefix = step.prefix() == null ? null : PathKey.encodePercent(step.prefix());
@@ -110,30 +114,30 @@
         }
         RoutePosition position = new RoutePosition(firstOrder + step.tier().ordinal(), exact, prefix);
         String captures = step.regexes().isEmpty() ? null : context.patterns().of(step.location());
-        RequestState inLocation = state.found(step.location(), position, when, captures);
-        Directive internal = block.last("internal");
+        RequestState inLocation = state.inFoundLocation(step.location(), position, conditions, captures);
+        Directive internal = block.lastChildNamed("internal");
         if (step.redirect()) {
             report.changed(block, "nginx redirects " + step.exact() + " to " + step.exact() + "/; here it fails");
-            context.routes().fail(inLocation, block, "301");
+            context.routes().addFailing(inLocation, block, "301");
         } else if (internal != null) {
             report.changed(internal, "requests for it fail, without a status");
-            context.routes().fail(inLocation, block, "404");
+            context.routes().addFailing(inLocation, block, "404");
         } else {
             report.carried(block);
-            rewrites.run(ServerContext.rewriteDirectives(block), inLocation);
+            rewritePhase.run(ServerContext.rewriteDirectives(block), inLocation);
         }
     }
 
     /** Ends requests that no location takes, or has the server's {@code try_files} take them. */
-    private void failUnlocated(RequestState state, int order) {
-        RequestState unlocated = new RequestState(
-                RoutePosition.ofAllKeys(order), state.when(), null, state.variables(), null, null, null, 0);
+    private void failUnmatched(RequestState state, int order) {
+        RequestState unmatched = new RequestState(
+                RoutePosition.ofAllKeys(order), state.conditions(), null, state.variables(), null, null, null, 0);
         Directive server = context.server().directive();
-        Directive tryFiles = server.last("try_files");
+        Directive tryFiles = server.lastChildNamed("try_files");
         if (tryFiles != null) {
-            contents.tryFiles(tryFiles, unlocated);
+            contentPhase.tryFiles(tryFiles, unmatched);
         } else {
-            context.routes().fail(unlocated, server, "404");
+            context.routes().addFailing(unmatched, server, "404");
         }
     }
 }
--- a/src/main/java/cacheproxy/nginx/importer/MapResolver.java
+++ b/src/main/java/cacheproxy/nginx/importer/MapResolver.java
@@ -22,11 +22,11 @@
     List<Alternative> resolve(Directive map, VariableScope scope) throws UnsupportedDirectiveException {
         report.carried(map);
         List<Alternative> resolved = new ArrayList<>();
-        for (Alternative source : resolver.resolve(Expression.of(map.arg(0)), scope.deeper())) {
+        for (Alternative source : resolver.resolve(Expression.of(map.arg(0)), scope.nested())) {
             for (Alternative value : valuesFor(source.value(), map, scope)) {
-                Conditions both = source.when().and(value.when());
-                if (both != null) {
-                    resolved.add(new Alternative(both, value.value()));
+                Conditions combined = source.conditions().and(value.conditions());
+                if (combined != null) {
+                    resolved.add(new Alternative(combined, value.value()));
                 }
             }
         }
@@ -37,7 +37,7 @@
             throws UnsupportedDirectiveException {
         MapTable table = new MapTable(map);
         if (source.isLiteral()) {
-            return resolver.resolve(Expression.of(table.lookUp(source.literal())), scope.deeper());
+            return resolver.resolve(Expression.of(table.lookUp(source.literal())), scope.nested());
         }
         if (source.isVariable("uri", "document_uri", "request_uri")) {
             return valuesByPath(table, scope);
@@ -46,11 +46,11 @@
             if (table.matchesHostsByPattern()) {
                 report.notCarried(map, "hosts by pattern: for hosts that are named nowhere else the default is taken");
             }
-            return resolver.resolve(Expression.of(table.lookUp("")), scope.deeper());
+            return resolver.resolve(Expression.of(table.lookUp("")), scope.nested());
         }
         String value = table.lookUp(UNKNOWN_TEXT);
         report.notCarried(map, source + " is not told by keys: the default, '" + value + "', is taken for all");
-        return resolver.resolve(Expression.of(value), scope.deeper());
+        return resolver.resolve(Expression.of(value), scope.nested());
     }
 
     private List<Alternative> valuesByPath(MapTable table, VariableScope scope) throws UnsupportedDirectiveException {
@@ -58,18 +58,18 @@
         for (Directive entry : table.literalEntries()) {
             // Texts are compared without regard to case, and keys hold some characters percent-encoded.
             String text = PathKey.encodePercent(MapTable.literalText(entry));
-            Conditions when = Conditions.pattern("(?i)^" + RegexTranslation.quoted(text) + "$");
-            values.addAll(resolver.resolveValue(entry.arg(0), when, scope));
+            Conditions conditions = Conditions.pattern("(?i)^" + RegexTranslation.quoted(text) + "$");
+            values.addAll(resolver.resolveValue(entry.arg(0), conditions, scope));
         }
         for (Directive entry : table.regexEntries()) {
-            RegexTranslation regex = RegexTranslation.ofTagged(entry.name());
+            RegexTranslation regex = RegexTranslation.ofMapEntry(entry.name());
             if (regex.isSupported()) {
                 values.addAll(resolver.resolveValue(entry.arg(0), Conditions.pattern(regex.text()), scope));
             } else {
                 report.notCarried(
                         table.map(),
-                        "line " + entry.at().line() + ", " + entry.name() + " can't be expressed (" + regex.reason()
-                                + "): its requests take the next value that matches");
+                        "line " + entry.position().line() + ", " + entry.name() + " can't be expressed ("
+                                + regex.reason() + "): its requests take the next value that matches");
             }
         }
         values.addAll(resolver.resolveValue(table.defaultValue(), Conditions.NONE, scope));
--- a/src/main/java/cacheproxy/nginx/importer/MapTable.java
+++ b/src/main/java/cacheproxy/nginx/importer/MapTable.java
@@ -11,7 +11,7 @@
     private static final Set<String> OPTIONS = Set.of("default", "hostnames", "volatile");
 
     /** Added to the rank of masks at the front, which are preferred to any at the end. */
-    private static final int FRONT_MASK_RANK = 1000;
+    private static final int LEADING_WILDCARD_RANK = 1000;
 
     private static final int NO_MATCH = -1;
 
@@ -34,7 +34,7 @@
 
     /** The value for texts that no entry matches. */
     String defaultValue() {
-        Directive entry = map.last("default");
+        Directive entry = map.lastChildNamed("default");
         return entry == null ? "" : entry.arg(0);
     }
 
@@ -51,12 +51,13 @@
                 return entry.arg(0);
             }
         }
-        String byMask = map.all("hostnames").isEmpty() ? null : lookUpMask(text.toLowerCase(Locale.ROOT));
-        if (byMask != null) {
-            return byMask;
+        String byWildcard =
+                map.childrenNamed("hostnames").isEmpty() ? null : lookUpWildcard(text.toLowerCase(Locale.ROOT));
+        if (byWildcard != null) {
+            return byWildcard;
         }
         for (Directive entry : regexEntries()) {
-            RegexTranslation regex = RegexTranslation.ofTagged(entry.name());
+            RegexTranslation regex = RegexTranslation.ofMapEntry(entry.name());
             if (regex.isSupported() && new KeyPattern(regex.text()).matches(text)) {
                 return entry.arg(0);
             }
@@ -64,13 +65,13 @@
         return defaultValue();
     }
 
-    private String lookUpMask(String host) {
+    private String lookUpWildcard(String host) {
         String found = null;
         int bestRank = NO_MATCH;
         for (Directive entry : map.block()) {
             int rank = entry.name().equals("default")
                     ? NO_MATCH
-                    : maskRank(entry.name().toLowerCase(Locale.ROOT), host);
+                    : wildcardRank(entry.name().toLowerCase(Locale.ROOT), host);
             if (rank > bestRank) {
                 bestRank = rank;
                 found = entry.arg(0);
@@ -80,15 +81,17 @@
     }
 
     /** The rank of a mask that matches a host: of those at the front or at the end the longest is preferred. */
-    private static int maskRank(String mask, String host) {
+    private static int wildcardRank(String wildcard, String host) {
         boolean matchesEnd =
-                mask.startsWith("*.") && host.endsWith(mask.substring(1)) && host.length() >= mask.length();
-        boolean matchesDomain = mask.startsWith(".") && (host.endsWith(mask) || host.equals(mask.substring(1)));
+                wildcard.startsWith("*.") && host.endsWith(wildcard.substring(1)) && host.length() >= wildcard.length();
+        boolean matchesDomain =
+                wildcard.startsWith(".") && (host.endsWith(wildcard) || host.equals(wildcard.substring(1)));
         if (matchesEnd || matchesDomain) {
-            return FRONT_MASK_RANK + mask.length();
+            return LEADING_WILDCARD_RANK + wildcard.length();
         }
-        boolean matchesBeginning = mask.endsWith(".*") && host.startsWith(mask.substring(0, mask.length() - 1));
-        return matchesBeginning ? mask.length() : NO_MATCH;
+        boolean matchesBeginning =
+                wildcard.endsWith(".*") && host.startsWith(wildcard.substring(0, wildcard.length() - 1));
+        return matchesBeginning ? wildcard.length() : NO_MATCH;
     }
 
     private static boolean isRegex(Directive entry) {
--- a/src/main/java/cacheproxy/nginx/importer/PoolTranslator.java
+++ b/src/main/java/cacheproxy/nginx/importer/PoolTranslator.java
@@ -42,9 +42,9 @@
     /** Makes the pool of an upstream, unless none of its servers can be used. */
     void translate(UpstreamBlock upstream) {
         report.carried(upstream.directive());
-        String hashed = hashedText(upstream);
-        reportMethod(upstream, hashed);
-        String placement = placement(upstream.method(), hashed);
+        String hashTemplate = hashTemplate(upstream);
+        reportMethod(upstream, hashTemplate);
+        String placement = placement(upstream.method(), hashTemplate);
         boolean keepsPlacement = !placement.equals(PlacementRegistry.CARP);
         List<ServerSpec> specs = servers.translate(upstream, keepsPlacement);
         String name = upstream.name();
@@ -58,26 +58,26 @@
             poolByAuthority.put(name, null);
             return;
         }
-        String placeBy = KEY_TEMPLATE.equals(hashed) ? null : hashed;
+        String placeBy = KEY_TEMPLATE.equals(hashTemplate) ? null : hashTemplate;
         PoolSpec pool = new PoolSpec(name, placement, placeBy, specs, upstream.directive());
         pools.put(name, pool);
         poolByAuthority.put(name, pool);
     }
 
-    private static boolean hashesKey(Method method) {
+    private static boolean isHash(Method method) {
         return method == Method.HASH || method == Method.CONSISTENT_HASH;
     }
 
-    private static String placement(Method method, String hashed) {
-        if (hashed == null) {
+    private static String placement(Method method, String hashTemplate) {
+        if (hashTemplate == null) {
             return PlacementRegistry.CARP;
         }
         return method == Method.HASH ? PlacementRegistry.NGINX_HASH : PlacementRegistry.NGINX_CONSISTENT;
     }
 
     /** The template of what an upstream hashes; null if it hashes nothing that keys tell. */
-    private static String hashedText(UpstreamBlock upstream) {
-        if (!hashesKey(upstream.method()) || upstream.key().isEmpty()) {
+    private static String hashTemplate(UpstreamBlock upstream) {
+        if (!isHash(upstream.method()) || upstream.key().isEmpty()) {
             return null;
         }
         List<Expression.Part> parts = new ArrayList<>();
@@ -88,16 +88,16 @@
         return PlacementText.of(Expression.joined(parts));
     }
 
-    private void reportMethod(UpstreamBlock upstream, String hashed) {
-        Directive methodAt = upstream.methodAt();
+    private void reportMethod(UpstreamBlock upstream, String hashTemplate) {
+        Directive methodDirective = upstream.methodDirective();
         switch (upstream.method()) {
             case HASH, CONSISTENT_HASH -> {
-                if (hashed == null) {
+                if (hashTemplate == null) {
                     report.notCarried(
-                            methodAt,
+                            methodDirective,
                             "keys do not tell " + upstream.key() + ": servers are chosen by CARP over the key");
                 } else {
-                    report.carried(methodAt);
+                    report.carried(methodDirective);
                 }
             }
             case ROUND_ROBIN ->
@@ -105,10 +105,11 @@
                         upstream.directive(),
                         "each key gets one server by CARP, instead of the next in turn; weights hold");
             case IP_HASH ->
-                report.changed(methodAt, "each key gets one server by CARP over weights, instead of each client");
+                report.changed(
+                        methodDirective, "each key gets one server by CARP over weights, instead of each client");
             default ->
                 report.changed(
-                        methodAt,
+                        methodDirective,
                         "each key gets one server by CARP over weights, instead of the one that is chosen at the "
                                 + "moment");
         }
@@ -119,15 +120,16 @@
      *
      * @return null, after an entry in the report, if there is none
      */
-    PoolSpec poolFor(String authority, Directive at) {
+    PoolSpec poolFor(String authority, Directive directive) {
         if (poolByAuthority.containsKey(authority)) {
-            PoolSpec known = poolByAuthority.get(authority);
-            if (known == null) {
-                report.notCarried(at, "upstream " + authority + " could not be carried over; these requests fail");
+            PoolSpec existing = poolByAuthority.get(authority);
+            if (existing == null) {
+                report.notCarried(
+                        directive, "upstream " + authority + " could not be carried over; these requests fail");
             }
-            return known;
+            return existing;
         }
-        PoolSpec pool = poolOfAddress(authority, at);
+        PoolSpec pool = poolOfAddress(authority, directive);
         if (pool != null) {
             pools.put(authority, pool);
         }
@@ -135,11 +137,11 @@
         return pool;
     }
 
-    private PoolSpec poolOfAddress(String authority, Directive at) {
-        String dial = addresses.dial(authority);
+    private PoolSpec poolOfAddress(String authority, Directive directive) {
+        String dial = addresses.dialAddress(authority);
         if (dial == null || !Names.isValid(authority)) {
             report.notCarried(
-                    at,
+                    directive,
                     authority.startsWith("unix:")
                             ? "sockets of Unix are not dialled; these requests fail"
                             : "there is no upstream '" + authority
@@ -148,6 +150,6 @@
             return null;
         }
         ServerSpec server = new ServerSpec(addresses.name(authority, dial), null, dial, 1, false, false);
-        return new PoolSpec(authority, PlacementRegistry.CARP, null, List.of(server), at);
+        return new PoolSpec(authority, PlacementRegistry.CARP, null, List.of(server), directive);
     }
 }
--- a/src/main/java/cacheproxy/nginx/importer/ProxyPassTranslator.java
+++ b/src/main/java/cacheproxy/nginx/importer/ProxyPassTranslator.java
@@ -12,43 +12,43 @@
 
     private final ServerContext context;
     private final Report report;
-    private final ForwardedPathTranslator paths;
-    private final FallbackTranslator fallbacks;
+    private final ForwardedPathTranslator pathTranslator;
+    private final FallbackTranslator fallbackTranslator;
 
     ProxyPassTranslator(ServerContext context) {
         this.context = context;
         report = context.report();
-        paths = new ForwardedPathTranslator();
-        fallbacks = new FallbackTranslator(context);
+        pathTranslator = new ForwardedPathTranslator();
+        fallbackTranslator = new FallbackTranslator(context);
     }
 
     /**
      * Makes the routes of a directive.
      *
      * @param target the URL that requests are passed to
-     * @param uriCounts whether the path of the URL replaces that of the request
+     * @param usesUri whether the path of the URL replaces that of the request
      */
-    void translate(Directive directive, Expression target, boolean uriCounts, RequestState state) {
+    void translate(Directive directive, Expression target, boolean usesUri, RequestState state) {
         List<Alternative> targets;
         try {
             targets = context.resolve(target, state);
         } catch (UnsupportedDirectiveException e) {
             report.notCarried(directive, "can't be expressed (" + e.getMessage() + "); these requests fail");
-            context.routes().fail(state, directive, "502");
+            context.routes().addFailing(state, directive, "502");
             return;
         }
-        boolean variable = !target.isLiteral();
+        boolean hasVariables = !target.isLiteral();
         for (Alternative alternative : targets) {
-            Conditions both = context.both(state.when(), alternative.when(), directive);
-            if (both != null) {
-                passTo(directive, alternative.value(), variable, uriCounts, state.withWhen(both));
+            Conditions combined = context.combine(state.conditions(), alternative.conditions(), directive);
+            if (combined != null) {
+                addRouteTo(directive, alternative.value(), hasVariables, usesUri, state.withConditions(combined));
             }
         }
     }
 
     /** Makes the route to one target, in which no variables are left that conditions could tell. */
-    private void passTo(
-            Directive directive, Expression target, boolean variable, boolean uriCounts, RequestState state) {
+    private void addRouteTo(
+            Directive directive, Expression target, boolean hasVariables, boolean usesUri, RequestState state) {
         ProxyTarget parsed = ProxyTarget.parse(target);
         if (parsed == null) {
             reject(
@@ -69,39 +69,41 @@
         }
         PoolSpec pool = context.pools().poolFor(parsed.authority(), directive);
         if (pool == null) {
-            context.routes().fail(state, directive, "502");
+            context.routes().addFailing(state, directive, "502");
         } else {
-            forward(directive, pool, uriCounts ? parsed.uri() : Expression.EMPTY, variable, state);
+            forward(directive, pool, usesUri ? parsed.uri() : Expression.EMPTY, hasVariables, state);
         }
     }
 
     private void reject(Directive directive, String reason, String status, RequestState state) {
         report.notCarried(directive, reason);
-        context.routes().fail(state, directive, status);
+        context.routes().addFailing(state, directive, status);
     }
 
-    private void forward(Directive directive, PoolSpec pool, Expression uri, boolean variable, RequestState state) {
-        ForwardedPath path = forwardedPath(directive, uri, variable, state);
+    private void forward(Directive directive, PoolSpec pool, Expression uri, boolean hasVariables, RequestState state) {
+        ForwardedPath path = forwardedPath(directive, uri, hasVariables, state);
         if (path == null) {
             return;
         }
         String placeBy = null;
         RewrittenPath rewritten = state.rewritten();
         if (rewritten != null && pool.placeBy() != null && pool.placeBy().contains(URI_TEMPLATE)) {
-            placeBy = placementOfRewritten(directive, pool, path, rewritten);
-            path = placeBy == null ? path : new ForwardedPath(path.rewrite(), rewritten.withGroups(path.when()));
+            placeBy = placeByRewrittenPath(directive, pool, path, rewritten);
+            path = placeBy == null
+                    ? path
+                    : new ForwardedPath(path.rewrite(), rewritten.withPatternFirst(path.conditions()));
         }
         List<String> pools = new ArrayList<>(List.of(pool.name()));
-        String fallback = fallbacks.fallbackPool(state.location(), pool.name());
+        String fallback = fallbackTranslator.fallbackPool(state.location(), pool.name());
         if (fallback != null) {
             pools.add(fallback);
         }
-        context.routes().forward(state, directive, path, pools, placeBy);
+        context.routes().addForwarding(state, directive, path, pools, placeBy);
     }
 
     /** The path that the pool is asked for; null, after its requests were failed, if there is none. */
-    private ForwardedPath forwardedPath(Directive directive, Expression uri, boolean variable, RequestState state) {
-        boolean replacesPrefix = !uri.parts().isEmpty() && !variable;
+    private ForwardedPath forwardedPath(Directive directive, Expression uri, boolean hasVariables, RequestState state) {
+        boolean replacesPrefix = !uri.parts().isEmpty() && !hasVariables;
         if (replacesPrefix && !hasReplaceablePrefix(state)) {
             reject(
                     directive,
@@ -111,7 +113,7 @@
                     state);
             return null;
         }
-        ForwardedPath path = paths.translate(uri, variable, state);
+        ForwardedPath path = pathTranslator.translate(uri, hasVariables, state);
         String added = path == null ? null : path.rewrite().added();
         if (path == null || (added != null && !KeyRewrite.isLegalKey(added))) {
             reject(directive, "the path that it makes can't be expressed; these requests fail", "502", state);
@@ -132,16 +134,16 @@
      *
      * @return null, after an entry in the report, if routes can't express it
      */
-    private String placementOfRewritten(
+    private String placeByRewrittenPath(
             Directive directive, PoolSpec pool, ForwardedPath path, RewrittenPath rewritten) {
         boolean hasGroups = rewritten.pattern() == null
                 ? rewritten.path().isLiteral()
-                : path.when().patterns().contains(rewritten.pattern());
+                : path.conditions().patterns().contains(rewritten.pattern());
         if (rewritten.replacement() == null || !hasGroups) {
             report.notCarried(directive, "the path that nginx hashes can't be told here; keys may move");
             return null;
         }
-        String made = PathTemplates.placementText(rewritten.path(), rewritten.pattern());
-        return pool.placeBy().replace(URI_TEMPLATE, made);
+        String hashedPath = PathTemplates.placementText(rewritten.path(), rewritten.pattern());
+        return pool.placeBy().replace(URI_TEMPLATE, hashedPath);
     }
 }
--- a/src/main/java/cacheproxy/nginx/importer/ProxyTarget.java
+++ b/src/main/java/cacheproxy/nginx/importer/ProxyTarget.java
@@ -17,7 +17,7 @@
 
     /** Parses a URL; null if its scheme is not known. */
     static ProxyTarget parse(Expression target) {
-        String head = target.head();
+        String head = target.literalPrefix();
         boolean encrypted = head.startsWith(HTTPS);
         if (!encrypted && !head.startsWith(HTTP)) {
             return null;
--- a/src/main/java/cacheproxy/nginx/importer/RegexTranslation.java
+++ b/src/main/java/cacheproxy/nginx/importer/RegexTranslation.java
@@ -17,9 +17,9 @@
     }
 
     /** Translates the pattern of a map's entry, {@code ~PATTERN} or {@code ~*PATTERN}. */
-    static RegexTranslation ofTagged(String tagged) {
-        boolean ignoreCase = tagged.startsWith("~*");
-        return of(tagged.substring(ignoreCase ? 2 : 1), ignoreCase);
+    static RegexTranslation ofMapEntry(String entryName) {
+        boolean ignoreCase = entryName.startsWith("~*");
+        return of(entryName.substring(ignoreCase ? 2 : 1), ignoreCase);
     }
 
     /** Whether there is a pattern with the same meaning. */
--- a/src/main/java/cacheproxy/nginx/importer/Report.java
+++ b/src/main/java/cacheproxy/nginx/importer/Report.java
@@ -55,12 +55,12 @@
         if (directive == null) {
             return;
         }
-        List<Entry> known = entriesByDirective.computeIfAbsent(directive, absent -> {
+        List<Entry> directiveEntries = entriesByDirective.computeIfAbsent(directive, absent -> {
             directives.add(directive);
             return new ArrayList<>(1);
         });
-        if (known.stream().noneMatch(entry -> entry.level == level && entry.text.equals(text))) {
-            known.add(new Entry(directive, level, text));
+        if (directiveEntries.stream().noneMatch(entry -> entry.level == level && entry.text.equals(text))) {
+            directiveEntries.add(new Entry(directive, level, text));
         }
     }
 
@@ -96,37 +96,41 @@
         List<Entry> ordered = new ArrayList<>();
         addInOrder(conf.directives(), false, ordered);
         addDropped(ordered);
-        conf.empty().forEach(empty -> ordered.add(new Entry(empty.include(), Level.LEFT, "no file has such a name")));
+        conf.emptyIncludes()
+                .forEach(empty -> ordered.add(new Entry(empty.include(), Level.LEFT, "no file has such a name")));
         entries = ordered;
     }
 
     private void addInOrder(List<Directive> directives, boolean withinNotCarried, List<Entry> into) {
         for (Directive directive : directives) {
-            List<Entry> own = entriesByDirective.get(directive);
-            if (own == null) {
-                own = List.of(DirectiveTable.defaultEntry(directive, withinNotCarried));
+            List<Entry> directiveEntries = entriesByDirective.get(directive);
+            if (directiveEntries == null) {
+                directiveEntries = List.of(DirectiveTable.defaultEntry(directive, withinNotCarried));
             }
-            Level worst = own.stream().map(Entry::level).max(Level::compareTo).orElse(Level.NOT);
+            Level worst = directiveEntries.stream()
+                    .map(Entry::level)
+                    .max(Level::compareTo)
+                    .orElse(Level.NOT);
             // "Carried" says nothing beside another entry.
-            own.stream()
+            directiveEntries.stream()
                     .filter(entry -> worst == Level.CARRIED || entry.level != Level.CARRIED)
                     .forEach(into::add);
-            if (directive.block() != null && !isReportedAsWhole(directive, own, worst)) {
+            if (directive.block() != null && !isReportedAsWhole(directive, directiveEntries, worst)) {
                 addInOrder(directive.block(), worst == Level.NOT || withinNotCarried, into);
             }
         }
     }
 
     /** Whether a directive's entries speak for everything in its block. */
-    private static boolean isReportedAsWhole(Directive directive, List<Entry> own, Level worst) {
-        if (DirectiveTable.isWhole(directive)) {
+    private static boolean isReportedAsWhole(Directive directive, List<Entry> directiveEntries, Level worst) {
+        if (DirectiveTable.isReportedWithBlock(directive)) {
             return true;
         }
         if (worst != Level.NOT) {
             return false;
         }
         boolean rejectedLocation = directive.name().equals("location")
-                && own.stream().anyMatch(entry -> entry.text.startsWith("nginx refuses"));
+                && directiveEntries.stream().anyMatch(entry -> entry.text.startsWith("nginx refuses"));
         return rejectedLocation || directive.name().equals("if");
     }
 
@@ -152,7 +156,7 @@
     }
 
     /** Whether everything was carried over, if with changes. */
-    public boolean complete() {
+    public boolean isComplete() {
         return count(Level.NOT) == 0;
     }
 
@@ -161,7 +165,7 @@
         List<String> lines = new ArrayList<>();
         for (Entry entry : entries) {
             if (entry.level != Level.CARRIED) {
-                lines.add(entry.directive.at() + ": " + entry.level.text + ": " + shortened(entry.directive)
+                lines.add(entry.directive.position() + ": " + entry.level.text + ": " + shortened(entry.directive)
                         + (entry.text.isEmpty() ? "" : ": " + entry.text));
             }
         }
--- a/src/main/java/cacheproxy/nginx/importer/RequestState.java
+++ b/src/main/java/cacheproxy/nginx/importer/RequestState.java
@@ -9,7 +9,7 @@
  * How far nginx has come with a request.
  *
  * @param position the position of its route; null: not known yet
- * @param when what is required of the request beyond the position
+ * @param conditions what is required of the request beyond the position
  * @param rewritten its new path; null: the path as it came in
  * @param variables values given by {@code set}
  * @param location where it is; null: at the server's level
@@ -19,7 +19,7 @@
  */
 record RequestState(
         RoutePosition position,
-        Conditions when,
+        Conditions conditions,
         RewrittenPath rewritten,
         Map<String, Expression> variables,
         Location location,
@@ -33,50 +33,56 @@
     static final RequestState START = new RequestState(null, Conditions.NONE, null, Map.of(), null, null, null, 0);
 
     /** With other conditions. */
-    RequestState withWhen(Conditions newWhen) {
-        return new RequestState(position, newWhen, rewritten, variables, location, captures, handler, locationChanges);
+    RequestState withConditions(Conditions newConditions) {
+        return new RequestState(
+                position, newConditions, rewritten, variables, location, captures, handler, locationChanges);
     }
 
     /** With a value of a variable. */
     RequestState withVariable(String name, Expression value) {
         Map<String, Expression> newVariables = new HashMap<>(variables);
         newVariables.put(name, value);
-        return new RequestState(position, when, rewritten, newVariables, location, captures, handler, locationChanges);
+        return new RequestState(
+                position, conditions, rewritten, newVariables, location, captures, handler, locationChanges);
     }
 
     /** With the groups of a pattern that has matched. */
     RequestState withCaptures(String pattern) {
-        return new RequestState(position, when, rewritten, variables, location, pattern, handler, locationChanges);
+        return new RequestState(
+                position, conditions, rewritten, variables, location, pattern, handler, locationChanges);
     }
 
     /** With the {@code proxy_pass} of an {@code if}. */
     RequestState withHandler(Directive newHandler) {
-        return new RequestState(position, when, rewritten, variables, location, captures, newHandler, locationChanges);
+        return new RequestState(
+                position, conditions, rewritten, variables, location, captures, newHandler, locationChanges);
     }
 
     /** With a new path. */
     RequestState withRewritten(RewrittenPath newPath) {
-        return new RequestState(position, when, newPath, variables, location, captures, handler, locationChanges);
+        return new RequestState(position, conditions, newPath, variables, location, captures, handler, locationChanges);
     }
 
     /** The request at the server's level, with a position. */
     RequestState atServerLevel(RoutePosition newPosition) {
-        return new RequestState(newPosition, when, rewritten, variables, null, captures, null, locationChanges);
+        return new RequestState(newPosition, conditions, rewritten, variables, null, captures, null, locationChanges);
     }
 
     /** The request in the location that its first search has found. */
-    RequestState found(Location newLocation, RoutePosition newPosition, Conditions newWhen, String pattern) {
+    RequestState inFoundLocation(
+            Location newLocation, RoutePosition newPosition, Conditions newConditions, String pattern) {
         return new RequestState(
-                newPosition, newWhen, rewritten, variables, newLocation, pattern, null, locationChanges);
+                newPosition, newConditions, rewritten, variables, newLocation, pattern, null, locationChanges);
     }
 
     /** The request in a location that it was redirected to. */
-    RequestState redirected(Location newLocation, String pattern) {
-        return new RequestState(position, when, rewritten, variables, newLocation, pattern, null, locationChanges + 1);
+    RequestState redirectedTo(Location newLocation, String pattern) {
+        return new RequestState(
+                position, conditions, rewritten, variables, newLocation, pattern, null, locationChanges + 1);
     }
 
     /** Whether nginx would fail the request at the next change of its location. */
-    boolean exhausted() {
+    boolean isAtLocationChangeLimit() {
         return locationChanges >= MAX_LOCATION_CHANGES;
     }
 }
--- a/src/main/java/cacheproxy/nginx/importer/RewritePhase.java
+++ b/src/main/java/cacheproxy/nginx/importer/RewritePhase.java
@@ -9,31 +9,31 @@
 final class RewritePhase {
     private final ServerContext context;
     private final Report report;
-    private final IfTranslator conditions;
-    private final LocationPhase locations;
+    private final IfTranslator ifTranslator;
+    private final LocationPhase locationPhase;
 
     RewritePhase(ServerContext context) {
         this.context = context;
         report = context.report();
-        conditions = new IfTranslator(context, this);
-        locations = new LocationPhase(context, this);
+        ifTranslator = new IfTranslator(context, this);
+        locationPhase = new LocationPhase(context, this);
     }
 
     /** Goes on with these directives, and with the phases that follow them. */
     void run(List<Directive> directives, RequestState state) {
         if (directives.isEmpty()) {
-            locations.afterRewrite(state);
+            locationPhase.afterRewrite(state);
             return;
         }
         Directive directive = directives.get(0);
         List<Directive> rest = directives.subList(1, directives.size());
         try {
             switch (directive.name()) {
-                case "set" -> run(rest, afterSet(directive, state));
+                case "set" -> run(rest, applySet(directive, state));
                 case "return" -> translateReturn(directive, state);
                 case "break" -> translateBreak(directive, state);
                 case "rewrite" -> translateRewrite(directive, rest, state);
-                case "if" -> conditions.translate(directive, rest, state);
+                case "if" -> ifTranslator.translate(directive, rest, state);
                 default -> run(rest, state);
             }
         } catch (UnsupportedDirectiveException e) {
@@ -44,7 +44,7 @@
         }
     }
 
-    private RequestState afterSet(Directive directive, RequestState state) {
+    private RequestState applySet(Directive directive, RequestState state) {
         report.carried(directive);
         String variable = directive.arg(0);
         String name = variable.startsWith("$") ? variable.substring(1) : variable;
@@ -64,8 +64,8 @@
     private void translateBreak(Directive directive, RequestState state) {
         report.carried(directive);
         RewrittenPath rewritten = state.rewritten();
-        locations.afterRewrite(
-                rewritten == null ? state : state.withRewritten(rewritten.with(RewrittenPath.Search.SKIPPED)));
+        locationPhase.afterRewrite(
+                rewritten == null ? state : state.withRewritten(rewritten.withSearch(RewrittenPath.Search.SKIPPED)));
     }
 
     private void translateReturn(Directive directive, RequestState state) {
@@ -82,7 +82,7 @@
                                 : "these requests fail, without a status");
         }
         RouteSpec.Outcome outcome = rejects ? RouteSpec.Outcome.REJECT : RouteSpec.Outcome.FAIL;
-        context.routes().end(state, directive, outcome, status);
+        context.routes().addTerminal(state, directive, outcome, status);
     }
 
     private void reportRedirect(Directive directive) {
@@ -105,19 +105,19 @@
             run(rest, state);
             return;
         }
-        Conditions both = state.when().and(Conditions.pattern(regex.text()));
-        if (both == null) {
+        Conditions combined = state.conditions().and(Conditions.pattern(regex.text()));
+        if (combined == null) {
             run(rest, state);
             return;
         }
-        RequestState matched = state.withWhen(both).withCaptures(regex.text());
+        RequestState matched = state.withConditions(combined).withCaptures(regex.text());
         if (isRedirect(directive)) {
             reportRedirect(directive);
-            context.routes().fail(matched, directive, "302");
+            context.routes().addFailing(matched, directive, "302");
         } else {
             rewriteMatched(directive, rest, matched, regex.text());
         }
-        boolean allMatch = state.when().patterns().contains(regex.text());
+        boolean allMatch = state.conditions().patterns().contains(regex.text());
         if (!allMatch) {
             run(rest, state);
         }
@@ -148,9 +148,9 @@
                 staysInLocation ? RewrittenPath.Search.SKIPPED : RewrittenPath.Search.PENDING);
         if (paths.size() > 1 || rewritten.replacement() == null) {
             report.notCarried(directive, "its path depends on more than groups of its pattern; these requests fail");
-            context.routes().fail(matched, directive, "500");
+            context.routes().addFailing(matched, directive, "500");
         } else if (flag.equals("break") || flag.equals("last")) {
-            locations.afterRewrite(matched.withRewritten(rewritten));
+            locationPhase.afterRewrite(matched.withRewritten(rewritten));
         } else {
             run(rest, matched.withRewritten(rewritten));
         }
--- a/src/main/java/cacheproxy/nginx/importer/RewrittenPath.java
+++ b/src/main/java/cacheproxy/nginx/importer/RewrittenPath.java
@@ -16,7 +16,7 @@
     }
 
     /** The same with another state of the search. */
-    RewrittenPath with(Search newSearch) {
+    RewrittenPath withSearch(Search newSearch) {
         return new RewrittenPath(pattern, path, newSearch);
     }
 
@@ -26,7 +26,7 @@
     }
 
     /** Conditions with the pattern in front, as the groups of the path require. */
-    Conditions withGroups(Conditions when) {
-        return pattern == null ? when : when.withFirstPattern(pattern);
+    Conditions withPatternFirst(Conditions conditions) {
+        return pattern == null ? conditions : conditions.withFirstPattern(pattern);
     }
 }
--- a/src/main/java/cacheproxy/nginx/importer/RewrittenPathSearch.java
+++ b/src/main/java/cacheproxy/nginx/importer/RewrittenPathSearch.java
@@ -20,20 +20,20 @@
      * @param at the directive to report
      * @return null if the path may be in several locations, or in none
      */
-    Location find(Expression path, Directive at) {
-        boolean known = path.isLiteral();
-        String beginning = known ? path.literal() : path.head();
-        if (!beginning.startsWith("/")) {
+    Location find(Expression path, Directive directive) {
+        boolean isLiteral = path.isLiteral();
+        String literalPrefix = isLiteral ? path.literal() : path.literalPrefix();
+        if (!literalPrefix.startsWith("/")) {
             return null;
         }
-        if (known) {
-            LocationSearch.Step exact = exactStep(beginning);
+        if (isLiteral) {
+            LocationSearch.Step exact = exactStep(literalPrefix);
             if (exact != null) {
                 return exact.redirect() ? null : exact.location();
             }
-            return findKnown(beginning);
+            return findLiteral(literalPrefix);
         }
-        return dependsOnRest(beginning) ? null : findByBeginning(path, beginning, at);
+        return dependsOnRest(literalPrefix) ? null : findByPrefix(path, literalPrefix, directive);
     }
 
     private LocationSearch.Step exactStep(String path) {
@@ -46,17 +46,17 @@
     }
 
     /** Whether a path that begins so may be in a location whose text is longer. */
-    private boolean dependsOnRest(String beginning) {
+    private boolean dependsOnRest(String literalPrefix) {
         for (LocationSearch.Step step : context.search().steps()) {
             String text = step.exact() != null ? step.exact() : step.prefix();
-            if (text != null && text.length() > beginning.length() && text.startsWith(beginning)) {
+            if (text != null && text.length() > literalPrefix.length() && text.startsWith(literalPrefix)) {
                 return true;
             }
         }
         return false;
     }
 
-    private Location findKnown(String path) {
+    private Location findLiteral(String path) {
         String encoded = PathKey.encodePercent(path);
         Candidates candidates = new Candidates(path);
         for (LocationSearch.Step step : context.search().steps()) {
@@ -77,8 +77,8 @@
         return pattern != null && new KeyPattern(pattern).matches(encodedPath);
     }
 
-    private Location findByBeginning(Expression path, String beginning, Directive at) {
-        Candidates candidates = new Candidates(beginning);
+    private Location findByPrefix(Expression path, String literalPrefix, Directive directive) {
+        Candidates candidates = new Candidates(literalPrefix);
         boolean patternsTried = false;
         for (LocationSearch.Step step : context.search().steps()) {
             if (!candidates.accepts(step)) {
@@ -93,7 +93,7 @@
         if (patternsTried && candidates.longest != null) {
             context.report()
                     .notCarried(
-                            at,
+                            directive,
                             "paths made " + path + " go to location " + candidates.longest.text()
                                     + "; those that a pattern location would take go astray");
         }
--- a/src/main/java/cacheproxy/nginx/importer/RouteSink.java
+++ b/src/main/java/cacheproxy/nginx/importer/RouteSink.java
@@ -43,7 +43,7 @@
      *
      * @param status what nginx answers, for the comment
      */
-    void end(RequestState state, Directive directive, RouteSpec.Outcome outcome, String status) {
+    void addTerminal(RequestState state, Directive directive, RouteSpec.Outcome outcome, String status) {
         RoutePosition position = state.position() == null ? RoutePosition.ofAllKeys(reserveOrders()) : state.position();
         Directive origin =
                 state.location() == null ? directive : state.location().directive();
@@ -51,7 +51,7 @@
                 name(directive),
                 host,
                 position,
-                state.when(),
+                state.conditions(),
                 outcome,
                 List.of(),
                 PathRewrite.NONE,
@@ -60,17 +60,18 @@
     }
 
     /** Adds a route that fails its requests. */
-    void fail(RequestState state, Directive directive, String status) {
-        end(state, directive, RouteSpec.Outcome.FAIL, status);
+    void addFailing(RequestState state, Directive directive, String status) {
+        addTerminal(state, directive, RouteSpec.Outcome.FAIL, status);
     }
 
     /** Adds a route that forwards its requests. */
-    void forward(RequestState state, Directive directive, ForwardedPath path, List<String> pools, String placeBy) {
+    void addForwarding(
+            RequestState state, Directive directive, ForwardedPath path, List<String> pools, String placeBy) {
         routes.add(new RouteSpec(
                 name(directive),
                 host,
                 state.position(),
-                path.when(),
+                path.conditions(),
                 RouteSpec.Outcome.FORWARD,
                 pools,
                 path.rewrite(),
@@ -80,10 +81,11 @@
 
     /** A route's name: the file and line that it comes from, with a number if it is not the first. */
     private String name(Directive directive) {
-        Position at = directive.at();
-        String file = at.file().substring(at.file().lastIndexOf('/') + 1).replaceAll("[^A-Za-z0-9._-]", "_");
-        String end = file.substring(Math.max(0, file.length() - MAX_FILE_NAME_LENGTH));
-        String origin = end + ":" + at.line();
+        Position position = directive.position();
+        String file =
+                position.file().substring(position.file().lastIndexOf('/') + 1).replaceAll("[^A-Za-z0-9._-]", "_");
+        String fileSuffix = file.substring(Math.max(0, file.length() - MAX_FILE_NAME_LENGTH));
+        String origin = fileSuffix + ":" + position.line();
         int count = countByOrigin.merge(origin, 1, Integer::sum);
         return count == 1 ? origin : origin + "." + count;
     }
--- a/src/main/java/cacheproxy/nginx/importer/RouteSpec.java
+++ b/src/main/java/cacheproxy/nginx/importer/RouteSpec.java
@@ -11,7 +11,7 @@
  * A route to be written.
  *
  * @param host name of its virtual host
- * @param when conditions beyond the position
+ * @param conditions conditions beyond the position
  * @param pools the pool, and the one that takes what it fails to answer; empty unless it forwards requests
  * @param placeBy template of what the placement hashes; null: the pool's
  * @param comment the directive that it is made of, and the status for which it is an ending
@@ -20,7 +20,7 @@
         String name,
         String host,
         RoutePosition position,
-        Conditions when,
+        Conditions conditions,
         Outcome outcome,
         List<String> pools,
         PathRewrite rewrite,
@@ -36,16 +36,16 @@
 
     /** The route as far as it decides which requests it takes. */
     Route matchingRoute(int index) {
-        RouteConditions conditions = new RouteConditions(
+        RouteConditions routeConditions = new RouteConditions(
                 Set.of(),
                 host,
                 position.exact(),
                 position.prefix(),
-                when.patterns().stream().map(KeyPattern::new).toList(),
+                conditions.patterns().stream().map(KeyPattern::new).toList(),
                 Set.of(),
                 Set.of(),
-                when.write(),
-                when.share());
-        return new Route(name, position.order(), index, conditions, KeyRewrite.NONE, null, new Route.Fail());
+                conditions.write(),
+                conditions.share());
+        return new Route(name, position.order(), index, routeConditions, KeyRewrite.NONE, null, new Route.Fail());
     }
 }
--- a/src/main/java/cacheproxy/nginx/importer/RouteTranslator.java
+++ b/src/main/java/cacheproxy/nginx/importer/RouteTranslator.java
@@ -20,7 +20,7 @@
     private final Report report;
     private final List<RouteSpec> routes;
     private final LocationPatterns patterns;
-    private final Map<String, Integer> routesByOrigin = new HashMap<>();
+    private final Map<String, Integer> routeCountByOrigin = new HashMap<>();
 
     /**
      * Creates a translator.
@@ -60,18 +60,18 @@
                 errorPages(server),
                 resolver,
                 pools,
-                new RouteSink(hostName, routes, routesByOrigin),
+                new RouteSink(hostName, routes, routeCountByOrigin),
                 report);
         new RewritePhase(context).run(ServerContext.rewriteDirectives(server.directive()), RequestState.START);
     }
 
     private static boolean passesRequests(Location location) {
-        return location.directive().last("proxy_pass") != null
-                || location.directive().last("memcached_pass") != null;
+        return location.directive().lastChildNamed("proxy_pass") != null
+                || location.directive().lastChildNamed("memcached_pass") != null;
     }
 
     private List<Directive> errorPages(ServerBlock server) {
-        List<Directive> own = server.directive().all("error_page");
+        List<Directive> own = server.directive().childrenNamed("error_page");
         return own.isEmpty()
                 ? model.http().stream()
                         .filter(directive -> directive.name().equals("error_page"))
--- a/src/main/java/cacheproxy/nginx/importer/ServerContext.java
+++ b/src/main/java/cacheproxy/nginx/importer/ServerContext.java
@@ -43,11 +43,11 @@
      *
      * @param at the directive to report
      */
-    Conditions both(Conditions left, Conditions right, Directive at) {
+    Conditions combine(Conditions left, Conditions right, Directive directive) {
         try {
             return left.and(right);
         } catch (UnsupportedDirectiveException e) {
-            report.notCarried(at, "can't be expressed: " + e.getMessage());
+            report.notCarried(directive, "can't be expressed: " + e.getMessage());
             return null;
         }
     }
--- a/src/main/java/cacheproxy/nginx/importer/SplitClientsResolver.java
+++ b/src/main/java/cacheproxy/nginx/importer/SplitClientsResolver.java
@@ -25,15 +25,15 @@
 
     /** Resolves the variable of a split. */
     List<Alternative> resolve(Directive split, VariableScope scope) throws UnsupportedDirectiveException {
-        String hashed = PlacementText.of(Expression.of(split.arg(0)));
-        if (hashed == null) {
+        String hashTemplate = PlacementText.of(Expression.of(split.arg(0)));
+        if (hashTemplate == null) {
             String value = valueWithoutSplit(split);
             report.notCarried(
                     split, split.arg(0) + " is not told by keys: nothing is split, '" + value + "' is taken for all");
-            return resolver.resolve(Expression.of(value), scope.deeper());
+            return resolver.resolve(Expression.of(value), scope.nested());
         }
         report.carried(split);
-        PlacementTemplate template = new PlacementTemplate(hashed);
+        PlacementTemplate template = new PlacementTemplate(hashTemplate);
         List<Alternative> values = new ArrayList<>();
         long fromHash = 0;
         String remainder = "";
@@ -51,8 +51,8 @@
             long share = hundredths * MAX_HASH / HUNDREDTHS_OF_WHOLE;
             long toHash = Math.min(SplitShare.HASH_RANGE - 1, fromHash + share);
             if (toHash > fromHash) {
-                Conditions when = Conditions.share(template, fromHash, toHash);
-                values.addAll(resolver.resolveValue(entry.arg(0), when, scope));
+                Conditions conditions = Conditions.share(template, fromHash, toHash);
+                values.addAll(resolver.resolveValue(entry.arg(0), conditions, scope));
             }
             fromHash = toHash;
         }
@@ -62,7 +62,7 @@
 
     /** The value of the first remainder, or of the last share. */
     private static String valueWithoutSplit(Directive split) {
-        List<Directive> remainders = split.all(REMAINDER);
+        List<Directive> remainders = split.childrenNamed(REMAINDER);
         if (!remainders.isEmpty()) {
             return remainders.get(0).arg(0);
         }
--- a/src/main/java/cacheproxy/nginx/importer/TimeoutTranslator.java
+++ b/src/main/java/cacheproxy/nginx/importer/TimeoutTranslator.java
@@ -23,7 +23,7 @@
     /** The longest; 0: none so far. */
     private double readTimeoutMs;
     /** The fewest; 0: none so far. */
-    private double attempts;
+    private double maxAttempts;
 
     private TimeoutTranslator(Report report) {
         this.report = report;
@@ -39,7 +39,7 @@
     private void visit(List<Directive> directives) {
         for (Directive directive : directives) {
             visit(directive);
-            if (directive.block() != null && !DirectiveTable.isWhole(directive)) {
+            if (directive.block() != null && !DirectiveTable.isReportedWithBlock(directive)) {
                 visit(directive.block());
             }
         }
@@ -62,9 +62,9 @@
     }
 
     private void addConnectTimeout(Directive directive) {
-        double ms = Durations.ms(directive.arg(0));
+        double ms = Durations.parseMs(directive.arg(0));
         if (ms < 0) {
-            reportNoDuration(directive);
+            reportInvalidDuration(directive);
             return;
         }
         connectTimeoutMs = connectTimeoutMs == 0 ? ms : Math.min(connectTimeoutMs, ms);
@@ -72,23 +72,23 @@
     }
 
     private void addReadTimeout(Directive directive) {
-        double ms = Durations.ms(directive.arg(0));
+        double ms = Durations.parseMs(directive.arg(0));
         if (ms < 0) {
-            reportNoDuration(directive);
+            reportInvalidDuration(directive);
             return;
         }
         readTimeoutMs = Math.max(readTimeoutMs, ms);
         report.changed(directive, "one deadline for all requests, the longest, and for the whole answer");
     }
 
-    private void reportNoDuration(Directive directive) {
+    private void reportInvalidDuration(Directive directive) {
         report.notCarried(directive, "'" + directive.arg(0) + "' is no duration such as 500ms or 2s; it sets nothing");
     }
 
     private void addAttempts(String text) {
         int tries = text.matches("[0-9]{1,6}") ? Integer.parseInt(text) : 0;
         if (tries > 0) { // nginx: 0 is no bound
-            attempts = attempts == 0 ? tries : Math.min(attempts, tries);
+            maxAttempts = maxAttempts == 0 ? tries : Math.min(maxAttempts, tries);
         }
     }
 
@@ -117,17 +117,17 @@
     private RequestLimits limits() {
         Map<String, Double> limits = new LinkedHashMap<>();
         if (connectTimeoutMs > 0) {
-            limits.put("connect_timeout_ms", bounded(connectTimeoutMs, MIN_CONNECT_TIMEOUT_MS, MAX_CONNECT_TIMEOUT_MS));
+            limits.put("connect_timeout_ms", clamped(connectTimeoutMs, MIN_CONNECT_TIMEOUT_MS, MAX_CONNECT_TIMEOUT_MS));
         }
-        if (attempts > 0) {
-            limits.put("max_attempts", bounded(attempts, MIN_ATTEMPTS, MAX_ATTEMPTS));
+        if (maxAttempts > 0) {
+            limits.put("max_attempts", clamped(maxAttempts, MIN_ATTEMPTS, MAX_ATTEMPTS));
         }
         double deadlineMs =
-                readTimeoutMs > 0 ? bounded(readTimeoutMs, MIN_DEADLINE_MS, MAX_DEADLINE_MS) : DEFAULT_DEADLINE_MS;
+                readTimeoutMs > 0 ? clamped(readTimeoutMs, MIN_DEADLINE_MS, MAX_DEADLINE_MS) : DEFAULT_DEADLINE_MS;
         return new RequestLimits(limits, deadlineMs);
     }
 
-    private static double bounded(double value, double min, double max) {
+    private static double clamped(double value, double min, double max) {
         return Math.max(min, Math.min(max, value));
     }
 }
--- a/src/main/java/cacheproxy/nginx/importer/TomlText.java
+++ b/src/main/java/cacheproxy/nginx/importer/TomlText.java
@@ -21,7 +21,7 @@
 
     /** Adds a string. */
     void text(String key, String value) {
-        line(key, quoted(value));
+        value(key, quoted(value));
     }
 
     /** Adds a string, unless it is null. */
@@ -33,21 +33,21 @@
 
     /** Adds a list of strings. */
     void texts(String key, List<String> values) {
-        line(key, values.stream().map(TomlText::quoted).collect(Collectors.joining(", ", "[", "]")));
+        value(key, values.stream().map(TomlText::quoted).collect(Collectors.joining(", ", "[", "]")));
     }
 
     /** Adds a number, without a fraction if it has none. */
     void number(String key, double value) {
-        line(key, value == Math.rint(value) ? Long.toString((long) value) : Double.toString(value));
+        value(key, value == Math.rint(value) ? Long.toString((long) value) : Double.toString(value));
     }
 
     /** Adds a truth value. */
     void flag(String key, boolean value) {
-        line(key, Boolean.toString(value));
+        value(key, Boolean.toString(value));
     }
 
     /** Adds a value that is written already. */
-    void line(String key, String value) {
+    void value(String key, String value) {
         out.append(key).append(" = ").append(value).append('\n');
     }
 
--- a/src/main/java/cacheproxy/nginx/importer/UpstreamServers.java
+++ b/src/main/java/cacheproxy/nginx/importer/UpstreamServers.java
@@ -28,34 +28,35 @@
      * @param hashed whether the pool keeps nginx's placement, in which servers that are down keep their part of the
      *     keys
      */
-    List<ServerSpec> translate(UpstreamBlock upstream, boolean hashed) {
+    List<ServerSpec> translate(UpstreamBlock upstream, boolean keepsPlacement) {
         List<ServerSpec> servers = new ArrayList<>();
         for (UpstreamBlock.Server server : upstream.servers()) {
-            add(server, upstream.method(), hashed, servers);
+            add(server, upstream.method(), keepsPlacement, servers);
         }
         return servers;
     }
 
-    private void add(UpstreamBlock.Server server, Method method, boolean hashed, List<ServerSpec> into) {
-        String written = server.address();
+    private void add(UpstreamBlock.Server server, Method method, boolean keepsPlacement, List<ServerSpec> into) {
+        String nginxAddress = server.address();
         report.carried(server.directive());
         reportParameters(server);
-        String dial = addresses.dial(written);
-        String name = addresses.name(written, dial);
-        if (dial != null && written.startsWith("localhost") && !addresses.isConfigured(written)) {
+        String dial = addresses.dialAddress(nginxAddress);
+        String name = addresses.name(nginxAddress, dial);
+        if (dial != null && nginxAddress.startsWith("localhost") && !addresses.hasDialOverride(nginxAddress)) {
             report.changed(server.directive(), "localhost is taken for 127.0.0.1 alone");
         }
-        int known = indexOf(name, into);
+        int existingIndex = indexOf(name, into);
         if (dial == null || !Names.isValid(name)) {
             report.notCarried(
-                    server.directive(), whyUnusable(written) + (server.down() ? "" : ": its keys go to the others"));
-            if (hashed && Names.isValid(name) && known < 0) {
+                    server.directive(),
+                    unusableReason(nginxAddress) + (server.down() ? "" : ": its keys go to the others"));
+            if (keepsPlacement && Names.isValid(name) && existingIndex < 0) {
                 into.add(new ServerSpec(name, null, null, server.weight(), server.backup(), true));
             }
-        } else if (known >= 0) {
-            into.set(known, merged(into.get(known), server, method, known == into.size() - 1));
+        } else if (existingIndex >= 0) {
+            into.set(existingIndex, merged(into.get(existingIndex), server, method, existingIndex == into.size() - 1));
         } else {
-            String ringName = name.equals(written) ? null : written;
+            String ringName = name.equals(nginxAddress) ? null : nginxAddress;
             into.add(new ServerSpec(name, ringName, dial, server.weight(), server.backup(), server.down()));
         }
     }
@@ -69,13 +70,13 @@
         return -1;
     }
 
-    private static String whyUnusable(String written) {
-        if (written.startsWith("unix:")) {
+    private static String unusableReason(String nginxAddress) {
+        if (nginxAddress.startsWith("unix:")) {
             return "sockets of Unix are not dialled";
         }
-        return Names.isValid(written)
-                ? "'" + written + "' is no address, and names are not looked up; give it one by --dial " + written
-                        + "=ADDRESS:PORT"
+        return Names.isValid(nginxAddress)
+                ? "'" + nginxAddress + "' is no address, and names are not looked up; give it one by --dial "
+                        + nginxAddress + "=ADDRESS:PORT"
                 : "its address is no name for a server";
     }
 
@@ -86,13 +87,13 @@
      */
     private ServerSpec merged(ServerSpec first, UpstreamBlock.Server second, Method method, boolean adjacent) {
         Directive directive = second.directive();
-        boolean sameButWeight = first.backup() == second.backup()
+        boolean equalExceptWeight = first.backup() == second.backup()
                 && first.down() == second.down()
                 && first.placementName().equals(second.address());
-        boolean onRing = method == Method.CONSISTENT_HASH;
-        if (!sameButWeight || (method == Method.HASH && !adjacent)) {
+        boolean usesRing = method == Method.CONSISTENT_HASH;
+        if (!equalExceptWeight || (method == Method.HASH && !adjacent)) {
             report.notCarried(directive, "written a second time; here it is one server, so that some keys move");
-        } else if (onRing) {
+        } else if (usesRing) {
             report.changed(
                     directive,
                     "written a second time; here it is one server with the greater weight, whose points on the ring "
@@ -101,7 +102,7 @@
             report.changed(directive, "written a second time; here it is one server with the weights of both");
         }
         // On the ring the points of the lesser weight are among those of the greater.
-        int weight = onRing ? Math.max(first.weight(), second.weight()) : first.weight() + second.weight();
+        int weight = usesRing ? Math.max(first.weight(), second.weight()) : first.weight() + second.weight();
         return new ServerSpec(
                 first.name(),
                 first.ringName(),
@@ -123,7 +124,7 @@
                         name + "=" + value
                                 + ": a server is judged by the answers that each proxy gets, not by a count of failures");
             case "slow_start" -> {
-                slowStartMs = Math.max(slowStartMs, Durations.ms(value));
+                slowStartMs = Math.max(slowStartMs, Durations.parseMs(value));
                 report.changed(directive, "slow_start=" + value + ": the longest is the warm_up_ms of all servers");
             }
             case "max_conns" ->
--- a/src/main/java/cacheproxy/nginx/importer/VariableScope.java
+++ b/src/main/java/cacheproxy/nginx/importer/VariableScope.java
@@ -16,7 +16,7 @@
     }
 
     /** The scope of a variable's value. */
-    VariableScope deeper() {
+    VariableScope nested() {
         return new VariableScope(variables, host, depth + 1);
     }
 }
--- a/src/main/java/cacheproxy/nginx/model/DirectiveShapes.java
+++ b/src/main/java/cacheproxy/nginx/model/DirectiveShapes.java
@@ -105,7 +105,7 @@
         List<Directive> block = checked(directive.block(), directive.name(), faults);
         return isSame(block, directive.block())
                 ? directive
-                : new Directive(directive.name(), directive.args(), block, directive.raw(), directive.at());
+                : new Directive(directive.name(), directive.args(), block, directive.rawBlock(), directive.position());
     }
 
     @SuppressWarnings("ReferenceEquality") // identity is meant
--- a/src/main/java/cacheproxy/nginx/model/HttpModel.java
+++ b/src/main/java/cacheproxy/nginx/model/HttpModel.java
@@ -19,7 +19,7 @@
      * @param at the directive
      * @param reason for the report: what nginx says of it, and what is done here
      */
-    public record Fault(Directive at, String reason) {}
+    public record Fault(Directive directive, String reason) {}
 
     private final List<Directive> http;
     private final Map<String, UpstreamBlock> upstreams = new LinkedHashMap<>();
@@ -92,7 +92,7 @@
     }
 
     /** A fault with which nginx would not start. */
-    static Fault rejected(Directive at, String reason) {
-        return new Fault(at, "nginx refuses this: " + reason);
+    static Fault rejected(Directive directive, String reason) {
+        return new Fault(directive, "nginx refuses this: " + reason);
     }
 }
--- a/src/main/java/cacheproxy/nginx/model/LocationSearch.java
+++ b/src/main/java/cacheproxy/nginx/model/LocationSearch.java
@@ -47,10 +47,10 @@
     /**
      * A prefix location.
      *
-     * @param before what is tried before it for paths of which it is the longest prefix
+     * @param chainsBefore what is tried before it for paths of which it is the longest prefix
      * @param plain whether that is just the patterns of the server's level
      */
-    private record Prefix(Location location, List<RegexChain> before, boolean plain) {
+    private record Prefix(Location location, List<RegexChain> chainsBefore, boolean plain) {
         String text() {
             return location.text();
         }
@@ -97,7 +97,7 @@
         for (Prefix prefix : prefixes) {
             // A plain prefix that extends one with its own search would be hidden by that one.
             if (!prefix.plain || extendsAny(prefix.text(), ownSearches)) {
-                for (RegexChain chain : prefix.before) {
+                for (RegexChain chain : prefix.chainsBefore) {
                     steps.add(new Step(Tier.OWN_SEARCH, null, prefix.text(), chain.regexes, chain.innermost(), false));
                 }
                 steps.add(new Step(Tier.OWN_SEARCH, null, prefix.text(), List.of(), prefix.location, false));
@@ -151,16 +151,16 @@
         List<RegexChain> levelChains = regexChains(level);
         Set<String> levelPrefixes = texts(level, false);
         for (Location location : reachable) {
-            List<RegexChain> search = new ArrayList<>();
+            List<RegexChain> chains = new ArrayList<>();
             if (location.kind() != Location.Kind.PREFIX_WITHOUT_REGEX) {
-                search.addAll(levelChains);
+                chains.addAll(levelChains);
             }
-            search.addAll(outerChains); // a prefix rules out the patterns of its own level only
-            addPrefix(location, search);
+            chains.addAll(outerChains); // a prefix rules out the patterns of its own level only
+            addPrefix(location, chains);
             if (!location.children().isEmpty()) {
                 List<Set<String>> longerPrefixes = new ArrayList<>(longerOuterPrefixes);
                 longerPrefixes.add(extensions(levelPrefixes, location.text()));
-                addLevel(location.children(), search, longerPrefixes);
+                addLevel(location.children(), chains, longerPrefixes);
             }
         }
     }
@@ -189,11 +189,11 @@
         }
     }
 
-    private void addPrefix(Location location, List<RegexChain> search) {
-        List<RegexChain> before = new ArrayList<>(regexChains(location.children()));
-        boolean plain = location.parent() == null && location.kind() == Location.Kind.PREFIX && before.isEmpty();
-        before.addAll(search);
-        prefixes.add(new Prefix(location, before, plain));
+    private void addPrefix(Location location, List<RegexChain> laterChains) {
+        List<RegexChain> chainsBefore = new ArrayList<>(regexChains(location.children()));
+        boolean plain = location.parent() == null && location.kind() == Location.Kind.PREFIX && chainsBefore.isEmpty();
+        chainsBefore.addAll(laterChains);
+        prefixes.add(new Prefix(location, chainsBefore, plain));
     }
 
     private static Set<String> extensions(Set<String> texts, String prefix) {
--- a/src/main/java/cacheproxy/nginx/model/ServerReader.java
+++ b/src/main/java/cacheproxy/nginx/model/ServerReader.java
@@ -75,7 +75,7 @@
             reject(location.directive(), "duplicate location \"" + location.text() + "\"; the first is taken");
             return false;
         }
-        String misplacement = misplacement(location);
+        String misplacement = misplacementReason(location);
         if (misplacement != null) {
             reject(location.directive(), "location \"" + location.text() + "\" " + misplacement + "; it is left out");
         }
@@ -84,7 +84,7 @@
 
     private Location location(Directive directive, Location parent) {
         if (directive.args().size() == 1) {
-            return locationOfOneWord(directive, parent);
+            return locationFromSingleArgument(directive, parent);
         }
         if (directive.args().size() != 2) {
             reject(directive, "invalid number of arguments in \"location\"; it is left out");
@@ -105,7 +105,7 @@
     }
 
     /** A location without a modifier, or with one that no space follows. */
-    private static Location locationOfOneWord(Directive directive, Location parent) {
+    private static Location locationFromSingleArgument(Directive directive, Location parent) {
         String text = directive.arg(0);
         if (text.startsWith("=")) {
             return new Location(Location.Kind.EXACT, text.substring(1), directive, parent);
@@ -124,7 +124,7 @@
     }
 
     /** Why a location is not allowed within its parent; null if it is. */
-    private static String misplacement(Location location) {
+    private static String misplacementReason(Location location) {
         Location parent = location.parent();
         if (parent == null) {
             return null;
--- a/src/main/java/cacheproxy/nginx/model/UpstreamBlock.java
+++ b/src/main/java/cacheproxy/nginx/model/UpstreamBlock.java
@@ -8,10 +8,11 @@
  * An {@code upstream} block.
  *
  * @param method how it selects a server
- * @param methodAt the directive that sets the method; null for round robin
+ * @param methodDirective the directive that sets the method; null for round robin
  * @param servers in the order of the file
  */
-public record UpstreamBlock(String name, Directive directive, Method method, Directive methodAt, List<Server> servers) {
+public record UpstreamBlock(
+        String name, Directive directive, Method method, Directive methodDirective, List<Server> servers) {
     /** How an upstream selects a server. */
     public enum Method {
         ROUND_ROBIN,
@@ -42,6 +43,6 @@
 
     /** The text that its method hashes, as written; empty if it hashes none. */
     public String key() {
-        return methodAt == null ? "" : methodAt.arg(0);
+        return methodDirective == null ? "" : methodDirective.arg(0);
     }
 }
--- a/src/main/java/cacheproxy/nginx/model/UpstreamReader.java
+++ b/src/main/java/cacheproxy/nginx/model/UpstreamReader.java
@@ -27,7 +27,7 @@
             return;
         }
         if (upstreams.containsKey(name)) {
-            int line = upstreams.get(name).directive().at().line();
+            int line = upstreams.get(name).directive().position().line();
             reject(directive, "duplicate upstream \"" + name + "\"; the first, of line " + line + ", is taken");
             return;
         }
@@ -36,22 +36,22 @@
 
     private UpstreamBlock block(String name, Directive directive) {
         Method method = Method.ROUND_ROBIN;
-        Directive methodAt = null;
+        Directive methodDirective = null;
         List<UpstreamBlock.Server> servers = new ArrayList<>();
         for (Directive inner : directive.block()) {
-            Method read = method(inner);
-            if (read != null) {
-                if (methodAt != null) {
+            Method directiveMethod = method(inner);
+            if (directiveMethod != null) {
+                if (methodDirective != null) {
                     faults.add(new HttpModel.Fault(inner, "load balancing method redefined; the last holds"));
                 }
-                method = read;
-                methodAt = inner;
+                method = directiveMethod;
+                methodDirective = inner;
             } else if (inner.name().equals("server")) {
                 // nginx checks a server's parameters against the method that is written before it.
                 readServer(inner, allowsBackups(method), servers);
             }
         }
-        return new UpstreamBlock(name, directive, method, methodAt, servers);
+        return new UpstreamBlock(name, directive, method, methodDirective, servers);
     }
 
     /** The method that a directive sets; null if it sets none. */
--- a/src/test/java/cacheproxy/daemon/ImportedSitesTest.java
+++ b/src/test/java/cacheproxy/daemon/ImportedSitesTest.java
@@ -107,8 +107,8 @@
             ConfParser.Conf conf =
                     ConfParser.read(singleFileSource(file), file.getFileName().toString());
             Importer.Result imported = Importer.run(conf, new ImportOptions("127.0.0.1", 0, dial, "unsafe", 0));
-            assertThat(imported.file()).isNotNull();
-            DaemonConfig daemonFile = DaemonConfigReader.parse("imported", imported.file());
+            assertThat(imported.configText()).isNotNull();
+            DaemonConfig daemonFile = DaemonConfigReader.parse("imported", imported.configText());
             try (FakeNginx nginx = new FakeNginx(new NginxReferenceModel(conf.directives()));
                     Daemon daemon = Daemon.start(daemonFile, 3)) {
                 replay(
--- a/src/test/java/cacheproxy/nginx/ConfParserTest.java
+++ b/src/test/java/cacheproxy/nginx/ConfParserTest.java
@@ -42,8 +42,8 @@
         assertThat(all.get(1).args()).containsExactly("x\"y\\z\t\\.", "${v}x", "a#b", "\\.", "a;{}b");
         assertThat(all.get(2).args()).containsExactly("~", "\\.(a|b)$");
         assertThat(all.get(2).block().get(0).args()).containsExactly("d");
-        assertThat(all.get(2).at()).isEqualTo(new Position("f", 3, 3));
-        assertThat(all.get(2).block().get(0).at()).isEqualTo(new Position("f", 3, 25));
+        assertThat(all.get(2).position()).isEqualTo(new Position("f", 3, 3));
+        assertThat(all.get(2).block().get(0).position()).isEqualTo(new Position("f", 3, 25));
     }
 
     @Test
@@ -72,7 +72,7 @@
     @Test
     void keepsTextOfLuaBlocks() throws Exception {
         List<Directive> all = parse("content_by_lua_block { if x then y = \"}\" end -- }\n t = {1} }\na;");
-        assertThat(all.get(0).raw()).isEqualTo(" if x then y = \"}\" end -- }\n t = {1} ");
+        assertThat(all.get(0).rawBlock()).isEqualTo(" if x then y = \"}\" end -- }\n t = {1} ");
         assertThat(all.get(1).name()).isEqualTo("a");
     }
 
@@ -86,14 +86,14 @@
         }
         texts.put("main", mainFile.append("}").toString());
         ConfParser.Conf conf = ConfParser.read(new Files(texts), "main");
-        assertThat(conf.files()).isEqualTo(401);
-        assertThat(conf.empty())
+        assertThat(conf.fileCount()).isEqualTo(401);
+        assertThat(conf.emptyIncludes())
                 .singleElement()
                 .satisfies(empty -> assertThat(empty.include().arg(0)).isEqualTo("none/*.conf"));
         List<Directive> servers = conf.directives().get(0).block();
         assertThat(servers).hasSize(200);
         assertThat(servers.get(17).block().get(0).arg(0)).isEqualTo("1017");
-        assertThat(servers.get(17).block().get(0).at()).isEqualTo(new Position("parts/17", 3, 1));
+        assertThat(servers.get(17).block().get(0).position()).isEqualTo(new Position("parts/17", 3, 1));
     }
 
     @Test
@@ -124,7 +124,7 @@
     void parsesPrintedTreeToAnEqualTree() throws Exception {
         SplittableRandom random = new SplittableRandom(5);
         for (int i = 0; i < 2000; i++) {
-            List<Directive> tree = tree(random, 0);
+            List<Directive> tree = randomTree(random, 0);
             String text = ConfPrinter.print(tree);
             List<Directive> again = parse(text);
             assertThat(again).as(text).isEqualTo(tree);
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void rejectsRandomTextBySyntaxExceptionOnly() {
+    void rejectsRandomTextOnlyWithSyntaxException() {
         SplittableRandom random = new SplittableRandom(6);
         String alphabet = "ab ;{}\"'\\#$\n\t\u0000~*/";
         int accepted = 0;
@@ -152,20 +152,20 @@
         assertThat(accepted).isBetween(100, 10_000);
     }
 
-    private static List<Directive> tree(SplittableRandom random, int depth) {
+    private static List<Directive> randomTree(SplittableRandom random, int depth) {
         List<Directive> all = new ArrayList<>();
         for (int remaining = random.nextInt(4); remaining > 0; remaining--) {
             List<String> args = new ArrayList<>();
             for (int remainingArgs = random.nextInt(3); remainingArgs > 0; remainingArgs--) {
-                args.add(word(random));
+                args.add(randomWord(random));
             }
-            List<Directive> block = depth < 4 && random.nextInt(3) == 0 ? tree(random, depth + 1) : null;
-            all.add(new Directive("d" + word(random), args, block, null, new Position("f", 1, 1)));
+            List<Directive> block = depth < 4 && random.nextInt(3) == 0 ? randomTree(random, depth + 1) : null;
+            all.add(new Directive("d" + randomWord(random), args, block, null, new Position("f", 1, 1)));
         }
         return all;
     }
 
-    private static String word(SplittableRandom random) {
+    private static String randomWord(SplittableRandom random) {
         String alphabet = "abc09 ;{}\"'\\#$~^*/.()\t\n=\u00e9";
         StringBuilder text = new StringBuilder();
         for (int remaining = random.nextInt(8); remaining > 0; remaining--) {
--- a/src/test/java/cacheproxy/nginx/importer/ImporterFuzzTest.java
+++ b/src/test/java/cacheproxy/nginx/importer/ImporterFuzzTest.java
@@ -140,29 +140,29 @@
         "http"
     };
 
-    private static List<Directive> block(SplittableRandom random, int depth) {
+    private static List<Directive> randomBlock(SplittableRandom random, int depth) {
         List<Directive> all = new ArrayList<>();
         for (int remaining = random.nextInt(depth == 0 ? 9 : 6); remaining > 0; remaining--) {
-            all.add(directive(random, depth));
+            all.add(randomDirective(random, depth));
         }
         return all;
     }
 
-    private static String word(SplittableRandom random) {
+    private static String randomWord(SplittableRandom random) {
         return WORDS[random.nextInt(WORDS.length)];
     }
 
-    private static Directive directive(SplittableRandom random, int depth) {
+    private static Directive randomDirective(SplittableRandom random, int depth) {
         String name = NAMES[random.nextInt(NAMES.length)];
         boolean plausible = random.nextInt(12) > 0;
         List<String> args = new ArrayList<>();
         int count = plausible ? plausibleArgCount(random, name) : random.nextInt(4);
         for (int remaining = count; remaining > 0; remaining--) {
-            args.add(word(random));
+            args.add(randomWord(random));
         }
         if (!plausible) {
-            List<Directive> block = random.nextInt(3) == 0 && depth < 4 ? block(random, depth + 1) : null;
-            return new Directive(name, args, block, null, at());
+            List<Directive> block = random.nextInt(3) == 0 && depth < 4 ? randomBlock(random, depth + 1) : null;
+            return new Directive(name, args, block, null, anyPosition());
         }
         return plausibleDirective(random, name, args, depth);
     }
@@ -187,63 +187,63 @@
 
     private static Directive plausibleDirective(SplittableRandom random, String name, List<String> args, int depth) {
         return switch (name) {
-            case "server" -> server(random, args, depth);
+            case "server" -> randomServer(random, args, depth);
             case "location", "if", "limit_except" -> {
-                List<Directive> block = depth < 4 ? block(random, depth + 1) : List.of();
-                yield new Directive(name, args, block, null, at());
+                List<Directive> block = depth < 4 ? randomBlock(random, depth + 1) : List.of();
+                yield new Directive(name, args, block, null, anyPosition());
             }
             case "upstream" -> {
                 String upstream = random.nextBoolean() ? "u" : "v";
-                yield new Directive(name, List.of(upstream), block(random, 1), null, at());
+                yield new Directive(name, List.of(upstream), randomBlock(random, 1), null, anyPosition());
             }
             case "map", "split_clients", "geo" -> {
-                List<String> variables = List.of(word(random), random.nextBoolean() ? "$x" : "$y");
-                yield new Directive(name, variables, tableEntries(random), null, at());
+                List<String> variables = List.of(randomWord(random), random.nextBoolean() ? "$x" : "$y");
+                yield new Directive(name, variables, randomTableEntries(random), null, anyPosition());
             }
             case "set" -> {
                 String variable = random.nextBoolean() ? "$x" : "$z";
-                yield new Directive(name, List.of(variable, word(random)), null, null, at());
+                yield new Directive(name, List.of(variable, randomWord(random)), null, null, anyPosition());
             }
-            default -> new Directive(name, args, null, null, at());
+            default -> new Directive(name, args, null, null, anyPosition());
         };
     }
 
     /** A server block at the top, or a server of an upstream. */
-    private static Directive server(SplittableRandom random, List<String> args, int depth) {
+    private static Directive randomServer(SplittableRandom random, List<String> args, int depth) {
         if (depth == 0) {
-            return new Directive("server", List.of(), block(random, depth + 1), null, at());
+            return new Directive("server", List.of(), randomBlock(random, depth + 1), null, anyPosition());
         }
         List<String> withAddress = new ArrayList<>(args);
         withAddress.add(0, "10.0.0." + random.nextInt(5) + ":80");
-        return new Directive("server", withAddress, null, null, at());
+        return new Directive("server", withAddress, null, null, anyPosition());
     }
 
-    private static List<Directive> tableEntries(SplittableRandom random) {
+    private static List<Directive> randomTableEntries(SplittableRandom random) {
         List<Directive> entries = new ArrayList<>();
         for (int remaining = random.nextInt(5); remaining > 0; remaining--) {
-            entries.add(new Directive(word(random), List.of(word(random)), null, null, at()));
+            entries.add(new Directive(randomWord(random), List.of(randomWord(random)), null, null, anyPosition()));
         }
         return entries;
     }
 
-    private static Position at() {
+    private static Position anyPosition() {
         return new Position("f.conf", 1, 1);
     }
 
     /** A random configuration, in which there is always something to import. */
-    private static List<Directive> configuration(SplittableRandom random) {
-        List<Directive> tree = block(random, 0);
-        tree.add(new Directive("server", List.of(), block(random, 1), null, at()));
+    private static List<Directive> randomConfiguration(SplittableRandom random) {
+        List<Directive> tree = randomBlock(random, 0);
+        tree.add(new Directive("server", List.of(), randomBlock(random, 1), null, anyPosition()));
         tree.add(new Directive(
                 "upstream",
                 List.of("spare"),
-                List.of(new Directive("server", List.of("10.1.1.1:80"), null, null, at())),
+                List.of(new Directive("server", List.of("10.1.1.1:80"), null, null, anyPosition())),
                 null,
-                at()));
+                anyPosition()));
         return tree;
     }
 
-    private static Importer.Result imported(String text) throws NginxSyntaxException {
+    private static Importer.Result importResult(String text) throws NginxSyntaxException {
         List<Directive> tree = ConfParser.parse("f.conf", text);
         try {
             return Importer.run(
@@ -259,15 +259,15 @@
         SplittableRandom random = new SplittableRandom(21);
         int filesMade = 0;
         for (int i = 0; i < 6000; i++) {
-            String text = ConfPrinter.print(configuration(random));
-            Importer.Result result = imported(text);
+            String text = ConfPrinter.print(randomConfiguration(random));
+            Importer.Result result = importResult(text);
             assertThat(result.report().entries()).isNotEmpty();
-            if (result.file() != null) {
+            if (result.configText() != null) {
                 filesMade++;
                 try {
-                    DaemonConfigReader.parse("imported", result.file());
+                    DaemonConfigReader.parse("imported", result.configText());
                 } catch (ConfigException e) {
-                    throw new AssertionError(text + "\n" + result.file(), e);
+                    throw new AssertionError(text + "\n" + result.configText(), e);
                 }
             }
         }
--- a/src/test/java/cacheproxy/nginx/importer/LocationImportTest.java
+++ b/src/test/java/cacheproxy/nginx/importer/LocationImportTest.java
@@ -18,7 +18,7 @@
 class LocationImportTest {
     private static final int TREES = 1000;
     private static final int KEYS_PER_TREE = 60;
-    private static final int MIN_FOUND = 6000;
+    private static final int MIN_FORWARDED = 6000;
 
     private static String randomPath(SplittableRandom random) {
         StringBuilder path = new StringBuilder("/");
@@ -31,14 +31,14 @@
     /**
      * Writes random locations, each passing to an address of its own.
      *
-     * @param within the text of the location around them
+     * @param enclosingText the text of the location around them
      * @param nextId holds the number of the next location
      */
     private static void writeLocations(
-            SplittableRandom random, String within, int depth, int[] nextId, StringBuilder out) {
+            SplittableRandom random, String enclosingText, int depth, int[] nextId, StringBuilder out) {
         for (int remaining = random.nextInt(depth == 0 ? 6 : 3); remaining > 0; remaining--) {
             int kind = random.nextInt(6);
-            String text = within + randomPath(random).substring(within.isEmpty() ? 0 : 1);
+            String text = enclosingText + randomPath(random).substring(enclosingText.isEmpty() ? 0 : 1);
             String head = switch (kind) {
                 case 0 -> "= " + text;
                 case 1 -> "^~ " + text;
@@ -67,7 +67,7 @@
                 .toString();
     }
 
-    private static String explained(DaemonConfig config, String key) {
+    private static String explanation(DaemonConfig config, String key) {
         RouteInput input = config.keys().parse(config.listeners().get(0).name(), key, 0, 0, false);
         return new RouteExplainer(config).lines(input, false).get(0);
     }
@@ -75,38 +75,38 @@
     /** Compares random keys, and returns how many of them are passed to a pool. */
     private static int compareRandomKeys(
             SplittableRandom random, String text, NginxReferenceModel model, DaemonConfig config) {
-        int found = 0;
+        int forwarded = 0;
         for (int i = 0; i < KEYS_PER_TREE; i++) {
             String key = randomPath(random) + randomPath(random).substring(1);
             NginxReferenceModel.Answer answer = model.ask("*:80", "GET", "", key);
-            String imported = explained(config, key);
+            String imported = explanation(config, key);
             if (answer.status() != 0) {
                 assertThat(imported).as(text + key).contains("answer=failed");
             } else {
                 assertThat(imported).as(text + key).contains(" pool=" + answer.pool() + " ");
-                found++;
+                forwarded++;
             }
         }
-        return found;
+        return forwarded;
     }
 
     @Test
-    void routesRandomLocationTreesAsTheReferenceModel() throws Exception {
+    void routesRandomLocationTreesLikeReferenceModel() throws Exception {
         SplittableRandom random = new SplittableRandom(11);
-        int found = 0;
+        int forwarded = 0;
         for (int round = 0; round < TREES; round++) {
             String text = randomConfiguration(random);
             List<Directive> tree = ConfParser.parse("r.conf", text);
             Importer.Result result = Importer.run(
                     new ConfParser.Conf(tree, List.of(), 1, 1),
                     new ImportOptions("127.0.0.1", 0, Map.of(), "unsafe", 0));
-            DaemonConfig config = DaemonConfigReader.parse("imported", result.file());
+            DaemonConfig config = DaemonConfigReader.parse("imported", result.configText());
             // The model does not know what nginx refuses to start with: such trees are not compared.
             boolean refused = result.report().lines().stream().anyMatch(line -> line.contains("nginx refuses"));
             if (!refused) {
-                found += compareRandomKeys(random, text, new NginxReferenceModel(tree), config);
+                forwarded += compareRandomKeys(random, text, new NginxReferenceModel(tree), config);
             }
         }
-        assertThat(found).isGreaterThan(MIN_FOUND);
+        assertThat(forwarded).isGreaterThan(MIN_FORWARDED);
     }
 }
