--- a/src/main/java/cacheproxy/nginx/Directive.java
+++ b/src/main/java/cacheproxy/nginx/Directive.java
@@ -10,7 +10,7 @@
  * @param args the parameters, without the directive's name
  * @param block the directives between its braces; null if it ends with a semicolon
  * @param rawBlock the text of a block of another grammar (Lua); null for other directives
- * @param at where it begins
+ * @param position where it begins
  */
 public record Directive(String name, List<String> args, List<Directive> block, String rawBlock, Position position) {
     /** Copies the lists. */
--- a/src/main/java/cacheproxy/nginx/importer/RewrittenPathSearch.java
+++ b/src/main/java/cacheproxy/nginx/importer/RewrittenPathSearch.java
@@ -17,7 +17,7 @@
     /**
      * Finds the location of a path.
      *
-     * @param at the directive to report
+     * @param directive the directive to report
      * @return null if the path may be in several locations, or in none
      */
     Location find(Expression path, Directive directive) {
--- a/src/main/java/cacheproxy/nginx/importer/ServerContext.java
+++ b/src/main/java/cacheproxy/nginx/importer/ServerContext.java
@@ -41,7 +41,7 @@
     /**
      * Both conditions; null if no request meets both or, after an entry in the report, if routes can't express them.
      *
-     * @param at the directive to report
+     * @param directive the directive to report
      */
     Conditions combine(Conditions left, Conditions right, Directive directive) {
         try {
--- a/src/main/java/cacheproxy/nginx/importer/UpstreamServers.java
+++ b/src/main/java/cacheproxy/nginx/importer/UpstreamServers.java
@@ -25,8 +25,8 @@
     /**
      * Translates the servers of an upstream.
      *
-     * @param hashed whether the pool keeps nginx's placement, in which servers that are down keep their part of the
-     *     keys
+     * @param keepsPlacement whether the pool keeps nginx's placement, in which servers that are down keep their part of
+     *     the keys
      */
     List<ServerSpec> translate(UpstreamBlock upstream, boolean keepsPlacement) {
         List<ServerSpec> servers = new ArrayList<>();
--- a/src/main/java/cacheproxy/nginx/model/HttpModel.java
+++ b/src/main/java/cacheproxy/nginx/model/HttpModel.java
@@ -16,7 +16,7 @@
     /**
      * Something that nginx would reject or ignore.
      *
-     * @param at the directive
+     * @param directive the directive
      * @param reason for the report: what nginx says of it, and what is done here
      */
     public record Fault(Directive directive, String reason) {}
