--- a/src/main/java/cacheproxy/faulttest/AddressSpace.java
+++ b/src/main/java/cacheproxy/faulttest/AddressSpace.java
@@ -25,7 +25,7 @@
     private static final int LOCK_PORT = 7900;
     private static final int HOSTS_PER_OCTET = 250;
     private static final int FIRST_SECOND_OCTET = 20;
-    private static final int SECOND_OCTETS = 200;
+    private static final int SECOND_OCTET_COUNT = 200;
     private static final int PROXY_THIRD_OCTET = 1;
     private static final int RELAY_THIRD_OCTET = 101;
     private static final int ZONE_RELAY_THIRD_OCTET = 201;
@@ -41,9 +41,9 @@
 
     /** Reserves addresses that no other run uses, until they are closed. */
     static AddressSpace reserve() throws IOException {
-        int first = (int) (ProcessHandle.current().pid() % SECOND_OCTETS);
-        for (int i = 0; i < SECOND_OCTETS; i++) {
-            int octet = FIRST_SECOND_OCTET + (first + i) % SECOND_OCTETS;
+        int first = (int) (ProcessHandle.current().pid() % SECOND_OCTET_COUNT);
+        for (int i = 0; i < SECOND_OCTET_COUNT; i++) {
+            int octet = FIRST_SECOND_OCTET + (first + i) % SECOND_OCTET_COUNT;
             ServerSocket socket = new ServerSocket();
             try {
                 InetAddress lockHost = InetAddress.getByAddress(new byte[] {127, (byte) octet, (byte) 255, 1});
--- a/src/main/java/cacheproxy/faulttest/DaemonConfigFile.java
+++ b/src/main/java/cacheproxy/faulttest/DaemonConfigFile.java
@@ -21,7 +21,7 @@
     /** The text of a proxy's file. */
     String of(int proxy) {
         String zones = "[\"" + String.join("\", \"", scenario.zones()) + "\"]";
-        boolean old = scenario.oldProxies().contains(TargetSelector.proxyName(proxy));
+        boolean alternateConfig = scenario.alternateConfigProxies().contains(TargetSelector.proxyName(proxy));
         return String.join(
                 "\n",
                 "[site]",
@@ -55,13 +55,14 @@
                 "name = \"all\"",
                 "pools = [\"pages\"]",
                 "",
-                replacePlaceholders(old ? scenario.oldConfigSuffix() : scenario.configSuffix(), proxy),
+                replacePlaceholders(
+                        alternateConfig ? scenario.alternateConfigSuffix() : scenario.configSuffix(), proxy),
                 "");
     }
 
-    private String serviceClass(String name, String effect, String moreLines) {
+    private String serviceClass(String name, String effect, String additionalLines) {
         double deadlineMs = scenario.load().deadlineMs();
-        return "[[class]]\nname = \"" + name + "\"\neffect = \"" + effect + "\"\n" + moreLines + "aim_ms = "
+        return "[[class]]\nname = \"" + name + "\"\neffect = \"" + effect + "\"\n" + additionalLines + "aim_ms = "
                 + deadlineMs / 4 + "\ndeadline_ms = " + deadlineMs + "\n";
     }
 
--- a/src/main/java/cacheproxy/faulttest/DatagramRelay.java
+++ b/src/main/java/cacheproxy/faulttest/DatagramRelay.java
@@ -144,13 +144,13 @@
         forwarded.incrementAndGet();
         bytes.addAndGet(content.readableBytes());
         sockets[from].writeAndFlush(new DatagramPacket(content, proxies[to])).addListener(sent -> {
-            if (!sent.isSuccess() && !isOfAbsentProxy(sent.cause())) {
+            if (!sent.isSuccess() && !isReceiverDown(sent.cause())) {
                 dropped.incrementAndGet();
             }
         });
     }
 
-    private static boolean isOfAbsentProxy(Throwable cause) {
+    private static boolean isReceiverDown(Throwable cause) {
         return cause instanceof PortUnreachableException || cause instanceof ConnectException;
     }
 
--- a/src/main/java/cacheproxy/faulttest/EventLoopLag.java
+++ b/src/main/java/cacheproxy/faulttest/EventLoopLag.java
@@ -40,7 +40,7 @@
     }
 
     /** How much later than it happened the loop may notice something now, microseconds. */
-    long nowUs() {
+    long currentLagUs() {
         return Math.max(lastLagNanos, Math.max(0, System.nanoTime() - dueNanos)) / 1000;
     }
 
--- a/src/main/java/cacheproxy/faulttest/FakeProcesses.java
+++ b/src/main/java/cacheproxy/faulttest/FakeProcesses.java
@@ -73,7 +73,7 @@
         endpoints = scenario.targetSelector();
         scope = DiscoveryScope.of(scenario);
         lag = EventLoopLag.of(loop);
-        ledger.observe(write -> history.add(lag.nowUs(), "origin", Event.WRITE_APPLIED, write, "", 0));
+        ledger.observe(write -> history.add(lag.currentLagUs(), "origin", Event.WRITE_APPLIED, write, "", 0));
         origin = FakeOrigin.start(loop, ledger);
         for (int i = 0; i < scenario.servers(); i++) {
             servers.add(startServer(TargetSelector.serverName(i)));
@@ -84,7 +84,7 @@
             listedAddresses.add(serverAddressesFor(i));
         }
         for (int i = 0; i < scenario.servers(); i++) {
-            list(i, "up", 0);
+            listServer(i, "up", 0);
         }
         String originZone = scenario.zones().get(0);
         discoveries.forEach(discovery -> discovery.put("origin", origin.dial(), originZone, "origin", "up", 0));
@@ -95,7 +95,8 @@
         return FakeCacheServer.start(loop, ledger)
                 .work(1000 / scenario.serverPerSecond())
                 .room(scenario.serverQueueLimit())
-                .observe(id -> history.add(lag.nowUs(), name, Event.COMMAND_ARRIVED, id == null ? "" : id, "", 0));
+                .observe(id ->
+                        history.add(lag.currentLagUs(), name, Event.COMMAND_ARRIVED, id == null ? "" : id, "", 0));
     }
 
     private String[] serverAddressesFor(int discovery) throws InterruptedException {
@@ -141,7 +142,7 @@
                 hostAndPort.substring(0, colon), Integer.parseInt(hostAndPort.substring(colon + 1)));
     }
 
-    private void list(int server, String health, double startedMs) {
+    private void listServer(int server, String health, double startedMs) {
         String zone = scenario.zones().get(endpoints.zoneOfServer(server));
         for (int i = 0; i < discoveries.size(); i++) {
             String address = listedAddresses.get(i)[server];
@@ -150,7 +151,7 @@
     }
 
     /** Stores all keys at each server, as after some hours of service. */
-    void warm(int keys) {
+    void fillServerCaches(int keys) {
         for (int i = 0; i < keys; i++) {
             String key = OpenLoopWorkload.key(i);
             byte[] value = FakeOrigin.value(key).getBytes(StandardCharsets.ISO_8859_1);
@@ -171,7 +172,7 @@
     }
 
     /** Starts a killed server again at the same address, empty; discovery lists its start time. */
-    void revive(int server) throws IOException {
+    void restart(int server) throws IOException {
         try {
             servers.get(server).revive();
         } catch (InterruptedException e) {
@@ -179,13 +180,13 @@
             throw new IOException(e);
         }
         history.add(0, TargetSelector.serverName(server), Event.SERVER_STARTED, "", "", 0);
-        list(server, "up", (double) System.currentTimeMillis());
+        listServer(server, "up", (double) System.currentTimeMillis());
     }
 
     /** Lists a server as draining. */
     void beginDrain(int server) {
         // Proxies are notified within the call. This event may be later than that, but not earlier.
-        list(server, "draining", 0);
+        listServer(server, "draining", 0);
         history.add(0, TargetSelector.serverName(server), Event.SERVER_DRAINING, "", "", 0);
     }
 
@@ -193,11 +194,11 @@
     void endDrain(int server) {
         // Proxies are notified within the call. What they send then must not seem to go to a draining server.
         history.add(0, TargetSelector.serverName(server), Event.SERVER_UP, "", "", 0);
-        list(server, "up", 0);
+        listServer(server, "up", 0);
     }
 
     /** The endpoint list as it is now, as the platform gives it to a proxy that starts. */
-    JsonObject knownList(int proxy) {
+    JsonObject endpointList(int proxy) {
         return discoveryOf(proxy).whole();
     }
 
--- a/src/main/java/cacheproxy/faulttest/FaultInjector.java
+++ b/src/main/java/cacheproxy/faulttest/FaultInjector.java
@@ -33,23 +33,23 @@
     private final EventLoop relayLoop;
     private final TcpRelay relay;
     private final History history;
-    private final UnaryOperator<String> holders;
+    private final UnaryOperator<String> leaseHolders;
     private final ScheduledExecutorService thread = Executors.newSingleThreadScheduledExecutor(task -> {
         Thread injector = new Thread(task, "director");
         injector.setDaemon(true);
         return injector;
     });
     /** Servers that a fault has killed or drains. */
-    private final Set<Integer> serversDown = new HashSet<>();
+    private final Set<Integer> unavailableServers = new HashSet<>();
 
     private final List<String> failures = new ArrayList<>();
-    private int restarting;
+    private int restartingCount;
 
     /**
      * Makes an injector.
      *
      * @param links used on the relay's loop alone
-     * @param holders the holder of a lease; null where none is known
+     * @param leaseHolders the holder of a lease; null where none is known
      */
     FaultInjector(
             Scenario scenario,
@@ -59,7 +59,7 @@
             EventLoop relayLoop,
             TcpRelay relay,
             History history,
-            UnaryOperator<String> holders) {
+            UnaryOperator<String> leaseHolders) {
         this.scenario = scenario;
         endpoints = scenario.targetSelector();
         this.proxies = proxies;
@@ -68,7 +68,7 @@
         this.relayLoop = relayLoop;
         this.relay = relay;
         this.history = history;
-        this.holders = holders;
+        this.leaseHolders = leaseHolders;
     }
 
     /** A step of a fault; {@link #finish} reports the first that failed. */
@@ -103,16 +103,16 @@
             if (fault.holderOf().isEmpty()) {
                 schedule(id, fault);
             } else {
-                schedule(fault.atMs(), () -> schedule(id, atHolder(fault)));
+                schedule(fault.atMs(), () -> schedule(id, retargetToHolder(fault)));
             }
         }
     }
 
     /** The same fault from now on, at the holder of its lease. */
-    private Fault atHolder(Fault fault) {
-        String holder = holders.apply(fault.holderOf());
+    private Fault retargetToHolder(Fault fault) {
+        String holder = leaseHolders.apply(fault.holderOf());
         List<String> targets = holder == null ? fault.targets() : List.of(holder);
-        boolean betweenProxies = fault.onLinks() && fault.linkPeers().stream().allMatch(name -> name.startsWith("p"));
+        boolean betweenProxies = fault.hitsLinks() && fault.linkPeers().stream().allMatch(name -> name.startsWith("p"));
         if (!betweenProxies) {
             return fault.withTimeAndTargets(0, targets, fault.linkPeers());
         }
@@ -122,7 +122,7 @@
     }
 
     private void schedule(String id, Fault fault) {
-        if (fault.onLinks()) {
+        if (fault.hitsLinks()) {
             schedule(fault.atMs(), () -> beginLinkFault(id, fault));
             schedule(fault.endMs(), () -> endLinkFault(id, fault));
             return;
@@ -175,7 +175,7 @@
                 schedule(atMs, () -> pauseForCycle(fault, index, System.nanoTime() + (long) (durationMs * 1e6)));
             case KILL, TERMINATE -> schedule(atMs, () -> endProxy(fault, index));
             case SERVER_STALL -> schedule(atMs, () -> fakes.stall(index - endpoints.proxies(), durationMs));
-            case SERVER_KILL -> scheduleAtServer(index, atMs, endMs, fakes::kill, fakes::revive);
+            case SERVER_KILL -> scheduleAtServer(index, atMs, endMs, fakes::kill, fakes::restart);
             case SERVER_DRAIN -> scheduleAtServer(index, atMs, endMs, fakes::beginDrain, fakes::endDrain);
             default -> throw new IllegalArgumentException(fault.kind() + " befalls no process");
         }
@@ -183,16 +183,16 @@
 
     private void endProxy(Fault fault, int proxy) throws IOException {
         if (proxies.get(proxy).end(fault.kind() == Fault.Kind.KILL)) {
-            restarting++;
+            restartingCount++;
             schedule(
                     fault.durationMs(),
                     () -> proxies.restart(
-                            proxy, fault.emptyDisk(), failure -> schedule(0, () -> restarted(proxy, failure))));
+                            proxy, fault.emptyDisk(), failure -> schedule(0, () -> restartFinished(proxy, failure))));
         }
     }
 
-    private void restarted(int proxy, Exception failure) throws IOException {
-        restarting--;
+    private void restartFinished(int proxy, Exception failure) throws IOException {
+        restartingCount--;
         if (failure != null) {
             throw new IOException(failure);
         }
@@ -202,11 +202,11 @@
     private void scheduleAtServer(int index, double atMs, double endMs, TargetStep begin, TargetStep end) {
         int server = index - endpoints.proxies();
         schedule(atMs, () -> {
-            if (serversDown.add(server)) {
+            if (unavailableServers.add(server)) {
                 begin.run(server);
                 schedule(endMs - atMs, () -> {
                     end.run(server);
-                    serversDown.remove(server);
+                    unavailableServers.remove(server);
                 });
             }
         });
@@ -227,12 +227,12 @@
     void finish(double maxMs) throws IOException, InterruptedException {
         long untilNanos = System.nanoTime() + (long) (maxMs * 1e6);
         try {
-            while (thread.schedule(() -> restarting, RESTART_POLL_MS, TimeUnit.MILLISECONDS)
+            while (thread.schedule(() -> restartingCount, RESTART_POLL_MS, TimeUnit.MILLISECONDS)
                             .get()
                     > 0) {
                 if (System.nanoTime() > untilNanos) {
-                    throw new IOException(
-                            restarting + " proxies were not back " + (int) (maxMs / 1000) + " s after the load's end");
+                    throw new IOException(restartingCount + " proxies were not back " + (int) (maxMs / 1000)
+                            + " s after the load's end");
                 }
             }
             List<String> failed = thread.submit(() -> List.copyOf(failures)).get();
--- a/src/main/java/cacheproxy/faulttest/FaultTestRunner.java
+++ b/src/main/java/cacheproxy/faulttest/FaultTestRunner.java
@@ -20,7 +20,7 @@
 /** Runs scenarios: many processes of the program, faults between them, and a verdict on what they did. */
 public final class FaultTestRunner {
     /** Proxies without a fault for so long before an empty call should respond to it quickly. */
-    private static final long UNDISTURBED_US = 1_000_000;
+    private static final long MIN_FAULT_FREE_US = 1_000_000;
 
     private FaultTestRunner() {}
 
@@ -85,16 +85,16 @@
     /** The 99th percentile of the latency of empty calls to undisturbed proxies; 0 if there are none. */
     private static double pingP99Ms(RunHistory run) {
         double[] latenciesMs = run.events().stream()
-                .filter(event -> event.is(Event.PROXY_PINGED) && isUndisturbed(run, event))
+                .filter(event -> event.is(Event.PROXY_PINGED) && isFaultFree(run, event))
                 .mapToDouble(Event::value)
                 .sorted()
                 .toArray();
         return latenciesMs.length == 0 ? 0 : latenciesMs[(latenciesMs.length - 1) * 99 / 100];
     }
 
-    private static boolean isUndisturbed(RunHistory run, Event ping) {
+    private static boolean isFaultFree(RunHistory run, Event ping) {
         long sentUs = ping.timeUs() - (long) (ping.value() * 1000);
-        return !run.wasPausedOrDown(ping.endpoint(), sentUs - UNDISTURBED_US, ping.timeUs());
+        return !run.wasPausedOrDown(ping.endpoint(), sentUs - MIN_FAULT_FREE_US, ping.timeUs());
     }
 
     /**
--- a/src/main/java/cacheproxy/faulttest/FencedWriter.java
+++ b/src/main/java/cacheproxy/faulttest/FencedWriter.java
@@ -14,9 +14,9 @@
  * an older epoch than one that it has seen. Used on one event loop.
  */
 final class FencedWriter {
-    private static final double PAUSE_SHARE = 0.05;
-    private static final double MAX_PAUSED_MS = 4000;
-    private static final double MAX_USUAL_MS = 20;
+    private static final double PAUSE_PROBABILITY = 0.05;
+    private static final double MAX_PAUSE_MS = 4000;
+    private static final double MAX_NORMAL_DELAY_MS = 20;
 
     private final EventLoop loop;
     private final History history;
@@ -39,7 +39,8 @@
             return;
         }
         acting[proxy][leaseIndex] = true;
-        double durationMs = random.nextDouble() * (random.nextDouble() < PAUSE_SHARE ? MAX_PAUSED_MS : MAX_USUAL_MS);
+        double durationMs =
+                random.nextDouble() * (random.nextDouble() < PAUSE_PROBABILITY ? MAX_PAUSE_MS : MAX_NORMAL_DELAY_MS);
         loop.schedule(
                 () -> {
                     acting[proxy][leaseIndex] = false;
--- a/src/main/java/cacheproxy/faulttest/History.java
+++ b/src/main/java/cacheproxy/faulttest/History.java
@@ -26,7 +26,7 @@
 final class History implements AutoCloseable {
     private static final int QUEUE_LIMIT = 200_000;
     /** Ends the writer. */
-    private static final Event END = new Event(0, 0, "", "", "", "", 0);
+    private static final Event END_MARKER = new Event(0, 0, "", "", "", "", 0);
 
     private final long startNanos = System.nanoTime();
     private final BlockingQueue<Event> queue = new ArrayBlockingQueue<>(QUEUE_LIMIT);
@@ -62,7 +62,7 @@
     @SuppressWarnings("ReferenceEquality") // identity is meant
     private void writeAll(BufferedWriter out) {
         try (out) {
-            for (Event event; (event = queue.take()) != END; ) {
+            for (Event event; (event = queue.take()) != END_MARKER; ) {
                 if (failure == null) {
                     write(out, event);
                 }
@@ -87,7 +87,7 @@
     /** Waits until all is written; throws if it could not be. */
     void finish() throws IOException, InterruptedException {
         if (writer.isAlive()) {
-            queue.put(END);
+            queue.put(END_MARKER);
             writer.join();
         }
         if (failure != null) {
--- a/src/main/java/cacheproxy/faulttest/HostLoad.java
+++ b/src/main/java/cacheproxy/faulttest/HostLoad.java
@@ -11,7 +11,8 @@
 final class HostLoad implements AutoCloseable {
     private static final long PERIOD_MS = 500;
 
-    private final OperatingSystemMXBean machine = (OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
+    private final OperatingSystemMXBean operatingSystem =
+            (OperatingSystemMXBean) ManagementFactory.getOperatingSystemMXBean();
     private final ScheduledExecutorService sampler = Executors.newSingleThreadScheduledExecutor(task -> {
         Thread thread = new Thread(task, "machine load");
         thread.setDaemon(true);
@@ -23,12 +24,12 @@
     /** Samples from now on. */
     @SuppressWarnings("FutureReturnValueIgnored") // the timer is never cancelled; what it runs handles its own errors
     void start() {
-        machine.getCpuLoad(); // the first value has nothing to compare with
+        operatingSystem.getCpuLoad(); // the first value has nothing to compare with
         sampler.scheduleAtFixedRate(this::sample, PERIOD_MS, PERIOD_MS, TimeUnit.MILLISECONDS);
     }
 
     private synchronized void sample() {
-        double load = machine.getCpuLoad();
+        double load = operatingSystem.getCpuLoad();
         if (load >= 0) {
             samples++;
             busySamples += load > RunValidity.BUSY_CPU_LOAD ? 1 : 0;
--- a/src/main/java/cacheproxy/faulttest/LeasePoller.java
+++ b/src/main/java/cacheproxy/faulttest/LeasePoller.java
@@ -37,9 +37,9 @@
     private final FencedWriter writer;
     private final Map<String, String> holders = new ConcurrentHashMap<>();
     /** By proxy and lease: whether a call is open. */
-    private final boolean[][] polling;
+    private final boolean[][] callInFlight;
 
-    private Future<?> ticks;
+    private Future<?> pollTask;
 
     private LeasePoller(EventLoop loop, AddressSpace space, History history, Scenario scenario) {
         this.loop = loop;
@@ -47,14 +47,14 @@
         this.history = history;
         leases = scenario.leases();
         writer = new FencedWriter(loop, history, scenario.proxies(), leases.size(), scenario.seed());
-        polling = new boolean[scenario.proxies()][leases.size()];
+        callInFlight = new boolean[scenario.proxies()][leases.size()];
     }
 
     /** Polls for the leases of a scenario from now on. */
     static LeasePoller start(EventLoop loop, AddressSpace space, History history, Scenario scenario) {
         LeasePoller poller = new LeasePoller(loop, space, history, scenario);
         long periodMs = (long) scenario.pollMs();
-        poller.ticks = loop.scheduleAtFixedRate(poller::pollAll, periodMs, periodMs, TimeUnit.MILLISECONDS);
+        poller.pollTask = loop.scheduleAtFixedRate(poller::pollAll, periodMs, periodMs, TimeUnit.MILLISECONDS);
         return poller;
     }
 
@@ -65,14 +65,14 @@
 
     /** Begins no more calls. */
     void stop() {
-        ticks.cancel(false);
+        pollTask.cancel(false);
     }
 
     private void pollAll() {
-        for (int proxy = 0; proxy < polling.length; proxy++) {
+        for (int proxy = 0; proxy < callInFlight.length; proxy++) {
             for (int leaseIndex = 0; leaseIndex < leases.size(); leaseIndex++) {
-                if (!polling[proxy][leaseIndex]) {
-                    polling[proxy][leaseIndex] = true;
+                if (!callInFlight[proxy][leaseIndex]) {
+                    callInFlight[proxy][leaseIndex] = true;
                     poll(proxy, leaseIndex);
                 }
             }
@@ -94,11 +94,11 @@
                 .connect(space.proxyAddress(proxy, AddressSpace.CONTROL_PORT));
         connect.addListener(connected -> {
             if (!connected.isSuccess()) {
-                polling[proxy][leaseIndex] = false;
+                callInFlight[proxy][leaseIndex] = false;
                 return;
             }
             Channel channel = connect.channel();
-            channel.closeFuture().addListener(closed -> polling[proxy][leaseIndex] = false);
+            channel.closeFuture().addListener(closed -> callInFlight[proxy][leaseIndex] = false);
             loop.schedule(() -> channel.close(), CALL_TIMEOUT_MS, TimeUnit.MILLISECONDS);
         });
     }
@@ -139,11 +139,11 @@
             if (response.indexOf("\n", bodyStart) < 0) {
                 return;
             }
-            report(response.substring(bodyStart).strip());
+            recordResult(response.substring(bodyStart).strip());
             ctx.close();
         }
 
-        private void report(String body) {
+        private void recordResult(String body) {
             boolean held = response.indexOf("HTTP/1.1 200") == 0;
             long epoch = held ? Long.parseLong(body) : 0;
             String name = TargetSelector.proxyName(proxy);
--- a/src/main/java/cacheproxy/faulttest/OpenLoopWorkload.java
+++ b/src/main/java/cacheproxy/faulttest/OpenLoopWorkload.java
@@ -35,13 +35,13 @@
 
     private final Histogram scheduleLagUs = new Histogram(MAX_RECORDED_US, 2);
     private final CompletableFuture<Void> done = new CompletableFuture<>();
-    private Future<?> ticks;
-    private Future<?> pings;
-    private long nextNanos;
+    private Future<?> tickTask;
+    private Future<?> pingTask;
+    private long nextSendNanos;
     private long startNanos;
     private long endNanos;
-    private int requests;
-    private int pending;
+    private int requestCount;
+    private int pendingCount;
     private int failedConnects;
     private int rejectedByConnectionLimit;
 
@@ -70,11 +70,11 @@
     /** Starts; the future is done once the load's time is over and no request is pending. */
     CompletableFuture<Void> start() {
         loop.execute(() -> {
-            nextNanos = System.nanoTime();
-            startNanos = nextNanos;
-            endNanos = nextNanos + (long) (load.seconds() * 1e9);
-            ticks = loop.scheduleAtFixedRate(this::tick, TICK_NANOS, TICK_NANOS, TimeUnit.NANOSECONDS);
-            pings = loop.scheduleAtFixedRate(this::pingAll, PING_MS, PING_MS, TimeUnit.MILLISECONDS);
+            nextSendNanos = System.nanoTime();
+            startNanos = nextSendNanos;
+            endNanos = nextSendNanos + (long) (load.seconds() * 1e9);
+            tickTask = loop.scheduleAtFixedRate(this::tick, TICK_NANOS, TICK_NANOS, TimeUnit.NANOSECONDS);
+            pingTask = loop.scheduleAtFixedRate(this::pingAll, PING_MS, PING_MS, TimeUnit.MILLISECONDS);
         });
         return done;
     }
@@ -87,14 +87,14 @@
 
     private void tick() {
         long nowNanos = System.nanoTime();
-        while (nextNanos <= nowNanos && nextNanos < endNanos) {
-            scheduleLagUs.recordValue(Math.min(MAX_RECORDED_US, (nowNanos - nextNanos) / 1000));
+        while (nextSendNanos <= nowNanos && nextSendNanos < endNanos) {
+            scheduleLagUs.recordValue(Math.min(MAX_RECORDED_US, (nowNanos - nextSendNanos) / 1000));
             sendNext();
-            nextNanos += (long) (-Math.log(1 - random.nextDouble()) * 1e9 / load.perSecond());
+            nextSendNanos += (long) (-Math.log(1 - random.nextDouble()) * 1e9 / load.perSecond());
         }
-        if (nextNanos >= endNanos && pending == 0 && !done.isDone()) {
-            ticks.cancel(false);
-            pings.cancel(false);
+        if (nextSendNanos >= endNanos && pendingCount == 0 && !done.isDone()) {
+            tickTask.cancel(false);
+            pingTask.cancel(false);
             for (ProxyClient client : clients) {
                 client.close();
             }
@@ -107,12 +107,12 @@
         WorkloadRequest request = drawRequest();
         int found = Arrays.binarySearch(cumulativeShares, drawnShare);
         int proxy = Math.min(clients.length - 1, found < 0 ? -found - 1 : found);
-        long rotations = load.rotationMs() > 0 ? (long) ((nextNanos - startNanos) / 1e6 / load.rotationMs()) : 0;
+        long rotations = load.rotationMs() > 0 ? (long) ((nextSendNanos - startNanos) / 1e6 / load.rotationMs()) : 0;
         clients[(int) ((proxy + rotations) % clients.length)].send(request);
     }
 
     private WorkloadRequest drawRequest() {
-        String id = Integer.toHexString(FIRST_REQUEST_ID + requests++);
+        String id = Integer.toHexString(FIRST_REQUEST_ID + requestCount++);
         double drawnKind = random.nextDouble();
         if (drawnKind < load.writeShare()) {
             return WorkloadRequest.write(id, drawnKind < load.writeShare() / 2);
@@ -131,12 +131,12 @@
 
     /** Counts a request or connect that has begun. */
     void countPending() {
-        pending++;
+        pendingCount++;
     }
 
     /** Counts a request or connect that has ended. */
     void countConcluded() {
-        pending--;
+        pendingCount--;
     }
 
     /** Counts a request for which no connection could be established. */
--- a/src/main/java/cacheproxy/faulttest/OutcomeReport.java
+++ b/src/main/java/cacheproxy/faulttest/OutcomeReport.java
@@ -25,24 +25,24 @@
         RunHistory run = outcome.run();
         Scenario scenario = run.scenario();
         List<String> lines = new ArrayList<>();
-        lines.add(fleet(scenario, outcome.measurements()));
+        lines.add(fleetLine(scenario, outcome.measurements()));
         lines.add(outcome.serviceStats().toString());
-        lines.add(traffic(run, outcome.measurements()));
-        lines.add(lags(outcome.validity()));
-        scenario.leases().forEach(lease -> lines.add(lease(run, lease)));
-        LeaseStats.takeoverTimesMs(run).forEach((kind, timesMs) -> lines.add(takeovers(kind, timesMs)));
+        lines.add(trafficLine(run, outcome.measurements()));
+        lines.add(lagLine(outcome.validity()));
+        scenario.leases().forEach(lease -> lines.add(leaseLine(run, lease)));
+        LeaseStats.takeoverTimesMs(run).forEach((kind, timesMs) -> lines.add(takeoverLine(kind, timesMs)));
         if (!scenario.leases().isEmpty()) {
             lines.add("acts under older epochs, refused where they were received: "
                     + LeaseStats.countRejectedActions(run));
         }
         if (scenario.quota() != null && scenario.quota().perSecond() > 0) {
-            lines.add(quota(run));
+            lines.add(quotaLine(run));
         }
         lines.addAll(outcome.verdict().lines());
         return lines;
     }
 
-    private static String fleet(Scenario scenario, RunMeasurements measurements) {
+    private static String fleetLine(Scenario scenario, RunMeasurements measurements) {
         return String.format(
                 "%d proxies (%s), %d nodes, seed %d, %.0f s; ready after %.1f s; MB each %.0f, at most %.0f",
                 scenario.proxies(),
@@ -55,7 +55,7 @@
                 measurements.maxResidentMb());
     }
 
-    private static String traffic(RunHistory run, RunMeasurements measurements) {
+    private static String trafficLine(RunHistory run, RunMeasurements measurements) {
         double seconds = run.scenario().load().seconds();
         int proxies = run.scenario().proxies();
         return String.format(
@@ -73,7 +73,7 @@
                 ServiceStats.countSentToStalledServers(run));
     }
 
-    private static String lags(RunValidity validity) {
+    private static String lagLine(RunValidity validity) {
         return String.format(
                 "lag ms: relay p99 %.1f max %.1f, load p99 %.1f, proxies without a fault p99 %.1f; all processors busy %.2f",
                 validity.relayLagP99Ms(),
@@ -83,7 +83,7 @@
                 validity.busyShare());
     }
 
-    private static String lease(RunHistory run, String lease) {
+    private static String leaseLine(RunHistory run, String lease) {
         double minGapMs = Math.max(MIN_GAP_MS, MIN_GAP_POLLS * run.scenario().pollMs());
         List<String> gaps =
                 LeaseStats.gapsWithoutHolder(run, lease, minGapMs, firstPollMs(run), run.endUs() / 1000.0).stream()
@@ -102,14 +102,14 @@
                 .orElse(0);
     }
 
-    private static String takeovers(String kind, double[] sortedMs) {
+    private static String takeoverLine(String kind, double[] sortedMs) {
         int last = sortedMs.length - 1;
         return String.format(
                 "%s of the holder: %d, without another for ms p50 %.0f p99 %.0f max %.0f",
                 kind, sortedMs.length, sortedMs[sortedMs.length / 2], sortedMs[last * 99 / 100], sortedMs[last]);
     }
 
-    private static String quota(RunHistory run) {
+    private static String quotaLine(RunHistory run) {
         double[] excess = QuotaStats.excessByWindow(run);
         return String.format(
                 "limit: over by %.0f in 100 ms, %.0f in 1 s, %.0f in 10 s; idle while refused %.4f from the fourth second of the load on",
--- a/src/main/java/cacheproxy/faulttest/PlatformConfigFile.java
+++ b/src/main/java/cacheproxy/faulttest/PlatformConfigFile.java
@@ -12,13 +12,13 @@
     private final Scenario scenario;
     private final AddressSpace space;
     private final TargetSelector endpoints;
-    private final IntFunction<JsonObject> knownList;
+    private final IntFunction<JsonObject> initialEndpointList;
 
     /** @param knownList the endpoint list that a proxy is given when it starts, by its index */
-    PlatformConfigFile(Scenario scenario, AddressSpace space, IntFunction<JsonObject> knownList) {
+    PlatformConfigFile(Scenario scenario, AddressSpace space, IntFunction<JsonObject> initialEndpointList) {
         this.scenario = scenario;
         this.space = space;
-        this.knownList = knownList;
+        this.initialEndpointList = initialEndpointList;
         endpoints = scenario.targetSelector();
     }
 
@@ -31,7 +31,7 @@
         json.addProperty("seed", "%016x".formatted(seed));
         json.add(
                 "limits",
-                object("cores", 1, "memory_mb", ProxyConfigFiles.MEMORY_MB, "sockets", ProxyConfigFiles.SOCKETS));
+                jsonObject("cores", 1, "memory_mb", ProxyConfigFiles.MEMORY_MB, "sockets", ProxyConfigFiles.SOCKETS));
         json.addProperty("peer_listen", AddressSpace.text(space.proxyAddress(proxy, AddressSpace.PEER_PORT)));
         JsonArray peers = new JsonArray();
         for (int i = 0; i < scenario.proxies(); i++) {
@@ -39,7 +39,7 @@
         }
         json.add("peers", peers);
         json.addProperty("peers_all", AddressSpace.text(space.broadcastAddress()));
-        json.add("known", knownList.apply(proxy));
+        json.add("known", initialEndpointList.apply(proxy));
         json.add("settings", settings(proxy));
         return json.toString();
     }
@@ -52,14 +52,14 @@
         settings.addProperty("discovery", "ask");
         settings.addProperty("value-by", "request");
         settings.addProperty("over-share-worth", 0.1);
-        settings.add("zones", array(scenario.zones()));
-        settings.add("kinds", array(List.of("node", "origin")));
-        JsonObject report = object("how", "silent");
+        settings.add("zones", jsonArray(scenario.zones()));
+        settings.add("kinds", jsonArray(List.of("node", "origin")));
+        JsonObject report = jsonObject("how", "silent");
         report.add("names", new JsonArray());
         settings.add("report", report);
         settings.add("caps", capabilities());
         settings.add(
-                "extra", object("mode", "aside", "origin-kind", 1, "origin-fall-multiple", 0, "origin-fall", 3000));
+                "extra", jsonObject("mode", "aside", "origin-kind", 1, "origin-fall-multiple", 0, "origin-fall", 3000));
         settings.add("guarantees", guarantees());
         JsonArray classes = new JsonArray();
         classes.add(serviceClass("read", "retryable", 1));
@@ -110,14 +110,14 @@
         return serviceClass;
     }
 
-    private static JsonArray array(List<String> words) {
+    private static JsonArray jsonArray(List<String> words) {
         JsonArray array = new JsonArray();
         words.forEach(array::add);
         return array;
     }
 
     /** An object of keys and their values in turn; values are numbers or strings. */
-    private static JsonObject object(Object... keysAndValues) {
+    private static JsonObject jsonObject(Object... keysAndValues) {
         JsonObject object = new JsonObject();
         for (int i = 0; i < keysAndValues.length; i += 2) {
             String key = (String) keysAndValues[i];
--- a/src/main/java/cacheproxy/faulttest/ProxyClient.java
+++ b/src/main/java/cacheproxy/faulttest/ProxyClient.java
@@ -99,12 +99,12 @@
     }
 
     /** Takes back a connection whose request has its response. */
-    void released(ProxyConnection connection) {
+    void connectionReleased(ProxyConnection connection) {
         idle.push(connection);
     }
 
     /** Forgets a connection that was closed, with the request that was in flight on it; null: none. */
-    void closed(ProxyConnection connection, WorkloadRequest interrupted) {
+    void connectionClosed(ProxyConnection connection, WorkloadRequest interrupted) {
         connections--;
         idle.remove(connection);
         if (interrupted != null) {
--- a/src/main/java/cacheproxy/faulttest/ProxyConfigFiles.java
+++ b/src/main/java/cacheproxy/faulttest/ProxyConfigFiles.java
@@ -16,9 +16,9 @@
     private final DaemonConfigFile daemon;
 
     /** @param knownList the endpoint list that a proxy is given when it starts, by its index */
-    ProxyConfigFiles(Scenario scenario, AddressSpace space, IntFunction<JsonObject> knownList) {
+    ProxyConfigFiles(Scenario scenario, AddressSpace space, IntFunction<JsonObject> initialEndpointList) {
         serve = scenario.program().equals("serve");
-        platform = new PlatformConfigFile(scenario, space, knownList);
+        platform = new PlatformConfigFile(scenario, space, initialEndpointList);
         daemon = new DaemonConfigFile(scenario, space);
     }
 
--- a/src/main/java/cacheproxy/faulttest/ProxyConnection.java
+++ b/src/main/java/cacheproxy/faulttest/ProxyConnection.java
@@ -79,7 +79,7 @@
         request = null;
         workload.countConcluded();
         timeout.cancel(false);
-        workload.history().add(workload.lag().nowUs(), client.proxyName(), eventType, concluded.id(), detail, 0);
+        workload.history().add(workload.lag().currentLagUs(), client.proxyName(), eventType, concluded.id(), detail, 0);
         return concluded;
     }
 
@@ -105,7 +105,7 @@
                     .toString();
             input.skipBytes(lineEndLength);
             valueLength = NO_VALUE;
-            respond(value.equals(FakeOrigin.value(request.key())) ? Event.SERVED : Event.WRONG);
+            concludeWithResponse(value.equals(FakeOrigin.value(request.key())) ? Event.SERVED : Event.WRONG);
         }
     }
 
@@ -117,13 +117,13 @@
         } else if (request == null) {
             workload.history().add(0, client.proxyName(), Event.RESPONSE_RECEIVED, "", Event.WRONG, 0);
         } else if (!line.startsWith("SERVER_ERROR") && !hasRequestId(line)) {
-            respond(Event.WRONG);
+            concludeWithResponse(Event.WRONG);
         } else if (line.startsWith("VA ") && request.isRead()) {
             valueLength = Integer.parseInt(line.split(" ", 0)[1]);
         } else if (line.startsWith("HD ") && !request.isRead()) {
-            respond(Event.SERVED);
+            concludeWithResponse(Event.SERVED);
         } else {
-            respond(line.startsWith("SERVER_ERROR busy") ? Event.REJECTED : Event.FAILED);
+            concludeWithResponse(line.startsWith("SERVER_ERROR busy") ? Event.REJECTED : Event.FAILED);
         }
     }
 
@@ -132,15 +132,15 @@
         return line.endsWith(flag) || line.contains(flag + " ");
     }
 
-    private void respond(String result) {
+    private void concludeWithResponse(String result) {
         conclude(Event.RESPONSE_RECEIVED, result);
-        client.released(this);
+        client.connectionReleased(this);
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
         if (!client.pingConnectionClosed(this)) {
-            client.closed(this, request == null ? null : conclude(Event.CONNECTION_CLOSED, ""));
+            client.connectionClosed(this, request == null ? null : conclude(Event.CONNECTION_CLOSED, ""));
         }
     }
 
--- a/src/main/java/cacheproxy/faulttest/ProxyProcess.java
+++ b/src/main/java/cacheproxy/faulttest/ProxyProcess.java
@@ -29,41 +29,41 @@
     private static final long MAX_EXIT_SECONDS = 20;
     private static final long MAX_LOG_READ_MS = 20_000;
     private static final int MAX_LINE_LENGTH = 500;
-    private static final int MAX_LINES = 5000;
+    private static final int MAX_LOG_LINES = 5000;
     private static final int CONNECT_TIMEOUT_MS = 500;
     private static final int READ_TIMEOUT_MS = 2000;
     private static final int READY_POLL_MS = 30;
     /** How late lines and the exit of a process may be noticed. */
-    private static final long NOTICE_US = 1000;
+    private static final long NOTICE_DELAY_US = 1000;
 
     private final String name;
     private final InetSocketAddress address;
     private final Path folder;
     private final History history;
     private final ProcessSignals signals;
-    private final BooleanSupplier runEnds;
+    private final BooleanSupplier runEnding;
     private volatile Process process;
     /** Writes the process's lines and its exit into the history. */
     private volatile Thread logReader;
     /** Faults that pause the process now. */
-    private int pauses;
+    private int pauseCount;
     /** Whether a fault has ended the process, which will be started again. */
     private boolean down;
 
-    /** @param runEnds whether the run ends, so that an exit is no event */
+    /** @param runEnding whether the run ends, so that an exit is no event */
     ProxyProcess(
             int index,
             InetSocketAddress address,
             Path runFolder,
             History history,
             ProcessSignals signals,
-            BooleanSupplier runEnds) {
+            BooleanSupplier runEnding) {
         name = TargetSelector.proxyName(index);
         this.address = address;
         folder = runFolder.resolve(name);
         this.history = history;
         this.signals = signals;
-        this.runEnds = runEnds;
+        this.runEnding = runEnding;
     }
 
     private Path temporaryFolder() {
@@ -92,7 +92,7 @@
         process = started;
         history.add(0, name, Event.PROCESS_STARTED, "", "", (double) started.pid());
         Files.writeString(folder.resolve("pid"), started.pid() + "\n");
-        Thread reader = new Thread(() -> record(started), "log " + name);
+        Thread reader = new Thread(() -> recordOutputAndExit(started), "log " + name);
         reader.setDaemon(true);
         logReader = reader;
         reader.start();
@@ -100,31 +100,31 @@
         history.add(0, name, Event.PROCESS_READY, "", "", (double) started.pid());
     }
 
-    private void record(Process started) {
+    private void recordOutputAndExit(Process started) {
         try {
-            recordLines(started);
+            recordOutput(started);
         } catch (IOException e) {
             // The process has ended.
         }
         try {
             int exitCode = started.waitFor();
-            if (!runEnds.getAsBoolean()) {
-                history.add(NOTICE_US, name, Event.PROCESS_EXITED, "", "", exitCode);
+            if (!runEnding.getAsBoolean()) {
+                history.add(NOTICE_DELAY_US, name, Event.PROCESS_EXITED, "", "", exitCode);
             }
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
     }
 
-    private void recordLines(Process started) throws IOException {
+    private void recordOutput(Process started) throws IOException {
         try (BufferedReader lines = started.inputReader(StandardCharsets.UTF_8);
                 Writer log = Files.newBufferedWriter(
                         folder.resolve("log"), StandardOpenOption.CREATE, StandardOpenOption.APPEND)) {
             int count = 0;
             for (String line; (line = lines.readLine()) != null; ) {
-                if (count++ < MAX_LINES) {
+                if (count++ < MAX_LOG_LINES) {
                     String text = line.length() > MAX_LINE_LENGTH ? line.substring(0, MAX_LINE_LENGTH) : line;
-                    history.add(NOTICE_US, name, Event.LOG_LINE, "", text, 0);
+                    history.add(NOTICE_DELAY_US, name, Event.LOG_LINE, "", text, 0);
                     log.write(text + "\n");
                     log.flush();
                 }
@@ -176,7 +176,7 @@
         if (down) {
             return;
         }
-        if (pauses++ == 0) {
+        if (pauseCount++ == 0) {
             history.add(0, name, Event.PROCESS_PAUSED, "", "", 0);
             signals.send(Signal.STOP, process.pid());
         }
@@ -184,10 +184,10 @@
 
     /** Ends a fault that pauses the process. */
     void resume() throws IOException {
-        if (down || pauses == 0) {
+        if (down || pauseCount == 0) {
             return;
         }
-        if (--pauses == 0) {
+        if (--pauseCount == 0) {
             signals.send(Signal.CONT, process.pid());
             history.add(0, name, Event.PROCESS_RESUMED, "", "", 0);
         }
@@ -206,8 +206,8 @@
             // Process.destroy would close its standard input as well, which ParentWatchdog takes for the parent's end.
             signals.send(Signal.TERM, process.pid());
         }
-        if (pauses > 0) {
-            pauses = 0;
+        if (pauseCount > 0) {
+            pauseCount = 0;
             signals.send(Signal.CONT, process.pid()); // a paused process receives SIGTERM once it is resumed
         }
         return true;
@@ -237,7 +237,7 @@
     /** Lets faults hit it again after a restart. */
     void markUp() {
         down = false;
-        pauses = 0;
+        pauseCount = 0;
     }
 
     /** Kills the process at the run's end. */
@@ -249,7 +249,7 @@
     }
 
     /** Waits until the process is gone, however long that takes. */
-    void awaitGone() throws InterruptedException {
+    void awaitExitWithoutTimeout() throws InterruptedException {
         if (process != null) {
             process.waitFor();
         }
--- a/src/main/java/cacheproxy/faulttest/ProxyProcesses.java
+++ b/src/main/java/cacheproxy/faulttest/ProxyProcesses.java
@@ -24,20 +24,24 @@
     private final AddressSpace space;
     private final ProxyConfigFiles configFiles;
     private final ProcessSignals signals = new ProcessSignals();
-    private final ExecutorService starters;
+    private final ExecutorService startExecutor;
     private final SplittableRandom seeds;
     private final List<ProxyProcess> proxies = new ArrayList<>();
     private volatile boolean closing;
 
     /** @param knownList the endpoint list that a proxy is given when it starts, by its index */
     ProxyProcesses(
-            Scenario scenario, AddressSpace space, Path folder, History history, IntFunction<JsonObject> knownList)
+            Scenario scenario,
+            AddressSpace space,
+            Path folder,
+            History history,
+            IntFunction<JsonObject> initialEndpointList)
             throws IOException {
         this.scenario = scenario;
         this.space = space;
-        configFiles = new ProxyConfigFiles(scenario, space, knownList);
+        configFiles = new ProxyConfigFiles(scenario, space, initialEndpointList);
         seeds = new SplittableRandom(scenario.seed() + 99);
-        starters = Executors.newFixedThreadPool(scenario.concurrentStarts(), task -> {
+        startExecutor = Executors.newFixedThreadPool(scenario.concurrentStarts(), task -> {
             Thread thread = new Thread(task, "starter");
             thread.setDaemon(true);
             return thread;
@@ -53,7 +57,7 @@
         List<Future<?>> starts = new ArrayList<>();
         for (int i = 0; i < proxies.size(); i++) {
             int proxy = i;
-            starts.add(starters.submit(() -> {
+            starts.add(startExecutor.submit(() -> {
                 start(proxy);
                 return null;
             }));
@@ -97,7 +101,7 @@
      */
     @SuppressWarnings("FutureReturnValueIgnored") // the task reports its own failure
     void restart(int proxy, boolean emptyDisk, Consumer<Exception> listener) {
-        starters.submit(() -> {
+        startExecutor.submit(() -> {
             try {
                 restart(proxy, emptyDisk);
                 listener.accept(null);
@@ -121,20 +125,20 @@
 
     @Override
     public void close() {
-        endAll();
+        killAll();
     }
 
     /** Kills all processes and waits until they are gone; a second call does nothing. */
-    synchronized void endAll() {
+    synchronized void killAll() {
         if (closing) {
             return;
         }
         closing = true;
-        starters.shutdownNow();
+        startExecutor.shutdownNow();
         proxies.forEach(ProxyProcess::killAtRunEnd);
         for (ProxyProcess proxy : proxies) {
             try {
-                proxy.awaitGone();
+                proxy.awaitExitWithoutTimeout();
             } catch (InterruptedException e) {
                 Thread.currentThread().interrupt();
             }
--- a/src/main/java/cacheproxy/faulttest/ScenarioReader.java
+++ b/src/main/java/cacheproxy/faulttest/ScenarioReader.java
@@ -158,11 +158,11 @@
     private static List<Fault> readRepeatedFault(
             TomlTableReader table, TargetSelector endpoints, SplittableRandom random) {
         Fault fault = readFault(table, endpoints, random);
-        char targetLetter = fault.onServers() ? 'n' : 'p';
-        if (!fault.onLinks() && fault.targets().stream().anyMatch(name -> name.charAt(0) != targetLetter)) {
+        char targetLetter = fault.hitsServers() ? 'n' : 'p';
+        if (!fault.hitsLinks() && fault.targets().stream().anyMatch(name -> name.charAt(0) != targetLetter)) {
             table.error(
                     "who",
-                    fault.kind().tomlName() + " befalls " + (fault.onServers() ? "nodes" : "proxies") + " alone");
+                    fault.kind().tomlName() + " befalls " + (fault.hitsServers() ? "nodes" : "proxies") + " alone");
         }
         int times = table.integer("times", 1, 1, MAX_FAULTS);
         double periodMs = table.number("every_ms", 10_000, 1, HOUR_MS);
--- a/src/main/java/cacheproxy/faulttest/ScenarioRun.java
+++ b/src/main/java/cacheproxy/faulttest/ScenarioRun.java
@@ -70,7 +70,7 @@
     }
 
     /** What is read when the load ends, while all processes still run. */
-    private record LoadEnd(Counters counters, int waitingWatches, double meanResidentMb, double maxResidentMb) {}
+    private record LoadEndMetrics(Counters counters, int waitingWatches, double meanResidentMb, double maxResidentMb) {}
 
     /** Runs the scenario and writes its history. */
     RunMeasurements play(Path historyFile) throws IOException, InterruptedException {
@@ -80,7 +80,7 @@
                         new DatagramRelay(relayLoop, space, scenario.proxies(), links, scenario.seed());
                 TcpRelay tcpRelay = new TcpRelay(relayLoop, links);
                 FakeProcesses fakes = new FakeProcesses(scenario, space, tcpRelay, history);
-                ProxyProcesses proxies = new ProxyProcesses(scenario, space, folder, history, fakes::knownList);
+                ProxyProcesses proxies = new ProxyProcesses(scenario, space, folder, history, fakes::endpointList);
                 HostLoad hostLoad = new HostLoad()) {
             return play(new Resources(space, history, datagramRelay, tcpRelay, fakes, proxies, hostLoad));
         }
@@ -94,7 +94,7 @@
         Counters before = Counters.of(resources);
         OpenLoopWorkload workload =
                 new OpenLoopWorkload(loadLoop, scenario, resources.proxies.clientAddresses(), resources.history);
-        LoadEnd loadEnd = applyLoadAndFaults(resources, workload);
+        LoadEndMetrics loadEnd = applyLoadAndFaults(resources, workload);
         Counters counters = loadEnd.counters.since(before);
         RunMeasurements measurements = new RunMeasurements(
                 startSeconds,
@@ -114,14 +114,14 @@
                 resources.hostLoad.busyShare(),
                 resources.history.dropped(),
                 resources.datagramRelay.dropped());
-        resources.proxies.endAll();
+        resources.proxies.killAll();
         resources.history.finish();
         return measurements;
     }
 
     private double startProxies(Resources resources) throws IOException, InterruptedException {
         if (scenario.warmServers()) {
-            resources.fakes.warm(scenario.load().keys());
+            resources.fakes.fillServerCaches(scenario.load().keys());
         }
         log.accept("starting " + scenario.proxies() + " proxies");
         long startNanos = System.nanoTime();
@@ -133,7 +133,7 @@
         return startSeconds;
     }
 
-    private LoadEnd applyLoadAndFaults(Resources resources, OpenLoopWorkload workload)
+    private LoadEndMetrics applyLoadAndFaults(Resources resources, OpenLoopWorkload workload)
             throws IOException, InterruptedException {
         LeasePoller poller = scenario.leases().isEmpty()
                 ? null
@@ -152,7 +152,7 @@
             if (poller != null) {
                 poller.stop();
             }
-            LoadEnd loadEnd = measureLoadEnd(resources);
+            LoadEndMetrics loadEnd = measureLoadEnd(resources);
             injector.finish(MAX_LAST_RESTART_MS);
             return loadEnd;
         } catch (ExecutionException e) {
@@ -160,7 +160,7 @@
         }
     }
 
-    private LoadEnd measureLoadEnd(Resources resources) {
+    private LoadEndMetrics measureLoadEnd(Resources resources) {
         Counters counters = Counters.of(resources);
         int waitingWatches = resources.fakes.waitingWatches();
         double sumMb = 0;
@@ -172,7 +172,7 @@
             running += residentMb > 0 ? 1 : 0;
             maxMb = Math.max(maxMb, residentMb);
         }
-        return new LoadEnd(counters, waitingWatches, running == 0 ? 0 : sumMb / running, maxMb);
+        return new LoadEndMetrics(counters, waitingWatches, running == 0 ? 0 : sumMb / running, maxMb);
     }
 
     @Override
--- a/src/main/java/cacheproxy/faulttest/TcpRelay.java
+++ b/src/main/java/cacheproxy/faulttest/TcpRelay.java
@@ -59,7 +59,7 @@
                 .childHandler(new ChannelInitializer<>() {
                     @Override
                     protected void initChannel(Channel channel) {
-                        channel.pipeline().addLast(new RelayedConnection(channel, from, to, target).near);
+                        channel.pipeline().addLast(new RelayedConnection(channel, from, to, target).acceptedSide);
                     }
                 })
                 .bind(address)
@@ -83,15 +83,15 @@
     private final class RelayedConnection {
         final int from;
         final int to;
-        final Side near;
-        final Side far;
+        final Side acceptedSide;
+        final Side targetSide;
 
         RelayedConnection(Channel accepted, int from, int to, Supplier<InetSocketAddress> target) {
             this.from = from;
             this.to = to;
-            near = new Side(this, from, to);
-            far = new Side(this, to, from);
-            near.channel = accepted;
+            acceptedSide = new Side(this, from, to);
+            targetSide = new Side(this, to, from);
+            acceptedSide.channel = accepted;
             connections.add(this);
             if (links.resetsConnections(from, to)) {
                 close(true);
@@ -106,12 +106,12 @@
                     .channel(Transport.BEST.socket())
                     .option(ChannelOption.TCP_NODELAY, true)
                     .option(ChannelOption.AUTO_READ, false)
-                    .handler(far)
+                    .handler(targetSide)
                     .connect(target)
                     .addListener(connected -> {
                         if (connected.isSuccess()) {
-                            near.proceed();
-                            far.proceed();
+                            acceptedSide.resumeForwarding();
+                            targetSide.resumeForwarding();
                         } else {
                             close(true);
                         }
@@ -119,22 +119,24 @@
         }
 
         boolean isConnected() {
-            return near.channel != null && far.channel != null && (far.channel.isActive() || far.ended);
+            return acceptedSide.channel != null
+                    && targetSide.channel != null
+                    && (targetSide.channel.isActive() || targetSide.channelClosed);
         }
 
         void linksChanged() {
             if (links.resetsConnections(from, to)) {
                 close(true);
             } else {
-                near.proceed();
-                far.proceed();
+                acceptedSide.resumeForwarding();
+                targetSide.resumeForwarding();
             }
         }
 
         void close(boolean reset) {
             if (connections.remove(this)) {
-                near.close(reset);
-                far.close(reset);
+                acceptedSide.close(reset);
+                targetSide.close(reset);
             }
         }
     }
@@ -145,12 +147,12 @@
         private final int from;
         private final int to;
         /** What was read while the link was blocked. */
-        private final ArrayDeque<ByteBuf> blocked = new ArrayDeque<>();
+        private final ArrayDeque<ByteBuf> blockedBuffers = new ArrayDeque<>();
 
         private Channel channel;
         private long lastDeliveryNanos;
         private int delayedBuffers;
-        private boolean ended;
+        private boolean channelClosed;
 
         Side(RelayedConnection connection, int from, int to) {
             this.connection = connection;
@@ -159,7 +161,7 @@
         }
 
         private Side other() {
-            return connection.near == this ? connection.far : connection.near;
+            return connection.acceptedSide == this ? connection.targetSide : connection.acceptedSide;
         }
 
         @Override
@@ -168,14 +170,14 @@
         }
 
         /** Forwards what was blocked, and reads on, if the link allows it. */
-        void proceed() {
+        void resumeForwarding() {
             if (!connection.isConnected() || links.blocksConnections(from, to)) {
                 return;
             }
-            for (ByteBuf buffer; (buffer = blocked.poll()) != null; ) {
+            for (ByteBuf buffer; (buffer = blockedBuffers.poll()) != null; ) {
                 forward(buffer);
             }
-            if (ended && delayedBuffers == 0) {
+            if (channelClosed && delayedBuffers == 0) {
                 connection.close(false);
             } else if (channel.isActive() && other().channel.isWritable()) {
                 channel.read();
@@ -185,8 +187,8 @@
         @Override
         public void channelRead(ChannelHandlerContext ctx, Object message) {
             ByteBuf buffer = (ByteBuf) message;
-            if (links.blocksConnections(from, to) || !blocked.isEmpty()) {
-                blocked.add(buffer); // nothing more is read while the link is blocked
+            if (links.blocksConnections(from, to) || !blockedBuffers.isEmpty()) {
+                blockedBuffers.add(buffer); // nothing more is read while the link is blocked
             } else {
                 forward(buffer);
             }
@@ -194,7 +196,7 @@
 
         @Override
         public void channelReadComplete(ChannelHandlerContext ctx) {
-            proceed();
+            resumeForwarding();
         }
 
         @SuppressWarnings("FutureReturnValueIgnored") // a failed write closes the channel, and the close is handled
@@ -215,7 +217,7 @@
         private void deliverDelayed(ByteBuf buffer) {
             delayedBuffers--;
             other().channel.writeAndFlush(buffer);
-            if (ended && delayedBuffers == 0 && blocked.isEmpty()) {
+            if (channelClosed && delayedBuffers == 0 && blockedBuffers.isEmpty()) {
                 connection.close(false);
             }
         }
@@ -223,14 +225,14 @@
         @Override
         public void channelWritabilityChanged(ChannelHandlerContext ctx) {
             if (ctx.channel().isWritable() && other().channel != null) {
-                other().proceed();
+                other().resumeForwarding();
             }
         }
 
         @Override
         public void channelInactive(ChannelHandlerContext ctx) {
-            ended = true;
-            if (blocked.isEmpty() && delayedBuffers == 0 && !links.blocksConnections(from, to)) {
+            channelClosed = true;
+            if (blockedBuffers.isEmpty() && delayedBuffers == 0 && !links.blocksConnections(from, to)) {
                 connection.close(false);
             }
         }
@@ -242,8 +244,8 @@
 
         @SuppressWarnings("FutureReturnValueIgnored") // the close is observed where the channel becomes inactive
         void close(boolean reset) {
-            blocked.forEach(ByteBuf::release);
-            blocked.clear();
+            blockedBuffers.forEach(ByteBuf::release);
+            blockedBuffers.clear();
             if (channel != null) {
                 if (reset && channel.isOpen()) {
                     channel.config().setOption(ChannelOption.SO_LINGER, 0);
--- a/src/main/java/cacheproxy/faulttest/check/DrainChecker.java
+++ b/src/main/java/cacheproxy/faulttest/check/DrainChecker.java
@@ -33,7 +33,7 @@
                     String proxy = proxyByRequest.get(event.id());
                     if (sinceUs != null && proxy != null) {
                         violations.countJudged();
-                        judge(run, event, proxy, sinceUs, violations);
+                        checkArrival(run, event, proxy, sinceUs, violations);
                     }
                 }
                 default -> {}
@@ -42,7 +42,7 @@
         return violations;
     }
 
-    private static void judge(RunHistory run, Event arrival, String proxy, long sinceUs, Violations violations) {
+    private static void checkArrival(RunHistory run, Event arrival, String proxy, long sinceUs, Violations violations) {
         long reachableUs = run.discoveryReachableFromUs(proxy, sinceUs);
         long notificationUs = reachableUs > sinceUs ? NOTIFICATION_TIME_US : 0;
         if (arrival.earliestUs() > reachableUs + GRACE_PERIOD_US + notificationUs) {
--- a/src/main/java/cacheproxy/faulttest/check/LeaseStats.java
+++ b/src/main/java/cacheproxy/faulttest/check/LeaseStats.java
@@ -116,7 +116,7 @@
     }
 
     private static String kindText(Fault fault) {
-        return fault.kind().tomlName() + (fault.onLinks() && !fault.twoWay() ? ", one way" : "");
+        return fault.kind().tomlName() + (fault.hitsLinks() && !fault.twoWay() ? ", one way" : "");
     }
 
     private static boolean reportsHolder(Event event, String lease) {
--- a/src/main/java/cacheproxy/faulttest/check/MutualExclusionChecker.java
+++ b/src/main/java/cacheproxy/faulttest/check/MutualExclusionChecker.java
@@ -24,7 +24,7 @@
                 violations.countJudged();
                 reportsByLease
                         .computeIfAbsent(event.id(), lease -> new LeaseReports())
-                        .judge(event, violations);
+                        .check(event, violations);
             }
         }
         return violations;
@@ -36,7 +36,7 @@
         /** The first report of each epoch newer than all before it, by its time. */
         private final TreeMap<Long, Event> newestEpochs = new TreeMap<>();
 
-        void judge(Event report, Violations violations) {
+        void check(Event report, Violations violations) {
             String holder = holderByEpoch.putIfAbsent(report.value(), report.endpoint());
             if (holder != null && !holder.equals(report.endpoint())) {
                 violations.add(
--- a/src/main/java/cacheproxy/faulttest/check/QuotaChecker.java
+++ b/src/main/java/cacheproxy/faulttest/check/QuotaChecker.java
@@ -51,7 +51,7 @@
     private static void checkRate(Scenario.Quota quota, List<Event> arrivals, Violations violations) {
         for (double windowMs : WINDOWS_MS) {
             BusiestWindow busiest = BusiestWindow.of(arrivals, windowMs);
-            double allowed = allowed(quota, windowMs);
+            double allowed = allowedRequests(quota, windowMs);
             if (busiest.requests() > allowed) {
                 violations.add(
                         arrivals.get(busiest.lastIndex()),
@@ -66,7 +66,7 @@
     }
 
     /** How many requests may arrive in a window of this length. */
-    public static double allowed(Scenario.Quota quota, double windowMs) {
+    public static double allowedRequests(Scenario.Quota quota, double windowMs) {
         return quota.perSecond() * windowMs / 1000 * (1 + MAX_CLOCK_DRIFT) + quota.allowance();
     }
 
@@ -117,39 +117,39 @@
     }
 
     /** The start or end of a span in which one request is certainly in flight; change is 1 or -1. */
-    private record FlightChange(long timeUs, int change) {
-        static final Comparator<FlightChange> ENDS_BEFORE_STARTS =
-                Comparator.comparingLong(FlightChange::timeUs).thenComparingInt(FlightChange::change);
+    private record InFlightChange(long timeUs, int change) {
+        static final Comparator<InFlightChange> ENDS_BEFORE_STARTS =
+                Comparator.comparingLong(InFlightChange::timeUs).thenComparingInt(InFlightChange::change);
     }
 
     private static void checkConcurrency(
             RunHistory run, Scenario.Quota quota, List<Event> arrivals, Violations violations) {
         int inFlight = 0;
-        for (FlightChange flight : flightChanges(run, arrivals)) {
-            inFlight += flight.change;
-            if (flight.change > 0 && inFlight > quota.maxInFlight() + quota.allowance()) {
+        for (InFlightChange change : inFlightChanges(run, arrivals)) {
+            inFlight += change.change;
+            if (change.change > 0 && inFlight > quota.maxInFlight() + quota.allowance()) {
                 violations.add(
-                        new Event(flight.timeUs, 0, Event.RUNNER, Event.COMMAND_ARRIVED, "", "", inFlight),
+                        new Event(change.timeUs, 0, Event.RUNNER, Event.COMMAND_ARRIVED, "", "", inFlight),
                         inFlight + " in hand, where " + quota.maxInFlight() + " and " + quota.allowance()
                                 + " are allowed");
             }
         }
     }
 
-    private static List<FlightChange> flightChanges(RunHistory run, List<Event> arrivals) {
+    private static List<InFlightChange> inFlightChanges(RunHistory run, List<Event> arrivals) {
         Map<String, Event> arrivalById = new HashMap<>();
         arrivals.forEach(arrival -> arrivalById.put(arrival.id(), arrival));
-        List<FlightChange> changes = new ArrayList<>();
+        List<InFlightChange> changes = new ArrayList<>();
         Set<String> finished = new HashSet<>();
         for (Event event : run.events()) {
             Event arrival = finishesRequest(event) && finished.add(event.id()) ? arrivalById.get(event.id()) : null;
             long endUs = event.earliestUs() - (long) (MAX_RESPONSE_TRANSIT_MS * 1000);
             if (arrival != null && endUs > arrival.timeUs()) {
-                changes.add(new FlightChange(arrival.timeUs(), 1));
-                changes.add(new FlightChange(endUs, -1));
+                changes.add(new InFlightChange(arrival.timeUs(), 1));
+                changes.add(new InFlightChange(endUs, -1));
             }
         }
-        changes.sort(FlightChange.ENDS_BEFORE_STARTS);
+        changes.sort(InFlightChange.ENDS_BEFORE_STARTS);
         return changes;
     }
 
--- a/src/main/java/cacheproxy/faulttest/check/RunHistory.java
+++ b/src/main/java/cacheproxy/faulttest/check/RunHistory.java
@@ -16,7 +16,7 @@
  */
 public final class RunHistory {
     /** A proxy that can reach discovery for so long is notified of changes. */
-    private static final long NOTIFIABLE_US = 300_000;
+    private static final long MIN_NOTIFICATION_US = 300_000;
 
     private final Scenario scenario;
     private final List<Event> events;
@@ -28,7 +28,7 @@
     /** Spans of {@link #down} from SIGKILL, or from an exit that the test did not cause. */
     private final EndpointSpans killed = new EndpointSpans();
     /** Faults on the links to discovery. */
-    private final EndpointSpans cutOff = new EndpointSpans();
+    private final EndpointSpans cutOffFromDiscovery = new EndpointSpans();
 
     /**
      * Makes a history.
@@ -40,12 +40,12 @@
         this.events = new ArrayList<>(events);
         this.events.sort(Comparator.comparingLong(Event::timeUs));
         endUs = events.isEmpty() ? 0 : this.events.get(events.size() - 1).timeUs();
-        this.events.forEach(this::followProcess);
+        this.events.forEach(this::trackProcessState);
         Stream.of(paused, down, killed).forEach(spans -> spans.endAll(endUs));
-        findDiscoveryCuts();
+        findDiscoveryOutages();
     }
 
-    private void followProcess(Event event) {
+    private void trackProcessState(Event event) {
         String endpoint = event.endpoint();
         switch (event.type()) {
             case Event.PROCESS_PAUSED -> paused.begin(endpoint, event.earliestUs());
@@ -70,31 +70,31 @@
         }
     }
 
-    private void findDiscoveryCuts() {
+    private void findDiscoveryOutages() {
         Map<String, Event> openFaults = new HashMap<>();
         for (Event event : events) {
             if (event.is(Event.FAULT_STARTED)) {
                 openFaults.put(event.id(), event);
             } else if (event.is(Event.FAULT_ENDED) && openFaults.containsKey(event.id())) {
-                addCut(event.id(), openFaults.remove(event.id()).earliestUs(), event.timeUs());
+                addDiscoveryOutage(event.id(), openFaults.remove(event.id()).earliestUs(), event.timeUs());
             }
         }
-        openFaults.forEach((id, event) -> addCut(id, event.earliestUs(), endUs));
+        openFaults.forEach((id, event) -> addDiscoveryOutage(id, event.earliestUs(), endUs));
     }
 
-    private void addCut(String faultId, long fromUs, long toUs) {
+    private void addDiscoveryOutage(String faultId, long fromUs, long toUs) {
         int index = Integer.parseInt(faultId);
         if (index >= scenario.faults().size()) {
             return;
         }
         Fault fault = scenario.faults().get(index);
-        if (!fault.onLinks()) {
+        if (!fault.hitsLinks()) {
             return;
         }
         if (fault.linkPeers().contains(TargetSelector.DISCOVERY)) {
-            fault.targets().forEach(proxy -> cutOff.add(proxy, fromUs, toUs));
+            fault.targets().forEach(proxy -> cutOffFromDiscovery.add(proxy, fromUs, toUs));
         } else if (fault.targets().contains(TargetSelector.DISCOVERY)) {
-            fault.linkPeers().forEach(proxy -> cutOff.add(proxy, fromUs, toUs));
+            fault.linkPeers().forEach(proxy -> cutOffFromDiscovery.add(proxy, fromUs, toUs));
         }
     }
 
@@ -141,13 +141,13 @@
      * from then on, with no pause between them that was long enough for a notification.
      */
     public long discoveryReachableFromUs(String proxy, long fromUs) {
-        List<EndpointSpans.Span> faults = Stream.of(paused, down, cutOff)
+        List<EndpointSpans.Span> faults = Stream.of(paused, down, cutOffFromDiscovery)
                 .flatMap(spans -> spans.of(proxy).stream())
                 .sorted(Comparator.comparingLong(EndpointSpans.Span::fromUs))
                 .toList();
         long reachableUs = fromUs;
         for (EndpointSpans.Span fault : faults) {
-            if (fault.toUs() >= reachableUs && fault.fromUs() < reachableUs + NOTIFIABLE_US) {
+            if (fault.toUs() >= reachableUs && fault.fromUs() < reachableUs + MIN_NOTIFICATION_US) {
                 reachableUs = fault.toUs();
             }
         }
--- a/src/main/java/cacheproxy/faulttest/check/SingleResponseChecker.java
+++ b/src/main/java/cacheproxy/faulttest/check/SingleResponseChecker.java
@@ -25,10 +25,10 @@
 
     @Override
     public Violations check(RunHistory run) {
-        Judge judge = new Judge(run);
-        run.events().forEach(judge::follow);
-        judge.findUnanswered();
-        return judge.violations;
+        HistoryCheck historyCheck = new HistoryCheck(run);
+        run.events().forEach(historyCheck::process);
+        historyCheck.findUnanswered();
+        return historyCheck.violations;
     }
 
     /** A request and what became of it so far. */
@@ -55,23 +55,23 @@
             return (event.timeUs() - sent.timeUs()) / 1000;
         }
 
-        String text() {
+        String description() {
             return sent.id() + " at " + sent.endpoint();
         }
     }
 
     /** One pass over a history. */
-    private static final class Judge {
+    private static final class HistoryCheck {
         final Violations violations = new Violations();
         private final RunHistory run;
         private final Map<String, Request> requests = new HashMap<>();
         private final Set<String> answered = new HashSet<>();
 
-        Judge(RunHistory run) {
+        HistoryCheck(RunHistory run) {
             this.run = run;
         }
 
-        void follow(Event event) {
+        void process(Event event) {
             Request request = requests.get(event.id());
             switch (event.type()) {
                 case Event.REQUEST_SENT -> {
@@ -83,14 +83,14 @@
                         request.forwarded = true;
                     }
                 }
-                case Event.RESPONSE_RECEIVED -> judgeResponse(request, event);
-                case Event.CONNECTION_CLOSED -> judgeClose(request, event);
-                case Event.CLIENT_TIMED_OUT -> judgeTimeout(request, event);
+                case Event.RESPONSE_RECEIVED -> checkResponse(request, event);
+                case Event.CONNECTION_CLOSED -> checkClose(request, event);
+                case Event.CLIENT_TIMED_OUT -> checkTimeout(request, event);
                 default -> {}
             }
         }
 
-        private void judgeResponse(Request request, Event response) {
+        private void checkResponse(Request request, Event response) {
             String text = response.id() + " at " + response.endpoint();
             if (response.detail().equals(Event.WRONG)) {
                 violations.add(response, text + " was answered with what nobody made for it");
@@ -110,7 +110,7 @@
             }
         }
 
-        private void judgeClose(Request request, Event close) {
+        private void checkClose(Request request, Event close) {
             if (request == null || request.concluded) {
                 return;
             }
@@ -125,7 +125,7 @@
             }
         }
 
-        private void judgeTimeout(Request request, Event timeout) {
+        private void checkTimeout(Request request, Event timeout) {
             if (request == null) {
                 return;
             }
@@ -148,7 +148,7 @@
                         && run.endUs() > dueUs
                         && !run.wasKilled(request.proxy(), request.sent.earliestUs(), dueUs)
                         && !isExcusedByPause(request, run.endUs())) {
-                    violations.add(request.sent, request.text() + " never had an answer");
+                    violations.add(request.sent, request.description() + " never had an answer");
                 }
             }
         }
--- a/src/main/java/cacheproxy/faulttest/check/SlowStartChecker.java
+++ b/src/main/java/cacheproxy/faulttest/check/SlowStartChecker.java
@@ -47,7 +47,7 @@
                         coldServers.remove(endpoint);
                     } else if (server != null) {
                         violations.countJudged();
-                        judge(server, event, run.scenario().serverPerSecond(), violations);
+                        checkArrival(server, event, run.scenario().serverPerSecond(), violations);
                     }
                 }
                 default -> {}
@@ -56,7 +56,7 @@
         return violations;
     }
 
-    private void judge(ColdServer server, Event arrival, double warmPerSecond, Violations violations) {
+    private void checkArrival(ColdServer server, Event arrival, double warmPerSecond, Violations violations) {
         server.addArrival(arrival.timeMs());
         double ratio = server.capacityRatio(warmPerSecond);
         worstRatio = Math.max(worstRatio, ratio);
--- a/src/main/java/cacheproxy/faulttest/scenario/Fault.java
+++ b/src/main/java/cacheproxy/faulttest/scenario/Fault.java
@@ -155,12 +155,12 @@
     }
 
     /** Whether it hits links. */
-    public boolean onLinks() {
+    public boolean hitsLinks() {
         return kind == Kind.LINK;
     }
 
     /** Whether it hits cache servers. */
-    public boolean onServers() {
+    public boolean hitsServers() {
         return kind.hitsServers();
     }
 
@@ -210,7 +210,7 @@
                 .append("at_ms = " + number(atMs) + "\n")
                 .append("for_ms = " + number(durationMs) + "\n")
                 .append("who = \"" + String.join(",", targets) + "\"\n");
-        if (onLinks()) {
+        if (hitsLinks()) {
             text.append("to = \"" + String.join(",", linkPeers) + "\"\n")
                     .append("two_way = " + twoWay + "\n")
                     .append("lose = " + linkFault.lossShare + "\n")
--- a/src/main/java/cacheproxy/faulttest/scenario/NetworkLinks.java
+++ b/src/main/java/cacheproxy/faulttest/scenario/NetworkLinks.java
@@ -20,9 +20,9 @@
      */
     public record Delivery(double delayMs, boolean corrupt) {}
 
-    private static final List<Delivery> UNDISTURBED = List.of(new Delivery(0, false));
+    private static final List<Delivery> NORMAL_DELIVERY = List.of(new Delivery(0, false));
 
-    private record Rule(Fault fault, BitSet targets, BitSet linkPeers) {
+    private record ActiveFault(Fault fault, BitSet targets, BitSet linkPeers) {
         boolean applies(int from, int to) {
             return (targets.get(from) && linkPeers.get(to))
                     || (fault.twoWay() && linkPeers.get(from) && targets.get(to));
@@ -30,7 +30,7 @@
     }
 
     private final TargetSelector endpoints;
-    private final List<Rule> rules = new ArrayList<>();
+    private final List<ActiveFault> activeFaults = new ArrayList<>();
 
     /** Makes links without faults. */
     public NetworkLinks(TargetSelector endpoints) {
@@ -39,13 +39,13 @@
 
     /** Begins a link fault. */
     public void begin(Fault fault) {
-        rules.add(new Rule(fault, indicesOf(fault.targets()), indicesOf(fault.linkPeers())));
+        activeFaults.add(new ActiveFault(fault, indicesOf(fault.targets()), indicesOf(fault.linkPeers())));
     }
 
     /** Ends a link fault; it must be the same object that began. */
     @SuppressWarnings("ReferenceEquality") // identity is meant
     public void end(Fault fault) {
-        rules.removeIf(rule -> rule.fault == fault);
+        activeFaults.removeIf(activeFault -> activeFault.fault == fault);
     }
 
     private BitSet indicesOf(List<String> names) {
@@ -56,54 +56,58 @@
 
     /** How a datagram arrives: once for each element of the list, and not at all if it is empty. */
     public List<Delivery> deliveries(int from, int to, SplittableRandom random) {
-        List<Delivery> deliveries = UNDISTURBED;
-        for (Rule rule : rules) {
-            if (rule.applies(from, to)) {
-                deliveries = disturb(deliveries, rule.fault.linkFault(), random);
+        List<Delivery> deliveries = NORMAL_DELIVERY;
+        for (ActiveFault activeFault : activeFaults) {
+            if (activeFault.applies(from, to)) {
+                deliveries = applyFault(deliveries, activeFault.fault.linkFault(), random);
             }
         }
         return deliveries;
     }
 
-    private static List<Delivery> disturb(List<Delivery> deliveries, LinkFault linkFault, SplittableRandom random) {
-        List<Delivery> disturbed = new ArrayList<>(deliveries.size());
+    private static List<Delivery> applyFault(List<Delivery> deliveries, LinkFault linkFault, SplittableRandom random) {
+        List<Delivery> faultyDeliveries = new ArrayList<>(deliveries.size());
         for (Delivery delivery : deliveries) {
-            if (happens(linkFault.lossShare(), random)) {
+            if (occurs(linkFault.lossShare(), random)) {
                 continue;
             }
-            int copies = happens(linkFault.duplicateShare(), random) ? 2 : 1;
+            int copies = occurs(linkFault.duplicateShare(), random) ? 2 : 1;
             for (int i = 0; i < copies; i++) {
                 double jitterMs = linkFault.jitterMs() > 0 ? random.nextDouble() * linkFault.jitterMs() : 0;
                 double delayMs = delivery.delayMs + linkFault.delayMs() + jitterMs;
-                boolean corrupt = delivery.corrupt || happens(linkFault.corruptShare(), random);
-                disturbed.add(new Delivery(delayMs, corrupt));
+                boolean corrupt = delivery.corrupt || occurs(linkFault.corruptShare(), random);
+                faultyDeliveries.add(new Delivery(delayMs, corrupt));
             }
         }
-        return disturbed;
+        return faultyDeliveries;
     }
 
     /** Draws only where the share is above 0. */
-    private static boolean happens(double share, SplittableRandom random) {
-        return share > 0 && random.nextDouble() < share;
+    private static boolean occurs(double probability, SplittableRandom random) {
+        return probability > 0 && random.nextDouble() < probability;
     }
 
     /** Whether connections between two endpoints are reset and new ones refused, whichever direction is faulty. */
     public boolean resetsConnections(int from, int to) {
-        return rules.stream()
-                .anyMatch(rule -> rule.fault.linkFault().resetsConnections()
-                        && (rule.applies(from, to) || rule.applies(to, from)));
+        return activeFaults.stream()
+                .anyMatch(activeFault -> activeFault.fault.linkFault().resetsConnections()
+                        && (activeFault.applies(from, to) || activeFault.applies(to, from)));
     }
 
     /** Whether a connection stays open and transfers no bytes in this direction. */
     public boolean blocksConnections(int from, int to) {
-        return rules.stream().anyMatch(rule -> rule.fault.linkFault().lossShare() == 1 && rule.applies(from, to));
+        return activeFaults.stream()
+                .anyMatch(
+                        activeFault -> activeFault.fault.linkFault().lossShare() == 1 && activeFault.applies(from, to));
     }
 
     /** How much later bytes of a connection arrive in this direction, milliseconds; their order stays. */
     public double delayMs(int from, int to) {
         double sumMs = 0;
-        for (Rule rule : rules) {
-            sumMs += rule.applies(from, to) ? rule.fault.linkFault().delayMs() : 0;
+        for (ActiveFault activeFault : activeFaults) {
+            sumMs += activeFault.applies(from, to)
+                    ? activeFault.fault.linkFault().delayMs()
+                    : 0;
         }
         return sumMs;
     }
--- a/src/main/java/cacheproxy/faulttest/scenario/RandomFaults.java
+++ b/src/main/java/cacheproxy/faulttest/scenario/RandomFaults.java
@@ -18,7 +18,7 @@
  * @param maxDurationMs how long one may last; the shortest lasts a tenth of it
  */
 public record RandomFaults(int count, List<Kind> kinds, double fromMs, double toMs, double maxDurationMs) {
-    private static final double CYCLE_MS = 50;
+    private static final double SLOW_CYCLE_MS = 50;
     private static final double SLOW_SPEED_SHARE = 0.1;
 
     /** Makes one; an IllegalArgumentException says which values don't fit together. */
@@ -67,6 +67,6 @@
         List<String> targets = endpoints.select(kind.hitsServers() ? "1 of nodes" : "1 of proxies", random);
         boolean emptyDisk = random.nextBoolean();
         return new Fault(
-                kind, atMs, durationMs, targets, List.of(), false, null, SLOW_SPEED_SHARE, CYCLE_MS, emptyDisk, 0);
+                kind, atMs, durationMs, targets, List.of(), false, null, SLOW_SPEED_SHARE, SLOW_CYCLE_MS, emptyDisk, 0);
     }
 }
--- a/src/main/java/cacheproxy/faulttest/scenario/RunValidity.java
+++ b/src/main/java/cacheproxy/faulttest/scenario/RunValidity.java
@@ -60,9 +60,9 @@
         return problems;
     }
 
-    private static void addIfOver(List<String> problems, String what, double ms, double maxMs) {
+    private static void addIfOver(List<String> problems, String description, double ms, double maxMs) {
         if (!(ms <= maxMs)) {
-            problems.add(String.format(Locale.ROOT, "%s %.0f ms, at most %.0f", what, ms, maxMs));
+            problems.add(String.format(Locale.ROOT, "%s %.0f ms, at most %.0f", description, ms, maxMs));
         }
     }
 }
--- a/src/main/java/cacheproxy/faulttest/scenario/Scenario.java
+++ b/src/main/java/cacheproxy/faulttest/scenario/Scenario.java
@@ -18,8 +18,9 @@
  * @param discoveryByZone whether each zone has a discovery of its own, with the same lists
  * @param configSuffix for {@code run}: text at the end of each proxy's file, with {@code {me}}, {@code {peers}} and
  *     others replaced
- * @param oldProxies proxies that have {@code oldConfigSuffix} instead: another release's file, or an invalid one
- * @param oldConfigSuffix text at the end of their files
+ * @param alternateConfigProxies proxies that have {@code oldConfigSuffix} instead: another release's file, or an
+ *     invalid one
+ * @param alternateConfigSuffix text at the end of their files
  * @param leases that each proxy is polled for at its control address
  * @param pollMs the least time between two polls of one lease at one proxy
  * @param concurrentStarts proxies that start at the same time
@@ -40,8 +41,8 @@
         boolean relayServers,
         boolean discoveryByZone,
         String configSuffix,
-        List<String> oldProxies,
-        String oldConfigSuffix,
+        List<String> alternateConfigProxies,
+        String alternateConfigSuffix,
         List<String> leases,
         double pollMs,
         int concurrentStarts,
@@ -113,8 +114,8 @@
                 relayServers,
                 discoveryByZone,
                 configSuffix,
-                oldProxies,
-                oldConfigSuffix,
+                alternateConfigProxies,
+                alternateConfigSuffix,
                 leases,
                 pollMs,
                 concurrentStarts,
@@ -149,9 +150,9 @@
         if (!leases.isEmpty()) {
             text.append("duties = " + quoted(leases) + "\n").append("poll_ms = " + pollMs + "\n");
         }
-        if (!oldProxies.isEmpty()) {
-            text.append("old = \"" + String.join(",", oldProxies) + "\"\n")
-                    .append("old_extra = '''\n" + oldConfigSuffix + "'''\n");
+        if (!alternateConfigProxies.isEmpty()) {
+            text.append("old = \"" + String.join(",", alternateConfigProxies) + "\"\n")
+                    .append("old_extra = '''\n" + alternateConfigSuffix + "'''\n");
         }
         if (!configSuffix.isEmpty()) {
             text.append("extra = '''\n" + configSuffix + "'''\n");
--- a/src/main/java/cacheproxy/faulttest/scenario/TargetSelector.java
+++ b/src/main/java/cacheproxy/faulttest/scenario/TargetSelector.java
@@ -150,16 +150,16 @@
         int split = term.indexOf(RANDOM_CHOICE);
         List<String> candidates = new ArrayList<>(
                 selectTerm(term.substring(split + RANDOM_CHOICE.length()).trim(), random));
-        double wanted;
+        double countOrShare;
         try {
-            wanted = Double.parseDouble(term.substring(0, split).trim());
+            countOrShare = Double.parseDouble(term.substring(0, split).trim());
         } catch (NumberFormatException e) {
             throw new IllegalArgumentException("'" + term + "': a number is wanted before 'of'");
         }
-        if (!(wanted > 0)) {
+        if (!(countOrShare > 0)) {
             throw new IllegalArgumentException("'" + term + "': more than 0 is wanted before 'of'");
         }
-        double count = wanted < 1 ? Math.max(1, Math.round(wanted * candidates.size())) : wanted;
+        double count = countOrShare < 1 ? Math.max(1, Math.round(countOrShare * candidates.size())) : countOrShare;
         int limit = (int) Math.min(candidates.size(), count);
         List<String> drawn = new ArrayList<>();
         for (int i = 0; i < limit; i++) {
--- a/src/test/java/cacheproxy/faulttest/FaultTestRuns.java
+++ b/src/test/java/cacheproxy/faulttest/FaultTestRuns.java
@@ -14,7 +14,7 @@
     private FaultTestRuns() {}
 
     /** The outcome of a scenario that violates no invariant. */
-    static FaultTestRunner.Outcome held(String scenario, Path folder) throws Exception {
+    static FaultTestRunner.Outcome playAndAssertInvariants(String scenario, Path folder) throws Exception {
         FaultTestRunner.Outcome outcome = play(scenario, folder.resolve("run0"));
         for (int i = 1; i < MAX_ATTEMPTS && !outcome.verdict().invalidReasons().isEmpty(); i++) {
             outcome = play(scenario, folder.resolve("run" + i));
--- a/src/test/java/cacheproxy/faulttest/FleetIT.java
+++ b/src/test/java/cacheproxy/faulttest/FleetIT.java
@@ -107,7 +107,7 @@
     private Path folder;
 
     private FaultTestRunner.Outcome play(String text) throws Exception {
-        return FaultTestRuns.held(text, folder);
+        return FaultTestRuns.playAndAssertInvariants(text, folder);
     }
 
     @ParameterizedTest
@@ -128,36 +128,36 @@
                 .anyMatch(event -> event.type().equals(Event.PROCESS_EXITED)
                         && event.endpoint().equals("p3")
                         && event.value() == 143);
-        plantedFaultsAreFound(run);
+        assertPlantedViolationsAreFound(run);
     }
 
     /** Faults put into the history of a real run are found in it. */
-    private static void plantedFaultsAreFound(RunHistory run) {
+    private static void assertPlantedViolationsAreFound(RunHistory run) {
         // p4 neither stands still nor ends, so nothing of it is excused.
         Event served = first(
                 run,
                 event -> event.is(Event.RESPONSE_RECEIVED, "served")
                         && event.endpoint().equals("p4"));
         assertThat(new SingleResponseChecker()
-                        .check(with(run, later(served, served.timeUs() + 1000, served.endpoint())))
+                        .check(withEvents(run, copyOf(served, served.timeUs() + 1000, served.endpoint())))
                         .count())
                 .as("twice")
                 .isEqualTo(1);
-        assertThat(new SingleResponseChecker().check(without(run, served)).count())
+        assertThat(new SingleResponseChecker().check(withoutEvent(run, served)).count())
                 .as("never")
                 .isEqualTo(1);
         Event effect = first(run, event -> event.is(Event.WRITE_APPLIED));
         assertThat(new AtMostOnceChecker()
-                        .check(with(run, later(effect, effect.timeUs() + 1000, effect.endpoint())))
+                        .check(withEvents(run, copyOf(effect, effect.timeUs() + 1000, effect.endpoint())))
                         .count())
                 .isEqualTo(1);
-        plantedCommandsAreFound(run);
+        assertPlantedCommandsAreFound(run);
     }
 
-    private static void plantedCommandsAreFound(RunHistory run) {
+    private static void assertPlantedCommandsAreFound(RunHistory run) {
         Event drain = first(run, event -> event.is(Event.SERVER_DRAINING));
-        Event born = first(run, event -> event.is(Event.SERVER_STARTED));
-        Event stray = first(
+        Event serverStart = first(run, event -> event.is(Event.SERVER_STARTED));
+        Event command = first(
                 run,
                 event -> event.is(Event.COMMAND_ARRIVED)
                         && event.timeUs() > drain.timeUs() + 2_200_000
@@ -166,34 +166,34 @@
                                         && sent.id().equals(event.id())
                                         && sent.endpoint().equals("p4")));
         assertThat(new DrainChecker()
-                        .check(with(run, later(stray, stray.timeUs(), drain.endpoint())))
+                        .check(withEvents(run, copyOf(command, command.timeUs(), drain.endpoint())))
                         .count())
                 .as("p4, to a draining node")
                 .isGreaterThan(0);
         Event[] flood = new Event[400];
         for (int i = 0; i < flood.length; i++) {
-            flood[i] = later(stray, born.timeUs() + 1000 + i, born.endpoint());
+            flood[i] = copyOf(command, serverStart.timeUs() + 1000 + i, serverStart.endpoint());
         }
-        assertThat(new SlowStartChecker().check(with(run, flood)).count()).isEqualTo(1);
+        assertThat(new SlowStartChecker().check(withEvents(run, flood)).count()).isEqualTo(1);
     }
 
     private static Event first(RunHistory run, Predicate<Event> condition) {
         return run.events().stream().filter(condition).findFirst().orElseThrow();
     }
 
-    private static Event later(Event event, long timeUs, String endpoint) {
+    private static Event copyOf(Event event, long timeUs, String endpoint) {
         return new Event(timeUs, 0, endpoint, event.type(), event.id(), event.detail(), event.value());
     }
 
-    private static RunHistory with(RunHistory run, Event... planted) {
+    private static RunHistory withEvents(RunHistory run, Event... planted) {
         List<Event> events = new ArrayList<>(run.events());
         events.addAll(List.of(planted));
         return new RunHistory(run.scenario(), events);
     }
 
-    private static RunHistory without(RunHistory run, Event gone) {
+    private static RunHistory withoutEvent(RunHistory run, Event removed) {
         List<Event> events = new ArrayList<>(run.events());
-        events.remove(gone);
+        events.remove(removed);
         return new RunHistory(run.scenario(), events);
     }
 
@@ -214,7 +214,7 @@
                 for_ms = 50000
                 """);
         Path out = folder.resolve("out");
-        Process rig = new ProcessBuilder(
+        Process runner = new ProcessBuilder(
                         Path.of(System.getProperty("java.home"), "bin", "java").toString(),
                         "-jar",
                         "target/cache-proxy.jar",
@@ -228,8 +228,8 @@
         try {
             Path history = out.resolve("history.jsonl");
             while (!Files.exists(history) || !Files.readString(history).contains("\"" + Event.PROCESS_PAUSED + "\"")) {
-                assertThat(rig.isAlive()).isTrue();
-                rig.waitFor(50, TimeUnit.MILLISECONDS);
+                assertThat(runner.isAlive()).isTrue();
+                runner.waitFor(50, TimeUnit.MILLISECONDS);
             }
             List<ProcessHandle> children = new ArrayList<>();
             try (Stream<Path> files = Files.walk(out)) {
@@ -240,12 +240,12 @@
                 }
             }
             assertThat(children).hasSize(3).allMatch(ProcessHandle::isAlive);
-            rig.destroyForcibly().waitFor();
+            runner.destroyForcibly().waitFor();
             for (ProcessHandle child : children) {
                 child.onExit().get(60, TimeUnit.SECONDS);
             }
         } finally {
-            rig.destroyForcibly();
+            runner.destroyForcibly();
         }
     }
 
--- a/src/test/java/cacheproxy/faulttest/HistoryTest.java
+++ b/src/test/java/cacheproxy/faulttest/HistoryTest.java
@@ -26,14 +26,14 @@
             writer.finish();
             assertThat(writer.dropped()).isZero();
         }
-        RunHistory back = History.read(file);
-        assertThat(back.scenario()).isEqualTo(history.run().scenario());
-        assertThat(back.events()).hasSize(2);
-        Event said = back.events().get(0);
-        assertThat(said.detail()).isEqualTo("a \"line\"\twith\u00e4");
-        assertThat(said.uncertaintyUs()).isEqualTo(7);
-        assertThat(said.value()).isEqualTo(1.5);
-        assertThat(said.earliestUs()).isEqualTo(said.timeUs() - 7);
+        RunHistory readBack = History.read(file);
+        assertThat(readBack.scenario()).isEqualTo(history.run().scenario());
+        assertThat(readBack.events()).hasSize(2);
+        Event logLine = readBack.events().get(0);
+        assertThat(logLine.detail()).isEqualTo("a \"line\"\twith\u00e4");
+        assertThat(logLine.uncertaintyUs()).isEqualTo(7);
+        assertThat(logLine.value()).isEqualTo(1.5);
+        assertThat(logLine.earliestUs()).isEqualTo(logLine.timeUs() - 7);
         Files.writeString(file, Files.readString(file) + "{\"us\":");
         assertThatThrownBy(() -> History.read(file)).hasMessageContaining("history.jsonl:4:1");
         Files.writeString(file, "{\"us\":1,\"who\":\"p1\"}\n");
--- a/src/test/java/cacheproxy/faulttest/KnownStateIT.java
+++ b/src/test/java/cacheproxy/faulttest/KnownStateIT.java
@@ -25,7 +25,7 @@
      */
     @Test
     void keepsDrainsThatOpenWatchesDidNotReport() throws Exception {
-        FaultTestRunner.Outcome outcome = FaultTestRuns.held(
+        FaultTestRunner.Outcome outcome = FaultTestRuns.playAndAssertInvariants(
                 "[fleet]\nproxies = 5\nnodes = 5\n[load]\nseconds = 15\nper_second = 200\n"
                         + fault("link", 1500, 1200, "proxies", "to = \"discovery\"\nlose = 1")
                         + fault("node-drain", 1900, 12_500, "n1", "")
@@ -35,14 +35,14 @@
         assertThat(outcome.verdict().violationsByChecker().get("drains-kept").judged())
                 .as("sends to draining nodes that were looked at")
                 .isPositive();
-        long late = outcome.run().events().stream()
+        long activeServers = outcome.run().events().stream()
                 .filter(event -> event.type().equals(Event.COMMAND_ARRIVED)
                         && event.timeMs() > 11_000
                         && event.timeMs() < 14_000)
                 .map(Event::endpoint)
                 .distinct()
                 .count();
-        assertThat(late)
+        assertThat(activeServers)
                 .as("nodes that are sent to in the end: those that do not drain")
                 .isEqualTo(3);
     }
--- a/src/test/java/cacheproxy/faulttest/LeaseUsersIT.java
+++ b/src/test/java/cacheproxy/faulttest/LeaseUsersIT.java
@@ -15,7 +15,7 @@
  */
 @Timeout(180)
 class LeaseUsersIT {
-    private static final String FLEET = """
+    private static final String FLEET_CONFIG = """
             extra = '''
             [control]
             listen = "{control}"
@@ -28,22 +28,24 @@
             '''
             duties = [%s]
             """;
-    private static final String PROBE = "[fleet.probe]\nlease_ms = 600\nshares = 2\n";
-    private static final String WATCH = "[fleet.watch]\nlease_ms = 600\nbeat_ms = 200\nlazy_ms = 3000\nword_ms = 900\n";
+    private static final String HEALTH_CHECK_CONFIG = "[fleet.probe]\nlease_ms = 600\nshares = 2\n";
+    private static final String DELEGATED_WATCH_CONFIG =
+            "[fleet.watch]\nlease_ms = 600\nbeat_ms = 200\nlazy_ms = 3000\nword_ms = 900\n";
 
     @TempDir
     private Path folder;
 
     private FaultTestRunner.Outcome play(String sections, String duties, double seconds, String faults)
             throws Exception {
-        String scenario = "[fleet]\nprogram = \"run\"\nproxies = 5\nnodes = 4\n" + FLEET.formatted(sections, duties)
-                + "[load]\nseconds = " + seconds + "\nper_second = 200\n" + faults;
-        FaultTestRunner.Outcome outcome = FaultTestRuns.held(scenario, folder);
+        String scenario =
+                "[fleet]\nprogram = \"run\"\nproxies = 5\nnodes = 4\n" + FLEET_CONFIG.formatted(sections, duties)
+                        + "[load]\nseconds = " + seconds + "\nper_second = 200\n" + faults;
+        FaultTestRunner.Outcome outcome = FaultTestRuns.playAndAssertInvariants(scenario, folder);
         return outcome;
     }
 
     /** A proxy that is told nothing any more: whatever it does not know of the nodes shows by its own requests. */
-    private static long served(FaultTestRunner.Outcome outcome, String proxy, double fromMs) {
+    private static long countServed(FaultTestRunner.Outcome outcome, String proxy, double fromMs) {
         return outcome.run().events().stream()
                 .filter(event -> event.type().equals(Event.RESPONSE_RECEIVED)
                         && event.endpoint().equals(proxy)
@@ -55,7 +57,7 @@
     @Test
     void checksStalledServerByOneProxyForAllAndByEachThatIsCutOff() throws Exception {
         FaultTestRunner.Outcome outcome = play(
-                PROBE,
+                HEALTH_CHECK_CONFIG,
                 "\"probe.0\", \"probe.1\"",
                 13,
                 fault("node-stall", 2000, 4500, "n1", "")
@@ -69,7 +71,9 @@
                 .as("tests came at all; how many are saved is measured, not tested here")
                 .isPositive();
         for (int proxy = 1; proxy <= 5; proxy++) {
-            assertThat(served(outcome, "p" + proxy, 11_500)).as("p" + proxy).isPositive();
+            assertThat(countServed(outcome, "p" + proxy, 11_500))
+                    .as("p" + proxy)
+                    .isPositive();
         }
     }
 
@@ -77,7 +81,7 @@
     @Test
     void checksHealthByClientRequestsWhereServersTakeNoHealthChecks() throws Exception {
         FaultTestRunner.Outcome outcome = play(
-                PROBE + "by = \"requests\"\n",
+                HEALTH_CHECK_CONFIG + "by = \"requests\"\n",
                 "\"probe.0\", \"probe.1\"",
                 13,
                 fault("node-stall", 2000, 4500, "n1", "")
@@ -89,12 +93,14 @@
                 .as("empty commands at nodes")
                 .isZero();
         for (int proxy = 1; proxy <= 5; proxy++) {
-            String who = "n" + Math.min(proxy, 4);
-            assertThat(served(outcome, "p" + proxy, 11_500)).as("p" + proxy).isPositive();
+            String server = "n" + Math.min(proxy, 4);
+            assertThat(countServed(outcome, "p" + proxy, 11_500))
+                    .as("p" + proxy)
+                    .isPositive();
             assertThat(outcome.run().events())
-                    .as(who + " gets requests again")
+                    .as(server + " gets requests again")
                     .anyMatch(event -> event.type().equals(Event.COMMAND_ARRIVED)
-                            && event.endpoint().equals(who)
+                            && event.endpoint().equals(server)
                             && event.timeMs() > 12_000);
         }
     }
@@ -110,19 +116,19 @@
             faults.append(fault("node-stall", 1500 + i * 2000, 1200, "n" + (i % 4 + 1), ""))
                     .append(fault(i % 2 == 0 ? "stop" : "kill", 2000 + i * 2000, 900, "p" + (i + 1), ""));
         }
-        FaultTestRunner.Outcome outcome = play(PROBE, "\"probe.0\"", 15, faults.toString());
-        long late = outcome.run().events().stream()
+        FaultTestRunner.Outcome outcome = play(HEALTH_CHECK_CONFIG, "\"probe.0\"", 15, faults.toString());
+        long activeServers = outcome.run().events().stream()
                 .filter(event -> event.type().equals(Event.COMMAND_ARRIVED) && event.timeMs() > 13_500)
                 .map(Event::endpoint)
                 .distinct()
                 .count();
-        assertThat(late).as("all nodes get requests again").isEqualTo(4);
+        assertThat(activeServers).as("all nodes get requests again").isEqualTo(4);
     }
 
     @Test
     void watchesDiscoveryByOneProxyForAllAndKeepsDrainsThroughFaults() throws Exception {
         FaultTestRunner.Outcome outcome = play(
-                WATCH,
+                DELEGATED_WATCH_CONFIG,
                 "\"watch.a.pages\"",
                 14,
                 fault("node-drain", 1500, 800, "n1", "")
--- a/src/test/java/cacheproxy/faulttest/LeasesIT.java
+++ b/src/test/java/cacheproxy/faulttest/LeasesIT.java
@@ -15,7 +15,7 @@
 /** Duties of several processes of the daemon: stops, cuts, splits, losses, restarts, hand-overs. */
 @Timeout(180)
 class LeasesIT {
-    static final String DUTY = """
+    static final String LEASE_SCENARIO_LINES = """
             extra = '''
             [control]
             listen = "{control}"
@@ -35,9 +35,9 @@
     private Path folder;
 
     private FaultTestRunner.Outcome play(int proxies, double seconds, String faults) throws Exception {
-        String scenario = "[fleet]\nprogram = \"run\"\nproxies = " + proxies + "\nnodes = 3\n" + DUTY
+        String scenario = "[fleet]\nprogram = \"run\"\nproxies = " + proxies + "\nnodes = 3\n" + LEASE_SCENARIO_LINES
                 + "[load]\nseconds = " + seconds + "\nper_second = 40\n" + faults;
-        FaultTestRunner.Outcome outcome = FaultTestRuns.held(scenario, folder);
+        FaultTestRunner.Outcome outcome = FaultTestRuns.playAndAssertInvariants(scenario, folder);
         assertThat(outcome.verdict().violationsByChecker().get("one-holder").judged())
                 .isGreaterThan(20);
         return outcome;
@@ -46,14 +46,14 @@
     /**
      * Whether somebody held it after a time; how soon is measured, not tested: walks on virtual time hold the bound.
      */
-    private static boolean heldAfter(RunHistory run, double ms) {
+    private static boolean wasHeldAfter(RunHistory run, double ms) {
         return run.events().stream()
                 .anyMatch(event -> event.type().equals(Event.LEASE_POLLED)
                         && event.detail().equals("yes")
                         && event.timeMs() > ms);
     }
 
-    private static double lastHealed(RunHistory run) {
+    private static double lastFaultEndMs(RunHistory run) {
         return run.events().stream()
                 .filter(event -> event.type().equals(Event.FAULT_ENDED))
                 .mapToDouble(Event::timeMs)
@@ -61,7 +61,7 @@
                 .orElseThrow();
     }
 
-    private static List<String> said(RunHistory run, String part) {
+    private static List<String> logLinesContaining(RunHistory run, String part) {
         return run.events().stream()
                 .filter(event ->
                         event.type().equals(Event.LOG_LINE) && event.detail().contains(part))
@@ -79,11 +79,11 @@
                 fault("term", 2500, 300, "p1", "")
                         + fault("term", 5500, 300, "p2", "")
                         + fault("term", 8500, 300, "p3", ""));
-        assertThat(said(outcome.run(), "why=this process ends"))
+        assertThat(logLinesContaining(outcome.run(), "why=this process ends"))
                 .as("the holder was among them")
                 .isNotEmpty();
         assertThat(LeaseStats.countTenures(outcome.run(), "cron")).isGreaterThan(1);
-        assertThat(heldAfter(outcome.run(), lastHealed(outcome.run()))).isTrue();
+        assertThat(wasHeldAfter(outcome.run(), lastFaultEndMs(outcome.run()))).isTrue();
     }
 
     @Test
@@ -102,7 +102,7 @@
                                 1500,
                                 "proxies",
                                 "to = \"proxies\"\nlose = 0.3\ntwice = 0.5\njitter_ms = 150\ndelay_ms = 50\ncorrupt = 0.1"));
-        assertThat(heldAfter(outcome.run(), lastHealed(outcome.run()))).isTrue();
+        assertThat(wasHeldAfter(outcome.run(), lastFaultEndMs(outcome.run()))).isTrue();
         assertThat(outcome.run().events())
                 .anyMatch(event ->
                         event.type().equals(Event.LOG_LINE) && event.detail().contains("duty cron gained epoch="));
@@ -110,9 +110,9 @@
 
     @Test
     void keepsOneHolderThroughThreeWaySplitHeavyLossLateDuplicatesAndFlappingVoter() throws Exception {
-        StringBuilder flaps = new StringBuilder();
+        StringBuilder restarts = new StringBuilder();
         for (int at = 9000; at < 13_000; at += 1000) {
-            flaps.append(fault("kill", at, 100, "p2", "")); // back and gone again before its silence is over
+            restarts.append(fault("kill", at, 100, "p2", "")); // back and gone again before its silence is over
         }
         FaultTestRunner.Outcome outcome = play(
                 5,
@@ -127,9 +127,11 @@
                                 "proxies",
                                 "to = \"proxies\"\ntwice = 1\ndelay_ms = 1800\njitter_ms = 400")
                         + fault("slow", 9000, 3000, "p4", "share = 0.1")
-                        + flaps);
+                        + restarts);
         assertThat(LeaseStats.countTenures(outcome.run(), "cron")).isGreaterThan(1);
-        assertThat(heldAfter(outcome.run(), 13_000)).as("after the last fault").isTrue();
+        assertThat(wasHeldAfter(outcome.run(), 13_000))
+                .as("after the last fault")
+                .isTrue();
     }
 
     @Test
@@ -168,13 +170,13 @@
                         + fault("link", 2000, 2500, "p1,p3,p5", "to = \"p2,p4\"\nlose = 1")
                         + fault("link", 5000, 8000, "p3", "holder_of = \"cron\"\nto = \"nodes\"\nlose = 1")
                         + fault("link", 9500, 1500, "p4,p5", "to = \"discovery\"\nlose = 1");
-        FaultTestRunner.Outcome outcome = FaultTestRuns.held(scenario, folder);
+        FaultTestRunner.Outcome outcome = FaultTestRuns.playAndAssertInvariants(scenario, folder);
         assertThat(outcome.verdict().violationsByChecker().get("one-holder").judged())
                 .isGreaterThan(20);
-        assertThat(heldAfter(outcome.run(), lastHealed(outcome.run()))).isTrue();
-        assertThat(said(outcome.run(), "fleet: p1 goes by another list of peers"))
+        assertThat(wasHeldAfter(outcome.run(), lastFaultEndMs(outcome.run()))).isTrue();
+        assertThat(logLinesContaining(outcome.run(), "fleet: p1 goes by another list of peers"))
                 .isNotEmpty();
-        assertThat(said(outcome.run(), "why=it reaches no server, and others do"))
+        assertThat(logLinesContaining(outcome.run(), "why=it reaches no server, and others do"))
                 .as("the holder, which has peers and no nodes")
                 .isNotEmpty();
     }
--- a/src/test/java/cacheproxy/faulttest/QuotasIT.java
+++ b/src/test/java/cacheproxy/faulttest/QuotasIT.java
@@ -25,7 +25,7 @@
                 + "[fleet]\nme = \"{me}\"\nlisten = \"{listen}\"\nlongest_lease_ms = 600\n{peers}\n[fleet.limits]\ngrant_ms = 600\nlease_ms = 600\nshares = 1\n"
                 + "[[fleet.limit]]\nname = \"reads\"\nclass = \"read\"\n" + limit + "'''\n[load]\n" + load + "[limit]\n"
                 + judged + faults;
-        FaultTestRunner.Outcome outcome = FaultTestRuns.held(scenario, folder);
+        FaultTestRunner.Outcome outcome = FaultTestRuns.playAndAssertInvariants(scenario, folder);
         assertThat(outcome.verdict().violationsByChecker().get("limit-kept").judged())
                 .as(String.join("\n", outcome.lines()))
                 .isGreaterThan(100);
--- a/src/test/java/cacheproxy/faulttest/RelayTest.java
+++ b/src/test/java/cacheproxy/faulttest/RelayTest.java
@@ -34,8 +34,8 @@
     /** A test that waits in vain fails; JUnit's limit does not end a blocked read. */
     private static final int READ_TIMEOUT_MS = 20_000;
 
-    private final TargetSelector names = new TargetSelector(3, 1, List.of("a"));
-    private final NetworkLinks links = new NetworkLinks(names);
+    private final TargetSelector endpoints = new TargetSelector(3, 1, List.of("a"));
+    private final NetworkLinks links = new NetworkLinks(endpoints);
     private final MultiThreadIoEventLoopGroup group = new MultiThreadIoEventLoopGroup(1, Transport.BEST.io());
     private final EventLoop loop = group.next();
     private AddressSpace space;
@@ -51,8 +51,8 @@
         group.shutdownGracefully(0, 1, TimeUnit.SECONDS).syncUninterruptibly();
     }
 
-    private Fault fault(List<String> who, List<String> to, boolean twoWay, LinkFault figures) {
-        return new Fault(Kind.LINK, 0, 1, who, to, twoWay, figures, 1, 0, false, 0);
+    private Fault fault(List<String> targets, List<String> linkPeers, boolean twoWay, LinkFault linkFault) {
+        return new Fault(Kind.LINK, 0, 1, targets, linkPeers, twoWay, linkFault, 1, 0, false, 0);
     }
 
     private void runOnLoop(Runnable change) {
@@ -80,7 +80,7 @@
                 DatagramSocket first = new DatagramSocket(space.proxyAddress(0, AddressSpace.PEER_PORT));
                 DatagramSocket second = new DatagramSocket(space.proxyAddress(1, AddressSpace.PEER_PORT));
                 DatagramSocket third = new DatagramSocket(space.proxyAddress(2, AddressSpace.PEER_PORT));
-                DatagramSocket stranger =
+                DatagramSocket unknownSender =
                         new DatagramSocket(new InetSocketAddress(InetAddress.getLoopbackAddress(), 0))) {
             send(first, space.relayAddress(1, AddressSpace.PEER_PORT), "one");
             DatagramPacket packet = receive(second);
@@ -110,7 +110,7 @@
             assertThat(text(receive(second))).hasSize(6).isNotEqualTo("spoilt");
             assertThat(text(receive(second))).hasSize(6).isNotEqualTo("spoilt");
 
-            send(stranger, space.relayAddress(2, AddressSpace.PEER_PORT), "who?");
+            send(unknownSender, space.relayAddress(2, AddressSpace.PEER_PORT), "who?");
             send(first, space.relayAddress(2, AddressSpace.PEER_PORT), "I");
             assertThat(text(receive(third))).isEqualTo("I");
             assertThat(relay.fromUnknownSenders()).isEqualTo(1);
@@ -136,18 +136,18 @@
     @Test
     void holdsCutConnectionOpenUntilFaultEndsAndResetsConnection() throws Exception {
         try (TcpRelay relay = new TcpRelay(loop, links);
-                ScriptedServer server = new ScriptedServer(third -> {
-                    for (String line; (line = third.line()) != null; ) {
-                        third.say("heard " + line + "\n");
+                ScriptedServer server = new ScriptedServer(connection -> {
+                    for (String line; (line = connection.line()) != null; ) {
+                        connection.say("heard " + line + "\n");
                     }
                 })) {
-            InetSocketAddress at = space.relayAddress(0, AddressSpace.FIRST_SERVER_PORT);
+            InetSocketAddress relayAddress = space.relayAddress(0, AddressSpace.FIRST_SERVER_PORT);
             relay.listen(
-                    at,
+                    relayAddress,
                     0,
-                    names.proxies(),
+                    endpoints.proxies(),
                     () -> new InetSocketAddress(InetAddress.getLoopbackAddress(), server.port()));
-            try (Socket socket = new Socket(at.getAddress(), at.getPort())) {
+            try (Socket socket = new Socket(relayAddress.getAddress(), relayAddress.getPort())) {
                 socket.setSoTimeout(READ_TIMEOUT_MS);
                 socket.getOutputStream().write("1\n".getBytes(UTF_8));
                 assertThat(ScriptedServer.line(socket.getInputStream())).isEqualTo("heard 1");
--- a/src/test/java/cacheproxy/faulttest/ScenarioTest.java
+++ b/src/test/java/cacheproxy/faulttest/ScenarioTest.java
@@ -20,7 +20,7 @@
 
 /** Scenarios: target selection, random faults, links, shrinking, validity, and their file. */
 class ScenarioTest {
-    private final TargetSelector names = new TargetSelector(6, 4, List.of("a", "b"));
+    private final TargetSelector endpoints = new TargetSelector(6, 4, List.of("a", "b"));
     private final SplittableRandom random = new SplittableRandom(1);
 
     private static Fault link(
@@ -50,16 +50,16 @@
 
     @Test
     void selectsNamesRangesZonesAndRandomTargets() {
-        assertThat(names.select("p2-p4, n1", random)).containsExactly("p2", "p3", "p4", "n1");
-        assertThat(names.select("zone:b", random)).containsExactly("p2", "p4", "p6");
-        assertThat(names.select("nodes:a,discovery", random)).containsExactly("n1", "n3", "discovery");
-        assertThat(names.select("2 of proxies", random)).hasSize(2).allMatch(name -> name.startsWith("p"));
-        assertThat(names.select("0.5 of nodes", random)).hasSize(2).doesNotHaveDuplicates();
-        assertThat(names.select("0.01 of nodes", random)).as("at least one").hasSize(1);
+        assertThat(endpoints.select("p2-p4, n1", random)).containsExactly("p2", "p3", "p4", "n1");
+        assertThat(endpoints.select("zone:b", random)).containsExactly("p2", "p4", "p6");
+        assertThat(endpoints.select("nodes:a,discovery", random)).containsExactly("n1", "n3", "discovery");
+        assertThat(endpoints.select("2 of proxies", random)).hasSize(2).allMatch(name -> name.startsWith("p"));
+        assertThat(endpoints.select("0.5 of nodes", random)).hasSize(2).doesNotHaveDuplicates();
+        assertThat(endpoints.select("0.01 of nodes", random)).as("at least one").hasSize(1);
         for (String wrong : new String[] {
             "p7", "p0", "n5", "zone:c", "p3-n2", "p4-p2", "x of proxies", "0 of proxies", "", "n1-discovery"
         }) {
-            assertThatThrownBy(() -> names.select(wrong, random))
+            assertThatThrownBy(() -> endpoints.select(wrong, random))
                     .as(wrong)
                     .isInstanceOf(IllegalArgumentException.class);
         }
@@ -67,7 +67,7 @@
 
     @Test
     void combinesFaultsOfOneLinkAndKeepsOneWayCutOneWay() {
-        NetworkLinks links = new NetworkLinks(names);
+        NetworkLinks links = new NetworkLinks(endpoints);
         assertThat(links.deliveries(0, 1, random)).containsExactly(new NetworkLinks.Delivery(0, false));
         Fault cut = link(1, 0, 0, false, List.of("p1"), List.of("p2"));
         Fault late = link(0, 30, 1, true, List.of("p1"), List.of("p2", "p3"));
@@ -84,7 +84,7 @@
         links.end(cut);
         assertThat(links.deliveries(0, 1, random)).hasSize(2);
         int passed = 0;
-        NetworkLinks lossy = new NetworkLinks(names);
+        NetworkLinks lossy = new NetworkLinks(endpoints);
         lossy.begin(link(0.3, 0, 0, true, List.of("p1"), List.of("p2")));
         for (int i = 0; i < 10_000; i++) {
             passed += lossy.deliveries(0, 1, random).size();
@@ -95,11 +95,11 @@
     @Test
     void drawsSameRandomFaultsForSameSeedWithinTheirTimes() {
         RandomFaults randomFaults = new RandomFaults(200, List.of(Kind.values()), 500, 9000, 2000);
-        List<Fault> faults = randomFaults.draw(names, 7);
+        List<Fault> faults = randomFaults.draw(endpoints, 7);
         assertThat(faults)
                 .hasSize(200)
-                .isEqualTo(randomFaults.draw(names, 7))
-                .isNotEqualTo(randomFaults.draw(names, 8));
+                .isEqualTo(randomFaults.draw(endpoints, 7))
+                .isNotEqualTo(randomFaults.draw(endpoints, 8));
         assertThat(faults)
                 .allMatch(fault -> fault.atMs() >= 500
                         && fault.endMs() <= 9000
@@ -172,7 +172,7 @@
                 """, null))
                 .isInstanceOfSatisfying(
                         ConfigException.class,
-                        refused -> assertThat(String.join("\n", refused.errors()))
+                        exception -> assertThat(String.join("\n", exception.errors()))
                                 .contains("s:2:1: proxies is 0")
                                 .contains("s:3:1: zones")
                                 .contains("s:5:1: there is no fault 'stpo'")
--- a/src/test/java/cacheproxy/faulttest/ScenariosGoldenTextTest.java
+++ b/src/test/java/cacheproxy/faulttest/ScenariosGoldenTextTest.java
@@ -42,7 +42,7 @@
                 "limits",
                 "small"
             })
-    void aScenarioLoadsToTheSameValuesAndIsWrittenOutTheSame(String name) throws Exception {
+    void scenarioLoadsToSameValuesAndIsWrittenOutTheSame(String name) throws Exception {
         Scenario scenario = ScenarioReader.read(SCENARIOS.resolve(name + ".toml"), null);
         GoldenFiles.assertSame("scenarios/" + name + ".txt", ValueText.of(scenario));
         GoldenFiles.assertSame("scenarios/" + name + ".toml", scenario.toToml());
