--- a/src/main/java/cacheproxy/faulttest/PlatformConfigFile.java
+++ b/src/main/java/cacheproxy/faulttest/PlatformConfigFile.java
@@ -14,7 +14,7 @@
     private final TargetSelector endpoints;
     private final IntFunction<JsonObject> initialEndpointList;
 
-    /** @param knownList the endpoint list that a proxy is given when it starts, by its index */
+    /** @param initialEndpointList the endpoint list that a proxy is given when it starts, by its index */
     PlatformConfigFile(Scenario scenario, AddressSpace space, IntFunction<JsonObject> initialEndpointList) {
         this.scenario = scenario;
         this.space = space;
--- a/src/main/java/cacheproxy/faulttest/ProxyConfigFiles.java
+++ b/src/main/java/cacheproxy/faulttest/ProxyConfigFiles.java
@@ -15,7 +15,7 @@
     private final PlatformConfigFile platform;
     private final DaemonConfigFile daemon;
 
-    /** @param knownList the endpoint list that a proxy is given when it starts, by its index */
+    /** @param initialEndpointList the endpoint list that a proxy is given when it starts, by its index */
     ProxyConfigFiles(Scenario scenario, AddressSpace space, IntFunction<JsonObject> initialEndpointList) {
         serve = scenario.program().equals("serve");
         platform = new PlatformConfigFile(scenario, space, initialEndpointList);
--- a/src/main/java/cacheproxy/faulttest/ProxyProcesses.java
+++ b/src/main/java/cacheproxy/faulttest/ProxyProcesses.java
@@ -29,7 +29,7 @@
     private final List<ProxyProcess> proxies = new ArrayList<>();
     private volatile boolean closing;
 
-    /** @param knownList the endpoint list that a proxy is given when it starts, by its index */
+    /** @param initialEndpointList the endpoint list that a proxy is given when it starts, by its index */
     ProxyProcesses(
             Scenario scenario,
             AddressSpace space,
