--- a/src/main/java/cacheproxy/snapshot/SnapshotAssembler.java
+++ b/src/main/java/cacheproxy/snapshot/SnapshotAssembler.java
@@ -78,7 +78,7 @@
             case LATENCY -> readLatency(section);
             case LOAD -> readLoad(section);
             case HOT_KEYS -> readHotKeys(section);
-            case SERVER_STARTS -> serverStarts(section);
+            case SERVER_STARTS -> readServerStarts(section);
         };
         section.checkEnd();
         apply.run();
@@ -163,7 +163,7 @@
         };
     }
 
-    private Runnable serverStarts(SectionReader section) throws InvalidSectionException, CharacterCodingException {
+    private Runnable readServerStarts(SectionReader section) throws InvalidSectionException, CharacterCodingException {
         int count = section.readCount(MIN_SERVER_START_BYTES, SnapshotCodec.MAX_SERVERS);
         List<ServerStart> starts = new ArrayList<>(count);
         for (int i = 0; i < count; i++) {
