--- a/src/main/java/cacheproxy/cli/Cli.java
+++ b/src/main/java/cacheproxy/cli/Cli.java
@@ -38,7 +38,7 @@
      */
     public static int run(String[] args) {
         if (System.getProperty(NETTY_ALLOCATOR_PROPERTY) == null) {
-            // Netty's default for many threads costs more than it saves on one event loop.
+            // Netty's default allocator is meant for many threads; on one event loop it costs more than it saves.
             System.setProperty(NETTY_ALLOCATOR_PROPERTY, "pooled");
         }
         CommandLine commandLine = new CommandLine(new Cli());
--- a/src/main/java/cacheproxy/cli/ControlCallException.java
+++ b/src/main/java/cacheproxy/cli/ControlCallException.java
@@ -2,7 +2,7 @@
 
 import java.io.PrintWriter;
 
-/** A call of a proxy's control address that failed: no valid response came, or the proxy rejected it. */
+/** Thrown if a call to a proxy's control address fails: there was no valid response, or the proxy rejected the call. */
 final class ControlCallException extends Exception {
     private static final long serialVersionUID = 1L;
 
@@ -13,14 +13,14 @@
         this.exitCode = exitCode;
     }
 
-    /** The address is invalid, or no valid HTTP response came from it in time. */
+    /** Returns an exception for an invalid address, or for a call without a valid HTTP response in time. */
     static ControlCallException unreachable(String control, Exception cause) {
         ControlCallException exception = new ControlCallException(control, cause.getMessage(), ExitCode.UNUSABLE);
         exception.initCause(cause);
         return exception;
     }
 
-    /** The proxy responded with a status other than 200; {@code text} is the response's body. */
+    /** Returns an exception for a response with a status other than 200; {@code text} is the response's body. */
     static ControlCallException rejected(String control, String text) {
         return new ControlCallException(control, text, ExitCode.FAILED);
     }
--- a/src/main/java/cacheproxy/cli/ControlClient.java
+++ b/src/main/java/cacheproxy/cli/ControlClient.java
@@ -8,7 +8,7 @@
 import java.util.regex.Matcher;
 import java.util.regex.Pattern;
 
-/** A blocking HTTP client of a running proxy's control address, one connection a call. */
+/** A blocking HTTP client of a running proxy's control address. It opens a connection for each call. */
 final class ControlClient {
     private static final int TIMEOUT_MS = 3000;
     private static final int STATUS_OK = 200;
@@ -25,11 +25,11 @@
     private record Response(int status, String text) {}
 
     /**
-     * Calls the proxy and waits up to 3 s for each part of the response.
+     * Calls the proxy. Waits up to 3 s to connect, and up to 3 s for each read of the response.
      *
      * @param path the path with its query, as it is sent
      * @return the response's body, stripped
-     * @throws ControlCallException if no valid response came, or one with a status other than 200
+     * @throws ControlCallException if there is no valid response, or one with a status other than 200
      */
     String call(String method, String path) throws ControlCallException {
         Response response;
--- a/src/main/java/cacheproxy/cli/DemoFaultSchedule.java
+++ b/src/main/java/cacheproxy/cli/DemoFaultSchedule.java
@@ -7,7 +7,7 @@
 
 /**
  * The faults of a demo: one after each tenth of its requests, on servers chosen at random by the seed, each printed as
- * it begins. Called on the fleet's event loop alone.
+ * it begins. Must be called only on the event loop of the fake fleet.
  */
 final class DemoFaultSchedule {
     private static final int STEPS = 10;
@@ -19,7 +19,7 @@
     private final int requestsPerStep;
     private int stepsDone;
 
-    /** Creates the schedule of a run of so many requests. */
+    /** Creates the schedule for a run of {@code requests} requests. */
     DemoFaultSchedule(FakeFleet fleet, int requests, long seed, PrintWriter out) {
         this.fleet = fleet;
         this.out = out;
@@ -42,7 +42,7 @@
         int first = random.nextInt(Demo.NODES);
         int second = (first + 1 + random.nextInt(Demo.NODES - 1)) % Demo.NODES;
         if (stepsDone == RESTART_STEP) {
-            new Thread(() -> restart(first)).start(); // a restart waits for this event loop
+            new Thread(() -> restart(first)).start(); // a restart waits for this event loop, so it must not run on it
             return "node " + first + " restarts cold";
         }
         if (stepsDone < STEPS) {
--- a/src/main/java/cacheproxy/cli/ExitCode.java
+++ b/src/main/java/cacheproxy/cli/ExitCode.java
@@ -2,7 +2,7 @@
 
 /** Exit codes of the commands. */
 final class ExitCode {
-    /** The command is done, and what it checked holds. */
+    /** The command succeeded, and what it checked holds. */
     static final int OK = 0;
     /** The command ran, but what it checked does not hold, or the proxy that it called rejected the call. */
     static final int FAILED = 1;
--- a/src/main/java/cacheproxy/cli/ExplainCommand.java
+++ b/src/main/java/cacheproxy/cli/ExplainCommand.java
@@ -15,7 +15,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code explain}: prints the route, pool and server of keys by the configuration file alone. */
+/** {@code explain}: prints the route, pool and server of keys, determined from the configuration file alone. */
 @Command(
         name = "explain",
         mixinStandardHelpOptions = true,
--- a/src/main/java/cacheproxy/cli/FleetCommand.java
+++ b/src/main/java/cacheproxy/cli/FleetCommand.java
@@ -22,7 +22,7 @@
 /**
  * {@code fleet}: fault tests of many processes. Its subcommands return {@link ExitCode#OK} if all invariants held,
  * {@link ExitCode#FAILED} if one was violated, {@link ExitCode#UNUSABLE} if the test could not run and
- * {@link ExitCode#NO_VERDICT} if the machine was too slow to tell.
+ * {@link ExitCode#NO_VERDICT} if the machine was too slow for a verdict.
  */
 @Command(
         name = "fleet",
@@ -50,7 +50,7 @@
         int run() throws Exception;
     }
 
-    /** Runs a subcommand's body and prints what it throws; {@link ExitCode#UNUSABLE} then. */
+    /** Runs a subcommand's body; if it throws, prints the error and returns {@link ExitCode#UNUSABLE}. */
     static int runPrintingErrors(PrintWriter err, Task task) throws InterruptedException {
         try {
             return task.run();
@@ -65,7 +65,7 @@
         return ExitCode.UNUSABLE;
     }
 
-    /** A consumer of progress lines that are shown at once. */
+    /** Returns a consumer that prints each line and flushes the output. */
     static Consumer<String> printingLines(PrintWriter writer) {
         return line -> {
             writer.println(line);
--- a/src/main/java/cacheproxy/cli/ImportNginxCommand.java
+++ b/src/main/java/cacheproxy/cli/ImportNginxCommand.java
@@ -143,7 +143,7 @@
         return true;
     }
 
-    /** Returns the import's options, or nothing after printing what is wrong with the command's. */
+    /** Returns the options of the import, or nothing after printing what is wrong with the options of the command. */
     private Optional<ImportOptions> importOptions(PrintWriter err) {
         if (!optionsAreValid(err)) {
             return Optional.empty();
@@ -174,7 +174,7 @@
         return ConfParser.read(new NginxConfDirectory(base), name);
     }
 
-    /** Parses the imported file as the daemon would; what fails here is the importer's own fault. */
+    /** Parses the imported file as the daemon would; an error is a fault of the importer. */
     private Optional<DaemonConfig> validate(Importer.Result result, PrintWriter err) {
         try {
             String name = outputFile == null ? "imported" : outputFile.toString();
--- a/src/main/java/cacheproxy/cli/ImportReportJson.java
+++ b/src/main/java/cacheproxy/cli/ImportReportJson.java
@@ -9,7 +9,7 @@
 final class ImportReportJson {
     private ImportReportJson() {}
 
-    /** Returns the report as an indented JSON object with a line feed behind it. */
+    /** Returns the report as an indented JSON object, followed by a line feed. */
     static String write(Report report) {
         JsonObject root = new JsonObject();
         root.add("entries", entries(report));
--- a/src/main/java/cacheproxy/cli/NginxComparison.java
+++ b/src/main/java/cacheproxy/cli/NginxComparison.java
@@ -25,9 +25,9 @@
     private final boolean hostInKeys;
 
     /**
-     * Creates a comparison of a configuration with what was imported of it.
+     * Creates a comparison of a configuration with the file imported from it.
      *
-     * @param hostInKeys whether a key's part before its first slash is the host
+     * @param hostInKeys whether the part of a key before its first slash is the host
      */
     NginxComparison(ConfParser.Conf conf, DaemonConfig imported, boolean hostInKeys) {
         model = new NginxReferenceModel(conf.directives());
@@ -36,7 +36,10 @@
         this.hostInKeys = hostInKeys;
     }
 
-    /** Where a key is sent; as server {@code any} if each of the pool may get it, {@code -} if none does. */
+    /**
+     * Where a key is sent. The server is {@code any} if any server of the pool can receive the key, {@code -} if none
+     * does.
+     */
     private record Target(String pool, String server) {
         private static final Target NONE = new Target("-", "-");
 
@@ -50,7 +53,7 @@
         }
     }
 
-    /** How many keys have which result. */
+    /** The number of keys with each result. */
     private static final class Counts {
         private long sameServer;
         private long samePool;
--- a/src/main/java/cacheproxy/cli/NginxConfDirectory.java
+++ b/src/main/java/cacheproxy/cli/NginxConfDirectory.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.regex.PatternSyntaxException;
 
-/** An nginx configuration's files on disk, below the prefix that relative names are resolved against. */
+/** The files of an nginx configuration on disk. Relative names are resolved against a prefix. */
 final class NginxConfDirectory implements ConfSource {
     private static final long MAX_FILE_BYTES = 64L << 20;
 
@@ -88,7 +88,8 @@
     }
 
     /**
-     * Lists a directory's entries that match, sorted; as in glob(3), hidden ones only if the pattern begins with a dot.
+     * Lists a directory's entries that match, sorted; as in glob(3), hidden entries match only if the pattern begins
+     * with a dot.
      */
     private static List<Path> listMatching(Path directory, String segment) throws UnreadableFileException {
         List<Path> matches = new ArrayList<>();
--- a/src/main/java/cacheproxy/cli/RunCommand.java
+++ b/src/main/java/cacheproxy/cli/RunCommand.java
@@ -17,7 +17,7 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** {@code run}: starts the daemon and blocks until the process is told to end. */
+/** {@code run}: starts the daemon and blocks until the process ends. */
 @Command(
         name = "run",
         mixinStandardHelpOptions = true,
--- a/src/main/java/cacheproxy/cli/SnapshotCommand.java
+++ b/src/main/java/cacheproxy/cli/SnapshotCommand.java
@@ -34,12 +34,12 @@
         throw new ParameterException(spec.commandLine(), "name show or verify");
     }
 
-    /** The file that a subcommand reads: that one alone, not the previous generation behind it. */
+    /** The file that a subcommand reads. The previous generation next to it is not read. */
     private static final class SnapshotFile {
         @Parameters(paramLabel = "FILE", description = "The memory file, or FILE.old behind it.")
         private Path file;
 
-        /** Decodes the file and prints what is damaged or skipped; nothing if no part of it can be used. */
+        /** Decodes the file and prints what is damaged or skipped; returns nothing if no part of it can be used. */
         private Optional<DecodedSnapshot> read(PrintWriter err) {
             Optional<DecodedSnapshot> decoded = decode(err);
             decoded.ifPresent(snapshot -> {
@@ -67,7 +67,7 @@
         }
     }
 
-    /** Whether the file is complete and all of its sections are known to this version. */
+    /** Returns whether the file is complete and all of its sections are known to this version. */
     private static boolean isIntact(DecodedSnapshot snapshot) {
         return snapshot.isComplete() && snapshot.skipped().isEmpty();
     }
--- a/src/main/java/cacheproxy/cli/SnapshotPrinter.java
+++ b/src/main/java/cacheproxy/cli/SnapshotPrinter.java
@@ -19,7 +19,7 @@
         this.out = out;
     }
 
-    /** Prints a snapshot; {@code nowMs} is the wall clock's time that its age is counted to. */
+    /** Prints a snapshot with its age at {@code nowMs}, a Unix time in milliseconds. */
     void print(StateSnapshot snapshot, long nowMs) {
         out.printf(
                 "site %s, proxy %d, generation %d, written %s, %.0f s ago%n",
--- a/src/main/java/cacheproxy/config/Addresses.java
+++ b/src/main/java/cacheproxy/config/Addresses.java
@@ -6,7 +6,7 @@
 import java.net.SocketAddress;
 import java.net.UnknownHostException;
 
-/** Literal socket addresses; host names are never resolved. */
+/** Parses and formats literal socket addresses; host names are never resolved. */
 public final class Addresses {
     private Addresses() {}
 
--- a/src/main/java/cacheproxy/config/ChunkedTomlParser.java
+++ b/src/main/java/cacheproxy/config/ChunkedTomlParser.java
@@ -7,8 +7,8 @@
 import org.tomlj.TomlPosition;
 
 /**
- * Parses a TOML text in chunks that begin at top-level tables. The parser keeps some 200 bytes for each character until
- * it is done; chunks bound that for files of any length.
+ * Parses a TOML text in chunks, each of which begins at a top-level table. The TOML parser holds about 200 bytes per
+ * character until it has finished a text; parsing in chunks bounds this memory for files of any length.
  */
 final class ChunkedTomlParser {
     /** A chunk ends at the first top-level table after this many characters. */
@@ -20,7 +20,7 @@
     /**
      * One parsed chunk.
      *
-     * @param linesBefore lines of the file before the chunk
+     * @param linesBefore number of lines of the file before the chunk
      */
     record Chunk(TomlParseResult toml, int linesBefore) {
         /** Converts a position in the chunk to one in the file; null stays null. */
@@ -50,7 +50,7 @@
         return chunks;
     }
 
-    /** Finds the starts of lines at which a chunk may begin, outside of strings, comments, arrays and inline tables. */
+    /** Finds the line starts at which a chunk can begin, outside of strings, comments, arrays and inline tables. */
     private void findBoundaries() {
         int openBrackets = 0;
         boolean atLineStart = true;
@@ -88,7 +88,8 @@
     }
 
     /**
-     * Returns whether a table's header without a dot begins here: {@code [[route]]}, but not {@code [[pool.server]]}.
+     * Returns whether the header of a top-level table begins at {@code start}: {@code [[route]]}, but not
+     * {@code [[pool.server]]}.
      */
     private boolean isTopLevelHeader(int start) {
         int i = start;
@@ -106,7 +107,10 @@
         return Character.isLetterOrDigit(character) || character == '_' || character == '-';
     }
 
-    /** Returns where {@code closing} begins, or the text's end if it is missing, which the TOML parser reports. */
+    /**
+     * Returns the index at which {@code closing} begins, or the length of the text if it is missing; the TOML parser
+     * reports that error.
+     */
     private int indexOf(String closing, int start, boolean escapes) {
         for (int i = start; i < text.length(); i++) {
             if (escapes && text.charAt(i) == '\\') {
--- a/src/main/java/cacheproxy/config/ConfigErrors.java
+++ b/src/main/java/cacheproxy/config/ConfigErrors.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.tomlj.TomlPosition;
 
-/** Collects the errors of one file with their places. */
+/** Collects the errors of one file with their positions. */
 final class ConfigErrors {
     private static final TomlPosition FILE_START = TomlPosition.positionAt(1, 1);
     private static final Comparator<Entry> FILE_ORDER =
@@ -16,30 +16,33 @@
 
     private record Entry(int line, int column, String message) {}
 
-    /** No errors yet; {@code file} is named in each line. */
+    /** Creates an empty collection; each error line begins with {@code file}. */
     ConfigErrors(String file) {
         this.file = file;
     }
 
-    /** Adds an error; a position of null stands for the file's start. */
+    /** Adds an error; a null position stands for the start of the file. */
     void add(TomlPosition position, String message) {
         TomlPosition place = position == null ? FILE_START : position;
         entries.add(new Entry(place.line(), place.column(), message));
     }
 
-    /** The number of errors so far. */
+    /** Returns the number of errors so far. */
     int count() {
         return entries.size();
     }
 
-    /** Throws if there are any. */
+    /** Throws an exception that holds all errors, if there are any. */
     void throwIfAny() throws ConfigException {
         if (!entries.isEmpty()) {
             throw new ConfigException(lines());
         }
     }
 
-    /** One line for each error, in the file's order; errors of one place in the order in which they were found. */
+    /**
+     * Returns one line for each error, in the order of the file; errors at the same position are in the order in which
+     * they were found.
+     */
     List<String> lines() {
         return entries.stream()
                 .sorted(FILE_ORDER)
@@ -47,7 +50,7 @@
                 .toList();
     }
 
-    /** A message of a library, on one line. */
+    /** Returns a library's message on one line, with each run of white space replaced by one space. */
     static String oneLine(String message) {
         return String.valueOf(message).replaceAll("\\s+", " ");
     }
--- a/src/main/java/cacheproxy/config/ConfigException.java
+++ b/src/main/java/cacheproxy/config/ConfigException.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 
-/** A configuration that cannot be used, with everything that is wrong with it. */
+/** Thrown if a configuration cannot be used; holds all errors that were found. */
 public final class ConfigException extends Exception {
     private static final long serialVersionUID = 1L;
     private final transient List<String> errors;
@@ -12,12 +12,14 @@
         this.errors = List.copyOf(errors);
     }
 
-    /** An exception for errors that were found after the file had been read, such as an address that is in use. */
+    /**
+     * Returns an exception for errors that were found after the file had been read, such as an address that is in use.
+     */
     public static ConfigException of(List<String> errors) {
         return new ConfigException(errors);
     }
 
-    /** One line for each error: {@code file:line:column: what is wrong, what is allowed}. */
+    /** Returns one line for each error: {@code file:line:column: what is wrong, what is allowed}. */
     public List<String> errors() {
         return errors;
     }
--- a/src/main/java/cacheproxy/config/ConfigReferences.java
+++ b/src/main/java/cacheproxy/config/ConfigReferences.java
@@ -9,13 +9,13 @@
 import java.util.Set;
 
 /**
- * What the sections of subsystems may refer to.
+ * The definitions of a configuration file that the sections of optional subsystems can refer to.
  *
  * @param file path of the configuration file
  * @param listeners names of listeners
  * @param routes names of routes
- * @param poolTables the pools' tables, for errors
- * @param serverNames by server id
+ * @param poolTables the tables of the pools by pool name, for reporting errors
+ * @param serverNames the names of the servers by server id
  */
 record ConfigReferences(
         String file,
@@ -28,7 +28,10 @@
         List<ServiceClass> classes,
         List<Tenant> tenants) {
 
-    /** Resolves a path of the file against the file's own directory; empty after an error. */
+    /**
+     * Resolves a path in the configuration file against the directory of that file; returns an empty path after an
+     * error.
+     */
     Path resolvePath(TomlTableReader table, String key, String text) {
         try {
             Path parent = Path.of(file).toAbsolutePath().getParent();
@@ -39,12 +42,12 @@
         }
     }
 
-    /** Names of the service classes, in the file's order. */
+    /** Returns the names of the service classes, in the order of the file. */
     List<String> classNames() {
         return classes.stream().map(ServiceClass::name).toList();
     }
 
-    /** Names of the tenants, in the file's order. */
+    /** Returns the names of the tenants, in the order of the file. */
     List<String> tenantNames() {
         return tenants.stream().map(Tenant::name).toList();
     }
--- a/src/main/java/cacheproxy/config/ConfigValues.java
+++ b/src/main/java/cacheproxy/config/ConfigValues.java
@@ -4,17 +4,20 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** Kinds of values that several sections have: names and addresses. */
+/** Reads the kinds of values that several sections contain: names and addresses. */
 final class ConfigValues {
     static final double HOUR_MS = 3_600_000;
 
     private static final int MAX_NAME_CHARS = 64;
-    /** Goes on in place of an address that could not be read. */
+    /** Replaces an address that could not be read, so that reading can continue. */
     private static final InetSocketAddress PLACEHOLDER_ADDRESS = new InetSocketAddress(0);
 
     private ConfigValues() {}
 
-    /** Returns whether a text can be a name: it stands in lists of names and values, which it must not break. */
+    /**
+     * Returns whether a text is a valid name. Names are written into lists of names and values, so they must not
+     * contain the separators of these lists.
+     */
     static boolean isName(String text) {
         return !text.isEmpty()
                 && text.length() <= MAX_NAME_CHARS
@@ -28,8 +31,8 @@
     /**
      * Reads the unique name of a table.
      *
-     * @param taken names so far, to which this one is added
-     * @param kind of table, in errors
+     * @param taken names read so far, to which this one is added
+     * @param kind kind of table, for error messages
      */
     static String uniqueName(TomlTableReader table, Set<String> taken, String kind) {
         String name = table.text("name");
@@ -44,12 +47,12 @@
         return name;
     }
 
-    /** Reads an address to listen at; port 0 leaves the choice to the system. */
+    /** Reads an address to listen on; with port 0 the operating system chooses the port. */
     static InetSocketAddress listenAddress(TomlTableReader table, String key) {
         return address(table, key).orElse(PLACEHOLDER_ADDRESS);
     }
 
-    /** Reads an address to send to. */
+    /** Reads the address of a server; port 0 is an error. */
     static InetSocketAddress serverAddress(TomlTableReader table, String key) {
         Optional<InetSocketAddress> address = address(table, key);
         if (address.isPresent() && address.get().getPort() == 0) {
--- a/src/main/java/cacheproxy/config/ControlConfig.java
+++ b/src/main/java/cacheproxy/config/ControlConfig.java
@@ -4,7 +4,7 @@
 
 /** {@code [control]}: the address at which operators reach the daemon. */
 public record ControlConfig(InetSocketAddress listen) {
-    /** Null if the file has no such section. */
+    /** Reads the section; returns null if the file has none. */
     static ControlConfig read(TomlTableReader root, ConfigReferences references) {
         TomlTableReader table = root.table("control");
         if (table == null) {
--- a/src/main/java/cacheproxy/config/DaemonConfig.java
+++ b/src/main/java/cacheproxy/config/DaemonConfig.java
@@ -11,10 +11,10 @@
 /**
  * The checked configuration file of the daemon. All times are in milliseconds.
  *
- * @param path of the file, for errors
+ * @param path path of the file, for error messages
  * @param keys format of keys
- * @param pools by name, in the file's order
- * @param sections of optional subsystems, by the classes of their records
+ * @param pools the pools by name, in the order of the file
+ * @param sections the sections of optional subsystems, by the class of their record
  */
 public record DaemonConfig(
         String path,
@@ -28,12 +28,14 @@
         RouteTable routes,
         Map<Class<?>, Object> sections) {
 
-    /** The section of an optional subsystem; null where the file has none. */
+    /** Returns the section of an optional subsystem; null if the file has none. */
     public <T> T section(Class<T> type) {
         return type.cast(sections.get(type));
     }
 
-    /** These pools and those that follow the last of them by its own {@code fallback}. */
+    /**
+     * Returns the given pools, followed by the pools that are reached from the last of them through {@code fallback}.
+     */
     public List<String> fallbackChain(List<String> poolNames) {
         List<String> chain = new ArrayList<>(poolNames);
         String next = pools.get(poolNames.get(poolNames.size() - 1)).fallback();
@@ -44,7 +46,7 @@
         return chain;
     }
 
-    /** The index of a service class; -1 if there is none of this name. */
+    /** Returns the index of a service class; -1 if there is none of this name. */
     public int classIndex(String name) {
         for (int i = 0; i < classes.size(); i++) {
             if (classes.get(i).name().equals(name)) {
@@ -54,7 +56,7 @@
         return -1;
     }
 
-    /** The index of a tenant; 0 where the file has no tenants, -1 if there is none of this name. */
+    /** Returns the index of a tenant; 0 if the file has no tenants, -1 if there is none of this name. */
     public int tenantIndex(String name) {
         for (int i = 0; i < tenants.size(); i++) {
             if (tenants.get(i).name().equals(name)) {
--- a/src/main/java/cacheproxy/config/DaemonConfigReader.java
+++ b/src/main/java/cacheproxy/config/DaemonConfigReader.java
@@ -19,12 +19,15 @@
 import java.util.function.Function;
 import java.util.stream.Collectors;
 
-/** Reads the daemon's configuration file and finds everything that is wrong with it, not only the first error. */
+/** Reads the daemon's configuration file and reports all errors in it, not only the first. */
 public final class DaemonConfigReader {
-    /** A file of 10,000 routes has some 2 MB; this bounds what a wrong path can make us read. */
+    /**
+     * Maximum size of a file, so that a wrong path does not make the daemon read a huge file. A file of 10,000 routes
+     * has about 2 MB.
+     */
     static final long MAX_FILE_BYTES = 32L << 20;
 
-    /** The sections of optional subsystems. */
+    /** The readers of the sections of optional subsystems. */
     private static final List<SectionReader> SECTIONS = List.of(
             ControlConfig::read, FleetConfig::read, SnapshotConfig::read, HooksConfig::read, SiblingsConfig::read);
 
@@ -39,7 +42,7 @@
     /**
      * Reads and checks a file.
      *
-     * @throws ConfigException with one line for each error, also if the file can't be read
+     * @throws ConfigException with one line for each error; also if the file cannot be read
      */
     public static DaemonConfig read(Path path) throws ConfigException {
         String text;
@@ -62,7 +65,7 @@
         return new ConfigException(List.of(path + ":1:1: " + reason));
     }
 
-    /** Reads and checks a text; {@code name} stands for the file in errors. */
+    /** Reads and checks a configuration text; error messages give {@code name} as the file. */
     public static DaemonConfig parse(String name, String text) throws ConfigException {
         return TomlTableReader.parse(name, text, root -> readRoot(name, root));
     }
@@ -114,7 +117,9 @@
         };
     }
 
-    /** The names that others can refer to; an entry without a name was reported. */
+    /**
+     * Returns the names that other sections can refer to. Entries without a name are left out; they have been reported.
+     */
     private static <T> List<String> names(Collection<T> entries, Function<T, String> name) {
         return entries.stream()
                 .map(name)
--- a/src/main/java/cacheproxy/config/DelegatedWatchConfig.java
+++ b/src/main/java/cacheproxy/config/DelegatedWatchConfig.java
@@ -3,10 +3,10 @@
 /**
  * {@code [fleet.watch]}: one proxy of a zone watches discovery for the zone.
  *
- * @param heartbeatMs between two heartbeats of it
- * @param heartbeatTtlMs for how long a heartbeat counts
- * @param followerPollMs between two polls of the other proxies
- * @param pollSpreadMs within which the others poll after a change
+ * @param heartbeatMs time between two heartbeats of the watching proxy
+ * @param heartbeatTtlMs how long a heartbeat is valid
+ * @param followerPollMs longest time between two polls of a proxy that does not watch
+ * @param pollSpreadMs time within which the other proxies poll after a change
  */
 public record DelegatedWatchConfig(
         double leaseMs,
@@ -19,10 +19,10 @@
     private static final double MAX_POLL_MS = 10_000;
 
     private static final double DEFAULT_LEASE_MS = 1000;
-    /** A heartbeat usually counts for so many periods, so that a lost one changes nothing. */
+    /** By default, a heartbeat is valid for this many heartbeat periods, so that the loss of one has no effect. */
     private static final int DEFAULT_TTL_HEARTBEATS = 3;
 
-    /** Null if the fleet has no such section. */
+    /** Reads the section; returns null if the fleet has none. */
     static DelegatedWatchConfig read(TomlTableReader fleet, double longestLeaseMs) {
         TomlTableReader table = fleet.table("watch");
         if (table == null) {
--- a/src/main/java/cacheproxy/config/DiscoveryConfig.java
+++ b/src/main/java/cacheproxy/config/DiscoveryConfig.java
@@ -4,13 +4,13 @@
 import java.util.List;
 
 /**
- * {@code [pool.discovery]}: a service whose endpoint list a pool follows.
+ * {@code [pool.discovery]}: the service that supplies a pool's endpoint list.
  *
- * @param kinds classes of machine that the list names
- * @param originKind the one of them that is the origin; null if there is none
+ * @param kinds the kinds of machines in the endpoint list
+ * @param originKind the kind of machine that is the origin; null if there is none
  */
 public record DiscoveryConfig(InetSocketAddress address, List<String> zones, List<String> kinds, String originKind) {
-    /** Reads the section of a pool; null if it has none. */
+    /** Reads the section of a pool; returns null if it has none. */
     static DiscoveryConfig read(TomlTableReader pool) {
         TomlTableReader table = pool.table("discovery");
         if (table == null) {
--- a/src/main/java/cacheproxy/config/FleetConfig.java
+++ b/src/main/java/cacheproxy/config/FleetConfig.java
@@ -10,16 +10,16 @@
 import java.util.Set;
 
 /**
- * {@code [fleet]} with its peers, and {@code [[duty]]}: the proxies that know one another, and the leases that they
- * share.
+ * {@code [fleet]} with its peers, and {@code [[duty]]}: the proxies of the fleet, and the leases that they share.
  *
  * @param self this proxy's name among the peers
- * @param listen where it receives the datagrams of the others
- * @param keys shared secrets, of which the first signs; if empty, senders are known by their addresses alone
+ * @param listen address at which this proxy receives the datagrams of its peers
+ * @param keys shared secrets, the first of which signs datagrams; if empty, senders are identified by their addresses
+ *     alone
  * @param longestLeaseMs the longest duration of any lease, the same at all proxies
  * @param healthCheck null if each proxy checks ejected servers by itself
  * @param delegatedWatch null if each proxy watches discovery by itself
- * @param quotas of the whole fleet
+ * @param quotas quotas of the whole fleet
  */
 public record FleetConfig(
         String self,
@@ -32,22 +32,22 @@
         DelegatedWatchConfig delegatedWatch,
         QuotasConfig quotas) {
     private static final int MIN_KEY_CHARS = 16;
-    /** The one that signs, and one that is accepted while keys are exchanged. */
+    /** The key that signs, and another one that is accepted while keys are rotated. */
     private static final int MAX_KEYS = 2;
 
-    /** Copies the lists. */
+    /** Copies the lists, so that the record is immutable. */
     public FleetConfig {
         keys = List.copyOf(keys);
         peers = List.copyOf(peers);
         leases = List.copyOf(leases);
     }
 
-    /** Names of the present peer list, or of that being adopted. */
+    /** Returns the names of the current peer list or, during a transition, of the peer list that is being adopted. */
     public List<String> peerNames() {
         return peerNames(null);
     }
 
-    /** The same of one zone; null for all zones. */
+    /** Returns the names of {@link #peerNames()} that are in one zone; null stands for all zones. */
     public List<String> peerNames(String zone) {
         return peers.stream()
                 .filter(peer -> !peer.leaving() && (zone == null || peer.zone().equals(zone)))
@@ -55,12 +55,12 @@
                 .toList();
     }
 
-    /** Names of the peer list that is being left; empty if there is no transition. */
+    /** Returns the names of the peer list that is being replaced; empty if there is no transition. */
     public List<String> previousPeerNames() {
         return previousPeerNames(null);
     }
 
-    /** The same of one zone; null for all zones. */
+    /** Returns the names of {@link #previousPeerNames()} that are in one zone; null stands for all zones. */
     public List<String> previousPeerNames(String zone) {
         List<PeerConfig> inZone = peers.stream()
                 .filter(peer -> zone == null || peer.zone().equals(zone))
@@ -74,7 +74,7 @@
                 .toList();
     }
 
-    /** The zone of this proxy; empty if it is no peer. */
+    /** Returns the zone of this proxy; empty if it is not in the list of peers. */
     public String zone() {
         return peers.stream()
                 .filter(peer -> peer.name().equals(self))
@@ -83,26 +83,26 @@
                 .orElse("");
     }
 
-    /** The leases over which ejected servers are spread for their health checks. */
+    /** Returns the names of the leases over which the health checks of ejected servers are distributed. */
     public List<String> healthCheckLeases() {
         return healthCheck == null
                 ? List.of()
                 : FleetNames.numberedNames(FleetNames.HEALTH_CHECK_PREFIX, healthCheck.leaseCount());
     }
 
-    /** The lease of watching discovery for a pool, on behalf of this proxy's zone. */
+    /** Returns the name of the lease for watching discovery of a pool on behalf of this proxy's zone. */
     public String watchLease(String pool) {
         return FleetNames.WATCH_PREFIX + zone() + "." + pool;
     }
 
-    /** What is allowed and yet unwise, for the command {@code check}. */
+    /** Returns warnings about settings that are allowed but unsafe, for the command {@code check}. */
     public List<String> warnings() {
         return keys.isEmpty()
                 ? List.of("[fleet] has no key_file: whoever can send from a peer's address can take its duties")
                 : List.of();
     }
 
-    /** Null if the file has no such section. */
+    /** Reads the section; returns null if the file has none. */
     static FleetConfig read(TomlTableReader root, ConfigReferences references) {
         TomlTableReader table = root.table("fleet");
         List<TomlTableReader> leases = root.tables("duty");
@@ -137,7 +137,7 @@
         return fleet;
     }
 
-    /** One key a line; empty if there is no file of them, or after an error. */
+    /** Reads the shared keys, one per line; empty if no key file is set, or after an error. */
     private static List<String> readKeys(TomlTableReader table, String file) {
         String text = table.text("key_file", null);
         if (text == null) {
--- a/src/main/java/cacheproxy/config/FleetNames.java
+++ b/src/main/java/cacheproxy/config/FleetNames.java
@@ -5,9 +5,9 @@
 import java.util.regex.Pattern;
 import java.util.stream.IntStream;
 
-/** Names and figures that the sections of the fleet have in common. */
+/** Names and settings that the sections of the fleet have in common. */
 final class FleetNames {
-    /** Prefixes of the names of the program's own leases, which {@code [[duty]]} can't have. */
+    /** Prefixes of the names of the program's own leases; names of {@code [[duty]]} tables must not begin with them. */
     static final String HEALTH_CHECK_PREFIX = "probe.";
 
     static final String WATCH_PREFIX = "watch.";
@@ -20,7 +20,7 @@
 
     private FleetNames() {}
 
-    /** Reads a unique name that can go into datagrams and paths. */
+    /** Reads a unique name that can be used in datagrams and URL paths. */
     static String uniqueName(TomlTableReader table, Set<String> taken, String kind) {
         String name = table.text("name");
         if (!name.isEmpty() && !NAME.matcher(name).matches()) {
@@ -32,19 +32,19 @@
         return name;
     }
 
-    /** Returns whether a lease has a name of the program's own. */
+    /** Returns whether the name of a lease is reserved for the program's own leases. */
     static boolean isReserved(String lease) {
         return lease.startsWith(HEALTH_CHECK_PREFIX)
                 || lease.startsWith(WATCH_PREFIX)
                 || lease.startsWith(QUOTA_PREFIX);
     }
 
-    /** Names of so many leases of one kind. */
+    /** Returns the names of {@code count} leases of one kind: the prefix with a number from 0 on. */
     static List<String> numberedNames(String prefix, int count) {
         return IntStream.range(0, count).mapToObj(i -> prefix + i).toList();
     }
 
-    /** Reads how long a lease lasts, at most {@code longestLeaseMs}. */
+    /** Reads the duration of a lease, which is at most {@code longestLeaseMs}. */
     static double leaseMs(TomlTableReader table, double longestLeaseMs, double defaultMs) {
         return table.number("lease_ms", Math.min(defaultMs, longestLeaseMs), MIN_LEASE_MS, longestLeaseMs);
     }
--- a/src/main/java/cacheproxy/config/FragmentedTable.java
+++ b/src/main/java/cacheproxy/config/FragmentedTable.java
@@ -7,24 +7,27 @@
 import java.util.Set;
 import org.tomlj.TomlPosition;
 
-/** A TOML table as the chunks of its file have it. Of a key that stands in several, the first counts. */
+/**
+ * A TOML table whose keys can be spread over several chunks of its file. If several chunks define a key, the first
+ * definition counts.
+ */
 record FragmentedTable(List<TomlFragment> fragments) {
-    /** A table that stands in one chunk. */
+    /** Returns a table that is defined in one chunk. */
     static FragmentedTable of(TomlFragment fragment) {
         return new FragmentedTable(List.of(fragment));
     }
 
-    /** A table without keys. */
+    /** Returns a table without keys. */
     static FragmentedTable empty() {
         return new FragmentedTable(List.of());
     }
 
-    /** The first fragment that has a key. */
+    /** Returns the first fragment that has a key. */
     Optional<TomlFragment> fragmentWith(String key) {
         return fragments.stream().filter(fragment -> fragment.has(key)).findFirst();
     }
 
-    /** The position of a key in the file; empty where it is absent. */
+    /** Returns the position of a key in the file; empty if the key is absent. */
     Optional<TomlPosition> positionOf(String key) {
         return fragments.stream()
                 .map(fragment -> fragment.positionOf(key))
@@ -32,7 +35,10 @@
                 .findFirst();
     }
 
-    /** The positions of a key's further definitions, which the TOML parser does not see as it reads by chunk. */
+    /**
+     * Returns the positions of all definitions of a key after the first. The TOML parser does not detect them, as it
+     * parses each chunk separately.
+     */
     List<TomlPosition> repeatedDefinitions(String key) {
         return fragments.stream()
                 .filter(fragment -> fragment.has(key))
@@ -41,7 +47,7 @@
                 .toList();
     }
 
-    /** All keys, in the file's order. */
+    /** Returns all keys, in the order of the file. */
     Set<String> keys() {
         Set<String> keys = new LinkedHashSet<>();
         fragments.forEach(fragment -> keys.addAll(fragment.table().keySet()));
--- a/src/main/java/cacheproxy/config/HealthCheckConfig.java
+++ b/src/main/java/cacheproxy/config/HealthCheckConfig.java
@@ -1,12 +1,12 @@
 package cacheproxy.config;
 
 /**
- * {@code [fleet.probe]}: one proxy of the fleet checks an ejected server for all.
+ * {@code [fleet.probe]}: one proxy of the fleet checks an ejected server on behalf of all.
  *
- * @param byClientRequests whether clients' requests serve as health checks, where servers accept no test commands
- * @param leaseCount leases over which servers are spread, the same at all proxies
- * @param resultTimeoutMs how long the others wait for a result
- * @param resultTtlMs for how long a result is reported again
+ * @param byClientRequests whether clients' requests serve as health checks, for servers that accept no test commands
+ * @param leaseCount number of leases over which servers are distributed, the same at all proxies
+ * @param resultTimeoutMs how long the other proxies wait for a result
+ * @param resultTtlMs how long a result is reported to other proxies without another check
  */
 public record HealthCheckConfig(
         boolean byClientRequests,
@@ -17,7 +17,7 @@
         double resultTtlMs) {
     private static final double DEFAULT_LEASE_MS = 1000;
 
-    /** Null if the fleet has no such section. */
+    /** Reads the section; returns null if the fleet has none. */
     static HealthCheckConfig read(TomlTableReader fleet, double longestLeaseMs) {
         TomlTableReader table = fleet.table("probe");
         if (table == null) {
--- a/src/main/java/cacheproxy/config/HookConfig.java
+++ b/src/main/java/cacheproxy/config/HookConfig.java
@@ -8,17 +8,17 @@
 /**
  * {@code [[hook]]}: a plug-in in WebAssembly.
  *
- * @param place in the configuration file, for errors
+ * @param place position in the configuration file, for error messages
  * @param module path of the WebAssembly module
  * @param sha256 digest that the module must have; null if it is not checked
- * @param listeners whose requests it gets; empty for all
- * @param routes names of the routes whose requests it gets; empty for all
- * @param rejectOnFailure whether a request is rejected where the hook fails; else it goes on unchanged
- * @param retryAfterMs after which clients of rejected requests may retry
- * @param queueCapacity calls that may wait
- * @param breakerFailureRatio part of the calls that may fail before the circuit breaker opens
+ * @param listeners names of the listeners whose requests the hook receives; empty for all
+ * @param routes names of the routes whose requests the hook receives; empty for all
+ * @param rejectOnFailure whether a request is rejected if the hook fails; otherwise it continues unchanged
+ * @param retryAfterMs time after which clients may retry a request that the hook rejects
+ * @param queueCapacity maximum number of waiting calls
+ * @param breakerFailureRatio fraction of the calls that can fail before the circuit breaker opens
  * @param breakerOffMs how long the circuit breaker stays open
- * @param config given to the module when it is loaded
+ * @param config text that is passed to the module when it is loaded
  */
 public record HookConfig(
         String name,
@@ -39,7 +39,7 @@
     private static final int MAX_CONFIG_CHARS = 32_768;
     private static final int MAX_ORDER = 1_000_000;
 
-    /** Reads one hook and adds its name to those taken. */
+    /** Reads one hook and adds its name to {@code names}. */
     static HookConfig read(TomlTableReader table, ConfigReferences references, Set<String> names) {
         String name = ConfigValues.uniqueName(table, names, "hook");
         Path module = references.resolvePath(table, "module", table.text("module"));
--- a/src/main/java/cacheproxy/config/HooksConfig.java
+++ b/src/main/java/cacheproxy/config/HooksConfig.java
@@ -7,21 +7,21 @@
 import java.util.Set;
 
 /**
- * All {@code [[hook]]}s of a file.
+ * All {@code [[hook]]} tables of a file.
  *
  * @param hooks in the order in which they are called
  */
 public record HooksConfig(List<HookConfig> hooks) {
-    /** Each has a thread. */
+    /** Maximum number of hooks; each has a thread of its own. */
     private static final int MAX_HOOKS = 16;
 
-    /** The hooks of a file; empty if it has none. */
+    /** Returns the hooks of a file; empty if it has none. */
     public static List<HookConfig> of(DaemonConfig file) {
         HooksConfig section = file.section(HooksConfig.class);
         return section == null ? List.of() : section.hooks;
     }
 
-    /** Null if the file has none. */
+    /** Reads all hooks; returns null if the file has none. */
     static HooksConfig read(TomlTableReader root, ConfigReferences references) {
         List<HookConfig> hooks = new ArrayList<>();
         Set<String> names = new HashSet<>();
--- a/src/main/java/cacheproxy/config/HostReader.java
+++ b/src/main/java/cacheproxy/config/HostReader.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Reads {@code [[host]]}: virtual hosts, where keys are paths. */
+/** Reads the virtual hosts ({@code [[host]]}) of a file whose keys are paths. */
 final class HostReader {
     private final Set<String> listeners;
     private final KeyFormat keys;
@@ -29,7 +29,7 @@
         return hosts;
     }
 
-    /** The names of the hosts read. */
+    /** Returns the names of the hosts read so far. */
     Set<String> names() {
         return names;
     }
--- a/src/main/java/cacheproxy/config/IcpConfig.java
+++ b/src/main/java/cacheproxy/config/IcpConfig.java
@@ -4,15 +4,16 @@
 import java.util.regex.Pattern;
 
 /**
- * {@code [icp]}: queries to siblings, and answers to theirs, by the Internet Cache Protocol (RFC 2186).
+ * {@code [icp]}: queries to siblings, and answers to the queries of siblings, by the Internet Cache Protocol (RFC
+ * 2186).
  *
- * @param urlPrefix with a key behind it, the URL of a query
- * @param listener where siblings fetch, whose routes say which pool answers for a key; null if no query is answered
- *     with a hit
- * @param rememberedKeys keys remembered as answered lately, a power of two
- * @param rememberMs for how long
- * @param maxPendingQueries queries without an answer yet
- * @param maxQueriesPerSecond queries, and answers, a second
+ * @param urlPrefix prefix that, followed by a key, is the URL of a query
+ * @param listener listener from which siblings fetch; its routes determine the pool of a queried key. Null if no query
+ *     is answered with a hit
+ * @param rememberedKeys number of recently answered keys to remember, a power of two
+ * @param rememberMs how long a key is remembered
+ * @param maxPendingQueries maximum number of queries that wait for an answer
+ * @param maxQueriesPerSecond maximum number of queries, and of answers, per second
  */
 public record IcpConfig(
         InetSocketAddress address,
@@ -27,7 +28,7 @@
     private static final int MAX_KEYS = 1 << 22;
     private static final int MAX_QUERIES = 1 << 20;
 
-    /** Null if the file has no such section. */
+    /** Reads the section; returns null if the file has none. */
     static IcpConfig read(TomlTableReader root, ConfigReferences references) {
         TomlTableReader table = root.table("icp");
         if (table == null) {
--- a/src/main/java/cacheproxy/config/KeyPatterns.java
+++ b/src/main/java/cacheproxy/config/KeyPatterns.java
@@ -6,7 +6,7 @@
 final class KeyPatterns {
     private KeyPatterns() {}
 
-    /** Compiles a pattern; null after an error, which names {@code key}. */
+    /** Compiles a pattern; returns null after reporting an error at {@code key}. */
     static KeyPattern compile(TomlTableReader table, String key, String regex) {
         try {
             return new KeyPattern(regex);
--- a/src/main/java/cacheproxy/config/LeaseConfig.java
+++ b/src/main/java/cacheproxy/config/LeaseConfig.java
@@ -8,7 +8,7 @@
 /**
  * {@code [[duty]]}: a named lease, held by one proxy of the fleet at a time.
  *
- * @param leaseMs how long it lasts without renewal
+ * @param leaseMs how long it is valid without renewal
  * @param voters how many peers vote on it, an odd number
  */
 public record LeaseConfig(String name, double leaseMs, int voters) {
--- a/src/main/java/cacheproxy/config/ListenerConfig.java
+++ b/src/main/java/cacheproxy/config/ListenerConfig.java
@@ -9,7 +9,7 @@
  * @param readClass service class of reads that name none; null if they must name one
  * @param writeClass service class of writes that name none; null if they must name one
  * @param tenant tenant of requests that name none; null if they must name one
- * @param deadlineMs deadline of requests that name none; 0 for that of their class
+ * @param deadlineMs deadline of requests that name none; 0 for the deadline of their class
  */
 public record ListenerConfig(
         String name,
--- a/src/main/java/cacheproxy/config/ListenerReader.java
+++ b/src/main/java/cacheproxy/config/ListenerReader.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Set;
 
-/** Reads {@code [[listen]]}, once the classes and tenants are known. */
+/** Reads the listeners ({@code [[listen]]}); the classes and tenants must have been read before. */
 final class ListenerReader {
-    /** Keys that stand for what plain commands can't say. */
+    /** Keys that supply what plain commands cannot specify. */
     private static final List<String> OPEN_ONLY_KEYS = List.of("class", "write_class", "tenant", "deadline_ms");
 
     private final List<String> classes;
--- a/src/main/java/cacheproxy/config/PeerConfig.java
+++ b/src/main/java/cacheproxy/config/PeerConfig.java
@@ -10,10 +10,10 @@
 /**
  * {@code [[fleet.peer]]}: a proxy of the fleet.
  *
- * @param address where the others reach it, and the source of its datagrams
- * @param zone where it stands; one proxy of each zone watches discovery
- * @param joining it is in the peer list that is being adopted, not in the previous one
- * @param leaving it is in the previous peer list only
+ * @param address address at which the other peers reach it, and the source address of its datagrams
+ * @param zone zone in which it runs; one proxy of each zone watches discovery
+ * @param joining whether it is in the peer list that is being adopted, but not in the previous one
+ * @param leaving whether it is only in the previous peer list
  */
 public record PeerConfig(String name, InetSocketAddress address, String zone, boolean joining, boolean leaving) {
     private static final Pattern ZONE = Pattern.compile("[A-Za-z0-9_-]{1,64}");
@@ -50,7 +50,7 @@
         return peer;
     }
 
-    /** Reports a list of peers that is too long. */
+    /** Reports an error if the list of peers is too long. */
     static void checkCount(TomlTableReader fleet, List<PeerConfig> peers) {
         if (peers.size() > MAX_PEERS) {
             fleet.error("peer", peers.size() + " peers; at most " + MAX_PEERS);
--- a/src/main/java/cacheproxy/config/PlacementTemplates.java
+++ b/src/main/java/cacheproxy/config/PlacementTemplates.java
@@ -2,14 +2,14 @@
 
 import cacheproxy.routes.PlacementTemplate;
 
-/** Reads what a placement hashes. */
+/** Reads the templates of the texts that placements hash. */
 final class PlacementTemplates {
     private PlacementTemplates() {}
 
     /**
-     * Reads a template; null where the key is absent or after an error.
+     * Reads a template; returns null if the key is absent or after an error.
      *
-     * @param groups of the route's regex that the template may refer to
+     * @param groups number of groups in the route's regex, to which the template can refer
      */
     static PlacementTemplate read(TomlTableReader table, String key, int groups) {
         String text = table.text(key, null);
--- a/src/main/java/cacheproxy/config/PoolReader.java
+++ b/src/main/java/cacheproxy/config/PoolReader.java
@@ -10,7 +10,7 @@
 import java.util.Map;
 import java.util.Set;
 
-/** Reads {@code [[pool]]} with its servers and checks where pools fall back to. */
+/** Reads the pools ({@code [[pool]]}) with their servers, and checks the fallbacks of pools. */
 final class PoolReader {
     private final Map<String, PoolConfig> pools = new LinkedHashMap<>();
     private final Map<String, TomlTableReader> tables = new HashMap<>();
@@ -25,17 +25,17 @@
         return reader;
     }
 
-    /** The pools by name, in the file's order. */
+    /** Returns the pools by name, in the order of the file. */
     Map<String, PoolConfig> pools() {
         return pools;
     }
 
-    /** The tables of the pools by name. */
+    /** Returns the tables of the pools by pool name. */
     Map<String, TomlTableReader> tables() {
         return tables;
     }
 
-    /** Names of all servers by server id. */
+    /** Returns the names of all servers by server id. */
     Map<Integer, String> serverNames() {
         return serverReader.namesById();
     }
@@ -114,7 +114,10 @@
         }
     }
 
-    /** nginx's placements depend on the order of servers, and weights are whole numbers there. */
+    /**
+     * Reports settings that nginx's placements do not support: these depend on the order of servers, and their weights
+     * are whole numbers.
+     */
     private static void checkNginxPlacement(
             TomlTableReader table, String placement, List<ServerConfig> servers, DiscoveryConfig discovery) {
         if (discovery != null) {
@@ -154,7 +157,7 @@
         }
     }
 
-    /** Each pool of a cycle reports it at its own line; pools that only lead to one don't. */
+    /** Reports a cycle at the line of each pool that is part of it, but not at pools that only lead into it. */
     private void rejectFallbackCycle(PoolConfig start, TomlTableReader table) {
         List<String> path = new ArrayList<>(List.of(start.name()));
         PoolConfig current = start;
--- a/src/main/java/cacheproxy/config/ProcessLimitsConfig.java
+++ b/src/main/java/cacheproxy/config/ProcessLimitsConfig.java
@@ -1,15 +1,15 @@
 package cacheproxy.config;
 
 /**
- * {@code [limits]}: bounds of the process.
+ * {@code [limits]}: limits of the process.
  *
- * @param memoryMb memory of the process in MiB; an eighth of it may hold clients' values
- * @param sockets file descriptors of the process
+ * @param memoryMb memory of the process in MiB; an eighth of it can hold clients' values
+ * @param sockets number of file descriptors that the process can use
  * @param idleCloseMs idle connections to servers are closed after this time
- * @param maxAttempts attempts of one request
+ * @param maxAttempts maximum number of attempts of one request
  * @param maxRetryAfterMs longest time after which a client is told to retry
  * @param hedging whether a slow request may be sent to a second server
- * @param unknownCapacity requests a second of a warm server that has no {@code capacity}
+ * @param unknownCapacity assumed capacity, in requests per second, of a warm server that has no {@code capacity}
  */
 public record ProcessLimitsConfig(
         int memoryMb,
@@ -24,7 +24,7 @@
     private static final int MAX_MEMORY_MB = 1 << 20;
     private static final int MAX_SOCKETS = 1 << 24;
 
-    /** Reads the section; where it is absent the defaults hold. */
+    /** Reads the section; if it is absent, the defaults apply. */
     static ProcessLimitsConfig read(TomlTableReader root) {
         TomlTableReader table = root.tableOrEmpty("limits");
         ProcessLimitsConfig limits = new ProcessLimitsConfig(
--- a/src/main/java/cacheproxy/config/QuotaConfig.java
+++ b/src/main/java/cacheproxy/config/QuotaConfig.java
@@ -7,14 +7,15 @@
 /**
  * {@code [[fleet.limit]]}: one quota of the whole fleet, on a rate or on requests in progress.
  *
- * @param pool the pool that it bounds; null for all together
- * @param tenant the tenant that it bounds; null for all together, {@code *} for each by itself
- * @param serviceClass the class that it bounds; null for all together
- * @param perSecond requests a second; 0 if it bounds requests in progress
- * @param burst requests that may be saved up, over the whole fleet
- * @param maxInFlight requests in progress; 0 if it bounds a rate
- * @param whenIsolated what an isolated proxy may spend: {@code share}, {@code last} or {@code none}
- * @param shareFraction the part of the quota that proxies own without a grant, 0 to 1
+ * @param pool the pool whose requests it limits; null for all pools together
+ * @param tenant the tenant whose requests it limits; null for all tenants together, {@code *} for each tenant
+ *     separately
+ * @param serviceClass the class whose requests it limits; null for all classes together
+ * @param perSecond limit of requests per second; 0 if it limits requests in progress
+ * @param burst number of requests that unused quota can accumulate, over the whole fleet
+ * @param maxInFlight limit of requests in progress; 0 if it limits a rate
+ * @param whenIsolated what an isolated proxy can use of the quota: {@code share}, {@code last} or {@code none}
+ * @param shareFraction fraction of the quota that is allocated to the proxies without a grant, 0 to 1
  */
 public record QuotaConfig(
         String name,
@@ -26,12 +27,12 @@
         int maxInFlight,
         String whenIsolated,
         double shareFraction) {
-    /** The tenant that stands for each tenant by itself. */
+    /** The value of {@code tenant} that stands for each tenant separately. */
     private static final String EACH_TENANT = "*";
 
     private static final double MAX_PER_SECOND = 1e7;
 
-    /** What it bounds, for operators. */
+    /** Returns a description of what the quota limits, for operators. */
     public String scope() {
         List<String> parts = new ArrayList<>();
         if (pool != null) {
@@ -46,12 +47,12 @@
         return parts.isEmpty() ? "all" : String.join(", ", parts);
     }
 
-    /** How many quotas it is when each tenant's own is counted. */
+    /** Returns the number of quotas that this one stands for, with a quota for each tenant counted separately. */
     int countForTenants(int tenantCount) {
         return EACH_TENANT.equals(tenant) ? Math.max(1, tenantCount) : 1;
     }
 
-    /** Reads one quota and adds its name to those taken. */
+    /** Reads one quota and adds its name to {@code names}. */
     static QuotaConfig read(TomlTableReader table, Set<String> names, ConfigReferences references) {
         String name = FleetNames.uniqueName(table, names, "limit");
         String pool = table.reference("pool", references.pools().keySet(), "pool");
--- a/src/main/java/cacheproxy/config/QuotasConfig.java
+++ b/src/main/java/cacheproxy/config/QuotasConfig.java
@@ -7,12 +7,12 @@
 import java.util.Set;
 
 /**
- * {@code [fleet.limits]} and {@code [[fleet.limit]]}: what all proxies of a fleet together may spend.
+ * {@code [fleet.limits]} and {@code [[fleet.limit]]}: the quotas that all proxies of a fleet share.
  *
- * @param grantTtlMs for how long a grant may be spent, the same at all proxies
+ * @param grantTtlMs how long a grant can be used, the same at all proxies
  * @param leaseMs duration of the allocators' leases
- * @param leaseCount leases over which quotas are spread, the same at all proxies
- * @param maxHoldMs longest time for which a request is in progress
+ * @param leaseCount number of leases over which quotas are distributed, the same at all proxies
+ * @param maxHoldMs longest time that a request can be in progress
  */
 public record QuotasConfig(
         double grantTtlMs, double leaseMs, int voters, int leaseCount, double maxHoldMs, List<QuotaConfig> quotas) {
@@ -21,17 +21,17 @@
     /** A request is answered at most this long after its deadline. */
     private static final double MAX_ANSWER_DELAY_MS = 250;
 
-    /** Copies the list. */
+    /** Copies the list, so that the record is immutable. */
     public QuotasConfig {
         quotas = List.copyOf(quotas);
     }
 
-    /** The leases of the allocators; empty if there are no quotas. */
+    /** Returns the names of the allocators' leases; empty if there are no quotas. */
     public List<String> leaseNames() {
         return quotas.isEmpty() ? List.of() : FleetNames.numberedNames(FleetNames.QUOTA_PREFIX, leaseCount);
     }
 
-    /** Reads the quotas of a fleet; without a section of their own the defaults hold. */
+    /** Reads the quotas of a fleet; if there is no {@code [fleet.limits]}, its defaults apply. */
     static QuotasConfig read(TomlTableReader fleet, ConfigReferences references, double longestLeaseMs) {
         TomlTableReader table = fleet.tableOrEmpty("limits");
         double grantTtlMs = table.number("grant_ms", 1000, 100, 60_000);
--- a/src/main/java/cacheproxy/config/RouteReader.java
+++ b/src/main/java/cacheproxy/config/RouteReader.java
@@ -19,7 +19,10 @@
 import java.util.Set;
 import java.util.stream.Collectors;
 
-/** Reads {@code [[route]]}, and the hosts that routes may name, once everything else that they name is known. */
+/**
+ * Reads the routes ({@code [[route]]}) and the hosts that they can name. Everything else that they name must have been
+ * read before.
+ */
 final class RouteReader {
     private static final int MAX_PATTERNS = 4;
     private static final int MAX_ORDER = 1_000_000;
@@ -32,7 +35,7 @@
     private final HostReader hostReader;
     private final Set<String> names = new HashSet<>();
 
-    /** Reads routes that refer to these listeners, classes, tenants and pools. */
+    /** Creates a reader of routes that can refer to these listeners, classes, tenants and pools. */
     RouteReader(
             ConfigErrors errors,
             KeyFormat keys,
@@ -83,7 +86,7 @@
                                 + "lower order, or leave it out");
     }
 
-    /** Null if it has no action, after an error. */
+    /** Reads one route; returns null if it has no valid action, which is reported. */
     private Route readRoute(TomlTableReader table, int position) {
         String name = ConfigValues.uniqueName(table, names, "route");
         RouteConditions conditions = readConditions(table, name);
@@ -178,7 +181,7 @@
         }
     }
 
-    /** Null after an error. */
+    /** Reads the action of a route; returns null after an error. */
     private Route.Action readAction(TomlTableReader table, String name) {
         List<String> poolNames = table.texts("pools");
         boolean refuse = table.has("refuse_ms");
--- a/src/main/java/cacheproxy/config/ServerConfig.java
+++ b/src/main/java/cacheproxy/config/ServerConfig.java
@@ -7,10 +7,10 @@
  *
  * @param id hash of the name, the same at every proxy
  * @param address null where the server is down and has none
- * @param backup whether it is used only where no other server can be
- * @param warm whether it has long been running though it is new in the file
- * @param capacity requests a second when warm; 0 if unknown
- * @param ring its text in nginx's consistent placement
+ * @param backup whether it is used only if no other server can be used
+ * @param warm whether it has been running for a long time although it is new in the file
+ * @param capacity requests per second when warm; 0 if unknown
+ * @param ring text that stands for the server in nginx's consistent placement
  */
 public record ServerConfig(
         String name,
--- a/src/main/java/cacheproxy/config/ServerReader.java
+++ b/src/main/java/cacheproxy/config/ServerReader.java
@@ -12,7 +12,7 @@
     private final Map<InetSocketAddress, String> namesByAddress = new HashMap<>();
     private final Map<Integer, String> namesById = new HashMap<>();
 
-    /** Names of the servers read so far, by id. */
+    /** Returns the names of the servers read so far, by id. */
     Map<Integer, String> namesById() {
         return namesById;
     }
@@ -20,12 +20,12 @@
     /**
      * Reads a server.
      *
-     * @param namesInPool names so far in its pool, to which this one is added
-     * @param kind its kind if the table has none
+     * @param namesInPool names of the servers read so far in its pool, to which this one is added
+     * @param kind kind of the server if the table names none
      */
     ServerConfig read(TomlTableReader table, Set<String> namesInPool, String kind) {
         String name = ConfigValues.uniqueName(table, namesInPool, "server");
-        // A server that is down needs no address: it only keeps its place in nginx's placements.
+        // A server that is down needs no address: it only keeps its position in nginx's placements.
         boolean hasAddress = !table.flag("down", false) || table.has("dial");
         InetSocketAddress address = hasAddress ? ConfigValues.serverAddress(table, "dial") : null;
         int id = ServerId.fromName(name);
--- a/src/main/java/cacheproxy/config/ServiceClassReader.java
+++ b/src/main/java/cacheproxy/config/ServiceClassReader.java
@@ -9,11 +9,11 @@
 import java.util.List;
 import java.util.Set;
 
-/** Reads {@code [[class]]} and {@code [[tenant]]}: what requests are and whose they are. */
+/** Reads the service classes ({@code [[class]]}) and the tenants ({@code [[tenant]]}). */
 final class ServiceClassReader {
     private ServiceClassReader() {}
 
-    /** Reads all service classes, in the file's order. */
+    /** Reads all service classes, in the order of the file. */
     static List<ServiceClass> readClasses(TomlTableReader root) {
         List<ServiceClass> classes = new ArrayList<>();
         Set<String> names = new HashSet<>();
@@ -63,7 +63,7 @@
         };
     }
 
-    /** Reads all tenants, in the file's order. */
+    /** Reads all tenants, in the order of the file. */
     static List<Tenant> readTenants(TomlTableReader root) {
         List<Tenant> tenants = new ArrayList<>();
         Set<String> names = new HashSet<>();
--- a/src/main/java/cacheproxy/config/SiblingConfig.java
+++ b/src/main/java/cacheproxy/config/SiblingConfig.java
@@ -8,13 +8,13 @@
  * {@code [[sibling]]}: a proxy of another fleet whose cache is queried before the origin.
  *
  * @param id hash of the name, distinct from the ids of all servers
- * @param icpAddress where it answers ICP queries, and from where it sends its own
- * @param fetchAddress its listener for fetches
- * @param className the service class that it has for fetches
+ * @param icpAddress address at which it answers ICP queries, and from which it sends its own queries
+ * @param fetchAddress address of its listener for fetches
+ * @param className name of its service class for fetches
  */
 public record SiblingConfig(
         String name, int id, InetSocketAddress icpAddress, InetSocketAddress fetchAddress, String className) {
-    /** Reads one sibling and adds its name and id to those taken. */
+    /** Reads one sibling and adds its name and id to {@code names} and {@code ids}. */
     static SiblingConfig read(TomlTableReader table, ConfigReferences references, Set<String> names, Set<Integer> ids) {
         String name = ConfigValues.uniqueName(table, names, "sibling");
         int id = ServerId.fromName("sibling/" + name);
--- a/src/main/java/cacheproxy/config/SiblingsConfig.java
+++ b/src/main/java/cacheproxy/config/SiblingsConfig.java
@@ -6,20 +6,20 @@
 import java.util.Set;
 
 /**
- * {@code [icp]} and all {@code [[sibling]]}s: caches of other fleets that are queried before the origin.
+ * {@code [icp]} and all {@code [[sibling]]} tables: caches of other fleets that are queried before the origin.
  *
  * @param icp null if no queries are sent or answered
  */
 public record SiblingsConfig(IcpConfig icp, List<SiblingConfig> siblings) {
     private static final SiblingsConfig NONE = new SiblingsConfig(null, List.of());
 
-    /** What a file says of siblings; never null. */
+    /** Returns the siblings of a file; never null. */
     public static SiblingsConfig of(DaemonConfig file) {
         SiblingsConfig section = file.section(SiblingsConfig.class);
         return section == null ? NONE : section;
     }
 
-    /** The sibling of this name, which must exist. */
+    /** Returns the sibling of this name, which must exist. */
     public SiblingConfig sibling(String name) {
         return siblings.stream()
                 .filter(sibling -> sibling.name().equals(name))
@@ -27,7 +27,7 @@
                 .orElseThrow();
     }
 
-    /** Null if the file says nothing of siblings. */
+    /** Reads the sections; returns null if the file has none of them. */
     static SiblingsConfig read(TomlTableReader root, ConfigReferences references) {
         List<SiblingConfig> siblings = new ArrayList<>();
         Set<String> names = new HashSet<>();
--- a/src/main/java/cacheproxy/config/SiteConfig.java
+++ b/src/main/java/cacheproxy/config/SiteConfig.java
@@ -1,13 +1,13 @@
 package cacheproxy.config;
 
 /**
- * {@code [site]}: what holds for the whole installation.
+ * {@code [site]}: settings of the whole installation.
  *
- * @param proxyIndex this proxy's index among those of the tier, from 0
- * @param proxyCount how many proxies share the servers
+ * @param proxyIndex this proxy's index among the proxies of the tier, from 0
+ * @param proxyCount number of proxies that share the servers
  * @param zone this proxy's zone
- * @param drainGraceMs for how long a server that leaves may still be sent to
- * @param startCapacity part of its capacity that a server has right after its start, 0 to 1
+ * @param drainGraceMs how long requests may still be sent to a server that is leaving
+ * @param startCapacity fraction of its capacity that a server has right after its start, 0 to 1
  * @param warmUpMs how long a server takes to warm up; 0 if all are warm at once
  * @param tipMultiple a server that is warming up fails if it is sent this multiple of its capacity for {@code fallMs}
  */
@@ -23,7 +23,7 @@
         double fallMs) {
     private static final int MAX_PROXIES = 10_000;
 
-    /** Reads the section; where it is absent the defaults hold. */
+    /** Reads the section; if it is absent, the defaults apply. */
     static SiteConfig read(TomlTableReader root) {
         TomlTableReader table = root.tableOrEmpty("site");
         int proxyCount = table.integer("instances", 1, 1, MAX_PROXIES);
--- a/src/main/java/cacheproxy/config/SnapshotConfig.java
+++ b/src/main/java/cacheproxy/config/SnapshotConfig.java
@@ -6,13 +6,13 @@
 /**
  * {@code [memory]}: where snapshots of the learned state are kept.
  *
- * @param path the snapshot file; three more stand beside it
- * @param periodMs least time between two snapshots
- * @param maxHotKeys hot keys saved for each pool
- * @param bytesPerSecond bound of what is written
+ * @param path the snapshot file; three more files are kept in its directory
+ * @param periodMs minimum time between two snapshots
+ * @param maxHotKeys maximum number of hot keys saved for each pool
+ * @param bytesPerSecond maximum rate of bytes written
  */
 public record SnapshotConfig(Path path, double periodMs, int maxHotKeys, double bytesPerSecond) {
-    /** Null if the file has no such section. */
+    /** Reads the section; returns null if the file has none. */
     static SnapshotConfig read(TomlTableReader root, ConfigReferences references) {
         TomlTableReader table = root.table("memory");
         if (table == null) {
--- a/src/main/java/cacheproxy/config/TomlTableReader.java
+++ b/src/main/java/cacheproxy/config/TomlTableReader.java
@@ -12,8 +12,9 @@
 import org.tomlj.TomlTable;
 
 /**
- * Reads the values of one TOML table. Every key that is asked for counts as known; {@link #rejectUnknownKeys} reports
- * all others. An error is collected with its place and the default is returned, so that one pass finds every error.
+ * Reads the values of one TOML table. Every key that has been requested counts as known; {@link #rejectUnknownKeys}
+ * reports all others. An error is collected with its position and the default is returned, so that one pass finds every
+ * error.
  */
 public final class TomlTableReader {
     /** Whole numbers below this are printed without a fraction; a double holds all of them exactly. */
@@ -33,8 +34,8 @@
     }
 
     /**
-     * Parses a TOML text and reads it whole. Unknown keys of the top level are errors as well; for other tables the
-     * reader calls {@link #rejectUnknownKeys}.
+     * Parses and reads a whole TOML text. Unknown keys of the top level are reported here; for other tables the reader
+     * calls {@link #rejectUnknownKeys}.
      *
      * @param file name of the file in errors
      * @param reader reads the top-level table
@@ -60,12 +61,12 @@
         return result;
     }
 
-    /** The errors of the whole file. */
+    /** Returns the errors of the whole file. */
     ConfigErrors errors() {
         return errors;
     }
 
-    /** The position of a key, or of the table if the key is absent. */
+    /** Returns the position of a key, or of the table if the key is absent. */
     TomlPosition positionOf(String key) {
         return content.positionOf(key).orElse(position);
     }
@@ -75,7 +76,7 @@
         errors.add(positionOf(key), message);
     }
 
-    /** Returns whether the table has a key, which is known from then on. */
+    /** Returns whether the table has a key, and marks the key as known. */
     public boolean has(String key) {
         knownKeys.add(key);
         return content.fragmentWith(key).isPresent();
@@ -86,7 +87,7 @@
         return content.fragmentWith(key).map(fragment -> fragment.get(key)).orElse(null);
     }
 
-    /** A required, non-empty text; empty after an error. */
+    /** Returns a required, non-empty text; empty after an error. */
     public String text(String key) {
         String value = text(key, null);
         if (value == null) {
@@ -101,7 +102,7 @@
         return value;
     }
 
-    /** An optional text. */
+    /** Returns an optional text. */
     public String text(String key, String defaultValue) {
         Object value = value(key);
         if (value == null) {
@@ -114,7 +115,7 @@
         return defaultValue;
     }
 
-    /** An optional number from {@code min} to {@code max}; {@code absent} itself is not checked. */
+    /** Returns an optional number from {@code min} to {@code max}; {@code defaultValue} itself is not checked. */
     public double number(String key, double defaultValue, double min, double max) {
         Object value = value(key);
         if (value == null) {
@@ -129,7 +130,7 @@
         return number;
     }
 
-    /** An optional whole number from {@code min} to {@code max}; {@code absent} itself is not checked. */
+    /** Returns an optional whole number from {@code min} to {@code max}; {@code defaultValue} itself is not checked. */
     public int integer(String key, int defaultValue, int min, int max) {
         Object value = value(key);
         if (value != null && !(value instanceof Long)) {
@@ -145,7 +146,7 @@
                 : Double.toString(number);
     }
 
-    /** An optional boolean. */
+    /** Returns an optional boolean. */
     public boolean flag(String key, boolean defaultValue) {
         Object value = value(key);
         if (value == null) {
@@ -158,12 +159,12 @@
         return defaultValue;
     }
 
-    /** A boolean; null where the key is absent. */
+    /** Returns a boolean; null if the key is absent. */
     Boolean flagOrNull(String key) {
         return has(key) ? Boolean.valueOf(flag(key, false)) : null;
     }
 
-    /** An optional text that must be one of those allowed. */
+    /** Returns an optional text, which must be one of {@code allowed}. */
     public String oneOf(String key, String defaultValue, String... allowed) {
         String value = text(key, null);
         if (value == null) {
@@ -177,10 +178,10 @@
     }
 
     /**
-     * An optional text that must be a name that the file defines.
+     * Returns an optional text, which must be a name that the file defines.
      *
-     * @param kind what the names stand for, in the error
-     * @return the text even after an error; null where the key is absent
+     * @param kind what the names denote, for error messages
+     * @return the text, even after an error; null if the key is absent
      */
     String reference(String key, Collection<String> names, String kind) {
         String value = text(key, null);
@@ -190,14 +191,14 @@
         return value;
     }
 
-    /** The texts of a key without repeats, each of which must be a name that the file defines. */
+    /** Returns the distinct texts of a key, each of which must be a name that the file defines. */
     List<String> references(String key, Collection<String> names, String kind) {
         List<String> values = texts(key);
         values.forEach(value -> checkReference(key, value, names, kind));
         return values.stream().distinct().toList();
     }
 
-    /** Reports a value that is none of the names that the file defines; returns whether it is one. */
+    /** Returns whether a value is one of the names that the file defines; reports an error if it is not. */
     boolean checkReference(String key, String value, Collection<String> names, String kind) {
         if (names.contains(value)) {
             return true;
@@ -209,7 +210,7 @@
         return false;
     }
 
-    /** A text or a list of texts; empty where the key is absent. */
+    /** Returns the texts of a key, which holds one text or a list of texts; empty if the key is absent. */
     public List<String> texts(String key) {
         Object value = value(key);
         if (value instanceof String text) {
@@ -231,7 +232,7 @@
         return texts;
     }
 
-    /** The table under a key; null where it is absent. */
+    /** Returns the table under a key; null if it is absent. */
     public TomlTableReader table(String key) {
         Object value = value(key);
         rejectRepeatedDefinitions(key);
@@ -246,7 +247,7 @@
         return null;
     }
 
-    /** The table under a key; where it is absent an empty one, of which every value is the default. */
+    /** Returns the table under a key; if it is absent, an empty table, of which every value is the default. */
     TomlTableReader tableOrEmpty(String key) {
         TomlTableReader table = table(key);
         return table != null ? table : new TomlTableReader(FragmentedTable.empty(), key, position, errors);
@@ -260,7 +261,7 @@
         }
     }
 
-    /** The tables under a key, in the file's order. */
+    /** Returns the tables under a key, in the order of the file. */
     public List<TomlTableReader> tables(String key) {
         knownKeys.add(key);
         List<TomlTableReader> tables = new ArrayList<>();
@@ -287,7 +288,7 @@
         }
     }
 
-    /** Reports the keys that nothing has asked for; to be called once all have been. */
+    /** Reports the keys that have not been requested; must be called after all known keys have been requested. */
     public void rejectUnknownKeys() {
         Set<String> keys = content.keys();
         keys.removeAll(knownKeys);
--- a/src/main/java/cacheproxy/config/TrafficShareReader.java
+++ b/src/main/java/cacheproxy/config/TrafficShareReader.java
@@ -5,13 +5,13 @@
 import cacheproxy.routes.SplitShare;
 import cacheproxy.routes.TrafficShare;
 
-/** Reads the {@code share} of a route: the part of the keys that it takes. */
+/** Reads the {@code share} of a route: the fraction of the keys that the route matches. */
 final class TrafficShareReader {
     private static final int STEPS_PER_PERCENT = 100;
 
     private TrafficShareReader() {}
 
-    /** Null if the route has none, or after an error. */
+    /** Reads the share; returns null if the route has none, or after an error. */
     static TrafficShare read(TomlTableReader route) {
         TomlTableReader table = route.table("share");
         if (table == null) {
@@ -22,7 +22,7 @@
                 : readKeyShare(table);
     }
 
-    /** A share by nginx's hash, as {@code split_clients} has it. */
+    /** Reads a share by nginx's hash, as in {@code split_clients}. */
     private static TrafficShare readSplitShare(TomlTableReader table) {
         PlacementTemplate template = PlacementTemplates.read(table, "by", 0);
         long from = (long) table.number("from_hash", 0, 0, SplitShare.HASH_RANGE);
--- a/src/main/java/cacheproxy/snapshot/DecodedSnapshot.java
+++ b/src/main/java/cacheproxy/snapshot/DecodedSnapshot.java
@@ -4,14 +4,14 @@
 import java.util.List;
 
 /**
- * What was read from a snapshot file.
+ * The result of decoding a snapshot file.
  *
  * @param content the snapshot, without damaged and skipped sections; null if nothing of it can be used
- * @param faults what is damaged, each with its place in the file; empty: the file is complete
- * @param skipped sections that a newer program has written
+ * @param faults descriptions of the damage, each with its position in the file; empty if the file is complete
+ * @param skipped descriptions of sections that a newer program has written
  */
 public record DecodedSnapshot(StateSnapshot content, List<String> faults, List<String> skipped) {
-    /** Whether the file is as it was written. */
+    /** Returns whether the file is usable and undamaged. */
     public boolean isComplete() {
         return content != null && faults.isEmpty();
     }
--- a/src/main/java/cacheproxy/snapshot/InvalidSectionException.java
+++ b/src/main/java/cacheproxy/snapshot/InvalidSectionException.java
@@ -1,7 +1,8 @@
 package cacheproxy.snapshot;
 
 /**
- * The content of a section with a valid checksum cannot be a snapshot's; the message says which value, for operators.
+ * Thrown if the content of a section is invalid although its checksum is valid; the message names the value, for
+ * operators.
  */
 final class InvalidSectionException extends Exception {
     private static final long serialVersionUID = 1L;
--- a/src/main/java/cacheproxy/snapshot/SectionKind.java
+++ b/src/main/java/cacheproxy/snapshot/SectionKind.java
@@ -15,7 +15,7 @@
     LOAD(4, 1),
     /** Hot keys of one pool. */
     HOT_KEYS(5, 1),
-    /** Starts of servers that no endpoint list tells of. */
+    /** Start times of servers that are in no endpoint list. */
     SERVER_STARTS(6, 1);
 
     /** The kind's number in a file. */
--- a/src/main/java/cacheproxy/snapshot/SectionReader.java
+++ b/src/main/java/cacheproxy/snapshot/SectionReader.java
@@ -5,12 +5,11 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Reads the content of one section. No length and no count is trusted before the bytes are known to be there, and no
- * value that is out of its range. All methods throw {@link java.nio.BufferUnderflowException} if the section ends
- * early.
+ * Reads the content of one section. Lengths and counts are checked against the bytes that remain, and values against
+ * their ranges. All methods throw {@link java.nio.BufferUnderflowException} if the section ends early.
  */
 final class SectionReader {
-    /** Greatest start time: later than any time, for a server that is yet to be used. */
+    /** Maximum start time. It allows times in the far future, which stand for a server that is yet to be used. */
     private static final double MAX_START_MS = 1e300;
 
     private final ByteBuffer content;
@@ -19,7 +18,7 @@
         this.content = content;
     }
 
-    /** Throws unless a condition holds that the section's content must meet. */
+    /** Throws an exception with the message {@code fault} unless a condition on the section's content holds. */
     static void check(boolean valid, String fault) throws InvalidSectionException {
         if (!valid) {
             throw new InvalidSectionException(fault);
@@ -59,8 +58,8 @@
     /**
      * Reads the number of entries that follow.
      *
-     * @param minEntryBytes least size of an entry
-     * @param maxCount greatest valid number
+     * @param minEntryBytes minimum size of an entry in bytes
+     * @param maxCount maximum valid count
      */
     int readCount(int minEntryBytes, int maxCount) throws InvalidSectionException {
         int count = content.getInt();
@@ -69,7 +68,7 @@
         return count;
     }
 
-    /** Reads a span in milliseconds, or a number within the same bounds. */
+    /** Reads a duration in milliseconds, or another number within the same bounds. */
     double readDuration() throws InvalidSectionException {
         double ms = content.getDouble();
         check(SnapshotHeader.isTime(ms), "span " + ms);
--- a/src/main/java/cacheproxy/snapshot/SectionWriter.java
+++ b/src/main/java/cacheproxy/snapshot/SectionWriter.java
@@ -6,7 +6,7 @@
 
 /** Writes the sections of a snapshot file into a buffer that grows up to {@link SnapshotCodec#MAX_BYTES}. */
 final class SectionWriter {
-    /** Longest text in bytes. */
+    /** Maximum length of a text in bytes. */
     static final int MAX_TEXT_BYTES = 1024;
 
     /** Size of a section's kind, version and length. */
@@ -74,7 +74,7 @@
         return this;
     }
 
-    /** Writes a count in 16 bits; greater counts are written as the greatest that fits. */
+    /** Writes a count in 16 bits; greater counts are written as the maximum of a 16-bit number. */
     SectionWriter putCount(int count) {
         buffer.putShort((short) Math.min(count, Short.MAX_VALUE));
         return this;
--- a/src/main/java/cacheproxy/snapshot/SnapshotAssembler.java
+++ b/src/main/java/cacheproxy/snapshot/SnapshotAssembler.java
@@ -16,9 +16,9 @@
 import java.util.List;
 import java.util.Map;
 
-/** Puts a snapshot together from the sections of a file. A section has an effect only if all of it is valid. */
+/** Assembles a snapshot from the sections of a file. A section is applied only if all of it is valid. */
 final class SnapshotAssembler {
-    /** Least sizes of entries in bytes, with empty texts. */
+    /** Minimum sizes of entries in bytes, with empty texts. */
     private static final int MIN_SERVER_V1_BYTES = 24;
 
     private static final int MIN_SERVER_BYTES = 26;
@@ -28,14 +28,14 @@
     /** The first version of {@link SectionKind#SERVERS} with addresses. */
     private static final int FIRST_VERSION_WITH_ADDRESSES = 2;
 
-    /** Null: no valid identity section has been read. */
+    /** Null until a valid identity section has been read. */
     private String site;
 
     private int proxyNumber;
     private final Map<String, PoolBuilder> pools = new LinkedHashMap<>();
     private final List<ServerStart> serverStarts = new ArrayList<>();
 
-    /** What the sections read so far tell of one pool. */
+    /** The state of one pool, from the sections read so far. */
     private static final class PoolBuilder {
         private List<LearnedServer> servers = List.of();
         private final Map<Integer, String> addresses = new HashMap<>();
@@ -51,12 +51,12 @@
         }
     }
 
-    /** Whether it is known whose snapshot this is, without which nothing of it can be used. */
+    /** Returns whether a valid identity section has been read; without one, nothing of the snapshot can be used. */
     boolean hasIdentity() {
         return site != null;
     }
 
-    /** Returns the snapshot of all sections taken so far; {@link #hasIdentity} must hold. */
+    /** Returns the snapshot of all sections applied so far; {@link #hasIdentity} must return true. */
     StateSnapshot build(double writtenMs, long generation) {
         Map<String, PoolState> poolStates = new LinkedHashMap<>();
         pools.forEach((name, pool) -> poolStates.put(name, pool.build()));
--- a/src/main/java/cacheproxy/snapshot/SnapshotCodec.java
+++ b/src/main/java/cacheproxy/snapshot/SnapshotCodec.java
@@ -7,13 +7,13 @@
  * each with its own CRC-32C. No I/O is done here.
  */
 public final class SnapshotCodec {
-    /** Largest file in bytes, read or written. */
+    /** Maximum size in bytes of a file that is read or written. */
     public static final int MAX_BYTES = 4 << 20;
 
-    /** Most servers of one pool. */
+    /** Maximum number of servers of one pool. */
     public static final int MAX_SERVERS = 20_000;
 
-    /** Most hot keys of one pool. */
+    /** Maximum number of hot keys of one pool. */
     public static final int MAX_KEYS = 4_096;
 
     private SnapshotCodec() {}
--- a/src/main/java/cacheproxy/snapshot/SnapshotDecoder.java
+++ b/src/main/java/cacheproxy/snapshot/SnapshotDecoder.java
@@ -9,7 +9,7 @@
 
 /** Reads the bytes of a snapshot file. Damage in one section leaves the others usable. */
 final class SnapshotDecoder {
-    /** Sections that are read at most, whatever the header says. */
+    /** Maximum number of sections that are read, regardless of the header. */
     private static final int MAX_SECTIONS = 8_192;
 
     private final byte[] file;
@@ -53,7 +53,7 @@
         return new DecodedSnapshot(assembler.build(header.writtenMs(), header.generation()), faults, skipped);
     }
 
-    /** Reads a section and moves behind it; false if its end, and so the start of the next one, is not known. */
+    /** Reads a section and moves past it; returns false if its end, and so the start of the next one, is unknown. */
     private boolean readSection(int number) {
         int from = input.position();
         if (input.remaining() < SectionWriter.SECTION_HEADER_BYTES + Checksums.BYTES) {
--- a/src/main/java/cacheproxy/snapshot/SnapshotEncoder.java
+++ b/src/main/java/cacheproxy/snapshot/SnapshotEncoder.java
@@ -10,7 +10,10 @@
 import cacheproxy.snapshot.state.StateSnapshot;
 import java.util.List;
 
-/** Writes a snapshot as the sections of one file. Lists are cut at the codec's bounds; empty lists have no section. */
+/**
+ * Writes a snapshot as the sections of one file. Lists are truncated to the limits of {@link SnapshotCodec}; empty
+ * lists get no section.
+ */
 final class SnapshotEncoder {
     private final SectionWriter out = new SectionWriter();
 
--- a/src/main/java/cacheproxy/snapshot/SnapshotFileSystem.java
+++ b/src/main/java/cacheproxy/snapshot/SnapshotFileSystem.java
@@ -5,20 +5,20 @@
 import java.util.Optional;
 
 /**
- * The file system calls that a snapshot file needs, each an own method, so that tests can simulate a crash between any
- * two.
+ * The file system calls that a snapshot file needs, each in a method of its own, so that tests can simulate a crash
+ * between any two.
  */
 interface SnapshotFileSystem {
     /** The machine's file system. */
     SnapshotFileSystem SYSTEM = new SystemFileSystem();
 
-    /** Writes a new file, readable by its owner alone, in place of any of that name, and forces it to the disk. */
+    /** Writes a new file that only its owner can read, replacing any file of that name, and forces it to the disk. */
     void write(Path file, byte[] bytes) throws IOException;
 
-    /** Gives a file a second name, in place of any file of that name. */
+    /** Gives a file a second name, replacing any file of that name. */
     void link(Path file, Path name) throws IOException;
 
-    /** Renames a file atomically, in place of any file of the new name. */
+    /** Renames a file atomically, replacing any file of the new name. */
     void rename(Path from, Path to) throws IOException;
 
     /** Forces a directory's entries to the disk. */
--- a/src/main/java/cacheproxy/snapshot/SnapshotHeader.java
+++ b/src/main/java/cacheproxy/snapshot/SnapshotHeader.java
@@ -21,7 +21,7 @@
     /** Size of a header in bytes, with its checksum. */
     static final int BYTES = 36;
 
-    /** Upper bound of times and spans in milliseconds, exclusive. */
+    /** Upper bound of times and durations in milliseconds, exclusive. */
     private static final double MAX_TIME_MS = 1e15;
 
     private static final int VERSION_OFFSET = 8;
@@ -33,7 +33,7 @@
     /** Position of the file's length. */
     static final int LENGTH_OFFSET = 12;
 
-    /** Whether a value is a time or a span in milliseconds that a file may hold. */
+    /** Returns whether a value is a valid time or duration in milliseconds. */
     static boolean isTime(double ms) {
         return ms >= 0 && ms < MAX_TIME_MS;
     }
@@ -50,7 +50,7 @@
                 .putInt(CHECKSUM_OFFSET, Checksums.crc32c(buffer.array(), 0, CHECKSUM_OFFSET));
     }
 
-    /** Reads the header of a file for which {@link #fault} has found none. */
+    /** Reads the header of a file for which {@link #fault} has found no fault. */
     static SnapshotHeader read(byte[] file) {
         ByteBuffer buffer = ByteBuffer.wrap(file);
         return new SnapshotHeader(
@@ -60,7 +60,7 @@
                 buffer.getDouble(WRITTEN_OFFSET));
     }
 
-    /** Returns what is wrong with a file's header, in words for operators; empty: nothing. */
+    /** Returns a description of what is wrong with a file's header, for operators; empty if the header is valid. */
     static Optional<String> fault(byte[] file) {
         if (file.length < BYTES) {
             return Optional.of("byte 0: " + file.length + " bytes are no memory file");
--- a/src/main/java/cacheproxy/snapshot/SnapshotStore.java
+++ b/src/main/java/cacheproxy/snapshot/SnapshotStore.java
@@ -21,8 +21,8 @@
  * A snapshot file and the generation before it, {@code FILE.old}.
  *
  * <p>A new generation is written to {@code FILE.new}, forced to the disk and renamed, so that one generation is
- * complete at any moment. {@code FILE.lock} keeps a second process out. All methods block and are for one thread at a
- * time; none is for an event loop.
+ * complete at any moment. A lock on {@code FILE.lock} keeps other processes from using the file. All methods block, so
+ * they must not be called on an event loop, and must be called by one thread at a time.
  */
 public final class SnapshotStore implements AutoCloseable {
     private static final String PREVIOUS_SUFFIX = ".old";
@@ -34,10 +34,10 @@
     private final Path newFile;
     private final SnapshotFileSystem fileSystem;
 
-    /** Null: not locked. */
+    /** Null while the lock is not held. */
     private FileChannel lockChannel;
 
-    /** Whether the newest file is complete and so may take the place of the previous generation. */
+    /** Whether the newest file is complete, so that it can replace the previous generation. */
     private boolean newestComplete;
 
     private long generation;
@@ -116,7 +116,7 @@
         return new StoredSnapshot(content, previous.isPresent(), notes);
     }
 
-    /** Reads one file; empty if there is none, or if it cannot be read, which is noted. */
+    /** Reads one file; empty if there is none or if it cannot be read, which adds a note. */
     private Optional<DecodedSnapshot> decode(Path path, List<String> notes) {
         try {
             Optional<DecodedSnapshot> decoded =
@@ -133,7 +133,7 @@
     }
 
     /**
-     * Writes a new generation. The snapshot's own generation is ignored: it gets one more than the last.
+     * Writes a new generation. The snapshot's own generation is replaced by the last generation plus one.
      *
      * @return the bytes written
      * @throws IOException if the file system fails; one complete generation remains
@@ -163,11 +163,11 @@
         try {
             fileSystem.link(newestFile, previousFile);
         } catch (NoSuchFileException e) {
-            // The newest file has been removed; the new one takes its place all the same.
+            // The newest file has been removed; the new file is renamed to its name nevertheless.
         }
     }
 
-    /** Describes a file system error in words for operators; the exception's message is often only the path. */
+    /** Describes a file system error for operators; the exception's message is often only the path. */
     public static String describe(IOException error) {
         if (error instanceof NoSuchFileException) {
             return "its directory is not there";
@@ -192,7 +192,7 @@
         try {
             lockChannel.close();
         } catch (IOException e) {
-            // The lock ends with the process.
+            // The operating system releases the lock when the process ends.
         }
         lockChannel = null;
     }
--- a/src/main/java/cacheproxy/snapshot/SnapshotWriter.java
+++ b/src/main/java/cacheproxy/snapshot/SnapshotWriter.java
@@ -10,9 +10,9 @@
 /**
  * Writes snapshots on a thread of its own, so that a slow disk delays no caller.
  *
- * <p>One snapshot may wait; a newer one replaces it. After each write the thread pauses until the rate of bytes is
- * within its bound. A failing disk is reported once, and once more when it works again. All methods may be called from
- * any thread.
+ * <p>At most one snapshot waits to be written; a newer one replaces it. After each write the thread pauses until the
+ * rate of bytes is within its limit. A failing disk is reported once, and once more when it works again. All methods
+ * may be called from any thread.
  */
 public final class SnapshotWriter {
     private static final String THREAD_NAME = "memory";
@@ -27,7 +27,10 @@
     private final ReentrantLock lock = new ReentrantLock();
     private final Condition changed = lock.newCondition();
 
-    /** The snapshot that waits; null: none. Guarded by the lock, as are all fields up to {@link #byteCount}. */
+    /**
+     * The snapshot that waits to be written; null if there is none. Guarded by the lock, like all fields up to
+     * {@link #byteCount}.
+     */
     private StateSnapshot pendingSnapshot;
 
     /** Whether no snapshot is accepted after {@link #pendingSnapshot}. */
@@ -37,16 +40,16 @@
     private long writeCount;
     private long byteCount;
 
-    /** The last snapshot that was written; used by the writer's thread alone, as is the fault. */
+    /** The last snapshot that was written. Used only by the writer's thread, like {@link #lastFault}. */
     private StateSnapshot lastWritten;
 
-    /** Why the last write failed; null: it did not. */
+    /** Why the last write failed; null if it succeeded. */
     private String lastFault;
 
     /**
      * Starts the writer's thread, which closes the store when it ends.
      *
-     * @param maxBytesPerSecond bound of the bytes written, over a time that is long against one write
+     * @param maxBytesPerSecond maximum rate of bytes written, averaged over a time that is long compared to one write
      * @param log receives lines for operators, on the writer's thread
      */
     public SnapshotWriter(SnapshotStore store, double maxBytesPerSecond, Consumer<String> log) {
@@ -58,7 +61,7 @@
         thread.start();
     }
 
-    /** Hands over the snapshot to be written next. Does not wait for the disk. */
+    /** Accepts the snapshot to be written next. Does not wait for the disk. */
     public void offer(StateSnapshot snapshot) {
         lock.lock();
         try {
@@ -71,7 +74,7 @@
         }
     }
 
-    /** Writes a last snapshot at once and ends; returns when it is written, or after {@code maxWaitMs}. */
+    /** Writes a last snapshot at once and ends the thread; returns when it is written, or after {@code maxWaitMs}. */
     public void writeLast(StateSnapshot snapshot, long maxWaitMs) throws InterruptedException {
         lock.lock();
         try {
@@ -85,7 +88,7 @@
         }
     }
 
-    /** Ends without another write; a write in progress is completed first. */
+    /** Ends the thread without another write; a write in progress is completed first. */
     public void stopWithoutWriting() throws InterruptedException {
         lock.lock();
         try {
@@ -96,7 +99,7 @@
         thread.join();
     }
 
-    /** The caller holds the lock. */
+    /** Stops accepting snapshots after {@code lastSnapshot}. The caller must hold the lock. */
     private void beginClosing(StateSnapshot lastSnapshot) {
         pendingSnapshot = lastSnapshot;
         closing = true;
@@ -133,7 +136,7 @@
                 snapshot = takePending();
             }
         } catch (InterruptedException e) {
-            // Nobody interrupts this thread; if somebody does, it ends.
+            // No code interrupts this thread; if it is interrupted nevertheless, it ends.
         } finally {
             store.close();
             lock.lock();
@@ -146,7 +149,7 @@
         }
     }
 
-    /** Waits for the next snapshot; null: there will be none. */
+    /** Waits for the next snapshot; returns null if there will be none. */
     private StateSnapshot takePending() throws InterruptedException {
         lock.lock();
         try {
@@ -161,7 +164,7 @@
         }
     }
 
-    /** Returns the bytes written, 0 if the write failed. */
+    /** Returns the number of bytes written, 0 if the write failed. */
     private int write(StateSnapshot snapshot) {
         int size = 0;
         String reason = null;
@@ -193,7 +196,7 @@
         }
     }
 
-    /** Whether two snapshots differ in nothing but their times. */
+    /** Returns whether two snapshots have the same state, regardless of their times. */
     private static boolean hasSameContent(StateSnapshot snapshot, StateSnapshot other) {
         return other != null
                 && snapshot.pools().equals(other.pools())
--- a/src/main/java/cacheproxy/snapshot/StoredSnapshot.java
+++ b/src/main/java/cacheproxy/snapshot/StoredSnapshot.java
@@ -4,10 +4,10 @@
 import java.util.List;
 
 /**
- * What a {@link SnapshotStore} has read.
+ * The result of reading a {@link SnapshotStore}.
  *
  * @param content the snapshot; null if no generation can be used
  * @param fromPreviousGeneration whether it is the generation before the newest
- * @param notes what was wrong with files that were passed over or read in part, each with the file's path
+ * @param notes descriptions of what was wrong with files that were ignored or read in part, each with the file's path
  */
 public record StoredSnapshot(StateSnapshot content, boolean fromPreviousGeneration, List<String> notes) {}
--- a/src/main/java/cacheproxy/snapshot/SystemFileSystem.java
+++ b/src/main/java/cacheproxy/snapshot/SystemFileSystem.java
@@ -22,7 +22,7 @@
 
     @Override
     public void write(Path file, byte[] bytes) throws IOException {
-        Files.deleteIfExists(file); // left by a killed process, or a link placed there by somebody else
+        Files.deleteIfExists(file); // it may be left over from a killed process, or a link placed there by another user
         try (FileChannel channel = FileChannel.open(
                 file,
                 Set.of(StandardOpenOption.CREATE_NEW, StandardOpenOption.WRITE),
@@ -68,7 +68,7 @@
             }
             return Optional.of(readAll(channel));
         } catch (NoSuchFileException e) {
-            return Optional.empty(); // removed since it was looked at
+            return Optional.empty(); // removed after the checks above
         }
     }
 
@@ -96,7 +96,7 @@
         }
     }
 
-    /** Reads to the end of a file, which may be earlier than its size said. */
+    /** Reads to the end of a file, which can come earlier than its size indicated. */
     private static byte[] readAll(FileChannel channel) throws IOException {
         ByteBuffer buffer = ByteBuffer.allocate((int) channel.size());
         int count = 0;
--- a/src/main/java/cacheproxy/snapshot/state/CurrentServer.java
+++ b/src/main/java/cacheproxy/snapshot/state/CurrentServer.java
@@ -1,10 +1,10 @@
 package cacheproxy.snapshot.state;
 
 /**
- * A server as it is now.
+ * The current identity of a server.
  *
  * @param id the server's id
  * @param address the server's address
- * @param startMs the start of its process, as the endpoint list tells it
+ * @param startMs start time of its process, as given by the endpoint list
  */
 public record CurrentServer(int id, String address, double startMs) {}
--- a/src/main/java/cacheproxy/snapshot/state/LearnedServer.java
+++ b/src/main/java/cacheproxy/snapshot/state/LearnedServer.java
@@ -4,7 +4,7 @@
  * A server with failed or overdue attempts.
  *
  * @param id the server's id
- * @param startMs start of the server process that this is about, as the endpoint list tells it
+ * @param startMs start time of the server process that this entry describes, as given by the endpoint list
  * @param failures consecutive failed or timed-out attempts
  * @param ejectedForMs how much longer the server is ejected
  * @param overdueAttempts consecutive attempts that exceeded their hedging delay
--- a/src/main/java/cacheproxy/snapshot/state/LearnedState.java
+++ b/src/main/java/cacheproxy/snapshot/state/LearnedState.java
@@ -3,9 +3,9 @@
 import java.util.List;
 
 /**
- * What a routing policy has learned of its servers and keys, as far as it helps a policy that starts anew. Spans are
- * milliseconds from the moment at which the state was taken. Pending requests, tokens and health checks are not part of
- * it: they end with their process.
+ * What a routing policy has learned about its servers and keys, as far as it is useful to a policy after a restart.
+ * Durations are in milliseconds from the moment at which the state was captured. Pending requests, tokens and health
+ * checks are not part of it: they end with their process.
  *
  * @param servers servers with failed or overdue attempts; all others are healthy
  * @param latency average latencies
@@ -19,7 +19,7 @@
         LearnedLoad originLoad,
         LearnedLoad serverLoad,
         LearnedHotKeys hotKeys) {
-    /** Nothing has been learned. */
+    /** The state in which nothing has been learned. */
     public static final LearnedState NONE = new LearnedState(
             List.of(),
             new LearnedLatency(0, 0, 0, 0, 0),
--- a/src/main/java/cacheproxy/snapshot/state/PoolState.java
+++ b/src/main/java/cacheproxy/snapshot/state/PoolState.java
@@ -5,8 +5,8 @@
 /**
  * What one pool's routing policy learned.
  *
- * @param keyScheme what the values of the pool's keys depend on: placement and key template
+ * @param keyScheme the settings that determine the values of the pool's keys: placement and key template
  * @param learned the learned state
- * @param addresses addresses, by id, of the servers in it; a server without one matches at any address
+ * @param addresses addresses of the servers in {@code learned}, by id; a server without one matches at any address
  */
 public record PoolState(String keyScheme, LearnedState learned, Map<Integer, String> addresses) {}
--- a/src/main/java/cacheproxy/snapshot/state/StateDecay.java
+++ b/src/main/java/cacheproxy/snapshot/state/StateDecay.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * Decay of learned state over the time in which it was not updated. Each kind of fact has its own half-life, by how
- * long it usually holds; facts that have become too weak to act on are dropped.
+ * Decays learned state by the time during which it was not updated. Each kind of state has its own half-life, according
+ * to how long it usually stays valid; state whose weight has become too low to act on is dropped.
  */
 public final class StateDecay {
-    /** Half-life of a server's failures: after so long the server is as likely healthy again as not. */
+    /** Half-life of a server's failures: after this time the server is as likely to be healthy again as not. */
     public static final double FAILURE_HALF_LIFE_MS = 60_000;
 
     /** Half-life of average latencies, which change with the time of day. */
@@ -29,9 +29,9 @@
     private StateDecay() {}
 
     /**
-     * Returns what is left of learned state.
+     * Returns the learned state that is left after decay.
      *
-     * @param ageMs milliseconds since it was taken, not negative
+     * @param ageMs milliseconds since the state was captured, not negative
      * @param trust 1 for a proxy's own state, less for another proxy's
      * @throws IllegalArgumentException if the age is negative or the trust is not within 0 to 1
      */
--- a/src/main/java/cacheproxy/snapshot/state/StateSnapshot.java
+++ b/src/main/java/cacheproxy/snapshot/state/StateSnapshot.java
@@ -7,15 +7,16 @@
 import java.util.Optional;
 
 /**
- * All state that one proxy keeps across restarts, and which of it still holds: a fact about a server holds for the same
- * process at the same address, a fact about keys for the same key scheme, all of it for the same proxy.
+ * All state that one proxy keeps across restarts, and the rules for which of it is still valid: state of a server is
+ * valid for the same process at the same address, state of keys for the same key scheme, and all of it for the same
+ * proxy.
  *
  * @param site name of the installation
  * @param proxyNumber the proxy's number in its tier
  * @param writtenMs Unix time at which the snapshot was taken
- * @param generation counts the snapshots of one proxy, from 1
+ * @param generation number of this snapshot among the snapshots of one proxy, from 1
  * @param pools the pools' states by pool name
- * @param serverStarts starts of servers that no endpoint list tells of
+ * @param serverStarts starts of servers that are in no endpoint list
  */
 public record StateSnapshot(
         String site,
@@ -24,28 +25,30 @@
         long generation,
         Map<String, PoolState> pools,
         List<ServerStart> serverStarts) {
-    /** Greatest difference between a machine's clock before and after a restart that is not a clock set back. */
+    /**
+     * Maximum difference between a machine's clock before and after a restart that does not count as a clock set back.
+     */
     static final double MAX_CLOCK_DIFFERENCE_MS = 1000;
 
-    /** Server starts in an older snapshot are dropped: no server warms up for so long. */
+    /** Server starts in a snapshot older than this are dropped: no server warms up for so long. */
     static final double MAX_START_AGE_MS = 3_600_000;
 
     /**
-     * Greatest fraction of failing servers that is believed. Where more failed, the fault was the proxy's own or its
-     * network's.
+     * Maximum fraction of failing servers that is plausible. If more failed, the fault was in the proxy itself or its
+     * network.
      */
     static final double MAX_FAILING_FRACTION = 0.7;
 
     private static final double MS_PER_SECOND = 1000;
 
     /**
-     * Tells why this snapshot may not be used by a proxy.
+     * Returns the reason why a proxy must not use this snapshot.
      *
      * @param expectedSite the proxy's site
      * @param expectedProxyNumber the proxy's number
-     * @param nowMs the present Unix time
-     * @param sibling whether the snapshot is given as that of another proxy of the site
-     * @return the reason, in words for operators; empty if it may be used
+     * @param nowMs the current Unix time
+     * @param sibling whether the snapshot is provided as the snapshot of another proxy of the site
+     * @return the reason, for operators; empty if the snapshot may be used
      */
     public Optional<String> mismatch(String expectedSite, int expectedProxyNumber, double nowMs, boolean sibling) {
         if (!site.equals(expectedSite)) {
@@ -63,11 +66,11 @@
     }
 
     /**
-     * Returns the state that still holds for a pool, decayed by the snapshot's age.
+     * Returns the state that is still valid for a pool, decayed by the snapshot's age.
      *
      * @param pool the pool's name
-     * @param keyScheme the pool's present key scheme
-     * @param nowMs the present Unix time
+     * @param keyScheme the pool's current key scheme
+     * @param nowMs the current Unix time
      * @param trust 1 for a proxy's own snapshot, less for another proxy's
      * @param servers the servers on the pool's list
      */
@@ -87,7 +90,9 @@
         return StateDecay.decay(matching, Math.max(0, nowMs - writtenMs), trust);
     }
 
-    /** The learned servers that are still the same process at the same address; none if too many of them failed. */
+    /**
+     * Returns the learned servers that are still the same process at the same address; none if too many of them failed.
+     */
     private static List<LearnedServer> matchingServers(PoolState poolState, List<CurrentServer> servers) {
         Map<Integer, CurrentServer> currentById = new HashMap<>();
         servers.forEach(server -> currentById.put(server.id(), server));
@@ -106,10 +111,10 @@
     }
 
     /**
-     * Returns the starts that still matter, of servers whose address is unchanged.
+     * Returns the starts that are recent enough to be relevant, of servers whose address is unchanged.
      *
-     * @param nowMs the present Unix time
-     * @param addresses the servers' present addresses by id
+     * @param nowMs the current Unix time
+     * @param addresses the servers' current addresses by id
      */
     public List<ServerStart> serverStarts(double nowMs, Map<Integer, String> addresses) {
         return serverStarts.stream()
--- a/src/test/java/cacheproxy/cli/ExplainCommandTest.java
+++ b/src/test/java/cacheproxy/cli/ExplainCommandTest.java
@@ -10,7 +10,7 @@
 
 /** {@code explain} and {@code check}: options, their defaults, and exit codes. */
 class ExplainCommandTest {
-    @SuppressWarnings("StringConcatToTextBlock") // one line of the text a line of the source
+    @SuppressWarnings("StringConcatToTextBlock") // each line of the text is on its own line of the source
     private static final String CONFIG = "[[class]]\nname = \"read\"\neffect = \"safe\"\n"
             + "[[class]]\nname = \"write\"\neffect = \"unsafe\"\n"
             + "[[listen]]\nname = \"one\"\naddress = \"127.0.0.1:0\"\nopen = true\nclass = \"read\"\n"
--- a/src/test/java/cacheproxy/cli/FakeControlServer.java
+++ b/src/test/java/cacheproxy/cli/FakeControlServer.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.concurrent.CopyOnWriteArrayList;
 
-/** A control address that gives the same response to each call and keeps the request lines. */
+/** A control address that sends the same response to each call and records the request lines. */
 final class FakeControlServer implements AutoCloseable {
     private final ServerSocket socket;
     private final String response;
--- a/src/test/java/cacheproxy/cli/ImportNginxCommandTest.java
+++ b/src/test/java/cacheproxy/cli/ImportNginxCommandTest.java
@@ -9,9 +9,9 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The command with files on disk: exit codes, what is written and what is not. */
+/** {@code import-nginx} with files on disk: exit codes, and what is written and what is not. */
 class ImportNginxCommandTest {
-    @SuppressWarnings("StringConcatToTextBlock") // one line of the text a line of the source
+    @SuppressWarnings("StringConcatToTextBlock") // each line of the text is on its own line of the source
     private static final String GOOD = "upstream u { hash $uri; server 10.0.0.1:80; server 10.0.0.2:80; }\n"
             + "server { listen 80; location / { proxy_pass http://u; } }\n";
 
@@ -21,7 +21,7 @@
     private String out;
     private String err;
 
-    /** Runs a command line; what it prints is in {@code out} and {@code err} then. */
+    /** Runs a command line and stores what it prints in {@code out} and {@code err}. */
     private int run(String... args) {
         CommandResult result = CommandResult.run(args);
         out = result.out();
@@ -109,7 +109,7 @@
                 .isEqualTo(2);
     }
 
-    @SuppressWarnings("StringConcatToTextBlock") // one line of the text a line of the source
+    @SuppressWarnings("StringConcatToTextBlock") // each line of the text is on its own line of the source
     @Test
     void checksTenThousandRoutes() throws Exception {
         StringBuilder text = new StringBuilder("[[class]]\nname = \"r\"\neffect = \"safe\"\n[[listen]]\nname = \"l\"\n"
--- a/src/test/java/cacheproxy/config/DaemonConfigReaderTest.java
+++ b/src/test/java/cacheproxy/config/DaemonConfigReaderTest.java
@@ -150,7 +150,7 @@
                 .anyMatch(error -> error.contains("no listener"))
                 .anyMatch(error -> error.contains("no pool"))
                 .anyMatch(error -> error.contains("no route"));
-        // As when the file is read while it is being written.
+        // The file can be cut anywhere if it is read while it is being written.
         for (int cut = 1; cut < VALID.length() - 20; cut += 7) {
             int at = cut;
             assertThat(errors(VALID.substring(0, at))).as("cut at " + at).isNotEmpty();
@@ -215,7 +215,10 @@
         return text.toString();
     }
 
-    /** Long files are parsed in chunks, which must change neither places nor duplicates nor nested tables. */
+    /**
+     * Long files are parsed in chunks, which must not change the positions of errors, the detection of duplicates or
+     * nested tables.
+     */
     @Test
     void reportsSamePlacesWhenLongFileIsParsedInChunks() throws Exception {
         String text = fileOfTwoThousandPoolsAndRoutes();
@@ -231,7 +234,7 @@
                                 .containsExactly("f:" + (lines + 5) + ":1: "
                                         + error.errors().get(0).split(": ", 2)[1])
                                 .allMatch(line -> line.contains("there is no pool 'none'")));
-        // A line that looks like a table's head where a part could end.
+        // A line that looks like a table header, where a chunk could end.
         String nested = text + "[[route]]\nname = \"n\"\n" + "# long\n".repeat(10_000) + "pools = [\n[1]\n]\n";
         assertThatThrownBy(() -> DaemonConfigReader.parse("f", nested))
                 .isInstanceOfSatisfying(
--- a/src/test/java/cacheproxy/config/DeployFilesGoldenTextTest.java
+++ b/src/test/java/cacheproxy/config/DeployFilesGoldenTextTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Each file of deploy that the daemon reads loads to the same values. */
+/** Each configuration file of the daemon in {@code deploy} loads to the values of its golden text. */
 class DeployFilesGoldenTextTest {
     private static final Path DEPLOY = Path.of("deploy");
 
--- a/src/test/java/cacheproxy/config/FragmentedTableTest.java
+++ b/src/test/java/cacheproxy/config/FragmentedTableTest.java
@@ -7,7 +7,7 @@
 import org.tomlj.Toml;
 import org.tomlj.TomlPosition;
 
-/** A table whose keys stand in two chunks of its file. */
+/** A table whose keys are spread over two chunks of its file. */
 class FragmentedTableTest {
     private static final FragmentedTable TABLE = new FragmentedTable(List.of(
             new TomlFragment(Toml.parse("first = 1\nboth = 2\n"), 0),
--- a/src/test/java/cacheproxy/snapshot/SnapshotCodecTest.java
+++ b/src/test/java/cacheproxy/snapshot/SnapshotCodecTest.java
@@ -27,7 +27,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** The bytes of a snapshot file. The samples were made from the operators' page by a separate program. */
+/**
+ * Encodes and decodes snapshot files. The samples were made by a separate program, from the format on the operators'
+ * page.
+ */
 class SnapshotCodecTest {
     static final StateSnapshot SMALL = new StateSnapshot(
             "site",
@@ -85,7 +88,7 @@
         });
     }
 
-    /** Checks that each fact is as it was written, or missing. */
+    /** Checks that each part of the state is as it was written, or missing. */
     private static void assertContainsOnlyWrittenState(DecodedSnapshot decoded, String description) {
         if (decoded.content() == null) {
             return;
@@ -118,7 +121,9 @@
             assertContainsOnlyWrittenState(decoded, "bit " + bit);
             readInPart += decoded.content() != null ? 1 : 0;
         }
-        assertThat(readInPart).as("most damage leaves the rest").isGreaterThan(file.length * 4);
+        assertThat(readInPart)
+                .as("most flipped bits leave the other sections readable")
+                .isGreaterThan(file.length * 4);
     }
 
     @Test
@@ -153,7 +158,8 @@
     }
 
     /**
-     * Sections with a valid checksum whose lengths, counts or values are invalid, written by hand as no encoder would.
+     * Sections with a valid checksum whose lengths, counts or values are invalid. They are written by hand, as the
+     * encoder writes none.
      */
     @Test
     void rejectsInvalidLengthsCountsAndValuesWithValidChecksum() {
@@ -164,7 +170,7 @@
         for (byte[] invalidSection : invalidSections) {
             DecodedSnapshot decoded = SnapshotCodec.decode(
                     file(section(SectionKind.IDENTITY, 1, "site", body -> body.putInt(2)), invalidSection));
-            assertThat(decoded.content()).as("the rest is read").isNotNull();
+            assertThat(decoded.content()).as("the other section is read").isNotNull();
             assertThat(decoded.faults()).singleElement().asString().contains("section 2 says nothing that can be");
             assertThat(decoded.content().pools().values())
                     .allSatisfy(pool -> assertThat(pool.learned()).isEqualTo(LearnedState.NONE));
--- a/src/test/java/cacheproxy/snapshot/SnapshotStoreTest.java
+++ b/src/test/java/cacheproxy/snapshot/SnapshotStoreTest.java
@@ -38,7 +38,7 @@
         file = folder.resolve("memory");
     }
 
-    /** A state that is identified by its proxy's number. */
+    /** Returns a state that can be identified by its proxy number. */
     private static StateSnapshot state(int number) {
         StateSnapshot small = SnapshotCodecTest.SMALL;
         return new StateSnapshot(
@@ -133,14 +133,18 @@
         SnapshotStore next = SnapshotStore.at(file);
         next.read();
         next.write(state(4));
-        assertThat(read().content().generation()).as("counted on").isEqualTo(4);
+        assertThat(read().content().generation())
+                .as("the count continues after a restart")
+                .isEqualTo(4);
         try (var left = Files.list(folder)) {
             assertThat(left.map(path -> path.getFileName().toString()))
                     .containsExactlyInAnyOrder("memory", "memory.old");
         }
     }
 
-    /** A write has several steps; the process crashes before each of them, and in the first after each byte. */
+    /**
+     * A write has several steps; the process crashes before each of them, and in the first step also after each byte.
+     */
     @Test
     void keepsOneCompleteGenerationWhereverProcessCrashes() throws Exception {
         int length = SnapshotCodec.encode(state(1)).length;
@@ -159,10 +163,10 @@
             }
             StoredSnapshot after = read();
             if (generations > 0) {
-                assertThat(after.content()).as("death " + number).isNotNull();
-                assertThat(after.notes()).as("death " + number).isEmpty();
+                assertThat(after.content()).as("crash " + number).isNotNull();
+                assertThat(after.notes()).as("crash " + number).isEmpty();
                 assertThat(after.content().proxyNumber())
-                        .as("death " + number)
+                        .as("crash " + number)
                         .isIn(previousNumber, previousNumber + 1);
                 assertThat(crashed || after.content().proxyNumber() == previousNumber + 1)
                         .isTrue();
@@ -175,7 +179,7 @@
         }
     }
 
-    /** After a loss of power, a rename may have reached the disk before the data. */
+    /** After a power failure, a rename can have reached the disk before the data of the file. */
     @Test
     void fallsBackToPreviousGenerationWhenNewestIsDamaged() throws Exception {
         SnapshotStore store = SnapshotStore.at(file);
@@ -188,7 +192,7 @@
             assertThat(read().fromPreviousGeneration()).isTrue();
             assertThat(read().notes()).isNotEmpty().allMatch(line -> line.startsWith(file + ": byte "));
         }
-        // What is damaged does not push out the last that is whole, even if the next write dies half way.
+        // A damaged file does not replace the last complete one, even if the next write crashes half way.
         SnapshotStore crashingStore = new SnapshotStore(file, new CrashingFileSystem(1, -1));
         crashingStore.read();
         assertThatThrownBy(() -> crashingStore.write(state(3))).isInstanceOf(CrashingFileSystem.SimulatedCrash.class);
@@ -205,7 +209,7 @@
                         .content()
                         .proxyNumber())
                 .isEqualTo(1);
-        // Both damaged: what is whole of the newest.
+        // Both are damaged: the intact sections of the newest are used.
         byte[] partlyDamaged = Files.readAllBytes(file);
         partlyDamaged[partlyDamaged.length - 1] ^= 1;
         Files.write(file, partlyDamaged);
@@ -231,7 +235,7 @@
         Files.createDirectory(file);
         assertThat(read().notes()).containsExactly(file + ": it is no plain file");
         Files.delete(file);
-        // A link laid where the new file is to be written must not be written through.
+        // If the path of the new file is a symbolic link, the write must not follow it.
         Files.createSymbolicLink(folder.resolve("memory.new"), folder.resolve("elsewhere"));
         SnapshotStore.at(file).write(state(3));
         assertThat(Files.readAllBytes(folder.resolve("elsewhere"))).isEqualTo(before);
@@ -245,7 +249,7 @@
             other = file.getFileSystem().getUserPrincipalLookupService().lookupPrincipalByName("nobody");
             Files.setOwner(file, other);
         } catch (IOException exception) {
-            Assumptions.abort("only a superuser can give a file away");
+            Assumptions.abort("only the superuser can change the owner of a file");
         }
         assertThat(read().content()).isNull();
         assertThat(read().notes()).singleElement().asString().contains("belongs to nobody");
@@ -383,7 +387,9 @@
         assertThat(disk.written.size()).isLessThanOrEqualTo(3);
         assertThat(read().content().proxyNumber()).isEqualTo(10_001);
         writer.offer(state(1));
-        assertThat(read().content().proxyNumber()).as("nothing after the last").isEqualTo(10_001);
+        assertThat(read().content().proxyNumber())
+                .as("nothing is written after the last")
+                .isEqualTo(10_001);
     }
 
     @Test
--- a/src/test/java/cacheproxy/snapshot/state/StateDecayTest.java
+++ b/src/test/java/cacheproxy/snapshot/state/StateDecayTest.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import org.junit.jupiter.api.Test;
 
-/** Decay of learned state, and which of it still holds after a restart. */
+/** Decay of learned state, and which of it is still valid after a restart. */
 class StateDecayTest {
     private static final double HOUR_MS = 3_600_000;
     private static final LearnedState STATE = new LearnedState(
@@ -36,7 +36,7 @@
         assertThat(decayed.servers().get(0).failures()).isEqualTo(3);
         assertThat(decayed.servers().get(0).ejectedForMs()).isEqualTo(10_000);
         assertThat(decayed.servers().get(1).ejectedForMs())
-                .as("its ejection is over, it may be probed")
+                .as("its ejection is over, so it may be probed")
                 .isZero();
         assertThat(decayed.servers().get(1).failures()).isEqualTo(1);
         assertThat(decayed.serverLoad().sent()).isBetween(30.0, 40.0);
@@ -97,7 +97,7 @@
                                 1,
                                 List.of(serverAt(1, "10.0.0.1:1", 1e12), serverAt(2, "10.0.0.2:1", 50)))
                         .servers())
-                .as("1 has restarted")
+                .as("server 1 has restarted")
                 .extracting(LearnedServer::id)
                 .containsExactly(2);
         assertThat(SNAPSHOT.restore("a", "carp", 1e12, 1, List.of(serverAt(1, "10.0.0.9:1", 0)))
