--- a/src/main/java/cacheproxy/config/ConfigReferences.java
+++ b/src/main/java/cacheproxy/config/ConfigReferences.java
@@ -37,7 +37,7 @@
             Path parent = Path.of(file).toAbsolutePath().getParent();
             return parent == null ? Path.of(text) : parent.resolve(text);
         } catch (InvalidPathException e) {
-            table.error(key, key + " is no path of a file");
+            table.error(key, key + " is not a valid file path");
             return Path.of("");
         }
     }
--- a/src/main/java/cacheproxy/config/ConfigValues.java
+++ b/src/main/java/cacheproxy/config/ConfigValues.java
@@ -39,10 +39,11 @@
         if (!name.isEmpty() && !isName(name)) {
             table.error(
                     "name",
-                    kind + " name '" + name + "' is no word; 1 to 64 printing characters without space, comma and =");
+                    kind + " name '" + name + "' is not a valid name; "
+                            + "1 to 64 printable characters without space, comma and =");
         }
         if (!name.isEmpty() && !taken.add(name)) {
-            table.error("name", kind + " '" + name + "' is there already; names are used once");
+            table.error("name", kind + " '" + name + "' already exists; names must be unique");
         }
         return name;
     }
--- a/src/main/java/cacheproxy/config/DelegatedWatchConfig.java
+++ b/src/main/java/cacheproxy/config/DelegatedWatchConfig.java
@@ -41,7 +41,8 @@
         if (ttlMs <= heartbeatMs) {
             table.error(
                     "word_ms",
-                    "word_ms is " + ttlMs + " and no longer than beat_ms: each lost word would have all watch");
+                    "word_ms is " + ttlMs
+                            + " and no longer than beat_ms: each lost heartbeat would make all proxies watch");
         }
         if (watch.followerPollMs < ttlMs) {
             table.error("lazy_ms", "lazy_ms is " + watch.followerPollMs + " and shorter than word_ms, " + ttlMs);
--- a/src/main/java/cacheproxy/config/DiscoveryConfig.java
+++ b/src/main/java/cacheproxy/config/DiscoveryConfig.java
@@ -19,15 +19,15 @@
         List<String> kinds = table.texts("kinds");
         String originKind = table.text("origin_kind", null);
         if (kinds.isEmpty()) {
-            table.error("kinds", "discovery needs kinds, the classes of machine that its list names");
+            table.error("kinds", "discovery needs kinds, the kinds of machines in its endpoint list");
         }
         if (originKind != null && !kinds.contains(originKind)) {
             table.error(
-                    "origin_kind", "origin_kind '" + originKind + "' is none of kinds: " + String.join(", ", kinds));
+                    "origin_kind", "origin_kind '" + originKind + "' is not one of kinds: " + String.join(", ", kinds));
         }
         List<String> zones = table.texts("zones");
         if (zones.isEmpty()) {
-            table.error("zones", "discovery needs zones, the sites that its list names");
+            table.error("zones", "discovery needs zones, the sites in its endpoint list");
         }
         DiscoveryConfig discovery =
                 new DiscoveryConfig(ConfigValues.serverAddress(table, "address"), zones, kinds, originKind);
--- a/src/main/java/cacheproxy/config/FleetConfig.java
+++ b/src/main/java/cacheproxy/config/FleetConfig.java
@@ -98,7 +98,7 @@
     /** Returns warnings about settings that are allowed but unsafe, for the command {@code check}. */
     public List<String> warnings() {
         return keys.isEmpty()
-                ? List.of("[fleet] has no key_file: whoever can send from a peer's address can take its duties")
+                ? List.of("[fleet] has no key_file: anyone who can send from a peer's address can take its duties")
                 : List.of();
     }
 
@@ -117,7 +117,7 @@
         List<PeerConfig> peers = PeerConfig.readAll(table, peerNames);
         String self = table.text("me");
         if (!self.isEmpty() && !peerNames.contains(self)) {
-            table.error("me", "there is no peer '" + self + "'; the list has this proxy as well");
+            table.error("me", "there is no peer '" + self + "'; the list must contain this proxy");
         }
         PeerConfig.checkCount(table, peers);
         FleetConfig fleet = new FleetConfig(
@@ -131,7 +131,7 @@
                 DelegatedWatchConfig.read(table, longestLeaseMs),
                 QuotasConfig.read(table, references, longestLeaseMs));
         if (!peers.isEmpty() && fleet.peerNames().isEmpty()) {
-            table.error("peer", "all peers are leaving; at least one stays");
+            table.error("peer", "all peers are leaving; at least one must stay");
         }
         table.rejectUnknownKeys();
         return fleet;
@@ -153,8 +153,8 @@
             if (keys.isEmpty() || keys.size() > MAX_KEYS || tooShort) {
                 table.error(
                         "key_file",
-                        path + " has " + keys.size() + " keys; one or two lines of at least " + MIN_KEY_CHARS
-                                + " characters are wanted");
+                        path + " has " + keys.size() + " keys; expected one or two lines of at least " + MIN_KEY_CHARS
+                                + " characters");
                 return List.of();
             }
             return keys;
--- a/src/main/java/cacheproxy/config/FleetNames.java
+++ b/src/main/java/cacheproxy/config/FleetNames.java
@@ -54,8 +54,7 @@
         int voters = table.integer("voters", DEFAULT_VOTERS, 1, MAX_VOTERS);
         if (voters % 2 == 0) {
             table.error(
-                    "voters",
-                    "voters is " + voters + "; an odd number is wanted, one more voter makes no majority safer");
+                    "voters", "voters is " + voters + "; use an odd number, as an even one tolerates no more failures");
         }
         return voters;
     }
--- a/src/main/java/cacheproxy/config/HookConfig.java
+++ b/src/main/java/cacheproxy/config/HookConfig.java
@@ -45,7 +45,7 @@
         Path module = references.resolvePath(table, "module", table.text("module"));
         String sha256 = table.text("sha256", null);
         if (sha256 != null && !SHA256.matcher(sha256).matches()) {
-            table.error("sha256", "sha256 is 64 lower-case hexadecimal digits");
+            table.error("sha256", "sha256 must be 64 lower-case hexadecimal digits");
         }
         Set<String> listeners = Set.copyOf(table.references("listener", references.listeners(), "listener"));
         table.references("route", references.routes(), "route");
--- a/src/main/java/cacheproxy/config/HostReader.java
+++ b/src/main/java/cacheproxy/config/HostReader.java
@@ -37,7 +37,7 @@
     private VirtualHosts.Host readHost(TomlTableReader table) {
         String name = ConfigValues.uniqueName(table, names, "host");
         if (keys == KeyFormat.TEXT) {
-            table.error("name", "hosts are parts of keys that are paths; set keys = \"path\" at the file's head");
+            table.error("name", "hosts need keys that are paths; set keys = \"path\" at the top of the file");
         }
         Set<String> listenerNames = Set.copyOf(table.references("listener", listeners, "listener"));
         List<String> patterns = readPatterns(table);
@@ -47,7 +47,8 @@
             if (!listenerNames.isEmpty() && !listenerNames.contains(listener)) {
                 table.error(
                         "default_of",
-                        "host '" + name + "' is not found at listener " + listener + "; add it to listener");
+                        "host '" + name + "' does not belong to listener " + listener
+                                + "; add the listener to the key listener");
             }
         }
         if (patterns.isEmpty() && !isDefault && defaultListeners.isEmpty()) {
@@ -68,7 +69,8 @@
             if (other != null) {
                 table.error(
                         "default",
-                        "host '" + other + "' is the default of listener " + listener + " already; one each");
+                        "host '" + other + "' is the default of listener " + listener
+                                + " already; a listener has one default");
             }
         }
     }
@@ -88,7 +90,9 @@
             return KeyPatterns.compile(table, "names", pattern.substring(1)) != null;
         }
         if (!VirtualHosts.isValidName(pattern)) {
-            table.error("names", "'" + pattern + "' is no host; allowed: a.example, *.example, .example, a.*, ~regex");
+            table.error(
+                    "names",
+                    "'" + pattern + "' is not a host name; allowed: a.example, *.example, .example, a.*, ~regex");
             return false;
         }
         return true;
--- a/src/main/java/cacheproxy/config/IcpConfig.java
+++ b/src/main/java/cacheproxy/config/IcpConfig.java
@@ -36,12 +36,12 @@
         }
         int keys = table.integer("keys", 65_536, MIN_KEYS, MAX_KEYS);
         if (Integer.bitCount(keys) != 1) {
-            table.error("keys", "keys is " + keys + "; a power of two is wanted");
+            table.error("keys", "keys is " + keys + "; it must be a power of two");
             keys = MIN_KEYS;
         }
         String urlPrefix = table.text("url_prefix", "http://coralbay/");
         if (!URL_PREFIX.matcher(urlPrefix).matches()) {
-            table.error("url_prefix", "url_prefix is 1 to 1000 printing characters without space");
+            table.error("url_prefix", "url_prefix must be 1 to 1000 printable characters without space");
         }
         IcpConfig icp = new IcpConfig(
                 ConfigValues.listenAddress(table, "address"),
--- a/src/main/java/cacheproxy/config/LeaseConfig.java
+++ b/src/main/java/cacheproxy/config/LeaseConfig.java
@@ -25,7 +25,7 @@
                 table.error(
                         "name",
                         "names that begin with " + FleetNames.HEALTH_CHECK_PREFIX + " or " + FleetNames.WATCH_PREFIX
-                                + " or " + FleetNames.QUOTA_PREFIX + " are the program's own; take another");
+                                + " or " + FleetNames.QUOTA_PREFIX + " are the program's own; choose another");
             }
             double leaseMs = FleetNames.leaseMs(table, longestLeaseMs, DEFAULT_LEASE_MS);
             leases.add(new LeaseConfig(name, leaseMs, FleetNames.voters(table)));
--- a/src/main/java/cacheproxy/config/ListenerReader.java
+++ b/src/main/java/cacheproxy/config/ListenerReader.java
@@ -33,7 +33,7 @@
         InetSocketAddress address = ConfigValues.listenAddress(table, "address");
         for (ListenerConfig other : listeners) {
             if (address.getPort() != 0 && address.equals(other.address())) {
-                table.error("address", "listener " + other.name() + " has the same address; one each");
+                table.error("address", "listener " + other.name() + " has the same address; addresses must be unique");
             }
         }
         table.oneOf("protocol", "meta", "meta");
--- a/src/main/java/cacheproxy/config/PlacementTemplates.java
+++ b/src/main/java/cacheproxy/config/PlacementTemplates.java
@@ -21,7 +21,7 @@
             if (template.highestGroup() > groups) {
                 String remedy =
                         groups == 0 ? "only routes with a regex have groups" : "the route's first regex has " + groups;
-                table.error(key, key + ": '$" + template.highestGroup() + "' is no group; " + remedy);
+                table.error(key, key + ": '$" + template.highestGroup() + "' is not a group; " + remedy);
             }
             return template;
         } catch (IllegalArgumentException e) {
--- a/src/main/java/cacheproxy/config/PoolReader.java
+++ b/src/main/java/cacheproxy/config/PoolReader.java
@@ -101,9 +101,7 @@
             DiscoveryConfig discovery) {
         if (discovery != null) {
             if (!servers.isEmpty() || origin != null) {
-                table.error(
-                        "discovery",
-                        "pool " + pool + " has both discovery and servers; the list comes from one of them");
+                table.error("discovery", "pool " + pool + " has both discovery and servers; use one of them");
             }
         } else if (servers.isEmpty()) {
             table.error("name", "pool " + pool + " has no server; write [[pool.server]] or discovery");
@@ -124,7 +122,7 @@
             table.error(
                     "placement",
                     placement + " depends on the order of servers in the file, which discovery does not "
-                            + "have; allowed: carp");
+                            + "provide; allowed: carp");
         }
         double sum = 0;
         for (ServerConfig server : servers) {
@@ -133,7 +131,7 @@
                 table.error(
                         "placement",
                         "server " + server.name() + " has a weight that " + placement
-                                + " has no place for; whole numbers from 1");
+                                + " does not support; use whole numbers from 1");
             }
         }
         if (sum > NginxConsistentPlacement.MAX_WEIGHT_SUM) {
@@ -167,7 +165,7 @@
             path.add(next);
             if (visited) {
                 if (next.equals(start.name())) {
-                    table.error("fallback", "fallbacks go round: " + String.join(" -> ", path) + "; leave one out");
+                    table.error("fallback", "fallbacks form a cycle: " + String.join(" -> ", path) + "; remove one");
                 }
                 return;
             }
--- a/src/main/java/cacheproxy/config/QuotasConfig.java
+++ b/src/main/java/cacheproxy/config/QuotasConfig.java
@@ -59,7 +59,7 @@
             count += quota.countForTenants(references.tenants().size());
         }
         if (count > MAX_QUOTAS) {
-            tables.get(0).error("name", count + " limits, each tenant's own counted; at most " + MAX_QUOTAS);
+            tables.get(0).error("name", count + " limits, counted for each tenant separately; at most " + MAX_QUOTAS);
         }
         return quotas;
     }
--- a/src/main/java/cacheproxy/config/RouteReader.java
+++ b/src/main/java/cacheproxy/config/RouteReader.java
@@ -132,10 +132,10 @@
             table.error("name", "route '" + name + "' has key and prefix; one at most");
         }
         if (key != null && !KeyRewrite.isLegalKey(key)) {
-            table.error("key", "no request has this key; keys have 1 to 250 printing characters without space");
+            table.error("key", "no request has this key; keys have 1 to 250 printable characters without space");
         }
         if (prefix != null && !prefix.isEmpty() && !KeyRewrite.isLegalKey(prefix)) {
-            table.error("prefix", "no key begins with this; keys have 1 to 250 printing characters without space");
+            table.error("prefix", "no key begins with this; keys have 1 to 250 printable characters without space");
         }
     }
 
@@ -164,11 +164,11 @@
         String replace = table.text("replace", null);
         if (add != null && !KeyRewrite.isLegalKey(add)) {
             table.error(
-                    "add", "add puts something into keys that servers don't take; printing characters without space");
+                    "add", "add puts characters into keys that servers reject; use printable characters without space");
             return KeyRewrite.NONE;
         }
         if (replace != null && strip != null) {
-            table.error("replace", "replace makes the whole key anew, so strip does nothing; one of them");
+            table.error("replace", "replace rewrites the whole key, so strip has no effect; use one of them");
         }
         if (strip == null && add == null && replace == null) {
             return KeyRewrite.NONE;
--- a/src/main/java/cacheproxy/config/ServerReader.java
+++ b/src/main/java/cacheproxy/config/ServerReader.java
@@ -56,7 +56,7 @@
         if (other != null && !other.equals(name)) {
             table.error(
                     "name",
-                    "server '" + name + "' has the number of '" + other + "', " + Integer.toHexString(id)
+                    "server '" + name + "' has the same id as '" + other + "', " + Integer.toHexString(id)
                             + "; rename one");
         }
     }
@@ -68,13 +68,13 @@
             table.error(
                     "dial",
                     Addresses.text(address) + " is server '" + nameAtAddress
-                            + "' already; a server has one name, also in several pools");
+                            + "' already; a server has the same name in all pools");
         }
         ServerConfig sameName = serversByName.putIfAbsent(server.name(), server);
         if (sameName != null && !address.equals(sameName.address())) {
             table.error(
                     "dial",
-                    "server '" + server.name() + "' stands at " + Addresses.text(sameName.address())
+                    "server '" + server.name() + "' has the address " + Addresses.text(sameName.address())
                             + " in another pool; a name has one address");
         }
     }
--- a/src/main/java/cacheproxy/config/ServiceClassReader.java
+++ b/src/main/java/cacheproxy/config/ServiceClassReader.java
@@ -32,7 +32,7 @@
         }
         double windowMs = table.number("window_ms", 0, 1, ConfigValues.HOUR_MS);
         if (effect == Idempotency.DEDUPLICATED && windowMs == 0) {
-            table.error("effect", "a keyed class needs window_ms, for which servers drop repeats");
+            table.error("effect", "a keyed class needs window_ms, the time for which servers drop repeats");
         }
         ServiceClass serviceClass = new ServiceClass(
                 name,
--- a/src/main/java/cacheproxy/config/SiblingConfig.java
+++ b/src/main/java/cacheproxy/config/SiblingConfig.java
@@ -21,12 +21,12 @@
         if (references.serverNames().containsKey(id) || !ids.add(id)) {
             table.error(
                     "name",
-                    "sibling '" + name + "' has the number of another server, " + Integer.toHexString(id)
+                    "sibling '" + name + "' has the same id as another server, " + Integer.toHexString(id)
                             + "; rename one");
         }
         String className = table.text("class");
         if (!className.isEmpty() && !ConfigValues.isName(className)) {
-            table.error("class", "class '" + className + "' is no word");
+            table.error("class", "class '" + className + "' is not a valid name");
         }
         SiblingConfig sibling = new SiblingConfig(
                 name,
--- a/src/main/java/cacheproxy/config/SiblingsConfig.java
+++ b/src/main/java/cacheproxy/config/SiblingsConfig.java
@@ -37,7 +37,7 @@
         }
         IcpConfig icp = IcpConfig.read(root, references);
         if (icp == null && !siblings.isEmpty()) {
-            references.errors().add(null, "siblings are asked by ICP; write [icp] with an address");
+            references.errors().add(null, "siblings are queried by ICP; write [icp] with an address");
         }
         references
                 .pools()
@@ -50,7 +50,7 @@
         pool.siblings().forEach(sibling -> table.checkReference("siblings", sibling, names, "sibling"));
         if (!pool.siblings().isEmpty() && pool.origin() == null) {
             table.error(
-                    "siblings", "siblings are asked before a pool's own origin, and this pool has none in the file");
+                    "siblings", "siblings are queried before a pool's own origin, and this pool has none in the file");
         }
     }
 }
--- a/src/main/java/cacheproxy/config/TomlTableReader.java
+++ b/src/main/java/cacheproxy/config/TomlTableReader.java
@@ -92,12 +92,12 @@
         String value = text(key, null);
         if (value == null) {
             if (content.fragmentWith(key).isEmpty()) {
-                errors.add(position, name + " has no " + key + "; it must have one, a text");
+                errors.add(position, name + " has no " + key + "; a string is required");
             }
             return "";
         }
         if (value.isEmpty()) {
-            error(key, key + " is empty; a text is wanted");
+            error(key, key + " is empty; a non-empty string is required");
         }
         return value;
     }
@@ -111,7 +111,7 @@
         if (value instanceof String text) {
             return text;
         }
-        error(key, key + " is no text; put it in quotes");
+        error(key, key + " is not a string; put it in quotes");
         return defaultValue;
     }
 
@@ -123,8 +123,8 @@
         }
         double number = value instanceof Number boxed ? boxed.doubleValue() : Double.NaN;
         if (!(number >= min && number <= max)) {
-            String found = value instanceof Number ? format(number) : "no number";
-            error(key, key + " is " + found + "; a number from " + format(min) + " to " + format(max) + " is wanted");
+            String found = value instanceof Number ? format(number) : "not a number";
+            error(key, key + " is " + found + "; a number from " + format(min) + " to " + format(max) + " is required");
             return defaultValue;
         }
         return number;
@@ -134,7 +134,7 @@
     public int integer(String key, int defaultValue, int min, int max) {
         Object value = value(key);
         if (value != null && !(value instanceof Long)) {
-            error(key, key + " is no whole number; one from " + min + " to " + max + " is wanted");
+            error(key, key + " is not a whole number; one from " + min + " to " + max + " is required");
             return defaultValue;
         }
         return (int) number(key, defaultValue, min, max);
@@ -223,11 +223,12 @@
                 if (array.get(i) instanceof String text) {
                     texts.add(text);
                 } else {
-                    errors.add(fragment.inFile(array.inputPositionOf(i)), key + " holds something that is no text");
+                    errors.add(
+                            fragment.inFile(array.inputPositionOf(i)), key + " contains a value that is not a string");
                 }
             }
         } else if (value != null) {
-            error(key, key + " is neither a text nor a list of texts");
+            error(key, key + " is neither a string nor a list of strings");
         }
         return texts;
     }
@@ -242,7 +243,7 @@
             return new TomlTableReader(FragmentedTable.of(inner), innerName, positionOf(key), errors);
         }
         if (value != null) {
-            error(key, key + " is no table; write " + key + " = { ... } or [" + key + "]");
+            error(key, key + " is not a table; write " + key + " = { ... } or [" + key + "]");
         }
         return null;
     }
@@ -270,7 +271,7 @@
             if (value instanceof TomlArray array) {
                 addTables(key, fragment, array, tables);
             } else if (value != null) {
-                errors.add(fragment.positionOf(key), key + " is no list of tables; write [[" + key + "]]");
+                errors.add(fragment.positionOf(key), key + " is not a list of tables; write [[" + key + "]]");
             }
         }
         return tables;
@@ -283,7 +284,7 @@
                 String title = table.get(List.of("name")) instanceof String text ? key + " " + text : key;
                 tables.add(new TomlTableReader(FragmentedTable.of(fragment.inner(table)), title, start, errors));
             } else {
-                errors.add(start, key + " holds something that is no table");
+                errors.add(start, key + " contains a value that is not a table");
             }
         }
     }
--- a/src/main/java/cacheproxy/config/TrafficShareReader.java
+++ b/src/main/java/cacheproxy/config/TrafficShareReader.java
@@ -29,7 +29,7 @@
         long to = (long) table.number("to_hash", SplitShare.HASH_RANGE, 0, SplitShare.HASH_RANGE);
         table.rejectUnknownKeys();
         if (from >= to) {
-            table.error("to_hash", "the share is empty; from_hash must be under to_hash");
+            table.error("to_hash", "the share is empty; from_hash must be less than to_hash");
             return null;
         }
         return new SplitShare(template == null ? PlacementTemplate.KEY : template, from, to);
@@ -41,7 +41,7 @@
         String salt = table.text("salt", "");
         table.rejectUnknownKeys();
         if (from >= to) {
-            table.error("to_percent", "the share is empty; from_percent must be under to_percent");
+            table.error("to_percent", "the share is empty; from_percent must be less than to_percent");
             return null;
         }
         return new KeyShare(salt, (int) from, (int) to);
--- a/src/test/java/cacheproxy/config/DaemonConfigReaderTest.java
+++ b/src/test/java/cacheproxy/config/DaemonConfigReaderTest.java
@@ -86,11 +86,11 @@
             {"name = \"page\"", "efect = \"safe\"", "f:3:1: unknown key 'efect' in class page; allowed: aim_ms"},
             {"name = \"main\"", "adress = 1", "unknown key 'adress'"},
             {"name = \"a\"", "in_hand = 0", "f:15:1: in_hand is 0; a number from 1 to 1000000"},
-            {"name = \"a\"", "in_hand = \"x\"", "in_hand is no whole number"},
-            {"name = \"a\"", "per_second = \"x\"", "per_second is no number"},
+            {"name = \"a\"", "in_hand = \"x\"", "in_hand is not a whole number"},
+            {"name = \"a\"", "per_second = \"x\"", "per_second is not a number"},
             {"name = \"a\"", "placement = \"ring\"", "placement is 'ring'; allowed: carp"},
             {"name = \"a\"", "fallback = \"c\"", "there is no pool 'c'; there are: a, b"},
-            {"name = \"a\"", "fallback = \"a\"", "fallbacks go round: a -> a"},
+            {"name = \"a\"", "fallback = \"a\"", "fallbacks form a cycle: a -> a"},
             {"name = \"a1\"", "backup = 1", "backup is neither true nor false"},
             {"name = \"a1\"", "down = true", "every server of pool a is down"},
             {"name = \"a1\"", "backup = true", "every server of pool a is a backup"},
@@ -98,11 +98,11 @@
             {"name = \"all\"", "regex = \"(a)\\\\1\"", "regex can't be used"},
             {"name = \"all\"", "regex = \"(a\"", "regex can't be used"},
             {"name = \"all\"", "class = \"no\"", "there is no class 'no'; there are: page, publish"},
-            {"name = \"all\"", "listener = [\"main\", 3]", "listener holds something that is no text"},
+            {"name = \"all\"", "listener = [\"main\", 3]", "listener contains a value that is not a string"},
             {"name = \"all\"", "refuse_ms = 5", "needs one of pools, refuse_ms and fail"},
             {"name = \"all\"", "share = { from_percent = 5, to_percent = 5 }", "the share is empty"},
             {"name = \"all\"", "regex = \"^a\"\nreplace = \"$1\"", "'$1' names no group"},
-            {"name = \"all\"", "add = \"a b\"", "add puts something into keys"},
+            {"name = \"all\"", "add = \"a b\"", "add puts characters into keys"},
             {"name = \"publish\"", "aim_ms = 2000", "aim_ms is 2000, more than the deadline"},
         };
         for (String[] expected : cases) {
@@ -161,7 +161,7 @@
     void rejectsFallbackLoopsAndUnreachableRoutes() {
         String loop = VALID.replace("name = \"a\"\n", "name = \"a\"\nfallback = \"b\"\n")
                 .replace("name = \"b\"\n", "name = \"b\"\nfallback = \"a\"\n");
-        assertThat(errors(loop)).hasSize(2).allMatch(error -> error.contains("fallbacks go round"));
+        assertThat(errors(loop)).hasSize(2).allMatch(error -> error.contains("fallbacks form a cycle"));
         assertThat(errors(VALID + "[[route]]\nname = \"late\"\norder = 1\nprefix = \"x\"\npools = [\"b\"]\n"))
                 .singleElement()
                 .asString()
@@ -240,7 +240,7 @@
                 .isInstanceOfSatisfying(
                         ConfigException.class,
                         error -> assertThat(error.errors())
-                                .anyMatch(line -> line.contains("pools holds something that is no text")));
+                                .anyMatch(line -> line.contains("pools contains a value that is not a string")));
         String twice = "[site]\nname = \"a\"\n" + text + "[site]\nname = \"b\"\n";
         assertThatThrownBy(() -> DaemonConfigReader.parse("f", twice))
                 .isInstanceOfSatisfying(
@@ -319,6 +319,6 @@
                 .singleElement()
                 .asString()
                 .startsWith("f:" + (lines + 2) + ":1: ")
-                .contains("'r17' is there already");
+                .contains("'r17' already exists");
     }
 }
