--- a/src/main/java/cacheproxy/cli/CheckCommand.java
+++ b/src/main/java/cacheproxy/cli/CheckCommand.java
@@ -17,13 +17,13 @@
 @Command(
         name = "check",
         mixinStandardHelpOptions = true,
-        description =
-                "Checks a file and tells every error as file:line:column. Exit 0: run would take it; 2: it would not.")
+        description = "Checks a file and reports every error as file:line:column. "
+                + "Exit code 0: run would accept the file; 2: it would not.")
 final class CheckCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
 
-    @Parameters(paramLabel = "FILE", description = "The daemon's file.")
+    @Parameters(paramLabel = "FILE", description = "The daemon's configuration file.")
     private Path file;
 
     @Override
--- a/src/main/java/cacheproxy/cli/Cli.java
+++ b/src/main/java/cacheproxy/cli/Cli.java
@@ -10,7 +10,7 @@
         mixinStandardHelpOptions = true,
         version = "coralbay 0.2.0",
         sortOptions = false,
-        description = "A proxy in front of fleets of cache nodes.",
+        description = "A proxy in front of fleets of cache servers.",
         subcommands = {
             RunCommand.class,
             CheckCommand.class,
--- a/src/main/java/cacheproxy/cli/ControlClient.java
+++ b/src/main/java/cacheproxy/cli/ControlClient.java
@@ -59,7 +59,7 @@
         int headersEnd = received.indexOf(HEADERS_END);
         Matcher statusLine = STATUS_LINE.matcher(received);
         if (!statusLine.lookingAt() || headersEnd < 0) {
-            throw new IOException("no answer in HTTP");
+            throw new IOException("no valid HTTP response");
         }
         int status = Integer.parseInt(statusLine.group(1));
         return new Response(
--- a/src/main/java/cacheproxy/cli/DemoCommand.java
+++ b/src/main/java/cacheproxy/cli/DemoCommand.java
@@ -19,8 +19,8 @@
 @Command(
         name = "demo",
         mixinStandardHelpOptions = true,
-        description = "Starts stand-in cache nodes, an origin and discovery on this machine and the daemon in front of "
-                + "them. Without --requests it goes on until Ctrl-C.")
+        description = "Starts fake cache servers, an origin and discovery on this machine and the daemon in front of "
+                + "them. Without --requests it runs until Ctrl-C.")
 final class DemoCommand implements Callable<Integer> {
     private static final int CONNECTIONS = 16;
     private static final int REQUESTS_PER_CONNECTION = 2;
@@ -34,11 +34,12 @@
     @Option(
             names = "--requests",
             paramLabel = "N",
-            description = "Sends N requests of all classes while some nodes "
-                    + "stall and one restarts cold; exit 0 only if none is lost and none took effect twice.")
+            description =
+                    "Sends N requests of all classes while some servers "
+                            + "stall and one restarts cold; exit code 0 only if no request is lost and none takes effect twice.")
     private int requests;
 
-    @Option(names = "--seed", paramLabel = "N", defaultValue = "1", description = "Seed of requests and troubles.")
+    @Option(names = "--seed", paramLabel = "N", defaultValue = "1", description = "Seed of the requests and faults.")
     private long seed;
 
     @Override
@@ -64,8 +65,8 @@
 
     private void printIntroduction(InetSocketAddress address) {
         PrintWriter out = spec.commandLine().getOut();
-        out.println("coralbay on 127.0.0.1:" + address.getPort() + " before " + Demo.NODES
-                + " stand-in cache nodes, an origin and discovery");
+        out.println("coralbay listens on 127.0.0.1:" + address.getPort() + " in front of " + Demo.NODES
+                + " fake cache servers, an origin and discovery");
         out.println("try:  printf 'mg page/1 v\\r\\n' | nc -q 1 127.0.0.1 " + address.getPort());
         out.flush();
     }
--- a/src/main/java/cacheproxy/cli/ExplainCommand.java
+++ b/src/main/java/cacheproxy/cli/ExplainCommand.java
@@ -19,12 +19,12 @@
 @Command(
         name = "explain",
         mixinStandardHelpOptions = true,
-        description = "Says for each key which route, pool and server it goes to while all servers are well.")
+        description = "Prints for each key the route, pool and server it goes to while all servers are healthy.")
 final class ExplainCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
 
-    @Parameters(index = "0", paramLabel = "FILE", description = "The daemon's file.")
+    @Parameters(index = "0", paramLabel = "FILE", description = "The daemon's configuration file.")
     private Path file;
 
     @Parameters(index = "1..*", paramLabel = "KEY", arity = "1..*", description = "Keys as clients send them.")
@@ -33,22 +33,25 @@
     @Option(
             names = "--class",
             paramLabel = "NAME",
-            description = "The request's class; else the listener's, or the first.")
+            description = "The request's class; default: the listener's, or the first.")
     private String serviceClass;
 
     @Option(
             names = "--tenant",
             paramLabel = "NAME",
-            description = "The request's tenant; else the listener's, or the first.")
+            description = "The request's tenant; default: the listener's, or the first.")
     private String tenant;
 
-    @Option(names = "--listener", paramLabel = "NAME", description = "Where it comes in; else the first listener.")
+    @Option(
+            names = "--listener",
+            paramLabel = "NAME",
+            description = "The listener that receives it; default: the first.")
     private String listener;
 
-    @Option(names = "--write", description = "It is a write.")
+    @Option(names = "--write", description = "The request is a write.")
     private boolean write;
 
-    @Option(names = "--why", description = "Also the routes passed over and the ranking.")
+    @Option(names = "--why", description = "Also prints the routes that were passed over and the ranking of servers.")
     private boolean why;
 
     @Override
--- a/src/main/java/cacheproxy/cli/FleetCommand.java
+++ b/src/main/java/cacheproxy/cli/FleetCommand.java
@@ -27,8 +27,8 @@
 @Command(
         name = "fleet",
         mixinStandardHelpOptions = true,
-        description =
-                "Plays scenarios: many processes of this program, faults between them, and what they did checked from outside.",
+        description = "Runs scenarios: starts many processes of this program, injects faults between them, "
+                + "and checks from outside what they did.",
         subcommands = {
             FleetCommand.Play.class,
             FleetCommand.Check.class,
@@ -82,10 +82,10 @@
 
     /** The scenario file of a subcommand, and the seed that replaces the file's own. */
     static final class ScenarioOptions {
-        @Parameters(paramLabel = "SCENARIO", description = "The scenario's file.")
+        @Parameters(paramLabel = "SCENARIO", description = "The scenario file.")
         private Path file;
 
-        @Option(names = "--seed", paramLabel = "N", description = "Instead of the file's.")
+        @Option(names = "--seed", paramLabel = "N", description = "Replaces the seed in the file.")
         private Long seed;
 
         /** Reads the scenario. */
@@ -95,7 +95,7 @@
     }
 
     /** {@code fleet play}: runs a scenario and checks its history. */
-    @Command(name = "play", mixinStandardHelpOptions = true, description = "Plays a scenario and gives a verdict.")
+    @Command(name = "play", mixinStandardHelpOptions = true, description = "Runs a scenario and prints a verdict.")
     static final class Play implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
@@ -106,7 +106,8 @@
         @Option(
                 names = "--out",
                 paramLabel = "DIR",
-                description = "For the history, the faults as played, logs; a new folder of the " + "system's else.")
+                description = "Directory for the history, the injected faults and logs; "
+                        + "default: a new temporary directory.")
         private Path outputDirectory;
 
         @Override
@@ -128,12 +129,12 @@
     }
 
     /** {@code fleet check}: checks the history of an earlier run. */
-    @Command(name = "check", mixinStandardHelpOptions = true, description = "Checks a history that was written before.")
+    @Command(name = "check", mixinStandardHelpOptions = true, description = "Checks the history of an earlier run.")
     static final class Check implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
 
-        @Parameters(paramLabel = "HISTORY", description = "A file of play.")
+        @Parameters(paramLabel = "HISTORY", description = "A history file written by play.")
         private Path file;
 
         @Override
@@ -154,7 +155,7 @@
     @Command(
             name = "plan",
             mixinStandardHelpOptions = true,
-            description = "Prints a scenario with its lots drawn: each fault by names and times.")
+            description = "Prints a scenario with its random choices made: each fault with its targets and times.")
     static final class Plan implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
--- a/src/main/java/cacheproxy/cli/FleetShrinkCommand.java
+++ b/src/main/java/cacheproxy/cli/FleetShrinkCommand.java
@@ -20,7 +20,7 @@
 @Command(
         name = "shrink",
         mixinStandardHelpOptions = true,
-        description = "Finds fewer, shorter faults that still break an invariant, and prints them as a scenario.")
+        description = "Finds fewer, shorter faults that still violate an invariant, and prints them as a scenario.")
 final class FleetShrinkCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
@@ -28,21 +28,21 @@
     @Mixin
     private FleetCommand.ScenarioOptions scenarioOptions;
 
-    @Option(names = "--invariant", paramLabel = "NAME", description = "Only this one counts; else all do.")
+    @Option(names = "--invariant", paramLabel = "NAME", description = "The invariant to check; default: all.")
     private String invariant;
 
     @Option(
             names = "--tries",
             paramLabel = "N",
             defaultValue = "2",
-            description = "Of each list of faults (default: ${DEFAULT-VALUE}).")
+            description = "Runs of each list of faults (default: ${DEFAULT-VALUE}).")
     private int attempts;
 
     @Option(
             names = "--runs",
             paramLabel = "N",
             defaultValue = "60",
-            description = "In all (default: ${DEFAULT-VALUE}).")
+            description = "Maximum number of runs in total (default: ${DEFAULT-VALUE}).")
     private int maxRuns;
 
     @Override
@@ -55,7 +55,7 @@
         Scenario scenario = scenarioOptions.read();
         List<Checker> checkers = selectCheckers();
         if (attempts < 1 || maxRuns < 1) {
-            throw new IllegalArgumentException("--tries and --runs are from 1 on");
+            throw new IllegalArgumentException("--tries and --runs must be at least 1");
         }
         Path directory = Files.createTempDirectory("shrink");
         List<Fault> faults = FaultTestRunner.shrink(
@@ -66,7 +66,7 @@
                 maxRuns,
                 FleetCommand.printingLines(spec.commandLine().getErr()));
         if (faults == null) {
-            out.println("held in " + attempts + " tries");
+            out.println("no invariant was violated in " + attempts + " tries");
             out.flush();
             return ExitCode.OK;
         }
--- a/src/main/java/cacheproxy/cli/HookCommand.java
+++ b/src/main/java/cacheproxy/cli/HookCommand.java
@@ -23,7 +23,7 @@
 @Command(
         name = "hook",
         mixinStandardHelpOptions = true,
-        description = "Tries plug-ins outside of the daemon.",
+        description = "Runs hook modules outside of the daemon.",
         subcommands = HookCommand.Test.class)
 final class HookCommand implements Runnable {
     @Spec
@@ -38,8 +38,8 @@
     @Command(
             name = "test",
             mixinStandardHelpOptions = true,
-            description = "Runs one call and prints what it orders, its fuel and "
-                    + "time. Exit 0: it gave orders, or none; 1: the call failed; 2: the module does not load.")
+            description = "Calls a module and prints its orders, fuel and time. Exit code 0: the call succeeded, "
+                    + "with orders or without; 1: the call failed; 2: the module does not load.")
     static final class Test implements Callable<Integer> {
         private static final int TIMED_CALLS = 2000;
         private static final long LOAD_FUEL = 10_000_000;
@@ -52,23 +52,23 @@
         @Parameters(paramLabel = "MODULE", description = "The .wasm file.")
         private Path module;
 
-        @Option(names = "--request", paramLabel = "KEY", required = true, description = "The key.")
+        @Option(names = "--request", paramLabel = "KEY", required = true, description = "The request's key.")
         private String key;
 
-        @Option(names = "--class", paramLabel = "NAME", defaultValue = "page", description = "The class.")
+        @Option(names = "--class", paramLabel = "NAME", defaultValue = "page", description = "The request's class.")
         private String serviceClass;
 
-        @Option(names = "--tenant", paramLabel = "NAME", defaultValue = "", description = "The tenant.")
+        @Option(names = "--tenant", paramLabel = "NAME", defaultValue = "", description = "The request's tenant.")
         private String tenant;
 
-        @Option(names = "--write", description = "It is a write.")
+        @Option(names = "--write", description = "The request is a write.")
         private boolean write;
 
         @Option(
                 names = "--remaining-ms",
                 paramLabel = "MS",
                 defaultValue = "1000",
-                description = "Until the client gives up.")
+                description = "Time left until the request's deadline.")
         private long remainingMs;
 
         @Option(names = "--config", paramLabel = "TEXT", defaultValue = "", description = "The hook's configuration.")
@@ -77,10 +77,14 @@
         @Option(names = "--fuel", paramLabel = "N", defaultValue = "200000", description = "Fuel for the call.")
         private long fuel;
 
-        @Option(names = "--memory-pages", paramLabel = "N", defaultValue = "16", description = "Pages of 64 KiB.")
+        @Option(
+                names = "--memory-pages",
+                paramLabel = "N",
+                defaultValue = "16",
+                description = "Maximum memory in pages of 64 KiB.")
         private int memoryPages;
 
-        @Option(names = "--interpret", description = "Interpreted, not compiled.")
+        @Option(names = "--interpret", description = "Interprets the module instead of compiling it.")
         private boolean interpret;
 
         @Override
--- a/src/main/java/cacheproxy/cli/ImportNginxCommand.java
+++ b/src/main/java/cacheproxy/cli/ImportNginxCommand.java
@@ -30,8 +30,8 @@
         name = "import-nginx",
         mixinStandardHelpOptions = true,
         description =
-                "Makes the daemon's file of an nginx configuration. Exit 0: all carried over; 1: some things were "
-                        + "not, as the report tells; 2: the configuration can't be read, nothing is written.")
+                "Converts an nginx configuration to the daemon's configuration file. Exit code 0: all was carried over; "
+                        + "1: some directives were not, as the report shows; 2: the configuration can't be read, nothing is written.")
 final class ImportNginxCommand implements Callable<Integer> {
     private static final List<String> WRITE_EFFECTS = List.of("unsafe", "keyed", "safe");
     private static final double MIN_WINDOW_MS = 1;
@@ -46,36 +46,37 @@
     @Option(
             names = "--prefix",
             paramLabel = "DIR",
-            description = "Where relative includes count from; else FILE's directory.")
+            description = "Directory of relative includes; default: FILE's directory.")
     private Path prefix;
 
-    @Option(names = "--out", paramLabel = "FILE", description = "Where the daemon's file goes; else standard output.")
+    @Option(names = "--out", paramLabel = "FILE", description = "The daemon's file to write; default: standard output.")
     private Path outputFile;
 
-    @Option(names = "--report", paramLabel = "FILE", description = "Where the report goes; else standard error.")
+    @Option(names = "--report", paramLabel = "FILE", description = "The report file to write; default: standard error.")
     private Path reportFile;
 
-    @Option(names = "--json", description = "The report as JSON.")
+    @Option(names = "--json", description = "Writes the report as JSON.")
     private boolean json;
 
     @Option(
             names = "--listen",
             paramLabel = "ADDRESS:PORT",
             defaultValue = "127.0.0.1:11211",
-            description = "Address of the first listener; each further one takes the next port.")
+            description = "Address of the first listener; each further one gets the next port.")
     private String listenAddress;
 
     @Option(
             names = "--dial",
             paramLabel = "WRITTEN=ADDRESS:PORT",
-            description = "Where a server is reached that is written so; for names, and for servers elsewhere.")
+            description =
+                    "Address for a server that is written as WRITTEN; for host names, and for servers at another address.")
     private Map<String, String> dialAddresses = new LinkedHashMap<>();
 
     @Option(
             names = "--writes",
             paramLabel = "EFFECT",
             defaultValue = "unsafe",
-            description = "What methods other than GET and HEAD are: unsafe, keyed, safe.")
+            description = "Effect of methods other than GET and HEAD: unsafe, keyed, safe.")
     private String writeEffect;
 
     @Option(
@@ -87,14 +88,14 @@
 
     @Option(
             names = "--compare",
-            description = "Tells for each of --keys where nginx and the imported file send it. "
-                    + "Exit 0: no key differs; 1: some do.")
+            description = "Prints for each key of --keys where nginx and the imported file send it. "
+                    + "Exit code 0: no key differs; 1: some do.")
     private boolean compare;
 
     @Option(
             names = "--keys",
             paramLabel = "FILE",
-            description = "Keys, one a line: /path, or host/path where hosts differ.")
+            description = "Keys, one per line: /path, or host/path if there are several hosts.")
     private Path keysFile;
 
     @Override
@@ -137,7 +138,7 @@
         }
         boolean windowIsValid = windowMs >= MIN_WINDOW_MS && windowMs <= MAX_WINDOW_MS;
         if (!WRITE_EFFECTS.contains(writeEffect) || !windowIsValid) {
-            err.println("--writes is one of unsafe, keyed, safe; --window-ms from 1 to 3600000");
+            err.println("--writes must be one of unsafe, keyed, safe; --window-ms must be from 1 to 3600000");
             return false;
         }
         return true;
@@ -180,7 +181,7 @@
             String name = outputFile == null ? "imported" : outputFile.toString();
             return Optional.of(DaemonConfigReader.parse(name, result.file()));
         } catch (ConfigException e) {
-            err.println("the file made of " + file + " is not accepted; please report this:");
+            err.println("the file generated from " + file + " is not accepted; please report this:");
             e.errors().forEach(err::println);
             return Optional.empty();
         }
--- a/src/main/java/cacheproxy/cli/LeasesCommand.java
+++ b/src/main/java/cacheproxy/cli/LeasesCommand.java
@@ -19,7 +19,7 @@
 @Command(
         name = "duties",
         mixinStandardHelpOptions = true,
-        description = "Lists the duties of a running proxy, or hands one on.",
+        description = "Lists the duties of a running proxy, or transfers one.",
         subcommands = LeasesCommand.Transfer.class)
 final class LeasesCommand implements Callable<Integer> {
     @Spec
@@ -33,7 +33,7 @@
             description = "The proxy's control address.")
     private String control;
 
-    @Option(names = "--json", description = "As the proxy gives it.")
+    @Option(names = "--json", description = "Prints the proxy's JSON unchanged.")
     private boolean json;
 
     /** One lease as the control address reports it. */
@@ -81,7 +81,7 @@
     @Command(
             name = "transfer",
             mixinStandardHelpOptions = true,
-            description = "Has the proxy hand a duty that it holds to another.")
+            description = "Has the proxy transfer a duty that it holds to another proxy.")
     static final class Transfer implements Callable<Integer> {
         private static final Pattern NAME = Pattern.compile("[A-Za-z0-9_.-]+");
 
@@ -94,14 +94,14 @@
         @Parameters(paramLabel = "NAME", description = "The duty.")
         private String name;
 
-        @Option(names = "--to", paramLabel = "PEER", required = true, description = "The proxy that is to have it.")
+        @Option(names = "--to", paramLabel = "PEER", required = true, description = "The proxy that receives it.")
         private String newHolder;
 
         @Override
         public Integer call() {
             PrintWriter err = spec.commandLine().getErr();
             if (!NAME.matcher(name + newHolder).matches()) {
-                err.println("names are letters, digits, dots, dashes and underscores");
+                err.println("names consist of letters, digits, dots, dashes and underscores");
                 return ExitCode.UNUSABLE;
             }
             try {
--- a/src/main/java/cacheproxy/cli/LimitsCommand.java
+++ b/src/main/java/cacheproxy/cli/LimitsCommand.java
@@ -23,7 +23,7 @@
     @Option(names = "--control", paramLabel = "ADDR", required = true, description = "The proxy's control address.")
     private String control;
 
-    @Option(names = "--json", description = "As the proxy gives it.")
+    @Option(names = "--json", description = "Prints the proxy's JSON unchanged.")
     private boolean json;
 
     /** One quota as the control address reports it; {@code isolatedSinceMs} is "-" while the proxy is not isolated. */
--- a/src/main/java/cacheproxy/cli/NginxConfDirectory.java
+++ b/src/main/java/cacheproxy/cli/NginxConfDirectory.java
@@ -37,7 +37,7 @@
         } catch (NoSuchFileException e) {
             throw new UnreadableFileException("there is no such file");
         } catch (AccessDeniedException e) {
-            throw new UnreadableFileException("it may not be read");
+            throw new UnreadableFileException("permission denied");
         } catch (IOException e) {
             throw new UnreadableFileException(String.valueOf(e.getMessage()));
         }
@@ -47,7 +47,7 @@
         try {
             return prefix.resolve(path);
         } catch (InvalidPathException e) {
-            throw new UnreadableFileException("this is no name of a file");
+            throw new UnreadableFileException("this is not a valid file name");
         }
     }
 
@@ -100,7 +100,7 @@
                 }
             }
         } catch (PatternSyntaxException e) {
-            throw new UnreadableFileException("the pattern is broken: " + e.getDescription());
+            throw new UnreadableFileException("the pattern is invalid: " + e.getDescription());
         } catch (IOException e) {
             throw new UnreadableFileException(directory + " can't be listed");
         }
--- a/src/main/java/cacheproxy/cli/RunCommand.java
+++ b/src/main/java/cacheproxy/cli/RunCommand.java
@@ -21,19 +21,20 @@
 @Command(
         name = "run",
         mixinStandardHelpOptions = true,
-        description = "Runs the daemon. SIGHUP: reads the file again; SIGTERM: answers what it has and ends.")
+        description =
+                "Runs the daemon. SIGHUP: reloads the file; SIGTERM: completes the requests in progress and ends.")
 final class RunCommand implements Callable<Integer> {
     @Spec
     private CommandSpec spec;
 
-    @Parameters(paramLabel = "FILE", description = "The daemon's file.")
+    @Parameters(paramLabel = "FILE", description = "The daemon's configuration file.")
     private Path file;
 
     @Option(
             names = "--seed-from",
             paramLabel = "MEMORY",
-            description = "A sibling's memory file: what it has learned counts for "
-                    + "half, where this proxy remembers nothing itself.")
+            description = "A sibling's memory file; its learned state is used with half its weight "
+                    + "where this proxy has none of its own.")
     private Path siblingSnapshot;
 
     @Override
@@ -82,12 +83,12 @@
     private void reload(Daemon daemon, PrintWriter err) {
         try {
             daemon.reload(file);
-            err.println("goes by " + file + " as it is now");
+            err.println("uses " + file + " as it is now");
         } catch (ConfigException e) {
             e.errors().forEach(err::println);
             err.println("nothing has changed");
         } catch (RuntimeException e) {
-            err.println("the file could not be taken over, please report this: " + e);
+            err.println("the file could not be applied, please report this: " + e);
         } catch (InterruptedException e) {
             Thread.currentThread().interrupt();
         }
--- a/src/main/java/cacheproxy/cli/SnapshotCommand.java
+++ b/src/main/java/cacheproxy/cli/SnapshotCommand.java
@@ -23,7 +23,7 @@
 @Command(
         name = "memory",
         mixinStandardHelpOptions = true,
-        description = "Looks into what a daemon remembers.",
+        description = "Verifies and prints the memory files of a daemon.",
         subcommands = {SnapshotCommand.Show.class, SnapshotCommand.Verify.class})
 final class SnapshotCommand implements Runnable {
     @Spec
@@ -36,7 +36,7 @@
 
     /** The file that a subcommand reads. The previous generation next to it is not read. */
     private static final class SnapshotFile {
-        @Parameters(paramLabel = "FILE", description = "The memory file, or FILE.old behind it.")
+        @Parameters(paramLabel = "FILE", description = "The memory file, or its previous generation FILE.old.")
         private Path file;
 
         /** Decodes the file and prints what is damaged or skipped; returns nothing if no part of it can be used. */
@@ -76,7 +76,7 @@
     @Command(
             name = "verify",
             mixinStandardHelpOptions = true,
-            description = "Checks a file. Exit 0: whole; 1: damaged in part, or "
+            description = "Checks a file. Exit code 0: whole; 1: damaged in part, or "
                     + "with sections of a newer program; 2: nothing in it can be used.")
     static final class Verify implements Callable<Integer> {
         @Spec
@@ -105,7 +105,7 @@
     @Command(
             name = "show",
             mixinStandardHelpOptions = true,
-            description = "Prints what a file says. Exit codes as of verify.")
+            description = "Prints the content of a file. The exit codes are those of verify.")
     static final class Show implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
--- a/src/main/java/cacheproxy/cli/SnapshotPrinter.java
+++ b/src/main/java/cacheproxy/cli/SnapshotPrinter.java
@@ -41,14 +41,14 @@
                 learned.latency().deviationMs(),
                 learned.latency().originMs());
         out.printf(
-                "  lately asked and answered in time: servers %.1f of %.1f, origin %.1f of %.1f%n",
+                "  recent attempts answered in time: servers %.1f of %.1f, origin %.1f of %.1f%n",
                 learned.serverLoad().answered(),
                 learned.serverLoad().sent(),
                 learned.originLoad().answered(),
                 learned.originLoad().sent());
         for (LearnedServer server : learned.servers()) {
             out.printf(
-                    "  server %08x at %s: %d failures, %d doubts, left out for %.0f ms more%n",
+                    "  server %08x at %s: %d failures, %d overdue attempts, ejected for %.0f ms more%n",
                     server.id(),
                     pool.addresses().getOrDefault(server.id(), "?"),
                     server.failures(),
--- a/src/main/java/cacheproxy/snapshot/SectionReader.java
+++ b/src/main/java/cacheproxy/snapshot/SectionReader.java
@@ -27,7 +27,7 @@
 
     /** Checks that all of the section has been read. */
     void checkEnd() throws InvalidSectionException {
-        check(!content.hasRemaining(), content.remaining() + " bytes too many");
+        check(!content.hasRemaining(), content.remaining() + " unexpected bytes at the end");
     }
 
     /** Reads 8 bits. */
@@ -71,14 +71,14 @@
     /** Reads a duration in milliseconds, or another number within the same bounds. */
     double readDuration() throws InvalidSectionException {
         double ms = content.getDouble();
-        check(SnapshotHeader.isTime(ms), "span " + ms);
+        check(SnapshotHeader.isTime(ms), "duration or count " + ms);
         return ms;
     }
 
     /** Reads the start time of a server in milliseconds. */
     double readStartTime() throws InvalidSectionException {
         double ms = content.getDouble();
-        check(ms >= 0 && ms <= MAX_START_MS, "start " + ms);
+        check(ms >= 0 && ms <= MAX_START_MS, "start time " + ms);
         return ms;
     }
 
--- a/src/main/java/cacheproxy/snapshot/SnapshotAssembler.java
+++ b/src/main/java/cacheproxy/snapshot/SnapshotAssembler.java
@@ -87,7 +87,7 @@
     private Runnable readIdentity(SectionReader section) throws InvalidSectionException, CharacterCodingException {
         String name = section.readText();
         int number = section.readInt();
-        SectionReader.check(number >= 0, "number of a proxy below 0");
+        SectionReader.check(number >= 0, "proxy number below 0");
         return () -> {
             site = name;
             proxyNumber = number;
@@ -156,7 +156,7 @@
             sum += key.count();
             keys.add(key);
         }
-        SectionReader.check(sum <= total, "keys that were asked for more often than all were");
+        SectionReader.check(sum <= total, "more requests for hot keys than for all keys");
         return () -> {
             pool(pool).hotKeys = new LearnedHotKeys(total, keys);
             pool(pool).keyScheme = keyScheme;
@@ -170,7 +170,7 @@
             int id = section.readInt();
             double startMs = section.readStartTime();
             byte down = section.readByte();
-            SectionReader.check(down == 0 || down == 1, "neither up nor down");
+            SectionReader.check(down == 0 || down == 1, "server neither up nor down");
             starts.add(new ServerStart(id, section.readText(), startMs, down == 1));
         }
         return () -> serverStarts.addAll(starts);
--- a/src/main/java/cacheproxy/snapshot/SnapshotDecoder.java
+++ b/src/main/java/cacheproxy/snapshot/SnapshotDecoder.java
@@ -47,7 +47,7 @@
             faults.add("byte " + input.position() + ": " + (header.sections() - read) + " sections are missing");
         }
         if (!assembler.hasIdentity()) {
-            faults.add("byte " + SnapshotHeader.BYTES + ": it does not say whose it is");
+            faults.add("byte " + SnapshotHeader.BYTES + ": there is no valid section with site and proxy number");
             return new DecodedSnapshot(null, faults, skipped);
         }
         return new DecodedSnapshot(assembler.build(header.writtenMs(), header.generation()), faults, skipped);
@@ -90,6 +90,6 @@
     }
 
     private void addInvalid(int number, int from, String reason) {
-        faults.add("byte " + from + ": section " + number + " says nothing that can be: " + reason);
+        faults.add("byte " + from + ": section " + number + " has invalid content: " + reason);
     }
 }
--- a/src/main/java/cacheproxy/snapshot/SnapshotHeader.java
+++ b/src/main/java/cacheproxy/snapshot/SnapshotHeader.java
@@ -63,14 +63,14 @@
     /** Returns a description of what is wrong with a file's header, for operators; empty if the header is valid. */
     static Optional<String> fault(byte[] file) {
         if (file.length < BYTES) {
-            return Optional.of("byte 0: " + file.length + " bytes are no memory file");
+            return Optional.of("byte 0: " + file.length + " bytes are too few for a memory file");
         }
         ByteBuffer buffer = ByteBuffer.wrap(file);
         if (buffer.getLong(0) != MAGIC) {
-            return Optional.of("byte 0: it is no memory file");
+            return Optional.of("byte 0: it is not a memory file");
         }
         if (Checksums.crc32c(file, 0, CHECKSUM_OFFSET) != buffer.getInt(CHECKSUM_OFFSET)) {
-            return Optional.of("byte 0: its head is damaged");
+            return Optional.of("byte 0: its header is damaged");
         }
         int version = buffer.getShort(VERSION_OFFSET);
         if (version != FORMAT_VERSION) {
@@ -79,6 +79,6 @@
         }
         return isTime(buffer.getDouble(WRITTEN_OFFSET))
                 ? Optional.empty()
-                : Optional.of("byte 24: it was written at no time that can be");
+                : Optional.of("byte 24: the time of writing is invalid");
     }
 }
--- a/src/main/java/cacheproxy/snapshot/SystemFileSystem.java
+++ b/src/main/java/cacheproxy/snapshot/SystemFileSystem.java
@@ -77,7 +77,7 @@
             throw new IOException("it is a symbolic link; name the file itself");
         }
         if (!Files.isRegularFile(file, LinkOption.NOFOLLOW_LINKS)) {
-            throw new IOException("it is no plain file");
+            throw new IOException("it is not a regular file");
         }
     }
 
