--- a/src/main/java/cacheproxy/cli/NginxConfDirectory.java
+++ b/src/main/java/cacheproxy/cli/NginxConfDirectory.java
@@ -13,7 +13,7 @@
 import java.util.List;
 import java.util.regex.PatternSyntaxException;
 
-/** An nginx configuration's files on disk, below the prefix that relative names are resolved against. */
+/** The files of an nginx configuration on disk. Relative names are resolved against a prefix. */
 final class NginxConfDirectory implements ConfSource {
     private static final long MAX_FILE_BYTES = 64L << 20;
 
@@ -37,7 +37,7 @@
         } catch (NoSuchFileException e) {
             throw new UnreadableFileException("there is no such file");
         } catch (AccessDeniedException e) {
-            throw new UnreadableFileException("it may not be read");
+            throw new UnreadableFileException("permission denied");
         } catch (IOException e) {
             throw new UnreadableFileException(String.valueOf(e.getMessage()));
         }
@@ -47,7 +47,7 @@
         try {
             return prefix.resolve(path);
         } catch (InvalidPathException e) {
-            throw new UnreadableFileException("this is no name of a file");
+            throw new UnreadableFileException("this is not a valid file name");
         }
     }
 
@@ -88,7 +88,8 @@
     }
 
     /**
-     * Lists a directory's entries that match, sorted; as in glob(3), hidden ones only if the pattern begins with a dot.
+     * Lists a directory's entries that match, sorted; as in glob(3), hidden entries match only if the pattern begins
+     * with a dot.
      */
     private static List<Path> listMatching(Path directory, String segment) throws UnreadableFileException {
         List<Path> matches = new ArrayList<>();
@@ -99,7 +100,7 @@
                 }
             }
         } catch (PatternSyntaxException e) {
-            throw new UnreadableFileException("the pattern is broken: " + e.getDescription());
+            throw new UnreadableFileException("the pattern is invalid: " + e.getDescription());
         } catch (IOException e) {
             throw new UnreadableFileException(directory + " can't be listed");
         }
--- a/src/main/java/cacheproxy/cli/SnapshotCommand.java
+++ b/src/main/java/cacheproxy/cli/SnapshotCommand.java
@@ -23,7 +23,7 @@
 @Command(
         name = "memory",
         mixinStandardHelpOptions = true,
-        description = "Looks into what a daemon remembers.",
+        description = "Verifies and prints the memory files of a daemon.",
         subcommands = {SnapshotCommand.Show.class, SnapshotCommand.Verify.class})
 final class SnapshotCommand implements Runnable {
     @Spec
@@ -34,12 +34,12 @@
         throw new ParameterException(spec.commandLine(), "name show or verify");
     }
 
-    /** The file that a subcommand reads: that one alone, not the previous generation behind it. */
+    /** The file that a subcommand reads. The previous generation next to it is not read. */
     private static final class SnapshotFile {
-        @Parameters(paramLabel = "FILE", description = "The memory file, or FILE.old behind it.")
+        @Parameters(paramLabel = "FILE", description = "The memory file, or its previous generation FILE.old.")
         private Path file;
 
-        /** Decodes the file and prints what is damaged or skipped; nothing if no part of it can be used. */
+        /** Decodes the file and prints what is damaged or skipped; returns nothing if no part of it can be used. */
         private Optional<DecodedSnapshot> read(PrintWriter err) {
             Optional<DecodedSnapshot> decoded = decode(err);
             decoded.ifPresent(snapshot -> {
@@ -67,7 +67,7 @@
         }
     }
 
-    /** Whether the file is complete and all of its sections are known to this version. */
+    /** Returns whether the file is complete and all of its sections are known to this version. */
     private static boolean isIntact(DecodedSnapshot snapshot) {
         return snapshot.isComplete() && snapshot.skipped().isEmpty();
     }
@@ -76,7 +76,7 @@
     @Command(
             name = "verify",
             mixinStandardHelpOptions = true,
-            description = "Checks a file. Exit 0: whole; 1: damaged in part, or "
+            description = "Checks a file. Exit code 0: whole; 1: damaged in part, or "
                     + "with sections of a newer program; 2: nothing in it can be used.")
     static final class Verify implements Callable<Integer> {
         @Spec
@@ -105,7 +105,7 @@
     @Command(
             name = "show",
             mixinStandardHelpOptions = true,
-            description = "Prints what a file says. Exit codes as of verify.")
+            description = "Prints the content of a file. The exit codes are those of verify.")
     static final class Show implements Callable<Integer> {
         @Spec
         private CommandSpec spec;
--- a/src/main/java/cacheproxy/config/LeaseConfig.java
+++ b/src/main/java/cacheproxy/config/LeaseConfig.java
@@ -8,7 +8,7 @@
 /**
  * {@code [[duty]]}: a named lease, held by one proxy of the fleet at a time.
  *
- * @param leaseMs how long it lasts without renewal
+ * @param leaseMs how long it is valid without renewal
  * @param voters how many peers vote on it, an odd number
  */
 public record LeaseConfig(String name, double leaseMs, int voters) {
@@ -25,7 +25,7 @@
                 table.error(
                         "name",
                         "names that begin with " + FleetNames.HEALTH_CHECK_PREFIX + " or " + FleetNames.WATCH_PREFIX
-                                + " or " + FleetNames.QUOTA_PREFIX + " are the program's own; take another");
+                                + " or " + FleetNames.QUOTA_PREFIX + " are the program's own; choose another");
             }
             double leaseMs = FleetNames.leaseMs(table, longestLeaseMs, DEFAULT_LEASE_MS);
             leases.add(new LeaseConfig(name, leaseMs, FleetNames.voters(table)));
--- a/src/main/java/cacheproxy/config/ListenerReader.java
+++ b/src/main/java/cacheproxy/config/ListenerReader.java
@@ -6,9 +6,9 @@
 import java.util.List;
 import java.util.Set;
 
-/** Reads {@code [[listen]]}, once the classes and tenants are known. */
+/** Reads the listeners ({@code [[listen]]}); the classes and tenants must have been read before. */
 final class ListenerReader {
-    /** Keys that stand for what plain commands can't say. */
+    /** Keys that supply what plain commands cannot specify. */
     private static final List<String> OPEN_ONLY_KEYS = List.of("class", "write_class", "tenant", "deadline_ms");
 
     private final List<String> classes;
@@ -33,7 +33,7 @@
         InetSocketAddress address = ConfigValues.listenAddress(table, "address");
         for (ListenerConfig other : listeners) {
             if (address.getPort() != 0 && address.equals(other.address())) {
-                table.error("address", "listener " + other.name() + " has the same address; one each");
+                table.error("address", "listener " + other.name() + " has the same address; addresses must be unique");
             }
         }
         table.oneOf("protocol", "meta", "meta");
--- a/src/main/java/cacheproxy/config/PlacementTemplates.java
+++ b/src/main/java/cacheproxy/config/PlacementTemplates.java
@@ -2,14 +2,14 @@
 
 import cacheproxy.routes.PlacementTemplate;
 
-/** Reads what a placement hashes. */
+/** Reads the templates of the texts that placements hash. */
 final class PlacementTemplates {
     private PlacementTemplates() {}
 
     /**
-     * Reads a template; null where the key is absent or after an error.
+     * Reads a template; returns null if the key is absent or after an error.
      *
-     * @param groups of the route's regex that the template may refer to
+     * @param groups number of groups in the route's regex, to which the template can refer
      */
     static PlacementTemplate read(TomlTableReader table, String key, int groups) {
         String text = table.text(key, null);
@@ -21,7 +21,7 @@
             if (template.highestGroup() > groups) {
                 String remedy =
                         groups == 0 ? "only routes with a regex have groups" : "the route's first regex has " + groups;
-                table.error(key, key + ": '$" + template.highestGroup() + "' is no group; " + remedy);
+                table.error(key, key + ": '$" + template.highestGroup() + "' is not a group; " + remedy);
             }
             return template;
         } catch (IllegalArgumentException e) {
--- a/src/main/java/cacheproxy/config/ServerReader.java
+++ b/src/main/java/cacheproxy/config/ServerReader.java
@@ -12,7 +12,7 @@
     private final Map<InetSocketAddress, String> namesByAddress = new HashMap<>();
     private final Map<Integer, String> namesById = new HashMap<>();
 
-    /** Names of the servers read so far, by id. */
+    /** Returns the names of the servers read so far, by id. */
     Map<Integer, String> namesById() {
         return namesById;
     }
@@ -20,12 +20,12 @@
     /**
      * Reads a server.
      *
-     * @param namesInPool names so far in its pool, to which this one is added
-     * @param kind its kind if the table has none
+     * @param namesInPool names of the servers read so far in its pool, to which this one is added
+     * @param kind kind of the server if the table names none
      */
     ServerConfig read(TomlTableReader table, Set<String> namesInPool, String kind) {
         String name = ConfigValues.uniqueName(table, namesInPool, "server");
-        // A server that is down needs no address: it only keeps its place in nginx's placements.
+        // A server that is down needs no address: it only keeps its position in nginx's placements.
         boolean hasAddress = !table.flag("down", false) || table.has("dial");
         InetSocketAddress address = hasAddress ? ConfigValues.serverAddress(table, "dial") : null;
         int id = ServerId.fromName(name);
@@ -56,7 +56,7 @@
         if (other != null && !other.equals(name)) {
             table.error(
                     "name",
-                    "server '" + name + "' has the number of '" + other + "', " + Integer.toHexString(id)
+                    "server '" + name + "' has the same id as '" + other + "', " + Integer.toHexString(id)
                             + "; rename one");
         }
     }
@@ -68,13 +68,13 @@
             table.error(
                     "dial",
                     Addresses.text(address) + " is server '" + nameAtAddress
-                            + "' already; a server has one name, also in several pools");
+                            + "' already; a server has the same name in all pools");
         }
         ServerConfig sameName = serversByName.putIfAbsent(server.name(), server);
         if (sameName != null && !address.equals(sameName.address())) {
             table.error(
                     "dial",
-                    "server '" + server.name() + "' stands at " + Addresses.text(sameName.address())
+                    "server '" + server.name() + "' has the address " + Addresses.text(sameName.address())
                             + " in another pool; a name has one address");
         }
     }
--- a/src/main/java/cacheproxy/snapshot/SnapshotDecoder.java
+++ b/src/main/java/cacheproxy/snapshot/SnapshotDecoder.java
@@ -9,7 +9,7 @@
 
 /** Reads the bytes of a snapshot file. Damage in one section leaves the others usable. */
 final class SnapshotDecoder {
-    /** Sections that are read at most, whatever the header says. */
+    /** Maximum number of sections that are read, regardless of the header. */
     private static final int MAX_SECTIONS = 8_192;
 
     private final byte[] file;
@@ -47,13 +47,13 @@
             faults.add("byte " + input.position() + ": " + (header.sections() - read) + " sections are missing");
         }
         if (!assembler.hasIdentity()) {
-            faults.add("byte " + SnapshotHeader.BYTES + ": it does not say whose it is");
+            faults.add("byte " + SnapshotHeader.BYTES + ": there is no valid section with site and proxy number");
             return new DecodedSnapshot(null, faults, skipped);
         }
         return new DecodedSnapshot(assembler.build(header.writtenMs(), header.generation()), faults, skipped);
     }
 
-    /** Reads a section and moves behind it; false if its end, and so the start of the next one, is not known. */
+    /** Reads a section and moves past it; returns false if its end, and so the start of the next one, is unknown. */
     private boolean readSection(int number) {
         int from = input.position();
         if (input.remaining() < SectionWriter.SECTION_HEADER_BYTES + Checksums.BYTES) {
@@ -90,6 +90,6 @@
     }
 
     private void addInvalid(int number, int from, String reason) {
-        faults.add("byte " + from + ": section " + number + " says nothing that can be: " + reason);
+        faults.add("byte " + from + ": section " + number + " has invalid content: " + reason);
     }
 }
