--- a/src/main/java/cacheproxy/hooks/HookInstance.java
+++ b/src/main/java/cacheproxy/hooks/HookInstance.java
@@ -66,7 +66,8 @@
     private void checkVersion() throws HookException {
         long version = exportedFunction(HookAbi.VERSION_EXPORT, "()->(i32)").apply()[0];
         if (version != HookAbi.VERSION) {
-            throw new HookException("it is of ABI version " + version + "; " + HookAbi.VERSION + " is spoken here");
+            throw new HookException(
+                    "it uses ABI version " + version + "; only version " + HookAbi.VERSION + " is supported");
         }
     }
 
@@ -98,7 +99,7 @@
         FunctionType type = instance.exportType(name);
         String actual = "(" + typeNames(type.params()) + ")->(" + typeNames(type.returns()) + ")";
         if (!actual.equals(signature)) {
-            throw new HookException("its " + name + " is " + actual + "; " + signature + " is wanted");
+            throw new HookException("its " + name + " is " + actual + "; " + signature + " is required");
         }
         return instance.export(name);
     }
--- a/src/main/java/cacheproxy/hooks/HookRules.java
+++ b/src/main/java/cacheproxy/hooks/HookRules.java
@@ -31,7 +31,7 @@
      */
     public String violation(HookOrders orders, int sentClass, long remainingMs) {
         if (orders.key() != null && !KeyRewrite.isLegalKey(orders.key())) {
-            return "its key is not legal; 1 to 250 printing characters without space";
+            return "its key is not legal; keys have 1 to 250 printing characters without space";
         }
         String classViolation = classViolation(orders.serviceClass(), sentClass);
         if (classViolation != null) {
--- a/src/main/java/cacheproxy/hooks/WasmDeclarations.java
+++ b/src/main/java/cacheproxy/hooks/WasmDeclarations.java
@@ -76,7 +76,7 @@
         signatures = new ArrayList<>();
         for (int remaining = reader.readU32(); remaining > 0; remaining--) {
             if (reader.readByte() != WasmOpcode.TYPE_FUNCTION) {
-                throw new HookException("a type at byte " + reader.position() + " is none of a function");
+                throw new HookException("a type at byte " + reader.position() + " is not a function type");
             }
             List<String> parameters = readValueTypes();
             List<String> results = readValueTypes();
--- a/src/main/java/cacheproxy/hooks/WasmFunctionMeter.java
+++ b/src/main/java/cacheproxy/hooks/WasmFunctionMeter.java
@@ -78,7 +78,7 @@
         List<ChargePoint> openBlocks = new ArrayList<>(List.of(entry));
         while (reader.position() < end) {
             if (openBlocks.isEmpty()) {
-                throw new HookException("instructions behind a function's end, at byte " + reader.position());
+                throw new HookException("instructions after a function's end, at byte " + reader.position());
             }
             ChargePoint current = openBlocks.get(openBlocks.size() - 1);
             int start = reader.position();
@@ -100,8 +100,7 @@
                 default -> {}
             }
             if (openBlocks.size() > MAX_NESTING) {
-                throw new HookException(
-                        "more than " + MAX_NESTING + " blocks in each other, at byte " + reader.position());
+                throw new HookException("more than " + MAX_NESTING + " nested blocks, at byte " + reader.position());
             }
         }
         if (reader.position() != end || !openBlocks.isEmpty()) {
--- a/src/main/java/cacheproxy/hooks/WasmInstructionReader.java
+++ b/src/main/java/cacheproxy/hooks/WasmInstructionReader.java
@@ -89,7 +89,7 @@
                 throw new HookException(
                         "instruction 0x" + Integer.toHexString(opcode) + " at byte "
                                 + (reader.position() - 1)
-                                + " is not taken; compile for WebAssembly 2.0 without vectors, threads, exceptions and tail calls");
+                                + " is not supported; compile for WebAssembly 2.0 without vectors, threads, exceptions and tail calls");
         }
     }
 
@@ -117,7 +117,7 @@
         int opcode = reader.readU32();
         if (reader.position() != start + 1) {
             // Bulk instructions are known by their second byte alone.
-            throw new HookException("instruction 0xfc at byte " + start + " is written in more bytes than it needs");
+            throw new HookException("instruction 0xfc at byte " + start + " is encoded in more bytes than it needs");
         }
         if (opcode >= WasmOpcode.FIRST_TRUNC_SAT && opcode <= WasmOpcode.LAST_TRUNC_SAT) {
             return;
@@ -136,8 +136,8 @@
                 reader.readU32();
             }
             default ->
-                throw new HookException("instruction 0xfc " + opcode + " is not taken"
-                        + (opcode == WasmOpcode.TABLE_GROW ? ": tables don't grow" : ""));
+                throw new HookException("instruction 0xfc " + opcode + " is not supported"
+                        + (opcode == WasmOpcode.TABLE_GROW ? ": tables can't grow" : ""));
         }
     }
 }
--- a/src/main/java/cacheproxy/hooks/WasmMeter.java
+++ b/src/main/java/cacheproxy/hooks/WasmMeter.java
@@ -75,7 +75,7 @@
             throw new HookException("this is no WebAssembly module: it does not begin with \\0asm");
         }
         if (module[4] != 1 || module[5] != 0 || module[6] != 0 || module[7] != 0) {
-            throw new HookException("WebAssembly version " + module[4] + " is not known; 1 is");
+            throw new HookException("WebAssembly version " + module[4] + " is not supported; only version 1 is");
         }
     }
 
--- a/src/main/java/cacheproxy/icp/IcpCodec.java
+++ b/src/main/java/cacheproxy/icp/IcpCodec.java
@@ -156,10 +156,10 @@
     public static ByteBuf encode(ByteBufAllocator allocator, IcpMessage message) {
         int length = encodedLength(message);
         if (length > IcpMessage.MAX_LENGTH) {
-            throw new IllegalArgumentException(length + " octets");
+            throw new IllegalArgumentException("a message of " + length + " octets; at most " + IcpMessage.MAX_LENGTH);
         }
         if (!isEncodable(message)) {
-            throw new IllegalArgumentException("no message of ICP: " + message);
+            throw new IllegalArgumentException("not a valid ICP message: " + message);
         }
         ByteBuf out = allocator.buffer(length, length);
         out.writeByte(message.opcode().code())
--- a/src/main/java/cacheproxy/routes/KeyPattern.java
+++ b/src/main/java/cacheproxy/routes/KeyPattern.java
@@ -28,19 +28,19 @@
      */
     public KeyPattern(String text) {
         if (text.length() > MAX_LENGTH) {
-            throw new IllegalArgumentException("a pattern has " + MAX_LENGTH + " characters at most");
+            throw new IllegalArgumentException("a pattern may have at most " + MAX_LENGTH + " characters");
         }
         try {
             pattern = Pattern.compile(text);
         } catch (PatternSyntaxException e) {
             throw new IllegalArgumentException(
                     e.getDescription() + (e.getPattern().isEmpty() ? "" : ": " + e.getPattern())
-                            + "; patterns are RE2's, without back-references and look-around",
+                            + "; patterns have the syntax of RE2, without back-references and look-around",
                     e);
         }
         if (pattern.programSize() > MAX_PROGRAM_SIZE) {
-            throw new IllegalArgumentException("the pattern's repetitions make " + pattern.programSize()
-                    + " instructions of it, " + MAX_PROGRAM_SIZE + " at most");
+            throw new IllegalArgumentException("with its repetitions, the pattern compiles to " + pattern.programSize()
+                    + " instructions; at most " + MAX_PROGRAM_SIZE);
         }
         requiredPrefix = requiredPrefix(text);
     }
--- a/src/main/java/cacheproxy/routes/KeyShare.java
+++ b/src/main/java/cacheproxy/routes/KeyShare.java
@@ -19,7 +19,7 @@
     /** Checks the range. */
     public KeyShare {
         if (fromBucket < 0 || toBucket > BUCKETS || fromBucket >= toBucket) {
-            throw new IllegalArgumentException("share from " + fromBucket + " to " + toBucket);
+            throw new IllegalArgumentException("invalid share: buckets from " + fromBucket + " to " + toBucket);
         }
     }
 
--- a/src/main/java/cacheproxy/routes/KeyTemplate.java
+++ b/src/main/java/cacheproxy/routes/KeyTemplate.java
@@ -39,7 +39,7 @@
                 literal.setLength(0);
             } else {
                 throw new IllegalArgumentException("'$" + next + "' names no group of the pattern, which has "
-                        + groupCount + "; a dollar itself is $$");
+                        + groupCount + "; write $$ for a dollar sign");
             }
         }
         parts.add(new Part(literal.toString(), NO_GROUP));
--- a/src/main/java/cacheproxy/routes/PlacementTemplate.java
+++ b/src/main/java/cacheproxy/routes/PlacementTemplate.java
@@ -59,8 +59,8 @@
                 int nameEnd = nameEnd(text, nameStart, braced);
                 String name = text.substring(nameStart, nameEnd);
                 if (!isVariable(name) || (braced && !text.startsWith("}", nameEnd))) {
-                    throw new IllegalArgumentException("'$" + name + "' is no variable here; there are $"
-                            + String.join(", $", VARIABLES) + ", $arg_NAME, and $$ for a dollar");
+                    throw new IllegalArgumentException("'$" + name + "' is not a variable; there are $"
+                            + String.join(", $", VARIABLES) + ", $arg_NAME, and $$ for a dollar sign");
                 }
                 parsed.add(literal.toString());
                 parsed.add(name);
--- a/src/main/java/cacheproxy/routes/RouteConditions.java
+++ b/src/main/java/cacheproxy/routes/RouteConditions.java
@@ -96,7 +96,7 @@
     /** Describes the first condition that a request for a host does not meet; null if it meets all. */
     String mismatch(RouteInput input, String inputHost) {
         if (host != null && !host.equals(inputHost)) {
-            return inputHost == null ? "no host is for it" : "it is for host " + inputHost;
+            return inputHost == null ? "no host matches it" : "it is for host " + inputHost;
         }
         String keyMismatch = keyMismatch(input.key());
         if (keyMismatch != null) {
--- a/src/main/java/cacheproxy/routes/SplitShare.java
+++ b/src/main/java/cacheproxy/routes/SplitShare.java
@@ -16,7 +16,7 @@
     /** Checks the range. */
     public SplitShare {
         if (fromHash < 0 || toHash > HASH_RANGE || fromHash >= toHash) {
-            throw new IllegalArgumentException("share from " + fromHash + " to " + toHash);
+            throw new IllegalArgumentException("invalid share: hashes from " + fromHash + " to " + toHash);
         }
     }
 
--- a/src/main/java/cacheproxy/siblings/CacheDigest.java
+++ b/src/main/java/cacheproxy/siblings/CacheDigest.java
@@ -57,7 +57,7 @@
         boolean serversInRange = maxServers >= 1 && maxServers <= MAX_SERVERS;
         if (!capacityInRange || !validityInRange || !serversInRange) {
             throw new IllegalArgumentException(
-                    capacity + " entries, " + validityMs + " ms, " + maxServers + " servers");
+                    "out of range: " + capacity + " entries, " + validityMs + " ms, " + maxServers + " servers");
         }
         keys = new long[capacity];
         entries = new long[capacity];
