--- a/src/main/java/cacheproxy/hooks/HookAbi.java
+++ b/src/main/java/cacheproxy/hooks/HookAbi.java
@@ -2,12 +2,12 @@
 
 import java.util.Map;
 
-/** What modules and host agree on by name: the version, what a module exports and what it may import. */
+/** The version and the names that modules and the host agree on: a module's exports and the imports that it may use. */
 public final class HookAbi {
-    /** The version of all that module and host agree on, which the module returns from {@link #VERSION_EXPORT}. */
+    /** The ABI version, which a module returns from {@link #VERSION_EXPORT}. */
     public static final int VERSION = 1;
 
-    /** The module that a hook's imports are of. */
+    /** The module name of a hook's imports. */
     static final String HOST_MODULE = "coralbay";
 
     static final String LOG_IMPORT = "log";
@@ -22,7 +22,7 @@
     static final String ON_REQUEST_EXPORT = "on_request";
     static final String ON_ANSWER_EXPORT = "on_answer";
 
-    /** The imports that are offered, by module and name, with their signatures. */
+    /** The signatures of the offered imports, by module and name. */
     static final Map<String, String> OFFERED_IMPORTS = Map.of(
             HOST_MODULE + "." + LOG_IMPORT,
             "(i32,i32)->()",
--- a/src/main/java/cacheproxy/hooks/HookCall.java
+++ b/src/main/java/cacheproxy/hooks/HookCall.java
@@ -5,26 +5,26 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * What a hook is told of a request. Bytes, little-endian: version 1 (u8), flags (u8: 1 write, 2 repeat), remaining
- * milliseconds (u32), then key, class and tenant, each a length (u16) and its bytes.
+ * The attributes of a request that a hook receives. They are encoded little-endian: version 1 (u8), flags (u8: 1 write,
+ * 2 repeat), remaining milliseconds (u32), then key, class and tenant, each as a length (u16) followed by its bytes.
  *
- * @param key of the object that is asked for
+ * @param key the key of the requested object
  * @param serviceClass name of the request's class
  * @param tenant name of the request's tenant; empty if there are no tenants
- * @param write whether it may change the object
- * @param repeat whether the client has sent it before
- * @param remainingMs until the client gives up
+ * @param write whether the request may change the object
+ * @param repeat whether the client has sent the request before
+ * @param remainingMs the time until the client gives up
  */
 public record HookCall(
         String key, String serviceClass, String tenant, boolean write, boolean repeat, long remainingMs) {
     private static final int FLAG_WRITE = 1;
     private static final int FLAG_REPEAT = 2;
-    /** Version, flags, remaining milliseconds and the lengths of three texts. */
+    /** Size of the version, the flags, the remaining milliseconds and the lengths of three texts. */
     private static final int FIXED_BYTES = 2 * Byte.BYTES + Integer.BYTES + 3 * Short.BYTES;
-    /** The answer and the milliseconds that it took. */
+    /** Size of the answer and of the milliseconds that it took. */
     private static final int ANSWER_BYTES = Byte.BYTES + Integer.BYTES;
 
-    /** What a client was told; the number is the place here, from 0. */
+    /** The kind of answer that the client got. The code of a constant is its position here, from 0. */
     public enum Answer {
         SERVED,
         MISSING,
@@ -33,7 +33,7 @@
         REJECTED
     }
 
-    /** Encodes the request, and behind it the answer (u8) and the milliseconds that it took (u32). */
+    /** Encodes the request, followed by the answer (u8) and the milliseconds that it took (u32). */
     @SuppressWarnings("EnumOrdinal") // the order of declaration is the code on the wire, pinned by golden tests
     byte[] encode(Answer answer, long elapsedMs) {
         byte[] request = encode();
--- a/src/main/java/cacheproxy/hooks/HookCircuitBreaker.java
+++ b/src/main/java/cacheproxy/hooks/HookCircuitBreaker.java
@@ -1,23 +1,23 @@
 package cacheproxy.hooks;
 
 /**
- * Switches a hook off if more than a ratio of its calls fails, and tries it again after a while with one call. Counts
- * decay by half every {@value #HALF_LIFE_MS} ms.
+ * Switches a hook off if more than a given fraction of its calls fails, and after a given time tries it again with one
+ * call. Counts decay by half every {@value #HALF_LIFE_MS} ms.
  *
- * <p>Calls end on the threads of several hooks, so it may be used from any thread. It reads no clock; times are in
- * milliseconds of one clock of the caller's.
+ * <p>Calls end on the threads of several hooks, so it may be used from any thread. It reads no clock; the caller passes
+ * times in milliseconds, all from one clock.
  */
 public final class HookCircuitBreaker {
     static final double HALF_LIFE_MS = 2000;
-    /** With fewer calls the hook is not switched off. */
+    /** With fewer calls, the hook is not switched off. */
     static final double MIN_CALLS = 10;
 
     private enum State {
         /** Calls are allowed. */
         CLOSED,
-        /** No calls are allowed, until the time is over. */
+        /** No calls are allowed until the open time is over. */
         OPEN,
-        /** One call is under way, which decides. */
+        /** One trial call is in progress; its result decides the next state. */
         HALF_OPEN
     }
 
@@ -30,7 +30,7 @@
     private double openUntilMs;
 
     /**
-     * @param maxFailureRatio of calls that may fail, 0 to 1; 1: never switched off
+     * @param maxFailureRatio the fraction of calls that may fail, 0 to 1; 1: the hook is never switched off
      * @param openMs how long the hook is switched off
      */
     public HookCircuitBreaker(double maxFailureRatio, double openMs) {
@@ -38,7 +38,7 @@
         this.openMs = openMs;
     }
 
-    /** Returns whether the hook is to be called now; if so the call's end must be recorded. */
+    /** Returns whether the hook is to be called now; if so, the caller must record the call's end. */
     public synchronized boolean tryCall(double nowMs) {
         if (state == State.CLOSED) {
             return true;
@@ -50,7 +50,7 @@
         return true;
     }
 
-    /** Records that a call has ended; returns whether the hook is switched off by it, which is to be reported once. */
+    /** Records that a call has ended. Returns whether this switches the hook off, which the caller reports once. */
     public synchronized boolean recordResult(double nowMs, boolean failed) {
         if (state == State.HALF_OPEN) {
             state = failed ? State.OPEN : State.CLOSED;
@@ -60,7 +60,7 @@
             return false;
         }
         if (state == State.OPEN) {
-            return false; // the call began before
+            return false; // the call began before the hook was switched off
         }
         decay(nowMs);
         calls++;
@@ -83,7 +83,7 @@
         }
     }
 
-    /** Records that an allowed call was not run, for want of capacity or time: that says nothing of the hook. */
+    /** Records that an allowed call was not run for lack of capacity or time, which says nothing about the hook. */
     public synchronized void recordNotRun() {
         if (state == State.HALF_OPEN) {
             state = State.OPEN;
--- a/src/main/java/cacheproxy/hooks/HookException.java
+++ b/src/main/java/cacheproxy/hooks/HookException.java
@@ -1,10 +1,10 @@
 package cacheproxy.hooks;
 
-/** A module that does not load, or a call that failed; the message says why, for operators. */
+/** Thrown if a module does not load or a call fails. The message tells operators why. */
 public final class HookException extends Exception {
     private static final long serialVersionUID = 1L;
 
-    /** @param message why, as the rest of a sentence about the module or the call */
+    /** @param message the reason, as the end of a sentence about the module or the call */
     public HookException(String message) {
         super(message);
     }
--- a/src/main/java/cacheproxy/hooks/HookHost.java
+++ b/src/main/java/cacheproxy/hooks/HookHost.java
@@ -11,9 +11,9 @@
 import java.util.List;
 import java.util.function.LongSupplier;
 
-/** The host's side of one instance: the functions that it imports, the lines that it logs and its counter. */
+/** The host's side of one instance: the functions that the instance imports, the lines that it logs and its counter. */
 final class HookHost {
-    /** Of one call; the rest is dropped. */
+    /** Maximum number of lines that one call can log; further lines are dropped. */
     static final int MAX_LOG_LINES = 8;
 
     private static final int MAX_LOG_BYTES = 400;
@@ -25,7 +25,7 @@
     private long counter;
 
     /**
-     * @param clockMs the time that the module may ask for
+     * @param clockMs the clock that the module may read
      * @param config text that the module may read
      */
     HookHost(LongSupplier clockMs, String config) {
@@ -81,12 +81,12 @@
         return NO_RESULT;
     }
 
-    /** Begins a call, with no lines logged. */
+    /** Begins a call and clears the logged lines. */
     void beginCall() {
         logLines = new ArrayList<>();
     }
 
-    /** Returns the lines that the module has logged in this call, each fit for one line. */
+    /** Returns the lines that the module has logged in this call, each sanitized to fit on one line. */
     List<String> logLines() {
         return logLines;
     }
--- a/src/main/java/cacheproxy/hooks/HookInstance.java
+++ b/src/main/java/cacheproxy/hooks/HookInstance.java
@@ -10,8 +10,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * A module with a memory of its own, for one thread. A call that fails leaves it in no known state: it must not be
- * called again.
+ * An instance of a module with its own memory, for one thread. A failed call leaves the instance in an undefined state;
+ * it must not be called again.
  */
 public final class HookInstance {
     private final HookModule module;
@@ -19,23 +19,23 @@
     private final Instance instance;
     private final ExportFunction allocate;
     private final ExportFunction onRequest;
-    /** Null where the module has none. */
+    /** Null if the module does not export it. */
     private final ExportFunction onAnswer;
 
     /**
-     * What a call came to.
+     * The result of a call.
      *
-     * @param orders what the module wants done with the request
-     * @param logLines lines that it wrote, each fit for one line
-     * @param fuel that the call has taken
+     * @param orders what the module orders for the request
+     * @param logLines lines that the module logged, each sanitized to fit on one line
+     * @param fuel the fuel that the call has taken
      */
     public record Result(HookOrders orders, List<String> logLines, long fuel) {}
 
     /**
-     * Instantiates and calls {@code on_load}.
+     * Instantiates the module and calls {@code on_load}.
      *
-     * @param clockMs the time that the module may ask for
-     * @throws HookException if it lacks what is called here, or fails
+     * @param clockMs the clock that the module may read
+     * @throws HookException if the module lacks a function that is called here, or a call fails
      */
     public HookInstance(HookModule module, LongSupplier clockMs) throws HookException {
         this.module = module;
@@ -115,7 +115,7 @@
         return type.equals(ValType.I64) ? "i64" : "another";
     }
 
-    /** Returns whether the module wants to know responses. */
+    /** Returns whether the module wants to be notified of answers. */
     public boolean wantsAnswers() {
         return onAnswer != null;
     }
@@ -124,7 +124,7 @@
      * Runs {@code on_answer}, which the module must have.
      *
      * @return the lines that it logged
-     * @throws HookException if the call fails; this instance is not to be used again then
+     * @throws HookException if the call fails; this instance must not be used again in that case
      */
     public List<String> notifyAnswer(HookCall call, HookCall.Answer answer, long elapsedMs) throws HookException {
         host.beginCall();
@@ -144,7 +144,8 @@
     /**
      * Runs {@code on_request}.
      *
-     * @throws HookException if the call fails or its orders are malformed; this instance is not to be used again then
+     * @throws HookException if the call fails or its orders are malformed; this instance must not be used again in that
+     *     case
      */
     public Result call(HookCall call) throws HookException {
         host.beginCall();
@@ -205,7 +206,7 @@
         return "it trapped: " + HookOrders.sanitize(message);
     }
 
-    /** Returns the lines that the module wrote in the call that failed. */
+    /** Returns the lines that the module logged in the failed call. */
     public List<String> lastLogLines() {
         return host.logLines();
     }
--- a/src/main/java/cacheproxy/hooks/HookModule.java
+++ b/src/main/java/cacheproxy/hooks/HookModule.java
@@ -10,32 +10,32 @@
 import java.util.HexFormat;
 import java.util.function.Function;
 
-/** A module that has been checked, metered and compiled; any number of instances come of it. */
+/** A module that has been checked, metered and compiled. Any number of instances can be created from it. */
 public final class HookModule {
-    /** Size of a module's binary form, at most. */
+    /** Maximum size of a module's binary form, in bytes. */
     public static final int MAX_BYTES = 4 << 20;
 
     /**
-     * Bounds of a hook.
+     * Resource limits of a hook.
      *
-     * @param memoryPages of 64 KiB, 1 to 1,024
-     * @param fuel units of work for a call: instructions, counted at the entries of functions and loops
-     * @param loadFuel the same for {@code on_load}
-     * @param timeMs what a call may take by the clock, besides
-     * @param compiled whether its code is compiled to the Java machine's, or interpreted
+     * @param memoryPages the maximum number of memory pages of 64 KiB, 1 to 1,024
+     * @param fuel the units of work that a call may take: instructions, counted at the entries of functions and loops
+     * @param loadFuel the units of work that {@code on_load} may take
+     * @param timeMs the wall-clock time that a call may take, which applies in addition to the fuel
+     * @param compiled whether the code is compiled to Java bytecode; otherwise it is interpreted
      */
     public record Limits(int memoryPages, long fuel, long loadFuel, double timeMs, boolean compiled) {}
 
     final Limits limits;
     /** Index of the global that holds the fuel. */
     final int fuelGlobal;
-    /** Pages of 64 KiB that its memory has at the start; 0: it has no memory. */
+    /** Initial size of the memory in pages of 64 KiB; 0: the module has no memory. */
     final int initialPages;
     /** Text that the module may read. */
     final String config;
 
     private final WasmModule module;
-    /** Makes the machine of an instance; null: it is interpreted. */
+    /** Creates the machine of an instance; null if the code is interpreted. */
     private final Function<Instance, Machine> machineFactory;
 
     private HookModule(Limits limits, WasmMeter.Metered metered, WasmModule module, String config) {
@@ -48,7 +48,7 @@
     }
 
     /**
-     * Checks, meters and compiles a module; whether it can be started shows with its first instance.
+     * Checks, meters and compiles a module. Only its first instance shows whether it can be started.
      *
      * @param bytes the module's binary form
      * @param config text that the module may read
@@ -61,7 +61,8 @@
             WasmModule module = Parser.parse(metered.module());
             return new HookModule(limits, metered, module, config);
         } catch (RuntimeException | StackOverflowError | OutOfMemoryError | AssertionError | LinkageError e) {
-            // What the meter has let pass and the parser, the compiler or the Java machine's verifier does not.
+            // The meter has accepted the module, but the parser, the compiler or the JVM's bytecode verifier rejects
+            // it.
             throw new HookException("the module is not valid: " + HookOrders.sanitize(String.valueOf(e.getMessage())));
         }
     }
@@ -75,7 +76,7 @@
         }
     }
 
-    /** Returns a builder of an instance, which still lacks its imports and the limits of its memory. */
+    /** Returns a builder of an instance; the caller still has to set the imports and the memory limits. */
     Instance.Builder builder() {
         Instance.Builder builder = Instance.builder(module);
         return machineFactory == null ? builder : builder.withMachineFactory(machineFactory);
--- a/src/main/java/cacheproxy/hooks/HookOrdersDecoder.java
+++ b/src/main/java/cacheproxy/hooks/HookOrdersDecoder.java
@@ -6,9 +6,9 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Decodes orders from bytes, little-endian: orders one after another, each a tag (u8), a length (u16) and so many
- * bytes. Tags: 1 key, 2 class, 3 tenant, 4 route, 5 refuse (u32, milliseconds), 6 note for the log, 7 remaining
- * milliseconds (u32). A tag twice, or one that is not known, makes all of them void.
+ * Decodes a sequence of little-endian orders, each a tag (u8), a length (u16) and as many bytes as the length says.
+ * Tags: 1 key, 2 class, 3 tenant, 4 route, 5 refuse (u32, milliseconds), 6 note for the log, 7 remaining milliseconds
+ * (u32). A repeated or unknown tag invalidates all orders.
  */
 final class HookOrdersDecoder {
     private static final int KEY = 1;
@@ -25,7 +25,7 @@
     private final ByteBuffer input;
     private final String[] texts = new String[TAG_COUNT];
     private final long[] durationsMs = new long[TAG_COUNT];
-    /** The tags so far, a bit each. */
+    /** The tags that were decoded so far, one bit each. */
     private int seenTags;
 
     private HookOrdersDecoder(byte[] bytes) {
@@ -35,7 +35,7 @@
     /**
      * Decodes a hook's orders.
      *
-     * @throws HookException if they are malformed; none of them is to be carried out then
+     * @throws HookException if the orders are malformed; none of them is to be carried out in that case
      */
     static HookOrders decode(byte[] bytes) throws HookException {
         HookOrdersDecoder decoder = new HookOrdersDecoder(bytes);
--- a/src/main/java/cacheproxy/hooks/HookRules.java
+++ b/src/main/java/cacheproxy/hooks/HookRules.java
@@ -6,16 +6,19 @@
 import java.util.List;
 import java.util.Set;
 
-/** What a hook may order. Orders that break a rule are described for operators, and none of them is carried out. */
+/**
+ * The rules for a hook's orders. If an order breaks a rule, the violation is described for operators, and none of the
+ * orders is carried out.
+ */
 public final class HookRules {
     private final List<ServiceClass> classes;
     private final List<String> tenants;
     private final Set<String> routes;
 
     /**
-     * @param classes of requests, by their indices
-     * @param tenants names, by their indices
-     * @param routes names that a hook may choose from
+     * @param classes the service classes, by index
+     * @param tenants the names of the tenants, by index
+     * @param routes the names of the routes that a hook may choose from
      */
     public HookRules(List<ServiceClass> classes, List<String> tenants, Set<String> routes) {
         this.classes = classes;
@@ -26,8 +29,9 @@
     /**
      * Returns why orders can't be carried out; null if they can.
      *
-     * @param sentClass index of the class that the client sent: each of several hooks is held against that one
-     * @param remainingMs until the client gives up
+     * @param sentClass index of the class that the client sent; if there are several hooks, the orders of each are
+     *     checked against it
+     * @param remainingMs the time until the client gives up
      */
     public String violation(HookOrders orders, int sentClass, long remainingMs) {
         if (orders.key() != null && !KeyRewrite.isLegalKey(orders.key())) {
@@ -66,7 +70,9 @@
         return null;
     }
 
-    /** Idempotent requests may be repeated, deduplicated ones by those that drop repeats, others never. */
+    /**
+     * Idempotent requests may always be sent again, deduplicated ones only to servers that drop repeats, others never.
+     */
     private static int strictness(Idempotency idempotency) {
         return switch (idempotency) {
             case IDEMPOTENT -> 0;
@@ -75,7 +81,7 @@
         };
     }
 
-    /** Returns the index of a class; -1 if there is none of that name. */
+    /** Returns the index of a class; -1 if no class has that name. */
     public int classIndex(String name) {
         for (int i = 0; i < classes.size(); i++) {
             if (classes.get(i).name().equals(name)) {
@@ -85,7 +91,7 @@
         return -1;
     }
 
-    /** Returns the index of a tenant; -1 if there is none of that name. */
+    /** Returns the index of a tenant; -1 if no tenant has that name. */
     public int tenantIndex(String name) {
         return tenants.indexOf(name);
     }
--- a/src/main/java/cacheproxy/hooks/WasmDeclarations.java
+++ b/src/main/java/cacheproxy/hooks/WasmDeclarations.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * What a module declares ahead of its code: types, imports, functions, tables, memory and globals. Checks what must be
- * known before anything runs: each import is offered with its type, and tables and memory keep their bounds.
+ * The declarations that precede a module's code: types, imports, functions, tables, memory and globals. Checks, before
+ * any code runs, that each import is offered with its type and that tables and memory are within their bounds.
  */
 final class WasmDeclarations {
     private static final int MAX_TABLE_ELEMENTS = 65_536;
@@ -29,7 +29,7 @@
     private int initialPages;
 
     /**
-     * @param maxPages of 64 KiB that the module's memory may have at its start
+     * @param maxPages the maximum initial size of the module's memory, in pages of 64 KiB
      * @param offeredImports signatures by {@code module.name}
      */
     WasmDeclarations(WasmReader reader, int maxPages, Map<String, String> offeredImports) {
@@ -57,7 +57,7 @@
         return globalCount;
     }
 
-    /** Returns the pages of 64 KiB that the memory has at its start; 0 if there is no memory. */
+    /** Returns the initial size of the memory in pages of 64 KiB; 0 if there is no memory. */
     int initialPages() {
         return initialPages;
     }
--- a/src/main/java/cacheproxy/hooks/WasmFunctionMeter.java
+++ b/src/main/java/cacheproxy/hooks/WasmFunctionMeter.java
@@ -4,20 +4,24 @@
 import java.util.List;
 
 /**
- * Writes the bodies of functions anew so that they take fuel: at their entry and at the start of each loop's body as
- * much as all runs until the next such place, and before a bulk instruction as much as it moves.
+ * Rewrites the bodies of functions so that they take fuel: at their entry and at the start of each loop's body, the
+ * cost of all instructions up to the next such place; before a bulk instruction, an amount in proportion to what it
+ * moves.
  */
 final class WasmFunctionMeter {
     private static final int MAX_LOCALS = 50_000;
     private static final int MAX_NESTING = 1000;
-    /** A bulk instruction moves 2 to the power of this many bytes, or elements, in the time of another instruction. */
+    /**
+     * A bulk instruction moves 2 to the power of this many bytes or elements in the time that another instruction
+     * takes.
+     */
     private static final int BULK_UNITS_PER_FUEL_LOG2 = 4;
 
     private final WasmReader reader;
     private final WasmInstructionReader instructions;
     private final int fuelGlobal;
 
-    /** @param fuelGlobal index of the global that holds the fuel, behind the module's own globals */
+    /** @param fuelGlobal index of the global that holds the fuel, which follows the module's own globals */
     WasmFunctionMeter(WasmReader reader, int fuelGlobal) {
         this.reader = reader;
         this.fuelGlobal = fuelGlobal;
@@ -26,9 +30,11 @@
 
     /** A place where fuel is taken. */
     private static final class ChargePoint {
-        /** Index of the instruction that it comes before. */
+        /** Index of the instruction before which the fuel is taken. */
         final int position;
-        /** Whether it takes as much as the bulk instruction behind it moves, in place of {@link #cost}. */
+        /**
+         * Whether the fuel depends on how much the following bulk instruction moves, instead of being {@link #cost}.
+         */
         final boolean bulk;
 
         long cost = 1;
@@ -40,10 +46,10 @@
     }
 
     /**
-     * Writes the body of a function, which the reader is at the start of.
+     * Writes the metered body of a function. The reader must be at the start of the body.
      *
-     * @param parameterCount of the function
-     * @param end index behind the body
+     * @param parameterCount the number of the function's parameters
+     * @param end index after the end of the body
      */
     void meter(int parameterCount, int end, WasmWriter out) throws HookException {
         int groupCount = reader.readU32();
@@ -74,7 +80,7 @@
     private List<ChargePoint> findChargePoints(int end) throws HookException {
         ChargePoint entry = new ChargePoint(reader.position(), false);
         List<ChargePoint> chargePoints = new ArrayList<>(List.of(entry));
-        // For each open block the charge point that its instructions count for.
+        // For each open block, the charge point to which the cost of its instructions is added.
         List<ChargePoint> openBlocks = new ArrayList<>(List.of(entry));
         while (reader.position() < end) {
             if (openBlocks.isEmpty()) {
@@ -131,7 +137,7 @@
         writeSubtraction(out);
     }
 
-    /** The length is on top of the stack, and stays there. */
+    /** Writes a charge for a bulk instruction, whose length is on top of the stack and stays there. */
     private void writeBulkCharge(int lengthLocal, WasmWriter out) {
         out.write(WasmOpcode.LOCAL_TEE);
         out.writeU32(lengthLocal);
@@ -146,7 +152,10 @@
         writeSubtraction(out);
     }
 
-    /** Subtracts the cost on top of the stack from the fuel below it, and traps if that is negative then. */
+    /**
+     * Writes code that subtracts the cost on top of the stack from the fuel below it, and traps if the result is
+     * negative.
+     */
     private void writeSubtraction(WasmWriter out) {
         out.write(WasmOpcode.I64_SUB);
         out.write(WasmOpcode.GLOBAL_SET);
--- a/src/main/java/cacheproxy/hooks/WasmInstructionReader.java
+++ b/src/main/java/cacheproxy/hooks/WasmInstructionReader.java
@@ -1,13 +1,13 @@
 package cacheproxy.hooks;
 
 /**
- * Reads instructions one by one, for their lengths and what they cost. Rejects those that are not metered: vectors,
- * threads, exceptions, tail calls and the growth of tables, and any use of the global that holds the fuel.
+ * Reads instructions one by one to find their lengths and their costs. Rejects those that are not metered (vectors,
+ * threads, exceptions, tail calls and the growth of tables) and any use of the global that holds the fuel.
  */
 final class WasmInstructionReader {
-    /** Fuel that all instructions take but those that clear pages. */
+    /** Fuel that every instruction takes except those that clear pages. */
     private static final long UNIT_COST = 1;
-    /** Fuel that growing the memory takes, which clears pages. */
+    /** Fuel that growing the memory takes, because it clears pages. */
     private static final long MEMORY_GROW_COST = 4096;
     /** A block's type is an index or a negative number: a signed LEB128 number of 33 bits. */
     private static final int BLOCK_TYPE_BITS = 33;
@@ -15,13 +15,16 @@
     private final WasmReader reader;
     private final int globalCount;
 
-    /** @param globalCount of the module's own globals; the one behind them holds the fuel */
+    /** @param globalCount the number of the module's own globals; the global after them holds the fuel */
     WasmInstructionReader(WasmReader reader, int globalCount) {
         this.reader = reader;
         this.globalCount = globalCount;
     }
 
-    /** Moves the reader behind the immediates of an instruction whose first byte was read; returns its cost in fuel. */
+    /**
+     * Moves the reader past the immediates of an instruction whose first byte was read; returns the instruction's cost
+     * in fuel.
+     */
     long skipImmediates(int opcode) throws HookException {
         if (opcode >= WasmOpcode.I32_LOAD && opcode <= WasmOpcode.I64_STORE32) {
             reader.readU32(); // alignment
@@ -116,7 +119,7 @@
         int start = reader.position();
         int opcode = reader.readU32();
         if (reader.position() != start + 1) {
-            // Bulk instructions are known by their second byte alone.
+            // Bulk instructions are recognized by their second byte alone.
             throw new HookException("instruction 0xfc at byte " + start + " is encoded in more bytes than it needs");
         }
         if (opcode >= WasmOpcode.FIRST_TRUNC_SAT && opcode <= WasmOpcode.LAST_TRUNC_SAT) {
--- a/src/main/java/cacheproxy/hooks/WasmMeter.java
+++ b/src/main/java/cacheproxy/hooks/WasmMeter.java
@@ -4,12 +4,13 @@
 import java.util.Map;
 
 /**
- * Writes a module (WebAssembly Core Specification 2.0, section 5, without vectors) anew so that it counts its work: a
- * global holds the fuel that is left, each entry of a function or of a loop's body takes what runs until the next such
- * place, and fuel below zero traps. The count is the same for the interpreter, the compiler and every machine.
+ * Rewrites a module (WebAssembly Core Specification 2.0, section 5, without vectors) so that it counts its work. A
+ * global holds the remaining fuel, each entry of a function or of a loop's body takes the cost of the instructions up
+ * to the next such place, and negative fuel causes a trap. The count is the same for the interpreter, the compiler and
+ * every machine.
  *
- * <p>Two passes: the first reads the declarations and checks them, the second writes the sections, of which those of
- * the globals and of the code are changed.
+ * <p>Works in two passes: the first reads and checks the declarations, the second writes the sections and changes those
+ * of the globals and of the code.
  */
 final class WasmMeter {
     /** The magic number and the version. */
@@ -24,8 +25,8 @@
     /**
      * A metered module.
      *
-     * @param fuelGlobal index of the global that holds the fuel that is left
-     * @param initialPages of 64 KiB that its memory has at the start; 0: it has no memory
+     * @param fuelGlobal index of the global that holds the remaining fuel
+     * @param initialPages the initial size of the memory in pages of 64 KiB; 0: the module has no memory
      */
     @SuppressWarnings("ArrayRecordComponent") // the arrays are read only, and instances are not compared
     record Metered(byte[] module, int fuelGlobal, int initialPages) {}
@@ -39,10 +40,11 @@
     /**
      * Meters a module.
      *
-     * @param maxPages of 64 KiB that its memory may have at its start
-     * @param offeredImports imports by {@code module.name}, with their types such as {@code (i32,i32)->()}
-     * @param initialFuel what it has until the fuel is first set, for a start function
-     * @throws HookException if it is malformed, imports what is not offered or exceeds a bound
+     * @param maxPages the maximum initial size of the module's memory, in pages of 64 KiB
+     * @param offeredImports the signatures, such as {@code (i32,i32)->()}, of the offered imports, by
+     *     {@code module.name}
+     * @param initialFuel the fuel of a start function, which the module has until the fuel is first set
+     * @throws HookException if the module is malformed, imports what is not offered or exceeds a bound
      */
     static Metered meter(byte[] module, int maxPages, Map<String, String> offeredImports, long initialFuel)
             throws HookException {
@@ -103,7 +105,7 @@
         return out.toByteArray();
     }
 
-    /** The module's globals, if this is their section, and the one that holds the fuel. */
+    /** Returns the module's globals, if this is their section, and the global that holds the fuel. */
     private WasmWriter meteredGlobals(WasmSection section, long initialFuel) throws HookException {
         WasmWriter content = new WasmWriter();
         content.writeU32(declarations.globalCount() + 1);
--- a/src/main/java/cacheproxy/hooks/WasmOpcode.java
+++ b/src/main/java/cacheproxy/hooks/WasmOpcode.java
@@ -1,6 +1,8 @@
 package cacheproxy.hooks;
 
-/** Bytes of WebAssembly's instructions and types (Core Specification 2.0, sections 5.3 and 5.4) that metering knows. */
+/**
+ * Bytes of the WebAssembly instructions and types (Core Specification 2.0, sections 5.3 and 5.4) that metering uses.
+ */
 final class WasmOpcode {
     static final int TYPE_I32 = 0x7F;
     static final int TYPE_I64 = 0x7E;
@@ -54,7 +56,7 @@
     static final int REF_NULL = 0xD0;
     static final int REF_IS_NULL = 0xD1;
     static final int REF_FUNC = 0xD2;
-    /** Begins the instructions of two bytes, whose second byte is one of the constants below. */
+    /** The first byte of two-byte instructions, whose second byte is one of the constants below. */
     static final int PREFIX_FC = 0xFC;
 
     /** The first of the conversions of floating-point numbers that saturate, which end with {@link #LAST_TRUNC_SAT}. */
@@ -74,7 +76,7 @@
 
     private WasmOpcode() {}
 
-    /** Returns whether an instruction behind {@link #PREFIX_FC} moves as many bytes or elements as its operand says. */
+    /** Returns whether an instruction after {@link #PREFIX_FC} moves as many bytes or elements as its operand says. */
     static boolean isBulk(int secondByte) {
         return switch (secondByte) {
             case MEMORY_INIT, MEMORY_COPY, MEMORY_FILL, TABLE_INIT, TABLE_COPY, TABLE_FILL -> true;
--- a/src/main/java/cacheproxy/hooks/WasmReader.java
+++ b/src/main/java/cacheproxy/hooks/WasmReader.java
@@ -30,7 +30,7 @@
         position = newPosition;
     }
 
-    /** Skips bytes; whether the module has them is found by the next read. */
+    /** Skips bytes. Only the next read checks that the module has them. */
     void skip(int bytes) {
         position += bytes;
     }
@@ -40,7 +40,7 @@
         return module.length;
     }
 
-    /** Returns the bytes from the position to the end of the module. */
+    /** Returns the number of bytes from the position to the end of the module. */
     int remaining() {
         return module.length - position;
     }
@@ -50,7 +50,7 @@
         return module[position++] & 0xFF;
     }
 
-    /** Returns the byte at an index, 0 to 255, which does not move the position. */
+    /** Returns the byte at an index, 0 to 255, without moving the position. */
     int byteAt(int index) {
         return module[index] & 0xFF;
     }
@@ -70,7 +70,7 @@
         }
     }
 
-    /** Skips a LEB128 number of at most so many bits, signed or not. */
+    /** Skips a signed or unsigned LEB128 number of at most this many bits. */
     void skipNumber(int maxBits) throws HookException {
         for (int bits = LEB128_PAYLOAD_BITS; ; bits += LEB128_PAYLOAD_BITS) {
             if (module[position++] >= 0) {
@@ -97,7 +97,7 @@
         return name;
     }
 
-    /** Copies the bytes of a range, which does not move the position. */
+    /** Copies the bytes of a range without moving the position. */
     void copyTo(WasmWriter out, int start, int end) {
         out.write(module, start, end - start);
     }
--- a/src/main/java/cacheproxy/hooks/WasmSection.java
+++ b/src/main/java/cacheproxy/hooks/WasmSection.java
@@ -4,11 +4,11 @@
 import java.util.List;
 
 /**
- * Where a section of a module is.
+ * The position of a section in a module.
  *
- * @param id which section it is, one of the constants below, or another
- * @param start index of its first byte behind its id and length
- * @param end index behind its last byte
+ * @param id the kind of section: one of the constants below, or another number
+ * @param start index of its first byte after its id and length
+ * @param end index after its last byte
  */
 record WasmSection(int id, int start, int end) {
     static final int TYPE = 1;
@@ -41,7 +41,7 @@
         return sections;
     }
 
-    /** Returns whether sections of this kind stand behind that of the globals. */
+    /** Returns whether sections of this kind follow the section of the globals. */
     boolean followsGlobals() {
         return switch (id) {
             case EXPORT, START, ELEMENT, CODE, DATA, DATA_COUNT -> true;
--- a/src/main/java/cacheproxy/hooks/WasmWriter.java
+++ b/src/main/java/cacheproxy/hooks/WasmWriter.java
@@ -9,7 +9,7 @@
     private static final int LEB128_CONTINUATION = 0x80;
     private static final int LEB128_SIGN = 0x40;
 
-    /** Writes an unsigned LEB128 number of 32 bits; a negative value stands for one from 2<sup>31</sup>. */
+    /** Writes an unsigned LEB128 number of 32 bits; values from 2<sup>31</sup> are passed as negative numbers. */
     void writeU32(int value) {
         int rest = value;
         while ((rest & ~LEB128_PAYLOAD_MASK) != 0) {
@@ -34,7 +34,7 @@
         }
     }
 
-    /** Writes another writer's bytes behind their length. */
+    /** Writes the length of another writer's bytes, followed by these bytes. */
     void writeLengthPrefixed(WasmWriter body) {
         writeU32(body.size());
         write(body.toByteArray(), 0, body.size());
--- a/src/main/java/cacheproxy/htcp/HtcpAuth.java
+++ b/src/main/java/cacheproxy/htcp/HtcpAuth.java
@@ -6,7 +6,7 @@
  * The signature of a message (AUTH).
  *
  * @param signedAtSeconds when it was made, in unsigned seconds of Unix time
- * @param expiresAtSeconds until when it is valid, in unsigned seconds of Unix time
+ * @param expiresAtSeconds the last second in which it is valid, in unsigned seconds of Unix time
  * @param keyName the name of the shared key, in ISO 8859-1
  */
 @SuppressWarnings("ArrayRecordComponent") // the array is read only
--- a/src/main/java/cacheproxy/htcp/HtcpCodec.java
+++ b/src/main/java/cacheproxy/htcp/HtcpCodec.java
@@ -7,19 +7,21 @@
  * HEADER  0  length of the message (16)    2  major version   3  minor version
  * DATA    4  length of DATA (16)           6  opcode (4), response code (4)   7  reserved (6), F1, RR
  *         8  transaction id (32)          12  OP-DATA
- * AUTH       length of AUTH (16), alone where the message is not signed;
+ * AUTH       length of AUTH (16), alone if the message is not signed;
  *            else time (32), expiry (32), key name, signature
  * </pre>
  */
 public final class HtcpCodec {
-    /** Longest datagram, in octets: UDP's bound, as HTCP has none below its 16 bits. */
+    /**
+     * Maximum length of a datagram, in octets: the limit of UDP, as HTCP has no limit below that of its 16-bit length.
+     */
     public static final int MAX_LENGTH = 65_507;
 
     static final int HEADER_LENGTH = 4;
     static final int DATA_HEADER_LENGTH = 8;
-    /** AUTH of a message that is not signed: its length alone. */
+    /** Length of AUTH in a message that is not signed, where it has its length field alone. */
     static final int NO_AUTH_LENGTH = 2;
-    /** AUTH with an empty key name and an empty signature. */
+    /** Length of AUTH with an empty key name and an empty signature. */
     static final int MIN_AUTH_LENGTH = 14;
 
     private HtcpCodec() {}
@@ -27,7 +29,7 @@
     /**
      * Decodes one datagram.
      *
-     * @throws MalformedMessageException if it is not an HTCP message, and is to be dropped
+     * @throws MalformedMessageException if the datagram is not an HTCP message and is to be dropped
      */
     public static HtcpDatagram decode(byte[] octets, int offset, int length) throws MalformedMessageException {
         return HtcpDecoder.decode(octets, offset, length);
@@ -36,7 +38,7 @@
     /**
      * Encodes DATA, which a signature covers.
      *
-     * @throws IllegalArgumentException if a text has more than 65,535 octets, or the whole is too long
+     * @throws IllegalArgumentException if a text has more than 65,535 octets, or DATA is too long
      */
     public static byte[] encodeData(HtcpMessage message) {
         return HtcpEncoder.encodeData(message);
@@ -46,7 +48,7 @@
      * Encodes a datagram with this DATA.
      *
      * @param auth null: not signed
-     * @throws IllegalArgumentException if it is longer than {@link #MAX_LENGTH}
+     * @throws IllegalArgumentException if the datagram is longer than {@link #MAX_LENGTH}
      */
     public static byte[] encodeDatagram(byte[] data, HtcpAuth auth) {
         return HtcpEncoder.encodeDatagram(data, auth);
--- a/src/main/java/cacheproxy/htcp/HtcpDatagram.java
+++ b/src/main/java/cacheproxy/htcp/HtcpDatagram.java
@@ -3,10 +3,10 @@
 /**
  * The content of a datagram.
  *
- * @param majorVersion 0; of messages of another version, the opcode and the transaction are all that is decoded
+ * @param majorVersion 0; of messages with another version, only the opcode and the transaction are decoded
  * @param opcode the opcode's code
- * @param transactionId identifies a request, the same in its response
- * @param message null where the major version or the opcode is unknown
+ * @param transactionId identifies a request; its response has the same id
+ * @param message null if the major version or the opcode is unknown
  * @param auth null: not signed
  * @param data the octets of DATA, which a signature covers
  */
--- a/src/main/java/cacheproxy/htcp/HtcpDecoder.java
+++ b/src/main/java/cacheproxy/htcp/HtcpDecoder.java
@@ -14,7 +14,7 @@
 import java.nio.ByteBuffer;
 import java.nio.charset.StandardCharsets;
 
-/** Decodes datagrams. Every length is checked against what contains it before it is used. */
+/** Decodes datagrams. Every length is checked against that of the enclosing field before it is used. */
 final class HtcpDecoder {
     private static final int RESPONSE_BIT = 1;
     private static final int FLAG_BIT = 2;
@@ -56,7 +56,7 @@
         return dataLength;
     }
 
-    /** Decodes AUTH; what follows it is padding. Null where the message is not signed. */
+    /** Decodes AUTH; octets after it are padding. Returns null if the message is not signed. */
     private static HtcpAuth decodeAuth(ByteBuffer input) throws MalformedMessageException {
         int length = input.getShort(0) & 0xFFFF;
         if (length == HtcpCodec.NO_AUTH_LENGTH) {
@@ -145,7 +145,7 @@
         return new Identity(readSpecifier(input), readDetail(input));
     }
 
-    /** COUNTSTR: a length of 16 bits, which does not count itself, and so many octets. */
+    /** COUNTSTR: a length of 16 bits, which does not count itself, followed by that many octets. */
     private static String readCountstr(ByteBuffer input) throws MalformedMessageException {
         int length = input.getShort() & 0xFFFF;
         if (length > input.remaining()) {
--- a/src/main/java/cacheproxy/htcp/HtcpEncoder.java
+++ b/src/main/java/cacheproxy/htcp/HtcpEncoder.java
@@ -25,7 +25,7 @@
     static byte[] encodeData(HtcpMessage message) {
         ByteBuffer out = ByteBuffer.allocate(MAX_DATA_LENGTH);
         try {
-            out.position(2); // the length, which is known at the end
+            out.position(2); // the length, which is known only at the end
             out.put((byte) (message.opcode().code() << 4 | message.responseCode()))
                     .put((byte) ((message.flag() ? 2 : 0) | (message.isResponse() ? 1 : 0)))
                     .putInt(message.transactionId());
@@ -69,7 +69,7 @@
         }
     }
 
-    /** COUNTSTR: a length of 16 bits, which does not count itself, and so many octets. */
+    /** COUNTSTR: a length of 16 bits, which does not count itself, followed by that many octets. */
     private static void putCountstr(ByteBuffer out, byte[] octets) {
         out.putShort((short) octets.length).put(octets);
     }
--- a/src/main/java/cacheproxy/htcp/HtcpMessage.java
+++ b/src/main/java/cacheproxy/htcp/HtcpMessage.java
@@ -3,11 +3,11 @@
 /**
  * A message of HTCP/0.0 (RFC 2756), without its signature.
  *
- * @param responseCode of a response; a request's is 0
+ * @param responseCode the code of a response; 0 in a request
  * @param flag the F1 bit. In a request RD: a response is desired. In a response MO: the code is about the message as a
  *     whole, not about the operation
  * @param isResponse the RR bit
- * @param transactionId identifies a request, the same in its response
+ * @param transactionId identifies a request; its response has the same id
  */
 public record HtcpMessage(
         int minorVersion,
@@ -66,18 +66,18 @@
             this.code = code;
         }
 
-        /** The code in a message, 4 bits. */
+        /** Returns the code in a message, 4 bits. */
         int code() {
             return code;
         }
 
-        /** The opcode with this code; null if there is none. */
+        /** Returns the opcode with this code; null if there is none. */
         static Opcode of(int code) {
             return code < BY_CODE.length ? BY_CODE[code] : null;
         }
     }
 
-    /** The operation's data (OP-DATA). Texts are ISO 8859-1; headers end with CR LF each. */
+    /** The operation's data (OP-DATA). Texts are ISO 8859-1; each header ends with CR LF. */
     public sealed interface Body {}
 
     /** No data, as in NOP, in responses to SET and CLR, and with MO = 1. */
@@ -86,7 +86,7 @@
     /** Which entity a request is about (SPECIFIER). */
     public record Specifier(String method, String uri, String version, String headers) implements Body {}
 
-    /** What is known of an entity (DETAIL): headers of the response, the entity and the cache. */
+    /** What is known about an entity (DETAIL): headers of the response, the entity and the cache. */
     public record Detail(String responseHeaders, String entityHeaders, String cacheHeaders) implements Body {}
 
     /** The headers about the cache alone, in the response to a TST of an absent entity. */
@@ -105,30 +105,30 @@
     /**
      * A change of which a monitor is notified.
      *
-     * @param remainingSeconds for how long the monitor stays active, 0 to 255
+     * @param remainingSeconds how long the monitor stays active, 0 to 255
      * @param action what happened to the entity, 0 to 3
-     * @param reason why, 0 to 5
+     * @param reason why it happened, 0 to 5
      */
     public record Change(int remainingSeconds, int action, int reason, Identity identity) implements Body {}
 
     /**
      * A request to remove an entity.
      *
-     * @param reason 0: none is given; 1: the origin reports that the entity does not exist
+     * @param reason 0: no reason is given; 1: the origin reports that the entity does not exist
      */
     public record Clear(int reason, Specifier specifier) implements Body {}
 
-    /** A request for which a response is desired. */
+    /** Creates a request for which a response is desired. */
     public static HtcpMessage request(Opcode opcode, int transactionId, Body body) {
         return new HtcpMessage(0, opcode, 0, true, false, transactionId, body);
     }
 
-    /** A response to this request, with a code of its operation. */
+    /** Creates a response to this request, with a response code of its operation. */
     public HtcpMessage respond(int code, Body responseBody) {
         return new HtcpMessage(0, opcode, code, false, true, transactionId, responseBody);
     }
 
-    /** A response that rejects this message as a whole (MO = 1). */
+    /** Creates a response that rejects this message as a whole (MO = 1). */
     public HtcpMessage rejectMessage(int code) {
         return new HtcpMessage(0, opcode, code, true, true, transactionId, new Empty());
     }
--- a/src/main/java/cacheproxy/htcp/HtcpSigner.java
+++ b/src/main/java/cacheproxy/htcp/HtcpSigner.java
@@ -30,14 +30,14 @@
         /** Signed in the future, by more than the allowed clock skew. */
         NOT_YET_VALID,
         EXPIRED,
-        /** Signed with another secret, or changed since. */
+        /** Signed with another secret, or changed after it was signed. */
         BAD_SIGNATURE
     }
 
     /**
      * Creates a signer for one shared key.
      *
-     * @param secret not empty
+     * @param secret the shared secret, not empty
      */
     public HtcpSigner(String keyName, byte[] secret) {
         this.keyName = keyName;
@@ -49,7 +49,7 @@
         }
     }
 
-    /** Signs a message between two addresses, for so many seconds from now on. */
+    /** Signs a message between two addresses. The signature is valid for this many seconds from now on. */
     public HtcpAuth sign(
             byte[] data, InetSocketAddress source, InetSocketAddress destination, int nowSeconds, int validitySeconds) {
         int expiresAtSeconds = nowSeconds + validitySeconds;
@@ -86,7 +86,8 @@
                 datagram.minorVersion(),
                 auth.signedAtSeconds(),
                 auth.expiresAtSeconds());
-        // In constant time, and before the times are looked at: who lacks the key learns nothing of this clock.
+        // Compared in constant time and before the times are checked, so that a sender without the key learns nothing
+        // about this clock.
         return MessageDigest.isEqual(auth.signature(), expected)
                 ? verifyTimes(auth, nowSeconds, maxSkewSeconds)
                 : Verdict.BAD_SIGNATURE;
--- a/src/main/java/cacheproxy/icp/IcpCodec.java
+++ b/src/main/java/cacheproxy/icp/IcpCodec.java
@@ -6,8 +6,8 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * Encodes and decodes datagrams of ICP version 2 (RFC 2186). Every length is checked against the datagram before
- * anything is allocated by it. Stateless.
+ * Encodes and decodes datagrams of ICP version 2 (RFC 2186). Every length is checked against the datagram before memory
+ * of that length is allocated. Stateless.
  *
  * <pre>
  *  0  opcode      1  version     2  message length (16 bits)
@@ -54,10 +54,10 @@
     private IcpCodec() {}
 
     /**
-     * Decodes one datagram, from the buffer's reader index to its end. The buffer stays the caller's and unchanged.
-     * Option bits without a meaning are cleared, so that no caller acts on one.
+     * Decodes one datagram, from the buffer's reader index to its end. The caller keeps the buffer, which is not
+     * changed. Option bits without a meaning are cleared, so that no caller acts on them.
      *
-     * @throws MalformedMessageException if it is not an ICP message, and is to be dropped
+     * @throws MalformedMessageException if the datagram is not an ICP message and is to be dropped
      */
     public static IcpMessage decode(ByteBuf input) throws MalformedMessageException {
         int start = input.readerIndex();
@@ -105,14 +105,14 @@
         return opcode;
     }
 
-    /** The index of the NUL that ends the URL. */
+    /** Returns the index of the NUL that ends the URL. */
     private static int findUrlEnd(ByteBuf input, int urlStart) throws MalformedMessageException {
         int end = input.indexOf(urlStart, input.writerIndex(), NUL);
         if (end < 0) {
             throw UNTERMINATED_URL;
         }
         for (int i = urlStart; i < end; i++) {
-            int octet = input.getByte(i); // signed: octets from 128 on are below the space, too
+            int octet = input.getByte(i); // signed: octets from 128 on are negative and thus below the space
             if (octet <= ' ' || octet == DELETE) {
                 throw ILLEGAL_URL;
             }
@@ -120,7 +120,10 @@
         return end;
     }
 
-    /** The object after the URL; null, and nothing after the URL, for opcodes without one. */
+    /**
+     * Returns the object after the URL. For opcodes without an object, returns null and checks that nothing follows the
+     * URL.
+     */
     private static byte[] readObject(ByteBuf input, Opcode opcode, int start) throws MalformedMessageException {
         int remaining = input.writerIndex() - start;
         if (opcode != Opcode.HIT_OBJ) {
@@ -138,7 +141,7 @@
         return object;
     }
 
-    /** The length of an encoded message, in octets. */
+    /** Returns the length of an encoded message, in octets. */
     public static int encodedLength(IcpMessage message) {
         return HEADER_LENGTH
                 + (message.opcode() == Opcode.QUERY ? ADDRESS_LENGTH : 0)
@@ -150,8 +153,8 @@
     /**
      * Encodes a message into a buffer that the caller releases.
      *
-     * @throws IllegalArgumentException if the message is too long, has an object where none belongs, lacks one, or has
-     *     illegal options or an illegal URL
+     * @throws IllegalArgumentException if the message is too long, has an object that its opcode does not allow, lacks
+     *     one that its opcode requires, or has illegal options or an illegal URL
      */
     public static ByteBuf encode(ByteBufAllocator allocator, IcpMessage message) {
         int length = encodedLength(message);
--- a/src/main/java/cacheproxy/routes/FallbackRules.java
+++ b/src/main/java/cacheproxy/routes/FallbackRules.java
@@ -4,23 +4,24 @@
 import cacheproxy.policy.ServiceClass;
 
 /**
- * Decides what becomes of a request that one pool has given up. Within a pool the routing policy makes sure that a
- * request has no more effects than its class allows; these rules do so from pool to pool.
+ * Decides whether a request that one pool has given up may be sent to the next pool, and for how long. Within a pool,
+ * the routing policy ensures that a request has no more effects than its class allows; these rules ensure the same
+ * across pools.
  */
 public final class FallbackRules {
-    /** The share of a safe request's remaining time that a pool gets where another one follows. */
+    /** Fraction of an idempotent request's remaining time that a pool may use if another pool follows. */
     private static final double SHARE_BEFORE_NEXT_POOL = 0.5;
 
     private FallbackRules() {}
 
     /**
-     * Whether a request may go on to another pool.
+     * Returns whether a request may be sent to the next pool.
      *
-     * @param mayHaveRun whether any attempt so far may have been executed, or may yet be
-     * @param dedupGroup the group that drops repeats of keyed requests in all pools that had the request; null if none
-     *     does or they differ
-     * @param nextDedupGroup the group of the pool that is to follow; null if it has none
-     * @param arrivedMs when the request arrived, before which nothing can have been sent
+     * @param mayHaveRun whether any attempt so far may have been executed or may still be executed
+     * @param dedupGroup the deduplication group, which drops repeats of keyed requests, of all pools that had the
+     *     request; null if they have none or different ones
+     * @param nextDedupGroup the deduplication group of the next pool; null if it has none
+     * @param arrivedMs when the request arrived; no attempt can have been sent earlier
      */
     public static boolean mayTryNextPool(
             ServiceClass serviceClass,
@@ -39,12 +40,13 @@
     }
 
     /**
-     * Until when a pool may keep a request. A safe request must leave time for the next pool; one that may not be sent
-     * twice gains nothing from an early end, as no other pool could take it. A keyed request that may have been
-     * executed elsewhere must be sent while its repeats are dropped.
+     * Returns the deadline until which a pool may work on a request. An idempotent request must leave time for the next
+     * pool. A request that may not be sent twice gains nothing from an earlier deadline, because no other pool could
+     * take it. A keyed request that may have been executed elsewhere must be sent within the time in which its repeats
+     * are dropped.
      *
      * @param isLastPool whether no other pool follows
-     * @param clientDeadlineMs when the client gives up
+     * @param clientDeadlineMs the time at which the client gives up
      */
     public static double deadlineMs(
             ServiceClass serviceClass,
@@ -62,7 +64,10 @@
         return clientDeadlineMs;
     }
 
-    /** Whether a client may be told that its request was rejected, after which a retry has to be harmless. */
+    /**
+     * Returns whether the client may get the answer that its request was rejected, after which a retry must be
+     * harmless.
+     */
     public static boolean mayReject(ServiceClass serviceClass, boolean mayHaveRun) {
         return serviceClass.idempotency() == Idempotency.IDEMPOTENT || !mayHaveRun;
     }
--- a/src/main/java/cacheproxy/routes/KeyFormat.java
+++ b/src/main/java/cacheproxy/routes/KeyFormat.java
@@ -1,15 +1,15 @@
 package cacheproxy.routes;
 
-/** How the keys of an installation are read. */
+/** How the keys of an installation are parsed. */
 public enum KeyFormat {
-    /** Plain texts. */
+    /** Plain text. */
     TEXT,
-    /** Paths, perhaps after a host; a query is dropped. */
+    /** Paths, optionally preceded by a host; a query is dropped. */
     PATH,
-    /** Paths with their queries: routes don't see the query, servers do. */
+    /** Paths with their queries: routes don't see the query, servers receive it. */
     PATH_AND_QUERY;
 
-    /** The request as routes see it; null if its key is not a path where it has to be one. */
+    /** Returns the attributes of a request that routes match; null if its key must be a path and is not a valid one. */
     public RouteInput parse(String listener, String key, int serviceClass, int tenant, boolean write) {
         if (this == TEXT) {
             return new RouteInput(listener, key, serviceClass, tenant, write);
--- a/src/main/java/cacheproxy/routes/KeyPattern.java
+++ b/src/main/java/cacheproxy/routes/KeyPattern.java
@@ -5,13 +5,13 @@
 import com.google.re2j.PatternSyntaxException;
 
 /**
- * A regular expression on keys in the syntax of RE2, which has neither back-references nor look-around and takes time
- * linear in the key. It is found anywhere in the key unless it is anchored.
+ * A regular expression for keys, in the syntax of RE2, which has neither back-references nor look-around and runs in
+ * time linear in the length of the key. It may match anywhere in the key unless it is anchored.
  */
 public final class KeyPattern {
-    /** Longest text of an expression, in characters. */
+    /** Maximum length of an expression, in characters. */
     public static final int MAX_LENGTH = 1000;
-    /** Most instructions of a compiled expression; nested repetitions multiply them. */
+    /** Maximum number of instructions of a compiled expression; nested repetitions multiply them. */
     private static final int MAX_PROGRAM_SIZE = 20_000;
     /** Characters besides letters and digits that have no special meaning in an expression. */
     private static final String PLAIN_CHARACTERS = "/_-:%~@,=&";
@@ -45,7 +45,7 @@
         requiredPrefix = requiredPrefix(text);
     }
 
-    /** The plain characters after a leading {@code ^}, up to the first that may have a special meaning. */
+    /** Returns the plain characters after a leading {@code ^}, up to the first that may have a special meaning. */
     private static String requiredPrefix(String text) {
         if (!text.startsWith("^") || text.indexOf('|') >= 0) {
             return "";
@@ -72,23 +72,26 @@
         return pattern.groupCount();
     }
 
-    /** What every key begins with in which the pattern is found; empty where that is not known. */
+    /** Returns the prefix of every key that the pattern matches; empty if none is known. */
     String requiredPrefix() {
         return requiredPrefix;
     }
 
-    /** Whether the pattern is found in a key. */
+    /** Returns whether the pattern matches a key. */
     public boolean matches(String key) {
         return key.startsWith(requiredPrefix) && pattern.matcher(key).find();
     }
 
-    /** The matcher at the first occurrence of the pattern in a key; null if there is none. */
+    /** Returns the matcher at the first match of the pattern in a key; null if there is none. */
     Matcher findFirst(String key) {
         Matcher matcher = pattern.matcher(key);
         return matcher.find() ? matcher : null;
     }
 
-    /** The text of a capturing group; null if the pattern is not found, or has no such group in this key. */
+    /**
+     * Returns the text of a capturing group; null if the pattern does not match the key or the group has no match in
+     * it.
+     */
     String group(String key, int group) {
         Matcher matcher = findFirst(key);
         return matcher != null && group <= matcher.groupCount() ? matcher.group(group) : null;
--- a/src/main/java/cacheproxy/routes/KeyRewrite.java
+++ b/src/main/java/cacheproxy/routes/KeyRewrite.java
@@ -1,14 +1,14 @@
 package cacheproxy.routes;
 
 /**
- * How a route changes a key before a pool gets it: a prefix is removed, or the whole key is replaced by one made from
- * the groups of a pattern; then a prefix may be added.
+ * How a route changes a key before a pool receives it: a prefix is removed, or the whole key is replaced by a text
+ * built from the groups of a pattern; then a prefix may be added.
  */
 public final class KeyRewrite {
-    /** Leaves keys as they are. */
+    /** Leaves keys unchanged. */
     public static final KeyRewrite NONE = new KeyRewrite(null, null, null, null);
 
-    /** Longest key of memcached's protocol, in octets. */
+    /** Maximum length of a key in memcached's protocol, in octets. */
     private static final int MAX_KEY_LENGTH = 250;
 
     private final String strippedPrefix;
@@ -20,7 +20,7 @@
      * Compiles a rewrite.
      *
      * @param strippedPrefix a prefix to remove from keys that have it; null: none
-     * @param pattern what the replacement takes its groups from; null if it has none
+     * @param pattern the pattern whose groups the replacement refers to; null if it refers to none
      * @param replacement the new key, in the syntax of {@link KeyTemplate}; null: none
      * @param addedPrefix a prefix to add; null: none
      * @throws IllegalArgumentException if the replacement names a group that the pattern does not have
@@ -33,7 +33,7 @@
         this.addedPrefix = addedPrefix;
     }
 
-    /** The key as the pool gets it; null if it is one that servers don't take. */
+    /** Returns the key that the pool receives; null if servers don't accept it. */
     public String apply(String key) {
         if (this == NONE) {
             return key;
@@ -49,7 +49,7 @@
         return isLegalKey(rewritten) ? rewritten : null;
     }
 
-    /** Whether servers take this key: 1 to 250 printing ASCII characters, as in memcached's protocol. */
+    /** Returns whether servers accept this key: 1 to 250 printing ASCII characters, as in memcached's protocol. */
     public static boolean isLegalKey(String key) {
         if (key == null || key.isEmpty() || key.length() > MAX_KEY_LENGTH) {
             return false;
--- a/src/main/java/cacheproxy/routes/KeyShare.java
+++ b/src/main/java/cacheproxy/routes/KeyShare.java
@@ -23,7 +23,7 @@
         }
     }
 
-    /** The bucket of a key: FNV-1a over salt and key, then the finalizer of MurmurHash3. */
+    /** Returns the bucket of a key: FNV-1a over salt and key, then the finalizer of MurmurHash3. */
     public static int bucketOf(String salt, String key) {
         long hash = fnv1a(FNV_OFFSET_BASIS, salt);
         hash = (hash ^ SEPARATOR) * FNV_PRIME;
@@ -41,13 +41,13 @@
         return hash;
     }
 
-    /** The query of a path does not take part: requests for one path are on one side. */
+    /** The query of a path is not hashed, so that all requests for one path are on the same side of the share. */
     @Override
     public boolean contains(RouteInput input) {
         return contains(input.key());
     }
 
-    /** Whether a key belongs to the share. */
+    /** Returns whether a key belongs to the share. */
     public boolean contains(String key) {
         int bucket = bucketOf(salt, key);
         return bucket >= fromBucket && bucket < toBucket;
--- a/src/main/java/cacheproxy/routes/KeyTemplate.java
+++ b/src/main/java/cacheproxy/routes/KeyTemplate.java
@@ -16,8 +16,8 @@
     /**
      * Parses a template.
      *
-     * @param groupCount capturing groups of the pattern that it is applied to
-     * @throws IllegalArgumentException if it names a group that the pattern does not have
+     * @param groupCount the number of capturing groups of the pattern that the template is applied to
+     * @throws IllegalArgumentException if the template refers to a group that the pattern does not have
      */
     KeyTemplate(String text, int groupCount) {
         StringBuilder literal = new StringBuilder();
@@ -45,12 +45,12 @@
         parts.add(new Part(literal.toString(), NO_GROUP));
     }
 
-    /** The key of a template without groups. */
+    /** Returns the key of a template without groups. */
     String literal() {
         return parts.get(parts.size() - 1).literal();
     }
 
-    /** The key with the groups of a pattern's first match in another key; null if there is no match. */
+    /** Returns the key with the groups of a pattern's first match in another key; null if there is no match. */
     String expand(KeyPattern pattern, String key) {
         Matcher matcher = pattern.findFirst(key);
         if (matcher == null) {
--- a/src/main/java/cacheproxy/routes/PathKey.java
+++ b/src/main/java/cacheproxy/routes/PathKey.java
@@ -7,22 +7,22 @@
 import java.util.Locale;
 
 /**
- * A key that is a URI without its scheme: {@code host/path?query}, of which host and query may be missing.
+ * A key that is a URI without its scheme: {@code host/path?query}, where host and query are optional.
  *
  * <p>The path is normalized as HTTP proxies do (RFC 3986, section 6.2.2; nginx's documentation of {@code location}):
- * escapes are decoded, {@code .} and {@code ..} are resolved, adjacent slashes are merged. Octets that no key can have,
- * and {@code %}, {@code ?} and {@code #}, stay escaped, so that equal paths are equal texts and normalization is
+ * escapes are decoded, {@code .} and {@code ..} are resolved, adjacent slashes are merged. Octets that are illegal in
+ * keys, and {@code %}, {@code ?} and {@code #}, stay escaped, so that equal paths have equal texts and normalization is
  * idempotent.
  *
- * @param host in lower case, without a port; empty where the key begins with its path
+ * @param host in lower case, without a port; empty if the key begins with its path
  * @param rawPath the path as it was sent, without the query
  * @param path the normalized path
- * @param query what follows the first question mark; null where there is none
+ * @param query the text after the first question mark; null if there is none
  */
 public record PathKey(String host, String rawPath, String path, String query) {
     private static final String HEX_DIGITS = "0123456789ABCDEF";
 
-    /** Parses a key; null if its path has a broken escape or more {@code ..} than segments. */
+    /** Parses a key; returns null if its path has a malformed escape or more {@code ..} than segments. */
     public static PathKey parse(String key) {
         int pathStart = hostLength(key);
         String host = normalizeHost(key.substring(0, pathStart));
@@ -37,7 +37,7 @@
                 : new PathKey(host, rawPath, path, hasQuery ? key.substring(question + 1, end) : null);
     }
 
-    /** The length of the text before the path; 0 where there is no slash before the query. */
+    /** Returns the length of the text before the path; 0 if there is no slash before the query. */
     private static int hostLength(String key) {
         int slash = key.indexOf('/');
         int question = key.indexOf('?');
@@ -74,7 +74,7 @@
         return resolved == null ? null : encodePercent(resolved);
     }
 
-    /** Null where a {@code ..} leads above the root. */
+    /** Resolves {@code .} and {@code ..}; returns null if a {@code ..} leads above the root. */
     private static String resolveDotSegments(String absolutePath) {
         List<String> segments = new ArrayList<>();
         boolean endsInSlash = false;
@@ -92,7 +92,7 @@
         return "/" + String.join("/", segments) + (endsInSlash && !segments.isEmpty() ? "/" : "");
     }
 
-    /** The octets of a text with percent escapes; null if an escape is broken or is that of NUL. */
+    /** Returns the octets of a text with percent escapes; null if an escape is malformed or encodes NUL. */
     public static byte[] decodePercent(String text) {
         byte[] octets = new byte[text.length()];
         int length = 0;
@@ -113,7 +113,9 @@
         return Arrays.copyOf(octets, length);
     }
 
-    /** Escapes what the text of a path may not have; each character of the argument stands for one octet. */
+    /**
+     * Escapes the octets that the text of a path may not contain; each character of the argument stands for one octet.
+     */
     public static String encodePercent(String octets) {
         StringBuilder encoded = new StringBuilder(octets.length() + 8);
         for (int i = 0; i < octets.length(); i++) {
@@ -127,17 +129,17 @@
         return encoded.toString();
     }
 
-    /** The text of this key with another path, as a pool gets it. */
+    /** Returns the text of this key with another path, as a pool receives it. */
     public String withPath(String otherPath) {
         return host + otherPath + (query == null ? "" : "?" + query);
     }
 
-    /** The path and query as they were sent, like nginx's {@code $request_uri}. */
+    /** Returns the path and query as they were sent, like nginx's {@code $request_uri}. */
     public String requestUri() {
         return query == null ? rawPath : rawPath + "?" + query;
     }
 
-    /** The value of an argument of the query, whose name is compared without case; null where there is none. */
+    /** Returns the value of a query argument, whose name is compared without regard to case; null if there is none. */
     public String queryArgument(String name) {
         int start = 0;
         while (query != null && start <= query.length()) {
--- a/src/main/java/cacheproxy/routes/PlacementTemplate.java
+++ b/src/main/java/cacheproxy/routes/PlacementTemplate.java
@@ -5,14 +5,14 @@
 import java.util.List;
 
 /**
- * What is hashed to place a request, such as {@code $host$uri}. Variables: {@code $key}, the key that the pool gets;
- * {@code $uri}, the normalized path as routes see it, and {@code $1} to {@code $9}, the groups of the route's first
- * pattern in it, all with escapes decoded; {@code $request_uri}, path and query as sent; {@code $host}; {@code $args}
- * and {@code $query_string}; {@code $is_args}; {@code $arg_NAME}. {@code $$} is a dollar sign; a name may stand in
- * braces, as in <code>${uri}x</code>.
+ * The template of the text that is hashed to place a request, such as {@code $host$uri}. Variables: {@code $key}, the
+ * key that the pool receives; {@code $uri}, the normalized path that routes match, and {@code $1} to {@code $9}, the
+ * groups that the route's first pattern matches in it, all with escapes decoded; {@code $request_uri}, path and query
+ * as sent; {@code $host}; {@code $args} and {@code $query_string}; {@code $is_args}; {@code $arg_NAME}. {@code $$} is a
+ * dollar sign; a name may be written in braces, as in <code>${uri}x</code>.
  */
 public final class PlacementTemplate {
-    /** With keys of 250 octets the hashed text then has fewer than 4,096. */
+    /** With keys of 250 octets, this keeps the hashed text below 4,096 octets. */
     private static final int MAX_VARIABLES = 8;
 
     private static final int MAX_LENGTH = 1000;
@@ -20,7 +20,7 @@
     private static final List<String> VARIABLES =
             List.of("key", "uri", "request_uri", "host", "args", "query_string", "is_args");
 
-    /** The key that the pool gets. */
+    /** The template of the key that the pool receives. */
     public static final PlacementTemplate KEY = new PlacementTemplate("$key");
 
     private final String text;
@@ -30,7 +30,7 @@
     /**
      * Parses a template.
      *
-     * @throws IllegalArgumentException if it names an unknown variable, or is too long
+     * @throws IllegalArgumentException if the template refers to an unknown variable or is too long
      */
     public PlacementTemplate(String text) {
         this.text = text;
@@ -78,7 +78,7 @@
             end++;
         }
         boolean isGroup = end > nameStart && Character.isDigit(text.charAt(nameStart));
-        return !braced && isGroup ? nameStart + 1 : end; // $12 is the first group and a 2
+        return !braced && isGroup ? nameStart + 1 : end; // $12 is group 1 followed by the digit 2
     }
 
     private static boolean isVariable(String name) {
@@ -92,7 +92,7 @@
         return text;
     }
 
-    /** The highest group number that it refers to; 0: none. */
+    /** Returns the highest group number that the template refers to; 0 if it refers to none. */
     public int highestGroup() {
         int highest = 0;
         for (int i = 1; i < parts.length; i += 2) {
@@ -102,7 +102,10 @@
         return highest;
     }
 
-    /** The octets to hash for a request on a route whose pool gets this key; without a route groups are empty. */
+    /**
+     * Returns the octets to hash for a request on a route whose pool receives this key. Without a route, groups are
+     * empty.
+     */
     public byte[] hashInput(RouteInput input, Route route, String poolKey) {
         byte[][] values = new byte[parts.length][];
         int length = 0;
--- a/src/main/java/cacheproxy/routes/PrefixIndex.java
+++ b/src/main/java/cacheproxy/routes/PrefixIndex.java
@@ -3,12 +3,15 @@
 import java.util.Arrays;
 import java.util.Collection;
 
-/** A set of prefixes that finds all those of a key, the longest first, by binary search and without allocation. */
+/**
+ * A set of prefixes that finds all those that a key begins with, the longest first, by binary search and without
+ * allocation.
+ */
 final class PrefixIndex {
     private static final int NONE = -1;
 
     private final String[] prefixes;
-    /** By prefix, the index of the longest other one that it begins with. */
+    /** For each prefix, the index of the longest other prefix that it begins with; -1 if there is none. */
     private final int[] parents;
 
     PrefixIndex(Collection<String> distinctPrefixes) {
@@ -23,21 +26,21 @@
         }
     }
 
-    /** The number of prefixes. */
+    /** Returns the number of prefixes. */
     int size() {
         return prefixes.length;
     }
 
-    /** The index of a prefix that is in the set. */
+    /** Returns the index of a prefix that is in the set. */
     int indexOf(String prefix) {
         return Arrays.binarySearch(prefixes, prefix);
     }
 
     /**
-     * The index of the longest prefix of a key; -1: none.
+     * Returns the index of the longest prefix of a key; -1 if there is none.
      *
-     * <p>The search starts at the last prefix that sorts no later than the key. Whatever sorts between a prefix of the
-     * key and the key begins with that prefix too, so all prefixes of the key are found by following parents.
+     * <p>The search starts at the last prefix that sorts no later than the key. Any text that sorts between a prefix of
+     * the key and the key also begins with that prefix, so following the parents finds all prefixes of the key.
      */
     int longestPrefixOf(String key) {
         if (prefixes.length == 0) {
@@ -51,7 +54,7 @@
         return index;
     }
 
-    /** The index of the next shorter prefix of the same key; -1: none. */
+    /** Returns the index of the next shorter prefix of the same key; -1 if there is none. */
     int nextShorter(int index) {
         return parents[index];
     }
--- a/src/main/java/cacheproxy/routes/Route.java
+++ b/src/main/java/cacheproxy/routes/Route.java
@@ -3,14 +3,15 @@
 import java.util.List;
 
 /**
- * A route: which requests it takes and what becomes of them.
+ * A route: which requests it matches and what is done with them.
  *
  * @param order routes of a lower order are tried first
  * @param position its position in the configuration file
- * @param conditions what a request must meet
- * @param rewrite how the key changes before a pool gets it
- * @param placeBy what is hashed to place these requests; null: what the pool's configuration says
- * @param action what becomes of the request
+ * @param conditions the conditions that a request must meet
+ * @param rewrite how the key is changed before a pool receives it
+ * @param placeBy the template of the text that is hashed to place these requests; null: the one in the pool's
+ *     configuration
+ * @param action what is done with the request
  */
 public record Route(
         String name,
@@ -21,16 +22,19 @@
         PlacementTemplate placeBy,
         Action action) {
 
-    /** What becomes of a request. */
+    /** What a route does with a request. */
     public sealed interface Action permits ToPools, Reject, Fail {}
 
-    /** Sends a request to the first of these pools; each next one gets what the pool before it has given up. */
+    /**
+     * Sends a request to the first of these pools; each further pool gets the requests that the pool before it has
+     * given up.
+     */
     public record ToPools(List<String> pools) implements Action {}
 
     /**
      * Rejects a request at once.
      *
-     * @param retryAfterMs when the client may retry, from now
+     * @param retryAfterMs the time from now after which the client may retry
      */
     public record Reject(double retryAfterMs) implements Action {}
 
@@ -47,7 +51,7 @@
         return bySpecificity != 0 ? bySpecificity : Integer.compare(left.position, right.position);
     }
 
-    /** The key that the route's pools get; null if the rewrite makes one that servers don't take. */
+    /** Returns the key that the route's pools receive; null if the rewrite produces one that servers don't accept. */
     public String poolKey(RouteInput input) {
         if (input.path() == null) {
             return rewrite.apply(input.key());
--- a/src/main/java/cacheproxy/routes/RouteConditions.java
+++ b/src/main/java/cacheproxy/routes/RouteConditions.java
@@ -4,14 +4,14 @@
 import java.util.Set;
 
 /**
- * What a request must meet for a route. Of {@code exact} and {@code prefix} at most one is set; nulls and empty
- * collections are met by every request.
+ * The conditions that a request must meet for a route. At most one of {@code exact} and {@code prefix} is set. A
+ * condition that is null or an empty collection is met by every request.
  *
  * @param listeners names of listeners
  * @param host name of the host that the request must be for
  * @param exact the whole key
  * @param prefix what the key must begin with
- * @param patterns all must be found in the key
+ * @param patterns patterns that must all match the key
  * @param classes indexes of service classes
  * @param tenants indexes of tenants
  * @param write true: writes only; false: reads only
@@ -31,7 +31,10 @@
     public static final RouteConditions NONE =
             new RouteConditions(Set.of(), null, null, null, List.of(), Set.of(), Set.of(), null, null);
 
-    /** The kinds of conditions on the key; routes of one order are tried in this order. */
+    /**
+     * The kinds of conditions on the key. Routes with the same order value are tried in the sequence of these
+     * constants.
+     */
     private enum Specificity {
         EXACT,
         PREFIX,
@@ -39,17 +42,17 @@
         ANY_KEY
     }
 
-    /** These conditions, for this whole key. */
+    /** Returns these conditions with this whole key as the condition on the key. */
     public RouteConditions withExact(String key) {
         return new RouteConditions(listeners, host, key, prefix, patterns, classes, tenants, write, share);
     }
 
-    /** These conditions, for keys with this prefix. */
+    /** Returns these conditions with this prefix of the key. */
     public RouteConditions withPrefix(String keyPrefix) {
         return new RouteConditions(listeners, host, exact, keyPrefix, patterns, classes, tenants, write, share);
     }
 
-    /** These conditions, for keys in which this pattern is found. */
+    /** Returns these conditions with this one pattern. */
     public RouteConditions withPattern(KeyPattern pattern) {
         return new RouteConditions(listeners, host, exact, prefix, List.of(pattern), classes, tenants, write, share);
     }
@@ -64,7 +67,7 @@
         return patterns.isEmpty() ? Specificity.ANY_KEY : Specificity.PATTERN;
     }
 
-    /** Compares by specificity and, among prefixes, the longer first. */
+    /** Compares by specificity; among prefixes, the longer one comes first. */
     static int compare(RouteConditions left, RouteConditions right) {
         int bySpecificity = left.specificity().compareTo(right.specificity());
         return bySpecificity != 0 || left.prefix == null
@@ -72,7 +75,7 @@
                 : Integer.compare(right.prefix.length(), left.prefix.length());
     }
 
-    /** Whether a request meets all conditions but those on the host, the exact key and the prefix. */
+    /** Returns whether a request meets all conditions except those on the host, the exact key and the prefix. */
     boolean matchesBeyondIndex(RouteInput input) {
         return matchesAttributes(input) && matchesPatterns(input.key()) && (share == null || share.contains(input));
     }
@@ -85,7 +88,8 @@
     }
 
     private boolean matchesPatterns(String key) {
-        for (int i = 0; i < patterns.size(); i++) { // by index: a request's way, and an iterator would be garbage
+        // By index, because this runs for each request and an iterator would be garbage.
+        for (int i = 0; i < patterns.size(); i++) {
             if (!patterns.get(i).matches(key)) {
                 return false;
             }
@@ -138,8 +142,8 @@
     }
 
     /**
-     * Whether every request that meets the other conditions meets these too; true only where that is certain. Patterns
-     * are compared by their text alone.
+     * Returns whether every request that meets the other conditions also meets these; true only if that is certain.
+     * Patterns are compared by their text alone.
      */
     boolean covers(RouteConditions other) {
         return (host == null || host.equals(other.host))
--- a/src/main/java/cacheproxy/routes/RouteExplanation.java
+++ b/src/main/java/cacheproxy/routes/RouteExplanation.java
@@ -18,14 +18,14 @@
     private final Map<String, PoolView> pools;
 
     /**
-     * What the configuration says about a pool.
+     * The configuration of a pool.
      *
      * @param readyServers servers that may get requests, in ascending order of their unsigned ids
      * @param serverNames names of servers by id
-     * @param keyHash the hash by which the placement knows a request
+     * @param keyHash the hash by which the placement identifies a request
      * @param originName name of the origin; null if there is none
-     * @param hasStaticServers whether the servers are configured; else only discovery knows them
-     * @param fallbackChain this pool and those that follow it
+     * @param hasStaticServers whether the servers are configured; otherwise they come from discovery
+     * @param fallbackChain this pool and the pools that follow it
      */
     public record PoolView(
             List<Endpoint> readyServers,
@@ -36,7 +36,7 @@
             boolean hasStaticServers,
             List<String> fallbackChain) {
 
-        /** The names of the highest ranked servers for a request, the first choice first. */
+        /** Returns the names of the highest ranked servers for a request, the first choice first. */
         private List<String> rankedServers(RouteInput input, Route route, String poolKey) {
             long key = keyHash.of(input, route, poolKey);
             int[] ranked = new int[placement.maxRanked(MAX_RANKED_SERVERS)];
@@ -51,7 +51,7 @@
             return input.write() && originName != null;
         }
 
-        /** Where the request goes, for the first line. */
+        /** Returns the server that the request goes to, for the first line. */
         private String firstServer(RouteInput input, Route route, String poolKey) {
             if (!hasStaticServers) {
                 return "? (from discovery)";
@@ -63,7 +63,7 @@
             return ranked.isEmpty() ? NO_SERVER : ranked.get(0);
         }
 
-        /** The ranking of the pool's servers, for a line of reasons. */
+        /** Returns the ranking of the pool's servers, for a line of reasons. */
         private String ranking(RouteInput input, Route route, String poolKey) {
             if (sendsToOrigin(input)) {
                 return ": writes go to " + originName;
@@ -74,13 +74,16 @@
         }
     }
 
-    /** Explains the routes of a table to these pools. */
+    /** Creates explanations of the routes of a table to these pools. */
     public RouteExplanation(RouteTable table, Map<String, PoolView> pools) {
         this.table = table;
         this.pools = pools;
     }
 
-    /** One line with the request's destination; with {@code withReasons}, indented lines with the reasons after it. */
+    /**
+     * Returns one line with the request's destination, followed by indented lines with the reasons if
+     * {@code withReasons} is set.
+     */
     public List<String> lines(RouteInput input, boolean withReasons) {
         Route route = table.find(input);
         List<String> lines = new ArrayList<>();
@@ -115,7 +118,7 @@
                 + (key.equals(input.rawKey()) ? "" : " key=" + key);
     }
 
-    /** A line for each pool that may get the request, in the order in which they are tried. */
+    /** Returns a line for each pool that may get the request, in the order in which they are tried. */
     private List<String> rankings(RouteInput input, Route route) {
         if (route == null || !(route.action() instanceof Route.ToPools toPools)) {
             return List.of();
--- a/src/main/java/cacheproxy/routes/RouteTable.java
+++ b/src/main/java/cacheproxy/routes/RouteTable.java
@@ -6,9 +6,11 @@
 import java.util.Map;
 
 /**
- * Finds the route of a request. The first route whose conditions are met takes it; routes are tried by {@code order},
- * the lower first, then exact keys, the longest prefix, patterns, routes without a condition on the key, then by their
- * position in the file. Routes that name a host are tried for that host's requests only, among those that name none.
+ * Finds the route of a request: the first one whose conditions the request meets. Routes are tried by {@code order},
+ * the lowest first. Among routes with the same {@code order}, exact keys come first, then prefixes from the longest to
+ * the shortest, then patterns, then routes without a condition on the key; routes that are still equal are tried by
+ * their position in the file. Routes that name a host are tried only for requests to that host, sorted together with
+ * the routes that name none.
  *
  * <p>Immutable. Exact keys are found by hash and prefixes by binary search, whatever their number and without
  * allocation; patterns and the rest are tried one after another.
@@ -16,19 +18,19 @@
 public final class RouteTable {
     private final List<Route> sorted;
     private final VirtualHosts hosts;
-    /** By host, the routes of its requests: its own and those for any host. */
+    /** For each host, the routes for its requests: those that name this host and those that name none. */
     private final Map<String, RouteTier[]> tiersByHost = new HashMap<>();
 
     private final RouteTier[] anyHostTiers;
 
     /**
-     * A route that was tried without success.
+     * A route that was tried and did not match.
      *
      * @param reason the condition that the request does not meet
      */
     public record SkippedRoute(Route route, String reason) {}
 
-    /** A route that no request can reach, and the earlier one that takes all of its requests. */
+    /** A route that no request can reach, and the earlier route that takes all of its requests. */
     public record ShadowedRoute(Route route, Route shadowedBy) {}
 
     /** Compiles routes that name no hosts. */
@@ -67,17 +69,17 @@
         return tiers.toArray(new RouteTier[0]);
     }
 
-    /** All routes, in the order in which they are tried. */
+    /** Returns all routes, in the order in which they are tried. */
     public List<Route> routes() {
         return sorted;
     }
 
-    /** The hosts that routes may name. */
+    /** Returns the hosts that routes may name. */
     public VirtualHosts hosts() {
         return hosts;
     }
 
-    /** The first route whose conditions the request meets; null if there is none. */
+    /** Returns the first route whose conditions the request meets; null if there is none. */
     public Route find(RouteInput input) {
         String host = tiersByHost.isEmpty() ? null : hosts.find(input.listener(), input.host());
         RouteTier[] tiers = host == null ? anyHostTiers : tiersByHost.getOrDefault(host, anyHostTiers);
@@ -90,7 +92,10 @@
         return null;
     }
 
-    /** The routes tried before the one that {@link #find} returns, with reasons. Slow: for operators. */
+    /**
+     * Returns the routes tried before the one that {@link #find} returns, with the reasons why they did not match. This
+     * is slow and meant for operators' commands.
+     */
     public List<SkippedRoute> skippedRoutes(RouteInput input) {
         List<SkippedRoute> skipped = new ArrayList<>();
         String host = hosts.find(input.listener(), input.host());
@@ -107,7 +112,7 @@
         return skipped;
     }
 
-    /** The routes that another single route leaves no request for. */
+    /** Returns the routes that get no request because a single other route takes all of them. */
     public List<ShadowedRoute> shadowedRoutes() {
         return ShadowedRouteFinder.find(sorted);
     }
--- a/src/main/java/cacheproxy/routes/RouteTier.java
+++ b/src/main/java/cacheproxy/routes/RouteTier.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** The compiled routes of one order. */
+/** The compiled routes that have the same order value. */
 final class RouteTier {
     private static final Route[] NONE = {};
 
@@ -15,11 +15,14 @@
     private final PrefixIndex prefixes;
     private final Route[][] byPrefix;
     private final Route[] patternRoutes;
-    /** The prefixes that some patterns require, and the indexes of those in {@link #patternRoutes}. */
+    /**
+     * The prefixes that some patterns require. {@link #patternsByRequiredPrefix} has the indexes of their routes in
+     * {@link #patternRoutes}.
+     */
     private final PrefixIndex requiredPrefixes;
 
     private final int[][] patternsByRequiredPrefix;
-    /** Indexes of the patterns that require no known prefix. */
+    /** Indexes in {@link #patternRoutes} of the routes whose patterns require no known prefix. */
     private final int[] patternsWithoutPrefix;
 
     private final Route[] anyKeyRoutes;
@@ -67,7 +70,7 @@
         return all;
     }
 
-    /** The longest prefix that one of the route's patterns requires; empty if none is known. */
+    /** Returns the longest prefix that one of the route's patterns requires; empty if none is known. */
     private static String requiredPrefix(Route route) {
         return route.conditions().patterns().stream()
                 .map(KeyPattern::requiredPrefix)
@@ -79,7 +82,7 @@
         return list.stream().mapToInt(Integer::intValue).toArray();
     }
 
-    /** The first route whose conditions the request meets; null if there is none. Allocates nothing of its own. */
+    /** Returns the first route whose conditions the request meets; null if there is none. Allocates nothing itself. */
     Route find(RouteInput input) {
         String key = input.key();
         Route route = firstMatch(byExactKey.getOrDefault(key, NONE), input);
@@ -92,7 +95,10 @@
         return route != null ? route : firstMatch(anyKeyRoutes, input);
     }
 
-    /** The first match among the patterns whose required prefix the key has. */
+    /**
+     * Returns the first matching route among those with patterns whose required prefix the key has; null if there is
+     * none.
+     */
     private Route firstPatternMatch(RouteInput input, String key) {
         int first = patternRoutes.length;
         for (int i = requiredPrefixes.longestPrefixOf(key); i >= 0; i = requiredPrefixes.nextShorter(i)) {
@@ -102,7 +108,10 @@
         return first == patternRoutes.length ? null : patternRoutes[first];
     }
 
-    /** The first of these pattern indexes below the limit whose route matches; else the limit. */
+    /**
+     * Returns the first of these indexes in {@link #patternRoutes} that is below the limit and whose route matches; the
+     * limit if there is none.
+     */
     private int firstMatch(int[] indexes, int limit, RouteInput input) {
         for (int index : indexes) {
             if (index >= limit) {
--- a/src/main/java/cacheproxy/routes/ShadowedRouteFinder.java
+++ b/src/main/java/cacheproxy/routes/ShadowedRouteFinder.java
@@ -7,12 +7,12 @@
 import java.util.Map;
 
 /**
- * Finds routes that an earlier one shadows, in a time that does not grow with the square of their number: earlier
- * routes are kept by the condition that makes them comparable, so that a route is compared only with those without a
- * condition on the key and those whose prefix, exact key or pattern can be looked up from its own.
+ * Finds routes that an earlier one shadows, in a time that does not grow with the square of their number. Earlier
+ * routes are indexed by their condition on the key, so that a route is compared only with those that have no such
+ * condition and with those whose prefix, exact key or pattern can be looked up from its own.
  */
 final class ShadowedRouteFinder {
-    /** Earlier routes of one host, or of any host. */
+    /** The earlier routes that name one host, or those that name none. */
     private static final class EarlierRoutes {
         private final Map<String, List<Route>> byExactKey = new HashMap<>();
         private final Map<String, List<Route>> byPrefix = new HashMap<>();
@@ -38,7 +38,7 @@
             index.computeIfAbsent(text, absent -> new ArrayList<>()).add(route);
         }
 
-        /** An earlier route that covers this one; null if there is none. */
+        /** Returns an earlier route that covers this one; null if there is none. */
         Route covering(Route route) {
             RouteConditions conditions = route.conditions();
             Route covering = firstCovering(anyKey, route);
@@ -72,7 +72,7 @@
 
     private ShadowedRouteFinder() {}
 
-    /** Finds the shadowed ones among routes that are sorted by {@link Route#compare}. */
+    /** Finds the shadowed routes in a list that is sorted by {@link Route#compare}. */
     static List<ShadowedRoute> find(List<Route> sortedRoutes) {
         List<ShadowedRoute> found = new ArrayList<>();
         Map<String, EarlierRoutes> earlierByHost = new HashMap<>();
--- a/src/main/java/cacheproxy/routes/SplitShare.java
+++ b/src/main/java/cacheproxy/routes/SplitShare.java
@@ -1,14 +1,14 @@
 package cacheproxy.routes;
 
 /**
- * A share as nginx's {@code split_clients} chooses it: a range of the MurmurHash2 of a text.
+ * A share chosen as nginx's {@code split_clients} does: by a range of the MurmurHash2 values of a text.
  *
  * @param template the text to hash
  * @param fromHash first hash of the share, 0 to 2^32 - 1
  * @param toHash the hash after the last, up to 2^32
  */
 public record SplitShare(PlacementTemplate template, long fromHash, long toHash) implements TrafficShare {
-    /** Number of hashes. */
+    /** Number of hash values. */
     public static final long HASH_RANGE = 1L << 32;
 
     private static final int MURMUR_MULTIPLIER = 0x5bd1e995;
@@ -20,7 +20,7 @@
         }
     }
 
-    /** Austin Appleby's MurmurHash2 with seed 0, as an unsigned number. */
+    /** Returns Austin Appleby's MurmurHash2 with seed 0, as an unsigned number. */
     public static long hash(byte[] text) {
         int hash = text.length;
         int i = 0;
--- a/src/main/java/cacheproxy/routes/VirtualHosts.java
+++ b/src/main/java/cacheproxy/routes/VirtualHosts.java
@@ -25,8 +25,8 @@
      * @param listeners names of the listeners that it belongs to; empty: to all
      * @param serverNames exact names in lower case; {@code *.x}; {@code x.*}; {@code .x} for x and *.x; or {@code ~}
      *     followed by a pattern
-     * @param isDefault whether it gets the requests that no name of its listeners fits
-     * @param defaultOfListeners the listeners for which alone it is the default
+     * @param isDefault whether it gets the requests to its listeners that no host name of theirs matches
+     * @param defaultOfListeners listeners for which it is the default even if {@code isDefault} is false
      */
     public record Host(
             String name,
@@ -37,12 +37,12 @@
 
     private record HostPattern(KeyPattern pattern, String host) {}
 
-    /** The hosts of one listener, by their kinds of names. */
+    /** The hosts of one listener, indexed by the kinds of their names. */
     private static final class ListenerHosts {
         private final Map<String, String> byExactName = new HashMap<>();
-        /** By what follows the asterisk. */
+        /** Hosts by the part of the name after the asterisk. */
         private final Map<String, String> bySuffix = new HashMap<>();
-        /** By what precedes the asterisk. */
+        /** Hosts by the part of the name before the asterisk. */
         private final Map<String, String> byPrefix = new HashMap<>();
 
         private final List<HostPattern> patterns = new ArrayList<>();
@@ -70,7 +70,7 @@
             }
         }
 
-        /** Null if there is no host for this name. */
+        /** Returns the host for this name; null if there is none. */
         String find(String name) {
             String found = byExactName.get(name);
             found = found != null ? found : findByLongestSuffix(name);
@@ -109,7 +109,7 @@
         }
     }
 
-    /** Compiles hosts, whose order decides between equal names, patterns and defaults. */
+    /** Compiles hosts. Among equal names, matching patterns and defaults, the first host in the list is used. */
     public VirtualHosts(List<Host> hosts) {
         this.hosts = List.copyOf(hosts);
         for (Host host : hosts) {
@@ -126,7 +126,7 @@
         }
     }
 
-    /** Whether a host may have this server name; the text of a pattern is not checked. */
+    /** Returns whether a host may have this server name; the text of a pattern is not checked. */
     public static boolean isValidName(String serverName) {
         if (serverName.startsWith("~")) {
             return true;
@@ -145,12 +145,12 @@
         return serverName.endsWith(".*") ? serverName.substring(0, serverName.length() - 2) : serverName;
     }
 
-    /** All hosts, in the order of the file. */
+    /** Returns all hosts, in the order of the file. */
     public List<Host> hosts() {
         return hosts;
     }
 
-    /** The name of the host for a request to this listener; null if there is none. */
+    /** Returns the name of the host for a request to this listener; null if there is none. */
     public String find(String listener, String name) {
         return hosts.isEmpty()
                 ? null
--- a/src/main/java/cacheproxy/siblings/CacheDigest.java
+++ b/src/main/java/cacheproxy/siblings/CacheDigest.java
@@ -3,11 +3,11 @@
 import java.util.Arrays;
 
 /**
- * A bounded digest of the keys that this proxy's servers have answered lately, from which the queries of siblings are
- * answered.
+ * A bounded digest of the keys for which this proxy's servers have recently returned values. The queries of siblings
+ * are answered from it.
  *
- * <p>The digest is a set-associative table: a key belongs to one bucket of {@value #BUCKET_SIZE} entries, and where the
- * bucket is full the entry that was refreshed longest ago is replaced. An entry is valid for a fixed time and for the
+ * <p>The digest is a set-associative table: a key belongs to one bucket of {@value #BUCKET_SIZE} entries, and if the
+ * bucket is full, the entry that was refreshed longest ago is replaced. An entry is valid for a fixed time and for the
  * incarnation of the server that it names: {@link #removeServer} invalidates all entries of a server by advancing that
  * server's epoch. The digest may omit a key; it reports a key that was not added only if two keys share their 64-bit
  * hash.
@@ -15,7 +15,7 @@
  * <p>Allocates nothing after construction, reads no clock and is confined to one thread.
  */
 public final class CacheDigest {
-    /** Entries of one bucket. */
+    /** Number of entries in a bucket. */
     private static final int BUCKET_SIZE = 8;
 
     private static final int MAX_CAPACITY = 1 << 24;
@@ -29,7 +29,7 @@
     private static final long EMPTY = 0;
 
     private final long[] keys;
-    /** By entry: the server's slot (16 bits), the server's epoch (16), the tick of the last refresh (32). */
+    /** For each entry: the server's slot (16 bits), the server's epoch (16), the tick of the last refresh (32). */
     private final long[] entries;
 
     private final int bucketMask;
@@ -101,7 +101,7 @@
         Arrays.fill(entries, EMPTY);
     }
 
-    /** Whether a server is known to hold this key; {@link #serverOf} returns which one. */
+    /** Returns whether a server is known to hold this key; {@link #serverOf} returns which one. */
     public boolean contains(double nowMs, long key) {
         int index = find(key, bucketStart(key));
         if (index < 0) {
@@ -114,7 +114,10 @@
         return true;
     }
 
-    /** The id of the server that returned this key's value last. Only for a key that the digest contains. */
+    /**
+     * Returns the id of the server that last returned this key's value. Call it only for a key that the digest
+     * contains.
+     */
     public int serverOf(long key) {
         return serverIds[slotOf(entries[find(key, bucketStart(key))])];
     }
@@ -145,7 +148,7 @@
         return 0;
     }
 
-    /** The slot of a server, a new one if it has none; 0 where all are taken. */
+    /** Returns the slot of a server, which is a new one if it had none; 0 if all slots are taken. */
     private int slotOrNew(int serverId) {
         int known = slot(serverId);
         if (known > 0 || knownServers == serverIds.length - 1) {
@@ -165,7 +168,10 @@
         return -1;
     }
 
-    /** Where to write a key: its own entry, else the first empty one of its bucket, else the oldest. */
+    /**
+     * Returns the index at which to write a key: its existing entry, else the first empty entry of its bucket, else the
+     * oldest.
+     */
     private int indexToWrite(long key, int nowTick) {
         int start = bucketStart(key);
         int existing = find(key, start);
--- a/src/main/java/cacheproxy/siblings/DenialLimiter.java
+++ b/src/main/java/cacheproxy/siblings/DenialLimiter.java
@@ -5,17 +5,18 @@
 
 /**
  * Decides whether a denied query is answered at all. A client whose queries are nearly all denied gains nothing from
- * the answers, and an answer to a forged address attacks the owner of that address. The thresholds are those that RFC
- * 2187 gives for Squid. Bounded: the addresses that have been silent longest are forgotten. Reads no clock.
+ * the answers, and an answer to a forged sender address attacks the owner of that address. The thresholds are those
+ * that RFC 2187 gives for Squid. The number of addresses is bounded: those not seen for the longest time are removed.
+ * Reads no clock.
  *
  * @param <A> the type of an address
  */
 public final class DenialLimiter<A> {
-    /** Fewer queries of an address are always answered. */
+    /** An address with fewer queries always gets answers. */
     static final int MIN_QUERIES = 150;
-    /** From this share of denied queries on, denials are no longer sent. */
+    /** At this share of denied queries and above, denials are no longer sent. */
     private static final double MAX_DENIED_SHARE = 0.95;
-    /** At this count an address's counts are halved, so that old queries lose their weight. */
+    /** At this count an address's counts are halved, so that old queries lose weight. */
     private static final int MAX_COUNT = 1 << 20;
 
     private final Map<A, QueryCounts> countsByAddress;
@@ -39,9 +40,9 @@
     }
 
     /**
-     * Creates a limiter that knows no address.
+     * Creates a limiter without counts.
      *
-     * @param maxAddresses number of addresses whose counts are kept
+     * @param maxAddresses the maximum number of addresses whose counts are kept
      */
     public DenialLimiter(int maxAddresses) {
         countsByAddress = new LinkedHashMap<>(16, 0.75f, true) {
@@ -54,7 +55,7 @@
         };
     }
 
-    /** Counts a query and returns whether it is to be answered; a query that is not denied always is. */
+    /** Counts a query and returns whether it is to be answered. A query that is not denied is always answered. */
     public boolean shouldAnswer(A from, boolean denied) {
         QueryCounts counts = countsByAddress.computeIfAbsent(from, address -> new QueryCounts());
         counts.add(denied);
--- a/src/main/java/cacheproxy/siblings/PendingQueries.java
+++ b/src/main/java/cacheproxy/siblings/PendingQueries.java
@@ -5,8 +5,8 @@
 import java.util.Map;
 
 /**
- * The queries that await replies, and the check which of the datagrams that arrive is a reply to one: it has the number
- * of a known query, comes from an address that was queried, is about the same key, is the first from there, and is in
+ * The queries that await replies. Checks whether an arriving datagram is a reply to one of them: it has the number of a
+ * known query, comes from an address that was queried, is about the same key, is the first from that address, and is in
  * time. All other datagrams are counted by {@link ReplyVerdict} and change nothing. Reads no clock; confined to one
  * thread.
  *
@@ -20,18 +20,18 @@
     private int lastNumber;
 
     /**
-     * What a datagram that claims to be a reply was found to be.
+     * The result of checking a datagram that claims to be a reply.
      *
-     * @param elapsedMs since the query was sent; NaN where the number is that of no known query
+     * @param elapsedMs the time since the query was sent; NaN if no known query has the number
      */
     public record Reply(ReplyVerdict verdict, double elapsedMs) {}
 
     /**
      * Creates an empty table.
      *
-     * @param maxQueries number of queries that are known at once
-     * @param retentionMs for how long a query is known after its deadline
-     * @param firstNumber a random number, so that the numbers after a start can't be guessed
+     * @param maxQueries the maximum number of known queries
+     * @param retentionMs how long a query stays known after its deadline
+     * @param firstNumber a random number, so that query numbers can't be guessed after a start
      */
     public PendingQueries(int maxQueries, double retentionMs, int firstNumber) {
         this.maxQueries = maxQueries;
@@ -42,8 +42,8 @@
     /**
      * Opens a query.
      *
-     * @param waitMs for how long replies are in time
-     * @return the query; null where as many as allowed are known already
+     * @param waitMs how long after now a reply is in time
+     * @return the query; null if the maximum number of queries is already known
      */
     public PendingQuery<A> open(double nowMs, String key, Iterable<A> queried, double waitMs) {
         queryByNumber.values().removeIf(query -> isExpired(query, nowMs));
@@ -61,7 +61,7 @@
     /**
      * Matches a datagram that claims to be a reply with its query.
      *
-     * @param key null where the protocol does not repeat the key in replies
+     * @param key null if the protocol does not repeat the key in replies
      */
     public Reply matchReply(double nowMs, int number, A from, String key, boolean hit) {
         PendingQuery<A> query = queryByNumber.get(number);
@@ -76,12 +76,12 @@
         return nowMs > query.deadlineMs() + retentionMs;
     }
 
-    /** The number of datagrams with this verdict so far. */
+    /** Returns the number of datagrams with this verdict so far. */
     public long count(ReplyVerdict verdict) {
         return countByVerdict.getOrDefault(verdict, 0L);
     }
 
-    /** The number of queries that are known, closed ones included. */
+    /** Returns the number of known queries, including closed ones. */
     public int size() {
         return queryByNumber.size();
     }
--- a/src/main/java/cacheproxy/siblings/PendingQuery.java
+++ b/src/main/java/cacheproxy/siblings/PendingQuery.java
@@ -5,7 +5,7 @@
 
 /**
  * One query to several siblings. {@link PendingQueries} keeps it for a while after it is closed, so that late replies
- * can be told from forged ones and measured.
+ * can be distinguished from forged ones and measured.
  *
  * @param <A> the type of an address
  */
@@ -27,32 +27,35 @@
         deadlineMs = nowMs + waitMs;
     }
 
-    /** The number that the query and its replies carry. */
+    /** Returns the number that the query and its replies carry. */
     public int number() {
         return number;
     }
 
-    /** Replies are late from now on. */
+    /** Closes the query: replies are late from now on. */
     public void close() {
         closed = true;
     }
 
-    /** Whether the query has its result or was given up. */
+    /** Returns whether the query has its result or was given up. */
     public boolean isClosed() {
         return closed;
     }
 
-    /** When the query was sent. */
+    /** Returns when the query was sent. */
     double sentMs() {
         return sentMs;
     }
 
-    /** Until when replies are in time. */
+    /** Returns the time until which replies are in time. */
     double deadlineMs() {
         return deadlineMs;
     }
 
-    /** Takes a reply with this query's number; {@code replyKey} is null where the protocol does not repeat the key. */
+    /**
+     * Checks and records a reply with this query's number; {@code replyKey} is null if the protocol does not repeat the
+     * key.
+     */
     ReplyVerdict accept(double nowMs, A from, String replyKey, boolean hit) {
         Boolean awaited = awaitedByAddress.get(from);
         if (awaited == null) {
--- a/src/main/java/cacheproxy/siblings/ReplayGuard.java
+++ b/src/main/java/cacheproxy/siblings/ReplayGuard.java
@@ -8,8 +8,9 @@
 
 /**
  * Accepts each signed message once (RFC 2756): remembers signatures until they expire, after which the message's own
- * validity period keeps it out. Bounded: when it is full, nothing is forgotten early, as that would admit a replay; new
- * messages are rejected until some signatures have expired. Reads no clock; confined to one thread.
+ * validity period rejects it. The number of signatures is bounded: when the bound is reached, no signature is removed
+ * early, because that would admit a replay; new messages are rejected until some signatures have expired. Reads no
+ * clock; confined to one thread.
  *
  * <p>Has no caller yet: receiving signed HTCP messages is on the roadmap.
  */
@@ -23,11 +24,11 @@
             new PriorityQueue<>(Comparator.comparingLong(SeenSignature::expiresAtSeconds));
 
     /**
-     * Creates a guard that has seen nothing.
+     * Creates a guard without signatures.
      *
-     * @param maxSignatures number of signatures that are remembered at once
-     * @param maxValiditySeconds longest time until a signature expires; one that is valid for longer is rejected, as it
-     *     would be remembered for as long
+     * @param maxSignatures the maximum number of signatures that are remembered
+     * @param maxValiditySeconds the longest time until a signature expires; one that is valid for longer is rejected,
+     *     because it would have to be remembered for as long
      */
     public ReplayGuard(int maxSignatures, long maxValiditySeconds) {
         this.maxSignatures = maxSignatures;
@@ -38,7 +39,7 @@
      * Accepts a message whose signature has been verified.
      *
      * @param nowSeconds the present time, in seconds of Unix time
-     * @param expiresAtSeconds the signature's last second, in Unix time
+     * @param expiresAtSeconds the last second in which the signature is valid, in Unix time
      * @return false if the message has expired, was accepted before, or can't be remembered
      */
     public boolean accept(long nowSeconds, byte[] signature, long expiresAtSeconds) {
--- a/src/main/java/cacheproxy/siblings/ReplyVerdict.java
+++ b/src/main/java/cacheproxy/siblings/ReplyVerdict.java
@@ -1,21 +1,21 @@
 package cacheproxy.siblings;
 
-/** What {@link PendingQueries} has found out about a datagram that claims to be a reply to a query. */
+/** The result of the check in {@link PendingQueries} of a datagram that claims to be a reply to a query. */
 public enum ReplyVerdict {
     /** The first hit: the query is closed. */
     FIRST_HIT,
     /** A miss, while other siblings have yet to reply. */
     MISS,
-    /** The last of the siblings has reported a miss: the query is closed. */
+    /** A miss from the last sibling that had yet to reply: the query is closed. */
     ALL_MISSED,
-    /** A genuine reply after the query was closed or its wait was over. */
+    /** A genuine reply that arrived after the query was closed or its waiting time was over. */
     LATE,
-    /** A second reply of the same sibling. */
+    /** A second reply from the same sibling. */
     DUPLICATE,
-    /** From an address to which the query was not sent. */
+    /** A datagram from an address to which the query was not sent. */
     NOT_QUERIED,
-    /** With the number of no known query. */
+    /** A datagram whose number is not that of a known query. */
     UNKNOWN_QUERY,
-    /** About another key than the query's. */
+    /** A datagram about another key than the query's. */
     KEY_MISMATCH
 }
--- a/src/main/java/cacheproxy/siblings/SiblingQueryPolicy.java
+++ b/src/main/java/cacheproxy/siblings/SiblingQueryPolicy.java
@@ -6,16 +6,16 @@
 /**
  * Decides whether siblings are queried before the origin, which ones, and how long their replies are awaited. A query
  * delays every request that misses at the siblings; it saves time where a sibling has the value and the origin is slow,
- * throttled or unreachable. Siblings are therefore queried where the expected saving exceeds the expected delay, by
- * measured figures, and otherwise in a small share of cases, so that a change is noticed. Stateless; randomness is
- * passed in.
+ * throttled or unreachable. Siblings are therefore queried if, according to the measurements, the expected saving
+ * exceeds the expected delay, and otherwise in a small share of cases, so that a change is noticed. Stateless; the
+ * caller passes in random numbers.
  */
 public final class SiblingQueryPolicy {
     /** The share of a request's remaining latency objective that may be spent on waiting for replies. */
     static final double MAX_WAIT_SHARE = 0.25;
-    /** Number of siblings that are queried about one key. */
+    /** Maximum number of siblings that are queried about one key. */
     public static final int MAX_SIBLINGS_QUERIED = 4;
-    /** Where querying does not pay, one in so many queries is sent all the same. */
+    /** If querying does not save time, one in this many queries is sent anyway. */
     private static final int EXPLORATION_INTERVAL = 50;
     /** Bounds the factor by which the origin's overload multiplies the saving. */
     private static final double MAX_ORIGIN_PRESSURE = 20;
@@ -23,9 +23,9 @@
     private SiblingQueryPolicy() {}
 
     /**
-     * What to do about one key.
+     * Which siblings to query about one key, and how long to wait.
      *
-     * @param siblings whom to query, as indexes into the list that was passed; empty: nobody
+     * @param siblings the siblings to query, as indexes into the list that was passed; empty: none
      * @param waitMs how long to wait for the first hit
      */
     public record Plan(List<Integer> siblings, double waitMs) {
@@ -35,12 +35,12 @@
     /**
      * Plans the query about one key.
      *
-     * @param siblings the measured figures of all siblings
+     * @param siblings the measurements of all siblings
      * @param originFetchMs how long a fetch from the origin usually takes
      * @param siblingFetchMs how long a fetch from a sibling usually takes
-     * @param remainingMs what is left of the request's latency objective
-     * @param originPressure requests sent to the origin for each that it answers in time, from 1
-     * @param randomDraw uniform, from 0 to below 1
+     * @param remainingMs the remaining time of the request's latency objective
+     * @param originPressure the number of requests sent to the origin for each one that it answers in time, at least 1
+     * @param randomDraw a uniform random number, at least 0 and below 1
      */
     public static Plan plan(
             double nowMs,
@@ -72,7 +72,7 @@
         return valueArrivesInTime && (savesTime || isExploration) ? new Plan(List.copyOf(queried), waitMs) : Plan.NONE;
     }
 
-    /** The eligible siblings that return a value most often, the best one first. */
+    /** Returns the eligible siblings that return a value most often, the best one first. */
     private static List<Integer> mostPromising(double nowMs, List<SiblingStats> siblings, double maxWaitMs) {
         List<Integer> eligible = new ArrayList<>();
         for (int i = 0; i < siblings.size(); i++) {
--- a/src/main/java/cacheproxy/siblings/SiblingStats.java
+++ b/src/main/java/cacheproxy/siblings/SiblingStats.java
@@ -1,12 +1,12 @@
 package cacheproxy.siblings;
 
 /**
- * Measured figures of one sibling: how long its replies take, how often it replies, how often it reports a hit, and how
- * many of its hits were true. Old observations decay, so that a change in either direction is noticed. Reads no clock;
- * confined to one thread.
+ * Measurements of one sibling: how long its replies take, how often it replies, how often it reports a hit, and how
+ * many of its reported hits were true. Old observations decay, so that a change in either direction is noticed. Reads
+ * no clock; confined to one thread.
  */
 public final class SiblingStats {
-    /** Number of observations in which the weight of an older one halves. */
+    /** Number of observations after which the weight of an older one has halved. */
     private static final double HALF_LIFE = 64;
 
     private static final double DECAY = Math.pow(0.5, 1 / HALF_LIFE);
@@ -43,7 +43,7 @@
         nextProbeMs = nowMs + PROBE_INTERVAL_MS;
     }
 
-    /** Counts a reply, a late one too. Times are smoothed as RFC 6298 smooths round-trip times. */
+    /** Counts a reply, including a late one. Times are smoothed as RFC 6298 smooths round-trip times. */
     public void recordReply(double elapsedMs, boolean hit) {
         replies++;
         hits += hit ? 1 : 0;
@@ -63,27 +63,30 @@
         valuesReceived = valuesReceived * DECAY + (valueReceived ? 1 : 0);
     }
 
-    /** After how long a reply counts as lost; {@code defaultMs} while no reply has been measured. */
+    /** Returns the time after which a reply counts as lost; {@code defaultMs} while no reply has been measured. */
     public double replyTimeoutMs(double defaultMs) {
         return isMeasured ? meanMs + TIMEOUT_DEVIATIONS * deviationMs : defaultMs;
     }
 
-    /** The share of queries to which the sibling replies, 0 to 1. */
+    /** Returns the share of queries to which the sibling replies, 0 to 1. */
     public double replyRate() {
         return Math.min(1, replies / queries);
     }
 
-    /** The share of queries that end with a value from the sibling, 0 to 1. */
+    /** Returns the share of queries that end with a value from the sibling, 0 to 1. */
     public double valueRate() {
         return Math.min(1, hits / queries) * hitAccuracy();
     }
 
-    /** The share of reported hits whose value the sibling then returned, 0 to 1. */
+    /** Returns the share of reported hits whose value the sibling then returned, 0 to 1. */
     public double hitAccuracy() {
         return Math.min(1, valuesReceived / fetches);
     }
 
-    /** Whether the sibling may be queried now: as a rule, or as a probe of one that is silent or inaccurate. */
+    /**
+     * Returns whether the sibling may be queried now, either because it is reliable or as a probe of a silent or
+     * inaccurate one.
+     */
     public boolean isEligible(double nowMs) {
         boolean isReliable = replyRate() >= MIN_REPLY_RATE && hitAccuracy() >= MIN_HIT_ACCURACY;
         return isReliable || nowMs >= nextProbeMs;
--- a/src/main/java/cacheproxy/siblings/Siblings.java
+++ b/src/main/java/cacheproxy/siblings/Siblings.java
@@ -5,13 +5,13 @@
 
 /**
  * The siblings of one pool as the routing policy sees them: which endpoints are siblings, whether querying them is
- * worth the wait, and what came of a fetch. Called on the event loop of the policy.
+ * worth the wait, and how fetches from them ended. Called on the event loop of the policy.
  */
 public interface Siblings {
     /** A pool without siblings. */
     Siblings NONE = new Siblings() {
         @Override
-        public boolean isSibling(Endpoint member) {
+        public boolean isSibling(Endpoint endpoint) {
             return false;
         }
 
@@ -24,15 +24,15 @@
         public void recordFetch(double nowMs, int siblingId, AttemptOutcome outcome, double elapsedMs) {}
     };
 
-    /** Whether this endpoint is a sibling; keys are never placed at one. */
+    /** Returns whether this endpoint is a sibling; keys are never placed on siblings. */
     boolean isSibling(Endpoint endpoint);
 
     /**
-     * How long to wait for siblings' replies about one key, in milliseconds; 0: they are not to be queried.
+     * Returns how long to wait for siblings' replies about one key, in milliseconds; 0 if they are not to be queried.
      *
      * @param originFetchMs how long a fetch from the origin usually takes
-     * @param remainingMs what is left of the request's latency objective
-     * @param originPressure requests sent to the origin for each that it answers in time, from 1
+     * @param remainingMs the remaining time of the request's latency objective
+     * @param originPressure the number of requests sent to the origin for each one that it answers in time, at least 1
      */
     double waitMs(double nowMs, double originFetchMs, double remainingMs, double originPressure);
 
