--- a/src/test/java/cacheproxy/hooks/HookCircuitBreakerTest.java
+++ b/src/test/java/cacheproxy/hooks/HookCircuitBreakerTest.java
@@ -20,7 +20,7 @@
         assertThat(breaker.tryCall(1008)).isFalse();
         assertThat(breaker.tryCall(1010)).isTrue();
         assertThat(breaker.tryCall(1010)).as("one trial call at a time").isFalse();
-        assertThat(breaker.recordResult(1011, true)).as("reported before").isFalse();
+        assertThat(breaker.recordResult(1011, true)).as("already reported").isFalse();
         assertThat(breaker.tryCall(1500)).isFalse();
         assertThat(breaker.tryCall(2011)).isTrue();
         breaker.recordResult(2012, false);
@@ -28,7 +28,7 @@
         for (int i = 0; i < 1000; i++) {
             assertThat(breaker.tryCall(3000 + i)).isTrue();
             assertThat(breaker.recordResult(3000 + i, i % 3 == 0))
-                    .as("a third may fail")
+                    .as("a third of the calls may fail")
                     .isFalse();
         }
     }
--- a/src/test/java/cacheproxy/hooks/HookInstanceTest.java
+++ b/src/test/java/cacheproxy/hooks/HookInstanceTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Modules one by one, without a daemon: what loads, what a call may cost, what comes of hostile ones. */
+/** Tests single modules without a daemon: which ones load, how much a call may cost, and how hostile modules fail. */
 class HookInstanceTest {
     private static final Path HOSTILE_HOOKS_DIR = Path.of("src/test/resources/hooks");
     private static final Path SAMPLE_HOOKS_DIR = Path.of("hooks");
@@ -187,7 +187,10 @@
         }
     }
 
-    /** For what fuel does not see: a call with fuel without end is ended by the interrupt of its thread. */
+    /**
+     * Covers calls that take too long without running out of fuel: a call with unlimited fuel is ended by interrupting
+     * its thread.
+     */
     @ParameterizedTest
     @ValueSource(booleans = {true, false})
     void interruptsCallThatTakesTooLong(boolean compiled) throws Exception {
@@ -210,13 +213,16 @@
         caller.start();
         running.await();
         while (caller.isAlive()) {
-            caller.interrupt(); // the call may not have begun
+            caller.interrupt(); // repeated because the call may not have begun yet
             caller.join(10);
         }
         assertThat(message.get()).isEqualTo("it took longer than 20.0 ms");
     }
 
-    /** The global that counts is added behind the module's own: it must not be able to name it. */
+    /**
+     * The global that holds the fuel is added after the module's own globals; the module must not be able to refer to
+     * it.
+     */
     @Test
     void rejectsModuleThatNamesTheFuelGlobal() throws Exception {
         byte[] module = bytes(HOSTILE_HOOKS_DIR, "steals-fuel");
@@ -224,7 +230,7 @@
         for (int i = 8; i < module.length - 1; i++) {
             globalSet = module[i] == 0x24 && module[i + 1] == 0 ? i : globalSet;
         }
-        assertThat(globalSet).as("its global.set 0").isPositive();
+        assertThat(globalSet).as("position of its global.set 0").isPositive();
         for (int opcode : new int[] {0x24, 0x23}) {
             byte[] mutated = module.clone();
             mutated[globalSet] = (byte) opcode;
@@ -251,7 +257,7 @@
                 start(bytes(HOSTILE_HOOKS_DIR, "grow-touch"), "", true).call(CALL);
         assertThat(result.orders()).isEqualTo(HookOrders.NONE);
         assertThat(result.fuel())
-                .as("growing costs 4096, filling 65,536 bytes as much")
+                .as("growing costs 4096, and filling 65,536 bytes costs as much")
                 .isBetween(8192L, 8300L);
         assertThat(start(bytes(HOSTILE_HOOKS_DIR, "grow"), "", true).call(CALL).orders())
                 .isEqualTo(HookOrders.NONE);
@@ -278,14 +284,14 @@
                 .containsExactly(1, 3, 2, 1, 0, 0, 2, 0, 'a', 'b', 1, 0, 'c', 1, 0, 't');
     }
 
-    /** Guards against a module that ends within a group of locals ending the start instead of being reported. */
+    /** Guards against a module that ends within a group of locals and stops the startup instead of being reported. */
     @Test
     void aModuleThatEndsWithinItsLocalsIsReported() {
         byte[] module = HexFormat.of()
                 .parseHex(
                         "0061736d01000000" // preamble
                                 + "0104016000" + "00" // a type without parameters and results
-                                + "03020100" // a function of it
+                                + "03020100" // a function of this type
                                 + "070801046d61696e0000" // exported
                                 + "0a04010201" + "01"); // its body: one group of one local, and no type
         assertThatThrownBy(() -> HookModule.load(module, limits(false), ""))
--- a/src/test/java/cacheproxy/hooks/HookOrdersDecoderTest.java
+++ b/src/test/java/cacheproxy/hooks/HookOrdersDecoderTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Orders in the bytes of the ABI, and what is wrong with others. */
+/** Decodes orders in the encoding of the ABI, and checks the messages about malformed ones. */
 class HookOrdersDecoderTest {
     private static byte[] bytes(String latin1) {
         return latin1.getBytes(StandardCharsets.ISO_8859_1);
--- a/src/test/java/cacheproxy/hooks/HookRulesTest.java
+++ b/src/test/java/cacheproxy/hooks/HookRulesTest.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 
-/** What hooks may order, and what operators are told of the rest. */
+/** Which orders hooks may give, and how violations are described to operators. */
 class HookRulesTest {
     private static ServiceClass serviceClass(String name, Idempotency idempotency) {
         return new ServiceClass(name, idempotency, DeduplicationScope.ALL, 100, 1, 2, 1, 0.3, false);
--- a/src/test/java/cacheproxy/hooks/WasmMeterGoldenBytesTest.java
+++ b/src/test/java/cacheproxy/hooks/WasmMeterGoldenBytesTest.java
@@ -9,7 +9,10 @@
 import java.util.stream.Stream;
 import org.junit.jupiter.api.Test;
 
-/** The metered form of each module here, byte by byte: operators compare the fuel of calls between releases. */
+/**
+ * Compares the metered form of each module of this repository byte by byte, because operators compare the fuel of calls
+ * between releases.
+ */
 class WasmMeterGoldenBytesTest {
     private static final int MAX_PAGES = 16;
     private static final long INITIAL_FUEL = 1_000_000;
--- a/src/test/java/cacheproxy/hooks/WasmNumbersTest.java
+++ b/src/test/java/cacheproxy/hooks/WasmNumbersTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.ValueSource;
 
-/** Numbers in LEB128, as {@link WasmWriter} writes and {@link WasmReader} reads them. */
+/** LEB128 numbers, as {@link WasmWriter} writes them and {@link WasmReader} reads them. */
 class WasmNumbersTest {
     private static WasmReader reader(String hex) {
         return new WasmReader(HexFormat.of().parseHex(hex));
--- a/src/test/java/cacheproxy/htcp/HtcpCodecTest.java
+++ b/src/test/java/cacheproxy/htcp/HtcpCodecTest.java
@@ -27,7 +27,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** HTCP's datagrams. The vectors are worked out by hand from RFC 2756; no encoder made them. */
+/** Encodes and decodes HTCP datagrams. The vectors are worked out by hand from RFC 2756; no encoder produced them. */
 class HtcpCodecTest {
     private static final Specifier GET = new Specifier("GET", "a", "1.1", "");
     private static final Detail DETAIL = new Detail("A: b\r\n", "", "C: d\r\n");
@@ -59,7 +59,7 @@
                 .isEqualTo(hex("000e 00 00 0008 05 03 0a0b0c0d 0002"));
     }
 
-    /** TST of GET a: four strings of 3, 1, 3 and 0 octets, each behind its length. */
+    /** TST of GET a: four strings of 3, 1, 3 and 0 octets, each preceded by its length. */
     @Test
     void encodesAndDecodesTheGoldenTestAndItsResponses() throws Exception {
         byte[] bytes = hex("001d 00 00 0017 10 02 00000001 0003474554 000161 0003312e31 0000 0002");
@@ -75,7 +75,7 @@
                 .isEqualTo(absent);
     }
 
-    /** CLR: 12 reserved bits, 4 of the reason, then the specifier. */
+    /** CLR: 12 reserved bits, 4 bits of the reason, then the specifier. */
     @Test
     void encodesAndDecodesTheGoldenClear() throws Exception {
         byte[] bytes = hex("001f 00 00 0019 40 02 00000001 0001 0003474554 000161 0003312e31 0000 0002");
@@ -84,7 +84,7 @@
         assertThat(decode(bytes).message()).isEqualTo(message);
         assertThat(decode(hex("001f 00 00 0019 40 02 00000001 fff1 0003474554 000161 0003312e31 0000 0002"))
                         .message())
-                .as("reserved bits say nothing")
+                .as("reserved bits are ignored")
                 .isEqualTo(message);
     }
 
@@ -119,7 +119,7 @@
         }
     }
 
-    /** A major version that is not known can be told of, by its transaction; so can an opcode. */
+    /** An unknown major version can be reported with its transaction id, and so can an unknown opcode. */
     @Test
     void decodesUnknownVersionsAndOpcodesAsFarAsAResponseNeeds() throws Exception {
         HtcpDatagram unknownVersion = decode(hex("000e 01 07 0008 f0 02 0a0b0c0d 0002"));
@@ -131,10 +131,10 @@
         assertThat(unknownOpcode.opcode()).isEqualTo(5);
         assertThat(decode(hex("000e 00 09 0008 00 02 0a0b0c0d 0002")).message().minorVersion())
                 .isEqualTo(9);
-        // Octets behind AUTH are padding; reserved bits of DATA say nothing.
+        // Octets after AUTH are padding; reserved bits of DATA are ignored.
         assertThat(decode(hex("0011 00 00 0008 00 fe 0a0b0c0d 0002 ffffff")).message())
                 .isEqualTo(HtcpMessage.request(Opcode.NOP, 0x0a0b0c0d, new Empty()));
-        // With MO = 1 OP-DATA is whatever the other side echoes.
+        // With MO = 1, OP-DATA is whatever the other side echoes, and is ignored.
         assertThat(decode(hex("0010 00 00 000a 13 03 00000001 abcd 0002"))
                         .message()
                         .body())
@@ -206,7 +206,7 @@
 
     // ---- signatures
 
-    /** The octets that the RFC lists, put together here without the signer. */
+    /** Assembles the octets that the RFC lists, without using the signer. */
     @Test
     void signatureCoversTheFieldsOfTheRfc() throws Exception {
         byte[] data = HtcpCodec.encodeData(HtcpMessage.request(Opcode.TST, 1, GET));
@@ -239,7 +239,7 @@
         assertThat(signer.verify(datagram, HERE, THERE, 995, 5)).isEqualTo(HtcpSigner.Verdict.VALID);
         assertThat(signer.verify(datagram, HERE, THERE, 994, 5)).isEqualTo(HtcpSigner.Verdict.NOT_YET_VALID);
         assertThat(signer.verify(datagram, THERE, HERE, 1000, 5))
-                .as("turned round")
+                .as("source and destination exchanged")
                 .isEqualTo(HtcpSigner.Verdict.BAD_SIGNATURE);
         assertThat(signer.verify(datagram, HERE, new InetSocketAddress("127.0.0.2", 1), 1000, 5))
                 .isEqualTo(HtcpSigner.Verdict.BAD_SIGNATURE);
@@ -261,7 +261,7 @@
             }
         }
         assertThat(acceptedCount)
-                .as("forged by one bit; the major version's are told apart before")
+                .as("accepted with one bit changed; changes of the major version are recognized earlier")
                 .isLessThanOrEqualTo(8);
     }
 }
--- a/src/test/java/cacheproxy/htcp/HtcpGoldenBytesTest.java
+++ b/src/test/java/cacheproxy/htcp/HtcpGoldenBytesTest.java
@@ -16,8 +16,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * The bytes of those HTCP datagrams that {@link HtcpCodecTest} has no vector of: SET, responses without OP-DATA, a
- * signed one.
+ * Golden bytes of the HTCP datagrams for which {@link HtcpCodecTest} has no vector: SET, responses without OP-DATA, and
+ * a signed datagram.
  */
 class HtcpGoldenBytesTest {
     private static final Specifier GET = new Specifier("GET", "a", "1.1", "");
@@ -70,7 +70,7 @@
                 "000e 00 00 0008 21 01 00000001 0002");
     }
 
-    /** The signature is another implementation's HMAC-MD5 of what RFC 2756 lists. */
+    /** The signature is the HMAC-MD5 that another implementation computed over the fields that RFC 2756 lists. */
     @Test
     void encodesAndVerifiesTheGoldenSignedTest() throws Exception {
         byte[] golden = HexBytes.parse("003c 00 00 0017 10 02 00000001 0003474554 000161 0003312e31 0000"
--- a/src/test/java/cacheproxy/icp/IcpCodecTest.java
+++ b/src/test/java/cacheproxy/icp/IcpCodecTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.junit.jupiter.params.provider.EnumSource;
 
-/** ICP's datagrams. The vectors are worked out by hand from RFC 2186; no encoder made them. */
+/** Encodes and decodes ICP datagrams. The vectors are worked out by hand from RFC 2186; no encoder produced them. */
 class IcpCodecTest {
     private static byte[] hex(String text) {
         return HexFormat.of().parseHex(text.replace(" ", ""));
@@ -59,13 +59,14 @@
             assertThat(reply.requestNumber()).isEqualTo(0x01020304);
             assertThat(reply.url()).isEqualTo("http://a/b");
             assertThat(reply.options())
-                    .as("an option is told only where it is used")
+                    .as("an option is set only where it is used")
                     .isZero();
         });
     }
 
     /**
-     * Answers have no requester's address. MISS with a time to the origin of 300 ms in the low half of the option data.
+     * Replies have no requester's address. This is a MISS with a round-trip time to the origin of 300 ms in the low
+     * half of the option data.
      */
     @Test
     void encodesAndDecodesTheGoldenMissWithRoundTripTime() throws Exception {
@@ -75,7 +76,9 @@
         assertThat(message.requestNumber()).isEqualTo(-1);
         assertThat(message.sourceRttMs()).isEqualTo(300);
         assertThat(encode(message)).isEqualTo(bytes);
-        assertThat(decode(hex(QUERY)).sourceRttMs()).as("a query tells none").isEqualTo(-1);
+        assertThat(decode(hex(QUERY)).sourceRttMs())
+                .as("a query gives no round-trip time")
+                .isEqualTo(-1);
         assertThat(decode(hex("03 02 0018 ffffffff 00000000 abcd012c 00000000 782f79 00"))
                         .sourceRttMs())
                 .isEqualTo(-1);
@@ -156,7 +159,7 @@
                 .isInstanceOf(IllegalArgumentException.class);
     }
 
-    /** Bits that have no meaning are neither believed nor sent. */
+    /** Option bits that have no meaning are ignored in a received message and never sent. */
     @Test
     void clearsUnknownOptions() throws Exception {
         assertThat(decode(hex(QUERY.replace("c0000000", "3fffffff"))).options()).isZero();
@@ -187,7 +190,7 @@
             } catch (MalformedMessageException e) {
                 assertThat(e.getMessage()).isNotBlank();
             }
-            assertThat(buf.readerIndex()).as("the caller's buffer is as it was").isZero();
+            assertThat(buf.readerIndex()).as("the caller's buffer is unchanged").isZero();
         }
         assertThat(decodedCount).isBetween(1_000, 19_000);
     }
--- a/src/test/java/cacheproxy/routes/FallbackRulesTest.java
+++ b/src/test/java/cacheproxy/routes/FallbackRulesTest.java
@@ -7,7 +7,7 @@
 import cacheproxy.policy.ServiceClass;
 import org.junit.jupiter.api.Test;
 
-/** Which requests may go on from pool to pool, for every kind of effect. */
+/** Which requests may be sent to the next pool, for every kind of idempotency. */
 class FallbackRulesTest {
     private static ServiceClass serviceClass(Idempotency idempotency) {
         return new ServiceClass(
--- a/src/test/java/cacheproxy/routes/PathsAndHostsTest.java
+++ b/src/test/java/cacheproxy/routes/PathsAndHostsTest.java
@@ -205,7 +205,8 @@
         assertThat(included).isBetween(420, 580);
         assertThat(some.covers(rest)).isFalse();
         assertThat(new SplitShare(uri, 0, SplitShare.HASH_RANGE).covers(rest)).isTrue();
-        // Published values of MurmurHash2 with this seed are rare: one worked out by hand for one byte.
+        // Published values of MurmurHash2 with this seed are rare, so this one, for the empty text, is worked out by
+        // hand.
         assertThat(SplitShare.hash(new byte[0])).isZero();
     }
 }
--- a/src/test/java/cacheproxy/routes/RouteTableTest.java
+++ b/src/test/java/cacheproxy/routes/RouteTableTest.java
@@ -9,7 +9,7 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Finding routes, compared with a reference search; rewrites, patterns, shares and unreachable routes. */
+/** Compares finding routes with a reference search, and checks rewrites, patterns, shares and unreachable routes. */
 class RouteTableTest {
     private static final Route.Action POOL = new Route.ToPools(List.of("a"));
 
@@ -57,7 +57,10 @@
                 .containsExactly("exact", "long", "short");
     }
 
-    /** The documented order: by order, kind of condition, prefix length and position; the first match wins. */
+    /**
+     * Finds a route in the documented sequence: by order, kind of condition, prefix length and position; the first
+     * match wins.
+     */
     private static Route referenceFind(List<Route> routes, RouteInput input) {
         Route best = null;
         for (Route route : routes) {
@@ -182,7 +185,7 @@
             included += fivePercent.contains(key) ? 1 : 0;
         }
         assertThat(included).isBetween(4700, 5300);
-        // A bucket that changed between releases would move the keys of canaries.
+        // If a key's bucket changed between releases, the key would move into or out of a canary release.
         assertThat(KeyShare.bucketOf("canary", "page/1"))
                 .isEqualTo(KeyShare.bucketOf("canary", "page/1"))
                 .isBetween(0, 9999);
--- a/src/test/java/cacheproxy/siblings/CacheDigestTest.java
+++ b/src/test/java/cacheproxy/siblings/CacheDigestTest.java
@@ -7,14 +7,14 @@
 import java.util.SplittableRandom;
 import org.junit.jupiter.api.Test;
 
-/** Compares the digest with a reference map, and its replacement and invalidation at their bounds. */
+/** Compares the digest with a reference map, and checks replacement and invalidation at their bounds. */
 class CacheDigestTest {
     /** The digest may omit what the map still holds, but must never contain more. */
     @Test
     void digestNeverContainsWhatAReferenceMapDoesNot() {
         SplittableRandom random = new SplittableRandom(1);
         CacheDigest digest = new CacheDigest(1024, 5000, 20);
-        Map<Long, double[]> reference = new HashMap<>(); // server, time
+        Map<Long, double[]> reference = new HashMap<>(); // server and time of the last addition
         double nowMs = 1.7e12;
         int containedCount = 0;
         int expectedCount = 0;
--- a/src/test/java/cacheproxy/siblings/DenialLimiterTest.java
+++ b/src/test/java/cacheproxy/siblings/DenialLimiterTest.java
@@ -26,7 +26,7 @@
             limiter.shouldAnswer("forged" + i, true);
         }
         assertThat(limiter.shouldAnswer("bad", true))
-                .as("forgotten, as other addresses were heard from later")
+                .as("removed, because other addresses were seen later")
                 .isTrue();
     }
 }
--- a/src/test/java/cacheproxy/siblings/SiblingQueryPolicyTest.java
+++ b/src/test/java/cacheproxy/siblings/SiblingQueryPolicyTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 
-/** Whether querying siblings pays, in a model of an origin and siblings that lose or falsify replies. */
+/** Whether querying siblings saves time, in a model of an origin and of siblings that lose or falsify replies. */
 class SiblingQueryPolicyTest {
     private static final int REQUESTS = 20_000;
 
@@ -18,8 +18,8 @@
      *
      * @param hitShare share of queries that a sibling answers with a hit
      * @param lossShare share of replies that are lost
-     * @param falseHitShare share of hits whose value does not come
-     * @param pressure requests to the origin for each that it answers at its usual speed
+     * @param falseHitShare share of hits whose value the sibling then does not return
+     * @param pressure the number of requests to the origin for each one that it answers at its usual speed
      */
     private record Model(
             double originFetchMs,
@@ -33,7 +33,7 @@
 
     private record Result(double meanMs, double inTimeShare, double originFetches, double queries) {}
 
-    /** A run of requests that miss in this proxy's servers, one every 5 ms. */
+    /** Simulates requests that miss in this proxy's servers, one every 5 ms. */
     private static final class Simulation {
         private final Model model;
         private final SplittableRandom random;
@@ -76,7 +76,7 @@
                     randomDraw);
         }
 
-        /** The time until a request has its value. */
+        /** Returns the time until a request has its value. */
         private double request(double nowMs, SiblingQueryPolicy.Plan plan) {
             double[] draws = random.doubles(12).toArray();
             int firstHit = -1;
@@ -101,7 +101,7 @@
             return elapsedMs;
         }
 
-        /** The time until a sibling's hit; infinite where it has none or its reply is lost. */
+        /** Returns the time until a sibling's hit; infinite if it has none or its reply is lost. */
         private double query(double nowMs, int sibling, double[] draws) {
             queries++;
             siblings.get(sibling).recordQuery(nowMs);
