--- a/src/main/java/cacheproxy/htcp/HtcpEncoder.java
+++ b/src/main/java/cacheproxy/htcp/HtcpEncoder.java
@@ -62,8 +62,7 @@
         for (String text : texts) {
             byte[] octets = text.getBytes(StandardCharsets.ISO_8859_1);
             if (octets.length > MAX_TEXT_LENGTH) {
-                throw new IllegalArgumentException(
-                        "a text of " + octets.length + " octets; at most " + MAX_TEXT_LENGTH);
+                throw new IllegalArgumentException("a text of " + octets.length + " octets is too long");
             }
             putCountstr(out, octets);
         }
@@ -82,7 +81,7 @@
                 : HtcpCodec.MIN_AUTH_LENGTH + keyName.length + auth.signature().length;
         int length = HtcpCodec.HEADER_LENGTH + data.length + authLength;
         if (length > HtcpCodec.MAX_LENGTH) {
-            throw new IllegalArgumentException("a datagram of " + length + " octets; at most " + HtcpCodec.MAX_LENGTH);
+            throw new IllegalArgumentException(length + " octets are too many for a datagram");
         }
         ByteBuffer out = ByteBuffer.allocate(length)
                 .putShort((short) length)
--- a/src/main/java/cacheproxy/icp/IcpCodec.java
+++ b/src/main/java/cacheproxy/icp/IcpCodec.java
@@ -159,7 +159,7 @@
     public static ByteBuf encode(ByteBufAllocator allocator, IcpMessage message) {
         int length = encodedLength(message);
         if (length > IcpMessage.MAX_LENGTH) {
-            throw new IllegalArgumentException("a message of " + length + " octets; at most " + IcpMessage.MAX_LENGTH);
+            throw new IllegalArgumentException(length + " octets are too many for an ICP message");
         }
         if (!isEncodable(message)) {
             throw new IllegalArgumentException("not a valid ICP message: " + message);
--- a/src/main/java/cacheproxy/routes/KeyPattern.java
+++ b/src/main/java/cacheproxy/routes/KeyPattern.java
@@ -40,7 +40,7 @@
         }
         if (pattern.programSize() > MAX_PROGRAM_SIZE) {
             throw new IllegalArgumentException("with its repetitions, the pattern compiles to " + pattern.programSize()
-                    + " instructions; at most " + MAX_PROGRAM_SIZE);
+                    + " instructions; at most " + MAX_PROGRAM_SIZE + " are allowed");
         }
         requiredPrefix = requiredPrefix(text);
     }
--- a/src/main/java/cacheproxy/siblings/CacheDigest.java
+++ b/src/main/java/cacheproxy/siblings/CacheDigest.java
@@ -56,8 +56,8 @@
         boolean validityInRange = validityMs > 0 && validityMs <= MAX_VALIDITY_MS;
         boolean serversInRange = maxServers >= 1 && maxServers <= MAX_SERVERS;
         if (!capacityInRange || !validityInRange || !serversInRange) {
-            throw new IllegalArgumentException(
-                    "out of range: " + capacity + " entries, " + validityMs + " ms, " + maxServers + " servers");
+            throw new IllegalArgumentException(capacity + " entries, " + validityMs + " ms, " + maxServers
+                    + " servers: one of these is out of range");
         }
         keys = new long[capacity];
         entries = new long[capacity];
