--- a/src/main/java/cacheproxy/hooks/HookInstance.java
+++ b/src/main/java/cacheproxy/hooks/HookInstance.java
@@ -27,7 +27,7 @@
      *
      * @param orders what the module orders for the request
      * @param logLines lines that the module logged, each sanitized to fit on one line
-     * @param fuel the fuel that the call has taken
+     * @param fuel the fuel that the call has consumed
      */
     public record Result(HookOrders orders, List<String> logLines, long fuel) {}
 
--- a/src/main/java/cacheproxy/hooks/WasmFunctionMeter.java
+++ b/src/main/java/cacheproxy/hooks/WasmFunctionMeter.java
@@ -4,7 +4,7 @@
 import java.util.List;
 
 /**
- * Rewrites the bodies of functions so that they take fuel: at their entry and at the start of each loop's body, the
+ * Rewrites the bodies of functions so that they consume fuel: at their entry and at the start of each loop's body, the
  * cost of all instructions up to the next such place; before a bulk instruction, an amount in proportion to what it
  * moves.
  */
@@ -28,9 +28,9 @@
         instructions = new WasmInstructionReader(reader, fuelGlobal);
     }
 
-    /** A place where fuel is taken. */
+    /** A place where fuel is consumed. */
     private static final class ChargePoint {
-        /** Index of the instruction before which the fuel is taken. */
+        /** Index of the instruction before which the fuel is consumed. */
         final int position;
         /**
          * Whether the fuel depends on how much the following bulk instruction moves, instead of being {@link #cost}.
--- a/src/main/java/cacheproxy/hooks/WasmInstructionReader.java
+++ b/src/main/java/cacheproxy/hooks/WasmInstructionReader.java
@@ -5,9 +5,9 @@
  * threads, exceptions, tail calls and the growth of tables) and any use of the global that holds the fuel.
  */
 final class WasmInstructionReader {
-    /** Fuel that every instruction takes except those that clear pages. */
+    /** Fuel that every instruction consumes except those that clear pages. */
     private static final long UNIT_COST = 1;
-    /** Fuel that growing the memory takes, because it clears pages. */
+    /** Fuel that growing the memory consumes, because it clears pages. */
     private static final long MEMORY_GROW_COST = 4096;
     /** A block's type is an index or a negative number: a signed LEB128 number of 33 bits. */
     private static final int BLOCK_TYPE_BITS = 33;
--- a/src/main/java/cacheproxy/hooks/WasmMeter.java
+++ b/src/main/java/cacheproxy/hooks/WasmMeter.java
@@ -5,9 +5,9 @@
 
 /**
  * Rewrites a module (WebAssembly Core Specification 2.0, section 5, without vectors) so that it counts its work. A
- * global holds the remaining fuel, each entry of a function or of a loop's body takes the cost of the instructions up
- * to the next such place, and negative fuel causes a trap. The count is the same for the interpreter, the compiler and
- * every machine.
+ * global holds the remaining fuel, each entry of a function or of a loop's body subtracts the cost of the instructions
+ * up to the next such place, and negative fuel causes a trap. The count is the same for the interpreter, the compiler
+ * and every machine.
  *
  * <p>Works in two passes: the first reads and checks the declarations, the second writes the sections and changes those
  * of the globals and of the code.
--- a/src/main/java/cacheproxy/hooks/package-info.java
+++ b/src/main/java/cacheproxy/hooks/package-info.java
@@ -4,7 +4,8 @@
  * <ul>
  *   <li>Loading: {@link cacheproxy.hooks.HookModule} meters a module with {@code WasmMeter}, then parses and compiles
  *       it. {@code WasmReader} and {@code WasmWriter} decode and encode the binary form, {@code WasmDeclarations}
- *       checks what a module declares, {@code WasmFunctionMeter} inserts into its functions the code that takes fuel.
+ *       checks what a module declares, {@code WasmFunctionMeter} inserts into its functions the code that consumes
+ *       fuel.
  *   <li>Calling: {@link cacheproxy.hooks.HookInstance} owns a module's memory and its {@code HookHost}.
  *       {@link cacheproxy.hooks.HookCall} encodes the arguments of a call, and {@code HookOrdersDecoder} decodes its
  *       result.
