--- a/src/main/java/cacheproxy/htcp/HtcpEncoder.java
+++ b/src/main/java/cacheproxy/htcp/HtcpEncoder.java
@@ -25,7 +25,7 @@
     static byte[] encodeData(HtcpMessage message) {
         ByteBuffer out = ByteBuffer.allocate(MAX_DATA_LENGTH);
         try {
-            out.position(2); // the length, which is known at the end
+            out.position(2); // the length, which is known only at the end
             out.put((byte) (message.opcode().code() << 4 | message.responseCode()))
                     .put((byte) ((message.flag() ? 2 : 0) | (message.isResponse() ? 1 : 0)))
                     .putInt(message.transactionId());
@@ -62,13 +62,13 @@
         for (String text : texts) {
             byte[] octets = text.getBytes(StandardCharsets.ISO_8859_1);
             if (octets.length > MAX_TEXT_LENGTH) {
-                throw new IllegalArgumentException("a text of " + octets.length + " octets");
+                throw new IllegalArgumentException("a text of " + octets.length + " octets is too long");
             }
             putCountstr(out, octets);
         }
     }
 
-    /** COUNTSTR: a length of 16 bits, which does not count itself, and so many octets. */
+    /** COUNTSTR: a length of 16 bits, which does not count itself, followed by that many octets. */
     private static void putCountstr(ByteBuffer out, byte[] octets) {
         out.putShort((short) octets.length).put(octets);
     }
@@ -81,7 +81,7 @@
                 : HtcpCodec.MIN_AUTH_LENGTH + keyName.length + auth.signature().length;
         int length = HtcpCodec.HEADER_LENGTH + data.length + authLength;
         if (length > HtcpCodec.MAX_LENGTH) {
-            throw new IllegalArgumentException(length + " octets");
+            throw new IllegalArgumentException(length + " octets are too many for a datagram");
         }
         ByteBuffer out = ByteBuffer.allocate(length)
                 .putShort((short) length)
--- a/src/main/java/cacheproxy/routes/KeyShare.java
+++ b/src/main/java/cacheproxy/routes/KeyShare.java
@@ -19,11 +19,11 @@
     /** Checks the range. */
     public KeyShare {
         if (fromBucket < 0 || toBucket > BUCKETS || fromBucket >= toBucket) {
-            throw new IllegalArgumentException("share from " + fromBucket + " to " + toBucket);
+            throw new IllegalArgumentException("invalid share: buckets from " + fromBucket + " to " + toBucket);
         }
     }
 
-    /** The bucket of a key: FNV-1a over salt and key, then the finalizer of MurmurHash3. */
+    /** Returns the bucket of a key: FNV-1a over salt and key, then the finalizer of MurmurHash3. */
     public static int bucketOf(String salt, String key) {
         long hash = fnv1a(FNV_OFFSET_BASIS, salt);
         hash = (hash ^ SEPARATOR) * FNV_PRIME;
@@ -41,13 +41,13 @@
         return hash;
     }
 
-    /** The query of a path does not take part: requests for one path are on one side. */
+    /** The query of a path is not hashed, so that all requests for one path are on the same side of the share. */
     @Override
     public boolean contains(RouteInput input) {
         return contains(input.key());
     }
 
-    /** Whether a key belongs to the share. */
+    /** Returns whether a key belongs to the share. */
     public boolean contains(String key) {
         int bucket = bucketOf(salt, key);
         return bucket >= fromBucket && bucket < toBucket;
